--- a/src/main/java/org/woadloom/node/CommandQueue.java
+++ b/src/main/java/org/woadloom/node/CommandQueue.java
@@ -25,6 +25,7 @@
     private final Executor executor;
     private final NodeMetrics metrics;
     private final int mostRepeatable;
+    private final StepObserver observer;
     private final ManyToOneConcurrentLinkedQueue<Command> queue = new ManyToOneConcurrentLinkedQueue<>();
     private final AtomicInteger repeatable = new AtomicInteger();
     private final AtomicBoolean scheduled = new AtomicBoolean();
@@ -37,11 +38,17 @@
 
     /** @param mostRepeatable how many commands may wait that their senders repeat by themselves */
     public CommandQueue(Loop loop, Core core, NodeMetrics metrics, int mostRepeatable, Executor executor) {
+        this(loop, core, metrics, mostRepeatable, executor, StepObserver.NONE);
+    }
+
+    /** The same, with an observer of each step. */
+    CommandQueue(Loop loop, Core core, NodeMetrics metrics, int mostRepeatable, Executor executor, StepObserver observer) {
         this.loop = loop;
         this.core = core;
         this.executor = executor;
         this.metrics = metrics;
         this.mostRepeatable = mostRepeatable;
+        this.observer = observer;
     }
 
     /** Takes what must not get lost: the outcome of something that was asked for. What is under way bounds their number. */
@@ -82,6 +89,7 @@
         }
         List<Effect> effects = core.step(begin, loop.wallMicros(), batch);
         metrics.stepped(loop.nowMicros() - begin);
+        observer.onStep(begin, batch, effects);
         effects.forEach(metrics::done);
         executor.execute(effects);
         long end = loop.nowMicros();
--- a/src/main/java/org/woadloom/node/Node.java
+++ b/src/main/java/org/woadloom/node/Node.java
@@ -95,6 +95,12 @@
 
     public Node(Loop loop, HttpTransport transport, PeerNet net, ServiceSettings settings,
             OperatorSettings operator, Random random) {
+        this(loop, transport, net, settings, operator, random, StepObserver.NONE);
+    }
+
+    /** The same, with an observer of each step of the core. */
+    public Node(Loop loop, HttpTransport transport, PeerNet net, ServiceSettings settings,
+            OperatorSettings operator, Random random, StepObserver observer) {
         this.loop = loop;
         this.settings = settings;
         this.operator = operator;
@@ -112,7 +118,7 @@
         duties = new LeaderDuties(loop, state, cloud, new WorkerClient(transport, plan.direct()), settings, limits, rollout, metrics, care, this::abdicate,
                 this::giveWarrant);
         Core core = new Core(CoreSettings.of(settings, operator));
-        queue = new CommandQueue(loop, core, metrics, MOST_REPORTS_WAITING, duties::execute);
+        queue = new CommandQueue(loop, core, metrics, MOST_REPORTS_WAITING, duties::execute, observer);
         duties.attach(queue);
         mailbox = new Mailbox(loop, state, settings, limits, rollout, random);
         parked = new ParkedReports(loop, MOST_REPORTS_WAITING,
--- /dev/null
+++ b/src/test/java/org/woadloom/sim/StepRenderer.java
@@ -0,0 +1,291 @@
+package org.woadloom.sim;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import java.util.function.Function;
+import org.woadloom.core.Command;
+import org.woadloom.core.Effect;
+import org.woadloom.core.care.NodeStanding;
+import org.woadloom.core.care.Warrant;
+import org.woadloom.golden.CanonicalJson;
+import org.woadloom.state.FinalRecord;
+import org.woadloom.state.JobRecord;
+import org.woadloom.state.MachineRecord;
+import org.woadloom.state.NodeWord;
+import org.woadloom.state.RecordFormat;
+import org.woadloom.wire.ListedMachine;
+import org.woadloom.wire.MachineType;
+import org.woadloom.wire.Order;
+import org.woadloom.wire.TaskReport;
+import org.woadloom.wire.WorkerReport;
+
+/**
+ * The commands and effects of a step as text, by what they mean: each has a literal tag and its values in a fixed order,
+ * records have the form in which they are stored. No name of a class, method, field or constant gets into the text, so
+ * renaming changes nothing of it. A kind that is unknown here is an error.
+ */
+final class StepRenderer {
+    private StepRenderer() {
+    }
+
+    /** One line for the step, one for each command and one for each effect but notes for the log. */
+    static String render(int node, long nowMicros, List<Command> commands, List<Effect> effects) {
+        StringBuilder out = new StringBuilder();
+        line(out, "step ", list(node, nowMicros));
+        for (Command command : commands) {
+            line(out, "  in  ", command(command));
+        }
+        for (Effect effect : effects) {
+            if (!(effect instanceof Effect.Note)) {
+                line(out, "  out ", effect(effect));
+            }
+        }
+        return out.toString();
+    }
+
+    private static void line(StringBuilder out, String begin, List<Object> values) {
+        out.append(begin);
+        CanonicalJson.write(out, values);
+        out.append('\n');
+    }
+
+    private static List<Object> command(Command command) {
+        if (command instanceof Command.Lead c) {
+            return list("lead", c.term(), each(c.jobs(), StepRenderer::storedJob),
+                    each(c.machines(), StepRenderer::storedMachine), c.cancellationsSeenMicros());
+        } else if (command instanceof Command.StepDown) {
+            return list("step-down");
+        } else if (command instanceof Command.JobSeen c) {
+            return list("job-record", job(c.record()), c.stamp());
+        } else if (command instanceof Command.JobUnread c) {
+            return list("job-record-partly-unreadable", c.uid(), c.stamp(), c.cancelled());
+        } else if (command instanceof Command.CancellationsTold c) {
+            return list("cancellations-told", c.uids());
+        } else if (command instanceof Command.JobMissing c) {
+            return list("job-record-missing", c.uid());
+        } else if (command instanceof Command.JobUnreadable c) {
+            return list("job-record-unreadable", c.uid());
+        } else if (command instanceof Command.JobFound c) {
+            return list("job-found", c.uid(), standing(c.standing()), c.overWallMicros());
+        } else if (command instanceof Command.StorageSeen c) {
+            return list("storage", c.valueBytes(), format(c.format()), c.writesPerSecond(), c.care(), c.machineLife());
+        } else if (command instanceof Command.NodeSpoke c) {
+            return list("node-standing", c.node(), nodeStanding(c.standing()), c.cancellationsSeenMicros());
+        } else if (command instanceof Command.MachineSeen c) {
+            return list("machine-record", c.host(), c.record() == null ? null : machine(c.record()), c.stamp());
+        } else if (command instanceof Command.MachineUnreadable c) {
+            return list("machine-record-unreadable", c.host());
+        } else if (command instanceof Command.Report c) {
+            return list("report", c.replyId(), report(c.report()));
+        } else if (command instanceof Command.DirectResult c) {
+            return list("direct-result", c.sendId(), c.host(), c.status(), c.report() == null ? null : report(c.report()));
+        } else if (command instanceof Command.JobWritten c) {
+            return list("job-written", c.uid(), c.version(), outcome(c.outcome()), c.stamp());
+        } else if (command instanceof Command.MachineWritten c) {
+            return list("machine-written", c.host(), c.leaving(), c.dropped(), outcome(c.outcome()), c.stamp());
+        } else if (command instanceof Command.TypesSeen c) {
+            return list("machine-types", each(c.types(), MachineType::toMap));
+        } else if (command instanceof Command.MachinesListed c) {
+            return list("machines-listed", each(c.machines(), StepRenderer::listed));
+        } else if (command instanceof Command.Rented c) {
+            return list("rented", c.claim(), outcome(c.outcome()), c.hosts());
+        } else if (command instanceof Command.Deleted c) {
+            return list("deleted", c.hosts(), c.done());
+        } else if (command instanceof Command.RolloutSeen c) {
+            return list("rollout", c.record().toMap(), c.stamp(), sorted(c.words(), StepRenderer::spoken),
+                    sorted(c.asked(), request -> request.toMap()), List.copyOf(new TreeSet<>(c.wordless())), c.agreed(),
+                    c.agreedStamp(), c.refused());
+        } else if (command instanceof Command.RolloutWritten c) {
+            return list("rollout-written", c.number(), outcome(c.outcome()), c.stamp());
+        } else if (command instanceof Command.RecordsCounted c) {
+            return list("records-counted", c.feature().key(), c.back(), c.read(), c.old(), c.unreadable());
+        } else if (command instanceof Command.Tick) {
+            return list("time");
+        }
+        throw new IllegalArgumentException("a command that has no text yet: " + command);
+    }
+
+    private static List<Object> effect(Effect effect) {
+        if (effect instanceof Effect.Answer e) {
+            return list("answer", e.replyId(), e.epoch(), each(e.orders(), Order::toMap));
+        } else if (effect instanceof Effect.TurnAway e) {
+            return list("turn-away", e.replyId());
+        } else if (effect instanceof Effect.SendDirect e) {
+            return list("send-direct", e.sendId(), e.host(), e.addr(), e.epoch(), e.tenure(),
+                    each(e.orders(), Order::toMap));
+        } else if (effect instanceof Effect.PutJob e) {
+            return list("put-job", job(e.record()), e.stamp(), e.urgent());
+        } else if (effect instanceof Effect.FinishJob e) {
+            return list("finish-job", finalRecord(e.record()), e.stamp(), e.version());
+        } else if (effect instanceof Effect.ReadJob e) {
+            return list("read-job", e.uid());
+        } else if (effect instanceof Effect.FindJob e) {
+            return list("find-job", e.uid());
+        } else if (effect instanceof Effect.PutMachine e) {
+            return list("put-machine", machine(e.record()), e.stamp());
+        } else if (effect instanceof Effect.DropMachine e) {
+            return list("drop-machine", e.host(), e.stamp());
+        } else if (effect instanceof Effect.ReadMachine e) {
+            return list("read-machine", e.host());
+        } else if (effect instanceof Effect.Rent e) {
+            return list("rent", e.claim(), e.hosttype(), e.yard(), e.reclaimable(), e.count());
+        } else if (effect instanceof Effect.Delete e) {
+            return list("delete", e.hosts());
+        } else if (effect instanceof Effect.GiveWarrant e) {
+            return list("give-warrant", e.node(), warrant(e.warrant()));
+        } else if (effect instanceof Effect.Abdicate) {
+            // Its reason is for the log.
+            return list("abdicate");
+        } else if (effect instanceof Effect.PutRollout e) {
+            return list("put-rollout", e.record().toMap(), new TreeMap<>(e.conditions()), e.agreed());
+        } else if (effect instanceof Effect.CountRecords e) {
+            return list("count-records", e.feature().key(), e.back());
+        } else if (effect instanceof Effect.ServedSeen e) {
+            return list("served", each(e.rows(), r -> list(r.team(), r.jobClass(), r.accepted(), r.startedWhole(), r.over(),
+                    r.cancelled(), r.longestWaitMicros())));
+        }
+        throw new IllegalArgumentException("an effect that has no text yet: " + effect);
+    }
+
+    /** The values of a command, an effect or a part of one; null is allowed. */
+    private static List<Object> list(Object... values) {
+        return Arrays.asList(values);
+    }
+
+    private static <T> List<Object> each(Collection<T> items, Function<T, Object> render) {
+        List<Object> rendered = new ArrayList<>();
+        items.forEach(item -> rendered.add(render.apply(item)));
+        return rendered;
+    }
+
+    private static <T> Map<String, Object> sorted(Map<String, T> items, Function<T, Object> render) {
+        Map<String, Object> rendered = new TreeMap<>();
+        items.forEach((key, item) -> rendered.put(key, render.apply(item)));
+        return rendered;
+    }
+
+    private static List<Object> storedJob(Command.StoredJob stored) {
+        return list(job(stored.record()), stored.stamp());
+    }
+
+    private static List<Object> storedMachine(Command.StoredMachine stored) {
+        return list(machine(stored.record()), stored.stamp());
+    }
+
+    /** The compact form holds all records, also those of jobs that wait. */
+    private static Map<String, Object> job(JobRecord record) {
+        return record.toMap(RecordFormat.COMPACT);
+    }
+
+    private static List<Object> finalRecord(FinalRecord record) {
+        return list(record.uid(), record.toMap(RecordFormat.COMPACT));
+    }
+
+    private static List<Object> machine(MachineRecord record) {
+        return list(record.host(), record.toMap());
+    }
+
+    private static List<Object> spoken(Command.Spoken spoken) {
+        NodeWord word = spoken.word();
+        return list(word.toMap(), spoken.stamp());
+    }
+
+    private static List<Object> nodeStanding(NodeStanding s) {
+        return list(s.life(), s.aliveMicros(), s.saidMicros(), s.term(), s.echoMicros(), s.promiseMicros(), s.caredMicros(),
+                s.stateSilentMicros());
+    }
+
+    private static List<Object> warrant(Warrant w) {
+        return list(w.term(), w.saidMicros(), w.leaderMicros(), w.settledMicros());
+    }
+
+    private static List<Object> listed(ListedMachine m) {
+        return list(m.uid(), m.addr(), m.hosttype(), m.yard(), m.reclaimable(), m.status(), m.heldMicros());
+    }
+
+    /** As on the wire, but for the span in the warning. */
+    private static Map<String, Object> report(WorkerReport report) {
+        Map<String, Object> map = new LinkedHashMap<>();
+        map.put("host", report.host());
+        map.put("addr", report.addr());
+        map.put("hosttype", report.hosttype());
+        map.put("yard", report.yard());
+        map.put("reclaimable", report.reclaimable());
+        map.put("tenure", report.tenure());
+        map.put("tick", report.tick());
+        map.put("epoch", report.epoch());
+        map.put("warningMicros", report.warningMicros());
+        map.put("shards", each(report.tasks(), StepRenderer::task));
+        return map;
+    }
+
+    private static List<Object> task(TaskReport report) {
+        return list(report.task().uid(), report.task().index(), report.attempt(), state(report.state()),
+                report.cause() == null ? null : cause(report.cause()), report.saved());
+    }
+
+    private static String state(TaskReport.State state) {
+        return switch (state) {
+            case FETCHING -> "fetching";
+            case GATHERING -> "gathering";
+            case RUNNING -> "running";
+            case FLUSHING -> "flushing";
+            case EXITED -> "exited";
+        };
+    }
+
+    private static String cause(TaskReport.Cause cause) {
+        return switch (cause) {
+            case DONE -> "done";
+            case HALTED -> "halted";
+            case ERROR -> "error";
+            case NO_ROOM -> "no_room";
+            case BUSY -> "busy";
+            case UNKNOWN -> "unknown";
+            case PEERS -> "peers";
+            case INCOMPLETE -> "incomplete";
+        };
+    }
+
+    private static String standing(Command.Standing standing) {
+        return switch (standing) {
+            case OPEN -> "open";
+            case DONE -> "done";
+            case CANCELLED -> "cancelled";
+            case NOT_FOUND -> "not-found";
+            case UNREADABLE -> "unreadable";
+        };
+    }
+
+    private static String format(RecordFormat format) {
+        return switch (format) {
+            case PLAIN -> "plain";
+            case COMPACT -> "compact";
+        };
+    }
+
+    private static String outcome(Command.WriteOutcome outcome) {
+        return switch (outcome) {
+            case WRITTEN -> "written";
+            case CONFLICT -> "conflict";
+            case UNKNOWN -> "unknown";
+            case NOT_WRITTEN -> "not-written";
+            case TOO_LARGE -> "too-large";
+        };
+    }
+
+    private static String outcome(Command.RentOutcome outcome) {
+        return switch (outcome) {
+            case RENTED -> "rented";
+            case NO_CAPACITY -> "no-capacity";
+            case REFUSED -> "refused";
+            case UNKNOWN -> "unknown";
+        };
+    }
+}
--- a/src/test/java/org/woadloom/sim/World.java
+++ b/src/test/java/org/woadloom/sim/World.java
@@ -5,6 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import org.woadloom.core.Command;
+import org.woadloom.core.Effect;
 import org.woadloom.core.cancellation.Vouch;
 import org.woadloom.core.care.NodeStanding;
 import org.woadloom.net.HttpTransport;
@@ -94,10 +96,18 @@
     int leadersEndedInOutages;
     /** The service is broken at its store from this moment on. */
     long brokenFrom;
+    /** Is shown each step of each node. */
+    NodeStepObserver stepObserver = (node, now, commands, effects) -> {
+    };
     private long slowLinksMicros;
     private long slowLinksUntil;
     private int jobs;
 
+    /** Is shown each step of the nodes' cores. */
+    interface NodeStepObserver {
+        void onStep(int node, long nowMicros, List<Command> commands, List<Effect> effects);
+    }
+
     /** One node and the life of its process. */
     private final class Member {
         final int index;
@@ -122,7 +132,8 @@
             peers = new Peers(this, mine);
             node = new Node(nodeLoop, (address, method, path, body, timeout, callback) -> fromNode(this, mine, address,
                     method, path, body, timeout, callback), peers, settingsOf(index, day, day.told(), namesOneMore[index]),
-                    OperatorSettings.defaults(), new Random(random.nextLong()));
+                    OperatorSettings.defaults(), new Random(random.nextLong()),
+                    (now, commands, effects) -> stepObserver.onStep(index, now, commands, effects));
             node.start();
         }
 
