--- /dev/null
+++ b/src/test/java/org/woadloom/sim/StoredValuesGoldenTest.java
@@ -0,0 +1,82 @@
+package org.woadloom.sim;
+
+import java.io.ByteArrayInputStream;
+import java.io.IOException;
+import java.util.Base64;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.zip.InflaterInputStream;
+import org.junit.jupiter.api.Test;
+import org.woadloom.golden.GoldenFile;
+import org.woadloom.golden.Shape;
+import org.woadloom.wire.Cbor;
+import org.woadloom.wire.WireException;
+
+/** The shapes of the values that nodes store besides records of jobs and machines, as they are found on simulated days. */
+class StoredValuesGoldenTest {
+    private static final int SLOTS = 8;
+    private static final long DAY_MICROS = 120_000_000;
+
+    private final Map<String, Object> shapes = new TreeMap<>();
+
+    /** Reports and answers that nodes in different zones exchange through the state service, of either format. */
+    @Test
+    void lettersAreAsRecorded() throws WireException, IOException {
+        readLetters(new World(1, Day.PLAIN), "packed");
+        readLetters(new World(1, Day.UPGRADE), "plain");
+        check("letters.txt");
+    }
+
+    private void readLetters(World world, String format) throws WireException, IOException {
+        world.users(DAY_MICROS);
+        world.loop.after(DAY_MICROS / 3, () -> world.partition("a", "b", DAY_MICROS));
+        while (world.loop.step(DAY_MICROS)) {
+            for (int node = 0; node < World.NODES; node++) {
+                for (int slot = 0; slot < SLOTS; slot++) {
+                    letter(format, world.stored("mail/" + World.label(node) + "/" + slot));
+                }
+            }
+        }
+    }
+
+    private void letter(String format, Map<String, Object> letter) throws WireException, IOException {
+        if (letter == null) {
+            return;
+        }
+        for (String items : List.of("reports", "answers")) {
+            Object list = letter.containsKey("packed-" + items) ? unpack((String) letter.get("packed-" + items)) : letter.get(items);
+            if (list instanceof List<?> all && !all.isEmpty()) {
+                shapes.putIfAbsent(format + " " + items, Shape.of(letter));
+                shapes.putIfAbsent(format + " " + items + ", one", Shape.ofEach((List<?>) all.get(0)));
+            }
+        }
+    }
+
+    /** A packed list: Base64 of a deflated CBOR map. */
+    private static Object unpack(String text) throws WireException, IOException {
+        byte[] deflated = Base64.getDecoder().decode(text);
+        try (InflaterInputStream in = new InflaterInputStream(new ByteArrayInputStream(deflated))) {
+            return Cbor.decodeMap(in.readAllBytes()).get("items");
+        }
+    }
+
+    @Test
+    void leaderTermVersionsAndRolloutAreAsRecorded() {
+        World world = new World(1, Day.UPGRADE);
+        world.users(DAY_MICROS);
+        world.upgrade(DAY_MICROS);
+        world.loop.run(2 * DAY_MICROS);
+        for (String key : List.of("leader", "term", "types", "version/agreed", "version/node/node-0", "rollout/state",
+                "rollout/node/node-0")) {
+            shapes.put(key, Shape.of(world.stored(key)));
+        }
+        check("stored-values.txt");
+    }
+
+    private void check(String file) {
+        GoldenFile golden = new GoldenFile();
+        shapes.forEach(golden::addValue);
+        golden.check(file);
+    }
+}
--- /dev/null
+++ b/src/test/java/org/woadloom/worker/WorkerFormsGoldenTest.java
@@ -0,0 +1,105 @@
+package org.woadloom.worker;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.woadloom.core.Effect;
+import org.woadloom.golden.GoldenFile;
+import org.woadloom.wire.Cbor;
+import org.woadloom.wire.Order;
+import org.woadloom.wire.TaskId;
+import org.woadloom.wire.TaskReport;
+import org.woadloom.wire.WireException;
+import org.woadloom.wire.WorkerReport;
+
+/** What workers are sent, byte by byte, and how each field and word of their reports is read. */
+class WorkerFormsGoldenTest {
+    private static final TaskId TASK = new TaskId("j-000412", 3);
+    private static final List<String> STATES = List.of("fetching", "gathering", "running", "flushing", "exited", "novel");
+    private static final List<String> CAUSES = List.of("done", "halted", "error", "no_room", "busy", "unknown", "peers",
+            "incomplete", "novel");
+
+    @Test
+    void commandsAreSentAsRecorded() {
+        GoldenFile golden = new GoldenFile();
+        WorkerClient client = new WorkerClient((address, method, path, body, timeout, callback) ->
+                golden.addBytes(method + " " + address + path + " within " + timeout, body), 1);
+        client.send(new Effect.SendDirect(1, "host-1", "10.0.0.1:9", (5L << 20) + 1, 2, List.of(Order.launch(TASK, 4),
+                Order.halt(TASK, 5, 2.5), Order.clear(TASK, 6))), result -> {
+                });
+        golden.check("worker-commands.txt");
+    }
+
+    private static Map<String, Object> task(int index, String state, String cause) {
+        Map<String, Object> task = new LinkedHashMap<>();
+        task.put("shard", "j-000412/" + index);
+        task.put("try", (5L << 32) + index);
+        task.put("status", state);
+        task.put("cause", cause);
+        task.put("saved", index % 2 == 1);
+        return task;
+    }
+
+    private static byte[] report() {
+        List<Object> tasks = new ArrayList<>();
+        STATES.forEach(state -> tasks.add(task(tasks.size(), state, null)));
+        CAUSES.forEach(cause -> tasks.add(task(tasks.size(), "exited", cause)));
+        Map<String, Object> map = new LinkedHashMap<>();
+        map.put("host", "host-000231");
+        map.put("addr", "10.0.0.1:9");
+        map.put("hosttype", "m16");
+        map.put("yard", "b");
+        map.put("reclaimable", true);
+        map.put("tenure", 2L);
+        map.put("tick", 17L);
+        map.put("epoch", 5L << 20);
+        map.put("warningS", 1.5);
+        map.put("shards", tasks);
+        return Cbor.encode(map);
+    }
+
+    @Test
+    void reportsAreReadAsRecorded() throws WireException {
+        WorkerReport r = WorkerReport.read(report());
+        GoldenFile golden = new GoldenFile();
+        golden.addBytes("bytes", report());
+        golden.addText("report", r.host() + " " + r.addr() + " " + r.hosttype() + " " + r.yard() + " " + r.reclaimable() + " "
+                + r.tenure() + " " + r.tick() + " " + r.epoch() + " " + r.warningMicros());
+        for (TaskReport t : r.tasks()) {
+            golden.addText("task " + t.task().index(), t.task().uid() + " " + t.attempt() + " " + word(t.state()) + " "
+                    + word(t.cause()) + " " + t.saved());
+        }
+        assertEquals(STATES.size() + CAUSES.size(), r.tasks().size());
+        golden.check("worker-reports.txt");
+    }
+
+    private static String word(TaskReport.State state) {
+        return switch (state) {
+            case FETCHING -> "fetching";
+            case GATHERING -> "gathering";
+            case RUNNING -> "running";
+            case FLUSHING -> "flushing";
+            case EXITED -> "exited";
+        };
+    }
+
+    private static String word(TaskReport.Cause cause) {
+        if (cause == null) {
+            return "-";
+        }
+        return switch (cause) {
+            case DONE -> "done";
+            case HALTED -> "halted";
+            case ERROR -> "error";
+            case NO_ROOM -> "no_room";
+            case BUSY -> "busy";
+            case UNKNOWN -> "unknown";
+            case PEERS -> "peers";
+            case INCOMPLETE -> "incomplete";
+        };
+    }
+}
