--- a/src/main/java/org/woadloom/core/Core.java
+++ b/src/main/java/org/woadloom/core/Core.java
@@ -190,8 +190,8 @@
         leadership.machines.typesSeen(types);
         long cameUp = lead.machines().stream().map(Command.StoredMachine::record)
                 .filter(machine -> machine.life() != null && machine.life().up()).count();
-        world.note("leading term " + lead.term() + " with " + lead.jobs().size() + " jobs and "
-                + lead.machines().size() + " machines, " + cameUp + " of them known to have come up");
+        world.log(LogEntry.info(LogEvent.TERM_STARTED).with("term", lead.term()).with("jobs", lead.jobs().size())
+                .with("machines", lead.machines().size()).with("machines_reported", cameUp));
     }
 
     private static void apply(Leadership l, Command command) {
@@ -286,9 +286,10 @@
                     && world.nowMicros - machine.lastAnsweredMicros > world.care.leaseOverMicros()
                     && world.nowMicros - cared.computeIfAbsent(machine.yard, yard -> world.warrants.lastCareMicros(yard,
                             world.nowMicros)) > world.care.leaseOverMicros()) {
-                world.note("the lease of " + machine.host + " is over");
+                world.log(LogEntry.info(LogEvent.LEASE_EXPIRED).with("machine", machine.host).with("zone", machine.yard)
+                        .with("term", world.term));
                 machine.hearing.sessionOver();
-                l.losses.session(machine, "the lease is over");
+                l.losses.session(machine, "lease expired");
             }
         }
     }
--- a/src/main/java/org/woadloom/core/Effect.java
+++ b/src/main/java/org/woadloom/core/Effect.java
@@ -79,6 +79,6 @@
     }
 
     /** One line for the log. */
-    record Note(boolean debug, String text) implements Effect {
+    record Note(LogEntry entry) implements Effect {
     }
 }
--- a/src/main/java/org/woadloom/core/World.java
+++ b/src/main/java/org/woadloom/core/World.java
@@ -93,12 +93,8 @@
         effects.add(effect);
     }
 
-    public void note(String text) {
-        effects.add(new Effect.Note(false, text));
-    }
-
-    public void debug(String text) {
-        effects.add(new Effect.Note(true, text));
+    public void log(LogEntry entry) {
+        effects.add(new Effect.Note(entry));
     }
 
     List<Effect> takeEffects() {
--- a/src/main/java/org/woadloom/core/capacity/Capacity.java
+++ b/src/main/java/org/woadloom/core/capacity/Capacity.java
@@ -10,6 +10,8 @@
 import java.util.Set;
 import org.woadloom.core.Command;
 import org.woadloom.core.Effect;
+import org.woadloom.core.LogEntry;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.World;
 import org.woadloom.core.jobs.Job;
 import org.woadloom.core.jobs.Placement;
@@ -199,8 +201,8 @@
             Claim claim = new Claim(world.newClaim(), entry.getKey(), Math.min(MAX_COUNT, entry.getValue()), world.nowMicros);
             claims.put(claim.name, claim);
             claim.sent = true;
-            world.note("renting " + claim.count + " " + claim.kind.type.name() + " in " + claim.kind.yard
-                    + (claim.kind.reclaimable ? " (spot)" : "") + " as " + claim.name);
+            world.log(LogEntry.info(LogEvent.SCALE_OUT_REQUESTED).with("request", claim.name).with("count", claim.count)
+                    .with("type", claim.kind.type.name()).with("zone", claim.kind.yard).with("spot", claim.kind.reclaimable));
             world.emit(new Effect.Rent(claim.name, claim.kind.type.name(), claim.kind.yard, claim.kind.reclaimable,
                     claim.count));
         }
@@ -311,12 +313,13 @@
                 if (result.hosts().size() < claim.count) {
                     refused(claim.kind);
                 }
-                world.note("rented " + result.hosts() + " as " + claim.name);
+                world.log(LogEntry.info(LogEvent.SCALE_OUT_COMPLETED).with("request", claim.name)
+                        .with("machines", String.join(",", result.hosts())));
             }
             case NO_CAPACITY -> {
                 claims.remove(claim.name);
                 refused(claim.kind);
-                world.note("no capacity for " + claim.name);
+                world.log(LogEntry.info(LogEvent.SCALE_OUT_REFUSED).with("request", claim.name));
             }
             case REFUSED, UNKNOWN -> {
                 // The same claim again: it may have been granted, and then gives the same answer.
@@ -347,18 +350,18 @@
             if (unlisted(machine) && zones.saysNothing(machine) > 3 * world.settings.reportMicros() + SILENCE_MARGIN_MICROS) {
                 machine.leave();
                 machine.abandoned = true;
-                world.note("machine " + machine.host + " is given up: silent, and no longer listed");
+                logDecommissioned(machine, "silent and no longer listed");
             } else if (silentWithWork(machine)) {
                 machine.leave();
                 machine.abandoned = true;
-                world.note("machine " + machine.host + " is given up: silent, with work on it");
+                logDecommissioned(machine, "silent with tasks on it");
             } else if (outOfHearing(machine, DEAF_MICROS) && (outOfHearing(machine, MANY_DEAF_MICROS) || !manyDeafIn(machine.yard))) {
                 machine.leave();
                 machine.abandoned = true;
-                world.note("machine " + machine.host + " is given up: it reports, and nothing reaches it");
+                logDecommissioned(machine, "unreachable");
             } else if (neverCame(machine) || lost(machine) || machine.takenMicros >= 0 && machine.empty()) {
                 machine.leave();
-                world.note("machine " + machine.host + " is given up");
+                logDecommissioned(machine, "never came up, lost, or taken by the cloud");
             } else if (machine.heard() && machine.empty() && eligibility.takesTasks(machine)) {
                 idle.add(machine);
             }
@@ -371,11 +374,16 @@
                     && world.nowMicros - machine.rentedMicros > LEAST_CHARGE_MICROS) {
                 machine.leave();
                 free = free.minus(machine.size());
-                world.note("machine " + machine.host + " is returned: idle");
+                logDecommissioned(machine, "idle");
             }
         }
     }
 
+    private void logDecommissioned(Machine machine, String reason) {
+        world.log(LogEntry.info(LogEvent.MACHINE_DECOMMISSIONED).with("machine", machine.host).with("zone", machine.yard)
+                .with("reason", reason));
+    }
+
     /**
      * How long a machine may be idle. To rent it again costs the time it boots, so it is kept idle for no longer than
      * that, and for less where much more is free than is kept free on purpose.
--- a/src/main/java/org/woadloom/core/capacity/DarkZones.java
+++ b/src/main/java/org/woadloom/core/capacity/DarkZones.java
@@ -5,6 +5,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
+import org.woadloom.core.LogEntry;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.World;
 import org.woadloom.core.machines.Machine;
 
@@ -46,7 +48,8 @@
         all.forEach((yard, count) -> {
             if (count >= FEWEST && silent.get(yard) * 3 > count * 2) {
                 if (sinceMicros.putIfAbsent(yard, world.nowMicros) == null) {
-                    world.note("zone " + yard + " is dark: " + silent.get(yard) + " of " + count + " machines are silent, and none is rented there");
+                    world.log(LogEntry.info(LogEvent.ZONE_PARTITIONED).with("zone", yard).with("silent", silent.get(yard))
+                            .with("machines", count));
                 }
             } else if (silent.get(yard) < count) {
                 light.add(yard);
@@ -55,7 +58,7 @@
         sinceMicros.entrySet().removeIf(dark -> {
             boolean over = light.contains(dark.getKey()) || !all.containsKey(dark.getKey()) && world.nowMicros - dark.getValue() > MOST_MICROS;
             if (over) {
-                world.note("zone " + dark.getKey() + " is dark no more");
+                world.log(LogEntry.info(LogEvent.ZONE_RECONNECTED).with("zone", dark.getKey()));
             }
             return over;
         });
--- a/src/main/java/org/woadloom/core/jobs/JobTable.java
+++ b/src/main/java/org/woadloom/core/jobs/JobTable.java
@@ -3,10 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.woadloom.core.Command;
+import org.woadloom.core.LogEntry;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.World;
 import org.woadloom.core.machines.Machine;
 import org.woadloom.core.teams.TeamUse;
 import org.woadloom.state.JobRecord;
+import org.woadloom.wire.JobDescription;
 
 /** Jobs as they are accepted, cancelled and read back. */
 public final class JobTable {
@@ -54,10 +57,7 @@
                     if (created.over()) {
                         created.recording.needs(Recording.Need.LAUNCH);
                     }
-                    world.note("job " + record.description().uid() + " of " + record.description().crew()
-                            + " is accepted: " + record.description().shards() + " tasks of class "
-                            + record.description().jobclass() + ", " + record.description().vcpus() + " CPUs and by its owner's estimate "
-                            + record.description().runtimeS() + " s each");
+                    logAccepted(record.description());
                 }
                 world.placementWorthTrying = true;
             }
@@ -90,7 +90,7 @@
         if (job == null || unread.stamp() < job.recording.stamp) {
             return;
         }
-        world.note("the record of job " + job.uid() + " can't be read and is written anew");
+        world.log(LogEntry.info(LogEvent.JOB_RECORD_DAMAGED).with("job", job.uid()));
         job.recording.stamp = unread.stamp();
         if (unread.cancelled() && !job.cancelled) {
             cancel(job);
@@ -127,7 +127,7 @@
         if (job.placements().isEmpty()) {
             finished(job, false);
         } else {
-            world.note("job " + uid + " is over by another's word, and " + job.placements().size() + " of its tasks are to go");
+            world.log(LogEntry.info(LogEvent.JOB_ENDED_ELSEWHERE).with("job", uid).with("tasks", job.placements().size()));
             job.cancelled = true;
             job.recording.replaced();
             world.placementWorthTrying = true;
@@ -151,10 +151,15 @@
         world.placementWorthTrying = true;
     }
 
+    private void logAccepted(JobDescription job) {
+        world.log(LogEntry.info(LogEvent.JOB_ACCEPTED).with("job", job.uid()).with("team", job.crew()).with("tasks", job.shards())
+                .with("class", job.jobclass()).with("cpus", job.vcpus()).with("estimate_s", job.runtimeS()));
+    }
+
     private Job create(JobRecord record, long stamp) {
         TeamUse team = world.teams.get(record.description().crew());
         if (team == null) {
-            world.note("job " + record.description().uid() + " names a team that the settings do not have");
+            world.log(LogEntry.info(LogEvent.JOB_TEAM_UNKNOWN).with("job", record.description().uid()).with("team", record.description().crew()));
             return null;
         }
         long age = Math.max(0, world.wallMicros - record.submittedWallMicros());
@@ -183,7 +188,7 @@
         world.served.look(job);
         job.cancelled = true;
         job.cancelledSinceMicros = world.cancellationsSeenMicros;
-        world.note("job " + job.uid() + " cancelled");
+        world.log(LogEntry.info(LogEvent.JOB_CANCEL_REQUESTED).with("job", job.uid()));
         world.pipelines.cancelled(job.uid());
         halt(job);
         if (job.placements().isEmpty()) {
--- a/src/main/java/org/woadloom/core/jobs/Pipelines.java
+++ b/src/main/java/org/woadloom/core/jobs/Pipelines.java
@@ -10,6 +10,8 @@
 import java.util.Set;
 import org.woadloom.core.Command;
 import org.woadloom.core.Effect;
+import org.woadloom.core.LogEntry;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.World;
 import org.woadloom.wire.Rank;
 
@@ -59,7 +61,8 @@
         }
         changed = true;
         missing.put(job, new LinkedHashSet<>(job.description.awaits()));
-        world.note("job " + job.uid() + " waits for " + String.join(", ", job.description.awaits()));
+        world.log(LogEntry.info(LogEvent.JOB_BLOCKED).with("job", job.uid())
+                .with("dependencies", String.join(",", job.description.awaits())));
         for (String before : job.description.awaits()) {
             waiters.computeIfAbsent(before, uid -> new LinkedHashSet<>()).add(job);
             Job other = world.jobs.get(before);
@@ -98,7 +101,7 @@
         world.jobsCome++;
         world.arrivals.add(job, world.nowMicros);
         world.placementWorthTrying = true;
-        world.note("job " + job.uid() + " waits no more");
+        world.log(LogEntry.info(LogEvent.JOB_UNBLOCKED).with("job", job.uid()));
     }
 
     /** A job is cancelled, and the store says so: whatever needs it will never run. */
@@ -167,7 +170,7 @@
                 if (!job.cancelled) {
                     job.cancelled = true;
                     job.recording.needs(Recording.Need.LAUNCH);
-                    world.note("job " + job.uid() + " is cancelled because of " + uid);
+                    world.log(LogEntry.info(LogEvent.DEPENDENT_JOB_CANCELLED).with("job", job.uid()).with("dependency", uid));
                 }
                 forget(job);
                 if (waiters.containsKey(job.uid())) {
--- a/src/main/java/org/woadloom/core/jobs/Recorder.java
+++ b/src/main/java/org/woadloom/core/jobs/Recorder.java
@@ -5,6 +5,8 @@
 import java.util.List;
 import org.woadloom.core.Command;
 import org.woadloom.core.Effect;
+import org.woadloom.core.LogEntry;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.World;
 import org.woadloom.state.FinalRecord;
 
@@ -107,7 +109,7 @@
                 job.release();
                 table.doneDurably(job);
                 if (finishing) {
-                    world.note("job " + job.uid() + (job.cancelled ? " cancelled and gone" : " done"));
+                    world.log(LogEntry.info(job.cancelled ? LogEvent.JOB_CANCELLED : LogEvent.JOB_DONE).with("job", job.uid()));
                     table.finished(job, true);
                 }
             }
@@ -147,8 +149,7 @@
         }
         job.notBeforeMicros = Math.max(job.notBeforeMicros, world.nowMicros + TOO_LARGE_MICROS);
         world.placementWorthTrying = true;
-        world.note("the record of job " + job.uid() + " is too large for the state service: " + planned
-                + " tasks wait for others to end");
+        world.log(LogEntry.info(LogEvent.JOB_RECORD_TOO_LARGE).with("job", job.uid()).with("waiting_tasks", planned));
     }
 
     /** A read that got no answer is sent again. */
--- a/src/main/java/org/woadloom/core/machines/Contact.java
+++ b/src/main/java/org/woadloom/core/machines/Contact.java
@@ -5,6 +5,8 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import org.woadloom.core.LogEntry;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.World;
 import org.woadloom.core.hearing.Hearing;
 import org.woadloom.core.jobs.Placement;
@@ -65,11 +67,11 @@
         Hearing hearing = machine.hearing;
         if (hearing.deaf(world.nowMicros)) {
             if (deaf.add(machine.host)) {
-                world.note("machine " + machine.host + " in " + machine.yard + " is deaf: it reports, and has not heard us for "
-                        + hearing.unheardFor(world.nowMicros) / 1_000_000 + " s");
+                world.log(LogEntry.info(LogEvent.MACHINE_UNREACHABLE).with("machine", machine.host).with("zone", machine.yard)
+                        .withSeconds("unacknowledged_s", hearing.unheardFor(world.nowMicros)));
             }
         } else if (!deaf.isEmpty() && hearing.heardToken() && deaf.remove(machine.host)) {
-            world.note("machine " + machine.host + " hears again");
+            world.log(LogEntry.info(LogEvent.MACHINE_REACHABLE).with("machine", machine.host).with("zone", machine.yard));
         }
     }
 
--- a/src/main/java/org/woadloom/core/machines/Directs.java
+++ b/src/main/java/org/woadloom/core/machines/Directs.java
@@ -6,6 +6,8 @@
 import java.util.Map;
 import org.woadloom.core.Command;
 import org.woadloom.core.Effect;
+import org.woadloom.core.LogEntry;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.World;
 import org.woadloom.core.jobs.Placement;
 import org.woadloom.core.jobs.Placement.Stage;
@@ -140,7 +142,8 @@
         if (!launches.isEmpty()) {
             machine.hearing.raiseFence();
             machine.greet();
-            world.note("no answer from " + machine.host + " to " + launches.size() + " launches");
+            world.log(LogEntry.info(LogEvent.DIRECT_COMMAND_UNANSWERED).with("machine", machine.host)
+                    .with("starts", launches.size()));
         }
         for (Placement placement : machine.placements()) {
             placement.haltSentMicros = -1;
--- a/src/main/java/org/woadloom/core/machines/Losses.java
+++ b/src/main/java/org/woadloom/core/machines/Losses.java
@@ -1,5 +1,7 @@
 package org.woadloom.core.machines;
 
+import org.woadloom.core.LogEntry;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.World;
 import org.woadloom.core.jobs.Job;
 import org.woadloom.core.jobs.Placement;
@@ -14,8 +16,8 @@
     }
 
     public void lost(Placement placement, String why) {
-        world.note("task " + placement.task() + " attempt " + placement.attempt + " is gone from "
-                + placement.machine.host + ": " + why);
+        world.log(LogEntry.info(LogEvent.TASK_LOST).with("task", placement.task()).with("attempt", placement.attempt)
+                .with("machine", placement.machine.host).with("reason", why));
         gone(placement);
     }
 
--- a/src/main/java/org/woadloom/core/machines/MachineTable.java
+++ b/src/main/java/org/woadloom/core/machines/MachineTable.java
@@ -4,6 +4,8 @@
 import java.util.List;
 import org.woadloom.core.Command;
 import org.woadloom.core.Effect;
+import org.woadloom.core.LogEntry;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.World;
 import org.woadloom.core.care.Warrant;
 import org.woadloom.core.jobs.Job;
@@ -81,7 +83,7 @@
             if (machine == null || !machine.confirmed()) {
                 machine = adopt(new MachineRecord(listed.uid(), listed.hosttype(), listed.yard(),
                         listed.reclaimable(), false));
-                world.note("machine " + machine.host + " found in the list");
+                world.log(LogEntry.info(LogEvent.MACHINE_DISCOVERED).with("machine", machine.host).with("zone", machine.yard));
             }
             // A new leader learns here for how long its machines have been paid for.
             machine.rentedMicros = Math.min(machine.rentedMicros, world.nowMicros - listed.heldMicros());
@@ -89,7 +91,7 @@
                 // A failed machine stays listed until it is deleted, and the deletion's answer is the proof we need.
                 machine.leave();
                 machine.listedFailed = true;
-                world.note("machine " + machine.host + " failed");
+                world.log(LogEntry.info(LogEvent.MACHINE_FAILED).with("machine", machine.host).with("zone", machine.yard));
             }
             if (machine.addr.isEmpty()) {
                 machine.addr = listed.addr();
@@ -156,7 +158,7 @@
         }
         if (!delete.isEmpty()) {
             deletions++;
-            world.note("deleting " + delete);
+            world.log(LogEntry.info(LogEvent.MACHINES_DELETING).with("machines", String.join(",", delete)));
             world.emit(new Effect.Delete(List.copyOf(delete)));
         }
     }
--- a/src/main/java/org/woadloom/core/machines/Reports.java
+++ b/src/main/java/org/woadloom/core/machines/Reports.java
@@ -6,6 +6,8 @@
 import java.util.Map;
 import org.woadloom.core.Command;
 import org.woadloom.core.Effect;
+import org.woadloom.core.LogEntry;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.World;
 import org.woadloom.core.hearing.Age;
 import org.woadloom.core.hearing.Hearing;
@@ -108,7 +110,7 @@
         if (unheard && machine.heard()) {
             machine.confirm();
             machine.idleSinceMicros = world.nowMicros;
-            world.note("machine " + machine.host + " is up in " + machine.yard);
+            world.log(LogEntry.info(LogEvent.MACHINE_UP).with("machine", machine.host).with("zone", machine.yard));
         }
         if (doubted && !hearing.inDoubt(world.nowMicros)) {
             world.placementWorthTrying = true;
@@ -119,7 +121,8 @@
         machine.addr = report.addr();
         if (report.warningMicros() >= 0 && age == Age.FRESH) {
             if (machine.takenMicros < 0) {
-                world.note("machine " + machine.host + " will be taken");
+                world.log(LogEntry.info(LogEvent.SPOT_NOTICE).with("machine", machine.host)
+                        .withSeconds("notice_s", report.warningMicros()));
             }
             machine.takenMicros = world.nowMicros + report.warningMicros();
         }
@@ -233,8 +236,8 @@
         Job job = placement.job;
         Machine machine = placement.machine;
         boolean service = job.description.service();
-        world.debug("task " + placement.task() + " attempt " + placement.attempt + " exited on " + machine.host + ": "
-                + task.cause());
+        world.log(LogEntry.debug(LogEvent.TASK_EXITED).with("task", placement.task()).with("attempt", placement.attempt)
+                .with("machine", machine.host).with("reason", task.cause()));
         if (task.cause() == TaskReport.Cause.DONE && !service) {
             job.markDone(placement.index);
         } else if (task.cause() == TaskReport.Cause.ERROR) {
@@ -242,7 +245,8 @@
         } else if (task.cause() == TaskReport.Cause.UNKNOWN) {
             job.notBeforeMicros = world.nowMicros + ERROR_BACKOFF_MICROS;
         } else if (task.cause() == TaskReport.Cause.NO_ROOM || task.cause() == TaskReport.Cause.BUSY) {
-            world.note("task " + placement.task() + " refused by " + machine.host + ": " + task.cause());
+            world.log(LogEntry.info(LogEvent.TASK_REFUSED).with("task", placement.task()).with("machine", machine.host)
+                    .with("reason", task.cause()));
             machine.fullUntilMicros = world.nowMicros + ERROR_BACKOFF_MICROS;
         }
         if (!task.refused()) {
@@ -266,7 +270,8 @@
         boolean machineAtFault = machine.failedJobs.size() >= 2;
         if (machineAtFault && machine.quarantinedUntilMicros < world.nowMicros) {
             machine.quarantinedUntilMicros = world.nowMicros + world.settings.operator().quarantineMicros();
-            world.note("machine " + machine.host + " is quarantined: tasks of several jobs failed on it");
+            world.log(LogEntry.info(LogEvent.MACHINE_QUARANTINED).with("machine", machine.host)
+                    .with("failed_jobs", machine.failedJobs.size()));
         }
         if (job.failedOn.size() > 1) {
             long pause = ERROR_BACKOFF_MICROS << Math.min(6, job.failures);
--- a/src/main/java/org/woadloom/core/placement/Placer.java
+++ b/src/main/java/org/woadloom/core/placement/Placer.java
@@ -4,6 +4,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.woadloom.core.LogEntry;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.World;
 import org.woadloom.core.jobs.Job;
 import org.woadloom.core.jobs.Placement;
@@ -100,8 +102,8 @@
             placed++;
         }
         if (placed > 0) {
-            world.debug("job " + job.uid() + " places " + placed + " tasks, " + job.pending() + " pending, in all "
-                    + job.zones());
+            world.log(LogEntry.debug(LogEvent.TASKS_PLACED).with("job", job.uid()).with("tasks", placed)
+                    .with("pending", job.pending()).with("tasks_by_zone", job.zones()));
         }
         return full;
     }
--- a/src/main/java/org/woadloom/core/placement/Preemption.java
+++ b/src/main/java/org/woadloom/core/placement/Preemption.java
@@ -5,6 +5,8 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
+import org.woadloom.core.LogEntry;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.World;
 import org.woadloom.core.jobs.Job;
 import org.woadloom.core.jobs.Placement;
@@ -117,8 +119,8 @@
                         && placement.stage == Placement.Stage.THERE && coming.holds(job.room)
                         && hasRoomElsewhere(placement)
                         && reservations.reserve(job, machine, job.room, true, true) != null) {
-                    world.note("replica " + placement.task() + " moves away from " + machine.yard + " for job "
-                            + job.uid());
+                    world.log(LogEntry.info(LogEvent.REPLICA_MOVED).with("task", placement.task()).with("zone", machine.yard)
+                            .with("for_job", job.uid()));
                     nextMoveMicros = world.nowMicros + MOVE_MICROS;
                     stop(placement);
                     return;
@@ -197,7 +199,8 @@
             return Room.NONE;
         }
         for (Placement victim : chosen) {
-            world.note("task " + victim.task() + " is stopped on " + machine.host + " for job " + job.uid());
+            world.log(LogEntry.info(LogEvent.TASK_PREEMPTED).with("task", victim.task()).with("machine", machine.host)
+                    .with("for_job", job.uid()));
             stop(victim);
         }
         return coming;
--- a/src/main/java/org/woadloom/core/reservation/Gathering.java
+++ b/src/main/java/org/woadloom/core/reservation/Gathering.java
@@ -7,6 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.woadloom.core.LogEntry;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.World;
 import org.woadloom.core.jobs.Job;
 import org.woadloom.core.machines.Machine;
@@ -59,8 +61,8 @@
     public void gather(List<Reservation> failed, List<Job> queue) {
         for (Reservation reservation : failed) {
             if (byYard.containsValue(reservation.owner)) {
-                world.note("reservation of job " + reservation.owner.uid() + " on " + reservation.machine.host
-                        + " failed: the job queues again");
+                world.log(LogEntry.info(LogEvent.RESERVATION_FAILED).with("job", reservation.owner.uid())
+                        .with("machine", reservation.machine.host));
                 giveUp(reservation.owner);
             }
         }
@@ -120,7 +122,7 @@
             }
             chosen.forEach(machine -> byYard.put(machine.yard, job));
             renewedMicros.put(job, world.nowMicros);
-            world.note("job " + job.uid() + " gathers room for " + wanted + " tasks");
+            world.log(LogEntry.info(LogEvent.RESERVATIONS_MADE).with("job", job.uid()).with("tasks", wanted));
             return;
         }
     }
--- a/src/main/java/org/woadloom/core/rollout/RolloutPlan.java
+++ b/src/main/java/org/woadloom/core/rollout/RolloutPlan.java
@@ -9,6 +9,8 @@
 import java.util.TreeSet;
 import org.woadloom.core.Command;
 import org.woadloom.core.Effect;
+import org.woadloom.core.LogEntry;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.World;
 import org.woadloom.core.rollout.RolloutRules.Situation;
 import org.woadloom.core.rollout.RolloutRules.Verdict;
@@ -43,7 +45,7 @@
     private long refusedBefore;
     private final Map<Feature, Count> counts = new EnumMap<>(Feature.class);
     private final Map<Feature, String> told = new EnumMap<>(Feature.class);
-    private final Map<String, String> steps = new LinkedHashMap<>();
+    private final Map<String, LogEntry> steps = new LinkedHashMap<>();
     private Set<String> contradiction = Set.of();
 
     /** How far the counting of a feature's records has come, for the standing that it has. */
@@ -144,12 +146,14 @@
         count.unreadable = result.unreadable().size();
         count.confirmed = result.old().isEmpty() && result.unreadable().isEmpty();
         if (!result.old().isEmpty()) {
-            world.note("rollout: " + result.old().size() + " records of " + result.feature().key() + " are to be rewritten");
+            world.log(LogEntry.info(LogEvent.ROLLOUT_RECORDS_OUTDATED).with("feature", result.feature().key())
+                    .with("records", result.old().size()));
             moves.found(result.feature(), result.old());
             count.againMicros = 0;
         }
         if (!result.unreadable().isEmpty()) {
-            world.note("rollout: " + result.unreadable() + " can't be read, and are kept as they are");
+            world.log(LogEntry.info(LogEvent.ROLLOUT_RECORDS_UNREADABLE).with("feature", result.feature().key())
+                    .with("records", String.join(",", result.unreadable())));
         }
         reviewedMicros = Long.MIN_VALUE / 2;
     }
@@ -164,7 +168,7 @@
         members.addAll(seen.wordless());
         if (named.size() > 1 && !members.equals(contradiction)) {
             contradiction = members;
-            world.note("rollout: the settings of the nodes differ, " + named + "; all that any of them names have to be there");
+            world.log(LogEntry.info(LogEvent.ROLLOUT_MEMBERS_DIFFER).with("members", named));
         }
         return members;
     }
@@ -213,8 +217,8 @@
                     request.verb(), soaked, troubled, moves.left(feature), same && count.confirmed), world.wallMicros);
             if (verdict.next() == null) {
                 if (!Objects.equals(told.put(feature, verdict.why()), verdict.why())) {
-                    world.note("rollout: " + feature.key() + " is " + next.of(feature.key()).step().text() + ": "
-                            + verdict.why());
+                    world.log(LogEntry.info(LogEvent.ROLLOUT_WAITING).with("feature", feature.key())
+                            .with("step", next.of(feature.key()).step().text()).with("reason", verdict.why()));
                 }
                 return next;
             }
@@ -222,8 +226,9 @@
                     + (request.verb() == Verb.AUTO ? "" : ", " + request.verb().text() + " asked by " + request.by());
             Standing to = verdict.next();
             next = next.with(feature.key(), new Standing(to.step(), to.back(), to.held(), to.sinceWallMicros(), by));
-            steps.put(feature.key() + " " + to.step(), "rollout: " + feature.key() + " is " + to.step().text()
-                    + (to.back() ? " again and taken back" : "") + ", allowed by " + by + ": " + verdict.why());
+            steps.put(feature.key() + " " + to.step(), LogEntry.info(LogEvent.ROLLOUT_STEP).with("feature", feature.key())
+                    .with("step", to.step().text()).with("rolling_back", to.back()).with("allowed_by", by)
+                    .with("reason", verdict.why()));
         }
     }
 
@@ -232,7 +237,7 @@
             return;
         }
         if (result.outcome() == Command.WriteOutcome.WRITTEN) {
-            steps.values().forEach(world::note);
+            steps.values().forEach(world::log);
             seen = seen.with(writing, result.stamp());
         }
         writing = null;
--- a/src/main/java/org/woadloom/core/served/LargestJobs.java
+++ b/src/main/java/org/woadloom/core/served/LargestJobs.java
@@ -7,6 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import org.woadloom.core.LogEntry;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.jobs.Job;
 
 /** What became of the largest tenth of each class's jobs: whoever serves only small ones looks well on average. */
@@ -56,8 +58,8 @@
     }
 
     /** A line for each class, of jobs that nobody cancelled. */
-    List<String> tell() {
-        List<String> lines = new ArrayList<>();
+    List<LogEntry> tell() {
+        List<LogEntry> lines = new ArrayList<>();
         byClass.forEach((name, jobs) -> {
             List<Entry> largest = largest(jobs.values());
             int begun = 0;
@@ -70,8 +72,8 @@
                 slowest = hasBegun ? Math.max(slowest, entry.waitedMicros()) : slowest;
             }
             if (!largest.isEmpty()) {
-                lines.add("the largest of class " + name + ": " + largest.size() + " asked, " + begun + " begun within 240 s, the slowest after "
-                        + slowest / 1_000_000 + " s, " + done + " done");
+                lines.add(LogEntry.info(LogEvent.LARGEST_JOBS_SERVICE_LEVEL).with("class", name).with("jobs", largest.size())
+                        .with("started_in_time", begun).withSeconds("slowest_start_s", slowest).with("done", done));
             }
         });
         return lines;
--- a/src/main/java/org/woadloom/core/served/Served.java
+++ b/src/main/java/org/woadloom/core/served/Served.java
@@ -7,6 +7,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.woadloom.core.Effect;
+import org.woadloom.core.LogEntry;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.World;
 import org.woadloom.core.jobs.Job;
 
@@ -102,11 +104,11 @@
         for (Count count : counts.values()) {
             Row row = count.row();
             rows.add(row);
-            world.note("served in term " + world.term + ": team " + row.team + " class " + row.jobClass + " accepted " + row.accepted
-                    + ", started whole " + row.startedWhole + ", over " + row.over + " (" + row.cancelled
-                    + " cancelled), longest wait " + row.longestWaitMicros / 1_000_000 + " s");
+            world.log(LogEntry.info(LogEvent.SERVICE_LEVEL).with("term", world.term).with("team", row.team).with("class", row.jobClass)
+                    .with("accepted", row.accepted).with("fully_started", row.startedWhole).with("ended", row.over)
+                    .with("cancelled", row.cancelled).withSeconds("longest_wait_s", row.longestWaitMicros));
         }
-        largest.tell().forEach(world::note);
+        largest.tell().forEach(world::log);
         world.emit(new Effect.ServedSeen(rows));
     }
 }
--- a/src/main/java/org/woadloom/core/teams/ClassShares.java
+++ b/src/main/java/org/woadloom/core/teams/ClassShares.java
@@ -3,6 +3,8 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import org.woadloom.core.LogEntry;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.World;
 import org.woadloom.core.jobs.Job;
 import org.woadloom.core.placement.Room;
@@ -97,10 +99,8 @@
             return;
         }
         toldMicros.put(team, world.nowMicros);
-        StringBuilder text = new StringBuilder("team " + team.team.name() + " asks for " + all.cpu() / 1000 + " CPUs and "
-                + all.card() / 1000 + " cards, more than its limit:");
-        demands.forEach((name, demand) -> text.append(" class ").append(name).append(" uses ").append(demand.used.cpu() / 1000)
-                .append(" CPUs, ").append(demand.waiting.cpu() / 1000).append(" wait;"));
-        world.note(text.substring(0, text.length() - 1));
+        demands.forEach((name, demand) -> world.log(LogEntry.info(LogEvent.QUOTA_EXCEEDED).with("team", team.team.name())
+                .with("asked_cpus", all.cpu() / 1000).with("asked_gpus", all.card() / 1000).with("class", name)
+                .with("used_cpus", demand.used.cpu() / 1000).with("waiting_cpus", demand.waiting.cpu() / 1000)));
     }
 }
--- a/src/main/java/org/woadloom/core/teams/LimitTurns.java
+++ b/src/main/java/org/woadloom/core/teams/LimitTurns.java
@@ -2,6 +2,8 @@
 
 import java.util.HashMap;
 import java.util.Map;
+import org.woadloom.core.LogEntry;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.World;
 import org.woadloom.core.jobs.Job;
 import org.woadloom.core.placement.Room;
@@ -71,8 +73,8 @@
                     || turn.enoughMicros >= 0 && world.nowMicros - turn.enoughMicros > BEGIN_MICROS;
             if (over && waits(turn.job)) {
                 passed.put(turn.job, world.nowMicros + TURN_MICROS);
-                world.note("job " + turn.job.uid() + " could not begin in " + (world.nowMicros - turn.sinceMicros) / 1_000_000 + " s in which the limit of team "
-                        + turn.job.team.team.name() + " was left to it");
+                world.log(LogEntry.info(LogEvent.QUOTA_TURN_EXPIRED).with("job", turn.job.uid())
+                        .with("team", turn.job.team.team.name()).withSeconds("turn_s", world.nowMicros - turn.sinceMicros));
             }
             return over || !waits(turn.job);
         });
@@ -110,15 +112,17 @@
                 replicas = replicas.plus(other.room.times(other.placements().size()));
             }
         }
-        String waited = "job " + job.uid() + " has waited for " + (world.nowMicros - job.sinceMicros()) / 1_000_000 + " s and needs room for "
-                + needed(job) + " tasks to begin: the limit of team " + team.team.name() + " leaves " + job.allowed();
+        LogEvent event;
         if (team.withinLimit(replicas.plus(job.room.times(needed(job))))) {
+            event = LogEvent.QUOTA_TURN_STARTED;
             turns.put(team, new Turn(job, world.nowMicros));
-            world.note(waited + ", and no other job gets any until it has");
         } else {
+            event = LogEvent.QUOTA_TURN_IMPOSSIBLE;
             passed.put(job, world.nowMicros + TURN_MICROS);
-            world.note(waited + ", and replicas that stay use " + replicas.cpu() / 1000 + " CPUs of it");
         }
+        world.log(LogEntry.info(event).with("job", job.uid()).with("team", team.team.name())
+                .withSeconds("waited_s", world.nowMicros - job.sinceMicros()).with("needed_tasks", needed(job))
+                .with("allowed_tasks", job.allowed()).with("replica_cpus", replicas.cpu() / 1000));
     }
 
     private static boolean waits(Job job) {
--- a/src/main/java/org/woadloom/http/JobApi.java
+++ b/src/main/java/org/woadloom/http/JobApi.java
@@ -102,14 +102,14 @@
         return response -> {
             long took = loop.nowMicros() - from;
             if (took > SLOW_MICROS) {
-                LOG.info("{} was answered {} after {} ms", what, response.status(), took / 1000);
+                LOG.info("event=slow_answer request={} status={} took_ms={}", what, response.status(), took / 1000);
             }
             answer.accept(response);
         };
     }
 
     public void submit(byte[] body, Consumer<Response> unhurried) {
-        Consumer<Response> answer = timed("a submission", unhurried);
+        Consumer<Response> answer = timed("submit", unhurried);
         Map<String, Object> map;
         try {
             map = Cbor.decodeMap(body);
@@ -291,7 +291,7 @@
             answer.accept(Response.error(404, "no such job"));
             return;
         }
-        cancel(uid, MAX_CANCEL_TRIES, timed("a cancellation", answer));
+        cancel(uid, MAX_CANCEL_TRIES, timed("cancel", answer));
     }
 
     /**
--- a/src/main/java/org/woadloom/leader/Election.java
+++ b/src/main/java/org/woadloom/leader/Election.java
@@ -111,7 +111,7 @@
             return;
         }
         highestTerm = ofTerm;
-        LOG.info("a peer says that {} leads in term {}", leader, ofTerm);
+        LOG.info("event=leader_reported_by_peer leader={} term={}", leader, ofTerm);
         current = new LeaderKey(leader, ofTerm);
         stepDown(leader + " leads in term " + ofTerm);
         loop.execute(listener::leaderSeen);
@@ -164,7 +164,7 @@
             return;
         }
         if (current != null && !current.equals(before)) {
-            LOG.info("leader is {} in term {}", current.label(), current.term());
+            LOG.info("event=leader_changed leader={} term={}", current.label(), current.term());
             loop.execute(listener::leaderSeen);
         }
         if (role == Role.LEADER && (current == null || current.term() != term)) {
@@ -218,7 +218,7 @@
     /** Takes over although the leader key stands: its holder was seen to be gone. */
     public void takeOverFrom(String gone) {
         if (role == Role.FOLLOWER && current != null && current.label().equals(gone) && fence.open()) {
-            LOG.info("{} is gone, taking over", gone);
+            LOG.info("event=failover_started former_leader={}", gone);
             campaign();
         }
     }
@@ -244,7 +244,7 @@
                         failed();
                     }
                 } catch (WireException e) {
-                    LOG.error("the term record can't be read: {}", e.getMessage());
+                    LOG.error("event=record_unreadable key={} error=\"{}\"", Keys.TERM, e.getMessage());
                     failed();
                 }
             });
@@ -299,7 +299,7 @@
         highestTerm = Math.max(highestTerm, newTerm);
         current = new LeaderKey(label, newTerm);
         currentStamp = stamp;
-        LOG.info("elected in term {}", newTerm);
+        LOG.info("event=leader_elected term={}", newTerm);
         // The grant may be some seconds old.
         renewLater(newTerm, 1);
         listener.elected(newTerm, stamp);
@@ -325,7 +325,7 @@
         if (role != Role.LEADER) {
             return;
         }
-        LOG.info("leading no more: {}", reason);
+        LOG.info("event=leadership_lost term={} reason=\"{}\"", term, reason);
         role = Role.FOLLOWER;
         if (current != null && current.term() == term) {
             current = null;
--- a/src/main/java/org/woadloom/net/XnioLoop.java
+++ b/src/main/java/org/woadloom/net/XnioLoop.java
@@ -45,7 +45,7 @@
             task.run();
         } catch (RuntimeException e) {
             // A fault in one task must not end the thread that carries the leases of every worker.
-            LOG.error("task failed", e);
+            LOG.error("event=loop_task_failed", e);
         }
     }
 }
--- a/src/main/java/org/woadloom/node/Care.java
+++ b/src/main/java/org/woadloom/node/Care.java
@@ -100,7 +100,7 @@
             }
             if (now - loggedMicros > rules.patienceMicros()) {
                 loggedMicros = now;
-                LOG.info("cut off: taking care of {} and others", worker.host());
+                LOG.info("event=delegated_lease_renewal machine={}", worker.host());
             }
             Map<String, Object> answer = new LinkedHashMap<>();
             answer.put("epoch", epoch);
--- a/src/main/java/org/woadloom/node/Confirmations.java
+++ b/src/main/java/org/woadloom/node/Confirmations.java
@@ -206,7 +206,7 @@
                 : "a name that is no job's";
         if (flaw != null) {
             malformed++;
-            LOG.warn("what {} vouches for is left alone: {}", node, flaw);
+            LOG.warn("event=cancellation_report_invalid node={} error=\"{}\"", node, flaw);
             return;
         }
         if (watermark == null || !view.ready()) {
@@ -248,7 +248,7 @@
         long now = loop.nowMicros();
         if (now - restedMicros > LOG_MICROS) {
             restedMicros = now;
-            LOG.warn("resting: cancellations may have been confirmed in the last {} s that this leader lacks; not vouched for by {}",
+            LOG.warn("event=lease_renewal_suspended cancellations_behind_s={} missing_reports={}",
                     behind / 1_000_000, watermark.behind(view.cancellationsSeenMicros()));
         }
         return true;
--- a/src/main/java/org/woadloom/node/LeaderDuties.java
+++ b/src/main/java/org/woadloom/node/LeaderDuties.java
@@ -10,6 +10,7 @@
 import org.woadloom.cloud.CloudClient;
 import org.woadloom.core.Command;
 import org.woadloom.core.Effect;
+import org.woadloom.core.LogEntry;
 import org.woadloom.core.care.NodeStanding;
 import org.woadloom.core.care.Warrant;
 import org.woadloom.core.rollout.Feature;
@@ -191,7 +192,7 @@
                     String host = entry.path().substring(Keys.MACHINES.length());
                     machines.add(new Command.StoredMachine(MachineRecord.parse(host, entry.value()), entry.stamp()));
                 } catch (WireException e) {
-                    LOG.error("record {} can't be read: {}", entry.path(), e.getMessage());
+                    LOG.error("event=record_unreadable key={} error=\"{}\"", entry.path(), e.getMessage());
                 }
             }
             loadJobs(ofTerm, leaderStamp, machines);
@@ -219,7 +220,7 @@
                 try {
                     jobs.add(new Command.StoredJob(read(entry.value()), entry.stamp()));
                 } catch (WireException e) {
-                    LOG.error("record {} can't be read: {}", entry.path(), e.getMessage());
+                    LOG.error("event=record_unreadable key={} error=\"{}\"", entry.path(), e.getMessage());
                 }
             }
             writer = new RecordWriter(state, limits, leaderStamp,
@@ -282,7 +283,7 @@
         try {
             queue.add(new Command.JobSeen(read(value), stamp));
         } catch (WireException e) {
-            LOG.error("record {} can't be read: {}", path, e.getMessage());
+            LOG.error("event=record_unreadable key={} error=\"{}\"", path, e.getMessage());
             String uid = path.substring(Keys.JOBS.length());
             queue.add(JobRecord.ofLaterVersion(value) ? new Command.JobUnreadable(uid)
                     : new Command.JobUnread(uid, stamp, value != null && Boolean.TRUE.equals(value.get("cancelled"))));
@@ -378,11 +379,14 @@
         } else if (effect instanceof Effect.Abdicate away) {
             abdicate.accept(away.reason());
         } else if (effect instanceof Effect.Note note) {
-            if (note.debug()) {
-                LOG.debug(note.text());
-            } else {
-                LOG.info(note.text());
-            }
+            log(note.entry());
+        }
+    }
+
+    private static void log(LogEntry entry) {
+        switch (entry.level()) {
+            case DEBUG -> LOG.debug("{}", entry);
+            case INFO -> LOG.info("{}", entry);
         }
     }
 
@@ -434,7 +438,7 @@
 
     private static Command.JobFound standing(String uid, Result result, StateClient.Entry entry) {
         if (result == Result.NOT_FOUND) {
-            LOG.error("job {} is waited for and is not in the store", uid);
+            LOG.error("event=dependency_not_found job={}", uid);
             return new Command.JobFound(uid, Command.Standing.NOT_FOUND, 0);
         }
         try {
@@ -444,7 +448,7 @@
                         : Command.Standing.DONE, record.wallMicros());
             }
         } catch (WireException e) {
-            LOG.error("record {} can't be read: {}", entry.path(), e.getMessage());
+            LOG.error("event=record_unreadable key={} error=\"{}\"", entry.path(), e.getMessage());
         }
         return new Command.JobFound(uid, Command.Standing.UNREADABLE, 0);
     }
--- a/src/main/java/org/woadloom/node/Mailbox.java
+++ b/src/main/java/org/woadloom/node/Mailbox.java
@@ -182,7 +182,7 @@
                         sendAgain(parcels);
                     }
                     if (result != Result.OK) {
-                        LOG.debug("a letter with {} reports was not written: {}", reports.size(), result);
+                        LOG.debug("event=relay_write_failed heartbeats={} result={}", reports.size(), result);
                         free(slot, id);
                     }
                 });
@@ -292,7 +292,7 @@
                 }
             }
         } catch (WireException | NumberFormatException e) {
-            LOG.error("answer {} can't be read: {}", path, e.getMessage());
+            LOG.error("event=record_unreadable key={} error=\"{}\"", path, e.getMessage());
         }
     }
 
@@ -366,7 +366,7 @@
                 });
             }
         } catch (WireException e) {
-            LOG.error("letter {} can't be read: {}", path, e.getMessage());
+            LOG.error("event=record_unreadable key={} error=\"{}\"", path, e.getMessage());
         }
     }
 
@@ -393,7 +393,7 @@
                 limits.refusedValue(Cbor.jsonSize(value));
             }
             if (result != Result.OK) {
-                LOG.debug("{} answers were not written: {}", answers.size(), result);
+                LOG.debug("event=relay_write_failed answers={} result={}", answers.size(), result);
             }
         });
     }
--- a/src/main/java/org/woadloom/node/Node.java
+++ b/src/main/java/org/woadloom/node/Node.java
@@ -224,7 +224,7 @@
     }
 
     public void start() {
-        LOG.info("node {} in {} starts", settings.label(), settings.area());
+        LOG.info("event=node_started node={} zone={}", settings.label(), settings.area());
         election.start();
         peers.start();
         rollout.start();
@@ -425,7 +425,7 @@
                     try {
                         typesSeen(MachineType.parseAll(entry.value()));
                     } catch (WireException e) {
-                        LOG.error("the stored machine types can't be read: {}", e.getMessage());
+                        LOG.error("event=record_unreadable key={} error=\"{}\"", Keys.TYPES, e.getMessage());
                     }
                 }
                 loop.schedule(TYPES_RETRY_MICROS, this::readTypes);
--- a/src/main/java/org/woadloom/node/PeerLinks.java
+++ b/src/main/java/org/woadloom/node/PeerLinks.java
@@ -203,7 +203,7 @@
                 rollout.seen(JobRecord.formatOf(record));
                 inbox.hint(JobRecord.parse(record), hint.stamp());
             } catch (WireException e) {
-                LOG.error("a hint of {} can't be read: {}", from, e.getMessage());
+                LOG.error("event=job_notification_unreadable node={} error=\"{}\"", from, e.getMessage());
             }
         } else if (message instanceof PeerMessage.Stands stands) {
             rollout.spokenOfCare();
--- a/src/main/java/org/woadloom/node/Rollout.java
+++ b/src/main/java/org/woadloom/node/Rollout.java
@@ -327,7 +327,7 @@
             if (record.of(feature.key()).on()) {
                 turnOn(feature);
             } else if (feature.revocable() && on.remove(feature)) {
-                LOG.info("{} is off again", feature.key());
+                LOG.info("event=feature_off feature={}", feature.key());
                 changed.run();
             }
         }
@@ -358,9 +358,9 @@
         String why = belonging.lacks().isEmpty() ? null
                 : "this version does not know what the others use: " + belonging.lacks();
         if (why != null && !why.equals(closed)) {
-            LOG.error("not serving: {}", why);
+            LOG.error("event=serving_stopped reason=\"{}\"", why);
         } else if (why == null && closed != null) {
-            LOG.info("serving again");
+            LOG.info("event=serving_resumed");
         }
         boolean differs = !Objects.equals(why, closed);
         closed = why;
@@ -371,7 +371,7 @@
 
     private void turnOn(Feature feature) {
         if (on.add(feature)) {
-            LOG.info("{} is on: every node reads and can do it", feature.key());
+            LOG.info("event=feature_on feature={}", feature.key());
             changed.run();
         }
     }
@@ -397,7 +397,7 @@
                     agreedStamp = entry.stamp();
                 }
             } catch (WireException e) {
-                LOG.error("record {} can't be read: {}", entry.path(), e.getMessage());
+                LOG.error("event=record_unreadable key={} error=\"{}\"", entry.path(), e.getMessage());
             }
             for (Feature feature : Feature.values()) {
                 if (feature.agreedVersion() > 0 && agreed >= feature.agreedVersion()) {
@@ -428,7 +428,7 @@
                     asked.put(entry.path().substring(Keys.ROLLOUT_ASKED.length()), RolloutRequest.parse(entry.value()));
                 }
             } catch (WireException e) {
-                LOG.error("record {} can't be read: {}", entry.path(), e.getMessage());
+                LOG.error("event=record_unreadable key={} error=\"{}\"", entry.path(), e.getMessage());
             }
         }
         Set<String> wordless = new HashSet<>();
--- a/src/main/java/org/woadloom/node/RolloutDuties.java
+++ b/src/main/java/org/woadloom/node/RolloutDuties.java
@@ -66,7 +66,7 @@
                         old.add(entry.path());
                     }
                 } catch (WireException e) {
-                    LOG.error("record {} can't be read: {}", entry.path(), e.getMessage());
+                    LOG.error("event=record_unreadable key={} error=\"{}\"", entry.path(), e.getMessage());
                     unreadable.add(entry.path());
                 }
             }
--- a/src/main/java/org/woadloom/node/Server.java
+++ b/src/main/java/org/woadloom/node/Server.java
@@ -62,8 +62,8 @@
     private static void tell(XnioLoop loop, SocketPlan plan, Connections connections, UndertowTransport transport,
             XnioPeerNet peers) {
         loop.schedule(TELL_MICROS, () -> {
-            LOG.info("sockets: {} workers and {} users of {}, {} outbound of which {} idle, {} with peers; {} idle users"
-                    + " closed, {} requests refused", connections.workers(), connections.users(), plan.inbound(),
+            LOG.info("event=sockets workers={} users={} max={} outbound={} outbound_idle={} peers={} idle_users_closed={}"
+                    + " requests_refused={}", connections.workers(), connections.users(), plan.inbound(),
                     transport.open(), transport.idle(), peers.open(), connections.closed(), connections.refused());
             tell(loop, plan, connections, transport, peers);
         });
--- a/src/main/java/org/woadloom/peer/XnioPeerNet.java
+++ b/src/main/java/org/woadloom/peer/XnioPeerNet.java
@@ -99,7 +99,7 @@
                 new Inbound(connection).begin();
             }
         } catch (IOException e) {
-            LOG.error("the peer port failed: {}", e.getMessage());
+            LOG.error("event=peer_port_failed error=\"{}\"", e.getMessage());
         }
     }
 
@@ -137,7 +137,7 @@
                     }
                 }
             } catch (IOException | PeerFormatException e) {
-                LOG.debug("a peer connection ends: {}", e.getMessage());
+                LOG.debug("event=peer_connection_closed error=\"{}\"", e.getMessage());
                 IoUtils.safeClose(connection);
             }
         }
@@ -209,7 +209,7 @@
                     return;
                 }
             } catch (IOException e) {
-                LOG.debug("the connection to {} ends: {}", peer.label(), e.getMessage());
+                LOG.debug("event=peer_connection_closed node={} error=\"{}\"", peer.label(), e.getMessage());
             }
             failed(mine, false);
         }
@@ -254,7 +254,7 @@
                 }
                 channel.suspendWrites();
             } catch (IOException e) {
-                LOG.debug("the connection to {} ends: {}", peer.label(), e.getMessage());
+                LOG.debug("event=peer_connection_closed node={} error=\"{}\"", peer.label(), e.getMessage());
                 failed(mine, false);
             }
         }
--- a/src/main/java/org/woadloom/reads/JobReader.java
+++ b/src/main/java/org/woadloom/reads/JobReader.java
@@ -120,7 +120,7 @@
             accepted.put(uid, record.description().service());
             return Looked.of(record, format, stamp);
         } catch (WireException e) {
-            LOG.error("the record of job {} can't be read: {}", uid, e.getMessage());
+            LOG.error("event=record_unreadable key={} error=\"{}\"", Keys.job(uid), e.getMessage());
             return JobRecord.ofLaterVersion(value) ? null : Looked.unreadable(uid, value, stamp);
         }
     }
--- a/src/main/java/org/woadloom/reads/Unanswered.java
+++ b/src/main/java/org/woadloom/reads/Unanswered.java
@@ -45,7 +45,7 @@
         long from = since.get(uid, key -> now);
         if (now - from >= TELL_MICROS && now - toldMicros >= TELL_MICROS) {
             toldMicros = now;
-            LOG.warn("job {} was asked about in vain for {} s while others were answered; {} jobs are not answered now", uid,
+            LOG.warn("event=job_unanswered job={} since_s={} unanswered_jobs={}", uid,
                     (now - from) / 1_000_000, since.estimatedSize());
         }
     }
