--- a/src/test/java/org/woadloom/core/CoreFixture.java
+++ b/src/test/java/org/woadloom/core/CoreFixture.java
@@ -114,4 +114,11 @@
         job.add(placement);
         return placement;
     }
+
+    /** True if an entry of the event was logged with these values since the effects were last taken. */
+    public boolean logged(LogEvent event, String... values) {
+        return effects().stream().filter(Effect.Note.class::isInstance).map(effect -> ((Effect.Note) effect).entry())
+                .filter(entry -> entry.event() == event)
+                .anyMatch(entry -> List.of(values).stream().allMatch(value -> (entry + " ").contains(" " + value + " ")));
+    }
 }
--- a/src/test/java/org/woadloom/core/teams/LimitTurnsTest.java
+++ b/src/test/java/org/woadloom/core/teams/LimitTurnsTest.java
@@ -5,6 +5,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.CoreFixture;
 import org.woadloom.core.jobs.Job;
 import org.woadloom.core.machines.Machine;
@@ -77,7 +78,7 @@
         }
         assertEquals(1, older.allowed());
         assertEquals(0, younger.allowed());
-        assertTrue(fixture.effects().stream().anyMatch(effect -> effect.toString().contains("job j-1 has waited for 110 s and needs room for 1 tasks")));
+        assertTrue(fixture.logged(LogEvent.QUOTA_TURN_STARTED, "job=j-1", "waited_s=110", "needed_tasks=1"));
     }
 
     /** Replicas do not end, so the small ones are not kept waiting for what will not come. */
@@ -91,7 +92,7 @@
         fixture.world.nowMicros += 105_000_000;
         turns.update();
         assertEquals(4, fixture.job("j-small", 1, 1, 9).allowed());
-        assertTrue(fixture.effects().stream().anyMatch(effect -> effect.toString().contains("replicas that stay use 20 CPUs")));
+        assertTrue(fixture.logged(LogEvent.QUOTA_TURN_IMPOSSIBLE, "job=j-large", "replica_cpus=20"));
     }
 
     /** Room that is reserved counts against the limit, so a gang that gathers and a turn would each wait for the other. */
--- a/src/test/java/org/woadloom/sim/JobLogLinesTest.java
+++ b/src/test/java/org/woadloom/sim/JobLogLinesTest.java
@@ -22,7 +22,7 @@
         List<String> lines = new ArrayList<>();
         world.stepObserver = (node, now, commands, effects) -> effects.forEach(effect -> {
             if (effect instanceof Effect.Note note) {
-                lines.add(note.text());
+                lines.add(note.entry().toString());
             }
         });
         world.users(DAY_MICROS);
--- a/src/test/java/org/woadloom/sim/ServedTest.java
+++ b/src/test/java/org/woadloom/sim/ServedTest.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
+import org.woadloom.core.LogEvent;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -86,8 +87,8 @@
         inherited.stage = Placement.Stage.INHERITED;
         inherited.job.add(inherited);
         fixture.world.served.review();
-        assertTrue(fixture.effects().stream().anyMatch(effect -> effect.toString().contains(
-                "the largest of class work: 2 asked, 2 begun within 240 s, the slowest after 70 s, 0 done")));
+        assertTrue(fixture.logged(LogEvent.LARGEST_JOBS_SERVICE_LEVEL, "class=work", "jobs=2", "started_in_time=2", "slowest_start_s=70",
+                "done=0"));
     }
 
     /** What the leader tells is counted once a minute, and only what it has seen. */
--- a/src/test/java/org/woadloom/state/ProductionFormatTest.java
+++ b/src/test/java/org/woadloom/state/ProductionFormatTest.java
@@ -29,6 +29,10 @@
 
 /** Version 1 and this one read each other's bytes, as long as version 1 may run anywhere. */
 class ProductionFormatTest {
+    /** The message that each sampled frame holds, by the name that version 1 had for it. */
+    private static final Map<String, Class<? extends PeerMessage>> TYPES_BY_SAMPLE = Map.of("Hello", PeerMessage.Hello.class, "Ping",
+            PeerMessage.Ping.class, "Hint", PeerMessage.Hint.class, "Carry", PeerMessage.Carry.class, "Carried", PeerMessage.Carried.class);
+
     private static Map<String, byte[]> samples() throws IOException {
         Map<String, byte[]> samples = new LinkedHashMap<>();
         try (var in = ProductionFormatTest.class.getResourceAsStream("/production/samples.txt")) {
@@ -81,7 +85,7 @@
             if (sample.getKey().startsWith("peer ")) {
                 byte[] frame = sample.getValue();
                 PeerMessage message = codec.decode(Arrays.copyOfRange(frame, 4, frame.length));
-                assertEquals(sample.getKey().substring(5), message.getClass().getSimpleName());
+                assertEquals(TYPES_BY_SAMPLE.get(sample.getKey().substring(5)), message.getClass());
                 assertArrayEquals(frame, codec.encode(message), sample.getKey());
                 frames++;
             }
