--- a/src/main/java/org/woadloom/attend/Attendance.java
+++ b/src/main/java/org/woadloom/attend/Attendance.java
@@ -8,27 +8,34 @@
 import java.util.Map;
 
 /**
- * Which workers report to this node itself. A leader that has more than it can bear sends some on to a node that carries
- * their reports to it: who talks to a worker is all that changes, the leader decides as before. Only workers whose lease it
- * has just renewed are sent on. One that comes back without having been heard by way of that node can't get there, and
- * stays for a while.
+ * Which workers report to this node itself. A leader that has more than it can bear sends some on
+ * to a node that carries their reports to it: who talks to a worker is all that changes, the leader
+ * decides as before. Only workers whose lease it has just renewed are sent on. One that comes back
+ * without having been heard by way of that node can't get there, and stays for a while.
  */
 public final class Attendance {
     private static final int REPORTS_MISSED = 3;
+
     /** Within such a time a worker that was sent on has come to the other node, or back. */
     private static final long SENT_ON_MICROS = 20_000_000;
+
     private static final long KEPT_MICROS = 60_000_000;
 
     private final int most;
     private final long forgetMicros;
+
     /** Those that report here, and when they last did, the longest silent first. */
     private final Map<String, Long> here = new LinkedHashMap<>(16, 0.75f, true);
+
     /** When those were sent on that have not been heard since, the first first. */
     private final Map<String, Long> sentOn = new LinkedHashMap<>();
+
     /** When those came back that could not get to another node. */
     private final Map<String, Long> kept = new LinkedHashMap<>();
 
-    /** @param most how many workers are taken while others can take the rest */
+    /**
+     * @param most how many workers are taken while others can take the rest
+     */
     public Attendance(int most, long reportMicros) {
         this.most = most;
         this.forgetMicros = REPORTS_MISSED * reportMicros;
@@ -40,7 +47,8 @@
     }
 
     /**
-     * A worker reports to this node, which leads. Returns the node that it is to report to instead, or null if it may stay.
+     * A worker reports to this node, which leads. Returns the node that it is to report to instead,
+     * or null if it may stay.
      *
      * @param renewed its lease was renewed in this term, so that it has time to go elsewhere
      * @param others the nodes that can be reached
@@ -58,8 +66,10 @@
         }
         here.remove(host);
         sentOn.put(host, now);
-        return others.get(Hashing.consistentHash(Hashing.murmur3_128().hashString(host, StandardCharsets.UTF_8),
-                others.size()));
+        return others.get(
+                Hashing.consistentHash(
+                        Hashing.murmur3_128().hashString(host, StandardCharsets.UTF_8),
+                        others.size()));
     }
 
     /** A worker's report came by way of another node. */
--- a/src/main/java/org/woadloom/cli/CheckCommand.java
+++ b/src/main/java/org/woadloom/cli/CheckCommand.java
@@ -38,33 +38,66 @@
     public int run(CommandLine line) throws SettingsException {
         ServiceSettings service = SettingsOptions.service(line);
         OperatorSettings operator = SettingsOptions.operator(line);
-        System.out.printf("node %s in %s, listening on %s and, for %d peers, on %s%n", service.label(), service.area(),
-                service.bind(), service.peers().size(), service.peerBind());
-        System.out.printf("%d teams, zones %s, state service at %s, cloud at %s%n", service.teams().size(),
-                String.join(", ", service.zones()), service.stateAddress(), service.cloudAddress());
+        System.out.printf(
+                "node %s in %s, listening on %s and, for %d peers, on %s%n",
+                service.label(),
+                service.area(),
+                service.bind(),
+                service.peers().size(),
+                service.peerBind());
+        System.out.printf(
+                "%d teams, zones %s, state service at %s, cloud at %s%n",
+                service.teams().size(),
+                String.join(", ", service.zones()),
+                service.stateAddress(),
+                service.cloudAddress());
         SocketPlan plan = SocketPlan.of(service);
-        System.out.printf("of %d sockets (fd_limit) %d are for workers and users, of which workers take %d before others are"
-                + " sent to another node;%n  %d for commands to workers, %d for idle connections, %d for the state service,"
-                + " %d for the cloud, %d for other nodes, %d for refusals, %d for the process%n",
-                service.resources().fdLimit(), plan.inbound(), plan.workers(), plan.direct(), plan.idle(), plan.state(),
-                plan.cloud(), plan.peers(), plan.refusals(), plan.process());
-        System.out.printf("at most %d tasks of a job are placed at once where each has a machine of its own (value_kb)%n",
+        System.out.printf(
+                "of %d sockets (fd_limit) %d are for workers and users, of which workers take %d"
+                    + " before others are sent to another node;%n  %d for commands to workers, %d"
+                    + " for idle connections, %d for the state service, %d for the cloud, %d for"
+                    + " other nodes, %d for refusals, %d for the process%n",
+                service.resources().fdLimit(),
+                plan.inbound(),
+                plan.workers(),
+                plan.direct(),
+                plan.idle(),
+                plan.state(),
+                plan.cloud(),
+                plan.peers(),
+                plan.refusals(),
+                plan.process());
+        System.out.printf(
+                "at most %d tasks of a job are placed at once where each has a machine of its own"
+                        + " (value_kb)%n",
                 RecordSize.tasksApart(service.state().leastValueBytes()));
         FleetEstimate fleet = FleetEstimate.of(service);
-        System.out.printf("carries about %d machines: %d by fd_limit, %d by cpu_share and report_s%n", fleet.workers(),
-                fleet.bySockets(), fleet.byProcessor());
+        System.out.printf(
+                "carries about %d machines: %d by fd_limit, %d by cpu_share and report_s%n",
+                fleet.workers(), fleet.bySockets(), fleet.byProcessor());
         ServiceSettings.State state = service.state();
         if (state.next() != null) {
-            System.out.printf("the state service may fall from values of %d bytes, %d changes a transaction and %.0f a"
-                    + " second to %d, %d and %.0f%n", state.valueBytes(), state.txnOps(), state.writeRps(),
-                    state.next().valueBytes(), state.next().txnOps(), state.next().writeRps());
+            System.out.printf(
+                    "the state service may fall from values of %d bytes, %d changes a transaction"
+                            + " and %.0f a second to %d, %d and %.0f%n",
+                    state.valueBytes(),
+                    state.txnOps(),
+                    state.writeRps(),
+                    state.next().valueBytes(),
+                    state.next().txnOps(),
+                    state.next().writeRps());
         }
-        CareRules care = CareRules.of(service.workers().leaseMicros(), service.workers().cancelMicros());
+        CareRules care =
+                CareRules.of(service.workers().leaseMicros(), service.workers().cancelMicros());
         if (care.worthwhile()) {
-            System.out.printf("in a zone that is cut off work goes on for up to %.1f s, and leases end after that%n",
+            System.out.printf(
+                    "in a zone that is cut off work goes on for up to %.1f s, and leases end after"
+                            + " that%n",
                     care.careMicros() / 1e6);
         } else {
-            System.out.println("in a zone that is cut off leases end: cancel_s leaves no time to renew them in");
+            System.out.println(
+                    "in a zone that is cut off leases end: cancel_s leaves no time to renew them"
+                            + " in");
         }
         System.out.print(operator.describe());
         List<String> problems = Sanity.problems(service);
--- a/src/main/java/org/woadloom/cli/JobCommand.java
+++ b/src/main/java/org/woadloom/cli/JobCommand.java
@@ -38,11 +38,16 @@
     }
 
     static Subcommand submit() {
-        return new JobCommand("submit", "FILE", "Submits the job that a JSON file describes; repeating it is harmless.",
+        return new JobCommand(
+                "submit",
+                "FILE",
+                "Submits the job that a JSON file describes; repeating it is harmless.",
                 (node, file) -> {
                     JobDescription job;
                     try {
-                        job = JobDescription.parse(Cbor.decodeJsonMap(Files.readAllBytes(Path.of(file))));
+                        job =
+                                JobDescription.parse(
+                                        Cbor.decodeJsonMap(Files.readAllBytes(Path.of(file))));
                     } catch (NoSuchFileException e) {
                         throw new UsageException(file + ": no such file");
                     } catch (WireException e) {
@@ -53,17 +58,25 @@
     }
 
     static Subcommand show() {
-        return new JobCommand("show", "JOB", "Shows the state of a job, such as j-000412.",
+        return new JobCommand(
+                "show",
+                "JOB",
+                "Shows the state of a job, such as j-000412.",
                 (node, uid) -> HttpRequest.newBuilder(uri(node, "/v1/jobs/" + checked(uid))));
     }
 
     static Subcommand cancel() {
-        return new JobCommand("cancel", "JOB", "Cancels a job.",
+        return new JobCommand(
+                "cancel",
+                "JOB",
+                "Cancels a job.",
                 (node, uid) -> post(node, "/v1/jobs/" + checked(uid) + "/cancel", new byte[0]));
     }
 
-    private static HttpRequest.Builder post(String node, String path, byte[] body) throws UsageException {
-        return HttpRequest.newBuilder(uri(node, path)).POST(HttpRequest.BodyPublishers.ofByteArray(body));
+    private static HttpRequest.Builder post(String node, String path, byte[] body)
+            throws UsageException {
+        return HttpRequest.newBuilder(uri(node, path))
+                .POST(HttpRequest.BodyPublishers.ofByteArray(body));
     }
 
     private static URI uri(String node, String path) throws UsageException {
@@ -98,8 +111,17 @@
 
     @Override
     public Options options() {
-        return new Options().addOption(Option.builder().longOpt("node").hasArg().argName("HOST:PORT")
-                .desc("a controller node or the load balancer (default " + DEFAULT_NODE + ")").build());
+        return new Options()
+                .addOption(
+                        Option.builder()
+                                .longOpt("node")
+                                .hasArg()
+                                .argName("HOST:PORT")
+                                .desc(
+                                        "a controller node or the load balancer (default "
+                                                + DEFAULT_NODE
+                                                + ")")
+                                .build());
     }
 
     @Override
@@ -108,8 +130,13 @@
         HttpRequest.Builder builder = request.make(node, line.getArgList().get(0));
         HttpResponse<byte[]> response;
         try {
-            response = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build()
-                    .send(builder.timeout(TIMEOUT).build(), HttpResponse.BodyHandlers.ofByteArray());
+            response =
+                    HttpClient.newBuilder()
+                            .version(HttpClient.Version.HTTP_1_1)
+                            .build()
+                            .send(
+                                    builder.timeout(TIMEOUT).build(),
+                                    HttpResponse.BodyHandlers.ofByteArray());
         } catch (IOException e) {
             throw new IOException(node + " does not answer: " + e.getClass().getSimpleName());
         }
--- a/src/main/java/org/woadloom/cli/Main.java
+++ b/src/main/java/org/woadloom/cli/Main.java
@@ -13,12 +13,17 @@
 /** The program's entry: what its command line offers. */
 public final class Main {
     private static final int WIDTH = 100;
-    private static final List<Subcommand> COMMANDS = List.of(new ServeCommand(), new CheckCommand(),
-            JobCommand.submit(), JobCommand.show(), JobCommand.cancel(), new RolloutCommand(),
-            new RehearseCommand());
+    private static final List<Subcommand> COMMANDS =
+            List.of(
+                    new ServeCommand(),
+                    new CheckCommand(),
+                    JobCommand.submit(),
+                    JobCommand.show(),
+                    JobCommand.cancel(),
+                    new RolloutCommand(),
+                    new RehearseCommand());
 
-    private Main() {
-    }
+    private Main() {}
 
     public static void main(String[] args) {
         Logging.configure(System.getenv("LOG_LEVEL"));
@@ -57,12 +62,15 @@
     private static Subcommand find(String[] args) throws UsageException {
         for (Subcommand command : COMMANDS) {
             String[] words = command.name().split(" ");
-            if (args.length >= words.length && Arrays.equals(words, 0, words.length, args, 0, words.length)) {
+            if (args.length >= words.length
+                    && Arrays.equals(words, 0, words.length, args, 0, words.length)) {
                 return command;
             }
         }
-        throw new UsageException(args[0].startsWith("-") ? args[0] + ": a command is expected first"
-                : args[0] + ": no such command");
+        throw new UsageException(
+                args[0].startsWith("-")
+                        ? args[0] + ": a command is expected first"
+                        : args[0] + ": no such command");
     }
 
     private static int run(Subcommand command, String[] args) throws Exception {
@@ -75,8 +83,10 @@
         CommandLine line = new DefaultParser().parse(command.options(), rest);
         int expected = command.arguments().isEmpty() ? 0 : 1;
         if (line.getArgList().size() != expected) {
-            throw new UsageException(expected == 0 ? line.getArgList().get(0) + ": unexpected argument"
-                    : command.name() + ": expected one " + command.arguments());
+            throw new UsageException(
+                    expected == 0
+                            ? line.getArgList().get(0) + ": unexpected argument"
+                            : command.name() + ": expected one " + command.arguments());
         }
         return command.run(line);
     }
@@ -101,8 +111,15 @@
         PrintWriter out = new PrintWriter(System.out, true);
         Options options = command.options();
         options.addOption("h", "help", false, "print this and end");
-        new HelpFormatter().printHelp(out, WIDTH,
-                "woadloom " + command.name() + " [OPTIONS] " + command.arguments(), command.description(), options, 2, 3,
-                "");
+        new HelpFormatter()
+                .printHelp(
+                        out,
+                        WIDTH,
+                        "woadloom " + command.name() + " [OPTIONS] " + command.arguments(),
+                        command.description(),
+                        options,
+                        2,
+                        3,
+                        "");
     }
 }
--- a/src/main/java/org/woadloom/cli/RehearseCommand.java
+++ b/src/main/java/org/woadloom/cli/RehearseCommand.java
@@ -18,7 +18,8 @@
 
     @Override
     public String description() {
-        return "Serves a little work on loopback ports and ends; the build records the classes that were loaded.";
+        return "Serves a little work on loopback ports and ends; the build records the classes that"
+                + " were loaded.";
     }
 
     @Override
--- a/src/main/java/org/woadloom/cli/RolloutCommand.java
+++ b/src/main/java/org/woadloom/cli/RolloutCommand.java
@@ -26,7 +26,10 @@
 import org.woadloom.wire.Fields;
 import org.woadloom.wire.WireException;
 
-/** Shows how far each feature is rolled out, or writes what an operator asks for one, straight in the state service. */
+/**
+ * Shows how far each feature is rolled out, or writes what an operator asks for one, straight in
+ * the state service.
+ */
 final class RolloutCommand implements Subcommand {
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
     private static final String SHOW = "show";
@@ -43,16 +46,29 @@
 
     @Override
     public String description() {
-        return "Shows the rollout of features, or asks the leader to go on by itself, to hold, to go on at once, or to take one back.";
+        return "Shows the rollout of features, or asks the leader to go on by itself, to hold, to"
+                + " go on at once, or to take one back.";
     }
 
     @Override
     public Options options() {
         return SettingsOptions.options()
-                .addOption(Option.builder().longOpt("feature").hasArg().argName("NAME")
-                        .desc("the feature that is asked for: " + String.join(", ", Feature.known())).build())
-                .addOption(Option.builder().longOpt("by").hasArg().argName("WHO")
-                        .desc("who asks, for the log (default: the user of this shell)").build());
+                .addOption(
+                        Option.builder()
+                                .longOpt("feature")
+                                .hasArg()
+                                .argName("NAME")
+                                .desc(
+                                        "the feature that is asked for: "
+                                                + String.join(", ", Feature.known()))
+                                .build())
+                .addOption(
+                        Option.builder()
+                                .longOpt("by")
+                                .hasArg()
+                                .argName("WHO")
+                                .desc("who asks, for the log (default: the user of this shell)")
+                                .build());
     }
 
     @Override
@@ -67,7 +83,10 @@
         if (verb == null) {
             throw new UsageException(action + ": expected one of " + arguments());
         }
-        return ask(address, verb, feature(line.getOptionValue("feature")),
+        return ask(
+                address,
+                verb,
+                feature(line.getOptionValue("feature")),
                 line.getOptionValue("by", System.getProperty("user.name")));
     }
 
@@ -77,53 +96,89 @@
                 return feature;
             }
         }
-        throw new UsageException("--feature: expected one of " + String.join(", ", Feature.known()));
+        throw new UsageException(
+                "--feature: expected one of " + String.join(", ", Feature.known()));
     }
 
     /** What can no longer be done is refused here; the leader refuses it as well. */
     private static int ask(String address, Verb verb, Feature feature, String by)
             throws IOException, InterruptedException, WireException {
         Standing standing = record(list(address)).of(feature.key());
-        if (verb == Verb.BACK && (standing.step() == Step.SETTLED || standing.on() && !feature.revocable())) {
-            System.err.println("woadloom: " + feature.key() + " is " + standing.step().text() + " and can't be taken back");
+        if (verb == Verb.BACK
+                && (standing.step() == Step.SETTLED || standing.on() && !feature.revocable())) {
+            System.err.println(
+                    "woadloom: "
+                            + feature.key()
+                            + " is "
+                            + standing.step().text()
+                            + " and can't be taken back");
             return FAILED;
         }
         RolloutRequest request = new RolloutRequest(verb, by, Instant.now().toEpochMilli() * 1000);
-        Map<String, Object> put = Map.of("put", Keys.ROLLOUT_ASKED + feature.key(), "value", request.toMap());
-        send(address, HttpRequest.newBuilder(URI.create("http://" + address + "/txn")).POST(
-                HttpRequest.BodyPublishers.ofByteArray(Cbor.encode(Map.of("if", List.of(), "then", List.of(put))))));
-        System.out.println(feature.key() + ": " + verb.text() + " asked; it is " + standing.step().text() + " now");
+        Map<String, Object> put =
+                Map.of("put", Keys.ROLLOUT_ASKED + feature.key(), "value", request.toMap());
+        send(
+                address,
+                HttpRequest.newBuilder(URI.create("http://" + address + "/txn"))
+                        .POST(
+                                HttpRequest.BodyPublishers.ofByteArray(
+                                        Cbor.encode(
+                                                Map.of("if", List.of(), "then", List.of(put))))));
+        System.out.println(
+                feature.key()
+                        + ": "
+                        + verb.text()
+                        + " asked; it is "
+                        + standing.step().text()
+                        + " now");
         return DONE;
     }
 
-    private static void show(String address) throws IOException, InterruptedException, WireException {
+    private static void show(String address)
+            throws IOException, InterruptedException, WireException {
         Map<String, Object> entries = list(address);
         RolloutRecord record = record(entries);
         System.out.printf("%-16s %-10s %-20s %s%n", "feature", "step", "since (UTC)", "allowed by");
         for (Feature feature : Feature.values()) {
             Standing standing = record.of(feature.key());
-            RolloutRequest request = entries.get(Keys.ROLLOUT_ASKED + feature.key()) instanceof Map<?, ?> asked
-                    ? RolloutRequest.parse(map(asked)) : RolloutRequest.AUTO;
-            System.out.printf("%-16s %-10s %-20s %s%s%s%s%n", feature.key(), standing.step().text(),
-                    standing.sinceWallMicros() == 0 ? "-" : Instant.ofEpochSecond(standing.sinceWallMicros() / 1_000_000),
-                    standing.by().isEmpty() ? "-" : standing.by(), standing.back() ? "; being taken back" : "",
+            RolloutRequest request =
+                    entries.get(Keys.ROLLOUT_ASKED + feature.key()) instanceof Map<?, ?> asked
+                            ? RolloutRequest.parse(map(asked))
+                            : RolloutRequest.AUTO;
+            System.out.printf(
+                    "%-16s %-10s %-20s %s%s%s%s%n",
+                    feature.key(),
+                    standing.step().text(),
+                    standing.sinceWallMicros() == 0
+                            ? "-"
+                            : Instant.ofEpochSecond(standing.sinceWallMicros() / 1_000_000),
+                    standing.by().isEmpty() ? "-" : standing.by(),
+                    standing.back() ? "; being taken back" : "",
                     standing.held() ? "; held, as nodes kept ending" : "",
-                    request.verb() == Verb.AUTO ? "" : "; " + request.verb().text() + " asked by " + request.by());
+                    request.verb() == Verb.AUTO
+                            ? ""
+                            : "; " + request.verb().text() + " asked by " + request.by());
         }
         for (Feature feature : Feature.values()) {
-            System.out.printf("%s writes %s; can be read by %s and later%n", feature.key(), feature.writes(),
-                    feature.leastReader());
+            System.out.printf(
+                    "%s writes %s; can be read by %s and later%n",
+                    feature.key(), feature.writes(), feature.leastReader());
         }
         Set<String> unknown = record.requires();
         unknown.removeAll(Feature.known());
         if (!unknown.isEmpty()) {
-            System.out.println("required and not known to this version: " + String.join(", ", unknown));
+            System.out.println(
+                    "required and not known to this version: " + String.join(", ", unknown));
         }
         for (Map.Entry<String, Object> entry : entries.entrySet()) {
             if (entry.getKey().startsWith(Keys.ROLLOUT_NODES)) {
                 NodeWord word = NodeWord.parse(map(entry.getValue()));
-                System.out.printf("node %s: reads %s, can do %s, names %s, start %d in a row%n",
-                        entry.getKey().substring(Keys.ROLLOUT_NODES.length()), word.reads(), word.can(), word.members(),
+                System.out.printf(
+                        "node %s: reads %s, can do %s, names %s, start %d in a row%n",
+                        entry.getKey().substring(Keys.ROLLOUT_NODES.length()),
+                        word.reads(),
+                        word.can(),
+                        word.members(),
                         word.starts());
             }
         }
@@ -141,9 +196,18 @@
     }
 
     /** Everything below the rollout's prefix: a few records and one for each node. */
-    private static Map<String, Object> list(String address) throws IOException, InterruptedException, WireException {
-        byte[] body = send(address, HttpRequest.newBuilder(URI.create("http://" + address + "/keys?prefix=" + Keys.ROLLOUT
-                + "&most=1000")));
+    private static Map<String, Object> list(String address)
+            throws IOException, InterruptedException, WireException {
+        byte[] body =
+                send(
+                        address,
+                        HttpRequest.newBuilder(
+                                URI.create(
+                                        "http://"
+                                                + address
+                                                + "/keys?prefix="
+                                                + Keys.ROLLOUT
+                                                + "&most=1000")));
         Map<String, Object> entries = new TreeMap<>();
         for (Object item : new Fields(Cbor.decodeMap(body)).list("items")) {
             Fields entry = Fields.of(item, "items");
@@ -153,15 +217,27 @@
     }
 
     /** A client is made only here: its classes would cost every start of a node a third more. */
-    private static byte[] send(String address, HttpRequest.Builder request) throws IOException, InterruptedException {
+    private static byte[] send(String address, HttpRequest.Builder request)
+            throws IOException, InterruptedException {
         HttpResponse<byte[]> response;
         try {
-            response = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build().send(request.timeout(TIMEOUT).build(), HttpResponse.BodyHandlers.ofByteArray());
+            response =
+                    HttpClient.newBuilder()
+                            .version(HttpClient.Version.HTTP_1_1)
+                            .build()
+                            .send(
+                                    request.timeout(TIMEOUT).build(),
+                                    HttpResponse.BodyHandlers.ofByteArray());
         } catch (IOException e) {
-            throw new IOException("the state service at " + address + " does not answer: " + e.getClass().getSimpleName());
+            throw new IOException(
+                    "the state service at "
+                            + address
+                            + " does not answer: "
+                            + e.getClass().getSimpleName());
         }
         if (response.statusCode() != 200) {
-            throw new IOException("the state service at " + address + " answered " + response.statusCode());
+            throw new IOException(
+                    "the state service at " + address + " answered " + response.statusCode());
         }
         return response.body();
     }
--- a/src/main/java/org/woadloom/cli/SettingsOptions.java
+++ b/src/main/java/org/woadloom/cli/SettingsOptions.java
@@ -12,15 +12,25 @@
 
 /** The two files of settings, as options that commands share. */
 final class SettingsOptions {
-    private SettingsOptions() {
-    }
+    private SettingsOptions() {}
 
     static Options options() {
         return new Options()
-                .addOption(Option.builder().longOpt("config").hasArg().argName("FILE").required()
-                        .desc("the platform's settings (TOML)").build())
-                .addOption(Option.builder().longOpt("operator").hasArg().argName("FILE")
-                        .desc("the operators' own settings (HCL)").build());
+                .addOption(
+                        Option.builder()
+                                .longOpt("config")
+                                .hasArg()
+                                .argName("FILE")
+                                .required()
+                                .desc("the platform's settings (TOML)")
+                                .build())
+                .addOption(
+                        Option.builder()
+                                .longOpt("operator")
+                                .hasArg()
+                                .argName("FILE")
+                                .desc("the operators' own settings (HCL)")
+                                .build());
     }
 
     static ServiceSettings service(CommandLine line) throws SettingsException {
@@ -29,6 +39,8 @@
 
     static OperatorSettings operator(CommandLine line) throws SettingsException {
         String file = line.getOptionValue("operator");
-        return file == null ? OperatorSettings.defaults() : OperatorSettingsFile.read(Path.of(file));
+        return file == null
+                ? OperatorSettings.defaults()
+                : OperatorSettingsFile.read(Path.of(file));
     }
 }
--- a/src/main/java/org/woadloom/cli/Subcommand.java
+++ b/src/main/java/org/woadloom/cli/Subcommand.java
@@ -7,6 +7,7 @@
 interface Subcommand {
     /** Given by a command whose threads go on running. */
     int SERVING = -1;
+
     int DONE = 0;
     int FAILED = 1;
     int BAD_USAGE = 2;
--- a/src/main/java/org/woadloom/cloud/CloudClient.java
+++ b/src/main/java/org/woadloom/cloud/CloudClient.java
@@ -31,8 +31,15 @@
     private final EnumMap<Call, ArrayDeque<Runnable>> waiting = new EnumMap<>(Call.class);
     private boolean wakeScheduled;
 
-    /** What goes first where calls must wait: deletions are proofs and end what is paid for, and lists can wait for long. */
-    private enum Call { DELETE, RENT, READ }
+    /**
+     * What goes first where calls must wait: deletions are proofs and end what is paid for, and
+     * lists can wait for long.
+     */
+    private enum Call {
+        DELETE,
+        RENT,
+        READ
+    }
 
     public interface TypesCallback {
         /** Null where the cloud did not give them. */
@@ -62,13 +69,19 @@
     }
 
     public void types(TypesCallback callback) {
-        request(Call.READ, "GET", "/machine_types", null, (status, body) -> {
-            try {
-                callback.types(status == 200 ? MachineType.parseAll(Cbor.decodeMap(body)) : null);
-            } catch (WireException e) {
-                callback.types(null);
-            }
-        });
+        request(
+                Call.READ,
+                "GET",
+                "/machine_types",
+                null,
+                (status, body) -> {
+                    try {
+                        callback.types(
+                                status == 200 ? MachineType.parseAll(Cbor.decodeMap(body)) : null);
+                    } catch (WireException e) {
+                        callback.types(null);
+                    }
+                });
     }
 
     /** Reads the whole list; null where a page was not given. */
@@ -77,29 +90,35 @@
     }
 
     private void page(String since, List<ListedMachine> found, ListCallback callback) {
-        String path = "/machines?" + (since.isEmpty() ? "" : "since=" + since + "&") + "most=" + PAGE;
-        request(Call.READ, "GET", path, null, (status, body) -> {
-            if (status != 200) {
-                callback.machines(null);
-                return;
-            }
-            boolean more;
-            try {
-                Fields f = new Fields(Cbor.decodeMap(body));
-                for (Object item : f.list("hosts")) {
-                    found.add(ListedMachine.parse(item));
-                }
-                more = f.flagOr("more", false) && !found.isEmpty();
-            } catch (WireException e) {
-                callback.machines(null);
-                return;
-            }
-            if (more) {
-                page(found.get(found.size() - 1).uid(), found, callback);
-            } else {
-                callback.machines(found);
-            }
-        });
+        String path =
+                "/machines?" + (since.isEmpty() ? "" : "since=" + since + "&") + "most=" + PAGE;
+        request(
+                Call.READ,
+                "GET",
+                path,
+                null,
+                (status, body) -> {
+                    if (status != 200) {
+                        callback.machines(null);
+                        return;
+                    }
+                    boolean more;
+                    try {
+                        Fields f = new Fields(Cbor.decodeMap(body));
+                        for (Object item : f.list("hosts")) {
+                            found.add(ListedMachine.parse(item));
+                        }
+                        more = f.flagOr("more", false) && !found.isEmpty();
+                    } catch (WireException e) {
+                        callback.machines(null);
+                        return;
+                    }
+                    if (more) {
+                        page(found.get(found.size() - 1).uid(), found, callback);
+                    } else {
+                        callback.machines(found);
+                    }
+                });
     }
 
     public void rent(Effect.Rent rent, RentCallback callback) {
@@ -109,20 +128,28 @@
         map.put("yard", rent.yard());
         map.put("reclaimable", rent.reclaimable());
         map.put("count", (long) rent.count());
-        request(Call.RENT, "POST", "/machines", Cbor.encode(map), (status, body) -> {
-            try {
-                if (status == 200) {
-                    callback.rented(RentOutcome.RENTED, new Fields(Cbor.decodeMap(body)).texts("hosts"));
-                } else if (status == 503 && "no capacity".equals(error(body))) {
-                    callback.rented(RentOutcome.NO_CAPACITY, List.of());
-                } else {
-                    boolean refused = status > 0 || status == HttpTransport.NOT_SENT;
-                    callback.rented(refused ? RentOutcome.REFUSED : RentOutcome.UNKNOWN, List.of());
-                }
-            } catch (WireException e) {
-                callback.rented(RentOutcome.UNKNOWN, List.of());
-            }
-        });
+        request(
+                Call.RENT,
+                "POST",
+                "/machines",
+                Cbor.encode(map),
+                (status, body) -> {
+                    try {
+                        if (status == 200) {
+                            callback.rented(
+                                    RentOutcome.RENTED,
+                                    new Fields(Cbor.decodeMap(body)).texts("hosts"));
+                        } else if (status == 503 && "no capacity".equals(error(body))) {
+                            callback.rented(RentOutcome.NO_CAPACITY, List.of());
+                        } else {
+                            boolean refused = status > 0 || status == HttpTransport.NOT_SENT;
+                            callback.rented(
+                                    refused ? RentOutcome.REFUSED : RentOutcome.UNKNOWN, List.of());
+                        }
+                    } catch (WireException e) {
+                        callback.rented(RentOutcome.UNKNOWN, List.of());
+                    }
+                });
     }
 
     private static String error(byte[] body) throws WireException {
@@ -132,11 +159,21 @@
     public void delete(List<String> hosts, DeleteCallback callback) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("hosts", new ArrayList<Object>(hosts));
-        request(Call.DELETE, "POST", "/machines/delete", Cbor.encode(map), (status, body) -> callback.deleted(status == 200));
+        request(
+                Call.DELETE,
+                "POST",
+                "/machines/delete",
+                Cbor.encode(map),
+                (status, body) -> callback.deleted(status == 200));
     }
 
-    private void request(Call call, String method, String path, byte[] body, HttpTransport.Callback callback) {
-        waiting.get(call).addLast(() -> transport.request(address, method, path, body, TIMEOUT_MICROS, callback));
+    private void request(
+            Call call, String method, String path, byte[] body, HttpTransport.Callback callback) {
+        waiting.get(call)
+                .addLast(
+                        () ->
+                                transport.request(
+                                        address, method, path, body, TIMEOUT_MICROS, callback));
         pump();
     }
 
@@ -150,10 +187,12 @@
             if (wait > 0) {
                 if (!wakeScheduled) {
                     wakeScheduled = true;
-                    loop.schedule(wait, () -> {
-                        wakeScheduled = false;
-                        pump();
-                    });
+                    loop.schedule(
+                            wait,
+                            () -> {
+                                wakeScheduled = false;
+                                pump();
+                            });
                 }
                 return;
             }
--- a/src/main/java/org/woadloom/core/Core.java
+++ b/src/main/java/org/woadloom/core/Core.java
@@ -29,12 +29,13 @@
 import org.woadloom.wire.MachineType;
 
 /**
- * The one owner of all state. It is pure: the same commands at the same times give the same effects, and nothing in it
- * reads a clock, a file or a socket.
+ * The one owner of all state. It is pure: the same commands at the same times give the same
+ * effects, and nothing in it reads a clock, a file or a socket.
  */
 public final class Core {
     private static final long SWEEP_MICROS = 100_000;
     private static final long FORGET_MICROS = 2_000_000;
+
     /** Backoffs, quarantines and reservations end by themselves. */
     private static final long SEARCH_MICROS = 500_000;
 
@@ -188,10 +189,17 @@
             leadership.jobs.load(job);
         }
         leadership.machines.typesSeen(types);
-        long cameUp = lead.machines().stream().map(Command.StoredMachine::record)
-                .filter(machine -> machine.life() != null && machine.life().up()).count();
-        world.log(LogEntry.info(LogEvent.TERM_STARTED).with("term", lead.term()).with("jobs", lead.jobs().size())
-                .with("machines", lead.machines().size()).with("machines_reported", cameUp));
+        long cameUp =
+                lead.machines().stream()
+                        .map(Command.StoredMachine::record)
+                        .filter(machine -> machine.life() != null && machine.life().up())
+                        .count();
+        world.log(
+                LogEntry.info(LogEvent.TERM_STARTED)
+                        .with("term", lead.term())
+                        .with("jobs", lead.jobs().size())
+                        .with("machines", lead.machines().size())
+                        .with("machines_reported", cameUp));
     }
 
     private static void apply(Leadership l, Command command) {
@@ -238,8 +246,8 @@
     }
 
     /**
-     * What changed is dealt with at once. What only time brings about is looked for now and then, as a walk over hundreds
-     * of machines for each report would cost more than the reports.
+     * What changed is dealt with at once. What only time brings about is looked for now and then,
+     * as a walk over hundreds of machines for each report would cost more than the reports.
      */
     private static void work(Leadership l) {
         World world = l.world;
@@ -277,24 +285,39 @@
         l.directs.emitSends();
     }
 
-    /** A worker that neither we nor any node in our place answered for longer than its lease has killed its tasks. */
+    /**
+     * A worker that neither we nor any node in our place answered for longer than its lease has
+     * killed its tasks.
+     */
     private static void endLeases(Leadership l) {
         World world = l.world;
         Map<String, Long> cared = new HashMap<>();
         for (Machine machine : world.machines.values()) {
-            if (machine.up() && !machine.deleted
+            if (machine.up()
+                    && !machine.deleted
                     && world.nowMicros - machine.lastAnsweredMicros > world.care.leaseOverMicros()
-                    && world.nowMicros - cared.computeIfAbsent(machine.yard, yard -> world.warrants.lastCareMicros(yard,
-                            world.nowMicros)) > world.care.leaseOverMicros()) {
-                world.log(LogEntry.info(LogEvent.LEASE_EXPIRED).with("machine", machine.host).with("zone", machine.yard)
-                        .with("term", world.term));
+                    && world.nowMicros
+                                    - cared.computeIfAbsent(
+                                            machine.yard,
+                                            yard ->
+                                                    world.warrants.lastCareMicros(
+                                                            yard, world.nowMicros))
+                            > world.care.leaseOverMicros()) {
+                world.log(
+                        LogEntry.info(LogEvent.LEASE_EXPIRED)
+                                .with("machine", machine.host)
+                                .with("zone", machine.yard)
+                                .with("term", world.term));
                 machine.hearing.sessionOver();
                 l.losses.session(machine, "lease expired");
             }
         }
     }
 
-    /** Tasks that can save leave a machine that the cloud is about to take; so do all on one that is returned. */
+    /**
+     * Tasks that can save leave a machine that the cloud is about to take; so do all on one that is
+     * returned.
+     */
     private static void drain(Leadership l) {
         for (Machine machine : l.world.machines.values()) {
             if (machine.takenMicros < 0 && !machine.leaving) {
@@ -304,7 +327,8 @@
                 Job job = placement.job;
                 if (placement.neverSent()) {
                     l.losses.gone(placement);
-                } else if (!placement.halting() && (machine.leaving || job.description.snapshotEveryS() > 0)) {
+                } else if (!placement.halting()
+                        && (machine.leaving || job.description.snapshotEveryS() > 0)) {
                     placement.halt(job.description.snapshotCostS());
                 }
             }
--- a/src/main/java/org/woadloom/core/CoreSettings.java
+++ b/src/main/java/org/woadloom/core/CoreSettings.java
@@ -14,8 +14,16 @@
  * @param label this node
  * @param nodes all nodes with their zones
  */
-public record CoreSettings(String label, Map<String, String> nodes, List<Team> teams, List<Objective> objectives, long reportMicros, long leaseMicros, long cancelMicros,
-        long listLagMicros, OperatorSettings operator) {
+public record CoreSettings(
+        String label,
+        Map<String, String> nodes,
+        List<Team> teams,
+        List<Objective> objectives,
+        long reportMicros,
+        long leaseMicros,
+        long cancelMicros,
+        long listLagMicros,
+        OperatorSettings operator) {
 
     public CoreSettings {
         nodes = Map.copyOf(nodes);
@@ -25,7 +33,13 @@
         Map<String, String> nodes = new LinkedHashMap<>();
         nodes.put(settings.label(), settings.area());
         settings.peers().forEach(peer -> nodes.put(peer.label(), peer.area()));
-        return new CoreSettings(settings.label(), nodes, settings.teams(), settings.objectives(), settings.workers().reportMicros(), settings.workers().leaseMicros(),
+        return new CoreSettings(
+                settings.label(),
+                nodes,
+                settings.teams(),
+                settings.objectives(),
+                settings.workers().reportMicros(),
+                settings.workers().leaseMicros(),
                 settings.workers().cancelMicros(),
                 settings.cloud().listLagMicros(),
                 operator);
--- a/src/main/java/org/woadloom/core/LogEntry.java
+++ b/src/main/java/org/woadloom/core/LogEntry.java
@@ -4,19 +4,22 @@
 import java.util.List;
 
 /**
- * One line for the log: an event and the values that belong to it, in the order in which they were added. The line reads
- * {@code event=lease_expired machine=host-000231 zone=a}; values that are not one plain word are quoted.
+ * One line for the log: an event and the values that belong to it, in the order in which they were
+ * added. The line reads {@code event=lease_expired machine=host-000231 zone=a}; values that are not
+ * one plain word are quoted.
  */
 public final class LogEntry {
     /** How much a line matters. */
-    public enum Level { DEBUG, INFO }
+    public enum Level {
+        DEBUG,
+        INFO
+    }
 
     private final Level level;
     private final LogEvent event;
     private final List<Field> fields = new ArrayList<>();
 
-    private record Field(String key, Object value) {
-    }
+    private record Field(String key, Object value) {}
 
     private LogEntry(Level level, LogEvent event) {
         this.level = level;
@@ -57,13 +60,17 @@
     public String toString() {
         StringBuilder line = new StringBuilder("event=").append(event.text());
         for (Field field : fields) {
-            line.append(' ').append(field.key).append('=').append(quoted(String.valueOf(field.value)));
+            line.append(' ')
+                    .append(field.key)
+                    .append('=')
+                    .append(quoted(String.valueOf(field.value)));
         }
         return line.toString();
     }
 
     private static String quoted(String value) {
-        boolean plain = !value.isEmpty() && value.chars().noneMatch(c -> c <= ' ' || c == '"' || c == '=');
+        boolean plain =
+                !value.isEmpty() && value.chars().noneMatch(c -> c <= ' ' || c == '"' || c == '=');
         return plain ? value : '"' + value.replace("\"", "\\\"") + '"';
     }
 }
--- a/src/main/java/org/woadloom/core/LogEvent.java
+++ b/src/main/java/org/woadloom/core/LogEvent.java
@@ -2,7 +2,10 @@
 
 import java.util.Locale;
 
-/** What the scheduler logs. The name of each constant, in lower case, is the {@code event} of its log line. */
+/**
+ * What the scheduler logs. The name of each constant, in lower case, is the {@code event} of its
+ * log line.
+ */
 public enum LogEvent {
     /** This node leads: the records of jobs and machines are loaded. */
     TERM_STARTED,
@@ -22,9 +25,14 @@
     DEPENDENT_JOB_CANCELLED,
     /** A job's record can't be read; what this leader knows of it is written in its place. */
     JOB_RECORD_DAMAGED,
-    /** Another node has stored the final state of a job that has tasks here; they are being stopped. */
+    /**
+     * Another node has stored the final state of a job that has tasks here; they are being stopped.
+     */
     JOB_ENDED_ELSEWHERE,
-    /** A job's record grew beyond what the store takes; tasks that were not started yet wait for others to end. */
+    /**
+     * A job's record grew beyond what the store takes; tasks that were not started yet wait for
+     * others to end.
+     */
     JOB_RECORD_TOO_LARGE,
     /** A job names a team that the settings lack; it can't be scheduled. */
     JOB_TEAM_UNKNOWN,
--- a/src/main/java/org/woadloom/core/WriteBudget.java
+++ b/src/main/java/org/woadloom/core/WriteBudget.java
@@ -1,14 +1,15 @@
 package org.woadloom.core;
 
 /**
- * How many changes the core may still ask for, at the rate that the state service bears. What is asked for beyond it would
- * only queue, with users' requests behind it; what waits here is written later and more at a time. Machines have a part of
- * their own, so that a wave of rentals does not hold up launches, nor launches the records of machines; what one leaves is
- * the other's.
+ * How many changes the core may still ask for, at the rate that the state service bears. What is
+ * asked for beyond it would only queue, with users' requests behind it; what waits here is written
+ * later and more at a time. Machines have a part of their own, so that a wave of rentals does not
+ * hold up launches, nor launches the records of machines; what one leaves is the other's.
  */
 public final class WriteBudget {
     private static final double MACHINES = 0.4;
     private static final double BURST_SECONDS = 0.4;
+
     /** How far ahead ends and cancellations may go: they can't wait for others. */
     private static final double AHEAD_SECONDS = 1.5;
 
@@ -22,7 +23,8 @@
     }
 
     void refill(long nowMicros) {
-        double seconds = lastMicros == Long.MIN_VALUE ? BURST_SECONDS : (nowMicros - lastMicros) / 1e6;
+        double seconds =
+                lastMicros == Long.MIN_VALUE ? BURST_SECONDS : (nowMicros - lastMicros) / 1e6;
         lastMicros = nowMicros;
         double cap = Math.max(2, perSecond * BURST_SECONDS);
         machines += perSecond * seconds * MACHINES;
--- a/src/main/java/org/woadloom/core/cancellation/Vouch.java
+++ b/src/main/java/org/woadloom/core/cancellation/Vouch.java
@@ -3,16 +3,24 @@
 import java.util.List;
 
 /**
- * What a node vouches for to the leader: of every cancellation that it has told anybody of after {@code sinceMicros} and up
- * to {@code saidMicros} the job is named here, and until {@code promiseMicros} after that it tells of none that the leader
- * has not taken in. Times are the node's own unless said otherwise.
+ * What a node vouches for to the leader: of every cancellation that it has told anybody of after
+ * {@code sinceMicros} and up to {@code saidMicros} the job is named here, and until {@code
+ * promiseMicros} after that it tells of none that the leader has not taken in. Times are the node's
+ * own unless said otherwise.
  *
  * @param term the term of the leader that it is for
  * @param life tells the node's processes apart
- * @param echoMicros the latest time of that leader's clock that the node has seen, {@link #NONE} for none
+ * @param echoMicros the latest time of that leader's clock that the node has seen, {@link #NONE}
+ *     for none
  * @param jobs the jobs that the state service has said are cancelled
  */
-public record Vouch(long term, long life, long saidMicros, long sinceMicros, long echoMicros, long promiseMicros,
+public record Vouch(
+        long term,
+        long life,
+        long saidMicros,
+        long sinceMicros,
+        long echoMicros,
+        long promiseMicros,
         List<String> jobs) {
     public static final long NONE = Long.MIN_VALUE;
 }
--- a/src/main/java/org/woadloom/core/cancellation/VouchTaken.java
+++ b/src/main/java/org/woadloom/core/cancellation/VouchTaken.java
@@ -6,5 +6,4 @@
  * @param saidMicros the vouch's time, by the node's clock
  * @param leaderMicros the time by the leader's clock
  */
-public record VouchTaken(long term, long life, long saidMicros, long leaderMicros) {
-}
+public record VouchTaken(long term, long life, long saidMicros, long leaderMicros) {}
--- a/src/main/java/org/woadloom/core/capacity/DarkZones.java
+++ b/src/main/java/org/woadloom/core/capacity/DarkZones.java
@@ -11,9 +11,10 @@
 import org.woadloom.core.machines.Machine;
 
 /**
- * Zones of which hardly a machine is heard any more: most likely they are cut off. What is rented there now would cost money
- * and count as coming without ever reporting, and what is there comes back with its images when the cut is over. A zone is
- * dark until a third of its machines are heard, or for a while where none is left to be heard of.
+ * Zones of which hardly a machine is heard any more: most likely they are cut off. What is rented
+ * there now would cost money and count as coming without ever reporting, and what is there comes
+ * back with its images when the cut is over. A zone is dark until a third of its machines are
+ * heard, or for a while where none is left to be heard of.
  */
 final class DarkZones {
     private static final int FEWEST = 3;
@@ -24,7 +25,10 @@
     private final Predicate<Machine> unlisted;
     private final Map<String, Long> sinceMicros = new HashMap<>();
 
-    /** @param unlisted true for machines of which the cloud tells that they are gone: their silence tells nothing of the zone */
+    /**
+     * @param unlisted true for machines of which the cloud tells that they are gone: their silence
+     *     tells nothing of the zone
+     */
     DarkZones(World world, Predicate<Machine> unlisted) {
         this.world = world;
         this.unlisted = unlisted;
@@ -45,34 +49,53 @@
             }
         }
         light.removeAll(all.keySet());
-        all.forEach((yard, count) -> {
-            if (count >= FEWEST && silent.get(yard) * 3 > count * 2) {
-                if (sinceMicros.putIfAbsent(yard, world.nowMicros) == null) {
-                    world.log(LogEntry.info(LogEvent.ZONE_PARTITIONED).with("zone", yard).with("silent", silent.get(yard))
-                            .with("machines", count));
-                }
-            } else if (silent.get(yard) < count) {
-                light.add(yard);
-            }
-        });
-        sinceMicros.entrySet().removeIf(dark -> {
-            boolean over = light.contains(dark.getKey()) || !all.containsKey(dark.getKey()) && world.nowMicros - dark.getValue() > MOST_MICROS;
-            if (over) {
-                world.log(LogEntry.info(LogEvent.ZONE_RECONNECTED).with("zone", dark.getKey()));
-            }
-            return over;
-        });
+        all.forEach(
+                (yard, count) -> {
+                    if (count >= FEWEST && silent.get(yard) * 3 > count * 2) {
+                        if (sinceMicros.putIfAbsent(yard, world.nowMicros) == null) {
+                            world.log(
+                                    LogEntry.info(LogEvent.ZONE_PARTITIONED)
+                                            .with("zone", yard)
+                                            .with("silent", silent.get(yard))
+                                            .with("machines", count));
+                        }
+                    } else if (silent.get(yard) < count) {
+                        light.add(yard);
+                    }
+                });
+        sinceMicros
+                .entrySet()
+                .removeIf(
+                        dark -> {
+                            boolean over =
+                                    light.contains(dark.getKey())
+                                            || !all.containsKey(dark.getKey())
+                                                    && world.nowMicros - dark.getValue()
+                                                            > MOST_MICROS;
+                            if (over) {
+                                world.log(
+                                        LogEntry.info(LogEvent.ZONE_RECONNECTED)
+                                                .with("zone", dark.getKey()));
+                            }
+                            return over;
+                        });
     }
 
     private boolean silent(Machine machine) {
         // A worker finds a new leader within a lease.
-        return saysNothing(machine) > (machine.heard() ? 3 * world.settings.reportMicros() + MARGIN_MICROS
-                : world.care.leaseOverMicros());
+        return saysNothing(machine)
+                > (machine.heard()
+                        ? 3 * world.settings.reportMicros() + MARGIN_MICROS
+                        : world.care.leaseOverMicros());
     }
 
-    /** For how long. A deaf worker's reports are rare and may be old, but its work runs on until its lease is over. */
+    /**
+     * For how long. A deaf worker's reports are rare and may be old, but its work runs on until its
+     * lease is over.
+     */
     long saysNothing(Machine machine) {
-        return world.nowMicros - Math.max(machine.hearing.perhapsAliveMicros(), world.startedMicros);
+        return world.nowMicros
+                - Math.max(machine.hearing.perhapsAliveMicros(), world.startedMicros);
     }
 
     boolean dark(String yard) {
--- a/src/main/java/org/woadloom/core/care/CareRules.java
+++ b/src/main/java/org/woadloom/core/care/CareRules.java
@@ -3,9 +3,11 @@
 /**
  * The times of caretaking, which all nodes work out alike from the platform's settings.
  *
- * @param careMicros how long after a moment up to which every cancellation is carried out a worker may still be answered
- *     by a node that is cut off: its lease then ends within the time that a cancelled task may stay
- * @param patienceMicros how long a node must have heard neither the leader nor the state service before it takes care
+ * @param careMicros how long after a moment up to which every cancellation is carried out a worker
+ *     may still be answered by a node that is cut off: its lease then ends within the time that a
+ *     cancelled task may stay
+ * @param patienceMicros how long a node must have heard neither the leader nor the state service
+ *     before it takes care
  * @param leaseOverMicros how long after an answer a worker's lease is certainly over
  */
 public record CareRules(long careMicros, long patienceMicros, long leaseOverMicros) {
@@ -13,10 +15,16 @@
 
     public static CareRules of(long leaseMicros, long cancelMicros) {
         long leaseOver = later(leaseMicros);
-        return new CareRules(cancelMicros - leaseOver - (later(cancelMicros) - cancelMicros), leaseMicros / 3, leaseOver);
+        return new CareRules(
+                cancelMicros - leaseOver - (later(cancelMicros) - cancelMicros),
+                leaseMicros / 3,
+                leaseOver);
     }
 
-    /** A span by another clock, at most: clocks drift apart by a twentieth of a percent each, and timers step. */
+    /**
+     * A span by another clock, at most: clocks drift apart by a twentieth of a percent each, and
+     * timers step.
+     */
     public static long later(long micros) {
         return micros + micros / 500 + MARGIN_MICROS;
     }
--- a/src/main/java/org/woadloom/core/care/Caretaker.java
+++ b/src/main/java/org/woadloom/core/care/Caretaker.java
@@ -1,9 +1,10 @@
 package org.woadloom.core.care;
 
 /**
- * When a node that is cut off may renew the leases of its zone's workers by itself. It may while it holds a warrant of
- * the leader that it has lost, and only after it has heard neither the leader nor the state service for a while, so that
- * its promises to the leader hold. A process that was started anew holds no warrant.
+ * When a node that is cut off may renew the leases of its zone's workers by itself. It may while it
+ * holds a warrant of the leader that it has lost, and only after it has heard neither the leader
+ * nor the state service for a while, so that its promises to the leader hold. A process that was
+ * started anew holds no warrant.
  */
 public final class Caretaker {
     private static final long NEVER = Long.MIN_VALUE / 4;
@@ -43,7 +44,10 @@
         // By the time when the node spoke, as the answer may have been held up on its way.
         contactMicros = Math.max(contactMicros, warrant.saidMicros());
         if (warrant.settledMicros() < Warrant.UNSETTLED) {
-            untilMicros = Math.max(untilMicros, warrant.saidMicros() - warrant.settledMicros() + rules.careMicros());
+            untilMicros =
+                    Math.max(
+                            untilMicros,
+                            warrant.saidMicros() - warrant.settledMicros() + rules.careMicros());
         }
     }
 
@@ -72,7 +76,9 @@
 
     /** Whether to renew a worker's lease; that it is done is remembered for the leader. */
     public boolean takesCare(String workersYard, long workersTerm, long nowMicros) {
-        if (!mayCare(nowMicros) || !workersYard.equals(yard) || workersTerm > term
+        if (!mayCare(nowMicros)
+                || !workersYard.equals(yard)
+                || workersTerm > term
                 || workersTerm == 0) {
             return false;
         }
@@ -81,8 +87,14 @@
     }
 
     public NodeStanding standing(long nowMicros) {
-        return new NodeStanding(life, nowMicros - startedMicros, nowMicros, term, leaderMicros,
-                Math.max(0, careFromMicros() - nowMicros), caredMicros == NEVER ? -1 : nowMicros - caredMicros,
+        return new NodeStanding(
+                life,
+                nowMicros - startedMicros,
+                nowMicros,
+                term,
+                leaderMicros,
+                Math.max(0, careFromMicros() - nowMicros),
+                caredMicros == NEVER ? -1 : nowMicros - caredMicros,
                 stateFails ? nowMicros - stateMicros : 0);
     }
 }
--- a/src/main/java/org/woadloom/core/care/NodeStanding.java
+++ b/src/main/java/org/woadloom/core/care/NodeStanding.java
@@ -12,6 +12,12 @@
  * @param caredMicros how long ago it last did, -1 for never
  * @param stateSilentMicros for how long it has had no answer of the state service
  */
-public record NodeStanding(long life, long aliveMicros, long saidMicros, long term, long echoMicros, long promiseMicros,
-        long caredMicros, long stateSilentMicros) {
-}
+public record NodeStanding(
+        long life,
+        long aliveMicros,
+        long saidMicros,
+        long term,
+        long echoMicros,
+        long promiseMicros,
+        long caredMicros,
+        long stateSilentMicros) {}
--- a/src/main/java/org/woadloom/core/care/Warrants.java
+++ b/src/main/java/org/woadloom/core/care/Warrants.java
@@ -4,8 +4,9 @@
 import java.util.Map;
 
 /**
- * The leader's book of warrants: until when each node may have renewed leases in the leader's absence. A worker that has
- * acknowledged this term is renewed under warrants of this term alone, so what earlier leaders gave away is of no account.
+ * The leader's book of warrants: until when each node may have renewed leases in the leader's
+ * absence. A worker that has acknowledged this term is renewed under warrants of this term alone,
+ * so what earlier leaders gave away is of no account.
  */
 public final class Warrants {
     private static final long NEVER = Long.MIN_VALUE / 4;
@@ -14,6 +15,7 @@
     private final long term;
     private final String self;
     private final Map<String, Holder> holders = new LinkedHashMap<>();
+
     /** Every node is known to run a version that takes care. */
     private boolean agreed;
 
@@ -21,10 +23,13 @@
         final String yard;
         long life;
         boolean heard;
+
         /** When the last warrant was given; it may be held long after. */
         long givenMicros = NEVER;
+
         /** The node takes no care before. */
         long promisedMicros = NEVER;
+
         /** It took care for the last time at this moment or before. */
         long caredMicros = NEVER;
 
@@ -33,16 +38,19 @@
         }
     }
 
-    /** @param nodes all nodes with their zones */
+    /**
+     * @param nodes all nodes with their zones
+     */
     public Warrants(CareRules rules, long term, String self, Map<String, String> nodes) {
         this.rules = rules;
         this.term = term;
         this.self = self;
-        nodes.forEach((label, yard) -> {
-            if (!label.equals(self)) {
-                holders.put(label, new Holder(yard));
-            }
-        });
+        nodes.forEach(
+                (label, yard) -> {
+                    if (!label.equals(self)) {
+                        holders.put(label, new Holder(yard));
+                    }
+                });
     }
 
     public void agreed() {
@@ -52,7 +60,8 @@
     /**
      * Takes in what a node says, and gives it a new warrant.
      *
-     * @param settledMicros up to when every cancellation is carried out in its zone, or {@link Long#MIN_VALUE}
+     * @param settledMicros up to when every cancellation is carried out in its zone, or {@link
+     *     Long#MIN_VALUE}
      */
     public Warrant heard(String node, NodeStanding said, long settledMicros, long nowMicros) {
         Holder holder = holders.get(node);
@@ -62,31 +71,41 @@
         } else if (!node.equals(self)) {
             return null;
         }
-        return new Warrant(term, said.saidMicros(), nowMicros,
+        return new Warrant(
+                term,
+                said.saidMicros(),
+                nowMicros,
                 settledMicros == Long.MIN_VALUE ? Warrant.UNSETTLED : nowMicros - settledMicros);
     }
 
     private void note(Holder holder, NodeStanding said, long nowMicros) {
         if (holder.heard && holder.life != said.life()) {
-            // The process before this one may have taken care until it ended, which was before this one began.
+            // The process before this one may have taken care until it ended, which was before this
+            // one began.
             long began = nowMicros - CareRules.sooner(said.aliveMicros());
             if (began > holder.promisedMicros) {
-                holder.caredMicros = Math.max(holder.caredMicros, Math.min(began, lastHeldMicros(holder)));
+                holder.caredMicros =
+                        Math.max(holder.caredMicros, Math.min(began, lastHeldMicros(holder)));
             }
         }
         holder.heard = true;
         holder.life = said.life();
         if (said.term() == term) {
-            holder.promisedMicros = Math.max(holder.promisedMicros,
-                    said.echoMicros() + CareRules.sooner(said.promiseMicros()));
+            holder.promisedMicros =
+                    Math.max(
+                            holder.promisedMicros,
+                            said.echoMicros() + CareRules.sooner(said.promiseMicros()));
         }
         if (said.caredMicros() >= 0) {
-            holder.caredMicros = Math.max(holder.caredMicros, nowMicros - CareRules.sooner(said.caredMicros()));
+            holder.caredMicros =
+                    Math.max(holder.caredMicros, nowMicros - CareRules.sooner(said.caredMicros()));
         }
     }
 
     private long lastHeldMicros(Holder holder) {
-        return holder.givenMicros == NEVER ? NEVER : holder.givenMicros + CareRules.later(rules.careMicros());
+        return holder.givenMicros == NEVER
+                ? NEVER
+                : holder.givenMicros + CareRules.later(rules.careMicros());
     }
 
     /** No worker of the zone was answered by any node in this leader's place after this moment. */
@@ -103,7 +122,10 @@
         return last;
     }
 
-    /** For how much longer than usual to have patience with a silent zone, in which a node may be taking care. */
+    /**
+     * For how much longer than usual to have patience with a silent zone, in which a node may be
+     * taking care.
+     */
     public long patienceMicros(String yard, long nowMicros) {
         if (!agreed || !rules.worthwhile()) {
             return 0;
--- a/src/main/java/org/woadloom/core/hearing/Hearing.java
+++ b/src/main/java/org/woadloom/core/hearing/Hearing.java
@@ -3,13 +3,15 @@
 import org.woadloom.wire.WorkerReport;
 
 /**
- * What is known of one worker's messages and of its hearing ours: which of its messages is the newest, when it was certainly
- * alive, and whether it has shown that it heard the present token. Copies of its reports may come minutes late, and reports
- * may arrive of a worker that nothing reaches; only the token that a message carries, and the command that it answers, tell
- * when it was made.
+ * What is known of one worker's messages and of its hearing ours: which of its messages is the
+ * newest, when it was certainly alive, and whether it has shown that it heard the present token.
+ * Copies of its reports may come minutes late, and reports may arrive of a worker that nothing
+ * reaches; only the token that a message carries, and the command that it answers, tell when it was
+ * made.
  */
 public final class Hearing {
     public static final int FENCE_BITS = 24;
+
     /** For what is not known, or was never. */
     public static final long NEVER = Long.MIN_VALUE / 4;
 
@@ -23,17 +25,26 @@
     private long ownTenure;
     private long ownTick;
     private long ownMicros = NEVER;
+
     /** Since when they have come without a long gap. */
     private long reportingMicros = NEVER;
+
     private long aliveMicros = NEVER;
     private long reportedMicros = NEVER;
     private long fence;
+
     /** When the present token first went out, {@link #NEVER} before. */
     private long issuedMicros = NEVER;
-    /** Since when a token is out that the worker has not shown to have heard, {@link #NEVER} for none. */
+
+    /**
+     * Since when a token is out that the worker has not shown to have heard, {@link #NEVER} for
+     * none.
+     */
     private long unheardMicros = NEVER;
 
-    /** @param fence no message of this worker carries a token of this term from before this one */
+    /**
+     * @param fence no message of this worker carries a token of this term from before this one
+     */
     public Hearing(long term, long fence, HearingRules rules) {
         this.term = term;
         this.fence = fence;
@@ -85,15 +96,20 @@
         }
     }
 
-    /** The same, where it has most likely not heard for a while: no new work until it has shown it. */
+    /**
+     * The same, where it has most likely not heard for a while: no new work until it has shown it.
+     */
     public void mistrust(long nowMicros) {
         challenge();
-        unheardMicros = Math.min(unheardMicros == NEVER ? nowMicros : unheardMicros, nowMicros - rules.freshMicros() - 1);
+        unheardMicros =
+                Math.min(
+                        unheardMicros == NEVER ? nowMicros : unheardMicros,
+                        nowMicros - rules.freshMicros() - 1);
     }
 
     /**
-     * A message carries a token of this term that is higher than ours: of a machine of this name that was forgotten. What it
-     * says is of the past, so its numbers must not come back.
+     * A message carries a token of this term that is higher than ours: of a machine of this name
+     * that was forgotten. What it says is of the past, so its numbers must not come back.
      */
     public void passOver(long epoch) {
         fence = (epoch & ((1L << FENCE_BITS) - 1)) + 1;
@@ -104,12 +120,18 @@
         return epochSeen == token();
     }
 
-    /** True once the worker has acknowledged a token of this term: no earlier leader can reach it any more. */
+    /**
+     * True once the worker has acknowledged a token of this term: no earlier leader can reach it
+     * any more.
+     */
     public boolean acknowledged() {
         return epochSeen >> FENCE_BITS == term;
     }
 
-    /** The last moment at which the worker certainly lived; {@link #NEVER} while that is not known of any. */
+    /**
+     * The last moment at which the worker certainly lived; {@link #NEVER} while that is not known
+     * of any.
+     */
     public long aliveMicros() {
         return aliveMicros;
     }
@@ -128,10 +150,15 @@
         if (report.tenure() < leastTenure || !report.newerThan(tenure, tick)) {
             return Age.COPY;
         }
-        return nowMicros - madeAfter(report, sinceMicros) <= rules.freshMicros() ? Age.FRESH : Age.PERHAPS_OLD;
+        return nowMicros - madeAfter(report, sinceMicros) <= rules.freshMicros()
+                ? Age.FRESH
+                : Age.PERHAPS_OLD;
     }
 
-    /** A message that is newer than all before it was made after those, and after the token that it carries went out. */
+    /**
+     * A message that is newer than all before it was made after those, and after the token that it
+     * carries went out.
+     */
     private long madeAfter(WorkerReport report, long sinceMicros) {
         long made = Math.max(sinceMicros, aliveMicros);
         return report.epoch() == token() ? Math.max(made, issuedMicros) : made;
@@ -140,7 +167,8 @@
     /**
      * Takes in a message that is no copy.
      *
-     * @param sinceMicros when the command was sent that it answers, {@link #NEVER} for a report of its own
+     * @param sinceMicros when the command was sent that it answers, {@link #NEVER} for a report of
+     *     its own
      */
     public void take(WorkerReport report, Age age, long sinceMicros, long nowMicros) {
         long alive = age == Age.FRESH ? nowMicros : madeAfter(report, sinceMicros);
@@ -160,7 +188,10 @@
         }
     }
 
-    /** The last moment at which it may have lived: when a report came that may have been under way for long, at most. */
+    /**
+     * The last moment at which it may have lived: when a report came that may have been under way
+     * for long, at most.
+     */
     public long perhapsAliveMicros() {
         return Math.max(aliveMicros, ownMicros);
     }
@@ -171,18 +202,22 @@
     }
 
     /**
-     * Whether an answer that is given now may renew the worker's lease. It has one report under way at a time, and waits for
-     * its answer for four seconds: whoever still sends an earlier one, nobody waits for that answer.
+     * Whether an answer that is given now may renew the worker's lease. It has one report under way
+     * at a time, and waits for its answer for four seconds: whoever still sends an earlier one,
+     * nobody waits for that answer.
      */
     public boolean mayWaitFor(WorkerReport report, long nowMicros) {
         if (report.newerThan(ownTenure, ownTick)) {
             ownTenure = report.tenure();
             ownTick = report.tick();
-            reportingMicros = nowMicros - ownMicros > rules.deafMicros() ? nowMicros : reportingMicros;
+            reportingMicros =
+                    nowMicros - ownMicros > rules.deafMicros() ? nowMicros : reportingMicros;
             ownMicros = nowMicros;
             return true;
         }
-        return report.tenure() == ownTenure && report.tick() == ownTick && nowMicros - ownMicros <= rules.answerMicros();
+        return report.tenure() == ownTenure
+                && report.tick() == ownTick
+                && nowMicros - ownMicros <= rules.answerMicros();
     }
 
     /** True while a token is out that the worker should have heard by now: it gets no new work. */
@@ -190,9 +225,13 @@
         return unheardMicros != NEVER && nowMicros - unheardMicros > rules.freshMicros();
     }
 
-    /** True for a worker that goes on reporting, though nothing that we say has reached it for a while. */
+    /**
+     * True for a worker that goes on reporting, though nothing that we say has reached it for a
+     * while.
+     */
     public boolean deaf(long nowMicros) {
-        return unheardMicros != NEVER && ownMicros - Math.max(unheardMicros, reportingMicros) > rules.deafMicros()
+        return unheardMicros != NEVER
+                && ownMicros - Math.max(unheardMicros, reportingMicros) > rules.deafMicros()
                 && reports(nowMicros);
     }
 
@@ -201,7 +240,10 @@
         return nowMicros - ownMicros <= rules.deafMicros();
     }
 
-    /** For how long it has reported without having heard what it should have; 0 for a worker that hears. */
+    /**
+     * For how long it has reported without having heard what it should have; 0 for a worker that
+     * hears.
+     */
     public long unheardFor(long nowMicros) {
         return unheardMicros == NEVER ? 0 : nowMicros - Math.max(unheardMicros, reportingMicros);
     }
--- a/src/main/java/org/woadloom/core/jobs/Arrivals.java
+++ b/src/main/java/org/woadloom/core/jobs/Arrivals.java
@@ -3,7 +3,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How much room the latest jobs asked for: what comes next is likely no larger than most of them. */
+/**
+ * How much room the latest jobs asked for: what comes next is likely no larger than most of them.
+ */
 public final class Arrivals {
     private static final int KEPT = 20;
     private static final int KEPT_OF_A_CLASS = 60;
@@ -20,10 +22,15 @@
         if (!job.description.service()) {
             batch.add(job);
         }
-        byClass.computeIfAbsent(job.description.jobclass(), name -> new RecentSizes(KEPT_OF_A_CLASS)).add(job);
+        byClass.computeIfAbsent(
+                        job.description.jobclass(), name -> new RecentSizes(KEPT_OF_A_CLASS))
+                .add(job);
     }
 
-    /** What nine in ten of the latest jobs did not exceed, replicas apart; 0 as long as there was none. */
+    /**
+     * What nine in ten of the latest jobs did not exceed, replicas apart; 0 as long as there was
+     * none.
+     */
     public long large() {
         return batch.large();
     }
--- a/src/main/java/org/woadloom/core/jobs/Job.java
+++ b/src/main/java/org/woadloom/core/jobs/Job.java
@@ -29,43 +29,70 @@
     public final TeamUse team;
     public final long submittedWallMicros;
     public final long submittedMicros;
-    /** From when on the job's times count, its deadline apart: its submission, or when the last job before it was done. */
+
+    /**
+     * From when on the job's times count, its deadline apart: its submission, or when the last job
+     * before it was done.
+     */
     private long sinceMicros;
-    /** When the last job before it was done by the time of day, 0 where it waits still or waited for none. */
+
+    /**
+     * When the last job before it was done by the time of day, 0 where it waits still or waited for
+     * none.
+     */
     private long readyWallMicros;
+
     /** Must not start: a job before it is not known to be done. */
     private boolean waiting;
+
     /** Its own rank, or a higher one of a job that needs it. */
     private Rank rank;
-    /** By when it has to be done for itself, or for the jobs that need it; {@link Long#MAX_VALUE} for no such time. */
+
+    /**
+     * By when it has to be done for itself, or for the jobs that need it; {@link Long#MAX_VALUE}
+     * for no such time.
+     */
     private long dueMicros;
+
     private int descriptionSize;
+
     /** Tasks that are done: a subset of this may not be durable yet. */
     public final BitSet done;
+
     private int doneCount;
     public final Recording recording;
+
     /** Done or placed: what is clear here is pending. */
     private final BitSet taken = new BitSet();
+
     private int takenCount;
     private final Int2ObjectHashMap<Placement> placements = new Int2ObjectHashMap<>();
     private final Map<String, Integer> perYard = new LinkedHashMap<>();
     public boolean cancelled;
+
     /** The job was cancelled at this moment or later. */
     public long cancelledSinceMicros = Long.MIN_VALUE;
+
     /** The final state is in the store, and the job is no longer among those of the core. */
     public boolean finished;
+
     /** Fits into the team's guarantee together with the team's earlier jobs. */
     public boolean guaranteed;
+
     public int failures;
     private long firstPlacedMicros = NEVER_MICROS;
     private int preemptions;
     private long preemptedMicros = Long.MIN_VALUE / 2;
     public long notBeforeMicros;
+
     /** Machines on which tasks of the job ended with an error. */
     public final Set<String> failedOn = new LinkedHashSet<>();
 
-    /** @param unrecorded where the job puts itself when its record needs anything */
-    public Job(JobRecord record, long stamp, TeamUse team, long submittedMicros, Set<Job> unrecorded) {
+    /**
+     * @param unrecorded where the job puts itself when its record needs anything
+     */
+    public Job(
+            JobRecord record, long stamp, TeamUse team, long submittedMicros, Set<Job> unrecorded) {
         this.description = record.description();
         this.room = Room.of(record.description());
         this.team = team;
@@ -79,14 +106,18 @@
         this.doneCount = done.cardinality();
         this.readyWallMicros = record.readyWallMicros();
         this.waiting = !record.description().awaits().isEmpty();
-        this.sinceMicros = readyWallMicros == 0 ? submittedMicros
-                : submittedMicros + Math.max(0, readyWallMicros - submittedWallMicros);
+        this.sinceMicros =
+                readyWallMicros == 0
+                        ? submittedMicros
+                        : submittedMicros + Math.max(0, readyWallMicros - submittedWallMicros);
         this.rank = description.rank();
         this.dueMicros = ownDueMicros();
     }
 
     long ownDueMicros() {
-        return description.dueS() == null ? Long.MAX_VALUE : submittedMicros + (long) (description.dueS() * 1e6);
+        return description.dueS() == null
+                ? Long.MAX_VALUE
+                : submittedMicros + (long) (description.dueS() * 1e6);
     }
 
     /** True while the job must not start: it is queued, holds no room and asks for none. */
@@ -118,16 +149,21 @@
         if (nowMicros == preemptedMicros) {
             return;
         }
-        preemptions = nowMicros - preemptedMicros > PREEMPTION_MEMORY_MICROS ? 1 : Math.min(preemptions + 1, 3);
+        preemptions =
+                nowMicros - preemptedMicros > PREEMPTION_MEMORY_MICROS
+                        ? 1
+                        : Math.min(preemptions + 1, 3);
         preemptedMicros = nowMicros;
     }
 
     /**
-     * True for a while after tasks were stopped for others, longer each time: started again in whatever hole there is, they
-     * would be stopped again for the next job of a higher rank, dozens of times.
+     * True for a while after tasks were stopped for others, longer each time: started again in
+     * whatever hole there is, they would be stopped again for the next job of a higher rank, dozens
+     * of times.
      */
     public boolean backsOff(long nowMicros) {
-        return preemptions > 0 && nowMicros - preemptedMicros < PREEMPTION_BACKOFF_MICROS << preemptions;
+        return preemptions > 0
+                && nowMicros - preemptedMicros < PREEMPTION_BACKOFF_MICROS << preemptions;
     }
 
     /** What the jobs that need this one ask of it. */
@@ -153,7 +189,9 @@
         return !description.service() && doneCount == description.shards();
     }
 
-    /** How long the description is in the compact format, about: it is in every record of the job. */
+    /**
+     * How long the description is in the compact format, about: it is in every record of the job.
+     */
     public int descriptionSize() {
         if (descriptionSize == 0) {
             descriptionSize = Cbor.jsonSize(description.released().toMap());
@@ -170,7 +208,10 @@
         return placements.values();
     }
 
-    /** When a task of the job was first placed, as far as this leader knows; {@link #NEVER_MICROS} for never. */
+    /**
+     * When a task of the job was first placed, as far as this leader knows; {@link #NEVER_MICROS}
+     * for never.
+     */
     public long firstPlacedMicros() {
         return firstPlacedMicros;
     }
@@ -222,8 +263,12 @@
             throw new IllegalStateException("job " + uid() + " waits for others");
         }
         if (firstPlacedMicros == NEVER_MICROS) {
-            // An earlier leader placed what is inherited: when is not known, and it is not said to have waited until now.
-            firstPlacedMicros = placement.stage == Placement.Stage.INHERITED ? sinceMicros : placement.placedMicros;
+            // An earlier leader placed what is inherited: when is not known, and it is not said to
+            // have waited until now.
+            firstPlacedMicros =
+                    placement.stage == Placement.Stage.INHERITED
+                            ? sinceMicros
+                            : placement.placedMicros;
         }
         placements.put(placement.index, placement);
         take(placement.index);
@@ -241,7 +286,8 @@
             taken.clear(placement.index);
             takenCount--;
         }
-        perYard.computeIfPresent(placement.machine.yard, (yard, count) -> count == 1 ? null : count - 1);
+        perYard.computeIfPresent(
+                placement.machine.yard, (yard, count) -> count == 1 ? null : count - 1);
         placement.machine.remove(placement);
         team.subtract(room);
     }
@@ -249,7 +295,8 @@
     /** Placements whose record has become durable may be launched. */
     public void release() {
         for (Placement placement : placements.values()) {
-            if (placement.stage == Placement.Stage.PLANNED && placement.version <= recording.durable) {
+            if (placement.stage == Placement.Stage.PLANNED
+                    && placement.version <= recording.durable) {
                 placement.ready();
             }
         }
@@ -288,10 +335,21 @@
         List<Placement> ordered = new ArrayList<>(placements.values());
         ordered.sort((a, b) -> Integer.compare(a.index, b.index));
         for (Placement p : ordered) {
-            groups.computeIfAbsent(p.machine.host + " " + p.attempt,
-                    k -> new JobRecord.Placed(p.machine.host, p.attempt, new BitSet())).tasks().set(p.index);
+            groups.computeIfAbsent(
+                            p.machine.host + " " + p.attempt,
+                            k -> new JobRecord.Placed(p.machine.host, p.attempt, new BitSet()))
+                    .tasks()
+                    .set(p.index);
         }
-        return new JobRecord(waiting ? description : description.released(), submittedWallMicros, readyWallMicros, cancelled, (BitSet) done.clone(),
-                List.copyOf(groups.values()), running(), term, version);
+        return new JobRecord(
+                waiting ? description : description.released(),
+                submittedWallMicros,
+                readyWallMicros,
+                cancelled,
+                (BitSet) done.clone(),
+                List.copyOf(groups.values()),
+                running(),
+                term,
+                version);
     }
 }
--- a/src/main/java/org/woadloom/core/jobs/JobTable.java
+++ b/src/main/java/org/woadloom/core/jobs/JobTable.java
@@ -29,12 +29,16 @@
         for (JobRecord.Placed placed : record.placed()) {
             Machine machine = world.machines.get(placed.host());
             if (machine == null) {
-                // A machine's record is dropped only after its deletion was answered, so nothing is left there.
+                // A machine's record is dropped only after its deletion was answered, so nothing is
+                // left there.
                 job.recording.needs(Recording.Need.OUTCOME);
                 continue;
             }
-            for (int i = placed.tasks().nextSetBit(0); i >= 0; i = placed.tasks().nextSetBit(i + 1)) {
-                Placement placement = new Placement(job, i, machine, placed.attempt(), 0, world.nowMicros);
+            for (int i = placed.tasks().nextSetBit(0);
+                    i >= 0;
+                    i = placed.tasks().nextSetBit(i + 1)) {
+                Placement placement =
+                        new Placement(job, i, machine, placed.attempt(), 0, world.nowMicros);
                 placement.stage = Placement.Stage.INHERITED;
                 job.add(placement);
                 if (job.over() || job.done.get(i)) {
@@ -84,7 +88,10 @@
         }
     }
 
-    /** A record that can't be read is damaged: what this leader knows of the job is written in its place. */
+    /**
+     * A record that can't be read is damaged: what this leader knows of the job is written in its
+     * place.
+     */
     public void unread(Command.JobUnread unread) {
         Job job = world.jobs.get(unread.uid());
         if (job == null || unread.stamp() < job.recording.stamp) {
@@ -102,7 +109,10 @@
         }
     }
 
-    /** Users may hear that these are cancelled; the records, on whose stamps all else depends, are read when they can be. */
+    /**
+     * Users may hear that these are cancelled; the records, on whose stamps all else depends, are
+     * read when they can be.
+     */
     public void told(List<String> uids) {
         for (String uid : uids) {
             Job job = world.jobs.get(uid);
@@ -113,9 +123,9 @@
     }
 
     /**
-     * The record is gone: by a final write of ours without an answer, most likely, or it was damaged and a cancellation's
-     * final state took its place. What waits for the job must not start on a guess, and what may be on machines counts
-     * until it is not.
+     * The record is gone: by a final write of ours without an answer, most likely, or it was
+     * damaged and a cancellation's final state took its place. What waits for the job must not
+     * start on a guess, and what may be on machines counts until it is not.
      */
     public void missing(String uid) {
         Job job = world.jobs.get(uid);
@@ -127,7 +137,10 @@
         if (job.placements().isEmpty()) {
             finished(job, false);
         } else {
-            world.log(LogEntry.info(LogEvent.JOB_ENDED_ELSEWHERE).with("job", uid).with("tasks", job.placements().size()));
+            world.log(
+                    LogEntry.info(LogEvent.JOB_ENDED_ELSEWHERE)
+                            .with("job", uid)
+                            .with("tasks", job.placements().size()));
             job.cancelled = true;
             job.recording.replaced();
             world.placementWorthTrying = true;
@@ -135,8 +148,9 @@
     }
 
     /**
-     * The job's final state is in the store. A late hint can bring back a job that is over; what was planned for it then
-     * was never launched, as its record can't be written, and must not go on counting.
+     * The job's final state is in the store. A late hint can bring back a job that is over; what
+     * was planned for it then was never launched, as its record can't be written, and must not go
+     * on counting.
      *
      * @param known false if only the store knows whether it was done or cancelled
      */
@@ -152,14 +166,23 @@
     }
 
     private void logAccepted(JobDescription job) {
-        world.log(LogEntry.info(LogEvent.JOB_ACCEPTED).with("job", job.uid()).with("team", job.crew()).with("tasks", job.shards())
-                .with("class", job.jobclass()).with("cpus", job.vcpus()).with("estimate_s", job.runtimeS()));
+        world.log(
+                LogEntry.info(LogEvent.JOB_ACCEPTED)
+                        .with("job", job.uid())
+                        .with("team", job.crew())
+                        .with("tasks", job.shards())
+                        .with("class", job.jobclass())
+                        .with("cpus", job.vcpus())
+                        .with("estimate_s", job.runtimeS()));
     }
 
     private Job create(JobRecord record, long stamp) {
         TeamUse team = world.teams.get(record.description().crew());
         if (team == null) {
-            world.log(LogEntry.info(LogEvent.JOB_TEAM_UNKNOWN).with("job", record.description().uid()).with("team", record.description().crew()));
+            world.log(
+                    LogEntry.info(LogEvent.JOB_TEAM_UNKNOWN)
+                            .with("job", record.description().uid())
+                            .with("team", record.description().crew()));
             return null;
         }
         long age = Math.max(0, world.wallMicros - record.submittedWallMicros());
--- a/src/main/java/org/woadloom/core/jobs/Pipelines.java
+++ b/src/main/java/org/woadloom/core/jobs/Pipelines.java
@@ -16,26 +16,37 @@
 import org.woadloom.wire.Rank;
 
 /**
- * Jobs that wait for others. A job is let go once each job before it is <em>durably</em> done: a final state in the store,
- * or a record that says all done and was acknowledged. That this leader knows a job no more proves nothing, so the store is
- * asked. If a job before it is cancelled, so is the job, and whatever waits for it.
+ * Jobs that wait for others. A job is let go once each job before it is <em>durably</em> done: a
+ * final state in the store, or a record that says all done and was acknowledged. That this leader
+ * knows a job no more proves nothing, so the store is asked. If a job before it is cancelled, so is
+ * the job, and whatever waits for it.
  */
 public final class Pipelines {
     private static final int MOST_FINDS = 12;
     private static final long FIND_AGAIN_MICROS = 500_000;
 
     private final World world;
+
     /** The jobs that wait for each job, in the order in which they came. */
     private final Map<String, Set<Job>> waiters = new LinkedHashMap<>();
+
     /** For each waiting job, those before it that are not known to be done. */
     private final Map<Job, Set<String>> missing = new LinkedHashMap<>();
+
     /** By the time of day, when the last job before a waiting job was done as far as known. */
     private final Map<Job, Long> lastDone = new HashMap<>();
+
     /** Jobs the store is to be asked about, and when. */
     private final Map<String, Long> unknown = new LinkedHashMap<>();
+
     private final Set<String> asked = new LinkedHashSet<>();
-    /** Cancelled jobs whose waiters are to be cancelled as well: a list, so that no chain is too long. */
+
+    /**
+     * Cancelled jobs whose waiters are to be cancelled as well: a list, so that no chain is too
+     * long.
+     */
     private final ArrayDeque<String> cancelled = new ArrayDeque<>();
+
     private boolean changed;
 
     public Pipelines(World world) {
@@ -61,8 +72,10 @@
         }
         changed = true;
         missing.put(job, new LinkedHashSet<>(job.description.awaits()));
-        world.log(LogEntry.info(LogEvent.JOB_BLOCKED).with("job", job.uid())
-                .with("dependencies", String.join(",", job.description.awaits())));
+        world.log(
+                LogEntry.info(LogEvent.JOB_BLOCKED)
+                        .with("job", job.uid())
+                        .with("dependencies", String.join(",", job.description.awaits())));
         for (String before : job.description.awaits()) {
             waiters.computeIfAbsent(before, uid -> new LinkedHashSet<>()).add(job);
             Job other = world.jobs.get(before);
@@ -152,7 +165,12 @@
             return;
         }
         switch (found.standing()) {
-            case DONE -> done(uid, found.overWallMicros() == 0 ? world.wallMicros : found.overWallMicros());
+            case DONE ->
+                    done(
+                            uid,
+                            found.overWallMicros() == 0
+                                    ? world.wallMicros
+                                    : found.overWallMicros());
             case CANCELLED -> cancelled(uid);
             case OPEN, NOT_FOUND, UNREADABLE -> {
                 if (!world.jobs.containsKey(uid)) {
@@ -162,7 +180,10 @@
         }
     }
 
-    /** Cancels what must be, asks for what is not known, and has jobs inherit from those that need them. */
+    /**
+     * Cancels what must be, asks for what is not known, and has jobs inherit from those that need
+     * them.
+     */
     public void review() {
         while (!cancelled.isEmpty()) {
             String uid = cancelled.poll();
@@ -170,7 +191,10 @@
                 if (!job.cancelled) {
                     job.cancelled = true;
                     job.recording.needs(Recording.Need.LAUNCH);
-                    world.log(LogEntry.info(LogEvent.DEPENDENT_JOB_CANCELLED).with("job", job.uid()).with("dependency", uid));
+                    world.log(
+                            LogEntry.info(LogEvent.DEPENDENT_JOB_CANCELLED)
+                                    .with("job", job.uid())
+                                    .with("dependency", uid));
                 }
                 forget(job);
                 if (waiters.containsKey(job.uid())) {
@@ -205,8 +229,9 @@
     }
 
     /**
-     * Each job gets the highest rank, and the earliest time by which it must be done, of all that need it: priority
-     * inheritance, and the latest start on the longest path that remains. From what waits last to what comes first.
+     * Each job gets the highest rank, and the earliest time by which it must be done, of all that
+     * need it: priority inheritance, and the latest start on the longest path that remains. From
+     * what waits last to what comes first.
      */
     private void inherit() {
         Map<String, Rank> ranks = new HashMap<>();
@@ -215,10 +240,13 @@
         while (!open.isEmpty()) {
             Job job = open.poll();
             Rank inherited = ranks.get(job.uid());
-            Rank rank = inherited != null && inherited.compareTo(job.description.rank()) > 0 ? inherited
-                    : job.description.rank();
+            Rank rank =
+                    inherited != null && inherited.compareTo(job.description.rank()) > 0
+                            ? inherited
+                            : job.description.rank();
             long due = Math.min(job.ownDueMicros(), dues.getOrDefault(job.uid(), Long.MAX_VALUE));
-            long start = due == Long.MAX_VALUE ? due : due - (long) (job.description.runtimeS() * 1e6);
+            long start =
+                    due == Long.MAX_VALUE ? due : due - (long) (job.description.runtimeS() * 1e6);
             for (String before : missing.get(job)) {
                 boolean higher = ranks.get(before) == null || ranks.get(before).compareTo(rank) < 0;
                 boolean sooner = dues.getOrDefault(before, Long.MAX_VALUE) > start;
@@ -234,7 +262,8 @@
             }
         }
         for (Job job : world.jobs.values()) {
-            job.inherit(ranks.getOrDefault(job.uid(), job.description.rank()),
+            job.inherit(
+                    ranks.getOrDefault(job.uid(), job.description.rank()),
                     dues.getOrDefault(job.uid(), Long.MAX_VALUE));
         }
         world.placementWorthTrying = true;
--- a/src/main/java/org/woadloom/core/jobs/Placement.java
+++ b/src/main/java/org/woadloom/core/jobs/Placement.java
@@ -5,8 +5,8 @@
 import org.woadloom.wire.TaskReport;
 
 /**
- * A task that is, or may be, on a machine under one attempt. It counts for everything from the moment it is decided
- * until there is proof that the attempt is not there and never will be.
+ * A task that is, or may be, on a machine under one attempt. It counts for everything from the
+ * moment it is decided until there is proof that the attempt is not there and never will be.
  */
 public final class Placement {
     /** How far the launch has come. */
@@ -31,23 +31,30 @@
     public final int index;
     public final Machine machine;
     public final long attempt;
+
     /** The version of the job's record that first names this placement. */
     public final long version;
+
     public final long placedMicros;
     public Stage stage = Stage.PLANNED;
+
     /** The token under which the last launch was sent. */
     public long sentToken;
+
     public long answeredTick;
     public TaskReport.State seen;
+
     /** The last message that listed it. */
     public long listedIn;
+
     public long runningSinceMicros = -1;
     private final TaskId task;
     private boolean halting;
     public long haltSentMicros = -1;
     public double windDownS;
 
-    public Placement(Job job, int index, Machine machine, long attempt, long version, long nowMicros) {
+    public Placement(
+            Job job, int index, Machine machine, long attempt, long version, long nowMicros) {
         this.job = job;
         this.index = index;
         this.machine = machine;
--- a/src/main/java/org/woadloom/core/jobs/Recorder.java
+++ b/src/main/java/org/woadloom/core/jobs/Recorder.java
@@ -10,7 +10,10 @@
 import org.woadloom.core.World;
 import org.woadloom.state.FinalRecord;
 
-/** Keeps the jobs' durable records up with what the core knows; one write of a job is under way at a time. */
+/**
+ * Keeps the jobs' durable records up with what the core knows; one write of a job is under way at a
+ * time.
+ */
 public final class Recorder {
     private static final long PHASE_MICROS = 1_000_000;
     private static final long OUTCOME_MICROS = 250_000;
@@ -20,10 +23,18 @@
     /** How much sooner than by its turn a launch is written. */
     private static final long LAUNCH_AHEAD_MICROS = 2_000_000;
 
-    /** Ends and cancellations first, then what was written longest ago, launches with a start: no completion starves. */
-    private static final Comparator<Job> ORDER = Comparator.comparing((Job job) -> !job.over())
-            .thenComparingLong(job -> job.recording.lastWriteMicros
-                    - (job.recording.need == Recording.Need.LAUNCH ? LAUNCH_AHEAD_MICROS : 0));
+    /**
+     * Ends and cancellations first, then what was written longest ago, launches with a start: no
+     * completion starves.
+     */
+    private static final Comparator<Job> ORDER =
+            Comparator.comparing((Job job) -> !job.over())
+                    .thenComparingLong(
+                            job ->
+                                    job.recording.lastWriteMicros
+                                            - (job.recording.need == Recording.Need.LAUNCH
+                                                    ? LAUNCH_AHEAD_MICROS
+                                                    : 0));
 
     private final World world;
     private final JobTable table;
@@ -36,7 +47,11 @@
     public void emitWrites() {
         List<Job> due = new ArrayList<>();
         List<Job> gone = new ArrayList<>();
-        world.unrecorded.removeIf(job -> job.finished || job.recording.need == Recording.Need.NONE && !job.recording.reading);
+        world.unrecorded.removeIf(
+                job ->
+                        job.finished
+                                || job.recording.need == Recording.Need.NONE
+                                        && !job.recording.reading);
         for (Job job : world.unrecorded) {
             Recording recording = job.recording;
             if (recording.gone()) {
@@ -75,17 +90,29 @@
             world.writes.job(2);
             recording.finishing = true;
             long version = recording.begin(world.nowMicros, job.allDone());
-            world.emit(new Effect.FinishJob(new FinalRecord(job.uid(), job.cancelled, job.done.cardinality(),
-                    world.wallMicros, job.description.service()), recording.stamp, version));
+            world.emit(
+                    new Effect.FinishJob(
+                            new FinalRecord(
+                                    job.uid(),
+                                    job.cancelled,
+                                    job.done.cardinality(),
+                                    world.wallMicros,
+                                    job.description.service()),
+                            recording.stamp,
+                            version));
         } else {
             world.writes.job(1);
             boolean urgent = recording.need == Recording.Need.LAUNCH;
             long version = recording.begin(world.nowMicros, job.allDone());
-            world.emit(new Effect.PutJob(job.toRecord(world.term, version), recording.stamp, urgent));
+            world.emit(
+                    new Effect.PutJob(job.toRecord(world.term, version), recording.stamp, urgent));
         }
     }
 
-    /** Outcomes and phases are gathered for a while; whatever the budget does not allow yet is written later, as one. */
+    /**
+     * Outcomes and phases are gathered for a while; whatever the budget does not allow yet is
+     * written later, as one.
+     */
     private boolean due(Job job) {
         long since = world.nowMicros - job.recording.lastWriteMicros;
         return switch (job.recording.need) {
@@ -109,13 +136,19 @@
                 job.release();
                 table.doneDurably(job);
                 if (finishing) {
-                    world.log(LogEntry.info(job.cancelled ? LogEvent.JOB_CANCELLED : LogEvent.JOB_DONE).with("job", job.uid()));
+                    world.log(
+                            LogEntry.info(
+                                            job.cancelled
+                                                    ? LogEvent.JOB_CANCELLED
+                                                    : LogEvent.JOB_DONE)
+                                    .with("job", job.uid()));
                     table.finished(job, true);
                 }
             }
             case CONFLICT, UNKNOWN -> {
                 if (recording.writing == result.version()) {
-                    // Nothing may be concluded from a write without an answer: read before the next one.
+                    // Nothing may be concluded from a write without an answer: read before the next
+                    // one.
                     recording.reading = true;
                     recording.readSent = false;
                     world.unrecorded.add(job);
@@ -135,8 +168,9 @@
     }
 
     /**
-     * The record as it is can't be stored. What was planned for it and never sent is taken back; what else it should say
-     * waits until tasks have ended and it is shorter: the stored one names at least as much as there is.
+     * The record as it is can't be stored. What was planned for it and never sent is taken back;
+     * what else it should say waits until tasks have ended and it is shorter: the stored one names
+     * at least as much as there is.
      */
     private void tooLarge(Job job) {
         job.recording.refused(world.nowMicros + TOO_LARGE_MICROS);
@@ -149,7 +183,10 @@
         }
         job.notBeforeMicros = Math.max(job.notBeforeMicros, world.nowMicros + TOO_LARGE_MICROS);
         world.placementWorthTrying = true;
-        world.log(LogEntry.info(LogEvent.JOB_RECORD_TOO_LARGE).with("job", job.uid()).with("waiting_tasks", planned));
+        world.log(
+                LogEntry.info(LogEvent.JOB_RECORD_TOO_LARGE)
+                        .with("job", job.uid())
+                        .with("waiting_tasks", planned));
     }
 
     /** A read that got no answer is sent again. */
--- a/src/main/java/org/woadloom/core/jobs/Recording.java
+++ b/src/main/java/org/woadloom/core/jobs/Recording.java
@@ -3,31 +3,53 @@
 /** How a job's durable record stands against what the core knows. */
 public final class Recording {
     /** What a change needs: the more urgent a change, the sooner it is written. */
-    public enum Need { NONE, PHASE, OUTCOME, LAUNCH }
+    public enum Need {
+        NONE,
+        PHASE,
+        OUTCOME,
+        LAUNCH
+    }
 
     private final Runnable needed;
+
     /** The record's stamp as far as known. */
     public long stamp;
+
     /** Versions up to this one are durable. */
     public long durable;
+
     /** The first version in which all tasks are done, 0 while there is none. */
     private long doneVersion;
+
     /** The version that is being written, 0 for none. */
     public long writing;
+
     private long next = 1;
     public Need need = Need.NONE;
     private boolean readDone;
-    /** The answer to a write was lost or it met a conflict: the record must be read before the next write. */
+
+    /**
+     * The answer to a write was lost or it met a conflict: the record must be read before the next
+     * write.
+     */
     public boolean reading;
+
     public boolean readSent;
     public long lastWriteMicros = Long.MIN_VALUE / 2;
     public long retryMicros;
-    /** There is none any more, and the final state that took its place is not this leader's: nothing is written. */
+
+    /**
+     * There is none any more, and the final state that took its place is not this leader's: nothing
+     * is written.
+     */
     private boolean gone;
+
     /** The final state is being written or is written. */
     public boolean finishing;
 
-    /** @param needed hears when the record needs anything */
+    /**
+     * @param needed hears when the record needs anything
+     */
     Recording(long stamp, Runnable needed) {
         this.stamp = stamp;
         this.needed = needed;
@@ -55,7 +77,9 @@
         return writing;
     }
 
-    /** The write was not executed; what it held is still to be written, not before the given time. */
+    /**
+     * The write was not executed; what it held is still to be written, not before the given time.
+     */
     void refused(long againMicros) {
         writing = 0;
         finishing = false;
@@ -63,7 +87,10 @@
         retryMicros = againMicros;
     }
 
-    /** The record was read after a write without a clear outcome: everything is written again on its stamp. */
+    /**
+     * The record was read after a write without a clear outcome: everything is written again on its
+     * stamp.
+     */
     void readAgain() {
         reading = false;
         readSent = false;
--- a/src/main/java/org/woadloom/core/machines/Contact.java
+++ b/src/main/java/org/woadloom/core/machines/Contact.java
@@ -12,10 +12,11 @@
 import org.woadloom.core.jobs.Placement;
 
 /**
- * Looks after workers that are out of touch. One that is deaf (it reports, and nothing reaches it) or in doubt gets no more
- * launches: what was meant for it goes elsewhere. One that is silent is spoken to directly, a few at a time: an answer tells
- * that it lives, and one that reports to a controller that has lost everybody else learns of the present token that way,
- * which that controller then can't help hearing of.
+ * Looks after workers that are out of touch. One that is deaf (it reports, and nothing reaches it)
+ * or in doubt gets no more launches: what was meant for it goes elsewhere. One that is silent is
+ * spoken to directly, a few at a time: an answer tells that it lives, and one that reports to a
+ * controller that has lost everybody else learns of the present token that way, which that
+ * controller then can't help hearing of.
  */
 public final class Contact {
     private static final int MOST_PROBES = 16;
@@ -31,7 +32,8 @@
     }
 
     public void review() {
-        probed.removeIf(machine -> machine.sendInFlight == 0 && !machine.greetingDue() || machine.deleted);
+        probed.removeIf(
+                machine -> machine.sendInFlight == 0 && !machine.greetingDue() || machine.deleted);
         List<Machine> silent = new ArrayList<>();
         for (Machine machine : world.machines.values()) {
             if (machine.deleted) {
@@ -54,7 +56,10 @@
         return deaf.size();
     }
 
-    /** What was never sent can go elsewhere; the worker may come to hear again at any time, and nobody waits for it. */
+    /**
+     * What was never sent can go elsewhere; the worker may come to hear again at any time, and
+     * nobody waits for it.
+     */
     private void takeBack(Machine machine) {
         for (Placement placement : machine.snapshot()) {
             if (placement.neverSent()) {
@@ -67,19 +72,31 @@
         Hearing hearing = machine.hearing;
         if (hearing.deaf(world.nowMicros)) {
             if (deaf.add(machine.host)) {
-                world.log(LogEntry.info(LogEvent.MACHINE_UNREACHABLE).with("machine", machine.host).with("zone", machine.yard)
-                        .withSeconds("unacknowledged_s", hearing.unheardFor(world.nowMicros)));
+                world.log(
+                        LogEntry.info(LogEvent.MACHINE_UNREACHABLE)
+                                .with("machine", machine.host)
+                                .with("zone", machine.yard)
+                                .withSeconds(
+                                        "unacknowledged_s", hearing.unheardFor(world.nowMicros)));
             }
         } else if (!deaf.isEmpty() && hearing.heardToken() && deaf.remove(machine.host)) {
-            world.log(LogEntry.info(LogEvent.MACHINE_REACHABLE).with("machine", machine.host).with("zone", machine.yard));
+            world.log(
+                    LogEntry.info(LogEvent.MACHINE_REACHABLE)
+                            .with("machine", machine.host)
+                            .with("zone", machine.yard));
         }
     }
 
-    /** Out of touch although it was there: by its own word to this leader, or by what earlier ones have recorded. */
+    /**
+     * Out of touch although it was there: by its own word to this leader, or by what earlier ones
+     * have recorded.
+     */
     private boolean silent(Machine machine) {
         boolean known = machine.heard() || machine.upRecorded || !machine.empty();
         long since = Math.max(machine.hearing.reportedMicros(), world.startedMicros);
-        return known && !machine.leaving && !machine.addr.isEmpty()
+        return known
+                && !machine.leaving
+                && !machine.addr.isEmpty()
                 && world.nowMicros - since > world.hearingRules.freshMicros();
     }
 
@@ -89,7 +106,8 @@
         }
         silent.sort(Comparator.comparingLong((Machine machine) -> machine.probedMicros));
         for (Machine machine : silent) {
-            if (probed.size() >= MOST_PROBES || world.nowMicros - machine.probedMicros < world.settings.leaseMicros() / 2) {
+            if (probed.size() >= MOST_PROBES
+                    || world.nowMicros - machine.probedMicros < world.settings.leaseMicros() / 2) {
                 return;
             }
             if (machine.sendInFlight == 0 && machine.directWorks(world.nowMicros)) {
--- a/src/main/java/org/woadloom/core/machines/Directs.java
+++ b/src/main/java/org/woadloom/core/machines/Directs.java
@@ -25,8 +25,7 @@
     private final Map<Long, Sent> sent = new HashMap<>();
 
     /** What went out with a command, and when. */
-    private record Sent(List<Placement> launches, long atMicros) {
-    }
+    private record Sent(List<Placement> launches, long atMicros) {}
 
     public Directs(World world, Reports reports, Losses losses) {
         this.world = world;
@@ -38,7 +37,9 @@
         for (Machine machine : List.copyOf(world.attentive)) {
             if (machine.deleted) {
                 world.attentive.remove(machine);
-            } else if (machine.sendInFlight == 0 && !machine.addr.isEmpty() && machine.directWorks(world.nowMicros)
+            } else if (machine.sendInFlight == 0
+                    && !machine.addr.isEmpty()
+                    && machine.directWorks(world.nowMicros)
                     && machine.hearing.tenure() >= machine.hearing.leastTenure()) {
                 send(machine);
             }
@@ -58,10 +59,14 @@
                 if (placement.stage == Stage.READY && !placement.halting()) {
                     orders.add(Order.launch(placement.task(), placement.attempt));
                     launches.add(placement);
-                } else if (placement.halting() && !placement.neverSent() && placement.haltSentMicros < 0) {
+                } else if (placement.halting()
+                        && !placement.neverSent()
+                        && placement.haltSentMicros < 0) {
                     placement.haltSentMicros = world.nowMicros;
                     // Halts come first, so that the room they free is there for the launches.
-                    orders.add(0, Order.halt(placement.task(), placement.attempt, placement.windDownS));
+                    orders.add(
+                            0,
+                            Order.halt(placement.task(), placement.attempt, placement.windDownS));
                 }
             }
         }
@@ -79,8 +84,14 @@
             placement.sentToken = machine.hearing.token();
         }
         sent.put(id, new Sent(launches, world.nowMicros));
-        world.emit(new Effect.SendDirect(id, machine.host, machine.addr, machine.hearing.issue(world.nowMicros),
-                machine.hearing.tenure(), orders));
+        world.emit(
+                new Effect.SendDirect(
+                        id,
+                        machine.host,
+                        machine.addr,
+                        machine.hearing.issue(world.nowMicros),
+                        machine.hearing.tenure(),
+                        orders));
     }
 
     public void result(Command.DirectResult result) {
@@ -113,7 +124,8 @@
                     machine.greet();
                 }
             }
-            machine.directAgainMicros = world.nowMicros + (result.status() == 409 ? 100_000 : PAUSE_MICROS);
+            machine.directAgainMicros =
+                    world.nowMicros + (result.status() == 409 ? 100_000 : PAUSE_MICROS);
         } else {
             unanswered(machine, launches);
         }
@@ -130,10 +142,16 @@
         }
     }
 
-    /** The launches may be executed minutes late; a raised token makes the worker refuse them from then on. */
+    /**
+     * The launches may be executed minutes late; a raised token makes the worker refuse them from
+     * then on.
+     */
     private void unanswered(Machine machine, List<Placement> launches) {
-        machine.directAgainMicros = world.nowMicros + (machine.hearing.deaf(world.nowMicros)
-                ? world.settings.leaseMicros() / 2 : PAUSE_MICROS);
+        machine.directAgainMicros =
+                world.nowMicros
+                        + (machine.hearing.deaf(world.nowMicros)
+                                ? world.settings.leaseMicros() / 2
+                                : PAUSE_MICROS);
         for (Placement placement : launches) {
             if (placement.stage == Stage.SENT) {
                 placement.stage = Stage.UNANSWERED;
@@ -142,8 +160,10 @@
         if (!launches.isEmpty()) {
             machine.hearing.raiseFence();
             machine.greet();
-            world.log(LogEntry.info(LogEvent.DIRECT_COMMAND_UNANSWERED).with("machine", machine.host)
-                    .with("starts", launches.size()));
+            world.log(
+                    LogEntry.info(LogEvent.DIRECT_COMMAND_UNANSWERED)
+                            .with("machine", machine.host)
+                            .with("starts", launches.size()));
         }
         for (Placement placement : machine.placements()) {
             placement.haltSentMicros = -1;
--- a/src/main/java/org/woadloom/core/machines/ImageCache.java
+++ b/src/main/java/org/woadloom/core/machines/ImageCache.java
@@ -3,7 +3,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What a machine's image cache should hold: the most recently used images. A guess that only guides choices. */
+/**
+ * What a machine's image cache should hold: the most recently used images. A guess that only guides
+ * choices.
+ */
 public final class ImageCache {
     private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
 
--- a/src/main/java/org/woadloom/core/machines/Losses.java
+++ b/src/main/java/org/woadloom/core/machines/Losses.java
@@ -16,8 +16,12 @@
     }
 
     public void lost(Placement placement, String why) {
-        world.log(LogEntry.info(LogEvent.TASK_LOST).with("task", placement.task()).with("attempt", placement.attempt)
-                .with("machine", placement.machine.host).with("reason", why));
+        world.log(
+                LogEntry.info(LogEvent.TASK_LOST)
+                        .with("task", placement.task())
+                        .with("attempt", placement.attempt)
+                        .with("machine", placement.machine.host)
+                        .with("reason", why));
         gone(placement);
     }
 
--- a/src/main/java/org/woadloom/core/machines/Machine.java
+++ b/src/main/java/org/woadloom/core/machines/Machine.java
@@ -21,13 +21,16 @@
     public final String yard;
     public final boolean reclaimable;
     private final World world;
+
     /** What the worker has said, and whether it hears us. */
     public final Hearing hearing;
+
     public MachineType type;
     private Room size = Room.NONE;
     public String addr = "";
 
     public long lastAnsweredMicros = -1;
+
     /** When the cloud takes the machine away, or -1. */
     public long takenMicros = -1;
 
@@ -38,27 +41,40 @@
     public boolean reading;
     public boolean leavingRecorded;
     public long retryMicros;
+
     /** The stored record says that the worker was heard. */
     public boolean upRecorded;
+
     /** When the last write of the record began. */
     long writeBegunMicros = Long.MIN_VALUE / 2;
+
     /** The record as it is being written says so. */
     boolean upWriting;
+
     /** The record is to be written once more, as its form has changed. */
     public boolean rewrite;
-    /** When it was rented is known from the record, and not only since when this leader knows it. */
+
+    /**
+     * When it was rented is known from the record, and not only since when this leader knows it.
+     */
     public boolean lifeKnown;
 
     // Its coming and going.
     public final long knownSinceMicros;
-    /** It was rented, listed or recorded, or its worker was certainly there: more than a name in a report. */
+
+    /**
+     * It was rented, listed or recorded, or its worker was certainly there: more than a name in a
+     * report.
+     */
     private boolean confirmed;
+
     public long rentedMicros;
     public long idleSinceMicros;
     public boolean leaving;
     public boolean deleting;
     public boolean deleted;
     public boolean listedFailed;
+
     /** Given up while its lease may still run: it is deleted without being emptied. */
     public boolean abandoned;
 
@@ -66,6 +82,7 @@
     public long sendInFlight;
     public long directAgainMicros;
     private boolean greet;
+
     /** When it was last spoken to because it was silent. */
     long probedMicros = Hearing.NEVER;
 
@@ -75,10 +92,13 @@
     public final ImageCache images = new ImageCache();
     private final Map<TaskId, Placement> placements = new LinkedHashMap<>();
     private Room used = Room.NONE;
+
     /** What is in use taken from the size, or null after a change. */
     private Room room;
+
     /** How many tasks of each rank are here that have not been told to stop. */
     private final int[] byRank = new int[Rank.values().length];
+
     private int halting;
 
     public Machine(MachineRecord record, World world) {
@@ -94,8 +114,11 @@
         this.lifeKnown = record.life() != null;
         this.upRecorded = lifeKnown && record.life().up();
         // By another node's time of day, which may be ahead of ours.
-        this.rentedMicros = world.nowMicros
-                - (lifeKnown ? Math.max(0, world.wallMicros - record.life().rentedWallMicros()) : 0);
+        this.rentedMicros =
+                world.nowMicros
+                        - (lifeKnown
+                                ? Math.max(0, world.wallMicros - record.life().rentedWallMicros())
+                                : 0);
         this.idleSinceMicros = world.nowMicros;
     }
 
@@ -128,8 +151,17 @@
     }
 
     public MachineRecord toRecord() {
-        return new MachineRecord(host, hosttype, yard, reclaimable, leaving, world.machineLife
-                ? new MachineRecord.Life(world.wallMicros - (world.nowMicros - rentedMicros), heard() || upRecorded) : null);
+        return new MachineRecord(
+                host,
+                hosttype,
+                yard,
+                reclaimable,
+                leaving,
+                world.machineLife
+                        ? new MachineRecord.Life(
+                                world.wallMicros - (world.nowMicros - rentedMicros),
+                                heard() || upRecorded)
+                        : null);
     }
 
     /** True while a write that began at the given moment or before may still change the record. */
@@ -159,7 +191,10 @@
         return due;
     }
 
-    /** True once the worker has acknowledged a token of this term: no earlier leader can reach it any more. */
+    /**
+     * True once the worker has acknowledged a token of this term: no earlier leader can reach it
+     * any more.
+     */
     public boolean acknowledged() {
         return hearing.acknowledged();
     }
@@ -173,7 +208,10 @@
         return acknowledged() && hearing.tenure() >= hearing.leastTenure();
     }
 
-    /** True unless a direct command went unanswered just now; launches go in answers to reports then. */
+    /**
+     * True unless a direct command went unanswered just now; launches go in answers to reports
+     * then.
+     */
     public boolean directWorks(long nowMicros) {
         return nowMicros >= directAgainMicros;
     }
@@ -237,7 +275,8 @@
 
     /** What a processor costs here, by the prices last seen; 0 while they are unknown. */
     public double pricePerCpu() {
-        return type == null || type.vcpus() <= 0 ? 0
+        return type == null || type.vcpus() <= 0
+                ? 0
                 : (reclaimable ? type.marketPrice() : type.rate()) / type.vcpus();
     }
 
--- a/src/main/java/org/woadloom/core/machines/MachineTable.java
+++ b/src/main/java/org/woadloom/core/machines/MachineTable.java
@@ -19,12 +19,20 @@
     private static final long RETRY_MICROS = 300_000;
     private static final long DELETE_RETRY_MICROS = 2_000_000;
     private static final int MAX_DELETE = 100;
-    /** The deletion of a machine with work on it is the proof that the work is gone, so it waits for no other. */
+
+    /**
+     * The deletion of a machine with work on it is the proof that the work is gone, so it waits for
+     * no other.
+     */
     private static final int MOST_DELETIONS = 2;
 
     private final World world;
     private final Losses losses;
-    /** Deletions that are under way: what is to go meanwhile goes with the next one, as the cloud takes few calls. */
+
+    /**
+     * Deletions that are under way: what is to go meanwhile goes with the next one, as the cloud
+     * takes few calls.
+     */
     private int deletions;
 
     public MachineTable(World world, Losses losses) {
@@ -47,8 +55,9 @@
     }
 
     /**
-     * A machine that a report names. One that is not known may have been deleted long ago, as copies of reports come late:
-     * until it has answered, it is no more than a name, with no record and no part in anything.
+     * A machine that a report names. One that is not known may have been deleted long ago, as
+     * copies of reports come late: until it has answered, it is no more than a name, with no record
+     * and no part in anything.
      */
     public Machine reported(MachineRecord record) {
         Machine machine = world.machines.get(record.host());
@@ -81,17 +90,31 @@
         for (ListedMachine listed : machines) {
             Machine machine = world.machines.get(listed.uid());
             if (machine == null || !machine.confirmed()) {
-                machine = adopt(new MachineRecord(listed.uid(), listed.hosttype(), listed.yard(),
-                        listed.reclaimable(), false));
-                world.log(LogEntry.info(LogEvent.MACHINE_DISCOVERED).with("machine", machine.host).with("zone", machine.yard));
+                machine =
+                        adopt(
+                                new MachineRecord(
+                                        listed.uid(),
+                                        listed.hosttype(),
+                                        listed.yard(),
+                                        listed.reclaimable(),
+                                        false));
+                world.log(
+                        LogEntry.info(LogEvent.MACHINE_DISCOVERED)
+                                .with("machine", machine.host)
+                                .with("zone", machine.yard));
             }
             // A new leader learns here for how long its machines have been paid for.
-            machine.rentedMicros = Math.min(machine.rentedMicros, world.nowMicros - listed.heldMicros());
+            machine.rentedMicros =
+                    Math.min(machine.rentedMicros, world.nowMicros - listed.heldMicros());
             if (listed.failed() && !machine.leaving) {
-                // A failed machine stays listed until it is deleted, and the deletion's answer is the proof we need.
+                // A failed machine stays listed until it is deleted, and the deletion's answer is
+                // the proof we need.
                 machine.leave();
                 machine.listedFailed = true;
-                world.log(LogEntry.info(LogEvent.MACHINE_FAILED).with("machine", machine.host).with("zone", machine.yard));
+                world.log(
+                        LogEntry.info(LogEvent.MACHINE_FAILED)
+                                .with("machine", machine.host)
+                                .with("zone", machine.yard));
             }
             if (machine.addr.isEmpty()) {
                 machine.addr = listed.addr();
@@ -101,10 +124,14 @@
 
     /** A node tells how it stands, and gets a warrant for the zone that it is in. */
     public void nodeSpoke(Command.NodeSpoke spoke) {
-        world.cancellationsSeenMicros = Math.max(world.cancellationsSeenMicros, spoke.cancellationsSeenMicros());
+        world.cancellationsSeenMicros =
+                Math.max(world.cancellationsSeenMicros, spoke.cancellationsSeenMicros());
         String yard = world.settings.nodes().get(spoke.node());
-        Warrant warrant = yard == null ? null : world.warrants.heard(spoke.node(), spoke.standing(), settled(yard),
-                world.nowMicros);
+        Warrant warrant =
+                yard == null
+                        ? null
+                        : world.warrants.heard(
+                                spoke.node(), spoke.standing(), settled(yard), world.nowMicros);
         if (warrant != null) {
             world.emit(new Effect.GiveWarrant(spoke.node(), warrant));
         }
@@ -124,11 +151,22 @@
     public void emitWrites() {
         List<String> delete = new ArrayList<>();
         // A machine that is up can take tasks as soon as its record is there; the others have time.
-        world.unsettled.removeIf(machine -> machine.deleted ? !machine.recorded && !machine.writing && !machine.reading
-                : machine.recorded && !machine.reading && !machine.leaving && !machine.rewrite);
+        world.unsettled.removeIf(
+                machine ->
+                        machine.deleted
+                                ? !machine.recorded && !machine.writing && !machine.reading
+                                : machine.recorded
+                                        && !machine.reading
+                                        && !machine.leaving
+                                        && !machine.rewrite);
         for (Machine machine : world.unsettled) {
-            if (machine.heard() && !machine.recorded && !machine.deleted && !machine.reading && !machine.writing
-                    && world.nowMicros >= machine.retryMicros && world.writes.allowsMachine()) {
+            if (machine.heard()
+                    && !machine.recorded
+                    && !machine.deleted
+                    && !machine.reading
+                    && !machine.writing
+                    && world.nowMicros >= machine.retryMicros
+                    && world.writes.allowsMachine()) {
                 put(machine);
             }
         }
@@ -145,20 +183,26 @@
                     machine.writing = true;
                     world.emit(new Effect.DropMachine(machine.host, machine.stamp));
                 }
-            } else if (!machine.recorded || machine.leaving != machine.leavingRecorded
+            } else if (!machine.recorded
+                    || machine.leaving != machine.leavingRecorded
                     || machine.rewrite && !machine.deleting) {
                 if (world.writes.allowsMachine()) {
                     put(machine);
                 }
-            } else if (deletions < (machine.abandoned ? MOST_DELETIONS : 1) && machine.leavingRecorded && !machine.deleting
-                    && deletable(machine) && delete.size() < MAX_DELETE) {
+            } else if (deletions < (machine.abandoned ? MOST_DELETIONS : 1)
+                    && machine.leavingRecorded
+                    && !machine.deleting
+                    && deletable(machine)
+                    && delete.size() < MAX_DELETE) {
                 machine.deleting = true;
                 delete.add(machine.host);
             }
         }
         if (!delete.isEmpty()) {
             deletions++;
-            world.log(LogEntry.info(LogEvent.MACHINES_DELETING).with("machines", String.join(",", delete)));
+            world.log(
+                    LogEntry.info(LogEvent.MACHINES_DELETING)
+                            .with("machines", String.join(",", delete)));
             world.emit(new Effect.Delete(List.copyOf(delete)));
         }
     }
@@ -175,8 +219,12 @@
 
     /** A machine that still answers is emptied first; one that is lost is deleted to get proof. */
     private boolean deletable(Machine machine) {
-        return machine.empty() || machine.listedFailed || machine.abandoned || !machine.up()
-                || world.nowMicros - machine.hearing.aliveMicros() > world.settings.leaseMicros() / 2;
+        return machine.empty()
+                || machine.listedFailed
+                || machine.abandoned
+                || !machine.up()
+                || world.nowMicros - machine.hearing.aliveMicros()
+                        > world.settings.leaseMicros() / 2;
     }
 
     public void written(Command.MachineWritten result) {
@@ -208,7 +256,8 @@
         }
         machine.writing = false;
         machine.reading = false;
-        // Recorded or not, the present state is written again on the stamp just read: that voids a late write.
+        // Recorded or not, the present state is written again on the stamp just read: that voids a
+        // late write.
         machine.recorded = machine.deleted && result.record() != null;
         machine.stamp = result.record() == null ? 0 : result.stamp();
         machine.leavingRecorded = result.record() != null && result.record().leaving();
@@ -245,15 +294,25 @@
     /** Forgets deleted machines once the list, which lags, can no longer show them. */
     public void forget() {
         long keep = 4 * world.settings.listLagMicros() + 60_000_000;
-        world.machines.values().removeIf(machine -> {
-            boolean forgotten = machine.confirmed()
-                    ? machine.deleted && !machine.recorded && !machine.writing && world.nowMicros - machine.hearing.aliveMicros() > keep
-                    : world.nowMicros - machine.knownSinceMicros > keep;
-            if (forgotten) {
-                world.leastFence = Math.max(world.leastFence, machine.hearing.fence() + 1);
-                world.attentive.remove(machine);
-            }
-            return forgotten;
-        });
+        world.machines
+                .values()
+                .removeIf(
+                        machine -> {
+                            boolean forgotten =
+                                    machine.confirmed()
+                                            ? machine.deleted
+                                                    && !machine.recorded
+                                                    && !machine.writing
+                                                    && world.nowMicros
+                                                                    - machine.hearing.aliveMicros()
+                                                            > keep
+                                            : world.nowMicros - machine.knownSinceMicros > keep;
+                            if (forgotten) {
+                                world.leastFence =
+                                        Math.max(world.leastFence, machine.hearing.fence() + 1);
+                                world.attentive.remove(machine);
+                            }
+                            return forgotten;
+                        });
     }
 }
--- a/src/main/java/org/woadloom/core/machines/Reports.java
+++ b/src/main/java/org/woadloom/core/machines/Reports.java
@@ -26,20 +26,23 @@
     private static final int MAX_ORDERS = 400;
     private static final long ERROR_BACKOFF_MICROS = 1_000_000;
     private static final long MAX_BACKOFF_MICROS = 60_000_000;
+
     /** On so many machines a job without fault may have failed. */
     private static final int FAULTY_AT_ONCE = 2;
 
     private final World world;
     private final MachineTable table;
     private final Losses losses;
+
     /** Exits that may be cleared once the job's record has reached a version. */
     private final Map<String, Map<Exit, Long>> clearAfter = new HashMap<>();
 
-    /** Numbers the messages that were taken in, to tell which placements the one at hand has listed. */
+    /**
+     * Numbers the messages that were taken in, to tell which placements the one at hand has listed.
+     */
     private long readings;
 
-    private record Exit(TaskId task, long attempt) {
-    }
+    private record Exit(TaskId task, long attempt) {}
 
     public Reports(World world, MachineTable table, Losses losses) {
         this.world = world;
@@ -50,13 +53,20 @@
     /** A report that waits for an answer. */
     public void report(Command.Report command) {
         WorkerReport report = command.report();
-        Machine machine = table.reported(new MachineRecord(report.host(), report.hosttype(), report.yard(),
-                report.reclaimable(), false));
+        Machine machine =
+                table.reported(
+                        new MachineRecord(
+                                report.host(),
+                                report.hosttype(),
+                                report.yard(),
+                                report.reclaimable(),
+                                false));
         if (laterTerm(machine, report)) {
             return;
         }
         if (!machine.hearing.mayWaitFor(report, world.nowMicros)) {
-            // Nobody waits for this answer; if somebody did, it would renew a lease that counts as running out.
+            // Nobody waits for this answer; if somebody did, it would renew a lease that counts as
+            // running out.
             world.emit(new Effect.TurnAway(command.replyId()));
             return;
         }
@@ -69,10 +79,15 @@
         if (age != Age.COPY && !machine.hearing.heardToken()) {
             machine.greet();
         }
-        world.emit(new Effect.Answer(command.replyId(), machine.hearing.issue(world.nowMicros), orders));
+        world.emit(
+                new Effect.Answer(
+                        command.replyId(), machine.hearing.issue(world.nowMicros), orders));
     }
 
-    /** True if the worker has heard of a later leader. A higher token of this term is of a machine that was forgotten. */
+    /**
+     * True if the worker has heard of a later leader. A higher token of this term is of a machine
+     * that was forgotten.
+     */
     public boolean laterTerm(Machine machine, WorkerReport report) {
         if (report.epoch() <= machine.hearing.token()) {
             return false;
@@ -81,15 +96,17 @@
             machine.hearing.passOver(report.epoch());
             return false;
         }
-        world.emit(new Effect.Abdicate("worker " + report.host() + " has seen token " + report.epoch()));
+        world.emit(
+                new Effect.Abdicate(
+                        "worker " + report.host() + " has seen token " + report.epoch()));
         return true;
     }
 
     /**
      * Takes in a report, or the body of a direct command's answer.
      *
-     * @param sinceMicros when the direct command was sent, {@link Hearing#NEVER} for a report of its own, which alone shows
-     *     that the answer to the one before was dealt with
+     * @param sinceMicros when the direct command was sent, {@link Hearing#NEVER} for a report of
+     *     its own, which alone shows that the answer to the one before was dealt with
      */
     public Age absorb(Machine machine, WorkerReport report, long sinceMicros) {
         Hearing hearing = machine.hearing;
@@ -110,7 +127,10 @@
         if (unheard && machine.heard()) {
             machine.confirm();
             machine.idleSinceMicros = world.nowMicros;
-            world.log(LogEntry.info(LogEvent.MACHINE_UP).with("machine", machine.host).with("zone", machine.yard));
+            world.log(
+                    LogEntry.info(LogEvent.MACHINE_UP)
+                            .with("machine", machine.host)
+                            .with("zone", machine.yard));
         }
         if (doubted && !hearing.inDoubt(world.nowMicros)) {
             world.placementWorthTrying = true;
@@ -121,13 +141,16 @@
         machine.addr = report.addr();
         if (report.warningMicros() >= 0 && age == Age.FRESH) {
             if (machine.takenMicros < 0) {
-                world.log(LogEntry.info(LogEvent.SPOT_NOTICE).with("machine", machine.host)
-                        .withSeconds("notice_s", report.warningMicros()));
+                world.log(
+                        LogEntry.info(LogEvent.SPOT_NOTICE)
+                                .with("machine", machine.host)
+                                .withSeconds("notice_s", report.warningMicros()));
             }
             machine.takenMicros = world.nowMicros + report.warningMicros();
         }
         if (newSession) {
-            // The new session's lease runs from its start, which may be later than our last answer: a session that is
+            // The new session's lease runs from its start, which may be later than our last answer:
+            // a session that is
             // first seen in the body of a direct command has not been answered at all.
             machine.lastAnsweredMicros = Math.max(machine.lastAnsweredMicros, world.nowMicros);
             newSession(machine);
@@ -170,7 +193,8 @@
 
     private void newSession(Machine machine) {
         for (Placement placement : machine.snapshot()) {
-            // An earlier leader may have launched it in this session, or may still: what the message lists decides about it.
+            // An earlier leader may have launched it in this session, or may still: what the
+            // message lists decides about it.
             if (!placement.neverSent() && placement.stage != Stage.INHERITED) {
                 losses.lost(placement, "the worker's lease ended");
             }
@@ -180,7 +204,10 @@
     private Placement placement(Machine machine, TaskReport task) {
         Job job = world.jobs.get(task.task().uid());
         Placement placement = job == null ? null : job.placement(task.task().index());
-        return placement != null && placement.machine == machine && placement.attempt == task.attempt() ? placement
+        return placement != null
+                        && placement.machine == machine
+                        && placement.attempt == task.attempt()
+                ? placement
                 : null;
     }
 
@@ -189,12 +216,15 @@
             placement.stage = Stage.THERE;
         }
         Machine machine = placement.machine;
-        if (task.state() == TaskReport.State.RUNNING && placement.seen != TaskReport.State.RUNNING) {
+        if (task.state() == TaskReport.State.RUNNING
+                && placement.seen != TaskReport.State.RUNNING) {
             placement.runningSinceMicros = world.nowMicros;
             placement.job.recording.needs(Recording.Need.PHASE);
         }
         if (task.state() == TaskReport.State.RUNNING) {
-            machine.images.used(placement.job.description.bundle(), placement.job.description.pullGb(),
+            machine.images.used(
+                    placement.job.description.bundle(),
+                    placement.job.description.pullGb(),
                     machine.type == null ? 0 : machine.type.cacheGb());
         }
         placement.seen = task.state();
@@ -204,20 +234,23 @@
         switch (placement.stage) {
             case THERE -> losses.lost(placement, "no longer reported");
             case UNANSWERED -> {
-                // The worker refuses the old token from here on, so the late launch can no longer be executed.
+                // The worker refuses the old token from here on, so the late launch can no longer
+                // be executed.
                 if (report.epoch() > placement.sentToken) {
                     losses.lost(placement, "the launch never arrived");
                 }
             }
             case ANSWERED -> {
-                // A worker has one report in flight: this one was made after the answer was executed or dropped.
+                // A worker has one report in flight: this one was made after the answer was
+                // executed or dropped.
                 if (own && report.tick() > placement.answeredTick) {
                     if (placement.halting()) {
                         losses.gone(placement);
                     } else {
                         placement.ready();
                     }
-                    // One lost answer is nothing; if the next ones are lost as well, the worker is deaf.
+                    // One lost answer is nothing; if the next ones are lost as well, the worker is
+                    // deaf.
                     placement.machine.hearing.challenge();
                 }
             }
@@ -227,7 +260,8 @@
                 }
             }
             default -> {
-                // PLANNED and READY were never sent; SENT is settled by the answer to the direct command.
+                // PLANNED and READY were never sent; SENT is settled by the answer to the direct
+                // command.
             }
         }
     }
@@ -236,21 +270,31 @@
         Job job = placement.job;
         Machine machine = placement.machine;
         boolean service = job.description.service();
-        world.log(LogEntry.debug(LogEvent.TASK_EXITED).with("task", placement.task()).with("attempt", placement.attempt)
-                .with("machine", machine.host).with("reason", task.cause()));
+        world.log(
+                LogEntry.debug(LogEvent.TASK_EXITED)
+                        .with("task", placement.task())
+                        .with("attempt", placement.attempt)
+                        .with("machine", machine.host)
+                        .with("reason", task.cause()));
         if (task.cause() == TaskReport.Cause.DONE && !service) {
             job.markDone(placement.index);
         } else if (task.cause() == TaskReport.Cause.ERROR) {
             failed(job, machine);
         } else if (task.cause() == TaskReport.Cause.UNKNOWN) {
             job.notBeforeMicros = world.nowMicros + ERROR_BACKOFF_MICROS;
-        } else if (task.cause() == TaskReport.Cause.NO_ROOM || task.cause() == TaskReport.Cause.BUSY) {
-            world.log(LogEntry.info(LogEvent.TASK_REFUSED).with("task", placement.task()).with("machine", machine.host)
-                    .with("reason", task.cause()));
+        } else if (task.cause() == TaskReport.Cause.NO_ROOM
+                || task.cause() == TaskReport.Cause.BUSY) {
+            world.log(
+                    LogEntry.info(LogEvent.TASK_REFUSED)
+                            .with("task", placement.task())
+                            .with("machine", machine.host)
+                            .with("reason", task.cause()));
             machine.fullUntilMicros = world.nowMicros + ERROR_BACKOFF_MICROS;
         }
         if (!task.refused()) {
-            machine.images.used(job.description.bundle(), job.description.pullGb(),
+            machine.images.used(
+                    job.description.bundle(),
+                    job.description.pullGb(),
                     machine.type == null ? 0 : machine.type.cacheGb());
         }
         losses.gone(placement);
@@ -264,14 +308,24 @@
         job.failures++;
         job.failedOn.add(machine.host);
         machine.failedJobs.put(job.uid(), world.nowMicros);
-        // Failures of several jobs point at the machine; those of a job that fails on many machines point at the job alone.
-        machine.failedJobs.entrySet().removeIf(failure -> world.nowMicros - failure.getValue() > 60_000_000
-                || world.jobs.containsKey(failure.getKey()) && world.jobs.get(failure.getKey()).failedOn.size() > FAULTY_AT_ONCE);
+        // Failures of several jobs point at the machine; those of a job that fails on many machines
+        // point at the job alone.
+        machine.failedJobs
+                .entrySet()
+                .removeIf(
+                        failure ->
+                                world.nowMicros - failure.getValue() > 60_000_000
+                                        || world.jobs.containsKey(failure.getKey())
+                                                && world.jobs.get(failure.getKey()).failedOn.size()
+                                                        > FAULTY_AT_ONCE);
         boolean machineAtFault = machine.failedJobs.size() >= 2;
         if (machineAtFault && machine.quarantinedUntilMicros < world.nowMicros) {
-            machine.quarantinedUntilMicros = world.nowMicros + world.settings.operator().quarantineMicros();
-            world.log(LogEntry.info(LogEvent.MACHINE_QUARANTINED).with("machine", machine.host)
-                    .with("failed_jobs", machine.failedJobs.size()));
+            machine.quarantinedUntilMicros =
+                    world.nowMicros + world.settings.operator().quarantineMicros();
+            world.log(
+                    LogEntry.info(LogEvent.MACHINE_QUARANTINED)
+                            .with("machine", machine.host)
+                            .with("failed_jobs", machine.failedJobs.size()));
         }
         if (job.failedOn.size() > 1) {
             long pause = ERROR_BACKOFF_MICROS << Math.min(6, job.failures);
@@ -279,7 +333,9 @@
         }
     }
 
-    /** An exit that no placement accounts for: an earlier leader's, or one that was taken for lost. */
+    /**
+     * An exit that no placement accounts for: an earlier leader's, or one that was taken for lost.
+     */
     private void strangeExit(Machine machine, TaskReport task) {
         Map<Exit, Long> known = clearAfter.get(machine.host);
         if (known != null && known.containsKey(new Exit(task.task(), task.attempt()))) {
@@ -287,8 +343,12 @@
         }
         Job job = world.jobs.get(task.task().uid());
         int index = task.task().index();
-        if (job != null && index < job.description.shards() && task.cause() == TaskReport.Cause.DONE
-                && !job.description.service() && !job.cancelled && job.markDone(index)) {
+        if (job != null
+                && index < job.description.shards()
+                && task.cause() == TaskReport.Cause.DONE
+                && !job.description.service()
+                && !job.cancelled
+                && job.markDone(index)) {
             Placement other = job.placement(index);
             if (other != null && other.neverSent()) {
                 losses.gone(other);
@@ -303,7 +363,8 @@
     }
 
     private void noteExit(Machine machine, TaskReport task, long version) {
-        clearAfter.computeIfAbsent(machine.host, h -> new HashMap<>())
+        clearAfter
+                .computeIfAbsent(machine.host, h -> new HashMap<>())
                 .put(new Exit(task.task(), task.attempt()), version);
     }
 
@@ -330,9 +391,12 @@
         if (!exits.isEmpty()) {
             clearAfter.put(machine.host, stillListed);
         }
-        // Halts go out at once: an answer without them would renew the lease of what must be gone in time.
-        boolean launches = machine.acknowledged() && !machine.directWorks(world.nowMicros)
-                && !machine.hearing.inDoubt(world.nowMicros);
+        // Halts go out at once: an answer without them would renew the lease of what must be gone
+        // in time.
+        boolean launches =
+                machine.acknowledged()
+                        && !machine.directWorks(world.nowMicros)
+                        && !machine.hearing.inDoubt(world.nowMicros);
         for (Placement placement : machine.placements()) {
             if (orders.size() >= MAX_ORDERS) {
                 break;
--- a/src/main/java/org/woadloom/core/placement/Candidates.java
+++ b/src/main/java/org/woadloom/core/placement/Candidates.java
@@ -11,11 +11,15 @@
 import org.woadloom.core.reservation.Reservations;
 
 /**
- * The machines for one job's tasks, best first. All are looked at once; after that only what comes to the top is looked
- * at again. That is as good as looking at all each time, since placing a task makes no machine but its own better.
+ * The machines for one job's tasks, best first. All are looked at once; after that only what comes
+ * to the top is looked at again. That is as good as looking at all each time, since placing a task
+ * makes no machine but its own better.
  */
 final class Candidates {
-    /** What the price counts at most, against 100 for an image that is there: to fetch one may take a start its aim. */
+    /**
+     * What the price counts at most, against 100 for an image that is there: to fetch one may take
+     * a start its aim.
+     */
     private static final double CHEAPEST = 50;
 
     private final Job job;
@@ -23,8 +27,10 @@
     private final Eligibility eligibility;
     private final Reservations reservations;
     private final PriorityQueue<Candidate> queue = new PriorityQueue<>();
+
     /** Replicas of the job by machine; empty for other jobs. */
     private final Map<Machine, Integer> replicas = new HashMap<>();
+
     private final Map<String, Integer> roomByYard = new HashMap<>();
     private double dearest = Double.MIN_NORMAL;
     private Candidate taken;
@@ -46,7 +52,12 @@
         }
     }
 
-    Candidates(Job job, List<Machine> open, Set<String> scarce, Eligibility eligibility, Reservations reservations) {
+    Candidates(
+            Job job,
+            List<Machine> open,
+            Set<String> scarce,
+            Eligibility eligibility,
+            Reservations reservations) {
         this.job = job;
         this.scarce = scarce;
         this.eligibility = eligibility;
@@ -59,7 +70,9 @@
         if (startsTogether()) {
             for (Machine machine : open) {
                 if (eligibility.allows(job, machine)) {
-                    roomByYard.merge(machine.yard, reservations.unreserved(machine, job).count(job.room),
+                    roomByYard.merge(
+                            machine.yard,
+                            reservations.unreserved(machine, job).count(job.room),
                             Integer::sum);
                 }
             }
@@ -113,10 +126,13 @@
     }
 
     private boolean fits(Machine machine) {
-        // No reservation leaves more room than is not in use: most machines are passed over at that.
-        return machine.room().holds(job.room) && reservations.unreserved(machine, job).holds(job.room)
+        // No reservation leaves more room than is not in use: most machines are passed over at
+        // that.
+        return machine.room().holds(job.room)
+                && reservations.unreserved(machine, job).holds(job.room)
                 && job.allowed(reservations.credit(job, machine)) >= 1
-                && eligibility.allows(job, machine) && !job.failedOn.contains(machine.host);
+                && eligibility.allows(job, machine)
+                && !job.failedOn.contains(machine.host);
     }
 
     private double score(Machine machine) {
@@ -132,7 +148,8 @@
             // Replicas on one machine are lost together.
             score -= 1000.0 * replicas.getOrDefault(machine, 0);
         } else {
-            // Dear machines fall idle first, and ordinary ones have room for work that may not use spot machines.
+            // Dear machines fall idle first, and ordinary ones have room for work that may not use
+            // spot machines.
             score += CHEAPEST * (1 - machine.pricePerCpu() / dearest);
         }
         if (startsTogether()) {
@@ -143,7 +160,8 @@
             score -= 10.0 * job.placedIn(machine.yard);
         }
         if (scarce.contains(machine.yard) && !machine.reclaimable) {
-            // Replicas that must spread put only the odd one elsewhere; work that has a choice stays away.
+            // Replicas that must spread put only the odd one elsewhere; work that has a choice
+            // stays away.
             score -= job.description.apart() ? 15 : 300;
         }
         // Fullest first, so that idle machines can be returned.
--- a/src/main/java/org/woadloom/core/placement/Eligibility.java
+++ b/src/main/java/org/woadloom/core/placement/Eligibility.java
@@ -14,10 +14,16 @@
         this.world = world;
     }
 
-    /** True if a machine of this type, zone and kind may run the job's tasks, whatever its other tasks do. */
+    /**
+     * True if a machine of this type, zone and kind may run the job's tasks, whatever its other
+     * tasks do.
+     */
     public boolean allows(JobDescription job, MachineType type, String yard, boolean reclaimable) {
-        return type != null && type.holds(job) && (job.hosttypes() == null || job.hosttypes().contains(type.name()))
-                && (job.yard() == null || job.yard().equals(yard)) && (!reclaimable || job.reclaimable());
+        return type != null
+                && type.holds(job)
+                && (job.hosttypes() == null || job.hosttypes().contains(type.name()))
+                && (job.yard() == null || job.yard().equals(yard))
+                && (!reclaimable || job.reclaimable());
     }
 
     public boolean allows(Job job, Machine machine) {
@@ -27,7 +33,8 @@
 
     /** Zone rules, given every task of the job that is or may be somewhere. */
     public boolean allowsYard(Job job, String yard) {
-        if (job.description.samePlace() && !job.yards().isEmpty()
+        if (job.description.samePlace()
+                && !job.yards().isEmpty()
                 && !(job.yards().size() == 1 && job.yards().contains(yard))) {
             return false;
         }
@@ -36,13 +43,24 @@
 
     /** True if the machine's worker is in touch and new tasks may go there. */
     public boolean takesTasks(Machine machine) {
-        return machine.type != null && machine.recorded && !machine.leaving && !machine.deleted && machine.up()
-                && machine.takenMicros < 0 && machine.quarantinedUntilMicros <= world.nowMicros
-                && machine.fullUntilMicros <= world.nowMicros && !silent(machine) && !machine.hearing.inDoubt(world.nowMicros);
+        return machine.type != null
+                && machine.recorded
+                && !machine.leaving
+                && !machine.deleted
+                && machine.up()
+                && machine.takenMicros < 0
+                && machine.quarantinedUntilMicros <= world.nowMicros
+                && machine.fullUntilMicros <= world.nowMicros
+                && !silent(machine)
+                && !machine.hearing.inDoubt(world.nowMicros);
     }
 
-    /** True for a worker whose reports are overdue, though it may still answer commands: its lease is running out. */
+    /**
+     * True for a worker whose reports are overdue, though it may still answer commands: its lease
+     * is running out.
+     */
     public boolean silent(Machine machine) {
-        return world.nowMicros - machine.hearing.reportedMicros() > world.hearingRules.freshMicros();
+        return world.nowMicros - machine.hearing.reportedMicros()
+                > world.hearingRules.freshMicros();
     }
 }
--- a/src/main/java/org/woadloom/core/placement/Placer.java
+++ b/src/main/java/org/woadloom/core/placement/Placer.java
@@ -50,8 +50,11 @@
             if (!holds && !job.description.service() && job.backsOff(world.nowMicros)) {
                 continue;
             }
-            // Without a reservation to draw from, the limit and what others did not find decide at once.
-            if (!holds && (job.allowed() < 1 || without.stream().anyMatch(shape -> shape.covers(job)))) {
+            // Without a reservation to draw from, the limit and what others did not find decide at
+            // once.
+            if (!holds
+                    && (job.allowed() < 1
+                            || without.stream().anyMatch(shape -> shape.covers(job)))) {
                 continue;
             }
             if (open == null) {
@@ -68,7 +71,8 @@
         List<Machine> open = new ArrayList<>();
         for (Machine machine : world.machines.values()) {
             Room room = machine.room();
-            if ((room.cpu() > 0 || room.ram() > 0 || room.card() > 0) && eligibility.takesTasks(machine)) {
+            if ((room.cpu() > 0 || room.ram() > 0 || room.card() > 0)
+                    && eligibility.takesTasks(machine)) {
                 open.add(machine);
             }
         }
@@ -79,21 +83,30 @@
     private boolean placeJob(Job job, long attempt, List<Machine> open) {
         RecordSize size = RecordSize.of(job, world.valueBytes, world.format);
         if (!size.takesMore(job.nextPending(0))
-                || job.description.gang() && !gangFits(job, size.mostMore(job.nextPending(0), job.pending()))) {
+                || job.description.gang()
+                        && !gangFits(job, size.mostMore(job.nextPending(0), job.pending()))) {
             return false;
         }
-        Candidates candidates = new Candidates(job, open, world.scarceYards, eligibility, reservations);
+        Candidates candidates =
+                new Candidates(job, open, world.scarceYards, eligibility, reservations);
         int placed = 0;
         boolean full = false;
-        for (int index = job.nextPending(0); index >= 0 && size.takesMore(index);
+        for (int index = job.nextPending(0);
+                index >= 0 && size.takesMore(index);
                 index = job.nextPending(index + 1)) {
             Machine machine = candidates.next();
             if (machine == null) {
                 full = job.allowed() >= 1;
                 break;
             }
-            Placement placement = new Placement(job, index, machine, attempt, job.recording.nextVersion(),
-                    world.nowMicros);
+            Placement placement =
+                    new Placement(
+                            job,
+                            index,
+                            machine,
+                            attempt,
+                            job.recording.nextVersion(),
+                            world.nowMicros);
             reservations.draw(placement);
             job.add(placement);
             size.add(index, machine);
@@ -102,8 +115,12 @@
             placed++;
         }
         if (placed > 0) {
-            world.log(LogEntry.debug(LogEvent.TASKS_PLACED).with("job", job.uid()).with("tasks", placed)
-                    .with("pending", job.pending()).with("tasks_by_zone", job.zones()));
+            world.log(
+                    LogEntry.debug(LogEvent.TASKS_PLACED)
+                            .with("job", job.uid())
+                            .with("tasks", placed)
+                            .with("pending", job.pending())
+                            .with("tasks_by_zone", job.zones()));
         }
         return full;
     }
@@ -117,9 +134,13 @@
         Map<String, Integer> perYard = new LinkedHashMap<>();
         Room credit = Room.NONE;
         for (Machine machine : world.machines.values()) {
-            if (eligibility.takesTasks(machine) && eligibility.allows(job, machine)
+            if (eligibility.takesTasks(machine)
+                    && eligibility.allows(job, machine)
                     && !job.failedOn.contains(machine.host)) {
-                perYard.merge(machine.yard, reservations.unreserved(machine, job).count(job.room), Integer::sum);
+                perYard.merge(
+                        machine.yard,
+                        reservations.unreserved(machine, job).count(job.room),
+                        Integer::sum);
             }
         }
         for (Reservation reservation : reservations.of(job)) {
@@ -130,7 +151,8 @@
         }
         int largest = 0;
         int sum = 0;
-        int mostPerYard = job.description.apart() ? (job.description.shards() + 1) / 2 : Integer.MAX_VALUE;
+        int mostPerYard =
+                job.description.apart() ? (job.description.shards() + 1) / 2 : Integer.MAX_VALUE;
         for (Map.Entry<String, Integer> entry : perYard.entrySet()) {
             int room = Math.min(entry.getValue(), mostPerYard - job.placedIn(entry.getKey()));
             largest = Math.max(largest, room);
--- a/src/main/java/org/woadloom/core/placement/Preemption.java
+++ b/src/main/java/org/woadloom/core/placement/Preemption.java
@@ -19,8 +19,8 @@
 import org.woadloom.wire.Rank;
 
 /**
- * Stops tasks to make room: work of a lower rank, and, for work within its team's guarantee, whatever another team runs
- * beyond its own.
+ * Stops tasks to make room: work of a lower rank, and, for work within its team's guarantee,
+ * whatever another team runs beyond its own.
  */
 public final class Preemption {
     private static final long MOVE_MICROS = 5_000_000;
@@ -32,7 +32,8 @@
     private final Gathering gathering;
     private long nextMoveMicros;
 
-    public Preemption(World world, Eligibility eligibility, Reservations reservations, Gathering gathering) {
+    public Preemption(
+            World world, Eligibility eligibility, Reservations reservations, Gathering gathering) {
         this.world = world;
         this.eligibility = eligibility;
         this.reservations = reservations;
@@ -43,7 +44,8 @@
     private record Hopeless(Shape shape, Rank rank, TeamUse borrowersGiveTo) {
         boolean covers(Job job, boolean fromBorrowers) {
             return rank.compareTo(job.rank()) >= 0
-                    && (!fromBorrowers || borrowersGiveTo == job.team) && shape.covers(job);
+                    && (!fromBorrowers || borrowersGiveTo == job.team)
+                    && shape.covers(job);
         }
     }
 
@@ -59,13 +61,14 @@
             if (wanted <= 0) {
                 continue;
             }
-            boolean fromBorrowers = job.guaranteed && job.team.withinGuarantee(job.room)
-                    && othersBorrow(job.team);
+            boolean fromBorrowers =
+                    job.guaranteed && job.team.withinGuarantee(job.room) && othersBorrow(job.team);
             if (hopeless.stream().noneMatch(known -> known.covers(job, fromBorrowers))) {
                 wanted = free(job, wanted, fromBorrowers);
                 if (wanted > 0 && Shape.plain(job)) {
-                    hopeless.add(new Hopeless(Shape.of(job), job.rank(),
-                            fromBorrowers ? job.team : null));
+                    hopeless.add(
+                            new Hopeless(
+                                    Shape.of(job), job.rank(), fromBorrowers ? job.team : null));
                 }
             }
             if (wanted > 0 && job.description.service()) {
@@ -90,9 +93,12 @@
             if (missing <= 0) {
                 break;
             }
-            if ((machine.hasHalting() || machine.hasBelow(job.rank())
-                    || fromBorrowers && !machine.empty()) && machine.size().holds(job.room)
-                    && eligibility.takesTasks(machine) && eligibility.allows(job, machine)
+            if ((machine.hasHalting()
+                            || machine.hasBelow(job.rank())
+                            || fromBorrowers && !machine.empty())
+                    && machine.size().holds(job.room)
+                    && eligibility.takesTasks(machine)
+                    && eligibility.allows(job, machine)
                     && !job.failedOn.contains(machine.host)) {
                 missing -= free(job, machine, missing);
             }
@@ -101,8 +107,9 @@
     }
 
     /**
-     * Replicas that must spread may find the only zone that is left to them full of replicas that could as well be
-     * elsewhere. One of those moves, at most one in a while, and only to a machine that has room and its image.
+     * Replicas that must spread may find the only zone that is left to them full of replicas that
+     * could as well be elsewhere. One of those moves, at most one in a while, and only to a machine
+     * that has room and its image.
      */
     private void moveReplica(Job job) {
         if (world.nowMicros < nextMoveMicros) {
@@ -115,12 +122,18 @@
             }
             for (Placement placement : machine.placements()) {
                 Room coming = reservations.balance(machine, null).plus(placement.job.room);
-                if (placement.job != job && placement.job.description.service() && !placement.halting()
-                        && placement.stage == Placement.Stage.THERE && coming.holds(job.room)
+                if (placement.job != job
+                        && placement.job.description.service()
+                        && !placement.halting()
+                        && placement.stage == Placement.Stage.THERE
+                        && coming.holds(job.room)
                         && hasRoomElsewhere(placement)
                         && reservations.reserve(job, machine, job.room, true, true) != null) {
-                    world.log(LogEntry.info(LogEvent.REPLICA_MOVED).with("task", placement.task()).with("zone", machine.yard)
-                            .with("for_job", job.uid()));
+                    world.log(
+                            LogEntry.info(LogEvent.REPLICA_MOVED)
+                                    .with("task", placement.task())
+                                    .with("zone", machine.yard)
+                                    .with("for_job", job.uid()));
                     nextMoveMicros = world.nowMicros + MOVE_MICROS;
                     stop(placement);
                     return;
@@ -132,8 +145,10 @@
     private boolean hasRoomElsewhere(Placement placement) {
         Job job = placement.job;
         for (Machine machine : world.machines.values()) {
-            if (!machine.yard.equals(placement.machine.yard) && eligibility.takesTasks(machine)
-                    && eligibility.allows(job, machine) && machine.images.has(job.description.bundle())
+            if (!machine.yard.equals(placement.machine.yard)
+                    && eligibility.takesTasks(machine)
+                    && eligibility.allows(job, machine)
+                    && machine.images.has(job.description.bundle())
                     && reservations.unreserved(machine, job).holds(job.room)) {
                 return true;
             }
@@ -152,7 +167,10 @@
         for (Machine machine : machines) {
             Room wanted = Room.NONE;
             for (Reservation reservation : reservations.of(job)) {
-                wanted = reservation.machine == machine ? wanted.plus(reservation.remaining()) : wanted;
+                wanted =
+                        reservation.machine == machine
+                                ? wanted.plus(reservation.remaining())
+                                : wanted;
             }
             stopFor(job, machine, reservations.balance(machine, job), wanted);
         }
@@ -163,7 +181,8 @@
         Room coming = stopFor(job, machine, reservations.balance(machine, null), job.room);
         // The freed room is the preemptor's alone.
         int made = 0;
-        while (made < wanted && coming.holds(job.room)
+        while (made < wanted
+                && coming.holds(job.room)
                 && reservations.reserve(job, machine, job.room, true, true) != null) {
             coming = coming.minus(job.room);
             made++;
@@ -171,7 +190,10 @@
         return made;
     }
 
-    /** Stops tasks until the room is enough, or none if that can't be had; returns the room that there will be. */
+    /**
+     * Stops tasks until the room is enough, or none if that can't be had; returns the room that
+     * there will be.
+     */
     private Room stopFor(Job job, Machine machine, Room free, Room needed) {
         Room coming = free;
         List<Placement> victims = new ArrayList<>();
@@ -183,10 +205,11 @@
             }
         }
         // The lowest rank first, then borrowers, then what can save, then what has run least.
-        victims.sort(Comparator.comparing((Placement p) -> p.job.rank())
-                .thenComparing(p -> p.job.guaranteed)
-                .thenComparing(p -> p.job.description.snapshotEveryS() == 0)
-                .thenComparingLong(p -> -p.placedMicros));
+        victims.sort(
+                Comparator.comparing((Placement p) -> p.job.rank())
+                        .thenComparing(p -> p.job.guaranteed)
+                        .thenComparing(p -> p.job.description.snapshotEveryS() == 0)
+                        .thenComparingLong(p -> -p.placedMicros));
         List<Placement> chosen = new ArrayList<>();
         for (Placement victim : victims) {
             if (coming.holds(needed)) {
@@ -199,8 +222,11 @@
             return Room.NONE;
         }
         for (Placement victim : chosen) {
-            world.log(LogEntry.info(LogEvent.TASK_PREEMPTED).with("task", victim.task()).with("machine", machine.host)
-                    .with("for_job", job.uid()));
+            world.log(
+                    LogEntry.info(LogEvent.TASK_PREEMPTED)
+                            .with("task", victim.task())
+                            .with("machine", machine.host)
+                            .with("for_job", job.uid()));
             stop(victim);
         }
         return coming;
@@ -213,13 +239,16 @@
             victim.job.recording.needs(Recording.Need.OUTCOME);
             world.placementWorthTrying = true;
         } else {
-            victim.halt(victim.job.description.snapshotEveryS() > 0 ? victim.job.description.snapshotCostS() : 0);
+            victim.halt(
+                    victim.job.description.snapshotEveryS() > 0
+                            ? victim.job.description.snapshotCostS()
+                            : 0);
         }
     }
 
     /**
-     * A lower rank, or a borrower of the same rank. The protocol would let a guarantee stop borrowers of a higher rank as
-     * well; those would then stop the job in turn, and so on.
+     * A lower rank, or a borrower of the same rank. The protocol would let a guarantee stop
+     * borrowers of a higher rank as well; those would then stop the job in turn, and so on.
      */
     private boolean mayStop(Job job, Placement placement) {
         Job other = placement.job;
@@ -227,7 +256,10 @@
         if (order != 0) {
             return order < 0;
         }
-        return other.team != job.team && !other.guaranteed && other.team.beyondGuarantee() && job.guaranteed
+        return other.team != job.team
+                && !other.guaranteed
+                && other.team.beyondGuarantee()
+                && job.guaranteed
                 && job.team.withinGuarantee(job.room);
     }
 }
--- a/src/main/java/org/woadloom/core/placement/RecordSize.java
+++ b/src/main/java/org/woadloom/core/placement/RecordSize.java
@@ -9,15 +9,14 @@
 import org.woadloom.state.RecordFormat;
 
 /**
- * An upper bound of what a job's one record may grow to, so that a job too large for it runs in waves: what is placed at
- * once must fit the state service's values, however its tasks end.
+ * An upper bound of what a job's one record may grow to, so that a job too large for it runs in
+ * waves: what is placed at once must fit the state service's values, however its tasks end.
  */
 public abstract sealed class RecordSize {
     private final int limit;
     private final Set<Machine> machines = new HashSet<>();
 
-    private record Group(Machine machine, long attempt) {
-    }
+    private record Group(Machine machine, long attempt) {}
 
     private RecordSize(int limit) {
         this.limit = limit;
@@ -35,7 +34,10 @@
 
     private static final int TYPICAL_DESCRIPTION = 420;
 
-    /** How large the record may become with so many more tasks, the last of that number, on so many more machines. */
+    /**
+     * How large the record may become with so many more tasks, the last of that number, on so many
+     * more machines.
+     */
     abstract int with(int tasks, int lastIndex, int machines);
 
     abstract void placed(int index, boolean newMachine);
@@ -52,7 +54,10 @@
         return with(1, index, 1) <= limit;
     }
 
-    /** For how many more tasks from the given one on there is room, wherever they go; no more than wanted. */
+    /**
+     * For how many more tasks from the given one on there is room, wherever they go; no more than
+     * wanted.
+     */
     int mostMore(int index, int wanted) {
         int most = 0;
         int tooMany = wanted + 1;
@@ -76,8 +81,10 @@
     private static final class Compact extends RecordSize {
         /** What is around the description and the progress. */
         private static final int FIXED = 260;
+
         /** The difference of two machines' numbers, and which attempt. */
         private static final int PER_GROUP = 3;
+
         private static final int PER_GROUP_OF_MANY = 4;
         private static final int FEW_ATTEMPTS = 127;
         private static final int PER_ATTEMPT = 4;
@@ -111,8 +118,10 @@
         int with(int tasks, int lastIndex, int machines) {
             int all = groups + machines;
             int window = Math.max(end, lastIndex + 1) - front;
-            int bytes = all * (attempts > FEW_ATTEMPTS ? PER_GROUP_OF_MANY : PER_GROUP) + attempts * PER_ATTEMPT
-                    + (window * Progress.bits(all) + 7) / 8;
+            int bytes =
+                    all * (attempts > FEW_ATTEMPTS ? PER_GROUP_OF_MANY : PER_GROUP)
+                            + attempts * PER_ATTEMPT
+                            + (window * Progress.bits(all) + 7) / 8;
             return FIXED + description + (bytes * 4 + 2) / 3;
         }
 
@@ -126,9 +135,14 @@
     /** Of version 1's records, while a node may run it. */
     private static final class Plain extends RecordSize {
         private static final int FIXED = 900;
+
         /** A machine's name, an attempt and what is around them. */
         private static final int PER_GROUP = 56;
-        /** A task's number twice, as a range by itself; done or placed, every task may come to stand alone. */
+
+        /**
+         * A task's number twice, as a range by itself; done or placed, every task may come to stand
+         * alone.
+         */
         private static final int PER_TASK = 14;
 
         private int size;
@@ -136,10 +150,15 @@
         Plain(Job job, int limit) {
             super(limit);
             int doneRanges = 0;
-            for (int i = job.done.nextSetBit(0); i >= 0; i = job.done.nextSetBit(job.done.nextClearBit(i))) {
+            for (int i = job.done.nextSetBit(0);
+                    i >= 0;
+                    i = job.done.nextSetBit(job.done.nextClearBit(i))) {
                 doneRanges++;
             }
-            size = FIXED + PER_GROUP * groups(job) + PER_TASK * (job.placements().size() + doneRanges);
+            size =
+                    FIXED
+                            + PER_GROUP * groups(job)
+                            + PER_TASK * (job.placements().size() + doneRanges);
         }
 
         @Override
--- a/src/main/java/org/woadloom/core/placement/Room.java
+++ b/src/main/java/org/woadloom/core/placement/Room.java
@@ -14,7 +14,9 @@
 
     /** What a machine has, rounded down. */
     public static Room of(MachineType type) {
-        return new Room((long) (type.vcpus() * 1000 + 1e-6), (long) (type.cards() * 1000 + 1e-6),
+        return new Room(
+                (long) (type.vcpus() * 1000 + 1e-6),
+                (long) (type.cards() * 1000 + 1e-6),
                 (long) (type.ramGb() * 1000 + 1e-6));
     }
 
@@ -55,11 +57,14 @@
 
     /** The part without anything negative. */
     public Room floor() {
-        return (cpu | card | ram) >= 0 ? this : new Room(Math.max(0, cpu), Math.max(0, card), Math.max(0, ram));
+        return (cpu | card | ram) >= 0
+                ? this
+                : new Room(Math.max(0, cpu), Math.max(0, card), Math.max(0, ram));
     }
 
     /** Of each the smaller amount. */
     public Room least(Room other) {
-        return new Room(Math.min(cpu, other.cpu), Math.min(card, other.card), Math.min(ram, other.ram));
+        return new Room(
+                Math.min(cpu, other.cpu), Math.min(card, other.card), Math.min(ram, other.ram));
     }
 }
--- a/src/main/java/org/woadloom/core/placement/ServiceOrder.java
+++ b/src/main/java/org/woadloom/core/placement/ServiceOrder.java
@@ -11,28 +11,48 @@
 import org.woadloom.settings.Objective;
 
 /**
- * The order in which waiting jobs are served: by rank, then work within its team's guarantee, then what is
- * overdue, then what can still be in time, then age. Under overload age alone would make every job late. Jobs that are
- * small for the fleet go a little before their age, as if each had queued for the time that the whole fleet needs for it.
+ * The order in which waiting jobs are served: by rank, then work within its team's guarantee, then
+ * what is overdue, then what can still be in time, then age. Under overload age alone would make
+ * every job late. Jobs that are small for the fleet go a little before their age, as if each had
+ * queued for the time that the whole fleet needs for it.
  */
 public final class ServiceOrder {
-    /** A late job is served by its age again after so many times the longest time it had: nobody waits for ever. */
+    /**
+     * A late job is served by its age again after so many times the longest time it had: nobody
+     * waits for ever.
+     */
     private static final int PATIENCE = 6;
+
     private static final long COUNT_MICROS = 500_000;
-    /** A job that has missed a time is served this part of the next one before it would miss that, too. */
+
+    /**
+     * A job that has missed a time is served this part of the next one before it would miss that,
+     * too.
+     */
     private static final double LEAD = 0.2;
+
     private static final List<Double> ONCE = List.of(1.0);
-    /** Every job is to begin within four minutes: from this age on one that has not goes before the others of its kind. */
+
+    /**
+     * Every job is to begin within four minutes: from this age on one that has not goes before the
+     * others of its kind.
+     */
     private static final long BEGIN_MICROS = 150_000_000;
+
     /** From this age on the largest jobs of a class go before the others until they are done. */
     private static final long LARGE_MICROS = 180_000_000;
 
     private final World world;
     private long fleet;
     private long countAgainMicros = Long.MIN_VALUE;
+
     /** By class, the times within which the users want its jobs done, the shortest first. */
     private final Map<String, List<Double>> targets = new HashMap<>();
-    /** By class, the multiples of the time until their deadlines within which they want its jobs done. */
+
+    /**
+     * By class, the multiples of the time until their deadlines within which they want its jobs
+     * done.
+     */
     private final Map<String, List<Double>> multiples = new HashMap<>();
 
     /** How a job stands to those times, what goes first first. */
@@ -45,24 +65,27 @@
         LATE
     }
 
-    private record Entry(Job job, boolean overdue, Standing standing, double turn) {
-    }
+    private record Entry(Job job, boolean overdue, Standing standing, double turn) {}
 
-    private static final Comparator<Entry> ORDER = Comparator
-            .comparing((Entry e) -> e.job.rank()).reversed()
-            .thenComparing(e -> !e.job.guaranteed)
-            .thenComparing(e -> !e.overdue)
-            .thenComparing(Entry::standing)
-            .thenComparingDouble(Entry::turn)
-            .thenComparing(e -> e.job.uid());
+    private static final Comparator<Entry> ORDER =
+            Comparator.comparing((Entry e) -> e.job.rank())
+                    .reversed()
+                    .thenComparing(e -> !e.job.guaranteed)
+                    .thenComparing(e -> !e.overdue)
+                    .thenComparing(Entry::standing)
+                    .thenComparingDouble(Entry::turn)
+                    .thenComparing(e -> e.job.uid());
 
     public ServiceOrder(World world) {
         this.world = world;
         for (Objective objective : world.settings.objectives()) {
             if (objective.kind().equals("finished") && objective.withinS() > 0) {
-                targets.computeIfAbsent(objective.jobclass(), c -> new ArrayList<>()).add(objective.withinS() * 1e6);
+                targets.computeIfAbsent(objective.jobclass(), c -> new ArrayList<>())
+                        .add(objective.withinS() * 1e6);
             } else if (objective.kind().equals("deadline") && objective.times() > 0) {
-                multiples.computeIfAbsent(objective.jobclass(), c -> new ArrayList<>()).add(objective.times());
+                multiples
+                        .computeIfAbsent(objective.jobclass(), c -> new ArrayList<>())
+                        .add(objective.times());
             }
         }
         targets.values().forEach(times -> times.sort(null));
@@ -78,8 +101,12 @@
         for (Job job : jobs) {
             double alone = (double) job.room.cpu() * job.pending() / fleet * runtimeMicros(job);
             boolean overdue = overdue(job);
-            entries.add(new Entry(job, overdue, overdue ? Standing.DUE : standing(job),
-                    overdue ? job.sinceMicros() : job.sinceMicros() + alone));
+            entries.add(
+                    new Entry(
+                            job,
+                            overdue,
+                            overdue ? Standing.DUE : standing(job),
+                            overdue ? job.sinceMicros() : job.sinceMicros() + alone));
         }
         entries.sort(ORDER);
         List<Job> sorted = new ArrayList<>(entries.size());
@@ -105,13 +132,20 @@
         return job.description.runtimeS() * 1e6;
     }
 
-    /** A job that has not begun, and one of the largest that is not done, can't be left behind for what comes after it. */
+    /**
+     * A job that has not begun, and one of the largest that is not done, can't be left behind for
+     * what comes after it.
+     */
     private boolean overdue(Job job) {
         long age = world.nowMicros - job.sinceMicros();
-        return !job.begun() && age > BEGIN_MICROS || age > LARGE_MICROS && world.arrivals.largeInClass(job);
+        return !job.begun() && age > BEGIN_MICROS
+                || age > LARGE_MICROS && world.arrivals.largeInClass(job);
     }
 
-    /** By its owner's estimate. A job that has missed a time makes way for those that can make it, as long as it can. */
+    /**
+     * By its owner's estimate. A job that has missed a time makes way for those that can make it,
+     * as long as it can.
+     */
     private Standing standing(Job job) {
         if (job.description.service()) {
             return Standing.DUE;
@@ -119,15 +153,21 @@
         boolean due = job.dueMicros() != Long.MAX_VALUE;
         double from = due ? job.submittedMicros : job.sinceMicros();
         double ends = world.nowMicros - from + runtimeMicros(job);
-        List<Double> times = due ? multiples.getOrDefault(job.description.jobclass(), ONCE)
-                : targets.getOrDefault(job.description.jobclass(), List.of());
+        List<Double> times =
+                due
+                        ? multiples.getOrDefault(job.description.jobclass(), ONCE)
+                        : targets.getOrDefault(job.description.jobclass(), List.of());
         double unit = due ? job.dueMicros() - from : 1;
         for (double time : times) {
             if (ends <= time * unit) {
-                return time == times.get(0) || ends > time * unit * (1 - LEAD) ? Standing.DUE : Standing.LATER;
+                return time == times.get(0) || ends > time * unit * (1 - LEAD)
+                        ? Standing.DUE
+                        : Standing.LATER;
             }
         }
-        boolean patient = !times.isEmpty() && world.nowMicros - from <= PATIENCE * times.get(times.size() - 1) * unit;
+        boolean patient =
+                !times.isEmpty()
+                        && world.nowMicros - from <= PATIENCE * times.get(times.size() - 1) * unit;
         return patient ? Standing.LATE : Standing.DUE;
     }
 }
--- a/src/main/java/org/woadloom/core/placement/Shape.java
+++ b/src/main/java/org/woadloom/core/placement/Shape.java
@@ -4,22 +4,30 @@
 import org.woadloom.core.jobs.Job;
 
 /**
- * What a search for room looks for. Once no machine has room for a shape, none has it for anything that needs at least as
- * much and may go to no other machines, until room is freed.
+ * What a search for room looks for. Once no machine has room for a shape, none has it for anything
+ * that needs at least as much and may go to no other machines, until room is freed.
  */
 record Shape(Room room, List<String> hosttypes, String yard, boolean reclaimable) {
     static Shape of(Job job) {
-        return new Shape(job.room, job.description.hosttypes(), job.description.yard(), job.description.reclaimable());
+        return new Shape(
+                job.room,
+                job.description.hosttypes(),
+                job.description.yard(),
+                job.description.reclaimable());
     }
 
     /** True if the job's tasks find no room where this shape found none. */
     boolean covers(Job job) {
-        return job.room.holds(room) && (reclaimable || !job.description.reclaimable())
+        return job.room.holds(room)
+                && (reclaimable || !job.description.reclaimable())
                 && (hosttypes == null || hosttypes.equals(job.description.hosttypes()))
                 && (yard == null || yard.equals(job.description.yard()));
     }
 
-    /** True for jobs whose failed search speaks for others: nothing but the shape kept their tasks away. */
+    /**
+     * True for jobs whose failed search speaks for others: nothing but the shape kept their tasks
+     * away.
+     */
     static boolean plain(Job job) {
         return !job.description.apart() && !job.description.samePlace() && job.failedOn.isEmpty();
     }
--- a/src/main/java/org/woadloom/core/reservation/Gathering.java
+++ b/src/main/java/org/woadloom/core/reservation/Gathering.java
@@ -16,16 +16,18 @@
 import org.woadloom.core.placement.Room;
 
 /**
- * Gathers room for gangs, and for tasks too big for the free room of any machine now. In each zone one job gathers at a
- * time, the oldest first; its reservations are renewed while it does. If one of them fails, all are released and the job
- * queues again.
+ * Gathers room for gangs, and for tasks too big for the free room of any machine now. In each zone
+ * one job gathers at a time, the oldest first; its reservations are renewed while it does. If one
+ * of them fails, all are released and the job queues again.
  */
 public final class Gathering {
     private final World world;
     private final Eligibility eligibility;
     private final Reservations reservations;
+
     /** Who gathers in a zone; a gang that may spread over zones holds several. */
     private final Map<String, Job> byYard = new LinkedHashMap<>();
+
     private final Map<Job, Long> requeuedMicros = new LinkedHashMap<>();
     private final Map<Job, Long> renewedMicros = new LinkedHashMap<>();
 
@@ -35,7 +37,10 @@
         this.reservations = reservations;
     }
 
-    /** True for jobs that reserve: gangs, and tasks that take a large part of the machines they may use. */
+    /**
+     * True for jobs that reserve: gangs, and tasks that take a large part of the machines they may
+     * use.
+     */
     public boolean gathers(Job job) {
         return job.description.gang() || big(job);
     }
@@ -45,10 +50,12 @@
         boolean allowedAnywhere = false;
         for (var type : world.types.values()) {
             if (type.holds(job.description)
-                    && (job.description.hosttypes() == null || job.description.hosttypes().contains(type.name()))) {
+                    && (job.description.hosttypes() == null
+                            || job.description.hosttypes().contains(type.name()))) {
                 allowedAnywhere = true;
                 Room size = Room.of(type);
-                if (job.room.cpu() < size.cpu() * share && job.room.ram() < size.ram() * share
+                if (job.room.cpu() < size.cpu() * share
+                        && job.room.ram() < size.ram() * share
                         && (size.card() == 0 || job.room.card() < size.card() * share)) {
                     return false;
                 }
@@ -61,8 +68,10 @@
     public void gather(List<Reservation> failed, List<Job> queue) {
         for (Reservation reservation : failed) {
             if (byYard.containsValue(reservation.owner)) {
-                world.log(LogEntry.info(LogEvent.RESERVATION_FAILED).with("job", reservation.owner.uid())
-                        .with("machine", reservation.machine.host));
+                world.log(
+                        LogEntry.info(LogEvent.RESERVATION_FAILED)
+                                .with("job", reservation.owner.uid())
+                                .with("machine", reservation.machine.host));
                 giveUp(reservation.owner);
             }
         }
@@ -77,8 +86,10 @@
                 waiting.add(job);
             }
         }
-        waiting.sort(Comparator.comparingLong((Job job) -> requeuedMicros.getOrDefault(job, job.sinceMicros()))
-                .thenComparing(Job::uid));
+        waiting.sort(
+                Comparator.comparingLong(
+                                (Job job) -> requeuedMicros.getOrDefault(job, job.sinceMicros()))
+                        .thenComparing(Job::uid));
         for (Job job : waiting) {
             begin(job);
         }
@@ -122,12 +133,18 @@
             }
             chosen.forEach(machine -> byYard.put(machine.yard, job));
             renewedMicros.put(job, world.nowMicros);
-            world.log(LogEntry.info(LogEvent.RESERVATIONS_MADE).with("job", job.uid()).with("tasks", wanted));
+            world.log(
+                    LogEntry.info(LogEvent.RESERVATIONS_MADE)
+                            .with("job", job.uid())
+                            .with("tasks", wanted));
             return;
         }
     }
 
-    /** The sets of zones in which the job may gather: one zone each where all must be together, else all free ones. */
+    /**
+     * The sets of zones in which the job may gather: one zone each where all must be together, else
+     * all free ones.
+     */
     private List<Set<String>> choices(Job job) {
         Set<String> open = new LinkedHashSet<>();
         for (Machine machine : world.machines.values()) {
@@ -145,23 +162,34 @@
         return choices;
     }
 
-    /** Machines for the wanted number of tasks: those that need the least more room first. Null if there are too few. */
+    /**
+     * Machines for the wanted number of tasks: those that need the least more room first. Null if
+     * there are too few.
+     */
     private List<Machine> choose(Job job, int wanted, Set<String> yards) {
         List<Machine> candidates = new ArrayList<>();
         for (Machine machine : world.machines.values()) {
-            if (yards.contains(machine.yard) && eligibility.takesTasks(machine) && eligibility.allows(job, machine)
-                    && machine.size().holds(job.room) && !job.failedOn.contains(machine.host)) {
+            if (yards.contains(machine.yard)
+                    && eligibility.takesTasks(machine)
+                    && eligibility.allows(job, machine)
+                    && machine.size().holds(job.room)
+                    && !job.failedOn.contains(machine.host)) {
                 candidates.add(machine);
             }
         }
-        candidates.sort(Comparator.comparingLong((Machine machine) -> -reservations.unreserved(machine, job).cpu()));
-        int perYard = job.description.apart() ? (job.description.shards() + 1) / 2 : Integer.MAX_VALUE;
+        candidates.sort(
+                Comparator.comparingLong(
+                        (Machine machine) -> -reservations.unreserved(machine, job).cpu()));
+        int perYard =
+                job.description.apart() ? (job.description.shards() + 1) / 2 : Integer.MAX_VALUE;
         Map<String, Integer> inYard = new LinkedHashMap<>();
         List<Machine> chosen = new ArrayList<>();
         for (Machine machine : candidates) {
             int room = machine.size().count(job.room);
-            while (room > 0 && chosen.size() < wanted
-                    && job.placedIn(machine.yard) + inYard.getOrDefault(machine.yard, 0) < perYard) {
+            while (room > 0
+                    && chosen.size() < wanted
+                    && job.placedIn(machine.yard) + inYard.getOrDefault(machine.yard, 0)
+                            < perYard) {
                 chosen.add(machine);
                 inYard.merge(machine.yard, 1, Integer::sum);
                 room--;
@@ -170,10 +198,13 @@
         return chosen.size() == wanted ? chosen : null;
     }
 
-    /** Renewal keeps a gathering job's room; a machine that got stuck is then exchanged for one with room. */
+    /**
+     * Renewal keeps a gathering job's room; a machine that got stuck is then exchanged for one with
+     * room.
+     */
     private void renew(Job job) {
-        if (world.nowMicros - renewedMicros.getOrDefault(job, world.nowMicros) < world.settings.operator()
-                .reservationRenewMicros()) {
+        if (world.nowMicros - renewedMicros.getOrDefault(job, world.nowMicros)
+                < world.settings.operator().reservationRenewMicros()) {
             return;
         }
         renewedMicros.put(job, world.nowMicros);
