--- a/src/main/java/org/woadloom/core/reservation/Reservation.java
+++ b/src/main/java/org/woadloom/core/reservation/Reservation.java
@@ -7,23 +7,41 @@
 /** Room on one machine that only its owner's tasks may draw. */
 public final class Reservation {
     /** The phases of the paper. */
-    public enum Phase { PENDING, WAITING, AVAILABLE, SUCCEEDED, FAILED }
+    public enum Phase {
+        PENDING,
+        WAITING,
+        AVAILABLE,
+        SUCCEEDED,
+        FAILED
+    }
 
     public final long id;
+
     /** The template: what is held. */
     public final Room template;
+
     /** The job whose tasks may draw it. */
     public final Job owner;
+
     public final Machine machine;
+
     /** Ends with the first owner that draws it, whatever is left. */
     public final boolean allocateOnce;
+
     /** Made on a machine that had no room yet. */
     public final boolean preAllocation;
+
     private Phase phase = Phase.PENDING;
     private Room allocated = Room.NONE;
     private long expiresMicros;
 
-    Reservation(long id, Room template, Job owner, Machine machine, boolean allocateOnce, boolean preAllocation,
+    Reservation(
+            long id,
+            Room template,
+            Job owner,
+            Machine machine,
+            boolean allocateOnce,
+            boolean preAllocation,
             long expiresMicros) {
         this.id = id;
         this.template = template;
@@ -59,7 +77,9 @@
     /** What a task of this size would draw here before it takes from the machine. */
     public Room drawable(Room task) {
         Room left = remaining();
-        return new Room(Math.min(left.cpu(), task.cpu()), Math.min(left.card(), task.card()),
+        return new Room(
+                Math.min(left.cpu(), task.cpu()),
+                Math.min(left.card(), task.card()),
                 Math.min(left.ram(), task.ram()));
     }
 
--- a/src/main/java/org/woadloom/core/reservation/Reservations.java
+++ b/src/main/java/org/woadloom/core/reservation/Reservations.java
@@ -13,14 +13,19 @@
 import org.woadloom.core.reservation.Reservation.Phase;
 
 /**
- * All reservations of this term. They are the leader's working state: a new leader gathers again. What is held counts
- * against the owner team's limit until it is drawn or released.
+ * All reservations of this term. They are the leader's working state: a new leader gathers again.
+ * What is held counts against the owner team's limit until it is drawn or released.
  */
 public final class Reservations {
     private final World world;
     private final Map<Long, Reservation> live = new LinkedHashMap<>();
-    /** The live ones again, in the order in which they were made: hundreds of machines are asked for theirs in a pass. */
+
+    /**
+     * The live ones again, in the order in which they were made: hundreds of machines are asked for
+     * theirs in a pass.
+     */
     private final Map<Machine, List<Reservation>> byMachine = new HashMap<>();
+
     private final Map<Job, List<Reservation>> byOwner = new HashMap<>();
     private long ids;
 
@@ -31,10 +36,15 @@
     /**
      * Holds room for a job's tasks.
      *
-     * @param preAllocation skip the check for free room: the reservation waits until there is enough
+     * @param preAllocation skip the check for free room: the reservation waits until there is
+     *     enough
      * @return null if the machine has not got the room, or the team's limit does not allow it
      */
-    public Reservation reserve(Job owner, Machine machine, Room template, boolean allocateOnce,
+    public Reservation reserve(
+            Job owner,
+            Machine machine,
+            Room template,
+            boolean allocateOnce,
             boolean preAllocation) {
         if (owner.team.allowed(template, owner) < 1 || !machine.size().holds(template)) {
             return null;
@@ -43,11 +53,19 @@
             return null;
         }
         if (!allocateOnce && reusable(owner, machine) != null) {
-            // One reusable reservation of an owner on a machine is enough: a second one would only split the room.
+            // One reusable reservation of an owner on a machine is enough: a second one would only
+            // split the room.
             return null;
         }
-        Reservation reservation = new Reservation(++ids, template, owner, machine, allocateOnce, preAllocation,
-                world.nowMicros + world.settings.operator().reservationTtlMicros());
+        Reservation reservation =
+                new Reservation(
+                        ++ids,
+                        template,
+                        owner,
+                        machine,
+                        allocateOnce,
+                        preAllocation,
+                        world.nowMicros + world.settings.operator().reservationTtlMicros());
         live.put(reservation.id, reservation);
         byMachine.computeIfAbsent(machine, m -> new ArrayList<>(2)).add(reservation);
         byOwner.computeIfAbsent(owner, j -> new ArrayList<>(2)).add(reservation);
@@ -66,7 +84,10 @@
         return null;
     }
 
-    /** A waiting reservation becomes available once the machine's room covers it and those made before it. */
+    /**
+     * A waiting reservation becomes available once the machine's room covers it and those made
+     * before it.
+     */
     private void settle(Reservation reservation) {
         if (reservation.phase() != Phase.WAITING) {
             return;
@@ -78,8 +99,7 @@
             }
             before = before.plus(other.remaining());
         }
-        if (reservation.machine.room().minus(before)
-                .holds(reservation.remaining())) {
+        if (reservation.machine.room().minus(before).holds(reservation.remaining())) {
             reservation.become(Phase.AVAILABLE);
         }
     }
@@ -90,12 +110,17 @@
         Map<Job, Integer> held = new LinkedHashMap<>();
         for (Reservation reservation : new ArrayList<>(live.values())) {
             Machine machine = reservation.machine;
-            // A job that found room elsewhere meanwhile needs no more reservations than it has pending tasks.
+            // A job that found room elsewhere meanwhile needs no more reservations than it has
+            // pending tasks.
             if (reservation.owner.over()
-                    || held.merge(reservation.owner, 1, Integer::sum) > reservation.owner.pending()) {
+                    || held.merge(reservation.owner, 1, Integer::sum)
+                            > reservation.owner.pending()) {
                 release(reservation);
-            } else if (world.nowMicros >= reservation.expiresMicros() || machine.deleted || machine.leaving
-                    || machine.takenMicros >= 0 || !machine.up()) {
+            } else if (world.nowMicros >= reservation.expiresMicros()
+                    || machine.deleted
+                    || machine.leaving
+                    || machine.takenMicros >= 0
+                    || !machine.up()) {
                 release(reservation);
                 failed.add(reservation);
             } else {
@@ -157,8 +182,8 @@
     }
 
     /**
-     * The reservation from which a task of the job draws first on this machine: the one from which it gets most, and
-     * among reusable ones the earliest.
+     * The reservation from which a task of the job draws first on this machine: the one from which
+     * it gets most, and among reusable ones the earliest.
      */
     public Reservation match(Job job, Machine machine) {
         List<Reservation> here = byMachine.get(machine);
@@ -170,8 +195,9 @@
             if (reservation.owner != job || reservation.phase() != Phase.AVAILABLE) {
                 continue;
             }
-            if (best == null || (best.allocateOnce || reservation.allocateOnce)
-                    && draws(reservation, job) > draws(best, job)) {
+            if (best == null
+                    || (best.allocateOnce || reservation.allocateOnce)
+                            && draws(reservation, job) > draws(best, job)) {
                 best = reservation;
             }
         }
@@ -183,7 +209,9 @@
         return room.cpu() + room.card() * 16 + room.ram() / 16;
     }
 
-    /** What the job's team gets back from its limit when a task of the job draws the reservation. */
+    /**
+     * What the job's team gets back from its limit when a task of the job draws the reservation.
+     */
     public Room credit(Job job, Machine machine) {
         Reservation reservation = match(job, machine);
         if (reservation == null) {
@@ -192,7 +220,9 @@
         return reservation.allocateOnce ? reservation.remaining() : reservation.drawable(job.room);
     }
 
-    /** To be called before the placement is added: its room moves from the reservation to the task. */
+    /**
+     * To be called before the placement is added: its room moves from the reservation to the task.
+     */
     public void draw(Placement placement) {
         Reservation reservation = match(placement.job, placement.machine);
         if (reservation == null) {
@@ -217,8 +247,8 @@
     }
 
     /**
-     * For how many tasks of the job no machine need be rented. A gang's waiting reservations do not count: what they
-     * wait for may run long.
+     * For how many tasks of the job no machine need be rented. A gang's waiting reservations do not
+     * count: what they wait for may run long.
      */
     public int coming(Job job) {
         int count = 0;
@@ -235,7 +265,10 @@
         return byOwner.getOrDefault(job, List.of()).size();
     }
 
-    /** True if room is held for a job of the team other than this one, which counts against the limit. */
+    /**
+     * True if room is held for a job of the team other than this one, which counts against the
+     * limit.
+     */
     public boolean heldForOthers(Job job) {
         for (Job owner : byOwner.keySet()) {
             if (owner != job && owner.team == job.team) {
--- a/src/main/java/org/woadloom/core/rollout/Belonging.java
+++ b/src/main/java/org/woadloom/core/rollout/Belonging.java
@@ -4,14 +4,16 @@
 import java.util.TreeSet;
 
 /**
- * Whether a process belongs among the others, by what the stored state requires and what this program knows. It begins
- * unknown, and takes no user's request and no term before it has given its word and then read the record, in that order:
- * a leader that switches a feature on meanwhile either sees the word, or is seen.
+ * Whether a process belongs among the others, by what the stored state requires and what this
+ * program knows. It begins unknown, and takes no user's request and no term before it has given its
+ * word and then read the record, in that order: a leader that switches a feature on meanwhile
+ * either sees the word, or is seen.
  */
 public final class Belonging {
     private final Set<String> reads;
     private boolean known;
     private Set<String> lacks = Set.of();
+
     /** Why the record can't be read, or null. */
     private String unreadable;
 
@@ -50,7 +52,9 @@
         return known;
     }
 
-    /** What is required and not known here: as long as there is any, this process must not serve. */
+    /**
+     * What is required and not known here: as long as there is any, this process must not serve.
+     */
     public Set<String> lacks() {
         return unreadable == null ? lacks : Set.of(unreadable);
     }
--- a/src/main/java/org/woadloom/core/rollout/Feature.java
+++ b/src/main/java/org/woadloom/core/rollout/Feature.java
@@ -11,20 +11,55 @@
 import org.woadloom.state.RecordFormat;
 
 /**
- * What can be switched while versions change. A feature that is added here is off in every deployment until each member
- * says that it reads and can do it; one is removed only after it has settled everywhere.
+ * What can be switched while versions change. A feature that is added here is off in every
+ * deployment until each member says that it reads and can do it; one is removed only after it has
+ * settled everywhere.
  */
 public enum Feature {
     /** Records of jobs as differences, packed letters, and jobs that wait for others. */
-    COMPACT_RECORDS("compact-records", "job/ with format 2, final/ with at and service, mail/ with packed-", "version 2", 2,
-            false, false, Set.of(), Keys.JOBS, value -> JobRecord.formatOf(value) == RecordFormat.COMPACT),
+    COMPACT_RECORDS(
+            "compact-records",
+            "job/ with format 2, final/ with at and service, mail/ with packed-",
+            "version 2",
+            2,
+            false,
+            false,
+            Set.of(),
+            Keys.JOBS,
+            value -> JobRecord.formatOf(value) == RecordFormat.COMPACT),
     /** Leases are renewed in a zone that is cut off. */
-    ZONE_CARE("zone-care", "peer frames 16 and 17", "version 3", 3, false, false, Set.of("compact-records"), null, value -> true),
+    ZONE_CARE(
+            "zone-care",
+            "peer frames 16 and 17",
+            "version 3",
+            3,
+            false,
+            false,
+            Set.of("compact-records"),
+            null,
+            value -> true),
     /** Records of machines say when they were rented and whether they ever came up. */
-    MACHINE_LIFE("machine-life", "machine/ with at and up; earlier versions pass over both", "version 1", 0, true, true,
-            Set.of(), Keys.MACHINES, MachineRecord::tellsLife),
+    MACHINE_LIFE(
+            "machine-life",
+            "machine/ with at and up; earlier versions pass over both",
+            "version 1",
+            0,
+            true,
+            true,
+            Set.of(),
+            Keys.MACHINES,
+            MachineRecord::tellsLife),
     /** Nodes vouch to the leader for the cancellations that they confirm. */
-    CANCELLATION_VOUCHES("cancellation-vouches", "peer frames 18 and 19", "the first version that lists it", 0, true, false, Set.of(), null, value -> true);
+    CANCELLATION_VOUCHES(
+            "cancellation-vouches",
+            "peer frames 18 and 19",
+            "the first version that lists it",
+            0,
+            true,
+            false,
+            Set.of(),
+            null,
+            value -> true);
 
     private final String key;
     private final String writes;
@@ -38,15 +73,24 @@
 
     /**
      * @param leastReader the earliest version that reads what it writes without harm
-     * @param agreedVersion the number under which versions 2 and 3 agree on it, 0 for none; they never take that back
+     * @param agreedVersion the number under which versions 2 and 3 agree on it, 0 for none; they
+     *     never take that back
      * @param revocable whether it can be taken back while it is on and not settled
-     * @param soaks whether it waits for a time without trouble, and is taken back by itself in trouble; one that keeps a rule
-     *     without writing records does neither
+     * @param soaks whether it waits for a time without trouble, and is taken back by itself in
+     *     trouble; one that keeps a rule without writing records does neither
      * @param prefix where its records are, or null if it has none
      * @param fresh whether a stored record is of its form
      */
-    Feature(String key, String writes, String leastReader, long agreedVersion, boolean revocable, boolean soaks,
-            Set<String> needs, String prefix, Predicate<Map<String, Object>> fresh) {
+    Feature(
+            String key,
+            String writes,
+            String leastReader,
+            long agreedVersion,
+            boolean revocable,
+            boolean soaks,
+            Set<String> needs,
+            String prefix,
+            Predicate<Map<String, Object>> fresh) {
         this.key = key;
         this.writes = writes;
         this.leastReader = leastReader;
--- a/src/main/java/org/woadloom/core/rollout/Moves.java
+++ b/src/main/java/org/woadloom/core/rollout/Moves.java
@@ -13,16 +13,19 @@
 import org.woadloom.state.Keys;
 
 /**
- * Rewrites records in the form that is in force, a small part of the write rate at a time. What has to be rewritten is
- * counted in the store, so nothing of it needs to be kept: a new leader counts again.
+ * Rewrites records in the form that is in force, a small part of the write rate at a time. What has
+ * to be rewritten is counted in the store, so nothing of it needs to be kept: a new leader counts
+ * again.
  */
 final class Moves {
     private static final double LEAST_PER_SECOND = 0.2;
 
     private final World world;
     private final Map<Feature, ArrayDeque<String>> waiting = new EnumMap<>(Feature.class);
+
     /** Jobs that are being rewritten, with the first version that has the new form. */
     private final Map<Feature, Map<String, Long>> underWay = new EnumMap<>(Feature.class);
+
     private double allowance;
     private long wentMicros;
 
@@ -51,23 +54,32 @@
     }
 
     /**
-     * True once no write of the other form is under way any more. One without an answer is read and written over, which
-     * voids it; counted before that, the store would hold a record of that form later.
+     * True once no write of the other form is under way any more. One without an answer is read and
+     * written over, which voids it; counted before that, the store would hold a record of that form
+     * later.
      */
     boolean quiet(Feature feature, boolean on) {
         if (feature != Feature.MACHINE_LIFE) {
             return true;
         }
         return world.machineLife == on
-                && world.machines.values().stream().noneMatch(machine -> machine.mayChange(world.machineLifeSinceMicros));
+                && world.machines.values().stream()
+                        .noneMatch(machine -> machine.mayChange(world.machineLifeSinceMicros));
     }
 
     /** Has as many records rewritten as the time since the last call allows. */
     void go() {
-        // Under a load that takes all writes it still gets done, in an hour or so instead of minutes.
-        double rate = world.writes.spare() ? Math.max(LEAST_PER_SECOND, world.writes.perSecond()
-                * world.settings.operator().rewriteShare()) : LEAST_PER_SECOND;
-        allowance = Math.min(Math.max(1, rate), allowance + rate * (world.nowMicros - wentMicros) / 1e6);
+        // Under a load that takes all writes it still gets done, in an hour or so instead of
+        // minutes.
+        double rate =
+                world.writes.spare()
+                        ? Math.max(
+                                LEAST_PER_SECOND,
+                                world.writes.perSecond() * world.settings.operator().rewriteShare())
+                        : LEAST_PER_SECOND;
+        allowance =
+                Math.min(
+                        Math.max(1, rate), allowance + rate * (world.nowMicros - wentMicros) / 1e6);
         wentMicros = world.nowMicros;
         for (Feature feature : Feature.values()) {
             settle(feature);
@@ -81,12 +93,20 @@
 
     /** What is written, gone, or known to be written anew by itself, is done with. */
     private void settle(Feature feature) {
-        for (Iterator<Map.Entry<String, Long>> all = underWay.get(feature).entrySet().iterator(); all.hasNext();) {
+        for (Iterator<Map.Entry<String, Long>> all = underWay.get(feature).entrySet().iterator();
+                all.hasNext(); ) {
             Map.Entry<String, Long> one = all.next();
             String key = one.getKey();
-            Job job = key.startsWith(Keys.JOBS) ? world.jobs.get(key.substring(Keys.JOBS.length())) : null;
-            Machine machine = key.startsWith(Keys.MACHINES) ? world.machines.get(key.substring(Keys.MACHINES.length())) : null;
-            if (job == null && machine == null || job != null && job.recording.durable >= one.getValue()
+            Job job =
+                    key.startsWith(Keys.JOBS)
+                            ? world.jobs.get(key.substring(Keys.JOBS.length()))
+                            : null;
+            Machine machine =
+                    key.startsWith(Keys.MACHINES)
+                            ? world.machines.get(key.substring(Keys.MACHINES.length()))
+                            : null;
+            if (job == null && machine == null
+                    || job != null && job.recording.durable >= one.getValue()
                     || machine != null && !machine.rewrite && !machine.writing) {
                 all.remove();
             }
@@ -121,8 +141,13 @@
             if (allowance < 1) {
                 return;
             }
-            if (machine.heard() && machine.recorded && !machine.upRecorded && !machine.rewrite && !machine.writing
-                    && !machine.leaving && !machine.deleted) {
+            if (machine.heard()
+                    && machine.recorded
+                    && !machine.upRecorded
+                    && !machine.rewrite
+                    && !machine.writing
+                    && !machine.leaving
+                    && !machine.deleted) {
                 machine.rewrite();
                 allowance--;
             }
--- a/src/main/java/org/woadloom/core/rollout/RolloutPlan.java
+++ b/src/main/java/org/woadloom/core/rollout/RolloutPlan.java
@@ -22,13 +22,22 @@
 import org.woadloom.state.RolloutRequest;
 import org.woadloom.state.RolloutRequest.Verb;
 
-/** The leader's part of a rollout: watches who is there, moves features step by step, has records rewritten and counted. */
+/**
+ * The leader's part of a rollout: watches who is there, moves features step by step, has records
+ * rewritten and counted.
+ */
 public final class RolloutPlan {
     private static final long REVIEW_MICROS = 1_000_000;
     private static final long RECOUNT_MICROS = 10_000_000;
-    /** So many processes of a node in a row, each within a minute of the one before, mean that it keeps ending. */
+
+    /**
+     * So many processes of a node in a row, each within a minute of the one before, mean that it
+     * keeps ending.
+     */
     private static final int KEEPS_ENDING = 3;
+
     private static final long KEEPS_ENDING_MICROS = 60_000_000;
+
     /** More refusals, or late steps, than this in a second are no time to change anything. */
     private static final long RESTLESS = 10;
 
@@ -36,11 +45,15 @@
     private final Moves moves;
     private Command.RolloutSeen seen;
     private RolloutRecord writing;
+
     /** After a write that failed: whatever was in its way is read anew first. */
     private long againMicros = Long.MIN_VALUE / 2;
+
     private long reviewedMicros = Long.MIN_VALUE / 2;
+
     /** Who lives and how; while it stays the same, time passes. */
     private Object circumstances;
+
     private long calmSinceMicros;
     private long refusedBefore;
     private final Map<Feature, Count> counts = new EnumMap<>(Feature.class);
@@ -113,7 +126,10 @@
         }
     }
 
-    /** Has the feature's records counted while they are being moved, again once all that were found are rewritten. */
+    /**
+     * Has the feature's records counted while they are being moved, again once all that were found
+     * are rewritten.
+     */
     private void count(Feature feature) {
         Count count = counts.get(feature);
         Standing standing = seen.record().of(feature.key());
@@ -126,7 +142,11 @@
             moves.forget(feature);
         }
         boolean moving = standing.step() == Step.ON || standing.back();
-        if (moving && !count.confirmed && !count.asked && moves.left(feature) == 0 && world.nowMicros >= count.againMicros
+        if (moving
+                && !count.confirmed
+                && !count.asked
+                && moves.left(feature) == 0
+                && world.nowMicros >= count.againMicros
                 && moves.quiet(feature, standing.on())) {
             count.asked = true;
             world.emit(new Effect.CountRecords(feature, standing.back()));
@@ -146,14 +166,18 @@
         count.unreadable = result.unreadable().size();
         count.confirmed = result.old().isEmpty() && result.unreadable().isEmpty();
         if (!result.old().isEmpty()) {
-            world.log(LogEntry.info(LogEvent.ROLLOUT_RECORDS_OUTDATED).with("feature", result.feature().key())
-                    .with("records", result.old().size()));
+            world.log(
+                    LogEntry.info(LogEvent.ROLLOUT_RECORDS_OUTDATED)
+                            .with("feature", result.feature().key())
+                            .with("records", result.old().size()));
             moves.found(result.feature(), result.old());
             count.againMicros = 0;
         }
         if (!result.unreadable().isEmpty()) {
-            world.log(LogEntry.info(LogEvent.ROLLOUT_RECORDS_UNREADABLE).with("feature", result.feature().key())
-                    .with("records", String.join(",", result.unreadable())));
+            world.log(
+                    LogEntry.info(LogEvent.ROLLOUT_RECORDS_UNREADABLE)
+                            .with("feature", result.feature().key())
+                            .with("records", String.join(",", result.unreadable())));
         }
         reviewedMicros = Long.MIN_VALUE / 2;
     }
@@ -188,8 +212,12 @@
         writing = next;
         Map<String, Long> conditions = new LinkedHashMap<>();
         conditions.put(Keys.ROLLOUT_STATE, seen.stamp());
-        // What was decided by these words is void if one has changed: a process that ended and came back old, say.
-        seen.words().forEach((label, spoken) -> conditions.put(Keys.ROLLOUT_NODES + label, spoken.stamp()));
+        // What was decided by these words is void if one has changed: a process that ended and came
+        // back old, say.
+        seen.words()
+                .forEach(
+                        (label, spoken) ->
+                                conditions.put(Keys.ROLLOUT_NODES + label, spoken.stamp()));
         long agreed = seen.agreed();
         for (Feature feature : Feature.values()) {
             if (next.of(feature.key()).on()) {
@@ -203,32 +231,73 @@
     }
 
     /** Takes the feature as far as it may go now, several steps where nothing lies between them. */
-    private RolloutRecord decide(Feature feature, RolloutRecord record, Set<String> members, Map<String, NodeWord> words) {
+    private RolloutRecord decide(
+            Feature feature,
+            RolloutRecord record,
+            Set<String> members,
+            Map<String, NodeWord> words) {
         RolloutRecord next = record;
         RolloutRequest request = seen.asked().getOrDefault(feature.key(), RolloutRequest.AUTO);
-        boolean troubled = words.values().stream().anyMatch(word -> word.starts() >= KEEPS_ENDING
-                && world.wallMicros - word.sinceWallMicros() < KEEPS_ENDING_MICROS);
+        boolean troubled =
+                words.values().stream()
+                        .anyMatch(
+                                word ->
+                                        word.starts() >= KEEPS_ENDING
+                                                && world.wallMicros - word.sinceWallMicros()
+                                                        < KEEPS_ENDING_MICROS);
         while (true) {
             Count count = counts.get(feature);
             boolean same = next.of(feature.key()).equals(count.standing);
-            boolean soaked = same && world.nowMicros - Math.max(count.sinceMicros, calmSinceMicros)
-                    >= world.settings.operator().soakMicros();
-            Verdict verdict = RolloutRules.judge(feature, new Situation(next, members, words, seen.wordless(), seen.agreed(),
-                    request.verb(), soaked, troubled, moves.left(feature), same && count.confirmed), world.wallMicros);
+            boolean soaked =
+                    same
+                            && world.nowMicros - Math.max(count.sinceMicros, calmSinceMicros)
+                                    >= world.settings.operator().soakMicros();
+            Verdict verdict =
+                    RolloutRules.judge(
+                            feature,
+                            new Situation(
+                                    next,
+                                    members,
+                                    words,
+                                    seen.wordless(),
+                                    seen.agreed(),
+                                    request.verb(),
+                                    soaked,
+                                    troubled,
+                                    moves.left(feature),
+                                    same && count.confirmed),
+                            world.wallMicros);
             if (verdict.next() == null) {
                 if (!Objects.equals(told.put(feature, verdict.why()), verdict.why())) {
-                    world.log(LogEntry.info(LogEvent.ROLLOUT_WAITING).with("feature", feature.key())
-                            .with("step", next.of(feature.key()).step().text()).with("reason", verdict.why()));
+                    world.log(
+                            LogEntry.info(LogEvent.ROLLOUT_WAITING)
+                                    .with("feature", feature.key())
+                                    .with("step", next.of(feature.key()).step().text())
+                                    .with("reason", verdict.why()));
                 }
                 return next;
             }
-            String by = world.settings.label() + " in term " + world.term
-                    + (request.verb() == Verb.AUTO ? "" : ", " + request.verb().text() + " asked by " + request.by());
+            String by =
+                    world.settings.label()
+                            + " in term "
+                            + world.term
+                            + (request.verb() == Verb.AUTO
+                                    ? ""
+                                    : ", " + request.verb().text() + " asked by " + request.by());
             Standing to = verdict.next();
-            next = next.with(feature.key(), new Standing(to.step(), to.back(), to.held(), to.sinceWallMicros(), by));
-            steps.put(feature.key() + " " + to.step(), LogEntry.info(LogEvent.ROLLOUT_STEP).with("feature", feature.key())
-                    .with("step", to.step().text()).with("rolling_back", to.back()).with("allowed_by", by)
-                    .with("reason", verdict.why()));
+            next =
+                    next.with(
+                            feature.key(),
+                            new Standing(
+                                    to.step(), to.back(), to.held(), to.sinceWallMicros(), by));
+            steps.put(
+                    feature.key() + " " + to.step(),
+                    LogEntry.info(LogEvent.ROLLOUT_STEP)
+                            .with("feature", feature.key())
+                            .with("step", to.step().text())
+                            .with("rolling_back", to.back())
+                            .with("allowed_by", by)
+                            .with("reason", verdict.why()));
         }
     }
 
--- a/src/main/java/org/woadloom/core/rollout/RolloutRules.java
+++ b/src/main/java/org/woadloom/core/rollout/RolloutRules.java
@@ -10,33 +10,45 @@
 import org.woadloom.state.RolloutRequest.Verb;
 
 /**
- * Decides the next step of a feature from what is known: no clock, no state of its own. A step that is taken by it is
- * written on condition that neither the record nor any member's word has changed since.
+ * Decides the next step of a feature from what is known: no clock, no state of its own. A step that
+ * is taken by it is written on condition that neither the record nor any member's word has changed
+ * since.
  */
 public final class RolloutRules {
-    private RolloutRules() {
-    }
+    private RolloutRules() {}
 
     /**
      * What a decision rests on.
      *
      * @param members all nodes that any live node's settings name, and all that were heard lately
      * @param words what live processes say
-     * @param wordless nodes that were heard lately and say nothing: they run a version from before words
+     * @param wordless nodes that were heard lately and say nothing: they run a version from before
+     *     words
      * @param agreed what versions 2 and 3 have agreed on
      * @param soaked enough time has passed without trouble
      * @param troubled a node keeps ending
      * @param left how many records are not yet of the form they are moved to
      * @param confirmed the store was counted, and no such record was found
      */
-    public record Situation(RolloutRecord record, Set<String> members, Map<String, NodeWord> words, Set<String> wordless,
-            long agreed, Verb asked, boolean soaked, boolean troubled, int left, boolean confirmed) {
+    public record Situation(
+            RolloutRecord record,
+            Set<String> members,
+            Map<String, NodeWord> words,
+            Set<String> wordless,
+            long agreed,
+            Verb asked,
+            boolean soaked,
+            boolean troubled,
+            int left,
+            boolean confirmed) {
 
         Set<String> without(String feature, boolean acting) {
             Set<String> lacking = new TreeSet<>();
             for (String member : members) {
                 NodeWord word = words.get(member);
-                if (word == null || wordless.contains(member) || !word.reads().contains(feature)
+                if (word == null
+                        || wordless.contains(member)
+                        || !word.reads().contains(feature)
                         || acting && !word.can().contains(feature)) {
                     lacking.add(member);
                 }
@@ -57,7 +69,13 @@
         if (!at.on() && feature.agreedVersion() > 0 && s.agreed >= feature.agreedVersion()) {
             return to(Step.ON, false, false, wallMicros, "an earlier version agreed on it");
         }
-        boolean held = s.asked != Verb.GO && (at.held() || s.troubled && at.step() == Step.ON && feature.revocable() && feature.soaks());
+        boolean held =
+                s.asked != Verb.GO
+                        && (at.held()
+                                || s.troubled
+                                        && at.step() == Step.ON
+                                        && feature.revocable()
+                                        && feature.soaks());
         if (s.asked == Verb.BACK || held) {
             return backwards(feature, s, at, held, wallMicros);
         }
@@ -66,18 +84,23 @@
         }
         Set<String> lacking = s.without(feature.key(), false);
         return switch (at.step()) {
-            case OFF -> lacking.isEmpty() ? to(Step.UNDERSTOOD, false, false, wallMicros, "every node reads it")
-                    : Verdict.waits("not read by " + lacking);
+            case OFF ->
+                    lacking.isEmpty()
+                            ? to(Step.UNDERSTOOD, false, false, wallMicros, "every node reads it")
+                            : Verdict.waits("not read by " + lacking);
             case UNDERSTOOD -> switchOn(feature, s, at, lacking, wallMicros);
             case ON -> settle(s, lacking, wallMicros);
             case SETTLED -> Verdict.waits("settled");
         };
     }
 
-    private static Verdict switchOn(Feature feature, Situation s, Standing at, Set<String> lacking, long wallMicros) {
+    private static Verdict switchOn(
+            Feature feature, Situation s, Standing at, Set<String> lacking, long wallMicros) {
         if (!lacking.isEmpty()) {
-            // While it is being taken back records of it may be there, and whoever can't read them must stay out.
-            return at.back() ? Verdict.waits("not read by " + lacking)
+            // While it is being taken back records of it may be there, and whoever can't read them
+            // must stay out.
+            return at.back()
+                    ? Verdict.waits("not read by " + lacking)
                     : to(Step.OFF, false, false, wallMicros, lacking + " no longer reads it");
         }
         Set<String> unable = s.without(feature.key(), true);
@@ -93,7 +116,8 @@
             return Verdict.waits("nodes keep ending");
         }
         return s.soaked || s.asked == Verb.GO || !feature.soaks()
-                ? to(Step.ON, false, false, wallMicros, "every node reads and can do it") : Verdict.waits("time to pass");
+                ? to(Step.ON, false, false, wallMicros, "every node reads and can do it")
+                : Verdict.waits("time to pass");
     }
 
     private static Verdict settle(Situation s, Set<String> lacking, long wallMicros) {
@@ -106,11 +130,13 @@
         if (!s.soaked && s.asked != Verb.GO) {
             return Verdict.waits("time to pass");
         }
-        return s.confirmed ? to(Step.SETTLED, false, false, wallMicros, "no record of the old form is left")
+        return s.confirmed
+                ? to(Step.SETTLED, false, false, wallMicros, "no record of the old form is left")
                 : Verdict.waits("the store to be counted");
     }
 
-    private static Verdict backwards(Feature feature, Situation s, Standing at, boolean held, long wallMicros) {
+    private static Verdict backwards(
+            Feature feature, Situation s, Standing at, boolean held, long wallMicros) {
         String why = held ? "nodes keep ending" : "an operator asked";
         return switch (at.step()) {
             case OFF -> Verdict.waits(why + ": off");
@@ -120,7 +146,8 @@
                     yield Verdict.waits("on, can't be taken back");
                 }
                 for (Feature other : Feature.values()) {
-                    if (other.needs().contains(feature.key()) && s.record.of(other.key()).required()) {
+                    if (other.needs().contains(feature.key())
+                            && s.record.of(other.key()).required()) {
                         yield Verdict.waits("needed by " + other.key());
                     }
                 }
--- a/src/main/java/org/woadloom/core/served/LargestJobs.java
+++ b/src/main/java/org/woadloom/core/served/LargestJobs.java
@@ -11,7 +11,10 @@
 import org.woadloom.core.LogEvent;
 import org.woadloom.core.jobs.Job;
 
-/** What became of the largest tenth of each class's jobs: whoever serves only small ones looks well on average. */
+/**
+ * What became of the largest tenth of each class's jobs: whoever serves only small ones looks well
+ * on average.
+ */
 final class LargestJobs {
     private static final double PART = 0.1;
     private static final int MOST_KEPT = 2_000;
@@ -37,7 +40,8 @@
     }
 
     void come(Job job) {
-        Map<String, Entry> jobs = byClass.computeIfAbsent(job.description.jobclass(), name -> new LinkedHashMap<>());
+        Map<String, Entry> jobs =
+                byClass.computeIfAbsent(job.description.jobclass(), name -> new LinkedHashMap<>());
         jobs.put(job.uid(), new Entry(job));
         if (jobs.size() > MOST_KEPT) {
             jobs.remove(jobs.keySet().iterator().next());
@@ -60,22 +64,28 @@
     /** A line for each class, of jobs that nobody cancelled. */
     List<LogEntry> tell() {
         List<LogEntry> lines = new ArrayList<>();
-        byClass.forEach((name, jobs) -> {
-            List<Entry> largest = largest(jobs.values());
-            int begun = 0;
-            int done = 0;
-            long slowest = 0;
-            for (Entry entry : largest) {
-                boolean hasBegun = entry.begunMicros != Job.NEVER_MICROS;
-                begun += hasBegun && entry.waitedMicros() <= BEGIN_MICROS ? 1 : 0;
-                done += entry.done ? 1 : 0;
-                slowest = hasBegun ? Math.max(slowest, entry.waitedMicros()) : slowest;
-            }
-            if (!largest.isEmpty()) {
-                lines.add(LogEntry.info(LogEvent.LARGEST_JOBS_SERVICE_LEVEL).with("class", name).with("jobs", largest.size())
-                        .with("started_in_time", begun).withSeconds("slowest_start_s", slowest).with("done", done));
-            }
-        });
+        byClass.forEach(
+                (name, jobs) -> {
+                    List<Entry> largest = largest(jobs.values());
+                    int begun = 0;
+                    int done = 0;
+                    long slowest = 0;
+                    for (Entry entry : largest) {
+                        boolean hasBegun = entry.begunMicros != Job.NEVER_MICROS;
+                        begun += hasBegun && entry.waitedMicros() <= BEGIN_MICROS ? 1 : 0;
+                        done += entry.done ? 1 : 0;
+                        slowest = hasBegun ? Math.max(slowest, entry.waitedMicros()) : slowest;
+                    }
+                    if (!largest.isEmpty()) {
+                        lines.add(
+                                LogEntry.info(LogEvent.LARGEST_JOBS_SERVICE_LEVEL)
+                                        .with("class", name)
+                                        .with("jobs", largest.size())
+                                        .with("started_in_time", begun)
+                                        .withSeconds("slowest_start_s", slowest)
+                                        .with("done", done));
+                    }
+                });
         return lines;
     }
 
--- a/src/main/java/org/woadloom/core/served/Served.java
+++ b/src/main/java/org/woadloom/core/served/Served.java
@@ -13,16 +13,19 @@
 import org.woadloom.core.jobs.Job;
 
 /**
- * Who is served: by team and class, how many jobs this term has known, how many of them ran as a whole, how many are over,
- * and for how long the one that waits longest has waited. It only tells; nothing is decided by it.
+ * Who is served: by team and class, how many jobs this term has known, how many of them ran as a
+ * whole, how many are over, and for how long the one that waits longest has waited. It only tells;
+ * nothing is decided by it.
  */
 public final class Served {
     private static final long PERIOD_MICROS = 60_000_000;
 
     private final World world;
     private final Map<String, Count> counts = new TreeMap<>();
+
     /** Open jobs of which all tasks were seen running or done at once. */
     private final Set<Job> whole = new HashSet<>();
+
     private final LargestJobs largest = new LargestJobs();
     private long nextMicros;
 
@@ -41,14 +44,20 @@
         }
 
         Row row() {
-            return new Row(team, jobClass, accepted, startedWhole, over, cancelled, longestWaitMicros);
+            return new Row(
+                    team, jobClass, accepted, startedWhole, over, cancelled, longestWaitMicros);
         }
     }
 
     /** One team's jobs of one class; those {@code cancelled} are among those that are over. */
-    public record Row(String team, String jobClass, int accepted, int startedWhole, int over, int cancelled,
-            long longestWaitMicros) {
-    }
+    public record Row(
+            String team,
+            String jobClass,
+            int accepted,
+            int startedWhole,
+            int over,
+            int cancelled,
+            long longestWaitMicros) {}
 
     public Served(World world) {
         this.world = world;
@@ -56,7 +65,8 @@
     }
 
     private Count count(Job job) {
-        return counts.computeIfAbsent(job.description.crew() + '\0' + job.description.jobclass(),
+        return counts.computeIfAbsent(
+                job.description.crew() + '\0' + job.description.jobclass(),
                 key -> new Count(job.description.crew(), job.description.jobclass()));
     }
 
@@ -65,9 +75,13 @@
         largest.come(job);
     }
 
-    /** Looks at a job that may have all of its tasks running; to be called before they are stopped. */
+    /**
+     * Looks at a job that may have all of its tasks running; to be called before they are stopped.
+     */
     public void look(Job job) {
-        if (!job.over() && job.running() + job.doneCount() == job.description.shards() && whole.add(job)) {
+        if (!job.over()
+                && job.running() + job.doneCount() == job.description.shards()
+                && whole.add(job)) {
             count(job).startedWhole++;
         }
     }
@@ -97,16 +111,24 @@
             largest.look(job);
             if (!job.waiting() && !job.over() && !whole.contains(job)) {
                 Count count = count(job);
-                count.longestWaitMicros = Math.max(count.longestWaitMicros, world.nowMicros - job.sinceMicros());
+                count.longestWaitMicros =
+                        Math.max(count.longestWaitMicros, world.nowMicros - job.sinceMicros());
             }
         }
         List<Row> rows = new ArrayList<>();
         for (Count count : counts.values()) {
             Row row = count.row();
             rows.add(row);
-            world.log(LogEntry.info(LogEvent.SERVICE_LEVEL).with("term", world.term).with("team", row.team).with("class", row.jobClass)
-                    .with("accepted", row.accepted).with("fully_started", row.startedWhole).with("ended", row.over)
-                    .with("cancelled", row.cancelled).withSeconds("longest_wait_s", row.longestWaitMicros));
+            world.log(
+                    LogEntry.info(LogEvent.SERVICE_LEVEL)
+                            .with("term", world.term)
+                            .with("team", row.team)
+                            .with("class", row.jobClass)
+                            .with("accepted", row.accepted)
+                            .with("fully_started", row.startedWhole)
+                            .with("ended", row.over)
+                            .with("cancelled", row.cancelled)
+                            .withSeconds("longest_wait_s", row.longestWaitMicros));
         }
         largest.tell().forEach(world::log);
         world.emit(new Effect.ServedSeen(rows));
--- a/src/main/java/org/woadloom/core/teams/ClassShares.java
+++ b/src/main/java/org/woadloom/core/teams/ClassShares.java
@@ -10,20 +10,27 @@
 import org.woadloom.core.placement.Room;
 
 /**
- * The least share of a team that asks for more than its limit: each of its classes that has work gets a part of the limit,
- * as far as it can use it, whatever rank the others have. Without that a team's arrays would wait for ever behind services
- * that stay for as long as their users like. Nothing is stopped for it: what a class does not use of its share is kept from
- * the team's other classes while it has work waiting. Teams whose work fits into their limit are not concerned.
+ * The least share of a team that asks for more than its limit: each of its classes that has work
+ * gets a part of the limit, as far as it can use it, whatever rank the others have. Without that a
+ * team's arrays would wait for ever behind services that stay for as long as their users like.
+ * Nothing is stopped for it: what a class does not use of its share is kept from the team's other
+ * classes while it has work waiting. Teams whose work fits into their limit are not concerned.
  */
 public final class ClassShares {
     /** What is divided evenly among the classes; the rest goes by the order of service alone. */
     private static final double DIVIDED = 2.0 / 3;
+
     private static final long TELL_MICROS = 60_000_000;
-    /** A class for which the limit has long had room waits for a machine: meanwhile its share is not kept from the others. */
+
+    /**
+     * A class for which the limit has long had room waits for a machine: meanwhile its share is not
+     * kept from the others.
+     */
     private static final long UNUSED_MICROS = 75_000_000;
 
     private final World world;
     private final Map<TeamUse, Long> toldMicros = new HashMap<>();
+
     /** Since when the limit has had room for a job of the class that waits, by team and class. */
     private final Map<TeamUse, Map<String, Long>> unusedMicros = new HashMap<>();
 
@@ -32,6 +39,7 @@
         Room used = Room.NONE;
         Room waiting = Room.NONE;
         Room task = Room.NONE;
+
         /** What the job that needs the least begins with, null while none waits. */
         Room least;
     }
@@ -45,14 +53,18 @@
         Map<TeamUse, Map<String, Demand>> demands = new LinkedHashMap<>();
         for (Job job : world.jobs.values()) {
             if (job.pending() > 0 || !job.placements().isEmpty()) {
-                Demand demand = demands.computeIfAbsent(job.team, t -> new LinkedHashMap<>())
-                        .computeIfAbsent(job.description.jobclass(), c -> new Demand());
+                Demand demand =
+                        demands.computeIfAbsent(job.team, t -> new LinkedHashMap<>())
+                                .computeIfAbsent(job.description.jobclass(), c -> new Demand());
                 demand.used = demand.used.plus(job.room.times(job.placements().size()));
                 demand.waiting = demand.waiting.plus(job.room.times(job.pending()));
                 demand.task = job.pending() > 0 ? job.room : demand.task;
                 if (job.pending() > 0) {
                     Room begins = job.room.times(job.description.gang() ? job.pending() : 1);
-                    demand.least = demand.least == null || demand.least.holds(begins) ? begins : demand.least;
+                    demand.least =
+                            demand.least == null || demand.least.holds(begins)
+                                    ? begins
+                                    : demand.least;
                 }
             }
         }
@@ -75,21 +87,23 @@
         unused.keySet().retainAll(demands.keySet());
         Room share = team.partOfLimit(DIVIDED / demands.size());
         Map<String, Room> kept = new LinkedHashMap<>();
-        demands.forEach((name, demand) -> {
-            Room missing = share.minus(demand.used).floor().least(demand.waiting);
-            if (demand.used.equals(Room.NONE) && !missing.holds(demand.task)) {
-                // Less than a task would be nothing at all.
-                missing = demand.task;
-            }
-            if (demand.least == null || !team.withinLimit(team.used().plus(demand.least))) {
-                unused.remove(name);
-            } else if (world.nowMicros - unused.computeIfAbsent(name, n -> world.nowMicros) > UNUSED_MICROS) {
-                return;
-            }
-            if (missing.cpu() > 0 || missing.card() > 0) {
-                kept.put(name, missing);
-            }
-        });
+        demands.forEach(
+                (name, demand) -> {
+                    Room missing = share.minus(demand.used).floor().least(demand.waiting);
+                    if (demand.used.equals(Room.NONE) && !missing.holds(demand.task)) {
+                        // Less than a task would be nothing at all.
+                        missing = demand.task;
+                    }
+                    if (demand.least == null || !team.withinLimit(team.used().plus(demand.least))) {
+                        unused.remove(name);
+                    } else if (world.nowMicros - unused.computeIfAbsent(name, n -> world.nowMicros)
+                            > UNUSED_MICROS) {
+                        return;
+                    }
+                    if (missing.cpu() > 0 || missing.card() > 0) {
+                        kept.put(name, missing);
+                    }
+                });
         tell(team, demands, all);
         return kept;
     }
@@ -99,8 +113,15 @@
             return;
         }
         toldMicros.put(team, world.nowMicros);
-        demands.forEach((name, demand) -> world.log(LogEntry.info(LogEvent.QUOTA_EXCEEDED).with("team", team.team.name())
-                .with("asked_cpus", all.cpu() / 1000).with("asked_gpus", all.card() / 1000).with("class", name)
-                .with("used_cpus", demand.used.cpu() / 1000).with("waiting_cpus", demand.waiting.cpu() / 1000)));
+        demands.forEach(
+                (name, demand) ->
+                        world.log(
+                                LogEntry.info(LogEvent.QUOTA_EXCEEDED)
+                                        .with("team", team.team.name())
+                                        .with("asked_cpus", all.cpu() / 1000)
+                                        .with("asked_gpus", all.card() / 1000)
+                                        .with("class", name)
+                                        .with("used_cpus", demand.used.cpu() / 1000)
+                                        .with("waiting_cpus", demand.waiting.cpu() / 1000)));
     }
 }
--- a/src/main/java/org/woadloom/core/teams/Guarantees.java
+++ b/src/main/java/org/woadloom/core/teams/Guarantees.java
@@ -10,13 +10,13 @@
 import org.woadloom.core.placement.Room;
 
 /**
- * Which jobs are within their team's guarantee: those that fit into it together with the team's earlier jobs that are not
- * finished. It is a property of the whole job, so that two teams whose use is near their guarantees don't stop each
- * other's tasks in turn.
+ * Which jobs are within their team's guarantee: those that fit into it together with the team's
+ * earlier jobs that are not finished. It is a property of the whole job, so that two teams whose
+ * use is near their guarantees don't stop each other's tasks in turn.
  */
 public final class Guarantees {
-    private static final Comparator<Job> BY_AGE = Comparator.comparingLong((Job job) -> job.sinceMicros())
-            .thenComparing(Job::uid);
+    private static final Comparator<Job> BY_AGE =
+            Comparator.comparingLong((Job job) -> job.sinceMicros()).thenComparing(Job::uid);
 
     private static final long AGAIN_MICROS = 200_000;
 
@@ -28,7 +28,10 @@
         this.world = world;
     }
 
-    /** Jobs that come are judged at once, and room in a guarantee that comes free is given away a little later. */
+    /**
+     * Jobs that come are judged at once, and room in a guarantee that comes free is given away a
+     * little later.
+     */
     public void update() {
         if (world.jobsCome == seen && world.nowMicros < againMicros) {
             return;
@@ -44,8 +47,9 @@
         jobs.sort(BY_AGE);
         Map<TeamUse, Room> sums = new HashMap<>();
         for (Job job : jobs) {
-            Room sum = sums.getOrDefault(job.team, Room.NONE)
-                    .plus(job.room.times(job.description.shards() - job.doneCount()));
+            Room sum =
+                    sums.getOrDefault(job.team, Room.NONE)
+                            .plus(job.room.times(job.description.shards() - job.doneCount()));
             sums.put(job.team, sum);
             job.guaranteed = job.team.guarantees(sum);
         }
--- a/src/main/java/org/woadloom/core/teams/LimitTurns.java
+++ b/src/main/java/org/woadloom/core/teams/LimitTurns.java
@@ -10,38 +10,55 @@
 import org.woadloom.core.reservation.Reservations;
 
 /**
- * A reservation against a team's limit, for one job of the team at a time, oldest first. What comes free of a limit that is
- * reached goes to whatever fits into it, so a gang, or a task larger than those that end, might wait behind smaller ones for
- * ever. Once such a job has waited for a while without beginning, the others of its team leave it what it needs to begin.
- * Nothing is stopped for it.
+ * A reservation against a team's limit, for one job of the team at a time, oldest first. What comes
+ * free of a limit that is reached goes to whatever fits into it, so a gang, or a task larger than
+ * those that end, might wait behind smaller ones for ever. Once such a job has waited for a while
+ * without beginning, the others of its team leave it what it needs to begin. Nothing is stopped for
+ * it.
  */
 public final class LimitTurns {
-    /** How long a job waits before the limit is gathered for it: well under the four minutes within which it must begin. */
+    /**
+     * How long a job waits before the limit is gathered for it: well under the four minutes within
+     * which it must begin.
+     */
     private static final long PATIENCE_MICROS = 100_000_000;
 
-    /** How long others leave the limit to one job, and for how long it has no other turn after that. */
+    /**
+     * How long others leave the limit to one job, and for how long it has no other turn after that.
+     */
     private static final long TURN_MICROS = 60_000_000;
 
-    /** Turns follow each other for so long at most before the others of the team get what is free for a while. */
+    /**
+     * Turns follow each other for so long at most before the others of the team get what is free
+     * for a while.
+     */
     private static final long ROW_MICROS = 60_000_000;
+
     private static final long PAUSE_MICROS = 5_000_000;
 
     private final World world;
     private final Reservations reservations;
     private final Map<TeamUse, Turn> turns = new HashMap<>();
+
     /** Jobs that had a turn and could not begin, and until when they have no other. */
     private final Map<Job, Long> passed = new HashMap<>();
+
     /** Since when each team has had one turn after the other. */
     private final Map<TeamUse, Long> rowMicros = new HashMap<>();
+
     /** Until when each team has no turn. */
     private final Map<TeamUse, Long> pausedMicros = new HashMap<>();
 
-    /** A job for which there is enough of the limit and that has not begun for so long lacks something else, such as a machine. */
+    /**
+     * A job for which there is enough of the limit and that has not begun for so long lacks
+     * something else, such as a machine.
+     */
     private static final long BEGIN_MICROS = 30_000_000;
 
     private static final class Turn {
         final Job job;
         final long sinceMicros;
+
         /** Since when the limit leaves it what it needs, -1 while it does not. */
         long enoughMicros = -1;
 
@@ -58,35 +75,52 @@
 
     /** To be called before tasks are placed. */
     public void update() {
-        passed.entrySet().removeIf(entry -> entry.getValue() < world.nowMicros || entry.getKey().finished);
-        turns.values().removeIf(turn -> {
-            if (reservations.heldForOthers(turn.job)) {
-                // One that has gathered room on machines is further; each would keep the other's limit.
-                return true;
-            }
-            if (turn.job.allowed() < needed(turn.job)) {
-                turn.enoughMicros = -1;
-            } else if (turn.enoughMicros < 0) {
-                turn.enoughMicros = world.nowMicros;
-            }
-            boolean over = world.nowMicros - turn.sinceMicros > TURN_MICROS
-                    || turn.enoughMicros >= 0 && world.nowMicros - turn.enoughMicros > BEGIN_MICROS;
-            if (over && waits(turn.job)) {
-                passed.put(turn.job, world.nowMicros + TURN_MICROS);
-                world.log(LogEntry.info(LogEvent.QUOTA_TURN_EXPIRED).with("job", turn.job.uid())
-                        .with("team", turn.job.team.team.name()).withSeconds("turn_s", world.nowMicros - turn.sinceMicros));
-            }
-            return over || !waits(turn.job);
-        });
-        rowMicros.forEach((team, since) -> {
-            if (!turns.containsKey(team) && world.nowMicros - since > ROW_MICROS) {
-                pausedMicros.put(team, world.nowMicros + PAUSE_MICROS);
-            }
-        });
+        passed.entrySet()
+                .removeIf(entry -> entry.getValue() < world.nowMicros || entry.getKey().finished);
+        turns.values()
+                .removeIf(
+                        turn -> {
+                            if (reservations.heldForOthers(turn.job)) {
+                                // One that has gathered room on machines is further; each would
+                                // keep the other's limit.
+                                return true;
+                            }
+                            if (turn.job.allowed() < needed(turn.job)) {
+                                turn.enoughMicros = -1;
+                            } else if (turn.enoughMicros < 0) {
+                                turn.enoughMicros = world.nowMicros;
+                            }
+                            boolean over =
+                                    world.nowMicros - turn.sinceMicros > TURN_MICROS
+                                            || turn.enoughMicros >= 0
+                                                    && world.nowMicros - turn.enoughMicros
+                                                            > BEGIN_MICROS;
+                            if (over && waits(turn.job)) {
+                                passed.put(turn.job, world.nowMicros + TURN_MICROS);
+                                world.log(
+                                        LogEntry.info(LogEvent.QUOTA_TURN_EXPIRED)
+                                                .with("job", turn.job.uid())
+                                                .with("team", turn.job.team.team.name())
+                                                .withSeconds(
+                                                        "turn_s",
+                                                        world.nowMicros - turn.sinceMicros));
+                            }
+                            return over || !waits(turn.job);
+                        });
+        rowMicros.forEach(
+                (team, since) -> {
+                    if (!turns.containsKey(team) && world.nowMicros - since > ROW_MICROS) {
+                        pausedMicros.put(team, world.nowMicros + PAUSE_MICROS);
+                    }
+                });
         Map<TeamUse, Job> next = new HashMap<>();
         for (Job job : world.jobs.values()) {
-            if (!turns.containsKey(job.team) && !pauses(job.team) && waits(job) && !passed.containsKey(job)
-                    && world.nowMicros - job.sinceMicros() > PATIENCE_MICROS && job.allowed() < needed(job)
+            if (!turns.containsKey(job.team)
+                    && !pauses(job.team)
+                    && waits(job)
+                    && !passed.containsKey(job)
+                    && world.nowMicros - job.sinceMicros() > PATIENCE_MICROS
+                    && job.allowed() < needed(job)
                     && !reservations.heldForOthers(job)) {
                 next.merge(job.team, job, (a, b) -> b.sinceMicros() < a.sinceMicros() ? b : a);
             }
@@ -96,7 +130,9 @@
         turns.keySet().forEach(team -> rowMicros.putIfAbsent(team, world.nowMicros));
         for (TeamUse team : world.teams.values()) {
             Turn turn = turns.get(team);
-            team.gather(turn == null ? null : turn.job, turn == null ? Room.NONE : turn.job.room.times(needed(turn.job)));
+            team.gather(
+                    turn == null ? null : turn.job,
+                    turn == null ? Room.NONE : turn.job.room.times(needed(turn.job)));
         }
     }
 
@@ -104,7 +140,10 @@
         return world.nowMicros < pausedMicros.getOrDefault(team, Long.MIN_VALUE);
     }
 
-    /** What replicas use does not come free by itself: where they leave too little, there is nothing to wait for. */
+    /**
+     * What replicas use does not come free by itself: where they leave too little, there is nothing
+     * to wait for.
+     */
     private void begin(TeamUse team, Job job) {
         Room replicas = Room.NONE;
         for (Job other : world.jobs.values()) {
@@ -120,9 +159,14 @@
             event = LogEvent.QUOTA_TURN_IMPOSSIBLE;
             passed.put(job, world.nowMicros + TURN_MICROS);
         }
-        world.log(LogEntry.info(event).with("job", job.uid()).with("team", team.team.name())
-                .withSeconds("waited_s", world.nowMicros - job.sinceMicros()).with("needed_tasks", needed(job))
-                .with("allowed_tasks", job.allowed()).with("replica_cpus", replicas.cpu() / 1000));
+        world.log(
+                LogEntry.info(event)
+                        .with("job", job.uid())
+                        .with("team", team.team.name())
+                        .withSeconds("waited_s", world.nowMicros - job.sinceMicros())
+                        .with("needed_tasks", needed(job))
+                        .with("allowed_tasks", job.allowed())
+                        .with("replica_cpus", replicas.cpu() / 1000));
     }
 
     private static boolean waits(Job job) {
--- a/src/main/java/org/woadloom/core/teams/TeamUse.java
+++ b/src/main/java/org/woadloom/core/teams/TeamUse.java
@@ -11,10 +11,16 @@
     private final Room guarantee;
     private final Room limit;
     private Room used = Room.NONE;
+
     /** By class, what of the limit is left to it alone; see {@link ClassShares}. */
     private Map<String, Room> kept = Map.of();
-    /** The job for which the limit is gathered, and what of it is left to that job alone; see {@link LimitTurns}. */
+
+    /**
+     * The job for which the limit is gathered, and what of it is left to that job alone; see {@link
+     * LimitTurns}.
+     */
     private Job gathering;
+
     private Room gathered = Room.NONE;
 
     public TeamUse(Team team) {
@@ -24,7 +30,8 @@
     }
 
     private static Room room(double cpus, double gpus) {
-        return new Room((long) (cpus * 1000 + 1e-6), (long) (gpus * 1000 + 1e-6), Long.MAX_VALUE / 4);
+        return new Room(
+                (long) (cpus * 1000 + 1e-6), (long) (gpus * 1000 + 1e-6), Long.MAX_VALUE / 4);
     }
 
     public void add(Room room) {
--- a/src/main/java/org/woadloom/http/Admission.java
+++ b/src/main/java/org/woadloom/http/Admission.java
@@ -12,24 +12,36 @@
 import org.woadloom.wire.MachineType;
 
 /**
- * Whether a job can run at all. A job that is refused is not submitted again, so 422 is said only of what is certain: that
- * there is no room now is no reason, and what the machine types speak against is refused only once the cloud has told them
- * anew, as a type may have been added since this node last read them. Until then it is 503.
+ * Whether a job can run at all. A job that is refused is not submitted again, so 422 is said only
+ * of what is certain: that there is no room now is no reason, and what the machine types speak
+ * against is refused only once the cloud has told them anew, as a type may have been added since
+ * this node last read them. Until then it is 503.
  */
 final class Admission {
-    /** The types change with the settings of the cloud; whoever submits what fits none costs at most a call in so long. */
+    /**
+     * The types change with the settings of the cloud; whoever submits what fits none costs at most
+     * a call in so long.
+     */
     private static final long FRESH_MICROS = 10_000_000;
-    /** While the cloud does not answer it is asked again after so long, however many ask: the leader needs its calls. */
+
+    /**
+     * While the cloud does not answer it is asked again after so long, however many ask: the leader
+     * needs its calls.
+     */
     private static final long AGAIN_MICROS = 1_000_000;
+
     /** Users wait 5 s for an answer. */
     private static final long PATIENCE_MICROS = 2_000_000;
 
     private final Loop loop;
     private final ServiceSettings settings;
     private final JobApi.Types types;
+
     /** When the reading of the types began that was answered last. */
     private long readMicros = Long.MIN_VALUE / 2;
+
     private long askedMicros = Long.MIN_VALUE / 2;
+
     /** What waits for the reading under way. */
     private List<Runnable> waiting = List.of();
 
@@ -39,7 +51,10 @@
         this.types = types;
     }
 
-    /** Answers with null for a job that can run as far as is known, or why it can't, or can't be decided now. */
+    /**
+     * Answers with null for a job that can run as far as is known, or why it can't, or can't be
+     * decided now.
+     */
     void judge(JobDescription job, Consumer<Response> refusal) {
         String never = neverByItsTerms(job, settings.team(job.crew()), settings.zones());
         if (never != null) {
@@ -51,11 +66,18 @@
         } else if (fresh()) {
             refusal.accept(Response.error(422, neverByTypes(job, types.types())));
         } else {
-            whenRead(() -> {
-                String still = neverByTypes(job, types.types());
-                refusal.accept(still == null ? null : fresh() ? Response.error(422, still)
-                        : Response.unavailable("the cloud does not tell its machine types now"));
-            });
+            whenRead(
+                    () -> {
+                        String still = neverByTypes(job, types.types());
+                        refusal.accept(
+                                still == null
+                                        ? null
+                                        : fresh()
+                                                ? Response.error(422, still)
+                                                : Response.unavailable(
+                                                        "the cloud does not tell its machine types"
+                                                                + " now"));
+                    });
         }
     }
 
@@ -76,12 +98,13 @@
         askedMicros = began;
         waiting = new ArrayList<>(List.of(then));
         List<Runnable> mine = waiting;
-        types.readAnew(answered -> {
-            if (answered) {
-                readMicros = Math.max(readMicros, began);
-            }
-            read(mine);
-        });
+        types.readAnew(
+                answered -> {
+                    if (answered) {
+                        readMicros = Math.max(readMicros, began);
+                    }
+                    read(mine);
+                });
         loop.schedule(PATIENCE_MICROS, () -> read(mine));
     }
 
@@ -98,7 +121,8 @@
             return "crew: unknown team";
         }
         int together = together(job) ? job.shards() : 1;
-        if (job.vcpus() * together > team.cpusMax() + 1e-9 || job.cards() * together > team.gpusMax() + 1e-9) {
+        if (job.vcpus() * together > team.cpusMax() + 1e-9
+                || job.cards() * together > team.gpusMax() + 1e-9) {
             return "the job needs more than the team's limit";
         }
         if (job.yard() != null && !zones.contains(job.yard())) {
@@ -117,7 +141,8 @@
     static String neverByTypes(JobDescription job, List<MachineType> types) {
         Set<String> zones = new HashSet<>();
         for (MachineType type : types) {
-            if (type.holds(job) && (job.hosttypes() == null || job.hosttypes().contains(type.name()))) {
+            if (type.holds(job)
+                    && (job.hosttypes() == null || job.hosttypes().contains(type.name()))) {
                 zones.addAll(type.yards());
             }
         }
@@ -127,7 +152,9 @@
         if (zones.isEmpty()) {
             return "a task fits no allowed machine type that is offered where it may run";
         }
-        return spreads(job) && zones.size() < 2 ? "apart: only one zone offers what the tasks need" : null;
+        return spreads(job) && zones.size() < 2
+                ? "apart: only one zone offers what the tasks need"
+                : null;
     }
 
     /** All tasks are needed at once: an array may run a few at a time. */
@@ -135,7 +162,10 @@
         return job.service() || job.gang();
     }
 
-    /** Its tasks can't all be in one zone at once, and must all run at once. Tasks of an array take turns there. */
+    /**
+     * Its tasks can't all be in one zone at once, and must all run at once. Tasks of an array take
+     * turns there.
+     */
     private static boolean spreads(JobDescription job) {
         return together(job) && job.apart() && job.shards() > 1;
     }
--- a/src/main/java/org/woadloom/http/ApiServer.java
+++ b/src/main/java/org/woadloom/http/ApiServer.java
@@ -25,26 +25,39 @@
     private final Connections connections;
     private final Router router;
 
-    public ApiServer(ServiceSettings settings, XnioWorker worker, ByteBufferPool buffers, SocketPlan plan,
-            Connections connections, Router router) {
+    public ApiServer(
+            ServiceSettings settings,
+            XnioWorker worker,
+            ByteBufferPool buffers,
+            SocketPlan plan,
+            Connections connections,
+            Router router) {
         this.connections = connections;
         this.router = router;
         InetSocketAddress bind = Addresses.parse(settings.bind());
         // A worker that is silent for longer has lost its lease and begins anew.
-        int idleMillis = (int) Math.max(LEAST_IDLE_MILLIS,
-                (settings.workers().leaseMicros() + settings.workers().reportMicros()) / 1000);
+        int idleMillis =
+                (int)
+                        Math.max(
+                                LEAST_IDLE_MILLIS,
+                                (settings.workers().leaseMicros()
+                                                + settings.workers().reportMicros())
+                                        / 1000);
         int most = plan.inbound() + plan.refusals();
-        undertow = Undertow.builder().setWorker(worker).setByteBufferPool(buffers)
-                .addHttpListener(bind.getPort(), bind.getAddress().getHostAddress())
-                .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) TOO_LARGE_READ)
-                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, idleMillis)
-                .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
-                .setSocketOption(Options.BACKLOG, BACKLOG)
-                .setSocketOption(Options.TCP_NODELAY, true)
-                .setSocketOption(Options.CONNECTION_HIGH_WATER, most)
-                .setSocketOption(Options.CONNECTION_LOW_WATER, most)
-                .setHandler(this::receive)
-                .build();
+        undertow =
+                Undertow.builder()
+                        .setWorker(worker)
+                        .setByteBufferPool(buffers)
+                        .addHttpListener(bind.getPort(), bind.getAddress().getHostAddress())
+                        .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) TOO_LARGE_READ)
+                        .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, idleMillis)
+                        .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
+                        .setSocketOption(Options.BACKLOG, BACKLOG)
+                        .setSocketOption(Options.TCP_NODELAY, true)
+                        .setSocketOption(Options.CONNECTION_HIGH_WATER, most)
+                        .setSocketOption(Options.CONNECTION_LOW_WATER, most)
+                        .setHandler(this::receive)
+                        .build();
     }
 
     public void start() {
@@ -52,17 +65,29 @@
     }
 
     private void receive(HttpServerExchange exchange) {
-        boolean room = connections.begins(exchange, exchange.getRequestPath().equals(Router.REPORT));
-        exchange.addExchangeCompleteListener((done, next) -> {
-            connections.ends(done);
-            next.proceed();
-        });
-        exchange.getRequestReceiver().receiveFullBytes((done, body) -> done.dispatch(SameThreadExecutor.INSTANCE,
-                () -> handle(done, body, room)), (failed, e) -> {
-                    failed.setPersistent(false);
-                    failed.dispatch(SameThreadExecutor.INSTANCE, () -> send(failed,
-                            Response.error(400, "the body could not be read")));
+        boolean room =
+                connections.begins(exchange, exchange.getRequestPath().equals(Router.REPORT));
+        exchange.addExchangeCompleteListener(
+                (done, next) -> {
+                    connections.ends(done);
+                    next.proceed();
                 });
+        exchange.getRequestReceiver()
+                .receiveFullBytes(
+                        (done, body) ->
+                                done.dispatch(
+                                        SameThreadExecutor.INSTANCE,
+                                        () -> handle(done, body, room)),
+                        (failed, e) -> {
+                            failed.setPersistent(false);
+                            failed.dispatch(
+                                    SameThreadExecutor.INSTANCE,
+                                    () ->
+                                            send(
+                                                    failed,
+                                                    Response.error(
+                                                            400, "the body could not be read")));
+                        });
     }
 
     private void handle(HttpServerExchange exchange, byte[] body, boolean room) {
@@ -75,7 +100,10 @@
             send(exchange, Response.error(400, "the body is larger than 64 KiB"));
             return;
         }
-        router.handle(exchange.getRequestMethod().toString(), exchange.getRequestPath(), body,
+        router.handle(
+                exchange.getRequestMethod().toString(),
+                exchange.getRequestPath(),
+                body,
                 response -> send(exchange, response));
     }
 
@@ -89,7 +117,8 @@
         exchange.setStatusCode(response.status());
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, response.contentType());
         if (response.retryAfterS() > 0) {
-            exchange.getResponseHeaders().put(Headers.RETRY_AFTER, Integer.toString(response.retryAfterS()));
+            exchange.getResponseHeaders()
+                    .put(Headers.RETRY_AFTER, Integer.toString(response.retryAfterS()));
         }
         exchange.getResponseSender().send(ByteBuffer.wrap(response.body()));
     }
--- a/src/main/java/org/woadloom/http/Connections.java
+++ b/src/main/java/org/woadloom/http/Connections.java
@@ -9,23 +9,28 @@
 import org.xnio.IoUtils;
 
 /**
- * The connections on which workers or users have asked something. Users poll every few seconds and then are gone, often
- * without a word, while the leader needs a socket for every worker: users' connections that have been idle for longer than
- * anybody polls are closed, and where sockets are short those that have been idle for longest. What is asked on a
- * connection beyond the plan is answered at once and closed: nobody is left waiting in the backlog.
+ * The connections on which workers or users have asked something. Users poll every few seconds and
+ * then are gone, often without a word, while the leader needs a socket for every worker: users'
+ * connections that have been idle for longer than anybody polls are closed, and where sockets are
+ * short those that have been idle for longest. What is asked on a connection beyond the plan is
+ * answered at once and closed: nobody is left waiting in the backlog.
  */
 public final class Connections {
     /** Three polls of a user who still wants to know. */
     private static final long IDLE_MICROS = 15_000_000;
+
     /** A connection that is idle for less has most likely a request on its way. */
     private static final long LEAST_IDLE_MICROS = 1_000_000;
+
     private static final long SWEEP_MICROS = 500_000;
     private static final AttachmentKey<Open> OPEN = AttachmentKey.create(Open.class);
 
     private final Loop loop;
     private final SocketPlan plan;
+
     /** Users' connections without a request, the longest idle first. */
     private final LinkedHashSet<Open> idleUsers = new LinkedHashSet<>();
+
     private int workers;
     private int users;
     private long closed;
@@ -47,10 +52,12 @@
     }
 
     public void start() {
-        loop.schedule(SWEEP_MICROS, () -> {
-            sweep();
-            start();
-        });
+        loop.schedule(
+                SWEEP_MICROS,
+                () -> {
+                    sweep();
+                    start();
+                });
     }
 
     /** Connections whose last request was a worker's. */
@@ -76,7 +83,10 @@
         return workers + users;
     }
 
-    /** A request has come. Returns false if there is no room for its connection: it is to be told so, and closed. */
+    /**
+     * A request has come. Returns false if there is no room for its connection: it is to be told
+     * so, and closed.
+     */
     boolean begins(HttpServerExchange exchange, boolean ofWorker) {
         Open open = exchange.getConnection().getAttachment(OPEN);
         if (open == null) {
--- a/src/main/java/org/woadloom/http/JobApi.java
+++ b/src/main/java/org/woadloom/http/JobApi.java
@@ -5,6 +5,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.woadloom.net.Loop;
 import org.woadloom.reads.JobReader;
 import org.woadloom.reads.Looked;
 import org.woadloom.reads.SharedReads;
@@ -19,7 +20,6 @@
 import org.woadloom.state.StateClient.Condition;
 import org.woadloom.state.StateClient.Result;
 import org.woadloom.state.StateClient.Urgency;
-import org.woadloom.net.Loop;
 import org.woadloom.wire.Cbor;
 import org.woadloom.wire.JobDescription;
 import org.woadloom.wire.JobStatus;
@@ -27,15 +27,17 @@
 import org.woadloom.wire.WireException;
 
 /**
- * What users ask, on any node. Whatever a user is told of a job is in the state service before; only final states,
- * which never change, are answered from memory.
+ * What users ask, on any node. Whatever a user is told of a job is in the state service before;
+ * only final states, which never change, are answered from memory.
  */
 public final class JobApi {
     private static final Logger LOG = LoggerFactory.getLogger(JobApi.class);
     private static final int MAX_CANCEL_TRIES = 6;
     private static final long SLOW_MICROS = 500_000;
+
     /** Users wait 5 s for an answer, and 2 s for that to a poll. */
     private static final long PATIENCE_MICROS = 4_300_000;
+
     private static final long POLL_PATIENCE_MICROS = 1_600_000;
 
     /** Hears of jobs that this node made durable. */
@@ -43,7 +45,9 @@
         void changed(JobRecord record, long stamp);
     }
 
-    /** Whether a user may be told of a cancellation that is in the store, as soon as that is known. */
+    /**
+     * Whether a user may be told of a cancellation that is in the store, as soon as that is known.
+     */
     public interface Confirmation {
         /** The answer is false where that was not known in time: the user asks again. */
         void mayTell(String uid, long patienceMicros, Consumer<Boolean> answer);
@@ -67,7 +71,9 @@
         void seen(RecordFormat format);
     }
 
-    /** Room that a record needs beside its description, so that some tasks at a time can be placed. */
+    /**
+     * Room that a record needs beside its description, so that some tasks at a time can be placed.
+     */
     private static final int PROGRESS_BYTES = 400;
 
     private final Loop loop;
@@ -81,7 +87,13 @@
     private final UserWrites writes;
     private final Unanswered unanswered;
 
-    public JobApi(Loop loop, StateClient state, ServiceSettings settings, Storage storage, Types types, Hint hint,
+    public JobApi(
+            Loop loop,
+            StateClient state,
+            ServiceSettings settings,
+            Storage storage,
+            Types types,
+            Hint hint,
             Confirmation confirmation) {
         this.loop = loop;
         this.state = state;
@@ -102,7 +114,11 @@
         return response -> {
             long took = loop.nowMicros() - from;
             if (took > SLOW_MICROS) {
-                LOG.info("event=slow_answer request={} status={} took_ms={}", what, response.status(), took / 1000);
+                LOG.info(
+                        "event=slow_answer request={} status={} took_ms={}",
+                        what,
+                        response.status(),
+                        took / 1000);
             }
             answer.accept(response);
         };
@@ -124,15 +140,17 @@
             refuseUnlessKnown(map.get("uid"), Response.error(400, e.getMessage()), answer);
             return;
         }
-        admission.judge(job, refusal -> {
-            if (refusal != null) {
-                refuseUnlessKnown(job.uid(), refusal, answer);
-            } else if (job.awaits().isEmpty()) {
-                create(job, answer);
-            } else {
-                createAfter(job, answer);
-            }
-        });
+        admission.judge(
+                job,
+                refusal -> {
+                    if (refusal != null) {
+                        refuseUnlessKnown(job.uid(), refusal, answer);
+                    } else if (job.awaits().isEmpty()) {
+                        create(job, answer);
+                    } else {
+                        createAfter(job, answer);
+                    }
+                });
     }
 
     /** A job that was accepted stays accepted, whatever a repeated request looks like. */
@@ -141,60 +159,84 @@
             answer.accept(refusal);
             return;
         }
-        reader.look(text, looked -> {
-            if (looked == null) {
-                answer.accept(Response.unavailable("the state service does not answer"));
-            } else if (looked.status() != null) {
-                tellAccepted(looked, answer);
-            } else {
-                answer.accept(refusal);
-            }
-        });
+        reader.look(
+                text,
+                looked -> {
+                    if (looked == null) {
+                        answer.accept(Response.unavailable("the state service does not answer"));
+                    } else if (looked.status() != null) {
+                        tellAccepted(looked, answer);
+                    } else {
+                        answer.accept(refusal);
+                    }
+                });
     }
 
     private void tellAccepted(Looked looked, Consumer<Response> answer) {
-        tell(SharedReads.Shown.of(looked), PATIENCE_MICROS, () -> answer.accept(Response.of(200, looked.status().toMap())), answer);
+        tell(
+                SharedReads.Shown.of(looked),
+                PATIENCE_MICROS,
+                () -> answer.accept(Response.of(200, looked.status().toMap())),
+                answer);
     }
 
     /**
-     * A job that waits for others is accepted once the store has told of each of them, as users submit it right after the
-     * answer for the ones before. Until every node is known to run this version it can't be: version 1 would start it.
+     * A job that waits for others is accepted once the store has told of each of them, as users
+     * submit it right after the answer for the ones before. Until every node is known to run this
+     * version it can't be: version 1 would start it.
      */
     private void createAfter(JobDescription job, Consumer<Response> answer) {
         for (String before : job.awaits()) {
             if (!JobDescription.isUid(before) || before.equals(job.uid())) {
-                refuseUnlessKnown(job.uid(), Response.error(422, "awaits: " + before + " can't be waited for"), answer);
+                refuseUnlessKnown(
+                        job.uid(),
+                        Response.error(422, "awaits: " + before + " can't be waited for"),
+                        answer);
                 return;
             }
         }
         if (storage.format() != RecordFormat.COMPACT) {
-            refuseUnlessKnown(job.uid(), Response.unavailable("awaits: not before all nodes run this version"), answer);
+            refuseUnlessKnown(
+                    job.uid(),
+                    Response.unavailable("awaits: not before all nodes run this version"),
+                    answer);
             return;
         }
         Response[] refusal = {null};
         int[] missing = {job.awaits().size()};
         for (String before : job.awaits()) {
-            lookFor(before, (looked, service) -> {
-                if (!looked && (refusal[0] == null || refusal[0].status() == 422)) {
-                    refusal[0] = Response.unavailable("the state service does not answer");
-                } else if (looked && refusal[0] == null && (service == null || service)) {
-                    refusal[0] = Response.error(422, "awaits: " + before + (service == null ? " was never accepted"
-                            : " is a service"));
-                }
-                if (--missing[0] > 0) {
-                    return;
-                }
-                if (refusal[0] == null) {
-                    create(job, answer);
-                } else {
-                    refuseUnlessKnown(job.uid(), refusal[0], answer);
-                }
-            });
+            lookFor(
+                    before,
+                    (looked, service) -> {
+                        if (!looked && (refusal[0] == null || refusal[0].status() == 422)) {
+                            refusal[0] = Response.unavailable("the state service does not answer");
+                        } else if (looked && refusal[0] == null && (service == null || service)) {
+                            refusal[0] =
+                                    Response.error(
+                                            422,
+                                            "awaits: "
+                                                    + before
+                                                    + (service == null
+                                                            ? " was never accepted"
+                                                            : " is a service"));
+                        }
+                        if (--missing[0] > 0) {
+                            return;
+                        }
+                        if (refusal[0] == null) {
+                            create(job, answer);
+                        } else {
+                            refuseUnlessKnown(job.uid(), refusal[0], answer);
+                        }
+                    });
         }
     }
 
     private interface Finding {
-        /** Whether the store told, and then whether the job is a service; null for one that is not there. */
+        /**
+         * Whether the store told, and then whether the job is a service; null for one that is not
+         * there.
+         */
         void found(boolean looked, Boolean service);
     }
 
@@ -204,13 +246,20 @@
             finding.found(true, service);
             return;
         }
-        reader.look(uid, looked -> finding.found(looked != null,
-                looked == null || looked.status() == null ? null : (Boolean) looked.service()));
+        reader.look(
+                uid,
+                looked ->
+                        finding.found(
+                                looked != null,
+                                looked == null || looked.status() == null
+                                        ? null
+                                        : (Boolean) looked.service()));
     }
 
     private void create(JobDescription job, Consumer<Response> answer) {
         if (reader.acceptedService(job.uid()) != null) {
-            // A transaction that can only fail would count as a change all the same, and those are scarce.
+            // A transaction that can only fail would count as a change all the same, and those are
+            // scarce.
             refuseUnlessKnown(job.uid(), Response.unavailable("the job changed meanwhile"), answer);
             return;
         }
@@ -219,22 +268,38 @@
         Map<String, Object> value = record.toMap(format);
         int spare = format == RecordFormat.COMPACT ? PROGRESS_BYTES : 0;
         if (Cbor.jsonSize(value) + spare > storage.valueBytes()) {
-            refuseUnlessKnown(job.uid(), Response.error(400, "the job's description is too long"), answer);
+            refuseUnlessKnown(
+                    job.uid(), Response.error(400, "the job's description is too long"), answer);
             return;
         }
-        writes.write(job.uid(), List.of(new Condition(Keys.job(job.uid()), 0), new Condition(Keys.finalState(job.uid()), 0)),
-                Change.put(Keys.job(job.uid()), value), reader::lookForRecord, found -> true, (result, generation, found) -> {
+        writes.write(
+                job.uid(),
+                List.of(
+                        new Condition(Keys.job(job.uid()), 0),
+                        new Condition(Keys.finalState(job.uid()), 0)),
+                Change.put(Keys.job(job.uid()), value),
+                reader::lookForRecord,
+                found -> true,
+                (result, generation, found) -> {
                     boolean ours = found != null && record.equals(found.record());
                     if (result == Result.OK || ours) {
                         reader.accepted(job.uid(), job.service());
                         hint.changed(record, ours ? found.stamp() : generation);
-                        answer.accept(Response.of(201, new JobStatus(job.uid(), "queued", -1, 0).toMap()));
+                        answer.accept(
+                                Response.of(
+                                        201, new JobStatus(job.uid(), "queued", -1, 0).toMap()));
                     } else if (found != null) {
                         tellAccepted(found, answer);
                     } else if (result == Result.CONFLICT) {
-                        refuseUnlessKnown(job.uid(), Response.unavailable("the job changed meanwhile"), answer);
+                        refuseUnlessKnown(
+                                job.uid(),
+                                Response.unavailable("the job changed meanwhile"),
+                                answer);
                     } else if (result == Result.BAD) {
-                        refuseUnlessKnown(job.uid(), Response.error(400, "the job's description is too long"), answer);
+                        refuseUnlessKnown(
+                                job.uid(),
+                                Response.error(400, "the job's description is too long"),
+                                answer);
                     } else {
                         answer.accept(Response.unavailable("the state service does not answer"));
                     }
@@ -246,33 +311,44 @@
             answer.accept(Response.error(404, "no such job"));
             return;
         }
-        Consumer<SharedReads.Shown> told = shown -> {
-            if (shown == null) {
-                unanswered.refused(uid, !state.refuses());
-                answer.accept(Response.unavailable("the state service does not answer"));
-                return;
-            }
-            if (shown.status() == null) {
-                unanswered.answered(uid);
-                answer.accept(Response.error(404, "no such job"));
-            } else {
-                tell(shown, POLL_PATIENCE_MICROS, () -> {
-                    unanswered.answered(uid);
-                    answer.accept(Response.of(200, shownMap(shown)));
-                }, refused -> {
-                    unanswered.refused(uid, !state.refuses());
-                    answer.accept(refused);
-                });
-            }
-        };
+        Consumer<SharedReads.Shown> told =
+                shown -> {
+                    if (shown == null) {
+                        unanswered.refused(uid, !state.refuses());
+                        answer.accept(Response.unavailable("the state service does not answer"));
+                        return;
+                    }
+                    if (shown.status() == null) {
+                        unanswered.answered(uid);
+                        answer.accept(Response.error(404, "no such job"));
+                    } else {
+                        tell(
+                                shown,
+                                POLL_PATIENCE_MICROS,
+                                () -> {
+                                    unanswered.answered(uid);
+                                    answer.accept(Response.of(200, shownMap(shown)));
+                                },
+                                refused -> {
+                                    unanswered.refused(uid, !state.refuses());
+                                    answer.accept(refused);
+                                });
+                    }
+                };
         if (unanswered.goesFirst(uid)) {
-            reader.look(Urgency.USER, uid, looked -> told.accept(looked == null ? null : SharedReads.Shown.of(looked)));
+            reader.look(
+                    Urgency.USER,
+                    uid,
+                    looked -> told.accept(looked == null ? null : SharedReads.Shown.of(looked)));
         } else {
             shared.ask(uid, told);
         }
     }
 
-    /** For how long the job was asked about in vain for which that is longest, while others were answered. */
+    /**
+     * For how long the job was asked about in vain for which that is longest, while others were
+     * answered.
+     */
     public long longestUnansweredMicros() {
         return unanswered.longestMicros();
     }
@@ -295,31 +371,47 @@
     }
 
     /**
-     * Tells a user of a job's status: of a cancellation not before that is safe, and of a job that waits for others not if
-     * one of them is cancelled. Its own cancellation is the leader's to write, which may have been without the state service
-     * for long, or there may have been none.
+     * Tells a user of a job's status: of a cancellation not before that is safe, and of a job that
+     * waits for others not if one of them is cancelled. Its own cancellation is the leader's to
+     * write, which may have been without the state service for long, or there may have been none.
      */
-    private void tell(SharedReads.Shown shown, long patienceMicros, Runnable told, Consumer<Response> refused) {
+    private void tell(
+            SharedReads.Shown shown,
+            long patienceMicros,
+            Runnable told,
+            Consumer<Response> refused) {
         if (shown.status().status().equals("cancelled")) {
-            confirmation.mayTell(shown.status().uid(), patienceMicros, may -> {
-                if (may) {
-                    told.run();
-                } else {
-                    refused.accept(Response.unavailable("the cancellation can't be confirmed yet"));
-                }
-            });
+            confirmation.mayTell(
+                    shown.status().uid(),
+                    patienceMicros,
+                    may -> {
+                        if (may) {
+                            told.run();
+                        } else {
+                            refused.accept(
+                                    Response.unavailable(
+                                            "the cancellation can't be confirmed yet"));
+                        }
+                    });
         } else {
-            noneCancelled(shown.awaits(), none -> {
-                if (none) {
-                    told.run();
-                } else {
-                    refused.accept(Response.unavailable("a job before it is cancelled, and so it will be"));
-                }
-            });
+            noneCancelled(
+                    shown.awaits(),
+                    none -> {
+                        if (none) {
+                            told.run();
+                        } else {
+                            refused.accept(
+                                    Response.unavailable(
+                                            "a job before it is cancelled, and so it will be"));
+                        }
+                    });
         }
     }
 
-    /** Whether the store says of each of these jobs, and of those before them, that it is not cancelled. */
+    /**
+     * Whether the store says of each of these jobs, and of those before them, that it is not
+     * cancelled.
+     */
     private void noneCancelled(List<String> uids, Consumer<Boolean> answer) {
         if (uids.isEmpty()) {
             answer.accept(true);
@@ -327,44 +419,58 @@
         }
         int[] missing = {uids.size()};
         boolean[] none = {true};
-        Consumer<Boolean> one = good -> {
-            none[0] &= good;
-            if (--missing[0] == 0) {
-                answer.accept(none[0]);
-            }
-        };
+        Consumer<Boolean> one =
+                good -> {
+                    none[0] &= good;
+                    if (--missing[0] == 0) {
+                        answer.accept(none[0]);
+                    }
+                };
         for (String uid : uids) {
-            shared.ask(uid, shown -> {
-                if (shown == null || shown.status() != null && shown.status().status().equals("cancelled")) {
-                    one.accept(false);
-                } else {
-                    noneCancelled(shown.awaits(), one);
-                }
-            });
+            shared.ask(
+                    uid,
+                    shown -> {
+                        if (shown == null
+                                || shown.status() != null
+                                        && shown.status().status().equals("cancelled")) {
+                            one.accept(false);
+                        } else {
+                            noneCancelled(shown.awaits(), one);
+                        }
+                    });
         }
     }
 
     private void tellEnd(JobStatus status, Consumer<Response> answer) {
-        tell(new SharedReads.Shown(status, List.of()), PATIENCE_MICROS, () -> answer.accept(Response.of(200, status.toMap())), answer);
+        tell(
+                new SharedReads.Shown(status, List.of()),
+                PATIENCE_MICROS,
+                () -> answer.accept(Response.of(200, status.toMap())),
+                answer);
     }
 
     /** Nothing of a record that can't be read can be kept: the final state takes its place. */
     private void cancelUnread(Looked looked, Consumer<Response> answer) {
         String uid = looked.unread().uid();
-        Consumer<Boolean> end = cancelled -> {
-            if (cancelled) {
-                tellEnd(new JobStatus(uid, "cancelled", -1, 0), answer);
-            } else {
-                answer.accept(Response.unavailable("the job could not be cancelled now"));
-            }
-        };
+        Consumer<Boolean> end =
+                cancelled -> {
+                    if (cancelled) {
+                        tellEnd(new JobStatus(uid, "cancelled", -1, 0), answer);
+                    } else {
+                        answer.accept(Response.unavailable("the job could not be cancelled now"));
+                    }
+                };
         if (looked.unread().status().equals("cancelled")) {
             end.accept(true);
             return;
         }
         FinalRecord record = new FinalRecord(uid, true, 0, loop.wallMicros(), false);
-        state.txn(Urgency.USER, List.of(new Condition(Keys.job(uid), looked.stamp())),
-                List.of(Change.put(Keys.finalState(uid), record.toMap(storage.format())), Change.drop(Keys.job(uid))),
+        state.txn(
+                Urgency.USER,
+                List.of(new Condition(Keys.job(uid), looked.stamp())),
+                List.of(
+                        Change.put(Keys.finalState(uid), record.toMap(storage.format())),
+                        Change.drop(Keys.job(uid))),
                 (result, generation, failed) -> end.accept(result == Result.OK));
     }
 
@@ -379,17 +485,24 @@
             answer.accept(Response.error(404, "no such job"));
         } else if (looked.unread() != null) {
             cancelUnread(looked, answer);
-        } else if (looked.finalState() != null || looked.record().cancelled() || looked.record().allDone()) {
+        } else if (looked.finalState() != null
+                || looked.record().cancelled()
+                || looked.record().allDone()) {
             tellEnd(new JobStatus(uid, looked.status().status(), -1, 0), answer);
         } else if (tries == 0) {
             answer.accept(Response.unavailable("the job could not be cancelled now"));
         } else {
             JobRecord cancelled = looked.record().asCancelled();
-            RecordFormat format = looked.format() == RecordFormat.COMPACT ? looked.format() : storage.format();
+            RecordFormat format =
+                    looked.format() == RecordFormat.COMPACT ? looked.format() : storage.format();
             // Once the record has another stamp, the write was carried out or never will be.
-            writes.write(uid, List.of(new Condition(Keys.job(uid), looked.stamp())),
-                    Change.put(Keys.job(uid), cancelled.toMap(format)), reader::look,
-                    found -> found.status() != null && found.stamp() != looked.stamp(), (result, generation, found) -> {
+            writes.write(
+                    uid,
+                    List.of(new Condition(Keys.job(uid), looked.stamp())),
+                    Change.put(Keys.job(uid), cancelled.toMap(format)),
+                    reader::look,
+                    found -> found.status() != null && found.stamp() != looked.stamp(),
+                    (result, generation, found) -> {
                         if (result == Result.OK) {
                             hint.changed(cancelled, generation);
                             tellEnd(new JobStatus(uid, "cancelled", -1, 0), answer);
@@ -401,7 +514,8 @@
                         } else if (result == Result.CONFLICT) {
                             cancel(uid, tries - 1, answer);
                         } else {
-                            answer.accept(Response.unavailable("the job could not be cancelled now"));
+                            answer.accept(
+                                    Response.unavailable("the job could not be cancelled now"));
                         }
                     });
         }
--- a/src/main/java/org/woadloom/http/Response.java
+++ b/src/main/java/org/woadloom/http/Response.java
@@ -23,7 +23,8 @@
     }
 
     public static Response json(Map<String, Object> body) {
-        return new Response(200, Cbor.toJson(body).getBytes(StandardCharsets.UTF_8), "application/json", 0);
+        return new Response(
+                200, Cbor.toJson(body).getBytes(StandardCharsets.UTF_8), "application/json", 0);
     }
 
     public static Response text(String text) {
--- a/src/main/java/org/woadloom/http/Router.java
+++ b/src/main/java/org/woadloom/http/Router.java
@@ -55,13 +55,17 @@
         } else if (post && path.equals(REPORT)) {
             reports.report(body, counted("report", answer));
         } else if (get && path.equals("/healthz")) {
-            answer.accept(gate.healthy() ? Response.text("ok\n") : Response.unavailable("alone without the state service"));
+            answer.accept(
+                    gate.healthy()
+                            ? Response.text("ok\n")
+                            : Response.unavailable("alone without the state service"));
         } else if (post && path.equals(JOBS)) {
             jobs.submit(body, counted("submit", answer));
         } else if (get && path.startsWith(JOBS + "/")) {
             jobs.show(path.substring(JOBS.length() + 1), counted("show", answer));
         } else if (post && path.startsWith(JOBS + "/") && path.endsWith(CANCEL)) {
-            jobs.cancel(path.substring(JOBS.length() + 1, path.length() - CANCEL.length()),
+            jobs.cancel(
+                    path.substring(JOBS.length() + 1, path.length() - CANCEL.length()),
                     counted("cancel", answer));
         } else if (get && path.equals("/metrics")) {
             answer.accept(Response.json(metrics.toMap()));
--- a/src/main/java/org/woadloom/http/UserWrites.java
+++ b/src/main/java/org/woadloom/http/UserWrites.java
@@ -13,20 +13,26 @@
 import org.woadloom.state.StateClient.Urgency;
 
 /**
- * Writes that a user waits for. Where the answer is late the job is read, and its user is told if that shows that the write
- * was carried out, or that it never can be. That it is not there proves nothing: it may be carried out still.
+ * Writes that a user waits for. Where the answer is late the job is read, and its user is told if
+ * that shows that the write was carried out, or that it never can be. That it is not there proves
+ * nothing: it may be carried out still.
  */
 final class UserWrites {
     /** Most answers take less than 10 ms, and now and then a few hundred. */
     private static final long FIRST_LOOK_MICROS = 400_000;
+
     private static final long SECOND_LOOK_MICROS = 1_200_000;
     private static final int MOST_LOOKS = 2;
+
     /** The part of the service's requests that these reads of all nodes together may take. */
     private static final double PART = 0.1;
 
     /** Hears once what became of a write: its own answer, or what was read instead of it. */
     interface Outcome {
-        /** @param found what was read, which decides; null where the write was answered, or nothing is known */
+        /**
+         * @param found what was read, which decides; null where the write was answered, or nothing
+         *     is known
+         */
         void done(Result result, long generation, Looked found);
     }
 
@@ -45,12 +51,25 @@
         looks = new Budget(requestsPerSecond * PART / nodes);
     }
 
-    /** @param decides whether what was read, which is not null, makes the write's own answer needless */
-    void write(String uid, List<Condition> conditions, Change change, Look look, Predicate<Looked> decides, Outcome outcome) {
+    /**
+     * @param decides whether what was read, which is not null, makes the write's own answer
+     *     needless
+     */
+    void write(
+            String uid,
+            List<Condition> conditions,
+            Change change,
+            Look look,
+            Predicate<Looked> decides,
+            Outcome outcome) {
         Write write = new Write(uid, look, decides, outcome);
         loop.schedule(FIRST_LOOK_MICROS, write::look);
         loop.schedule(SECOND_LOOK_MICROS, write::look);
-        state.txn(Urgency.USER, conditions, List.of(change), (result, generation, failed) -> write.answered(result, generation));
+        state.txn(
+                Urgency.USER,
+                conditions,
+                List.of(change),
+                (result, generation, failed) -> write.answered(result, generation));
     }
 
     private final class Write {
@@ -61,6 +80,7 @@
         boolean told;
         boolean reading;
         int looked;
+
         /** The write's answer was that there is none. */
         boolean unknown;
 
@@ -91,14 +111,17 @@
             looks.take(now, 1);
             looked++;
             reading = true;
-            look.look(Urgency.USER, uid, found -> {
-                reading = false;
-                if (found != null && decides.test(found)) {
-                    tell(Result.UNKNOWN, 0, found);
-                } else if (unknown) {
-                    tell(Result.UNKNOWN, 0, null);
-                }
-            });
+            look.look(
+                    Urgency.USER,
+                    uid,
+                    found -> {
+                        reading = false;
+                        if (found != null && decides.test(found)) {
+                            tell(Result.UNKNOWN, 0, found);
+                        } else if (unknown) {
+                            tell(Result.UNKNOWN, 0, null);
+                        }
+                    });
         }
 
         private void tell(Result result, long generation, Looked found) {
--- a/src/main/java/org/woadloom/leader/Election.java
+++ b/src/main/java/org/woadloom/leader/Election.java
@@ -17,9 +17,10 @@
 import org.woadloom.wire.WireException;
 
 /**
- * Who leads. The leader key hangs on a grant that the leader renews, but that is only for liveness: safety comes from
- * the term, which every leader takes anew, and from the key's stamp, on which all its writes are conditional. For that
- * reason a node may take over at any time without asking whether the old leader is really gone.
+ * Who leads. The leader key hangs on a grant that the leader renews, but that is only for liveness:
+ * safety comes from the term, which every leader takes anew, and from the key's stamp, on which all
+ * its writes are conditional. For that reason a node may take over at any time without asking
+ * whether the old leader is really gone.
  */
 public final class Election {
     private static final Logger LOG = LoggerFactory.getLogger(Election.class);
@@ -28,7 +29,10 @@
     private static final long WATCH_MICROS = 10_000_000;
     private static final long RETRY_MICROS = 250_000;
     private static final long FENCED_MICROS = 20_000;
-    /** How long a process that found its node's former leadership leaves the others to take over. */
+
+    /**
+     * How long a process that found its node's former leadership leaves the others to take over.
+     */
     private static final long YIELD_MICROS = 250_000;
 
     /** Whether this process may lead at all, by what the stored state requires of it. */
@@ -53,7 +57,11 @@
         void leaderSeen();
     }
 
-    private enum Role { FOLLOWER, CANDIDATE, LEADER }
+    private enum Role {
+        FOLLOWER,
+        CANDIDATE,
+        LEADER
+    }
 
     private final Loop loop;
     private final StateClient state;
@@ -67,14 +75,22 @@
     private LeaderKey current;
     private long currentStamp;
     private int campaign;
+
     /** The term that this process has asked for, whose outcome it does not know yet; 0 for none. */
     private long sought;
+
     /** This process does not campaign before. */
     private long notBeforeMicros = Long.MIN_VALUE / 2;
+
     /** The highest term ever heard of: a peer may still speak of a leader that is gone. */
     private long highestTerm;
 
-    public Election(Loop loop, StateClient state, String label, Random random, Fence fence,
+    public Election(
+            Loop loop,
+            StateClient state,
+            String label,
+            Random random,
+            Fence fence,
             Listener listener) {
         this.loop = loop;
         this.state = state;
@@ -103,8 +119,9 @@
     }
 
     /**
-     * A peer knows of a leader in a later term. That may be all this node learns while the state service refuses it alone;
-     * to lead on would keep workers from the new leader. The stamp stays as it was, so a campaign on it can only fail.
+     * A peer knows of a leader in a later term. That may be all this node learns while the state
+     * service refuses it alone; to lead on would keep workers from the new leader. The stamp stays
+     * as it was, so a campaign on it can only fail.
      */
     public void heardOf(String leader, long ofTerm) {
         if (ofTerm <= highestTerm || leader.equals(label)) {
@@ -118,32 +135,40 @@
     }
 
     private void look() {
-        state.get(Urgency.URGENT, Keys.LEADER, (result, entry, generation) -> {
-            if (result == Result.OK) {
-                seen(entry.value(), entry.stamp());
-                watch(entry.stamp());
-            } else if (result == Result.NOT_FOUND) {
-                seen(null, generation);
-                watch(generation);
-            } else {
-                loop.schedule(RETRY_MICROS + random.nextInt((int) RETRY_MICROS), this::look);
-            }
-        });
+        state.get(
+                Urgency.URGENT,
+                Keys.LEADER,
+                (result, entry, generation) -> {
+                    if (result == Result.OK) {
+                        seen(entry.value(), entry.stamp());
+                        watch(entry.stamp());
+                    } else if (result == Result.NOT_FOUND) {
+                        seen(null, generation);
+                        watch(generation);
+                    } else {
+                        loop.schedule(
+                                RETRY_MICROS + random.nextInt((int) RETRY_MICROS), this::look);
+                    }
+                });
     }
 
     private void watch(long since) {
-        state.follow(Keys.LEADER, since, WATCH_MICROS, (result, events, generation) -> {
-            if (result != Result.OK) {
-                loop.schedule(RETRY_MICROS, this::look);
-                return;
-            }
-            for (StateClient.Event event : events) {
-                if (event.path().equals(Keys.LEADER)) {
-                    seen(event.value(), event.stamp());
-                }
-            }
-            watch(Math.max(since, generation));
-        });
+        state.follow(
+                Keys.LEADER,
+                since,
+                WATCH_MICROS,
+                (result, events, generation) -> {
+                    if (result != Result.OK) {
+                        loop.schedule(RETRY_MICROS, this::look);
+                        return;
+                    }
+                    for (StateClient.Event event : events) {
+                        if (event.path().equals(Keys.LEADER)) {
+                            seen(event.value(), event.stamp());
+                        }
+                    }
+                    watch(Math.max(since, generation));
+                });
     }
 
     private void seen(Map<String, Object> value, long stamp) {
@@ -158,8 +183,11 @@
             current = null;
         }
         highestTerm = Math.max(highestTerm, knownTerm());
-        if (role != Role.LEADER && sought == highestTerm && new LeaderKey(label, sought).equals(current)) {
-            // What was asked for was carried out, and its answer is late or lost: others would wait for the grant's end.
+        if (role != Role.LEADER
+                && sought == highestTerm
+                && new LeaderKey(label, sought).equals(current)) {
+            // What was asked for was carried out, and its answer is late or lost: others would wait
+            // for the grant's end.
             won(sought, stamp);
             return;
         }
@@ -172,7 +200,10 @@
                 stepDown(current == null ? "the leader key is gone" : current.label() + " leads");
             }
         }
-        if (role == Role.FOLLOWER && current != null && current.label().equals(label) && term == 0) {
+        if (role == Role.FOLLOWER
+                && current != null
+                && current.label().equals(label)
+                && term == 0) {
             leaveToOthers(stamp);
         } else if (role == Role.FOLLOWER && vacant()) {
             // The key names this node from before it stepped down, or nobody.
@@ -181,12 +212,16 @@
     }
 
     /**
-     * The process before this one led. One that keeps ending would take over again and again, and read all records each
-     * time, while the others wait for its grant to end: leading is better left to a node that stays. The others see at
-     * once that nobody leads, and this process takes over only if none of them does.
+     * The process before this one led. One that keeps ending would take over again and again, and
+     * read all records each time, while the others wait for its grant to end: leading is better
+     * left to a node that stays. The others see at once that nobody leads, and this process takes
+     * over only if none of them does.
      */
     private void leaveToOthers(long stamp) {
-        state.txn(Urgency.URGENT, List.of(new Condition(Keys.LEADER, stamp)), List.of(Change.drop(Keys.LEADER)),
+        state.txn(
+                Urgency.URGENT,
+                List.of(new Condition(Keys.LEADER, stamp)),
+                List.of(Change.drop(Keys.LEADER)),
                 (result, generation, conflicts) -> {
                     notBeforeMicros = loop.nowMicros() + YIELD_MICROS;
                     if (result == Result.OK) {
@@ -199,16 +234,19 @@
 
     private void campaignSoon(long delayMicros) {
         int expected = ++campaign;
-        loop.schedule(Math.max(Math.max(1, delayMicros), notBeforeMicros - loop.nowMicros()), () -> {
-            // A watch that was cut off tells of the old leader's end and of the new leader in one answer.
-            if (campaign == expected && role == Role.FOLLOWER && vacant()) {
-                if (fence.open()) {
-                    campaign();
-                } else {
-                    campaignSoon(FENCED_MICROS);
-                }
-            }
-        });
+        loop.schedule(
+                Math.max(Math.max(1, delayMicros), notBeforeMicros - loop.nowMicros()),
+                () -> {
+                    // A watch that was cut off tells of the old leader's end and of the new leader
+                    // in one answer.
+                    if (campaign == expected && role == Role.FOLLOWER && vacant()) {
+                        if (fence.open()) {
+                            campaign();
+                        } else {
+                            campaignSoon(FENCED_MICROS);
+                        }
+                    }
+                });
     }
 
     private boolean vacant() {
@@ -217,7 +255,10 @@
 
     /** Takes over although the leader key stands: its holder was seen to be gone. */
     public void takeOverFrom(String gone) {
-        if (role == Role.FOLLOWER && current != null && current.label().equals(gone) && fence.open()) {
+        if (role == Role.FOLLOWER
+                && current != null
+                && current.label().equals(gone)
+                && fence.open()) {
             LOG.info("event=failover_started former_leader={}", gone);
             campaign();
         }
@@ -226,43 +267,63 @@
     private void campaign() {
         role = Role.CANDIDATE;
         sought = 0;
-        // The key as it is now: whoever takes it meanwhile is not to be deposed by a campaign against another.
+        // The key as it is now: whoever takes it meanwhile is not to be deposed by a campaign
+        // against another.
         long leaderStamp = current == null ? 0 : currentStamp;
-        state.grant(GRANT_MICROS, (result, granted) -> {
-            if (result != Result.OK) {
-                failed();
-                return;
-            }
-            grant = granted;
-            state.get(Urgency.URGENT, Keys.TERM, (read, entry, generation) -> {
-                try {
-                    if (read == Result.OK) {
-                        take(leaderStamp, new Fields(entry.value()).integer("term") + 1, entry.stamp());
-                    } else if (read == Result.NOT_FOUND) {
-                        take(leaderStamp, 1, 0);
-                    } else {
+        state.grant(
+                GRANT_MICROS,
+                (result, granted) -> {
+                    if (result != Result.OK) {
                         failed();
+                        return;
                     }
-                } catch (WireException e) {
-                    LOG.error("event=record_unreadable key={} error=\"{}\"", Keys.TERM, e.getMessage());
-                    failed();
-                }
-            });
-        });
+                    grant = granted;
+                    state.get(
+                            Urgency.URGENT,
+                            Keys.TERM,
+                            (read, entry, generation) -> {
+                                try {
+                                    if (read == Result.OK) {
+                                        take(
+                                                leaderStamp,
+                                                new Fields(entry.value()).integer("term") + 1,
+                                                entry.stamp());
+                                    } else if (read == Result.NOT_FOUND) {
+                                        take(leaderStamp, 1, 0);
+                                    } else {
+                                        failed();
+                                    }
+                                } catch (WireException e) {
+                                    LOG.error(
+                                            "event=record_unreadable key={} error=\"{}\"",
+                                            Keys.TERM,
+                                            e.getMessage());
+                                    failed();
+                                }
+                            });
+                });
     }
 
     private void take(long leaderStamp, long newTerm, long termStamp) {
         sought = newTerm;
         Map<String, Object> termValue = new LinkedHashMap<>();
         termValue.put("term", newTerm);
-        // Whoever takes a term has read what the stored state requires, and nothing was added to it since.
-        state.txn(Urgency.URGENT, List.of(new Condition(Keys.LEADER, leaderStamp),
-                new Condition(Keys.TERM, termStamp), fence.condition()),
-                List.of(new Change(Keys.LEADER, new LeaderKey(label, newTerm).toMap(), grant),
-                        Change.put(Keys.TERM, termValue)), (result, generation, conflicts) -> {
+        // Whoever takes a term has read what the stored state requires, and nothing was added to it
+        // since.
+        state.txn(
+                Urgency.URGENT,
+                List.of(
+                        new Condition(Keys.LEADER, leaderStamp),
+                        new Condition(Keys.TERM, termStamp),
+                        fence.condition()),
+                List.of(
+                        new Change(Keys.LEADER, new LeaderKey(label, newTerm).toMap(), grant),
+                        Change.put(Keys.TERM, termValue)),
+                (result, generation, conflicts) -> {
                     if (sought != newTerm) {
                         if (result == Result.CONFLICT && role == Role.LEADER && term == newTerm) {
-                            // The key that was seen is of this node's process before, and so is the grant that it hangs on.
+                            // The key that was seen is of this node's process before, and so is the
+                            // grant that it hangs on.
                             stepDown("the term was taken by an earlier process");
                         }
                     } else if (result == Result.OK) {
@@ -271,7 +332,8 @@
                         if (conflicts.contains(fence.condition().path())) {
                             fence.changed();
                         }
-                        // Without an answer it may have been carried out; otherwise a later campaign takes a higher term.
+                        // Without an answer it may have been carried out; otherwise a later
+                        // campaign takes a higher term.
                         sought = result == Result.UNKNOWN ? newTerm : 0;
                         failed();
                     }
@@ -281,15 +343,21 @@
     private void failed() {
         role = Role.FOLLOWER;
         long pause = RETRY_MICROS + random.nextInt((int) RETRY_MICROS);
-        loop.schedule(pause, () -> state.get(Urgency.URGENT, Keys.LEADER, (result, entry, generation) -> {
-            if (result == Result.OK) {
-                seen(entry.value(), entry.stamp());
-            } else if (result == Result.NOT_FOUND) {
-                seen(null, generation);
-            } else if (role == Role.FOLLOWER) {
-                failed();
-            }
-        }));
+        loop.schedule(
+                pause,
+                () ->
+                        state.get(
+                                Urgency.URGENT,
+                                Keys.LEADER,
+                                (result, entry, generation) -> {
+                                    if (result == Result.OK) {
+                                        seen(entry.value(), entry.stamp());
+                                    } else if (result == Result.NOT_FOUND) {
+                                        seen(null, generation);
+                                    } else if (role == Role.FOLLOWER) {
+                                        failed();
+                                    }
+                                }));
     }
 
     private void won(long newTerm, long stamp) {
@@ -307,17 +375,23 @@
     }
 
     private void renewLater(long ofTerm, long delayMicros) {
-        loop.schedule(delayMicros, () -> {
-            if (role != Role.LEADER || term != ofTerm) {
-                return;
-            }
-            state.renew(grant, (result, id) -> {
-                if (result == Result.NOT_FOUND && role == Role.LEADER && term == ofTerm) {
-                    stepDown("the grant has ended");
-                }
-            });
-            renewLater(ofTerm, RENEW_MICROS);
-        });
+        loop.schedule(
+                delayMicros,
+                () -> {
+                    if (role != Role.LEADER || term != ofTerm) {
+                        return;
+                    }
+                    state.renew(
+                            grant,
+                            (result, id) -> {
+                                if (result == Result.NOT_FOUND
+                                        && role == Role.LEADER
+                                        && term == ofTerm) {
+                                    stepDown("the grant has ended");
+                                }
+                            });
+                    renewLater(ofTerm, RENEW_MICROS);
+                });
     }
 
     /** Leads no more, for a reason that the node has seen elsewhere. */
--- a/src/main/java/org/woadloom/leader/RecordWriter.java
+++ b/src/main/java/org/woadloom/leader/RecordWriter.java
@@ -13,8 +13,9 @@
 import org.woadloom.wire.Cbor;
 
 /**
- * Writes a leader's records. Every transaction is conditional on the leader key's stamp, so that whatever arrives after
- * another node has taken over can only fail, and on the stamp of each record it changes.
+ * Writes a leader's records. Every transaction is conditional on the leader key's stamp, so that
+ * whatever arrives after another node has taken over can only fail, and on the stamp of each record
+ * it changes.
  */
 public final class RecordWriter {
     private static final int MAX_BYTES = 56 * 1024;
@@ -64,7 +65,8 @@
         int bytes = 0;
         for (Write write : writes) {
             int size = write.size();
-            if (!batch.isEmpty() && (ops + write.changes.size() > limits.txnOps() || bytes + size > MAX_BYTES)) {
+            if (!batch.isEmpty()
+                    && (ops + write.changes.size() > limits.txnOps() || bytes + size > MAX_BYTES)) {
                 transact(urgency, batch);
                 batch = new ArrayList<>();
                 ops = 0;
@@ -88,21 +90,36 @@
             conditions.addAll(write.conditions);
             changes.addAll(write.changes);
         }
-        state.txn(urgency, conditions, changes, proof(changes), (result, generation, failed) -> {
-            switch (result) {
-                case OK -> batch.forEach(write -> write.callback.written(WriteOutcome.WRITTEN, generation));
-                case CONFLICT -> conflict(urgency, batch, failed);
-                case UNAVAILABLE, NOT_FOUND -> batch.forEach(
-                        write -> write.callback.written(WriteOutcome.NOT_WRITTEN, 0));
-                case BAD -> refused(urgency, batch, changes);
-                case UNKNOWN -> batch.forEach(write -> write.callback.written(WriteOutcome.UNKNOWN, 0));
-            }
-        });
+        state.txn(
+                urgency,
+                conditions,
+                changes,
+                proof(changes),
+                (result, generation, failed) -> {
+                    switch (result) {
+                        case OK ->
+                                batch.forEach(
+                                        write ->
+                                                write.callback.written(
+                                                        WriteOutcome.WRITTEN, generation));
+                        case CONFLICT -> conflict(urgency, batch, failed);
+                        case UNAVAILABLE, NOT_FOUND ->
+                                batch.forEach(
+                                        write ->
+                                                write.callback.written(
+                                                        WriteOutcome.NOT_WRITTEN, 0));
+                        case BAD -> refused(urgency, batch, changes);
+                        case UNKNOWN ->
+                                batch.forEach(
+                                        write -> write.callback.written(WriteOutcome.UNKNOWN, 0));
+                    }
+                });
     }
 
     /**
-     * The key of a record that nobody else can have written like this: a job's, which names the term and the version of this
-     * write. What another leader writes of a machine may well read the same.
+     * The key of a record that nobody else can have written like this: a job's, which names the
+     * term and the version of this write. What another leader writes of a machine may well read the
+     * same.
      */
     private static String proof(List<Change> changes) {
         for (Change change : changes) {
@@ -114,8 +131,8 @@
     }
 
     /**
-     * A value or the number of changes is above a limit that has fallen. Each record is tried by itself, so that what is
-     * too large holds up nothing else; nothing was executed.
+     * A value or the number of changes is above a limit that has fallen. Each record is tried by
+     * itself, so that what is too large holds up nothing else; nothing was executed.
      */
     private void refused(Urgency urgency, List<Write> batch, List<Change> changes) {
         if (batch.size() > 1) {
@@ -138,7 +155,9 @@
         }
         List<Write> again = new ArrayList<>();
         for (Write write : batch) {
-            boolean mine = write.conditions.stream().anyMatch(condition -> failed.contains(condition.path()));
+            boolean mine =
+                    write.conditions.stream()
+                            .anyMatch(condition -> failed.contains(condition.path()));
             if (mine) {
                 write.callback.written(WriteOutcome.CONFLICT, 0);
             } else {
@@ -155,6 +174,7 @@
 
     /** A put of one key on condition of its stamp. */
     public static Write put(String key, Map<String, Object> value, long stamp, Outcome callback) {
-        return new Write(List.of(new Condition(key, stamp)), List.of(Change.put(key, value)), callback);
+        return new Write(
+                List.of(new Condition(key, stamp)), List.of(Change.put(key, value)), callback);
     }
 }
--- a/src/main/java/org/woadloom/metrics/NodeMetrics.java
+++ b/src/main/java/org/woadloom/metrics/NodeMetrics.java
@@ -25,8 +25,10 @@
     private long restless;
     private final MeterRegistry registry = new SimpleMeterRegistry();
     private final Timer steps = registry.timer("woadloom.core.step");
+
     /** By what was asked and the status: to have the registry find one costs more than to count. */
     private final Map<String, Map<Integer, Counter>> httpAnswers = new HashMap<>();
+
     private final Counter answers = registry.counter("woadloom.reports.answered");
     private final Counter launches = registry.counter("woadloom.direct.sent");
     private final Counter writes = registry.counter("woadloom.records.written");
@@ -39,8 +41,18 @@
         if (status == 503 && !what.equals("report")) {
             restless++;
         }
-        httpAnswers.computeIfAbsent(what, w -> new HashMap<>()).computeIfAbsent(status, s -> registry.counter(
-                "woadloom.http.answers", "what", what, "status", Integer.toString(s))).increment();
+        httpAnswers
+                .computeIfAbsent(what, w -> new HashMap<>())
+                .computeIfAbsent(
+                        status,
+                        s ->
+                                registry.counter(
+                                        "woadloom.http.answers",
+                                        "what",
+                                        what,
+                                        "status",
+                                        Integer.toString(s)))
+                .increment();
     }
 
     /** Answers that were refused and steps that were late, since the process began. */
@@ -71,7 +83,10 @@
         }
     }
 
-    /** The latest row of each team and class stands until the next; a node that leads no more keeps its last. */
+    /**
+     * The latest row of each team and class stands until the next; a node that leads no more keeps
+     * its last.
+     */
     private void served(Served.Row row) {
         Tags tags = Tags.of("team", row.team(), "class", row.jobClass());
         servedGauge("accepted", tags, row.accepted());
@@ -81,7 +96,9 @@
     }
 
     private void servedGauge(String what, Tags tags, double value) {
-        served.computeIfAbsent(what + tags, key -> registry.gauge("woadloom.served." + what, tags, new AtomicDouble()))
+        served.computeIfAbsent(
+                        what + tags,
+                        key -> registry.gauge("woadloom.served." + what, tags, new AtomicDouble()))
                 .set(value);
     }
 
@@ -99,7 +116,9 @@
                 name.append(' ').append(tag.getKey()).append('=').append(tag.getValue());
             }
             for (Measurement measurement : meter.measure()) {
-                map.put(name + " " + measurement.getStatistic().getTagValueRepresentation(), measurement.getValue());
+                map.put(
+                        name + " " + measurement.getStatistic().getTagValueRepresentation(),
+                        measurement.getValue());
             }
         }
         return map;
--- a/src/main/java/org/woadloom/net/HttpTransport.java
+++ b/src/main/java/org/woadloom/net/HttpTransport.java
@@ -2,16 +2,28 @@
 
 /** Sends requests to other hosts. Every request gets exactly one answer, on the loop. */
 public interface HttpTransport {
-    /** The status given when no response came: the request may have been executed, or may be later. */
+    /**
+     * The status given when no response came: the request may have been executed, or may be later.
+     */
     int NO_RESPONSE = 0;
+
     /** The status given when the request was certainly never sent. */
     int NOT_SENT = -1;
 
-    /** The answer to a request: an HTTP status with its body, or one of the two constants with an empty body. */
+    /**
+     * The answer to a request: an HTTP status with its body, or one of the two constants with an
+     * empty body.
+     */
     @FunctionalInterface
     interface Callback {
         void answered(int status, byte[] body);
     }
 
-    void request(String address, String method, String path, byte[] body, long timeoutMicros, Callback callback);
+    void request(
+            String address,
+            String method,
+            String path,
+            byte[] body,
+            long timeoutMicros,
+            Callback callback);
 }
--- a/src/main/java/org/woadloom/net/Loop.java
+++ b/src/main/java/org/woadloom/net/Loop.java
@@ -1,11 +1,13 @@
 package org.woadloom.net;
 
 /**
- * The one thread on which a node does everything, and its clocks. The service runs it on an XNIO I/O thread, the tests
- * in virtual time.
+ * The one thread on which a node does everything, and its clocks. The service runs it on an XNIO
+ * I/O thread, the tests in virtual time.
  */
 public interface Loop {
-    /** The steady clock. It may run fast or slow by a little, and says nothing of the time of day. */
+    /**
+     * The steady clock. It may run fast or slow by a little, and says nothing of the time of day.
+     */
     long nowMicros();
 
     /** The time of day, within the platform's bound of the truth. */
--- a/src/main/java/org/woadloom/net/UndertowTransport.java
+++ b/src/main/java/org/woadloom/net/UndertowTransport.java
@@ -23,12 +23,17 @@
 import org.xnio.channels.StreamSinkChannel;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Requests through Undertow's client, on the node's I/O thread, with a small pool of idle connections per host. */
+/**
+ * Requests through Undertow's client, on the node's I/O thread, with a small pool of idle
+ * connections per host.
+ */
 public final class UndertowTransport implements HttpTransport {
     private static final int MAX_IDLE = 8;
     private static final long IDLE_MICROS = 20_000_000;
+
     /** How many idle connections are looked at for their age after each request. */
     private static final int SWEEP = 2;
+
     private static final HttpString CBOR_LENGTH = Headers.CONTENT_LENGTH;
 
     private final Loop loop;
@@ -36,11 +41,17 @@
     private final ByteBufferPool buffers;
     private final HttpClientProvider provider = new HttpClientProvider();
     private final int mostIdle;
+
     /** Takes what is read before it is appended to its response; all is done on one thread. */
     private final ByteBuffer buffer = ByteBuffer.allocate(4096);
+
     private final Map<String, ArrayDeque<Idle>> idle = new HashMap<>();
-    /** All of them, the longest idle first: workers come by the hundred, and sockets are limited. */
+
+    /**
+     * All of them, the longest idle first: workers come by the hundred, and sockets are limited.
+     */
     private final LinkedHashSet<Idle> byAge = new LinkedHashSet<>();
+
     private int underWay;
 
     private static final class Idle {
@@ -63,7 +74,12 @@
     }
 
     @Override
-    public void request(String address, String method, String path, byte[] body, long timeoutMicros,
+    public void request(
+            String address,
+            String method,
+            String path,
+            byte[] body,
+            long timeoutMicros,
             Callback callback) {
         Call call = new Call(address, method, path, body, callback);
         underWay++;
@@ -73,21 +89,27 @@
             call.send(connection);
             return;
         }
-        provider.connect(new ClientCallback<>() {
-            @Override
-            public void completed(ClientConnection opened) {
-                if (call.finished) {
-                    IoUtils.safeClose(opened);
-                } else {
-                    call.send(opened);
-                }
-            }
+        provider.connect(
+                new ClientCallback<>() {
+                    @Override
+                    public void completed(ClientConnection opened) {
+                        if (call.finished) {
+                            IoUtils.safeClose(opened);
+                        } else {
+                            call.send(opened);
+                        }
+                    }
 
-            @Override
-            public void failed(IOException e) {
-                call.finish(NOT_SENT, new byte[0]);
-            }
-        }, URI.create("http://" + address), thread, null, buffers, OptionMap.EMPTY);
+                    @Override
+                    public void failed(IOException e) {
+                        call.finish(NOT_SENT, new byte[0]);
+                    }
+                },
+                URI.create("http://" + address),
+                thread,
+                null,
+                buffers,
+                OptionMap.EMPTY);
     }
 
     /** Connections for requests that are under way, and those that are kept. */
@@ -104,7 +126,8 @@
         while (queue != null && !queue.isEmpty()) {
             Idle candidate = queue.pollLast();
             byAge.remove(candidate);
-            if (candidate.connection.isOpen() && loop.nowMicros() - candidate.sinceMicros < IDLE_MICROS) {
+            if (candidate.connection.isOpen()
+                    && loop.nowMicros() - candidate.sinceMicros < IDLE_MICROS) {
                 return candidate.connection;
             }
             IoUtils.safeClose(candidate.connection);
@@ -184,37 +207,41 @@
 
         void send(ClientConnection opened) {
             connection = opened;
-            ClientRequest request = new ClientRequest().setPath(path).setMethod(HttpString.tryFromString(method));
+            ClientRequest request =
+                    new ClientRequest().setPath(path).setMethod(HttpString.tryFromString(method));
             request.getRequestHeaders().put(Headers.HOST, address);
             if (body != null) {
                 request.getRequestHeaders().put(CBOR_LENGTH, Integer.toString(body.length));
                 request.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/cbor");
             }
-            connection.sendRequest(request, new ClientCallback<>() {
-                @Override
-                public void completed(ClientExchange exchange) {
-                    started(exchange);
-                }
+            connection.sendRequest(
+                    request,
+                    new ClientCallback<>() {
+                        @Override
+                        public void completed(ClientExchange exchange) {
+                            started(exchange);
+                        }
 
-                @Override
-                public void failed(IOException e) {
-                    broken();
-                }
-            });
+                        @Override
+                        public void failed(IOException e) {
+                            broken();
+                        }
+                    });
         }
 
         private void started(ClientExchange exchange) {
-            exchange.setResponseListener(new ClientCallback<>() {
-                @Override
-                public void completed(ClientExchange answered) {
-                    read(answered);
-                }
+            exchange.setResponseListener(
+                    new ClientCallback<>() {
+                        @Override
+                        public void completed(ClientExchange answered) {
+                            read(answered);
+                        }
 
-                @Override
-                public void failed(IOException e) {
-                    broken();
-                }
-            });
+                        @Override
+                        public void failed(IOException e) {
+                            broken();
+                        }
+                    });
             if (body == null) {
                 return;
             }
@@ -238,7 +265,10 @@
                 }
                 channel.shutdownWrites();
                 if (!channel.flush()) {
-                    channel.getWriteSetter().set(ChannelListeners.flushingChannelListener(null, (c, e) -> broken()));
+                    channel.getWriteSetter()
+                            .set(
+                                    ChannelListeners.flushingChannelListener(
+                                            null, (c, e) -> broken()));
                     channel.resumeWrites();
                 }
             } catch (IOException e) {
@@ -248,15 +278,23 @@
 
         private void read(ClientExchange exchange) {
             int status = exchange.getResponse().getResponseCode();
-            boolean closes = "close".equalsIgnoreCase(exchange.getResponse().getResponseHeaders()
-                    .getFirst(Headers.CONNECTION));
+            boolean closes =
+                    "close"
+                            .equalsIgnoreCase(
+                                    exchange.getResponse()
+                                            .getResponseHeaders()
+                                            .getFirst(Headers.CONNECTION));
             StreamSourceChannel channel = exchange.getResponseChannel();
             ByteArrayOutputStream received = new ByteArrayOutputStream(512);
             channel.getReadSetter().set(ready -> drain(ready, received, status, closes));
             drain(channel, received, status, closes);
         }
 
-        private void drain(StreamSourceChannel channel, ByteArrayOutputStream received, int status, boolean closes) {
+        private void drain(
+                StreamSourceChannel channel,
+                ByteArrayOutputStream received,
+                int status,
+                boolean closes) {
             try {
                 while (true) {
                     buffer.clear();
--- a/src/main/java/org/woadloom/net/XnioLoop.java
+++ b/src/main/java/org/woadloom/net/XnioLoop.java
@@ -7,8 +7,8 @@
 import org.xnio.XnioIoThread;
 
 /**
- * The loop on XNIO's single I/O thread. The machine has a fifth of a core, so a second thread would add switches and
- * no speed.
+ * The loop on XNIO's single I/O thread. The machine has a fifth of a core, so a second thread would
+ * add switches and no speed.
  */
 public final class XnioLoop implements Loop {
     private static final Logger LOG = LoggerFactory.getLogger(XnioLoop.class);
@@ -35,8 +35,11 @@
 
     @Override
     public Timer schedule(long delayMicros, Runnable task) {
-        XnioExecutor.Key key = thread.executeAfter(() -> run(task), Math.max(1, (delayMicros + 999) / 1000),
-                TimeUnit.MILLISECONDS);
+        XnioExecutor.Key key =
+                thread.executeAfter(
+                        () -> run(task),
+                        Math.max(1, (delayMicros + 999) / 1000),
+                        TimeUnit.MILLISECONDS);
         return key::remove;
     }
 
--- a/src/main/java/org/woadloom/node/Care.java
+++ b/src/main/java/org/woadloom/node/Care.java
@@ -26,15 +26,17 @@
     private final Loop loop;
     private final CareRules rules;
     private final Caretaker caretaker;
+
     /** What the other nodes last said of themselves, and when. */
     private final Map<String, Heard> heard = new HashMap<>();
+
     /** The tokens that workers in this node's care had when that began. */
     private final Map<String, Long> tokens = new HashMap<>();
+
     private boolean allowed;
     private long loggedMicros = Long.MIN_VALUE / 2;
 
-    private record Heard(long atMicros, NodeStanding standing) {
-    }
+    private record Heard(long atMicros, NodeStanding standing) {}
 
     Care(Loop loop, ServiceSettings settings, Random random) {
         this.loop = loop;
@@ -80,7 +82,10 @@
         return allowed && caretaker.mayCare(loop.nowMicros());
     }
 
-    /** The answer to a report that finds no leader: the worker's own token and no orders; null where care may not be taken. */
+    /**
+     * The answer to a report that finds no leader: the worker's own token and no orders; null where
+     * care may not be taken.
+     */
     Response answer(byte[] report) {
         long now = loop.nowMicros();
         if (!mayCare()) {
@@ -114,7 +119,10 @@
     /** True if a peer has said just now that the state service serves it. */
     boolean peersServed() {
         long now = loop.nowMicros();
-        return heard.values().stream().anyMatch(said -> now - said.atMicros <= FRESH_MICROS
-                && said.standing.stateSilentMicros() == 0);
+        return heard.values().stream()
+                .anyMatch(
+                        said ->
+                                now - said.atMicros <= FRESH_MICROS
+                                        && said.standing.stateSilentMicros() == 0);
     }
 }
--- a/src/main/java/org/woadloom/node/CommandQueue.java
+++ b/src/main/java/org/woadloom/node/CommandQueue.java
@@ -12,8 +12,9 @@
 import org.woadloom.net.Loop;
 
 /**
- * The queue in front of the core: whatever has gathered by the time the core gets its turn is one batch. The core then
- * pauses for a multiple of what the batch took, so that under load the batches grow and sockets are still served.
+ * The queue in front of the core: whatever has gathered by the time the core gets its turn is one
+ * batch. The core then pauses for a multiple of what the batch took, so that under load the batches
+ * grow and sockets are still served.
  */
 public final class CommandQueue {
     private static final long PAUSE_MICROS = 8_000;
@@ -26,7 +27,8 @@
     private final NodeMetrics metrics;
     private final int mostRepeatable;
     private final StepObserver observer;
-    private final ManyToOneConcurrentLinkedQueue<Command> queue = new ManyToOneConcurrentLinkedQueue<>();
+    private final ManyToOneConcurrentLinkedQueue<Command> queue =
+            new ManyToOneConcurrentLinkedQueue<>();
     private final AtomicInteger repeatable = new AtomicInteger();
     private final AtomicBoolean scheduled = new AtomicBoolean();
     private volatile long notBeforeMicros = Long.MIN_VALUE / 2;
@@ -36,13 +38,22 @@
         void execute(List<Effect> effects);
     }
 
-    /** @param mostRepeatable how many commands may wait that their senders repeat by themselves */
-    public CommandQueue(Loop loop, Core core, NodeMetrics metrics, int mostRepeatable, Executor executor) {
+    /**
+     * @param mostRepeatable how many commands may wait that their senders repeat by themselves
+     */
+    public CommandQueue(
+            Loop loop, Core core, NodeMetrics metrics, int mostRepeatable, Executor executor) {
         this(loop, core, metrics, mostRepeatable, executor, StepObserver.NONE);
     }
 
     /** The same, with an observer of each step. */
-    CommandQueue(Loop loop, Core core, NodeMetrics metrics, int mostRepeatable, Executor executor, StepObserver observer) {
+    CommandQueue(
+            Loop loop,
+            Core core,
+            NodeMetrics metrics,
+            int mostRepeatable,
+            Executor executor,
+            StepObserver observer) {
         this.loop = loop;
         this.core = core;
         this.executor = executor;
@@ -51,13 +62,19 @@
         this.observer = observer;
     }
 
-    /** Takes what must not get lost: the outcome of something that was asked for. What is under way bounds their number. */
+    /**
+     * Takes what must not get lost: the outcome of something that was asked for. What is under way
+     * bounds their number.
+     */
     public void add(Command command) {
         queue.add(command);
         wake();
     }
 
-    /** Takes a report, which its worker repeats; returns false if too many wait, and it is dropped then. */
+    /**
+     * Takes a report, which its worker repeats; returns false if too many wait, and it is dropped
+     * then.
+     */
     public boolean offer(Command.Report report) {
         if (repeatable.incrementAndGet() > mostRepeatable) {
             repeatable.decrementAndGet();
@@ -93,7 +110,11 @@
         effects.forEach(metrics::done);
         executor.execute(effects);
         long end = loop.nowMicros();
-        notBeforeMicros = end + Math.min(MOST_PAUSE_MICROS, Math.max(PAUSE_MICROS, (end - begin) * PAUSE_PER_STEP));
+        notBeforeMicros =
+                end
+                        + Math.min(
+                                MOST_PAUSE_MICROS,
+                                Math.max(PAUSE_MICROS, (end - begin) * PAUSE_PER_STEP));
         scheduled.set(false);
         if (!queue.isEmpty()) {
             wake();
--- a/src/main/java/org/woadloom/node/Confirmations.java
+++ b/src/main/java/org/woadloom/node/Confirmations.java
@@ -20,18 +20,26 @@
 import org.woadloom.wire.JobDescription;
 
 /**
- * Users hear of a cancellation once the leader has it, or once no leader relies on a promise of this node; and a leader
- * goes on without the state service as long as all nodes vouch for what they told.
+ * Users hear of a cancellation once the leader has it, or once no leader relies on a promise of
+ * this node; and a leader goes on without the state service as long as all nodes vouch for what
+ * they told.
  */
 final class Confirmations implements JobApi.Confirmation {
     private static final Logger LOG = LoggerFactory.getLogger(Confirmations.class);
     private static final long LOOK_MICROS = 50_000;
-    /** While somebody waits the leader is vouched to so often: it may have been loading, or what was said got lost. */
+
+    /**
+     * While somebody waits the leader is vouched to so often: it may have been loading, or what was
+     * said got lost.
+     */
     private static final long AGAIN_MICROS = 200_000;
+
     private static final long LOG_MICROS = 10_000_000;
+
     /**
-     * A leader that is served may be this far behind by its watch alone, so none ever rests sooner: not even where a cancelled
-     * task may stay for little longer than a lease, which then asks for more than any leader can do.
+     * A leader that is served may be this far behind by its watch alone, so none ever rests sooner:
+     * not even where a cancelled task may stay for little longer than a lease, which then asks for
+     * more than any leader can do.
      */
     private static final long LEAST_MICROS = 5_000_000;
 
@@ -67,8 +75,10 @@
     private final Carrier carrier;
     private final View view;
     private final ToldCancellations told;
+
     /** Who waits for which job to be told of, the first first. */
     private final Map<Waiting, String> waiting = new LinkedHashMap<>();
+
     private CancellationWatermark watermark;
     private boolean on;
     private boolean looking;
@@ -77,8 +87,7 @@
     private long malformed;
     private long restedMicros = Long.MIN_VALUE / 2;
 
-    private record Waiting(long untilMicros, Consumer<Boolean> told) {
-    }
+    private record Waiting(long untilMicros, Consumer<Boolean> told) {}
 
     Confirmations(Loop loop, ServiceSettings settings, Random random, Carrier carrier, View view) {
         this.loop = loop;
@@ -88,12 +97,20 @@
         List<String> peers = settings.peers().stream().map(Peer::label).toList();
         nodes.add(self);
         nodes.addAll(peers);
-        boundMicros = Math.max(LEAST_MICROS,
-                CareRules.of(settings.workers().leaseMicros(), settings.workers().cancelMicros()).careMicros());
+        boundMicros =
+                Math.max(
+                        LEAST_MICROS,
+                        CareRules.of(
+                                        settings.workers().leaseMicros(),
+                                        settings.workers().cancelMicros())
+                                .careMicros());
         told = new ToldCancellations(random.nextLong(), peers, loop.nowMicros());
     }
 
-    /** The nodes have agreed to vouch, or have agreed no longer to: promises that were given hold all the same. */
+    /**
+     * The nodes have agreed to vouch, or have agreed no longer to: promises that were given hold
+     * all the same.
+     */
     void on(boolean agreed) {
         on = agreed;
     }
@@ -121,14 +138,17 @@
     private void lookLater() {
         if (!looking && !waiting.isEmpty()) {
             looking = true;
-            loop.schedule(LOOK_MICROS, () -> {
-                looking = false;
-                release();
-                if (!waiting.isEmpty() && loop.nowMicros() - vouchedMicros >= AGAIN_MICROS) {
-                    vouch();
-                }
-                lookLater();
-            });
+            loop.schedule(
+                    LOOK_MICROS,
+                    () -> {
+                        looking = false;
+                        release();
+                        if (!waiting.isEmpty()
+                                && loop.nowMicros() - vouchedMicros >= AGAIN_MICROS) {
+                            vouch();
+                        }
+                        lookLater();
+                    });
         }
     }
 
@@ -154,10 +174,11 @@
     private void vouchSoon() {
         if (!vouching) {
             vouching = true;
-            loop.execute(() -> {
-                vouching = false;
-                vouch();
-            });
+            loop.execute(
+                    () -> {
+                        vouching = false;
+                        vouch();
+                    });
         }
     }
 
@@ -202,8 +223,10 @@
 
     void heard(String node, Vouch vouch) {
         long now = loop.nowMicros();
-        String flaw = vouch.jobs().stream().allMatch(JobDescription::isUid) ? CancellationWatermark.flaw(vouch, now)
-                : "a name that is no job's";
+        String flaw =
+                vouch.jobs().stream().allMatch(JobDescription::isUid)
+                        ? CancellationWatermark.flaw(vouch, now)
+                        : "a name that is no job's";
         if (flaw != null) {
             malformed++;
             LOG.warn("event=cancellation_report_invalid node={} error=\"{}\"", node, flaw);
@@ -231,14 +254,19 @@
         return malformed;
     }
 
-    /** How long ago the moment is up to which this leader carries out every cancellation that was told of; 0 for others. */
+    /**
+     * How long ago the moment is up to which this leader carries out every cancellation that was
+     * told of; 0 for others.
+     */
     long behindMicros() {
-        return watermark == null || !view.ready() ? 0 : Math.max(0, loop.nowMicros() - watermark.micros(view.cancellationsSeenMicros()));
+        return watermark == null || !view.ready()
+                ? 0
+                : Math.max(0, loop.nowMicros() - watermark.micros(view.cancellationsSeenMicros()));
     }
 
     /**
-     * Whether this leader must leave its workers to themselves, so that their leases end in time: somebody may have been
-     * told of a cancellation that it lacks.
+     * Whether this leader must leave its workers to themselves, so that their leases end in time:
+     * somebody may have been told of a cancellation that it lacks.
      */
     boolean mustRest() {
         long behind = behindMicros();
@@ -248,8 +276,10 @@
         long now = loop.nowMicros();
         if (now - restedMicros > LOG_MICROS) {
             restedMicros = now;
-            LOG.warn("event=lease_renewal_suspended cancellations_behind_s={} missing_reports={}",
-                    behind / 1_000_000, watermark.behind(view.cancellationsSeenMicros()));
+            LOG.warn(
+                    "event=lease_renewal_suspended cancellations_behind_s={} missing_reports={}",
+                    behind / 1_000_000,
+                    watermark.behind(view.cancellationsSeenMicros()));
         }
         return true;
     }
--- a/src/main/java/org/woadloom/node/Isolation.java
+++ b/src/main/java/org/woadloom/node/Isolation.java
@@ -3,12 +3,14 @@
 import org.woadloom.net.Loop;
 
 /**
- * Whether this node alone has lost the state service, while it is reached by users: it can tell them nothing then, and they
- * are better off with the others. In an outage for all there are no others, and in a zone that is cut off there are no users.
+ * Whether this node alone has lost the state service, while it is reached by users: it can tell
+ * them nothing then, and they are better off with the others. In an outage for all there are no
+ * others, and in a zone that is cut off there are no users.
  */
 final class Isolation {
     /** So long without an answer is more than a slow one. */
     private static final long LOST_MICROS = 3_000_000;
+
     private static final long OUTSIDE_MICROS = 3_000_000;
 
     private final Loop loop;
@@ -43,7 +45,8 @@
      */
     boolean alone(boolean peersServed, boolean peersReached) {
         long now = loop.nowMicros();
-        return failing && now - failingSinceMicros > LOST_MICROS
+        return failing
+                && now - failingSinceMicros > LOST_MICROS
                 && (peersServed || !peersReached && now - outsideMicros < OUTSIDE_MICROS);
     }
 }
--- a/src/main/java/org/woadloom/node/LeaderDuties.java
+++ b/src/main/java/org/woadloom/node/LeaderDuties.java
@@ -34,15 +34,20 @@
 import org.woadloom.wire.WorkerReport;
 import org.woadloom.worker.WorkerClient;
 
-/** What a node does while it leads: loads the records, feeds the core and carries out its effects. */
+/**
+ * What a node does while it leads: loads the records, feeds the core and carries out its effects.
+ */
 final class LeaderDuties {
     private static final Logger LOG = LoggerFactory.getLogger(LeaderDuties.class);
     private static final long TICK_MICROS = 100_000;
     private static final long RETRY_MICROS = 300_000;
+
     /** Short, as an answer that gets lost hides cancellations until the watch is opened again. */
     private static final long WATCH_MICROS = 4_000_000;
+
     /** A change of the rate by such a part is worth telling. */
     private static final double NOTABLE = 0.05;
+
     private static final long ROLLOUT_MICROS = 1_000_000;
     private static final long MIN_LIST_MICROS = 2_000_000;
 
@@ -70,11 +75,21 @@
     private long replies;
     private double toldWrites;
     private long toldRolloutMicros = Long.MIN_VALUE / 2;
+
     /** Every cancellation that was made before this moment has been read. */
     private long cancellationsSeenMicros;
 
-    LeaderDuties(Loop loop, StateClient state, CloudClient cloud, WorkerClient workers, ServiceSettings settings,
-            Limits limits, Rollout rollout, NodeMetrics metrics, Care care, java.util.function.Consumer<String> abdicate,
+    LeaderDuties(
+            Loop loop,
+            StateClient state,
+            CloudClient cloud,
+            WorkerClient workers,
+            ServiceSettings settings,
+            Limits limits,
+            Rollout rollout,
+            NodeMetrics metrics,
+            Care care,
+            java.util.function.Consumer<String> abdicate,
             BiConsumer<String, Warrant> warrants) {
         this.loop = loop;
         this.state = state;
@@ -103,21 +118,37 @@
         term = newTerm;
         writer = null;
         // The format must be known before the first write.
-        rollout.look(Urgency.URGENT, known -> again(newTerm, () -> {
-            if (known) {
-                loadMachines(newTerm, leaderStamp);
-            } else {
-                loop.schedule(RETRY_MICROS, () -> again(newTerm, () -> begin(newTerm, leaderStamp)));
-            }
-        }));
+        rollout.look(
+                Urgency.URGENT,
+                known ->
+                        again(
+                                newTerm,
+                                () -> {
+                                    if (known) {
+                                        loadMachines(newTerm, leaderStamp);
+                                    } else {
+                                        loop.schedule(
+                                                RETRY_MICROS,
+                                                () ->
+                                                        again(
+                                                                newTerm,
+                                                                () -> begin(newTerm, leaderStamp)));
+                                    }
+                                }));
     }
 
     /** Tells the core what its records must fit. */
     void tellStorage() {
         toldWrites = state.writesPerSecond();
-        queue.add(new Command.StorageSeen(rollout.format() == RecordFormat.COMPACT ? limits.valueBytes()
-                : limits.valueBytesNow(), rollout.format(), toldWrites, care.allowed(),
-                rollout.on(Feature.MACHINE_LIFE)));
+        queue.add(
+                new Command.StorageSeen(
+                        rollout.format() == RecordFormat.COMPACT
+                                ? limits.valueBytes()
+                                : limits.valueBytesNow(),
+                        rollout.format(),
+                        toldWrites,
+                        care.allowed(),
+                        rollout.on(Feature.MACHINE_LIFE)));
     }
 
     /** Tells the core how the rollout stands, whenever that has changed and once a second. */
@@ -178,25 +209,36 @@
     }
 
     private void loadMachines(long ofTerm, long leaderStamp) {
-        state.list(Urgency.URGENT, Keys.MACHINES, (result, entries, generation) -> {
-            if (term != ofTerm) {
-                return;
-            }
-            if (result != Result.OK) {
-                loop.schedule(RETRY_MICROS, () -> again(ofTerm, () -> loadMachines(ofTerm, leaderStamp)));
-                return;
-            }
-            List<Command.StoredMachine> machines = new ArrayList<>();
-            for (StateClient.Entry entry : entries) {
-                try {
-                    String host = entry.path().substring(Keys.MACHINES.length());
-                    machines.add(new Command.StoredMachine(MachineRecord.parse(host, entry.value()), entry.stamp()));
-                } catch (WireException e) {
-                    LOG.error("event=record_unreadable key={} error=\"{}\"", entry.path(), e.getMessage());
-                }
-            }
-            loadJobs(ofTerm, leaderStamp, machines);
-        });
+        state.list(
+                Urgency.URGENT,
+                Keys.MACHINES,
+                (result, entries, generation) -> {
+                    if (term != ofTerm) {
+                        return;
+                    }
+                    if (result != Result.OK) {
+                        loop.schedule(
+                                RETRY_MICROS,
+                                () -> again(ofTerm, () -> loadMachines(ofTerm, leaderStamp)));
+                        return;
+                    }
+                    List<Command.StoredMachine> machines = new ArrayList<>();
+                    for (StateClient.Entry entry : entries) {
+                        try {
+                            String host = entry.path().substring(Keys.MACHINES.length());
+                            machines.add(
+                                    new Command.StoredMachine(
+                                            MachineRecord.parse(host, entry.value()),
+                                            entry.stamp()));
+                        } catch (WireException e) {
+                            LOG.error(
+                                    "event=record_unreadable key={} error=\"{}\"",
+                                    entry.path(),
+                                    e.getMessage());
+                        }
+                    }
+                    loadJobs(ofTerm, leaderStamp, machines);
+                });
     }
 
     private void again(long ofTerm, Runnable step) {
@@ -207,71 +249,97 @@
 
     private void loadJobs(long ofTerm, long leaderStamp, List<Command.StoredMachine> machines) {
         long asked = loop.nowMicros();
-        state.list(Urgency.URGENT, Keys.JOBS, (result, entries, generation) -> {
-            if (term != ofTerm) {
-                return;
-            }
-            if (result != Result.OK) {
-                loop.schedule(RETRY_MICROS, () -> again(ofTerm, () -> loadJobs(ofTerm, leaderStamp, machines)));
-                return;
-            }
-            List<Command.StoredJob> jobs = new ArrayList<>();
-            for (StateClient.Entry entry : entries) {
-                try {
-                    jobs.add(new Command.StoredJob(read(entry.value()), entry.stamp()));
-                } catch (WireException e) {
-                    LOG.error("event=record_unreadable key={} error=\"{}\"", entry.path(), e.getMessage());
-                }
-            }
-            writer = new RecordWriter(state, limits, leaderStamp,
-                    () -> again(ofTerm, () -> abdicate.accept("another node took over")));
-            tellStorage();
-            cancellationsSeenMicros = asked;
-            queue.add(new Command.Lead(ofTerm, jobs, machines, asked));
-            followJobs(ofTerm, generation);
-            tick(ofTerm);
-            pollTypes(ofTerm);
-            pollList(ofTerm);
-        });
+        state.list(
+                Urgency.URGENT,
+                Keys.JOBS,
+                (result, entries, generation) -> {
+                    if (term != ofTerm) {
+                        return;
+                    }
+                    if (result != Result.OK) {
+                        loop.schedule(
+                                RETRY_MICROS,
+                                () -> again(ofTerm, () -> loadJobs(ofTerm, leaderStamp, machines)));
+                        return;
+                    }
+                    List<Command.StoredJob> jobs = new ArrayList<>();
+                    for (StateClient.Entry entry : entries) {
+                        try {
+                            jobs.add(new Command.StoredJob(read(entry.value()), entry.stamp()));
+                        } catch (WireException e) {
+                            LOG.error(
+                                    "event=record_unreadable key={} error=\"{}\"",
+                                    entry.path(),
+                                    e.getMessage());
+                        }
+                    }
+                    writer =
+                            new RecordWriter(
+                                    state,
+                                    limits,
+                                    leaderStamp,
+                                    () ->
+                                            again(
+                                                    ofTerm,
+                                                    () ->
+                                                            abdicate.accept(
+                                                                    "another node took over")));
+                    tellStorage();
+                    cancellationsSeenMicros = asked;
+                    queue.add(new Command.Lead(ofTerm, jobs, machines, asked));
+                    followJobs(ofTerm, generation);
+                    tick(ofTerm);
+                    pollTypes(ofTerm);
+                    pollList(ofTerm);
+                });
     }
 
     private void followJobs(long ofTerm, long since) {
         long asked = loop.nowMicros();
-        state.follow(Keys.JOBS, since, WATCH_MICROS, (result, events, generation) -> {
-            if (term != ofTerm) {
-                return;
-            }
-            if (result == Result.OK) {
-                for (StateClient.Event event : events) {
-                    if (event.value() != null && !JobRecord.writtenIn(ofTerm, event.value())) {
-                        jobSeen(event.path(), event.value(), event.stamp());
+        state.follow(
+                Keys.JOBS,
+                since,
+                WATCH_MICROS,
+                (result, events, generation) -> {
+                    if (term != ofTerm) {
+                        return;
                     }
-                }
-                cancellationsSeenMicros = asked;
-                followJobs(ofTerm, Math.max(since, generation));
-            } else if (result == Result.NOT_FOUND) {
-                rereadJobs(ofTerm);
-            } else {
-                loop.schedule(RETRY_MICROS, () -> again(ofTerm, () -> followJobs(ofTerm, since)));
-            }
-        });
+                    if (result == Result.OK) {
+                        for (StateClient.Event event : events) {
+                            if (event.value() != null
+                                    && !JobRecord.writtenIn(ofTerm, event.value())) {
+                                jobSeen(event.path(), event.value(), event.stamp());
+                            }
+                        }
+                        cancellationsSeenMicros = asked;
+                        followJobs(ofTerm, Math.max(since, generation));
+                    } else if (result == Result.NOT_FOUND) {
+                        rereadJobs(ofTerm);
+                    } else {
+                        loop.schedule(
+                                RETRY_MICROS, () -> again(ofTerm, () -> followJobs(ofTerm, since)));
+                    }
+                });
     }
 
     /** The watch fell too far behind: everything is read again. */
     private void rereadJobs(long ofTerm) {
-        state.list(Urgency.NORMAL, Keys.JOBS, (result, entries, generation) -> {
-            if (term != ofTerm) {
-                return;
-            }
-            if (result != Result.OK) {
-                loop.schedule(RETRY_MICROS, () -> again(ofTerm, () -> rereadJobs(ofTerm)));
-                return;
-            }
-            for (StateClient.Entry entry : entries) {
-                jobSeen(entry.path(), entry.value(), entry.stamp());
-            }
-            followJobs(ofTerm, generation);
-        });
+        state.list(
+                Urgency.NORMAL,
+                Keys.JOBS,
+                (result, entries, generation) -> {
+                    if (term != ofTerm) {
+                        return;
+                    }
+                    if (result != Result.OK) {
+                        loop.schedule(RETRY_MICROS, () -> again(ofTerm, () -> rereadJobs(ofTerm)));
+                        return;
+                    }
+                    for (StateClient.Entry entry : entries) {
+                        jobSeen(entry.path(), entry.value(), entry.stamp());
+                    }
+                    followJobs(ofTerm, generation);
+                });
     }
 
     private JobRecord read(Map<String, Object> value) throws WireException {
@@ -285,39 +353,64 @@
         } catch (WireException e) {
             LOG.error("event=record_unreadable key={} error=\"{}\"", path, e.getMessage());
             String uid = path.substring(Keys.JOBS.length());
-            queue.add(JobRecord.ofLaterVersion(value) ? new Command.JobUnreadable(uid)
-                    : new Command.JobUnread(uid, stamp, value != null && Boolean.TRUE.equals(value.get("cancelled"))));
+            queue.add(
+                    JobRecord.ofLaterVersion(value)
+                            ? new Command.JobUnreadable(uid)
+                            : new Command.JobUnread(
+                                    uid,
+                                    stamp,
+                                    value != null && Boolean.TRUE.equals(value.get("cancelled"))));
         }
     }
 
     private void tick(long ofTerm) {
-        loop.schedule(TICK_MICROS, () -> again(ofTerm, () -> {
-            if (Math.abs(state.writesPerSecond() - toldWrites) > toldWrites * NOTABLE) {
-                tellStorage();
-            }
-            queue.add(new Command.Tick());
-            tellRollout();
-            tick(ofTerm);
-        }));
+        loop.schedule(
+                TICK_MICROS,
+                () ->
+                        again(
+                                ofTerm,
+                                () -> {
+                                    if (Math.abs(state.writesPerSecond() - toldWrites)
+                                            > toldWrites * NOTABLE) {
+                                        tellStorage();
+                                    }
+                                    queue.add(new Command.Tick());
+                                    tellRollout();
+                                    tick(ofTerm);
+                                }));
     }
 
     private void pollTypes(long ofTerm) {
-        cloud.types(types -> again(ofTerm, () -> {
-            if (types != null) {
-                queue.add(new Command.TypesSeen(types));
-            }
-            loop.schedule(types == null ? 3_000_000 : 60_000_000, () -> again(ofTerm, () -> pollTypes(ofTerm)));
-        }));
+        cloud.types(
+                types ->
+                        again(
+                                ofTerm,
+                                () -> {
+                                    if (types != null) {
+                                        queue.add(new Command.TypesSeen(types));
+                                    }
+                                    loop.schedule(
+                                            types == null ? 3_000_000 : 60_000_000,
+                                            () -> again(ofTerm, () -> pollTypes(ofTerm)));
+                                }));
     }
 
     private void pollList(long ofTerm) {
-        cloud.list(machines -> again(ofTerm, () -> {
-            if (machines != null) {
-                queue.add(new Command.MachinesListed(machines));
-            }
-            long pause = Math.max(MIN_LIST_MICROS, settings.cloud().listLagMicros() / 2);
-            loop.schedule(pause, () -> again(ofTerm, () -> pollList(ofTerm)));
-        }));
+        cloud.list(
+                machines ->
+                        again(
+                                ofTerm,
+                                () -> {
+                                    if (machines != null) {
+                                        queue.add(new Command.MachinesListed(machines));
+                                    }
+                                    long pause =
+                                            Math.max(
+                                                    MIN_LIST_MICROS,
+                                                    settings.cloud().listLagMicros() / 2);
+                                    loop.schedule(
+                                            pause, () -> again(ofTerm, () -> pollList(ofTerm)));
+                                }));
     }
 
     void execute(List<Effect> effects) {
@@ -362,12 +455,23 @@
             readMachine(read.host());
         } else if (effect instanceof Effect.Rent rent) {
             long ofTerm = term;
-            cloud.rent(rent, (outcome, hosts) -> again(ofTerm,
-                    () -> queue.add(new Command.Rented(rent.claim(), outcome, hosts))));
+            cloud.rent(
+                    rent,
+                    (outcome, hosts) ->
+                            again(
+                                    ofTerm,
+                                    () ->
+                                            queue.add(
+                                                    new Command.Rented(
+                                                            rent.claim(), outcome, hosts))));
         } else if (effect instanceof Effect.Delete delete) {
             long ofTerm = term;
-            cloud.delete(delete.hosts(), done -> again(ofTerm,
-                    () -> queue.add(new Command.Deleted(delete.hosts(), done))));
+            cloud.delete(
+                    delete.hosts(),
+                    done ->
+                            again(
+                                    ofTerm,
+                                    () -> queue.add(new Command.Deleted(delete.hosts(), done))));
         } else if (effect instanceof Effect.PutRollout put) {
             long ofTerm = term;
             rolloutDuties.put(put, writer, outcome -> again(ofTerm, () -> queue.add(outcome)));
@@ -403,37 +507,68 @@
 
     private void finishJob(Effect.FinishJob finish) {
         String uid = finish.record().uid();
-        writer.add(true, new RecordWriter.Write(
-                List.of(new Condition(Keys.job(uid), finish.stamp())),
-                List.of(Change.put(Keys.finalState(uid), finish.record().toMap(rollout.format())),
-                        Change.drop(Keys.job(uid))), jobWritten(uid, finish.version())));
+        writer.add(
+                true,
+                new RecordWriter.Write(
+                        List.of(new Condition(Keys.job(uid), finish.stamp())),
+                        List.of(
+                                Change.put(
+                                        Keys.finalState(uid),
+                                        finish.record().toMap(rollout.format())),
+                                Change.drop(Keys.job(uid))),
+                        jobWritten(uid, finish.version())));
     }
 
     private RecordWriter.Outcome jobWritten(String uid, long version) {
         long ofTerm = term;
-        return (outcome, stamp) -> again(ofTerm, () -> {
-            if (outcome == Command.WriteOutcome.TOO_LARGE) {
-                // A limit may have been learned from it.
-                tellStorage();
-            }
-            queue.add(new Command.JobWritten(uid, version, outcome, stamp));
-        });
-    }
-
-    /** What the store says of a job: its record first, as it moves from there to its final state in one transaction. */
+        return (outcome, stamp) ->
+                again(
+                        ofTerm,
+                        () -> {
+                            if (outcome == Command.WriteOutcome.TOO_LARGE) {
+                                // A limit may have been learned from it.
+                                tellStorage();
+                            }
+                            queue.add(new Command.JobWritten(uid, version, outcome, stamp));
+                        });
+    }
+
+    /**
+     * What the store says of a job: its record first, as it moves from there to its final state in
+     * one transaction.
+     */
     private void findJob(String uid) {
         long ofTerm = term;
-        state.get(Urgency.URGENT, Keys.job(uid), (result, entry, generation) -> again(ofTerm, () -> {
-            if (result == Result.OK) {
-                jobSeen(entry.path(), entry.value(), entry.stamp());
-                queue.add(new Command.JobFound(uid, Command.Standing.OPEN, 0));
-            } else if (result == Result.NOT_FOUND) {
-                state.get(Urgency.URGENT, Keys.finalState(uid), (read, found, at) -> again(ofTerm,
-                        () -> queue.add(standing(uid, read, found))));
-            } else {
-                queue.add(new Command.JobFound(uid, Command.Standing.UNREADABLE, 0));
-            }
-        }));
+        state.get(
+                Urgency.URGENT,
+                Keys.job(uid),
+                (result, entry, generation) ->
+                        again(
+                                ofTerm,
+                                () -> {
+                                    if (result == Result.OK) {
+                                        jobSeen(entry.path(), entry.value(), entry.stamp());
+                                        queue.add(
+                                                new Command.JobFound(
+                                                        uid, Command.Standing.OPEN, 0));
+                                    } else if (result == Result.NOT_FOUND) {
+                                        state.get(
+                                                Urgency.URGENT,
+                                                Keys.finalState(uid),
+                                                (read, found, at) ->
+                                                        again(
+                                                                ofTerm,
+                                                                () ->
+                                                                        queue.add(
+                                                                                standing(
+                                                                                        uid, read,
+                                                                                        found))));
+                                    } else {
+                                        queue.add(
+                                                new Command.JobFound(
+                                                        uid, Command.Standing.UNREADABLE, 0));
+                                    }
+                                }));
     }
 
     private static Command.JobFound standing(String uid, Result result, StateClient.Entry entry) {
@@ -444,8 +579,10 @@
         try {
             if (result == Result.OK) {
                 FinalRecord record = FinalRecord.parse(uid, entry.value());
-                return new Command.JobFound(uid, record.cancelled() ? Command.Standing.CANCELLED
-                        : Command.Standing.DONE, record.wallMicros());
+                return new Command.JobFound(
+                        uid,
+                        record.cancelled() ? Command.Standing.CANCELLED : Command.Standing.DONE,
+                        record.wallMicros());
             }
         } catch (WireException e) {
             LOG.error("event=record_unreadable key={} error=\"{}\"", entry.path(), e.getMessage());
@@ -455,48 +592,90 @@
 
     private void readJob(String uid) {
         long ofTerm = term;
-        state.get(Urgency.URGENT, Keys.job(uid), (result, entry, generation) -> again(ofTerm, () -> {
-            if (result == Result.OK) {
-                jobSeen(entry.path(), entry.value(), entry.stamp());
-            } else if (result == Result.NOT_FOUND) {
-                queue.add(new Command.JobMissing(uid));
-            } else {
-                queue.add(new Command.JobUnreadable(uid));
-            }
-        }));
+        state.get(
+                Urgency.URGENT,
+                Keys.job(uid),
+                (result, entry, generation) ->
+                        again(
+                                ofTerm,
+                                () -> {
+                                    if (result == Result.OK) {
+                                        jobSeen(entry.path(), entry.value(), entry.stamp());
+                                    } else if (result == Result.NOT_FOUND) {
+                                        queue.add(new Command.JobMissing(uid));
+                                    } else {
+                                        queue.add(new Command.JobUnreadable(uid));
+                                    }
+                                }));
     }
 
     private void putMachine(Effect.PutMachine put) {
         long ofTerm = term;
         String host = put.record().host();
-        writer.add(true, RecordWriter.put(Keys.machine(host), put.record().toMap(), put.stamp(),
-                (outcome, stamp) -> again(ofTerm, () -> queue.add(
-                        new Command.MachineWritten(host, put.record().leaving(), false, outcome, stamp)))));
+        writer.add(
+                true,
+                RecordWriter.put(
+                        Keys.machine(host),
+                        put.record().toMap(),
+                        put.stamp(),
+                        (outcome, stamp) ->
+                                again(
+                                        ofTerm,
+                                        () ->
+                                                queue.add(
+                                                        new Command.MachineWritten(
+                                                                host,
+                                                                put.record().leaving(),
+                                                                false,
+                                                                outcome,
+                                                                stamp)))));
     }
 
     private void dropMachine(Effect.DropMachine drop) {
         long ofTerm = term;
-        writer.add(false, new RecordWriter.Write(
-                List.of(new Condition(Keys.machine(drop.host()), drop.stamp())),
-                List.of(Change.drop(Keys.machine(drop.host()))),
-                (outcome, stamp) -> again(ofTerm, () -> queue.add(
-                        new Command.MachineWritten(drop.host(), true, true, outcome, stamp)))));
+        writer.add(
+                false,
+                new RecordWriter.Write(
+                        List.of(new Condition(Keys.machine(drop.host()), drop.stamp())),
+                        List.of(Change.drop(Keys.machine(drop.host()))),
+                        (outcome, stamp) ->
+                                again(
+                                        ofTerm,
+                                        () ->
+                                                queue.add(
+                                                        new Command.MachineWritten(
+                                                                drop.host(),
+                                                                true,
+                                                                true,
+                                                                outcome,
+                                                                stamp)))));
     }
 
     private void readMachine(String host) {
         long ofTerm = term;
-        state.get(Urgency.NORMAL, Keys.machine(host), (result, entry, generation) -> again(ofTerm, () -> {
-            try {
-                if (result == Result.OK) {
-                    queue.add(new Command.MachineSeen(host, MachineRecord.parse(host, entry.value()), entry.stamp()));
-                } else if (result == Result.NOT_FOUND) {
-                    queue.add(new Command.MachineSeen(host, null, 0));
-                } else {
-                    queue.add(new Command.MachineUnreadable(host));
-                }
-            } catch (WireException e) {
-                queue.add(new Command.MachineUnreadable(host));
-            }
-        }));
+        state.get(
+                Urgency.NORMAL,
+                Keys.machine(host),
+                (result, entry, generation) ->
+                        again(
+                                ofTerm,
+                                () -> {
+                                    try {
+                                        if (result == Result.OK) {
+                                            queue.add(
+                                                    new Command.MachineSeen(
+                                                            host,
+                                                            MachineRecord.parse(
+                                                                    host, entry.value()),
+                                                            entry.stamp()));
+                                        } else if (result == Result.NOT_FOUND) {
+                                            queue.add(new Command.MachineSeen(host, null, 0));
+                                        } else {
+                                            queue.add(new Command.MachineUnreadable(host));
+                                        }
+                                    } catch (WireException e) {
+                                        queue.add(new Command.MachineUnreadable(host));
+                                    }
+                                }));
     }
 }
--- a/src/main/java/org/woadloom/node/Letters.java
+++ b/src/main/java/org/woadloom/node/Letters.java
@@ -13,14 +13,20 @@
 import org.woadloom.wire.Fields;
 import org.woadloom.wire.WireException;
 
-/** Lists as short text: reports say the same words again and again, and a value of the state service may be small. */
+/**
+ * Lists as short text: reports say the same words again and again, and a value of the state service
+ * may be small.
+ */
 final class Letters {
     private static final String ITEMS = "items";
-    /** What a list may be at most when it is read: far more than any value holds, so that none fills the memory. */
+
+    /**
+     * What a list may be at most when it is read: far more than any value holds, so that none fills
+     * the memory.
+     */
     private static final int MOST_BYTES = 512 * 1024;
 
-    private Letters() {
-    }
+    private Letters() {}
 
     static String pack(List<Object> items) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -33,7 +39,9 @@
     }
 
     static List<?> unpack(String text) throws WireException {
-        try (InflaterInputStream in = new InflaterInputStream(new ByteArrayInputStream(Base64.getDecoder().decode(text)))) {
+        try (InflaterInputStream in =
+                new InflaterInputStream(
+                        new ByteArrayInputStream(Base64.getDecoder().decode(text)))) {
             byte[] bytes = ByteStreams.limit(in, MOST_BYTES).readAllBytes();
             return new Fields(Cbor.decodeMap(bytes)).list(ITEMS);
         } catch (IOException | IllegalArgumentException e) {
