--- a/src/main/java/org/woadloom/node/Mailbox.java
+++ b/src/main/java/org/woadloom/node/Mailbox.java
@@ -26,10 +26,11 @@
 import org.woadloom.wire.WireException;
 
 /**
- * Carries reports to the leader through the state service, where this node can't reach the leader: otherwise every lease
- * in a zone that is cut off from it would end. Reports go many at a time in one of a few letters; the leader writes the
- * answers in the place of the letter, so that each costs two changes and nothing is left to clear away. The answers need
- * no conditions, as a worker refuses an old token.
+ * Carries reports to the leader through the state service, where this node can't reach the leader:
+ * otherwise every lease in a zone that is cut off from it would end. Reports go many at a time in
+ * one of a few letters; the leader writes the answers in the place of the letter, so that each
+ * costs two changes and nothing is left to clear away. The answers need no conditions, as a worker
+ * refuses an old token.
  */
 final class Mailbox {
     private static final Logger LOG = LoggerFactory.getLogger(Mailbox.class);
@@ -37,12 +38,18 @@
     private static final long WAIT_MICROS = 3_500_000;
     private static final long WATCH_MICROS = 10_000_000;
     private static final long RETRY_MICROS = 300_000;
-    /** A letter that lay here for longer, by clocks that are apart a little, is of the past: nobody waits for its answers. */
+
+    /**
+     * A letter that lay here for longer, by clocks that are apart a little, is of the past: nobody
+     * waits for its answers.
+     */
     private static final long STALE_MICROS = 10_000_000;
+
     private static final int SLOTS = 8;
     private static final String REPORTS = "reports";
     private static final String ANSWERS = "answers";
     private static final String PACKED = "packed-";
+
     /** What is around the reports in a letter. */
     private static final int LETTER_BYTES = 200;
 
@@ -57,22 +64,33 @@
     private final Limits limits;
     private final Rollout rollout;
     private final Random random;
+
     /** How much shorter packed reports are than plain ones, by the last letter. */
     private double packing = 0.25;
+
     private final ArrayDeque<Parcel> outgoing = new ArrayDeque<>();
+
     /** Reports that wait for an answer, by machine. */
     private final Map<String, Parcel> waiting = new HashMap<>();
+
     /** The letter that is under way in each slot, 0 for none. */
     private final long[] letters = new long[SLOTS];
+
     private boolean flushScheduled;
     private boolean watching;
     private long leading;
 
     /** One report on its way. */
-    private record Parcel(long id, String host, Object report, int size, ParkedReports.Parked sent) {
-    }
+    private record Parcel(
+            long id, String host, Object report, int size, ParkedReports.Parked sent) {}
 
-    Mailbox(Loop loop, StateClient state, ServiceSettings settings, Limits limits, Rollout rollout, Random random) {
+    Mailbox(
+            Loop loop,
+            StateClient state,
+            ServiceSettings settings,
+            Limits limits,
+            Rollout rollout,
+            Random random) {
         this.random = random;
         this.loop = loop;
         this.state = state;
@@ -101,12 +119,14 @@
             outgoing.remove(before);
             before.sent.answer().accept(Response.unavailable("a newer report was sent"));
         }
-        loop.schedule(WAIT_MICROS, () -> {
-            if (waiting.remove(host, parcel)) {
-                outgoing.remove(parcel);
-                answer.accept(Response.unavailable("the leader does not answer"));
-            }
-        });
+        loop.schedule(
+                WAIT_MICROS,
+                () -> {
+                    if (waiting.remove(host, parcel)) {
+                        outgoing.remove(parcel);
+                        answer.accept(Response.unavailable("the leader does not answer"));
+                    }
+                });
         watchAnswers();
         outgoing.addLast(parcel);
         flushSoon();
@@ -122,8 +142,9 @@
     }
 
     /**
-     * At random, so that a restarted node takes no answer to its former self for its own, whatever its clock says: the
-     * answer may hold a launch that was cleared since, and must not reach the worker again.
+     * At random, so that a restarted node takes no answer to its former self for its own, whatever
+     * its clock says: the answer may hold a launch that was cleared since, and must not reach the
+     * worker again.
      */
     private long newId() {
         return random.nextLong() >>> 1;
@@ -157,7 +178,8 @@
         int most = limits.valueBytesNow() / (packs() ? 1 : 2);
         List<Parcel> parcels = new ArrayList<>();
         int plain = 0;
-        while (!outgoing.isEmpty() && (reports.isEmpty() || size + room(outgoing.peekFirst().size) <= most)) {
+        while (!outgoing.isEmpty()
+                && (reports.isEmpty() || size + room(outgoing.peekFirst().size) <= most)) {
             Parcel parcel = outgoing.pollFirst();
             size += room(parcel.size);
             plain += parcel.size;
@@ -168,28 +190,40 @@
         value.put("id", id);
         value.put("at", loop.wallMicros());
         fill(value, REPORTS, reports);
-        packing = packs() ? Math.max(0.05, 1.1 * Cbor.jsonSize(value.get(PACKED + REPORTS)) / plain) : packing;
+        packing =
+                packs()
+                        ? Math.max(0.05, 1.1 * Cbor.jsonSize(value.get(PACKED + REPORTS)) / plain)
+                        : packing;
         if (packs() && Cbor.jsonSize(value) > limits.valueBytesNow()) {
             // Now it is known how short they are: they go again, fewer at a time.
             sendAgain(parcels);
             return;
         }
         letters[slot] = id;
-        state.txn(Urgency.URGENT, List.of(), List.of(Change.put(Keys.mail(label, slot), value)),
+        state.txn(
+                Urgency.URGENT,
+                List.of(),
+                List.of(Change.put(Keys.mail(label, slot), value)),
                 (result, generation, failed) -> {
                     if (result == Result.BAD) {
                         limits.refusedValue(Cbor.jsonSize(value));
                         sendAgain(parcels);
                     }
                     if (result != Result.OK) {
-                        LOG.debug("event=relay_write_failed heartbeats={} result={}", reports.size(), result);
+                        LOG.debug(
+                                "event=relay_write_failed heartbeats={} result={}",
+                                reports.size(),
+                                result);
                         free(slot, id);
                     }
                 });
         loop.schedule(WAIT_MICROS, () -> free(slot, id));
     }
 
-    /** What did not fit goes once more, in smaller letters; a single report that does not fit can't be carried. */
+    /**
+     * What did not fit goes once more, in smaller letters; a single report that does not fit can't
+     * be carried.
+     */
     private void sendAgain(List<Parcel> parcels) {
         for (int i = parcels.size() - 1; i >= 0; i--) {
             Parcel parcel = parcels.get(i);
@@ -200,7 +234,11 @@
                 outgoing.addFirst(parcel);
             } else {
                 waiting.remove(parcel.host);
-                parcel.sent.answer().accept(Response.unavailable("the report is too long for the state service"));
+                parcel.sent
+                        .answer()
+                        .accept(
+                                Response.unavailable(
+                                        "the report is too long for the state service"));
             }
         }
         flushSoon();
@@ -226,7 +264,9 @@
     /** What a letter holds, or null where it holds something else. */
     private static List<?> items(Map<String, Object> letter, String what) throws WireException {
         Fields f = new Fields(letter);
-        return f.has(PACKED + what) ? Letters.unpack(f.text(PACKED + what)) : f.has(what) ? f.list(what) : null;
+        return f.has(PACKED + what)
+                ? Letters.unpack(f.text(PACKED + what))
+                : f.has(what) ? f.list(what) : null;
     }
 
     private void free(int slot, long id) {
@@ -238,15 +278,19 @@
     private void watchAnswers() {
         if (!watching) {
             watching = true;
-            // The first revision of all: what is there already is read as well, and ignored by its id.
-            state.list(Urgency.URGENT, Keys.mailOf(label), (result, entries, generation) -> {
-                entries.forEach(entry -> answered(entry.path(), entry.value()));
-                if (result == Result.OK) {
-                    followAnswers(generation);
-                } else {
-                    watchAgain();
-                }
-            });
+            // The first revision of all: what is there already is read as well, and ignored by its
+            // id.
+            state.list(
+                    Urgency.URGENT,
+                    Keys.mailOf(label),
+                    (result, entries, generation) -> {
+                        entries.forEach(entry -> answered(entry.path(), entry.value()));
+                        if (result == Result.OK) {
+                            followAnswers(generation);
+                        } else {
+                            watchAgain();
+                        }
+                    });
         }
     }
 
@@ -258,18 +302,22 @@
     }
 
     private void followAnswers(long since) {
-        state.follow(Keys.mailOf(label), since, WATCH_MICROS, (result, events, generation) -> {
-            for (StateClient.Event event : events) {
-                if (event.value() != null) {
-                    answered(event.path(), event.value());
-                }
-            }
-            if (result == Result.OK && (!waiting.isEmpty() || !events.isEmpty())) {
-                followAnswers(Math.max(since, generation));
-            } else {
-                watchAgain();
-            }
-        });
+        state.follow(
+                Keys.mailOf(label),
+                since,
+                WATCH_MICROS,
+                (result, events, generation) -> {
+                    for (StateClient.Event event : events) {
+                        if (event.value() != null) {
+                            answered(event.path(), event.value());
+                        }
+                    }
+                    if (result == Result.OK && (!waiting.isEmpty() || !events.isEmpty())) {
+                        followAnswers(Math.max(since, generation));
+                    } else {
+                        watchAgain();
+                    }
+                });
     }
 
     private void answered(String path, Map<String, Object> value) {
@@ -279,16 +327,23 @@
             if (answers == null) {
                 return;
             }
-            free((int) Long.parseLong(path.substring(Keys.mailOf(label).length())), f.integer("id"));
+            free(
+                    (int) Long.parseLong(path.substring(Keys.mailOf(label).length())),
+                    f.integer("id"));
             for (Object item : answers) {
-                if (!(item instanceof List<?> parts) || parts.size() != 4 || !(parts.get(0) instanceof Long id)
-                        || !(parts.get(1) instanceof String host) || !(parts.get(2) instanceof Long status)) {
+                if (!(item instanceof List<?> parts)
+                        || parts.size() != 4
+                        || !(parts.get(0) instanceof Long id)
+                        || !(parts.get(1) instanceof String host)
+                        || !(parts.get(2) instanceof Long status)) {
                     throw new WireException("answers: expected id, machine, status and body");
                 }
                 Parcel mine = waiting.get(host);
                 if (mine != null && mine.id == id) {
                     waiting.remove(host);
-                    mine.sent.answer().accept(Response.cbor(status.intValue(), Cbor.encode(parts.get(3))));
+                    mine.sent
+                            .answer()
+                            .accept(Response.cbor(status.intValue(), Cbor.encode(parts.get(3))));
                 }
             }
         } catch (WireException | NumberFormatException e) {
@@ -309,35 +364,42 @@
     }
 
     private void read(long term, Decider decider) {
-        state.list(Urgency.URGENT, Keys.MAIL, (result, entries, generation) -> {
-            if (leading != term) {
-                return;
-            }
-            if (result != Result.OK) {
-                loop.schedule(RETRY_MICROS, () -> read(term, decider));
-                return;
-            }
-            entries.forEach(entry -> letter(entry.path(), entry.value(), decider));
-            followMail(term, generation, decider);
-        });
+        state.list(
+                Urgency.URGENT,
+                Keys.MAIL,
+                (result, entries, generation) -> {
+                    if (leading != term) {
+                        return;
+                    }
+                    if (result != Result.OK) {
+                        loop.schedule(RETRY_MICROS, () -> read(term, decider));
+                        return;
+                    }
+                    entries.forEach(entry -> letter(entry.path(), entry.value(), decider));
+                    followMail(term, generation, decider);
+                });
     }
 
     private void followMail(long term, long since, Decider decider) {
-        state.follow(Keys.MAIL, since, WATCH_MICROS, (result, events, generation) -> {
-            if (leading != term) {
-                return;
-            }
-            if (result == Result.OK) {
-                for (StateClient.Event event : events) {
-                    if (event.value() != null) {
-                        letter(event.path(), event.value(), decider);
+        state.follow(
+                Keys.MAIL,
+                since,
+                WATCH_MICROS,
+                (result, events, generation) -> {
+                    if (leading != term) {
+                        return;
                     }
-                }
-                followMail(term, Math.max(since, generation), decider);
-            } else {
-                loop.schedule(RETRY_MICROS, () -> read(term, decider));
-            }
-        });
+                    if (result == Result.OK) {
+                        for (StateClient.Event event : events) {
+                            if (event.value() != null) {
+                                letter(event.path(), event.value(), decider);
+                            }
+                        }
+                        followMail(term, Math.max(since, generation), decider);
+                    } else {
+                        loop.schedule(RETRY_MICROS, () -> read(term, decider));
+                    }
+                });
     }
 
     private void letter(String path, Map<String, Object> value, Decider decider) {
@@ -354,16 +416,25 @@
             List<Object> answers = new ArrayList<>();
             int[] missing = {reports.size()};
             for (Object item : reports) {
-                if (!(item instanceof List<?> parts) || parts.size() != 2 || !(parts.get(0) instanceof Long reportId)) {
+                if (!(item instanceof List<?> parts)
+                        || parts.size() != 2
+                        || !(parts.get(0) instanceof Long reportId)) {
                     throw new WireException("reports: expected id and report");
                 }
                 String host = Fields.of(parts.get(1), "report").text("host");
-                decider.decide(Cbor.encode(parts.get(1)), response -> {
-                    answers.add(Arrays.asList(reportId, host, (long) response.status(), body(response)));
-                    if (--missing[0] == 0) {
-                        reply(path, id, answers);
-                    }
-                });
+                decider.decide(
+                        Cbor.encode(parts.get(1)),
+                        response -> {
+                            answers.add(
+                                    Arrays.asList(
+                                            reportId,
+                                            host,
+                                            (long) response.status(),
+                                            body(response)));
+                            if (--missing[0] == 0) {
+                                reply(path, id, answers);
+                            }
+                        });
             }
         } catch (WireException e) {
             LOG.error("event=record_unreadable key={} error=\"{}\"", path, e.getMessage());
@@ -388,13 +459,20 @@
             answers.subList(answers.size() * 3 / 4, answers.size()).clear();
             fill(value, ANSWERS, answers);
         }
-        state.txn(Urgency.URGENT, List.of(), List.of(Change.put(path, value)), (result, generation, failed) -> {
-            if (result == Result.BAD) {
-                limits.refusedValue(Cbor.jsonSize(value));
-            }
-            if (result != Result.OK) {
-                LOG.debug("event=relay_write_failed answers={} result={}", answers.size(), result);
-            }
-        });
+        state.txn(
+                Urgency.URGENT,
+                List.of(),
+                List.of(Change.put(path, value)),
+                (result, generation, failed) -> {
+                    if (result == Result.BAD) {
+                        limits.refusedValue(Cbor.jsonSize(value));
+                    }
+                    if (result != Result.OK) {
+                        LOG.debug(
+                                "event=relay_write_failed answers={} result={}",
+                                answers.size(),
+                                result);
+                    }
+                });
     }
 }
--- a/src/main/java/org/woadloom/node/Node.java
+++ b/src/main/java/org/woadloom/node/Node.java
@@ -52,13 +52,23 @@
 public final class Node {
     private static final Logger LOG = LoggerFactory.getLogger(Node.class);
     private static final long TYPES_RETRY_MICROS = 1_000_000;
-    /** A new leader reads hundreds of records with cold code; a worker waits four seconds for its answer. */
+
+    /**
+     * A new leader reads hundreds of records with cold code; a worker waits four seconds for its
+     * answer.
+     */
     private static final long LOADING_MICROS = 2_500_000;
+
     private static final long LOADING_POLL_MICROS = 20_000;
     private static final long RETURN_MICROS = 12_000_000;
     private static final long LOOK_MICROS = 700_000;
-    /** A worker that could not stay with the leader is carried for so long before it is sent there again. */
+
+    /**
+     * A worker that could not stay with the leader is carried for so long before it is sent there
+     * again.
+     */
     private static final long STAY_MICROS = 60_000_000;
+
     private static final int MOST_REPORTS_WAITING = 2_000;
 
     private final Loop loop;
@@ -79,28 +89,41 @@
     private final Confirmations confirmations;
     private final Isolation isolation;
     private final Attendance attendance;
+
     /** Workers that came to this node instead of the leader's lately. */
-    private final Cache<String, Visit> visits = Caffeine.newBuilder().maximumSize(10_000)
-            .executor(Runnable::run).build();
+    private final Cache<String, Visit> visits =
+            Caffeine.newBuilder().maximumSize(10_000).executor(Runnable::run).build();
+
     private final NodeMetrics metrics = new NodeMetrics();
     private List<MachineType> types = List.of();
     private boolean probing;
 
     /**
-     * A worker's first report here is carried, which renews its lease, as it may be here because it can't reach the leader.
-     * Then it is sent on; one that comes back indeed can't, or the leader has too many: it stays for a while.
+     * A worker's first report here is carried, which renews its lease, as it may be here because it
+     * can't reach the leader. Then it is sent on; one that comes back indeed can't, or the leader
+     * has too many: it stays for a while.
      */
-    private record Visit(long sinceMicros, boolean sentOn, long staysUntilMicros) {
-    }
-
-    public Node(Loop loop, HttpTransport transport, PeerNet net, ServiceSettings settings,
-            OperatorSettings operator, Random random) {
+    private record Visit(long sinceMicros, boolean sentOn, long staysUntilMicros) {}
+
+    public Node(
+            Loop loop,
+            HttpTransport transport,
+            PeerNet net,
+            ServiceSettings settings,
+            OperatorSettings operator,
+            Random random) {
         this(loop, transport, net, settings, operator, random, StepObserver.NONE);
     }
 
     /** The same, with an observer of each step of the core. */
-    public Node(Loop loop, HttpTransport transport, PeerNet net, ServiceSettings settings,
-            OperatorSettings operator, Random random, StepObserver observer) {
+    public Node(
+            Loop loop,
+            HttpTransport transport,
+            PeerNet net,
+            ServiceSettings settings,
+            OperatorSettings operator,
+            Random random,
+            StepObserver observer) {
         this.loop = loop;
         this.settings = settings;
         this.operator = operator;
@@ -109,96 +132,141 @@
         attendance = new Attendance(plan.workers(), settings.workers().reportMicros());
         care = new Care(loop, settings, random);
         isolation = new Isolation(loop);
-        state = new StateClient(loop, transport, settings, limits, random, served -> {
-            care.stateAnswered(served);
-            isolation.stateAnswered(served);
-        });
+        state =
+                new StateClient(
+                        loop,
+                        transport,
+                        settings,
+                        limits,
+                        random,
+                        served -> {
+                            care.stateAnswered(served);
+                            isolation.stateAnswered(served);
+                        });
         rollout = new Rollout(loop, state, settings, operator, random, this::rolloutChanged);
         cloud = new CloudClient(loop, transport, settings);
-        duties = new LeaderDuties(loop, state, cloud, new WorkerClient(transport, plan.direct()), settings, limits, rollout, metrics, care, this::abdicate,
-                this::giveWarrant);
+        duties =
+                new LeaderDuties(
+                        loop,
+                        state,
+                        cloud,
+                        new WorkerClient(transport, plan.direct()),
+                        settings,
+                        limits,
+                        rollout,
+                        metrics,
+                        care,
+                        this::abdicate,
+                        this::giveWarrant);
         Core core = new Core(CoreSettings.of(settings, operator));
-        queue = new CommandQueue(loop, core, metrics, MOST_REPORTS_WAITING, duties::execute, observer);
+        queue =
+                new CommandQueue(
+                        loop, core, metrics, MOST_REPORTS_WAITING, duties::execute, observer);
         duties.attach(queue);
         mailbox = new Mailbox(loop, state, settings, limits, rollout, random);
-        parked = new ParkedReports(loop, MOST_REPORTS_WAITING,
-                report -> route(report.body(), report.answer(), report.untilMicros()));
-        election = new Election(loop, state, settings.label(), random, rollout, new Election.Listener() {
-            @Override
-            public void elected(long term, long leaderStamp) {
-                state.lead(true);
-                confirmations.lead(term);
-                duties.begin(term, leaderStamp);
-                mailbox.lead(term, Node.this::decide);
-            }
-
-            @Override
-            public void leaderSeen() {
-                peers.sayTerm();
-                // Reports that waited for a leader, or for one that is gone meanwhile, have somewhere to go now.
-                parked.release();
-                mailbox.takeBack().forEach(report -> route(report.body(), report.answer(), report.untilMicros()));
-            }
-
-            @Override
-            public void deposed(String reason) {
-                state.lead(false);
-                confirmations.end();
-                mailbox.end();
-                duties.end();
-            }
-        });
-        peers = new PeerLinks(loop, net, settings.peers().stream().map(Peer::label).toList(), election, rollout, new PeerLinks.Inbox() {
-            @Override
-            public void hint(JobRecord record, long stamp) {
-                tellCore(record, stamp);
-            }
-
-            @Override
-            public void carried(byte[] report, Consumer<Response> answer) {
-                decide(report, answer);
-            }
-
-            @Override
-            public NodeStanding standing() {
-                return care.allowed() ? care.standing() : null;
-            }
-
-            @Override
-            public void stands(String peer, NodeStanding standing) {
-                if (care.allowed()) {
-                    care.stands(peer, standing);
-                    duties.nodeSpoke(peer, standing);
-                }
-            }
-
-            @Override
-            public void warranted(Warrant warrant) {
-                care.warranted(warrant);
-            }
-
-            @Override
-            public void vouch() {
-                confirmations.vouch();
-            }
-
-            @Override
-            public void vouched(String peer, Vouch vouch) {
-                confirmations.heard(peer, vouch);
-            }
-
-            @Override
-            public void taken(VouchTaken taken) {
-                confirmations.taken(taken);
-            }
-
-            @Override
-            public void spoke(String peer, long term, boolean leads) {
-                confirmations.peerSpoke(peer, term, leads);
-            }
-        });
+        parked =
+                new ParkedReports(
+                        loop,
+                        MOST_REPORTS_WAITING,
+                        report -> route(report.body(), report.answer(), report.untilMicros()));
+        election =
+                new Election(
+                        loop,
+                        state,
+                        settings.label(),
+                        random,
+                        rollout,
+                        new Election.Listener() {
+                            @Override
+                            public void elected(long term, long leaderStamp) {
+                                state.lead(true);
+                                confirmations.lead(term);
+                                duties.begin(term, leaderStamp);
+                                mailbox.lead(term, Node.this::decide);
+                            }
+
+                            @Override
+                            public void leaderSeen() {
+                                peers.sayTerm();
+                                // Reports that waited for a leader, or for one that is gone
+                                // meanwhile, have somewhere to go now.
+                                parked.release();
+                                mailbox.takeBack()
+                                        .forEach(
+                                                report ->
+                                                        route(
+                                                                report.body(),
+                                                                report.answer(),
+                                                                report.untilMicros()));
+                            }
+
+                            @Override
+                            public void deposed(String reason) {
+                                state.lead(false);
+                                confirmations.end();
+                                mailbox.end();
+                                duties.end();
+                            }
+                        });
+        peers =
+                new PeerLinks(
+                        loop,
+                        net,
+                        settings.peers().stream().map(Peer::label).toList(),
+                        election,
+                        rollout,
+                        new PeerLinks.Inbox() {
+                            @Override
+                            public void hint(JobRecord record, long stamp) {
+                                tellCore(record, stamp);
+                            }
+
+                            @Override
+                            public void carried(byte[] report, Consumer<Response> answer) {
+                                decide(report, answer);
+                            }
+
+                            @Override
+                            public NodeStanding standing() {
+                                return care.allowed() ? care.standing() : null;
+                            }
+
+                            @Override
+                            public void stands(String peer, NodeStanding standing) {
+                                if (care.allowed()) {
+                                    care.stands(peer, standing);
+                                    duties.nodeSpoke(peer, standing);
+                                }
+                            }
+
+                            @Override
+                            public void warranted(Warrant warrant) {
+                                care.warranted(warrant);
+                            }
+
+                            @Override
+                            public void vouch() {
+                                confirmations.vouch();
+                            }
+
+                            @Override
+                            public void vouched(String peer, Vouch vouch) {
+                                confirmations.heard(peer, vouch);
+                            }
+
+                            @Override
+                            public void taken(VouchTaken taken) {
+                                confirmations.taken(taken);
+                            }
+
+                            @Override
+                            public void spoke(String peer, long term, boolean leads) {
+                                confirmations.peerSpoke(peer, term, leads);
+                            }
+                        });
         confirmations = new Confirmations(loop, settings, random, carrier(), view());
-        JobApi jobs = new JobApi(loop, state, settings, storage(), types(), this::changed, confirmations);
+        JobApi jobs =
+                new JobApi(loop, state, settings, storage(), types(), this::changed, confirmations);
         router = new Router(gate(), jobs, this::report, metrics);
         metrics.gauge("woadloom.jobs.unanswered_s", jobs, j -> j.longestUnansweredMicros() / 1e6);
         metrics.gauge("woadloom.alone", this, node -> node.alone() ? 1 : 0);
@@ -215,7 +283,8 @@
         metrics.gauge("woadloom.rollout.unreadable", core, Core::unreadable);
         metrics.gauge("woadloom.rollout.closed", rollout, r -> r.closed() == null ? 0 : 1);
         metrics.gauge("woadloom.reservations", core, Core::reservations);
-        metrics.gauge("woadloom.cancellations.behind_s", confirmations, c -> c.behindMicros() / 1e6);
+        metrics.gauge(
+                "woadloom.cancellations.behind_s", confirmations, c -> c.behindMicros() / 1e6);
         metrics.gauge("woadloom.cancellations.waiting", confirmations, Confirmations::waiting);
         metrics.gauge("woadloom.cancellations.malformed", confirmations, Confirmations::malformed);
         metrics.gauge("woadloom.workers.here", attendance, Attendance::size);
@@ -239,8 +308,9 @@
     }
 
     /**
-     * While the leader is out of touch this node finds out whether the state service is, too: only asking tells. Reports
-     * that wait for either are answered as soon as it may take care of their workers.
+     * While the leader is out of touch this node finds out whether the state service is, too: only
+     * asking tells. Reports that wait for either are answered as soon as it may take care of their
+     * workers.
      */
     private void lookAround() {
         loop.schedule(LOOK_MICROS, this::lookAround);
@@ -255,11 +325,15 @@
         }
         if (!inTouch && care.mayCare()) {
             parked.release();
-            mailbox.takeBack().forEach(report -> route(report.body(), report.answer(), report.untilMicros()));
+            mailbox.takeBack()
+                    .forEach(report -> route(report.body(), report.answer(), report.untilMicros()));
         }
     }
 
-    /** True where the state service is lost to this node alone, as far as it can tell, and users come to it in vain. */
+    /**
+     * True where the state service is lost to this node alone, as far as it can tell, and users
+     * come to it in vain.
+     */
     private boolean alone() {
         return isolation.alone(care.peersServed(), !peers.reached().isEmpty());
     }
@@ -307,7 +381,9 @@
             @Override
             public String reachedLeader() {
                 String leader = election.leader();
-                return leader != null && (election.leads() || peers.reaches(leader)) ? leader : null;
+                return leader != null && (election.leads() || peers.reaches(leader))
+                        ? leader
+                        : null;
             }
 
             @Override
@@ -360,7 +436,9 @@
 
             @Override
             public int valueBytes() {
-                return rollout.format() == RecordFormat.COMPACT ? limits.valueBytes() : limits.valueBytesNow();
+                return rollout.format() == RecordFormat.COMPACT
+                        ? limits.valueBytes()
+                        : limits.valueBytesNow();
             }
 
             @Override
@@ -382,7 +460,10 @@
         election.stepDown(reason);
     }
 
-    /** A job that this node made durable: the leader is told, and would find it by its watch as well. */
+    /**
+     * A job that this node made durable: the leader is told, and would find it by its watch as
+     * well.
+     */
     private void changed(JobRecord record, long stamp) {
         String leader = election.leader();
         if (election.leads()) {
@@ -407,36 +488,47 @@
 
             @Override
             public void readAnew(Consumer<Boolean> answered) {
-                cloud.types(found -> {
-                    boolean told = found != null && !found.isEmpty();
-                    if (told) {
-                        typesSeen(found);
-                    }
-                    answered.accept(told);
-                });
+                cloud.types(
+                        found -> {
+                            boolean told = found != null && !found.isEmpty();
+                            if (told) {
+                                typesSeen(found);
+                            }
+                            answered.accept(told);
+                        });
             }
         };
     }
 
-    /** The machine types, from the cloud or, while that does not answer, as another node stored them. */
+    /**
+     * The machine types, from the cloud or, while that does not answer, as another node stored
+     * them.
+     */
     private void readTypes() {
-        cloud.types(found -> {
-            if (found != null && !found.isEmpty()) {
-                typesSeen(found);
-                storeTypes(found);
-                return;
-            }
-            state.get(Urgency.NORMAL, Keys.TYPES, (result, entry, generation) -> {
-                if (result == Result.OK && types.isEmpty()) {
-                    try {
-                        typesSeen(MachineType.parseAll(entry.value()));
-                    } catch (WireException e) {
-                        LOG.error("event=record_unreadable key={} error=\"{}\"", Keys.TYPES, e.getMessage());
+        cloud.types(
+                found -> {
+                    if (found != null && !found.isEmpty()) {
+                        typesSeen(found);
+                        storeTypes(found);
+                        return;
                     }
-                }
-                loop.schedule(TYPES_RETRY_MICROS, this::readTypes);
-            });
-        });
+                    state.get(
+                            Urgency.NORMAL,
+                            Keys.TYPES,
+                            (result, entry, generation) -> {
+                                if (result == Result.OK && types.isEmpty()) {
+                                    try {
+                                        typesSeen(MachineType.parseAll(entry.value()));
+                                    } catch (WireException e) {
+                                        LOG.error(
+                                                "event=record_unreadable key={} error=\"{}\"",
+                                                Keys.TYPES,
+                                                e.getMessage());
+                                    }
+                                }
+                                loop.schedule(TYPES_RETRY_MICROS, this::readTypes);
+                            });
+                });
     }
 
     private void typesSeen(List<MachineType> found) {
@@ -449,22 +541,32 @@
         for (MachineType type : found) {
             list.add(type.toMap());
         }
-        state.txn(Urgency.BACKGROUND, List.of(), List.of(Change.put(Keys.TYPES, ImmutableMap.of("hosttypes", list))),
-                (result, generation, failed) -> {
-                });
+        state.txn(
+                Urgency.BACKGROUND,
+                List.of(),
+                List.of(Change.put(Keys.TYPES, ImmutableMap.of("hosttypes", list))),
+                (result, generation, failed) -> {});
     }
 
     private void report(byte[] body, Consumer<Response> answer) {
-        // Whatever a report waited for in vain, it may be that the leader and the state service are out of reach.
-        route(body, response -> {
-            Response cared = response.status() == 421 || response.status() == 503 ? care.answer(body) : null;
-            answer.accept(cared == null ? response : cared);
-        }, loop.nowMicros() + ParkedReports.WAIT_MICROS);
+        // Whatever a report waited for in vain, it may be that the leader and the state service are
+        // out of reach.
+        route(
+                body,
+                response -> {
+                    Response cared =
+                            response.status() == 421 || response.status() == 503
+                                    ? care.answer(body)
+                                    : null;
+                    answer.accept(cared == null ? response : cared);
+                },
+                loop.nowMicros() + ParkedReports.WAIT_MICROS);
     }
 
     /**
-     * Only the leader decides a report; the others send its worker there, or carry it. While there is no leader the report
-     * waits here: sent on, its worker would spend its lease on nodes that are gone or cut off.
+     * Only the leader decides a report; the others send its worker there, or carry it. While there
+     * is no leader the report waits here: sent on, its worker would spend its lease on nodes that
+     * are gone or cut off.
      */
     private void route(byte[] body, Consumer<Response> answer, long untilMicros) {
         if (election.leads()) {
@@ -499,7 +601,8 @@
         boolean stays = before != null && now < before.staysUntilMicros;
         boolean cameBack = here && before.sentOn || stays;
         if (!peers.reaches(leader) && (cameBack || !peers.refuses(leader))) {
-            // Silence means a cut, which the worker would only find out by waiting for most of its lease.
+            // Silence means a cut, which the worker would only find out by waiting for most of its
+            // lease.
             mailbox.carry(host, new ParkedReports.Parked(body, answer, untilMicros));
             return;
         }
@@ -522,10 +625,13 @@
         decide(body, answer, loop.nowMicros() + LOADING_MICROS, false);
     }
 
-    /** @param direct the worker is connected to this node */
+    /**
+     * @param direct the worker is connected to this node
+     */
     private void decide(byte[] body, Consumer<Response> answer, long untilMicros, boolean direct) {
         if (election.leads() && !duties.ready() && loop.nowMicros() < untilMicros) {
-            // The records are being read; sent away now, the worker would be a second or more without its leader.
+            // The records are being read; sent away now, the worker would be a second or more
+            // without its leader.
             loop.schedule(LOADING_POLL_MICROS, () -> decide(body, answer, untilMicros, direct));
             return;
         }
@@ -549,8 +655,13 @@
             answer.accept(Response.of(421, Map.of("overseer", elsewhere)));
             return;
         }
-        duties.report(report, decided -> answer.accept(decided == null ? Response.unavailable("not taken here")
-                : reply(decided)));
+        duties.report(
+                report,
+                decided ->
+                        answer.accept(
+                                decided == null
+                                        ? Response.unavailable("not taken here")
+                                        : reply(decided)));
     }
 
     /** The node that is to take a worker from this one, or null if it may stay. */
--- a/src/main/java/org/woadloom/node/ParkedReports.java
+++ b/src/main/java/org/woadloom/node/ParkedReports.java
@@ -9,7 +9,10 @@
 import org.woadloom.http.Response;
 import org.woadloom.net.Loop;
 
-/** Reports that came while there was no leader. They go on their way once there is one, or are sent back in time. */
+/**
+ * Reports that came while there was no leader. They go on their way once there is one, or are sent
+ * back in time.
+ */
 final class ParkedReports {
     /** Less than the four seconds for which a worker waits. */
     static final long WAIT_MICROS = 3_000_000;
@@ -20,8 +23,7 @@
     private final Set<Entry> waiting = new LinkedHashSet<>();
 
     /** One report, with the time until which it may wait for its answer. */
-    record Parked(byte[] body, Consumer<Response> answer, long untilMicros) {
-    }
+    record Parked(byte[] body, Consumer<Response> answer, long untilMicros) {}
 
     /** Told apart by identity: two reports may have the same content. */
     private static final class Entry {
@@ -46,11 +48,13 @@
         }
         Entry entry = new Entry(report);
         waiting.add(entry);
-        loop.schedule(left, () -> {
-            if (waiting.remove(entry)) {
-                report.answer.accept(Response.of(421, Map.of()));
-            }
-        });
+        loop.schedule(
+                left,
+                () -> {
+                    if (waiting.remove(entry)) {
+                        report.answer.accept(Response.of(421, Map.of()));
+                    }
+                });
     }
 
     /** Sends all on their way. */
--- a/src/main/java/org/woadloom/node/PeerLinks.java
+++ b/src/main/java/org/woadloom/node/PeerLinks.java
@@ -64,12 +64,19 @@
     private static final class Link {
         boolean connected;
         long heardMicros = Long.MIN_VALUE / 2;
+
         /** The leader's term during which a connection to it stood. */
         long connectedInTerm;
+
         int refusals;
     }
 
-    PeerLinks(Loop loop, PeerNet net, List<String> labels, Election election, Rollout rollout,
+    PeerLinks(
+            Loop loop,
+            PeerNet net,
+            List<String> labels,
+            Election election,
+            Rollout rollout,
             Inbox inbox) {
         this.labels = labels;
         this.loop = loop;
@@ -98,7 +105,8 @@
             PeerMessage mine = new PeerMessage.Stands(standing);
             if (election.leads()) {
                 inbox.stands(leader, standing);
-                // One that was started while the state service is down learns from it what is agreed on.
+                // One that was started while the state service is down learns from it what is
+                // agreed on.
                 labels.forEach(label -> net.send(label, mine));
             } else {
                 net.send(leader, mine);
@@ -108,7 +116,10 @@
         loop.schedule(PING_MICROS, this::ping);
     }
 
-    /** Tells all peers which term this node knows of, at once where that has changed: users may wait for just that. */
+    /**
+     * Tells all peers which term this node knows of, at once where that has changed: users may wait
+     * for just that.
+     */
     void sayTerm() {
         PeerMessage said = term();
         labels.forEach(label -> net.send(label, said));
@@ -116,7 +127,8 @@
 
     private PeerMessage term() {
         String leader = election.leader();
-        return new PeerMessage.Ping(election.knownTerm(), leader == null ? "" : leader, rollout.said());
+        return new PeerMessage.Ping(
+                election.knownTerm(), leader == null ? "" : leader, rollout.said());
     }
 
     private Link link(String label) {
@@ -135,8 +147,8 @@
     }
 
     /**
-     * True if the peer takes no connections, and has most likely ended. Where others refuse as well and none can be reached,
-     * it is more likely the way between nodes that is closed.
+     * True if the peer takes no connections, and has most likely ended. Where others refuse as well
+     * and none can be reached, it is more likely the way between nodes that is closed.
      */
     boolean gone(String label) {
         if (!refuses(label) || link(label).connected) {
@@ -154,7 +166,10 @@
         return !othersRefuse;
     }
 
-    /** True if the peer's host says that it takes no connections: the way to it is open, for workers at least. */
+    /**
+     * True if the peer's host says that it takes no connections: the way to it is open, for workers
+     * at least.
+     */
     boolean refuses(String label) {
         return link(label).refusals > 0;
     }
@@ -180,12 +195,14 @@
         long id = ++ids;
         carrying.put(id, answer);
         net.send(leader, new PeerMessage.Carry(id, report));
-        loop.schedule(CARRY_MICROS, () -> {
-            Consumer<Response> waiting = carrying.remove(id);
-            if (waiting != null) {
-                waiting.accept(Response.unavailable("the leader does not answer"));
-            }
-        });
+        loop.schedule(
+                CARRY_MICROS,
+                () -> {
+                    Consumer<Response> waiting = carrying.remove(id);
+                    if (waiting != null) {
+                        waiting.accept(Response.unavailable("the leader does not answer"));
+                    }
+                });
     }
 
     @Override
@@ -203,7 +220,10 @@
                 rollout.seen(JobRecord.formatOf(record));
                 inbox.hint(JobRecord.parse(record), hint.stamp());
             } catch (WireException e) {
-                LOG.error("event=job_notification_unreadable node={} error=\"{}\"", from, e.getMessage());
+                LOG.error(
+                        "event=job_notification_unreadable node={} error=\"{}\"",
+                        from,
+                        e.getMessage());
             }
         } else if (message instanceof PeerMessage.Stands stands) {
             rollout.spokenOfCare();
@@ -215,8 +235,13 @@
         } else if (message instanceof PeerMessage.Taken taken) {
             inbox.taken(taken.taken());
         } else if (message instanceof PeerMessage.Carry carry) {
-            inbox.carried(carry.report(), response -> net.send(from,
-                    new PeerMessage.Carried(carry.id(), response.status(), response.body())));
+            inbox.carried(
+                    carry.report(),
+                    response ->
+                            net.send(
+                                    from,
+                                    new PeerMessage.Carried(
+                                            carry.id(), response.status(), response.body())));
         } else if (message instanceof PeerMessage.Carried carried) {
             Consumer<Response> waiting = carrying.remove(carried.id());
             if (waiting != null) {
@@ -246,10 +271,14 @@
             return;
         }
         link.refusals++;
-        // A leader that we could reach in its term, and that refuses now, is most likely dead. If it only refuses us,
-        // it will lead again in a term in which we never reached it, and then its grant decides: no ping-pong.
-        if (link.refusals >= REFUSALS && label.equals(election.leader())
-                && link.connectedInTerm == election.knownTerm() && gone(label)) {
+        // A leader that we could reach in its term, and that refuses now, is most likely dead. If
+        // it only refuses us,
+        // it will lead again in a term in which we never reached it, and then its grant decides: no
+        // ping-pong.
+        if (link.refusals >= REFUSALS
+                && label.equals(election.leader())
+                && link.connectedInTerm == election.knownTerm()
+                && gone(label)) {
             election.takeOverFrom(label);
         }
     }
--- a/src/main/java/org/woadloom/node/Rehearsal.java
+++ b/src/main/java/org/woadloom/node/Rehearsal.java
@@ -13,14 +13,13 @@
 import org.woadloom.wire.Cbor;
 
 /**
- * Starts a node on loopback ports whose state service and cloud are the node itself, asks it a few things and returns.
- * It is run only by the build, to find out which classes a start loads.
+ * Starts a node on loopback ports whose state service and cloud are the node itself, asks it a few
+ * things and returns. It is run only by the build, to find out which classes a start loads.
  */
 public final class Rehearsal {
     private static final long WORK_MILLIS = 1_500;
 
-    private Rehearsal() {
-    }
+    private Rehearsal() {}
 
     public static void run(Path file) throws Exception {
         ServiceSettings settings = onFreePorts(ServiceSettingsFile.read(file));
@@ -37,14 +36,29 @@
         try (ServerSocket service = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 ServerSocket peer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             String bind = "127.0.0.1:" + service.getLocalPort();
-            return new ServiceSettings(s.label(), s.area(), bind, "127.0.0.1:" + peer.getLocalPort(), s.peers(), bind, bind,
-                    s.zones(), s.teams(), s.objectives(), s.workers(), s.state(), s.cloud(), s.resources());
+            return new ServiceSettings(
+                    s.label(),
+                    s.area(),
+                    bind,
+                    "127.0.0.1:" + peer.getLocalPort(),
+                    s.peers(),
+                    bind,
+                    bind,
+                    s.zones(),
+                    s.teams(),
+                    s.objectives(),
+                    s.workers(),
+                    s.state(),
+                    s.cloud(),
+                    s.resources());
         }
     }
 
-    private static void ask(ServiceSettings settings, String method, String path, byte[] body) throws IOException {
-        HttpURLConnection connection = (HttpURLConnection) URI.create("http://" + settings.bind() + path).toURL()
-                .openConnection();
+    private static void ask(ServiceSettings settings, String method, String path, byte[] body)
+            throws IOException {
+        HttpURLConnection connection =
+                (HttpURLConnection)
+                        URI.create("http://" + settings.bind() + path).toURL().openConnection();
         connection.setRequestMethod(method);
         if (body != null) {
             connection.setDoOutput(true);
--- a/src/main/java/org/woadloom/node/Rollout.java
+++ b/src/main/java/org/woadloom/node/Rollout.java
@@ -40,22 +40,32 @@
 import org.woadloom.wire.WireException;
 
 /**
- * This node's part of a rollout: it gives its word, which lasts as long as its process renews it, then reads what is
- * required and what is on, and follows that. It acts upon a feature only by what the store says, or what a node says that
- * has read it there, never by its own settings. What moves a feature is the leader's core (`core.rollout`).
+ * This node's part of a rollout: it gives its word, which lasts as long as its process renews it,
+ * then reads what is required and what is on, and follows that. It acts upon a feature only by what
+ * the store says, or what a node says that has read it there, never by its own settings. What moves
+ * a feature is the leader's core (`core.rollout`).
  */
 final class Rollout implements Election.Fence {
     private static final Logger LOG = LoggerFactory.getLogger(Rollout.class);
-    /** What versions 2 and 3 are told of this one: they agree on compact records and on care by it. */
+
+    /**
+     * What versions 2 and 3 are told of this one: they agree on compact records and on care by it.
+     */
     private static final long VERSION = 3;
+
     private static final String FIELD = "version";
     private static final long POLL_MICROS = 1_000_000;
     private static final long RETRY_MICROS = 300_000;
     private static final long WATCH_MICROS = 10_000_000;
-    /** A word outlasts a restart, so that the next process knows that it is one, and little more. */
+
+    /**
+     * A word outlasts a restart, so that the next process knows that it is one, and little more.
+     */
     private static final long GRANT_MICROS = 15_000_000;
+
     private static final long RENEW_MICROS = 4_000_000;
     private static final long IN_A_ROW_MICROS = 60_000_000;
+
     /** For how long a node that gives no word is believed to be there after it was heard. */
     private static final long HEARD_MICROS = 10_000_000;
 
@@ -67,24 +77,42 @@
     private final Set<String> members = new TreeSet<>();
     private final Belonging belonging = new Belonging(Feature.known());
     private final long life;
+
     /** What is below {@link Keys#ROLLOUT}, as last read. */
     private final Map<String, Entry> entries = new HashMap<>();
+
     private RolloutRecord record = RolloutRecord.NONE;
     private long stateStamp;
-    /** The features that are on, by the record, by an earlier version's agreement or by a peer's word. */
+
+    /**
+     * The features that are on, by the record, by an earlier version's agreement or by a peer's
+     * word.
+     */
     private final EnumSet<Feature> on = EnumSet.noneOf(Feature.class);
-    /** The number of the latest record that was read here or that a peer has read, and what it requires. */
+
+    /**
+     * The number of the latest record that was read here or that a peer has read, and what it
+     * requires.
+     */
     private long number;
+
     private Set<String> requires = Set.of();
     private long agreed = 1;
     private long agreedStamp;
     private final Map<String, Long> wordlessMicros = new HashMap<>();
     private String closed;
+
     /** The word of this process stands in the store, as far as known. */
     private boolean spoken;
+
     private boolean following;
 
-    Rollout(Loop loop, StateClient state, ServiceSettings settings, OperatorSettings operator, Random random,
+    Rollout(
+            Loop loop,
+            StateClient state,
+            ServiceSettings settings,
+            OperatorSettings operator,
+            Random random,
             Runnable changed) {
         this.loop = loop;
         this.state = state;
@@ -151,8 +179,7 @@
 
     @Override
     public void changed() {
-        read(Urgency.URGENT, done -> {
-        });
+        read(Urgency.URGENT, done -> {});
     }
 
     /** A record in the compact format was written by a node that knew that it may be. */
@@ -172,7 +199,10 @@
 
     /** For the other nodes. */
     PeerMessage.Rollout said() {
-        return new PeerMessage.Rollout(number, List.copyOf(Feature.keys(on)), List.copyOf(requires),
+        return new PeerMessage.Rollout(
+                number,
+                List.copyOf(Feature.keys(on)),
+                List.copyOf(requires),
                 List.copyOf(Feature.known()));
     }
 
@@ -196,114 +226,157 @@
     }
 
     private void speak() {
-        state.grant(GRANT_MICROS, (result, grant) -> {
-            if (result == Result.OK) {
-                speak(grant);
-            } else {
-                loop.schedule(RETRY_MICROS, this::speak);
-            }
-        });
+        state.grant(
+                GRANT_MICROS,
+                (result, grant) -> {
+                    if (result == Result.OK) {
+                        speak(grant);
+                    } else {
+                        loop.schedule(RETRY_MICROS, this::speak);
+                    }
+                });
     }
 
-    /** The word of the process before this one tells whether processes of this node end soon after one another. */
+    /**
+     * The word of the process before this one tells whether processes of this node end soon after
+     * one another.
+     */
     private void speak(long grant) {
         String key = Keys.ROLLOUT_NODES + label;
-        state.get(Urgency.URGENT, key, (result, entry, generation) -> {
-            if (result != Result.OK && result != Result.NOT_FOUND) {
-                loop.schedule(RETRY_MICROS, this::speak);
-                return;
-            }
-            NodeWord word = new NodeWord(life, Feature.known(), Feature.keys(able), members, starts(entry), loop.wallMicros());
-            // Without the condition one without an answer, carried out after the next, hung the key on a grant that nobody renews.
-            Condition asRead = new Condition(key, entry == null ? 0 : entry.stamp());
-            state.txn(Urgency.URGENT, List.of(asRead), List.of(new Change(key, word.toMap(), grant),
-                    Change.put(Keys.NODE_VERSIONS + label, ImmutableMap.of(FIELD, VERSION))), (put, stamp, failed) -> {
-                        if (put == Result.OK) {
-                            spoken = true;
-                            renewLater(grant);
-                            follow();
-                        } else {
-                            loop.schedule(RETRY_MICROS, this::speak);
-                        }
-                    });
-        });
+        state.get(
+                Urgency.URGENT,
+                key,
+                (result, entry, generation) -> {
+                    if (result != Result.OK && result != Result.NOT_FOUND) {
+                        loop.schedule(RETRY_MICROS, this::speak);
+                        return;
+                    }
+                    NodeWord word =
+                            new NodeWord(
+                                    life,
+                                    Feature.known(),
+                                    Feature.keys(able),
+                                    members,
+                                    starts(entry),
+                                    loop.wallMicros());
+                    // Without the condition one without an answer, carried out after the next, hung
+                    // the key on a grant that nobody renews.
+                    Condition asRead = new Condition(key, entry == null ? 0 : entry.stamp());
+                    state.txn(
+                            Urgency.URGENT,
+                            List.of(asRead),
+                            List.of(
+                                    new Change(key, word.toMap(), grant),
+                                    Change.put(
+                                            Keys.NODE_VERSIONS + label,
+                                            ImmutableMap.of(FIELD, VERSION))),
+                            (put, stamp, failed) -> {
+                                if (put == Result.OK) {
+                                    spoken = true;
+                                    renewLater(grant);
+                                    follow();
+                                } else {
+                                    loop.schedule(RETRY_MICROS, this::speak);
+                                }
+                            });
+                });
     }
 
     private int starts(Entry before) {
         try {
             NodeWord word = before == null ? null : NodeWord.parse(before.value());
             long since = word == null ? -1 : loop.wallMicros() - word.sinceWallMicros();
-            return word == null ? 1 : word.life() == life ? word.starts()
-                    : since >= 0 && since < IN_A_ROW_MICROS ? word.starts() + 1 : 1;
+            return word == null
+                    ? 1
+                    : word.life() == life
+                            ? word.starts()
+                            : since >= 0 && since < IN_A_ROW_MICROS ? word.starts() + 1 : 1;
         } catch (WireException e) {
             return 1;
         }
     }
 
     private void renewLater(long grant) {
-        loop.schedule(RENEW_MICROS, () -> state.renew(grant, (result, id) -> {
-            if (result == Result.NOT_FOUND) {
-                // The word is gone; it is given again before anything is concluded from what is read.
-                spoken = false;
-                belonging.lapsed();
-                speak();
-            } else {
-                renewLater(grant);
-            }
-        }));
+        loop.schedule(
+                RENEW_MICROS,
+                () ->
+                        state.renew(
+                                grant,
+                                (result, id) -> {
+                                    if (result == Result.NOT_FOUND) {
+                                        // The word is gone; it is given again before anything is
+                                        // concluded from what is read.
+                                        spoken = false;
+                                        belonging.lapsed();
+                                        speak();
+                                    } else {
+                                        renewLater(grant);
+                                    }
+                                }));
     }
 
     // What the store says.
 
     private void follow() {
-        read(Urgency.URGENT, generation -> {
-            if (generation < 0) {
-                loop.schedule(RETRY_MICROS, this::follow);
-            } else if (!following) {
-                following = true;
-                follow(generation);
-            }
-        });
+        read(
+                Urgency.URGENT,
+                generation -> {
+                    if (generation < 0) {
+                        loop.schedule(RETRY_MICROS, this::follow);
+                    } else if (!following) {
+                        following = true;
+                        follow(generation);
+                    }
+                });
     }
 
     private void follow(long since) {
-        state.follow(Keys.ROLLOUT, since, WATCH_MICROS, (result, events, generation) -> {
-            if (result != Result.OK) {
-                following = false;
-                loop.schedule(RETRY_MICROS, this::follow);
-                return;
-            }
-            for (StateClient.Event event : events) {
-                if (event.value() == null) {
-                    entries.remove(event.path());
-                } else {
-                    entries.put(event.path(), new Entry(event.path(), event.value(), event.stamp()));
-                }
-            }
-            if (!events.isEmpty()) {
-                judge();
-            }
-            follow(Math.max(since, generation));
-        });
+        state.follow(
+                Keys.ROLLOUT,
+                since,
+                WATCH_MICROS,
+                (result, events, generation) -> {
+                    if (result != Result.OK) {
+                        following = false;
+                        loop.schedule(RETRY_MICROS, this::follow);
+                        return;
+                    }
+                    for (StateClient.Event event : events) {
+                        if (event.value() == null) {
+                            entries.remove(event.path());
+                        } else {
+                            entries.put(
+                                    event.path(),
+                                    new Entry(event.path(), event.value(), event.stamp()));
+                        }
+                    }
+                    if (!events.isEmpty()) {
+                        judge();
+                    }
+                    follow(Math.max(since, generation));
+                });
     }
 
     /** Reads everything anew; the consumer hears the generation, or -1. */
     private void read(Urgency urgency, Consumer<Long> done) {
         // What a watch that was opened before the word was given still brings is not enough.
         boolean afterTheWord = spoken;
-        state.list(urgency, Keys.ROLLOUT, (result, found, generation) -> {
-            if (result != Result.OK) {
-                done.accept(-1L);
-                return;
-            }
-            if (afterTheWord && spoken) {
-                belonging.read();
-            }
-            entries.clear();
-            found.forEach(entry -> entries.put(entry.path(), entry));
-            judge();
-            done.accept(generation);
-        });
+        state.list(
+                urgency,
+                Keys.ROLLOUT,
+                (result, found, generation) -> {
+                    if (result != Result.OK) {
+                        done.accept(-1L);
+                        return;
+                    }
+                    if (afterTheWord && spoken) {
+                        belonging.read();
+                    }
+                    entries.clear();
+                    found.forEach(entry -> entries.put(entry.path(), entry));
+                    judge();
+                    done.accept(generation);
+                });
     }
 
     private void judge() {
@@ -334,10 +407,15 @@
         changed.run();
     }
 
-    /** The record is of a form to come. What it requires stands where it always will; without that nothing can be done. */
+    /**
+     * The record is of a form to come. What it requires stands where it always will; without that
+     * nothing can be done.
+     */
     private void unreadable(Entry stored, WireException why) {
         try {
-            required(RolloutRecord.numberOf(stored.value()), RolloutRecord.requiredBy(stored.value()));
+            required(
+                    RolloutRecord.numberOf(stored.value()),
+                    RolloutRecord.requiredBy(stored.value()));
             if (belonging.lacks().isEmpty()) {
                 belonging.unreadable("the record of the rollout (" + why.getMessage() + ")");
             }
@@ -355,8 +433,10 @@
     }
 
     private void close() {
-        String why = belonging.lacks().isEmpty() ? null
-                : "this version does not know what the others use: " + belonging.lacks();
+        String why =
+                belonging.lacks().isEmpty()
+                        ? null
+                        : "this version does not know what the others use: " + belonging.lacks();
         if (why != null && !why.equals(closed)) {
             LOG.error("event=serving_stopped reason=\"{}\"", why);
         } else if (why == null && closed != null) {
@@ -379,8 +459,7 @@
     // What versions 2 and 3 agree on.
 
     private void poll() {
-        look(Urgency.NORMAL, known -> {
-        });
+        look(Urgency.NORMAL, known -> {});
         loop.schedule(POLL_MICROS, this::poll);
     }
 
@@ -390,22 +469,28 @@
             done.accept(true);
             return;
         }
-        state.get(urgency, Keys.AGREED, (result, entry, generation) -> {
-            try {
-                if (result == Result.OK) {
-                    agreed = Math.max(agreed, new Fields(entry.value()).integer(FIELD));
-                    agreedStamp = entry.stamp();
-                }
-            } catch (WireException e) {
-                LOG.error("event=record_unreadable key={} error=\"{}\"", entry.path(), e.getMessage());
-            }
-            for (Feature feature : Feature.values()) {
-                if (feature.agreedVersion() > 0 && agreed >= feature.agreedVersion()) {
-                    turnOn(feature);
-                }
-            }
-            done.accept(result == Result.OK || result == Result.NOT_FOUND);
-        });
+        state.get(
+                urgency,
+                Keys.AGREED,
+                (result, entry, generation) -> {
+                    try {
+                        if (result == Result.OK) {
+                            agreed = Math.max(agreed, new Fields(entry.value()).integer(FIELD));
+                            agreedStamp = entry.stamp();
+                        }
+                    } catch (WireException e) {
+                        LOG.error(
+                                "event=record_unreadable key={} error=\"{}\"",
+                                entry.path(),
+                                e.getMessage());
+                    }
+                    for (Feature feature : Feature.values()) {
+                        if (feature.agreedVersion() > 0 && agreed >= feature.agreedVersion()) {
+                            turnOn(feature);
+                        }
+                    }
+                    done.accept(result == Result.OK || result == Result.NOT_FOUND);
+                });
     }
 
     // For the core of a leader.
@@ -422,21 +507,29 @@
         for (Entry entry : sorted) {
             try {
                 if (entry.path().startsWith(Keys.ROLLOUT_NODES)) {
-                    words.put(entry.path().substring(Keys.ROLLOUT_NODES.length()),
+                    words.put(
+                            entry.path().substring(Keys.ROLLOUT_NODES.length()),
                             new Command.Spoken(NodeWord.parse(entry.value()), entry.stamp()));
                 } else if (entry.path().startsWith(Keys.ROLLOUT_ASKED)) {
-                    asked.put(entry.path().substring(Keys.ROLLOUT_ASKED.length()), RolloutRequest.parse(entry.value()));
+                    asked.put(
+                            entry.path().substring(Keys.ROLLOUT_ASKED.length()),
+                            RolloutRequest.parse(entry.value()));
                 }
             } catch (WireException e) {
-                LOG.error("event=record_unreadable key={} error=\"{}\"", entry.path(), e.getMessage());
+                LOG.error(
+                        "event=record_unreadable key={} error=\"{}\"",
+                        entry.path(),
+                        e.getMessage());
             }
         }
         Set<String> wordless = new HashSet<>();
-        wordlessMicros.forEach((from, micros) -> {
-            if (loop.nowMicros() - micros < HEARD_MICROS) {
-                wordless.add(from);
-            }
-        });
-        return new Command.RolloutSeen(record, stateStamp, words, asked, wordless, agreed, agreedStamp, refused);
+        wordlessMicros.forEach(
+                (from, micros) -> {
+                    if (loop.nowMicros() - micros < HEARD_MICROS) {
+                        wordless.add(from);
+                    }
+                });
+        return new Command.RolloutSeen(
+                record, stateStamp, words, asked, wordless, agreed, agreedStamp, refused);
     }
 }
--- a/src/main/java/org/woadloom/node/RolloutDuties.java
+++ b/src/main/java/org/woadloom/node/RolloutDuties.java
@@ -43,34 +43,58 @@
         if (put.agreed() > 0) {
             changes.add(Change.put(Keys.AGREED, ImmutableMap.of("version", put.agreed())));
         }
-        writer.add(true, new RecordWriter.Write(conditions, changes, (written, stamp) -> {
-            // Written or not, what stands there now is what counts.
-            rollout.changed();
-            outcome.add(new Command.RolloutWritten(put.record().number(), written, stamp));
-        }));
+        writer.add(
+                true,
+                new RecordWriter.Write(
+                        conditions,
+                        changes,
+                        (written, stamp) -> {
+                            // Written or not, what stands there now is what counts.
+                            rollout.changed();
+                            outcome.add(
+                                    new Command.RolloutWritten(
+                                            put.record().number(), written, stamp));
+                        }));
     }
 
-    /** Reads all records that the feature writes, after everything else, and judges each by its form. */
+    /**
+     * Reads all records that the feature writes, after everything else, and judges each by its
+     * form.
+     */
     void count(Effect.CountRecords count, Outcome outcome) {
-        state.list(Urgency.BACKGROUND, count.feature().prefix(), (result, entries, generation) -> {
-            List<String> old = new ArrayList<>();
-            List<String> unreadable = new ArrayList<>();
-            for (StateClient.Entry entry : entries) {
-                try {
-                    if (entry.path().startsWith(Keys.JOBS)) {
-                        JobRecord.parse(entry.value());
-                    } else {
-                        MachineRecord.parse(entry.path().substring(Keys.MACHINES.length()), entry.value());
+        state.list(
+                Urgency.BACKGROUND,
+                count.feature().prefix(),
+                (result, entries, generation) -> {
+                    List<String> old = new ArrayList<>();
+                    List<String> unreadable = new ArrayList<>();
+                    for (StateClient.Entry entry : entries) {
+                        try {
+                            if (entry.path().startsWith(Keys.JOBS)) {
+                                JobRecord.parse(entry.value());
+                            } else {
+                                MachineRecord.parse(
+                                        entry.path().substring(Keys.MACHINES.length()),
+                                        entry.value());
+                            }
+                            if (count.feature().fresh(entry.value()) == count.back()) {
+                                old.add(entry.path());
+                            }
+                        } catch (WireException e) {
+                            LOG.error(
+                                    "event=record_unreadable key={} error=\"{}\"",
+                                    entry.path(),
+                                    e.getMessage());
+                            unreadable.add(entry.path());
+                        }
                     }
-                    if (count.feature().fresh(entry.value()) == count.back()) {
-                        old.add(entry.path());
-                    }
-                } catch (WireException e) {
-                    LOG.error("event=record_unreadable key={} error=\"{}\"", entry.path(), e.getMessage());
-                    unreadable.add(entry.path());
-                }
-            }
-            outcome.add(new Command.RecordsCounted(count.feature(), count.back(), result == Result.OK, old, unreadable));
-        });
+                    outcome.add(
+                            new Command.RecordsCounted(
+                                    count.feature(),
+                                    count.back(),
+                                    result == Result.OK,
+                                    old,
+                                    unreadable));
+                });
     }
 }
--- a/src/main/java/org/woadloom/node/Server.java
+++ b/src/main/java/org/woadloom/node/Server.java
@@ -28,22 +28,26 @@
     private static final int BUFFER_BYTES = 8 * 1024;
     private static final long TELL_MICROS = 30_000_000;
 
-    private Server() {
-    }
+    private Server() {}
 
-    public static Node start(ServiceSettings settings, OperatorSettings operator) throws IOException {
-        XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.builder()
-                .set(Options.WORKER_NAME, "woadloom")
-                .set(Options.WORKER_IO_THREADS, 1)
-                .set(Options.WORKER_TASK_CORE_THREADS, 1)
-                .set(Options.WORKER_TASK_MAX_THREADS, 1)
-                .getMap());
+    public static Node start(ServiceSettings settings, OperatorSettings operator)
+            throws IOException {
+        XnioWorker worker =
+                Xnio.getInstance()
+                        .createWorker(
+                                OptionMap.builder()
+                                        .set(Options.WORKER_NAME, "woadloom")
+                                        .set(Options.WORKER_IO_THREADS, 1)
+                                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                                        .set(Options.WORKER_TASK_MAX_THREADS, 1)
+                                        .getMap());
         XnioIoThread thread = worker.getIoThread();
         ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, 256, 4);
         XnioLoop loop = new XnioLoop(thread);
         SocketPlan plan = SocketPlan.of(settings);
         UndertowTransport transport = new UndertowTransport(loop, thread, buffers, plan.idle());
-        // Not by clocks alone: one that stood still, or was set back, would make a process take itself for the one before.
+        // Not by clocks alone: one that stood still, or was set back, would make a process take
+        // itself for the one before.
         Random random = new Random(new SecureRandom().nextLong());
         XnioPeerNet peers = new XnioPeerNet(loop, worker, settings);
         Node node = new Node(loop, transport, peers, settings, operator, random);
@@ -51,25 +55,44 @@
         meter(node.metrics(), plan, connections, transport, peers);
         new ApiServer(settings, worker, buffers, plan, connections, node.router()).start();
         peers.bind();
-        loop.execute(() -> {
-            connections.start();
-            node.start();
-            tell(loop, plan, connections, transport, peers);
-        });
+        loop.execute(
+                () -> {
+                    connections.start();
+                    node.start();
+                    tell(loop, plan, connections, transport, peers);
+                });
         return node;
     }
 
-    private static void tell(XnioLoop loop, SocketPlan plan, Connections connections, UndertowTransport transport,
+    private static void tell(
+            XnioLoop loop,
+            SocketPlan plan,
+            Connections connections,
+            UndertowTransport transport,
             XnioPeerNet peers) {
-        loop.schedule(TELL_MICROS, () -> {
-            LOG.info("event=sockets workers={} users={} max={} outbound={} outbound_idle={} peers={} idle_users_closed={}"
-                    + " requests_refused={}", connections.workers(), connections.users(), plan.inbound(),
-                    transport.open(), transport.idle(), peers.open(), connections.closed(), connections.refused());
-            tell(loop, plan, connections, transport, peers);
-        });
+        loop.schedule(
+                TELL_MICROS,
+                () -> {
+                    LOG.info(
+                            "event=sockets workers={} users={} max={} outbound={} outbound_idle={}"
+                                    + " peers={} idle_users_closed={} requests_refused={}",
+                            connections.workers(),
+                            connections.users(),
+                            plan.inbound(),
+                            transport.open(),
+                            transport.idle(),
+                            peers.open(),
+                            connections.closed(),
+                            connections.refused());
+                    tell(loop, plan, connections, transport, peers);
+                });
     }
 
-    private static void meter(NodeMetrics metrics, SocketPlan plan, Connections connections, UndertowTransport transport,
+    private static void meter(
+            NodeMetrics metrics,
+            SocketPlan plan,
+            Connections connections,
+            UndertowTransport transport,
             XnioPeerNet peers) {
         metrics.gauge("woadloom.sockets.workers", connections, Connections::workers);
         metrics.gauge("woadloom.sockets.users", connections, Connections::users);
--- a/src/main/java/org/woadloom/node/StepObserver.java
+++ b/src/main/java/org/woadloom/node/StepObserver.java
@@ -4,11 +4,13 @@
 import org.woadloom.core.Command;
 import org.woadloom.core.Effect;
 
-/** Is shown each step of a node's core, on the node's loop; tests compare by it what two versions of the code decide. */
+/**
+ * Is shown each step of a node's core, on the node's loop; tests compare by it what two versions of
+ * the code decide.
+ */
 public interface StepObserver {
     /** Looks at nothing. */
-    StepObserver NONE = (nowMicros, commands, effects) -> {
-    };
+    StepObserver NONE = (nowMicros, commands, effects) -> {};
 
     /**
      * One step is over, and its effects are about to be executed.
--- a/src/main/java/org/woadloom/peer/FrameReader.java
+++ b/src/main/java/org/woadloom/peer/FrameReader.java
@@ -17,7 +17,10 @@
         int at = 0;
         while (all.length - at >= Integer.BYTES) {
             // Kryo writes integers with the low byte first.
-            int length = ByteBuffer.wrap(all, at, Integer.BYTES).order(java.nio.ByteOrder.LITTLE_ENDIAN).getInt();
+            int length =
+                    ByteBuffer.wrap(all, at, Integer.BYTES)
+                            .order(java.nio.ByteOrder.LITTLE_ENDIAN)
+                            .getInt();
             if (length < 1 || length > PeerCodec.MAX_FRAME) {
                 throw new PeerFormatException("a frame of " + length + " bytes");
             }
--- a/src/main/java/org/woadloom/peer/PeerCodec.java
+++ b/src/main/java/org/woadloom/peer/PeerCodec.java
@@ -14,7 +14,10 @@
 import org.woadloom.core.care.NodeStanding;
 import org.woadloom.core.care.Warrant;
 
-/** Messages between nodes as Kryo writes them; only the registered classes can be read. Used by one thread. */
+/**
+ * Messages between nodes as Kryo writes them; only the registered classes can be read. Used by one
+ * thread.
+ */
 public final class PeerCodec {
     static final int MAX_FRAME = 256 * 1024;
     private static final int MAX_BYTES = 128 * 1024;
@@ -26,81 +29,171 @@
     public PeerCodec() {
         kryo.setRegistrationRequired(true);
         kryo.setReferences(false);
-        register(PeerMessage.Hello.class, 10, (out, m) -> out.writeString(m.label()),
+        register(
+                PeerMessage.Hello.class,
+                10,
+                (out, m) -> out.writeString(m.label()),
                 in -> new PeerMessage.Hello(in.readString()));
-        register(PeerMessage.Ping.class, 11, (out, m) -> {
-            out.writeLong(m.term());
-            out.writeString(m.leader());
-            if (m.rollout() != null) {
-                out.writeLong(m.rollout().number());
-                writeTexts(out, m.rollout().on());
-                writeTexts(out, m.rollout().requires());
-                writeTexts(out, m.rollout().reads());
-            }
-        }, in -> {
-            long term = in.readLong();
-            String leader = in.readString();
-            return new PeerMessage.Ping(term, leader, in.position() == in.limit() ? null
-                    : new PeerMessage.Rollout(in.readLong(), readTexts(in, MAX_TEXTS), readTexts(in, MAX_TEXTS),
-                            readTexts(in, MAX_TEXTS)));
-        });
-        register(PeerMessage.Hint.class, 13, (out, m) -> {
-            out.writeLong(m.stamp());
-            writeBytes(out, m.record());
-        }, in -> {
-            long stamp = in.readLong();
-            return new PeerMessage.Hint(readBytes(in), stamp);
-        });
-        register(PeerMessage.Carry.class, 14, (out, m) -> {
-            out.writeLong(m.id());
-            writeBytes(out, m.report());
-        }, in -> {
-            long id = in.readLong();
-            return new PeerMessage.Carry(id, readBytes(in));
-        });
-        register(PeerMessage.Carried.class, 15, (out, m) -> {
-            out.writeLong(m.id());
-            out.writeInt(m.status());
-            writeBytes(out, m.answer());
-        }, in -> {
-            long id = in.readLong();
-            int status = in.readInt();
-            return new PeerMessage.Carried(id, status, readBytes(in));
-        });
-        register(PeerMessage.Stands.class, 16, (out, m) -> {
-            NodeStanding s = m.standing();
-            writeLongs(out, s.life(), s.aliveMicros(), s.saidMicros(), s.term(), s.echoMicros(), s.promiseMicros(),
-                    s.caredMicros(), s.stateSilentMicros());
-        }, in -> new PeerMessage.Stands(new NodeStanding(in.readLong(), in.readLong(), in.readLong(), in.readLong(),
-                in.readLong(), in.readLong(), in.readLong(), in.readLong())));
-        register(PeerMessage.Warranted.class, 17, (out, m) -> {
-            Warrant w = m.warrant();
-            writeLongs(out, w.term(), w.saidMicros(), w.leaderMicros(), w.settledMicros());
-        }, in -> new PeerMessage.Warranted(new Warrant(in.readLong(), in.readLong(), in.readLong(), in.readLong())));
-        register(PeerMessage.Vouched.class, 18, (out, m) -> {
-            Vouch v = m.vouch();
-            writeLongs(out, v.term(), v.life(), v.saidMicros(), v.sinceMicros(), v.echoMicros(), v.promiseMicros());
-            writeTexts(out, v.jobs());
-        }, in -> new PeerMessage.Vouched(new Vouch(in.readLong(), in.readLong(), in.readLong(), in.readLong(), in.readLong(),
-                in.readLong(), readTexts(in, MAX_JOBS))));
-        register(PeerMessage.Taken.class, 19, (out, m) -> {
-            VouchTaken t = m.taken();
-            writeLongs(out, t.term(), t.life(), t.saidMicros(), t.leaderMicros());
-        }, in -> new PeerMessage.Taken(new VouchTaken(in.readLong(), in.readLong(), in.readLong(), in.readLong())));
+        register(
+                PeerMessage.Ping.class,
+                11,
+                (out, m) -> {
+                    out.writeLong(m.term());
+                    out.writeString(m.leader());
+                    if (m.rollout() != null) {
+                        out.writeLong(m.rollout().number());
+                        writeTexts(out, m.rollout().on());
+                        writeTexts(out, m.rollout().requires());
+                        writeTexts(out, m.rollout().reads());
+                    }
+                },
+                in -> {
+                    long term = in.readLong();
+                    String leader = in.readString();
+                    return new PeerMessage.Ping(
+                            term,
+                            leader,
+                            in.position() == in.limit()
+                                    ? null
+                                    : new PeerMessage.Rollout(
+                                            in.readLong(),
+                                            readTexts(in, MAX_TEXTS),
+                                            readTexts(in, MAX_TEXTS),
+                                            readTexts(in, MAX_TEXTS)));
+                });
+        register(
+                PeerMessage.Hint.class,
+                13,
+                (out, m) -> {
+                    out.writeLong(m.stamp());
+                    writeBytes(out, m.record());
+                },
+                in -> {
+                    long stamp = in.readLong();
+                    return new PeerMessage.Hint(readBytes(in), stamp);
+                });
+        register(
+                PeerMessage.Carry.class,
+                14,
+                (out, m) -> {
+                    out.writeLong(m.id());
+                    writeBytes(out, m.report());
+                },
+                in -> {
+                    long id = in.readLong();
+                    return new PeerMessage.Carry(id, readBytes(in));
+                });
+        register(
+                PeerMessage.Carried.class,
+                15,
+                (out, m) -> {
+                    out.writeLong(m.id());
+                    out.writeInt(m.status());
+                    writeBytes(out, m.answer());
+                },
+                in -> {
+                    long id = in.readLong();
+                    int status = in.readInt();
+                    return new PeerMessage.Carried(id, status, readBytes(in));
+                });
+        register(
+                PeerMessage.Stands.class,
+                16,
+                (out, m) -> {
+                    NodeStanding s = m.standing();
+                    writeLongs(
+                            out,
+                            s.life(),
+                            s.aliveMicros(),
+                            s.saidMicros(),
+                            s.term(),
+                            s.echoMicros(),
+                            s.promiseMicros(),
+                            s.caredMicros(),
+                            s.stateSilentMicros());
+                },
+                in ->
+                        new PeerMessage.Stands(
+                                new NodeStanding(
+                                        in.readLong(),
+                                        in.readLong(),
+                                        in.readLong(),
+                                        in.readLong(),
+                                        in.readLong(),
+                                        in.readLong(),
+                                        in.readLong(),
+                                        in.readLong())));
+        register(
+                PeerMessage.Warranted.class,
+                17,
+                (out, m) -> {
+                    Warrant w = m.warrant();
+                    writeLongs(out, w.term(), w.saidMicros(), w.leaderMicros(), w.settledMicros());
+                },
+                in ->
+                        new PeerMessage.Warranted(
+                                new Warrant(
+                                        in.readLong(),
+                                        in.readLong(),
+                                        in.readLong(),
+                                        in.readLong())));
+        register(
+                PeerMessage.Vouched.class,
+                18,
+                (out, m) -> {
+                    Vouch v = m.vouch();
+                    writeLongs(
+                            out,
+                            v.term(),
+                            v.life(),
+                            v.saidMicros(),
+                            v.sinceMicros(),
+                            v.echoMicros(),
+                            v.promiseMicros());
+                    writeTexts(out, v.jobs());
+                },
+                in ->
+                        new PeerMessage.Vouched(
+                                new Vouch(
+                                        in.readLong(),
+                                        in.readLong(),
+                                        in.readLong(),
+                                        in.readLong(),
+                                        in.readLong(),
+                                        in.readLong(),
+                                        readTexts(in, MAX_JOBS))));
+        register(
+                PeerMessage.Taken.class,
+                19,
+                (out, m) -> {
+                    VouchTaken t = m.taken();
+                    writeLongs(out, t.term(), t.life(), t.saidMicros(), t.leaderMicros());
+                },
+                in ->
+                        new PeerMessage.Taken(
+                                new VouchTaken(
+                                        in.readLong(),
+                                        in.readLong(),
+                                        in.readLong(),
+                                        in.readLong())));
     }
 
-    private <T> void register(Class<T> type, int id, BiConsumer<Output, T> writer, Function<Input, T> reader) {
-        kryo.register(type, new Serializer<T>() {
-            @Override
-            public void write(Kryo k, Output out, T message) {
-                writer.accept(out, message);
-            }
+    private <T> void register(
+            Class<T> type, int id, BiConsumer<Output, T> writer, Function<Input, T> reader) {
+        kryo.register(
+                type,
+                new Serializer<T>() {
+                    @Override
+                    public void write(Kryo k, Output out, T message) {
+                        writer.accept(out, message);
+                    }
 
-            @Override
-            public T read(Kryo k, Input in, Class<? extends T> c) {
-                return reader.apply(in);
-            }
-        }, id);
+                    @Override
+                    public T read(Kryo k, Input in, Class<? extends T> c) {
+                        return reader.apply(in);
+                    }
+                },
+                id);
     }
 
     private static void writeLongs(Output out, long... values) {
--- a/src/main/java/org/woadloom/peer/PeerMessage.java
+++ b/src/main/java/org/woadloom/peer/PeerMessage.java
@@ -9,53 +9,48 @@
 /** What controller nodes say to one another. Losing one costs time and never safety. */
 public sealed interface PeerMessage {
     /** The first message on a connection: who speaks. */
-    record Hello(String label) implements PeerMessage {
-    }
+    record Hello(String label) implements PeerMessage {}
 
     /**
-     * Sent all the time, so that a silent cut is noticed, with the highest term that the sender knows and who leads in it
-     * (empty for nobody): a node that only the state service refuses hears of a new leader that way. What it says of the
-     * rollout follows at the end, where versions up to 3 read no further; null from those.
+     * Sent all the time, so that a silent cut is noticed, with the highest term that the sender
+     * knows and who leads in it (empty for nobody): a node that only the state service refuses
+     * hears of a new leader that way. What it says of the rollout follows at the end, where
+     * versions up to 3 read no further; null from those.
      */
-    record Ping(long term, String leader, Rollout rollout) implements PeerMessage {
-    }
+    record Ping(long term, String leader, Rollout rollout) implements PeerMessage {}
 
     /**
-     * What a node has read of the rollout, and what it reads: one that can't reach the state service learns it here.
+     * What a node has read of the rollout, and what it reads: one that can't reach the state
+     * service learns it here.
      *
      * @param number of the record that it has read
      * @param on the features that are on by that record
      * @param requires what a process must know that is to serve
      * @param reads what the sender knows
      */
-    record Rollout(long number, List<String> on, List<String> requires, List<String> reads) {
-    }
+    record Rollout(long number, List<String> on, List<String> requires, List<String> reads) {}
 
     /** A job's record, as CBOR, that this node has just made durable. */
-    record Hint(byte[] record, long stamp) implements PeerMessage {
-    }
+    record Hint(byte[] record, long stamp) implements PeerMessage {}
 
     /** A worker's report, carried to the leader for a worker that can't reach it. */
-    record Carry(long id, byte[] report) implements PeerMessage {
-    }
+    record Carry(long id, byte[] report) implements PeerMessage {}
 
     /** The leader's answer to a carried report. */
-    record Carried(long id, int status, byte[] answer) implements PeerMessage {
-    }
+    record Carried(long id, int status, byte[] answer) implements PeerMessage {}
 
     /** How the sender stands. Only once every node runs version 3. */
-    record Stands(NodeStanding standing) implements PeerMessage {
-    }
+    record Stands(NodeStanding standing) implements PeerMessage {}
 
-    /** What the sender has told of cancellations, for the leader. Only while all nodes have agreed to vouch. */
-    record Vouched(Vouch vouch) implements PeerMessage {
-    }
+    /**
+     * What the sender has told of cancellations, for the leader. Only while all nodes have agreed
+     * to vouch.
+     */
+    record Vouched(Vouch vouch) implements PeerMessage {}
 
     /** The leader's answer to that. */
-    record Taken(VouchTaken taken) implements PeerMessage {
-    }
+    record Taken(VouchTaken taken) implements PeerMessage {}
 
     /** The leader's answer to a standing. */
-    record Warranted(Warrant warrant) implements PeerMessage {
-    }
+    record Warranted(Warrant warrant) implements PeerMessage {}
 }
--- a/src/main/java/org/woadloom/peer/PeerNet.java
+++ b/src/main/java/org/woadloom/peer/PeerNet.java
@@ -8,7 +8,10 @@
 
         void connected(String label);
 
-        /** A connection ended, or could not be made; {@code refused} if the other side said so at once. */
+        /**
+         * A connection ended, or could not be made; {@code refused} if the other side said so at
+         * once.
+         */
         void lost(String label, boolean refused);
     }
 
--- a/src/main/java/org/woadloom/peer/XnioPeerNet.java
+++ b/src/main/java/org/woadloom/peer/XnioPeerNet.java
@@ -25,8 +25,8 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Peer connections over XNIO: each node opens one to every other for what it sends, and reads from those that the
- * others opened.
+ * Peer connections over XNIO: each node opens one to every other for what it sends, and reads from
+ * those that the others opened.
  */
 public final class XnioPeerNet implements PeerNet {
     private static final Logger LOG = LoggerFactory.getLogger(XnioPeerNet.class);
@@ -53,10 +53,15 @@
 
     /** Binds the peer port; a node that can't do that does not start. */
     public void bind() throws IOException {
-        AcceptingChannel<StreamConnection> server = worker.createStreamConnectionServer(
-                Addresses.parse(settings.peerBind()), this::accept,
-                OptionMap.builder().set(Options.TCP_NODELAY, true).set(Options.REUSE_ADDRESSES, true)
-                        .set(Options.BACKLOG, 64).getMap());
+        AcceptingChannel<StreamConnection> server =
+                worker.createStreamConnectionServer(
+                        Addresses.parse(settings.peerBind()),
+                        this::accept,
+                        OptionMap.builder()
+                                .set(Options.TCP_NODELAY, true)
+                                .set(Options.REUSE_ADDRESSES, true)
+                                .set(Options.BACKLOG, 64)
+                                .getMap());
         server.resumeAccepts();
     }
 
@@ -169,21 +174,27 @@
 
         void connect() {
             int mine = ++attempt;
-            IoFuture<StreamConnection> future = thread.openStreamConnection(Addresses.parse(peer.address()),
-                    (ChannelListener<StreamConnection>) opened -> opened(opened, mine),
-                    OptionMap.create(Options.TCP_NODELAY, true));
-            future.addNotifier((done, nothing) -> {
-                if (done.getStatus() == IoFuture.Status.FAILED) {
-                    boolean refused = done.getException() instanceof ConnectException;
-                    loop.execute(() -> failed(mine, refused));
-                }
-            }, null);
-            loop.schedule(CONNECT_TIMEOUT_MICROS, () -> {
-                if (attempt == mine && connection == null) {
-                    future.cancel();
-                    failed(mine, false);
-                }
-            });
+            IoFuture<StreamConnection> future =
+                    thread.openStreamConnection(
+                            Addresses.parse(peer.address()),
+                            (ChannelListener<StreamConnection>) opened -> opened(opened, mine),
+                            OptionMap.create(Options.TCP_NODELAY, true));
+            future.addNotifier(
+                    (done, nothing) -> {
+                        if (done.getStatus() == IoFuture.Status.FAILED) {
+                            boolean refused = done.getException() instanceof ConnectException;
+                            loop.execute(() -> failed(mine, refused));
+                        }
+                    },
+                    null);
+            loop.schedule(
+                    CONNECT_TIMEOUT_MICROS,
+                    () -> {
+                        if (attempt == mine && connection == null) {
+                            future.cancel();
+                            failed(mine, false);
+                        }
+                    });
         }
 
         private void opened(StreamConnection opened, int mine) {
@@ -209,7 +220,10 @@
                     return;
                 }
             } catch (IOException e) {
-                LOG.debug("event=peer_connection_closed node={} error=\"{}\"", peer.label(), e.getMessage());
+                LOG.debug(
+                        "event=peer_connection_closed node={} error=\"{}\"",
+                        peer.label(),
+                        e.getMessage());
             }
             failed(mine, false);
         }
@@ -254,7 +268,10 @@
                 }
                 channel.suspendWrites();
             } catch (IOException e) {
-                LOG.debug("event=peer_connection_closed node={} error=\"{}\"", peer.label(), e.getMessage());
+                LOG.debug(
+                        "event=peer_connection_closed node={} error=\"{}\"",
+                        peer.label(),
+                        e.getMessage());
                 failed(mine, false);
             }
         }
--- a/src/main/java/org/woadloom/reads/JobReader.java
+++ b/src/main/java/org/woadloom/reads/JobReader.java
@@ -15,20 +15,26 @@
 import org.woadloom.state.StateClient.Urgency;
 import org.woadloom.wire.WireException;
 
-/** Reads one job by its keys. Only what never changes is kept: final states, and that a job was accepted. */
+/**
+ * Reads one job by its keys. Only what never changes is kept: final states, and that a job was
+ * accepted.
+ */
 public final class JobReader {
     private static final Logger LOG = LoggerFactory.getLogger(JobReader.class);
     private static final int MOST_KEPT = 20_000;
 
     private final StateClient state;
     private final Consumer<RecordFormat> formatSeen;
-    private final Cache<String, FinalRecord> finals = Caffeine.newBuilder().maximumSize(MOST_KEPT)
-            .executor(Runnable::run).build();
+    private final Cache<String, FinalRecord> finals =
+            Caffeine.newBuilder().maximumSize(MOST_KEPT).executor(Runnable::run).build();
+
     /** Jobs that are known to be accepted, which stays true; true for services. */
-    private final Cache<String, Boolean> accepted = Caffeine.newBuilder().maximumSize(MOST_KEPT)
-            .executor(Runnable::run).build();
+    private final Cache<String, Boolean> accepted =
+            Caffeine.newBuilder().maximumSize(MOST_KEPT).executor(Runnable::run).build();
 
-    /** @param formatSeen hears in which format a record is */
+    /**
+     * @param formatSeen hears in which format a record is
+     */
     public JobReader(StateClient state, Consumer<RecordFormat> formatSeen) {
         this.state = state;
         this.formatSeen = formatSeen;
@@ -49,7 +55,9 @@
         return known == null ? null : Looked.over(known);
     }
 
-    /** Reads a job from the store, unless its final state is known; null if the store does not say. */
+    /**
+     * Reads a job from the store, unless its final state is known; null if the store does not say.
+     */
     public void look(String uid, Consumer<Looked> consumer) {
         look(Urgency.NORMAL, uid, consumer);
     }
@@ -57,13 +65,16 @@
     /** The same; of a job that is known to be over the final state is read at once. */
     void look(String uid, boolean over, Consumer<Looked> consumer) {
         if (over && known(uid) == null) {
-            lookForFinal(Urgency.NORMAL, uid, looked -> {
-                if (looked == Looked.UNKNOWN) {
-                    look(uid, consumer);
-                } else {
-                    consumer.accept(looked);
-                }
-            });
+            lookForFinal(
+                    Urgency.NORMAL,
+                    uid,
+                    looked -> {
+                        if (looked == Looked.UNKNOWN) {
+                            look(uid, consumer);
+                        } else {
+                            consumer.accept(looked);
+                        }
+                    });
         } else {
             look(uid, consumer);
         }
@@ -76,39 +87,60 @@
             consumer.accept(known);
             return;
         }
-        state.get(urgency, Keys.job(uid), (result, entry, generation) -> {
-            if (result == Result.NOT_FOUND) {
-                lookForFinal(urgency, uid, consumer);
-            } else {
-                consumer.accept(result == Result.OK ? parse(uid, entry.value(), entry.stamp()) : null);
-            }
-        });
+        state.get(
+                urgency,
+                Keys.job(uid),
+                (result, entry, generation) -> {
+                    if (result == Result.NOT_FOUND) {
+                        lookForFinal(urgency, uid, consumer);
+                    } else {
+                        consumer.accept(
+                                result == Result.OK
+                                        ? parse(uid, entry.value(), entry.stamp())
+                                        : null);
+                    }
+                });
     }
 
-    /** Reads a job's record alone; null if the store does not say or there is none, which does not say that there is no job. */
+    /**
+     * Reads a job's record alone; null if the store does not say or there is none, which does not
+     * say that there is no job.
+     */
     public void lookForRecord(Urgency urgency, String uid, Consumer<Looked> consumer) {
-        state.get(urgency, Keys.job(uid), (result, entry, generation) -> consumer.accept(
-                result == Result.OK ? parse(uid, entry.value(), entry.stamp()) : null));
+        state.get(
+                urgency,
+                Keys.job(uid),
+                (result, entry, generation) ->
+                        consumer.accept(
+                                result == Result.OK
+                                        ? parse(uid, entry.value(), entry.stamp())
+                                        : null));
     }
 
-    /** A job moves from its record to its final state in one transaction, so this order of reading can't miss it. */
+    /**
+     * A job moves from its record to its final state in one transaction, so this order of reading
+     * can't miss it.
+     */
     private void lookForFinal(Urgency urgency, String uid, Consumer<Looked> consumer) {
-        state.get(urgency, Keys.finalState(uid), (result, entry, generation) -> {
-            Looked looked = null;
-            if (result == Result.NOT_FOUND) {
-                looked = Looked.UNKNOWN;
-            } else if (result == Result.OK) {
-                try {
-                    FinalRecord record = FinalRecord.parse(uid, entry.value());
-                    finals.put(uid, record);
-                    accepted.put(uid, record.service());
-                    looked = Looked.over(record);
-                } catch (WireException e) {
-                    // What can't be read says nothing.
-                }
-            }
-            consumer.accept(looked);
-        });
+        state.get(
+                urgency,
+                Keys.finalState(uid),
+                (result, entry, generation) -> {
+                    Looked looked = null;
+                    if (result == Result.NOT_FOUND) {
+                        looked = Looked.UNKNOWN;
+                    } else if (result == Result.OK) {
+                        try {
+                            FinalRecord record = FinalRecord.parse(uid, entry.value());
+                            finals.put(uid, record);
+                            accepted.put(uid, record.service());
+                            looked = Looked.over(record);
+                        } catch (WireException e) {
+                            // What can't be read says nothing.
+                        }
+                    }
+                    consumer.accept(looked);
+                });
     }
 
     /** What a job's record says; null for one of a later version. */
--- a/src/main/java/org/woadloom/reads/Looked.java
+++ b/src/main/java/org/woadloom/reads/Looked.java
@@ -11,7 +11,12 @@
  *
  * @param unread what is told of a record that is there and can't be read; null otherwise
  */
-public record Looked(JobRecord record, RecordFormat format, long stamp, FinalRecord finalState, JobStatus unread) {
+public record Looked(
+        JobRecord record,
+        RecordFormat format,
+        long stamp,
+        FinalRecord finalState,
+        JobStatus unread) {
     static final Looked UNKNOWN = new Looked(null, null, 0, null, null);
 
     static Looked of(JobRecord record, RecordFormat format, long stamp) {
@@ -23,12 +28,18 @@
     }
 
     /**
-     * A job that has a record was accepted and has no final state yet, whatever else can't be read; that it was cancelled is
-     * said by a field of its own. More is not known, and it is neither forgotten nor over.
+     * A job that has a record was accepted and has no final state yet, whatever else can't be read;
+     * that it was cancelled is said by a field of its own. More is not known, and it is neither
+     * forgotten nor over.
      */
     static Looked unreadable(String uid, Map<String, Object> value, long stamp) {
         boolean cancelled = value != null && Boolean.TRUE.equals(value.get("cancelled"));
-        return new Looked(null, null, stamp, null, new JobStatus(uid, cancelled ? "cancelled" : "queued", -1, 0));
+        return new Looked(
+                null,
+                null,
+                stamp,
+                null,
+                new JobStatus(uid, cancelled ? "cancelled" : "queued", -1, 0));
     }
 
     /** Null for a job that was never accepted. */
@@ -37,6 +48,8 @@
     }
 
     public boolean service() {
-        return finalState != null ? finalState.service() : record != null && record.description().service();
+        return finalState != null
+                ? finalState.service()
+                : record != null && record.description().service();
     }
 }
--- a/src/main/java/org/woadloom/reads/SharedReads.java
+++ b/src/main/java/org/woadloom/reads/SharedReads.java
@@ -20,21 +20,26 @@
 import org.woadloom.wire.JobStatus;
 
 /**
- * What users who poll are told. They share their reads: one request for all that has changed since the last one serves
- * everybody who asked before it was sent, however many jobs they ask for. So each answer rests on a read that began after
- * its question came, as if each had been read by itself, and nobody is told anything older than what any node told before.
+ * What users who poll are told. They share their reads: one request for all that has changed since
+ * the last one serves everybody who asked before it was sent, however many jobs they ask for. So
+ * each answer rests on a read that began after its question came, as if each had been read by
+ * itself, and nobody is told anything older than what any node told before.
  *
- * <p>A read that takes long would hold up everybody, so another one is sent after a while, and the first answer counts.
+ * <p>A read that takes long would hold up everybody, so another one is sent after a while, and the
+ * first answer counts.
  *
- * <p>Only jobs that were asked for lately are remembered. After a gap all of them are forgotten and read again by key: then
- * the changes that were missed may be many.
+ * <p>Only jobs that were asked for lately are remembered. After a gap all of them are forgotten and
+ * read again by key: then the changes that were missed may be many.
  */
 public final class SharedReads {
     /** The part of the service's requests that the rounds of all nodes together may take. */
     private static final double PART = 0.1;
+
     private static final long LEAST_PAUSE_MICROS = 100_000;
+
     /** So many changes are read at most after a gap, as all of them come in one answer. */
     private static final double MOST_CHANGES = 1_500;
+
     private static final long LEAST_GAP_MICROS = 3_000_000;
     private static final long SLOW_MICROS = 400_000;
     private static final int MOST_UNDER_WAY = 4;
@@ -44,12 +49,12 @@
     public record Shown(JobStatus status, List<String> awaits) {
         public static Shown of(Looked looked) {
             boolean waits = looked.record() != null && !looked.record().cancelled();
-            return new Shown(looked.status(), waits ? looked.record().description().awaits() : List.of());
+            return new Shown(
+                    looked.status(), waits ? looked.record().description().awaits() : List.of());
         }
     }
 
-    private record Question(long number, String uid, Consumer<Shown> answer) {
-    }
+    private record Question(long number, String uid, Consumer<Shown> answer) {}
 
     /** A job as of the last round: read already, or as the store gave it. */
     private static final class Remembered {
@@ -66,6 +71,7 @@
     /** A job that is being read by key, for the first question or several. */
     private static final class Reading {
         final List<Consumer<Shown>> waiting = new ArrayList<>();
+
         /** The latest change that rounds have told of since it began: the read may be older. */
         Event latest;
     }
@@ -75,31 +81,51 @@
     private final JobReader reader;
     private final long pauseMicros;
     private final long gapMicros;
-    private final Cache<String, Remembered> remembered = Caffeine.newBuilder().maximumSize(MOST_REMEMBERED)
-            .executor(Runnable::run).build();
-    /** Jobs whose record is gone: it never comes back, so only their final state is left to be read. */
-    private final Cache<String, Long> over = Caffeine.newBuilder().maximumSize(MOST_REMEMBERED).executor(Runnable::run).build();
+    private final Cache<String, Remembered> remembered =
+            Caffeine.newBuilder().maximumSize(MOST_REMEMBERED).executor(Runnable::run).build();
+
+    /**
+     * Jobs whose record is gone: it never comes back, so only their final state is left to be read.
+     */
+    private final Cache<String, Long> over =
+            Caffeine.newBuilder().maximumSize(MOST_REMEMBERED).executor(Runnable::run).build();
+
     private Map<String, Reading> reading = new HashMap<>();
+
     /** What was asked and is not answered, the first first. */
     private final ArrayDeque<Question> asked = new ArrayDeque<>();
+
     private long lastAsked;
+
     /** The last question when a round last began: there is a round under way for all up to it. */
     private long lastCovered;
+
     private long lastRoundMicros = Long.MIN_VALUE / 2;
     private int underWay;
     private Loop.Timer timer;
     private long nextLookMicros;
-    /** Changes with each gap: what a round of an earlier one tells leaves out what was forgotten since. */
+
+    /**
+     * Changes with each gap: what a round of an earlier one tells leaves out what was forgotten
+     * since.
+     */
     private long era;
+
     /** The generation up to which everything remembered is true, -1 for none. */
     private long since = -1;
+
     private long sinceMicros;
 
     /**
      * @param limits what the state service takes from all nodes
      * @param nodes how many nodes there are
      */
-    public SharedReads(Loop loop, StateClient state, JobReader reader, ServiceSettings.State limits, int nodes) {
+    public SharedReads(
+            Loop loop,
+            StateClient state,
+            JobReader reader,
+            ServiceSettings.State limits,
+            int nodes) {
         this.loop = loop;
         this.state = state;
         this.reader = reader;
@@ -120,8 +146,10 @@
 
     private void lookSoon() {
         long now = loop.nowMicros();
-        long next = underWay >= MOST_UNDER_WAY ? now + pauseMicros
-                : lastRoundMicros + (lastAsked > lastCovered ? pauseMicros : SLOW_MICROS);
+        long next =
+                underWay >= MOST_UNDER_WAY
+                        ? now + pauseMicros
+                        : lastRoundMicros + (lastAsked > lastCovered ? pauseMicros : SLOW_MICROS);
         if (asked.isEmpty() || timer != null && nextLookMicros <= next) {
             return;
         }
@@ -129,11 +157,14 @@
             timer.cancel();
         }
         nextLookMicros = next;
-        timer = loop.schedule(Math.max(1, next - now), () -> {
-            timer = null;
-            look();
-            lookSoon();
-        });
+        timer =
+                loop.schedule(
+                        Math.max(1, next - now),
+                        () -> {
+                            timer = null;
+                            look();
+                            lookSoon();
+                        });
     }
 
     /** Begins a round if there is anybody whom none is for, or if the last one takes long. */
@@ -154,23 +185,27 @@
         } else {
             readChanges(upTo, now);
             if (underWay > 1) {
-                ifServed(upTo, () -> {
-                }, () -> {
-                });
+                ifServed(upTo, () -> {}, () -> {});
             }
         }
     }
 
-    /** In an outage those who ask are told at once: a read of changes hangs then, a plain one does not. */
+    /**
+     * In an outage those who ask are told at once: a read of changes hangs then, a plain one does
+     * not.
+     */
     private void ifServed(long upTo, Runnable served, Runnable refused) {
-        state.get(Urgency.USER, Keys.NOTHING, (result, entry, generation) -> {
-            if (result == Result.UNAVAILABLE) {
-                refused.run();
-                answered(upTo, question -> question.answer.accept(null));
-            } else {
-                served.run();
-            }
-        });
+        state.get(
+                Urgency.USER,
+                Keys.NOTHING,
+                (result, entry, generation) -> {
+                    if (result == Result.UNAVAILABLE) {
+                        refused.run();
+                        answered(upTo, question -> question.answer.accept(null));
+                    } else {
+                        served.run();
+                    }
+                });
     }
 
     private void readChanges(long upTo, long now) {
@@ -180,25 +215,30 @@
             return;
         }
         long ofEra = era;
-        state.changes(Urgency.USER, Keys.JOBS, since, (result, events, generation) -> {
-            underWay--;
-            if (ofEra != era) {
-                return;
-            }
-            if (result == Result.OK) {
-                // Where another answer came first that tells more, what this one leaves out will not be told again.
-                Set<String> askedFor = generation >= since ? askedFor(upTo) : Set.of();
-                events.forEach(event -> changed(event, askedFor));
-                told(generation, now);
-                answered(upTo, this::answer);
-            } else if (result == Result.NOT_FOUND) {
-                // Changes are kept for a while only.
-                underWay++;
-                beginAnew(lastAsked, loop.nowMicros());
-            } else {
-                answered(upTo, question -> question.answer.accept(null));
-            }
-        });
+        state.changes(
+                Urgency.USER,
+                Keys.JOBS,
+                since,
+                (result, events, generation) -> {
+                    underWay--;
+                    if (ofEra != era) {
+                        return;
+                    }
+                    if (result == Result.OK) {
+                        // Where another answer came first that tells more, what this one leaves out
+                        // will not be told again.
+                        Set<String> askedFor = generation >= since ? askedFor(upTo) : Set.of();
+                        events.forEach(event -> changed(event, askedFor));
+                        told(generation, now);
+                        answered(upTo, this::answer);
+                    } else if (result == Result.NOT_FOUND) {
+                        // Changes are kept for a while only.
+                        underWay++;
+                        beginAnew(lastAsked, loop.nowMicros());
+                    } else {
+                        answered(upTo, question -> question.answer.accept(null));
+                    }
+                });
     }
 
     private void told(long generation, long asOfMicros) {
@@ -212,7 +252,9 @@
         }
     }
 
-    /** Changes were missed: nothing that is remembered, or being read, says how things stand now. */
+    /**
+     * Changes were missed: nothing that is remembered, or being read, says how things stand now.
+     */
     private void beginAnew(long upTo, long now) {
         if (since >= 0) {
             remembered.invalidateAll();
@@ -222,19 +264,23 @@
         }
         long ofEra = era;
         // The answer for a key that is not there names the generation.
-        state.get(Urgency.USER, Keys.NOTHING, (result, entry, generation) -> {
-            underWay--;
-            if (ofEra != era || since >= 0) {
-                // Another answer came first, and what happened between the two must still be read.
-                return;
-            }
-            if (result == Result.NOT_FOUND) {
-                told(generation, now);
-                answered(upTo, this::answer);
-            } else {
-                answered(upTo, question -> question.answer.accept(null));
-            }
-        });
+        state.get(
+                Urgency.USER,
+                Keys.NOTHING,
+                (result, entry, generation) -> {
+                    underWay--;
+                    if (ofEra != era || since >= 0) {
+                        // Another answer came first, and what happened between the two must still
+                        // be read.
+                        return;
+                    }
+                    if (result == Result.NOT_FOUND) {
+                        told(generation, now);
+                        answered(upTo, this::answer);
+                    } else {
+                        answered(upTo, question -> question.answer.accept(null));
+                    }
+                });
     }
 
     private Set<String> askedFor(long upTo) {
@@ -248,14 +294,20 @@
         return uids;
     }
 
-    /** @param askedFor the jobs for whose questions this was read: its changes tell of them as well as a read by key */
+    /**
+     * @param askedFor the jobs for whose questions this was read: its changes tell of them as well
+     *     as a read by key
+     */
     private void changed(Event event, Set<String> askedFor) {
         String uid = event.path().substring(Keys.JOBS.length());
         if (event.value() == null) {
             over.put(uid, event.stamp());
         }
         Remembered job = remembered.getIfPresent(uid);
-        if (job == null && event.value() != null && askedFor.contains(uid) && !reading.containsKey(uid)) {
+        if (job == null
+                && event.value() != null
+                && askedFor.contains(uid)
+                && !reading.containsKey(uid)) {
             job = new Remembered(0, null);
             remembered.put(uid, job);
         }
@@ -305,22 +357,27 @@
     }
 
     private void read(String uid, Reading read) {
-        reader.look(uid, over.getIfPresent(uid) != null, looked -> {
-            Looked latest = looked;
-            if (looked != null && looked.finalState() == null && read.latest != null
-                    && read.latest.stamp() > looked.stamp()) {
-                if (read.latest.value() == null) {
-                    read.latest = null;
-                    read(uid, read);
-                    return;
-                }
-                latest = reader.parse(uid, read.latest.value(), read.latest.stamp());
-            }
-            Shown shown = latest == null ? null : Shown.of(latest);
-            if (reading.remove(uid, read) && latest != null && latest.record() != null) {
-                remembered.put(uid, new Remembered(latest.stamp(), shown));
-            }
-            read.waiting.forEach(answer -> answer.accept(shown));
-        });
+        reader.look(
+                uid,
+                over.getIfPresent(uid) != null,
+                looked -> {
+                    Looked latest = looked;
+                    if (looked != null
+                            && looked.finalState() == null
+                            && read.latest != null
+                            && read.latest.stamp() > looked.stamp()) {
+                        if (read.latest.value() == null) {
+                            read.latest = null;
+                            read(uid, read);
+                            return;
+                        }
+                        latest = reader.parse(uid, read.latest.value(), read.latest.stamp());
+                    }
+                    Shown shown = latest == null ? null : Shown.of(latest);
+                    if (reading.remove(uid, read) && latest != null && latest.record() != null) {
+                        remembered.put(uid, new Remembered(latest.stamp(), shown));
+                    }
+                    read.waiting.forEach(answer -> answer.accept(shown));
+                });
     }
 }
--- a/src/main/java/org/woadloom/reads/Unanswered.java
+++ b/src/main/java/org/woadloom/reads/Unanswered.java
@@ -8,17 +8,21 @@
 import org.woadloom.net.Loop;
 
 /**
- * For how long each job has been asked about here in vain while the store was well. Whatever picks out one job again and
- * again, a job that nobody can be told about is as good as forgotten: its users go before everybody else's after a while, and
- * the log and a meter name it.
+ * For how long each job has been asked about here in vain while the store was well. Whatever picks
+ * out one job again and again, a job that nobody can be told about is as good as forgotten: its
+ * users go before everybody else's after a while, and the log and a meter name it.
  */
 public final class Unanswered {
     private static final Logger LOG = LoggerFactory.getLogger(Unanswered.class);
+
     /** A job that went without an answer for so long is read by itself. */
     private static final long FIRST_MICROS = 10_000_000;
+
     private static final long TELL_MICROS = 20_000_000;
+
     /** Users ask every five seconds or so: whoever has stopped asking is not kept waiting. */
     private static final long FORGET_S = 30;
+
     private static final int MOST_KEPT = 10_000;
 
     private final Loop loop;
@@ -27,15 +31,22 @@
 
     public Unanswered(Loop loop) {
         this.loop = loop;
-        since = Caffeine.newBuilder().maximumSize(MOST_KEPT).executor(Runnable::run)
-                .ticker(() -> loop.nowMicros() * 1_000).expireAfterAccess(FORGET_S, TimeUnit.SECONDS).build();
+        since =
+                Caffeine.newBuilder()
+                        .maximumSize(MOST_KEPT)
+                        .executor(Runnable::run)
+                        .ticker(() -> loop.nowMicros() * 1_000)
+                        .expireAfterAccess(FORGET_S, TimeUnit.SECONDS)
+                        .build();
     }
 
     public void answered(String uid) {
         since.invalidate(uid);
     }
 
-    /** @param served the store has answered others meanwhile: it is not an outage */
+    /**
+     * @param served the store has answered others meanwhile: it is not an outage
+     */
     public void refused(String uid, boolean served) {
         if (!served) {
             since.invalidate(uid);
@@ -45,8 +56,11 @@
         long from = since.get(uid, key -> now);
         if (now - from >= TELL_MICROS && now - toldMicros >= TELL_MICROS) {
             toldMicros = now;
-            LOG.warn("event=job_unanswered job={} since_s={} unanswered_jobs={}", uid,
-                    (now - from) / 1_000_000, since.estimatedSize());
+            LOG.warn(
+                    "event=job_unanswered job={} since_s={} unanswered_jobs={}",
+                    uid,
+                    (now - from) / 1_000_000,
+                    since.estimatedSize());
         }
     }
 
--- a/src/main/java/org/woadloom/settings/OperatorSettings.java
+++ b/src/main/java/org/woadloom/settings/OperatorSettings.java
@@ -3,19 +3,38 @@
 import java.util.Locale;
 
 /** The operators' own settings, each with a default. Durations are microseconds. */
-public record OperatorSettings(long reservationTtlMicros, long reservationRenewMicros, double bigTaskShare, double headroom,
-        long idleReturnMicros, long quarantineMicros, boolean care, long soakMicros, double rewriteShare) {
+public record OperatorSettings(
+        long reservationTtlMicros,
+        long reservationRenewMicros,
+        double bigTaskShare,
+        double headroom,
+        long idleReturnMicros,
+        long quarantineMicros,
+        boolean care,
+        long soakMicros,
+        double rewriteShare) {
 
     public static OperatorSettings defaults() {
-        return new OperatorSettings(60_000_000, 20_000_000, 0.5, 0.25, 45_000_000, 120_000_000, true, 10_000_000, 0.1);
+        return new OperatorSettings(
+                60_000_000, 20_000_000, 0.5, 0.25, 45_000_000, 120_000_000, true, 10_000_000, 0.1);
     }
 
     /** The settings as lines of the file that would set them. */
     public String describe() {
-        return String.format(Locale.ROOT, "reservation.ttl_s = %s%nreservation.renew_s = %s%n"
-                + "reservation.big_task_share = %s%ncapacity.headroom = %s%ncapacity.idle_return_s = %s%n"
-                + "machines.quarantine_s = %s%nzones.care = %s%nrollout.soak_s = %s%nrollout.rewrite_share = %s%n", reservationTtlMicros / 1e6, reservationRenewMicros / 1e6,
-                bigTaskShare, headroom, idleReturnMicros / 1e6, quarantineMicros / 1e6, care, soakMicros / 1e6,
+        return String.format(
+                Locale.ROOT,
+                "reservation.ttl_s = %s%nreservation.renew_s = %s%nreservation.big_task_share ="
+                        + " %s%ncapacity.headroom = %s%ncapacity.idle_return_s ="
+                        + " %s%nmachines.quarantine_s = %s%nzones.care = %s%nrollout.soak_s ="
+                        + " %s%nrollout.rewrite_share = %s%n",
+                reservationTtlMicros / 1e6,
+                reservationRenewMicros / 1e6,
+                bigTaskShare,
+                headroom,
+                idleReturnMicros / 1e6,
+                quarantineMicros / 1e6,
+                care,
+                soakMicros / 1e6,
                 rewriteShare);
     }
 }
--- a/src/main/java/org/woadloom/settings/OperatorSettingsFile.java
+++ b/src/main/java/org/woadloom/settings/OperatorSettingsFile.java
@@ -9,10 +9,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the operators' HCL file. An unknown key is an error: it is a setting that would silently not apply. */
+/**
+ * Reads the operators' HCL file. An unknown key is an error: it is a setting that would silently
+ * not apply.
+ */
 public final class OperatorSettingsFile {
-    private OperatorSettingsFile() {
-    }
+    private OperatorSettingsFile() {}
 
     public static OperatorSettings read(Path path) throws SettingsException {
         try {
@@ -30,26 +32,30 @@
             throw new SettingsException(file + ": not HCL: " + e.getMessage());
         }
         OperatorSettings d = OperatorSettings.defaults();
-        OperatorSettings result = new OperatorSettings(
-                micros(file, flat, "reservation.ttl_s", d.reservationTtlMicros()),
-                micros(file, flat, "reservation.renew_s", d.reservationRenewMicros()),
-                number(file, flat, "reservation.big_task_share", d.bigTaskShare(), 0.01, 1),
-                number(file, flat, "capacity.headroom", d.headroom(), 0, 10),
-                micros(file, flat, "capacity.idle_return_s", d.idleReturnMicros()),
-                micros(file, flat, "machines.quarantine_s", d.quarantineMicros()),
-                flag(file, flat, "zones.care", d.care()),
-                micros(file, flat, "rollout.soak_s", d.soakMicros()),
-                number(file, flat, "rollout.rewrite_share", d.rewriteShare(), 0.01, 0.5));
+        OperatorSettings result =
+                new OperatorSettings(
+                        micros(file, flat, "reservation.ttl_s", d.reservationTtlMicros()),
+                        micros(file, flat, "reservation.renew_s", d.reservationRenewMicros()),
+                        number(file, flat, "reservation.big_task_share", d.bigTaskShare(), 0.01, 1),
+                        number(file, flat, "capacity.headroom", d.headroom(), 0, 10),
+                        micros(file, flat, "capacity.idle_return_s", d.idleReturnMicros()),
+                        micros(file, flat, "machines.quarantine_s", d.quarantineMicros()),
+                        flag(file, flat, "zones.care", d.care()),
+                        micros(file, flat, "rollout.soak_s", d.soakMicros()),
+                        number(file, flat, "rollout.rewrite_share", d.rewriteShare(), 0.01, 0.5));
         if (!flat.isEmpty()) {
-            throw new SettingsException(file + ": " + flat.keySet().iterator().next() + ": no such setting");
+            throw new SettingsException(
+                    file + ": " + flat.keySet().iterator().next() + ": no such setting");
         }
         if (result.reservationRenewMicros() >= result.reservationTtlMicros()) {
-            throw new SettingsException(file + ": reservation.renew_s: expected less than reservation.ttl_s");
+            throw new SettingsException(
+                    file + ": reservation.renew_s: expected less than reservation.ttl_s");
         }
         return result;
     }
 
-    private static void flatten(String file, String prefix, Map<?, ?> map, Map<String, Object> into) {
+    private static void flatten(
+            String file, String prefix, Map<?, ?> map, Map<String, Object> into) {
         for (Map.Entry<?, ?> entry : map.entrySet()) {
             String key = prefix + entry.getKey();
             Object value = entry.getValue();
@@ -69,7 +75,8 @@
         return Math.round(number(file, flat, key, otherwise / 1e6, 0.1, 86_400) * 1e6);
     }
 
-    private static boolean flag(String file, Map<String, Object> flat, String key, boolean otherwise)
+    private static boolean flag(
+            String file, Map<String, Object> flat, String key, boolean otherwise)
             throws SettingsException {
         if (!flat.containsKey(key)) {
             return otherwise;
@@ -80,15 +87,24 @@
         throw new SettingsException(file + ": " + key + ": expected true or false");
     }
 
-    private static double number(String file, Map<String, Object> flat, String key, double otherwise, double least,
-            double most) throws SettingsException {
+    private static double number(
+            String file,
+            Map<String, Object> flat,
+            String key,
+            double otherwise,
+            double least,
+            double most)
+            throws SettingsException {
         if (!flat.containsKey(key)) {
             return otherwise;
         }
         Object value = flat.remove(key);
-        if (value instanceof Number number && number.doubleValue() >= least && number.doubleValue() <= most) {
+        if (value instanceof Number number
+                && number.doubleValue() >= least
+                && number.doubleValue() <= most) {
             return number.doubleValue();
         }
-        throw new SettingsException(file + ": " + key + ": expected a number from " + least + " to " + most);
+        throw new SettingsException(
+                file + ": " + key + ": expected a number from " + least + " to " + most);
     }
 }
--- a/src/main/java/org/woadloom/settings/Sanity.java
+++ b/src/main/java/org/woadloom/settings/Sanity.java
@@ -5,21 +5,29 @@
 import java.util.List;
 import java.util.Set;
 
-/** Settings that can be read and can't work together. Each problem names the fields and their values. */
+/**
+ * Settings that can be read and can't work together. Each problem names the fields and their
+ * values.
+ */
 public final class Sanity {
-    private Sanity() {
-    }
+    private Sanity() {}
 
     public static List<String> problems(ServiceSettings settings) {
         List<String> problems = new ArrayList<>();
         ServiceSettings.Workers workers = settings.workers();
         if (workers.leaseMicros() < 2 * workers.reportMicros()) {
-            problems.add(String.format("deployment.workers.lease_s = %s: shorter than two reports (report_s = %s), so one lost answer ends it",
-                    seconds(workers.leaseMicros()), seconds(workers.reportMicros())));
+            problems.add(
+                    String.format(
+                            "deployment.workers.lease_s = %s: shorter than two reports (report_s ="
+                                    + " %s), so one lost answer ends it",
+                            seconds(workers.leaseMicros()), seconds(workers.reportMicros())));
         }
         if (workers.cancelMicros() <= workers.leaseMicros()) {
-            problems.add(String.format("deployment.workers.cancel_s = %s: no longer than a lease (lease_s = %s), which is what ends tasks that"
-                    + " can't be reached", seconds(workers.cancelMicros()), seconds(workers.leaseMicros())));
+            problems.add(
+                    String.format(
+                            "deployment.workers.cancel_s = %s: no longer than a lease (lease_s ="
+                                    + " %s), which is what ends tasks that can't be reached",
+                            seconds(workers.cancelMicros()), seconds(workers.leaseMicros())));
         }
         inZones(problems, settings, "area", settings.area());
         Set<String> labels = new HashSet<>(Set.of(settings.label()));
@@ -35,8 +43,15 @@
                 problems.add("deployment.teams: " + team.name() + " is named twice");
             }
             if (team.cpus() > team.cpusMax() || team.gpus() > team.gpusMax()) {
-                problems.add(String.format("deployment.teams: %s is guaranteed cpus = %s and gpus = %s, more than cpus_max = %s and gpus_max = %s"
-                        + " allow", team.name(), team.cpus(), team.gpus(), team.cpusMax(), team.gpusMax()));
+                problems.add(
+                        String.format(
+                                "deployment.teams: %s is guaranteed cpus = %s and gpus = %s, more"
+                                        + " than cpus_max = %s and gpus_max = %s allow",
+                                team.name(),
+                                team.cpus(),
+                                team.gpus(),
+                                team.cpusMax(),
+                                team.gpusMax()));
             }
         }
         if (settings.teams().isEmpty()) {
@@ -45,10 +60,15 @@
         return problems;
     }
 
-    /** No machine is rented elsewhere, so a node there has no worker near it and nothing to care for. */
-    private static void inZones(List<String> problems, ServiceSettings settings, String field, String value) {
+    /**
+     * No machine is rented elsewhere, so a node there has no worker near it and nothing to care
+     * for.
+     */
+    private static void inZones(
+            List<String> problems, ServiceSettings settings, String field, String value) {
         if (!settings.zones().contains(value)) {
-            problems.add(field + " = " + value + ": not one of deployment.zones " + settings.zones());
+            problems.add(
+                    field + " = " + value + ": not one of deployment.zones " + settings.zones());
         }
     }
 
--- a/src/main/java/org/woadloom/settings/Section.java
+++ b/src/main/java/org/woadloom/settings/Section.java
@@ -76,7 +76,8 @@
     }
 
     double number(String key, double least) throws SettingsException {
-        if (value(key) instanceof Number number && number.doubleValue() >= least
+        if (value(key) instanceof Number number
+                && number.doubleValue() >= least
                 && Double.isFinite(number.doubleValue())) {
             return number.doubleValue();
         }
--- a/src/main/java/org/woadloom/settings/ServiceSettingsFile.java
+++ b/src/main/java/org/woadloom/settings/ServiceSettingsFile.java
@@ -9,10 +9,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads the TOML file that the platform hands over. Unknown fields are ignored: the platform may add some. */
+/**
+ * Reads the TOML file that the platform hands over. Unknown fields are ignored: the platform may
+ * add some.
+ */
 public final class ServiceSettingsFile {
-    private ServiceSettingsFile() {
-    }
+    private ServiceSettingsFile() {}
 
     public static ServiceSettings read(Path path) throws SettingsException {
         String text;
@@ -24,7 +26,10 @@
         return parse(path.toString(), text);
     }
 
-    /** The limits in force, and those announced in {@code next}, where what is not named stays as it is. */
+    /**
+     * The limits in force, and those announced in {@code next}, where what is not named stays as it
+     * is.
+     */
     private static ServiceSettings.State stateLimits(Section state) throws SettingsException {
         double rps = state.number("rps", 1);
         double writeRps = state.number("write_rps", 1);
@@ -33,9 +38,13 @@
         ServiceSettings.State next = null;
         if (state.has("next")) {
             Section later = state.table("next");
-            next = new ServiceSettings.State(later.numberOr("rps", 1, rps), later.numberOr("write_rps", 1, writeRps),
-                    (int) (later.numberOr("value_kb", 1, valueKb) * 1024), (int) later.numberOr("txn_ops", 2, txnOps),
-                    null);
+            next =
+                    new ServiceSettings.State(
+                            later.numberOr("rps", 1, rps),
+                            later.numberOr("write_rps", 1, writeRps),
+                            (int) (later.numberOr("value_kb", 1, valueKb) * 1024),
+                            (int) later.numberOr("txn_ops", 2, txnOps),
+                            null);
         }
         return new ServiceSettings.State(rps, writeRps, (int) (valueKb * 1024), (int) txnOps, next);
     }
@@ -56,26 +65,48 @@
         Section deployment = root.table("deployment");
         List<Team> teams = new ArrayList<>();
         for (Section s : deployment.tables("teams")) {
-            teams.add(new Team(s.text("name"), s.numberOr("cpus", 0, 0), s.numberOr("cpus_max", 0, 0),
-                    s.numberOr("gpus", 0, 0), s.numberOr("gpus_max", 0, 0)));
+            teams.add(
+                    new Team(
+                            s.text("name"),
+                            s.numberOr("cpus", 0, 0),
+                            s.numberOr("cpus_max", 0, 0),
+                            s.numberOr("gpus", 0, 0),
+                            s.numberOr("gpus_max", 0, 0)));
         }
         List<Objective> objectives = new ArrayList<>();
         for (Section s : deployment.tables("objectives")) {
-            objectives.add(new Objective(s.textOr("kind", ""), s.textOr("class", ""), s.numberOr("within_s", 0, 0),
-                    s.numberOr("share", 0, 0), s.numberOr("times", 1, 0)));
+            objectives.add(
+                    new Objective(
+                            s.textOr("kind", ""),
+                            s.textOr("class", ""),
+                            s.numberOr("within_s", 0, 0),
+                            s.numberOr("share", 0, 0),
+                            s.numberOr("times", 1, 0)));
         }
         Section workers = deployment.table("workers");
         Section state = deployment.table("state");
         Section cloud = deployment.table("cloud");
         Section resources = deployment.table("resources");
-        return new ServiceSettings(root.text("label"), root.text("area"), root.address("bind"),
-                root.address("peer_bind"), List.copyOf(peers), outside.address("cloud"), outside.address("state"),
-                List.copyOf(deployment.texts("zones")), List.copyOf(teams), List.copyOf(objectives),
-                new ServiceSettings.Workers(workers.micros("report_s", 0.01), workers.micros("lease_s", 0.1),
+        return new ServiceSettings(
+                root.text("label"),
+                root.text("area"),
+                root.address("bind"),
+                root.address("peer_bind"),
+                List.copyOf(peers),
+                outside.address("cloud"),
+                outside.address("state"),
+                List.copyOf(deployment.texts("zones")),
+                List.copyOf(teams),
+                List.copyOf(objectives),
+                new ServiceSettings.Workers(
+                        workers.micros("report_s", 0.01),
+                        workers.micros("lease_s", 0.1),
                         workers.micros("cancel_s", 0.1)),
                 stateLimits(state),
                 new ServiceSettings.Cloud(cloud.number("rps", 0.01), cloud.micros("list_lag_s", 0)),
-                new ServiceSettings.Resources(resources.number("cpu_share", 0.001), resources.number("ram_mb", 1),
+                new ServiceSettings.Resources(
+                        resources.number("cpu_share", 0.001),
+                        resources.number("ram_mb", 1),
                         (int) resources.number("fd_limit", 16)));
     }
 }
--- a/src/main/java/org/woadloom/settings/Team.java
+++ b/src/main/java/org/woadloom/settings/Team.java
@@ -1,5 +1,4 @@
 package org.woadloom.settings;
 
 /** A team's guarantee and its hard limit. */
-public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
-}
+public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
--- a/src/main/java/org/woadloom/state/Budget.java
+++ b/src/main/java/org/woadloom/state/Budget.java
@@ -28,7 +28,10 @@
         lastMicros = Math.max(lastMicros, now);
     }
 
-    /** How long until the given number may be taken; something larger than the bucket waits for a full one. */
+    /**
+     * How long until the given number may be taken; something larger than the bucket waits for a
+     * full one.
+     */
     public long waitMicros(long now, int count) {
         refill(now);
         double missing = Math.min(count, capacity) - tokens;
--- a/src/main/java/org/woadloom/state/FinalRecord.java
+++ b/src/main/java/org/woadloom/state/FinalRecord.java
@@ -7,10 +7,11 @@
 import org.woadloom.wire.WireException;
 
 /**
- * What is kept of a job for ever once it is over and none of its tasks can be on a machine. Version 1 wrote neither when
- * that was (0 here) nor that the job was a service, and passes over both.
+ * What is kept of a job for ever once it is over and none of its tasks can be on a machine. Version
+ * 1 wrote neither when that was (0 here) nor that the job was a service, and passes over both.
  */
-public record FinalRecord(String uid, boolean cancelled, int done, long wallMicros, boolean service) {
+public record FinalRecord(
+        String uid, boolean cancelled, int done, long wallMicros, boolean service) {
     public JobStatus status() {
         return new JobStatus(uid, cancelled ? "cancelled" : "done", done, 0);
     }
@@ -30,7 +31,11 @@
 
     public static FinalRecord parse(String uid, Map<String, Object> map) throws WireException {
         Fields f = new Fields(map);
-        return new FinalRecord(uid, f.text("status").equals("cancelled"), (int) f.integerOr("done", 0),
-                f.integerOr("at", 0), f.flagOr("service", false));
+        return new FinalRecord(
+                uid,
+                f.text("status").equals("cancelled"),
+                (int) f.integerOr("done", 0),
+                f.integerOr("at", 0),
+                f.flagOr("service", false));
     }
 }
--- a/src/main/java/org/woadloom/state/InFlight.java
+++ b/src/main/java/org/woadloom/state/InFlight.java
@@ -2,13 +2,18 @@
 
 import java.util.ArrayDeque;
 
-/** The requests that have been sent and have no answer yet, in the order in which they were sent. */
+/**
+ * The requests that have been sent and have no answer yet, in the order in which they were sent.
+ */
 final class InFlight {
-    /** A request that was sent so long ago, and that later ones have overtaken, is not waited for. */
+    /**
+     * A request that was sent so long ago, and that later ones have overtaken, is not waited for.
+     */
     private static final long OVERTAKEN_MICROS = 300_000;
 
     private final ArrayDeque<Sent> requests = new ArrayDeque<>();
     private long sent;
+
     /** The last one sent of those that were answered. */
     private long latestAnswered;
 
@@ -34,7 +39,9 @@
         return request;
     }
 
-    /** @param response whether the service has said anything */
+    /**
+     * @param response whether the service has said anything
+     */
     void done(Sent request, boolean response) {
         request.answered = true;
         requests.remove(request);
--- a/src/main/java/org/woadloom/state/JobRecord.java
+++ b/src/main/java/org/woadloom/state/JobRecord.java
@@ -11,27 +11,44 @@
 import org.woadloom.wire.WireException;
 
 /**
- * The one durable record of a job that is not over, or that still may have tasks on machines. {@code version} tells
- * the leader that wrote it which of its writes this is, so that a write whose answer was lost can be recognised.
- * {@code readyWallMicros} is when the last job that it waited for was done, 0 for a job that waited for none, or that waits
- * still; once it is set, the description names no jobs any more.
+ * The one durable record of a job that is not over, or that still may have tasks on machines.
+ * {@code version} tells the leader that wrote it which of its writes this is, so that a write whose
+ * answer was lost can be recognised. {@code readyWallMicros} is when the last job that it waited
+ * for was done, 0 for a job that waited for none, or that waits still; once it is set, the
+ * description names no jobs any more.
  */
-public record JobRecord(JobDescription description, long submittedWallMicros, long readyWallMicros, boolean cancelled,
-        BitSet done, List<Placed> placed, int running, long term, long version) {
+public record JobRecord(
+        JobDescription description,
+        long submittedWallMicros,
+        long readyWallMicros,
+        boolean cancelled,
+        BitSet done,
+        List<Placed> placed,
+        int running,
+        long term,
+        long version) {
 
     /** The version of the compact format. */
     private static final int FORMAT = 2;
 
     /** Tasks that may be on a machine under one attempt. */
-    public record Placed(String host, long attempt, BitSet tasks) {
-    }
+    public record Placed(String host, long attempt, BitSet tasks) {}
 
     public static JobRecord accepted(JobDescription description, long wallMicros) {
         return new JobRecord(description, wallMicros, 0, false, new BitSet(), List.of(), 0, 0, 0);
     }
 
     public JobRecord asCancelled() {
-        return new JobRecord(description, submittedWallMicros, readyWallMicros, true, done, placed, 0, term, version);
+        return new JobRecord(
+                description,
+                submittedWallMicros,
+                readyWallMicros,
+                true,
+                done,
+                placed,
+                0,
+                term,
+                version);
     }
 
     public boolean allDone() {
@@ -40,8 +57,10 @@
 
     /** What users are told while this record stands. */
     public JobStatus status() {
-        // A record is only ever marked cancelled while it is not all done, and what was told must stay.
-        String status = cancelled ? "cancelled" : allDone() ? "done" : running > 0 ? "running" : "queued";
+        // A record is only ever marked cancelled while it is not all done, and what was told must
+        // stay.
+        String status =
+                cancelled ? "cancelled" : allDone() ? "done" : running > 0 ? "running" : "queued";
         return new JobStatus(description.uid(), status, done.cardinality(), running);
     }
 
@@ -76,7 +95,8 @@
     /** As version 1 reads and writes it; it knows nothing of jobs that wait for others. */
     private Map<String, Object> plain() {
         if (!description.awaits().isEmpty() || readyWallMicros != 0) {
-            throw new IllegalStateException("version 1 would start " + description.uid() + " before its time");
+            throw new IllegalStateException(
+                    "version 1 would start " + description.uid() + " before its time");
         }
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("job", description.toMap());
@@ -100,7 +120,10 @@
         return map;
     }
 
-    /** The format in which a record is stored: one that reads as compact was written after that had been decided. */
+    /**
+     * The format in which a record is stored: one that reads as compact was written after that had
+     * been decided.
+     */
     public static RecordFormat formatOf(Map<String, Object> map) {
         return map.containsKey("format") ? RecordFormat.COMPACT : RecordFormat.PLAIN;
     }
@@ -110,9 +133,14 @@
         return map != null && map.get("format") instanceof Long format && format > FORMAT;
     }
 
-    /** True for a record as the leader of the term wrote it: it needs no telling. A user's cancellation keeps the term. */
+    /**
+     * True for a record as the leader of the term wrote it: it needs no telling. A user's
+     * cancellation keeps the term.
+     */
     public static boolean writtenIn(long term, Map<String, Object> map) {
-        return map.get("term") instanceof Long written && written == term && !map.containsKey("cancelled");
+        return map.get("term") instanceof Long written
+                && written == term
+                && !map.containsKey("cancelled");
     }
 
     @SuppressWarnings("unchecked")
@@ -122,25 +150,39 @@
             throw new WireException("job: expected a map");
         }
         JobDescription description = JobDescription.parse((Map<String, Object>) job);
-        Progress.Decoded progress = formatOf(map) == RecordFormat.COMPACT ? compact(f, description)
-                : plain(f, description);
-        return new JobRecord(description, f.integer("at"), f.integerOr("ready", 0), f.flagOr("cancelled", false),
-                progress.done(), progress.placed(), (int) f.integerOr("running", 0), f.integerOr("term", 0),
+        Progress.Decoded progress =
+                formatOf(map) == RecordFormat.COMPACT
+                        ? compact(f, description)
+                        : plain(f, description);
+        return new JobRecord(
+                description,
+                f.integer("at"),
+                f.integerOr("ready", 0),
+                f.flagOr("cancelled", false),
+                progress.done(),
+                progress.placed(),
+                (int) f.integerOr("running", 0),
+                f.integerOr("term", 0),
                 f.integerOr("version", 0));
     }
 
-    private static Progress.Decoded compact(Fields f, JobDescription description) throws WireException {
+    private static Progress.Decoded compact(Fields f, JobDescription description)
+            throws WireException {
         if (f.integer("format") != FORMAT) {
             throw new WireException("format: a later version's");
         }
         return Progress.decode(f.text("progress"), description.shards());
     }
 
-    private static Progress.Decoded plain(Fields f, JobDescription description) throws WireException {
+    private static Progress.Decoded plain(Fields f, JobDescription description)
+            throws WireException {
         List<Placed> placed = new ArrayList<>();
         for (Object item : f.list("placed")) {
-            if (!(item instanceof List<?> parts) || parts.size() != 3 || !(parts.get(0) instanceof String host)
-                    || !(parts.get(1) instanceof Long attempt) || !(parts.get(2) instanceof List<?> tasks)) {
+            if (!(item instanceof List<?> parts)
+                    || parts.size() != 3
+                    || !(parts.get(0) instanceof String host)
+                    || !(parts.get(1) instanceof Long attempt)
+                    || !(parts.get(2) instanceof List<?> tasks)) {
                 throw new WireException("placed: expected host, attempt and tasks");
             }
             placed.add(new Placed(host, attempt, Ranges.decode(tasks, description.shards())));
--- a/src/main/java/org/woadloom/state/Keys.java
+++ b/src/main/java/org/woadloom/state/Keys.java
@@ -2,14 +2,20 @@
 
 /** The keys in the state service. */
 public final class Keys {
-    /** Who leads; attached to the leader's grant, so that it goes when the leader stops renewing. */
+    /**
+     * Who leads; attached to the leader's grant, so that it goes when the leader stops renewing.
+     */
     public static final String LEADER = "leader";
+
     /** The highest term ever taken; on no grant, so it never goes back. */
     public static final String TERM = "term";
+
     /** The machine types as the cloud last gave them, for a start while the cloud is down. */
     public static final String TYPES = "types";
+
     /** Never written: the answer that it is not there tells the store's generation. */
     public static final String NOTHING = "nothing";
+
     public static final String JOBS = "job/";
     public static final String FINALS = "final/";
     public static final String MACHINES = "machine/";
@@ -19,17 +25,21 @@
 
     /** Which version each node runs, and which of them all nodes are known to run. */
     public static final String VERSIONS = "version/";
+
     public static final String AGREED = VERSIONS + "agreed";
     public static final String NODE_VERSIONS = VERSIONS + "node/";
 
-    /** How far each feature is rolled out, what running nodes say of themselves, and what operators ask for. */
+    /**
+     * How far each feature is rolled out, what running nodes say of themselves, and what operators
+     * ask for.
+     */
     public static final String ROLLOUT = "rollout/";
+
     public static final String ROLLOUT_STATE = ROLLOUT + "state";
     public static final String ROLLOUT_NODES = ROLLOUT + "node/";
     public static final String ROLLOUT_ASKED = ROLLOUT + "asked/";
 
-    private Keys() {
-    }
+    private Keys() {}
 
     public static String job(String uid) {
         return JOBS + uid;
--- a/src/main/java/org/woadloom/state/Limits.java
+++ b/src/main/java/org/woadloom/state/Limits.java
@@ -3,13 +3,15 @@
 import org.woadloom.settings.ServiceSettings;
 
 /**
- * The state service's limits as far as this node knows them. They may fall at any moment. Values and transactions keep to
- * the announced smaller ones from the start, as that costs little; what is refused all the same teaches a smaller one.
- * Rates follow the answers: down at once when a request is refused, up again slowly.
+ * The state service's limits as far as this node knows them. They may fall at any moment. Values
+ * and transactions keep to the announced smaller ones from the start, as that costs little; what is
+ * refused all the same teaches a smaller one. Rates follow the answers: down at once when a request
+ * is refused, up again slowly.
  */
 public final class Limits {
     /** No limit is taken to be below this: a smaller value was refused for something else. */
     private static final int LEAST_VALUE = 1025;
+
     private static final double LOWEST = 0.2;
     private static final double CUT = 0.85;
     private static final double REGAIN_PER_SECOND = 0.004;
@@ -19,8 +21,10 @@
     private final ServiceSettings.State settings;
     private int valueBytes;
     private int txnOps;
+
     /** The size of the smallest value that was refused, 0 for none. */
     private int refusedBytes;
+
     private final Rate requests;
     private final Rate writes;
 
@@ -46,7 +50,10 @@
             if (since >= CUT_MICROS) {
                 cutMicros = now;
                 // Refused again soon after: the service bears less than was announced.
-                part = part(now) > announced && since > LASTING_MICROS ? announced : Math.max(LOWEST, part * CUT);
+                part =
+                        part(now) > announced && since > LASTING_MICROS
+                                ? announced
+                                : Math.max(LOWEST, part * CUT);
             }
         }
     }
@@ -65,14 +72,18 @@
         return valueBytes;
     }
 
-    /** The largest value that the service takes as long as it has not refused one: production's records may need it. */
+    /**
+     * The largest value that the service takes as long as it has not refused one: production's
+     * records may need it.
+     */
     public int valueBytesNow() {
         return Math.max(valueBytes, refusedBytes == 0 ? settings.valueBytes() : refusedBytes - 1);
     }
 
     /** A value of this size was refused by itself. */
     public void refusedValue(int bytes) {
-        int announced = settings.next() == null ? Integer.MAX_VALUE : settings.next().valueBytes() + 1;
+        int announced =
+                settings.next() == null ? Integer.MAX_VALUE : settings.next().valueBytes() + 1;
         int refused = Math.max(LEAST_VALUE, bytes > announced ? announced : bytes);
         refusedBytes = refusedBytes == 0 ? refused : Math.min(refusedBytes, refused);
         valueBytes = Math.min(valueBytes, refused - 1);
@@ -82,7 +93,10 @@
         return txnOps;
     }
 
-    /** A transaction of so many changes was refused, and its changes were taken one record at a time. */
+    /**
+     * A transaction of so many changes was refused, and its changes were taken one record at a
+     * time.
+     */
     public void refusedOps(int ops) {
         txnOps = Math.max(2, Math.min(txnOps, ops - 1));
     }
--- a/src/main/java/org/woadloom/state/MachineRecord.java
+++ b/src/main/java/org/woadloom/state/MachineRecord.java
@@ -6,19 +6,26 @@
 import org.woadloom.wire.WireException;
 
 /**
- * What a new leader must know of a machine before it has heard from it. {@code leaving} is written before the deletion
- * is asked for: that request may be executed late, so nothing may be placed there again.
- * {@code life} is null where the record does not tell it: earlier versions pass over it.
+ * What a new leader must know of a machine before it has heard from it. {@code leaving} is written
+ * before the deletion is asked for: that request may be executed late, so nothing may be placed
+ * there again. {@code life} is null where the record does not tell it: earlier versions pass over
+ * it.
  */
-public record MachineRecord(String host, String hosttype, String yard, boolean reclaimable, boolean leaving, Life life) {
+public record MachineRecord(
+        String host,
+        String hosttype,
+        String yard,
+        boolean reclaimable,
+        boolean leaving,
+        Life life) {
     private static final String RENTED = "at";
 
     /** When the machine was rented, by the time of day, and whether its worker was ever heard. */
-    public record Life(long rentedWallMicros, boolean up) {
-    }
+    public record Life(long rentedWallMicros, boolean up) {}
 
     /** A machine of whose life nothing is known. */
-    public MachineRecord(String host, String hosttype, String yard, boolean reclaimable, boolean leaving) {
+    public MachineRecord(
+            String host, String hosttype, String yard, boolean reclaimable, boolean leaving) {
         this(host, hosttype, yard, reclaimable, leaving, null);
     }
 
@@ -46,7 +53,12 @@
 
     public static MachineRecord parse(String host, Map<String, Object> map) throws WireException {
         Fields f = new Fields(map);
-        return new MachineRecord(host, f.text("hosttype"), f.text("yard"), f.flag("reclaimable"),
-                f.flagOr("leaving", false), tellsLife(map) ? new Life(f.integer(RENTED), f.flagOr("up", false)) : null);
+        return new MachineRecord(
+                host,
+                f.text("hosttype"),
+                f.text("yard"),
+                f.flag("reclaimable"),
+                f.flagOr("leaving", false),
+                tellsLife(map) ? new Life(f.integer(RENTED), f.flagOr("up", false)) : null);
     }
 }
--- a/src/main/java/org/woadloom/state/NodeWord.java
+++ b/src/main/java/org/woadloom/state/NodeWord.java
@@ -9,16 +9,22 @@
 import org.woadloom.wire.WireException;
 
 /**
- * What a running process says of itself. It hangs on a grant that the process renews, so the word of one that is gone
- * goes with it.
+ * What a running process says of itself. It hangs on a grant that the process renews, so the word
+ * of one that is gone goes with it.
  *
  * @param life tells this process from any other
  * @param reads the features of which it understands what is written
  * @param can the features that it can act upon, by its program and its operators' settings
  * @param members the nodes that its settings name, itself among them
- * @param starts how many processes of this node began in a row, each within a minute of the one before
+ * @param starts how many processes of this node began in a row, each within a minute of the one
+ *     before
  */
-public record NodeWord(long life, Set<String> reads, Set<String> can, Set<String> members, int starts,
+public record NodeWord(
+        long life,
+        Set<String> reads,
+        Set<String> can,
+        Set<String> members,
+        int starts,
         long sinceWallMicros) {
 
     public NodeWord {
@@ -40,7 +46,12 @@
 
     public static NodeWord parse(Map<String, Object> map) throws WireException {
         Fields f = new Fields(map);
-        return new NodeWord(f.integer("life"), Set.copyOf(f.texts("reads")), Set.copyOf(f.texts("can")),
-                Set.copyOf(f.texts("members")), (int) f.integerOr("starts", 1), f.integerOr("at", 0));
+        return new NodeWord(
+                f.integer("life"),
+                Set.copyOf(f.texts("reads")),
+                Set.copyOf(f.texts("can")),
+                Set.copyOf(f.texts("members")),
+                (int) f.integerOr("starts", 1),
+                f.integerOr("at", 0));
     }
 }
--- a/src/main/java/org/woadloom/state/Progress.java
+++ b/src/main/java/org/woadloom/state/Progress.java
@@ -13,10 +13,11 @@
 import org.woadloom.wire.WireException;
 
 /**
- * What is done and what is placed, as short text: a job of hundreds of tasks on as many machines must fit one value of
- * 2 KiB. After a leading version: the number of tasks at the front that are done; the attempts; the machines' names, as
- * stems with differences of their numbers; per machine and attempt a group; then one symbol of a few bits for each task up
- * to the last that is not pending: pending, done, or its group. Last, the tasks that are done and still somewhere.
+ * What is done and what is placed, as short text: a job of hundreds of tasks on as many machines
+ * must fit one value of 2 KiB. After a leading version: the number of tasks at the front that are
+ * done; the attempts; the machines' names, as stems with differences of their numbers; per machine
+ * and attempt a group; then one symbol of a few bits for each task up to the last that is not
+ * pending: pending, done, or its group. Last, the tasks that are done and still somewhere.
  */
 public final class Progress {
     private static final int VERSION = 1;
@@ -25,21 +26,25 @@
     private static final int FIRST_GROUP = 2;
     private static final int MOST_DIGITS = 17;
 
-    private Progress() {
-    }
+    private Progress() {}
 
-    record Decoded(BitSet done, List<JobRecord.Placed> placed) {
-    }
+    record Decoded(BitSet done, List<JobRecord.Placed> placed) {}
 
-    /** A machine's name in two parts: names that a cloud counts up differ in their numbers alone. */
+    /**
+     * A machine's name in two parts: names that a cloud counts up differ in their numbers alone.
+     */
     private record Name(String stem, int digits, long number) implements Comparable<Name> {
         static Name of(String host) {
             int from = host.length();
-            while (from > 0 && host.length() - from < MOST_DIGITS && Character.digit(host.charAt(from - 1), 10) >= 0
+            while (from > 0
+                    && host.length() - from < MOST_DIGITS
+                    && Character.digit(host.charAt(from - 1), 10) >= 0
                     && host.charAt(from - 1) < 128) {
                 from--;
             }
-            return new Name(host.substring(0, from), host.length() - from,
+            return new Name(
+                    host.substring(0, from),
+                    host.length() - from,
                     from == host.length() ? 0 : Long.parseLong(host.substring(from)));
         }
 
@@ -57,13 +62,14 @@
 
         @Override
         public int compareTo(Name other) {
-            return Comparator.comparing(Name::stem).thenComparingInt(Name::digits).thenComparingLong(Name::number)
+            return Comparator.comparing(Name::stem)
+                    .thenComparingInt(Name::digits)
+                    .thenComparingLong(Name::number)
                     .compare(this, other);
         }
     }
 
-    private record Group(Name name, long attempt, BitSet tasks) {
-    }
+    private record Group(Name name, long attempt, BitSet tasks) {}
 
     static String encode(BitSet done, List<JobRecord.Placed> placed) {
         List<Group> groups = new ArrayList<>();
@@ -197,8 +203,14 @@
             if (name == null || Long.toString(name.number).length() > Math.max(1, name.digits)) {
                 throw new WireException("progress: a machine without a name");
             }
-            placed.add(new JobRecord.Placed(name.host(), attempts[attempts.length > 1 ? in.count(attempts.length - 1)
-                    : in.first(attempts.length)], new BitSet()));
+            placed.add(
+                    new JobRecord.Placed(
+                            name.host(),
+                            attempts[
+                                    attempts.length > 1
+                                            ? in.count(attempts.length - 1)
+                                            : in.first(attempts.length)],
+                            new BitSet()));
         }
         BitSet done = new BitSet();
         done.set(0, front);
--- a/src/main/java/org/woadloom/state/Ranges.java
+++ b/src/main/java/org/woadloom/state/Ranges.java
@@ -7,12 +7,11 @@
 
 /** Task numbers as a flat list of first and last, which keeps records of large arrays small. */
 final class Ranges {
-    private Ranges() {
-    }
+    private Ranges() {}
 
     static List<Object> encode(BitSet set) {
         List<Object> list = new ArrayList<>();
-        for (int first = set.nextSetBit(0); first >= 0;) {
+        for (int first = set.nextSetBit(0); first >= 0; ) {
             int end = set.nextClearBit(first);
             list.add((long) first);
             list.add((long) end - 1);
@@ -24,8 +23,11 @@
     static BitSet decode(List<?> list, int size) throws WireException {
         BitSet set = new BitSet();
         for (int i = 0; i + 1 < list.size(); i += 2) {
-            if (!(list.get(i) instanceof Long first) || !(list.get(i + 1) instanceof Long last) || first < 0
-                    || last < first || last >= size) {
+            if (!(list.get(i) instanceof Long first)
+                    || !(list.get(i + 1) instanceof Long last)
+                    || first < 0
+                    || last < first
+                    || last >= size) {
                 throw new WireException("ranges: expected pairs of task numbers");
             }
             set.set(first.intValue(), last.intValue() + 1);
--- a/src/main/java/org/woadloom/state/RecordFormat.java
+++ b/src/main/java/org/woadloom/state/RecordFormat.java
@@ -1,4 +1,9 @@
 package org.woadloom.state;
 
-/** How records are stored: what version 1 can read, until every node is known to run a later one. */
-public enum RecordFormat { PLAIN, COMPACT }
+/**
+ * How records are stored: what version 1 can read, until every node is known to run a later one.
+ */
+public enum RecordFormat {
+    PLAIN,
+    COMPACT
+}
--- a/src/main/java/org/woadloom/state/RolloutRecord.java
+++ b/src/main/java/org/woadloom/state/RolloutRecord.java
@@ -12,11 +12,12 @@
 import org.woadloom.wire.WireException;
 
 /**
- * How far each feature has been rolled out: the one record that says what may be written and acted upon. Only a leader
- * changes it. {@code number} counts its changes, so that of two readings the later is known.
+ * How far each feature has been rolled out: the one record that says what may be written and acted
+ * upon. Only a leader changes it. {@code number} counts its changes, so that of two readings the
+ * later is known.
  *
- * <p>{@code requires} is for programs of the future and the past alike: whoever does not know a name in it must not serve.
- * That field and the number keep their form for ever.
+ * <p>{@code requires} is for programs of the future and the past alike: whoever does not know a
+ * name in it must not serve. That field and the number keep their form for ever.
  */
 public record RolloutRecord(long number, Map<String, Standing> features) {
     public static final RolloutRecord NONE = new RolloutRecord(0, Map.of());
@@ -76,29 +77,31 @@
     /** What every process must know that is to serve. */
     public Set<String> requires() {
         Set<String> names = new TreeSet<>();
-        features.forEach((name, standing) -> {
-            if (standing.required()) {
-                names.add(name);
-            }
-        });
+        features.forEach(
+                (name, standing) -> {
+                    if (standing.required()) {
+                        names.add(name);
+                    }
+                });
         return names;
     }
 
     public Map<String, Object> toMap() {
         Map<String, Object> all = new LinkedHashMap<>();
-        features.forEach((name, standing) -> {
-            Map<String, Object> map = new LinkedHashMap<>();
-            map.put("step", standing.step.text());
-            map.put("at", standing.sinceWallMicros);
-            map.put("by", standing.by);
-            if (standing.back) {
-                map.put("back", true);
-            }
-            if (standing.held) {
-                map.put("held", true);
-            }
-            all.put(name, map);
-        });
+        features.forEach(
+                (name, standing) -> {
+                    Map<String, Object> map = new LinkedHashMap<>();
+                    map.put("step", standing.step.text());
+                    map.put("at", standing.sinceWallMicros);
+                    map.put("by", standing.by);
+                    if (standing.back) {
+                        map.put("back", true);
+                    }
+                    if (standing.held) {
+                        map.put("held", true);
+                    }
+                    all.put(name, map);
+                });
         Map<String, Object> map = new LinkedHashMap<>();
         map.put(NUMBER, number);
         map.put(REQUIRES, List.copyOf(requires()));
@@ -124,8 +127,14 @@
         }
         for (Map.Entry<?, ?> entry : new ArrayList<>(all.entrySet())) {
             Fields standing = Fields.of(entry.getValue(), (String) entry.getKey());
-            features.put((String) entry.getKey(), new Standing(step(standing.text("step")), standing.flagOr("back", false),
-                    standing.flagOr("held", false), standing.integerOr("at", 0), standing.textOr("by", "")));
+            features.put(
+                    (String) entry.getKey(),
+                    new Standing(
+                            step(standing.text("step")),
+                            standing.flagOr("back", false),
+                            standing.flagOr("held", false),
+                            standing.integerOr("at", 0),
+                            standing.textOr("by", "")));
         }
         return new RolloutRecord(f.integer(NUMBER), features);
     }
--- a/src/main/java/org/woadloom/state/RolloutRequest.java
+++ b/src/main/java/org/woadloom/state/RolloutRequest.java
@@ -15,7 +15,10 @@
         AUTO,
         /** Stays where it is. */
         HOLD,
-        /** Goes on without waiting for time to pass, also after it was held because nodes kept ending. */
+        /**
+         * Goes on without waiting for time to pass, also after it was held because nodes kept
+         * ending.
+         */
         GO,
         /** Is taken back, as long as it is not settled. */
         BACK;
@@ -43,10 +46,13 @@
         return map;
     }
 
-    /** A verb of a later version holds the feature where it is, as it is not known what it would do. */
+    /**
+     * A verb of a later version holds the feature where it is, as it is not known what it would do.
+     */
     public static RolloutRequest parse(Map<String, Object> map) throws WireException {
         Fields f = new Fields(map);
         Verb verb = Verb.of(f.text("verb"));
-        return new RolloutRequest(verb == null ? Verb.HOLD : verb, f.textOr("by", ""), f.integerOr("at", 0));
+        return new RolloutRequest(
+                verb == null ? Verb.HOLD : verb, f.textOr("by", ""), f.integerOr("at", 0));
     }
 }
