--- a/src/main/java/org/woadloom/state/StateClient.java
+++ b/src/main/java/org/woadloom/state/StateClient.java
@@ -15,26 +15,37 @@
 import org.woadloom.wire.WireException;
 
 /**
- * The state service's protocol. Requests wait in queues by urgency, under budgets that stay below the service's limits; a
- * 429 or 503 holds everything but the most urgent back for a moment, with jitter. Changes have a budget of their own, and
- * reads pass by changes that wait for it: a leader changes as much as it may for minutes, and users poll it all the while.
+ * The state service's protocol. Requests wait in queues by urgency, under budgets that stay below
+ * the service's limits; a 429 or 503 holds everything but the most urgent back for a moment, with
+ * jitter. Changes have a budget of their own, and reads pass by changes that wait for it: a leader
+ * changes as much as it may for minutes, and users poll it all the while.
  *
- * <p>Single answers get lost while the service goes on serving. A request that later ones have overtaken holds up nobody, and
- * says nothing about the service.
+ * <p>Single answers get lost while the service goes on serving. A request that later ones have
+ * overtaken holds up nobody, and says nothing about the service.
  */
 public final class StateClient {
     /** Requests of a lower urgency wait while one of a higher is queued. */
-    public enum Urgency { USER, URGENT, NORMAL, BACKGROUND }
+    public enum Urgency {
+        USER,
+        URGENT,
+        NORMAL,
+        BACKGROUND
+    }
 
-    public enum Result { OK, NOT_FOUND, CONFLICT, BAD, UNAVAILABLE, UNKNOWN }
+    public enum Result {
+        OK,
+        NOT_FOUND,
+        CONFLICT,
+        BAD,
+        UNAVAILABLE,
+        UNKNOWN
+    }
 
     /** One key with its value and the stamp of its last change. */
-    public record Entry(String path, Map<String, Object> value, long stamp) {
-    }
+    public record Entry(String path, Map<String, Object> value, long stamp) {}
 
     /** A condition of a transaction: the key's stamp, 0 where it must not exist. */
-    public record Condition(String path, long stamp) {
-    }
+    public record Condition(String path, long stamp) {}
 
     /** A change of a transaction: a put, or a drop where the value is null. */
     public record Change(String path, Map<String, Object> value, long grant) {
@@ -62,12 +73,13 @@
     }
 
     /** An event of a watch; the value is null where the key was dropped. */
-    public record Event(String path, Map<String, Object> value, long stamp) {
-    }
+    public record Event(String path, Map<String, Object> value, long stamp) {}
 
     /** Hears whether the service can be reached. */
     public interface Health {
-        /** @param served false for 503 or no answer */
+        /**
+         * @param served false for 503 or no answer
+         */
         void answered(boolean served);
     }
 
@@ -93,14 +105,19 @@
     }
 
     private static final int MAX_IN_FLIGHT = 12;
+
     /** With those that most likely get no answer any more. */
     private static final int MAX_UNANSWERED = 36;
+
     private static final int MAX_QUEUED = 2_000;
     private static final long TIMEOUT_MICROS = 2_000_000;
     private static final long WATCH_GRACE_MICROS = 2_000_000;
+
     /** Most answers take less than 10 ms, and now and then a few hundred. */
     private static final long OVERDUE_MICROS = 400_000;
-    // All nodes share the service's limits. The leader writes most; reads are for users, whom every node serves.
+
+    // All nodes share the service's limits. The leader writes most; reads are for users, whom every
+    // node serves.
     private static final double LEADER_WRITES = 0.75;
     private static final double OTHERS_WRITES = 0.3;
     private static final double LEADER_REQUESTS = 0.5;
@@ -119,21 +136,42 @@
     private final EnumMap<Urgency, ArrayDeque<Pending>> changes = new EnumMap<>(Urgency.class);
     private final InFlight inFlight = new InFlight();
     private long heldUntilMicros;
+
     /** When it looks again by itself, {@link Long#MAX_VALUE} for never. */
     private long wakeMicros = Long.MAX_VALUE;
+
     private long troubles;
     private boolean refuses;
     private final Health health;
 
-    /** @param overdue is run when there is no answer after a while; null for most requests */
-    private record Pending(String method, String path, byte[] body, int writeCount, long timeoutMicros,
-            HttpTransport.Callback callback, Runnable overdue) {
-        Pending(String method, String path, byte[] body, int writeCount, long timeoutMicros, HttpTransport.Callback callback) {
+    /**
+     * @param overdue is run when there is no answer after a while; null for most requests
+     */
+    private record Pending(
+            String method,
+            String path,
+            byte[] body,
+            int writeCount,
+            long timeoutMicros,
+            HttpTransport.Callback callback,
+            Runnable overdue) {
+        Pending(
+                String method,
+                String path,
+                byte[] body,
+                int writeCount,
+                long timeoutMicros,
+                HttpTransport.Callback callback) {
             this(method, path, body, writeCount, timeoutMicros, callback, null);
         }
     }
 
-    public StateClient(Loop loop, HttpTransport transport, ServiceSettings settings, Limits limits, Random random,
+    public StateClient(
+            Loop loop,
+            HttpTransport transport,
+            ServiceSettings settings,
+            Limits limits,
+            Random random,
             Health health) {
         this.loop = loop;
         this.transport = transport;
@@ -151,7 +189,9 @@
         }
     }
 
-    /** Sets this node's part of the service's limits: what one node leaves is there for the others. */
+    /**
+     * Sets this node's part of the service's limits: what one node leaves is there for the others.
+     */
     public void lead(boolean leads) {
         this.leads = leads;
         pace(loop.nowMicros());
@@ -159,11 +199,14 @@
 
     /** How many changes a second this node may make now. */
     public double writesPerSecond() {
-        return limits.writeRate(loop.nowMicros()) * (leads ? LEADER_WRITES : OTHERS_WRITES / others);
+        return limits.writeRate(loop.nowMicros())
+                * (leads ? LEADER_WRITES : OTHERS_WRITES / others);
     }
 
     private void pace(long now) {
-        requests.rate(now, limits.requestRate(now) * (leads ? LEADER_REQUESTS : OTHERS_REQUESTS / others));
+        requests.rate(
+                now,
+                limits.requestRate(now) * (leads ? LEADER_REQUESTS : OTHERS_REQUESTS / others));
         writes.rate(now, writesPerSecond());
     }
 
@@ -172,23 +215,42 @@
         return troubles;
     }
 
-    /** True if the service, when it last answered, refused to serve. Reads of changes then hang instead of being refused. */
+    /**
+     * True if the service, when it last answered, refused to serve. Reads of changes then hang
+     * instead of being refused.
+     */
     public boolean refuses() {
         return refuses;
     }
 
     public void get(Urgency urgency, String key, EntryCallback callback) {
-        submit(urgency, new Pending("GET", "/keys/" + key, null, 0, TIMEOUT_MICROS, (status, body) -> {
-            if (status == 200) {
-                parsed(body, map -> callback.read(Result.OK, entry(map), 0),
-                        () -> callback.read(Result.UNKNOWN, null, 0));
-            } else if (status == 404) {
-                parsed(body, map -> callback.read(Result.NOT_FOUND, null, new Fields(map).integer("generation")),
-                        () -> callback.read(Result.UNKNOWN, null, 0));
-            } else {
-                callback.read(failure(status), null, 0);
-            }
-        }));
+        submit(
+                urgency,
+                new Pending(
+                        "GET",
+                        "/keys/" + key,
+                        null,
+                        0,
+                        TIMEOUT_MICROS,
+                        (status, body) -> {
+                            if (status == 200) {
+                                parsed(
+                                        body,
+                                        map -> callback.read(Result.OK, entry(map), 0),
+                                        () -> callback.read(Result.UNKNOWN, null, 0));
+                            } else if (status == 404) {
+                                parsed(
+                                        body,
+                                        map ->
+                                                callback.read(
+                                                        Result.NOT_FOUND,
+                                                        null,
+                                                        new Fields(map).integer("generation")),
+                                        () -> callback.read(Result.UNKNOWN, null, 0));
+                            } else {
+                                callback.read(failure(status), null, 0);
+                            }
+                        }));
     }
 
     /** Reads all keys with the prefix, page by page; the generation is that of the first page. */
@@ -196,45 +258,88 @@
         listPage(urgency, prefix, null, new ArrayList<>(), -1, callback);
     }
 
-    private void listPage(Urgency urgency, String prefix, String since, List<Entry> found, long generation,
+    private void listPage(
+            Urgency urgency,
+            String prefix,
+            String since,
+            List<Entry> found,
+            long generation,
             ListCallback callback) {
-        String path = "/keys?prefix=" + prefix + (since == null ? "" : "&since=" + since) + "&most=200";
-        submit(urgency, new Pending("GET", path, null, 0, TIMEOUT_MICROS * 2, (status, body) -> {
-            if (status != 200) {
-                callback.read(failure(status), List.of(), 0);
-                return;
-            }
-            parsed(body, map -> {
-                Fields f = new Fields(map);
-                for (Object item : f.list("items")) {
-                    found.add(entry(itemMap(item)));
-                }
-                // Changes made after the first page are seen by following from its generation.
-                long first = generation < 0 ? f.integer("generation") : generation;
-                if (f.flagOr("more", false) && !found.isEmpty()) {
-                    listPage(urgency, prefix, found.get(found.size() - 1).path(), found, first, callback);
-                } else {
-                    callback.read(Result.OK, found, first);
-                }
-            }, () -> callback.read(Result.UNKNOWN, List.of(), 0));
-        }));
-    }
-
-    public void txn(Urgency urgency, List<Condition> conditions, List<Change> changes, TxnCallback callback) {
+        String path =
+                "/keys?prefix=" + prefix + (since == null ? "" : "&since=" + since) + "&most=200";
+        submit(
+                urgency,
+                new Pending(
+                        "GET",
+                        path,
+                        null,
+                        0,
+                        TIMEOUT_MICROS * 2,
+                        (status, body) -> {
+                            if (status != 200) {
+                                callback.read(failure(status), List.of(), 0);
+                                return;
+                            }
+                            parsed(
+                                    body,
+                                    map -> {
+                                        Fields f = new Fields(map);
+                                        for (Object item : f.list("items")) {
+                                            found.add(entry(itemMap(item)));
+                                        }
+                                        // Changes made after the first page are seen by following
+                                        // from its generation.
+                                        long first =
+                                                generation < 0
+                                                        ? f.integer("generation")
+                                                        : generation;
+                                        if (f.flagOr("more", false) && !found.isEmpty()) {
+                                            listPage(
+                                                    urgency,
+                                                    prefix,
+                                                    found.get(found.size() - 1).path(),
+                                                    found,
+                                                    first,
+                                                    callback);
+                                        } else {
+                                            callback.read(Result.OK, found, first);
+                                        }
+                                    },
+                                    () -> callback.read(Result.UNKNOWN, List.of(), 0));
+                        }));
+    }
+
+    public void txn(
+            Urgency urgency,
+            List<Condition> conditions,
+            List<Change> changes,
+            TxnCallback callback) {
         txn(urgency, conditions, changes, callback, null);
     }
 
     /**
-     * The same, where the first of the changes that puts the given key has a value that nobody else ever writes there: when
-     * the answer is late the key is read, and the value shows that the transaction was carried out. That it is not there
-     * shows nothing, as it may be carried out still.
+     * The same, where the first of the changes that puts the given key has a value that nobody else
+     * ever writes there: when the answer is late the key is read, and the value shows that the
+     * transaction was carried out. That it is not there shows nothing, as it may be carried out
+     * still.
      */
-    public void txn(Urgency urgency, List<Condition> conditions, List<Change> changes, String proof, TxnCallback callback) {
-        UnansweredTransaction unanswered = new UnansweredTransaction(this, urgency, conditions, changes, proof, callback);
+    public void txn(
+            Urgency urgency,
+            List<Condition> conditions,
+            List<Change> changes,
+            String proof,
+            TxnCallback callback) {
+        UnansweredTransaction unanswered =
+                new UnansweredTransaction(this, urgency, conditions, changes, proof, callback);
         txn(urgency, conditions, changes, unanswered, unanswered::look);
     }
 
-    private void txn(Urgency urgency, List<Condition> conditions, List<Change> changes, TxnCallback callback, Runnable overdue) {
+    private void txn(
+            Urgency urgency,
+            List<Condition> conditions,
+            List<Change> changes,
+            TxnCallback callback,
+            Runnable overdue) {
         List<Object> ifs = new ArrayList<>();
         for (Condition condition : conditions) {
             Map<String, Object> map = new LinkedHashMap<>();
@@ -249,65 +354,127 @@
         Map<String, Object> request = new LinkedHashMap<>();
         request.put("if", ifs);
         request.put("then", thens);
-        submit(urgency, new Pending("POST", "/txn", Cbor.encode(request), changes.size(), TIMEOUT_MICROS,
-                (status, body) -> {
-                    if (status == 200) {
-                        parsed(body, map -> callback.done(Result.OK, new Fields(map).integer("generation"), List.of()),
-                                () -> callback.done(Result.UNKNOWN, 0, List.of()));
-                    } else if (status == 409) {
-                        parsed(body, map -> callback.done(Result.CONFLICT, 0, new Fields(map).texts("failed")),
-                                () -> callback.done(Result.UNKNOWN, 0, List.of()));
-                    } else {
-                        callback.done(failure(status), 0, List.of());
-                    }
-                }, overdue));
+        submit(
+                urgency,
+                new Pending(
+                        "POST",
+                        "/txn",
+                        Cbor.encode(request),
+                        changes.size(),
+                        TIMEOUT_MICROS,
+                        (status, body) -> {
+                            if (status == 200) {
+                                parsed(
+                                        body,
+                                        map ->
+                                                callback.done(
+                                                        Result.OK,
+                                                        new Fields(map).integer("generation"),
+                                                        List.of()),
+                                        () -> callback.done(Result.UNKNOWN, 0, List.of()));
+                            } else if (status == 409) {
+                                parsed(
+                                        body,
+                                        map ->
+                                                callback.done(
+                                                        Result.CONFLICT,
+                                                        0,
+                                                        new Fields(map).texts("failed")),
+                                        () -> callback.done(Result.UNKNOWN, 0, List.of()));
+                            } else {
+                                callback.done(failure(status), 0, List.of());
+                            }
+                        },
+                        overdue));
     }
 
     public void grant(long lifeMicros, GrantCallback callback) {
         Map<String, Object> request = new LinkedHashMap<>();
         request.put("lifeMs", lifeMicros / 1000);
-        submit(Urgency.URGENT, new Pending("POST", "/grants", Cbor.encode(request), 0, TIMEOUT_MICROS,
-                (status, body) -> {
-                    if (status == 200) {
-                        parsed(body, map -> callback.granted(Result.OK, new Fields(map).integer("hold")),
-                                () -> callback.granted(Result.UNKNOWN, 0));
-                    } else {
-                        callback.granted(failure(status), 0);
-                    }
-                }));
+        submit(
+                Urgency.URGENT,
+                new Pending(
+                        "POST",
+                        "/grants",
+                        Cbor.encode(request),
+                        0,
+                        TIMEOUT_MICROS,
+                        (status, body) -> {
+                            if (status == 200) {
+                                parsed(
+                                        body,
+                                        map ->
+                                                callback.granted(
+                                                        Result.OK, new Fields(map).integer("hold")),
+                                        () -> callback.granted(Result.UNKNOWN, 0));
+                            } else {
+                                callback.granted(failure(status), 0);
+                            }
+                        }));
     }
 
     public void renew(long grant, GrantCallback callback) {
-        submit(Urgency.URGENT, new Pending("POST", "/grants/" + grant + "/renew", Cbor.encode(Map.of()), 0,
-                TIMEOUT_MICROS, (status, body) -> callback.granted(status == 200 ? Result.OK : failure(status), grant)));
+        submit(
+                Urgency.URGENT,
+                new Pending(
+                        "POST",
+                        "/grants/" + grant + "/renew",
+                        Cbor.encode(Map.of()),
+                        0,
+                        TIMEOUT_MICROS,
+                        (status, body) ->
+                                callback.granted(
+                                        status == 200 ? Result.OK : failure(status), grant)));
     }
 
-    /** Waits for changes under the prefix after the given generation. Open watches bypass the queue's concurrency. */
+    /**
+     * Waits for changes under the prefix after the given generation. Open watches bypass the
+     * queue's concurrency.
+     */
     public void follow(String prefix, long since, long blockMicros, FollowCallback callback) {
-        String path = "/follow?prefix=" + prefix + "&since=" + since + "&blockMs=" + blockMicros / 1000;
-        transport.request(address, "GET", path, null, blockMicros + WATCH_GRACE_MICROS, (status, body) -> {
-            answered(status, 0, false);
-            followed(status, body, since, callback);
-        });
+        String path =
+                "/follow?prefix=" + prefix + "&since=" + since + "&blockMs=" + blockMicros / 1000;
+        transport.request(
+                address,
+                "GET",
+                path,
+                null,
+                blockMicros + WATCH_GRACE_MICROS,
+                (status, body) -> {
+                    answered(status, 0, false);
+                    followed(status, body, since, callback);
+                });
     }
 
-    /** Reads what has changed under the prefix after the given generation, without waiting for more. */
+    /**
+     * Reads what has changed under the prefix after the given generation, without waiting for more.
+     */
     public void changes(Urgency urgency, String prefix, long since, FollowCallback callback) {
         String path = "/follow?prefix=" + prefix + "&since=" + since + "&blockMs=0";
-        submit(urgency, new Pending("GET", path, null, 0, TIMEOUT_MICROS,
-                (status, body) -> followed(status, body, since, callback)));
+        submit(
+                urgency,
+                new Pending(
+                        "GET",
+                        path,
+                        null,
+                        0,
+                        TIMEOUT_MICROS,
+                        (status, body) -> followed(status, body, since, callback)));
     }
 
     private static void followed(int status, byte[] body, long since, FollowCallback callback) {
         if (status == 200) {
-            parsed(body, map -> {
-                Fields f = new Fields(map);
-                List<Event> events = new ArrayList<>();
-                for (Object item : f.list("events")) {
-                    events.add(event(itemMap(item)));
-                }
-                callback.events(Result.OK, events, f.integer("generation"));
-            }, () -> callback.events(Result.UNKNOWN, List.of(), since));
+            parsed(
+                    body,
+                    map -> {
+                        Fields f = new Fields(map);
+                        List<Event> events = new ArrayList<>();
+                        for (Object item : f.list("events")) {
+                            events.add(event(itemMap(item)));
+                        }
+                        callback.events(Result.OK, events, f.integer("generation"));
+                    },
+                    () -> callback.events(Result.UNKNOWN, List.of(), since));
         } else if (status == 410) {
             callback.events(Result.NOT_FOUND, List.of(), since);
         } else {
@@ -319,7 +486,7 @@
         return switch (status) {
             case 404 -> Result.NOT_FOUND;
             case 400 -> Result.BAD;
-            // 429 and 503 were not executed, and neither was what was never sent.
+                // 429 and 503 were not executed, and neither was what was never sent.
             case 429, 503, HttpTransport.NOT_SENT -> Result.UNAVAILABLE;
             default -> Result.UNKNOWN;
         };
@@ -349,13 +516,19 @@
         }
     }
 
-    /** Takes the first request that may be sent now out of its queue. Where all must wait, it looks again in time. */
+    /**
+     * Takes the first request that may be sent now out of its queue. Where all must wait, it looks
+     * again in time.
+     */
     private Pending next(long now) {
         long request = requests.waitMicros(now, 1);
         long wait = Long.MAX_VALUE;
         boolean changeWaits = false;
         for (Urgency urgency : Urgency.values()) {
-            long held = urgency.compareTo(Urgency.URGENT) > 0 ? Math.max(request, heldUntilMicros - now) : request;
+            long held =
+                    urgency.compareTo(Urgency.URGENT) > 0
+                            ? Math.max(request, heldUntilMicros - now)
+                            : request;
             Pending change = changeWaits ? null : changes.get(urgency).peekFirst();
             if (change != null) {
                 long needed = Math.max(held, writes.waitMicros(now, change.writeCount));
@@ -382,25 +555,34 @@
         long at = loop.nowMicros() + micros;
         if (at < wakeMicros) {
             wakeMicros = at;
-            loop.schedule(micros, () -> {
-                if (wakeMicros == at) {
-                    wakeMicros = Long.MAX_VALUE;
-                }
-                pump();
-            });
+            loop.schedule(
+                    micros,
+                    () -> {
+                        if (wakeMicros == at) {
+                            wakeMicros = Long.MAX_VALUE;
+                        }
+                        pump();
+                    });
         }
     }
 
     private void send(Pending pending) {
         InFlight.Sent sent = inFlight.send(loop.nowMicros());
         if (pending.overdue != null) {
-            loop.schedule(OVERDUE_MICROS, () -> {
-                if (!sent.answered()) {
-                    pending.overdue.run();
-                }
-            });
+            loop.schedule(
+                    OVERDUE_MICROS,
+                    () -> {
+                        if (!sent.answered()) {
+                            pending.overdue.run();
+                        }
+                    });
         }
-        transport.request(address, pending.method, pending.path, pending.body, pending.timeoutMicros,
+        transport.request(
+                address,
+                pending.method,
+                pending.path,
+                pending.body,
+                pending.timeoutMicros,
                 (status, body) -> {
                     boolean alone = status == HttpTransport.NO_RESPONSE && inFlight.overtaken(sent);
                     inFlight.done(sent, status > 0);
@@ -410,7 +592,9 @@
                 });
     }
 
-    /** @param alone this answer is lost, and others have come that were asked for later */
+    /**
+     * @param alone this answer is lost, and others have come that were asked for later
+     */
     private void answered(int status, int changes, boolean alone) {
         troubles += status == 429 || status == 503 || status <= 0 ? 1 : 0;
         if (alone) {
@@ -456,14 +640,17 @@
     @SuppressWarnings("unchecked")
     private static Entry entry(Map<String, Object> map) throws WireException {
         Fields f = new Fields(map);
-        return new Entry(f.text("path"), (Map<String, Object>) map.get("value"), f.integer("stamp"));
+        return new Entry(
+                f.text("path"), (Map<String, Object>) map.get("value"), f.integer("stamp"));
     }
 
     @SuppressWarnings("unchecked")
     private static Event event(Map<String, Object> map) throws WireException {
         Fields f = new Fields(map);
         boolean put = f.has("put");
-        return new Event(f.text(put ? "put" : "drop"), put ? (Map<String, Object>) map.get("value") : null,
+        return new Event(
+                f.text(put ? "put" : "drop"),
+                put ? (Map<String, Object>) map.get("value") : null,
                 f.integer("stamp"));
     }
 }
--- a/src/main/java/org/woadloom/state/UnansweredTransaction.java
+++ b/src/main/java/org/woadloom/state/UnansweredTransaction.java
@@ -11,8 +11,9 @@
 import org.woadloom.wire.WireException;
 
 /**
- * A transaction whose answer may be lost. One key of it gets a value that nobody else ever writes there: once that is read,
- * all of the transaction was carried out. Whatever comes first is told, once.
+ * A transaction whose answer may be lost. One key of it gets a value that nobody else ever writes
+ * there: once that is read, all of the transaction was carried out. Whatever comes first is told,
+ * once.
  */
 final class UnansweredTransaction implements TxnCallback {
     private final StateClient state;
@@ -22,14 +23,27 @@
     private final TxnCallback callback;
     private boolean told;
 
-    UnansweredTransaction(StateClient state, Urgency urgency, List<Condition> conditions, List<Change> changes, String proof,
+    UnansweredTransaction(
+            StateClient state,
+            Urgency urgency,
+            List<Condition> conditions,
+            List<Change> changes,
+            String proof,
             TxnCallback callback) {
         this.state = state;
         this.urgency = urgency;
         this.callback = callback;
-        this.proof = changes.stream().filter(change -> change.path().equals(proof) && change.value() != null).findFirst().orElse(null);
-        stampBefore = conditions.stream().filter(condition -> condition.path().equals(proof)).mapToLong(Condition::stamp).findFirst()
-                .orElse(0);
+        this.proof =
+                changes.stream()
+                        .filter(change -> change.path().equals(proof) && change.value() != null)
+                        .findFirst()
+                        .orElse(null);
+        stampBefore =
+                conditions.stream()
+                        .filter(condition -> condition.path().equals(proof))
+                        .mapToLong(Condition::stamp)
+                        .findFirst()
+                        .orElse(0);
     }
 
     @Override
@@ -45,12 +59,17 @@
         if (told || proof == null) {
             return;
         }
-        state.get(urgency, proof.path(), (result, entry, generation) -> {
-            if (result == Result.OK && entry.stamp() > stampBefore && asWritten(entry.value())) {
-                // All changes of a transaction have the same stamp.
-                done(Result.OK, entry.stamp(), List.of());
-            }
-        });
+        state.get(
+                urgency,
+                proof.path(),
+                (result, entry, generation) -> {
+                    if (result == Result.OK
+                            && entry.stamp() > stampBefore
+                            && asWritten(entry.value())) {
+                        // All changes of a transaction have the same stamp.
+                        done(Result.OK, entry.stamp(), List.of());
+                    }
+                });
     }
 
     private boolean asWritten(Map<String, Object> value) {
--- a/src/main/java/org/woadloom/wire/Cbor.java
+++ b/src/main/java/org/woadloom/wire/Cbor.java
@@ -15,15 +15,15 @@
 import java.util.Map;
 
 /**
- * The body format of every interface: CBOR restricted to maps with text keys, lists, text, numbers, booleans and
- * null. Values are plain Java objects: Map, List, String, Long, Double, Boolean and null.
+ * The body format of every interface: CBOR restricted to maps with text keys, lists, text, numbers,
+ * booleans and null. Values are plain Java objects: Map, List, String, Long, Double, Boolean and
+ * null.
  */
 public final class Cbor {
     private static final CBORFactory FACTORY = new CBORFactory();
     private static final int MAX_DEPTH = 32;
 
-    private Cbor() {
-    }
+    private Cbor() {}
 
     public static byte[] encode(Object value) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256);
@@ -72,7 +72,8 @@
         return FACTORY.createParser(body);
     }
 
-    private static Object decode(JsonFactory factory, byte[] body, String format) throws WireException {
+    private static Object decode(JsonFactory factory, byte[] body, String format)
+            throws WireException {
         try (JsonParser parser = factory.createParser(body)) {
             JsonToken token = parser.nextToken();
             if (token == null) {
@@ -88,33 +89,38 @@
         }
     }
 
-    static Object read(JsonParser parser, JsonToken token, int depth) throws IOException, WireException {
+    static Object read(JsonParser parser, JsonToken token, int depth)
+            throws IOException, WireException {
         if (depth > MAX_DEPTH) {
             throw new WireException("body: nested too deeply");
         }
         switch (token) {
-            case START_OBJECT: {
-                Map<String, Object> map = new LinkedHashMap<>();
-                String name;
-                while ((name = parser.nextFieldName()) != null) {
-                    int known = map.size();
-                    map.put(name, read(parser, next(parser), depth + 1));
-                    if (map.size() == known) {
-                        throw new WireException("body: " + name + " stands twice in a map");
+            case START_OBJECT:
+                {
+                    Map<String, Object> map = new LinkedHashMap<>();
+                    String name;
+                    while ((name = parser.nextFieldName()) != null) {
+                        int known = map.size();
+                        map.put(name, read(parser, next(parser), depth + 1));
+                        if (map.size() == known) {
+                            throw new WireException("body: " + name + " stands twice in a map");
+                        }
                     }
+                    if (parser.currentToken() != JsonToken.END_OBJECT) {
+                        throw new WireException("body: a map key is not text");
+                    }
+                    return map;
                 }
-                if (parser.currentToken() != JsonToken.END_OBJECT) {
-                    throw new WireException("body: a map key is not text");
-                }
-                return map;
-            }
-            case START_ARRAY: {
-                List<Object> list = new ArrayList<>();
-                for (JsonToken item = next(parser); item != JsonToken.END_ARRAY; item = next(parser)) {
-                    list.add(read(parser, item, depth + 1));
+            case START_ARRAY:
+                {
+                    List<Object> list = new ArrayList<>();
+                    for (JsonToken item = next(parser);
+                            item != JsonToken.END_ARRAY;
+                            item = next(parser)) {
+                        list.add(read(parser, item, depth + 1));
+                    }
+                    return list;
                 }
-                return list;
-            }
             case VALUE_STRING:
                 return parser.getText();
             case VALUE_NUMBER_INT:
@@ -174,7 +180,10 @@
         }
     }
 
-    /** An upper estimate of the value's size as JSON, the form in which the protocol counts its limits. */
+    /**
+     * An upper estimate of the value's size as JSON, the form in which the protocol counts its
+     * limits.
+     */
     public static int jsonSize(Object value) {
         if (value == null) {
             return 4;
--- a/src/main/java/org/woadloom/wire/FieldReader.java
+++ b/src/main/java/org/woadloom/wire/FieldReader.java
@@ -6,8 +6,9 @@
 import java.util.Arrays;
 
 /**
- * Reads the fields of one map as they come, for messages that arrive by the hundred a second: nothing is made of what is
- * not asked for. It refuses what {@link Cbor#decode} and {@link Fields} refuse, and treats null as missing like them.
+ * Reads the fields of one map as they come, for messages that arrive by the hundred a second:
+ * nothing is made of what is not asked for. It refuses what {@link Cbor#decode} and {@link Fields}
+ * refuse, and treats null as missing like them.
  */
 final class FieldReader {
     private final JsonParser parser;
@@ -115,7 +116,9 @@
             throw new WireException(of + ": expected a list");
         }
         FieldReader item = new FieldReader(parser);
-        for (JsonToken token = Cbor.next(parser); token != JsonToken.END_ARRAY; token = Cbor.next(parser)) {
+        for (JsonToken token = Cbor.next(parser);
+                token != JsonToken.END_ARRAY;
+                token = Cbor.next(parser)) {
             if (token != JsonToken.START_OBJECT) {
                 throw new WireException(of + ": expected a map");
             }
--- a/src/main/java/org/woadloom/wire/Fields.java
+++ b/src/main/java/org/woadloom/wire/Fields.java
@@ -60,7 +60,9 @@
             return number;
         }
         // A whole number may have been written as a float by a client that knows only one kind.
-        if (value instanceof Double number && number == Math.rint(number) && Math.abs(number) < 1e15) {
+        if (value instanceof Double number
+                && number == Math.rint(number)
+                && Math.abs(number) < 1e15) {
             return number.longValue();
         }
         throw new WireException(name + ": expected an integer");
--- a/src/main/java/org/woadloom/wire/JobDescription.java
+++ b/src/main/java/org/woadloom/wire/JobDescription.java
@@ -6,20 +6,48 @@
 import java.util.Map;
 
 /**
- * A job as its user submits it. {@code hosttypes}, {@code yard} and {@code dueS} are null where the user set no limit;
- * amounts and durations keep the protocol's units here and become microseconds in the core. {@code awaits} is empty for
- * a job that waits for no other; it was written by no version before 2.
+ * A job as its user submits it. {@code hosttypes}, {@code yard} and {@code dueS} are null where the
+ * user set no limit; amounts and durations keep the protocol's units here and become microseconds
+ * in the core. {@code awaits} is empty for a job that waits for no other; it was written by no
+ * version before 2.
  */
-public record JobDescription(String uid, String jobclass, String crew, Shape shape, Rank rank, int shards,
-        double vcpus, double cards, double ramGb, String bundle, double pullGb, List<String> hosttypes, String yard,
-        boolean samePlace, boolean apart, boolean reclaimable, double runtimeS, double snapshotEveryS,
-        double snapshotCostS, Double dueS, List<String> awaits) {
+public record JobDescription(
+        String uid,
+        String jobclass,
+        String crew,
+        Shape shape,
+        Rank rank,
+        int shards,
+        double vcpus,
+        double cards,
+        double ramGb,
+        String bundle,
+        double pullGb,
+        List<String> hosttypes,
+        String yard,
+        boolean samePlace,
+        boolean apart,
+        boolean reclaimable,
+        double runtimeS,
+        double snapshotEveryS,
+        double snapshotCostS,
+        Double dueS,
+        List<String> awaits) {
 
     public static final int MAX_SHARDS = 100_000;
     private static final int MAX_NAME = 120;
+
     /** What users must give, and stored records leave out where it has the usual value. */
-    private static final List<String> LEFT_OUT_IN_RECORDS = List.of("cards", "pullGb", "samePlace", "apart", "reclaimable",
-            "runtimeS", "snapshotEveryS", "snapshotCostS");
+    private static final List<String> LEFT_OUT_IN_RECORDS =
+            List.of(
+                    "cards",
+                    "pullGb",
+                    "samePlace",
+                    "apart",
+                    "reclaimable",
+                    "runtimeS",
+                    "snapshotEveryS",
+                    "snapshotCostS");
 
     /** True for text that has the form of a job id and can be part of a key and of a path. */
     public static boolean isUid(String text) {
@@ -28,7 +56,11 @@
         }
         for (int i = 2; i < text.length(); i++) {
             char c = text.charAt(i);
-            if (!(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' || c == '_')) {
+            if (!(c >= '0' && c <= '9'
+                    || c >= 'a' && c <= 'z'
+                    || c >= 'A' && c <= 'Z'
+                    || c == '-'
+                    || c == '_')) {
                 return false;
             }
         }
@@ -63,23 +95,64 @@
         if (vcpus == 0 && cards == 0 && ramGb == 0) {
             throw new WireException("vcpus: a task must take something of its machine");
         }
-        return new JobDescription(uid, name(f, "jobclass"), name(f, "crew"), Shape.parse(f.text("shape")),
-                Rank.parse(f.text("rank")), (int) shards, vcpus, cards, ramGb, name(f, "bundle"),
-                f.amountOr("pullGb", 0), hosttypes, f.textOr("yard", null), f.flagOr("samePlace", false),
-                f.flagOr("apart", false), f.flagOr("reclaimable", false), f.amountOr("runtimeS", 0),
-                f.amountOr("snapshotEveryS", 0), f.amountOr("snapshotCostS", 0),
-                f.has("dueS") ? Double.valueOf(f.amount("dueS")) : null, awaits(f));
+        return new JobDescription(
+                uid,
+                name(f, "jobclass"),
+                name(f, "crew"),
+                Shape.parse(f.text("shape")),
+                Rank.parse(f.text("rank")),
+                (int) shards,
+                vcpus,
+                cards,
+                ramGb,
+                name(f, "bundle"),
+                f.amountOr("pullGb", 0),
+                hosttypes,
+                f.textOr("yard", null),
+                f.flagOr("samePlace", false),
+                f.flagOr("apart", false),
+                f.flagOr("reclaimable", false),
+                f.amountOr("runtimeS", 0),
+                f.amountOr("snapshotEveryS", 0),
+                f.amountOr("snapshotCostS", 0),
+                f.has("dueS") ? Double.valueOf(f.amount("dueS")) : null,
+                awaits(f));
     }
 
-    /** The jobs that have to be done before this one starts; each is named once here, however often its user did. */
+    /**
+     * The jobs that have to be done before this one starts; each is named once here, however often
+     * its user did.
+     */
     private static List<String> awaits(Fields f) throws WireException {
         return f.has("awaits") ? List.copyOf(new LinkedHashSet<>(f.texts("awaits"))) : List.of();
     }
 
     /** The same job where what it waited for is done. */
     public JobDescription released() {
-        return awaits.isEmpty() ? this : new JobDescription(uid, jobclass, crew, shape, rank, shards, vcpus, cards, ramGb, bundle, pullGb, hosttypes,
-                yard, samePlace, apart, reclaimable, runtimeS, snapshotEveryS, snapshotCostS, dueS, List.of());
+        return awaits.isEmpty()
+                ? this
+                : new JobDescription(
+                        uid,
+                        jobclass,
+                        crew,
+                        shape,
+                        rank,
+                        shards,
+                        vcpus,
+                        cards,
+                        ramGb,
+                        bundle,
+                        pullGb,
+                        hosttypes,
+                        yard,
+                        samePlace,
+                        apart,
+                        reclaimable,
+                        runtimeS,
+                        snapshotEveryS,
+                        snapshotCostS,
+                        dueS,
+                        List.of());
     }
 
     private static String name(Fields f, String field) throws WireException {
--- a/src/main/java/org/woadloom/wire/JobStatus.java
+++ b/src/main/java/org/woadloom/wire/JobStatus.java
@@ -3,7 +3,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What a user is told of a job. {@code done} and {@code running} are -1 where the answer carries no counts. */
+/**
+ * What a user is told of a job. {@code done} and {@code running} are -1 where the answer carries no
+ * counts.
+ */
 public record JobStatus(String uid, String status, int done, int running) {
     public Map<String, Object> toMap() {
         Map<String, Object> map = new LinkedHashMap<>();
@@ -18,7 +21,10 @@
 
     public static JobStatus parse(Map<String, Object> map) throws WireException {
         Fields f = new Fields(map);
-        return new JobStatus(f.text("uid"), f.text("status"), (int) f.integerOr("done", -1),
+        return new JobStatus(
+                f.text("uid"),
+                f.text("status"),
+                (int) f.integerOr("done", -1),
                 (int) f.integerOr("running", -1));
     }
 }
--- a/src/main/java/org/woadloom/wire/ListedMachine.java
+++ b/src/main/java/org/woadloom/wire/ListedMachine.java
@@ -1,12 +1,24 @@
 package org.woadloom.wire;
 
 /** One machine as the cloud's list shows it; the list lags, so absence from it says nothing. */
-public record ListedMachine(String uid, String addr, String hosttype, String yard, boolean reclaimable, String status,
+public record ListedMachine(
+        String uid,
+        String addr,
+        String hosttype,
+        String yard,
+        boolean reclaimable,
+        String status,
         long heldMicros) {
     public static ListedMachine parse(Object value) throws WireException {
         Fields f = Fields.of(value, "hosts");
-        return new ListedMachine(f.text("uid"), f.textOr("addr", ""), f.text("hosttype"), f.text("yard"),
-                f.flagOr("reclaimable", false), f.text("status"), (long) (f.amountOr("heldS", 0) * 1e6));
+        return new ListedMachine(
+                f.text("uid"),
+                f.textOr("addr", ""),
+                f.text("hosttype"),
+                f.text("yard"),
+                f.flagOr("reclaimable", false),
+                f.text("status"),
+                (long) (f.amountOr("heldS", 0) * 1e6));
     }
 
     public boolean failed() {
--- a/src/main/java/org/woadloom/wire/MachineType.java
+++ b/src/main/java/org/woadloom/wire/MachineType.java
@@ -6,14 +6,30 @@
 import java.util.Map;
 
 /** A kind of machine that the cloud rents. Prices are per hour. */
-public record MachineType(String name, double vcpus, double cards, double ramGb, double cacheGb, double pullGbPerS,
-        double rate, double marketPrice, long readyMicros, List<String> yards) {
+public record MachineType(
+        String name,
+        double vcpus,
+        double cards,
+        double ramGb,
+        double cacheGb,
+        double pullGbPerS,
+        double rate,
+        double marketPrice,
+        long readyMicros,
+        List<String> yards) {
 
     public static MachineType parse(Object value) throws WireException {
         Fields f = Fields.of(value, "hosttypes");
-        return new MachineType(f.text("name"), f.amount("vcpus"), f.amountOr("cards", 0), f.amount("ramGb"),
-                f.amountOr("cacheGb", 0), f.amountOr("pullGbPerS", 0.1), f.amount("rate"),
-                f.amountOr("marketPrice", f.amount("rate")), (long) (f.amountOr("readyS", 60) * 1e6),
+        return new MachineType(
+                f.text("name"),
+                f.amount("vcpus"),
+                f.amountOr("cards", 0),
+                f.amount("ramGb"),
+                f.amountOr("cacheGb", 0),
+                f.amountOr("pullGbPerS", 0.1),
+                f.amount("rate"),
+                f.amountOr("marketPrice", f.amount("rate")),
+                (long) (f.amountOr("readyS", 60) * 1e6),
                 List.copyOf(f.texts("yards")));
     }
 
@@ -42,6 +58,8 @@
 
     /** True if one task of the job fits on an empty machine of this type. */
     public boolean holds(JobDescription job) {
-        return job.vcpus() <= vcpus + 1e-9 && job.cards() <= cards + 1e-9 && job.ramGb() <= ramGb + 1e-9;
+        return job.vcpus() <= vcpus + 1e-9
+                && job.cards() <= cards + 1e-9
+                && job.ramGb() <= ramGb + 1e-9;
     }
 }
--- a/src/main/java/org/woadloom/wire/Order.java
+++ b/src/main/java/org/woadloom/wire/Order.java
@@ -3,9 +3,16 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A command to a worker. Every order names the attempt, so a late one can only touch what it was meant for. */
+/**
+ * A command to a worker. Every order names the attempt, so a late one can only touch what it was
+ * meant for.
+ */
 public record Order(Verb verb, TaskId task, long attempt, double windDownS) {
-    public enum Verb { LAUNCH, HALT, CLEAR }
+    public enum Verb {
+        LAUNCH,
+        HALT,
+        CLEAR
+    }
 
     public static Order launch(TaskId task, long attempt) {
         return new Order(Verb.LAUNCH, task, attempt, 0);
--- a/src/main/java/org/woadloom/wire/Rank.java
+++ b/src/main/java/org/woadloom/wire/Rank.java
@@ -2,7 +2,10 @@
 
 /** Priority of a job, lowest first so that {@link #compareTo} orders by importance. */
 public enum Rank {
-    LOW, STANDARD, HIGH, CRITICAL;
+    LOW,
+    STANDARD,
+    HIGH,
+    CRITICAL;
 
     public String wireName() {
         return name().toLowerCase(java.util.Locale.ROOT);
--- a/src/main/java/org/woadloom/wire/Shape.java
+++ b/src/main/java/org/woadloom/wire/Shape.java
@@ -4,7 +4,9 @@
 public enum Shape {
     /** Independent tasks that each run to completion. */
     BATCH,
-    /** A gang: tasks that run to completion together, and wait for one another before they start. */
+    /**
+     * A gang: tasks that run to completion together, and wait for one another before they start.
+     */
     GROUP,
     /** Replicas that run until the job is cancelled. */
     SERVICE;
--- a/src/main/java/org/woadloom/wire/TaskReport.java
+++ b/src/main/java/org/woadloom/wire/TaskReport.java
@@ -4,10 +4,21 @@
 
 /** What a worker says of one task. {@code cause} is null unless the task has exited. */
 public record TaskReport(TaskId task, long attempt, State state, Cause cause, boolean saved) {
-    public enum State { FETCHING, GATHERING, RUNNING, FLUSHING, EXITED }
+    public enum State {
+        FETCHING,
+        GATHERING,
+        RUNNING,
+        FLUSHING,
+        EXITED
+    }
 
     public enum Cause {
-        DONE, HALTED, ERROR, NO_ROOM, BUSY, UNKNOWN,
+        DONE,
+        HALTED,
+        ERROR,
+        NO_ROOM,
+        BUSY,
+        UNKNOWN,
         /** A task of a gang whose peers went away. */
         PEERS,
         /** A task of a gang that was never complete. */
@@ -31,8 +42,12 @@
             }
         }
         FieldReader.required("status", state, "text");
-        return new TaskReport(FieldReader.required("shard", task, "text"),
-                FieldReader.required("try", attempt, "an integer"), state, state == State.EXITED ? cause : null, saved);
+        return new TaskReport(
+                FieldReader.required("shard", task, "text"),
+                FieldReader.required("try", attempt, "an integer"),
+                state,
+                state == State.EXITED ? cause : null,
+                saved);
     }
 
     private static State state(String text) {
@@ -42,7 +57,7 @@
             case "running" -> State.RUNNING;
             case "flushing" -> State.FLUSHING;
             case "exited" -> State.EXITED;
-            // A state this version does not know still occupies the machine.
+                // A state this version does not know still occupies the machine.
             default -> State.RUNNING;
         };
     }
--- a/src/main/java/org/woadloom/wire/WorkerReport.java
+++ b/src/main/java/org/woadloom/wire/WorkerReport.java
@@ -5,8 +5,17 @@
 import java.util.List;
 
 /** A worker's report. {@code warningMicros} is -1 unless the cloud has given notice. */
-public record WorkerReport(String host, String addr, String hosttype, String yard, boolean reclaimable, long tenure,
-        long tick, long epoch, long warningMicros, List<TaskReport> tasks) {
+public record WorkerReport(
+        String host,
+        String addr,
+        String hosttype,
+        String yard,
+        boolean reclaimable,
+        long tenure,
+        long tick,
+        long epoch,
+        long warningMicros,
+        List<TaskReport> tasks) {
 
     public static WorkerReport read(byte[] body) throws WireException {
         return FieldReader.body(body, WorkerReport::read);
@@ -42,14 +51,24 @@
                 default -> fields.skip();
             }
         }
-        if (host == null || host.isEmpty() || host.length() > 100 || host.indexOf(' ') >= 0 || host.indexOf('/') >= 0) {
+        if (host == null
+                || host.isEmpty()
+                || host.length() > 100
+                || host.indexOf(' ') >= 0
+                || host.indexOf('/') >= 0) {
             throw new WireException("host: expected a machine's name");
         }
-        return new WorkerReport(host, FieldReader.required("addr", addr, "text"),
-                FieldReader.required("hosttype", hosttype, "text"), FieldReader.required("yard", yard, "text"),
-                reclaimable, FieldReader.required("tenure", tenure, "an integer"),
-                FieldReader.required("tick", tick, "an integer"), FieldReader.required("epoch", epoch, "an integer"),
-                warning, FieldReader.required("shards", tasks, "a list"));
+        return new WorkerReport(
+                host,
+                FieldReader.required("addr", addr, "text"),
+                FieldReader.required("hosttype", hosttype, "text"),
+                FieldReader.required("yard", yard, "text"),
+                reclaimable,
+                FieldReader.required("tenure", tenure, "an integer"),
+                FieldReader.required("tick", tick, "an integer"),
+                FieldReader.required("epoch", epoch, "an integer"),
+                warning,
+                FieldReader.required("shards", tasks, "a list"));
     }
 
     /** True if this message was made after the one with the given tenure and tick. */
--- a/src/main/java/org/woadloom/worker/WorkerClient.java
+++ b/src/main/java/org/woadloom/worker/WorkerClient.java
@@ -16,8 +16,9 @@
 import org.woadloom.wire.WorkerReport;
 
 /**
- * Direct commands to workers. Those to workers that did not answer the last one take half of the connections at most, and go
- * after the others: where many machines hang at once, each of them holds a connection for as long as an answer is waited for.
+ * Direct commands to workers. Those to workers that did not answer the last one take half of the
+ * connections at most, and go after the others: where many machines hang at once, each of them
+ * holds a connection for as long as an answer is waited for.
  */
 public final class WorkerClient {
     private static final long TIMEOUT_MICROS = 2_000_000;
@@ -29,17 +30,23 @@
     private final ArrayDeque<Waiting> toSilent = new ArrayDeque<>();
     private int inFlight;
     private int silentInFlight;
-    /** Addresses that gave no answer to the last command, the longest silent first; what is gone drops out in time. */
+
+    /**
+     * Addresses that gave no answer to the last command, the longest silent first; what is gone
+     * drops out in time.
+     */
     private final Set<String> silent = new LinkedHashSet<>();
 
-    private record Waiting(Effect.SendDirect send, Callback callback) {
-    }
+    private record Waiting(Effect.SendDirect send, Callback callback) {}
 
     public interface Callback {
         void result(Command.DirectResult result);
     }
 
-    /** @param mostInFlight how many commands may be under way, each of them on a connection of its own */
+    /**
+     * @param mostInFlight how many commands may be under way, each of them on a connection of its
+     *     own
+     */
     public WorkerClient(HttpTransport transport, int mostInFlight) {
         this.transport = transport;
         this.mostInFlight = mostInFlight;
@@ -54,7 +61,9 @@
         while (inFlight < mostInFlight && !waiting.isEmpty()) {
             begin(waiting.pollFirst(), false);
         }
-        while (inFlight < mostInFlight && silentInFlight < Math.max(1, mostInFlight / 2) && !toSilent.isEmpty()) {
+        while (inFlight < mostInFlight
+                && silentInFlight < Math.max(1, mostInFlight / 2)
+                && !toSilent.isEmpty()) {
             begin(toSilent.pollFirst(), true);
         }
     }
@@ -81,26 +90,42 @@
         map.put("epoch", send.epoch());
         map.put("tenure", send.tenure());
         map.put("orders", orders(send.orders()));
-        transport.request(send.addr(), "POST", "/do", Cbor.encode(map), TIMEOUT_MICROS, (status, body) -> {
-            ended(send, wasSilent, status);
-            WorkerReport report = null;
-            if (status == 200 || status == 409) {
-                try {
-                    report = WorkerReport.read(body);
-                } catch (WireException e) {
-                    // An address may have passed to another machine; without its report nothing is known.
-                    callback.result(new Command.DirectResult(send.sendId(), send.host(), HttpTransport.NO_RESPONSE,
-                            null));
-                    return;
-                }
-                if (!report.host().equals(send.host())) {
-                    callback.result(new Command.DirectResult(send.sendId(), send.host(), HttpTransport.NO_RESPONSE,
-                            null));
-                    return;
-                }
-            }
-            callback.result(new Command.DirectResult(send.sendId(), send.host(), status, report));
-        });
+        transport.request(
+                send.addr(),
+                "POST",
+                "/do",
+                Cbor.encode(map),
+                TIMEOUT_MICROS,
+                (status, body) -> {
+                    ended(send, wasSilent, status);
+                    WorkerReport report = null;
+                    if (status == 200 || status == 409) {
+                        try {
+                            report = WorkerReport.read(body);
+                        } catch (WireException e) {
+                            // An address may have passed to another machine; without its report
+                            // nothing is known.
+                            callback.result(
+                                    new Command.DirectResult(
+                                            send.sendId(),
+                                            send.host(),
+                                            HttpTransport.NO_RESPONSE,
+                                            null));
+                            return;
+                        }
+                        if (!report.host().equals(send.host())) {
+                            callback.result(
+                                    new Command.DirectResult(
+                                            send.sendId(),
+                                            send.host(),
+                                            HttpTransport.NO_RESPONSE,
+                                            null));
+                            return;
+                        }
+                    }
+                    callback.result(
+                            new Command.DirectResult(send.sendId(), send.host(), status, report));
+                });
     }
 
     public static List<Object> orders(List<Order> orders) {
--- a/src/test/java/org/woadloom/core/ClosedInWorkersTest.java
+++ b/src/test/java/org/woadloom/core/ClosedInWorkersTest.java
@@ -10,7 +10,10 @@
 import org.woadloom.wire.Order;
 import org.woadloom.wire.TaskReport;
 
-/** A worker that can't open connections to any node, while commands reach it and are answered; its lease is 10 s. */
+/**
+ * A worker that can't open connections to any node, while commands reach it and are answered; its
+ * lease is 10 s.
+ */
 class ClosedInWorkersTest {
     private static final String HOST = "host-000001";
 
@@ -27,7 +30,9 @@
         leader.submit("j-000001", 1);
         leader.pass(100_000);
         Order launch = leader.last(Effect.SendDirect.class).orders().get(0);
-        task = new TaskReport(launch.task(), launch.attempt(), TaskReport.State.RUNNING, null, false);
+        task =
+                new TaskReport(
+                        launch.task(), launch.attempt(), TaskReport.State.RUNNING, null, false);
         leader.answered(message(HOST, 1, ++tick, token, task));
         leader.report(message(HOST, 1, ++tick, token, task));
         answered = leader.now;
@@ -41,8 +46,17 @@
             leader.pass(100_000);
             for (; seen < leader.all(Effect.SendDirect.class).size(); seen++) {
                 Effect.SendDirect sent = leader.all(Effect.SendDirect.class).get(seen);
-                launches += (int) sent.orders().stream().filter(order -> order.verb() == Order.Verb.LAUNCH).count();
-                leader.step(new Command.DirectResult(sent.sendId(), HOST, 200, message(HOST, 1, ++tick, sent.epoch(), task)));
+                launches +=
+                        (int)
+                                sent.orders().stream()
+                                        .filter(order -> order.verb() == Order.Verb.LAUNCH)
+                                        .count();
+                leader.step(
+                        new Command.DirectResult(
+                                sent.sendId(),
+                                HOST,
+                                200,
+                                message(HOST, 1, ++tick, sent.epoch(), task)));
             }
         }
         return launches;
@@ -58,8 +72,13 @@
         assertTrue(seen > 2, "it was asked how it is");
         assertFalse(leader.logged(LogEvent.TASK_LOST), "its lease may not be over");
         assertEquals(0, until(10_400_000));
-        assertTrue(leader.logged(LogEvent.TASK_LOST, "task=" + task.task(), "attempt=" + task.attempt(), "machine=" + HOST,
-                "reason=\"lease expired\""));
+        assertTrue(
+                leader.logged(
+                        LogEvent.TASK_LOST,
+                        "task=" + task.task(),
+                        "attempt=" + task.attempt(),
+                        "machine=" + HOST,
+                        "reason=\"lease expired\""));
         assertEquals(0, until(30 * SECOND));
     }
 
@@ -68,7 +87,13 @@
     void theEndOfItsTaskIsLearntFromItsAnswers() {
         isClosedIn();
         until(2 * SECOND);
-        task = new TaskReport(task.task(), task.attempt(), TaskReport.State.EXITED, TaskReport.Cause.DONE, false);
+        task =
+                new TaskReport(
+                        task.task(),
+                        task.attempt(),
+                        TaskReport.State.EXITED,
+                        TaskReport.Cause.DONE,
+                        false);
         until(6 * SECOND);
         assertEquals(1, leader.all(Effect.FinishJob.class).size());
     }
--- a/src/test/java/org/woadloom/core/CoreFixture.java
+++ b/src/test/java/org/woadloom/core/CoreFixture.java
@@ -20,10 +20,13 @@
 import org.woadloom.wire.WireException;
 import org.woadloom.wire.WorkerReport;
 
-/** A small world for tests of the core's parts: machines of 16 CPUs and 32 GB, one team limited to 24 CPUs. */
+/**
+ * A small world for tests of the core's parts: machines of 16 CPUs and 32 GB, one team limited to
+ * 24 CPUs.
+ */
 public final class CoreFixture {
-    private static final MachineType TYPE = new MachineType("m16", 16, 0, 32, 50, 1, 1, 0.3, 30_000_000,
-            List.of("a", "b"));
+    private static final MachineType TYPE =
+            new MachineType("m16", 16, 0, 32, 50, 1, 1, 0.3, 30_000_000, List.of("a", "b"));
 
     public final World world;
 
@@ -31,10 +34,27 @@
         this(24);
     }
 
-    /** @param limit the CPUs that the team may use at most */
+    /**
+     * @param limit the CPUs that the team may use at most
+     */
     public CoreFixture(double limit) {
-        world = new World(new CoreSettings("node", Map.of(), List.of(new Team("team", 16, limit, 0, 0)), List.of(), 1_500_000, 10_000_000, 30_000_000,
-                3_000_000, OperatorSettings.defaults()), 8192, RecordFormat.PLAIN, 1, 1_000_000, 0);
+        world =
+                new World(
+                        new CoreSettings(
+                                "node",
+                                Map.of(),
+                                List.of(new Team("team", 16, limit, 0, 0)),
+                                List.of(),
+                                1_500_000,
+                                10_000_000,
+                                30_000_000,
+                                3_000_000,
+                                OperatorSettings.defaults()),
+                        8192,
+                        RecordFormat.PLAIN,
+                        1,
+                        1_000_000,
+                        0);
         world.types.put(TYPE.name(), TYPE);
     }
 
@@ -51,8 +71,18 @@
 
     /** The machine's worker reports with no tasks; its token is only new to it. */
     public Age hear(Machine machine, long tick, long epoch) {
-        WorkerReport report = new WorkerReport(machine.host, machine.host + ":9000", machine.hosttype, machine.yard, false, 1,
-                tick, epoch, -1, List.of());
+        WorkerReport report =
+                new WorkerReport(
+                        machine.host,
+                        machine.host + ":9000",
+                        machine.hosttype,
+                        machine.yard,
+                        false,
+                        1,
+                        tick,
+                        epoch,
+                        -1,
+                        List.of());
         machine.hearing.mayWaitFor(report, world.nowMicros);
         Age age = machine.hearing.judge(report, Hearing.NEVER, world.nowMicros);
         machine.hearing.take(report, age, Hearing.NEVER, world.nowMicros);
@@ -63,7 +93,8 @@
         return job(uid, vcpus, ramGb, shards, false, false);
     }
 
-    public Job job(String uid, double vcpus, double ramGb, int shards, boolean service, boolean apart) {
+    public Job job(
+            String uid, double vcpus, double ramGb, int shards, boolean service, boolean apart) {
         return job(uid, vcpus, ramGb, shards, service, apart, new LinkedHashMap<>());
     }
 
@@ -82,7 +113,13 @@
         return job(uid, 1, 1, shards, service, false, map);
     }
 
-    private Job job(String uid, double vcpus, double ramGb, int shards, boolean service, boolean apart,
+    private Job job(
+            String uid,
+            double vcpus,
+            double ramGb,
+            int shards,
+            boolean service,
+            boolean apart,
             Map<String, Object> map) {
         map.put("uid", uid);
         map.putIfAbsent("jobclass", "work");
@@ -96,7 +133,8 @@
         map.put("bundle", "img");
         try {
             JobRecord record = JobRecord.accepted(JobDescription.parse(map), 0);
-            Job job = new Job(record, 1, world.teams.get("team"), world.nowMicros, world.unrecorded);
+            Job job =
+                    new Job(record, 1, world.teams.get("team"), world.nowMicros, world.unrecorded);
             world.jobs.put(uid, job);
             return job;
         } catch (WireException e) {
@@ -109,16 +147,26 @@
     }
 
     public Placement place(Reservations reservations, Job job, int index, Machine machine) {
-        Placement placement = new Placement(job, index, machine, world.newAttempt(), 1, world.nowMicros);
+        Placement placement =
+                new Placement(job, index, machine, world.newAttempt(), 1, world.nowMicros);
         reservations.draw(placement);
         job.add(placement);
         return placement;
     }
 
-    /** True if an entry of the event was logged with these values since the effects were last taken. */
+    /**
+     * True if an entry of the event was logged with these values since the effects were last taken.
+     */
     public boolean logged(LogEvent event, String... values) {
-        return effects().stream().filter(Effect.Note.class::isInstance).map(effect -> ((Effect.Note) effect).entry())
+        return effects().stream()
+                .filter(Effect.Note.class::isInstance)
+                .map(effect -> ((Effect.Note) effect).entry())
                 .filter(entry -> entry.event() == event)
-                .anyMatch(entry -> List.of(values).stream().allMatch(value -> (entry + " ").contains(" " + value + " ")));
+                .anyMatch(
+                        entry ->
+                                List.of(values).stream()
+                                        .allMatch(
+                                                value ->
+                                                        (entry + " ").contains(" " + value + " ")));
     }
 }
--- a/src/test/java/org/woadloom/core/MistakenJobsTest.java
+++ b/src/test/java/org/woadloom/core/MistakenJobsTest.java
@@ -15,7 +15,10 @@
 import org.woadloom.wire.Order;
 import org.woadloom.wire.TaskReport;
 
-/** Jobs that fail on every machine, and machines on which every job fails: each is to be told from the other. */
+/**
+ * Jobs that fail on every machine, and machines on which every job fails: each is to be told from
+ * the other.
+ */
 class MistakenJobsTest {
     private static final int MACHINES = 6;
 
@@ -27,20 +30,30 @@
 
     /** Every worker answers at once; tasks of these jobs, and all on these machines, fail. */
     private void pass(long micros, Set<String> mistaken, Set<String> faulty) {
-        for (long until = leader.now + micros; leader.now < until;) {
+        for (long until = leader.now + micros; leader.now < until; ) {
             for (int i = 0; i < MACHINES; i++) {
                 String host = "host-00000" + i;
                 leader.report(message(host, 1, ++tick, epochs.getOrDefault(host, 0L), tasks(host)));
             }
             leader.pass(500_000);
-            List<Effect> news = new ArrayList<>(leader.effects.subList(read, leader.effects.size()));
+            List<Effect> news =
+                    new ArrayList<>(leader.effects.subList(read, leader.effects.size()));
             read = leader.effects.size();
             for (Effect effect : news) {
                 if (effect instanceof Effect.SendDirect sent) {
                     epochs.put(sent.host(), sent.epoch());
                     sent.orders().forEach(order -> execute(sent.host(), order, mistaken, faulty));
-                    leader.step(new Command.DirectResult(sent.sendId(), sent.host(), 200,
-                            message(sent.host(), 1, ++tick, sent.epoch(), tasks(sent.host()))));
+                    leader.step(
+                            new Command.DirectResult(
+                                    sent.sendId(),
+                                    sent.host(),
+                                    200,
+                                    message(
+                                            sent.host(),
+                                            1,
+                                            ++tick,
+                                            sent.epoch(),
+                                            tasks(sent.host()))));
                 }
             }
         }
@@ -58,12 +71,22 @@
             String uid = order.task().uid();
             launches.merge(uid + " " + host, 1, Integer::sum);
             boolean fails = mistaken.contains(uid) || faulty.contains(host);
-            on.computeIfAbsent(host, h -> new LinkedHashMap<>()).put(key, new TaskReport(order.task(), order.attempt(),
-                    fails ? TaskReport.State.EXITED : TaskReport.State.RUNNING, fails ? TaskReport.Cause.ERROR : null, false));
+            on.computeIfAbsent(host, h -> new LinkedHashMap<>())
+                    .put(
+                            key,
+                            new TaskReport(
+                                    order.task(),
+                                    order.attempt(),
+                                    fails ? TaskReport.State.EXITED : TaskReport.State.RUNNING,
+                                    fails ? TaskReport.Cause.ERROR : null,
+                                    false));
         }
     }
 
-    /** Two of them used to have every machine quarantined on which both had tried: for longer than any job may wait. */
+    /**
+     * Two of them used to have every machine quarantined on which both had tried: for longer than
+     * any job may wait.
+     */
     @Test
     void jobsThatFailEverywhereTakeNoMachineFromTheOthers() {
         Set<String> mistaken = Set.of("j-000001", "j-000002");
@@ -72,13 +95,27 @@
             leader.submit(uid, 2 * MACHINES);
             pass(8 * SECOND, mistaken, Set.of());
         }
-        long machines = launches.keySet().stream().filter(key -> key.startsWith("j-000001")).count();
-        assertTrue(machines >= 3 && launches.keySet().stream().filter(key -> key.startsWith("j-000002")).count() >= 3,
+        long machines =
+                launches.keySet().stream().filter(key -> key.startsWith("j-000001")).count();
+        assertTrue(
+                machines >= 3
+                        && launches.keySet().stream()
+                                        .filter(key -> key.startsWith("j-000002"))
+                                        .count()
+                                >= 3,
                 "they were tried on " + launches.keySet());
         leader.submit("j-000003", 2 * MACHINES);
         pass(5 * SECOND, mistaken, Set.of());
-        assertEquals(MACHINES, launches.keySet().stream().filter(key -> key.startsWith("j-000003")).count(), "quarantined: "
-                + leader.all(Effect.Note.class).stream().filter(note -> note.entry().event() == LogEvent.MACHINE_QUARANTINED).toList());
+        assertEquals(
+                MACHINES,
+                launches.keySet().stream().filter(key -> key.startsWith("j-000003")).count(),
+                "quarantined: "
+                        + leader.all(Effect.Note.class).stream()
+                                .filter(
+                                        note ->
+                                                note.entry().event()
+                                                        == LogEvent.MACHINE_QUARANTINED)
+                                .toList());
     }
 
     /** Jobs large enough to meet both are not taken for mistaken ones. */
@@ -90,7 +127,8 @@
             leader.submit(uid, 2 * MACHINES);
             pass(5 * SECOND, Set.of(), faulty);
         }
-        faulty.forEach(host -> assertTrue(leader.logged(LogEvent.MACHINE_QUARANTINED, "machine=" + host)));
+        faulty.forEach(
+                host -> assertTrue(leader.logged(LogEvent.MACHINE_QUARANTINED, "machine=" + host)));
     }
 
     /** Jobs that fail on it alone point at it. */
--- a/src/test/java/org/woadloom/core/WriteBudgetTest.java
+++ b/src/test/java/org/woadloom/core/WriteBudgetTest.java
@@ -9,7 +9,10 @@
     private static final double RATE = 30;
     private static final int SECONDS = 200;
 
-    /** Whatever is wanted, no more is asked for than the rate allows, and neither kind holds up the other. */
+    /**
+     * Whatever is wanted, no more is asked for than the rate allows, and neither kind holds up the
+     * other.
+     */
     @Test
     void theRateIsKeptAndEachKindHasItsPart() {
         Random random = new Random(4);
@@ -30,12 +33,17 @@
                         jobs++;
                     }
                 }
-                assertTrue(jobs + machines <= RATE * SECONDS * 1.02 + 40, jobs + " and " + machines);
+                assertTrue(
+                        jobs + machines <= RATE * SECONDS * 1.02 + 40, jobs + " and " + machines);
                 if (jobsWanted > 0) {
-                    assertTrue(jobs >= Math.min(jobsWanted * 100, RATE * 0.55) * SECONDS, jobs + " of jobs");
+                    assertTrue(
+                            jobs >= Math.min(jobsWanted * 100, RATE * 0.55) * SECONDS,
+                            jobs + " of jobs");
                 }
                 if (machinesWanted > 0) {
-                    assertTrue(machines >= Math.min(machinesWanted * 100, RATE * 0.35) * SECONDS, machines + " of machines");
+                    assertTrue(
+                            machines >= Math.min(machinesWanted * 100, RATE * 0.35) * SECONDS,
+                            machines + " of machines");
                 }
             }
         }
--- a/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
@@ -16,9 +16,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One node that confirms and leaders of up to three terms that all believe to lead, the first of them twice, in random orders of
- * ends, losses, delays, refusals and clocks that drift. After each step neither leader's watermark may have passed a
- * moment at which a user was told of a cancellation that it lacks.
+ * One node that confirms and leaders of up to three terms that all believe to lead, the first of
+ * them twice, in random orders of ends, losses, delays, refusals and clocks that drift. After each
+ * step neither leader's watermark may have passed a moment at which a user was told of a
+ * cancellation that it lacks.
  */
 class CancellationWatermarkTest {
     private static final long S = 1_000_000;
@@ -55,8 +56,18 @@
 
         long micros() {
             // Of itself it vouches for everything: the node is the one that counts.
-            watermark.heard(label, new Vouch(term, 1, clock(), term * 500 * S, clock(), ToldCancellations.SILENT_PROMISE_MICROS, List.of()),
-                    clock(), clock());
+            watermark.heard(
+                    label,
+                    new Vouch(
+                            term,
+                            1,
+                            clock(),
+                            term * 500 * S,
+                            clock(),
+                            ToldCancellations.SILENT_PROMISE_MICROS,
+                            List.of()),
+                    clock(),
+                    clock());
             return watermark.micros(seenMicros);
         }
     }
@@ -100,7 +111,9 @@
         life++;
         nodeOffset = random.nextInt(1_000_000_000);
         nodeRate = 1 + (random.nextDouble() - 0.5) / 1000;
-        node = new ToldCancellations(life, leaders.stream().map(l -> l.label).toList(), nodeClock());
+        node =
+                new ToldCancellations(
+                        life, leaders.stream().map(l -> l.label).toList(), nodeClock());
         leaderOfNode = random.nextInt(leaders.size());
     }
 
@@ -112,23 +125,30 @@
             return;
         }
         ToldCancellations speaker = node;
-        send(() -> {
-            if (leader.steppedDown) {
-                return;
-            }
-            VouchTaken taken = leader.watermark.heard("node", vouch, leader.seenMicros, leader.clock());
-            if (taken != null) {
-                leader.knows.addAll(vouch.jobs());
-                send(() -> {
-                    if (speaker == node) {
-                        node.taken(taken);
+        send(
+                () -> {
+                    if (leader.steppedDown) {
+                        return;
+                    }
+                    VouchTaken taken =
+                            leader.watermark.heard(
+                                    "node", vouch, leader.seenMicros, leader.clock());
+                    if (taken != null) {
+                        leader.knows.addAll(vouch.jobs());
+                        send(
+                                () -> {
+                                    if (speaker == node) {
+                                        node.taken(taken);
+                                    }
+                                });
                     }
                 });
-            }
-        });
     }
 
-    /** Returns how many were told while a leader went on without the state service, and how long the watermark moved by vouches alone. */
+    /**
+     * Returns how many were told while a leader went on without the state service, and how long the
+     * watermark moved by vouches alone.
+     */
     private int day(long seed) {
         random = new Random(seed);
         now = 0;
@@ -149,27 +169,42 @@
             if (random.nextInt(200) == 0) {
                 silentSince = silentSince < 0 ? now : -1;
             }
-            if (leaders.size() == 1 && silentSince < 0 && now > 60 * S && random.nextInt(400) == 0) {
+            if (leaders.size() == 1
+                    && silentSince < 0
+                    && now > 60 * S
+                    && random.nextInt(400) == 0) {
                 leaders.add(new Leader(2, "leader-2"));
             }
-            if (leaders.size() == 2 && leaders.get(0).steppedDown && silentSince < 0 && random.nextInt(400) == 0) {
+            if (leaders.size() == 2
+                    && leaders.get(0).steppedDown
+                    && silentSince < 0
+                    && random.nextInt(400) == 0) {
                 leaders.add(new Leader(3, "leader-1"));
                 ledTwice++;
             }
             for (Leader leader : leaders) {
-                if (!leader.steppedDown && random.nextInt(60) == 0 && random.nextInt(3) == 0 && silentSince < 0) {
+                if (!leader.steppedDown
+                        && random.nextInt(60) == 0
+                        && random.nextInt(3) == 0
+                        && silentSince < 0) {
                     leader.seesAll();
                 }
                 ToldCancellations hearing = node;
                 boolean leads = !leader.steppedDown;
                 long knownTerm = leads ? leader.term : leaders.size();
-                boolean speaks = leaders.stream().noneMatch(other -> other.label.equals(leader.label) && other.term > leader.term);
+                boolean speaks =
+                        leaders.stream()
+                                .noneMatch(
+                                        other ->
+                                                other.label.equals(leader.label)
+                                                        && other.term > leader.term);
                 if (speaks && random.nextInt(14) == 0) {
-                    send(() -> {
-                        if (hearing == node) {
-                            node.heard(leader.label, knownTerm, leads);
-                        }
-                    });
+                    send(
+                            () -> {
+                                if (hearing == node) {
+                                    node.heard(leader.label, knownTerm, leads);
+                                }
+                            });
                 }
             }
             if (leaders.size() > 1 && random.nextInt(600) == 0) {
@@ -186,7 +221,11 @@
                 vouch(leaders);
             }
             if (silentSince < 0 && random.nextInt(10) == 0) {
-                String uid = "j-" + (random.nextInt(3) == 0 && !made.isEmpty() ? random.nextInt(made.size()) : made.size());
+                String uid =
+                        "j-"
+                                + (random.nextInt(3) == 0 && !made.isEmpty()
+                                        ? random.nextInt(made.size())
+                                        : made.size());
                 made.add(uid);
                 node.enter(uid, nodeClock());
             }
@@ -201,12 +240,22 @@
                 }
                 long watermark = leader.micros();
                 byVouches += watermark > leader.seenMicros ? 1 : 0;
-                toldAt.forEach((uid, at) -> {
-                    if (!leader.knows.contains(uid)) {
-                        assertTrue(watermark <= leader.clock(at), uid + " was told at " + at + ", watermark of term "
-                                + leader.term + " " + (watermark - leader.clock(at)) + " later, seed " + seed);
-                    }
-                });
+                toldAt.forEach(
+                        (uid, at) -> {
+                            if (!leader.knows.contains(uid)) {
+                                assertTrue(
+                                        watermark <= leader.clock(at),
+                                        uid
+                                                + " was told at "
+                                                + at
+                                                + ", watermark of term "
+                                                + leader.term
+                                                + " "
+                                                + (watermark - leader.clock(at))
+                                                + " later, seed "
+                                                + seed);
+                            }
+                        });
             }
         }
         return byVouches;
@@ -235,7 +284,8 @@
             silent.taken(taken);
             assertTrue(at < 3 * S || watermark.micros(S) >= at, "behind at " + at);
         }
-        // A process that is back within the promise is believed, one that stayed away longer is not.
+        // A process that is back within the promise is believed, one that stayed away longer is
+        // not.
         long ended = 999 * S;
         long kept = watermarkAfter(watermark, ended + 9 * S);
         assertTrue(kept >= ended + 30 * S, "at " + kept);
@@ -252,8 +302,9 @@
     }
 
     /**
-     * A leader that is reached and answers nothing must not keep users from being told for ever: polls that are given up and
-     * come again find each time that the promise was renewed in between.
+     * A leader that is reached and answers nothing must not keep users from being told for ever:
+     * polls that are given up and come again find each time that the promise was renewed in
+     * between.
      */
     @Test
     void aLeaderThatDoesNotAnswerHoldsNobodyUpForLong() {
@@ -278,7 +329,10 @@
         return told;
     }
 
-    /** What a node has promised to itself it would hear of from nobody, and its users waited for up to 15 s. */
+    /**
+     * What a node has promised to itself it would hear of from nobody, and its users waited for up
+     * to 15 s.
+     */
     @Test
     void nobodyWaitsForAPromiseToANodeThatLeadsNoMore() {
         ToldCancellations itself = promised("self", 20 * S);
@@ -292,7 +346,10 @@
         assertTrue(other.mayTell("j-000001", 2 * S));
     }
 
-    /** A node that leads again and has taken in what is asked about lacks nothing, whatever it was promised before. */
+    /**
+     * A node that leads again and has taken in what is asked about lacks nothing, whatever it was
+     * promised before.
+     */
     @Test
     void nobodyWaitsForAPromiseToANodeThatLeadsAgain() {
         ToldCancellations told = promised("other", 20 * S);
@@ -305,7 +362,10 @@
         assertTrue(told.mayTell("j-000001", 4 * S + 1));
     }
 
-    /** What the process before may have promised a node counts on, also where this one has promised it something shorter. */
+    /**
+     * What the process before may have promised a node counts on, also where this one has promised
+     * it something shorter.
+     */
     @Test
     void aShorterPromiseEndsNoneOfTheProcessBefore() {
         ToldCancellations told = new ToldCancellations(1, List.of("other"), 0);
@@ -318,7 +378,10 @@
         assertTrue(told.mayTell("j-000001", 15 * S + 1));
     }
 
-    /** More than are kept, at any rate: those that were dropped are asked for again, and nobody vouches for what is not known. */
+    /**
+     * More than are kept, at any rate: those that were dropped are asked for again, and nobody
+     * vouches for what is not known.
+     */
     @Test
     void whatIsDroppedIsNeitherToldNorVouchedFor() {
         ToldCancellations told = new ToldCancellations(1, List.of(), 0);
@@ -344,13 +407,18 @@
     void whatCannotBeIsLeftAlone() {
         CancellationWatermark watermark = new CancellationWatermark(3, List.of("node"));
         long before = watermark.micros(S);
-        List<Vouch> flawed = List.of(new Vouch(3, 1, 5, 6, Vouch.NONE, 0, List.of()), new Vouch(3, 1, 5, 5, Vouch.NONE, -1, List.of()),
-                new Vouch(3, 1, 5, 5, Vouch.NONE, 60 * S, List.of()), new Vouch(3, 1, 5, 5, 11 * S, 0, List.of()));
+        List<Vouch> flawed =
+                List.of(
+                        new Vouch(3, 1, 5, 6, Vouch.NONE, 0, List.of()),
+                        new Vouch(3, 1, 5, 5, Vouch.NONE, -1, List.of()),
+                        new Vouch(3, 1, 5, 5, Vouch.NONE, 60 * S, List.of()),
+                        new Vouch(3, 1, 5, 5, 11 * S, 0, List.of()));
         for (Vouch vouch : flawed) {
             assertFalse(CancellationWatermark.flaw(vouch, 10 * S) == null);
             assertNull(watermark.heard("node", vouch, 10 * S, 10 * S));
         }
-        assertNull(watermark.heard("nobody", new Vouch(3, 1, 5, 5, S, 0, List.of()), 10 * S, 10 * S));
+        assertNull(
+                watermark.heard("nobody", new Vouch(3, 1, 5, 5, S, 0, List.of()), 10 * S, 10 * S));
         assertNull(watermark.heard("node", new Vouch(2, 1, 5, 5, S, 0, List.of()), 10 * S, 10 * S));
         assertEquals(before, watermark.micros(S));
     }
--- a/src/test/java/org/woadloom/core/capacity/CapacityTest.java
+++ b/src/test/java/org/woadloom/core/capacity/CapacityTest.java
@@ -5,18 +5,21 @@
 import static org.woadloom.core.LeaderFixture.SECOND;
 import static org.woadloom.core.LeaderFixture.message;
 
-import org.woadloom.core.LogEvent;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.woadloom.core.Command;
 import org.woadloom.core.Effect;
 import org.woadloom.core.LeaderFixture;
+import org.woadloom.core.LogEvent;
 import org.woadloom.state.MachineRecord;
 import org.woadloom.wire.ListedMachine;
 import org.woadloom.wire.TaskReport;
 
-/** A cloud that takes few calls a second: each has to count. Two tasks of 8 CPUs fill a machine; the team's limit is 200. */
+/**
+ * A cloud that takes few calls a second: each has to count. Two tasks of 8 CPUs fill a machine; the
+ * team's limit is 200.
+ */
 class CapacityTest {
     private final LeaderFixture leader = new LeaderFixture();
 
@@ -24,17 +27,24 @@
         return leader.all(Effect.Rent.class);
     }
 
-    /** Each job alone is within what the limit leaves; together they asked for 150 machines, of which 12 could be used. */
+    /**
+     * Each job alone is within what the limit leaves; together they asked for 150 machines, of
+     * which 12 could be used.
+     */
     @Test
     void theJobsOfATeamTogetherRentNoMoreThanItsLimitAllows() {
         for (int i = 0; i < 12; i++) {
             leader.submit("j-" + i, 25);
         }
         leader.pass(10 * SECOND);
-        assertEquals(13, rentals().stream().mapToInt(Effect.Rent::count).sum(), "25 tasks of 8 CPUs");
+        assertEquals(
+                13, rentals().stream().mapToInt(Effect.Rent::count).sum(), "25 tasks of 8 CPUs");
     }
 
-    /** What is asked for while the answer is under way would be asked for in vain where there are no more. */
+    /**
+     * What is asked for while the answer is under way would be asked for in vain where there are no
+     * more.
+     */
     @Test
     void aKindIsNotAskedForAgainBeforeItsAnswer() {
         leader.submit("j-1", 10);
@@ -44,11 +54,14 @@
         leader.pass(SECOND);
         assertEquals(1, rentals().size());
         Effect.Rent first = rentals().get(0);
-        leader.step(new Command.Rented(first.claim(), Command.RentOutcome.RENTED, List.of("host-1", "host-2")));
+        leader.step(
+                new Command.Rented(
+                        first.claim(), Command.RentOutcome.RENTED, List.of("host-1", "host-2")));
         leader.pass(SECOND);
         assertEquals(2, rentals().size());
         Effect.Rent second = rentals().get(1);
-        assertTrue(!second.yard().equals(first.yard()) || second.reclaimable() != first.reclaimable(),
+        assertTrue(
+                !second.yard().equals(first.yard()) || second.reclaimable() != first.reclaimable(),
                 "it gave less than was asked for, so there are no more of that kind");
     }
 
@@ -60,11 +73,15 @@
         leader.submit("j-2", 10);
         leader.pass(4 * SECOND);
         assertEquals(2, rentals().size());
-        assertTrue(!rentals().get(0).yard().equals(rentals().get(1).yard())
-                || rentals().get(0).reclaimable() != rentals().get(1).reclaimable());
+        assertTrue(
+                !rentals().get(0).yard().equals(rentals().get(1).yard())
+                        || rentals().get(0).reclaimable() != rentals().get(1).reclaimable());
     }
 
-    /** Machines are given up at different times, and go in one call as long as the one before has no answer. */
+    /**
+     * Machines are given up at different times, and go in one call as long as the one before has no
+     * answer.
+     */
     @Test
     void deletionsGatherWhileOneIsUnderWay() {
         for (int i = 0; i < 6; i++) {
@@ -91,7 +108,8 @@
         leader.passUnanswered(30 * SECOND);
         assertTrue(rentals().size() > 0);
         assertTrue(rentals().stream().allMatch(rent -> rent.yard().equals("b")));
-        assertEquals(List.of(), leader.all(Effect.Delete.class), "they come back with their images");
+        assertEquals(
+                List.of(), leader.all(Effect.Delete.class), "they come back with their images");
         for (String host : List.of("host-000001", "host-000002")) {
             leader.report(message(host, 2, 10, 0));
             leader.pass(100_000);
@@ -101,11 +119,28 @@
         assertTrue(leader.logged(LogEvent.ZONE_RECONNECTED, "zone=a"));
     }
 
-    /** It was up under an earlier leader and is gone: for four boot times it used to count as room that comes. */
+    /**
+     * It was up under an earlier leader and is gone: for four boot times it used to count as room
+     * that comes.
+     */
     @Test
     void whatWasUpAndDoesNotFindTheNewLeaderIsNotWaitedFor() {
-        leader.step(new Command.Lead(LeaderFixture.TERM + 1, List.of(), List.of(new Command.StoredMachine(new MachineRecord(
-                "host-000001", "m16", "a", false, false, new MachineRecord.Life(leader.now - 900 * SECOND, true)), 50)), leader.now));
+        leader.step(
+                new Command.Lead(
+                        LeaderFixture.TERM + 1,
+                        List.of(),
+                        List.of(
+                                new Command.StoredMachine(
+                                        new MachineRecord(
+                                                "host-000001",
+                                                "m16",
+                                                "a",
+                                                false,
+                                                false,
+                                                new MachineRecord.Life(
+                                                        leader.now - 900 * SECOND, true)),
+                                        50)),
+                        leader.now));
         leader.submit("j-1", 2);
         leader.pass(10 * SECOND);
         assertEquals(0, rentals().size(), "it may come yet");
@@ -115,45 +150,96 @@
         assertEquals(List.of("host-000001"), leader.last(Effect.Delete.class).hosts());
     }
 
-    /** A zone of which a new leader hears nothing may be cut off: nothing is rented there, and what is there may come back. */
+    /**
+     * A zone of which a new leader hears nothing may be cut off: nothing is rented there, and what
+     * is there may come back.
+     */
     @Test
     void aNewLeaderRentsNothingInAZoneOfWhichItHearsNothing() {
         List<Command.StoredMachine> stored = new ArrayList<>();
         for (int i = 1; i <= 4; i++) {
-            stored.add(new Command.StoredMachine(new MachineRecord("host-00000" + i, "m16", "a", false, false,
-                    new MachineRecord.Life(leader.now - 900 * SECOND, true)), 50 + i));
+            stored.add(
+                    new Command.StoredMachine(
+                            new MachineRecord(
+                                    "host-00000" + i,
+                                    "m16",
+                                    "a",
+                                    false,
+                                    false,
+                                    new MachineRecord.Life(leader.now - 900 * SECOND, true)),
+                            50 + i));
         }
         leader.step(new Command.Lead(LeaderFixture.TERM + 1, List.of(), stored, leader.now));
         leader.submit("j-1", 2);
         leader.pass(50 * SECOND);
-        assertTrue(rentals().size() > 0 && rentals().stream().allMatch(rent -> rent.yard().equals("b")), "" + rentals());
+        assertTrue(
+                rentals().size() > 0
+                        && rentals().stream().allMatch(rent -> rent.yard().equals("b")),
+                "" + rentals());
         assertEquals(List.of(), leader.all(Effect.Delete.class));
     }
 
-    /** The list lags, and may be older than the one before: machines that are missing in it are as they were. */
+    /**
+     * The list lags, and may be older than the one before: machines that are missing in it are as
+     * they were.
+     */
     @Test
     void whatTheListLacksIsNotTakenForGone() {
         long token = leader.isUp("host-000001", 1);
         leader.submit("j-1", 2);
         leader.pass(100_000);
         Effect.SendDirect sent = leader.last(Effect.SendDirect.class);
-        leader.answered(message("host-000001", 1, 5, token, sent.orders().stream().map(order -> new TaskReport(order.task(),
-                order.attempt(), TaskReport.State.RUNNING, null, false)).toArray(TaskReport[]::new)));
+        leader.answered(
+                message(
+                        "host-000001",
+                        1,
+                        5,
+                        token,
+                        sent.orders().stream()
+                                .map(
+                                        order ->
+                                                new TaskReport(
+                                                        order.task(),
+                                                        order.attempt(),
+                                                        TaskReport.State.RUNNING,
+                                                        null,
+                                                        false))
+                                .toArray(TaskReport[]::new)));
         for (int i = 0; i < 30; i++) {
             leader.step(new Command.MachinesListed(List.of()));
-            leader.report(message("host-000001", 1, 6 + i, token, sent.orders().stream().map(order -> new TaskReport(order.task(),
-                    order.attempt(), TaskReport.State.RUNNING, null, false)).toArray(TaskReport[]::new)));
+            leader.report(
+                    message(
+                            "host-000001",
+                            1,
+                            6 + i,
+                            token,
+                            sent.orders().stream()
+                                    .map(
+                                            order ->
+                                                    new TaskReport(
+                                                            order.task(),
+                                                            order.attempt(),
+                                                            TaskReport.State.RUNNING,
+                                                            null,
+                                                            false))
+                                    .toArray(TaskReport[]::new)));
             leader.pass(SECOND);
         }
         assertEquals(2, sent.orders().size());
-        assertTrue(!leader.logged(LogEvent.TASK_LOST) && rentals().isEmpty() && leader.all(Effect.Delete.class).isEmpty());
+        assertTrue(
+                !leader.logged(LogEvent.TASK_LOST)
+                        && rentals().isEmpty()
+                        && leader.all(Effect.Delete.class).isEmpty());
     }
 
     private static ListedMachine item(String host) {
         return new ListedMachine(host, host + ":9000", "m16", "a", false, "running", 100 * SECOND);
     }
 
-    /** The cloud took three of a zone's four machines without notice: no rental there had to wait 80 s for that. */
+    /**
+     * The cloud took three of a zone's four machines without notice: no rental there had to wait 80
+     * s for that.
+     */
     @Test
     void whatIsSilentAndNoLongerListedIsGivenUpAndDarkensNoZone() {
         List<ListedMachine> all = new ArrayList<>();
@@ -167,9 +253,16 @@
             leader.report(message("host-000003", 1, 10 + s, token));
             leader.passUnanswered(SECOND);
         }
-        assertTrue(leader.logged(LogEvent.ZONE_PARTITIONED, "zone=a", "silent=3", "machines=4") && leader.logged(LogEvent.ZONE_RECONNECTED, "zone=a"));
-        assertEquals(List.of("host-000000", "host-000001", "host-000002"),
-                leader.all(Effect.Delete.class).stream().flatMap(delete -> delete.hosts().stream()).distinct().sorted().toList());
+        assertTrue(
+                leader.logged(LogEvent.ZONE_PARTITIONED, "zone=a", "silent=3", "machines=4")
+                        && leader.logged(LogEvent.ZONE_RECONNECTED, "zone=a"));
+        assertEquals(
+                List.of("host-000000", "host-000001", "host-000002"),
+                leader.all(Effect.Delete.class).stream()
+                        .flatMap(delete -> delete.hosts().stream())
+                        .distinct()
+                        .sorted()
+                        .toList());
         leader.submit("j-1", 10);
         leader.passUnanswered(SECOND);
         assertTrue(rentals().stream().anyMatch(rent -> rent.yard().equals("a")), "" + rentals());
@@ -183,10 +276,13 @@
         leader.step(new Command.MachinesListed(List.of(item("host-000001"), item("host-000002"))));
         for (int s = 0; s < 30; s++) {
             leader.report(message("host-000001", 1, 10 + s, token));
-            leader.step(new Command.MachinesListed(s < 6 ? List.of() : List.of(item("host-000002"))));
+            leader.step(
+                    new Command.MachinesListed(s < 6 ? List.of() : List.of(item("host-000002"))));
             leader.passUnanswered(SECOND);
         }
-        assertTrue(!leader.logged(LogEvent.MACHINE_DECOMMISSIONED, "reason=\"silent and no longer listed\""));
+        assertTrue(
+                !leader.logged(
+                        LogEvent.MACHINE_DECOMMISSIONED, "reason=\"silent and no longer listed\""));
     }
 
     /** A machine that boots may be new to the list for longer than lists are said to lag. */
@@ -194,7 +290,11 @@
     void aMachineThatBootsIsNotGivenUpForBeingUnlisted() {
         leader.submit("j-1", 2);
         leader.pass(5 * SECOND);
-        leader.step(new Command.Rented(rentals().get(0).claim(), Command.RentOutcome.RENTED, List.of("host-000001")));
+        leader.step(
+                new Command.Rented(
+                        rentals().get(0).claim(),
+                        Command.RentOutcome.RENTED,
+                        List.of("host-000001")));
         for (int s = 0; s < 30; s++) {
             leader.step(new Command.MachinesListed(List.of()));
             leader.pass(SECOND);
--- a/src/test/java/org/woadloom/core/care/WarrantsTest.java
+++ b/src/test/java/org/woadloom/core/care/WarrantsTest.java
@@ -12,7 +12,8 @@
     private static final long S = 1_000_000;
     private static final long APART = 1000 * S;
     private final CareRules rules = CareRules.of(22 * S, 52 * S);
-    private final Warrants book = new Warrants(rules, 7, "leader", Map.of("leader", "a", "node", "b"));
+    private final Warrants book =
+            new Warrants(rules, 7, "leader", Map.of("leader", "a", "node", "b"));
     private final Caretaker node = new Caretaker(rules, "b", 1, APART);
 
     /** The node tells how it stands and gets a warrant at once; all was settled a second before. */
@@ -44,12 +45,18 @@
             if (node.takesCare("b", 7, at + APART)) {
                 begins = begins < 0 ? at : begins;
                 ends = at;
-                assertTrue(book.lastCareMicros("b", at) >= at, "the leader does not reckon with care at " + at);
+                assertTrue(
+                        book.lastCareMicros("b", at) >= at,
+                        "the leader does not reckon with care at " + at);
             }
         }
         assertTrue(begins > 17 * S, "began at " + begins);
-        assertTrue(ends > 37 * S && ends + rules.leaseOverMicros() < 9 * S + 52 * S, "ended at " + ends);
-        assertTrue(book.lastCareMicros("b", 100 * S) >= ends && book.lastCareMicros("b", 100 * S) < 41 * S);
+        assertTrue(
+                ends > 37 * S && ends + rules.leaseOverMicros() < 9 * S + 52 * S,
+                "ended at " + ends);
+        assertTrue(
+                book.lastCareMicros("b", 100 * S) >= ends
+                        && book.lastCareMicros("b", 100 * S) < 41 * S);
     }
 
     @Test
@@ -88,7 +95,10 @@
         assertTrue(last >= 30 * S && last < 31 * S, "last care at " + last);
     }
 
-    /** A process that ends and is back within the promise can't have cared: proofs are as quick as ever. */
+    /**
+     * A process that ends and is back within the promise can't have cared: proofs are as quick as
+     * ever.
+     */
     @Test
     void aNodeThatIsBackSoonHoldsUpNoProof() {
         inTouch(10 * S);
--- a/src/test/java/org/woadloom/core/hearing/LateCopiesTest.java
+++ b/src/test/java/org/woadloom/core/hearing/LateCopiesTest.java
@@ -7,7 +7,6 @@
 import static org.woadloom.core.LeaderFixture.TERM;
 import static org.woadloom.core.LeaderFixture.message;
 
-import org.woadloom.core.LogEvent;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -15,12 +14,16 @@
 import org.woadloom.core.Command;
 import org.woadloom.core.Effect;
 import org.woadloom.core.LeaderFixture;
+import org.woadloom.core.LogEvent;
 import org.woadloom.wire.Order;
 import org.woadloom.wire.TaskId;
 import org.woadloom.wire.TaskReport;
 import org.woadloom.wire.WorkerReport;
 
-/** Copies of reports that come when their worker has said more since, or is gone, and workers that hear nothing. */
+/**
+ * Copies of reports that come when their worker has said more since, or is gone, and workers that
+ * hear nothing.
+ */
 class LateCopiesTest {
     private static final String HOST = "host-000001";
 
@@ -28,17 +31,27 @@
 
     private static TaskReport running(Effect.SendDirect sent) {
         Order launch = sent.orders().get(0);
-        return new TaskReport(launch.task(), launch.attempt(), TaskReport.State.RUNNING, null, false);
+        return new TaskReport(
+                launch.task(), launch.attempt(), TaskReport.State.RUNNING, null, false);
     }
 
     private int launches() {
-        return (int) leader.all(Effect.SendDirect.class).stream().flatMap(sent -> sent.orders().stream())
-                .filter(order -> order.verb() == Order.Verb.LAUNCH).count()
-                + (int) leader.all(Effect.Answer.class).stream().flatMap(answer -> answer.orders().stream())
-                .filter(order -> order.verb() == Order.Verb.LAUNCH).count();
+        return (int)
+                        leader.all(Effect.SendDirect.class).stream()
+                                .flatMap(sent -> sent.orders().stream())
+                                .filter(order -> order.verb() == Order.Verb.LAUNCH)
+                                .count()
+                + (int)
+                        leader.all(Effect.Answer.class).stream()
+                                .flatMap(answer -> answer.orders().stream())
+                                .filter(order -> order.verb() == Order.Verb.LAUNCH)
+                                .count();
     }
 
-    /** Deleted long ago and forgotten, or gone before this leader began: a name in a report is no machine. */
+    /**
+     * Deleted long ago and forgotten, or gone before this leader began: a name in a report is no
+     * machine.
+     */
     @Test
     void aCopyAdoptsNoMachine() {
         String gone = "host-000009";
@@ -59,7 +72,10 @@
         assertEquals("host-000009", leader.last(Effect.PutMachine.class).record().host());
     }
 
-    /** The worker reported under this term's token and ended; the original was lost, and the copy comes. */
+    /**
+     * The worker reported under this term's token and ended; the original was lost, and the copy
+     * comes.
+     */
     @ParameterizedTest
     @ValueSource(longs = {4, 20})
     void aCopyOfAWorkerThatIsGoneGetsNoWork(long lateS) {
@@ -70,7 +86,9 @@
         leader.unanswered();
         leader.pass(2 * SECOND);
         leader.report(message(HOST, 1, 4, token));
-        assertFalse(leader.logged(LogEvent.MACHINE_UNREACHABLE), "it was silent, and said nothing that it should have heard");
+        assertFalse(
+                leader.logged(LogEvent.MACHINE_UNREACHABLE),
+                "it was silent, and said nothing that it should have heard");
         leader.submit("j-000001", 2);
         leader.pass(1 * SECOND);
         assertEquals(0, launches());
@@ -102,10 +120,14 @@
         assertEquals(1, leader.all(Effect.Delete.class).size());
     }
 
-    /** The first answer of a new leader renews the lease, so what must go is halted in it; nothing starts by it. */
+    /**
+     * The first answer of a new leader renews the lease, so what must go is halted in it; nothing
+     * starts by it.
+     */
     @Test
     void theFirstAnswerHaltsWhatMustGo() {
-        TaskReport stranger = new TaskReport(new TaskId("j-000077", 0), 3, TaskReport.State.RUNNING, null, false);
+        TaskReport stranger =
+                new TaskReport(new TaskId("j-000077", 0), 3, TaskReport.State.RUNNING, null, false);
         Effect.Answer first = leader.report(message(HOST, 1, 10, 0, stranger));
         assertEquals(List.of(Order.halt(stranger.task(), 3, 0)), first.orders());
     }
@@ -116,7 +138,8 @@
         long token = leader.isUp(HOST, 1);
         leader.submit("j-000001", 1);
         leader.pass(100_000);
-        WorkerReport last = message(HOST, 1, 4, token, running(leader.last(Effect.SendDirect.class)));
+        WorkerReport last =
+                message(HOST, 1, 4, token, running(leader.last(Effect.SendDirect.class)));
         leader.answered(message(HOST, 1, 3, token));
         leader.report(last);
         for (int i = 0; i < 16; i++) {
@@ -124,7 +147,9 @@
             leader.report(last);
             leader.report(message(HOST, 1, 2, token));
         }
-        assertTrue(leader.logged(LogEvent.LEASE_EXPIRED, "machine=" + HOST), "its tasks can start elsewhere");
+        assertTrue(
+                leader.logged(LogEvent.LEASE_EXPIRED, "machine=" + HOST),
+                "its tasks can start elsewhere");
     }
 
     /** Tasks that came after the copied report are not missing because it does not list them. */
@@ -147,11 +172,16 @@
         leader.report(message("host-000009", 1, 10, TERM << Hearing.FENCE_BITS | 7));
         assertEquals(List.of(), leader.all(Effect.Abdicate.class));
         assertTrue(leader.last(Effect.Answer.class).epoch() > (TERM << Hearing.FENCE_BITS | 7));
-        leader.step(new Command.Report(99, message("host-000009", 1, 11, TERM + 1 << Hearing.FENCE_BITS)));
+        leader.step(
+                new Command.Report(
+                        99, message("host-000009", 1, 11, TERM + 1 << Hearing.FENCE_BITS)));
         assertEquals(1, leader.all(Effect.Abdicate.class).size());
     }
 
-    /** Its session ended though each report was answered: launches in those answers would reach nobody. */
+    /**
+     * Its session ended though each report was answered: launches in those answers would reach
+     * nobody.
+     */
     @Test
     void aDeafWorkerGetsNoWorkUntilItShowsThatItHears() {
         long token = leader.isUp(HOST, 1);
@@ -194,7 +224,10 @@
         leader.pass(SECOND);
         Effect.SendDirect sent = leader.last(Effect.SendDirect.class);
         assertEquals(other, sent.host());
-        assertEquals("j-000002/0", sent.orders().get(0).task().toString(), "the first may be on the deaf one yet");
+        assertEquals(
+                "j-000002/0",
+                sent.orders().get(0).task().toString(),
+                "the first may be on the deaf one yet");
         assertEquals(1, sent.orders().size());
     }
 }
--- a/src/test/java/org/woadloom/core/jobs/PipelinesTest.java
+++ b/src/test/java/org/woadloom/core/jobs/PipelinesTest.java
@@ -24,8 +24,18 @@
 class PipelinesTest {
     private static final double WRITES_PER_SECOND = 40;
 
-    private final Core core = new Core(new CoreSettings("node", Map.of(), List.of(new Team("team", 100, 100, 0, 0)), List.of(), 1_500_000,
-            10_000_000, 40_000_000, 3_000_000, OperatorSettings.defaults()));
+    private final Core core =
+            new Core(
+                    new CoreSettings(
+                            "node",
+                            Map.of(),
+                            List.of(new Team("team", 100, 100, 0, 0)),
+                            List.of(),
+                            1_500_000,
+                            10_000_000,
+                            40_000_000,
+                            3_000_000,
+                            OperatorSettings.defaults()));
     private long now = 1_000_000;
 
     private static JobRecord record(String uid, String... awaits) throws WireException {
@@ -53,12 +63,17 @@
         for (JobRecord record : records) {
             jobs.add(new Command.StoredJob(record, 5));
         }
-        return step(new Command.StorageSeen(2048, RecordFormat.COMPACT, WRITES_PER_SECOND, false, false),
+        return step(
+                new Command.StorageSeen(
+                        2048, RecordFormat.COMPACT, WRITES_PER_SECOND, false, false),
                 new Command.Lead(3, jobs, List.of(), 0));
     }
 
     private static List<String> asked(List<Effect> effects) {
-        return effects.stream().filter(Effect.FindJob.class::isInstance).map(e -> ((Effect.FindJob) e).uid()).toList();
+        return effects.stream()
+                .filter(Effect.FindJob.class::isInstance)
+                .map(e -> ((Effect.FindJob) e).uid())
+                .toList();
     }
 
     private static Set<String> cancelled(List<Effect> effects) {
@@ -89,7 +104,10 @@
         assertEquals(0, core.waiting());
     }
 
-    /** A record that is gone after a write without an answer says neither done nor cancelled: the store is asked. */
+    /**
+     * A record that is gone after a write without an answer says neither done nor cancelled: the
+     * store is asked.
+     */
     @Test
     void aJobBeforeItWhoseRecordIsGoneIsLookedUp() throws WireException {
         JobRecord done = record("j-1");
@@ -121,12 +139,18 @@
             assertTrue(written.size() <= 2 * WRITES_PER_SECOND, written.size() + " at once");
             all.addAll(written);
             List<Command> outcomes = new ArrayList<>();
-            written.forEach(uid -> outcomes.add(new Command.JobWritten(uid, 1, Command.WriteOutcome.WRITTEN, 11)));
+            written.forEach(
+                    uid ->
+                            outcomes.add(
+                                    new Command.JobWritten(
+                                            uid, 1, Command.WriteOutcome.WRITTEN, 11)));
             effects = step(outcomes.toArray(new Command[0]));
         }
         assertEquals(length, all.size());
         assertEquals(0, core.jobs());
         double seconds = steps * 0.1;
-        assertTrue(2 * length / seconds <= WRITES_PER_SECOND * 1.05 + 2, "at " + 2 * length / seconds + " a second");
+        assertTrue(
+                2 * length / seconds <= WRITES_PER_SECOND * 1.05 + 2,
+                "at " + 2 * length / seconds + " a second");
     }
 }
--- a/src/test/java/org/woadloom/core/jobs/TakeoverTest.java
+++ b/src/test/java/org/woadloom/core/jobs/TakeoverTest.java
@@ -7,7 +7,6 @@
 import static org.woadloom.core.LeaderFixture.TERM;
 import static org.woadloom.core.LeaderFixture.message;
 
-import org.woadloom.core.LogEvent;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
@@ -20,6 +19,7 @@
 import org.woadloom.core.CoreFixture;
 import org.woadloom.core.Effect;
 import org.woadloom.core.LeaderFixture;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.hearing.Hearing;
 import org.woadloom.core.machines.Losses;
 import org.woadloom.core.machines.Machine;
@@ -30,18 +30,32 @@
 import org.woadloom.wire.TaskReport;
 import org.woadloom.wire.WorkerReport;
 
-/** A new leader counts what the records name against the team's limit until there is proof that it is gone. */
+/**
+ * A new leader counts what the records name against the team's limit until there is proof that it
+ * is gone.
+ */
 class TakeoverTest {
     private static final String LOST = "host-000001";
     private static final String UP = "host-000002";
     private static final long EARLIER = TERM - 1;
 
-    /** A task of 8 CPUs that an earlier leader placed on the machine out of touch, of a job that may be cancelled. */
+    /**
+     * A task of 8 CPUs that an earlier leader placed on the machine out of touch, of a job that may
+     * be cancelled.
+     */
     private static JobRecord placed(String uid, boolean cancelled) {
         BitSet first = new BitSet();
         first.set(0);
-        return new JobRecord(LeaderFixture.job(uid, 1), 0, 0, cancelled, new BitSet(),
-                List.of(new JobRecord.Placed(LOST, attempt(uid), first)), 1, EARLIER, 3);
+        return new JobRecord(
+                LeaderFixture.job(uid, 1),
+                0,
+                0,
+                cancelled,
+                new BitSet(),
+                List.of(new JobRecord.Placed(LOST, attempt(uid), first)),
+                1,
+                EARLIER,
+                3);
     }
 
     private static long attempt(String uid) {
@@ -52,17 +66,38 @@
         return new TaskReport(new TaskId(uid, 0), attempt(uid), state, cause, false);
     }
 
-    /** A team limited to two tasks has one on a machine that can't be asked, and asks for two more. */
+    /**
+     * A team limited to two tasks has one on a machine that can't be asked, and asks for two more.
+     */
     private static LeaderFixture atItsLimit(boolean cancelled) {
-        LeaderFixture leader = new LeaderFixture(16, List.of(placed("j-000001", cancelled)), LOST, UP);
+        LeaderFixture leader =
+                new LeaderFixture(16, List.of(placed("j-000001", cancelled)), LOST, UP);
         leader.submit("j-000002", 2);
         long token = leader.isUp(UP, 1);
         leader.report(message(UP, 1, 3, token));
         leader.pass(SECOND);
-        List<Order> launched = leader.all(Effect.SendDirect.class).stream().filter(sent -> sent.host().equals(UP) && !sent.orders().isEmpty())
-                .findFirst().orElseThrow().orders();
-        leader.answered(message(UP, 1, 4, token, launched.stream().map(order -> new TaskReport(order.task(), order.attempt(),
-                TaskReport.State.RUNNING, null, false)).toArray(TaskReport[]::new)));
+        List<Order> launched =
+                leader.all(Effect.SendDirect.class).stream()
+                        .filter(sent -> sent.host().equals(UP) && !sent.orders().isEmpty())
+                        .findFirst()
+                        .orElseThrow()
+                        .orders();
+        leader.answered(
+                message(
+                        UP,
+                        1,
+                        4,
+                        token,
+                        launched.stream()
+                                .map(
+                                        order ->
+                                                new TaskReport(
+                                                        order.task(),
+                                                        order.attempt(),
+                                                        TaskReport.State.RUNNING,
+                                                        null,
+                                                        false))
+                                .toArray(TaskReport[]::new)));
         return leader;
     }
 
@@ -71,15 +106,31 @@
         List<Order> orders = new ArrayList<>();
         leader.all(Effect.SendDirect.class).forEach(sent -> orders.addAll(sent.orders()));
         leader.all(Effect.Answer.class).forEach(answer -> orders.addAll(answer.orders()));
-        orders.stream().filter(order -> order.verb() == Order.Verb.LAUNCH).forEach(order -> launched.add(order.task().toString()));
+        orders.stream()
+                .filter(order -> order.verb() == Order.Verb.LAUNCH)
+                .forEach(order -> launched.add(order.task().toString()));
         return launched;
     }
 
     /** What a message of the machine that could not be asked says of the task that may be there. */
     private enum Word {
         OLD_AND_WITHOUT_IT(false, message(LOST, 1, 10, EARLIER << Hearing.FENCE_BITS)),
-        OLD_AND_LISTS_IT(false, message(LOST, 1, 10, EARLIER << Hearing.FENCE_BITS, task("j-000001", TaskReport.State.RUNNING, null))),
-        OLD_AND_ENDED_IT(true, message(LOST, 1, 10, EARLIER << Hearing.FENCE_BITS, task("j-000001", TaskReport.State.EXITED, TaskReport.Cause.HALTED))),
+        OLD_AND_LISTS_IT(
+                false,
+                message(
+                        LOST,
+                        1,
+                        10,
+                        EARLIER << Hearing.FENCE_BITS,
+                        task("j-000001", TaskReport.State.RUNNING, null))),
+        OLD_AND_ENDED_IT(
+                true,
+                message(
+                        LOST,
+                        1,
+                        10,
+                        EARLIER << Hearing.FENCE_BITS,
+                        task("j-000001", TaskReport.State.EXITED, TaskReport.Cause.HALTED))),
         OF_THIS_TERM_WITHOUT_IT(true, message(LOST, 1, 10, TERM << Hearing.FENCE_BITS));
 
         private final boolean proof;
@@ -98,7 +149,9 @@
         assertEquals(Set.of("j-000002/0"), launched(leader), "one task's room is in doubt");
         leader.report(word.message);
         leader.pass(SECOND);
-        assertEquals(word.proof ? Set.of("j-000002/0", "j-000002/1") : Set.of("j-000002/0"), launched(leader));
+        assertEquals(
+                word.proof ? Set.of("j-000002/0", "j-000002/1") : Set.of("j-000002/0"),
+                launched(leader));
     }
 
     /** It may be minutes old: its worker may be gone, and what its session was is not known. */
@@ -109,27 +162,37 @@
         leader.submit("j-000002", 1);
         leader.passUnanswered(20 * SECOND);
         assertEquals(Set.of(), launched(leader));
-        assertFalse(leader.logged(LogEvent.LEASE_EXPIRED, "machine=" + LOST) || leader.logged(LogEvent.TASK_LOST), "nobody knows whether it heard that answer");
+        assertFalse(
+                leader.logged(LogEvent.LEASE_EXPIRED, "machine=" + LOST)
+                        || leader.logged(LogEvent.TASK_LOST),
+                "nobody knows whether it heard that answer");
     }
 
-    /** The deletion's answer is the proof where the worker is never heard of again, and the team has its room back in time. */
+    /**
+     * The deletion's answer is the proof where the worker is never heard of again, and the team has
+     * its room back in time.
+     */
     @Test
     void aTeamGetsBackWhatIsOnAMachineThatIsNeverHeardOfAgain() {
         LeaderFixture leader = atItsLimit(true);
         long began = leader.now;
-        for (long tick = 10; leader.all(Effect.Delete.class).isEmpty() && leader.now - began < 90 * SECOND; tick++) {
+        for (long tick = 10;
+                leader.all(Effect.Delete.class).isEmpty() && leader.now - began < 90 * SECOND;
+                tick++) {
             leader.passUnanswered(SECOND);
             leader.report(message(UP, 1, tick, leader.last(Effect.Answer.class).epoch()));
         }
         assertEquals(List.of(LOST), leader.last(Effect.Delete.class).hosts());
         assertEquals(Set.of("j-000002/0"), launched(leader));
         leader.step(new Command.Deleted(List.of(LOST), true));
-        assertTrue(leader.logged(LogEvent.TASK_LOST, "machine=" + LOST, "reason=\"machine deleted\""));
+        assertTrue(
+                leader.logged(LogEvent.TASK_LOST, "machine=" + LOST, "reason=\"machine deleted\""));
     }
 
     /**
-     * An old report of session 1 came first, and the worker answers a command for that session in its second: refused, but it has seen
-     * the token. What the earlier leader launched in the second session is in that very answer.
+     * An old report of session 1 came first, and the worker answers a command for that session in
+     * its second: refused, but it has seen the token. What the earlier leader launched in the
+     * second session is in that very answer.
      */
     @Test
     void whatTheFirstMessageOfALaterSessionListsIsThere() {
@@ -137,15 +200,27 @@
         leader.report(message(LOST, 1, 50, EARLIER << Hearing.FENCE_BITS));
         Effect.SendDirect greeting = leader.last(Effect.SendDirect.class);
         assertEquals(1, greeting.tenure());
-        leader.step(new Command.DirectResult(greeting.sendId(), LOST, 409, message(LOST, 2, 80, greeting.epoch(),
-                task("j-000001", TaskReport.State.RUNNING, null))));
+        leader.step(
+                new Command.DirectResult(
+                        greeting.sendId(),
+                        LOST,
+                        409,
+                        message(
+                                LOST,
+                                2,
+                                80,
+                                greeting.epoch(),
+                                task("j-000001", TaskReport.State.RUNNING, null))));
         leader.isUp(UP, 1);
         leader.pass(SECOND);
         assertFalse(leader.logged(LogEvent.TASK_LOST));
         assertEquals(Set.of(), launched(leader), "it runs where it was");
     }
 
-    /** A damaged record was replaced by the final state of a cancellation: what the leader knows of the job's tasks still counts. */
+    /**
+     * A damaged record was replaced by the final state of a cancellation: what the leader knows of
+     * the job's tasks still counts.
+     */
     @Test
     void tasksOfAJobWhoseRecordIsGoneCountUntilTheyAre() {
         CoreFixture fixture = new CoreFixture(16);
@@ -163,7 +238,12 @@
         assertEquals(1, next.allowed(), "what was never sent is gone, the other is there");
         assertTrue(running.halting());
         new Recorder(fixture.world, table).emitWrites();
-        assertTrue(fixture.effects().stream().noneMatch(effect -> effect instanceof Effect.PutJob || effect instanceof Effect.FinishJob),
+        assertTrue(
+                fixture.effects().stream()
+                        .noneMatch(
+                                effect ->
+                                        effect instanceof Effect.PutJob
+                                                || effect instanceof Effect.FinishJob),
                 "there is no record to write");
         new Losses(fixture.world).gone(running);
         new Recorder(fixture.world, table).emitWrites();
--- a/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
+++ b/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
@@ -32,21 +32,34 @@
             Reservations reservations = new Reservations(fixture.world);
             Eligibility eligibility = new Eligibility(fixture.world);
             List<Machine> machines = machines(fixture, reservations, random, 30);
-            Job job = fixture.job("j-" + seed, 1 + random.nextInt(4), 1 + random.nextInt(6), 20 + random.nextInt(60),
-                    random.nextBoolean(), random.nextInt(3) == 0);
+            Job job =
+                    fixture.job(
+                            "j-" + seed,
+                            1 + random.nextInt(4),
+                            1 + random.nextInt(6),
+                            20 + random.nextInt(60),
+                            random.nextBoolean(),
+                            random.nextInt(3) == 0);
             for (int i = 0; i < random.nextInt(4); i++) {
-                reservations.reserve(job, machines.get(random.nextInt(30)), job.room, true, random.nextBoolean());
+                reservations.reserve(
+                        job,
+                        machines.get(random.nextInt(30)),
+                        job.room,
+                        true,
+                        random.nextBoolean());
             }
             Set<String> scarce = random.nextBoolean() ? Set.of("a") : Set.of();
             Candidates once = new Candidates(job, machines, scarce, eligibility, reservations);
             for (int index = job.nextPending(0); index >= 0; index = job.nextPending(index + 1)) {
-                Machine plain = new Candidates(job, machines, scarce, eligibility, reservations).next();
+                Machine plain =
+                        new Candidates(job, machines, scarce, eligibility, reservations).next();
                 Machine chosen = once.next();
                 assertSame(plain, chosen, "seed " + seed + ", task " + index);
                 if (chosen == null) {
                     break;
                 }
-                Placement placement = new Placement(job, index, chosen, 1, 1, fixture.world.nowMicros);
+                Placement placement =
+                        new Placement(job, index, chosen, 1, 1, fixture.world.nowMicros);
                 reservations.draw(placement);
                 job.add(placement);
                 once.placed();
@@ -56,7 +69,8 @@
         assertTrue(placed > 500, placed + " placed");
     }
 
-    private static List<Machine> machines(CoreFixture fixture, Reservations reservations, Random random, int count) {
+    private static List<Machine> machines(
+            CoreFixture fixture, Reservations reservations, Random random, int count) {
         List<Machine> machines = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             Machine machine = fixture.machine("host-" + i, random.nextBoolean() ? "a" : "b");
@@ -73,7 +87,10 @@
         return machines;
     }
 
-    /** What is kept by machine agrees with a walk over all reservations, through making, drawing and releasing. */
+    /**
+     * What is kept by machine agrees with a walk over all reservations, through making, drawing and
+     * releasing.
+     */
     @Test
     void reservationsByMachineAgreeWithAWalkOverAll() {
         Random random = new Random(5);
@@ -105,7 +122,9 @@
         }
     }
 
-    /** A job far too large for one value runs in waves, and its record fits however its tasks end. */
+    /**
+     * A job far too large for one value runs in waves, and its record fits however its tasks end.
+     */
     @ParameterizedTest
     @CsvSource({"PLAIN,8192", "COMPACT,2048", "COMPACT,1500"})
     void theRecordOfAHugeJobAlwaysFits(RecordFormat format, int valueBytes) {
--- a/src/test/java/org/woadloom/core/reservation/ReservationsTest.java
+++ b/src/test/java/org/woadloom/core/reservation/ReservationsTest.java
@@ -25,7 +25,9 @@
     void reservedRoomIsItsOwnersAlone() {
         Job owner = fixture.job("j-1", 4, 4, 1);
         Job other = fixture.job("j-2", 4, 4, 1);
-        assertEquals(Phase.AVAILABLE, reservations.reserve(owner, machine, room(4, 4), true, false).phase());
+        assertEquals(
+                Phase.AVAILABLE,
+                reservations.reserve(owner, machine, room(4, 4), true, false).phase());
         assertEquals(room(12, 28), reservations.unreserved(machine, other));
         assertEquals(room(16, 32), reservations.unreserved(machine, owner));
         assertNull(reservations.match(other, machine));
--- a/src/test/java/org/woadloom/core/rollout/RolloutExplorer.java
+++ b/src/test/java/org/woadloom/core/rollout/RolloutExplorer.java
@@ -21,42 +21,79 @@
 import org.woadloom.state.RolloutRequest.Verb;
 
 /**
- * Visits every state of three nodes, a store and one write that may be late, breadth first, so that the first trace to a
- * broken state is a shortest one. Nodes are interchangeable. What is decided is decided by {@link RolloutRules} and
- * {@link Belonging} themselves; what is modelled is who lives, what the store holds, and what is under way to it.
+ * Visits every state of three nodes, a store and one write that may be late, breadth first, so that
+ * the first trace to a broken state is a shortest one. Nodes are interchangeable. What is decided
+ * is decided by {@link RolloutRules} and {@link Belonging} themselves; what is modelled is who
+ * lives, what the store holds, and what is under way to it.
  */
 final class RolloutExplorer {
     /** How the model is broken on purpose. */
-    enum Fault { NONE, OLD_WORDS, READS_FIRST, LEAVES_RECORDS, LATE_RECORD }
+    enum Fault {
+        NONE,
+        OLD_WORDS,
+        READS_FIRST,
+        LEAVES_RECORDS,
+        LATE_RECORD
+    }
 
     private static final Feature FEATURE = Feature.MACHINE_LIFE;
     private static final int NODES = 3;
 
-    private enum Phase { GONE, STARTED, SPOKEN, SERVING, FENCED }
+    private enum Phase {
+        GONE,
+        STARTED,
+        SPOKEN,
+        SERVING,
+        FENCED
+    }
 
-    private enum Word { NONE, OLD, NEW }
+    private enum Word {
+        NONE,
+        OLD,
+        NEW
+    }
 
-    /** One node: what it runs, how far its process is, and the word that stands for it, perhaps a former process's. */
+    /**
+     * One node: what it runs, how far its process is, and the word that stands for it, perhaps a
+     * former process's.
+     */
     private record Member(boolean fresh, Phase phase, Word word, boolean leads) {
         private int code() {
-            return ((phase.ordinal() * 3 + word.ordinal()) * 2 + (fresh ? 1 : 0)) * 2 + (leads ? 1 : 0);
+            return ((phase.ordinal() * 3 + word.ordinal()) * 2 + (fresh ? 1 : 0)) * 2
+                    + (leads ? 1 : 0);
         }
     }
 
     /**
-     * @param intent the step that is being written, or null; it fails where a later leader or record came first, and, unless
-     *     the fault says so, where a word has changed
+     * @param intent the step that is being written, or null; it fails where a later leader or
+     *     record came first, and, unless the fault says so, where a word has changed
      * @param late a record of the new form is under way to the store
      */
-    private record State(List<Member> members, Standing standing, boolean oldRecords, boolean newRecords, Standing intent,
-            boolean overtaken, boolean wordsChanged, boolean late, boolean up, Verb asked) {
+    private record State(
+            List<Member> members,
+            Standing standing,
+            boolean oldRecords,
+            boolean newRecords,
+            Standing intent,
+            boolean overtaken,
+            boolean wordsChanged,
+            boolean late,
+            boolean up,
+            Verb asked) {
 
         HashCode hash() {
             Hasher hasher = Hashing.murmur3_128().newHasher();
             members.forEach(member -> hasher.putInt(member.code()));
-            return hasher.putInt(code(standing)).putInt(intent == null ? -1 : code(intent)).putBoolean(oldRecords)
-                    .putBoolean(newRecords).putBoolean(overtaken).putBoolean(wordsChanged).putBoolean(late).putBoolean(up)
-                    .putInt(asked.ordinal()).hash();
+            return hasher.putInt(code(standing))
+                    .putInt(intent == null ? -1 : code(intent))
+                    .putBoolean(oldRecords)
+                    .putBoolean(newRecords)
+                    .putBoolean(overtaken)
+                    .putBoolean(wordsChanged)
+                    .putBoolean(late)
+                    .putBoolean(up)
+                    .putInt(asked.ordinal())
+                    .hash();
         }
 
         private static int code(Standing standing) {
@@ -67,19 +104,50 @@
             List<Member> changed = new ArrayList<>(members);
             changed.set(index, member);
             changed.sort((a, b) -> Integer.compare(a.code(), b.code()));
-            return new State(changed, standing, oldRecords, newRecords, intent, overtaken, wordsChanged, late, up, asked);
+            return new State(
+                    changed,
+                    standing,
+                    oldRecords,
+                    newRecords,
+                    intent,
+                    overtaken,
+                    wordsChanged,
+                    late,
+                    up,
+                    asked);
         }
 
         State words() {
-            return new State(members, standing, oldRecords, newRecords, intent, overtaken, intent != null, late, up, asked);
+            return new State(
+                    members,
+                    standing,
+                    oldRecords,
+                    newRecords,
+                    intent,
+                    overtaken,
+                    intent != null,
+                    late,
+                    up,
+                    asked);
         }
 
         State records(boolean old, boolean fresh, boolean underWay) {
-            return new State(members, standing, old, fresh, intent, overtaken, wordsChanged, underWay, up, asked);
+            return new State(
+                    members,
+                    standing,
+                    old,
+                    fresh,
+                    intent,
+                    overtaken,
+                    wordsChanged,
+                    underWay,
+                    up,
+                    asked);
         }
 
         State intent(Standing to, Standing now) {
-            return new State(members, now, oldRecords, newRecords, to, false, false, late, up, asked);
+            return new State(
+                    members, now, oldRecords, newRecords, to, false, false, late, up, asked);
         }
 
         State led(int index) {
@@ -89,23 +157,51 @@
                 changed.add(new Member(m.fresh, m.phase, m.word, i == index));
             }
             changed.sort((a, b) -> Integer.compare(a.code(), b.code()));
-            return new State(changed, standing, oldRecords, newRecords, intent, intent != null, wordsChanged, false, up, asked);
+            return new State(
+                    changed,
+                    standing,
+                    oldRecords,
+                    newRecords,
+                    intent,
+                    intent != null,
+                    wordsChanged,
+                    false,
+                    up,
+                    asked);
         }
 
         State store(boolean serves) {
-            return new State(members, standing, oldRecords, newRecords, intent, overtaken, wordsChanged, late, serves, asked);
+            return new State(
+                    members,
+                    standing,
+                    oldRecords,
+                    newRecords,
+                    intent,
+                    overtaken,
+                    wordsChanged,
+                    late,
+                    serves,
+                    asked);
         }
 
         State asked(Verb verb) {
-            return new State(members, standing, oldRecords, newRecords, intent, overtaken, wordsChanged, late, up, verb);
+            return new State(
+                    members,
+                    standing,
+                    oldRecords,
+                    newRecords,
+                    intent,
+                    overtaken,
+                    wordsChanged,
+                    late,
+                    up,
+                    verb);
         }
     }
 
-    private record Came(HashCode from, String action) {
-    }
+    private record Came(HashCode from, String action) {}
 
-    private record Next(String action, State state) {
-    }
+    private record Next(String action, State state) {}
 
     private final Fault fault;
     private final Map<HashCode, Came> visited = new HashMap<>();
@@ -137,8 +233,19 @@
     String explore(int depth) {
         long began = System.nanoTime();
         Member node = new Member(true, Phase.SERVING, Word.NEW, false);
-        State first = new State(List.of(node, node, node), Standing.OFF, true, false, null, false, false, false, true, Verb.AUTO)
-                .led(0);
+        State first =
+                new State(
+                                List.of(node, node, node),
+                                Standing.OFF,
+                                true,
+                                false,
+                                null,
+                                false,
+                                false,
+                                false,
+                                true,
+                                Verb.AUTO)
+                        .led(0);
         visited.put(first.hash(), new Came(null, "three new nodes serve"));
         ArrayDeque<State> queue = new ArrayDeque<>(List.of(first));
         for (int level = 0; level < depth && !queue.isEmpty(); level++) {
@@ -165,7 +272,9 @@
 
     private void trace(HashCode last) {
         List<String> actions = new ArrayList<>();
-        for (Came came = visited.get(last); came != null; came = came.from == null ? null : visited.get(came.from)) {
+        for (Came came = visited.get(last);
+                came != null;
+                came = came.from == null ? null : visited.get(came.from)) {
             actions.add(came.action);
         }
         Collections.reverse(actions);
@@ -174,7 +283,9 @@
 
     private String broken(State before, State state) {
         for (Member member : state.members) {
-            if (member.phase == Phase.SERVING && !member.fresh && (state.newRecords || state.standing.on())) {
+            if (member.phase == Phase.SERVING
+                    && !member.fresh
+                    && (state.newRecords || state.standing.on())) {
                 return "a node serves that can't read what is written";
             }
         }
@@ -190,11 +301,24 @@
         return null;
     }
 
-    /** All nodes are replaced by new ones, the store serves, one leads, and nothing more goes wrong. */
+    /**
+     * All nodes are replaced by new ones, the store serves, one leads, and nothing more goes wrong.
+     */
     private State undisturbed(State state, Verb wish) {
         Member node = new Member(true, Phase.SERVING, Word.NEW, false);
-        State s = new State(List.of(node, node, node), state.standing, state.oldRecords, state.newRecords, null, false, false,
-                false, true, wish).led(0);
+        State s =
+                new State(
+                                List.of(node, node, node),
+                                state.standing,
+                                state.oldRecords,
+                                state.newRecords,
+                                null,
+                                false,
+                                false,
+                                false,
+                                true,
+                                wish)
+                        .led(0);
         for (int i = 0; i < 8; i++) {
             Standing next = decide(s);
             s = next != null ? s.intent(null, next) : rewritten(s);
@@ -210,7 +334,9 @@
     private Standing decide(State s) {
         boolean back = s.standing.back();
         boolean left = back ? s.newRecords : s.oldRecords;
-        boolean sure = fault == Fault.LEAVES_RECORDS || !left && !(back && s.late && fault != Fault.LATE_RECORD);
+        boolean sure =
+                fault == Fault.LEAVES_RECORDS
+                        || !left && !(back && s.late && fault != Fault.LATE_RECORD);
         Map<String, NodeWord> words = new TreeMap<>();
         Set<String> labels = new TreeSet<>();
         for (int i = 0; i < NODES; i++) {
@@ -222,9 +348,24 @@
                 words.put(label, new NodeWord(i, reads, reads, labels, 1, 0));
             }
         }
-        Verdict verdict = RolloutRules.judge(FEATURE, new Situation(record(s), Set.of("node-0", "node-1", "node-2"), words,
-                Set.of(), 0, s.asked, true, false, left && fault != Fault.LEAVES_RECORDS ? 1 : 0, sure), 0);
-        return verdict.next() == null ? null : new Standing(verdict.next().step(), verdict.next().back(), false, 0, "");
+        Verdict verdict =
+                RolloutRules.judge(
+                        FEATURE,
+                        new Situation(
+                                record(s),
+                                Set.of("node-0", "node-1", "node-2"),
+                                words,
+                                Set.of(),
+                                0,
+                                s.asked,
+                                true,
+                                false,
+                                left && fault != Fault.LEAVES_RECORDS ? 1 : 0,
+                                sure),
+                        0);
+        return verdict.next() == null
+                ? null
+                : new Standing(verdict.next().step(), verdict.next().back(), false, 0, "");
     }
 
     private static RolloutRecord record(State s) {
@@ -234,7 +375,10 @@
     private List<Next> next(State s) {
         List<Next> all = new ArrayList<>();
         all.add(new Next(s.up ? "the store fails" : "the store is back", s.store(!s.up)));
-        all.add(new Next("an operator changes the request", s.asked(s.asked == Verb.AUTO ? Verb.BACK : Verb.AUTO)));
+        all.add(
+                new Next(
+                        "an operator changes the request",
+                        s.asked(s.asked == Verb.AUTO ? Verb.BACK : Verb.AUTO)));
         for (int i = 0; i < NODES; i++) {
             // Nodes are sorted: of equal ones the first speaks for all.
             if (i == 0 || !s.members.get(i).equals(s.members.get(i - 1))) {
@@ -243,8 +387,13 @@
         }
         if (s.up && s.intent != null) {
             boolean holds = !s.overtaken && (!s.wordsChanged || fault == Fault.OLD_WORDS);
-            all.add(new Next("the step " + s.intent.step() + (s.intent.back() ? " (back)" : "") + (holds ? " is written"
-                    : " fails"), s.intent(null, holds ? s.intent : s.standing)));
+            all.add(
+                    new Next(
+                            "the step "
+                                    + s.intent.step()
+                                    + (s.intent.back() ? " (back)" : "")
+                                    + (holds ? " is written" : " fails"),
+                            s.intent(null, holds ? s.intent : s.standing)));
         }
         if (s.up && s.late) {
             all.add(new Next("a record arrives late", s.records(s.oldRecords, true, false)));
@@ -258,32 +407,51 @@
         switch (m.phase) {
             case GONE -> {
                 for (boolean fresh : new boolean[] {true, false}) {
-                    all.add(new Next("one starts, " + (fresh ? "new" : "old"), s.with(i, new Member(fresh, Phase.STARTED, m.word,
-                            false))));
+                    all.add(
+                            new Next(
+                                    "one starts, " + (fresh ? "new" : "old"),
+                                    s.with(i, new Member(fresh, Phase.STARTED, m.word, false))));
                 }
             }
             case STARTED -> {
                 if (s.up && fault != Fault.READS_FIRST) {
                     all.add(new Next(who + " gives its word", spoken(s, i, Phase.SPOKEN)));
                 } else if (s.up && serves(s, m)) {
-                    all.add(new Next(who + " reads before it speaks", s.with(i, new Member(m.fresh, Phase.SPOKEN, m.word, false))));
+                    all.add(
+                            new Next(
+                                    who + " reads before it speaks",
+                                    s.with(i, new Member(m.fresh, Phase.SPOKEN, m.word, false))));
                 }
             }
             case SPOKEN, FENCED -> {
                 if (s.up && fault == Fault.READS_FIRST) {
                     all.add(new Next(who + " gives its word", spoken(s, i, Phase.SERVING)));
                 } else if (s.up) {
-                    all.add(new Next(who + " reads what is required", s.with(i, new Member(m.fresh, serves(s, m) ? Phase.SERVING
-                            : Phase.FENCED, m.word, false))));
+                    all.add(
+                            new Next(
+                                    who + " reads what is required",
+                                    s.with(
+                                            i,
+                                            new Member(
+                                                    m.fresh,
+                                                    serves(s, m) ? Phase.SERVING : Phase.FENCED,
+                                                    m.word,
+                                                    false))));
                 }
             }
             case SERVING -> serving(s, i, m, who, all);
         }
         if (m.phase != Phase.GONE) {
-            all.add(new Next(who + " ends", s.with(i, new Member(m.fresh, Phase.GONE, m.word, false))));
+            all.add(
+                    new Next(
+                            who + " ends",
+                            s.with(i, new Member(m.fresh, Phase.GONE, m.word, false))));
         }
         if (s.up && m.word != Word.NONE && (m.phase == Phase.GONE || m.phase == Phase.STARTED)) {
-            all.add(new Next("a word ends", s.with(i, new Member(m.fresh, m.phase, Word.NONE, m.leads)).words()));
+            all.add(
+                    new Next(
+                            "a word ends",
+                            s.with(i, new Member(m.fresh, m.phase, Word.NONE, m.leads)).words()));
         }
     }
 
@@ -296,14 +464,24 @@
         }
         Standing decided = s.intent == null ? decide(s) : null;
         if (decided != null) {
-            all.add(new Next("the leader decides " + decided.step() + (decided.back() ? " (back)" : ""), s.intent(decided,
-                    s.standing)));
+            all.add(
+                    new Next(
+                            "the leader decides "
+                                    + decided.step()
+                                    + (decided.back() ? " (back)" : ""),
+                            s.intent(decided, s.standing)));
         }
         if (s.up && s.standing.on()) {
             all.add(new Next("the leader writes", s.records(s.oldRecords, true, s.late)));
-            all.add(new Next("the leader writes, with no answer", s.records(s.oldRecords, s.newRecords, true)));
+            all.add(
+                    new Next(
+                            "the leader writes, with no answer",
+                            s.records(s.oldRecords, s.newRecords, true)));
         } else if (s.up && !s.standing.back()) {
-            all.add(new Next("the leader writes the old form", s.records(true, s.newRecords, s.late)));
+            all.add(
+                    new Next(
+                            "the leader writes the old form",
+                            s.records(true, s.newRecords, s.late)));
         }
         if (s.up) {
             all.add(new Next("the leader rewrites what is left", rewritten(s)));
--- a/src/test/java/org/woadloom/core/rollout/RolloutExplorerTest.java
+++ b/src/test/java/org/woadloom/core/rollout/RolloutExplorerTest.java
@@ -15,8 +15,15 @@
     void noStateBreaksTheRulesAndEachCanGoOn() {
         RolloutExplorer explorer = new RolloutExplorer(RolloutExplorer.Fault.NONE);
         assertNull(explorer.explore(DEPTH), () -> String.join("\n", explorer.trace()));
-        System.out.println("rollout explorer: " + explorer.states() + " states to depth " + DEPTH + " in "
-                + explorer.millis() + " ms, " + explorer.reached());
+        System.out.println(
+                "rollout explorer: "
+                        + explorer.states()
+                        + " states to depth "
+                        + DEPTH
+                        + " in "
+                        + explorer.millis()
+                        + " ms, "
+                        + explorer.reached());
         assertTrue(explorer.states() > 50_000, explorer.states() + " states");
         assertEquals("[OFF, UNDERSTOOD, ON, SETTLED]", explorer.reached().toString());
     }
@@ -50,6 +57,12 @@
         String broken = explorer.explore(DEPTH);
         assertNotNull(broken, fault + " is not found");
         assertTrue(broken.contains(what), broken);
-        System.out.println("rollout explorer: " + fault + " found: " + broken + "\n  " + String.join("\n  ", explorer.trace()));
+        System.out.println(
+                "rollout explorer: "
+                        + fault
+                        + " found: "
+                        + broken
+                        + "\n  "
+                        + String.join("\n  ", explorer.trace()));
     }
 }
--- a/src/test/java/org/woadloom/core/teams/ClassSharesTest.java
+++ b/src/test/java/org/woadloom/core/teams/ClassSharesTest.java
@@ -21,7 +21,12 @@
 
     @BeforeEach
     void machines() {
-        machines = new Machine[] {fixture.machine("host-1", "a"), fixture.machine("host-2", "a"), fixture.machine("host-3", "b")};
+        machines =
+                new Machine[] {
+                    fixture.machine("host-1", "a"),
+                    fixture.machine("host-2", "a"),
+                    fixture.machine("host-3", "b")
+                };
     }
 
     private void place(Job job, int from, int to) {
@@ -90,7 +95,10 @@
         assertEquals(2, array.allowed());
     }
 
-    /** A class whose jobs find no machine, though the limit has room for them, keeps nobody waiting for long. */
+    /**
+     * A class whose jobs find no machine, though the limit has room for them, keeps nobody waiting
+     * for long.
+     */
     @Test
     void aShareThatFindsNoMachineGoesToOthers() {
         Job service = fixture.ofClass("j-1", "web", 40, true);
@@ -105,7 +113,10 @@
         shares.update();
         service.remove(service.placement(0));
         shares.update();
-        assertEquals(0, service.allowed(), "what comes free is kept again until it is enough for the other class");
+        assertEquals(
+                0,
+                service.allowed(),
+                "what comes free is kept again until it is enough for the other class");
         assertEquals(0, array.allowed());
     }
 
@@ -116,9 +127,12 @@
         shares.update();
         shares.update();
         var told = fixture.effects();
-        assertEquals(List.of(
-                "event=quota_exceeded team=team asked_cpus=80 asked_gpus=0 class=web used_cpus=0 waiting_cpus=40",
-                "event=quota_exceeded team=team asked_cpus=80 asked_gpus=0 class=work used_cpus=0 waiting_cpus=40"),
+        assertEquals(
+                List.of(
+                        "event=quota_exceeded team=team asked_cpus=80 asked_gpus=0 class=web"
+                                + " used_cpus=0 waiting_cpus=40",
+                        "event=quota_exceeded team=team asked_cpus=80 asked_gpus=0 class=work"
+                                + " used_cpus=0 waiting_cpus=40"),
                 told.stream().map(effect -> ((Effect.Note) effect).entry().toString()).toList());
         fixture.world.nowMicros += 61_000_000;
         shares.update();
--- a/src/test/java/org/woadloom/core/teams/LimitTurnsTest.java
+++ b/src/test/java/org/woadloom/core/teams/LimitTurnsTest.java
@@ -5,8 +5,8 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.woadloom.core.LogEvent;
 import org.woadloom.core.CoreFixture;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.jobs.Job;
 import org.woadloom.core.machines.Machine;
 import org.woadloom.core.placement.ServiceOrder;
@@ -17,7 +17,9 @@
     private final CoreFixture fixture = new CoreFixture();
     private final Reservations reservations = new Reservations(fixture.world);
     private final LimitTurns turns = new LimitTurns(fixture.world, reservations);
-    private final Machine[] machines = {fixture.machine("host-1", "a"), fixture.machine("host-2", "a")};
+    private final Machine[] machines = {
+        fixture.machine("host-1", "a"), fixture.machine("host-2", "a")
+    };
     private int small;
 
     /** Small jobs of one CPU take whatever the limit leaves them. */
@@ -33,7 +35,9 @@
     }
 
     private Job[] running() {
-        return fixture.world.jobs.values().stream().filter(job -> !job.placements().isEmpty()).toArray(Job[]::new);
+        return fixture.world.jobs.values().stream()
+                .filter(job -> !job.placements().isEmpty())
+                .toArray(Job[]::new);
     }
 
     /** Without its turn it never has more than one CPU of the eight that its task takes. */
@@ -78,7 +82,9 @@
         }
         assertEquals(1, older.allowed());
         assertEquals(0, younger.allowed());
-        assertTrue(fixture.logged(LogEvent.QUOTA_TURN_STARTED, "job=j-1", "waited_s=110", "needed_tasks=1"));
+        assertTrue(
+                fixture.logged(
+                        LogEvent.QUOTA_TURN_STARTED, "job=j-1", "waited_s=110", "needed_tasks=1"));
     }
 
     /** Replicas do not end, so the small ones are not kept waiting for what will not come. */
@@ -92,10 +98,14 @@
         fixture.world.nowMicros += 105_000_000;
         turns.update();
         assertEquals(4, fixture.job("j-small", 1, 1, 9).allowed());
-        assertTrue(fixture.logged(LogEvent.QUOTA_TURN_IMPOSSIBLE, "job=j-large", "replica_cpus=20"));
+        assertTrue(
+                fixture.logged(LogEvent.QUOTA_TURN_IMPOSSIBLE, "job=j-large", "replica_cpus=20"));
     }
 
-    /** Room that is reserved counts against the limit, so a gang that gathers and a turn would each wait for the other. */
+    /**
+     * Room that is reserved counts against the limit, so a gang that gathers and a turn would each
+     * wait for the other.
+     */
     @Test
     void thereIsNoTurnWhileAnotherJobOfTheTeamHoldsRoom() {
         Job gathers = fixture.job("j-1", 8, 1, 2);
@@ -126,7 +136,10 @@
         assertEquals(0, large.allowed());
     }
 
-    /** With a pause after each turn, most of a hundred jobs at a low limit had not begun after four minutes. */
+    /**
+     * With a pause after each turn, most of a hundred jobs at a low limit had not begun after four
+     * minutes.
+     */
     @Test
     void aTurnThatWasUsedIsFollowedByTheNextAtOnce() {
         nibble();
@@ -150,7 +163,9 @@
         assertEquals(1, second.allowed());
     }
 
-    /** Where large jobs begin in turn after turn, what is small has its time as well, once a minute. */
+    /**
+     * Where large jobs begin in turn after turn, what is small has its time as well, once a minute.
+     */
     @Test
     void turnsThatAreUsedMakeAPauseOnceAMinute() {
         nibble();
@@ -182,10 +197,14 @@
                 }
             }
         }
-        assertTrue(begun > 55 && free >= 3 && free <= 6, begun + " begun, and in " + free + " s the others had what was free");
+        assertTrue(
+                begun > 55 && free >= 3 && free <= 6,
+                begun + " begun, and in " + free + " s the others had what was free");
     }
 
-    /** Two that find no machine would keep a part of the limit from all others by turns, for ever. */
+    /**
+     * Two that find no machine would keep a part of the limit from all others by turns, for ever.
+     */
     @Test
     void nobodyWaitsForOneTurnAfterTheOther() {
         nibble();
@@ -207,7 +226,8 @@
             turnsS += small.allowed() > 0 ? 0 : 1;
             longestS = Math.max(longestS, waitedS);
         }
-        assertTrue(longestS < 70 && turnsS > 200, longestS + " s at a time, " + turnsS + " s in all");
+        assertTrue(
+                longestS < 70 && turnsS > 200, longestS + " s at a time, " + turnsS + " s in all");
     }
 
     /** A largest job that keeps being late would make way for whatever can still be in time. */
@@ -217,7 +237,10 @@
         Job large = fixture.due("j-1", 100, 60);
         fixture.world.nowMicros += 149_000_000;
         Job small = fixture.due("j-2", 10, 60);
-        assertEquals(List.of(small, large), order.sorted(List.of(large, small)), "it is late, and has time yet");
+        assertEquals(
+                List.of(small, large),
+                order.sorted(List.of(large, small)),
+                "it is late, and has time yet");
         fixture.world.nowMicros += 2_000_000;
         assertEquals(List.of(large, small), order.sorted(List.of(small, large)));
     }
--- a/src/test/java/org/woadloom/golden/CanonicalJson.java
+++ b/src/test/java/org/woadloom/golden/CanonicalJson.java
@@ -5,12 +5,11 @@
 import java.util.TreeMap;
 
 /**
- * Wire values as JSON text of which there is only one for each value: keys sorted, no spaces, whole numbers without a
- * fraction whatever their Java type. Independent of the code that it checks.
+ * Wire values as JSON text of which there is only one for each value: keys sorted, no spaces, whole
+ * numbers without a fraction whatever their Java type. Independent of the code that it checks.
  */
 public final class CanonicalJson {
-    private CanonicalJson() {
-    }
+    private CanonicalJson() {}
 
     /** The text of a map with text keys, a list, text, a number, a boolean or null. */
     public static String of(Object value) {
@@ -21,7 +20,10 @@
 
     /** Appends the text of the value. */
     public static void write(StringBuilder out, Object value) {
-        if (value == null || value instanceof Boolean || value instanceof Integer || value instanceof Long
+        if (value == null
+                || value instanceof Boolean
+                || value instanceof Integer
+                || value instanceof Long
                 || value instanceof Double) {
             out.append(value);
         } else if (value instanceof String text) {
--- a/src/test/java/org/woadloom/golden/GoldenFile.java
+++ b/src/test/java/org/woadloom/golden/GoldenFile.java
@@ -13,8 +13,9 @@
 import java.util.Map;
 
 /**
- * Forms that must not change, as lines of a name and a text in a file under {@code src/test/resources/golden}. The files were
- * made by the code as it was before its classes and fields were renamed; {@code -DgoldenRecord=true} writes them anew.
+ * Forms that must not change, as lines of a name and a text in a file under {@code
+ * src/test/resources/golden}. The files were made by the code as it was before its classes and
+ * fields were renamed; {@code -DgoldenRecord=true} writes them anew.
  */
 public final class GoldenFile {
     private static final Path DIRECTORY = Path.of("src/test/resources/golden");
--- a/src/test/java/org/woadloom/golden/Shape.java
+++ b/src/test/java/org/woadloom/golden/Shape.java
@@ -5,10 +5,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** A wire value with the names of its leaves' kinds in place of the leaves, for forms that hold times and random numbers. */
+/**
+ * A wire value with the names of its leaves' kinds in place of the leaves, for forms that hold
+ * times and random numbers.
+ */
 public final class Shape {
-    private Shape() {
-    }
+    private Shape() {}
 
     /** The shape; that of a list is the shape of its first item. */
     public static Object of(Object value) {
--- a/src/test/java/org/woadloom/metrics/NodeMetricsGoldenTest.java
+++ b/src/test/java/org/woadloom/metrics/NodeMetricsGoldenTest.java
@@ -7,7 +7,10 @@
 import org.woadloom.core.served.Served;
 import org.woadloom.golden.GoldenFile;
 
-/** What a node counts of itself, by name, tags and value; the gauges of its parts are in the answers of a whole node. */
+/**
+ * What a node counts of itself, by name, tags and value; the gauges of its parts are in the answers
+ * of a whole node.
+ */
 class NodeMetricsGoldenTest {
     @Test
     void countersAndGaugesAreAsRecorded() {
@@ -20,10 +23,13 @@
         metrics.done(new Effect.ReadJob("j-1"));
         metrics.done(new Effect.Rent("claim", "m", "a", false, 1));
         metrics.done(new Effect.Delete(List.of("host-1")));
-        metrics.done(new Effect.ServedSeen(List.of(new Served.Row("red", "nightly", 5, 4, 3, 2, 1_500_000))));
+        metrics.done(
+                new Effect.ServedSeen(
+                        List.of(new Served.Row("red", "nightly", 5, 4, 3, 2, 1_500_000))));
         metrics.gauge("woadloom.test", this, test -> 7);
         GoldenFile golden = new GoldenFile();
-        metrics.toMap().entrySet().stream().sorted(Map.Entry.comparingByKey())
+        metrics.toMap().entrySet().stream()
+                .sorted(Map.Entry.comparingByKey())
                 .forEach(entry -> golden.addValue(entry.getKey(), entry.getValue()));
         golden.check("metrics.txt");
     }
--- a/src/test/java/org/woadloom/node/CommandQueueTest.java
+++ b/src/test/java/org/woadloom/node/CommandQueueTest.java
@@ -29,9 +29,20 @@
 
     private final ArrayDeque<Runnable> soon = new ArrayDeque<>();
     private final List<Effect> effects = new ArrayList<>();
-    private final Core core = new Core(new CoreSettings("node", Map.of(), List.of(new Team("team", 100, 100, 0, 0)), List.of(), 1_500_000, 10_000_000,
-            30_000_000, 3_000_000, OperatorSettings.defaults()));
-    private final CommandQueue queue = new CommandQueue(new StillLoop(), core, new NodeMetrics(), 10, effects::addAll);
+    private final Core core =
+            new Core(
+                    new CoreSettings(
+                            "node",
+                            Map.of(),
+                            List.of(new Team("team", 100, 100, 0, 0)),
+                            List.of(),
+                            1_500_000,
+                            10_000_000,
+                            30_000_000,
+                            3_000_000,
+                            OperatorSettings.defaults()));
+    private final CommandQueue queue =
+            new CommandQueue(new StillLoop(), core, new NodeMetrics(), 10, effects::addAll);
 
     /** Time stands still, and what is put off comes next. */
     private final class StillLoop implements Loop {
@@ -53,8 +64,7 @@
         @Override
         public Timer schedule(long delayMicros, Runnable task) {
             soon.add(task);
-            return () -> {
-            };
+            return () -> {};
         }
     }
 
@@ -84,8 +94,10 @@
     }
 
     private static Command.Report report(int host, long tick) {
-        return new Command.Report(host, new WorkerReport("host-" + host, "a:1", "m", "a", false, 1, tick, 0, -1,
-                List.of()));
+        return new Command.Report(
+                host,
+                new WorkerReport(
+                        "host-" + host, "a:1", "m", "a", false, 1, tick, 0, -1, List.of()));
     }
 
     private static JobRecord record(int i) throws WireException {
--- a/src/test/java/org/woadloom/node/LettersGoldenTest.java
+++ b/src/test/java/org/woadloom/node/LettersGoldenTest.java
@@ -12,7 +12,10 @@
 import org.woadloom.golden.GoldenFile;
 import org.woadloom.wire.WireException;
 
-/** A packed list that was recorded is read, and what is packed now is read as the same; how well it is packed may change. */
+/**
+ * A packed list that was recorded is read, and what is packed now is read as the same; how well it
+ * is packed may change.
+ */
 class LettersGoldenTest {
     private static final String FILE = "packed-letter.txt";
 
@@ -31,8 +34,11 @@
             golden.addBytes("reports", Letters.pack(reports()).getBytes(StandardCharsets.US_ASCII));
             golden.check(FILE);
         }
-        String recorded = new String(GoldenFile.readBytes(FILE, "reports"), StandardCharsets.US_ASCII);
+        String recorded =
+                new String(GoldenFile.readBytes(FILE, "reports"), StandardCharsets.US_ASCII);
         assertEquals(CanonicalJson.of(reports()), CanonicalJson.of(Letters.unpack(recorded)));
-        assertEquals(CanonicalJson.of(reports()), CanonicalJson.of(Letters.unpack(Letters.pack(reports()))));
+        assertEquals(
+                CanonicalJson.of(reports()),
+                CanonicalJson.of(Letters.unpack(Letters.pack(reports()))));
     }
 }
--- a/src/test/java/org/woadloom/node/LettersTest.java
+++ b/src/test/java/org/woadloom/node/LettersTest.java
@@ -26,7 +26,9 @@
             List<Object> tasks = new ArrayList<>();
             for (int i = 0; i < TASKS; i++) {
                 Map<String, Object> task = new LinkedHashMap<>();
-                task.put("shard", String.format("j-%06d/%d", random.nextInt(40) * 7919, random.nextInt(90)));
+                task.put(
+                        "shard",
+                        String.format("j-%06d/%d", random.nextInt(40) * 7919, random.nextInt(90)));
                 task.put("try", (4L << 32) + random.nextInt(200));
                 task.put("status", "running");
                 tasks.add(task);
@@ -38,14 +40,18 @@
             reports.add(Arrays.asList(random.nextLong(1L << 54), report));
         }
         String packed = Letters.pack(reports);
-        assertTrue(packed.length() < 2_048, MACHINES + " reports in " + packed.length() + " characters");
+        assertTrue(
+                packed.length() < 2_048,
+                MACHINES + " reports in " + packed.length() + " characters");
         assertEquals(reports, Letters.unpack(packed));
     }
 
     @Test
     void brokenLettersAreRefused() {
         String packed = Letters.pack(List.of("a", "b"));
-        assertThrows(WireException.class, () -> Letters.unpack(packed.substring(0, packed.length() / 2)));
+        assertThrows(
+                WireException.class,
+                () -> Letters.unpack(packed.substring(0, packed.length() / 2)));
         assertThrows(WireException.class, () -> Letters.unpack("no letter"));
     }
 
--- a/src/test/java/org/woadloom/peer/PeerCodecTest.java
+++ b/src/test/java/org/woadloom/peer/PeerCodecTest.java
@@ -20,7 +20,8 @@
         System.arraycopy(second, 0, stream, first.length, second.length);
         for (int cut = 0; cut <= stream.length; cut++) {
             FrameReader reader = new FrameReader();
-            List<byte[]> frames = new java.util.ArrayList<>(reader.add(Arrays.copyOf(stream, cut), cut));
+            List<byte[]> frames =
+                    new java.util.ArrayList<>(reader.add(Arrays.copyOf(stream, cut), cut));
             byte[] rest = Arrays.copyOfRange(stream, cut, stream.length);
             frames.addAll(reader.add(rest, rest.length));
             assertEquals(2, frames.size());
--- a/src/test/java/org/woadloom/peer/PeerFramesGoldenTest.java
+++ b/src/test/java/org/woadloom/peer/PeerFramesGoldenTest.java
@@ -15,23 +15,36 @@
 import org.woadloom.core.care.Warrant;
 import org.woadloom.golden.GoldenFile;
 
-/** Every kind of frame between nodes, byte by byte, and read back from the bytes that were recorded. */
+/**
+ * Every kind of frame between nodes, byte by byte, and read back from the bytes that were recorded.
+ */
 class PeerFramesGoldenTest {
     private static final String FILE = "peer-frames.txt";
 
     private static Map<String, PeerMessage> frames() {
         Map<String, PeerMessage> all = new LinkedHashMap<>();
         all.put("10 hello", new PeerMessage.Hello("node-1"));
-        all.put("11 ping of a leader", new PeerMessage.Ping(7, "node-1", new PeerMessage.Rollout(9, List.of("a"),
-                List.of("a", "b"), List.of("a", "b", "c"))));
-        all.put("11 ping without leader", new PeerMessage.Ping(7, "", new PeerMessage.Rollout(0, List.of(), List.of(), List.of())));
+        all.put(
+                "11 ping of a leader",
+                new PeerMessage.Ping(
+                        7,
+                        "node-1",
+                        new PeerMessage.Rollout(
+                                9, List.of("a"), List.of("a", "b"), List.of("a", "b", "c"))));
+        all.put(
+                "11 ping without leader",
+                new PeerMessage.Ping(
+                        7, "", new PeerMessage.Rollout(0, List.of(), List.of(), List.of())));
         all.put("11 ping of version 3", new PeerMessage.Ping(7, "node-1", null));
         all.put("13 hint", new PeerMessage.Hint(new byte[] {1, 2, 3}, 41));
         all.put("14 report", new PeerMessage.Carry(42, new byte[] {4, 5}));
         all.put("15 answer", new PeerMessage.Carried(42, 421, new byte[] {6}));
         all.put("16 standing", new PeerMessage.Stands(new NodeStanding(1, 2, 3, 4, 5, 6, -1, 8)));
         all.put("17 warrant", new PeerMessage.Warranted(new Warrant(1, 2, 3, Warrant.UNSETTLED)));
-        all.put("18 vouch", new PeerMessage.Vouched(new Vouch(1, 2, 3, 4, Vouch.NONE, 6, List.of("j-1", "j-2"))));
+        all.put(
+                "18 vouch",
+                new PeerMessage.Vouched(
+                        new Vouch(1, 2, 3, 4, Vouch.NONE, 6, List.of("j-1", "j-2"))));
         all.put("19 vouch taken", new PeerMessage.Taken(new VouchTaken(1, 2, 3, 4)));
         return all;
     }
@@ -44,7 +57,8 @@
         golden.check(FILE);
         for (String name : frames().keySet()) {
             byte[] recorded = GoldenFile.readBytes(FILE, name);
-            PeerMessage read = codec.decode(Arrays.copyOfRange(recorded, Integer.BYTES, recorded.length));
+            PeerMessage read =
+                    codec.decode(Arrays.copyOfRange(recorded, Integer.BYTES, recorded.length));
             assertEquals(frames().get(name).getClass(), read.getClass(), name);
             assertArrayEquals(recorded, codec.encode(read), name);
         }
--- a/src/test/java/org/woadloom/settings/SettingsGoldenTest.java
+++ b/src/test/java/org/woadloom/settings/SettingsGoldenTest.java
@@ -6,7 +6,10 @@
 import org.junit.jupiter.api.Test;
 import org.woadloom.golden.GoldenFile;
 
-/** Every field of the settings files, each with a value of its own, and where it is found once the file is read. */
+/**
+ * Every field of the settings files, each with a value of its own, and where it is found once the
+ * file is read.
+ */
 class SettingsGoldenTest {
     private static final Path DIRECTORY = Path.of("src/test/resources/golden");
 
@@ -29,25 +32,61 @@
         golden.addText("outside.state", s.stateAddress());
         golden.addText("deployment.zones", String.join(" ", s.zones()));
         for (Team team : s.teams()) {
-            golden.addText("deployment.teams " + team.name(), "cpus " + team.cpus() + " cpus_max " + team.cpusMax() + " gpus "
-                    + team.gpus() + " gpus_max " + team.gpusMax());
+            golden.addText(
+                    "deployment.teams " + team.name(),
+                    "cpus "
+                            + team.cpus()
+                            + " cpus_max "
+                            + team.cpusMax()
+                            + " gpus "
+                            + team.gpus()
+                            + " gpus_max "
+                            + team.gpusMax());
         }
         for (Objective o : s.objectives()) {
-            golden.addText("deployment.objectives " + o.kind(), "class " + o.jobclass() + " within_s " + o.withinS() + " share "
-                    + o.share() + " times " + o.times());
+            golden.addText(
+                    "deployment.objectives " + o.kind(),
+                    "class "
+                            + o.jobclass()
+                            + " within_s "
+                            + o.withinS()
+                            + " share "
+                            + o.share()
+                            + " times "
+                            + o.times());
         }
-        golden.addText("deployment.workers", "report " + s.workers().reportMicros() + " lease " + s.workers().leaseMicros()
-                + " cancel " + s.workers().cancelMicros());
+        golden.addText(
+                "deployment.workers",
+                "report "
+                        + s.workers().reportMicros()
+                        + " lease "
+                        + s.workers().leaseMicros()
+                        + " cancel "
+                        + s.workers().cancelMicros());
         golden.addText("deployment.state", limits(s.state()));
         golden.addText("deployment.state.next", limits(s.state().next()));
-        golden.addText("deployment.cloud", "rps " + s.cloud().rps() + " list_lag " + s.cloud().listLagMicros());
-        golden.addText("deployment.resources", "cpu_share " + s.resources().cpuShare() + " ram_mb " + s.resources().ramMb()
-                + " fd_limit " + s.resources().fdLimit());
+        golden.addText(
+                "deployment.cloud",
+                "rps " + s.cloud().rps() + " list_lag " + s.cloud().listLagMicros());
+        golden.addText(
+                "deployment.resources",
+                "cpu_share "
+                        + s.resources().cpuShare()
+                        + " ram_mb "
+                        + s.resources().ramMb()
+                        + " fd_limit "
+                        + s.resources().fdLimit());
         golden.check("settings.txt");
     }
 
     private static String limits(ServiceSettings.State state) {
-        return "rps " + state.rps() + " write_rps " + state.writeRps() + " value_bytes " + state.valueBytes() + " txn_ops "
+        return "rps "
+                + state.rps()
+                + " write_rps "
+                + state.writeRps()
+                + " value_bytes "
+                + state.valueBytes()
+                + " txn_ops "
                 + state.txnOps();
     }
 
@@ -55,7 +94,9 @@
     void operatorSettingsAreReadAndShownAsRecorded() throws IOException, SettingsException {
         GoldenFile golden = new GoldenFile();
         golden.addText("defaults", OperatorSettings.defaults().describe());
-        golden.addText("all set", OperatorSettingsFile.parse("operator.hcl", read("operator.hcl")).describe());
+        golden.addText(
+                "all set",
+                OperatorSettingsFile.parse("operator.hcl", read("operator.hcl")).describe());
         golden.check("operator.txt");
     }
 }
--- a/src/test/java/org/woadloom/settings/SettingsTest.java
+++ b/src/test/java/org/woadloom/settings/SettingsTest.java
@@ -28,25 +28,35 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"label = \"rehearsal\",label = 3,label: expected text",
+    @CsvSource({
+        "label = \"rehearsal\",label = 3,label: expected text",
         "bind = \"127.0.0.1:18931\",bind = \"nowhere\",bind: expected an address",
         "report_s = 1.0,report_s = \"soon\",deployment.workers.report_s: expected a number",
         "lease_s = 10.0,lease_s = -1.0,deployment.workers.lease_s: expected a number",
-        "area = \"b\",area = true,peers[0].area: expected text"})
+        "area = \"b\",area = true,peers[0].area: expected text"
+    })
     void errorsNameFileKeyAndExpectation(String was, String is, String expected) throws Exception {
         String text = good().replace(was, is);
-        SettingsException e = assertThrows(SettingsException.class, () -> ServiceSettingsFile.parse("f.toml", text));
+        SettingsException e =
+                assertThrows(
+                        SettingsException.class, () -> ServiceSettingsFile.parse("f.toml", text));
         assertTrue(e.getMessage().startsWith("f.toml: " + expected), e.getMessage());
     }
 
     @ParameterizedTest
-    @CsvSource({"lease_s = 10.0,lease_s = 1.5,deployment.workers.lease_s = 1.5: shorter than two reports (report_s = 1.0)",
-        "cancel_s = 30.0,cancel_s = 9.0,deployment.workers.cancel_s = 9.0: no longer than a lease (lease_s = 10.0)",
-        "area = \"b\",area = \"moon\",area of peer other = moon: not one of deployment.zones"})
-    void settingsThatCantWorkTogetherAreNamed(String was, String is, String expected) throws Exception {
+    @CsvSource({
+        "lease_s = 10.0,lease_s = 1.5,deployment.workers.lease_s = 1.5: shorter than two reports"
+                + " (report_s = 1.0)",
+        "cancel_s = 30.0,cancel_s = 9.0,deployment.workers.cancel_s = 9.0: no longer than a lease"
+                + " (lease_s = 10.0)",
+        "area = \"b\",area = \"moon\",area of peer other = moon: not one of deployment.zones"
+    })
+    void settingsThatCantWorkTogetherAreNamed(String was, String is, String expected)
+            throws Exception {
         assertEquals(List.of(), Sanity.problems(ServiceSettingsFile.parse("f.toml", good())));
         assertTrue(good().contains(was));
-        List<String> problems = Sanity.problems(ServiceSettingsFile.parse("f.toml", good().replace(was, is)));
+        List<String> problems =
+                Sanity.problems(ServiceSettingsFile.parse("f.toml", good().replace(was, is)));
         assertEquals(1, problems.size(), problems.toString());
         assertTrue(problems.get(0).startsWith(expected), problems.toString());
     }
@@ -54,26 +64,50 @@
     @Test
     void theFleetThatSettingsCarryIsBoundBySocketsOrProcessor() throws Exception {
         ServiceSettings settings = ServiceSettingsFile.parse("f.toml", good());
-        assertEquals(60, FleetEstimate.of(settings).workers(), "200 sockets, half of them for workers and users");
-        ServiceSettings large = ServiceSettingsFile.parse("f.toml", good().replace("fd_limit = 200", "fd_limit = 9000"));
-        assertEquals(1_000, FleetEstimate.of(large).workers(), "one core, a report a second from each");
+        assertEquals(
+                60,
+                FleetEstimate.of(settings).workers(),
+                "200 sockets, half of them for workers and users");
+        ServiceSettings large =
+                ServiceSettingsFile.parse(
+                        "f.toml", good().replace("fd_limit = 200", "fd_limit = 9000"));
+        assertEquals(
+                1_000, FleetEstimate.of(large).workers(), "one core, a report a second from each");
     }
 
     @Test
     void operatorSettingsHaveDefaultsAndRefuseUnknownKeys() throws Exception {
         assertEquals(OperatorSettings.defaults(), OperatorSettingsFile.parse("o.hcl", ""));
-        OperatorSettings set = OperatorSettingsFile.parse("o.hcl",
-                "reservation {\n ttl_s = 30\n renew_s = 7.5\n}\ncapacity {\n headroom = 1\n}\n");
+        OperatorSettings set =
+                OperatorSettingsFile.parse(
+                        "o.hcl",
+                        "reservation {\n"
+                                + " ttl_s = 30\n"
+                                + " renew_s = 7.5\n"
+                                + "}\n"
+                                + "capacity {\n"
+                                + " headroom = 1\n"
+                                + "}\n");
         assertEquals(30_000_000, set.reservationTtlMicros());
         assertEquals(7_500_000, set.reservationRenewMicros());
         assertEquals(1.0, set.headroom());
         assertTrue(set.care());
         assertFalse(OperatorSettingsFile.parse("o.hcl", "zones {\n care = false\n}\n").care());
-        SettingsException unknown = assertThrows(SettingsException.class,
-                () -> OperatorSettingsFile.parse("o.hcl", "capacity {\n haedroom = 1\n}\n"));
+        SettingsException unknown =
+                assertThrows(
+                        SettingsException.class,
+                        () ->
+                                OperatorSettingsFile.parse(
+                                        "o.hcl", "capacity {\n haedroom = 1\n}\n"));
         assertEquals("o.hcl: capacity.haedroom: no such setting", unknown.getMessage());
-        SettingsException range = assertThrows(SettingsException.class,
-                () -> OperatorSettingsFile.parse("o.hcl", "reservation {\n ttl_s = 5\n}\n"));
-        assertEquals("o.hcl: reservation.renew_s: expected less than reservation.ttl_s", range.getMessage());
+        SettingsException range =
+                assertThrows(
+                        SettingsException.class,
+                        () ->
+                                OperatorSettingsFile.parse(
+                                        "o.hcl", "reservation {\n ttl_s = 5\n}\n"));
+        assertEquals(
+                "o.hcl: reservation.renew_s: expected less than reservation.ttl_s",
+                range.getMessage());
     }
 }
