--- a/src/test/java/org/woadloom/sim/BadInputTest.java
+++ b/src/test/java/org/woadloom/sim/BadInputTest.java
@@ -20,20 +20,44 @@
 import org.woadloom.wire.Cbor;
 
 /**
- * Malformed requests on every route and in every field, to a node that leads and to one that does not, while reports press:
- * each is refused at once, nothing of it is stored, and its connection goes on.
+ * Malformed requests on every route and in every field, to a node that leads and to one that does
+ * not, while reports press: each is refused at once, nothing of it is stored, and its connection
+ * goes on.
  */
 class BadInputTest {
     /** Less than a report may wait for a leader: whatever is held back fails. */
     private static final int AT_ONCE_MILLIS = 2_500;
+
     private static final Object[] NO_TEXT = {null, 7L, 1.5, true, List.of("x"), Map.of()};
-    private static final Object[] NO_AMOUNT = {"1", true, -1.0, -1L, Double.NaN, Double.POSITIVE_INFINITY, List.of(), Map.of()};
+    private static final Object[] NO_AMOUNT = {
+        "1", true, -1.0, -1L, Double.NaN, Double.POSITIVE_INFINITY, List.of(), Map.of()
+    };
     private static final Object[] NO_COUNT = {null, "1", 1.5, -1L, Double.NaN, List.of(), true};
     private static final Object[] NO_FLAG = {"true", 1L, 0.0, List.of()};
 
-    /** Fields that a submission must have, and that are not null; hosttypes, yard, dueS and awaits may be missing. */
-    private static final List<String> NEEDED = List.of("uid", "jobclass", "crew", "shape", "rank", "shards", "vcpus", "cards",
-            "ramGb", "bundle", "pullGb", "samePlace", "apart", "reclaimable", "runtimeS", "snapshotEveryS", "snapshotCostS");
+    /**
+     * Fields that a submission must have, and that are not null; hosttypes, yard, dueS and awaits
+     * may be missing.
+     */
+    private static final List<String> NEEDED =
+            List.of(
+                    "uid",
+                    "jobclass",
+                    "crew",
+                    "shape",
+                    "rank",
+                    "shards",
+                    "vcpus",
+                    "cards",
+                    "ramGb",
+                    "bundle",
+                    "pullGb",
+                    "samePlace",
+                    "apart",
+                    "reclaimable",
+                    "runtimeS",
+                    "snapshotEveryS",
+                    "snapshotCostS");
 
     private final LoopbackNode node = new LoopbackNode();
     private final AtomicBoolean pressing = new AtomicBoolean(true);
@@ -41,8 +65,7 @@
     private final List<Thread> press = new ArrayList<>();
 
     /** One request with the answer that is expected. */
-    private record Case(String what, String path, byte[] body, int status) {
-    }
+    private record Case(String what, String path, byte[] body, int status) {}
 
     /** A connection that is kept, whatever was answered on it. */
     private static final class Connection {
@@ -58,15 +81,24 @@
         }
 
         int ask(String method, String path, byte[] body) throws IOException {
-            byte[] head = (method + " " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: " + body.length + "\r\n\r\n")
-                    .getBytes(StandardCharsets.US_ASCII);
+            byte[] head =
+                    (method
+                                    + " "
+                                    + path
+                                    + " HTTP/1.1\r\nHost: x\r\nContent-Length: "
+                                    + body.length
+                                    + "\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII);
             byte[] request = Arrays.copyOf(head, head.length + body.length);
             System.arraycopy(body, 0, request, head.length, body.length);
             socket.getOutputStream().write(request);
             int status = Integer.parseInt(line().split(" ")[1]);
             int length = 0;
             for (String line = line(); !line.isEmpty(); line = line()) {
-                length = line.toLowerCase().startsWith("content-length:") ? Integer.parseInt(line.substring(15).trim()) : length;
+                length =
+                        line.toLowerCase().startsWith("content-length:")
+                                ? Integer.parseInt(line.substring(15).trim())
+                                : length;
             }
             in.readFully(new byte[length]);
             return status;
@@ -98,7 +130,8 @@
     }
 
     private static Map<String, Object> task() {
-        return new LinkedHashMap<>(Map.of("shard", "j-000412/3", "try", 2L, "status", "exited", "cause", "done"));
+        return new LinkedHashMap<>(
+                Map.of("shard", "j-000412/3", "try", 2L, "status", "exited", "cause", "done"));
     }
 
     private static Map<String, Object> report(Object tasks) {
@@ -116,7 +149,12 @@
         return map;
     }
 
-    private static void fields(List<Case> cases, String path, Map<String, Object> good, int status, String field,
+    private static void fields(
+            List<Case> cases,
+            String path,
+            Map<String, Object> good,
+            int status,
+            String field,
             Object... values) {
         for (Object value : values) {
             Map<String, Object> bad = new LinkedHashMap<>(good);
@@ -129,7 +167,8 @@
     private static void bodies(List<Case> cases, String path, Map<String, Object> good) {
         byte[] whole = Cbor.encode(good);
         for (int length = 0; length < whole.length; length += 1 + length / 16) {
-            cases.add(new Case("cut short after " + length, path, Arrays.copyOf(whole, length), 400));
+            cases.add(
+                    new Case("cut short after " + length, path, Arrays.copyOf(whole, length), 400));
         }
         cases.add(new Case("two values", path, Arrays.copyOf(whole, whole.length + 1), 400));
         cases.add(new Case("a list", path, Cbor.encode(List.of(good)), 400));
@@ -149,11 +188,19 @@
         } while (Cbor.encode(large).length > most + 1);
         assertEquals(most + 1, Cbor.encode(large).length);
         cases.add(new Case("64 KiB and a byte", path, Cbor.encode(large), 400));
-        cases.add(new Case("a key twice", path, twice(whole, "yard", good.containsKey("yard") ? 1 : 2), 400));
+        cases.add(
+                new Case(
+                        "a key twice",
+                        path,
+                        twice(whole, "yard", good.containsKey("yard") ? 1 : 2),
+                        400));
         cases.add(new Case("a byte string", path, bytes(whole), 400));
     }
 
-    /** The map with one more field, so often; the encoding of a map is its length and then its fields. */
+    /**
+     * The map with one more field, so often; the encoding of a map is its length and then its
+     * fields.
+     */
     private static byte[] twice(byte[] map, String key, int times) {
         byte[] one = Cbor.encode(Map.of(key, "a"));
         byte[] more = map;
@@ -188,7 +235,16 @@
         fields(cases, jobs, job(), 400, "rank", "highest");
         fields(cases, jobs, job(), 400, "shards", NO_COUNT);
         fields(cases, jobs, job(), 400, "shards", 0L, 100_001L, Long.MAX_VALUE, Long.MIN_VALUE);
-        for (String field : List.of("vcpus", "ramGb", "cards", "pullGb", "runtimeS", "snapshotEveryS", "snapshotCostS", "dueS")) {
+        for (String field :
+                List.of(
+                        "vcpus",
+                        "ramGb",
+                        "cards",
+                        "pullGb",
+                        "runtimeS",
+                        "snapshotEveryS",
+                        "snapshotCostS",
+                        "dueS")) {
             fields(cases, jobs, job(), 400, field, NO_AMOUNT);
         }
         for (String field : NEEDED) {
@@ -221,22 +277,51 @@
         }
         fields(cases, reports, report(List.of()), 400, "reclaimable", NO_FLAG);
         fields(cases, reports, report(List.of()), 400, "warningS", NO_AMOUNT);
-        fields(cases, reports, report(List.of()), 400, "shards", null, "x", 1L, Map.of(), List.of(1L), List.of(List.of()));
+        fields(
+                cases,
+                reports,
+                report(List.of()),
+                400,
+                "shards",
+                null,
+                "x",
+                1L,
+                Map.of(),
+                List.of(1L),
+                List.of(List.of()));
         List<Case> tasks = new ArrayList<>();
         fields(tasks, reports, task(), 400, "shard", NO_TEXT);
-        fields(tasks, reports, task(), 400, "shard", "", "j-1", "j-1/", "j-1/x", "j-1/-1", "j-1/99999999999", "/1");
+        fields(
+                tasks,
+                reports,
+                task(),
+                400,
+                "shard",
+                "",
+                "j-1",
+                "j-1/",
+                "j-1/x",
+                "j-1/-1",
+                "j-1/99999999999",
+                "/1");
         fields(tasks, reports, task(), 400, "try", null, "1", 1.5, Double.NaN, List.of());
         fields(tasks, reports, task(), 400, "status", NO_TEXT);
         fields(tasks, reports, task(), 400, "cause", 7L, true, List.of());
         fields(tasks, reports, task(), 400, "saved", NO_FLAG);
         for (Case bad : tasks) {
-            cases.add(new Case("task " + bad.what, reports, Cbor.encode(report(List.of(decode(bad.body)))), 400));
+            cases.add(
+                    new Case(
+                            "task " + bad.what,
+                            reports,
+                            Cbor.encode(report(List.of(decode(bad.body)))),
+                            400));
         }
 
         for (String id : List.of("412", "j-", "j-1%2F2", "j-1%202", "x".repeat(80), "..")) {
             cases.add(new Case("cancel " + id, jobs + "/" + id + "/cancel", new byte[0], 404));
         }
-        for (String path : List.of("/", "/v1", "/v1/job", "/v1/reports", "/v1/jobs/", "/healthz/x")) {
+        for (String path :
+                List.of("/", "/v1", "/v1/job", "/v1/reports", "/v1/jobs/", "/healthz/x")) {
             cases.add(new Case("path " + path, path, new byte[0], 404));
         }
         return cases;
@@ -254,22 +339,25 @@
     private void press() {
         for (int i = 0; i < 3; i++) {
             String host = "press-" + i;
-            Thread thread = new Thread(() -> {
-                try {
-                    Connection connection = new Connection(node.address);
-                    long tick = 0;
-                    while (pressing.get()) {
-                        Map<String, Object> report = report(List.of());
-                        report.put("host", host);
-                        report.put("tick", ++tick);
-                        connection.ask("POST", "/v1/report", Cbor.encode(report));
-                        pressed.incrementAndGet();
-                    }
-                } catch (IOException e) {
-                    // A node without a leader lets a report wait for longer than this connection does.
-                    pressed.incrementAndGet();
-                }
-            });
+            Thread thread =
+                    new Thread(
+                            () -> {
+                                try {
+                                    Connection connection = new Connection(node.address);
+                                    long tick = 0;
+                                    while (pressing.get()) {
+                                        Map<String, Object> report = report(List.of());
+                                        report.put("host", host);
+                                        report.put("tick", ++tick);
+                                        connection.ask("POST", "/v1/report", Cbor.encode(report));
+                                        pressed.incrementAndGet();
+                                    }
+                                } catch (IOException e) {
+                                    // A node without a leader lets a report wait for longer than
+                                    // this connection does.
+                                    pressed.incrementAndGet();
+                                }
+                            });
             press.add(thread);
             thread.start();
         }
@@ -280,14 +368,22 @@
         // Until the machine types are known a job that fits none is told to come back.
         Map<String, Object> unfit = job();
         unfit.put("ramGb", 9.0);
-        for (int i = 0; i < 5_000 && connection.ask("POST", "/v1/jobs", Cbor.encode(unfit)) == 503; i++) {
+        for (int i = 0;
+                i < 5_000 && connection.ask("POST", "/v1/jobs", Cbor.encode(unfit)) == 503;
+                i++) {
             continue;
         }
         press();
         List<Case> cases = cases();
         for (Case bad : cases) {
-            assertEquals(bad.status, connection.ask("POST", bad.path, bad.body), bad.path + ": " + bad.what);
-            assertEquals(200, connection.ask("GET", "/healthz", new byte[0]), "after " + bad.path + ": " + bad.what);
+            assertEquals(
+                    bad.status,
+                    connection.ask("POST", bad.path, bad.body),
+                    bad.path + ": " + bad.what);
+            assertEquals(
+                    200,
+                    connection.ask("GET", "/healthz", new byte[0]),
+                    "after " + bad.path + ": " + bad.what);
         }
         assertEquals(404, connection.ask("GET", "/v1/jobs/j-000412", new byte[0]));
         assertTrue(cases.size() > 250, cases.size() + " cases");
@@ -296,7 +392,10 @@
         assertFalse(node.state.holdsAny("machine/host-"), "a machine was stored");
     }
 
-    /** What was accepted stays accepted, whatever its repeat lacks or asks for; what may be null may be missing. */
+    /**
+     * What was accepted stays accepted, whatever its repeat lacks or asks for; what may be null may
+     * be missing.
+     */
     @Test
     void aKnownJobIsNeverRefused() throws Exception {
         node.start();
@@ -316,7 +415,8 @@
         fields(repeats, "/v1/jobs", job(), 200, "dueS", null, -1.0);
         fields(repeats, "/v1/jobs", job(), 200, "vcpus", 2.0);
         for (Case repeat : repeats) {
-            assertEquals(repeat.status, connection.ask("POST", repeat.path, repeat.body), repeat.what);
+            assertEquals(
+                    repeat.status, connection.ask("POST", repeat.path, repeat.body), repeat.what);
         }
     }
 
@@ -329,8 +429,20 @@
 
     @Test
     void aNodeThatDoesNotLeadRefusesWhatIsMalformed() throws Exception {
-        node.state.handle("POST", "/txn", Map.of("if", List.of(), "then", List.of(Map.of("put", "leader", "value",
-                Map.of("label", "other", "term", 5L)))), (status, answer) -> assertEquals(200, status));
+        node.state.handle(
+                "POST",
+                "/txn",
+                Map.of(
+                        "if",
+                        List.of(),
+                        "then",
+                        List.of(
+                                Map.of(
+                                        "put",
+                                        "leader",
+                                        "value",
+                                        Map.of("label", "other", "term", 5L)))),
+                (status, answer) -> assertEquals(200, status));
         node.start();
         refuseAll();
         assertEquals("other", node.state.value("leader").get("label"));
--- a/src/test/java/org/woadloom/sim/BehaviourDigest.java
+++ b/src/test/java/org/woadloom/sim/BehaviourDigest.java
@@ -9,12 +9,13 @@
 import java.util.HexFormat;
 
 /**
- * A hash over the steps of a simulated day: that of each step goes over its text and the hash of the step before. A mark of
- * six bits for each step tells later where two days part.
+ * A hash over the steps of a simulated day: that of each step goes over its text and the hash of
+ * the step before. A mark of six bits for each step tells later where two days part.
  */
 final class BehaviourDigest {
     private static final int KEPT_HEX_DIGITS = 32;
-    private static final String DIGITS = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
+    private static final String DIGITS =
+            "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
     private final MessageDigest sha = sha256();
     private final String expectedMarks;
@@ -49,9 +50,16 @@
         marks.append(DIGITS.charAt(hash[0] & 63));
         steps++;
         write(step);
-        if (difference == null && expectedMarks != null && !expectedMarks.startsWith(markOf(steps), steps - 1)) {
-            difference = "step " + steps + " or, by one chance in 64, one shortly before it, is the first that differs;"
-                    + " it is now, with the one before:\n" + last + step;
+        if (difference == null
+                && expectedMarks != null
+                && !expectedMarks.startsWith(markOf(steps), steps - 1)) {
+            difference =
+                    "step "
+                            + steps
+                            + " or, by one chance in 64, one shortly before it, is the first that"
+                            + " differs; it is now, with the one before:\n"
+                            + last
+                            + step;
         }
         last = step;
     }
@@ -70,10 +78,19 @@
         }
     }
 
-    /** The first step that differs from those expected, with its text; or what is known of where that is. */
+    /**
+     * The first step that differs from those expected, with its text; or what is known of where
+     * that is.
+     */
     String difference() {
-        return difference != null ? difference : "there are " + steps + " steps, and " + expectedMarks.length()
-                + " were expected; the last is now:\n" + last;
+        return difference != null
+                ? difference
+                : "there are "
+                        + steps
+                        + " steps, and "
+                        + expectedMarks.length()
+                        + " were expected; the last is now:\n"
+                        + last;
     }
 
     /** The hash over all steps so far. */
--- a/src/test/java/org/woadloom/sim/BehaviourDigestTest.java
+++ b/src/test/java/org/woadloom/sim/BehaviourDigestTest.java
@@ -23,11 +23,13 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * What the service decides stays the same while its code is renamed and rearranged: every command and every effect of every
- * step of three nodes on random days with all troubles, against hashes in {@code behaviour-digest.txt}.
+ * What the service decides stays the same while its code is renamed and rearranged: every command
+ * and every effect of every step of three nodes on random days with all troubles, against hashes in
+ * {@code behaviour-digest.txt}.
  *
- * <p>{@code -DdigestRecord=true} writes that file anew, {@code -DdigestDump=DIR} the text of each day to a file, for a
- * comparison of two versions of the code by {@code diff}, {@code -DdigestOrder=reversed} plays the days in reverse order.
+ * <p>{@code -DdigestRecord=true} writes that file anew, {@code -DdigestDump=DIR} the text of each
+ * day to a file, for a comparison of two versions of the code by {@code diff}, {@code
+ * -DdigestOrder=reversed} plays the days in reverse order.
  */
 class BehaviourDigestTest {
     private static final Path EXPECTED = Path.of("src/test/resources/behaviour-digest.txt");
@@ -41,10 +43,11 @@
     private static final Map<String, BehaviourDigest> played = new TreeMap<>();
 
     /** The hash of a day, and the marks that tell where a change begins. */
-    private record Expected(String hash, String marks) {
-    }
+    private record Expected(String hash, String marks) {}
 
-    /** A random day: of this version throughout, or of one that replaces the version in production. */
+    /**
+     * A random day: of this version throughout, or of one that replaces the version in production.
+     */
     record RandomDay(String kind, int seed) {
         boolean upgrade() {
             return kind.equals("upgrade");
@@ -87,7 +90,8 @@
     static void writeExpected() throws IOException {
         if (RECORDS) {
             List<String> lines = new ArrayList<>();
-            played.forEach((day, digest) -> lines.add(day + " " + digest.hash() + " " + digest.marks()));
+            played.forEach(
+                    (day, digest) -> lines.add(day + " " + digest.hash() + " " + digest.marks()));
             Files.write(EXPECTED, lines, StandardCharsets.US_ASCII);
         }
     }
@@ -103,8 +107,13 @@
         }
         assertNotNull(before, "no hash is recorded");
         if (!before.hash().equals(digest.hash())) {
-            fail(day + ": " + digest.difference() + "\nFor the whole day run this test with -DdigestDump=DIR, on this version"
-                    + " and on the one before, and compare the files.");
+            fail(
+                    day
+                            + ": "
+                            + digest.difference()
+                            + "\n"
+                            + "For the whole day run this test with -DdigestDump=DIR, on this"
+                            + " version and on the one before, and compare the files.");
         }
     }
 
@@ -112,7 +121,9 @@
         if (DUMP == null) {
             return play(day, new BehaviourDigest(marks, null));
         }
-        Path file = Files.createDirectories(Path.of(DUMP)).resolve(day.kind() + "-" + day.seed() + ".txt");
+        Path file =
+                Files.createDirectories(Path.of(DUMP))
+                        .resolve(day.kind() + "-" + day.seed() + ".txt");
         try (Writer dump = Files.newBufferedWriter(file)) {
             return play(day, new BehaviourDigest(marks, dump));
         }
@@ -120,7 +131,9 @@
 
     private static BehaviourDigest play(RandomDay day, BehaviourDigest digest) {
         World world = new World(day.seed(), day.upgrade() ? Day.UPGRADE : Day.PLAIN);
-        world.stepObserver = (node, now, commands, effects) -> digest.add(StepRenderer.render(node, now, commands, effects));
+        world.stepObserver =
+                (node, now, commands, effects) ->
+                        digest.add(StepRenderer.render(node, now, commands, effects));
         world.users(TROUBLED_MICROS);
         world.faults(TROUBLED_MICROS);
         if (day.upgrade()) {
--- a/src/test/java/org/woadloom/sim/CancellationGapTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationGapTest.java
@@ -11,8 +11,9 @@
 import org.woadloom.sim.Day.Flaw;
 
 /**
- * The state service refuses the leader alone, others confirm cancellations, and then it is down for all for longer than a
- * cancelled task may stay, while workers go on reporting to that leader. {@link Truth} checks {@code ran_cancelled}.
+ * The state service refuses the leader alone, others confirm cancellations, and then it is down for
+ * all for longer than a cancelled task may stay, while workers go on reporting to that leader.
+ * {@link Truth} checks {@code ran_cancelled}.
  */
 class CancellationGapTest {
     private static final long AT = 60_000_000;
@@ -21,7 +22,14 @@
     private static final long QUIET = 200_000_000;
 
     /** What else is lost in the gap. */
-    enum Lost { NOTHING, HINTS, PEERS_UNTIL_THE_OUTAGE, PEERS_UNTIL_IN_THE_OUTAGE, PEERS_THROUGHOUT, DIRECTS }
+    enum Lost {
+        NOTHING,
+        HINTS,
+        PEERS_UNTIL_THE_OUTAGE,
+        PEERS_UNTIL_IN_THE_OUTAGE,
+        PEERS_THROUGHOUT,
+        DIRECTS
+    }
 
     private static World day(long seed, Flaw flaw) {
         World world = new World(seed, new Day(Day.LONG, Day.LONG, Version.NOW, flaw, 0));
@@ -34,8 +42,7 @@
 
     private static void lose(World world, Lost lost) {
         switch (lost) {
-            case NOTHING -> {
-            }
+            case NOTHING -> {}
             case HINTS -> world.hintsLost = true;
             case DIRECTS -> world.directsLost = true;
             case PEERS_UNTIL_THE_OUTAGE -> world.refusePeers(REFUSED);
@@ -73,7 +80,10 @@
         }
     }
 
-    /** The leader learns of every cancellation from the others: nothing is rested, and no other work is lost. */
+    /**
+     * The leader learns of every cancellation from the others: nothing is rested, and no other work
+     * is lost.
+     */
     @Test
     void whatRunsOnIsNotTouchedWhereTheNodesReachEachOther() {
         int confirmed = 0;
@@ -82,7 +92,8 @@
             World world = day(seed, Flaw.NONE);
             world.hintsLost = true;
             world.refuseState(world.leader(), 14_000_000);
-            world.loop.after(300_000, () -> world.truth.running().stream().limit(6).forEach(world::cancel));
+            world.loop.after(
+                    300_000, () -> world.truth.running().stream().limit(6).forEach(world::cancel));
             world.loop.after(REFUSED, () -> world.stateOutage(DOWN));
             world.run(AT + REFUSED);
             confirmed += world.truth.cancelledWhileRunning;
@@ -116,10 +127,21 @@
     }
 
     /**
-     * The process that confirmed ends at any step after that, and comes back without memory, soon, late or after the outage.
+     * The process that confirmed ends at any step after that, and comes back without memory, soon,
+     * late or after the outage.
      */
     @ParameterizedTest
-    @CsvSource({"350, 100", "400, 6000", "600, 300", "1000, 60000", "2000, 300", "2600, 300", "3000, 5000", "9000, 300", "9000, 20000"})
+    @CsvSource({
+        "350, 100",
+        "400, 6000",
+        "600, 300",
+        "1000, 60000",
+        "2000, 300",
+        "2600, 300",
+        "3000, 5000",
+        "9000, 300",
+        "9000, 20000"
+    })
     void theConfirmingNodeEnds(long endsMillis, long awayMillis) {
         for (long seed = 1; seed <= 2; seed++) {
             World world = day(seed, Flaw.NONE);
@@ -137,8 +159,8 @@
     }
 
     /**
-     * The leader can't write that jobs after a cancelled one are cancelled with it until the outage is over, which is later
-     * than their users may be told that they wait ({@code orphaned}).
+     * The leader can't write that jobs after a cancelled one are cancelled with it until the outage
+     * is over, which is later than their users may be told that they wait ({@code orphaned}).
      */
     @Test
     void jobsThatWaitForACancelledOneAreNotCalledQueuedForLonger() {
@@ -172,7 +194,10 @@
         }
     }
 
-    /** A new leader is elected within the gap, and the one before goes on being asked by those that it still reaches. */
+    /**
+     * A new leader is elected within the gap, and the one before goes on being asked by those that
+     * it still reaches.
+     */
     @Test
     void aNewLeaderIsElectedWithinTheGap() {
         for (long seed = 1; seed <= 4; seed++) {
@@ -185,14 +210,19 @@
         }
     }
 
-    /** The checker must be able to fail: nodes that name nothing leave the leader without knowledge. */
+    /**
+     * The checker must be able to fail: nodes that name nothing leave the leader without knowledge.
+     */
     @Test
     void nodesThatVouchForAnythingAreCaught() {
-        Violation caught = assertThrows(Violation.class, () -> {
-            for (long seed = 1; seed <= 6; seed++) {
-                confirmedBehindItsBack(Lost.HINTS, seed, Flaw.VOUCHES_FOR_ANYTHING);
-            }
-        });
+        Violation caught =
+                assertThrows(
+                        Violation.class,
+                        () -> {
+                            for (long seed = 1; seed <= 6; seed++) {
+                                confirmedBehindItsBack(Lost.HINTS, seed, Flaw.VOUCHES_FOR_ANYTHING);
+                            }
+                        });
         assertTrue(caught.getMessage().contains("ran_cancelled"), caught.getMessage());
     }
 }
--- a/src/test/java/org/woadloom/sim/CancellationMeetingsTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationMeetingsTest.java
@@ -19,8 +19,9 @@
 import org.woadloom.state.Keys;
 
 /**
- * Users cancel four jobs a second while the work of the controllers changes hands. {@link Truth} checks after each step that
- * no cancelled task stays too long; what is counted here is that the meeting came about, and how long users waited.
+ * Users cancel four jobs a second while the work of the controllers changes hands. {@link Truth}
+ * checks after each step that no cancelled task stays too long; what is counted here is that the
+ * meeting came about, and how long users waited.
  */
 class CancellationMeetingsTest {
     private static final long S = 1_000_000;
@@ -62,18 +63,27 @@
         private void ask(String uid, long since) {
             long sent = world.loop.now();
             int node = world.random.nextInt(World.NODES);
-            world.toNode("users", node, "POST", "/v1/jobs/" + uid + "/cancel", Map.of(), 5 * S, (status, body) -> {
-                world.answered("cancel", uid, sent, status, body);
-                if (status == 200) {
-                    open--;
-                    waits.add(world.loop.now() - since);
-                } else {
-                    why.merge(status + " " + body.get("error"), 1, Integer::sum);
-                    // A node that has ended, can't be reached or reaches nobody is no node that keeps anybody waiting.
-                    boolean served = status > 0 && !world.isIsolated(node);
-                    world.loop.after(200_000, () -> ask(uid, served ? since : world.loop.now()));
-                }
-            });
+            world.toNode(
+                    "users",
+                    node,
+                    "POST",
+                    "/v1/jobs/" + uid + "/cancel",
+                    Map.of(),
+                    5 * S,
+                    (status, body) -> {
+                        world.answered("cancel", uid, sent, status, body);
+                        if (status == 200) {
+                            open--;
+                            waits.add(world.loop.now() - since);
+                        } else {
+                            why.merge(status + " " + body.get("error"), 1, Integer::sum);
+                            // A node that has ended, can't be reached or reaches nobody is no node
+                            // that keeps anybody waiting.
+                            boolean served = status > 0 && !world.isIsolated(node);
+                            world.loop.after(
+                                    200_000, () -> ask(uid, served ? since : world.loop.now()));
+                        }
+                    });
         }
 
         long longest() {
@@ -82,7 +92,13 @@
 
         @Override
         public String toString() {
-            return waits.size() + " told, " + open + " not, the last after " + longest() + "; refused for " + why;
+            return waits.size()
+                    + " told, "
+                    + open
+                    + " not, the last after "
+                    + longest()
+                    + "; refused for "
+                    + why;
         }
     }
 
@@ -146,7 +162,9 @@
             @Override
             void begin(World world) {
                 for (int i = 0; i < 10; i++) {
-                    world.loop.after(i * 3 * S, () -> world.endLeader(100_000 + world.random.nextInt(900_000)));
+                    world.loop.after(
+                            i * 3 * S,
+                            () -> world.endLeader(100_000 + world.random.nextInt(900_000)));
                 }
             }
         },
@@ -162,7 +180,10 @@
         final int terms;
         final long longestWait;
 
-        /** @param terms how many are taken at least, and within how many milliseconds everybody is told */
+        /**
+         * @param terms how many are taken at least, and within how many milliseconds everybody is
+         *     told
+         */
         Change(int terms, long longestMillis) {
             this.terms = terms;
             longestWait = longestMillis * 1_000;
@@ -171,7 +192,10 @@
         abstract void begin(World world);
     }
 
-    /** Four a second throughout; each is told within the time that is stated with the change, and runs no longer than it may. */
+    /**
+     * Four a second throughout; each is told within the time that is stated with the change, and
+     * runs no longer than it may.
+     */
     @ParameterizedTest
     @EnumSource
     void jobsAreCancelledWhileWorkChangesHands(Change change) {
@@ -181,15 +205,30 @@
             Cancellers users = cancelling(world, 35 * S);
             world.loop.after(2 * S, () -> change.begin(world));
             world.run(AT + 75 * S);
-            assertTrue(world.term() - term >= change.terms, "only " + (world.term() - term) + " changes, seed " + seed);
-            assertTrue(world.truth.cancelledWhileRunning > 15, "only " + world.truth.cancelledWhileRunning + " ran, seed " + seed);
+            assertTrue(
+                    world.term() - term >= change.terms,
+                    "only " + (world.term() - term) + " changes, seed " + seed);
+            assertTrue(
+                    world.truth.cancelledWhileRunning > 15,
+                    "only " + world.truth.cancelledWhileRunning + " ran, seed " + seed);
             assertEquals(0, users.open, users + ", seed " + seed);
             assertTrue(users.longest() < change.longestWait, users + ", seed " + seed);
         }
     }
 
-    /** What else is wrong as the state service refuses the leader alone, a second before it is down for all. */
-    enum Else { NOTHING, HINTS_LOST, PEERS_CUT, PEERS_CUT_BEFORE, ANOTHER_REFUSED, ANOTHER_ALONE, CONFIRMING_NODES_END }
+    /**
+     * What else is wrong as the state service refuses the leader alone, a second before it is down
+     * for all.
+     */
+    enum Else {
+        NOTHING,
+        HINTS_LOST,
+        PEERS_CUT,
+        PEERS_CUT_BEFORE,
+        ANOTHER_REFUSED,
+        ANOTHER_ALONE,
+        CONFIRMING_NODES_END
+    }
 
     /** Jobs are cancelled within 0.2 s around the moment at which the refusal begins. */
     private static int atTheMomentOfTheRefusal(Else what, long seed, Day.Times told, Flaw flaw) {
@@ -207,20 +246,25 @@
         if (what == Else.PEERS_CUT_BEFORE) {
             world.refusePeers(90 * S);
         }
-        world.loop.after(200_000, () -> {
-            world.refuseState(leader, 90 * S);
-            switch (what) {
-                case PEERS_CUT -> world.refusePeers(90 * S);
-                case ANOTHER_REFUSED -> world.refuseStateToo((leader + 1) % World.NODES, 90 * S);
-                case ANOTHER_ALONE -> world.isolate((leader + 1) % World.NODES, 20 * S);
-                case CONFIRMING_NODES_END -> world.loop.after(350_000, () -> {
-                    world.end((leader + 1) % World.NODES, 300_000);
-                    world.end((leader + 2) % World.NODES, 20 * S);
+        world.loop.after(
+                200_000,
+                () -> {
+                    world.refuseState(leader, 90 * S);
+                    switch (what) {
+                        case PEERS_CUT -> world.refusePeers(90 * S);
+                        case ANOTHER_REFUSED ->
+                                world.refuseStateToo((leader + 1) % World.NODES, 90 * S);
+                        case ANOTHER_ALONE -> world.isolate((leader + 1) % World.NODES, 20 * S);
+                        case CONFIRMING_NODES_END ->
+                                world.loop.after(
+                                        350_000,
+                                        () -> {
+                                            world.end((leader + 1) % World.NODES, 300_000);
+                                            world.end((leader + 2) % World.NODES, 20 * S);
+                                        });
+                        default -> {}
+                    }
                 });
-                default -> {
-                }
-            }
-        });
         world.loop.after(1_200_000, () -> world.stateOutage(64 * S));
         world.run(AT + 1_200_000);
         int confirmed = world.truth.cancelledWhileRunning;
@@ -236,11 +280,17 @@
         for (long seed = 1; seed <= SEEDS + 1; seed++) {
             confirmed += atTheMomentOfTheRefusal(what, seed, Day.LONG, Flaw.NONE);
         }
-        // With the peers cut from before only a leader that nobody promised anything could be passed by.
-        assertTrue(confirmed > (what == Else.PEERS_CUT_BEFORE ? 2 : 8), "only " + confirmed + " confirmed in that second");
+        // With the peers cut from before only a leader that nobody promised anything could be
+        // passed by.
+        assertTrue(
+                confirmed > (what == Else.PEERS_CUT_BEFORE ? 2 : 8),
+                "only " + confirmed + " confirmed in that second");
     }
 
-    /** Slow answers first, then the refusal of the leader alone, then the outage, while users cancel and ask all the time. */
+    /**
+     * Slow answers first, then the refusal of the leader alone, then the outage, while users cancel
+     * and ask all the time.
+     */
     @Test
     void theStateServiceIsSlowThenRefusesTheLeaderThenEverybody() {
         int confirmed = 0;
@@ -253,13 +303,18 @@
             world.run(AT + 12 * S);
             confirmed += world.truth.cancelledWhileRunning;
             world.run(AT + 100 * S);
-            assertTrue(world.closeLooks > 10, "only " + world.closeLooks + " close looks, seed " + seed);
+            assertTrue(
+                    world.closeLooks > 10,
+                    "only " + world.closeLooks + " close looks, seed " + seed);
             assertEquals(0, users.open, users + ", seed " + seed);
         }
         assertTrue(confirmed > 3, "only " + confirmed + " confirmed before the outage");
     }
 
-    /** What befalls the leader as many jobs are called off within a fifth of a second, some of whose machines hang. */
+    /**
+     * What befalls the leader as many jobs are called off within a fifth of a second, some of whose
+     * machines hang.
+     */
     enum Leader {
         ENDED {
             @Override
@@ -298,11 +353,13 @@
             World world = day(seed, Flaw.NONE);
             for (int i = 0; i < 2; i++) {
                 called += world.cancelNow(6, 5 * S + i * 9 * S);
-                world.loop.after(i * 60_000, () -> {
-                    if (world.stored("leader") != null) {
-                        leader.meet(world);
-                    }
-                });
+                world.loop.after(
+                        i * 60_000,
+                        () -> {
+                            if (world.stored("leader") != null) {
+                                leader.meet(world);
+                            }
+                        });
                 world.run(world.loop.now() + 43 * S);
             }
             confirmed += world.truth.cancelledWhileRunning;
@@ -312,7 +369,10 @@
         assertTrue(confirmed > 8, "only " + confirmed + " ran when that was confirmed");
     }
 
-    /** While only the answers to transactions get lost, the node that was elected leads, and its words and records are found. */
+    /**
+     * While only the answers to transactions get lost, the node that was elected leads, and its
+     * words and records are found.
+     */
     @Test
     void answersAreLostWhileLeadersChange() {
         for (long seed = 1; seed <= SEEDS; seed++) {
@@ -324,25 +384,36 @@
                 world.loop.after(i * 5 * S, () -> world.endLeader(300_000));
             }
             world.run(AT + 90 * S);
-            assertTrue(world.lostAnswersMade > 30, "only " + world.lostAnswersMade + " lost, seed " + seed);
+            assertTrue(
+                    world.lostAnswersMade > 30,
+                    "only " + world.lostAnswersMade + " lost, seed " + seed);
             // As many terms as leaders ended: none was given up for an answer that was lost.
             assertEquals(6, world.term() - term, "terms, seed " + seed);
             assertEquals(0, users.open, users + ", seed " + seed);
             for (int node = 0; node < World.NODES; node++) {
-                assertNotNull(world.stored(Keys.ROLLOUT_NODES + World.label(node)), "no word of node " + node + ", seed " + seed);
+                assertNotNull(
+                        world.stored(Keys.ROLLOUT_NODES + World.label(node)),
+                        "no word of node " + node + ", seed " + seed);
             }
         }
     }
 
-    /** The checker must be able to fail: nodes that name nothing, and a platform that is told three times the time that there is. */
+    /**
+     * The checker must be able to fail: nodes that name nothing, and a platform that is told three
+     * times the time that there is.
+     */
     @ParameterizedTest
     @CsvSource({"VOUCHES_FOR_ANYTHING, HINTS_LOST, 50", "NONE, PEERS_CUT, 150"})
     void brokenVariantsAreCaught(Flaw flaw, Else what, long cancelSeconds) {
-        Violation caught = assertThrows(Violation.class, () -> {
-            for (long seed = 1; seed <= 8; seed++) {
-                atTheMomentOfTheRefusal(what, seed, new Day.Times(20 * S, cancelSeconds * S), flaw);
-            }
-        });
+        Violation caught =
+                assertThrows(
+                        Violation.class,
+                        () -> {
+                            for (long seed = 1; seed <= 8; seed++) {
+                                atTheMomentOfTheRefusal(
+                                        what, seed, new Day.Times(20 * S, cancelSeconds * S), flaw);
+                            }
+                        });
         assertTrue(caught.getMessage().contains("ran_cancelled"), caught.getMessage());
     }
 }
--- a/src/test/java/org/woadloom/sim/CloudStandIn.java
+++ b/src/test/java/org/woadloom/sim/CloudStandIn.java
@@ -19,11 +19,16 @@
     private int names;
     int capacity = CAPACITY;
     boolean down;
+
     /** How many of a hundred rentals and deletions are carried out late, and get no answer. */
     int lateOfHundred;
+
     final List<String> unexpected = new ArrayList<>();
     int deletedForOthers;
-    /** Until then machines are up within two seconds, some of them before their rental is answered. */
+
+    /**
+     * Until then machines are up within two seconds, some of them before their rental is answered.
+     */
     long quickUntil;
 
     CloudStandIn(World world, Random more) {
@@ -38,8 +43,11 @@
             now.add(item(entry.getKey(), entry.getValue(), "booting"));
         }
         for (WorkerStandIn worker : machines.values()) {
-            now.add(item(worker.host, new String[] {worker.hosttype, worker.yard, "" + worker.reclaimable},
-                    worker.dead ? "failed" : "running"));
+            now.add(
+                    item(
+                            worker.host,
+                            new String[] {worker.hosttype, worker.yard, "" + worker.reclaimable},
+                            worker.dead ? "failed" : "running"));
         }
         world.loop.after(1_000_000 + world.random.nextInt(3_000_000), () -> shown = now);
         world.loop.after(1_000_000, this::refresh);
@@ -60,7 +68,8 @@
     void handle(String method, String path, Map<String, Object> body, StateStandIn.Answer answer) {
         if (method.equals("POST") && lateOfHundred > 0 && more.nextInt(100) < lateOfHundred) {
             long term = world.term();
-            world.loop.after(2_000_000 + more.nextInt(18_000_000), () -> carryOutLate(path, body, term));
+            world.loop.after(
+                    2_000_000 + more.nextInt(18_000_000), () -> carryOutLate(path, body, term));
         } else {
             carryOut(method, path, body, answer);
         }
@@ -68,19 +77,32 @@
 
     private void carryOutLate(String path, Map<String, Object> body, long term) {
         int before = machines.size();
-        carryOut("POST", path, body, (status, hosts) -> {
-            if (status == 200 && world.term() != term && hosts.get("hosts") instanceof List<?> rented) {
-                rented.stream().filter(booting::containsKey).forEach(host -> unexpected.add((String) host));
-            }
-        });
+        carryOut(
+                "POST",
+                path,
+                body,
+                (status, hosts) -> {
+                    if (status == 200
+                            && world.term() != term
+                            && hosts.get("hosts") instanceof List<?> rented) {
+                        rented.stream()
+                                .filter(booting::containsKey)
+                                .forEach(host -> unexpected.add((String) host));
+                    }
+                });
         deletedForOthers += world.term() != term ? before - machines.size() : 0;
     }
 
-    private void carryOut(String method, String path, Map<String, Object> body, StateStandIn.Answer answer) {
+    private void carryOut(
+            String method, String path, Map<String, Object> body, StateStandIn.Answer answer) {
         if (down) {
             answer.answer(503, Map.of("error", "trouble"));
         } else if (path.equals("/machine_types")) {
-            answer.answer(200, Map.of("hosttypes", List.of(type("small", 8.0, 0.5), type("large", 32.0, 2.0))));
+            answer.answer(
+                    200,
+                    Map.of(
+                            "hosttypes",
+                            List.of(type("small", 8.0, 0.5), type("large", 32.0, 2.0))));
         } else if (path.equals("/machines/delete")) {
             for (Object host : (List<?>) body.get("hosts")) {
                 booting.remove(host);
@@ -124,14 +146,22 @@
         }
         List<Object> hosts = new ArrayList<>();
         boolean quick = world.loop.now() < quickUntil;
-        for (long i = 0; i < (Long) body.get("count") && machines.size() + booting.size() < capacity; i++) {
+        for (long i = 0;
+                i < (Long) body.get("count") && machines.size() + booting.size() < capacity;
+                i++) {
             String host = String.format("host-%06d", names++);
             hosts.add(host);
-            booting.put(host, new String[] {(String) body.get("hosttype"), (String) body.get("yard"),
-                    "" + body.get("reclaimable")});
+            booting.put(
+                    host,
+                    new String[] {
+                        (String) body.get("hosttype"),
+                        (String) body.get("yard"),
+                        "" + body.get("reclaimable")
+                    });
             if (world.random.nextInt(12) > 0) {
                 long usual = 2_000_000 + world.random.nextInt(12_000_000);
-                world.loop.after(quick ? 300_000 + more.nextInt(1_700_000) : usual, () -> boot(host));
+                world.loop.after(
+                        quick ? 300_000 + more.nextInt(1_700_000) : usual, () -> boot(host));
                 world.quickBoots += quick ? 1 : 0;
             }
         }
@@ -141,7 +171,8 @@
         }
         claims.put(claim, hosts);
         if (quick) {
-            world.loop.after(more.nextInt(2_500_000), () -> answer.answer(200, Map.of("hosts", hosts)));
+            world.loop.after(
+                    more.nextInt(2_500_000), () -> answer.answer(200, Map.of("hosts", hosts)));
             return;
         }
         answer.answer(200, Map.of("hosts", hosts));
@@ -150,8 +181,15 @@
     private void boot(String host) {
         String[] kind = booting.remove(host);
         if (kind != null) {
-            machines.put(host, new WorkerStandIn(world, host, kind[0], kind[1], Boolean.parseBoolean(kind[2]),
-                    kind[0].equals("small") ? 8 : 32));
+            machines.put(
+                    host,
+                    new WorkerStandIn(
+                            world,
+                            host,
+                            kind[0],
+                            kind[1],
+                            Boolean.parseBoolean(kind[2]),
+                            kind[0].equals("small") ? 8 : 32));
         }
     }
 }
--- a/src/test/java/org/woadloom/sim/CutZoneTest.java
+++ b/src/test/java/org/woadloom/sim/CutZoneTest.java
@@ -11,8 +11,10 @@
 /** A zone is cut off from everything; the rules are checked after each step, as on random days. */
 class CutZoneTest {
     private static final long CUT_AT = 60_000_000;
+
     /** Longer than a lease, and within what care can bridge. */
     private static final long BRIDGED = 27_000_000;
+
     private static final long QUIET = 240_000_000;
 
     /** Zone "a" has two of the three nodes, zone "b" one. */
@@ -30,7 +32,10 @@
         return world;
     }
 
-    /** Lets the cut pass, and tells how many tasks leases killed from its beginning until a little after its end. */
+    /**
+     * Lets the cut pass, and tells how many tasks leases killed from its beginning until a little
+     * after its end.
+     */
     private static int killedMeanwhile(World world) {
         world.run(CUT_AT - 1);
         int before = world.truth.killedByLease;
@@ -63,7 +68,10 @@
         }
     }
 
-    /** All leases are over within the time in which a cancelled task must be gone, however long the cut. */
+    /**
+     * All leases are over within the time in which a cancelled task must be gone, however long the
+     * cut.
+     */
     @ParameterizedTest
     @ValueSource(longs = {55_000_000, 75_000_000})
     void careEndsInTimeWhereTheCutDoesNot(long forMicros) {
@@ -84,7 +92,8 @@
             for (int again = 1; again < 5; again++) {
                 // Open for less than it takes to connect again, or for a little more.
                 long pause = again % 2 == 0 ? 120_000 : 900_000;
-                world.loop.after(CUT_AT + again * 24_000_000L + pause, () -> world.island("b", 23_000_000));
+                world.loop.after(
+                        CUT_AT + again * 24_000_000L + pause, () -> world.island("b", 23_000_000));
             }
             world.loop.after(CUT_AT + 1_000_000, world::cancelEverything);
             world.run(QUIET);
@@ -97,11 +106,15 @@
             World world = day(seed);
             world.loop.after(CUT_AT, () -> world.refuseState(1, 40_000_000));
             world.run(QUIET);
-            assertFalse(world.tookCare[0] || world.tookCare[1] || world.tookCare[2], "seed " + seed);
+            assertFalse(
+                    world.tookCare[0] || world.tookCare[1] || world.tookCare[2], "seed " + seed);
         }
     }
 
-    /** The only node of the zone ends and comes back during the cut: it knows nothing, and takes no care. */
+    /**
+     * The only node of the zone ends and comes back during the cut: it knows nothing, and takes no
+     * care.
+     */
     @Test
     void aNodeThatIsStartedAnewTakesNoCare() {
         int killed = 0;
@@ -116,20 +129,30 @@
         assertTrue(killed > 0, "no lease ended");
     }
 
-    /** A process that cared ends before it can say so: the leader reckons with it until the next one began. */
+    /**
+     * A process that cared ends before it can say so: the leader reckons with it until the next one
+     * began.
+     */
     @Test
     void theCareOfAProcessThatEndedIsReckonedWith() {
         hangUnderARenewedLease(23_000_000, 23_000_000, 22_500_000);
     }
 
-    /** Machines hang in the middle of the cut and go on within the lease that a caretaker has renewed. */
+    /**
+     * Machines hang in the middle of the cut and go on within the lease that a caretaker has
+     * renewed.
+     */
     @Test
     void hungMachinesGoOnUnderARenewedLease() {
         hangUnderARenewedLease(BRIDGED, 24_000_000, -1);
     }
 
-    /** Both times count from the beginning of the cut; the zone's node is started anew unless its time is negative. */
-    private static void hangUnderARenewedLease(long cutMicros, long hangMicros, long restartMicros) {
+    /**
+     * Both times count from the beginning of the cut; the zone's node is started anew unless its
+     * time is negative.
+     */
+    private static void hangUnderARenewedLease(
+            long cutMicros, long hangMicros, long restartMicros) {
         for (long seed = 1; seed <= 6; seed++) {
             World world = cut(seed, "b", cutMicros);
             if (restartMicros >= 0) {
@@ -153,15 +176,17 @@
     }
 
     /**
-     * While the state service is down for all, nobody can be told of a cancellation, and the leader goes on. A node that is
-     * started meanwhile can't read what is agreed on; before it learned that from the leader, all leases ended.
+     * While the state service is down for all, nobody can be told of a cancellation, and the leader
+     * goes on. A node that is started meanwhile can't read what is agreed on; before it learned
+     * that from the leader, all leases ended.
      */
     @Test
     void aLongOutageOfTheStateServiceEndsNoLease() {
         for (long seed = 1; seed <= 3; seed++) {
             World world = day(seed);
             world.loop.after(CUT_AT, () -> world.stateOutage(60_000_000));
-            world.loop.after(CUT_AT + 10_000_000, () -> world.restart((world.leader() + 1) % World.NODES));
+            world.loop.after(
+                    CUT_AT + 10_000_000, () -> world.restart((world.leader() + 1) % World.NODES));
             world.run(CUT_AT - 1);
             int before = world.truth.killedByLease;
             world.run(CUT_AT + 60_000_000);
--- a/src/test/java/org/woadloom/sim/DamagedRecordTest.java
+++ b/src/test/java/org/woadloom/sim/DamagedRecordTest.java
@@ -15,11 +15,25 @@
 class DamagedRecordTest {
     private static final long AT = 60_000_000;
 
-    /** An open job, with everything of its record damaged but the field that says whether it is cancelled. */
+    /**
+     * An open job, with everything of its record damaged but the field that says whether it is
+     * cancelled.
+     */
     private static String damage(World world, boolean cancelled) {
-        String uid = world.truth.acceptedJobs().stream().filter(job -> world.stored("job/" + job) != null && !world.truth.isOver(job)
-                && !world.truth.submitted.get(job).service()).reduce((a, b) -> b).orElseThrow();
-        world.put("job/" + uid, cancelled ? Map.of("format", 2L, "job", "gone", "cancelled", true) : Map.of("format", 2L, "job", "gone"));
+        String uid =
+                world.truth.acceptedJobs().stream()
+                        .filter(
+                                job ->
+                                        world.stored("job/" + job) != null
+                                                && !world.truth.isOver(job)
+                                                && !world.truth.submitted.get(job).service())
+                        .reduce((a, b) -> b)
+                        .orElseThrow();
+        world.put(
+                "job/" + uid,
+                cancelled
+                        ? Map.of("format", 2L, "job", "gone", "cancelled", true)
+                        : Map.of("format", 2L, "job", "gone"));
         return uid;
     }
 
@@ -32,7 +46,8 @@
     }
 
     private static Object told(World world, int node, String method, String path) {
-        Map<String, Object> answer = world.ask(node, method, path, method.equals("POST") ? Map.of() : null);
+        Map<String, Object> answer =
+                world.ask(node, method, path, method.equals("POST") ? Map.of() : null);
         world.run(world.loop.now() + 2_000_000);
         assertEquals(200, answer.get("code"));
         return answer.get("status");
@@ -44,7 +59,9 @@
         World world = day();
         String uid = damage(world, false);
         world.run(AT + 8_000_000);
-        assertTrue(world.stored("job/" + uid) == null || world.stored("job/" + uid).get("job") instanceof Map);
+        assertTrue(
+                world.stored("job/" + uid) == null
+                        || world.stored("job/" + uid).get("job") instanceof Map);
         world.run(AT + 400_000_000);
         assertEquals("done", told(world, 0, "GET", "/v1/jobs/" + uid));
     }
@@ -81,7 +98,9 @@
         assertEquals("cancelled", told(world, 2, "POST", "/v1/jobs/" + uid + "/cancel"));
     }
 
-    /** Asked about in vain for ten seconds while the store serves others, a job's users go first. */
+    /**
+     * Asked about in vain for ten seconds while the store serves others, a job's users go first.
+     */
     @Test
     void whoIsRefusedAgainAndAgainGoesFirst() {
         SimLoop sim = new SimLoop();
--- a/src/test/java/org/woadloom/sim/Day.java
+++ b/src/test/java/org/woadloom/sim/Day.java
@@ -5,18 +5,20 @@
 /**
  * What kind of day is played.
  *
- * @param told what the nodes are told of the real times; a shorter lease, or more time for cancelled tasks, breaks the
- *     service on purpose
- * @param from what the nodes run at first; where it is an earlier version they are replaced one by one, after that the
- *     state service's limits fall and users submit pipelines
+ * @param told what the nodes are told of the real times; a shorter lease, or more time for
+ *     cancelled tasks, breaks the service on purpose
+ * @param from what the nodes run at first; where it is an earlier version they are replaced one by
+ *     one, after that the state service's limits fall and users submit pipelines
  * @param crowd how many more teams there are, of which the first floods the service
  * @param zones two, of which one has two nodes, or three with a node in each
  * @param tight whether the teams' limits are so low that all teams are at them throughout
  */
 record Day(Times real, Times told, Version from, Flaw flaw, int crowd, int zones, boolean tight) {
     static final Times SHORT = new Times(10_000_000, 30_000_000);
+
     /** A worker that finds two nodes out of reach has some of its lease left. */
     static final Times LONG = new Times(20_000_000, 50_000_000);
+
     static final Day PLAIN = new Day(SHORT, SHORT, Version.NOW, Flaw.NONE, 0);
     static final Day UPGRADE = new Day(SHORT, SHORT, Version.PRODUCTION, Flaw.NONE, 0);
     static final Day CROWD = new Day(SHORT, SHORT, Version.NOW, Flaw.NONE, 14);
@@ -27,8 +29,7 @@
     }
 
     /** A worker's lease, and how long a cancelled task may stay. */
-    record Times(long leaseMicros, long cancelMicros) {
-    }
+    record Times(long leaseMicros, long cancelMicros) {}
 
     /** How the service is broken on purpose. */
     enum Flaw {
@@ -51,7 +52,10 @@
         FILLS_IN_WHAT_IS_MISSING,
         /** Nodes find no record of a job now and then, as if it had not been accepted yet. */
         UNSEEN_RECORDS,
-        /** Nodes that read what has changed are told now and then what was so when they read it last. */
+        /**
+         * Nodes that read what has changed are told now and then what was so when they read it
+         * last.
+         */
         OLD_CHANGES,
         /** No machine ever takes a task of one job. */
         ONE_JOB_NOT_TAKEN,
--- a/src/test/java/org/woadloom/sim/ElectionTest.java
+++ b/src/test/java/org/woadloom/sim/ElectionTest.java
@@ -18,78 +18,121 @@
 import org.woadloom.wire.Cbor;
 import org.woadloom.wire.WireException;
 
-/** One process campaigns, and what it asks of the state service is carried out while the answer gets lost, or too late. */
+/**
+ * One process campaigns, and what it asks of the state service is carried out while the answer gets
+ * lost, or too late.
+ */
 class ElectionTest {
-    private static final ServiceSettings.State LIMITS = new ServiceSettings.State(1_000, 400, 8192, 12, null);
+    private static final ServiceSettings.State LIMITS =
+            new ServiceSettings.State(1_000, 400, 8192, 12, null);
     private static final long S = 1_000_000;
 
     private final SimLoop sim = new SimLoop();
     private final StateStandIn state = new StateStandIn(sim, LIMITS);
     private final List<Long> terms = new ArrayList<>();
     private final List<String> ends = new ArrayList<>();
+
     /** How many answers to transactions, and how many to watches, get lost. */
     private int lostTxns;
+
     private int lostWatches;
     private int lost;
+
     /** A transaction of the process before is carried out just before the first of this one. */
     private boolean earlierProcess;
 
     private Election start() {
-        Election.Fence fence = new Election.Fence() {
-            @Override
-            public boolean open() {
-                return true;
-            }
-
-            @Override
-            public Condition condition() {
-                return new Condition("rollout/state", 0);
-            }
-
-            @Override
-            public void changed() {
-            }
-        };
-        Election election = new Election(sim.loop(), StateStandIn.client(sim.loop(), (address, method, path, body, timeout, callback) ->
-                sim.after(2_000, () -> {
-                    boolean[] open = {true};
-                    sim.after(timeout, () -> {
-                        if (open[0]) {
-                            open[0] = false;
-                            callback.answered(HttpTransport.NO_RESPONSE, new byte[0]);
-                        }
-                    });
-                    Map<String, Object> asked = decode(body);
-                    boolean loses = path.equals("/txn") && lostTxns > 0 || path.startsWith("/follow") && lostWatches > 0;
-                    if (path.equals("/txn")) {
-                        lostTxns--;
-                        takeAsTheProcessBefore(asked);
-                    } else if (path.startsWith("/follow")) {
-                        lostWatches--;
-                    }
-                    lost += loses ? 1 : 0;
-                    state.handle(method, path, asked, (status, answer) -> sim.after(2_000, () -> {
-                        if (open[0] && !loses) {
-                            open[0] = false;
-                            callback.answered(status, Cbor.encode(answer));
-                        }
-                    }));
-                }), LIMITS, 1), "node", new Random(1), fence, new Election.Listener() {
+        Election.Fence fence =
+                new Election.Fence() {
                     @Override
-                    public void elected(long term, long leaderStamp) {
-                        assertEquals(leaderStamp, stampOfKey(), "the stamp that all writes hang on");
-                        terms.add(term);
+                    public boolean open() {
+                        return true;
                     }
 
                     @Override
-                    public void deposed(String reason) {
-                        ends.add(reason);
+                    public Condition condition() {
+                        return new Condition("rollout/state", 0);
                     }
 
                     @Override
-                    public void leaderSeen() {
-                    }
-                });
+                    public void changed() {}
+                };
+        Election election =
+                new Election(
+                        sim.loop(),
+                        StateStandIn.client(
+                                sim.loop(),
+                                (address, method, path, body, timeout, callback) ->
+                                        sim.after(
+                                                2_000,
+                                                () -> {
+                                                    boolean[] open = {true};
+                                                    sim.after(
+                                                            timeout,
+                                                            () -> {
+                                                                if (open[0]) {
+                                                                    open[0] = false;
+                                                                    callback.answered(
+                                                                            HttpTransport
+                                                                                    .NO_RESPONSE,
+                                                                            new byte[0]);
+                                                                }
+                                                            });
+                                                    Map<String, Object> asked = decode(body);
+                                                    boolean loses =
+                                                            path.equals("/txn") && lostTxns > 0
+                                                                    || path.startsWith("/follow")
+                                                                            && lostWatches > 0;
+                                                    if (path.equals("/txn")) {
+                                                        lostTxns--;
+                                                        takeAsTheProcessBefore(asked);
+                                                    } else if (path.startsWith("/follow")) {
+                                                        lostWatches--;
+                                                    }
+                                                    lost += loses ? 1 : 0;
+                                                    state.handle(
+                                                            method,
+                                                            path,
+                                                            asked,
+                                                            (status, answer) ->
+                                                                    sim.after(
+                                                                            2_000,
+                                                                            () -> {
+                                                                                if (open[0]
+                                                                                        && !loses) {
+                                                                                    open[0] = false;
+                                                                                    callback
+                                                                                            .answered(
+                                                                                                    status,
+                                                                                                    Cbor
+                                                                                                            .encode(
+                                                                                                                    answer));
+                                                                                }
+                                                                            }));
+                                                }),
+                                LIMITS,
+                                1),
+                        "node",
+                        new Random(1),
+                        fence,
+                        new Election.Listener() {
+                            @Override
+                            public void elected(long term, long leaderStamp) {
+                                assertEquals(
+                                        leaderStamp,
+                                        stampOfKey(),
+                                        "the stamp that all writes hang on");
+                                terms.add(term);
+                            }
+
+                            @Override
+                            public void deposed(String reason) {
+                                ends.add(reason);
+                            }
+
+                            @Override
+                            public void leaderSeen() {}
+                        });
         election.start();
         return election;
     }
@@ -97,22 +140,33 @@
     private void takeAsTheProcessBefore(Map<String, Object> asked) {
         if (earlierProcess) {
             earlierProcess = false;
-            state.handle("POST", "/grants", Map.of("lifeMs", 4_000L), (status, grant) -> {
-                List<Object> changes = new ArrayList<>();
-                for (Object item : (List<?>) asked.get("then")) {
-                    Map<Object, Object> change = new LinkedHashMap<>((Map<?, ?>) item);
-                    change.computeIfPresent("hold", (key, held) -> grant.get("hold"));
-                    changes.add(change);
-                }
-                state.handle("POST", "/txn", Map.of("if", asked.get("if"), "then", changes), (done, answer) -> {
-                });
-            });
+            state.handle(
+                    "POST",
+                    "/grants",
+                    Map.of("lifeMs", 4_000L),
+                    (status, grant) -> {
+                        List<Object> changes = new ArrayList<>();
+                        for (Object item : (List<?>) asked.get("then")) {
+                            Map<Object, Object> change = new LinkedHashMap<>((Map<?, ?>) item);
+                            change.computeIfPresent("hold", (key, held) -> grant.get("hold"));
+                            changes.add(change);
+                        }
+                        state.handle(
+                                "POST",
+                                "/txn",
+                                Map.of("if", asked.get("if"), "then", changes),
+                                (done, answer) -> {});
+                    });
         }
     }
 
     private long stampOfKey() {
         long[] stamp = {0};
-        state.handle("GET", "/keys/leader", Map.of(), (status, item) -> stamp[0] = status == 200 ? (Long) item.get("stamp") : 0);
+        state.handle(
+                "GET",
+                "/keys/leader",
+                Map.of(),
+                (status, item) -> stamp[0] = status == 200 ? (Long) item.get("stamp") : 0);
         return stamp[0];
     }
 
@@ -125,8 +179,8 @@
     }
 
     /**
-     * Only the answer to its election is lost: its watch tells it, or else its next look. It used to give the term up, after
-     * 2.5 s in which the others took it to lead, and to drop the key.
+     * Only the answer to its election is lost: its watch tells it, or else its next look. It used
+     * to give the term up, after 2.5 s in which the others took it to lead, and to drop the key.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 1})
@@ -144,7 +198,10 @@
         assertTrue(election.leads());
     }
 
-    /** The key that it sees is of the process before it, in the same term: it hangs on a grant that nobody renews. */
+    /**
+     * The key that it sees is of the process before it, in the same term: it hangs on a grant that
+     * nobody renews.
+     */
     @Test
     void aTermThatTheProcessBeforeTookIsGivenUp() {
         earlierProcess = true;
--- a/src/test/java/org/woadloom/sim/FleetLoad.java
+++ b/src/test/java/org/woadloom/sim/FleetLoad.java
@@ -31,10 +31,11 @@
 import org.xnio.XnioWorker;
 
 /**
- * Measures what a fleet costs real node processes, on loopback: three of them as they are deployed, between stand-ins, with
- * workers that report, users that submit and poll. Prints the processor time and memory of each node over the measured span.
- * Then the leader's process is killed, and it prints how long the others take to launch again and to reach the workers.
- * It is run by hand (see docs/operations.md), never by the tests.
+ * Measures what a fleet costs real node processes, on loopback: three of them as they are deployed,
+ * between stand-ins, with workers that report, users that submit and poll. Prints the processor
+ * time and memory of each node over the measured span. Then the leader's process is killed, and it
+ * prints how long the others take to launch again and to reach the workers. It is run by hand (see
+ * docs/operations.md), never by the tests.
  */
 final class FleetLoad {
     private static final int NODES = 3;
@@ -49,7 +50,8 @@
     private final List<String> extra;
     private final Random random = new Random(1);
     private final SimLoop clock = new SimLoop();
-    private final StateStandIn state = new StateStandIn(clock, new ServiceSettings.State(10_000, 10_000, 16_384, 16, null));
+    private final StateStandIn state =
+            new StateStandIn(clock, new ServiceSettings.State(10_000, 10_000, 16_384, 16, null));
     private final Map<String, Worker> workers = new LinkedHashMap<>();
     private final Map<String, List<Object>> claims = new LinkedHashMap<>();
     private final List<String> nodes = new ArrayList<>();
@@ -71,20 +73,42 @@
         this.machines = machines;
         this.measureMicros = seconds * 1_000_000L;
         this.extra = extra;
-        XnioWorker worker = Xnio.getInstance().createWorker(OptionMap.builder().set(Options.WORKER_IO_THREADS, 1)
-                .set(Options.WORKER_TASK_CORE_THREADS, 1).getMap());
+        XnioWorker worker =
+                Xnio.getInstance()
+                        .createWorker(
+                                OptionMap.builder()
+                                        .set(Options.WORKER_IO_THREADS, 1)
+                                        .set(Options.WORKER_TASK_CORE_THREADS, 1)
+                                        .getMap());
         thread = worker.getIoThread();
         loop = new XnioLoop(thread);
         users = new UndertowTransport(loop, thread, buffers, 500);
-        Undertow.builder().setWorker(worker).setByteBufferPool(buffers).addHttpListener(port, "0.0.0.0")
-                .setHandler(exchange -> exchange.getRequestReceiver().receiveFullBytes((done, body) -> done.dispatch(
-                        SameThreadExecutor.INSTANCE, () -> serve(done, body)))).build().start();
+        Undertow.builder()
+                .setWorker(worker)
+                .setByteBufferPool(buffers)
+                .addHttpListener(port, "0.0.0.0")
+                .setHandler(
+                        exchange ->
+                                exchange.getRequestReceiver()
+                                        .receiveFullBytes(
+                                                (done, body) ->
+                                                        done.dispatch(
+                                                                SameThreadExecutor.INSTANCE,
+                                                                () -> serve(done, body))))
+                .build()
+                .start();
     }
 
-    /** Arguments: machines, measured seconds, then options of the Java virtual machine for the nodes, NODE in them being its label. */
+    /**
+     * Arguments: machines, measured seconds, then options of the Java virtual machine for the
+     * nodes, NODE in them being its label.
+     */
     public static void main(String[] args) throws Exception {
-        FleetLoad load = new FleetLoad(Integer.parseInt(args[0]), Integer.parseInt(args[1]),
-                List.of(args).subList(2, args.length));
+        FleetLoad load =
+                new FleetLoad(
+                        Integer.parseInt(args[0]),
+                        Integer.parseInt(args[1]),
+                        List.of(args).subList(2, args.length));
         try {
             load.play();
         } finally {
@@ -111,26 +135,37 @@
         for (int i = 0; i < NODES; i++) {
             Path file = directory.resolve("node-" + i + ".toml");
             Files.writeString(file, settings(i, peers));
-            List<String> command = new ArrayList<>(List.of("java", "-Xms48m", "-Xmx64m", "-XX:+UseSerialGC",
-                    "-XX:TieredStopAtLevel=1", "-Xss256k"));
+            List<String> command =
+                    new ArrayList<>(
+                            List.of(
+                                    "java",
+                                    "-Xms48m",
+                                    "-Xmx64m",
+                                    "-XX:+UseSerialGC",
+                                    "-XX:TieredStopAtLevel=1",
+                                    "-Xss256k"));
             String node = label(i);
             extra.forEach(option -> command.add(option.replace("NODE", node)));
-            command.addAll(List.of("-jar", "target/woadloom.jar", "serve", "--config", file.toString()));
-            ProcessBuilder builder = new ProcessBuilder(command).redirectError(new File(directory.toFile(), "node-" + i
-                    + ".log")).redirectOutput(ProcessBuilder.Redirect.DISCARD);
+            command.addAll(
+                    List.of("-jar", "target/woadloom.jar", "serve", "--config", file.toString()));
+            ProcessBuilder builder =
+                    new ProcessBuilder(command)
+                            .redirectError(new File(directory.toFile(), "node-" + i + ".log"))
+                            .redirectOutput(ProcessBuilder.Redirect.DISCARD);
             builder.environment().put("LOG_LEVEL", "info");
             processes.add(builder.start());
         }
         System.out.println("logs in " + directory);
         loop.execute(this::tick);
         Thread.sleep(4_000);
-        loop.execute(() -> {
-            // Half the machines are for replicas, half for arrays; four processors each.
-            for (int i = 0; i < machines * 2 / REPLICAS; i++) {
-                submit("service", REPLICAS, 0);
-            }
-            arrays();
-        });
+        loop.execute(
+                () -> {
+                    // Half the machines are for replicas, half for arrays; four processors each.
+                    for (int i = 0; i < machines * 2 / REPLICAS; i++) {
+                        submit("service", REPLICAS, 0);
+                    }
+                    arrays();
+                });
         Thread.sleep(60_000);
         measure();
         takeOver();
@@ -144,14 +179,25 @@
         double[] after = processorSeconds();
         long[] now = counts();
         double seconds = measureMicros / 1e6;
-        System.out.printf("%d workers, %.0f reports, %.0f launches, %.0f polls a second, %.0f jobs%n", workers.size(),
-                (now[0] - counts[0]) / seconds, (now[1] - counts[1]) / seconds, (now[2] - counts[2]) / seconds,
+        System.out.printf(
+                "%d workers, %.0f reports, %.0f launches, %.0f polls a second, %.0f jobs%n",
+                workers.size(),
+                (now[0] - counts[0]) / seconds,
+                (now[1] - counts[1]) / seconds,
+                (now[2] - counts[2]) / seconds,
                 (double) jobs);
         for (int i = 0; i < NODES; i++) {
             double used = after[i] - before[i];
             long mine = now[3 + i] - counts[3 + i];
-            System.out.printf("%s: %.3f of a core (%.3f in the kernel), %.0f reports a second, %.0f us a report in all, %d MB%n", label(i),
-                    used / seconds, (kernelSeconds[i] - kernelBefore[i]) / seconds, mine / seconds, mine == 0 ? 0 : used / mine * 1e6, residentMb(i));
+            System.out.printf(
+                    "%s: %.3f of a core (%.3f in the kernel), %.0f reports a second, %.0f us a"
+                            + " report in all, %d MB%n",
+                    label(i),
+                    used / seconds,
+                    (kernelSeconds[i] - kernelBefore[i]) / seconds,
+                    mine / seconds,
+                    mine == 0 ? 0 : used / mine * 1e6,
+                    residentMb(i));
         }
     }
 
@@ -162,24 +208,30 @@
         }
         CountDownLatch done = new CountDownLatch(1);
         Process ending = processes.get(leader);
-        loop.execute(() -> {
-            long term = 0;
-            for (Worker worker : workers.values()) {
-                term = Math.max(term, worker.epoch >> Hearing.FENCE_BITS);
-            }
-            ending.destroyForcibly();
-            listedBytes = 0;
-            firstLaunch = -1;
-            watchTakeOver(loop.nowMicros(), term, done);
-        });
+        loop.execute(
+                () -> {
+                    long term = 0;
+                    for (Worker worker : workers.values()) {
+                        term = Math.max(term, worker.epoch >> Hearing.FENCE_BITS);
+                    }
+                    ending.destroyForcibly();
+                    listedBytes = 0;
+                    firstLaunch = -1;
+                    watchTakeOver(loop.nowMicros(), term, done);
+                });
         done.await(60, TimeUnit.SECONDS);
     }
 
     private void watchTakeOver(long from, long term, CountDownLatch done) {
-        long reached = workers.values().stream().filter(w -> w.epoch >> Hearing.FENCE_BITS > term).count();
+        long reached =
+                workers.values().stream().filter(w -> w.epoch >> Hearing.FENCE_BITS > term).count();
         if (reached >= workers.size() * 0.95 && firstLaunch >= 0) {
-            System.out.printf("takeover: first launch after %.1f s, 95 %% of the workers reached after %.1f s, %d KB of records"
-                    + " read%n", (firstLaunch - from) / 1e6, (loop.nowMicros() - from) / 1e6, listedBytes / 1024);
+            System.out.printf(
+                    "takeover: first launch after %.1f s, 95 %% of the workers reached after %.1f"
+                            + " s, %d KB of records read%n",
+                    (firstLaunch - from) / 1e6,
+                    (loop.nowMicros() - from) / 1e6,
+                    listedBytes / 1024);
             done.countDown();
         } else {
             loop.schedule(50_000, () -> watchTakeOver(from, term, done));
@@ -189,15 +241,16 @@
     private long[] counts() throws Exception {
         long[] counts = new long[3 + NODES];
         CountDownLatch done = new CountDownLatch(1);
-        loop.execute(() -> {
-            counts[1] = launches;
-            counts[2] = polls;
-            for (int i = 0; i < NODES; i++) {
-                counts[0] += reports[i];
-                counts[3 + i] = reports[i];
-            }
-            done.countDown();
-        });
+        loop.execute(
+                () -> {
+                    counts[1] = launches;
+                    counts[2] = polls;
+                    for (int i = 0; i < NODES; i++) {
+                        counts[0] += reports[i];
+                        counts[3 + i] = reports[i];
+                    }
+                    done.countDown();
+                });
         done.await(10, TimeUnit.SECONDS);
         return counts;
     }
@@ -205,7 +258,9 @@
     private double[] processorSeconds() throws IOException {
         double[] seconds = new double[NODES];
         for (int i = 0; i < NODES; i++) {
-            String[] fields = Files.readString(Path.of("/proc/" + processes.get(i).pid() + "/stat")).split(" ");
+            String[] fields =
+                    Files.readString(Path.of("/proc/" + processes.get(i).pid() + "/stat"))
+                            .split(" ");
             seconds[i] = (Long.parseLong(fields[13]) + Long.parseLong(fields[14])) / 100.0;
             kernelSeconds[i] = Long.parseLong(fields[14]) / 100.0;
         }
@@ -213,7 +268,8 @@
     }
 
     private int residentMb(int i) throws IOException {
-        for (String line : Files.readAllLines(Path.of("/proc/" + processes.get(i).pid() + "/status"))) {
+        for (String line :
+                Files.readAllLines(Path.of("/proc/" + processes.get(i).pid() + "/status"))) {
             if (line.startsWith("VmRSS:")) {
                 return Integer.parseInt(line.replaceAll("\\D", "")) / 1024;
             }
@@ -226,21 +282,53 @@
     }
 
     private String settings(int i, int[] peers) {
-        StringBuilder text = new StringBuilder("label = \"" + label(i) + "\"\narea = \"" + yard(i) + "\"\nbind = \""
-                + nodes.get(i) + "\"\npeer_bind = \"127.0.0.1:" + peers[i] + "\"\n");
+        StringBuilder text =
+                new StringBuilder(
+                        "label = \""
+                                + label(i)
+                                + "\"\narea = \""
+                                + yard(i)
+                                + "\"\nbind = \""
+                                + nodes.get(i)
+                                + "\"\npeer_bind = \"127.0.0.1:"
+                                + peers[i]
+                                + "\"\n");
         for (int p = 0; p < NODES; p++) {
             if (p != i) {
-                text.append("[[peers]]\nlabel = \"").append(label(p)).append("\"\narea = \"").append(yard(p))
-                        .append("\"\naddress = \"127.0.0.1:").append(peers[p]).append("\"\n");
+                text.append("[[peers]]\nlabel = \"")
+                        .append(label(p))
+                        .append("\"\narea = \"")
+                        .append(yard(p))
+                        .append("\"\naddress = \"127.0.0.1:")
+                        .append(peers[p])
+                        .append("\"\n");
             }
         }
-        return text + "[outside]\ncloud = \"127.0.0.1:" + port + "\"\nstate = \"127.0.0.1:" + port + "\"\n"
+        return text
+                + "[outside]\ncloud = \"127.0.0.1:"
+                + port
+                + "\"\nstate = \"127.0.0.1:"
+                + port
+                + "\"\n"
                 + "[deployment]\ncount = 3\nzones = [\"a\", \"b\"]\nclock_off_ms = 100.0\n"
                 + "[[deployment.teams]]\nname = \"team\"\ncpus = 100000.0\ncpus_max = 100000.0\n"
-                + "[deployment.workers]\nreport_s = " + REPORT_S + "\nlease_s = 22.0\ncancel_s = 52.0\n"
-                + "[deployment.state]\nrps = 700.0\nwrite_rps = 300.0\nvalue_kb = 16.0\ntxn_ops = 16\n"
-                + "[deployment.cloud]\nrps = 10.0\nlist_lag_s = 4.0\n"
-                + "[deployment.resources]\ncpu_share = 0.4\nram_mb = 414.0\nfd_limit = 2500\n";
+                + "[deployment.workers]\nreport_s = "
+                + REPORT_S
+                + "\n"
+                + "lease_s = 22.0\n"
+                + "cancel_s = 52.0\n"
+                + "[deployment.state]\n"
+                + "rps = 700.0\n"
+                + "write_rps = 300.0\n"
+                + "value_kb = 16.0\n"
+                + "txn_ops = 16\n"
+                + "[deployment.cloud]\n"
+                + "rps = 10.0\n"
+                + "list_lag_s = 4.0\n"
+                + "[deployment.resources]\n"
+                + "cpu_share = 0.4\n"
+                + "ram_mb = 414.0\n"
+                + "fd_limit = 2500\n";
     }
 
     private static String yard(int i) {
@@ -291,22 +379,34 @@
     }
 
     private void submit(String uid, byte[] job) {
-        users.request(nodes.get(random.nextInt(NODES)), "POST", "/v1/jobs", job, 5_000_000, (status, body) -> {
-            if (status == 201 || status == 200) {
-                loop.schedule(random.nextInt((int) POLL_MICROS), () -> poll(uid));
-            } else {
-                loop.schedule(1_000_000, () -> submit(uid, job));
-            }
-        });
+        users.request(
+                nodes.get(random.nextInt(NODES)),
+                "POST",
+                "/v1/jobs",
+                job,
+                5_000_000,
+                (status, body) -> {
+                    if (status == 201 || status == 200) {
+                        loop.schedule(random.nextInt((int) POLL_MICROS), () -> poll(uid));
+                    } else {
+                        loop.schedule(1_000_000, () -> submit(uid, job));
+                    }
+                });
     }
 
     private void poll(String uid) {
-        users.request(nodes.get(random.nextInt(NODES)), "GET", "/v1/jobs/" + uid, null, 2_000_000, (status, body) -> {
-            polls++;
-            if (!"done".equals(decode(body).get("status"))) {
-                loop.schedule(POLL_MICROS, () -> poll(uid));
-            }
-        });
+        users.request(
+                nodes.get(random.nextInt(NODES)),
+                "GET",
+                "/v1/jobs/" + uid,
+                null,
+                2_000_000,
+                (status, body) -> {
+                    polls++;
+                    if (!"done".equals(decode(body).get("status"))) {
+                        loop.schedule(POLL_MICROS, () -> poll(uid));
+                    }
+                });
     }
 
     private static Map<String, Object> decode(byte[] body) {
@@ -324,12 +424,23 @@
         String path = exchange.getRequestPath() + (query.isEmpty() ? "" : "?" + query);
         Map<String, Object> map = decode(body);
         if (path.equals("/do")) {
-            Worker worker = workers.get("host-" + exchange.getDestinationAddress().getAddress().getHostAddress());
-            reply(exchange, worker == null ? 400 : 200, worker == null ? Map.of() : worker.direct(map));
+            Worker worker =
+                    workers.get(
+                            "host-"
+                                    + exchange.getDestinationAddress()
+                                            .getAddress()
+                                            .getHostAddress());
+            reply(
+                    exchange,
+                    worker == null ? 400 : 200,
+                    worker == null ? Map.of() : worker.direct(map));
         } else if (path.startsWith("/machine")) {
             reply(exchange, 200, cloud(exchange.getRequestMethod().toString(), path, map));
         } else {
-            state.handle(exchange.getRequestMethod().toString(), path, map,
+            state.handle(
+                    exchange.getRequestMethod().toString(),
+                    path,
+                    map,
                     (status, answer) -> {
                         if (path.startsWith("/keys?")) {
                             listedBytes += Cbor.encode(answer).length;
@@ -346,34 +457,78 @@
 
     private Map<String, Object> cloud(String method, String path, Map<String, Object> body) {
         if (path.equals("/machine_types")) {
-            Map<String, Object> type = new LinkedHashMap<>(Map.of("name", "m4", "vcpus", 4.0, "cards", 0.0, "ramGb", 32.0,
-                    "cacheGb", 40.0, "pullGbPerS", 1.0, "rate", 0.17, "marketPrice", 0.05, "readyS", 3.0,
-                    "yards", List.of("a", "b")));
+            Map<String, Object> type =
+                    new LinkedHashMap<>(
+                            Map.of(
+                                    "name",
+                                    "m4",
+                                    "vcpus",
+                                    4.0,
+                                    "cards",
+                                    0.0,
+                                    "ramGb",
+                                    32.0,
+                                    "cacheGb",
+                                    40.0,
+                                    "pullGbPerS",
+                                    1.0,
+                                    "rate",
+                                    0.17,
+                                    "marketPrice",
+                                    0.05,
+                                    "readyS",
+                                    3.0,
+                                    "yards",
+                                    List.of("a", "b")));
             return Map.of("hosttypes", List.of(type));
         }
         if (method.equals("POST") && path.equals("/machines")) {
-            return Map.of("hosts", claims.computeIfAbsent((String) body.get("claim"), claim -> rent(body)));
+            return Map.of(
+                    "hosts",
+                    claims.computeIfAbsent((String) body.get("claim"), claim -> rent(body)));
         }
         if (path.equals("/machines/delete")) {
-            ((List<?>) body.get("hosts")).forEach(host -> {
-                Worker worker = workers.remove(host);
-                if (worker != null) {
-                    worker.gone = true;
-                }
-            });
+            ((List<?>) body.get("hosts"))
+                    .forEach(
+                            host -> {
+                                Worker worker = workers.remove(host);
+                                if (worker != null) {
+                                    worker.gone = true;
+                                }
+                            });
             return Map.of();
         }
         List<Object> hosts = new ArrayList<>();
-        workers.values().forEach(w -> hosts.add(Map.of("uid", w.host, "addr", w.addr, "hosttype", "m4", "yard", w.yard,
-                "reclaimable", w.reclaimable, "status", "running", "heldS", 60.0)));
+        workers.values()
+                .forEach(
+                        w ->
+                                hosts.add(
+                                        Map.of(
+                                                "uid",
+                                                w.host,
+                                                "addr",
+                                                w.addr,
+                                                "hosttype",
+                                                "m4",
+                                                "yard",
+                                                w.yard,
+                                                "reclaimable",
+                                                w.reclaimable,
+                                                "status",
+                                                "running",
+                                                "heldS",
+                                                60.0)));
         return Map.of("hosts", hosts, "more", false);
     }
 
     private List<Object> rent(Map<String, Object> body) {
         List<Object> hosts = new ArrayList<>();
         for (long i = 0; i < (Long) body.get("count"); i++) {
-            Worker worker = new Worker(workers.size() + claims.size() * 64, (String) body.get("yard"),
-                    (Boolean) body.get("reclaimable"));
+            Worker worker =
+                    new Worker(
+                            workers.size() + claims.size() * 64,
+                            (String) body.get("yard"),
+                            (Boolean) body.get("reclaimable"));
             if (workers.putIfAbsent(worker.host, worker) == null) {
                 hosts.add(worker.host);
                 loop.schedule(1_000_000 + random.nextInt(2_000_000), worker::report);
@@ -399,7 +554,13 @@
         boolean soon;
 
         Worker(int number, String yard, boolean reclaimable) {
-            String ip = "127." + (1 + number / 62_500) + "." + (1 + number / 250 % 250) + "." + (1 + number % 250);
+            String ip =
+                    "127."
+                            + (1 + number / 62_500)
+                            + "."
+                            + (1 + number / 250 % 250)
+                            + "."
+                            + (1 + number % 250);
             this.host = "host-" + ip;
             this.addr = ip + ":" + port;
             this.yard = yard;
@@ -413,10 +574,12 @@
         void changed() {
             if (!soon) {
                 soon = true;
-                loop.schedule(Math.max(1_000, lastMicros + 500_000 - loop.nowMicros()), () -> {
-                    soon = false;
-                    send(false);
-                });
+                loop.schedule(
+                        Math.max(1_000, lastMicros + 500_000 - loop.nowMicros()),
+                        () -> {
+                            soon = false;
+                            send(false);
+                        });
             }
         }
 
@@ -437,21 +600,27 @@
             reporting = true;
             lastMicros = loop.nowMicros();
             int at = node;
-            transport.request(nodes.get(at), "POST", "/v1/report", Cbor.encode(body()), 4_000_000, (status, answer) -> {
-                reporting = false;
-                reports[at]++;
-                Map<String, Object> map = decode(answer);
-                if (status == 200) {
-                    epoch = Math.max(epoch, (Long) map.get("epoch"));
-                    execute((List<?>) map.get("orders"));
-                } else if (status == 421 && map.get("overseer") instanceof String leader) {
-                    node = Integer.parseInt(leader.substring(5));
-                    changed();
-                } else {
-                    node = (node + 1) % NODES;
-                    loop.schedule(1_000_000, this::changed);
-                }
-            });
+            transport.request(
+                    nodes.get(at),
+                    "POST",
+                    "/v1/report",
+                    Cbor.encode(body()),
+                    4_000_000,
+                    (status, answer) -> {
+                        reporting = false;
+                        reports[at]++;
+                        Map<String, Object> map = decode(answer);
+                        if (status == 200) {
+                            epoch = Math.max(epoch, (Long) map.get("epoch"));
+                            execute((List<?>) map.get("orders"));
+                        } else if (status == 421 && map.get("overseer") instanceof String leader) {
+                            node = Integer.parseInt(leader.substring(5));
+                            changed();
+                        } else {
+                            node = (node + 1) % NODES;
+                            loop.schedule(1_000_000, this::changed);
+                        }
+                    });
         }
 
         Map<String, Object> direct(Map<String, Object> body) {
@@ -499,18 +668,22 @@
             task.put("try", attempt);
             task.put("status", "fetching");
             tasks.put(shard, task);
-            loop.schedule(500_000, () -> {
-                task.put("status", "running");
-                changed();
-            });
+            loop.schedule(
+                    500_000,
+                    () -> {
+                        task.put("status", "running");
+                        changed();
+                    });
             // The first jobs are the services, which run on.
             if (Integer.parseInt(shard.substring(2, 8)) >= machines * 2 / REPLICAS) {
-                loop.schedule((long) (TASK_S * 1e6), () -> {
-                    if (tasks.get(shard) == task) {
-                        exit(shard, "done");
-                        changed();
-                    }
-                });
+                loop.schedule(
+                        (long) (TASK_S * 1e6),
+                        () -> {
+                            if (tasks.get(shard) == task) {
+                                exit(shard, "done");
+                                changed();
+                            }
+                        });
             }
         }
 
--- a/src/test/java/org/woadloom/sim/HttpFormsGoldenTest.java
+++ b/src/test/java/org/woadloom/sim/HttpFormsGoldenTest.java
@@ -17,11 +17,15 @@
 import org.woadloom.wire.Cbor;
 import org.woadloom.wire.WireException;
 
-/** The answers of one node to users, workers and operators, over real sockets, and the names of its metrics. */
+/**
+ * The answers of one node to users, workers and operators, over real sockets, and the names of its
+ * metrics.
+ */
 class HttpFormsGoldenTest {
     private static final int MAX_ATTEMPTS = 5_000;
 
-    private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+    private final HttpClient client =
+            HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private final LoopbackNode node = new LoopbackNode();
     private final GoldenFile golden = new GoldenFile();
 
@@ -31,14 +35,20 @@
     }
 
     private HttpResponse<byte[]> ask(String method, String path, byte[] body) throws Exception {
-        HttpRequest.BodyPublisher publisher = body == null ? HttpRequest.BodyPublishers.noBody()
-                : HttpRequest.BodyPublishers.ofByteArray(body);
-        return client.send(HttpRequest.newBuilder(URI.create("http://" + node.address + path)).method(method, publisher).build(),
+        HttpRequest.BodyPublisher publisher =
+                body == null
+                        ? HttpRequest.BodyPublishers.noBody()
+                        : HttpRequest.BodyPublishers.ofByteArray(body);
+        return client.send(
+                HttpRequest.newBuilder(URI.create("http://" + node.address + path))
+                        .method(method, publisher)
+                        .build(),
                 HttpResponse.BodyHandlers.ofByteArray());
     }
 
     /** Asks until the node answers with the status: a node that has just started takes a moment. */
-    private HttpResponse<byte[]> askUntil(int status, String method, String path, byte[] body) throws Exception {
+    private HttpResponse<byte[]> askUntil(int status, String method, String path, byte[] body)
+            throws Exception {
         HttpResponse<byte[]> answer = ask(method, path, body);
         for (int i = 0; answer.statusCode() != status && i < MAX_ATTEMPTS; i++) {
             answer = ask(method, path, body);
@@ -48,9 +58,15 @@
 
     private void record(String name, HttpResponse<byte[]> answer) throws WireException {
         String type = answer.headers().firstValue("Content-Type").orElse("no type");
-        String retry = answer.headers().firstValue("Retry-After").map(after -> ", again after " + after).orElse("");
-        String body = type.equals("application/cbor") ? CanonicalJson.of(Cbor.decodeMap(answer.body()))
-                : new String(answer.body(), StandardCharsets.UTF_8);
+        String retry =
+                answer.headers()
+                        .firstValue("Retry-After")
+                        .map(after -> ", again after " + after)
+                        .orElse("");
+        String body =
+                type.equals("application/cbor")
+                        ? CanonicalJson.of(Cbor.decodeMap(answer.body()))
+                        : new String(answer.body(), StandardCharsets.UTF_8);
         golden.addText(name, answer.statusCode() + retry + ", " + type + ", " + body);
     }
 
@@ -94,12 +110,16 @@
         record("above the team's limit", ask("POST", "/v1/jobs", job("j-2", "vcpus", 500.0)));
         record("fits no machine", ask("POST", "/v1/jobs", job("j-2", "ramGb", 500.0)));
         record("waits for no id", ask("POST", "/v1/jobs", job("j-2", "awaits", List.of("no id"))));
-        record("waits before all nodes can", ask("POST", "/v1/jobs", job("j-2", "awaits", List.of("j-1"))));
+        record(
+                "waits before all nodes can",
+                ask("POST", "/v1/jobs", job("j-2", "awaits", List.of("j-1"))));
         record("no such path", ask("GET", "/nothing", null));
         record("health", ask("GET", "/healthz", null));
         record("report is no CBOR", ask("POST", "/v1/report", new byte[] {1, 2, 3}));
         HttpResponse<byte[]> answered = askUntil(200, "POST", "/v1/report", report());
-        golden.addValue("report, keys of the answer", List.copyOf(new TreeSet<>(Cbor.decodeMap(answered.body()).keySet())));
+        golden.addValue(
+                "report, keys of the answer",
+                List.copyOf(new TreeSet<>(Cbor.decodeMap(answered.body()).keySet())));
         golden.addValue("report, token", Shape.of(Cbor.decodeMap(answered.body()).get("epoch")));
         golden.check("http.txt");
         checkMetrics(ask("GET", "/metrics", null));
@@ -108,7 +128,9 @@
     /** The names with the names of their tags; what tags say depends on what was asked. */
     private static void checkMetrics(HttpResponse<byte[]> answer) throws WireException {
         TreeSet<String> names = new TreeSet<>();
-        Cbor.decodeJsonMap(answer.body()).keySet().forEach(name -> names.add(name.replaceAll("=\\S+", "=")));
+        Cbor.decodeJsonMap(answer.body())
+                .keySet()
+                .forEach(name -> names.add(name.replaceAll("=\\S+", "=")));
         GoldenFile golden = new GoldenFile();
         names.forEach(name -> golden.addText(name, "number"));
         golden.check("metrics-of-a-node.txt");
--- a/src/test/java/org/woadloom/sim/JobLogLinesTest.java
+++ b/src/test/java/org/woadloom/sim/JobLogLinesTest.java
@@ -8,23 +8,33 @@
 import org.junit.jupiter.api.Test;
 import org.woadloom.core.Effect;
 
-/** Programs that read the log find the lines of accepted, done and cancelled jobs, as words or as {@code key=value}. */
+/**
+ * Programs that read the log find the lines of accepted, done and cancelled jobs, as words or as
+ * {@code key=value}.
+ */
 class JobLogLinesTest {
-    private static final Pattern ACCEPTED = Pattern.compile("job j-\\d+ of \\S+ is accepted: \\d+ tasks"
-            + "|event=job_accepted\\b.*?job=j-\\d+\\b.*?team=\\S+.*?tasks=\\d+");
-    private static final Pattern DONE = Pattern.compile("job j-\\d+ done|event=job_done\\b.*?job=j-\\d+");
-    private static final Pattern CANCELLED = Pattern.compile("job j-\\d+ cancelled|event=job_cancelled\\b.*?job=j-\\d+");
+    private static final Pattern ACCEPTED =
+            Pattern.compile(
+                    "job j-\\d+ of \\S+ is accepted: \\d+ tasks"
+                            + "|event=job_accepted\\b.*?job=j-\\d+\\b.*?team=\\S+.*?tasks=\\d+");
+    private static final Pattern DONE =
+            Pattern.compile("job j-\\d+ done|event=job_done\\b.*?job=j-\\d+");
+    private static final Pattern CANCELLED =
+            Pattern.compile("job j-\\d+ cancelled|event=job_cancelled\\b.*?job=j-\\d+");
     private static final long DAY_MICROS = 120_000_000;
 
     @Test
     void linesOfJobsAreFound() {
         World world = new World(1, Day.PLAIN);
         List<String> lines = new ArrayList<>();
-        world.stepObserver = (node, now, commands, effects) -> effects.forEach(effect -> {
-            if (effect instanceof Effect.Note note) {
-                lines.add(note.entry().toString());
-            }
-        });
+        world.stepObserver =
+                (node, now, commands, effects) ->
+                        effects.forEach(
+                                effect -> {
+                                    if (effect instanceof Effect.Note note) {
+                                        lines.add(note.entry().toString());
+                                    }
+                                });
         world.users(DAY_MICROS);
         world.loop.run(DAY_MICROS);
         for (Pattern form : List.of(ACCEPTED, DONE, CANCELLED)) {
--- a/src/test/java/org/woadloom/sim/KeptReports.java
+++ b/src/test/java/org/woadloom/sim/KeptReports.java
@@ -9,8 +9,7 @@
 final class KeptReports {
     private static final long LOOK_MICROS = 50_000;
 
-    private record Kept(byte[] report, int term) {
-    }
+    private record Kept(byte[] report, int term) {}
 
     private final World world;
     private final Random random;
@@ -42,7 +41,8 @@
         for (Kept copy : kept) {
             for (int node = 0; copy.term < term && node < World.NODES; node++) {
                 int index = node;
-                world.loop.after(1 + random.nextInt(300_000),
+                world.loop.after(
+                        1 + random.nextInt(300_000),
                         () -> world.keptCopies += world.arrivesAgain(index, copy.report) ? 1 : 0);
             }
         }
--- a/src/test/java/org/woadloom/sim/LimitMeetingsTest.java
+++ b/src/test/java/org/woadloom/sim/LimitMeetingsTest.java
@@ -19,7 +19,10 @@
 import org.woadloom.wire.TaskId;
 import org.woadloom.wire.WireException;
 
-/** Troubles that meet while teams are at their limits or jobs are bound to a zone; that each did occur is counted. */
+/**
+ * Troubles that meet while teams are at their limits or jobs are bound to a zone; that each did
+ * occur is counted.
+ */
 class LimitMeetingsTest {
     private static final long AT = 40_000_000;
     private static final long EVERY = 45_000_000;
@@ -28,7 +31,10 @@
     private static final int SEEDS = Integer.getInteger("seeds", 2);
 
     enum Meeting {
-        /** All teams are at their limits, jobs are called off whose machines are cut off or hang, and the leader changes twice. */
+        /**
+         * All teams are at their limits, jobs are called off whose machines are cut off or hang,
+         * and the leader changes twice.
+         */
         CANCELLED_OUT_OF_REACH {
             @Override
             IntSupplier begin(World world) {
@@ -36,17 +42,25 @@
                 int term = world.leaderChanges();
                 int[] outOfReach = {0};
                 world.island("b", 24_000_000);
-                world.loop.after(1_000_000, () -> {
-                    outOfReach[0] += cancelWhere(world, 2, machine -> machine.yard.equals("b"));
-                    world.cancelNow(3, 9_000_000);
-                    outOfReach[0] += cancelWhere(world, 3, WorkerStandIn::hung);
-                });
-                world.loop.after(1_500_000 + world.random.nextInt(2_000_000), () -> world.endLeader(2_000_000));
+                world.loop.after(
+                        1_000_000,
+                        () -> {
+                            outOfReach[0] +=
+                                    cancelWhere(world, 2, machine -> machine.yard.equals("b"));
+                            world.cancelNow(3, 9_000_000);
+                            outOfReach[0] += cancelWhere(world, 3, WorkerStandIn::hung);
+                        });
+                world.loop.after(
+                        1_500_000 + world.random.nextInt(2_000_000),
+                        () -> world.endLeader(2_000_000));
                 world.loop.after(12_000_000, () -> world.endLeader(300_000));
                 return () -> allAtLimit && world.leaderChanges() > term ? outOfReach[0] : 0;
             }
         },
-        /** A team is at its limit as the leader changes, some of its machines can't be asked, and jobs there are called off only then. */
+        /**
+         * A team is at its limit as the leader changes, some of its machines can't be asked, and
+         * jobs there are called off only then.
+         */
         CANCELLED_BEFORE_IT_COULD_ASK {
             @Override
             IntSupplier begin(World world) {
@@ -55,11 +69,19 @@
                 world.deafen("a", 2, 26_000_000);
                 world.hangAll("b", 9_500_000);
                 world.loop.after(500_000, () -> world.endLeader(3_000_000));
-                untilSo(world, world.loop.now() + 9_000_000, () -> world.leaderChanges() > term, () -> {
-                    if (world.truth.teamsAtLimit() > 0) {
-                        cancelled[0] += cancelWhere(world, 3, machine -> machine.hung() || machine.deaf());
-                    }
-                });
+                untilSo(
+                        world,
+                        world.loop.now() + 9_000_000,
+                        () -> world.leaderChanges() > term,
+                        () -> {
+                            if (world.truth.teamsAtLimit() > 0) {
+                                cancelled[0] +=
+                                        cancelWhere(
+                                                world,
+                                                3,
+                                                machine -> machine.hung() || machine.deaf());
+                            }
+                        });
                 return () -> cancelled[0];
             }
         },
@@ -75,7 +97,10 @@
                 return () -> world.keptCopies - before;
             }
         },
-        /** Reports are held back until a new leader has placed tasks, and then come to every node, some in a later session. */
+        /**
+         * Reports are held back until a new leader has placed tasks, and then come to every node,
+         * some in a later session.
+         */
         HELD_BACK_UNTIL_IT_HAS_ACTED {
             @Override
             IntSupplier begin(World world) {
@@ -83,22 +108,35 @@
                 int[] starts = {Integer.MAX_VALUE};
                 int[] arrived = {0};
                 List<byte[]> held = new ArrayList<>();
-                // What a refused command is answered with is a report; it never comes to whoever asked.
+                // What a refused command is answered with is a report; it never comes to whoever
+                // asked.
                 world.workers().forEach(machine -> held.add(world.copyOf(reportOf(machine))));
                 world.loop.after(300_000, () -> world.hangAll("b", 11_000_000));
                 world.loop.after(1_000_000, () -> world.endLeader(2_000_000));
-                untilSo(world, world.loop.now() + 35_000_000, () -> world.leaderChanges() > term,
+                untilSo(
+                        world,
+                        world.loop.now() + 35_000_000,
+                        () -> world.leaderChanges() > term,
                         () -> starts[0] = world.truth.starts + 3);
-                untilSo(world, world.loop.now() + 40_000_000, () -> world.truth.starts >= starts[0],
-                        () -> held.forEach(report -> {
-                            for (int node = 0; node < World.NODES; node++) {
-                                arrived[0] += world.arrivesAgain(node, report) ? 1 : 0;
-                            }
-                        }));
+                untilSo(
+                        world,
+                        world.loop.now() + 40_000_000,
+                        () -> world.truth.starts >= starts[0],
+                        () ->
+                                held.forEach(
+                                        report -> {
+                                            for (int node = 0; node < World.NODES; node++) {
+                                                arrived[0] +=
+                                                        world.arrivesAgain(node, report) ? 1 : 0;
+                                            }
+                                        }));
                 return () -> arrived[0];
             }
         },
-        /** Jobs that may run in one zone only, arrays too, lose machines there, once before the leader ends. */
+        /**
+         * Jobs that may run in one zone only, arrays too, lose machines there, once before the
+         * leader ends.
+         */
         BOUND_TO_ONE_ZONE {
             @Override
             IntSupplier begin(World world) {
@@ -106,35 +144,50 @@
                 for (int tasks : new int[] {1, 6, 10}) {
                     submitBound(world, tasks);
                 }
-                untilSo(world, world.loop.now() + 30_000_000, () -> tasksBound(world) >= 4, () -> {
-                    lost[0] += tasksBound(world);
-                    world.workers().stream().filter(machine -> machine.yard.equals("b")).forEach(WorkerStandIn::die);
-                    world.loop.after(world.random.nextInt(2_000_000), () -> world.endLeader(500_000));
-                });
+                untilSo(
+                        world,
+                        world.loop.now() + 30_000_000,
+                        () -> tasksBound(world) >= 4,
+                        () -> {
+                            lost[0] += tasksBound(world);
+                            world.workers().stream()
+                                    .filter(machine -> machine.yard.equals("b"))
+                                    .forEach(WorkerStandIn::die);
+                            world.loop.after(
+                                    world.random.nextInt(2_000_000),
+                                    () -> world.endLeader(500_000));
+                        });
                 return () -> lost[0];
             }
         };
 
-        /** Brings it about; what is returned tells in the end how often that has come to something. */
+        /**
+         * Brings it about; what is returned tells in the end how often that has come to something.
+         */
         abstract IntSupplier begin(World world);
     }
 
     private static Map<String, Object> reportOf(WorkerStandIn machine) {
         @SuppressWarnings("unchecked")
-        Map<String, Object> report = (Map<String, Object>) machine.direct(Map.of("epoch", -1L, "tenure", 0L))[1];
+        Map<String, Object> report =
+                (Map<String, Object>) machine.direct(Map.of("epoch", -1L, "tenure", 0L))[1];
         return report;
     }
 
     /** Calls off up to so many jobs that have a task on such a machine. */
     private static int cancelWhere(World world, int most, Predicate<WorkerStandIn> such) {
-        List<String> chosen = world.truth.running().stream()
-                .filter(uid -> world.truth.machinesOf(Set.of(uid)).stream().anyMatch(such)).limit(most).toList();
+        List<String> chosen =
+                world.truth.running().stream()
+                        .filter(uid -> world.truth.machinesOf(Set.of(uid)).stream().anyMatch(such))
+                        .limit(most)
+                        .toList();
         chosen.forEach(world::cancel);
         return chosen.size();
     }
 
     /** Does it once, as soon as it is so; not after the given time. */
-    private static void untilSo(World world, long until, java.util.function.BooleanSupplier so, Runnable then) {
+    private static void untilSo(
+            World world, long until, java.util.function.BooleanSupplier so, Runnable then) {
         if (so.getAsBoolean()) {
             then.run();
         } else if (world.loop.now() < until) {
@@ -144,17 +197,53 @@
 
     private static void submitBound(World world, int tasks) {
         String uid = world.newUid();
-        Map<String, Object> job = new LinkedHashMap<>(Map.of("uid", uid, "jobclass", "bound", "crew", tasks == 6 ? "blue" : "red",
-                "shape", "batch", "rank", "critical", "shards", (long) tasks, "vcpus", 2.0, "ramGb", 2.0, "bundle", "img-1", "yard", "b"));
-        job.putAll(Map.of("cards", 0.0, "pullGb", 1.0, "samePlace", tasks == 10, "apart", false, "reclaimable", true,
-                "runtimeS", 9.0, "snapshotEveryS", 0.0, "snapshotCostS", 0.0));
+        Map<String, Object> job =
+                new LinkedHashMap<>(
+                        Map.of(
+                                "uid",
+                                uid,
+                                "jobclass",
+                                "bound",
+                                "crew",
+                                tasks == 6 ? "blue" : "red",
+                                "shape",
+                                "batch",
+                                "rank",
+                                "critical",
+                                "shards",
+                                (long) tasks,
+                                "vcpus",
+                                2.0,
+                                "ramGb",
+                                2.0,
+                                "bundle",
+                                "img-1",
+                                "yard",
+                                "b"));
+        job.putAll(
+                Map.of(
+                        "cards",
+                        0.0,
+                        "pullGb",
+                        1.0,
+                        "samePlace",
+                        tasks == 10,
+                        "apart",
+                        false,
+                        "reclaimable",
+                        true,
+                        "runtimeS",
+                        9.0,
+                        "snapshotEveryS",
+                        0.0,
+                        "snapshotCostS",
+                        0.0));
         try {
             world.truth.submitting(JobDescription.parse(job));
         } catch (WireException e) {
             throw new IllegalStateException(e);
         }
-        world.submit(uid, job, world.loop.now() + 60_000_000, accepted -> {
-        });
+        world.submit(uid, job, world.loop.now() + 60_000_000, accepted -> {});
     }
 
     private static int tasksBound(World world) {
@@ -176,23 +265,33 @@
         Map<Meeting, List<IntSupplier>> begun = new LinkedHashMap<>();
         meetings.forEach(meeting -> begun.put(meeting, new ArrayList<>()));
         for (int i = 0; i < TIMES; i++) {
-            meetings.forEach(meeting -> world.loop.after(AT + world.random.nextInt(4_000_000), () -> {
-                if (world.stored("leader") != null) {
-                    begun.get(meeting).add(meeting.begin(world));
-                }
-            }));
+            meetings.forEach(
+                    meeting ->
+                            world.loop.after(
+                                    AT + world.random.nextInt(4_000_000),
+                                    () -> {
+                                        if (world.stored("leader") != null) {
+                                            begun.get(meeting).add(meeting.begin(world));
+                                        }
+                                    }));
             world.run(world.loop.now() + EVERY);
         }
         finish(world);
-        begun.forEach((meeting, times) -> assertTrue(times.stream().mapToInt(IntSupplier::getAsInt).sum() > 0,
-                meeting + " did not occur, seed " + seed));
+        begun.forEach(
+                (meeting, times) ->
+                        assertTrue(
+                                times.stream().mapToInt(IntSupplier::getAsInt).sum() > 0,
+                                meeting + " did not occur, seed " + seed));
         assertEquals(List.of(), world.unfinished(), "seed " + seed);
         return waiting;
     }
 
-    /** Where a team's limit has room for one task at a time, what its users asked for takes long. */
+    /**
+     * Where a team's limit has room for one task at a time, what its users asked for takes long.
+     */
     private static void finish(World world) {
-        while (world.loop.now() < TROUBLED + 1_500_000_000 && (world.loop.now() < TROUBLED + 200_000_000 || !world.unfinished().isEmpty())) {
+        while (world.loop.now() < TROUBLED + 1_500_000_000
+                && (world.loop.now() < TROUBLED + 200_000_000 || !world.unfinished().isEmpty())) {
             world.run(world.loop.now() + 20_000_000);
         }
     }
@@ -208,8 +307,11 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"CANCELLED_OUT_OF_REACH, OLD_REPORTS_FOR_THE_NEXT_LEADER", "CANCELLED_BEFORE_IT_COULD_ASK, HELD_BACK_UNTIL_IT_HAS_ACTED",
-            "BOUND_TO_ONE_ZONE, CANCELLED_BEFORE_IT_COULD_ASK"})
+    @CsvSource({
+        "CANCELLED_OUT_OF_REACH, OLD_REPORTS_FOR_THE_NEXT_LEADER",
+        "CANCELLED_BEFORE_IT_COULD_ASK, HELD_BACK_UNTIL_IT_HAS_ACTED",
+        "BOUND_TO_ONE_ZONE, CANCELLED_BEFORE_IT_COULD_ASK"
+    })
     void rulesHoldInTwoAtOnce(Meeting one, Meeting other) {
         day(SEEDS, Day.TIGHT, Set.of(one, other));
     }
@@ -238,21 +340,35 @@
             copies += world.keptCopies;
             waited += waiting.seen;
         }
-        assertTrue(copies > 0 && waited > 0, copies + " old reports, " + waited + " times a job could have run");
+        assertTrue(
+                copies > 0 && waited > 0,
+                copies + " old reports, " + waited + " times a job could have run");
         assertEquals(2, most, "both teams were at their limits");
     }
 
     private static Day told(long leaseMicros) {
-        return new Day(Day.SHORT, new Day.Times(leaseMicros, Day.SHORT.cancelMicros()), Version.NOW, Day.Flaw.NONE, 0, 2, true);
+        return new Day(
+                Day.SHORT,
+                new Day.Times(leaseMicros, Day.SHORT.cancelMicros()),
+                Version.NOW,
+                Day.Flaw.NONE,
+                0,
+                2,
+                true);
     }
 
     private static void caught(Day broken, Meeting meeting) {
-        Violation caught = assertThrows(Violation.class, () -> {
-            for (long seed = 1; seed <= 20; seed++) {
-                day(seed, broken, Set.of(meeting));
-            }
-        });
-        assertTrue(caught.getMessage().contains("ran_twice") || caught.getMessage().contains("quota"), caught.getMessage());
+        Violation caught =
+                assertThrows(
+                        Violation.class,
+                        () -> {
+                            for (long seed = 1; seed <= 20; seed++) {
+                                day(seed, broken, Set.of(meeting));
+                            }
+                        });
+        assertTrue(
+                caught.getMessage().contains("ran_twice") || caught.getMessage().contains("quota"),
+                caught.getMessage());
     }
 
     @ParameterizedTest
--- a/src/test/java/org/woadloom/sim/LoopbackNode.java
+++ b/src/test/java/org/woadloom/sim/LoopbackNode.java
@@ -17,12 +17,17 @@
 import org.woadloom.wire.Cbor;
 import org.woadloom.wire.WireException;
 
-/** One node over real sockets on the loopback address, with the stand-in of the state service behind HTTP. */
+/**
+ * One node over real sockets on the loopback address, with the stand-in of the state service behind
+ * HTTP.
+ */
 final class LoopbackNode {
-    final StateStandIn state = new StateStandIn(new SimLoop(),
-            new ServiceSettings.State(1_000, 1_000, 16_384, 16, null));
+    final StateStandIn state =
+            new StateStandIn(
+                    new SimLoop(), new ServiceSettings.State(1_000, 1_000, 16_384, 16, null));
     private Undertow outside;
     String address;
+
     /** Where the stand-in of the state service listens. */
     String stateAddress;
 
@@ -38,16 +43,30 @@
 
     void start() throws Exception {
         int port = freePort();
-        outside = Undertow.builder().setIoThreads(1).setWorkerThreads(1).addHttpListener(port, "127.0.0.1")
-                .setHandler(exchange -> exchange.getRequestReceiver().receiveFullBytes((done, body) -> done.dispatch(
-                        SameThreadExecutor.INSTANCE, () -> answer(done, body)))).build();
+        outside =
+                Undertow.builder()
+                        .setIoThreads(1)
+                        .setWorkerThreads(1)
+                        .addHttpListener(port, "127.0.0.1")
+                        .setHandler(
+                                exchange ->
+                                        exchange.getRequestReceiver()
+                                                .receiveFullBytes(
+                                                        (done, body) ->
+                                                                done.dispatch(
+                                                                        SameThreadExecutor.INSTANCE,
+                                                                        () -> answer(done, body))))
+                        .build();
         outside.start();
         stateAddress = "127.0.0.1:" + port;
         address = "127.0.0.1:" + freePort();
-        String text = Files.readString(Path.of("src/build/rehearsal.toml"))
-                .replace("bind = \"127.0.0.1:18931\"", "bind = \"" + address + "\"")
-                .replace("peer_bind = \"127.0.0.1:18932\"", "peer_bind = \"127.0.0.1:" + freePort() + "\"")
-                .replace("= \"127.0.0.1:18931\"", "= \"127.0.0.1:" + port + "\"");
+        String text =
+                Files.readString(Path.of("src/build/rehearsal.toml"))
+                        .replace("bind = \"127.0.0.1:18931\"", "bind = \"" + address + "\"")
+                        .replace(
+                                "peer_bind = \"127.0.0.1:18932\"",
+                                "peer_bind = \"127.0.0.1:" + freePort() + "\"")
+                        .replace("= \"127.0.0.1:18931\"", "= \"127.0.0.1:" + port + "\"");
         Server.start(ServiceSettingsFile.parse("test", text), OperatorSettings.defaults());
     }
 
@@ -66,7 +85,9 @@
             reply(exchange, 503, Map.of("error", "trouble"));
         } else {
             try {
-                state.handle(exchange.getRequestMethod().toString(), path,
+                state.handle(
+                        exchange.getRequestMethod().toString(),
+                        path,
                         body.length == 0 ? Map.of() : Cbor.decodeMap(body),
                         (status, map) -> reply(exchange, status, map));
             } catch (WireException e) {
--- a/src/test/java/org/woadloom/sim/LoopbackTest.java
+++ b/src/test/java/org/woadloom/sim/LoopbackTest.java
@@ -15,9 +15,13 @@
 import org.woadloom.state.NodeWord;
 import org.woadloom.wire.Cbor;
 
-/** One node over real sockets on the loopback address, with the stand-in of the state service behind HTTP. */
+/**
+ * One node over real sockets on the loopback address, with the stand-in of the state service behind
+ * HTTP.
+ */
 class LoopbackTest {
-    private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+    private final HttpClient client =
+            HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private LoopbackNode node;
 
     @AfterEach
@@ -34,10 +38,17 @@
         return ask(node.address, method, path, body);
     }
 
-    private HttpResponse<byte[]> ask(String address, String method, String path, byte[] body) throws Exception {
-        return client.send(HttpRequest.newBuilder(URI.create("http://" + address + path)).method(method,
-                body == null ? HttpRequest.BodyPublishers.noBody() : HttpRequest.BodyPublishers.ofByteArray(body))
-                .build(), HttpResponse.BodyHandlers.ofByteArray());
+    private HttpResponse<byte[]> ask(String address, String method, String path, byte[] body)
+            throws Exception {
+        return client.send(
+                HttpRequest.newBuilder(URI.create("http://" + address + path))
+                        .method(
+                                method,
+                                body == null
+                                        ? HttpRequest.BodyPublishers.noBody()
+                                        : HttpRequest.BodyPublishers.ofByteArray(body))
+                        .build(),
+                HttpResponse.BodyHandlers.ofByteArray());
     }
 
     private static byte[] job(String crew) {
@@ -67,15 +78,35 @@
         assertEquals(201, submit("j-2", "service", null));
         // The other node that the settings name has given no word.
         assertEquals(503, submit("j-3", "batch", List.of("j-1")));
-        NodeWord word = new NodeWord(7, Feature.known(), Feature.known(), Set.of("other", "rehearsal"), 1, 0);
-        assertEquals(200, ask(node.stateAddress, "POST", "/txn", Cbor.encode(Map.of("if", List.of(), "then",
-                List.of(Map.of("put", "rollout/node/other", "value", word.toMap()))))).statusCode());
+        NodeWord word =
+                new NodeWord(
+                        7, Feature.known(), Feature.known(), Set.of("other", "rehearsal"), 1, 0);
+        assertEquals(
+                200,
+                ask(
+                                node.stateAddress,
+                                "POST",
+                                "/txn",
+                                Cbor.encode(
+                                        Map.of(
+                                                "if",
+                                                List.of(),
+                                                "then",
+                                                List.of(
+                                                        Map.of(
+                                                                "put",
+                                                                "rollout/node/other",
+                                                                "value",
+                                                                word.toMap())))))
+                        .statusCode());
         int chained = 503;
         for (int i = 0; chained == 503 && i < 2_000; i++) {
             chained = submit("j-3", "batch", List.of("j-1", "j-1"));
         }
         assertEquals(201, chained);
-        assertEquals(List.of("j-1"), Cbor.decodeMap(ask("GET", "/v1/jobs/j-3", null).body()).get("awaits"));
+        assertEquals(
+                List.of("j-1"),
+                Cbor.decodeMap(ask("GET", "/v1/jobs/j-3", null).body()).get("awaits"));
         assertEquals(400, submit("j-4", "batch", "j-1"));
         assertEquals(400, submit("j-4", "batch", List.of(1L)));
         assertEquals(422, submit("j-4", "batch", List.of("j-9")), "never accepted");
@@ -91,7 +122,8 @@
         }
         assertEquals("cancelled", status("j-3"));
         assertEquals("cancelled", status("j-5"));
-        assertEquals(201, submit("j-6", "batch", List.of("j-5")), "naming a cancelled job is accepted");
+        assertEquals(
+                201, submit("j-6", "batch", List.of("j-5")), "naming a cancelled job is accepted");
         for (int i = 0; !status("j-6").equals("cancelled") && i < 2_000; i++) {
             assertEquals("queued", status("j-6"));
         }
@@ -110,14 +142,21 @@
         }
         assertEquals(201, accepted.statusCode());
         assertEquals(200, ask("POST", "/v1/jobs", job("team")).statusCode());
-        assertEquals(200, ask("POST", "/v1/jobs", job("nobody")).statusCode(), "a known job stays accepted");
+        assertEquals(
+                200,
+                ask("POST", "/v1/jobs", job("nobody")).statusCode(),
+                "a known job stays accepted");
         assertEquals(400, ask("POST", "/v1/jobs", new byte[] {1, 2, 3}).statusCode());
         assertEquals(400, ask("POST", "/v1/jobs", new byte[70_000]).statusCode());
-        assertEquals("queued", Cbor.decodeMap(ask("GET", "/v1/jobs/j-000412", null).body()).get("status"));
+        assertEquals(
+                "queued",
+                Cbor.decodeMap(ask("GET", "/v1/jobs/j-000412", null).body()).get("status"));
         assertEquals(404, ask("GET", "/v1/jobs/j-000413", null).statusCode());
         HttpResponse<byte[]> cancelled = ask("POST", "/v1/jobs/j-000412/cancel", new byte[0]);
         assertEquals("cancelled", Cbor.decodeMap(cancelled.body()).get("status"));
-        assertEquals("cancelled", Cbor.decodeMap(ask("GET", "/v1/jobs/j-000412", null).body()).get("status"));
+        assertEquals(
+                "cancelled",
+                Cbor.decodeMap(ask("GET", "/v1/jobs/j-000412", null).body()).get("status"));
         assertEquals(200, ask("GET", "/metrics", null).statusCode());
     }
 }
--- a/src/test/java/org/woadloom/sim/MachineMeetingsTest.java
+++ b/src/test/java/org/woadloom/sim/MachineMeetingsTest.java
@@ -20,8 +20,9 @@
 import org.woadloom.wire.TaskId;
 
 /**
- * Machines that come too fast, too late or without being expected, and machines that are out of touch in one way or another
- * while the leader ends. Each meeting is counted; the rules are checked after each step.
+ * Machines that come too fast, too late or without being expected, and machines that are out of
+ * touch in one way or another while the leader ends. Each meeting is counted; the rules are checked
+ * after each step.
  */
 class MachineMeetingsTest {
     private static final long AT = 60_000_000;
@@ -60,12 +61,18 @@
         return world;
     }
 
-    /** One in so many of the machines at which tasks run; the others are those whose leases must not end. */
-    private static List<WorkerStandIn> befall(World world, List<OutOfTouch> kinds, int oneIn, long forMicros) {
+    /**
+     * One in so many of the machines at which tasks run; the others are those whose leases must not
+     * end.
+     */
+    private static List<WorkerStandIn> befall(
+            World world, List<OutOfTouch> kinds, int oneIn, long forMicros) {
         List<WorkerStandIn> troubled = new ArrayList<>();
-        List<WorkerStandIn> busy = world.workers().stream().filter(worker -> !worker.running().isEmpty()).toList();
+        List<WorkerStandIn> busy =
+                world.workers().stream().filter(worker -> !worker.running().isEmpty()).toList();
         for (int i = 0; i < busy.size(); i += oneIn) {
-            kinds.get(troubled.size() % kinds.size()).befall(busy.get(i), world.loop.now() + forMicros);
+            kinds.get(troubled.size() % kinds.size())
+                    .befall(busy.get(i), world.loop.now() + forMicros);
             troubled.add(busy.get(i));
         }
         return troubled;
@@ -77,41 +84,79 @@
         return tasks;
     }
 
-    /** Those of the tasks that are neither done nor called off, and run on none of these machines. */
+    /**
+     * Those of the tasks that are neither done nor called off, and run on none of these machines.
+     */
     private static List<TaskId> left(World world, Set<TaskId> tasks, List<WorkerStandIn> notOn) {
-        Set<TaskId> running = tasksOn(world.workers().stream().filter(worker -> !notOn.contains(worker)).toList());
-        return tasks.stream().filter(task -> !running.contains(task) && !world.truth.isDone(task) && !world.truth.isOver(task.uid())).toList();
+        Set<TaskId> running =
+                tasksOn(
+                        world.workers().stream()
+                                .filter(worker -> !notOn.contains(worker))
+                                .toList());
+        return tasks.stream()
+                .filter(
+                        task ->
+                                !running.contains(task)
+                                        && !world.truth.isDone(task)
+                                        && !world.truth.isOver(task.uid()))
+                .toList();
     }
 
     /**
-     * Out of touch for three leases, a tenth or a third of them, also across the end of the leader: no lease of another
-     * machine ends, and the work is done elsewhere long before the trouble is over.
+     * Out of touch for three leases, a tenth or a third of them, also across the end of the leader:
+     * no lease of another machine ends, and the work is done elsewhere long before the trouble is
+     * over.
      */
     @ParameterizedTest
-    @CsvSource({"CLOSED_IN, 10, 0", "CLOSED_IN, 3, 1", "MUTE, 3, 1", "DEAF, 10, 1", "DEAF, 3, 0", "HANGS, 3, 0", "HANGS, 10, 1", ", 2, 1"})
-    void theOthersKeepTheirLeasesAndTheWorkGoesElsewhere(OutOfTouch kind, int oneIn, int leaderEnds) {
+    @CsvSource({
+        "CLOSED_IN, 10, 0",
+        "CLOSED_IN, 3, 1",
+        "MUTE, 3, 1",
+        "DEAF, 10, 1",
+        "DEAF, 3, 0",
+        "HANGS, 3, 0",
+        "HANGS, 10, 1",
+        ", 2, 1"
+    })
+    void theOthersKeepTheirLeasesAndTheWorkGoesElsewhere(
+            OutOfTouch kind, int oneIn, int leaderEnds) {
         int befallen = 0;
         int moved = 0;
         for (long seed = 1; seed <= seeds(2); seed++) {
             World world = day(seed, Day.LONG);
-            List<WorkerStandIn> troubled = befall(world, kind == null ? List.of(OutOfTouch.values()) : List.of(kind), oneIn, 60_000_000);
+            List<WorkerStandIn> troubled =
+                    befall(
+                            world,
+                            kind == null ? List.of(OutOfTouch.values()) : List.of(kind),
+                            oneIn,
+                            60_000_000);
             Set<TaskId> tasks = tasksOn(troubled);
-            List<WorkerStandIn> others = world.workers().stream().filter(worker -> !troubled.contains(worker)).toList();
+            List<WorkerStandIn> others =
+                    world.workers().stream().filter(worker -> !troubled.contains(worker)).toList();
             long term = world.term();
             if (leaderEnds == 1) {
                 world.loop.after(3_000_000, () -> world.endLeader(12_000_000));
             }
             world.run(AT + 59_000_000);
             assertEquals(leaderEnds == 1, world.term() > term);
-            assertEquals(0, others.stream().mapToInt(worker -> worker.killedByLease).sum(), "killed on machines without trouble, seed " + seed);
-            assertEquals(List.of(), left(world, tasks, troubled), "neither done nor elsewhere after 59 s, seed " + seed);
+            assertEquals(
+                    0,
+                    others.stream().mapToInt(worker -> worker.killedByLease).sum(),
+                    "killed on machines without trouble, seed " + seed);
+            assertEquals(
+                    List.of(),
+                    left(world, tasks, troubled),
+                    "neither done nor elsewhere after 59 s, seed " + seed);
             befallen += troubled.size();
             moved += tasks.size();
-            // One team's limit has room for three of its larger tasks at a time, and seed 2 brings it many.
+            // One team's limit has room for three of its larger tasks at a time, and seed 2 brings
+            // it many.
             world.run(AT + 420_000_000);
             assertEquals(List.of(), world.unfinished(), "seed " + seed);
         }
-        assertTrue(befallen >= 2 && moved > 0, befallen + " machines and " + moved + " tasks were out of touch");
+        assertTrue(
+                befallen >= 2 && moved > 0,
+                befallen + " machines and " + moved + " tasks were out of touch");
     }
 
     /** Shorter than a lease: nothing is killed anywhere. */
@@ -128,34 +173,49 @@
         }
     }
 
-    /** What answers commands is there, and its tasks go on until its lease ends: no machine is given up before. */
+    /**
+     * What answers commands is there, and its tasks go on until its lease ends: no machine is given
+     * up before.
+     */
     @ParameterizedTest
     @ValueSource(ints = {10, 3})
     void machinesThatAreClosedInForLessThanALeaseAreKept(int oneIn) {
         for (long seed = 1; seed <= seeds(3); seed++) {
             World world = day(seed, Day.LONG);
             int killed = world.truth.killedByLease;
-            List<WorkerStandIn> troubled = befall(world, List.of(OutOfTouch.CLOSED_IN), oneIn, 15_000_000);
+            List<WorkerStandIn> troubled =
+                    befall(world, List.of(OutOfTouch.CLOSED_IN), oneIn, 15_000_000);
             world.run(AT + 16_000_000);
             assertEquals(killed, world.truth.killedByLease);
-            assertEquals(0, troubled.stream().filter(worker -> worker.dead).count(), "given up, seed " + seed);
+            assertEquals(
+                    0,
+                    troubled.stream().filter(worker -> worker.dead).count(),
+                    "given up, seed " + seed);
         }
     }
 
     /** The checker must be able to fail: a lease that is believed to be over too soon. */
     @Test
     void leasesBelievedTooShortAreCaught() {
-        Violation caught = assertThrows(Violation.class, () -> {
-            for (long seed = 1; seed <= 20; seed++) {
-                World world = day(seed, new Day.Times(9_000_000, 50_000_000));
-                befall(world, List.of(OutOfTouch.CLOSED_IN), 2, 60_000_000);
-                world.run(AT + 60_000_000);
-            }
-        });
-        assertTrue(caught.getMessage().contains("ran_twice") || caught.getMessage().contains("quota"), caught.getMessage());
+        Violation caught =
+                assertThrows(
+                        Violation.class,
+                        () -> {
+                            for (long seed = 1; seed <= 20; seed++) {
+                                World world = day(seed, new Day.Times(9_000_000, 50_000_000));
+                                befall(world, List.of(OutOfTouch.CLOSED_IN), 2, 60_000_000);
+                                world.run(AT + 60_000_000);
+                            }
+                        });
+        assertTrue(
+                caught.getMessage().contains("ran_twice") || caught.getMessage().contains("quota"),
+                caught.getMessage());
     }
 
-    /** All leases end; the first leader takes what is recorded for lost on proof, and starts it anew within seconds. */
+    /**
+     * All leases end; the first leader takes what is recorded for lost on proof, and starts it anew
+     * within seconds.
+     */
     @Test
     void afterAllControllersWereAwayWorkBeginsAnewAtOnce() {
         for (long seed = 1; seed <= seeds(3); seed++) {
@@ -166,19 +226,31 @@
                 world.end(node, 32_000_000 + 300_000 * node);
             }
             world.run(AT + 32_000_000);
-            assertTrue(world.truth.killedByLease > killed && !tasks.isEmpty(), "no lease ended, seed " + seed);
+            assertTrue(
+                    world.truth.killedByLease > killed && !tasks.isEmpty(),
+                    "no lease ended, seed " + seed);
             int starts = world.truth.starts;
             long begins = world.loop.now();
             while (world.truth.starts == starts && world.loop.now() < begins + 60_000_000) {
                 world.run(world.loop.now() + 100_000);
             }
-            assertTrue(world.loop.now() - begins < 15_000_000, "first start after " + (world.loop.now() - begins) / 1_000_000 + " s, seed " + seed);
+            assertTrue(
+                    world.loop.now() - begins < 15_000_000,
+                    "first start after "
+                            + (world.loop.now() - begins) / 1_000_000
+                            + " s, seed "
+                            + seed);
             world.run(begins + 60_000_000);
-            assertEquals(List.of(), left(world, tasks, List.of()), "neither done nor begun anew, seed " + seed);
+            assertEquals(
+                    List.of(),
+                    left(world, tasks, List.of()),
+                    "neither done nor begun anew, seed " + seed);
         }
     }
 
-    /** Rentals and deletions are carried out seconds late, some of them for a leader that is gone. */
+    /**
+     * Rentals and deletions are carried out seconds late, some of them for a leader that is gone.
+     */
     @Test
     void rentalsAndDeletionsThatAreCarriedOutLate() {
         Map<String, Integer> count = new LinkedHashMap<>();
@@ -189,23 +261,37 @@
             world.loop.after(3_000_000, () -> world.cloudLate(60, 150_000_000));
             for (long at = 25_000_000; at < 160_000_000; at += 14_000_000) {
                 // It is given up, and the leader that asks for its deletion ends.
-                world.loop.after(at - 12_000_000, () -> world.workers().stream().filter(worker -> !worker.running().isEmpty()).limit(2)
-                        .forEach(worker -> worker.hungUntil = world.loop.now() + 25_000_000));
+                world.loop.after(
+                        at - 12_000_000,
+                        () ->
+                                world.workers().stream()
+                                        .filter(worker -> !worker.running().isEmpty())
+                                        .limit(2)
+                                        .forEach(
+                                                worker ->
+                                                        worker.hungUntil =
+                                                                world.loop.now() + 25_000_000));
                 world.loop.after(at, () -> world.endLeader(500_000));
             }
             world.run(480_000_000);
             assertEquals(List.of(), world.unfinished(), "seed " + seed);
             Set<String> left = new HashSet<>();
-            world.workers().stream().filter(worker -> !worker.dead && worker.started == 0).forEach(worker -> left.add(worker.host));
+            world.workers().stream()
+                    .filter(worker -> !worker.dead && worker.started == 0)
+                    .forEach(worker -> left.add(worker.host));
             left.retainAll(world.unexpectedMachines());
             assertEquals(Set.of(), left, "neither used nor returned, seed " + seed);
             count.merge("unexpected", world.unexpectedMachines().size(), Integer::sum);
             count.merge("deleted for others", world.deletedForOthers(), Integer::sum);
         }
-        assertTrue(count.get("unexpected") >= 5 && count.get("deleted for others") >= 3, "" + count);
+        assertTrue(
+                count.get("unexpected") >= 5 && count.get("deleted for others") >= 3, "" + count);
     }
 
-    /** Machines are up at once and get work while writes and their answers lag; the leader ends, and some of the machines. */
+    /**
+     * Machines are up at once and get work while writes and their answers lag; the leader ends, and
+     * some of the machines.
+     */
     @Test
     void machinesThatAreUpAtOnceWhileWritesLagAndTheLeaderEnds() {
         Map<String, Integer> count = new LinkedHashMap<>();
@@ -222,18 +308,27 @@
             Set<WorkerStandIn> met = new HashSet<>(world.workers());
             int[] young = {0, 0};
             for (long at = 500_000; at < 150_000_000; at += 500_000) {
-                world.loop.after(at, () -> world.workers().stream().filter(worker -> !met.contains(worker) && worker.started > 0).forEach(worker -> {
-                    // The first that is seen at work ends its leader, every second one ends itself as well.
-                    met.add(worker);
-                    young[0]++;
-                    if (young[0] % 3 == 1) {
-                        world.endLeader(300_000);
-                    }
-                    if (young[0] % 2 == 0) {
-                        young[1]++;
-                        worker.die();
-                    }
-                }));
+                world.loop.after(
+                        at,
+                        () ->
+                                world.workers().stream()
+                                        .filter(
+                                                worker ->
+                                                        !met.contains(worker) && worker.started > 0)
+                                        .forEach(
+                                                worker -> {
+                                                    // The first that is seen at work ends its
+                                                    // leader, every second one ends itself as well.
+                                                    met.add(worker);
+                                                    young[0]++;
+                                                    if (young[0] % 3 == 1) {
+                                                        world.endLeader(300_000);
+                                                    }
+                                                    if (young[0] % 2 == 0) {
+                                                        young[1]++;
+                                                        worker.die();
+                                                    }
+                                                }));
             }
             world.run(480_000_000);
             assertEquals(List.of(), world.unfinished(), "seed " + seed);
@@ -241,7 +336,8 @@
             count.merge("at work", young[0], Integer::sum);
             count.merge("ended", young[1], Integer::sum);
             count.merge("terms", (int) (world.term() - term), Integer::sum);
-            count.merge("late writes", world.lateWritesMade[0] + world.lateWritesMade[1], Integer::sum);
+            count.merge(
+                    "late writes", world.lateWritesMade[0] + world.lateWritesMade[1], Integer::sum);
             count.merge("lost answers", world.lostAnswersMade, Integer::sum);
         }
         assertTrue(count.values().stream().allMatch(times -> times >= 10), "" + count);
--- a/src/test/java/org/woadloom/sim/MeetingsTest.java
+++ b/src/test/java/org/woadloom/sim/MeetingsTest.java
@@ -19,19 +19,24 @@
 import org.woadloom.wire.Rank;
 
 /**
- * Each meeting of troubles that operators have seen a rule broken in, by itself and two at a time, several times in a day;
- * that it did occur is counted. The rules are checked after each step.
+ * Each meeting of troubles that operators have seen a rule broken in, by itself and two at a time,
+ * several times in a day; that it did occur is counted. The rules are checked after each step.
  */
 class MeetingsTest {
     private static final long AT = 40_000_000;
     private static final long EVERY = 45_000_000;
     private static final int TIMES = 3;
+
     /** {@code -Dseeds=30} tries more. */
     private static final long SEEDS = Long.getLong("seeds", 3);
+
     private static final long TROUBLED = AT + TIMES * EVERY;
 
     enum Meeting {
-        /** Copies of reports come from half a second to a minute late, also of sessions and attempts that are over. */
+        /**
+         * Copies of reports come from half a second to a minute late, also of sessions and attempts
+         * that are over.
+         */
         OLD_REPORTS {
             @Override
             IntSupplier begin(World world) {
@@ -50,7 +55,10 @@
                 return () -> partly;
             }
         },
-        /** Transactions without an answer are carried out after newer ones; some change something still, others are void. */
+        /**
+         * Transactions without an answer are carried out after newer ones; some change something
+         * still, others are void.
+         */
         LATE_WRITES {
             @Override
             IntSupplier begin(World world) {
@@ -67,9 +75,11 @@
                     world.end(node, node == 0 ? 50_000 : 1_500_000L * node);
                 }
                 for (long later = 6_000_000; later < 16_000_000; later += 2_500_000) {
-                    world.loop.after(later, () -> world.endLeader(50_000 + world.random.nextInt(400_000)));
+                    world.loop.after(
+                            later, () -> world.endLeader(50_000 + world.random.nextInt(400_000)));
                 }
-                world.loop.after(6_000_000, () -> world.endInElections(world.loop.now() + 10_000_000));
+                world.loop.after(
+                        6_000_000, () -> world.endInElections(world.loop.now() + 10_000_000));
                 return () -> (int) (world.term() - before) - 2;
             }
         },
@@ -82,17 +92,24 @@
                 return () -> world.truth.cancelledWhileRunning - before;
             }
         },
-        /** Commands and their answers are held up while machines hang, and are executed as they go on. */
+        /**
+         * Commands and their answers are held up while machines hang, and are executed as they go
+         * on.
+         */
         HELD_COMMANDS {
             @Override
             IntSupplier begin(World world) {
                 world.hangAll("b", 6_000_000);
                 world.loop.after(8_000_000, () -> world.hangAll("a", 3_000_000));
-                world.loop.after(1_000_000, () -> world.truth.running().stream().limit(2).forEach(world::cancel));
+                world.loop.after(
+                        1_000_000,
+                        () -> world.truth.running().stream().limit(2).forEach(world::cancel));
                 return () -> world.heldCommands;
             }
         },
-        /** The leader ends while machines hang or hear nothing, and the new one can't reach them. */
+        /**
+         * The leader ends while machines hang or hear nothing, and the new one can't reach them.
+         */
         LEADER_ENDS_OUT_OF_TOUCH {
             @Override
             IntSupplier begin(World world) {
@@ -103,29 +120,42 @@
                 return () -> outOfTouch;
             }
         },
-        /** The leader loses the state service and the other nodes, not its workers, and jobs are cancelled through another. */
+        /**
+         * The leader loses the state service and the other nodes, not its workers, and jobs are
+         * cancelled through another.
+         */
         LONE_LEADER {
             @Override
             IntSupplier begin(World world) {
                 int before = world.truth.cancelledWhileRunning;
                 world.isolate(world.leader(), 35_000_000);
-                world.loop.after(7_000_000, () -> world.truth.running().stream().limit(4).forEach(world::cancel));
+                world.loop.after(
+                        7_000_000,
+                        () -> world.truth.running().stream().limit(4).forEach(world::cancel));
                 return () -> world.truth.cancelledWhileRunning - before;
             }
         },
-        /** Users look at all nodes right after each answer, some cancel, leaders end, and the store refuses one node. */
+        /**
+         * Users look at all nodes right after each answer, some cancel, leaders end, and the store
+         * refuses one node.
+         */
         CLOSE_LOOKS {
             @Override
             IntSupplier begin(World world) {
                 world.lookClosely(30_000_000);
                 world.loop.after(8_000_000, () -> world.endLeader(200_000));
-                world.loop.after(14_000_000, () -> world.refuseState(world.random.nextInt(World.NODES), 6_000_000));
+                world.loop.after(
+                        14_000_000,
+                        () -> world.refuseState(world.random.nextInt(World.NODES), 6_000_000));
                 world.loop.after(16_000_000, () -> world.cancelNow(4, 0));
                 world.loop.after(22_000_000, () -> world.endLeader(2_000_000));
                 return within(world, () -> world.closeLooks);
             }
         },
-        /** Transactions are carried out and their answers lost, while other nodes read what they wrote. */
+        /**
+         * Transactions are carried out and their answers lost, while other nodes read what they
+         * wrote.
+         */
         LOST_ANSWERS {
             @Override
             IntSupplier begin(World world) {
@@ -134,7 +164,9 @@
                 return within(world, () -> world.lostAnswersReadElsewhere);
             }
         },
-        /** One-task jobs come four a second, for two minutes in all, and a quarter are cancelled. */
+        /**
+         * One-task jobs come four a second, for two minutes in all, and a quarter are cancelled.
+         */
         FOUR_A_SECOND {
             @Override
             IntSupplier begin(World world) {
@@ -168,7 +200,9 @@
             @Override
             IntSupplier begin(World world) {
                 for (int node = 0; node < World.NODES; node++) {
-                    world.end(node, Day.SHORT.leaseMicros() + 2_000_000 + world.random.nextInt(6_000_000));
+                    world.end(
+                            node,
+                            Day.SHORT.leaseMicros() + 2_000_000 + world.random.nextInt(6_000_000));
                 }
                 return within(world, () -> world.truth.killedByLease);
             }
@@ -185,7 +219,9 @@
                 return within(world, () -> world.truth.cancelledWhileRunning);
             }
         },
-        /** Urgent work and other waits for machines that are not to be had, and all links are slow. */
+        /**
+         * Urgent work and other waits for machines that are not to be had, and all links are slow.
+         */
         MORE_THAN_ROOM {
             @Override
             IntSupplier begin(World world) {
@@ -193,13 +229,20 @@
                 world.littleRoom(2, 35_000_000);
                 world.oneTaskJobs(2, 30_000_000, 10);
                 int[] waiting = {0};
-                world.loop.after(25_000_000, () -> waiting[0] = Math.min(world.truth.waiting(Rank.HIGH, false),
-                        world.truth.waiting(Rank.HIGH, true)));
+                world.loop.after(
+                        25_000_000,
+                        () ->
+                                waiting[0] =
+                                        Math.min(
+                                                world.truth.waiting(Rank.HIGH, false),
+                                                world.truth.waiting(Rank.HIGH, true)));
                 return () -> waiting[0];
             }
         };
 
-        /** Brings it about; what is returned tells in the end how often that has come to something. */
+        /**
+         * Brings it about; what is returned tells in the end how often that has come to something.
+         */
         abstract IntSupplier begin(World world);
 
         /** By how much it has grown until the next one begins. */
@@ -223,16 +266,23 @@
         Map<Meeting, List<IntSupplier>> begun = new EnumMap<>(Meeting.class);
         meetings.forEach(meeting -> begun.put(meeting, new ArrayList<>()));
         for (int i = 0; i < TIMES; i++) {
-            meetings.forEach(meeting -> world.loop.after(AT + world.random.nextInt(4_000_000), () -> {
-                if (world.stored("leader") != null) {
-                    begun.get(meeting).add(meeting.begin(world));
-                }
-            }));
+            meetings.forEach(
+                    meeting ->
+                            world.loop.after(
+                                    AT + world.random.nextInt(4_000_000),
+                                    () -> {
+                                        if (world.stored("leader") != null) {
+                                            begun.get(meeting).add(meeting.begin(world));
+                                        }
+                                    }));
             world.run(world.loop.now() + EVERY);
         }
         world.run(TROUBLED + 400_000_000);
-        begun.forEach((meeting, times) -> assertTrue(times.stream().mapToInt(IntSupplier::getAsInt).sum() > 0,
-                meeting + " did not occur, seed " + seed));
+        begun.forEach(
+                (meeting, times) ->
+                        assertTrue(
+                                times.stream().mapToInt(IntSupplier::getAsInt).sum() > 0,
+                                meeting + " did not occur, seed " + seed));
         assertEquals(List.of(), world.unfinished(), "seed " + seed);
     }
 
@@ -245,31 +295,49 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"LATE_WRITES, HAND_OVER_AND_BACK", "LATE_WRITES, LONE_LEADER", "OLD_REPORTS, LEADER_ENDS_OUT_OF_TOUCH",
-            "REFUSED_THEN_DOWN, HELD_COMMANDS", "ENDS_FAR_APART, LATE_WRITES", "CLOSE_LOOKS, LOST_ANSWERS",
-            "CLOSE_LOOKS, HAND_OVER_AND_BACK", "FOUR_A_SECOND, LATE_WRITES"})
+    @CsvSource({
+        "LATE_WRITES, HAND_OVER_AND_BACK",
+        "LATE_WRITES, LONE_LEADER",
+        "OLD_REPORTS, LEADER_ENDS_OUT_OF_TOUCH",
+        "REFUSED_THEN_DOWN, HELD_COMMANDS",
+        "ENDS_FAR_APART, LATE_WRITES",
+        "CLOSE_LOOKS, LOST_ANSWERS",
+        "CLOSE_LOOKS, HAND_OVER_AND_BACK",
+        "FOUR_A_SECOND, LATE_WRITES"
+    })
     void rulesHoldInTwoAtOnce(Meeting one, Meeting other) {
         for (long seed = 1; seed <= SEEDS; seed++) {
             day(seed, Set.of(one, other));
         }
     }
 
-    /** The checks must be able to fail: what a broken service does in such a meeting is caught by the rule that it breaks. */
+    /**
+     * The checks must be able to fail: what a broken service does in such a meeting is caught by
+     * the rule that it breaks.
+     */
     @ParameterizedTest
-    @CsvSource({"OLD_CHANGES, CLOSE_LOOKS, went_back", "UNSEEN_RECORDS, CLOSE_LOOKS, forgotten",
-            "NO_CONDITIONS, LATE_WRITES, ''", "NO_CONDITIONS, TEN_LEADERS, ''"})
+    @CsvSource({
+        "OLD_CHANGES, CLOSE_LOOKS, went_back",
+        "UNSEEN_RECORDS, CLOSE_LOOKS, forgotten",
+        "NO_CONDITIONS, LATE_WRITES, ''",
+        "NO_CONDITIONS, TEN_LEADERS, ''"
+    })
     void aBrokenServiceIsCaught(Day.Flaw flaw, Meeting meeting, String rule) {
-        Violation caught = assertThrows(Violation.class, () -> {
-            for (long seed = 1; seed <= 6; seed++) {
-                day(seed, Day.PLAIN.with(flaw), Set.of(meeting));
-            }
-        });
+        Violation caught =
+                assertThrows(
+                        Violation.class,
+                        () -> {
+                            for (long seed = 1; seed <= 6; seed++) {
+                                day(seed, Day.PLAIN.with(flaw), Set.of(meeting));
+                            }
+                        });
         assertTrue(caught.getMessage().startsWith(rule), caught.getMessage());
     }
 
     /**
-     * A node's word without an answer used to be put unconditionally: carried out after the next one it hung the key on a
-     * grant that nobody renewed, and the node was taken to have none, which holds every rollout up for as long as it runs.
+     * A node's word without an answer used to be put unconditionally: carried out after the next
+     * one it hung the key on a grant that nobody renewed, and the node was taken to have none,
+     * which holds every rollout up for as long as it runs.
      */
     @Test
     void aWordThatIsCarriedOutLateReplacesNoNewerOne() {
@@ -280,7 +348,9 @@
             world.run(90_000_000);
             late += world.lateWritesMade[0] + world.lateWritesMade[1];
             for (int node = 0; node < World.NODES; node++) {
-                assertNotNull(world.stored(Keys.ROLLOUT_NODES + World.label(node)), "no word of node " + node + ", seed " + seed);
+                assertNotNull(
+                        world.stored(Keys.ROLLOUT_NODES + World.label(node)),
+                        "no word of node " + node + ", seed " + seed);
             }
         }
         assertTrue(late > 60, "only " + late + " late writes");
--- a/src/test/java/org/woadloom/sim/OutOfTouchTest.java
+++ b/src/test/java/org/woadloom/sim/OutOfTouchTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Workers that hear nothing, or of whom nothing is heard, and a controller that is left with its workers alone. */
+/**
+ * Workers that hear nothing, or of whom nothing is heard, and a controller that is left with its
+ * workers alone.
+ */
 class OutOfTouchTest {
     private static final long AT = 60_000_000;
     private static final long QUIET = 600_000_000;
@@ -40,7 +43,8 @@
             World world = day(seed);
             int killed = world.truth.killedByLease;
             world.deafen("a", 1, 8_000_000);
-            List<WorkerStandIn> deaf = world.workers().stream().filter(WorkerStandIn::deaf).toList();
+            List<WorkerStandIn> deaf =
+                    world.workers().stream().filter(WorkerStandIn::deaf).toList();
             world.run(AT + 16_000_000);
             assertEquals(killed, world.truth.killedByLease);
             wereDeaf += deaf.size();
@@ -62,20 +66,36 @@
         untilAllIsDone(world);
     }
 
-    /** The checker must be able to fail: what is on its way to a deaf worker is executed once it hears again. */
+    /**
+     * The checker must be able to fail: what is on its way to a deaf worker is executed once it
+     * hears again.
+     */
     @Test
     void deafWorkersThatSeemToHearAreCaught() {
-        Violation caught = assertThrows(Violation.class, () -> {
-            for (long seed = 1; seed <= 20; seed++) {
-                World world = new World(seed, new Day(Day.LONG, Day.LONG, Version.NOW, Day.Flaw.DEAF_SEEM_TO_HEAR, 0));
-                world.users(QUIET, 4);
-                for (long at = AT; at < QUIET; at += 20_000_000) {
-                    world.loop.after(at, () -> world.deafen("a", 1, 12_000_000));
-                }
-                world.run(QUIET);
-            }
-        });
-        assertTrue(caught.getMessage().contains("ran_twice") || caught.getMessage().contains("quota"), caught.getMessage());
+        Violation caught =
+                assertThrows(
+                        Violation.class,
+                        () -> {
+                            for (long seed = 1; seed <= 20; seed++) {
+                                World world =
+                                        new World(
+                                                seed,
+                                                new Day(
+                                                        Day.LONG,
+                                                        Day.LONG,
+                                                        Version.NOW,
+                                                        Day.Flaw.DEAF_SEEM_TO_HEAR,
+                                                        0));
+                                world.users(QUIET, 4);
+                                for (long at = AT; at < QUIET; at += 20_000_000) {
+                                    world.loop.after(at, () -> world.deafen("a", 1, 12_000_000));
+                                }
+                                world.run(QUIET);
+                            }
+                        });
+        assertTrue(
+                caught.getMessage().contains("ran_twice") || caught.getMessage().contains("quota"),
+                caught.getMessage());
     }
 
     /** A machine that stays deaf costs money for nothing, and is replaced. */
@@ -95,12 +115,16 @@
     @ValueSource(longs = {1, 2, 3})
     void workOnMachinesOfWhichNothingIsHeardIsDoneElsewhere(long seed) {
         World world = day(seed);
-        world.workers().stream().filter(worker -> worker.yard.equals("a"))
+        world.workers().stream()
+                .filter(worker -> worker.yard.equals("a"))
                 .forEach(worker -> worker.muteUntil = world.loop.now() + 60_000_000);
         untilAllIsDone(world);
     }
 
-    /** It tells the load balancer at once, its workers go to the others within a lease, and it leads no more. */
+    /**
+     * It tells the load balancer at once, its workers go to the others within a lease, and it leads
+     * no more.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void aLeaderWithItsWorkersAloneLosesThemToTheOthers(long seed) {
@@ -119,7 +143,10 @@
         untilAllIsDone(world);
     }
 
-    /** Alone, a node that does not lead may care for its zone's workers, but not keep them from a leader that reaches them. */
+    /**
+     * Alone, a node that does not lead may care for its zone's workers, but not keep them from a
+     * leader that reaches them.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aFollowerWithItsWorkersAloneLosesThemToTheLeader(long seed) {
--- a/src/test/java/org/woadloom/sim/ProductionFilter.java
+++ b/src/test/java/org/woadloom/sim/ProductionFilter.java
@@ -9,15 +9,14 @@
 import org.woadloom.wire.WireException;
 
 /**
- * Makes a node a stand-in for version 1: what it reads of jobs is what that version's reader leaves of it, what it writes
- * must be readable by it, and it neither says nor learns anything of versions. That it never meets a record which it can't
- * read is checked here.
+ * Makes a node a stand-in for version 1: what it reads of jobs is what that version's reader leaves
+ * of it, what it writes must be readable by it, and it neither says nor learns anything of
+ * versions. That it never meets a record which it can't read is checked here.
  */
 final class ProductionFilter {
     private static final String JOBS = "job/";
 
-    private ProductionFilter() {
-    }
+    private ProductionFilter() {}
 
     static List<Map<?, ?>> changes(Map<String, Object> body) {
         List<Map<?, ?>> changes = new ArrayList<>();
@@ -48,17 +47,19 @@
 
     /** An answer of the state service without what any job in it waits for. */
     static Map<String, Object> withoutAwaits(Map<String, Object> answer) {
-        return jobs(answer, value -> {
-            Map<String, Object> record = new LinkedHashMap<>();
-            ((Map<?, ?>) value).forEach((key, field) -> record.put((String) key, field));
-            if (record.get("job") instanceof Map<?, ?> job) {
-                Map<String, Object> known = new LinkedHashMap<>();
-                job.forEach((key, field) -> known.put((String) key, field));
-                known.remove("awaits");
-                record.put("job", known);
-            }
-            return record;
-        });
+        return jobs(
+                answer,
+                value -> {
+                    Map<String, Object> record = new LinkedHashMap<>();
+                    ((Map<?, ?>) value).forEach((key, field) -> record.put((String) key, field));
+                    if (record.get("job") instanceof Map<?, ?> job) {
+                        Map<String, Object> known = new LinkedHashMap<>();
+                        job.forEach((key, field) -> known.put((String) key, field));
+                        known.remove("awaits");
+                        record.put("job", known);
+                    }
+                    return record;
+                });
     }
 
     /** An answer of the state service, as version 1 understands it. */
@@ -66,7 +67,8 @@
         return jobs(answer, ProductionFilter::record);
     }
 
-    private static Map<String, Object> jobs(Map<String, Object> answer, UnaryOperator<Object> read) {
+    private static Map<String, Object> jobs(
+            Map<String, Object> answer, UnaryOperator<Object> read) {
         Map<String, Object> seen = new LinkedHashMap<>(answer);
         if (answer.get("path") instanceof String path && path.startsWith(JOBS)) {
             seen.put("value", read.apply(answer.get("value")));
@@ -77,7 +79,11 @@
                 for (Object item : items) {
                     Map<String, Object> entry = new LinkedHashMap<>();
                     ((Map<?, ?>) item).forEach((key, value) -> entry.put((String) key, value));
-                    String path = (String) (entry.containsKey("path") ? entry.get("path") : entry.get("put"));
+                    String path =
+                            (String)
+                                    (entry.containsKey("path")
+                                            ? entry.get("path")
+                                            : entry.get("put"));
                     if (path != null && path.startsWith(JOBS) && entry.get("value") != null) {
                         entry.put("value", read.apply(entry.get("value")));
                     }
--- a/src/test/java/org/woadloom/sim/QuickRestartTest.java
+++ b/src/test/java/org/woadloom/sim/QuickRestartTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Processes that end are there again within a fraction of a second; the rules are checked after each step. */
+/**
+ * Processes that end are there again within a fraction of a second; the rules are checked after
+ * each step.
+ */
 class QuickRestartTest {
     private static final long AT = 40_000_000;
     private static final long MINUTE = 60_000_000;
@@ -21,7 +24,10 @@
         return world;
     }
 
-    /** It would take its own leadership up again each time, on its former process's grant, and never get to leading. */
+    /**
+     * It would take its own leadership up again each time, on its former process's grant, and never
+     * get to leading.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aLeaderThatKeepsEndingLeavesLeadingToANodeThatStays(long seed) {
--- a/src/test/java/org/woadloom/sim/RandomDaysTest.java
+++ b/src/test/java/org/woadloom/sim/RandomDaysTest.java
@@ -13,12 +13,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.woadloom.state.RolloutRequest;
 
-/** Seeded random days with every trouble the stand-ins know; the rules are checked after each step. */
+/**
+ * Seeded random days with every trouble the stand-ins know; the rules are checked after each step.
+ */
 class RandomDaysTest {
     private static final long TROUBLED = 180_000_000;
     private static final long QUIET = 600_000_000;
 
-    /** A few by default, so that every build tries the same days; {@code -Dseeds=500} tries more. */
+    /**
+     * A few by default, so that every build tries the same days; {@code -Dseeds=500} tries more.
+     */
     static LongStream seeds() {
         return LongStream.rangeClosed(1, Long.getLong("seeds", 12));
     }
@@ -71,26 +75,34 @@
         assertEquals(List.of(), world.unfinished());
         if (machineLife(world).get("held") != null) {
             // Nodes kept ending while it was on: that is for an operator to judge.
-            world.put("rollout/asked/machine-life", new RolloutRequest(RolloutRequest.Verb.GO, "test", 0).toMap());
+            world.put(
+                    "rollout/asked/machine-life",
+                    new RolloutRequest(RolloutRequest.Verb.GO, "test", 0).toMap());
             world.run(TROUBLED + QUIET + 120_000_000);
         }
         assertEquals("settled", machineLife(world).get("step"));
     }
 
     private static Map<?, ?> machineLife(World world) {
-        return (Map<?, ?>) ((Map<?, ?>) world.stored("rollout/state").get("features")).get("machine-life");
+        return (Map<?, ?>)
+                ((Map<?, ?>) world.stored("rollout/state").get("features")).get("machine-life");
     }
 
     /** The checker must be able to fail. */
     @Test
     void aFormatThatIsWrittenTooEarlyIsCaught() {
-        Violation caught = assertThrows(Violation.class, () -> upgrade(Day.UPGRADE.with(Day.Flaw.AGREED_TOO_EARLY)));
+        Violation caught =
+                assertThrows(
+                        Violation.class,
+                        () -> upgrade(Day.UPGRADE.with(Day.Flaw.AGREED_TOO_EARLY)));
         assertTrue(caught.getMessage().contains("unreadable"), caught.getMessage());
     }
 
     @Test
     void aServiceThatForgetsWhatJobsAwaitIsCaught() {
-        Violation caught = assertThrows(Violation.class, () -> upgrade(Day.UPGRADE.with(Day.Flaw.FORGETS_AWAITS)));
+        Violation caught =
+                assertThrows(
+                        Violation.class, () -> upgrade(Day.UPGRADE.with(Day.Flaw.FORGETS_AWAITS)));
         assertTrue(caught.getMessage().contains("too_early"), caught.getMessage());
     }
 
@@ -108,30 +120,45 @@
 
     @Test
     void aNodeThatCaresForTooLongIsCaught() {
-        Violation caught = assertThrows(Violation.class, () -> {
-            World world = new World(1, told(Day.SHORT.leaseMicros(), 3 * Day.SHORT.cancelMicros()));
-            // Replicas that run in the zone when it is cut off are what the node there cares for.
-            world.servicesStay = true;
-            world.users(TROUBLED);
-            world.run(60_000_000);
-            assertTrue(world.truth.tasksIn("b") > 3, "hardly anything runs in the zone");
-            world.island("b", 70_000_000);
-            world.loop.after(200_000, world::cancelEverything);
-            world.run(TROUBLED);
-        });
+        Violation caught =
+                assertThrows(
+                        Violation.class,
+                        () -> {
+                            World world =
+                                    new World(
+                                            1,
+                                            told(
+                                                    Day.SHORT.leaseMicros(),
+                                                    3 * Day.SHORT.cancelMicros()));
+                            // Replicas that run in the zone when it is cut off are what the node
+                            // there cares for.
+                            world.servicesStay = true;
+                            world.users(TROUBLED);
+                            world.run(60_000_000);
+                            assertTrue(
+                                    world.truth.tasksIn("b") > 3,
+                                    "hardly anything runs in the zone");
+                            world.island("b", 70_000_000);
+                            world.loop.after(200_000, world::cancelEverything);
+                            world.run(TROUBLED);
+                        });
         assertTrue(caught.getMessage().contains("ran_cancelled"), caught.getMessage());
     }
 
     @Test
     void aNodeThatCaresAgainstItsPromiseIsCaught() {
         Violation caught = troubledUntilCaught(Day.PLAIN.with(Day.Flaw.PROMISES_TOO_MUCH));
-        assertTrue(caught.getMessage().contains("ran_twice") || caught.getMessage().contains("quota"), caught.getMessage());
+        assertTrue(
+                caught.getMessage().contains("ran_twice") || caught.getMessage().contains("quota"),
+                caught.getMessage());
     }
 
     @Test
     void copiesThatAreTakenForNewsAreCaught() {
         Violation caught = troubledUntilCaught(Day.PLAIN.with(Day.Flaw.COPIES_LOOK_NEW));
-        assertTrue(caught.getMessage().contains("ran_twice") || caught.getMessage().contains("quota"), caught.getMessage());
+        assertTrue(
+                caught.getMessage().contains("ran_twice") || caught.getMessage().contains("quota"),
+                caught.getMessage());
     }
 
     @Test
@@ -147,26 +174,31 @@
     }
 
     private static Violation calmUntilCaught(Day.Flaw flaw) {
-        return assertThrows(Violation.class, () -> {
-            World world = new World(1, Day.PLAIN.with(flaw));
-            world.users(TROUBLED);
-            world.truth.calmFrom = TROUBLED;
-            world.run(TROUBLED + QUIET);
-        });
+        return assertThrows(
+                Violation.class,
+                () -> {
+                    World world = new World(1, Day.PLAIN.with(flaw));
+                    world.users(TROUBLED);
+                    world.truth.calmFrom = TROUBLED;
+                    world.run(TROUBLED + QUIET);
+                });
     }
 
     private static Day told(long leaseMicros, long cancelMicros) {
-        return new Day(Day.SHORT, new Day.Times(leaseMicros, cancelMicros), Version.NOW, Day.Flaw.NONE, 0);
+        return new Day(
+                Day.SHORT, new Day.Times(leaseMicros, cancelMicros), Version.NOW, Day.Flaw.NONE, 0);
     }
 
     private static Violation troubledUntilCaught(Day day) {
-        return assertThrows(Violation.class, () -> {
-            for (long seed = 1; seed <= 40; seed++) {
-                World world = new World(seed, day);
-                world.users(TROUBLED);
-                world.faults(TROUBLED);
-                world.run(TROUBLED);
-            }
-        });
+        return assertThrows(
+                Violation.class,
+                () -> {
+                    for (long seed = 1; seed <= 40; seed++) {
+                        World world = new World(seed, day);
+                        world.users(TROUBLED);
+                        world.faults(TROUBLED);
+                        world.run(TROUBLED);
+                    }
+                });
     }
 }
--- a/src/test/java/org/woadloom/sim/RolloutTest.java
+++ b/src/test/java/org/woadloom/sim/RolloutTest.java
@@ -20,7 +20,10 @@
 import org.woadloom.state.RolloutRequest.Verb;
 import org.woadloom.wire.WireException;
 
-/** Features are rolled out while nodes, machines and the store fail; the rules are checked after each step. */
+/**
+ * Features are rolled out while nodes, machines and the store fail; the rules are checked after
+ * each step.
+ */
 class RolloutTest {
     private static final long SECOND = 1_000_000;
     private static final long BUSY = 240 * SECOND;
@@ -78,10 +81,16 @@
         ask(world, Verb.BACK);
         world.run(world.loop.now() + 30 * SECOND);
         assertEquals(Step.SETTLED, step(world), "settled stays settled");
-        assertEquals(world.machineRecords()[0], world.machineRecords()[1], "records of the old form are left");
+        assertEquals(
+                world.machineRecords()[0],
+                world.machineRecords()[1],
+                "records of the old form are left");
     }
 
-    /** Every trouble there is, in the middle of a step forward and of a step back; one node's time of day is far off. */
+    /**
+     * Every trouble there is, in the middle of a step forward and of a step back; one node's time
+     * of day is far off.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void stepsBackAndForthSurviveTroubles(long seed) {
@@ -96,11 +105,17 @@
         }
         world.run(BUSY + 600 * SECOND);
         assertEquals(Step.SETTLED, step(world));
-        assertEquals(world.machineRecords()[0], world.machineRecords()[1], "records of the old form are left");
+        assertEquals(
+                world.machineRecords()[0],
+                world.machineRecords()[1],
+                "records of the old form are left");
         assertEquals(List.of(), world.unfinished());
     }
 
-    /** A node comes back as an earlier version at each step: nothing is switched on with it, and all goes on after it. */
+    /**
+     * A node comes back as an earlier version at each step: nothing is switched on with it, and all
+     * goes on after it.
+     */
     @ParameterizedTest
     @EnumSource(Step.class)
     void aNodeThatComesBackOldIsWaitedFor(Step at) {
@@ -122,7 +137,10 @@
         }
     }
 
-    /** What comes back after everything went down half-way; with the first, three versions run side by side. */
+    /**
+     * What comes back after everything went down half-way; with the first, three versions run side
+     * by side.
+     */
     private static List<Version> half(long seed) {
         return switch ((int) seed) {
             case 1 -> List.of(Version.NOW, Version.AGREEING, Version.PRODUCTION);
@@ -155,7 +173,9 @@
 
     /** Zone "b" is cut off in the middle with its only node, an old or a new one. */
     @ParameterizedTest
-    @EnumSource(value = Version.class, names = {"AGREEING", "NOW"})
+    @EnumSource(
+            value = Version.class,
+            names = {"AGREEING", "NOW"})
     void aZoneThatIsCutOffIsWaitedFor(Version there) {
         World world = busy(7, Version.NOW);
         ask(world, Verb.HOLD);
@@ -189,8 +209,15 @@
         World world = busy(3, Version.NOW);
         runTo(world, Step.SETTLED);
         Map<String, Object> now = world.stored("rollout/state");
-        world.put("rollout/state", Map.of("number", 1_000L, "requires", List.of("compact-records", "from-the-future"),
-                "features", Map.of("from-the-future", Map.of("step", "sideways"))));
+        world.put(
+                "rollout/state",
+                Map.of(
+                        "number",
+                        1_000L,
+                        "requires",
+                        List.of("compact-records", "from-the-future"),
+                        "features",
+                        Map.of("from-the-future", Map.of("step", "sideways"))));
         // A watch that was cut off is opened again after ten seconds.
         world.run(world.loop.now() + 12 * SECOND);
         for (int i = 0; i < World.NODES; i++) {
@@ -215,7 +242,10 @@
         assertEquals(List.of(), world.unfinished());
     }
 
-    /** One node's settings name a node that nobody else's do: it has to be there, or to be named no more. */
+    /**
+     * One node's settings name a node that nobody else's do: it has to be there, or to be named no
+     * more.
+     */
     @Test
     void settingsThatContradictEachOtherSwitchNothing() {
         World world = new World(4, Day.PLAIN);
--- a/src/test/java/org/woadloom/sim/ServedTest.java
+++ b/src/test/java/org/woadloom/sim/ServedTest.java
@@ -6,17 +6,20 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import org.woadloom.core.LogEvent;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.woadloom.core.CoreFixture;
 import org.woadloom.core.Effect;
+import org.woadloom.core.LogEvent;
 import org.woadloom.core.jobs.Job;
 import org.woadloom.core.jobs.Placement;
 import org.woadloom.core.reservation.Reservations;
 
-/** Sixteen teams of which one floods the service, while machines and controllers fail: nobody is left out. */
+/**
+ * Sixteen teams of which one floods the service, while machines and controllers fail: nobody is
+ * left out.
+ */
 class ServedTest {
     private static final long TROUBLED = 180_000_000;
     private static final double LEAST = 0.5;
@@ -40,18 +43,30 @@
             }
         }
         assertEquals(18, served.size(), "teams and classes that had jobs");
-        served.forEach((group, count) -> assertTrue(count[1] >= LEAST * count[0],
-                group + ": " + count[1] + " of " + count[0] + ", seed " + seed));
+        served.forEach(
+                (group, count) ->
+                        assertTrue(
+                                count[1] >= LEAST * count[0],
+                                group + ": " + count[1] + " of " + count[0] + ", seed " + seed));
         int flood = served.get("team crowd-0")[0];
-        served.forEach((group, count) -> assertTrue(!group.startsWith("team") || group.endsWith("crowd-0")
-                || count[0] * 4 < flood, group + " is no smaller than the flood"));
+        served.forEach(
+                (group, count) ->
+                        assertTrue(
+                                !group.startsWith("team")
+                                        || group.endsWith("crowd-0")
+                                        || count[0] * 4 < flood,
+                                group + " is no smaller than the flood"));
     }
 
-    /** A team floods with services that nobody cancels; its arrays get their share of its limit all the same. */
+    /**
+     * A team floods with services that nobody cancels; its arrays get their share of its limit all
+     * the same.
+     */
     @ParameterizedTest
     @CsvSource({"0,1", "14,2"})
     void aTeamAtItsLimitServesItsArraysBesideServicesThatStay(int crowd, long seed) {
-        World world = new World(seed, new Day(Day.SHORT, Day.SHORT, Version.NOW, Day.Flaw.NONE, crowd));
+        World world =
+                new World(seed, new Day(Day.SHORT, Day.SHORT, Version.NOW, Day.Flaw.NONE, crowd));
         world.servicesStay = true;
         world.users(TROUBLED, 3);
         world.machineFaults(TROUBLED);
@@ -72,7 +87,10 @@
         return over;
     }
 
-    /** The largest tenth of a class, and how long those waited; what an earlier leader placed has not waited until now. */
+    /**
+     * The largest tenth of a class, and how long those waited; what an earlier leader placed has
+     * not waited until now.
+     */
     @Test
     void theLeaderTellsWhatBecameOfTheLargest() {
         CoreFixture fixture = new CoreFixture();
@@ -83,12 +101,20 @@
         var machine = fixture.machine("host-1", "a");
         var reservations = new Reservations(fixture.world);
         fixture.place(reservations, fixture.world.jobs.get("j-18"), 0, machine);
-        Placement inherited = new Placement(fixture.world.jobs.get("j-19"), 0, machine, 1, 0, fixture.world.nowMicros);
+        Placement inherited =
+                new Placement(
+                        fixture.world.jobs.get("j-19"), 0, machine, 1, 0, fixture.world.nowMicros);
         inherited.stage = Placement.Stage.INHERITED;
         inherited.job.add(inherited);
         fixture.world.served.review();
-        assertTrue(fixture.logged(LogEvent.LARGEST_JOBS_SERVICE_LEVEL, "class=work", "jobs=2", "started_in_time=2", "slowest_start_s=70",
-                "done=0"));
+        assertTrue(
+                fixture.logged(
+                        LogEvent.LARGEST_JOBS_SERVICE_LEVEL,
+                        "class=work",
+                        "jobs=2",
+                        "started_in_time=2",
+                        "slowest_start_s=70",
+                        "done=0"));
     }
 
     /** What the leader tells is counted once a minute, and only what it has seen. */
@@ -107,10 +133,23 @@
         assertTrue(fixture.effects().isEmpty(), "told before its time");
         fixture.world.nowMicros += 45_000_000;
         fixture.world.served.review();
-        Effect.ServedSeen seen = (Effect.ServedSeen) fixture.effects().stream()
-                .filter(effect -> effect instanceof Effect.ServedSeen).findFirst().orElseThrow();
+        Effect.ServedSeen seen =
+                (Effect.ServedSeen)
+                        fixture.effects().stream()
+                                .filter(effect -> effect instanceof Effect.ServedSeen)
+                                .findFirst()
+                                .orElseThrow();
         var row = seen.rows().get(0);
-        assertEquals("team work 2 1 1 0 75000000", String.join(" ", row.team(), row.jobClass(), "" + row.accepted(),
-                "" + row.startedWhole(), "" + row.over(), "" + row.cancelled(), "" + row.longestWaitMicros()));
+        assertEquals(
+                "team work 2 1 1 0 75000000",
+                String.join(
+                        " ",
+                        row.team(),
+                        row.jobClass(),
+                        "" + row.accepted(),
+                        "" + row.startedWhole(),
+                        "" + row.over(),
+                        "" + row.cancelled(),
+                        "" + row.longestWaitMicros()));
     }
 }
