--- a/src/test/java/org/woadloom/sim/SharedReadsTest.java
+++ b/src/test/java/org/woadloom/sim/SharedReadsTest.java
@@ -28,60 +28,95 @@
 import org.woadloom.wire.JobStatus;
 import org.woadloom.wire.WireException;
 
-/** Users' polls on three nodes, with the stand-in of the state service behind a network that is slow now and then. */
+/**
+ * Users' polls on three nodes, with the stand-in of the state service behind a network that is slow
+ * now and then.
+ */
 class SharedReadsTest {
-    private static final ServiceSettings.State LIMITS = new ServiceSettings.State(150, 60, 8192, 12, null);
+    private static final ServiceSettings.State LIMITS =
+            new ServiceSettings.State(150, 60, 8192, 12, null);
     private static final int NODES = 3;
 
     private final SimLoop sim = new SimLoop();
-    private final StateStandIn store = new StateStandIn(sim, new ServiceSettings.State(10_000, 10_000, 8192, 12, null));
+    private final StateStandIn store =
+            new StateStandIn(sim, new ServiceSettings.State(10_000, 10_000, 8192, 12, null));
     private final Random random = new Random(7);
     private final List<SharedReads> nodes = new ArrayList<>();
     private final List<JobReader> readers = new ArrayList<>();
     private int requests;
     private int answered;
+
     /** How many of a hundred requests take long, or lose their answer. */
     private int trouble;
-    /** How many of a hundred reads of changes are told that those are not kept any more, and how many were. */
+
+    /**
+     * How many of a hundred reads of changes are told that those are not kept any more, and how
+     * many were.
+     */
     private int gone;
+
     private int toldGone;
 
     SharedReadsTest() {
         for (int i = 0; i < NODES; i++) {
             StateClient client = StateStandIn.client(sim.loop(), this::request, LIMITS, i);
-            readers.add(new JobReader(client, format -> {
-            }));
+            readers.add(new JobReader(client, format -> {}));
             nodes.add(new SharedReads(sim.loop(), client, readers.get(i), LIMITS, NODES));
         }
     }
 
-    private void request(String address, String method, String path, byte[] body, long timeout, HttpTransport.Callback callback) {
+    private void request(
+            String address,
+            String method,
+            String path,
+            byte[] body,
+            long timeout,
+            HttpTransport.Callback callback) {
         requests++;
         boolean[] answered = {false};
         sim.after(timeout, () -> answer(answered, callback, HttpTransport.NO_RESPONSE, Map.of()));
         if (path.startsWith("/follow") && random.nextInt(100) < gone) {
             toldGone++;
-            sim.after(2_000 + random.nextInt(300_000), () -> answer(answered, callback, 410, Map.of()));
+            sim.after(
+                    2_000 + random.nextInt(300_000),
+                    () -> answer(answered, callback, 410, Map.of()));
             return;
         }
         assertFalse(path.contains("since=-"), "the service would call it malformed: " + path);
         boolean lost = random.nextInt(100) < trouble;
-        long there = random.nextInt(100) < trouble ? random.nextInt(1_500_000) : 2_000 + random.nextInt(3_000);
-        sim.after(there, () -> {
-            try {
-                store.handle(method, path, body == null ? Map.of() : Cbor.decodeMap(body), (status, map) -> sim.after(
-                        random.nextInt(100) < trouble ? random.nextInt(1_500_000) : 2_000, () -> {
-                            if (!lost) {
-                                answer(answered, callback, status, map);
-                            }
-                        }));
-            } catch (WireException e) {
-                throw new IllegalStateException(e);
-            }
-        });
+        long there =
+                random.nextInt(100) < trouble
+                        ? random.nextInt(1_500_000)
+                        : 2_000 + random.nextInt(3_000);
+        sim.after(
+                there,
+                () -> {
+                    try {
+                        store.handle(
+                                method,
+                                path,
+                                body == null ? Map.of() : Cbor.decodeMap(body),
+                                (status, map) ->
+                                        sim.after(
+                                                random.nextInt(100) < trouble
+                                                        ? random.nextInt(1_500_000)
+                                                        : 2_000,
+                                                () -> {
+                                                    if (!lost) {
+                                                        answer(answered, callback, status, map);
+                                                    }
+                                                }));
+                    } catch (WireException e) {
+                        throw new IllegalStateException(e);
+                    }
+                });
     }
 
-    private static void answer(boolean[] answered, HttpTransport.Callback callback, int status, Map<String, Object> map) {
+    private static void answer(
+            boolean[] answered,
+            HttpTransport.Callback callback,
+            int status,
+            Map<String, Object> map) {
         if (!answered[0]) {
             answered[0] = true;
             callback.answered(status, status > 0 ? Cbor.encode(map) : new byte[0]);
@@ -89,18 +124,33 @@
     }
 
     private void write(Map<?, ?>... changes) {
-        store.handle("POST", "/txn", Map.of("if", List.of(), "then", List.of(changes)), (status, answer) -> assertEquals(200, status));
+        store.handle(
+                "POST",
+                "/txn",
+                Map.of("if", List.of(), "then", List.of(changes)),
+                (status, answer) -> assertEquals(200, status));
     }
 
     private void put(String uid, boolean cancelled) {
         put(uid, cancelled, 0);
     }
 
-    /** @param running counts the changes, so that an answer tells how old it is */
+    /**
+     * @param running counts the changes, so that an answer tells how old it is
+     */
     private void put(String uid, boolean cancelled, int running) {
         try {
-            JobRecord record = new JobRecord(JobDescription.parse(LoopbackNode.job(uid, "team")), 0, 0, cancelled, new BitSet(),
-                    List.of(), running, 0, 0);
+            JobRecord record =
+                    new JobRecord(
+                            JobDescription.parse(LoopbackNode.job(uid, "team")),
+                            0,
+                            0,
+                            cancelled,
+                            new BitSet(),
+                            List.of(),
+                            running,
+                            0,
+                            0);
             write(Map.of("put", "job/" + uid, "value", record.toMap(RecordFormat.COMPACT)));
         } catch (WireException e) {
             throw new IllegalStateException(e);
@@ -108,7 +158,9 @@
     }
 
     private void finish(String uid) {
-        write(Map.of("drop", "job/" + uid), Map.of("put", "final/" + uid, "value", Map.of("status", "done", "done", 20L)));
+        write(
+                Map.of("drop", "job/" + uid),
+                Map.of("put", "final/" + uid, "value", Map.of("status", "done", "done", 20L)));
     }
 
     private JobStatus ask(int node, String uid) {
@@ -130,14 +182,20 @@
         requests = 0;
         int[] told = {0};
         for (int job = 1; job <= jobs; job++) {
-            nodes.get(0).ask(uid(job), answer -> told[0] += answer.status().status().equals(expected) ? 1 : 0);
+            nodes.get(0)
+                    .ask(
+                            uid(job),
+                            answer -> told[0] += answer.status().status().equals(expected) ? 1 : 0);
         }
         run(1_000_000);
         assertEquals(jobs, told[0]);
         return requests;
     }
 
-    /** Users look closely right after each change: one read by key for each of them, and two for an end, starved all others. */
+    /**
+     * Users look closely right after each change: one read by key for each of them, and two for an
+     * end, starved all others.
+     */
     @Test
     void whatHasJustChangedIsToldByTheSharedRead() {
         put(uid(0), false);
@@ -154,7 +212,10 @@
         assertTrue(reads <= 23, reads + " reads for 20 jobs that are over");
     }
 
-    /** A thousand open jobs polled every 5 s were 200 requests a second, of the 150 that the service takes. */
+    /**
+     * A thousand open jobs polled every 5 s were 200 requests a second, of the 150 that the service
+     * takes.
+     */
     @Test
     void aThousandOpenJobsAreAQuarterOfTheRequests() {
         for (int job = 0; job < 1_000; job++) {
@@ -175,15 +236,19 @@
     }
 
     private void poll(int job, long delay) {
-        sim.after(delay, () -> {
-            nodes.get(job % NODES).ask(uid(job), shown -> answered += shown == null ? 0 : 1);
-            poll(job, 5_000_000);
-        });
+        sim.after(
+                delay,
+                () -> {
+                    nodes.get(job % NODES)
+                            .ask(uid(job), shown -> answered += shown == null ? 0 : 1);
+                    poll(job, 5_000_000);
+                });
     }
 
     /**
-     * Whatever any node has told, no node tells anything older to whoever asks after that, and each question has one answer:
-     * polls, and what reads a job by itself, as repeated submissions and cancellations do.
+     * Whatever any node has told, no node tells anything older to whoever asks after that, and each
+     * question has one answer: polls, and what reads a job by itself, as repeated submissions and
+     * cancellations do.
      */
     @ParameterizedTest
     @CsvSource({"0, 0", "10, 0", "40, 0", "0, 25", "25, 25", "40, 40"})
@@ -206,33 +271,44 @@
             int node = random.nextInt(NODES);
             boolean alone = random.nextInt(4) == 0;
             sim.after(random.nextInt(120_000_000), () -> step(someUid()));
-            sim.after(random.nextInt(120_000_000), () -> {
-                String uid = someUid();
-                int before = told.getOrDefault(uid, 0);
-                int[] answered = {0};
-                asked.add(answered);
-                Consumer<JobStatus> check = status -> {
-                    int now = stage(status);
-                    assertTrue(now >= before, uid + " was " + before + " and is " + now);
-                    told.merge(uid, now, Math::max);
-                    answers[Math.min(3, (now + 999) / 1_000)]++;
-                };
-                if (alone) {
-                    readers.get(node).look(uid, looked -> {
-                        answered[0]++;
-                        if (looked != null) {
-                            check.accept(looked.status());
-                        }
-                    });
-                } else {
-                    nodes.get(node).ask(uid, shown -> {
-                        answered[0]++;
-                        if (shown != null) {
-                            check.accept(shown.status());
+            sim.after(
+                    random.nextInt(120_000_000),
+                    () -> {
+                        String uid = someUid();
+                        int before = told.getOrDefault(uid, 0);
+                        int[] answered = {0};
+                        asked.add(answered);
+                        Consumer<JobStatus> check =
+                                status -> {
+                                    int now = stage(status);
+                                    assertTrue(
+                                            now >= before,
+                                            uid + " was " + before + " and is " + now);
+                                    told.merge(uid, now, Math::max);
+                                    answers[Math.min(3, (now + 999) / 1_000)]++;
+                                };
+                        if (alone) {
+                            readers.get(node)
+                                    .look(
+                                            uid,
+                                            looked -> {
+                                                answered[0]++;
+                                                if (looked != null) {
+                                                    check.accept(looked.status());
+                                                }
+                                            });
+                        } else {
+                            nodes.get(node)
+                                    .ask(
+                                            uid,
+                                            shown -> {
+                                                answered[0]++;
+                                                if (shown != null) {
+                                                    check.accept(shown.status());
+                                                }
+                                            });
                         }
                     });
-                }
-            });
         }
         sim.after(60_000_000, () -> store.outage(true));
         sim.after(66_000_000, () -> store.outage(false));
@@ -243,7 +319,10 @@
         // What waits for slow reads is answered once the store is well.
         run(90_000_000);
         assertTrue(answers[1] > 20 && answers[2] > 20 && answers[3] > 20, Arrays.toString(answers));
-        assertEquals(0, asked.stream().filter(times -> times[0] != 1).count(), "questions that have not one answer");
+        assertEquals(
+                0,
+                asked.stream().filter(times -> times[0] != 1).count(),
+                "questions that have not one answer");
         assertTrue(!missed || toldGone > 20, toldGone + " times changes were missed");
     }
 
@@ -269,11 +348,13 @@
     }
 
     private static int stage(JobStatus status) {
-        return status == null ? 0 : switch (status.status()) {
-            case "queued", "running" -> 1 + status.running();
-            case "cancelled" -> 1_001;
-            default -> 2_001;
-        };
+        return status == null
+                ? 0
+                : switch (status.status()) {
+                    case "queued", "running" -> 1 + status.running();
+                    case "cancelled" -> 1_001;
+                    default -> 2_001;
+                };
     }
 
     /** Where the store does not say, nobody is told what was true before. */
--- a/src/test/java/org/woadloom/sim/SimLoop.java
+++ b/src/test/java/org/woadloom/sim/SimLoop.java
@@ -3,13 +3,18 @@
 import java.util.PriorityQueue;
 import org.woadloom.net.Loop;
 
-/** Virtual time: tasks run in the order of their times, and of their making where those are equal. */
+/**
+ * Virtual time: tasks run in the order of their times, and of their making where those are equal.
+ */
 final class SimLoop {
-    private record Task(long at, long order, Runnable run, boolean[] cancelled) {
-    }
+    private record Task(long at, long order, Runnable run, boolean[] cancelled) {}
 
-    private final PriorityQueue<Task> tasks = new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at)
-            : Long.compare(a.order, b.order));
+    private final PriorityQueue<Task> tasks =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at != b.at
+                                    ? Long.compare(a.at, b.at)
+                                    : Long.compare(a.order, b.order));
     private long now;
     private long order;
 
--- a/src/test/java/org/woadloom/sim/StateClientTest.java
+++ b/src/test/java/org/woadloom/sim/StateClientTest.java
@@ -20,32 +20,46 @@
 import org.woadloom.wire.Cbor;
 import org.woadloom.wire.WireException;
 
-/** What waits for what on the way to the state service: 30 changes a second here, and more reads than are asked for. */
+/**
+ * What waits for what on the way to the state service: 30 changes a second here, and more reads
+ * than are asked for.
+ */
 class StateClientTest {
-    private static final ServiceSettings.State LIMITS = new ServiceSettings.State(1_000, 40, 8192, 12, null);
+    private static final ServiceSettings.State LIMITS =
+            new ServiceSettings.State(1_000, 40, 8192, 12, null);
 
     private final SimLoop sim = new SimLoop();
     private final List<String> sent = new ArrayList<>();
     private final StateClient client;
 
     StateClientTest() {
-        client = StateStandIn.client(sim.loop(), (address, method, path, body, timeout, callback) -> {
-            sent.add(path);
-            sim.after(2_000, () -> callback.answered(503, new byte[0]));
-        }, LIMITS, 1);
+        client =
+                StateStandIn.client(
+                        sim.loop(),
+                        (address, method, path, body, timeout, callback) -> {
+                            sent.add(path);
+                            sim.after(2_000, () -> callback.answered(503, new byte[0]));
+                        },
+                        LIMITS,
+                        1);
         client.lead(true);
     }
 
     private void change(Urgency urgency, int changes) {
-        client.txn(urgency, List.of(), Collections.nCopies(changes, Change.put("key", Map.of())), (result, generation, failed) -> {
-        });
+        client.txn(
+                urgency,
+                List.of(),
+                Collections.nCopies(changes, Change.put("key", Map.of())),
+                (result, generation, failed) -> {});
     }
 
     private void run(long micros) {
         sim.run(sim.now() + micros);
     }
 
-    /** The leader's changes wait for their budget for minutes; users' polls would wait behind them. */
+    /**
+     * The leader's changes wait for their budget for minutes; users' polls would wait behind them.
+     */
     @Test
     void readsPassByChangesThatWaitForTheirBudget() {
         for (int i = 0; i < 30; i++) {
@@ -53,8 +67,7 @@
         }
         run(200_000);
         sent.clear();
-        client.get(Urgency.USER, "polled", (result, entry, generation) -> {
-        });
+        client.get(Urgency.USER, "polled", (result, entry, generation) -> {});
         run(10_000);
         assertEquals(List.of("/keys/polled"), sent);
     }
@@ -62,14 +75,12 @@
     /** Whoever comes later may have to wait for less. */
     @Test
     void aShortWaitIsNotTakenForALongOne() {
-        client.get(Urgency.URGENT, "refused", (result, entry, generation) -> {
-        });
+        client.get(Urgency.URGENT, "refused", (result, entry, generation) -> {});
         change(Urgency.URGENT, 30);
         change(Urgency.URGENT, 30);
         run(3_000);
         sent.clear();
-        client.get(Urgency.NORMAL, "held back for a moment", (result, entry, generation) -> {
-        });
+        client.get(Urgency.NORMAL, "held back for a moment", (result, entry, generation) -> {});
         run(250_000);
         assertEquals(List.of("/keys/held back for a moment"), sent);
     }
@@ -78,28 +89,53 @@
 
     private final StateStandIn store = new StateStandIn(sim, LIMITS);
     private final Random luck = new Random(7);
+
     /** What becomes of a transaction. */
-    private enum Fate { ANSWERED, ANSWER_LOST, CARRIED_OUT_LATE }
+    private enum Fate {
+        ANSWERED,
+        ANSWER_LOST,
+        CARRIED_OUT_LATE
+    }
 
     private StateClient served(Supplier<Fate> fates) {
-        StateClient served = StateStandIn.client(sim.loop(), (address, method, path, body, timeout, callback) -> {
-            boolean[] told = {false};
-            Map<String, Object> map = body == null ? Map.of() : decoded(body);
-            StateStandIn.Answer answer = (status, content) -> sim.after(3_000, () -> {
-                if (!told[0]) {
-                    told[0] = true;
-                    callback.answered(status, status > 0 ? Cbor.encode(content) : new byte[0]);
-                }
-            });
-            sim.after(timeout, () -> answer.answer(0, Map.of()));
-            switch (path.equals("/txn") ? fates.get() : Fate.ANSWERED) {
-                case ANSWERED -> store.handle(method, path, map, answer);
-                case ANSWER_LOST -> store.handle(method, path, map, (status, content) -> {
-                });
-                case CARRIED_OUT_LATE -> sim.after(4_000_000, () -> store.handle(method, path, map, (status, content) -> {
-                }));
-            }
-        }, LIMITS, 1);
+        StateClient served =
+                StateStandIn.client(
+                        sim.loop(),
+                        (address, method, path, body, timeout, callback) -> {
+                            boolean[] told = {false};
+                            Map<String, Object> map = body == null ? Map.of() : decoded(body);
+                            StateStandIn.Answer answer =
+                                    (status, content) ->
+                                            sim.after(
+                                                    3_000,
+                                                    () -> {
+                                                        if (!told[0]) {
+                                                            told[0] = true;
+                                                            callback.answered(
+                                                                    status,
+                                                                    status > 0
+                                                                            ? Cbor.encode(content)
+                                                                            : new byte[0]);
+                                                        }
+                                                    });
+                            sim.after(timeout, () -> answer.answer(0, Map.of()));
+                            switch (path.equals("/txn") ? fates.get() : Fate.ANSWERED) {
+                                case ANSWERED -> store.handle(method, path, map, answer);
+                                case ANSWER_LOST ->
+                                        store.handle(method, path, map, (status, content) -> {});
+                                case CARRIED_OUT_LATE ->
+                                        sim.after(
+                                                4_000_000,
+                                                () ->
+                                                        store.handle(
+                                                                method,
+                                                                path,
+                                                                map,
+                                                                (status, content) -> {}));
+                            }
+                        },
+                        LIMITS,
+                        1);
         served.lead(true);
         return served;
     }
@@ -112,7 +148,10 @@
         }
     }
 
-    /** A lost answer used to hold one of twelve places for 2 s, and everything that is not urgent for a moment. */
+    /**
+     * A lost answer used to hold one of twelve places for 2 s, and everything that is not urgent
+     * for a moment.
+     */
     @Test
     void singleAnswersThatAreLostHoldUpNothingElse() {
         StateClient served = served(() -> luck.nextInt(10) < 4 ? Fate.ANSWER_LOST : Fate.ANSWERED);
@@ -120,25 +159,38 @@
         int[] slow = {0};
         for (long at = 0; at < 20_000_000; at += 50_000) {
             String key = "key" + at;
-            sim.after(at, () -> {
-                served.txn(Urgency.URGENT, List.of(), List.of(Change.put(key, Map.of())), (result, generation, failed) -> {
-                });
-                long asked = sim.now();
-                served.get(Urgency.NORMAL, key, (result, entry, generation) -> {
-                    read[0]++;
-                    slow[0] += sim.now() - asked > 100_000 ? 1 : 0;
-                });
-            });
+            sim.after(
+                    at,
+                    () -> {
+                        served.txn(
+                                Urgency.URGENT,
+                                List.of(),
+                                List.of(Change.put(key, Map.of())),
+                                (result, generation, failed) -> {});
+                        long asked = sim.now();
+                        served.get(
+                                Urgency.NORMAL,
+                                key,
+                                (result, entry, generation) -> {
+                                    read[0]++;
+                                    slow[0] += sim.now() - asked > 100_000 ? 1 : 0;
+                                });
+                    });
         }
         run(20_000_000);
         assertEquals(0, slow[0], "of " + read[0] + " reads so many were slow");
         assertEquals(400, read[0]);
     }
 
-    private Result write(StateClient served, String key, Map<String, Object> value, long[] toldAfter) {
+    private Result write(
+            StateClient served, String key, Map<String, Object> value, long[] toldAfter) {
         Result[] told = {null};
         long from = sim.now();
-        served.txn(Urgency.URGENT, List.of(new Condition(key, 0)), List.of(Change.put(key, value)), key,
+        served.txn(
+                Urgency.URGENT,
+                List.of(new Condition(key, 0)),
+                List.of(Change.put(key, value)),
+                key,
                 (result, generation, failed) -> {
                     assertNull(told[0], "told twice");
                     told[0] = result;
@@ -148,17 +200,32 @@
         return told[0];
     }
 
-    /** Whether it was carried out is read after a fraction of a second; that it was not yet is no proof. */
+    /**
+     * Whether it was carried out is read after a fraction of a second; that it was not yet is no
+     * proof.
+     */
     @Test
     void aTransactionWhoseAnswerIsLostIsReadBack() {
         long[] after = {0};
-        assertEquals(Result.OK, write(served(() -> Fate.ANSWER_LOST), "job/1", Map.of("version", 3L), after));
+        assertEquals(
+                Result.OK,
+                write(served(() -> Fate.ANSWER_LOST), "job/1", Map.of("version", 3L), after));
         assertTrue(after[0] < 500_000, "told after " + after[0]);
-        assertEquals(Result.UNKNOWN, write(served(() -> Fate.CARRIED_OUT_LATE), "job/2", Map.of("version", 3L), after));
+        assertEquals(
+                Result.UNKNOWN,
+                write(served(() -> Fate.CARRIED_OUT_LATE), "job/2", Map.of("version", 3L), after));
         // Somebody else's value is there: the transaction failed, and its answer was lost.
-        store.handle("POST", "/txn", Map.of("if", List.of(), "then", List.of(Map.of("put", "job/3", "value", Map.of("version", 9L)))),
-                (status, content) -> {
-                });
-        assertEquals(Result.UNKNOWN, write(served(() -> Fate.ANSWER_LOST), "job/3", Map.of("version", 3L), after));
+        store.handle(
+                "POST",
+                "/txn",
+                Map.of(
+                        "if",
+                        List.of(),
+                        "then",
+                        List.of(Map.of("put", "job/3", "value", Map.of("version", 9L)))),
+                (status, content) -> {});
+        assertEquals(
+                Result.UNKNOWN,
+                write(served(() -> Fate.ANSWER_LOST), "job/3", Map.of("version", 3L), after));
     }
 }
--- a/src/test/java/org/woadloom/sim/StateStandIn.java
+++ b/src/test/java/org/woadloom/sim/StateStandIn.java
@@ -16,11 +16,9 @@
 
 /** The state service, written from the protocol. */
 final class StateStandIn {
-    private record Entry(Object value, long stamp, long grant) {
-    }
+    private record Entry(Object value, long stamp, long grant) {}
 
-    private record Change(String path, Object value, long stamp) {
-    }
+    private record Change(String path, Object value, long stamp) {}
 
     private final SimLoop loop;
     private ServiceSettings.State limits;
@@ -44,12 +42,26 @@
     }
 
     /** The client of one node that leads or follows alone. */
-    static StateClient client(Loop loop, HttpTransport transport, ServiceSettings.State limits, long seed) {
-        ServiceSettings settings = new ServiceSettings("node", "a", "0:1", "0:2", List.of(), "cloud", "state", List.of("a"),
-                List.of(), List.of(), new ServiceSettings.Workers(1, 1, 1), limits, new ServiceSettings.Cloud(1, 1),
-                new ServiceSettings.Resources(1, 1, 1));
-        return new StateClient(loop, transport, settings, new Limits(limits), new Random(seed), served -> {
-        });
+    static StateClient client(
+            Loop loop, HttpTransport transport, ServiceSettings.State limits, long seed) {
+        ServiceSettings settings =
+                new ServiceSettings(
+                        "node",
+                        "a",
+                        "0:1",
+                        "0:2",
+                        List.of(),
+                        "cloud",
+                        "state",
+                        List.of("a"),
+                        List.of(),
+                        List.of(),
+                        new ServiceSettings.Workers(1, 1, 1),
+                        limits,
+                        new ServiceSettings.Cloud(1, 1),
+                        new ServiceSettings.Resources(1, 1, 1));
+        return new StateClient(
+                loop, transport, settings, new Limits(limits), new Random(seed), served -> {});
     }
 
     void outage(boolean begins) {
@@ -95,10 +107,13 @@
     /** How many values there are below the prefix, and how many of them are such. */
     int[] count(String prefix, Predicate<Map<?, ?>> such) {
         int[] found = {0, 0};
-        entries.subMap(prefix, prefix + Character.MAX_VALUE).values().forEach(entry -> {
-            found[0]++;
-            found[1] += such.test((Map<?, ?>) entry.value) ? 1 : 0;
-        });
+        entries.subMap(prefix, prefix + Character.MAX_VALUE)
+                .values()
+                .forEach(
+                        entry -> {
+                            found[0]++;
+                            found[1] += such.test((Map<?, ?>) entry.value) ? 1 : 0;
+                        });
         return found;
     }
 
@@ -141,24 +156,27 @@
     }
 
     private void expireLater(long id) {
-        loop.at(grants.get(id)[1], () -> {
-            long[] grant = grants.get(id);
-            if (grant == null || down || loop.now() < grant[1]) {
-                return;
-            }
-            grants.remove(id);
-            List<String> gone = new ArrayList<>();
-            entries.forEach((path, entry) -> {
-                if (entry.grant == id) {
-                    gone.add(path);
-                }
-            });
-            if (!gone.isEmpty()) {
-                generation++;
-                gone.forEach(this::drop);
-                wake();
-            }
-        });
+        loop.at(
+                grants.get(id)[1],
+                () -> {
+                    long[] grant = grants.get(id);
+                    if (grant == null || down || loop.now() < grant[1]) {
+                        return;
+                    }
+                    grants.remove(id);
+                    List<String> gone = new ArrayList<>();
+                    entries.forEach(
+                            (path, entry) -> {
+                                if (entry.grant == id) {
+                                    gone.add(path);
+                                }
+                            });
+                    if (!gone.isEmpty()) {
+                        generation++;
+                        gone.forEach(this::drop);
+                        wake();
+                    }
+                });
     }
 
     private void drop(String path) {
@@ -200,8 +218,8 @@
         int most = Math.min(7, Integer.parseInt(parameter(path, "most")));
         List<Object> items = new ArrayList<>();
         boolean more = false;
-        for (Map.Entry<String, Entry> entry : entries.tailMap(since.isEmpty() ? prefix : since, since.isEmpty())
-                .entrySet()) {
+        for (Map.Entry<String, Entry> entry :
+                entries.tailMap(since.isEmpty() ? prefix : since, since.isEmpty()).entrySet()) {
             if (!entry.getKey().startsWith(prefix)) {
                 break;
             }
@@ -219,7 +237,8 @@
             answer.answer(429, Map.of("error", "too many changes"));
             return;
         }
-        if (tooLarge((List<?>) body.get("then")) || ((List<?>) body.get("if")).size() > 4 * limits.txnOps()) {
+        if (tooLarge((List<?>) body.get("then"))
+                || ((List<?>) body.get("if")).size() > 4 * limits.txnOps()) {
             answer.answer(400, Map.of("error", "too large"));
             return;
         }
@@ -232,7 +251,8 @@
             }
         }
         for (Object item : (List<?>) body.get("then")) {
-            if (((Map<?, ?>) item).get("hold") instanceof Long grant && !grants.containsKey(grant)) {
+            if (((Map<?, ?>) item).get("hold") instanceof Long grant
+                    && !grants.containsKey(grant)) {
                 answer.answer(400, Map.of("error", "no such lease"));
                 return;
             }
@@ -245,8 +265,12 @@
         for (Object item : (List<?>) body.get("then")) {
             Map<?, ?> change = (Map<?, ?>) item;
             if (change.get("put") instanceof String path) {
-                entries.put(path, new Entry(change.get("value"), generation,
-                        change.get("hold") instanceof Long grant ? grant : 0));
+                entries.put(
+                        path,
+                        new Entry(
+                                change.get("value"),
+                                generation,
+                                change.get("hold") instanceof Long grant ? grant : 0));
                 changes.add(new Change(path, change.get("value"), generation));
             } else {
                 drop((String) change.get("drop"));
@@ -284,12 +308,13 @@
             return;
         }
         boolean[] done = {false};
-        Runnable again = () -> {
-            if (!done[0]) {
-                done[0] = true;
-                follow(path, until, answer);
-            }
-        };
+        Runnable again =
+                () -> {
+                    if (!done[0]) {
+                        done[0] = true;
+                        follow(path, until, answer);
+                    }
+                };
         watchers.add(again);
         if (loop.now() < until) {
             loop.at(until, again);
--- a/src/test/java/org/woadloom/sim/StateTroubles.java
+++ b/src/test/java/org/woadloom/sim/StateTroubles.java
@@ -43,23 +43,32 @@
             world.lostAnswersReadElsewhere++;
             lostBy = -1;
         }
-        boolean lost = path.equals("/txn") && now < loseUntil && random.nextInt(100) < lostOfHundred;
-        StateStandIn.Answer answer = !lost ? reply : (status, body) -> {
-            if (status == 200) {
-                world.lostAnswersMade++;
-                lostBy = node;
-                lostAt = world.loop.now();
-            } else {
-                reply.answer(status, body);
-            }
-        };
+        boolean lost =
+                path.equals("/txn") && now < loseUntil && random.nextInt(100) < lostOfHundred;
+        StateStandIn.Answer answer =
+                !lost
+                        ? reply
+                        : (status, body) -> {
+                            if (status == 200) {
+                                world.lostAnswersMade++;
+                                lostBy = node;
+                                lostAt = world.loop.now();
+                            } else {
+                                reply.answer(status, body);
+                            }
+                        };
         if (now >= slowUntil) {
             request.made(answer);
             return;
         }
         long extra = random.nextLong(extraMicros + 1);
         long there = random.nextLong(extra + 1);
-        world.loop.after(there, () -> request.made((status, body) -> world.loop.after(extra - there,
-                () -> answer.answer(status, body))));
+        world.loop.after(
+                there,
+                () ->
+                        request.made(
+                                (status, body) ->
+                                        world.loop.after(
+                                                extra - there, () -> answer.answer(status, body))));
     }
 }
--- a/src/test/java/org/woadloom/sim/StepRenderer.java
+++ b/src/test/java/org/woadloom/sim/StepRenderer.java
@@ -26,15 +26,17 @@
 import org.woadloom.wire.WorkerReport;
 
 /**
- * The commands and effects of a step as text, by what they mean: each has a literal tag and its values in a fixed order,
- * records have the form in which they are stored. No name of a class, method, field or constant gets into the text, so
- * renaming changes nothing of it. A kind that is unknown here is an error.
+ * The commands and effects of a step as text, by what they mean: each has a literal tag and its
+ * values in a fixed order, records have the form in which they are stored. No name of a class,
+ * method, field or constant gets into the text, so renaming changes nothing of it. A kind that is
+ * unknown here is an error.
  */
 final class StepRenderer {
-    private StepRenderer() {
-    }
+    private StepRenderer() {}
 
-    /** One line for the step, one for each command and one for each effect but notes for the log. */
+    /**
+     * One line for the step, one for each command and one for each effect but notes for the log.
+     */
     static String render(int node, long nowMicros, List<Command> commands, List<Effect> effects) {
         StringBuilder out = new StringBuilder();
         line(out, "step ", list(node, nowMicros));
@@ -57,8 +59,12 @@
 
     private static List<Object> command(Command command) {
         if (command instanceof Command.Lead c) {
-            return list("lead", c.term(), each(c.jobs(), StepRenderer::storedJob),
-                    each(c.machines(), StepRenderer::storedMachine), c.cancellationsSeenMicros());
+            return list(
+                    "lead",
+                    c.term(),
+                    each(c.jobs(), StepRenderer::storedJob),
+                    each(c.machines(), StepRenderer::storedMachine),
+                    c.cancellationsSeenMicros());
         } else if (command instanceof Command.StepDown) {
             return list("step-down");
         } else if (command instanceof Command.JobSeen c) {
@@ -74,21 +80,46 @@
         } else if (command instanceof Command.JobFound c) {
             return list("job-found", c.uid(), standing(c.standing()), c.overWallMicros());
         } else if (command instanceof Command.StorageSeen c) {
-            return list("storage", c.valueBytes(), format(c.format()), c.writesPerSecond(), c.care(), c.machineLife());
+            return list(
+                    "storage",
+                    c.valueBytes(),
+                    format(c.format()),
+                    c.writesPerSecond(),
+                    c.care(),
+                    c.machineLife());
         } else if (command instanceof Command.NodeSpoke c) {
-            return list("node-standing", c.node(), nodeStanding(c.standing()), c.cancellationsSeenMicros());
+            return list(
+                    "node-standing",
+                    c.node(),
+                    nodeStanding(c.standing()),
+                    c.cancellationsSeenMicros());
         } else if (command instanceof Command.MachineSeen c) {
-            return list("machine-record", c.host(), c.record() == null ? null : machine(c.record()), c.stamp());
+            return list(
+                    "machine-record",
+                    c.host(),
+                    c.record() == null ? null : machine(c.record()),
+                    c.stamp());
         } else if (command instanceof Command.MachineUnreadable c) {
             return list("machine-record-unreadable", c.host());
         } else if (command instanceof Command.Report c) {
             return list("report", c.replyId(), report(c.report()));
         } else if (command instanceof Command.DirectResult c) {
-            return list("direct-result", c.sendId(), c.host(), c.status(), c.report() == null ? null : report(c.report()));
+            return list(
+                    "direct-result",
+                    c.sendId(),
+                    c.host(),
+                    c.status(),
+                    c.report() == null ? null : report(c.report()));
         } else if (command instanceof Command.JobWritten c) {
             return list("job-written", c.uid(), c.version(), outcome(c.outcome()), c.stamp());
         } else if (command instanceof Command.MachineWritten c) {
-            return list("machine-written", c.host(), c.leaving(), c.dropped(), outcome(c.outcome()), c.stamp());
+            return list(
+                    "machine-written",
+                    c.host(),
+                    c.leaving(),
+                    c.dropped(),
+                    outcome(c.outcome()),
+                    c.stamp());
         } else if (command instanceof Command.TypesSeen c) {
             return list("machine-types", each(c.types(), MachineType::toMap));
         } else if (command instanceof Command.MachinesListed c) {
@@ -98,13 +129,26 @@
         } else if (command instanceof Command.Deleted c) {
             return list("deleted", c.hosts(), c.done());
         } else if (command instanceof Command.RolloutSeen c) {
-            return list("rollout", c.record().toMap(), c.stamp(), sorted(c.words(), StepRenderer::spoken),
-                    sorted(c.asked(), request -> request.toMap()), List.copyOf(new TreeSet<>(c.wordless())), c.agreed(),
-                    c.agreedStamp(), c.refused());
+            return list(
+                    "rollout",
+                    c.record().toMap(),
+                    c.stamp(),
+                    sorted(c.words(), StepRenderer::spoken),
+                    sorted(c.asked(), request -> request.toMap()),
+                    List.copyOf(new TreeSet<>(c.wordless())),
+                    c.agreed(),
+                    c.agreedStamp(),
+                    c.refused());
         } else if (command instanceof Command.RolloutWritten c) {
             return list("rollout-written", c.number(), outcome(c.outcome()), c.stamp());
         } else if (command instanceof Command.RecordsCounted c) {
-            return list("records-counted", c.feature().key(), c.back(), c.read(), c.old(), c.unreadable());
+            return list(
+                    "records-counted",
+                    c.feature().key(),
+                    c.back(),
+                    c.read(),
+                    c.old(),
+                    c.unreadable());
         } else if (command instanceof Command.Tick) {
             return list("time");
         }
@@ -117,7 +161,13 @@
         } else if (effect instanceof Effect.TurnAway e) {
             return list("turn-away", e.replyId());
         } else if (effect instanceof Effect.SendDirect e) {
-            return list("send-direct", e.sendId(), e.host(), e.addr(), e.epoch(), e.tenure(),
+            return list(
+                    "send-direct",
+                    e.sendId(),
+                    e.host(),
+                    e.addr(),
+                    e.epoch(),
+                    e.tenure(),
                     each(e.orders(), Order::toMap));
         } else if (effect instanceof Effect.PutJob e) {
             return list("put-job", job(e.record()), e.stamp(), e.urgent());
@@ -143,12 +193,24 @@
             // Its reason is for the log.
             return list("abdicate");
         } else if (effect instanceof Effect.PutRollout e) {
-            return list("put-rollout", e.record().toMap(), new TreeMap<>(e.conditions()), e.agreed());
+            return list(
+                    "put-rollout", e.record().toMap(), new TreeMap<>(e.conditions()), e.agreed());
         } else if (effect instanceof Effect.CountRecords e) {
             return list("count-records", e.feature().key(), e.back());
         } else if (effect instanceof Effect.ServedSeen e) {
-            return list("served", each(e.rows(), r -> list(r.team(), r.jobClass(), r.accepted(), r.startedWhole(), r.over(),
-                    r.cancelled(), r.longestWaitMicros())));
+            return list(
+                    "served",
+                    each(
+                            e.rows(),
+                            r ->
+                                    list(
+                                            r.team(),
+                                            r.jobClass(),
+                                            r.accepted(),
+                                            r.startedWhole(),
+                                            r.over(),
+                                            r.cancelled(),
+                                            r.longestWaitMicros())));
         }
         throw new IllegalArgumentException("an effect that has no text yet: " + effect);
     }
@@ -164,7 +226,8 @@
         return rendered;
     }
 
-    private static <T> Map<String, Object> sorted(Map<String, T> items, Function<T, Object> render) {
+    private static <T> Map<String, Object> sorted(
+            Map<String, T> items, Function<T, Object> render) {
         Map<String, Object> rendered = new TreeMap<>();
         items.forEach((key, item) -> rendered.put(key, render.apply(item)));
         return rendered;
@@ -197,7 +260,14 @@
     }
 
     private static List<Object> nodeStanding(NodeStanding s) {
-        return list(s.life(), s.aliveMicros(), s.saidMicros(), s.term(), s.echoMicros(), s.promiseMicros(), s.caredMicros(),
+        return list(
+                s.life(),
+                s.aliveMicros(),
+                s.saidMicros(),
+                s.term(),
+                s.echoMicros(),
+                s.promiseMicros(),
+                s.caredMicros(),
                 s.stateSilentMicros());
     }
 
@@ -206,7 +276,14 @@
     }
 
     private static List<Object> listed(ListedMachine m) {
-        return list(m.uid(), m.addr(), m.hosttype(), m.yard(), m.reclaimable(), m.status(), m.heldMicros());
+        return list(
+                m.uid(),
+                m.addr(),
+                m.hosttype(),
+                m.yard(),
+                m.reclaimable(),
+                m.status(),
+                m.heldMicros());
     }
 
     /** As on the wire, but for the span in the warning. */
@@ -226,8 +303,13 @@
     }
 
     private static List<Object> task(TaskReport report) {
-        return list(report.task().uid(), report.task().index(), report.attempt(), state(report.state()),
-                report.cause() == null ? null : cause(report.cause()), report.saved());
+        return list(
+                report.task().uid(),
+                report.task().index(),
+                report.attempt(),
+                state(report.state()),
+                report.cause() == null ? null : cause(report.cause()),
+                report.saved());
     }
 
     private static String state(TaskReport.State state) {
--- a/src/test/java/org/woadloom/sim/StoredValuesGoldenTest.java
+++ b/src/test/java/org/woadloom/sim/StoredValuesGoldenTest.java
@@ -13,14 +13,20 @@
 import org.woadloom.wire.Cbor;
 import org.woadloom.wire.WireException;
 
-/** The shapes of the values that nodes store besides records of jobs and machines, as they are found on simulated days. */
+/**
+ * The shapes of the values that nodes store besides records of jobs and machines, as they are found
+ * on simulated days.
+ */
 class StoredValuesGoldenTest {
     private static final int SLOTS = 8;
     private static final long DAY_MICROS = 120_000_000;
 
     private final Map<String, Object> shapes = new TreeMap<>();
 
-    /** Reports and answers that nodes in different zones exchange through the state service, of either format. */
+    /**
+     * Reports and answers that nodes in different zones exchange through the state service, of
+     * either format.
+     */
     @Test
     void lettersAreAsRecorded() throws WireException, IOException {
         readLetters(new World(1, Day.PLAIN), "packed");
@@ -40,15 +46,20 @@
         }
     }
 
-    private void letter(String format, Map<String, Object> letter) throws WireException, IOException {
+    private void letter(String format, Map<String, Object> letter)
+            throws WireException, IOException {
         if (letter == null) {
             return;
         }
         for (String items : List.of("reports", "answers")) {
-            Object list = letter.containsKey("packed-" + items) ? unpack((String) letter.get("packed-" + items)) : letter.get(items);
+            Object list =
+                    letter.containsKey("packed-" + items)
+                            ? unpack((String) letter.get("packed-" + items))
+                            : letter.get(items);
             if (list instanceof List<?> all && !all.isEmpty()) {
                 shapes.putIfAbsent(format + " " + items, Shape.of(letter));
-                shapes.putIfAbsent(format + " " + items + ", one", Shape.ofEach((List<?>) all.get(0)));
+                shapes.putIfAbsent(
+                        format + " " + items + ", one", Shape.ofEach((List<?>) all.get(0)));
             }
         }
     }
@@ -67,8 +78,15 @@
         world.users(DAY_MICROS);
         world.upgrade(DAY_MICROS);
         world.loop.run(2 * DAY_MICROS);
-        for (String key : List.of("leader", "term", "types", "version/agreed", "version/node/node-0", "rollout/state",
-                "rollout/node/node-0")) {
+        for (String key :
+                List.of(
+                        "leader",
+                        "term",
+                        "types",
+                        "version/agreed",
+                        "version/node/node-0",
+                        "rollout/state",
+                        "rollout/node/node-0")) {
             shapes.put(key, Shape.of(world.stored(key)));
         }
         check("stored-values.txt");
--- a/src/test/java/org/woadloom/sim/ThreeZonesTest.java
+++ b/src/test/java/org/woadloom/sim/ThreeZonesTest.java
@@ -8,7 +8,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Three zones with a controller in each, which fail in pairs; the rules are checked after each step. */
+/**
+ * Three zones with a controller in each, which fail in pairs; the rules are checked after each
+ * step.
+ */
 class ThreeZonesTest {
     private static final long AT = 60_000_000;
     private static final long QUIET = 600_000_000;
@@ -32,7 +35,10 @@
         return leader ? world.leader() : (world.leader() + 1) % World.NODES;
     }
 
-    /** The cut is longer than leases may be renewed; meanwhile the other two nodes take over from each other. */
+    /**
+     * The cut is longer than leases may be renewed; meanwhile the other two nodes take over from
+     * each other.
+     */
     @ParameterizedTest
     @CsvSource({"1,true", "2,false", "3,true", "4,false"})
     void aZoneIsCutWithItsOnlyNodeWhileTheOthersEnd(long seed, boolean leader) {
@@ -60,25 +66,32 @@
         long before = world.term();
         world.run(AT + 50_000_000);
         assertTrue(world.term() <= before + 1, "terms taken: " + (world.term() - before));
-        assertTrue(world.truth.killedByLease <= killed + 2, "tasks killed: " + (world.truth.killedByLease - killed));
+        assertTrue(
+                world.truth.killedByLease <= killed + 2,
+                "tasks killed: " + (world.truth.killedByLease - killed));
         untilAllIsDone(world);
     }
 
-    /** Every controller ends while the state service is down, and a third of a zone's machines are gone without notice. */
+    /**
+     * Every controller ends while the state service is down, and a third of a zone's machines are
+     * gone without notice.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void allControllersEndInAnOutageAsMachinesAreTaken(long seed) {
         World world = day(seed);
         world.stateOutage(12_000_000);
-        world.loop.after(3_000_000, () -> {
-            for (int i = 0; i < World.NODES; i++) {
-                world.end(i, 50_000 + 900_000L * i);
-            }
-            List<WorkerStandIn> workers = world.workers();
-            for (int i = 0; i < workers.size(); i += 3) {
-                workers.get(i).die();
-            }
-        });
+        world.loop.after(
+                3_000_000,
+                () -> {
+                    for (int i = 0; i < World.NODES; i++) {
+                        world.end(i, 50_000 + 900_000L * i);
+                    }
+                    List<WorkerStandIn> workers = world.workers();
+                    for (int i = 0; i < workers.size(); i += 3) {
+                        workers.get(i).die();
+                    }
+                });
         untilAllIsDone(world);
     }
 
@@ -97,8 +110,9 @@
     }
 
     /**
-     * A node is left with its zone's workers while its zone's way to another is cut as well. Its leases end in time for what was
-     * cancelled meanwhile; the new leader's first answer renewed them once more and halted nothing (ran_cancelled).
+     * A node is left with its zone's workers while its zone's way to another is cut as well. Its
+     * leases end in time for what was cancelled meanwhile; the new leader's first answer renewed
+     * them once more and halted nothing (ran_cancelled).
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
--- a/src/test/java/org/woadloom/sim/Truth.java
+++ b/src/test/java/org/woadloom/sim/Truth.java
@@ -20,15 +20,21 @@
     private final SimLoop loop;
     private final ServiceSettings settings;
     final Map<String, JobDescription> submitted = new LinkedHashMap<>();
+
     /** A job that gets no answer for so long when all is well counts as forgotten. */
     private static final long FORGOTTEN_MICROS = 75_000_000;
+
     private static final long WAITING_MICROS = 90_000_000;
+
     /** Since when a job waits though it could begin. */
     private final Map<String, Long> couldBegin = new HashMap<>();
+
     private final Map<String, Long> accepted = new LinkedHashMap<>();
     private final Map<String, Long> pollAnswered = new HashMap<>();
+
     /** No trouble is left from this moment on. */
     long calmFrom = Long.MAX_VALUE / 2;
+
     private final Map<String, Long> toldCancelled = new HashMap<>();
     private final Set<String> askedToCancel = new HashSet<>();
     private final Map<String, String> toldFinal = new HashMap<>();
@@ -36,25 +42,37 @@
     private final Map<TaskId, WorkerStandIn> on = new LinkedHashMap<>();
     private final Set<TaskId> done = new HashSet<>();
     private final Set<String> ran = new HashSet<>();
+
     /** Jobs that can't run, or lack a field: none of them may be accepted. */
     final Set<String> unfit = new HashSet<>();
-    /** A leader has heard of a task's end, and its record names the next one, after two reports and a write. */
+
+    /**
+     * A leader has heard of a task's end, and its record names the next one, after two reports and
+     * a write.
+     */
     private static final long HEARD_MICROS = 4_000_000;
+
     private final ArrayDeque<End> freed = new ArrayDeque<>();
 
-    private record End(long micros, String crew, double vcpus) {
-    }
+    private record End(long micros, String crew, double vcpus) {}
 
     /** Hears of each job whose last task has just been completed. */
-    Consumer<String> lastTaskEnded = uid -> {
-    };
-    /** Starts of tasks after a user was told that their job is cancelled; a rule is broken if they stay for too long. */
+    Consumer<String> lastTaskEnded = uid -> {};
+
+    /**
+     * Starts of tasks after a user was told that their job is cancelled; a rule is broken if they
+     * stay for too long.
+     */
     int startsAfterCancellation;
+
     int starts;
+
     /** Running tasks that were killed because their worker's lease ended. */
     int killedByLease;
+
     /** Jobs of which users were told that they are cancelled while tasks of theirs ran. */
     int cancelledWhileRunning;
+
     /** Starts of tasks whose job waited for others. */
     int releases;
 
@@ -75,7 +93,8 @@
         }
         WorkerStandIn other = on.get(task);
         if (other != null && other != worker) {
-            throw new Violation("ran_twice", task + " starts on " + worker.host + " while on " + other.host);
+            throw new Violation(
+                    "ran_twice", task + " starts on " + worker.host + " while on " + other.host);
         }
         if (!worker.fits(job)) {
             throw new Violation("wrong_place", task + " on " + worker.host);
@@ -105,7 +124,11 @@
     }
 
     void ended(TaskId task, WorkerStandIn worker, boolean completed) {
-        freed.add(new End(loop.now(), submitted.get(task.uid()).crew(), submitted.get(task.uid()).vcpus()));
+        freed.add(
+                new End(
+                        loop.now(),
+                        submitted.get(task.uid()).crew(),
+                        submitted.get(task.uid()).vcpus()));
         on.remove(task, worker);
         if (completed && done.add(task) && allDone(task.uid())) {
             lastTaskEnded.accept(task.uid());
@@ -122,18 +145,29 @@
     /** The machines that have tasks of these jobs. */
     Set<WorkerStandIn> machinesOf(Collection<String> jobs) {
         Set<WorkerStandIn> machines = new LinkedHashSet<>();
-        on.forEach((task, worker) -> {
-            if (jobs.contains(task.uid())) {
-                machines.add(worker);
-            }
-        });
+        on.forEach(
+                (task, worker) -> {
+                    if (jobs.contains(task.uid())) {
+                        machines.add(worker);
+                    }
+                });
         return machines;
     }
 
-    /** Jobs of this importance or more, or of less, that have tasks which are neither done nor on a machine. */
+    /**
+     * Jobs of this importance or more, or of less, that have tasks which are neither done nor on a
+     * machine.
+     */
     int waiting(Rank rank, boolean less) {
-        return (int) accepted.keySet().stream().filter(uid -> !isOver(uid) && submitted.get(uid).rank().compareTo(rank) < 0 == less
-                && hasWaiting(submitted.get(uid))).count();
+        return (int)
+                accepted.keySet().stream()
+                        .filter(
+                                uid ->
+                                        !isOver(uid)
+                                                && submitted.get(uid).rank().compareTo(rank) < 0
+                                                        == less
+                                                && hasWaiting(submitted.get(uid)))
+                        .count();
     }
 
     private boolean hasWaiting(JobDescription job) {
@@ -147,9 +181,9 @@
     }
 
     /**
-     * When all is well no job waits for long for a machine that is there and has room, below its team's limit. What fetches its
-     * image counts for the limit here, and what ended a moment ago, of which no leader may have heard yet: a team whose short tasks
-     * follow each other is at it.
+     * When all is well no job waits for long for a machine that is there and has room, below its
+     * team's limit. What fetches its image counts for the limit here, and what ended a moment ago,
+     * of which no leader may have heard yet: a team whose short tasks follow each other is at it.
      */
     void checkWaiting(Collection<WorkerStandIn> workers) {
         if (loop.now() < calmFrom) {
@@ -158,15 +192,28 @@
         for (String uid : accepted.keySet()) {
             JobDescription job = submitted.get(uid);
             // Those whose tasks go together need more than room for one.
-            boolean could = !isOver(uid) && !askedToCancel.contains(uid) && cancelledBefore(uid) == null && !job.gang() && !job.samePlace()
-                    && !job.apart() && job.awaits().stream().allMatch(this::allDone) && hasWaiting(job)
-                    && heldOrJustFreed(job.crew(), workers) + job.vcpus() <= settings.team(job.crew()).cpusMax()
-                    && workers.stream().anyMatch(worker -> worker.takes(job));
+            boolean could =
+                    !isOver(uid)
+                            && !askedToCancel.contains(uid)
+                            && cancelledBefore(uid) == null
+                            && !job.gang()
+                            && !job.samePlace()
+                            && !job.apart()
+                            && job.awaits().stream().allMatch(this::allDone)
+                            && hasWaiting(job)
+                            && heldOrJustFreed(job.crew(), workers) + job.vcpus()
+                                    <= settings.team(job.crew()).cpusMax()
+                            && workers.stream().anyMatch(worker -> worker.takes(job));
             if (!could) {
                 couldBegin.remove(uid);
-            } else if (loop.now() - couldBegin.computeIfAbsent(uid, key -> loop.now()) > WAITING_MICROS) {
-                throw new Violation("left_waiting", uid + " has tasks that wait while there is room, since "
-                        + couldBegin.get(uid) / 1_000_000 + " s");
+            } else if (loop.now() - couldBegin.computeIfAbsent(uid, key -> loop.now())
+                    > WAITING_MICROS) {
+                throw new Violation(
+                        "left_waiting",
+                        uid
+                                + " has tasks that wait while there is room, since "
+                                + couldBegin.get(uid) / 1_000_000
+                                + " s");
             }
         }
     }
@@ -186,7 +233,10 @@
         double room = team.cpusMax() - used(team.name());
         for (String uid : accepted.keySet()) {
             JobDescription job = submitted.get(uid);
-            if (job.crew().equals(team.name()) && !isOver(uid) && job.vcpus() > room && hasWaiting(job)) {
+            if (job.crew().equals(team.name())
+                    && !isOver(uid)
+                    && job.vcpus() > room
+                    && hasWaiting(job)) {
                 return true;
             }
         }
@@ -223,7 +273,8 @@
     private void cancelCheck(TaskId task) {
         Long told = toldCancelled.get(task.uid());
         if (told != null && loop.now() - told > settings.workers().cancelMicros()) {
-            throw new Violation("ran_cancelled", task + " is on a machine too long after the cancellation");
+            throw new Violation(
+                    "ran_cancelled", task + " is on a machine too long after the cancellation");
         }
     }
 
@@ -242,7 +293,10 @@
         askedToCancel.add(uid);
     }
 
-    /** An answer to a request that was sent at the given time: it may be older than what was told after that. */
+    /**
+     * An answer to a request that was sent at the given time: it may be older than what was told
+     * after that.
+     */
     void answered(String request, String uid, long sent, int status, Map<String, Object> body) {
         if ((status == 200 || status == 201) && unfit.contains(uid)) {
             throw new Violation("accepted_unfit", request + " " + uid + " " + status);
@@ -251,7 +305,9 @@
         if (status == 200 && !known) {
             throw new Violation("invented", uid);
         }
-        if (accepted.getOrDefault(uid, Long.MAX_VALUE) < sent && (status == 404 || request.equals("submit") && (status == 400 || status == 422))) {
+        if (accepted.getOrDefault(uid, Long.MAX_VALUE) < sent
+                && (status == 404
+                        || request.equals("submit") && (status == 400 || status == 422))) {
             throw new Violation("forgotten", request + " " + uid + " " + status);
         }
         if (request.equals("poll") && accepted.containsKey(uid)) {
@@ -259,18 +315,22 @@
             if (status == 200) {
                 pollAnswered.put(uid, loop.now());
             } else if (loop.now() - last > FORGOTTEN_MICROS) {
-                throw new Violation("forgotten", uid + " gets no answer for " + (loop.now() - last) / 1_000_000 + " s");
+                throw new Violation(
+                        "forgotten",
+                        uid + " gets no answer for " + (loop.now() - last) / 1_000_000 + " s");
             }
         }
         if (status != 200 && status != 201) {
             return;
         }
-        // Whoever answers so has told that it is accepted, also if no answer to the submission ever came.
+        // Whoever answers so has told that it is accepted, also if no answer to the submission ever
+        // came.
         accepted.putIfAbsent(uid, loop.now());
         String said = (String) body.get("status");
         String before = toldFinal.get(uid);
         boolean end = said.equals("done") || said.equals("cancelled");
-        // Only an answer that is not final may be older, and only to a request from before the end was told.
+        // Only an answer that is not final may be older, and only to a request from before the end
+        // was told.
         if (before != null && !before.equals(said) && (end || toldFinalAt.get(uid) < sent)) {
             throw new Violation("went_back", uid + " was " + before + " and is " + said);
         }
@@ -316,7 +376,10 @@
                 told = cancelledBefore(before);
             }
             // What names a cancelled job has its time from its own acceptance.
-            told = told == null ? null : (Long) Math.max(told, accepted.getOrDefault(uid, Long.MAX_VALUE / 2));
+            told =
+                    told == null
+                            ? null
+                            : (Long) Math.max(told, accepted.getOrDefault(uid, Long.MAX_VALUE / 2));
             first = first == null || told != null && told < first ? told : first;
         }
         return first;
@@ -324,13 +387,22 @@
 
     /** Jobs of which some tasks are done and others are on machines. */
     int partlyDone() {
-        return (int) running().stream().filter(uid -> !submitted.get(uid).service()
-                && done.stream().anyMatch(task -> task.uid().equals(uid))).count();
+        return (int)
+                running().stream()
+                        .filter(
+                                uid ->
+                                        !submitted.get(uid).service()
+                                                && done.stream()
+                                                        .anyMatch(task -> task.uid().equals(uid)))
+                        .count();
     }
 
     /** Jobs of which users know no end yet, and that a job before them is cancelled. */
     int waitingForCancelled() {
-        return (int) accepted.keySet().stream().filter(uid -> !isOver(uid) && cancelledBefore(uid) != null).count();
+        return (int)
+                accepted.keySet().stream()
+                        .filter(uid -> !isOver(uid) && cancelledBefore(uid) != null)
+                        .count();
     }
 
     /** True if its user, or the user of a job before it that is not done, asked for that. */
--- a/src/test/java/org/woadloom/sim/UserTroubles.java
+++ b/src/test/java/org/woadloom/sim/UserTroubles.java
@@ -11,13 +11,33 @@
 import org.woadloom.wire.JobDescription;
 import org.woadloom.wire.WireException;
 
-/** What users do beyond what they do every day: they look closely, ask for what can't be, and call jobs off at bad moments. */
+/**
+ * What users do beyond what they do every day: they look closely, ask for what can't be, and call
+ * jobs off at bad moments.
+ */
 final class UserTroubles {
     private static final int LOOKS = 3;
     private static final int MOST_HUNG = 8;
+
     /** A job must have these; the others may be null, and so may be missing. */
-    static final List<String> REQUIRED = List.of("jobclass", "crew", "shape", "rank", "shards", "vcpus", "cards", "ramGb", "bundle",
-            "pullGb", "samePlace", "apart", "reclaimable", "runtimeS", "snapshotEveryS", "snapshotCostS");
+    static final List<String> REQUIRED =
+            List.of(
+                    "jobclass",
+                    "crew",
+                    "shape",
+                    "rank",
+                    "shards",
+                    "vcpus",
+                    "cards",
+                    "ramGb",
+                    "bundle",
+                    "pullGb",
+                    "samePlace",
+                    "apart",
+                    "reclaimable",
+                    "runtimeS",
+                    "snapshotEveryS",
+                    "snapshotCostS");
 
     private final World world;
     private final Random random;
@@ -38,7 +58,9 @@
 
     /** A user was told something of a job; what is new is looked at closely by all who care. */
     void told(String uid, int status) {
-        if (world.loop.now() >= lookUntil || status != 200 && status != 201 || !lookedAt.add(uid + world.truth.isOver(uid))) {
+        if (world.loop.now() >= lookUntil
+                || status != 200 && status != 201
+                || !lookedAt.add(uid + world.truth.isOver(uid))) {
             return;
         }
         world.closeLooks++;
@@ -48,7 +70,9 @@
                 world.loop.after(1 + random.nextInt(30_000), () -> ask(index, uid));
             }
         }
-        world.loop.after(1 + random.nextInt(10_000), () -> repeat(uid, world.truth.submitted.get(uid).toMap()));
+        world.loop.after(
+                1 + random.nextInt(10_000),
+                () -> repeat(uid, world.truth.submitted.get(uid).toMap()));
         if (random.nextInt(5) == 0) {
             world.loop.after(1 + random.nextInt(20_000), () -> world.cancel(uid));
         }
@@ -56,23 +80,37 @@
 
     private void ask(int node, String uid) {
         long sent = world.loop.now();
-        world.toNode("users", node, "GET", "/v1/jobs/" + uid, null, 2_000_000,
+        world.toNode(
+                "users",
+                node,
+                "GET",
+                "/v1/jobs/" + uid,
+                null,
+                2_000_000,
                 (status, body) -> world.answered("poll", uid, sent, status, body));
     }
 
     private void repeat(String uid, Map<String, Object> job) {
         long sent = world.loop.now();
-        world.toNode("users", random.nextInt(World.NODES), "POST", "/v1/jobs", job, 5_000_000,
+        world.toNode(
+                "users",
+                random.nextInt(World.NODES),
+                "POST",
+                "/v1/jobs",
+                job,
+                5_000_000,
                 (status, body) -> world.answered("submit", uid, sent, status, body));
     }
 
     void oddRequests(long until) {
-        world.loop.after(100_000 + random.nextInt(500_000), () -> {
-            if (world.loop.now() < until) {
-                oddRequest(odd++ % 5);
-                oddRequests(until);
-            }
-        });
+        world.loop.after(
+                100_000 + random.nextInt(500_000),
+                () -> {
+                    if (world.loop.now() < until) {
+                        oddRequest(odd++ % 5);
+                        oddRequests(until);
+                    }
+                });
     }
 
     private void oddRequest(int kind) {
@@ -86,7 +124,13 @@
         Map<String, Object> job = kind < 3 ? world.truth.submitted.get(uid).toMap() : plain(uid);
         if (kind == 2) {
             long sent = world.loop.now();
-            world.toNode("users", random.nextInt(World.NODES), "POST", "/v1/jobs/" + uid + "/cancel", Map.of(), 5_000_000,
+            world.toNode(
+                    "users",
+                    random.nextInt(World.NODES),
+                    "POST",
+                    "/v1/jobs/" + uid + "/cancel",
+                    Map.of(),
+                    5_000_000,
                     (status, body) -> world.answered("cancel", uid, sent, status, body));
             return;
         }
@@ -122,7 +166,8 @@
         Collections.shuffle(running, random);
         List<String> chosen = running.subList(0, Math.min(count, running.size()));
         if (hangMicros > 0) {
-            world.truth.machinesOf(chosen).stream().limit(MOST_HUNG)
+            world.truth.machinesOf(chosen).stream()
+                    .limit(MOST_HUNG)
                     .forEach(worker -> worker.hungUntil = world.loop.now() + hangMicros);
         }
         chosen.forEach(uid -> world.loop.after(random.nextInt(200_000), () -> world.cancel(uid)));
@@ -138,30 +183,32 @@
     void lastTaskEnded(String uid) {
         if (world.loop.now() < endsUntil && random.nextInt(100) < endsOfHundred) {
             world.cancelledAtEnd++;
-            world.loop.after(random.nextBoolean() ? 1 : random.nextInt(800_000), () -> world.cancel(uid));
+            world.loop.after(
+                    random.nextBoolean() ? 1 : random.nextInt(800_000), () -> world.cancel(uid));
         }
     }
 
     void oneTaskJobs(int perSecond, long until, int ofHundredCancelled) {
-        world.loop.after(1_000_000 / perSecond, () -> {
-            if (world.loop.now() < until) {
-                String uid = world.newUid();
-                Map<String, Object> job = plain(uid);
-                try {
-                    world.truth.submitting(JobDescription.parse(job));
-                } catch (WireException e) {
-                    throw new IllegalStateException(e);
-                }
-                world.oneTaskJobsMade++;
-                world.submit(uid, job, world.loop.now() + 60_000_000, accepted -> {
+        world.loop.after(
+                1_000_000 / perSecond,
+                () -> {
+                    if (world.loop.now() < until) {
+                        String uid = world.newUid();
+                        Map<String, Object> job = plain(uid);
+                        try {
+                            world.truth.submitting(JobDescription.parse(job));
+                        } catch (WireException e) {
+                            throw new IllegalStateException(e);
+                        }
+                        world.oneTaskJobsMade++;
+                        world.submit(uid, job, world.loop.now() + 60_000_000, accepted -> {});
+                        if (random.nextInt(100) < ofHundredCancelled) {
+                            world.oneTaskJobsCancelled++;
+                            world.loop.after(random.nextInt(6_000_000), () -> world.cancel(uid));
+                        }
+                        oneTaskJobs(perSecond, until, ofHundredCancelled);
+                    }
                 });
-                if (random.nextInt(100) < ofHundredCancelled) {
-                    world.oneTaskJobsCancelled++;
-                    world.loop.after(random.nextInt(6_000_000), () -> world.cancel(uid));
-                }
-                oneTaskJobs(perSecond, until, ofHundredCancelled);
-            }
-        });
     }
 
     /** A job with every field, of one small task. */
--- a/src/test/java/org/woadloom/sim/UserWritesTest.java
+++ b/src/test/java/org/woadloom/sim/UserWritesTest.java
@@ -19,64 +19,101 @@
 import org.woadloom.settings.Team;
 import org.woadloom.state.JobRecord;
 import org.woadloom.state.RecordFormat;
-import org.woadloom.state.StateClient;
 import org.woadloom.wire.Cbor;
 import org.woadloom.wire.MachineType;
 import org.woadloom.wire.WireException;
 
-/** What users hear of submissions and cancellations whose transactions have no answer, or a late one; and of types added since. */
+/**
+ * What users hear of submissions and cancellations whose transactions have no answer, or a late
+ * one; and of types added since.
+ */
 class UserWritesTest {
-    private static final ServiceSettings.State LIMITS = new ServiceSettings.State(150, 60, 8192, 12, null);
-    private static final ServiceSettings SETTINGS = new ServiceSettings("node", "a", "0:1", "0:2", List.of(), "cloud", "state",
-            List.of("a", "b"), List.of(new Team("team", 8, 8, 0, 0)), List.of(), new ServiceSettings.Workers(1, 1, 1), LIMITS,
-            new ServiceSettings.Cloud(1, 1), new ServiceSettings.Resources(1, 1, 1));
-    private static final MachineType TYPE = new MachineType("m", 4, 0, 8, 50, 1, 1, 0.3, 30_000_000, List.of("a"));
-    private static final MachineType ADDED = new MachineType("added", 8, 0, 32, 50, 1, 1, 0.3, 30_000_000, List.of("b"));
+    private static final ServiceSettings.State LIMITS =
+            new ServiceSettings.State(150, 60, 8192, 12, null);
+    private static final ServiceSettings SETTINGS =
+            new ServiceSettings(
+                    "node",
+                    "a",
+                    "0:1",
+                    "0:2",
+                    List.of(),
+                    "cloud",
+                    "state",
+                    List.of("a", "b"),
+                    List.of(new Team("team", 8, 8, 0, 0)),
+                    List.of(),
+                    new ServiceSettings.Workers(1, 1, 1),
+                    LIMITS,
+                    new ServiceSettings.Cloud(1, 1),
+                    new ServiceSettings.Resources(1, 1, 1));
+    private static final MachineType TYPE =
+            new MachineType("m", 4, 0, 8, 50, 1, 1, 0.3, 30_000_000, List.of("a"));
+    private static final MachineType ADDED =
+            new MachineType("added", 8, 0, 32, 50, 1, 1, 0.3, 30_000_000, List.of("b"));
 
     private final SimLoop sim = new SimLoop();
-    private final StateStandIn store = new StateStandIn(sim, new ServiceSettings.State(10_000, 10_000, 8192, 12, null));
+    private final StateStandIn store =
+            new StateStandIn(sim, new ServiceSettings.State(10_000, 10_000, 8192, 12, null));
     private final Random random = new Random(11);
-    /** How many of a hundred transactions have no answer; they are carried out so much later, or never if below 0. */
+
+    /**
+     * How many of a hundred transactions have no answer; they are carried out so much later, or
+     * never if below 0.
+     */
     private int unanswered;
+
     private long carriedOutAfter;
     private int lost;
     private int reads;
     private final Map<String, Integer> hints = new LinkedHashMap<>();
     private List<MachineType> types = List.of(TYPE);
+
     /** What the cloud would say, null in an outage of it. */
     private List<MachineType> offered = types;
+
     private int typesRead;
-    private final JobApi api = new JobApi(sim.loop(), StateStandIn.client(sim.loop(), this::request, LIMITS, 3), SETTINGS,
-            new JobApi.Storage() {
-                @Override
-                public RecordFormat format() {
-                    return RecordFormat.COMPACT;
-                }
-
-                @Override
-                public int valueBytes() {
-                    return 8192;
-                }
-
-                @Override
-                public void seen(RecordFormat format) {
-                }
-            }, new JobApi.Types() {
-                @Override
-                public List<MachineType> types() {
-                    return types;
-                }
-
-                @Override
-                public void readAnew(Consumer<Boolean> answered) {
-                    typesRead++;
-                    sim.after(5_000, () -> {
-                        types = offered == null ? types : offered;
-                        answered.accept(offered != null);
-                    });
-                }
-            }, (record, stamp) -> hints.merge(record.description().uid() + record.cancelled(), 1, Integer::sum),
-            (uid, patience, answer) -> answer.accept(true));
+    private final JobApi api =
+            new JobApi(
+                    sim.loop(),
+                    StateStandIn.client(sim.loop(), this::request, LIMITS, 3),
+                    SETTINGS,
+                    new JobApi.Storage() {
+                        @Override
+                        public RecordFormat format() {
+                            return RecordFormat.COMPACT;
+                        }
+
+                        @Override
+                        public int valueBytes() {
+                            return 8192;
+                        }
+
+                        @Override
+                        public void seen(RecordFormat format) {}
+                    },
+                    new JobApi.Types() {
+                        @Override
+                        public List<MachineType> types() {
+                            return types;
+                        }
+
+                        @Override
+                        public void readAnew(Consumer<Boolean> answered) {
+                            typesRead++;
+                            sim.after(
+                                    5_000,
+                                    () -> {
+                                        types = offered == null ? types : offered;
+                                        answered.accept(offered != null);
+                                    });
+                        }
+                    },
+                    (record, stamp) ->
+                            hints.merge(
+                                    record.description().uid() + record.cancelled(),
+                                    1,
+                                    Integer::sum),
+                    (uid, patience, answer) -> answer.accept(true));
 
     /** What one request came to. */
     private static final class Asked {
@@ -94,18 +131,34 @@
         }
     }
 
-    private void request(String address, String method, String path, byte[] body, long timeout, HttpTransport.Callback callback) {
+    private void request(
+            String address,
+            String method,
+            String path,
+            byte[] body,
+            long timeout,
+            HttpTransport.Callback callback) {
         boolean[] answered = {false};
         sim.after(timeout, () -> answer(answered, callback, HttpTransport.NO_RESPONSE, Map.of()));
         boolean none = path.equals("/txn") && random.nextInt(100) < unanswered;
         lost += none ? 1 : 0;
         reads += method.equals("GET") ? 1 : 0;
         if (!none || carriedOutAfter >= 0) {
-            sim.after(none ? 3_000 + carriedOutAfter : 3_000, () -> handle(method, path, body, (status, map) -> sim.after(2_000, () -> {
-                if (!none) {
-                    answer(answered, callback, status, map);
-                }
-            })));
+            sim.after(
+                    none ? 3_000 + carriedOutAfter : 3_000,
+                    () ->
+                            handle(
+                                    method,
+                                    path,
+                                    body,
+                                    (status, map) ->
+                                            sim.after(
+                                                    2_000,
+                                                    () -> {
+                                                        if (!none) {
+                                                            answer(answered, callback, status, map);
+                                                        }
+                                                    })));
         }
     }
 
@@ -117,7 +170,11 @@
         }
     }
 
-    private static void answer(boolean[] answered, HttpTransport.Callback callback, int status, Map<String, Object> map) {
+    private static void answer(
+            boolean[] answered,
+            HttpTransport.Callback callback,
+            int status,
+            Map<String, Object> map) {
         if (!answered[0]) {
             answered[0] = true;
             callback.answered(status, status > 0 ? Cbor.encode(map) : new byte[0]);
@@ -127,11 +184,12 @@
     private Asked ask(String uid, Consumer<Consumer<Response>> request) {
         Asked asked = new Asked(uid);
         long from = sim.now();
-        request.accept(response -> {
-            asked.answers++;
-            asked.response = response;
-            asked.tookMicros = sim.now() - from;
-        });
+        request.accept(
+                response -> {
+                    asked.answers++;
+                    asked.response = response;
+                    asked.tookMicros = sim.now() - from;
+                });
         return asked;
     }
 
@@ -158,7 +216,10 @@
         return asked.stream().filter(one -> one.toldWithin(micros)).count() / (double) asked.size();
     }
 
-    /** Three tenths of the answers are lost, and with them the time until a time-out; now users hear of what was carried out. */
+    /**
+     * Three tenths of the answers are lost, and with them the time until a time-out; now users hear
+     * of what was carried out.
+     */
     @ParameterizedTest
     @ValueSource(longs = {0, 700_000})
     void whatWasCarriedOutIsToldWithoutItsAnswer(long later) {
@@ -176,10 +237,16 @@
         assertEquals(1, share(submitted, within));
         assertEquals(1, share(cancelled, within));
         assertEquals(2 * submitted.size(), hints.size(), "each change is told to the leader");
-        assertEquals(List.of(), hints.entrySet().stream().filter(hint -> hint.getValue() != 1).toList(), "and once");
+        assertEquals(
+                List.of(),
+                hints.entrySet().stream().filter(hint -> hint.getValue() != 1).toList(),
+                "and once");
     }
 
-    /** What is not there may be carried out still, or never: nobody hears of it, and two reads at most look for it. */
+    /**
+     * What is not there may be carried out still, or never: nobody hears of it, and two reads at
+     * most look for it.
+     */
     @Test
     void whatIsNotThereProvesNothing() {
         unanswered = 100;
@@ -203,16 +270,28 @@
         sim.run(sim.now() + 100_000);
         Map<String, Object> record = new LinkedHashMap<>(store.value("job/" + submitted.uid));
         record.put("running", 1L);
-        store.handle("POST", "/txn", Map.of("if", List.of(), "then", List.of(Map.of("put", "job/" + submitted.uid, "value", record))),
+        store.handle(
+                "POST",
+                "/txn",
+                Map.of(
+                        "if",
+                        List.of(),
+                        "then",
+                        List.of(Map.of("put", "job/" + submitted.uid, "value", record))),
                 (status, answer) -> assertEquals(200, status));
         unanswered = 0;
         sim.run(sim.now() + 3_000_000);
         assertTrue(cancelled.toldWithin(1_000_000), cancelled.tookMicros + " us");
-        assertTrue(JobRecord.formatOf(store.value("job/" + submitted.uid)) == RecordFormat.COMPACT
-                && Boolean.TRUE.equals(store.value("job/" + submitted.uid).get("cancelled")));
+        assertTrue(
+                JobRecord.formatOf(store.value("job/" + submitted.uid)) == RecordFormat.COMPACT
+                        && Boolean.TRUE.equals(
+                                store.value("job/" + submitted.uid).get("cancelled")));
     }
 
-    /** A type that was added after this node read the types is no reason to refuse a job; without the cloud it can't be said. */
+    /**
+     * A type that was added after this node read the types is no reason to refuse a job; without
+     * the cloud it can't be said.
+     */
     @Test
     void whatFitsATypeThatWasAddedIsAccepted() {
         Map<String, Object> job = job(1);
--- a/src/test/java/org/woadloom/sim/UsersMeetingsTest.java
+++ b/src/test/java/org/woadloom/sim/UsersMeetingsTest.java
@@ -8,14 +8,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What users ask meets what just happened to their jobs; that it did is counted, and the rules are checked after each step. */
+/**
+ * What users ask meets what just happened to their jobs; that it did is counted, and the rules are
+ * checked after each step.
+ */
 class UsersMeetingsTest {
     private static final int SEEDS = Integer.getInteger("seeds", 3);
     private static final long AT = 20_000_000;
     private static final long FOR = 120_000_000;
 
     enum Meeting {
-        /** A cancellation, questions and a repeated submission meet the end of a job's last task. */
+        /**
+         * A cancellation, questions and a repeated submission meet the end of a job's last task.
+         */
         END_OF_THE_LAST_TASK {
             @Override
             void begin(World world) {
@@ -28,7 +33,10 @@
                 return Math.min(world.cancelledAtEnd, world.closeLooks);
             }
         },
-        /** Submissions of known jobs come again, also with a field missing, and jobs that can't run or lack a field. */
+        /**
+         * Submissions of known jobs come again, also with a field missing, and jobs that can't run
+         * or lack a field.
+         */
         ODD_REQUESTS {
             @Override
             void begin(World world) {
@@ -40,7 +48,10 @@
                 return world.oddRequestsMade;
             }
         },
-        /** Transactions are carried out, their answers are lost, and other nodes are asked for what they wrote. */
+        /**
+         * Transactions are carried out, their answers are lost, and other nodes are asked for what
+         * they wrote.
+         */
         LOST_ANSWERS {
             @Override
             void begin(World world) {
@@ -74,7 +85,9 @@
     void rulesHoldInEachMeeting(Meeting meeting) {
         for (long seed = 1; seed <= SEEDS; seed++) {
             World world = day(seed, Day.PLAIN, meeting);
-            assertTrue(meeting.came(world) >= 5, meeting + " occurred " + meeting.came(world) + " times, seed " + seed);
+            assertTrue(
+                    meeting.came(world) >= 5,
+                    meeting + " occurred " + meeting.came(world) + " times, seed " + seed);
             assertEquals(List.of(), world.unfinished(), meeting + ", seed " + seed);
         }
     }
--- a/src/test/java/org/woadloom/sim/WaitingJobs.java
+++ b/src/test/java/org/woadloom/sim/WaitingJobs.java
@@ -5,7 +5,10 @@
 import org.woadloom.wire.JobDescription;
 import org.woadloom.wire.TaskId;
 
-/** No job is left waiting while a machine that fits has room for a task of it and its team is below its limit. */
+/**
+ * No job is left waiting while a machine that fits has room for a task of it and its team is below
+ * its limit.
+ */
 final class WaitingJobs {
     private static final long EVERY_MICROS = 1_000_000;
     private static final long LONGEST_MICROS = 90_000_000;
@@ -13,12 +16,16 @@
     private final World world;
     private final long fromMicros;
     private final Map<String, Long> sinceMicros = new HashMap<>();
+
     /** How often a job was found waiting so. */
     int seen;
+
     /** The longest that any has waited so, without a break. */
     long longestMicros;
 
-    /** @param fromMicros when the last trouble is over */
+    /**
+     * @param fromMicros when the last trouble is over
+     */
     WaitingJobs(World world, long fromMicros) {
         this.world = world;
         this.fromMicros = fromMicros;
@@ -36,8 +43,14 @@
             seen++;
             longestMicros = Math.max(longestMicros, waited);
             if (waited > LONGEST_MICROS) {
-                throw new Violation("left_waiting", uid + " of " + world.truth.submitted.get(uid).crew() + " has waited for "
-                        + waited / 1_000_000 + " s while a machine has room");
+                throw new Violation(
+                        "left_waiting",
+                        uid
+                                + " of "
+                                + world.truth.submitted.get(uid).crew()
+                                + " has waited for "
+                                + waited / 1_000_000
+                                + " s while a machine has room");
             }
         }
         world.loop.after(EVERY_MICROS, this::look);
@@ -56,18 +69,28 @@
         }
         int together = job.gang() ? waiting : 1;
         double needed = together * job.vcpus();
-        if (waiting == 0 || world.truth.used(job.crew()) + needed > world.settings.team(job.crew()).cpusMax() + 1e-6) {
+        if (waiting == 0
+                || world.truth.used(job.crew()) + needed
+                        > world.settings.team(job.crew()).cpusMax() + 1e-6) {
             return false;
         }
         Map<String, Integer> room = new HashMap<>();
         for (WorkerStandIn machine : world.workers()) {
             String yard = machine.yard;
-            boolean fits = !machine.dead && (job.yard() == null || job.yard().equals(yard))
-                    && (job.hosttypes() == null || job.hosttypes().contains(machine.hosttype)) && (job.reclaimable() || !machine.reclaimable)
-                    && (!job.samePlace() || placed.isEmpty() || placed.containsKey(yard))
-                    && (!job.apart() || placed.getOrDefault(yard, 0) < (job.shards() + 1) / 2);
+            boolean fits =
+                    !machine.dead
+                            && (job.yard() == null || job.yard().equals(yard))
+                            && (job.hosttypes() == null
+                                    || job.hosttypes().contains(machine.hosttype))
+                            && (job.reclaimable() || !machine.reclaimable)
+                            && (!job.samePlace() || placed.isEmpty() || placed.containsKey(yard))
+                            && (!job.apart()
+                                    || placed.getOrDefault(yard, 0) < (job.shards() + 1) / 2);
             if (fits) {
-                room.merge(job.samePlace() ? yard : "", (int) (machine.free() / job.vcpus() + 1e-9), Integer::sum);
+                room.merge(
+                        job.samePlace() ? yard : "",
+                        (int) (machine.free() / job.vcpus() + 1e-9),
+                        Integer::sum);
             }
         }
         return room.values().stream().anyMatch(count -> count >= together);
--- a/src/test/java/org/woadloom/sim/WorkerStandIn.java
+++ b/src/test/java/org/woadloom/sim/WorkerStandIn.java
@@ -44,20 +44,35 @@
     private boolean changed;
     boolean dead;
     long hungUntil;
+
     /** Its reports arrive until then, and neither answers nor commands reach it. */
     long deafUntil;
+
     /** Commands reach it until then, and nothing that it says arrives. */
     long muteUntil;
-    /** It can't open connections to any node until then; commands reach it, and their answers arrive. */
+
+    /**
+     * It can't open connections to any node until then; commands reach it, and their answers
+     * arrive.
+     */
     long closedInUntil;
+
     /** Its running tasks that were killed because its lease ended. */
     int killedByLease;
+
     /** Tasks that began here. */
     int started;
+
     /** The highest token that it was sent, whether it arrived or not. */
     long tokenSent;
 
-    WorkerStandIn(World world, String host, String hosttype, String yard, boolean reclaimable, double vcpus) {
+    WorkerStandIn(
+            World world,
+            String host,
+            String hosttype,
+            String yard,
+            boolean reclaimable,
+            double vcpus) {
         this.world = world;
         this.host = host;
         this.addr = host + ":9000";
@@ -71,30 +86,38 @@
         watchLease();
     }
 
-    /** The lease ends on time, also on a machine that hangs: it has no tasks any more when it goes on. */
+    /**
+     * The lease ends on time, also on a machine that hangs: it has no tasks any more when it goes
+     * on.
+     */
     private void watchLease() {
-        world.loop.at(leaseFrom + world.settings.workers().leaseMicros() + 1, () -> {
-            if (!dead) {
-                checkLease();
-                watchLease();
-            }
-        });
+        world.loop.at(
+                leaseFrom + world.settings.workers().leaseMicros() + 1,
+                () -> {
+                    if (!dead) {
+                        checkLease();
+                        watchLease();
+                    }
+                });
     }
 
     private void beat() {
         long period = world.settings.workers().reportMicros();
-        world.loop.after(period / 4 + world.random.nextInt((int) (period / 8)), () -> {
-            if (dead) {
-                return;
-            }
-            if (!hung()) {
-                checkLease();
-                if (reportSent < 0 && (changed || world.loop.now() - lastReport >= period)) {
-                    report();
-                }
-            }
-            beat();
-        });
+        world.loop.after(
+                period / 4 + world.random.nextInt((int) (period / 8)),
+                () -> {
+                    if (dead) {
+                        return;
+                    }
+                    if (!hung()) {
+                        checkLease();
+                        if (reportSent < 0
+                                && (changed || world.loop.now() - lastReport >= period)) {
+                            report();
+                        }
+                    }
+                    beat();
+                });
     }
 
     private long lastReport = Long.MIN_VALUE / 2;
@@ -118,7 +141,9 @@
     /** The tasks that run here. */
     Set<TaskId> running() {
         Set<TaskId> running = new LinkedHashSet<>();
-        tasks.values().stream().filter(task -> task.status.equals("running")).forEach(task -> running.add(task.id));
+        tasks.values().stream()
+                .filter(task -> task.status.equals("running"))
+                .forEach(task -> running.add(task.id));
         return running;
     }
 
@@ -169,50 +194,69 @@
         reportSent = sent;
         long id = ++reportId;
         long ofTenure = tenure;
-        world.toNode(host, node, "POST", "/v1/report", body(), 4_000_000, (status, answer) -> {
-            if (dead || id != reportId || reportSent < 0) {
-                return;
-            }
-            reportSent = -1;
-            if (hung()) {
-                return;
-            }
-            if (status == 200) {
-                long token = (Long) answer.get("epoch");
-                checkLease();
-                if (token >= epoch && tenure == ofTenure) {
-                    changed |= token > epoch;
-                    epoch = token;
-                    leaseFrom = Math.max(leaseFrom, sent);
-                    execute((List<?>) answer.get("orders"));
-                }
-            } else if (status == 421 && answer.get("overseer") instanceof String leader
-                    && World.nodeIndex(leader) != node) {
-                node = World.nodeIndex(leader);
-                changed = true;
-            } else {
-                // It tries the next node a second later, and none before.
-                reportSent = sent;
-                world.loop.after(1_000_000, () -> {
+        world.toNode(
+                host,
+                node,
+                "POST",
+                "/v1/report",
+                body(),
+                4_000_000,
+                (status, answer) -> {
+                    if (dead || id != reportId || reportSent < 0) {
+                        return;
+                    }
                     reportSent = -1;
-                    node = (node + 1) % World.NODES;
-                    changed = true;
+                    if (hung()) {
+                        return;
+                    }
+                    if (status == 200) {
+                        long token = (Long) answer.get("epoch");
+                        checkLease();
+                        if (token >= epoch && tenure == ofTenure) {
+                            changed |= token > epoch;
+                            epoch = token;
+                            leaseFrom = Math.max(leaseFrom, sent);
+                            execute((List<?>) answer.get("orders"));
+                        }
+                    } else if (status == 421
+                            && answer.get("overseer") instanceof String leader
+                            && World.nodeIndex(leader) != node) {
+                        node = World.nodeIndex(leader);
+                        changed = true;
+                    } else {
+                        // It tries the next node a second later, and none before.
+                        reportSent = sent;
+                        world.loop.after(
+                                1_000_000,
+                                () -> {
+                                    reportSent = -1;
+                                    node = (node + 1) % World.NODES;
+                                    changed = true;
+                                });
+                    }
                 });
-            }
-        });
     }
 
     /** Whether one more task of the job may be put here, and has room. */
     boolean takes(JobDescription job) {
         double used = 0;
         for (Task task : tasks.values()) {
-            used += task.status.equals("exited") ? 0 : world.truth.submitted.get(task.id.uid()).vcpus();
+            used +=
+                    task.status.equals("exited")
+                            ? 0
+                            : world.truth.submitted.get(task.id.uid()).vcpus();
         }
-        return !dead && !hung() && !deaf() && !mute() && used + job.vcpus() <= vcpus + 1e-6 && fits(job);
+        return !dead
+                && !hung()
+                && !deaf()
+                && !mute()
+                && used + job.vcpus() <= vcpus + 1e-6
+                && fits(job);
     }
 
     boolean fits(JobDescription job) {
-        return (job.hosttypes() == null || job.hosttypes().contains(hosttype)) && (job.yard() == null || job.yard().equals(yard))
+        return (job.hosttypes() == null || job.hosttypes().contains(hosttype))
+                && (job.yard() == null || job.yard().equals(yard))
                 && (!reclaimable || job.reclaimable());
     }
 
@@ -221,7 +265,8 @@
         checkLease();
         long token = (Long) body.get("epoch");
         if (token < epoch || (Long) body.get("tenure") != tenure) {
-            // The protocol says the highest token it has seen: every other worker has seen that of a refused command, too.
+            // The protocol says the highest token it has seen: every other worker has seen that of
+            // a refused command, too.
             epoch = host.hashCode() % 2 == 0 ? Math.max(epoch, token) : epoch;
             return new Object[] {409, body()};
         }
@@ -263,12 +308,17 @@
     double free() {
         double free = vcpus;
         for (Task task : tasks.values()) {
-            free -= task.status.equals("exited") ? 0 : world.truth.submitted.get(task.id.uid()).vcpus();
+            free -=
+                    task.status.equals("exited")
+                            ? 0
+                            : world.truth.submitted.get(task.id.uid()).vcpus();
         }
         return free;
     }
 
-    /** How many processors tasks of the team hold here, those that wait for their image among them. */
+    /**
+     * How many processors tasks of the team hold here, those that wait for their image among them.
+     */
     double held(String crew) {
         double held = 0;
         for (Task task : tasks.values()) {
@@ -279,7 +329,8 @@
     }
 
     private void launch(TaskId id, long attempt, Task present) {
-        if (present != null && present.attempt == attempt || world.isBroken(Day.Flaw.ONE_JOB_NOT_TAKEN) && id.uid().endsWith("7")) {
+        if (present != null && present.attempt == attempt
+                || world.isBroken(Day.Flaw.ONE_JOB_NOT_TAKEN) && id.uid().endsWith("7")) {
             return;
         }
         JobDescription job = world.truth.submitted.get(id.uid());
@@ -288,14 +339,18 @@
         }
         Task task = new Task(id, attempt);
         if (present != null && !present.status.equals("exited")) {
-            // The refused attempt can't be listed beside the other one in this stand-in; the leader must not get here.
-            throw new Violation("ran_twice", id + " is sent to " + host + " where another attempt is");
+            // The refused attempt can't be listed beside the other one in this stand-in; the leader
+            // must not get here.
+            throw new Violation(
+                    "ran_twice", id + " is sent to " + host + " where another attempt is");
         }
         tasks.put(id, task);
         double used = 0;
         for (Task other : tasks.values()) {
-            used += other.status.equals("exited") || other == task ? 0
-                    : world.truth.submitted.get(other.id.uid()).vcpus();
+            used +=
+                    other.status.equals("exited") || other == task
+                            ? 0
+                            : world.truth.submitted.get(other.id.uid()).vcpus();
         }
         if (used + job.vcpus() > vcpus + 1e-6) {
             task.status = "exited";
--- a/src/test/java/org/woadloom/sim/World.java
+++ b/src/test/java/org/woadloom/sim/World.java
@@ -24,14 +24,22 @@
 import org.woadloom.wire.JobDescription;
 import org.woadloom.wire.WireException;
 
-/** A whole deployment in virtual time: three nodes of the real program between stand-ins, on a network with faults. */
+/**
+ * A whole deployment in virtual time: three nodes of the real program between stand-ins, on a
+ * network with faults.
+ */
 final class World {
     static final int NODES = 3;
 
     final SimLoop loop = new SimLoop();
     final Random random;
-    /** Of the troubles that are off unless asked for: a day without them draws the same from {@link #random} as ever. */
+
+    /**
+     * Of the troubles that are off unless asked for: a day without them draws the same from {@link
+     * #random} as ever.
+     */
     private final Random more;
+
     private final UserTroubles userTroubles;
     private final StateTroubles stateTroubles;
     private final KeptReports keptReports;
@@ -41,64 +49,104 @@
     private final CloudStandIn cloud;
     private final Member[] members = new Member[NODES];
     private final Day day;
-    /** Two zones that can't reach each other, or none; the state service and the cloud belong to neither. */
+
+    /**
+     * Two zones that can't reach each other, or none; the state service and the cloud belong to
+     * neither.
+     */
     private List<String> cut = List.of();
-    /** The zone that is cut off from everything else, the state service, the cloud and the users among it; or null. */
+
+    /**
+     * The zone that is cut off from everything else, the state service, the cloud and the users
+     * among it; or null.
+     */
     private String island;
+
     /** While set, no node takes connections from another. */
     private boolean peersRefused;
+
     /** The node that the state service refuses, or -1. */
     private int refusedByState = -1;
+
     /** A second one. */
     private int alsoRefused = -1;
+
     /** Nobody is told by a peer which jobs it has just changed. */
     boolean hintsLost;
-    /** How many of a hundred transactions get no answer and are carried out 2 to 12 s later, after newer ones. */
+
+    /**
+     * How many of a hundred transactions get no answer and are carried out 2 to 12 s later, after
+     * newer ones.
+     */
     int lateWrites;
+
     /** How many of those changed something, and how many were void by then. */
     final int[] lateWritesMade = {0, 0};
+
     /** Copies of reports that came again. */
     int oldCopies;
+
     /** Commands that were executed when the machine went on, or could be reached again. */
     int heldCommands;
+
     /** What nodes send straight to workers gets lost. */
     boolean directsLost;
+
     /** Services run for ever, and nobody cancels anything. */
     boolean servicesStay;
+
     /** The node that no worker can reach and that reaches none, or -1. */
     private int cutFromWorkers = -1;
-    /** The node that has lost the state service and the other nodes, but neither its workers nor users, or -1. */
+
+    /**
+     * The node that has lost the state service and the other nodes, but neither its workers nor
+     * users, or -1.
+     */
     private int isolated = -1;
+
     /** How many of a hundred reports come again, up to a minute later, at any node. */
     int copies;
+
     /** How many of a thousand requests are held back, or lose their answer. */
     int trouble = 4;
+
     /** By how much a node's time of day is off. */
     final long[] clockOff = new long[NODES];
+
     /** Nodes whose settings name one more than there is. */
     final boolean[] namesOneMore = new boolean[NODES];
+
     /** Nodes that told the leader that they took care of workers. */
     final boolean[] tookCare = new boolean[NODES];
+
     /** Answers after which users looked closely. */
     int closeLooks;
+
     int oddRequestsMade;
     int cancelledAtEnd;
     int oneTaskJobsMade;
     int oneTaskJobsCancelled;
+
     /** Transactions that were carried out and whose answer was lost. */
     int lostAnswersMade;
+
     /** Those after which another node read jobs before the one that wrote had given up. */
     int lostAnswersReadElsewhere;
+
     /** Copies that came to a node after the term had changed. */
     int keptCopies;
+
     /** Machines that were up within two seconds. */
     int quickBoots;
+
     int leadersEndedInOutages;
+
     /** The service is broken at its store from this moment on. */
     long brokenFrom;
+
     /** Is shown each step of each node. */
-    NodeStepObserver stepObserver = (node, now, commands, effects) -> {
-    };
+    NodeStepObserver stepObserver = (node, now, commands, effects) -> {};
+
     private long slowLinksMicros;
     private long slowLinksUntil;
     private int jobs;
@@ -112,11 +160,15 @@
     private final class Member {
         final int index;
         boolean alive;
+
         /** What the process is a stand-in for. */
         Version version;
+
         int life;
+
         /** The process stands still until then: whatever comes to it waits. */
         long frozenUntil;
+
         Node node;
         Peers peers;
 
@@ -130,10 +182,19 @@
             frozenUntil = 0;
             NodeLoop nodeLoop = new NodeLoop(this, mine);
             peers = new Peers(this, mine);
-            node = new Node(nodeLoop, (address, method, path, body, timeout, callback) -> fromNode(this, mine, address,
-                    method, path, body, timeout, callback), peers, settingsOf(index, day, day.told(), namesOneMore[index]),
-                    OperatorSettings.defaults(), new Random(random.nextLong()),
-                    (now, commands, effects) -> stepObserver.onStep(index, now, commands, effects));
+            node =
+                    new Node(
+                            nodeLoop,
+                            (address, method, path, body, timeout, callback) ->
+                                    fromNode(
+                                            this, mine, address, method, path, body, timeout,
+                                            callback),
+                            peers,
+                            settingsOf(index, day, day.told(), namesOneMore[index]),
+                            OperatorSettings.defaults(),
+                            new Random(random.nextLong()),
+                            (now, commands, effects) ->
+                                    stepObserver.onStep(index, now, commands, effects));
             node.start();
         }
 
@@ -172,7 +233,10 @@
 
         @Override
         public long wallMicros() {
-            return 1_700_000_000_000_000L + loop.now() + member.index * 50_000L + clockOff[member.index];
+            return 1_700_000_000_000_000L
+                    + loop.now()
+                    + member.index * 50_000L
+                    + clockOff[member.index];
         }
 
         @Override
@@ -183,11 +247,16 @@
         @Override
         public Timer schedule(long delayMicros, Runnable task) {
             boolean[] cancelled = {false};
-            loop.after(delayMicros, () -> member.whenAwake(mine, () -> {
-                if (!cancelled[0]) {
-                    task.run();
-                }
-            }));
+            loop.after(
+                    delayMicros,
+                    () ->
+                            member.whenAwake(
+                                    mine,
+                                    () -> {
+                                        if (!cancelled[0]) {
+                                            task.run();
+                                        }
+                                    }));
             return () -> cancelled[0] = true;
         }
     }
@@ -257,7 +326,10 @@
         @Override
         public void send(String to, PeerMessage message) {
             Member other = nodeIndex(to) < NODES ? members[nodeIndex(to)] : null;
-            if (other == null || !other.alive || !connected[other.index] || random.nextInt(1000) < trouble) {
+            if (other == null
+                    || !other.alive
+                    || !connected[other.index]
+                    || random.nextInt(1000) < trouble) {
                 return;
             }
             if (message instanceof PeerMessage.Stands stands) {
@@ -271,30 +343,50 @@
                 // An earlier version can't read it.
                 return;
             }
-            PeerMessage sent = day.flaw() == Day.Flaw.PROMISES_TOO_MUCH ? withPromise(message) : message;
-            if (day.flaw() == Day.Flaw.VOUCHES_FOR_ANYTHING && message instanceof PeerMessage.Vouched vouched) {
+            PeerMessage sent =
+                    day.flaw() == Day.Flaw.PROMISES_TOO_MUCH ? withPromise(message) : message;
+            if (day.flaw() == Day.Flaw.VOUCHES_FOR_ANYTHING
+                    && message instanceof PeerMessage.Vouched vouched) {
                 Vouch v = vouched.vouch();
-                sent = new PeerMessage.Vouched(new Vouch(v.term(), v.life(), v.saidMicros(), v.sinceMicros(), v.echoMicros(),
-                        v.promiseMicros(), List.of()));
+                sent =
+                        new PeerMessage.Vouched(
+                                new Vouch(
+                                        v.term(),
+                                        v.life(),
+                                        v.saidMicros(),
+                                        v.sinceMicros(),
+                                        v.echoMicros(),
+                                        v.promiseMicros(),
+                                        List.of()));
             }
-            if (message instanceof PeerMessage.Ping ping && (member.version != Version.NOW || other.version != Version.NOW)) {
+            if (message instanceof PeerMessage.Ping ping
+                    && (member.version != Version.NOW || other.version != Version.NOW)) {
                 sent = new PeerMessage.Ping(ping.term(), ping.leader(), null);
             }
             if (other.version == Version.PRODUCTION && message instanceof PeerMessage.Hint hint) {
-                sent = new PeerMessage.Hint(Cbor.encode(ProductionFilter.record(decode(hint.record()))), hint.stamp());
+                sent =
+                        new PeerMessage.Hint(
+                                Cbor.encode(ProductionFilter.record(decode(hint.record()))),
+                                hint.stamp());
             }
             byte[] frame = codec.encode(sent);
             byte[] content = java.util.Arrays.copyOfRange(frame, 4, frame.length);
             int life = other.life;
-            loop.after(random.nextInt(1000) < trouble ? random.nextInt(40_000_000) : delay(), () -> other.whenAwake(life, () -> {
-                if (other.peers.listener != null) {
-                    try {
-                        other.peers.listener.received(label(member.index), codec.decode(content));
-                    } catch (PeerFormatException e) {
-                        throw new IllegalStateException(e);
-                    }
-                }
-            }));
+            loop.after(
+                    random.nextInt(1000) < trouble ? random.nextInt(40_000_000) : delay(),
+                    () ->
+                            other.whenAwake(
+                                    life,
+                                    () -> {
+                                        if (other.peers.listener != null) {
+                                            try {
+                                                other.peers.listener.received(
+                                                        label(member.index), codec.decode(content));
+                                            } catch (PeerFormatException e) {
+                                                throw new IllegalStateException(e);
+                                            }
+                                        }
+                                    }));
         }
     }
 
@@ -311,9 +403,20 @@
         state = new StateStandIn(loop, settings.state());
         cloud = new CloudStandIn(this, more);
         if (day.flaw() == Day.Flaw.AGREED_TOO_EARLY) {
-            state.handle("POST", "/txn", Map.of("if", List.of(), "then", List.of(Map.of("put", "version/agreed", "value",
-                    Map.of("version", 3L)))), (status, answer) -> {
-                    });
+            state.handle(
+                    "POST",
+                    "/txn",
+                    Map.of(
+                            "if",
+                            List.of(),
+                            "then",
+                            List.of(
+                                    Map.of(
+                                            "put",
+                                            "version/agreed",
+                                            "value",
+                                            Map.of("version", 3L)))),
+                    (status, answer) -> {});
         }
         for (int i = 0; i < NODES; i++) {
             members[i] = new Member(i);
@@ -327,28 +430,46 @@
     }
 
     private void lookForWaiting() {
-        loop.after(2_000_000, () -> {
-            truth.checkWaiting(cloud.machines.values());
-            lookForWaiting();
-        });
+        loop.after(
+                2_000_000,
+                () -> {
+                    truth.checkWaiting(cloud.machines.values());
+                    lookForWaiting();
+                });
     }
 
-    /** Any node of version 3 writes the agreement once all nodes have said, at any time, that they run it. */
+    /**
+     * Any node of version 3 writes the agreement once all nodes have said, at any time, that they
+     * run it.
+     */
     private void agreeAsVersion3() {
-        loop.after(1_000_000, () -> {
-            boolean all = true;
-            boolean any = false;
-            for (Member member : members) {
-                all &= state.value("version/node/" + label(member.index)) != null;
-                any |= member.alive && member.version == Version.AGREEING;
-            }
-            if (all && any && !state.down && state.value("version/agreed") == null) {
-                state.handle("POST", "/txn", Map.of("if", List.of(), "then", List.of(Map.of("put", "version/agreed",
-                        "value", Map.of("version", 3L)))), (status, answer) -> {
-                        });
-            }
-            agreeAsVersion3();
-        });
+        loop.after(
+                1_000_000,
+                () -> {
+                    boolean all = true;
+                    boolean any = false;
+                    for (Member member : members) {
+                        all &= state.value("version/node/" + label(member.index)) != null;
+                        any |= member.alive && member.version == Version.AGREEING;
+                    }
+                    if (all && any && !state.down && state.value("version/agreed") == null) {
+                        state.handle(
+                                "POST",
+                                "/txn",
+                                Map.of(
+                                        "if",
+                                        List.of(),
+                                        "then",
+                                        List.of(
+                                                Map.of(
+                                                        "put",
+                                                        "version/agreed",
+                                                        "value",
+                                                        Map.of("version", 3L)))),
+                                (status, answer) -> {});
+                    }
+                    agreeAsVersion3();
+                });
     }
 
     boolean isBroken(Day.Flaw flaw) {
@@ -367,14 +488,17 @@
         if (day.tight()) {
             return List.of(new Team("red", 12, 20, 0, 0), new Team("blue", 8, 12, 0, 0));
         }
-        List<Team> teams = new ArrayList<>(List.of(new Team("red", 40, 60, 0, 0), new Team("blue", 24, 30, 0, 0)));
+        List<Team> teams =
+                new ArrayList<>(
+                        List.of(new Team("red", 40, 60, 0, 0), new Team("blue", 24, 30, 0, 0)));
         for (int i = 0; i < day.crowd(); i++) {
             teams.add(new Team("crowd-" + i, 8, i == 0 ? 60 : 20, 0, 0));
         }
         return teams;
     }
 
-    private static ServiceSettings settingsOf(int index, Day day, Day.Times times, boolean oneMore) {
+    private static ServiceSettings settingsOf(
+            int index, Day day, Day.Times times, boolean oneMore) {
         List<Peer> peers = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
             if (i != index) {
@@ -384,11 +508,21 @@
         if (oneMore) {
             peers.add(new Peer(label(NODES), "b", "node-" + NODES + ":1"));
         }
-        return new ServiceSettings(label(index), day.yardOf(index), "0:1", "0:2", peers, "cloud", "state", day.zoneNames(),
-                teams(day), List.of(),
+        return new ServiceSettings(
+                label(index),
+                day.yardOf(index),
+                "0:1",
+                "0:2",
+                peers,
+                "cloud",
+                "state",
+                day.zoneNames(),
+                teams(day),
+                List.of(),
                 new ServiceSettings.Workers(1_500_000, times.leaseMicros(), times.cancelMicros()),
-                new ServiceSettings.State(400, 200, 8192, 12,
-                        new ServiceSettings.State(400, 60, 1500, 4, null)), new ServiceSettings.Cloud(8, 3_000_000),
+                new ServiceSettings.State(
+                        400, 200, 8192, 12, new ServiceSettings.State(400, 60, 1500, 4, null)),
+                new ServiceSettings.Cloud(8, 3_000_000),
                 new ServiceSettings.Resources(1, 200, 1000));
     }
 
@@ -397,44 +531,90 @@
         return 200 + random.nextInt(random.nextInt(20) == 0 ? 80_000 : 4_000) + slow;
     }
 
-    private void fromNode(Member member, int mine, String address, String method, String path, byte[] body,
-            long timeout, HttpTransport.Callback callback) {
-        carry(timeout, (status, answer) -> member.whenAwake(mine, () ->
-                callback.answered(status, status > 0 ? Cbor.encode(answer) : new byte[0])), reply -> {
-            Map<String, Object> map = decode(body);
-            if (address.equals("state")) {
-                stateTroubles.meet(member.index, path, reply, respond -> arrived(member, mine, address, method, path, map, respond));
-            } else {
-                arrived(member, mine, address, method, path, map, reply);
-            }
-        });
+    private void fromNode(
+            Member member,
+            int mine,
+            String address,
+            String method,
+            String path,
+            byte[] body,
+            long timeout,
+            HttpTransport.Callback callback) {
+        carry(
+                timeout,
+                (status, answer) ->
+                        member.whenAwake(
+                                mine,
+                                () ->
+                                        callback.answered(
+                                                status,
+                                                status > 0 ? Cbor.encode(answer) : new byte[0])),
+                reply -> {
+                    Map<String, Object> map = decode(body);
+                    if (address.equals("state")) {
+                        stateTroubles.meet(
+                                member.index,
+                                path,
+                                reply,
+                                respond ->
+                                        arrived(member, mine, address, method, path, map, respond));
+                    } else {
+                        arrived(member, mine, address, method, path, map, reply);
+                    }
+                });
     }
 
     /** What a node sent has come to where it is to be answered. */
-    private void arrived(Member member, int mine, String address, String method, String path, Map<String, Object> map,
+    private void arrived(
+            Member member,
+            int mine,
+            String address,
+            String method,
+            String path,
+            Map<String, Object> map,
             StateStandIn.Answer respond) {
         if (address.equals("state") && broken(path, map, respond)) {
             return;
         }
         if (yardOf(member.index).equals(island)) {
             // Held back, and executed when the zone is back.
-            loop.after(1_000_000, () -> fromNodeHeld(member, mine, address, method, path, map, respond));
+            loop.after(
+                    1_000_000,
+                    () -> fromNodeHeld(member, mine, address, method, path, map, respond));
         } else if (address.equals("state") && member.index == isolated) {
             // What was sent is executed when the way is open again.
-            loop.after(1_000_000, () -> fromNodeHeld(member, mine, address, method, path, map, respond));
+            loop.after(
+                    1_000_000,
+                    () -> fromNodeHeld(member, mine, address, method, path, map, respond));
         } else if (address.equals("state") && refused(member)) {
             respond.answer(503, Map.of("error", "trouble"));
         } else if (address.equals("state") && member.version != Version.NOW) {
             toStateAsOld(member, mine, method, path, map, respond);
         } else if (address.equals("state")) {
             if (path.equals("/txn") && random.nextInt(100) < lateWrites) {
-                loop.after(2_000_000 + random.nextInt(10_000_000), () -> carriedOutLate(member, map));
+                loop.after(
+                        2_000_000 + random.nextInt(10_000_000), () -> carriedOutLate(member, map));
                 return;
             }
-            StateStandIn.Answer watch = path.startsWith("/follow") ? (status, answer) -> unlessRefused(member, status,
-                    day.flaw() == Day.Flaw.ONE_JOB_REFUSED ? withoutOneJob(answer) : answer, respond) : respond;
-            state.handle(method, path, map, day.flaw() == Day.Flaw.FORGETS_AWAITS ? (status, answer) -> watch.answer(status,
-                    ProductionFilter.withoutAwaits(answer)) : watch);
+            StateStandIn.Answer watch =
+                    path.startsWith("/follow")
+                            ? (status, answer) ->
+                                    unlessRefused(
+                                            member,
+                                            status,
+                                            day.flaw() == Day.Flaw.ONE_JOB_REFUSED
+                                                    ? withoutOneJob(answer)
+                                                    : answer,
+                                            respond)
+                            : respond;
+            state.handle(
+                    method,
+                    path,
+                    map,
+                    day.flaw() == Day.Flaw.FORGETS_AWAITS
+                            ? (status, answer) ->
+                                    watch.answer(status, ProductionFilter.withoutAwaits(answer))
+                            : watch);
         } else if (address.equals("cloud")) {
             loop.after(150_000, () -> cloud.handle(method, path, map, respond));
         } else {
@@ -444,8 +624,28 @@
 
     private static Map<String, Object> withoutOneJob(Map<String, Object> answer) {
         Map<String, Object> without = new LinkedHashMap<>(answer);
-        without.computeIfPresent("events", (name, events) -> ((List<?>) events).stream().filter(event -> ((Map<?, ?>) event).values()
-                .stream().noneMatch(path -> path instanceof String text && text.startsWith("job/j-") && text.endsWith("7"))).toList());
+        without.computeIfPresent(
+                "events",
+                (name, events) ->
+                        ((List<?>) events)
+                                .stream()
+                                        .filter(
+                                                event ->
+                                                        ((Map<?, ?>) event)
+                                                                .values().stream()
+                                                                        .noneMatch(
+                                                                                path ->
+                                                                                        path
+                                                                                                        instanceof
+                                                                                                        String
+                                                                                                                        text
+                                                                                                && text
+                                                                                                        .startsWith(
+                                                                                                                "job/j-")
+                                                                                                && text
+                                                                                                        .endsWith(
+                                                                                                                "7")))
+                                        .toList());
         return without;
     }
 
@@ -469,7 +669,9 @@
                 }
             }
             case OLD_CHANGES -> {
-                if (path.startsWith("/follow?") && path.endsWith("blockMs=0") && random.nextBoolean()) {
+                if (path.startsWith("/follow?")
+                        && path.endsWith("blockMs=0")
+                        && random.nextBoolean()) {
                     long since = Long.parseLong(path.replaceAll(".*since=(\\d+)&.*", "$1"));
                     respond.answer(200, Map.of("generation", since, "events", List.of()));
                     return true;
@@ -480,8 +682,7 @@
                     body.put("if", List.of());
                 }
             }
-            default -> {
-            }
+            default -> {}
         }
         return false;
     }
@@ -490,12 +691,17 @@
         if (state.down || refused(member)) {
             loop.after(500_000, () -> carriedOutLate(member, txn));
         } else {
-            state.handle("POST", "/txn", txn, (status, answer) -> lateWritesMade[status == 200 ? 0 : 1]++);
+            state.handle(
+                    "POST",
+                    "/txn",
+                    txn,
+                    (status, answer) -> lateWritesMade[status == 200 ? 0 : 1]++);
         }
     }
 
     /** A watch that is open waits while the state service refuses its node, as in an outage. */
-    private void unlessRefused(Member member, int status, Map<String, Object> answer, StateStandIn.Answer respond) {
+    private void unlessRefused(
+            Member member, int status, Map<String, Object> answer, StateStandIn.Answer respond) {
         if (refused(member)) {
             loop.after(100_000, () -> unlessRefused(member, status, answer, respond));
         } else {
@@ -503,11 +709,22 @@
         }
     }
 
-    /** What a node sent out of a zone that is cut off arrives late; only the state service still does what it asks. */
-    private void fromNodeHeld(Member member, int mine, String address, String method, String path,
-            Map<String, Object> body, StateStandIn.Answer respond) {
+    /**
+     * What a node sent out of a zone that is cut off arrives late; only the state service still
+     * does what it asks.
+     */
+    private void fromNodeHeld(
+            Member member,
+            int mine,
+            String address,
+            String method,
+            String path,
+            Map<String, Object> body,
+            StateStandIn.Answer respond) {
         if (yardOf(member.index).equals(island) || member.index == isolated) {
-            loop.after(1_000_000, () -> fromNodeHeld(member, mine, address, method, path, body, respond));
+            loop.after(
+                    1_000_000,
+                    () -> fromNodeHeld(member, mine, address, method, path, body, respond));
         } else if (address.equals("state") && !path.startsWith("/follow")) {
             if (member.version != Version.NOW) {
                 toStateAsOld(member, mine, method, path, body, respond);
@@ -518,7 +735,10 @@
     }
 
     private boolean apart(String yard, String other) {
-        return !yard.equals(other) && (yard.equals(island) || other.equals(island) || cut.contains(yard) && cut.contains(other));
+        return !yard.equals(other)
+                && (yard.equals(island)
+                        || other.equals(island)
+                        || cut.contains(yard) && cut.contains(other));
     }
 
     private static PeerMessage withPromise(PeerMessage message) {
@@ -526,21 +746,51 @@
             return message;
         }
         NodeStanding s = stands.standing();
-        return new PeerMessage.Stands(new NodeStanding(s.life(), s.aliveMicros(), s.saidMicros(), s.term(), s.echoMicros(),
-                60_000_000, -1, s.stateSilentMicros()));
-    }
-
-    private void toStateAsOld(Member member, int mine, String method, String path, Map<String, Object> body, StateStandIn.Answer respond) {
+        return new PeerMessage.Stands(
+                new NodeStanding(
+                        s.life(),
+                        s.aliveMicros(),
+                        s.saidMicros(),
+                        s.term(),
+                        s.echoMicros(),
+                        60_000_000,
+                        -1,
+                        s.stateSilentMicros()));
+    }
+
+    private void toStateAsOld(
+            Member member,
+            int mine,
+            String method,
+            String path,
+            Map<String, Object> body,
+            StateStandIn.Answer respond) {
         boolean production = member.version == Version.PRODUCTION;
-        EarlierVersions.toState(state, production, method, path, body, (status, answer) -> respond.answer(status,
-                status == 200 && production && member.lives(mine) ? ProductionFilter.read(answer) : answer));
-    }
-
-    private void toWorker(Member member, String address, Map<String, Object> body, StateStandIn.Answer respond) {
+        EarlierVersions.toState(
+                state,
+                production,
+                method,
+                path,
+                body,
+                (status, answer) ->
+                        respond.answer(
+                                status,
+                                status == 200 && production && member.lives(mine)
+                                        ? ProductionFilter.read(answer)
+                                        : answer));
+    }
+
+    private void toWorker(
+            Member member, String address, Map<String, Object> body, StateStandIn.Answer respond) {
         toWorker(member, address, body, respond, false);
     }
 
-    private void toWorker(Member member, String address, Map<String, Object> body, StateStandIn.Answer respond, boolean held) {
+    private void toWorker(
+            Member member,
+            String address,
+            Map<String, Object> body,
+            StateStandIn.Answer respond,
+            boolean held) {
         if (directsLost) {
             return;
         }
@@ -581,7 +831,13 @@
     }
 
     /** A worker's or a user's request to a node. */
-    void toNode(String from, int index, String method, String path, Map<String, Object> body, long timeout,
+    void toNode(
+            String from,
+            int index,
+            String method,
+            String path,
+            Map<String, Object> body,
+            long timeout,
             StateStandIn.Answer callback) {
         Member member = members[index];
         if (!member.alive) {
@@ -605,7 +861,8 @@
         if (worker != null && worker.deaf() && day.flaw() == Day.Flaw.DEAF_SEEM_TO_HEAR) {
             body.put("epoch", Math.max((Long) body.get("epoch"), worker.tokenSent));
         }
-        boolean fillsIn = day.flaw() == Day.Flaw.FILLS_IN_WHAT_IS_MISSING && path.equals("/v1/jobs");
+        boolean fillsIn =
+                day.flaw() == Day.Flaw.FILLS_IN_WHAT_IS_MISSING && path.equals("/v1/jobs");
         byte[] bytes = body == null ? new byte[0] : Cbor.encode(fillsIn ? filledIn(body) : body);
         if (worker != null && random.nextInt(100) < copies) {
             copy(body);
@@ -613,24 +870,46 @@
         if (worker != null) {
             keptReports.sent(body);
         }
-        carry(timeout, callback, respond -> {
-            member.whenAwake(life, () ->
-                member.node.router().handle(method, path, bytes, response -> {
-                    Map<String, Object> answer = decode(response.body());
-                    if (worker != null && answer.get("epoch") instanceof Long token) {
-                        worker.tokenSent = Math.max(worker.tokenSent, token);
-                    }
-                    if (worker == null || !worker.deaf()) {
-                        respond.answer(response.status(), answer);
-                    }
-                }));
-        });
+        carry(
+                timeout,
+                callback,
+                respond -> {
+                    member.whenAwake(
+                            life,
+                            () ->
+                                    member.node
+                                            .router()
+                                            .handle(
+                                                    method,
+                                                    path,
+                                                    bytes,
+                                                    response -> {
+                                                        Map<String, Object> answer =
+                                                                decode(response.body());
+                                                        if (worker != null
+                                                                && answer.get("epoch")
+                                                                        instanceof Long token) {
+                                                            worker.tokenSent =
+                                                                    Math.max(
+                                                                            worker.tokenSent,
+                                                                            token);
+                                                        }
+                                                        if (worker == null || !worker.deaf()) {
+                                                            respond.answer(
+                                                                    response.status(), answer);
+                                                        }
+                                                    }));
+                });
     }
 
-    /** The same report arrives again, when its worker may be gone, and whoever answers it answers nobody. */
+    /**
+     * The same report arrives again, when its worker may be gone, and whoever answers it answers
+     * nobody.
+     */
     private void copy(Map<String, Object> report) {
         byte[] bytes = copyOf(report);
-        loop.after(500_000 + random.nextInt(random.nextBoolean() ? 5_000_000 : 60_000_000),
+        loop.after(
+                500_000 + random.nextInt(random.nextBoolean() ? 5_000_000 : 60_000_000),
                 () -> oldCopies += arrivesAgain(random.nextInt(NODES), bytes) ? 1 : 0);
     }
 
@@ -648,8 +927,7 @@
         if (!member.alive || yardOf(index).equals(island)) {
             return false;
         }
-        member.node.router().handle("POST", "/v1/report", report, response -> {
-        });
+        member.node.router().handle("POST", "/v1/report", report, response -> {});
         return true;
     }
 
@@ -660,21 +938,30 @@
     /** One request: delayed, sometimes held back for long, sometimes without its answer. */
     private void carry(long timeout, StateStandIn.Answer callback, Delivery delivery) {
         boolean[] answered = {false};
-        loop.after(timeout, () -> {
-            if (!answered[0]) {
-                answered[0] = true;
-                callback.answer(HttpTransport.NO_RESPONSE, Map.of());
-            }
-        });
+        loop.after(
+                timeout,
+                () -> {
+                    if (!answered[0]) {
+                        answered[0] = true;
+                        callback.answer(HttpTransport.NO_RESPONSE, Map.of());
+                    }
+                });
         int luck = random.nextInt(1000);
         long there = luck < trouble ? 2_000_000 + random.nextInt(40_000_000) : delay();
         boolean answerLost = luck >= trouble && luck < 2 * trouble;
-        loop.after(there, () -> delivery.deliver((status, body) -> loop.after(delay(), () -> {
-            if (!answered[0] && !answerLost) {
-                answered[0] = true;
-                callback.answer(status, body);
-            }
-        })));
+        loop.after(
+                there,
+                () ->
+                        delivery.deliver(
+                                (status, body) ->
+                                        loop.after(
+                                                delay(),
+                                                () -> {
+                                                    if (!answered[0] && !answerLost) {
+                                                        answered[0] = true;
+                                                        callback.answer(status, body);
+                                                    }
+                                                })));
     }
 
     private static Map<String, Object> decode(byte[] body) {
@@ -694,12 +981,14 @@
 
     /** So many times as many. */
     void users(long until, int times) {
-        loop.after((300_000 + random.nextInt(2_500_000)) / times, () -> {
-            if (loop.now() < until) {
-                newJob();
-                users(until, times);
-            }
-        });
+        loop.after(
+                (300_000 + random.nextInt(2_500_000)) / times,
+                () -> {
+                    if (loop.now() < until) {
+                        newJob();
+                        users(until, times);
+                    }
+                });
     }
 
     String newUid() {
@@ -707,8 +996,7 @@
     }
 
     private void newJob() {
-        newJob(newUid(), random.nextInt(10), List.of(), accepted -> {
-        });
+        newJob(newUid(), random.nextInt(10), List.of(), accepted -> {});
     }
 
     /** Submits a job; the last argument hears when it is accepted. */
@@ -721,9 +1009,19 @@
         map.put("crew", crew());
         map.put("shape", service ? "service" : gang ? "group" : "batch");
         map.put("rank", service ? "critical" : random.nextBoolean() ? "high" : "standard");
-        map.put("shards", (long) (service ? 1 + random.nextInt(3) : kind == 4 && day.upgrade() ? 20 + random.nextInt(100)
-                : 1 + random.nextInt(gang ? 4 : 9)));
-        map.put("vcpus", service || kind == 4 && day.upgrade() ? 1.0 : (double) (1 << random.nextInt(awaits.isEmpty() ? 4 : 2)));
+        map.put(
+                "shards",
+                (long)
+                        (service
+                                ? 1 + random.nextInt(3)
+                                : kind == 4 && day.upgrade()
+                                        ? 20 + random.nextInt(100)
+                                        : 1 + random.nextInt(gang ? 4 : 9)));
+        map.put(
+                "vcpus",
+                service || kind == 4 && day.upgrade()
+                        ? 1.0
+                        : (double) (1 << random.nextInt(awaits.isEmpty() ? 4 : 2)));
         map.put("cards", 0.0);
         map.put("ramGb", 2.0);
         map.put("bundle", "img-" + random.nextInt(4));
@@ -755,7 +1053,9 @@
         if (day.crowd() == 0) {
             return random.nextBoolean() ? "red" : "blue";
         }
-        return random.nextBoolean() ? "crowd-0" : settings.teams().get(random.nextInt(settings.teams().size())).name();
+        return random.nextBoolean()
+                ? "crowd-0"
+                : settings.teams().get(random.nextInt(settings.teams().size())).name();
     }
 
     interface Runnable1 {
@@ -764,30 +1064,40 @@
 
     void submit(String uid, Map<String, Object> job, long until, Runnable1 accepted) {
         long sent = loop.now();
-        toNode("users", random.nextInt(NODES), "POST", "/v1/jobs", job, 5_000_000, (status, body) -> {
-            answered("submit", uid, sent, status, body);
-            if (status == 200 || status == 201) {
-                poll(uid);
-                accepted.accepted(uid);
-            } else if (loop.now() < until) {
-                loop.after(1_000_000, () -> submit(uid, job, until, accepted));
-            }
-        });
+        toNode(
+                "users",
+                random.nextInt(NODES),
+                "POST",
+                "/v1/jobs",
+                job,
+                5_000_000,
+                (status, body) -> {
+                    answered("submit", uid, sent, status, body);
+                    if (status == 200 || status == 201) {
+                        poll(uid);
+                        accepted.accepted(uid);
+                    } else if (loop.now() < until) {
+                        loop.after(1_000_000, () -> submit(uid, job, until, accepted));
+                    }
+                });
     }
 
     /** Submits pipelines until the given time. */
     void pipelines(long until) {
-        loop.after(3_000_000 + random.nextInt(14_000_000), () -> {
-            if (loop.now() < until) {
-                pipeline();
-                pipelines(until);
-            }
-        });
+        loop.after(
+                3_000_000 + random.nextInt(14_000_000),
+                () -> {
+                    if (loop.now() < until) {
+                        pipeline();
+                        pipelines(until);
+                    }
+                });
     }
 
     /**
-     * A chain with branches, each job submitted once those before it are accepted. Some name jobs that were there before,
-     * some have their last job only much later, and any job may be cancelled at any time.
+     * A chain with branches, each job submitted once those before it are accepted. Some name jobs
+     * that were there before, some have their last job only much later, and any job may be
+     * cancelled at any time.
      */
     private void pipeline() {
         List<String> before = new ArrayList<>();
@@ -811,36 +1121,50 @@
             if (awaits.size() > 1 && random.nextBoolean()) {
                 awaits.remove(random.nextInt(awaits.size()));
             }
-            newJob(uid, 4 + random.nextInt(6), awaits, known -> {
-                accepted.add(known);
-                if (accepted.size() == width) {
-                    List<String> next = new ArrayList<>(accepted);
-                    if (random.nextInt(3) == 0) {
-                        next.addAll(before);
-                    }
-                    long late = left == 2 && random.nextInt(4) == 0 ? random.nextInt(60_000_000) : 1;
-                    loop.after(late, () -> stage(next, left - 1));
-                }
-            });
+            newJob(
+                    uid,
+                    4 + random.nextInt(6),
+                    awaits,
+                    known -> {
+                        accepted.add(known);
+                        if (accepted.size() == width) {
+                            List<String> next = new ArrayList<>(accepted);
+                            if (random.nextInt(3) == 0) {
+                                next.addAll(before);
+                            }
+                            long late =
+                                    left == 2 && random.nextInt(4) == 0
+                                            ? random.nextInt(60_000_000)
+                                            : 1;
+                            loop.after(late, () -> stage(next, left - 1));
+                        }
+                    });
             if (random.nextInt(10) == 0) {
                 loop.after(random.nextInt(40_000_000), () -> cancel(uid));
             }
         }
     }
 
-    /** Replaces the nodes by the new version, one by one; then the limits fall, and users know of pipelines. */
+    /**
+     * Replaces the nodes by the new version, one by one; then the limits fall, and users know of
+     * pipelines.
+     */
     void upgrade(long until) {
         long at = 15_000_000 + random.nextInt(20_000_000);
         for (Member member : members) {
-            loop.after(at, () -> {
-                member.kill();
-                loop.after(500_000 + random.nextInt(4_000_000), () -> {
-                    member.version = Version.NOW;
-                    if (!member.alive) {
-                        member.start();
-                    }
-                });
-            });
+            loop.after(
+                    at,
+                    () -> {
+                        member.kill();
+                        loop.after(
+                                500_000 + random.nextInt(4_000_000),
+                                () -> {
+                                    member.version = Version.NOW;
+                                    if (!member.alive) {
+                                        member.start();
+                                    }
+                                });
+                    });
             at += 1_000_000 + random.nextInt(random.nextInt(4) == 0 ? 40_000_000 : 10_000_000);
         }
         loop.after(at + 5_000_000, () -> pipelines(until));
@@ -849,10 +1173,19 @@
 
     private void poll(String uid) {
         long sent = loop.now();
-        toNode("users", random.nextInt(NODES), "GET", "/v1/jobs/" + uid, null, 2_000_000, (status, body) -> {
-            answered("poll", uid, sent, status, body);
-            loop.after(truth.isOver(uid) && status == 200 ? 40_000_000 : 3_000_000, () -> poll(uid));
-        });
+        toNode(
+                "users",
+                random.nextInt(NODES),
+                "GET",
+                "/v1/jobs/" + uid,
+                null,
+                2_000_000,
+                (status, body) -> {
+                    answered("poll", uid, sent, status, body);
+                    loop.after(
+                            truth.isOver(uid) && status == 200 ? 40_000_000 : 3_000_000,
+                            () -> poll(uid));
+                });
     }
 
     /** What a user was told. */
@@ -865,11 +1198,20 @@
         cancel(uid, loop.now() + 70_000_000);
     }
 
-    /** A job that is not known yet may be accepted still, and would run for ever if nobody asked again (seed 308). */
+    /**
+     * A job that is not known yet may be accepted still, and would run for ever if nobody asked
+     * again (seed 308).
+     */
     private void cancel(String uid, long unknownUntil) {
         truth.cancelling(uid);
         long sent = loop.now();
-        toNode("users", random.nextInt(NODES), "POST", "/v1/jobs/" + uid + "/cancel", Map.of(), 5_000_000,
+        toNode(
+                "users",
+                random.nextInt(NODES),
+                "POST",
+                "/v1/jobs/" + uid + "/cancel",
+                Map.of(),
+                5_000_000,
                 (status, body) -> {
                     answered("cancel", uid, sent, status, body);
                     if (status != 200 && (status != 404 || loop.now() < unknownUntil)) {
@@ -880,7 +1222,13 @@
 
     /** Asks about a job that nobody submitted. */
     void askForUnknown() {
-        toNode("users", random.nextInt(NODES), "GET", "/v1/jobs/j-999999", null, 2_000_000,
+        toNode(
+                "users",
+                random.nextInt(NODES),
+                "GET",
+                "/v1/jobs/j-999999",
+                null,
+                2_000_000,
                 (status, body) -> truth.answered("poll", "j-999999", 0, status, body));
     }
 
@@ -890,12 +1238,14 @@
     void faults(long until) {
         copies = Math.max(copies, 3);
         truth.calmFrom = until + 60_000_000;
-        loop.after(2_000_000 + random.nextInt(9_000_000), () -> {
-            if (loop.now() < until) {
-                fault();
-                faults(until);
-            }
-        });
+        loop.after(
+                2_000_000 + random.nextInt(9_000_000),
+                () -> {
+                    if (loop.now() < until) {
+                        fault();
+                        faults(until);
+                    }
+                });
     }
 
     private void fault() {
@@ -905,11 +1255,20 @@
             case 27 -> loseAnswers(5 + random.nextInt(40), random.nextInt(40_000_000));
             case 28 -> {
                 keepForNextLeader(5 + random.nextInt(30), 1_000_000 + random.nextInt(20_000_000));
-                loop.after(random.nextInt(25_000_000), () -> endLeader(50_000 + random.nextInt(3_000_000)));
+                loop.after(
+                        random.nextInt(25_000_000),
+                        () -> endLeader(50_000 + random.nextInt(3_000_000)));
             }
-            case 29 -> cancelNow(1 + random.nextInt(8), random.nextBoolean() ? 0 : random.nextInt(25_000_000));
+            case 29 ->
+                    cancelNow(
+                            1 + random.nextInt(8),
+                            random.nextBoolean() ? 0 : random.nextInt(25_000_000));
             case 30 -> cancelAtEnd(20 + random.nextInt(60), random.nextInt(40_000_000));
-            case 31 -> mute(yardOf(random.nextInt(NODES)), 1 + random.nextInt(3), random.nextInt(40_000_000));
+            case 31 ->
+                    mute(
+                            yardOf(random.nextInt(NODES)),
+                            1 + random.nextInt(3),
+                            random.nextInt(40_000_000));
             case 32 -> quickMachines(random.nextInt(40_000_000));
             case 33 -> slowState(random.nextInt(1_500_000), random.nextInt(30_000_000));
             case 34 -> oneTaskJobs(1 + random.nextInt(4), random.nextInt(20_000_000), 25);
@@ -920,10 +1279,19 @@
                 }
             }
             case 24 -> writeLate(5 + random.nextInt(40), random.nextInt(40_000_000));
-            case 22, 23 -> gap(1_000_000 + random.nextInt(4_000_000), 10_000_000 + random.nextInt(60_000_000));
-            case 16, 17 -> anyWorker(worker -> worker.deafUntil = loop.now() + random.nextInt(40_000_000));
-            case 18 -> deafen(yardOf(random.nextInt(NODES)), 1 + random.nextInt(3), random.nextInt(25_000_000));
-            case 19 -> anyWorker(worker -> worker.muteUntil = loop.now() + random.nextInt(40_000_000));
+            case 22, 23 ->
+                    gap(
+                            1_000_000 + random.nextInt(4_000_000),
+                            10_000_000 + random.nextInt(60_000_000));
+            case 16, 17 ->
+                    anyWorker(worker -> worker.deafUntil = loop.now() + random.nextInt(40_000_000));
+            case 18 ->
+                    deafen(
+                            yardOf(random.nextInt(NODES)),
+                            1 + random.nextInt(3),
+                            random.nextInt(25_000_000));
+            case 19 ->
+                    anyWorker(worker -> worker.muteUntil = loop.now() + random.nextInt(40_000_000));
             case 20 -> isolate(random.nextInt(NODES), 5_000_000 + random.nextInt(40_000_000));
             case 21 -> {
                 copies = 30;
@@ -942,7 +1310,8 @@
                 cloud.down = true;
                 loop.after(random.nextInt(20_000_000), () -> cloud.down = false);
             }
-            case 5, 6 -> anyWorker(worker -> worker.hungUntil = loop.now() + random.nextInt(25_000_000));
+            case 5, 6 ->
+                    anyWorker(worker -> worker.hungUntil = loop.now() + random.nextInt(25_000_000));
             case 7 -> anyWorker(WorkerStandIn::die);
             case 9 -> {
                 refusePeers(5_000_000 + random.nextInt(20_000_000));
@@ -952,12 +1321,19 @@
                 cutFromWorkers = random.nextInt(NODES);
                 loop.after(5_000_000 + random.nextInt(25_000_000), () -> cutFromWorkers = -1);
             }
-            case 15 -> keepsEnding(random.nextInt(NODES), 100_000 + random.nextInt(1_500_000),
-                    loop.now() + random.nextInt(30_000_000));
-            case 13, 14 -> island(yardOf(random.nextInt(NODES)), 5_000_000 + random.nextInt(40_000_000));
+            case 15 ->
+                    keepsEnding(
+                            random.nextInt(NODES),
+                            100_000 + random.nextInt(1_500_000),
+                            loop.now() + random.nextInt(30_000_000));
+            case 13, 14 ->
+                    island(yardOf(random.nextInt(NODES)), 5_000_000 + random.nextInt(40_000_000));
             case 8 -> {
                 List<String> yards = day.zoneNames();
-                partition(yards.get(0), yards.get(1 + random.nextInt(yards.size() - 1)), 5_000_000 + random.nextInt(25_000_000));
+                partition(
+                        yards.get(0),
+                        yards.get(1 + random.nextInt(yards.size() - 1)),
+                        5_000_000 + random.nextInt(25_000_000));
             }
             default -> {
                 trouble = 60;
@@ -969,16 +1345,23 @@
 
     /** Machines hang or die at random until the given time, and now and then a controller ends. */
     void machineFaults(long until) {
-        loop.after(1_000_000 + random.nextInt(5_000_000), () -> {
-            if (loop.now() < until) {
-                switch (random.nextInt(6)) {
-                    case 0 -> restart(random.nextInt(NODES));
-                    case 1, 2 -> anyWorker(WorkerStandIn::die);
-                    default -> anyWorker(worker -> worker.hungUntil = loop.now() + random.nextInt(25_000_000));
-                }
-                machineFaults(until);
-            }
-        });
+        loop.after(
+                1_000_000 + random.nextInt(5_000_000),
+                () -> {
+                    if (loop.now() < until) {
+                        switch (random.nextInt(6)) {
+                            case 0 -> restart(random.nextInt(NODES));
+                            case 1, 2 -> anyWorker(WorkerStandIn::die);
+                            default ->
+                                    anyWorker(
+                                            worker ->
+                                                    worker.hungUntil =
+                                                            loop.now()
+                                                                    + random.nextInt(25_000_000));
+                        }
+                        machineFaults(until);
+                    }
+                });
     }
 
     /** A node's process ends, and one of the given version begins after the given time. */
@@ -987,40 +1370,63 @@
         member.kill();
         member.version = version;
         int mine = member.life;
-        loop.after(afterMicros, () -> {
-            if (!member.alive && member.life == mine) {
-                member.start();
-            }
-        });
+        loop.after(
+                afterMicros,
+                () -> {
+                    if (!member.alive && member.life == mine) {
+                        member.start();
+                    }
+                });
     }
 
-    /** Replaces a node by version 3 or by this one now and then until the given time, and then all by this one. */
+    /**
+     * Replaces a node by version 3 or by this one now and then until the given time, and then all
+     * by this one.
+     */
     void changeVersions(long until) {
-        loop.after(5_000_000 + random.nextInt(15_000_000), () -> {
-            if (loop.now() < until) {
-                replace(random.nextInt(NODES), random.nextBoolean() ? Version.AGREEING : Version.NOW,
-                        500_000 + random.nextInt(4_000_000));
-                changeVersions(until);
-            } else {
-                for (int i = 0; i < NODES; i++) {
-                    replace(i, Version.NOW, (1 + 5L * i) * 1_000_000);
-                }
-            }
-        });
+        loop.after(
+                5_000_000 + random.nextInt(15_000_000),
+                () -> {
+                    if (loop.now() < until) {
+                        replace(
+                                random.nextInt(NODES),
+                                random.nextBoolean() ? Version.AGREEING : Version.NOW,
+                                500_000 + random.nextInt(4_000_000));
+                        changeVersions(until);
+                    } else {
+                        for (int i = 0; i < NODES; i++) {
+                            replace(i, Version.NOW, (1 + 5L * i) * 1_000_000);
+                        }
+                    }
+                });
     }
 
-    /** What a node answers; the answer's {@code code} is its status. Empty as long as there is none. */
+    /**
+     * What a node answers; the answer's {@code code} is its status. Empty as long as there is none.
+     */
     Map<String, Object> ask(int index, String method, String path, Map<String, Object> body) {
         Map<String, Object> answer = new LinkedHashMap<>();
         long sent = loop.now();
-        members[index].node.router().handle(method, path, body == null ? new byte[0] : Cbor.encode(body), response -> {
-            answer.putAll(decode(response.body()));
-            answer.put("code", response.status());
-            if (path.startsWith("/v1/jobs/")) {
-                String uid = path.split("/")[3];
-                truth.answered(path.endsWith("/cancel") ? "cancel" : "poll", uid, sent, response.status(), answer);
-            }
-        });
+        members[index]
+                .node
+                .router()
+                .handle(
+                        method,
+                        path,
+                        body == null ? new byte[0] : Cbor.encode(body),
+                        response -> {
+                            answer.putAll(decode(response.body()));
+                            answer.put("code", response.status());
+                            if (path.startsWith("/v1/jobs/")) {
+                                String uid = path.split("/")[3];
+                                truth.answered(
+                                        path.endsWith("/cancel") ? "cancel" : "poll",
+                                        uid,
+                                        sent,
+                                        response.status(),
+                                        answer);
+                            }
+                        });
         return answer;
     }
 
@@ -1028,15 +1434,24 @@
     int status(int index, String method, String path, Map<String, Object> body) {
         int[] answered = {0};
         if (members[index].alive) {
-            members[index].node.router().handle(method, path, body == null ? new byte[0] : Cbor.encode(body),
-                    response -> answered[0] = response.status());
+            members[index]
+                    .node
+                    .router()
+                    .handle(
+                            method,
+                            path,
+                            body == null ? new byte[0] : Cbor.encode(body),
+                            response -> answered[0] = response.status());
         }
         return answered[0];
     }
 
     // Troubles that are off unless asked for.
 
-    /** Right after each answer that a job was accepted, ended or cancelled, users ask all nodes about it several times. */
+    /**
+     * Right after each answer that a job was accepted, ended or cancelled, users ask all nodes
+     * about it several times.
+     */
     void lookClosely(long forMicros) {
         userTroubles.lookClosely(loop.now() + forMicros);
     }
@@ -1046,7 +1461,10 @@
         userTroubles.oddRequests(loop.now() + forMicros);
     }
 
-    /** So many running jobs are called off within 0.2 s, and up to eight of their machines hang; returns how many. */
+    /**
+     * So many running jobs are called off within 0.2 s, and up to eight of their machines hang;
+     * returns how many.
+     */
     int cancelNow(int count, long hangMicros) {
         return userTroubles.cancelNow(count, hangMicros);
     }
@@ -1075,7 +1493,10 @@
         keptReports.keep(ofHundred, loop.now() + forMicros);
     }
 
-    /** Nothing that one in so many of a zone's machines say arrives for a while; commands reach them. */
+    /**
+     * Nothing that one in so many of a zone's machines say arrives for a while; commands reach
+     * them.
+     */
     void mute(String zone, int oneIn, long forMicros) {
         int count = 0;
         for (WorkerStandIn worker : cloud.machines.values()) {
@@ -1115,9 +1536,18 @@
             loop.after(1_000_000, () -> put(path, value));
             return;
         }
-        state.handle("POST", "/txn", Map.of("if", List.of(), "then", List.of(value == null ? Map.of("drop", path)
-                : Map.of("put", path, "value", value))), (status, answer) -> {
-                });
+        state.handle(
+                "POST",
+                "/txn",
+                Map.of(
+                        "if",
+                        List.of(),
+                        "then",
+                        List.of(
+                                value == null
+                                        ? Map.of("drop", path)
+                                        : Map.of("put", path, "value", value))),
+                (status, answer) -> {});
     }
 
     Map<String, Object> stored(String path) {
@@ -1157,25 +1587,37 @@
     /** The state service refuses this node alone. */
     void refuseState(int index, long forMicros) {
         refusedByState = index;
-        loop.after(forMicros, () -> {
-            if (refusedByState == index) {
-                refusedByState = -1;
-            }
-        });
+        loop.after(
+                forMicros,
+                () -> {
+                    if (refusedByState == index) {
+                        refusedByState = -1;
+                    }
+                });
     }
 
-    /** The state service refuses the leader alone, users cancel what runs, and then it is down for all. */
+    /**
+     * The state service refuses the leader alone, users cancel what runs, and then it is down for
+     * all.
+     */
     void gap(long refusedMicros, long downMicros) {
         if (state.value("leader") == null) {
             return;
         }
         refuseState(leader(), refusedMicros + 1_000_000);
         hintsLost = random.nextBoolean();
-        loop.after(refusedMicros / 4, () -> truth.running().stream().filter(uid -> random.nextInt(3) == 0).forEach(this::cancel));
-        loop.after(refusedMicros, () -> {
-            hintsLost = false;
-            stateOutage(downMicros);
-        });
+        loop.after(
+                refusedMicros / 4,
+                () ->
+                        truth.running().stream()
+                                .filter(uid -> random.nextInt(3) == 0)
+                                .forEach(this::cancel));
+        loop.after(
+                refusedMicros,
+                () -> {
+                    hintsLost = false;
+                    stateOutage(downMicros);
+                });
     }
 
     /** For a while so many of a hundred transactions are carried out late. */
@@ -1207,7 +1649,9 @@
         return isolated == index;
     }
 
-    /** Nothing reaches one in so many of a zone's machines for a while, and their reports arrive. */
+    /**
+     * Nothing reaches one in so many of a zone's machines for a while, and their reports arrive.
+     */
     void deafen(String yard, int oneIn, long forMicros) {
         int count = 0;
         for (WorkerStandIn worker : cloud.machines.values()) {
@@ -1249,12 +1693,19 @@
         restart(members[index]);
     }
 
-    /** A new process is there within a fraction of a second, or after seconds; its clock may have been set meanwhile. */
+    /**
+     * A new process is there within a fraction of a second, or after seconds; its clock may have
+     * been set meanwhile.
+     */
     private void restart(Member member) {
         if (random.nextInt(4) == 0) {
             clockOff[member.index] = random.nextInt(2_000_000) - 1_000_000;
         }
-        end(member.index, random.nextBoolean() ? 50_000 + random.nextInt(450_000) : 500_000 + random.nextInt(5_000_000));
+        end(
+                member.index,
+                random.nextBoolean()
+                        ? 50_000 + random.nextInt(450_000)
+                        : 500_000 + random.nextInt(5_000_000));
     }
 
     /** A node's process ends again and again, a few tenths of a second after each beginning. */
@@ -1275,7 +1726,10 @@
         return cloud.rented();
     }
 
-    /** A node's process begins again 50 ms after its end, whenever a node is about to take a term, until the given time. */
+    /**
+     * A node's process begins again 50 ms after its end, whenever a node is about to take a term,
+     * until the given time.
+     */
     void endInElections(long untilMicros) {
         long term = term();
         boolean vacant = state.value("leader") == null;
@@ -1283,7 +1737,8 @@
             end(random.nextInt(NODES), 50_000);
         }
         if (loop.now() < untilMicros) {
-            loop.after(vacant || term() != term ? 30_000 : 10_000, () -> endInElections(untilMicros));
+            loop.after(
+                    vacant || term() != term ? 30_000 : 10_000, () -> endInElections(untilMicros));
         }
     }
 
@@ -1295,13 +1750,20 @@
     /** Every few seconds the leader's process ends, and another begins at once. */
     void endLeaders(long forMicros) {
         long until = loop.now() + forMicros;
-        loop.after(2_000_000 + more.nextInt(3_000_000), () -> {
-            if (loop.now() < until) {
-                leadersEndedInOutages += state.down && state.value("leader") != null && members[leader()].alive ? 1 : 0;
-                endLeader(50_000 + more.nextInt(400_000));
-                endLeaders(until - loop.now());
-            }
-        });
+        loop.after(
+                2_000_000 + more.nextInt(3_000_000),
+                () -> {
+                    if (loop.now() < until) {
+                        leadersEndedInOutages +=
+                                state.down
+                                                && state.value("leader") != null
+                                                && members[leader()].alive
+                                        ? 1
+                                        : 0;
+                        endLeader(50_000 + more.nextInt(400_000));
+                        endLeaders(until - loop.now());
+                    }
+                });
     }
 
     /** The same of the node that leads, if there is one. */
@@ -1317,15 +1779,20 @@
         if (member.alive) {
             member.kill();
             int mine = member.life;
-            loop.after(forMicros, () -> {
-                if (!member.alive && member.life == mine) {
-                    member.start();
-                }
-            });
+            loop.after(
+                    forMicros,
+                    () -> {
+                        if (!member.alive && member.life == mine) {
+                            member.start();
+                        }
+                    });
         }
     }
 
-    /** So many of a hundred rentals and deletions get no answer and are carried out seconds later, perhaps after their leader. */
+    /**
+     * So many of a hundred rentals and deletions get no answer and are carried out seconds later,
+     * perhaps after their leader.
+     */
     void cloudLate(int ofHundred, long forMicros) {
         cloud.lateOfHundred = ofHundred;
         loop.after(forMicros, () -> cloud.lateOfHundred = 0);
--- a/src/test/java/org/woadloom/state/LimitsTest.java
+++ b/src/test/java/org/woadloom/state/LimitsTest.java
@@ -7,19 +7,26 @@
 import org.woadloom.settings.ServiceSettings;
 
 class LimitsTest {
-    private static final ServiceSettings.State NEXT = new ServiceSettings.State(250, 70, 2_048, 5, null);
+    private static final ServiceSettings.State NEXT =
+            new ServiceSettings.State(250, 70, 2_048, 5, null);
 
     @Test
     void theAnnouncedLimitsHoldFromTheStartForWhatIsNew() {
         Limits limits = new Limits(new ServiceSettings.State(250, 100, 16_384, 16, NEXT));
         assertEquals(2_048, limits.valueBytes());
         assertEquals(5, limits.txnOps());
-        assertEquals(16_384, limits.valueBytesNow(), "production's records are larger until one is refused");
+        assertEquals(
+                16_384,
+                limits.valueBytesNow(),
+                "production's records are larger until one is refused");
         limits.refusedValue(9_000);
         assertEquals(2_048, limits.valueBytesNow());
     }
 
-    /** Limits that nobody announced are learned, and a refusal for something else does not take everything away. */
+    /**
+     * Limits that nobody announced are learned, and a refusal for something else does not take
+     * everything away.
+     */
     @Test
     void otherLimitsAreLearned() {
         Limits limits = new Limits(new ServiceSettings.State(250, 100, 16_384, 16, null));
--- a/src/test/java/org/woadloom/state/ProductionFormatTest.java
+++ b/src/test/java/org/woadloom/state/ProductionFormatTest.java
@@ -22,7 +22,6 @@
 import org.woadloom.peer.PeerFormatException;
 import org.woadloom.peer.PeerMessage;
 import org.woadloom.wire.Cbor;
-import org.woadloom.wire.Fields;
 import org.woadloom.wire.JobDescription;
 import org.woadloom.wire.MachineType;
 import org.woadloom.wire.WireException;
@@ -30,15 +29,28 @@
 /** Version 1 and this one read each other's bytes, as long as version 1 may run anywhere. */
 class ProductionFormatTest {
     /** The message that each sampled frame holds, by the name that version 1 had for it. */
-    private static final Map<String, Class<? extends PeerMessage>> TYPES_BY_SAMPLE = Map.of("Hello", PeerMessage.Hello.class, "Ping",
-            PeerMessage.Ping.class, "Hint", PeerMessage.Hint.class, "Carry", PeerMessage.Carry.class, "Carried", PeerMessage.Carried.class);
+    private static final Map<String, Class<? extends PeerMessage>> TYPES_BY_SAMPLE =
+            Map.of(
+                    "Hello",
+                    PeerMessage.Hello.class,
+                    "Ping",
+                    PeerMessage.Ping.class,
+                    "Hint",
+                    PeerMessage.Hint.class,
+                    "Carry",
+                    PeerMessage.Carry.class,
+                    "Carried",
+                    PeerMessage.Carried.class);
 
     private static Map<String, byte[]> samples() throws IOException {
         Map<String, byte[]> samples = new LinkedHashMap<>();
         try (var in = ProductionFormatTest.class.getResourceAsStream("/production/samples.txt")) {
-            for (String line : new String(in.readAllBytes(), StandardCharsets.US_ASCII).split("\n")) {
+            for (String line :
+                    new String(in.readAllBytes(), StandardCharsets.US_ASCII).split("\n")) {
                 int colon = line.indexOf(": ");
-                samples.put(line.substring(0, colon), HexFormat.of().parseHex(line.substring(colon + 2)));
+                samples.put(
+                        line.substring(0, colon),
+                        HexFormat.of().parseHex(line.substring(colon + 2)));
             }
         }
         return samples;
@@ -54,23 +66,33 @@
                 continue;
             }
             Map<String, Object> map = Cbor.decodeMap(sample.getValue());
-            Map<String, Object> again = switch (kind) {
-                case "job" -> JobRecord.parse(map).toMap(RecordFormat.PLAIN);
-                case "final" -> FinalRecord.parse("j-1", map).toMap(RecordFormat.PLAIN);
-                case "machine" -> MachineRecord.parse("host-1", map).toMap();
-                case "types" -> Map.of("hosttypes", MachineType.parseAll(map).stream().map(MachineType::toMap).toList());
-                default -> map;
-            };
+            Map<String, Object> again =
+                    switch (kind) {
+                        case "job" -> JobRecord.parse(map).toMap(RecordFormat.PLAIN);
+                        case "final" -> FinalRecord.parse("j-1", map).toMap(RecordFormat.PLAIN);
+                        case "machine" -> MachineRecord.parse("host-1", map).toMap();
+                        case "types" ->
+                                Map.of(
+                                        "hosttypes",
+                                        MachineType.parseAll(map).stream()
+                                                .map(MachineType::toMap)
+                                                .toList());
+                        default -> map;
+                    };
             assertArrayEquals(sample.getValue(), Cbor.encode(again), sample.getKey());
             if (kind.equals("job")) {
                 jobs++;
                 assertEquals(map.get("placed"), ProductionRecord.read(again).get("placed"));
                 JobRecord record = JobRecord.parse(map);
                 if (!record.cancelled()) {
-                    assertEquals(sorted(record), sorted(JobRecord.parse(record.toMap(RecordFormat.COMPACT))));
+                    assertEquals(
+                            sorted(record),
+                            sorted(JobRecord.parse(record.toMap(RecordFormat.COMPACT))));
                 }
                 Map<String, Object> cancelled = record.asCancelled().toMap(RecordFormat.COMPACT);
-                assertTrue(Cbor.jsonSize(cancelled) <= 2048, "cancelled in " + Cbor.jsonSize(cancelled) + " bytes");
+                assertTrue(
+                        Cbor.jsonSize(cancelled) <= 2048,
+                        "cancelled in " + Cbor.jsonSize(cancelled) + " bytes");
             }
         }
         assertTrue(jobs > 10);
@@ -105,9 +127,19 @@
     /** Which group of tasks comes first says nothing. */
     private static JobRecord sorted(JobRecord record) {
         List<JobRecord.Placed> placed = new ArrayList<>(record.placed());
-        placed.sort(Comparator.comparing(JobRecord.Placed::host).thenComparingLong(JobRecord.Placed::attempt));
-        return new JobRecord(record.description(), record.submittedWallMicros(), record.readyWallMicros(),
-                record.cancelled(), record.done(), placed, record.running(), record.term(), record.version());
+        placed.sort(
+                Comparator.comparing(JobRecord.Placed::host)
+                        .thenComparingLong(JobRecord.Placed::attempt));
+        return new JobRecord(
+                record.description(),
+                record.submittedWallMicros(),
+                record.readyWallMicros(),
+                record.cancelled(),
+                record.done(),
+                placed,
+                record.running(),
+                record.term(),
+                record.version());
     }
 
     private static Map<String, Object> job(int shards, List<String> awaits) {
@@ -125,7 +157,10 @@
         return job;
     }
 
-    /** Any record survives the compact format, whatever the machines are called; broken text is refused, never misread. */
+    /**
+     * Any record survives the compact format, whatever the machines are called; broken text is
+     * refused, never misread.
+     */
     @Test
     void compactRecordsKeepEverything() throws WireException {
         Random random = new Random(11);
@@ -144,13 +179,27 @@
                     int at = random.nextInt(spread);
                     String host = String.format(names[at % names.length], at * 13);
                     long attempt = (random.nextLong(1, 5) << 32) + random.nextInt(3);
-                    placed.computeIfAbsent(host + " " + attempt,
-                            k -> new JobRecord.Placed(host, attempt, new BitSet())).tasks().set(i);
+                    placed.computeIfAbsent(
+                                    host + " " + attempt,
+                                    k -> new JobRecord.Placed(host, attempt, new BitSet()))
+                            .tasks()
+                            .set(i);
                 }
             }
-            JobRecord record = new JobRecord(JobDescription.parse(job(shards, List.of())), 17, random.nextInt(2), false,
-                    done, new ArrayList<>(placed.values()), 3, 4, 5);
-            JobRecord back = JobRecord.parse(Cbor.decodeMap(Cbor.encode(record.toMap(RecordFormat.COMPACT))));
+            JobRecord record =
+                    new JobRecord(
+                            JobDescription.parse(job(shards, List.of())),
+                            17,
+                            random.nextInt(2),
+                            false,
+                            done,
+                            new ArrayList<>(placed.values()),
+                            3,
+                            4,
+                            5);
+            JobRecord back =
+                    JobRecord.parse(
+                            Cbor.decodeMap(Cbor.encode(record.toMap(RecordFormat.COMPACT))));
             assertEquals(sorted(record), sorted(back));
             String text = (String) record.toMap(RecordFormat.COMPACT).get("progress");
             char[] broken = text.toCharArray();
--- a/src/test/java/org/woadloom/state/ProductionRecord.java
+++ b/src/test/java/org/woadloom/state/ProductionRecord.java
@@ -7,18 +7,36 @@
 import org.woadloom.wire.WireException;
 
 /**
- * Version 1's reading of a job's record, frozen: what it does not know is lost when it writes the record again. The samples
- * under {@code production/} were written by that version itself.
+ * Version 1's reading of a job's record, frozen: what it does not know is lost when it writes the
+ * record again. The samples under {@code production/} were written by that version itself.
  */
 public final class ProductionRecord {
-    private static final List<String> JOB = List.of("uid", "jobclass", "crew", "shape", "rank", "shards", "vcpus", "cards",
-            "ramGb", "bundle", "pullGb", "hosttypes", "yard", "samePlace", "apart", "reclaimable", "runtimeS",
-            "snapshotEveryS", "snapshotCostS", "dueS");
-    private static final List<String> RECORD = List.of("job", "at", "cancelled", "done", "placed", "running", "term",
-            "version");
+    private static final List<String> JOB =
+            List.of(
+                    "uid",
+                    "jobclass",
+                    "crew",
+                    "shape",
+                    "rank",
+                    "shards",
+                    "vcpus",
+                    "cards",
+                    "ramGb",
+                    "bundle",
+                    "pullGb",
+                    "hosttypes",
+                    "yard",
+                    "samePlace",
+                    "apart",
+                    "reclaimable",
+                    "runtimeS",
+                    "snapshotEveryS",
+                    "snapshotCostS",
+                    "dueS");
+    private static final List<String> RECORD =
+            List.of("job", "at", "cancelled", "done", "placed", "running", "term", "version");
 
-    private ProductionRecord() {
-    }
+    private ProductionRecord() {}
 
     /** The record as version 1 understands it, or an error where it can't read it. */
     public static Map<String, Object> read(Map<String, Object> value) throws WireException {
@@ -27,8 +45,11 @@
         long shards = new Fields(job).integer("shards");
         ranges(f.list("done"), shards);
         for (Object item : f.list("placed")) {
-            if (!(item instanceof List<?> parts) || parts.size() != 3 || !(parts.get(0) instanceof String)
-                    || !(parts.get(1) instanceof Long) || !(parts.get(2) instanceof List<?> tasks)) {
+            if (!(item instanceof List<?> parts)
+                    || parts.size() != 3
+                    || !(parts.get(0) instanceof String)
+                    || !(parts.get(1) instanceof Long)
+                    || !(parts.get(2) instanceof List<?> tasks)) {
                 throw new WireException("placed: expected host, attempt and tasks");
             }
             ranges(tasks, shards);
--- a/src/test/java/org/woadloom/state/StoredFormsGoldenTest.java
+++ b/src/test/java/org/woadloom/state/StoredFormsGoldenTest.java
@@ -16,7 +16,10 @@
 import org.woadloom.wire.MachineType;
 import org.woadloom.wire.WireException;
 
-/** Every stored record with every field, byte by byte, and read back from the bytes that were recorded. */
+/**
+ * Every stored record with every field, byte by byte, and read back from the bytes that were
+ * recorded.
+ */
 class StoredFormsGoldenTest {
     private static final String FILE = "stored-records.txt";
 
@@ -58,9 +61,18 @@
         one.set(8);
         BitSet more = new BitSet();
         more.set(10, 20);
-        return new JobRecord(JobDescription.parse(description(awaits)), 1_700_000_000_000_001L, readyWallMicros, false, done,
-                List.of(new JobRecord.Placed("host-000007", (5L << 32) + 3, one),
-                        new JobRecord.Placed("host-000231", (5L << 32) + 4, more)), 11, 5, 12);
+        return new JobRecord(
+                JobDescription.parse(description(awaits)),
+                1_700_000_000_000_001L,
+                readyWallMicros,
+                false,
+                done,
+                List.of(
+                        new JobRecord.Placed("host-000007", (5L << 32) + 3, one),
+                        new JobRecord.Placed("host-000231", (5L << 32) + 4, more)),
+                11,
+                5,
+                12);
     }
 
     private static Map<String, Map<String, Object>> jobs() throws WireException {
@@ -68,9 +80,13 @@
         all.put("job plain", job(List.of(), 0).toMap(RecordFormat.PLAIN));
         all.put("job plain cancelled", job(List.of(), 0).asCancelled().toMap(RecordFormat.PLAIN));
         all.put("job compact", job(List.of(), 0).toMap(RecordFormat.COMPACT));
-        all.put("job compact cancelled", job(List.of(), 0).asCancelled().toMap(RecordFormat.COMPACT));
+        all.put(
+                "job compact cancelled",
+                job(List.of(), 0).asCancelled().toMap(RecordFormat.COMPACT));
         all.put("job compact awaits", job(List.of("j-1", "j-2"), 0).toMap(RecordFormat.COMPACT));
-        all.put("job compact ready", job(List.of(), 1_700_000_000_000_777L).toMap(RecordFormat.COMPACT));
+        all.put(
+                "job compact ready",
+                job(List.of(), 1_700_000_000_000_777L).toMap(RecordFormat.COMPACT));
         return all;
     }
 
@@ -79,25 +95,68 @@
         FinalRecord done = new FinalRecord("j-1", false, 40, 1_700_000_000_000_002L, true);
         all.put("final plain", done.toMap(RecordFormat.PLAIN));
         all.put("final compact", done.toMap(RecordFormat.COMPACT));
-        all.put("final compact cancelled", new FinalRecord("j-1", true, 3, 4, false).toMap(RecordFormat.COMPACT));
+        all.put(
+                "final compact cancelled",
+                new FinalRecord("j-1", true, 3, 4, false).toMap(RecordFormat.COMPACT));
         all.put("machine", new MachineRecord("host-1", "m16", "a", true, false).toMap());
         all.put("machine leaving", new MachineRecord("host-1", "m16", "a", false, true).toMap());
-        all.put("machine life", new MachineRecord("host-1", "m16", "a", false, true,
-                new MachineRecord.Life(1_700_000_000_000_003L, true)).toMap());
-        all.put("machine life not up", new MachineRecord("host-1", "m16", "a", false, false,
-                new MachineRecord.Life(1_700_000_000_000_003L, false)).toMap());
+        all.put(
+                "machine life",
+                new MachineRecord(
+                                "host-1",
+                                "m16",
+                                "a",
+                                false,
+                                true,
+                                new MachineRecord.Life(1_700_000_000_000_003L, true))
+                        .toMap());
+        all.put(
+                "machine life not up",
+                new MachineRecord(
+                                "host-1",
+                                "m16",
+                                "a",
+                                false,
+                                false,
+                                new MachineRecord.Life(1_700_000_000_000_003L, false))
+                        .toMap());
         Map<String, RolloutRecord.Standing> features = new LinkedHashMap<>();
         for (RolloutRecord.Step step : RolloutRecord.Step.values()) {
-            features.put("feature-" + step.text(), new RolloutRecord.Standing(step, false, false, 17, "node-1"));
+            features.put(
+                    "feature-" + step.text(),
+                    new RolloutRecord.Standing(step, false, false, 17, "node-1"));
         }
-        features.put("feature-back", new RolloutRecord.Standing(RolloutRecord.Step.UNDERSTOOD, true, true, 18, "operator"));
+        features.put(
+                "feature-back",
+                new RolloutRecord.Standing(
+                        RolloutRecord.Step.UNDERSTOOD, true, true, 18, "operator"));
         all.put("rollout state", new RolloutRecord(9, features).toMap());
         for (RolloutRequest.Verb verb : RolloutRequest.Verb.values()) {
-            all.put("rollout asked " + verb.text(), new RolloutRequest(verb, "operator", 19).toMap());
+            all.put(
+                    "rollout asked " + verb.text(),
+                    new RolloutRequest(verb, "operator", 19).toMap());
         }
-        all.put("rollout node", new NodeWord(77, Set.of("b", "a"), Set.of("a"), Set.of("node-1", "node-2"), 2, 20).toMap());
-        all.put("types", Map.of("hosttypes", List.of(new MachineType("m16", 16, 1, 32.5, 50, 0.5, 1.25, 0.3, 30_500_000,
-                List.of("a", "b")).toMap())));
+        all.put(
+                "rollout node",
+                new NodeWord(77, Set.of("b", "a"), Set.of("a"), Set.of("node-1", "node-2"), 2, 20)
+                        .toMap());
+        all.put(
+                "types",
+                Map.of(
+                        "hosttypes",
+                        List.of(
+                                new MachineType(
+                                                "m16",
+                                                16,
+                                                1,
+                                                32.5,
+                                                50,
+                                                0.5,
+                                                1.25,
+                                                0.3,
+                                                30_500_000,
+                                                List.of("a", "b"))
+                                        .toMap())));
         return all;
     }
 
@@ -105,7 +164,12 @@
         if (name.startsWith("job")) {
             return map -> JobRecord.parse(map).toMap(JobRecord.formatOf(map));
         } else if (name.startsWith("final")) {
-            return map -> FinalRecord.parse("j-1", map).toMap(map.containsKey("at") ? RecordFormat.COMPACT : RecordFormat.PLAIN);
+            return map ->
+                    FinalRecord.parse("j-1", map)
+                            .toMap(
+                                    map.containsKey("at")
+                                            ? RecordFormat.COMPACT
+                                            : RecordFormat.PLAIN);
         } else if (name.startsWith("machine")) {
             return map -> MachineRecord.parse("host-1", map).toMap();
         } else if (name.startsWith("rollout state")) {
@@ -115,7 +179,10 @@
         } else if (name.startsWith("rollout node")) {
             return map -> NodeWord.parse(map).toMap();
         }
-        return map -> Map.of("hosttypes", MachineType.parseAll(map).stream().map(MachineType::toMap).toList());
+        return map ->
+                Map.of(
+                        "hosttypes",
+                        MachineType.parseAll(map).stream().map(MachineType::toMap).toList());
     }
 
     @Test
@@ -127,7 +194,10 @@
         golden.check(FILE);
         for (String name : all.keySet()) {
             byte[] recorded = GoldenFile.readBytes(FILE, name);
-            assertArrayEquals(recorded, Cbor.encode(reader(name).readAndWrite(Cbor.decodeMap(recorded))), name);
+            assertArrayEquals(
+                    recorded,
+                    Cbor.encode(reader(name).readAndWrite(Cbor.decodeMap(recorded))),
+                    name);
         }
         JobRecord read = JobRecord.parse(Cbor.decodeMap(GoldenFile.readBytes(FILE, "job compact")));
         assertEquals(job(List.of(), 0).placed(), read.placed());
--- a/src/test/java/org/woadloom/wire/CborTest.java
+++ b/src/test/java/org/woadloom/wire/CborTest.java
@@ -43,6 +43,9 @@
 
     @Test
     void jsonSizeIsNeverTooSmall() {
-        assertEquals("{\"a\":[1,2.5,null]}".length() <= Cbor.jsonSize(Map.of("a", Arrays.asList(1L, 2.5, null))), true);
+        assertEquals(
+                "{\"a\":[1,2.5,null]}".length()
+                        <= Cbor.jsonSize(Map.of("a", Arrays.asList(1L, 2.5, null))),
+                true);
     }
 }
--- a/src/test/java/org/woadloom/worker/WorkerClientTest.java
+++ b/src/test/java/org/woadloom/worker/WorkerClientTest.java
@@ -11,19 +11,28 @@
 import org.woadloom.core.Effect;
 import org.woadloom.net.HttpTransport;
 
-/** Direct commands while many workers do not answer: 10 may be under way, and each holds its connection for 2 s. */
+/**
+ * Direct commands while many workers do not answer: 10 may be under way, and each holds its
+ * connection for 2 s.
+ */
 class WorkerClientTest {
     private static final int SLOTS = 10;
 
     /** Commands under way by address. */
     private final Map<String, HttpTransport.Callback> underWay = new LinkedHashMap<>();
+
     private final List<Integer> outcomes = new ArrayList<>();
     private long sends;
-    private final WorkerClient client = new WorkerClient((address, method, path, body, timeout, callback) -> underWay.put(address, callback),
-            SLOTS);
+    private final WorkerClient client =
+            new WorkerClient(
+                    (address, method, path, body, timeout, callback) ->
+                            underWay.put(address, callback),
+                    SLOTS);
 
     private void send(String address) {
-        client.send(new Effect.SendDirect(++sends, address, address, 1, 1, List.of()), result -> outcomes.add(result.status()));
+        client.send(
+                new Effect.SendDirect(++sends, address, address, 1, 1, List.of()),
+                result -> outcomes.add(result.status()));
     }
 
     private void none(String address) {
@@ -39,7 +48,10 @@
         }
     }
 
-    /** They used to take every connection again and again, and commands to the others waited for them. */
+    /**
+     * They used to take every connection again and again, and commands to the others waited for
+     * them.
+     */
     @Test
     void workersThatDoNotAnswerHoldUpNoOther() {
         hangAll(40);
@@ -53,7 +65,9 @@
         }
         send("healthy-9");
         none("hung-0");
-        assertTrue(underWay.containsKey("healthy-9"), "it goes before those that wait for silent ones");
+        assertTrue(
+                underWay.containsKey("healthy-9"),
+                "it goes before those that wait for silent ones");
         assertEquals(SLOTS, underWay.size());
     }
 
