--- a/src/test/java/org/woadloom/worker/WorkerFormsGoldenTest.java
+++ b/src/test/java/org/woadloom/worker/WorkerFormsGoldenTest.java
@@ -19,18 +19,41 @@
 /** What workers are sent, byte by byte, and how each field and word of their reports is read. */
 class WorkerFormsGoldenTest {
     private static final TaskId TASK = new TaskId("j-000412", 3);
-    private static final List<String> STATES = List.of("fetching", "gathering", "running", "flushing", "exited", "novel");
-    private static final List<String> CAUSES = List.of("done", "halted", "error", "no_room", "busy", "unknown", "peers",
-            "incomplete", "novel");
+    private static final List<String> STATES =
+            List.of("fetching", "gathering", "running", "flushing", "exited", "novel");
+    private static final List<String> CAUSES =
+            List.of(
+                    "done",
+                    "halted",
+                    "error",
+                    "no_room",
+                    "busy",
+                    "unknown",
+                    "peers",
+                    "incomplete",
+                    "novel");
 
     @Test
     void commandsAreSentAsRecorded() {
         GoldenFile golden = new GoldenFile();
-        WorkerClient client = new WorkerClient((address, method, path, body, timeout, callback) ->
-                golden.addBytes(method + " " + address + path + " within " + timeout, body), 1);
-        client.send(new Effect.SendDirect(1, "host-1", "10.0.0.1:9", (5L << 20) + 1, 2, List.of(Order.launch(TASK, 4),
-                Order.halt(TASK, 5, 2.5), Order.clear(TASK, 6))), result -> {
-                });
+        WorkerClient client =
+                new WorkerClient(
+                        (address, method, path, body, timeout, callback) ->
+                                golden.addBytes(
+                                        method + " " + address + path + " within " + timeout, body),
+                        1);
+        client.send(
+                new Effect.SendDirect(
+                        1,
+                        "host-1",
+                        "10.0.0.1:9",
+                        (5L << 20) + 1,
+                        2,
+                        List.of(
+                                Order.launch(TASK, 4),
+                                Order.halt(TASK, 5, 2.5),
+                                Order.clear(TASK, 6))),
+                result -> {});
         golden.check("worker-commands.txt");
     }
 
@@ -67,11 +90,37 @@
         WorkerReport r = WorkerReport.read(report());
         GoldenFile golden = new GoldenFile();
         golden.addBytes("bytes", report());
-        golden.addText("report", r.host() + " " + r.addr() + " " + r.hosttype() + " " + r.yard() + " " + r.reclaimable() + " "
-                + r.tenure() + " " + r.tick() + " " + r.epoch() + " " + r.warningMicros());
+        golden.addText(
+                "report",
+                r.host()
+                        + " "
+                        + r.addr()
+                        + " "
+                        + r.hosttype()
+                        + " "
+                        + r.yard()
+                        + " "
+                        + r.reclaimable()
+                        + " "
+                        + r.tenure()
+                        + " "
+                        + r.tick()
+                        + " "
+                        + r.epoch()
+                        + " "
+                        + r.warningMicros());
         for (TaskReport t : r.tasks()) {
-            golden.addText("task " + t.task().index(), t.task().uid() + " " + t.attempt() + " " + word(t.state()) + " "
-                    + word(t.cause()) + " " + t.saved());
+            golden.addText(
+                    "task " + t.task().index(),
+                    t.task().uid()
+                            + " "
+                            + t.attempt()
+                            + " "
+                            + word(t.state())
+                            + " "
+                            + word(t.cause())
+                            + " "
+                            + t.saved());
         }
         assertEquals(STATES.size() + CAUSES.size(), r.tasks().size());
         golden.check("worker-reports.txt");
