--- a/src/main/java/org/woadloom/worker/WorkerClient.java
+++ b/src/main/java/org/woadloom/agent/AgentClient.java
@@ -1,4 +1,4 @@
-package org.woadloom.worker;
+package org.woadloom.agent;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -7,20 +7,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.woadloom.core.Command;
-import org.woadloom.core.Effect;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerEvent;
 import org.woadloom.net.HttpTransport;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.Order;
-import org.woadloom.wire.WireException;
-import org.woadloom.wire.WorkerReport;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.Heartbeat;
+import org.woadloom.protocol.MalformedMessageException;
+import org.woadloom.protocol.TaskCommand;
 
 /**
  * Direct commands to workers. Those to workers that did not answer the last one take half of the
  * connections at most, and go after the others: where many machines hang at once, each of them
  * holds a connection for as long as an answer is waited for.
  */
-public final class WorkerClient {
+public final class AgentClient {
     private static final long TIMEOUT_MICROS = 2_000_000;
     private static final int MOST_REMEMBERED = 10_000;
 
@@ -37,22 +37,22 @@
      */
     private final Set<String> silent = new LinkedHashSet<>();
 
-    private record Waiting(Effect.SendDirect send, Callback callback) {}
+    private record Waiting(SchedulerAction.SendDirectCommand send, Callback callback) {}
 
     public interface Callback {
-        void result(Command.DirectResult result);
+        void result(SchedulerEvent.DirectCommandCompleted result);
     }
 
     /**
      * @param mostInFlight how many commands may be under way, each of them on a connection of its
      *     own
      */
-    public WorkerClient(HttpTransport transport, int mostInFlight) {
+    public AgentClient(HttpTransport transport, int mostInFlight) {
         this.transport = transport;
         this.mostInFlight = mostInFlight;
     }
 
-    public void send(Effect.SendDirect send, Callback callback) {
+    public void send(SchedulerAction.SendDirectCommand send, Callback callback) {
         (silent.contains(send.addr()) ? toSilent : waiting).addLast(new Waiting(send, callback));
         pump();
     }
@@ -74,7 +74,7 @@
         request(next.send, wasSilent, next.callback);
     }
 
-    private void ended(Effect.SendDirect send, boolean wasSilent, int status) {
+    private void ended(SchedulerAction.SendDirectCommand send, boolean wasSilent, int status) {
         inFlight--;
         silentInFlight -= wasSilent ? 1 : 0;
         if (status != HttpTransport.NO_RESPONSE) {
@@ -85,7 +85,8 @@
         pump();
     }
 
-    private void request(Effect.SendDirect send, boolean wasSilent, Callback callback) {
+    private void request(
+            SchedulerAction.SendDirectCommand send, boolean wasSilent, Callback callback) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("epoch", send.epoch());
         map.put("tenure", send.tenure());
@@ -98,15 +99,15 @@
                 TIMEOUT_MICROS,
                 (status, body) -> {
                     ended(send, wasSilent, status);
-                    WorkerReport report = null;
+                    Heartbeat report = null;
                     if (status == 200 || status == 409) {
                         try {
-                            report = WorkerReport.read(body);
-                        } catch (WireException e) {
+                            report = Heartbeat.read(body);
+                        } catch (MalformedMessageException e) {
                             // An address may have passed to another machine; without its report
                             // nothing is known.
                             callback.result(
-                                    new Command.DirectResult(
+                                    new SchedulerEvent.DirectCommandCompleted(
                                             send.sendId(),
                                             send.host(),
                                             HttpTransport.NO_RESPONSE,
@@ -115,7 +116,7 @@
                         }
                         if (!report.host().equals(send.host())) {
                             callback.result(
-                                    new Command.DirectResult(
+                                    new SchedulerEvent.DirectCommandCompleted(
                                             send.sendId(),
                                             send.host(),
                                             HttpTransport.NO_RESPONSE,
@@ -124,13 +125,14 @@
                         }
                     }
                     callback.result(
-                            new Command.DirectResult(send.sendId(), send.host(), status, report));
+                            new SchedulerEvent.DirectCommandCompleted(
+                                    send.sendId(), send.host(), status, report));
                 });
     }
 
-    public static List<Object> orders(List<Order> orders) {
+    public static List<Object> orders(List<TaskCommand> orders) {
         List<Object> list = new ArrayList<>(orders.size());
-        for (Order order : orders) {
+        for (TaskCommand order : orders) {
             list.add(order.toMap());
         }
         return list;
--- a/src/main/java/org/woadloom/attend/Attendance.java
+++ b/src/main/java/org/woadloom/agent/AgentConnectionBalancer.java
@@ -1,4 +1,4 @@
-package org.woadloom.attend;
+package org.woadloom.agent;
 
 import com.google.common.hash.Hashing;
 import java.nio.charset.StandardCharsets;
@@ -13,7 +13,7 @@
  * decides as before. Only workers whose lease it has just renewed are sent on. One that comes back
  * without having been heard by way of that node can't get there, and stays for a while.
  */
-public final class Attendance {
+public final class AgentConnectionBalancer {
     private static final int REPORTS_MISSED = 3;
 
     /** Within such a time a worker that was sent on has come to the other node, or back. */
@@ -36,7 +36,7 @@
     /**
      * @param most how many workers are taken while others can take the rest
      */
-    public Attendance(int most, long reportMicros) {
+    public AgentConnectionBalancer(int most, long reportMicros) {
         this.most = most;
         this.forgetMicros = REPORTS_MISSED * reportMicros;
     }
--- a/src/main/java/org/woadloom/cli/CheckCommand.java
+++ b/src/main/java/org/woadloom/cli/CheckCommand.java
@@ -3,14 +3,14 @@
 import java.util.List;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
-import org.woadloom.core.care.CareRules;
-import org.woadloom.core.placement.RecordSize;
-import org.woadloom.net.SocketPlan;
-import org.woadloom.node.FleetEstimate;
+import org.woadloom.core.delegation.DelegationTimeouts;
+import org.woadloom.core.placement.RecordSizeEstimate;
+import org.woadloom.net.SocketBudget;
+import org.woadloom.node.FleetSizeEstimate;
 import org.woadloom.settings.OperatorSettings;
-import org.woadloom.settings.Sanity;
 import org.woadloom.settings.ServiceSettings;
 import org.woadloom.settings.SettingsException;
+import org.woadloom.settings.SettingsValidator;
 
 /** Reads settings and says what they mean. */
 final class CheckCommand implements Subcommand {
@@ -51,7 +51,7 @@
                 String.join(", ", service.zones()),
                 service.stateAddress(),
                 service.cloudAddress());
-        SocketPlan plan = SocketPlan.of(service);
+        SocketBudget plan = SocketBudget.of(service);
         System.out.printf(
                 "of %d sockets (fd_limit) %d are for workers and users, of which workers take %d"
                     + " before others are sent to another node;%n  %d for commands to workers, %d"
@@ -70,8 +70,8 @@
         System.out.printf(
                 "at most %d tasks of a job are placed at once where each has a machine of its own"
                         + " (value_kb)%n",
-                RecordSize.tasksApart(service.state().leastValueBytes()));
-        FleetEstimate fleet = FleetEstimate.of(service);
+                RecordSizeEstimate.tasksApart(service.state().leastValueBytes()));
+        FleetSizeEstimate fleet = FleetSizeEstimate.of(service);
         System.out.printf(
                 "carries about %d machines: %d by fd_limit, %d by cpu_share and report_s%n",
                 fleet.workers(), fleet.bySockets(), fleet.byProcessor());
@@ -87,8 +87,9 @@
                     state.next().txnOps(),
                     state.next().writeRps());
         }
-        CareRules care =
-                CareRules.of(service.workers().leaseMicros(), service.workers().cancelMicros());
+        DelegationTimeouts care =
+                DelegationTimeouts.of(
+                        service.workers().leaseMicros(), service.workers().cancelMicros());
         if (care.worthwhile()) {
             System.out.printf(
                     "in a zone that is cut off work goes on for up to %.1f s, and leases end after"
@@ -100,7 +101,7 @@
                             + " in");
         }
         System.out.print(operator.describe());
-        List<String> problems = Sanity.problems(service);
+        List<String> problems = SettingsValidator.problems(service);
         problems.forEach(problem -> System.err.println("can't work: " + problem));
         return problems.isEmpty() ? DONE : BAD_USAGE;
     }
--- a/src/main/java/org/woadloom/cli/JobCommand.java
+++ b/src/main/java/org/woadloom/cli/JobCommand.java
@@ -12,9 +12,9 @@
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Option;
 import org.apache.commons.cli.Options;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.JobDescription;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.MalformedMessageException;
 
 /** What a user can do with a job from the command line. */
 final class JobCommand implements Subcommand {
@@ -50,7 +50,7 @@
                                         Cbor.decodeJsonMap(Files.readAllBytes(Path.of(file))));
                     } catch (NoSuchFileException e) {
                         throw new UsageException(file + ": no such file");
-                    } catch (WireException e) {
+                    } catch (MalformedMessageException e) {
                         throw new UsageException(file + ": " + e.getMessage());
                     }
                     return post(node, "/v1/jobs", Cbor.encode(job.toMap()));
--- a/src/main/java/org/woadloom/cli/RolloutCommand.java
+++ b/src/main/java/org/woadloom/cli/RolloutCommand.java
@@ -15,16 +15,16 @@
 import org.apache.commons.cli.Option;
 import org.apache.commons.cli.Options;
 import org.woadloom.core.rollout.Feature;
-import org.woadloom.state.Keys;
-import org.woadloom.state.NodeWord;
-import org.woadloom.state.RolloutRecord;
-import org.woadloom.state.RolloutRecord.Standing;
-import org.woadloom.state.RolloutRecord.Step;
-import org.woadloom.state.RolloutRequest;
-import org.woadloom.state.RolloutRequest.Verb;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.Fields;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.Fields;
+import org.woadloom.protocol.MalformedMessageException;
+import org.woadloom.store.NodeAnnouncement;
+import org.woadloom.store.RolloutRecord;
+import org.woadloom.store.RolloutRecord.Standing;
+import org.woadloom.store.RolloutRecord.Step;
+import org.woadloom.store.RolloutRequest;
+import org.woadloom.store.RolloutRequest.Verb;
+import org.woadloom.store.StoreKeys;
 
 /**
  * Shows how far each feature is rolled out, or writes what an operator asks for one, straight in
@@ -102,7 +102,7 @@
 
     /** What can no longer be done is refused here; the leader refuses it as well. */
     private static int ask(String address, Verb verb, Feature feature, String by)
-            throws IOException, InterruptedException, WireException {
+            throws IOException, InterruptedException, MalformedMessageException {
         Standing standing = record(list(address)).of(feature.key());
         if (verb == Verb.BACK
                 && (standing.step() == Step.SETTLED || standing.on() && !feature.revocable())) {
@@ -116,7 +116,7 @@
         }
         RolloutRequest request = new RolloutRequest(verb, by, Instant.now().toEpochMilli() * 1000);
         Map<String, Object> put =
-                Map.of("put", Keys.ROLLOUT_ASKED + feature.key(), "value", request.toMap());
+                Map.of("put", StoreKeys.ROLLOUT_ASKED + feature.key(), "value", request.toMap());
         send(
                 address,
                 HttpRequest.newBuilder(URI.create("http://" + address + "/txn"))
@@ -135,14 +135,14 @@
     }
 
     private static void show(String address)
-            throws IOException, InterruptedException, WireException {
+            throws IOException, InterruptedException, MalformedMessageException {
         Map<String, Object> entries = list(address);
         RolloutRecord record = record(entries);
         System.out.printf("%-16s %-10s %-20s %s%n", "feature", "step", "since (UTC)", "allowed by");
         for (Feature feature : Feature.values()) {
             Standing standing = record.of(feature.key());
             RolloutRequest request =
-                    entries.get(Keys.ROLLOUT_ASKED + feature.key()) instanceof Map<?, ?> asked
+                    entries.get(StoreKeys.ROLLOUT_ASKED + feature.key()) instanceof Map<?, ?> asked
                             ? RolloutRequest.parse(map(asked))
                             : RolloutRequest.AUTO;
             System.out.printf(
@@ -171,11 +171,11 @@
                     "required and not known to this version: " + String.join(", ", unknown));
         }
         for (Map.Entry<String, Object> entry : entries.entrySet()) {
-            if (entry.getKey().startsWith(Keys.ROLLOUT_NODES)) {
-                NodeWord word = NodeWord.parse(map(entry.getValue()));
+            if (entry.getKey().startsWith(StoreKeys.ROLLOUT_NODES)) {
+                NodeAnnouncement word = NodeAnnouncement.parse(map(entry.getValue()));
                 System.out.printf(
                         "node %s: reads %s, can do %s, names %s, start %d in a row%n",
-                        entry.getKey().substring(Keys.ROLLOUT_NODES.length()),
+                        entry.getKey().substring(StoreKeys.ROLLOUT_NODES.length()),
                         word.reads(),
                         word.can(),
                         word.members(),
@@ -184,20 +184,21 @@
         }
     }
 
-    private static RolloutRecord record(Map<String, Object> entries) throws WireException {
-        Object stored = entries.get(Keys.ROLLOUT_STATE);
+    private static RolloutRecord record(Map<String, Object> entries)
+            throws MalformedMessageException {
+        Object stored = entries.get(StoreKeys.ROLLOUT_STATE);
         return stored == null ? RolloutRecord.NONE : RolloutRecord.parse(map(stored));
     }
 
     @SuppressWarnings("unchecked")
-    private static Map<String, Object> map(Object value) throws WireException {
+    private static Map<String, Object> map(Object value) throws MalformedMessageException {
         Fields.of(value, "value");
         return (Map<String, Object>) value;
     }
 
     /** Everything below the rollout's prefix: a few records and one for each node. */
     private static Map<String, Object> list(String address)
-            throws IOException, InterruptedException, WireException {
+            throws IOException, InterruptedException, MalformedMessageException {
         byte[] body =
                 send(
                         address,
@@ -206,7 +207,7 @@
                                         "http://"
                                                 + address
                                                 + "/keys?prefix="
-                                                + Keys.ROLLOUT
+                                                + StoreKeys.ROLLOUT
                                                 + "&most=1000")));
         Map<String, Object> entries = new TreeMap<>();
         for (Object item : new Fields(Cbor.decodeMap(body)).list("items")) {
--- a/src/main/java/org/woadloom/cloud/CloudClient.java
+++ b/src/main/java/org/woadloom/cloud/CloudClient.java
@@ -6,17 +6,17 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.woadloom.core.Command.RentOutcome;
-import org.woadloom.core.Effect;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerEvent.ScaleOutOutcome;
+import org.woadloom.net.EventLoop;
 import org.woadloom.net.HttpTransport;
-import org.woadloom.net.Loop;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.Fields;
+import org.woadloom.protocol.ListedMachine;
+import org.woadloom.protocol.MachineType;
+import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.settings.ServiceSettings;
-import org.woadloom.state.Budget;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.Fields;
-import org.woadloom.wire.ListedMachine;
-import org.woadloom.wire.MachineType;
-import org.woadloom.wire.WireException;
+import org.woadloom.store.TokenBucket;
 
 /** The cloud's protocol, within the rate that the settings allow. */
 public final class CloudClient {
@@ -24,10 +24,10 @@
     private static final double SHARE_OF_LIMIT = 0.8;
     private static final int PAGE = 500;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final HttpTransport transport;
     private final String address;
-    private final Budget budget;
+    private final TokenBucket budget;
     private final EnumMap<Call, ArrayDeque<Runnable>> waiting = new EnumMap<>(Call.class);
     private boolean wakeScheduled;
 
@@ -51,21 +51,21 @@
     }
 
     public interface RentCallback {
-        void rented(RentOutcome outcome, List<String> hosts);
+        void rented(ScaleOutOutcome outcome, List<String> hosts);
     }
 
     public interface DeleteCallback {
         void deleted(boolean done);
     }
 
-    public CloudClient(Loop loop, HttpTransport transport, ServiceSettings settings) {
+    public CloudClient(EventLoop loop, HttpTransport transport, ServiceSettings settings) {
         this.loop = loop;
         this.transport = transport;
         this.address = settings.cloudAddress();
         for (Call call : Call.values()) {
             waiting.put(call, new ArrayDeque<>());
         }
-        this.budget = new Budget(settings.cloud().rps() * SHARE_OF_LIMIT);
+        this.budget = new TokenBucket(settings.cloud().rps() * SHARE_OF_LIMIT);
     }
 
     public void types(TypesCallback callback) {
@@ -78,7 +78,7 @@
                     try {
                         callback.types(
                                 status == 200 ? MachineType.parseAll(Cbor.decodeMap(body)) : null);
-                    } catch (WireException e) {
+                    } catch (MalformedMessageException e) {
                         callback.types(null);
                     }
                 });
@@ -109,7 +109,7 @@
                             found.add(ListedMachine.parse(item));
                         }
                         more = f.flagOr("more", false) && !found.isEmpty();
-                    } catch (WireException e) {
+                    } catch (MalformedMessageException e) {
                         callback.machines(null);
                         return;
                     }
@@ -121,7 +121,7 @@
                 });
     }
 
-    public void rent(Effect.Rent rent, RentCallback callback) {
+    public void rent(SchedulerAction.RentMachines rent, RentCallback callback) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("claim", rent.claim());
         map.put("hosttype", rent.hosttype());
@@ -137,22 +137,23 @@
                     try {
                         if (status == 200) {
                             callback.rented(
-                                    RentOutcome.RENTED,
+                                    ScaleOutOutcome.RENTED,
                                     new Fields(Cbor.decodeMap(body)).texts("hosts"));
                         } else if (status == 503 && "no capacity".equals(error(body))) {
-                            callback.rented(RentOutcome.NO_CAPACITY, List.of());
+                            callback.rented(ScaleOutOutcome.NO_CAPACITY, List.of());
                         } else {
                             boolean refused = status > 0 || status == HttpTransport.NOT_SENT;
                             callback.rented(
-                                    refused ? RentOutcome.REFUSED : RentOutcome.UNKNOWN, List.of());
+                                    refused ? ScaleOutOutcome.REFUSED : ScaleOutOutcome.UNKNOWN,
+                                    List.of());
                         }
-                    } catch (WireException e) {
-                        callback.rented(RentOutcome.UNKNOWN, List.of());
+                    } catch (MalformedMessageException e) {
+                        callback.rented(ScaleOutOutcome.UNKNOWN, List.of());
                     }
                 });
     }
 
-    private static String error(byte[] body) throws WireException {
+    private static String error(byte[] body) throws MalformedMessageException {
         return new Fields(Cbor.decodeMap(body)).textOr("error", "");
     }
 
--- a/src/main/java/org/woadloom/core/Core.java
+++ b/src/main/java/org/woadloom/core/Scheduler.java
@@ -4,96 +4,96 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.woadloom.core.capacity.Capacity;
+import org.woadloom.core.autoscaling.Autoscaler;
 import org.woadloom.core.jobs.Job;
-import org.woadloom.core.jobs.JobTable;
-import org.woadloom.core.jobs.Placement;
-import org.woadloom.core.jobs.Recorder;
-import org.woadloom.core.machines.Contact;
-import org.woadloom.core.machines.Directs;
-import org.woadloom.core.machines.Losses;
+import org.woadloom.core.jobs.JobPersister;
+import org.woadloom.core.jobs.JobRegistry;
+import org.woadloom.core.jobs.TaskAttempt;
+import org.woadloom.core.machines.AgentProber;
+import org.woadloom.core.machines.DirectCommands;
+import org.woadloom.core.machines.HeartbeatHandler;
 import org.woadloom.core.machines.Machine;
-import org.woadloom.core.machines.MachineTable;
-import org.woadloom.core.machines.Reports;
-import org.woadloom.core.placement.Eligibility;
-import org.woadloom.core.placement.Placer;
-import org.woadloom.core.placement.Preemption;
-import org.woadloom.core.reservation.Gathering;
+import org.woadloom.core.machines.MachineRegistry;
+import org.woadloom.core.machines.TaskLossHandler;
+import org.woadloom.core.placement.PlacementConstraints;
+import org.woadloom.core.placement.PreemptionPlanner;
+import org.woadloom.core.placement.TaskPlacer;
+import org.woadloom.core.quota.ClassFairShare;
+import org.woadloom.core.quota.GuaranteedQuota;
+import org.woadloom.core.quota.QuotaRotation;
+import org.woadloom.core.reservation.GangReservationPlanner;
 import org.woadloom.core.reservation.Reservation;
 import org.woadloom.core.reservation.Reservations;
-import org.woadloom.core.rollout.RolloutPlan;
-import org.woadloom.core.teams.ClassShares;
-import org.woadloom.core.teams.Guarantees;
-import org.woadloom.core.teams.LimitTurns;
-import org.woadloom.state.RecordFormat;
-import org.woadloom.wire.MachineType;
+import org.woadloom.core.rollout.FeatureRollout;
+import org.woadloom.protocol.MachineType;
+import org.woadloom.store.RecordFormat;
 
 /**
  * The one owner of all state. It is pure: the same commands at the same times give the same
  * effects, and nothing in it reads a clock, a file or a socket.
  */
-public final class Core {
+public final class Scheduler {
     private static final long SWEEP_MICROS = 100_000;
     private static final long FORGET_MICROS = 2_000_000;
 
     /** Backoffs, quarantines and reservations end by themselves. */
     private static final long SEARCH_MICROS = 500_000;
 
-    private final CoreSettings settings;
+    private final SchedulerSettings settings;
     private List<MachineType> types = List.of();
     private int valueBytes;
     private RecordFormat format = RecordFormat.PLAIN;
     private double writesPerSecond;
     private boolean care;
     private boolean machineLife;
-    private Leadership leadership;
+    private LeaderTerm leadership;
 
     /** The parts that exist only while this node leads. */
-    private static final class Leadership {
-        final World world;
-        final Losses losses;
-        final JobTable jobs;
-        final Recorder recorder;
-        final MachineTable machines;
-        final Reports reports;
-        final Directs directs;
-        final Contact contact;
+    private static final class LeaderTerm {
+        final SchedulerState world;
+        final TaskLossHandler losses;
+        final JobRegistry jobs;
+        final JobPersister recorder;
+        final MachineRegistry machines;
+        final HeartbeatHandler reports;
+        final DirectCommands directs;
+        final AgentProber contact;
         final Reservations reservations;
-        final Gathering gathering;
-        final Guarantees guarantees;
-        final ClassShares classShares;
-        final LimitTurns limitTurns;
-        final Placer placer;
-        final Preemption preemption;
-        final Capacity capacity;
-        final RolloutPlan rollout;
+        final GangReservationPlanner gathering;
+        final GuaranteedQuota guarantees;
+        final ClassFairShare classShares;
+        final QuotaRotation limitTurns;
+        final TaskPlacer placer;
+        final PreemptionPlanner preemption;
+        final Autoscaler capacity;
+        final FeatureRollout rollout;
         long sweepMicros;
         long forgetMicros;
         long searchMicros;
 
-        Leadership(World world) {
+        LeaderTerm(SchedulerState world) {
             this.world = world;
-            losses = new Losses(world);
-            jobs = new JobTable(world);
-            recorder = new Recorder(world, jobs);
-            machines = new MachineTable(world, losses);
-            reports = new Reports(world, machines, losses);
-            directs = new Directs(world, reports, losses);
-            contact = new Contact(world, losses);
-            Eligibility eligibility = new Eligibility(world);
+            losses = new TaskLossHandler(world);
+            jobs = new JobRegistry(world);
+            recorder = new JobPersister(world, jobs);
+            machines = new MachineRegistry(world, losses);
+            reports = new HeartbeatHandler(world, machines, losses);
+            directs = new DirectCommands(world, reports, losses);
+            contact = new AgentProber(world, losses);
+            PlacementConstraints eligibility = new PlacementConstraints(world);
             reservations = new Reservations(world);
-            gathering = new Gathering(world, eligibility, reservations);
-            guarantees = new Guarantees(world);
-            classShares = new ClassShares(world);
-            limitTurns = new LimitTurns(world, reservations);
-            placer = new Placer(world, eligibility, reservations);
-            preemption = new Preemption(world, eligibility, reservations, gathering);
-            capacity = new Capacity(world, eligibility, placer, machines, reservations);
-            rollout = new RolloutPlan(world);
+            gathering = new GangReservationPlanner(world, eligibility, reservations);
+            guarantees = new GuaranteedQuota(world);
+            classShares = new ClassFairShare(world);
+            limitTurns = new QuotaRotation(world, reservations);
+            placer = new TaskPlacer(world, eligibility, reservations);
+            preemption = new PreemptionPlanner(world, eligibility, reservations, gathering);
+            capacity = new Autoscaler(world, eligibility, placer, machines, reservations);
+            rollout = new FeatureRollout(world);
         }
     }
 
-    public Core(CoreSettings settings) {
+    public Scheduler(SchedulerSettings settings) {
         this.settings = settings;
     }
 
@@ -130,14 +130,15 @@
     }
 
     /** Applies the commands in order, then does what has become possible or due. */
-    public List<Effect> step(long nowMicros, long wallMicros, List<Command> commands) {
-        List<Effect> effects = new ArrayList<>();
-        for (Command command : commands) {
-            if (command instanceof Command.Lead lead) {
+    public List<SchedulerAction> step(
+            long nowMicros, long wallMicros, List<SchedulerEvent> commands) {
+        List<SchedulerAction> effects = new ArrayList<>();
+        for (SchedulerEvent command : commands) {
+            if (command instanceof SchedulerEvent.LeadershipAcquired lead) {
                 takeOver(nowMicros, wallMicros, lead);
-            } else if (command instanceof Command.StepDown) {
+            } else if (command instanceof SchedulerEvent.LeadershipLost) {
                 leadership = null;
-            } else if (command instanceof Command.StorageSeen seen) {
+            } else if (command instanceof SchedulerEvent.StoreLimitsChanged seen) {
                 valueBytes = seen.valueBytes();
                 format = seen.format();
                 writesPerSecond = seen.writesPerSecond();
@@ -153,7 +154,7 @@
                     }
                     leadership.world.placementWorthTrying = true;
                 }
-            } else if (command instanceof Command.TypesSeen seen) {
+            } else if (command instanceof SchedulerEvent.MachineTypesRead seen) {
                 types = seen.types();
                 if (leadership != null) {
                     leadership.machines.typesSeen(types);
@@ -173,25 +174,27 @@
         return effects;
     }
 
-    private void takeOver(long nowMicros, long wallMicros, Command.Lead lead) {
-        World world = new World(settings, valueBytes, format, lead.term(), nowMicros, wallMicros);
+    private void takeOver(long nowMicros, long wallMicros, SchedulerEvent.LeadershipAcquired lead) {
+        SchedulerState world =
+                new SchedulerState(
+                        settings, valueBytes, format, lead.term(), nowMicros, wallMicros);
         world.writes.rate(writesPerSecond);
         world.machineLife(machineLife, nowMicros);
         world.cancellationsSeenMicros = lead.cancellationsSeenMicros();
         if (care) {
             world.warrants.agreed();
         }
-        leadership = new Leadership(world);
-        for (Command.StoredMachine machine : lead.machines()) {
+        leadership = new LeaderTerm(world);
+        for (SchedulerEvent.StoredMachine machine : lead.machines()) {
             leadership.machines.load(machine);
         }
-        for (Command.StoredJob job : lead.jobs()) {
+        for (SchedulerEvent.StoredJob job : lead.jobs()) {
             leadership.jobs.load(job);
         }
         leadership.machines.typesSeen(types);
         long cameUp =
                 lead.machines().stream()
-                        .map(Command.StoredMachine::record)
+                        .map(SchedulerEvent.StoredMachine::record)
                         .filter(machine -> machine.life() != null && machine.life().up())
                         .count();
         world.log(
@@ -202,45 +205,45 @@
                         .with("machines_reported", cameUp));
     }
 
-    private static void apply(Leadership l, Command command) {
-        if (command instanceof Command.Report report) {
+    private static void apply(LeaderTerm l, SchedulerEvent command) {
+        if (command instanceof SchedulerEvent.HeartbeatReceived report) {
             l.reports.report(report);
-        } else if (command instanceof Command.NodeSpoke spoke) {
+        } else if (command instanceof SchedulerEvent.PeerStatusReceived spoke) {
             l.machines.nodeSpoke(spoke);
-        } else if (command instanceof Command.DirectResult result) {
+        } else if (command instanceof SchedulerEvent.DirectCommandCompleted result) {
             l.directs.result(result);
-        } else if (command instanceof Command.JobWritten written) {
+        } else if (command instanceof SchedulerEvent.JobWriteCompleted written) {
             l.recorder.written(written);
-        } else if (command instanceof Command.JobSeen seen) {
+        } else if (command instanceof SchedulerEvent.JobStored seen) {
             l.jobs.seen(seen.record(), seen.stamp());
-        } else if (command instanceof Command.JobUnread unread) {
+        } else if (command instanceof SchedulerEvent.JobRecordDamaged unread) {
             l.jobs.unread(unread);
-        } else if (command instanceof Command.CancellationsTold told) {
+        } else if (command instanceof SchedulerEvent.CancellationsConfirmed told) {
             l.jobs.told(told.uids());
-        } else if (command instanceof Command.JobMissing missing) {
+        } else if (command instanceof SchedulerEvent.JobRecordNotFound missing) {
             l.jobs.missing(missing.uid());
-        } else if (command instanceof Command.JobFound found) {
+        } else if (command instanceof SchedulerEvent.DependencyResolved found) {
             l.world.pipelines.found(found);
-        } else if (command instanceof Command.JobUnreadable unreadable) {
+        } else if (command instanceof SchedulerEvent.JobReadFailed unreadable) {
             l.recorder.readFailed(unreadable.uid());
-        } else if (command instanceof Command.MachineWritten written) {
+        } else if (command instanceof SchedulerEvent.MachineWriteCompleted written) {
             l.machines.written(written);
-        } else if (command instanceof Command.MachineSeen seen) {
+        } else if (command instanceof SchedulerEvent.MachineRecordRead seen) {
             l.machines.seen(seen);
-        } else if (command instanceof Command.MachineUnreadable unreadable) {
+        } else if (command instanceof SchedulerEvent.MachineReadFailed unreadable) {
             l.machines.unreadable(unreadable.host());
-        } else if (command instanceof Command.MachinesListed listed) {
+        } else if (command instanceof SchedulerEvent.MachinesListed listed) {
             l.machines.listed(listed.machines());
             l.capacity.listed(listed.machines());
-        } else if (command instanceof Command.Rented rented) {
+        } else if (command instanceof SchedulerEvent.ScaleOutCompleted rented) {
             l.capacity.rented(rented);
-        } else if (command instanceof Command.Deleted deleted) {
+        } else if (command instanceof SchedulerEvent.MachineDeletionCompleted deleted) {
             l.machines.deleted(deleted);
-        } else if (command instanceof Command.RolloutSeen seen) {
+        } else if (command instanceof SchedulerEvent.RolloutStateRead seen) {
             l.rollout.seen(seen);
-        } else if (command instanceof Command.RolloutWritten written) {
+        } else if (command instanceof SchedulerEvent.RolloutWriteCompleted written) {
             l.rollout.written(written);
-        } else if (command instanceof Command.RecordsCounted counted) {
+        } else if (command instanceof SchedulerEvent.RecordsCounted counted) {
             l.rollout.counted(counted);
         }
     }
@@ -249,8 +252,8 @@
      * What changed is dealt with at once. What only time brings about is looked for now and then,
      * as a walk over hundreds of machines for each report would cost more than the reports.
      */
-    private static void work(Leadership l) {
-        World world = l.world;
+    private static void work(LeaderTerm l) {
+        SchedulerState world = l.world;
         boolean sweep = world.nowMicros >= l.sweepMicros;
         if (sweep) {
             l.sweepMicros = world.nowMicros + SWEEP_MICROS;
@@ -289,8 +292,8 @@
      * A worker that neither we nor any node in our place answered for longer than its lease has
      * killed its tasks.
      */
-    private static void endLeases(Leadership l) {
-        World world = l.world;
+    private static void endLeases(LeaderTerm l) {
+        SchedulerState world = l.world;
         Map<String, Long> cared = new HashMap<>();
         for (Machine machine : world.machines.values()) {
             if (machine.up()
@@ -318,12 +321,12 @@
      * Tasks that can save leave a machine that the cloud is about to take; so do all on one that is
      * returned.
      */
-    private static void drain(Leadership l) {
+    private static void drain(LeaderTerm l) {
         for (Machine machine : l.world.machines.values()) {
             if (machine.takenMicros < 0 && !machine.leaving) {
                 continue;
             }
-            for (Placement placement : machine.snapshot()) {
+            for (TaskAttempt placement : machine.snapshot()) {
                 Job job = placement.job;
                 if (placement.neverSent()) {
                     l.losses.gone(placement);
--- a/src/main/java/org/woadloom/core/Command.java
+++ b/src/main/java/org/woadloom/core/SchedulerEvent.java
@@ -3,20 +3,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.woadloom.core.care.NodeStanding;
+import org.woadloom.core.delegation.PeerStatus;
 import org.woadloom.core.rollout.Feature;
-import org.woadloom.state.JobRecord;
-import org.woadloom.state.MachineRecord;
-import org.woadloom.state.NodeWord;
-import org.woadloom.state.RecordFormat;
-import org.woadloom.state.RolloutRecord;
-import org.woadloom.state.RolloutRequest;
-import org.woadloom.wire.ListedMachine;
-import org.woadloom.wire.MachineType;
-import org.woadloom.wire.WorkerReport;
+import org.woadloom.protocol.Heartbeat;
+import org.woadloom.protocol.ListedMachine;
+import org.woadloom.protocol.MachineType;
+import org.woadloom.store.JobRecord;
+import org.woadloom.store.MachineRecord;
+import org.woadloom.store.NodeAnnouncement;
+import org.woadloom.store.RecordFormat;
+import org.woadloom.store.RolloutRecord;
+import org.woadloom.store.RolloutRequest;
 
 /** What happens to the core. Everything it knows of the world comes through here. */
-public sealed interface Command {
+public sealed interface SchedulerEvent {
     /** A record as read from the state service. */
     record StoredJob(JobRecord record, long stamp) {}
 
@@ -28,33 +28,33 @@
      * @param cancellationsSeenMicros the records tell of every cancellation that was made before
      *     this moment
      */
-    record Lead(
+    record LeadershipAcquired(
             long term,
             List<StoredJob> jobs,
             List<StoredMachine> machines,
             long cancellationsSeenMicros)
-            implements Command {}
+            implements SchedulerEvent {}
 
     /** This node leads no more: everything is forgotten. */
-    record StepDown() implements Command {}
+    record LeadershipLost() implements SchedulerEvent {}
 
     /** A job's record was accepted, changed or read. */
-    record JobSeen(JobRecord record, long stamp) implements Command {}
+    record JobStored(JobRecord record, long stamp) implements SchedulerEvent {}
 
     /** A job's record was read and says nothing but, perhaps, that it is cancelled. */
-    record JobUnread(String uid, long stamp, boolean cancelled) implements Command {}
+    record JobRecordDamaged(String uid, long stamp, boolean cancelled) implements SchedulerEvent {}
 
     /** Somebody may be told that these jobs are cancelled, as the state service says. */
-    record CancellationsTold(List<String> uids) implements Command {}
+    record CancellationsConfirmed(List<String> uids) implements SchedulerEvent {}
 
     /** A job's record was looked for and is not there. */
-    record JobMissing(String uid) implements Command {}
+    record JobRecordNotFound(String uid) implements SchedulerEvent {}
 
     /** A job's record could not be read. */
-    record JobUnreadable(String uid) implements Command {}
+    record JobReadFailed(String uid) implements SchedulerEvent {}
 
     /** What the store says of a job that others wait for. */
-    enum Standing {
+    enum DependencyState {
         OPEN,
         DONE,
         CANCELLED,
@@ -63,10 +63,11 @@
     }
 
     /**
-     * The answer to {@link Effect.FindJob}, with the time at which the job was over, 0 where that
-     * is not known.
+     * The answer to {@link SchedulerAction.ResolveDependency}, with the time at which the job was
+     * over, 0 where that is not known.
      */
-    record JobFound(String uid, Standing standing, long overWallMicros) implements Command {}
+    record DependencyResolved(String uid, DependencyState standing, long overWallMicros)
+            implements SchedulerEvent {}
 
     /**
      * What the state service takes, and how records are written, from now on; and whether nodes
@@ -74,13 +75,13 @@
      *
      * @param machineLife whether records of machines tell of their lives
      */
-    record StorageSeen(
+    record StoreLimitsChanged(
             int valueBytes,
             RecordFormat format,
             double writesPerSecond,
             boolean care,
             boolean machineLife)
-            implements Command {}
+            implements SchedulerEvent {}
 
     /**
      * A node, this one perhaps, tells how it stands.
@@ -88,22 +89,26 @@
      * @param cancellationsSeenMicros the core has been told of every cancellation that was made
      *     before this moment
      */
-    record NodeSpoke(String node, NodeStanding standing, long cancellationsSeenMicros)
-            implements Command {}
+    record PeerStatusReceived(String node, PeerStatus standing, long cancellationsSeenMicros)
+            implements SchedulerEvent {}
 
     /**
      * A machine's record as read after a write without a clear outcome; null where there is none.
      */
-    record MachineSeen(String host, MachineRecord record, long stamp) implements Command {}
+    record MachineRecordRead(String host, MachineRecord record, long stamp)
+            implements SchedulerEvent {}
 
-    record MachineUnreadable(String host) implements Command {}
+    record MachineReadFailed(String host) implements SchedulerEvent {}
 
-    /** A worker's report, to be answered by a {@link Effect.Answer} with the same id. */
-    record Report(long replyId, WorkerReport report) implements Command {}
+    /**
+     * A worker's report, to be answered by a {@link SchedulerAction.AnswerHeartbeat} with the same
+     * id.
+     */
+    record HeartbeatReceived(long replyId, Heartbeat report) implements SchedulerEvent {}
 
     /** The outcome of a direct command: the HTTP status, 0 for no response, -1 for never sent. */
-    record DirectResult(long sendId, String host, int status, WorkerReport report)
-            implements Command {}
+    record DirectCommandCompleted(long sendId, String host, int status, Heartbeat report)
+            implements SchedulerEvent {}
 
     /**
      * What became of a write; one that is too large for the state service was not executed and
@@ -117,30 +122,31 @@
         TOO_LARGE
     }
 
-    record JobWritten(String uid, long version, WriteOutcome outcome, long stamp)
-            implements Command {}
+    record JobWriteCompleted(String uid, long version, WriteOutcome outcome, long stamp)
+            implements SchedulerEvent {}
 
-    record MachineWritten(
+    record MachineWriteCompleted(
             String host, boolean leaving, boolean dropped, WriteOutcome outcome, long stamp)
-            implements Command {}
+            implements SchedulerEvent {}
 
-    record TypesSeen(List<MachineType> types) implements Command {}
+    record MachineTypesRead(List<MachineType> types) implements SchedulerEvent {}
 
-    record MachinesListed(List<ListedMachine> machines) implements Command {}
+    record MachinesListed(List<ListedMachine> machines) implements SchedulerEvent {}
 
-    enum RentOutcome {
+    enum ScaleOutOutcome {
         RENTED,
         NO_CAPACITY,
         REFUSED,
         UNKNOWN
     }
 
-    record Rented(String claim, RentOutcome outcome, List<String> hosts) implements Command {}
+    record ScaleOutCompleted(String claim, ScaleOutOutcome outcome, List<String> hosts)
+            implements SchedulerEvent {}
 
-    record Deleted(List<String> hosts, boolean done) implements Command {}
+    record MachineDeletionCompleted(List<String> hosts, boolean done) implements SchedulerEvent {}
 
     /** A live process's word, and the stamp under which it was read. */
-    record Spoken(NodeWord word, long stamp) {}
+    record StoredAnnouncement(NodeAnnouncement word, long stamp) {}
 
     /**
      * The rollout as the store tells it.
@@ -150,29 +156,30 @@
      * @param refused how many answers were refused and how many steps were late, since this process
      *     began
      */
-    record RolloutSeen(
+    record RolloutStateRead(
             RolloutRecord record,
             long stamp,
-            Map<String, Spoken> words,
+            Map<String, StoredAnnouncement> words,
             Map<String, RolloutRequest> asked,
             Set<String> wordless,
             long agreed,
             long agreedStamp,
             long refused)
-            implements Command {
-        public RolloutSeen with(RolloutRecord changed, long changedStamp) {
-            return new RolloutSeen(
+            implements SchedulerEvent {
+        public RolloutStateRead with(RolloutRecord changed, long changedStamp) {
+            return new RolloutStateRead(
                     changed, changedStamp, words, asked, wordless, agreed, agreedStamp, refused);
         }
     }
 
-    record RolloutWritten(long number, WriteOutcome outcome, long stamp) implements Command {}
+    record RolloutWriteCompleted(long number, WriteOutcome outcome, long stamp)
+            implements SchedulerEvent {}
 
-    /** What {@link Effect.CountRecords} found, if the store could be read. */
+    /** What {@link SchedulerAction.CountRecords} found, if the store could be read. */
     record RecordsCounted(
             Feature feature, boolean back, boolean read, List<String> old, List<String> unreadable)
-            implements Command {}
+            implements SchedulerEvent {}
 
     /** Time has passed. */
-    record Tick() implements Command {}
+    record Tick() implements SchedulerEvent {}
 }
--- a/src/main/java/org/woadloom/core/CoreSettings.java
+++ b/src/main/java/org/woadloom/core/SchedulerSettings.java
@@ -14,7 +14,7 @@
  * @param label this node
  * @param nodes all nodes with their zones
  */
-public record CoreSettings(
+public record SchedulerSettings(
         String label,
         Map<String, String> nodes,
         List<Team> teams,
@@ -25,15 +25,15 @@
         long listLagMicros,
         OperatorSettings operator) {
 
-    public CoreSettings {
+    public SchedulerSettings {
         nodes = Map.copyOf(nodes);
     }
 
-    public static CoreSettings of(ServiceSettings settings, OperatorSettings operator) {
+    public static SchedulerSettings of(ServiceSettings settings, OperatorSettings operator) {
         Map<String, String> nodes = new LinkedHashMap<>();
         nodes.put(settings.label(), settings.area());
         settings.peers().forEach(peer -> nodes.put(peer.label(), peer.area()));
-        return new CoreSettings(
+        return new SchedulerSettings(
                 settings.label(),
                 nodes,
                 settings.teams(),
--- a/src/main/java/org/woadloom/core/World.java
+++ b/src/main/java/org/woadloom/core/SchedulerState.java
@@ -7,22 +7,22 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.woadloom.core.care.CareRules;
-import org.woadloom.core.care.Warrants;
-import org.woadloom.core.hearing.HearingRules;
-import org.woadloom.core.jobs.Arrivals;
+import org.woadloom.core.delegation.DelegationLedger;
+import org.woadloom.core.delegation.DelegationTimeouts;
+import org.woadloom.core.jobs.DemandEstimator;
+import org.woadloom.core.jobs.DependencyGraph;
 import org.woadloom.core.jobs.Job;
-import org.woadloom.core.jobs.Pipelines;
+import org.woadloom.core.liveness.LivenessTimeouts;
 import org.woadloom.core.machines.Machine;
-import org.woadloom.core.served.Served;
-import org.woadloom.core.teams.TeamUse;
+import org.woadloom.core.quota.TeamQuota;
+import org.woadloom.core.slo.ServiceLevelReport;
+import org.woadloom.protocol.MachineType;
 import org.woadloom.settings.Team;
-import org.woadloom.state.RecordFormat;
-import org.woadloom.wire.MachineType;
+import org.woadloom.store.RecordFormat;
 
 /** Everything one term of leadership knows, and the effects of the step that is under way. */
-public final class World {
-    public final CoreSettings settings;
+public final class SchedulerState {
+    public final SchedulerSettings settings;
     public final long term;
     public final long startedMicros;
     public final Map<String, Job> jobs = new LinkedHashMap<>();
@@ -39,17 +39,17 @@
     /** Jobs whose record does not say everything. */
     public final Set<Job> unrecorded = new LinkedHashSet<>();
 
-    public final Map<String, TeamUse> teams = new LinkedHashMap<>();
-    public final Arrivals arrivals = new Arrivals();
-    public final Pipelines pipelines = new Pipelines(this);
-    public final Served served;
+    public final Map<String, TeamQuota> teams = new LinkedHashMap<>();
+    public final DemandEstimator arrivals = new DemandEstimator();
+    public final DependencyGraph pipelines = new DependencyGraph(this);
+    public final ServiceLevelReport served;
 
     /**
      * The largest value that the state service takes, and the format of the records that must fit.
      */
     public int valueBytes;
 
-    public final HearingRules hearingRules;
+    public final LivenessTimeouts hearingRules;
 
     /**
      * No machine of this term that is forgotten was ever given a token with this fence or a higher
@@ -57,8 +57,8 @@
      */
     public long leastFence;
 
-    public final CareRules care;
-    public final Warrants warrants;
+    public final DelegationTimeouts care;
+    public final DelegationLedger warrants;
 
     /** Every cancellation that was made before this moment has been seen. */
     public long cancellationsSeenMicros = Long.MIN_VALUE;
@@ -84,13 +84,13 @@
     /** Set when something changed that may let a task be placed. */
     public boolean placementWorthTrying = true;
 
-    private List<Effect> effects = new ArrayList<>();
+    private List<SchedulerAction> effects = new ArrayList<>();
     private long attempts;
     private long sends;
     private long claims;
 
-    World(
-            CoreSettings settings,
+    SchedulerState(
+            SchedulerSettings settings,
             int valueBytes,
             RecordFormat format,
             long term,
@@ -103,12 +103,12 @@
         this.startedMicros = nowMicros;
         this.nowMicros = nowMicros;
         this.wallMicros = wallMicros;
-        hearingRules = HearingRules.of(settings.reportMicros(), settings.leaseMicros());
-        care = CareRules.of(settings.leaseMicros(), settings.cancelMicros());
-        warrants = new Warrants(care, term, settings.label(), settings.nodes());
-        served = new Served(this);
+        hearingRules = LivenessTimeouts.of(settings.reportMicros(), settings.leaseMicros());
+        care = DelegationTimeouts.of(settings.leaseMicros(), settings.cancelMicros());
+        warrants = new DelegationLedger(care, term, settings.label(), settings.nodes());
+        served = new ServiceLevelReport(this);
         for (Team team : settings.teams()) {
-            teams.put(team.name(), new TeamUse(team));
+            teams.put(team.name(), new TeamQuota(team));
         }
     }
 
@@ -119,16 +119,16 @@
         }
     }
 
-    public void emit(Effect effect) {
+    public void emit(SchedulerAction effect) {
         effects.add(effect);
     }
 
     public void log(LogEntry entry) {
-        effects.add(new Effect.Note(entry));
+        effects.add(new SchedulerAction.Log(entry));
     }
 
-    List<Effect> takeEffects() {
-        List<Effect> taken = effects;
+    List<SchedulerAction> takeEffects() {
+        List<SchedulerAction> taken = effects;
         effects = new ArrayList<>();
         return taken;
     }
--- a/src/main/java/org/woadloom/core/capacity/Capacity.java
+++ b/src/main/java/org/woadloom/core/autoscaling/Autoscaler.java
@@ -1,4 +1,4 @@
-package org.woadloom.core.capacity;
+package org.woadloom.core.autoscaling;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,26 +8,26 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.woadloom.core.Command;
-import org.woadloom.core.Effect;
 import org.woadloom.core.LogEntry;
 import org.woadloom.core.LogEvent;
-import org.woadloom.core.World;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerEvent;
+import org.woadloom.core.SchedulerState;
 import org.woadloom.core.jobs.Job;
-import org.woadloom.core.jobs.Placement;
+import org.woadloom.core.jobs.TaskAttempt;
 import org.woadloom.core.machines.Machine;
-import org.woadloom.core.machines.MachineTable;
-import org.woadloom.core.placement.Eligibility;
-import org.woadloom.core.placement.Placer;
-import org.woadloom.core.placement.Room;
+import org.woadloom.core.machines.MachineRegistry;
+import org.woadloom.core.placement.PlacementConstraints;
+import org.woadloom.core.placement.Resources;
+import org.woadloom.core.placement.TaskPlacer;
+import org.woadloom.core.quota.TeamQuota;
 import org.woadloom.core.reservation.Reservations;
-import org.woadloom.core.teams.TeamUse;
-import org.woadloom.state.MachineRecord;
-import org.woadloom.wire.ListedMachine;
-import org.woadloom.wire.MachineType;
+import org.woadloom.protocol.ListedMachine;
+import org.woadloom.protocol.MachineType;
+import org.woadloom.store.MachineRecord;
 
 /** Rents machines for work that finds no room, and returns those that are idle. */
-public final class Capacity {
+public final class Autoscaler {
     private static final int MAX_COUNT = 50;
     private static final int MAX_CLAIMS = 4;
     private static final long REVIEW_MICROS = 500_000;
@@ -58,15 +58,15 @@
      */
     private static final long DARK_MICROS = 50_000_000;
 
-    private final World world;
-    private final Eligibility eligibility;
-    private final Placer placer;
-    private final MachineTable machines;
+    private final SchedulerState world;
+    private final PlacementConstraints eligibility;
+    private final TaskPlacer placer;
+    private final MachineRegistry machines;
     private final Reservations reservations;
-    private final Map<String, Claim> claims = new LinkedHashMap<>();
-    private final Map<Kind, Long> notBefore = new LinkedHashMap<>();
-    private final Map<Kind, Long> refusedMicros = new HashMap<>();
-    private final DarkZones zones;
+    private final Map<String, ScaleOutRequest> claims = new LinkedHashMap<>();
+    private final Map<MachineKind, Long> notBefore = new LinkedHashMap<>();
+    private final Map<MachineKind, Long> refusedMicros = new HashMap<>();
+    private final PartitionedZones zones;
     private long reviewedMicros = Long.MIN_VALUE / 2;
 
     /** When each machine was last in the list, and when the last list came. */
@@ -75,21 +75,21 @@
     private long listMicros = Long.MIN_VALUE / 2;
 
     /** What can be rented. */
-    private record Kind(MachineType type, String yard, boolean reclaimable) {
+    private record MachineKind(MachineType type, String yard, boolean reclaimable) {
         double price() {
             return reclaimable ? type.marketPrice() : type.rate();
         }
     }
 
-    private static final class Claim {
+    private static final class ScaleOutRequest {
         final String name;
-        final Kind kind;
+        final MachineKind kind;
         final int count;
         final long madeMicros;
         boolean sent;
         long againMicros;
 
-        Claim(String name, Kind kind, int count, long madeMicros) {
+        ScaleOutRequest(String name, MachineKind kind, int count, long madeMicros) {
             this.name = name;
             this.kind = kind;
             this.count = count;
@@ -99,35 +99,35 @@
 
     /** Room that will be there, or is, for the rest of this review. */
     private static final class Supply {
-        final Kind kind;
-        Room free;
+        final MachineKind kind;
+        Resources free;
 
-        Supply(Kind kind, Room free) {
+        Supply(MachineKind kind, Resources free) {
             this.kind = kind;
             this.free = free;
         }
     }
 
-    public Capacity(
-            World world,
-            Eligibility eligibility,
-            Placer placer,
-            MachineTable machines,
+    public Autoscaler(
+            SchedulerState world,
+            PlacementConstraints eligibility,
+            TaskPlacer placer,
+            MachineRegistry machines,
             Reservations reservations) {
         this.world = world;
         this.eligibility = eligibility;
         this.placer = placer;
         this.machines = machines;
         this.reservations = reservations;
-        zones = new DarkZones(world, this::unlisted);
+        zones = new PartitionedZones(world, this::unlisted);
     }
 
     public void review() {
-        for (Claim claim : claims.values()) {
+        for (ScaleOutRequest claim : claims.values()) {
             if (!claim.sent && world.nowMicros >= claim.againMicros) {
                 claim.sent = true;
                 world.emit(
-                        new Effect.Rent(
+                        new SchedulerAction.RentMachines(
                                 claim.name,
                                 claim.kind.type.name(),
                                 claim.kind.yard,
@@ -180,25 +180,25 @@
                     && comes(machine)) {
                 supply.add(
                         new Supply(
-                                new Kind(machine.type, machine.yard, machine.reclaimable),
+                                new MachineKind(machine.type, machine.yard, machine.reclaimable),
                                 machine.free()));
             }
         }
-        for (Claim claim : claims.values()) {
+        for (ScaleOutRequest claim : claims.values()) {
             for (int i = 0; i < claim.count; i++) {
-                supply.add(new Supply(claim.kind, Room.of(claim.kind.type)));
+                supply.add(new Supply(claim.kind, Resources.of(claim.kind.type)));
             }
         }
-        Map<Kind, Integer> wanted = new LinkedHashMap<>();
+        Map<MachineKind, Integer> wanted = new LinkedHashMap<>();
         // What machines are sought for here counts against the team's limit, or each of its jobs
         // would ask for all that is left.
-        Map<TeamUse, Room> planned = new HashMap<>();
+        Map<TeamQuota, Resources> planned = new HashMap<>();
         for (Job job : queue) {
-            Room plannedBefore = planned.getOrDefault(job.team, Room.NONE);
+            Resources plannedBefore = planned.getOrDefault(job.team, Resources.NONE);
             int tasks =
                     Math.min(
                             job.pending() - reservations.coming(job),
-                            job.allowed(Room.NONE.minus(plannedBefore)));
+                            job.allowed(Resources.NONE.minus(plannedBefore)));
             if (tasks <= 0) {
                 continue;
             }
@@ -219,11 +219,11 @@
                 }
             }
             while (tasks > 0) {
-                Kind kind = cheapest(job, tasks, spread);
+                MachineKind kind = cheapest(job, tasks, spread);
                 if (kind == null) {
                     break;
                 }
-                Room room = Room.of(kind.type);
+                Resources room = Resources.of(kind.type);
                 wanted.merge(kind, 1, Integer::sum);
                 int fits =
                         Math.min(
@@ -234,7 +234,7 @@
                 tasks -= fits;
             }
         }
-        for (Map.Entry<Kind, Integer> entry : wanted.entrySet()) {
+        for (Map.Entry<MachineKind, Integer> entry : wanted.entrySet()) {
             if (claims.size() >= MAX_CLAIMS) {
                 break;
             }
@@ -243,8 +243,8 @@
                 // one of few calls.
                 continue;
             }
-            Claim claim =
-                    new Claim(
+            ScaleOutRequest claim =
+                    new ScaleOutRequest(
                             world.newClaim(),
                             entry.getKey(),
                             Math.min(MAX_COUNT, entry.getValue()),
@@ -259,7 +259,7 @@
                             .with("zone", claim.kind.yard)
                             .with("spot", claim.kind.reclaimable));
             world.emit(
-                    new Effect.Rent(
+                    new SchedulerAction.RentMachines(
                             claim.name,
                             claim.kind.type.name(),
                             claim.kind.yard,
@@ -283,8 +283,8 @@
                 && !outOfHearing(machine, 0);
     }
 
-    private Claim claimed(Kind kind) {
-        for (Claim claim : claims.values()) {
+    private ScaleOutRequest claimed(MachineKind kind) {
+        for (ScaleOutRequest claim : claims.values()) {
             if (claim.kind.equals(kind)) {
                 return claim;
             }
@@ -293,8 +293,8 @@
     }
 
     /** What the cloud refused lately, or does not answer for: it is not to be waited for. */
-    private boolean closed(Kind kind) {
-        Claim claim = claimed(kind);
+    private boolean closed(MachineKind kind) {
+        ScaleOutRequest claim = claimed(kind);
         return notBefore.getOrDefault(kind, Long.MIN_VALUE) > world.nowMicros
                 || zones.dark(kind.yard)
                 || claim != null && world.nowMicros - claim.madeMicros > ANSWER_MICROS;
@@ -309,7 +309,7 @@
         Set<String> open = new HashSet<>();
         for (MachineType type : world.types.values()) {
             for (String yard : type.yards()) {
-                Long refused = refusedMicros.get(new Kind(type, yard, false));
+                Long refused = refusedMicros.get(new MachineKind(type, yard, false));
                 if (refused != null && world.nowMicros - refused < SCARCE_MICROS) {
                     world.scarceYards.add(yard);
                 } else {
@@ -324,12 +324,12 @@
         }
     }
 
-    private void refused(Kind kind) {
+    private void refused(MachineKind kind) {
         notBefore.put(kind, world.nowMicros + NO_CAPACITY_MICROS);
         refusedMicros.put(kind, world.nowMicros);
     }
 
-    private boolean usable(Job job, Kind kind) {
+    private boolean usable(Job job, MachineKind kind) {
         return eligibility.allows(job.description, kind.type, kind.yard, kind.reclaimable)
                 && eligibility.allowsYard(job, kind.yard);
     }
@@ -347,14 +347,17 @@
     }
 
     /** The kind with the lowest price for this many tasks. */
-    private Kind cheapest(Job job, int tasks, Map<String, Integer> spread) {
-        Kind best = null;
+    private MachineKind cheapest(Job job, int tasks, Map<String, Integer> spread) {
+        MachineKind best = null;
         double bestPrice = 0;
         for (MachineType type : world.types.values()) {
             for (String yard : type.yards()) {
                 for (boolean reclaimable : new boolean[] {true, false}) {
-                    Kind kind = new Kind(type, yard, reclaimable);
-                    int fits = Math.min(Room.of(type).count(job.room), yardLeft(job, yard, spread));
+                    MachineKind kind = new MachineKind(type, yard, reclaimable);
+                    int fits =
+                            Math.min(
+                                    Resources.of(type).count(job.room),
+                                    yardLeft(job, yard, spread));
                     if (fits < 1 || !usable(job, kind) || closed(kind)) {
                         continue;
                     }
@@ -369,8 +372,8 @@
         return best;
     }
 
-    public void rented(Command.Rented result) {
-        Claim claim = claims.get(result.claim());
+    public void rented(SchedulerEvent.ScaleOutCompleted result) {
+        ScaleOutRequest claim = claims.get(result.claim());
         if (claim == null) {
             return;
         }
@@ -410,8 +413,8 @@
     }
 
     private void giveBack() {
-        Room free = Room.NONE;
-        Room used = Room.NONE;
+        Resources free = Resources.NONE;
+        Resources used = Resources.NONE;
         for (Machine machine : world.machines.values()) {
             if (eligibility.takesTasks(machine)) {
                 free = free.plus(machine.free());
@@ -554,7 +557,7 @@
     }
 
     private static boolean hasWork(Machine machine) {
-        for (Placement placement : machine.placements()) {
+        for (TaskAttempt placement : machine.placements()) {
             if (!placement.halting()) {
                 return true;
             }
--- a/src/main/java/org/woadloom/core/capacity/DarkZones.java
+++ b/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
@@ -1,4 +1,4 @@
-package org.woadloom.core.capacity;
+package org.woadloom.core.autoscaling;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -7,7 +7,7 @@
 import java.util.function.Predicate;
 import org.woadloom.core.LogEntry;
 import org.woadloom.core.LogEvent;
-import org.woadloom.core.World;
+import org.woadloom.core.SchedulerState;
 import org.woadloom.core.machines.Machine;
 
 /**
@@ -16,12 +16,12 @@
  * back with its images when the cut is over. A zone is dark until a third of its machines are
  * heard, or for a while where none is left to be heard of.
  */
-final class DarkZones {
+final class PartitionedZones {
     private static final int FEWEST = 3;
     private static final long MOST_MICROS = 90_000_000;
     private static final long MARGIN_MICROS = 1_000_000;
 
-    private final World world;
+    private final SchedulerState world;
     private final Predicate<Machine> unlisted;
     private final Map<String, Long> sinceMicros = new HashMap<>();
 
@@ -29,7 +29,7 @@
      * @param unlisted true for machines of which the cloud tells that they are gone: their silence
      *     tells nothing of the zone
      */
-    DarkZones(World world, Predicate<Machine> unlisted) {
+    PartitionedZones(SchedulerState world, Predicate<Machine> unlisted) {
         this.world = world;
         this.unlisted = unlisted;
     }
--- a/src/main/java/org/woadloom/core/cancellation/CancellationWatermark.java
+++ b/src/main/java/org/woadloom/core/cancellation/CancellationWatermark.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.woadloom.core.care.CareRules;
+import org.woadloom.core.delegation.DelegationTimeouts;
 
 /**
  * The leader's low watermark of cancellations: it carries out every one that any user was told of
@@ -42,11 +42,12 @@
     }
 
     /** Why a vouch can't be what a node said, or null. */
-    public static String flaw(Vouch vouch, long nowMicros) {
+    public static String flaw(WatermarkReport vouch, long nowMicros) {
         return vouch.sinceMicros() > vouch.saidMicros()
                 ? "it begins after it was said"
                 : vouch.promiseMicros() < 0
-                                || vouch.promiseMicros() > ToldCancellations.SILENT_PROMISE_MICROS
+                                || vouch.promiseMicros()
+                                        > ConfirmedCancellations.SILENT_PROMISE_MICROS
                         ? "a promise of " + vouch.promiseMicros() + " microseconds"
                         : vouch.echoMicros() > nowMicros ? "a time that is yet to come" : null;
     }
@@ -58,14 +59,15 @@
      *     service
      * @return the answer, or null where there is none
      */
-    public VouchTaken heard(String node, Vouch vouch, long seenMicros, long nowMicros) {
+    public WatermarkAck heard(String node, WatermarkReport vouch, long seenMicros, long nowMicros) {
         Holder holder = holders.get(node);
         if (holder == null || vouch.term() != term || flaw(vouch, nowMicros) != null) {
             return null;
         }
         // The moment since which it is complete, by this clock, at the latest: it was said before
         // it came.
-        long since = nowMicros - CareRules.sooner(vouch.saidMicros() - vouch.sinceMicros());
+        long since =
+                nowMicros - DelegationTimeouts.sooner(vouch.saidMicros() - vouch.sinceMicros());
         boolean follows =
                 holder.life == vouch.life() && vouch.sinceMicros() <= holder.coveredMicros
                         || since <= Math.max(seenMicros, holder.watermarkMicros);
@@ -75,15 +77,17 @@
                             ? Math.max(holder.coveredMicros, vouch.saidMicros())
                             : vouch.saidMicros();
             holder.life = vouch.life();
-            if (vouch.echoMicros() != Vouch.NONE) {
+            if (vouch.echoMicros() != WatermarkReport.NONE) {
                 holder.watermarkMicros =
                         Math.max(
                                 holder.watermarkMicros,
                                 vouch.echoMicros()
-                                        + Math.max(0, CareRules.sooner(vouch.promiseMicros())));
+                                        + Math.max(
+                                                0,
+                                                DelegationTimeouts.sooner(vouch.promiseMicros())));
             }
         }
-        return new VouchTaken(term, vouch.life(), vouch.saidMicros(), nowMicros);
+        return new WatermarkAck(term, vouch.life(), vouch.saidMicros(), nowMicros);
     }
 
     /** Every cancellation that anybody was told of before this moment is carried out. */
--- a/src/main/java/org/woadloom/core/cancellation/ToldCancellations.java
+++ b/src/main/java/org/woadloom/core/cancellation/ConfirmedCancellations.java
@@ -11,7 +11,7 @@
  * of none that the leader lacks while one relies on that. Pure: its owner brings the time and
  * carries the messages.
  */
-public final class ToldCancellations {
+public final class ConfirmedCancellations {
     /** What a node that the state service serves promises: less than a user waits for an answer. */
     public static final long PROMISE_MICROS = 3_000_000;
 
@@ -48,7 +48,7 @@
 
     private long term;
     private String leader;
-    private long echoMicros = Vouch.NONE;
+    private long echoMicros = WatermarkReport.NONE;
 
     /** All entries up to this moment are taken in by the leader of the term. */
     private long takenMicros = NEVER;
@@ -60,7 +60,7 @@
      * What nodes may still rely on as leaders of before, by node; this one's own leadership is
      * never among them.
      */
-    private final Map<String, Reliance> relying = new HashMap<>();
+    private final Map<String, OutstandingPromise> relying = new HashMap<>();
 
     private static final class Entry {
         final long micros;
@@ -78,7 +78,7 @@
      * @param inherited the process before this one may have given one too, in a term that is not
      *     known here
      */
-    private record Reliance(long term, boolean inherited, long untilMicros) {
+    private record OutstandingPromise(long term, boolean inherited, long untilMicros) {
         /** A node says which term it knows of: no word of before a promise ends that. */
         boolean endsWith(long itsTerm, boolean leads) {
             return itsTerm > term && !(inherited && leads);
@@ -89,20 +89,21 @@
      * @param peers the other nodes, each of which may have led when the process before this one
      *     ended
      */
-    public ToldCancellations(long life, List<String> peers, long nowMicros) {
+    public ConfirmedCancellations(long life, List<String> peers, long nowMicros) {
         this.life = life;
         peers.forEach(
                 peer ->
                         relying.put(
                                 peer,
-                                new Reliance(NO_TERM, true, nowMicros + SILENT_PROMISE_MICROS)));
+                                new OutstandingPromise(
+                                        NO_TERM, true, nowMicros + SILENT_PROMISE_MICROS)));
         latestMicros = nowMicros;
         completeSinceMicros = nowMicros;
     }
 
     /** Promises are not in use, so the process before this one has given none. */
     public void nothingInherited() {
-        relying.values().removeIf(Reliance::inherited);
+        relying.values().removeIf(OutstandingPromise::inherited);
     }
 
     /** The state service says that the job is cancelled, and somebody wants to know. */
@@ -174,7 +175,8 @@
      *
      * @param stateSilentMicros for how long the state service has not served this node
      */
-    public Vouch vouch(String ofLeader, long ofTerm, long stateSilentMicros, long nowMicros) {
+    public WatermarkReport vouch(
+            String ofLeader, long ofTerm, long stateSilentMicros, long nowMicros) {
         if (ofTerm < term) {
             return null;
         }
@@ -199,7 +201,7 @@
         if (promise > 0) {
             promisedMicros = Math.max(promisedMicros, said + promise);
         }
-        return new Vouch(term, life, said, since, echoMicros, promise, jobs);
+        return new WatermarkReport(term, life, said, since, echoMicros, promise, jobs);
     }
 
     /**
@@ -221,12 +223,12 @@
      */
     private void begin(String newLeader, long newTerm, long nowMicros) {
         if (promisedMicros >= nowMicros) {
-            Reliance before = relying.get(leader);
+            OutstandingPromise before = relying.get(leader);
             relying.put(
                     leader,
                     before == null
-                            ? new Reliance(term, false, promisedMicros)
-                            : new Reliance(
+                            ? new OutstandingPromise(term, false, promisedMicros)
+                            : new OutstandingPromise(
                                     term,
                                     before.inherited,
                                     Math.max(before.untilMicros, promisedMicros)));
@@ -235,11 +237,11 @@
         term = newTerm;
         promisedMicros = NEVER;
         takenMicros = NEVER;
-        echoMicros = Vouch.NONE;
+        echoMicros = WatermarkReport.NONE;
     }
 
     /** The leader has answered. */
-    public void taken(VouchTaken answer) {
+    public void taken(WatermarkAck answer) {
         if (answer.term() == term && answer.life() == life) {
             takenMicros = Math.max(takenMicros, answer.saidMicros());
             echoMicros = Math.max(echoMicros, answer.leaderMicros());
--- a/src/main/java/org/woadloom/core/cancellation/VouchTaken.java
+++ /dev/null
@@ -1,9 +0,0 @@
-package org.woadloom.core.cancellation;
-
-/**
- * The leader's answer to a {@link Vouch}: it carries out what that named.
- *
- * @param saidMicros the vouch's time, by the node's clock
- * @param leaderMicros the time by the leader's clock
- */
-public record VouchTaken(long term, long life, long saidMicros, long leaderMicros) {}
--- a/src/main/java/org/woadloom/core/cancellation/Vouch.java
+++ b/src/main/java/org/woadloom/core/cancellation/WatermarkReport.java
@@ -14,7 +14,7 @@
  *     for none
  * @param jobs the jobs that the state service has said are cancelled
  */
-public record Vouch(
+public record WatermarkReport(
         long term,
         long life,
         long saidMicros,
--- a/src/main/java/org/woadloom/core/care/Warrants.java
+++ b/src/main/java/org/woadloom/core/delegation/DelegationLedger.java
@@ -1,4 +1,4 @@
-package org.woadloom.core.care;
+package org.woadloom.core.delegation;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -8,18 +8,18 @@
  * absence. A worker that has acknowledged this term is renewed under warrants of this term alone,
  * so what earlier leaders gave away is of no account.
  */
-public final class Warrants {
+public final class DelegationLedger {
     private static final long NEVER = Long.MIN_VALUE / 4;
 
-    private final CareRules rules;
+    private final DelegationTimeouts rules;
     private final long term;
     private final String self;
-    private final Map<String, Holder> holders = new LinkedHashMap<>();
+    private final Map<String, Delegate> holders = new LinkedHashMap<>();
 
     /** Every node is known to run a version that takes care. */
     private boolean agreed;
 
-    private static final class Holder {
+    private static final class Delegate {
         final String yard;
         long life;
         boolean heard;
@@ -33,7 +33,7 @@
         /** It took care for the last time at this moment or before. */
         long caredMicros = NEVER;
 
-        Holder(String yard) {
+        Delegate(String yard) {
             this.yard = yard;
         }
     }
@@ -41,14 +41,15 @@
     /**
      * @param nodes all nodes with their zones
      */
-    public Warrants(CareRules rules, long term, String self, Map<String, String> nodes) {
+    public DelegationLedger(
+            DelegationTimeouts rules, long term, String self, Map<String, String> nodes) {
         this.rules = rules;
         this.term = term;
         this.self = self;
         nodes.forEach(
                 (label, yard) -> {
                     if (!label.equals(self)) {
-                        holders.put(label, new Holder(yard));
+                        holders.put(label, new Delegate(yard));
                     }
                 });
     }
@@ -63,26 +64,28 @@
      * @param settledMicros up to when every cancellation is carried out in its zone, or {@link
      *     Long#MIN_VALUE}
      */
-    public Warrant heard(String node, NodeStanding said, long settledMicros, long nowMicros) {
-        Holder holder = holders.get(node);
+    public LeaseDelegation heard(String node, PeerStatus said, long settledMicros, long nowMicros) {
+        Delegate holder = holders.get(node);
         if (holder != null) {
             note(holder, said, nowMicros);
             holder.givenMicros = nowMicros;
         } else if (!node.equals(self)) {
             return null;
         }
-        return new Warrant(
+        return new LeaseDelegation(
                 term,
                 said.saidMicros(),
                 nowMicros,
-                settledMicros == Long.MIN_VALUE ? Warrant.UNSETTLED : nowMicros - settledMicros);
+                settledMicros == Long.MIN_VALUE
+                        ? LeaseDelegation.UNSETTLED
+                        : nowMicros - settledMicros);
     }
 
-    private void note(Holder holder, NodeStanding said, long nowMicros) {
+    private void note(Delegate holder, PeerStatus said, long nowMicros) {
         if (holder.heard && holder.life != said.life()) {
             // The process before this one may have taken care until it ended, which was before this
             // one began.
-            long began = nowMicros - CareRules.sooner(said.aliveMicros());
+            long began = nowMicros - DelegationTimeouts.sooner(said.aliveMicros());
             if (began > holder.promisedMicros) {
                 holder.caredMicros =
                         Math.max(holder.caredMicros, Math.min(began, lastHeldMicros(holder)));
@@ -94,24 +97,26 @@
             holder.promisedMicros =
                     Math.max(
                             holder.promisedMicros,
-                            said.echoMicros() + CareRules.sooner(said.promiseMicros()));
+                            said.echoMicros() + DelegationTimeouts.sooner(said.promiseMicros()));
         }
         if (said.caredMicros() >= 0) {
             holder.caredMicros =
-                    Math.max(holder.caredMicros, nowMicros - CareRules.sooner(said.caredMicros()));
+                    Math.max(
+                            holder.caredMicros,
+                            nowMicros - DelegationTimeouts.sooner(said.caredMicros()));
         }
     }
 
-    private long lastHeldMicros(Holder holder) {
+    private long lastHeldMicros(Delegate holder) {
         return holder.givenMicros == NEVER
                 ? NEVER
-                : holder.givenMicros + CareRules.later(rules.careMicros());
+                : holder.givenMicros + DelegationTimeouts.later(rules.careMicros());
     }
 
     /** No worker of the zone was answered by any node in this leader's place after this moment. */
     public long lastCareMicros(String yard, long nowMicros) {
         long last = NEVER;
-        for (Holder holder : holders.values()) {
+        for (Delegate holder : holders.values()) {
             if (holder.yard.equals(yard)) {
                 last = Math.max(last, holder.caredMicros);
                 if (nowMicros > holder.promisedMicros) {
@@ -130,7 +135,7 @@
         if (!agreed || !rules.worthwhile()) {
             return 0;
         }
-        for (Holder holder : holders.values()) {
+        for (Delegate holder : holders.values()) {
             if (holder.yard.equals(yard) && nowMicros > holder.promisedMicros) {
                 return rules.careMicros();
             }
--- a/src/main/java/org/woadloom/core/care/CareRules.java
+++ b/src/main/java/org/woadloom/core/delegation/DelegationTimeouts.java
@@ -1,4 +1,4 @@
-package org.woadloom.core.care;
+package org.woadloom.core.delegation;
 
 /**
  * The times of caretaking, which all nodes work out alike from the platform's settings.
@@ -10,12 +10,12 @@
  *     before it takes care
  * @param leaseOverMicros how long after an answer a worker's lease is certainly over
  */
-public record CareRules(long careMicros, long patienceMicros, long leaseOverMicros) {
+public record DelegationTimeouts(long careMicros, long patienceMicros, long leaseOverMicros) {
     private static final long MARGIN_MICROS = 250_000;
 
-    public static CareRules of(long leaseMicros, long cancelMicros) {
+    public static DelegationTimeouts of(long leaseMicros, long cancelMicros) {
         long leaseOver = later(leaseMicros);
-        return new CareRules(
+        return new DelegationTimeouts(
                 cancelMicros - leaseOver - (later(cancelMicros) - cancelMicros),
                 leaseMicros / 3,
                 leaseOver);
--- a/src/main/java/org/woadloom/core/care/Caretaker.java
+++ b/src/main/java/org/woadloom/core/delegation/LeaseDelegate.java
@@ -1,4 +1,4 @@
-package org.woadloom.core.care;
+package org.woadloom.core.delegation;
 
 /**
  * When a node that is cut off may renew the leases of its zone's workers by itself. It may while it
@@ -6,10 +6,10 @@
  * nor the state service for a while, so that its promises to the leader hold. A process that was
  * started anew holds no warrant.
  */
-public final class Caretaker {
+public final class LeaseDelegate {
     private static final long NEVER = Long.MIN_VALUE / 4;
 
-    private final CareRules rules;
+    private final DelegationTimeouts rules;
     private final String yard;
     private final long life;
     private final long startedMicros;
@@ -21,7 +21,7 @@
     private boolean stateFails;
     private long caredMicros = NEVER;
 
-    public Caretaker(CareRules rules, String yard, long life, long nowMicros) {
+    public LeaseDelegate(DelegationTimeouts rules, String yard, long life, long nowMicros) {
         this.rules = rules;
         this.yard = yard;
         this.life = life;
@@ -31,7 +31,7 @@
     }
 
     /** A warrant has come; one of an earlier term is of the past. */
-    public void warranted(Warrant warrant) {
+    public void warranted(LeaseDelegation warrant) {
         if (warrant.term() < term) {
             return;
         }
@@ -43,7 +43,7 @@
         leaderMicros = Math.max(leaderMicros, warrant.leaderMicros());
         // By the time when the node spoke, as the answer may have been held up on its way.
         contactMicros = Math.max(contactMicros, warrant.saidMicros());
-        if (warrant.settledMicros() < Warrant.UNSETTLED) {
+        if (warrant.settledMicros() < LeaseDelegation.UNSETTLED) {
             untilMicros =
                     Math.max(
                             untilMicros,
@@ -86,8 +86,8 @@
         return true;
     }
 
-    public NodeStanding standing(long nowMicros) {
-        return new NodeStanding(
+    public PeerStatus standing(long nowMicros) {
+        return new PeerStatus(
                 life,
                 nowMicros - startedMicros,
                 nowMicros,
--- a/src/main/java/org/woadloom/core/care/Warrant.java
+++ b/src/main/java/org/woadloom/core/delegation/LeaseDelegation.java
@@ -1,4 +1,4 @@
-package org.woadloom.core.care;
+package org.woadloom.core.delegation;
 
 /**
  * The leader's leave to take care of workers in its absence, and its sign of life.
@@ -10,6 +10,6 @@
  * @param settledMicros how long before the standing was heard the moment lies up to which every
  *     cancellation has been carried out in the node's zone, {@link #UNSETTLED} where there is none
  */
-public record Warrant(long term, long saidMicros, long leaderMicros, long settledMicros) {
+public record LeaseDelegation(long term, long saidMicros, long leaderMicros, long settledMicros) {
     public static final long UNSETTLED = Long.MAX_VALUE / 4;
 }
--- a/src/main/java/org/woadloom/core/care/NodeStanding.java
+++ b/src/main/java/org/woadloom/core/delegation/PeerStatus.java
@@ -1,4 +1,4 @@
-package org.woadloom.core.care;
+package org.woadloom.core.delegation;
 
 /**
  * What a node tells the leader of itself. All spans end at the moment when this was said.
@@ -12,7 +12,7 @@
  * @param caredMicros how long ago it last did, -1 for never
  * @param stateSilentMicros for how long it has had no answer of the state service
  */
-public record NodeStanding(
+public record PeerStatus(
         long life,
         long aliveMicros,
         long saidMicros,
--- a/src/main/java/org/woadloom/core/jobs/Arrivals.java
+++ b/src/main/java/org/woadloom/core/jobs/DemandEstimator.java
@@ -6,14 +6,14 @@
 /**
  * How much room the latest jobs asked for: what comes next is likely no larger than most of them.
  */
-public final class Arrivals {
+public final class DemandEstimator {
     private static final int KEPT = 20;
     private static final int KEPT_OF_A_CLASS = 60;
 
     private static final long QUIET_MICROS = 120_000_000;
 
-    private final RecentSizes batch = new RecentSizes(KEPT);
-    private final Map<String, RecentSizes> byClass = new HashMap<>();
+    private final RecentJobSizes batch = new RecentJobSizes(KEPT);
+    private final Map<String, RecentJobSizes> byClass = new HashMap<>();
     private long lastMicros = Long.MIN_VALUE / 2;
 
     /** Notes a job that may start. Replicas are too long-lived to keep room free for. */
@@ -23,7 +23,7 @@
             batch.add(job);
         }
         byClass.computeIfAbsent(
-                        job.description.jobclass(), name -> new RecentSizes(KEPT_OF_A_CLASS))
+                        job.description.jobclass(), name -> new RecentJobSizes(KEPT_OF_A_CLASS))
                 .add(job);
     }
 
@@ -42,7 +42,7 @@
 
     /** True for one of the largest of its class: no more than one in ten was larger lately. */
     public boolean largeInClass(Job job) {
-        RecentSizes sizes = byClass.get(job.description.jobclass());
-        return sizes != null && RecentSizes.sizeOf(job) >= sizes.large();
+        RecentJobSizes sizes = byClass.get(job.description.jobclass());
+        return sizes != null && RecentJobSizes.sizeOf(job) >= sizes.large();
     }
 }
--- a/src/main/java/org/woadloom/core/jobs/Pipelines.java
+++ b/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.woadloom.core.Command;
-import org.woadloom.core.Effect;
 import org.woadloom.core.LogEntry;
 import org.woadloom.core.LogEvent;
-import org.woadloom.core.World;
-import org.woadloom.wire.Rank;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerEvent;
+import org.woadloom.core.SchedulerState;
+import org.woadloom.protocol.Priority;
 
 /**
  * Jobs that wait for others. A job is let go once each job before it is <em>durably</em> done: a
@@ -21,11 +21,11 @@
  * knows a job no more proves nothing, so the store is asked. If a job before it is cancelled, so is
  * the job, and whatever waits for it.
  */
-public final class Pipelines {
+public final class DependencyGraph {
     private static final int MOST_FINDS = 12;
     private static final long FIND_AGAIN_MICROS = 500_000;
 
-    private final World world;
+    private final SchedulerState world;
 
     /** The jobs that wait for each job, in the order in which they came. */
     private final Map<String, Set<Job>> waiters = new LinkedHashMap<>();
@@ -49,7 +49,7 @@
 
     private boolean changed;
 
-    public Pipelines(World world) {
+    public DependencyGraph(SchedulerState world) {
         this.world = world;
     }
 
@@ -158,7 +158,7 @@
         }
     }
 
-    public void found(Command.JobFound found) {
+    public void found(SchedulerEvent.DependencyResolved found) {
         String uid = found.uid();
         asked.remove(uid);
         if (!waiters.containsKey(uid)) {
@@ -190,7 +190,7 @@
             for (Job job : new ArrayList<>(waiters.getOrDefault(uid, Set.of()))) {
                 if (!job.cancelled) {
                     job.cancelled = true;
-                    job.recording.needs(Recording.Need.LAUNCH);
+                    job.recording.needs(PersistenceState.WriteReason.LAUNCH);
                     world.log(
                             LogEntry.info(LogEvent.DEPENDENT_JOB_CANCELLED)
                                     .with("job", job.uid())
@@ -223,7 +223,7 @@
             unknown.remove(uid);
             // A record that came meanwhile tells the rest by itself.
             if (!world.jobs.containsKey(uid) && asked.add(uid)) {
-                world.emit(new Effect.FindJob(uid));
+                world.emit(new SchedulerAction.ResolveDependency(uid));
             }
         }
     }
@@ -234,13 +234,13 @@
      * what waits last to what comes first.
      */
     private void inherit() {
-        Map<String, Rank> ranks = new HashMap<>();
+        Map<String, Priority> ranks = new HashMap<>();
         Map<String, Long> dues = new HashMap<>();
         ArrayDeque<Job> open = new ArrayDeque<>(missing.keySet());
         while (!open.isEmpty()) {
             Job job = open.poll();
-            Rank inherited = ranks.get(job.uid());
-            Rank rank =
+            Priority inherited = ranks.get(job.uid());
+            Priority rank =
                     inherited != null && inherited.compareTo(job.description.rank()) > 0
                             ? inherited
                             : job.description.rank();
--- a/src/main/java/org/woadloom/core/jobs/Job.java
+++ b/src/main/java/org/woadloom/core/jobs/Job.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 import java.util.Set;
 import org.agrona.collections.Int2ObjectHashMap;
-import org.woadloom.core.placement.Room;
-import org.woadloom.core.teams.TeamUse;
-import org.woadloom.state.JobRecord;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.JobDescription;
-import org.woadloom.wire.Rank;
-import org.woadloom.wire.TaskReport;
+import org.woadloom.core.placement.Resources;
+import org.woadloom.core.quota.TeamQuota;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.Priority;
+import org.woadloom.protocol.TaskStatus;
+import org.woadloom.store.JobRecord;
 
 /** A job that is not over, or that may still have tasks on machines. */
 public final class Job {
@@ -25,8 +25,8 @@
     private static final long PREEMPTION_MEMORY_MICROS = 30_000_000;
 
     public final JobDescription description;
-    public final Room room;
-    public final TeamUse team;
+    public final Resources room;
+    public final TeamQuota team;
     public final long submittedWallMicros;
     public final long submittedMicros;
 
@@ -46,7 +46,7 @@
     private boolean waiting;
 
     /** Its own rank, or a higher one of a job that needs it. */
-    private Rank rank;
+    private Priority rank;
 
     /**
      * By when it has to be done for itself, or for the jobs that need it; {@link Long#MAX_VALUE}
@@ -60,13 +60,13 @@
     public final BitSet done;
 
     private int doneCount;
-    public final Recording recording;
+    public final PersistenceState recording;
 
     /** Done or placed: what is clear here is pending. */
     private final BitSet taken = new BitSet();
 
     private int takenCount;
-    private final Int2ObjectHashMap<Placement> placements = new Int2ObjectHashMap<>();
+    private final Int2ObjectHashMap<TaskAttempt> placements = new Int2ObjectHashMap<>();
     private final Map<String, Integer> perYard = new LinkedHashMap<>();
     public boolean cancelled;
 
@@ -92,9 +92,13 @@
      * @param unrecorded where the job puts itself when its record needs anything
      */
     public Job(
-            JobRecord record, long stamp, TeamUse team, long submittedMicros, Set<Job> unrecorded) {
+            JobRecord record,
+            long stamp,
+            TeamQuota team,
+            long submittedMicros,
+            Set<Job> unrecorded) {
         this.description = record.description();
-        this.room = Room.of(record.description());
+        this.room = Resources.of(record.description());
         this.team = team;
         this.submittedWallMicros = record.submittedWallMicros();
         this.submittedMicros = submittedMicros;
@@ -102,7 +106,7 @@
         this.taken.or(record.done());
         this.takenCount = taken.cardinality();
         this.cancelled = record.cancelled();
-        this.recording = new Recording(stamp, () -> unrecorded.add(this));
+        this.recording = new PersistenceState(stamp, () -> unrecorded.add(this));
         this.doneCount = done.cardinality();
         this.readyWallMicros = record.readyWallMicros();
         this.waiting = !record.description().awaits().isEmpty();
@@ -136,7 +140,7 @@
         return sinceMicros;
     }
 
-    public Rank rank() {
+    public Priority rank() {
         return rank;
     }
 
@@ -167,8 +171,8 @@
     }
 
     /** What the jobs that need this one ask of it. */
-    void inherit(Rank highest, long earliestMicros) {
-        Rank before = rank;
+    void inherit(Priority highest, long earliestMicros) {
+        Priority before = rank;
         rank = highest.compareTo(description.rank()) > 0 ? highest : description.rank();
         dueMicros = Math.min(ownDueMicros(), earliestMicros);
         if (before != rank) {
@@ -204,7 +208,7 @@
         return finished || cancelled || allDone();
     }
 
-    public Collection<Placement> placements() {
+    public Collection<TaskAttempt> placements() {
         return placements.values();
     }
 
@@ -221,7 +225,7 @@
         return doneCount > 0 || !placements.isEmpty();
     }
 
-    public Placement placement(int index) {
+    public TaskAttempt placement(int index) {
         return placements.get(index);
     }
 
@@ -245,11 +249,11 @@
 
     /** How many more of its tasks the team's limit allows. */
     public int allowed() {
-        return allowed(Room.NONE);
+        return allowed(Resources.NONE);
     }
 
     /** The same, where the first tasks give back what was held for them. */
-    public int allowed(Room credit) {
+    public int allowed(Resources credit) {
         return team.allowed(room, this, credit);
     }
 
@@ -258,7 +262,7 @@
         return next < description.shards() ? next : -1;
     }
 
-    public void add(Placement placement) {
+    public void add(TaskAttempt placement) {
         if (waiting) {
             throw new IllegalStateException("job " + uid() + " waits for others");
         }
@@ -266,7 +270,7 @@
             // An earlier leader placed what is inherited: when is not known, and it is not said to
             // have waited until now.
             firstPlacedMicros =
-                    placement.stage == Placement.Stage.INHERITED
+                    placement.stage == TaskAttempt.Stage.INHERITED
                             ? sinceMicros
                             : placement.placedMicros;
         }
@@ -277,7 +281,7 @@
         team.add(room);
     }
 
-    public void remove(Placement placement) {
+    public void remove(TaskAttempt placement) {
         if (placements.get(placement.index) != placement) {
             return;
         }
@@ -294,8 +298,8 @@
 
     /** Placements whose record has become durable may be launched. */
     public void release() {
-        for (Placement placement : placements.values()) {
-            if (placement.stage == Placement.Stage.PLANNED
+        for (TaskAttempt placement : placements.values()) {
+            if (placement.stage == TaskAttempt.Stage.PLANNED
                     && placement.version <= recording.durable) {
                 placement.ready();
             }
@@ -321,8 +325,8 @@
 
     public int running() {
         int running = 0;
-        for (Placement placement : placements.values()) {
-            if (placement.seen == TaskReport.State.RUNNING) {
+        for (TaskAttempt placement : placements.values()) {
+            if (placement.seen == TaskStatus.State.RUNNING) {
                 running++;
             }
         }
@@ -331,13 +335,15 @@
 
     /** The record as it should be written now. */
     public JobRecord toRecord(long term, long version) {
-        Map<String, JobRecord.Placed> groups = new LinkedHashMap<>();
-        List<Placement> ordered = new ArrayList<>(placements.values());
+        Map<String, JobRecord.RecordedAttempt> groups = new LinkedHashMap<>();
+        List<TaskAttempt> ordered = new ArrayList<>(placements.values());
         ordered.sort((a, b) -> Integer.compare(a.index, b.index));
-        for (Placement p : ordered) {
+        for (TaskAttempt p : ordered) {
             groups.computeIfAbsent(
                             p.machine.host + " " + p.attempt,
-                            k -> new JobRecord.Placed(p.machine.host, p.attempt, new BitSet()))
+                            k ->
+                                    new JobRecord.RecordedAttempt(
+                                            p.machine.host, p.attempt, new BitSet()))
                     .tasks()
                     .set(p.index);
         }
--- a/src/main/java/org/woadloom/core/jobs/Recorder.java
+++ b/src/main/java/org/woadloom/core/jobs/JobPersister.java
@@ -3,18 +3,18 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import org.woadloom.core.Command;
-import org.woadloom.core.Effect;
 import org.woadloom.core.LogEntry;
 import org.woadloom.core.LogEvent;
-import org.woadloom.core.World;
-import org.woadloom.state.FinalRecord;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerEvent;
+import org.woadloom.core.SchedulerState;
+import org.woadloom.store.FinalRecord;
 
 /**
  * Keeps the jobs' durable records up with what the core knows; one write of a job is under way at a
  * time.
  */
-public final class Recorder {
+public final class JobPersister {
     private static final long PHASE_MICROS = 1_000_000;
     private static final long OUTCOME_MICROS = 250_000;
     private static final long RETRY_MICROS = 150_000;
@@ -32,14 +32,15 @@
                     .thenComparingLong(
                             job ->
                                     job.recording.lastWriteMicros
-                                            - (job.recording.need == Recording.Need.LAUNCH
+                                            - (job.recording.need
+                                                            == PersistenceState.WriteReason.LAUNCH
                                                     ? LAUNCH_AHEAD_MICROS
                                                     : 0));
 
-    private final World world;
-    private final JobTable table;
+    private final SchedulerState world;
+    private final JobRegistry table;
 
-    public Recorder(World world, JobTable table) {
+    public JobPersister(SchedulerState world, JobRegistry table) {
         this.world = world;
         this.table = table;
     }
@@ -50,10 +51,10 @@
         world.unrecorded.removeIf(
                 job ->
                         job.finished
-                                || job.recording.need == Recording.Need.NONE
+                                || job.recording.need == PersistenceState.WriteReason.NONE
                                         && !job.recording.reading);
         for (Job job : world.unrecorded) {
-            Recording recording = job.recording;
+            PersistenceState recording = job.recording;
             if (recording.gone()) {
                 if (job.placements().isEmpty()) {
                     gone.add(job);
@@ -67,7 +68,7 @@
                 if (!recording.readSent) {
                     recording.readSent = true;
                     recording.retryMicros = world.nowMicros + RETRY_MICROS;
-                    world.emit(new Effect.ReadJob(job.uid()));
+                    world.emit(new SchedulerAction.ReadJob(job.uid()));
                 }
             } else if (recording.writing == 0 && due(job)) {
                 due.add(job);
@@ -85,13 +86,13 @@
     }
 
     private void write(Job job) {
-        Recording recording = job.recording;
+        PersistenceState recording = job.recording;
         if (job.over() && job.placements().isEmpty()) {
             world.writes.job(2);
             recording.finishing = true;
             long version = recording.begin(world.nowMicros, job.allDone());
             world.emit(
-                    new Effect.FinishJob(
+                    new SchedulerAction.WriteFinalState(
                             new FinalRecord(
                                     job.uid(),
                                     job.cancelled,
@@ -102,10 +103,11 @@
                             version));
         } else {
             world.writes.job(1);
-            boolean urgent = recording.need == Recording.Need.LAUNCH;
+            boolean urgent = recording.need == PersistenceState.WriteReason.LAUNCH;
             long version = recording.begin(world.nowMicros, job.allDone());
             world.emit(
-                    new Effect.PutJob(job.toRecord(world.term, version), recording.stamp, urgent));
+                    new SchedulerAction.WriteJob(
+                            job.toRecord(world.term, version), recording.stamp, urgent));
         }
     }
 
@@ -123,12 +125,12 @@
         };
     }
 
-    public void written(Command.JobWritten result) {
+    public void written(SchedulerEvent.JobWriteCompleted result) {
         Job job = world.jobs.get(result.uid());
         if (job == null) {
             return;
         }
-        Recording recording = job.recording;
+        PersistenceState recording = job.recording;
         switch (result.outcome()) {
             case WRITTEN -> {
                 boolean finishing = recording.finishing && recording.writing == result.version();
@@ -175,8 +177,8 @@
     private void tooLarge(Job job) {
         job.recording.refused(world.nowMicros + TOO_LARGE_MICROS);
         int planned = 0;
-        for (Placement placement : new ArrayList<>(job.placements())) {
-            if (placement.stage == Placement.Stage.PLANNED) {
+        for (TaskAttempt placement : new ArrayList<>(job.placements())) {
+            if (placement.stage == TaskAttempt.Stage.PLANNED) {
                 job.remove(placement);
                 planned++;
             }
--- a/src/main/java/org/woadloom/core/jobs/JobTable.java
+++ b/src/main/java/org/woadloom/core/jobs/JobRegistry.java
@@ -2,44 +2,44 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.woadloom.core.Command;
 import org.woadloom.core.LogEntry;
 import org.woadloom.core.LogEvent;
-import org.woadloom.core.World;
+import org.woadloom.core.SchedulerEvent;
+import org.woadloom.core.SchedulerState;
 import org.woadloom.core.machines.Machine;
-import org.woadloom.core.teams.TeamUse;
-import org.woadloom.state.JobRecord;
-import org.woadloom.wire.JobDescription;
+import org.woadloom.core.quota.TeamQuota;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.store.JobRecord;
 
 /** Jobs as they are accepted, cancelled and read back. */
-public final class JobTable {
-    private final World world;
+public final class JobRegistry {
+    private final SchedulerState world;
 
-    public JobTable(World world) {
+    public JobRegistry(SchedulerState world) {
         this.world = world;
     }
 
     /** Takes over a job from its record: what the record names may be there. */
-    public void load(Command.StoredJob stored) {
+    public void load(SchedulerEvent.StoredJob stored) {
         JobRecord record = stored.record();
         Job job = create(record, stored.stamp());
         if (job == null) {
             return;
         }
-        for (JobRecord.Placed placed : record.placed()) {
+        for (JobRecord.RecordedAttempt placed : record.placed()) {
             Machine machine = world.machines.get(placed.host());
             if (machine == null) {
                 // A machine's record is dropped only after its deletion was answered, so nothing is
                 // left there.
-                job.recording.needs(Recording.Need.OUTCOME);
+                job.recording.needs(PersistenceState.WriteReason.OUTCOME);
                 continue;
             }
             for (int i = placed.tasks().nextSetBit(0);
                     i >= 0;
                     i = placed.tasks().nextSetBit(i + 1)) {
-                Placement placement =
-                        new Placement(job, i, machine, placed.attempt(), 0, world.nowMicros);
-                placement.stage = Placement.Stage.INHERITED;
+                TaskAttempt placement =
+                        new TaskAttempt(job, i, machine, placed.attempt(), 0, world.nowMicros);
+                placement.stage = TaskAttempt.Stage.INHERITED;
                 job.add(placement);
                 if (job.over() || job.done.get(i)) {
                     placement.halt(0);
@@ -47,7 +47,7 @@
             }
         }
         if (job.over() && job.placements().isEmpty()) {
-            job.recording.needs(Recording.Need.LAUNCH);
+            job.recording.needs(PersistenceState.WriteReason.LAUNCH);
         }
     }
 
@@ -59,7 +59,7 @@
                 Job created = create(record, stamp);
                 if (created != null) {
                     if (created.over()) {
-                        created.recording.needs(Recording.Need.LAUNCH);
+                        created.recording.needs(PersistenceState.WriteReason.LAUNCH);
                     }
                     logAccepted(record.description());
                 }
@@ -67,7 +67,7 @@
             }
             return;
         }
-        Recording recording = job.recording;
+        PersistenceState recording = job.recording;
         boolean answersRead = recording.reading && recording.readSent;
         if (stamp < recording.stamp) {
             return;
@@ -92,7 +92,7 @@
      * A record that can't be read is damaged: what this leader knows of the job is written in its
      * place.
      */
-    public void unread(Command.JobUnread unread) {
+    public void unread(SchedulerEvent.JobRecordDamaged unread) {
         Job job = world.jobs.get(unread.uid());
         if (job == null || unread.stamp() < job.recording.stamp) {
             return;
@@ -105,7 +105,7 @@
         if (job.recording.reading && job.recording.readSent) {
             job.recording.readAgain();
         } else {
-            job.recording.needs(Recording.Need.LAUNCH);
+            job.recording.needs(PersistenceState.WriteReason.LAUNCH);
         }
     }
 
@@ -155,7 +155,7 @@
      * @param known false if only the store knows whether it was done or cancelled
      */
     public void finished(Job job, boolean known) {
-        for (Placement placement : new ArrayList<>(job.placements())) {
+        for (TaskAttempt placement : new ArrayList<>(job.placements())) {
             job.remove(placement);
         }
         job.finished = true;
@@ -177,7 +177,7 @@
     }
 
     private Job create(JobRecord record, long stamp) {
-        TeamUse team = world.teams.get(record.description().crew());
+        TeamQuota team = world.teams.get(record.description().crew());
         if (team == null) {
             world.log(
                     LogEntry.info(LogEvent.JOB_TEAM_UNKNOWN)
@@ -215,14 +215,14 @@
         world.pipelines.cancelled(job.uid());
         halt(job);
         if (job.placements().isEmpty()) {
-            job.recording.needs(Recording.Need.LAUNCH);
+            job.recording.needs(PersistenceState.WriteReason.LAUNCH);
         }
         world.placementWorthTrying = true;
     }
 
     /** Stops everything of a job that is over. What was never sent is gone at once. */
     public void halt(Job job) {
-        for (Placement placement : new ArrayList<>(job.placements())) {
+        for (TaskAttempt placement : new ArrayList<>(job.placements())) {
             if (placement.neverSent()) {
                 job.remove(placement);
             } else {
--- a/src/main/java/org/woadloom/core/jobs/Recording.java
+++ b/src/main/java/org/woadloom/core/jobs/PersistenceState.java
@@ -1,9 +1,9 @@
 package org.woadloom.core.jobs;
 
 /** How a job's durable record stands against what the core knows. */
-public final class Recording {
+public final class PersistenceState {
     /** What a change needs: the more urgent a change, the sooner it is written. */
-    public enum Need {
+    public enum WriteReason {
         NONE,
         PHASE,
         OUTCOME,
@@ -25,7 +25,7 @@
     public long writing;
 
     private long next = 1;
-    public Need need = Need.NONE;
+    public WriteReason need = WriteReason.NONE;
     private boolean readDone;
 
     /**
@@ -50,7 +50,7 @@
     /**
      * @param needed hears when the record needs anything
      */
-    Recording(long stamp, Runnable needed) {
+    PersistenceState(long stamp, Runnable needed) {
         this.stamp = stamp;
         this.needed = needed;
     }
@@ -60,7 +60,7 @@
         return next;
     }
 
-    public void needs(Need at) {
+    public void needs(WriteReason at) {
         if (at.compareTo(need) > 0) {
             need = at;
             needed.run();
@@ -72,7 +72,7 @@
         if (allDone && doneVersion == 0) {
             doneVersion = writing;
         }
-        need = Need.NONE;
+        need = WriteReason.NONE;
         lastWriteMicros = nowMicros;
         return writing;
     }
@@ -83,7 +83,7 @@
     void refused(long againMicros) {
         writing = 0;
         finishing = false;
-        needs(Need.LAUNCH);
+        needs(WriteReason.LAUNCH);
         retryMicros = againMicros;
     }
 
@@ -96,14 +96,14 @@
         readSent = false;
         writing = 0;
         finishing = false;
-        needs(Need.LAUNCH);
+        needs(WriteReason.LAUNCH);
     }
 
     /** Another's final state has taken the record's place. */
     void replaced() {
         gone = true;
         reading = false;
-        need = Need.NONE;
+        need = WriteReason.NONE;
     }
 
     boolean gone() {
--- a/src/main/java/org/woadloom/core/jobs/RecentSizes.java
+++ b/src/main/java/org/woadloom/core/jobs/RecentJobSizes.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /** How much processor time the latest jobs asked for at once, each by itself. */
-final class RecentSizes {
+final class RecentJobSizes {
     private static final double LARGE = 0.9;
 
     private final int kept;
     private final ArrayDeque<Long> cpus = new ArrayDeque<>();
     private long large;
 
-    RecentSizes(int kept) {
+    RecentJobSizes(int kept) {
         this.kept = kept;
     }
 
--- a/src/main/java/org/woadloom/core/jobs/Placement.java
+++ b/src/main/java/org/woadloom/core/jobs/TaskAttempt.java
@@ -1,14 +1,14 @@
 package org.woadloom.core.jobs;
 
 import org.woadloom.core.machines.Machine;
-import org.woadloom.wire.TaskId;
-import org.woadloom.wire.TaskReport;
+import org.woadloom.protocol.TaskId;
+import org.woadloom.protocol.TaskStatus;
 
 /**
  * A task that is, or may be, on a machine under one attempt. It counts for everything from the
  * moment it is decided until there is proof that the attempt is not there and never will be.
  */
-public final class Placement {
+public final class TaskAttempt {
     /** How far the launch has come. */
     public enum Stage {
         /** Decided; the record that names it is not yet known to be durable. */
@@ -42,7 +42,7 @@
     public long sentToken;
 
     public long answeredTick;
-    public TaskReport.State seen;
+    public TaskStatus.State seen;
 
     /** The last message that listed it. */
     public long listedIn;
@@ -53,7 +53,7 @@
     public long haltSentMicros = -1;
     public double windDownS;
 
-    public Placement(
+    public TaskAttempt(
             Job job, int index, Machine machine, long attempt, long version, long nowMicros) {
         this.job = job;
         this.index = index;
--- a/src/main/java/org/woadloom/core/hearing/Hearing.java
+++ b/src/main/java/org/woadloom/core/liveness/AgentLiveness.java
@@ -1,6 +1,6 @@
-package org.woadloom.core.hearing;
+package org.woadloom.core.liveness;
 
-import org.woadloom.wire.WorkerReport;
+import org.woadloom.protocol.Heartbeat;
 
 /**
  * What is known of one worker's messages and of its hearing ours: which of its messages is the
@@ -9,14 +9,14 @@
  * reaches; only the token that a message carries, and the command that it answers, tell when it was
  * made.
  */
-public final class Hearing {
+public final class AgentLiveness {
     public static final int FENCE_BITS = 24;
 
     /** For what is not known, or was never. */
     public static final long NEVER = Long.MIN_VALUE / 4;
 
     private final long term;
-    private final HearingRules rules;
+    private final LivenessTimeouts rules;
     private long tenure;
     private long tick;
     private long leastTenure;
@@ -45,7 +45,7 @@
     /**
      * @param fence no message of this worker carries a token of this term from before this one
      */
-    public Hearing(long term, long fence, HearingRules rules) {
+    public AgentLiveness(long term, long fence, LivenessTimeouts rules) {
         this.term = term;
         this.fence = fence;
         this.rules = rules;
@@ -146,20 +146,20 @@
     }
 
     /** What is to follow from a message of this worker is for this to say, and only for this. */
-    public Age judge(WorkerReport report, long sinceMicros, long nowMicros) {
+    public MessageAge judge(Heartbeat report, long sinceMicros, long nowMicros) {
         if (report.tenure() < leastTenure || !report.newerThan(tenure, tick)) {
-            return Age.COPY;
+            return MessageAge.COPY;
         }
         return nowMicros - madeAfter(report, sinceMicros) <= rules.freshMicros()
-                ? Age.FRESH
-                : Age.PERHAPS_OLD;
+                ? MessageAge.FRESH
+                : MessageAge.PERHAPS_OLD;
     }
 
     /**
      * A message that is newer than all before it was made after those, and after the token that it
      * carries went out.
      */
-    private long madeAfter(WorkerReport report, long sinceMicros) {
+    private long madeAfter(Heartbeat report, long sinceMicros) {
         long made = Math.max(sinceMicros, aliveMicros);
         return report.epoch() == token() ? Math.max(made, issuedMicros) : made;
     }
@@ -170,15 +170,15 @@
      * @param sinceMicros when the command was sent that it answers, {@link #NEVER} for a report of
      *     its own
      */
-    public void take(WorkerReport report, Age age, long sinceMicros, long nowMicros) {
-        long alive = age == Age.FRESH ? nowMicros : madeAfter(report, sinceMicros);
+    public void take(Heartbeat report, MessageAge age, long sinceMicros, long nowMicros) {
+        long alive = age == MessageAge.FRESH ? nowMicros : madeAfter(report, sinceMicros);
         tenure = report.tenure();
         leastTenure = report.tenure();
         tick = report.tick();
         aliveMicros = Math.max(aliveMicros, alive);
         if (sinceMicros == NEVER) {
             reportedMicros = Math.max(reportedMicros, alive);
-        } else if (age == Age.FRESH && nowMicros - ownMicros <= rules.freshMicros()) {
+        } else if (age == MessageAge.FRESH && nowMicros - ownMicros <= rules.freshMicros()) {
             // The report that came a moment ago is of a worker that lives.
             reportedMicros = Math.max(reportedMicros, ownMicros);
         }
@@ -206,7 +206,7 @@
      * at a time, and waits for its answer for four seconds: whoever still sends an earlier one,
      * nobody waits for that answer.
      */
-    public boolean mayWaitFor(WorkerReport report, long nowMicros) {
+    public boolean mayWaitFor(Heartbeat report, long nowMicros) {
         if (report.newerThan(ownTenure, ownTick)) {
             ownTenure = report.tenure();
             ownTick = report.tick();
--- a/src/main/java/org/woadloom/core/hearing/HearingRules.java
+++ b/src/main/java/org/woadloom/core/liveness/LivenessTimeouts.java
@@ -1,4 +1,4 @@
-package org.woadloom.core.hearing;
+package org.woadloom.core.liveness;
 
 /**
  * The times by which workers are judged, all from the platform's settings.
@@ -9,13 +9,13 @@
  *     time it has tried two nodes
  * @param answerMicros a worker waits no longer for an answer
  */
-public record HearingRules(long freshMicros, long deafMicros, long answerMicros) {
+public record LivenessTimeouts(long freshMicros, long deafMicros, long answerMicros) {
     private static final long ANSWER_MICROS = 4_000_000;
     private static final long NEXT_NODE_MICROS = 1_000_000;
     private static final long MARGIN_MICROS = 500_000;
 
-    public static HearingRules of(long reportMicros, long leaseMicros) {
-        return new HearingRules(
+    public static LivenessTimeouts of(long reportMicros, long leaseMicros) {
+        return new LivenessTimeouts(
                 2 * reportMicros + MARGIN_MICROS,
                 Math.max(
                         leaseMicros / 2,
--- a/src/main/java/org/woadloom/core/hearing/Age.java
+++ b/src/main/java/org/woadloom/core/liveness/MessageAge.java
@@ -1,10 +1,10 @@
-package org.woadloom.core.hearing;
+package org.woadloom.core.liveness;
 
 /**
  * What the time at which a worker's message was made is known to be. Decided in {@link
  * Hearing#judge} alone.
  */
-public enum Age {
+public enum MessageAge {
     /**
      * Something newer was heard before, or the session is known to be over: nothing follows from
      * it.
--- a/src/main/java/org/woadloom/core/machines/Contact.java
+++ b/src/main/java/org/woadloom/core/machines/AgentProber.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 import org.woadloom.core.LogEntry;
 import org.woadloom.core.LogEvent;
-import org.woadloom.core.World;
-import org.woadloom.core.hearing.Hearing;
-import org.woadloom.core.jobs.Placement;
+import org.woadloom.core.SchedulerState;
+import org.woadloom.core.jobs.TaskAttempt;
+import org.woadloom.core.liveness.AgentLiveness;
 
 /**
  * Looks after workers that are out of touch. One that is deaf (it reports, and nothing reaches it)
@@ -18,15 +18,15 @@
  * controller that has lost everybody else learns of the present token that way, which that
  * controller then can't help hearing of.
  */
-public final class Contact {
+public final class AgentProber {
     private static final int MOST_PROBES = 16;
 
-    private final World world;
-    private final Losses losses;
+    private final SchedulerState world;
+    private final TaskLossHandler losses;
     private final Set<String> deaf = new HashSet<>();
     private final Set<Machine> probed = new HashSet<>();
 
-    public Contact(World world, Losses losses) {
+    public AgentProber(SchedulerState world, TaskLossHandler losses) {
         this.world = world;
         this.losses = losses;
     }
@@ -61,7 +61,7 @@
      * nobody waits for it.
      */
     private void takeBack(Machine machine) {
-        for (Placement placement : machine.snapshot()) {
+        for (TaskAttempt placement : machine.snapshot()) {
             if (placement.neverSent()) {
                 losses.lost(placement, "the worker does not hear");
             }
@@ -69,7 +69,7 @@
     }
 
     private void tell(Machine machine) {
-        Hearing hearing = machine.hearing;
+        AgentLiveness hearing = machine.hearing;
         if (hearing.deaf(world.nowMicros)) {
             if (deaf.add(machine.host)) {
                 world.log(
--- a/src/main/java/org/woadloom/core/machines/Directs.java
+++ b/src/main/java/org/woadloom/core/machines/DirectCommands.java
@@ -4,30 +4,30 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.woadloom.core.Command;
-import org.woadloom.core.Effect;
 import org.woadloom.core.LogEntry;
 import org.woadloom.core.LogEvent;
-import org.woadloom.core.World;
-import org.woadloom.core.jobs.Placement;
-import org.woadloom.core.jobs.Placement.Stage;
-import org.woadloom.wire.Order;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerEvent;
+import org.woadloom.core.SchedulerState;
+import org.woadloom.core.jobs.TaskAttempt;
+import org.woadloom.core.jobs.TaskAttempt.Stage;
+import org.woadloom.protocol.TaskCommand;
 
 /** Sends commands straight to workers, one request at a time to each. */
-public final class Directs {
+public final class DirectCommands {
     private static final int MAX_ORDERS = 400;
     private static final int NOT_SENT = -1;
     private static final long PAUSE_MICROS = 2_000_000;
 
-    private final World world;
-    private final Reports reports;
-    private final Losses losses;
+    private final SchedulerState world;
+    private final HeartbeatHandler reports;
+    private final TaskLossHandler losses;
     private final Map<Long, Sent> sent = new HashMap<>();
 
     /** What went out with a command, and when. */
-    private record Sent(List<Placement> launches, long atMicros) {}
+    private record Sent(List<TaskAttempt> launches, long atMicros) {}
 
-    public Directs(World world, Reports reports, Losses losses) {
+    public DirectCommands(SchedulerState world, HeartbeatHandler reports, TaskLossHandler losses) {
         this.world = world;
         this.reports = reports;
         this.losses = losses;
@@ -47,17 +47,17 @@
     }
 
     private void send(Machine machine) {
-        List<Order> orders = new ArrayList<>();
-        List<Placement> launches = new ArrayList<>();
+        List<TaskCommand> orders = new ArrayList<>();
+        List<TaskAttempt> launches = new ArrayList<>();
         boolean all = true;
         if (machine.acknowledged()) {
-            for (Placement placement : machine.placements()) {
+            for (TaskAttempt placement : machine.placements()) {
                 if (orders.size() >= MAX_ORDERS) {
                     all = false;
                     break;
                 }
                 if (placement.stage == Stage.READY && !placement.halting()) {
-                    orders.add(Order.launch(placement.task(), placement.attempt));
+                    orders.add(TaskCommand.launch(placement.task(), placement.attempt));
                     launches.add(placement);
                 } else if (placement.halting()
                         && !placement.neverSent()
@@ -66,7 +66,8 @@
                     // Halts come first, so that the room they free is there for the launches.
                     orders.add(
                             0,
-                            Order.halt(placement.task(), placement.attempt, placement.windDownS));
+                            TaskCommand.halt(
+                                    placement.task(), placement.attempt, placement.windDownS));
                 }
             }
         }
@@ -79,13 +80,13 @@
         }
         long id = world.newSend();
         machine.sendInFlight = id;
-        for (Placement placement : launches) {
+        for (TaskAttempt placement : launches) {
             placement.stage = Stage.SENT;
             placement.sentToken = machine.hearing.token();
         }
         sent.put(id, new Sent(launches, world.nowMicros));
         world.emit(
-                new Effect.SendDirect(
+                new SchedulerAction.SendDirectCommand(
                         id,
                         machine.host,
                         machine.addr,
@@ -94,13 +95,13 @@
                         orders));
     }
 
-    public void result(Command.DirectResult result) {
+    public void result(SchedulerEvent.DirectCommandCompleted result) {
         Sent command = sent.remove(result.sendId());
         Machine machine = world.machines.get(result.host());
         if (machine == null || command == null) {
             return;
         }
-        List<Placement> launches = command.launches;
+        List<TaskAttempt> launches = command.launches;
         if (machine.sendInFlight == result.sendId()) {
             machine.sendInFlight = 0;
             machine.attend();
@@ -110,7 +111,7 @@
             return;
         }
         if (result.status() == 200 && result.report() != null) {
-            for (Placement placement : launches) {
+            for (TaskAttempt placement : launches) {
                 placement.stage = Stage.THERE;
             }
             reports.absorb(machine, result.report(), command.atMicros);
@@ -131,7 +132,7 @@
         }
     }
 
-    private void backToReady(Placement placement) {
+    private void backToReady(TaskAttempt placement) {
         if (placement.stage != Stage.SENT) {
             return;
         }
@@ -146,13 +147,13 @@
      * The launches may be executed minutes late; a raised token makes the worker refuse them from
      * then on.
      */
-    private void unanswered(Machine machine, List<Placement> launches) {
+    private void unanswered(Machine machine, List<TaskAttempt> launches) {
         machine.directAgainMicros =
                 world.nowMicros
                         + (machine.hearing.deaf(world.nowMicros)
                                 ? world.settings.leaseMicros() / 2
                                 : PAUSE_MICROS);
-        for (Placement placement : launches) {
+        for (TaskAttempt placement : launches) {
             if (placement.stage == Stage.SENT) {
                 placement.stage = Stage.UNANSWERED;
             }
@@ -165,7 +166,7 @@
                             .with("machine", machine.host)
                             .with("starts", launches.size()));
         }
-        for (Placement placement : machine.placements()) {
+        for (TaskAttempt placement : machine.placements()) {
             placement.haltSentMicros = -1;
         }
     }
--- a/src/main/java/org/woadloom/core/machines/Reports.java
+++ b/src/main/java/org/woadloom/core/machines/HeartbeatHandler.java
@@ -4,25 +4,25 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.woadloom.core.Command;
-import org.woadloom.core.Effect;
 import org.woadloom.core.LogEntry;
 import org.woadloom.core.LogEvent;
-import org.woadloom.core.World;
-import org.woadloom.core.hearing.Age;
-import org.woadloom.core.hearing.Hearing;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerEvent;
+import org.woadloom.core.SchedulerState;
 import org.woadloom.core.jobs.Job;
-import org.woadloom.core.jobs.Placement;
-import org.woadloom.core.jobs.Placement.Stage;
-import org.woadloom.core.jobs.Recording;
-import org.woadloom.state.MachineRecord;
-import org.woadloom.wire.Order;
-import org.woadloom.wire.TaskId;
-import org.woadloom.wire.TaskReport;
-import org.woadloom.wire.WorkerReport;
+import org.woadloom.core.jobs.PersistenceState;
+import org.woadloom.core.jobs.TaskAttempt;
+import org.woadloom.core.jobs.TaskAttempt.Stage;
+import org.woadloom.core.liveness.AgentLiveness;
+import org.woadloom.core.liveness.MessageAge;
+import org.woadloom.protocol.Heartbeat;
+import org.woadloom.protocol.TaskCommand;
+import org.woadloom.protocol.TaskId;
+import org.woadloom.protocol.TaskStatus;
+import org.woadloom.store.MachineRecord;
 
 /** Reads what workers say, and answers their reports. */
-public final class Reports {
+public final class HeartbeatHandler {
     private static final int MAX_ORDERS = 400;
     private static final long ERROR_BACKOFF_MICROS = 1_000_000;
     private static final long MAX_BACKOFF_MICROS = 60_000_000;
@@ -30,9 +30,9 @@
     /** On so many machines a job without fault may have failed. */
     private static final int FAULTY_AT_ONCE = 2;
 
-    private final World world;
-    private final MachineTable table;
-    private final Losses losses;
+    private final SchedulerState world;
+    private final MachineRegistry table;
+    private final TaskLossHandler losses;
 
     /** Exits that may be cleared once the job's record has reached a version. */
     private final Map<String, Map<Exit, Long>> clearAfter = new HashMap<>();
@@ -44,15 +44,15 @@
 
     private record Exit(TaskId task, long attempt) {}
 
-    public Reports(World world, MachineTable table, Losses losses) {
+    public HeartbeatHandler(SchedulerState world, MachineRegistry table, TaskLossHandler losses) {
         this.world = world;
         this.table = table;
         this.losses = losses;
     }
 
     /** A report that waits for an answer. */
-    public void report(Command.Report command) {
-        WorkerReport report = command.report();
+    public void report(SchedulerEvent.HeartbeatReceived command) {
+        Heartbeat report = command.report();
         Machine machine =
                 table.reported(
                         new MachineRecord(
@@ -67,20 +67,20 @@
         if (!machine.hearing.mayWaitFor(report, world.nowMicros)) {
             // Nobody waits for this answer; if somebody did, it would renew a lease that counts as
             // running out.
-            world.emit(new Effect.TurnAway(command.replyId()));
+            world.emit(new SchedulerAction.RejectHeartbeat(command.replyId()));
             return;
         }
         machine.lastAnsweredMicros = world.nowMicros;
-        Age age = absorb(machine, report, Hearing.NEVER);
-        List<Order> orders = age != Age.COPY ? orders(machine, report) : List.of();
-        if (age == Age.PERHAPS_OLD) {
+        MessageAge age = absorb(machine, report, AgentLiveness.NEVER);
+        List<TaskCommand> orders = age != MessageAge.COPY ? orders(machine, report) : List.of();
+        if (age == MessageAge.PERHAPS_OLD) {
             machine.hearing.challenge();
         }
-        if (age != Age.COPY && !machine.hearing.heardToken()) {
+        if (age != MessageAge.COPY && !machine.hearing.heardToken()) {
             machine.greet();
         }
         world.emit(
-                new Effect.Answer(
+                new SchedulerAction.AnswerHeartbeat(
                         command.replyId(), machine.hearing.issue(world.nowMicros), orders));
     }
 
@@ -88,16 +88,16 @@
      * True if the worker has heard of a later leader. A higher token of this term is of a machine
      * that was forgotten.
      */
-    public boolean laterTerm(Machine machine, WorkerReport report) {
+    public boolean laterTerm(Machine machine, Heartbeat report) {
         if (report.epoch() <= machine.hearing.token()) {
             return false;
         }
-        if (report.epoch() >> Hearing.FENCE_BITS == world.term) {
+        if (report.epoch() >> AgentLiveness.FENCE_BITS == world.term) {
             machine.hearing.passOver(report.epoch());
             return false;
         }
         world.emit(
-                new Effect.Abdicate(
+                new SchedulerAction.StepDown(
                         "worker " + report.host() + " has seen token " + report.epoch()));
         return true;
     }
@@ -105,16 +105,19 @@
     /**
      * Takes in a report, or the body of a direct command's answer.
      *
-     * @param sinceMicros when the direct command was sent, {@link Hearing#NEVER} for a report of
-     *     its own, which alone shows that the answer to the one before was dealt with
+     * @param sinceMicros when the direct command was sent, {@link AgentLiveness#NEVER} for a report
+     *     of its own, which alone shows that the answer to the one before was dealt with
      */
-    public Age absorb(Machine machine, WorkerReport report, long sinceMicros) {
-        Hearing hearing = machine.hearing;
-        Age age = machine.deleted ? Age.COPY : hearing.judge(report, sinceMicros, world.nowMicros);
-        if (age == Age.COPY) {
+    public MessageAge absorb(Machine machine, Heartbeat report, long sinceMicros) {
+        AgentLiveness hearing = machine.hearing;
+        MessageAge age =
+                machine.deleted
+                        ? MessageAge.COPY
+                        : hearing.judge(report, sinceMicros, world.nowMicros);
+        if (age == MessageAge.COPY) {
             return age;
         }
-        boolean own = sinceMicros == Hearing.NEVER;
+        boolean own = sinceMicros == AgentLiveness.NEVER;
         boolean newSession = hearing.tenure() > 0 && report.tenure() > hearing.tenure();
         boolean first = !machine.acknowledged();
         boolean doubted = hearing.inDoubt(world.nowMicros);
@@ -139,7 +142,7 @@
             machine.attend();
         }
         machine.addr = report.addr();
-        if (report.warningMicros() >= 0 && age == Age.FRESH) {
+        if (report.warningMicros() >= 0 && age == MessageAge.FRESH) {
             if (machine.takenMicros < 0) {
                 world.log(
                         LogEntry.info(LogEvent.SPOT_NOTICE)
@@ -157,16 +160,16 @@
             // It may have ended because nothing reaches the worker any more.
             hearing.mistrust(world.nowMicros);
         }
-        List<TaskReport> tasks = report.tasks();
-        Placement[] listed = new Placement[tasks.size()];
+        List<TaskStatus> tasks = report.tasks();
+        TaskAttempt[] listed = new TaskAttempt[tasks.size()];
         long reading = ++readings;
         int found = 0;
         for (int i = 0; i < listed.length; i++) {
-            TaskReport task = tasks.get(i);
-            Placement placement = placement(machine, task);
+            TaskStatus task = tasks.get(i);
+            TaskAttempt placement = placement(machine, task);
             listed[i] = placement;
             if (placement == null) {
-                if (task.state() == TaskReport.State.EXITED) {
+                if (task.state() == TaskStatus.State.EXITED) {
                     strangeExit(machine, task);
                 }
             } else if (placement.listedIn != reading) {
@@ -175,14 +178,14 @@
             }
         }
         if (found < machine.placements().size()) {
-            for (Placement placement : machine.snapshot()) {
+            for (TaskAttempt placement : machine.snapshot()) {
                 if (placement.listedIn != reading) {
                     notListed(placement, report, own);
                 }
             }
         }
         for (int i = 0; i < listed.length; i++) {
-            if (listed[i] != null && tasks.get(i).state() == TaskReport.State.EXITED) {
+            if (listed[i] != null && tasks.get(i).state() == TaskStatus.State.EXITED) {
                 exited(listed[i], tasks.get(i));
             } else if (listed[i] != null) {
                 there(listed[i], tasks.get(i));
@@ -192,7 +195,7 @@
     }
 
     private void newSession(Machine machine) {
-        for (Placement placement : machine.snapshot()) {
+        for (TaskAttempt placement : machine.snapshot()) {
             // An earlier leader may have launched it in this session, or may still: what the
             // message lists decides about it.
             if (!placement.neverSent() && placement.stage != Stage.INHERITED) {
@@ -201,9 +204,9 @@
         }
     }
 
-    private Placement placement(Machine machine, TaskReport task) {
+    private TaskAttempt placement(Machine machine, TaskStatus task) {
         Job job = world.jobs.get(task.task().uid());
-        Placement placement = job == null ? null : job.placement(task.task().index());
+        TaskAttempt placement = job == null ? null : job.placement(task.task().index());
         return placement != null
                         && placement.machine == machine
                         && placement.attempt == task.attempt()
@@ -211,17 +214,17 @@
                 : null;
     }
 
-    private void there(Placement placement, TaskReport task) {
+    private void there(TaskAttempt placement, TaskStatus task) {
         if (placement.stage != Stage.SENT) {
             placement.stage = Stage.THERE;
         }
         Machine machine = placement.machine;
-        if (task.state() == TaskReport.State.RUNNING
-                && placement.seen != TaskReport.State.RUNNING) {
+        if (task.state() == TaskStatus.State.RUNNING
+                && placement.seen != TaskStatus.State.RUNNING) {
             placement.runningSinceMicros = world.nowMicros;
-            placement.job.recording.needs(Recording.Need.PHASE);
+            placement.job.recording.needs(PersistenceState.WriteReason.PHASE);
         }
-        if (task.state() == TaskReport.State.RUNNING) {
+        if (task.state() == TaskStatus.State.RUNNING) {
             machine.images.used(
                     placement.job.description.bundle(),
                     placement.job.description.pullGb(),
@@ -230,7 +233,7 @@
         placement.seen = task.state();
     }
 
-    private void notListed(Placement placement, WorkerReport report, boolean own) {
+    private void notListed(TaskAttempt placement, Heartbeat report, boolean own) {
         switch (placement.stage) {
             case THERE -> losses.lost(placement, "no longer reported");
             case UNANSWERED -> {
@@ -255,7 +258,7 @@
                 }
             }
             case INHERITED -> {
-                if (report.epoch() >> Hearing.FENCE_BITS == world.term) {
+                if (report.epoch() >> AgentLiveness.FENCE_BITS == world.term) {
                     losses.lost(placement, "not found by the new leader");
                 }
             }
@@ -266,7 +269,7 @@
         }
     }
 
-    private void exited(Placement placement, TaskReport task) {
+    private void exited(TaskAttempt placement, TaskStatus task) {
         Job job = placement.job;
         Machine machine = placement.machine;
         boolean service = job.description.service();
@@ -276,14 +279,14 @@
                         .with("attempt", placement.attempt)
                         .with("machine", machine.host)
                         .with("reason", task.cause()));
-        if (task.cause() == TaskReport.Cause.DONE && !service) {
+        if (task.cause() == TaskStatus.ExitReason.DONE && !service) {
             job.markDone(placement.index);
-        } else if (task.cause() == TaskReport.Cause.ERROR) {
+        } else if (task.cause() == TaskStatus.ExitReason.ERROR) {
             failed(job, machine);
-        } else if (task.cause() == TaskReport.Cause.UNKNOWN) {
+        } else if (task.cause() == TaskStatus.ExitReason.UNKNOWN) {
             job.notBeforeMicros = world.nowMicros + ERROR_BACKOFF_MICROS;
-        } else if (task.cause() == TaskReport.Cause.NO_ROOM
-                || task.cause() == TaskReport.Cause.BUSY) {
+        } else if (task.cause() == TaskStatus.ExitReason.NO_ROOM
+                || task.cause() == TaskStatus.ExitReason.BUSY) {
             world.log(
                     LogEntry.info(LogEvent.TASK_REFUSED)
                             .with("task", placement.task())
@@ -299,7 +302,7 @@
         }
         losses.gone(placement);
         if (job.allDone()) {
-            job.recording.needs(Recording.Need.LAUNCH);
+            job.recording.needs(PersistenceState.WriteReason.LAUNCH);
         }
         noteExit(machine, task, job.recording.nextVersion());
     }
@@ -336,7 +339,7 @@
     /**
      * An exit that no placement accounts for: an earlier leader's, or one that was taken for lost.
      */
-    private void strangeExit(Machine machine, TaskReport task) {
+    private void strangeExit(Machine machine, TaskStatus task) {
         Map<Exit, Long> known = clearAfter.get(machine.host);
         if (known != null && known.containsKey(new Exit(task.task(), task.attempt()))) {
             return;
@@ -345,35 +348,38 @@
         int index = task.task().index();
         if (job != null
                 && index < job.description.shards()
-                && task.cause() == TaskReport.Cause.DONE
+                && task.cause() == TaskStatus.ExitReason.DONE
                 && !job.description.service()
                 && !job.cancelled
                 && job.markDone(index)) {
-            Placement other = job.placement(index);
+            TaskAttempt other = job.placement(index);
             if (other != null && other.neverSent()) {
                 losses.gone(other);
             } else if (other != null) {
                 other.halt(0);
             }
-            job.recording.needs(job.allDone() ? Recording.Need.LAUNCH : Recording.Need.OUTCOME);
+            job.recording.needs(
+                    job.allDone()
+                            ? PersistenceState.WriteReason.LAUNCH
+                            : PersistenceState.WriteReason.OUTCOME);
             noteExit(machine, task, job.recording.nextVersion());
         } else if (job != null) {
             noteExit(machine, task, 0);
         }
     }
 
-    private void noteExit(Machine machine, TaskReport task, long version) {
+    private void noteExit(Machine machine, TaskStatus task, long version) {
         clearAfter
                 .computeIfAbsent(machine.host, h -> new HashMap<>())
                 .put(new Exit(task.task(), task.attempt()), version);
     }
 
-    private List<Order> orders(Machine machine, WorkerReport report) {
-        List<Order> orders = new ArrayList<>();
+    private List<TaskCommand> orders(Machine machine, Heartbeat report) {
+        List<TaskCommand> orders = new ArrayList<>();
         Map<Exit, Long> exits = clearAfter.getOrDefault(machine.host, Map.of());
         Map<Exit, Long> stillListed = exits.isEmpty() ? Map.of() : new HashMap<>();
-        for (TaskReport task : report.tasks()) {
-            if (task.state() == TaskReport.State.EXITED) {
+        for (TaskStatus task : report.tasks()) {
+            if (task.state() == TaskStatus.State.EXITED) {
                 Job job = world.jobs.get(task.task().uid());
                 Exit exit = new Exit(task.task(), task.attempt());
                 Long version = exits.get(exit);
@@ -382,10 +388,10 @@
                 }
                 // A job that is no longer here has its final state in the store.
                 if (job == null || version != null && version <= job.recording.durable) {
-                    orders.add(Order.clear(task.task(), task.attempt()));
+                    orders.add(TaskCommand.clear(task.task(), task.attempt()));
                 }
             } else if (placement(machine, task) == null) {
-                orders.add(Order.halt(task.task(), task.attempt(), 0));
+                orders.add(TaskCommand.halt(task.task(), task.attempt(), 0));
             }
         }
         if (!exits.isEmpty()) {
@@ -397,17 +403,18 @@
                 machine.acknowledged()
                         && !machine.directWorks(world.nowMicros)
                         && !machine.hearing.inDoubt(world.nowMicros);
-        for (Placement placement : machine.placements()) {
+        for (TaskAttempt placement : machine.placements()) {
             if (orders.size() >= MAX_ORDERS) {
                 break;
             }
             if (placement.halting() && !placement.neverSent()) {
-                orders.add(Order.halt(placement.task(), placement.attempt, placement.windDownS));
+                orders.add(
+                        TaskCommand.halt(placement.task(), placement.attempt, placement.windDownS));
             } else if (placement.stage == Stage.READY && launches && !placement.halting()) {
                 placement.stage = Stage.ANSWERED;
                 placement.answeredTick = report.tick();
                 placement.sentToken = machine.hearing.token();
-                orders.add(Order.launch(placement.task(), placement.attempt));
+                orders.add(TaskCommand.launch(placement.task(), placement.attempt));
             }
         }
         return orders;
--- a/src/main/java/org/woadloom/core/machines/Machine.java
+++ b/src/main/java/org/woadloom/core/machines/Machine.java
@@ -5,14 +5,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.woadloom.core.World;
-import org.woadloom.core.hearing.Hearing;
-import org.woadloom.core.jobs.Placement;
-import org.woadloom.core.placement.Room;
-import org.woadloom.state.MachineRecord;
-import org.woadloom.wire.MachineType;
-import org.woadloom.wire.Rank;
-import org.woadloom.wire.TaskId;
+import org.woadloom.core.SchedulerState;
+import org.woadloom.core.jobs.TaskAttempt;
+import org.woadloom.core.liveness.AgentLiveness;
+import org.woadloom.core.placement.Resources;
+import org.woadloom.protocol.MachineType;
+import org.woadloom.protocol.Priority;
+import org.woadloom.protocol.TaskId;
+import org.woadloom.store.MachineRecord;
 
 /** A machine as the leader knows it. */
 public final class Machine {
@@ -20,13 +20,13 @@
     public final String hosttype;
     public final String yard;
     public final boolean reclaimable;
-    private final World world;
+    private final SchedulerState world;
 
     /** What the worker has said, and whether it hears us. */
-    public final Hearing hearing;
+    public final AgentLiveness hearing;
 
     public MachineType type;
-    private Room size = Room.NONE;
+    private Resources size = Resources.NONE;
     public String addr = "";
 
     public long lastAnsweredMicros = -1;
@@ -84,24 +84,24 @@
     private boolean greet;
 
     /** When it was last spoken to because it was silent. */
-    long probedMicros = Hearing.NEVER;
+    long probedMicros = AgentLiveness.NEVER;
 
     public long quarantinedUntilMicros;
     public long fullUntilMicros;
     public final Map<String, Long> failedJobs = new LinkedHashMap<>();
     public final ImageCache images = new ImageCache();
-    private final Map<TaskId, Placement> placements = new LinkedHashMap<>();
-    private Room used = Room.NONE;
+    private final Map<TaskId, TaskAttempt> placements = new LinkedHashMap<>();
+    private Resources used = Resources.NONE;
 
     /** What is in use taken from the size, or null after a change. */
-    private Room room;
+    private Resources room;
 
     /** How many tasks of each rank are here that have not been told to stop. */
-    private final int[] byRank = new int[Rank.values().length];
+    private final int[] byRank = new int[Priority.values().length];
 
     private int halting;
 
-    public Machine(MachineRecord record, World world) {
+    public Machine(MachineRecord record, SchedulerState world) {
         this.host = record.host();
         this.hosttype = record.hosttype();
         this.yard = record.yard();
@@ -110,7 +110,7 @@
         this.leavingRecorded = record.leaving();
         this.world = world;
         this.knownSinceMicros = world.nowMicros;
-        this.hearing = new Hearing(world.term, world.leastFence, world.hearingRules);
+        this.hearing = new AgentLiveness(world.term, world.leastFence, world.hearingRules);
         this.lifeKnown = record.life() != null;
         this.upRecorded = lifeKnown && record.life().up();
         // By another node's time of day, which may be ahead of ours.
@@ -158,7 +158,7 @@
                 reclaimable,
                 leaving,
                 world.machineLife
-                        ? new MachineRecord.Life(
+                        ? new MachineRecord.Lifecycle(
                                 world.wallMicros - (world.nowMicros - rentedMicros),
                                 heard() || upRecorded)
                         : null);
@@ -216,7 +216,7 @@
         return nowMicros >= directAgainMicros;
     }
 
-    public void add(Placement placement) {
+    public void add(TaskAttempt placement) {
         placements.put(placement.task(), placement);
         used = used.plus(placement.job.room);
         room = null;
@@ -227,7 +227,7 @@
         }
     }
 
-    public void remove(Placement placement) {
+    public void remove(TaskAttempt placement) {
         if (placements.remove(placement.task(), placement)) {
             used = used.minus(placement.job.room);
             room = null;
@@ -239,12 +239,12 @@
         }
     }
 
-    public Collection<Placement> placements() {
+    public Collection<TaskAttempt> placements() {
         return placements.values();
     }
 
     /** A copy, for loops that remove. */
-    public List<Placement> snapshot() {
+    public List<TaskAttempt> snapshot() {
         return new ArrayList<>(placements.values());
     }
 
@@ -252,21 +252,21 @@
         return placements.isEmpty();
     }
 
-    public Room used() {
+    public Resources used() {
         return used;
     }
 
-    public Room size() {
+    public Resources size() {
         return size;
     }
 
-    public void resize(Room to) {
+    public void resize(Resources to) {
         size = to;
         room = null;
     }
 
     /** Its size without what is in use; negative where more is recorded than it has. */
-    public Room room() {
+    public Resources room() {
         if (room == null) {
             room = size.minus(used);
         }
@@ -280,12 +280,12 @@
                 : (reclaimable ? type.marketPrice() : type.rate()) / type.vcpus();
     }
 
-    public Room free() {
+    public Resources free() {
         return room().floor();
     }
 
     /** To be called when a task that is here is told to stop. */
-    public void halted(Placement placement) {
+    public void halted(TaskAttempt placement) {
         attend();
         if (placements.get(placement.task()) == placement) {
             byRank[placement.job.rank().ordinal()]--;
@@ -294,7 +294,7 @@
     }
 
     /** To be called when the rank of a task's job has changed. */
-    public void reranked(Placement placement, Rank before) {
+    public void reranked(TaskAttempt placement, Priority before) {
         if (placements.get(placement.task()) == placement && !placement.halting()) {
             byRank[before.ordinal()]--;
             byRank[placement.job.rank().ordinal()]++;
@@ -307,7 +307,7 @@
     }
 
     /** True if a task of a lower rank is here that has not been told to stop. */
-    public boolean hasBelow(Rank rank) {
+    public boolean hasBelow(Priority rank) {
         for (int i = 0; i < rank.ordinal(); i++) {
             if (byRank[i] > 0) {
                 return true;
--- a/src/main/java/org/woadloom/core/machines/MachineTable.java
+++ b/src/main/java/org/woadloom/core/machines/MachineRegistry.java
@@ -2,20 +2,20 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.woadloom.core.Command;
-import org.woadloom.core.Effect;
 import org.woadloom.core.LogEntry;
 import org.woadloom.core.LogEvent;
-import org.woadloom.core.World;
-import org.woadloom.core.care.Warrant;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerEvent;
+import org.woadloom.core.SchedulerState;
+import org.woadloom.core.delegation.LeaseDelegation;
 import org.woadloom.core.jobs.Job;
-import org.woadloom.core.placement.Room;
-import org.woadloom.state.MachineRecord;
-import org.woadloom.wire.ListedMachine;
-import org.woadloom.wire.MachineType;
+import org.woadloom.core.placement.Resources;
+import org.woadloom.protocol.ListedMachine;
+import org.woadloom.protocol.MachineType;
+import org.woadloom.store.MachineRecord;
 
 /** Machines as they are rented, found, recorded and deleted. */
-public final class MachineTable {
+public final class MachineRegistry {
     private static final long RETRY_MICROS = 300_000;
     private static final long DELETE_RETRY_MICROS = 2_000_000;
     private static final int MAX_DELETE = 100;
@@ -26,8 +26,8 @@
      */
     private static final int MOST_DELETIONS = 2;
 
-    private final World world;
-    private final Losses losses;
+    private final SchedulerState world;
+    private final TaskLossHandler losses;
 
     /**
      * Deletions that are under way: what is to go meanwhile goes with the next one, as the cloud
@@ -35,12 +35,12 @@
      */
     private int deletions;
 
-    public MachineTable(World world, Losses losses) {
+    public MachineRegistry(SchedulerState world, TaskLossHandler losses) {
         this.world = world;
         this.losses = losses;
     }
 
-    public void load(Command.StoredMachine stored) {
+    public void load(SchedulerEvent.StoredMachine stored) {
         Machine machine = create(stored.record());
         machine.confirm();
         machine.recorded = true;
@@ -83,7 +83,7 @@
 
     private void setType(Machine machine) {
         machine.type = world.types.get(machine.hosttype);
-        machine.resize(machine.type == null ? Room.NONE : Room.of(machine.type));
+        machine.resize(machine.type == null ? Resources.NONE : Resources.of(machine.type));
     }
 
     public void listed(List<ListedMachine> machines) {
@@ -123,17 +123,17 @@
     }
 
     /** A node tells how it stands, and gets a warrant for the zone that it is in. */
-    public void nodeSpoke(Command.NodeSpoke spoke) {
+    public void nodeSpoke(SchedulerEvent.PeerStatusReceived spoke) {
         world.cancellationsSeenMicros =
                 Math.max(world.cancellationsSeenMicros, spoke.cancellationsSeenMicros());
         String yard = world.settings.nodes().get(spoke.node());
-        Warrant warrant =
+        LeaseDelegation warrant =
                 yard == null
                         ? null
                         : world.warrants.heard(
                                 spoke.node(), spoke.standing(), settled(yard), world.nowMicros);
         if (warrant != null) {
-            world.emit(new Effect.GiveWarrant(spoke.node(), warrant));
+            world.emit(new SchedulerAction.DelegateLeases(spoke.node(), warrant));
         }
     }
 
@@ -176,12 +176,13 @@
             }
             if (machine.reading) {
                 machine.writing = true;
-                world.emit(new Effect.ReadMachine(machine.host));
+                world.emit(new SchedulerAction.ReadMachine(machine.host));
             } else if (machine.deleted) {
                 if (machine.recorded && world.writes.allowsMachine()) {
                     world.writes.machine();
                     machine.writing = true;
-                    world.emit(new Effect.DropMachine(machine.host, machine.stamp));
+                    world.emit(
+                            new SchedulerAction.DeleteMachineRecord(machine.host, machine.stamp));
                 }
             } else if (!machine.recorded
                     || machine.leaving != machine.leavingRecorded
@@ -203,7 +204,7 @@
             world.log(
                     LogEntry.info(LogEvent.MACHINES_DELETING)
                             .with("machines", String.join(",", delete)));
-            world.emit(new Effect.Delete(List.copyOf(delete)));
+            world.emit(new SchedulerAction.DeleteMachines(List.copyOf(delete)));
         }
     }
 
@@ -214,7 +215,7 @@
         MachineRecord record = machine.toRecord();
         machine.upWriting = record.life() != null && record.life().up();
         machine.rewrite = false;
-        world.emit(new Effect.PutMachine(record, machine.stamp));
+        world.emit(new SchedulerAction.WriteMachine(record, machine.stamp));
     }
 
     /** A machine that still answers is emptied first; one that is lost is deleted to get proof. */
@@ -227,7 +228,7 @@
                         > world.settings.leaseMicros() / 2;
     }
 
-    public void written(Command.MachineWritten result) {
+    public void written(SchedulerEvent.MachineWriteCompleted result) {
         Machine machine = world.machines.get(result.host());
         if (machine == null) {
             return;
@@ -249,7 +250,7 @@
         }
     }
 
-    public void seen(Command.MachineSeen result) {
+    public void seen(SchedulerEvent.MachineRecordRead result) {
         Machine machine = world.machines.get(result.host());
         if (machine == null) {
             return;
@@ -272,7 +273,7 @@
         }
     }
 
-    public void deleted(Command.Deleted result) {
+    public void deleted(SchedulerEvent.MachineDeletionCompleted result) {
         deletions--;
         for (String host : result.hosts()) {
             Machine machine = world.machines.get(host);
--- a/src/main/java/org/woadloom/core/machines/Losses.java
+++ b/src/main/java/org/woadloom/core/machines/TaskLossHandler.java
@@ -2,20 +2,20 @@
 
 import org.woadloom.core.LogEntry;
 import org.woadloom.core.LogEvent;
-import org.woadloom.core.World;
+import org.woadloom.core.SchedulerState;
 import org.woadloom.core.jobs.Job;
-import org.woadloom.core.jobs.Placement;
-import org.woadloom.core.jobs.Recording;
+import org.woadloom.core.jobs.PersistenceState;
+import org.woadloom.core.jobs.TaskAttempt;
 
 /** Removes placements that are proven to be gone. */
-public final class Losses {
-    private final World world;
+public final class TaskLossHandler {
+    private final SchedulerState world;
 
-    public Losses(World world) {
+    public TaskLossHandler(SchedulerState world) {
         this.world = world;
     }
 
-    public void lost(Placement placement, String why) {
+    public void lost(TaskAttempt placement, String why) {
         world.log(
                 LogEntry.info(LogEvent.TASK_LOST)
                         .with("task", placement.task())
@@ -26,7 +26,7 @@
     }
 
     /** Removes a placement whose end needs no line of its own. */
-    public void gone(Placement placement) {
+    public void gone(TaskAttempt placement) {
         placement.job.remove(placement);
         recordOutcome(placement.job);
         if (placement.machine.empty()) {
@@ -38,22 +38,22 @@
     /** A job that is over has one more thing to tell: that nothing of it is left. */
     private static void recordOutcome(Job job) {
         if (!job.over()) {
-            job.recording.needs(Recording.Need.OUTCOME);
+            job.recording.needs(PersistenceState.WriteReason.OUTCOME);
         } else if (job.placements().isEmpty()) {
-            job.recording.needs(Recording.Need.LAUNCH);
+            job.recording.needs(PersistenceState.WriteReason.LAUNCH);
         }
     }
 
     /** Nothing is left on the machine and nothing more will come of what was sent there. */
     public void all(Machine machine, String why) {
-        for (Placement placement : machine.snapshot()) {
+        for (TaskAttempt placement : machine.snapshot()) {
             lost(placement, why);
         }
     }
 
     /** The worker's session is over; what was never sent can still be launched in the next one. */
     public void session(Machine machine, String why) {
-        for (Placement placement : machine.snapshot()) {
+        for (TaskAttempt placement : machine.snapshot()) {
             if (!placement.neverSent()) {
                 lost(placement, why);
             }
--- a/src/main/java/org/woadloom/core/placement/Candidates.java
+++ b/src/main/java/org/woadloom/core/placement/CandidateMachines.java
@@ -6,7 +6,7 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import org.woadloom.core.jobs.Job;
-import org.woadloom.core.jobs.Placement;
+import org.woadloom.core.jobs.TaskAttempt;
 import org.woadloom.core.machines.Machine;
 import org.woadloom.core.reservation.Reservations;
 
@@ -15,7 +15,7 @@
  * to the top is looked at again. That is as good as looking at all each time, since placing a task
  * makes no machine but its own better.
  */
-final class Candidates {
+final class CandidateMachines {
     /**
      * What the price counts at most, against 100 for an image that is there: to fetch one may take
      * a start its aim.
@@ -24,7 +24,7 @@
 
     private final Job job;
     private final Set<String> scarce;
-    private final Eligibility eligibility;
+    private final PlacementConstraints eligibility;
     private final Reservations reservations;
     private final PriorityQueue<Candidate> queue = new PriorityQueue<>();
 
@@ -52,18 +52,18 @@
         }
     }
 
-    Candidates(
+    CandidateMachines(
             Job job,
             List<Machine> open,
             Set<String> scarce,
-            Eligibility eligibility,
+            PlacementConstraints eligibility,
             Reservations reservations) {
         this.job = job;
         this.scarce = scarce;
         this.eligibility = eligibility;
         this.reservations = reservations;
         if (job.description.service()) {
-            for (Placement placement : job.placements()) {
+            for (TaskAttempt placement : job.placements()) {
                 replicas.merge(placement.machine, 1, Integer::sum);
             }
         }
--- a/src/main/java/org/woadloom/core/placement/Eligibility.java
+++ b/src/main/java/org/woadloom/core/placement/PlacementConstraints.java
@@ -1,16 +1,16 @@
 package org.woadloom.core.placement;
 
-import org.woadloom.core.World;
+import org.woadloom.core.SchedulerState;
 import org.woadloom.core.jobs.Job;
 import org.woadloom.core.machines.Machine;
-import org.woadloom.wire.JobDescription;
-import org.woadloom.wire.MachineType;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.MachineType;
 
 /** Where a job's tasks are allowed at all, and which machines take new tasks now. */
-public final class Eligibility {
-    private final World world;
+public final class PlacementConstraints {
+    private final SchedulerState world;
 
-    public Eligibility(World world) {
+    public PlacementConstraints(SchedulerState world) {
         this.world = world;
     }
 
--- a/src/main/java/org/woadloom/core/placement/Preemption.java
+++ b/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
@@ -7,33 +7,36 @@
 import java.util.Set;
 import org.woadloom.core.LogEntry;
 import org.woadloom.core.LogEvent;
-import org.woadloom.core.World;
+import org.woadloom.core.SchedulerState;
 import org.woadloom.core.jobs.Job;
-import org.woadloom.core.jobs.Placement;
-import org.woadloom.core.jobs.Recording;
+import org.woadloom.core.jobs.PersistenceState;
+import org.woadloom.core.jobs.TaskAttempt;
 import org.woadloom.core.machines.Machine;
-import org.woadloom.core.reservation.Gathering;
+import org.woadloom.core.quota.TeamQuota;
+import org.woadloom.core.reservation.GangReservationPlanner;
 import org.woadloom.core.reservation.Reservation;
 import org.woadloom.core.reservation.Reservations;
-import org.woadloom.core.teams.TeamUse;
-import org.woadloom.wire.Rank;
+import org.woadloom.protocol.Priority;
 
 /**
  * Stops tasks to make room: work of a lower rank, and, for work within its team's guarantee,
  * whatever another team runs beyond its own.
  */
-public final class Preemption {
+public final class PreemptionPlanner {
     private static final long MOVE_MICROS = 5_000_000;
     private static final long MOVE_SEARCH_MICROS = 1_000_000;
 
-    private final World world;
-    private final Eligibility eligibility;
+    private final SchedulerState world;
+    private final PlacementConstraints eligibility;
     private final Reservations reservations;
-    private final Gathering gathering;
+    private final GangReservationPlanner gathering;
     private long nextMoveMicros;
 
-    public Preemption(
-            World world, Eligibility eligibility, Reservations reservations, Gathering gathering) {
+    public PreemptionPlanner(
+            SchedulerState world,
+            PlacementConstraints eligibility,
+            Reservations reservations,
+            GangReservationPlanner gathering) {
         this.world = world;
         this.eligibility = eligibility;
         this.reservations = reservations;
@@ -41,7 +44,7 @@
     }
 
     /** A kind of search that found too little on all machines in this pass. */
-    private record Hopeless(Shape shape, Rank rank, TeamUse borrowersGiveTo) {
+    private record FailedSearch(ResourceRequest shape, Priority rank, TeamQuota borrowersGiveTo) {
         boolean covers(Job job, boolean fromBorrowers) {
             return rank.compareTo(job.rank()) >= 0
                     && (!fromBorrowers || borrowersGiveTo == job.team)
@@ -50,7 +53,7 @@
     }
 
     public void makeRoom(List<Job> queue) {
-        List<Hopeless> hopeless = new ArrayList<>();
+        List<FailedSearch> hopeless = new ArrayList<>();
         for (Job job : queue) {
             if (gathering.gathers(job)) {
                 makeReservedRoom(job);
@@ -65,10 +68,12 @@
                     job.guaranteed && job.team.withinGuarantee(job.room) && othersBorrow(job.team);
             if (hopeless.stream().noneMatch(known -> known.covers(job, fromBorrowers))) {
                 wanted = free(job, wanted, fromBorrowers);
-                if (wanted > 0 && Shape.plain(job)) {
+                if (wanted > 0 && ResourceRequest.plain(job)) {
                     hopeless.add(
-                            new Hopeless(
-                                    Shape.of(job), job.rank(), fromBorrowers ? job.team : null));
+                            new FailedSearch(
+                                    ResourceRequest.of(job),
+                                    job.rank(),
+                                    fromBorrowers ? job.team : null));
                 }
             }
             if (wanted > 0 && job.description.service()) {
@@ -77,8 +82,8 @@
         }
     }
 
-    private boolean othersBorrow(TeamUse team) {
-        for (TeamUse other : world.teams.values()) {
+    private boolean othersBorrow(TeamQuota team) {
+        for (TeamQuota other : world.teams.values()) {
             if (other != team && other.beyondGuarantee()) {
                 return true;
             }
@@ -120,12 +125,12 @@
             if (!eligibility.takesTasks(machine) || !eligibility.allows(job, machine)) {
                 continue;
             }
-            for (Placement placement : machine.placements()) {
-                Room coming = reservations.balance(machine, null).plus(placement.job.room);
+            for (TaskAttempt placement : machine.placements()) {
+                Resources coming = reservations.balance(machine, null).plus(placement.job.room);
                 if (placement.job != job
                         && placement.job.description.service()
                         && !placement.halting()
-                        && placement.stage == Placement.Stage.THERE
+                        && placement.stage == TaskAttempt.Stage.THERE
                         && coming.holds(job.room)
                         && hasRoomElsewhere(placement)
                         && reservations.reserve(job, machine, job.room, true, true) != null) {
@@ -142,7 +147,7 @@
         }
     }
 
-    private boolean hasRoomElsewhere(Placement placement) {
+    private boolean hasRoomElsewhere(TaskAttempt placement) {
         Job job = placement.job;
         for (Machine machine : world.machines.values()) {
             if (!machine.yard.equals(placement.machine.yard)
@@ -165,7 +170,7 @@
             }
         }
         for (Machine machine : machines) {
-            Room wanted = Room.NONE;
+            Resources wanted = Resources.NONE;
             for (Reservation reservation : reservations.of(job)) {
                 wanted =
                         reservation.machine == machine
@@ -178,7 +183,7 @@
 
     /** Stops what must go on one machine; returns how many of the job's tasks will fit. */
     private int free(Job job, Machine machine, int wanted) {
-        Room coming = stopFor(job, machine, reservations.balance(machine, null), job.room);
+        Resources coming = stopFor(job, machine, reservations.balance(machine, null), job.room);
         // The freed room is the preemptor's alone.
         int made = 0;
         while (made < wanted
@@ -194,10 +199,10 @@
      * Stops tasks until the room is enough, or none if that can't be had; returns the room that
      * there will be.
      */
-    private Room stopFor(Job job, Machine machine, Room free, Room needed) {
-        Room coming = free;
-        List<Placement> victims = new ArrayList<>();
-        for (Placement placement : machine.placements()) {
+    private Resources stopFor(Job job, Machine machine, Resources free, Resources needed) {
+        Resources coming = free;
+        List<TaskAttempt> victims = new ArrayList<>();
+        for (TaskAttempt placement : machine.placements()) {
             if (placement.halting()) {
                 coming = coming.plus(placement.job.room);
             } else if (mayStop(job, placement)) {
@@ -206,12 +211,12 @@
         }
         // The lowest rank first, then borrowers, then what can save, then what has run least.
         victims.sort(
-                Comparator.comparing((Placement p) -> p.job.rank())
+                Comparator.comparing((TaskAttempt p) -> p.job.rank())
                         .thenComparing(p -> p.job.guaranteed)
                         .thenComparing(p -> p.job.description.snapshotEveryS() == 0)
                         .thenComparingLong(p -> -p.placedMicros));
-        List<Placement> chosen = new ArrayList<>();
-        for (Placement victim : victims) {
+        List<TaskAttempt> chosen = new ArrayList<>();
+        for (TaskAttempt victim : victims) {
             if (coming.holds(needed)) {
                 break;
             }
@@ -219,9 +224,9 @@
             coming = coming.plus(victim.job.room);
         }
         if (!coming.holds(needed)) {
-            return Room.NONE;
+            return Resources.NONE;
         }
-        for (Placement victim : chosen) {
+        for (TaskAttempt victim : chosen) {
             world.log(
                     LogEntry.info(LogEvent.TASK_PREEMPTED)
                             .with("task", victim.task())
@@ -232,11 +237,11 @@
         return coming;
     }
 
-    private void stop(Placement victim) {
+    private void stop(TaskAttempt victim) {
         victim.job.preempted(world.nowMicros);
         if (victim.neverSent()) {
             victim.job.remove(victim);
-            victim.job.recording.needs(Recording.Need.OUTCOME);
+            victim.job.recording.needs(PersistenceState.WriteReason.OUTCOME);
             world.placementWorthTrying = true;
         } else {
             victim.halt(
@@ -250,7 +255,7 @@
      * A lower rank, or a borrower of the same rank. The protocol would let a guarantee stop
      * borrowers of a higher rank as well; those would then stop the job in turn, and so on.
      */
-    private boolean mayStop(Job job, Placement placement) {
+    private boolean mayStop(Job job, TaskAttempt placement) {
         Job other = placement.job;
         int order = other.rank().compareTo(job.rank());
         if (order != 0) {
--- a/src/main/java/org/woadloom/core/placement/ServiceOrder.java
+++ b/src/main/java/org/woadloom/core/placement/QueueOrder.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.woadloom.core.World;
+import org.woadloom.core.SchedulerState;
 import org.woadloom.core.jobs.Job;
 import org.woadloom.core.machines.Machine;
 import org.woadloom.settings.Objective;
@@ -16,7 +16,7 @@
  * every job late. Jobs that are small for the fleet go a little before their age, as if each had
  * queued for the time that the whole fleet needs for it.
  */
-public final class ServiceOrder {
+public final class QueueOrder {
     /**
      * A late job is served by its age again after so many times the longest time it had: nobody
      * waits for ever.
@@ -42,7 +42,7 @@
     /** From this age on the largest jobs of a class go before the others until they are done. */
     private static final long LARGE_MICROS = 180_000_000;
 
-    private final World world;
+    private final SchedulerState world;
     private long fleet;
     private long countAgainMicros = Long.MIN_VALUE;
 
@@ -56,7 +56,7 @@
     private final Map<String, List<Double>> multiples = new HashMap<>();
 
     /** How a job stands to those times, what goes first first. */
-    private enum Standing {
+    private enum Punctuality {
         /** It can make the first of them, or is just in time for the next, or nobody can say. */
         DUE,
         /** It has missed one and has time yet for the next. */
@@ -65,7 +65,7 @@
         LATE
     }
 
-    private record Entry(Job job, boolean overdue, Standing standing, double turn) {}
+    private record Entry(Job job, boolean overdue, Punctuality standing, double turn) {}
 
     private static final Comparator<Entry> ORDER =
             Comparator.comparing((Entry e) -> e.job.rank())
@@ -76,7 +76,7 @@
                     .thenComparingDouble(Entry::turn)
                     .thenComparing(e -> e.job.uid());
 
-    public ServiceOrder(World world) {
+    public QueueOrder(SchedulerState world) {
         this.world = world;
         for (Objective objective : world.settings.objectives()) {
             if (objective.kind().equals("finished") && objective.withinS() > 0) {
@@ -105,7 +105,7 @@
                     new Entry(
                             job,
                             overdue,
-                            overdue ? Standing.DUE : standing(job),
+                            overdue ? Punctuality.DUE : standing(job),
                             overdue ? job.sinceMicros() : job.sinceMicros() + alone));
         }
         entries.sort(ORDER);
@@ -146,9 +146,9 @@
      * By its owner's estimate. A job that has missed a time makes way for those that can make it,
      * as long as it can.
      */
-    private Standing standing(Job job) {
+    private Punctuality standing(Job job) {
         if (job.description.service()) {
-            return Standing.DUE;
+            return Punctuality.DUE;
         }
         boolean due = job.dueMicros() != Long.MAX_VALUE;
         double from = due ? job.submittedMicros : job.sinceMicros();
@@ -161,13 +161,13 @@
         for (double time : times) {
             if (ends <= time * unit) {
                 return time == times.get(0) || ends > time * unit * (1 - LEAD)
-                        ? Standing.DUE
-                        : Standing.LATER;
+                        ? Punctuality.DUE
+                        : Punctuality.LATER;
             }
         }
         boolean patient =
                 !times.isEmpty()
                         && world.nowMicros - from <= PATIENCE * times.get(times.size() - 1) * unit;
-        return patient ? Standing.LATE : Standing.DUE;
+        return patient ? Punctuality.LATE : Punctuality.DUE;
     }
 }
--- a/src/main/java/org/woadloom/core/placement/RecordSize.java
+++ b/src/main/java/org/woadloom/core/placement/RecordSizeEstimate.java
@@ -3,26 +3,26 @@
 import java.util.HashSet;
 import java.util.Set;
 import org.woadloom.core.jobs.Job;
-import org.woadloom.core.jobs.Placement;
+import org.woadloom.core.jobs.TaskAttempt;
 import org.woadloom.core.machines.Machine;
-import org.woadloom.state.Progress;
-import org.woadloom.state.RecordFormat;
+import org.woadloom.store.RecordFormat;
+import org.woadloom.store.TaskProgressCodec;
 
 /**
  * An upper bound of what a job's one record may grow to, so that a job too large for it runs in
  * waves: what is placed at once must fit the state service's values, however its tasks end.
  */
-public abstract sealed class RecordSize {
+public abstract sealed class RecordSizeEstimate {
     private final int limit;
     private final Set<Machine> machines = new HashSet<>();
 
     private record Group(Machine machine, long attempt) {}
 
-    private RecordSize(int limit) {
+    private RecordSizeEstimate(int limit) {
         this.limit = limit;
     }
 
-    static RecordSize of(Job job, int limit, RecordFormat format) {
+    static RecordSizeEstimate of(Job job, int limit, RecordFormat format) {
         return format == RecordFormat.COMPACT ? new Compact(job, limit) : new Plain(job, limit);
     }
 
@@ -44,7 +44,7 @@
 
     private static int groups(Job job) {
         Set<Group> groups = new HashSet<>();
-        for (Placement placement : job.placements()) {
+        for (TaskAttempt placement : job.placements()) {
             groups.add(new Group(placement.machine, placement.attempt));
         }
         return groups.size();
@@ -77,8 +77,8 @@
         placed(index, machines.add(machine));
     }
 
-    /** Of {@link org.woadloom.state.JobRecord}s with {@link Progress} as text. */
-    private static final class Compact extends RecordSize {
+    /** Of {@link org.woadloom.state.JobRecord}s with {@link TaskProgressCodec} as text. */
+    private static final class Compact extends RecordSizeEstimate {
         /** What is around the description and the progress. */
         private static final int FIXED = 260;
 
@@ -105,7 +105,7 @@
             front = job.done.nextClearBit(0);
             end = job.done.length();
             Set<Long> distinct = new HashSet<>();
-            for (Placement placement : job.placements()) {
+            for (TaskAttempt placement : job.placements()) {
                 front = Math.min(front, placement.index);
                 end = Math.max(end, placement.index + 1);
                 distinct.add(placement.attempt);
@@ -121,7 +121,7 @@
             int bytes =
                     all * (attempts > FEW_ATTEMPTS ? PER_GROUP_OF_MANY : PER_GROUP)
                             + attempts * PER_ATTEMPT
-                            + (window * Progress.bits(all) + 7) / 8;
+                            + (window * TaskProgressCodec.bits(all) + 7) / 8;
             return FIXED + description + (bytes * 4 + 2) / 3;
         }
 
@@ -133,7 +133,7 @@
     }
 
     /** Of version 1's records, while a node may run it. */
-    private static final class Plain extends RecordSize {
+    private static final class Plain extends RecordSizeEstimate {
         private static final int FIXED = 900;
 
         /** A machine's name, an attempt and what is around them. */
--- a/src/main/java/org/woadloom/core/placement/Shape.java
+++ b/src/main/java/org/woadloom/core/placement/ResourceRequest.java
@@ -7,9 +7,9 @@
  * What a search for room looks for. Once no machine has room for a shape, none has it for anything
  * that needs at least as much and may go to no other machines, until room is freed.
  */
-record Shape(Room room, List<String> hosttypes, String yard, boolean reclaimable) {
-    static Shape of(Job job) {
-        return new Shape(
+record ResourceRequest(Resources room, List<String> hosttypes, String yard, boolean reclaimable) {
+    static ResourceRequest of(Job job) {
+        return new ResourceRequest(
                 job.room,
                 job.description.hosttypes(),
                 job.description.yard(),
--- a/src/main/java/org/woadloom/core/placement/Room.java
+++ b/src/main/java/org/woadloom/core/placement/Resources.java
@@ -1,20 +1,20 @@
 package org.woadloom.core.placement;
 
-import org.woadloom.wire.JobDescription;
-import org.woadloom.wire.MachineType;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.MachineType;
 
 /** An amount of a machine, in whole thousandths so that sums do not drift. */
-public record Room(long cpu, long card, long ram) {
-    public static final Room NONE = new Room(0, 0, 0);
+public record Resources(long cpu, long card, long ram) {
+    public static final Resources NONE = new Resources(0, 0, 0);
 
     /** What one task takes, rounded up. */
-    public static Room of(JobDescription job) {
-        return new Room(up(job.vcpus()), up(job.cards()), up(job.ramGb()));
+    public static Resources of(JobDescription job) {
+        return new Resources(up(job.vcpus()), up(job.cards()), up(job.ramGb()));
     }
 
     /** What a machine has, rounded down. */
-    public static Room of(MachineType type) {
-        return new Room(
+    public static Resources of(MachineType type) {
+        return new Resources(
                 (long) (type.vcpus() * 1000 + 1e-6),
                 (long) (type.cards() * 1000 + 1e-6),
                 (long) (type.ramGb() * 1000 + 1e-6));
@@ -24,24 +24,24 @@
         return (long) Math.ceil(amount * 1000 - 1e-6);
     }
 
-    public Room plus(Room other) {
-        return new Room(cpu + other.cpu, card + other.card, ram + other.ram);
+    public Resources plus(Resources other) {
+        return new Resources(cpu + other.cpu, card + other.card, ram + other.ram);
     }
 
-    public Room minus(Room other) {
-        return new Room(cpu - other.cpu, card - other.card, ram - other.ram);
+    public Resources minus(Resources other) {
+        return new Resources(cpu - other.cpu, card - other.card, ram - other.ram);
     }
 
-    public Room times(long factor) {
-        return new Room(cpu * factor, card * factor, ram * factor);
+    public Resources times(long factor) {
+        return new Resources(cpu * factor, card * factor, ram * factor);
     }
 
-    public boolean holds(Room other) {
+    public boolean holds(Resources other) {
         return other.cpu <= cpu && other.card <= card && other.ram <= ram;
     }
 
     /** How many times the other fits; the other must not be nothing. */
-    public int count(Room other) {
+    public int count(Resources other) {
         long count = Integer.MAX_VALUE;
         if (other.cpu > 0) {
             count = Math.min(count, cpu / other.cpu);
@@ -56,15 +56,15 @@
     }
 
     /** The part without anything negative. */
-    public Room floor() {
+    public Resources floor() {
         return (cpu | card | ram) >= 0
                 ? this
-                : new Room(Math.max(0, cpu), Math.max(0, card), Math.max(0, ram));
+                : new Resources(Math.max(0, cpu), Math.max(0, card), Math.max(0, ram));
     }
 
     /** Of each the smaller amount. */
-    public Room least(Room other) {
-        return new Room(
+    public Resources least(Resources other) {
+        return new Resources(
                 Math.min(cpu, other.cpu), Math.min(card, other.card), Math.min(ram, other.ram));
     }
 }
--- a/src/main/java/org/woadloom/core/placement/Placer.java
+++ b/src/main/java/org/woadloom/core/placement/TaskPlacer.java
@@ -6,27 +6,28 @@
 import java.util.Map;
 import org.woadloom.core.LogEntry;
 import org.woadloom.core.LogEvent;
-import org.woadloom.core.World;
+import org.woadloom.core.SchedulerState;
 import org.woadloom.core.jobs.Job;
-import org.woadloom.core.jobs.Placement;
-import org.woadloom.core.jobs.Recording;
+import org.woadloom.core.jobs.PersistenceState;
+import org.woadloom.core.jobs.TaskAttempt;
 import org.woadloom.core.machines.Machine;
 import org.woadloom.core.reservation.Reservation;
 import org.woadloom.core.reservation.Reservations;
 
-/** Decides what runs where, in the order of {@link ServiceOrder}. */
-public final class Placer {
+/** Decides what runs where, in the order of {@link QueueOrder}. */
+public final class TaskPlacer {
 
-    private final World world;
-    private final Eligibility eligibility;
+    private final SchedulerState world;
+    private final PlacementConstraints eligibility;
     private final Reservations reservations;
-    private final ServiceOrder order;
+    private final QueueOrder order;
 
-    public Placer(World world, Eligibility eligibility, Reservations reservations) {
+    public TaskPlacer(
+            SchedulerState world, PlacementConstraints eligibility, Reservations reservations) {
         this.world = world;
         this.eligibility = eligibility;
         this.reservations = reservations;
-        this.order = new ServiceOrder(world);
+        this.order = new QueueOrder(world);
     }
 
     /** Jobs with pending tasks that may be placed now, in the order in which they are served. */
@@ -44,7 +45,7 @@
     public void place() {
         long attempt = world.newAttempt();
         List<Machine> open = null;
-        List<Shape> without = new ArrayList<>();
+        List<ResourceRequest> without = new ArrayList<>();
         for (Job job : queue()) {
             boolean holds = reservations.heldFor(job) > 0;
             if (!holds && !job.description.service() && job.backsOff(world.nowMicros)) {
@@ -60,8 +61,8 @@
             if (open == null) {
                 open = open();
             }
-            if (placeJob(job, attempt, open) && !holds && Shape.plain(job)) {
-                without.add(Shape.of(job));
+            if (placeJob(job, attempt, open) && !holds && ResourceRequest.plain(job)) {
+                without.add(ResourceRequest.of(job));
             }
         }
     }
@@ -70,7 +71,7 @@
     private List<Machine> open() {
         List<Machine> open = new ArrayList<>();
         for (Machine machine : world.machines.values()) {
-            Room room = machine.room();
+            Resources room = machine.room();
             if ((room.cpu() > 0 || room.ram() > 0 || room.card() > 0)
                     && eligibility.takesTasks(machine)) {
                 open.add(machine);
@@ -81,14 +82,14 @@
 
     /** Returns true if the machines have no room for another task of the job. */
     private boolean placeJob(Job job, long attempt, List<Machine> open) {
-        RecordSize size = RecordSize.of(job, world.valueBytes, world.format);
+        RecordSizeEstimate size = RecordSizeEstimate.of(job, world.valueBytes, world.format);
         if (!size.takesMore(job.nextPending(0))
                 || job.description.gang()
                         && !gangFits(job, size.mostMore(job.nextPending(0), job.pending()))) {
             return false;
         }
-        Candidates candidates =
-                new Candidates(job, open, world.scarceYards, eligibility, reservations);
+        CandidateMachines candidates =
+                new CandidateMachines(job, open, world.scarceYards, eligibility, reservations);
         int placed = 0;
         boolean full = false;
         for (int index = job.nextPending(0);
@@ -99,8 +100,8 @@
                 full = job.allowed() >= 1;
                 break;
             }
-            Placement placement =
-                    new Placement(
+            TaskAttempt placement =
+                    new TaskAttempt(
                             job,
                             index,
                             machine,
@@ -110,7 +111,7 @@
             reservations.draw(placement);
             job.add(placement);
             size.add(index, machine);
-            job.recording.needs(Recording.Need.LAUNCH);
+            job.recording.needs(PersistenceState.WriteReason.LAUNCH);
             candidates.placed();
             placed++;
         }
@@ -132,7 +133,7 @@
             return false;
         }
         Map<String, Integer> perYard = new LinkedHashMap<>();
-        Room credit = Room.NONE;
+        Resources credit = Resources.NONE;
         for (Machine machine : world.machines.values()) {
             if (eligibility.takesTasks(machine)
                     && eligibility.allows(job, machine)
--- a/src/main/java/org/woadloom/core/teams/ClassShares.java
+++ b/src/main/java/org/woadloom/core/quota/ClassFairShare.java
@@ -1,13 +1,13 @@
-package org.woadloom.core.teams;
+package org.woadloom.core.quota;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.woadloom.core.LogEntry;
 import org.woadloom.core.LogEvent;
-import org.woadloom.core.World;
+import org.woadloom.core.SchedulerState;
 import org.woadloom.core.jobs.Job;
-import org.woadloom.core.placement.Room;
+import org.woadloom.core.placement.Resources;
 
 /**
  * The least share of a team that asks for more than its limit: each of its classes that has work
@@ -16,7 +16,7 @@
  * Nothing is stopped for it: what a class does not use of its share is kept from the team's other
  * classes while it has work waiting. Teams whose work fits into their limit are not concerned.
  */
-public final class ClassShares {
+public final class ClassFairShare {
     /** What is divided evenly among the classes; the rest goes by the order of service alone. */
     private static final double DIVIDED = 2.0 / 3;
 
@@ -28,29 +28,29 @@
      */
     private static final long UNUSED_MICROS = 75_000_000;
 
-    private final World world;
-    private final Map<TeamUse, Long> toldMicros = new HashMap<>();
+    private final SchedulerState world;
+    private final Map<TeamQuota, Long> toldMicros = new HashMap<>();
 
     /** Since when the limit has had room for a job of the class that waits, by team and class. */
-    private final Map<TeamUse, Map<String, Long>> unusedMicros = new HashMap<>();
+    private final Map<TeamQuota, Map<String, Long>> unusedMicros = new HashMap<>();
 
     /** One class of a team: what its tasks use, what those ask for that wait, and one of them. */
     private static final class Demand {
-        Room used = Room.NONE;
-        Room waiting = Room.NONE;
-        Room task = Room.NONE;
+        Resources used = Resources.NONE;
+        Resources waiting = Resources.NONE;
+        Resources task = Resources.NONE;
 
         /** What the job that needs the least begins with, null while none waits. */
-        Room least;
+        Resources least;
     }
 
-    public ClassShares(World world) {
+    public ClassFairShare(SchedulerState world) {
         this.world = world;
     }
 
     /** To be called before tasks are placed. */
     public void update() {
-        Map<TeamUse, Map<String, Demand>> demands = new LinkedHashMap<>();
+        Map<TeamQuota, Map<String, Demand>> demands = new LinkedHashMap<>();
         for (Job job : world.jobs.values()) {
             if (job.pending() > 0 || !job.placements().isEmpty()) {
                 Demand demand =
@@ -60,7 +60,7 @@
                 demand.waiting = demand.waiting.plus(job.room.times(job.pending()));
                 demand.task = job.pending() > 0 ? job.room : demand.task;
                 if (job.pending() > 0) {
-                    Room begins = job.room.times(job.description.gang() ? job.pending() : 1);
+                    Resources begins = job.room.times(job.description.gang() ? job.pending() : 1);
                     demand.least =
                             demand.least == null || demand.least.holds(begins)
                                     ? begins
@@ -68,14 +68,14 @@
                 }
             }
         }
-        for (TeamUse team : world.teams.values()) {
+        for (TeamQuota team : world.teams.values()) {
             team.keep(kept(team, demands.getOrDefault(team, Map.of())));
         }
     }
 
     /** What is kept for each class that waits and has less than its share. */
-    private Map<String, Room> kept(TeamUse team, Map<String, Demand> demands) {
-        Room all = Room.NONE;
+    private Map<String, Resources> kept(TeamQuota team, Map<String, Demand> demands) {
+        Resources all = Resources.NONE;
         for (Demand demand : demands.values()) {
             all = all.plus(demand.used).plus(demand.waiting);
         }
@@ -85,12 +85,12 @@
         }
         Map<String, Long> unused = unusedMicros.computeIfAbsent(team, t -> new HashMap<>());
         unused.keySet().retainAll(demands.keySet());
-        Room share = team.partOfLimit(DIVIDED / demands.size());
-        Map<String, Room> kept = new LinkedHashMap<>();
+        Resources share = team.partOfLimit(DIVIDED / demands.size());
+        Map<String, Resources> kept = new LinkedHashMap<>();
         demands.forEach(
                 (name, demand) -> {
-                    Room missing = share.minus(demand.used).floor().least(demand.waiting);
-                    if (demand.used.equals(Room.NONE) && !missing.holds(demand.task)) {
+                    Resources missing = share.minus(demand.used).floor().least(demand.waiting);
+                    if (demand.used.equals(Resources.NONE) && !missing.holds(demand.task)) {
                         // Less than a task would be nothing at all.
                         missing = demand.task;
                     }
@@ -108,7 +108,7 @@
         return kept;
     }
 
-    private void tell(TeamUse team, Map<String, Demand> demands, Room all) {
+    private void tell(TeamQuota team, Map<String, Demand> demands, Resources all) {
         if (world.nowMicros - toldMicros.getOrDefault(team, Long.MIN_VALUE / 2) < TELL_MICROS) {
             return;
         }
--- a/src/main/java/org/woadloom/core/teams/Guarantees.java
+++ b/src/main/java/org/woadloom/core/quota/GuaranteedQuota.java
@@ -1,30 +1,30 @@
-package org.woadloom.core.teams;
+package org.woadloom.core.quota;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.woadloom.core.World;
+import org.woadloom.core.SchedulerState;
 import org.woadloom.core.jobs.Job;
-import org.woadloom.core.placement.Room;
+import org.woadloom.core.placement.Resources;
 
 /**
  * Which jobs are within their team's guarantee: those that fit into it together with the team's
  * earlier jobs that are not finished. It is a property of the whole job, so that two teams whose
  * use is near their guarantees don't stop each other's tasks in turn.
  */
-public final class Guarantees {
+public final class GuaranteedQuota {
     private static final Comparator<Job> BY_AGE =
             Comparator.comparingLong((Job job) -> job.sinceMicros()).thenComparing(Job::uid);
 
     private static final long AGAIN_MICROS = 200_000;
 
-    private final World world;
+    private final SchedulerState world;
     private long seen = -1;
     private long againMicros;
 
-    public Guarantees(World world) {
+    public GuaranteedQuota(SchedulerState world) {
         this.world = world;
     }
 
@@ -45,10 +45,10 @@
             }
         }
         jobs.sort(BY_AGE);
-        Map<TeamUse, Room> sums = new HashMap<>();
+        Map<TeamQuota, Resources> sums = new HashMap<>();
         for (Job job : jobs) {
-            Room sum =
-                    sums.getOrDefault(job.team, Room.NONE)
+            Resources sum =
+                    sums.getOrDefault(job.team, Resources.NONE)
                             .plus(job.room.times(job.description.shards() - job.doneCount()));
             sums.put(job.team, sum);
             job.guaranteed = job.team.guarantees(sum);
--- a/src/main/java/org/woadloom/core/teams/LimitTurns.java
+++ b/src/main/java/org/woadloom/core/quota/QuotaRotation.java
@@ -1,12 +1,12 @@
-package org.woadloom.core.teams;
+package org.woadloom.core.quota;
 
 import java.util.HashMap;
 import java.util.Map;
 import org.woadloom.core.LogEntry;
 import org.woadloom.core.LogEvent;
-import org.woadloom.core.World;
+import org.woadloom.core.SchedulerState;
 import org.woadloom.core.jobs.Job;
-import org.woadloom.core.placement.Room;
+import org.woadloom.core.placement.Resources;
 import org.woadloom.core.reservation.Reservations;
 
 /**
@@ -16,7 +16,7 @@
  * without beginning, the others of its team leave it what it needs to begin. Nothing is stopped for
  * it.
  */
-public final class LimitTurns {
+public final class QuotaRotation {
     /**
      * How long a job waits before the limit is gathered for it: well under the four minutes within
      * which it must begin.
@@ -36,18 +36,18 @@
 
     private static final long PAUSE_MICROS = 5_000_000;
 
-    private final World world;
+    private final SchedulerState world;
     private final Reservations reservations;
-    private final Map<TeamUse, Turn> turns = new HashMap<>();
+    private final Map<TeamQuota, Turn> turns = new HashMap<>();
 
     /** Jobs that had a turn and could not begin, and until when they have no other. */
     private final Map<Job, Long> passed = new HashMap<>();
 
     /** Since when each team has had one turn after the other. */
-    private final Map<TeamUse, Long> rowMicros = new HashMap<>();
+    private final Map<TeamQuota, Long> rowMicros = new HashMap<>();
 
     /** Until when each team has no turn. */
-    private final Map<TeamUse, Long> pausedMicros = new HashMap<>();
+    private final Map<TeamQuota, Long> pausedMicros = new HashMap<>();
 
     /**
      * A job for which there is enough of the limit and that has not begun for so long lacks
@@ -68,7 +68,7 @@
         }
     }
 
-    public LimitTurns(World world, Reservations reservations) {
+    public QuotaRotation(SchedulerState world, Reservations reservations) {
         this.world = world;
         this.reservations = reservations;
     }
@@ -113,7 +113,7 @@
                         pausedMicros.put(team, world.nowMicros + PAUSE_MICROS);
                     }
                 });
-        Map<TeamUse, Job> next = new HashMap<>();
+        Map<TeamQuota, Job> next = new HashMap<>();
         for (Job job : world.jobs.values()) {
             if (!turns.containsKey(job.team)
                     && !pauses(job.team)
@@ -128,15 +128,15 @@
         next.forEach(this::begin);
         rowMicros.keySet().retainAll(turns.keySet());
         turns.keySet().forEach(team -> rowMicros.putIfAbsent(team, world.nowMicros));
-        for (TeamUse team : world.teams.values()) {
+        for (TeamQuota team : world.teams.values()) {
             Turn turn = turns.get(team);
             team.gather(
                     turn == null ? null : turn.job,
-                    turn == null ? Room.NONE : turn.job.room.times(needed(turn.job)));
+                    turn == null ? Resources.NONE : turn.job.room.times(needed(turn.job)));
         }
     }
 
-    private boolean pauses(TeamUse team) {
+    private boolean pauses(TeamQuota team) {
         return world.nowMicros < pausedMicros.getOrDefault(team, Long.MIN_VALUE);
     }
 
@@ -144,8 +144,8 @@
      * What replicas use does not come free by itself: where they leave too little, there is nothing
      * to wait for.
      */
-    private void begin(TeamUse team, Job job) {
-        Room replicas = Room.NONE;
+    private void begin(TeamQuota team, Job job) {
+        Resources replicas = Resources.NONE;
         for (Job other : world.jobs.values()) {
             if (other.team == team && other.description.service() && !other.over()) {
                 replicas = replicas.plus(other.room.times(other.placements().size()));
