--- a/src/main/java/org/woadloom/core/reservation/Gathering.java
+++ b/src/main/java/org/woadloom/core/reservation/GangReservationPlanner.java
@@ -9,20 +9,20 @@
 import java.util.Set;
 import org.woadloom.core.LogEntry;
 import org.woadloom.core.LogEvent;
-import org.woadloom.core.World;
+import org.woadloom.core.SchedulerState;
 import org.woadloom.core.jobs.Job;
 import org.woadloom.core.machines.Machine;
-import org.woadloom.core.placement.Eligibility;
-import org.woadloom.core.placement.Room;
+import org.woadloom.core.placement.PlacementConstraints;
+import org.woadloom.core.placement.Resources;
 
 /**
  * Gathers room for gangs, and for tasks too big for the free room of any machine now. In each zone
  * one job gathers at a time, the oldest first; its reservations are renewed while it does. If one
  * of them fails, all are released and the job queues again.
  */
-public final class Gathering {
-    private final World world;
-    private final Eligibility eligibility;
+public final class GangReservationPlanner {
+    private final SchedulerState world;
+    private final PlacementConstraints eligibility;
     private final Reservations reservations;
 
     /** Who gathers in a zone; a gang that may spread over zones holds several. */
@@ -31,7 +31,8 @@
     private final Map<Job, Long> requeuedMicros = new LinkedHashMap<>();
     private final Map<Job, Long> renewedMicros = new LinkedHashMap<>();
 
-    public Gathering(World world, Eligibility eligibility, Reservations reservations) {
+    public GangReservationPlanner(
+            SchedulerState world, PlacementConstraints eligibility, Reservations reservations) {
         this.world = world;
         this.eligibility = eligibility;
         this.reservations = reservations;
@@ -53,7 +54,7 @@
                     && (job.description.hosttypes() == null
                             || job.description.hosttypes().contains(type.name()))) {
                 allowedAnywhere = true;
-                Room size = Room.of(type);
+                Resources size = Resources.of(type);
                 if (job.room.cpu() < size.cpu() * share
                         && job.room.ram() < size.ram() * share
                         && (size.card() == 0 || job.room.card() < size.card() * share)) {
--- a/src/main/java/org/woadloom/core/reservation/Reservation.java
+++ b/src/main/java/org/woadloom/core/reservation/Reservation.java
@@ -2,7 +2,7 @@
 
 import org.woadloom.core.jobs.Job;
 import org.woadloom.core.machines.Machine;
-import org.woadloom.core.placement.Room;
+import org.woadloom.core.placement.Resources;
 
 /** Room on one machine that only its owner's tasks may draw. */
 public final class Reservation {
@@ -18,7 +18,7 @@
     public final long id;
 
     /** The template: what is held. */
-    public final Room template;
+    public final Resources template;
 
     /** The job whose tasks may draw it. */
     public final Job owner;
@@ -32,12 +32,12 @@
     public final boolean preAllocation;
 
     private Phase phase = Phase.PENDING;
-    private Room allocated = Room.NONE;
+    private Resources allocated = Resources.NONE;
     private long expiresMicros;
 
     Reservation(
             long id,
-            Room template,
+            Resources template,
             Job owner,
             Machine machine,
             boolean allocateOnce,
@@ -66,24 +66,24 @@
     }
 
     /** What is still to be drawn. */
-    public Room remaining() {
-        return live() ? template.minus(allocated) : Room.NONE;
+    public Resources remaining() {
+        return live() ? template.minus(allocated) : Resources.NONE;
     }
 
-    public Room allocated() {
+    public Resources allocated() {
         return allocated;
     }
 
     /** What a task of this size would draw here before it takes from the machine. */
-    public Room drawable(Room task) {
-        Room left = remaining();
-        return new Room(
+    public Resources drawable(Resources task) {
+        Resources left = remaining();
+        return new Resources(
                 Math.min(left.cpu(), task.cpu()),
                 Math.min(left.card(), task.card()),
                 Math.min(left.ram(), task.ram()));
     }
 
-    void draw(Room room) {
+    void draw(Resources room) {
         allocated = allocated.plus(room);
     }
 
--- a/src/main/java/org/woadloom/core/reservation/Reservations.java
+++ b/src/main/java/org/woadloom/core/reservation/Reservations.java
@@ -5,11 +5,11 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.woadloom.core.World;
+import org.woadloom.core.SchedulerState;
 import org.woadloom.core.jobs.Job;
-import org.woadloom.core.jobs.Placement;
+import org.woadloom.core.jobs.TaskAttempt;
 import org.woadloom.core.machines.Machine;
-import org.woadloom.core.placement.Room;
+import org.woadloom.core.placement.Resources;
 import org.woadloom.core.reservation.Reservation.Phase;
 
 /**
@@ -17,7 +17,7 @@
  * What is held counts against the owner team's limit until it is drawn or released.
  */
 public final class Reservations {
-    private final World world;
+    private final SchedulerState world;
     private final Map<Long, Reservation> live = new LinkedHashMap<>();
 
     /**
@@ -29,7 +29,7 @@
     private final Map<Job, List<Reservation>> byOwner = new HashMap<>();
     private long ids;
 
-    public Reservations(World world) {
+    public Reservations(SchedulerState world) {
         this.world = world;
     }
 
@@ -43,7 +43,7 @@
     public Reservation reserve(
             Job owner,
             Machine machine,
-            Room template,
+            Resources template,
             boolean allocateOnce,
             boolean preAllocation) {
         if (owner.team.allowed(template, owner) < 1 || !machine.size().holds(template)) {
@@ -92,7 +92,7 @@
         if (reservation.phase() != Phase.WAITING) {
             return;
         }
-        Room before = Room.NONE;
+        Resources before = Resources.NONE;
         for (Reservation other : on(reservation.machine)) {
             if (other == reservation) {
                 break;
@@ -162,13 +162,13 @@
     }
 
     /** The machine's free room without what is reserved for others than this job. */
-    public Room unreserved(Machine machine, Job job) {
+    public Resources unreserved(Machine machine, Job job) {
         return balance(machine, job).floor();
     }
 
     /** The same, negative where reservations wait for room that is still in use. */
-    public Room balance(Machine machine, Job job) {
-        Room free = machine.room();
+    public Resources balance(Machine machine, Job job) {
+        Resources free = machine.room();
         List<Reservation> here = byMachine.get(machine);
         if (here == null) {
             return free;
@@ -205,17 +205,17 @@
     }
 
     private static long draws(Reservation reservation, Job job) {
-        Room room = reservation.drawable(job.room);
+        Resources room = reservation.drawable(job.room);
         return room.cpu() + room.card() * 16 + room.ram() / 16;
     }
 
     /**
      * What the job's team gets back from its limit when a task of the job draws the reservation.
      */
-    public Room credit(Job job, Machine machine) {
+    public Resources credit(Job job, Machine machine) {
         Reservation reservation = match(job, machine);
         if (reservation == null) {
-            return Room.NONE;
+            return Resources.NONE;
         }
         return reservation.allocateOnce ? reservation.remaining() : reservation.drawable(job.room);
     }
@@ -223,19 +223,19 @@
     /**
      * To be called before the placement is added: its room moves from the reservation to the task.
      */
-    public void draw(Placement placement) {
+    public void draw(TaskAttempt placement) {
         Reservation reservation = match(placement.job, placement.machine);
         if (reservation == null) {
             return;
         }
-        Room drawn = reservation.drawable(placement.job.room);
+        Resources drawn = reservation.drawable(placement.job.room);
         if (reservation.allocateOnce) {
             end(reservation, Phase.SUCCEEDED);
             reservation.draw(drawn);
         } else {
             reservation.owner.team.subtract(drawn);
             reservation.draw(drawn);
-            if (reservation.remaining().equals(Room.NONE)) {
+            if (reservation.remaining().equals(Resources.NONE)) {
                 end(reservation, Phase.SUCCEEDED);
             }
         }
--- a/src/main/java/org/woadloom/core/rollout/Belonging.java
+++ b/src/main/java/org/woadloom/core/rollout/ClusterMembership.java
@@ -9,7 +9,7 @@
  * word and then read the record, in that order: a leader that switches a feature on meanwhile
  * either sees the word, or is seen.
  */
-public final class Belonging {
+public final class ClusterMembership {
     private final Set<String> reads;
     private boolean known;
     private Set<String> lacks = Set.of();
@@ -17,7 +17,7 @@
     /** Why the record can't be read, or null. */
     private String unreadable;
 
-    public Belonging(Set<String> reads) {
+    public ClusterMembership(Set<String> reads) {
         this.reads = reads;
     }
 
--- a/src/main/java/org/woadloom/core/rollout/Feature.java
+++ b/src/main/java/org/woadloom/core/rollout/Feature.java
@@ -5,10 +5,10 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Predicate;
-import org.woadloom.state.JobRecord;
-import org.woadloom.state.Keys;
-import org.woadloom.state.MachineRecord;
-import org.woadloom.state.RecordFormat;
+import org.woadloom.store.JobRecord;
+import org.woadloom.store.MachineRecord;
+import org.woadloom.store.RecordFormat;
+import org.woadloom.store.StoreKeys;
 
 /**
  * What can be switched while versions change. A feature that is added here is off in every
@@ -25,7 +25,7 @@
             false,
             false,
             Set.of(),
-            Keys.JOBS,
+            StoreKeys.JOBS,
             value -> JobRecord.formatOf(value) == RecordFormat.COMPACT),
     /** Leases are renewed in a zone that is cut off. */
     ZONE_CARE(
@@ -47,7 +47,7 @@
             true,
             true,
             Set.of(),
-            Keys.MACHINES,
+            StoreKeys.MACHINES,
             MachineRecord::tellsLife),
     /** Nodes vouch to the leader for the cancellations that they confirm. */
     CANCELLATION_VOUCHES(
--- a/src/main/java/org/woadloom/core/rollout/RolloutPlan.java
+++ b/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
@@ -7,26 +7,26 @@
 import java.util.Objects;
 import java.util.Set;
 import java.util.TreeSet;
-import org.woadloom.core.Command;
-import org.woadloom.core.Effect;
 import org.woadloom.core.LogEntry;
 import org.woadloom.core.LogEvent;
-import org.woadloom.core.World;
-import org.woadloom.core.rollout.RolloutRules.Situation;
-import org.woadloom.core.rollout.RolloutRules.Verdict;
-import org.woadloom.state.Keys;
-import org.woadloom.state.NodeWord;
-import org.woadloom.state.RolloutRecord;
-import org.woadloom.state.RolloutRecord.Standing;
-import org.woadloom.state.RolloutRecord.Step;
-import org.woadloom.state.RolloutRequest;
-import org.woadloom.state.RolloutRequest.Verb;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerEvent;
+import org.woadloom.core.SchedulerState;
+import org.woadloom.core.rollout.RolloutPolicy.Decision;
+import org.woadloom.core.rollout.RolloutPolicy.Situation;
+import org.woadloom.store.NodeAnnouncement;
+import org.woadloom.store.RolloutRecord;
+import org.woadloom.store.RolloutRecord.Standing;
+import org.woadloom.store.RolloutRecord.Step;
+import org.woadloom.store.RolloutRequest;
+import org.woadloom.store.RolloutRequest.Verb;
+import org.woadloom.store.StoreKeys;
 
 /**
  * The leader's part of a rollout: watches who is there, moves features step by step, has records
  * rewritten and counted.
  */
-public final class RolloutPlan {
+public final class FeatureRollout {
     private static final long REVIEW_MICROS = 1_000_000;
     private static final long RECOUNT_MICROS = 10_000_000;
 
@@ -41,9 +41,9 @@
     /** More refusals, or late steps, than this in a second are no time to change anything. */
     private static final long RESTLESS = 10;
 
-    private final World world;
-    private final Moves moves;
-    private Command.RolloutSeen seen;
+    private final SchedulerState world;
+    private final RecordMigration moves;
+    private SchedulerEvent.RolloutStateRead seen;
     private RolloutRecord writing;
 
     /** After a write that failed: whatever was in its way is read anew first. */
@@ -71,15 +71,15 @@
         int unreadable;
     }
 
-    public RolloutPlan(World world) {
+    public FeatureRollout(SchedulerState world) {
         this.world = world;
-        moves = new Moves(world);
+        moves = new RecordMigration(world);
         for (Feature feature : Feature.values()) {
             counts.put(feature, new Count());
         }
     }
 
-    public void seen(Command.RolloutSeen now) {
+    public void seen(SchedulerEvent.RolloutStateRead now) {
         if (seen != null && now.record().number() < seen.record().number()) {
             return;
         }
@@ -149,11 +149,11 @@
                 && world.nowMicros >= count.againMicros
                 && moves.quiet(feature, standing.on())) {
             count.asked = true;
-            world.emit(new Effect.CountRecords(feature, standing.back()));
+            world.emit(new SchedulerAction.CountRecords(feature, standing.back()));
         }
     }
 
-    public void counted(Command.RecordsCounted result) {
+    public void counted(SchedulerEvent.RecordsCounted result) {
         Count count = counts.get(result.feature());
         if (!count.asked || count.standing.back() != result.back()) {
             return;
@@ -199,7 +199,7 @@
 
     private void decide() {
         Set<String> members = members();
-        Map<String, NodeWord> words = new LinkedHashMap<>();
+        Map<String, NodeAnnouncement> words = new LinkedHashMap<>();
         seen.words().forEach((label, spoken) -> words.put(label, spoken.word()));
         RolloutRecord next = seen.record();
         steps.clear();
@@ -211,13 +211,13 @@
         }
         writing = next;
         Map<String, Long> conditions = new LinkedHashMap<>();
-        conditions.put(Keys.ROLLOUT_STATE, seen.stamp());
+        conditions.put(StoreKeys.ROLLOUT_STATE, seen.stamp());
         // What was decided by these words is void if one has changed: a process that ended and came
         // back old, say.
         seen.words()
                 .forEach(
                         (label, spoken) ->
-                                conditions.put(Keys.ROLLOUT_NODES + label, spoken.stamp()));
+                                conditions.put(StoreKeys.ROLLOUT_NODES + label, spoken.stamp()));
         long agreed = seen.agreed();
         for (Feature feature : Feature.values()) {
             if (next.of(feature.key()).on()) {
@@ -225,9 +225,11 @@
             }
         }
         if (agreed > seen.agreed()) {
-            conditions.put(Keys.AGREED, seen.agreedStamp());
+            conditions.put(StoreKeys.AGREED, seen.agreedStamp());
         }
-        world.emit(new Effect.PutRollout(next, conditions, agreed > seen.agreed() ? agreed : 0));
+        world.emit(
+                new SchedulerAction.WriteRollout(
+                        next, conditions, agreed > seen.agreed() ? agreed : 0));
     }
 
     /** Takes the feature as far as it may go now, several steps where nothing lies between them. */
@@ -235,7 +237,7 @@
             Feature feature,
             RolloutRecord record,
             Set<String> members,
-            Map<String, NodeWord> words) {
+            Map<String, NodeAnnouncement> words) {
         RolloutRecord next = record;
         RolloutRequest request = seen.asked().getOrDefault(feature.key(), RolloutRequest.AUTO);
         boolean troubled =
@@ -252,8 +254,8 @@
                     same
                             && world.nowMicros - Math.max(count.sinceMicros, calmSinceMicros)
                                     >= world.settings.operator().soakMicros();
-            Verdict verdict =
-                    RolloutRules.judge(
+            Decision verdict =
+                    RolloutPolicy.judge(
                             feature,
                             new Situation(
                                     next,
@@ -301,17 +303,17 @@
         }
     }
 
-    public void written(Command.RolloutWritten result) {
+    public void written(SchedulerEvent.RolloutWriteCompleted result) {
         if (writing == null || result.number() != writing.number()) {
             return;
         }
-        if (result.outcome() == Command.WriteOutcome.WRITTEN) {
+        if (result.outcome() == SchedulerEvent.WriteOutcome.WRITTEN) {
             steps.values().forEach(world::log);
             seen = seen.with(writing, result.stamp());
         }
         writing = null;
         reviewedMicros = Long.MIN_VALUE / 2;
-        if (result.outcome() != Command.WriteOutcome.WRITTEN) {
+        if (result.outcome() != SchedulerEvent.WriteOutcome.WRITTEN) {
             againMicros = world.nowMicros + REVIEW_MICROS;
             seen = null;
         }
--- a/src/main/java/org/woadloom/core/rollout/Moves.java
+++ b/src/main/java/org/woadloom/core/rollout/RecordMigration.java
@@ -6,21 +6,21 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
-import org.woadloom.core.World;
+import org.woadloom.core.SchedulerState;
 import org.woadloom.core.jobs.Job;
-import org.woadloom.core.jobs.Recording;
+import org.woadloom.core.jobs.PersistenceState;
 import org.woadloom.core.machines.Machine;
-import org.woadloom.state.Keys;
+import org.woadloom.store.StoreKeys;
 
 /**
  * Rewrites records in the form that is in force, a small part of the write rate at a time. What has
  * to be rewritten is counted in the store, so nothing of it needs to be kept: a new leader counts
  * again.
  */
-final class Moves {
+final class RecordMigration {
     private static final double LEAST_PER_SECOND = 0.2;
 
-    private final World world;
+    private final SchedulerState world;
     private final Map<Feature, ArrayDeque<String>> waiting = new EnumMap<>(Feature.class);
 
     /** Jobs that are being rewritten, with the first version that has the new form. */
@@ -29,7 +29,7 @@
     private double allowance;
     private long wentMicros;
 
-    Moves(World world) {
+    RecordMigration(SchedulerState world) {
         this.world = world;
         wentMicros = world.nowMicros;
         for (Feature feature : Feature.values()) {
@@ -98,12 +98,12 @@
             Map.Entry<String, Long> one = all.next();
             String key = one.getKey();
             Job job =
-                    key.startsWith(Keys.JOBS)
-                            ? world.jobs.get(key.substring(Keys.JOBS.length()))
+                    key.startsWith(StoreKeys.JOBS)
+                            ? world.jobs.get(key.substring(StoreKeys.JOBS.length()))
                             : null;
             Machine machine =
-                    key.startsWith(Keys.MACHINES)
-                            ? world.machines.get(key.substring(Keys.MACHINES.length()))
+                    key.startsWith(StoreKeys.MACHINES)
+                            ? world.machines.get(key.substring(StoreKeys.MACHINES.length()))
                             : null;
             if (job == null && machine == null
                     || job != null && job.recording.durable >= one.getValue()
@@ -114,16 +114,16 @@
     }
 
     private boolean begin(Feature feature, String key) {
-        if (key.startsWith(Keys.JOBS)) {
-            Job job = world.jobs.get(key.substring(Keys.JOBS.length()));
+        if (key.startsWith(StoreKeys.JOBS)) {
+            Job job = world.jobs.get(key.substring(StoreKeys.JOBS.length()));
             if (job == null) {
                 return false;
             }
             underWay.get(feature).put(key, job.recording.nextVersion());
-            job.recording.needs(Recording.Need.PHASE);
+            job.recording.needs(PersistenceState.WriteReason.PHASE);
             return true;
         }
-        Machine machine = world.machines.get(key.substring(Keys.MACHINES.length()));
+        Machine machine = world.machines.get(key.substring(StoreKeys.MACHINES.length()));
         if (machine == null || machine.deleted || !machine.recorded) {
             return false;
         }
--- a/src/main/java/org/woadloom/core/rollout/RolloutRules.java
+++ b/src/main/java/org/woadloom/core/rollout/RolloutPolicy.java
@@ -3,19 +3,19 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import org.woadloom.state.NodeWord;
-import org.woadloom.state.RolloutRecord;
-import org.woadloom.state.RolloutRecord.Standing;
-import org.woadloom.state.RolloutRecord.Step;
-import org.woadloom.state.RolloutRequest.Verb;
+import org.woadloom.store.NodeAnnouncement;
+import org.woadloom.store.RolloutRecord;
+import org.woadloom.store.RolloutRecord.Standing;
+import org.woadloom.store.RolloutRecord.Step;
+import org.woadloom.store.RolloutRequest.Verb;
 
 /**
  * Decides the next step of a feature from what is known: no clock, no state of its own. A step that
  * is taken by it is written on condition that neither the record nor any member's word has changed
  * since.
  */
-public final class RolloutRules {
-    private RolloutRules() {}
+public final class RolloutPolicy {
+    private RolloutPolicy() {}
 
     /**
      * What a decision rests on.
@@ -33,7 +33,7 @@
     public record Situation(
             RolloutRecord record,
             Set<String> members,
-            Map<String, NodeWord> words,
+            Map<String, NodeAnnouncement> words,
             Set<String> wordless,
             long agreed,
             Verb asked,
@@ -45,7 +45,7 @@
         Set<String> without(String feature, boolean acting) {
             Set<String> lacking = new TreeSet<>();
             for (String member : members) {
-                NodeWord word = words.get(member);
+                NodeAnnouncement word = words.get(member);
                 if (word == null
                         || wordless.contains(member)
                         || !word.reads().contains(feature)
@@ -58,13 +58,13 @@
     }
 
     /** What is to be done: a new standing, or null and what it waits for. */
-    public record Verdict(Standing next, String why) {
-        static Verdict waits(String why) {
-            return new Verdict(null, why);
+    public record Decision(Standing next, String why) {
+        static Decision waits(String why) {
+            return new Decision(null, why);
         }
     }
 
-    public static Verdict judge(Feature feature, Situation s, long wallMicros) {
+    public static Decision judge(Feature feature, Situation s, long wallMicros) {
         Standing at = s.record.of(feature.key());
         if (!at.on() && feature.agreedVersion() > 0 && s.agreed >= feature.agreedVersion()) {
             return to(Step.ON, false, false, wallMicros, "an earlier version agreed on it");
@@ -80,92 +80,92 @@
             return backwards(feature, s, at, held, wallMicros);
         }
         if (s.asked == Verb.HOLD) {
-            return Verdict.waits("held by an operator");
+            return Decision.waits("held by an operator");
         }
         Set<String> lacking = s.without(feature.key(), false);
         return switch (at.step()) {
             case OFF ->
                     lacking.isEmpty()
                             ? to(Step.UNDERSTOOD, false, false, wallMicros, "every node reads it")
-                            : Verdict.waits("not read by " + lacking);
+                            : Decision.waits("not read by " + lacking);
             case UNDERSTOOD -> switchOn(feature, s, at, lacking, wallMicros);
             case ON -> settle(s, lacking, wallMicros);
-            case SETTLED -> Verdict.waits("settled");
+            case SETTLED -> Decision.waits("settled");
         };
     }
 
-    private static Verdict switchOn(
+    private static Decision switchOn(
             Feature feature, Situation s, Standing at, Set<String> lacking, long wallMicros) {
         if (!lacking.isEmpty()) {
             // While it is being taken back records of it may be there, and whoever can't read them
             // must stay out.
             return at.back()
-                    ? Verdict.waits("not read by " + lacking)
+                    ? Decision.waits("not read by " + lacking)
                     : to(Step.OFF, false, false, wallMicros, lacking + " no longer reads it");
         }
         Set<String> unable = s.without(feature.key(), true);
         if (!unable.isEmpty()) {
-            return Verdict.waits("not for " + unable + " to act upon, by settings or version");
+            return Decision.waits("not for " + unable + " to act upon, by settings or version");
         }
         for (String needed : feature.needs()) {
             if (!s.record.of(needed).on()) {
-                return Verdict.waits(needed + " is not on");
+                return Decision.waits(needed + " is not on");
             }
         }
         if (s.troubled && feature.soaks() && s.asked != Verb.GO) {
-            return Verdict.waits("nodes keep ending");
+            return Decision.waits("nodes keep ending");
         }
         return s.soaked || s.asked == Verb.GO || !feature.soaks()
                 ? to(Step.ON, false, false, wallMicros, "every node reads and can do it")
-                : Verdict.waits("time to pass");
+                : Decision.waits("time to pass");
     }
 
-    private static Verdict settle(Situation s, Set<String> lacking, long wallMicros) {
+    private static Decision settle(Situation s, Set<String> lacking, long wallMicros) {
         if (!lacking.isEmpty()) {
-            return Verdict.waits("not read by " + lacking);
+            return Decision.waits("not read by " + lacking);
         }
         if (s.left > 0) {
-            return Verdict.waits("records to be rewritten");
+            return Decision.waits("records to be rewritten");
         }
         if (!s.soaked && s.asked != Verb.GO) {
-            return Verdict.waits("time to pass");
+            return Decision.waits("time to pass");
         }
         return s.confirmed
                 ? to(Step.SETTLED, false, false, wallMicros, "no record of the old form is left")
-                : Verdict.waits("the store to be counted");
+                : Decision.waits("the store to be counted");
     }
 
-    private static Verdict backwards(
+    private static Decision backwards(
             Feature feature, Situation s, Standing at, boolean held, long wallMicros) {
         String why = held ? "nodes keep ending" : "an operator asked";
         return switch (at.step()) {
-            case OFF -> Verdict.waits(why + ": off");
-            case SETTLED -> Verdict.waits("settled, can't be taken back");
+            case OFF -> Decision.waits(why + ": off");
+            case SETTLED -> Decision.waits("settled, can't be taken back");
             case ON -> {
                 if (!feature.revocable()) {
-                    yield Verdict.waits("on, can't be taken back");
+                    yield Decision.waits("on, can't be taken back");
                 }
                 for (Feature other : Feature.values()) {
                     if (other.needs().contains(feature.key())
                             && s.record.of(other.key()).required()) {
-                        yield Verdict.waits("needed by " + other.key());
+                        yield Decision.waits("needed by " + other.key());
                     }
                 }
                 yield to(Step.UNDERSTOOD, true, held, wallMicros, why);
             }
             case UNDERSTOOD -> {
                 if (at.back() && s.left > 0) {
-                    yield Verdict.waits("records to be rewritten");
+                    yield Decision.waits("records to be rewritten");
                 }
                 if (at.back() && !s.confirmed) {
-                    yield Verdict.waits("the store to be counted");
+                    yield Decision.waits("the store to be counted");
                 }
                 yield to(Step.OFF, false, held, wallMicros, why);
             }
         };
     }
 
-    private static Verdict to(Step step, boolean back, boolean held, long wallMicros, String why) {
-        return new Verdict(new Standing(step, back, held, wallMicros, why), why);
+    private static Decision to(Step step, boolean back, boolean held, long wallMicros, String why) {
+        return new Decision(new Standing(step, back, held, wallMicros, why), why);
     }
 }
--- a/src/main/java/org/woadloom/core/served/LargestJobs.java
+++ b/src/main/java/org/woadloom/core/slo/LargestJobsReport.java
@@ -1,4 +1,4 @@
-package org.woadloom.core.served;
+package org.woadloom.core.slo;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -15,7 +15,7 @@
  * What became of the largest tenth of each class's jobs: whoever serves only small ones looks well
  * on average.
  */
-final class LargestJobs {
+final class LargestJobsReport {
     private static final double PART = 0.1;
     private static final int MOST_KEPT = 2_000;
     private static final long BEGIN_MICROS = 240_000_000;
--- a/src/main/java/org/woadloom/core/served/Served.java
+++ b/src/main/java/org/woadloom/core/slo/ServiceLevelReport.java
@@ -1,4 +1,4 @@
-package org.woadloom.core.served;
+package org.woadloom.core.slo;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -6,10 +6,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import org.woadloom.core.Effect;
 import org.woadloom.core.LogEntry;
 import org.woadloom.core.LogEvent;
-import org.woadloom.core.World;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerState;
 import org.woadloom.core.jobs.Job;
 
 /**
@@ -17,16 +17,16 @@
  * whole, how many are over, and for how long the one that waits longest has waited. It only tells;
  * nothing is decided by it.
  */
-public final class Served {
+public final class ServiceLevelReport {
     private static final long PERIOD_MICROS = 60_000_000;
 
-    private final World world;
+    private final SchedulerState world;
     private final Map<String, Count> counts = new TreeMap<>();
 
     /** Open jobs of which all tasks were seen running or done at once. */
     private final Set<Job> whole = new HashSet<>();
 
-    private final LargestJobs largest = new LargestJobs();
+    private final LargestJobsReport largest = new LargestJobsReport();
     private long nextMicros;
 
     private static final class Count {
@@ -59,7 +59,7 @@
             int cancelled,
             long longestWaitMicros) {}
 
-    public Served(World world) {
+    public ServiceLevelReport(SchedulerState world) {
         this.world = world;
         nextMicros = world.nowMicros + PERIOD_MICROS;
     }
@@ -131,6 +131,6 @@
                             .withSeconds("longest_wait_s", row.longestWaitMicros));
         }
         largest.tell().forEach(world::log);
-        world.emit(new Effect.ServedSeen(rows));
+        world.emit(new SchedulerAction.PublishServiceLevels(rows));
     }
 }
--- a/src/main/java/org/woadloom/http/Admission.java
+++ b/src/main/java/org/woadloom/http/AdmissionControl.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.woadloom.net.Loop;
+import org.woadloom.net.EventLoop;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.MachineType;
 import org.woadloom.settings.ServiceSettings;
 import org.woadloom.settings.Team;
-import org.woadloom.wire.JobDescription;
-import org.woadloom.wire.MachineType;
 
 /**
  * Whether a job can run at all. A job that is refused is not submitted again, so 422 is said only
@@ -17,7 +17,7 @@
  * against is refused only once the cloud has told them anew, as a type may have been added since
  * this node last read them. Until then it is 503.
  */
-final class Admission {
+final class AdmissionControl {
     /**
      * The types change with the settings of the cloud; whoever submits what fits none costs at most
      * a call in so long.
@@ -33,7 +33,7 @@
     /** Users wait 5 s for an answer. */
     private static final long PATIENCE_MICROS = 2_000_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final ServiceSettings settings;
     private final JobApi.Types types;
 
@@ -45,7 +45,7 @@
     /** What waits for the reading under way. */
     private List<Runnable> waiting = List.of();
 
-    Admission(Loop loop, ServiceSettings settings, JobApi.Types types) {
+    AdmissionControl(EventLoop loop, ServiceSettings settings, JobApi.Types types) {
         this.loop = loop;
         this.settings = settings;
         this.types = types;
--- a/src/main/java/org/woadloom/http/ApiServer.java
+++ b/src/main/java/org/woadloom/http/ApiServer.java
@@ -9,7 +9,7 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import org.woadloom.net.Addresses;
-import org.woadloom.net.SocketPlan;
+import org.woadloom.net.SocketBudget;
 import org.woadloom.settings.ServiceSettings;
 import org.xnio.Options;
 import org.xnio.XnioWorker;
@@ -22,15 +22,15 @@
     private static final int BACKLOG = 256;
 
     private final Undertow undertow;
-    private final Connections connections;
+    private final ConnectionLimiter connections;
     private final Router router;
 
     public ApiServer(
             ServiceSettings settings,
             XnioWorker worker,
             ByteBufferPool buffers,
-            SocketPlan plan,
-            Connections connections,
+            SocketBudget plan,
+            ConnectionLimiter connections,
             Router router) {
         this.connections = connections;
         this.router = router;
--- a/src/main/java/org/woadloom/http/Connections.java
+++ b/src/main/java/org/woadloom/http/ConnectionLimiter.java
@@ -4,8 +4,8 @@
 import io.undertow.server.ServerConnection;
 import io.undertow.util.AttachmentKey;
 import java.util.LinkedHashSet;
-import org.woadloom.net.Loop;
-import org.woadloom.net.SocketPlan;
+import org.woadloom.net.EventLoop;
+import org.woadloom.net.SocketBudget;
 import org.xnio.IoUtils;
 
 /**
@@ -15,7 +15,7 @@
  * short those that have been idle for longest. What is asked on a connection beyond the plan is
  * answered at once and closed: nobody is left waiting in the backlog.
  */
-public final class Connections {
+public final class ConnectionLimiter {
     /** Three polls of a user who still wants to know. */
     private static final long IDLE_MICROS = 15_000_000;
 
@@ -25,8 +25,8 @@
     private static final long SWEEP_MICROS = 500_000;
     private static final AttachmentKey<Open> OPEN = AttachmentKey.create(Open.class);
 
-    private final Loop loop;
-    private final SocketPlan plan;
+    private final EventLoop loop;
+    private final SocketBudget plan;
 
     /** Users' connections without a request, the longest idle first. */
     private final LinkedHashSet<Open> idleUsers = new LinkedHashSet<>();
@@ -46,7 +46,7 @@
         }
     }
 
-    public Connections(Loop loop, SocketPlan plan) {
+    public ConnectionLimiter(EventLoop loop, SocketBudget plan) {
         this.loop = loop;
         this.plan = plan;
     }
--- a/src/main/java/org/woadloom/http/JobApi.java
+++ b/src/main/java/org/woadloom/http/JobApi.java
@@ -5,26 +5,26 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.woadloom.net.Loop;
+import org.woadloom.net.EventLoop;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.JobStatus;
+import org.woadloom.protocol.MachineType;
+import org.woadloom.protocol.MalformedMessageException;
+import org.woadloom.reads.CoalescingJobReader;
+import org.woadloom.reads.JobLookup;
 import org.woadloom.reads.JobReader;
-import org.woadloom.reads.Looked;
-import org.woadloom.reads.SharedReads;
-import org.woadloom.reads.Unanswered;
+import org.woadloom.reads.UnansweredQueries;
 import org.woadloom.settings.ServiceSettings;
-import org.woadloom.state.FinalRecord;
-import org.woadloom.state.JobRecord;
-import org.woadloom.state.Keys;
-import org.woadloom.state.RecordFormat;
-import org.woadloom.state.StateClient;
-import org.woadloom.state.StateClient.Change;
-import org.woadloom.state.StateClient.Condition;
-import org.woadloom.state.StateClient.Result;
-import org.woadloom.state.StateClient.Urgency;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.JobDescription;
-import org.woadloom.wire.JobStatus;
-import org.woadloom.wire.MachineType;
-import org.woadloom.wire.WireException;
+import org.woadloom.store.FinalRecord;
+import org.woadloom.store.JobRecord;
+import org.woadloom.store.RecordFormat;
+import org.woadloom.store.StoreClient;
+import org.woadloom.store.StoreClient.Change;
+import org.woadloom.store.StoreClient.Condition;
+import org.woadloom.store.StoreClient.RequestPriority;
+import org.woadloom.store.StoreClient.Result;
+import org.woadloom.store.StoreKeys;
 
 /**
  * What users ask, on any node. Whatever a user is told of a job is in the state service before;
@@ -76,20 +76,20 @@
      */
     private static final int PROGRESS_BYTES = 400;
 
-    private final Loop loop;
-    private final StateClient state;
+    private final EventLoop loop;
+    private final StoreClient state;
     private final Storage storage;
     private final Hint hint;
     private final Confirmation confirmation;
     private final JobReader reader;
-    private final SharedReads shared;
-    private final Admission admission;
+    private final CoalescingJobReader shared;
+    private final AdmissionControl admission;
     private final UserWrites writes;
-    private final Unanswered unanswered;
+    private final UnansweredQueries unanswered;
 
     public JobApi(
-            Loop loop,
-            StateClient state,
+            EventLoop loop,
+            StoreClient state,
             ServiceSettings settings,
             Storage storage,
             Types types,
@@ -101,10 +101,10 @@
         this.hint = hint;
         this.confirmation = confirmation;
         reader = new JobReader(state, storage::seen);
-        unanswered = new Unanswered(loop);
+        unanswered = new UnansweredQueries(loop);
         int nodes = settings.peers().size() + 1;
-        shared = new SharedReads(loop, state, reader, settings.state(), nodes);
-        admission = new Admission(loop, settings, types);
+        shared = new CoalescingJobReader(loop, state, reader, settings.state(), nodes);
+        admission = new AdmissionControl(loop, settings, types);
         writes = new UserWrites(loop, state, settings.state().rps(), nodes);
     }
 
@@ -129,14 +129,14 @@
         Map<String, Object> map;
         try {
             map = Cbor.decodeMap(body);
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             answer.accept(Response.error(400, e.getMessage()));
             return;
         }
         JobDescription job;
         try {
             job = JobDescription.submitted(map);
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             refuseUnlessKnown(map.get("uid"), Response.error(400, e.getMessage()), answer);
             return;
         }
@@ -172,9 +172,9 @@
                 });
     }
 
-    private void tellAccepted(Looked looked, Consumer<Response> answer) {
+    private void tellAccepted(JobLookup looked, Consumer<Response> answer) {
         tell(
-                SharedReads.Shown.of(looked),
+                CoalescingJobReader.JobView.of(looked),
                 PATIENCE_MICROS,
                 () -> answer.accept(Response.of(200, looked.status().toMap())),
                 answer);
@@ -275,9 +275,9 @@
         writes.write(
                 job.uid(),
                 List.of(
-                        new Condition(Keys.job(job.uid()), 0),
-                        new Condition(Keys.finalState(job.uid()), 0)),
-                Change.put(Keys.job(job.uid()), value),
+                        new Condition(StoreKeys.job(job.uid()), 0),
+                        new Condition(StoreKeys.finalState(job.uid()), 0)),
+                Change.put(StoreKeys.job(job.uid()), value),
                 reader::lookForRecord,
                 found -> true,
                 (result, generation, found) -> {
@@ -311,7 +311,7 @@
             answer.accept(Response.error(404, "no such job"));
             return;
         }
-        Consumer<SharedReads.Shown> told =
+        Consumer<CoalescingJobReader.JobView> told =
                 shown -> {
                     if (shown == null) {
                         unanswered.refused(uid, !state.refuses());
@@ -337,9 +337,13 @@
                 };
         if (unanswered.goesFirst(uid)) {
             reader.look(
-                    Urgency.USER,
+                    RequestPriority.USER,
                     uid,
-                    looked -> told.accept(looked == null ? null : SharedReads.Shown.of(looked)));
+                    looked ->
+                            told.accept(
+                                    looked == null
+                                            ? null
+                                            : CoalescingJobReader.JobView.of(looked)));
         } else {
             shared.ask(uid, told);
         }
@@ -354,7 +358,7 @@
     }
 
     /** A job's status, with the jobs that it waits for. */
-    private static Map<String, Object> shownMap(SharedReads.Shown shown) {
+    private static Map<String, Object> shownMap(CoalescingJobReader.JobView shown) {
         Map<String, Object> map = shown.status().toMap();
         if (!shown.awaits().isEmpty()) {
             map.put("awaits", shown.awaits());
@@ -376,7 +380,7 @@
      * write, which may have been without the state service for long, or there may have been none.
      */
     private void tell(
-            SharedReads.Shown shown,
+            CoalescingJobReader.JobView shown,
             long patienceMicros,
             Runnable told,
             Consumer<Response> refused) {
@@ -443,14 +447,14 @@
 
     private void tellEnd(JobStatus status, Consumer<Response> answer) {
         tell(
-                new SharedReads.Shown(status, List.of()),
+                new CoalescingJobReader.JobView(status, List.of()),
                 PATIENCE_MICROS,
                 () -> answer.accept(Response.of(200, status.toMap())),
                 answer);
     }
 
     /** Nothing of a record that can't be read can be kept: the final state takes its place. */
-    private void cancelUnread(Looked looked, Consumer<Response> answer) {
+    private void cancelUnread(JobLookup looked, Consumer<Response> answer) {
         String uid = looked.unread().uid();
         Consumer<Boolean> end =
                 cancelled -> {
@@ -466,11 +470,11 @@
         }
         FinalRecord record = new FinalRecord(uid, true, 0, loop.wallMicros(), false);
         state.txn(
-                Urgency.USER,
-                List.of(new Condition(Keys.job(uid), looked.stamp())),
+                RequestPriority.USER,
+                List.of(new Condition(StoreKeys.job(uid), looked.stamp())),
                 List.of(
-                        Change.put(Keys.finalState(uid), record.toMap(storage.format())),
-                        Change.drop(Keys.job(uid))),
+                        Change.put(StoreKeys.finalState(uid), record.toMap(storage.format())),
+                        Change.drop(StoreKeys.job(uid))),
                 (result, generation, failed) -> end.accept(result == Result.OK));
     }
 
@@ -478,7 +482,7 @@
         reader.look(uid, looked -> cancel(uid, looked, tries, answer));
     }
 
-    private void cancel(String uid, Looked looked, int tries, Consumer<Response> answer) {
+    private void cancel(String uid, JobLookup looked, int tries, Consumer<Response> answer) {
         if (looked == null) {
             answer.accept(Response.unavailable("the job could not be cancelled now"));
         } else if (looked.status() == null) {
@@ -498,8 +502,8 @@
             // Once the record has another stamp, the write was carried out or never will be.
             writes.write(
                     uid,
-                    List.of(new Condition(Keys.job(uid), looked.stamp())),
-                    Change.put(Keys.job(uid), cancelled.toMap(format)),
+                    List.of(new Condition(StoreKeys.job(uid), looked.stamp())),
+                    Change.put(StoreKeys.job(uid), cancelled.toMap(format)),
                     reader::look,
                     found -> found.status() != null && found.stamp() != looked.stamp(),
                     (result, generation, found) -> {
--- a/src/main/java/org/woadloom/http/Response.java
+++ b/src/main/java/org/woadloom/http/Response.java
@@ -3,7 +3,7 @@
 import com.google.common.collect.ImmutableMap;
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
-import org.woadloom.wire.Cbor;
+import org.woadloom.protocol.Cbor;
 
 /** An answer to a request. */
 public record Response(int status, byte[] body, String contentType, int retryAfterS) {
--- a/src/main/java/org/woadloom/http/UserWrites.java
+++ b/src/main/java/org/woadloom/http/UserWrites.java
@@ -3,14 +3,14 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import org.woadloom.net.Loop;
-import org.woadloom.reads.Looked;
-import org.woadloom.state.Budget;
-import org.woadloom.state.StateClient;
-import org.woadloom.state.StateClient.Change;
-import org.woadloom.state.StateClient.Condition;
-import org.woadloom.state.StateClient.Result;
-import org.woadloom.state.StateClient.Urgency;
+import org.woadloom.net.EventLoop;
+import org.woadloom.reads.JobLookup;
+import org.woadloom.store.StoreClient;
+import org.woadloom.store.StoreClient.Change;
+import org.woadloom.store.StoreClient.Condition;
+import org.woadloom.store.StoreClient.RequestPriority;
+import org.woadloom.store.StoreClient.Result;
+import org.woadloom.store.TokenBucket;
 
 /**
  * Writes that a user waits for. Where the answer is late the job is read, and its user is told if
@@ -33,22 +33,22 @@
          * @param found what was read, which decides; null where the write was answered, or nothing
          *     is known
          */
-        void done(Result result, long generation, Looked found);
+        void done(Result result, long generation, JobLookup found);
     }
 
     /** How the job is read. */
     interface Look {
-        void look(Urgency urgency, String uid, Consumer<Looked> consumer);
+        void look(RequestPriority urgency, String uid, Consumer<JobLookup> consumer);
     }
 
-    private final Loop loop;
-    private final StateClient state;
-    private final Budget looks;
+    private final EventLoop loop;
+    private final StoreClient state;
+    private final TokenBucket looks;
 
-    UserWrites(Loop loop, StateClient state, double requestsPerSecond, int nodes) {
+    UserWrites(EventLoop loop, StoreClient state, double requestsPerSecond, int nodes) {
         this.loop = loop;
         this.state = state;
-        looks = new Budget(requestsPerSecond * PART / nodes);
+        looks = new TokenBucket(requestsPerSecond * PART / nodes);
     }
 
     /**
@@ -60,13 +60,13 @@
             List<Condition> conditions,
             Change change,
             Look look,
-            Predicate<Looked> decides,
+            Predicate<JobLookup> decides,
             Outcome outcome) {
         Write write = new Write(uid, look, decides, outcome);
         loop.schedule(FIRST_LOOK_MICROS, write::look);
         loop.schedule(SECOND_LOOK_MICROS, write::look);
         state.txn(
-                Urgency.USER,
+                RequestPriority.USER,
                 conditions,
                 List.of(change),
                 (result, generation, failed) -> write.answered(result, generation));
@@ -75,7 +75,7 @@
     private final class Write {
         final String uid;
         final Look look;
-        final Predicate<Looked> decides;
+        final Predicate<JobLookup> decides;
         final Outcome outcome;
         boolean told;
         boolean reading;
@@ -84,7 +84,7 @@
         /** The write's answer was that there is none. */
         boolean unknown;
 
-        Write(String uid, Look look, Predicate<Looked> decides, Outcome outcome) {
+        Write(String uid, Look look, Predicate<JobLookup> decides, Outcome outcome) {
             this.uid = uid;
             this.look = look;
             this.decides = decides;
@@ -112,7 +112,7 @@
             looked++;
             reading = true;
             look.look(
-                    Urgency.USER,
+                    RequestPriority.USER,
                     uid,
                     found -> {
                         reading = false;
@@ -124,7 +124,7 @@
                     });
         }
 
-        private void tell(Result result, long generation, Looked found) {
+        private void tell(Result result, long generation, JobLookup found) {
             if (!told) {
                 told = true;
                 outcome.done(result, generation, found);
--- a/src/main/java/org/woadloom/leader/Election.java
+++ b/src/main/java/org/woadloom/leader/Election.java
@@ -6,15 +6,15 @@
 import java.util.Random;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.woadloom.net.Loop;
-import org.woadloom.state.Keys;
-import org.woadloom.state.StateClient;
-import org.woadloom.state.StateClient.Change;
-import org.woadloom.state.StateClient.Condition;
-import org.woadloom.state.StateClient.Result;
-import org.woadloom.state.StateClient.Urgency;
-import org.woadloom.wire.Fields;
-import org.woadloom.wire.WireException;
+import org.woadloom.net.EventLoop;
+import org.woadloom.protocol.Fields;
+import org.woadloom.protocol.MalformedMessageException;
+import org.woadloom.store.StoreClient;
+import org.woadloom.store.StoreClient.Change;
+import org.woadloom.store.StoreClient.Condition;
+import org.woadloom.store.StoreClient.RequestPriority;
+import org.woadloom.store.StoreClient.Result;
+import org.woadloom.store.StoreKeys;
 
 /**
  * Who leads. The leader key hangs on a grant that the leader renews, but that is only for liveness:
@@ -63,8 +63,8 @@
         LEADER
     }
 
-    private final Loop loop;
-    private final StateClient state;
+    private final EventLoop loop;
+    private final StoreClient state;
     private final String label;
     private final Random random;
     private final Fence fence;
@@ -86,8 +86,8 @@
     private long highestTerm;
 
     public Election(
-            Loop loop,
-            StateClient state,
+            EventLoop loop,
+            StoreClient state,
             String label,
             Random random,
             Fence fence,
@@ -136,8 +136,8 @@
 
     private void look() {
         state.get(
-                Urgency.URGENT,
-                Keys.LEADER,
+                RequestPriority.URGENT,
+                StoreKeys.LEADER,
                 (result, entry, generation) -> {
                     if (result == Result.OK) {
                         seen(entry.value(), entry.stamp());
@@ -154,7 +154,7 @@
 
     private void watch(long since) {
         state.follow(
-                Keys.LEADER,
+                StoreKeys.LEADER,
                 since,
                 WATCH_MICROS,
                 (result, events, generation) -> {
@@ -162,8 +162,8 @@
                         loop.schedule(RETRY_MICROS, this::look);
                         return;
                     }
-                    for (StateClient.Event event : events) {
-                        if (event.path().equals(Keys.LEADER)) {
+                    for (StoreClient.Event event : events) {
+                        if (event.path().equals(StoreKeys.LEADER)) {
                             seen(event.value(), event.stamp());
                         }
                     }
@@ -179,7 +179,7 @@
         LeaderKey before = current;
         try {
             current = value == null ? null : LeaderKey.parse(value);
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             current = null;
         }
         highestTerm = Math.max(highestTerm, knownTerm());
@@ -219,9 +219,9 @@
      */
     private void leaveToOthers(long stamp) {
         state.txn(
-                Urgency.URGENT,
-                List.of(new Condition(Keys.LEADER, stamp)),
-                List.of(Change.drop(Keys.LEADER)),
+                RequestPriority.URGENT,
+                List.of(new Condition(StoreKeys.LEADER, stamp)),
+                List.of(Change.drop(StoreKeys.LEADER)),
                 (result, generation, conflicts) -> {
                     notBeforeMicros = loop.nowMicros() + YIELD_MICROS;
                     if (result == Result.OK) {
@@ -279,8 +279,8 @@
                     }
                     grant = granted;
                     state.get(
-                            Urgency.URGENT,
-                            Keys.TERM,
+                            RequestPriority.URGENT,
+                            StoreKeys.TERM,
                             (read, entry, generation) -> {
                                 try {
                                     if (read == Result.OK) {
@@ -293,10 +293,10 @@
                                     } else {
                                         failed();
                                     }
-                                } catch (WireException e) {
+                                } catch (MalformedMessageException e) {
                                     LOG.error(
                                             "event=record_unreadable key={} error=\"{}\"",
-                                            Keys.TERM,
+                                            StoreKeys.TERM,
                                             e.getMessage());
                                     failed();
                                 }
@@ -311,14 +311,14 @@
         // Whoever takes a term has read what the stored state requires, and nothing was added to it
         // since.
         state.txn(
-                Urgency.URGENT,
+                RequestPriority.URGENT,
                 List.of(
-                        new Condition(Keys.LEADER, leaderStamp),
-                        new Condition(Keys.TERM, termStamp),
+                        new Condition(StoreKeys.LEADER, leaderStamp),
+                        new Condition(StoreKeys.TERM, termStamp),
                         fence.condition()),
                 List.of(
-                        new Change(Keys.LEADER, new LeaderKey(label, newTerm).toMap(), grant),
-                        Change.put(Keys.TERM, termValue)),
+                        new Change(StoreKeys.LEADER, new LeaderKey(label, newTerm).toMap(), grant),
+                        Change.put(StoreKeys.TERM, termValue)),
                 (result, generation, conflicts) -> {
                     if (sought != newTerm) {
                         if (result == Result.CONFLICT && role == Role.LEADER && term == newTerm) {
@@ -347,8 +347,8 @@
                 pause,
                 () ->
                         state.get(
-                                Urgency.URGENT,
-                                Keys.LEADER,
+                                RequestPriority.URGENT,
+                                StoreKeys.LEADER,
                                 (result, entry, generation) -> {
                                     if (result == Result.OK) {
                                         seen(entry.value(), entry.stamp());
--- a/src/main/java/org/woadloom/leader/LeaderKey.java
+++ b/src/main/java/org/woadloom/leader/LeaderKey.java
@@ -2,8 +2,8 @@
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.woadloom.wire.Fields;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.Fields;
+import org.woadloom.protocol.MalformedMessageException;
 
 /** The value of the leader key. */
 public record LeaderKey(String label, long term) {
@@ -14,7 +14,7 @@
         return map;
     }
 
-    static LeaderKey parse(Map<String, Object> map) throws WireException {
+    static LeaderKey parse(Map<String, Object> map) throws MalformedMessageException {
         Fields f = new Fields(map);
         return new LeaderKey(f.text("label"), f.integer("term"));
     }
--- a/src/main/java/org/woadloom/leader/RecordWriter.java
+++ b/src/main/java/org/woadloom/leader/RecordWriter.java
@@ -3,14 +3,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.woadloom.core.Command.WriteOutcome;
-import org.woadloom.state.Keys;
-import org.woadloom.state.Limits;
-import org.woadloom.state.StateClient;
-import org.woadloom.state.StateClient.Change;
-import org.woadloom.state.StateClient.Condition;
-import org.woadloom.state.StateClient.Urgency;
-import org.woadloom.wire.Cbor;
+import org.woadloom.core.SchedulerEvent.WriteOutcome;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.store.StoreClient;
+import org.woadloom.store.StoreClient.Change;
+import org.woadloom.store.StoreClient.Condition;
+import org.woadloom.store.StoreClient.RequestPriority;
+import org.woadloom.store.StoreKeys;
+import org.woadloom.store.StoreLimits;
 
 /**
  * Writes a leader's records. Every transaction is conditional on the leader key's stamp, so that
@@ -35,14 +35,14 @@
         void written(WriteOutcome outcome, long stamp);
     }
 
-    private final StateClient state;
-    private final Limits limits;
+    private final StoreClient state;
+    private final StoreLimits limits;
     private final long leaderStamp;
     private final Runnable deposed;
     private final List<Write> urgent = new ArrayList<>();
     private final List<Write> normal = new ArrayList<>();
 
-    public RecordWriter(StateClient state, Limits limits, long leaderStamp, Runnable deposed) {
+    public RecordWriter(StoreClient state, StoreLimits limits, long leaderStamp, Runnable deposed) {
         this.state = state;
         this.limits = limits;
         this.leaderStamp = leaderStamp;
@@ -55,11 +55,11 @@
 
     /** Sends what was added, in as few transactions as the limits allow. */
     public void flush() {
-        send(Urgency.URGENT, urgent);
-        send(Urgency.NORMAL, normal);
+        send(RequestPriority.URGENT, urgent);
+        send(RequestPriority.NORMAL, normal);
     }
 
-    private void send(Urgency urgency, List<Write> writes) {
+    private void send(RequestPriority urgency, List<Write> writes) {
         List<Write> batch = new ArrayList<>();
         int ops = 0;
         int bytes = 0;
@@ -82,10 +82,10 @@
         }
     }
 
-    private void transact(Urgency urgency, List<Write> batch) {
+    private void transact(RequestPriority urgency, List<Write> batch) {
         List<Condition> conditions = new ArrayList<>();
         List<Change> changes = new ArrayList<>();
-        conditions.add(new Condition(Keys.LEADER, leaderStamp));
+        conditions.add(new Condition(StoreKeys.LEADER, leaderStamp));
         for (Write write : batch) {
             conditions.addAll(write.conditions);
             changes.addAll(write.changes);
@@ -123,7 +123,7 @@
      */
     private static String proof(List<Change> changes) {
         for (Change change : changes) {
-            if (change.path().startsWith(Keys.JOBS) && change.value() != null) {
+            if (change.path().startsWith(StoreKeys.JOBS) && change.value() != null) {
                 return change.path();
             }
         }
@@ -134,7 +134,7 @@
      * A value or the number of changes is above a limit that has fallen. Each record is tried by
      * itself, so that what is too large holds up nothing else; nothing was executed.
      */
-    private void refused(Urgency urgency, List<Write> batch, List<Change> changes) {
+    private void refused(RequestPriority urgency, List<Write> batch, List<Change> changes) {
         if (batch.size() > 1) {
             limits.refusedOps(changes.size());
             batch.forEach(write -> transact(urgency, List.of(write)));
@@ -148,8 +148,8 @@
         batch.get(0).callback.written(WriteOutcome.TOO_LARGE, 0);
     }
 
-    private void conflict(Urgency urgency, List<Write> batch, List<String> failed) {
-        if (failed.contains(Keys.LEADER)) {
+    private void conflict(RequestPriority urgency, List<Write> batch, List<String> failed) {
+        if (failed.contains(StoreKeys.LEADER)) {
             deposed.run();
             return;
         }
--- a/src/main/java/org/woadloom/metrics/NodeMetrics.java
+++ b/src/main/java/org/woadloom/metrics/NodeMetrics.java
@@ -14,8 +14,8 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.ToDoubleFunction;
-import org.woadloom.core.Effect;
-import org.woadloom.core.served.Served;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.slo.ServiceLevelReport;
 
 /** What a node counts of itself. */
 public final class NodeMetrics {
@@ -67,18 +67,19 @@
         steps.record(micros, TimeUnit.MICROSECONDS);
     }
 
-    public void done(Effect effect) {
-        if (effect instanceof Effect.Answer) {
+    public void done(SchedulerAction effect) {
+        if (effect instanceof SchedulerAction.AnswerHeartbeat) {
             answers.increment();
-        } else if (effect instanceof Effect.SendDirect) {
+        } else if (effect instanceof SchedulerAction.SendDirectCommand) {
             launches.increment();
-        } else if (effect instanceof Effect.PutJob || effect instanceof Effect.FinishJob) {
+        } else if (effect instanceof SchedulerAction.WriteJob
+                || effect instanceof SchedulerAction.WriteFinalState) {
             writes.increment();
-        } else if (effect instanceof Effect.Rent) {
+        } else if (effect instanceof SchedulerAction.RentMachines) {
             rentals.increment();
-        } else if (effect instanceof Effect.Delete) {
+        } else if (effect instanceof SchedulerAction.DeleteMachines) {
             deletions.increment();
-        } else if (effect instanceof Effect.ServedSeen seen) {
+        } else if (effect instanceof SchedulerAction.PublishServiceLevels seen) {
             seen.rows().forEach(this::served);
         }
     }
@@ -87,7 +88,7 @@
      * The latest row of each team and class stands until the next; a node that leads no more keeps
      * its last.
      */
-    private void served(Served.Row row) {
+    private void served(ServiceLevelReport.Row row) {
         Tags tags = Tags.of("team", row.team(), "class", row.jobClass());
         servedGauge("accepted", tags, row.accepted());
         servedGauge("started", tags, row.startedWhole());
--- a/src/main/java/org/woadloom/net/Loop.java
+++ b/src/main/java/org/woadloom/net/EventLoop.java
@@ -4,7 +4,7 @@
  * The one thread on which a node does everything, and its clocks. The service runs it on an XNIO
  * I/O thread, the tests in virtual time.
  */
-public interface Loop {
+public interface EventLoop {
     /**
      * The steady clock. It may run fast or slow by a little, and says nothing of the time of day.
      */
--- a/src/main/java/org/woadloom/net/SocketPlan.java
+++ b/src/main/java/org/woadloom/net/SocketBudget.java
@@ -15,7 +15,7 @@
  * @param refusals connections that are taken only to be told at once to come back later
  * @param inbound workers and users
  */
-public record SocketPlan(
+public record SocketBudget(
         int process,
         int peers,
         int state,
@@ -45,14 +45,14 @@
     /** The part that workers may take as long as another node can take the rest of them. */
     private static final double WORKERS = 0.6;
 
-    public static SocketPlan of(ServiceSettings settings) {
+    public static SocketBudget of(ServiceSettings settings) {
         int all = settings.resources().fdLimit();
         int peers = settings.peers().size() * EACH_PEER + STRANGE_PEERS;
         int direct = (int) (all * DIRECT);
         int idle = (int) (all * IDLE);
         int refusals = (int) Math.max(1, all * REFUSALS);
         int rest = all - PROCESS - peers - STATE - CLOUD - direct - idle - refusals;
-        return new SocketPlan(
+        return new SocketBudget(
                 PROCESS, peers, STATE, CLOUD, direct, idle, refusals, Math.max(all / 2, rest));
     }
 
--- a/src/main/java/org/woadloom/net/UndertowTransport.java
+++ b/src/main/java/org/woadloom/net/UndertowTransport.java
@@ -36,7 +36,7 @@
 
     private static final HttpString CBOR_LENGTH = Headers.CONTENT_LENGTH;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final XnioIoThread thread;
     private final ByteBufferPool buffers;
     private final HttpClientProvider provider = new HttpClientProvider();
@@ -66,7 +66,8 @@
         }
     }
 
-    public UndertowTransport(Loop loop, XnioIoThread thread, ByteBufferPool buffers, int mostIdle) {
+    public UndertowTransport(
+            EventLoop loop, XnioIoThread thread, ByteBufferPool buffers, int mostIdle) {
         this.loop = loop;
         this.mostIdle = mostIdle;
         this.thread = thread;
@@ -169,7 +170,7 @@
         private final String path;
         private final byte[] body;
         private final Callback callback;
-        private Loop.Timer timer;
+        private EventLoop.Timer timer;
         private ClientConnection connection;
         private boolean finished;
 
--- a/src/main/java/org/woadloom/net/XnioLoop.java
+++ b/src/main/java/org/woadloom/net/XnioEventLoop.java
@@ -10,11 +10,11 @@
  * The loop on XNIO's single I/O thread. The machine has a fifth of a core, so a second thread would
  * add switches and no speed.
  */
-public final class XnioLoop implements Loop {
-    private static final Logger LOG = LoggerFactory.getLogger(XnioLoop.class);
+public final class XnioEventLoop implements EventLoop {
+    private static final Logger LOG = LoggerFactory.getLogger(XnioEventLoop.class);
     private final XnioIoThread thread;
 
-    public XnioLoop(XnioIoThread thread) {
+    public XnioEventLoop(XnioIoThread thread) {
         this.thread = thread;
     }
 
--- a/src/main/java/org/woadloom/node/Confirmations.java
+++ b/src/main/java/org/woadloom/node/CancellationConfirmer.java
@@ -9,23 +9,23 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.woadloom.core.cancellation.CancellationWatermark;
-import org.woadloom.core.cancellation.ToldCancellations;
-import org.woadloom.core.cancellation.Vouch;
-import org.woadloom.core.cancellation.VouchTaken;
-import org.woadloom.core.care.CareRules;
+import org.woadloom.core.cancellation.ConfirmedCancellations;
+import org.woadloom.core.cancellation.WatermarkAck;
+import org.woadloom.core.cancellation.WatermarkReport;
+import org.woadloom.core.delegation.DelegationTimeouts;
 import org.woadloom.http.JobApi;
-import org.woadloom.net.Loop;
+import org.woadloom.net.EventLoop;
+import org.woadloom.protocol.JobDescription;
 import org.woadloom.settings.Peer;
 import org.woadloom.settings.ServiceSettings;
-import org.woadloom.wire.JobDescription;
 
 /**
  * Users hear of a cancellation once the leader has it, or once no leader relies on a promise of
  * this node; and a leader goes on without the state service as long as all nodes vouch for what
  * they told.
  */
-final class Confirmations implements JobApi.Confirmation {
-    private static final Logger LOG = LoggerFactory.getLogger(Confirmations.class);
+final class CancellationConfirmer implements JobApi.Confirmation {
+    private static final Logger LOG = LoggerFactory.getLogger(CancellationConfirmer.class);
     private static final long LOOK_MICROS = 50_000;
 
     /**
@@ -50,9 +50,9 @@
 
         long term();
 
-        void vouch(String leader, Vouch vouch);
+        void vouch(String leader, WatermarkReport vouch);
 
-        void taken(String node, VouchTaken taken);
+        void taken(String node, WatermarkAck taken);
 
         /** For how long the state service has not served this node. */
         long stateSilentMicros();
@@ -68,13 +68,13 @@
         void cancelled(List<String> uids);
     }
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final String self;
     private final List<String> nodes = new ArrayList<>();
     private final long boundMicros;
     private final Carrier carrier;
     private final View view;
-    private final ToldCancellations told;
+    private final ConfirmedCancellations told;
 
     /** Who waits for which job to be told of, the first first. */
     private final Map<Waiting, String> waiting = new LinkedHashMap<>();
@@ -89,7 +89,8 @@
 
     private record Waiting(long untilMicros, Consumer<Boolean> told) {}
 
-    Confirmations(Loop loop, ServiceSettings settings, Random random, Carrier carrier, View view) {
+    CancellationConfirmer(
+            EventLoop loop, ServiceSettings settings, Random random, Carrier carrier, View view) {
         this.loop = loop;
         this.carrier = carrier;
         this.view = view;
@@ -100,11 +101,11 @@
         boundMicros =
                 Math.max(
                         LEAST_MICROS,
-                        CareRules.of(
+                        DelegationTimeouts.of(
                                         settings.workers().leaseMicros(),
                                         settings.workers().cancelMicros())
                                 .careMicros());
-        told = new ToldCancellations(random.nextLong(), peers, loop.nowMicros());
+        told = new ConfirmedCancellations(random.nextLong(), peers, loop.nowMicros());
     }
 
     /**
@@ -190,7 +191,8 @@
         }
         long now = loop.nowMicros();
         vouchedMicros = now;
-        Vouch vouch = told.vouch(leader, carrier.term(), carrier.stateSilentMicros(), now);
+        WatermarkReport vouch =
+                told.vouch(leader, carrier.term(), carrier.stateSilentMicros(), now);
         if (vouch == null) {
             return;
         }
@@ -201,7 +203,7 @@
         }
     }
 
-    void taken(VouchTaken taken) {
+    void taken(WatermarkAck taken) {
         told.taken(taken);
         release();
     }
@@ -221,7 +223,7 @@
         told.ledUntilNow(self);
     }
 
-    void heard(String node, Vouch vouch) {
+    void heard(String node, WatermarkReport vouch) {
         long now = loop.nowMicros();
         String flaw =
                 vouch.jobs().stream().allMatch(JobDescription::isUid)
@@ -235,7 +237,7 @@
         if (watermark == null || !view.ready()) {
             return;
         }
-        VouchTaken taken = watermark.heard(node, vouch, view.cancellationsSeenMicros(), now);
+        WatermarkAck taken = watermark.heard(node, vouch, view.cancellationsSeenMicros(), now);
         if (taken == null) {
             return;
         }
--- a/src/main/java/org/woadloom/node/Letters.java
+++ b/src/main/java/org/woadloom/node/CompressedList.java
@@ -9,15 +9,15 @@
 import java.util.Map;
 import java.util.zip.DeflaterOutputStream;
 import java.util.zip.InflaterInputStream;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.Fields;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.Fields;
+import org.woadloom.protocol.MalformedMessageException;
 
 /**
  * Lists as short text: reports say the same words again and again, and a value of the state service
  * may be small.
  */
-final class Letters {
+final class CompressedList {
     private static final String ITEMS = "items";
 
     /**
@@ -26,7 +26,7 @@
      */
     private static final int MOST_BYTES = 512 * 1024;
 
-    private Letters() {}
+    private CompressedList() {}
 
     static String pack(List<Object> items) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -38,14 +38,14 @@
         return Base64.getEncoder().withoutPadding().encodeToString(out.toByteArray());
     }
 
-    static List<?> unpack(String text) throws WireException {
+    static List<?> unpack(String text) throws MalformedMessageException {
         try (InflaterInputStream in =
                 new InflaterInputStream(
                         new ByteArrayInputStream(Base64.getDecoder().decode(text)))) {
             byte[] bytes = ByteStreams.limit(in, MOST_BYTES).readAllBytes();
             return new Fields(Cbor.decodeMap(bytes)).list(ITEMS);
         } catch (IOException | IllegalArgumentException e) {
-            throw new WireException("letter: not a packed list");
+            throw new MalformedMessageException("letter: not a packed list");
         }
     }
 }
--- a/src/main/java/org/woadloom/node/ParkedReports.java
+++ b/src/main/java/org/woadloom/node/DeferredHeartbeats.java
@@ -7,40 +7,40 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.woadloom.http.Response;
-import org.woadloom.net.Loop;
+import org.woadloom.net.EventLoop;
 
 /**
  * Reports that came while there was no leader. They go on their way once there is one, or are sent
  * back in time.
  */
-final class ParkedReports {
+final class DeferredHeartbeats {
     /** Less than the four seconds for which a worker waits. */
     static final long WAIT_MICROS = 3_000_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final int most;
-    private final Consumer<Parked> route;
+    private final Consumer<PendingHeartbeat> route;
     private final Set<Entry> waiting = new LinkedHashSet<>();
 
     /** One report, with the time until which it may wait for its answer. */
-    record Parked(byte[] body, Consumer<Response> answer, long untilMicros) {}
+    record PendingHeartbeat(byte[] body, Consumer<Response> answer, long untilMicros) {}
 
     /** Told apart by identity: two reports may have the same content. */
     private static final class Entry {
-        final Parked report;
+        final PendingHeartbeat report;
 
-        Entry(Parked report) {
+        Entry(PendingHeartbeat report) {
             this.report = report;
         }
     }
 
-    ParkedReports(Loop loop, int most, Consumer<Parked> route) {
+    DeferredHeartbeats(EventLoop loop, int most, Consumer<PendingHeartbeat> route) {
         this.loop = loop;
         this.most = most;
         this.route = route;
     }
 
-    void park(Parked report) {
+    void park(PendingHeartbeat report) {
         long left = report.untilMicros - loop.nowMicros();
         if (left <= 0 || waiting.size() >= most) {
             report.answer.accept(Response.of(421, Map.of()));
--- a/src/main/java/org/woadloom/node/Care.java
+++ b/src/main/java/org/woadloom/node/DelegatedLeaseRenewer.java
@@ -7,25 +7,25 @@
 import java.util.Random;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.woadloom.core.care.CareRules;
-import org.woadloom.core.care.Caretaker;
-import org.woadloom.core.care.NodeStanding;
-import org.woadloom.core.care.Warrant;
-import org.woadloom.core.hearing.Hearing;
+import org.woadloom.core.delegation.DelegationTimeouts;
+import org.woadloom.core.delegation.LeaseDelegate;
+import org.woadloom.core.delegation.LeaseDelegation;
+import org.woadloom.core.delegation.PeerStatus;
+import org.woadloom.core.liveness.AgentLiveness;
 import org.woadloom.http.Response;
-import org.woadloom.net.Loop;
+import org.woadloom.net.EventLoop;
+import org.woadloom.protocol.Heartbeat;
+import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.settings.ServiceSettings;
-import org.woadloom.wire.WireException;
-import org.woadloom.wire.WorkerReport;
 
 /** Answers workers in the leader's place while this node is cut off with them. */
-final class Care {
-    private static final Logger LOG = LoggerFactory.getLogger(Care.class);
+final class DelegatedLeaseRenewer {
+    private static final Logger LOG = LoggerFactory.getLogger(DelegatedLeaseRenewer.class);
     private static final long FRESH_MICROS = 2_500_000;
 
-    private final Loop loop;
-    private final CareRules rules;
-    private final Caretaker caretaker;
+    private final EventLoop loop;
+    private final DelegationTimeouts rules;
+    private final LeaseDelegate caretaker;
 
     /** What the other nodes last said of themselves, and when. */
     private final Map<String, Heard> heard = new HashMap<>();
@@ -36,12 +36,14 @@
     private boolean allowed;
     private long loggedMicros = Long.MIN_VALUE / 2;
 
-    private record Heard(long atMicros, NodeStanding standing) {}
+    private record Heard(long atMicros, PeerStatus standing) {}
 
-    Care(Loop loop, ServiceSettings settings, Random random) {
+    DelegatedLeaseRenewer(EventLoop loop, ServiceSettings settings, Random random) {
         this.loop = loop;
-        rules = CareRules.of(settings.workers().leaseMicros(), settings.workers().cancelMicros());
-        caretaker = new Caretaker(rules, settings.area(), random.nextLong(), loop.nowMicros());
+        rules =
+                DelegationTimeouts.of(
+                        settings.workers().leaseMicros(), settings.workers().cancelMicros());
+        caretaker = new LeaseDelegate(rules, settings.area(), random.nextLong(), loop.nowMicros());
     }
 
     /** Every node runs a version that knows of care, and the operators want it. */
@@ -61,7 +63,7 @@
         }
     }
 
-    NodeStanding standing() {
+    PeerStatus standing() {
         return caretaker.standing(loop.nowMicros());
     }
 
@@ -69,11 +71,11 @@
         return standing().stateSilentMicros();
     }
 
-    void stands(String peer, NodeStanding standing) {
+    void stands(String peer, PeerStatus standing) {
         heard.put(peer, new Heard(loop.nowMicros(), standing));
     }
 
-    void warranted(Warrant warrant) {
+    void warranted(LeaseDelegation warrant) {
         caretaker.warranted(warrant);
     }
 
@@ -93,14 +95,14 @@
             return null;
         }
         try {
-            WorkerReport worker = WorkerReport.read(report);
+            Heartbeat worker = Heartbeat.read(report);
             long epoch = worker.epoch();
             Long before = tokens.putIfAbsent(worker.host(), epoch);
             if (before != null && epoch > before) {
                 // The leader reaches this worker, so it is this node alone that is cut off.
                 return null;
             }
-            if (!caretaker.takesCare(worker.yard(), epoch >> Hearing.FENCE_BITS, now)) {
+            if (!caretaker.takesCare(worker.yard(), epoch >> AgentLiveness.FENCE_BITS, now)) {
                 return null;
             }
             if (now - loggedMicros > rules.patienceMicros()) {
@@ -111,7 +113,7 @@
             answer.put("epoch", epoch);
             answer.put("orders", List.of());
             return Response.of(200, answer);
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             return null;
         }
     }
--- a/src/main/java/org/woadloom/node/CommandQueue.java
+++ b/src/main/java/org/woadloom/node/EventQueue.java
@@ -5,29 +5,29 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.agrona.concurrent.ManyToOneConcurrentLinkedQueue;
-import org.woadloom.core.Command;
-import org.woadloom.core.Core;
-import org.woadloom.core.Effect;
+import org.woadloom.core.Scheduler;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerEvent;
 import org.woadloom.metrics.NodeMetrics;
-import org.woadloom.net.Loop;
+import org.woadloom.net.EventLoop;
 
 /**
  * The queue in front of the core: whatever has gathered by the time the core gets its turn is one
  * batch. The core then pauses for a multiple of what the batch took, so that under load the batches
  * grow and sockets are still served.
  */
-public final class CommandQueue {
+public final class EventQueue {
     private static final long PAUSE_MICROS = 8_000;
     private static final long MOST_PAUSE_MICROS = 200_000;
     private static final int PAUSE_PER_STEP = 2;
 
-    private final Loop loop;
-    private final Core core;
+    private final EventLoop loop;
+    private final Scheduler core;
     private final Executor executor;
     private final NodeMetrics metrics;
     private final int mostRepeatable;
     private final StepObserver observer;
-    private final ManyToOneConcurrentLinkedQueue<Command> queue =
+    private final ManyToOneConcurrentLinkedQueue<SchedulerEvent> queue =
             new ManyToOneConcurrentLinkedQueue<>();
     private final AtomicInteger repeatable = new AtomicInteger();
     private final AtomicBoolean scheduled = new AtomicBoolean();
@@ -35,21 +35,25 @@
 
     /** Carries out what the core wants done. */
     public interface Executor {
-        void execute(List<Effect> effects);
+        void execute(List<SchedulerAction> effects);
     }
 
     /**
      * @param mostRepeatable how many commands may wait that their senders repeat by themselves
      */
-    public CommandQueue(
-            Loop loop, Core core, NodeMetrics metrics, int mostRepeatable, Executor executor) {
+    public EventQueue(
+            EventLoop loop,
+            Scheduler core,
+            NodeMetrics metrics,
+            int mostRepeatable,
+            Executor executor) {
         this(loop, core, metrics, mostRepeatable, executor, StepObserver.NONE);
     }
 
     /** The same, with an observer of each step. */
-    CommandQueue(
-            Loop loop,
-            Core core,
+    EventQueue(
+            EventLoop loop,
+            Scheduler core,
             NodeMetrics metrics,
             int mostRepeatable,
             Executor executor,
@@ -66,7 +70,7 @@
      * Takes what must not get lost: the outcome of something that was asked for. What is under way
      * bounds their number.
      */
-    public void add(Command command) {
+    public void add(SchedulerEvent command) {
         queue.add(command);
         wake();
     }
@@ -75,7 +79,7 @@
      * Takes a report, which its worker repeats; returns false if too many wait, and it is dropped
      * then.
      */
-    public boolean offer(Command.Report report) {
+    public boolean offer(SchedulerEvent.HeartbeatReceived report) {
         if (repeatable.incrementAndGet() > mostRepeatable) {
             repeatable.decrementAndGet();
             return false;
@@ -97,14 +101,14 @@
 
     private void drain() {
         long begin = loop.nowMicros();
-        List<Command> batch = new ArrayList<>();
-        for (Command command = queue.poll(); command != null; command = queue.poll()) {
-            if (command instanceof Command.Report) {
+        List<SchedulerEvent> batch = new ArrayList<>();
+        for (SchedulerEvent command = queue.poll(); command != null; command = queue.poll()) {
+            if (command instanceof SchedulerEvent.HeartbeatReceived) {
                 repeatable.decrementAndGet();
             }
             batch.add(command);
         }
-        List<Effect> effects = core.step(begin, loop.wallMicros(), batch);
+        List<SchedulerAction> effects = core.step(begin, loop.wallMicros(), batch);
         metrics.stepped(loop.nowMicros() - begin);
         observer.onStep(begin, batch, effects);
         effects.forEach(metrics::done);
--- a/src/main/java/org/woadloom/node/FleetEstimate.java
+++ b/src/main/java/org/woadloom/node/FleetSizeEstimate.java
@@ -1,6 +1,6 @@
 package org.woadloom.node;
 
-import org.woadloom.net.SocketPlan;
+import org.woadloom.net.SocketBudget;
 import org.woadloom.settings.ServiceSettings;
 
 /**
@@ -10,7 +10,7 @@
  * @param bySockets so many workers can be connected beside users while one node is missing
  * @param byProcessor so many can report in time
  */
-public record FleetEstimate(int bySockets, int byProcessor) {
+public record FleetSizeEstimate(int bySockets, int byProcessor) {
     /**
      * What a report costs the leader with all that follows from it; see "How cost grows" in
      * docs/assessment.md.
@@ -20,10 +20,10 @@
     /** What is kept for takeovers, bursts and failures of many machines at a time. */
     private static final double SPARE = 0.5;
 
-    public static FleetEstimate of(ServiceSettings settings) {
+    public static FleetSizeEstimate of(ServiceSettings settings) {
         double reportsASecond = settings.resources().cpuShare() * (1 - SPARE) / REPORT_SECONDS;
-        return new FleetEstimate(
-                SocketPlan.of(settings).workers() * Math.max(1, settings.peers().size()),
+        return new FleetSizeEstimate(
+                SocketBudget.of(settings).workers() * Math.max(1, settings.peers().size()),
                 (int) (reportsASecond * settings.workers().reportMicros() / 1e6));
     }
 
--- a/src/main/java/org/woadloom/node/Isolation.java
+++ b/src/main/java/org/woadloom/node/IsolationDetector.java
@@ -1,24 +1,24 @@
 package org.woadloom.node;
 
-import org.woadloom.net.Loop;
+import org.woadloom.net.EventLoop;
 
 /**
  * Whether this node alone has lost the state service, while it is reached by users: it can tell
  * them nothing then, and they are better off with the others. In an outage for all there are no
  * others, and in a zone that is cut off there are no users.
  */
-final class Isolation {
+final class IsolationDetector {
     /** So long without an answer is more than a slow one. */
     private static final long LOST_MICROS = 3_000_000;
 
     private static final long OUTSIDE_MICROS = 3_000_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private boolean failing;
     private long failingSinceMicros;
     private long outsideMicros = Long.MIN_VALUE / 2;
 
-    Isolation(Loop loop) {
+    IsolationDetector(EventLoop loop) {
         this.loop = loop;
     }
 
--- a/src/main/java/org/woadloom/node/LeaderDuties.java
+++ b/src/main/java/org/woadloom/node/LeaderActions.java
@@ -7,38 +7,38 @@
 import java.util.function.BiConsumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import org.woadloom.agent.AgentClient;
 import org.woadloom.cloud.CloudClient;
-import org.woadloom.core.Command;
-import org.woadloom.core.Effect;
 import org.woadloom.core.LogEntry;
-import org.woadloom.core.care.NodeStanding;
-import org.woadloom.core.care.Warrant;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerEvent;
+import org.woadloom.core.delegation.LeaseDelegation;
+import org.woadloom.core.delegation.PeerStatus;
 import org.woadloom.core.rollout.Feature;
 import org.woadloom.leader.RecordWriter;
 import org.woadloom.metrics.NodeMetrics;
-import org.woadloom.net.Loop;
+import org.woadloom.net.EventLoop;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.Heartbeat;
+import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.settings.ServiceSettings;
-import org.woadloom.state.FinalRecord;
-import org.woadloom.state.JobRecord;
-import org.woadloom.state.Keys;
-import org.woadloom.state.Limits;
-import org.woadloom.state.MachineRecord;
-import org.woadloom.state.RecordFormat;
-import org.woadloom.state.StateClient;
-import org.woadloom.state.StateClient.Change;
-import org.woadloom.state.StateClient.Condition;
-import org.woadloom.state.StateClient.Result;
-import org.woadloom.state.StateClient.Urgency;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.WireException;
-import org.woadloom.wire.WorkerReport;
-import org.woadloom.worker.WorkerClient;
+import org.woadloom.store.FinalRecord;
+import org.woadloom.store.JobRecord;
+import org.woadloom.store.MachineRecord;
+import org.woadloom.store.RecordFormat;
+import org.woadloom.store.StoreClient;
+import org.woadloom.store.StoreClient.Change;
+import org.woadloom.store.StoreClient.Condition;
+import org.woadloom.store.StoreClient.RequestPriority;
+import org.woadloom.store.StoreClient.Result;
+import org.woadloom.store.StoreKeys;
+import org.woadloom.store.StoreLimits;
 
 /**
  * What a node does while it leads: loads the records, feeds the core and carries out its effects.
  */
-final class LeaderDuties {
-    private static final Logger LOG = LoggerFactory.getLogger(LeaderDuties.class);
+final class LeaderActions {
+    private static final Logger LOG = LoggerFactory.getLogger(LeaderActions.class);
     private static final long TICK_MICROS = 100_000;
     private static final long RETRY_MICROS = 300_000;
 
@@ -53,22 +53,22 @@
 
     /** Takes the answer to a worker's report. */
     interface ReportAnswer {
-        void answer(Effect.Answer answer);
+        void answer(SchedulerAction.AnswerHeartbeat answer);
     }
 
-    private final Loop loop;
-    private final StateClient state;
+    private final EventLoop loop;
+    private final StoreClient state;
     private final CloudClient cloud;
-    private final WorkerClient workers;
+    private final AgentClient workers;
     private final ServiceSettings settings;
-    private final Limits limits;
-    private final Rollout rollout;
-    private final RolloutDuties rolloutDuties;
+    private final StoreLimits limits;
+    private final RolloutParticipant rollout;
+    private final RolloutActions rolloutDuties;
     private final NodeMetrics metrics;
-    private final Care care;
+    private final DelegatedLeaseRenewer care;
     private final java.util.function.Consumer<String> abdicate;
-    private final BiConsumer<String, Warrant> warrants;
-    private CommandQueue queue;
+    private final BiConsumer<String, LeaseDelegation> warrants;
+    private EventQueue queue;
     private long term;
     private RecordWriter writer;
     private final Map<Long, ReportAnswer> answers = new HashMap<>();
@@ -79,18 +79,18 @@
     /** Every cancellation that was made before this moment has been read. */
     private long cancellationsSeenMicros;
 
-    LeaderDuties(
-            Loop loop,
-            StateClient state,
+    LeaderActions(
+            EventLoop loop,
+            StoreClient state,
             CloudClient cloud,
-            WorkerClient workers,
+            AgentClient workers,
             ServiceSettings settings,
-            Limits limits,
-            Rollout rollout,
+            StoreLimits limits,
+            RolloutParticipant rollout,
             NodeMetrics metrics,
-            Care care,
+            DelegatedLeaseRenewer care,
             java.util.function.Consumer<String> abdicate,
-            BiConsumer<String, Warrant> warrants) {
+            BiConsumer<String, LeaseDelegation> warrants) {
         this.loop = loop;
         this.state = state;
         this.cloud = cloud;
@@ -99,13 +99,13 @@
         this.limits = limits;
         this.rollout = rollout;
         this.metrics = metrics;
-        rolloutDuties = new RolloutDuties(state, rollout);
+        rolloutDuties = new RolloutActions(state, rollout);
         this.care = care;
         this.abdicate = abdicate;
         this.warrants = warrants;
     }
 
-    void attach(CommandQueue commands) {
+    void attach(EventQueue commands) {
         queue = commands;
     }
 
@@ -119,7 +119,7 @@
         writer = null;
         // The format must be known before the first write.
         rollout.look(
-                Urgency.URGENT,
+                RequestPriority.URGENT,
                 known ->
                         again(
                                 newTerm,
@@ -141,7 +141,7 @@
     void tellStorage() {
         toldWrites = state.writesPerSecond();
         queue.add(
-                new Command.StorageSeen(
+                new SchedulerEvent.StoreLimitsChanged(
                         rollout.format() == RecordFormat.COMPACT
                                 ? limits.valueBytes()
                                 : limits.valueBytesNow(),
@@ -156,7 +156,7 @@
         long now = loop.nowMicros();
         if (ready() && now - toldRolloutMicros >= ROLLOUT_MICROS) {
             toldRolloutMicros = now;
-            Command.RolloutSeen situation = rollout.situation(metrics.restless());
+            SchedulerEvent.RolloutStateRead situation = rollout.situation(metrics.restless());
             if (situation != null) {
                 queue.add(situation);
             }
@@ -179,7 +179,7 @@
         List<ReportAnswer> unanswered = new ArrayList<>(answers.values());
         answers.clear();
         unanswered.forEach(answer -> answer.answer(null));
-        queue.add(new Command.StepDown());
+        queue.add(new SchedulerEvent.LeadershipLost());
     }
 
     /** Every cancellation that was made before this moment has been read. */
@@ -189,20 +189,21 @@
 
     /** Users may hear that these jobs are cancelled. */
     void cancellationsTold(List<String> uids) {
-        queue.add(new Command.CancellationsTold(uids));
+        queue.add(new SchedulerEvent.CancellationsConfirmed(uids));
     }
 
     /** A node, this one perhaps, tells how it stands. */
-    void nodeSpoke(String node, NodeStanding standing) {
+    void nodeSpoke(String node, PeerStatus standing) {
         if (ready()) {
-            queue.add(new Command.NodeSpoke(node, standing, cancellationsSeenMicros));
+            queue.add(
+                    new SchedulerEvent.PeerStatusReceived(node, standing, cancellationsSeenMicros));
         }
     }
 
-    void report(WorkerReport report, ReportAnswer answer) {
+    void report(Heartbeat report, ReportAnswer answer) {
         long id = ++replies;
         answers.put(id, answer);
-        if (!queue.offer(new Command.Report(id, report))) {
+        if (!queue.offer(new SchedulerEvent.HeartbeatReceived(id, report))) {
             answers.remove(id);
             answer.answer(null);
         }
@@ -210,8 +211,8 @@
 
     private void loadMachines(long ofTerm, long leaderStamp) {
         state.list(
-                Urgency.URGENT,
-                Keys.MACHINES,
+                RequestPriority.URGENT,
+                StoreKeys.MACHINES,
                 (result, entries, generation) -> {
                     if (term != ofTerm) {
                         return;
@@ -222,15 +223,15 @@
                                 () -> again(ofTerm, () -> loadMachines(ofTerm, leaderStamp)));
                         return;
                     }
-                    List<Command.StoredMachine> machines = new ArrayList<>();
-                    for (StateClient.Entry entry : entries) {
+                    List<SchedulerEvent.StoredMachine> machines = new ArrayList<>();
+                    for (StoreClient.Entry entry : entries) {
                         try {
-                            String host = entry.path().substring(Keys.MACHINES.length());
+                            String host = entry.path().substring(StoreKeys.MACHINES.length());
                             machines.add(
-                                    new Command.StoredMachine(
+                                    new SchedulerEvent.StoredMachine(
                                             MachineRecord.parse(host, entry.value()),
                                             entry.stamp()));
-                        } catch (WireException e) {
+                        } catch (MalformedMessageException e) {
                             LOG.error(
                                     "event=record_unreadable key={} error=\"{}\"",
                                     entry.path(),
@@ -247,11 +248,12 @@
         }
     }
 
-    private void loadJobs(long ofTerm, long leaderStamp, List<Command.StoredMachine> machines) {
+    private void loadJobs(
+            long ofTerm, long leaderStamp, List<SchedulerEvent.StoredMachine> machines) {
         long asked = loop.nowMicros();
         state.list(
-                Urgency.URGENT,
-                Keys.JOBS,
+                RequestPriority.URGENT,
+                StoreKeys.JOBS,
                 (result, entries, generation) -> {
                     if (term != ofTerm) {
                         return;
@@ -262,11 +264,13 @@
                                 () -> again(ofTerm, () -> loadJobs(ofTerm, leaderStamp, machines)));
                         return;
                     }
-                    List<Command.StoredJob> jobs = new ArrayList<>();
-                    for (StateClient.Entry entry : entries) {
+                    List<SchedulerEvent.StoredJob> jobs = new ArrayList<>();
+                    for (StoreClient.Entry entry : entries) {
                         try {
-                            jobs.add(new Command.StoredJob(read(entry.value()), entry.stamp()));
-                        } catch (WireException e) {
+                            jobs.add(
+                                    new SchedulerEvent.StoredJob(
+                                            read(entry.value()), entry.stamp()));
+                        } catch (MalformedMessageException e) {
                             LOG.error(
                                     "event=record_unreadable key={} error=\"{}\"",
                                     entry.path(),
@@ -286,7 +290,7 @@
                                                                     "another node took over")));
                     tellStorage();
                     cancellationsSeenMicros = asked;
-                    queue.add(new Command.Lead(ofTerm, jobs, machines, asked));
+                    queue.add(new SchedulerEvent.LeadershipAcquired(ofTerm, jobs, machines, asked));
                     followJobs(ofTerm, generation);
                     tick(ofTerm);
                     pollTypes(ofTerm);
@@ -297,7 +301,7 @@
     private void followJobs(long ofTerm, long since) {
         long asked = loop.nowMicros();
         state.follow(
-                Keys.JOBS,
+                StoreKeys.JOBS,
                 since,
                 WATCH_MICROS,
                 (result, events, generation) -> {
@@ -305,7 +309,7 @@
                         return;
                     }
                     if (result == Result.OK) {
-                        for (StateClient.Event event : events) {
+                        for (StoreClient.Event event : events) {
                             if (event.value() != null
                                     && !JobRecord.writtenIn(ofTerm, event.value())) {
                                 jobSeen(event.path(), event.value(), event.stamp());
@@ -325,8 +329,8 @@
     /** The watch fell too far behind: everything is read again. */
     private void rereadJobs(long ofTerm) {
         state.list(
-                Urgency.NORMAL,
-                Keys.JOBS,
+                RequestPriority.NORMAL,
+                StoreKeys.JOBS,
                 (result, entries, generation) -> {
                     if (term != ofTerm) {
                         return;
@@ -335,28 +339,28 @@
                         loop.schedule(RETRY_MICROS, () -> again(ofTerm, () -> rereadJobs(ofTerm)));
                         return;
                     }
-                    for (StateClient.Entry entry : entries) {
+                    for (StoreClient.Entry entry : entries) {
                         jobSeen(entry.path(), entry.value(), entry.stamp());
                     }
                     followJobs(ofTerm, generation);
                 });
     }
 
-    private JobRecord read(Map<String, Object> value) throws WireException {
+    private JobRecord read(Map<String, Object> value) throws MalformedMessageException {
         rollout.seen(JobRecord.formatOf(value));
         return JobRecord.parse(value);
     }
 
     private void jobSeen(String path, Map<String, Object> value, long stamp) {
         try {
-            queue.add(new Command.JobSeen(read(value), stamp));
-        } catch (WireException e) {
+            queue.add(new SchedulerEvent.JobStored(read(value), stamp));
+        } catch (MalformedMessageException e) {
             LOG.error("event=record_unreadable key={} error=\"{}\"", path, e.getMessage());
-            String uid = path.substring(Keys.JOBS.length());
+            String uid = path.substring(StoreKeys.JOBS.length());
             queue.add(
                     JobRecord.ofLaterVersion(value)
-                            ? new Command.JobUnreadable(uid)
-                            : new Command.JobUnread(
+                            ? new SchedulerEvent.JobReadFailed(uid)
+                            : new SchedulerEvent.JobRecordDamaged(
                                     uid,
                                     stamp,
                                     value != null && Boolean.TRUE.equals(value.get("cancelled"))));
@@ -374,7 +378,7 @@
                                             > toldWrites * NOTABLE) {
                                         tellStorage();
                                     }
-                                    queue.add(new Command.Tick());
+                                    queue.add(new SchedulerEvent.Tick());
                                     tellRollout();
                                     tick(ofTerm);
                                 }));
@@ -387,7 +391,7 @@
                                 ofTerm,
                                 () -> {
                                     if (types != null) {
-                                        queue.add(new Command.TypesSeen(types));
+                                        queue.add(new SchedulerEvent.MachineTypesRead(types));
                                     }
                                     loop.schedule(
                                             types == null ? 3_000_000 : 60_000_000,
@@ -402,7 +406,7 @@
                                 ofTerm,
                                 () -> {
                                     if (machines != null) {
-                                        queue.add(new Command.MachinesListed(machines));
+                                        queue.add(new SchedulerEvent.MachinesListed(machines));
                                     }
                                     long pause =
                                             Math.max(
@@ -413,8 +417,8 @@
                                 }));
     }
 
-    void execute(List<Effect> effects) {
-        for (Effect effect : effects) {
+    void execute(List<SchedulerAction> effects) {
+        for (SchedulerAction effect : effects) {
             if (writer == null) {
                 return;
             }
@@ -425,35 +429,35 @@
         }
     }
 
-    private void execute(Effect effect) {
-        if (effect instanceof Effect.Answer answer) {
+    private void execute(SchedulerAction effect) {
+        if (effect instanceof SchedulerAction.AnswerHeartbeat answer) {
             ReportAnswer waiting = answers.remove(answer.replyId());
             if (waiting != null) {
                 waiting.answer(answer);
             }
-        } else if (effect instanceof Effect.TurnAway away) {
+        } else if (effect instanceof SchedulerAction.RejectHeartbeat away) {
             ReportAnswer waiting = answers.remove(away.replyId());
             if (waiting != null) {
                 waiting.answer(null);
             }
-        } else if (effect instanceof Effect.SendDirect send) {
+        } else if (effect instanceof SchedulerAction.SendDirectCommand send) {
             long ofTerm = term;
             workers.send(send, result -> again(ofTerm, () -> queue.add(result)));
-        } else if (effect instanceof Effect.PutJob put) {
+        } else if (effect instanceof SchedulerAction.WriteJob put) {
             putJob(put);
-        } else if (effect instanceof Effect.FinishJob finish) {
+        } else if (effect instanceof SchedulerAction.WriteFinalState finish) {
             finishJob(finish);
-        } else if (effect instanceof Effect.ReadJob read) {
+        } else if (effect instanceof SchedulerAction.ReadJob read) {
             readJob(read.uid());
-        } else if (effect instanceof Effect.FindJob find) {
+        } else if (effect instanceof SchedulerAction.ResolveDependency find) {
             findJob(find.uid());
-        } else if (effect instanceof Effect.PutMachine put) {
+        } else if (effect instanceof SchedulerAction.WriteMachine put) {
             putMachine(put);
-        } else if (effect instanceof Effect.DropMachine drop) {
+        } else if (effect instanceof SchedulerAction.DeleteMachineRecord drop) {
             dropMachine(drop);
-        } else if (effect instanceof Effect.ReadMachine read) {
+        } else if (effect instanceof SchedulerAction.ReadMachine read) {
             readMachine(read.host());
-        } else if (effect instanceof Effect.Rent rent) {
+        } else if (effect instanceof SchedulerAction.RentMachines rent) {
             long ofTerm = term;
             cloud.rent(
                     rent,
@@ -462,27 +466,30 @@
                                     ofTerm,
                                     () ->
                                             queue.add(
-                                                    new Command.Rented(
+                                                    new SchedulerEvent.ScaleOutCompleted(
                                                             rent.claim(), outcome, hosts))));
-        } else if (effect instanceof Effect.Delete delete) {
+        } else if (effect instanceof SchedulerAction.DeleteMachines delete) {
             long ofTerm = term;
             cloud.delete(
                     delete.hosts(),
                     done ->
                             again(
                                     ofTerm,
-                                    () -> queue.add(new Command.Deleted(delete.hosts(), done))));
-        } else if (effect instanceof Effect.PutRollout put) {
+                                    () ->
+                                            queue.add(
+                                                    new SchedulerEvent.MachineDeletionCompleted(
+                                                            delete.hosts(), done))));
+        } else if (effect instanceof SchedulerAction.WriteRollout put) {
             long ofTerm = term;
             rolloutDuties.put(put, writer, outcome -> again(ofTerm, () -> queue.add(outcome)));
-        } else if (effect instanceof Effect.CountRecords count) {
+        } else if (effect instanceof SchedulerAction.CountRecords count) {
             long ofTerm = term;
             rolloutDuties.count(count, outcome -> again(ofTerm, () -> queue.add(outcome)));
-        } else if (effect instanceof Effect.GiveWarrant give) {
+        } else if (effect instanceof SchedulerAction.DelegateLeases give) {
             warrants.accept(give.node(), give.warrant());
-        } else if (effect instanceof Effect.Abdicate away) {
+        } else if (effect instanceof SchedulerAction.StepDown away) {
             abdicate.accept(away.reason());
-        } else if (effect instanceof Effect.Note note) {
+        } else if (effect instanceof SchedulerAction.Log note) {
             log(note.entry());
         }
     }
@@ -494,28 +501,30 @@
         }
     }
 
-    private void putJob(Effect.PutJob put) {
+    private void putJob(SchedulerAction.WriteJob put) {
         String uid = put.record().description().uid();
         Map<String, Object> value = put.record().toMap(rollout.format());
         RecordWriter.Outcome outcome = jobWritten(uid, put.record().version());
         if (Cbor.jsonSize(value) > limits.valueBytesNow()) {
-            outcome.written(Command.WriteOutcome.TOO_LARGE, 0);
+            outcome.written(SchedulerEvent.WriteOutcome.TOO_LARGE, 0);
         } else {
-            writer.add(put.urgent(), RecordWriter.put(Keys.job(uid), value, put.stamp(), outcome));
+            writer.add(
+                    put.urgent(),
+                    RecordWriter.put(StoreKeys.job(uid), value, put.stamp(), outcome));
         }
     }
 
-    private void finishJob(Effect.FinishJob finish) {
+    private void finishJob(SchedulerAction.WriteFinalState finish) {
         String uid = finish.record().uid();
         writer.add(
                 true,
                 new RecordWriter.Write(
-                        List.of(new Condition(Keys.job(uid), finish.stamp())),
+                        List.of(new Condition(StoreKeys.job(uid), finish.stamp())),
                         List.of(
                                 Change.put(
-                                        Keys.finalState(uid),
+                                        StoreKeys.finalState(uid),
                                         finish.record().toMap(rollout.format())),
-                                Change.drop(Keys.job(uid))),
+                                Change.drop(StoreKeys.job(uid))),
                         jobWritten(uid, finish.version())));
     }
 
@@ -525,11 +534,13 @@
                 again(
                         ofTerm,
                         () -> {
-                            if (outcome == Command.WriteOutcome.TOO_LARGE) {
+                            if (outcome == SchedulerEvent.WriteOutcome.TOO_LARGE) {
                                 // A limit may have been learned from it.
                                 tellStorage();
                             }
-                            queue.add(new Command.JobWritten(uid, version, outcome, stamp));
+                            queue.add(
+                                    new SchedulerEvent.JobWriteCompleted(
+                                            uid, version, outcome, stamp));
                         });
     }
 
@@ -540,8 +551,8 @@
     private void findJob(String uid) {
         long ofTerm = term;
         state.get(
-                Urgency.URGENT,
-                Keys.job(uid),
+                RequestPriority.URGENT,
+                StoreKeys.job(uid),
                 (result, entry, generation) ->
                         again(
                                 ofTerm,
@@ -549,12 +560,14 @@
                                     if (result == Result.OK) {
                                         jobSeen(entry.path(), entry.value(), entry.stamp());
                                         queue.add(
-                                                new Command.JobFound(
-                                                        uid, Command.Standing.OPEN, 0));
+                                                new SchedulerEvent.DependencyResolved(
+                                                        uid,
+                                                        SchedulerEvent.DependencyState.OPEN,
+                                                        0));
                                     } else if (result == Result.NOT_FOUND) {
                                         state.get(
-                                                Urgency.URGENT,
-                                                Keys.finalState(uid),
+                                                RequestPriority.URGENT,
+                                                StoreKeys.finalState(uid),
                                                 (read, found, at) ->
                                                         again(
                                                                 ofTerm,
@@ -565,36 +578,43 @@
                                                                                         found))));
                                     } else {
                                         queue.add(
-                                                new Command.JobFound(
-                                                        uid, Command.Standing.UNREADABLE, 0));
+                                                new SchedulerEvent.DependencyResolved(
+                                                        uid,
+                                                        SchedulerEvent.DependencyState.UNREADABLE,
+                                                        0));
                                     }
                                 }));
     }
 
-    private static Command.JobFound standing(String uid, Result result, StateClient.Entry entry) {
+    private static SchedulerEvent.DependencyResolved standing(
+            String uid, Result result, StoreClient.Entry entry) {
         if (result == Result.NOT_FOUND) {
             LOG.error("event=dependency_not_found job={}", uid);
-            return new Command.JobFound(uid, Command.Standing.NOT_FOUND, 0);
+            return new SchedulerEvent.DependencyResolved(
+                    uid, SchedulerEvent.DependencyState.NOT_FOUND, 0);
         }
         try {
             if (result == Result.OK) {
                 FinalRecord record = FinalRecord.parse(uid, entry.value());
-                return new Command.JobFound(
+                return new SchedulerEvent.DependencyResolved(
                         uid,
-                        record.cancelled() ? Command.Standing.CANCELLED : Command.Standing.DONE,
+                        record.cancelled()
+                                ? SchedulerEvent.DependencyState.CANCELLED
+                                : SchedulerEvent.DependencyState.DONE,
                         record.wallMicros());
             }
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             LOG.error("event=record_unreadable key={} error=\"{}\"", entry.path(), e.getMessage());
         }
-        return new Command.JobFound(uid, Command.Standing.UNREADABLE, 0);
+        return new SchedulerEvent.DependencyResolved(
+                uid, SchedulerEvent.DependencyState.UNREADABLE, 0);
     }
 
     private void readJob(String uid) {
         long ofTerm = term;
         state.get(
-                Urgency.URGENT,
-                Keys.job(uid),
+                RequestPriority.URGENT,
+                StoreKeys.job(uid),
                 (result, entry, generation) ->
                         again(
                                 ofTerm,
@@ -602,20 +622,20 @@
                                     if (result == Result.OK) {
                                         jobSeen(entry.path(), entry.value(), entry.stamp());
                                     } else if (result == Result.NOT_FOUND) {
-                                        queue.add(new Command.JobMissing(uid));
+                                        queue.add(new SchedulerEvent.JobRecordNotFound(uid));
                                     } else {
-                                        queue.add(new Command.JobUnreadable(uid));
+                                        queue.add(new SchedulerEvent.JobReadFailed(uid));
                                     }
                                 }));
     }
 
-    private void putMachine(Effect.PutMachine put) {
+    private void putMachine(SchedulerAction.WriteMachine put) {
         long ofTerm = term;
         String host = put.record().host();
         writer.add(
                 true,
                 RecordWriter.put(
-                        Keys.machine(host),
+                        StoreKeys.machine(host),
                         put.record().toMap(),
                         put.stamp(),
                         (outcome, stamp) ->
@@ -623,7 +643,7 @@
                                         ofTerm,
                                         () ->
                                                 queue.add(
-                                                        new Command.MachineWritten(
+                                                        new SchedulerEvent.MachineWriteCompleted(
                                                                 host,
                                                                 put.record().leaving(),
                                                                 false,
@@ -631,19 +651,19 @@
                                                                 stamp)))));
     }
 
-    private void dropMachine(Effect.DropMachine drop) {
+    private void dropMachine(SchedulerAction.DeleteMachineRecord drop) {
         long ofTerm = term;
         writer.add(
                 false,
                 new RecordWriter.Write(
-                        List.of(new Condition(Keys.machine(drop.host()), drop.stamp())),
-                        List.of(Change.drop(Keys.machine(drop.host()))),
+                        List.of(new Condition(StoreKeys.machine(drop.host()), drop.stamp())),
+                        List.of(Change.drop(StoreKeys.machine(drop.host()))),
                         (outcome, stamp) ->
                                 again(
                                         ofTerm,
                                         () ->
                                                 queue.add(
-                                                        new Command.MachineWritten(
+                                                        new SchedulerEvent.MachineWriteCompleted(
                                                                 drop.host(),
                                                                 true,
                                                                 true,
@@ -654,8 +674,8 @@
     private void readMachine(String host) {
         long ofTerm = term;
         state.get(
-                Urgency.NORMAL,
-                Keys.machine(host),
+                RequestPriority.NORMAL,
+                StoreKeys.machine(host),
                 (result, entry, generation) ->
                         again(
                                 ofTerm,
@@ -663,18 +683,20 @@
                                     try {
                                         if (result == Result.OK) {
                                             queue.add(
-                                                    new Command.MachineSeen(
+                                                    new SchedulerEvent.MachineRecordRead(
                                                             host,
                                                             MachineRecord.parse(
                                                                     host, entry.value()),
                                                             entry.stamp()));
                                         } else if (result == Result.NOT_FOUND) {
-                                            queue.add(new Command.MachineSeen(host, null, 0));
+                                            queue.add(
+                                                    new SchedulerEvent.MachineRecordRead(
+                                                            host, null, 0));
                                         } else {
-                                            queue.add(new Command.MachineUnreadable(host));
+                                            queue.add(new SchedulerEvent.MachineReadFailed(host));
                                         }
-                                    } catch (WireException e) {
-                                        queue.add(new Command.MachineUnreadable(host));
+                                    } catch (MalformedMessageException e) {
+                                        queue.add(new SchedulerEvent.MachineReadFailed(host));
                                     }
                                 }));
     }
--- a/src/main/java/org/woadloom/node/Node.java
+++ b/src/main/java/org/woadloom/node/Node.java
@@ -11,42 +11,42 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.woadloom.attend.Attendance;
+import org.woadloom.agent.AgentClient;
+import org.woadloom.agent.AgentConnectionBalancer;
 import org.woadloom.cloud.CloudClient;
-import org.woadloom.core.Command;
-import org.woadloom.core.Core;
-import org.woadloom.core.CoreSettings;
-import org.woadloom.core.Effect;
-import org.woadloom.core.cancellation.Vouch;
-import org.woadloom.core.cancellation.VouchTaken;
-import org.woadloom.core.care.NodeStanding;
-import org.woadloom.core.care.Warrant;
-import org.woadloom.core.hearing.Hearing;
+import org.woadloom.core.Scheduler;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerEvent;
+import org.woadloom.core.SchedulerSettings;
+import org.woadloom.core.cancellation.WatermarkAck;
+import org.woadloom.core.cancellation.WatermarkReport;
+import org.woadloom.core.delegation.LeaseDelegation;
+import org.woadloom.core.delegation.PeerStatus;
+import org.woadloom.core.liveness.AgentLiveness;
 import org.woadloom.core.rollout.Feature;
 import org.woadloom.http.JobApi;
 import org.woadloom.http.Response;
 import org.woadloom.http.Router;
 import org.woadloom.leader.Election;
 import org.woadloom.metrics.NodeMetrics;
+import org.woadloom.net.EventLoop;
 import org.woadloom.net.HttpTransport;
-import org.woadloom.net.Loop;
-import org.woadloom.net.SocketPlan;
-import org.woadloom.peer.PeerNet;
+import org.woadloom.net.SocketBudget;
+import org.woadloom.peer.PeerTransport;
+import org.woadloom.protocol.Heartbeat;
+import org.woadloom.protocol.MachineType;
+import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.settings.OperatorSettings;
 import org.woadloom.settings.Peer;
 import org.woadloom.settings.ServiceSettings;
-import org.woadloom.state.JobRecord;
-import org.woadloom.state.Keys;
-import org.woadloom.state.Limits;
-import org.woadloom.state.RecordFormat;
-import org.woadloom.state.StateClient;
-import org.woadloom.state.StateClient.Change;
-import org.woadloom.state.StateClient.Result;
-import org.woadloom.state.StateClient.Urgency;
-import org.woadloom.wire.MachineType;
-import org.woadloom.wire.WireException;
-import org.woadloom.wire.WorkerReport;
-import org.woadloom.worker.WorkerClient;
+import org.woadloom.store.JobRecord;
+import org.woadloom.store.RecordFormat;
+import org.woadloom.store.StoreClient;
+import org.woadloom.store.StoreClient.Change;
+import org.woadloom.store.StoreClient.RequestPriority;
+import org.woadloom.store.StoreClient.Result;
+import org.woadloom.store.StoreKeys;
+import org.woadloom.store.StoreLimits;
 
 /** One controller node, apart from its sockets: everything in it runs on one loop. */
 public final class Node {
@@ -71,24 +71,24 @@
 
     private static final int MOST_REPORTS_WAITING = 2_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final ServiceSettings settings;
     private final OperatorSettings operator;
-    private final Limits limits;
-    private final StateClient state;
-    private final Rollout rollout;
+    private final StoreLimits limits;
+    private final StoreClient state;
+    private final RolloutParticipant rollout;
     private final CloudClient cloud;
     private final Election election;
-    private final LeaderDuties duties;
-    private final CommandQueue queue;
+    private final LeaderActions duties;
+    private final EventQueue queue;
     private final Router router;
-    private final PeerLinks peers;
-    private final Mailbox mailbox;
-    private final ParkedReports parked;
-    private final Care care;
-    private final Confirmations confirmations;
-    private final Isolation isolation;
-    private final Attendance attendance;
+    private final PeerTracker peers;
+    private final StoreRelay mailbox;
+    private final DeferredHeartbeats parked;
+    private final DelegatedLeaseRenewer care;
+    private final CancellationConfirmer confirmations;
+    private final IsolationDetector isolation;
+    private final AgentConnectionBalancer attendance;
 
     /** Workers that came to this node instead of the leader's lately. */
     private final Cache<String, Visit> visits =
@@ -106,9 +106,9 @@
     private record Visit(long sinceMicros, boolean sentOn, long staysUntilMicros) {}
 
     public Node(
-            Loop loop,
+            EventLoop loop,
             HttpTransport transport,
-            PeerNet net,
+            PeerTransport net,
             ServiceSettings settings,
             OperatorSettings operator,
             Random random) {
@@ -117,9 +117,9 @@
 
     /** The same, with an observer of each step of the core. */
     public Node(
-            Loop loop,
+            EventLoop loop,
             HttpTransport transport,
-            PeerNet net,
+            PeerTransport net,
             ServiceSettings settings,
             OperatorSettings operator,
             Random random,
@@ -127,13 +127,13 @@
         this.loop = loop;
         this.settings = settings;
         this.operator = operator;
-        limits = new Limits(settings.state());
-        SocketPlan plan = SocketPlan.of(settings);
-        attendance = new Attendance(plan.workers(), settings.workers().reportMicros());
-        care = new Care(loop, settings, random);
-        isolation = new Isolation(loop);
+        limits = new StoreLimits(settings.state());
+        SocketBudget plan = SocketBudget.of(settings);
+        attendance = new AgentConnectionBalancer(plan.workers(), settings.workers().reportMicros());
+        care = new DelegatedLeaseRenewer(loop, settings, random);
+        isolation = new IsolationDetector(loop);
         state =
-                new StateClient(
+                new StoreClient(
                         loop,
                         transport,
                         settings,
@@ -143,14 +143,16 @@
                             care.stateAnswered(served);
                             isolation.stateAnswered(served);
                         });
-        rollout = new Rollout(loop, state, settings, operator, random, this::rolloutChanged);
+        rollout =
+                new RolloutParticipant(
+                        loop, state, settings, operator, random, this::rolloutChanged);
         cloud = new CloudClient(loop, transport, settings);
         duties =
-                new LeaderDuties(
+                new LeaderActions(
                         loop,
                         state,
                         cloud,
-                        new WorkerClient(transport, plan.direct()),
+                        new AgentClient(transport, plan.direct()),
                         settings,
                         limits,
                         rollout,
@@ -158,14 +160,14 @@
                         care,
                         this::abdicate,
                         this::giveWarrant);
-        Core core = new Core(CoreSettings.of(settings, operator));
+        Scheduler core = new Scheduler(SchedulerSettings.of(settings, operator));
         queue =
-                new CommandQueue(
+                new EventQueue(
                         loop, core, metrics, MOST_REPORTS_WAITING, duties::execute, observer);
         duties.attach(queue);
-        mailbox = new Mailbox(loop, state, settings, limits, rollout, random);
+        mailbox = new StoreRelay(loop, state, settings, limits, rollout, random);
         parked =
-                new ParkedReports(
+                new DeferredHeartbeats(
                         loop,
                         MOST_REPORTS_WAITING,
                         report -> route(report.body(), report.answer(), report.untilMicros()));
@@ -209,13 +211,13 @@
                             }
                         });
         peers =
-                new PeerLinks(
+                new PeerTracker(
                         loop,
                         net,
                         settings.peers().stream().map(Peer::label).toList(),
                         election,
                         rollout,
-                        new PeerLinks.Inbox() {
+                        new PeerTracker.Inbox() {
                             @Override
                             public void hint(JobRecord record, long stamp) {
                                 tellCore(record, stamp);
@@ -227,12 +229,12 @@
                             }
 
                             @Override
-                            public NodeStanding standing() {
+                            public PeerStatus standing() {
                                 return care.allowed() ? care.standing() : null;
                             }
 
                             @Override
-                            public void stands(String peer, NodeStanding standing) {
+                            public void stands(String peer, PeerStatus standing) {
                                 if (care.allowed()) {
                                     care.stands(peer, standing);
                                     duties.nodeSpoke(peer, standing);
@@ -240,7 +242,7 @@
                             }
 
                             @Override
-                            public void warranted(Warrant warrant) {
+                            public void warranted(LeaseDelegation warrant) {
                                 care.warranted(warrant);
                             }
 
@@ -250,12 +252,12 @@
                             }
 
                             @Override
-                            public void vouched(String peer, Vouch vouch) {
+                            public void vouched(String peer, WatermarkReport vouch) {
                                 confirmations.heard(peer, vouch);
                             }
 
                             @Override
-                            public void taken(VouchTaken taken) {
+                            public void taken(WatermarkAck taken) {
                                 confirmations.taken(taken);
                             }
 
@@ -264,7 +266,7 @@
                                 confirmations.peerSpoke(peer, term, leads);
                             }
                         });
-        confirmations = new Confirmations(loop, settings, random, carrier(), view());
+        confirmations = new CancellationConfirmer(loop, settings, random, carrier(), view());
         JobApi jobs =
                 new JobApi(loop, state, settings, storage(), types(), this::changed, confirmations);
         router = new Router(gate(), jobs, this::report, metrics);
@@ -272,22 +274,26 @@
         metrics.gauge("woadloom.alone", this, node -> node.alone() ? 1 : 0);
         metrics.gauge("woadloom.leader", election, e -> e.leads() ? 1 : 0);
         metrics.gauge("woadloom.term", election, Election::knownTerm);
-        metrics.gauge("woadloom.state.troubles", state, StateClient::troubles);
-        metrics.gauge("woadloom.jobs", core, Core::jobs);
-        metrics.gauge("woadloom.machines", core, Core::machines);
-        metrics.gauge("woadloom.machines.deaf", core, Core::deafMachines);
-        metrics.gauge("woadloom.jobs.waiting", core, Core::waiting);
-        metrics.gauge("woadloom.rollout.number", rollout, Rollout::number);
-        metrics.gauge("woadloom.rollout.on", rollout, Rollout::features);
-        metrics.gauge("woadloom.rollout.rewrite", core, Core::toRewrite);
-        metrics.gauge("woadloom.rollout.unreadable", core, Core::unreadable);
+        metrics.gauge("woadloom.state.troubles", state, StoreClient::troubles);
+        metrics.gauge("woadloom.jobs", core, Scheduler::jobs);
+        metrics.gauge("woadloom.machines", core, Scheduler::machines);
+        metrics.gauge("woadloom.machines.deaf", core, Scheduler::deafMachines);
+        metrics.gauge("woadloom.jobs.waiting", core, Scheduler::waiting);
+        metrics.gauge("woadloom.rollout.number", rollout, RolloutParticipant::number);
+        metrics.gauge("woadloom.rollout.on", rollout, RolloutParticipant::features);
+        metrics.gauge("woadloom.rollout.rewrite", core, Scheduler::toRewrite);
+        metrics.gauge("woadloom.rollout.unreadable", core, Scheduler::unreadable);
         metrics.gauge("woadloom.rollout.closed", rollout, r -> r.closed() == null ? 0 : 1);
-        metrics.gauge("woadloom.reservations", core, Core::reservations);
+        metrics.gauge("woadloom.reservations", core, Scheduler::reservations);
         metrics.gauge(
                 "woadloom.cancellations.behind_s", confirmations, c -> c.behindMicros() / 1e6);
-        metrics.gauge("woadloom.cancellations.waiting", confirmations, Confirmations::waiting);
-        metrics.gauge("woadloom.cancellations.malformed", confirmations, Confirmations::malformed);
-        metrics.gauge("woadloom.workers.here", attendance, Attendance::size);
+        metrics.gauge(
+                "woadloom.cancellations.waiting", confirmations, CancellationConfirmer::waiting);
+        metrics.gauge(
+                "woadloom.cancellations.malformed",
+                confirmations,
+                CancellationConfirmer::malformed);
+        metrics.gauge("woadloom.workers.here", attendance, AgentConnectionBalancer::size);
     }
 
     NodeMetrics metrics() {
@@ -321,7 +327,10 @@
         }
         if (!probing) {
             probing = true;
-            state.get(Urgency.URGENT, Keys.LEADER, (result, entry, generation) -> probing = false);
+            state.get(
+                    RequestPriority.URGENT,
+                    StoreKeys.LEADER,
+                    (result, entry, generation) -> probing = false);
         }
         if (!inTouch && care.mayCare()) {
             parked.release();
@@ -376,8 +385,8 @@
         };
     }
 
-    private Confirmations.Carrier carrier() {
-        return new Confirmations.Carrier() {
+    private CancellationConfirmer.Carrier carrier() {
+        return new CancellationConfirmer.Carrier() {
             @Override
             public String reachedLeader() {
                 String leader = election.leader();
@@ -392,12 +401,12 @@
             }
 
             @Override
-            public void vouch(String leader, Vouch vouch) {
+            public void vouch(String leader, WatermarkReport vouch) {
                 peers.vouch(leader, vouch);
             }
 
             @Override
-            public void taken(String node, VouchTaken taken) {
+            public void taken(String node, WatermarkAck taken) {
                 peers.taken(node, taken);
             }
 
@@ -408,8 +417,8 @@
         };
     }
 
-    private Confirmations.View view() {
-        return new Confirmations.View() {
+    private CancellationConfirmer.View view() {
+        return new CancellationConfirmer.View() {
             @Override
             public boolean ready() {
                 return duties.ready();
@@ -448,7 +457,7 @@
         };
     }
 
-    private void giveWarrant(String node, Warrant warrant) {
+    private void giveWarrant(String node, LeaseDelegation warrant) {
         if (node.equals(settings.label())) {
             care.warranted(warrant);
         } else {
@@ -475,7 +484,7 @@
 
     private void tellCore(JobRecord record, long stamp) {
         if (duties.ready()) {
-            queue.add(new Command.JobSeen(record, stamp));
+            queue.add(new SchedulerEvent.JobStored(record, stamp));
         }
     }
 
@@ -513,16 +522,16 @@
                         return;
                     }
                     state.get(
-                            Urgency.NORMAL,
-                            Keys.TYPES,
+                            RequestPriority.NORMAL,
+                            StoreKeys.TYPES,
                             (result, entry, generation) -> {
                                 if (result == Result.OK && types.isEmpty()) {
                                     try {
                                         typesSeen(MachineType.parseAll(entry.value()));
-                                    } catch (WireException e) {
+                                    } catch (MalformedMessageException e) {
                                         LOG.error(
                                                 "event=record_unreadable key={} error=\"{}\"",
-                                                Keys.TYPES,
+                                                StoreKeys.TYPES,
                                                 e.getMessage());
                                     }
                                 }
@@ -533,7 +542,7 @@
 
     private void typesSeen(List<MachineType> found) {
         types = List.copyOf(found);
-        queue.add(new Command.TypesSeen(types));
+        queue.add(new SchedulerEvent.MachineTypesRead(types));
     }
 
     private void storeTypes(List<MachineType> found) {
@@ -542,9 +551,9 @@
             list.add(type.toMap());
         }
         state.txn(
-                Urgency.BACKGROUND,
+                RequestPriority.BACKGROUND,
                 List.of(),
-                List.of(Change.put(Keys.TYPES, ImmutableMap.of("hosttypes", list))),
+                List.of(Change.put(StoreKeys.TYPES, ImmutableMap.of("hosttypes", list))),
                 (result, generation, failed) -> {});
     }
 
@@ -560,7 +569,7 @@
                                     : null;
                     answer.accept(cared == null ? response : cared);
                 },
-                loop.nowMicros() + ParkedReports.WAIT_MICROS);
+                loop.nowMicros() + DeferredHeartbeats.WAIT_MICROS);
     }
 
     /**
@@ -580,8 +589,8 @@
         }
         String host;
         try {
-            host = WorkerReport.read(body).host();
-        } catch (WireException e) {
+            host = Heartbeat.read(body).host();
+        } catch (MalformedMessageException e) {
             answer.accept(Response.error(400, e.getMessage()));
             return;
         }
@@ -592,7 +601,7 @@
                 answer.accept(Response.of(421, Map.of()));
                 return;
             }
-            parked.park(new ParkedReports.Parked(body, answer, untilMicros));
+            parked.park(new DeferredHeartbeats.PendingHeartbeat(body, answer, untilMicros));
             return;
         }
         long now = loop.nowMicros();
@@ -603,7 +612,7 @@
         if (!peers.reaches(leader) && (cameBack || !peers.refuses(leader))) {
             // Silence means a cut, which the worker would only find out by waiting for most of its
             // lease.
-            mailbox.carry(host, new ParkedReports.Parked(body, answer, untilMicros));
+            mailbox.carry(host, new DeferredHeartbeats.PendingHeartbeat(body, answer, untilMicros));
             return;
         }
         boolean first = !here && !stays && peers.reaches(leader);
@@ -643,10 +652,10 @@
             answer.accept(Response.of(421, Map.of()));
             return;
         }
-        WorkerReport report;
+        Heartbeat report;
         try {
-            report = WorkerReport.read(body);
-        } catch (WireException e) {
+            report = Heartbeat.read(body);
+        } catch (MalformedMessageException e) {
             answer.accept(Response.error(400, e.getMessage()));
             return;
         }
@@ -665,19 +674,19 @@
     }
 
     /** The node that is to take a worker from this one, or null if it may stay. */
-    private String attendant(WorkerReport report, boolean direct) {
+    private String attendant(Heartbeat report, boolean direct) {
         if (!direct) {
             attendance.carried(report.host());
             return null;
         }
-        boolean renewed = report.epoch() >> Hearing.FENCE_BITS == election.knownTerm();
+        boolean renewed = report.epoch() >> AgentLiveness.FENCE_BITS == election.knownTerm();
         return attendance.sendTo(report.host(), renewed, peers.reached(), loop.nowMicros());
     }
 
-    private static Response reply(Effect.Answer answer) {
+    private static Response reply(SchedulerAction.AnswerHeartbeat answer) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("epoch", answer.epoch());
-        map.put("orders", WorkerClient.orders(answer.orders()));
+        map.put("orders", AgentClient.orders(answer.orders()));
         return Response.of(200, map);
     }
 }
--- a/src/main/java/org/woadloom/node/PeerLinks.java
+++ b/src/main/java/org/woadloom/node/PeerTracker.java
@@ -6,22 +6,22 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.woadloom.core.cancellation.Vouch;
-import org.woadloom.core.cancellation.VouchTaken;
-import org.woadloom.core.care.NodeStanding;
-import org.woadloom.core.care.Warrant;
+import org.woadloom.core.cancellation.WatermarkAck;
+import org.woadloom.core.cancellation.WatermarkReport;
+import org.woadloom.core.delegation.LeaseDelegation;
+import org.woadloom.core.delegation.PeerStatus;
 import org.woadloom.http.Response;
 import org.woadloom.leader.Election;
-import org.woadloom.net.Loop;
+import org.woadloom.net.EventLoop;
 import org.woadloom.peer.PeerMessage;
-import org.woadloom.peer.PeerNet;
-import org.woadloom.state.JobRecord;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.WireException;
+import org.woadloom.peer.PeerTransport;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.MalformedMessageException;
+import org.woadloom.store.JobRecord;
 
 /** What this node knows of the others' reach, and what it has them carry. */
-final class PeerLinks implements PeerNet.Listener {
-    private static final Logger LOG = LoggerFactory.getLogger(PeerLinks.class);
+final class PeerTracker implements PeerTransport.Listener {
+    private static final Logger LOG = LoggerFactory.getLogger(PeerTracker.class);
     private static final long PING_MICROS = 700_000;
     private static final long REACH_MICROS = 2_500_000;
     private static final long CARRY_MICROS = 3_500_000;
@@ -34,28 +34,28 @@
         void carried(byte[] report, Consumer<Response> answer);
 
         /** How this node stands, for the leader; null where it does not speak of that. */
-        NodeStanding standing();
+        PeerStatus standing();
 
-        void stands(String peer, NodeStanding standing);
+        void stands(String peer, PeerStatus standing);
 
-        void warranted(Warrant warrant);
+        void warranted(LeaseDelegation warrant);
 
         /** It is time to vouch for what this node told. */
         void vouch();
 
-        void vouched(String peer, Vouch vouch);
+        void vouched(String peer, WatermarkReport vouch);
 
-        void taken(VouchTaken taken);
+        void taken(WatermarkAck taken);
 
         /** A peer knows of this term, and leads in it or does not. */
         void spoke(String peer, long term, boolean leads);
     }
 
-    private final Loop loop;
-    private final PeerNet net;
+    private final EventLoop loop;
+    private final PeerTransport net;
     private final List<String> labels;
     private final Election election;
-    private final Rollout rollout;
+    private final RolloutParticipant rollout;
     private final Inbox inbox;
     private final Map<String, Link> links = new HashMap<>();
     private final Map<Long, Consumer<Response>> carrying = new HashMap<>();
@@ -71,12 +71,12 @@
         int refusals;
     }
 
-    PeerLinks(
-            Loop loop,
-            PeerNet net,
+    PeerTracker(
+            EventLoop loop,
+            PeerTransport net,
             List<String> labels,
             Election election,
-            Rollout rollout,
+            RolloutParticipant rollout,
             Inbox inbox) {
         this.labels = labels;
         this.loop = loop;
@@ -100,9 +100,9 @@
             }
         }
         sayTerm();
-        NodeStanding standing = inbox.standing();
+        PeerStatus standing = inbox.standing();
         if (standing != null && leader != null) {
-            PeerMessage mine = new PeerMessage.Stands(standing);
+            PeerMessage mine = new PeerMessage.StatusReport(standing);
             if (election.leads()) {
                 inbox.stands(leader, standing);
                 // One that was started while the state service is down learns from it what is
@@ -175,26 +175,29 @@
     }
 
     void hint(String leader, JobRecord record, long stamp) {
-        net.send(leader, new PeerMessage.Hint(Cbor.encode(record.toMap(rollout.format())), stamp));
+        net.send(
+                leader,
+                new PeerMessage.JobChangeNotification(
+                        Cbor.encode(record.toMap(rollout.format())), stamp));
     }
 
-    void warrant(String label, Warrant warrant) {
-        net.send(label, new PeerMessage.Warranted(warrant));
+    void warrant(String label, LeaseDelegation warrant) {
+        net.send(label, new PeerMessage.Delegation(warrant));
     }
 
-    void vouch(String leader, Vouch vouch) {
-        net.send(leader, new PeerMessage.Vouched(vouch));
+    void vouch(String leader, WatermarkReport vouch) {
+        net.send(leader, new PeerMessage.CancellationReport(vouch));
     }
 
-    void taken(String label, VouchTaken taken) {
-        net.send(label, new PeerMessage.Taken(taken));
+    void taken(String label, WatermarkAck taken) {
+        net.send(label, new PeerMessage.CancellationReportAck(taken));
     }
 
     /** Has the leader decide a report; the answer is 503 if none comes while the worker waits. */
     void carry(String leader, byte[] report, Consumer<Response> answer) {
         long id = ++ids;
         carrying.put(id, answer);
-        net.send(leader, new PeerMessage.Carry(id, report));
+        net.send(leader, new PeerMessage.ForwardHeartbeat(id, report));
         loop.schedule(
                 CARRY_MICROS,
                 () -> {
@@ -214,35 +217,35 @@
             if (ping.leader() != null && !ping.leader().isEmpty()) {
                 election.heardOf(ping.leader(), ping.term());
             }
-        } else if (message instanceof PeerMessage.Hint hint) {
+        } else if (message instanceof PeerMessage.JobChangeNotification hint) {
             try {
                 Map<String, Object> record = Cbor.decodeMap(hint.record());
                 rollout.seen(JobRecord.formatOf(record));
                 inbox.hint(JobRecord.parse(record), hint.stamp());
-            } catch (WireException e) {
+            } catch (MalformedMessageException e) {
                 LOG.error(
                         "event=job_notification_unreadable node={} error=\"{}\"",
                         from,
                         e.getMessage());
             }
-        } else if (message instanceof PeerMessage.Stands stands) {
+        } else if (message instanceof PeerMessage.StatusReport stands) {
             rollout.spokenOfCare();
             inbox.stands(from, stands.standing());
-        } else if (message instanceof PeerMessage.Warranted warranted) {
+        } else if (message instanceof PeerMessage.Delegation warranted) {
             inbox.warranted(warranted.warrant());
-        } else if (message instanceof PeerMessage.Vouched vouched) {
+        } else if (message instanceof PeerMessage.CancellationReport vouched) {
             inbox.vouched(from, vouched.vouch());
-        } else if (message instanceof PeerMessage.Taken taken) {
+        } else if (message instanceof PeerMessage.CancellationReportAck taken) {
             inbox.taken(taken.taken());
-        } else if (message instanceof PeerMessage.Carry carry) {
+        } else if (message instanceof PeerMessage.ForwardHeartbeat carry) {
             inbox.carried(
                     carry.report(),
                     response ->
                             net.send(
                                     from,
-                                    new PeerMessage.Carried(
+                                    new PeerMessage.ForwardedAnswer(
                                             carry.id(), response.status(), response.body())));
-        } else if (message instanceof PeerMessage.Carried carried) {
+        } else if (message instanceof PeerMessage.ForwardedAnswer carried) {
             Consumer<Response> waiting = carrying.remove(carried.id());
             if (waiting != null) {
                 waiting.accept(Response.cbor(carried.status(), carried.answer()));
--- a/src/main/java/org/woadloom/node/RolloutDuties.java
+++ b/src/main/java/org/woadloom/node/RolloutActions.java
@@ -5,43 +5,43 @@
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.woadloom.core.Command;
-import org.woadloom.core.Effect;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerEvent;
 import org.woadloom.leader.RecordWriter;
-import org.woadloom.state.JobRecord;
-import org.woadloom.state.Keys;
-import org.woadloom.state.MachineRecord;
-import org.woadloom.state.StateClient;
-import org.woadloom.state.StateClient.Change;
-import org.woadloom.state.StateClient.Condition;
-import org.woadloom.state.StateClient.Result;
-import org.woadloom.state.StateClient.Urgency;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.MalformedMessageException;
+import org.woadloom.store.JobRecord;
+import org.woadloom.store.MachineRecord;
+import org.woadloom.store.StoreClient;
+import org.woadloom.store.StoreClient.Change;
+import org.woadloom.store.StoreClient.Condition;
+import org.woadloom.store.StoreClient.RequestPriority;
+import org.woadloom.store.StoreClient.Result;
+import org.woadloom.store.StoreKeys;
 
 /** Carries out what a leader's core wants done of a rollout. */
-final class RolloutDuties {
-    private static final Logger LOG = LoggerFactory.getLogger(RolloutDuties.class);
+final class RolloutActions {
+    private static final Logger LOG = LoggerFactory.getLogger(RolloutActions.class);
 
-    private final StateClient state;
-    private final Rollout rollout;
+    private final StoreClient state;
+    private final RolloutParticipant rollout;
 
     /** Takes an outcome, if the term still lasts. */
     interface Outcome {
-        void add(Command command);
+        void add(SchedulerEvent command);
     }
 
-    RolloutDuties(StateClient state, Rollout rollout) {
+    RolloutActions(StoreClient state, RolloutParticipant rollout) {
         this.state = state;
         this.rollout = rollout;
     }
 
-    void put(Effect.PutRollout put, RecordWriter writer, Outcome outcome) {
+    void put(SchedulerAction.WriteRollout put, RecordWriter writer, Outcome outcome) {
         List<Condition> conditions = new ArrayList<>();
         put.conditions().forEach((path, stamp) -> conditions.add(new Condition(path, stamp)));
         List<Change> changes = new ArrayList<>();
-        changes.add(Change.put(Keys.ROLLOUT_STATE, put.record().toMap()));
+        changes.add(Change.put(StoreKeys.ROLLOUT_STATE, put.record().toMap()));
         if (put.agreed() > 0) {
-            changes.add(Change.put(Keys.AGREED, ImmutableMap.of("version", put.agreed())));
+            changes.add(Change.put(StoreKeys.AGREED, ImmutableMap.of("version", put.agreed())));
         }
         writer.add(
                 true,
@@ -52,7 +52,7 @@
                             // Written or not, what stands there now is what counts.
                             rollout.changed();
                             outcome.add(
-                                    new Command.RolloutWritten(
+                                    new SchedulerEvent.RolloutWriteCompleted(
                                             put.record().number(), written, stamp));
                         }));
     }
@@ -61,26 +61,26 @@
      * Reads all records that the feature writes, after everything else, and judges each by its
      * form.
      */
-    void count(Effect.CountRecords count, Outcome outcome) {
+    void count(SchedulerAction.CountRecords count, Outcome outcome) {
         state.list(
-                Urgency.BACKGROUND,
+                RequestPriority.BACKGROUND,
                 count.feature().prefix(),
                 (result, entries, generation) -> {
                     List<String> old = new ArrayList<>();
                     List<String> unreadable = new ArrayList<>();
-                    for (StateClient.Entry entry : entries) {
+                    for (StoreClient.Entry entry : entries) {
                         try {
-                            if (entry.path().startsWith(Keys.JOBS)) {
+                            if (entry.path().startsWith(StoreKeys.JOBS)) {
                                 JobRecord.parse(entry.value());
                             } else {
                                 MachineRecord.parse(
-                                        entry.path().substring(Keys.MACHINES.length()),
+                                        entry.path().substring(StoreKeys.MACHINES.length()),
                                         entry.value());
                             }
                             if (count.feature().fresh(entry.value()) == count.back()) {
                                 old.add(entry.path());
                             }
-                        } catch (WireException e) {
+                        } catch (MalformedMessageException e) {
                             LOG.error(
                                     "event=record_unreadable key={} error=\"{}\"",
                                     entry.path(),
@@ -89,7 +89,7 @@
                         }
                     }
                     outcome.add(
-                            new Command.RecordsCounted(
+                            new SchedulerEvent.RecordsCounted(
                                     count.feature(),
                                     count.back(),
                                     result == Result.OK,
--- a/src/main/java/org/woadloom/node/Rollout.java
+++ b/src/main/java/org/woadloom/node/RolloutParticipant.java
@@ -16,28 +16,28 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.woadloom.core.Command;
-import org.woadloom.core.rollout.Belonging;
+import org.woadloom.core.SchedulerEvent;
+import org.woadloom.core.rollout.ClusterMembership;
 import org.woadloom.core.rollout.Feature;
 import org.woadloom.leader.Election;
-import org.woadloom.net.Loop;
+import org.woadloom.net.EventLoop;
 import org.woadloom.peer.PeerMessage;
+import org.woadloom.protocol.Fields;
+import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.settings.OperatorSettings;
 import org.woadloom.settings.Peer;
 import org.woadloom.settings.ServiceSettings;
-import org.woadloom.state.Keys;
-import org.woadloom.state.NodeWord;
-import org.woadloom.state.RecordFormat;
-import org.woadloom.state.RolloutRecord;
-import org.woadloom.state.RolloutRequest;
-import org.woadloom.state.StateClient;
-import org.woadloom.state.StateClient.Change;
-import org.woadloom.state.StateClient.Condition;
-import org.woadloom.state.StateClient.Entry;
-import org.woadloom.state.StateClient.Result;
-import org.woadloom.state.StateClient.Urgency;
-import org.woadloom.wire.Fields;
-import org.woadloom.wire.WireException;
+import org.woadloom.store.NodeAnnouncement;
+import org.woadloom.store.RecordFormat;
+import org.woadloom.store.RolloutRecord;
+import org.woadloom.store.RolloutRequest;
+import org.woadloom.store.StoreClient;
+import org.woadloom.store.StoreClient.Change;
+import org.woadloom.store.StoreClient.Condition;
+import org.woadloom.store.StoreClient.Entry;
+import org.woadloom.store.StoreClient.RequestPriority;
+import org.woadloom.store.StoreClient.Result;
+import org.woadloom.store.StoreKeys;
 
 /**
  * This node's part of a rollout: it gives its word, which lasts as long as its process renews it,
@@ -45,8 +45,8 @@
  * the store says, or what a node says that has read it there, never by its own settings. What moves
  * a feature is the leader's core (`core.rollout`).
  */
-final class Rollout implements Election.Fence {
-    private static final Logger LOG = LoggerFactory.getLogger(Rollout.class);
+final class RolloutParticipant implements Election.Fence {
+    private static final Logger LOG = LoggerFactory.getLogger(RolloutParticipant.class);
 
     /**
      * What versions 2 and 3 are told of this one: they agree on compact records and on care by it.
@@ -69,16 +69,16 @@
     /** For how long a node that gives no word is believed to be there after it was heard. */
     private static final long HEARD_MICROS = 10_000_000;
 
-    private final Loop loop;
-    private final StateClient state;
+    private final EventLoop loop;
+    private final StoreClient state;
     private final String label;
     private final Runnable changed;
     private final Set<Feature> able;
     private final Set<String> members = new TreeSet<>();
-    private final Belonging belonging = new Belonging(Feature.known());
+    private final ClusterMembership belonging = new ClusterMembership(Feature.known());
     private final long life;
 
-    /** What is below {@link Keys#ROLLOUT}, as last read. */
+    /** What is below {@link StoreKeys#ROLLOUT}, as last read. */
     private final Map<String, Entry> entries = new HashMap<>();
 
     private RolloutRecord record = RolloutRecord.NONE;
@@ -107,9 +107,9 @@
 
     private boolean following;
 
-    Rollout(
-            Loop loop,
-            StateClient state,
+    RolloutParticipant(
+            EventLoop loop,
+            StoreClient state,
             ServiceSettings settings,
             OperatorSettings operator,
             Random random,
@@ -174,12 +174,12 @@
 
     @Override
     public Condition condition() {
-        return new Condition(Keys.ROLLOUT_STATE, stateStamp);
+        return new Condition(StoreKeys.ROLLOUT_STATE, stateStamp);
     }
 
     @Override
     public void changed() {
-        read(Urgency.URGENT, done -> {});
+        read(RequestPriority.URGENT, done -> {});
     }
 
     /** A record in the compact format was written by a node that knew that it may be. */
@@ -198,8 +198,8 @@
     // What this node says.
 
     /** For the other nodes. */
-    PeerMessage.Rollout said() {
-        return new PeerMessage.Rollout(
+    PeerMessage.RolloutView said() {
+        return new PeerMessage.RolloutView(
                 number,
                 List.copyOf(Feature.keys(on)),
                 List.copyOf(requires),
@@ -207,7 +207,7 @@
     }
 
     /** A peer spoke, without a word if it is of an earlier version. */
-    void heard(String from, PeerMessage.Rollout said) {
+    void heard(String from, PeerMessage.RolloutView said) {
         if (said == null) {
             wordlessMicros.put(from, loop.nowMicros());
             return;
@@ -242,17 +242,17 @@
      * one another.
      */
     private void speak(long grant) {
-        String key = Keys.ROLLOUT_NODES + label;
+        String key = StoreKeys.ROLLOUT_NODES + label;
         state.get(
-                Urgency.URGENT,
+                RequestPriority.URGENT,
                 key,
                 (result, entry, generation) -> {
                     if (result != Result.OK && result != Result.NOT_FOUND) {
                         loop.schedule(RETRY_MICROS, this::speak);
                         return;
                     }
-                    NodeWord word =
-                            new NodeWord(
+                    NodeAnnouncement word =
+                            new NodeAnnouncement(
                                     life,
                                     Feature.known(),
                                     Feature.keys(able),
@@ -263,12 +263,12 @@
                     // the key on a grant that nobody renews.
                     Condition asRead = new Condition(key, entry == null ? 0 : entry.stamp());
                     state.txn(
-                            Urgency.URGENT,
+                            RequestPriority.URGENT,
                             List.of(asRead),
                             List.of(
                                     new Change(key, word.toMap(), grant),
                                     Change.put(
-                                            Keys.NODE_VERSIONS + label,
+                                            StoreKeys.NODE_VERSIONS + label,
                                             ImmutableMap.of(FIELD, VERSION))),
                             (put, stamp, failed) -> {
                                 if (put == Result.OK) {
@@ -284,14 +284,14 @@
 
     private int starts(Entry before) {
         try {
-            NodeWord word = before == null ? null : NodeWord.parse(before.value());
+            NodeAnnouncement word = before == null ? null : NodeAnnouncement.parse(before.value());
             long since = word == null ? -1 : loop.wallMicros() - word.sinceWallMicros();
             return word == null
                     ? 1
                     : word.life() == life
                             ? word.starts()
                             : since >= 0 && since < IN_A_ROW_MICROS ? word.starts() + 1 : 1;
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             return 1;
         }
     }
@@ -319,7 +319,7 @@
 
     private void follow() {
         read(
-                Urgency.URGENT,
+                RequestPriority.URGENT,
                 generation -> {
                     if (generation < 0) {
                         loop.schedule(RETRY_MICROS, this::follow);
@@ -332,7 +332,7 @@
 
     private void follow(long since) {
         state.follow(
-                Keys.ROLLOUT,
+                StoreKeys.ROLLOUT,
                 since,
                 WATCH_MICROS,
                 (result, events, generation) -> {
@@ -341,7 +341,7 @@
                         loop.schedule(RETRY_MICROS, this::follow);
                         return;
                     }
-                    for (StateClient.Event event : events) {
+                    for (StoreClient.Event event : events) {
                         if (event.value() == null) {
                             entries.remove(event.path());
                         } else {
@@ -358,12 +358,12 @@
     }
 
     /** Reads everything anew; the consumer hears the generation, or -1. */
-    private void read(Urgency urgency, Consumer<Long> done) {
+    private void read(RequestPriority urgency, Consumer<Long> done) {
         // What a watch that was opened before the word was given still brings is not enough.
         boolean afterTheWord = spoken;
         state.list(
                 urgency,
-                Keys.ROLLOUT,
+                StoreKeys.ROLLOUT,
                 (result, found, generation) -> {
                     if (result != Result.OK) {
                         done.accept(-1L);
@@ -380,14 +380,14 @@
     }
 
     private void judge() {
-        Entry stored = entries.get(Keys.ROLLOUT_STATE);
+        Entry stored = entries.get(StoreKeys.ROLLOUT_STATE);
         if (stored != null && stored.stamp() < stateStamp) {
             return;
         }
         stateStamp = stored == null ? 0 : stored.stamp();
         try {
             record = stored == null ? RolloutRecord.NONE : RolloutRecord.parse(stored.value());
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             unreadable(stored, e);
             return;
         }
@@ -411,7 +411,7 @@
      * The record is of a form to come. What it requires stands where it always will; without that
      * nothing can be done.
      */
-    private void unreadable(Entry stored, WireException why) {
+    private void unreadable(Entry stored, MalformedMessageException why) {
         try {
             required(
                     RolloutRecord.numberOf(stored.value()),
@@ -419,7 +419,7 @@
             if (belonging.lacks().isEmpty()) {
                 belonging.unreadable("the record of the rollout (" + why.getMessage() + ")");
             }
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             belonging.unreadable("the record of the rollout (" + e.getMessage() + ")");
         }
         close();
@@ -459,26 +459,26 @@
     // What versions 2 and 3 agree on.
 
     private void poll() {
-        look(Urgency.NORMAL, known -> {});
+        look(RequestPriority.NORMAL, known -> {});
         loop.schedule(POLL_MICROS, this::poll);
     }
 
     /** Reads what an earlier version has agreed on; tells whether that could be read. */
-    void look(Urgency urgency, Consumer<Boolean> done) {
+    void look(RequestPriority urgency, Consumer<Boolean> done) {
         if (agreed >= VERSION) {
             done.accept(true);
             return;
         }
         state.get(
                 urgency,
-                Keys.AGREED,
+                StoreKeys.AGREED,
                 (result, entry, generation) -> {
                     try {
                         if (result == Result.OK) {
                             agreed = Math.max(agreed, new Fields(entry.value()).integer(FIELD));
                             agreedStamp = entry.stamp();
                         }
-                    } catch (WireException e) {
+                    } catch (MalformedMessageException e) {
                         LOG.error(
                                 "event=record_unreadable key={} error=\"{}\"",
                                 entry.path(),
@@ -496,26 +496,27 @@
     // For the core of a leader.
 
     /** What a decision rests on, or null as long as that is not known. */
-    Command.RolloutSeen situation(long refused) {
+    SchedulerEvent.RolloutStateRead situation(long refused) {
         if (!belonging.serves()) {
             return null;
         }
-        Map<String, Command.Spoken> words = new LinkedHashMap<>();
+        Map<String, SchedulerEvent.StoredAnnouncement> words = new LinkedHashMap<>();
         Map<String, RolloutRequest> asked = new LinkedHashMap<>();
         List<Entry> sorted = new ArrayList<>(entries.values());
         sorted.sort(Comparator.comparing(Entry::path));
         for (Entry entry : sorted) {
             try {
-                if (entry.path().startsWith(Keys.ROLLOUT_NODES)) {
+                if (entry.path().startsWith(StoreKeys.ROLLOUT_NODES)) {
                     words.put(
-                            entry.path().substring(Keys.ROLLOUT_NODES.length()),
-                            new Command.Spoken(NodeWord.parse(entry.value()), entry.stamp()));
-                } else if (entry.path().startsWith(Keys.ROLLOUT_ASKED)) {
+                            entry.path().substring(StoreKeys.ROLLOUT_NODES.length()),
+                            new SchedulerEvent.StoredAnnouncement(
+                                    NodeAnnouncement.parse(entry.value()), entry.stamp()));
+                } else if (entry.path().startsWith(StoreKeys.ROLLOUT_ASKED)) {
                     asked.put(
-                            entry.path().substring(Keys.ROLLOUT_ASKED.length()),
+                            entry.path().substring(StoreKeys.ROLLOUT_ASKED.length()),
                             RolloutRequest.parse(entry.value()));
                 }
-            } catch (WireException e) {
+            } catch (MalformedMessageException e) {
                 LOG.error(
                         "event=record_unreadable key={} error=\"{}\"",
                         entry.path(),
@@ -529,7 +530,7 @@
                         wordless.add(from);
                     }
                 });
-        return new Command.RolloutSeen(
+        return new SchedulerEvent.RolloutStateRead(
                 record, stateStamp, words, asked, wordless, agreed, agreedStamp, refused);
     }
 }
--- a/src/main/java/org/woadloom/node/Server.java
+++ b/src/main/java/org/woadloom/node/Server.java
@@ -8,12 +8,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.woadloom.http.ApiServer;
-import org.woadloom.http.Connections;
+import org.woadloom.http.ConnectionLimiter;
 import org.woadloom.metrics.NodeMetrics;
-import org.woadloom.net.SocketPlan;
+import org.woadloom.net.SocketBudget;
 import org.woadloom.net.UndertowTransport;
-import org.woadloom.net.XnioLoop;
-import org.woadloom.peer.XnioPeerNet;
+import org.woadloom.net.XnioEventLoop;
+import org.woadloom.peer.XnioPeerTransport;
 import org.woadloom.settings.OperatorSettings;
 import org.woadloom.settings.ServiceSettings;
 import org.xnio.OptionMap;
@@ -43,15 +43,15 @@
                                         .getMap());
         XnioIoThread thread = worker.getIoThread();
         ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, 256, 4);
-        XnioLoop loop = new XnioLoop(thread);
-        SocketPlan plan = SocketPlan.of(settings);
+        XnioEventLoop loop = new XnioEventLoop(thread);
+        SocketBudget plan = SocketBudget.of(settings);
         UndertowTransport transport = new UndertowTransport(loop, thread, buffers, plan.idle());
         // Not by clocks alone: one that stood still, or was set back, would make a process take
         // itself for the one before.
         Random random = new Random(new SecureRandom().nextLong());
-        XnioPeerNet peers = new XnioPeerNet(loop, worker, settings);
+        XnioPeerTransport peers = new XnioPeerTransport(loop, worker, settings);
         Node node = new Node(loop, transport, peers, settings, operator, random);
-        Connections connections = new Connections(loop, plan);
+        ConnectionLimiter connections = new ConnectionLimiter(loop, plan);
         meter(node.metrics(), plan, connections, transport, peers);
         new ApiServer(settings, worker, buffers, plan, connections, node.router()).start();
         peers.bind();
@@ -65,11 +65,11 @@
     }
 
     private static void tell(
-            XnioLoop loop,
-            SocketPlan plan,
-            Connections connections,
+            XnioEventLoop loop,
+            SocketBudget plan,
+            ConnectionLimiter connections,
             UndertowTransport transport,
-            XnioPeerNet peers) {
+            XnioPeerTransport peers) {
         loop.schedule(
                 TELL_MICROS,
                 () -> {
@@ -90,17 +90,17 @@
 
     private static void meter(
             NodeMetrics metrics,
-            SocketPlan plan,
-            Connections connections,
+            SocketBudget plan,
+            ConnectionLimiter connections,
             UndertowTransport transport,
-            XnioPeerNet peers) {
-        metrics.gauge("woadloom.sockets.workers", connections, Connections::workers);
-        metrics.gauge("woadloom.sockets.users", connections, Connections::users);
-        metrics.gauge("woadloom.sockets.inbound.most", plan, SocketPlan::inbound);
+            XnioPeerTransport peers) {
+        metrics.gauge("woadloom.sockets.workers", connections, ConnectionLimiter::workers);
+        metrics.gauge("woadloom.sockets.users", connections, ConnectionLimiter::users);
+        metrics.gauge("woadloom.sockets.inbound.most", plan, SocketBudget::inbound);
         metrics.gauge("woadloom.sockets.outbound", transport, UndertowTransport::open);
         metrics.gauge("woadloom.sockets.outbound.idle", transport, UndertowTransport::idle);
-        metrics.gauge("woadloom.sockets.peers", peers, XnioPeerNet::open);
-        metrics.gauge("woadloom.sockets.closed", connections, Connections::closed);
-        metrics.gauge("woadloom.sockets.refused", connections, Connections::refused);
+        metrics.gauge("woadloom.sockets.peers", peers, XnioPeerTransport::open);
+        metrics.gauge("woadloom.sockets.closed", connections, ConnectionLimiter::closed);
+        metrics.gauge("woadloom.sockets.refused", connections, ConnectionLimiter::refused);
     }
 }
--- a/src/main/java/org/woadloom/node/StepObserver.java
+++ b/src/main/java/org/woadloom/node/StepObserver.java
@@ -1,8 +1,8 @@
 package org.woadloom.node;
 
 import java.util.List;
-import org.woadloom.core.Command;
-import org.woadloom.core.Effect;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerEvent;
 
 /**
  * Is shown each step of a node's core, on the node's loop; tests compare by it what two versions of
@@ -17,5 +17,5 @@
      *
      * @param nowMicros the time that the core was given, by the node's loop
      */
-    void onStep(long nowMicros, List<Command> commands, List<Effect> effects);
+    void onStep(long nowMicros, List<SchedulerEvent> commands, List<SchedulerAction> effects);
 }
--- a/src/main/java/org/woadloom/node/Mailbox.java
+++ b/src/main/java/org/woadloom/node/StoreRelay.java
@@ -12,18 +12,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.woadloom.http.Response;
-import org.woadloom.net.Loop;
+import org.woadloom.net.EventLoop;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.Fields;
+import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.settings.ServiceSettings;
-import org.woadloom.state.Keys;
-import org.woadloom.state.Limits;
-import org.woadloom.state.RecordFormat;
-import org.woadloom.state.StateClient;
-import org.woadloom.state.StateClient.Change;
-import org.woadloom.state.StateClient.Result;
-import org.woadloom.state.StateClient.Urgency;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.Fields;
-import org.woadloom.wire.WireException;
+import org.woadloom.store.RecordFormat;
+import org.woadloom.store.StoreClient;
+import org.woadloom.store.StoreClient.Change;
+import org.woadloom.store.StoreClient.RequestPriority;
+import org.woadloom.store.StoreClient.Result;
+import org.woadloom.store.StoreKeys;
+import org.woadloom.store.StoreLimits;
 
 /**
  * Carries reports to the leader through the state service, where this node can't reach the leader:
@@ -32,8 +32,8 @@
  * costs two changes and nothing is left to clear away. The answers need no conditions, as a worker
  * refuses an old token.
  */
-final class Mailbox {
-    private static final Logger LOG = LoggerFactory.getLogger(Mailbox.class);
+final class StoreRelay {
+    private static final Logger LOG = LoggerFactory.getLogger(StoreRelay.class);
     private static final long BATCH_MICROS = 100_000;
     private static final long WAIT_MICROS = 3_500_000;
     private static final long WATCH_MICROS = 10_000_000;
@@ -58,20 +58,20 @@
         void decide(byte[] report, Consumer<Response> answer);
     }
 
-    private final Loop loop;
-    private final StateClient state;
+    private final EventLoop loop;
+    private final StoreClient state;
     private final String label;
-    private final Limits limits;
-    private final Rollout rollout;
+    private final StoreLimits limits;
+    private final RolloutParticipant rollout;
     private final Random random;
 
     /** How much shorter packed reports are than plain ones, by the last letter. */
     private double packing = 0.25;
 
-    private final ArrayDeque<Parcel> outgoing = new ArrayDeque<>();
+    private final ArrayDeque<RelayedHeartbeat> outgoing = new ArrayDeque<>();
 
     /** Reports that wait for an answer, by machine. */
-    private final Map<String, Parcel> waiting = new HashMap<>();
+    private final Map<String, RelayedHeartbeat> waiting = new HashMap<>();
 
     /** The letter that is under way in each slot, 0 for none. */
     private final long[] letters = new long[SLOTS];
@@ -81,15 +81,19 @@
     private long leading;
 
     /** One report on its way. */
-    private record Parcel(
-            long id, String host, Object report, int size, ParkedReports.Parked sent) {}
-
-    Mailbox(
-            Loop loop,
-            StateClient state,
+    private record RelayedHeartbeat(
+            long id,
+            String host,
+            Object report,
+            int size,
+            DeferredHeartbeats.PendingHeartbeat sent) {}
+
+    StoreRelay(
+            EventLoop loop,
+            StoreClient state,
             ServiceSettings settings,
-            Limits limits,
-            Rollout rollout,
+            StoreLimits limits,
+            RolloutParticipant rollout,
             Random random) {
         this.random = random;
         this.loop = loop;
@@ -100,21 +104,22 @@
     }
 
     /** Sends a worker's report; the answer is 503 if none comes while the worker waits. */
-    void carry(String host, ParkedReports.Parked report) {
+    void carry(String host, DeferredHeartbeats.PendingHeartbeat report) {
         Consumer<Response> answer = report.answer();
         Map<String, Object> map;
         try {
             map = Cbor.decodeMap(report.body());
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             answer.accept(Response.error(400, e.getMessage()));
             return;
         }
-        Parcel parcel = new Parcel(newId(), host, map, Cbor.jsonSize(map) + 40, report);
+        RelayedHeartbeat parcel =
+                new RelayedHeartbeat(newId(), host, map, Cbor.jsonSize(map) + 40, report);
         if (room(parcel.size) + LETTER_BYTES > limits.valueBytesNow()) {
             answer.accept(Response.unavailable("the report is too long for the state service"));
             return;
         }
-        Parcel before = waiting.put(host, parcel);
+        RelayedHeartbeat before = waiting.put(host, parcel);
         if (before != null) {
             outgoing.remove(before);
             before.sent.answer().accept(Response.unavailable("a newer report was sent"));
@@ -133,8 +138,8 @@
     }
 
     /** Gives back what waits for an answer: it was meant for a leader that leads no more. */
-    List<ParkedReports.Parked> takeBack() {
-        List<ParkedReports.Parked> reports = new ArrayList<>();
+    List<DeferredHeartbeats.PendingHeartbeat> takeBack() {
+        List<DeferredHeartbeats.PendingHeartbeat> reports = new ArrayList<>();
         waiting.values().forEach(parcel -> reports.add(parcel.sent));
         waiting.clear();
         outgoing.clear();
@@ -176,11 +181,11 @@
         int size = LETTER_BYTES;
         // Answers with launches may be longer than the reports, and must fit in the same place.
         int most = limits.valueBytesNow() / (packs() ? 1 : 2);
-        List<Parcel> parcels = new ArrayList<>();
+        List<RelayedHeartbeat> parcels = new ArrayList<>();
         int plain = 0;
         while (!outgoing.isEmpty()
                 && (reports.isEmpty() || size + room(outgoing.peekFirst().size) <= most)) {
-            Parcel parcel = outgoing.pollFirst();
+            RelayedHeartbeat parcel = outgoing.pollFirst();
             size += room(parcel.size);
             plain += parcel.size;
             parcels.add(parcel);
@@ -201,9 +206,9 @@
         }
         letters[slot] = id;
         state.txn(
-                Urgency.URGENT,
+                RequestPriority.URGENT,
                 List.of(),
-                List.of(Change.put(Keys.mail(label, slot), value)),
+                List.of(Change.put(StoreKeys.mail(label, slot), value)),
                 (result, generation, failed) -> {
                     if (result == Result.BAD) {
                         limits.refusedValue(Cbor.jsonSize(value));
@@ -224,9 +229,9 @@
      * What did not fit goes once more, in smaller letters; a single report that does not fit can't
      * be carried.
      */
-    private void sendAgain(List<Parcel> parcels) {
+    private void sendAgain(List<RelayedHeartbeat> parcels) {
         for (int i = parcels.size() - 1; i >= 0; i--) {
-            Parcel parcel = parcels.get(i);
+            RelayedHeartbeat parcel = parcels.get(i);
             if (waiting.get(parcel.host) != parcel) {
                 continue;
             }
@@ -255,17 +260,18 @@
 
     private void fill(Map<String, Object> letter, String what, List<Object> items) {
         if (packs()) {
-            letter.put(PACKED + what, Letters.pack(items));
+            letter.put(PACKED + what, CompressedList.pack(items));
         } else {
             letter.put(what, items);
         }
     }
 
     /** What a letter holds, or null where it holds something else. */
-    private static List<?> items(Map<String, Object> letter, String what) throws WireException {
+    private static List<?> items(Map<String, Object> letter, String what)
+            throws MalformedMessageException {
         Fields f = new Fields(letter);
         return f.has(PACKED + what)
-                ? Letters.unpack(f.text(PACKED + what))
+                ? CompressedList.unpack(f.text(PACKED + what))
                 : f.has(what) ? f.list(what) : null;
     }
 
@@ -281,8 +287,8 @@
             // The first revision of all: what is there already is read as well, and ignored by its
             // id.
             state.list(
-                    Urgency.URGENT,
-                    Keys.mailOf(label),
+                    RequestPriority.URGENT,
+                    StoreKeys.mailOf(label),
                     (result, entries, generation) -> {
                         entries.forEach(entry -> answered(entry.path(), entry.value()));
                         if (result == Result.OK) {
@@ -303,11 +309,11 @@
 
     private void followAnswers(long since) {
         state.follow(
-                Keys.mailOf(label),
+                StoreKeys.mailOf(label),
                 since,
                 WATCH_MICROS,
                 (result, events, generation) -> {
-                    for (StateClient.Event event : events) {
+                    for (StoreClient.Event event : events) {
                         if (event.value() != null) {
                             answered(event.path(), event.value());
                         }
@@ -328,7 +334,7 @@
                 return;
             }
             free(
-                    (int) Long.parseLong(path.substring(Keys.mailOf(label).length())),
+                    (int) Long.parseLong(path.substring(StoreKeys.mailOf(label).length())),
                     f.integer("id"));
             for (Object item : answers) {
                 if (!(item instanceof List<?> parts)
@@ -336,9 +342,10 @@
                         || !(parts.get(0) instanceof Long id)
                         || !(parts.get(1) instanceof String host)
                         || !(parts.get(2) instanceof Long status)) {
-                    throw new WireException("answers: expected id, machine, status and body");
+                    throw new MalformedMessageException(
+                            "answers: expected id, machine, status and body");
                 }
-                Parcel mine = waiting.get(host);
+                RelayedHeartbeat mine = waiting.get(host);
                 if (mine != null && mine.id == id) {
                     waiting.remove(host);
                     mine.sent
@@ -346,7 +353,7 @@
                             .accept(Response.cbor(status.intValue(), Cbor.encode(parts.get(3))));
                 }
             }
-        } catch (WireException | NumberFormatException e) {
+        } catch (MalformedMessageException | NumberFormatException e) {
             LOG.error("event=record_unreadable key={} error=\"{}\"", path, e.getMessage());
         }
     }
@@ -365,8 +372,8 @@
 
     private void read(long term, Decider decider) {
         state.list(
-                Urgency.URGENT,
-                Keys.MAIL,
+                RequestPriority.URGENT,
+                StoreKeys.MAIL,
                 (result, entries, generation) -> {
                     if (leading != term) {
                         return;
@@ -382,7 +389,7 @@
 
     private void followMail(long term, long since, Decider decider) {
         state.follow(
-                Keys.MAIL,
+                StoreKeys.MAIL,
                 since,
                 WATCH_MICROS,
                 (result, events, generation) -> {
@@ -390,7 +397,7 @@
                         return;
                     }
                     if (result == Result.OK) {
-                        for (StateClient.Event event : events) {
+                        for (StoreClient.Event event : events) {
                             if (event.value() != null) {
                                 letter(event.path(), event.value(), decider);
                             }
@@ -419,7 +426,7 @@
                 if (!(item instanceof List<?> parts)
                         || parts.size() != 2
                         || !(parts.get(0) instanceof Long reportId)) {
-                    throw new WireException("reports: expected id and report");
+                    throw new MalformedMessageException("reports: expected id and report");
                 }
                 String host = Fields.of(parts.get(1), "report").text("host");
                 decider.decide(
@@ -436,7 +443,7 @@
                             }
                         });
             }
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             LOG.error("event=record_unreadable key={} error=\"{}\"", path, e.getMessage());
         }
     }
@@ -444,7 +451,7 @@
     private static Object body(Response response) {
         try {
             return Cbor.decodeMap(response.body());
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
@@ -460,7 +467,7 @@
             fill(value, ANSWERS, answers);
         }
         state.txn(
-                Urgency.URGENT,
+                RequestPriority.URGENT,
                 List.of(),
                 List.of(Change.put(path, value)),
                 (result, generation, failed) -> {
--- a/src/main/java/org/woadloom/node/Rehearsal.java
+++ b/src/main/java/org/woadloom/node/WarmUp.java
@@ -7,19 +7,19 @@
 import java.net.URI;
 import java.nio.file.Path;
 import java.util.Map;
+import org.woadloom.protocol.Cbor;
 import org.woadloom.settings.OperatorSettings;
 import org.woadloom.settings.ServiceSettings;
 import org.woadloom.settings.ServiceSettingsFile;
-import org.woadloom.wire.Cbor;
 
 /**
  * Starts a node on loopback ports whose state service and cloud are the node itself, asks it a few
  * things and returns. It is run only by the build, to find out which classes a start loads.
  */
-public final class Rehearsal {
+public final class WarmUp {
     private static final long WORK_MILLIS = 1_500;
 
-    private Rehearsal() {}
+    private WarmUp() {}
 
     public static void run(Path file) throws Exception {
         ServiceSettings settings = onFreePorts(ServiceSettingsFile.read(file));
--- a/src/main/java/org/woadloom/peer/PeerCodec.java
+++ b/src/main/java/org/woadloom/peer/PeerCodec.java
@@ -9,10 +9,10 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 import java.util.function.Function;
-import org.woadloom.core.cancellation.Vouch;
-import org.woadloom.core.cancellation.VouchTaken;
-import org.woadloom.core.care.NodeStanding;
-import org.woadloom.core.care.Warrant;
+import org.woadloom.core.cancellation.WatermarkAck;
+import org.woadloom.core.cancellation.WatermarkReport;
+import org.woadloom.core.delegation.LeaseDelegation;
+import org.woadloom.core.delegation.PeerStatus;
 
 /**
  * Messages between nodes as Kryo writes them; only the registered classes can be read. Used by one
@@ -55,14 +55,14 @@
                             leader,
                             in.position() == in.limit()
                                     ? null
-                                    : new PeerMessage.Rollout(
+                                    : new PeerMessage.RolloutView(
                                             in.readLong(),
                                             readTexts(in, MAX_TEXTS),
                                             readTexts(in, MAX_TEXTS),
                                             readTexts(in, MAX_TEXTS)));
                 });
         register(
-                PeerMessage.Hint.class,
+                PeerMessage.JobChangeNotification.class,
                 13,
                 (out, m) -> {
                     out.writeLong(m.stamp());
@@ -70,10 +70,10 @@
                 },
                 in -> {
                     long stamp = in.readLong();
-                    return new PeerMessage.Hint(readBytes(in), stamp);
+                    return new PeerMessage.JobChangeNotification(readBytes(in), stamp);
                 });
         register(
-                PeerMessage.Carry.class,
+                PeerMessage.ForwardHeartbeat.class,
                 14,
                 (out, m) -> {
                     out.writeLong(m.id());
@@ -81,10 +81,10 @@
                 },
                 in -> {
                     long id = in.readLong();
-                    return new PeerMessage.Carry(id, readBytes(in));
+                    return new PeerMessage.ForwardHeartbeat(id, readBytes(in));
                 });
         register(
-                PeerMessage.Carried.class,
+                PeerMessage.ForwardedAnswer.class,
                 15,
                 (out, m) -> {
                     out.writeLong(m.id());
@@ -94,13 +94,13 @@
                 in -> {
                     long id = in.readLong();
                     int status = in.readInt();
-                    return new PeerMessage.Carried(id, status, readBytes(in));
+                    return new PeerMessage.ForwardedAnswer(id, status, readBytes(in));
                 });
         register(
-                PeerMessage.Stands.class,
+                PeerMessage.StatusReport.class,
                 16,
                 (out, m) -> {
-                    NodeStanding s = m.standing();
+                    PeerStatus s = m.standing();
                     writeLongs(
                             out,
                             s.life(),
@@ -113,8 +113,8 @@
                             s.stateSilentMicros());
                 },
                 in ->
-                        new PeerMessage.Stands(
-                                new NodeStanding(
+                        new PeerMessage.StatusReport(
+                                new PeerStatus(
                                         in.readLong(),
                                         in.readLong(),
                                         in.readLong(),
@@ -124,24 +124,24 @@
                                         in.readLong(),
                                         in.readLong())));
         register(
-                PeerMessage.Warranted.class,
+                PeerMessage.Delegation.class,
                 17,
                 (out, m) -> {
-                    Warrant w = m.warrant();
+                    LeaseDelegation w = m.warrant();
                     writeLongs(out, w.term(), w.saidMicros(), w.leaderMicros(), w.settledMicros());
                 },
                 in ->
-                        new PeerMessage.Warranted(
-                                new Warrant(
+                        new PeerMessage.Delegation(
+                                new LeaseDelegation(
                                         in.readLong(),
                                         in.readLong(),
                                         in.readLong(),
                                         in.readLong())));
         register(
-                PeerMessage.Vouched.class,
+                PeerMessage.CancellationReport.class,
                 18,
                 (out, m) -> {
-                    Vouch v = m.vouch();
+                    WatermarkReport v = m.vouch();
                     writeLongs(
                             out,
                             v.term(),
@@ -153,8 +153,8 @@
                     writeTexts(out, v.jobs());
                 },
                 in ->
-                        new PeerMessage.Vouched(
-                                new Vouch(
+                        new PeerMessage.CancellationReport(
+                                new WatermarkReport(
                                         in.readLong(),
                                         in.readLong(),
                                         in.readLong(),
@@ -163,15 +163,15 @@
                                         in.readLong(),
                                         readTexts(in, MAX_JOBS))));
         register(
-                PeerMessage.Taken.class,
+                PeerMessage.CancellationReportAck.class,
                 19,
                 (out, m) -> {
-                    VouchTaken t = m.taken();
+                    WatermarkAck t = m.taken();
                     writeLongs(out, t.term(), t.life(), t.saidMicros(), t.leaderMicros());
                 },
                 in ->
-                        new PeerMessage.Taken(
-                                new VouchTaken(
+                        new PeerMessage.CancellationReportAck(
+                                new WatermarkAck(
                                         in.readLong(),
                                         in.readLong(),
                                         in.readLong(),
--- a/src/main/java/org/woadloom/peer/PeerMessage.java
+++ b/src/main/java/org/woadloom/peer/PeerMessage.java
@@ -1,10 +1,10 @@
 package org.woadloom.peer;
 
 import java.util.List;
-import org.woadloom.core.cancellation.Vouch;
-import org.woadloom.core.cancellation.VouchTaken;
-import org.woadloom.core.care.NodeStanding;
-import org.woadloom.core.care.Warrant;
+import org.woadloom.core.cancellation.WatermarkAck;
+import org.woadloom.core.cancellation.WatermarkReport;
+import org.woadloom.core.delegation.LeaseDelegation;
+import org.woadloom.core.delegation.PeerStatus;
 
 /** What controller nodes say to one another. Losing one costs time and never safety. */
 public sealed interface PeerMessage {
@@ -17,7 +17,7 @@
      * hears of a new leader that way. What it says of the rollout follows at the end, where
      * versions up to 3 read no further; null from those.
      */
-    record Ping(long term, String leader, Rollout rollout) implements PeerMessage {}
+    record Ping(long term, String leader, RolloutView rollout) implements PeerMessage {}
 
     /**
      * What a node has read of the rollout, and what it reads: one that can't reach the state
@@ -28,29 +28,29 @@
      * @param requires what a process must know that is to serve
      * @param reads what the sender knows
      */
-    record Rollout(long number, List<String> on, List<String> requires, List<String> reads) {}
+    record RolloutView(long number, List<String> on, List<String> requires, List<String> reads) {}
 
     /** A job's record, as CBOR, that this node has just made durable. */
-    record Hint(byte[] record, long stamp) implements PeerMessage {}
+    record JobChangeNotification(byte[] record, long stamp) implements PeerMessage {}
 
     /** A worker's report, carried to the leader for a worker that can't reach it. */
-    record Carry(long id, byte[] report) implements PeerMessage {}
+    record ForwardHeartbeat(long id, byte[] report) implements PeerMessage {}
 
     /** The leader's answer to a carried report. */
-    record Carried(long id, int status, byte[] answer) implements PeerMessage {}
+    record ForwardedAnswer(long id, int status, byte[] answer) implements PeerMessage {}
 
     /** How the sender stands. Only once every node runs version 3. */
-    record Stands(NodeStanding standing) implements PeerMessage {}
+    record StatusReport(PeerStatus standing) implements PeerMessage {}
 
     /**
      * What the sender has told of cancellations, for the leader. Only while all nodes have agreed
      * to vouch.
      */
-    record Vouched(Vouch vouch) implements PeerMessage {}
+    record CancellationReport(WatermarkReport vouch) implements PeerMessage {}
 
     /** The leader's answer to that. */
-    record Taken(VouchTaken taken) implements PeerMessage {}
+    record CancellationReportAck(WatermarkAck taken) implements PeerMessage {}
 
     /** The leader's answer to a standing. */
-    record Warranted(Warrant warrant) implements PeerMessage {}
+    record Delegation(LeaseDelegation warrant) implements PeerMessage {}
 }
--- a/src/main/java/org/woadloom/peer/PeerNet.java
+++ b/src/main/java/org/woadloom/peer/PeerTransport.java
@@ -1,7 +1,7 @@
 package org.woadloom.peer;
 
 /** Connections to the other nodes. Messages to a peer that is not connected are dropped. */
-public interface PeerNet {
+public interface PeerTransport {
     /** Hears what happens, on the loop. */
     interface Listener {
         void received(String from, PeerMessage message);
--- a/src/main/java/org/woadloom/peer/XnioPeerNet.java
+++ b/src/main/java/org/woadloom/peer/XnioPeerTransport.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.woadloom.net.Addresses;
-import org.woadloom.net.Loop;
+import org.woadloom.net.EventLoop;
 import org.woadloom.settings.Peer;
 import org.woadloom.settings.ServiceSettings;
 import org.xnio.ChannelListener;
@@ -28,14 +28,14 @@
  * Peer connections over XNIO: each node opens one to every other for what it sends, and reads from
  * those that the others opened.
  */
-public final class XnioPeerNet implements PeerNet {
-    private static final Logger LOG = LoggerFactory.getLogger(XnioPeerNet.class);
+public final class XnioPeerTransport implements PeerTransport {
+    private static final Logger LOG = LoggerFactory.getLogger(XnioPeerTransport.class);
     private static final long RECONNECT_MICROS = 150_000;
     private static final long CONNECT_TIMEOUT_MICROS = 2_000_000;
     private static final int MAX_QUEUED = 256;
     private static final int MAX_INBOUND = 16;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final XnioWorker worker;
     private final XnioIoThread thread;
     private final ServiceSettings settings;
@@ -44,7 +44,7 @@
     private Listener listener;
     private int inbound;
 
-    public XnioPeerNet(Loop loop, XnioWorker worker, ServiceSettings settings) {
+    public XnioPeerTransport(EventLoop loop, XnioWorker worker, ServiceSettings settings) {
         this.loop = loop;
         this.worker = worker;
         this.thread = worker.getIoThread();
