--- a/src/main/java/org/woadloom/wire/Cbor.java
+++ b/src/main/java/org/woadloom/protocol/Cbor.java
@@ -1,4 +1,4 @@
-package org.woadloom.wire;
+package org.woadloom.protocol;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -36,25 +36,25 @@
     }
 
     /** Decodes a body that must be one map. */
-    public static Map<String, Object> decodeMap(byte[] body) throws WireException {
+    public static Map<String, Object> decodeMap(byte[] body) throws MalformedMessageException {
         return map(decode(body));
     }
 
-    private static Map<String, Object> map(Object value) throws WireException {
+    private static Map<String, Object> map(Object value) throws MalformedMessageException {
         if (!(value instanceof Map<?, ?> map)) {
-            throw new WireException("body: expected a map");
+            throw new MalformedMessageException("body: expected a map");
         }
         @SuppressWarnings("unchecked")
         Map<String, Object> result = (Map<String, Object>) map;
         return result;
     }
 
-    public static Object decode(byte[] body) throws WireException {
+    public static Object decode(byte[] body) throws MalformedMessageException {
         return decode(FACTORY, body, "CBOR");
     }
 
     /** The same values written as JSON, for people; no interface carries it. */
-    public static Map<String, Object> decodeJsonMap(byte[] text) throws WireException {
+    public static Map<String, Object> decodeJsonMap(byte[] text) throws MalformedMessageException {
         return map(decode(new JsonFactory(), text, "JSON"));
     }
 
@@ -73,26 +73,26 @@
     }
 
     private static Object decode(JsonFactory factory, byte[] body, String format)
-            throws WireException {
+            throws MalformedMessageException {
         try (JsonParser parser = factory.createParser(body)) {
             JsonToken token = parser.nextToken();
             if (token == null) {
-                throw new WireException("body: empty");
+                throw new MalformedMessageException("body: empty");
             }
             Object value = read(parser, token, 0);
             if (parser.nextToken() != null) {
-                throw new WireException("body: more than one value");
+                throw new MalformedMessageException("body: more than one value");
             }
             return value;
         } catch (IOException | ArithmeticException | IllegalArgumentException e) {
-            throw new WireException("body: not " + format);
+            throw new MalformedMessageException("body: not " + format);
         }
     }
 
     static Object read(JsonParser parser, JsonToken token, int depth)
-            throws IOException, WireException {
+            throws IOException, MalformedMessageException {
         if (depth > MAX_DEPTH) {
-            throw new WireException("body: nested too deeply");
+            throw new MalformedMessageException("body: nested too deeply");
         }
         switch (token) {
             case START_OBJECT:
@@ -103,11 +103,12 @@
                         int known = map.size();
                         map.put(name, read(parser, next(parser), depth + 1));
                         if (map.size() == known) {
-                            throw new WireException("body: " + name + " stands twice in a map");
+                            throw new MalformedMessageException(
+                                    "body: " + name + " stands twice in a map");
                         }
                     }
                     if (parser.currentToken() != JsonToken.END_OBJECT) {
-                        throw new WireException("body: a map key is not text");
+                        throw new MalformedMessageException("body: a map key is not text");
                     }
                     return map;
                 }
@@ -125,7 +126,7 @@
                 return parser.getText();
             case VALUE_NUMBER_INT:
                 if (parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
-                    throw new WireException("body: integer out of range");
+                    throw new MalformedMessageException("body: integer out of range");
                 }
                 return parser.getLongValue();
             case VALUE_NUMBER_FLOAT:
@@ -137,14 +138,14 @@
             case VALUE_NULL:
                 return null;
             default:
-                throw new WireException("body: unsupported value");
+                throw new MalformedMessageException("body: unsupported value");
         }
     }
 
-    static JsonToken next(JsonParser parser) throws IOException, WireException {
+    static JsonToken next(JsonParser parser) throws IOException, MalformedMessageException {
         JsonToken token = parser.nextToken();
         if (token == null) {
-            throw new WireException("body: cut short");
+            throw new MalformedMessageException("body: cut short");
         }
         return token;
     }
--- a/src/main/java/org/woadloom/wire/Fields.java
+++ b/src/main/java/org/woadloom/protocol/Fields.java
@@ -1,4 +1,4 @@
-package org.woadloom.wire;
+package org.woadloom.protocol;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -14,9 +14,9 @@
 
     /** The value as a map of fields, or an error naming {@code what}. */
     @SuppressWarnings("unchecked")
-    public static Fields of(Object value, String what) throws WireException {
+    public static Fields of(Object value, String what) throws MalformedMessageException {
         if (!(value instanceof Map<?, ?>)) {
-            throw new WireException(what + ": expected a map");
+            throw new MalformedMessageException(what + ": expected a map");
         }
         return new Fields((Map<String, Object>) value);
     }
@@ -29,33 +29,33 @@
         return map.get(name);
     }
 
-    public String text(String name) throws WireException {
+    public String text(String name) throws MalformedMessageException {
         if (map.get(name) instanceof String value) {
             return value;
         }
-        throw new WireException(name + ": expected text");
+        throw new MalformedMessageException(name + ": expected text");
     }
 
-    public String textOr(String name, String otherwise) throws WireException {
+    public String textOr(String name, String otherwise) throws MalformedMessageException {
         return has(name) ? text(name) : otherwise;
     }
 
-    public boolean flag(String name) throws WireException {
+    public boolean flag(String name) throws MalformedMessageException {
         if (map.get(name) instanceof Boolean value) {
             return value;
         }
-        throw new WireException(name + ": expected true or false");
+        throw new MalformedMessageException(name + ": expected true or false");
     }
 
-    public boolean flagOr(String name, boolean otherwise) throws WireException {
+    public boolean flagOr(String name, boolean otherwise) throws MalformedMessageException {
         return has(name) ? flag(name) : otherwise;
     }
 
-    public long integer(String name) throws WireException {
+    public long integer(String name) throws MalformedMessageException {
         return integer(name, map.get(name));
     }
 
-    static long integer(String name, Object value) throws WireException {
+    static long integer(String name, Object value) throws MalformedMessageException {
         if (value instanceof Long number) {
             return number;
         }
@@ -65,72 +65,72 @@
                 && Math.abs(number) < 1e15) {
             return number.longValue();
         }
-        throw new WireException(name + ": expected an integer");
+        throw new MalformedMessageException(name + ": expected an integer");
     }
 
-    public long integerOr(String name, long otherwise) throws WireException {
+    public long integerOr(String name, long otherwise) throws MalformedMessageException {
         return has(name) ? integer(name) : otherwise;
     }
 
-    public long count(String name) throws WireException {
+    public long count(String name) throws MalformedMessageException {
         return notNegative(name, integer(name));
     }
 
-    static long notNegative(String name, long value) throws WireException {
+    static long notNegative(String name, long value) throws MalformedMessageException {
         if (value < 0) {
-            throw new WireException(name + ": must not be negative");
+            throw new MalformedMessageException(name + ": must not be negative");
         }
         return value;
     }
 
-    public double number(String name) throws WireException {
+    public double number(String name) throws MalformedMessageException {
         return number(name, map.get(name));
     }
 
-    private static double number(String name, Object value) throws WireException {
+    private static double number(String name, Object value) throws MalformedMessageException {
         double number;
         if (value instanceof Double d) {
             number = d;
         } else if (value instanceof Long l) {
             number = l;
         } else {
-            throw new WireException(name + ": expected a number");
+            throw new MalformedMessageException(name + ": expected a number");
         }
         if (!Double.isFinite(number)) {
-            throw new WireException(name + ": must be finite");
+            throw new MalformedMessageException(name + ": must be finite");
         }
         return number;
     }
 
     /** A finite number that is not negative. */
-    public double amount(String name) throws WireException {
+    public double amount(String name) throws MalformedMessageException {
         return amount(name, map.get(name));
     }
 
-    static double amount(String name, Object value) throws WireException {
+    static double amount(String name, Object value) throws MalformedMessageException {
         double number = number(name, value);
         if (number < 0) {
-            throw new WireException(name + ": must not be negative");
+            throw new MalformedMessageException(name + ": must not be negative");
         }
         return number;
     }
 
-    public double amountOr(String name, double otherwise) throws WireException {
+    public double amountOr(String name, double otherwise) throws MalformedMessageException {
         return has(name) ? amount(name) : otherwise;
     }
 
-    public List<?> list(String name) throws WireException {
+    public List<?> list(String name) throws MalformedMessageException {
         if (map.get(name) instanceof List<?> value) {
             return value;
         }
-        throw new WireException(name + ": expected a list");
+        throw new MalformedMessageException(name + ": expected a list");
     }
 
-    public List<String> texts(String name) throws WireException {
+    public List<String> texts(String name) throws MalformedMessageException {
         List<String> result = new ArrayList<>();
         for (Object item : list(name)) {
             if (!(item instanceof String text)) {
-                throw new WireException(name + ": expected a list of texts");
+                throw new MalformedMessageException(name + ": expected a list of texts");
             }
             result.add(text);
         }
--- a/src/main/java/org/woadloom/wire/WorkerReport.java
+++ b/src/main/java/org/woadloom/protocol/Heartbeat.java
@@ -1,11 +1,11 @@
-package org.woadloom.wire;
+package org.woadloom.protocol;
 
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 
 /** A worker's report. {@code warningMicros} is -1 unless the cloud has given notice. */
-public record WorkerReport(
+public record Heartbeat(
         String host,
         String addr,
         String hosttype,
@@ -15,13 +15,14 @@
         long tick,
         long epoch,
         long warningMicros,
-        List<TaskReport> tasks) {
+        List<TaskStatus> tasks) {
 
-    public static WorkerReport read(byte[] body) throws WireException {
-        return FieldReader.body(body, WorkerReport::read);
+    public static Heartbeat read(byte[] body) throws MalformedMessageException {
+        return FieldReader.body(body, Heartbeat::read);
     }
 
-    private static WorkerReport read(FieldReader fields) throws IOException, WireException {
+    private static Heartbeat read(FieldReader fields)
+            throws IOException, MalformedMessageException {
         String host = null;
         String addr = null;
         String hosttype = null;
@@ -31,7 +32,7 @@
         Long tick = null;
         Long epoch = null;
         long warning = -1;
-        List<TaskReport> tasks = null;
+        List<TaskStatus> tasks = null;
         for (String name = fields.next(); name != null; name = fields.next()) {
             switch (name) {
                 case "host" -> host = fields.text();
@@ -44,8 +45,8 @@
                 case "epoch" -> epoch = fields.count();
                 case "warningS" -> warning = (long) (fields.amount() * 1e6);
                 case "shards" -> {
-                    List<TaskReport> read = new ArrayList<>();
-                    fields.maps(item -> read.add(TaskReport.read(item)));
+                    List<TaskStatus> read = new ArrayList<>();
+                    fields.maps(item -> read.add(TaskStatus.read(item)));
                     tasks = read;
                 }
                 default -> fields.skip();
@@ -56,9 +57,9 @@
                 || host.length() > 100
                 || host.indexOf(' ') >= 0
                 || host.indexOf('/') >= 0) {
-            throw new WireException("host: expected a machine's name");
+            throw new MalformedMessageException("host: expected a machine's name");
         }
-        return new WorkerReport(
+        return new Heartbeat(
                 host,
                 FieldReader.required("addr", addr, "text"),
                 FieldReader.required("hosttype", hosttype, "text"),
--- a/src/main/java/org/woadloom/wire/JobDescription.java
+++ b/src/main/java/org/woadloom/protocol/JobDescription.java
@@ -1,4 +1,4 @@
-package org.woadloom.wire;
+package org.woadloom.protocol;
 
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -15,8 +15,8 @@
         String uid,
         String jobclass,
         String crew,
-        Shape shape,
-        Rank rank,
+        JobKind shape,
+        Priority rank,
         int shards,
         double vcpus,
         double cards,
@@ -68,39 +68,40 @@
     }
 
     /** As its user submits it: only what may be null may be missing. */
-    public static JobDescription submitted(Map<String, Object> map) throws WireException {
+    public static JobDescription submitted(Map<String, Object> map)
+            throws MalformedMessageException {
         for (String field : LEFT_OUT_IN_RECORDS) {
             if (map.get(field) == null) {
-                throw new WireException(field + ": is missing");
+                throw new MalformedMessageException(field + ": is missing");
             }
         }
         return parse(map);
     }
 
     /** As a record holds it, of this version or an earlier one. */
-    public static JobDescription parse(Map<String, Object> map) throws WireException {
+    public static JobDescription parse(Map<String, Object> map) throws MalformedMessageException {
         Fields f = new Fields(map);
         String uid = f.text("uid");
         if (!isUid(uid)) {
-            throw new WireException("uid: expected an id such as j-000412");
+            throw new MalformedMessageException("uid: expected an id such as j-000412");
         }
         long shards = f.integer("shards");
         if (shards < 1 || shards > MAX_SHARDS) {
-            throw new WireException("shards: expected 1 to " + MAX_SHARDS);
+            throw new MalformedMessageException("shards: expected 1 to " + MAX_SHARDS);
         }
         List<String> hosttypes = f.has("hosttypes") ? List.copyOf(f.texts("hosttypes")) : null;
         double vcpus = f.amount("vcpus");
         double cards = f.amountOr("cards", 0);
         double ramGb = f.amount("ramGb");
         if (vcpus == 0 && cards == 0 && ramGb == 0) {
-            throw new WireException("vcpus: a task must take something of its machine");
+            throw new MalformedMessageException("vcpus: a task must take something of its machine");
         }
         return new JobDescription(
                 uid,
                 name(f, "jobclass"),
                 name(f, "crew"),
-                Shape.parse(f.text("shape")),
-                Rank.parse(f.text("rank")),
+                JobKind.parse(f.text("shape")),
+                Priority.parse(f.text("rank")),
                 (int) shards,
                 vcpus,
                 cards,
@@ -123,7 +124,7 @@
      * The jobs that have to be done before this one starts; each is named once here, however often
      * its user did.
      */
-    private static List<String> awaits(Fields f) throws WireException {
+    private static List<String> awaits(Fields f) throws MalformedMessageException {
         return f.has("awaits") ? List.copyOf(new LinkedHashSet<>(f.texts("awaits"))) : List.of();
     }
 
@@ -155,20 +156,21 @@
                         List.of());
     }
 
-    private static String name(Fields f, String field) throws WireException {
+    private static String name(Fields f, String field) throws MalformedMessageException {
         String text = f.text(field);
         if (text.isEmpty() || text.length() > MAX_NAME) {
-            throw new WireException(field + ": expected 1 to " + MAX_NAME + " characters");
+            throw new MalformedMessageException(
+                    field + ": expected 1 to " + MAX_NAME + " characters");
         }
         return text;
     }
 
     public boolean service() {
-        return shape == Shape.SERVICE;
+        return shape == JobKind.SERVICE;
     }
 
     public boolean gang() {
-        return shape == Shape.GROUP;
+        return shape == JobKind.GROUP;
     }
 
     public Map<String, Object> toMap() {
--- a/src/main/java/org/woadloom/wire/Shape.java
+++ b/src/main/java/org/woadloom/protocol/JobKind.java
@@ -1,7 +1,7 @@
-package org.woadloom.wire;
+package org.woadloom.protocol;
 
 /** How a job's tasks belong together. */
-public enum Shape {
+public enum JobKind {
     /** Independent tasks that each run to completion. */
     BATCH,
     /**
@@ -15,12 +15,12 @@
         return name().toLowerCase(java.util.Locale.ROOT);
     }
 
-    static Shape parse(String text) throws WireException {
-        for (Shape shape : values()) {
+    static JobKind parse(String text) throws MalformedMessageException {
+        for (JobKind shape : values()) {
             if (shape.wireName().equals(text)) {
                 return shape;
             }
         }
-        throw new WireException("shape: expected batch, group or service");
+        throw new MalformedMessageException("shape: expected batch, group or service");
     }
 }
--- a/src/main/java/org/woadloom/wire/JobStatus.java
+++ b/src/main/java/org/woadloom/protocol/JobStatus.java
@@ -1,4 +1,4 @@
-package org.woadloom.wire;
+package org.woadloom.protocol;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -19,7 +19,7 @@
         return map;
     }
 
-    public static JobStatus parse(Map<String, Object> map) throws WireException {
+    public static JobStatus parse(Map<String, Object> map) throws MalformedMessageException {
         Fields f = new Fields(map);
         return new JobStatus(
                 f.text("uid"),
--- a/src/main/java/org/woadloom/wire/ListedMachine.java
+++ b/src/main/java/org/woadloom/protocol/ListedMachine.java
@@ -1,4 +1,4 @@
-package org.woadloom.wire;
+package org.woadloom.protocol;
 
 /** One machine as the cloud's list shows it; the list lags, so absence from it says nothing. */
 public record ListedMachine(
@@ -9,7 +9,7 @@
         boolean reclaimable,
         String status,
         long heldMicros) {
-    public static ListedMachine parse(Object value) throws WireException {
+    public static ListedMachine parse(Object value) throws MalformedMessageException {
         Fields f = Fields.of(value, "hosts");
         return new ListedMachine(
                 f.text("uid"),
--- a/src/main/java/org/woadloom/wire/MachineType.java
+++ b/src/main/java/org/woadloom/protocol/MachineType.java
@@ -1,4 +1,4 @@
-package org.woadloom.wire;
+package org.woadloom.protocol;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -18,7 +18,7 @@
         long readyMicros,
         List<String> yards) {
 
-    public static MachineType parse(Object value) throws WireException {
+    public static MachineType parse(Object value) throws MalformedMessageException {
         Fields f = Fields.of(value, "hosttypes");
         return new MachineType(
                 f.text("name"),
@@ -33,7 +33,8 @@
                 List.copyOf(f.texts("yards")));
     }
 
-    public static List<MachineType> parseAll(Map<String, Object> map) throws WireException {
+    public static List<MachineType> parseAll(Map<String, Object> map)
+            throws MalformedMessageException {
         List<MachineType> types = new ArrayList<>();
         for (Object item : new Fields(map).list("hosttypes")) {
             types.add(parse(item));
--- a/src/main/java/org/woadloom/wire/Rank.java
+++ b/src/main/java/org/woadloom/protocol/Priority.java
@@ -1,7 +1,7 @@
-package org.woadloom.wire;
+package org.woadloom.protocol;
 
 /** Priority of a job, lowest first so that {@link #compareTo} orders by importance. */
-public enum Rank {
+public enum Priority {
     LOW,
     STANDARD,
     HIGH,
@@ -11,12 +11,12 @@
         return name().toLowerCase(java.util.Locale.ROOT);
     }
 
-    static Rank parse(String text) throws WireException {
-        for (Rank rank : values()) {
+    static Priority parse(String text) throws MalformedMessageException {
+        for (Priority rank : values()) {
             if (rank.wireName().equals(text)) {
                 return rank;
             }
         }
-        throw new WireException("rank: expected critical, high, standard or low");
+        throw new MalformedMessageException("rank: expected critical, high, standard or low");
     }
 }
--- a/src/main/java/org/woadloom/wire/TaskId.java
+++ b/src/main/java/org/woadloom/protocol/TaskId.java
@@ -1,8 +1,8 @@
-package org.woadloom.wire;
+package org.woadloom.protocol;
 
 /** One task of a job, written {@code j-000412/3}. */
 public record TaskId(String uid, int index) {
-    public static TaskId parse(String text) throws WireException {
+    public static TaskId parse(String text) throws MalformedMessageException {
         int slash = text.indexOf('/');
         if (slash > 0) {
             try {
@@ -14,7 +14,7 @@
                 // falls through to the one error below
             }
         }
-        throw new WireException("shard: expected an id such as j-000412/3");
+        throw new MalformedMessageException("shard: expected an id such as j-000412/3");
     }
 
     @Override
--- a/src/main/java/org/woadloom/wire/TaskReport.java
+++ b/src/main/java/org/woadloom/protocol/TaskStatus.java
@@ -1,9 +1,9 @@
-package org.woadloom.wire;
+package org.woadloom.protocol;
 
 import java.io.IOException;
 
 /** What a worker says of one task. {@code cause} is null unless the task has exited. */
-public record TaskReport(TaskId task, long attempt, State state, Cause cause, boolean saved) {
+public record TaskStatus(TaskId task, long attempt, State state, ExitReason cause, boolean saved) {
     public enum State {
         FETCHING,
         GATHERING,
@@ -12,7 +12,7 @@
         EXITED
     }
 
-    public enum Cause {
+    public enum ExitReason {
         DONE,
         HALTED,
         ERROR,
@@ -25,11 +25,11 @@
         INCOMPLETE
     }
 
-    static TaskReport read(FieldReader fields) throws IOException, WireException {
+    static TaskStatus read(FieldReader fields) throws IOException, MalformedMessageException {
         TaskId task = null;
         Long attempt = null;
         State state = null;
-        Cause cause = Cause.ERROR;
+        ExitReason cause = ExitReason.ERROR;
         boolean saved = false;
         for (String name = fields.next(); name != null; name = fields.next()) {
             switch (name) {
@@ -42,7 +42,7 @@
             }
         }
         FieldReader.required("status", state, "text");
-        return new TaskReport(
+        return new TaskStatus(
                 FieldReader.required("shard", task, "text"),
                 FieldReader.required("try", attempt, "an integer"),
                 state,
@@ -62,21 +62,23 @@
         };
     }
 
-    private static Cause cause(String text) {
+    private static ExitReason cause(String text) {
         return switch (text) {
-            case "done" -> Cause.DONE;
-            case "halted" -> Cause.HALTED;
-            case "no_room" -> Cause.NO_ROOM;
-            case "busy" -> Cause.BUSY;
-            case "unknown" -> Cause.UNKNOWN;
-            case "peers" -> Cause.PEERS;
-            case "incomplete" -> Cause.INCOMPLETE;
-            default -> Cause.ERROR;
+            case "done" -> ExitReason.DONE;
+            case "halted" -> ExitReason.HALTED;
+            case "no_room" -> ExitReason.NO_ROOM;
+            case "busy" -> ExitReason.BUSY;
+            case "unknown" -> ExitReason.UNKNOWN;
+            case "peers" -> ExitReason.PEERS;
+            case "incomplete" -> ExitReason.INCOMPLETE;
+            default -> ExitReason.ERROR;
         };
     }
 
     /** True where the worker refused the launch: nothing of this attempt ever ran. */
     public boolean refused() {
-        return cause == Cause.NO_ROOM || cause == Cause.BUSY || cause == Cause.UNKNOWN;
+        return cause == ExitReason.NO_ROOM
+                || cause == ExitReason.BUSY
+                || cause == ExitReason.UNKNOWN;
     }
 }
--- a/src/main/java/org/woadloom/reads/SharedReads.java
+++ b/src/main/java/org/woadloom/reads/CoalescingJobReader.java
@@ -10,14 +10,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.woadloom.net.Loop;
+import org.woadloom.net.EventLoop;
+import org.woadloom.protocol.JobStatus;
 import org.woadloom.settings.ServiceSettings;
-import org.woadloom.state.Keys;
-import org.woadloom.state.StateClient;
-import org.woadloom.state.StateClient.Event;
-import org.woadloom.state.StateClient.Result;
-import org.woadloom.state.StateClient.Urgency;
-import org.woadloom.wire.JobStatus;
+import org.woadloom.store.StoreClient;
+import org.woadloom.store.StoreClient.Event;
+import org.woadloom.store.StoreClient.RequestPriority;
+import org.woadloom.store.StoreClient.Result;
+import org.woadloom.store.StoreKeys;
 
 /**
  * What users who poll are told. They share their reads: one request for all that has changed since
@@ -31,7 +31,7 @@
  * <p>Only jobs that were asked for lately are remembered. After a gap all of them are forgotten and
  * read again by key: then the changes that were missed may be many.
  */
-public final class SharedReads {
+public final class CoalescingJobReader {
     /** The part of the service's requests that the rounds of all nodes together may take. */
     private static final double PART = 0.1;
 
@@ -46,42 +46,42 @@
     private static final int MOST_REMEMBERED = 4_000;
 
     /** What a user is told of a job. The status is null for one that was never accepted. */
-    public record Shown(JobStatus status, List<String> awaits) {
-        public static Shown of(Looked looked) {
+    public record JobView(JobStatus status, List<String> awaits) {
+        public static JobView of(JobLookup looked) {
             boolean waits = looked.record() != null && !looked.record().cancelled();
-            return new Shown(
+            return new JobView(
                     looked.status(), waits ? looked.record().description().awaits() : List.of());
         }
     }
 
-    private record Question(long number, String uid, Consumer<Shown> answer) {}
+    private record Question(long number, String uid, Consumer<JobView> answer) {}
 
     /** A job as of the last round: read already, or as the store gave it. */
-    private static final class Remembered {
+    private static final class CachedJob {
         Map<String, Object> unread;
         long stamp;
-        Shown shown;
+        JobView shown;
 
-        Remembered(long stamp, Shown shown) {
+        CachedJob(long stamp, JobView shown) {
             this.stamp = stamp;
             this.shown = shown;
         }
     }
 
     /** A job that is being read by key, for the first question or several. */
-    private static final class Reading {
-        final List<Consumer<Shown>> waiting = new ArrayList<>();
+    private static final class PendingRead {
+        final List<Consumer<JobView>> waiting = new ArrayList<>();
 
         /** The latest change that rounds have told of since it began: the read may be older. */
         Event latest;
     }
 
-    private final Loop loop;
-    private final StateClient state;
+    private final EventLoop loop;
+    private final StoreClient state;
     private final JobReader reader;
     private final long pauseMicros;
     private final long gapMicros;
-    private final Cache<String, Remembered> remembered =
+    private final Cache<String, CachedJob> remembered =
             Caffeine.newBuilder().maximumSize(MOST_REMEMBERED).executor(Runnable::run).build();
 
     /**
@@ -90,7 +90,7 @@
     private final Cache<String, Long> over =
             Caffeine.newBuilder().maximumSize(MOST_REMEMBERED).executor(Runnable::run).build();
 
-    private Map<String, Reading> reading = new HashMap<>();
+    private Map<String, PendingRead> reading = new HashMap<>();
 
     /** What was asked and is not answered, the first first. */
     private final ArrayDeque<Question> asked = new ArrayDeque<>();
@@ -102,7 +102,7 @@
 
     private long lastRoundMicros = Long.MIN_VALUE / 2;
     private int underWay;
-    private Loop.Timer timer;
+    private EventLoop.Timer timer;
     private long nextLookMicros;
 
     /**
@@ -120,9 +120,9 @@
      * @param limits what the state service takes from all nodes
      * @param nodes how many nodes there are
      */
-    public SharedReads(
-            Loop loop,
-            StateClient state,
+    public CoalescingJobReader(
+            EventLoop loop,
+            StoreClient state,
             JobReader reader,
             ServiceSettings.State limits,
             int nodes) {
@@ -134,10 +134,10 @@
     }
 
     /** Asks for a job; the answer is null if the store does not say. */
-    public void ask(String uid, Consumer<Shown> answer) {
-        Looked known = reader.known(uid);
+    public void ask(String uid, Consumer<JobView> answer) {
+        JobLookup known = reader.known(uid);
         if (known != null) {
-            answer.accept(Shown.of(known));
+            answer.accept(JobView.of(known));
             return;
         }
         asked.add(new Question(++lastAsked, uid, answer));
@@ -196,8 +196,8 @@
      */
     private void ifServed(long upTo, Runnable served, Runnable refused) {
         state.get(
-                Urgency.USER,
-                Keys.NOTHING,
+                RequestPriority.USER,
+                StoreKeys.NOTHING,
                 (result, entry, generation) -> {
                     if (result == Result.UNAVAILABLE) {
                         refused.run();
@@ -216,8 +216,8 @@
         }
         long ofEra = era;
         state.changes(
-                Urgency.USER,
-                Keys.JOBS,
+                RequestPriority.USER,
+                StoreKeys.JOBS,
                 since,
                 (result, events, generation) -> {
                     underWay--;
@@ -265,8 +265,8 @@
         long ofEra = era;
         // The answer for a key that is not there names the generation.
         state.get(
-                Urgency.USER,
-                Keys.NOTHING,
+                RequestPriority.USER,
+                StoreKeys.NOTHING,
                 (result, entry, generation) -> {
                     underWay--;
                     if (ofEra != era || since >= 0) {
@@ -299,16 +299,16 @@
      *     as a read by key
      */
     private void changed(Event event, Set<String> askedFor) {
-        String uid = event.path().substring(Keys.JOBS.length());
+        String uid = event.path().substring(StoreKeys.JOBS.length());
         if (event.value() == null) {
             over.put(uid, event.stamp());
         }
-        Remembered job = remembered.getIfPresent(uid);
+        CachedJob job = remembered.getIfPresent(uid);
         if (job == null
                 && event.value() != null
                 && askedFor.contains(uid)
                 && !reading.containsKey(uid)) {
-            job = new Remembered(0, null);
+            job = new CachedJob(0, null);
             remembered.put(uid, job);
         }
         if (job != null && event.stamp() > job.stamp) {
@@ -320,7 +320,7 @@
                 job.stamp = event.stamp();
             }
         }
-        Reading read = reading.get(uid);
+        PendingRead read = reading.get(uid);
         if (read != null && (read.latest == null || event.stamp() > read.latest.stamp())) {
             read.latest = event;
         }
@@ -328,40 +328,40 @@
 
     private void answer(Question question) {
         // Its final state may have been read for another request since the question came.
-        Looked known = reader.known(question.uid);
-        Shown shown = known != null ? Shown.of(known) : remembered(question.uid);
+        JobLookup known = reader.known(question.uid);
+        JobView shown = known != null ? JobView.of(known) : remembered(question.uid);
         if (shown != null) {
             question.answer.accept(shown);
             return;
         }
-        Reading read = reading.get(question.uid);
+        PendingRead read = reading.get(question.uid);
         if (read != null) {
             // One that is under way is as good: the rounds tell what has changed since it began.
             read.waiting.add(question.answer);
             return;
         }
-        read = new Reading();
+        read = new PendingRead();
         reading.put(question.uid, read);
         read.waiting.add(question.answer);
         read(question.uid, read);
     }
 
-    private Shown remembered(String uid) {
-        Remembered job = remembered.getIfPresent(uid);
+    private JobView remembered(String uid) {
+        CachedJob job = remembered.getIfPresent(uid);
         if (job != null && job.unread != null) {
-            Looked looked = reader.parse(uid, job.unread, job.stamp);
+            JobLookup looked = reader.parse(uid, job.unread, job.stamp);
             job.unread = null;
-            job.shown = looked == null ? null : Shown.of(looked);
+            job.shown = looked == null ? null : JobView.of(looked);
         }
         return job == null ? null : job.shown;
     }
 
-    private void read(String uid, Reading read) {
+    private void read(String uid, PendingRead read) {
         reader.look(
                 uid,
                 over.getIfPresent(uid) != null,
                 looked -> {
-                    Looked latest = looked;
+                    JobLookup latest = looked;
                     if (looked != null
                             && looked.finalState() == null
                             && read.latest != null
@@ -373,9 +373,9 @@
                         }
                         latest = reader.parse(uid, read.latest.value(), read.latest.stamp());
                     }
-                    Shown shown = latest == null ? null : Shown.of(latest);
+                    JobView shown = latest == null ? null : JobView.of(latest);
                     if (reading.remove(uid, read) && latest != null && latest.record() != null) {
-                        remembered.put(uid, new Remembered(latest.stamp(), shown));
+                        remembered.put(uid, new CachedJob(latest.stamp(), shown));
                     }
                     read.waiting.forEach(answer -> answer.accept(shown));
                 });
--- a/src/main/java/org/woadloom/reads/Looked.java
+++ b/src/main/java/org/woadloom/reads/JobLookup.java
@@ -1,30 +1,30 @@
 package org.woadloom.reads;
 
 import java.util.Map;
-import org.woadloom.state.FinalRecord;
-import org.woadloom.state.JobRecord;
-import org.woadloom.state.RecordFormat;
-import org.woadloom.wire.JobStatus;
+import org.woadloom.protocol.JobStatus;
+import org.woadloom.store.FinalRecord;
+import org.woadloom.store.JobRecord;
+import org.woadloom.store.RecordFormat;
 
 /**
  * What the store says of a job: one of the records, or neither where it is unknown.
  *
  * @param unread what is told of a record that is there and can't be read; null otherwise
  */
-public record Looked(
+public record JobLookup(
         JobRecord record,
         RecordFormat format,
         long stamp,
         FinalRecord finalState,
         JobStatus unread) {
-    static final Looked UNKNOWN = new Looked(null, null, 0, null, null);
+    static final JobLookup UNKNOWN = new JobLookup(null, null, 0, null, null);
 
-    static Looked of(JobRecord record, RecordFormat format, long stamp) {
-        return new Looked(record, format, stamp, null, null);
+    static JobLookup of(JobRecord record, RecordFormat format, long stamp) {
+        return new JobLookup(record, format, stamp, null, null);
     }
 
-    static Looked over(FinalRecord finalState) {
-        return new Looked(null, null, 0, finalState, null);
+    static JobLookup over(FinalRecord finalState) {
+        return new JobLookup(null, null, 0, finalState, null);
     }
 
     /**
@@ -32,9 +32,9 @@
      * that it was cancelled is said by a field of its own. More is not known, and it is neither
      * forgotten nor over.
      */
-    static Looked unreadable(String uid, Map<String, Object> value, long stamp) {
+    static JobLookup unreadable(String uid, Map<String, Object> value, long stamp) {
         boolean cancelled = value != null && Boolean.TRUE.equals(value.get("cancelled"));
-        return new Looked(
+        return new JobLookup(
                 null,
                 null,
                 stamp,
--- a/src/main/java/org/woadloom/reads/JobReader.java
+++ b/src/main/java/org/woadloom/reads/JobReader.java
@@ -6,14 +6,14 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.woadloom.state.FinalRecord;
-import org.woadloom.state.JobRecord;
-import org.woadloom.state.Keys;
-import org.woadloom.state.RecordFormat;
-import org.woadloom.state.StateClient;
-import org.woadloom.state.StateClient.Result;
-import org.woadloom.state.StateClient.Urgency;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.MalformedMessageException;
+import org.woadloom.store.FinalRecord;
+import org.woadloom.store.JobRecord;
+import org.woadloom.store.RecordFormat;
+import org.woadloom.store.StoreClient;
+import org.woadloom.store.StoreClient.RequestPriority;
+import org.woadloom.store.StoreClient.Result;
+import org.woadloom.store.StoreKeys;
 
 /**
  * Reads one job by its keys. Only what never changes is kept: final states, and that a job was
@@ -23,7 +23,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(JobReader.class);
     private static final int MOST_KEPT = 20_000;
 
-    private final StateClient state;
+    private final StoreClient state;
     private final Consumer<RecordFormat> formatSeen;
     private final Cache<String, FinalRecord> finals =
             Caffeine.newBuilder().maximumSize(MOST_KEPT).executor(Runnable::run).build();
@@ -35,7 +35,7 @@
     /**
      * @param formatSeen hears in which format a record is
      */
-    public JobReader(StateClient state, Consumer<RecordFormat> formatSeen) {
+    public JobReader(StoreClient state, Consumer<RecordFormat> formatSeen) {
         this.state = state;
         this.formatSeen = formatSeen;
     }
@@ -50,26 +50,26 @@
     }
 
     /** The job's final state if it was ever read here, or null. */
-    public Looked known(String uid) {
+    public JobLookup known(String uid) {
         FinalRecord known = finals.getIfPresent(uid);
-        return known == null ? null : Looked.over(known);
+        return known == null ? null : JobLookup.over(known);
     }
 
     /**
      * Reads a job from the store, unless its final state is known; null if the store does not say.
      */
-    public void look(String uid, Consumer<Looked> consumer) {
-        look(Urgency.NORMAL, uid, consumer);
+    public void look(String uid, Consumer<JobLookup> consumer) {
+        look(RequestPriority.NORMAL, uid, consumer);
     }
 
     /** The same; of a job that is known to be over the final state is read at once. */
-    void look(String uid, boolean over, Consumer<Looked> consumer) {
+    void look(String uid, boolean over, Consumer<JobLookup> consumer) {
         if (over && known(uid) == null) {
             lookForFinal(
-                    Urgency.NORMAL,
+                    RequestPriority.NORMAL,
                     uid,
                     looked -> {
-                        if (looked == Looked.UNKNOWN) {
+                        if (looked == JobLookup.UNKNOWN) {
                             look(uid, consumer);
                         } else {
                             consumer.accept(looked);
@@ -81,15 +81,15 @@
     }
 
     /** The same, before or after what else this node asks of the store. */
-    public void look(Urgency urgency, String uid, Consumer<Looked> consumer) {
-        Looked known = known(uid);
+    public void look(RequestPriority urgency, String uid, Consumer<JobLookup> consumer) {
+        JobLookup known = known(uid);
         if (known != null) {
             consumer.accept(known);
             return;
         }
         state.get(
                 urgency,
-                Keys.job(uid),
+                StoreKeys.job(uid),
                 (result, entry, generation) -> {
                     if (result == Result.NOT_FOUND) {
                         lookForFinal(urgency, uid, consumer);
@@ -106,10 +106,10 @@
      * Reads a job's record alone; null if the store does not say or there is none, which does not
      * say that there is no job.
      */
-    public void lookForRecord(Urgency urgency, String uid, Consumer<Looked> consumer) {
+    public void lookForRecord(RequestPriority urgency, String uid, Consumer<JobLookup> consumer) {
         state.get(
                 urgency,
-                Keys.job(uid),
+                StoreKeys.job(uid),
                 (result, entry, generation) ->
                         consumer.accept(
                                 result == Result.OK
@@ -121,21 +121,21 @@
      * A job moves from its record to its final state in one transaction, so this order of reading
      * can't miss it.
      */
-    private void lookForFinal(Urgency urgency, String uid, Consumer<Looked> consumer) {
+    private void lookForFinal(RequestPriority urgency, String uid, Consumer<JobLookup> consumer) {
         state.get(
                 urgency,
-                Keys.finalState(uid),
+                StoreKeys.finalState(uid),
                 (result, entry, generation) -> {
-                    Looked looked = null;
+                    JobLookup looked = null;
                     if (result == Result.NOT_FOUND) {
-                        looked = Looked.UNKNOWN;
+                        looked = JobLookup.UNKNOWN;
                     } else if (result == Result.OK) {
                         try {
                             FinalRecord record = FinalRecord.parse(uid, entry.value());
                             finals.put(uid, record);
                             accepted.put(uid, record.service());
-                            looked = Looked.over(record);
-                        } catch (WireException e) {
+                            looked = JobLookup.over(record);
+                        } catch (MalformedMessageException e) {
                             // What can't be read says nothing.
                         }
                     }
@@ -144,16 +144,19 @@
     }
 
     /** What a job's record says; null for one of a later version. */
-    Looked parse(String uid, Map<String, Object> value, long stamp) {
+    JobLookup parse(String uid, Map<String, Object> value, long stamp) {
         try {
             RecordFormat format = JobRecord.formatOf(value);
             formatSeen.accept(format);
             JobRecord record = JobRecord.parse(value);
             accepted.put(uid, record.description().service());
-            return Looked.of(record, format, stamp);
-        } catch (WireException e) {
-            LOG.error("event=record_unreadable key={} error=\"{}\"", Keys.job(uid), e.getMessage());
-            return JobRecord.ofLaterVersion(value) ? null : Looked.unreadable(uid, value, stamp);
+            return JobLookup.of(record, format, stamp);
+        } catch (MalformedMessageException e) {
+            LOG.error(
+                    "event=record_unreadable key={} error=\"{}\"",
+                    StoreKeys.job(uid),
+                    e.getMessage());
+            return JobRecord.ofLaterVersion(value) ? null : JobLookup.unreadable(uid, value, stamp);
         }
     }
 }
--- a/src/main/java/org/woadloom/reads/Unanswered.java
+++ b/src/main/java/org/woadloom/reads/UnansweredQueries.java
@@ -5,15 +5,15 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import org.woadloom.net.Loop;
+import org.woadloom.net.EventLoop;
 
 /**
  * For how long each job has been asked about here in vain while the store was well. Whatever picks
  * out one job again and again, a job that nobody can be told about is as good as forgotten: its
  * users go before everybody else's after a while, and the log and a meter name it.
  */
-public final class Unanswered {
-    private static final Logger LOG = LoggerFactory.getLogger(Unanswered.class);
+public final class UnansweredQueries {
+    private static final Logger LOG = LoggerFactory.getLogger(UnansweredQueries.class);
 
     /** A job that went without an answer for so long is read by itself. */
     private static final long FIRST_MICROS = 10_000_000;
@@ -25,11 +25,11 @@
 
     private static final int MOST_KEPT = 10_000;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final Cache<String, Long> since;
     private long toldMicros = Long.MIN_VALUE / 2;
 
-    public Unanswered(Loop loop) {
+    public UnansweredQueries(EventLoop loop) {
         this.loop = loop;
         since =
                 Caffeine.newBuilder()
--- a/src/main/java/org/woadloom/settings/Sanity.java
+++ b/src/main/java/org/woadloom/settings/SettingsValidator.java
@@ -9,8 +9,8 @@
  * Settings that can be read and can't work together. Each problem names the fields and their
  * values.
  */
-public final class Sanity {
-    private Sanity() {}
+public final class SettingsValidator {
+    private SettingsValidator() {}
 
     public static List<String> problems(ServiceSettings settings) {
         List<String> problems = new ArrayList<>();
--- a/src/main/java/org/woadloom/state/FinalRecord.java
+++ b/src/main/java/org/woadloom/store/FinalRecord.java
@@ -1,10 +1,10 @@
-package org.woadloom.state;
+package org.woadloom.store;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.woadloom.wire.Fields;
-import org.woadloom.wire.JobStatus;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.Fields;
+import org.woadloom.protocol.JobStatus;
+import org.woadloom.protocol.MalformedMessageException;
 
 /**
  * What is kept of a job for ever once it is over and none of its tasks can be on a machine. Version
@@ -29,7 +29,8 @@
         return map;
     }
 
-    public static FinalRecord parse(String uid, Map<String, Object> map) throws WireException {
+    public static FinalRecord parse(String uid, Map<String, Object> map)
+            throws MalformedMessageException {
         Fields f = new Fields(map);
         return new FinalRecord(
                 uid,
--- a/src/main/java/org/woadloom/state/InFlight.java
+++ b/src/main/java/org/woadloom/store/InFlightRequests.java
@@ -1,11 +1,11 @@
-package org.woadloom.state;
+package org.woadloom.store;
 
 import java.util.ArrayDeque;
 
 /**
  * The requests that have been sent and have no answer yet, in the order in which they were sent.
  */
-final class InFlight {
+final class InFlightRequests {
     /**
      * A request that was sent so long ago, and that later ones have overtaken, is not waited for.
      */
--- a/src/main/java/org/woadloom/state/JobRecord.java
+++ b/src/main/java/org/woadloom/store/JobRecord.java
@@ -1,14 +1,14 @@
-package org.woadloom.state;
+package org.woadloom.store;
 
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.woadloom.wire.Fields;
-import org.woadloom.wire.JobDescription;
-import org.woadloom.wire.JobStatus;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.Fields;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.JobStatus;
+import org.woadloom.protocol.MalformedMessageException;
 
 /**
  * The one durable record of a job that is not over, or that still may have tasks on machines.
@@ -23,7 +23,7 @@
         long readyWallMicros,
         boolean cancelled,
         BitSet done,
-        List<Placed> placed,
+        List<RecordedAttempt> placed,
         int running,
         long term,
         long version) {
@@ -32,7 +32,7 @@
     private static final int FORMAT = 2;
 
     /** Tasks that may be on a machine under one attempt. */
-    public record Placed(String host, long attempt, BitSet tasks) {}
+    public record RecordedAttempt(String host, long attempt, BitSet tasks) {}
 
     public static JobRecord accepted(JobDescription description, long wallMicros) {
         return new JobRecord(description, wallMicros, 0, false, new BitSet(), List.of(), 0, 0, 0);
@@ -85,7 +85,7 @@
         if (cancelled) {
             map.put("cancelled", true);
         }
-        map.put("progress", Progress.encode(done, placed));
+        map.put("progress", TaskProgressCodec.encode(done, placed));
         map.put("running", (long) running);
         map.put("term", term);
         map.put("version", version);
@@ -104,13 +104,13 @@
         if (cancelled) {
             map.put("cancelled", true);
         }
-        map.put("done", Ranges.encode(done));
+        map.put("done", TaskRanges.encode(done));
         List<Object> where = new ArrayList<>();
-        for (Placed p : placed) {
+        for (RecordedAttempt p : placed) {
             List<Object> item = new ArrayList<>();
             item.add(p.host());
             item.add(p.attempt());
-            item.add(Ranges.encode(p.tasks()));
+            item.add(TaskRanges.encode(p.tasks()));
             where.add(item);
         }
         map.put("placed", where);
@@ -144,13 +144,13 @@
     }
 
     @SuppressWarnings("unchecked")
-    public static JobRecord parse(Map<String, Object> map) throws WireException {
+    public static JobRecord parse(Map<String, Object> map) throws MalformedMessageException {
         Fields f = new Fields(map);
         if (!(map.get("job") instanceof Map<?, ?> job)) {
-            throw new WireException("job: expected a map");
+            throw new MalformedMessageException("job: expected a map");
         }
         JobDescription description = JobDescription.parse((Map<String, Object>) job);
-        Progress.Decoded progress =
+        TaskProgressCodec.Decoded progress =
                 formatOf(map) == RecordFormat.COMPACT
                         ? compact(f, description)
                         : plain(f, description);
@@ -166,27 +166,30 @@
                 f.integerOr("version", 0));
     }
 
-    private static Progress.Decoded compact(Fields f, JobDescription description)
-            throws WireException {
+    private static TaskProgressCodec.Decoded compact(Fields f, JobDescription description)
+            throws MalformedMessageException {
         if (f.integer("format") != FORMAT) {
-            throw new WireException("format: a later version's");
+            throw new MalformedMessageException("format: a later version's");
         }
-        return Progress.decode(f.text("progress"), description.shards());
+        return TaskProgressCodec.decode(f.text("progress"), description.shards());
     }
 
-    private static Progress.Decoded plain(Fields f, JobDescription description)
-            throws WireException {
-        List<Placed> placed = new ArrayList<>();
+    private static TaskProgressCodec.Decoded plain(Fields f, JobDescription description)
+            throws MalformedMessageException {
+        List<RecordedAttempt> placed = new ArrayList<>();
         for (Object item : f.list("placed")) {
             if (!(item instanceof List<?> parts)
                     || parts.size() != 3
                     || !(parts.get(0) instanceof String host)
                     || !(parts.get(1) instanceof Long attempt)
                     || !(parts.get(2) instanceof List<?> tasks)) {
-                throw new WireException("placed: expected host, attempt and tasks");
+                throw new MalformedMessageException("placed: expected host, attempt and tasks");
             }
-            placed.add(new Placed(host, attempt, Ranges.decode(tasks, description.shards())));
+            placed.add(
+                    new RecordedAttempt(
+                            host, attempt, TaskRanges.decode(tasks, description.shards())));
         }
-        return new Progress.Decoded(Ranges.decode(f.list("done"), description.shards()), placed);
+        return new TaskProgressCodec.Decoded(
+                TaskRanges.decode(f.list("done"), description.shards()), placed);
     }
 }
--- a/src/main/java/org/woadloom/state/MachineRecord.java
+++ b/src/main/java/org/woadloom/store/MachineRecord.java
@@ -1,9 +1,9 @@
-package org.woadloom.state;
+package org.woadloom.store;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
-import org.woadloom.wire.Fields;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.Fields;
+import org.woadloom.protocol.MalformedMessageException;
 
 /**
  * What a new leader must know of a machine before it has heard from it. {@code leaving} is written
@@ -17,11 +17,11 @@
         String yard,
         boolean reclaimable,
         boolean leaving,
-        Life life) {
+        Lifecycle life) {
     private static final String RENTED = "at";
 
     /** When the machine was rented, by the time of day, and whether its worker was ever heard. */
-    public record Life(long rentedWallMicros, boolean up) {}
+    public record Lifecycle(long rentedWallMicros, boolean up) {}
 
     /** A machine of whose life nothing is known. */
     public MachineRecord(
@@ -51,7 +51,8 @@
         return map;
     }
 
-    public static MachineRecord parse(String host, Map<String, Object> map) throws WireException {
+    public static MachineRecord parse(String host, Map<String, Object> map)
+            throws MalformedMessageException {
         Fields f = new Fields(map);
         return new MachineRecord(
                 host,
@@ -59,6 +60,6 @@
                 f.text("yard"),
                 f.flag("reclaimable"),
                 f.flagOr("leaving", false),
-                tellsLife(map) ? new Life(f.integer(RENTED), f.flagOr("up", false)) : null);
+                tellsLife(map) ? new Lifecycle(f.integer(RENTED), f.flagOr("up", false)) : null);
     }
 }
--- a/src/main/java/org/woadloom/state/NodeWord.java
+++ b/src/main/java/org/woadloom/store/NodeAnnouncement.java
@@ -1,12 +1,12 @@
-package org.woadloom.state;
+package org.woadloom.store;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import org.woadloom.wire.Fields;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.Fields;
+import org.woadloom.protocol.MalformedMessageException;
 
 /**
  * What a running process says of itself. It hangs on a grant that the process renews, so the word
@@ -19,7 +19,7 @@
  * @param starts how many processes of this node began in a row, each within a minute of the one
  *     before
  */
-public record NodeWord(
+public record NodeAnnouncement(
         long life,
         Set<String> reads,
         Set<String> can,
@@ -27,7 +27,7 @@
         int starts,
         long sinceWallMicros) {
 
-    public NodeWord {
+    public NodeAnnouncement {
         reads = new TreeSet<>(reads);
         can = new TreeSet<>(can);
         members = new TreeSet<>(members);
@@ -44,9 +44,9 @@
         return map;
     }
 
-    public static NodeWord parse(Map<String, Object> map) throws WireException {
+    public static NodeAnnouncement parse(Map<String, Object> map) throws MalformedMessageException {
         Fields f = new Fields(map);
-        return new NodeWord(
+        return new NodeAnnouncement(
                 f.integer("life"),
                 Set.copyOf(f.texts("reads")),
                 Set.copyOf(f.texts("can")),
--- a/src/main/java/org/woadloom/state/RecordFormat.java
+++ b/src/main/java/org/woadloom/store/RecordFormat.java
@@ -1,4 +1,4 @@
-package org.woadloom.state;
+package org.woadloom.store;
 
 /**
  * How records are stored: what version 1 can read, until every node is known to run a later one.
--- a/src/main/java/org/woadloom/state/RolloutRecord.java
+++ b/src/main/java/org/woadloom/store/RolloutRecord.java
@@ -1,4 +1,4 @@
-package org.woadloom.state;
+package org.woadloom.store;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -8,8 +8,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.woadloom.wire.Fields;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.Fields;
+import org.woadloom.protocol.MalformedMessageException;
 
 /**
  * How far each feature has been rolled out: the one record that says what may be written and acted
@@ -110,20 +110,20 @@
     }
 
     /** What a stored record requires, whatever else it holds. */
-    public static Set<String> requiredBy(Map<String, Object> map) throws WireException {
+    public static Set<String> requiredBy(Map<String, Object> map) throws MalformedMessageException {
         return new TreeSet<>(new Fields(map).texts(REQUIRES));
     }
 
     /** A stored record's number, whatever else it holds. */
-    public static long numberOf(Map<String, Object> map) throws WireException {
+    public static long numberOf(Map<String, Object> map) throws MalformedMessageException {
         return new Fields(map).integer(NUMBER);
     }
 
-    public static RolloutRecord parse(Map<String, Object> map) throws WireException {
+    public static RolloutRecord parse(Map<String, Object> map) throws MalformedMessageException {
         Fields f = new Fields(map);
         Map<String, Standing> features = new TreeMap<>();
         if (!(f.raw("features") instanceof Map<?, ?> all)) {
-            throw new WireException("features: expected a map");
+            throw new MalformedMessageException("features: expected a map");
         }
         for (Map.Entry<?, ?> entry : new ArrayList<>(all.entrySet())) {
             Fields standing = Fields.of(entry.getValue(), (String) entry.getKey());
@@ -139,12 +139,12 @@
         return new RolloutRecord(f.integer(NUMBER), features);
     }
 
-    private static Step step(String text) throws WireException {
+    private static Step step(String text) throws MalformedMessageException {
         for (Step step : Step.values()) {
             if (step.text().equals(text)) {
                 return step;
             }
         }
-        throw new WireException("step: " + text + " is a later version's");
+        throw new MalformedMessageException("step: " + text + " is a later version's");
     }
 }
--- a/src/main/java/org/woadloom/state/RolloutRequest.java
+++ b/src/main/java/org/woadloom/store/RolloutRequest.java
@@ -1,10 +1,10 @@
-package org.woadloom.state;
+package org.woadloom.store;
 
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
-import org.woadloom.wire.Fields;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.Fields;
+import org.woadloom.protocol.MalformedMessageException;
 
 /** What an operator asks for a feature. It stands until another takes its place. */
 public record RolloutRequest(Verb verb, String by, long wallMicros) {
@@ -49,7 +49,7 @@
     /**
      * A verb of a later version holds the feature where it is, as it is not known what it would do.
      */
-    public static RolloutRequest parse(Map<String, Object> map) throws WireException {
+    public static RolloutRequest parse(Map<String, Object> map) throws MalformedMessageException {
         Fields f = new Fields(map);
         Verb verb = Verb.of(f.text("verb"));
         return new RolloutRequest(
--- a/src/main/java/org/woadloom/state/StateClient.java
+++ b/src/main/java/org/woadloom/store/StoreClient.java
@@ -1,4 +1,4 @@
-package org.woadloom.state;
+package org.woadloom.store;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
+import org.woadloom.net.EventLoop;
 import org.woadloom.net.HttpTransport;
-import org.woadloom.net.Loop;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.Fields;
+import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.settings.ServiceSettings;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.Fields;
-import org.woadloom.wire.WireException;
 
 /**
  * The state service's protocol. Requests wait in queues by urgency, under budgets that stay below
@@ -23,9 +23,9 @@
  * <p>Single answers get lost while the service goes on serving. A request that later ones have
  * overtaken holds up nobody, and says nothing about the service.
  */
-public final class StateClient {
+public final class StoreClient {
     /** Requests of a lower urgency wait while one of a higher is queued. */
-    public enum Urgency {
+    public enum RequestPriority {
         USER,
         URGENT,
         NORMAL,
@@ -76,7 +76,7 @@
     public record Event(String path, Map<String, Object> value, long stamp) {}
 
     /** Hears whether the service can be reached. */
-    public interface Health {
+    public interface HealthListener {
         /**
          * @param served false for 503 or no answer
          */
@@ -95,12 +95,12 @@
         void done(Result result, long generation, List<String> failed);
     }
 
-    public interface FollowCallback {
+    public interface WatchCallback {
         /** {@code NOT_FOUND} says that {@code since} is too old. */
         void events(Result result, List<Event> events, long generation);
     }
 
-    public interface GrantCallback {
+    public interface LeaseCallback {
         void granted(Result result, long grant);
     }
 
@@ -123,18 +123,20 @@
     private static final double LEADER_REQUESTS = 0.5;
     private static final double OTHERS_REQUESTS = 0.6;
 
-    private final Loop loop;
+    private final EventLoop loop;
     private final HttpTransport transport;
     private final Random random;
     private final String address;
-    private final Limits limits;
+    private final StoreLimits limits;
     private boolean leads;
     private final int others;
-    private final Budget requests;
-    private final Budget writes;
-    private final EnumMap<Urgency, ArrayDeque<Pending>> reads = new EnumMap<>(Urgency.class);
-    private final EnumMap<Urgency, ArrayDeque<Pending>> changes = new EnumMap<>(Urgency.class);
-    private final InFlight inFlight = new InFlight();
+    private final TokenBucket requests;
+    private final TokenBucket writes;
+    private final EnumMap<RequestPriority, ArrayDeque<Pending>> reads =
+            new EnumMap<>(RequestPriority.class);
+    private final EnumMap<RequestPriority, ArrayDeque<Pending>> changes =
+            new EnumMap<>(RequestPriority.class);
+    private final InFlightRequests inFlight = new InFlightRequests();
     private long heldUntilMicros;
 
     /** When it looks again by itself, {@link Long#MAX_VALUE} for never. */
@@ -142,7 +144,7 @@
 
     private long troubles;
     private boolean refuses;
-    private final Health health;
+    private final HealthListener health;
 
     /**
      * @param overdue is run when there is no answer after a while; null for most requests
@@ -166,13 +168,13 @@
         }
     }
 
-    public StateClient(
-            Loop loop,
+    public StoreClient(
+            EventLoop loop,
             HttpTransport transport,
             ServiceSettings settings,
-            Limits limits,
+            StoreLimits limits,
             Random random,
-            Health health) {
+            HealthListener health) {
         this.loop = loop;
         this.transport = transport;
         this.random = random;
@@ -180,10 +182,10 @@
         this.address = settings.stateAddress();
         this.limits = limits;
         this.others = Math.max(1, settings.peers().size());
-        this.requests = new Budget(1);
-        this.writes = new Budget(1);
+        this.requests = new TokenBucket(1);
+        this.writes = new TokenBucket(1);
         lead(false);
-        for (Urgency urgency : Urgency.values()) {
+        for (RequestPriority urgency : RequestPriority.values()) {
             reads.put(urgency, new ArrayDeque<>());
             changes.put(urgency, new ArrayDeque<>());
         }
@@ -223,7 +225,7 @@
         return refuses;
     }
 
-    public void get(Urgency urgency, String key, EntryCallback callback) {
+    public void get(RequestPriority urgency, String key, EntryCallback callback) {
         submit(
                 urgency,
                 new Pending(
@@ -254,12 +256,12 @@
     }
 
     /** Reads all keys with the prefix, page by page; the generation is that of the first page. */
-    public void list(Urgency urgency, String prefix, ListCallback callback) {
+    public void list(RequestPriority urgency, String prefix, ListCallback callback) {
         listPage(urgency, prefix, null, new ArrayList<>(), -1, callback);
     }
 
     private void listPage(
-            Urgency urgency,
+            RequestPriority urgency,
             String prefix,
             String since,
             List<Entry> found,
@@ -310,7 +312,7 @@
     }
 
     public void txn(
-            Urgency urgency,
+            RequestPriority urgency,
             List<Condition> conditions,
             List<Change> changes,
             TxnCallback callback) {
@@ -324,7 +326,7 @@
      * still.
      */
     public void txn(
-            Urgency urgency,
+            RequestPriority urgency,
             List<Condition> conditions,
             List<Change> changes,
             String proof,
@@ -335,7 +337,7 @@
     }
 
     private void txn(
-            Urgency urgency,
+            RequestPriority urgency,
             List<Condition> conditions,
             List<Change> changes,
             TxnCallback callback,
@@ -388,11 +390,11 @@
                         overdue));
     }
 
-    public void grant(long lifeMicros, GrantCallback callback) {
+    public void grant(long lifeMicros, LeaseCallback callback) {
         Map<String, Object> request = new LinkedHashMap<>();
         request.put("lifeMs", lifeMicros / 1000);
         submit(
-                Urgency.URGENT,
+                RequestPriority.URGENT,
                 new Pending(
                         "POST",
                         "/grants",
@@ -413,9 +415,9 @@
                         }));
     }
 
-    public void renew(long grant, GrantCallback callback) {
+    public void renew(long grant, LeaseCallback callback) {
         submit(
-                Urgency.URGENT,
+                RequestPriority.URGENT,
                 new Pending(
                         "POST",
                         "/grants/" + grant + "/renew",
@@ -431,7 +433,7 @@
      * Waits for changes under the prefix after the given generation. Open watches bypass the
      * queue's concurrency.
      */
-    public void follow(String prefix, long since, long blockMicros, FollowCallback callback) {
+    public void follow(String prefix, long since, long blockMicros, WatchCallback callback) {
         String path =
                 "/follow?prefix=" + prefix + "&since=" + since + "&blockMs=" + blockMicros / 1000;
         transport.request(
@@ -449,7 +451,8 @@
     /**
      * Reads what has changed under the prefix after the given generation, without waiting for more.
      */
-    public void changes(Urgency urgency, String prefix, long since, FollowCallback callback) {
+    public void changes(
+            RequestPriority urgency, String prefix, long since, WatchCallback callback) {
         String path = "/follow?prefix=" + prefix + "&since=" + since + "&blockMs=0";
         submit(
                 urgency,
@@ -462,7 +465,7 @@
                         (status, body) -> followed(status, body, since, callback)));
     }
 
-    private static void followed(int status, byte[] body, long since, FollowCallback callback) {
+    private static void followed(int status, byte[] body, long since, WatchCallback callback) {
         if (status == 200) {
             parsed(
                     body,
@@ -492,7 +495,7 @@
         };
     }
 
-    private void submit(Urgency urgency, Pending pending) {
+    private void submit(RequestPriority urgency, Pending pending) {
         ArrayDeque<Pending> queue = (pending.writeCount > 0 ? changes : reads).get(urgency);
         if (queue.size() >= MAX_QUEUED) {
             loop.execute(() -> pending.callback.answered(HttpTransport.NOT_SENT, new byte[0]));
@@ -524,9 +527,9 @@
         long request = requests.waitMicros(now, 1);
         long wait = Long.MAX_VALUE;
         boolean changeWaits = false;
-        for (Urgency urgency : Urgency.values()) {
+        for (RequestPriority urgency : RequestPriority.values()) {
             long held =
-                    urgency.compareTo(Urgency.URGENT) > 0
+                    urgency.compareTo(RequestPriority.URGENT) > 0
                             ? Math.max(request, heldUntilMicros - now)
                             : request;
             Pending change = changeWaits ? null : changes.get(urgency).peekFirst();
@@ -567,7 +570,7 @@
     }
 
     private void send(Pending pending) {
-        InFlight.Sent sent = inFlight.send(loop.nowMicros());
+        InFlightRequests.Sent sent = inFlight.send(loop.nowMicros());
         if (pending.overdue != null) {
             loop.schedule(
                     OVERDUE_MICROS,
@@ -611,41 +614,41 @@
     }
 
     private interface Reader {
-        void read(Map<String, Object> map) throws WireException;
+        void read(Map<String, Object> map) throws MalformedMessageException;
     }
 
     private static void parsed(byte[] body, Reader reader, Runnable unreadable) {
         Map<String, Object> map;
         try {
             map = Cbor.decodeMap(body);
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             unreadable.run();
             return;
         }
         try {
             reader.read(map);
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             unreadable.run();
         }
     }
 
     @SuppressWarnings("unchecked")
-    private static Map<String, Object> itemMap(Object item) throws WireException {
+    private static Map<String, Object> itemMap(Object item) throws MalformedMessageException {
         if (item instanceof Map<?, ?>) {
             return (Map<String, Object>) item;
         }
-        throw new WireException("items: expected maps");
+        throw new MalformedMessageException("items: expected maps");
     }
 
     @SuppressWarnings("unchecked")
-    private static Entry entry(Map<String, Object> map) throws WireException {
+    private static Entry entry(Map<String, Object> map) throws MalformedMessageException {
         Fields f = new Fields(map);
         return new Entry(
                 f.text("path"), (Map<String, Object>) map.get("value"), f.integer("stamp"));
     }
 
     @SuppressWarnings("unchecked")
-    private static Event event(Map<String, Object> map) throws WireException {
+    private static Event event(Map<String, Object> map) throws MalformedMessageException {
         Fields f = new Fields(map);
         boolean put = f.has("put");
         return new Event(
--- a/src/main/java/org/woadloom/state/Keys.java
+++ b/src/main/java/org/woadloom/store/StoreKeys.java
@@ -1,7 +1,7 @@
-package org.woadloom.state;
+package org.woadloom.store;
 
 /** The keys in the state service. */
-public final class Keys {
+public final class StoreKeys {
     /**
      * Who leads; attached to the leader's grant, so that it goes when the leader stops renewing.
      */
@@ -39,7 +39,7 @@
     public static final String ROLLOUT_NODES = ROLLOUT + "node/";
     public static final String ROLLOUT_ASKED = ROLLOUT + "asked/";
 
-    private Keys() {}
+    private StoreKeys() {}
 
     public static String job(String uid) {
         return JOBS + uid;
--- a/src/main/java/org/woadloom/state/Limits.java
+++ b/src/main/java/org/woadloom/store/StoreLimits.java
@@ -1,4 +1,4 @@
-package org.woadloom.state;
+package org.woadloom.store;
 
 import org.woadloom.settings.ServiceSettings;
 
@@ -8,7 +8,7 @@
  * refused all the same teaches a smaller one. Rates follow the answers: down at once when a request
  * is refused, up again slowly.
  */
-public final class Limits {
+public final class StoreLimits {
     /** No limit is taken to be below this: a smaller value was refused for something else. */
     private static final int LEAST_VALUE = 1025;
 
@@ -58,7 +58,7 @@
         }
     }
 
-    public Limits(ServiceSettings.State settings) {
+    public StoreLimits(ServiceSettings.State settings) {
         this.settings = settings;
         this.valueBytes = settings.leastValueBytes();
         this.txnOps = settings.leastTxnOps();
--- a/src/main/java/org/woadloom/state/Progress.java
+++ b/src/main/java/org/woadloom/store/TaskProgressCodec.java
@@ -1,4 +1,4 @@
-package org.woadloom.state;
+package org.woadloom.store;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.MalformedMessageException;
 
 /**
  * What is done and what is placed, as short text: a job of hundreds of tasks on as many machines
@@ -19,16 +19,16 @@
  * and attempt a group; then one symbol of a few bits for each task up to the last that is not
  * pending: pending, done, or its group. Last, the tasks that are done and still somewhere.
  */
-public final class Progress {
+public final class TaskProgressCodec {
     private static final int VERSION = 1;
     private static final int PENDING = 0;
     private static final int DONE = 1;
     private static final int FIRST_GROUP = 2;
     private static final int MOST_DIGITS = 17;
 
-    private Progress() {}
+    private TaskProgressCodec() {}
 
-    record Decoded(BitSet done, List<JobRecord.Placed> placed) {}
+    record Decoded(BitSet done, List<JobRecord.RecordedAttempt> placed) {}
 
     /**
      * A machine's name in two parts: names that a cloud counts up differ in their numbers alone.
@@ -71,11 +71,11 @@
 
     private record Group(Name name, long attempt, BitSet tasks) {}
 
-    static String encode(BitSet done, List<JobRecord.Placed> placed) {
+    static String encode(BitSet done, List<JobRecord.RecordedAttempt> placed) {
         List<Group> groups = new ArrayList<>();
         TreeSet<Long> attempts = new TreeSet<>();
         int end = done.length();
-        for (JobRecord.Placed p : placed) {
+        for (JobRecord.RecordedAttempt p : placed) {
             groups.add(new Group(Name.of(p.host()), p.attempt(), p.tasks()));
             attempts.add(p.attempt());
             end = Math.max(end, p.tasks().length());
@@ -173,15 +173,15 @@
         out.writeBytes(bytes);
     }
 
-    static Decoded decode(String text, int shards) throws WireException {
+    static Decoded decode(String text, int shards) throws MalformedMessageException {
         Input in;
         try {
             in = new Input(Base64.getDecoder().decode(text));
         } catch (IllegalArgumentException e) {
-            throw new WireException("progress: not Base64");
+            throw new MalformedMessageException("progress: not Base64");
         }
         if (in.number() != VERSION) {
-            throw new WireException("progress: a version that is not known");
+            throw new MalformedMessageException("progress: a version that is not known");
         }
         int front = in.count(shards);
         long[] attempts = new long[in.count(shards)];
@@ -190,7 +190,7 @@
             attempt += in.number();
             attempts[i] = attempt;
         }
-        List<JobRecord.Placed> placed = new ArrayList<>();
+        List<JobRecord.RecordedAttempt> placed = new ArrayList<>();
         int groups = in.count(shards);
         Name name = null;
         for (int g = 0; g < groups; g++) {
@@ -201,10 +201,10 @@
                 name = new Name(name.stem, name.digits, name.number + difference - 1);
             }
             if (name == null || Long.toString(name.number).length() > Math.max(1, name.digits)) {
-                throw new WireException("progress: a machine without a name");
+                throw new MalformedMessageException("progress: a machine without a name");
             }
             placed.add(
-                    new JobRecord.Placed(
+                    new JobRecord.RecordedAttempt(
                             name.host(),
                             attempts[
                                     attempts.length > 1
@@ -225,7 +225,7 @@
             if (symbol == DONE) {
                 done.set(front + i);
             } else if (symbol >= FIRST_GROUP + groups) {
-                throw new WireException("progress: a group that is not there");
+                throw new MalformedMessageException("progress: a group that is not there");
             } else if (symbol >= FIRST_GROUP) {
                 placed.get(symbol - FIRST_GROUP).tasks().set(front + i);
             }
@@ -247,7 +247,7 @@
             this.bytes = bytes;
         }
 
-        long number() throws WireException {
+        long number() throws MalformedMessageException {
             long value = 0;
             for (int shift = 0; shift < Long.SIZE - 1; shift += 7) {
                 byte b = next();
@@ -256,44 +256,44 @@
                     return value;
                 }
             }
-            throw new WireException("progress: a number that is too large");
+            throw new MalformedMessageException("progress: a number that is too large");
         }
 
-        int count(int most) throws WireException {
+        int count(int most) throws MalformedMessageException {
             long value = number();
             if (value > most) {
-                throw new WireException("progress: a number that is too large");
+                throw new MalformedMessageException("progress: a number that is too large");
             }
             return (int) value;
         }
 
-        int first(int size) throws WireException {
+        int first(int size) throws MalformedMessageException {
             if (size == 0) {
-                throw new WireException("progress: a group without an attempt");
+                throw new MalformedMessageException("progress: a group without an attempt");
             }
             return 0;
         }
 
-        String text() throws WireException {
+        String text() throws MalformedMessageException {
             byte[] part = part(count(bytes.length));
             return new String(part, StandardCharsets.UTF_8);
         }
 
-        BitSet packed(int bits) throws WireException {
+        BitSet packed(int bits) throws MalformedMessageException {
             return BitSet.valueOf(part((bits + 7) / 8));
         }
 
-        private byte[] part(int length) throws WireException {
+        private byte[] part(int length) throws MalformedMessageException {
             if (length > bytes.length - at) {
-                throw new WireException("progress: cut short");
+                throw new MalformedMessageException("progress: cut short");
             }
             at += length;
             return Arrays.copyOfRange(bytes, at - length, at);
         }
 
-        private byte next() throws WireException {
+        private byte next() throws MalformedMessageException {
             if (at >= bytes.length) {
-                throw new WireException("progress: cut short");
+                throw new MalformedMessageException("progress: cut short");
             }
             return bytes[at++];
         }
--- a/src/main/java/org/woadloom/state/Ranges.java
+++ b/src/main/java/org/woadloom/store/TaskRanges.java
@@ -1,13 +1,13 @@
-package org.woadloom.state;
+package org.woadloom.store;
 
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.MalformedMessageException;
 
 /** Task numbers as a flat list of first and last, which keeps records of large arrays small. */
-final class Ranges {
-    private Ranges() {}
+final class TaskRanges {
+    private TaskRanges() {}
 
     static List<Object> encode(BitSet set) {
         List<Object> list = new ArrayList<>();
@@ -20,7 +20,7 @@
         return list;
     }
 
-    static BitSet decode(List<?> list, int size) throws WireException {
+    static BitSet decode(List<?> list, int size) throws MalformedMessageException {
         BitSet set = new BitSet();
         for (int i = 0; i + 1 < list.size(); i += 2) {
             if (!(list.get(i) instanceof Long first)
@@ -28,7 +28,7 @@
                     || first < 0
                     || last < first
                     || last >= size) {
-                throw new WireException("ranges: expected pairs of task numbers");
+                throw new MalformedMessageException("ranges: expected pairs of task numbers");
             }
             set.set(first.intValue(), last.intValue() + 1);
         }
--- a/src/main/java/org/woadloom/state/Budget.java
+++ b/src/main/java/org/woadloom/store/TokenBucket.java
@@ -1,13 +1,13 @@
-package org.woadloom.state;
+package org.woadloom.store;
 
 /** A token bucket that holds one second's worth, as the services' own limits do. */
-public final class Budget {
+public final class TokenBucket {
     private double perMicro;
     private double capacity;
     private double tokens;
     private long lastMicros = Long.MIN_VALUE;
 
-    public Budget(double perSecond) {
+    public TokenBucket(double perSecond) {
         this.perMicro = perSecond / 1e6;
         this.capacity = Math.max(1, perSecond);
         this.tokens = capacity;
--- a/src/main/java/org/woadloom/state/UnansweredTransaction.java
+++ b/src/main/java/org/woadloom/store/UnansweredTransaction.java
@@ -1,14 +1,14 @@
-package org.woadloom.state;
+package org.woadloom.store;
 
 import java.util.List;
 import java.util.Map;
-import org.woadloom.state.StateClient.Change;
-import org.woadloom.state.StateClient.Condition;
-import org.woadloom.state.StateClient.Result;
-import org.woadloom.state.StateClient.TxnCallback;
-import org.woadloom.state.StateClient.Urgency;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.MalformedMessageException;
+import org.woadloom.store.StoreClient.Change;
+import org.woadloom.store.StoreClient.Condition;
+import org.woadloom.store.StoreClient.RequestPriority;
+import org.woadloom.store.StoreClient.Result;
+import org.woadloom.store.StoreClient.TxnCallback;
 
 /**
  * A transaction whose answer may be lost. One key of it gets a value that nobody else ever writes
@@ -16,16 +16,16 @@
  * once.
  */
 final class UnansweredTransaction implements TxnCallback {
-    private final StateClient state;
-    private final Urgency urgency;
+    private final StoreClient state;
+    private final RequestPriority urgency;
     private final Change proof;
     private final long stampBefore;
     private final TxnCallback callback;
     private boolean told;
 
     UnansweredTransaction(
-            StateClient state,
-            Urgency urgency,
+            StoreClient state,
+            RequestPriority urgency,
             List<Condition> conditions,
             List<Change> changes,
             String proof,
@@ -75,7 +75,7 @@
     private boolean asWritten(Map<String, Object> value) {
         try {
             return Cbor.decodeMap(Cbor.encode(proof.value())).equals(value);
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             return false;
         }
     }
--- a/src/test/java/org/woadloom/worker/WorkerClientTest.java
+++ b/src/test/java/org/woadloom/agent/AgentClientTest.java
@@ -1,4 +1,4 @@
-package org.woadloom.worker;
+package org.woadloom.agent;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,14 +8,14 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.woadloom.core.Effect;
+import org.woadloom.core.SchedulerAction;
 import org.woadloom.net.HttpTransport;
 
 /**
  * Direct commands while many workers do not answer: 10 may be under way, and each holds its
  * connection for 2 s.
  */
-class WorkerClientTest {
+class AgentClientTest {
     private static final int SLOTS = 10;
 
     /** Commands under way by address. */
@@ -23,15 +23,15 @@
 
     private final List<Integer> outcomes = new ArrayList<>();
     private long sends;
-    private final WorkerClient client =
-            new WorkerClient(
+    private final AgentClient client =
+            new AgentClient(
                     (address, method, path, body, timeout, callback) ->
                             underWay.put(address, callback),
                     SLOTS);
 
     private void send(String address) {
         client.send(
-                new Effect.SendDirect(++sends, address, address, 1, 1, List.of()),
+                new SchedulerAction.SendDirectCommand(++sends, address, address, 1, 1, List.of()),
                 result -> outcomes.add(result.status()));
     }
 
--- a/src/test/java/org/woadloom/attend/AttendanceTest.java
+++ b/src/test/java/org/woadloom/agent/AgentConnectionBalancerTest.java
@@ -1,4 +1,4 @@
-package org.woadloom.attend;
+package org.woadloom.agent;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-class AttendanceTest {
+class AgentConnectionBalancerTest {
     private static final List<String> OTHERS = List.of("node-1", "node-2");
     private static final long REPORT = 4_000_000;
-    private final Attendance attendance = new Attendance(2, REPORT);
+    private final AgentConnectionBalancer attendance = new AgentConnectionBalancer(2, REPORT);
 
     @BeforeEach
     void full() {
--- a/src/test/java/org/woadloom/core/MistakenJobsTest.java
+++ b/src/test/java/org/woadloom/core/FaultyJobsTest.java
@@ -12,18 +12,18 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import org.woadloom.wire.Order;
-import org.woadloom.wire.TaskReport;
+import org.woadloom.protocol.TaskCommand;
+import org.woadloom.protocol.TaskStatus;
 
 /**
  * Jobs that fail on every machine, and machines on which every job fails: each is to be told from
  * the other.
  */
-class MistakenJobsTest {
+class FaultyJobsTest {
     private static final int MACHINES = 6;
 
     private final LeaderFixture leader = new LeaderFixture();
-    private final Map<String, Map<String, TaskReport>> on = new LinkedHashMap<>();
+    private final Map<String, Map<String, TaskStatus>> on = new LinkedHashMap<>();
     private final Map<String, Integer> launches = new LinkedHashMap<>();
     private int read;
     private long tick = 10;
@@ -36,15 +36,15 @@
                 leader.report(message(host, 1, ++tick, epochs.getOrDefault(host, 0L), tasks(host)));
             }
             leader.pass(500_000);
-            List<Effect> news =
+            List<SchedulerAction> news =
                     new ArrayList<>(leader.effects.subList(read, leader.effects.size()));
             read = leader.effects.size();
-            for (Effect effect : news) {
-                if (effect instanceof Effect.SendDirect sent) {
+            for (SchedulerAction effect : news) {
+                if (effect instanceof SchedulerAction.SendDirectCommand sent) {
                     epochs.put(sent.host(), sent.epoch());
                     sent.orders().forEach(order -> execute(sent.host(), order, mistaken, faulty));
                     leader.step(
-                            new Command.DirectResult(
+                            new SchedulerEvent.DirectCommandCompleted(
                                     sent.sendId(),
                                     sent.host(),
                                     200,
@@ -61,24 +61,24 @@
 
     private final Map<String, Long> epochs = new LinkedHashMap<>();
 
-    private TaskReport[] tasks(String host) {
-        return on.getOrDefault(host, Map.of()).values().toArray(TaskReport[]::new);
+    private TaskStatus[] tasks(String host) {
+        return on.getOrDefault(host, Map.of()).values().toArray(TaskStatus[]::new);
     }
 
-    private void execute(String host, Order order, Set<String> mistaken, Set<String> faulty) {
+    private void execute(String host, TaskCommand order, Set<String> mistaken, Set<String> faulty) {
         String key = order.task() + " " + order.attempt();
-        if (order.verb() == Order.Verb.LAUNCH) {
+        if (order.verb() == TaskCommand.Action.LAUNCH) {
             String uid = order.task().uid();
             launches.merge(uid + " " + host, 1, Integer::sum);
             boolean fails = mistaken.contains(uid) || faulty.contains(host);
             on.computeIfAbsent(host, h -> new LinkedHashMap<>())
                     .put(
                             key,
-                            new TaskReport(
+                            new TaskStatus(
                                     order.task(),
                                     order.attempt(),
-                                    fails ? TaskReport.State.EXITED : TaskReport.State.RUNNING,
-                                    fails ? TaskReport.Cause.ERROR : null,
+                                    fails ? TaskStatus.State.EXITED : TaskStatus.State.RUNNING,
+                                    fails ? TaskStatus.ExitReason.ERROR : null,
                                     false));
         }
     }
@@ -110,7 +110,7 @@
                 MACHINES,
                 launches.keySet().stream().filter(key -> key.startsWith("j-000003")).count(),
                 "quarantined: "
-                        + leader.all(Effect.Note.class).stream()
+                        + leader.all(SchedulerAction.Log.class).stream()
                                 .filter(
                                         note ->
                                                 note.entry().event()
--- a/src/test/java/org/woadloom/core/LeaderFixture.java
+++ b/src/test/java/org/woadloom/core/LeaderFixture.java
@@ -4,16 +4,16 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.woadloom.protocol.Heartbeat;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.MachineType;
+import org.woadloom.protocol.MalformedMessageException;
+import org.woadloom.protocol.TaskStatus;
 import org.woadloom.settings.OperatorSettings;
 import org.woadloom.settings.Team;
-import org.woadloom.state.JobRecord;
-import org.woadloom.state.MachineRecord;
-import org.woadloom.state.RecordFormat;
-import org.woadloom.wire.JobDescription;
-import org.woadloom.wire.MachineType;
-import org.woadloom.wire.TaskReport;
-import org.woadloom.wire.WireException;
-import org.woadloom.wire.WorkerReport;
+import org.woadloom.store.JobRecord;
+import org.woadloom.store.MachineRecord;
+import org.woadloom.store.RecordFormat;
 
 /**
  * A whole core that leads, with a lease of 10 s and reports every 1.5 s; the store takes every
@@ -25,9 +25,9 @@
     private static final MachineType TYPE =
             new MachineType("m16", 16, 0, 32, 50, 1, 1, 0.3, 30 * SECOND, List.of("a", "b"));
 
-    private final Core core;
+    private final Scheduler core;
     public long now = 100 * SECOND;
-    public final List<Effect> effects = new ArrayList<>();
+    public final List<SchedulerAction> effects = new ArrayList<>();
     private long stamps = 100;
     private long replies;
 
@@ -43,8 +43,8 @@
      */
     public LeaderFixture(double limit, List<JobRecord> jobs, String... hosts) {
         core =
-                new Core(
-                        new CoreSettings(
+                new Scheduler(
+                        new SchedulerSettings(
                                 "node",
                                 Map.of(),
                                 List.of(new Team("team", Math.min(64, limit), limit, 0, 0)),
@@ -54,41 +54,42 @@
                                 30 * SECOND,
                                 3 * SECOND,
                                 OperatorSettings.defaults()));
-        List<Command.StoredJob> stored = new ArrayList<>();
-        jobs.forEach(job -> stored.add(new Command.StoredJob(job, ++stamps)));
-        List<Command.StoredMachine> machines = new ArrayList<>();
+        List<SchedulerEvent.StoredJob> stored = new ArrayList<>();
+        jobs.forEach(job -> stored.add(new SchedulerEvent.StoredJob(job, ++stamps)));
+        List<SchedulerEvent.StoredMachine> machines = new ArrayList<>();
         for (String host : hosts) {
             machines.add(
-                    new Command.StoredMachine(
+                    new SchedulerEvent.StoredMachine(
                             new MachineRecord(host, "m16", "a", false, false), ++stamps));
         }
         step(
-                new Command.StorageSeen(8192, RecordFormat.COMPACT, 100, false, false),
-                new Command.TypesSeen(List.of(TYPE)),
-                new Command.Lead(TERM, stored, machines, now));
+                new SchedulerEvent.StoreLimitsChanged(
+                        8192, RecordFormat.COMPACT, 100, false, false),
+                new SchedulerEvent.MachineTypesRead(List.of(TYPE)),
+                new SchedulerEvent.LeadershipAcquired(TERM, stored, machines, now));
     }
 
-    public void step(Command... commands) {
-        List<Command> next = List.of(commands);
+    public void step(SchedulerEvent... commands) {
+        List<SchedulerEvent> next = List.of(commands);
         while (next != null) {
-            List<Effect> done = core.step(now, now, next);
+            List<SchedulerAction> done = core.step(now, now, next);
             effects.addAll(done);
-            List<Command> written = new ArrayList<>();
-            for (Effect effect : done) {
-                if (effect instanceof Effect.PutJob put) {
+            List<SchedulerEvent> written = new ArrayList<>();
+            for (SchedulerAction effect : done) {
+                if (effect instanceof SchedulerAction.WriteJob put) {
                     written.add(
-                            new Command.JobWritten(
+                            new SchedulerEvent.JobWriteCompleted(
                                     put.record().description().uid(),
                                     put.record().version(),
-                                    Command.WriteOutcome.WRITTEN,
+                                    SchedulerEvent.WriteOutcome.WRITTEN,
                                     ++stamps));
-                } else if (effect instanceof Effect.PutMachine put) {
+                } else if (effect instanceof SchedulerAction.WriteMachine put) {
                     written.add(
-                            new Command.MachineWritten(
+                            new SchedulerEvent.MachineWriteCompleted(
                                     put.record().host(),
                                     put.record().leaving(),
                                     false,
-                                    Command.WriteOutcome.WRITTEN,
+                                    SchedulerEvent.WriteOutcome.WRITTEN,
                                     ++stamps));
                 }
             }
@@ -100,12 +101,12 @@
     public void pass(long micros) {
         for (long until = now + micros; now < until; ) {
             now += 100_000;
-            step(new Command.Tick());
+            step(new SchedulerEvent.Tick());
         }
     }
 
     public void submit(String uid, int shards) {
-        step(new Command.JobSeen(JobRecord.accepted(job(uid, shards), now), ++stamps));
+        step(new SchedulerEvent.JobStored(JobRecord.accepted(job(uid, shards), now), ++stamps));
     }
 
     /** Tasks of 8 CPUs each. */
@@ -122,32 +123,32 @@
         map.put("bundle", "img");
         try {
             return JobDescription.parse(map);
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    public static WorkerReport message(
-            String host, long tenure, long tick, long epoch, TaskReport... tasks) {
-        return new WorkerReport(
+    public static Heartbeat message(
+            String host, long tenure, long tick, long epoch, TaskStatus... tasks) {
+        return new Heartbeat(
                 host, host + ":9000", "m16", "a", false, tenure, tick, epoch, -1, List.of(tasks));
     }
 
     /** The answer to a report that arrives now; null where it is turned away. */
-    public Effect.Answer report(WorkerReport report) {
+    public SchedulerAction.AnswerHeartbeat report(Heartbeat report) {
         long id = ++replies;
-        step(new Command.Report(id, report));
-        return all(Effect.Answer.class).stream()
+        step(new SchedulerEvent.HeartbeatReceived(id, report));
+        return all(SchedulerAction.AnswerHeartbeat.class).stream()
                 .filter(answer -> answer.replyId() == id)
                 .findFirst()
                 .orElse(null);
     }
 
-    public <E extends Effect> List<E> all(Class<E> kind) {
+    public <E extends SchedulerAction> List<E> all(Class<E> kind) {
         return effects.stream().filter(kind::isInstance).map(kind::cast).toList();
     }
 
-    public <E extends Effect> E last(Class<E> kind) {
+    public <E extends SchedulerAction> E last(Class<E> kind) {
         List<E> all = all(kind);
         return all.get(all.size() - 1);
     }
@@ -157,8 +158,8 @@
      * line.
      */
     public boolean logged(LogEvent event, String... values) {
-        return all(Effect.Note.class).stream()
-                .map(Effect.Note::entry)
+        return all(SchedulerAction.Log.class).stream()
+                .map(SchedulerAction.Log::entry)
                 .filter(entry -> entry.event() == event)
                 .anyMatch(
                         entry ->
@@ -169,30 +170,31 @@
     }
 
     /** The worker answers the last direct command. */
-    public void answered(WorkerReport body) {
-        Effect.SendDirect sent = last(Effect.SendDirect.class);
-        step(new Command.DirectResult(sent.sendId(), sent.host(), 200, body));
+    public void answered(Heartbeat body) {
+        SchedulerAction.SendDirectCommand sent = last(SchedulerAction.SendDirectCommand.class);
+        step(new SchedulerEvent.DirectCommandCompleted(sent.sendId(), sent.host(), 200, body));
     }
 
     /** The worker answers the last direct command if that only tells it of its token. */
     public void greeted(String host, long tenure, long tick) {
-        List<Effect.SendDirect> there =
-                all(Effect.SendDirect.class).stream()
+        List<SchedulerAction.SendDirectCommand> there =
+                all(SchedulerAction.SendDirectCommand.class).stream()
                         .filter(sent -> sent.host().equals(host))
                         .toList();
-        Effect.SendDirect sent = there.get(there.size() - 1);
+        SchedulerAction.SendDirectCommand sent = there.get(there.size() - 1);
         if (sent.orders().isEmpty()) {
             step(
-                    new Command.DirectResult(
+                    new SchedulerEvent.DirectCommandCompleted(
                             sent.sendId(), host, 200, message(host, tenure, tick, sent.epoch())));
         }
     }
 
     /** Nobody answers any of them. */
     public void unanswered() {
-        for (Effect.SendDirect sent : all(Effect.SendDirect.class)) {
+        for (SchedulerAction.SendDirectCommand sent :
+                all(SchedulerAction.SendDirectCommand.class)) {
             // The core passes over those whose outcome it knows.
-            step(new Command.DirectResult(sent.sendId(), sent.host(), 0, null));
+            step(new SchedulerEvent.DirectCommandCompleted(sent.sendId(), sent.host(), 0, null));
         }
     }
 
@@ -210,7 +212,7 @@
      */
     public long isUp(String host, long tick) {
         report(message(host, 1, tick, 0));
-        long token = last(Effect.SendDirect.class).epoch();
+        long token = last(SchedulerAction.SendDirectCommand.class).epoch();
         answered(message(host, 1, tick + 1, token));
         return token;
     }
--- a/src/test/java/org/woadloom/core/CoreFixture.java
+++ b/src/test/java/org/woadloom/core/SchedulerFixture.java
@@ -3,44 +3,44 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.woadloom.core.hearing.Age;
-import org.woadloom.core.hearing.Hearing;
 import org.woadloom.core.jobs.Job;
-import org.woadloom.core.jobs.Placement;
+import org.woadloom.core.jobs.TaskAttempt;
+import org.woadloom.core.liveness.AgentLiveness;
+import org.woadloom.core.liveness.MessageAge;
 import org.woadloom.core.machines.Machine;
-import org.woadloom.core.placement.Room;
+import org.woadloom.core.placement.Resources;
 import org.woadloom.core.reservation.Reservations;
+import org.woadloom.protocol.Heartbeat;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.MachineType;
+import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.settings.OperatorSettings;
 import org.woadloom.settings.Team;
-import org.woadloom.state.JobRecord;
-import org.woadloom.state.MachineRecord;
-import org.woadloom.state.RecordFormat;
-import org.woadloom.wire.JobDescription;
-import org.woadloom.wire.MachineType;
-import org.woadloom.wire.WireException;
-import org.woadloom.wire.WorkerReport;
+import org.woadloom.store.JobRecord;
+import org.woadloom.store.MachineRecord;
+import org.woadloom.store.RecordFormat;
 
 /**
  * A small world for tests of the core's parts: machines of 16 CPUs and 32 GB, one team limited to
  * 24 CPUs.
  */
-public final class CoreFixture {
+public final class SchedulerFixture {
     private static final MachineType TYPE =
             new MachineType("m16", 16, 0, 32, 50, 1, 1, 0.3, 30_000_000, List.of("a", "b"));
 
-    public final World world;
+    public final SchedulerState world;
 
-    public CoreFixture() {
+    public SchedulerFixture() {
         this(24);
     }
 
     /**
      * @param limit the CPUs that the team may use at most
      */
-    public CoreFixture(double limit) {
+    public SchedulerFixture(double limit) {
         world =
-                new World(
-                        new CoreSettings(
+                new SchedulerState(
+                        new SchedulerSettings(
                                 "node",
                                 Map.of(),
                                 List.of(new Team("team", 16, limit, 0, 0)),
@@ -61,7 +61,7 @@
     public Machine machine(String host, String yard) {
         Machine machine = new Machine(new MachineRecord(host, "m16", yard, false, false), world);
         machine.type = TYPE;
-        machine.resize(Room.of(TYPE));
+        machine.resize(Resources.of(TYPE));
         machine.recorded = true;
         machine.confirm();
         hear(machine, 1, machine.hearing.issue(world.nowMicros));
@@ -70,9 +70,9 @@
     }
 
     /** The machine's worker reports with no tasks; its token is only new to it. */
-    public Age hear(Machine machine, long tick, long epoch) {
-        WorkerReport report =
-                new WorkerReport(
+    public MessageAge hear(Machine machine, long tick, long epoch) {
+        Heartbeat report =
+                new Heartbeat(
                         machine.host,
                         machine.host + ":9000",
                         machine.hosttype,
@@ -84,8 +84,8 @@
                         -1,
                         List.of());
         machine.hearing.mayWaitFor(report, world.nowMicros);
-        Age age = machine.hearing.judge(report, Hearing.NEVER, world.nowMicros);
-        machine.hearing.take(report, age, Hearing.NEVER, world.nowMicros);
+        MessageAge age = machine.hearing.judge(report, AgentLiveness.NEVER, world.nowMicros);
+        machine.hearing.take(report, age, AgentLiveness.NEVER, world.nowMicros);
         return age;
     }
 
@@ -137,18 +137,18 @@
                     new Job(record, 1, world.teams.get("team"), world.nowMicros, world.unrecorded);
             world.jobs.put(uid, job);
             return job;
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    public List<Effect> effects() {
+    public List<SchedulerAction> effects() {
         return world.takeEffects();
     }
 
-    public Placement place(Reservations reservations, Job job, int index, Machine machine) {
-        Placement placement =
-                new Placement(job, index, machine, world.newAttempt(), 1, world.nowMicros);
+    public TaskAttempt place(Reservations reservations, Job job, int index, Machine machine) {
+        TaskAttempt placement =
+                new TaskAttempt(job, index, machine, world.newAttempt(), 1, world.nowMicros);
         reservations.draw(placement);
         job.add(placement);
         return placement;
@@ -159,8 +159,8 @@
      */
     public boolean logged(LogEvent event, String... values) {
         return effects().stream()
-                .filter(Effect.Note.class::isInstance)
-                .map(effect -> ((Effect.Note) effect).entry())
+                .filter(SchedulerAction.Log.class::isInstance)
+                .map(effect -> ((SchedulerAction.Log) effect).entry())
                 .filter(entry -> entry.event() == event)
                 .anyMatch(
                         entry ->
--- a/src/test/java/org/woadloom/core/ClosedInWorkersTest.java
+++ b/src/test/java/org/woadloom/core/UnreachableAgentsTest.java
@@ -7,19 +7,19 @@
 import static org.woadloom.core.LeaderFixture.message;
 
 import org.junit.jupiter.api.Test;
-import org.woadloom.wire.Order;
-import org.woadloom.wire.TaskReport;
+import org.woadloom.protocol.TaskCommand;
+import org.woadloom.protocol.TaskStatus;
 
 /**
  * A worker that can't open connections to any node, while commands reach it and are answered; its
  * lease is 10 s.
  */
-class ClosedInWorkersTest {
+class UnreachableAgentsTest {
     private static final String HOST = "host-000001";
 
     private final LeaderFixture leader = new LeaderFixture(HOST);
     private long token;
-    private TaskReport task;
+    private TaskStatus task;
     private long answered;
     private long tick = 10;
     private int seen;
@@ -29,14 +29,14 @@
         token = leader.isUp(HOST, 1);
         leader.submit("j-000001", 1);
         leader.pass(100_000);
-        Order launch = leader.last(Effect.SendDirect.class).orders().get(0);
+        TaskCommand launch = leader.last(SchedulerAction.SendDirectCommand.class).orders().get(0);
         task =
-                new TaskReport(
-                        launch.task(), launch.attempt(), TaskReport.State.RUNNING, null, false);
+                new TaskStatus(
+                        launch.task(), launch.attempt(), TaskStatus.State.RUNNING, null, false);
         leader.answered(message(HOST, 1, ++tick, token, task));
         leader.report(message(HOST, 1, ++tick, token, task));
         answered = leader.now;
-        seen = leader.all(Effect.SendDirect.class).size();
+        seen = leader.all(SchedulerAction.SendDirectCommand.class).size();
     }
 
     /** Returns how many tasks it was sent until then. */
@@ -44,15 +44,16 @@
         int launches = 0;
         while (leader.now < answered + micros) {
             leader.pass(100_000);
-            for (; seen < leader.all(Effect.SendDirect.class).size(); seen++) {
-                Effect.SendDirect sent = leader.all(Effect.SendDirect.class).get(seen);
+            for (; seen < leader.all(SchedulerAction.SendDirectCommand.class).size(); seen++) {
+                SchedulerAction.SendDirectCommand sent =
+                        leader.all(SchedulerAction.SendDirectCommand.class).get(seen);
                 launches +=
                         (int)
                                 sent.orders().stream()
-                                        .filter(order -> order.verb() == Order.Verb.LAUNCH)
+                                        .filter(order -> order.verb() == TaskCommand.Action.LAUNCH)
                                         .count();
                 leader.step(
-                        new Command.DirectResult(
+                        new SchedulerEvent.DirectCommandCompleted(
                                 sent.sendId(),
                                 HOST,
                                 200,
@@ -88,13 +89,13 @@
         isClosedIn();
         until(2 * SECOND);
         task =
-                new TaskReport(
+                new TaskStatus(
                         task.task(),
                         task.attempt(),
-                        TaskReport.State.EXITED,
-                        TaskReport.Cause.DONE,
+                        TaskStatus.State.EXITED,
+                        TaskStatus.ExitReason.DONE,
                         false);
         until(6 * SECOND);
-        assertEquals(1, leader.all(Effect.FinishJob.class).size());
+        assertEquals(1, leader.all(SchedulerAction.WriteFinalState.class).size());
     }
 }
--- a/src/test/java/org/woadloom/core/capacity/CapacityTest.java
+++ b/src/test/java/org/woadloom/core/autoscaling/AutoscalerTest.java
@@ -1,4 +1,4 @@
-package org.woadloom.core.capacity;
+package org.woadloom.core.autoscaling;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,23 +8,23 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.woadloom.core.Command;
-import org.woadloom.core.Effect;
 import org.woadloom.core.LeaderFixture;
 import org.woadloom.core.LogEvent;
-import org.woadloom.state.MachineRecord;
-import org.woadloom.wire.ListedMachine;
-import org.woadloom.wire.TaskReport;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerEvent;
+import org.woadloom.protocol.ListedMachine;
+import org.woadloom.protocol.TaskStatus;
+import org.woadloom.store.MachineRecord;
 
 /**
  * A cloud that takes few calls a second: each has to count. Two tasks of 8 CPUs fill a machine; the
  * team's limit is 200.
  */
-class CapacityTest {
+class AutoscalerTest {
     private final LeaderFixture leader = new LeaderFixture();
 
-    private List<Effect.Rent> rentals() {
-        return leader.all(Effect.Rent.class);
+    private List<SchedulerAction.RentMachines> rentals() {
+        return leader.all(SchedulerAction.RentMachines.class);
     }
 
     /**
@@ -38,7 +38,9 @@
         }
         leader.pass(10 * SECOND);
         assertEquals(
-                13, rentals().stream().mapToInt(Effect.Rent::count).sum(), "25 tasks of 8 CPUs");
+                13,
+                rentals().stream().mapToInt(SchedulerAction.RentMachines::count).sum(),
+                "25 tasks of 8 CPUs");
     }
 
     /**
@@ -53,13 +55,15 @@
         leader.submit("j-2", 10);
         leader.pass(SECOND);
         assertEquals(1, rentals().size());
-        Effect.Rent first = rentals().get(0);
+        SchedulerAction.RentMachines first = rentals().get(0);
         leader.step(
-                new Command.Rented(
-                        first.claim(), Command.RentOutcome.RENTED, List.of("host-1", "host-2")));
+                new SchedulerEvent.ScaleOutCompleted(
+                        first.claim(),
+                        SchedulerEvent.ScaleOutOutcome.RENTED,
+                        List.of("host-1", "host-2")));
         leader.pass(SECOND);
         assertEquals(2, rentals().size());
-        Effect.Rent second = rentals().get(1);
+        SchedulerAction.RentMachines second = rentals().get(1);
         assertTrue(
                 !second.yard().equals(first.yard()) || second.reclaimable() != first.reclaimable(),
                 "it gave less than was asked for, so there are no more of that kind");
@@ -89,11 +93,12 @@
             leader.pass(SECOND);
         }
         leader.passUnanswered(100 * SECOND);
-        List<Effect.Delete> deletions = leader.all(Effect.Delete.class);
+        List<SchedulerAction.DeleteMachines> deletions =
+                leader.all(SchedulerAction.DeleteMachines.class);
         assertEquals(1, deletions.size(), "none was answered");
-        leader.step(new Command.Deleted(deletions.get(0).hosts(), true));
+        leader.step(new SchedulerEvent.MachineDeletionCompleted(deletions.get(0).hosts(), true));
         leader.pass(SECOND);
-        assertEquals(5, leader.last(Effect.Delete.class).hosts().size());
+        assertEquals(5, leader.last(SchedulerAction.DeleteMachines.class).hosts().size());
     }
 
     /** What is rented in a zone that is cut off boots for nothing, and would count as coming. */
@@ -109,7 +114,9 @@
         assertTrue(rentals().size() > 0);
         assertTrue(rentals().stream().allMatch(rent -> rent.yard().equals("b")));
         assertEquals(
-                List.of(), leader.all(Effect.Delete.class), "they come back with their images");
+                List.of(),
+                leader.all(SchedulerAction.DeleteMachines.class),
+                "they come back with their images");
         for (String host : List.of("host-000001", "host-000002")) {
             leader.report(message(host, 2, 10, 0));
             leader.pass(100_000);
@@ -126,18 +133,18 @@
     @Test
     void whatWasUpAndDoesNotFindTheNewLeaderIsNotWaitedFor() {
         leader.step(
-                new Command.Lead(
+                new SchedulerEvent.LeadershipAcquired(
                         LeaderFixture.TERM + 1,
                         List.of(),
                         List.of(
-                                new Command.StoredMachine(
+                                new SchedulerEvent.StoredMachine(
                                         new MachineRecord(
                                                 "host-000001",
                                                 "m16",
                                                 "a",
                                                 false,
                                                 false,
-                                                new MachineRecord.Life(
+                                                new MachineRecord.Lifecycle(
                                                         leader.now - 900 * SECOND, true)),
                                         50)),
                         leader.now));
@@ -147,7 +154,8 @@
         leader.pass(2 * SECOND);
         assertEquals(1, rentals().size());
         leader.pass(25 * SECOND);
-        assertEquals(List.of("host-000001"), leader.last(Effect.Delete.class).hosts());
+        assertEquals(
+                List.of("host-000001"), leader.last(SchedulerAction.DeleteMachines.class).hosts());
     }
 
     /**
@@ -156,27 +164,29 @@
      */
     @Test
     void aNewLeaderRentsNothingInAZoneOfWhichItHearsNothing() {
-        List<Command.StoredMachine> stored = new ArrayList<>();
+        List<SchedulerEvent.StoredMachine> stored = new ArrayList<>();
         for (int i = 1; i <= 4; i++) {
             stored.add(
-                    new Command.StoredMachine(
+                    new SchedulerEvent.StoredMachine(
                             new MachineRecord(
                                     "host-00000" + i,
                                     "m16",
                                     "a",
                                     false,
                                     false,
-                                    new MachineRecord.Life(leader.now - 900 * SECOND, true)),
+                                    new MachineRecord.Lifecycle(leader.now - 900 * SECOND, true)),
                             50 + i));
         }
-        leader.step(new Command.Lead(LeaderFixture.TERM + 1, List.of(), stored, leader.now));
+        leader.step(
+                new SchedulerEvent.LeadershipAcquired(
+                        LeaderFixture.TERM + 1, List.of(), stored, leader.now));
         leader.submit("j-1", 2);
         leader.pass(50 * SECOND);
         assertTrue(
                 rentals().size() > 0
                         && rentals().stream().allMatch(rent -> rent.yard().equals("b")),
                 "" + rentals());
-        assertEquals(List.of(), leader.all(Effect.Delete.class));
+        assertEquals(List.of(), leader.all(SchedulerAction.DeleteMachines.class));
     }
 
     /**
@@ -188,7 +198,8 @@
         long token = leader.isUp("host-000001", 1);
         leader.submit("j-1", 2);
         leader.pass(100_000);
-        Effect.SendDirect sent = leader.last(Effect.SendDirect.class);
+        SchedulerAction.SendDirectCommand sent =
+                leader.last(SchedulerAction.SendDirectCommand.class);
         leader.answered(
                 message(
                         "host-000001",
@@ -198,15 +209,15 @@
                         sent.orders().stream()
                                 .map(
                                         order ->
-                                                new TaskReport(
+                                                new TaskStatus(
                                                         order.task(),
                                                         order.attempt(),
-                                                        TaskReport.State.RUNNING,
+                                                        TaskStatus.State.RUNNING,
                                                         null,
                                                         false))
-                                .toArray(TaskReport[]::new)));
+                                .toArray(TaskStatus[]::new)));
         for (int i = 0; i < 30; i++) {
-            leader.step(new Command.MachinesListed(List.of()));
+            leader.step(new SchedulerEvent.MachinesListed(List.of()));
             leader.report(
                     message(
                             "host-000001",
@@ -216,20 +227,20 @@
                             sent.orders().stream()
                                     .map(
                                             order ->
-                                                    new TaskReport(
+                                                    new TaskStatus(
                                                             order.task(),
                                                             order.attempt(),
-                                                            TaskReport.State.RUNNING,
+                                                            TaskStatus.State.RUNNING,
                                                             null,
                                                             false))
-                                    .toArray(TaskReport[]::new)));
+                                    .toArray(TaskStatus[]::new)));
             leader.pass(SECOND);
         }
         assertEquals(2, sent.orders().size());
         assertTrue(
                 !leader.logged(LogEvent.TASK_LOST)
                         && rentals().isEmpty()
-                        && leader.all(Effect.Delete.class).isEmpty());
+                        && leader.all(SchedulerAction.DeleteMachines.class).isEmpty());
     }
 
     private static ListedMachine item(String host) {
@@ -247,9 +258,9 @@
             leader.isUp("host-00000" + i, 1);
             all.add(item("host-00000" + i));
         }
-        long token = leader.last(Effect.SendDirect.class).epoch();
+        long token = leader.last(SchedulerAction.SendDirectCommand.class).epoch();
         for (int s = 0; s < 14; s++) {
-            leader.step(new Command.MachinesListed(s < 3 ? all : all.subList(3, 4)));
+            leader.step(new SchedulerEvent.MachinesListed(s < 3 ? all : all.subList(3, 4)));
             leader.report(message("host-000003", 1, 10 + s, token));
             leader.passUnanswered(SECOND);
         }
@@ -258,7 +269,7 @@
                         && leader.logged(LogEvent.ZONE_RECONNECTED, "zone=a"));
         assertEquals(
                 List.of("host-000000", "host-000001", "host-000002"),
-                leader.all(Effect.Delete.class).stream()
+                leader.all(SchedulerAction.DeleteMachines.class).stream()
                         .flatMap(delete -> delete.hosts().stream())
                         .distinct()
                         .sorted()
@@ -273,11 +284,14 @@
     void nothingIsGivenUpForBeingUnlistedTooSoonOrWhileItReports() {
         long token = leader.isUp("host-000001", 1);
         leader.isUp("host-000002", 1);
-        leader.step(new Command.MachinesListed(List.of(item("host-000001"), item("host-000002"))));
+        leader.step(
+                new SchedulerEvent.MachinesListed(
+                        List.of(item("host-000001"), item("host-000002"))));
         for (int s = 0; s < 30; s++) {
             leader.report(message("host-000001", 1, 10 + s, token));
             leader.step(
-                    new Command.MachinesListed(s < 6 ? List.of() : List.of(item("host-000002"))));
+                    new SchedulerEvent.MachinesListed(
+                            s < 6 ? List.of() : List.of(item("host-000002"))));
             leader.passUnanswered(SECOND);
         }
         assertTrue(
@@ -291,14 +305,16 @@
         leader.submit("j-1", 2);
         leader.pass(5 * SECOND);
         leader.step(
-                new Command.Rented(
+                new SchedulerEvent.ScaleOutCompleted(
                         rentals().get(0).claim(),
-                        Command.RentOutcome.RENTED,
+                        SchedulerEvent.ScaleOutOutcome.RENTED,
                         List.of("host-000001")));
         for (int s = 0; s < 30; s++) {
-            leader.step(new Command.MachinesListed(List.of()));
+            leader.step(new SchedulerEvent.MachinesListed(List.of()));
             leader.pass(SECOND);
         }
-        assertTrue(leader.all(Effect.Delete.class).isEmpty() && rentals().size() == 1);
+        assertTrue(
+                leader.all(SchedulerAction.DeleteMachines.class).isEmpty()
+                        && rentals().size() == 1);
     }
 }
--- a/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
@@ -58,13 +58,13 @@
             // Of itself it vouches for everything: the node is the one that counts.
             watermark.heard(
                     label,
-                    new Vouch(
+                    new WatermarkReport(
                             term,
                             1,
                             clock(),
                             term * 500 * S,
                             clock(),
-                            ToldCancellations.SILENT_PROMISE_MICROS,
+                            ConfirmedCancellations.SILENT_PROMISE_MICROS,
                             List.of()),
                     clock(),
                     clock());
@@ -85,7 +85,7 @@
     private final Set<String> made = new HashSet<>();
     private final Map<String, Long> toldAt = new LinkedHashMap<>();
     private final TreeMap<Long, List<Message>> under = new TreeMap<>();
-    private ToldCancellations node;
+    private ConfirmedCancellations node;
     private int life;
     private long nodeOffset;
     private double nodeRate = 1;
@@ -112,7 +112,7 @@
         nodeOffset = random.nextInt(1_000_000_000);
         nodeRate = 1 + (random.nextDouble() - 0.5) / 1000;
         node =
-                new ToldCancellations(
+                new ConfirmedCancellations(
                         life, leaders.stream().map(l -> l.label).toList(), nodeClock());
         leaderOfNode = random.nextInt(leaders.size());
     }
@@ -120,17 +120,17 @@
     private void vouch(List<Leader> leaders) {
         Leader leader = leaders.get(leaderOfNode);
         long silent = silentSince < 0 ? 0 : now - silentSince;
-        Vouch vouch = node.vouch(leader.label, leader.term, silent, nodeClock());
+        WatermarkReport vouch = node.vouch(leader.label, leader.term, silent, nodeClock());
         if (vouch == null) {
             return;
         }
-        ToldCancellations speaker = node;
+        ConfirmedCancellations speaker = node;
         send(
                 () -> {
                     if (leader.steppedDown) {
                         return;
                     }
-                    VouchTaken taken =
+                    WatermarkAck taken =
                             leader.watermark.heard(
                                     "node", vouch, leader.seenMicros, leader.clock());
                     if (taken != null) {
@@ -189,7 +189,7 @@
                         && silentSince < 0) {
                     leader.seesAll();
                 }
-                ToldCancellations hearing = node;
+                ConfirmedCancellations hearing = node;
                 boolean leads = !leader.steppedDown;
                 long knownTerm = leads ? leader.term : leaders.size();
                 boolean speaks =
@@ -278,9 +278,9 @@
     @Test
     void itKeepsUpWithANodeThatIsReached() {
         CancellationWatermark watermark = new CancellationWatermark(3, List.of("node"));
-        ToldCancellations silent = new ToldCancellations(1, List.of("leader"), 0);
+        ConfirmedCancellations silent = new ConfirmedCancellations(1, List.of("leader"), 0);
         for (long at = S; at < 1_000 * S; at += S) {
-            VouchTaken taken = watermark.heard("node", silent.vouch("leader", 3, at, at), S, at);
+            WatermarkAck taken = watermark.heard("node", silent.vouch("leader", 3, at, at), S, at);
             silent.taken(taken);
             assertTrue(at < 3 * S || watermark.micros(S) >= at, "behind at " + at);
         }
@@ -294,7 +294,8 @@
     }
 
     private static long watermarkAfter(CancellationWatermark watermark, long started) {
-        ToldCancellations next = new ToldCancellations(started, List.of("leader"), started);
+        ConfirmedCancellations next =
+                new ConfirmedCancellations(started, List.of("leader"), started);
         for (long at = started + S; at < started + 40 * S; at += S) {
             next.taken(watermark.heard("node", next.vouch("leader", 3, at, at), S, at));
         }
@@ -308,7 +309,7 @@
      */
     @Test
     void aLeaderThatDoesNotAnswerHoldsNobodyUpForLong() {
-        ToldCancellations told = new ToldCancellations(1, List.of(), 0);
+        ConfirmedCancellations told = new ConfirmedCancellations(1, List.of(), 0);
         told.enter("j-000001", S);
         long toldAt = 0;
         for (long at = S; at < 60 * S && toldAt == 0; at += S / 10) {
@@ -321,8 +322,8 @@
         assertTrue(toldAt > 0 && toldAt < 12 * S, "told at " + toldAt);
     }
 
-    private static ToldCancellations promised(String leader, long stateSilentMicros) {
-        ToldCancellations told = new ToldCancellations(1, List.of(), 0);
+    private static ConfirmedCancellations promised(String leader, long stateSilentMicros) {
+        ConfirmedCancellations told = new ConfirmedCancellations(1, List.of(), 0);
         told.vouch(leader, 3, stateSilentMicros, S);
         told.enter("j-000001", 2 * S);
         assertFalse(told.mayTell("j-000001", 2 * S));
@@ -335,10 +336,10 @@
      */
     @Test
     void nobodyWaitsForAPromiseToANodeThatLeadsNoMore() {
-        ToldCancellations itself = promised("self", 20 * S);
+        ConfirmedCancellations itself = promised("self", 20 * S);
         itself.ledUntilNow("self");
         assertTrue(itself.mayTell("j-000001", 2 * S));
-        ToldCancellations other = promised("other", 20 * S);
+        ConfirmedCancellations other = promised("other", 20 * S);
         other.ledUntilNow("self");
         other.heard("other", 3, true);
         assertFalse(other.mayTell("j-000001", 2 * S));
@@ -352,11 +353,11 @@
      */
     @Test
     void nobodyWaitsForAPromiseToANodeThatLeadsAgain() {
-        ToldCancellations told = promised("other", 20 * S);
+        ConfirmedCancellations told = promised("other", 20 * S);
         told.vouch("between", 4, 0, 5 * S / 2);
-        Vouch vouch = told.vouch("other", 5, 0, 4 * S);
+        WatermarkReport vouch = told.vouch("other", 5, 0, 4 * S);
         assertFalse(told.mayTell("j-000001", 4 * S + 1));
-        told.taken(new VouchTaken(5, 1, vouch.saidMicros(), 4 * S));
+        told.taken(new WatermarkAck(5, 1, vouch.saidMicros(), 4 * S));
         assertFalse(told.mayTell("j-000001", 4 * S + 1), "the one between may lead still");
         told.heard("between", 5, false);
         assertTrue(told.mayTell("j-000001", 4 * S + 1));
@@ -368,11 +369,11 @@
      */
     @Test
     void aShorterPromiseEndsNoneOfTheProcessBefore() {
-        ToldCancellations told = new ToldCancellations(1, List.of("other"), 0);
+        ConfirmedCancellations told = new ConfirmedCancellations(1, List.of("other"), 0);
         told.vouch("other", 3, 0, S);
         told.enter("j-000001", 2 * S);
-        Vouch vouch = told.vouch("between", 4, 0, 2 * S);
-        told.taken(new VouchTaken(4, 1, vouch.saidMicros(), 2 * S));
+        WatermarkReport vouch = told.vouch("between", 4, 0, 2 * S);
+        told.taken(new WatermarkAck(4, 1, vouch.saidMicros(), 2 * S));
         told.heard("other", 4, true);
         assertFalse(told.mayTell("j-000001", 14 * S));
         assertTrue(told.mayTell("j-000001", 15 * S + 1));
@@ -384,16 +385,16 @@
      */
     @Test
     void whatIsDroppedIsNeitherToldNorVouchedFor() {
-        ToldCancellations told = new ToldCancellations(1, List.of(), 0);
-        Vouch first = told.vouch("leader", 3, 0, S);
-        told.taken(new VouchTaken(3, 1, first.saidMicros(), S));
+        ConfirmedCancellations told = new ConfirmedCancellations(1, List.of(), 0);
+        WatermarkReport first = told.vouch("leader", 3, 0, S);
+        told.taken(new WatermarkAck(3, 1, first.saidMicros(), S));
         for (int i = 0; i < 2_500; i++) {
             told.enter("j-" + i, 2 * S + i);
         }
-        Vouch vouch = told.vouch("leader", 3, 0, 3 * S);
+        WatermarkReport vouch = told.vouch("leader", 3, 0, 3 * S);
         assertEquals(2_000, vouch.jobs().size());
         assertEquals(2 * S + 499, vouch.sinceMicros());
-        told.taken(new VouchTaken(3, 1, vouch.saidMicros(), 3 * S));
+        told.taken(new WatermarkAck(3, 1, vouch.saidMicros(), 3 * S));
         assertFalse(told.mayTell("j-499", 3 * S + 1));
         assertTrue(told.mayTell("j-500", 3 * S + 1));
         // A watermark that has seen nothing since does not follow such a vouch.
@@ -407,19 +408,25 @@
     void whatCannotBeIsLeftAlone() {
         CancellationWatermark watermark = new CancellationWatermark(3, List.of("node"));
         long before = watermark.micros(S);
-        List<Vouch> flawed =
+        List<WatermarkReport> flawed =
                 List.of(
-                        new Vouch(3, 1, 5, 6, Vouch.NONE, 0, List.of()),
-                        new Vouch(3, 1, 5, 5, Vouch.NONE, -1, List.of()),
-                        new Vouch(3, 1, 5, 5, Vouch.NONE, 60 * S, List.of()),
-                        new Vouch(3, 1, 5, 5, 11 * S, 0, List.of()));
-        for (Vouch vouch : flawed) {
+                        new WatermarkReport(3, 1, 5, 6, WatermarkReport.NONE, 0, List.of()),
+                        new WatermarkReport(3, 1, 5, 5, WatermarkReport.NONE, -1, List.of()),
+                        new WatermarkReport(3, 1, 5, 5, WatermarkReport.NONE, 60 * S, List.of()),
+                        new WatermarkReport(3, 1, 5, 5, 11 * S, 0, List.of()));
+        for (WatermarkReport vouch : flawed) {
             assertFalse(CancellationWatermark.flaw(vouch, 10 * S) == null);
             assertNull(watermark.heard("node", vouch, 10 * S, 10 * S));
         }
         assertNull(
-                watermark.heard("nobody", new Vouch(3, 1, 5, 5, S, 0, List.of()), 10 * S, 10 * S));
-        assertNull(watermark.heard("node", new Vouch(2, 1, 5, 5, S, 0, List.of()), 10 * S, 10 * S));
+                watermark.heard(
+                        "nobody",
+                        new WatermarkReport(3, 1, 5, 5, S, 0, List.of()),
+                        10 * S,
+                        10 * S));
+        assertNull(
+                watermark.heard(
+                        "node", new WatermarkReport(2, 1, 5, 5, S, 0, List.of()), 10 * S, 10 * S));
         assertEquals(before, watermark.micros(S));
     }
 }
--- a/src/test/java/org/woadloom/core/care/WarrantsTest.java
+++ b/src/test/java/org/woadloom/core/delegation/DelegationLedgerTest.java
@@ -1,4 +1,4 @@
-package org.woadloom.core.care;
+package org.woadloom.core.delegation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -8,16 +8,16 @@
 import org.junit.jupiter.api.Test;
 
 /** The leader's clock and the node's are a thousand seconds apart here. */
-class WarrantsTest {
+class DelegationLedgerTest {
     private static final long S = 1_000_000;
     private static final long APART = 1000 * S;
-    private final CareRules rules = CareRules.of(22 * S, 52 * S);
-    private final Warrants book =
-            new Warrants(rules, 7, "leader", Map.of("leader", "a", "node", "b"));
-    private final Caretaker node = new Caretaker(rules, "b", 1, APART);
+    private final DelegationTimeouts rules = DelegationTimeouts.of(22 * S, 52 * S);
+    private final DelegationLedger book =
+            new DelegationLedger(rules, 7, "leader", Map.of("leader", "a", "node", "b"));
+    private final LeaseDelegate node = new LeaseDelegate(rules, "b", 1, APART);
 
     /** The node tells how it stands and gets a warrant at once; all was settled a second before. */
-    private void exchange(Caretaker caretaker, long at) {
+    private void exchange(LeaseDelegate caretaker, long at) {
         caretaker.warranted(book.heard("node", caretaker.standing(at + APART), at - S, at));
     }
 
@@ -67,7 +67,7 @@
         assertTrue(node.takesCare("b", 6, now));
         assertFalse(node.takesCare("a", 7, now));
         assertFalse(node.takesCare("b", 8, now));
-        Caretaker anew = new Caretaker(rules, "b", 2, 12 * S + APART);
+        LeaseDelegate anew = new LeaseDelegate(rules, "b", 2, 12 * S + APART);
         anew.stateFailed();
         assertFalse(anew.takesCare("b", 7, now));
     }
@@ -76,7 +76,7 @@
     @Test
     void aLateWarrantCountsFromWhenItWasAskedFor() {
         inTouch(10 * S);
-        NodeStanding said = node.standing(10 * S + APART);
+        PeerStatus said = node.standing(10 * S + APART);
         node.stateFailed();
         assertTrue(node.takesCare("b", 7, 30 * S + APART));
         node.warranted(book.heard("node", said, 10 * S, 10 * S));
@@ -88,7 +88,7 @@
         inTouch(10 * S);
         node.stateFailed();
         assertTrue(node.takesCare("b", 7, 29 * S + APART));
-        Caretaker anew = new Caretaker(rules, "b", 2, 30 * S + APART);
+        LeaseDelegate anew = new LeaseDelegate(rules, "b", 2, 30 * S + APART);
         exchange(anew, 32 * S);
         exchange(anew, 33 * S);
         long last = book.lastCareMicros("b", 33 * S);
@@ -102,7 +102,7 @@
     @Test
     void aNodeThatIsBackSoonHoldsUpNoProof() {
         inTouch(10 * S);
-        Caretaker anew = new Caretaker(rules, "b", 2, 15 * S + APART);
+        LeaseDelegate anew = new LeaseDelegate(rules, "b", 2, 15 * S + APART);
         exchange(anew, 16 * S);
         exchange(anew, 17 * S);
         assertTrue(book.lastCareMicros("b", 17 * S) < 0);
--- a/src/test/java/org/woadloom/core/jobs/TakeoverTest.java
+++ b/src/test/java/org/woadloom/core/jobs/FailoverTest.java
@@ -15,26 +15,26 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.woadloom.core.Command;
-import org.woadloom.core.CoreFixture;
-import org.woadloom.core.Effect;
 import org.woadloom.core.LeaderFixture;
 import org.woadloom.core.LogEvent;
-import org.woadloom.core.hearing.Hearing;
-import org.woadloom.core.machines.Losses;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerEvent;
+import org.woadloom.core.SchedulerFixture;
+import org.woadloom.core.liveness.AgentLiveness;
 import org.woadloom.core.machines.Machine;
+import org.woadloom.core.machines.TaskLossHandler;
 import org.woadloom.core.reservation.Reservations;
-import org.woadloom.state.JobRecord;
-import org.woadloom.wire.Order;
-import org.woadloom.wire.TaskId;
-import org.woadloom.wire.TaskReport;
-import org.woadloom.wire.WorkerReport;
+import org.woadloom.protocol.Heartbeat;
+import org.woadloom.protocol.TaskCommand;
+import org.woadloom.protocol.TaskId;
+import org.woadloom.protocol.TaskStatus;
+import org.woadloom.store.JobRecord;
 
 /**
  * A new leader counts what the records name against the team's limit until there is proof that it
  * is gone.
  */
-class TakeoverTest {
+class FailoverTest {
     private static final String LOST = "host-000001";
     private static final String UP = "host-000002";
     private static final long EARLIER = TERM - 1;
@@ -52,7 +52,7 @@
                 0,
                 cancelled,
                 new BitSet(),
-                List.of(new JobRecord.Placed(LOST, attempt(uid), first)),
+                List.of(new JobRecord.RecordedAttempt(LOST, attempt(uid), first)),
                 1,
                 EARLIER,
                 3);
@@ -62,8 +62,9 @@
         return (EARLIER << 32) + Integer.parseInt(uid.substring(2));
     }
 
-    private static TaskReport task(String uid, TaskReport.State state, TaskReport.Cause cause) {
-        return new TaskReport(new TaskId(uid, 0), attempt(uid), state, cause, false);
+    private static TaskStatus task(
+            String uid, TaskStatus.State state, TaskStatus.ExitReason cause) {
+        return new TaskStatus(new TaskId(uid, 0), attempt(uid), state, cause, false);
     }
 
     /**
@@ -76,8 +77,8 @@
         long token = leader.isUp(UP, 1);
         leader.report(message(UP, 1, 3, token));
         leader.pass(SECOND);
-        List<Order> launched =
-                leader.all(Effect.SendDirect.class).stream()
+        List<TaskCommand> launched =
+                leader.all(SchedulerAction.SendDirectCommand.class).stream()
                         .filter(sent -> sent.host().equals(UP) && !sent.orders().isEmpty())
                         .findFirst()
                         .orElseThrow()
@@ -91,52 +92,54 @@
                         launched.stream()
                                 .map(
                                         order ->
-                                                new TaskReport(
+                                                new TaskStatus(
                                                         order.task(),
                                                         order.attempt(),
-                                                        TaskReport.State.RUNNING,
+                                                        TaskStatus.State.RUNNING,
                                                         null,
                                                         false))
-                                .toArray(TaskReport[]::new)));
+                                .toArray(TaskStatus[]::new)));
         return leader;
     }
 
     private static Set<String> launched(LeaderFixture leader) {
         Set<String> launched = new TreeSet<>();
-        List<Order> orders = new ArrayList<>();
-        leader.all(Effect.SendDirect.class).forEach(sent -> orders.addAll(sent.orders()));
-        leader.all(Effect.Answer.class).forEach(answer -> orders.addAll(answer.orders()));
+        List<TaskCommand> orders = new ArrayList<>();
+        leader.all(SchedulerAction.SendDirectCommand.class)
+                .forEach(sent -> orders.addAll(sent.orders()));
+        leader.all(SchedulerAction.AnswerHeartbeat.class)
+                .forEach(answer -> orders.addAll(answer.orders()));
         orders.stream()
-                .filter(order -> order.verb() == Order.Verb.LAUNCH)
+                .filter(order -> order.verb() == TaskCommand.Action.LAUNCH)
                 .forEach(order -> launched.add(order.task().toString()));
         return launched;
     }
 
     /** What a message of the machine that could not be asked says of the task that may be there. */
     private enum Word {
-        OLD_AND_WITHOUT_IT(false, message(LOST, 1, 10, EARLIER << Hearing.FENCE_BITS)),
+        OLD_AND_WITHOUT_IT(false, message(LOST, 1, 10, EARLIER << AgentLiveness.FENCE_BITS)),
         OLD_AND_LISTS_IT(
                 false,
                 message(
                         LOST,
                         1,
                         10,
-                        EARLIER << Hearing.FENCE_BITS,
-                        task("j-000001", TaskReport.State.RUNNING, null))),
+                        EARLIER << AgentLiveness.FENCE_BITS,
+                        task("j-000001", TaskStatus.State.RUNNING, null))),
         OLD_AND_ENDED_IT(
                 true,
                 message(
                         LOST,
                         1,
                         10,
-                        EARLIER << Hearing.FENCE_BITS,
-                        task("j-000001", TaskReport.State.EXITED, TaskReport.Cause.HALTED))),
-        OF_THIS_TERM_WITHOUT_IT(true, message(LOST, 1, 10, TERM << Hearing.FENCE_BITS));
+                        EARLIER << AgentLiveness.FENCE_BITS,
+                        task("j-000001", TaskStatus.State.EXITED, TaskStatus.ExitReason.HALTED))),
+        OF_THIS_TERM_WITHOUT_IT(true, message(LOST, 1, 10, TERM << AgentLiveness.FENCE_BITS));
 
         private final boolean proof;
-        private final WorkerReport message;
+        private final Heartbeat message;
 
-        Word(boolean proof, WorkerReport message) {
+        Word(boolean proof, Heartbeat message) {
             this.proof = proof;
             this.message = message;
         }
@@ -158,7 +161,7 @@
     @Test
     void nothingStartsWhereOnlyAnOldReportCameFrom() {
         LeaderFixture leader = new LeaderFixture(200, List.of(placed("j-000001", false)), LOST);
-        leader.report(message(LOST, 1, 50, EARLIER << Hearing.FENCE_BITS));
+        leader.report(message(LOST, 1, 50, EARLIER << AgentLiveness.FENCE_BITS));
         leader.submit("j-000002", 1);
         leader.passUnanswered(20 * SECOND);
         assertEquals(Set.of(), launched(leader));
@@ -177,14 +180,20 @@
         LeaderFixture leader = atItsLimit(true);
         long began = leader.now;
         for (long tick = 10;
-                leader.all(Effect.Delete.class).isEmpty() && leader.now - began < 90 * SECOND;
+                leader.all(SchedulerAction.DeleteMachines.class).isEmpty()
+                        && leader.now - began < 90 * SECOND;
                 tick++) {
             leader.passUnanswered(SECOND);
-            leader.report(message(UP, 1, tick, leader.last(Effect.Answer.class).epoch()));
+            leader.report(
+                    message(
+                            UP,
+                            1,
+                            tick,
+                            leader.last(SchedulerAction.AnswerHeartbeat.class).epoch()));
         }
-        assertEquals(List.of(LOST), leader.last(Effect.Delete.class).hosts());
+        assertEquals(List.of(LOST), leader.last(SchedulerAction.DeleteMachines.class).hosts());
         assertEquals(Set.of("j-000002/0"), launched(leader));
-        leader.step(new Command.Deleted(List.of(LOST), true));
+        leader.step(new SchedulerEvent.MachineDeletionCompleted(List.of(LOST), true));
         assertTrue(
                 leader.logged(LogEvent.TASK_LOST, "machine=" + LOST, "reason=\"machine deleted\""));
     }
@@ -197,11 +206,12 @@
     @Test
     void whatTheFirstMessageOfALaterSessionListsIsThere() {
         LeaderFixture leader = new LeaderFixture(200, List.of(placed("j-000001", false)), LOST, UP);
-        leader.report(message(LOST, 1, 50, EARLIER << Hearing.FENCE_BITS));
-        Effect.SendDirect greeting = leader.last(Effect.SendDirect.class);
+        leader.report(message(LOST, 1, 50, EARLIER << AgentLiveness.FENCE_BITS));
+        SchedulerAction.SendDirectCommand greeting =
+                leader.last(SchedulerAction.SendDirectCommand.class);
         assertEquals(1, greeting.tenure());
         leader.step(
-                new Command.DirectResult(
+                new SchedulerEvent.DirectCommandCompleted(
                         greeting.sendId(),
                         LOST,
                         409,
@@ -210,7 +220,7 @@
                                 2,
                                 80,
                                 greeting.epoch(),
-                                task("j-000001", TaskReport.State.RUNNING, null))));
+                                task("j-000001", TaskStatus.State.RUNNING, null))));
         leader.isUp(UP, 1);
         leader.pass(SECOND);
         assertFalse(leader.logged(LogEvent.TASK_LOST));
@@ -223,13 +233,13 @@
      */
     @Test
     void tasksOfAJobWhoseRecordIsGoneCountUntilTheyAre() {
-        CoreFixture fixture = new CoreFixture(16);
-        JobTable table = new JobTable(fixture.world);
+        SchedulerFixture fixture = new SchedulerFixture(16);
+        JobRegistry table = new JobRegistry(fixture.world);
         Reservations reservations = new Reservations(fixture.world);
         Machine machine = fixture.machine("host-1", "a");
         Job job = fixture.job("j-1", 8, 1, 2);
-        Placement running = fixture.place(reservations, job, 0, machine);
-        running.stage = Placement.Stage.THERE;
+        TaskAttempt running = fixture.place(reservations, job, 0, machine);
+        running.stage = TaskAttempt.Stage.THERE;
         fixture.place(reservations, job, 1, machine);
         Job next = fixture.job("j-2", 8, 1, 2);
         job.recording.reading = true;
@@ -237,16 +247,17 @@
         table.missing("j-1");
         assertEquals(1, next.allowed(), "what was never sent is gone, the other is there");
         assertTrue(running.halting());
-        new Recorder(fixture.world, table).emitWrites();
+        new JobPersister(fixture.world, table).emitWrites();
         assertTrue(
                 fixture.effects().stream()
                         .noneMatch(
                                 effect ->
-                                        effect instanceof Effect.PutJob
-                                                || effect instanceof Effect.FinishJob),
+                                        effect instanceof SchedulerAction.WriteJob
+                                                || effect
+                                                        instanceof SchedulerAction.WriteFinalState),
                 "there is no record to write");
-        new Losses(fixture.world).gone(running);
-        new Recorder(fixture.world, table).emitWrites();
+        new TaskLossHandler(fixture.world).gone(running);
+        new JobPersister(fixture.world, table).emitWrites();
         assertEquals(2, next.allowed());
         assertFalse(fixture.world.jobs.containsKey("j-1"));
     }
--- a/src/test/java/org/woadloom/core/hearing/LateCopiesTest.java
+++ b/src/test/java/org/woadloom/core/liveness/DelayedHeartbeatsTest.java
@@ -1,4 +1,4 @@
-package org.woadloom.core.hearing;
+package org.woadloom.core.liveness;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,40 +11,40 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.woadloom.core.Command;
-import org.woadloom.core.Effect;
 import org.woadloom.core.LeaderFixture;
 import org.woadloom.core.LogEvent;
-import org.woadloom.wire.Order;
-import org.woadloom.wire.TaskId;
-import org.woadloom.wire.TaskReport;
-import org.woadloom.wire.WorkerReport;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerEvent;
+import org.woadloom.protocol.Heartbeat;
+import org.woadloom.protocol.TaskCommand;
+import org.woadloom.protocol.TaskId;
+import org.woadloom.protocol.TaskStatus;
 
 /**
  * Copies of reports that come when their worker has said more since, or is gone, and workers that
  * hear nothing.
  */
-class LateCopiesTest {
+class DelayedHeartbeatsTest {
     private static final String HOST = "host-000001";
 
     private final LeaderFixture leader = new LeaderFixture(HOST);
 
-    private static TaskReport running(Effect.SendDirect sent) {
-        Order launch = sent.orders().get(0);
-        return new TaskReport(
-                launch.task(), launch.attempt(), TaskReport.State.RUNNING, null, false);
+    private static TaskStatus running(SchedulerAction.SendDirectCommand sent) {
+        TaskCommand launch = sent.orders().get(0);
+        return new TaskStatus(
+                launch.task(), launch.attempt(), TaskStatus.State.RUNNING, null, false);
     }
 
     private int launches() {
         return (int)
-                        leader.all(Effect.SendDirect.class).stream()
+                        leader.all(SchedulerAction.SendDirectCommand.class).stream()
                                 .flatMap(sent -> sent.orders().stream())
-                                .filter(order -> order.verb() == Order.Verb.LAUNCH)
+                                .filter(order -> order.verb() == TaskCommand.Action.LAUNCH)
                                 .count()
                 + (int)
-                        leader.all(Effect.Answer.class).stream()
+                        leader.all(SchedulerAction.AnswerHeartbeat.class).stream()
                                 .flatMap(answer -> answer.orders().stream())
-                                .filter(order -> order.verb() == Order.Verb.LAUNCH)
+                                .filter(order -> order.verb() == TaskCommand.Action.LAUNCH)
                                 .count();
     }
 
@@ -58,18 +58,19 @@
         leader.report(message(gone, 1, 10, 0));
         leader.unanswered();
         leader.pass(20 * SECOND);
-        assertEquals(List.of(), leader.all(Effect.PutMachine.class));
+        assertEquals(List.of(), leader.all(SchedulerAction.WriteMachine.class));
         leader.submit("j-000001", 2);
         leader.pass(2 * SECOND);
         assertEquals(0, launches());
-        assertEquals(List.of(), leader.all(Effect.Delete.class));
+        assertEquals(List.of(), leader.all(SchedulerAction.DeleteMachines.class));
     }
 
     /** A machine that nobody expected and that answers is taken over, as it costs money. */
     @Test
     void aMachineThatAnswersIsTakenOver() {
         leader.isUp("host-000009", 10);
-        assertEquals("host-000009", leader.last(Effect.PutMachine.class).record().host());
+        assertEquals(
+                "host-000009", leader.last(SchedulerAction.WriteMachine.class).record().host());
     }
 
     /**
@@ -95,7 +96,8 @@
         // It lives after all, in its next session where its lease has ended meanwhile.
         long tenure = lateS > 10 ? 2 : 1;
         leader.report(message(HOST, tenure, 5, token));
-        Effect.SendDirect asked = leader.last(Effect.SendDirect.class);
+        SchedulerAction.SendDirectCommand asked =
+                leader.last(SchedulerAction.SendDirectCommand.class);
         assertTrue(asked.epoch() > token, "it is asked under a new token");
         leader.answered(message(HOST, tenure, 6, asked.epoch()));
         leader.greeted(HOST, tenure, 7);
@@ -110,14 +112,14 @@
         long token = leader.isUp(HOST, 1);
         leader.report(message(HOST, 1, 3, token));
         leader.passUnanswered(60 * SECOND);
-        assertEquals(List.of(HOST), leader.last(Effect.Delete.class).hosts());
+        assertEquals(List.of(HOST), leader.last(SchedulerAction.DeleteMachines.class).hosts());
         leader.report(message(HOST, 1, 4, token));
-        leader.step(new Command.Deleted(List.of(HOST), true));
+        leader.step(new SchedulerEvent.MachineDeletionCompleted(List.of(HOST), true));
         leader.report(message(HOST, 1, 5, token));
         leader.submit("j-000001", 2);
         leader.pass(2 * SECOND);
         assertEquals(0, launches());
-        assertEquals(1, leader.all(Effect.Delete.class).size());
+        assertEquals(1, leader.all(SchedulerAction.DeleteMachines.class).size());
     }
 
     /**
@@ -126,10 +128,10 @@
      */
     @Test
     void theFirstAnswerHaltsWhatMustGo() {
-        TaskReport stranger =
-                new TaskReport(new TaskId("j-000077", 0), 3, TaskReport.State.RUNNING, null, false);
-        Effect.Answer first = leader.report(message(HOST, 1, 10, 0, stranger));
-        assertEquals(List.of(Order.halt(stranger.task(), 3, 0)), first.orders());
+        TaskStatus stranger =
+                new TaskStatus(new TaskId("j-000077", 0), 3, TaskStatus.State.RUNNING, null, false);
+        SchedulerAction.AnswerHeartbeat first = leader.report(message(HOST, 1, 10, 0, stranger));
+        assertEquals(List.of(TaskCommand.halt(stranger.task(), 3, 0)), first.orders());
     }
 
     /** Answers to copies reach nobody, so they can't have renewed a lease. */
@@ -138,8 +140,13 @@
         long token = leader.isUp(HOST, 1);
         leader.submit("j-000001", 1);
         leader.pass(100_000);
-        WorkerReport last =
-                message(HOST, 1, 4, token, running(leader.last(Effect.SendDirect.class)));
+        Heartbeat last =
+                message(
+                        HOST,
+                        1,
+                        4,
+                        token,
+                        running(leader.last(SchedulerAction.SendDirectCommand.class)));
         leader.answered(message(HOST, 1, 3, token));
         leader.report(last);
         for (int i = 0; i < 16; i++) {
@@ -158,8 +165,14 @@
         long token = leader.isUp(HOST, 1);
         leader.submit("j-000001", 1);
         leader.pass(100_000);
-        leader.answered(message(HOST, 1, 5, token, running(leader.last(Effect.SendDirect.class))));
-        Effect.Answer answer = leader.report(message(HOST, 1, 4, token));
+        leader.answered(
+                message(
+                        HOST,
+                        1,
+                        5,
+                        token,
+                        running(leader.last(SchedulerAction.SendDirectCommand.class))));
+        SchedulerAction.AnswerHeartbeat answer = leader.report(message(HOST, 1, 4, token));
         assertEquals(List.of(), answer.orders());
         leader.pass(SECOND);
         assertEquals(1, launches());
@@ -169,13 +182,15 @@
     /** It is neither a later leader's word, nor may its numbers come back. */
     @Test
     void aCopyWithAHigherTokenOfThisTermDeposesNobody() {
-        leader.report(message("host-000009", 1, 10, TERM << Hearing.FENCE_BITS | 7));
-        assertEquals(List.of(), leader.all(Effect.Abdicate.class));
-        assertTrue(leader.last(Effect.Answer.class).epoch() > (TERM << Hearing.FENCE_BITS | 7));
+        leader.report(message("host-000009", 1, 10, TERM << AgentLiveness.FENCE_BITS | 7));
+        assertEquals(List.of(), leader.all(SchedulerAction.StepDown.class));
+        assertTrue(
+                leader.last(SchedulerAction.AnswerHeartbeat.class).epoch()
+                        > (TERM << AgentLiveness.FENCE_BITS | 7));
         leader.step(
-                new Command.Report(
-                        99, message("host-000009", 1, 11, TERM + 1 << Hearing.FENCE_BITS)));
-        assertEquals(1, leader.all(Effect.Abdicate.class).size());
+                new SchedulerEvent.HeartbeatReceived(
+                        99, message("host-000009", 1, 11, TERM + 1 << AgentLiveness.FENCE_BITS)));
+        assertEquals(1, leader.all(SchedulerAction.StepDown.class).size());
     }
 
     /**
@@ -202,7 +217,8 @@
         leader.pass(500_000);
         leader.greeted(HOST, 2, 11);
         leader.pass(500_000);
-        leader.report(message(HOST, 2, 12, leader.last(Effect.Answer.class).epoch()));
+        leader.report(
+                message(HOST, 2, 12, leader.last(SchedulerAction.AnswerHeartbeat.class).epoch()));
         assertTrue(leader.logged(LogEvent.MACHINE_REACHABLE, "machine=" + HOST));
         assertEquals(1, launches());
     }
@@ -222,7 +238,8 @@
         }
         leader.isUp(other, 1);
         leader.pass(SECOND);
-        Effect.SendDirect sent = leader.last(Effect.SendDirect.class);
+        SchedulerAction.SendDirectCommand sent =
+                leader.last(SchedulerAction.SendDirectCommand.class);
         assertEquals(other, sent.host());
         assertEquals(
                 "j-000002/0",
--- a/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
+++ b/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.woadloom.core.CoreFixture;
+import org.woadloom.core.SchedulerFixture;
 import org.woadloom.core.jobs.Job;
-import org.woadloom.core.jobs.Placement;
+import org.woadloom.core.jobs.TaskAttempt;
 import org.woadloom.core.machines.Machine;
 import org.woadloom.core.reservation.Reservation;
 import org.woadloom.core.reservation.Reservations;
-import org.woadloom.state.RecordFormat;
-import org.woadloom.wire.Cbor;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.store.RecordFormat;
 
 /** The shortcuts of the search against the plain walk that they stand for. */
 class PlacementSearchTest {
@@ -28,9 +28,9 @@
         int placed = 0;
         for (long seed = 1; seed <= 60; seed++) {
             Random random = new Random(seed);
-            CoreFixture fixture = new CoreFixture(400);
+            SchedulerFixture fixture = new SchedulerFixture(400);
             Reservations reservations = new Reservations(fixture.world);
-            Eligibility eligibility = new Eligibility(fixture.world);
+            PlacementConstraints eligibility = new PlacementConstraints(fixture.world);
             List<Machine> machines = machines(fixture, reservations, random, 30);
             Job job =
                     fixture.job(
@@ -49,17 +49,19 @@
                         random.nextBoolean());
             }
             Set<String> scarce = random.nextBoolean() ? Set.of("a") : Set.of();
-            Candidates once = new Candidates(job, machines, scarce, eligibility, reservations);
+            CandidateMachines once =
+                    new CandidateMachines(job, machines, scarce, eligibility, reservations);
             for (int index = job.nextPending(0); index >= 0; index = job.nextPending(index + 1)) {
                 Machine plain =
-                        new Candidates(job, machines, scarce, eligibility, reservations).next();
+                        new CandidateMachines(job, machines, scarce, eligibility, reservations)
+                                .next();
                 Machine chosen = once.next();
                 assertSame(plain, chosen, "seed " + seed + ", task " + index);
                 if (chosen == null) {
                     break;
                 }
-                Placement placement =
-                        new Placement(job, index, chosen, 1, 1, fixture.world.nowMicros);
+                TaskAttempt placement =
+                        new TaskAttempt(job, index, chosen, 1, 1, fixture.world.nowMicros);
                 reservations.draw(placement);
                 job.add(placement);
                 once.placed();
@@ -70,7 +72,7 @@
     }
 
     private static List<Machine> machines(
-            CoreFixture fixture, Reservations reservations, Random random, int count) {
+            SchedulerFixture fixture, Reservations reservations, Random random, int count) {
         List<Machine> machines = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             Machine machine = fixture.machine("host-" + i, random.nextBoolean() ? "a" : "b");
@@ -94,7 +96,7 @@
     @Test
     void reservationsByMachineAgreeWithAWalkOverAll() {
         Random random = new Random(5);
-        CoreFixture fixture = new CoreFixture(4_000);
+        SchedulerFixture fixture = new SchedulerFixture(4_000);
         Reservations reservations = new Reservations(fixture.world);
         List<Machine> machines = machines(fixture, reservations, random, 12);
         List<Job> jobs = new ArrayList<>(fixture.world.jobs.values());
@@ -107,7 +109,7 @@
             } else if (!owned.isEmpty()) {
                 reservations.release(owned.get(random.nextInt(owned.size())));
             }
-            Room plain = machine.size().minus(machine.used());
+            Resources plain = machine.size().minus(machine.used());
             int total = 0;
             for (Job any : jobs) {
                 total += reservations.of(any).size();
@@ -129,7 +131,7 @@
     @CsvSource({"PLAIN,8192", "COMPACT,2048", "COMPACT,1500"})
     void theRecordOfAHugeJobAlwaysFits(RecordFormat format, int valueBytes) {
         Random random = new Random(8);
-        CoreFixture fixture = new CoreFixture(100_000);
+        SchedulerFixture fixture = new SchedulerFixture(100_000);
         fixture.world.format = format;
         fixture.world.valueBytes = valueBytes;
         Reservations reservations = new Reservations(fixture.world);
@@ -137,14 +139,16 @@
             fixture.machine("host-" + (100_000 + i), i % 2 == 0 ? "a" : "b");
         }
         Job job = fixture.job("j-999999", 1, 1, 100_000);
-        Placer placer = new Placer(fixture.world, new Eligibility(fixture.world), reservations);
+        TaskPlacer placer =
+                new TaskPlacer(
+                        fixture.world, new PlacementConstraints(fixture.world), reservations);
         int largest = 0;
         int most = 0;
         for (int wave = 0; wave < 400; wave++) {
             placer.place();
             most = Math.max(most, job.placements().size());
             largest = Math.max(largest, Cbor.jsonSize(job.toRecord(1, wave).toMap(format)));
-            for (Placement placement : new ArrayList<>(job.placements())) {
+            for (TaskAttempt placement : new ArrayList<>(job.placements())) {
                 if (random.nextInt(3) == 0) {
                     if (random.nextInt(8) > 0) {
                         job.markDone(placement.index);
--- a/src/test/java/org/woadloom/core/placement/ServiceOrderTest.java
+++ b/src/test/java/org/woadloom/core/placement/QueueOrderTest.java
@@ -4,12 +4,12 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.woadloom.core.CoreFixture;
+import org.woadloom.core.SchedulerFixture;
 import org.woadloom.core.jobs.Job;
 
-class ServiceOrderTest {
-    private final CoreFixture fixture = new CoreFixture();
-    private final ServiceOrder order = new ServiceOrder(fixture.world);
+class QueueOrderTest {
+    private final SchedulerFixture fixture = new SchedulerFixture();
+    private final QueueOrder order = new QueueOrder(fixture.world);
 
     @Test
     void whatCanStillBeInTimeGoesBeforeWhatIsLate() {
--- a/src/test/java/org/woadloom/core/teams/ClassSharesTest.java
+++ b/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
@@ -1,4 +1,4 @@
-package org.woadloom.core.teams;
+package org.woadloom.core.quota;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,16 +6,16 @@
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.woadloom.core.CoreFixture;
-import org.woadloom.core.Effect;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerFixture;
 import org.woadloom.core.jobs.Job;
 import org.woadloom.core.machines.Machine;
 import org.woadloom.core.reservation.Reservations;
 
 /** One team, limited to 24 CPUs, on machines of 16. */
-class ClassSharesTest {
-    private final CoreFixture fixture = new CoreFixture();
-    private final ClassShares shares = new ClassShares(fixture.world);
+class ClassFairShareTest {
+    private final SchedulerFixture fixture = new SchedulerFixture();
+    private final ClassFairShare shares = new ClassFairShare(fixture.world);
     private final Reservations reservations = new Reservations(fixture.world);
     private Machine[] machines;
 
@@ -133,7 +133,9 @@
                                 + " used_cpus=0 waiting_cpus=40",
                         "event=quota_exceeded team=team asked_cpus=80 asked_gpus=0 class=work"
                                 + " used_cpus=0 waiting_cpus=40"),
-                told.stream().map(effect -> ((Effect.Note) effect).entry().toString()).toList());
+                told.stream()
+                        .map(effect -> ((SchedulerAction.Log) effect).entry().toString())
+                        .toList());
         fixture.world.nowMicros += 61_000_000;
         shares.update();
         assertEquals(2, fixture.effects().size());
--- a/src/test/java/org/woadloom/core/teams/GuaranteesTest.java
+++ b/src/test/java/org/woadloom/core/quota/GuaranteedQuotaTest.java
@@ -1,18 +1,18 @@
-package org.woadloom.core.teams;
+package org.woadloom.core.quota;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import org.woadloom.core.CoreFixture;
+import org.woadloom.core.SchedulerFixture;
 import org.woadloom.core.jobs.Job;
 
-class GuaranteesTest {
+class GuaranteedQuotaTest {
     /** The fixture's team is guaranteed 16 CPUs. */
     @Test
     void aJobIsWithinTheGuaranteeTogetherWithTheEarlierOnes() {
-        CoreFixture fixture = new CoreFixture();
-        Guarantees guarantees = new Guarantees(fixture.world);
+        SchedulerFixture fixture = new SchedulerFixture();
+        GuaranteedQuota guarantees = new GuaranteedQuota(fixture.world);
         Job first = fixture.job("j-1", 4, 1, 2);
         Job second = fixture.job("j-2", 4, 1, 2);
         Job third = fixture.job("j-3", 1, 1, 1);
--- a/src/test/java/org/woadloom/core/teams/LimitTurnsTest.java
+++ b/src/test/java/org/woadloom/core/quota/QuotaRotationTest.java
@@ -1,22 +1,22 @@
-package org.woadloom.core.teams;
+package org.woadloom.core.quota;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.woadloom.core.CoreFixture;
 import org.woadloom.core.LogEvent;
+import org.woadloom.core.SchedulerFixture;
 import org.woadloom.core.jobs.Job;
 import org.woadloom.core.machines.Machine;
-import org.woadloom.core.placement.ServiceOrder;
+import org.woadloom.core.placement.QueueOrder;
 import org.woadloom.core.reservation.Reservations;
 
 /** A large job of a team at its limit of 24 CPUs, behind small ones without end. */
-class LimitTurnsTest {
-    private final CoreFixture fixture = new CoreFixture();
+class QuotaRotationTest {
+    private final SchedulerFixture fixture = new SchedulerFixture();
     private final Reservations reservations = new Reservations(fixture.world);
-    private final LimitTurns turns = new LimitTurns(fixture.world, reservations);
+    private final QuotaRotation turns = new QuotaRotation(fixture.world, reservations);
     private final Machine[] machines = {
         fixture.machine("host-1", "a"), fixture.machine("host-2", "a")
     };
@@ -233,7 +233,7 @@
     /** A largest job that keeps being late would make way for whatever can still be in time. */
     @Test
     void withAgeTheLargestGoBeforeTheOthersOfTheirKind() {
-        ServiceOrder order = new ServiceOrder(fixture.world);
+        QueueOrder order = new QueueOrder(fixture.world);
         Job large = fixture.due("j-1", 100, 60);
         fixture.world.nowMicros += 149_000_000;
         Job small = fixture.due("j-2", 10, 60);
--- a/src/test/java/org/woadloom/core/reservation/ReservationsTest.java
+++ b/src/test/java/org/woadloom/core/reservation/ReservationsTest.java
@@ -5,20 +5,20 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 
 import org.junit.jupiter.api.Test;
-import org.woadloom.core.CoreFixture;
+import org.woadloom.core.SchedulerFixture;
 import org.woadloom.core.jobs.Job;
 import org.woadloom.core.machines.Machine;
-import org.woadloom.core.placement.Room;
+import org.woadloom.core.placement.Resources;
 import org.woadloom.core.reservation.Reservation.Phase;
 
 /** The proposal's cases, on machines of 16 CPUs and 32 GB. */
 class ReservationsTest {
-    private final CoreFixture fixture = new CoreFixture();
+    private final SchedulerFixture fixture = new SchedulerFixture();
     private final Reservations reservations = new Reservations(fixture.world);
     private final Machine machine = fixture.machine("host-1", "a");
 
-    private static Room room(double cpus, double gb) {
-        return new Room((long) (cpus * 1000), 0, (long) (gb * 1000));
+    private static Resources room(double cpus, double gb) {
+        return new Resources((long) (cpus * 1000), 0, (long) (gb * 1000));
     }
 
     @Test
@@ -123,7 +123,7 @@
         Reservation reservation = reservations.reserve(owner, machine, room(4, 0), true, false);
         machine.leaving = true;
         assertEquals(java.util.List.of(reservation), reservations.sync());
-        assertEquals(Room.NONE, owner.team.used());
+        assertEquals(Resources.NONE, owner.team.used());
     }
 
     @Test
--- a/src/test/java/org/woadloom/core/rollout/RolloutExplorer.java
+++ b/src/test/java/org/woadloom/core/rollout/RolloutExplorer.java
@@ -12,19 +12,19 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.woadloom.core.rollout.RolloutRules.Situation;
-import org.woadloom.core.rollout.RolloutRules.Verdict;
-import org.woadloom.state.NodeWord;
-import org.woadloom.state.RolloutRecord;
-import org.woadloom.state.RolloutRecord.Standing;
-import org.woadloom.state.RolloutRecord.Step;
-import org.woadloom.state.RolloutRequest.Verb;
+import org.woadloom.core.rollout.RolloutPolicy.Decision;
+import org.woadloom.core.rollout.RolloutPolicy.Situation;
+import org.woadloom.store.NodeAnnouncement;
+import org.woadloom.store.RolloutRecord;
+import org.woadloom.store.RolloutRecord.Standing;
+import org.woadloom.store.RolloutRecord.Step;
+import org.woadloom.store.RolloutRequest.Verb;
 
 /**
  * Visits every state of three nodes, a store and one write that may be late, breadth first, so that
  * the first trace to a broken state is a shortest one. Nodes are interchangeable. What is decided
- * is decided by {@link RolloutRules} and {@link Belonging} themselves; what is modelled is who
- * lives, what the store holds, and what is under way to it.
+ * is decided by {@link RolloutPolicy} and {@link ClusterMembership} themselves; what is modelled is
+ * who lives, what the store holds, and what is under way to it.
  */
 final class RolloutExplorer {
     /** How the model is broken on purpose. */
@@ -337,7 +337,7 @@
         boolean sure =
                 fault == Fault.LEAVES_RECORDS
                         || !left && !(back && s.late && fault != Fault.LATE_RECORD);
-        Map<String, NodeWord> words = new TreeMap<>();
+        Map<String, NodeAnnouncement> words = new TreeMap<>();
         Set<String> labels = new TreeSet<>();
         for (int i = 0; i < NODES; i++) {
             String label = "node-" + i;
@@ -345,11 +345,11 @@
             Word word = s.members.get(i).word;
             if (word != Word.NONE) {
                 Set<String> reads = word == Word.NEW ? Feature.known() : Set.of();
-                words.put(label, new NodeWord(i, reads, reads, labels, 1, 0));
+                words.put(label, new NodeAnnouncement(i, reads, reads, labels, 1, 0));
             }
         }
-        Verdict verdict =
-                RolloutRules.judge(
+        Decision verdict =
+                RolloutPolicy.judge(
                         FEATURE,
                         new Situation(
                                 record(s),
@@ -494,7 +494,7 @@
     }
 
     private static boolean serves(State s, Member m) {
-        Belonging belonging = new Belonging(m.fresh ? Feature.known() : Set.of());
+        ClusterMembership belonging = new ClusterMembership(m.fresh ? Feature.known() : Set.of());
         belonging.required(record(s).requires());
         belonging.read();
         return belonging.serves();
--- a/src/test/java/org/woadloom/http/AdmissionTest.java
+++ b/src/test/java/org/woadloom/http/AdmissionControlTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.MachineType;
 import org.woadloom.settings.Team;
-import org.woadloom.wire.JobDescription;
-import org.woadloom.wire.MachineType;
 
 /** Only what certainly never runs is refused: a job that could wait for its turn must not be. */
-class AdmissionTest {
+class AdmissionControlTest {
     private static final Team TEAM = new Team("team", 4, 8, 2, 4);
     private static final List<String> ZONES = List.of("a", "b");
     private static final List<MachineType> TYPES =
@@ -72,8 +72,8 @@
     }
 
     private static boolean runs(JobDescription job) {
-        return Admission.neverByItsTerms(job, TEAM, ZONES) == null
-                && Admission.neverByTypes(job, TYPES) == null;
+        return AdmissionControl.neverByItsTerms(job, TEAM, ZONES) == null
+                && AdmissionControl.neverByTypes(job, TYPES) == null;
     }
 
     @ParameterizedTest
@@ -128,7 +128,10 @@
     @Test
     void anUnknownTeamHasNoLimit() throws Exception {
         assertNotNull(
-                Admission.neverByItsTerms(job("batch", 1, 1, 0, null, null, null), null, ZONES));
-        assertNull(Admission.neverByItsTerms(job("batch", 1, 1, 0, null, null, null), TEAM, ZONES));
+                AdmissionControl.neverByItsTerms(
+                        job("batch", 1, 1, 0, null, null, null), null, ZONES));
+        assertNull(
+                AdmissionControl.neverByItsTerms(
+                        job("batch", 1, 1, 0, null, null, null), TEAM, ZONES));
     }
 }
--- a/src/test/java/org/woadloom/node/LettersTest.java
+++ b/src/test/java/org/woadloom/node/CompressedListTest.java
@@ -11,15 +11,15 @@
 import java.util.Map;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.MalformedMessageException;
 
-class LettersTest {
+class CompressedListTest {
     private static final int MACHINES = 12;
     private static final int TASKS = 12;
 
     /** With one report to a letter of 2 KiB, the leases of a zone that was cut off ended. */
     @Test
-    void aSmallValueHoldsTheReportsOfManyMachines() throws WireException {
+    void aSmallValueHoldsTheReportsOfManyMachines() throws MalformedMessageException {
         Random random = new Random(6);
         List<Object> reports = new ArrayList<>();
         for (int host = 0; host < MACHINES; host++) {
@@ -39,20 +39,20 @@
             report.put("shards", tasks);
             reports.add(Arrays.asList(random.nextLong(1L << 54), report));
         }
-        String packed = Letters.pack(reports);
+        String packed = CompressedList.pack(reports);
         assertTrue(
                 packed.length() < 2_048,
                 MACHINES + " reports in " + packed.length() + " characters");
-        assertEquals(reports, Letters.unpack(packed));
+        assertEquals(reports, CompressedList.unpack(packed));
     }
 
     @Test
     void brokenLettersAreRefused() {
-        String packed = Letters.pack(List.of("a", "b"));
+        String packed = CompressedList.pack(List.of("a", "b"));
         assertThrows(
-                WireException.class,
-                () -> Letters.unpack(packed.substring(0, packed.length() / 2)));
-        assertThrows(WireException.class, () -> Letters.unpack("no letter"));
+                MalformedMessageException.class,
+                () -> CompressedList.unpack(packed.substring(0, packed.length() / 2)));
+        assertThrows(MalformedMessageException.class, () -> CompressedList.unpack("no letter"));
     }
 
     /** A letter that would fill the memory is cut off, and then can't be read. */
@@ -63,8 +63,8 @@
         for (int i = 0; i < 40; i++) {
             many.add(zeros);
         }
-        String packed = Letters.pack(many);
+        String packed = CompressedList.pack(many);
         assertTrue(packed.length() < 16_384);
-        assertThrows(WireException.class, () -> Letters.unpack(packed));
+        assertThrows(MalformedMessageException.class, () -> CompressedList.unpack(packed));
     }
 }
--- a/src/test/java/org/woadloom/node/CommandQueueTest.java
+++ b/src/test/java/org/woadloom/node/EventQueueTest.java
@@ -10,28 +10,28 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.woadloom.core.Command;
-import org.woadloom.core.Core;
-import org.woadloom.core.CoreSettings;
-import org.woadloom.core.Effect;
+import org.woadloom.core.Scheduler;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerEvent;
+import org.woadloom.core.SchedulerSettings;
 import org.woadloom.metrics.NodeMetrics;
-import org.woadloom.net.Loop;
+import org.woadloom.net.EventLoop;
+import org.woadloom.protocol.Heartbeat;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.settings.OperatorSettings;
 import org.woadloom.settings.Team;
-import org.woadloom.state.JobRecord;
-import org.woadloom.state.RecordFormat;
-import org.woadloom.wire.JobDescription;
-import org.woadloom.wire.WireException;
-import org.woadloom.wire.WorkerReport;
+import org.woadloom.store.JobRecord;
+import org.woadloom.store.RecordFormat;
 
-class CommandQueueTest {
+class EventQueueTest {
     private static final int JOBS = 3_000;
 
     private final ArrayDeque<Runnable> soon = new ArrayDeque<>();
-    private final List<Effect> effects = new ArrayList<>();
-    private final Core core =
-            new Core(
-                    new CoreSettings(
+    private final List<SchedulerAction> effects = new ArrayList<>();
+    private final Scheduler core =
+            new Scheduler(
+                    new SchedulerSettings(
                             "node",
                             Map.of(),
                             List.of(new Team("team", 100, 100, 0, 0)),
@@ -41,11 +41,11 @@
                             30_000_000,
                             3_000_000,
                             OperatorSettings.defaults()));
-    private final CommandQueue queue =
-            new CommandQueue(new StillLoop(), core, new NodeMetrics(), 10, effects::addAll);
+    private final EventQueue queue =
+            new EventQueue(new StillLoop(), core, new NodeMetrics(), 10, effects::addAll);
 
     /** Time stands still, and what is put off comes next. */
-    private final class StillLoop implements Loop {
+    private final class StillLoop implements EventLoop {
         @Override
         public long nowMicros() {
             return 1_000_000;
@@ -69,38 +69,43 @@
     }
 
     @Test
-    void reportsAreShedWhenFullAndOutcomesNever() throws WireException {
-        List<Command.StoredJob> jobs = new ArrayList<>();
+    void reportsAreShedWhenFullAndOutcomesNever() throws MalformedMessageException {
+        List<SchedulerEvent.StoredJob> jobs = new ArrayList<>();
         for (int i = 0; i < JOBS; i++) {
-            jobs.add(new Command.StoredJob(record(i), 1));
+            jobs.add(new SchedulerEvent.StoredJob(record(i), 1));
         }
-        queue.add(new Command.StorageSeen(8192, RecordFormat.PLAIN, 10_000, false, false));
-        queue.add(new Command.Lead(1, jobs, List.of(), 0));
+        queue.add(
+                new SchedulerEvent.StoreLimitsChanged(
+                        8192, RecordFormat.PLAIN, 10_000, false, false));
+        queue.add(new SchedulerEvent.LeadershipAcquired(1, jobs, List.of(), 0));
         int taken = 0;
         for (int i = 0; i < 25; i++) {
             taken += queue.offer(report(i, 1)) ? 1 : 0;
         }
         assertEquals(10, taken);
         for (int i = 0; i < JOBS; i++) {
-            queue.add(new Command.JobSeen(record(i).asCancelled(), 2));
+            queue.add(new SchedulerEvent.JobStored(record(i).asCancelled(), 2));
         }
         assertFalse(queue.offer(report(99, 1)));
         while (!soon.isEmpty()) {
             soon.poll().run();
         }
-        assertEquals(10, effects.stream().filter(Effect.Answer.class::isInstance).count());
-        assertEquals(JOBS, effects.stream().filter(Effect.FinishJob.class::isInstance).count());
+        assertEquals(
+                10,
+                effects.stream().filter(SchedulerAction.AnswerHeartbeat.class::isInstance).count());
+        assertEquals(
+                JOBS,
+                effects.stream().filter(SchedulerAction.WriteFinalState.class::isInstance).count());
         assertTrue(queue.offer(report(1, 2)), "there is room again");
     }
 
-    private static Command.Report report(int host, long tick) {
-        return new Command.Report(
+    private static SchedulerEvent.HeartbeatReceived report(int host, long tick) {
+        return new SchedulerEvent.HeartbeatReceived(
                 host,
-                new WorkerReport(
-                        "host-" + host, "a:1", "m", "a", false, 1, tick, 0, -1, List.of()));
+                new Heartbeat("host-" + host, "a:1", "m", "a", false, 1, tick, 0, -1, List.of()));
     }
 
-    private static JobRecord record(int i) throws WireException {
+    private static JobRecord record(int i) throws MalformedMessageException {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("uid", String.format("j-%06d", i));
         map.put("jobclass", "work");
--- a/src/test/java/org/woadloom/node/LettersGoldenTest.java
+++ b/src/test/java/org/woadloom/node/LettersGoldenTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.woadloom.golden.CanonicalJson;
 import org.woadloom.golden.GoldenFile;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.MalformedMessageException;
 
 /**
  * A packed list that was recorded is read, and what is packed now is read as the same; how well it
@@ -28,17 +28,19 @@
     }
 
     @Test
-    void packedReportsAreReadAsRecorded() throws WireException, IOException {
+    void packedReportsAreReadAsRecorded() throws MalformedMessageException, IOException {
         if (Boolean.getBoolean("goldenRecord")) {
             GoldenFile golden = new GoldenFile();
-            golden.addBytes("reports", Letters.pack(reports()).getBytes(StandardCharsets.US_ASCII));
+            golden.addBytes(
+                    "reports", CompressedList.pack(reports()).getBytes(StandardCharsets.US_ASCII));
             golden.check(FILE);
         }
         String recorded =
                 new String(GoldenFile.readBytes(FILE, "reports"), StandardCharsets.US_ASCII);
-        assertEquals(CanonicalJson.of(reports()), CanonicalJson.of(Letters.unpack(recorded)));
+        assertEquals(
+                CanonicalJson.of(reports()), CanonicalJson.of(CompressedList.unpack(recorded)));
         assertEquals(
                 CanonicalJson.of(reports()),
-                CanonicalJson.of(Letters.unpack(Letters.pack(reports()))));
+                CanonicalJson.of(CompressedList.unpack(CompressedList.pack(reports()))));
     }
 }
--- a/src/test/java/org/woadloom/peer/PeerCodecTest.java
+++ b/src/test/java/org/woadloom/peer/PeerCodecTest.java
@@ -15,7 +15,7 @@
     @Test
     void messagesSurviveAnyCutOfTheStream() throws PeerFormatException {
         byte[] first = codec.encode(new PeerMessage.Hello("node-1"));
-        byte[] second = codec.encode(new PeerMessage.Carried(7, 200, new byte[] {1, 2, 3}));
+        byte[] second = codec.encode(new PeerMessage.ForwardedAnswer(7, 200, new byte[] {1, 2, 3}));
         byte[] stream = Arrays.copyOf(first, first.length + second.length);
         System.arraycopy(second, 0, stream, first.length, second.length);
         for (int cut = 0; cut <= stream.length; cut++) {
@@ -26,7 +26,8 @@
             frames.addAll(reader.add(rest, rest.length));
             assertEquals(2, frames.size());
             assertEquals(new PeerMessage.Hello("node-1"), codec.decode(frames.get(0)));
-            PeerMessage.Carried carried = (PeerMessage.Carried) codec.decode(frames.get(1));
+            PeerMessage.ForwardedAnswer carried =
+                    (PeerMessage.ForwardedAnswer) codec.decode(frames.get(1));
             assertEquals(7, carried.id());
             assertArrayEquals(new byte[] {1, 2, 3}, carried.answer());
         }
@@ -34,7 +35,7 @@
 
     @Test
     void brokenFramesAreRefusedAndNeverThrowAnythingElse() {
-        byte[] frame = codec.encode(new PeerMessage.Hint(new byte[40], 9));
+        byte[] frame = codec.encode(new PeerMessage.JobChangeNotification(new byte[40], 9));
         byte[] good = Arrays.copyOfRange(frame, 4, frame.length);
         Random random = new Random(3);
         int refused = 0;
--- a/src/test/java/org/woadloom/peer/PeerFramesGoldenTest.java
+++ b/src/test/java/org/woadloom/peer/PeerFramesGoldenTest.java
@@ -9,10 +9,10 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.woadloom.core.cancellation.Vouch;
-import org.woadloom.core.cancellation.VouchTaken;
-import org.woadloom.core.care.NodeStanding;
-import org.woadloom.core.care.Warrant;
+import org.woadloom.core.cancellation.WatermarkAck;
+import org.woadloom.core.cancellation.WatermarkReport;
+import org.woadloom.core.delegation.LeaseDelegation;
+import org.woadloom.core.delegation.PeerStatus;
 import org.woadloom.golden.GoldenFile;
 
 /**
@@ -29,23 +29,31 @@
                 new PeerMessage.Ping(
                         7,
                         "node-1",
-                        new PeerMessage.Rollout(
+                        new PeerMessage.RolloutView(
                                 9, List.of("a"), List.of("a", "b"), List.of("a", "b", "c"))));
         all.put(
                 "11 ping without leader",
                 new PeerMessage.Ping(
-                        7, "", new PeerMessage.Rollout(0, List.of(), List.of(), List.of())));
+                        7, "", new PeerMessage.RolloutView(0, List.of(), List.of(), List.of())));
         all.put("11 ping of version 3", new PeerMessage.Ping(7, "node-1", null));
-        all.put("13 hint", new PeerMessage.Hint(new byte[] {1, 2, 3}, 41));
-        all.put("14 report", new PeerMessage.Carry(42, new byte[] {4, 5}));
-        all.put("15 answer", new PeerMessage.Carried(42, 421, new byte[] {6}));
-        all.put("16 standing", new PeerMessage.Stands(new NodeStanding(1, 2, 3, 4, 5, 6, -1, 8)));
-        all.put("17 warrant", new PeerMessage.Warranted(new Warrant(1, 2, 3, Warrant.UNSETTLED)));
+        all.put("13 hint", new PeerMessage.JobChangeNotification(new byte[] {1, 2, 3}, 41));
+        all.put("14 report", new PeerMessage.ForwardHeartbeat(42, new byte[] {4, 5}));
+        all.put("15 answer", new PeerMessage.ForwardedAnswer(42, 421, new byte[] {6}));
+        all.put(
+                "16 standing",
+                new PeerMessage.StatusReport(new PeerStatus(1, 2, 3, 4, 5, 6, -1, 8)));
+        all.put(
+                "17 warrant",
+                new PeerMessage.Delegation(
+                        new LeaseDelegation(1, 2, 3, LeaseDelegation.UNSETTLED)));
         all.put(
                 "18 vouch",
-                new PeerMessage.Vouched(
-                        new Vouch(1, 2, 3, 4, Vouch.NONE, 6, List.of("j-1", "j-2"))));
-        all.put("19 vouch taken", new PeerMessage.Taken(new VouchTaken(1, 2, 3, 4)));
+                new PeerMessage.CancellationReport(
+                        new WatermarkReport(
+                                1, 2, 3, 4, WatermarkReport.NONE, 6, List.of("j-1", "j-2"))));
+        all.put(
+                "19 vouch taken",
+                new PeerMessage.CancellationReportAck(new WatermarkAck(1, 2, 3, 4)));
         return all;
     }
 
--- a/src/test/java/org/woadloom/wire/CborTest.java
+++ b/src/test/java/org/woadloom/protocol/CborTest.java
@@ -1,4 +1,4 @@
-package org.woadloom.wire;
+package org.woadloom.protocol;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -12,7 +12,7 @@
 
 class CborTest {
     @Test
-    void valuesSurviveEncodingAndDecoding() throws WireException {
+    void valuesSurviveEncodingAndDecoding() throws MalformedMessageException {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("text", "ärger");
         map.put("list", Arrays.asList(1L, -5_000_000_000L, 2.5, true, null, List.of()));
@@ -32,13 +32,13 @@
             }
             try {
                 Cbor.decodeMap(body);
-            } catch (WireException e) {
+            } catch (MalformedMessageException e) {
                 refused++;
             }
         }
         assertEquals(true, refused > 5_000);
-        assertThrows(WireException.class, () -> Cbor.decodeMap(new byte[0]));
-        assertThrows(WireException.class, () -> Cbor.decodeMap(Cbor.encode(List.of())));
+        assertThrows(MalformedMessageException.class, () -> Cbor.decodeMap(new byte[0]));
+        assertThrows(MalformedMessageException.class, () -> Cbor.decodeMap(Cbor.encode(List.of())));
     }
 
     @Test
--- a/src/test/java/org/woadloom/settings/SettingsTest.java
+++ b/src/test/java/org/woadloom/settings/SettingsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.woadloom.node.FleetEstimate;
+import org.woadloom.node.FleetSizeEstimate;
 
 class SettingsTest {
     private static String good() throws Exception {
@@ -53,10 +53,12 @@
     })
     void settingsThatCantWorkTogetherAreNamed(String was, String is, String expected)
             throws Exception {
-        assertEquals(List.of(), Sanity.problems(ServiceSettingsFile.parse("f.toml", good())));
+        assertEquals(
+                List.of(), SettingsValidator.problems(ServiceSettingsFile.parse("f.toml", good())));
         assertTrue(good().contains(was));
         List<String> problems =
-                Sanity.problems(ServiceSettingsFile.parse("f.toml", good().replace(was, is)));
+                SettingsValidator.problems(
+                        ServiceSettingsFile.parse("f.toml", good().replace(was, is)));
         assertEquals(1, problems.size(), problems.toString());
         assertTrue(problems.get(0).startsWith(expected), problems.toString());
     }
@@ -66,13 +68,15 @@
         ServiceSettings settings = ServiceSettingsFile.parse("f.toml", good());
         assertEquals(
                 60,
-                FleetEstimate.of(settings).workers(),
+                FleetSizeEstimate.of(settings).workers(),
                 "200 sockets, half of them for workers and users");
         ServiceSettings large =
                 ServiceSettingsFile.parse(
                         "f.toml", good().replace("fd_limit = 200", "fd_limit = 9000"));
         assertEquals(
-                1_000, FleetEstimate.of(large).workers(), "one core, a report a second from each");
+                1_000,
+                FleetSizeEstimate.of(large).workers(),
+                "one core, a report a second from each");
     }
 
     @Test
--- a/src/test/java/org/woadloom/sim/BadInputTest.java
+++ b/src/test/java/org/woadloom/sim/BadInputTest.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import org.woadloom.wire.Cbor;
+import org.woadloom.protocol.Cbor;
 
 /**
  * Malformed requests on every route and in every field, to a node that leads and to one that does
@@ -330,7 +330,7 @@
     private static Object decode(byte[] body) {
         try {
             return Cbor.decodeMap(body);
-        } catch (org.woadloom.wire.WireException e) {
+        } catch (org.woadloom.protocol.MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/src/test/java/org/woadloom/sim/BehaviourDigestTest.java
+++ b/src/test/java/org/woadloom/sim/BehaviourDigestTest.java
@@ -130,7 +130,9 @@
     }
 
     private static BehaviourDigest play(RandomDay day, BehaviourDigest digest) {
-        World world = new World(day.seed(), day.upgrade() ? Day.UPGRADE : Day.PLAIN);
+        ClusterSimulation world =
+                new ClusterSimulation(
+                        day.seed(), day.upgrade() ? Scenario.UPGRADE : Scenario.PLAIN);
         world.stepObserver =
                 (node, now, commands, effects) ->
                         digest.add(StepRenderer.render(node, now, commands, effects));
