--- a/src/test/java/org/woadloom/sim/CancellationMeetingsTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
@@ -15,28 +15,28 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.woadloom.sim.Day.Flaw;
-import org.woadloom.state.Keys;
+import org.woadloom.sim.Scenario.Flaw;
+import org.woadloom.store.StoreKeys;
 
 /**
- * Users cancel four jobs a second while the work of the controllers changes hands. {@link Truth}
- * checks after each step that no cancelled task stays too long; what is counted here is that the
- * meeting came about, and how long users waited.
+ * Users cancel four jobs a second while the work of the controllers changes hands. {@link
+ * InvariantChecker} checks after each step that no cancelled task stays too long; what is counted
+ * here is that the meeting came about, and how long users waited.
  */
-class CancellationMeetingsTest {
+class CancellationFaultCombinationsTest {
     private static final long S = 1_000_000;
     private static final long AT = 30 * S;
     private static final int SEEDS = Integer.getInteger("seeds", 1);
 
     /** Users who cancel, each on any node, and ask again until they are told. */
     private static final class Cancellers {
-        final World world;
+        final ClusterSimulation world;
         final Set<String> asked = new HashSet<>();
         final List<Long> waits = new ArrayList<>();
         final Map<String, Integer> why = new TreeMap<>();
         int open;
 
-        Cancellers(World world) {
+        Cancellers(ClusterSimulation world) {
             this.world = world;
         }
 
@@ -62,7 +62,7 @@
 
         private void ask(String uid, long since) {
             long sent = world.loop.now();
-            int node = world.random.nextInt(World.NODES);
+            int node = world.random.nextInt(ClusterSimulation.NODES);
             world.toNode(
                     "users",
                     node,
@@ -102,8 +102,10 @@
         }
     }
 
-    private static World day(long seed, Flaw flaw) {
-        World world = new World(seed, new Day(Day.LONG, Day.LONG, Version.NOW, flaw, 0));
+    private static ClusterSimulation day(long seed, Flaw flaw) {
+        ClusterSimulation world =
+                new ClusterSimulation(
+                        seed, new Scenario(Scenario.LONG, Scenario.LONG, Version.NOW, flaw, 0));
         world.trouble = 0;
         world.servicesStay = true;
         world.users(AT + 30 * S, 6);
@@ -111,7 +113,7 @@
         return world;
     }
 
-    private static Cancellers cancelling(World world, long forMicros) {
+    private static Cancellers cancelling(ClusterSimulation world, long forMicros) {
         Cancellers users = new Cancellers(world);
         users.until(world.loop.now() + forMicros);
         return users;
@@ -121,8 +123,8 @@
     enum Change {
         ROLLING_RESTART(1, 700) {
             @Override
-            void begin(World world) {
-                for (int node = 0; node < World.NODES; node++) {
+            void begin(ClusterSimulation world) {
+                for (int node = 0; node < ClusterSimulation.NODES; node++) {
                     int ending = node;
                     world.loop.after(node * 5 * S, () -> world.end(ending, 300_000));
                 }
@@ -130,37 +132,37 @@
         },
         LEADER_ENDS(1, 4000) {
             @Override
-            void begin(World world) {
+            void begin(ClusterSimulation world) {
                 world.endLeader(8 * S);
             }
         },
         LEADER_RETURNS_AT_ONCE(1, 600) {
             @Override
-            void begin(World world) {
+            void begin(ClusterSimulation world) {
                 world.endLeader(200_000);
             }
         },
         LEADER_FREEZES(1, 6500) {
             @Override
-            void begin(World world) {
+            void begin(ClusterSimulation world) {
                 world.freeze(world.leader(), 9 * S);
             }
         },
         CUT_ENDS(1, 6500) {
             @Override
-            void begin(World world) {
+            void begin(ClusterSimulation world) {
                 world.isolate(world.leader(), 9 * S);
             }
         },
         REFUSED_UNTIL_DEPOSED(1, 4500) {
             @Override
-            void begin(World world) {
+            void begin(ClusterSimulation world) {
                 world.refuseState(world.leader(), 9 * S);
             }
         },
         TEN_CHANGES(10, 1500) {
             @Override
-            void begin(World world) {
+            void begin(ClusterSimulation world) {
                 for (int i = 0; i < 10; i++) {
                     world.loop.after(
                             i * 3 * S,
@@ -170,8 +172,8 @@
         },
         ALL_END_ONE_RETURNS(1, 17000) {
             @Override
-            void begin(World world) {
-                for (int node = 0; node < World.NODES; node++) {
+            void begin(ClusterSimulation world) {
+                for (int node = 0; node < ClusterSimulation.NODES; node++) {
                     world.end(node, node == 0 ? 300_000 : 25 * S);
                 }
             }
@@ -189,7 +191,7 @@
             longestWait = longestMillis * 1_000;
         }
 
-        abstract void begin(World world);
+        abstract void begin(ClusterSimulation world);
     }
 
     /**
@@ -200,7 +202,7 @@
     @EnumSource
     void jobsAreCancelledWhileWorkChangesHands(Change change) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            World world = day(seed, Flaw.NONE);
+            ClusterSimulation world = day(seed, Flaw.NONE);
             long term = world.term();
             Cancellers users = cancelling(world, 35 * S);
             world.loop.after(2 * S, () -> change.begin(world));
@@ -231,8 +233,11 @@
     }
 
     /** Jobs are cancelled within 0.2 s around the moment at which the refusal begins. */
-    private static int atTheMomentOfTheRefusal(Else what, long seed, Day.Times told, Flaw flaw) {
-        World world = new World(seed, new Day(Day.LONG, told, Version.NOW, flaw, 0));
+    private static int atTheMomentOfTheRefusal(
+            Else what, long seed, Scenario.Times told, Flaw flaw) {
+        ClusterSimulation world =
+                new ClusterSimulation(
+                        seed, new Scenario(Scenario.LONG, told, Version.NOW, flaw, 0));
         world.trouble = 0;
         world.servicesStay = true;
         world.users(AT, 6);
@@ -253,14 +258,19 @@
                     switch (what) {
                         case PEERS_CUT -> world.refusePeers(90 * S);
                         case ANOTHER_REFUSED ->
-                                world.refuseStateToo((leader + 1) % World.NODES, 90 * S);
-                        case ANOTHER_ALONE -> world.isolate((leader + 1) % World.NODES, 20 * S);
+                                world.refuseStateToo(
+                                        (leader + 1) % ClusterSimulation.NODES, 90 * S);
+                        case ANOTHER_ALONE ->
+                                world.isolate((leader + 1) % ClusterSimulation.NODES, 20 * S);
                         case CONFIRMING_NODES_END ->
                                 world.loop.after(
                                         350_000,
                                         () -> {
-                                            world.end((leader + 1) % World.NODES, 300_000);
-                                            world.end((leader + 2) % World.NODES, 20 * S);
+                                            world.end(
+                                                    (leader + 1) % ClusterSimulation.NODES,
+                                                    300_000);
+                                            world.end(
+                                                    (leader + 2) % ClusterSimulation.NODES, 20 * S);
                                         });
                         default -> {}
                     }
@@ -278,7 +288,7 @@
     void jobsAreCancelledAtTheVeryMomentOfTheRefusal(Else what) {
         int confirmed = 0;
         for (long seed = 1; seed <= SEEDS + 1; seed++) {
-            confirmed += atTheMomentOfTheRefusal(what, seed, Day.LONG, Flaw.NONE);
+            confirmed += atTheMomentOfTheRefusal(what, seed, Scenario.LONG, Flaw.NONE);
         }
         // With the peers cut from before only a leader that nobody promised anything could be
         // passed by.
@@ -295,7 +305,7 @@
     void theStateServiceIsSlowThenRefusesTheLeaderThenEverybody() {
         int confirmed = 0;
         for (long seed = 1; seed <= SEEDS + 1; seed++) {
-            World world = day(seed, Flaw.NONE);
+            ClusterSimulation world = day(seed, Flaw.NONE);
             world.lookClosely(25 * S);
             world.slowState(900_000, 12 * S);
             Cancellers users = cancelling(world, 20 * S);
@@ -318,30 +328,30 @@
     enum Leader {
         ENDED {
             @Override
-            void meet(World world) {
+            void meet(ClusterSimulation world) {
                 world.endLeader(3 * S);
             }
         },
         FROZEN {
             @Override
-            void meet(World world) {
+            void meet(ClusterSimulation world) {
                 world.freeze(world.leader(), 12 * S);
             }
         },
         ISOLATED {
             @Override
-            void meet(World world) {
+            void meet(ClusterSimulation world) {
                 world.isolate(world.leader(), 40 * S);
             }
         },
         REFUSED {
             @Override
-            void meet(World world) {
+            void meet(ClusterSimulation world) {
                 world.refuseState(world.leader(), 40 * S);
             }
         };
 
-        abstract void meet(World world);
+        abstract void meet(ClusterSimulation world);
     }
 
     @ParameterizedTest
@@ -350,7 +360,7 @@
         int confirmed = 0;
         int called = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            World world = day(seed, Flaw.NONE);
+            ClusterSimulation world = day(seed, Flaw.NONE);
             for (int i = 0; i < 2; i++) {
                 called += world.cancelNow(6, 5 * S + i * 9 * S);
                 world.loop.after(
@@ -376,7 +386,7 @@
     @Test
     void answersAreLostWhileLeadersChange() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            World world = day(seed, Flaw.NONE);
+            ClusterSimulation world = day(seed, Flaw.NONE);
             long term = world.term();
             world.loseAnswers(40, 35 * S);
             Cancellers users = cancelling(world, 30 * S);
@@ -390,9 +400,9 @@
             // As many terms as leaders ended: none was given up for an answer that was lost.
             assertEquals(6, world.term() - term, "terms, seed " + seed);
             assertEquals(0, users.open, users + ", seed " + seed);
-            for (int node = 0; node < World.NODES; node++) {
+            for (int node = 0; node < ClusterSimulation.NODES; node++) {
                 assertNotNull(
-                        world.stored(Keys.ROLLOUT_NODES + World.label(node)),
+                        world.stored(StoreKeys.ROLLOUT_NODES + ClusterSimulation.label(node)),
                         "no word of node " + node + ", seed " + seed);
             }
         }
@@ -405,13 +415,16 @@
     @ParameterizedTest
     @CsvSource({"VOUCHES_FOR_ANYTHING, HINTS_LOST, 50", "NONE, PEERS_CUT, 150"})
     void brokenVariantsAreCaught(Flaw flaw, Else what, long cancelSeconds) {
-        Violation caught =
+        InvariantViolation caught =
                 assertThrows(
-                        Violation.class,
+                        InvariantViolation.class,
                         () -> {
                             for (long seed = 1; seed <= 8; seed++) {
                                 atTheMomentOfTheRefusal(
-                                        what, seed, new Day.Times(20 * S, cancelSeconds * S), flaw);
+                                        what,
+                                        seed,
+                                        new Scenario.Times(20 * S, cancelSeconds * S),
+                                        flaw);
                             }
                         });
         assertTrue(caught.getMessage().contains("ran_cancelled"), caught.getMessage());
--- a/src/test/java/org/woadloom/sim/CancellationGapTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.woadloom.sim.Day.Flaw;
+import org.woadloom.sim.Scenario.Flaw;
 
 /**
  * The state service refuses the leader alone, others confirm cancellations, and then it is down for
  * all for longer than a cancelled task may stay, while workers go on reporting to that leader.
- * {@link Truth} checks {@code ran_cancelled}.
+ * {@link InvariantChecker} checks {@code ran_cancelled}.
  */
-class CancellationGapTest {
+class CancellationWatermarkScenariosTest {
     private static final long AT = 60_000_000;
     private static final long REFUSED = 2_500_000;
     private static final long DOWN = 64_000_000;
@@ -31,8 +31,10 @@
         DIRECTS
     }
 
-    private static World day(long seed, Flaw flaw) {
-        World world = new World(seed, new Day(Day.LONG, Day.LONG, Version.NOW, flaw, 0));
+    private static ClusterSimulation day(long seed, Flaw flaw) {
+        ClusterSimulation world =
+                new ClusterSimulation(
+                        seed, new Scenario(Scenario.LONG, Scenario.LONG, Version.NOW, flaw, 0));
         world.trouble = 0;
         world.servicesStay = true;
         world.users(AT);
@@ -40,7 +42,7 @@
         return world;
     }
 
-    private static void lose(World world, Lost lost) {
+    private static void lose(ClusterSimulation world, Lost lost) {
         switch (lost) {
             case NOTHING -> {}
             case HINTS -> world.hintsLost = true;
@@ -52,14 +54,14 @@
     }
 
     /** The refusal begins, users cancel everything, and the outage comes. */
-    private static void refusedThenDown(World world, long cancelAfterMicros) {
+    private static void refusedThenDown(ClusterSimulation world, long cancelAfterMicros) {
         world.refuseState(world.leader(), 14_000_000);
         world.loop.after(cancelAfterMicros, world::cancelEverything);
         world.loop.after(REFUSED, () -> world.stateOutage(DOWN));
     }
 
     private static int confirmedBehindItsBack(Lost lost, long seed, Flaw flaw) {
-        World world = day(seed, flaw);
+        ClusterSimulation world = day(seed, flaw);
         lose(world, lost);
         refusedThenDown(world, 300_000);
         world.run(AT + REFUSED);
@@ -89,7 +91,7 @@
         int confirmed = 0;
         int kept = 0;
         for (long seed = 1; seed <= 4; seed++) {
-            World world = day(seed, Flaw.NONE);
+            ClusterSimulation world = day(seed, Flaw.NONE);
             world.hintsLost = true;
             world.refuseState(world.leader(), 14_000_000);
             world.loop.after(
@@ -112,7 +114,7 @@
     void anOutageThatEndsForAllButTheLeader() {
         int confirmed = 0;
         for (long seed = 1; seed <= 4; seed++) {
-            World world = day(seed, Flaw.NONE);
+            ClusterSimulation world = day(seed, Flaw.NONE);
             world.hintsLost = true;
             int leader = world.leader();
             world.stateOutage(20_000_000);
@@ -144,11 +146,11 @@
     })
     void theConfirmingNodeEnds(long endsMillis, long awayMillis) {
         for (long seed = 1; seed <= 2; seed++) {
-            World world = day(seed, Flaw.NONE);
+            ClusterSimulation world = day(seed, Flaw.NONE);
             world.hintsLost = true;
             int leader = world.leader();
             refusedThenDown(world, 300_000);
-            for (int node = 0; node < World.NODES; node++) {
+            for (int node = 0; node < ClusterSimulation.NODES; node++) {
                 if (node != leader) {
                     int ending = node;
                     world.loop.after(endsMillis * 1000, () -> world.end(ending, awayMillis * 1000));
@@ -166,7 +168,10 @@
     void jobsThatWaitForACancelledOneAreNotCalledQueuedForLonger() {
         int polled = 0;
         for (long seed = 1; seed <= 6; seed++) {
-            World world = new World(seed, new Day(Day.LONG, Day.LONG, Version.NOW, Flaw.NONE, 0));
+            ClusterSimulation world =
+                    new ClusterSimulation(
+                            seed,
+                            new Scenario(Scenario.LONG, Scenario.LONG, Version.NOW, Flaw.NONE, 0));
             world.trouble = 0;
             world.servicesStay = true;
             world.users(AT);
@@ -186,7 +191,7 @@
     @Test
     void aSecondGapFollows() {
         for (long seed = 1; seed <= 3; seed++) {
-            World world = day(seed, Flaw.NONE);
+            ClusterSimulation world = day(seed, Flaw.NONE);
             world.gap(2_000_000, DOWN);
             world.users(AT + 150_000_000);
             world.loop.after(87_000_000, () -> world.gap(1_500_000, DOWN));
@@ -201,7 +206,7 @@
     @Test
     void aNewLeaderIsElectedWithinTheGap() {
         for (long seed = 1; seed <= 4; seed++) {
-            World world = day(seed, Flaw.NONE);
+            ClusterSimulation world = day(seed, Flaw.NONE);
             world.refusePeers(40_000_000);
             world.refuseState(world.leader(), 100_000_000);
             world.loop.after(6_000_000, world::cancelEverything);
@@ -215,9 +220,9 @@
      */
     @Test
     void nodesThatVouchForAnythingAreCaught() {
-        Violation caught =
+        InvariantViolation caught =
                 assertThrows(
-                        Violation.class,
+                        InvariantViolation.class,
                         () -> {
                             for (long seed = 1; seed <= 6; seed++) {
                                 confirmedBehindItsBack(Lost.HINTS, seed, Flaw.VOUCHES_FOR_ANYTHING);
--- a/src/test/java/org/woadloom/sim/World.java
+++ b/src/test/java/org/woadloom/sim/ClusterSimulation.java
@@ -5,33 +5,33 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import org.woadloom.core.Command;
-import org.woadloom.core.Effect;
-import org.woadloom.core.cancellation.Vouch;
-import org.woadloom.core.care.NodeStanding;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerEvent;
+import org.woadloom.core.cancellation.WatermarkReport;
+import org.woadloom.core.delegation.PeerStatus;
+import org.woadloom.net.EventLoop;
 import org.woadloom.net.HttpTransport;
-import org.woadloom.net.Loop;
 import org.woadloom.node.Node;
 import org.woadloom.peer.PeerCodec;
 import org.woadloom.peer.PeerFormatException;
 import org.woadloom.peer.PeerMessage;
-import org.woadloom.peer.PeerNet;
+import org.woadloom.peer.PeerTransport;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.settings.OperatorSettings;
 import org.woadloom.settings.Peer;
 import org.woadloom.settings.ServiceSettings;
 import org.woadloom.settings.Team;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.JobDescription;
-import org.woadloom.wire.WireException;
 
 /**
  * A whole deployment in virtual time: three nodes of the real program between stand-ins, on a
  * network with faults.
  */
-final class World {
+final class ClusterSimulation {
     static final int NODES = 3;
 
-    final SimLoop loop = new SimLoop();
+    final SimulatedEventLoop loop = new SimulatedEventLoop();
     final Random random;
 
     /**
@@ -40,15 +40,15 @@
      */
     private final Random more;
 
-    private final UserTroubles userTroubles;
-    private final StateTroubles stateTroubles;
-    private final KeptReports keptReports;
+    private final UserFaults userTroubles;
+    private final StoreFaults stateTroubles;
+    private final DelayedHeartbeats keptReports;
     final ServiceSettings settings;
-    final Truth truth;
-    private final StateStandIn state;
-    private final CloudStandIn cloud;
+    final InvariantChecker truth;
+    private final SimulatedStore state;
+    private final SimulatedCloud cloud;
     private final Member[] members = new Member[NODES];
-    private final Day day;
+    private final Scenario day;
 
     /**
      * Two zones that can't reach each other, or none; the state service and the cloud belong to
@@ -153,7 +153,11 @@
 
     /** Is shown each step of the nodes' cores. */
     interface NodeStepObserver {
-        void onStep(int node, long nowMicros, List<Command> commands, List<Effect> effects);
+        void onStep(
+                int node,
+                long nowMicros,
+                List<SchedulerEvent> commands,
+                List<SchedulerAction> effects);
     }
 
     /** One node and the life of its process. */
@@ -217,7 +221,7 @@
         }
     }
 
-    private final class NodeLoop implements Loop {
+    private final class NodeLoop implements EventLoop {
         private final Member member;
         private final int mine;
 
@@ -261,7 +265,7 @@
         }
     }
 
-    private final class Peers implements PeerNet {
+    private final class Peers implements PeerTransport {
         private final Member member;
         private final int mine;
         private final PeerCodec codec = new PeerCodec();
@@ -332,25 +336,26 @@
                     || random.nextInt(1000) < trouble) {
                 return;
             }
-            if (message instanceof PeerMessage.Stands stands) {
+            if (message instanceof PeerMessage.StatusReport stands) {
                 tookCare[member.index] |= stands.standing().caredMicros() >= 0;
             }
-            if (message instanceof PeerMessage.Hint && hintsLost) {
+            if (message instanceof PeerMessage.JobChangeNotification && hintsLost) {
                 return;
             }
-            if ((message instanceof PeerMessage.Vouched || message instanceof PeerMessage.Taken)
+            if ((message instanceof PeerMessage.CancellationReport
+                            || message instanceof PeerMessage.CancellationReportAck)
                     && (member.version != Version.NOW || other.version != Version.NOW)) {
                 // An earlier version can't read it.
                 return;
             }
             PeerMessage sent =
-                    day.flaw() == Day.Flaw.PROMISES_TOO_MUCH ? withPromise(message) : message;
-            if (day.flaw() == Day.Flaw.VOUCHES_FOR_ANYTHING
-                    && message instanceof PeerMessage.Vouched vouched) {
-                Vouch v = vouched.vouch();
+                    day.flaw() == Scenario.Flaw.PROMISES_TOO_MUCH ? withPromise(message) : message;
+            if (day.flaw() == Scenario.Flaw.VOUCHES_FOR_ANYTHING
+                    && message instanceof PeerMessage.CancellationReport vouched) {
+                WatermarkReport v = vouched.vouch();
                 sent =
-                        new PeerMessage.Vouched(
-                                new Vouch(
+                        new PeerMessage.CancellationReport(
+                                new WatermarkReport(
                                         v.term(),
                                         v.life(),
                                         v.saidMicros(),
@@ -363,9 +368,10 @@
                     && (member.version != Version.NOW || other.version != Version.NOW)) {
                 sent = new PeerMessage.Ping(ping.term(), ping.leader(), null);
             }
-            if (other.version == Version.PRODUCTION && message instanceof PeerMessage.Hint hint) {
+            if (other.version == Version.PRODUCTION
+                    && message instanceof PeerMessage.JobChangeNotification hint) {
                 sent =
-                        new PeerMessage.Hint(
+                        new PeerMessage.JobChangeNotification(
                                 Cbor.encode(ProductionFilter.record(decode(hint.record()))),
                                 hint.stamp());
             }
@@ -390,19 +396,19 @@
         }
     }
 
-    World(long seed, Day day) {
+    ClusterSimulation(long seed, Scenario day) {
         random = new Random(seed);
         more = new Random(~seed);
         this.day = day;
         settings = settingsOf(0, day, day.real(), false);
-        truth = new Truth(loop, settings);
-        userTroubles = new UserTroubles(this, more);
+        truth = new InvariantChecker(loop, settings);
+        userTroubles = new UserFaults(this, more);
         truth.lastTaskEnded = userTroubles::lastTaskEnded;
-        stateTroubles = new StateTroubles(this, more);
-        keptReports = new KeptReports(this, more);
-        state = new StateStandIn(loop, settings.state());
-        cloud = new CloudStandIn(this, more);
-        if (day.flaw() == Day.Flaw.AGREED_TOO_EARLY) {
+        stateTroubles = new StoreFaults(this, more);
+        keptReports = new DelayedHeartbeats(this, more);
+        state = new SimulatedStore(loop, settings.state());
+        cloud = new SimulatedCloud(this, more);
+        if (day.flaw() == Scenario.Flaw.AGREED_TOO_EARLY) {
             state.handle(
                     "POST",
                     "/txn",
@@ -472,7 +478,7 @@
                 });
     }
 
-    boolean isBroken(Day.Flaw flaw) {
+    boolean isBroken(Scenario.Flaw flaw) {
         return day.flaw() == flaw;
     }
 
@@ -484,7 +490,7 @@
         return Integer.parseInt(label.substring(5));
     }
 
-    private static List<Team> teams(Day day) {
+    private static List<Team> teams(Scenario day) {
         if (day.tight()) {
             return List.of(new Team("red", 12, 20, 0, 0), new Team("blue", 8, 12, 0, 0));
         }
@@ -498,7 +504,7 @@
     }
 
     private static ServiceSettings settingsOf(
-            int index, Day day, Day.Times times, boolean oneMore) {
+            int index, Scenario day, Scenario.Times times, boolean oneMore) {
         List<Peer> peers = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
             if (i != index) {
@@ -572,7 +578,7 @@
             String method,
             String path,
             Map<String, Object> map,
-            StateStandIn.Answer respond) {
+            SimulatedStore.Answer respond) {
         if (address.equals("state") && broken(path, map, respond)) {
             return;
         }
@@ -596,13 +602,13 @@
                         2_000_000 + random.nextInt(10_000_000), () -> carriedOutLate(member, map));
                 return;
             }
-            StateStandIn.Answer watch =
+            SimulatedStore.Answer watch =
                     path.startsWith("/follow")
                             ? (status, answer) ->
                                     unlessRefused(
                                             member,
                                             status,
-                                            day.flaw() == Day.Flaw.ONE_JOB_REFUSED
+                                            day.flaw() == Scenario.Flaw.ONE_JOB_REFUSED
                                                     ? withoutOneJob(answer)
                                                     : answer,
                                             respond)
@@ -611,7 +617,7 @@
                     method,
                     path,
                     map,
-                    day.flaw() == Day.Flaw.FORGETS_AWAITS
+                    day.flaw() == Scenario.Flaw.FORGETS_AWAITS
                             ? (status, answer) ->
                                     watch.answer(status, ProductionFilter.withoutAwaits(answer))
                             : watch);
@@ -650,7 +656,7 @@
     }
 
     /** Where the service is broken on purpose at its store: true if that is what answers. */
-    private boolean broken(String path, Map<String, Object> body, StateStandIn.Answer respond) {
+    private boolean broken(String path, Map<String, Object> body, SimulatedStore.Answer respond) {
         boolean job = path.startsWith("/keys/job/j-");
         if (loop.now() < brokenFrom) {
             return false;
@@ -701,7 +707,7 @@
 
     /** A watch that is open waits while the state service refuses its node, as in an outage. */
     private void unlessRefused(
-            Member member, int status, Map<String, Object> answer, StateStandIn.Answer respond) {
+            Member member, int status, Map<String, Object> answer, SimulatedStore.Answer respond) {
         if (refused(member)) {
             loop.after(100_000, () -> unlessRefused(member, status, answer, respond));
         } else {
@@ -720,7 +726,7 @@
             String method,
             String path,
             Map<String, Object> body,
-            StateStandIn.Answer respond) {
+            SimulatedStore.Answer respond) {
         if (yardOf(member.index).equals(island) || member.index == isolated) {
             loop.after(
                     1_000_000,
@@ -742,12 +748,12 @@
     }
 
     private static PeerMessage withPromise(PeerMessage message) {
-        if (!(message instanceof PeerMessage.Stands stands)) {
+        if (!(message instanceof PeerMessage.StatusReport stands)) {
             return message;
         }
-        NodeStanding s = stands.standing();
-        return new PeerMessage.Stands(
-                new NodeStanding(
+        PeerStatus s = stands.standing();
+        return new PeerMessage.StatusReport(
+                new PeerStatus(
                         s.life(),
                         s.aliveMicros(),
                         s.saidMicros(),
@@ -764,7 +770,7 @@
             String method,
             String path,
             Map<String, Object> body,
-            StateStandIn.Answer respond) {
+            SimulatedStore.Answer respond) {
         boolean production = member.version == Version.PRODUCTION;
         EarlierVersions.toState(
                 state,
@@ -781,7 +787,10 @@
     }
 
     private void toWorker(
-            Member member, String address, Map<String, Object> body, StateStandIn.Answer respond) {
+            Member member,
+            String address,
+            Map<String, Object> body,
+            SimulatedStore.Answer respond) {
         toWorker(member, address, body, respond, false);
     }
 
@@ -789,12 +798,12 @@
             Member member,
             String address,
             Map<String, Object> body,
-            StateStandIn.Answer respond,
+            SimulatedStore.Answer respond,
             boolean held) {
         if (directsLost) {
             return;
         }
-        for (WorkerStandIn worker : cloud.machines.values()) {
+        for (SimulatedAgent worker : cloud.machines.values()) {
             if (worker.addr.equals(address) && !worker.dead) {
                 if (apart(worker.yard, yardOf(member.index)) || member.index == cutFromWorkers) {
                     // Held back, and executed when the zones can reach each other again.
@@ -825,7 +834,7 @@
     private static Map<String, Object> filledIn(Map<String, Object> job) {
         try {
             return JobDescription.parse(job).toMap();
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             return job;
         }
     }
@@ -838,13 +847,13 @@
             String path,
             Map<String, Object> body,
             long timeout,
-            StateStandIn.Answer callback) {
+            SimulatedStore.Answer callback) {
         Member member = members[index];
         if (!member.alive) {
             loop.after(1_000, () -> callback.answer(HttpTransport.NOT_SENT, Map.of()));
             return;
         }
-        WorkerStandIn worker = cloud.machines.get(from);
+        SimulatedAgent worker = cloud.machines.get(from);
         if (worker != null && (apart(worker.yard, yardOf(index)) || index == cutFromWorkers)) {
             loop.after(timeout, () -> callback.answer(HttpTransport.NO_RESPONSE, Map.of()));
             return;
@@ -858,11 +867,11 @@
             return;
         }
         int life = member.life;
-        if (worker != null && worker.deaf() && day.flaw() == Day.Flaw.DEAF_SEEM_TO_HEAR) {
+        if (worker != null && worker.deaf() && day.flaw() == Scenario.Flaw.DEAF_SEEM_TO_HEAR) {
             body.put("epoch", Math.max((Long) body.get("epoch"), worker.tokenSent));
         }
         boolean fillsIn =
-                day.flaw() == Day.Flaw.FILLS_IN_WHAT_IS_MISSING && path.equals("/v1/jobs");
+                day.flaw() == Scenario.Flaw.FILLS_IN_WHAT_IS_MISSING && path.equals("/v1/jobs");
         byte[] bytes = body == null ? new byte[0] : Cbor.encode(fillsIn ? filledIn(body) : body);
         if (worker != null && random.nextInt(100) < copies) {
             copy(body);
@@ -915,7 +924,7 @@
 
     byte[] copyOf(Map<String, Object> report) {
         Map<String, Object> again = new LinkedHashMap<>(report);
-        if (day.flaw() == Day.Flaw.COPIES_LOOK_NEW) {
+        if (day.flaw() == Scenario.Flaw.COPIES_LOOK_NEW) {
             again.put("tick", (Long) report.get("tick") + 1_000);
         }
         return Cbor.encode(again);
@@ -932,11 +941,11 @@
     }
 
     private interface Delivery {
-        void deliver(StateStandIn.Answer respond);
+        void deliver(SimulatedStore.Answer respond);
     }
 
     /** One request: delayed, sometimes held back for long, sometimes without its answer. */
-    private void carry(long timeout, StateStandIn.Answer callback, Delivery delivery) {
+    private void carry(long timeout, SimulatedStore.Answer callback, Delivery delivery) {
         boolean[] answered = {false};
         loop.after(
                 timeout,
@@ -967,7 +976,7 @@
     private static Map<String, Object> decode(byte[] body) {
         try {
             return body == null || body.length == 0 ? Map.of() : Cbor.decodeMap(body);
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             return Map.of();
         }
     }
@@ -1039,7 +1048,7 @@
         }
         try {
             truth.submitting(JobDescription.parse(map));
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
         submit(uid, map, loop.now() + 60_000_000, accepted);
@@ -1312,7 +1321,7 @@
             }
             case 5, 6 ->
                     anyWorker(worker -> worker.hungUntil = loop.now() + random.nextInt(25_000_000));
-            case 7 -> anyWorker(WorkerStandIn::die);
+            case 7 -> anyWorker(SimulatedAgent::die);
             case 9 -> {
                 refusePeers(5_000_000 + random.nextInt(20_000_000));
             }
@@ -1351,7 +1360,7 @@
                     if (loop.now() < until) {
                         switch (random.nextInt(6)) {
                             case 0 -> restart(random.nextInt(NODES));
-                            case 1, 2 -> anyWorker(WorkerStandIn::die);
+                            case 1, 2 -> anyWorker(SimulatedAgent::die);
                             default ->
                                     anyWorker(
                                             worker ->
@@ -1499,7 +1508,7 @@
      */
     void mute(String zone, int oneIn, long forMicros) {
         int count = 0;
-        for (WorkerStandIn worker : cloud.machines.values()) {
+        for (SimulatedAgent worker : cloud.machines.values()) {
             if (worker.yard.equals(zone) && count++ % oneIn == 0) {
                 worker.muteUntil = loop.now() + forMicros;
             }
@@ -1519,9 +1528,9 @@
 
     /** All machines but so many die, and the cloud has no more. */
     void littleRoom(int machines, long forMicros) {
-        cloud.machines.values().stream().skip(machines).forEach(WorkerStandIn::die);
+        cloud.machines.values().stream().skip(machines).forEach(SimulatedAgent::die);
         cloud.capacity = machines;
-        loop.after(forMicros, () -> cloud.capacity = CloudStandIn.CAPACITY);
+        loop.after(forMicros, () -> cloud.capacity = SimulatedCloud.CAPACITY);
     }
 
     /** How many terms were taken. */
@@ -1654,7 +1663,7 @@
      */
     void deafen(String yard, int oneIn, long forMicros) {
         int count = 0;
-        for (WorkerStandIn worker : cloud.machines.values()) {
+        for (SimulatedAgent worker : cloud.machines.values()) {
             if (worker.yard.equals(yard) && count++ % oneIn == 0) {
                 worker.deafUntil = loop.now() + forMicros;
             }
@@ -1662,7 +1671,7 @@
     }
 
     void hangAll(String yard, long forMicros) {
-        for (WorkerStandIn worker : cloud.machines.values()) {
+        for (SimulatedAgent worker : cloud.machines.values()) {
             if (worker.yard.equals(yard)) {
                 worker.hungUntil = loop.now() + forMicros;
             }
@@ -1717,7 +1726,7 @@
     }
 
     /** The machines that are up, in the order in which they came. */
-    List<WorkerStandIn> workers() {
+    List<SimulatedAgent> workers() {
         return List.copyOf(cloud.machines.values());
     }
 
@@ -1808,8 +1817,8 @@
         return cloud.deletedForOthers;
     }
 
-    private void anyWorker(java.util.function.Consumer<WorkerStandIn> what) {
-        List<WorkerStandIn> workers = new ArrayList<>(cloud.machines.values());
+    private void anyWorker(java.util.function.Consumer<SimulatedAgent> what) {
+        List<SimulatedAgent> workers = new ArrayList<>(cloud.machines.values());
         if (!workers.isEmpty()) {
             what.accept(workers.get(random.nextInt(workers.size())));
         }
--- a/src/test/java/org/woadloom/sim/SharedReadsTest.java
+++ b/src/test/java/org/woadloom/sim/CoalescingJobReaderTest.java
@@ -17,31 +17,31 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.woadloom.net.HttpTransport;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.JobStatus;
+import org.woadloom.protocol.MalformedMessageException;
+import org.woadloom.reads.CoalescingJobReader;
 import org.woadloom.reads.JobReader;
-import org.woadloom.reads.SharedReads;
 import org.woadloom.settings.ServiceSettings;
-import org.woadloom.state.JobRecord;
-import org.woadloom.state.RecordFormat;
-import org.woadloom.state.StateClient;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.JobDescription;
-import org.woadloom.wire.JobStatus;
-import org.woadloom.wire.WireException;
+import org.woadloom.store.JobRecord;
+import org.woadloom.store.RecordFormat;
+import org.woadloom.store.StoreClient;
 
 /**
  * Users' polls on three nodes, with the stand-in of the state service behind a network that is slow
  * now and then.
  */
-class SharedReadsTest {
+class CoalescingJobReaderTest {
     private static final ServiceSettings.State LIMITS =
             new ServiceSettings.State(150, 60, 8192, 12, null);
     private static final int NODES = 3;
 
-    private final SimLoop sim = new SimLoop();
-    private final StateStandIn store =
-            new StateStandIn(sim, new ServiceSettings.State(10_000, 10_000, 8192, 12, null));
+    private final SimulatedEventLoop sim = new SimulatedEventLoop();
+    private final SimulatedStore store =
+            new SimulatedStore(sim, new ServiceSettings.State(10_000, 10_000, 8192, 12, null));
     private final Random random = new Random(7);
-    private final List<SharedReads> nodes = new ArrayList<>();
+    private final List<CoalescingJobReader> nodes = new ArrayList<>();
     private final List<JobReader> readers = new ArrayList<>();
     private int requests;
     private int answered;
@@ -57,11 +57,11 @@
 
     private int toldGone;
 
-    SharedReadsTest() {
+    CoalescingJobReaderTest() {
         for (int i = 0; i < NODES; i++) {
-            StateClient client = StateStandIn.client(sim.loop(), this::request, LIMITS, i);
+            StoreClient client = SimulatedStore.client(sim.loop(), this::request, LIMITS, i);
             readers.add(new JobReader(client, format -> {}));
-            nodes.add(new SharedReads(sim.loop(), client, readers.get(i), LIMITS, NODES));
+            nodes.add(new CoalescingJobReader(sim.loop(), client, readers.get(i), LIMITS, NODES));
         }
     }
 
@@ -106,7 +106,7 @@
                                                         answer(answered, callback, status, map);
                                                     }
                                                 }));
-                    } catch (WireException e) {
+                    } catch (MalformedMessageException e) {
                         throw new IllegalStateException(e);
                     }
                 });
@@ -152,7 +152,7 @@
                             0,
                             0);
             write(Map.of("put", "job/" + uid, "value", record.toMap(RecordFormat.COMPACT)));
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
@@ -164,7 +164,7 @@
     }
 
     private JobStatus ask(int node, String uid) {
-        SharedReads.Shown[] shown = {null};
+        CoalescingJobReader.JobView[] shown = {null};
         nodes.get(node).ask(uid, answer -> shown[0] = answer);
         run(2_000_000);
         return shown[0] == null ? null : shown[0].status();
@@ -254,7 +254,7 @@
     @CsvSource({"0, 0", "10, 0", "40, 0", "0, 25", "25, 25", "40, 40"})
     void nothingOlderIsTold(int troubles, int lostChanges) {
         for (long seed = 1; seed <= Long.getLong("seeds", 4); seed++) {
-            SharedReadsTest day = new SharedReadsTest();
+            CoalescingJobReaderTest day = new CoalescingJobReaderTest();
             day.random.setSeed(seed);
             day.trouble = troubles;
             day.gone = lostChanges;
--- a/src/test/java/org/woadloom/sim/DamagedRecordTest.java
+++ b/src/test/java/org/woadloom/sim/DamagedRecordTest.java
@@ -8,8 +8,8 @@
 
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.woadloom.net.Loop;
-import org.woadloom.reads.Unanswered;
+import org.woadloom.net.EventLoop;
+import org.woadloom.reads.UnansweredQueries;
 
 /** A job whose record can't be read stays known, and one of which nobody is told is found. */
 class DamagedRecordTest {
@@ -19,7 +19,7 @@
      * An open job, with everything of its record damaged but the field that says whether it is
      * cancelled.
      */
-    private static String damage(World world, boolean cancelled) {
+    private static String damage(ClusterSimulation world, boolean cancelled) {
         String uid =
                 world.truth.acceptedJobs().stream()
                         .filter(
@@ -37,15 +37,15 @@
         return uid;
     }
 
-    private static World day() {
-        World world = new World(5, Day.PLAIN);
+    private static ClusterSimulation day() {
+        ClusterSimulation world = new ClusterSimulation(5, Scenario.PLAIN);
         world.trouble = 0;
         world.users(AT + 10_000_000);
         world.run(AT);
         return world;
     }
 
-    private static Object told(World world, int node, String method, String path) {
+    private static Object told(ClusterSimulation world, int node, String method, String path) {
         Map<String, Object> answer =
                 world.ask(node, method, path, method.equals("POST") ? Map.of() : null);
         world.run(world.loop.now() + 2_000_000);
@@ -56,7 +56,7 @@
     /** The leader writes what it knows in its place, and the job is done as if nothing had been. */
     @Test
     void aLeaderThatKnowsTheJobWritesItsRecordAnew() {
-        World world = day();
+        ClusterSimulation world = day();
         String uid = damage(world, false);
         world.run(AT + 8_000_000);
         assertTrue(
@@ -69,13 +69,13 @@
     /** No leader knows it any more: its users hear of it, and can be rid of it. */
     @Test
     void aJobThatNoLeaderKnowsStaysKnownAndCanBeCancelled() {
-        World world = day();
-        for (int i = 0; i < World.NODES; i++) {
+        ClusterSimulation world = day();
+        for (int i = 0; i < ClusterSimulation.NODES; i++) {
             world.end(i, 2_000_000);
         }
         String uid = damage(world, false);
         world.run(AT + 20_000_000);
-        for (int i = 0; i < World.NODES; i++) {
+        for (int i = 0; i < ClusterSimulation.NODES; i++) {
             assertEquals("queued", told(world, i, "GET", "/v1/jobs/" + uid));
         }
         world.truth.cancelling(uid);
@@ -87,8 +87,8 @@
 
     @Test
     void whatWasCancelledStaysCancelledAsLongAsThatFieldCanBeRead() {
-        World world = day();
-        for (int i = 0; i < World.NODES; i++) {
+        ClusterSimulation world = day();
+        for (int i = 0; i < ClusterSimulation.NODES; i++) {
             world.end(i, 2_000_000);
         }
         String uid = damage(world, true);
@@ -103,9 +103,9 @@
      */
     @Test
     void whoIsRefusedAgainAndAgainGoesFirst() {
-        SimLoop sim = new SimLoop();
-        Loop loop = sim.loop();
-        Unanswered unanswered = new Unanswered(loop);
+        SimulatedEventLoop sim = new SimulatedEventLoop();
+        EventLoop loop = sim.loop();
+        UnansweredQueries unanswered = new UnansweredQueries(loop);
         for (int i = 0; i < 3; i++) {
             unanswered.refused("j-1", true);
             assertFalse(unanswered.goesFirst("j-1"));
--- a/src/test/java/org/woadloom/sim/KeptReports.java
+++ b/src/test/java/org/woadloom/sim/DelayedHeartbeats.java
@@ -6,18 +6,18 @@
 import java.util.Random;
 
 /** Copies of reports that are kept until another leader has begun, and then come to every node. */
-final class KeptReports {
+final class DelayedHeartbeats {
     private static final long LOOK_MICROS = 50_000;
 
     private record Kept(byte[] report, int term) {}
 
-    private final World world;
+    private final ClusterSimulation world;
     private final Random random;
     private final List<Kept> kept = new ArrayList<>();
     private int ofHundred;
     private long until;
 
-    KeptReports(World world, Random random) {
+    DelayedHeartbeats(ClusterSimulation world, Random random) {
         this.world = world;
         this.random = random;
     }
@@ -39,7 +39,7 @@
     private void look() {
         int term = world.leaderChanges();
         for (Kept copy : kept) {
-            for (int node = 0; copy.term < term && node < World.NODES; node++) {
+            for (int node = 0; copy.term < term && node < ClusterSimulation.NODES; node++) {
                 int index = node;
                 world.loop.after(
                         1 + random.nextInt(300_000),
--- a/src/test/java/org/woadloom/sim/EarlierVersions.java
+++ b/src/test/java/org/woadloom/sim/EarlierVersions.java
@@ -16,12 +16,12 @@
     private EarlierVersions() {}
 
     static void toState(
-            StateStandIn state,
+            SimulatedStore state,
             boolean production,
             String method,
             String path,
             Map<String, Object> body,
-            StateStandIn.Answer respond) {
+            SimulatedStore.Answer respond) {
         if (path.startsWith("/keys/" + ROLLOUT)
                 || production && path.startsWith("/keys/" + VERSIONS)) {
             respond.answer(state.down ? 503 : 404, Map.of("generation", 0L));
@@ -36,10 +36,10 @@
     }
 
     private static void txn(
-            StateStandIn state,
+            SimulatedStore state,
             boolean production,
             Map<String, Object> body,
-            StateStandIn.Answer respond) {
+            SimulatedStore.Answer respond) {
         List<Map<?, ?>> changes = ProductionFilter.changes(body);
         if (changes.stream().anyMatch(change -> (ROLLOUT + "state").equals(change.get("put")))) {
             respond.answer(409, Map.of("failed", List.of(ROLLOUT + "state"), "generation", 0L));
--- a/src/test/java/org/woadloom/sim/ElectionTest.java
+++ b/src/test/java/org/woadloom/sim/ElectionTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.woadloom.leader.Election;
 import org.woadloom.net.HttpTransport;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.settings.ServiceSettings;
-import org.woadloom.state.StateClient.Condition;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.WireException;
+import org.woadloom.store.StoreClient.Condition;
 
 /**
  * One process campaigns, and what it asks of the state service is carried out while the answer gets
@@ -27,8 +27,8 @@
             new ServiceSettings.State(1_000, 400, 8192, 12, null);
     private static final long S = 1_000_000;
 
-    private final SimLoop sim = new SimLoop();
-    private final StateStandIn state = new StateStandIn(sim, LIMITS);
+    private final SimulatedEventLoop sim = new SimulatedEventLoop();
+    private final SimulatedStore state = new SimulatedStore(sim, LIMITS);
     private final List<Long> terms = new ArrayList<>();
     private final List<String> ends = new ArrayList<>();
 
@@ -60,7 +60,7 @@
         Election election =
                 new Election(
                         sim.loop(),
-                        StateStandIn.client(
+                        SimulatedStore.client(
                                 sim.loop(),
                                 (address, method, path, body, timeout, callback) ->
                                         sim.after(
@@ -173,7 +173,7 @@
     private static Map<String, Object> decode(byte[] body) {
         try {
             return body == null || body.length == 0 ? Map.of() : Cbor.decodeMap(body);
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/src/test/java/org/woadloom/sim/MeetingsTest.java
+++ b/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
@@ -15,14 +15,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.woadloom.state.Keys;
-import org.woadloom.wire.Rank;
+import org.woadloom.protocol.Priority;
+import org.woadloom.store.StoreKeys;
 
 /**
  * Each meeting of troubles that operators have seen a rule broken in, by itself and two at a time,
  * several times in a day; that it did occur is counted. The rules are checked after each step.
  */
-class MeetingsTest {
+class FaultCombinationsTest {
     private static final long AT = 40_000_000;
     private static final long EVERY = 45_000_000;
     private static final int TIMES = 3;
@@ -39,7 +39,7 @@
          */
         OLD_REPORTS {
             @Override
-            IntSupplier begin(World world) {
+            IntSupplier begin(ClusterSimulation world) {
                 world.copies = 40;
                 world.loop.after(12_000_000, () -> world.hangAll("a", 14_000_000));
                 return () -> world.oldCopies;
@@ -48,7 +48,7 @@
         /** The leader ends while jobs are done in part. */
         ENDS_FAR_APART {
             @Override
-            IntSupplier begin(World world) {
+            IntSupplier begin(ClusterSimulation world) {
                 int partly = world.truth.partlyDone();
                 world.endLeader(300_000);
                 world.loop.after(9_000_000, () -> world.restart(0));
@@ -61,7 +61,7 @@
          */
         LATE_WRITES {
             @Override
-            IntSupplier begin(World world) {
+            IntSupplier begin(ClusterSimulation world) {
                 world.writeLate(30, 25_000_000);
                 return () -> Math.min(world.lateWritesMade[0], world.lateWritesMade[1]);
             }
@@ -69,9 +69,9 @@
         /** All end, one returns at once, and leadership goes back and forth. */
         HAND_OVER_AND_BACK {
             @Override
-            IntSupplier begin(World world) {
+            IntSupplier begin(ClusterSimulation world) {
                 long before = world.term();
-                for (int node = 0; node < World.NODES; node++) {
+                for (int node = 0; node < ClusterSimulation.NODES; node++) {
                     world.end(node, node == 0 ? 50_000 : 1_500_000L * node);
                 }
                 for (long later = 6_000_000; later < 16_000_000; later += 2_500_000) {
@@ -86,7 +86,7 @@
         /** The state service refuses the leader alone, users cancel, and it is down for all. */
         REFUSED_THEN_DOWN {
             @Override
-            IntSupplier begin(World world) {
+            IntSupplier begin(ClusterSimulation world) {
                 int before = world.truth.cancelledWhileRunning;
                 world.gap(2_500_000, 35_000_000);
                 return () -> world.truth.cancelledWhileRunning - before;
@@ -98,7 +98,7 @@
          */
         HELD_COMMANDS {
             @Override
-            IntSupplier begin(World world) {
+            IntSupplier begin(ClusterSimulation world) {
                 world.hangAll("b", 6_000_000);
                 world.loop.after(8_000_000, () -> world.hangAll("a", 3_000_000));
                 world.loop.after(
@@ -112,7 +112,7 @@
          */
         LEADER_ENDS_OUT_OF_TOUCH {
             @Override
-            IntSupplier begin(World world) {
+            IntSupplier begin(ClusterSimulation world) {
                 world.deafen("a", 2, 28_000_000);
                 world.hangAll("b", 9_000_000);
                 int outOfTouch = world.truth.tasksIn("b");
@@ -126,7 +126,7 @@
          */
         LONE_LEADER {
             @Override
-            IntSupplier begin(World world) {
+            IntSupplier begin(ClusterSimulation world) {
                 int before = world.truth.cancelledWhileRunning;
                 world.isolate(world.leader(), 35_000_000);
                 world.loop.after(
@@ -141,12 +141,14 @@
          */
         CLOSE_LOOKS {
             @Override
-            IntSupplier begin(World world) {
+            IntSupplier begin(ClusterSimulation world) {
                 world.lookClosely(30_000_000);
                 world.loop.after(8_000_000, () -> world.endLeader(200_000));
                 world.loop.after(
                         14_000_000,
-                        () -> world.refuseState(world.random.nextInt(World.NODES), 6_000_000));
+                        () ->
+                                world.refuseState(
+                                        world.random.nextInt(ClusterSimulation.NODES), 6_000_000));
                 world.loop.after(16_000_000, () -> world.cancelNow(4, 0));
                 world.loop.after(22_000_000, () -> world.endLeader(2_000_000));
                 return within(world, () -> world.closeLooks);
@@ -158,7 +160,7 @@
          */
         LOST_ANSWERS {
             @Override
-            IntSupplier begin(World world) {
+            IntSupplier begin(ClusterSimulation world) {
                 world.loseAnswers(30, 25_000_000);
                 world.loop.after(10_000_000, () -> world.cancelNow(3, 0));
                 return within(world, () -> world.lostAnswersReadElsewhere);
@@ -169,7 +171,7 @@
          */
         FOUR_A_SECOND {
             @Override
-            IntSupplier begin(World world) {
+            IntSupplier begin(ClusterSimulation world) {
                 world.oneTaskJobs(4, 40_000_000, 25);
                 return within(world, () -> world.oneTaskJobsCancelled);
             }
@@ -177,7 +179,7 @@
         /** Leaders change ten times in two minutes. */
         TEN_LEADERS {
             @Override
-            IntSupplier begin(World world) {
+            IntSupplier begin(ClusterSimulation world) {
                 world.endLeaders(40_000_000);
                 IntSupplier changes = within(world, world::leaderChanges);
                 return () -> changes.getAsInt() - 3;
@@ -186,7 +188,7 @@
         /** The same while the store is down again and again, where leaders end as well. */
         TEN_LEADERS_IN_AN_OUTAGE {
             @Override
-            IntSupplier begin(World world) {
+            IntSupplier begin(ClusterSimulation world) {
                 world.endLeaders(40_000_000);
                 world.loop.after(5_000_000, () -> world.stateOutage(8_000_000));
                 world.loop.after(14_000_000, () -> world.stateOutage(3_000_000));
@@ -198,11 +200,13 @@
         /** All controllers are away for longer than a lease. */
         ALL_AWAY {
             @Override
-            IntSupplier begin(World world) {
-                for (int node = 0; node < World.NODES; node++) {
+            IntSupplier begin(ClusterSimulation world) {
+                for (int node = 0; node < ClusterSimulation.NODES; node++) {
                     world.end(
                             node,
-                            Day.SHORT.leaseMicros() + 2_000_000 + world.random.nextInt(6_000_000));
+                            Scenario.SHORT.leaseMicros()
+                                    + 2_000_000
+                                    + world.random.nextInt(6_000_000));
                 }
                 return within(world, () -> world.truth.killedByLease);
             }
@@ -210,7 +214,7 @@
         /** The store is slow while users cancel and look closely. */
         SLOW_STATE {
             @Override
-            IntSupplier begin(World world) {
+            IntSupplier begin(ClusterSimulation world) {
                 world.slowState(1_500_000, 30_000_000);
                 world.lookClosely(30_000_000);
                 for (long later = 3_000_000; later < 30_000_000; later += 9_000_000) {
@@ -224,7 +228,7 @@
          */
         MORE_THAN_ROOM {
             @Override
-            IntSupplier begin(World world) {
+            IntSupplier begin(ClusterSimulation world) {
                 world.slowLinks(400_000, 35_000_000);
                 world.littleRoom(2, 35_000_000);
                 world.oneTaskJobs(2, 30_000_000, 10);
@@ -234,8 +238,8 @@
                         () ->
                                 waiting[0] =
                                         Math.min(
-                                                world.truth.waiting(Rank.HIGH, false),
-                                                world.truth.waiting(Rank.HIGH, true)));
+                                                world.truth.waiting(Priority.HIGH, false),
+                                                world.truth.waiting(Priority.HIGH, true)));
                 return () -> waiting[0];
             }
         };
@@ -243,10 +247,10 @@
         /**
          * Brings it about; what is returned tells in the end how often that has come to something.
          */
-        abstract IntSupplier begin(World world);
+        abstract IntSupplier begin(ClusterSimulation world);
 
         /** By how much it has grown until the next one begins. */
-        private static IntSupplier within(World world, IntSupplier count) {
+        private static IntSupplier within(ClusterSimulation world, IntSupplier count) {
             int before = count.getAsInt();
             int[] grown = {0};
             world.loop.after(EVERY - 4_000_000, () -> grown[0] = count.getAsInt() - before);
@@ -255,11 +259,11 @@
     }
 
     private static void day(long seed, Set<Meeting> meetings) {
-        day(seed, Day.PLAIN, meetings);
+        day(seed, Scenario.PLAIN, meetings);
     }
 
-    private static void day(long seed, Day day, Set<Meeting> meetings) {
-        World world = new World(seed, day);
+    private static void day(long seed, Scenario day, Set<Meeting> meetings) {
+        ClusterSimulation world = new ClusterSimulation(seed, day);
         world.users(TROUBLED);
         world.truth.calmFrom = TROUBLED + 60_000_000;
         world.brokenFrom = AT;
@@ -322,13 +326,13 @@
         "NO_CONDITIONS, LATE_WRITES, ''",
         "NO_CONDITIONS, TEN_LEADERS, ''"
     })
-    void aBrokenServiceIsCaught(Day.Flaw flaw, Meeting meeting, String rule) {
-        Violation caught =
+    void aBrokenServiceIsCaught(Scenario.Flaw flaw, Meeting meeting, String rule) {
+        InvariantViolation caught =
                 assertThrows(
-                        Violation.class,
+                        InvariantViolation.class,
                         () -> {
                             for (long seed = 1; seed <= 6; seed++) {
-                                day(seed, Day.PLAIN.with(flaw), Set.of(meeting));
+                                day(seed, Scenario.PLAIN.with(flaw), Set.of(meeting));
                             }
                         });
         assertTrue(caught.getMessage().startsWith(rule), caught.getMessage());
@@ -343,13 +347,13 @@
     void aWordThatIsCarriedOutLateReplacesNoNewerOne() {
         int late = 0;
         for (long seed = 1; seed <= 12; seed++) {
-            World world = new World(seed, Day.PLAIN);
+            ClusterSimulation world = new ClusterSimulation(seed, Scenario.PLAIN);
             world.writeLate(45, 25_000_000);
             world.run(90_000_000);
             late += world.lateWritesMade[0] + world.lateWritesMade[1];
-            for (int node = 0; node < World.NODES; node++) {
+            for (int node = 0; node < ClusterSimulation.NODES; node++) {
                 assertNotNull(
-                        world.stored(Keys.ROLLOUT_NODES + World.label(node)),
+                        world.stored(StoreKeys.ROLLOUT_NODES + ClusterSimulation.label(node)),
                         "no word of node " + node + ", seed " + seed);
             }
         }
--- a/src/test/java/org/woadloom/sim/FleetLoad.java
+++ b/src/test/java/org/woadloom/sim/FleetLoadGenerator.java
@@ -18,12 +18,12 @@
 import java.util.Random;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import org.woadloom.core.hearing.Hearing;
+import org.woadloom.core.liveness.AgentLiveness;
 import org.woadloom.net.UndertowTransport;
-import org.woadloom.net.XnioLoop;
+import org.woadloom.net.XnioEventLoop;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.settings.ServiceSettings;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.WireException;
 import org.xnio.OptionMap;
 import org.xnio.Options;
 import org.xnio.Xnio;
@@ -37,7 +37,7 @@
  * prints how long the others take to launch again and to reach the workers. It is run by hand (see
  * docs/operations.md), never by the tests.
  */
-final class FleetLoad {
+final class FleetLoadGenerator {
     private static final int NODES = 3;
     private static final double REPORT_S = 4;
     private static final long POLL_MICROS = 5_000_000;
@@ -49,16 +49,16 @@
     private final long measureMicros;
     private final List<String> extra;
     private final Random random = new Random(1);
-    private final SimLoop clock = new SimLoop();
-    private final StateStandIn state =
-            new StateStandIn(clock, new ServiceSettings.State(10_000, 10_000, 16_384, 16, null));
+    private final SimulatedEventLoop clock = new SimulatedEventLoop();
+    private final SimulatedStore state =
+            new SimulatedStore(clock, new ServiceSettings.State(10_000, 10_000, 16_384, 16, null));
     private final Map<String, Worker> workers = new LinkedHashMap<>();
     private final Map<String, List<Object>> claims = new LinkedHashMap<>();
     private final List<String> nodes = new ArrayList<>();
     private final List<Process> processes = new ArrayList<>();
     private final int port = freePort();
     private final XnioIoThread thread;
-    private final XnioLoop loop;
+    private final XnioEventLoop loop;
     private final ByteBufferPool buffers = new DefaultByteBufferPool(true, 8192, 256, 4);
     private final UndertowTransport users;
     private final double[] kernelSeconds = new double[NODES];
@@ -69,7 +69,7 @@
     private long polls;
     private long jobs;
 
-    private FleetLoad(int machines, int seconds, List<String> extra) throws IOException {
+    private FleetLoadGenerator(int machines, int seconds, List<String> extra) throws IOException {
         this.machines = machines;
         this.measureMicros = seconds * 1_000_000L;
         this.extra = extra;
@@ -81,7 +81,7 @@
                                         .set(Options.WORKER_TASK_CORE_THREADS, 1)
                                         .getMap());
         thread = worker.getIoThread();
-        loop = new XnioLoop(thread);
+        loop = new XnioEventLoop(thread);
         users = new UndertowTransport(loop, thread, buffers, 500);
         Undertow.builder()
                 .setWorker(worker)
@@ -104,8 +104,8 @@
      * nodes, NODE in them being its label.
      */
     public static void main(String[] args) throws Exception {
-        FleetLoad load =
-                new FleetLoad(
+        FleetLoadGenerator load =
+                new FleetLoadGenerator(
                         Integer.parseInt(args[0]),
                         Integer.parseInt(args[1]),
                         List.of(args).subList(2, args.length));
@@ -212,7 +212,7 @@
                 () -> {
                     long term = 0;
                     for (Worker worker : workers.values()) {
-                        term = Math.max(term, worker.epoch >> Hearing.FENCE_BITS);
+                        term = Math.max(term, worker.epoch >> AgentLiveness.FENCE_BITS);
                     }
                     ending.destroyForcibly();
                     listedBytes = 0;
@@ -224,7 +224,9 @@
 
     private void watchTakeOver(long from, long term, CountDownLatch done) {
         long reached =
-                workers.values().stream().filter(w -> w.epoch >> Hearing.FENCE_BITS > term).count();
+                workers.values().stream()
+                        .filter(w -> w.epoch >> AgentLiveness.FENCE_BITS > term)
+                        .count();
         if (reached >= workers.size() * 0.95 && firstLaunch >= 0) {
             System.out.printf(
                     "takeover: first launch after %.1f s, 95 %% of the workers reached after %.1f"
@@ -412,7 +414,7 @@
     private static Map<String, Object> decode(byte[] body) {
         try {
             return body.length == 0 ? Map.of() : Cbor.decodeMap(body);
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/src/test/java/org/woadloom/sim/HttpFormsGoldenTest.java
+++ b/src/test/java/org/woadloom/sim/HttpFormsGoldenTest.java
@@ -14,8 +14,8 @@
 import org.woadloom.golden.CanonicalJson;
 import org.woadloom.golden.GoldenFile;
 import org.woadloom.golden.Shape;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.MalformedMessageException;
 
 /**
  * The answers of one node to users, workers and operators, over real sockets, and the names of its
@@ -56,7 +56,7 @@
         return answer;
     }
 
-    private void record(String name, HttpResponse<byte[]> answer) throws WireException {
+    private void record(String name, HttpResponse<byte[]> answer) throws MalformedMessageException {
         String type = answer.headers().firstValue("Content-Type").orElse("no type");
         String retry =
                 answer.headers()
@@ -126,7 +126,7 @@
     }
 
     /** The names with the names of their tags; what tags say depends on what was asked. */
-    private static void checkMetrics(HttpResponse<byte[]> answer) throws WireException {
+    private static void checkMetrics(HttpResponse<byte[]> answer) throws MalformedMessageException {
         TreeSet<String> names = new TreeSet<>();
         Cbor.decodeJsonMap(answer.body())
                 .keySet()
--- a/src/test/java/org/woadloom/sim/Truth.java
+++ b/src/test/java/org/woadloom/sim/InvariantChecker.java
@@ -9,15 +9,15 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.Priority;
+import org.woadloom.protocol.TaskId;
 import org.woadloom.settings.ServiceSettings;
 import org.woadloom.settings.Team;
-import org.woadloom.wire.JobDescription;
-import org.woadloom.wire.Rank;
-import org.woadloom.wire.TaskId;
 
 /** What really happens in the simulated world, and the rules, checked at each step. */
-final class Truth {
-    private final SimLoop loop;
+final class InvariantChecker {
+    private final SimulatedEventLoop loop;
     private final ServiceSettings settings;
     final Map<String, JobDescription> submitted = new LinkedHashMap<>();
 
@@ -39,7 +39,7 @@
     private final Set<String> askedToCancel = new HashSet<>();
     private final Map<String, String> toldFinal = new HashMap<>();
     private final Map<String, Long> toldFinalAt = new HashMap<>();
-    private final Map<TaskId, WorkerStandIn> on = new LinkedHashMap<>();
+    private final Map<TaskId, SimulatedAgent> on = new LinkedHashMap<>();
     private final Set<TaskId> done = new HashSet<>();
     private final Set<String> ran = new HashSet<>();
 
@@ -76,54 +76,56 @@
     /** Starts of tasks whose job waited for others. */
     int releases;
 
-    Truth(SimLoop loop, ServiceSettings settings) {
+    InvariantChecker(SimulatedEventLoop loop, ServiceSettings settings) {
         this.loop = loop;
         this.settings = settings;
     }
 
-    void started(TaskId task, WorkerStandIn worker) {
+    void started(TaskId task, SimulatedAgent worker) {
         starts++;
         ran.add(task.uid());
         JobDescription job = submitted.get(task.uid());
         for (String before : job.awaits()) {
             if (!allDone(before)) {
-                throw new Violation("too_early", task + " starts before " + before + " is done");
+                throw new InvariantViolation(
+                        "too_early", task + " starts before " + before + " is done");
             }
             releases++;
         }
-        WorkerStandIn other = on.get(task);
+        SimulatedAgent other = on.get(task);
         if (other != null && other != worker) {
-            throw new Violation(
+            throw new InvariantViolation(
                     "ran_twice", task + " starts on " + worker.host + " while on " + other.host);
         }
         if (!worker.fits(job)) {
-            throw new Violation("wrong_place", task + " on " + worker.host);
+            throw new InvariantViolation("wrong_place", task + " on " + worker.host);
         }
         int sameYard = 1;
-        for (Map.Entry<TaskId, WorkerStandIn> entry : on.entrySet()) {
+        for (Map.Entry<TaskId, SimulatedAgent> entry : on.entrySet()) {
             if (!entry.getKey().uid().equals(task.uid()) || entry.getKey().equals(task)) {
                 continue;
             }
             if (entry.getValue().yard.equals(worker.yard)) {
                 sameYard++;
             } else if (job.samePlace()) {
-                throw new Violation("wrong_place", task + " starts apart from its job");
+                throw new InvariantViolation("wrong_place", task + " starts apart from its job");
             }
         }
         if (job.apart() && sameYard > (job.shards() + 1) / 2) {
-            throw new Violation("wrong_place", task + " makes " + sameYard + " in " + worker.yard);
+            throw new InvariantViolation(
+                    "wrong_place", task + " makes " + sameYard + " in " + worker.yard);
         }
         startsAfterCancellation += toldCancelled.containsKey(task.uid()) ? 1 : 0;
         on.put(task, worker);
         Team team = settings.team(job.crew());
         double cpus = used(job.crew());
         if (cpus > team.cpusMax() + 1e-6) {
-            throw new Violation("quota", job.crew() + " uses " + cpus);
+            throw new InvariantViolation("quota", job.crew() + " uses " + cpus);
         }
         cancelCheck(task);
     }
 
-    void ended(TaskId task, WorkerStandIn worker, boolean completed) {
+    void ended(TaskId task, SimulatedAgent worker, boolean completed) {
         freed.add(
                 new End(
                         loop.now(),
@@ -143,8 +145,8 @@
     }
 
     /** The machines that have tasks of these jobs. */
-    Set<WorkerStandIn> machinesOf(Collection<String> jobs) {
-        Set<WorkerStandIn> machines = new LinkedHashSet<>();
+    Set<SimulatedAgent> machinesOf(Collection<String> jobs) {
+        Set<SimulatedAgent> machines = new LinkedHashSet<>();
         on.forEach(
                 (task, worker) -> {
                     if (jobs.contains(task.uid())) {
@@ -158,7 +160,7 @@
      * Jobs of this importance or more, or of less, that have tasks which are neither done nor on a
      * machine.
      */
-    int waiting(Rank rank, boolean less) {
+    int waiting(Priority rank, boolean less) {
         return (int)
                 accepted.keySet().stream()
                         .filter(
@@ -185,7 +187,7 @@
      * team's limit. What fetches its image counts for the limit here, and what ended a moment ago,
      * of which no leader may have heard yet: a team whose short tasks follow each other is at it.
      */
-    void checkWaiting(Collection<WorkerStandIn> workers) {
+    void checkWaiting(Collection<SimulatedAgent> workers) {
         if (loop.now() < calmFrom) {
             return;
         }
@@ -208,7 +210,7 @@
                 couldBegin.remove(uid);
             } else if (loop.now() - couldBegin.computeIfAbsent(uid, key -> loop.now())
                     > WAITING_MICROS) {
-                throw new Violation(
+                throw new InvariantViolation(
                         "left_waiting",
                         uid
                                 + " has tasks that wait while there is room, since "
@@ -218,7 +220,7 @@
         }
     }
 
-    private double heldOrJustFreed(String crew, Collection<WorkerStandIn> workers) {
+    private double heldOrJustFreed(String crew, Collection<SimulatedAgent> workers) {
         freed.removeIf(end -> loop.now() - end.micros > HEARD_MICROS);
         return workers.stream().mapToDouble(worker -> worker.held(crew)).sum()
                 + freed.stream().filter(end -> end.crew.equals(crew)).mapToDouble(End::vcpus).sum();
@@ -244,7 +246,7 @@
     }
 
     /** The machine that has the task, or null. */
-    WorkerStandIn machineOf(TaskId task) {
+    SimulatedAgent machineOf(TaskId task) {
         return on.get(task);
     }
 
@@ -273,7 +275,7 @@
     private void cancelCheck(TaskId task) {
         Long told = toldCancelled.get(task.uid());
         if (told != null && loop.now() - told > settings.workers().cancelMicros()) {
-            throw new Violation(
+            throw new InvariantViolation(
                     "ran_cancelled", task + " is on a machine too long after the cancellation");
         }
     }
@@ -299,23 +301,23 @@
      */
     void answered(String request, String uid, long sent, int status, Map<String, Object> body) {
         if ((status == 200 || status == 201) && unfit.contains(uid)) {
-            throw new Violation("accepted_unfit", request + " " + uid + " " + status);
+            throw new InvariantViolation("accepted_unfit", request + " " + uid + " " + status);
         }
         boolean known = submitted.containsKey(uid);
         if (status == 200 && !known) {
-            throw new Violation("invented", uid);
+            throw new InvariantViolation("invented", uid);
         }
         if (accepted.getOrDefault(uid, Long.MAX_VALUE) < sent
                 && (status == 404
                         || request.equals("submit") && (status == 400 || status == 422))) {
-            throw new Violation("forgotten", request + " " + uid + " " + status);
+            throw new InvariantViolation("forgotten", request + " " + uid + " " + status);
         }
         if (request.equals("poll") && accepted.containsKey(uid)) {
             long last = Math.max(calmFrom, pollAnswered.getOrDefault(uid, accepted.get(uid)));
             if (status == 200) {
                 pollAnswered.put(uid, loop.now());
             } else if (loop.now() - last > FORGOTTEN_MICROS) {
-                throw new Violation(
+                throw new InvariantViolation(
                         "forgotten",
                         uid + " gets no answer for " + (loop.now() - last) / 1_000_000 + " s");
             }
@@ -332,23 +334,23 @@
         // Only an answer that is not final may be older, and only to a request from before the end
         // was told.
         if (before != null && !before.equals(said) && (end || toldFinalAt.get(uid) < sent)) {
-            throw new Violation("went_back", uid + " was " + before + " and is " + said);
+            throw new InvariantViolation("went_back", uid + " was " + before + " and is " + said);
         }
         if (said.equals("queued") || said.equals("running")) {
             Long told = cancelledBefore(uid);
             if (told != null && told + settings.workers().cancelMicros() < sent) {
-                throw new Violation("orphaned", uid + " is " + said);
+                throw new InvariantViolation("orphaned", uid + " is " + said);
             }
         }
         if (said.equals("done")) {
             if (!allDone(uid)) {
-                throw new Violation("not_done", uid);
+                throw new InvariantViolation("not_done", uid);
             }
             toldFinal.put(uid, said);
             toldFinalAt.putIfAbsent(uid, loop.now());
         } else if (said.equals("cancelled")) {
             if (!mayBeCancelled(uid)) {
-                throw new Violation("went_back", uid + " is called cancelled by itself");
+                throw new InvariantViolation("went_back", uid + " is called cancelled by itself");
             }
             toldFinal.put(uid, said);
             toldFinalAt.putIfAbsent(uid, loop.now());
--- a/src/test/java/org/woadloom/sim/Violation.java
+++ b/src/test/java/org/woadloom/sim/InvariantViolation.java
@@ -1,10 +1,10 @@
 package org.woadloom.sim;
 
 /** A rule was broken. */
-final class Violation extends RuntimeException {
+final class InvariantViolation extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    Violation(String rule, String what) {
+    InvariantViolation(String rule, String what) {
         super(rule + ": " + what);
     }
 }
--- a/src/test/java/org/woadloom/sim/JobLogLinesTest.java
+++ b/src/test/java/org/woadloom/sim/JobLogLinesTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
-import org.woadloom.core.Effect;
+import org.woadloom.core.SchedulerAction;
 
 /**
  * Programs that read the log find the lines of accepted, done and cancelled jobs, as words or as
@@ -25,13 +25,13 @@
 
     @Test
     void linesOfJobsAreFound() {
-        World world = new World(1, Day.PLAIN);
+        ClusterSimulation world = new ClusterSimulation(1, Scenario.PLAIN);
         List<String> lines = new ArrayList<>();
         world.stepObserver =
                 (node, now, commands, effects) ->
                         effects.forEach(
                                 effect -> {
-                                    if (effect instanceof Effect.Note note) {
+                                    if (effect instanceof SchedulerAction.Log note) {
                                         lines.add(note.entry().toString());
                                     }
                                 });
--- a/src/test/java/org/woadloom/sim/LoopbackNode.java
+++ b/src/test/java/org/woadloom/sim/LoopbackNode.java
@@ -11,20 +11,21 @@
 import java.util.List;
 import java.util.Map;
 import org.woadloom.node.Server;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.settings.OperatorSettings;
 import org.woadloom.settings.ServiceSettings;
 import org.woadloom.settings.ServiceSettingsFile;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.WireException;
 
 /**
  * One node over real sockets on the loopback address, with the stand-in of the state service behind
  * HTTP.
  */
 final class LoopbackNode {
-    final StateStandIn state =
-            new StateStandIn(
-                    new SimLoop(), new ServiceSettings.State(1_000, 1_000, 16_384, 16, null));
+    final SimulatedStore state =
+            new SimulatedStore(
+                    new SimulatedEventLoop(),
+                    new ServiceSettings.State(1_000, 1_000, 16_384, 16, null));
     private Undertow outside;
     String address;
 
@@ -90,7 +91,7 @@
                         path,
                         body.length == 0 ? Map.of() : Cbor.decodeMap(body),
                         (status, map) -> reply(exchange, status, map));
-            } catch (WireException e) {
+            } catch (MalformedMessageException e) {
                 reply(exchange, 400, Map.of());
             }
         }
--- a/src/test/java/org/woadloom/sim/LoopbackTest.java
+++ b/src/test/java/org/woadloom/sim/LoopbackTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.woadloom.core.rollout.Feature;
-import org.woadloom.state.NodeWord;
-import org.woadloom.wire.Cbor;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.store.NodeAnnouncement;
 
 /**
  * One node over real sockets on the loopback address, with the stand-in of the state service behind
@@ -78,8 +78,8 @@
         assertEquals(201, submit("j-2", "service", null));
         // The other node that the settings name has given no word.
         assertEquals(503, submit("j-3", "batch", List.of("j-1")));
-        NodeWord word =
-                new NodeWord(
+        NodeAnnouncement word =
+                new NodeAnnouncement(
                         7, Feature.known(), Feature.known(), Set.of("other", "rehearsal"), 1, 0);
         assertEquals(
                 200,
--- a/src/test/java/org/woadloom/sim/MachineMeetingsTest.java
+++ b/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
@@ -17,14 +17,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.woadloom.wire.TaskId;
+import org.woadloom.protocol.TaskId;
 
 /**
  * Machines that come too fast, too late or without being expected, and machines that are out of
  * touch in one way or another while the leader ends. Each meeting is counted; the rules are checked
  * after each step.
  */
-class MachineMeetingsTest {
+class MachineFaultCombinationsTest {
     private static final long AT = 60_000_000;
 
     enum OutOfTouch {
@@ -35,13 +35,13 @@
         DEAF((worker, until) -> worker.deafUntil = until),
         HANGS((worker, until) -> worker.hungUntil = until);
 
-        private final BiConsumer<WorkerStandIn, Long> how;
+        private final BiConsumer<SimulatedAgent, Long> how;
 
-        OutOfTouch(BiConsumer<WorkerStandIn, Long> how) {
+        OutOfTouch(BiConsumer<SimulatedAgent, Long> how) {
             this.how = how;
         }
 
-        void befall(WorkerStandIn worker, long until) {
+        void befall(SimulatedAgent worker, long until) {
             how.accept(worker, until);
         }
     }
@@ -52,8 +52,11 @@
     }
 
     /** No other trouble than the one that the test makes; leases are 20 s. */
-    private static World day(long seed, Day.Times told) {
-        World world = new World(seed, new Day(Day.LONG, told, Version.NOW, Day.Flaw.NONE, 0));
+    private static ClusterSimulation day(long seed, Scenario.Times told) {
+        ClusterSimulation world =
+                new ClusterSimulation(
+                        seed,
+                        new Scenario(Scenario.LONG, told, Version.NOW, Scenario.Flaw.NONE, 0));
         world.trouble = 0;
         world.users(AT + 60_000_000);
         world.truth.calmFrom = AT + 150_000_000;
@@ -65,10 +68,10 @@
      * One in so many of the machines at which tasks run; the others are those whose leases must not
      * end.
      */
-    private static List<WorkerStandIn> befall(
-            World world, List<OutOfTouch> kinds, int oneIn, long forMicros) {
-        List<WorkerStandIn> troubled = new ArrayList<>();
-        List<WorkerStandIn> busy =
+    private static List<SimulatedAgent> befall(
+            ClusterSimulation world, List<OutOfTouch> kinds, int oneIn, long forMicros) {
+        List<SimulatedAgent> troubled = new ArrayList<>();
+        List<SimulatedAgent> busy =
                 world.workers().stream().filter(worker -> !worker.running().isEmpty()).toList();
         for (int i = 0; i < busy.size(); i += oneIn) {
             kinds.get(troubled.size() % kinds.size())
@@ -78,7 +81,7 @@
         return troubled;
     }
 
-    private static Set<TaskId> tasksOn(List<WorkerStandIn> workers) {
+    private static Set<TaskId> tasksOn(List<SimulatedAgent> workers) {
         Set<TaskId> tasks = new LinkedHashSet<>();
         workers.forEach(worker -> tasks.addAll(worker.running()));
         return tasks;
@@ -87,7 +90,8 @@
     /**
      * Those of the tasks that are neither done nor called off, and run on none of these machines.
      */
-    private static List<TaskId> left(World world, Set<TaskId> tasks, List<WorkerStandIn> notOn) {
+    private static List<TaskId> left(
+            ClusterSimulation world, Set<TaskId> tasks, List<SimulatedAgent> notOn) {
         Set<TaskId> running =
                 tasksOn(
                         world.workers().stream()
@@ -123,15 +127,15 @@
         int befallen = 0;
         int moved = 0;
         for (long seed = 1; seed <= seeds(2); seed++) {
-            World world = day(seed, Day.LONG);
-            List<WorkerStandIn> troubled =
+            ClusterSimulation world = day(seed, Scenario.LONG);
+            List<SimulatedAgent> troubled =
                     befall(
                             world,
                             kind == null ? List.of(OutOfTouch.values()) : List.of(kind),
                             oneIn,
                             60_000_000);
             Set<TaskId> tasks = tasksOn(troubled);
-            List<WorkerStandIn> others =
+            List<SimulatedAgent> others =
                     world.workers().stream().filter(worker -> !troubled.contains(worker)).toList();
             long term = world.term();
             if (leaderEnds == 1) {
@@ -164,9 +168,9 @@
     @EnumSource
     void withinALeaseNothingIsKilled(OutOfTouch kind) {
         for (long seed = 1; seed <= seeds(2); seed++) {
-            World world = day(seed, Day.LONG);
+            ClusterSimulation world = day(seed, Scenario.LONG);
             int killed = world.truth.killedByLease;
-            List<WorkerStandIn> troubled = befall(world, List.of(kind), 3, 8_000_000);
+            List<SimulatedAgent> troubled = befall(world, List.of(kind), 3, 8_000_000);
             assertTrue(!troubled.isEmpty());
             world.run(AT + 30_000_000);
             assertEquals(killed, world.truth.killedByLease);
@@ -181,9 +185,9 @@
     @ValueSource(ints = {10, 3})
     void machinesThatAreClosedInForLessThanALeaseAreKept(int oneIn) {
         for (long seed = 1; seed <= seeds(3); seed++) {
-            World world = day(seed, Day.LONG);
+            ClusterSimulation world = day(seed, Scenario.LONG);
             int killed = world.truth.killedByLease;
-            List<WorkerStandIn> troubled =
+            List<SimulatedAgent> troubled =
                     befall(world, List.of(OutOfTouch.CLOSED_IN), oneIn, 15_000_000);
             world.run(AT + 16_000_000);
             assertEquals(killed, world.truth.killedByLease);
@@ -197,12 +201,13 @@
     /** The checker must be able to fail: a lease that is believed to be over too soon. */
     @Test
     void leasesBelievedTooShortAreCaught() {
-        Violation caught =
+        InvariantViolation caught =
                 assertThrows(
-                        Violation.class,
+                        InvariantViolation.class,
                         () -> {
                             for (long seed = 1; seed <= 20; seed++) {
-                                World world = day(seed, new Day.Times(9_000_000, 50_000_000));
+                                ClusterSimulation world =
+                                        day(seed, new Scenario.Times(9_000_000, 50_000_000));
                                 befall(world, List.of(OutOfTouch.CLOSED_IN), 2, 60_000_000);
                                 world.run(AT + 60_000_000);
                             }
@@ -219,10 +224,10 @@
     @Test
     void afterAllControllersWereAwayWorkBeginsAnewAtOnce() {
         for (long seed = 1; seed <= seeds(3); seed++) {
-            World world = day(seed, Day.LONG);
+            ClusterSimulation world = day(seed, Scenario.LONG);
             int killed = world.truth.killedByLease;
             Set<TaskId> tasks = tasksOn(world.workers());
-            for (int node = 0; node < World.NODES; node++) {
+            for (int node = 0; node < ClusterSimulation.NODES; node++) {
                 world.end(node, 32_000_000 + 300_000 * node);
             }
             world.run(AT + 32_000_000);
@@ -255,7 +260,7 @@
     void rentalsAndDeletionsThatAreCarriedOutLate() {
         Map<String, Integer> count = new LinkedHashMap<>();
         for (long seed = 1; seed <= seeds(4); seed++) {
-            World world = new World(seed, Day.PLAIN);
+            ClusterSimulation world = new ClusterSimulation(seed, Scenario.PLAIN);
             world.users(150_000_000);
             world.truth.calmFrom = 230_000_000;
             world.loop.after(3_000_000, () -> world.cloudLate(60, 150_000_000));
@@ -296,7 +301,7 @@
     void machinesThatAreUpAtOnceWhileWritesLagAndTheLeaderEnds() {
         Map<String, Integer> count = new LinkedHashMap<>();
         for (long seed = 1; seed <= seeds(3); seed++) {
-            World world = new World(seed, Day.PLAIN);
+            ClusterSimulation world = new ClusterSimulation(seed, Scenario.PLAIN);
             world.users(170_000_000);
             world.truth.calmFrom = 240_000_000;
             world.run(10_000_000);
@@ -305,7 +310,7 @@
             world.writeLate(20, 150_000_000);
             world.loseAnswers(15, 150_000_000);
             world.slowState(1_200_000, 150_000_000);
-            Set<WorkerStandIn> met = new HashSet<>(world.workers());
+            Set<SimulatedAgent> met = new HashSet<>(world.workers());
             int[] young = {0, 0};
             for (long at = 500_000; at < 150_000_000; at += 500_000) {
                 world.loop.after(
--- a/src/test/java/org/woadloom/sim/CutZoneTest.java
+++ b/src/test/java/org/woadloom/sim/PartitionedZoneTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A zone is cut off from everything; the rules are checked after each step, as on random days. */
-class CutZoneTest {
+class PartitionedZoneTest {
     private static final long CUT_AT = 60_000_000;
 
     /** Longer than a lease, and within what care can bridge. */
@@ -18,15 +18,19 @@
     private static final long QUIET = 240_000_000;
 
     /** Zone "a" has two of the three nodes, zone "b" one. */
-    private static World cut(long seed, String yard, long forMicros) {
-        World world = day(seed);
+    private static ClusterSimulation cut(long seed, String yard, long forMicros) {
+        ClusterSimulation world = day(seed);
         world.loop.after(CUT_AT, () -> world.island(yard, forMicros));
         return world;
     }
 
     /** No other trouble than the one that the test makes. */
-    private static World day(long seed) {
-        World world = new World(seed, new Day(Day.LONG, Day.LONG, Version.NOW, Day.Flaw.NONE, 0));
+    private static ClusterSimulation day(long seed) {
+        ClusterSimulation world =
+                new ClusterSimulation(
+                        seed,
+                        new Scenario(
+                                Scenario.LONG, Scenario.LONG, Version.NOW, Scenario.Flaw.NONE, 0));
         world.trouble = 0;
         world.users(QUIET);
         return world;
@@ -36,7 +40,7 @@
      * Lets the cut pass, and tells how many tasks leases killed from its beginning until a little
      * after its end.
      */
-    private static int killedMeanwhile(World world) {
+    private static int killedMeanwhile(ClusterSimulation world) {
         world.run(CUT_AT - 1);
         int before = world.truth.killedByLease;
         world.run(CUT_AT + BRIDGED + 2_000_000);
@@ -49,7 +53,7 @@
     void workGoesOnInAZoneThatIsCutOffForLongerThanALease(String yard) {
         int kept = 0;
         for (long seed = 1; seed <= 4; seed++) {
-            World world = cut(seed, yard, BRIDGED);
+            ClusterSimulation world = cut(seed, yard, BRIDGED);
             world.run(CUT_AT - 1);
             kept += world.truth.tasksIn(yard);
             assertEquals(0, killedMeanwhile(world), "tasks killed, seed " + seed);
@@ -61,7 +65,7 @@
     @Test
     void aLeaderThatIsCutOffCaresForItsOwnWorkersAndAnotherLeadsMeanwhile() {
         for (long seed = 1; seed <= 4; seed++) {
-            World world = day(seed);
+            ClusterSimulation world = day(seed);
             world.loop.after(CUT_AT, () -> world.island(world.yardOf(world.leader()), BRIDGED));
             assertEquals(0, killedMeanwhile(world), "tasks killed, seed " + seed);
             world.run(QUIET);
@@ -77,7 +81,7 @@
     void careEndsInTimeWhereTheCutDoesNot(long forMicros) {
         int killed = 0;
         for (long seed = 1; seed <= 4; seed++) {
-            World world = cut(seed, "b", forMicros);
+            ClusterSimulation world = cut(seed, "b", forMicros);
             world.loop.after(CUT_AT + 200_000, world::cancelEverything);
             world.run(QUIET);
             killed += world.truth.killedByLease;
@@ -88,7 +92,7 @@
     @Test
     void aCutThatOpensAndClosesStartsNoCareAnew() {
         for (long seed = 1; seed <= 4; seed++) {
-            World world = cut(seed, "b", 24_000_000);
+            ClusterSimulation world = cut(seed, "b", 24_000_000);
             for (int again = 1; again < 5; again++) {
                 // Open for less than it takes to connect again, or for a little more.
                 long pause = again % 2 == 0 ? 120_000 : 900_000;
@@ -103,7 +107,7 @@
     @Test
     void aNodeThatOnlyTheStateServiceRefusesTakesNoCare() {
         for (long seed = 1; seed <= 3; seed++) {
-            World world = day(seed);
+            ClusterSimulation world = day(seed);
             world.loop.after(CUT_AT, () -> world.refuseState(1, 40_000_000));
             world.run(QUIET);
             assertFalse(
@@ -119,7 +123,7 @@
     void aNodeThatIsStartedAnewTakesNoCare() {
         int killed = 0;
         for (long seed = 1; seed <= 4; seed++) {
-            World world = cut(seed, "b", 30_000_000);
+            ClusterSimulation world = cut(seed, "b", 30_000_000);
             world.loop.after(CUT_AT + 2_000_000, () -> world.restart(1));
             world.loop.after(CUT_AT + 20_000_000, world::cancelEverything);
             world.run(QUIET);
@@ -154,7 +158,7 @@
     private static void hangUnderARenewedLease(
             long cutMicros, long hangMicros, long restartMicros) {
         for (long seed = 1; seed <= 6; seed++) {
-            World world = cut(seed, "b", cutMicros);
+            ClusterSimulation world = cut(seed, "b", cutMicros);
             if (restartMicros >= 0) {
                 world.loop.after(CUT_AT + restartMicros, () -> world.restart(1));
             }
@@ -167,7 +171,7 @@
     @Test
     void workersMoveBetweenTheNodesOfTheZone() {
         for (long seed = 1; seed <= 4; seed++) {
-            World world = cut(seed, "a", BRIDGED);
+            ClusterSimulation world = cut(seed, "a", BRIDGED);
             int ending = seed % 2 == 0 ? 0 : 2;
             world.loop.after(CUT_AT + 7_000_000, () -> world.end(ending, BRIDGED));
             assertEquals(0, killedMeanwhile(world), "tasks killed, seed " + seed);
@@ -183,10 +187,11 @@
     @Test
     void aLongOutageOfTheStateServiceEndsNoLease() {
         for (long seed = 1; seed <= 3; seed++) {
-            World world = day(seed);
+            ClusterSimulation world = day(seed);
             world.loop.after(CUT_AT, () -> world.stateOutage(60_000_000));
             world.loop.after(
-                    CUT_AT + 10_000_000, () -> world.restart((world.leader() + 1) % World.NODES));
+                    CUT_AT + 10_000_000,
+                    () -> world.restart((world.leader() + 1) % ClusterSimulation.NODES));
             world.run(CUT_AT - 1);
             int before = world.truth.killedByLease;
             world.run(CUT_AT + 60_000_000);
--- a/src/test/java/org/woadloom/sim/ProductionFilter.java
+++ b/src/test/java/org/woadloom/sim/ProductionFilter.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.UnaryOperator;
-import org.woadloom.state.ProductionRecord;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.MalformedMessageException;
+import org.woadloom.store.ProductionRecord;
 
 /**
  * Makes a node a stand-in for version 1: what it reads of jobs is what that version's reader leaves
@@ -40,8 +40,9 @@
     static Map<String, Object> record(Object value) {
         try {
             return ProductionRecord.read((Map<String, Object>) value);
-        } catch (WireException e) {
-            throw new Violation("unreadable", "version 1 meets " + value + ": " + e.getMessage());
+        } catch (MalformedMessageException e) {
+            throw new InvariantViolation(
+                    "unreadable", "version 1 meets " + value + ": " + e.getMessage());
         }
     }
 
--- a/src/test/java/org/woadloom/sim/QuickRestartTest.java
+++ b/src/test/java/org/woadloom/sim/QuickRestartTest.java
@@ -16,8 +16,8 @@
     private static final long MINUTE = 60_000_000;
     private static final long QUIET = 300_000_000;
 
-    private static World day(long seed) {
-        World world = new World(seed, Day.PLAIN);
+    private static ClusterSimulation day(long seed) {
+        ClusterSimulation world = new ClusterSimulation(seed, Scenario.PLAIN);
         world.trouble = 0;
         world.users(AT + MINUTE);
         world.run(AT);
@@ -31,7 +31,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aLeaderThatKeepsEndingLeavesLeadingToANodeThatStays(long seed) {
-        World world = day(seed);
+        ClusterSimulation world = day(seed);
         int ending = world.leader();
         long before = world.term();
         world.keepsEnding(ending, 300_000, AT + MINUTE);
@@ -50,10 +50,10 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aProcessThatIsAloneLeadsAgain(long seed) {
-        World world = day(seed);
+        ClusterSimulation world = day(seed);
         int leader = world.leader();
         long before = world.term();
-        for (int i = 0; i < World.NODES; i++) {
+        for (int i = 0; i < ClusterSimulation.NODES; i++) {
             world.end(i, i == leader ? 50_000 : 20_000_000);
         }
         world.run(AT + 1_500_000);
--- a/src/test/java/org/woadloom/sim/LimitMeetingsTest.java
+++ b/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
@@ -15,15 +15,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.woadloom.wire.JobDescription;
-import org.woadloom.wire.TaskId;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.MalformedMessageException;
+import org.woadloom.protocol.TaskId;
 
 /**
  * Troubles that meet while teams are at their limits or jobs are bound to a zone; that each did
  * occur is counted.
  */
-class LimitMeetingsTest {
+class QuotaFaultCombinationsTest {
     private static final long AT = 40_000_000;
     private static final long EVERY = 45_000_000;
     private static final int TIMES = 3;
@@ -37,7 +37,7 @@
          */
         CANCELLED_OUT_OF_REACH {
             @Override
-            IntSupplier begin(World world) {
+            IntSupplier begin(ClusterSimulation world) {
                 boolean allAtLimit = world.truth.teamsAtLimit() == world.settings.teams().size();
                 int term = world.leaderChanges();
                 int[] outOfReach = {0};
@@ -48,7 +48,7 @@
                             outOfReach[0] +=
                                     cancelWhere(world, 2, machine -> machine.yard.equals("b"));
                             world.cancelNow(3, 9_000_000);
-                            outOfReach[0] += cancelWhere(world, 3, WorkerStandIn::hung);
+                            outOfReach[0] += cancelWhere(world, 3, SimulatedAgent::hung);
                         });
                 world.loop.after(
                         1_500_000 + world.random.nextInt(2_000_000),
@@ -63,7 +63,7 @@
          */
         CANCELLED_BEFORE_IT_COULD_ASK {
             @Override
-            IntSupplier begin(World world) {
+            IntSupplier begin(ClusterSimulation world) {
                 int term = world.leaderChanges();
                 int[] cancelled = {0};
                 world.deafen("a", 2, 26_000_000);
@@ -88,7 +88,7 @@
         /** Old reports, of earlier sessions too, come to every node just as a new leader begins. */
         OLD_REPORTS_FOR_THE_NEXT_LEADER {
             @Override
-            IntSupplier begin(World world) {
+            IntSupplier begin(ClusterSimulation world) {
                 int before = world.keptCopies;
                 world.keepForNextLeader(25, 22_000_000);
                 world.loop.after(4_000_000, () -> world.hangAll("a", 11_500_000));
@@ -103,7 +103,7 @@
          */
         HELD_BACK_UNTIL_IT_HAS_ACTED {
             @Override
-            IntSupplier begin(World world) {
+            IntSupplier begin(ClusterSimulation world) {
                 int term = world.leaderChanges();
                 int[] starts = {Integer.MAX_VALUE};
                 int[] arrived = {0};
@@ -125,7 +125,9 @@
                         () ->
                                 held.forEach(
                                         report -> {
-                                            for (int node = 0; node < World.NODES; node++) {
+                                            for (int node = 0;
+                                                    node < ClusterSimulation.NODES;
+                                                    node++) {
                                                 arrived[0] +=
                                                         world.arrivesAgain(node, report) ? 1 : 0;
                                             }
@@ -139,7 +141,7 @@
          */
         BOUND_TO_ONE_ZONE {
             @Override
-            IntSupplier begin(World world) {
+            IntSupplier begin(ClusterSimulation world) {
                 int[] lost = {0};
                 for (int tasks : new int[] {1, 6, 10}) {
                     submitBound(world, tasks);
@@ -152,7 +154,7 @@
                             lost[0] += tasksBound(world);
                             world.workers().stream()
                                     .filter(machine -> machine.yard.equals("b"))
-                                    .forEach(WorkerStandIn::die);
+                                    .forEach(SimulatedAgent::die);
                             world.loop.after(
                                     world.random.nextInt(2_000_000),
                                     () -> world.endLeader(500_000));
@@ -164,10 +166,10 @@
         /**
          * Brings it about; what is returned tells in the end how often that has come to something.
          */
-        abstract IntSupplier begin(World world);
+        abstract IntSupplier begin(ClusterSimulation world);
     }
 
-    private static Map<String, Object> reportOf(WorkerStandIn machine) {
+    private static Map<String, Object> reportOf(SimulatedAgent machine) {
         @SuppressWarnings("unchecked")
         Map<String, Object> report =
                 (Map<String, Object>) machine.direct(Map.of("epoch", -1L, "tenure", 0L))[1];
@@ -175,7 +177,8 @@
     }
 
     /** Calls off up to so many jobs that have a task on such a machine. */
-    private static int cancelWhere(World world, int most, Predicate<WorkerStandIn> such) {
+    private static int cancelWhere(
+            ClusterSimulation world, int most, Predicate<SimulatedAgent> such) {
         List<String> chosen =
                 world.truth.running().stream()
                         .filter(uid -> world.truth.machinesOf(Set.of(uid)).stream().anyMatch(such))
@@ -187,7 +190,10 @@
 
     /** Does it once, as soon as it is so; not after the given time. */
     private static void untilSo(
-            World world, long until, java.util.function.BooleanSupplier so, Runnable then) {
+            ClusterSimulation world,
+            long until,
+            java.util.function.BooleanSupplier so,
+            Runnable then) {
         if (so.getAsBoolean()) {
             then.run();
         } else if (world.loop.now() < until) {
@@ -195,7 +201,7 @@
         }
     }
 
-    private static void submitBound(World world, int tasks) {
+    private static void submitBound(ClusterSimulation world, int tasks) {
         String uid = world.newUid();
         Map<String, Object> job =
                 new LinkedHashMap<>(
@@ -240,13 +246,13 @@
                         0.0));
         try {
             world.truth.submitting(JobDescription.parse(job));
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
         world.submit(uid, job, world.loop.now() + 60_000_000, accepted -> {});
     }
 
-    private static int tasksBound(World world) {
+    private static int tasksBound(ClusterSimulation world) {
         int tasks = 0;
         for (String uid : world.truth.running()) {
             JobDescription job = world.truth.submitted.get(uid);
@@ -257,8 +263,8 @@
         return tasks;
     }
 
-    private static WaitingJobs day(long seed, Day kind, Set<Meeting> meetings) {
-        World world = new World(seed, kind);
+    private static WaitingJobs day(long seed, Scenario kind, Set<Meeting> meetings) {
+        ClusterSimulation world = new ClusterSimulation(seed, kind);
         world.users(TROUBLED - EVERY);
         world.truth.calmFrom = TROUBLED + 60_000_000;
         WaitingJobs waiting = new WaitingJobs(world, TROUBLED + 60_000_000);
@@ -289,7 +295,7 @@
     /**
      * Where a team's limit has room for one task at a time, what its users asked for takes long.
      */
-    private static void finish(World world) {
+    private static void finish(ClusterSimulation world) {
         while (world.loop.now() < TROUBLED + 1_500_000_000
                 && (world.loop.now() < TROUBLED + 200_000_000 || !world.unfinished().isEmpty())) {
             world.run(world.loop.now() + 20_000_000);
@@ -301,7 +307,7 @@
     void rulesHoldInEachMeeting(Meeting meeting) {
         int seen = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            seen += day(seed, Day.TIGHT, Set.of(meeting)).seen;
+            seen += day(seed, Scenario.TIGHT, Set.of(meeting)).seen;
         }
         assertTrue(seen > 0, "no job ever waited for a moment");
     }
@@ -313,7 +319,7 @@
         "BOUND_TO_ONE_ZONE, CANCELLED_BEFORE_IT_COULD_ASK"
     })
     void rulesHoldInTwoAtOnce(Meeting one, Meeting other) {
-        day(SEEDS, Day.TIGHT, Set.of(one, other));
+        day(SEEDS, Scenario.TIGHT, Set.of(one, other));
     }
 
     /** Everything else at random besides. */
@@ -323,7 +329,7 @@
         int copies = 0;
         int waited = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            World world = new World(seed, Day.TIGHT);
+            ClusterSimulation world = new ClusterSimulation(seed, Scenario.TIGHT);
             world.users(TROUBLED - EVERY);
             world.faults(TROUBLED);
             world.keepForNextLeader(10, TROUBLED);
@@ -346,21 +352,21 @@
         assertEquals(2, most, "both teams were at their limits");
     }
 
-    private static Day told(long leaseMicros) {
-        return new Day(
-                Day.SHORT,
-                new Day.Times(leaseMicros, Day.SHORT.cancelMicros()),
+    private static Scenario told(long leaseMicros) {
+        return new Scenario(
+                Scenario.SHORT,
+                new Scenario.Times(leaseMicros, Scenario.SHORT.cancelMicros()),
                 Version.NOW,
-                Day.Flaw.NONE,
+                Scenario.Flaw.NONE,
                 0,
                 2,
                 true);
     }
 
-    private static void caught(Day broken, Meeting meeting) {
-        Violation caught =
+    private static void caught(Scenario broken, Meeting meeting) {
+        InvariantViolation caught =
                 assertThrows(
-                        Violation.class,
+                        InvariantViolation.class,
                         () -> {
                             for (long seed = 1; seed <= 20; seed++) {
                                 day(seed, broken, Set.of(meeting));
@@ -374,26 +380,30 @@
     @ParameterizedTest
     @EnumSource(names = {"CANCELLED_OUT_OF_REACH", "CANCELLED_BEFORE_IT_COULD_ASK"})
     void aServiceThatTrustsTooShortALeaseIsCaught(Meeting meeting) {
-        caught(told(Day.SHORT.leaseMicros() / 2), meeting);
+        caught(told(Scenario.SHORT.leaseMicros() / 2), meeting);
     }
 
     @Test
     void oldReportsThatLookNewAreCaught() {
-        caught(Day.TIGHT.with(Day.Flaw.COPIES_LOOK_NEW), Meeting.OLD_REPORTS_FOR_THE_NEXT_LEADER);
-        caught(Day.TIGHT.with(Day.Flaw.COPIES_LOOK_NEW), Meeting.HELD_BACK_UNTIL_IT_HAS_ACTED);
+        caught(
+                Scenario.TIGHT.with(Scenario.Flaw.COPIES_LOOK_NEW),
+                Meeting.OLD_REPORTS_FOR_THE_NEXT_LEADER);
+        caught(
+                Scenario.TIGHT.with(Scenario.Flaw.COPIES_LOOK_NEW),
+                Meeting.HELD_BACK_UNTIL_IT_HAS_ACTED);
     }
 
     /** Nobody leads any more, and its machines are there. */
     @Test
     void jobsThatAreLeftWaitingAreCaught() {
-        World world = new World(1, Day.PLAIN);
+        ClusterSimulation world = new ClusterSimulation(1, Scenario.PLAIN);
         world.users(AT);
         WaitingJobs waiting = new WaitingJobs(world, AT);
         world.run(AT);
-        for (int node = 0; node < World.NODES; node++) {
+        for (int node = 0; node < ClusterSimulation.NODES; node++) {
             world.end(node, 1_000_000_000);
         }
-        assertThrows(Violation.class, () -> world.run(AT + 120_000_000));
+        assertThrows(InvariantViolation.class, () -> world.run(AT + 120_000_000));
         assertTrue(waiting.longestMicros >= 90_000_000);
     }
 }
--- a/src/test/java/org/woadloom/sim/RandomDaysTest.java
+++ b/src/test/java/org/woadloom/sim/RandomScenariosTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.woadloom.state.RolloutRequest;
+import org.woadloom.store.RolloutRequest;
 
 /**
  * Seeded random days with every trouble the stand-ins know; the rules are checked after each step.
  */
-class RandomDaysTest {
+class RandomScenariosTest {
     private static final long TROUBLED = 180_000_000;
     private static final long QUIET = 600_000_000;
 
@@ -30,7 +30,7 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void rulesHoldAndEveryAcceptedJobIsFinished(long seed) {
-        World world = new World(seed, Day.PLAIN);
+        ClusterSimulation world = new ClusterSimulation(seed, Scenario.PLAIN);
         world.users(TROUBLED);
         world.faults(TROUBLED);
         world.run(TROUBLED + QUIET);
@@ -41,7 +41,7 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void rulesHoldWhileTheVersionInProductionIsReplaced(long seed) {
-        World world = new World(seed, Day.UPGRADE);
+        ClusterSimulation world = new ClusterSimulation(seed, Scenario.UPGRADE);
         world.users(TROUBLED);
         world.faults(TROUBLED);
         world.upgrade(TROUBLED);
@@ -55,7 +55,8 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void rulesHoldWhileVersion3IsReplaced(long seed) {
-        World world = new World(seed, Day.PLAIN.from(Version.AGREEING));
+        ClusterSimulation world =
+                new ClusterSimulation(seed, Scenario.PLAIN.from(Version.AGREEING));
         world.users(TROUBLED);
         world.faults(TROUBLED);
         world.upgrade(TROUBLED);
@@ -67,7 +68,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void rulesHoldWhileVersionsChangeBothWays(long seed) {
-        World world = new World(seed, Day.PLAIN);
+        ClusterSimulation world = new ClusterSimulation(seed, Scenario.PLAIN);
         world.users(TROUBLED);
         world.faults(TROUBLED);
         world.changeVersions(TROUBLED);
@@ -83,7 +84,7 @@
         assertEquals("settled", machineLife(world).get("step"));
     }
 
-    private static Map<?, ?> machineLife(World world) {
+    private static Map<?, ?> machineLife(ClusterSimulation world) {
         return (Map<?, ?>)
                 ((Map<?, ?>) world.stored("rollout/state").get("features")).get("machine-life");
     }
@@ -91,23 +92,24 @@
     /** The checker must be able to fail. */
     @Test
     void aFormatThatIsWrittenTooEarlyIsCaught() {
-        Violation caught =
+        InvariantViolation caught =
                 assertThrows(
-                        Violation.class,
-                        () -> upgrade(Day.UPGRADE.with(Day.Flaw.AGREED_TOO_EARLY)));
+                        InvariantViolation.class,
+                        () -> upgrade(Scenario.UPGRADE.with(Scenario.Flaw.AGREED_TOO_EARLY)));
         assertTrue(caught.getMessage().contains("unreadable"), caught.getMessage());
     }
 
     @Test
     void aServiceThatForgetsWhatJobsAwaitIsCaught() {
-        Violation caught =
+        InvariantViolation caught =
                 assertThrows(
-                        Violation.class, () -> upgrade(Day.UPGRADE.with(Day.Flaw.FORGETS_AWAITS)));
+                        InvariantViolation.class,
+                        () -> upgrade(Scenario.UPGRADE.with(Scenario.Flaw.FORGETS_AWAITS)));
         assertTrue(caught.getMessage().contains("too_early"), caught.getMessage());
     }
 
-    private static void upgrade(Day day) {
-        World world = new World(1, day);
+    private static void upgrade(Scenario day) {
+        ClusterSimulation world = new ClusterSimulation(1, day);
         world.users(TROUBLED);
         world.upgrade(TROUBLED);
         world.run(TROUBLED);
@@ -115,21 +117,21 @@
 
     @Test
     void aServiceThatTrustsTooShortALeaseIsCaught() {
-        troubledUntilCaught(told(Day.SHORT.leaseMicros() / 8, Day.SHORT.cancelMicros()));
+        troubledUntilCaught(told(Scenario.SHORT.leaseMicros() / 8, Scenario.SHORT.cancelMicros()));
     }
 
     @Test
     void aNodeThatCaresForTooLongIsCaught() {
-        Violation caught =
+        InvariantViolation caught =
                 assertThrows(
-                        Violation.class,
+                        InvariantViolation.class,
                         () -> {
-                            World world =
-                                    new World(
+                            ClusterSimulation world =
+                                    new ClusterSimulation(
                                             1,
                                             told(
-                                                    Day.SHORT.leaseMicros(),
-                                                    3 * Day.SHORT.cancelMicros()));
+                                                    Scenario.SHORT.leaseMicros(),
+                                                    3 * Scenario.SHORT.cancelMicros()));
                             // Replicas that run in the zone when it is cut off are what the node
                             // there cares for.
                             world.servicesStay = true;
@@ -147,7 +149,8 @@
 
     @Test
     void aNodeThatCaresAgainstItsPromiseIsCaught() {
-        Violation caught = troubledUntilCaught(Day.PLAIN.with(Day.Flaw.PROMISES_TOO_MUCH));
+        InvariantViolation caught =
+                troubledUntilCaught(Scenario.PLAIN.with(Scenario.Flaw.PROMISES_TOO_MUCH));
         assertTrue(
                 caught.getMessage().contains("ran_twice") || caught.getMessage().contains("quota"),
                 caught.getMessage());
@@ -155,7 +158,8 @@
 
     @Test
     void copiesThatAreTakenForNewsAreCaught() {
-        Violation caught = troubledUntilCaught(Day.PLAIN.with(Day.Flaw.COPIES_LOOK_NEW));
+        InvariantViolation caught =
+                troubledUntilCaught(Scenario.PLAIN.with(Scenario.Flaw.COPIES_LOOK_NEW));
         assertTrue(
                 caught.getMessage().contains("ran_twice") || caught.getMessage().contains("quota"),
                 caught.getMessage());
@@ -163,38 +167,42 @@
 
     @Test
     void aJobOfWhichNobodyIsToldIsCaught() {
-        Violation caught = calmUntilCaught(Day.Flaw.ONE_JOB_REFUSED);
+        InvariantViolation caught = calmUntilCaught(Scenario.Flaw.ONE_JOB_REFUSED);
         assertTrue(caught.getMessage().contains("forgotten"), caught.getMessage());
     }
 
     @Test
     void aJobThatIsLeftWaitingIsCaught() {
-        Violation caught = calmUntilCaught(Day.Flaw.ONE_JOB_NOT_TAKEN);
+        InvariantViolation caught = calmUntilCaught(Scenario.Flaw.ONE_JOB_NOT_TAKEN);
         assertTrue(caught.getMessage().contains("left_waiting"), caught.getMessage());
     }
 
-    private static Violation calmUntilCaught(Day.Flaw flaw) {
+    private static InvariantViolation calmUntilCaught(Scenario.Flaw flaw) {
         return assertThrows(
-                Violation.class,
+                InvariantViolation.class,
                 () -> {
-                    World world = new World(1, Day.PLAIN.with(flaw));
+                    ClusterSimulation world = new ClusterSimulation(1, Scenario.PLAIN.with(flaw));
                     world.users(TROUBLED);
                     world.truth.calmFrom = TROUBLED;
                     world.run(TROUBLED + QUIET);
                 });
     }
 
-    private static Day told(long leaseMicros, long cancelMicros) {
-        return new Day(
-                Day.SHORT, new Day.Times(leaseMicros, cancelMicros), Version.NOW, Day.Flaw.NONE, 0);
+    private static Scenario told(long leaseMicros, long cancelMicros) {
+        return new Scenario(
+                Scenario.SHORT,
+                new Scenario.Times(leaseMicros, cancelMicros),
+                Version.NOW,
+                Scenario.Flaw.NONE,
+                0);
     }
 
-    private static Violation troubledUntilCaught(Day day) {
+    private static InvariantViolation troubledUntilCaught(Scenario day) {
         return assertThrows(
-                Violation.class,
+                InvariantViolation.class,
                 () -> {
                     for (long seed = 1; seed <= 40; seed++) {
-                        World world = new World(seed, day);
+                        ClusterSimulation world = new ClusterSimulation(seed, day);
                         world.users(TROUBLED);
                         world.faults(TROUBLED);
                         world.run(TROUBLED);
--- a/src/test/java/org/woadloom/sim/RolloutTest.java
+++ b/src/test/java/org/woadloom/sim/RolloutTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.woadloom.core.rollout.Feature;
-import org.woadloom.state.RolloutRecord;
-import org.woadloom.state.RolloutRecord.Standing;
-import org.woadloom.state.RolloutRecord.Step;
-import org.woadloom.state.RolloutRequest;
-import org.woadloom.state.RolloutRequest.Verb;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.MalformedMessageException;
+import org.woadloom.store.RolloutRecord;
+import org.woadloom.store.RolloutRecord.Standing;
+import org.woadloom.store.RolloutRecord.Step;
+import org.woadloom.store.RolloutRequest;
+import org.woadloom.store.RolloutRequest.Verb;
 
 /**
  * Features are rolled out while nodes, machines and the store fail; the rules are checked after
@@ -28,31 +28,31 @@
     private static final long SECOND = 1_000_000;
     private static final long BUSY = 240 * SECOND;
 
-    private static World busy(long seed, Version from) {
-        World world = new World(seed, Day.PLAIN.from(from));
+    private static ClusterSimulation busy(long seed, Version from) {
+        ClusterSimulation world = new ClusterSimulation(seed, Scenario.PLAIN.from(from));
         world.users(BUSY);
         return world;
     }
 
-    private static Standing standing(World world, Feature feature) {
+    private static Standing standing(ClusterSimulation world, Feature feature) {
         try {
             Map<String, Object> stored = world.stored("rollout/state");
             return stored == null ? Standing.OFF : RolloutRecord.parse(stored).of(feature.key());
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static Step step(World world) {
+    private static Step step(ClusterSimulation world) {
         return standing(world, Feature.MACHINE_LIFE).step();
     }
 
-    private static void ask(World world, Verb verb) {
+    private static void ask(ClusterSimulation world, Verb verb) {
         world.put("rollout/asked/machine-life", new RolloutRequest(verb, "test", 0).toMap());
     }
 
     /** Runs until the feature is as far as the given step, or for two minutes. */
-    private static void runTo(World world, Step step) {
+    private static void runTo(ClusterSimulation world, Step step) {
         long until = world.loop.now() + 120 * SECOND;
         while (step(world).compareTo(step) < 0 && world.loop.now() < until) {
             world.run(world.loop.now() + SECOND / 10);
@@ -62,7 +62,7 @@
 
     @Test
     void aFeatureIsHeldHurriedTakenBackAndRolledOutAgain() {
-        World world = busy(5, Version.NOW);
+        ClusterSimulation world = busy(5, Version.NOW);
         ask(world, Verb.HOLD);
         world.run(20 * SECOND);
         assertEquals(Step.OFF, step(world), "held");
@@ -94,8 +94,9 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void stepsBackAndForthSurviveTroubles(long seed) {
-        World world = busy(seed, Version.NOW);
-        world.clockOff[(int) (seed % World.NODES)] = seed % 2 == 0 ? 400 * SECOND : -400 * SECOND;
+        ClusterSimulation world = busy(seed, Version.NOW);
+        world.clockOff[(int) (seed % ClusterSimulation.NODES)] =
+                seed % 2 == 0 ? 400 * SECOND : -400 * SECOND;
         world.faults(BUSY);
         long[] asks = {15, 40, 65, 110, 150};
         Verb[] verbs = {Verb.GO, Verb.BACK, Verb.GO, Verb.BACK, Verb.GO};
@@ -120,9 +121,9 @@
     @EnumSource(Step.class)
     void aNodeThatComesBackOldIsWaitedFor(Step at) {
         for (int who = 0; who < 2; who++) {
-            World world = busy(11 + who, Version.NOW);
+            ClusterSimulation world = busy(11 + who, Version.NOW);
             runTo(world, at);
-            int index = at == Step.OFF ? who : (world.leader() + who) % World.NODES;
+            int index = at == Step.OFF ? who : (world.leader() + who) % ClusterSimulation.NODES;
             world.replace(index, Version.AGREEING, 1 * SECOND);
             long back = world.loop.now();
             Step before = step(world);
@@ -153,17 +154,17 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void allEndHalfWayAndHalfComeBackOld(long seed) {
-        World world = busy(seed, Version.PRODUCTION);
+        ClusterSimulation world = busy(seed, Version.PRODUCTION);
         world.run(20 * SECOND);
         world.replace(0, Version.NOW, 2 * SECOND);
         world.run(30 * SECOND);
-        for (int i = 0; i < World.NODES; i++) {
+        for (int i = 0; i < ClusterSimulation.NODES; i++) {
             world.replace(i, half(seed).get(i), (2 + i) * SECOND);
         }
         world.stateOutage(8 * SECOND);
         world.run(70 * SECOND);
         assertNull(world.stored("version/agreed"), "agreed with an old node");
-        for (int i = 0; i < World.NODES; i++) {
+        for (int i = 0; i < ClusterSimulation.NODES; i++) {
             world.replace(i, Version.NOW, (1 + 3 * i) * SECOND);
         }
         world.run(90 * SECOND);
@@ -177,7 +178,7 @@
             value = Version.class,
             names = {"AGREEING", "NOW"})
     void aZoneThatIsCutOffIsWaitedFor(Version there) {
-        World world = busy(7, Version.NOW);
+        ClusterSimulation world = busy(7, Version.NOW);
         ask(world, Verb.HOLD);
         world.run(10 * SECOND);
         world.replace(1, there, SECOND / 2);
@@ -194,7 +195,7 @@
     /** A damaged record among the others is neither lost nor passed over. */
     @Test
     void aRecordThatCantBeReadIsKeptAndKeepsTheFeatureFromSettling() {
-        World world = busy(8, Version.NOW);
+        ClusterSimulation world = busy(8, Version.NOW);
         world.put("machine/host-damaged", Map.of("hosttype", 7L));
         world.run(90 * SECOND);
         assertEquals(Step.ON, step(world));
@@ -206,7 +207,7 @@
     /** What a later version requires, in a record that this one can't read otherwise. */
     @Test
     void whoDoesNotKnowWhatIsRequiredServesNobody() {
-        World world = busy(3, Version.NOW);
+        ClusterSimulation world = busy(3, Version.NOW);
         runTo(world, Step.SETTLED);
         Map<String, Object> now = world.stored("rollout/state");
         world.put(
@@ -220,7 +221,7 @@
                         Map.of("from-the-future", Map.of("step", "sideways"))));
         // A watch that was cut off is opened again after ten seconds.
         world.run(world.loop.now() + 12 * SECOND);
-        for (int i = 0; i < World.NODES; i++) {
+        for (int i = 0; i < ClusterSimulation.NODES; i++) {
             assertEquals(503, world.status(i, "GET", "/healthz", null), "node " + i);
             assertEquals(503, world.status(i, "GET", "/v1/jobs/j-000001", null));
             assertEquals(503, world.status(i, "POST", "/v1/report", Map.of("host", "h")));
@@ -234,7 +235,7 @@
         again.put("number", 1_001L);
         world.put("rollout/state", again);
         world.run(world.loop.now() + 10 * SECOND);
-        for (int i = 0; i < World.NODES; i++) {
+        for (int i = 0; i < ClusterSimulation.NODES; i++) {
             assertEquals(200, world.status(i, "GET", "/healthz", null), "node " + i);
         }
         assertNotEquals(term, String.valueOf(world.stored("term")), "nobody leads again");
@@ -248,7 +249,7 @@
      */
     @Test
     void settingsThatContradictEachOtherSwitchNothing() {
-        World world = new World(4, Day.PLAIN);
+        ClusterSimulation world = new ClusterSimulation(4, Scenario.PLAIN);
         world.namesOneMore[2] = true;
         world.users(BUSY);
         world.run(60 * SECOND);
--- a/src/test/java/org/woadloom/sim/Day.java
+++ b/src/test/java/org/woadloom/sim/Scenario.java
@@ -13,18 +13,19 @@
  * @param zones two, of which one has two nodes, or three with a node in each
  * @param tight whether the teams' limits are so low that all teams are at them throughout
  */
-record Day(Times real, Times told, Version from, Flaw flaw, int crowd, int zones, boolean tight) {
+record Scenario(
+        Times real, Times told, Version from, Flaw flaw, int crowd, int zones, boolean tight) {
     static final Times SHORT = new Times(10_000_000, 30_000_000);
 
     /** A worker that finds two nodes out of reach has some of its lease left. */
     static final Times LONG = new Times(20_000_000, 50_000_000);
 
-    static final Day PLAIN = new Day(SHORT, SHORT, Version.NOW, Flaw.NONE, 0);
-    static final Day UPGRADE = new Day(SHORT, SHORT, Version.PRODUCTION, Flaw.NONE, 0);
-    static final Day CROWD = new Day(SHORT, SHORT, Version.NOW, Flaw.NONE, 14);
-    static final Day TIGHT = new Day(SHORT, SHORT, Version.NOW, Flaw.NONE, 0, 2, true);
+    static final Scenario PLAIN = new Scenario(SHORT, SHORT, Version.NOW, Flaw.NONE, 0);
+    static final Scenario UPGRADE = new Scenario(SHORT, SHORT, Version.PRODUCTION, Flaw.NONE, 0);
+    static final Scenario CROWD = new Scenario(SHORT, SHORT, Version.NOW, Flaw.NONE, 14);
+    static final Scenario TIGHT = new Scenario(SHORT, SHORT, Version.NOW, Flaw.NONE, 0, 2, true);
 
-    Day(Times real, Times told, Version from, Flaw flaw, int crowd) {
+    Scenario(Times real, Times told, Version from, Flaw flaw, int crowd) {
         this(real, told, from, flaw, crowd, 2, false);
     }
 
@@ -76,15 +77,15 @@
     }
 
     /** The same with nodes that begin as another version. */
-    Day from(Version version) {
-        return new Day(real, told, version, flaw, crowd, zones, tight);
+    Scenario from(Version version) {
+        return new Scenario(real, told, version, flaw, crowd, zones, tight);
     }
 
-    Day with(Flaw broken) {
-        return new Day(real, told, from, broken, crowd, zones, tight);
+    Scenario with(Flaw broken) {
+        return new Scenario(real, told, from, broken, crowd, zones, tight);
     }
 
-    Day inThreeZones() {
-        return new Day(real, told, from, flaw, crowd, 3, tight);
+    Scenario inThreeZones() {
+        return new Scenario(real, told, from, flaw, crowd, 3, tight);
     }
 }
--- a/src/test/java/org/woadloom/sim/ServedTest.java
+++ b/src/test/java/org/woadloom/sim/ServiceLevelTest.java
@@ -9,25 +9,25 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import org.woadloom.core.CoreFixture;
-import org.woadloom.core.Effect;
 import org.woadloom.core.LogEvent;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerFixture;
 import org.woadloom.core.jobs.Job;
-import org.woadloom.core.jobs.Placement;
+import org.woadloom.core.jobs.TaskAttempt;
 import org.woadloom.core.reservation.Reservations;
 
 /**
  * Sixteen teams of which one floods the service, while machines and controllers fail: nobody is
  * left out.
  */
-class ServedTest {
+class ServiceLevelTest {
     private static final long TROUBLED = 180_000_000;
     private static final double LEAST = 0.5;
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void noTeamAndNoClassFallsUnderAHalf(long seed) {
-        World world = new World(seed, Day.CROWD);
+        ClusterSimulation world = new ClusterSimulation(seed, Scenario.CROWD);
         world.users(TROUBLED, 4);
         world.machineFaults(TROUBLED);
         // The flood asks for more than there is: a part of its own jobs still waits then.
@@ -65,8 +65,15 @@
     @ParameterizedTest
     @CsvSource({"0,1", "14,2"})
     void aTeamAtItsLimitServesItsArraysBesideServicesThatStay(int crowd, long seed) {
-        World world =
-                new World(seed, new Day(Day.SHORT, Day.SHORT, Version.NOW, Day.Flaw.NONE, crowd));
+        ClusterSimulation world =
+                new ClusterSimulation(
+                        seed,
+                        new Scenario(
+                                Scenario.SHORT,
+                                Scenario.SHORT,
+                                Version.NOW,
+                                Scenario.Flaw.NONE,
+                                crowd));
         world.servicesStay = true;
         world.users(TROUBLED, 3);
         world.machineFaults(TROUBLED);
@@ -77,7 +84,7 @@
         assertTrue(over >= 12, over + " arrays of the team were done in four minutes at its limit");
     }
 
-    private static int arraysOver(World world, int crowd) {
+    private static int arraysOver(ClusterSimulation world, int crowd) {
         String team = crowd == 0 ? "red" : "crowd-0";
         int over = 0;
         for (String uid : world.truth.acceptedJobs()) {
@@ -93,7 +100,7 @@
      */
     @Test
     void theLeaderTellsWhatBecameOfTheLargest() {
-        CoreFixture fixture = new CoreFixture();
+        SchedulerFixture fixture = new SchedulerFixture();
         for (int i = 0; i < 20; i++) {
             fixture.world.served.come(fixture.job("j-" + i, 1, 1, i < 18 ? 2 : 9));
         }
@@ -101,10 +108,10 @@
         var machine = fixture.machine("host-1", "a");
         var reservations = new Reservations(fixture.world);
         fixture.place(reservations, fixture.world.jobs.get("j-18"), 0, machine);
-        Placement inherited =
-                new Placement(
+        TaskAttempt inherited =
+                new TaskAttempt(
                         fixture.world.jobs.get("j-19"), 0, machine, 1, 0, fixture.world.nowMicros);
-        inherited.stage = Placement.Stage.INHERITED;
+        inherited.stage = TaskAttempt.Stage.INHERITED;
         inherited.job.add(inherited);
         fixture.world.served.review();
         assertTrue(
@@ -120,7 +127,7 @@
     /** What the leader tells is counted once a minute, and only what it has seen. */
     @Test
     void theLeaderTellsWhoWaits() {
-        CoreFixture fixture = new CoreFixture();
+        SchedulerFixture fixture = new SchedulerFixture();
         Job waits = fixture.job("j-000001", 1, 1, 1);
         fixture.world.served.come(waits);
         Job ended = fixture.job("j-000002", 1, 1, 1);
@@ -133,10 +140,14 @@
         assertTrue(fixture.effects().isEmpty(), "told before its time");
         fixture.world.nowMicros += 45_000_000;
         fixture.world.served.review();
-        Effect.ServedSeen seen =
-                (Effect.ServedSeen)
+        SchedulerAction.PublishServiceLevels seen =
+                (SchedulerAction.PublishServiceLevels)
                         fixture.effects().stream()
-                                .filter(effect -> effect instanceof Effect.ServedSeen)
+                                .filter(
+                                        effect ->
+                                                effect
+                                                        instanceof
+                                                        SchedulerAction.PublishServiceLevels)
                                 .findFirst()
                                 .orElseThrow();
         var row = seen.rows().get(0);
--- a/src/test/java/org/woadloom/sim/WorkerStandIn.java
+++ b/src/test/java/org/woadloom/sim/SimulatedAgent.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.woadloom.wire.JobDescription;
-import org.woadloom.wire.TaskId;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.MalformedMessageException;
+import org.woadloom.protocol.TaskId;
 
 /** A worker, written from the protocol: leases, tokens, reports and commands. */
-final class WorkerStandIn {
+final class SimulatedAgent {
     private static final long FETCH_MICROS = 800_000;
 
     private static final class Task {
@@ -31,7 +31,7 @@
     final String hosttype;
     final String yard;
     final boolean reclaimable;
-    private final World world;
+    private final ClusterSimulation world;
     private final double vcpus;
     private final Map<TaskId, Task> tasks = new LinkedHashMap<>();
     private long tenure = 1;
@@ -66,8 +66,8 @@
     /** The highest token that it was sent, whether it arrived or not. */
     long tokenSent;
 
-    WorkerStandIn(
-            World world,
+    SimulatedAgent(
+            ClusterSimulation world,
             String host,
             String hosttype,
             String yard,
@@ -81,7 +81,7 @@
         this.reclaimable = reclaimable;
         this.vcpus = vcpus;
         this.leaseFrom = world.loop.now();
-        this.node = world.random.nextInt(World.NODES);
+        this.node = world.random.nextInt(ClusterSimulation.NODES);
         beat();
         watchLease();
     }
@@ -220,8 +220,8 @@
                         }
                     } else if (status == 421
                             && answer.get("overseer") instanceof String leader
-                            && World.nodeIndex(leader) != node) {
-                        node = World.nodeIndex(leader);
+                            && ClusterSimulation.nodeIndex(leader) != node) {
+                        node = ClusterSimulation.nodeIndex(leader);
                         changed = true;
                     } else {
                         // It tries the next node a second later, and none before.
@@ -230,7 +230,7 @@
                                 1_000_000,
                                 () -> {
                                     reportSent = -1;
-                                    node = (node + 1) % World.NODES;
+                                    node = (node + 1) % ClusterSimulation.NODES;
                                     changed = true;
                                 });
                     }
@@ -281,7 +281,7 @@
             TaskId id;
             try {
                 id = TaskId.parse((String) order.get("shard"));
-            } catch (WireException e) {
+            } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
             }
             long attempt = (Long) order.get("try");
@@ -330,18 +330,18 @@
 
     private void launch(TaskId id, long attempt, Task present) {
         if (present != null && present.attempt == attempt
-                || world.isBroken(Day.Flaw.ONE_JOB_NOT_TAKEN) && id.uid().endsWith("7")) {
+                || world.isBroken(Scenario.Flaw.ONE_JOB_NOT_TAKEN) && id.uid().endsWith("7")) {
             return;
         }
         JobDescription job = world.truth.submitted.get(id.uid());
         if (job == null) {
-            throw new Violation("accepted_unfit", id + " is started");
+            throw new InvariantViolation("accepted_unfit", id + " is started");
         }
         Task task = new Task(id, attempt);
         if (present != null && !present.status.equals("exited")) {
             // The refused attempt can't be listed beside the other one in this stand-in; the leader
             // must not get here.
-            throw new Violation(
+            throw new InvariantViolation(
                     "ran_twice", id + " is sent to " + host + " where another attempt is");
         }
         tasks.put(id, task);
--- a/src/test/java/org/woadloom/sim/CloudStandIn.java
+++ b/src/test/java/org/woadloom/sim/SimulatedCloud.java
@@ -7,12 +7,12 @@
 import java.util.Random;
 
 /** The cloud, written from the protocol; its list lags. */
-final class CloudStandIn {
+final class SimulatedCloud {
     static final int CAPACITY = 14;
 
-    private final World world;
+    private final ClusterSimulation world;
     private final Random more;
-    final Map<String, WorkerStandIn> machines = new LinkedHashMap<>();
+    final Map<String, SimulatedAgent> machines = new LinkedHashMap<>();
     private final Map<String, String[]> booting = new LinkedHashMap<>();
     private final Map<String, List<Object>> claims = new LinkedHashMap<>();
     private List<Object> shown = new ArrayList<>();
@@ -31,7 +31,7 @@
      */
     long quickUntil;
 
-    CloudStandIn(World world, Random more) {
+    SimulatedCloud(ClusterSimulation world, Random more) {
         this.world = world;
         this.more = more;
         refresh();
@@ -42,7 +42,7 @@
         for (Map.Entry<String, String[]> entry : booting.entrySet()) {
             now.add(item(entry.getKey(), entry.getValue(), "booting"));
         }
-        for (WorkerStandIn worker : machines.values()) {
+        for (SimulatedAgent worker : machines.values()) {
             now.add(
                     item(
                             worker.host,
@@ -65,7 +65,8 @@
         return map;
     }
 
-    void handle(String method, String path, Map<String, Object> body, StateStandIn.Answer answer) {
+    void handle(
+            String method, String path, Map<String, Object> body, SimulatedStore.Answer answer) {
         if (method.equals("POST") && lateOfHundred > 0 && more.nextInt(100) < lateOfHundred) {
             long term = world.term();
             world.loop.after(
@@ -94,7 +95,7 @@
     }
 
     private void carryOut(
-            String method, String path, Map<String, Object> body, StateStandIn.Answer answer) {
+            String method, String path, Map<String, Object> body, SimulatedStore.Answer answer) {
         if (down) {
             answer.answer(503, Map.of("error", "trouble"));
         } else if (path.equals("/machine_types")) {
@@ -106,7 +107,7 @@
         } else if (path.equals("/machines/delete")) {
             for (Object host : (List<?>) body.get("hosts")) {
                 booting.remove(host);
-                WorkerStandIn worker = machines.remove(host);
+                SimulatedAgent worker = machines.remove(host);
                 if (worker != null) {
                     worker.die();
                 }
@@ -138,7 +139,7 @@
         return map;
     }
 
-    private void rent(Map<String, Object> body, StateStandIn.Answer answer) {
+    private void rent(Map<String, Object> body, SimulatedStore.Answer answer) {
         String claim = (String) body.get("claim");
         if (claims.containsKey(claim)) {
             answer.answer(200, Map.of("hosts", claims.get(claim)));
@@ -183,7 +184,7 @@
         if (kind != null) {
             machines.put(
                     host,
-                    new WorkerStandIn(
+                    new SimulatedAgent(
                             world,
                             host,
                             kind[0],
--- a/src/test/java/org/woadloom/sim/SimLoop.java
+++ b/src/test/java/org/woadloom/sim/SimulatedEventLoop.java
@@ -1,12 +1,12 @@
 package org.woadloom.sim;
 
 import java.util.PriorityQueue;
-import org.woadloom.net.Loop;
+import org.woadloom.net.EventLoop;
 
 /**
  * Virtual time: tasks run in the order of their times, and of their making where those are equal.
  */
-final class SimLoop {
+final class SimulatedEventLoop {
     private record Task(long at, long order, Runnable run, boolean[] cancelled) {}
 
     private final PriorityQueue<Task> tasks =
@@ -22,13 +22,13 @@
         return now;
     }
 
-    Loop.Timer at(long time, Runnable run) {
+    EventLoop.Timer at(long time, Runnable run) {
         boolean[] cancelled = {false};
         tasks.add(new Task(Math.max(now, time), ++order, run, cancelled));
         return () -> cancelled[0] = true;
     }
 
-    Loop.Timer after(long delay, Runnable run) {
+    EventLoop.Timer after(long delay, Runnable run) {
         return at(now + delay, run);
     }
 
@@ -54,8 +54,8 @@
     }
 
     /** The loop of a node that never ends, with a clock that is right. */
-    Loop loop() {
-        return new Loop() {
+    EventLoop loop() {
+        return new EventLoop() {
             @Override
             public long nowMicros() {
                 return now();
--- a/src/test/java/org/woadloom/sim/StateStandIn.java
+++ b/src/test/java/org/woadloom/sim/SimulatedStore.java
@@ -7,20 +7,20 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.function.Predicate;
+import org.woadloom.net.EventLoop;
 import org.woadloom.net.HttpTransport;
-import org.woadloom.net.Loop;
+import org.woadloom.protocol.Cbor;
 import org.woadloom.settings.ServiceSettings;
-import org.woadloom.state.Limits;
-import org.woadloom.state.StateClient;
-import org.woadloom.wire.Cbor;
+import org.woadloom.store.StoreClient;
+import org.woadloom.store.StoreLimits;
 
 /** The state service, written from the protocol. */
-final class StateStandIn {
+final class SimulatedStore {
     private record Entry(Object value, long stamp, long grant) {}
 
     private record Change(String path, Object value, long stamp) {}
 
-    private final SimLoop loop;
+    private final SimulatedEventLoop loop;
     private ServiceSettings.State limits;
     private double writes;
     private long refilled;
@@ -32,7 +32,7 @@
     private long grantIds;
     boolean down;
 
-    StateStandIn(SimLoop loop, ServiceSettings.State limits) {
+    SimulatedStore(SimulatedEventLoop loop, ServiceSettings.State limits) {
         this.loop = loop;
         this.limits = limits;
     }
@@ -42,8 +42,8 @@
     }
 
     /** The client of one node that leads or follows alone. */
-    static StateClient client(
-            Loop loop, HttpTransport transport, ServiceSettings.State limits, long seed) {
+    static StoreClient client(
+            EventLoop loop, HttpTransport transport, ServiceSettings.State limits, long seed) {
         ServiceSettings settings =
                 new ServiceSettings(
                         "node",
@@ -60,8 +60,8 @@
                         limits,
                         new ServiceSettings.Cloud(1, 1),
                         new ServiceSettings.Resources(1, 1, 1));
-        return new StateClient(
-                loop, transport, settings, new Limits(limits), new Random(seed), served -> {});
+        return new StoreClient(
+                loop, transport, settings, new StoreLimits(limits), new Random(seed), served -> {});
     }
 
     void outage(boolean begins) {
--- a/src/test/java/org/woadloom/sim/StepRenderer.java
+++ b/src/test/java/org/woadloom/sim/StepRenderer.java
@@ -9,21 +9,21 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Function;
-import org.woadloom.core.Command;
-import org.woadloom.core.Effect;
-import org.woadloom.core.care.NodeStanding;
-import org.woadloom.core.care.Warrant;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerEvent;
+import org.woadloom.core.delegation.LeaseDelegation;
+import org.woadloom.core.delegation.PeerStatus;
 import org.woadloom.golden.CanonicalJson;
-import org.woadloom.state.FinalRecord;
-import org.woadloom.state.JobRecord;
-import org.woadloom.state.MachineRecord;
-import org.woadloom.state.NodeWord;
-import org.woadloom.state.RecordFormat;
-import org.woadloom.wire.ListedMachine;
-import org.woadloom.wire.MachineType;
-import org.woadloom.wire.Order;
-import org.woadloom.wire.TaskReport;
-import org.woadloom.wire.WorkerReport;
+import org.woadloom.protocol.Heartbeat;
+import org.woadloom.protocol.ListedMachine;
+import org.woadloom.protocol.MachineType;
+import org.woadloom.protocol.TaskCommand;
+import org.woadloom.protocol.TaskStatus;
+import org.woadloom.store.FinalRecord;
+import org.woadloom.store.JobRecord;
+import org.woadloom.store.MachineRecord;
+import org.woadloom.store.NodeAnnouncement;
+import org.woadloom.store.RecordFormat;
 
 /**
  * The commands and effects of a step as text, by what they mean: each has a literal tag and its
@@ -37,14 +37,18 @@
     /**
      * One line for the step, one for each command and one for each effect but notes for the log.
      */
-    static String render(int node, long nowMicros, List<Command> commands, List<Effect> effects) {
+    static String render(
+            int node,
+            long nowMicros,
+            List<SchedulerEvent> commands,
+            List<SchedulerAction> effects) {
         StringBuilder out = new StringBuilder();
         line(out, "step ", list(node, nowMicros));
-        for (Command command : commands) {
+        for (SchedulerEvent command : commands) {
             line(out, "  in  ", command(command));
         }
-        for (Effect effect : effects) {
-            if (!(effect instanceof Effect.Note)) {
+        for (SchedulerAction effect : effects) {
+            if (!(effect instanceof SchedulerAction.Log)) {
                 line(out, "  out ", effect(effect));
             }
         }
@@ -57,29 +61,29 @@
         out.append('\n');
     }
 
-    private static List<Object> command(Command command) {
-        if (command instanceof Command.Lead c) {
+    private static List<Object> command(SchedulerEvent command) {
+        if (command instanceof SchedulerEvent.LeadershipAcquired c) {
             return list(
                     "lead",
                     c.term(),
                     each(c.jobs(), StepRenderer::storedJob),
                     each(c.machines(), StepRenderer::storedMachine),
                     c.cancellationsSeenMicros());
-        } else if (command instanceof Command.StepDown) {
+        } else if (command instanceof SchedulerEvent.LeadershipLost) {
             return list("step-down");
-        } else if (command instanceof Command.JobSeen c) {
+        } else if (command instanceof SchedulerEvent.JobStored c) {
             return list("job-record", job(c.record()), c.stamp());
-        } else if (command instanceof Command.JobUnread c) {
+        } else if (command instanceof SchedulerEvent.JobRecordDamaged c) {
             return list("job-record-partly-unreadable", c.uid(), c.stamp(), c.cancelled());
-        } else if (command instanceof Command.CancellationsTold c) {
+        } else if (command instanceof SchedulerEvent.CancellationsConfirmed c) {
             return list("cancellations-told", c.uids());
-        } else if (command instanceof Command.JobMissing c) {
+        } else if (command instanceof SchedulerEvent.JobRecordNotFound c) {
             return list("job-record-missing", c.uid());
-        } else if (command instanceof Command.JobUnreadable c) {
+        } else if (command instanceof SchedulerEvent.JobReadFailed c) {
             return list("job-record-unreadable", c.uid());
-        } else if (command instanceof Command.JobFound c) {
+        } else if (command instanceof SchedulerEvent.DependencyResolved c) {
             return list("job-found", c.uid(), standing(c.standing()), c.overWallMicros());
-        } else if (command instanceof Command.StorageSeen c) {
+        } else if (command instanceof SchedulerEvent.StoreLimitsChanged c) {
             return list(
                     "storage",
                     c.valueBytes(),
@@ -87,32 +91,32 @@
                     c.writesPerSecond(),
                     c.care(),
                     c.machineLife());
-        } else if (command instanceof Command.NodeSpoke c) {
+        } else if (command instanceof SchedulerEvent.PeerStatusReceived c) {
             return list(
                     "node-standing",
                     c.node(),
                     nodeStanding(c.standing()),
                     c.cancellationsSeenMicros());
-        } else if (command instanceof Command.MachineSeen c) {
+        } else if (command instanceof SchedulerEvent.MachineRecordRead c) {
             return list(
                     "machine-record",
                     c.host(),
                     c.record() == null ? null : machine(c.record()),
                     c.stamp());
-        } else if (command instanceof Command.MachineUnreadable c) {
+        } else if (command instanceof SchedulerEvent.MachineReadFailed c) {
             return list("machine-record-unreadable", c.host());
-        } else if (command instanceof Command.Report c) {
+        } else if (command instanceof SchedulerEvent.HeartbeatReceived c) {
             return list("report", c.replyId(), report(c.report()));
-        } else if (command instanceof Command.DirectResult c) {
+        } else if (command instanceof SchedulerEvent.DirectCommandCompleted c) {
             return list(
                     "direct-result",
                     c.sendId(),
                     c.host(),
                     c.status(),
                     c.report() == null ? null : report(c.report()));
-        } else if (command instanceof Command.JobWritten c) {
+        } else if (command instanceof SchedulerEvent.JobWriteCompleted c) {
             return list("job-written", c.uid(), c.version(), outcome(c.outcome()), c.stamp());
-        } else if (command instanceof Command.MachineWritten c) {
+        } else if (command instanceof SchedulerEvent.MachineWriteCompleted c) {
             return list(
                     "machine-written",
                     c.host(),
@@ -120,15 +124,15 @@
                     c.dropped(),
                     outcome(c.outcome()),
                     c.stamp());
-        } else if (command instanceof Command.TypesSeen c) {
+        } else if (command instanceof SchedulerEvent.MachineTypesRead c) {
             return list("machine-types", each(c.types(), MachineType::toMap));
-        } else if (command instanceof Command.MachinesListed c) {
+        } else if (command instanceof SchedulerEvent.MachinesListed c) {
             return list("machines-listed", each(c.machines(), StepRenderer::listed));
-        } else if (command instanceof Command.Rented c) {
+        } else if (command instanceof SchedulerEvent.ScaleOutCompleted c) {
             return list("rented", c.claim(), outcome(c.outcome()), c.hosts());
-        } else if (command instanceof Command.Deleted c) {
+        } else if (command instanceof SchedulerEvent.MachineDeletionCompleted c) {
             return list("deleted", c.hosts(), c.done());
-        } else if (command instanceof Command.RolloutSeen c) {
+        } else if (command instanceof SchedulerEvent.RolloutStateRead c) {
             return list(
                     "rollout",
                     c.record().toMap(),
@@ -139,9 +143,9 @@
                     c.agreed(),
                     c.agreedStamp(),
                     c.refused());
-        } else if (command instanceof Command.RolloutWritten c) {
+        } else if (command instanceof SchedulerEvent.RolloutWriteCompleted c) {
             return list("rollout-written", c.number(), outcome(c.outcome()), c.stamp());
-        } else if (command instanceof Command.RecordsCounted c) {
+        } else if (command instanceof SchedulerEvent.RecordsCounted c) {
             return list(
                     "records-counted",
                     c.feature().key(),
@@ -149,18 +153,18 @@
                     c.read(),
                     c.old(),
                     c.unreadable());
-        } else if (command instanceof Command.Tick) {
+        } else if (command instanceof SchedulerEvent.Tick) {
             return list("time");
         }
         throw new IllegalArgumentException("a command that has no text yet: " + command);
     }
 
-    private static List<Object> effect(Effect effect) {
-        if (effect instanceof Effect.Answer e) {
-            return list("answer", e.replyId(), e.epoch(), each(e.orders(), Order::toMap));
-        } else if (effect instanceof Effect.TurnAway e) {
+    private static List<Object> effect(SchedulerAction effect) {
+        if (effect instanceof SchedulerAction.AnswerHeartbeat e) {
+            return list("answer", e.replyId(), e.epoch(), each(e.orders(), TaskCommand::toMap));
+        } else if (effect instanceof SchedulerAction.RejectHeartbeat e) {
             return list("turn-away", e.replyId());
-        } else if (effect instanceof Effect.SendDirect e) {
+        } else if (effect instanceof SchedulerAction.SendDirectCommand e) {
             return list(
                     "send-direct",
                     e.sendId(),
@@ -168,36 +172,36 @@
                     e.addr(),
                     e.epoch(),
                     e.tenure(),
-                    each(e.orders(), Order::toMap));
-        } else if (effect instanceof Effect.PutJob e) {
+                    each(e.orders(), TaskCommand::toMap));
+        } else if (effect instanceof SchedulerAction.WriteJob e) {
             return list("put-job", job(e.record()), e.stamp(), e.urgent());
-        } else if (effect instanceof Effect.FinishJob e) {
+        } else if (effect instanceof SchedulerAction.WriteFinalState e) {
             return list("finish-job", finalRecord(e.record()), e.stamp(), e.version());
-        } else if (effect instanceof Effect.ReadJob e) {
+        } else if (effect instanceof SchedulerAction.ReadJob e) {
             return list("read-job", e.uid());
-        } else if (effect instanceof Effect.FindJob e) {
+        } else if (effect instanceof SchedulerAction.ResolveDependency e) {
             return list("find-job", e.uid());
-        } else if (effect instanceof Effect.PutMachine e) {
+        } else if (effect instanceof SchedulerAction.WriteMachine e) {
             return list("put-machine", machine(e.record()), e.stamp());
-        } else if (effect instanceof Effect.DropMachine e) {
+        } else if (effect instanceof SchedulerAction.DeleteMachineRecord e) {
             return list("drop-machine", e.host(), e.stamp());
-        } else if (effect instanceof Effect.ReadMachine e) {
+        } else if (effect instanceof SchedulerAction.ReadMachine e) {
             return list("read-machine", e.host());
-        } else if (effect instanceof Effect.Rent e) {
+        } else if (effect instanceof SchedulerAction.RentMachines e) {
             return list("rent", e.claim(), e.hosttype(), e.yard(), e.reclaimable(), e.count());
-        } else if (effect instanceof Effect.Delete e) {
+        } else if (effect instanceof SchedulerAction.DeleteMachines e) {
             return list("delete", e.hosts());
-        } else if (effect instanceof Effect.GiveWarrant e) {
+        } else if (effect instanceof SchedulerAction.DelegateLeases e) {
             return list("give-warrant", e.node(), warrant(e.warrant()));
-        } else if (effect instanceof Effect.Abdicate) {
+        } else if (effect instanceof SchedulerAction.StepDown) {
             // Its reason is for the log.
             return list("abdicate");
-        } else if (effect instanceof Effect.PutRollout e) {
+        } else if (effect instanceof SchedulerAction.WriteRollout e) {
             return list(
                     "put-rollout", e.record().toMap(), new TreeMap<>(e.conditions()), e.agreed());
-        } else if (effect instanceof Effect.CountRecords e) {
+        } else if (effect instanceof SchedulerAction.CountRecords e) {
             return list("count-records", e.feature().key(), e.back());
-        } else if (effect instanceof Effect.ServedSeen e) {
+        } else if (effect instanceof SchedulerAction.PublishServiceLevels e) {
             return list(
                     "served",
                     each(
@@ -233,11 +237,11 @@
         return rendered;
     }
 
-    private static List<Object> storedJob(Command.StoredJob stored) {
+    private static List<Object> storedJob(SchedulerEvent.StoredJob stored) {
         return list(job(stored.record()), stored.stamp());
     }
 
-    private static List<Object> storedMachine(Command.StoredMachine stored) {
+    private static List<Object> storedMachine(SchedulerEvent.StoredMachine stored) {
         return list(machine(stored.record()), stored.stamp());
     }
 
@@ -254,12 +258,12 @@
         return list(record.host(), record.toMap());
     }
 
-    private static List<Object> spoken(Command.Spoken spoken) {
-        NodeWord word = spoken.word();
+    private static List<Object> spoken(SchedulerEvent.StoredAnnouncement spoken) {
+        NodeAnnouncement word = spoken.word();
         return list(word.toMap(), spoken.stamp());
     }
 
-    private static List<Object> nodeStanding(NodeStanding s) {
+    private static List<Object> nodeStanding(PeerStatus s) {
         return list(
                 s.life(),
                 s.aliveMicros(),
@@ -271,7 +275,7 @@
                 s.stateSilentMicros());
     }
 
-    private static List<Object> warrant(Warrant w) {
+    private static List<Object> warrant(LeaseDelegation w) {
         return list(w.term(), w.saidMicros(), w.leaderMicros(), w.settledMicros());
     }
 
@@ -287,7 +291,7 @@
     }
 
     /** As on the wire, but for the span in the warning. */
-    private static Map<String, Object> report(WorkerReport report) {
+    private static Map<String, Object> report(Heartbeat report) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("host", report.host());
         map.put("addr", report.addr());
@@ -302,7 +306,7 @@
         return map;
     }
 
-    private static List<Object> task(TaskReport report) {
+    private static List<Object> task(TaskStatus report) {
         return list(
                 report.task().uid(),
                 report.task().index(),
@@ -312,7 +316,7 @@
                 report.saved());
     }
 
-    private static String state(TaskReport.State state) {
+    private static String state(TaskStatus.State state) {
         return switch (state) {
             case FETCHING -> "fetching";
             case GATHERING -> "gathering";
@@ -322,7 +326,7 @@
         };
     }
 
-    private static String cause(TaskReport.Cause cause) {
+    private static String cause(TaskStatus.ExitReason cause) {
         return switch (cause) {
             case DONE -> "done";
             case HALTED -> "halted";
@@ -335,7 +339,7 @@
         };
     }
 
-    private static String standing(Command.Standing standing) {
+    private static String standing(SchedulerEvent.DependencyState standing) {
         return switch (standing) {
             case OPEN -> "open";
             case DONE -> "done";
@@ -352,7 +356,7 @@
         };
     }
 
-    private static String outcome(Command.WriteOutcome outcome) {
+    private static String outcome(SchedulerEvent.WriteOutcome outcome) {
         return switch (outcome) {
             case WRITTEN -> "written";
             case CONFLICT -> "conflict";
@@ -362,7 +366,7 @@
         };
     }
 
-    private static String outcome(Command.RentOutcome outcome) {
+    private static String outcome(SchedulerEvent.ScaleOutOutcome outcome) {
         return switch (outcome) {
             case RENTED -> "rented";
             case NO_CAPACITY -> "no-capacity";
--- a/src/test/java/org/woadloom/sim/StateClientTest.java
+++ b/src/test/java/org/woadloom/sim/StoreClientTest.java
@@ -11,30 +11,30 @@
 import java.util.Random;
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.settings.ServiceSettings;
-import org.woadloom.state.StateClient;
-import org.woadloom.state.StateClient.Change;
-import org.woadloom.state.StateClient.Condition;
-import org.woadloom.state.StateClient.Result;
-import org.woadloom.state.StateClient.Urgency;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.WireException;
+import org.woadloom.store.StoreClient;
+import org.woadloom.store.StoreClient.Change;
+import org.woadloom.store.StoreClient.Condition;
+import org.woadloom.store.StoreClient.RequestPriority;
+import org.woadloom.store.StoreClient.Result;
 
 /**
  * What waits for what on the way to the state service: 30 changes a second here, and more reads
  * than are asked for.
  */
-class StateClientTest {
+class StoreClientTest {
     private static final ServiceSettings.State LIMITS =
             new ServiceSettings.State(1_000, 40, 8192, 12, null);
 
-    private final SimLoop sim = new SimLoop();
+    private final SimulatedEventLoop sim = new SimulatedEventLoop();
     private final List<String> sent = new ArrayList<>();
-    private final StateClient client;
+    private final StoreClient client;
 
-    StateClientTest() {
+    StoreClientTest() {
         client =
-                StateStandIn.client(
+                SimulatedStore.client(
                         sim.loop(),
                         (address, method, path, body, timeout, callback) -> {
                             sent.add(path);
@@ -45,7 +45,7 @@
         client.lead(true);
     }
 
-    private void change(Urgency urgency, int changes) {
+    private void change(RequestPriority urgency, int changes) {
         client.txn(
                 urgency,
                 List.of(),
@@ -63,11 +63,11 @@
     @Test
     void readsPassByChangesThatWaitForTheirBudget() {
         for (int i = 0; i < 30; i++) {
-            change(Urgency.URGENT, 12);
+            change(RequestPriority.URGENT, 12);
         }
         run(200_000);
         sent.clear();
-        client.get(Urgency.USER, "polled", (result, entry, generation) -> {});
+        client.get(RequestPriority.USER, "polled", (result, entry, generation) -> {});
         run(10_000);
         assertEquals(List.of("/keys/polled"), sent);
     }
@@ -75,19 +75,22 @@
     /** Whoever comes later may have to wait for less. */
     @Test
     void aShortWaitIsNotTakenForALongOne() {
-        client.get(Urgency.URGENT, "refused", (result, entry, generation) -> {});
-        change(Urgency.URGENT, 30);
-        change(Urgency.URGENT, 30);
+        client.get(RequestPriority.URGENT, "refused", (result, entry, generation) -> {});
+        change(RequestPriority.URGENT, 30);
+        change(RequestPriority.URGENT, 30);
         run(3_000);
         sent.clear();
-        client.get(Urgency.NORMAL, "held back for a moment", (result, entry, generation) -> {});
+        client.get(
+                RequestPriority.NORMAL,
+                "held back for a moment",
+                (result, entry, generation) -> {});
         run(250_000);
         assertEquals(List.of("/keys/held back for a moment"), sent);
     }
 
     // Single answers that are lost.
 
-    private final StateStandIn store = new StateStandIn(sim, LIMITS);
+    private final SimulatedStore store = new SimulatedStore(sim, LIMITS);
     private final Random luck = new Random(7);
 
     /** What becomes of a transaction. */
@@ -97,14 +100,14 @@
         CARRIED_OUT_LATE
     }
 
-    private StateClient served(Supplier<Fate> fates) {
-        StateClient served =
-                StateStandIn.client(
+    private StoreClient served(Supplier<Fate> fates) {
+        StoreClient served =
+                SimulatedStore.client(
                         sim.loop(),
                         (address, method, path, body, timeout, callback) -> {
                             boolean[] told = {false};
                             Map<String, Object> map = body == null ? Map.of() : decoded(body);
-                            StateStandIn.Answer answer =
+                            SimulatedStore.Answer answer =
                                     (status, content) ->
                                             sim.after(
                                                     3_000,
@@ -143,7 +146,7 @@
     private static Map<String, Object> decoded(byte[] body) {
         try {
             return Cbor.decodeMap(body);
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
@@ -154,7 +157,7 @@
      */
     @Test
     void singleAnswersThatAreLostHoldUpNothingElse() {
-        StateClient served = served(() -> luck.nextInt(10) < 4 ? Fate.ANSWER_LOST : Fate.ANSWERED);
+        StoreClient served = served(() -> luck.nextInt(10) < 4 ? Fate.ANSWER_LOST : Fate.ANSWERED);
         int[] read = {0};
         int[] slow = {0};
         for (long at = 0; at < 20_000_000; at += 50_000) {
@@ -163,13 +166,13 @@
                     at,
                     () -> {
                         served.txn(
-                                Urgency.URGENT,
+                                RequestPriority.URGENT,
                                 List.of(),
                                 List.of(Change.put(key, Map.of())),
                                 (result, generation, failed) -> {});
                         long asked = sim.now();
                         served.get(
-                                Urgency.NORMAL,
+                                RequestPriority.NORMAL,
                                 key,
                                 (result, entry, generation) -> {
                                     read[0]++;
@@ -183,11 +186,11 @@
     }
 
     private Result write(
-            StateClient served, String key, Map<String, Object> value, long[] toldAfter) {
+            StoreClient served, String key, Map<String, Object> value, long[] toldAfter) {
         Result[] told = {null};
         long from = sim.now();
         served.txn(
-                Urgency.URGENT,
+                RequestPriority.URGENT,
                 List.of(new Condition(key, 0)),
                 List.of(Change.put(key, value)),
                 key,
--- a/src/test/java/org/woadloom/sim/StateTroubles.java
+++ b/src/test/java/org/woadloom/sim/StoreFaults.java
@@ -3,11 +3,11 @@
 import java.util.Random;
 
 /** What befalls requests to the state service: answers that get lost, and slowness. */
-final class StateTroubles {
+final class StoreFaults {
     /** For so long nodes wait for an answer. */
     private static final long PATIENCE_MICROS = 2_000_000;
 
-    private final World world;
+    private final ClusterSimulation world;
     private final Random random;
     private int lostOfHundred;
     private long loseUntil;
@@ -16,13 +16,13 @@
     private int lostBy = -1;
     private long lostAt;
 
-    StateTroubles(World world, Random random) {
+    StoreFaults(ClusterSimulation world, Random random) {
         this.world = world;
         this.random = random;
     }
 
     interface Request {
-        void made(StateStandIn.Answer respond);
+        void made(SimulatedStore.Answer respond);
     }
 
     void loseAnswers(int ofHundred, long until) {
@@ -36,7 +36,7 @@
     }
 
     /** A request that has come there, perhaps later, and whose answer may be lost, or late. */
-    void meet(int node, String path, StateStandIn.Answer reply, Request request) {
+    void meet(int node, String path, SimulatedStore.Answer reply, Request request) {
         long now = world.loop.now();
         boolean reads = path.startsWith("/keys/job/") || path.startsWith("/follow?prefix=job/");
         if (reads && lostBy >= 0 && node != lostBy && now - lostAt < PATIENCE_MICROS) {
@@ -45,7 +45,7 @@
         }
         boolean lost =
                 path.equals("/txn") && now < loseUntil && random.nextInt(100) < lostOfHundred;
-        StateStandIn.Answer answer =
+        SimulatedStore.Answer answer =
                 !lost
                         ? reply
                         : (status, body) -> {
--- a/src/test/java/org/woadloom/sim/StoredValuesGoldenTest.java
+++ b/src/test/java/org/woadloom/sim/StoredValuesGoldenTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 import org.woadloom.golden.GoldenFile;
 import org.woadloom.golden.Shape;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.MalformedMessageException;
 
 /**
  * The shapes of the values that nodes store besides records of jobs and machines, as they are found
@@ -28,26 +28,29 @@
      * either format.
      */
     @Test
-    void lettersAreAsRecorded() throws WireException, IOException {
-        readLetters(new World(1, Day.PLAIN), "packed");
-        readLetters(new World(1, Day.UPGRADE), "plain");
+    void lettersAreAsRecorded() throws MalformedMessageException, IOException {
+        readLetters(new ClusterSimulation(1, Scenario.PLAIN), "packed");
+        readLetters(new ClusterSimulation(1, Scenario.UPGRADE), "plain");
         check("letters.txt");
     }
 
-    private void readLetters(World world, String format) throws WireException, IOException {
+    private void readLetters(ClusterSimulation world, String format)
+            throws MalformedMessageException, IOException {
         world.users(DAY_MICROS);
         world.loop.after(DAY_MICROS / 3, () -> world.partition("a", "b", DAY_MICROS));
         while (world.loop.step(DAY_MICROS)) {
-            for (int node = 0; node < World.NODES; node++) {
+            for (int node = 0; node < ClusterSimulation.NODES; node++) {
                 for (int slot = 0; slot < SLOTS; slot++) {
-                    letter(format, world.stored("mail/" + World.label(node) + "/" + slot));
+                    letter(
+                            format,
+                            world.stored("mail/" + ClusterSimulation.label(node) + "/" + slot));
                 }
             }
         }
     }
 
     private void letter(String format, Map<String, Object> letter)
-            throws WireException, IOException {
+            throws MalformedMessageException, IOException {
         if (letter == null) {
             return;
         }
@@ -65,7 +68,7 @@
     }
 
     /** A packed list: Base64 of a deflated CBOR map. */
-    private static Object unpack(String text) throws WireException, IOException {
+    private static Object unpack(String text) throws MalformedMessageException, IOException {
         byte[] deflated = Base64.getDecoder().decode(text);
         try (InflaterInputStream in = new InflaterInputStream(new ByteArrayInputStream(deflated))) {
             return Cbor.decodeMap(in.readAllBytes()).get("items");
@@ -74,7 +77,7 @@
 
     @Test
     void leaderTermVersionsAndRolloutAreAsRecorded() {
-        World world = new World(1, Day.UPGRADE);
+        ClusterSimulation world = new ClusterSimulation(1, Scenario.UPGRADE);
         world.users(DAY_MICROS);
         world.upgrade(DAY_MICROS);
         world.loop.run(2 * DAY_MICROS);
--- a/src/test/java/org/woadloom/sim/ThreeZonesTest.java
+++ b/src/test/java/org/woadloom/sim/ThreeZonesTest.java
@@ -16,8 +16,8 @@
     private static final long AT = 60_000_000;
     private static final long QUIET = 600_000_000;
 
-    private static World day(long seed) {
-        World world = new World(seed, Day.PLAIN.inThreeZones());
+    private static ClusterSimulation day(long seed) {
+        ClusterSimulation world = new ClusterSimulation(seed, Scenario.PLAIN.inThreeZones());
         world.trouble = 0;
         world.copies = 3;
         world.users(AT + 90_000_000);
@@ -26,13 +26,13 @@
         return world;
     }
 
-    private static void untilAllIsDone(World world) {
+    private static void untilAllIsDone(ClusterSimulation world) {
         world.run(AT + QUIET);
         assertEquals(List.of(), world.unfinished());
     }
 
-    private static int with(World world, boolean leader) {
-        return leader ? world.leader() : (world.leader() + 1) % World.NODES;
+    private static int with(ClusterSimulation world, boolean leader) {
+        return leader ? world.leader() : (world.leader() + 1) % ClusterSimulation.NODES;
     }
 
     /**
@@ -42,11 +42,11 @@
     @ParameterizedTest
     @CsvSource({"1,true", "2,false", "3,true", "4,false"})
     void aZoneIsCutWithItsOnlyNodeWhileTheOthersEnd(long seed, boolean leader) {
-        World world = day(seed);
+        ClusterSimulation world = day(seed);
         int inside = with(world, leader);
         world.island(world.yardOf(inside), 60_000_000);
         for (int i = 1; i <= 4; i++) {
-            int ending = (inside + 1 + i % 2) % World.NODES;
+            int ending = (inside + 1 + i % 2) % ClusterSimulation.NODES;
             world.loop.after(i * 12_000_000L, () -> world.end(ending, 300_000));
         }
         untilAllIsDone(world);
@@ -56,10 +56,13 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void twoZonesCantReachEachOtherWithTheLeaderAtEitherEnd(long seed) {
-        World world = day(seed);
+        ClusterSimulation world = day(seed);
         int killed = world.truth.killedByLease;
         int leader = world.leader();
-        world.partition(world.yardOf(leader), world.yardOf((leader + 1) % World.NODES), 35_000_000);
+        world.partition(
+                world.yardOf(leader),
+                world.yardOf((leader + 1) % ClusterSimulation.NODES),
+                35_000_000);
         if (seed % 2 == 0) {
             world.loop.after(10_000_000, () -> world.end(leader, 300_000));
         }
@@ -79,15 +82,15 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void allControllersEndInAnOutageAsMachinesAreTaken(long seed) {
-        World world = day(seed);
+        ClusterSimulation world = day(seed);
         world.stateOutage(12_000_000);
         world.loop.after(
                 3_000_000,
                 () -> {
-                    for (int i = 0; i < World.NODES; i++) {
+                    for (int i = 0; i < ClusterSimulation.NODES; i++) {
                         world.end(i, 50_000 + 900_000L * i);
                     }
-                    List<WorkerStandIn> workers = world.workers();
+                    List<SimulatedAgent> workers = world.workers();
                     for (int i = 0; i < workers.size(); i += 3) {
                         workers.get(i).die();
                     }
@@ -99,7 +102,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void servicesThatComeWhileAZoneIsCutStartInTheOthers(long seed) {
-        World world = day(seed);
+        ClusterSimulation world = day(seed);
         String dark = world.yardOf(with(world, false));
         world.island(dark, 45_000_000);
         world.users(world.loop.now() + 20_000_000, 3);
@@ -117,10 +120,13 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aNodeIsAloneInAZoneThatCantReachAnother(long seed) {
-        World world = day(seed);
+        ClusterSimulation world = day(seed);
         int alone = with(world, seed % 2 == 0);
         world.isolate(alone, 40_000_000);
-        world.partition(world.yardOf(alone), world.yardOf((alone + 1) % World.NODES), 30_000_000);
+        world.partition(
+                world.yardOf(alone),
+                world.yardOf((alone + 1) % ClusterSimulation.NODES),
+                30_000_000);
         untilAllIsDone(world);
     }
 }
--- a/src/test/java/org/woadloom/sim/OutOfTouchTest.java
+++ b/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
@@ -14,13 +14,17 @@
  * Workers that hear nothing, or of whom nothing is heard, and a controller that is left with its
  * workers alone.
  */
-class OutOfTouchTest {
+class UnreachableAgentScenariosTest {
     private static final long AT = 60_000_000;
     private static final long QUIET = 600_000_000;
 
     /** The lease is 20 s; no other trouble than the one that the test makes. */
-    private static World day(long seed) {
-        World world = new World(seed, new Day(Day.LONG, Day.LONG, Version.NOW, Day.Flaw.NONE, 0));
+    private static ClusterSimulation day(long seed) {
+        ClusterSimulation world =
+                new ClusterSimulation(
+                        seed,
+                        new Scenario(
+                                Scenario.LONG, Scenario.LONG, Version.NOW, Scenario.Flaw.NONE, 0));
         world.trouble = 0;
         world.copies = 5;
         world.users(AT + 60_000_000);
@@ -29,7 +33,7 @@
         return world;
     }
 
-    private static void untilAllIsDone(World world) {
+    private static void untilAllIsDone(ClusterSimulation world) {
         world.run(AT + QUIET);
         assertEquals(List.of(), world.unfinished());
     }
@@ -40,11 +44,11 @@
         int wereDeaf = 0;
         int returned = 0;
         for (long seed = 1; seed <= 6; seed++) {
-            World world = day(seed);
+            ClusterSimulation world = day(seed);
             int killed = world.truth.killedByLease;
             world.deafen("a", 1, 8_000_000);
-            List<WorkerStandIn> deaf =
-                    world.workers().stream().filter(WorkerStandIn::deaf).toList();
+            List<SimulatedAgent> deaf =
+                    world.workers().stream().filter(SimulatedAgent::deaf).toList();
             world.run(AT + 16_000_000);
             assertEquals(killed, world.truth.killedByLease);
             wereDeaf += deaf.size();
@@ -58,7 +62,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void workOnMachinesThatAreDeafForThreeLeasesIsDoneElsewhere(long seed) {
-        World world = day(seed);
+        ClusterSimulation world = day(seed);
         world.deafen("a", 2, 60_000_000);
         if (seed % 2 == 0) {
             world.loop.after(5_000_000, () -> world.restart(world.leader()));
@@ -72,19 +76,19 @@
      */
     @Test
     void deafWorkersThatSeemToHearAreCaught() {
-        Violation caught =
+        InvariantViolation caught =
                 assertThrows(
-                        Violation.class,
+                        InvariantViolation.class,
                         () -> {
                             for (long seed = 1; seed <= 20; seed++) {
-                                World world =
-                                        new World(
+                                ClusterSimulation world =
+                                        new ClusterSimulation(
                                                 seed,
-                                                new Day(
-                                                        Day.LONG,
-                                                        Day.LONG,
+                                                new Scenario(
+                                                        Scenario.LONG,
+                                                        Scenario.LONG,
                                                         Version.NOW,
-                                                        Day.Flaw.DEAF_SEEM_TO_HEAR,
+                                                        Scenario.Flaw.DEAF_SEEM_TO_HEAR,
                                                         0));
                                 world.users(QUIET, 4);
                                 for (long at = AT; at < QUIET; at += 20_000_000) {
@@ -102,9 +106,9 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void machinesThatStayDeafAreReplaced(long seed) {
-        World world = day(seed);
+        ClusterSimulation world = day(seed);
         world.deafen("b", 3, 2 * QUIET);
-        List<WorkerStandIn> deaf = world.workers().stream().filter(WorkerStandIn::deaf).toList();
+        List<SimulatedAgent> deaf = world.workers().stream().filter(SimulatedAgent::deaf).toList();
         assertTrue(!deaf.isEmpty());
         world.run(AT + 180_000_000);
         assertTrue(deaf.stream().allMatch(worker -> worker.dead));
@@ -114,7 +118,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void workOnMachinesOfWhichNothingIsHeardIsDoneElsewhere(long seed) {
-        World world = day(seed);
+        ClusterSimulation world = day(seed);
         world.workers().stream()
                 .filter(worker -> worker.yard.equals("a"))
                 .forEach(worker -> worker.muteUntil = world.loop.now() + 60_000_000);
@@ -128,7 +132,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void aLeaderWithItsWorkersAloneLosesThemToTheOthers(long seed) {
-        World world = day(seed);
+        ClusterSimulation world = day(seed);
         int alone = world.leader();
         int killed = world.truth.killedByLease;
         world.isolate(alone, 60_000_000);
@@ -150,9 +154,9 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aFollowerWithItsWorkersAloneLosesThemToTheLeader(long seed) {
-        World world = day(seed);
+        ClusterSimulation world = day(seed);
         int leader = world.leader();
-        int alone = (leader + 1) % World.NODES;
+        int alone = (leader + 1) % ClusterSimulation.NODES;
         int killed = world.truth.killedByLease;
         world.isolate(alone, 60_000_000);
         world.run(AT + 20_000_000);
@@ -166,10 +170,10 @@
     /** In an outage for all, nobody is better off elsewhere. */
     @Test
     void inAnOutageForAllNodesStayHealthy() {
-        World world = day(1);
+        ClusterSimulation world = day(1);
         world.stateOutage(20_000_000);
         world.run(AT + 12_000_000);
-        for (int i = 0; i < World.NODES; i++) {
+        for (int i = 0; i < ClusterSimulation.NODES; i++) {
             assertEquals(200, world.status(i, "GET", "/healthz", null));
         }
     }
@@ -178,7 +182,7 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void nodesThatEndInTheMiddleOfElectionsEndUpWithOneLeader(long seed) {
-        World world = day(seed);
+        ClusterSimulation world = day(seed);
         long before = world.term();
         world.end(world.leader(), 50_000);
         world.endInElections(AT + 8_000_000);
--- a/src/test/java/org/woadloom/sim/UsersMeetingsTest.java
+++ b/src/test/java/org/woadloom/sim/UserFaultCombinationsTest.java
@@ -12,7 +12,7 @@
  * What users ask meets what just happened to their jobs; that it did is counted, and the rules are
  * checked after each step.
  */
-class UsersMeetingsTest {
+class UserFaultCombinationsTest {
     private static final int SEEDS = Integer.getInteger("seeds", 3);
     private static final long AT = 20_000_000;
     private static final long FOR = 120_000_000;
@@ -23,13 +23,13 @@
          */
         END_OF_THE_LAST_TASK {
             @Override
-            void begin(World world) {
+            void begin(ClusterSimulation world) {
                 world.cancelAtEnd(50, FOR);
                 world.lookClosely(FOR);
             }
 
             @Override
-            int came(World world) {
+            int came(ClusterSimulation world) {
                 return Math.min(world.cancelledAtEnd, world.closeLooks);
             }
         },
@@ -39,12 +39,12 @@
          */
         ODD_REQUESTS {
             @Override
-            void begin(World world) {
+            void begin(ClusterSimulation world) {
                 world.oddRequests(FOR);
             }
 
             @Override
-            int came(World world) {
+            int came(ClusterSimulation world) {
                 return world.oddRequestsMade;
             }
         },
@@ -54,24 +54,24 @@
          */
         LOST_ANSWERS {
             @Override
-            void begin(World world) {
+            void begin(ClusterSimulation world) {
                 world.loseAnswers(30, FOR);
                 world.lookClosely(FOR);
             }
 
             @Override
-            int came(World world) {
+            int came(ClusterSimulation world) {
                 return Math.min(world.lostAnswersMade, world.closeLooks);
             }
         };
 
-        abstract void begin(World world);
+        abstract void begin(ClusterSimulation world);
 
-        abstract int came(World world);
+        abstract int came(ClusterSimulation world);
     }
 
-    private static World day(long seed, Day day, Meeting meeting) {
-        World world = new World(seed, day);
+    private static ClusterSimulation day(long seed, Scenario day, Meeting meeting) {
+        ClusterSimulation world = new ClusterSimulation(seed, day);
         world.users(AT + FOR);
         world.truth.calmFrom = AT + FOR + 60_000_000;
         world.loop.after(AT, () -> meeting.begin(world));
@@ -84,7 +84,7 @@
     @EnumSource
     void rulesHoldInEachMeeting(Meeting meeting) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            World world = day(seed, Day.PLAIN, meeting);
+            ClusterSimulation world = day(seed, Scenario.PLAIN, meeting);
             assertTrue(
                     meeting.came(world) >= 5,
                     meeting + " occurred " + meeting.came(world) + " times, seed " + seed);
@@ -92,11 +92,11 @@
         }
     }
 
-    private static String broken(Day.Flaw flaw, Meeting meeting) {
+    private static String broken(Scenario.Flaw flaw, Meeting meeting) {
         for (long seed = 1; seed <= SEEDS; seed++) {
             try {
-                day(seed, Day.PLAIN.with(flaw), meeting);
-            } catch (Violation e) {
+                day(seed, Scenario.PLAIN.with(flaw), meeting);
+            } catch (InvariantViolation e) {
                 return e.getMessage();
             }
         }
@@ -105,13 +105,13 @@
 
     @Test
     void nodesThatFillInWhatIsMissingAreCaught() {
-        String caught = broken(Day.Flaw.FILLS_IN_WHAT_IS_MISSING, Meeting.ODD_REQUESTS);
+        String caught = broken(Scenario.Flaw.FILLS_IN_WHAT_IS_MISSING, Meeting.ODD_REQUESTS);
         assertTrue(caught.startsWith("accepted_unfit"), caught);
     }
 
     @Test
     void nodesThatTellWhatIsOverAreCaught() {
-        String caught = broken(Day.Flaw.OLD_CHANGES, Meeting.END_OF_THE_LAST_TASK);
+        String caught = broken(Scenario.Flaw.OLD_CHANGES, Meeting.END_OF_THE_LAST_TASK);
         assertTrue(caught.startsWith("went_back"), caught);
     }
 }
--- a/src/test/java/org/woadloom/sim/UserTroubles.java
+++ b/src/test/java/org/woadloom/sim/UserFaults.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import org.woadloom.wire.JobDescription;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.MalformedMessageException;
 
 /**
  * What users do beyond what they do every day: they look closely, ask for what can't be, and call
  * jobs off at bad moments.
  */
-final class UserTroubles {
+final class UserFaults {
     private static final int LOOKS = 3;
     private static final int MOST_HUNG = 8;
 
@@ -39,7 +39,7 @@
                     "snapshotEveryS",
                     "snapshotCostS");
 
-    private final World world;
+    private final ClusterSimulation world;
     private final Random random;
     private final Set<String> lookedAt = new HashSet<>();
     private long lookUntil;
@@ -47,7 +47,7 @@
     private int endsOfHundred;
     private long endsUntil;
 
-    UserTroubles(World world, Random random) {
+    UserFaults(ClusterSimulation world, Random random) {
         this.world = world;
         this.random = random;
     }
@@ -64,7 +64,7 @@
             return;
         }
         world.closeLooks++;
-        for (int node = 0; node < World.NODES; node++) {
+        for (int node = 0; node < ClusterSimulation.NODES; node++) {
             int index = node;
             for (int look = 0; look < LOOKS; look++) {
                 world.loop.after(1 + random.nextInt(30_000), () -> ask(index, uid));
@@ -94,7 +94,7 @@
         long sent = world.loop.now();
         world.toNode(
                 "users",
-                random.nextInt(World.NODES),
+                random.nextInt(ClusterSimulation.NODES),
                 "POST",
                 "/v1/jobs",
                 job,
@@ -126,7 +126,7 @@
             long sent = world.loop.now();
             world.toNode(
                     "users",
-                    random.nextInt(World.NODES),
+                    random.nextInt(ClusterSimulation.NODES),
                     "POST",
                     "/v1/jobs/" + uid + "/cancel",
                     Map.of(),
@@ -142,7 +142,7 @@
         }
         if (kind >= 3) {
             world.truth.unfit.add(uid);
-            world.loop.after(2_000_000, () -> ask(random.nextInt(World.NODES), uid));
+            world.loop.after(2_000_000, () -> ask(random.nextInt(ClusterSimulation.NODES), uid));
         }
         repeat(uid, job);
     }
@@ -197,7 +197,7 @@
                         Map<String, Object> job = plain(uid);
                         try {
                             world.truth.submitting(JobDescription.parse(job));
-                        } catch (WireException e) {
+                        } catch (MalformedMessageException e) {
                             throw new IllegalStateException(e);
                         }
                         world.oneTaskJobsMade++;
--- a/src/test/java/org/woadloom/sim/UserWritesTest.java
+++ b/src/test/java/org/woadloom/sim/UserWritesTest.java
@@ -15,13 +15,13 @@
 import org.woadloom.http.JobApi;
 import org.woadloom.http.Response;
 import org.woadloom.net.HttpTransport;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.MachineType;
+import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.settings.ServiceSettings;
 import org.woadloom.settings.Team;
-import org.woadloom.state.JobRecord;
-import org.woadloom.state.RecordFormat;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.MachineType;
-import org.woadloom.wire.WireException;
+import org.woadloom.store.JobRecord;
+import org.woadloom.store.RecordFormat;
 
 /**
  * What users hear of submissions and cancellations whose transactions have no answer, or a late
@@ -51,9 +51,9 @@
     private static final MachineType ADDED =
             new MachineType("added", 8, 0, 32, 50, 1, 1, 0.3, 30_000_000, List.of("b"));
 
-    private final SimLoop sim = new SimLoop();
-    private final StateStandIn store =
-            new StateStandIn(sim, new ServiceSettings.State(10_000, 10_000, 8192, 12, null));
+    private final SimulatedEventLoop sim = new SimulatedEventLoop();
+    private final SimulatedStore store =
+            new SimulatedStore(sim, new ServiceSettings.State(10_000, 10_000, 8192, 12, null));
     private final Random random = new Random(11);
 
     /**
@@ -75,7 +75,7 @@
     private final JobApi api =
             new JobApi(
                     sim.loop(),
-                    StateStandIn.client(sim.loop(), this::request, LIMITS, 3),
+                    SimulatedStore.client(sim.loop(), this::request, LIMITS, 3),
                     SETTINGS,
                     new JobApi.Storage() {
                         @Override
@@ -162,10 +162,10 @@
         }
     }
 
-    private void handle(String method, String path, byte[] body, StateStandIn.Answer answer) {
+    private void handle(String method, String path, byte[] body, SimulatedStore.Answer answer) {
         try {
             store.handle(method, path, body == null ? Map.of() : Cbor.decodeMap(body), answer);
-        } catch (WireException e) {
+        } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
--- a/src/test/java/org/woadloom/sim/WaitingJobs.java
+++ b/src/test/java/org/woadloom/sim/WaitingJobs.java
@@ -2,8 +2,8 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.woadloom.wire.JobDescription;
-import org.woadloom.wire.TaskId;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.TaskId;
 
 /**
  * No job is left waiting while a machine that fits has room for a task of it and its team is below
@@ -13,7 +13,7 @@
     private static final long EVERY_MICROS = 1_000_000;
     private static final long LONGEST_MICROS = 90_000_000;
 
-    private final World world;
+    private final ClusterSimulation world;
     private final long fromMicros;
     private final Map<String, Long> sinceMicros = new HashMap<>();
 
@@ -26,7 +26,7 @@
     /**
      * @param fromMicros when the last trouble is over
      */
-    WaitingJobs(World world, long fromMicros) {
+    WaitingJobs(ClusterSimulation world, long fromMicros) {
         this.world = world;
         this.fromMicros = fromMicros;
         look();
@@ -43,7 +43,7 @@
             seen++;
             longestMicros = Math.max(longestMicros, waited);
             if (waited > LONGEST_MICROS) {
-                throw new Violation(
+                throw new InvariantViolation(
                         "left_waiting",
                         uid
                                 + " of "
@@ -61,7 +61,7 @@
         Map<String, Integer> placed = new HashMap<>();
         for (int i = 0; i < job.shards(); i++) {
             TaskId task = new TaskId(job.uid(), i);
-            WorkerStandIn machine = world.truth.machineOf(task);
+            SimulatedAgent machine = world.truth.machineOf(task);
             waiting += machine == null && !world.truth.isDone(task) ? 1 : 0;
             if (machine != null) {
                 placed.merge(machine.yard, 1, Integer::sum);
@@ -75,7 +75,7 @@
             return false;
         }
         Map<String, Integer> room = new HashMap<>();
-        for (WorkerStandIn machine : world.workers()) {
+        for (SimulatedAgent machine : world.workers()) {
             String yard = machine.yard;
             boolean fits =
                     !machine.dead
