--- a/src/test/java/org/woadloom/state/StoredFormsGoldenTest.java
+++ b/src/test/java/org/woadloom/state/StoredFormsGoldenTest.java
@@ -11,10 +11,18 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.woadloom.golden.GoldenFile;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.JobDescription;
-import org.woadloom.wire.MachineType;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.MachineType;
+import org.woadloom.protocol.MalformedMessageException;
+import org.woadloom.store.FinalRecord;
+import org.woadloom.store.JobRecord;
+import org.woadloom.store.MachineRecord;
+import org.woadloom.store.NodeAnnouncement;
+import org.woadloom.store.RecordFormat;
+import org.woadloom.store.RolloutRecord;
+import org.woadloom.store.RolloutRequest;
+import org.woadloom.store.StoreKeys;
 
 /**
  * Every stored record with every field, byte by byte, and read back from the bytes that were
@@ -24,7 +32,7 @@
     private static final String FILE = "stored-records.txt";
 
     private interface Reader {
-        Map<String, Object> readAndWrite(Map<String, Object> map) throws WireException;
+        Map<String, Object> readAndWrite(Map<String, Object> map) throws MalformedMessageException;
     }
 
     private static Map<String, Object> description(List<String> awaits) {
@@ -53,7 +61,8 @@
         return job;
     }
 
-    private static JobRecord job(List<String> awaits, long readyWallMicros) throws WireException {
+    private static JobRecord job(List<String> awaits, long readyWallMicros)
+            throws MalformedMessageException {
         BitSet done = new BitSet();
         done.set(0, 7);
         done.set(9);
@@ -68,14 +77,14 @@
                 false,
                 done,
                 List.of(
-                        new JobRecord.Placed("host-000007", (5L << 32) + 3, one),
-                        new JobRecord.Placed("host-000231", (5L << 32) + 4, more)),
+                        new JobRecord.RecordedAttempt("host-000007", (5L << 32) + 3, one),
+                        new JobRecord.RecordedAttempt("host-000231", (5L << 32) + 4, more)),
                 11,
                 5,
                 12);
     }
 
-    private static Map<String, Map<String, Object>> jobs() throws WireException {
+    private static Map<String, Map<String, Object>> jobs() throws MalformedMessageException {
         Map<String, Map<String, Object>> all = new LinkedHashMap<>();
         all.put("job plain", job(List.of(), 0).toMap(RecordFormat.PLAIN));
         all.put("job plain cancelled", job(List.of(), 0).asCancelled().toMap(RecordFormat.PLAIN));
@@ -108,7 +117,7 @@
                                 "a",
                                 false,
                                 true,
-                                new MachineRecord.Life(1_700_000_000_000_003L, true))
+                                new MachineRecord.Lifecycle(1_700_000_000_000_003L, true))
                         .toMap());
         all.put(
                 "machine life not up",
@@ -118,7 +127,7 @@
                                 "a",
                                 false,
                                 false,
-                                new MachineRecord.Life(1_700_000_000_000_003L, false))
+                                new MachineRecord.Lifecycle(1_700_000_000_000_003L, false))
                         .toMap());
         Map<String, RolloutRecord.Standing> features = new LinkedHashMap<>();
         for (RolloutRecord.Step step : RolloutRecord.Step.values()) {
@@ -138,7 +147,13 @@
         }
         all.put(
                 "rollout node",
-                new NodeWord(77, Set.of("b", "a"), Set.of("a"), Set.of("node-1", "node-2"), 2, 20)
+                new NodeAnnouncement(
+                                77,
+                                Set.of("b", "a"),
+                                Set.of("a"),
+                                Set.of("node-1", "node-2"),
+                                2,
+                                20)
                         .toMap());
         all.put(
                 "types",
@@ -177,7 +192,7 @@
         } else if (name.startsWith("rollout asked")) {
             return map -> RolloutRequest.parse(map).toMap();
         } else if (name.startsWith("rollout node")) {
-            return map -> NodeWord.parse(map).toMap();
+            return map -> NodeAnnouncement.parse(map).toMap();
         }
         return map ->
                 Map.of(
@@ -186,7 +201,7 @@
     }
 
     @Test
-    void recordsAreWrittenAndReadAsRecorded() throws WireException, IOException {
+    void recordsAreWrittenAndReadAsRecorded() throws MalformedMessageException, IOException {
         Map<String, Map<String, Object>> all = jobs();
         all.putAll(others());
         GoldenFile golden = new GoldenFile();
@@ -207,26 +222,26 @@
     @Test
     void keysAreAsRecorded() {
         GoldenFile golden = new GoldenFile();
-        golden.addText("leader", Keys.LEADER);
-        golden.addText("term", Keys.TERM);
-        golden.addText("types", Keys.TYPES);
-        golden.addText("nothing", Keys.NOTHING);
-        golden.addText("jobs", Keys.JOBS);
-        golden.addText("job", Keys.job("j-1"));
-        golden.addText("finals", Keys.FINALS);
-        golden.addText("final", Keys.finalState("j-1"));
-        golden.addText("machines", Keys.MACHINES);
-        golden.addText("machine", Keys.machine("host-1"));
-        golden.addText("mail", Keys.MAIL);
-        golden.addText("mail of a node", Keys.mailOf("node-1"));
-        golden.addText("one letter", Keys.mail("node-1", 3));
-        golden.addText("versions", Keys.VERSIONS);
-        golden.addText("agreed version", Keys.AGREED);
-        golden.addText("version of nodes", Keys.NODE_VERSIONS);
-        golden.addText("rollout", Keys.ROLLOUT);
-        golden.addText("rollout state", Keys.ROLLOUT_STATE);
-        golden.addText("rollout nodes", Keys.ROLLOUT_NODES);
-        golden.addText("rollout asked", Keys.ROLLOUT_ASKED);
+        golden.addText("leader", StoreKeys.LEADER);
+        golden.addText("term", StoreKeys.TERM);
+        golden.addText("types", StoreKeys.TYPES);
+        golden.addText("nothing", StoreKeys.NOTHING);
+        golden.addText("jobs", StoreKeys.JOBS);
+        golden.addText("job", StoreKeys.job("j-1"));
+        golden.addText("finals", StoreKeys.FINALS);
+        golden.addText("final", StoreKeys.finalState("j-1"));
+        golden.addText("machines", StoreKeys.MACHINES);
+        golden.addText("machine", StoreKeys.machine("host-1"));
+        golden.addText("mail", StoreKeys.MAIL);
+        golden.addText("mail of a node", StoreKeys.mailOf("node-1"));
+        golden.addText("one letter", StoreKeys.mail("node-1", 3));
+        golden.addText("versions", StoreKeys.VERSIONS);
+        golden.addText("agreed version", StoreKeys.AGREED);
+        golden.addText("version of nodes", StoreKeys.NODE_VERSIONS);
+        golden.addText("rollout", StoreKeys.ROLLOUT);
+        golden.addText("rollout state", StoreKeys.ROLLOUT_STATE);
+        golden.addText("rollout nodes", StoreKeys.ROLLOUT_NODES);
+        golden.addText("rollout asked", StoreKeys.ROLLOUT_ASKED);
         golden.check("keys.txt");
     }
 }
--- a/src/test/java/org/woadloom/state/ProductionFormatTest.java
+++ b/src/test/java/org/woadloom/store/ProductionFormatTest.java
@@ -1,4 +1,4 @@
-package org.woadloom.state;
+package org.woadloom.store;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -21,10 +21,10 @@
 import org.woadloom.peer.PeerCodec;
 import org.woadloom.peer.PeerFormatException;
 import org.woadloom.peer.PeerMessage;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.JobDescription;
-import org.woadloom.wire.MachineType;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.MachineType;
+import org.woadloom.protocol.MalformedMessageException;
 
 /** Version 1 and this one read each other's bytes, as long as version 1 may run anywhere. */
 class ProductionFormatTest {
@@ -36,11 +36,11 @@
                     "Ping",
                     PeerMessage.Ping.class,
                     "Hint",
-                    PeerMessage.Hint.class,
+                    PeerMessage.JobChangeNotification.class,
                     "Carry",
-                    PeerMessage.Carry.class,
+                    PeerMessage.ForwardHeartbeat.class,
                     "Carried",
-                    PeerMessage.Carried.class);
+                    PeerMessage.ForwardedAnswer.class);
 
     private static Map<String, byte[]> samples() throws IOException {
         Map<String, byte[]> samples = new LinkedHashMap<>();
@@ -58,7 +58,7 @@
 
     /** A job that waits for no other is stored byte for byte as before. */
     @Test
-    void whatVersion1WroteIsReadAndWrittenTheSame() throws IOException, WireException {
+    void whatVersion1WroteIsReadAndWrittenTheSame() throws IOException, MalformedMessageException {
         int jobs = 0;
         for (Map.Entry<String, byte[]> sample : samples().entrySet()) {
             String kind = sample.getKey().split(" ")[0];
@@ -116,20 +116,20 @@
     }
 
     @Test
-    void version1IsNeverGivenAJobThatWaits() throws WireException {
+    void version1IsNeverGivenAJobThatWaits() throws MalformedMessageException {
         JobRecord record = JobRecord.accepted(JobDescription.parse(job(3, List.of("j-1"))), 5);
         assertThrows(IllegalStateException.class, () -> record.toMap(RecordFormat.PLAIN));
         Map<String, Object> compact = record.toMap(RecordFormat.COMPACT);
-        assertThrows(WireException.class, () -> ProductionRecord.read(compact));
+        assertThrows(MalformedMessageException.class, () -> ProductionRecord.read(compact));
         assertEquals(List.of("j-1"), JobRecord.parse(compact).description().awaits());
     }
 
     /** Which group of tasks comes first says nothing. */
     private static JobRecord sorted(JobRecord record) {
-        List<JobRecord.Placed> placed = new ArrayList<>(record.placed());
+        List<JobRecord.RecordedAttempt> placed = new ArrayList<>(record.placed());
         placed.sort(
-                Comparator.comparing(JobRecord.Placed::host)
-                        .thenComparingLong(JobRecord.Placed::attempt));
+                Comparator.comparing(JobRecord.RecordedAttempt::host)
+                        .thenComparingLong(JobRecord.RecordedAttempt::attempt));
         return new JobRecord(
                 record.description(),
                 record.submittedWallMicros(),
@@ -162,7 +162,7 @@
      * refused, never misread.
      */
     @Test
-    void compactRecordsKeepEverything() throws WireException {
+    void compactRecordsKeepEverything() throws MalformedMessageException {
         Random random = new Random(11);
         String[] names = {"host-%06d", "m%d", "a", "x-9-%d-b", "0%018d"};
         for (int round = 0; round < 400; round++) {
@@ -170,7 +170,7 @@
             int spread = 1 + random.nextInt(150);
             BitSet done = new BitSet();
             done.set(0, random.nextInt(shards));
-            Map<String, JobRecord.Placed> placed = new LinkedHashMap<>();
+            Map<String, JobRecord.RecordedAttempt> placed = new LinkedHashMap<>();
             for (int i = 0; i < shards; i++) {
                 int luck = random.nextInt(4);
                 if (luck == 0) {
@@ -181,7 +181,7 @@
                     long attempt = (random.nextLong(1, 5) << 32) + random.nextInt(3);
                     placed.computeIfAbsent(
                                     host + " " + attempt,
-                                    k -> new JobRecord.Placed(host, attempt, new BitSet()))
+                                    k -> new JobRecord.RecordedAttempt(host, attempt, new BitSet()))
                             .tasks()
                             .set(i);
                 }
@@ -205,8 +205,8 @@
             char[] broken = text.toCharArray();
             broken[random.nextInt(broken.length)] = "Aa0/*".charAt(random.nextInt(5));
             try {
-                Progress.decode(new String(broken), shards);
-            } catch (WireException e) {
+                TaskProgressCodec.decode(new String(broken), shards);
+            } catch (MalformedMessageException e) {
                 assertFalse(e.getMessage().isEmpty());
             }
         }
--- a/src/test/java/org/woadloom/state/ProductionRecord.java
+++ b/src/test/java/org/woadloom/store/ProductionRecord.java
@@ -1,10 +1,10 @@
-package org.woadloom.state;
+package org.woadloom.store;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.woadloom.wire.Fields;
-import org.woadloom.wire.WireException;
+import org.woadloom.protocol.Fields;
+import org.woadloom.protocol.MalformedMessageException;
 
 /**
  * Version 1's reading of a job's record, frozen: what it does not know is lost when it writes the
@@ -39,7 +39,8 @@
     private ProductionRecord() {}
 
     /** The record as version 1 understands it, or an error where it can't read it. */
-    public static Map<String, Object> read(Map<String, Object> value) throws WireException {
+    public static Map<String, Object> read(Map<String, Object> value)
+            throws MalformedMessageException {
         Fields f = new Fields(value);
         Map<String, Object> job = pick(Fields.of(value.get("job"), "job"), JOB);
         long shards = new Fields(job).integer("shards");
@@ -50,7 +51,7 @@
                     || !(parts.get(0) instanceof String)
                     || !(parts.get(1) instanceof Long)
                     || !(parts.get(2) instanceof List<?> tasks)) {
-                throw new WireException("placed: expected host, attempt and tasks");
+                throw new MalformedMessageException("placed: expected host, attempt and tasks");
             }
             ranges(tasks, shards);
         }
@@ -60,16 +61,16 @@
         return known;
     }
 
-    private static void ranges(List<?> list, long shards) throws WireException {
+    private static void ranges(List<?> list, long shards) throws MalformedMessageException {
         List<Long> numbers = new ArrayList<>();
         for (Object item : list) {
             if (!(item instanceof Long number) || number < 0 || number >= shards) {
-                throw new WireException("ranges: expected pairs of task numbers");
+                throw new MalformedMessageException("ranges: expected pairs of task numbers");
             }
             numbers.add(number);
         }
         if (numbers.size() % 2 != 0) {
-            throw new WireException("ranges: expected pairs of task numbers");
+            throw new MalformedMessageException("ranges: expected pairs of task numbers");
         }
     }
 
--- a/src/test/java/org/woadloom/state/LimitsTest.java
+++ b/src/test/java/org/woadloom/store/StoreLimitsTest.java
@@ -1,4 +1,4 @@
-package org.woadloom.state;
+package org.woadloom.store;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,13 +6,13 @@
 import org.junit.jupiter.api.Test;
 import org.woadloom.settings.ServiceSettings;
 
-class LimitsTest {
+class StoreLimitsTest {
     private static final ServiceSettings.State NEXT =
             new ServiceSettings.State(250, 70, 2_048, 5, null);
 
     @Test
     void theAnnouncedLimitsHoldFromTheStartForWhatIsNew() {
-        Limits limits = new Limits(new ServiceSettings.State(250, 100, 16_384, 16, NEXT));
+        StoreLimits limits = new StoreLimits(new ServiceSettings.State(250, 100, 16_384, 16, NEXT));
         assertEquals(2_048, limits.valueBytes());
         assertEquals(5, limits.txnOps());
         assertEquals(
@@ -29,7 +29,7 @@
      */
     @Test
     void otherLimitsAreLearned() {
-        Limits limits = new Limits(new ServiceSettings.State(250, 100, 16_384, 16, null));
+        StoreLimits limits = new StoreLimits(new ServiceSettings.State(250, 100, 16_384, 16, null));
         limits.refusedValue(9_000);
         assertEquals(8_999, limits.valueBytes());
         assertEquals(8_999, limits.valueBytesNow());
@@ -45,7 +45,7 @@
 
     @Test
     void ratesFallAtOnceAndComeBackSlowly() {
-        Limits limits = new Limits(new ServiceSettings.State(250, 100, 16_384, 16, NEXT));
+        StoreLimits limits = new StoreLimits(new ServiceSettings.State(250, 100, 16_384, 16, NEXT));
         assertEquals(100, limits.writeRate(1_000_000), 1e-9);
         limits.tooFast(1_000_000, 3);
         assertEquals(70, limits.writeRate(1_000_000), 1e-9);
--- a/src/test/java/org/woadloom/worker/WorkerFormsGoldenTest.java
+++ b/src/test/java/org/woadloom/worker/WorkerFormsGoldenTest.java
@@ -7,14 +7,15 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.woadloom.core.Effect;
+import org.woadloom.agent.AgentClient;
+import org.woadloom.core.SchedulerAction;
 import org.woadloom.golden.GoldenFile;
-import org.woadloom.wire.Cbor;
-import org.woadloom.wire.Order;
-import org.woadloom.wire.TaskId;
-import org.woadloom.wire.TaskReport;
-import org.woadloom.wire.WireException;
-import org.woadloom.wire.WorkerReport;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.Heartbeat;
+import org.woadloom.protocol.MalformedMessageException;
+import org.woadloom.protocol.TaskCommand;
+import org.woadloom.protocol.TaskId;
+import org.woadloom.protocol.TaskStatus;
 
 /** What workers are sent, byte by byte, and how each field and word of their reports is read. */
 class WorkerFormsGoldenTest {
@@ -36,23 +37,23 @@
     @Test
     void commandsAreSentAsRecorded() {
         GoldenFile golden = new GoldenFile();
-        WorkerClient client =
-                new WorkerClient(
+        AgentClient client =
+                new AgentClient(
                         (address, method, path, body, timeout, callback) ->
                                 golden.addBytes(
                                         method + " " + address + path + " within " + timeout, body),
                         1);
         client.send(
-                new Effect.SendDirect(
+                new SchedulerAction.SendDirectCommand(
                         1,
                         "host-1",
                         "10.0.0.1:9",
                         (5L << 20) + 1,
                         2,
                         List.of(
-                                Order.launch(TASK, 4),
-                                Order.halt(TASK, 5, 2.5),
-                                Order.clear(TASK, 6))),
+                                TaskCommand.launch(TASK, 4),
+                                TaskCommand.halt(TASK, 5, 2.5),
+                                TaskCommand.clear(TASK, 6))),
                 result -> {});
         golden.check("worker-commands.txt");
     }
@@ -86,8 +87,8 @@
     }
 
     @Test
-    void reportsAreReadAsRecorded() throws WireException {
-        WorkerReport r = WorkerReport.read(report());
+    void reportsAreReadAsRecorded() throws MalformedMessageException {
+        Heartbeat r = Heartbeat.read(report());
         GoldenFile golden = new GoldenFile();
         golden.addBytes("bytes", report());
         golden.addText(
@@ -109,7 +110,7 @@
                         + r.epoch()
                         + " "
                         + r.warningMicros());
-        for (TaskReport t : r.tasks()) {
+        for (TaskStatus t : r.tasks()) {
             golden.addText(
                     "task " + t.task().index(),
                     t.task().uid()
@@ -126,7 +127,7 @@
         golden.check("worker-reports.txt");
     }
 
-    private static String word(TaskReport.State state) {
+    private static String word(TaskStatus.State state) {
         return switch (state) {
             case FETCHING -> "fetching";
             case GATHERING -> "gathering";
@@ -136,7 +137,7 @@
         };
     }
 
-    private static String word(TaskReport.Cause cause) {
+    private static String word(TaskStatus.ExitReason cause) {
         if (cause == null) {
             return "-";
         }
