--- a/src/main/java/org/woadloom/agent/AgentClient.java
+++ b/src/main/java/org/woadloom/agent/AgentClient.java
@@ -53,7 +53,7 @@
     }
 
     public void send(SchedulerAction.SendDirectCommand send, Callback callback) {
-        (silent.contains(send.addr()) ? toSilent : waiting).addLast(new Waiting(send, callback));
+        (silent.contains(send.address()) ? toSilent : waiting).addLast(new Waiting(send, callback));
         pump();
     }
 
@@ -78,8 +78,8 @@
         inFlight--;
         silentInFlight -= wasSilent ? 1 : 0;
         if (status != HttpTransport.NO_RESPONSE) {
-            silent.remove(send.addr());
-        } else if (silent.add(send.addr()) && silent.size() > MOST_REMEMBERED) {
+            silent.remove(send.address());
+        } else if (silent.add(send.address()) && silent.size() > MOST_REMEMBERED) {
             silent.remove(silent.iterator().next());
         }
         pump();
@@ -88,11 +88,11 @@
     private void request(
             SchedulerAction.SendDirectCommand send, boolean wasSilent, Callback callback) {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("epoch", send.epoch());
-        map.put("tenure", send.tenure());
-        map.put("orders", orders(send.orders()));
+        map.put("epoch", send.fencingToken());
+        map.put("tenure", send.incarnation());
+        map.put("orders", orders(send.commands()));
         transport.request(
-                send.addr(),
+                send.address(),
                 "POST",
                 "/do",
                 Cbor.encode(map),
@@ -108,7 +108,7 @@
                             // nothing is known.
                             callback.result(
                                     new SchedulerEvent.DirectCommandCompleted(
-                                            send.sendId(),
+                                            send.commandId(),
                                             send.host(),
                                             HttpTransport.NO_RESPONSE,
                                             null));
@@ -117,7 +117,7 @@
                         if (!report.host().equals(send.host())) {
                             callback.result(
                                     new SchedulerEvent.DirectCommandCompleted(
-                                            send.sendId(),
+                                            send.commandId(),
                                             send.host(),
                                             HttpTransport.NO_RESPONSE,
                                             null));
@@ -126,13 +126,13 @@
                     }
                     callback.result(
                             new SchedulerEvent.DirectCommandCompleted(
-                                    send.sendId(), send.host(), status, report));
+                                    send.commandId(), send.host(), status, report));
                 });
     }
 
-    public static List<Object> orders(List<TaskCommand> orders) {
-        List<Object> list = new ArrayList<>(orders.size());
-        for (TaskCommand order : orders) {
+    public static List<Object> orders(List<TaskCommand> commands) {
+        List<Object> list = new ArrayList<>(commands.size());
+        for (TaskCommand order : commands) {
             list.add(order.toMap());
         }
         return list;
--- a/src/main/java/org/woadloom/cli/CheckCommand.java
+++ b/src/main/java/org/woadloom/cli/CheckCommand.java
@@ -41,7 +41,7 @@
         System.out.printf(
                 "node %s in %s, listening on %s and, for %d peers, on %s%n",
                 service.label(),
-                service.area(),
+                service.zone(),
                 service.bind(),
                 service.peers().size(),
                 service.peerBind());
--- a/src/main/java/org/woadloom/cli/JobCommand.java
+++ b/src/main/java/org/woadloom/cli/JobCommand.java
@@ -62,7 +62,7 @@
                 "show",
                 "JOB",
                 "Shows the state of a job, such as j-000412.",
-                (node, uid) -> HttpRequest.newBuilder(uri(node, "/v1/jobs/" + checked(uid))));
+                (node, jobId) -> HttpRequest.newBuilder(uri(node, "/v1/jobs/" + checked(jobId))));
     }
 
     static Subcommand cancel() {
@@ -70,7 +70,7 @@
                 "cancel",
                 "JOB",
                 "Cancels a job.",
-                (node, uid) -> post(node, "/v1/jobs/" + checked(uid) + "/cancel", new byte[0]));
+                (node, jobId) -> post(node, "/v1/jobs/" + checked(jobId) + "/cancel", new byte[0]));
     }
 
     private static HttpRequest.Builder post(String node, String path, byte[] body)
@@ -87,11 +87,11 @@
         }
     }
 
-    private static String checked(String uid) throws UsageException {
-        if (!JobDescription.isUid(uid)) {
-            throw new UsageException(uid + ": expected an id such as j-000412");
+    private static String checked(String jobId) throws UsageException {
+        if (!JobDescription.isJobId(jobId)) {
+            throw new UsageException(jobId + ": expected an id such as j-000412");
         }
-        return uid;
+        return jobId;
     }
 
     @Override
--- a/src/main/java/org/woadloom/cloud/CloudClient.java
+++ b/src/main/java/org/woadloom/cloud/CloudClient.java
@@ -114,7 +114,7 @@
                         return;
                     }
                     if (more) {
-                        page(found.get(found.size() - 1).uid(), found, callback);
+                        page(found.get(found.size() - 1).host(), found, callback);
                     } else {
                         callback.machines(found);
                     }
@@ -123,10 +123,10 @@
 
     public void rent(SchedulerAction.RentMachines rent, RentCallback callback) {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("claim", rent.claim());
-        map.put("hosttype", rent.hosttype());
-        map.put("yard", rent.yard());
-        map.put("reclaimable", rent.reclaimable());
+        map.put("claim", rent.requestName());
+        map.put("hosttype", rent.machineType());
+        map.put("yard", rent.zone());
+        map.put("reclaimable", rent.spot());
         map.put("count", (long) rent.count());
         request(
                 Call.RENT,
--- a/src/main/java/org/woadloom/core/Scheduler.java
+++ b/src/main/java/org/woadloom/core/Scheduler.java
@@ -195,7 +195,10 @@
         long cameUp =
                 lead.machines().stream()
                         .map(SchedulerEvent.StoredMachine::record)
-                        .filter(machine -> machine.life() != null && machine.life().up())
+                        .filter(
+                                machine ->
+                                        machine.lifecycle() != null
+                                                && machine.lifecycle().hasReported())
                         .count();
         world.log(
                 LogEntry.info(LogEvent.TERM_STARTED)
@@ -215,17 +218,17 @@
         } else if (command instanceof SchedulerEvent.JobWriteCompleted written) {
             l.recorder.written(written);
         } else if (command instanceof SchedulerEvent.JobStored seen) {
-            l.jobs.seen(seen.record(), seen.stamp());
+            l.jobs.seen(seen.record(), seen.revision());
         } else if (command instanceof SchedulerEvent.JobRecordDamaged unread) {
             l.jobs.unread(unread);
         } else if (command instanceof SchedulerEvent.CancellationsConfirmed told) {
-            l.jobs.told(told.uids());
+            l.jobs.told(told.jobIds());
         } else if (command instanceof SchedulerEvent.JobRecordNotFound missing) {
-            l.jobs.missing(missing.uid());
+            l.jobs.missing(missing.jobId());
         } else if (command instanceof SchedulerEvent.DependencyResolved found) {
             l.world.pipelines.found(found);
         } else if (command instanceof SchedulerEvent.JobReadFailed unreadable) {
-            l.recorder.readFailed(unreadable.uid());
+            l.recorder.readFailed(unreadable.jobId());
         } else if (command instanceof SchedulerEvent.MachineWriteCompleted written) {
             l.machines.written(written);
         } else if (command instanceof SchedulerEvent.MachineRecordRead seen) {
@@ -301,15 +304,15 @@
                     && world.nowMicros - machine.lastAnsweredMicros > world.care.leaseOverMicros()
                     && world.nowMicros
                                     - cared.computeIfAbsent(
-                                            machine.yard,
-                                            yard ->
+                                            machine.zone,
+                                            zone ->
                                                     world.warrants.lastCareMicros(
-                                                            yard, world.nowMicros))
+                                                            zone, world.nowMicros))
                             > world.care.leaseOverMicros()) {
                 world.log(
                         LogEntry.info(LogEvent.LEASE_EXPIRED)
                                 .with("machine", machine.host)
-                                .with("zone", machine.yard)
+                                .with("zone", machine.zone)
                                 .with("term", world.term));
                 machine.hearing.sessionOver();
                 l.losses.session(machine, "lease expired");
@@ -331,8 +334,8 @@
                 if (placement.neverSent()) {
                     l.losses.gone(placement);
                 } else if (!placement.halting()
-                        && (machine.leaving || job.description.snapshotEveryS() > 0)) {
-                    placement.halt(job.description.snapshotCostS());
+                        && (machine.leaving || job.description.checkpointIntervalSeconds() > 0)) {
+                    placement.halt(job.description.checkpointCostSeconds());
                 }
             }
         }
--- a/src/main/java/org/woadloom/core/SchedulerAction.java
+++ b/src/main/java/org/woadloom/core/SchedulerAction.java
@@ -13,43 +13,44 @@
 
 /** What the core wants done. Outcomes come back as commands. */
 public sealed interface SchedulerAction {
-    record AnswerHeartbeat(long replyId, long epoch, List<TaskCommand> orders)
+    record AnswerHeartbeat(long requestId, long fencingToken, List<TaskCommand> commands)
             implements SchedulerAction {}
 
     /**
      * Tell whoever sent a report that it is not taken: nobody waits for its answer, and none may
      * renew a lease.
      */
-    record RejectHeartbeat(long replyId) implements SchedulerAction {}
+    record RejectHeartbeat(long requestId) implements SchedulerAction {}
 
     record SendDirectCommand(
-            long sendId,
+            long commandId,
             String host,
-            String addr,
-            long epoch,
-            long tenure,
-            List<TaskCommand> orders)
+            String address,
+            long fencingToken,
+            long incarnation,
+            List<TaskCommand> commands)
             implements SchedulerAction {}
 
     /** Write the job's record on condition that its stamp is still {@code stamp}. */
-    record WriteJob(JobRecord record, long stamp, boolean urgent) implements SchedulerAction {}
+    record WriteJob(JobRecord record, long revision, boolean urgent) implements SchedulerAction {}
 
     /** Replace the job's record by its final state, on the same condition. */
-    record WriteFinalState(FinalRecord record, long stamp, long version)
+    record WriteFinalState(FinalRecord record, long revision, long version)
             implements SchedulerAction {}
 
-    record ReadJob(String uid) implements SchedulerAction {}
+    record ReadJob(String jobId) implements SchedulerAction {}
 
     /** Say what the store knows of a job that others wait for: its record, or its final state. */
-    record ResolveDependency(String uid) implements SchedulerAction {}
+    record ResolveDependency(String jobId) implements SchedulerAction {}
 
-    record WriteMachine(MachineRecord record, long stamp) implements SchedulerAction {}
+    record WriteMachine(MachineRecord record, long revision) implements SchedulerAction {}
 
-    record DeleteMachineRecord(String host, long stamp) implements SchedulerAction {}
+    record DeleteMachineRecord(String host, long revision) implements SchedulerAction {}
 
     record ReadMachine(String host) implements SchedulerAction {}
 
-    record RentMachines(String claim, String hosttype, String yard, boolean reclaimable, int count)
+    record RentMachines(
+            String requestName, String machineType, String zone, boolean spot, int count)
             implements SchedulerAction {}
 
     record DeleteMachines(List<String> hosts) implements SchedulerAction {}
--- a/src/main/java/org/woadloom/core/SchedulerEvent.java
+++ b/src/main/java/org/woadloom/core/SchedulerEvent.java
@@ -18,9 +18,9 @@
 /** What happens to the core. Everything it knows of the world comes through here. */
 public sealed interface SchedulerEvent {
     /** A record as read from the state service. */
-    record StoredJob(JobRecord record, long stamp) {}
+    record StoredJob(JobRecord record, long revision) {}
 
-    record StoredMachine(MachineRecord record, long stamp) {}
+    record StoredMachine(MachineRecord record, long revision) {}
 
     /**
      * This node has taken the term and has read every record.
@@ -39,19 +39,20 @@
     record LeadershipLost() implements SchedulerEvent {}
 
     /** A job's record was accepted, changed or read. */
-    record JobStored(JobRecord record, long stamp) implements SchedulerEvent {}
+    record JobStored(JobRecord record, long revision) implements SchedulerEvent {}
 
     /** A job's record was read and says nothing but, perhaps, that it is cancelled. */
-    record JobRecordDamaged(String uid, long stamp, boolean cancelled) implements SchedulerEvent {}
+    record JobRecordDamaged(String jobId, long revision, boolean cancelled)
+            implements SchedulerEvent {}
 
     /** Somebody may be told that these jobs are cancelled, as the state service says. */
-    record CancellationsConfirmed(List<String> uids) implements SchedulerEvent {}
+    record CancellationsConfirmed(List<String> jobIds) implements SchedulerEvent {}
 
     /** A job's record was looked for and is not there. */
-    record JobRecordNotFound(String uid) implements SchedulerEvent {}
+    record JobRecordNotFound(String jobId) implements SchedulerEvent {}
 
     /** A job's record could not be read. */
-    record JobReadFailed(String uid) implements SchedulerEvent {}
+    record JobReadFailed(String jobId) implements SchedulerEvent {}
 
     /** What the store says of a job that others wait for. */
     enum DependencyState {
@@ -66,7 +67,7 @@
      * The answer to {@link SchedulerAction.ResolveDependency}, with the time at which the job was
      * over, 0 where that is not known.
      */
-    record DependencyResolved(String uid, DependencyState standing, long overWallMicros)
+    record DependencyResolved(String jobId, DependencyState standing, long overWallMicros)
             implements SchedulerEvent {}
 
     /**
@@ -95,7 +96,7 @@
     /**
      * A machine's record as read after a write without a clear outcome; null where there is none.
      */
-    record MachineRecordRead(String host, MachineRecord record, long stamp)
+    record MachineRecordRead(String host, MachineRecord record, long revision)
             implements SchedulerEvent {}
 
     record MachineReadFailed(String host) implements SchedulerEvent {}
@@ -104,10 +105,10 @@
      * A worker's report, to be answered by a {@link SchedulerAction.AnswerHeartbeat} with the same
      * id.
      */
-    record HeartbeatReceived(long replyId, Heartbeat report) implements SchedulerEvent {}
+    record HeartbeatReceived(long requestId, Heartbeat heartbeat) implements SchedulerEvent {}
 
     /** The outcome of a direct command: the HTTP status, 0 for no response, -1 for never sent. */
-    record DirectCommandCompleted(long sendId, String host, int status, Heartbeat report)
+    record DirectCommandCompleted(long commandId, String host, int status, Heartbeat heartbeat)
             implements SchedulerEvent {}
 
     /**
@@ -122,11 +123,11 @@
         TOO_LARGE
     }
 
-    record JobWriteCompleted(String uid, long version, WriteOutcome outcome, long stamp)
+    record JobWriteCompleted(String jobId, long version, WriteOutcome outcome, long revision)
             implements SchedulerEvent {}
 
     record MachineWriteCompleted(
-            String host, boolean leaving, boolean dropped, WriteOutcome outcome, long stamp)
+            String host, boolean leaving, boolean dropped, WriteOutcome outcome, long revision)
             implements SchedulerEvent {}
 
     record MachineTypesRead(List<MachineType> types) implements SchedulerEvent {}
@@ -140,13 +141,13 @@
         UNKNOWN
     }
 
-    record ScaleOutCompleted(String claim, ScaleOutOutcome outcome, List<String> hosts)
+    record ScaleOutCompleted(String requestName, ScaleOutOutcome outcome, List<String> hosts)
             implements SchedulerEvent {}
 
     record MachineDeletionCompleted(List<String> hosts, boolean done) implements SchedulerEvent {}
 
     /** A live process's word, and the stamp under which it was read. */
-    record StoredAnnouncement(NodeAnnouncement word, long stamp) {}
+    record StoredAnnouncement(NodeAnnouncement word, long revision) {}
 
     /**
      * The rollout as the store tells it.
@@ -158,7 +159,7 @@
      */
     record RolloutStateRead(
             RolloutRecord record,
-            long stamp,
+            long revision,
             Map<String, StoredAnnouncement> words,
             Map<String, RolloutRequest> asked,
             Set<String> wordless,
@@ -172,7 +173,7 @@
         }
     }
 
-    record RolloutWriteCompleted(long number, WriteOutcome outcome, long stamp)
+    record RolloutWriteCompleted(long number, WriteOutcome outcome, long revision)
             implements SchedulerEvent {}
 
     /** What {@link SchedulerAction.CountRecords} found, if the store could be read. */
--- a/src/main/java/org/woadloom/core/SchedulerSettings.java
+++ b/src/main/java/org/woadloom/core/SchedulerSettings.java
@@ -31,8 +31,8 @@
 
     public static SchedulerSettings of(ServiceSettings settings, OperatorSettings operator) {
         Map<String, String> nodes = new LinkedHashMap<>();
-        nodes.put(settings.label(), settings.area());
-        settings.peers().forEach(peer -> nodes.put(peer.label(), peer.area()));
+        nodes.put(settings.label(), settings.zone());
+        settings.peers().forEach(peer -> nodes.put(peer.label(), peer.zone()));
         return new SchedulerSettings(
                 settings.label(),
                 nodes,
--- a/src/main/java/org/woadloom/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/woadloom/core/autoscaling/Autoscaler.java
@@ -75,9 +75,9 @@
     private long listMicros = Long.MIN_VALUE / 2;
 
     /** What can be rented. */
-    private record MachineKind(MachineType type, String yard, boolean reclaimable) {
+    private record MachineKind(MachineType type, String zone, boolean spot) {
         double price() {
-            return reclaimable ? type.marketPrice() : type.rate();
+            return spot ? type.spotPrice() : type.onDemandPrice();
         }
     }
 
@@ -130,8 +130,8 @@
                         new SchedulerAction.RentMachines(
                                 claim.name,
                                 claim.kind.type.name(),
-                                claim.kind.yard,
-                                claim.kind.reclaimable,
+                                claim.kind.zone,
+                                claim.kind.spot,
                                 claim.count));
             }
         }
@@ -149,7 +149,7 @@
 
     public void listed(List<ListedMachine> machines) {
         listMicros = world.nowMicros;
-        machines.forEach(machine -> listedMicros.put(machine.uid(), listMicros));
+        machines.forEach(machine -> listedMicros.put(machine.host(), listMicros));
         listedMicros.keySet().retainAll(world.machines.keySet());
     }
 
@@ -176,11 +176,11 @@
                     && machine.type != null
                     && machine.takenMicros < 0
                     && machine.confirmed()
-                    && !zones.dark(machine.yard)
+                    && !zones.dark(machine.zone)
                     && comes(machine)) {
                 supply.add(
                         new Supply(
-                                new MachineKind(machine.type, machine.yard, machine.reclaimable),
+                                new MachineKind(machine.type, machine.zone, machine.spot),
                                 machine.free()));
             }
         }
@@ -212,9 +212,9 @@
                     int fits =
                             Math.min(
                                     Math.min(tasks, s.free.count(job.room)),
-                                    yardLeft(job, s.kind.yard, spread));
+                                    yardLeft(job, s.kind.zone, spread));
                     s.free = s.free.minus(job.room.times(fits));
-                    spread.merge(s.kind.yard, fits, Integer::sum);
+                    spread.merge(s.kind.zone, fits, Integer::sum);
                     tasks -= fits;
                 }
             }
@@ -228,9 +228,9 @@
                 int fits =
                         Math.min(
                                 Math.min(tasks, room.count(job.room)),
-                                yardLeft(job, kind.yard, spread));
+                                yardLeft(job, kind.zone, spread));
                 supply.add(new Supply(kind, room.minus(job.room.times(fits))));
-                spread.merge(kind.yard, fits, Integer::sum);
+                spread.merge(kind.zone, fits, Integer::sum);
                 tasks -= fits;
             }
         }
@@ -256,14 +256,14 @@
                             .with("request", claim.name)
                             .with("count", claim.count)
                             .with("type", claim.kind.type.name())
-                            .with("zone", claim.kind.yard)
-                            .with("spot", claim.kind.reclaimable));
+                            .with("zone", claim.kind.zone)
+                            .with("spot", claim.kind.spot));
             world.emit(
                     new SchedulerAction.RentMachines(
                             claim.name,
                             claim.kind.type.name(),
-                            claim.kind.yard,
-                            claim.kind.reclaimable,
+                            claim.kind.zone,
+                            claim.kind.spot,
                             claim.count));
         }
     }
@@ -296,7 +296,7 @@
     private boolean closed(MachineKind kind) {
         ScaleOutRequest claim = claimed(kind);
         return notBefore.getOrDefault(kind, Long.MIN_VALUE) > world.nowMicros
-                || zones.dark(kind.yard)
+                || zones.dark(kind.zone)
                 || claim != null && world.nowMicros - claim.madeMicros > ANSWER_MICROS;
     }
 
@@ -308,12 +308,12 @@
         world.scarceYards.clear();
         Set<String> open = new HashSet<>();
         for (MachineType type : world.types.values()) {
-            for (String yard : type.yards()) {
-                Long refused = refusedMicros.get(new MachineKind(type, yard, false));
+            for (String zone : type.zones()) {
+                Long refused = refusedMicros.get(new MachineKind(type, zone, false));
                 if (refused != null && world.nowMicros - refused < SCARCE_MICROS) {
-                    world.scarceYards.add(yard);
+                    world.scarceYards.add(zone);
                 } else {
-                    open.add(yard);
+                    open.add(zone);
                 }
             }
         }
@@ -330,20 +330,20 @@
     }
 
     private boolean usable(Job job, MachineKind kind) {
-        return eligibility.allows(job.description, kind.type, kind.yard, kind.reclaimable)
-                && eligibility.allowsYard(job, kind.yard);
+        return eligibility.allows(job.description, kind.type, kind.zone, kind.spot)
+                && eligibility.allowsYard(job, kind.zone);
     }
 
     /**
      * How many more tasks of the job may go to the zone, with what this review has given it there.
      */
-    private static int yardLeft(Job job, String yard, Map<String, Integer> spread) {
-        if (!job.description.apart()) {
+    private static int yardLeft(Job job, String zone, Map<String, Integer> spread) {
+        if (!job.description.spreadAcrossZones()) {
             return Integer.MAX_VALUE;
         }
-        return (job.description.shards() + 1) / 2
-                - job.placedIn(yard)
-                - spread.getOrDefault(yard, 0);
+        return (job.description.taskCount() + 1) / 2
+                - job.placedIn(zone)
+                - spread.getOrDefault(zone, 0);
     }
 
     /** The kind with the lowest price for this many tasks. */
@@ -351,13 +351,13 @@
         MachineKind best = null;
         double bestPrice = 0;
         for (MachineType type : world.types.values()) {
-            for (String yard : type.yards()) {
-                for (boolean reclaimable : new boolean[] {true, false}) {
-                    MachineKind kind = new MachineKind(type, yard, reclaimable);
+            for (String zone : type.zones()) {
+                for (boolean spot : new boolean[] {true, false}) {
+                    MachineKind kind = new MachineKind(type, zone, spot);
                     int fits =
                             Math.min(
                                     Resources.of(type).count(job.room),
-                                    yardLeft(job, yard, spread));
+                                    yardLeft(job, zone, spread));
                     if (fits < 1 || !usable(job, kind) || closed(kind)) {
                         continue;
                     }
@@ -373,7 +373,7 @@
     }
 
     public void rented(SchedulerEvent.ScaleOutCompleted result) {
-        ScaleOutRequest claim = claims.get(result.claim());
+        ScaleOutRequest claim = claims.get(result.requestName());
         if (claim == null) {
             return;
         }
@@ -386,8 +386,8 @@
                                     new MachineRecord(
                                             host,
                                             claim.kind.type.name(),
-                                            claim.kind.yard,
-                                            claim.kind.reclaimable,
+                                            claim.kind.zone,
+                                            claim.kind.spot,
                                             false));
                     machine.rentedMicros = world.nowMicros;
                 }
@@ -454,7 +454,7 @@
                 machine.abandoned = true;
                 logDecommissioned(machine, "silent with tasks on it");
             } else if (outOfHearing(machine, DEAF_MICROS)
-                    && (outOfHearing(machine, MANY_DEAF_MICROS) || !manyDeafIn(machine.yard))) {
+                    && (outOfHearing(machine, MANY_DEAF_MICROS) || !manyDeafIn(machine.zone))) {
                 machine.leave();
                 machine.abandoned = true;
                 logDecommissioned(machine, "unreachable");
@@ -485,7 +485,7 @@
         world.log(
                 LogEntry.info(LogEvent.MACHINE_DECOMMISSIONED)
                         .with("machine", machine.host)
-                        .with("zone", machine.yard)
+                        .with("zone", machine.zone)
                         .with("reason", reason));
     }
 
@@ -495,7 +495,7 @@
      */
     private long patience(Machine machine, long left, long headroom) {
         long most =
-                Math.min(world.settings.operator().idleReturnMicros(), machine.type.readyMicros());
+                Math.min(world.settings.operator().idleReturnMicros(), machine.type.bootMicros());
         return left > 2 * headroom ? most / 4 : most;
     }
 
@@ -521,7 +521,7 @@
         int all = 0;
         int silent = 0;
         for (Machine other : world.machines.values()) {
-            if (other.yard.equals(machine.yard) && other.up() && !other.deleted) {
+            if (other.zone.equals(machine.zone) && other.up() && !other.deleted) {
                 all++;
                 silent += zones.saysNothing(other) > 2 * world.settings.reportMicros() ? 1 : 0;
             }
@@ -540,11 +540,11 @@
     }
 
     /** Where a third of a zone is deaf, the fault is not the machines', and it may pass. */
-    private boolean manyDeafIn(String yard) {
+    private boolean manyDeafIn(String zone) {
         int all = 0;
         int deaf = 0;
         for (Machine machine : world.machines.values()) {
-            if (machine.yard.equals(yard) && machine.heard() && !machine.deleted) {
+            if (machine.zone.equals(zone) && machine.heard() && !machine.deleted) {
                 all++;
                 deaf += machine.hearing.deaf(world.nowMicros) ? 1 : 0;
             }
@@ -569,7 +569,7 @@
         if (machine.heard() || machine.type == null || !machine.empty()) {
             return false;
         }
-        long patience = 4 * machine.type.readyMicros() + 30_000_000;
+        long patience = 4 * machine.type.bootMicros() + 30_000_000;
         if (machine.lifeKnown && !machine.upRecorded) {
             // No leader has heard it since it was rented; this one has waited for a report that may
             // be under way.
@@ -588,10 +588,10 @@
         // back with their work.
         long over =
                 world.care.leaseOverMicros()
-                        + world.warrants.patienceMicros(machine.yard, world.nowMicros);
+                        + world.warrants.patienceMicros(machine.zone, world.nowMicros);
         if (!machine.heard() && !(machine.empty() && machine.upRecorded)) {
             return !machine.empty() && silence(machine) > over + 2_000_000;
         }
-        return silence(machine) > over + 20_000_000 + (zones.dark(machine.yard) ? DARK_MICROS : 0);
+        return silence(machine) > over + 20_000_000 + (zones.dark(machine.zone) ? DARK_MICROS : 0);
     }
 }
--- a/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
+++ b/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
@@ -41,26 +41,26 @@
         for (Machine machine : world.machines.values()) {
             if ((machine.heard() || machine.upRecorded) && !machine.deleted && !machine.leaving) {
                 if (unlisted.test(machine) && silent(machine)) {
-                    light.add(machine.yard);
+                    light.add(machine.zone);
                     continue;
                 }
-                all.merge(machine.yard, 1, Integer::sum);
-                silent.merge(machine.yard, silent(machine) ? 1 : 0, Integer::sum);
+                all.merge(machine.zone, 1, Integer::sum);
+                silent.merge(machine.zone, silent(machine) ? 1 : 0, Integer::sum);
             }
         }
         light.removeAll(all.keySet());
         all.forEach(
-                (yard, count) -> {
-                    if (count >= FEWEST && silent.get(yard) * 3 > count * 2) {
-                        if (sinceMicros.putIfAbsent(yard, world.nowMicros) == null) {
+                (zone, count) -> {
+                    if (count >= FEWEST && silent.get(zone) * 3 > count * 2) {
+                        if (sinceMicros.putIfAbsent(zone, world.nowMicros) == null) {
                             world.log(
                                     LogEntry.info(LogEvent.ZONE_PARTITIONED)
-                                            .with("zone", yard)
-                                            .with("silent", silent.get(yard))
+                                            .with("zone", zone)
+                                            .with("silent", silent.get(zone))
                                             .with("machines", count));
                         }
-                    } else if (silent.get(yard) < count) {
-                        light.add(yard);
+                    } else if (silent.get(zone) < count) {
+                        light.add(zone);
                     }
                 });
         sinceMicros
@@ -98,7 +98,7 @@
                 - Math.max(machine.hearing.perhapsAliveMicros(), world.startedMicros);
     }
 
-    boolean dark(String yard) {
-        return sinceMicros.containsKey(yard);
+    boolean dark(String zone) {
+        return sinceMicros.containsKey(zone);
     }
 }
--- a/src/main/java/org/woadloom/core/cancellation/ConfirmedCancellations.java
+++ b/src/main/java/org/woadloom/core/cancellation/ConfirmedCancellations.java
@@ -107,11 +107,11 @@
     }
 
     /** The state service says that the job is cancelled, and somebody wants to know. */
-    public void enter(String uid, long nowMicros) {
-        if (entries.containsKey(uid)) {
+    public void enter(String jobId, long nowMicros) {
+        if (entries.containsKey(jobId)) {
             return;
         }
-        entries.put(uid, new Entry(next(nowMicros)));
+        entries.put(jobId, new Entry(next(nowMicros)));
         if (entries.size() > MOST_KEPT) {
             String first = entries.keySet().iterator().next();
             completeSinceMicros = entries.remove(first).micros;
@@ -124,8 +124,8 @@
     }
 
     /** Whether a user may be told of an entered cancellation now; one that may counts as told. */
-    public boolean mayTell(String uid, long nowMicros) {
-        Entry entry = entries.get(uid);
+    public boolean mayTell(String jobId, long nowMicros) {
+        Entry entry = entries.get(jobId);
         if (entry == null) {
             return false;
         }
@@ -186,9 +186,9 @@
         long since = Math.max(takenMicros, completeSinceMicros);
         List<String> jobs = new ArrayList<>();
         entries.forEach(
-                (uid, entry) -> {
+                (jobId, entry) -> {
                     if (entry.micros > since) {
-                        jobs.add(uid);
+                        jobs.add(jobId);
                     }
                 });
         long said = next(nowMicros);
--- a/src/main/java/org/woadloom/core/delegation/DelegationLedger.java
+++ b/src/main/java/org/woadloom/core/delegation/DelegationLedger.java
@@ -20,7 +20,7 @@
     private boolean agreed;
 
     private static final class Delegate {
-        final String yard;
+        final String zone;
         long life;
         boolean heard;
 
@@ -33,8 +33,8 @@
         /** It took care for the last time at this moment or before. */
         long caredMicros = NEVER;
 
-        Delegate(String yard) {
-            this.yard = yard;
+        Delegate(String zone) {
+            this.zone = zone;
         }
     }
 
@@ -47,9 +47,9 @@
         this.term = term;
         this.self = self;
         nodes.forEach(
-                (label, yard) -> {
+                (label, zone) -> {
                     if (!label.equals(self)) {
-                        holders.put(label, new Delegate(yard));
+                        holders.put(label, new Delegate(zone));
                     }
                 });
     }
@@ -114,10 +114,10 @@
     }
 
     /** No worker of the zone was answered by any node in this leader's place after this moment. */
-    public long lastCareMicros(String yard, long nowMicros) {
+    public long lastCareMicros(String zone, long nowMicros) {
         long last = NEVER;
         for (Delegate holder : holders.values()) {
-            if (holder.yard.equals(yard)) {
+            if (holder.zone.equals(zone)) {
                 last = Math.max(last, holder.caredMicros);
                 if (nowMicros > holder.promisedMicros) {
                     last = Math.max(last, Math.min(nowMicros, lastHeldMicros(holder)));
@@ -131,12 +131,12 @@
      * For how much longer than usual to have patience with a silent zone, in which a node may be
      * taking care.
      */
-    public long patienceMicros(String yard, long nowMicros) {
+    public long patienceMicros(String zone, long nowMicros) {
         if (!agreed || !rules.worthwhile()) {
             return 0;
         }
         for (Delegate holder : holders.values()) {
-            if (holder.yard.equals(yard) && nowMicros > holder.promisedMicros) {
+            if (holder.zone.equals(zone) && nowMicros > holder.promisedMicros) {
                 return rules.careMicros();
             }
         }
--- a/src/main/java/org/woadloom/core/delegation/LeaseDelegate.java
+++ b/src/main/java/org/woadloom/core/delegation/LeaseDelegate.java
@@ -10,7 +10,7 @@
     private static final long NEVER = Long.MIN_VALUE / 4;
 
     private final DelegationTimeouts rules;
-    private final String yard;
+    private final String zone;
     private final long life;
     private final long startedMicros;
     private long term;
@@ -21,9 +21,9 @@
     private boolean stateFails;
     private long caredMicros = NEVER;
 
-    public LeaseDelegate(DelegationTimeouts rules, String yard, long life, long nowMicros) {
+    public LeaseDelegate(DelegationTimeouts rules, String zone, long life, long nowMicros) {
         this.rules = rules;
-        this.yard = yard;
+        this.zone = zone;
         this.life = life;
         this.startedMicros = nowMicros;
         this.contactMicros = nowMicros;
@@ -77,7 +77,7 @@
     /** Whether to renew a worker's lease; that it is done is remembered for the leader. */
     public boolean takesCare(String workersYard, long workersTerm, long nowMicros) {
         if (!mayCare(nowMicros)
-                || !workersYard.equals(yard)
+                || !workersYard.equals(zone)
                 || workersTerm > term
                 || workersTerm == 0) {
             return false;
--- a/src/main/java/org/woadloom/core/jobs/DemandEstimator.java
+++ b/src/main/java/org/woadloom/core/jobs/DemandEstimator.java
@@ -19,11 +19,11 @@
     /** Notes a job that may start. Replicas are too long-lived to keep room free for. */
     void add(Job job, long nowMicros) {
         lastMicros = nowMicros;
-        if (!job.description.service()) {
+        if (!job.description.isService()) {
             batch.add(job);
         }
         byClass.computeIfAbsent(
-                        job.description.jobclass(), name -> new RecentJobSizes(KEPT_OF_A_CLASS))
+                        job.description.jobClass(), name -> new RecentJobSizes(KEPT_OF_A_CLASS))
                 .add(job);
     }
 
@@ -42,7 +42,7 @@
 
     /** True for one of the largest of its class: no more than one in ten was larger lately. */
     public boolean largeInClass(Job job) {
-        RecentJobSizes sizes = byClass.get(job.description.jobclass());
+        RecentJobSizes sizes = byClass.get(job.description.jobClass());
         return sizes != null && RecentJobSizes.sizeOf(job) >= sizes.large();
     }
 }
--- a/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
+++ b/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
@@ -59,11 +59,11 @@
 
     /** A job has come; what it waits for may be known already, and others may wait for it. */
     void add(Job job) {
-        if (waiters.containsKey(job.uid())) {
+        if (waiters.containsKey(job.jobId())) {
             if (job.cancelled) {
-                cancelled(job.uid());
+                cancelled(job.jobId());
             } else if (job.recording.doneDurably()) {
-                done(job.uid(), world.wallMicros);
+                done(job.jobId(), world.wallMicros);
             }
             changed = true;
         }
@@ -71,13 +71,13 @@
             return;
         }
         changed = true;
-        missing.put(job, new LinkedHashSet<>(job.description.awaits()));
+        missing.put(job, new LinkedHashSet<>(job.description.dependencies()));
         world.log(
                 LogEntry.info(LogEvent.JOB_BLOCKED)
-                        .with("job", job.uid())
-                        .with("dependencies", String.join(",", job.description.awaits())));
-        for (String before : job.description.awaits()) {
-            waiters.computeIfAbsent(before, uid -> new LinkedHashSet<>()).add(job);
+                        .with("job", job.jobId())
+                        .with("dependencies", String.join(",", job.description.dependencies())));
+        for (String before : job.description.dependencies()) {
+            waiters.computeIfAbsent(before, jobId -> new LinkedHashSet<>()).add(job);
             Job other = world.jobs.get(before);
             if (other == null) {
                 unknown.putIfAbsent(before, world.nowMicros);
@@ -90,9 +90,9 @@
     }
 
     /** A job is done, and the store says so. */
-    void done(String uid, long wallMicros) {
-        unknown.remove(uid);
-        Set<Job> jobs = waiters.remove(uid);
+    void done(String jobId, long wallMicros) {
+        unknown.remove(jobId);
+        Set<Job> jobs = waiters.remove(jobId);
         if (jobs == null) {
             return;
         }
@@ -100,7 +100,7 @@
         for (Job job : jobs) {
             lastDone.merge(job, wallMicros, Math::max);
             Set<String> left = missing.get(job);
-            left.remove(uid);
+            left.remove(jobId);
             if (left.isEmpty()) {
                 release(job);
             }
@@ -114,29 +114,29 @@
         world.jobsCome++;
         world.arrivals.add(job, world.nowMicros);
         world.placementWorthTrying = true;
-        world.log(LogEntry.info(LogEvent.JOB_UNBLOCKED).with("job", job.uid()));
+        world.log(LogEntry.info(LogEvent.JOB_UNBLOCKED).with("job", job.jobId()));
     }
 
     /** A job is cancelled, and the store says so: whatever needs it will never run. */
-    void cancelled(String uid) {
-        unknown.remove(uid);
-        if (waiters.containsKey(uid)) {
-            cancelled.add(uid);
+    void cancelled(String jobId) {
+        unknown.remove(jobId);
+        if (waiters.containsKey(jobId)) {
+            cancelled.add(jobId);
         }
     }
 
     /** A job is over, or its record is gone for a reason that only the store knows. */
     void gone(Job job, boolean known) {
         forget(job);
-        if (!waiters.containsKey(job.uid())) {
+        if (!waiters.containsKey(job.jobId())) {
             return;
         }
         if (!known) {
-            unknown.put(job.uid(), world.nowMicros);
+            unknown.put(job.jobId(), world.nowMicros);
         } else if (job.cancelled) {
-            cancelled(job.uid());
+            cancelled(job.jobId());
         } else {
-            done(job.uid(), world.wallMicros);
+            done(job.jobId(), world.wallMicros);
         }
     }
 
@@ -148,33 +148,33 @@
             return;
         }
         changed = true;
-        for (String uid : before) {
-            Set<Job> jobs = waiters.get(uid);
+        for (String jobId : before) {
+            Set<Job> jobs = waiters.get(jobId);
             jobs.remove(job);
             if (jobs.isEmpty()) {
-                waiters.remove(uid);
-                unknown.remove(uid);
+                waiters.remove(jobId);
+                unknown.remove(jobId);
             }
         }
     }
 
     public void found(SchedulerEvent.DependencyResolved found) {
-        String uid = found.uid();
-        asked.remove(uid);
-        if (!waiters.containsKey(uid)) {
+        String jobId = found.jobId();
+        asked.remove(jobId);
+        if (!waiters.containsKey(jobId)) {
             return;
         }
         switch (found.standing()) {
             case DONE ->
                     done(
-                            uid,
+                            jobId,
                             found.overWallMicros() == 0
                                     ? world.wallMicros
                                     : found.overWallMicros());
-            case CANCELLED -> cancelled(uid);
+            case CANCELLED -> cancelled(jobId);
             case OPEN, NOT_FOUND, UNREADABLE -> {
-                if (!world.jobs.containsKey(uid)) {
-                    unknown.put(uid, world.nowMicros + FIND_AGAIN_MICROS);
+                if (!world.jobs.containsKey(jobId)) {
+                    unknown.put(jobId, world.nowMicros + FIND_AGAIN_MICROS);
                 }
             }
         }
@@ -186,19 +186,19 @@
      */
     public void review() {
         while (!cancelled.isEmpty()) {
-            String uid = cancelled.poll();
-            for (Job job : new ArrayList<>(waiters.getOrDefault(uid, Set.of()))) {
+            String jobId = cancelled.poll();
+            for (Job job : new ArrayList<>(waiters.getOrDefault(jobId, Set.of()))) {
                 if (!job.cancelled) {
                     job.cancelled = true;
                     job.recording.needs(PersistenceState.WriteReason.LAUNCH);
                     world.log(
                             LogEntry.info(LogEvent.DEPENDENT_JOB_CANCELLED)
-                                    .with("job", job.uid())
-                                    .with("dependency", uid));
+                                    .with("job", job.jobId())
+                                    .with("dependency", jobId));
                 }
                 forget(job);
-                if (waiters.containsKey(job.uid())) {
-                    cancelled.add(job.uid());
+                if (waiters.containsKey(job.jobId())) {
+                    cancelled.add(job.jobId());
                 }
             }
         }
@@ -219,11 +219,11 @@
                 now.add(entry.getKey());
             }
         }
-        for (String uid : now) {
-            unknown.remove(uid);
+        for (String jobId : now) {
+            unknown.remove(jobId);
             // A record that came meanwhile tells the rest by itself.
-            if (!world.jobs.containsKey(uid) && asked.add(uid)) {
-                world.emit(new SchedulerAction.ResolveDependency(uid));
+            if (!world.jobs.containsKey(jobId) && asked.add(jobId)) {
+                world.emit(new SchedulerAction.ResolveDependency(jobId));
             }
         }
     }
@@ -239,21 +239,24 @@
         ArrayDeque<Job> open = new ArrayDeque<>(missing.keySet());
         while (!open.isEmpty()) {
             Job job = open.poll();
-            Priority inherited = ranks.get(job.uid());
-            Priority rank =
-                    inherited != null && inherited.compareTo(job.description.rank()) > 0
+            Priority inherited = ranks.get(job.jobId());
+            Priority priority =
+                    inherited != null && inherited.compareTo(job.description.priority()) > 0
                             ? inherited
-                            : job.description.rank();
-            long due = Math.min(job.ownDueMicros(), dues.getOrDefault(job.uid(), Long.MAX_VALUE));
+                            : job.description.priority();
+            long due = Math.min(job.ownDueMicros(), dues.getOrDefault(job.jobId(), Long.MAX_VALUE));
             long start =
-                    due == Long.MAX_VALUE ? due : due - (long) (job.description.runtimeS() * 1e6);
+                    due == Long.MAX_VALUE
+                            ? due
+                            : due - (long) (job.description.estimatedRuntimeSeconds() * 1e6);
             for (String before : missing.get(job)) {
-                boolean higher = ranks.get(before) == null || ranks.get(before).compareTo(rank) < 0;
+                boolean higher =
+                        ranks.get(before) == null || ranks.get(before).compareTo(priority) < 0;
                 boolean sooner = dues.getOrDefault(before, Long.MAX_VALUE) > start;
                 if (!higher && !sooner) {
                     continue;
                 }
-                ranks.merge(before, rank, (a, b) -> a.compareTo(b) >= 0 ? a : b);
+                ranks.merge(before, priority, (a, b) -> a.compareTo(b) >= 0 ? a : b);
                 dues.merge(before, start, Math::min);
                 Job other = world.jobs.get(before);
                 if (other != null && missing.containsKey(other)) {
@@ -263,8 +266,8 @@
         }
         for (Job job : world.jobs.values()) {
             job.inherit(
-                    ranks.getOrDefault(job.uid(), job.description.rank()),
-                    dues.getOrDefault(job.uid(), Long.MAX_VALUE));
+                    ranks.getOrDefault(job.jobId(), job.description.priority()),
+                    dues.getOrDefault(job.jobId(), Long.MAX_VALUE));
         }
         world.placementWorthTrying = true;
     }
--- a/src/main/java/org/woadloom/core/jobs/Job.java
+++ b/src/main/java/org/woadloom/core/jobs/Job.java
@@ -46,7 +46,7 @@
     private boolean waiting;
 
     /** Its own rank, or a higher one of a job that needs it. */
-    private Priority rank;
+    private Priority priority;
 
     /**
      * By when it has to be done for itself, or for the jobs that need it; {@link Long#MAX_VALUE}
@@ -93,7 +93,7 @@
      */
     public Job(
             JobRecord record,
-            long stamp,
+            long revision,
             TeamQuota team,
             long submittedMicros,
             Set<Job> unrecorded) {
@@ -106,22 +106,22 @@
         this.taken.or(record.done());
         this.takenCount = taken.cardinality();
         this.cancelled = record.cancelled();
-        this.recording = new PersistenceState(stamp, () -> unrecorded.add(this));
+        this.recording = new PersistenceState(revision, () -> unrecorded.add(this));
         this.doneCount = done.cardinality();
         this.readyWallMicros = record.readyWallMicros();
-        this.waiting = !record.description().awaits().isEmpty();
+        this.waiting = !record.description().dependencies().isEmpty();
         this.sinceMicros =
                 readyWallMicros == 0
                         ? submittedMicros
                         : submittedMicros + Math.max(0, readyWallMicros - submittedWallMicros);
-        this.rank = description.rank();
+        this.priority = description.priority();
         this.dueMicros = ownDueMicros();
     }
 
     long ownDueMicros() {
-        return description.dueS() == null
+        return description.deadlineSeconds() == null
                 ? Long.MAX_VALUE
-                : submittedMicros + (long) (description.dueS() * 1e6);
+                : submittedMicros + (long) (description.deadlineSeconds() * 1e6);
     }
 
     /** True while the job must not start: it is queued, holds no room and asks for none. */
@@ -140,8 +140,8 @@
         return sinceMicros;
     }
 
-    public Priority rank() {
-        return rank;
+    public Priority priority() {
+        return priority;
     }
 
     public long dueMicros() {
@@ -172,17 +172,17 @@
 
     /** What the jobs that need this one ask of it. */
     void inherit(Priority highest, long earliestMicros) {
-        Priority before = rank;
-        rank = highest.compareTo(description.rank()) > 0 ? highest : description.rank();
+        Priority before = priority;
+        priority = highest.compareTo(description.priority()) > 0 ? highest : description.priority();
         dueMicros = Math.min(ownDueMicros(), earliestMicros);
-        if (before != rank) {
+        if (before != priority) {
             preemptions = 0;
             placements.values().forEach(placement -> placement.machine.reranked(placement, before));
         }
     }
 
-    public String uid() {
-        return description.uid();
+    public String jobId() {
+        return description.jobId();
     }
 
     public int doneCount() {
@@ -190,7 +190,7 @@
     }
 
     public boolean allDone() {
-        return !description.service() && doneCount == description.shards();
+        return !description.isService() && doneCount == description.taskCount();
     }
 
     /**
@@ -198,7 +198,7 @@
      */
     public int descriptionSize() {
         if (descriptionSize == 0) {
-            descriptionSize = Cbor.jsonSize(description.released().toMap());
+            descriptionSize = Cbor.jsonSize(description.withoutDependencies().toMap());
         }
         return descriptionSize;
     }
@@ -229,22 +229,22 @@
         return placements.get(index);
     }
 
-    public int placedIn(String yard) {
-        return perYard.getOrDefault(yard, 0);
+    public int placedIn(String zone) {
+        return perYard.getOrDefault(zone, 0);
     }
 
     /** The zones in which tasks of the job are or may be. */
-    public Collection<String> yards() {
+    public Collection<String> zones() {
         return perYard.keySet();
     }
 
     /** How many tasks are or may be in each zone. */
-    public Map<String, Integer> zones() {
+    public Map<String, Integer> tasksByZone() {
         return Collections.unmodifiableMap(perYard);
     }
 
     public int pending() {
-        return over() || waiting ? 0 : description.shards() - takenCount;
+        return over() || waiting ? 0 : description.taskCount() - takenCount;
     }
 
     /** How many more of its tasks the team's limit allows. */
@@ -259,12 +259,12 @@
 
     public int nextPending(int from) {
         int next = taken.nextClearBit(from);
-        return next < description.shards() ? next : -1;
+        return next < description.taskCount() ? next : -1;
     }
 
     public void add(TaskAttempt placement) {
         if (waiting) {
-            throw new IllegalStateException("job " + uid() + " waits for others");
+            throw new IllegalStateException("job " + jobId() + " waits for others");
         }
         if (firstPlacedMicros == NEVER_MICROS) {
             // An earlier leader placed what is inherited: when is not known, and it is not said to
@@ -276,7 +276,7 @@
         }
         placements.put(placement.index, placement);
         take(placement.index);
-        perYard.merge(placement.machine.yard, 1, Integer::sum);
+        perYard.merge(placement.machine.zone, 1, Integer::sum);
         placement.machine.add(placement);
         team.add(room);
     }
@@ -291,7 +291,7 @@
             takenCount--;
         }
         perYard.computeIfPresent(
-                placement.machine.yard, (yard, count) -> count == 1 ? null : count - 1);
+                placement.machine.zone, (zone, count) -> count == 1 ? null : count - 1);
         placement.machine.remove(placement);
         team.subtract(room);
     }
@@ -348,7 +348,7 @@
                     .set(p.index);
         }
         return new JobRecord(
-                waiting ? description : description.released(),
+                waiting ? description : description.withoutDependencies(),
                 submittedWallMicros,
                 readyWallMicros,
                 cancelled,
--- a/src/main/java/org/woadloom/core/jobs/JobPersister.java
+++ b/src/main/java/org/woadloom/core/jobs/JobPersister.java
@@ -68,7 +68,7 @@
                 if (!recording.readSent) {
                     recording.readSent = true;
                     recording.retryMicros = world.nowMicros + RETRY_MICROS;
-                    world.emit(new SchedulerAction.ReadJob(job.uid()));
+                    world.emit(new SchedulerAction.ReadJob(job.jobId()));
                 }
             } else if (recording.writing == 0 && due(job)) {
                 due.add(job);
@@ -94,12 +94,12 @@
             world.emit(
                     new SchedulerAction.WriteFinalState(
                             new FinalRecord(
-                                    job.uid(),
+                                    job.jobId(),
                                     job.cancelled,
                                     job.done.cardinality(),
                                     world.wallMicros,
-                                    job.description.service()),
-                            recording.stamp,
+                                    job.description.isService()),
+                            recording.revision,
                             version));
         } else {
             world.writes.job(1);
@@ -107,7 +107,7 @@
             long version = recording.begin(world.nowMicros, job.allDone());
             world.emit(
                     new SchedulerAction.WriteJob(
-                            job.toRecord(world.term, version), recording.stamp, urgent));
+                            job.toRecord(world.term, version), recording.revision, urgent));
         }
     }
 
@@ -126,7 +126,7 @@
     }
 
     public void written(SchedulerEvent.JobWriteCompleted result) {
-        Job job = world.jobs.get(result.uid());
+        Job job = world.jobs.get(result.jobId());
         if (job == null) {
             return;
         }
@@ -134,7 +134,7 @@
         switch (result.outcome()) {
             case WRITTEN -> {
                 boolean finishing = recording.finishing && recording.writing == result.version();
-                recording.confirmed(result.version(), result.stamp());
+                recording.confirmed(result.version(), result.revision());
                 job.release();
                 table.doneDurably(job);
                 if (finishing) {
@@ -143,7 +143,7 @@
                                             job.cancelled
                                                     ? LogEvent.JOB_CANCELLED
                                                     : LogEvent.JOB_DONE)
-                                    .with("job", job.uid()));
+                                    .with("job", job.jobId()));
                     table.finished(job, true);
                 }
             }
@@ -187,13 +187,13 @@
         world.placementWorthTrying = true;
         world.log(
                 LogEntry.info(LogEvent.JOB_RECORD_TOO_LARGE)
-                        .with("job", job.uid())
+                        .with("job", job.jobId())
                         .with("waiting_tasks", planned));
     }
 
     /** A read that got no answer is sent again. */
-    public void readFailed(String uid) {
-        Job job = world.jobs.get(uid);
+    public void readFailed(String jobId) {
+        Job job = world.jobs.get(jobId);
         if (job != null && job.recording.reading) {
             job.recording.readSent = false;
             job.recording.retryMicros = world.nowMicros + RETRY_MICROS;
--- a/src/main/java/org/woadloom/core/jobs/JobRegistry.java
+++ b/src/main/java/org/woadloom/core/jobs/JobRegistry.java
@@ -22,11 +22,11 @@
     /** Takes over a job from its record: what the record names may be there. */
     public void load(SchedulerEvent.StoredJob stored) {
         JobRecord record = stored.record();
-        Job job = create(record, stored.stamp());
+        Job job = create(record, stored.revision());
         if (job == null) {
             return;
         }
-        for (JobRecord.RecordedAttempt placed : record.placed()) {
+        for (JobRecord.RecordedAttempt placed : record.attempts()) {
             Machine machine = world.machines.get(placed.host());
             if (machine == null) {
                 // A machine's record is dropped only after its deletion was answered, so nothing is
@@ -52,11 +52,11 @@
     }
 
     /** A record that came from another node, from the watch or from a read. */
-    public void seen(JobRecord record, long stamp) {
-        Job job = world.jobs.get(record.description().uid());
+    public void seen(JobRecord record, long revision) {
+        Job job = world.jobs.get(record.description().jobId());
         if (job == null) {
-            if (record.term() < world.term && record.placed().isEmpty()) {
-                Job created = create(record, stamp);
+            if (record.term() < world.term && record.attempts().isEmpty()) {
+                Job created = create(record, revision);
                 if (created != null) {
                     if (created.over()) {
                         created.recording.needs(PersistenceState.WriteReason.LAUNCH);
@@ -69,7 +69,7 @@
         }
         PersistenceState recording = job.recording;
         boolean answersRead = recording.reading && recording.readSent;
-        if (stamp < recording.stamp) {
+        if (revision < recording.revision) {
             return;
         }
         if (record.term() == world.term && record.version() > recording.durable) {
@@ -78,7 +78,7 @@
             job.release();
             doneDurably(job);
         }
-        recording.stamp = stamp;
+        recording.revision = revision;
         if (record.cancelled() && !job.cancelled) {
             cancel(job);
         }
@@ -93,12 +93,12 @@
      * place.
      */
     public void unread(SchedulerEvent.JobRecordDamaged unread) {
-        Job job = world.jobs.get(unread.uid());
-        if (job == null || unread.stamp() < job.recording.stamp) {
+        Job job = world.jobs.get(unread.jobId());
+        if (job == null || unread.revision() < job.recording.revision) {
             return;
         }
-        world.log(LogEntry.info(LogEvent.JOB_RECORD_DAMAGED).with("job", job.uid()));
-        job.recording.stamp = unread.stamp();
+        world.log(LogEntry.info(LogEvent.JOB_RECORD_DAMAGED).with("job", job.jobId()));
+        job.recording.revision = unread.revision();
         if (unread.cancelled() && !job.cancelled) {
             cancel(job);
         }
@@ -113,9 +113,9 @@
      * Users may hear that these are cancelled; the records, on whose stamps all else depends, are
      * read when they can be.
      */
-    public void told(List<String> uids) {
-        for (String uid : uids) {
-            Job job = world.jobs.get(uid);
+    public void told(List<String> jobIds) {
+        for (String jobId : jobIds) {
+            Job job = world.jobs.get(jobId);
             if (job != null && !job.cancelled) {
                 cancel(job);
             }
@@ -127,8 +127,8 @@
      * damaged and a cancellation's final state took its place. What waits for the job must not
      * start on a guess, and what may be on machines counts until it is not.
      */
-    public void missing(String uid) {
-        Job job = world.jobs.get(uid);
+    public void missing(String jobId) {
+        Job job = world.jobs.get(jobId);
         if (job == null || !job.recording.reading || !job.recording.readSent) {
             return;
         }
@@ -139,7 +139,7 @@
         } else {
             world.log(
                     LogEntry.info(LogEvent.JOB_ENDED_ELSEWHERE)
-                            .with("job", uid)
+                            .with("job", jobId)
                             .with("tasks", job.placements().size()));
             job.cancelled = true;
             job.recording.replaced();
@@ -159,7 +159,7 @@
             job.remove(placement);
         }
         job.finished = true;
-        world.jobs.remove(job.uid());
+        world.jobs.remove(job.jobId());
         world.served.over(job);
         world.pipelines.gone(job, known);
         world.placementWorthTrying = true;
@@ -168,29 +168,29 @@
     private void logAccepted(JobDescription job) {
         world.log(
                 LogEntry.info(LogEvent.JOB_ACCEPTED)
-                        .with("job", job.uid())
-                        .with("team", job.crew())
-                        .with("tasks", job.shards())
-                        .with("class", job.jobclass())
-                        .with("cpus", job.vcpus())
-                        .with("estimate_s", job.runtimeS()));
+                        .with("job", job.jobId())
+                        .with("team", job.team())
+                        .with("tasks", job.taskCount())
+                        .with("class", job.jobClass())
+                        .with("cpus", job.cpus())
+                        .with("estimate_s", job.estimatedRuntimeSeconds()));
     }
 
-    private Job create(JobRecord record, long stamp) {
-        TeamQuota team = world.teams.get(record.description().crew());
+    private Job create(JobRecord record, long revision) {
+        TeamQuota team = world.teams.get(record.description().team());
         if (team == null) {
             world.log(
                     LogEntry.info(LogEvent.JOB_TEAM_UNKNOWN)
-                            .with("job", record.description().uid())
-                            .with("team", record.description().crew()));
+                            .with("job", record.description().jobId())
+                            .with("team", record.description().team()));
             return null;
         }
         long age = Math.max(0, world.wallMicros - record.submittedWallMicros());
-        Job job = new Job(record, stamp, team, world.nowMicros - age, world.unrecorded);
-        world.jobs.put(job.uid(), job);
+        Job job = new Job(record, revision, team, world.nowMicros - age, world.unrecorded);
+        world.jobs.put(job.jobId(), job);
         world.served.come(job);
         world.jobsCome++;
-        if (record.allDone()) {
+        if (record.isComplete()) {
             job.recording.readAsDone();
         }
         if (!job.waiting()) {
@@ -203,7 +203,7 @@
     /** To be called when a write was acknowledged: what waits for a job that is done may go on. */
     void doneDurably(Job job) {
         if (job.recording.doneDurably()) {
-            world.pipelines.done(job.uid(), world.wallMicros);
+            world.pipelines.done(job.jobId(), world.wallMicros);
         }
     }
 
@@ -211,8 +211,8 @@
         world.served.look(job);
         job.cancelled = true;
         job.cancelledSinceMicros = world.cancellationsSeenMicros;
-        world.log(LogEntry.info(LogEvent.JOB_CANCEL_REQUESTED).with("job", job.uid()));
-        world.pipelines.cancelled(job.uid());
+        world.log(LogEntry.info(LogEvent.JOB_CANCEL_REQUESTED).with("job", job.jobId()));
+        world.pipelines.cancelled(job.jobId());
         halt(job);
         if (job.placements().isEmpty()) {
             job.recording.needs(PersistenceState.WriteReason.LAUNCH);
--- a/src/main/java/org/woadloom/core/jobs/PersistenceState.java
+++ b/src/main/java/org/woadloom/core/jobs/PersistenceState.java
@@ -13,7 +13,7 @@
     private final Runnable needed;
 
     /** The record's stamp as far as known. */
-    public long stamp;
+    public long revision;
 
     /** Versions up to this one are durable. */
     public long durable;
@@ -50,8 +50,8 @@
     /**
      * @param needed hears when the record needs anything
      */
-    PersistenceState(long stamp, Runnable needed) {
-        this.stamp = stamp;
+    PersistenceState(long revision, Runnable needed) {
+        this.revision = revision;
         this.needed = needed;
     }
 
@@ -120,9 +120,9 @@
         return readDone || doneVersion > 0 && durable >= doneVersion;
     }
 
-    public void confirmed(long version, long newStamp) {
+    public void confirmed(long version, long newRevision) {
         durable = Math.max(durable, version);
-        stamp = Math.max(stamp, newStamp);
+        revision = Math.max(revision, newRevision);
         if (writing == version) {
             writing = 0;
             reading = false;
--- a/src/main/java/org/woadloom/core/jobs/TaskAttempt.java
+++ b/src/main/java/org/woadloom/core/jobs/TaskAttempt.java
@@ -61,7 +61,7 @@
         this.attempt = attempt;
         this.version = version;
         this.placedMicros = nowMicros;
-        this.task = new TaskId(job.uid(), index);
+        this.task = new TaskId(job.jobId(), index);
     }
 
     public TaskId task() {
@@ -74,8 +74,8 @@
     }
 
     /** The task is to stop, with this much time to save. */
-    public void halt(double windDown) {
-        windDownS = windDown;
+    public void halt(double gracePeriod) {
+        windDownS = gracePeriod;
         if (!halting) {
             halting = true;
             machine.halted(this);
--- a/src/main/java/org/woadloom/core/liveness/AgentLiveness.java
+++ b/src/main/java/org/woadloom/core/liveness/AgentLiveness.java
@@ -17,8 +17,8 @@
 
     private final long term;
     private final LivenessTimeouts rules;
-    private long tenure;
-    private long tick;
+    private long incarnation;
+    private long sequence;
     private long leastTenure;
     private long epochSeen;
     // The last report of its own, and when that first came.
@@ -51,8 +51,8 @@
         this.rules = rules;
     }
 
-    public long tenure() {
-        return tenure;
+    public long incarnation() {
+        return incarnation;
     }
 
     /** Reports of sessions before this one are of the past: their lease is known to be over. */
@@ -62,7 +62,7 @@
 
     /** The worker's session is known to be over, though it has not said so. */
     public void sessionOver() {
-        leastTenure = tenure + 1;
+        leastTenure = incarnation + 1;
     }
 
     /** The token that this worker's commands carry now. */
@@ -111,8 +111,8 @@
      * A message carries a token of this term that is higher than ours: of a machine of this name
      * that was forgotten. What it says is of the past, so its numbers must not come back.
      */
-    public void passOver(long epoch) {
-        fence = (epoch & ((1L << FENCE_BITS) - 1)) + 1;
+    public void passOver(long fencingToken) {
+        fence = (fencingToken & ((1L << FENCE_BITS) - 1)) + 1;
         issuedMicros = NEVER;
     }
 
@@ -147,7 +147,7 @@
 
     /** What is to follow from a message of this worker is for this to say, and only for this. */
     public MessageAge judge(Heartbeat report, long sinceMicros, long nowMicros) {
-        if (report.tenure() < leastTenure || !report.newerThan(tenure, tick)) {
+        if (report.incarnation() < leastTenure || !report.isNewerThan(incarnation, sequence)) {
             return MessageAge.COPY;
         }
         return nowMicros - madeAfter(report, sinceMicros) <= rules.freshMicros()
@@ -161,7 +161,7 @@
      */
     private long madeAfter(Heartbeat report, long sinceMicros) {
         long made = Math.max(sinceMicros, aliveMicros);
-        return report.epoch() == token() ? Math.max(made, issuedMicros) : made;
+        return report.fencingToken() == token() ? Math.max(made, issuedMicros) : made;
     }
 
     /**
@@ -172,9 +172,9 @@
      */
     public void take(Heartbeat report, MessageAge age, long sinceMicros, long nowMicros) {
         long alive = age == MessageAge.FRESH ? nowMicros : madeAfter(report, sinceMicros);
-        tenure = report.tenure();
-        leastTenure = report.tenure();
-        tick = report.tick();
+        incarnation = report.incarnation();
+        leastTenure = report.incarnation();
+        sequence = report.sequence();
         aliveMicros = Math.max(aliveMicros, alive);
         if (sinceMicros == NEVER) {
             reportedMicros = Math.max(reportedMicros, alive);
@@ -182,8 +182,8 @@
             // The report that came a moment ago is of a worker that lives.
             reportedMicros = Math.max(reportedMicros, ownMicros);
         }
-        if (report.epoch() > epochSeen) {
-            epochSeen = report.epoch();
+        if (report.fencingToken() > epochSeen) {
+            epochSeen = report.fencingToken();
             unheardMicros = heardToken() || unheardMicros == NEVER ? NEVER : nowMicros;
         }
     }
@@ -207,16 +207,16 @@
      * nobody waits for that answer.
      */
     public boolean mayWaitFor(Heartbeat report, long nowMicros) {
-        if (report.newerThan(ownTenure, ownTick)) {
-            ownTenure = report.tenure();
-            ownTick = report.tick();
+        if (report.isNewerThan(ownTenure, ownTick)) {
+            ownTenure = report.incarnation();
+            ownTick = report.sequence();
             reportingMicros =
                     nowMicros - ownMicros > rules.deafMicros() ? nowMicros : reportingMicros;
             ownMicros = nowMicros;
             return true;
         }
-        return report.tenure() == ownTenure
-                && report.tick() == ownTick
+        return report.incarnation() == ownTenure
+                && report.sequence() == ownTick
                 && nowMicros - ownMicros <= rules.answerMicros();
     }
 
--- a/src/main/java/org/woadloom/core/machines/AgentProber.java
+++ b/src/main/java/org/woadloom/core/machines/AgentProber.java
@@ -75,7 +75,7 @@
                 world.log(
                         LogEntry.info(LogEvent.MACHINE_UNREACHABLE)
                                 .with("machine", machine.host)
-                                .with("zone", machine.yard)
+                                .with("zone", machine.zone)
                                 .withSeconds(
                                         "unacknowledged_s", hearing.unheardFor(world.nowMicros)));
             }
@@ -83,7 +83,7 @@
             world.log(
                     LogEntry.info(LogEvent.MACHINE_REACHABLE)
                             .with("machine", machine.host)
-                            .with("zone", machine.yard));
+                            .with("zone", machine.zone));
         }
     }
 
--- a/src/main/java/org/woadloom/core/machines/DirectCommands.java
+++ b/src/main/java/org/woadloom/core/machines/DirectCommands.java
@@ -40,33 +40,33 @@
             } else if (machine.sendInFlight == 0
                     && !machine.addr.isEmpty()
                     && machine.directWorks(world.nowMicros)
-                    && machine.hearing.tenure() >= machine.hearing.leastTenure()) {
+                    && machine.hearing.incarnation() >= machine.hearing.leastTenure()) {
                 send(machine);
             }
         }
     }
 
     private void send(Machine machine) {
-        List<TaskCommand> orders = new ArrayList<>();
+        List<TaskCommand> commands = new ArrayList<>();
         List<TaskAttempt> launches = new ArrayList<>();
         boolean all = true;
         if (machine.acknowledged()) {
             for (TaskAttempt placement : machine.placements()) {
-                if (orders.size() >= MAX_ORDERS) {
+                if (commands.size() >= MAX_ORDERS) {
                     all = false;
                     break;
                 }
                 if (placement.stage == Stage.READY && !placement.halting()) {
-                    orders.add(TaskCommand.launch(placement.task(), placement.attempt));
+                    commands.add(TaskCommand.start(placement.task(), placement.attempt));
                     launches.add(placement);
                 } else if (placement.halting()
                         && !placement.neverSent()
                         && placement.haltSentMicros < 0) {
                     placement.haltSentMicros = world.nowMicros;
                     // Halts come first, so that the room they free is there for the launches.
-                    orders.add(
+                    commands.add(
                             0,
-                            TaskCommand.halt(
+                            TaskCommand.stop(
                                     placement.task(), placement.attempt, placement.windDownS));
                 }
             }
@@ -75,7 +75,7 @@
             world.attentive.remove(machine);
         }
         boolean greet = machine.takeGreeting();
-        if (orders.isEmpty() && !greet) {
+        if (commands.isEmpty() && !greet) {
             return;
         }
         long id = world.newSend();
@@ -91,35 +91,35 @@
                         machine.host,
                         machine.addr,
                         machine.hearing.issue(world.nowMicros),
-                        machine.hearing.tenure(),
-                        orders));
+                        machine.hearing.incarnation(),
+                        commands));
     }
 
     public void result(SchedulerEvent.DirectCommandCompleted result) {
-        Sent command = sent.remove(result.sendId());
+        Sent command = sent.remove(result.commandId());
         Machine machine = world.machines.get(result.host());
         if (machine == null || command == null) {
             return;
         }
         List<TaskAttempt> launches = command.launches;
-        if (machine.sendInFlight == result.sendId()) {
+        if (machine.sendInFlight == result.commandId()) {
             machine.sendInFlight = 0;
             machine.attend();
         }
         launches.removeIf(placement -> placement.job.placement(placement.index) != placement);
-        if (result.report() != null && reports.laterTerm(machine, result.report())) {
+        if (result.heartbeat() != null && reports.laterTerm(machine, result.heartbeat())) {
             return;
         }
-        if (result.status() == 200 && result.report() != null) {
+        if (result.status() == 200 && result.heartbeat() != null) {
             for (TaskAttempt placement : launches) {
                 placement.stage = Stage.THERE;
             }
-            reports.absorb(machine, result.report(), command.atMicros);
+            reports.absorb(machine, result.heartbeat(), command.atMicros);
         } else if (result.status() == 409 || result.status() == NOT_SENT) {
             // Nothing was executed: the launches can go again as they are.
             launches.forEach(this::backToReady);
-            if (result.report() != null) {
-                reports.absorb(machine, result.report(), command.atMicros);
+            if (result.heartbeat() != null) {
+                reports.absorb(machine, result.heartbeat(), command.atMicros);
                 if (!machine.hearing.heardToken()) {
                     // It was asked under another session's number, which is known now.
                     machine.greet();
--- a/src/main/java/org/woadloom/core/machines/HeartbeatHandler.java
+++ b/src/main/java/org/woadloom/core/machines/HeartbeatHandler.java
@@ -52,14 +52,14 @@
 
     /** A report that waits for an answer. */
     public void report(SchedulerEvent.HeartbeatReceived command) {
-        Heartbeat report = command.report();
+        Heartbeat report = command.heartbeat();
         Machine machine =
                 table.reported(
                         new MachineRecord(
                                 report.host(),
-                                report.hosttype(),
-                                report.yard(),
-                                report.reclaimable(),
+                                report.machineType(),
+                                report.zone(),
+                                report.spot(),
                                 false));
         if (laterTerm(machine, report)) {
             return;
@@ -67,12 +67,12 @@
         if (!machine.hearing.mayWaitFor(report, world.nowMicros)) {
             // Nobody waits for this answer; if somebody did, it would renew a lease that counts as
             // running out.
-            world.emit(new SchedulerAction.RejectHeartbeat(command.replyId()));
+            world.emit(new SchedulerAction.RejectHeartbeat(command.requestId()));
             return;
         }
         machine.lastAnsweredMicros = world.nowMicros;
         MessageAge age = absorb(machine, report, AgentLiveness.NEVER);
-        List<TaskCommand> orders = age != MessageAge.COPY ? orders(machine, report) : List.of();
+        List<TaskCommand> commands = age != MessageAge.COPY ? orders(machine, report) : List.of();
         if (age == MessageAge.PERHAPS_OLD) {
             machine.hearing.challenge();
         }
@@ -81,7 +81,7 @@
         }
         world.emit(
                 new SchedulerAction.AnswerHeartbeat(
-                        command.replyId(), machine.hearing.issue(world.nowMicros), orders));
+                        command.requestId(), machine.hearing.issue(world.nowMicros), commands));
     }
 
     /**
@@ -89,16 +89,16 @@
      * that was forgotten.
      */
     public boolean laterTerm(Machine machine, Heartbeat report) {
-        if (report.epoch() <= machine.hearing.token()) {
+        if (report.fencingToken() <= machine.hearing.token()) {
             return false;
         }
-        if (report.epoch() >> AgentLiveness.FENCE_BITS == world.term) {
-            machine.hearing.passOver(report.epoch());
+        if (report.fencingToken() >> AgentLiveness.FENCE_BITS == world.term) {
+            machine.hearing.passOver(report.fencingToken());
             return false;
         }
         world.emit(
                 new SchedulerAction.StepDown(
-                        "worker " + report.host() + " has seen token " + report.epoch()));
+                        "worker " + report.host() + " has seen token " + report.fencingToken()));
         return true;
     }
 
@@ -118,7 +118,8 @@
             return age;
         }
         boolean own = sinceMicros == AgentLiveness.NEVER;
-        boolean newSession = hearing.tenure() > 0 && report.tenure() > hearing.tenure();
+        boolean newSession =
+                hearing.incarnation() > 0 && report.incarnation() > hearing.incarnation();
         boolean first = !machine.acknowledged();
         boolean doubted = hearing.inDoubt(world.nowMicros);
         boolean unheard = !machine.heard();
@@ -133,7 +134,7 @@
             world.log(
                     LogEntry.info(LogEvent.MACHINE_UP)
                             .with("machine", machine.host)
-                            .with("zone", machine.yard));
+                            .with("zone", machine.zone));
         }
         if (doubted && !hearing.inDoubt(world.nowMicros)) {
             world.placementWorthTrying = true;
@@ -141,15 +142,15 @@
         if (newSession || first) {
             machine.attend();
         }
-        machine.addr = report.addr();
-        if (report.warningMicros() >= 0 && age == MessageAge.FRESH) {
+        machine.addr = report.address();
+        if (report.spotNoticeMicros() >= 0 && age == MessageAge.FRESH) {
             if (machine.takenMicros < 0) {
                 world.log(
                         LogEntry.info(LogEvent.SPOT_NOTICE)
                                 .with("machine", machine.host)
-                                .withSeconds("notice_s", report.warningMicros()));
+                                .withSeconds("notice_s", report.spotNoticeMicros()));
             }
-            machine.takenMicros = world.nowMicros + report.warningMicros();
+            machine.takenMicros = world.nowMicros + report.spotNoticeMicros();
         }
         if (newSession) {
             // The new session's lease runs from its start, which may be later than our last answer:
@@ -205,7 +206,7 @@
     }
 
     private TaskAttempt placement(Machine machine, TaskStatus task) {
-        Job job = world.jobs.get(task.task().uid());
+        Job job = world.jobs.get(task.task().jobId());
         TaskAttempt placement = job == null ? null : job.placement(task.task().index());
         return placement != null
                         && placement.machine == machine
@@ -226,9 +227,9 @@
         }
         if (task.state() == TaskStatus.State.RUNNING) {
             machine.images.used(
-                    placement.job.description.bundle(),
-                    placement.job.description.pullGb(),
-                    machine.type == null ? 0 : machine.type.cacheGb());
+                    placement.job.description.image(),
+                    placement.job.description.imageGb(),
+                    machine.type == null ? 0 : machine.type.imageCacheGb());
         }
         placement.seen = task.state();
     }
@@ -239,14 +240,14 @@
             case UNANSWERED -> {
                 // The worker refuses the old token from here on, so the late launch can no longer
                 // be executed.
-                if (report.epoch() > placement.sentToken) {
+                if (report.fencingToken() > placement.sentToken) {
                     losses.lost(placement, "the launch never arrived");
                 }
             }
             case ANSWERED -> {
                 // A worker has one report in flight: this one was made after the answer was
                 // executed or dropped.
-                if (own && report.tick() > placement.answeredTick) {
+                if (own && report.sequence() > placement.answeredTick) {
                     if (placement.halting()) {
                         losses.gone(placement);
                     } else {
@@ -258,7 +259,7 @@
                 }
             }
             case INHERITED -> {
-                if (report.epoch() >> AgentLiveness.FENCE_BITS == world.term) {
+                if (report.fencingToken() >> AgentLiveness.FENCE_BITS == world.term) {
                     losses.lost(placement, "not found by the new leader");
                 }
             }
@@ -272,33 +273,33 @@
     private void exited(TaskAttempt placement, TaskStatus task) {
         Job job = placement.job;
         Machine machine = placement.machine;
-        boolean service = job.description.service();
+        boolean service = job.description.isService();
         world.log(
                 LogEntry.debug(LogEvent.TASK_EXITED)
                         .with("task", placement.task())
                         .with("attempt", placement.attempt)
                         .with("machine", machine.host)
-                        .with("reason", task.cause()));
-        if (task.cause() == TaskStatus.ExitReason.DONE && !service) {
+                        .with("reason", task.exitReason()));
+        if (task.exitReason() == TaskStatus.ExitReason.DONE && !service) {
             job.markDone(placement.index);
-        } else if (task.cause() == TaskStatus.ExitReason.ERROR) {
+        } else if (task.exitReason() == TaskStatus.ExitReason.ERROR) {
             failed(job, machine);
-        } else if (task.cause() == TaskStatus.ExitReason.UNKNOWN) {
+        } else if (task.exitReason() == TaskStatus.ExitReason.UNKNOWN_TASK) {
             job.notBeforeMicros = world.nowMicros + ERROR_BACKOFF_MICROS;
-        } else if (task.cause() == TaskStatus.ExitReason.NO_ROOM
-                || task.cause() == TaskStatus.ExitReason.BUSY) {
+        } else if (task.exitReason() == TaskStatus.ExitReason.INSUFFICIENT_RESOURCES
+                || task.exitReason() == TaskStatus.ExitReason.ALREADY_RUNNING) {
             world.log(
                     LogEntry.info(LogEvent.TASK_REFUSED)
                             .with("task", placement.task())
                             .with("machine", machine.host)
-                            .with("reason", task.cause()));
+                            .with("reason", task.exitReason()));
             machine.fullUntilMicros = world.nowMicros + ERROR_BACKOFF_MICROS;
         }
-        if (!task.refused()) {
+        if (!task.wasRefused()) {
             machine.images.used(
-                    job.description.bundle(),
-                    job.description.pullGb(),
-                    machine.type == null ? 0 : machine.type.cacheGb());
+                    job.description.image(),
+                    job.description.imageGb(),
+                    machine.type == null ? 0 : machine.type.imageCacheGb());
         }
         losses.gone(placement);
         if (job.allDone()) {
@@ -310,7 +311,7 @@
     private void failed(Job job, Machine machine) {
         job.failures++;
         job.failedOn.add(machine.host);
-        machine.failedJobs.put(job.uid(), world.nowMicros);
+        machine.failedJobs.put(job.jobId(), world.nowMicros);
         // Failures of several jobs point at the machine; those of a job that fails on many machines
         // point at the job alone.
         machine.failedJobs
@@ -344,12 +345,12 @@
         if (known != null && known.containsKey(new Exit(task.task(), task.attempt()))) {
             return;
         }
-        Job job = world.jobs.get(task.task().uid());
+        Job job = world.jobs.get(task.task().jobId());
         int index = task.task().index();
         if (job != null
-                && index < job.description.shards()
-                && task.cause() == TaskStatus.ExitReason.DONE
-                && !job.description.service()
+                && index < job.description.taskCount()
+                && task.exitReason() == TaskStatus.ExitReason.DONE
+                && !job.description.isService()
                 && !job.cancelled
                 && job.markDone(index)) {
             TaskAttempt other = job.placement(index);
@@ -375,12 +376,12 @@
     }
 
     private List<TaskCommand> orders(Machine machine, Heartbeat report) {
-        List<TaskCommand> orders = new ArrayList<>();
+        List<TaskCommand> commands = new ArrayList<>();
         Map<Exit, Long> exits = clearAfter.getOrDefault(machine.host, Map.of());
         Map<Exit, Long> stillListed = exits.isEmpty() ? Map.of() : new HashMap<>();
         for (TaskStatus task : report.tasks()) {
             if (task.state() == TaskStatus.State.EXITED) {
-                Job job = world.jobs.get(task.task().uid());
+                Job job = world.jobs.get(task.task().jobId());
                 Exit exit = new Exit(task.task(), task.attempt());
                 Long version = exits.get(exit);
                 if (version != null) {
@@ -388,10 +389,10 @@
                 }
                 // A job that is no longer here has its final state in the store.
                 if (job == null || version != null && version <= job.recording.durable) {
-                    orders.add(TaskCommand.clear(task.task(), task.attempt()));
+                    commands.add(TaskCommand.acknowledgeExit(task.task(), task.attempt()));
                 }
             } else if (placement(machine, task) == null) {
-                orders.add(TaskCommand.halt(task.task(), task.attempt(), 0));
+                commands.add(TaskCommand.stop(task.task(), task.attempt(), 0));
             }
         }
         if (!exits.isEmpty()) {
@@ -404,20 +405,20 @@
                         && !machine.directWorks(world.nowMicros)
                         && !machine.hearing.inDoubt(world.nowMicros);
         for (TaskAttempt placement : machine.placements()) {
-            if (orders.size() >= MAX_ORDERS) {
+            if (commands.size() >= MAX_ORDERS) {
                 break;
             }
             if (placement.halting() && !placement.neverSent()) {
-                orders.add(
-                        TaskCommand.halt(placement.task(), placement.attempt, placement.windDownS));
+                commands.add(
+                        TaskCommand.stop(placement.task(), placement.attempt, placement.windDownS));
             } else if (placement.stage == Stage.READY && launches && !placement.halting()) {
                 placement.stage = Stage.ANSWERED;
-                placement.answeredTick = report.tick();
+                placement.answeredTick = report.sequence();
                 placement.sentToken = machine.hearing.token();
-                orders.add(TaskCommand.launch(placement.task(), placement.attempt));
+                commands.add(TaskCommand.start(placement.task(), placement.attempt));
             }
         }
-        return orders;
+        return commands;
     }
 
     /** Drops what is kept for machines that are no longer known. */
--- a/src/main/java/org/woadloom/core/machines/Machine.java
+++ b/src/main/java/org/woadloom/core/machines/Machine.java
@@ -17,9 +17,9 @@
 /** A machine as the leader knows it. */
 public final class Machine {
     public final String host;
-    public final String hosttype;
-    public final String yard;
-    public final boolean reclaimable;
+    public final String machineType;
+    public final String zone;
+    public final boolean spot;
     private final SchedulerState world;
 
     /** What the worker has said, and whether it hears us. */
@@ -35,7 +35,7 @@
     public long takenMicros = -1;
 
     // The record.
-    public long stamp;
+    public long revision;
     public boolean recorded;
     public boolean writing;
     public boolean reading;
@@ -103,21 +103,22 @@
 
     public Machine(MachineRecord record, SchedulerState world) {
         this.host = record.host();
-        this.hosttype = record.hosttype();
-        this.yard = record.yard();
-        this.reclaimable = record.reclaimable();
-        this.leaving = record.leaving();
-        this.leavingRecorded = record.leaving();
+        this.machineType = record.machineType();
+        this.zone = record.zone();
+        this.spot = record.spot();
+        this.leaving = record.decommissioning();
+        this.leavingRecorded = record.decommissioning();
         this.world = world;
         this.knownSinceMicros = world.nowMicros;
         this.hearing = new AgentLiveness(world.term, world.leastFence, world.hearingRules);
-        this.lifeKnown = record.life() != null;
-        this.upRecorded = lifeKnown && record.life().up();
+        this.lifeKnown = record.lifecycle() != null;
+        this.upRecorded = lifeKnown && record.lifecycle().hasReported();
         // By another node's time of day, which may be ahead of ours.
         this.rentedMicros =
                 world.nowMicros
                         - (lifeKnown
-                                ? Math.max(0, world.wallMicros - record.life().rentedWallMicros())
+                                ? Math.max(
+                                        0, world.wallMicros - record.lifecycle().rentedWallMicros())
                                 : 0);
         this.idleSinceMicros = world.nowMicros;
     }
@@ -153,9 +154,9 @@
     public MachineRecord toRecord() {
         return new MachineRecord(
                 host,
-                hosttype,
-                yard,
-                reclaimable,
+                machineType,
+                zone,
+                spot,
                 leaving,
                 world.machineLife
                         ? new MachineRecord.Lifecycle(
@@ -205,7 +206,7 @@
 
     /** True for a worker that was in touch lately and whose lease is not known to be over. */
     public boolean up() {
-        return acknowledged() && hearing.tenure() >= hearing.leastTenure();
+        return acknowledged() && hearing.incarnation() >= hearing.leastTenure();
     }
 
     /**
@@ -223,7 +224,7 @@
         if (placement.halting()) {
             halting++;
         } else {
-            byRank[placement.job.rank().ordinal()]++;
+            byRank[placement.job.priority().ordinal()]++;
         }
     }
 
@@ -234,7 +235,7 @@
             if (placement.halting()) {
                 halting--;
             } else {
-                byRank[placement.job.rank().ordinal()]--;
+                byRank[placement.job.priority().ordinal()]--;
             }
         }
     }
@@ -275,9 +276,9 @@
 
     /** What a processor costs here, by the prices last seen; 0 while they are unknown. */
     public double pricePerCpu() {
-        return type == null || type.vcpus() <= 0
+        return type == null || type.cpus() <= 0
                 ? 0
-                : (reclaimable ? type.marketPrice() : type.rate()) / type.vcpus();
+                : (spot ? type.spotPrice() : type.onDemandPrice()) / type.cpus();
     }
 
     public Resources free() {
@@ -288,7 +289,7 @@
     public void halted(TaskAttempt placement) {
         attend();
         if (placements.get(placement.task()) == placement) {
-            byRank[placement.job.rank().ordinal()]--;
+            byRank[placement.job.priority().ordinal()]--;
             halting++;
         }
     }
@@ -297,7 +298,7 @@
     public void reranked(TaskAttempt placement, Priority before) {
         if (placements.get(placement.task()) == placement && !placement.halting()) {
             byRank[before.ordinal()]--;
-            byRank[placement.job.rank().ordinal()]++;
+            byRank[placement.job.priority().ordinal()]++;
         }
     }
 
@@ -307,8 +308,8 @@
     }
 
     /** True if a task of a lower rank is here that has not been told to stop. */
-    public boolean hasBelow(Priority rank) {
-        for (int i = 0; i < rank.ordinal(); i++) {
+    public boolean hasBelow(Priority priority) {
+        for (int i = 0; i < priority.ordinal(); i++) {
             if (byRank[i] > 0) {
                 return true;
             }
--- a/src/main/java/org/woadloom/core/machines/MachineRegistry.java
+++ b/src/main/java/org/woadloom/core/machines/MachineRegistry.java
@@ -44,7 +44,7 @@
         Machine machine = create(stored.record());
         machine.confirm();
         machine.recorded = true;
-        machine.stamp = stored.stamp();
+        machine.revision = stored.revision();
     }
 
     /** A machine that was rented or listed; machines that nobody expected are taken over. */
@@ -82,30 +82,30 @@
     }
 
     private void setType(Machine machine) {
-        machine.type = world.types.get(machine.hosttype);
+        machine.type = world.types.get(machine.machineType);
         machine.resize(machine.type == null ? Resources.NONE : Resources.of(machine.type));
     }
 
     public void listed(List<ListedMachine> machines) {
         for (ListedMachine listed : machines) {
-            Machine machine = world.machines.get(listed.uid());
+            Machine machine = world.machines.get(listed.host());
             if (machine == null || !machine.confirmed()) {
                 machine =
                         adopt(
                                 new MachineRecord(
-                                        listed.uid(),
-                                        listed.hosttype(),
-                                        listed.yard(),
-                                        listed.reclaimable(),
+                                        listed.host(),
+                                        listed.machineType(),
+                                        listed.zone(),
+                                        listed.spot(),
                                         false));
                 world.log(
                         LogEntry.info(LogEvent.MACHINE_DISCOVERED)
                                 .with("machine", machine.host)
-                                .with("zone", machine.yard));
+                                .with("zone", machine.zone));
             }
             // A new leader learns here for how long its machines have been paid for.
             machine.rentedMicros =
-                    Math.min(machine.rentedMicros, world.nowMicros - listed.heldMicros());
+                    Math.min(machine.rentedMicros, world.nowMicros - listed.rentedForMicros());
             if (listed.failed() && !machine.leaving) {
                 // A failed machine stays listed until it is deleted, and the deletion's answer is
                 // the proof we need.
@@ -114,10 +114,10 @@
                 world.log(
                         LogEntry.info(LogEvent.MACHINE_FAILED)
                                 .with("machine", machine.host)
-                                .with("zone", machine.yard));
+                                .with("zone", machine.zone));
             }
             if (machine.addr.isEmpty()) {
-                machine.addr = listed.addr();
+                machine.addr = listed.address();
             }
         }
     }
@@ -126,22 +126,22 @@
     public void nodeSpoke(SchedulerEvent.PeerStatusReceived spoke) {
         world.cancellationsSeenMicros =
                 Math.max(world.cancellationsSeenMicros, spoke.cancellationsSeenMicros());
-        String yard = world.settings.nodes().get(spoke.node());
+        String zone = world.settings.nodes().get(spoke.node());
         LeaseDelegation warrant =
-                yard == null
+                zone == null
                         ? null
                         : world.warrants.heard(
-                                spoke.node(), spoke.standing(), settled(yard), world.nowMicros);
+                                spoke.node(), spoke.standing(), settled(zone), world.nowMicros);
         if (warrant != null) {
             world.emit(new SchedulerAction.DelegateLeases(spoke.node(), warrant));
         }
     }
 
     /** Up to this moment every cancellation has been carried out in the zone. */
-    private long settled(String yard) {
+    private long settled(String zone) {
         long settled = world.cancellationsSeenMicros;
         for (Job job : world.jobs.values()) {
-            if (job.cancelled && job.placedIn(yard) > 0) {
+            if (job.cancelled && job.placedIn(zone) > 0) {
                 settled = Math.min(settled, job.cancelledSinceMicros);
             }
         }
@@ -182,7 +182,8 @@
                     world.writes.machine();
                     machine.writing = true;
                     world.emit(
-                            new SchedulerAction.DeleteMachineRecord(machine.host, machine.stamp));
+                            new SchedulerAction.DeleteMachineRecord(
+                                    machine.host, machine.revision));
                 }
             } else if (!machine.recorded
                     || machine.leaving != machine.leavingRecorded
@@ -213,9 +214,9 @@
         machine.writing = true;
         machine.writeBegunMicros = world.nowMicros;
         MachineRecord record = machine.toRecord();
-        machine.upWriting = record.life() != null && record.life().up();
+        machine.upWriting = record.lifecycle() != null && record.lifecycle().hasReported();
         machine.rewrite = false;
-        world.emit(new SchedulerAction.WriteMachine(record, machine.stamp));
+        world.emit(new SchedulerAction.WriteMachine(record, machine.revision));
     }
 
     /** A machine that still answers is emptied first; one that is lost is deleted to get proof. */
@@ -237,7 +238,7 @@
         switch (result.outcome()) {
             case WRITTEN -> {
                 machine.recorded = !result.dropped();
-                machine.stamp = result.dropped() ? 0 : result.stamp();
+                machine.revision = result.dropped() ? 0 : result.revision();
                 machine.leavingRecorded = result.leaving();
                 machine.upRecorded = !result.dropped() && machine.upWriting;
                 world.placementWorthTrying = true;
@@ -260,8 +261,8 @@
         // Recorded or not, the present state is written again on the stamp just read: that voids a
         // late write.
         machine.recorded = machine.deleted && result.record() != null;
-        machine.stamp = result.record() == null ? 0 : result.stamp();
-        machine.leavingRecorded = result.record() != null && result.record().leaving();
+        machine.revision = result.record() == null ? 0 : result.revision();
+        machine.leavingRecorded = result.record() != null && result.record().decommissioning();
         machine.unsettle();
     }
 
--- a/src/main/java/org/woadloom/core/placement/CandidateMachines.java
+++ b/src/main/java/org/woadloom/core/placement/CandidateMachines.java
@@ -62,7 +62,7 @@
         this.scarce = scarce;
         this.eligibility = eligibility;
         this.reservations = reservations;
-        if (job.description.service()) {
+        if (job.description.isService()) {
             for (TaskAttempt placement : job.placements()) {
                 replicas.merge(placement.machine, 1, Integer::sum);
             }
@@ -71,7 +71,7 @@
             for (Machine machine : open) {
                 if (eligibility.allows(job, machine)) {
                     roomByYard.merge(
-                            machine.yard,
+                            machine.zone,
                             reservations.unreserved(machine, job).count(job.room),
                             Integer::sum);
                 }
@@ -112,7 +112,7 @@
 
     /** The machine that came last has got a task, and may take another. */
     void placed() {
-        if (job.description.service()) {
+        if (job.description.isService()) {
             replicas.merge(taken.machine, 1, Integer::sum);
         }
         if (fits(taken.machine)) {
@@ -122,7 +122,7 @@
     }
 
     private boolean startsTogether() {
-        return job.description.samePlace() && job.placements().isEmpty();
+        return job.description.sameZone() && job.placements().isEmpty();
     }
 
     private boolean fits(Machine machine) {
@@ -141,10 +141,10 @@
             // The reservation is drawn before the machine.
             score += 100_000;
         }
-        if (machine.images.has(job.description.bundle())) {
+        if (machine.images.has(job.description.image())) {
             score += 100;
         }
-        if (job.description.service()) {
+        if (job.description.isService()) {
             // Replicas on one machine are lost together.
             score -= 1000.0 * replicas.getOrDefault(machine, 0);
         } else {
@@ -154,15 +154,15 @@
         }
         if (startsTogether()) {
             // The first task fixes the zone, so it goes where most of the others fit.
-            score += 1000.0 * Math.min(job.pending(), roomByYard.getOrDefault(machine.yard, 0));
+            score += 1000.0 * Math.min(job.pending(), roomByYard.getOrDefault(machine.zone, 0));
         }
-        if (job.description.apart()) {
-            score -= 10.0 * job.placedIn(machine.yard);
+        if (job.description.spreadAcrossZones()) {
+            score -= 10.0 * job.placedIn(machine.zone);
         }
-        if (scarce.contains(machine.yard) && !machine.reclaimable) {
+        if (scarce.contains(machine.zone) && !machine.spot) {
             // Replicas that must spread put only the odd one elsewhere; work that has a choice
             // stays away.
-            score -= job.description.apart() ? 15 : 300;
+            score -= job.description.spreadAcrossZones() ? 15 : 300;
         }
         // Fullest first, so that idle machines can be returned.
         score += 20.0 * machine.used().cpu() / Math.max(1, machine.size().cpu());
--- a/src/main/java/org/woadloom/core/placement/PlacementConstraints.java
+++ b/src/main/java/org/woadloom/core/placement/PlacementConstraints.java
@@ -18,27 +18,28 @@
      * True if a machine of this type, zone and kind may run the job's tasks, whatever its other
      * tasks do.
      */
-    public boolean allows(JobDescription job, MachineType type, String yard, boolean reclaimable) {
+    public boolean allows(JobDescription job, MachineType type, String zone, boolean spot) {
         return type != null
-                && type.holds(job)
-                && (job.hosttypes() == null || job.hosttypes().contains(type.name()))
-                && (job.yard() == null || job.yard().equals(yard))
-                && (!reclaimable || job.reclaimable());
+                && type.fits(job)
+                && (job.machineTypes() == null || job.machineTypes().contains(type.name()))
+                && (job.zone() == null || job.zone().equals(zone))
+                && (!spot || job.spotAllowed());
     }
 
     public boolean allows(Job job, Machine machine) {
-        return allows(job.description, machine.type, machine.yard, machine.reclaimable)
-                && allowsYard(job, machine.yard);
+        return allows(job.description, machine.type, machine.zone, machine.spot)
+                && allowsYard(job, machine.zone);
     }
 
     /** Zone rules, given every task of the job that is or may be somewhere. */
-    public boolean allowsYard(Job job, String yard) {
-        if (job.description.samePlace()
-                && !job.yards().isEmpty()
-                && !(job.yards().size() == 1 && job.yards().contains(yard))) {
+    public boolean allowsYard(Job job, String zone) {
+        if (job.description.sameZone()
+                && !job.zones().isEmpty()
+                && !(job.zones().size() == 1 && job.zones().contains(zone))) {
             return false;
         }
-        return !job.description.apart() || job.placedIn(yard) < (job.description.shards() + 1) / 2;
+        return !job.description.spreadAcrossZones()
+                || job.placedIn(zone) < (job.description.taskCount() + 1) / 2;
     }
 
     /** True if the machine's worker is in touch and new tasks may go there. */
--- a/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
+++ b/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
@@ -44,9 +44,10 @@
     }
 
     /** A kind of search that found too little on all machines in this pass. */
-    private record FailedSearch(ResourceRequest shape, Priority rank, TeamQuota borrowersGiveTo) {
+    private record FailedSearch(
+            ResourceRequest shape, Priority priority, TeamQuota borrowersGiveTo) {
         boolean covers(Job job, boolean fromBorrowers) {
-            return rank.compareTo(job.rank()) >= 0
+            return priority.compareTo(job.priority()) >= 0
                     && (!fromBorrowers || borrowersGiveTo == job.team)
                     && shape.covers(job);
         }
@@ -72,11 +73,11 @@
                     hopeless.add(
                             new FailedSearch(
                                     ResourceRequest.of(job),
-                                    job.rank(),
+                                    job.priority(),
                                     fromBorrowers ? job.team : null));
                 }
             }
-            if (wanted > 0 && job.description.service()) {
+            if (wanted > 0 && job.description.isService()) {
                 moveReplica(job);
             }
         }
@@ -99,7 +100,7 @@
                 break;
             }
             if ((machine.hasHalting()
-                            || machine.hasBelow(job.rank())
+                            || machine.hasBelow(job.priority())
                             || fromBorrowers && !machine.empty())
                     && machine.size().holds(job.room)
                     && eligibility.takesTasks(machine)
@@ -128,7 +129,7 @@
             for (TaskAttempt placement : machine.placements()) {
                 Resources coming = reservations.balance(machine, null).plus(placement.job.room);
                 if (placement.job != job
-                        && placement.job.description.service()
+                        && placement.job.description.isService()
                         && !placement.halting()
                         && placement.stage == TaskAttempt.Stage.THERE
                         && coming.holds(job.room)
@@ -137,8 +138,8 @@
                     world.log(
                             LogEntry.info(LogEvent.REPLICA_MOVED)
                                     .with("task", placement.task())
-                                    .with("zone", machine.yard)
-                                    .with("for_job", job.uid()));
+                                    .with("zone", machine.zone)
+                                    .with("for_job", job.jobId()));
                     nextMoveMicros = world.nowMicros + MOVE_MICROS;
                     stop(placement);
                     return;
@@ -150,10 +151,10 @@
     private boolean hasRoomElsewhere(TaskAttempt placement) {
         Job job = placement.job;
         for (Machine machine : world.machines.values()) {
-            if (!machine.yard.equals(placement.machine.yard)
+            if (!machine.zone.equals(placement.machine.zone)
                     && eligibility.takesTasks(machine)
                     && eligibility.allows(job, machine)
-                    && machine.images.has(job.description.bundle())
+                    && machine.images.has(job.description.image())
                     && reservations.unreserved(machine, job).holds(job.room)) {
                 return true;
             }
@@ -211,9 +212,9 @@
         }
         // The lowest rank first, then borrowers, then what can save, then what has run least.
         victims.sort(
-                Comparator.comparing((TaskAttempt p) -> p.job.rank())
+                Comparator.comparing((TaskAttempt p) -> p.job.priority())
                         .thenComparing(p -> p.job.guaranteed)
-                        .thenComparing(p -> p.job.description.snapshotEveryS() == 0)
+                        .thenComparing(p -> p.job.description.checkpointIntervalSeconds() == 0)
                         .thenComparingLong(p -> -p.placedMicros));
         List<TaskAttempt> chosen = new ArrayList<>();
         for (TaskAttempt victim : victims) {
@@ -231,7 +232,7 @@
                     LogEntry.info(LogEvent.TASK_PREEMPTED)
                             .with("task", victim.task())
                             .with("machine", machine.host)
-                            .with("for_job", job.uid()));
+                            .with("for_job", job.jobId()));
             stop(victim);
         }
         return coming;
@@ -245,8 +246,8 @@
             world.placementWorthTrying = true;
         } else {
             victim.halt(
-                    victim.job.description.snapshotEveryS() > 0
-                            ? victim.job.description.snapshotCostS()
+                    victim.job.description.checkpointIntervalSeconds() > 0
+                            ? victim.job.description.checkpointCostSeconds()
                             : 0);
         }
     }
@@ -257,7 +258,7 @@
      */
     private boolean mayStop(Job job, TaskAttempt placement) {
         Job other = placement.job;
-        int order = other.rank().compareTo(job.rank());
+        int order = other.priority().compareTo(job.priority());
         if (order != 0) {
             return order < 0;
         }
--- a/src/main/java/org/woadloom/core/placement/QueueOrder.java
+++ b/src/main/java/org/woadloom/core/placement/QueueOrder.java
@@ -68,23 +68,23 @@
     private record Entry(Job job, boolean overdue, Punctuality standing, double turn) {}
 
     private static final Comparator<Entry> ORDER =
-            Comparator.comparing((Entry e) -> e.job.rank())
+            Comparator.comparing((Entry e) -> e.job.priority())
                     .reversed()
                     .thenComparing(e -> !e.job.guaranteed)
                     .thenComparing(e -> !e.overdue)
                     .thenComparing(Entry::standing)
                     .thenComparingDouble(Entry::turn)
-                    .thenComparing(e -> e.job.uid());
+                    .thenComparing(e -> e.job.jobId());
 
     public QueueOrder(SchedulerState world) {
         this.world = world;
         for (Objective objective : world.settings.objectives()) {
-            if (objective.kind().equals("finished") && objective.withinS() > 0) {
-                targets.computeIfAbsent(objective.jobclass(), c -> new ArrayList<>())
-                        .add(objective.withinS() * 1e6);
+            if (objective.kind().equals("finished") && objective.withinSeconds() > 0) {
+                targets.computeIfAbsent(objective.jobClass(), c -> new ArrayList<>())
+                        .add(objective.withinSeconds() * 1e6);
             } else if (objective.kind().equals("deadline") && objective.times() > 0) {
                 multiples
-                        .computeIfAbsent(objective.jobclass(), c -> new ArrayList<>())
+                        .computeIfAbsent(objective.jobClass(), c -> new ArrayList<>())
                         .add(objective.times());
             }
         }
@@ -129,7 +129,7 @@
     }
 
     private static double runtimeMicros(Job job) {
-        return job.description.runtimeS() * 1e6;
+        return job.description.estimatedRuntimeSeconds() * 1e6;
     }
 
     /**
@@ -147,7 +147,7 @@
      * as long as it can.
      */
     private Punctuality standing(Job job) {
-        if (job.description.service()) {
+        if (job.description.isService()) {
             return Punctuality.DUE;
         }
         boolean due = job.dueMicros() != Long.MAX_VALUE;
@@ -155,8 +155,8 @@
         double ends = world.nowMicros - from + runtimeMicros(job);
         List<Double> times =
                 due
-                        ? multiples.getOrDefault(job.description.jobclass(), ONCE)
-                        : targets.getOrDefault(job.description.jobclass(), List.of());
+                        ? multiples.getOrDefault(job.description.jobClass(), ONCE)
+                        : targets.getOrDefault(job.description.jobClass(), List.of());
         double unit = due ? job.dueMicros() - from : 1;
         for (double time : times) {
             if (ends <= time * unit) {
--- a/src/main/java/org/woadloom/core/placement/ResourceRequest.java
+++ b/src/main/java/org/woadloom/core/placement/ResourceRequest.java
@@ -7,21 +7,21 @@
  * What a search for room looks for. Once no machine has room for a shape, none has it for anything
  * that needs at least as much and may go to no other machines, until room is freed.
  */
-record ResourceRequest(Resources room, List<String> hosttypes, String yard, boolean reclaimable) {
+record ResourceRequest(Resources room, List<String> machineTypes, String zone, boolean spot) {
     static ResourceRequest of(Job job) {
         return new ResourceRequest(
                 job.room,
-                job.description.hosttypes(),
-                job.description.yard(),
-                job.description.reclaimable());
+                job.description.machineTypes(),
+                job.description.zone(),
+                job.description.spotAllowed());
     }
 
     /** True if the job's tasks find no room where this shape found none. */
     boolean covers(Job job) {
         return job.room.holds(room)
-                && (reclaimable || !job.description.reclaimable())
-                && (hosttypes == null || hosttypes.equals(job.description.hosttypes()))
-                && (yard == null || yard.equals(job.description.yard()));
+                && (spot || !job.description.spotAllowed())
+                && (machineTypes == null || machineTypes.equals(job.description.machineTypes()))
+                && (zone == null || zone.equals(job.description.zone()));
     }
 
     /**
@@ -29,6 +29,8 @@
      * away.
      */
     static boolean plain(Job job) {
-        return !job.description.apart() && !job.description.samePlace() && job.failedOn.isEmpty();
+        return !job.description.spreadAcrossZones()
+                && !job.description.sameZone()
+                && job.failedOn.isEmpty();
     }
 }
--- a/src/main/java/org/woadloom/core/placement/Resources.java
+++ b/src/main/java/org/woadloom/core/placement/Resources.java
@@ -4,20 +4,20 @@
 import org.woadloom.protocol.MachineType;
 
 /** An amount of a machine, in whole thousandths so that sums do not drift. */
-public record Resources(long cpu, long card, long ram) {
+public record Resources(long cpu, long gpu, long memory) {
     public static final Resources NONE = new Resources(0, 0, 0);
 
     /** What one task takes, rounded up. */
     public static Resources of(JobDescription job) {
-        return new Resources(up(job.vcpus()), up(job.cards()), up(job.ramGb()));
+        return new Resources(up(job.cpus()), up(job.gpus()), up(job.memoryGb()));
     }
 
     /** What a machine has, rounded down. */
     public static Resources of(MachineType type) {
         return new Resources(
-                (long) (type.vcpus() * 1000 + 1e-6),
-                (long) (type.cards() * 1000 + 1e-6),
-                (long) (type.ramGb() * 1000 + 1e-6));
+                (long) (type.cpus() * 1000 + 1e-6),
+                (long) (type.gpus() * 1000 + 1e-6),
+                (long) (type.memoryGb() * 1000 + 1e-6));
     }
 
     private static long up(double amount) {
@@ -25,19 +25,19 @@
     }
 
     public Resources plus(Resources other) {
-        return new Resources(cpu + other.cpu, card + other.card, ram + other.ram);
+        return new Resources(cpu + other.cpu, gpu + other.gpu, memory + other.memory);
     }
 
     public Resources minus(Resources other) {
-        return new Resources(cpu - other.cpu, card - other.card, ram - other.ram);
+        return new Resources(cpu - other.cpu, gpu - other.gpu, memory - other.memory);
     }
 
     public Resources times(long factor) {
-        return new Resources(cpu * factor, card * factor, ram * factor);
+        return new Resources(cpu * factor, gpu * factor, memory * factor);
     }
 
     public boolean holds(Resources other) {
-        return other.cpu <= cpu && other.card <= card && other.ram <= ram;
+        return other.cpu <= cpu && other.gpu <= gpu && other.memory <= memory;
     }
 
     /** How many times the other fits; the other must not be nothing. */
@@ -46,25 +46,25 @@
         if (other.cpu > 0) {
             count = Math.min(count, cpu / other.cpu);
         }
-        if (other.card > 0) {
-            count = Math.min(count, card / other.card);
+        if (other.gpu > 0) {
+            count = Math.min(count, gpu / other.gpu);
         }
-        if (other.ram > 0) {
-            count = Math.min(count, ram / other.ram);
+        if (other.memory > 0) {
+            count = Math.min(count, memory / other.memory);
         }
         return (int) Math.max(0, count);
     }
 
     /** The part without anything negative. */
     public Resources floor() {
-        return (cpu | card | ram) >= 0
+        return (cpu | gpu | memory) >= 0
                 ? this
-                : new Resources(Math.max(0, cpu), Math.max(0, card), Math.max(0, ram));
+                : new Resources(Math.max(0, cpu), Math.max(0, gpu), Math.max(0, memory));
     }
 
     /** Of each the smaller amount. */
     public Resources least(Resources other) {
         return new Resources(
-                Math.min(cpu, other.cpu), Math.min(card, other.card), Math.min(ram, other.ram));
+                Math.min(cpu, other.cpu), Math.min(gpu, other.gpu), Math.min(memory, other.memory));
     }
 }
--- a/src/main/java/org/woadloom/core/placement/TaskPlacer.java
+++ b/src/main/java/org/woadloom/core/placement/TaskPlacer.java
@@ -48,7 +48,7 @@
         List<ResourceRequest> without = new ArrayList<>();
         for (Job job : queue()) {
             boolean holds = reservations.heldFor(job) > 0;
-            if (!holds && !job.description.service() && job.backsOff(world.nowMicros)) {
+            if (!holds && !job.description.isService() && job.backsOff(world.nowMicros)) {
                 continue;
             }
             // Without a reservation to draw from, the limit and what others did not find decide at
@@ -72,7 +72,7 @@
         List<Machine> open = new ArrayList<>();
         for (Machine machine : world.machines.values()) {
             Resources room = machine.room();
-            if ((room.cpu() > 0 || room.ram() > 0 || room.card() > 0)
+            if ((room.cpu() > 0 || room.memory() > 0 || room.gpu() > 0)
                     && eligibility.takesTasks(machine)) {
                 open.add(machine);
             }
@@ -84,7 +84,7 @@
     private boolean placeJob(Job job, long attempt, List<Machine> open) {
         RecordSizeEstimate size = RecordSizeEstimate.of(job, world.valueBytes, world.format);
         if (!size.takesMore(job.nextPending(0))
-                || job.description.gang()
+                || job.description.isGang()
                         && !gangFits(job, size.mostMore(job.nextPending(0), job.pending()))) {
             return false;
         }
@@ -118,10 +118,10 @@
         if (placed > 0) {
             world.log(
                     LogEntry.debug(LogEvent.TASKS_PLACED)
-                            .with("job", job.uid())
+                            .with("job", job.jobId())
                             .with("tasks", placed)
                             .with("pending", job.pending())
-                            .with("tasks_by_zone", job.zones()));
+                            .with("tasks_by_zone", job.tasksByZone()));
         }
         return full;
     }
@@ -139,7 +139,7 @@
                     && eligibility.allows(job, machine)
                     && !job.failedOn.contains(machine.host)) {
                 perYard.merge(
-                        machine.yard,
+                        machine.zone,
                         reservations.unreserved(machine, job).count(job.room),
                         Integer::sum);
             }
@@ -153,12 +153,14 @@
         int largest = 0;
         int sum = 0;
         int mostPerYard =
-                job.description.apart() ? (job.description.shards() + 1) / 2 : Integer.MAX_VALUE;
+                job.description.spreadAcrossZones()
+                        ? (job.description.taskCount() + 1) / 2
+                        : Integer.MAX_VALUE;
         for (Map.Entry<String, Integer> entry : perYard.entrySet()) {
             int room = Math.min(entry.getValue(), mostPerYard - job.placedIn(entry.getKey()));
             largest = Math.max(largest, room);
             sum += room;
         }
-        return (job.description.samePlace() ? largest : sum) >= wanted;
+        return (job.description.sameZone() ? largest : sum) >= wanted;
     }
 }
--- a/src/main/java/org/woadloom/core/quota/ClassFairShare.java
+++ b/src/main/java/org/woadloom/core/quota/ClassFairShare.java
@@ -55,12 +55,12 @@
             if (job.pending() > 0 || !job.placements().isEmpty()) {
                 Demand demand =
                         demands.computeIfAbsent(job.team, t -> new LinkedHashMap<>())
-                                .computeIfAbsent(job.description.jobclass(), c -> new Demand());
+                                .computeIfAbsent(job.description.jobClass(), c -> new Demand());
                 demand.used = demand.used.plus(job.room.times(job.placements().size()));
                 demand.waiting = demand.waiting.plus(job.room.times(job.pending()));
                 demand.task = job.pending() > 0 ? job.room : demand.task;
                 if (job.pending() > 0) {
-                    Resources begins = job.room.times(job.description.gang() ? job.pending() : 1);
+                    Resources begins = job.room.times(job.description.isGang() ? job.pending() : 1);
                     demand.least =
                             demand.least == null || demand.least.holds(begins)
                                     ? begins
@@ -100,7 +100,7 @@
                             > UNUSED_MICROS) {
                         return;
                     }
-                    if (missing.cpu() > 0 || missing.card() > 0) {
+                    if (missing.cpu() > 0 || missing.gpu() > 0) {
                         kept.put(name, missing);
                     }
                 });
@@ -119,7 +119,7 @@
                                 LogEntry.info(LogEvent.QUOTA_EXCEEDED)
                                         .with("team", team.team.name())
                                         .with("asked_cpus", all.cpu() / 1000)
-                                        .with("asked_gpus", all.card() / 1000)
+                                        .with("asked_gpus", all.gpu() / 1000)
                                         .with("class", name)
                                         .with("used_cpus", demand.used.cpu() / 1000)
                                         .with("waiting_cpus", demand.waiting.cpu() / 1000)));
--- a/src/main/java/org/woadloom/core/quota/GuaranteedQuota.java
+++ b/src/main/java/org/woadloom/core/quota/GuaranteedQuota.java
@@ -16,7 +16,7 @@
  */
 public final class GuaranteedQuota {
     private static final Comparator<Job> BY_AGE =
-            Comparator.comparingLong((Job job) -> job.sinceMicros()).thenComparing(Job::uid);
+            Comparator.comparingLong((Job job) -> job.sinceMicros()).thenComparing(Job::jobId);
 
     private static final long AGAIN_MICROS = 200_000;
 
@@ -49,7 +49,7 @@
         for (Job job : jobs) {
             Resources sum =
                     sums.getOrDefault(job.team, Resources.NONE)
-                            .plus(job.room.times(job.description.shards() - job.doneCount()));
+                            .plus(job.room.times(job.description.taskCount() - job.doneCount()));
             sums.put(job.team, sum);
             job.guaranteed = job.team.guarantees(sum);
         }
--- a/src/main/java/org/woadloom/core/quota/QuotaRotation.java
+++ b/src/main/java/org/woadloom/core/quota/QuotaRotation.java
@@ -99,7 +99,7 @@
                                 passed.put(turn.job, world.nowMicros + TURN_MICROS);
                                 world.log(
                                         LogEntry.info(LogEvent.QUOTA_TURN_EXPIRED)
-                                                .with("job", turn.job.uid())
+                                                .with("job", turn.job.jobId())
                                                 .with("team", turn.job.team.team.name())
                                                 .withSeconds(
                                                         "turn_s",
@@ -147,7 +147,7 @@
     private void begin(TeamQuota team, Job job) {
         Resources replicas = Resources.NONE;
         for (Job other : world.jobs.values()) {
-            if (other.team == team && other.description.service() && !other.over()) {
+            if (other.team == team && other.description.isService() && !other.over()) {
                 replicas = replicas.plus(other.room.times(other.placements().size()));
             }
         }
@@ -161,7 +161,7 @@
         }
         world.log(
                 LogEntry.info(event)
-                        .with("job", job.uid())
+                        .with("job", job.jobId())
                         .with("team", team.team.name())
                         .withSeconds("waited_s", world.nowMicros - job.sinceMicros())
                         .with("needed_tasks", needed(job))
@@ -175,6 +175,6 @@
 
     /** With how many tasks the job begins: a gang with all of them. */
     private static int needed(Job job) {
-        return job.description.gang() ? job.pending() : 1;
+        return job.description.isGang() ? job.pending() : 1;
     }
 }
--- a/src/main/java/org/woadloom/core/quota/TeamQuota.java
+++ b/src/main/java/org/woadloom/core/quota/TeamQuota.java
@@ -63,7 +63,7 @@
             return left.floor().count(task);
         }
         left = left.minus(gathered);
-        String jobClass = job.description.jobclass();
+        String jobClass = job.description.jobClass();
         for (Map.Entry<String, Resources> other : kept.entrySet()) {
             left = other.getKey().equals(jobClass) ? left : left.minus(other.getValue());
         }
@@ -76,7 +76,7 @@
 
     Resources partOfLimit(double part) {
         return new Resources(
-                (long) (limit.cpu() * part), (long) (limit.card() * part), limit.ram());
+                (long) (limit.cpu() * part), (long) (limit.gpu() * part), limit.memory());
     }
 
     /** True if so much is within the guarantee. */
--- a/src/main/java/org/woadloom/core/reservation/GangReservationPlanner.java
+++ b/src/main/java/org/woadloom/core/reservation/GangReservationPlanner.java
@@ -43,21 +43,21 @@
      * use.
      */
     public boolean gathers(Job job) {
-        return job.description.gang() || big(job);
+        return job.description.isGang() || big(job);
     }
 
     private boolean big(Job job) {
         double share = world.settings.operator().bigTaskShare();
         boolean allowedAnywhere = false;
         for (var type : world.types.values()) {
-            if (type.holds(job.description)
-                    && (job.description.hosttypes() == null
-                            || job.description.hosttypes().contains(type.name()))) {
+            if (type.fits(job.description)
+                    && (job.description.machineTypes() == null
+                            || job.description.machineTypes().contains(type.name()))) {
                 allowedAnywhere = true;
                 Resources size = Resources.of(type);
                 if (job.room.cpu() < size.cpu() * share
-                        && job.room.ram() < size.ram() * share
-                        && (size.card() == 0 || job.room.card() < size.card() * share)) {
+                        && job.room.memory() < size.memory() * share
+                        && (size.gpu() == 0 || job.room.gpu() < size.gpu() * share)) {
                     return false;
                 }
             }
@@ -71,13 +71,13 @@
             if (byYard.containsValue(reservation.owner)) {
                 world.log(
                         LogEntry.info(LogEvent.RESERVATION_FAILED)
-                                .with("job", reservation.owner.uid())
+                                .with("job", reservation.owner.jobId())
                                 .with("machine", reservation.machine.host));
                 giveUp(reservation.owner);
             }
         }
         for (Job job : new ArrayList<>(byYard.values())) {
-            if (job.over() || job.pending() == 0 || world.jobs.get(job.uid()) != job) {
+            if (job.over() || job.pending() == 0 || world.jobs.get(job.jobId()) != job) {
                 end(job);
             }
         }
@@ -90,14 +90,14 @@
         waiting.sort(
                 Comparator.comparingLong(
                                 (Job job) -> requeuedMicros.getOrDefault(job, job.sinceMicros()))
-                        .thenComparing(Job::uid));
+                        .thenComparing(Job::jobId));
         for (Job job : waiting) {
             begin(job);
         }
         for (Job job : new LinkedHashSet<>(byYard.values())) {
             renew(job);
         }
-        requeuedMicros.keySet().removeIf(job -> !world.jobs.containsKey(job.uid()));
+        requeuedMicros.keySet().removeIf(job -> !world.jobs.containsKey(job.jobId()));
     }
 
     private void giveUp(Job job) {
@@ -114,9 +114,9 @@
     }
 
     private void begin(Job job) {
-        int wanted = job.description.gang() ? job.pending() : 1;
-        for (Set<String> yards : choices(job)) {
-            List<Machine> chosen = choose(job, wanted, yards);
+        int wanted = job.description.isGang() ? job.pending() : 1;
+        for (Set<String> zones : choices(job)) {
+            List<Machine> chosen = choose(job, wanted, zones);
             if (chosen == null) {
                 continue;
             }
@@ -132,11 +132,11 @@
                 made.forEach(reservations::release);
                 continue;
             }
-            chosen.forEach(machine -> byYard.put(machine.yard, job));
+            chosen.forEach(machine -> byYard.put(machine.zone, job));
             renewedMicros.put(job, world.nowMicros);
             world.log(
                     LogEntry.info(LogEvent.RESERVATIONS_MADE)
-                            .with("job", job.uid())
+                            .with("job", job.jobId())
                             .with("tasks", wanted));
             return;
         }
@@ -149,15 +149,15 @@
     private List<Set<String>> choices(Job job) {
         Set<String> open = new LinkedHashSet<>();
         for (Machine machine : world.machines.values()) {
-            if (!byYard.containsKey(machine.yard)) {
-                open.add(machine.yard);
+            if (!byYard.containsKey(machine.zone)) {
+                open.add(machine.zone);
             }
         }
         List<Set<String>> choices = new ArrayList<>();
-        for (String yard : open) {
-            choices.add(Set.of(yard));
+        for (String zone : open) {
+            choices.add(Set.of(zone));
         }
-        if (!job.description.samePlace() && open.size() > 1) {
+        if (!job.description.sameZone() && open.size() > 1) {
             choices.add(open);
         }
         return choices;
@@ -167,10 +167,10 @@
      * Machines for the wanted number of tasks: those that need the least more room first. Null if
      * there are too few.
      */
-    private List<Machine> choose(Job job, int wanted, Set<String> yards) {
+    private List<Machine> choose(Job job, int wanted, Set<String> zones) {
         List<Machine> candidates = new ArrayList<>();
         for (Machine machine : world.machines.values()) {
-            if (yards.contains(machine.yard)
+            if (zones.contains(machine.zone)
                     && eligibility.takesTasks(machine)
                     && eligibility.allows(job, machine)
                     && machine.size().holds(job.room)
@@ -182,17 +182,19 @@
                 Comparator.comparingLong(
                         (Machine machine) -> -reservations.unreserved(machine, job).cpu()));
         int perYard =
-                job.description.apart() ? (job.description.shards() + 1) / 2 : Integer.MAX_VALUE;
+                job.description.spreadAcrossZones()
+                        ? (job.description.taskCount() + 1) / 2
+                        : Integer.MAX_VALUE;
         Map<String, Integer> inYard = new LinkedHashMap<>();
         List<Machine> chosen = new ArrayList<>();
         for (Machine machine : candidates) {
             int room = machine.size().count(job.room);
             while (room > 0
                     && chosen.size() < wanted
-                    && job.placedIn(machine.yard) + inYard.getOrDefault(machine.yard, 0)
+                    && job.placedIn(machine.zone) + inYard.getOrDefault(machine.zone, 0)
                             < perYard) {
                 chosen.add(machine);
-                inYard.merge(machine.yard, 1, Integer::sum);
+                inYard.merge(machine.zone, 1, Integer::sum);
                 room--;
             }
         }
--- a/src/main/java/org/woadloom/core/reservation/Reservation.java
+++ b/src/main/java/org/woadloom/core/reservation/Reservation.java
@@ -79,8 +79,8 @@
         Resources left = remaining();
         return new Resources(
                 Math.min(left.cpu(), task.cpu()),
-                Math.min(left.card(), task.card()),
-                Math.min(left.ram(), task.ram()));
+                Math.min(left.gpu(), task.gpu()),
+                Math.min(left.memory(), task.memory()));
     }
 
     void draw(Resources room) {
--- a/src/main/java/org/woadloom/core/reservation/Reservations.java
+++ b/src/main/java/org/woadloom/core/reservation/Reservations.java
@@ -206,7 +206,7 @@
 
     private static long draws(Reservation reservation, Job job) {
         Resources room = reservation.drawable(job.room);
-        return room.cpu() + room.card() * 16 + room.ram() / 16;
+        return room.cpu() + room.gpu() * 16 + room.memory() / 16;
     }
 
     /**
@@ -253,7 +253,7 @@
     public int coming(Job job) {
         int count = 0;
         for (Reservation reservation : byOwner.getOrDefault(job, List.of())) {
-            if (reservation.phase() == Phase.AVAILABLE || !job.description.gang()) {
+            if (reservation.phase() == Phase.AVAILABLE || !job.description.isGang()) {
                 count++;
             }
         }
--- a/src/main/java/org/woadloom/core/rollout/Feature.java
+++ b/src/main/java/org/woadloom/core/rollout/Feature.java
@@ -48,7 +48,7 @@
             true,
             Set.of(),
             StoreKeys.MACHINES,
-            MachineRecord::tellsLife),
+            MachineRecord::hasLifecycle),
     /** Nodes vouch to the leader for the cancellations that they confirm. */
     CANCELLATION_VOUCHES(
             "cancellation-vouches",
--- a/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
+++ b/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
@@ -211,13 +211,13 @@
         }
         writing = next;
         Map<String, Long> conditions = new LinkedHashMap<>();
-        conditions.put(StoreKeys.ROLLOUT_STATE, seen.stamp());
+        conditions.put(StoreKeys.ROLLOUT_STATE, seen.revision());
         // What was decided by these words is void if one has changed: a process that ended and came
         // back old, say.
         seen.words()
                 .forEach(
                         (label, spoken) ->
-                                conditions.put(StoreKeys.ROLLOUT_NODES + label, spoken.stamp()));
+                                conditions.put(StoreKeys.ROLLOUT_NODES + label, spoken.revision()));
         long agreed = seen.agreed();
         for (Feature feature : Feature.values()) {
             if (next.of(feature.key()).on()) {
@@ -309,7 +309,7 @@
         }
         if (result.outcome() == SchedulerEvent.WriteOutcome.WRITTEN) {
             steps.values().forEach(world::log);
-            seen = seen.with(writing, result.stamp());
+            seen = seen.with(writing, result.revision());
         }
         writing = null;
         reviewedMicros = Long.MIN_VALUE / 2;
--- a/src/main/java/org/woadloom/core/slo/LargestJobsReport.java
+++ b/src/main/java/org/woadloom/core/slo/LargestJobsReport.java
@@ -30,7 +30,7 @@
         boolean cancelled;
 
         Entry(Job job) {
-            size = job.room.cpu() * job.description.shards();
+            size = job.room.cpu() * job.description.taskCount();
             sinceMicros = job.sinceMicros();
         }
 
@@ -41,15 +41,15 @@
 
     void come(Job job) {
         Map<String, Entry> jobs =
-                byClass.computeIfAbsent(job.description.jobclass(), name -> new LinkedHashMap<>());
-        jobs.put(job.uid(), new Entry(job));
+                byClass.computeIfAbsent(job.description.jobClass(), name -> new LinkedHashMap<>());
+        jobs.put(job.jobId(), new Entry(job));
         if (jobs.size() > MOST_KEPT) {
             jobs.remove(jobs.keySet().iterator().next());
         }
     }
 
     private Entry entry(Job job) {
-        return byClass.getOrDefault(job.description.jobclass(), Map.of()).get(job.uid());
+        return byClass.getOrDefault(job.description.jobClass(), Map.of()).get(job.jobId());
     }
 
     void look(Job job) {
--- a/src/main/java/org/woadloom/core/slo/ServiceLevelReport.java
+++ b/src/main/java/org/woadloom/core/slo/ServiceLevelReport.java
@@ -66,8 +66,8 @@
 
     private Count count(Job job) {
         return counts.computeIfAbsent(
-                job.description.crew() + '\0' + job.description.jobclass(),
-                key -> new Count(job.description.crew(), job.description.jobclass()));
+                job.description.team() + '\0' + job.description.jobClass(),
+                key -> new Count(job.description.team(), job.description.jobClass()));
     }
 
     public void come(Job job) {
@@ -80,7 +80,7 @@
      */
     public void look(Job job) {
         if (!job.over()
-                && job.running() + job.doneCount() == job.description.shards()
+                && job.running() + job.doneCount() == job.description.taskCount()
                 && whole.add(job)) {
             count(job).startedWhole++;
         }
--- a/src/main/java/org/woadloom/http/AdmissionControl.java
+++ b/src/main/java/org/woadloom/http/AdmissionControl.java
@@ -56,7 +56,7 @@
      * decided now.
      */
     void judge(JobDescription job, Consumer<Response> refusal) {
-        String never = neverByItsTerms(job, settings.team(job.crew()), settings.zones());
+        String never = neverByItsTerms(job, settings.team(job.team()), settings.zones());
         if (never != null) {
             refusal.accept(Response.error(422, never));
         } else if (types.types().isEmpty()) {
@@ -120,18 +120,18 @@
         if (team == null) {
             return "crew: unknown team";
         }
-        int together = together(job) ? job.shards() : 1;
-        if (job.vcpus() * together > team.cpusMax() + 1e-9
-                || job.cards() * together > team.gpusMax() + 1e-9) {
+        int together = together(job) ? job.taskCount() : 1;
+        if (job.cpus() * together > team.cpusMax() + 1e-9
+                || job.gpus() * together > team.gpusMax() + 1e-9) {
             return "the job needs more than the team's limit";
         }
-        if (job.yard() != null && !zones.contains(job.yard())) {
+        if (job.zone() != null && !zones.contains(job.zone())) {
             return "yard: unknown zone";
         }
-        if (job.hosttypes() != null && job.hosttypes().isEmpty()) {
+        if (job.machineTypes() != null && job.machineTypes().isEmpty()) {
             return "hosttypes: none is allowed";
         }
-        if (spreads(job) && (job.samePlace() || job.yard() != null)) {
+        if (spreads(job) && (job.sameZone() || job.zone() != null)) {
             return "apart: half of the tasks at most may be in one zone, and all must be";
         }
         return null;
@@ -141,13 +141,13 @@
     static String neverByTypes(JobDescription job, List<MachineType> types) {
         Set<String> zones = new HashSet<>();
         for (MachineType type : types) {
-            if (type.holds(job)
-                    && (job.hosttypes() == null || job.hosttypes().contains(type.name()))) {
-                zones.addAll(type.yards());
+            if (type.fits(job)
+                    && (job.machineTypes() == null || job.machineTypes().contains(type.name()))) {
+                zones.addAll(type.zones());
             }
         }
-        if (job.yard() != null) {
-            zones.retainAll(Set.of(job.yard()));
+        if (job.zone() != null) {
+            zones.retainAll(Set.of(job.zone()));
         }
         if (zones.isEmpty()) {
             return "a task fits no allowed machine type that is offered where it may run";
@@ -159,7 +159,7 @@
 
     /** All tasks are needed at once: an array may run a few at a time. */
     private static boolean together(JobDescription job) {
-        return job.service() || job.gang();
+        return job.isService() || job.isGang();
     }
 
     /**
@@ -167,6 +167,6 @@
      * turns there.
      */
     private static boolean spreads(JobDescription job) {
-        return together(job) && job.apart() && job.shards() > 1;
+        return together(job) && job.spreadAcrossZones() && job.taskCount() > 1;
     }
 }
--- a/src/main/java/org/woadloom/http/JobApi.java
+++ b/src/main/java/org/woadloom/http/JobApi.java
@@ -42,7 +42,7 @@
 
     /** Hears of jobs that this node made durable. */
     public interface Hint {
-        void changed(JobRecord record, long stamp);
+        void changed(JobRecord record, long revision);
     }
 
     /**
@@ -50,7 +50,7 @@
      */
     public interface Confirmation {
         /** The answer is false where that was not known in time: the user asks again. */
-        void mayTell(String uid, long patienceMicros, Consumer<Boolean> answer);
+        void mayTell(String jobId, long patienceMicros, Consumer<Boolean> answer);
     }
 
     /** Where the machine types come from. */
@@ -144,8 +144,8 @@
                 job,
                 refusal -> {
                     if (refusal != null) {
-                        refuseUnlessKnown(job.uid(), refusal, answer);
-                    } else if (job.awaits().isEmpty()) {
+                        refuseUnlessKnown(job.jobId(), refusal, answer);
+                    } else if (job.dependencies().isEmpty()) {
                         create(job, answer);
                     } else {
                         createAfter(job, answer);
@@ -154,8 +154,8 @@
     }
 
     /** A job that was accepted stays accepted, whatever a repeated request looks like. */
-    private void refuseUnlessKnown(Object uid, Response refusal, Consumer<Response> answer) {
-        if (!(uid instanceof String text) || !JobDescription.isUid(text)) {
+    private void refuseUnlessKnown(Object jobId, Response refusal, Consumer<Response> answer) {
+        if (!(jobId instanceof String text) || !JobDescription.isJobId(text)) {
             answer.accept(refusal);
             return;
         }
@@ -186,10 +186,10 @@
      * version it can't be: version 1 would start it.
      */
     private void createAfter(JobDescription job, Consumer<Response> answer) {
-        for (String before : job.awaits()) {
-            if (!JobDescription.isUid(before) || before.equals(job.uid())) {
+        for (String before : job.dependencies()) {
+            if (!JobDescription.isJobId(before) || before.equals(job.jobId())) {
                 refuseUnlessKnown(
-                        job.uid(),
+                        job.jobId(),
                         Response.error(422, "awaits: " + before + " can't be waited for"),
                         answer);
                 return;
@@ -197,14 +197,14 @@
         }
         if (storage.format() != RecordFormat.COMPACT) {
             refuseUnlessKnown(
-                    job.uid(),
+                    job.jobId(),
                     Response.unavailable("awaits: not before all nodes run this version"),
                     answer);
             return;
         }
         Response[] refusal = {null};
-        int[] missing = {job.awaits().size()};
-        for (String before : job.awaits()) {
+        int[] missing = {job.dependencies().size()};
+        for (String before : job.dependencies()) {
             lookFor(
                     before,
                     (looked, service) -> {
@@ -226,7 +226,7 @@
                         if (refusal[0] == null) {
                             create(job, answer);
                         } else {
-                            refuseUnlessKnown(job.uid(), refusal[0], answer);
+                            refuseUnlessKnown(job.jobId(), refusal[0], answer);
                         }
                     });
         }
@@ -240,14 +240,14 @@
         void found(boolean looked, Boolean service);
     }
 
-    private void lookFor(String uid, Finding finding) {
-        Boolean service = reader.acceptedService(uid);
+    private void lookFor(String jobId, Finding finding) {
+        Boolean service = reader.acceptedService(jobId);
         if (service != null) {
             finding.found(true, service);
             return;
         }
         reader.look(
-                uid,
+                jobId,
                 looked ->
                         finding.found(
                                 looked != null,
@@ -257,10 +257,11 @@
     }
 
     private void create(JobDescription job, Consumer<Response> answer) {
-        if (reader.acceptedService(job.uid()) != null) {
+        if (reader.acceptedService(job.jobId()) != null) {
             // A transaction that can only fail would count as a change all the same, and those are
             // scarce.
-            refuseUnlessKnown(job.uid(), Response.unavailable("the job changed meanwhile"), answer);
+            refuseUnlessKnown(
+                    job.jobId(), Response.unavailable("the job changed meanwhile"), answer);
             return;
         }
         JobRecord record = JobRecord.accepted(job, loop.wallMicros());
@@ -269,35 +270,35 @@
         int spare = format == RecordFormat.COMPACT ? PROGRESS_BYTES : 0;
         if (Cbor.jsonSize(value) + spare > storage.valueBytes()) {
             refuseUnlessKnown(
-                    job.uid(), Response.error(400, "the job's description is too long"), answer);
+                    job.jobId(), Response.error(400, "the job's description is too long"), answer);
             return;
         }
         writes.write(
-                job.uid(),
+                job.jobId(),
                 List.of(
-                        new Condition(StoreKeys.job(job.uid()), 0),
-                        new Condition(StoreKeys.finalState(job.uid()), 0)),
-                Change.put(StoreKeys.job(job.uid()), value),
+                        new Condition(StoreKeys.job(job.jobId()), 0),
+                        new Condition(StoreKeys.finalState(job.jobId()), 0)),
+                Change.put(StoreKeys.job(job.jobId()), value),
                 reader::lookForRecord,
                 found -> true,
-                (result, generation, found) -> {
+                (result, storeRevision, found) -> {
                     boolean ours = found != null && record.equals(found.record());
                     if (result == Result.OK || ours) {
-                        reader.accepted(job.uid(), job.service());
-                        hint.changed(record, ours ? found.stamp() : generation);
+                        reader.accepted(job.jobId(), job.isService());
+                        hint.changed(record, ours ? found.revision() : storeRevision);
                         answer.accept(
                                 Response.of(
-                                        201, new JobStatus(job.uid(), "queued", -1, 0).toMap()));
+                                        201, new JobStatus(job.jobId(), "queued", -1, 0).toMap()));
                     } else if (found != null) {
                         tellAccepted(found, answer);
                     } else if (result == Result.CONFLICT) {
                         refuseUnlessKnown(
-                                job.uid(),
+                                job.jobId(),
                                 Response.unavailable("the job changed meanwhile"),
                                 answer);
                     } else if (result == Result.BAD) {
                         refuseUnlessKnown(
-                                job.uid(),
+                                job.jobId(),
                                 Response.error(400, "the job's description is too long"),
                                 answer);
                     } else {
@@ -306,46 +307,46 @@
                 });
     }
 
-    public void show(String uid, Consumer<Response> answer) {
-        if (!JobDescription.isUid(uid)) {
+    public void show(String jobId, Consumer<Response> answer) {
+        if (!JobDescription.isJobId(jobId)) {
             answer.accept(Response.error(404, "no such job"));
             return;
         }
         Consumer<CoalescingJobReader.JobView> told =
                 shown -> {
                     if (shown == null) {
-                        unanswered.refused(uid, !state.refuses());
+                        unanswered.refused(jobId, !state.refuses());
                         answer.accept(Response.unavailable("the state service does not answer"));
                         return;
                     }
                     if (shown.status() == null) {
-                        unanswered.answered(uid);
+                        unanswered.answered(jobId);
                         answer.accept(Response.error(404, "no such job"));
                     } else {
                         tell(
                                 shown,
                                 POLL_PATIENCE_MICROS,
                                 () -> {
-                                    unanswered.answered(uid);
+                                    unanswered.answered(jobId);
                                     answer.accept(Response.of(200, shownMap(shown)));
                                 },
                                 refused -> {
-                                    unanswered.refused(uid, !state.refuses());
+                                    unanswered.refused(jobId, !state.refuses());
                                     answer.accept(refused);
                                 });
                     }
                 };
-        if (unanswered.goesFirst(uid)) {
+        if (unanswered.goesFirst(jobId)) {
             reader.look(
                     RequestPriority.USER,
-                    uid,
+                    jobId,
                     looked ->
                             told.accept(
                                     looked == null
                                             ? null
                                             : CoalescingJobReader.JobView.of(looked)));
         } else {
-            shared.ask(uid, told);
+            shared.ask(jobId, told);
         }
     }
 
@@ -366,12 +367,12 @@
         return map;
     }
 
-    public void cancel(String uid, Consumer<Response> answer) {
-        if (!JobDescription.isUid(uid)) {
+    public void cancel(String jobId, Consumer<Response> answer) {
+        if (!JobDescription.isJobId(jobId)) {
             answer.accept(Response.error(404, "no such job"));
             return;
         }
-        cancel(uid, MAX_CANCEL_TRIES, timed("cancel", answer));
+        cancel(jobId, MAX_CANCEL_TRIES, timed("cancel", answer));
     }
 
     /**
@@ -386,7 +387,7 @@
             Consumer<Response> refused) {
         if (shown.status().status().equals("cancelled")) {
             confirmation.mayTell(
-                    shown.status().uid(),
+                    shown.status().jobId(),
                     patienceMicros,
                     may -> {
                         if (may) {
@@ -416,12 +417,12 @@
      * Whether the store says of each of these jobs, and of those before them, that it is not
      * cancelled.
      */
-    private void noneCancelled(List<String> uids, Consumer<Boolean> answer) {
-        if (uids.isEmpty()) {
+    private void noneCancelled(List<String> jobIds, Consumer<Boolean> answer) {
+        if (jobIds.isEmpty()) {
             answer.accept(true);
             return;
         }
-        int[] missing = {uids.size()};
+        int[] missing = {jobIds.size()};
         boolean[] none = {true};
         Consumer<Boolean> one =
                 good -> {
@@ -430,9 +431,9 @@
                         answer.accept(none[0]);
                     }
                 };
-        for (String uid : uids) {
+        for (String jobId : jobIds) {
             shared.ask(
-                    uid,
+                    jobId,
                     shown -> {
                         if (shown == null
                                 || shown.status() != null
@@ -455,11 +456,11 @@
 
     /** Nothing of a record that can't be read can be kept: the final state takes its place. */
     private void cancelUnread(JobLookup looked, Consumer<Response> answer) {
-        String uid = looked.unread().uid();
+        String jobId = looked.unread().jobId();
         Consumer<Boolean> end =
                 cancelled -> {
                     if (cancelled) {
-                        tellEnd(new JobStatus(uid, "cancelled", -1, 0), answer);
+                        tellEnd(new JobStatus(jobId, "cancelled", -1, 0), answer);
                     } else {
                         answer.accept(Response.unavailable("the job could not be cancelled now"));
                     }
@@ -468,21 +469,21 @@
             end.accept(true);
             return;
         }
-        FinalRecord record = new FinalRecord(uid, true, 0, loop.wallMicros(), false);
+        FinalRecord record = new FinalRecord(jobId, true, 0, loop.wallMicros(), false);
         state.txn(
                 RequestPriority.USER,
-                List.of(new Condition(StoreKeys.job(uid), looked.stamp())),
+                List.of(new Condition(StoreKeys.job(jobId), looked.revision())),
                 List.of(
-                        Change.put(StoreKeys.finalState(uid), record.toMap(storage.format())),
-                        Change.drop(StoreKeys.job(uid))),
-                (result, generation, failed) -> end.accept(result == Result.OK));
+                        Change.put(StoreKeys.finalState(jobId), record.toMap(storage.format())),
+                        Change.drop(StoreKeys.job(jobId))),
+                (result, storeRevision, failed) -> end.accept(result == Result.OK));
     }
 
-    private void cancel(String uid, int tries, Consumer<Response> answer) {
-        reader.look(uid, looked -> cancel(uid, looked, tries, answer));
+    private void cancel(String jobId, int tries, Consumer<Response> answer) {
+        reader.look(jobId, looked -> cancel(jobId, looked, tries, answer));
     }
 
-    private void cancel(String uid, JobLookup looked, int tries, Consumer<Response> answer) {
+    private void cancel(String jobId, JobLookup looked, int tries, Consumer<Response> answer) {
         if (looked == null) {
             answer.accept(Response.unavailable("the job could not be cancelled now"));
         } else if (looked.status() == null) {
@@ -491,32 +492,32 @@
             cancelUnread(looked, answer);
         } else if (looked.finalState() != null
                 || looked.record().cancelled()
-                || looked.record().allDone()) {
-            tellEnd(new JobStatus(uid, looked.status().status(), -1, 0), answer);
+                || looked.record().isComplete()) {
+            tellEnd(new JobStatus(jobId, looked.status().status(), -1, 0), answer);
         } else if (tries == 0) {
             answer.accept(Response.unavailable("the job could not be cancelled now"));
         } else {
-            JobRecord cancelled = looked.record().asCancelled();
+            JobRecord cancelled = looked.record().withCancellation();
             RecordFormat format =
                     looked.format() == RecordFormat.COMPACT ? looked.format() : storage.format();
             // Once the record has another stamp, the write was carried out or never will be.
             writes.write(
-                    uid,
-                    List.of(new Condition(StoreKeys.job(uid), looked.stamp())),
-                    Change.put(StoreKeys.job(uid), cancelled.toMap(format)),
+                    jobId,
+                    List.of(new Condition(StoreKeys.job(jobId), looked.revision())),
+                    Change.put(StoreKeys.job(jobId), cancelled.toMap(format)),
                     reader::look,
-                    found -> found.status() != null && found.stamp() != looked.stamp(),
-                    (result, generation, found) -> {
+                    found -> found.status() != null && found.revision() != looked.revision(),
+                    (result, storeRevision, found) -> {
                         if (result == Result.OK) {
-                            hint.changed(cancelled, generation);
-                            tellEnd(new JobStatus(uid, "cancelled", -1, 0), answer);
+                            hint.changed(cancelled, storeRevision);
+                            tellEnd(new JobStatus(jobId, "cancelled", -1, 0), answer);
                         } else if (found != null) {
                             if (found.record() != null && found.record().cancelled()) {
-                                hint.changed(found.record(), found.stamp());
+                                hint.changed(found.record(), found.revision());
                             }
-                            cancel(uid, found, tries - 1, answer);
+                            cancel(jobId, found, tries - 1, answer);
                         } else if (result == Result.CONFLICT) {
-                            cancel(uid, tries - 1, answer);
+                            cancel(jobId, tries - 1, answer);
                         } else {
                             answer.accept(
                                     Response.unavailable("the job could not be cancelled now"));
--- a/src/main/java/org/woadloom/http/UserWrites.java
+++ b/src/main/java/org/woadloom/http/UserWrites.java
@@ -33,12 +33,12 @@
          * @param found what was read, which decides; null where the write was answered, or nothing
          *     is known
          */
-        void done(Result result, long generation, JobLookup found);
+        void done(Result result, long storeRevision, JobLookup found);
     }
 
     /** How the job is read. */
     interface Look {
-        void look(RequestPriority urgency, String uid, Consumer<JobLookup> consumer);
+        void look(RequestPriority urgency, String jobId, Consumer<JobLookup> consumer);
     }
 
     private final EventLoop loop;
@@ -56,24 +56,24 @@
      *     needless
      */
     void write(
-            String uid,
+            String jobId,
             List<Condition> conditions,
             Change change,
             Look look,
             Predicate<JobLookup> decides,
             Outcome outcome) {
-        Write write = new Write(uid, look, decides, outcome);
+        Write write = new Write(jobId, look, decides, outcome);
         loop.schedule(FIRST_LOOK_MICROS, write::look);
         loop.schedule(SECOND_LOOK_MICROS, write::look);
         state.txn(
                 RequestPriority.USER,
                 conditions,
                 List.of(change),
-                (result, generation, failed) -> write.answered(result, generation));
+                (result, storeRevision, failed) -> write.answered(result, storeRevision));
     }
 
     private final class Write {
-        final String uid;
+        final String jobId;
         final Look look;
         final Predicate<JobLookup> decides;
         final Outcome outcome;
@@ -84,16 +84,16 @@
         /** The write's answer was that there is none. */
         boolean unknown;
 
-        Write(String uid, Look look, Predicate<JobLookup> decides, Outcome outcome) {
-            this.uid = uid;
+        Write(String jobId, Look look, Predicate<JobLookup> decides, Outcome outcome) {
+            this.jobId = jobId;
             this.look = look;
             this.decides = decides;
             this.outcome = outcome;
         }
 
-        void answered(Result result, long generation) {
+        void answered(Result result, long storeRevision) {
             if (result != Result.UNKNOWN) {
-                tell(result, generation, null);
+                tell(result, storeRevision, null);
                 return;
             }
             unknown = true;
@@ -113,7 +113,7 @@
             reading = true;
             look.look(
                     RequestPriority.USER,
-                    uid,
+                    jobId,
                     found -> {
                         reading = false;
                         if (found != null && decides.test(found)) {
@@ -124,10 +124,10 @@
                     });
         }
 
-        private void tell(Result result, long generation, JobLookup found) {
+        private void tell(Result result, long storeRevision, JobLookup found) {
             if (!told) {
                 told = true;
-                outcome.done(result, generation, found);
+                outcome.done(result, storeRevision, found);
             }
         }
     }
--- a/src/main/java/org/woadloom/leader/Election.java
+++ b/src/main/java/org/woadloom/leader/Election.java
@@ -49,7 +49,7 @@
 
     /** What the node does when leadership comes and goes. */
     public interface Listener {
-        void elected(long term, long leaderStamp);
+        void elected(long term, long leaderRevision);
 
         void deposed(String reason);
 
@@ -71,7 +71,7 @@
     private final Listener listener;
     private Role role = Role.FOLLOWER;
     private long term;
-    private long grant;
+    private long storeLease;
     private LeaderKey current;
     private long currentStamp;
     private int campaign;
@@ -138,13 +138,13 @@
         state.get(
                 RequestPriority.URGENT,
                 StoreKeys.LEADER,
-                (result, entry, generation) -> {
+                (result, entry, storeRevision) -> {
                     if (result == Result.OK) {
-                        seen(entry.value(), entry.stamp());
-                        watch(entry.stamp());
+                        seen(entry.value(), entry.revision());
+                        watch(entry.revision());
                     } else if (result == Result.NOT_FOUND) {
-                        seen(null, generation);
-                        watch(generation);
+                        seen(null, storeRevision);
+                        watch(storeRevision);
                     } else {
                         loop.schedule(
                                 RETRY_MICROS + random.nextInt((int) RETRY_MICROS), this::look);
@@ -157,25 +157,25 @@
                 StoreKeys.LEADER,
                 since,
                 WATCH_MICROS,
-                (result, events, generation) -> {
+                (result, events, storeRevision) -> {
                     if (result != Result.OK) {
                         loop.schedule(RETRY_MICROS, this::look);
                         return;
                     }
                     for (StoreClient.Event event : events) {
                         if (event.path().equals(StoreKeys.LEADER)) {
-                            seen(event.value(), event.stamp());
+                            seen(event.value(), event.revision());
                         }
                     }
-                    watch(Math.max(since, generation));
+                    watch(Math.max(since, storeRevision));
                 });
     }
 
-    private void seen(Map<String, Object> value, long stamp) {
-        if (stamp < currentStamp) {
+    private void seen(Map<String, Object> value, long revision) {
+        if (revision < currentStamp) {
             return;
         }
-        currentStamp = stamp;
+        currentStamp = revision;
         LeaderKey before = current;
         try {
             current = value == null ? null : LeaderKey.parse(value);
@@ -188,7 +188,7 @@
                 && new LeaderKey(label, sought).equals(current)) {
             // What was asked for was carried out, and its answer is late or lost: others would wait
             // for the grant's end.
-            won(sought, stamp);
+            won(sought, revision);
             return;
         }
         if (current != null && !current.equals(before)) {
@@ -204,7 +204,7 @@
                 && current != null
                 && current.label().equals(label)
                 && term == 0) {
-            leaveToOthers(stamp);
+            leaveToOthers(revision);
         } else if (role == Role.FOLLOWER && vacant()) {
             // The key names this node from before it stepped down, or nobody.
             campaignSoon(current == null && before == null ? 0 : random.nextInt(30_000));
@@ -217,15 +217,15 @@
      * left to a node that stays. The others see at once that nobody leads, and this process takes
      * over only if none of them does.
      */
-    private void leaveToOthers(long stamp) {
+    private void leaveToOthers(long revision) {
         state.txn(
                 RequestPriority.URGENT,
-                List.of(new Condition(StoreKeys.LEADER, stamp)),
+                List.of(new Condition(StoreKeys.LEADER, revision)),
                 List.of(Change.drop(StoreKeys.LEADER)),
-                (result, generation, conflicts) -> {
+                (result, storeRevision, conflicts) -> {
                     notBeforeMicros = loop.nowMicros() + YIELD_MICROS;
                     if (result == Result.OK) {
-                        seen(null, generation);
+                        seen(null, storeRevision);
                     } else if (role == Role.FOLLOWER) {
                         failed();
                     }
@@ -269,27 +269,27 @@
         sought = 0;
         // The key as it is now: whoever takes it meanwhile is not to be deposed by a campaign
         // against another.
-        long leaderStamp = current == null ? 0 : currentStamp;
-        state.grant(
+        long leaderRevision = current == null ? 0 : currentStamp;
+        state.storeLease(
                 GRANT_MICROS,
                 (result, granted) -> {
                     if (result != Result.OK) {
                         failed();
                         return;
                     }
-                    grant = granted;
+                    storeLease = granted;
                     state.get(
                             RequestPriority.URGENT,
                             StoreKeys.TERM,
-                            (read, entry, generation) -> {
+                            (read, entry, storeRevision) -> {
                                 try {
                                     if (read == Result.OK) {
                                         take(
-                                                leaderStamp,
+                                                leaderRevision,
                                                 new Fields(entry.value()).integer("term") + 1,
-                                                entry.stamp());
+                                                entry.revision());
                                     } else if (read == Result.NOT_FOUND) {
-                                        take(leaderStamp, 1, 0);
+                                        take(leaderRevision, 1, 0);
                                     } else {
                                         failed();
                                     }
@@ -304,7 +304,7 @@
                 });
     }
 
-    private void take(long leaderStamp, long newTerm, long termStamp) {
+    private void take(long leaderRevision, long newTerm, long termRevision) {
         sought = newTerm;
         Map<String, Object> termValue = new LinkedHashMap<>();
         termValue.put("term", newTerm);
@@ -313,13 +313,16 @@
         state.txn(
                 RequestPriority.URGENT,
                 List.of(
-                        new Condition(StoreKeys.LEADER, leaderStamp),
-                        new Condition(StoreKeys.TERM, termStamp),
+                        new Condition(StoreKeys.LEADER, leaderRevision),
+                        new Condition(StoreKeys.TERM, termRevision),
                         fence.condition()),
                 List.of(
-                        new Change(StoreKeys.LEADER, new LeaderKey(label, newTerm).toMap(), grant),
+                        new Change(
+                                StoreKeys.LEADER,
+                                new LeaderKey(label, newTerm).toMap(),
+                                storeLease),
                         Change.put(StoreKeys.TERM, termValue)),
-                (result, generation, conflicts) -> {
+                (result, storeRevision, conflicts) -> {
                     if (sought != newTerm) {
                         if (result == Result.CONFLICT && role == Role.LEADER && term == newTerm) {
                             // The key that was seen is of this node's process before, and so is the
@@ -327,7 +330,7 @@
                             stepDown("the term was taken by an earlier process");
                         }
                     } else if (result == Result.OK) {
-                        won(newTerm, generation);
+                        won(newTerm, storeRevision);
                     } else {
                         if (conflicts.contains(fence.condition().path())) {
                             fence.changed();
@@ -349,28 +352,28 @@
                         state.get(
                                 RequestPriority.URGENT,
                                 StoreKeys.LEADER,
-                                (result, entry, generation) -> {
+                                (result, entry, storeRevision) -> {
                                     if (result == Result.OK) {
-                                        seen(entry.value(), entry.stamp());
+                                        seen(entry.value(), entry.revision());
                                     } else if (result == Result.NOT_FOUND) {
-                                        seen(null, generation);
+                                        seen(null, storeRevision);
                                     } else if (role == Role.FOLLOWER) {
                                         failed();
                                     }
                                 }));
     }
 
-    private void won(long newTerm, long stamp) {
+    private void won(long newTerm, long revision) {
         role = Role.LEADER;
         sought = 0;
         term = newTerm;
         highestTerm = Math.max(highestTerm, newTerm);
         current = new LeaderKey(label, newTerm);
-        currentStamp = stamp;
+        currentStamp = revision;
         LOG.info("event=leader_elected term={}", newTerm);
         // The grant may be some seconds old.
         renewLater(newTerm, 1);
-        listener.elected(newTerm, stamp);
+        listener.elected(newTerm, revision);
         loop.execute(listener::leaderSeen);
     }
 
@@ -382,7 +385,7 @@
                         return;
                     }
                     state.renew(
-                            grant,
+                            storeLease,
                             (result, id) -> {
                                 if (result == Result.NOT_FOUND
                                         && role == Role.LEADER
--- a/src/main/java/org/woadloom/leader/RecordWriter.java
+++ b/src/main/java/org/woadloom/leader/RecordWriter.java
@@ -32,7 +32,7 @@
     }
 
     public interface Outcome {
-        void written(WriteOutcome outcome, long stamp);
+        void written(WriteOutcome outcome, long revision);
     }
 
     private final StoreClient state;
@@ -42,10 +42,11 @@
     private final List<Write> urgent = new ArrayList<>();
     private final List<Write> normal = new ArrayList<>();
 
-    public RecordWriter(StoreClient state, StoreLimits limits, long leaderStamp, Runnable deposed) {
+    public RecordWriter(
+            StoreClient state, StoreLimits limits, long leaderRevision, Runnable deposed) {
         this.state = state;
         this.limits = limits;
-        this.leaderStamp = leaderStamp;
+        this.leaderStamp = leaderRevision;
         this.deposed = deposed;
     }
 
@@ -95,13 +96,13 @@
                 conditions,
                 changes,
                 proof(changes),
-                (result, generation, failed) -> {
+                (result, storeRevision, failed) -> {
                     switch (result) {
                         case OK ->
                                 batch.forEach(
                                         write ->
                                                 write.callback.written(
-                                                        WriteOutcome.WRITTEN, generation));
+                                                        WriteOutcome.WRITTEN, storeRevision));
                         case CONFLICT -> conflict(urgency, batch, failed);
                         case UNAVAILABLE, NOT_FOUND ->
                                 batch.forEach(
@@ -173,8 +174,9 @@
     }
 
     /** A put of one key on condition of its stamp. */
-    public static Write put(String key, Map<String, Object> value, long stamp, Outcome callback) {
+    public static Write put(
+            String key, Map<String, Object> value, long revision, Outcome callback) {
         return new Write(
-                List.of(new Condition(key, stamp)), List.of(Change.put(key, value)), callback);
+                List.of(new Condition(key, revision)), List.of(Change.put(key, value)), callback);
     }
 }
--- a/src/main/java/org/woadloom/node/CancellationConfirmer.java
+++ b/src/main/java/org/woadloom/node/CancellationConfirmer.java
@@ -65,7 +65,7 @@
 
         long cancellationsSeenMicros();
 
-        void cancelled(List<String> uids);
+        void cancelled(List<String> jobIds);
     }
 
     private final EventLoop loop;
@@ -124,14 +124,14 @@
     // Towards users.
 
     @Override
-    public void mayTell(String uid, long patienceMicros, Consumer<Boolean> answer) {
+    public void mayTell(String jobId, long patienceMicros, Consumer<Boolean> answer) {
         long now = loop.nowMicros();
-        told.enter(uid, now);
-        if (told.mayTell(uid, now)) {
+        told.enter(jobId, now);
+        if (told.mayTell(jobId, now)) {
             answer.accept(true);
             return;
         }
-        waiting.put(new Waiting(now + patienceMicros, answer), uid);
+        waiting.put(new Waiting(now + patienceMicros, answer), jobId);
         vouchSoon();
         lookLater();
     }
@@ -226,7 +226,7 @@
     void heard(String node, WatermarkReport vouch) {
         long now = loop.nowMicros();
         String flaw =
-                vouch.jobs().stream().allMatch(JobDescription::isUid)
+                vouch.jobs().stream().allMatch(JobDescription::isJobId)
                         ? CancellationWatermark.flaw(vouch, now)
                         : "a name that is no job's";
         if (flaw != null) {
--- a/src/main/java/org/woadloom/node/DelegatedLeaseRenewer.java
+++ b/src/main/java/org/woadloom/node/DelegatedLeaseRenewer.java
@@ -43,7 +43,7 @@
         rules =
                 DelegationTimeouts.of(
                         settings.workers().leaseMicros(), settings.workers().cancelMicros());
-        caretaker = new LeaseDelegate(rules, settings.area(), random.nextLong(), loop.nowMicros());
+        caretaker = new LeaseDelegate(rules, settings.zone(), random.nextLong(), loop.nowMicros());
     }
 
     /** Every node runs a version that knows of care, and the operators want it. */
@@ -96,13 +96,14 @@
         }
         try {
             Heartbeat worker = Heartbeat.read(report);
-            long epoch = worker.epoch();
-            Long before = tokens.putIfAbsent(worker.host(), epoch);
-            if (before != null && epoch > before) {
+            long fencingToken = worker.fencingToken();
+            Long before = tokens.putIfAbsent(worker.host(), fencingToken);
+            if (before != null && fencingToken > before) {
                 // The leader reaches this worker, so it is this node alone that is cut off.
                 return null;
             }
-            if (!caretaker.takesCare(worker.yard(), epoch >> AgentLiveness.FENCE_BITS, now)) {
+            if (!caretaker.takesCare(
+                    worker.zone(), fencingToken >> AgentLiveness.FENCE_BITS, now)) {
                 return null;
             }
             if (now - loggedMicros > rules.patienceMicros()) {
@@ -110,7 +111,7 @@
                 LOG.info("event=delegated_lease_renewal machine={}", worker.host());
             }
             Map<String, Object> answer = new LinkedHashMap<>();
-            answer.put("epoch", epoch);
+            answer.put("epoch", fencingToken);
             answer.put("orders", List.of());
             return Response.of(200, answer);
         } catch (MalformedMessageException e) {
