--- a/src/main/java/org/woadloom/node/LeaderActions.java
+++ b/src/main/java/org/woadloom/node/LeaderActions.java
@@ -114,7 +114,7 @@
         return writer != null;
     }
 
-    void begin(long newTerm, long leaderStamp) {
+    void begin(long newTerm, long leaderRevision) {
         term = newTerm;
         writer = null;
         // The format must be known before the first write.
@@ -125,14 +125,17 @@
                                 newTerm,
                                 () -> {
                                     if (known) {
-                                        loadMachines(newTerm, leaderStamp);
+                                        loadMachines(newTerm, leaderRevision);
                                     } else {
                                         loop.schedule(
                                                 RETRY_MICROS,
                                                 () ->
                                                         again(
                                                                 newTerm,
-                                                                () -> begin(newTerm, leaderStamp)));
+                                                                () ->
+                                                                        begin(
+                                                                                newTerm,
+                                                                                leaderRevision)));
                                     }
                                 }));
     }
@@ -188,8 +191,8 @@
     }
 
     /** Users may hear that these jobs are cancelled. */
-    void cancellationsTold(List<String> uids) {
-        queue.add(new SchedulerEvent.CancellationsConfirmed(uids));
+    void cancellationsTold(List<String> jobIds) {
+        queue.add(new SchedulerEvent.CancellationsConfirmed(jobIds));
     }
 
     /** A node, this one perhaps, tells how it stands. */
@@ -209,18 +212,18 @@
         }
     }
 
-    private void loadMachines(long ofTerm, long leaderStamp) {
+    private void loadMachines(long ofTerm, long leaderRevision) {
         state.list(
                 RequestPriority.URGENT,
                 StoreKeys.MACHINES,
-                (result, entries, generation) -> {
+                (result, entries, storeRevision) -> {
                     if (term != ofTerm) {
                         return;
                     }
                     if (result != Result.OK) {
                         loop.schedule(
                                 RETRY_MICROS,
-                                () -> again(ofTerm, () -> loadMachines(ofTerm, leaderStamp)));
+                                () -> again(ofTerm, () -> loadMachines(ofTerm, leaderRevision)));
                         return;
                     }
                     List<SchedulerEvent.StoredMachine> machines = new ArrayList<>();
@@ -230,7 +233,7 @@
                             machines.add(
                                     new SchedulerEvent.StoredMachine(
                                             MachineRecord.parse(host, entry.value()),
-                                            entry.stamp()));
+                                            entry.revision()));
                         } catch (MalformedMessageException e) {
                             LOG.error(
                                     "event=record_unreadable key={} error=\"{}\"",
@@ -238,7 +241,7 @@
                                     e.getMessage());
                         }
                     }
-                    loadJobs(ofTerm, leaderStamp, machines);
+                    loadJobs(ofTerm, leaderRevision, machines);
                 });
     }
 
@@ -249,19 +252,22 @@
     }
 
     private void loadJobs(
-            long ofTerm, long leaderStamp, List<SchedulerEvent.StoredMachine> machines) {
+            long ofTerm, long leaderRevision, List<SchedulerEvent.StoredMachine> machines) {
         long asked = loop.nowMicros();
         state.list(
                 RequestPriority.URGENT,
                 StoreKeys.JOBS,
-                (result, entries, generation) -> {
+                (result, entries, storeRevision) -> {
                     if (term != ofTerm) {
                         return;
                     }
                     if (result != Result.OK) {
                         loop.schedule(
                                 RETRY_MICROS,
-                                () -> again(ofTerm, () -> loadJobs(ofTerm, leaderStamp, machines)));
+                                () ->
+                                        again(
+                                                ofTerm,
+                                                () -> loadJobs(ofTerm, leaderRevision, machines)));
                         return;
                     }
                     List<SchedulerEvent.StoredJob> jobs = new ArrayList<>();
@@ -269,7 +275,7 @@
                         try {
                             jobs.add(
                                     new SchedulerEvent.StoredJob(
-                                            read(entry.value()), entry.stamp()));
+                                            read(entry.value()), entry.revision()));
                         } catch (MalformedMessageException e) {
                             LOG.error(
                                     "event=record_unreadable key={} error=\"{}\"",
@@ -281,7 +287,7 @@
                             new RecordWriter(
                                     state,
                                     limits,
-                                    leaderStamp,
+                                    leaderRevision,
                                     () ->
                                             again(
                                                     ofTerm,
@@ -291,8 +297,8 @@
                     tellStorage();
                     cancellationsSeenMicros = asked;
                     queue.add(new SchedulerEvent.LeadershipAcquired(ofTerm, jobs, machines, asked));
-                    followJobs(ofTerm, generation);
-                    tick(ofTerm);
+                    followJobs(ofTerm, storeRevision);
+                    sequence(ofTerm);
                     pollTypes(ofTerm);
                     pollList(ofTerm);
                 });
@@ -304,19 +310,19 @@
                 StoreKeys.JOBS,
                 since,
                 WATCH_MICROS,
-                (result, events, generation) -> {
+                (result, events, storeRevision) -> {
                     if (term != ofTerm) {
                         return;
                     }
                     if (result == Result.OK) {
                         for (StoreClient.Event event : events) {
                             if (event.value() != null
-                                    && !JobRecord.writtenIn(ofTerm, event.value())) {
-                                jobSeen(event.path(), event.value(), event.stamp());
+                                    && !JobRecord.isWrittenInTerm(ofTerm, event.value())) {
+                                jobSeen(event.path(), event.value(), event.revision());
                             }
                         }
                         cancellationsSeenMicros = asked;
-                        followJobs(ofTerm, Math.max(since, generation));
+                        followJobs(ofTerm, Math.max(since, storeRevision));
                     } else if (result == Result.NOT_FOUND) {
                         rereadJobs(ofTerm);
                     } else {
@@ -331,7 +337,7 @@
         state.list(
                 RequestPriority.NORMAL,
                 StoreKeys.JOBS,
-                (result, entries, generation) -> {
+                (result, entries, storeRevision) -> {
                     if (term != ofTerm) {
                         return;
                     }
@@ -340,9 +346,9 @@
                         return;
                     }
                     for (StoreClient.Entry entry : entries) {
-                        jobSeen(entry.path(), entry.value(), entry.stamp());
+                        jobSeen(entry.path(), entry.value(), entry.revision());
                     }
-                    followJobs(ofTerm, generation);
+                    followJobs(ofTerm, storeRevision);
                 });
     }
 
@@ -351,23 +357,23 @@
         return JobRecord.parse(value);
     }
 
-    private void jobSeen(String path, Map<String, Object> value, long stamp) {
+    private void jobSeen(String path, Map<String, Object> value, long revision) {
         try {
-            queue.add(new SchedulerEvent.JobStored(read(value), stamp));
+            queue.add(new SchedulerEvent.JobStored(read(value), revision));
         } catch (MalformedMessageException e) {
             LOG.error("event=record_unreadable key={} error=\"{}\"", path, e.getMessage());
-            String uid = path.substring(StoreKeys.JOBS.length());
+            String jobId = path.substring(StoreKeys.JOBS.length());
             queue.add(
-                    JobRecord.ofLaterVersion(value)
-                            ? new SchedulerEvent.JobReadFailed(uid)
+                    JobRecord.isOfLaterVersion(value)
+                            ? new SchedulerEvent.JobReadFailed(jobId)
                             : new SchedulerEvent.JobRecordDamaged(
-                                    uid,
-                                    stamp,
+                                    jobId,
+                                    revision,
                                     value != null && Boolean.TRUE.equals(value.get("cancelled"))));
         }
     }
 
-    private void tick(long ofTerm) {
+    private void sequence(long ofTerm) {
         loop.schedule(
                 TICK_MICROS,
                 () ->
@@ -380,7 +386,7 @@
                                     }
                                     queue.add(new SchedulerEvent.Tick());
                                     tellRollout();
-                                    tick(ofTerm);
+                                    sequence(ofTerm);
                                 }));
     }
 
@@ -431,12 +437,12 @@
 
     private void execute(SchedulerAction effect) {
         if (effect instanceof SchedulerAction.AnswerHeartbeat answer) {
-            ReportAnswer waiting = answers.remove(answer.replyId());
+            ReportAnswer waiting = answers.remove(answer.requestId());
             if (waiting != null) {
                 waiting.answer(answer);
             }
         } else if (effect instanceof SchedulerAction.RejectHeartbeat away) {
-            ReportAnswer waiting = answers.remove(away.replyId());
+            ReportAnswer waiting = answers.remove(away.requestId());
             if (waiting != null) {
                 waiting.answer(null);
             }
@@ -448,9 +454,9 @@
         } else if (effect instanceof SchedulerAction.WriteFinalState finish) {
             finishJob(finish);
         } else if (effect instanceof SchedulerAction.ReadJob read) {
-            readJob(read.uid());
+            readJob(read.jobId());
         } else if (effect instanceof SchedulerAction.ResolveDependency find) {
-            findJob(find.uid());
+            findJob(find.jobId());
         } else if (effect instanceof SchedulerAction.WriteMachine put) {
             putMachine(put);
         } else if (effect instanceof SchedulerAction.DeleteMachineRecord drop) {
@@ -467,7 +473,7 @@
                                     () ->
                                             queue.add(
                                                     new SchedulerEvent.ScaleOutCompleted(
-                                                            rent.claim(), outcome, hosts))));
+                                                            rent.requestName(), outcome, hosts))));
         } else if (effect instanceof SchedulerAction.DeleteMachines delete) {
             long ofTerm = term;
             cloud.delete(
@@ -502,35 +508,35 @@
     }
 
     private void putJob(SchedulerAction.WriteJob put) {
-        String uid = put.record().description().uid();
+        String jobId = put.record().description().jobId();
         Map<String, Object> value = put.record().toMap(rollout.format());
-        RecordWriter.Outcome outcome = jobWritten(uid, put.record().version());
+        RecordWriter.Outcome outcome = jobWritten(jobId, put.record().version());
         if (Cbor.jsonSize(value) > limits.valueBytesNow()) {
             outcome.written(SchedulerEvent.WriteOutcome.TOO_LARGE, 0);
         } else {
             writer.add(
                     put.urgent(),
-                    RecordWriter.put(StoreKeys.job(uid), value, put.stamp(), outcome));
+                    RecordWriter.put(StoreKeys.job(jobId), value, put.revision(), outcome));
         }
     }
 
     private void finishJob(SchedulerAction.WriteFinalState finish) {
-        String uid = finish.record().uid();
+        String jobId = finish.record().jobId();
         writer.add(
                 true,
                 new RecordWriter.Write(
-                        List.of(new Condition(StoreKeys.job(uid), finish.stamp())),
+                        List.of(new Condition(StoreKeys.job(jobId), finish.revision())),
                         List.of(
                                 Change.put(
-                                        StoreKeys.finalState(uid),
+                                        StoreKeys.finalState(jobId),
                                         finish.record().toMap(rollout.format())),
-                                Change.drop(StoreKeys.job(uid))),
-                        jobWritten(uid, finish.version())));
+                                Change.drop(StoreKeys.job(jobId))),
+                        jobWritten(jobId, finish.version())));
     }
 
-    private RecordWriter.Outcome jobWritten(String uid, long version) {
+    private RecordWriter.Outcome jobWritten(String jobId, long version) {
         long ofTerm = term;
-        return (outcome, stamp) ->
+        return (outcome, revision) ->
                 again(
                         ofTerm,
                         () -> {
@@ -540,7 +546,7 @@
                             }
                             queue.add(
                                     new SchedulerEvent.JobWriteCompleted(
-                                            uid, version, outcome, stamp));
+                                            jobId, version, outcome, revision));
                         });
     }
 
@@ -548,38 +554,38 @@
      * What the store says of a job: its record first, as it moves from there to its final state in
      * one transaction.
      */
-    private void findJob(String uid) {
+    private void findJob(String jobId) {
         long ofTerm = term;
         state.get(
                 RequestPriority.URGENT,
-                StoreKeys.job(uid),
-                (result, entry, generation) ->
+                StoreKeys.job(jobId),
+                (result, entry, storeRevision) ->
                         again(
                                 ofTerm,
                                 () -> {
                                     if (result == Result.OK) {
-                                        jobSeen(entry.path(), entry.value(), entry.stamp());
+                                        jobSeen(entry.path(), entry.value(), entry.revision());
                                         queue.add(
                                                 new SchedulerEvent.DependencyResolved(
-                                                        uid,
+                                                        jobId,
                                                         SchedulerEvent.DependencyState.OPEN,
                                                         0));
                                     } else if (result == Result.NOT_FOUND) {
                                         state.get(
                                                 RequestPriority.URGENT,
-                                                StoreKeys.finalState(uid),
+                                                StoreKeys.finalState(jobId),
                                                 (read, found, at) ->
                                                         again(
                                                                 ofTerm,
                                                                 () ->
                                                                         queue.add(
                                                                                 standing(
-                                                                                        uid, read,
+                                                                                        jobId, read,
                                                                                         found))));
                                     } else {
                                         queue.add(
                                                 new SchedulerEvent.DependencyResolved(
-                                                        uid,
+                                                        jobId,
                                                         SchedulerEvent.DependencyState.UNREADABLE,
                                                         0));
                                     }
@@ -587,17 +593,17 @@
     }
 
     private static SchedulerEvent.DependencyResolved standing(
-            String uid, Result result, StoreClient.Entry entry) {
+            String jobId, Result result, StoreClient.Entry entry) {
         if (result == Result.NOT_FOUND) {
-            LOG.error("event=dependency_not_found job={}", uid);
+            LOG.error("event=dependency_not_found job={}", jobId);
             return new SchedulerEvent.DependencyResolved(
-                    uid, SchedulerEvent.DependencyState.NOT_FOUND, 0);
+                    jobId, SchedulerEvent.DependencyState.NOT_FOUND, 0);
         }
         try {
             if (result == Result.OK) {
-                FinalRecord record = FinalRecord.parse(uid, entry.value());
+                FinalRecord record = FinalRecord.parse(jobId, entry.value());
                 return new SchedulerEvent.DependencyResolved(
-                        uid,
+                        jobId,
                         record.cancelled()
                                 ? SchedulerEvent.DependencyState.CANCELLED
                                 : SchedulerEvent.DependencyState.DONE,
@@ -607,24 +613,24 @@
             LOG.error("event=record_unreadable key={} error=\"{}\"", entry.path(), e.getMessage());
         }
         return new SchedulerEvent.DependencyResolved(
-                uid, SchedulerEvent.DependencyState.UNREADABLE, 0);
+                jobId, SchedulerEvent.DependencyState.UNREADABLE, 0);
     }
 
-    private void readJob(String uid) {
+    private void readJob(String jobId) {
         long ofTerm = term;
         state.get(
                 RequestPriority.URGENT,
-                StoreKeys.job(uid),
-                (result, entry, generation) ->
+                StoreKeys.job(jobId),
+                (result, entry, storeRevision) ->
                         again(
                                 ofTerm,
                                 () -> {
                                     if (result == Result.OK) {
-                                        jobSeen(entry.path(), entry.value(), entry.stamp());
+                                        jobSeen(entry.path(), entry.value(), entry.revision());
                                     } else if (result == Result.NOT_FOUND) {
-                                        queue.add(new SchedulerEvent.JobRecordNotFound(uid));
+                                        queue.add(new SchedulerEvent.JobRecordNotFound(jobId));
                                     } else {
-                                        queue.add(new SchedulerEvent.JobReadFailed(uid));
+                                        queue.add(new SchedulerEvent.JobReadFailed(jobId));
                                     }
                                 }));
     }
@@ -637,18 +643,18 @@
                 RecordWriter.put(
                         StoreKeys.machine(host),
                         put.record().toMap(),
-                        put.stamp(),
-                        (outcome, stamp) ->
+                        put.revision(),
+                        (outcome, revision) ->
                                 again(
                                         ofTerm,
                                         () ->
                                                 queue.add(
                                                         new SchedulerEvent.MachineWriteCompleted(
                                                                 host,
-                                                                put.record().leaving(),
+                                                                put.record().decommissioning(),
                                                                 false,
                                                                 outcome,
-                                                                stamp)))));
+                                                                revision)))));
     }
 
     private void dropMachine(SchedulerAction.DeleteMachineRecord drop) {
@@ -656,9 +662,9 @@
         writer.add(
                 false,
                 new RecordWriter.Write(
-                        List.of(new Condition(StoreKeys.machine(drop.host()), drop.stamp())),
+                        List.of(new Condition(StoreKeys.machine(drop.host()), drop.revision())),
                         List.of(Change.drop(StoreKeys.machine(drop.host()))),
-                        (outcome, stamp) ->
+                        (outcome, revision) ->
                                 again(
                                         ofTerm,
                                         () ->
@@ -668,7 +674,7 @@
                                                                 true,
                                                                 true,
                                                                 outcome,
-                                                                stamp)))));
+                                                                revision)))));
     }
 
     private void readMachine(String host) {
@@ -676,7 +682,7 @@
         state.get(
                 RequestPriority.NORMAL,
                 StoreKeys.machine(host),
-                (result, entry, generation) ->
+                (result, entry, storeRevision) ->
                         again(
                                 ofTerm,
                                 () -> {
@@ -687,7 +693,7 @@
                                                             host,
                                                             MachineRecord.parse(
                                                                     host, entry.value()),
-                                                            entry.stamp()));
+                                                            entry.revision()));
                                         } else if (result == Result.NOT_FOUND) {
                                             queue.add(
                                                     new SchedulerEvent.MachineRecordRead(
--- a/src/main/java/org/woadloom/node/Node.java
+++ b/src/main/java/org/woadloom/node/Node.java
@@ -180,10 +180,10 @@
                         rollout,
                         new Election.Listener() {
                             @Override
-                            public void elected(long term, long leaderStamp) {
+                            public void elected(long term, long leaderRevision) {
                                 state.lead(true);
                                 confirmations.lead(term);
-                                duties.begin(term, leaderStamp);
+                                duties.begin(term, leaderRevision);
                                 mailbox.lead(term, Node.this::decide);
                             }
 
@@ -219,8 +219,8 @@
                         rollout,
                         new PeerTracker.Inbox() {
                             @Override
-                            public void hint(JobRecord record, long stamp) {
-                                tellCore(record, stamp);
+                            public void hint(JobRecord record, long revision) {
+                                tellCore(record, revision);
                             }
 
                             @Override
@@ -305,7 +305,7 @@
     }
 
     public void start() {
-        LOG.info("event=node_started node={} zone={}", settings.label(), settings.area());
+        LOG.info("event=node_started node={} zone={}", settings.label(), settings.zone());
         election.start();
         peers.start();
         rollout.start();
@@ -330,7 +330,7 @@
             state.get(
                     RequestPriority.URGENT,
                     StoreKeys.LEADER,
-                    (result, entry, generation) -> probing = false);
+                    (result, entry, storeRevision) -> probing = false);
         }
         if (!inTouch && care.mayCare()) {
             parked.release();
@@ -430,8 +430,8 @@
             }
 
             @Override
-            public void cancelled(List<String> uids) {
-                duties.cancellationsTold(uids);
+            public void cancelled(List<String> jobIds) {
+                duties.cancellationsTold(jobIds);
             }
         };
     }
@@ -473,18 +473,18 @@
      * A job that this node made durable: the leader is told, and would find it by its watch as
      * well.
      */
-    private void changed(JobRecord record, long stamp) {
+    private void changed(JobRecord record, long revision) {
         String leader = election.leader();
         if (election.leads()) {
-            tellCore(record, stamp);
+            tellCore(record, revision);
         } else if (leader != null) {
-            peers.hint(leader, record, stamp);
+            peers.hint(leader, record, revision);
         }
     }
 
-    private void tellCore(JobRecord record, long stamp) {
+    private void tellCore(JobRecord record, long revision) {
         if (duties.ready()) {
-            queue.add(new SchedulerEvent.JobStored(record, stamp));
+            queue.add(new SchedulerEvent.JobStored(record, revision));
         }
     }
 
@@ -524,7 +524,7 @@
                     state.get(
                             RequestPriority.NORMAL,
                             StoreKeys.TYPES,
-                            (result, entry, generation) -> {
+                            (result, entry, storeRevision) -> {
                                 if (result == Result.OK && types.isEmpty()) {
                                     try {
                                         typesSeen(MachineType.parseAll(entry.value()));
@@ -554,7 +554,7 @@
                 RequestPriority.BACKGROUND,
                 List.of(),
                 List.of(Change.put(StoreKeys.TYPES, ImmutableMap.of("hosttypes", list))),
-                (result, generation, failed) -> {});
+                (result, storeRevision, failed) -> {});
     }
 
     private void report(byte[] body, Consumer<Response> answer) {
@@ -679,14 +679,14 @@
             attendance.carried(report.host());
             return null;
         }
-        boolean renewed = report.epoch() >> AgentLiveness.FENCE_BITS == election.knownTerm();
+        boolean renewed = report.fencingToken() >> AgentLiveness.FENCE_BITS == election.knownTerm();
         return attendance.sendTo(report.host(), renewed, peers.reached(), loop.nowMicros());
     }
 
     private static Response reply(SchedulerAction.AnswerHeartbeat answer) {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("epoch", answer.epoch());
-        map.put("orders", AgentClient.orders(answer.orders()));
+        map.put("epoch", answer.fencingToken());
+        map.put("orders", AgentClient.orders(answer.commands()));
         return Response.of(200, map);
     }
 }
--- a/src/main/java/org/woadloom/node/PeerTracker.java
+++ b/src/main/java/org/woadloom/node/PeerTracker.java
@@ -29,7 +29,7 @@
 
     /** What arrives for this node. */
     interface Inbox {
-        void hint(JobRecord record, long stamp);
+        void hint(JobRecord record, long revision);
 
         void carried(byte[] report, Consumer<Response> answer);
 
@@ -174,11 +174,11 @@
         return link(label).refusals > 0;
     }
 
-    void hint(String leader, JobRecord record, long stamp) {
+    void hint(String leader, JobRecord record, long revision) {
         net.send(
                 leader,
                 new PeerMessage.JobChangeNotification(
-                        Cbor.encode(record.toMap(rollout.format())), stamp));
+                        Cbor.encode(record.toMap(rollout.format())), revision));
     }
 
     void warrant(String label, LeaseDelegation warrant) {
@@ -221,7 +221,7 @@
             try {
                 Map<String, Object> record = Cbor.decodeMap(hint.record());
                 rollout.seen(JobRecord.formatOf(record));
-                inbox.hint(JobRecord.parse(record), hint.stamp());
+                inbox.hint(JobRecord.parse(record), hint.revision());
             } catch (MalformedMessageException e) {
                 LOG.error(
                         "event=job_notification_unreadable node={} error=\"{}\"",
--- a/src/main/java/org/woadloom/node/RolloutActions.java
+++ b/src/main/java/org/woadloom/node/RolloutActions.java
@@ -37,7 +37,7 @@
 
     void put(SchedulerAction.WriteRollout put, RecordWriter writer, Outcome outcome) {
         List<Condition> conditions = new ArrayList<>();
-        put.conditions().forEach((path, stamp) -> conditions.add(new Condition(path, stamp)));
+        put.conditions().forEach((path, revision) -> conditions.add(new Condition(path, revision)));
         List<Change> changes = new ArrayList<>();
         changes.add(Change.put(StoreKeys.ROLLOUT_STATE, put.record().toMap()));
         if (put.agreed() > 0) {
@@ -48,12 +48,12 @@
                 new RecordWriter.Write(
                         conditions,
                         changes,
-                        (written, stamp) -> {
+                        (written, revision) -> {
                             // Written or not, what stands there now is what counts.
                             rollout.changed();
                             outcome.add(
                                     new SchedulerEvent.RolloutWriteCompleted(
-                                            put.record().number(), written, stamp));
+                                            put.record().number(), written, revision));
                         }));
     }
 
@@ -65,7 +65,7 @@
         state.list(
                 RequestPriority.BACKGROUND,
                 count.feature().prefix(),
-                (result, entries, generation) -> {
+                (result, entries, storeRevision) -> {
                     List<String> old = new ArrayList<>();
                     List<String> unreadable = new ArrayList<>();
                     for (StoreClient.Entry entry : entries) {
--- a/src/main/java/org/woadloom/node/RolloutParticipant.java
+++ b/src/main/java/org/woadloom/node/RolloutParticipant.java
@@ -226,11 +226,11 @@
     }
 
     private void speak() {
-        state.grant(
+        state.storeLease(
                 GRANT_MICROS,
-                (result, grant) -> {
+                (result, storeLease) -> {
                     if (result == Result.OK) {
-                        speak(grant);
+                        speak(storeLease);
                     } else {
                         loop.schedule(RETRY_MICROS, this::speak);
                     }
@@ -241,12 +241,12 @@
      * The word of the process before this one tells whether processes of this node end soon after
      * one another.
      */
-    private void speak(long grant) {
+    private void speak(long storeLease) {
         String key = StoreKeys.ROLLOUT_NODES + label;
         state.get(
                 RequestPriority.URGENT,
                 key,
-                (result, entry, generation) -> {
+                (result, entry, storeRevision) -> {
                     if (result != Result.OK && result != Result.NOT_FOUND) {
                         loop.schedule(RETRY_MICROS, this::speak);
                         return;
@@ -261,19 +261,19 @@
                                     loop.wallMicros());
                     // Without the condition one without an answer, carried out after the next, hung
                     // the key on a grant that nobody renews.
-                    Condition asRead = new Condition(key, entry == null ? 0 : entry.stamp());
+                    Condition asRead = new Condition(key, entry == null ? 0 : entry.revision());
                     state.txn(
                             RequestPriority.URGENT,
                             List.of(asRead),
                             List.of(
-                                    new Change(key, word.toMap(), grant),
+                                    new Change(key, word.toMap(), storeLease),
                                     Change.put(
                                             StoreKeys.NODE_VERSIONS + label,
                                             ImmutableMap.of(FIELD, VERSION))),
-                            (put, stamp, failed) -> {
+                            (put, revision, failed) -> {
                                 if (put == Result.OK) {
                                     spoken = true;
-                                    renewLater(grant);
+                                    renewLater(storeLease);
                                     follow();
                                 } else {
                                     loop.schedule(RETRY_MICROS, this::speak);
@@ -296,12 +296,12 @@
         }
     }
 
-    private void renewLater(long grant) {
+    private void renewLater(long storeLease) {
         loop.schedule(
                 RENEW_MICROS,
                 () ->
                         state.renew(
-                                grant,
+                                storeLease,
                                 (result, id) -> {
                                     if (result == Result.NOT_FOUND) {
                                         // The word is gone; it is given again before anything is
@@ -310,7 +310,7 @@
                                         belonging.lapsed();
                                         speak();
                                     } else {
-                                        renewLater(grant);
+                                        renewLater(storeLease);
                                     }
                                 }));
     }
@@ -320,12 +320,12 @@
     private void follow() {
         read(
                 RequestPriority.URGENT,
-                generation -> {
-                    if (generation < 0) {
+                storeRevision -> {
+                    if (storeRevision < 0) {
                         loop.schedule(RETRY_MICROS, this::follow);
                     } else if (!following) {
                         following = true;
-                        follow(generation);
+                        follow(storeRevision);
                     }
                 });
     }
@@ -335,7 +335,7 @@
                 StoreKeys.ROLLOUT,
                 since,
                 WATCH_MICROS,
-                (result, events, generation) -> {
+                (result, events, storeRevision) -> {
                     if (result != Result.OK) {
                         following = false;
                         loop.schedule(RETRY_MICROS, this::follow);
@@ -347,13 +347,13 @@
                         } else {
                             entries.put(
                                     event.path(),
-                                    new Entry(event.path(), event.value(), event.stamp()));
+                                    new Entry(event.path(), event.value(), event.revision()));
                         }
                     }
                     if (!events.isEmpty()) {
                         judge();
                     }
-                    follow(Math.max(since, generation));
+                    follow(Math.max(since, storeRevision));
                 });
     }
 
@@ -364,7 +364,7 @@
         state.list(
                 urgency,
                 StoreKeys.ROLLOUT,
-                (result, found, generation) -> {
+                (result, found, storeRevision) -> {
                     if (result != Result.OK) {
                         done.accept(-1L);
                         return;
@@ -375,16 +375,16 @@
                     entries.clear();
                     found.forEach(entry -> entries.put(entry.path(), entry));
                     judge();
-                    done.accept(generation);
+                    done.accept(storeRevision);
                 });
     }
 
     private void judge() {
         Entry stored = entries.get(StoreKeys.ROLLOUT_STATE);
-        if (stored != null && stored.stamp() < stateStamp) {
+        if (stored != null && stored.revision() < stateStamp) {
             return;
         }
-        stateStamp = stored == null ? 0 : stored.stamp();
+        stateStamp = stored == null ? 0 : stored.revision();
         try {
             record = stored == null ? RolloutRecord.NONE : RolloutRecord.parse(stored.value());
         } catch (MalformedMessageException e) {
@@ -472,11 +472,11 @@
         state.get(
                 urgency,
                 StoreKeys.AGREED,
-                (result, entry, generation) -> {
+                (result, entry, storeRevision) -> {
                     try {
                         if (result == Result.OK) {
                             agreed = Math.max(agreed, new Fields(entry.value()).integer(FIELD));
-                            agreedStamp = entry.stamp();
+                            agreedStamp = entry.revision();
                         }
                     } catch (MalformedMessageException e) {
                         LOG.error(
@@ -510,7 +510,7 @@
                     words.put(
                             entry.path().substring(StoreKeys.ROLLOUT_NODES.length()),
                             new SchedulerEvent.StoredAnnouncement(
-                                    NodeAnnouncement.parse(entry.value()), entry.stamp()));
+                                    NodeAnnouncement.parse(entry.value()), entry.revision()));
                 } else if (entry.path().startsWith(StoreKeys.ROLLOUT_ASKED)) {
                     asked.put(
                             entry.path().substring(StoreKeys.ROLLOUT_ASKED.length()),
--- a/src/main/java/org/woadloom/node/StoreRelay.java
+++ b/src/main/java/org/woadloom/node/StoreRelay.java
@@ -209,7 +209,7 @@
                 RequestPriority.URGENT,
                 List.of(),
                 List.of(Change.put(StoreKeys.mail(label, slot), value)),
-                (result, generation, failed) -> {
+                (result, storeRevision, failed) -> {
                     if (result == Result.BAD) {
                         limits.refusedValue(Cbor.jsonSize(value));
                         sendAgain(parcels);
@@ -289,10 +289,10 @@
             state.list(
                     RequestPriority.URGENT,
                     StoreKeys.mailOf(label),
-                    (result, entries, generation) -> {
+                    (result, entries, storeRevision) -> {
                         entries.forEach(entry -> answered(entry.path(), entry.value()));
                         if (result == Result.OK) {
-                            followAnswers(generation);
+                            followAnswers(storeRevision);
                         } else {
                             watchAgain();
                         }
@@ -312,14 +312,14 @@
                 StoreKeys.mailOf(label),
                 since,
                 WATCH_MICROS,
-                (result, events, generation) -> {
+                (result, events, storeRevision) -> {
                     for (StoreClient.Event event : events) {
                         if (event.value() != null) {
                             answered(event.path(), event.value());
                         }
                     }
                     if (result == Result.OK && (!waiting.isEmpty() || !events.isEmpty())) {
-                        followAnswers(Math.max(since, generation));
+                        followAnswers(Math.max(since, storeRevision));
                     } else {
                         watchAgain();
                     }
@@ -374,7 +374,7 @@
         state.list(
                 RequestPriority.URGENT,
                 StoreKeys.MAIL,
-                (result, entries, generation) -> {
+                (result, entries, storeRevision) -> {
                     if (leading != term) {
                         return;
                     }
@@ -383,7 +383,7 @@
                         return;
                     }
                     entries.forEach(entry -> letter(entry.path(), entry.value(), decider));
-                    followMail(term, generation, decider);
+                    followMail(term, storeRevision, decider);
                 });
     }
 
@@ -392,7 +392,7 @@
                 StoreKeys.MAIL,
                 since,
                 WATCH_MICROS,
-                (result, events, generation) -> {
+                (result, events, storeRevision) -> {
                     if (leading != term) {
                         return;
                     }
@@ -402,7 +402,7 @@
                                 letter(event.path(), event.value(), decider);
                             }
                         }
-                        followMail(term, Math.max(since, generation), decider);
+                        followMail(term, Math.max(since, storeRevision), decider);
                     } else {
                         loop.schedule(RETRY_MICROS, () -> read(term, decider));
                     }
@@ -470,7 +470,7 @@
                 RequestPriority.URGENT,
                 List.of(),
                 List.of(Change.put(path, value)),
-                (result, generation, failed) -> {
+                (result, storeRevision, failed) -> {
                     if (result == Result.BAD) {
                         limits.refusedValue(Cbor.jsonSize(value));
                     }
--- a/src/main/java/org/woadloom/node/WarmUp.java
+++ b/src/main/java/org/woadloom/node/WarmUp.java
@@ -38,7 +38,7 @@
             String bind = "127.0.0.1:" + service.getLocalPort();
             return new ServiceSettings(
                     s.label(),
-                    s.area(),
+                    s.zone(),
                     bind,
                     "127.0.0.1:" + peer.getLocalPort(),
                     s.peers(),
--- a/src/main/java/org/woadloom/peer/PeerCodec.java
+++ b/src/main/java/org/woadloom/peer/PeerCodec.java
@@ -65,12 +65,12 @@
                 PeerMessage.JobChangeNotification.class,
                 13,
                 (out, m) -> {
-                    out.writeLong(m.stamp());
+                    out.writeLong(m.revision());
                     writeBytes(out, m.record());
                 },
                 in -> {
-                    long stamp = in.readLong();
-                    return new PeerMessage.JobChangeNotification(readBytes(in), stamp);
+                    long revision = in.readLong();
+                    return new PeerMessage.JobChangeNotification(readBytes(in), revision);
                 });
         register(
                 PeerMessage.ForwardHeartbeat.class,
--- a/src/main/java/org/woadloom/peer/PeerMessage.java
+++ b/src/main/java/org/woadloom/peer/PeerMessage.java
@@ -31,7 +31,7 @@
     record RolloutView(long number, List<String> on, List<String> requires, List<String> reads) {}
 
     /** A job's record, as CBOR, that this node has just made durable. */
-    record JobChangeNotification(byte[] record, long stamp) implements PeerMessage {}
+    record JobChangeNotification(byte[] record, long revision) implements PeerMessage {}
 
     /** A worker's report, carried to the leader for a worker that can't reach it. */
     record ForwardHeartbeat(long id, byte[] report) implements PeerMessage {}
--- a/src/main/java/org/woadloom/protocol/Heartbeat.java
+++ b/src/main/java/org/woadloom/protocol/Heartbeat.java
@@ -7,14 +7,14 @@
 /** A worker's report. {@code warningMicros} is -1 unless the cloud has given notice. */
 public record Heartbeat(
         String host,
-        String addr,
-        String hosttype,
-        String yard,
-        boolean reclaimable,
-        long tenure,
-        long tick,
-        long epoch,
-        long warningMicros,
+        String address,
+        String machineType,
+        String zone,
+        boolean spot,
+        long incarnation,
+        long sequence,
+        long fencingToken,
+        long spotNoticeMicros,
         List<TaskStatus> tasks) {
 
     public static Heartbeat read(byte[] body) throws MalformedMessageException {
@@ -24,26 +24,26 @@
     private static Heartbeat read(FieldReader fields)
             throws IOException, MalformedMessageException {
         String host = null;
-        String addr = null;
-        String hosttype = null;
-        String yard = null;
-        boolean reclaimable = false;
-        Long tenure = null;
-        Long tick = null;
-        Long epoch = null;
-        long warning = -1;
+        String address = null;
+        String machineType = null;
+        String zone = null;
+        boolean spot = false;
+        Long incarnation = null;
+        Long sequence = null;
+        Long fencingToken = null;
+        long spotNotice = -1;
         List<TaskStatus> tasks = null;
         for (String name = fields.next(); name != null; name = fields.next()) {
             switch (name) {
                 case "host" -> host = fields.text();
-                case "addr" -> addr = fields.text();
-                case "hosttype" -> hosttype = fields.text();
-                case "yard" -> yard = fields.text();
-                case "reclaimable" -> reclaimable = fields.flag();
-                case "tenure" -> tenure = fields.count();
-                case "tick" -> tick = fields.count();
-                case "epoch" -> epoch = fields.count();
-                case "warningS" -> warning = (long) (fields.amount() * 1e6);
+                case "addr" -> address = fields.text();
+                case "hosttype" -> machineType = fields.text();
+                case "yard" -> zone = fields.text();
+                case "reclaimable" -> spot = fields.flag();
+                case "tenure" -> incarnation = fields.count();
+                case "tick" -> sequence = fields.count();
+                case "epoch" -> fencingToken = fields.count();
+                case "warningS" -> spotNotice = (long) (fields.amount() * 1e6);
                 case "shards" -> {
                     List<TaskStatus> read = new ArrayList<>();
                     fields.maps(item -> read.add(TaskStatus.read(item)));
@@ -61,19 +61,19 @@
         }
         return new Heartbeat(
                 host,
-                FieldReader.required("addr", addr, "text"),
-                FieldReader.required("hosttype", hosttype, "text"),
-                FieldReader.required("yard", yard, "text"),
-                reclaimable,
-                FieldReader.required("tenure", tenure, "an integer"),
-                FieldReader.required("tick", tick, "an integer"),
-                FieldReader.required("epoch", epoch, "an integer"),
-                warning,
+                FieldReader.required("addr", address, "text"),
+                FieldReader.required("hosttype", machineType, "text"),
+                FieldReader.required("yard", zone, "text"),
+                spot,
+                FieldReader.required("tenure", incarnation, "an integer"),
+                FieldReader.required("tick", sequence, "an integer"),
+                FieldReader.required("epoch", fencingToken, "an integer"),
+                spotNotice,
                 FieldReader.required("shards", tasks, "a list"));
     }
 
     /** True if this message was made after the one with the given tenure and tick. */
-    public boolean newerThan(long otherTenure, long otherTick) {
-        return tenure != otherTenure ? tenure > otherTenure : tick > otherTick;
+    public boolean isNewerThan(long otherTenure, long otherTick) {
+        return incarnation != otherTenure ? incarnation > otherTenure : sequence > otherTick;
     }
 }
--- a/src/main/java/org/woadloom/protocol/JobDescription.java
+++ b/src/main/java/org/woadloom/protocol/JobDescription.java
@@ -12,29 +12,29 @@
  * version before 2.
  */
 public record JobDescription(
-        String uid,
-        String jobclass,
-        String crew,
-        JobKind shape,
-        Priority rank,
-        int shards,
-        double vcpus,
-        double cards,
-        double ramGb,
-        String bundle,
-        double pullGb,
-        List<String> hosttypes,
-        String yard,
-        boolean samePlace,
-        boolean apart,
-        boolean reclaimable,
-        double runtimeS,
-        double snapshotEveryS,
-        double snapshotCostS,
-        Double dueS,
-        List<String> awaits) {
+        String jobId,
+        String jobClass,
+        String team,
+        JobKind kind,
+        Priority priority,
+        int taskCount,
+        double cpus,
+        double gpus,
+        double memoryGb,
+        String image,
+        double imageGb,
+        List<String> machineTypes,
+        String zone,
+        boolean sameZone,
+        boolean spreadAcrossZones,
+        boolean spotAllowed,
+        double estimatedRuntimeSeconds,
+        double checkpointIntervalSeconds,
+        double checkpointCostSeconds,
+        Double deadlineSeconds,
+        List<String> dependencies) {
 
-    public static final int MAX_SHARDS = 100_000;
+    public static final int MAX_TASKS = 100_000;
     private static final int MAX_NAME = 120;
 
     /** What users must give, and stored records leave out where it has the usual value. */
@@ -50,7 +50,7 @@
                     "snapshotCostS");
 
     /** True for text that has the form of a job id and can be part of a key and of a path. */
-    public static boolean isUid(String text) {
+    public static boolean isJobId(String text) {
         if (!text.startsWith("j-") || text.length() < 3 || text.length() > 66) {
             return false;
         }
@@ -81,34 +81,34 @@
     /** As a record holds it, of this version or an earlier one. */
     public static JobDescription parse(Map<String, Object> map) throws MalformedMessageException {
         Fields f = new Fields(map);
-        String uid = f.text("uid");
-        if (!isUid(uid)) {
+        String jobId = f.text("uid");
+        if (!isJobId(jobId)) {
             throw new MalformedMessageException("uid: expected an id such as j-000412");
         }
         long shards = f.integer("shards");
-        if (shards < 1 || shards > MAX_SHARDS) {
-            throw new MalformedMessageException("shards: expected 1 to " + MAX_SHARDS);
+        if (shards < 1 || shards > MAX_TASKS) {
+            throw new MalformedMessageException("shards: expected 1 to " + MAX_TASKS);
         }
-        List<String> hosttypes = f.has("hosttypes") ? List.copyOf(f.texts("hosttypes")) : null;
-        double vcpus = f.amount("vcpus");
-        double cards = f.amountOr("cards", 0);
-        double ramGb = f.amount("ramGb");
-        if (vcpus == 0 && cards == 0 && ramGb == 0) {
+        List<String> machineTypes = f.has("hosttypes") ? List.copyOf(f.texts("hosttypes")) : null;
+        double cpus = f.amount("vcpus");
+        double gpus = f.amountOr("cards", 0);
+        double memoryGb = f.amount("ramGb");
+        if (cpus == 0 && gpus == 0 && memoryGb == 0) {
             throw new MalformedMessageException("vcpus: a task must take something of its machine");
         }
         return new JobDescription(
-                uid,
+                jobId,
                 name(f, "jobclass"),
                 name(f, "crew"),
                 JobKind.parse(f.text("shape")),
                 Priority.parse(f.text("rank")),
                 (int) shards,
-                vcpus,
-                cards,
-                ramGb,
+                cpus,
+                gpus,
+                memoryGb,
                 name(f, "bundle"),
                 f.amountOr("pullGb", 0),
-                hosttypes,
+                machineTypes,
                 f.textOr("yard", null),
                 f.flagOr("samePlace", false),
                 f.flagOr("apart", false),
@@ -117,42 +117,42 @@
                 f.amountOr("snapshotEveryS", 0),
                 f.amountOr("snapshotCostS", 0),
                 f.has("dueS") ? Double.valueOf(f.amount("dueS")) : null,
-                awaits(f));
+                dependencies(f));
     }
 
     /**
      * The jobs that have to be done before this one starts; each is named once here, however often
      * its user did.
      */
-    private static List<String> awaits(Fields f) throws MalformedMessageException {
+    private static List<String> dependencies(Fields f) throws MalformedMessageException {
         return f.has("awaits") ? List.copyOf(new LinkedHashSet<>(f.texts("awaits"))) : List.of();
     }
 
     /** The same job where what it waited for is done. */
-    public JobDescription released() {
-        return awaits.isEmpty()
+    public JobDescription withoutDependencies() {
+        return dependencies.isEmpty()
                 ? this
                 : new JobDescription(
-                        uid,
-                        jobclass,
-                        crew,
-                        shape,
-                        rank,
-                        shards,
-                        vcpus,
-                        cards,
-                        ramGb,
-                        bundle,
-                        pullGb,
-                        hosttypes,
-                        yard,
-                        samePlace,
-                        apart,
-                        reclaimable,
-                        runtimeS,
-                        snapshotEveryS,
-                        snapshotCostS,
-                        dueS,
+                        jobId,
+                        jobClass,
+                        team,
+                        kind,
+                        priority,
+                        taskCount,
+                        cpus,
+                        gpus,
+                        memoryGb,
+                        image,
+                        imageGb,
+                        machineTypes,
+                        zone,
+                        sameZone,
+                        spreadAcrossZones,
+                        spotAllowed,
+                        estimatedRuntimeSeconds,
+                        checkpointIntervalSeconds,
+                        checkpointCostSeconds,
+                        deadlineSeconds,
                         List.of());
     }
 
@@ -165,38 +165,38 @@
         return text;
     }
 
-    public boolean service() {
-        return shape == JobKind.SERVICE;
+    public boolean isService() {
+        return kind == JobKind.SERVICE;
     }
 
-    public boolean gang() {
-        return shape == JobKind.GROUP;
+    public boolean isGang() {
+        return kind == JobKind.GANG;
     }
 
     public Map<String, Object> toMap() {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("uid", uid);
-        map.put("jobclass", jobclass);
-        map.put("crew", crew);
-        map.put("shape", shape.wireName());
-        map.put("rank", rank.wireName());
-        map.put("shards", (long) shards);
-        map.put("vcpus", vcpus);
-        map.put("cards", cards);
-        map.put("ramGb", ramGb);
-        map.put("bundle", bundle);
-        map.put("pullGb", pullGb);
-        map.put("hosttypes", hosttypes);
-        map.put("yard", yard);
-        map.put("samePlace", samePlace);
-        map.put("apart", apart);
-        map.put("reclaimable", reclaimable);
-        map.put("runtimeS", runtimeS);
-        map.put("snapshotEveryS", snapshotEveryS);
-        map.put("snapshotCostS", snapshotCostS);
-        map.put("dueS", dueS);
-        if (!awaits.isEmpty()) {
-            map.put("awaits", awaits);
+        map.put("uid", jobId);
+        map.put("jobclass", jobClass);
+        map.put("crew", team);
+        map.put("shape", kind.wireName());
+        map.put("rank", priority.wireName());
+        map.put("shards", (long) taskCount);
+        map.put("vcpus", cpus);
+        map.put("cards", gpus);
+        map.put("ramGb", memoryGb);
+        map.put("bundle", image);
+        map.put("pullGb", imageGb);
+        map.put("hosttypes", machineTypes);
+        map.put("yard", zone);
+        map.put("samePlace", sameZone);
+        map.put("apart", spreadAcrossZones);
+        map.put("reclaimable", spotAllowed);
+        map.put("runtimeS", estimatedRuntimeSeconds);
+        map.put("snapshotEveryS", checkpointIntervalSeconds);
+        map.put("snapshotCostS", checkpointCostSeconds);
+        map.put("dueS", deadlineSeconds);
+        if (!dependencies.isEmpty()) {
+            map.put("awaits", dependencies);
         }
         return map;
     }
--- a/src/main/java/org/woadloom/protocol/JobKind.java
+++ b/src/main/java/org/woadloom/protocol/JobKind.java
@@ -3,22 +3,28 @@
 /** How a job's tasks belong together. */
 public enum JobKind {
     /** Independent tasks that each run to completion. */
-    BATCH,
+    ARRAY("batch"),
     /**
      * A gang: tasks that run to completion together, and wait for one another before they start.
      */
-    GROUP,
+    GANG("group"),
     /** Replicas that run until the job is cancelled. */
-    SERVICE;
+    SERVICE("service");
+
+    private final String wireName;
+
+    JobKind(String wireName) {
+        this.wireName = wireName;
+    }
 
     public String wireName() {
-        return name().toLowerCase(java.util.Locale.ROOT);
+        return wireName;
     }
 
     static JobKind parse(String text) throws MalformedMessageException {
-        for (JobKind shape : values()) {
-            if (shape.wireName().equals(text)) {
-                return shape;
+        for (JobKind kind : values()) {
+            if (kind.wireName().equals(text)) {
+                return kind;
             }
         }
         throw new MalformedMessageException("shape: expected batch, group or service");
--- a/src/main/java/org/woadloom/protocol/JobStatus.java
+++ b/src/main/java/org/woadloom/protocol/JobStatus.java
@@ -7,10 +7,10 @@
  * What a user is told of a job. {@code done} and {@code running} are -1 where the answer carries no
  * counts.
  */
-public record JobStatus(String uid, String status, int done, int running) {
+public record JobStatus(String jobId, String status, int done, int running) {
     public Map<String, Object> toMap() {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("uid", uid);
+        map.put("uid", jobId);
         map.put("status", status);
         if (done >= 0) {
             map.put("done", (long) done);
--- a/src/main/java/org/woadloom/protocol/ListedMachine.java
+++ b/src/main/java/org/woadloom/protocol/ListedMachine.java
@@ -2,13 +2,13 @@
 
 /** One machine as the cloud's list shows it; the list lags, so absence from it says nothing. */
 public record ListedMachine(
-        String uid,
-        String addr,
-        String hosttype,
-        String yard,
-        boolean reclaimable,
+        String host,
+        String address,
+        String machineType,
+        String zone,
+        boolean spot,
         String status,
-        long heldMicros) {
+        long rentedForMicros) {
     public static ListedMachine parse(Object value) throws MalformedMessageException {
         Fields f = Fields.of(value, "hosts");
         return new ListedMachine(
--- a/src/main/java/org/woadloom/protocol/MachineType.java
+++ b/src/main/java/org/woadloom/protocol/MachineType.java
@@ -8,15 +8,15 @@
 /** A kind of machine that the cloud rents. Prices are per hour. */
 public record MachineType(
         String name,
-        double vcpus,
-        double cards,
-        double ramGb,
-        double cacheGb,
-        double pullGbPerS,
-        double rate,
-        double marketPrice,
-        long readyMicros,
-        List<String> yards) {
+        double cpus,
+        double gpus,
+        double memoryGb,
+        double imageCacheGb,
+        double imageGbPerSecond,
+        double onDemandPrice,
+        double spotPrice,
+        long bootMicros,
+        List<String> zones) {
 
     public static MachineType parse(Object value) throws MalformedMessageException {
         Fields f = Fields.of(value, "hosttypes");
@@ -45,22 +45,22 @@
     public Map<String, Object> toMap() {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("name", name);
-        map.put("vcpus", vcpus);
-        map.put("cards", cards);
-        map.put("ramGb", ramGb);
-        map.put("cacheGb", cacheGb);
-        map.put("pullGbPerS", pullGbPerS);
-        map.put("rate", rate);
-        map.put("marketPrice", marketPrice);
-        map.put("readyS", readyMicros / 1e6);
-        map.put("yards", yards);
+        map.put("vcpus", cpus);
+        map.put("cards", gpus);
+        map.put("ramGb", memoryGb);
+        map.put("cacheGb", imageCacheGb);
+        map.put("pullGbPerS", imageGbPerSecond);
+        map.put("rate", onDemandPrice);
+        map.put("marketPrice", spotPrice);
+        map.put("readyS", bootMicros / 1e6);
+        map.put("yards", zones);
         return map;
     }
 
     /** True if one task of the job fits on an empty machine of this type. */
-    public boolean holds(JobDescription job) {
-        return job.vcpus() <= vcpus + 1e-9
-                && job.cards() <= cards + 1e-9
-                && job.ramGb() <= ramGb + 1e-9;
+    public boolean fits(JobDescription job) {
+        return job.cpus() <= cpus + 1e-9
+                && job.gpus() <= gpus + 1e-9
+                && job.memoryGb() <= memoryGb + 1e-9;
     }
 }
--- a/src/main/java/org/woadloom/protocol/Priority.java
+++ b/src/main/java/org/woadloom/protocol/Priority.java
@@ -12,9 +12,9 @@
     }
 
     static Priority parse(String text) throws MalformedMessageException {
-        for (Priority rank : values()) {
-            if (rank.wireName().equals(text)) {
-                return rank;
+        for (Priority priority : values()) {
+            if (priority.wireName().equals(text)) {
+                return priority;
             }
         }
         throw new MalformedMessageException("rank: expected critical, high, standard or low");
--- a/src/main/java/org/woadloom/protocol/TaskId.java
+++ b/src/main/java/org/woadloom/protocol/TaskId.java
@@ -1,7 +1,7 @@
 package org.woadloom.protocol;
 
 /** One task of a job, written {@code j-000412/3}. */
-public record TaskId(String uid, int index) {
+public record TaskId(String jobId, int index) {
     public static TaskId parse(String text) throws MalformedMessageException {
         int slash = text.indexOf('/');
         if (slash > 0) {
@@ -19,6 +19,6 @@
 
     @Override
     public String toString() {
-        return uid + "/" + index;
+        return jobId + "/" + index;
     }
 }
--- a/src/main/java/org/woadloom/protocol/TaskStatus.java
+++ b/src/main/java/org/woadloom/protocol/TaskStatus.java
@@ -3,26 +3,27 @@
 import java.io.IOException;
 
 /** What a worker says of one task. {@code cause} is null unless the task has exited. */
-public record TaskStatus(TaskId task, long attempt, State state, ExitReason cause, boolean saved) {
+public record TaskStatus(
+        TaskId task, long attempt, State state, ExitReason exitReason, boolean checkpointed) {
     public enum State {
         FETCHING,
         GATHERING,
         RUNNING,
-        FLUSHING,
+        CHECKPOINTING,
         EXITED
     }
 
     public enum ExitReason {
         DONE,
-        HALTED,
+        STOPPED,
         ERROR,
-        NO_ROOM,
-        BUSY,
-        UNKNOWN,
+        INSUFFICIENT_RESOURCES,
+        ALREADY_RUNNING,
+        UNKNOWN_TASK,
         /** A task of a gang whose peers went away. */
-        PEERS,
+        GANG_LOST,
         /** A task of a gang that was never complete. */
-        INCOMPLETE
+        GANG_INCOMPLETE
     }
 
     static TaskStatus read(FieldReader fields) throws IOException, MalformedMessageException {
@@ -36,7 +37,7 @@
                 case "shard" -> task = TaskId.parse(fields.text());
                 case "try" -> attempt = fields.integer();
                 case "status" -> state = state(fields.text());
-                case "cause" -> cause = cause(fields.text());
+                case "cause" -> cause = exitReason(fields.text());
                 case "saved" -> saved = fields.flag();
                 default -> fields.skip();
             }
@@ -55,30 +56,30 @@
             case "fetching" -> State.FETCHING;
             case "gathering" -> State.GATHERING;
             case "running" -> State.RUNNING;
-            case "flushing" -> State.FLUSHING;
+            case "flushing" -> State.CHECKPOINTING;
             case "exited" -> State.EXITED;
                 // A state this version does not know still occupies the machine.
             default -> State.RUNNING;
         };
     }
 
-    private static ExitReason cause(String text) {
+    private static ExitReason exitReason(String text) {
         return switch (text) {
             case "done" -> ExitReason.DONE;
-            case "halted" -> ExitReason.HALTED;
-            case "no_room" -> ExitReason.NO_ROOM;
-            case "busy" -> ExitReason.BUSY;
-            case "unknown" -> ExitReason.UNKNOWN;
-            case "peers" -> ExitReason.PEERS;
-            case "incomplete" -> ExitReason.INCOMPLETE;
+            case "halted" -> ExitReason.STOPPED;
+            case "no_room" -> ExitReason.INSUFFICIENT_RESOURCES;
+            case "busy" -> ExitReason.ALREADY_RUNNING;
+            case "unknown" -> ExitReason.UNKNOWN_TASK;
+            case "peers" -> ExitReason.GANG_LOST;
+            case "incomplete" -> ExitReason.GANG_INCOMPLETE;
             default -> ExitReason.ERROR;
         };
     }
 
     /** True where the worker refused the launch: nothing of this attempt ever ran. */
-    public boolean refused() {
-        return cause == ExitReason.NO_ROOM
-                || cause == ExitReason.BUSY
-                || cause == ExitReason.UNKNOWN;
+    public boolean wasRefused() {
+        return exitReason == ExitReason.INSUFFICIENT_RESOURCES
+                || exitReason == ExitReason.ALREADY_RUNNING
+                || exitReason == ExitReason.UNKNOWN_TASK;
     }
 }
--- a/src/main/java/org/woadloom/reads/CoalescingJobReader.java
+++ b/src/main/java/org/woadloom/reads/CoalescingJobReader.java
@@ -50,20 +50,21 @@
         public static JobView of(JobLookup looked) {
             boolean waits = looked.record() != null && !looked.record().cancelled();
             return new JobView(
-                    looked.status(), waits ? looked.record().description().awaits() : List.of());
+                    looked.status(),
+                    waits ? looked.record().description().dependencies() : List.of());
         }
     }
 
-    private record Question(long number, String uid, Consumer<JobView> answer) {}
+    private record Question(long number, String jobId, Consumer<JobView> answer) {}
 
     /** A job as of the last round: read already, or as the store gave it. */
     private static final class CachedJob {
         Map<String, Object> unread;
-        long stamp;
+        long revision;
         JobView shown;
 
-        CachedJob(long stamp, JobView shown) {
-            this.stamp = stamp;
+        CachedJob(long revision, JobView shown) {
+            this.revision = revision;
             this.shown = shown;
         }
     }
@@ -134,13 +135,13 @@
     }
 
     /** Asks for a job; the answer is null if the store does not say. */
-    public void ask(String uid, Consumer<JobView> answer) {
-        JobLookup known = reader.known(uid);
+    public void ask(String jobId, Consumer<JobView> answer) {
+        JobLookup known = reader.known(jobId);
         if (known != null) {
             answer.accept(JobView.of(known));
             return;
         }
-        asked.add(new Question(++lastAsked, uid, answer));
+        asked.add(new Question(++lastAsked, jobId, answer));
         lookSoon();
     }
 
@@ -198,7 +199,7 @@
         state.get(
                 RequestPriority.USER,
                 StoreKeys.NOTHING,
-                (result, entry, generation) -> {
+                (result, entry, storeRevision) -> {
                     if (result == Result.UNAVAILABLE) {
                         refused.run();
                         answered(upTo, question -> question.answer.accept(null));
@@ -219,7 +220,7 @@
                 RequestPriority.USER,
                 StoreKeys.JOBS,
                 since,
-                (result, events, generation) -> {
+                (result, events, storeRevision) -> {
                     underWay--;
                     if (ofEra != era) {
                         return;
@@ -227,9 +228,9 @@
                     if (result == Result.OK) {
                         // Where another answer came first that tells more, what this one leaves out
                         // will not be told again.
-                        Set<String> askedFor = generation >= since ? askedFor(upTo) : Set.of();
+                        Set<String> askedFor = storeRevision >= since ? askedFor(upTo) : Set.of();
                         events.forEach(event -> changed(event, askedFor));
-                        told(generation, now);
+                        told(storeRevision, now);
                         answered(upTo, this::answer);
                     } else if (result == Result.NOT_FOUND) {
                         // Changes are kept for a while only.
@@ -241,8 +242,8 @@
                 });
     }
 
-    private void told(long generation, long asOfMicros) {
-        since = Math.max(since, generation);
+    private void told(long storeRevision, long asOfMicros) {
+        since = Math.max(since, storeRevision);
         sinceMicros = Math.max(sinceMicros, asOfMicros);
     }
 
@@ -267,7 +268,7 @@
         state.get(
                 RequestPriority.USER,
                 StoreKeys.NOTHING,
-                (result, entry, generation) -> {
+                (result, entry, storeRevision) -> {
                     underWay--;
                     if (ofEra != era || since >= 0) {
                         // Another answer came first, and what happened between the two must still
@@ -275,7 +276,7 @@
                         return;
                     }
                     if (result == Result.NOT_FOUND) {
-                        told(generation, now);
+                        told(storeRevision, now);
                         answered(upTo, this::answer);
                     } else {
                         answered(upTo, question -> question.answer.accept(null));
@@ -284,14 +285,14 @@
     }
 
     private Set<String> askedFor(long upTo) {
-        Set<String> uids = new HashSet<>();
+        Set<String> jobIds = new HashSet<>();
         for (Question question : asked) {
             if (question.number > upTo) {
                 break;
             }
-            uids.add(question.uid);
+            jobIds.add(question.jobId);
         }
-        return uids;
+        return jobIds;
     }
 
     /**
@@ -299,83 +300,83 @@
      *     as a read by key
      */
     private void changed(Event event, Set<String> askedFor) {
-        String uid = event.path().substring(StoreKeys.JOBS.length());
+        String jobId = event.path().substring(StoreKeys.JOBS.length());
         if (event.value() == null) {
-            over.put(uid, event.stamp());
+            over.put(jobId, event.revision());
         }
-        CachedJob job = remembered.getIfPresent(uid);
+        CachedJob job = remembered.getIfPresent(jobId);
         if (job == null
                 && event.value() != null
-                && askedFor.contains(uid)
-                && !reading.containsKey(uid)) {
+                && askedFor.contains(jobId)
+                && !reading.containsKey(jobId)) {
             job = new CachedJob(0, null);
-            remembered.put(uid, job);
+            remembered.put(jobId, job);
         }
-        if (job != null && event.stamp() > job.stamp) {
+        if (job != null && event.revision() > job.revision) {
             if (event.value() == null) {
                 // Its final state has to be read.
-                remembered.invalidate(uid);
+                remembered.invalidate(jobId);
             } else {
                 job.unread = event.value();
-                job.stamp = event.stamp();
+                job.revision = event.revision();
             }
         }
-        PendingRead read = reading.get(uid);
-        if (read != null && (read.latest == null || event.stamp() > read.latest.stamp())) {
+        PendingRead read = reading.get(jobId);
+        if (read != null && (read.latest == null || event.revision() > read.latest.revision())) {
             read.latest = event;
         }
     }
 
     private void answer(Question question) {
         // Its final state may have been read for another request since the question came.
-        JobLookup known = reader.known(question.uid);
-        JobView shown = known != null ? JobView.of(known) : remembered(question.uid);
+        JobLookup known = reader.known(question.jobId);
+        JobView shown = known != null ? JobView.of(known) : remembered(question.jobId);
         if (shown != null) {
             question.answer.accept(shown);
             return;
         }
-        PendingRead read = reading.get(question.uid);
+        PendingRead read = reading.get(question.jobId);
         if (read != null) {
             // One that is under way is as good: the rounds tell what has changed since it began.
             read.waiting.add(question.answer);
             return;
         }
         read = new PendingRead();
-        reading.put(question.uid, read);
+        reading.put(question.jobId, read);
         read.waiting.add(question.answer);
-        read(question.uid, read);
+        read(question.jobId, read);
     }
 
-    private JobView remembered(String uid) {
-        CachedJob job = remembered.getIfPresent(uid);
+    private JobView remembered(String jobId) {
+        CachedJob job = remembered.getIfPresent(jobId);
         if (job != null && job.unread != null) {
-            JobLookup looked = reader.parse(uid, job.unread, job.stamp);
+            JobLookup looked = reader.parse(jobId, job.unread, job.revision);
             job.unread = null;
             job.shown = looked == null ? null : JobView.of(looked);
         }
         return job == null ? null : job.shown;
     }
 
-    private void read(String uid, PendingRead read) {
+    private void read(String jobId, PendingRead read) {
         reader.look(
-                uid,
-                over.getIfPresent(uid) != null,
+                jobId,
+                over.getIfPresent(jobId) != null,
                 looked -> {
                     JobLookup latest = looked;
                     if (looked != null
                             && looked.finalState() == null
                             && read.latest != null
-                            && read.latest.stamp() > looked.stamp()) {
+                            && read.latest.revision() > looked.revision()) {
                         if (read.latest.value() == null) {
                             read.latest = null;
-                            read(uid, read);
+                            read(jobId, read);
                             return;
                         }
-                        latest = reader.parse(uid, read.latest.value(), read.latest.stamp());
+                        latest = reader.parse(jobId, read.latest.value(), read.latest.revision());
                     }
                     JobView shown = latest == null ? null : JobView.of(latest);
-                    if (reading.remove(uid, read) && latest != null && latest.record() != null) {
-                        remembered.put(uid, new CachedJob(latest.stamp(), shown));
+                    if (reading.remove(jobId, read) && latest != null && latest.record() != null) {
+                        remembered.put(jobId, new CachedJob(latest.revision(), shown));
                     }
                     read.waiting.forEach(answer -> answer.accept(shown));
                 });
--- a/src/main/java/org/woadloom/reads/JobLookup.java
+++ b/src/main/java/org/woadloom/reads/JobLookup.java
@@ -14,13 +14,13 @@
 public record JobLookup(
         JobRecord record,
         RecordFormat format,
-        long stamp,
+        long revision,
         FinalRecord finalState,
         JobStatus unread) {
     static final JobLookup UNKNOWN = new JobLookup(null, null, 0, null, null);
 
-    static JobLookup of(JobRecord record, RecordFormat format, long stamp) {
-        return new JobLookup(record, format, stamp, null, null);
+    static JobLookup of(JobRecord record, RecordFormat format, long revision) {
+        return new JobLookup(record, format, revision, null, null);
     }
 
     static JobLookup over(FinalRecord finalState) {
@@ -32,14 +32,14 @@
      * that it was cancelled is said by a field of its own. More is not known, and it is neither
      * forgotten nor over.
      */
-    static JobLookup unreadable(String uid, Map<String, Object> value, long stamp) {
+    static JobLookup unreadable(String jobId, Map<String, Object> value, long revision) {
         boolean cancelled = value != null && Boolean.TRUE.equals(value.get("cancelled"));
         return new JobLookup(
                 null,
                 null,
-                stamp,
+                revision,
                 null,
-                new JobStatus(uid, cancelled ? "cancelled" : "queued", -1, 0));
+                new JobStatus(jobId, cancelled ? "cancelled" : "queued", -1, 0));
     }
 
     /** Null for a job that was never accepted. */
@@ -50,6 +50,6 @@
     public boolean service() {
         return finalState != null
                 ? finalState.service()
-                : record != null && record.description().service();
+                : record != null && record.description().isService();
     }
 }
--- a/src/main/java/org/woadloom/reads/JobReader.java
+++ b/src/main/java/org/woadloom/reads/JobReader.java
@@ -40,63 +40,63 @@
         this.formatSeen = formatSeen;
     }
 
-    public void accepted(String uid, boolean service) {
-        accepted.put(uid, service);
+    public void accepted(String jobId, boolean service) {
+        accepted.put(jobId, service);
     }
 
     /** Whether an accepted job is a service; null for a job that is not known to be accepted. */
-    public Boolean acceptedService(String uid) {
-        return accepted.getIfPresent(uid);
+    public Boolean acceptedService(String jobId) {
+        return accepted.getIfPresent(jobId);
     }
 
     /** The job's final state if it was ever read here, or null. */
-    public JobLookup known(String uid) {
-        FinalRecord known = finals.getIfPresent(uid);
+    public JobLookup known(String jobId) {
+        FinalRecord known = finals.getIfPresent(jobId);
         return known == null ? null : JobLookup.over(known);
     }
 
     /**
      * Reads a job from the store, unless its final state is known; null if the store does not say.
      */
-    public void look(String uid, Consumer<JobLookup> consumer) {
-        look(RequestPriority.NORMAL, uid, consumer);
+    public void look(String jobId, Consumer<JobLookup> consumer) {
+        look(RequestPriority.NORMAL, jobId, consumer);
     }
 
     /** The same; of a job that is known to be over the final state is read at once. */
-    void look(String uid, boolean over, Consumer<JobLookup> consumer) {
-        if (over && known(uid) == null) {
+    void look(String jobId, boolean over, Consumer<JobLookup> consumer) {
+        if (over && known(jobId) == null) {
             lookForFinal(
                     RequestPriority.NORMAL,
-                    uid,
+                    jobId,
                     looked -> {
                         if (looked == JobLookup.UNKNOWN) {
-                            look(uid, consumer);
+                            look(jobId, consumer);
                         } else {
                             consumer.accept(looked);
                         }
                     });
         } else {
-            look(uid, consumer);
+            look(jobId, consumer);
         }
     }
 
     /** The same, before or after what else this node asks of the store. */
-    public void look(RequestPriority urgency, String uid, Consumer<JobLookup> consumer) {
-        JobLookup known = known(uid);
+    public void look(RequestPriority urgency, String jobId, Consumer<JobLookup> consumer) {
+        JobLookup known = known(jobId);
         if (known != null) {
             consumer.accept(known);
             return;
         }
         state.get(
                 urgency,
-                StoreKeys.job(uid),
-                (result, entry, generation) -> {
+                StoreKeys.job(jobId),
+                (result, entry, storeRevision) -> {
                     if (result == Result.NOT_FOUND) {
-                        lookForFinal(urgency, uid, consumer);
+                        lookForFinal(urgency, jobId, consumer);
                     } else {
                         consumer.accept(
                                 result == Result.OK
-                                        ? parse(uid, entry.value(), entry.stamp())
+                                        ? parse(jobId, entry.value(), entry.revision())
                                         : null);
                     }
                 });
@@ -106,14 +106,14 @@
      * Reads a job's record alone; null if the store does not say or there is none, which does not
      * say that there is no job.
      */
-    public void lookForRecord(RequestPriority urgency, String uid, Consumer<JobLookup> consumer) {
+    public void lookForRecord(RequestPriority urgency, String jobId, Consumer<JobLookup> consumer) {
         state.get(
                 urgency,
-                StoreKeys.job(uid),
-                (result, entry, generation) ->
+                StoreKeys.job(jobId),
+                (result, entry, storeRevision) ->
                         consumer.accept(
                                 result == Result.OK
-                                        ? parse(uid, entry.value(), entry.stamp())
+                                        ? parse(jobId, entry.value(), entry.revision())
                                         : null));
     }
 
@@ -121,19 +121,19 @@
      * A job moves from its record to its final state in one transaction, so this order of reading
      * can't miss it.
      */
-    private void lookForFinal(RequestPriority urgency, String uid, Consumer<JobLookup> consumer) {
+    private void lookForFinal(RequestPriority urgency, String jobId, Consumer<JobLookup> consumer) {
         state.get(
                 urgency,
-                StoreKeys.finalState(uid),
-                (result, entry, generation) -> {
+                StoreKeys.finalState(jobId),
+                (result, entry, storeRevision) -> {
                     JobLookup looked = null;
                     if (result == Result.NOT_FOUND) {
                         looked = JobLookup.UNKNOWN;
                     } else if (result == Result.OK) {
                         try {
-                            FinalRecord record = FinalRecord.parse(uid, entry.value());
-                            finals.put(uid, record);
-                            accepted.put(uid, record.service());
+                            FinalRecord record = FinalRecord.parse(jobId, entry.value());
+                            finals.put(jobId, record);
+                            accepted.put(jobId, record.service());
                             looked = JobLookup.over(record);
                         } catch (MalformedMessageException e) {
                             // What can't be read says nothing.
@@ -144,19 +144,21 @@
     }
 
     /** What a job's record says; null for one of a later version. */
-    JobLookup parse(String uid, Map<String, Object> value, long stamp) {
+    JobLookup parse(String jobId, Map<String, Object> value, long revision) {
         try {
             RecordFormat format = JobRecord.formatOf(value);
             formatSeen.accept(format);
             JobRecord record = JobRecord.parse(value);
-            accepted.put(uid, record.description().service());
-            return JobLookup.of(record, format, stamp);
+            accepted.put(jobId, record.description().isService());
+            return JobLookup.of(record, format, revision);
         } catch (MalformedMessageException e) {
             LOG.error(
                     "event=record_unreadable key={} error=\"{}\"",
-                    StoreKeys.job(uid),
+                    StoreKeys.job(jobId),
                     e.getMessage());
-            return JobRecord.ofLaterVersion(value) ? null : JobLookup.unreadable(uid, value, stamp);
+            return JobRecord.isOfLaterVersion(value)
+                    ? null
+                    : JobLookup.unreadable(jobId, value, revision);
         }
     }
 }
--- a/src/main/java/org/woadloom/reads/UnansweredQueries.java
+++ b/src/main/java/org/woadloom/reads/UnansweredQueries.java
@@ -40,33 +40,33 @@
                         .build();
     }
 
-    public void answered(String uid) {
-        since.invalidate(uid);
+    public void answered(String jobId) {
+        since.invalidate(jobId);
     }
 
     /**
      * @param served the store has answered others meanwhile: it is not an outage
      */
-    public void refused(String uid, boolean served) {
+    public void refused(String jobId, boolean served) {
         if (!served) {
-            since.invalidate(uid);
+            since.invalidate(jobId);
             return;
         }
         long now = loop.nowMicros();
-        long from = since.get(uid, key -> now);
+        long from = since.get(jobId, key -> now);
         if (now - from >= TELL_MICROS && now - toldMicros >= TELL_MICROS) {
             toldMicros = now;
             LOG.warn(
                     "event=job_unanswered job={} since_s={} unanswered_jobs={}",
-                    uid,
+                    jobId,
                     (now - from) / 1_000_000,
                     since.estimatedSize());
         }
     }
 
     /** True for a job whose users are to go first. */
-    public boolean goesFirst(String uid) {
-        Long from = since.getIfPresent(uid);
+    public boolean goesFirst(String jobId) {
+        Long from = since.getIfPresent(jobId);
         return from != null && loop.nowMicros() - from >= FIRST_MICROS;
     }
 
--- a/src/main/java/org/woadloom/settings/Objective.java
+++ b/src/main/java/org/woadloom/settings/Objective.java
@@ -5,4 +5,5 @@
  *
  * @param times for an aim on deadlines, how many times the time until then a job may take
  */
-public record Objective(String kind, String jobclass, double withinS, double share, double times) {}
+public record Objective(
+        String kind, String jobClass, double withinSeconds, double share, double times) {}
--- a/src/main/java/org/woadloom/settings/ServiceSettings.java
+++ b/src/main/java/org/woadloom/settings/ServiceSettings.java
@@ -5,7 +5,7 @@
 /** The platform's settings file. Durations are microseconds. */
 public record ServiceSettings(
         String label,
-        String area,
+        String zone,
         String bind,
         String peerBind,
         List<Peer> peers,
--- a/src/main/java/org/woadloom/settings/SettingsValidator.java
+++ b/src/main/java/org/woadloom/settings/SettingsValidator.java
@@ -29,10 +29,10 @@
                                     + " %s), which is what ends tasks that can't be reached",
                             seconds(workers.cancelMicros()), seconds(workers.leaseMicros())));
         }
-        inZones(problems, settings, "area", settings.area());
+        inZones(problems, settings, "area", settings.zone());
         Set<String> labels = new HashSet<>(Set.of(settings.label()));
         for (Peer peer : settings.peers()) {
-            inZones(problems, settings, "area of peer " + peer.label(), peer.area());
+            inZones(problems, settings, "area of peer " + peer.label(), peer.zone());
             if (!labels.add(peer.label())) {
                 problems.add("peers: " + peer.label() + " is named twice, or is this node");
             }
--- a/src/main/java/org/woadloom/store/FinalRecord.java
+++ b/src/main/java/org/woadloom/store/FinalRecord.java
@@ -11,9 +11,9 @@
  * 1 wrote neither when that was (0 here) nor that the job was a service, and passes over both.
  */
 public record FinalRecord(
-        String uid, boolean cancelled, int done, long wallMicros, boolean service) {
+        String jobId, boolean cancelled, int done, long wallMicros, boolean service) {
     public JobStatus status() {
-        return new JobStatus(uid, cancelled ? "cancelled" : "done", done, 0);
+        return new JobStatus(jobId, cancelled ? "cancelled" : "done", done, 0);
     }
 
     public Map<String, Object> toMap(RecordFormat format) {
@@ -29,11 +29,11 @@
         return map;
     }
 
-    public static FinalRecord parse(String uid, Map<String, Object> map)
+    public static FinalRecord parse(String jobId, Map<String, Object> map)
             throws MalformedMessageException {
         Fields f = new Fields(map);
         return new FinalRecord(
-                uid,
+                jobId,
                 f.text("status").equals("cancelled"),
                 (int) f.integerOr("done", 0),
                 f.integerOr("at", 0),
--- a/src/main/java/org/woadloom/store/JobRecord.java
+++ b/src/main/java/org/woadloom/store/JobRecord.java
@@ -23,7 +23,7 @@
         long readyWallMicros,
         boolean cancelled,
         BitSet done,
-        List<RecordedAttempt> placed,
+        List<RecordedAttempt> attempts,
         int running,
         long term,
         long version) {
@@ -38,21 +38,21 @@
         return new JobRecord(description, wallMicros, 0, false, new BitSet(), List.of(), 0, 0, 0);
     }
 
-    public JobRecord asCancelled() {
+    public JobRecord withCancellation() {
         return new JobRecord(
                 description,
                 submittedWallMicros,
                 readyWallMicros,
                 true,
                 done,
-                placed,
+                attempts,
                 0,
                 term,
                 version);
     }
 
-    public boolean allDone() {
-        return !description.service() && done.cardinality() == description.shards();
+    public boolean isComplete() {
+        return !description.isService() && done.cardinality() == description.taskCount();
     }
 
     /** What users are told while this record stands. */
@@ -60,8 +60,10 @@
         // A record is only ever marked cancelled while it is not all done, and what was told must
         // stay.
         String status =
-                cancelled ? "cancelled" : allDone() ? "done" : running > 0 ? "running" : "queued";
-        return new JobStatus(description.uid(), status, done.cardinality(), running);
+                cancelled
+                        ? "cancelled"
+                        : isComplete() ? "done" : running > 0 ? "running" : "queued";
+        return new JobStatus(description.jobId(), status, done.cardinality(), running);
     }
 
     public Map<String, Object> toMap(RecordFormat format) {
@@ -85,7 +87,7 @@
         if (cancelled) {
             map.put("cancelled", true);
         }
-        map.put("progress", TaskProgressCodec.encode(done, placed));
+        map.put("progress", TaskProgressCodec.encode(done, attempts));
         map.put("running", (long) running);
         map.put("term", term);
         map.put("version", version);
@@ -94,9 +96,9 @@
 
     /** As version 1 reads and writes it; it knows nothing of jobs that wait for others. */
     private Map<String, Object> plain() {
-        if (!description.awaits().isEmpty() || readyWallMicros != 0) {
+        if (!description.dependencies().isEmpty() || readyWallMicros != 0) {
             throw new IllegalStateException(
-                    "version 1 would start " + description.uid() + " before its time");
+                    "version 1 would start " + description.jobId() + " before its time");
         }
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("job", description.toMap());
@@ -106,7 +108,7 @@
         }
         map.put("done", TaskRanges.encode(done));
         List<Object> where = new ArrayList<>();
-        for (RecordedAttempt p : placed) {
+        for (RecordedAttempt p : attempts) {
             List<Object> item = new ArrayList<>();
             item.add(p.host());
             item.add(p.attempt());
@@ -129,7 +131,7 @@
     }
 
     /** True for a record of a form that only later versions know: it is not damaged. */
-    public static boolean ofLaterVersion(Map<String, Object> map) {
+    public static boolean isOfLaterVersion(Map<String, Object> map) {
         return map != null && map.get("format") instanceof Long format && format > FORMAT;
     }
 
@@ -137,7 +139,7 @@
      * True for a record as the leader of the term wrote it: it needs no telling. A user's
      * cancellation keeps the term.
      */
-    public static boolean writtenIn(long term, Map<String, Object> map) {
+    public static boolean isWrittenInTerm(long term, Map<String, Object> map) {
         return map.get("term") instanceof Long written
                 && written == term
                 && !map.containsKey("cancelled");
@@ -171,7 +173,7 @@
         if (f.integer("format") != FORMAT) {
             throw new MalformedMessageException("format: a later version's");
         }
-        return TaskProgressCodec.decode(f.text("progress"), description.shards());
+        return TaskProgressCodec.decode(f.text("progress"), description.taskCount());
     }
 
     private static TaskProgressCodec.Decoded plain(Fields f, JobDescription description)
@@ -187,9 +189,9 @@
             }
             placed.add(
                     new RecordedAttempt(
-                            host, attempt, TaskRanges.decode(tasks, description.shards())));
+                            host, attempt, TaskRanges.decode(tasks, description.taskCount())));
         }
         return new TaskProgressCodec.Decoded(
-                TaskRanges.decode(f.list("done"), description.shards()), placed);
+                TaskRanges.decode(f.list("done"), description.taskCount()), placed);
     }
 }
--- a/src/main/java/org/woadloom/store/MachineRecord.java
+++ b/src/main/java/org/woadloom/store/MachineRecord.java
@@ -13,38 +13,38 @@
  */
 public record MachineRecord(
         String host,
-        String hosttype,
-        String yard,
-        boolean reclaimable,
-        boolean leaving,
-        Lifecycle life) {
+        String machineType,
+        String zone,
+        boolean spot,
+        boolean decommissioning,
+        Lifecycle lifecycle) {
     private static final String RENTED = "at";
 
     /** When the machine was rented, by the time of day, and whether its worker was ever heard. */
-    public record Lifecycle(long rentedWallMicros, boolean up) {}
+    public record Lifecycle(long rentedWallMicros, boolean hasReported) {}
 
     /** A machine of whose life nothing is known. */
     public MachineRecord(
-            String host, String hosttype, String yard, boolean reclaimable, boolean leaving) {
-        this(host, hosttype, yard, reclaimable, leaving, null);
+            String host, String machineType, String zone, boolean spot, boolean decommissioning) {
+        this(host, machineType, zone, spot, decommissioning, null);
     }
 
     /** True for a stored record that tells of the machine's life. */
-    public static boolean tellsLife(Map<String, Object> map) {
+    public static boolean hasLifecycle(Map<String, Object> map) {
         return map.containsKey(RENTED);
     }
 
     public Map<String, Object> toMap() {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("hosttype", hosttype);
-        map.put("yard", yard);
-        map.put("reclaimable", reclaimable);
-        if (leaving) {
+        map.put("hosttype", machineType);
+        map.put("yard", zone);
+        map.put("reclaimable", spot);
+        if (decommissioning) {
             map.put("leaving", true);
         }
-        if (life != null) {
-            map.put(RENTED, life.rentedWallMicros);
-            if (life.up) {
+        if (lifecycle != null) {
+            map.put(RENTED, lifecycle.rentedWallMicros);
+            if (lifecycle.hasReported) {
                 map.put("up", true);
             }
         }
@@ -60,6 +60,6 @@
                 f.text("yard"),
                 f.flag("reclaimable"),
                 f.flagOr("leaving", false),
-                tellsLife(map) ? new Lifecycle(f.integer(RENTED), f.flagOr("up", false)) : null);
+                hasLifecycle(map) ? new Lifecycle(f.integer(RENTED), f.flagOr("up", false)) : null);
     }
 }
--- a/src/main/java/org/woadloom/store/StoreClient.java
+++ b/src/main/java/org/woadloom/store/StoreClient.java
@@ -42,13 +42,13 @@
     }
 
     /** One key with its value and the stamp of its last change. */
-    public record Entry(String path, Map<String, Object> value, long stamp) {}
+    public record Entry(String path, Map<String, Object> value, long revision) {}
 
     /** A condition of a transaction: the key's stamp, 0 where it must not exist. */
-    public record Condition(String path, long stamp) {}
+    public record Condition(String path, long revision) {}
 
     /** A change of a transaction: a put, or a drop where the value is null. */
-    public record Change(String path, Map<String, Object> value, long grant) {
+    public record Change(String path, Map<String, Object> value, long storeLease) {
         public static Change put(String path, Map<String, Object> value) {
             return new Change(path, value, 0);
         }
@@ -64,8 +64,8 @@
             } else {
                 map.put("put", path);
                 map.put("value", value);
-                if (grant != 0) {
-                    map.put("hold", grant);
+                if (storeLease != 0) {
+                    map.put("hold", storeLease);
                 }
             }
             return map;
@@ -73,7 +73,7 @@
     }
 
     /** An event of a watch; the value is null where the key was dropped. */
-    public record Event(String path, Map<String, Object> value, long stamp) {}
+    public record Event(String path, Map<String, Object> value, long revision) {}
 
     /** Hears whether the service can be reached. */
     public interface HealthListener {
@@ -84,24 +84,24 @@
     }
 
     public interface EntryCallback {
-        void read(Result result, Entry entry, long generation);
+        void read(Result result, Entry entry, long storeRevision);
     }
 
     public interface ListCallback {
-        void read(Result result, List<Entry> entries, long generation);
+        void read(Result result, List<Entry> entries, long storeRevision);
     }
 
     public interface TxnCallback {
-        void done(Result result, long generation, List<String> failed);
+        void done(Result result, long storeRevision, List<String> failed);
     }
 
     public interface WatchCallback {
         /** {@code NOT_FOUND} says that {@code since} is too old. */
-        void events(Result result, List<Event> events, long generation);
+        void events(Result result, List<Event> events, long storeRevision);
     }
 
     public interface LeaseCallback {
-        void granted(Result result, long grant);
+        void granted(Result result, long storeLease);
     }
 
     private static final int MAX_IN_FLIGHT = 12;
@@ -265,7 +265,7 @@
             String prefix,
             String since,
             List<Entry> found,
-            long generation,
+            long storeRevision,
             ListCallback callback) {
         String path =
                 "/keys?prefix=" + prefix + (since == null ? "" : "&since=" + since) + "&most=200";
@@ -292,9 +292,9 @@
                                         // Changes made after the first page are seen by following
                                         // from its generation.
                                         long first =
-                                                generation < 0
+                                                storeRevision < 0
                                                         ? f.integer("generation")
-                                                        : generation;
+                                                        : storeRevision;
                                         if (f.flagOr("more", false) && !found.isEmpty()) {
                                             listPage(
                                                     urgency,
@@ -346,7 +346,7 @@
         for (Condition condition : conditions) {
             Map<String, Object> map = new LinkedHashMap<>();
             map.put("path", condition.path());
-            map.put("stamp", condition.stamp());
+            map.put("stamp", condition.revision());
             ifs.add(map);
         }
         List<Object> thens = new ArrayList<>();
@@ -390,7 +390,7 @@
                         overdue));
     }
 
-    public void grant(long lifeMicros, LeaseCallback callback) {
+    public void storeLease(long lifeMicros, LeaseCallback callback) {
         Map<String, Object> request = new LinkedHashMap<>();
         request.put("lifeMs", lifeMicros / 1000);
         submit(
@@ -415,18 +415,18 @@
                         }));
     }
 
-    public void renew(long grant, LeaseCallback callback) {
+    public void renew(long storeLease, LeaseCallback callback) {
         submit(
                 RequestPriority.URGENT,
                 new Pending(
                         "POST",
-                        "/grants/" + grant + "/renew",
+                        "/grants/" + storeLease + "/renew",
                         Cbor.encode(Map.of()),
                         0,
                         TIMEOUT_MICROS,
                         (status, body) ->
                                 callback.granted(
-                                        status == 200 ? Result.OK : failure(status), grant)));
+                                        status == 200 ? Result.OK : failure(status), storeLease)));
     }
 
     /**
--- a/src/main/java/org/woadloom/store/StoreKeys.java
+++ b/src/main/java/org/woadloom/store/StoreKeys.java
@@ -41,12 +41,12 @@
 
     private StoreKeys() {}
 
-    public static String job(String uid) {
-        return JOBS + uid;
+    public static String job(String jobId) {
+        return JOBS + jobId;
     }
 
-    public static String finalState(String uid) {
-        return FINALS + uid;
+    public static String finalState(String jobId) {
+        return FINALS + jobId;
     }
 
     /** The letters of one node. */
--- a/src/main/java/org/woadloom/store/UnansweredTransaction.java
+++ b/src/main/java/org/woadloom/store/UnansweredTransaction.java
@@ -41,16 +41,16 @@
         stampBefore =
                 conditions.stream()
                         .filter(condition -> condition.path().equals(proof))
-                        .mapToLong(Condition::stamp)
+                        .mapToLong(Condition::revision)
                         .findFirst()
                         .orElse(0);
     }
 
     @Override
-    public void done(Result result, long generation, List<String> failed) {
+    public void done(Result result, long storeRevision, List<String> failed) {
         if (!told) {
             told = true;
-            callback.done(result, generation, failed);
+            callback.done(result, storeRevision, failed);
         }
     }
 
@@ -62,12 +62,12 @@
         state.get(
                 urgency,
                 proof.path(),
-                (result, entry, generation) -> {
+                (result, entry, storeRevision) -> {
                     if (result == Result.OK
-                            && entry.stamp() > stampBefore
+                            && entry.revision() > stampBefore
                             && asWritten(entry.value())) {
                         // All changes of a transaction have the same stamp.
-                        done(Result.OK, entry.stamp(), List.of());
+                        done(Result.OK, entry.revision(), List.of());
                     }
                 });
     }
--- a/src/test/java/org/woadloom/core/FaultyJobsTest.java
+++ b/src/test/java/org/woadloom/core/FaultyJobsTest.java
@@ -26,14 +26,15 @@
     private final Map<String, Map<String, TaskStatus>> on = new LinkedHashMap<>();
     private final Map<String, Integer> launches = new LinkedHashMap<>();
     private int read;
-    private long tick = 10;
+    private long sequence = 10;
 
     /** Every worker answers at once; tasks of these jobs, and all on these machines, fail. */
     private void pass(long micros, Set<String> mistaken, Set<String> faulty) {
         for (long until = leader.now + micros; leader.now < until; ) {
             for (int i = 0; i < MACHINES; i++) {
                 String host = "host-00000" + i;
-                leader.report(message(host, 1, ++tick, epochs.getOrDefault(host, 0L), tasks(host)));
+                leader.report(
+                        message(host, 1, ++sequence, epochs.getOrDefault(host, 0L), tasks(host)));
             }
             leader.pass(500_000);
             List<SchedulerAction> news =
@@ -41,18 +42,18 @@
             read = leader.effects.size();
             for (SchedulerAction effect : news) {
                 if (effect instanceof SchedulerAction.SendDirectCommand sent) {
-                    epochs.put(sent.host(), sent.epoch());
-                    sent.orders().forEach(order -> execute(sent.host(), order, mistaken, faulty));
+                    epochs.put(sent.host(), sent.fencingToken());
+                    sent.commands().forEach(order -> execute(sent.host(), order, mistaken, faulty));
                     leader.step(
                             new SchedulerEvent.DirectCommandCompleted(
-                                    sent.sendId(),
+                                    sent.commandId(),
                                     sent.host(),
                                     200,
                                     message(
                                             sent.host(),
                                             1,
-                                            ++tick,
-                                            sent.epoch(),
+                                            ++sequence,
+                                            sent.fencingToken(),
                                             tasks(sent.host()))));
                 }
             }
@@ -67,10 +68,10 @@
 
     private void execute(String host, TaskCommand order, Set<String> mistaken, Set<String> faulty) {
         String key = order.task() + " " + order.attempt();
-        if (order.verb() == TaskCommand.Action.LAUNCH) {
-            String uid = order.task().uid();
-            launches.merge(uid + " " + host, 1, Integer::sum);
-            boolean fails = mistaken.contains(uid) || faulty.contains(host);
+        if (order.action() == TaskCommand.Action.START) {
+            String jobId = order.task().jobId();
+            launches.merge(jobId + " " + host, 1, Integer::sum);
+            boolean fails = mistaken.contains(jobId) || faulty.contains(host);
             on.computeIfAbsent(host, h -> new LinkedHashMap<>())
                     .put(
                             key,
@@ -91,8 +92,8 @@
     void jobsThatFailEverywhereTakeNoMachineFromTheOthers() {
         Set<String> mistaken = Set.of("j-000001", "j-000002");
         pass(2 * SECOND, mistaken, Set.of());
-        for (String uid : List.of("j-000001", "j-000002")) {
-            leader.submit(uid, 2 * MACHINES);
+        for (String jobId : List.of("j-000001", "j-000002")) {
+            leader.submit(jobId, 2 * MACHINES);
             pass(8 * SECOND, mistaken, Set.of());
         }
         long machines =
@@ -123,8 +124,8 @@
     void twoMachinesOnWhichTheSameJobsFailAreQuarantined() {
         Set<String> faulty = Set.of("host-000002", "host-000003");
         pass(2 * SECOND, Set.of(), faulty);
-        for (String uid : List.of("j-000001", "j-000002")) {
-            leader.submit(uid, 2 * MACHINES);
+        for (String jobId : List.of("j-000001", "j-000002")) {
+            leader.submit(jobId, 2 * MACHINES);
             pass(5 * SECOND, Set.of(), faulty);
         }
         faulty.forEach(
--- a/src/test/java/org/woadloom/core/LeaderFixture.java
+++ b/src/test/java/org/woadloom/core/LeaderFixture.java
@@ -79,7 +79,7 @@
                 if (effect instanceof SchedulerAction.WriteJob put) {
                     written.add(
                             new SchedulerEvent.JobWriteCompleted(
-                                    put.record().description().uid(),
+                                    put.record().description().jobId(),
                                     put.record().version(),
                                     SchedulerEvent.WriteOutcome.WRITTEN,
                                     ++stamps));
@@ -87,7 +87,7 @@
                     written.add(
                             new SchedulerEvent.MachineWriteCompleted(
                                     put.record().host(),
-                                    put.record().leaving(),
+                                    put.record().decommissioning(),
                                     false,
                                     SchedulerEvent.WriteOutcome.WRITTEN,
                                     ++stamps));
@@ -105,14 +105,14 @@
         }
     }
 
-    public void submit(String uid, int shards) {
-        step(new SchedulerEvent.JobStored(JobRecord.accepted(job(uid, shards), now), ++stamps));
+    public void submit(String jobId, int shards) {
+        step(new SchedulerEvent.JobStored(JobRecord.accepted(job(jobId, shards), now), ++stamps));
     }
 
     /** Tasks of 8 CPUs each. */
-    public static JobDescription job(String uid, int shards) {
+    public static JobDescription job(String jobId, int shards) {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("uid", uid);
+        map.put("uid", jobId);
         map.put("jobclass", "work");
         map.put("crew", "team");
         map.put("shape", "batch");
@@ -129,9 +129,18 @@
     }
 
     public static Heartbeat message(
-            String host, long tenure, long tick, long epoch, TaskStatus... tasks) {
+            String host, long incarnation, long sequence, long fencingToken, TaskStatus... tasks) {
         return new Heartbeat(
-                host, host + ":9000", "m16", "a", false, tenure, tick, epoch, -1, List.of(tasks));
+                host,
+                host + ":9000",
+                "m16",
+                "a",
+                false,
+                incarnation,
+                sequence,
+                fencingToken,
+                -1,
+                List.of(tasks));
     }
 
     /** The answer to a report that arrives now; null where it is turned away. */
@@ -139,7 +148,7 @@
         long id = ++replies;
         step(new SchedulerEvent.HeartbeatReceived(id, report));
         return all(SchedulerAction.AnswerHeartbeat.class).stream()
-                .filter(answer -> answer.replyId() == id)
+                .filter(answer -> answer.requestId() == id)
                 .findFirst()
                 .orElse(null);
     }
@@ -172,20 +181,23 @@
     /** The worker answers the last direct command. */
     public void answered(Heartbeat body) {
         SchedulerAction.SendDirectCommand sent = last(SchedulerAction.SendDirectCommand.class);
-        step(new SchedulerEvent.DirectCommandCompleted(sent.sendId(), sent.host(), 200, body));
+        step(new SchedulerEvent.DirectCommandCompleted(sent.commandId(), sent.host(), 200, body));
     }
 
     /** The worker answers the last direct command if that only tells it of its token. */
-    public void greeted(String host, long tenure, long tick) {
+    public void greeted(String host, long incarnation, long sequence) {
         List<SchedulerAction.SendDirectCommand> there =
                 all(SchedulerAction.SendDirectCommand.class).stream()
                         .filter(sent -> sent.host().equals(host))
                         .toList();
         SchedulerAction.SendDirectCommand sent = there.get(there.size() - 1);
-        if (sent.orders().isEmpty()) {
+        if (sent.commands().isEmpty()) {
             step(
                     new SchedulerEvent.DirectCommandCompleted(
-                            sent.sendId(), host, 200, message(host, tenure, tick, sent.epoch())));
+                            sent.commandId(),
+                            host,
+                            200,
+                            message(host, incarnation, sequence, sent.fencingToken())));
         }
     }
 
@@ -194,7 +206,7 @@
         for (SchedulerAction.SendDirectCommand sent :
                 all(SchedulerAction.SendDirectCommand.class)) {
             // The core passes over those whose outcome it knows.
-            step(new SchedulerEvent.DirectCommandCompleted(sent.sendId(), sent.host(), 0, null));
+            step(new SchedulerEvent.DirectCommandCompleted(sent.commandId(), sent.host(), 0, null));
         }
     }
 
@@ -210,10 +222,10 @@
      * A worker that reports, and answers the greeting that follows; returns the token that it has
      * then.
      */
-    public long isUp(String host, long tick) {
-        report(message(host, 1, tick, 0));
-        long token = last(SchedulerAction.SendDirectCommand.class).epoch();
-        answered(message(host, 1, tick + 1, token));
+    public long isUp(String host, long sequence) {
+        report(message(host, 1, sequence, 0));
+        long token = last(SchedulerAction.SendDirectCommand.class).fencingToken();
+        answered(message(host, 1, sequence + 1, token));
         return token;
     }
 }
--- a/src/test/java/org/woadloom/core/SchedulerFixture.java
+++ b/src/test/java/org/woadloom/core/SchedulerFixture.java
@@ -58,8 +58,8 @@
         world.types.put(TYPE.name(), TYPE);
     }
 
-    public Machine machine(String host, String yard) {
-        Machine machine = new Machine(new MachineRecord(host, "m16", yard, false, false), world);
+    public Machine machine(String host, String zone) {
+        Machine machine = new Machine(new MachineRecord(host, "m16", zone, false, false), world);
         machine.type = TYPE;
         machine.resize(Resources.of(TYPE));
         machine.recorded = true;
@@ -70,17 +70,17 @@
     }
 
     /** The machine's worker reports with no tasks; its token is only new to it. */
-    public MessageAge hear(Machine machine, long tick, long epoch) {
+    public MessageAge hear(Machine machine, long sequence, long fencingToken) {
         Heartbeat report =
                 new Heartbeat(
                         machine.host,
                         machine.host + ":9000",
-                        machine.hosttype,
-                        machine.yard,
+                        machine.machineType,
+                        machine.zone,
                         false,
                         1,
-                        tick,
-                        epoch,
+                        sequence,
+                        fencingToken,
                         -1,
                         List.of());
         machine.hearing.mayWaitFor(report, world.nowMicros);
@@ -89,53 +89,58 @@
         return age;
     }
 
-    public Job job(String uid, double vcpus, double ramGb, int shards) {
-        return job(uid, vcpus, ramGb, shards, false, false);
+    public Job job(String jobId, double cpus, double memoryGb, int shards) {
+        return job(jobId, cpus, memoryGb, shards, false, false);
     }
 
     public Job job(
-            String uid, double vcpus, double ramGb, int shards, boolean service, boolean apart) {
-        return job(uid, vcpus, ramGb, shards, service, apart, new LinkedHashMap<>());
+            String jobId,
+            double cpus,
+            double memoryGb,
+            int shards,
+            boolean service,
+            boolean apart) {
+        return job(jobId, cpus, memoryGb, shards, service, apart, new LinkedHashMap<>());
     }
 
     /** One task of one CPU with an estimate of its run time and a deadline, submitted now. */
-    public Job due(String uid, double runtimeS, double dueS) {
+    public Job due(String jobId, double runtimeS, double dueS) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("runtimeS", runtimeS);
         map.put("dueS", dueS);
-        return job(uid, 1, 1, 1, false, false, map);
+        return job(jobId, 1, 1, 1, false, false, map);
     }
 
     /** Tasks of one CPU each, of a class of their own. */
-    public Job ofClass(String uid, String jobClass, int shards, boolean service) {
+    public Job ofClass(String jobId, String jobClass, int shards, boolean service) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("jobclass", jobClass);
-        return job(uid, 1, 1, shards, service, false, map);
+        return job(jobId, 1, 1, shards, service, false, map);
     }
 
     private Job job(
-            String uid,
-            double vcpus,
-            double ramGb,
+            String jobId,
+            double cpus,
+            double memoryGb,
             int shards,
             boolean service,
             boolean apart,
             Map<String, Object> map) {
-        map.put("uid", uid);
+        map.put("uid", jobId);
         map.putIfAbsent("jobclass", "work");
         map.put("crew", "team");
         map.put("shape", service ? "service" : "batch");
         map.put("apart", apart);
         map.put("rank", "high");
         map.put("shards", (long) shards);
-        map.put("vcpus", vcpus);
-        map.put("ramGb", ramGb);
+        map.put("vcpus", cpus);
+        map.put("ramGb", memoryGb);
         map.put("bundle", "img");
         try {
             JobRecord record = JobRecord.accepted(JobDescription.parse(map), 0);
             Job job =
                     new Job(record, 1, world.teams.get("team"), world.nowMicros, world.unrecorded);
-            world.jobs.put(uid, job);
+            world.jobs.put(jobId, job);
             return job;
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
--- a/src/test/java/org/woadloom/core/UnreachableAgentsTest.java
+++ b/src/test/java/org/woadloom/core/UnreachableAgentsTest.java
@@ -21,7 +21,7 @@
     private long token;
     private TaskStatus task;
     private long answered;
-    private long tick = 10;
+    private long sequence = 10;
     private int seen;
 
     /** It has a task, and its last report is answered now. */
@@ -29,12 +29,12 @@
         token = leader.isUp(HOST, 1);
         leader.submit("j-000001", 1);
         leader.pass(100_000);
-        TaskCommand launch = leader.last(SchedulerAction.SendDirectCommand.class).orders().get(0);
+        TaskCommand launch = leader.last(SchedulerAction.SendDirectCommand.class).commands().get(0);
         task =
                 new TaskStatus(
                         launch.task(), launch.attempt(), TaskStatus.State.RUNNING, null, false);
-        leader.answered(message(HOST, 1, ++tick, token, task));
-        leader.report(message(HOST, 1, ++tick, token, task));
+        leader.answered(message(HOST, 1, ++sequence, token, task));
+        leader.report(message(HOST, 1, ++sequence, token, task));
         answered = leader.now;
         seen = leader.all(SchedulerAction.SendDirectCommand.class).size();
     }
@@ -49,15 +49,15 @@
                         leader.all(SchedulerAction.SendDirectCommand.class).get(seen);
                 launches +=
                         (int)
-                                sent.orders().stream()
-                                        .filter(order -> order.verb() == TaskCommand.Action.LAUNCH)
+                                sent.commands().stream()
+                                        .filter(order -> order.action() == TaskCommand.Action.START)
                                         .count();
                 leader.step(
                         new SchedulerEvent.DirectCommandCompleted(
-                                sent.sendId(),
+                                sent.commandId(),
                                 HOST,
                                 200,
-                                message(HOST, 1, ++tick, sent.epoch(), task)));
+                                message(HOST, 1, ++sequence, sent.fencingToken(), task)));
             }
         }
         return launches;
--- a/src/test/java/org/woadloom/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/woadloom/core/autoscaling/AutoscalerTest.java
@@ -58,14 +58,14 @@
         SchedulerAction.RentMachines first = rentals().get(0);
         leader.step(
                 new SchedulerEvent.ScaleOutCompleted(
-                        first.claim(),
+                        first.requestName(),
                         SchedulerEvent.ScaleOutOutcome.RENTED,
                         List.of("host-1", "host-2")));
         leader.pass(SECOND);
         assertEquals(2, rentals().size());
         SchedulerAction.RentMachines second = rentals().get(1);
         assertTrue(
-                !second.yard().equals(first.yard()) || second.reclaimable() != first.reclaimable(),
+                !second.zone().equals(first.zone()) || second.spot() != first.spot(),
                 "it gave less than was asked for, so there are no more of that kind");
     }
 
@@ -78,8 +78,8 @@
         leader.pass(4 * SECOND);
         assertEquals(2, rentals().size());
         assertTrue(
-                !rentals().get(0).yard().equals(rentals().get(1).yard())
-                        || rentals().get(0).reclaimable() != rentals().get(1).reclaimable());
+                !rentals().get(0).zone().equals(rentals().get(1).zone())
+                        || rentals().get(0).spot() != rentals().get(1).spot());
     }
 
     /**
@@ -112,7 +112,7 @@
         leader.submit("j-1", 10);
         leader.passUnanswered(30 * SECOND);
         assertTrue(rentals().size() > 0);
-        assertTrue(rentals().stream().allMatch(rent -> rent.yard().equals("b")));
+        assertTrue(rentals().stream().allMatch(rent -> rent.zone().equals("b")));
         assertEquals(
                 List.of(),
                 leader.all(SchedulerAction.DeleteMachines.class),
@@ -184,7 +184,7 @@
         leader.pass(50 * SECOND);
         assertTrue(
                 rentals().size() > 0
-                        && rentals().stream().allMatch(rent -> rent.yard().equals("b")),
+                        && rentals().stream().allMatch(rent -> rent.zone().equals("b")),
                 "" + rentals());
         assertEquals(List.of(), leader.all(SchedulerAction.DeleteMachines.class));
     }
@@ -206,7 +206,7 @@
                         1,
                         5,
                         token,
-                        sent.orders().stream()
+                        sent.commands().stream()
                                 .map(
                                         order ->
                                                 new TaskStatus(
@@ -224,7 +224,7 @@
                             1,
                             6 + i,
                             token,
-                            sent.orders().stream()
+                            sent.commands().stream()
                                     .map(
                                             order ->
                                                     new TaskStatus(
@@ -236,7 +236,7 @@
                                     .toArray(TaskStatus[]::new)));
             leader.pass(SECOND);
         }
-        assertEquals(2, sent.orders().size());
+        assertEquals(2, sent.commands().size());
         assertTrue(
                 !leader.logged(LogEvent.TASK_LOST)
                         && rentals().isEmpty()
@@ -258,7 +258,7 @@
             leader.isUp("host-00000" + i, 1);
             all.add(item("host-00000" + i));
         }
-        long token = leader.last(SchedulerAction.SendDirectCommand.class).epoch();
+        long token = leader.last(SchedulerAction.SendDirectCommand.class).fencingToken();
         for (int s = 0; s < 14; s++) {
             leader.step(new SchedulerEvent.MachinesListed(s < 3 ? all : all.subList(3, 4)));
             leader.report(message("host-000003", 1, 10 + s, token));
@@ -276,7 +276,7 @@
                         .toList());
         leader.submit("j-1", 10);
         leader.passUnanswered(SECOND);
-        assertTrue(rentals().stream().anyMatch(rent -> rent.yard().equals("a")), "" + rentals());
+        assertTrue(rentals().stream().anyMatch(rent -> rent.zone().equals("a")), "" + rentals());
     }
 
     /** Lists are two lags old and may go back; one that answers is there whatever they show. */
@@ -306,7 +306,7 @@
         leader.pass(5 * SECOND);
         leader.step(
                 new SchedulerEvent.ScaleOutCompleted(
-                        rentals().get(0).claim(),
+                        rentals().get(0).requestName(),
                         SchedulerEvent.ScaleOutOutcome.RENTED,
                         List.of("host-000001")));
         for (int s = 0; s < 30; s++) {
--- a/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
@@ -221,17 +221,17 @@
                 vouch(leaders);
             }
             if (silentSince < 0 && random.nextInt(10) == 0) {
-                String uid =
+                String jobId =
                         "j-"
                                 + (random.nextInt(3) == 0 && !made.isEmpty()
                                         ? random.nextInt(made.size())
                                         : made.size());
-                made.add(uid);
-                node.enter(uid, nodeClock());
+                made.add(jobId);
+                node.enter(jobId, nodeClock());
             }
-            for (String uid : made) {
-                if (!toldAt.containsKey(uid) && node.mayTell(uid, nodeClock())) {
-                    toldAt.put(uid, now);
+            for (String jobId : made) {
+                if (!toldAt.containsKey(jobId) && node.mayTell(jobId, nodeClock())) {
+                    toldAt.put(jobId, now);
                 }
             }
             for (Leader leader : leaders) {
@@ -241,11 +241,11 @@
                 long watermark = leader.micros();
                 byVouches += watermark > leader.seenMicros ? 1 : 0;
                 toldAt.forEach(
-                        (uid, at) -> {
-                            if (!leader.knows.contains(uid)) {
+                        (jobId, at) -> {
+                            if (!leader.knows.contains(jobId)) {
                                 assertTrue(
                                         watermark <= leader.clock(at),
-                                        uid
+                                        jobId
                                                 + " was told at "
                                                 + at
                                                 + ", watermark of term "
--- a/src/test/java/org/woadloom/core/jobs/DependencyGraphTest.java
+++ b/src/test/java/org/woadloom/core/jobs/DependencyGraphTest.java
@@ -38,9 +38,10 @@
                             OperatorSettings.defaults()));
     private long now = 1_000_000;
 
-    private static JobRecord record(String uid, String... awaits) throws MalformedMessageException {
+    private static JobRecord record(String jobId, String... awaits)
+            throws MalformedMessageException {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("uid", uid);
+        map.put("uid", jobId);
         map.put("jobclass", "work");
         map.put("crew", "team");
         map.put("shape", "batch");
@@ -72,19 +73,19 @@
     private static List<String> asked(List<SchedulerAction> effects) {
         return effects.stream()
                 .filter(SchedulerAction.ResolveDependency.class::isInstance)
-                .map(e -> ((SchedulerAction.ResolveDependency) e).uid())
+                .map(e -> ((SchedulerAction.ResolveDependency) e).jobId())
                 .toList();
     }
 
     private static Set<String> cancelled(List<SchedulerAction> effects) {
-        Set<String> uids = new HashSet<>();
+        Set<String> jobIds = new HashSet<>();
         for (SchedulerAction effect : effects) {
             if (effect instanceof SchedulerAction.WriteFinalState finish
                     && finish.record().cancelled()) {
-                uids.add(finish.record().uid());
+                jobIds.add(finish.record().jobId());
             }
         }
-        return uids;
+        return jobIds;
     }
 
     /** That a leader knows nothing of a job proves nothing of it. */
@@ -142,7 +143,7 @@
         }
         lead(chain);
         List<SchedulerAction> effects =
-                step(new SchedulerEvent.JobStored(record("j-0").asCancelled(), 9));
+                step(new SchedulerEvent.JobStored(record("j-0").withCancellation(), 9));
         Set<String> all = new HashSet<>();
         int steps = 0;
         while (all.size() < length && steps++ < 10_000) {
@@ -151,10 +152,10 @@
             all.addAll(written);
             List<SchedulerEvent> outcomes = new ArrayList<>();
             written.forEach(
-                    uid ->
+                    jobId ->
                             outcomes.add(
                                     new SchedulerEvent.JobWriteCompleted(
-                                            uid, 1, SchedulerEvent.WriteOutcome.WRITTEN, 11)));
+                                            jobId, 1, SchedulerEvent.WriteOutcome.WRITTEN, 11)));
             effects = step(outcomes.toArray(new SchedulerEvent[0]));
         }
         assertEquals(length, all.size());
--- a/src/test/java/org/woadloom/core/jobs/FailoverTest.java
+++ b/src/test/java/org/woadloom/core/jobs/FailoverTest.java
@@ -43,28 +43,28 @@
      * A task of 8 CPUs that an earlier leader placed on the machine out of touch, of a job that may
      * be cancelled.
      */
-    private static JobRecord placed(String uid, boolean cancelled) {
+    private static JobRecord placed(String jobId, boolean cancelled) {
         BitSet first = new BitSet();
         first.set(0);
         return new JobRecord(
-                LeaderFixture.job(uid, 1),
+                LeaderFixture.job(jobId, 1),
                 0,
                 0,
                 cancelled,
                 new BitSet(),
-                List.of(new JobRecord.RecordedAttempt(LOST, attempt(uid), first)),
+                List.of(new JobRecord.RecordedAttempt(LOST, attempt(jobId), first)),
                 1,
                 EARLIER,
                 3);
     }
 
-    private static long attempt(String uid) {
-        return (EARLIER << 32) + Integer.parseInt(uid.substring(2));
+    private static long attempt(String jobId) {
+        return (EARLIER << 32) + Integer.parseInt(jobId.substring(2));
     }
 
     private static TaskStatus task(
-            String uid, TaskStatus.State state, TaskStatus.ExitReason cause) {
-        return new TaskStatus(new TaskId(uid, 0), attempt(uid), state, cause, false);
+            String jobId, TaskStatus.State state, TaskStatus.ExitReason cause) {
+        return new TaskStatus(new TaskId(jobId, 0), attempt(jobId), state, cause, false);
     }
 
     /**
@@ -79,10 +79,10 @@
         leader.pass(SECOND);
         List<TaskCommand> launched =
                 leader.all(SchedulerAction.SendDirectCommand.class).stream()
-                        .filter(sent -> sent.host().equals(UP) && !sent.orders().isEmpty())
+                        .filter(sent -> sent.host().equals(UP) && !sent.commands().isEmpty())
                         .findFirst()
                         .orElseThrow()
-                        .orders();
+                        .commands();
         leader.answered(
                 message(
                         UP,
@@ -104,13 +104,13 @@
 
     private static Set<String> launched(LeaderFixture leader) {
         Set<String> launched = new TreeSet<>();
-        List<TaskCommand> orders = new ArrayList<>();
+        List<TaskCommand> commands = new ArrayList<>();
         leader.all(SchedulerAction.SendDirectCommand.class)
-                .forEach(sent -> orders.addAll(sent.orders()));
+                .forEach(sent -> commands.addAll(sent.commands()));
         leader.all(SchedulerAction.AnswerHeartbeat.class)
-                .forEach(answer -> orders.addAll(answer.orders()));
-        orders.stream()
-                .filter(order -> order.verb() == TaskCommand.Action.LAUNCH)
+                .forEach(answer -> commands.addAll(answer.commands()));
+        commands.stream()
+                .filter(order -> order.action() == TaskCommand.Action.START)
                 .forEach(order -> launched.add(order.task().toString()));
         return launched;
     }
@@ -133,7 +133,7 @@
                         1,
                         10,
                         EARLIER << AgentLiveness.FENCE_BITS,
-                        task("j-000001", TaskStatus.State.EXITED, TaskStatus.ExitReason.HALTED))),
+                        task("j-000001", TaskStatus.State.EXITED, TaskStatus.ExitReason.STOPPED))),
         OF_THIS_TERM_WITHOUT_IT(true, message(LOST, 1, 10, TERM << AgentLiveness.FENCE_BITS));
 
         private final boolean proof;
@@ -179,17 +179,17 @@
     void aTeamGetsBackWhatIsOnAMachineThatIsNeverHeardOfAgain() {
         LeaderFixture leader = atItsLimit(true);
         long began = leader.now;
-        for (long tick = 10;
+        for (long sequence = 10;
                 leader.all(SchedulerAction.DeleteMachines.class).isEmpty()
                         && leader.now - began < 90 * SECOND;
-                tick++) {
+                sequence++) {
             leader.passUnanswered(SECOND);
             leader.report(
                     message(
                             UP,
                             1,
-                            tick,
-                            leader.last(SchedulerAction.AnswerHeartbeat.class).epoch()));
+                            sequence,
+                            leader.last(SchedulerAction.AnswerHeartbeat.class).fencingToken()));
         }
         assertEquals(List.of(LOST), leader.last(SchedulerAction.DeleteMachines.class).hosts());
         assertEquals(Set.of("j-000002/0"), launched(leader));
@@ -209,17 +209,17 @@
         leader.report(message(LOST, 1, 50, EARLIER << AgentLiveness.FENCE_BITS));
         SchedulerAction.SendDirectCommand greeting =
                 leader.last(SchedulerAction.SendDirectCommand.class);
-        assertEquals(1, greeting.tenure());
+        assertEquals(1, greeting.incarnation());
         leader.step(
                 new SchedulerEvent.DirectCommandCompleted(
-                        greeting.sendId(),
+                        greeting.commandId(),
                         LOST,
                         409,
                         message(
                                 LOST,
                                 2,
                                 80,
-                                greeting.epoch(),
+                                greeting.fencingToken(),
                                 task("j-000001", TaskStatus.State.RUNNING, null))));
         leader.isUp(UP, 1);
         leader.pass(SECOND);
--- a/src/test/java/org/woadloom/core/liveness/DelayedHeartbeatsTest.java
+++ b/src/test/java/org/woadloom/core/liveness/DelayedHeartbeatsTest.java
@@ -30,7 +30,7 @@
     private final LeaderFixture leader = new LeaderFixture(HOST);
 
     private static TaskStatus running(SchedulerAction.SendDirectCommand sent) {
-        TaskCommand launch = sent.orders().get(0);
+        TaskCommand launch = sent.commands().get(0);
         return new TaskStatus(
                 launch.task(), launch.attempt(), TaskStatus.State.RUNNING, null, false);
     }
@@ -38,13 +38,13 @@
     private int launches() {
         return (int)
                         leader.all(SchedulerAction.SendDirectCommand.class).stream()
-                                .flatMap(sent -> sent.orders().stream())
-                                .filter(order -> order.verb() == TaskCommand.Action.LAUNCH)
+                                .flatMap(sent -> sent.commands().stream())
+                                .filter(order -> order.action() == TaskCommand.Action.START)
                                 .count()
                 + (int)
                         leader.all(SchedulerAction.AnswerHeartbeat.class).stream()
-                                .flatMap(answer -> answer.orders().stream())
-                                .filter(order -> order.verb() == TaskCommand.Action.LAUNCH)
+                                .flatMap(answer -> answer.commands().stream())
+                                .filter(order -> order.action() == TaskCommand.Action.START)
                                 .count();
     }
 
@@ -94,14 +94,14 @@
         leader.pass(1 * SECOND);
         assertEquals(0, launches());
         // It lives after all, in its next session where its lease has ended meanwhile.
-        long tenure = lateS > 10 ? 2 : 1;
-        leader.report(message(HOST, tenure, 5, token));
+        long incarnation = lateS > 10 ? 2 : 1;
+        leader.report(message(HOST, incarnation, 5, token));
         SchedulerAction.SendDirectCommand asked =
                 leader.last(SchedulerAction.SendDirectCommand.class);
-        assertTrue(asked.epoch() > token, "it is asked under a new token");
-        leader.answered(message(HOST, tenure, 6, asked.epoch()));
-        leader.greeted(HOST, tenure, 7);
-        leader.report(message(HOST, tenure, 8, asked.epoch()));
+        assertTrue(asked.fencingToken() > token, "it is asked under a new token");
+        leader.answered(message(HOST, incarnation, 6, asked.fencingToken()));
+        leader.greeted(HOST, incarnation, 7);
+        leader.report(message(HOST, incarnation, 8, asked.fencingToken()));
         leader.pass(SECOND);
         assertEquals(2, launches());
     }
@@ -131,7 +131,7 @@
         TaskStatus stranger =
                 new TaskStatus(new TaskId("j-000077", 0), 3, TaskStatus.State.RUNNING, null, false);
         SchedulerAction.AnswerHeartbeat first = leader.report(message(HOST, 1, 10, 0, stranger));
-        assertEquals(List.of(TaskCommand.halt(stranger.task(), 3, 0)), first.orders());
+        assertEquals(List.of(TaskCommand.stop(stranger.task(), 3, 0)), first.commands());
     }
 
     /** Answers to copies reach nobody, so they can't have renewed a lease. */
@@ -173,7 +173,7 @@
                         token,
                         running(leader.last(SchedulerAction.SendDirectCommand.class))));
         SchedulerAction.AnswerHeartbeat answer = leader.report(message(HOST, 1, 4, token));
-        assertEquals(List.of(), answer.orders());
+        assertEquals(List.of(), answer.commands());
         leader.pass(SECOND);
         assertEquals(1, launches());
         assertFalse(leader.logged(LogEvent.TASK_LOST));
@@ -185,7 +185,7 @@
         leader.report(message("host-000009", 1, 10, TERM << AgentLiveness.FENCE_BITS | 7));
         assertEquals(List.of(), leader.all(SchedulerAction.StepDown.class));
         assertTrue(
-                leader.last(SchedulerAction.AnswerHeartbeat.class).epoch()
+                leader.last(SchedulerAction.AnswerHeartbeat.class).fencingToken()
                         > (TERM << AgentLiveness.FENCE_BITS | 7));
         leader.step(
                 new SchedulerEvent.HeartbeatReceived(
@@ -201,24 +201,28 @@
     void aDeafWorkerGetsNoWorkUntilItShowsThatItHears() {
         long token = leader.isUp(HOST, 1);
         leader.report(message(HOST, 1, 3, token));
-        for (int tick = 4; tick < 7; tick++) {
+        for (int sequence = 4; sequence < 7; sequence++) {
             leader.pass(5 * SECOND);
-            leader.report(message(HOST, 1 + tick / 6, tick, token));
+            leader.report(message(HOST, 1 + sequence / 6, sequence, token));
             leader.unanswered();
         }
         leader.submit("j-000001", 1);
         leader.pass(500_000);
         assertEquals(0, launches());
         assertTrue(leader.logged(LogEvent.MACHINE_UNREACHABLE, "machine=" + HOST, "zone=a"));
-        long now = leader.report(message(HOST, 2, 7, token)).epoch();
+        long now = leader.report(message(HOST, 2, 7, token)).fencingToken();
         // That token was out for long, so it is asked once more.
-        leader.report(message(HOST, 2, 9, leader.report(message(HOST, 2, 8, now)).epoch()));
+        leader.report(message(HOST, 2, 9, leader.report(message(HOST, 2, 8, now)).fencingToken()));
         leader.greeted(HOST, 2, 10);
         leader.pass(500_000);
         leader.greeted(HOST, 2, 11);
         leader.pass(500_000);
         leader.report(
-                message(HOST, 2, 12, leader.last(SchedulerAction.AnswerHeartbeat.class).epoch()));
+                message(
+                        HOST,
+                        2,
+                        12,
+                        leader.last(SchedulerAction.AnswerHeartbeat.class).fencingToken()));
         assertTrue(leader.logged(LogEvent.MACHINE_REACHABLE, "machine=" + HOST));
         assertEquals(1, launches());
     }
@@ -232,9 +236,9 @@
         leader.unanswered();
         leader.submit("j-000002", 1);
         String other = "host-000002";
-        for (int tick = 3; tick < 8; tick++) {
+        for (int sequence = 3; sequence < 8; sequence++) {
             leader.pass(SECOND);
-            leader.report(message(HOST, 1, tick, token));
+            leader.report(message(HOST, 1, sequence, token));
         }
         leader.isUp(other, 1);
         leader.pass(SECOND);
@@ -243,8 +247,8 @@
         assertEquals(other, sent.host());
         assertEquals(
                 "j-000002/0",
-                sent.orders().get(0).task().toString(),
+                sent.commands().get(0).task().toString(),
                 "the first may be on the deaf one yet");
-        assertEquals(1, sent.orders().size());
+        assertEquals(1, sent.commands().size());
     }
 }
--- a/src/test/java/org/woadloom/core/quota/QuotaRotationTest.java
+++ b/src/test/java/org/woadloom/core/quota/QuotaRotationTest.java
@@ -27,7 +27,7 @@
         while (true) {
             Job job = fixture.job("j-small-" + small, 1, 1, 1);
             if (job.allowed() < 1) {
-                fixture.world.jobs.remove(job.uid());
+                fixture.world.jobs.remove(job.jobId());
                 return;
             }
             fixture.place(reservations, job, 0, machines[small++ % 2]);
@@ -49,7 +49,7 @@
         turns.update();
         for (Job job : running()) {
             job.remove(job.placement(0));
-            fixture.world.jobs.remove(job.uid());
+            fixture.world.jobs.remove(job.jobId());
             nibble();
             turns.update();
             if (large.allowed() > 0) {
@@ -126,7 +126,7 @@
         turns.update();
         Job ended = running()[0];
         ended.remove(ended.placement(0));
-        fixture.world.jobs.remove(ended.uid());
+        fixture.world.jobs.remove(ended.jobId());
         Job small = fixture.job("j-small", 1, 1, 1);
         turns.update();
         assertEquals(0, small.allowed());
@@ -151,13 +151,13 @@
         Job[] running = running();
         for (int i = 0; i < 8; i++) {
             running[i].remove(running[i].placement(0));
-            fixture.world.jobs.remove(running[i].uid());
+            fixture.world.jobs.remove(running[i].jobId());
         }
         fixture.place(reservations, first, 0, machines[0]);
         turns.update();
         for (int i = 8; i < 16; i++) {
             running[i].remove(running[i].placement(0));
-            fixture.world.jobs.remove(running[i].uid());
+            fixture.world.jobs.remove(running[i].jobId());
         }
         assertEquals(0, fixture.job("j-small", 1, 1, 1).allowed());
         assertEquals(1, second.allowed());
@@ -177,7 +177,7 @@
         Job[] running = running();
         for (int i = 0; i < 9; i++) {
             running[i].remove(running[i].placement(0));
-            fixture.world.jobs.remove(running[i].uid());
+            fixture.world.jobs.remove(running[i].jobId());
         }
         Job small = fixture.job("j-small", 1, 1, 1);
         int begun = 0;
@@ -191,7 +191,7 @@
                     fixture.place(reservations, job, 0, machines[0]);
                     turns.update();
                     job.remove(job.placement(0));
-                    fixture.world.jobs.remove(job.uid());
+                    fixture.world.jobs.remove(job.jobId());
                     begun++;
                     break;
                 }
@@ -214,7 +214,7 @@
         turns.update();
         Job ended = running()[0];
         ended.remove(ended.placement(0));
-        fixture.world.jobs.remove(ended.uid());
+        fixture.world.jobs.remove(ended.jobId());
         Job small = fixture.job("j-small", 1, 1, 1);
         int waitedS = 0;
         int longestS = 0;
--- a/src/test/java/org/woadloom/http/AdmissionControlTest.java
+++ b/src/test/java/org/woadloom/http/AdmissionControlTest.java
@@ -24,17 +24,17 @@
                     type("large", 16, 0, "b"),
                     type("card", 4, 1, "a"));
 
-    private static MachineType type(String name, double vcpus, double cards, String... yards) {
-        return new MachineType(name, vcpus, cards, 32, 50, 1, 1, 0.3, 30_000_000, List.of(yards));
+    private static MachineType type(String name, double cpus, double gpus, String... zones) {
+        return new MachineType(name, cpus, gpus, 32, 50, 1, 1, 0.3, 30_000_000, List.of(zones));
     }
 
     private static JobDescription job(
             String shape,
             long shards,
-            double vcpus,
-            double cards,
-            String hosttypes,
-            String yard,
+            double cpus,
+            double gpus,
+            String machineTypes,
+            String zone,
             String zones)
             throws Exception {
         Map<String, Object> map =
@@ -53,19 +53,21 @@
                                 "shards",
                                 shards,
                                 "vcpus",
-                                vcpus,
+                                cpus,
                                 "cards",
-                                cards,
+                                gpus,
                                 "ramGb",
                                 1.0,
                                 "bundle",
                                 "img"));
         map.put(
                 "hosttypes",
-                hosttypes == null
+                machineTypes == null
                         ? null
-                        : hosttypes.equals("none") ? List.of() : List.of(hosttypes.split("\\+")));
-        map.put("yard", yard);
+                        : machineTypes.equals("none")
+                                ? List.of()
+                                : List.of(machineTypes.split("\\+")));
+        map.put("yard", zone);
         map.put("samePlace", zones != null && zones.contains("same"));
         map.put("apart", zones != null && zones.contains("apart"));
         return JobDescription.parse(map);
@@ -115,14 +117,14 @@
     void refusesWhatNeverRuns(
             String shape,
             long shards,
-            double vcpus,
-            double cards,
-            String hosttypes,
-            String yard,
+            double cpus,
+            double gpus,
+            String machineTypes,
+            String zone,
             String zones,
             boolean runs)
             throws Exception {
-        assertEquals(runs, runs(job(shape, shards, vcpus, cards, hosttypes, yard, zones)));
+        assertEquals(runs, runs(job(shape, shards, cpus, gpus, machineTypes, zone, zones)));
     }
 
     @Test
--- a/src/test/java/org/woadloom/node/EventQueueTest.java
+++ b/src/test/java/org/woadloom/node/EventQueueTest.java
@@ -84,7 +84,7 @@
         }
         assertEquals(10, taken);
         for (int i = 0; i < JOBS; i++) {
-            queue.add(new SchedulerEvent.JobStored(record(i).asCancelled(), 2));
+            queue.add(new SchedulerEvent.JobStored(record(i).withCancellation(), 2));
         }
         assertFalse(queue.offer(report(99, 1)));
         while (!soon.isEmpty()) {
@@ -99,10 +99,11 @@
         assertTrue(queue.offer(report(1, 2)), "there is room again");
     }
 
-    private static SchedulerEvent.HeartbeatReceived report(int host, long tick) {
+    private static SchedulerEvent.HeartbeatReceived report(int host, long sequence) {
         return new SchedulerEvent.HeartbeatReceived(
                 host,
-                new Heartbeat("host-" + host, "a:1", "m", "a", false, 1, tick, 0, -1, List.of()));
+                new Heartbeat(
+                        "host-" + host, "a:1", "m", "a", false, 1, sequence, 0, -1, List.of()));
     }
 
     private static JobRecord record(int i) throws MalformedMessageException {
--- a/src/test/java/org/woadloom/settings/SettingsGoldenTest.java
+++ b/src/test/java/org/woadloom/settings/SettingsGoldenTest.java
@@ -22,11 +22,11 @@
         ServiceSettings s = ServiceSettingsFile.parse("settings.toml", read("settings.toml"));
         GoldenFile golden = new GoldenFile();
         golden.addText("label", s.label());
-        golden.addText("area", s.area());
+        golden.addText("area", s.zone());
         golden.addText("bind", s.bind());
         golden.addText("peer_bind", s.peerBind());
         for (Peer peer : s.peers()) {
-            golden.addText("peers " + peer.label(), peer.area() + " " + peer.address());
+            golden.addText("peers " + peer.label(), peer.zone() + " " + peer.address());
         }
         golden.addText("outside.cloud", s.cloudAddress());
         golden.addText("outside.state", s.stateAddress());
@@ -47,9 +47,9 @@
             golden.addText(
                     "deployment.objectives " + o.kind(),
                     "class "
-                            + o.jobclass()
+                            + o.jobClass()
                             + " within_s "
-                            + o.withinS()
+                            + o.withinSeconds()
                             + " share "
                             + o.share()
                             + " times "
--- a/src/test/java/org/woadloom/sim/BadInputTest.java
+++ b/src/test/java/org/woadloom/sim/BadInputTest.java
@@ -344,11 +344,11 @@
                             () -> {
                                 try {
                                     Connection connection = new Connection(node.address);
-                                    long tick = 0;
+                                    long sequence = 0;
                                     while (pressing.get()) {
                                         Map<String, Object> report = report(List.of());
                                         report.put("host", host);
-                                        report.put("tick", ++tick);
+                                        report.put("tick", ++sequence);
                                         connection.ask("POST", "/v1/report", Cbor.encode(report));
                                         pressed.incrementAndGet();
                                     }
--- a/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
@@ -51,7 +51,7 @@
         void one() {
             List<String> jobs = new ArrayList<>(world.truth.running());
             jobs.addAll(world.truth.acceptedJobs());
-            jobs.removeIf(uid -> asked.contains(uid) || world.truth.isOver(uid));
+            jobs.removeIf(jobId -> asked.contains(jobId) || world.truth.isOver(jobId));
             if (!jobs.isEmpty()) {
                 asked.add(jobs.get(0));
                 open++;
@@ -60,18 +60,18 @@
             }
         }
 
-        private void ask(String uid, long since) {
+        private void ask(String jobId, long since) {
             long sent = world.loop.now();
             int node = world.random.nextInt(ClusterSimulation.NODES);
             world.toNode(
                     "users",
                     node,
                     "POST",
-                    "/v1/jobs/" + uid + "/cancel",
+                    "/v1/jobs/" + jobId + "/cancel",
                     Map.of(),
                     5 * S,
                     (status, body) -> {
-                        world.answered("cancel", uid, sent, status, body);
+                        world.answered("cancel", jobId, sent, status, body);
                         if (status == 200) {
                             open--;
                             waits.add(world.loop.now() - since);
@@ -81,7 +81,7 @@
                             // that keeps anybody waiting.
                             boolean served = status > 0 && !world.isIsolated(node);
                             world.loop.after(
-                                    200_000, () -> ask(uid, served ? since : world.loop.now()));
+                                    200_000, () -> ask(jobId, served ? since : world.loop.now()));
                         }
                     });
         }
--- a/src/test/java/org/woadloom/sim/ClusterSimulation.java
+++ b/src/test/java/org/woadloom/sim/ClusterSimulation.java
@@ -373,7 +373,7 @@
                 sent =
                         new PeerMessage.JobChangeNotification(
                                 Cbor.encode(ProductionFilter.record(decode(hint.record()))),
-                                hint.stamp());
+                                hint.revision());
             }
             byte[] frame = codec.encode(sent);
             byte[] content = java.util.Arrays.copyOfRange(frame, 4, frame.length);
@@ -740,11 +740,11 @@
         }
     }
 
-    private boolean apart(String yard, String other) {
-        return !yard.equals(other)
-                && (yard.equals(island)
+    private boolean apart(String zone, String other) {
+        return !zone.equals(other)
+                && (zone.equals(island)
                         || other.equals(island)
-                        || cut.contains(yard) && cut.contains(other));
+                        || cut.contains(zone) && cut.contains(other));
     }
 
     private static PeerMessage withPromise(PeerMessage message) {
@@ -805,7 +805,7 @@
         }
         for (SimulatedAgent worker : cloud.machines.values()) {
             if (worker.addr.equals(address) && !worker.dead) {
-                if (apart(worker.yard, yardOf(member.index)) || member.index == cutFromWorkers) {
+                if (apart(worker.zone, yardOf(member.index)) || member.index == cutFromWorkers) {
                     // Held back, and executed when the zones can reach each other again.
                     loop.after(1_000_000, () -> toWorker(member, address, body, respond, true));
                     return;
@@ -854,7 +854,7 @@
             return;
         }
         SimulatedAgent worker = cloud.machines.get(from);
-        if (worker != null && (apart(worker.yard, yardOf(index)) || index == cutFromWorkers)) {
+        if (worker != null && (apart(worker.zone, yardOf(index)) || index == cutFromWorkers)) {
             loop.after(timeout, () -> callback.answer(HttpTransport.NO_RESPONSE, Map.of()));
             return;
         }
@@ -1009,13 +1009,13 @@
     }
 
     /** Submits a job; the last argument hears when it is accepted. */
-    private void newJob(String uid, int kind, List<String> awaits, Runnable1 accepted) {
+    private void newJob(String jobId, int kind, List<String> awaits, Runnable1 accepted) {
         Map<String, Object> map = new LinkedHashMap<>();
         boolean service = kind < 3;
         boolean gang = kind == 3;
-        map.put("uid", uid);
+        map.put("uid", jobId);
         map.put("jobclass", service ? "web" : "work");
-        map.put("crew", crew());
+        map.put("crew", team());
         map.put("shape", service ? "service" : gang ? "group" : "batch");
         map.put("rank", service ? "critical" : random.nextBoolean() ? "high" : "standard");
         map.put(
@@ -1051,14 +1051,14 @@
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
-        submit(uid, map, loop.now() + 60_000_000, accepted);
+        submit(jobId, map, loop.now() + 60_000_000, accepted);
         if (!servicesStay && (service || random.nextInt(12) == 0)) {
-            loop.after(5_000_000 + random.nextInt(60_000_000), () -> cancel(uid));
+            loop.after(5_000_000 + random.nextInt(60_000_000), () -> cancel(jobId));
         }
     }
 
     /** Among a crowd of teams one asks for as much as all others together. */
-    private String crew() {
+    private String team() {
         if (day.crowd() == 0) {
             return random.nextBoolean() ? "red" : "blue";
         }
@@ -1068,10 +1068,10 @@
     }
 
     interface Runnable1 {
-        void accepted(String uid);
+        void accepted(String jobId);
     }
 
-    void submit(String uid, Map<String, Object> job, long until, Runnable1 accepted) {
+    void submit(String jobId, Map<String, Object> job, long until, Runnable1 accepted) {
         long sent = loop.now();
         toNode(
                 "users",
@@ -1081,12 +1081,12 @@
                 job,
                 5_000_000,
                 (status, body) -> {
-                    answered("submit", uid, sent, status, body);
+                    answered("submit", jobId, sent, status, body);
                     if (status == 200 || status == 201) {
-                        poll(uid);
-                        accepted.accepted(uid);
+                        poll(jobId);
+                        accepted.accepted(jobId);
                     } else if (loop.now() < until) {
-                        loop.after(1_000_000, () -> submit(uid, job, until, accepted));
+                        loop.after(1_000_000, () -> submit(jobId, job, until, accepted));
                     }
                 });
     }
@@ -1111,7 +1111,7 @@
     private void pipeline() {
         List<String> before = new ArrayList<>();
         List<String> earlier = new ArrayList<>(truth.acceptedJobs());
-        earlier.removeIf(uid -> truth.submitted.get(uid).service());
+        earlier.removeIf(jobId -> truth.submitted.get(jobId).isService());
         if (random.nextInt(3) == 0 && !earlier.isEmpty()) {
             before.add(earlier.get(random.nextInt(earlier.size())));
         }
@@ -1125,13 +1125,13 @@
         int width = 1 + random.nextInt(2);
         List<String> accepted = new ArrayList<>();
         for (int i = 0; i < width; i++) {
-            String uid = newUid();
+            String jobId = newUid();
             List<String> awaits = new ArrayList<>(before);
             if (awaits.size() > 1 && random.nextBoolean()) {
                 awaits.remove(random.nextInt(awaits.size()));
             }
             newJob(
-                    uid,
+                    jobId,
                     4 + random.nextInt(6),
                     awaits,
                     known -> {
@@ -1149,7 +1149,7 @@
                         }
                     });
             if (random.nextInt(10) == 0) {
-                loop.after(random.nextInt(40_000_000), () -> cancel(uid));
+                loop.after(random.nextInt(40_000_000), () -> cancel(jobId));
             }
         }
     }
@@ -1180,51 +1180,51 @@
         loop.after(at + random.nextInt(40_000_000), state::nextLimits);
     }
 
-    private void poll(String uid) {
+    private void poll(String jobId) {
         long sent = loop.now();
         toNode(
                 "users",
                 random.nextInt(NODES),
                 "GET",
-                "/v1/jobs/" + uid,
+                "/v1/jobs/" + jobId,
                 null,
                 2_000_000,
                 (status, body) -> {
-                    answered("poll", uid, sent, status, body);
+                    answered("poll", jobId, sent, status, body);
                     loop.after(
-                            truth.isOver(uid) && status == 200 ? 40_000_000 : 3_000_000,
-                            () -> poll(uid));
+                            truth.isOver(jobId) && status == 200 ? 40_000_000 : 3_000_000,
+                            () -> poll(jobId));
                 });
     }
 
     /** What a user was told. */
-    void answered(String request, String uid, long sent, int status, Map<String, Object> body) {
-        truth.answered(request, uid, sent, status, body);
-        userTroubles.told(uid, status);
+    void answered(String request, String jobId, long sent, int status, Map<String, Object> body) {
+        truth.answered(request, jobId, sent, status, body);
+        userTroubles.told(jobId, status);
     }
 
-    void cancel(String uid) {
-        cancel(uid, loop.now() + 70_000_000);
+    void cancel(String jobId) {
+        cancel(jobId, loop.now() + 70_000_000);
     }
 
     /**
      * A job that is not known yet may be accepted still, and would run for ever if nobody asked
      * again (seed 308).
      */
-    private void cancel(String uid, long unknownUntil) {
-        truth.cancelling(uid);
+    private void cancel(String jobId, long unknownUntil) {
+        truth.cancelling(jobId);
         long sent = loop.now();
         toNode(
                 "users",
                 random.nextInt(NODES),
                 "POST",
-                "/v1/jobs/" + uid + "/cancel",
+                "/v1/jobs/" + jobId + "/cancel",
                 Map.of(),
                 5_000_000,
                 (status, body) -> {
-                    answered("cancel", uid, sent, status, body);
+                    answered("cancel", jobId, sent, status, body);
                     if (status != 200 && (status != 404 || loop.now() < unknownUntil)) {
-                        loop.after(1_000_000, () -> cancel(uid, unknownUntil));
+                        loop.after(1_000_000, () -> cancel(jobId, unknownUntil));
                     }
                 });
     }
@@ -1338,10 +1338,10 @@
             case 13, 14 ->
                     island(yardOf(random.nextInt(NODES)), 5_000_000 + random.nextInt(40_000_000));
             case 8 -> {
-                List<String> yards = day.zoneNames();
+                List<String> zones = day.zoneNames();
                 partition(
-                        yards.get(0),
-                        yards.get(1 + random.nextInt(yards.size() - 1)),
+                        zones.get(0),
+                        zones.get(1 + random.nextInt(zones.size() - 1)),
                         5_000_000 + random.nextInt(25_000_000));
             }
             default -> {
@@ -1427,10 +1427,10 @@
                             answer.putAll(decode(response.body()));
                             answer.put("code", response.status());
                             if (path.startsWith("/v1/jobs/")) {
-                                String uid = path.split("/")[3];
+                                String jobId = path.split("/")[3];
                                 truth.answered(
                                         path.endsWith("/cancel") ? "cancel" : "poll",
-                                        uid,
+                                        jobId,
                                         sent,
                                         response.status(),
                                         answer);
@@ -1509,7 +1509,7 @@
     void mute(String zone, int oneIn, long forMicros) {
         int count = 0;
         for (SimulatedAgent worker : cloud.machines.values()) {
-            if (worker.yard.equals(zone) && count++ % oneIn == 0) {
+            if (worker.zone.equals(zone) && count++ % oneIn == 0) {
                 worker.muteUntil = loop.now() + forMicros;
             }
         }
@@ -1569,9 +1569,9 @@
     }
 
     /** Cuts a zone off from everything for a while, unless one is. */
-    void island(String yard, long forMicros) {
+    void island(String zone, long forMicros) {
         if (island == null) {
-            island = yard;
+            island = zone;
             loop.after(forMicros, () -> island = null);
         }
     }
@@ -1619,7 +1619,7 @@
                 refusedMicros / 4,
                 () ->
                         truth.running().stream()
-                                .filter(uid -> random.nextInt(3) == 0)
+                                .filter(jobId -> random.nextInt(3) == 0)
                                 .forEach(this::cancel));
         loop.after(
                 refusedMicros,
@@ -1661,18 +1661,18 @@
     /**
      * Nothing reaches one in so many of a zone's machines for a while, and their reports arrive.
      */
-    void deafen(String yard, int oneIn, long forMicros) {
+    void deafen(String zone, int oneIn, long forMicros) {
         int count = 0;
         for (SimulatedAgent worker : cloud.machines.values()) {
-            if (worker.yard.equals(yard) && count++ % oneIn == 0) {
+            if (worker.zone.equals(zone) && count++ % oneIn == 0) {
                 worker.deafUntil = loop.now() + forMicros;
             }
         }
     }
 
-    void hangAll(String yard, long forMicros) {
+    void hangAll(String zone, long forMicros) {
         for (SimulatedAgent worker : cloud.machines.values()) {
-            if (worker.yard.equals(yard)) {
+            if (worker.zone.equals(zone)) {
                 worker.hungUntil = loop.now() + forMicros;
             }
         }
@@ -1834,9 +1834,9 @@
     /** Accepted jobs that are neither done nor cancelled and should be by now. */
     List<String> unfinished() {
         List<String> result = new ArrayList<>();
-        for (String uid : truth.acceptedJobs()) {
-            if (!truth.isOver(uid) && !truth.submitted.get(uid).service()) {
-                result.add(uid);
+        for (String jobId : truth.acceptedJobs()) {
+            if (!truth.isOver(jobId) && !truth.submitted.get(jobId).isService()) {
+                result.add(jobId);
             }
         }
         return result;
--- a/src/test/java/org/woadloom/sim/CoalescingJobReaderTest.java
+++ b/src/test/java/org/woadloom/sim/CoalescingJobReaderTest.java
@@ -131,18 +131,18 @@
                 (status, answer) -> assertEquals(200, status));
     }
 
-    private void put(String uid, boolean cancelled) {
-        put(uid, cancelled, 0);
+    private void put(String jobId, boolean cancelled) {
+        put(jobId, cancelled, 0);
     }
 
     /**
      * @param running counts the changes, so that an answer tells how old it is
      */
-    private void put(String uid, boolean cancelled, int running) {
+    private void put(String jobId, boolean cancelled, int running) {
         try {
             JobRecord record =
                     new JobRecord(
-                            JobDescription.parse(LoopbackNode.job(uid, "team")),
+                            JobDescription.parse(LoopbackNode.job(jobId, "team")),
                             0,
                             0,
                             cancelled,
@@ -151,21 +151,21 @@
                             running,
                             0,
                             0);
-            write(Map.of("put", "job/" + uid, "value", record.toMap(RecordFormat.COMPACT)));
+            write(Map.of("put", "job/" + jobId, "value", record.toMap(RecordFormat.COMPACT)));
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private void finish(String uid) {
+    private void finish(String jobId) {
         write(
-                Map.of("drop", "job/" + uid),
-                Map.of("put", "final/" + uid, "value", Map.of("status", "done", "done", 20L)));
+                Map.of("drop", "job/" + jobId),
+                Map.of("put", "final/" + jobId, "value", Map.of("status", "done", "done", 20L)));
     }
 
-    private JobStatus ask(int node, String uid) {
+    private JobStatus ask(int node, String jobId) {
         CoalescingJobReader.JobView[] shown = {null};
-        nodes.get(node).ask(uid, answer -> shown[0] = answer);
+        nodes.get(node).ask(jobId, answer -> shown[0] = answer);
         run(2_000_000);
         return shown[0] == null ? null : shown[0].status();
     }
@@ -174,7 +174,7 @@
         sim.run(sim.now() + micros);
     }
 
-    private static String uid(int job) {
+    private static String jobId(int job) {
         return String.format("j-%06d", job);
     }
 
@@ -184,7 +184,7 @@
         for (int job = 1; job <= jobs; job++) {
             nodes.get(0)
                     .ask(
-                            uid(job),
+                            jobId(job),
                             answer -> told[0] += answer.status().status().equals(expected) ? 1 : 0);
         }
         run(1_000_000);
@@ -198,15 +198,15 @@
      */
     @Test
     void whatHasJustChangedIsToldByTheSharedRead() {
-        put(uid(0), false);
-        ask(0, uid(0));
+        put(jobId(0), false);
+        ask(0, jobId(0));
         for (int job = 1; job <= 20; job++) {
-            put(uid(job), false);
+            put(jobId(job), false);
         }
         int reads = askAll(20, "queued");
         assertTrue(reads <= 3, reads + " reads for 20 new jobs");
         for (int job = 1; job <= 20; job++) {
-            finish(uid(job));
+            finish(jobId(job));
         }
         reads = askAll(20, "done");
         assertTrue(reads <= 23, reads + " reads for 20 jobs that are over");
@@ -219,7 +219,7 @@
     @Test
     void aThousandOpenJobsAreAQuarterOfTheRequests() {
         for (int job = 0; job < 1_000; job++) {
-            put(uid(job), false);
+            put(jobId(job), false);
             poll(job, random.nextInt(5_000_000));
         }
         run(30_000_000);
@@ -227,7 +227,7 @@
         answered = 0;
         for (int second = 0; second < 20; second++) {
             for (int change = 0; change < 20; change++) {
-                put(uid(random.nextInt(1_000)), false);
+                put(jobId(random.nextInt(1_000)), false);
             }
             run(1_000_000);
         }
@@ -240,7 +240,7 @@
                 delay,
                 () -> {
                     nodes.get(job % NODES)
-                            .ask(uid(job), shown -> answered += shown == null ? 0 : 1);
+                            .ask(jobId(job), shown -> answered += shown == null ? 0 : 1);
                     poll(job, 5_000_000);
                 });
     }
@@ -274,8 +274,8 @@
             sim.after(
                     random.nextInt(120_000_000),
                     () -> {
-                        String uid = someUid();
-                        int before = told.getOrDefault(uid, 0);
+                        String jobId = someUid();
+                        int before = told.getOrDefault(jobId, 0);
                         int[] answered = {0};
                         asked.add(answered);
                         Consumer<JobStatus> check =
@@ -283,14 +283,14 @@
                                     int now = stage(status);
                                     assertTrue(
                                             now >= before,
-                                            uid + " was " + before + " and is " + now);
-                                    told.merge(uid, now, Math::max);
+                                            jobId + " was " + before + " and is " + now);
+                                    told.merge(jobId, now, Math::max);
                                     answers[Math.min(3, (now + 999) / 1_000)]++;
                                 };
                         if (alone) {
                             readers.get(node)
                                     .look(
-                                            uid,
+                                            jobId,
                                             looked -> {
                                                 answered[0]++;
                                                 if (looked != null) {
@@ -300,7 +300,7 @@
                         } else {
                             nodes.get(node)
                                     .ask(
-                                            uid,
+                                            jobId,
                                             shown -> {
                                                 answered[0]++;
                                                 if (shown != null) {
@@ -328,22 +328,22 @@
 
     /** Of those of these seconds: each comes, lives for some and is asked for for a while after. */
     private String someUid() {
-        return uid((int) (sim.now() / 1_000_000) + random.nextInt(10));
+        return jobId((int) (sim.now() / 1_000_000) + random.nextInt(10));
     }
 
     /** Jobs come, change, are cancelled and end, one step at a time. */
-    private void step(String uid) {
-        if (store.down || store.value("final/" + uid) != null || random.nextInt(3) > 0) {
+    private void step(String jobId) {
+        if (store.down || store.value("final/" + jobId) != null || random.nextInt(3) > 0) {
             return;
         }
-        Map<String, Object> record = store.value("job/" + uid);
+        Map<String, Object> record = store.value("job/" + jobId);
         int luck = random.nextInt(12);
         if (record == null) {
-            put(uid, false);
+            put(jobId, false);
         } else if (luck == 0) {
-            finish(uid);
+            finish(jobId);
         } else if (!Boolean.TRUE.equals(record.get("cancelled"))) {
-            put(uid, luck < 3, ((Long) record.get("running")).intValue() + 1);
+            put(jobId, luck < 3, ((Long) record.get("running")).intValue() + 1);
         }
     }
 
@@ -360,34 +360,34 @@
     /** Where the store does not say, nobody is told what was true before. */
     @Test
     void anOutageIsToldAsOne() {
-        put(uid(1), false);
-        assertEquals("queued", ask(0, uid(1)).status());
+        put(jobId(1), false);
+        assertEquals("queued", ask(0, jobId(1)).status());
         store.outage(true);
-        assertNull(ask(0, uid(1)));
+        assertNull(ask(0, jobId(1)));
         int[] told = {0};
         for (int i = 0; i < 20; i++) {
-            nodes.get(0).ask(uid(1), shown -> told[0] += shown == null ? 1 : 0);
+            nodes.get(0).ask(jobId(1), shown -> told[0] += shown == null ? 1 : 0);
             run(500_000);
         }
         assertEquals(20, told[0], "told within half a second that the store does not answer");
         store.outage(false);
-        put(uid(1), true);
-        assertEquals("cancelled", ask(0, uid(1)).status());
-        assertNull(ask(1, uid(2)), "a job that was never accepted has no status");
+        put(jobId(1), true);
+        assertEquals("cancelled", ask(0, jobId(1)).status());
+        assertNull(ask(1, jobId(2)), "a job that was never accepted has no status");
         // After a gap everything is read again: changes are kept for a while only.
         run(60_000_000);
-        finish(uid(1));
-        assertEquals("done", ask(0, uid(1)).status());
+        finish(jobId(1));
+        assertEquals("done", ask(0, jobId(1)).status());
     }
 
     /** One read in twenty takes seconds while the store is slow; everybody would wait for it. */
     @Test
     void aReadThatTakesLongHoldsUpNobody() {
-        put(uid(1), false);
-        assertEquals("queued", ask(0, uid(1)).status());
+        put(jobId(1), false);
+        assertEquals("queued", ask(0, jobId(1)).status());
         trouble = 30;
         for (int i = 0; i < 200; i++) {
-            answered += ask(0, uid(1)) == null ? 0 : 1;
+            answered += ask(0, jobId(1)) == null ? 0 : 1;
         }
         assertTrue(answered > 180, answered + " of 200 answered within 2 s");
     }
--- a/src/test/java/org/woadloom/sim/DamagedRecordTest.java
+++ b/src/test/java/org/woadloom/sim/DamagedRecordTest.java
@@ -20,21 +20,21 @@
      * cancelled.
      */
     private static String damage(ClusterSimulation world, boolean cancelled) {
-        String uid =
+        String jobId =
                 world.truth.acceptedJobs().stream()
                         .filter(
                                 job ->
                                         world.stored("job/" + job) != null
                                                 && !world.truth.isOver(job)
-                                                && !world.truth.submitted.get(job).service())
+                                                && !world.truth.submitted.get(job).isService())
                         .reduce((a, b) -> b)
                         .orElseThrow();
         world.put(
-                "job/" + uid,
+                "job/" + jobId,
                 cancelled
                         ? Map.of("format", 2L, "job", "gone", "cancelled", true)
                         : Map.of("format", 2L, "job", "gone"));
-        return uid;
+        return jobId;
     }
 
     private static ClusterSimulation day() {
@@ -57,13 +57,13 @@
     @Test
     void aLeaderThatKnowsTheJobWritesItsRecordAnew() {
         ClusterSimulation world = day();
-        String uid = damage(world, false);
+        String jobId = damage(world, false);
         world.run(AT + 8_000_000);
         assertTrue(
-                world.stored("job/" + uid) == null
-                        || world.stored("job/" + uid).get("job") instanceof Map);
+                world.stored("job/" + jobId) == null
+                        || world.stored("job/" + jobId).get("job") instanceof Map);
         world.run(AT + 400_000_000);
-        assertEquals("done", told(world, 0, "GET", "/v1/jobs/" + uid));
+        assertEquals("done", told(world, 0, "GET", "/v1/jobs/" + jobId));
     }
 
     /** No leader knows it any more: its users hear of it, and can be rid of it. */
@@ -73,15 +73,15 @@
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
             world.end(i, 2_000_000);
         }
-        String uid = damage(world, false);
+        String jobId = damage(world, false);
         world.run(AT + 20_000_000);
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
-            assertEquals("queued", told(world, i, "GET", "/v1/jobs/" + uid));
+            assertEquals("queued", told(world, i, "GET", "/v1/jobs/" + jobId));
         }
-        world.truth.cancelling(uid);
-        assertEquals("cancelled", told(world, 1, "POST", "/v1/jobs/" + uid + "/cancel"));
-        assertNull(world.stored("job/" + uid));
-        assertEquals("cancelled", told(world, 2, "GET", "/v1/jobs/" + uid));
+        world.truth.cancelling(jobId);
+        assertEquals("cancelled", told(world, 1, "POST", "/v1/jobs/" + jobId + "/cancel"));
+        assertNull(world.stored("job/" + jobId));
+        assertEquals("cancelled", told(world, 2, "GET", "/v1/jobs/" + jobId));
         world.run(AT + 200_000_000);
     }
 
@@ -91,11 +91,11 @@
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
             world.end(i, 2_000_000);
         }
-        String uid = damage(world, true);
-        world.truth.cancelling(uid);
+        String jobId = damage(world, true);
+        world.truth.cancelling(jobId);
         world.run(AT + 20_000_000);
-        assertEquals("cancelled", told(world, 0, "GET", "/v1/jobs/" + uid));
-        assertEquals("cancelled", told(world, 2, "POST", "/v1/jobs/" + uid + "/cancel"));
+        assertEquals("cancelled", told(world, 0, "GET", "/v1/jobs/" + jobId));
+        assertEquals("cancelled", told(world, 2, "POST", "/v1/jobs/" + jobId + "/cancel"));
     }
 
     /**
--- a/src/test/java/org/woadloom/sim/ElectionTest.java
+++ b/src/test/java/org/woadloom/sim/ElectionTest.java
@@ -117,9 +117,9 @@
                         fence,
                         new Election.Listener() {
                             @Override
-                            public void elected(long term, long leaderStamp) {
+                            public void elected(long term, long leaderRevision) {
                                 assertEquals(
-                                        leaderStamp,
+                                        leaderRevision,
                                         stampOfKey(),
                                         "the stamp that all writes hang on");
                                 terms.add(term);
@@ -144,11 +144,11 @@
                     "POST",
                     "/grants",
                     Map.of("lifeMs", 4_000L),
-                    (status, grant) -> {
+                    (status, storeLease) -> {
                         List<Object> changes = new ArrayList<>();
                         for (Object item : (List<?>) asked.get("then")) {
                             Map<Object, Object> change = new LinkedHashMap<>((Map<?, ?>) item);
-                            change.computeIfPresent("hold", (key, held) -> grant.get("hold"));
+                            change.computeIfPresent("hold", (key, held) -> storeLease.get("hold"));
                             changes.add(change);
                         }
                         state.handle(
@@ -161,13 +161,13 @@
     }
 
     private long stampOfKey() {
-        long[] stamp = {0};
+        long[] revision = {0};
         state.handle(
                 "GET",
                 "/keys/leader",
                 Map.of(),
-                (status, item) -> stamp[0] = status == 200 ? (Long) item.get("stamp") : 0);
-        return stamp[0];
+                (status, item) -> revision[0] = status == 200 ? (Long) item.get("stamp") : 0);
+        return revision[0];
     }
 
     private static Map<String, Object> decode(byte[] body) {
--- a/src/test/java/org/woadloom/sim/FleetLoadGenerator.java
+++ b/src/test/java/org/woadloom/sim/FleetLoadGenerator.java
@@ -156,7 +156,7 @@
             processes.add(builder.start());
         }
         System.out.println("logs in " + directory);
-        loop.execute(this::tick);
+        loop.execute(this::sequence);
         Thread.sleep(4_000);
         loop.execute(
                 () -> {
@@ -212,7 +212,7 @@
                 () -> {
                     long term = 0;
                     for (Worker worker : workers.values()) {
-                        term = Math.max(term, worker.epoch >> AgentLiveness.FENCE_BITS);
+                        term = Math.max(term, worker.fencingToken >> AgentLiveness.FENCE_BITS);
                     }
                     ending.destroyForcibly();
                     listedBytes = 0;
@@ -225,7 +225,7 @@
     private void watchTakeOver(long from, long term, CountDownLatch done) {
         long reached =
                 workers.values().stream()
-                        .filter(w -> w.epoch >> AgentLiveness.FENCE_BITS > term)
+                        .filter(w -> w.fencingToken >> AgentLiveness.FENCE_BITS > term)
                         .count();
         if (reached >= workers.size() * 0.95 && firstLaunch >= 0) {
             System.out.printf(
@@ -289,7 +289,7 @@
                         "label = \""
                                 + label(i)
                                 + "\"\narea = \""
-                                + yard(i)
+                                + zone(i)
                                 + "\"\nbind = \""
                                 + nodes.get(i)
                                 + "\"\npeer_bind = \"127.0.0.1:"
@@ -300,7 +300,7 @@
                 text.append("[[peers]]\nlabel = \"")
                         .append(label(p))
                         .append("\"\narea = \"")
-                        .append(yard(p))
+                        .append(zone(p))
                         .append("\"\naddress = \"127.0.0.1:")
                         .append(peers[p])
                         .append("\"\n");
@@ -333,17 +333,17 @@
                 + "fd_limit = 2500\n";
     }
 
-    private static String yard(int i) {
+    private static String zone(int i) {
         return i % 2 == 0 ? "a" : "b";
     }
 
     /** The stand-ins' clock follows the real one. */
-    private void tick() {
+    private void sequence() {
         long now = loop.nowMicros() - start;
         while (clock.step(now)) {
             continue;
         }
-        loop.schedule(2_000, this::tick);
+        loop.schedule(2_000, this::sequence);
     }
 
     private final long start = System.nanoTime() / 1000;
@@ -358,9 +358,9 @@
     }
 
     private void submit(String shape, int shards, double runtimeS) {
-        String uid = String.format("j-%06d", jobs++);
+        String jobId = String.format("j-%06d", jobs++);
         Map<String, Object> job = new LinkedHashMap<>();
-        job.put("uid", uid);
+        job.put("uid", jobId);
         job.put("jobclass", shape);
         job.put("crew", "team");
         job.put("shape", shape);
@@ -377,10 +377,10 @@
         job.put("runtimeS", runtimeS);
         job.put("snapshotEveryS", 0.0);
         job.put("snapshotCostS", 0.0);
-        submit(uid, Cbor.encode(job));
+        submit(jobId, Cbor.encode(job));
     }
 
-    private void submit(String uid, byte[] job) {
+    private void submit(String jobId, byte[] job) {
         users.request(
                 nodes.get(random.nextInt(NODES)),
                 "POST",
@@ -389,24 +389,24 @@
                 5_000_000,
                 (status, body) -> {
                     if (status == 201 || status == 200) {
-                        loop.schedule(random.nextInt((int) POLL_MICROS), () -> poll(uid));
+                        loop.schedule(random.nextInt((int) POLL_MICROS), () -> poll(jobId));
                     } else {
-                        loop.schedule(1_000_000, () -> submit(uid, job));
+                        loop.schedule(1_000_000, () -> submit(jobId, job));
                     }
                 });
     }
 
-    private void poll(String uid) {
+    private void poll(String jobId) {
         users.request(
                 nodes.get(random.nextInt(NODES)),
                 "GET",
-                "/v1/jobs/" + uid,
+                "/v1/jobs/" + jobId,
                 null,
                 2_000_000,
                 (status, body) -> {
                     polls++;
                     if (!"done".equals(decode(body).get("status"))) {
-                        loop.schedule(POLL_MICROS, () -> poll(uid));
+                        loop.schedule(POLL_MICROS, () -> poll(jobId));
                     }
                 });
     }
@@ -513,9 +513,9 @@
                                                 "hosttype",
                                                 "m4",
                                                 "yard",
-                                                w.yard,
+                                                w.zone,
                                                 "reclaimable",
-                                                w.reclaimable,
+                                                w.spot,
                                                 "status",
                                                 "running",
                                                 "heldS",
@@ -543,19 +543,19 @@
     private final class Worker {
         final String host;
         final String addr;
-        final String yard;
-        final boolean reclaimable;
+        final String zone;
+        final boolean spot;
         final UndertowTransport transport = new UndertowTransport(loop, thread, buffers, 1);
         final Map<String, Map<String, Object>> tasks = new LinkedHashMap<>();
         int node = random.nextInt(NODES);
-        long tick;
-        long epoch;
+        long sequence;
+        long fencingToken;
         boolean gone;
         boolean reporting;
         long lastMicros;
         boolean soon;
 
-        Worker(int number, String yard, boolean reclaimable) {
+        Worker(int number, String zone, boolean spot) {
             String ip =
                     "127."
                             + (1 + number / 62_500)
@@ -565,8 +565,8 @@
                             + (1 + number % 250);
             this.host = "host-" + ip;
             this.addr = ip + ":" + port;
-            this.yard = yard;
-            this.reclaimable = reclaimable;
+            this.zone = zone;
+            this.spot = spot;
         }
 
         void beat() {
@@ -613,7 +613,7 @@
                         reports[at]++;
                         Map<String, Object> map = decode(answer);
                         if (status == 200) {
-                            epoch = Math.max(epoch, (Long) map.get("epoch"));
+                            fencingToken = Math.max(fencingToken, (Long) map.get("epoch"));
                             execute((List<?>) map.get("orders"));
                         } else if (status == 421 && map.get("overseer") instanceof String leader) {
                             node = Integer.parseInt(leader.substring(5));
@@ -626,7 +626,7 @@
         }
 
         Map<String, Object> direct(Map<String, Object> body) {
-            epoch = Math.max(epoch, (Long) body.get("epoch"));
+            fencingToken = Math.max(fencingToken, (Long) body.get("epoch"));
             execute((List<?>) body.get("orders"));
             return body();
         }
@@ -636,18 +636,18 @@
             map.put("host", host);
             map.put("addr", addr);
             map.put("hosttype", "m4");
-            map.put("yard", yard);
-            map.put("reclaimable", reclaimable);
+            map.put("yard", zone);
+            map.put("reclaimable", spot);
             map.put("tenure", 1L);
-            map.put("tick", ++tick);
-            map.put("epoch", epoch);
+            map.put("tick", ++sequence);
+            map.put("epoch", fencingToken);
             map.put("warningS", null);
             map.put("shards", new ArrayList<Object>(tasks.values()));
             return map;
         }
 
-        private void execute(List<?> orders) {
-            for (Object item : orders) {
+        private void execute(List<?> commands) {
+            for (Object item : commands) {
                 Map<?, ?> order = (Map<?, ?>) item;
                 String shard = (String) order.get("shard");
                 switch ((String) order.get("verb")) {
--- a/src/test/java/org/woadloom/sim/HttpFormsGoldenTest.java
+++ b/src/test/java/org/woadloom/sim/HttpFormsGoldenTest.java
@@ -70,8 +70,8 @@
         golden.addText(name, answer.statusCode() + retry + ", " + type + ", " + body);
     }
 
-    private static byte[] job(String uid, String field, Object value) {
-        Map<String, Object> job = LoopbackNode.job(uid, "team");
+    private static byte[] job(String jobId, String field, Object value) {
+        Map<String, Object> job = LoopbackNode.job(jobId, "team");
         job.put(field, value);
         return Cbor.encode(job);
     }
