--- a/src/test/java/org/woadloom/sim/InvariantChecker.java
+++ b/src/test/java/org/woadloom/sim/InvariantChecker.java
@@ -54,10 +54,10 @@
 
     private final ArrayDeque<End> freed = new ArrayDeque<>();
 
-    private record End(long micros, String crew, double vcpus) {}
+    private record End(long micros, String team, double cpus) {}
 
     /** Hears of each job whose last task has just been completed. */
-    Consumer<String> lastTaskEnded = uid -> {};
+    Consumer<String> lastTaskEnded = jobId -> {};
 
     /**
      * Starts of tasks after a user was told that their job is cancelled; a rule is broken if they
@@ -83,9 +83,9 @@
 
     void started(TaskId task, SimulatedAgent worker) {
         starts++;
-        ran.add(task.uid());
-        JobDescription job = submitted.get(task.uid());
-        for (String before : job.awaits()) {
+        ran.add(task.jobId());
+        JobDescription job = submitted.get(task.jobId());
+        for (String before : job.dependencies()) {
             if (!allDone(before)) {
                 throw new InvariantViolation(
                         "too_early", task + " starts before " + before + " is done");
@@ -102,25 +102,25 @@
         }
         int sameYard = 1;
         for (Map.Entry<TaskId, SimulatedAgent> entry : on.entrySet()) {
-            if (!entry.getKey().uid().equals(task.uid()) || entry.getKey().equals(task)) {
+            if (!entry.getKey().jobId().equals(task.jobId()) || entry.getKey().equals(task)) {
                 continue;
             }
-            if (entry.getValue().yard.equals(worker.yard)) {
+            if (entry.getValue().zone.equals(worker.zone)) {
                 sameYard++;
-            } else if (job.samePlace()) {
+            } else if (job.sameZone()) {
                 throw new InvariantViolation("wrong_place", task + " starts apart from its job");
             }
         }
-        if (job.apart() && sameYard > (job.shards() + 1) / 2) {
+        if (job.spreadAcrossZones() && sameYard > (job.taskCount() + 1) / 2) {
             throw new InvariantViolation(
-                    "wrong_place", task + " makes " + sameYard + " in " + worker.yard);
+                    "wrong_place", task + " makes " + sameYard + " in " + worker.zone);
         }
-        startsAfterCancellation += toldCancelled.containsKey(task.uid()) ? 1 : 0;
+        startsAfterCancellation += toldCancelled.containsKey(task.jobId()) ? 1 : 0;
         on.put(task, worker);
-        Team team = settings.team(job.crew());
-        double cpus = used(job.crew());
+        Team team = settings.team(job.team());
+        double cpus = used(job.team());
         if (cpus > team.cpusMax() + 1e-6) {
-            throw new InvariantViolation("quota", job.crew() + " uses " + cpus);
+            throw new InvariantViolation("quota", job.team() + " uses " + cpus);
         }
         cancelCheck(task);
     }
@@ -129,18 +129,18 @@
         freed.add(
                 new End(
                         loop.now(),
-                        submitted.get(task.uid()).crew(),
-                        submitted.get(task.uid()).vcpus()));
+                        submitted.get(task.jobId()).team(),
+                        submitted.get(task.jobId()).cpus()));
         on.remove(task, worker);
-        if (completed && done.add(task) && allDone(task.uid())) {
-            lastTaskEnded.accept(task.uid());
+        if (completed && done.add(task) && allDone(task.jobId())) {
+            lastTaskEnded.accept(task.jobId());
         }
     }
 
     /** The jobs of which tasks are on machines. */
     Set<String> running() {
         Set<String> jobs = new LinkedHashSet<>();
-        on.keySet().forEach(task -> jobs.add(task.uid()));
+        on.keySet().forEach(task -> jobs.add(task.jobId()));
         return jobs;
     }
 
@@ -149,7 +149,7 @@
         Set<SimulatedAgent> machines = new LinkedHashSet<>();
         on.forEach(
                 (task, worker) -> {
-                    if (jobs.contains(task.uid())) {
+                    if (jobs.contains(task.jobId())) {
                         machines.add(worker);
                     }
                 });
@@ -160,21 +160,25 @@
      * Jobs of this importance or more, or of less, that have tasks which are neither done nor on a
      * machine.
      */
-    int waiting(Priority rank, boolean less) {
+    int waiting(Priority priority, boolean less) {
         return (int)
                 accepted.keySet().stream()
                         .filter(
-                                uid ->
-                                        !isOver(uid)
-                                                && submitted.get(uid).rank().compareTo(rank) < 0
+                                jobId ->
+                                        !isOver(jobId)
+                                                && submitted
+                                                                        .get(jobId)
+                                                                        .priority()
+                                                                        .compareTo(priority)
+                                                                < 0
                                                         == less
-                                                && hasWaiting(submitted.get(uid)))
+                                                && hasWaiting(submitted.get(jobId)))
                         .count();
     }
 
     private boolean hasWaiting(JobDescription job) {
-        for (int i = 0; i < job.shards(); i++) {
-            TaskId task = new TaskId(job.uid(), i);
+        for (int i = 0; i < job.taskCount(); i++) {
+            TaskId task = new TaskId(job.jobId(), i);
             if (!done.contains(task) && !on.containsKey(task)) {
                 return true;
             }
@@ -191,39 +195,39 @@
         if (loop.now() < calmFrom) {
             return;
         }
-        for (String uid : accepted.keySet()) {
-            JobDescription job = submitted.get(uid);
+        for (String jobId : accepted.keySet()) {
+            JobDescription job = submitted.get(jobId);
             // Those whose tasks go together need more than room for one.
             boolean could =
-                    !isOver(uid)
-                            && !askedToCancel.contains(uid)
-                            && cancelledBefore(uid) == null
-                            && !job.gang()
-                            && !job.samePlace()
-                            && !job.apart()
-                            && job.awaits().stream().allMatch(this::allDone)
+                    !isOver(jobId)
+                            && !askedToCancel.contains(jobId)
+                            && cancelledBefore(jobId) == null
+                            && !job.isGang()
+                            && !job.sameZone()
+                            && !job.spreadAcrossZones()
+                            && job.dependencies().stream().allMatch(this::allDone)
                             && hasWaiting(job)
-                            && heldOrJustFreed(job.crew(), workers) + job.vcpus()
-                                    <= settings.team(job.crew()).cpusMax()
+                            && heldOrJustFreed(job.team(), workers) + job.cpus()
+                                    <= settings.team(job.team()).cpusMax()
                             && workers.stream().anyMatch(worker -> worker.takes(job));
             if (!could) {
-                couldBegin.remove(uid);
-            } else if (loop.now() - couldBegin.computeIfAbsent(uid, key -> loop.now())
+                couldBegin.remove(jobId);
+            } else if (loop.now() - couldBegin.computeIfAbsent(jobId, key -> loop.now())
                     > WAITING_MICROS) {
                 throw new InvariantViolation(
                         "left_waiting",
-                        uid
+                        jobId
                                 + " has tasks that wait while there is room, since "
-                                + couldBegin.get(uid) / 1_000_000
+                                + couldBegin.get(jobId) / 1_000_000
                                 + " s");
             }
         }
     }
 
-    private double heldOrJustFreed(String crew, Collection<SimulatedAgent> workers) {
+    private double heldOrJustFreed(String team, Collection<SimulatedAgent> workers) {
         freed.removeIf(end -> loop.now() - end.micros > HEARD_MICROS);
-        return workers.stream().mapToDouble(worker -> worker.held(crew)).sum()
-                + freed.stream().filter(end -> end.crew.equals(crew)).mapToDouble(End::vcpus).sum();
+        return workers.stream().mapToDouble(worker -> worker.held(team)).sum()
+                + freed.stream().filter(end -> end.team.equals(team)).mapToDouble(End::cpus).sum();
     }
 
     /** How many teams have a task that waits and does not fit below their limit. */
@@ -233,11 +237,11 @@
 
     private boolean atLimit(Team team) {
         double room = team.cpusMax() - used(team.name());
-        for (String uid : accepted.keySet()) {
-            JobDescription job = submitted.get(uid);
-            if (job.crew().equals(team.name())
-                    && !isOver(uid)
-                    && job.vcpus() > room
+        for (String jobId : accepted.keySet()) {
+            JobDescription job = submitted.get(jobId);
+            if (job.team().equals(team.name())
+                    && !isOver(jobId)
+                    && job.cpus() > room
                     && hasWaiting(job)) {
                 return true;
             }
@@ -250,22 +254,22 @@
         return on.get(task);
     }
 
-    double used(String crew) {
+    double used(String team) {
         double cpus = 0;
         for (TaskId running : on.keySet()) {
-            JobDescription job = submitted.get(running.uid());
-            cpus += job.crew().equals(crew) ? job.vcpus() : 0;
+            JobDescription job = submitted.get(running.jobId());
+            cpus += job.team().equals(team) ? job.cpus() : 0;
         }
         return cpus;
     }
 
-    int tasksIn(String yard) {
-        return (int) on.values().stream().filter(worker -> worker.yard.equals(yard)).count();
+    int tasksIn(String zone) {
+        return (int) on.values().stream().filter(worker -> worker.zone.equals(zone)).count();
     }
 
     /** A task of the job was started on some machine. */
-    boolean ran(String uid) {
-        return ran.contains(uid);
+    boolean ran(String jobId) {
+        return ran.contains(jobId);
     }
 
     boolean isDone(TaskId task) {
@@ -273,7 +277,7 @@
     }
 
     private void cancelCheck(TaskId task) {
-        Long told = toldCancelled.get(task.uid());
+        Long told = toldCancelled.get(task.jobId());
         if (told != null && loop.now() - told > settings.workers().cancelMicros()) {
             throw new InvariantViolation(
                     "ran_cancelled", task + " is on a machine too long after the cancellation");
@@ -288,38 +292,38 @@
     }
 
     void submitting(JobDescription job) {
-        submitted.put(job.uid(), job);
+        submitted.put(job.jobId(), job);
     }
 
-    void cancelling(String uid) {
-        askedToCancel.add(uid);
+    void cancelling(String jobId) {
+        askedToCancel.add(jobId);
     }
 
     /**
      * An answer to a request that was sent at the given time: it may be older than what was told
      * after that.
      */
-    void answered(String request, String uid, long sent, int status, Map<String, Object> body) {
-        if ((status == 200 || status == 201) && unfit.contains(uid)) {
-            throw new InvariantViolation("accepted_unfit", request + " " + uid + " " + status);
+    void answered(String request, String jobId, long sent, int status, Map<String, Object> body) {
+        if ((status == 200 || status == 201) && unfit.contains(jobId)) {
+            throw new InvariantViolation("accepted_unfit", request + " " + jobId + " " + status);
         }
-        boolean known = submitted.containsKey(uid);
+        boolean known = submitted.containsKey(jobId);
         if (status == 200 && !known) {
-            throw new InvariantViolation("invented", uid);
+            throw new InvariantViolation("invented", jobId);
         }
-        if (accepted.getOrDefault(uid, Long.MAX_VALUE) < sent
+        if (accepted.getOrDefault(jobId, Long.MAX_VALUE) < sent
                 && (status == 404
                         || request.equals("submit") && (status == 400 || status == 422))) {
-            throw new InvariantViolation("forgotten", request + " " + uid + " " + status);
+            throw new InvariantViolation("forgotten", request + " " + jobId + " " + status);
         }
-        if (request.equals("poll") && accepted.containsKey(uid)) {
-            long last = Math.max(calmFrom, pollAnswered.getOrDefault(uid, accepted.get(uid)));
+        if (request.equals("poll") && accepted.containsKey(jobId)) {
+            long last = Math.max(calmFrom, pollAnswered.getOrDefault(jobId, accepted.get(jobId)));
             if (status == 200) {
-                pollAnswered.put(uid, loop.now());
+                pollAnswered.put(jobId, loop.now());
             } else if (loop.now() - last > FORGOTTEN_MICROS) {
                 throw new InvariantViolation(
                         "forgotten",
-                        uid + " gets no answer for " + (loop.now() - last) / 1_000_000 + " s");
+                        jobId + " gets no answer for " + (loop.now() - last) / 1_000_000 + " s");
             }
         }
         if (status != 200 && status != 201) {
@@ -327,42 +331,42 @@
         }
         // Whoever answers so has told that it is accepted, also if no answer to the submission ever
         // came.
-        accepted.putIfAbsent(uid, loop.now());
+        accepted.putIfAbsent(jobId, loop.now());
         String said = (String) body.get("status");
-        String before = toldFinal.get(uid);
+        String before = toldFinal.get(jobId);
         boolean end = said.equals("done") || said.equals("cancelled");
         // Only an answer that is not final may be older, and only to a request from before the end
         // was told.
-        if (before != null && !before.equals(said) && (end || toldFinalAt.get(uid) < sent)) {
-            throw new InvariantViolation("went_back", uid + " was " + before + " and is " + said);
+        if (before != null && !before.equals(said) && (end || toldFinalAt.get(jobId) < sent)) {
+            throw new InvariantViolation("went_back", jobId + " was " + before + " and is " + said);
         }
         if (said.equals("queued") || said.equals("running")) {
-            Long told = cancelledBefore(uid);
+            Long told = cancelledBefore(jobId);
             if (told != null && told + settings.workers().cancelMicros() < sent) {
-                throw new InvariantViolation("orphaned", uid + " is " + said);
+                throw new InvariantViolation("orphaned", jobId + " is " + said);
             }
         }
         if (said.equals("done")) {
-            if (!allDone(uid)) {
-                throw new InvariantViolation("not_done", uid);
+            if (!allDone(jobId)) {
+                throw new InvariantViolation("not_done", jobId);
             }
-            toldFinal.put(uid, said);
-            toldFinalAt.putIfAbsent(uid, loop.now());
+            toldFinal.put(jobId, said);
+            toldFinalAt.putIfAbsent(jobId, loop.now());
         } else if (said.equals("cancelled")) {
-            if (!mayBeCancelled(uid)) {
-                throw new InvariantViolation("went_back", uid + " is called cancelled by itself");
+            if (!mayBeCancelled(jobId)) {
+                throw new InvariantViolation("went_back", jobId + " is called cancelled by itself");
             }
-            toldFinal.put(uid, said);
-            toldFinalAt.putIfAbsent(uid, loop.now());
-            if (toldCancelled.putIfAbsent(uid, loop.now()) == null && running().contains(uid)) {
+            toldFinal.put(jobId, said);
+            toldFinalAt.putIfAbsent(jobId, loop.now());
+            if (toldCancelled.putIfAbsent(jobId, loop.now()) == null && running().contains(jobId)) {
                 cancelledWhileRunning++;
             }
         }
     }
 
-    private boolean allDone(String uid) {
-        for (int i = 0; i < submitted.get(uid).shards(); i++) {
-            if (!done.contains(new TaskId(uid, i))) {
+    private boolean allDone(String jobId) {
+        for (int i = 0; i < submitted.get(jobId).taskCount(); i++) {
+            if (!done.contains(new TaskId(jobId, i))) {
                 return false;
             }
         }
@@ -370,9 +374,9 @@
     }
 
     /** When a user was told first that a job before this one is cancelled; null if none was. */
-    private Long cancelledBefore(String uid) {
+    private Long cancelledBefore(String jobId) {
         Long first = null;
-        for (String before : submitted.get(uid).awaits()) {
+        for (String before : submitted.get(jobId).dependencies()) {
             Long told = toldCancelled.get(before);
             if (told == null) {
                 told = cancelledBefore(before);
@@ -381,7 +385,9 @@
             told =
                     told == null
                             ? null
-                            : (Long) Math.max(told, accepted.getOrDefault(uid, Long.MAX_VALUE / 2));
+                            : (Long)
+                                    Math.max(
+                                            told, accepted.getOrDefault(jobId, Long.MAX_VALUE / 2));
             first = first == null || told != null && told < first ? told : first;
         }
         return first;
@@ -392,10 +398,11 @@
         return (int)
                 running().stream()
                         .filter(
-                                uid ->
-                                        !submitted.get(uid).service()
+                                jobId ->
+                                        !submitted.get(jobId).isService()
                                                 && done.stream()
-                                                        .anyMatch(task -> task.uid().equals(uid)))
+                                                        .anyMatch(
+                                                                task -> task.jobId().equals(jobId)))
                         .count();
     }
 
@@ -403,16 +410,16 @@
     int waitingForCancelled() {
         return (int)
                 accepted.keySet().stream()
-                        .filter(uid -> !isOver(uid) && cancelledBefore(uid) != null)
+                        .filter(jobId -> !isOver(jobId) && cancelledBefore(jobId) != null)
                         .count();
     }
 
     /** True if its user, or the user of a job before it that is not done, asked for that. */
-    private boolean mayBeCancelled(String uid) {
-        if (askedToCancel.contains(uid)) {
+    private boolean mayBeCancelled(String jobId) {
+        if (askedToCancel.contains(jobId)) {
             return true;
         }
-        for (String before : submitted.get(uid).awaits()) {
+        for (String before : submitted.get(jobId).dependencies()) {
             if (mayBeCancelled(before) && !"done".equals(toldFinal.get(before))) {
                 return true;
             }
@@ -420,8 +427,8 @@
         return false;
     }
 
-    boolean isOver(String uid) {
-        return toldFinal.containsKey(uid);
+    boolean isOver(String jobId) {
+        return toldFinal.containsKey(jobId);
     }
 
     Set<String> acceptedJobs() {
--- a/src/test/java/org/woadloom/sim/LoopbackNode.java
+++ b/src/test/java/org/woadloom/sim/LoopbackNode.java
@@ -103,11 +103,11 @@
     }
 
     /** A job of three small tasks that the node takes, with every field that has to be there. */
-    static Map<String, Object> job(String uid, String crew) {
+    static Map<String, Object> job(String jobId, String team) {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("uid", uid);
+        map.put("uid", jobId);
         map.put("jobclass", "class");
-        map.put("crew", crew);
+        map.put("crew", team);
         map.put("shape", "batch");
         map.put("rank", "high");
         map.put("shards", 3L);
--- a/src/test/java/org/woadloom/sim/LoopbackTest.java
+++ b/src/test/java/org/woadloom/sim/LoopbackTest.java
@@ -51,20 +51,20 @@
                 HttpResponse.BodyHandlers.ofByteArray());
     }
 
-    private static byte[] job(String crew) {
-        return Cbor.encode(LoopbackNode.job("j-000412", crew));
+    private static byte[] job(String team) {
+        return Cbor.encode(LoopbackNode.job("j-000412", team));
     }
 
-    private int submit(String uid, String shape, Object awaits) throws Exception {
-        Map<String, Object> map = LoopbackNode.job(uid, "team");
+    private int submit(String jobId, String shape, Object awaits) throws Exception {
+        Map<String, Object> map = LoopbackNode.job(jobId, "team");
         map.put("shape", shape);
         map.put("shards", 1L);
         map.put("awaits", awaits);
         return ask("POST", "/v1/jobs", Cbor.encode(map)).statusCode();
     }
 
-    private String status(String uid) throws Exception {
-        return (String) Cbor.decodeMap(ask("GET", "/v1/jobs/" + uid, null).body()).get("status");
+    private String status(String jobId) throws Exception {
+        return (String) Cbor.decodeMap(ask("GET", "/v1/jobs/" + jobId, null).body()).get("status");
     }
 
     @Test
--- a/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
@@ -102,7 +102,7 @@
                         task ->
                                 !running.contains(task)
                                         && !world.truth.isDone(task)
-                                        && !world.truth.isOver(task.uid()))
+                                        && !world.truth.isOver(task.jobId()))
                 .toList();
     }
 
--- a/src/test/java/org/woadloom/sim/PartitionedZoneTest.java
+++ b/src/test/java/org/woadloom/sim/PartitionedZoneTest.java
@@ -18,9 +18,9 @@
     private static final long QUIET = 240_000_000;
 
     /** Zone "a" has two of the three nodes, zone "b" one. */
-    private static ClusterSimulation cut(long seed, String yard, long forMicros) {
+    private static ClusterSimulation cut(long seed, String zone, long forMicros) {
         ClusterSimulation world = day(seed);
-        world.loop.after(CUT_AT, () -> world.island(yard, forMicros));
+        world.loop.after(CUT_AT, () -> world.island(zone, forMicros));
         return world;
     }
 
@@ -50,12 +50,12 @@
     /** The lease is 20 s: without care every task of the zone would be killed. */
     @ParameterizedTest
     @ValueSource(strings = {"a", "b"})
-    void workGoesOnInAZoneThatIsCutOffForLongerThanALease(String yard) {
+    void workGoesOnInAZoneThatIsCutOffForLongerThanALease(String zone) {
         int kept = 0;
         for (long seed = 1; seed <= 4; seed++) {
-            ClusterSimulation world = cut(seed, yard, BRIDGED);
+            ClusterSimulation world = cut(seed, zone, BRIDGED);
             world.run(CUT_AT - 1);
-            kept += world.truth.tasksIn(yard);
+            kept += world.truth.tasksIn(zone);
             assertEquals(0, killedMeanwhile(world), "tasks killed, seed " + seed);
             world.run(QUIET);
         }
--- a/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
@@ -46,7 +46,7 @@
                         1_000_000,
                         () -> {
                             outOfReach[0] +=
-                                    cancelWhere(world, 2, machine -> machine.yard.equals("b"));
+                                    cancelWhere(world, 2, machine -> machine.zone.equals("b"));
                             world.cancelNow(3, 9_000_000);
                             outOfReach[0] += cancelWhere(world, 3, SimulatedAgent::hung);
                         });
@@ -153,7 +153,7 @@
                         () -> {
                             lost[0] += tasksBound(world);
                             world.workers().stream()
-                                    .filter(machine -> machine.yard.equals("b"))
+                                    .filter(machine -> machine.zone.equals("b"))
                                     .forEach(SimulatedAgent::die);
                             world.loop.after(
                                     world.random.nextInt(2_000_000),
@@ -181,7 +181,10 @@
             ClusterSimulation world, int most, Predicate<SimulatedAgent> such) {
         List<String> chosen =
                 world.truth.running().stream()
-                        .filter(uid -> world.truth.machinesOf(Set.of(uid)).stream().anyMatch(such))
+                        .filter(
+                                jobId ->
+                                        world.truth.machinesOf(Set.of(jobId)).stream()
+                                                .anyMatch(such))
                         .limit(most)
                         .toList();
         chosen.forEach(world::cancel);
@@ -202,12 +205,12 @@
     }
 
     private static void submitBound(ClusterSimulation world, int tasks) {
-        String uid = world.newUid();
+        String jobId = world.newUid();
         Map<String, Object> job =
                 new LinkedHashMap<>(
                         Map.of(
                                 "uid",
-                                uid,
+                                jobId,
                                 "jobclass",
                                 "bound",
                                 "crew",
@@ -249,15 +252,15 @@
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
-        world.submit(uid, job, world.loop.now() + 60_000_000, accepted -> {});
+        world.submit(jobId, job, world.loop.now() + 60_000_000, accepted -> {});
     }
 
     private static int tasksBound(ClusterSimulation world) {
         int tasks = 0;
-        for (String uid : world.truth.running()) {
-            JobDescription job = world.truth.submitted.get(uid);
-            for (int i = 0; job.jobclass().equals("bound") && i < job.shards(); i++) {
-                tasks += world.truth.machineOf(new TaskId(uid, i)) == null ? 0 : 1;
+        for (String jobId : world.truth.running()) {
+            JobDescription job = world.truth.submitted.get(jobId);
+            for (int i = 0; job.jobClass().equals("bound") && i < job.taskCount(); i++) {
+                tasks += world.truth.machineOf(new TaskId(jobId, i)) == null ? 0 : 1;
             }
         }
         return tasks;
--- a/src/test/java/org/woadloom/sim/ServiceLevelTest.java
+++ b/src/test/java/org/woadloom/sim/ServiceLevelTest.java
@@ -33,10 +33,10 @@
         // The flood asks for more than there is: a part of its own jobs still waits then.
         world.run(TROUBLED + 120_000_000);
         Map<String, int[]> served = new TreeMap<>();
-        for (String uid : world.truth.acceptedJobs()) {
-            var job = world.truth.submitted.get(uid);
-            boolean counts = world.truth.ran(uid) || world.truth.isOver(uid);
-            for (String group : new String[] {"team " + job.crew(), "class " + job.jobclass()}) {
+        for (String jobId : world.truth.acceptedJobs()) {
+            var job = world.truth.submitted.get(jobId);
+            boolean counts = world.truth.ran(jobId) || world.truth.isOver(jobId);
+            for (String group : new String[] {"team " + job.team(), "class " + job.jobClass()}) {
                 int[] count = served.computeIfAbsent(group, g -> new int[2]);
                 count[0]++;
                 count[1] += counts ? 1 : 0;
@@ -87,9 +87,12 @@
     private static int arraysOver(ClusterSimulation world, int crowd) {
         String team = crowd == 0 ? "red" : "crowd-0";
         int over = 0;
-        for (String uid : world.truth.acceptedJobs()) {
-            var job = world.truth.submitted.get(uid);
-            over += job.crew().equals(team) && !job.service() && world.truth.isOver(uid) ? 1 : 0;
+        for (String jobId : world.truth.acceptedJobs()) {
+            var job = world.truth.submitted.get(jobId);
+            over +=
+                    job.team().equals(team) && !job.isService() && world.truth.isOver(jobId)
+                            ? 1
+                            : 0;
         }
         return over;
     }
@@ -133,7 +136,7 @@
         Job ended = fixture.job("j-000002", 1, 1, 1);
         fixture.world.served.come(ended);
         ended.markDone(0);
-        fixture.world.jobs.remove(ended.uid());
+        fixture.world.jobs.remove(ended.jobId());
         fixture.world.served.over(ended);
         fixture.world.nowMicros += 30_000_000;
         fixture.world.served.review();
--- a/src/test/java/org/woadloom/sim/SimulatedAgent.java
+++ b/src/test/java/org/woadloom/sim/SimulatedAgent.java
@@ -28,15 +28,15 @@
 
     final String host;
     final String addr;
-    final String hosttype;
-    final String yard;
-    final boolean reclaimable;
+    final String machineType;
+    final String zone;
+    final boolean spot;
     private final ClusterSimulation world;
-    private final double vcpus;
+    private final double cpus;
     private final Map<TaskId, Task> tasks = new LinkedHashMap<>();
-    private long tenure = 1;
-    private long tick;
-    private long epoch;
+    private long incarnation = 1;
+    private long sequence;
+    private long fencingToken;
     private long leaseFrom;
     private int node;
     private long reportSent = -1;
@@ -69,17 +69,17 @@
     SimulatedAgent(
             ClusterSimulation world,
             String host,
-            String hosttype,
-            String yard,
-            boolean reclaimable,
-            double vcpus) {
+            String machineType,
+            String zone,
+            boolean spot,
+            double cpus) {
         this.world = world;
         this.host = host;
         this.addr = host + ":9000";
-        this.hosttype = hosttype;
-        this.yard = yard;
-        this.reclaimable = reclaimable;
-        this.vcpus = vcpus;
+        this.machineType = machineType;
+        this.zone = zone;
+        this.spot = spot;
+        this.cpus = cpus;
         this.leaseFrom = world.loop.now();
         this.node = world.random.nextInt(ClusterSimulation.NODES);
         beat();
@@ -155,7 +155,7 @@
                 world.truth.ended(task.id, this, false);
             }
             tasks.clear();
-            tenure++;
+            incarnation++;
             leaseFrom = world.loop.now();
             changed = true;
         }
@@ -165,12 +165,12 @@
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("host", host);
         map.put("addr", addr);
-        map.put("hosttype", hosttype);
-        map.put("yard", yard);
-        map.put("reclaimable", reclaimable);
-        map.put("tenure", tenure);
-        map.put("tick", ++tick);
-        map.put("epoch", epoch);
+        map.put("hosttype", machineType);
+        map.put("yard", zone);
+        map.put("reclaimable", spot);
+        map.put("tenure", incarnation);
+        map.put("tick", ++sequence);
+        map.put("epoch", fencingToken);
         map.put("warningS", null);
         List<Object> list = new ArrayList<>();
         for (Task task : tasks.values()) {
@@ -193,7 +193,7 @@
         lastReport = sent;
         reportSent = sent;
         long id = ++reportId;
-        long ofTenure = tenure;
+        long ofTenure = incarnation;
         world.toNode(
                 host,
                 node,
@@ -212,9 +212,9 @@
                     if (status == 200) {
                         long token = (Long) answer.get("epoch");
                         checkLease();
-                        if (token >= epoch && tenure == ofTenure) {
-                            changed |= token > epoch;
-                            epoch = token;
+                        if (token >= fencingToken && incarnation == ofTenure) {
+                            changed |= token > fencingToken;
+                            fencingToken = token;
                             leaseFrom = Math.max(leaseFrom, sent);
                             execute((List<?>) answer.get("orders"));
                         }
@@ -244,39 +244,39 @@
             used +=
                     task.status.equals("exited")
                             ? 0
-                            : world.truth.submitted.get(task.id.uid()).vcpus();
+                            : world.truth.submitted.get(task.id.jobId()).cpus();
         }
         return !dead
                 && !hung()
                 && !deaf()
                 && !mute()
-                && used + job.vcpus() <= vcpus + 1e-6
+                && used + job.cpus() <= cpus + 1e-6
                 && fits(job);
     }
 
     boolean fits(JobDescription job) {
-        return (job.hosttypes() == null || job.hosttypes().contains(hosttype))
-                && (job.yard() == null || job.yard().equals(yard))
-                && (!reclaimable || job.reclaimable());
+        return (job.machineTypes() == null || job.machineTypes().contains(machineType))
+                && (job.zone() == null || job.zone().equals(zone))
+                && (!spot || job.spotAllowed());
     }
 
     /** A direct command as it arrives, perhaps late. */
     Object[] direct(Map<String, Object> body) {
         checkLease();
         long token = (Long) body.get("epoch");
-        if (token < epoch || (Long) body.get("tenure") != tenure) {
+        if (token < fencingToken || (Long) body.get("tenure") != incarnation) {
             // The protocol says the highest token it has seen: every other worker has seen that of
             // a refused command, too.
-            epoch = host.hashCode() % 2 == 0 ? Math.max(epoch, token) : epoch;
+            fencingToken = host.hashCode() % 2 == 0 ? Math.max(fencingToken, token) : fencingToken;
             return new Object[] {409, body()};
         }
-        epoch = token;
+        fencingToken = token;
         execute((List<?>) body.get("orders"));
         return new Object[] {200, body()};
     }
 
-    private void execute(List<?> orders) {
-        for (Object item : orders) {
+    private void execute(List<?> commands) {
+        for (Object item : commands) {
             Map<?, ?> order = (Map<?, ?>) item;
             TaskId id;
             try {
@@ -306,12 +306,12 @@
 
     /** How many processors no task of its holds. */
     double free() {
-        double free = vcpus;
+        double free = cpus;
         for (Task task : tasks.values()) {
             free -=
                     task.status.equals("exited")
                             ? 0
-                            : world.truth.submitted.get(task.id.uid()).vcpus();
+                            : world.truth.submitted.get(task.id.jobId()).cpus();
         }
         return free;
     }
@@ -319,21 +319,21 @@
     /**
      * How many processors tasks of the team hold here, those that wait for their image among them.
      */
-    double held(String crew) {
+    double held(String team) {
         double held = 0;
         for (Task task : tasks.values()) {
-            JobDescription job = world.truth.submitted.get(task.id.uid());
-            held += !task.status.equals("exited") && job.crew().equals(crew) ? job.vcpus() : 0;
+            JobDescription job = world.truth.submitted.get(task.id.jobId());
+            held += !task.status.equals("exited") && job.team().equals(team) ? job.cpus() : 0;
         }
         return held;
     }
 
     private void launch(TaskId id, long attempt, Task present) {
         if (present != null && present.attempt == attempt
-                || world.isBroken(Scenario.Flaw.ONE_JOB_NOT_TAKEN) && id.uid().endsWith("7")) {
+                || world.isBroken(Scenario.Flaw.ONE_JOB_NOT_TAKEN) && id.jobId().endsWith("7")) {
             return;
         }
-        JobDescription job = world.truth.submitted.get(id.uid());
+        JobDescription job = world.truth.submitted.get(id.jobId());
         if (job == null) {
             throw new InvariantViolation("accepted_unfit", id + " is started");
         }
@@ -350,9 +350,9 @@
             used +=
                     other.status.equals("exited") || other == task
                             ? 0
-                            : world.truth.submitted.get(other.id.uid()).vcpus();
+                            : world.truth.submitted.get(other.id.jobId()).cpus();
         }
-        if (used + job.vcpus() > vcpus + 1e-6) {
+        if (used + job.cpus() > cpus + 1e-6) {
             task.status = "exited";
             task.cause = "no_room";
             return;
@@ -380,8 +380,8 @@
         started++;
         task.status = "running";
         changed = true;
-        if (!job.service()) {
-            world.loop.after((long) (job.runtimeS() * 1e6), () -> complete(task));
+        if (!job.isService()) {
+            world.loop.after((long) (job.estimatedRuntimeSeconds() * 1e6), () -> complete(task));
         }
     }
 
--- a/src/test/java/org/woadloom/sim/SimulatedCloud.java
+++ b/src/test/java/org/woadloom/sim/SimulatedCloud.java
@@ -46,7 +46,7 @@
             now.add(
                     item(
                             worker.host,
-                            new String[] {worker.hosttype, worker.yard, "" + worker.reclaimable},
+                            new String[] {worker.machineType, worker.zone, "" + worker.spot},
                             worker.dead ? "failed" : "running"));
         }
         world.loop.after(1_000_000 + world.random.nextInt(3_000_000), () -> shown = now);
@@ -124,12 +124,12 @@
         return names;
     }
 
-    private Map<String, Object> type(String name, double vcpus, double rate) {
+    private Map<String, Object> type(String name, double cpus, double rate) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("name", name);
-        map.put("vcpus", vcpus);
+        map.put("vcpus", cpus);
         map.put("cards", 0.0);
-        map.put("ramGb", vcpus * 4);
+        map.put("ramGb", cpus * 4);
         map.put("cacheGb", 50.0);
         map.put("pullGbPerS", 1.0);
         map.put("rate", rate);
--- a/src/test/java/org/woadloom/sim/SimulatedStore.java
+++ b/src/test/java/org/woadloom/sim/SimulatedStore.java
@@ -16,9 +16,9 @@
 
 /** The state service, written from the protocol. */
 final class SimulatedStore {
-    private record Entry(Object value, long stamp, long grant) {}
+    private record Entry(Object value, long revision, long storeLease) {}
 
-    private record Change(String path, Object value, long stamp) {}
+    private record Change(String path, Object value, long revision) {}
 
     private final SimulatedEventLoop loop;
     private ServiceSettings.State limits;
@@ -68,9 +68,9 @@
         down = begins;
         if (!begins) {
             // After an outage every lease has its full time again.
-            for (Map.Entry<Long, long[]> grant : new ArrayList<>(grants.entrySet())) {
-                grant.getValue()[1] = loop.now() + grant.getValue()[0];
-                expireLater(grant.getKey());
+            for (Map.Entry<Long, long[]> storeLease : new ArrayList<>(grants.entrySet())) {
+                storeLease.getValue()[1] = loop.now() + storeLease.getValue()[0];
+                expireLater(storeLease.getKey());
             }
             wake();
         }
@@ -142,11 +142,11 @@
             expireLater(id);
             answer.answer(200, Map.of("hold", id));
         } else if (path.endsWith("/renew")) {
-            long[] grant = grants.get(Long.parseLong(path.split("/")[2]));
-            if (grant == null) {
+            long[] storeLease = grants.get(Long.parseLong(path.split("/")[2]));
+            if (storeLease == null) {
                 answer.answer(404, Map.of());
             } else {
-                grant[1] = loop.now() + grant[0];
+                storeLease[1] = loop.now() + storeLease[0];
                 expireLater(Long.parseLong(path.split("/")[2]));
                 answer.answer(200, Map.of());
             }
@@ -159,15 +159,15 @@
         loop.at(
                 grants.get(id)[1],
                 () -> {
-                    long[] grant = grants.get(id);
-                    if (grant == null || down || loop.now() < grant[1]) {
+                    long[] storeLease = grants.get(id);
+                    if (storeLease == null || down || loop.now() < storeLease[1]) {
                         return;
                     }
                     grants.remove(id);
                     List<String> gone = new ArrayList<>();
                     entries.forEach(
                             (path, entry) -> {
-                                if (entry.grant == id) {
+                                if (entry.storeLease == id) {
                                     gone.add(path);
                                 }
                             });
@@ -198,7 +198,7 @@
         Map<String, Object> item = new LinkedHashMap<>();
         item.put("path", path);
         item.put("value", entry.value);
-        item.put("stamp", entry.stamp);
+        item.put("stamp", entry.revision);
         return item;
     }
 
@@ -246,13 +246,13 @@
         for (Object item : (List<?>) body.get("if")) {
             Map<?, ?> condition = (Map<?, ?>) item;
             Entry entry = entries.get((String) condition.get("path"));
-            if ((Long) condition.get("stamp") != (entry == null ? 0 : entry.stamp)) {
+            if ((Long) condition.get("stamp") != (entry == null ? 0 : entry.revision)) {
                 failed.add(condition.get("path"));
             }
         }
         for (Object item : (List<?>) body.get("then")) {
-            if (((Map<?, ?>) item).get("hold") instanceof Long grant
-                    && !grants.containsKey(grant)) {
+            if (((Map<?, ?>) item).get("hold") instanceof Long storeLease
+                    && !grants.containsKey(storeLease)) {
                 answer.answer(400, Map.of("error", "no such lease"));
                 return;
             }
@@ -270,7 +270,7 @@
                         new Entry(
                                 change.get("value"),
                                 generation,
-                                change.get("hold") instanceof Long grant ? grant : 0));
+                                change.get("hold") instanceof Long storeLease ? storeLease : 0));
                 changes.add(new Change(path, change.get("value"), generation));
             } else {
                 drop((String) change.get("drop"));
@@ -291,7 +291,7 @@
         long since = Long.parseLong(parameter(path, "since"));
         List<Object> events = new ArrayList<>();
         int from = changes.size();
-        while (from > 0 && changes.get(from - 1).stamp > since) {
+        while (from > 0 && changes.get(from - 1).revision > since) {
             from--;
         }
         for (Change change : changes.subList(from, changes.size())) {
@@ -299,7 +299,7 @@
                 Map<String, Object> event = new LinkedHashMap<>();
                 event.put(change.value == null ? "drop" : "put", change.path);
                 event.put("value", change.value);
-                event.put("stamp", change.stamp);
+                event.put("stamp", change.revision);
                 events.add(event);
             }
         }
--- a/src/test/java/org/woadloom/sim/StepRenderer.java
+++ b/src/test/java/org/woadloom/sim/StepRenderer.java
@@ -72,17 +72,17 @@
         } else if (command instanceof SchedulerEvent.LeadershipLost) {
             return list("step-down");
         } else if (command instanceof SchedulerEvent.JobStored c) {
-            return list("job-record", job(c.record()), c.stamp());
+            return list("job-record", job(c.record()), c.revision());
         } else if (command instanceof SchedulerEvent.JobRecordDamaged c) {
-            return list("job-record-partly-unreadable", c.uid(), c.stamp(), c.cancelled());
+            return list("job-record-partly-unreadable", c.jobId(), c.revision(), c.cancelled());
         } else if (command instanceof SchedulerEvent.CancellationsConfirmed c) {
-            return list("cancellations-told", c.uids());
+            return list("cancellations-told", c.jobIds());
         } else if (command instanceof SchedulerEvent.JobRecordNotFound c) {
-            return list("job-record-missing", c.uid());
+            return list("job-record-missing", c.jobId());
         } else if (command instanceof SchedulerEvent.JobReadFailed c) {
-            return list("job-record-unreadable", c.uid());
+            return list("job-record-unreadable", c.jobId());
         } else if (command instanceof SchedulerEvent.DependencyResolved c) {
-            return list("job-found", c.uid(), standing(c.standing()), c.overWallMicros());
+            return list("job-found", c.jobId(), standing(c.standing()), c.overWallMicros());
         } else if (command instanceof SchedulerEvent.StoreLimitsChanged c) {
             return list(
                     "storage",
@@ -102,20 +102,20 @@
                     "machine-record",
                     c.host(),
                     c.record() == null ? null : machine(c.record()),
-                    c.stamp());
+                    c.revision());
         } else if (command instanceof SchedulerEvent.MachineReadFailed c) {
             return list("machine-record-unreadable", c.host());
         } else if (command instanceof SchedulerEvent.HeartbeatReceived c) {
-            return list("report", c.replyId(), report(c.report()));
+            return list("report", c.requestId(), report(c.heartbeat()));
         } else if (command instanceof SchedulerEvent.DirectCommandCompleted c) {
             return list(
                     "direct-result",
-                    c.sendId(),
+                    c.commandId(),
                     c.host(),
                     c.status(),
-                    c.report() == null ? null : report(c.report()));
+                    c.heartbeat() == null ? null : report(c.heartbeat()));
         } else if (command instanceof SchedulerEvent.JobWriteCompleted c) {
-            return list("job-written", c.uid(), c.version(), outcome(c.outcome()), c.stamp());
+            return list("job-written", c.jobId(), c.version(), outcome(c.outcome()), c.revision());
         } else if (command instanceof SchedulerEvent.MachineWriteCompleted c) {
             return list(
                     "machine-written",
@@ -123,20 +123,20 @@
                     c.leaving(),
                     c.dropped(),
                     outcome(c.outcome()),
-                    c.stamp());
+                    c.revision());
         } else if (command instanceof SchedulerEvent.MachineTypesRead c) {
             return list("machine-types", each(c.types(), MachineType::toMap));
         } else if (command instanceof SchedulerEvent.MachinesListed c) {
             return list("machines-listed", each(c.machines(), StepRenderer::listed));
         } else if (command instanceof SchedulerEvent.ScaleOutCompleted c) {
-            return list("rented", c.claim(), outcome(c.outcome()), c.hosts());
+            return list("rented", c.requestName(), outcome(c.outcome()), c.hosts());
         } else if (command instanceof SchedulerEvent.MachineDeletionCompleted c) {
             return list("deleted", c.hosts(), c.done());
         } else if (command instanceof SchedulerEvent.RolloutStateRead c) {
             return list(
                     "rollout",
                     c.record().toMap(),
-                    c.stamp(),
+                    c.revision(),
                     sorted(c.words(), StepRenderer::spoken),
                     sorted(c.asked(), request -> request.toMap()),
                     List.copyOf(new TreeSet<>(c.wordless())),
@@ -144,7 +144,7 @@
                     c.agreedStamp(),
                     c.refused());
         } else if (command instanceof SchedulerEvent.RolloutWriteCompleted c) {
-            return list("rollout-written", c.number(), outcome(c.outcome()), c.stamp());
+            return list("rollout-written", c.number(), outcome(c.outcome()), c.revision());
         } else if (command instanceof SchedulerEvent.RecordsCounted c) {
             return list(
                     "records-counted",
@@ -161,34 +161,38 @@
 
     private static List<Object> effect(SchedulerAction effect) {
         if (effect instanceof SchedulerAction.AnswerHeartbeat e) {
-            return list("answer", e.replyId(), e.epoch(), each(e.orders(), TaskCommand::toMap));
+            return list(
+                    "answer",
+                    e.requestId(),
+                    e.fencingToken(),
+                    each(e.commands(), TaskCommand::toMap));
         } else if (effect instanceof SchedulerAction.RejectHeartbeat e) {
-            return list("turn-away", e.replyId());
+            return list("turn-away", e.requestId());
         } else if (effect instanceof SchedulerAction.SendDirectCommand e) {
             return list(
                     "send-direct",
-                    e.sendId(),
+                    e.commandId(),
                     e.host(),
-                    e.addr(),
-                    e.epoch(),
-                    e.tenure(),
-                    each(e.orders(), TaskCommand::toMap));
+                    e.address(),
+                    e.fencingToken(),
+                    e.incarnation(),
+                    each(e.commands(), TaskCommand::toMap));
         } else if (effect instanceof SchedulerAction.WriteJob e) {
-            return list("put-job", job(e.record()), e.stamp(), e.urgent());
+            return list("put-job", job(e.record()), e.revision(), e.urgent());
         } else if (effect instanceof SchedulerAction.WriteFinalState e) {
-            return list("finish-job", finalRecord(e.record()), e.stamp(), e.version());
+            return list("finish-job", finalRecord(e.record()), e.revision(), e.version());
         } else if (effect instanceof SchedulerAction.ReadJob e) {
-            return list("read-job", e.uid());
+            return list("read-job", e.jobId());
         } else if (effect instanceof SchedulerAction.ResolveDependency e) {
-            return list("find-job", e.uid());
+            return list("find-job", e.jobId());
         } else if (effect instanceof SchedulerAction.WriteMachine e) {
-            return list("put-machine", machine(e.record()), e.stamp());
+            return list("put-machine", machine(e.record()), e.revision());
         } else if (effect instanceof SchedulerAction.DeleteMachineRecord e) {
-            return list("drop-machine", e.host(), e.stamp());
+            return list("drop-machine", e.host(), e.revision());
         } else if (effect instanceof SchedulerAction.ReadMachine e) {
             return list("read-machine", e.host());
         } else if (effect instanceof SchedulerAction.RentMachines e) {
-            return list("rent", e.claim(), e.hosttype(), e.yard(), e.reclaimable(), e.count());
+            return list("rent", e.requestName(), e.machineType(), e.zone(), e.spot(), e.count());
         } else if (effect instanceof SchedulerAction.DeleteMachines e) {
             return list("delete", e.hosts());
         } else if (effect instanceof SchedulerAction.DelegateLeases e) {
@@ -238,11 +242,11 @@
     }
 
     private static List<Object> storedJob(SchedulerEvent.StoredJob stored) {
-        return list(job(stored.record()), stored.stamp());
+        return list(job(stored.record()), stored.revision());
     }
 
     private static List<Object> storedMachine(SchedulerEvent.StoredMachine stored) {
-        return list(machine(stored.record()), stored.stamp());
+        return list(machine(stored.record()), stored.revision());
     }
 
     /** The compact form holds all records, also those of jobs that wait. */
@@ -251,7 +255,7 @@
     }
 
     private static List<Object> finalRecord(FinalRecord record) {
-        return list(record.uid(), record.toMap(RecordFormat.COMPACT));
+        return list(record.jobId(), record.toMap(RecordFormat.COMPACT));
     }
 
     private static List<Object> machine(MachineRecord record) {
@@ -260,7 +264,7 @@
 
     private static List<Object> spoken(SchedulerEvent.StoredAnnouncement spoken) {
         NodeAnnouncement word = spoken.word();
-        return list(word.toMap(), spoken.stamp());
+        return list(word.toMap(), spoken.revision());
     }
 
     private static List<Object> nodeStanding(PeerStatus s) {
@@ -281,39 +285,39 @@
 
     private static List<Object> listed(ListedMachine m) {
         return list(
-                m.uid(),
-                m.addr(),
-                m.hosttype(),
-                m.yard(),
-                m.reclaimable(),
+                m.host(),
+                m.address(),
+                m.machineType(),
+                m.zone(),
+                m.spot(),
                 m.status(),
-                m.heldMicros());
+                m.rentedForMicros());
     }
 
     /** As on the wire, but for the span in the warning. */
     private static Map<String, Object> report(Heartbeat report) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("host", report.host());
-        map.put("addr", report.addr());
-        map.put("hosttype", report.hosttype());
-        map.put("yard", report.yard());
-        map.put("reclaimable", report.reclaimable());
-        map.put("tenure", report.tenure());
-        map.put("tick", report.tick());
-        map.put("epoch", report.epoch());
-        map.put("warningMicros", report.warningMicros());
+        map.put("addr", report.address());
+        map.put("hosttype", report.machineType());
+        map.put("yard", report.zone());
+        map.put("reclaimable", report.spot());
+        map.put("tenure", report.incarnation());
+        map.put("tick", report.sequence());
+        map.put("epoch", report.fencingToken());
+        map.put("warningMicros", report.spotNoticeMicros());
         map.put("shards", each(report.tasks(), StepRenderer::task));
         return map;
     }
 
     private static List<Object> task(TaskStatus report) {
         return list(
-                report.task().uid(),
+                report.task().jobId(),
                 report.task().index(),
                 report.attempt(),
                 state(report.state()),
-                report.cause() == null ? null : cause(report.cause()),
-                report.saved());
+                report.exitReason() == null ? null : cause(report.exitReason()),
+                report.checkpointed());
     }
 
     private static String state(TaskStatus.State state) {
@@ -321,7 +325,7 @@
             case FETCHING -> "fetching";
             case GATHERING -> "gathering";
             case RUNNING -> "running";
-            case FLUSHING -> "flushing";
+            case CHECKPOINTING -> "flushing";
             case EXITED -> "exited";
         };
     }
@@ -329,13 +333,13 @@
     private static String cause(TaskStatus.ExitReason cause) {
         return switch (cause) {
             case DONE -> "done";
-            case HALTED -> "halted";
+            case STOPPED -> "halted";
             case ERROR -> "error";
-            case NO_ROOM -> "no_room";
-            case BUSY -> "busy";
-            case UNKNOWN -> "unknown";
-            case PEERS -> "peers";
-            case INCOMPLETE -> "incomplete";
+            case INSUFFICIENT_RESOURCES -> "no_room";
+            case ALREADY_RUNNING -> "busy";
+            case UNKNOWN_TASK -> "unknown";
+            case GANG_LOST -> "peers";
+            case GANG_INCOMPLETE -> "incomplete";
         };
     }
 
--- a/src/test/java/org/woadloom/sim/StoreClientTest.java
+++ b/src/test/java/org/woadloom/sim/StoreClientTest.java
@@ -50,7 +50,7 @@
                 urgency,
                 List.of(),
                 Collections.nCopies(changes, Change.put("key", Map.of())),
-                (result, generation, failed) -> {});
+                (result, storeRevision, failed) -> {});
     }
 
     private void run(long micros) {
@@ -67,7 +67,7 @@
         }
         run(200_000);
         sent.clear();
-        client.get(RequestPriority.USER, "polled", (result, entry, generation) -> {});
+        client.get(RequestPriority.USER, "polled", (result, entry, storeRevision) -> {});
         run(10_000);
         assertEquals(List.of("/keys/polled"), sent);
     }
@@ -75,7 +75,7 @@
     /** Whoever comes later may have to wait for less. */
     @Test
     void aShortWaitIsNotTakenForALongOne() {
-        client.get(RequestPriority.URGENT, "refused", (result, entry, generation) -> {});
+        client.get(RequestPriority.URGENT, "refused", (result, entry, storeRevision) -> {});
         change(RequestPriority.URGENT, 30);
         change(RequestPriority.URGENT, 30);
         run(3_000);
@@ -83,7 +83,7 @@
         client.get(
                 RequestPriority.NORMAL,
                 "held back for a moment",
-                (result, entry, generation) -> {});
+                (result, entry, storeRevision) -> {});
         run(250_000);
         assertEquals(List.of("/keys/held back for a moment"), sent);
     }
@@ -169,12 +169,12 @@
                                 RequestPriority.URGENT,
                                 List.of(),
                                 List.of(Change.put(key, Map.of())),
-                                (result, generation, failed) -> {});
+                                (result, storeRevision, failed) -> {});
                         long asked = sim.now();
                         served.get(
                                 RequestPriority.NORMAL,
                                 key,
-                                (result, entry, generation) -> {
+                                (result, entry, storeRevision) -> {
                                     read[0]++;
                                     slow[0] += sim.now() - asked > 100_000 ? 1 : 0;
                                 });
@@ -194,7 +194,7 @@
                 List.of(new Condition(key, 0)),
                 List.of(Change.put(key, value)),
                 key,
-                (result, generation, failed) -> {
+                (result, storeRevision, failed) -> {
                     assertNull(told[0], "told twice");
                     told[0] = result;
                     toldAfter[0] = sim.now() - from;
--- a/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
@@ -120,7 +120,7 @@
     void workOnMachinesOfWhichNothingIsHeardIsDoneElsewhere(long seed) {
         ClusterSimulation world = day(seed);
         world.workers().stream()
-                .filter(worker -> worker.yard.equals("a"))
+                .filter(worker -> worker.zone.equals("a"))
                 .forEach(worker -> worker.muteUntil = world.loop.now() + 60_000_000);
         untilAllIsDone(world);
     }
--- a/src/test/java/org/woadloom/sim/UserFaults.java
+++ b/src/test/java/org/woadloom/sim/UserFaults.java
@@ -57,40 +57,40 @@
     }
 
     /** A user was told something of a job; what is new is looked at closely by all who care. */
-    void told(String uid, int status) {
+    void told(String jobId, int status) {
         if (world.loop.now() >= lookUntil
                 || status != 200 && status != 201
-                || !lookedAt.add(uid + world.truth.isOver(uid))) {
+                || !lookedAt.add(jobId + world.truth.isOver(jobId))) {
             return;
         }
         world.closeLooks++;
         for (int node = 0; node < ClusterSimulation.NODES; node++) {
             int index = node;
             for (int look = 0; look < LOOKS; look++) {
-                world.loop.after(1 + random.nextInt(30_000), () -> ask(index, uid));
+                world.loop.after(1 + random.nextInt(30_000), () -> ask(index, jobId));
             }
         }
         world.loop.after(
                 1 + random.nextInt(10_000),
-                () -> repeat(uid, world.truth.submitted.get(uid).toMap()));
+                () -> repeat(jobId, world.truth.submitted.get(jobId).toMap()));
         if (random.nextInt(5) == 0) {
-            world.loop.after(1 + random.nextInt(20_000), () -> world.cancel(uid));
+            world.loop.after(1 + random.nextInt(20_000), () -> world.cancel(jobId));
         }
     }
 
-    private void ask(int node, String uid) {
+    private void ask(int node, String jobId) {
         long sent = world.loop.now();
         world.toNode(
                 "users",
                 node,
                 "GET",
-                "/v1/jobs/" + uid,
+                "/v1/jobs/" + jobId,
                 null,
                 2_000_000,
-                (status, body) -> world.answered("poll", uid, sent, status, body));
+                (status, body) -> world.answered("poll", jobId, sent, status, body));
     }
 
-    private void repeat(String uid, Map<String, Object> job) {
+    private void repeat(String jobId, Map<String, Object> job) {
         long sent = world.loop.now();
         world.toNode(
                 "users",
@@ -99,7 +99,7 @@
                 "/v1/jobs",
                 job,
                 5_000_000,
-                (status, body) -> world.answered("submit", uid, sent, status, body));
+                (status, body) -> world.answered("submit", jobId, sent, status, body));
     }
 
     void oddRequests(long until) {
@@ -115,23 +115,24 @@
 
     private void oddRequest(int kind) {
         List<String> such = new ArrayList<>(world.truth.acceptedJobs());
-        such.removeIf(uid -> world.truth.isOver(uid) != (kind == 2));
+        such.removeIf(jobId -> world.truth.isOver(jobId) != (kind == 2));
         if (kind < 3 && such.isEmpty()) {
             return;
         }
         world.oddRequestsMade++;
-        String uid = kind < 3 ? such.get(random.nextInt(such.size())) : world.newUid();
-        Map<String, Object> job = kind < 3 ? world.truth.submitted.get(uid).toMap() : plain(uid);
+        String jobId = kind < 3 ? such.get(random.nextInt(such.size())) : world.newUid();
+        Map<String, Object> job =
+                kind < 3 ? world.truth.submitted.get(jobId).toMap() : plain(jobId);
         if (kind == 2) {
             long sent = world.loop.now();
             world.toNode(
                     "users",
                     random.nextInt(ClusterSimulation.NODES),
                     "POST",
-                    "/v1/jobs/" + uid + "/cancel",
+                    "/v1/jobs/" + jobId + "/cancel",
                     Map.of(),
                     5_000_000,
-                    (status, body) -> world.answered("cancel", uid, sent, status, body));
+                    (status, body) -> world.answered("cancel", jobId, sent, status, body));
             return;
         }
         if (kind == 1 || kind == 4) {
@@ -141,10 +142,10 @@
             unfit(job, random.nextInt(6));
         }
         if (kind >= 3) {
-            world.truth.unfit.add(uid);
-            world.loop.after(2_000_000, () -> ask(random.nextInt(ClusterSimulation.NODES), uid));
+            world.truth.unfit.add(jobId);
+            world.loop.after(2_000_000, () -> ask(random.nextInt(ClusterSimulation.NODES), jobId));
         }
-        repeat(uid, job);
+        repeat(jobId, job);
     }
 
     private static void unfit(Map<String, Object> job, int how) {
@@ -170,7 +171,8 @@
                     .limit(MOST_HUNG)
                     .forEach(worker -> worker.hungUntil = world.loop.now() + hangMicros);
         }
-        chosen.forEach(uid -> world.loop.after(random.nextInt(200_000), () -> world.cancel(uid)));
+        chosen.forEach(
+                jobId -> world.loop.after(random.nextInt(200_000), () -> world.cancel(jobId)));
         return chosen.size();
     }
 
@@ -180,11 +182,11 @@
     }
 
     /** At that very moment, or while its end is being written down. */
-    void lastTaskEnded(String uid) {
+    void lastTaskEnded(String jobId) {
         if (world.loop.now() < endsUntil && random.nextInt(100) < endsOfHundred) {
             world.cancelledAtEnd++;
             world.loop.after(
-                    random.nextBoolean() ? 1 : random.nextInt(800_000), () -> world.cancel(uid));
+                    random.nextBoolean() ? 1 : random.nextInt(800_000), () -> world.cancel(jobId));
         }
     }
 
@@ -193,18 +195,18 @@
                 1_000_000 / perSecond,
                 () -> {
                     if (world.loop.now() < until) {
-                        String uid = world.newUid();
-                        Map<String, Object> job = plain(uid);
+                        String jobId = world.newUid();
+                        Map<String, Object> job = plain(jobId);
                         try {
                             world.truth.submitting(JobDescription.parse(job));
                         } catch (MalformedMessageException e) {
                             throw new IllegalStateException(e);
                         }
                         world.oneTaskJobsMade++;
-                        world.submit(uid, job, world.loop.now() + 60_000_000, accepted -> {});
+                        world.submit(jobId, job, world.loop.now() + 60_000_000, accepted -> {});
                         if (random.nextInt(100) < ofHundredCancelled) {
                             world.oneTaskJobsCancelled++;
-                            world.loop.after(random.nextInt(6_000_000), () -> world.cancel(uid));
+                            world.loop.after(random.nextInt(6_000_000), () -> world.cancel(jobId));
                         }
                         oneTaskJobs(perSecond, until, ofHundredCancelled);
                     }
@@ -212,9 +214,9 @@
     }
 
     /** A job with every field, of one small task. */
-    private Map<String, Object> plain(String uid) {
+    private Map<String, Object> plain(String jobId) {
         Map<String, Object> job = new LinkedHashMap<>();
-        job.put("uid", uid);
+        job.put("uid", jobId);
         job.put("jobclass", "work");
         job.put("crew", random.nextBoolean() ? "red" : "blue");
         job.put("shape", "batch");
--- a/src/test/java/org/woadloom/sim/UserWritesTest.java
+++ b/src/test/java/org/woadloom/sim/UserWritesTest.java
@@ -108,22 +108,22 @@
                                     });
                         }
                     },
-                    (record, stamp) ->
+                    (record, revision) ->
                             hints.merge(
-                                    record.description().uid() + record.cancelled(),
+                                    record.description().jobId() + record.cancelled(),
                                     1,
                                     Integer::sum),
-                    (uid, patience, answer) -> answer.accept(true));
+                    (jobId, patience, answer) -> answer.accept(true));
 
     /** What one request came to. */
     private static final class Asked {
-        final String uid;
+        final String jobId;
         Response response;
         long tookMicros;
         int answers;
 
-        Asked(String uid) {
-            this.uid = uid;
+        Asked(String jobId) {
+            this.jobId = jobId;
         }
 
         boolean toldWithin(long micros) {
@@ -181,8 +181,8 @@
         }
     }
 
-    private Asked ask(String uid, Consumer<Consumer<Response>> request) {
-        Asked asked = new Asked(uid);
+    private Asked ask(String jobId, Consumer<Consumer<Response>> request) {
+        Asked asked = new Asked(jobId);
         long from = sim.now();
         request.accept(
                 response -> {
@@ -208,7 +208,7 @@
             sim.run(sim.now() + 250_000);
         }
         sim.run(sim.now() + 8_000_000);
-        asked.forEach(one -> assertEquals(1, one.answers, one.uid));
+        asked.forEach(one -> assertEquals(1, one.answers, one.jobId));
         return asked;
     }
 
@@ -228,7 +228,7 @@
         List<Asked> submitted = submissions(300);
         List<Asked> cancelled = new ArrayList<>();
         for (Asked one : submitted) {
-            cancelled.add(ask(one.uid, answer -> api.cancel(one.uid, answer)));
+            cancelled.add(ask(one.jobId, answer -> api.cancel(one.jobId, answer)));
             sim.run(sim.now() + 250_000);
         }
         sim.run(sim.now() + 8_000_000);
@@ -266,9 +266,9 @@
         assertEquals(201, submitted.response.status());
         unanswered = 100;
         carriedOutAfter = 200_000;
-        Asked cancelled = ask(submitted.uid, answer -> api.cancel(submitted.uid, answer));
+        Asked cancelled = ask(submitted.jobId, answer -> api.cancel(submitted.jobId, answer));
         sim.run(sim.now() + 100_000);
-        Map<String, Object> record = new LinkedHashMap<>(store.value("job/" + submitted.uid));
+        Map<String, Object> record = new LinkedHashMap<>(store.value("job/" + submitted.jobId));
         record.put("running", 1L);
         store.handle(
                 "POST",
@@ -277,15 +277,15 @@
                         "if",
                         List.of(),
                         "then",
-                        List.of(Map.of("put", "job/" + submitted.uid, "value", record))),
+                        List.of(Map.of("put", "job/" + submitted.jobId, "value", record))),
                 (status, answer) -> assertEquals(200, status));
         unanswered = 0;
         sim.run(sim.now() + 3_000_000);
         assertTrue(cancelled.toldWithin(1_000_000), cancelled.tookMicros + " us");
         assertTrue(
-                JobRecord.formatOf(store.value("job/" + submitted.uid)) == RecordFormat.COMPACT
+                JobRecord.formatOf(store.value("job/" + submitted.jobId)) == RecordFormat.COMPACT
                         && Boolean.TRUE.equals(
-                                store.value("job/" + submitted.uid).get("cancelled")));
+                                store.value("job/" + submitted.jobId).get("cancelled")));
     }
 
     /**
--- a/src/test/java/org/woadloom/sim/WaitingJobs.java
+++ b/src/test/java/org/woadloom/sim/WaitingJobs.java
@@ -33,21 +33,21 @@
     }
 
     private void look() {
-        for (String uid : world.truth.acceptedJobs()) {
-            if (world.truth.isOver(uid) || !couldRun(world.truth.submitted.get(uid))) {
-                sinceMicros.remove(uid);
+        for (String jobId : world.truth.acceptedJobs()) {
+            if (world.truth.isOver(jobId) || !couldRun(world.truth.submitted.get(jobId))) {
+                sinceMicros.remove(jobId);
                 continue;
             }
             long now = world.loop.now();
-            long waited = now - Math.max(fromMicros, sinceMicros.computeIfAbsent(uid, u -> now));
+            long waited = now - Math.max(fromMicros, sinceMicros.computeIfAbsent(jobId, u -> now));
             seen++;
             longestMicros = Math.max(longestMicros, waited);
             if (waited > LONGEST_MICROS) {
                 throw new InvariantViolation(
                         "left_waiting",
-                        uid
+                        jobId
                                 + " of "
-                                + world.truth.submitted.get(uid).crew()
+                                + world.truth.submitted.get(jobId).team()
                                 + " has waited for "
                                 + waited / 1_000_000
                                 + " s while a machine has room");
@@ -59,37 +59,37 @@
     private boolean couldRun(JobDescription job) {
         int waiting = 0;
         Map<String, Integer> placed = new HashMap<>();
-        for (int i = 0; i < job.shards(); i++) {
-            TaskId task = new TaskId(job.uid(), i);
+        for (int i = 0; i < job.taskCount(); i++) {
+            TaskId task = new TaskId(job.jobId(), i);
             SimulatedAgent machine = world.truth.machineOf(task);
             waiting += machine == null && !world.truth.isDone(task) ? 1 : 0;
             if (machine != null) {
-                placed.merge(machine.yard, 1, Integer::sum);
+                placed.merge(machine.zone, 1, Integer::sum);
             }
         }
-        int together = job.gang() ? waiting : 1;
-        double needed = together * job.vcpus();
+        int together = job.isGang() ? waiting : 1;
+        double needed = together * job.cpus();
         if (waiting == 0
-                || world.truth.used(job.crew()) + needed
-                        > world.settings.team(job.crew()).cpusMax() + 1e-6) {
+                || world.truth.used(job.team()) + needed
+                        > world.settings.team(job.team()).cpusMax() + 1e-6) {
             return false;
         }
         Map<String, Integer> room = new HashMap<>();
         for (SimulatedAgent machine : world.workers()) {
-            String yard = machine.yard;
+            String zone = machine.zone;
             boolean fits =
                     !machine.dead
-                            && (job.yard() == null || job.yard().equals(yard))
-                            && (job.hosttypes() == null
-                                    || job.hosttypes().contains(machine.hosttype))
-                            && (job.reclaimable() || !machine.reclaimable)
-                            && (!job.samePlace() || placed.isEmpty() || placed.containsKey(yard))
-                            && (!job.apart()
-                                    || placed.getOrDefault(yard, 0) < (job.shards() + 1) / 2);
+                            && (job.zone() == null || job.zone().equals(zone))
+                            && (job.machineTypes() == null
+                                    || job.machineTypes().contains(machine.machineType))
+                            && (job.spotAllowed() || !machine.spot)
+                            && (!job.sameZone() || placed.isEmpty() || placed.containsKey(zone))
+                            && (!job.spreadAcrossZones()
+                                    || placed.getOrDefault(zone, 0) < (job.taskCount() + 1) / 2);
             if (fits) {
                 room.merge(
-                        job.samePlace() ? yard : "",
-                        (int) (machine.free() / job.vcpus() + 1e-9),
+                        job.sameZone() ? zone : "",
+                        (int) (machine.free() / job.cpus() + 1e-9),
                         Integer::sum);
             }
         }
--- a/src/test/java/org/woadloom/state/StoredFormsGoldenTest.java
+++ b/src/test/java/org/woadloom/state/StoredFormsGoldenTest.java
@@ -87,11 +87,13 @@
     private static Map<String, Map<String, Object>> jobs() throws MalformedMessageException {
         Map<String, Map<String, Object>> all = new LinkedHashMap<>();
         all.put("job plain", job(List.of(), 0).toMap(RecordFormat.PLAIN));
-        all.put("job plain cancelled", job(List.of(), 0).asCancelled().toMap(RecordFormat.PLAIN));
+        all.put(
+                "job plain cancelled",
+                job(List.of(), 0).withCancellation().toMap(RecordFormat.PLAIN));
         all.put("job compact", job(List.of(), 0).toMap(RecordFormat.COMPACT));
         all.put(
                 "job compact cancelled",
-                job(List.of(), 0).asCancelled().toMap(RecordFormat.COMPACT));
+                job(List.of(), 0).withCancellation().toMap(RecordFormat.COMPACT));
         all.put("job compact awaits", job(List.of("j-1", "j-2"), 0).toMap(RecordFormat.COMPACT));
         all.put(
                 "job compact ready",
@@ -215,7 +217,7 @@
                     name);
         }
         JobRecord read = JobRecord.parse(Cbor.decodeMap(GoldenFile.readBytes(FILE, "job compact")));
-        assertEquals(job(List.of(), 0).placed(), read.placed());
+        assertEquals(job(List.of(), 0).attempts(), read.attempts());
         assertEquals(job(List.of(), 0).done(), read.done());
     }
 
--- a/src/test/java/org/woadloom/store/ProductionFormatTest.java
+++ b/src/test/java/org/woadloom/store/ProductionFormatTest.java
@@ -89,7 +89,8 @@
                             sorted(record),
                             sorted(JobRecord.parse(record.toMap(RecordFormat.COMPACT))));
                 }
-                Map<String, Object> cancelled = record.asCancelled().toMap(RecordFormat.COMPACT);
+                Map<String, Object> cancelled =
+                        record.withCancellation().toMap(RecordFormat.COMPACT);
                 assertTrue(
                         Cbor.jsonSize(cancelled) <= 2048,
                         "cancelled in " + Cbor.jsonSize(cancelled) + " bytes");
@@ -121,12 +122,12 @@
         assertThrows(IllegalStateException.class, () -> record.toMap(RecordFormat.PLAIN));
         Map<String, Object> compact = record.toMap(RecordFormat.COMPACT);
         assertThrows(MalformedMessageException.class, () -> ProductionRecord.read(compact));
-        assertEquals(List.of("j-1"), JobRecord.parse(compact).description().awaits());
+        assertEquals(List.of("j-1"), JobRecord.parse(compact).description().dependencies());
     }
 
     /** Which group of tasks comes first says nothing. */
     private static JobRecord sorted(JobRecord record) {
-        List<JobRecord.RecordedAttempt> placed = new ArrayList<>(record.placed());
+        List<JobRecord.RecordedAttempt> placed = new ArrayList<>(record.attempts());
         placed.sort(
                 Comparator.comparing(JobRecord.RecordedAttempt::host)
                         .thenComparingLong(JobRecord.RecordedAttempt::attempt));
--- a/src/test/java/org/woadloom/worker/WorkerFormsGoldenTest.java
+++ b/src/test/java/org/woadloom/worker/WorkerFormsGoldenTest.java
@@ -51,9 +51,9 @@
                         (5L << 20) + 1,
                         2,
                         List.of(
-                                TaskCommand.launch(TASK, 4),
-                                TaskCommand.halt(TASK, 5, 2.5),
-                                TaskCommand.clear(TASK, 6))),
+                                TaskCommand.start(TASK, 4),
+                                TaskCommand.stop(TASK, 5, 2.5),
+                                TaskCommand.acknowledgeExit(TASK, 6))),
                 result -> {});
         golden.check("worker-commands.txt");
     }
@@ -95,33 +95,33 @@
                 "report",
                 r.host()
                         + " "
-                        + r.addr()
+                        + r.address()
                         + " "
-                        + r.hosttype()
+                        + r.machineType()
                         + " "
-                        + r.yard()
+                        + r.zone()
                         + " "
-                        + r.reclaimable()
+                        + r.spot()
                         + " "
-                        + r.tenure()
+                        + r.incarnation()
                         + " "
-                        + r.tick()
+                        + r.sequence()
                         + " "
-                        + r.epoch()
+                        + r.fencingToken()
                         + " "
-                        + r.warningMicros());
+                        + r.spotNoticeMicros());
         for (TaskStatus t : r.tasks()) {
             golden.addText(
                     "task " + t.task().index(),
-                    t.task().uid()
+                    t.task().jobId()
                             + " "
                             + t.attempt()
                             + " "
                             + word(t.state())
                             + " "
-                            + word(t.cause())
+                            + word(t.exitReason())
                             + " "
-                            + t.saved());
+                            + t.checkpointed());
         }
         assertEquals(STATES.size() + CAUSES.size(), r.tasks().size());
         golden.check("worker-reports.txt");
@@ -132,7 +132,7 @@
             case FETCHING -> "fetching";
             case GATHERING -> "gathering";
             case RUNNING -> "running";
-            case FLUSHING -> "flushing";
+            case CHECKPOINTING -> "flushing";
             case EXITED -> "exited";
         };
     }
@@ -143,13 +143,13 @@
         }
         return switch (cause) {
             case DONE -> "done";
-            case HALTED -> "halted";
+            case STOPPED -> "halted";
             case ERROR -> "error";
-            case NO_ROOM -> "no_room";
-            case BUSY -> "busy";
-            case UNKNOWN -> "unknown";
-            case PEERS -> "peers";
-            case INCOMPLETE -> "incomplete";
+            case INSUFFICIENT_RESOURCES -> "no_room";
+            case ALREADY_RUNNING -> "busy";
+            case UNKNOWN_TASK -> "unknown";
+            case GANG_LOST -> "peers";
+            case GANG_INCOMPLETE -> "incomplete";
         };
     }
 }
