--- a/src/main/java/org/woadloom/cli/CheckCommand.java
+++ b/src/main/java/org/woadloom/cli/CheckCommand.java
@@ -90,11 +90,11 @@
         DelegationTimeouts care =
                 DelegationTimeouts.of(
                         service.workers().leaseMicros(), service.workers().cancelMicros());
-        if (care.worthwhile()) {
+        if (care.isUsable()) {
             System.out.printf(
                     "in a zone that is cut off work goes on for up to %.1f s, and leases end after"
                             + " that%n",
-                    care.careMicros() / 1e6);
+                    care.delegationMicros() / 1e6);
         } else {
             System.out.println(
                     "in a zone that is cut off leases end: cancel_s leaves no time to renew them"
--- a/src/main/java/org/woadloom/core/Scheduler.java
+++ b/src/main/java/org/woadloom/core/Scheduler.java
@@ -44,51 +44,51 @@
     private int valueBytes;
     private RecordFormat format = RecordFormat.PLAIN;
     private double writesPerSecond;
-    private boolean care;
-    private boolean machineLife;
+    private boolean delegationEnabled;
+    private boolean recordsMachineLifecycle;
     private LeaderTerm leadership;
 
     /** The parts that exist only while this node leads. */
     private static final class LeaderTerm {
         final SchedulerState world;
-        final TaskLossHandler losses;
+        final TaskLossHandler taskLosses;
         final JobRegistry jobs;
-        final JobPersister recorder;
+        final JobPersister jobPersister;
         final MachineRegistry machines;
-        final HeartbeatHandler reports;
-        final DirectCommands directs;
-        final AgentProber contact;
+        final HeartbeatHandler heartbeats;
+        final DirectCommands directCommands;
+        final AgentProber prober;
         final Reservations reservations;
-        final GangReservationPlanner gathering;
-        final GuaranteedQuota guarantees;
-        final ClassFairShare classShares;
-        final QuotaRotation limitTurns;
+        final GangReservationPlanner gangPlanner;
+        final GuaranteedQuota guaranteedQuota;
+        final ClassFairShare classFairShare;
+        final QuotaRotation quotaRotation;
         final TaskPlacer placer;
         final PreemptionPlanner preemption;
-        final Autoscaler capacity;
+        final Autoscaler autoscaler;
         final FeatureRollout rollout;
-        long sweepMicros;
-        long forgetMicros;
-        long searchMicros;
+        long nextSweepMicros;
+        long nextForgetMicros;
+        long nextSearchMicros;
 
         LeaderTerm(SchedulerState world) {
             this.world = world;
-            losses = new TaskLossHandler(world);
+            taskLosses = new TaskLossHandler(world);
             jobs = new JobRegistry(world);
-            recorder = new JobPersister(world, jobs);
-            machines = new MachineRegistry(world, losses);
-            reports = new HeartbeatHandler(world, machines, losses);
-            directs = new DirectCommands(world, reports, losses);
-            contact = new AgentProber(world, losses);
+            jobPersister = new JobPersister(world, jobs);
+            machines = new MachineRegistry(world, taskLosses);
+            heartbeats = new HeartbeatHandler(world, machines, taskLosses);
+            directCommands = new DirectCommands(world, heartbeats, taskLosses);
+            prober = new AgentProber(world, taskLosses);
             PlacementConstraints eligibility = new PlacementConstraints(world);
             reservations = new Reservations(world);
-            gathering = new GangReservationPlanner(world, eligibility, reservations);
-            guarantees = new GuaranteedQuota(world);
-            classShares = new ClassFairShare(world);
-            limitTurns = new QuotaRotation(world, reservations);
+            gangPlanner = new GangReservationPlanner(world, eligibility, reservations);
+            guaranteedQuota = new GuaranteedQuota(world);
+            classFairShare = new ClassFairShare(world);
+            quotaRotation = new QuotaRotation(world, reservations);
             placer = new TaskPlacer(world, eligibility, reservations);
-            preemption = new PreemptionPlanner(world, eligibility, reservations, gathering);
-            capacity = new Autoscaler(world, eligibility, placer, machines, reservations);
+            preemption = new PreemptionPlanner(world, eligibility, reservations, gangPlanner);
+            autoscaler = new Autoscaler(world, eligibility, placer, machines, reservations);
             rollout = new FeatureRollout(world);
         }
     }
@@ -102,8 +102,8 @@
     }
 
     /** Jobs that wait for others. */
-    public int waiting() {
-        return leadership == null ? 0 : leadership.world.pipelines.waiting();
+    public int blockedJobs() {
+        return leadership == null ? 0 : leadership.world.dependencies.blockedCount();
     }
 
     public int machines() {
@@ -111,8 +111,8 @@
     }
 
     /** Machines that report and that nothing reaches. */
-    public int deafMachines() {
-        return leadership == null ? 0 : leadership.contact.deaf();
+    public int unreachableMachines() {
+        return leadership == null ? 0 : leadership.prober.unreachableCount();
     }
 
     public int reservations() {
@@ -120,69 +120,70 @@
     }
 
     /** Records that a rollout still has to rewrite. */
-    public int toRewrite() {
-        return leadership == null ? 0 : leadership.rollout.left();
+    public int recordsToMigrate() {
+        return leadership == null ? 0 : leadership.rollout.recordsToMigrate();
     }
 
     /** Records that could not be read when a rollout counted them. */
-    public int unreadable() {
-        return leadership == null ? 0 : leadership.rollout.unreadable();
+    public int unreadableRecords() {
+        return leadership == null ? 0 : leadership.rollout.unreadableRecords();
     }
 
     /** Applies the commands in order, then does what has become possible or due. */
     public List<SchedulerAction> step(
-            long nowMicros, long wallMicros, List<SchedulerEvent> commands) {
-        List<SchedulerAction> effects = new ArrayList<>();
-        for (SchedulerEvent command : commands) {
-            if (command instanceof SchedulerEvent.LeadershipAcquired lead) {
-                takeOver(nowMicros, wallMicros, lead);
-            } else if (command instanceof SchedulerEvent.LeadershipLost) {
+            long nowMicros, long wallMicros, List<SchedulerEvent> events) {
+        List<SchedulerAction> actions = new ArrayList<>();
+        for (SchedulerEvent event : events) {
+            if (event instanceof SchedulerEvent.LeadershipAcquired lead) {
+                startTerm(nowMicros, wallMicros, lead);
+            } else if (event instanceof SchedulerEvent.LeadershipLost) {
                 leadership = null;
-            } else if (command instanceof SchedulerEvent.StoreLimitsChanged seen) {
+            } else if (event instanceof SchedulerEvent.StoreLimitsChanged seen) {
                 valueBytes = seen.valueBytes();
                 format = seen.format();
                 writesPerSecond = seen.writesPerSecond();
-                care = seen.care();
-                machineLife = seen.machineLife();
+                delegationEnabled = seen.delegationEnabled();
+                recordsMachineLifecycle = seen.recordsMachineLifecycle();
                 if (leadership != null) {
                     leadership.world.valueBytes = valueBytes;
                     leadership.world.format = format;
-                    leadership.world.machineLife(machineLife, nowMicros);
-                    leadership.world.writes.rate(writesPerSecond);
-                    if (care) {
-                        leadership.world.warrants.agreed();
+                    leadership.world.recordsMachineLifecycle(recordsMachineLifecycle, nowMicros);
+                    leadership.world.writeBudget.setRate(writesPerSecond);
+                    if (delegationEnabled) {
+                        leadership.world.delegations.enable();
                     }
-                    leadership.world.placementWorthTrying = true;
+                    leadership.world.placementNeeded = true;
                 }
-            } else if (command instanceof SchedulerEvent.MachineTypesRead seen) {
+            } else if (event instanceof SchedulerEvent.MachineTypesRead seen) {
                 types = seen.types();
                 if (leadership != null) {
-                    leadership.machines.typesSeen(types);
+                    leadership.machines.onMachineTypes(types);
                 }
             } else if (leadership != null) {
                 leadership.world.nowMicros = nowMicros;
                 leadership.world.wallMicros = wallMicros;
-                apply(leadership, command);
+                apply(leadership, event);
             }
         }
         if (leadership != null) {
             leadership.world.nowMicros = nowMicros;
             leadership.world.wallMicros = wallMicros;
-            work(leadership);
-            effects.addAll(leadership.world.takeEffects());
+            runPass(leadership);
+            actions.addAll(leadership.world.takeActions());
         }
-        return effects;
+        return actions;
     }
 
-    private void takeOver(long nowMicros, long wallMicros, SchedulerEvent.LeadershipAcquired lead) {
+    private void startTerm(
+            long nowMicros, long wallMicros, SchedulerEvent.LeadershipAcquired lead) {
         SchedulerState world =
                 new SchedulerState(
                         settings, valueBytes, format, lead.term(), nowMicros, wallMicros);
-        world.writes.rate(writesPerSecond);
-        world.machineLife(machineLife, nowMicros);
-        world.cancellationsSeenMicros = lead.cancellationsSeenMicros();
-        if (care) {
-            world.warrants.agreed();
+        world.writeBudget.setRate(writesPerSecond);
+        world.recordsMachineLifecycle(recordsMachineLifecycle, nowMicros);
+        world.cancellationsReadUpToMicros = lead.cancellationsReadUpToMicros();
+        if (delegationEnabled) {
+            world.delegations.enable();
         }
         leadership = new LeaderTerm(world);
         for (SchedulerEvent.StoredMachine machine : lead.machines()) {
@@ -191,8 +192,8 @@
         for (SchedulerEvent.StoredJob job : lead.jobs()) {
             leadership.jobs.load(job);
         }
-        leadership.machines.typesSeen(types);
-        long cameUp =
+        leadership.machines.onMachineTypes(types);
+        long reportedBefore =
                 lead.machines().stream()
                         .map(SchedulerEvent.StoredMachine::record)
                         .filter(
@@ -205,49 +206,49 @@
                         .with("term", lead.term())
                         .with("jobs", lead.jobs().size())
                         .with("machines", lead.machines().size())
-                        .with("machines_reported", cameUp));
+                        .with("machines_reported", reportedBefore));
     }
 
-    private static void apply(LeaderTerm l, SchedulerEvent command) {
-        if (command instanceof SchedulerEvent.HeartbeatReceived report) {
-            l.reports.report(report);
-        } else if (command instanceof SchedulerEvent.PeerStatusReceived spoke) {
-            l.machines.nodeSpoke(spoke);
-        } else if (command instanceof SchedulerEvent.DirectCommandCompleted result) {
-            l.directs.result(result);
-        } else if (command instanceof SchedulerEvent.JobWriteCompleted written) {
-            l.recorder.written(written);
-        } else if (command instanceof SchedulerEvent.JobStored seen) {
-            l.jobs.seen(seen.record(), seen.revision());
-        } else if (command instanceof SchedulerEvent.JobRecordDamaged unread) {
-            l.jobs.unread(unread);
-        } else if (command instanceof SchedulerEvent.CancellationsConfirmed told) {
-            l.jobs.told(told.jobIds());
-        } else if (command instanceof SchedulerEvent.JobRecordNotFound missing) {
-            l.jobs.missing(missing.jobId());
-        } else if (command instanceof SchedulerEvent.DependencyResolved found) {
-            l.world.pipelines.found(found);
-        } else if (command instanceof SchedulerEvent.JobReadFailed unreadable) {
-            l.recorder.readFailed(unreadable.jobId());
-        } else if (command instanceof SchedulerEvent.MachineWriteCompleted written) {
-            l.machines.written(written);
-        } else if (command instanceof SchedulerEvent.MachineRecordRead seen) {
-            l.machines.seen(seen);
-        } else if (command instanceof SchedulerEvent.MachineReadFailed unreadable) {
-            l.machines.unreadable(unreadable.host());
-        } else if (command instanceof SchedulerEvent.MachinesListed listed) {
-            l.machines.listed(listed.machines());
-            l.capacity.listed(listed.machines());
-        } else if (command instanceof SchedulerEvent.ScaleOutCompleted rented) {
-            l.capacity.rented(rented);
-        } else if (command instanceof SchedulerEvent.MachineDeletionCompleted deleted) {
-            l.machines.deleted(deleted);
-        } else if (command instanceof SchedulerEvent.RolloutStateRead seen) {
-            l.rollout.seen(seen);
-        } else if (command instanceof SchedulerEvent.RolloutWriteCompleted written) {
-            l.rollout.written(written);
-        } else if (command instanceof SchedulerEvent.RecordsCounted counted) {
-            l.rollout.counted(counted);
+    private static void apply(LeaderTerm leader, SchedulerEvent event) {
+        if (event instanceof SchedulerEvent.HeartbeatReceived report) {
+            leader.heartbeats.onHeartbeat(report);
+        } else if (event instanceof SchedulerEvent.PeerStatusReceived spoke) {
+            leader.machines.onPeerStatus(spoke);
+        } else if (event instanceof SchedulerEvent.DirectCommandCompleted result) {
+            leader.directCommands.onCompleted(result);
+        } else if (event instanceof SchedulerEvent.JobWriteCompleted written) {
+            leader.jobPersister.onWriteCompleted(written);
+        } else if (event instanceof SchedulerEvent.JobStored seen) {
+            leader.jobs.onRecord(seen.record(), seen.revision());
+        } else if (event instanceof SchedulerEvent.JobRecordDamaged unread) {
+            leader.jobs.onDamagedRecord(unread);
+        } else if (event instanceof SchedulerEvent.CancellationsConfirmed told) {
+            leader.jobs.onCancellationsConfirmed(told.jobIds());
+        } else if (event instanceof SchedulerEvent.JobRecordNotFound missing) {
+            leader.jobs.onRecordNotFound(missing.jobId());
+        } else if (event instanceof SchedulerEvent.DependencyResolved found) {
+            leader.world.dependencies.onResolved(found);
+        } else if (event instanceof SchedulerEvent.JobReadFailed unreadable) {
+            leader.jobPersister.onReadFailed(unreadable.jobId());
+        } else if (event instanceof SchedulerEvent.MachineWriteCompleted written) {
+            leader.machines.onWriteCompleted(written);
+        } else if (event instanceof SchedulerEvent.MachineRecordRead seen) {
+            leader.machines.onRecordRead(seen);
+        } else if (event instanceof SchedulerEvent.MachineReadFailed unreadable) {
+            leader.machines.onReadFailed(unreadable.host());
+        } else if (event instanceof SchedulerEvent.MachinesListed listed) {
+            leader.machines.onMachinesListed(listed.machines());
+            leader.autoscaler.onMachinesListed(listed.machines());
+        } else if (event instanceof SchedulerEvent.ScaleOutCompleted rented) {
+            leader.autoscaler.onScaleOutCompleted(rented);
+        } else if (event instanceof SchedulerEvent.MachineDeletionCompleted deleted) {
+            leader.machines.onDeletionCompleted(deleted);
+        } else if (event instanceof SchedulerEvent.RolloutStateRead seen) {
+            leader.rollout.latest(seen);
+        } else if (event instanceof SchedulerEvent.RolloutWriteCompleted written) {
+            leader.rollout.onWriteCompleted(written);
+        } else if (event instanceof SchedulerEvent.RecordsCounted counted) {
+            leader.rollout.onRecordsCounted(counted);
         }
     }
 
@@ -255,67 +256,68 @@
      * What changed is dealt with at once. What only time brings about is looked for now and then,
      * as a walk over hundreds of machines for each report would cost more than the reports.
      */
-    private static void work(LeaderTerm l) {
-        SchedulerState world = l.world;
-        boolean sweep = world.nowMicros >= l.sweepMicros;
+    private static void runPass(LeaderTerm leader) {
+        SchedulerState world = leader.world;
+        boolean sweep = world.nowMicros >= leader.nextSweepMicros;
         if (sweep) {
-            l.sweepMicros = world.nowMicros + SWEEP_MICROS;
-            endLeases(l);
-            drain(l);
-            l.contact.review();
+            leader.nextSweepMicros = world.nowMicros + SWEEP_MICROS;
+            expireLeases(leader);
+            drain(leader);
+            leader.prober.review();
         }
-        if (world.nowMicros >= l.forgetMicros) {
-            l.forgetMicros = world.nowMicros + FORGET_MICROS;
-            l.machines.forget();
-            l.reports.forget();
+        if (world.nowMicros >= leader.nextForgetMicros) {
+            leader.nextForgetMicros = world.nowMicros + FORGET_MICROS;
+            leader.machines.forget();
+            leader.heartbeats.forget();
         }
-        world.pipelines.review();
-        if (world.placementWorthTrying || world.nowMicros >= l.searchMicros) {
-            world.placementWorthTrying = false;
-            l.searchMicros = world.nowMicros + SEARCH_MICROS;
-            l.guarantees.update();
-            l.classShares.update();
-            l.limitTurns.update();
-            List<Reservation> failed = l.reservations.sync();
-            l.placer.place();
-            List<Job> queue = l.placer.queue();
-            l.gathering.gather(failed, queue);
-            l.preemption.makeRoom(queue);
+        world.dependencies.review();
+        if (world.placementNeeded || world.nowMicros >= leader.nextSearchMicros) {
+            world.placementNeeded = false;
+            leader.nextSearchMicros = world.nowMicros + SEARCH_MICROS;
+            leader.guaranteedQuota.update();
+            leader.classFairShare.update();
+            leader.quotaRotation.update();
+            List<Reservation> failed = leader.reservations.updatePhases();
+            leader.placer.place();
+            List<Job> queue = leader.placer.queue();
+            leader.gangPlanner.update(failed, queue);
+            leader.preemption.preemptFor(queue);
         }
-        l.capacity.review();
-        world.served.review();
-        l.rollout.review();
-        world.writes.refill(world.nowMicros);
-        l.recorder.emitWrites();
-        l.machines.emitWrites();
-        l.directs.emitSends();
+        leader.autoscaler.review();
+        world.serviceLevels.review();
+        leader.rollout.review();
+        world.writeBudget.refill(world.nowMicros);
+        leader.jobPersister.emitWrites();
+        leader.machines.emitWrites();
+        leader.directCommands.emitCommands();
     }
 
     /**
      * A worker that neither we nor any node in our place answered for longer than its lease has
      * killed its tasks.
      */
-    private static void endLeases(LeaderTerm l) {
-        SchedulerState world = l.world;
-        Map<String, Long> cared = new HashMap<>();
+    private static void expireLeases(LeaderTerm leader) {
+        SchedulerState world = leader.world;
+        Map<String, Long> lastRenewals = new HashMap<>();
         for (Machine machine : world.machines.values()) {
-            if (machine.up()
+            if (machine.isUp()
                     && !machine.deleted
-                    && world.nowMicros - machine.lastAnsweredMicros > world.care.leaseOverMicros()
+                    && world.nowMicros - machine.lastAnsweredMicros
+                            > world.delegationTimeouts.leaseExpiryMicros()
                     && world.nowMicros
-                                    - cared.computeIfAbsent(
+                                    - lastRenewals.computeIfAbsent(
                                             machine.zone,
                                             zone ->
-                                                    world.warrants.lastCareMicros(
+                                                    world.delegations.lastRenewalMicros(
                                                             zone, world.nowMicros))
-                            > world.care.leaseOverMicros()) {
+                            > world.delegationTimeouts.leaseExpiryMicros()) {
                 world.log(
                         LogEntry.info(LogEvent.LEASE_EXPIRED)
                                 .with("machine", machine.host)
                                 .with("zone", machine.zone)
                                 .with("term", world.term));
-                machine.hearing.sessionOver();
-                l.losses.session(machine, "lease expired");
+                machine.liveness.expireSession();
+                leader.taskLosses.onSessionEnded(machine, "lease expired");
             }
         }
     }
@@ -324,18 +326,19 @@
      * Tasks that can save leave a machine that the cloud is about to take; so do all on one that is
      * returned.
      */
-    private static void drain(LeaderTerm l) {
-        for (Machine machine : l.world.machines.values()) {
-            if (machine.takenMicros < 0 && !machine.leaving) {
+    private static void drain(LeaderTerm leader) {
+        for (Machine machine : leader.world.machines.values()) {
+            if (machine.spotTerminationMicros < 0 && !machine.decommissioning) {
                 continue;
             }
-            for (TaskAttempt placement : machine.snapshot()) {
-                Job job = placement.job;
-                if (placement.neverSent()) {
-                    l.losses.gone(placement);
-                } else if (!placement.halting()
-                        && (machine.leaving || job.description.checkpointIntervalSeconds() > 0)) {
-                    placement.halt(job.description.checkpointCostSeconds());
+            for (TaskAttempt attempt : machine.snapshot()) {
+                Job job = attempt.job;
+                if (attempt.wasNeverSent()) {
+                    leader.taskLosses.remove(attempt);
+                } else if (!attempt.isStopping()
+                        && (machine.decommissioning
+                                || job.description.checkpointIntervalSeconds() > 0)) {
+                    attempt.stop(job.description.checkpointCostSeconds());
                 }
             }
         }
--- a/src/main/java/org/woadloom/core/SchedulerAction.java
+++ b/src/main/java/org/woadloom/core/SchedulerAction.java
@@ -56,7 +56,7 @@
     record DeleteMachines(List<String> hosts) implements SchedulerAction {}
 
     /** Answer a node that told how it stands. */
-    record DelegateLeases(String node, LeaseDelegation warrant) implements SchedulerAction {}
+    record DelegateLeases(String node, LeaseDelegation delegation) implements SchedulerAction {}
 
     /** The core has seen proof that another node leads. */
     record StepDown(String reason) implements SchedulerAction {}
@@ -66,14 +66,14 @@
      *
      * @param agreed what versions 2 and 3 are to learn with it, 0 for nothing
      */
-    record WriteRollout(RolloutRecord record, Map<String, Long> conditions, long agreed)
+    record WriteRollout(RolloutRecord record, Map<String, Long> conditions, long agreedVersion)
             implements SchedulerAction {}
 
     /**
      * Say which of the feature's records in the store are not of its form, or are of it where it is
      * taken back.
      */
-    record CountRecords(Feature feature, boolean back) implements SchedulerAction {}
+    record CountRecords(Feature feature, boolean rollingBack) implements SchedulerAction {}
 
     /** Who is served, once a minute. */
     record PublishServiceLevels(List<ServiceLevelReport.Row> rows) implements SchedulerAction {}
--- a/src/main/java/org/woadloom/core/SchedulerEvent.java
+++ b/src/main/java/org/woadloom/core/SchedulerEvent.java
@@ -32,7 +32,7 @@
             long term,
             List<StoredJob> jobs,
             List<StoredMachine> machines,
-            long cancellationsSeenMicros)
+            long cancellationsReadUpToMicros)
             implements SchedulerEvent {}
 
     /** This node leads no more: everything is forgotten. */
@@ -67,7 +67,7 @@
      * The answer to {@link SchedulerAction.ResolveDependency}, with the time at which the job was
      * over, 0 where that is not known.
      */
-    record DependencyResolved(String jobId, DependencyState standing, long overWallMicros)
+    record DependencyResolved(String jobId, DependencyState state, long endedWallMicros)
             implements SchedulerEvent {}
 
     /**
@@ -80,8 +80,8 @@
             int valueBytes,
             RecordFormat format,
             double writesPerSecond,
-            boolean care,
-            boolean machineLife)
+            boolean delegationEnabled,
+            boolean recordsMachineLifecycle)
             implements SchedulerEvent {}
 
     /**
@@ -90,7 +90,7 @@
      * @param cancellationsSeenMicros the core has been told of every cancellation that was made
      *     before this moment
      */
-    record PeerStatusReceived(String node, PeerStatus standing, long cancellationsSeenMicros)
+    record PeerStatusReceived(String node, PeerStatus status, long cancellationsReadUpToMicros)
             implements SchedulerEvent {}
 
     /**
@@ -127,7 +127,11 @@
             implements SchedulerEvent {}
 
     record MachineWriteCompleted(
-            String host, boolean leaving, boolean dropped, WriteOutcome outcome, long revision)
+            String host,
+            boolean decommissioning,
+            boolean deleted,
+            WriteOutcome outcome,
+            long revision)
             implements SchedulerEvent {}
 
     record MachineTypesRead(List<MachineType> types) implements SchedulerEvent {}
@@ -144,10 +148,11 @@
     record ScaleOutCompleted(String requestName, ScaleOutOutcome outcome, List<String> hosts)
             implements SchedulerEvent {}
 
-    record MachineDeletionCompleted(List<String> hosts, boolean done) implements SchedulerEvent {}
+    record MachineDeletionCompleted(List<String> hosts, boolean succeeded)
+            implements SchedulerEvent {}
 
     /** A live process's word, and the stamp under which it was read. */
-    record StoredAnnouncement(NodeAnnouncement word, long revision) {}
+    record StoredAnnouncement(NodeAnnouncement announcement, long revision) {}
 
     /**
      * The rollout as the store tells it.
@@ -160,16 +165,23 @@
     record RolloutStateRead(
             RolloutRecord record,
             long revision,
-            Map<String, StoredAnnouncement> words,
-            Map<String, RolloutRequest> asked,
-            Set<String> wordless,
+            Map<String, StoredAnnouncement> announcements,
+            Map<String, RolloutRequest> requests,
+            Set<String> unannounced,
             long agreed,
             long agreedStamp,
-            long refused)
+            long refusals)
             implements SchedulerEvent {
-        public RolloutStateRead with(RolloutRecord changed, long changedStamp) {
+        public RolloutStateRead withRecord(RolloutRecord changed, long changedStamp) {
             return new RolloutStateRead(
-                    changed, changedStamp, words, asked, wordless, agreed, agreedStamp, refused);
+                    changed,
+                    changedStamp,
+                    announcements,
+                    requests,
+                    unannounced,
+                    agreed,
+                    agreedStamp,
+                    refusals);
         }
     }
 
@@ -178,7 +190,11 @@
 
     /** What {@link SchedulerAction.CountRecords} found, if the store could be read. */
     record RecordsCounted(
-            Feature feature, boolean back, boolean read, List<String> old, List<String> unreadable)
+            Feature feature,
+            boolean rollingBack,
+            boolean succeeded,
+            List<String> outdated,
+            List<String> unreadable)
             implements SchedulerEvent {}
 
     /** Time has passed. */
--- a/src/main/java/org/woadloom/core/SchedulerState.java
+++ b/src/main/java/org/woadloom/core/SchedulerState.java
@@ -31,63 +31,63 @@
     /**
      * Machines to which there may be something to send: the others are passed over in every step.
      */
-    public final Set<Machine> attentive = new LinkedHashSet<>();
+    public final Set<Machine> machinesWithPendingCommands = new LinkedHashSet<>();
 
     /** Machines whose record is not as it should be, or that are to go. */
-    public final Set<Machine> unsettled = new LinkedHashSet<>();
+    public final Set<Machine> machinesToPersist = new LinkedHashSet<>();
 
     /** Jobs whose record does not say everything. */
-    public final Set<Job> unrecorded = new LinkedHashSet<>();
+    public final Set<Job> jobsToPersist = new LinkedHashSet<>();
 
     public final Map<String, TeamQuota> teams = new LinkedHashMap<>();
-    public final DemandEstimator arrivals = new DemandEstimator();
-    public final DependencyGraph pipelines = new DependencyGraph(this);
-    public final ServiceLevelReport served;
+    public final DemandEstimator demand = new DemandEstimator();
+    public final DependencyGraph dependencies = new DependencyGraph(this);
+    public final ServiceLevelReport serviceLevels;
 
     /**
      * The largest value that the state service takes, and the format of the records that must fit.
      */
     public int valueBytes;
 
-    public final LivenessTimeouts hearingRules;
+    public final LivenessTimeouts livenessTimeouts;
 
     /**
      * No machine of this term that is forgotten was ever given a token with this fence or a higher
      * one.
      */
-    public long leastFence;
+    public long minFence;
 
-    public final DelegationTimeouts care;
-    public final DelegationLedger warrants;
+    public final DelegationTimeouts delegationTimeouts;
+    public final DelegationLedger delegations;
 
     /** Every cancellation that was made before this moment has been seen. */
-    public long cancellationsSeenMicros = Long.MIN_VALUE;
+    public long cancellationsReadUpToMicros = Long.MIN_VALUE;
 
-    public final WriteBudget writes = new WriteBudget();
+    public final WriteBudget writeBudget = new WriteBudget();
     public RecordFormat format;
 
     /** Whether records of machines tell of their lives, and since when it is so. */
-    public boolean machineLife;
+    public boolean recordsMachineLifecycle;
 
-    public long machineLifeSinceMicros;
-    public final Map<String, MachineType> types = new LinkedHashMap<>();
+    public long recordsMachineLifecycleSinceMicros;
+    public final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
 
     /** Zones in which no machine of the ordinary kinds was to be had lately. */
-    public final Set<String> scarceYards = new HashSet<>();
+    public final Set<String> scarceZones = new HashSet<>();
 
     public long nowMicros;
     public long wallMicros;
 
     /** How many jobs have come, or begun after those before them. */
-    public long jobsCome;
+    public long jobArrivals;
 
     /** Set when something changed that may let a task be placed. */
-    public boolean placementWorthTrying = true;
+    public boolean placementNeeded = true;
 
-    private List<SchedulerAction> effects = new ArrayList<>();
+    private List<SchedulerAction> actions = new ArrayList<>();
     private long attempts;
-    private long sends;
-    private long claims;
+    private long commandIds;
+    private long requestNames;
 
     SchedulerState(
             SchedulerSettings settings,
@@ -103,34 +103,35 @@
         this.startedMicros = nowMicros;
         this.nowMicros = nowMicros;
         this.wallMicros = wallMicros;
-        hearingRules = LivenessTimeouts.of(settings.reportMicros(), settings.leaseMicros());
-        care = DelegationTimeouts.of(settings.leaseMicros(), settings.cancelMicros());
-        warrants = new DelegationLedger(care, term, settings.label(), settings.nodes());
-        served = new ServiceLevelReport(this);
+        livenessTimeouts = LivenessTimeouts.of(settings.reportMicros(), settings.leaseMicros());
+        delegationTimeouts = DelegationTimeouts.of(settings.leaseMicros(), settings.cancelMicros());
+        delegations =
+                new DelegationLedger(delegationTimeouts, term, settings.label(), settings.nodes());
+        serviceLevels = new ServiceLevelReport(this);
         for (Team team : settings.teams()) {
             teams.put(team.name(), new TeamQuota(team));
         }
     }
 
-    void machineLife(boolean told, long now) {
-        if (told != machineLife) {
-            machineLife = told;
-            machineLifeSinceMicros = now;
+    void recordsMachineLifecycle(boolean told, long now) {
+        if (told != recordsMachineLifecycle) {
+            recordsMachineLifecycle = told;
+            recordsMachineLifecycleSinceMicros = now;
         }
     }
 
-    public void emit(SchedulerAction effect) {
-        effects.add(effect);
+    public void emit(SchedulerAction action) {
+        actions.add(action);
     }
 
     public void log(LogEntry entry) {
-        effects.add(new SchedulerAction.Log(entry));
+        actions.add(new SchedulerAction.Log(entry));
     }
 
-    List<SchedulerAction> takeEffects() {
-        List<SchedulerAction> taken = effects;
-        effects = new ArrayList<>();
-        return taken;
+    List<SchedulerAction> takeActions() {
+        List<SchedulerAction> current = actions;
+        actions = new ArrayList<>();
+        return current;
     }
 
     /** An attempt number that no leader has used or will use: the term is taken once only. */
@@ -138,12 +139,12 @@
         return (term << 32) + ++attempts;
     }
 
-    public long newSend() {
-        return ++sends;
+    public long newCommandId() {
+        return ++commandIds;
     }
 
     /** A rental request's name, which must never be used again by any node. */
-    public String newClaim() {
-        return "r-" + term + "-" + ++claims;
+    public String newRequestName() {
+        return "r-" + term + "-" + ++requestNames;
     }
 }
--- a/src/main/java/org/woadloom/core/WriteBudget.java
+++ b/src/main/java/org/woadloom/core/WriteBudget.java
@@ -18,7 +18,7 @@
     private double machines;
     private long lastMicros = Long.MIN_VALUE;
 
-    void rate(double writesPerSecond) {
+    void setRate(double writesPerSecond) {
         perSecond = writesPerSecond;
     }
 
@@ -39,7 +39,7 @@
     }
 
     /** True if there is room for what can wait: nothing else uses up what the rate allows. */
-    public boolean spare() {
+    public boolean hasSpare() {
         double cap = Math.max(2, perSecond * BURST_SECONDS);
         return jobs >= cap / 2 && machines >= cap * MACHINES / 2;
     }
@@ -49,11 +49,11 @@
     }
 
     /** True if the end of a job, or a cancellation, may be written. */
-    public boolean allowsEnd() {
+    public boolean allowsFinalState() {
         return jobs > -perSecond * AHEAD_SECONDS;
     }
 
-    public void job(int changes) {
+    public void takeJob(int changes) {
         jobs -= changes;
     }
 
@@ -61,7 +61,7 @@
         return machines > 0;
     }
 
-    public void machine() {
+    public void takeMachine() {
         machines--;
     }
 }
--- a/src/main/java/org/woadloom/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/woadloom/core/autoscaling/Autoscaler.java
@@ -28,13 +28,13 @@
 
 /** Rents machines for work that finds no room, and returns those that are idle. */
 public final class Autoscaler {
-    private static final int MAX_COUNT = 50;
-    private static final int MAX_CLAIMS = 4;
+    private static final int MAX_MACHINES_PER_REQUEST = 50;
+    private static final int MAX_CONCURRENT_REQUESTS = 4;
     private static final long REVIEW_MICROS = 500_000;
     private static final long NO_CAPACITY_MICROS = 15_000_000;
 
     /** The cloud charges a machine for this long at least, so it may as well stay. */
-    private static final long LEAST_CHARGE_MICROS = 55_000_000;
+    private static final long MIN_CHARGE_MICROS = 55_000_000;
 
     private static final long SCARCE_MICROS = 60_000_000;
     private static final long SILENCE_MARGIN_MICROS = 1_000_000;
@@ -48,31 +48,31 @@
      * For how long a deaf machine is kept beyond the end of its lease, and where many are deaf at
      * once.
      */
-    private static final long DEAF_MICROS = 10_000_000;
+    private static final long UNREACHABLE_MICROS = 10_000_000;
 
-    private static final long MANY_DEAF_MICROS = 60_000_000;
+    private static final long MANY_UNREACHABLE_MICROS = 60_000_000;
 
     /**
      * For how much longer silent machines of a dark zone are kept: to replace them costs a minute's
      * charge, a boot and fetches.
      */
-    private static final long DARK_MICROS = 50_000_000;
+    private static final long PARTITIONED_MICROS = 50_000_000;
 
     private final SchedulerState world;
-    private final PlacementConstraints eligibility;
+    private final PlacementConstraints constraints;
     private final TaskPlacer placer;
     private final MachineRegistry machines;
     private final Reservations reservations;
-    private final Map<String, ScaleOutRequest> claims = new LinkedHashMap<>();
+    private final Map<String, ScaleOutRequest> requests = new LinkedHashMap<>();
     private final Map<MachineKind, Long> notBefore = new LinkedHashMap<>();
-    private final Map<MachineKind, Long> refusedMicros = new HashMap<>();
-    private final PartitionedZones zones;
+    private final Map<MachineKind, Long> lastRefusedMicros = new HashMap<>();
+    private final PartitionedZones partitionedZones;
     private long reviewedMicros = Long.MIN_VALUE / 2;
 
     /** When each machine was last in the list, and when the last list came. */
-    private final Map<String, Long> listedMicros = new HashMap<>();
+    private final Map<String, Long> lastListedMicros = new HashMap<>();
 
-    private long listMicros = Long.MIN_VALUE / 2;
+    private long lastListMicros = Long.MIN_VALUE / 2;
 
     /** What can be rented. */
     private record MachineKind(MachineType type, String zone, boolean spot) {
@@ -85,15 +85,15 @@
         final String name;
         final MachineKind kind;
         final int count;
-        final long madeMicros;
+        final long createdMicros;
         boolean sent;
-        long againMicros;
+        long retryAtMicros;
 
         ScaleOutRequest(String name, MachineKind kind, int count, long madeMicros) {
             this.name = name;
             this.kind = kind;
             this.count = count;
-            this.madeMicros = madeMicros;
+            this.createdMicros = madeMicros;
         }
     }
 
@@ -110,47 +110,47 @@
 
     public Autoscaler(
             SchedulerState world,
-            PlacementConstraints eligibility,
+            PlacementConstraints constraints,
             TaskPlacer placer,
             MachineRegistry machines,
             Reservations reservations) {
         this.world = world;
-        this.eligibility = eligibility;
+        this.constraints = constraints;
         this.placer = placer;
         this.machines = machines;
         this.reservations = reservations;
-        zones = new PartitionedZones(world, this::unlisted);
+        partitionedZones = new PartitionedZones(world, this::isMissingFromList);
     }
 
     public void review() {
-        for (ScaleOutRequest claim : claims.values()) {
-            if (!claim.sent && world.nowMicros >= claim.againMicros) {
-                claim.sent = true;
+        for (ScaleOutRequest request : requests.values()) {
+            if (!request.sent && world.nowMicros >= request.retryAtMicros) {
+                request.sent = true;
                 world.emit(
                         new SchedulerAction.RentMachines(
-                                claim.name,
-                                claim.kind.type.name(),
-                                claim.kind.zone,
-                                claim.kind.spot,
-                                claim.count));
+                                request.name,
+                                request.kind.type.name(),
+                                request.kind.zone,
+                                request.kind.spot,
+                                request.count));
             }
         }
-        if (world.nowMicros - reviewedMicros < REVIEW_MICROS || world.types.isEmpty()) {
+        if (world.nowMicros - reviewedMicros < REVIEW_MICROS || world.machineTypes.isEmpty()) {
             return;
         }
         reviewedMicros = world.nowMicros;
-        noteScarceYards();
-        zones.review();
+        updateScarceZones();
+        partitionedZones.review();
         if (world.nowMicros - world.startedMicros > 2 * world.settings.reportMicros()) {
-            rent(placer.queue());
+            scaleOut(placer.queue());
         }
-        giveBack();
+        scaleIn();
     }
 
-    public void listed(List<ListedMachine> machines) {
-        listMicros = world.nowMicros;
-        machines.forEach(machine -> listedMicros.put(machine.host(), listMicros));
-        listedMicros.keySet().retainAll(world.machines.keySet());
+    public void onMachinesListed(List<ListedMachine> machines) {
+        lastListMicros = world.nowMicros;
+        machines.forEach(machine -> lastListedMicros.put(machine.host(), lastListMicros));
+        lastListedMicros.keySet().retainAll(world.machines.keySet());
     }
 
     /**
@@ -159,34 +159,34 @@
      * its tasks are gone; its deletion is. One that was never up may only be new to a list that is
      * slower still.
      */
-    private boolean unlisted(Machine machine) {
+    private boolean isMissingFromList(Machine machine) {
         long there = Math.max(machine.rentedMicros, world.startedMicros);
-        return (machine.heard() || machine.upRecorded)
-                && listMicros - listedMicros.getOrDefault(machine.host, there)
+        return (machine.isKnownAlive() || machine.reportedRecorded)
+                && lastListMicros - lastListedMicros.getOrDefault(machine.host, there)
                         > 2 * world.settings.listLagMicros() + LIST_MARGIN_MICROS;
     }
 
-    private void rent(List<Job> queue) {
+    private void scaleOut(List<Job> queue) {
         List<Supply> supply = new ArrayList<>();
         for (Machine machine : world.machines.values()) {
             // A machine that boots, or whose worker has not yet acknowledged this leader, or will
             // most likely hear again.
-            if (!machine.leaving
+            if (!machine.decommissioning
                     && !machine.deleted
                     && machine.type != null
-                    && machine.takenMicros < 0
-                    && machine.confirmed()
-                    && !zones.dark(machine.zone)
-                    && comes(machine)) {
+                    && machine.spotTerminationMicros < 0
+                    && machine.isConfirmed()
+                    && !partitionedZones.isPartitioned(machine.zone)
+                    && isExpected(machine)) {
                 supply.add(
                         new Supply(
                                 new MachineKind(machine.type, machine.zone, machine.spot),
                                 machine.free()));
             }
         }
-        for (ScaleOutRequest claim : claims.values()) {
-            for (int i = 0; i < claim.count; i++) {
-                supply.add(new Supply(claim.kind, Resources.of(claim.kind.type)));
+        for (ScaleOutRequest request : requests.values()) {
+            for (int i = 0; i < request.count; i++) {
+                supply.add(new Supply(request.kind, Resources.of(request.kind.type)));
             }
         }
         Map<MachineKind, Integer> wanted = new LinkedHashMap<>();
@@ -197,23 +197,23 @@
             Resources plannedBefore = planned.getOrDefault(job.team, Resources.NONE);
             int tasks =
                     Math.min(
-                            job.pending() - reservations.coming(job),
-                            job.allowed(Resources.NONE.minus(plannedBefore)));
+                            job.pendingTasks() - reservations.expectedTasks(job),
+                            job.allowedTasks(Resources.NONE.minus(plannedBefore)));
             if (tasks <= 0) {
                 continue;
             }
-            planned.put(job.team, plannedBefore.plus(job.room.times(tasks)));
+            planned.put(job.team, plannedBefore.plus(job.taskResources.times(tasks)));
             Map<String, Integer> spread = new LinkedHashMap<>();
             for (Supply s : supply) {
                 if (tasks <= 0) {
                     break;
                 }
-                if (s.free.holds(job.room) && usable(job, s.kind)) {
+                if (s.free.contains(job.taskResources) && isUsable(job, s.kind)) {
                     int fits =
                             Math.min(
-                                    Math.min(tasks, s.free.count(job.room)),
-                                    yardLeft(job, s.kind.zone, spread));
-                    s.free = s.free.minus(job.room.times(fits));
+                                    Math.min(tasks, s.free.count(job.taskResources)),
+                                    tasksLeftInZone(job, s.kind.zone, spread));
+                    s.free = s.free.minus(job.taskResources.times(fits));
                     spread.merge(s.kind.zone, fits, Integer::sum);
                     tasks -= fits;
                 }
@@ -227,122 +227,124 @@
                 wanted.merge(kind, 1, Integer::sum);
                 int fits =
                         Math.min(
-                                Math.min(tasks, room.count(job.room)),
-                                yardLeft(job, kind.zone, spread));
-                supply.add(new Supply(kind, room.minus(job.room.times(fits))));
+                                Math.min(tasks, room.count(job.taskResources)),
+                                tasksLeftInZone(job, kind.zone, spread));
+                supply.add(new Supply(kind, room.minus(job.taskResources.times(fits))));
                 spread.merge(kind.zone, fits, Integer::sum);
                 tasks -= fits;
             }
         }
         for (Map.Entry<MachineKind, Integer> entry : wanted.entrySet()) {
-            if (claims.size() >= MAX_CLAIMS) {
+            if (requests.size() >= MAX_CONCURRENT_REQUESTS) {
                 break;
             }
-            if (claimed(entry.getKey()) != null) {
+            if (requestFor(entry.getKey()) != null) {
                 // Its answer tells whether there are more of these; to ask again before would waste
                 // one of few calls.
                 continue;
             }
-            ScaleOutRequest claim =
+            ScaleOutRequest request =
                     new ScaleOutRequest(
-                            world.newClaim(),
+                            world.newRequestName(),
                             entry.getKey(),
-                            Math.min(MAX_COUNT, entry.getValue()),
+                            Math.min(MAX_MACHINES_PER_REQUEST, entry.getValue()),
                             world.nowMicros);
-            claims.put(claim.name, claim);
-            claim.sent = true;
+            requests.put(request.name, request);
+            request.sent = true;
             world.log(
                     LogEntry.info(LogEvent.SCALE_OUT_REQUESTED)
-                            .with("request", claim.name)
-                            .with("count", claim.count)
-                            .with("type", claim.kind.type.name())
-                            .with("zone", claim.kind.zone)
-                            .with("spot", claim.kind.spot));
+                            .with("request", request.name)
+                            .with("count", request.count)
+                            .with("type", request.kind.type.name())
+                            .with("zone", request.kind.zone)
+                            .with("spot", request.kind.spot));
             world.emit(
                     new SchedulerAction.RentMachines(
-                            claim.name,
-                            claim.kind.type.name(),
-                            claim.kind.zone,
-                            claim.kind.spot,
-                            claim.count));
+                            request.name,
+                            request.kind.type.name(),
+                            request.kind.zone,
+                            request.kind.spot,
+                            request.count));
         }
     }
 
-    private boolean comes(Machine machine) {
-        if (!machine.heard()
-                && (machine.upRecorded && silence(machine) > world.care.leaseOverMicros()
-                        || unlisted(machine))) {
+    private boolean isExpected(Machine machine) {
+        if (!machine.isKnownAlive()
+                && (machine.reportedRecorded
+                                && silentForMicros(machine)
+                                        > world.delegationTimeouts.leaseExpiryMicros()
+                        || isMissingFromList(machine))) {
             // It was up under an earlier leader, and its worker would have found this one by now.
             return false;
         }
-        if (!machine.heard() || !machine.recorded || !machine.acknowledged()) {
-            return !outOfHearing(machine, 0);
+        if (!machine.isKnownAlive() || !machine.recorded || !machine.hasAcknowledgedTerm()) {
+            return !isUnreachableBeyondLease(machine, 0);
         }
-        return machine.hearing.inDoubt(world.nowMicros)
-                && machine.hearing.reports(world.nowMicros)
-                && !outOfHearing(machine, 0);
+        return machine.liveness.isSuspect(world.nowMicros)
+                && machine.liveness.isReporting(world.nowMicros)
+                && !isUnreachableBeyondLease(machine, 0);
     }
 
-    private ScaleOutRequest claimed(MachineKind kind) {
-        for (ScaleOutRequest claim : claims.values()) {
-            if (claim.kind.equals(kind)) {
-                return claim;
+    private ScaleOutRequest requestFor(MachineKind kind) {
+        for (ScaleOutRequest request : requests.values()) {
+            if (request.kind.equals(kind)) {
+                return request;
             }
         }
         return null;
     }
 
     /** What the cloud refused lately, or does not answer for: it is not to be waited for. */
-    private boolean closed(MachineKind kind) {
-        ScaleOutRequest claim = claimed(kind);
+    private boolean isUnavailable(MachineKind kind) {
+        ScaleOutRequest request = requestFor(kind);
         return notBefore.getOrDefault(kind, Long.MIN_VALUE) > world.nowMicros
-                || zones.dark(kind.zone)
-                || claim != null && world.nowMicros - claim.madeMicros > ANSWER_MICROS;
+                || partitionedZones.isPartitioned(kind.zone)
+                || request != null && world.nowMicros - request.createdMicros > ANSWER_MICROS;
     }
 
     /**
      * A zone is scarce where every ordinary kind was refused lately: what is there is for work that
      * has no choice.
      */
-    private void noteScarceYards() {
-        world.scarceYards.clear();
+    private void updateScarceZones() {
+        world.scarceZones.clear();
         Set<String> open = new HashSet<>();
-        for (MachineType type : world.types.values()) {
+        for (MachineType type : world.machineTypes.values()) {
             for (String zone : type.zones()) {
-                Long refused = refusedMicros.get(new MachineKind(type, zone, false));
+                Long refused = lastRefusedMicros.get(new MachineKind(type, zone, false));
                 if (refused != null && world.nowMicros - refused < SCARCE_MICROS) {
-                    world.scarceYards.add(zone);
+                    world.scarceZones.add(zone);
                 } else {
                     open.add(zone);
                 }
             }
         }
-        world.scarceYards.removeAll(open);
+        world.scarceZones.removeAll(open);
         if (open.isEmpty()) {
             // Where every zone is scarce there is no elsewhere.
-            world.scarceYards.clear();
+            world.scarceZones.clear();
         }
     }
 
-    private void refused(MachineKind kind) {
+    private void onRefused(MachineKind kind) {
         notBefore.put(kind, world.nowMicros + NO_CAPACITY_MICROS);
-        refusedMicros.put(kind, world.nowMicros);
+        lastRefusedMicros.put(kind, world.nowMicros);
     }
 
-    private boolean usable(Job job, MachineKind kind) {
-        return eligibility.allows(job.description, kind.type, kind.zone, kind.spot)
-                && eligibility.allowsYard(job, kind.zone);
+    private boolean isUsable(Job job, MachineKind kind) {
+        return constraints.allows(job.description, kind.type, kind.zone, kind.spot)
+                && constraints.allowsZone(job, kind.zone);
     }
 
     /**
      * How many more tasks of the job may go to the zone, with what this review has given it there.
      */
-    private static int yardLeft(Job job, String zone, Map<String, Integer> spread) {
+    private static int tasksLeftInZone(Job job, String zone, Map<String, Integer> spread) {
         if (!job.description.spreadAcrossZones()) {
             return Integer.MAX_VALUE;
         }
         return (job.description.taskCount() + 1) / 2
-                - job.placedIn(zone)
+                - job.attemptsInZone(zone)
                 - spread.getOrDefault(zone, 0);
     }
 
@@ -350,15 +352,15 @@
     private MachineKind cheapest(Job job, int tasks, Map<String, Integer> spread) {
         MachineKind best = null;
         double bestPrice = 0;
-        for (MachineType type : world.types.values()) {
+        for (MachineType type : world.machineTypes.values()) {
             for (String zone : type.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
                     MachineKind kind = new MachineKind(type, zone, spot);
                     int fits =
                             Math.min(
-                                    Resources.of(type).count(job.room),
-                                    yardLeft(job, zone, spread));
-                    if (fits < 1 || !usable(job, kind) || closed(kind)) {
+                                    Resources.of(type).count(job.taskResources),
+                                    tasksLeftInZone(job, zone, spread));
+                    if (fits < 1 || !isUsable(job, kind) || isUnavailable(kind)) {
                         continue;
                     }
                     double price = kind.price() / Math.min(fits, tasks);
@@ -372,51 +374,51 @@
         return best;
     }
 
-    public void rented(SchedulerEvent.ScaleOutCompleted result) {
-        ScaleOutRequest claim = claims.get(result.requestName());
-        if (claim == null) {
+    public void onScaleOutCompleted(SchedulerEvent.ScaleOutCompleted result) {
+        ScaleOutRequest request = requests.get(result.requestName());
+        if (request == null) {
             return;
         }
         switch (result.outcome()) {
             case RENTED -> {
-                claims.remove(claim.name);
+                requests.remove(request.name);
                 for (String host : result.hosts()) {
                     Machine machine =
                             machines.adopt(
                                     new MachineRecord(
                                             host,
-                                            claim.kind.type.name(),
-                                            claim.kind.zone,
-                                            claim.kind.spot,
+                                            request.kind.type.name(),
+                                            request.kind.zone,
+                                            request.kind.spot,
                                             false));
                     machine.rentedMicros = world.nowMicros;
                 }
-                if (result.hosts().size() < claim.count) {
-                    refused(claim.kind);
+                if (result.hosts().size() < request.count) {
+                    onRefused(request.kind);
                 }
                 world.log(
                         LogEntry.info(LogEvent.SCALE_OUT_COMPLETED)
-                                .with("request", claim.name)
+                                .with("request", request.name)
                                 .with("machines", String.join(",", result.hosts())));
             }
             case NO_CAPACITY -> {
-                claims.remove(claim.name);
-                refused(claim.kind);
-                world.log(LogEntry.info(LogEvent.SCALE_OUT_REFUSED).with("request", claim.name));
+                requests.remove(request.name);
+                onRefused(request.kind);
+                world.log(LogEntry.info(LogEvent.SCALE_OUT_REFUSED).with("request", request.name));
             }
             case REFUSED, UNKNOWN -> {
                 // The same claim again: it may have been granted, and then gives the same answer.
-                claim.sent = false;
-                claim.againMicros = world.nowMicros + REPEAT_MICROS;
+                request.sent = false;
+                request.retryAtMicros = world.nowMicros + REPEAT_MICROS;
             }
         }
     }
 
-    private void giveBack() {
+    private void scaleIn() {
         Resources free = Resources.NONE;
         Resources used = Resources.NONE;
         for (Machine machine : world.machines.values()) {
-            if (eligibility.takesTasks(machine)) {
+            if (constraints.acceptsTasks(machine)) {
                 free = free.plus(machine.free());
                 used = used.plus(machine.used());
             }
@@ -426,56 +428,60 @@
         // Where nothing comes and nothing waits no room is kept; a gang that waits needs its
         // machines all at once.
         boolean quiet =
-                world.arrivals.quiet(world.nowMicros)
-                        && world.pipelines.waiting() == 0
+                world.demand.isQuiet(world.nowMicros)
+                        && world.dependencies.blockedCount() == 0
                         && placer.queue().isEmpty();
         long headroom =
                 quiet
                         ? 0
                         : Math.max(
                                 (long) (used.cpu() * world.settings.operator().headroom()),
-                                world.arrivals.large());
+                                world.demand.largeJobCpu());
         List<Machine> idle = new ArrayList<>();
         for (Machine machine : world.machines.values()) {
-            if (machine.leaving
+            if (machine.decommissioning
                     || machine.deleted
-                    || !machine.confirmed()
-                    || reservations.holdsAny(machine)) {
+                    || !machine.isConfirmed()
+                    || reservations.hasReservations(machine)) {
                 continue;
             }
-            if (unlisted(machine)
-                    && zones.saysNothing(machine)
+            if (isMissingFromList(machine)
+                    && partitionedZones.silentForMicros(machine)
                             > 3 * world.settings.reportMicros() + SILENCE_MARGIN_MICROS) {
-                machine.leave();
+                machine.decommission();
                 machine.abandoned = true;
                 logDecommissioned(machine, "silent and no longer listed");
-            } else if (silentWithWork(machine)) {
-                machine.leave();
+            } else if (isSilentWithWork(machine)) {
+                machine.decommission();
                 machine.abandoned = true;
                 logDecommissioned(machine, "silent with tasks on it");
-            } else if (outOfHearing(machine, DEAF_MICROS)
-                    && (outOfHearing(machine, MANY_DEAF_MICROS) || !manyDeafIn(machine.zone))) {
-                machine.leave();
+            } else if (isUnreachableBeyondLease(machine, UNREACHABLE_MICROS)
+                    && (isUnreachableBeyondLease(machine, MANY_UNREACHABLE_MICROS)
+                            || !areManyUnreachable(machine.zone))) {
+                machine.decommission();
                 machine.abandoned = true;
                 logDecommissioned(machine, "unreachable");
-            } else if (neverCame(machine)
-                    || lost(machine)
-                    || machine.takenMicros >= 0 && machine.empty()) {
-                machine.leave();
+            } else if (hasFailedToBoot(machine)
+                    || isLost(machine)
+                    || machine.spotTerminationMicros >= 0 && machine.isEmpty()) {
+                machine.decommission();
                 logDecommissioned(machine, "never came up, lost, or taken by the cloud");
-            } else if (machine.heard() && machine.empty() && eligibility.takesTasks(machine)) {
+            } else if (machine.isKnownAlive()
+                    && machine.isEmpty()
+                    && constraints.acceptsTasks(machine)) {
                 idle.add(machine);
             }
         }
         // The dearest first: what is kept should be cheap.
         idle.sort(Comparator.comparingDouble((Machine machine) -> -machine.pricePerCpu()));
         for (Machine machine : idle) {
-            long left = free.minus(machine.size()).cpu();
+            long left = free.minus(machine.capacity()).cpu();
             if (left > headroom
-                    && world.nowMicros - machine.idleSinceMicros > patience(machine, left, headroom)
-                    && world.nowMicros - machine.rentedMicros > LEAST_CHARGE_MICROS) {
-                machine.leave();
-                free = free.minus(machine.size());
+                    && world.nowMicros - machine.idleSinceMicros
+                            > maxIdleMicros(machine, left, headroom)
+                    && world.nowMicros - machine.rentedMicros > MIN_CHARGE_MICROS) {
+                machine.decommission();
+                free = free.minus(machine.capacity());
                 logDecommissioned(machine, "idle");
             }
         }
@@ -493,7 +499,7 @@
      * How long a machine may be idle. To rent it again costs the time it boots, so it is kept idle
      * for no longer than that, and for less where much more is free than is kept free on purpose.
      */
-    private long patience(Machine machine, long left, long headroom) {
+    private long maxIdleMicros(Machine machine, long left, long headroom) {
         long most =
                 Math.min(world.settings.operator().idleReturnMicros(), machine.type.bootMicros());
         return left > 2 * headroom ? most / 4 : most;
@@ -504,26 +510,31 @@
      * its lease would, and it can start elsewhere. Where much of a zone is silent at once, the
      * fault is elsewhere, and the machines are left alone.
      */
-    private boolean silentWithWork(Machine machine) {
+    private boolean isSilentWithWork(Machine machine) {
         // One that answers commands without reporting is asked again half a lease after it was last
         // asked.
         boolean answers =
-                machine.hearing.aliveMicros() - machine.hearing.reportedMicros()
-                        > world.hearingRules.freshMicros();
+                machine.liveness.lastAliveMicros() - machine.liveness.lastHeartbeatMicros()
+                        > world.livenessTimeouts.freshMicros();
         long enough =
                 Math.max(
                                 3 * world.settings.reportMicros(),
                                 answers ? world.settings.leaseMicros() / 2 + ANSWER_MICROS : 0)
                         + SILENCE_MARGIN_MICROS;
-        if (!machine.up() || zones.saysNothing(machine) < enough || !hasWork(machine)) {
+        if (!machine.isUp()
+                || partitionedZones.silentForMicros(machine) < enough
+                || !hasWork(machine)) {
             return false;
         }
         int all = 0;
         int silent = 0;
         for (Machine other : world.machines.values()) {
-            if (other.zone.equals(machine.zone) && other.up() && !other.deleted) {
+            if (other.zone.equals(machine.zone) && other.isUp() && !other.deleted) {
                 all++;
-                silent += zones.saysNothing(other) > 2 * world.settings.reportMicros() ? 1 : 0;
+                silent +=
+                        partitionedZones.silentForMicros(other) > 2 * world.settings.reportMicros()
+                                ? 1
+                                : 0;
             }
         }
         return silent * 3 <= all || silent == 1;
@@ -533,48 +544,48 @@
      * True for a deaf machine once its lease is over, and so much time besides: nothing of what was
      * on it is left.
      */
-    private boolean outOfHearing(Machine machine, long besidesMicros) {
-        return machine.hearing.deaf(world.nowMicros)
-                && machine.hearing.unheardFor(world.nowMicros)
-                        > world.care.leaseOverMicros() + besidesMicros;
+    private boolean isUnreachableBeyondLease(Machine machine, long besidesMicros) {
+        return machine.liveness.isUnreachable(world.nowMicros)
+                && machine.liveness.unacknowledgedForMicros(world.nowMicros)
+                        > world.delegationTimeouts.leaseExpiryMicros() + besidesMicros;
     }
 
     /** Where a third of a zone is deaf, the fault is not the machines', and it may pass. */
-    private boolean manyDeafIn(String zone) {
+    private boolean areManyUnreachable(String zone) {
         int all = 0;
-        int deaf = 0;
+        int unreachable = 0;
         for (Machine machine : world.machines.values()) {
-            if (machine.zone.equals(zone) && machine.heard() && !machine.deleted) {
+            if (machine.zone.equals(zone) && machine.isKnownAlive() && !machine.deleted) {
                 all++;
-                deaf += machine.hearing.deaf(world.nowMicros) ? 1 : 0;
+                unreachable += machine.liveness.isUnreachable(world.nowMicros) ? 1 : 0;
             }
         }
-        return deaf > 1 && deaf * 3 > all;
+        return unreachable > 1 && unreachable * 3 > all;
     }
 
-    private long silence(Machine machine) {
-        return world.nowMicros - Math.max(machine.hearing.aliveMicros(), world.startedMicros);
+    private long silentForMicros(Machine machine) {
+        return world.nowMicros - Math.max(machine.liveness.lastAliveMicros(), world.startedMicros);
     }
 
     private static boolean hasWork(Machine machine) {
-        for (TaskAttempt placement : machine.placements()) {
-            if (!placement.halting()) {
+        for (TaskAttempt attempt : machine.attempts()) {
+            if (!attempt.isStopping()) {
                 return true;
             }
         }
         return false;
     }
 
-    private boolean neverCame(Machine machine) {
-        if (machine.heard() || machine.type == null || !machine.empty()) {
+    private boolean hasFailedToBoot(Machine machine) {
+        if (machine.isKnownAlive() || machine.type == null || !machine.isEmpty()) {
             return false;
         }
         long patience = 4 * machine.type.bootMicros() + 30_000_000;
-        if (machine.lifeKnown && !machine.upRecorded) {
+        if (machine.lifecycleKnown && !machine.reportedRecorded) {
             // No leader has heard it since it was rented; this one has waited for a report that may
             // be under way.
             return world.nowMicros - machine.rentedMicros > patience
-                    && silence(machine) > 3 * world.settings.reportMicros();
+                    && silentForMicros(machine) > 3 * world.settings.reportMicros();
         }
         return world.nowMicros - Math.max(machine.rentedMicros, world.startedMicros) > patience;
     }
@@ -583,15 +594,18 @@
      * A worker that is silent for longer than a lease has lost its tasks; deleting the machine
      * proves it.
      */
-    private boolean lost(Machine machine) {
+    private boolean isLost(Machine machine) {
         // In a zone that is cut off leases may be renewed by a node there, and the machines come
         // back with their work.
         long over =
-                world.care.leaseOverMicros()
-                        + world.warrants.patienceMicros(machine.zone, world.nowMicros);
-        if (!machine.heard() && !(machine.empty() && machine.upRecorded)) {
-            return !machine.empty() && silence(machine) > over + 2_000_000;
+                world.delegationTimeouts.leaseExpiryMicros()
+                        + world.delegations.extraSilenceMicros(machine.zone, world.nowMicros);
+        if (!machine.isKnownAlive() && !(machine.isEmpty() && machine.reportedRecorded)) {
+            return !machine.isEmpty() && silentForMicros(machine) > over + 2_000_000;
         }
-        return silence(machine) > over + 20_000_000 + (zones.dark(machine.zone) ? DARK_MICROS : 0);
+        return silentForMicros(machine)
+                > over
+                        + 20_000_000
+                        + (partitionedZones.isPartitioned(machine.zone) ? PARTITIONED_MICROS : 0);
     }
 }
--- a/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
+++ b/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
@@ -17,41 +17,43 @@
  * heard, or for a while where none is left to be heard of.
  */
 final class PartitionedZones {
-    private static final int FEWEST = 3;
-    private static final long MOST_MICROS = 90_000_000;
+    private static final int MIN_MACHINES = 3;
+    private static final long MAX_MICROS = 90_000_000;
     private static final long MARGIN_MICROS = 1_000_000;
 
     private final SchedulerState world;
-    private final Predicate<Machine> unlisted;
+    private final Predicate<Machine> missingFromList;
     private final Map<String, Long> sinceMicros = new HashMap<>();
 
     /**
      * @param unlisted true for machines of which the cloud tells that they are gone: their silence
      *     tells nothing of the zone
      */
-    PartitionedZones(SchedulerState world, Predicate<Machine> unlisted) {
+    PartitionedZones(SchedulerState world, Predicate<Machine> missingFromList) {
         this.world = world;
-        this.unlisted = unlisted;
+        this.missingFromList = missingFromList;
     }
 
     void review() {
         Map<String, Integer> all = new HashMap<>();
         Map<String, Integer> silent = new HashMap<>();
-        Set<String> light = new HashSet<>();
+        Set<String> connected = new HashSet<>();
         for (Machine machine : world.machines.values()) {
-            if ((machine.heard() || machine.upRecorded) && !machine.deleted && !machine.leaving) {
-                if (unlisted.test(machine) && silent(machine)) {
-                    light.add(machine.zone);
+            if ((machine.isKnownAlive() || machine.reportedRecorded)
+                    && !machine.deleted
+                    && !machine.decommissioning) {
+                if (missingFromList.test(machine) && isSilent(machine)) {
+                    connected.add(machine.zone);
                     continue;
                 }
                 all.merge(machine.zone, 1, Integer::sum);
-                silent.merge(machine.zone, silent(machine) ? 1 : 0, Integer::sum);
+                silent.merge(machine.zone, isSilent(machine) ? 1 : 0, Integer::sum);
             }
         }
-        light.removeAll(all.keySet());
+        connected.removeAll(all.keySet());
         all.forEach(
                 (zone, count) -> {
-                    if (count >= FEWEST && silent.get(zone) * 3 > count * 2) {
+                    if (count >= MIN_MACHINES && silent.get(zone) * 3 > count * 2) {
                         if (sinceMicros.putIfAbsent(zone, world.nowMicros) == null) {
                             world.log(
                                     LogEntry.info(LogEvent.ZONE_PARTITIONED)
@@ -60,45 +62,45 @@
                                             .with("machines", count));
                         }
                     } else if (silent.get(zone) < count) {
-                        light.add(zone);
+                        connected.add(zone);
                     }
                 });
         sinceMicros
                 .entrySet()
                 .removeIf(
-                        dark -> {
+                        partition -> {
                             boolean over =
-                                    light.contains(dark.getKey())
-                                            || !all.containsKey(dark.getKey())
-                                                    && world.nowMicros - dark.getValue()
-                                                            > MOST_MICROS;
+                                    connected.contains(partition.getKey())
+                                            || !all.containsKey(partition.getKey())
+                                                    && world.nowMicros - partition.getValue()
+                                                            > MAX_MICROS;
                             if (over) {
                                 world.log(
                                         LogEntry.info(LogEvent.ZONE_RECONNECTED)
-                                                .with("zone", dark.getKey()));
+                                                .with("zone", partition.getKey()));
                             }
                             return over;
                         });
     }
 
-    private boolean silent(Machine machine) {
+    private boolean isSilent(Machine machine) {
         // A worker finds a new leader within a lease.
-        return saysNothing(machine)
-                > (machine.heard()
+        return silentForMicros(machine)
+                > (machine.isKnownAlive()
                         ? 3 * world.settings.reportMicros() + MARGIN_MICROS
-                        : world.care.leaseOverMicros());
+                        : world.delegationTimeouts.leaseExpiryMicros());
     }
 
     /**
      * For how long. A deaf worker's reports are rare and may be old, but its work runs on until its
      * lease is over.
      */
-    long saysNothing(Machine machine) {
+    long silentForMicros(Machine machine) {
         return world.nowMicros
-                - Math.max(machine.hearing.perhapsAliveMicros(), world.startedMicros);
+                - Math.max(machine.liveness.possiblyAliveMicros(), world.startedMicros);
     }
 
-    boolean dark(String zone) {
+    boolean isPartitioned(String zone) {
         return sinceMicros.containsKey(zone);
     }
 }
--- a/src/main/java/org/woadloom/core/cancellation/CancellationWatermark.java
+++ b/src/main/java/org/woadloom/core/cancellation/CancellationWatermark.java
@@ -42,14 +42,16 @@
     }
 
     /** Why a vouch can't be what a node said, or null. */
-    public static String flaw(WatermarkReport vouch, long nowMicros) {
-        return vouch.sinceMicros() > vouch.saidMicros()
+    public static String validationError(WatermarkReport report, long nowMicros) {
+        return report.sinceMicros() > report.sentMicros()
                 ? "it begins after it was said"
-                : vouch.promiseMicros() < 0
-                                || vouch.promiseMicros()
+                : report.promiseMicros() < 0
+                                || report.promiseMicros()
                                         > ConfirmedCancellations.SILENT_PROMISE_MICROS
-                        ? "a promise of " + vouch.promiseMicros() + " microseconds"
-                        : vouch.echoMicros() > nowMicros ? "a time that is yet to come" : null;
+                        ? "a promise of " + report.promiseMicros() + " microseconds"
+                        : report.echoedLeaderClockMicros() > nowMicros
+                                ? "a time that is yet to come"
+                                : null;
     }
 
     /**
@@ -59,54 +61,60 @@
      *     service
      * @return the answer, or null where there is none
      */
-    public WatermarkAck heard(String node, WatermarkReport vouch, long seenMicros, long nowMicros) {
+    public WatermarkAck onReport(
+            String node, WatermarkReport report, long readUpToMicros, long nowMicros) {
         Holder holder = holders.get(node);
-        if (holder == null || vouch.term() != term || flaw(vouch, nowMicros) != null) {
+        if (holder == null || report.term() != term || validationError(report, nowMicros) != null) {
             return null;
         }
         // The moment since which it is complete, by this clock, at the latest: it was said before
         // it came.
-        long since =
-                nowMicros - DelegationTimeouts.sooner(vouch.saidMicros() - vouch.sinceMicros());
+        long completeSinceMicros =
+                nowMicros
+                        - DelegationTimeouts.shortestMicros(
+                                report.sentMicros() - report.sinceMicros());
         boolean follows =
-                holder.life == vouch.life() && vouch.sinceMicros() <= holder.coveredMicros
-                        || since <= Math.max(seenMicros, holder.watermarkMicros);
+                holder.life == report.processId() && report.sinceMicros() <= holder.coveredMicros
+                        || completeSinceMicros <= Math.max(readUpToMicros, holder.watermarkMicros);
         if (follows) {
             holder.coveredMicros =
-                    holder.life == vouch.life()
-                            ? Math.max(holder.coveredMicros, vouch.saidMicros())
-                            : vouch.saidMicros();
-            holder.life = vouch.life();
-            if (vouch.echoMicros() != WatermarkReport.NONE) {
+                    holder.life == report.processId()
+                            ? Math.max(holder.coveredMicros, report.sentMicros())
+                            : report.sentMicros();
+            holder.life = report.processId();
+            if (report.echoedLeaderClockMicros() != WatermarkReport.NONE) {
                 holder.watermarkMicros =
                         Math.max(
                                 holder.watermarkMicros,
-                                vouch.echoMicros()
+                                report.echoedLeaderClockMicros()
                                         + Math.max(
                                                 0,
-                                                DelegationTimeouts.sooner(vouch.promiseMicros())));
+                                                DelegationTimeouts.shortestMicros(
+                                                        report.promiseMicros())));
             }
         }
-        return new WatermarkAck(term, vouch.life(), vouch.saidMicros(), nowMicros);
+        return new WatermarkAck(term, report.processId(), report.sentMicros(), nowMicros);
     }
 
     /** Every cancellation that anybody was told of before this moment is carried out. */
-    public long micros(long seenMicros) {
+    public long watermarkMicros(long readUpToMicros) {
         long least = Long.MAX_VALUE;
         for (Holder holder : holders.values()) {
             least = Math.min(least, holder.watermarkMicros);
         }
-        return Math.max(seenMicros, least);
+        return Math.max(readUpToMicros, least);
     }
 
     /**
      * The nodes that have vouched for the least, as an operator wants to know who holds the leader
      * back.
      */
-    public List<String> behind(long seenMicros) {
-        long least = micros(seenMicros);
+    public List<String> laggards(long readUpToMicros) {
+        long least = watermarkMicros(readUpToMicros);
         return holders.entrySet().stream()
-                .filter(entry -> Math.max(seenMicros, entry.getValue().watermarkMicros) <= least)
+                .filter(
+                        entry ->
+                                Math.max(readUpToMicros, entry.getValue().watermarkMicros) <= least)
                 .map(Map.Entry::getKey)
                 .toList();
     }
--- a/src/main/java/org/woadloom/core/cancellation/ConfirmedCancellations.java
+++ b/src/main/java/org/woadloom/core/cancellation/ConfirmedCancellations.java
@@ -28,15 +28,15 @@
      * While the leader has not taken in for so long what somebody waits to be told of, it gets no
      * new promise.
      */
-    private static final long LONG_MICROS = 700_000;
+    private static final long OVERDUE_MICROS = 700_000;
 
-    private static final int MOST_KEPT = 2_000;
+    private static final int MAX_ENTRIES = 2_000;
     private static final long NEVER = Long.MIN_VALUE / 4;
 
     /** Before every term, also that of a node that knows of none. */
     private static final long NO_TERM = -1;
 
-    private final long life;
+    private final long processId;
 
     /** By job, the first first; no two are of the same moment, nor of that of a vouch. */
     private final LinkedHashMap<String, Entry> entries = new LinkedHashMap<>();
@@ -48,19 +48,19 @@
 
     private long term;
     private String leader;
-    private long echoMicros = WatermarkReport.NONE;
+    private long echoedLeaderClockMicros = WatermarkReport.NONE;
 
     /** All entries up to this moment are taken in by the leader of the term. */
-    private long takenMicros = NEVER;
+    private long acknowledgedMicros = NEVER;
 
     /** Until when this term's leader may rely on a promise. */
-    private long promisedMicros = NEVER;
+    private long promisedUntilMicros = NEVER;
 
     /**
      * What nodes may still rely on as leaders of before, by node; this one's own leadership is
      * never among them.
      */
-    private final Map<String, OutstandingPromise> relying = new HashMap<>();
+    private final Map<String, OutstandingPromise> outstandingPromises = new HashMap<>();
 
     private static final class Entry {
         final long micros;
@@ -78,10 +78,10 @@
      * @param inherited the process before this one may have given one too, in a term that is not
      *     known here
      */
-    private record OutstandingPromise(long term, boolean inherited, long untilMicros) {
+    private record OutstandingPromise(long term, boolean fromPredecessor, long untilMicros) {
         /** A node says which term it knows of: no word of before a promise ends that. */
-        boolean endsWith(long itsTerm, boolean leads) {
-            return itsTerm > term && !(inherited && leads);
+        boolean endsAt(long itsTerm, boolean leads) {
+            return itsTerm > term && !(fromPredecessor && leads);
         }
     }
 
@@ -89,11 +89,11 @@
      * @param peers the other nodes, each of which may have led when the process before this one
      *     ended
      */
-    public ConfirmedCancellations(long life, List<String> peers, long nowMicros) {
-        this.life = life;
+    public ConfirmedCancellations(long processId, List<String> peers, long nowMicros) {
+        this.processId = processId;
         peers.forEach(
                 peer ->
-                        relying.put(
+                        outstandingPromises.put(
                                 peer,
                                 new OutstandingPromise(
                                         NO_TERM, true, nowMicros + SILENT_PROMISE_MICROS)));
@@ -102,17 +102,17 @@
     }
 
     /** Promises are not in use, so the process before this one has given none. */
-    public void nothingInherited() {
-        relying.values().removeIf(OutstandingPromise::inherited);
+    public void forgetPredecessorPromises() {
+        outstandingPromises.values().removeIf(OutstandingPromise::fromPredecessor);
     }
 
     /** The state service says that the job is cancelled, and somebody wants to know. */
-    public void enter(String jobId, long nowMicros) {
+    public void add(String jobId, long nowMicros) {
         if (entries.containsKey(jobId)) {
             return;
         }
         entries.put(jobId, new Entry(next(nowMicros)));
-        if (entries.size() > MOST_KEPT) {
+        if (entries.size() > MAX_ENTRIES) {
             String first = entries.keySet().iterator().next();
             completeSinceMicros = entries.remove(first).micros;
         }
@@ -124,15 +124,15 @@
     }
 
     /** Whether a user may be told of an entered cancellation now; one that may counts as told. */
-    public boolean mayTell(String jobId, long nowMicros) {
+    public boolean tryConfirm(String jobId, long nowMicros) {
         Entry entry = entries.get(jobId);
         if (entry == null) {
             return false;
         }
         entry.told |=
-                entry.micros <= takenMicros
-                        ? !reliedOn(nowMicros, leader)
-                        : nowMicros > promisedMicros && !reliedOn(nowMicros, null);
+                entry.micros <= acknowledgedMicros
+                        ? !isPromiseOutstanding(nowMicros, leader)
+                        : nowMicros > promisedUntilMicros && !isPromiseOutstanding(nowMicros, null);
         return entry.told;
     }
 
@@ -140,8 +140,8 @@
      * Whether any leader of before may rely on a promise, but for the node that leads now and has
      * taken in what is asked about: whatever it was promised before, it lacks nothing.
      */
-    private boolean reliedOn(long nowMicros, String but) {
-        return relying.entrySet().stream()
+    private boolean isPromiseOutstanding(long nowMicros, String but) {
+        return outstandingPromises.entrySet().stream()
                 .anyMatch(
                         entry ->
                                 !entry.getKey().equals(but)
@@ -152,11 +152,11 @@
      * A peer has said which term it knows of and whether it leads in that: one that leads no more
      * relies on nothing.
      */
-    public void heard(String peer, long itsTerm, boolean leads) {
-        relying.computeIfPresent(
-                peer, (node, promise) -> promise.endsWith(itsTerm, leads) ? null : promise);
+    public void onPeerTerm(String peer, long itsTerm, boolean leads) {
+        outstandingPromises.computeIfPresent(
+                peer, (node, promise) -> promise.endsAt(itsTerm, leads) ? null : promise);
         if (peer.equals(leader) && itsTerm > term) {
-            promisedMicros = NEVER;
+            promisedUntilMicros = NEVER;
         }
     }
 
@@ -164,9 +164,9 @@
      * This node itself has led and does so no more: it relies on nothing, and nobody else would
      * ever say so.
      */
-    public void ledUntilNow(String self) {
+    public void onLeadershipLost(String self) {
         if (self.equals(leader)) {
-            promisedMicros = NEVER;
+            promisedUntilMicros = NEVER;
         }
     }
 
@@ -175,15 +175,15 @@
      *
      * @param stateSilentMicros for how long the state service has not served this node
      */
-    public WatermarkReport vouch(
+    public WatermarkReport nextReport(
             String ofLeader, long ofTerm, long stateSilentMicros, long nowMicros) {
         if (ofTerm < term) {
             return null;
         }
         if (ofTerm > term) {
-            begin(ofLeader, ofTerm, nowMicros);
+            startTerm(ofLeader, ofTerm, nowMicros);
         }
-        long since = Math.max(takenMicros, completeSinceMicros);
+        long since = Math.max(acknowledgedMicros, completeSinceMicros);
         List<String> jobs = new ArrayList<>();
         entries.forEach(
                 (jobId, entry) -> {
@@ -193,58 +193,59 @@
                 });
         long said = next(nowMicros);
         long promise =
-                keepsWaiting(nowMicros)
+                hasOverdueEntry(nowMicros)
                         ? 0
                         : stateSilentMicros > SILENT_MICROS
                                 ? SILENT_PROMISE_MICROS
                                 : PROMISE_MICROS;
         if (promise > 0) {
-            promisedMicros = Math.max(promisedMicros, said + promise);
+            promisedUntilMicros = Math.max(promisedUntilMicros, said + promise);
         }
-        return new WatermarkReport(term, life, said, since, echoMicros, promise, jobs);
+        return new WatermarkReport(
+                term, processId, said, since, echoedLeaderClockMicros, promise, jobs);
     }
 
     /**
      * Whoever asked may have gone meanwhile: by the time he asks again the promise has to have run
      * out.
      */
-    private boolean keepsWaiting(long nowMicros) {
+    private boolean hasOverdueEntry(long nowMicros) {
         return entries.values().stream()
                 .anyMatch(
                         entry ->
                                 !entry.told
-                                        && entry.micros > takenMicros
-                                        && nowMicros - entry.micros > LONG_MICROS);
+                                        && entry.micros > acknowledgedMicros
+                                        && nowMicros - entry.micros > OVERDUE_MICROS);
     }
 
     /**
      * What a new leader has read of the state service may be older than anything that was told: it
      * gets all there is.
      */
-    private void begin(String newLeader, long newTerm, long nowMicros) {
-        if (promisedMicros >= nowMicros) {
-            OutstandingPromise before = relying.get(leader);
-            relying.put(
+    private void startTerm(String newLeader, long newTerm, long nowMicros) {
+        if (promisedUntilMicros >= nowMicros) {
+            OutstandingPromise before = outstandingPromises.get(leader);
+            outstandingPromises.put(
                     leader,
                     before == null
-                            ? new OutstandingPromise(term, false, promisedMicros)
+                            ? new OutstandingPromise(term, false, promisedUntilMicros)
                             : new OutstandingPromise(
                                     term,
-                                    before.inherited,
-                                    Math.max(before.untilMicros, promisedMicros)));
+                                    before.fromPredecessor,
+                                    Math.max(before.untilMicros, promisedUntilMicros)));
         }
         leader = newLeader;
         term = newTerm;
-        promisedMicros = NEVER;
-        takenMicros = NEVER;
-        echoMicros = WatermarkReport.NONE;
+        promisedUntilMicros = NEVER;
+        acknowledgedMicros = NEVER;
+        echoedLeaderClockMicros = WatermarkReport.NONE;
     }
 
     /** The leader has answered. */
-    public void taken(WatermarkAck answer) {
-        if (answer.term() == term && answer.life() == life) {
-            takenMicros = Math.max(takenMicros, answer.saidMicros());
-            echoMicros = Math.max(echoMicros, answer.leaderMicros());
+    public void onAck(WatermarkAck answer) {
+        if (answer.term() == term && answer.processId() == processId) {
+            acknowledgedMicros = Math.max(acknowledgedMicros, answer.reportSentMicros());
+            echoedLeaderClockMicros = Math.max(echoedLeaderClockMicros, answer.leaderClockMicros());
         }
     }
 }
--- a/src/main/java/org/woadloom/core/cancellation/WatermarkAck.java
+++ b/src/main/java/org/woadloom/core/cancellation/WatermarkAck.java
@@ -6,4 +6,5 @@
  * @param saidMicros the vouch's time, by the node's clock
  * @param leaderMicros the time by the leader's clock
  */
-public record WatermarkAck(long term, long life, long saidMicros, long leaderMicros) {}
+public record WatermarkAck(
+        long term, long processId, long reportSentMicros, long leaderClockMicros) {}
--- a/src/main/java/org/woadloom/core/cancellation/WatermarkReport.java
+++ b/src/main/java/org/woadloom/core/cancellation/WatermarkReport.java
@@ -16,11 +16,11 @@
  */
 public record WatermarkReport(
         long term,
-        long life,
-        long saidMicros,
+        long processId,
+        long sentMicros,
         long sinceMicros,
-        long echoMicros,
+        long echoedLeaderClockMicros,
         long promiseMicros,
-        List<String> jobs) {
+        List<String> jobIds) {
     public static final long NONE = Long.MIN_VALUE;
 }
--- a/src/main/java/org/woadloom/core/delegation/DelegationLedger.java
+++ b/src/main/java/org/woadloom/core/delegation/DelegationLedger.java
@@ -11,27 +11,27 @@
 public final class DelegationLedger {
     private static final long NEVER = Long.MIN_VALUE / 4;
 
-    private final DelegationTimeouts rules;
+    private final DelegationTimeouts timeouts;
     private final long term;
     private final String self;
-    private final Map<String, Delegate> holders = new LinkedHashMap<>();
+    private final Map<String, Delegate> delegates = new LinkedHashMap<>();
 
     /** Every node is known to run a version that takes care. */
-    private boolean agreed;
+    private boolean enable;
 
     private static final class Delegate {
         final String zone;
-        long life;
-        boolean heard;
+        long processId;
+        boolean known;
 
         /** When the last warrant was given; it may be held long after. */
-        long givenMicros = NEVER;
+        long grantedMicros = NEVER;
 
         /** The node takes no care before. */
-        long promisedMicros = NEVER;
+        long noRenewalUntilMicros = NEVER;
 
         /** It took care for the last time at this moment or before. */
-        long caredMicros = NEVER;
+        long lastRenewalMicros = NEVER;
 
         Delegate(String zone) {
             this.zone = zone;
@@ -43,19 +43,19 @@
      */
     public DelegationLedger(
             DelegationTimeouts rules, long term, String self, Map<String, String> nodes) {
-        this.rules = rules;
+        this.timeouts = rules;
         this.term = term;
         this.self = self;
         nodes.forEach(
                 (label, zone) -> {
                     if (!label.equals(self)) {
-                        holders.put(label, new Delegate(zone));
+                        delegates.put(label, new Delegate(zone));
                     }
                 });
     }
 
-    public void agreed() {
-        agreed = true;
+    public void enable() {
+        enable = true;
     }
 
     /**
@@ -64,63 +64,72 @@
      * @param settledMicros up to when every cancellation is carried out in its zone, or {@link
      *     Long#MIN_VALUE}
      */
-    public LeaseDelegation heard(String node, PeerStatus said, long settledMicros, long nowMicros) {
-        Delegate holder = holders.get(node);
-        if (holder != null) {
-            note(holder, said, nowMicros);
-            holder.givenMicros = nowMicros;
+    public LeaseDelegation onPeerStatus(
+            String node, PeerStatus status, long cancellationsAppliedMicros, long nowMicros) {
+        Delegate delegate = delegates.get(node);
+        if (delegate != null) {
+            update(delegate, status, nowMicros);
+            delegate.grantedMicros = nowMicros;
         } else if (!node.equals(self)) {
             return null;
         }
         return new LeaseDelegation(
                 term,
-                said.saidMicros(),
+                status.sentMicros(),
                 nowMicros,
-                settledMicros == Long.MIN_VALUE
-                        ? LeaseDelegation.UNSETTLED
-                        : nowMicros - settledMicros);
+                cancellationsAppliedMicros == Long.MIN_VALUE
+                        ? LeaseDelegation.UNKNOWN_LAG
+                        : nowMicros - cancellationsAppliedMicros);
     }
 
-    private void note(Delegate holder, PeerStatus said, long nowMicros) {
-        if (holder.heard && holder.life != said.life()) {
+    private void update(Delegate delegate, PeerStatus status, long nowMicros) {
+        if (delegate.known && delegate.processId != status.processId()) {
             // The process before this one may have taken care until it ended, which was before this
             // one began.
-            long began = nowMicros - DelegationTimeouts.sooner(said.aliveMicros());
-            if (began > holder.promisedMicros) {
-                holder.caredMicros =
-                        Math.max(holder.caredMicros, Math.min(began, lastHeldMicros(holder)));
+            long startedMicros =
+                    nowMicros - DelegationTimeouts.shortestMicros(status.uptimeMicros());
+            if (startedMicros > delegate.noRenewalUntilMicros) {
+                delegate.lastRenewalMicros =
+                        Math.max(
+                                delegate.lastRenewalMicros,
+                                Math.min(startedMicros, validUntilMicros(delegate)));
             }
         }
-        holder.heard = true;
-        holder.life = said.life();
-        if (said.term() == term) {
-            holder.promisedMicros =
+        delegate.known = true;
+        delegate.processId = status.processId();
+        if (status.term() == term) {
+            delegate.noRenewalUntilMicros =
                     Math.max(
-                            holder.promisedMicros,
-                            said.echoMicros() + DelegationTimeouts.sooner(said.promiseMicros()));
+                            delegate.noRenewalUntilMicros,
+                            status.echoedLeaderClockMicros()
+                                    + DelegationTimeouts.shortestMicros(
+                                            status.noRenewalForMicros()));
         }
-        if (said.caredMicros() >= 0) {
-            holder.caredMicros =
+        if (status.sinceLastRenewalMicros() >= 0) {
+            delegate.lastRenewalMicros =
                     Math.max(
-                            holder.caredMicros,
-                            nowMicros - DelegationTimeouts.sooner(said.caredMicros()));
+                            delegate.lastRenewalMicros,
+                            nowMicros
+                                    - DelegationTimeouts.shortestMicros(
+                                            status.sinceLastRenewalMicros()));
         }
     }
 
-    private long lastHeldMicros(Delegate holder) {
-        return holder.givenMicros == NEVER
+    private long validUntilMicros(Delegate delegate) {
+        return delegate.grantedMicros == NEVER
                 ? NEVER
-                : holder.givenMicros + DelegationTimeouts.later(rules.careMicros());
+                : delegate.grantedMicros
+                        + DelegationTimeouts.longestMicros(timeouts.delegationMicros());
     }
 
     /** No worker of the zone was answered by any node in this leader's place after this moment. */
-    public long lastCareMicros(String zone, long nowMicros) {
+    public long lastRenewalMicros(String zone, long nowMicros) {
         long last = NEVER;
-        for (Delegate holder : holders.values()) {
-            if (holder.zone.equals(zone)) {
-                last = Math.max(last, holder.caredMicros);
-                if (nowMicros > holder.promisedMicros) {
-                    last = Math.max(last, Math.min(nowMicros, lastHeldMicros(holder)));
+        for (Delegate delegate : delegates.values()) {
+            if (delegate.zone.equals(zone)) {
+                last = Math.max(last, delegate.lastRenewalMicros);
+                if (nowMicros > delegate.noRenewalUntilMicros) {
+                    last = Math.max(last, Math.min(nowMicros, validUntilMicros(delegate)));
                 }
             }
         }
@@ -131,13 +140,13 @@
      * For how much longer than usual to have patience with a silent zone, in which a node may be
      * taking care.
      */
-    public long patienceMicros(String zone, long nowMicros) {
-        if (!agreed || !rules.worthwhile()) {
+    public long extraSilenceMicros(String zone, long nowMicros) {
+        if (!enable || !timeouts.isUsable()) {
             return 0;
         }
-        for (Delegate holder : holders.values()) {
-            if (holder.zone.equals(zone) && nowMicros > holder.promisedMicros) {
-                return rules.careMicros();
+        for (Delegate delegate : delegates.values()) {
+            if (delegate.zone.equals(zone) && nowMicros > delegate.noRenewalUntilMicros) {
+                return timeouts.delegationMicros();
             }
         }
         return 0;
--- a/src/main/java/org/woadloom/core/delegation/DelegationTimeouts.java
+++ b/src/main/java/org/woadloom/core/delegation/DelegationTimeouts.java
@@ -10,13 +10,14 @@
  *     before it takes care
  * @param leaseOverMicros how long after an answer a worker's lease is certainly over
  */
-public record DelegationTimeouts(long careMicros, long patienceMicros, long leaseOverMicros) {
+public record DelegationTimeouts(
+        long delegationMicros, long silenceMicros, long leaseExpiryMicros) {
     private static final long MARGIN_MICROS = 250_000;
 
     public static DelegationTimeouts of(long leaseMicros, long cancelMicros) {
-        long leaseOver = later(leaseMicros);
+        long leaseOver = longestMicros(leaseMicros);
         return new DelegationTimeouts(
-                cancelMicros - leaseOver - (later(cancelMicros) - cancelMicros),
+                cancelMicros - leaseOver - (longestMicros(cancelMicros) - cancelMicros),
                 leaseMicros / 3,
                 leaseOver);
     }
@@ -25,17 +26,17 @@
      * A span by another clock, at most: clocks drift apart by a twentieth of a percent each, and
      * timers step.
      */
-    public static long later(long micros) {
+    public static long longestMicros(long micros) {
         return micros + micros / 500 + MARGIN_MICROS;
     }
 
     /** A span by another clock, at least. */
-    public static long sooner(long micros) {
+    public static long shortestMicros(long micros) {
         return micros - micros / 500 - MARGIN_MICROS;
     }
 
     /** Where cancelled tasks must go at once there is no time to take care in. */
-    public boolean worthwhile() {
-        return careMicros > 2 * patienceMicros;
+    public boolean isUsable() {
+        return delegationMicros > 2 * silenceMicros;
     }
 }
--- a/src/main/java/org/woadloom/core/delegation/LeaseDelegate.java
+++ b/src/main/java/org/woadloom/core/delegation/LeaseDelegate.java
@@ -9,92 +9,91 @@
 public final class LeaseDelegate {
     private static final long NEVER = Long.MIN_VALUE / 4;
 
-    private final DelegationTimeouts rules;
+    private final DelegationTimeouts timeouts;
     private final String zone;
-    private final long life;
+    private final long processId;
     private final long startedMicros;
     private long term;
-    private long leaderMicros;
-    private long untilMicros = NEVER;
-    private long contactMicros;
-    private long stateMicros;
-    private boolean stateFails;
-    private long caredMicros = NEVER;
+    private long leaderClockMicros;
+    private long validUntilMicros = NEVER;
+    private long lastLeaderContactMicros;
+    private long lastStoreAnswerMicros;
+    private boolean storeFails;
+    private long lastRenewalMicros = NEVER;
 
-    public LeaseDelegate(DelegationTimeouts rules, String zone, long life, long nowMicros) {
-        this.rules = rules;
+    public LeaseDelegate(DelegationTimeouts rules, String zone, long processId, long nowMicros) {
+        this.timeouts = rules;
         this.zone = zone;
-        this.life = life;
+        this.processId = processId;
         this.startedMicros = nowMicros;
-        this.contactMicros = nowMicros;
-        this.stateMicros = nowMicros;
+        this.lastLeaderContactMicros = nowMicros;
+        this.lastStoreAnswerMicros = nowMicros;
     }
 
     /** A warrant has come; one of an earlier term is of the past. */
-    public void warranted(LeaseDelegation warrant) {
-        if (warrant.term() < term) {
+    public void onDelegation(LeaseDelegation delegation) {
+        if (delegation.term() < term) {
             return;
         }
-        if (warrant.term() > term) {
-            untilMicros = NEVER;
-            leaderMicros = warrant.leaderMicros();
+        if (delegation.term() > term) {
+            validUntilMicros = NEVER;
+            leaderClockMicros = delegation.leaderClockMicros();
         }
-        term = warrant.term();
-        leaderMicros = Math.max(leaderMicros, warrant.leaderMicros());
+        term = delegation.term();
+        leaderClockMicros = Math.max(leaderClockMicros, delegation.leaderClockMicros());
         // By the time when the node spoke, as the answer may have been held up on its way.
-        contactMicros = Math.max(contactMicros, warrant.saidMicros());
-        if (warrant.settledMicros() < LeaseDelegation.UNSETTLED) {
-            untilMicros =
+        lastLeaderContactMicros = Math.max(lastLeaderContactMicros, delegation.statusSentMicros());
+        if (delegation.cancellationLagMicros() < LeaseDelegation.UNKNOWN_LAG) {
+            validUntilMicros =
                     Math.max(
-                            untilMicros,
-                            warrant.saidMicros() - warrant.settledMicros() + rules.careMicros());
+                            validUntilMicros,
+                            delegation.statusSentMicros()
+                                    - delegation.cancellationLagMicros()
+                                    + timeouts.delegationMicros());
         }
     }
 
-    public void stateAnswered(long nowMicros) {
-        stateMicros = nowMicros;
-        stateFails = false;
+    public void onStoreAnswered(long nowMicros) {
+        lastStoreAnswerMicros = nowMicros;
+        storeFails = false;
     }
 
-    public void stateFailed() {
-        stateFails = true;
+    public void onStoreFailed() {
+        storeFails = true;
     }
 
     /** True while this node has lost the leader and the state service for long enough. */
-    private boolean cutOff(long nowMicros) {
-        return stateFails && nowMicros > careFromMicros();
+    private boolean isPartitioned(long nowMicros) {
+        return storeFails && nowMicros > renewFromMicros();
     }
 
     /** True while it is cut off and its warrant lasts. */
-    public boolean mayCare(long nowMicros) {
-        return rules.worthwhile() && cutOff(nowMicros) && nowMicros <= untilMicros;
+    public boolean mayRenew(long nowMicros) {
+        return timeouts.isUsable() && isPartitioned(nowMicros) && nowMicros <= validUntilMicros;
     }
 
-    private long careFromMicros() {
-        return Math.max(contactMicros, stateMicros) + rules.patienceMicros();
+    private long renewFromMicros() {
+        return Math.max(lastLeaderContactMicros, lastStoreAnswerMicros) + timeouts.silenceMicros();
     }
 
     /** Whether to renew a worker's lease; that it is done is remembered for the leader. */
-    public boolean takesCare(String workersYard, long workersTerm, long nowMicros) {
-        if (!mayCare(nowMicros)
-                || !workersYard.equals(zone)
-                || workersTerm > term
-                || workersTerm == 0) {
+    public boolean tryRenew(String agentZone, long agentTerm, long nowMicros) {
+        if (!mayRenew(nowMicros) || !agentZone.equals(zone) || agentTerm > term || agentTerm == 0) {
             return false;
         }
-        caredMicros = nowMicros;
+        lastRenewalMicros = nowMicros;
         return true;
     }
 
-    public PeerStatus standing(long nowMicros) {
+    public PeerStatus status(long nowMicros) {
         return new PeerStatus(
-                life,
+                processId,
                 nowMicros - startedMicros,
                 nowMicros,
                 term,
-                leaderMicros,
-                Math.max(0, careFromMicros() - nowMicros),
-                caredMicros == NEVER ? -1 : nowMicros - caredMicros,
-                stateFails ? nowMicros - stateMicros : 0);
+                leaderClockMicros,
+                Math.max(0, renewFromMicros() - nowMicros),
+                lastRenewalMicros == NEVER ? -1 : nowMicros - lastRenewalMicros,
+                storeFails ? nowMicros - lastStoreAnswerMicros : 0);
     }
 }
--- a/src/main/java/org/woadloom/core/delegation/LeaseDelegation.java
+++ b/src/main/java/org/woadloom/core/delegation/LeaseDelegation.java
@@ -10,6 +10,7 @@
  * @param settledMicros how long before the standing was heard the moment lies up to which every
  *     cancellation has been carried out in the node's zone, {@link #UNSETTLED} where there is none
  */
-public record LeaseDelegation(long term, long saidMicros, long leaderMicros, long settledMicros) {
-    public static final long UNSETTLED = Long.MAX_VALUE / 4;
+public record LeaseDelegation(
+        long term, long statusSentMicros, long leaderClockMicros, long cancellationLagMicros) {
+    public static final long UNKNOWN_LAG = Long.MAX_VALUE / 4;
 }
--- a/src/main/java/org/woadloom/core/delegation/PeerStatus.java
+++ b/src/main/java/org/woadloom/core/delegation/PeerStatus.java
@@ -13,11 +13,11 @@
  * @param stateSilentMicros for how long it has had no answer of the state service
  */
 public record PeerStatus(
-        long life,
-        long aliveMicros,
-        long saidMicros,
+        long processId,
+        long uptimeMicros,
+        long sentMicros,
         long term,
-        long echoMicros,
-        long promiseMicros,
-        long caredMicros,
-        long stateSilentMicros) {}
+        long echoedLeaderClockMicros,
+        long noRenewalForMicros,
+        long sinceLastRenewalMicros,
+        long storeSilentMicros) {}
--- a/src/main/java/org/woadloom/core/jobs/DemandEstimator.java
+++ b/src/main/java/org/woadloom/core/jobs/DemandEstimator.java
@@ -7,12 +7,12 @@
  * How much room the latest jobs asked for: what comes next is likely no larger than most of them.
  */
 public final class DemandEstimator {
-    private static final int KEPT = 20;
-    private static final int KEPT_OF_A_CLASS = 60;
+    private static final int KEPT_JOBS = 20;
+    private static final int KEPT_JOBS_PER_CLASS = 60;
 
     private static final long QUIET_MICROS = 120_000_000;
 
-    private final RecentJobSizes batch = new RecentJobSizes(KEPT);
+    private final RecentJobSizes batch = new RecentJobSizes(KEPT_JOBS);
     private final Map<String, RecentJobSizes> byClass = new HashMap<>();
     private long lastMicros = Long.MIN_VALUE / 2;
 
@@ -23,7 +23,7 @@
             batch.add(job);
         }
         byClass.computeIfAbsent(
-                        job.description.jobClass(), name -> new RecentJobSizes(KEPT_OF_A_CLASS))
+                        job.description.jobClass(), name -> new RecentJobSizes(KEPT_JOBS_PER_CLASS))
                 .add(job);
     }
 
@@ -31,17 +31,17 @@
      * What nine in ten of the latest jobs did not exceed, replicas apart; 0 as long as there was
      * none.
      */
-    public long large() {
+    public long largeJobCpu() {
         return batch.large();
     }
 
     /** True if nothing has come for so long that no room need be kept for what may come next. */
-    public boolean quiet(long nowMicros) {
+    public boolean isQuiet(long nowMicros) {
         return nowMicros - lastMicros > QUIET_MICROS;
     }
 
     /** True for one of the largest of its class: no more than one in ten was larger lately. */
-    public boolean largeInClass(Job job) {
+    public boolean isLargeInClass(Job job) {
         RecentJobSizes sizes = byClass.get(job.description.jobClass());
         return sizes != null && RecentJobSizes.sizeOf(job) >= sizes.large();
     }
--- a/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
+++ b/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
@@ -22,16 +22,16 @@
  * the job, and whatever waits for it.
  */
 public final class DependencyGraph {
-    private static final int MOST_FINDS = 12;
-    private static final long FIND_AGAIN_MICROS = 500_000;
+    private static final int MAX_LOOKUPS = 12;
+    private static final long LOOKUP_RETRY_MICROS = 500_000;
 
     private final SchedulerState world;
 
     /** The jobs that wait for each job, in the order in which they came. */
-    private final Map<String, Set<Job>> waiters = new LinkedHashMap<>();
+    private final Map<String, Set<Job>> dependents = new LinkedHashMap<>();
 
     /** For each waiting job, those before it that are not known to be done. */
-    private final Map<Job, Set<String>> missing = new LinkedHashMap<>();
+    private final Map<Job, Set<String>> unfinishedDependencies = new LinkedHashMap<>();
 
     /** By the time of day, when the last job before a waiting job was done as far as known. */
     private final Map<Job, Long> lastDone = new HashMap<>();
@@ -39,13 +39,13 @@
     /** Jobs the store is to be asked about, and when. */
     private final Map<String, Long> unknown = new LinkedHashMap<>();
 
-    private final Set<String> asked = new LinkedHashSet<>();
+    private final Set<String> resolving = new LinkedHashSet<>();
 
     /**
      * Cancelled jobs whose waiters are to be cancelled as well: a list, so that no chain is too
      * long.
      */
-    private final ArrayDeque<String> cancelled = new ArrayDeque<>();
+    private final ArrayDeque<String> onCancelled = new ArrayDeque<>();
 
     private boolean changed;
 
@@ -53,128 +53,128 @@
         this.world = world;
     }
 
-    public int waiting() {
-        return missing.size();
+    public int blockedCount() {
+        return unfinishedDependencies.size();
     }
 
     /** A job has come; what it waits for may be known already, and others may wait for it. */
-    void add(Job job) {
-        if (waiters.containsKey(job.jobId())) {
+    void onJobAdded(Job job) {
+        if (dependents.containsKey(job.jobId())) {
             if (job.cancelled) {
-                cancelled(job.jobId());
-            } else if (job.recording.doneDurably()) {
-                done(job.jobId(), world.wallMicros);
+                onCancelled(job.jobId());
+            } else if (job.persistence.isCompletionDurable()) {
+                onDone(job.jobId(), world.wallMicros);
             }
             changed = true;
         }
-        if (!job.waiting() || job.over()) {
+        if (!job.isBlocked() || job.isOver()) {
             return;
         }
         changed = true;
-        missing.put(job, new LinkedHashSet<>(job.description.dependencies()));
+        unfinishedDependencies.put(job, new LinkedHashSet<>(job.description.dependencies()));
         world.log(
                 LogEntry.info(LogEvent.JOB_BLOCKED)
                         .with("job", job.jobId())
                         .with("dependencies", String.join(",", job.description.dependencies())));
         for (String before : job.description.dependencies()) {
-            waiters.computeIfAbsent(before, jobId -> new LinkedHashSet<>()).add(job);
+            dependents.computeIfAbsent(before, jobId -> new LinkedHashSet<>()).add(job);
             Job other = world.jobs.get(before);
             if (other == null) {
                 unknown.putIfAbsent(before, world.nowMicros);
             } else if (other.cancelled) {
-                cancelled.add(before);
-            } else if (other.recording.doneDurably()) {
-                done(before, world.wallMicros);
+                onCancelled.add(before);
+            } else if (other.persistence.isCompletionDurable()) {
+                onDone(before, world.wallMicros);
             }
         }
     }
 
     /** A job is done, and the store says so. */
-    void done(String jobId, long wallMicros) {
+    void onDone(String jobId, long wallMicros) {
         unknown.remove(jobId);
-        Set<Job> jobs = waiters.remove(jobId);
+        Set<Job> jobs = dependents.remove(jobId);
         if (jobs == null) {
             return;
         }
         changed = true;
         for (Job job : jobs) {
             lastDone.merge(job, wallMicros, Math::max);
-            Set<String> left = missing.get(job);
+            Set<String> left = unfinishedDependencies.get(job);
             left.remove(jobId);
             if (left.isEmpty()) {
-                release(job);
+                unblock(job);
             }
         }
     }
 
-    private void release(Job job) {
-        missing.remove(job);
+    private void unblock(Job job) {
+        unfinishedDependencies.remove(job);
         long at = Math.min(world.wallMicros, lastDone.remove(job));
-        job.ready(world.nowMicros - (world.wallMicros - at), at);
-        world.jobsCome++;
-        world.arrivals.add(job, world.nowMicros);
-        world.placementWorthTrying = true;
+        job.unblock(world.nowMicros - (world.wallMicros - at), at);
+        world.jobArrivals++;
+        world.demand.add(job, world.nowMicros);
+        world.placementNeeded = true;
         world.log(LogEntry.info(LogEvent.JOB_UNBLOCKED).with("job", job.jobId()));
     }
 
     /** A job is cancelled, and the store says so: whatever needs it will never run. */
-    void cancelled(String jobId) {
+    void onCancelled(String jobId) {
         unknown.remove(jobId);
-        if (waiters.containsKey(jobId)) {
-            cancelled.add(jobId);
+        if (dependents.containsKey(jobId)) {
+            onCancelled.add(jobId);
         }
     }
 
     /** A job is over, or its record is gone for a reason that only the store knows. */
-    void gone(Job job, boolean known) {
+    void onJobRemoved(Job job, boolean outcomeKnown) {
         forget(job);
-        if (!waiters.containsKey(job.jobId())) {
+        if (!dependents.containsKey(job.jobId())) {
             return;
         }
-        if (!known) {
+        if (!outcomeKnown) {
             unknown.put(job.jobId(), world.nowMicros);
         } else if (job.cancelled) {
-            cancelled(job.jobId());
+            onCancelled(job.jobId());
         } else {
-            done(job.jobId(), world.wallMicros);
+            onDone(job.jobId(), world.wallMicros);
         }
     }
 
     /** The job itself waits no more, as it is over. */
     private void forget(Job job) {
-        Set<String> before = missing.remove(job);
+        Set<String> before = unfinishedDependencies.remove(job);
         lastDone.remove(job);
         if (before == null) {
             return;
         }
         changed = true;
         for (String jobId : before) {
-            Set<Job> jobs = waiters.get(jobId);
+            Set<Job> jobs = dependents.get(jobId);
             jobs.remove(job);
             if (jobs.isEmpty()) {
-                waiters.remove(jobId);
+                dependents.remove(jobId);
                 unknown.remove(jobId);
             }
         }
     }
 
-    public void found(SchedulerEvent.DependencyResolved found) {
-        String jobId = found.jobId();
-        asked.remove(jobId);
-        if (!waiters.containsKey(jobId)) {
+    public void onResolved(SchedulerEvent.DependencyResolved event) {
+        String jobId = event.jobId();
+        resolving.remove(jobId);
+        if (!dependents.containsKey(jobId)) {
             return;
         }
-        switch (found.standing()) {
+        switch (event.state()) {
             case DONE ->
-                    done(
+                    onDone(
                             jobId,
-                            found.overWallMicros() == 0
+                            event.endedWallMicros() == 0
                                     ? world.wallMicros
-                                    : found.overWallMicros());
-            case CANCELLED -> cancelled(jobId);
+                                    : event.endedWallMicros());
+            case CANCELLED -> onCancelled(jobId);
             case OPEN, NOT_FOUND, UNREADABLE -> {
                 if (!world.jobs.containsKey(jobId)) {
-                    unknown.put(jobId, world.nowMicros + FIND_AGAIN_MICROS);
+                    unknown.put(jobId, world.nowMicros + LOOKUP_RETRY_MICROS);
                 }
             }
         }
@@ -185,44 +185,45 @@
      * them.
      */
     public void review() {
-        while (!cancelled.isEmpty()) {
-            String jobId = cancelled.poll();
-            for (Job job : new ArrayList<>(waiters.getOrDefault(jobId, Set.of()))) {
+        while (!onCancelled.isEmpty()) {
+            String jobId = onCancelled.poll();
+            for (Job job : new ArrayList<>(dependents.getOrDefault(jobId, Set.of()))) {
                 if (!job.cancelled) {
                     job.cancelled = true;
-                    job.recording.needs(PersistenceState.WriteReason.LAUNCH);
+                    job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
                     world.log(
                             LogEntry.info(LogEvent.DEPENDENT_JOB_CANCELLED)
                                     .with("job", job.jobId())
                                     .with("dependency", jobId));
                 }
                 forget(job);
-                if (waiters.containsKey(job.jobId())) {
-                    cancelled.add(job.jobId());
+                if (dependents.containsKey(job.jobId())) {
+                    onCancelled.add(job.jobId());
                 }
             }
         }
-        ask();
+        resolveUnknown();
         if (changed) {
             changed = false;
-            inherit();
+            propagatePriorities();
         }
     }
 
-    private void ask() {
-        if (unknown.isEmpty() || asked.size() >= MOST_FINDS) {
+    private void resolveUnknown() {
+        if (unknown.isEmpty() || resolving.size() >= MAX_LOOKUPS) {
             return;
         }
         List<String> now = new ArrayList<>();
         for (Map.Entry<String, Long> entry : unknown.entrySet()) {
-            if (entry.getValue() <= world.nowMicros && asked.size() + now.size() < MOST_FINDS) {
+            if (entry.getValue() <= world.nowMicros
+                    && resolving.size() + now.size() < MAX_LOOKUPS) {
                 now.add(entry.getKey());
             }
         }
         for (String jobId : now) {
             unknown.remove(jobId);
             // A record that came meanwhile tells the rest by itself.
-            if (!world.jobs.containsKey(jobId) && asked.add(jobId)) {
+            if (!world.jobs.containsKey(jobId) && resolving.add(jobId)) {
                 world.emit(new SchedulerAction.ResolveDependency(jobId));
             }
         }
@@ -233,10 +234,10 @@
      * need it: priority inheritance, and the latest start on the longest path that remains. From
      * what waits last to what comes first.
      */
-    private void inherit() {
+    private void propagatePriorities() {
         Map<String, Priority> ranks = new HashMap<>();
         Map<String, Long> dues = new HashMap<>();
-        ArrayDeque<Job> open = new ArrayDeque<>(missing.keySet());
+        ArrayDeque<Job> open = new ArrayDeque<>(unfinishedDependencies.keySet());
         while (!open.isEmpty()) {
             Job job = open.poll();
             Priority inherited = ranks.get(job.jobId());
@@ -244,12 +245,15 @@
                     inherited != null && inherited.compareTo(job.description.priority()) > 0
                             ? inherited
                             : job.description.priority();
-            long due = Math.min(job.ownDueMicros(), dues.getOrDefault(job.jobId(), Long.MAX_VALUE));
+            long due =
+                    Math.min(
+                            job.ownDeadlineMicros(),
+                            dues.getOrDefault(job.jobId(), Long.MAX_VALUE));
             long start =
                     due == Long.MAX_VALUE
                             ? due
                             : due - (long) (job.description.estimatedRuntimeSeconds() * 1e6);
-            for (String before : missing.get(job)) {
+            for (String before : unfinishedDependencies.get(job)) {
                 boolean higher =
                         ranks.get(before) == null || ranks.get(before).compareTo(priority) < 0;
                 boolean sooner = dues.getOrDefault(before, Long.MAX_VALUE) > start;
@@ -259,16 +263,16 @@
                 ranks.merge(before, priority, (a, b) -> a.compareTo(b) >= 0 ? a : b);
                 dues.merge(before, start, Math::min);
                 Job other = world.jobs.get(before);
-                if (other != null && missing.containsKey(other)) {
+                if (other != null && unfinishedDependencies.containsKey(other)) {
                     open.add(other);
                 }
             }
         }
         for (Job job : world.jobs.values()) {
-            job.inherit(
+            job.inheritFromDependents(
                     ranks.getOrDefault(job.jobId(), job.description.priority()),
                     dues.getOrDefault(job.jobId(), Long.MAX_VALUE));
         }
-        world.placementWorthTrying = true;
+        world.placementNeeded = true;
     }
 }
--- a/src/main/java/org/woadloom/core/jobs/Job.java
+++ b/src/main/java/org/woadloom/core/jobs/Job.java
@@ -25,7 +25,7 @@
     private static final long PREEMPTION_MEMORY_MICROS = 30_000_000;
 
     public final JobDescription description;
-    public final Resources room;
+    public final Resources taskResources;
     public final TeamQuota team;
     public final long submittedWallMicros;
     public final long submittedMicros;
@@ -34,7 +34,7 @@
      * From when on the job's times count, its deadline apart: its submission, or when the last job
      * before it was done.
      */
-    private long sinceMicros;
+    private long queuedSinceMicros;
 
     /**
      * When the last job before it was done by the time of day, 0 where it waits still or waited for
@@ -43,7 +43,7 @@
     private long readyWallMicros;
 
     /** Must not start: a job before it is not known to be done. */
-    private boolean waiting;
+    private boolean isBlocked;
 
     /** Its own rank, or a higher one of a job that needs it. */
     private Priority priority;
@@ -52,22 +52,22 @@
      * By when it has to be done for itself, or for the jobs that need it; {@link Long#MAX_VALUE}
      * for no such time.
      */
-    private long dueMicros;
+    private long deadlineMicros;
 
     private int descriptionSize;
 
     /** Tasks that are done: a subset of this may not be durable yet. */
-    public final BitSet done;
+    public final BitSet completedTasks;
 
-    private int doneCount;
-    public final PersistenceState recording;
+    private int completedCount;
+    public final PersistenceState persistence;
 
     /** Done or placed: what is clear here is pending. */
-    private final BitSet taken = new BitSet();
+    private final BitSet takenTasks = new BitSet();
 
     private int takenCount;
-    private final Int2ObjectHashMap<TaskAttempt> placements = new Int2ObjectHashMap<>();
-    private final Map<String, Integer> perYard = new LinkedHashMap<>();
+    private final Int2ObjectHashMap<TaskAttempt> attempts = new Int2ObjectHashMap<>();
+    private final Map<String, Integer> attemptsByZone = new LinkedHashMap<>();
     public boolean cancelled;
 
     /** The job was cancelled at this moment or later. */
@@ -77,13 +77,13 @@
     public boolean finished;
 
     /** Fits into the team's guarantee together with the team's earlier jobs. */
-    public boolean guaranteed;
+    public boolean withinGuarantee;
 
     public int failures;
     private long firstPlacedMicros = NEVER_MICROS;
     private int preemptions;
     private long preemptedMicros = Long.MIN_VALUE / 2;
-    public long notBeforeMicros;
+    public long placeNotBeforeMicros;
 
     /** Machines on which tasks of the job ended with an error. */
     public final Set<String> failedOn = new LinkedHashSet<>();
@@ -96,60 +96,60 @@
             long revision,
             TeamQuota team,
             long submittedMicros,
-            Set<Job> unrecorded) {
+            Set<Job> jobsToPersist) {
         this.description = record.description();
-        this.room = Resources.of(record.description());
+        this.taskResources = Resources.of(record.description());
         this.team = team;
         this.submittedWallMicros = record.submittedWallMicros();
         this.submittedMicros = submittedMicros;
-        this.done = (BitSet) record.done().clone();
-        this.taken.or(record.done());
-        this.takenCount = taken.cardinality();
+        this.completedTasks = (BitSet) record.done().clone();
+        this.takenTasks.or(record.done());
+        this.takenCount = takenTasks.cardinality();
         this.cancelled = record.cancelled();
-        this.recording = new PersistenceState(revision, () -> unrecorded.add(this));
-        this.doneCount = done.cardinality();
+        this.persistence = new PersistenceState(revision, () -> jobsToPersist.add(this));
+        this.completedCount = completedTasks.cardinality();
         this.readyWallMicros = record.readyWallMicros();
-        this.waiting = !record.description().dependencies().isEmpty();
-        this.sinceMicros =
+        this.isBlocked = !record.description().dependencies().isEmpty();
+        this.queuedSinceMicros =
                 readyWallMicros == 0
                         ? submittedMicros
                         : submittedMicros + Math.max(0, readyWallMicros - submittedWallMicros);
         this.priority = description.priority();
-        this.dueMicros = ownDueMicros();
+        this.deadlineMicros = ownDeadlineMicros();
     }
 
-    long ownDueMicros() {
+    long ownDeadlineMicros() {
         return description.deadlineSeconds() == null
                 ? Long.MAX_VALUE
                 : submittedMicros + (long) (description.deadlineSeconds() * 1e6);
     }
 
     /** True while the job must not start: it is queued, holds no room and asks for none. */
-    public boolean waiting() {
-        return waiting;
+    public boolean isBlocked() {
+        return isBlocked;
     }
 
     /** Every job before it is done, durably. */
-    void ready(long nowMicros, long wallMicros) {
-        waiting = false;
-        sinceMicros = Math.max(submittedMicros, nowMicros);
+    void unblock(long nowMicros, long wallMicros) {
+        isBlocked = false;
+        queuedSinceMicros = Math.max(submittedMicros, nowMicros);
         readyWallMicros = wallMicros;
     }
 
-    public long sinceMicros() {
-        return sinceMicros;
+    public long queuedSinceMicros() {
+        return queuedSinceMicros;
     }
 
     public Priority priority() {
         return priority;
     }
 
-    public long dueMicros() {
-        return dueMicros;
+    public long deadlineMicros() {
+        return deadlineMicros;
     }
 
     /** A task of the job is stopped for another job. */
-    public void preempted(long nowMicros) {
+    public void onPreempted(long nowMicros) {
         if (nowMicros == preemptedMicros) {
             return;
         }
@@ -165,19 +165,23 @@
      * whatever hole there is, they would be stopped again for the next job of a higher rank, dozens
      * of times.
      */
-    public boolean backsOff(long nowMicros) {
+    public boolean isBackingOff(long nowMicros) {
         return preemptions > 0
                 && nowMicros - preemptedMicros < PREEMPTION_BACKOFF_MICROS << preemptions;
     }
 
     /** What the jobs that need this one ask of it. */
-    void inherit(Priority highest, long earliestMicros) {
+    void inheritFromDependents(Priority highestPriority, long earliestDeadlineMicros) {
         Priority before = priority;
-        priority = highest.compareTo(description.priority()) > 0 ? highest : description.priority();
-        dueMicros = Math.min(ownDueMicros(), earliestMicros);
+        priority =
+                highestPriority.compareTo(description.priority()) > 0
+                        ? highestPriority
+                        : description.priority();
+        deadlineMicros = Math.min(ownDeadlineMicros(), earliestDeadlineMicros);
         if (before != priority) {
             preemptions = 0;
-            placements.values().forEach(placement -> placement.machine.reranked(placement, before));
+            attempts.values()
+                    .forEach(attempt -> attempt.machine.onPriorityChanged(attempt, before));
         }
     }
 
@@ -185,12 +189,12 @@
         return description.jobId();
     }
 
-    public int doneCount() {
-        return doneCount;
+    public int completedCount() {
+        return completedCount;
     }
 
-    public boolean allDone() {
-        return !description.isService() && doneCount == description.taskCount();
+    public boolean isComplete() {
+        return !description.isService() && completedCount == description.taskCount();
     }
 
     /**
@@ -204,12 +208,12 @@
     }
 
     /** True when nothing is left to run: only tasks that must go may still be somewhere. */
-    public boolean over() {
-        return finished || cancelled || allDone();
+    public boolean isOver() {
+        return finished || cancelled || isComplete();
     }
 
-    public Collection<TaskAttempt> placements() {
-        return placements.values();
+    public Collection<TaskAttempt> attempts() {
+        return attempts.values();
     }
 
     /**
@@ -221,112 +225,112 @@
     }
 
     /** Some of it is done, or on a machine, or about to be. */
-    public boolean begun() {
-        return doneCount > 0 || !placements.isEmpty();
+    public boolean hasStarted() {
+        return completedCount > 0 || !attempts.isEmpty();
     }
 
-    public TaskAttempt placement(int index) {
-        return placements.get(index);
+    public TaskAttempt attempt(int index) {
+        return attempts.get(index);
     }
 
-    public int placedIn(String zone) {
-        return perYard.getOrDefault(zone, 0);
+    public int attemptsInZone(String zone) {
+        return attemptsByZone.getOrDefault(zone, 0);
     }
 
     /** The zones in which tasks of the job are or may be. */
     public Collection<String> zones() {
-        return perYard.keySet();
+        return attemptsByZone.keySet();
     }
 
     /** How many tasks are or may be in each zone. */
     public Map<String, Integer> tasksByZone() {
-        return Collections.unmodifiableMap(perYard);
+        return Collections.unmodifiableMap(attemptsByZone);
     }
 
-    public int pending() {
-        return over() || waiting ? 0 : description.taskCount() - takenCount;
+    public int pendingTasks() {
+        return isOver() || isBlocked ? 0 : description.taskCount() - takenCount;
     }
 
     /** How many more of its tasks the team's limit allows. */
-    public int allowed() {
-        return allowed(Resources.NONE);
+    public int allowedTasks() {
+        return allowedTasks(Resources.NONE);
     }
 
     /** The same, where the first tasks give back what was held for them. */
-    public int allowed(Resources credit) {
-        return team.allowed(room, this, credit);
+    public int allowedTasks(Resources credit) {
+        return team.allowedTasks(taskResources, this, credit);
     }
 
     public int nextPending(int from) {
-        int next = taken.nextClearBit(from);
+        int next = takenTasks.nextClearBit(from);
         return next < description.taskCount() ? next : -1;
     }
 
-    public void add(TaskAttempt placement) {
-        if (waiting) {
+    public void add(TaskAttempt attempt) {
+        if (isBlocked) {
             throw new IllegalStateException("job " + jobId() + " waits for others");
         }
         if (firstPlacedMicros == NEVER_MICROS) {
             // An earlier leader placed what is inherited: when is not known, and it is not said to
             // have waited until now.
             firstPlacedMicros =
-                    placement.stage == TaskAttempt.Stage.INHERITED
-                            ? sinceMicros
-                            : placement.placedMicros;
+                    attempt.stage == TaskAttempt.Stage.RECOVERED
+                            ? queuedSinceMicros
+                            : attempt.placedMicros;
         }
-        placements.put(placement.index, placement);
-        take(placement.index);
-        perYard.merge(placement.machine.zone, 1, Integer::sum);
-        placement.machine.add(placement);
-        team.add(room);
+        attempts.put(attempt.index, attempt);
+        markTaken(attempt.index);
+        attemptsByZone.merge(attempt.machine.zone, 1, Integer::sum);
+        attempt.machine.add(attempt);
+        team.add(taskResources);
     }
 
-    public void remove(TaskAttempt placement) {
-        if (placements.get(placement.index) != placement) {
+    public void remove(TaskAttempt attempt) {
+        if (attempts.get(attempt.index) != attempt) {
             return;
         }
-        placements.remove(placement.index);
-        if (!done.get(placement.index) && taken.get(placement.index)) {
-            taken.clear(placement.index);
+        attempts.remove(attempt.index);
+        if (!completedTasks.get(attempt.index) && takenTasks.get(attempt.index)) {
+            takenTasks.clear(attempt.index);
             takenCount--;
         }
-        perYard.computeIfPresent(
-                placement.machine.zone, (zone, count) -> count == 1 ? null : count - 1);
-        placement.machine.remove(placement);
-        team.subtract(room);
+        attemptsByZone.computeIfPresent(
+                attempt.machine.zone, (zone, count) -> count == 1 ? null : count - 1);
+        attempt.machine.remove(attempt);
+        team.subtract(taskResources);
     }
 
     /** Placements whose record has become durable may be launched. */
-    public void release() {
-        for (TaskAttempt placement : placements.values()) {
-            if (placement.stage == TaskAttempt.Stage.PLANNED
-                    && placement.version <= recording.durable) {
-                placement.ready();
+    public void releaseDurableAttempts() {
+        for (TaskAttempt attempt : attempts.values()) {
+            if (attempt.stage == TaskAttempt.Stage.PLANNED
+                    && attempt.version <= persistence.durableVersion) {
+                attempt.markReady();
             }
         }
     }
 
-    private void take(int index) {
-        if (!taken.get(index)) {
-            taken.set(index);
+    private void markTaken(int index) {
+        if (!takenTasks.get(index)) {
+            takenTasks.set(index);
             takenCount++;
         }
     }
 
-    public boolean markDone(int index) {
-        if (done.get(index)) {
+    public boolean markCompleted(int index) {
+        if (completedTasks.get(index)) {
             return false;
         }
-        done.set(index);
-        doneCount++;
-        take(index);
+        completedTasks.set(index);
+        completedCount++;
+        markTaken(index);
         return true;
     }
 
-    public int running() {
+    public int runningTasks() {
         int running = 0;
-        for (TaskAttempt placement : placements.values()) {
-            if (placement.seen == TaskStatus.State.RUNNING) {
+        for (TaskAttempt attempt : attempts.values()) {
+            if (attempt.reportedState == TaskStatus.State.RUNNING) {
                 running++;
             }
         }
@@ -336,7 +340,7 @@
     /** The record as it should be written now. */
     public JobRecord toRecord(long term, long version) {
         Map<String, JobRecord.RecordedAttempt> groups = new LinkedHashMap<>();
-        List<TaskAttempt> ordered = new ArrayList<>(placements.values());
+        List<TaskAttempt> ordered = new ArrayList<>(attempts.values());
         ordered.sort((a, b) -> Integer.compare(a.index, b.index));
         for (TaskAttempt p : ordered) {
             groups.computeIfAbsent(
@@ -348,13 +352,13 @@
                     .set(p.index);
         }
         return new JobRecord(
-                waiting ? description : description.withoutDependencies(),
+                isBlocked ? description : description.withoutDependencies(),
                 submittedWallMicros,
                 readyWallMicros,
                 cancelled,
-                (BitSet) done.clone(),
+                (BitSet) completedTasks.clone(),
                 List.copyOf(groups.values()),
-                running(),
+                runningTasks(),
                 term,
                 version);
     }
--- a/src/main/java/org/woadloom/core/jobs/JobPersister.java
+++ b/src/main/java/org/woadloom/core/jobs/JobPersister.java
@@ -21,93 +21,97 @@
     private static final long TOO_LARGE_MICROS = 1_000_000;
 
     /** How much sooner than by its turn a launch is written. */
-    private static final long LAUNCH_AHEAD_MICROS = 2_000_000;
+    private static final long IMMEDIATE_AHEAD_MICROS = 2_000_000;
 
     /**
      * Ends and cancellations first, then what was written longest ago, launches with a start: no
      * completion starves.
      */
-    private static final Comparator<Job> ORDER =
-            Comparator.comparing((Job job) -> !job.over())
+    private static final Comparator<Job> WRITE_ORDER =
+            Comparator.comparing((Job job) -> !job.isOver())
                     .thenComparingLong(
                             job ->
-                                    job.recording.lastWriteMicros
-                                            - (job.recording.need
-                                                            == PersistenceState.WriteReason.LAUNCH
-                                                    ? LAUNCH_AHEAD_MICROS
+                                    job.persistence.lastWriteMicros
+                                            - (job.persistence.pendingReason
+                                                            == PersistenceState.WriteReason
+                                                                    .IMMEDIATE
+                                                    ? IMMEDIATE_AHEAD_MICROS
                                                     : 0));
 
     private final SchedulerState world;
-    private final JobRegistry table;
+    private final JobRegistry jobs;
 
-    public JobPersister(SchedulerState world, JobRegistry table) {
+    public JobPersister(SchedulerState world, JobRegistry jobs) {
         this.world = world;
-        this.table = table;
+        this.jobs = jobs;
     }
 
     public void emitWrites() {
         List<Job> due = new ArrayList<>();
-        List<Job> gone = new ArrayList<>();
-        world.unrecorded.removeIf(
+        List<Job> replaced = new ArrayList<>();
+        world.jobsToPersist.removeIf(
                 job ->
                         job.finished
-                                || job.recording.need == PersistenceState.WriteReason.NONE
-                                        && !job.recording.reading);
-        for (Job job : world.unrecorded) {
-            PersistenceState recording = job.recording;
-            if (recording.gone()) {
-                if (job.placements().isEmpty()) {
-                    gone.add(job);
+                                || job.persistence.pendingReason
+                                                == PersistenceState.WriteReason.NONE
+                                        && !job.persistence.readNeeded);
+        for (Job job : world.jobsToPersist) {
+            PersistenceState persistence = job.persistence;
+            if (persistence.isReplaced()) {
+                if (job.attempts().isEmpty()) {
+                    replaced.add(job);
                 }
                 continue;
             }
-            if (world.nowMicros < recording.retryMicros) {
+            if (world.nowMicros < persistence.retryAtMicros) {
                 continue;
             }
-            if (recording.reading) {
-                if (!recording.readSent) {
-                    recording.readSent = true;
-                    recording.retryMicros = world.nowMicros + RETRY_MICROS;
+            if (persistence.readNeeded) {
+                if (!persistence.readInFlight) {
+                    persistence.readInFlight = true;
+                    persistence.retryAtMicros = world.nowMicros + RETRY_MICROS;
                     world.emit(new SchedulerAction.ReadJob(job.jobId()));
                 }
-            } else if (recording.writing == 0 && due(job)) {
+            } else if (persistence.versionInFlight == 0 && isDue(job)) {
                 due.add(job);
             }
         }
-        gone.forEach(job -> table.finished(job, false));
+        replaced.forEach(job -> jobs.onFinished(job, false));
         if (due.size() > 1) {
-            due.sort(ORDER);
+            due.sort(WRITE_ORDER);
         }
         for (Job job : due) {
-            if (job.over() ? world.writes.allowsEnd() : world.writes.allowsJob()) {
+            if (job.isOver()
+                    ? world.writeBudget.allowsFinalState()
+                    : world.writeBudget.allowsJob()) {
                 write(job);
             }
         }
     }
 
     private void write(Job job) {
-        PersistenceState recording = job.recording;
-        if (job.over() && job.placements().isEmpty()) {
-            world.writes.job(2);
-            recording.finishing = true;
-            long version = recording.begin(world.nowMicros, job.allDone());
+        PersistenceState persistence = job.persistence;
+        if (job.isOver() && job.attempts().isEmpty()) {
+            world.writeBudget.takeJob(2);
+            persistence.finalStateInFlight = true;
+            long version = persistence.beginWrite(world.nowMicros, job.isComplete());
             world.emit(
                     new SchedulerAction.WriteFinalState(
                             new FinalRecord(
                                     job.jobId(),
                                     job.cancelled,
-                                    job.done.cardinality(),
+                                    job.completedTasks.cardinality(),
                                     world.wallMicros,
                                     job.description.isService()),
-                            recording.revision,
+                            persistence.revision,
                             version));
         } else {
-            world.writes.job(1);
-            boolean urgent = recording.need == PersistenceState.WriteReason.LAUNCH;
-            long version = recording.begin(world.nowMicros, job.allDone());
+            world.writeBudget.takeJob(1);
+            boolean urgent = persistence.pendingReason == PersistenceState.WriteReason.IMMEDIATE;
+            long version = persistence.beginWrite(world.nowMicros, job.isComplete());
             world.emit(
                     new SchedulerAction.WriteJob(
-                            job.toRecord(world.term, version), recording.revision, urgent));
+                            job.toRecord(world.term, version), persistence.revision, urgent));
         }
     }
 
@@ -115,28 +119,30 @@
      * Outcomes and phases are gathered for a while; whatever the budget does not allow yet is
      * written later, as one.
      */
-    private boolean due(Job job) {
-        long since = world.nowMicros - job.recording.lastWriteMicros;
-        return switch (job.recording.need) {
+    private boolean isDue(Job job) {
+        long since = world.nowMicros - job.persistence.lastWriteMicros;
+        return switch (job.persistence.pendingReason) {
             case NONE -> false;
             case PHASE -> since >= PHASE_MICROS;
             case OUTCOME -> since >= OUTCOME_MICROS;
-            case LAUNCH -> true;
+            case IMMEDIATE -> true;
         };
     }
 
-    public void written(SchedulerEvent.JobWriteCompleted result) {
+    public void onWriteCompleted(SchedulerEvent.JobWriteCompleted result) {
         Job job = world.jobs.get(result.jobId());
         if (job == null) {
             return;
         }
-        PersistenceState recording = job.recording;
+        PersistenceState persistence = job.persistence;
         switch (result.outcome()) {
             case WRITTEN -> {
-                boolean finishing = recording.finishing && recording.writing == result.version();
-                recording.confirmed(result.version(), result.revision());
-                job.release();
-                table.doneDurably(job);
+                boolean finishing =
+                        persistence.finalStateInFlight
+                                && persistence.versionInFlight == result.version();
+                persistence.onWriteConfirmed(result.version(), result.revision());
+                job.releaseDurableAttempts();
+                jobs.onWriteAcknowledged(job);
                 if (finishing) {
                     world.log(
                             LogEntry.info(
@@ -144,26 +150,26 @@
                                                     ? LogEvent.JOB_CANCELLED
                                                     : LogEvent.JOB_DONE)
                                     .with("job", job.jobId()));
-                    table.finished(job, true);
+                    jobs.onFinished(job, true);
                 }
             }
             case CONFLICT, UNKNOWN -> {
-                if (recording.writing == result.version()) {
+                if (persistence.versionInFlight == result.version()) {
                     // Nothing may be concluded from a write without an answer: read before the next
                     // one.
-                    recording.reading = true;
-                    recording.readSent = false;
-                    world.unrecorded.add(job);
+                    persistence.readNeeded = true;
+                    persistence.readInFlight = false;
+                    world.jobsToPersist.add(job);
                 }
             }
             case TOO_LARGE -> {
-                if (recording.writing == result.version()) {
-                    tooLarge(job);
+                if (persistence.versionInFlight == result.version()) {
+                    onRecordTooLarge(job);
                 }
             }
             case NOT_WRITTEN -> {
-                if (recording.writing == result.version()) {
-                    recording.refused(world.nowMicros + RETRY_MICROS);
+                if (persistence.versionInFlight == result.version()) {
+                    persistence.onWriteRefused(world.nowMicros + RETRY_MICROS);
                 }
             }
         }
@@ -174,17 +180,18 @@
      * what else it should say waits until tasks have ended and it is shorter: the stored one names
      * at least as much as there is.
      */
-    private void tooLarge(Job job) {
-        job.recording.refused(world.nowMicros + TOO_LARGE_MICROS);
+    private void onRecordTooLarge(Job job) {
+        job.persistence.onWriteRefused(world.nowMicros + TOO_LARGE_MICROS);
         int planned = 0;
-        for (TaskAttempt placement : new ArrayList<>(job.placements())) {
-            if (placement.stage == TaskAttempt.Stage.PLANNED) {
-                job.remove(placement);
+        for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
+            if (attempt.stage == TaskAttempt.Stage.PLANNED) {
+                job.remove(attempt);
                 planned++;
             }
         }
-        job.notBeforeMicros = Math.max(job.notBeforeMicros, world.nowMicros + TOO_LARGE_MICROS);
-        world.placementWorthTrying = true;
+        job.placeNotBeforeMicros =
+                Math.max(job.placeNotBeforeMicros, world.nowMicros + TOO_LARGE_MICROS);
+        world.placementNeeded = true;
         world.log(
                 LogEntry.info(LogEvent.JOB_RECORD_TOO_LARGE)
                         .with("job", job.jobId())
@@ -192,11 +199,11 @@
     }
 
     /** A read that got no answer is sent again. */
-    public void readFailed(String jobId) {
+    public void onReadFailed(String jobId) {
         Job job = world.jobs.get(jobId);
-        if (job != null && job.recording.reading) {
-            job.recording.readSent = false;
-            job.recording.retryMicros = world.nowMicros + RETRY_MICROS;
+        if (job != null && job.persistence.readNeeded) {
+            job.persistence.readInFlight = false;
+            job.persistence.retryAtMicros = world.nowMicros + RETRY_MICROS;
         }
     }
 }
--- a/src/main/java/org/woadloom/core/jobs/JobRegistry.java
+++ b/src/main/java/org/woadloom/core/jobs/JobRegistry.java
@@ -31,60 +31,60 @@
             if (machine == null) {
                 // A machine's record is dropped only after its deletion was answered, so nothing is
                 // left there.
-                job.recording.needs(PersistenceState.WriteReason.OUTCOME);
+                job.persistence.requestWrite(PersistenceState.WriteReason.OUTCOME);
                 continue;
             }
             for (int i = placed.tasks().nextSetBit(0);
                     i >= 0;
                     i = placed.tasks().nextSetBit(i + 1)) {
-                TaskAttempt placement =
+                TaskAttempt attempt =
                         new TaskAttempt(job, i, machine, placed.attempt(), 0, world.nowMicros);
-                placement.stage = TaskAttempt.Stage.INHERITED;
-                job.add(placement);
-                if (job.over() || job.done.get(i)) {
-                    placement.halt(0);
+                attempt.stage = TaskAttempt.Stage.RECOVERED;
+                job.add(attempt);
+                if (job.isOver() || job.completedTasks.get(i)) {
+                    attempt.stop(0);
                 }
             }
         }
-        if (job.over() && job.placements().isEmpty()) {
-            job.recording.needs(PersistenceState.WriteReason.LAUNCH);
+        if (job.isOver() && job.attempts().isEmpty()) {
+            job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
         }
     }
 
     /** A record that came from another node, from the watch or from a read. */
-    public void seen(JobRecord record, long revision) {
+    public void onRecord(JobRecord record, long revision) {
         Job job = world.jobs.get(record.description().jobId());
         if (job == null) {
             if (record.term() < world.term && record.attempts().isEmpty()) {
                 Job created = create(record, revision);
                 if (created != null) {
-                    if (created.over()) {
-                        created.recording.needs(PersistenceState.WriteReason.LAUNCH);
+                    if (created.isOver()) {
+                        created.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
                     }
                     logAccepted(record.description());
                 }
-                world.placementWorthTrying = true;
+                world.placementNeeded = true;
             }
             return;
         }
-        PersistenceState recording = job.recording;
-        boolean answersRead = recording.reading && recording.readSent;
-        if (revision < recording.revision) {
+        PersistenceState persistence = job.persistence;
+        boolean answersRead = persistence.readNeeded && persistence.readInFlight;
+        if (revision < persistence.revision) {
             return;
         }
-        if (record.term() == world.term && record.version() > recording.durable) {
+        if (record.term() == world.term && record.version() > persistence.durableVersion) {
             // One of this term's own writes: it is durable, whatever became of the answer.
-            recording.durable = record.version();
-            job.release();
-            doneDurably(job);
+            persistence.durableVersion = record.version();
+            job.releaseDurableAttempts();
+            onWriteAcknowledged(job);
         }
-        recording.revision = revision;
+        persistence.revision = revision;
         if (record.cancelled() && !job.cancelled) {
             cancel(job);
         }
         if (answersRead) {
             // The record may lack what the lost write held; the next write carries everything.
-            recording.readAgain();
+            persistence.onRecordRead();
         }
     }
 
@@ -92,20 +92,20 @@
      * A record that can't be read is damaged: what this leader knows of the job is written in its
      * place.
      */
-    public void unread(SchedulerEvent.JobRecordDamaged unread) {
-        Job job = world.jobs.get(unread.jobId());
-        if (job == null || unread.revision() < job.recording.revision) {
+    public void onDamagedRecord(SchedulerEvent.JobRecordDamaged event) {
+        Job job = world.jobs.get(event.jobId());
+        if (job == null || event.revision() < job.persistence.revision) {
             return;
         }
         world.log(LogEntry.info(LogEvent.JOB_RECORD_DAMAGED).with("job", job.jobId()));
-        job.recording.revision = unread.revision();
-        if (unread.cancelled() && !job.cancelled) {
+        job.persistence.revision = event.revision();
+        if (event.cancelled() && !job.cancelled) {
             cancel(job);
         }
-        if (job.recording.reading && job.recording.readSent) {
-            job.recording.readAgain();
+        if (job.persistence.readNeeded && job.persistence.readInFlight) {
+            job.persistence.onRecordRead();
         } else {
-            job.recording.needs(PersistenceState.WriteReason.LAUNCH);
+            job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
         }
     }
 
@@ -113,7 +113,7 @@
      * Users may hear that these are cancelled; the records, on whose stamps all else depends, are
      * read when they can be.
      */
-    public void told(List<String> jobIds) {
+    public void onCancellationsConfirmed(List<String> jobIds) {
         for (String jobId : jobIds) {
             Job job = world.jobs.get(jobId);
             if (job != null && !job.cancelled) {
@@ -127,23 +127,23 @@
      * damaged and a cancellation's final state took its place. What waits for the job must not
      * start on a guess, and what may be on machines counts until it is not.
      */
-    public void missing(String jobId) {
+    public void onRecordNotFound(String jobId) {
         Job job = world.jobs.get(jobId);
-        if (job == null || !job.recording.reading || !job.recording.readSent) {
+        if (job == null || !job.persistence.readNeeded || !job.persistence.readInFlight) {
             return;
         }
-        world.served.look(job);
-        halt(job);
-        if (job.placements().isEmpty()) {
-            finished(job, false);
+        world.serviceLevels.observe(job);
+        stopAll(job);
+        if (job.attempts().isEmpty()) {
+            onFinished(job, false);
         } else {
             world.log(
                     LogEntry.info(LogEvent.JOB_ENDED_ELSEWHERE)
                             .with("job", jobId)
-                            .with("tasks", job.placements().size()));
+                            .with("tasks", job.attempts().size()));
             job.cancelled = true;
-            job.recording.replaced();
-            world.placementWorthTrying = true;
+            job.persistence.onReplaced();
+            world.placementNeeded = true;
         }
     }
 
@@ -154,15 +154,15 @@
      *
      * @param known false if only the store knows whether it was done or cancelled
      */
-    public void finished(Job job, boolean known) {
-        for (TaskAttempt placement : new ArrayList<>(job.placements())) {
-            job.remove(placement);
+    public void onFinished(Job job, boolean outcomeKnown) {
+        for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
+            job.remove(attempt);
         }
         job.finished = true;
         world.jobs.remove(job.jobId());
-        world.served.over(job);
-        world.pipelines.gone(job, known);
-        world.placementWorthTrying = true;
+        world.serviceLevels.onJobEnded(job);
+        world.dependencies.onJobRemoved(job, outcomeKnown);
+        world.placementNeeded = true;
     }
 
     private void logAccepted(JobDescription job) {
@@ -186,47 +186,47 @@
             return null;
         }
         long age = Math.max(0, world.wallMicros - record.submittedWallMicros());
-        Job job = new Job(record, revision, team, world.nowMicros - age, world.unrecorded);
+        Job job = new Job(record, revision, team, world.nowMicros - age, world.jobsToPersist);
         world.jobs.put(job.jobId(), job);
-        world.served.come(job);
-        world.jobsCome++;
+        world.serviceLevels.onJobAdded(job);
+        world.jobArrivals++;
         if (record.isComplete()) {
-            job.recording.readAsDone();
+            job.persistence.onReadAsComplete();
         }
-        if (!job.waiting()) {
-            world.arrivals.add(job, world.nowMicros);
+        if (!job.isBlocked()) {
+            world.demand.add(job, world.nowMicros);
         }
-        world.pipelines.add(job);
+        world.dependencies.onJobAdded(job);
         return job;
     }
 
     /** To be called when a write was acknowledged: what waits for a job that is done may go on. */
-    void doneDurably(Job job) {
-        if (job.recording.doneDurably()) {
-            world.pipelines.done(job.jobId(), world.wallMicros);
+    void onWriteAcknowledged(Job job) {
+        if (job.persistence.isCompletionDurable()) {
+            world.dependencies.onDone(job.jobId(), world.wallMicros);
         }
     }
 
     private void cancel(Job job) {
-        world.served.look(job);
+        world.serviceLevels.observe(job);
         job.cancelled = true;
-        job.cancelledSinceMicros = world.cancellationsSeenMicros;
+        job.cancelledSinceMicros = world.cancellationsReadUpToMicros;
         world.log(LogEntry.info(LogEvent.JOB_CANCEL_REQUESTED).with("job", job.jobId()));
-        world.pipelines.cancelled(job.jobId());
-        halt(job);
-        if (job.placements().isEmpty()) {
-            job.recording.needs(PersistenceState.WriteReason.LAUNCH);
+        world.dependencies.onCancelled(job.jobId());
+        stopAll(job);
+        if (job.attempts().isEmpty()) {
+            job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
         }
-        world.placementWorthTrying = true;
+        world.placementNeeded = true;
     }
 
     /** Stops everything of a job that is over. What was never sent is gone at once. */
-    public void halt(Job job) {
-        for (TaskAttempt placement : new ArrayList<>(job.placements())) {
-            if (placement.neverSent()) {
-                job.remove(placement);
+    public void stopAll(Job job) {
+        for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
+            if (attempt.wasNeverSent()) {
+                job.remove(attempt);
             } else {
-                placement.halt(0);
+                attempt.stop(0);
             }
         }
     }
--- a/src/main/java/org/woadloom/core/jobs/PersistenceState.java
+++ b/src/main/java/org/woadloom/core/jobs/PersistenceState.java
@@ -7,125 +7,125 @@
         NONE,
         PHASE,
         OUTCOME,
-        LAUNCH
+        IMMEDIATE
     }
 
-    private final Runnable needed;
+    private final Runnable onWriteNeeded;
 
     /** The record's stamp as far as known. */
     public long revision;
 
     /** Versions up to this one are durable. */
-    public long durable;
+    public long durableVersion;
 
     /** The first version in which all tasks are done, 0 while there is none. */
-    private long doneVersion;
+    private long completionVersion;
 
     /** The version that is being written, 0 for none. */
-    public long writing;
+    public long versionInFlight;
 
-    private long next = 1;
-    public WriteReason need = WriteReason.NONE;
-    private boolean readDone;
+    private long nextVersion = 1;
+    public WriteReason pendingReason = WriteReason.NONE;
+    private boolean readAsComplete;
 
     /**
      * The answer to a write was lost or it met a conflict: the record must be read before the next
      * write.
      */
-    public boolean reading;
+    public boolean readNeeded;
 
-    public boolean readSent;
+    public boolean readInFlight;
     public long lastWriteMicros = Long.MIN_VALUE / 2;
-    public long retryMicros;
+    public long retryAtMicros;
 
     /**
      * There is none any more, and the final state that took its place is not this leader's: nothing
      * is written.
      */
-    private boolean gone;
+    private boolean isReplaced;
 
     /** The final state is being written or is written. */
-    public boolean finishing;
+    public boolean finalStateInFlight;
 
     /**
      * @param needed hears when the record needs anything
      */
-    PersistenceState(long revision, Runnable needed) {
+    PersistenceState(long revision, Runnable onWriteNeeded) {
         this.revision = revision;
-        this.needed = needed;
+        this.onWriteNeeded = onWriteNeeded;
     }
 
     /** The version that the next write will have; a change made now is durable with it. */
     public long nextVersion() {
-        return next;
+        return nextVersion;
     }
 
-    public void needs(WriteReason at) {
-        if (at.compareTo(need) > 0) {
-            need = at;
-            needed.run();
+    public void requestWrite(WriteReason reason) {
+        if (reason.compareTo(pendingReason) > 0) {
+            pendingReason = reason;
+            onWriteNeeded.run();
         }
     }
 
-    public long begin(long nowMicros, boolean allDone) {
-        writing = next++;
-        if (allDone && doneVersion == 0) {
-            doneVersion = writing;
+    public long beginWrite(long nowMicros, boolean allDone) {
+        versionInFlight = nextVersion++;
+        if (allDone && completionVersion == 0) {
+            completionVersion = versionInFlight;
         }
-        need = WriteReason.NONE;
+        pendingReason = WriteReason.NONE;
         lastWriteMicros = nowMicros;
-        return writing;
+        return versionInFlight;
     }
 
     /**
      * The write was not executed; what it held is still to be written, not before the given time.
      */
-    void refused(long againMicros) {
-        writing = 0;
-        finishing = false;
-        needs(WriteReason.LAUNCH);
-        retryMicros = againMicros;
+    void onWriteRefused(long retryAtMicros) {
+        versionInFlight = 0;
+        finalStateInFlight = false;
+        requestWrite(WriteReason.IMMEDIATE);
+        this.retryAtMicros = retryAtMicros;
     }
 
     /**
      * The record was read after a write without a clear outcome: everything is written again on its
      * stamp.
      */
-    void readAgain() {
-        reading = false;
-        readSent = false;
-        writing = 0;
-        finishing = false;
-        needs(WriteReason.LAUNCH);
+    void onRecordRead() {
+        readNeeded = false;
+        readInFlight = false;
+        versionInFlight = 0;
+        finalStateInFlight = false;
+        requestWrite(WriteReason.IMMEDIATE);
     }
 
     /** Another's final state has taken the record's place. */
-    void replaced() {
-        gone = true;
-        reading = false;
-        need = WriteReason.NONE;
+    void onReplaced() {
+        isReplaced = true;
+        readNeeded = false;
+        pendingReason = WriteReason.NONE;
     }
 
-    boolean gone() {
-        return gone;
+    boolean isReplaced() {
+        return isReplaced;
     }
 
     /** The record as it was read says that all is done. */
-    void readAsDone() {
-        readDone = true;
+    void onReadAsComplete() {
+        readAsComplete = true;
     }
 
     /** True once the store says that all tasks are done. */
-    boolean doneDurably() {
-        return readDone || doneVersion > 0 && durable >= doneVersion;
+    boolean isCompletionDurable() {
+        return readAsComplete || completionVersion > 0 && durableVersion >= completionVersion;
     }
 
-    public void confirmed(long version, long newRevision) {
-        durable = Math.max(durable, version);
+    public void onWriteConfirmed(long version, long newRevision) {
+        durableVersion = Math.max(durableVersion, version);
         revision = Math.max(revision, newRevision);
-        if (writing == version) {
-            writing = 0;
-            reading = false;
+        if (versionInFlight == version) {
+            versionInFlight = 0;
+            readNeeded = false;
         }
     }
 }
--- a/src/main/java/org/woadloom/core/jobs/RecentJobSizes.java
+++ b/src/main/java/org/woadloom/core/jobs/RecentJobSizes.java
@@ -17,7 +17,7 @@
     }
 
     static long sizeOf(Job job) {
-        return job.room.cpu() * job.description.taskCount();
+        return job.taskResources.cpu() * job.description.taskCount();
     }
 
     void add(Job job) {
--- a/src/main/java/org/woadloom/core/jobs/TaskAttempt.java
+++ b/src/main/java/org/woadloom/core/jobs/TaskAttempt.java
@@ -20,11 +20,11 @@
         /** Sent straight to the worker, and no answer came: it may be executed minutes late. */
         UNANSWERED,
         /** Sent in the answer to a report; that worker's next report settles it. */
-        ANSWERED,
+        SENT_IN_ANSWER,
         /** The worker is known to have it. */
-        THERE,
+        CONFIRMED,
         /** Loaded from a record that an earlier leader wrote: anything may be true of it. */
-        INHERITED
+        RECOVERED
     }
 
     public final Job job;
@@ -39,19 +39,19 @@
     public Stage stage = Stage.PLANNED;
 
     /** The token under which the last launch was sent. */
-    public long sentToken;
+    public long startToken;
 
-    public long answeredTick;
-    public TaskStatus.State seen;
+    public long answeredSequence;
+    public TaskStatus.State reportedState;
 
     /** The last message that listed it. */
-    public long listedIn;
+    public long listedInMessage;
 
     public long runningSinceMicros = -1;
     private final TaskId task;
-    private boolean halting;
-    public long haltSentMicros = -1;
-    public double windDownS;
+    private boolean isStopping;
+    public long stopSentMicros = -1;
+    public double gracePeriodSeconds;
 
     public TaskAttempt(
             Job job, int index, Machine machine, long attempt, long version, long nowMicros) {
@@ -69,27 +69,27 @@
     }
 
     /** True for a task that is to stop; its launch is never sent again. */
-    public boolean halting() {
-        return halting;
+    public boolean isStopping() {
+        return isStopping;
     }
 
     /** The task is to stop, with this much time to save. */
-    public void halt(double gracePeriod) {
-        windDownS = gracePeriod;
-        if (!halting) {
-            halting = true;
-            machine.halted(this);
+    public void stop(double gracePeriod) {
+        gracePeriodSeconds = gracePeriod;
+        if (!isStopping) {
+            isStopping = true;
+            machine.onStopping(this);
         }
     }
 
     /** The launch may be sent, or sent again. */
-    public void ready() {
+    public void markReady() {
         stage = Stage.READY;
-        machine.attend();
+        machine.markPendingCommands();
     }
 
     /** True while no launch of this attempt can ever have left. */
-    public boolean neverSent() {
+    public boolean wasNeverSent() {
         return stage == Stage.PLANNED || stage == Stage.READY;
     }
 }
--- a/src/main/java/org/woadloom/core/liveness/AgentLiveness.java
+++ b/src/main/java/org/woadloom/core/liveness/AgentLiveness.java
@@ -16,31 +16,31 @@
     public static final long NEVER = Long.MIN_VALUE / 4;
 
     private final long term;
-    private final LivenessTimeouts rules;
+    private final LivenessTimeouts timeouts;
     private long incarnation;
     private long sequence;
-    private long leastTenure;
-    private long epochSeen;
+    private long minIncarnation;
+    private long acknowledgedToken;
     // The last report of its own, and when that first came.
-    private long ownTenure;
-    private long ownTick;
-    private long ownMicros = NEVER;
+    private long heartbeatIncarnation;
+    private long heartbeatSequence;
+    private long heartbeatArrivedMicros = NEVER;
 
     /** Since when they have come without a long gap. */
-    private long reportingMicros = NEVER;
+    private long reportingSinceMicros = NEVER;
 
-    private long aliveMicros = NEVER;
-    private long reportedMicros = NEVER;
+    private long lastAliveMicros = NEVER;
+    private long lastHeartbeatMicros = NEVER;
     private long fence;
 
     /** When the present token first went out, {@link #NEVER} before. */
-    private long issuedMicros = NEVER;
+    private long tokenIssuedMicros = NEVER;
 
     /**
      * Since when a token is out that the worker has not shown to have heard, {@link #NEVER} for
      * none.
      */
-    private long unheardMicros = NEVER;
+    private long unacknowledgedSinceMicros = NEVER;
 
     /**
      * @param fence no message of this worker carries a token of this term from before this one
@@ -48,7 +48,7 @@
     public AgentLiveness(long term, long fence, LivenessTimeouts rules) {
         this.term = term;
         this.fence = fence;
-        this.rules = rules;
+        this.timeouts = rules;
     }
 
     public long incarnation() {
@@ -56,17 +56,17 @@
     }
 
     /** Reports of sessions before this one are of the past: their lease is known to be over. */
-    public long leastTenure() {
-        return leastTenure;
+    public long minIncarnation() {
+        return minIncarnation;
     }
 
     /** The worker's session is known to be over, though it has not said so. */
-    public void sessionOver() {
-        leastTenure = incarnation + 1;
+    public void expireSession() {
+        minIncarnation = incarnation + 1;
     }
 
     /** The token that this worker's commands carry now. */
-    public long token() {
+    public long fencingToken() {
         return (term << FENCE_BITS) | fence;
     }
 
@@ -75,23 +75,23 @@
     }
 
     /** The present token goes out with a command or an answer. */
-    public long issue(long nowMicros) {
-        issuedMicros = issuedMicros == NEVER ? nowMicros : issuedMicros;
-        if (unheardMicros == NEVER && !heardToken()) {
-            unheardMicros = nowMicros;
+    public long issueToken(long nowMicros) {
+        tokenIssuedMicros = tokenIssuedMicros == NEVER ? nowMicros : tokenIssuedMicros;
+        if (unacknowledgedSinceMicros == NEVER && !hasAcknowledgedToken()) {
+            unacknowledgedSinceMicros = nowMicros;
         }
-        return token();
+        return fencingToken();
     }
 
     /** Voids every command that was sent under the present token and has not arrived. */
     public void raiseFence() {
         fence++;
-        issuedMicros = NEVER;
+        tokenIssuedMicros = NEVER;
     }
 
     /** The worker is to show that it hears, unless it is already to show that. */
-    public void challenge() {
-        if (heardToken()) {
+    public void requireAcknowledgement() {
+        if (hasAcknowledgedToken()) {
             raiseFence();
         }
     }
@@ -99,69 +99,72 @@
     /**
      * The same, where it has most likely not heard for a while: no new work until it has shown it.
      */
-    public void mistrust(long nowMicros) {
-        challenge();
-        unheardMicros =
+    public void suspect(long nowMicros) {
+        requireAcknowledgement();
+        unacknowledgedSinceMicros =
                 Math.min(
-                        unheardMicros == NEVER ? nowMicros : unheardMicros,
-                        nowMicros - rules.freshMicros() - 1);
+                        unacknowledgedSinceMicros == NEVER ? nowMicros : unacknowledgedSinceMicros,
+                        nowMicros - timeouts.freshMicros() - 1);
     }
 
     /**
      * A message carries a token of this term that is higher than ours: of a machine of this name
      * that was forgotten. What it says is of the past, so its numbers must not come back.
      */
-    public void passOver(long fencingToken) {
+    public void advanceFencePast(long fencingToken) {
         fence = (fencingToken & ((1L << FENCE_BITS) - 1)) + 1;
-        issuedMicros = NEVER;
+        tokenIssuedMicros = NEVER;
     }
 
-    public boolean heardToken() {
-        return epochSeen == token();
+    public boolean hasAcknowledgedToken() {
+        return acknowledgedToken == fencingToken();
     }
 
     /**
      * True once the worker has acknowledged a token of this term: no earlier leader can reach it
      * any more.
      */
-    public boolean acknowledged() {
-        return epochSeen >> FENCE_BITS == term;
+    public boolean hasAcknowledgedTerm() {
+        return acknowledgedToken >> FENCE_BITS == term;
     }
 
     /**
      * The last moment at which the worker certainly lived; {@link #NEVER} while that is not known
      * of any.
      */
-    public long aliveMicros() {
-        return aliveMicros;
+    public long lastAliveMicros() {
+        return lastAliveMicros;
     }
 
     /** The last moment at which it made a report that arrived. */
-    public long reportedMicros() {
-        return reportedMicros;
+    public long lastHeartbeatMicros() {
+        return lastHeartbeatMicros;
     }
 
-    public boolean heard() {
-        return aliveMicros != NEVER;
+    public boolean isKnownAlive() {
+        return lastAliveMicros != NEVER;
     }
 
     /** What is to follow from a message of this worker is for this to say, and only for this. */
-    public MessageAge judge(Heartbeat report, long sinceMicros, long nowMicros) {
-        if (report.incarnation() < leastTenure || !report.isNewerThan(incarnation, sequence)) {
-            return MessageAge.COPY;
+    public MessageAge classify(Heartbeat heartbeat, long sinceMicros, long nowMicros) {
+        if (heartbeat.incarnation() < minIncarnation
+                || !heartbeat.isNewerThan(incarnation, sequence)) {
+            return MessageAge.DUPLICATE;
         }
-        return nowMicros - madeAfter(report, sinceMicros) <= rules.freshMicros()
+        return nowMicros - sentNotBefore(heartbeat, sinceMicros) <= timeouts.freshMicros()
                 ? MessageAge.FRESH
-                : MessageAge.PERHAPS_OLD;
+                : MessageAge.POSSIBLY_DELAYED;
     }
 
     /**
      * A message that is newer than all before it was made after those, and after the token that it
      * carries went out.
      */
-    private long madeAfter(Heartbeat report, long sinceMicros) {
-        long made = Math.max(sinceMicros, aliveMicros);
-        return report.fencingToken() == token() ? Math.max(made, issuedMicros) : made;
+    private long sentNotBefore(Heartbeat heartbeat, long sinceMicros) {
+        long sentMicros = Math.max(sinceMicros, lastAliveMicros);
+        return heartbeat.fencingToken() == fencingToken()
+                ? Math.max(sentMicros, tokenIssuedMicros)
+                : sentMicros;
     }
 
     /**
@@ -170,21 +173,26 @@
      * @param sinceMicros when the command was sent that it answers, {@link #NEVER} for a report of
      *     its own
      */
-    public void take(Heartbeat report, MessageAge age, long sinceMicros, long nowMicros) {
-        long alive = age == MessageAge.FRESH ? nowMicros : madeAfter(report, sinceMicros);
-        incarnation = report.incarnation();
-        leastTenure = report.incarnation();
-        sequence = report.sequence();
-        aliveMicros = Math.max(aliveMicros, alive);
+    public void accept(Heartbeat heartbeat, MessageAge age, long sinceMicros, long nowMicros) {
+        long aliveAtMicros =
+                age == MessageAge.FRESH ? nowMicros : sentNotBefore(heartbeat, sinceMicros);
+        incarnation = heartbeat.incarnation();
+        minIncarnation = heartbeat.incarnation();
+        sequence = heartbeat.sequence();
+        lastAliveMicros = Math.max(lastAliveMicros, aliveAtMicros);
         if (sinceMicros == NEVER) {
-            reportedMicros = Math.max(reportedMicros, alive);
-        } else if (age == MessageAge.FRESH && nowMicros - ownMicros <= rules.freshMicros()) {
+            lastHeartbeatMicros = Math.max(lastHeartbeatMicros, aliveAtMicros);
+        } else if (age == MessageAge.FRESH
+                && nowMicros - heartbeatArrivedMicros <= timeouts.freshMicros()) {
             // The report that came a moment ago is of a worker that lives.
-            reportedMicros = Math.max(reportedMicros, ownMicros);
+            lastHeartbeatMicros = Math.max(lastHeartbeatMicros, heartbeatArrivedMicros);
         }
-        if (report.fencingToken() > epochSeen) {
-            epochSeen = report.fencingToken();
-            unheardMicros = heardToken() || unheardMicros == NEVER ? NEVER : nowMicros;
+        if (heartbeat.fencingToken() > acknowledgedToken) {
+            acknowledgedToken = heartbeat.fencingToken();
+            unacknowledgedSinceMicros =
+                    hasAcknowledgedToken() || unacknowledgedSinceMicros == NEVER
+                            ? NEVER
+                            : nowMicros;
         }
     }
 
@@ -192,13 +200,13 @@
      * The last moment at which it may have lived: when a report came that may have been under way
      * for long, at most.
      */
-    public long perhapsAliveMicros() {
-        return Math.max(aliveMicros, ownMicros);
+    public long possiblyAliveMicros() {
+        return Math.max(lastAliveMicros, heartbeatArrivedMicros);
     }
 
     /** The end of the machine was confirmed at this moment. */
-    public void gone(long nowMicros) {
-        aliveMicros = nowMicros;
+    public void onMachineDeleted(long nowMicros) {
+        lastAliveMicros = nowMicros;
     }
 
     /**
@@ -206,45 +214,52 @@
      * at a time, and waits for its answer for four seconds: whoever still sends an earlier one,
      * nobody waits for that answer.
      */
-    public boolean mayWaitFor(Heartbeat report, long nowMicros) {
-        if (report.isNewerThan(ownTenure, ownTick)) {
-            ownTenure = report.incarnation();
-            ownTick = report.sequence();
-            reportingMicros =
-                    nowMicros - ownMicros > rules.deafMicros() ? nowMicros : reportingMicros;
-            ownMicros = nowMicros;
+    public boolean awaitsAnswerTo(Heartbeat heartbeat, long nowMicros) {
+        if (heartbeat.isNewerThan(heartbeatIncarnation, heartbeatSequence)) {
+            heartbeatIncarnation = heartbeat.incarnation();
+            heartbeatSequence = heartbeat.sequence();
+            reportingSinceMicros =
+                    nowMicros - heartbeatArrivedMicros > timeouts.unreachableMicros()
+                            ? nowMicros
+                            : reportingSinceMicros;
+            heartbeatArrivedMicros = nowMicros;
             return true;
         }
-        return report.incarnation() == ownTenure
-                && report.sequence() == ownTick
-                && nowMicros - ownMicros <= rules.answerMicros();
+        return heartbeat.incarnation() == heartbeatIncarnation
+                && heartbeat.sequence() == heartbeatSequence
+                && nowMicros - heartbeatArrivedMicros <= timeouts.answerTimeoutMicros();
     }
 
     /** True while a token is out that the worker should have heard by now: it gets no new work. */
-    public boolean inDoubt(long nowMicros) {
-        return unheardMicros != NEVER && nowMicros - unheardMicros > rules.freshMicros();
+    public boolean isSuspect(long nowMicros) {
+        return unacknowledgedSinceMicros != NEVER
+                && nowMicros - unacknowledgedSinceMicros > timeouts.freshMicros();
     }
 
     /**
      * True for a worker that goes on reporting, though nothing that we say has reached it for a
      * while.
      */
-    public boolean deaf(long nowMicros) {
-        return unheardMicros != NEVER
-                && ownMicros - Math.max(unheardMicros, reportingMicros) > rules.deafMicros()
-                && reports(nowMicros);
+    public boolean isUnreachable(long nowMicros) {
+        return unacknowledgedSinceMicros != NEVER
+                && heartbeatArrivedMicros
+                                - Math.max(unacknowledgedSinceMicros, reportingSinceMicros)
+                        > timeouts.unreachableMicros()
+                && isReporting(nowMicros);
     }
 
     /** True while reports of its own come, fresh or not. */
-    public boolean reports(long nowMicros) {
-        return nowMicros - ownMicros <= rules.deafMicros();
+    public boolean isReporting(long nowMicros) {
+        return nowMicros - heartbeatArrivedMicros <= timeouts.unreachableMicros();
     }
 
     /**
      * For how long it has reported without having heard what it should have; 0 for a worker that
      * hears.
      */
-    public long unheardFor(long nowMicros) {
-        return unheardMicros == NEVER ? 0 : nowMicros - Math.max(unheardMicros, reportingMicros);
+    public long unacknowledgedForMicros(long nowMicros) {
+        return unacknowledgedSinceMicros == NEVER
+                ? 0
+                : nowMicros - Math.max(unacknowledgedSinceMicros, reportingSinceMicros);
     }
 }
--- a/src/main/java/org/woadloom/core/liveness/LivenessTimeouts.java
+++ b/src/main/java/org/woadloom/core/liveness/LivenessTimeouts.java
@@ -9,7 +9,7 @@
  *     time it has tried two nodes
  * @param answerMicros a worker waits no longer for an answer
  */
-public record LivenessTimeouts(long freshMicros, long deafMicros, long answerMicros) {
+public record LivenessTimeouts(long freshMicros, long unreachableMicros, long answerTimeoutMicros) {
     private static final long ANSWER_MICROS = 4_000_000;
     private static final long NEXT_NODE_MICROS = 1_000_000;
     private static final long MARGIN_MICROS = 500_000;
--- a/src/main/java/org/woadloom/core/machines/AgentProber.java
+++ b/src/main/java/org/woadloom/core/machines/AgentProber.java
@@ -19,32 +19,32 @@
  * controller then can't help hearing of.
  */
 public final class AgentProber {
-    private static final int MOST_PROBES = 16;
+    private static final int MAX_PROBES = 16;
 
     private final SchedulerState world;
-    private final TaskLossHandler losses;
-    private final Set<String> deaf = new HashSet<>();
+    private final TaskLossHandler taskLosses;
+    private final Set<String> unreachableCount = new HashSet<>();
     private final Set<Machine> probed = new HashSet<>();
 
-    public AgentProber(SchedulerState world, TaskLossHandler losses) {
+    public AgentProber(SchedulerState world, TaskLossHandler taskLosses) {
         this.world = world;
-        this.losses = losses;
+        this.taskLosses = taskLosses;
     }
 
     public void review() {
         probed.removeIf(
-                machine -> machine.sendInFlight == 0 && !machine.greetingDue() || machine.deleted);
+                machine -> machine.commandInFlight == 0 && !machine.tokenDue() || machine.deleted);
         List<Machine> silent = new ArrayList<>();
         for (Machine machine : world.machines.values()) {
             if (machine.deleted) {
-                deaf.remove(machine.host);
+                unreachableCount.remove(machine.host);
                 continue;
             }
-            if (machine.hearing.inDoubt(world.nowMicros) && !machine.empty()) {
-                takeBack(machine);
+            if (machine.liveness.isSuspect(world.nowMicros) && !machine.isEmpty()) {
+                withdrawUnsentTasks(machine);
             }
-            tell(machine);
-            if (silent(machine)) {
+            logReachability(machine);
+            if (isSilent(machine)) {
                 silent.add(machine);
             }
         }
@@ -52,34 +52,37 @@
     }
 
     /** How many machines report that nothing reaches. */
-    public int deaf() {
-        return deaf.size();
+    public int unreachableCount() {
+        return unreachableCount.size();
     }
 
     /**
      * What was never sent can go elsewhere; the worker may come to hear again at any time, and
      * nobody waits for it.
      */
-    private void takeBack(Machine machine) {
-        for (TaskAttempt placement : machine.snapshot()) {
-            if (placement.neverSent()) {
-                losses.lost(placement, "the worker does not hear");
+    private void withdrawUnsentTasks(Machine machine) {
+        for (TaskAttempt attempt : machine.snapshot()) {
+            if (attempt.wasNeverSent()) {
+                taskLosses.onLost(attempt, "the worker does not hear");
             }
         }
     }
 
-    private void tell(Machine machine) {
-        AgentLiveness hearing = machine.hearing;
-        if (hearing.deaf(world.nowMicros)) {
-            if (deaf.add(machine.host)) {
+    private void logReachability(Machine machine) {
+        AgentLiveness liveness = machine.liveness;
+        if (liveness.isUnreachable(world.nowMicros)) {
+            if (unreachableCount.add(machine.host)) {
                 world.log(
                         LogEntry.info(LogEvent.MACHINE_UNREACHABLE)
                                 .with("machine", machine.host)
                                 .with("zone", machine.zone)
                                 .withSeconds(
-                                        "unacknowledged_s", hearing.unheardFor(world.nowMicros)));
+                                        "unacknowledged_s",
+                                        liveness.unacknowledgedForMicros(world.nowMicros)));
             }
-        } else if (!deaf.isEmpty() && hearing.heardToken() && deaf.remove(machine.host)) {
+        } else if (!unreachableCount.isEmpty()
+                && liveness.hasAcknowledgedToken()
+                && unreachableCount.remove(machine.host)) {
             world.log(
                     LogEntry.info(LogEvent.MACHINE_REACHABLE)
                             .with("machine", machine.host)
@@ -91,29 +94,30 @@
      * Out of touch although it was there: by its own word to this leader, or by what earlier ones
      * have recorded.
      */
-    private boolean silent(Machine machine) {
-        boolean known = machine.heard() || machine.upRecorded || !machine.empty();
-        long since = Math.max(machine.hearing.reportedMicros(), world.startedMicros);
+    private boolean isSilent(Machine machine) {
+        boolean known = machine.isKnownAlive() || machine.reportedRecorded || !machine.isEmpty();
+        long since = Math.max(machine.liveness.lastHeartbeatMicros(), world.startedMicros);
         return known
-                && !machine.leaving
-                && !machine.addr.isEmpty()
-                && world.nowMicros - since > world.hearingRules.freshMicros();
+                && !machine.decommissioning
+                && !machine.address.isEmpty()
+                && world.nowMicros - since > world.livenessTimeouts.freshMicros();
     }
 
     private void probe(List<Machine> silent) {
-        if (silent.isEmpty() || probed.size() >= MOST_PROBES) {
+        if (silent.isEmpty() || probed.size() >= MAX_PROBES) {
             return;
         }
-        silent.sort(Comparator.comparingLong((Machine machine) -> machine.probedMicros));
+        silent.sort(Comparator.comparingLong((Machine machine) -> machine.lastProbeMicros));
         for (Machine machine : silent) {
-            if (probed.size() >= MOST_PROBES
-                    || world.nowMicros - machine.probedMicros < world.settings.leaseMicros() / 2) {
+            if (probed.size() >= MAX_PROBES
+                    || world.nowMicros - machine.lastProbeMicros
+                            < world.settings.leaseMicros() / 2) {
                 return;
             }
-            if (machine.sendInFlight == 0 && machine.directWorks(world.nowMicros)) {
-                machine.probedMicros = world.nowMicros;
-                machine.hearing.challenge();
-                machine.greet();
+            if (machine.commandInFlight == 0 && machine.acceptsDirectCommands(world.nowMicros)) {
+                machine.lastProbeMicros = world.nowMicros;
+                machine.liveness.requireAcknowledgement();
+                machine.requestToken();
                 probed.add(machine);
             }
         }
