--- a/src/main/java/org/woadloom/core/machines/DirectCommands.java
+++ b/src/main/java/org/woadloom/core/machines/DirectCommands.java
@@ -15,32 +15,33 @@
 
 /** Sends commands straight to workers, one request at a time to each. */
 public final class DirectCommands {
-    private static final int MAX_ORDERS = 400;
+    private static final int MAX_COMMANDS = 400;
     private static final int NOT_SENT = -1;
     private static final long PAUSE_MICROS = 2_000_000;
 
     private final SchedulerState world;
-    private final HeartbeatHandler reports;
-    private final TaskLossHandler losses;
+    private final HeartbeatHandler heartbeats;
+    private final TaskLossHandler taskLosses;
     private final Map<Long, Sent> sent = new HashMap<>();
 
     /** What went out with a command, and when. */
-    private record Sent(List<TaskAttempt> launches, long atMicros) {}
+    private record Sent(List<TaskAttempt> starts, long sentMicros) {}
 
-    public DirectCommands(SchedulerState world, HeartbeatHandler reports, TaskLossHandler losses) {
+    public DirectCommands(
+            SchedulerState world, HeartbeatHandler heartbeats, TaskLossHandler taskLosses) {
         this.world = world;
-        this.reports = reports;
-        this.losses = losses;
+        this.heartbeats = heartbeats;
+        this.taskLosses = taskLosses;
     }
 
-    public void emitSends() {
-        for (Machine machine : List.copyOf(world.attentive)) {
+    public void emitCommands() {
+        for (Machine machine : List.copyOf(world.machinesWithPendingCommands)) {
             if (machine.deleted) {
-                world.attentive.remove(machine);
-            } else if (machine.sendInFlight == 0
-                    && !machine.addr.isEmpty()
-                    && machine.directWorks(world.nowMicros)
-                    && machine.hearing.incarnation() >= machine.hearing.leastTenure()) {
+                world.machinesWithPendingCommands.remove(machine);
+            } else if (machine.commandInFlight == 0
+                    && !machine.address.isEmpty()
+                    && machine.acceptsDirectCommands(world.nowMicros)
+                    && machine.liveness.incarnation() >= machine.liveness.minIncarnation()) {
                 send(machine);
             }
         }
@@ -48,98 +49,99 @@
 
     private void send(Machine machine) {
         List<TaskCommand> commands = new ArrayList<>();
-        List<TaskAttempt> launches = new ArrayList<>();
+        List<TaskAttempt> starts = new ArrayList<>();
         boolean all = true;
-        if (machine.acknowledged()) {
-            for (TaskAttempt placement : machine.placements()) {
-                if (commands.size() >= MAX_ORDERS) {
+        if (machine.hasAcknowledgedTerm()) {
+            for (TaskAttempt attempt : machine.attempts()) {
+                if (commands.size() >= MAX_COMMANDS) {
                     all = false;
                     break;
                 }
-                if (placement.stage == Stage.READY && !placement.halting()) {
-                    commands.add(TaskCommand.start(placement.task(), placement.attempt));
-                    launches.add(placement);
-                } else if (placement.halting()
-                        && !placement.neverSent()
-                        && placement.haltSentMicros < 0) {
-                    placement.haltSentMicros = world.nowMicros;
+                if (attempt.stage == Stage.READY && !attempt.isStopping()) {
+                    commands.add(TaskCommand.start(attempt.task(), attempt.attempt));
+                    starts.add(attempt);
+                } else if (attempt.isStopping()
+                        && !attempt.wasNeverSent()
+                        && attempt.stopSentMicros < 0) {
+                    attempt.stopSentMicros = world.nowMicros;
                     // Halts come first, so that the room they free is there for the launches.
                     commands.add(
                             0,
                             TaskCommand.stop(
-                                    placement.task(), placement.attempt, placement.windDownS));
+                                    attempt.task(), attempt.attempt, attempt.gracePeriodSeconds));
                 }
             }
         }
         if (all) {
-            world.attentive.remove(machine);
+            world.machinesWithPendingCommands.remove(machine);
         }
-        boolean greet = machine.takeGreeting();
-        if (commands.isEmpty() && !greet) {
+        boolean tokenDue = machine.takeTokenDue();
+        if (commands.isEmpty() && !tokenDue) {
             return;
         }
-        long id = world.newSend();
-        machine.sendInFlight = id;
-        for (TaskAttempt placement : launches) {
-            placement.stage = Stage.SENT;
-            placement.sentToken = machine.hearing.token();
+        long id = world.newCommandId();
+        machine.commandInFlight = id;
+        for (TaskAttempt attempt : starts) {
+            attempt.stage = Stage.SENT;
+            attempt.startToken = machine.liveness.fencingToken();
         }
-        sent.put(id, new Sent(launches, world.nowMicros));
+        sent.put(id, new Sent(starts, world.nowMicros));
         world.emit(
                 new SchedulerAction.SendDirectCommand(
                         id,
                         machine.host,
-                        machine.addr,
-                        machine.hearing.issue(world.nowMicros),
-                        machine.hearing.incarnation(),
+                        machine.address,
+                        machine.liveness.issueToken(world.nowMicros),
+                        machine.liveness.incarnation(),
                         commands));
     }
 
-    public void result(SchedulerEvent.DirectCommandCompleted result) {
+    public void onCompleted(SchedulerEvent.DirectCommandCompleted result) {
         Sent command = sent.remove(result.commandId());
         Machine machine = world.machines.get(result.host());
         if (machine == null || command == null) {
             return;
         }
-        List<TaskAttempt> launches = command.launches;
-        if (machine.sendInFlight == result.commandId()) {
-            machine.sendInFlight = 0;
-            machine.attend();
+        List<TaskAttempt> starts = command.starts;
+        if (machine.commandInFlight == result.commandId()) {
+            machine.commandInFlight = 0;
+            machine.markPendingCommands();
         }
-        launches.removeIf(placement -> placement.job.placement(placement.index) != placement);
-        if (result.heartbeat() != null && reports.laterTerm(machine, result.heartbeat())) {
+        starts.removeIf(attempt -> attempt.job.attempt(attempt.index) != attempt);
+        if (result.heartbeat() != null
+                && heartbeats.hasSeenLaterTerm(machine, result.heartbeat())) {
             return;
         }
         if (result.status() == 200 && result.heartbeat() != null) {
-            for (TaskAttempt placement : launches) {
-                placement.stage = Stage.THERE;
+            for (TaskAttempt attempt : starts) {
+                attempt.stage = Stage.CONFIRMED;
             }
-            reports.absorb(machine, result.heartbeat(), command.atMicros);
+            heartbeats.apply(machine, result.heartbeat(), command.sentMicros);
         } else if (result.status() == 409 || result.status() == NOT_SENT) {
             // Nothing was executed: the launches can go again as they are.
-            launches.forEach(this::backToReady);
+            starts.forEach(this::returnToReady);
             if (result.heartbeat() != null) {
-                reports.absorb(machine, result.heartbeat(), command.atMicros);
-                if (!machine.hearing.heardToken()) {
+                heartbeats.apply(machine, result.heartbeat(), command.sentMicros);
+                if (!machine.liveness.hasAcknowledgedToken()) {
                     // It was asked under another session's number, which is known now.
-                    machine.greet();
+                    machine.requestToken();
                 }
             }
-            machine.directAgainMicros =
+            machine.directRetryAtMicros =
                     world.nowMicros + (result.status() == 409 ? 100_000 : PAUSE_MICROS);
         } else {
-            unanswered(machine, launches);
+            onNoAnswer(machine, starts);
         }
     }
 
-    private void backToReady(TaskAttempt placement) {
-        if (placement.stage != Stage.SENT) {
+    private void returnToReady(TaskAttempt attempt) {
+        if (attempt.stage != Stage.SENT) {
             return;
         }
-        if (placement.halting()) {
-            losses.gone(placement);
+        if (attempt.isStopping()) {
+            taskLosses.remove(attempt);
         } else {
-            placement.ready();
+            attempt.markReady();
         }
     }
 
@@ -147,27 +149,27 @@
      * The launches may be executed minutes late; a raised token makes the worker refuse them from
      * then on.
      */
-    private void unanswered(Machine machine, List<TaskAttempt> launches) {
-        machine.directAgainMicros =
+    private void onNoAnswer(Machine machine, List<TaskAttempt> starts) {
+        machine.directRetryAtMicros =
                 world.nowMicros
-                        + (machine.hearing.deaf(world.nowMicros)
+                        + (machine.liveness.isUnreachable(world.nowMicros)
                                 ? world.settings.leaseMicros() / 2
                                 : PAUSE_MICROS);
-        for (TaskAttempt placement : launches) {
-            if (placement.stage == Stage.SENT) {
-                placement.stage = Stage.UNANSWERED;
+        for (TaskAttempt attempt : starts) {
+            if (attempt.stage == Stage.SENT) {
+                attempt.stage = Stage.UNANSWERED;
             }
         }
-        if (!launches.isEmpty()) {
-            machine.hearing.raiseFence();
-            machine.greet();
+        if (!starts.isEmpty()) {
+            machine.liveness.raiseFence();
+            machine.requestToken();
             world.log(
                     LogEntry.info(LogEvent.DIRECT_COMMAND_UNANSWERED)
                             .with("machine", machine.host)
-                            .with("starts", launches.size()));
+                            .with("starts", starts.size()));
         }
-        for (TaskAttempt placement : machine.placements()) {
-            placement.haltSentMicros = -1;
+        for (TaskAttempt attempt : machine.attempts()) {
+            attempt.stopSentMicros = -1;
         }
     }
 }
--- a/src/main/java/org/woadloom/core/machines/HeartbeatHandler.java
+++ b/src/main/java/org/woadloom/core/machines/HeartbeatHandler.java
@@ -23,82 +23,87 @@
 
 /** Reads what workers say, and answers their reports. */
 public final class HeartbeatHandler {
-    private static final int MAX_ORDERS = 400;
+    private static final int MAX_COMMANDS = 400;
     private static final long ERROR_BACKOFF_MICROS = 1_000_000;
     private static final long MAX_BACKOFF_MICROS = 60_000_000;
 
     /** On so many machines a job without fault may have failed. */
-    private static final int FAULTY_AT_ONCE = 2;
+    private static final int MAX_FAULTY_MACHINES = 2;
 
     private final SchedulerState world;
-    private final MachineRegistry table;
-    private final TaskLossHandler losses;
+    private final MachineRegistry machines;
+    private final TaskLossHandler taskLosses;
 
     /** Exits that may be cleared once the job's record has reached a version. */
-    private final Map<String, Map<Exit, Long>> clearAfter = new HashMap<>();
+    private final Map<String, Map<Exit, Long>> acknowledgeAfterVersion = new HashMap<>();
 
     /**
      * Numbers the messages that were taken in, to tell which placements the one at hand has listed.
      */
-    private long readings;
+    private long messagesApplied;
 
     private record Exit(TaskId task, long attempt) {}
 
-    public HeartbeatHandler(SchedulerState world, MachineRegistry table, TaskLossHandler losses) {
+    public HeartbeatHandler(
+            SchedulerState world, MachineRegistry machines, TaskLossHandler taskLosses) {
         this.world = world;
-        this.table = table;
-        this.losses = losses;
+        this.machines = machines;
+        this.taskLosses = taskLosses;
     }
 
     /** A report that waits for an answer. */
-    public void report(SchedulerEvent.HeartbeatReceived command) {
-        Heartbeat report = command.heartbeat();
+    public void onHeartbeat(SchedulerEvent.HeartbeatReceived event) {
+        Heartbeat heartbeat = event.heartbeat();
         Machine machine =
-                table.reported(
+                machines.findOrCreate(
                         new MachineRecord(
-                                report.host(),
-                                report.machineType(),
-                                report.zone(),
-                                report.spot(),
+                                heartbeat.host(),
+                                heartbeat.machineType(),
+                                heartbeat.zone(),
+                                heartbeat.spot(),
                                 false));
-        if (laterTerm(machine, report)) {
+        if (hasSeenLaterTerm(machine, heartbeat)) {
             return;
         }
-        if (!machine.hearing.mayWaitFor(report, world.nowMicros)) {
+        if (!machine.liveness.awaitsAnswerTo(heartbeat, world.nowMicros)) {
             // Nobody waits for this answer; if somebody did, it would renew a lease that counts as
             // running out.
-            world.emit(new SchedulerAction.RejectHeartbeat(command.requestId()));
+            world.emit(new SchedulerAction.RejectHeartbeat(event.requestId()));
             return;
         }
         machine.lastAnsweredMicros = world.nowMicros;
-        MessageAge age = absorb(machine, report, AgentLiveness.NEVER);
-        List<TaskCommand> commands = age != MessageAge.COPY ? orders(machine, report) : List.of();
-        if (age == MessageAge.PERHAPS_OLD) {
-            machine.hearing.challenge();
+        MessageAge age = apply(machine, heartbeat, AgentLiveness.NEVER);
+        List<TaskCommand> commands =
+                age != MessageAge.DUPLICATE ? commandsFor(machine, heartbeat) : List.of();
+        if (age == MessageAge.POSSIBLY_DELAYED) {
+            machine.liveness.requireAcknowledgement();
         }
-        if (age != MessageAge.COPY && !machine.hearing.heardToken()) {
-            machine.greet();
+        if (age != MessageAge.DUPLICATE && !machine.liveness.hasAcknowledgedToken()) {
+            machine.requestToken();
         }
         world.emit(
                 new SchedulerAction.AnswerHeartbeat(
-                        command.requestId(), machine.hearing.issue(world.nowMicros), commands));
+                        event.requestId(), machine.liveness.issueToken(world.nowMicros), commands));
     }
 
     /**
      * True if the worker has heard of a later leader. A higher token of this term is of a machine
      * that was forgotten.
      */
-    public boolean laterTerm(Machine machine, Heartbeat report) {
-        if (report.fencingToken() <= machine.hearing.token()) {
+    public boolean hasSeenLaterTerm(Machine machine, Heartbeat heartbeat) {
+        if (heartbeat.fencingToken() <= machine.liveness.fencingToken()) {
             return false;
         }
-        if (report.fencingToken() >> AgentLiveness.FENCE_BITS == world.term) {
-            machine.hearing.passOver(report.fencingToken());
+        if (heartbeat.fencingToken() >> AgentLiveness.FENCE_BITS == world.term) {
+            machine.liveness.advanceFencePast(heartbeat.fencingToken());
             return false;
         }
         world.emit(
                 new SchedulerAction.StepDown(
-                        "worker " + report.host() + " has seen token " + report.fencingToken()));
+                        "worker "
+                                + heartbeat.host()
+                                + " has seen token "
+                                + heartbeat.fencingToken()));
         return true;
     }
 
@@ -108,159 +113,157 @@
      * @param sinceMicros when the direct command was sent, {@link AgentLiveness#NEVER} for a report
      *     of its own, which alone shows that the answer to the one before was dealt with
      */
-    public MessageAge absorb(Machine machine, Heartbeat report, long sinceMicros) {
-        AgentLiveness hearing = machine.hearing;
+    public MessageAge apply(Machine machine, Heartbeat heartbeat, long sinceMicros) {
+        AgentLiveness liveness = machine.liveness;
         MessageAge age =
                 machine.deleted
-                        ? MessageAge.COPY
-                        : hearing.judge(report, sinceMicros, world.nowMicros);
-        if (age == MessageAge.COPY) {
+                        ? MessageAge.DUPLICATE
+                        : liveness.classify(heartbeat, sinceMicros, world.nowMicros);
+        if (age == MessageAge.DUPLICATE) {
             return age;
         }
-        boolean own = sinceMicros == AgentLiveness.NEVER;
+        boolean ownHeartbeat = sinceMicros == AgentLiveness.NEVER;
         boolean newSession =
-                hearing.incarnation() > 0 && report.incarnation() > hearing.incarnation();
-        boolean first = !machine.acknowledged();
-        boolean doubted = hearing.inDoubt(world.nowMicros);
-        boolean unheard = !machine.heard();
-        hearing.take(report, age, sinceMicros, world.nowMicros);
-        if (first && machine.acknowledged()) {
-            world.placementWorthTrying = true;
+                liveness.incarnation() > 0 && heartbeat.incarnation() > liveness.incarnation();
+        boolean first = !machine.hasAcknowledgedTerm();
+        boolean wasSuspect = liveness.isSuspect(world.nowMicros);
+        boolean wasNeverAlive = !machine.isKnownAlive();
+        liveness.accept(heartbeat, age, sinceMicros, world.nowMicros);
+        if (first && machine.hasAcknowledgedTerm()) {
+            world.placementNeeded = true;
             machine.lastAnsweredMicros = Math.max(machine.lastAnsweredMicros, world.nowMicros);
         }
-        if (unheard && machine.heard()) {
-            machine.confirm();
+        if (wasNeverAlive && machine.isKnownAlive()) {
+            machine.confirmExistence();
             machine.idleSinceMicros = world.nowMicros;
             world.log(
                     LogEntry.info(LogEvent.MACHINE_UP)
                             .with("machine", machine.host)
                             .with("zone", machine.zone));
         }
-        if (doubted && !hearing.inDoubt(world.nowMicros)) {
-            world.placementWorthTrying = true;
+        if (wasSuspect && !liveness.isSuspect(world.nowMicros)) {
+            world.placementNeeded = true;
         }
         if (newSession || first) {
-            machine.attend();
+            machine.markPendingCommands();
         }
-        machine.addr = report.address();
-        if (report.spotNoticeMicros() >= 0 && age == MessageAge.FRESH) {
-            if (machine.takenMicros < 0) {
+        machine.address = heartbeat.address();
+        if (heartbeat.spotNoticeMicros() >= 0 && age == MessageAge.FRESH) {
+            if (machine.spotTerminationMicros < 0) {
                 world.log(
                         LogEntry.info(LogEvent.SPOT_NOTICE)
                                 .with("machine", machine.host)
-                                .withSeconds("notice_s", report.spotNoticeMicros()));
+                                .withSeconds("notice_s", heartbeat.spotNoticeMicros()));
             }
-            machine.takenMicros = world.nowMicros + report.spotNoticeMicros();
+            machine.spotTerminationMicros = world.nowMicros + heartbeat.spotNoticeMicros();
         }
         if (newSession) {
             // The new session's lease runs from its start, which may be later than our last answer:
             // a session that is
             // first seen in the body of a direct command has not been answered at all.
             machine.lastAnsweredMicros = Math.max(machine.lastAnsweredMicros, world.nowMicros);
-            newSession(machine);
+            onNewSession(machine);
             // It may have ended because nothing reaches the worker any more.
-            hearing.mistrust(world.nowMicros);
+            liveness.suspect(world.nowMicros);
         }
-        List<TaskStatus> tasks = report.tasks();
+        List<TaskStatus> tasks = heartbeat.tasks();
         TaskAttempt[] listed = new TaskAttempt[tasks.size()];
-        long reading = ++readings;
+        long messageNumber = ++messagesApplied;
         int found = 0;
         for (int i = 0; i < listed.length; i++) {
             TaskStatus task = tasks.get(i);
-            TaskAttempt placement = placement(machine, task);
-            listed[i] = placement;
-            if (placement == null) {
+            TaskAttempt attempt = findAttempt(machine, task);
+            listed[i] = attempt;
+            if (attempt == null) {
                 if (task.state() == TaskStatus.State.EXITED) {
-                    strangeExit(machine, task);
+                    onUnknownExit(machine, task);
                 }
-            } else if (placement.listedIn != reading) {
-                placement.listedIn = reading;
+            } else if (attempt.listedInMessage != messageNumber) {
+                attempt.listedInMessage = messageNumber;
                 found++;
             }
         }
-        if (found < machine.placements().size()) {
-            for (TaskAttempt placement : machine.snapshot()) {
-                if (placement.listedIn != reading) {
-                    notListed(placement, report, own);
+        if (found < machine.attempts().size()) {
+            for (TaskAttempt attempt : machine.snapshot()) {
+                if (attempt.listedInMessage != messageNumber) {
+                    onNotListed(attempt, heartbeat, ownHeartbeat);
                 }
             }
         }
         for (int i = 0; i < listed.length; i++) {
             if (listed[i] != null && tasks.get(i).state() == TaskStatus.State.EXITED) {
-                exited(listed[i], tasks.get(i));
+                onExited(listed[i], tasks.get(i));
             } else if (listed[i] != null) {
-                there(listed[i], tasks.get(i));
+                onListed(listed[i], tasks.get(i));
             }
         }
         return age;
     }
 
-    private void newSession(Machine machine) {
-        for (TaskAttempt placement : machine.snapshot()) {
+    private void onNewSession(Machine machine) {
+        for (TaskAttempt attempt : machine.snapshot()) {
             // An earlier leader may have launched it in this session, or may still: what the
             // message lists decides about it.
-            if (!placement.neverSent() && placement.stage != Stage.INHERITED) {
-                losses.lost(placement, "the worker's lease ended");
+            if (!attempt.wasNeverSent() && attempt.stage != Stage.RECOVERED) {
+                taskLosses.onLost(attempt, "the worker's lease ended");
             }
         }
     }
 
-    private TaskAttempt placement(Machine machine, TaskStatus task) {
+    private TaskAttempt findAttempt(Machine machine, TaskStatus task) {
         Job job = world.jobs.get(task.task().jobId());
-        TaskAttempt placement = job == null ? null : job.placement(task.task().index());
-        return placement != null
-                        && placement.machine == machine
-                        && placement.attempt == task.attempt()
-                ? placement
+        TaskAttempt attempt = job == null ? null : job.attempt(task.task().index());
+        return attempt != null && attempt.machine == machine && attempt.attempt == task.attempt()
+                ? attempt
                 : null;
     }
 
-    private void there(TaskAttempt placement, TaskStatus task) {
-        if (placement.stage != Stage.SENT) {
-            placement.stage = Stage.THERE;
+    private void onListed(TaskAttempt attempt, TaskStatus task) {
+        if (attempt.stage != Stage.SENT) {
+            attempt.stage = Stage.CONFIRMED;
         }
-        Machine machine = placement.machine;
+        Machine machine = attempt.machine;
         if (task.state() == TaskStatus.State.RUNNING
-                && placement.seen != TaskStatus.State.RUNNING) {
-            placement.runningSinceMicros = world.nowMicros;
-            placement.job.recording.needs(PersistenceState.WriteReason.PHASE);
+                && attempt.reportedState != TaskStatus.State.RUNNING) {
+            attempt.runningSinceMicros = world.nowMicros;
+            attempt.job.persistence.requestWrite(PersistenceState.WriteReason.PHASE);
         }
         if (task.state() == TaskStatus.State.RUNNING) {
-            machine.images.used(
-                    placement.job.description.image(),
-                    placement.job.description.imageGb(),
+            machine.images.touch(
+                    attempt.job.description.image(),
+                    attempt.job.description.imageGb(),
                     machine.type == null ? 0 : machine.type.imageCacheGb());
         }
-        placement.seen = task.state();
+        attempt.reportedState = task.state();
     }
 
-    private void notListed(TaskAttempt placement, Heartbeat report, boolean own) {
-        switch (placement.stage) {
-            case THERE -> losses.lost(placement, "no longer reported");
+    private void onNotListed(TaskAttempt attempt, Heartbeat heartbeat, boolean ownHeartbeat) {
+        switch (attempt.stage) {
+            case CONFIRMED -> taskLosses.onLost(attempt, "no longer reported");
             case UNANSWERED -> {
                 // The worker refuses the old token from here on, so the late launch can no longer
                 // be executed.
-                if (report.fencingToken() > placement.sentToken) {
-                    losses.lost(placement, "the launch never arrived");
+                if (heartbeat.fencingToken() > attempt.startToken) {
+                    taskLosses.onLost(attempt, "the launch never arrived");
                 }
             }
-            case ANSWERED -> {
+            case SENT_IN_ANSWER -> {
                 // A worker has one report in flight: this one was made after the answer was
                 // executed or dropped.
-                if (own && report.sequence() > placement.answeredTick) {
-                    if (placement.halting()) {
-                        losses.gone(placement);
+                if (ownHeartbeat && heartbeat.sequence() > attempt.answeredSequence) {
+                    if (attempt.isStopping()) {
+                        taskLosses.remove(attempt);
                     } else {
-                        placement.ready();
+                        attempt.markReady();
                     }
                     // One lost answer is nothing; if the next ones are lost as well, the worker is
                     // deaf.
-                    placement.machine.hearing.challenge();
+                    attempt.machine.liveness.requireAcknowledgement();
                 }
             }
-            case INHERITED -> {
-                if (report.fencingToken() >> AgentLiveness.FENCE_BITS == world.term) {
-                    losses.lost(placement, "not found by the new leader");
+            case RECOVERED -> {
+                if (heartbeat.fencingToken() >> AgentLiveness.FENCE_BITS == world.term) {
+                    taskLosses.onLost(attempt, "not found by the new leader");
                 }
             }
             default -> {
@@ -270,45 +273,45 @@
         }
     }
 
-    private void exited(TaskAttempt placement, TaskStatus task) {
-        Job job = placement.job;
-        Machine machine = placement.machine;
+    private void onExited(TaskAttempt attempt, TaskStatus task) {
+        Job job = attempt.job;
+        Machine machine = attempt.machine;
         boolean service = job.description.isService();
         world.log(
                 LogEntry.debug(LogEvent.TASK_EXITED)
-                        .with("task", placement.task())
-                        .with("attempt", placement.attempt)
+                        .with("task", attempt.task())
+                        .with("attempt", attempt.attempt)
                         .with("machine", machine.host)
                         .with("reason", task.exitReason()));
         if (task.exitReason() == TaskStatus.ExitReason.DONE && !service) {
-            job.markDone(placement.index);
+            job.markCompleted(attempt.index);
         } else if (task.exitReason() == TaskStatus.ExitReason.ERROR) {
-            failed(job, machine);
+            onTaskFailed(job, machine);
         } else if (task.exitReason() == TaskStatus.ExitReason.UNKNOWN_TASK) {
-            job.notBeforeMicros = world.nowMicros + ERROR_BACKOFF_MICROS;
+            job.placeNotBeforeMicros = world.nowMicros + ERROR_BACKOFF_MICROS;
         } else if (task.exitReason() == TaskStatus.ExitReason.INSUFFICIENT_RESOURCES
                 || task.exitReason() == TaskStatus.ExitReason.ALREADY_RUNNING) {
             world.log(
                     LogEntry.info(LogEvent.TASK_REFUSED)
-                            .with("task", placement.task())
+                            .with("task", attempt.task())
                             .with("machine", machine.host)
                             .with("reason", task.exitReason()));
-            machine.fullUntilMicros = world.nowMicros + ERROR_BACKOFF_MICROS;
+            machine.refusesUntilMicros = world.nowMicros + ERROR_BACKOFF_MICROS;
         }
         if (!task.wasRefused()) {
-            machine.images.used(
+            machine.images.touch(
                     job.description.image(),
                     job.description.imageGb(),
                     machine.type == null ? 0 : machine.type.imageCacheGb());
         }
-        losses.gone(placement);
-        if (job.allDone()) {
-            job.recording.needs(PersistenceState.WriteReason.LAUNCH);
+        taskLosses.remove(attempt);
+        if (job.isComplete()) {
+            job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
         }
-        noteExit(machine, task, job.recording.nextVersion());
+        rememberExit(machine, task, job.persistence.nextVersion());
     }
 
-    private void failed(Job job, Machine machine) {
+    private void onTaskFailed(Job job, Machine machine) {
         job.failures++;
         job.failedOn.add(machine.host);
         machine.failedJobs.put(job.jobId(), world.nowMicros);
@@ -321,7 +324,7 @@
                                 world.nowMicros - failure.getValue() > 60_000_000
                                         || world.jobs.containsKey(failure.getKey())
                                                 && world.jobs.get(failure.getKey()).failedOn.size()
-                                                        > FAULTY_AT_ONCE);
+                                                        > MAX_FAULTY_MACHINES);
         boolean machineAtFault = machine.failedJobs.size() >= 2;
         if (machineAtFault && machine.quarantinedUntilMicros < world.nowMicros) {
             machine.quarantinedUntilMicros =
@@ -333,15 +336,15 @@
         }
         if (job.failedOn.size() > 1) {
             long pause = ERROR_BACKOFF_MICROS << Math.min(6, job.failures);
-            job.notBeforeMicros = world.nowMicros + Math.min(MAX_BACKOFF_MICROS, pause);
+            job.placeNotBeforeMicros = world.nowMicros + Math.min(MAX_BACKOFF_MICROS, pause);
         }
     }
 
     /**
      * An exit that no placement accounts for: an earlier leader's, or one that was taken for lost.
      */
-    private void strangeExit(Machine machine, TaskStatus task) {
-        Map<Exit, Long> known = clearAfter.get(machine.host);
+    private void onUnknownExit(Machine machine, TaskStatus task) {
+        Map<Exit, Long> known = acknowledgeAfterVersion.get(machine.host);
         if (known != null && known.containsKey(new Exit(task.task(), task.attempt()))) {
             return;
         }
@@ -352,34 +355,34 @@
                 && task.exitReason() == TaskStatus.ExitReason.DONE
                 && !job.description.isService()
                 && !job.cancelled
-                && job.markDone(index)) {
-            TaskAttempt other = job.placement(index);
-            if (other != null && other.neverSent()) {
-                losses.gone(other);
+                && job.markCompleted(index)) {
+            TaskAttempt other = job.attempt(index);
+            if (other != null && other.wasNeverSent()) {
+                taskLosses.remove(other);
             } else if (other != null) {
-                other.halt(0);
+                other.stop(0);
             }
-            job.recording.needs(
-                    job.allDone()
-                            ? PersistenceState.WriteReason.LAUNCH
+            job.persistence.requestWrite(
+                    job.isComplete()
+                            ? PersistenceState.WriteReason.IMMEDIATE
                             : PersistenceState.WriteReason.OUTCOME);
-            noteExit(machine, task, job.recording.nextVersion());
+            rememberExit(machine, task, job.persistence.nextVersion());
         } else if (job != null) {
-            noteExit(machine, task, 0);
+            rememberExit(machine, task, 0);
         }
     }
 
-    private void noteExit(Machine machine, TaskStatus task, long version) {
-        clearAfter
+    private void rememberExit(Machine machine, TaskStatus task, long version) {
+        acknowledgeAfterVersion
                 .computeIfAbsent(machine.host, h -> new HashMap<>())
                 .put(new Exit(task.task(), task.attempt()), version);
     }
 
-    private List<TaskCommand> orders(Machine machine, Heartbeat report) {
+    private List<TaskCommand> commandsFor(Machine machine, Heartbeat heartbeat) {
         List<TaskCommand> commands = new ArrayList<>();
-        Map<Exit, Long> exits = clearAfter.getOrDefault(machine.host, Map.of());
+        Map<Exit, Long> exits = acknowledgeAfterVersion.getOrDefault(machine.host, Map.of());
         Map<Exit, Long> stillListed = exits.isEmpty() ? Map.of() : new HashMap<>();
-        for (TaskStatus task : report.tasks()) {
+        for (TaskStatus task : heartbeat.tasks()) {
             if (task.state() == TaskStatus.State.EXITED) {
                 Job job = world.jobs.get(task.task().jobId());
                 Exit exit = new Exit(task.task(), task.attempt());
@@ -388,34 +391,35 @@
                     stillListed.put(exit, version);
                 }
                 // A job that is no longer here has its final state in the store.
-                if (job == null || version != null && version <= job.recording.durable) {
+                if (job == null || version != null && version <= job.persistence.durableVersion) {
                     commands.add(TaskCommand.acknowledgeExit(task.task(), task.attempt()));
                 }
-            } else if (placement(machine, task) == null) {
+            } else if (findAttempt(machine, task) == null) {
                 commands.add(TaskCommand.stop(task.task(), task.attempt(), 0));
             }
         }
         if (!exits.isEmpty()) {
-            clearAfter.put(machine.host, stillListed);
+            acknowledgeAfterVersion.put(machine.host, stillListed);
         }
         // Halts go out at once: an answer without them would renew the lease of what must be gone
         // in time.
         boolean launches =
-                machine.acknowledged()
-                        && !machine.directWorks(world.nowMicros)
-                        && !machine.hearing.inDoubt(world.nowMicros);
-        for (TaskAttempt placement : machine.placements()) {
-            if (commands.size() >= MAX_ORDERS) {
+                machine.hasAcknowledgedTerm()
+                        && !machine.acceptsDirectCommands(world.nowMicros)
+                        && !machine.liveness.isSuspect(world.nowMicros);
+        for (TaskAttempt attempt : machine.attempts()) {
+            if (commands.size() >= MAX_COMMANDS) {
                 break;
             }
-            if (placement.halting() && !placement.neverSent()) {
+            if (attempt.isStopping() && !attempt.wasNeverSent()) {
                 commands.add(
-                        TaskCommand.stop(placement.task(), placement.attempt, placement.windDownS));
-            } else if (placement.stage == Stage.READY && launches && !placement.halting()) {
-                placement.stage = Stage.ANSWERED;
-                placement.answeredTick = report.sequence();
-                placement.sentToken = machine.hearing.token();
-                commands.add(TaskCommand.start(placement.task(), placement.attempt));
+                        TaskCommand.stop(
+                                attempt.task(), attempt.attempt, attempt.gracePeriodSeconds));
+            } else if (attempt.stage == Stage.READY && launches && !attempt.isStopping()) {
+                attempt.stage = Stage.SENT_IN_ANSWER;
+                attempt.answeredSequence = heartbeat.sequence();
+                attempt.startToken = machine.liveness.fencingToken();
+                commands.add(TaskCommand.start(attempt.task(), attempt.attempt));
             }
         }
         return commands;
@@ -423,6 +427,6 @@
 
     /** Drops what is kept for machines that are no longer known. */
     public void forget() {
-        clearAfter.keySet().retainAll(world.machines.keySet());
+        acknowledgeAfterVersion.keySet().retainAll(world.machines.keySet());
     }
 }
--- a/src/main/java/org/woadloom/core/machines/ImageCache.java
+++ b/src/main/java/org/woadloom/core/machines/ImageCache.java
@@ -10,7 +10,7 @@
 public final class ImageCache {
     private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
 
-    public void used(String image, double gb, double cacheGb) {
+    public void touch(String image, double gb, double cacheGb) {
         images.put(image, gb);
         double total = 0;
         for (double size : images.values()) {
@@ -27,7 +27,7 @@
         }
     }
 
-    public boolean has(String image) {
+    public boolean contains(String image) {
         return images.containsKey(image);
     }
 
--- a/src/main/java/org/woadloom/core/machines/Machine.java
+++ b/src/main/java/org/woadloom/core/machines/Machine.java
@@ -23,100 +23,100 @@
     private final SchedulerState world;
 
     /** What the worker has said, and whether it hears us. */
-    public final AgentLiveness hearing;
+    public final AgentLiveness liveness;
 
     public MachineType type;
-    private Resources size = Resources.NONE;
-    public String addr = "";
+    private Resources capacity = Resources.NONE;
+    public String address = "";
 
     public long lastAnsweredMicros = -1;
 
     /** When the cloud takes the machine away, or -1. */
-    public long takenMicros = -1;
+    public long spotTerminationMicros = -1;
 
     // The record.
     public long revision;
     public boolean recorded;
     public boolean writing;
     public boolean reading;
-    public boolean leavingRecorded;
-    public long retryMicros;
+    public boolean decommissioningRecorded;
+    public long retryAtMicros;
 
     /** The stored record says that the worker was heard. */
-    public boolean upRecorded;
+    public boolean reportedRecorded;
 
     /** When the last write of the record began. */
-    long writeBegunMicros = Long.MIN_VALUE / 2;
+    long writeStartedMicros = Long.MIN_VALUE / 2;
 
     /** The record as it is being written says so. */
-    boolean upWriting;
+    boolean reportedInWrite;
 
     /** The record is to be written once more, as its form has changed. */
-    public boolean rewrite;
+    public boolean rewriteNeeded;
 
     /**
      * When it was rented is known from the record, and not only since when this leader knows it.
      */
-    public boolean lifeKnown;
+    public boolean lifecycleKnown;
 
     // Its coming and going.
-    public final long knownSinceMicros;
+    public final long firstSeenMicros;
 
     /**
      * It was rented, listed or recorded, or its worker was certainly there: more than a name in a
      * report.
      */
-    private boolean confirmed;
+    private boolean isConfirmed;
 
     public long rentedMicros;
     public long idleSinceMicros;
-    public boolean leaving;
+    public boolean decommissioning;
     public boolean deleting;
     public boolean deleted;
-    public boolean listedFailed;
+    public boolean listedAsFailed;
 
     /** Given up while its lease may still run: it is deleted without being emptied. */
     public boolean abandoned;
 
     // Direct commands.
-    public long sendInFlight;
-    public long directAgainMicros;
-    private boolean greet;
+    public long commandInFlight;
+    public long directRetryAtMicros;
+    private boolean requestToken;
 
     /** When it was last spoken to because it was silent. */
-    long probedMicros = AgentLiveness.NEVER;
+    long lastProbeMicros = AgentLiveness.NEVER;
 
     public long quarantinedUntilMicros;
-    public long fullUntilMicros;
+    public long refusesUntilMicros;
     public final Map<String, Long> failedJobs = new LinkedHashMap<>();
     public final ImageCache images = new ImageCache();
-    private final Map<TaskId, TaskAttempt> placements = new LinkedHashMap<>();
+    private final Map<TaskId, TaskAttempt> attempts = new LinkedHashMap<>();
     private Resources used = Resources.NONE;
 
     /** What is in use taken from the size, or null after a change. */
-    private Resources room;
+    private Resources balance;
 
     /** How many tasks of each rank are here that have not been told to stop. */
-    private final int[] byRank = new int[Priority.values().length];
+    private final int[] runningByPriority = new int[Priority.values().length];
 
-    private int halting;
+    private int stoppingTasks;
 
     public Machine(MachineRecord record, SchedulerState world) {
         this.host = record.host();
         this.machineType = record.machineType();
         this.zone = record.zone();
         this.spot = record.spot();
-        this.leaving = record.decommissioning();
-        this.leavingRecorded = record.decommissioning();
+        this.decommissioning = record.decommissioning();
+        this.decommissioningRecorded = record.decommissioning();
         this.world = world;
-        this.knownSinceMicros = world.nowMicros;
-        this.hearing = new AgentLiveness(world.term, world.leastFence, world.hearingRules);
-        this.lifeKnown = record.lifecycle() != null;
-        this.upRecorded = lifeKnown && record.lifecycle().hasReported();
+        this.firstSeenMicros = world.nowMicros;
+        this.liveness = new AgentLiveness(world.term, world.minFence, world.livenessTimeouts);
+        this.lifecycleKnown = record.lifecycle() != null;
+        this.reportedRecorded = lifecycleKnown && record.lifecycle().hasReported();
         // By another node's time of day, which may be ahead of ours.
         this.rentedMicros =
                 world.nowMicros
-                        - (lifeKnown
+                        - (lifecycleKnown
                                 ? Math.max(
                                         0, world.wallMicros - record.lifecycle().rentedWallMicros())
                                 : 0);
@@ -124,31 +124,31 @@
     }
 
     /** The machine exists, or did: it is recorded, and returned if need be. */
-    public void confirm() {
-        if (!confirmed) {
-            confirmed = true;
-            unsettle();
+    public void confirmExistence() {
+        if (!isConfirmed) {
+            isConfirmed = true;
+            markForPersistence();
         }
     }
 
-    public boolean confirmed() {
-        return confirmed;
+    public boolean isConfirmed() {
+        return isConfirmed;
     }
 
     /** There may be something to send to the worker. */
-    public void attend() {
-        world.attentive.add(this);
+    public void markPendingCommands() {
+        world.machinesWithPendingCommands.add(this);
     }
 
     /** There may be something to write of the machine, or to do about its going. */
-    void unsettle() {
-        world.unsettled.add(this);
+    void markForPersistence() {
+        world.machinesToPersist.add(this);
     }
 
     /** The machine is to be given back, once nothing is on it. */
-    public void leave() {
-        leaving = true;
-        unsettle();
+    public void decommission() {
+        decommissioning = true;
+        markForPersistence();
     }
 
     public MachineRecord toRecord() {
@@ -157,38 +157,38 @@
                 machineType,
                 zone,
                 spot,
-                leaving,
-                world.machineLife
+                decommissioning,
+                world.recordsMachineLifecycle
                         ? new MachineRecord.Lifecycle(
                                 world.wallMicros - (world.nowMicros - rentedMicros),
-                                heard() || upRecorded)
+                                isKnownAlive() || reportedRecorded)
                         : null);
     }
 
     /** True while a write that began at the given moment or before may still change the record. */
-    public boolean mayChange(long sinceMicros) {
-        return (writing || reading) && writeBegunMicros <= sinceMicros;
+    public boolean mayRecordChange(long sinceMicros) {
+        return (writing || reading) && writeStartedMicros <= sinceMicros;
     }
 
     /** Has the record written in the form that is in force now. */
-    public void rewrite() {
-        rewrite = true;
-        unsettle();
+    public void rewriteNeeded() {
+        rewriteNeeded = true;
+        markForPersistence();
     }
 
     /** Has the present token sent to the worker, with or without orders. */
-    public void greet() {
-        greet = true;
-        attend();
+    public void requestToken() {
+        requestToken = true;
+        markPendingCommands();
     }
 
-    boolean greetingDue() {
-        return greet;
+    boolean tokenDue() {
+        return requestToken;
     }
 
-    boolean takeGreeting() {
-        boolean due = greet;
-        greet = false;
+    boolean takeTokenDue() {
+        boolean due = requestToken;
+        requestToken = false;
         return due;
     }
 
@@ -196,82 +196,82 @@
      * True once the worker has acknowledged a token of this term: no earlier leader can reach it
      * any more.
      */
-    public boolean acknowledged() {
-        return hearing.acknowledged();
+    public boolean hasAcknowledgedTerm() {
+        return liveness.hasAcknowledgedTerm();
     }
 
-    public boolean heard() {
-        return hearing.heard();
+    public boolean isKnownAlive() {
+        return liveness.isKnownAlive();
     }
 
     /** True for a worker that was in touch lately and whose lease is not known to be over. */
-    public boolean up() {
-        return acknowledged() && hearing.incarnation() >= hearing.leastTenure();
+    public boolean isUp() {
+        return hasAcknowledgedTerm() && liveness.incarnation() >= liveness.minIncarnation();
     }
 
     /**
      * True unless a direct command went unanswered just now; launches go in answers to reports
      * then.
      */
-    public boolean directWorks(long nowMicros) {
-        return nowMicros >= directAgainMicros;
+    public boolean acceptsDirectCommands(long nowMicros) {
+        return nowMicros >= directRetryAtMicros;
     }
 
-    public void add(TaskAttempt placement) {
-        placements.put(placement.task(), placement);
-        used = used.plus(placement.job.room);
-        room = null;
-        if (placement.halting()) {
-            halting++;
+    public void add(TaskAttempt attempt) {
+        attempts.put(attempt.task(), attempt);
+        used = used.plus(attempt.job.taskResources);
+        balance = null;
+        if (attempt.isStopping()) {
+            stoppingTasks++;
         } else {
-            byRank[placement.job.priority().ordinal()]++;
+            runningByPriority[attempt.job.priority().ordinal()]++;
         }
     }
 
-    public void remove(TaskAttempt placement) {
-        if (placements.remove(placement.task(), placement)) {
-            used = used.minus(placement.job.room);
-            room = null;
-            if (placement.halting()) {
-                halting--;
+    public void remove(TaskAttempt attempt) {
+        if (attempts.remove(attempt.task(), attempt)) {
+            used = used.minus(attempt.job.taskResources);
+            balance = null;
+            if (attempt.isStopping()) {
+                stoppingTasks--;
             } else {
-                byRank[placement.job.priority().ordinal()]--;
+                runningByPriority[attempt.job.priority().ordinal()]--;
             }
         }
     }
 
-    public Collection<TaskAttempt> placements() {
-        return placements.values();
+    public Collection<TaskAttempt> attempts() {
+        return attempts.values();
     }
 
     /** A copy, for loops that remove. */
     public List<TaskAttempt> snapshot() {
-        return new ArrayList<>(placements.values());
+        return new ArrayList<>(attempts.values());
     }
 
-    public boolean empty() {
-        return placements.isEmpty();
+    public boolean isEmpty() {
+        return attempts.isEmpty();
     }
 
     public Resources used() {
         return used;
     }
 
-    public Resources size() {
-        return size;
+    public Resources capacity() {
+        return capacity;
     }
 
-    public void resize(Resources to) {
-        size = to;
-        room = null;
+    public void setCapacity(Resources to) {
+        capacity = to;
+        balance = null;
     }
 
     /** Its size without what is in use; negative where more is recorded than it has. */
-    public Resources room() {
-        if (room == null) {
-            room = size.minus(used);
+    public Resources balance() {
+        if (balance == null) {
+            balance = capacity.minus(used);
         }
-        return room;
+        return balance;
     }
 
     /** What a processor costs here, by the prices last seen; 0 while they are unknown. */
@@ -282,35 +282,35 @@
     }
 
     public Resources free() {
-        return room().floor();
+        return balance().withoutNegatives();
     }
 
     /** To be called when a task that is here is told to stop. */
-    public void halted(TaskAttempt placement) {
-        attend();
-        if (placements.get(placement.task()) == placement) {
-            byRank[placement.job.priority().ordinal()]--;
-            halting++;
+    public void onStopping(TaskAttempt attempt) {
+        markPendingCommands();
+        if (attempts.get(attempt.task()) == attempt) {
+            runningByPriority[attempt.job.priority().ordinal()]--;
+            stoppingTasks++;
         }
     }
 
     /** To be called when the rank of a task's job has changed. */
-    public void reranked(TaskAttempt placement, Priority before) {
-        if (placements.get(placement.task()) == placement && !placement.halting()) {
-            byRank[before.ordinal()]--;
-            byRank[placement.job.priority().ordinal()]++;
+    public void onPriorityChanged(TaskAttempt attempt, Priority before) {
+        if (attempts.get(attempt.task()) == attempt && !attempt.isStopping()) {
+            runningByPriority[before.ordinal()]--;
+            runningByPriority[attempt.job.priority().ordinal()]++;
         }
     }
 
     /** True if room will come free here without anything more being stopped. */
-    public boolean hasHalting() {
-        return halting > 0;
+    public boolean hasStoppingTasks() {
+        return stoppingTasks > 0;
     }
 
     /** True if a task of a lower rank is here that has not been told to stop. */
-    public boolean hasBelow(Priority priority) {
+    public boolean hasTasksBelow(Priority priority) {
         for (int i = 0; i < priority.ordinal(); i++) {
-            if (byRank[i] > 0) {
+            if (runningByPriority[i] > 0) {
                 return true;
             }
         }
--- a/src/main/java/org/woadloom/core/machines/MachineRegistry.java
+++ b/src/main/java/org/woadloom/core/machines/MachineRegistry.java
@@ -18,39 +18,39 @@
 public final class MachineRegistry {
     private static final long RETRY_MICROS = 300_000;
     private static final long DELETE_RETRY_MICROS = 2_000_000;
-    private static final int MAX_DELETE = 100;
+    private static final int MAX_MACHINES_PER_DELETION = 100;
 
     /**
      * The deletion of a machine with work on it is the proof that the work is gone, so it waits for
      * no other.
      */
-    private static final int MOST_DELETIONS = 2;
+    private static final int MAX_CONCURRENT_DELETIONS = 2;
 
     private final SchedulerState world;
-    private final TaskLossHandler losses;
+    private final TaskLossHandler taskLosses;
 
     /**
      * Deletions that are under way: what is to go meanwhile goes with the next one, as the cloud
      * takes few calls.
      */
-    private int deletions;
+    private int deletionsInFlight;
 
-    public MachineRegistry(SchedulerState world, TaskLossHandler losses) {
+    public MachineRegistry(SchedulerState world, TaskLossHandler taskLosses) {
         this.world = world;
-        this.losses = losses;
+        this.taskLosses = taskLosses;
     }
 
     public void load(SchedulerEvent.StoredMachine stored) {
         Machine machine = create(stored.record());
-        machine.confirm();
+        machine.confirmExistence();
         machine.recorded = true;
         machine.revision = stored.revision();
     }
 
     /** A machine that was rented or listed; machines that nobody expected are taken over. */
     public Machine adopt(MachineRecord record) {
-        Machine machine = reported(record);
-        machine.confirm();
+        Machine machine = findOrCreate(record);
+        machine.confirmExistence();
         return machine;
     }
 
@@ -59,7 +59,7 @@
      * copies of reports come late: until it has answered, it is no more than a name, with no record
      * and no part in anything.
      */
-    public Machine reported(MachineRecord record) {
+    public Machine findOrCreate(MachineRecord record) {
         Machine machine = world.machines.get(record.host());
         return machine != null ? machine : create(record);
     }
@@ -71,25 +71,25 @@
         return machine;
     }
 
-    public void typesSeen(List<MachineType> types) {
+    public void onMachineTypes(List<MachineType> types) {
         for (MachineType type : types) {
-            world.types.put(type.name(), type);
+            world.machineTypes.put(type.name(), type);
         }
         for (Machine machine : world.machines.values()) {
             setType(machine);
         }
-        world.placementWorthTrying = true;
+        world.placementNeeded = true;
     }
 
     private void setType(Machine machine) {
-        machine.type = world.types.get(machine.machineType);
-        machine.resize(machine.type == null ? Resources.NONE : Resources.of(machine.type));
+        machine.type = world.machineTypes.get(machine.machineType);
+        machine.setCapacity(machine.type == null ? Resources.NONE : Resources.of(machine.type));
     }
 
-    public void listed(List<ListedMachine> machines) {
+    public void onMachinesListed(List<ListedMachine> machines) {
         for (ListedMachine listed : machines) {
             Machine machine = world.machines.get(listed.host());
-            if (machine == null || !machine.confirmed()) {
+            if (machine == null || !machine.isConfirmed()) {
                 machine =
                         adopt(
                                 new MachineRecord(
@@ -106,102 +106,105 @@
             // A new leader learns here for how long its machines have been paid for.
             machine.rentedMicros =
                     Math.min(machine.rentedMicros, world.nowMicros - listed.rentedForMicros());
-            if (listed.failed() && !machine.leaving) {
+            if (listed.failed() && !machine.decommissioning) {
                 // A failed machine stays listed until it is deleted, and the deletion's answer is
                 // the proof we need.
-                machine.leave();
-                machine.listedFailed = true;
+                machine.decommission();
+                machine.listedAsFailed = true;
                 world.log(
                         LogEntry.info(LogEvent.MACHINE_FAILED)
                                 .with("machine", machine.host)
                                 .with("zone", machine.zone));
             }
-            if (machine.addr.isEmpty()) {
-                machine.addr = listed.address();
+            if (machine.address.isEmpty()) {
+                machine.address = listed.address();
             }
         }
     }
 
     /** A node tells how it stands, and gets a warrant for the zone that it is in. */
-    public void nodeSpoke(SchedulerEvent.PeerStatusReceived spoke) {
-        world.cancellationsSeenMicros =
-                Math.max(world.cancellationsSeenMicros, spoke.cancellationsSeenMicros());
-        String zone = world.settings.nodes().get(spoke.node());
-        LeaseDelegation warrant =
+    public void onPeerStatus(SchedulerEvent.PeerStatusReceived event) {
+        world.cancellationsReadUpToMicros =
+                Math.max(world.cancellationsReadUpToMicros, event.cancellationsReadUpToMicros());
+        String zone = world.settings.nodes().get(event.node());
+        LeaseDelegation delegation =
                 zone == null
                         ? null
-                        : world.warrants.heard(
-                                spoke.node(), spoke.standing(), settled(zone), world.nowMicros);
-        if (warrant != null) {
-            world.emit(new SchedulerAction.DelegateLeases(spoke.node(), warrant));
+                        : world.delegations.onPeerStatus(
+                                event.node(),
+                                event.status(),
+                                cancellationsAppliedMicros(zone),
+                                world.nowMicros);
+        if (delegation != null) {
+            world.emit(new SchedulerAction.DelegateLeases(event.node(), delegation));
         }
     }
 
     /** Up to this moment every cancellation has been carried out in the zone. */
-    private long settled(String zone) {
-        long settled = world.cancellationsSeenMicros;
+    private long cancellationsAppliedMicros(String zone) {
+        long appliedMicros = world.cancellationsReadUpToMicros;
         for (Job job : world.jobs.values()) {
-            if (job.cancelled && job.placedIn(zone) > 0) {
-                settled = Math.min(settled, job.cancelledSinceMicros);
+            if (job.cancelled && job.attemptsInZone(zone) > 0) {
+                appliedMicros = Math.min(appliedMicros, job.cancelledSinceMicros);
             }
         }
-        return settled;
+        return appliedMicros;
     }
 
     public void emitWrites() {
         List<String> delete = new ArrayList<>();
         // A machine that is up can take tasks as soon as its record is there; the others have time.
-        world.unsettled.removeIf(
+        world.machinesToPersist.removeIf(
                 machine ->
                         machine.deleted
                                 ? !machine.recorded && !machine.writing && !machine.reading
                                 : machine.recorded
                                         && !machine.reading
-                                        && !machine.leaving
-                                        && !machine.rewrite);
-        for (Machine machine : world.unsettled) {
-            if (machine.heard()
+                                        && !machine.decommissioning
+                                        && !machine.rewriteNeeded);
+        for (Machine machine : world.machinesToPersist) {
+            if (machine.isKnownAlive()
                     && !machine.recorded
                     && !machine.deleted
                     && !machine.reading
                     && !machine.writing
-                    && world.nowMicros >= machine.retryMicros
-                    && world.writes.allowsMachine()) {
-                put(machine);
+                    && world.nowMicros >= machine.retryAtMicros
+                    && world.writeBudget.allowsMachine()) {
+                writeRecord(machine);
             }
         }
-        for (Machine machine : world.unsettled) {
-            if (world.nowMicros < machine.retryMicros || machine.writing) {
+        for (Machine machine : world.machinesToPersist) {
+            if (world.nowMicros < machine.retryAtMicros || machine.writing) {
                 continue;
             }
             if (machine.reading) {
                 machine.writing = true;
                 world.emit(new SchedulerAction.ReadMachine(machine.host));
             } else if (machine.deleted) {
-                if (machine.recorded && world.writes.allowsMachine()) {
-                    world.writes.machine();
+                if (machine.recorded && world.writeBudget.allowsMachine()) {
+                    world.writeBudget.takeMachine();
                     machine.writing = true;
                     world.emit(
                             new SchedulerAction.DeleteMachineRecord(
                                     machine.host, machine.revision));
                 }
             } else if (!machine.recorded
-                    || machine.leaving != machine.leavingRecorded
-                    || machine.rewrite && !machine.deleting) {
-                if (world.writes.allowsMachine()) {
-                    put(machine);
+                    || machine.decommissioning != machine.decommissioningRecorded
+                    || machine.rewriteNeeded && !machine.deleting) {
+                if (world.writeBudget.allowsMachine()) {
+                    writeRecord(machine);
                 }
-            } else if (deletions < (machine.abandoned ? MOST_DELETIONS : 1)
-                    && machine.leavingRecorded
+            } else if (deletionsInFlight < (machine.abandoned ? MAX_CONCURRENT_DELETIONS : 1)
+                    && machine.decommissioningRecorded
                     && !machine.deleting
-                    && deletable(machine)
-                    && delete.size() < MAX_DELETE) {
+                    && isDeletable(machine)
+                    && delete.size() < MAX_MACHINES_PER_DELETION) {
                 machine.deleting = true;
                 delete.add(machine.host);
             }
         }
         if (!delete.isEmpty()) {
-            deletions++;
+            deletionsInFlight++;
             world.log(
                     LogEntry.info(LogEvent.MACHINES_DELETING)
                             .with("machines", String.join(",", delete)));
@@ -209,27 +212,27 @@
         }
     }
 
-    private void put(Machine machine) {
-        world.writes.machine();
+    private void writeRecord(Machine machine) {
+        world.writeBudget.takeMachine();
         machine.writing = true;
-        machine.writeBegunMicros = world.nowMicros;
+        machine.writeStartedMicros = world.nowMicros;
         MachineRecord record = machine.toRecord();
-        machine.upWriting = record.lifecycle() != null && record.lifecycle().hasReported();
-        machine.rewrite = false;
+        machine.reportedInWrite = record.lifecycle() != null && record.lifecycle().hasReported();
+        machine.rewriteNeeded = false;
         world.emit(new SchedulerAction.WriteMachine(record, machine.revision));
     }
 
     /** A machine that still answers is emptied first; one that is lost is deleted to get proof. */
-    private boolean deletable(Machine machine) {
-        return machine.empty()
-                || machine.listedFailed
+    private boolean isDeletable(Machine machine) {
+        return machine.isEmpty()
+                || machine.listedAsFailed
                 || machine.abandoned
-                || !machine.up()
-                || world.nowMicros - machine.hearing.aliveMicros()
+                || !machine.isUp()
+                || world.nowMicros - machine.liveness.lastAliveMicros()
                         > world.settings.leaseMicros() / 2;
     }
 
-    public void written(SchedulerEvent.MachineWriteCompleted result) {
+    public void onWriteCompleted(SchedulerEvent.MachineWriteCompleted result) {
         Machine machine = world.machines.get(result.host());
         if (machine == null) {
             return;
@@ -237,21 +240,21 @@
         machine.writing = false;
         switch (result.outcome()) {
             case WRITTEN -> {
-                machine.recorded = !result.dropped();
-                machine.revision = result.dropped() ? 0 : result.revision();
-                machine.leavingRecorded = result.leaving();
-                machine.upRecorded = !result.dropped() && machine.upWriting;
-                world.placementWorthTrying = true;
+                machine.recorded = !result.deleted();
+                machine.revision = result.deleted() ? 0 : result.revision();
+                machine.decommissioningRecorded = result.decommissioning();
+                machine.reportedRecorded = !result.deleted() && machine.reportedInWrite;
+                world.placementNeeded = true;
             }
             case CONFLICT, UNKNOWN -> {
                 machine.reading = true;
-                machine.unsettle();
+                machine.markForPersistence();
             }
-            case NOT_WRITTEN, TOO_LARGE -> machine.retryMicros = world.nowMicros + RETRY_MICROS;
+            case NOT_WRITTEN, TOO_LARGE -> machine.retryAtMicros = world.nowMicros + RETRY_MICROS;
         }
     }
 
-    public void seen(SchedulerEvent.MachineRecordRead result) {
+    public void onRecordRead(SchedulerEvent.MachineRecordRead result) {
         Machine machine = world.machines.get(result.host());
         if (machine == null) {
             return;
@@ -262,33 +265,34 @@
         // late write.
         machine.recorded = machine.deleted && result.record() != null;
         machine.revision = result.record() == null ? 0 : result.revision();
-        machine.leavingRecorded = result.record() != null && result.record().decommissioning();
-        machine.unsettle();
+        machine.decommissioningRecorded =
+                result.record() != null && result.record().decommissioning();
+        machine.markForPersistence();
     }
 
-    public void unreadable(String host) {
+    public void onReadFailed(String host) {
         Machine machine = world.machines.get(host);
         if (machine != null) {
             machine.writing = false;
-            machine.retryMicros = world.nowMicros + RETRY_MICROS;
+            machine.retryAtMicros = world.nowMicros + RETRY_MICROS;
         }
     }
 
-    public void deleted(SchedulerEvent.MachineDeletionCompleted result) {
-        deletions--;
+    public void onDeletionCompleted(SchedulerEvent.MachineDeletionCompleted result) {
+        deletionsInFlight--;
         for (String host : result.hosts()) {
             Machine machine = world.machines.get(host);
             if (machine == null) {
                 continue;
             }
             machine.deleting = false;
-            if (result.done()) {
+            if (result.succeeded()) {
                 machine.deleted = true;
-                machine.unsettle();
-                losses.all(machine, "machine deleted");
-                machine.hearing.gone(world.nowMicros);
+                machine.markForPersistence();
+                taskLosses.removeAll(machine, "machine deleted");
+                machine.liveness.onMachineDeleted(world.nowMicros);
             } else {
-                machine.retryMicros = world.nowMicros + DELETE_RETRY_MICROS;
+                machine.retryAtMicros = world.nowMicros + DELETE_RETRY_MICROS;
             }
         }
     }
@@ -301,18 +305,19 @@
                 .removeIf(
                         machine -> {
                             boolean forgotten =
-                                    machine.confirmed()
+                                    machine.isConfirmed()
                                             ? machine.deleted
                                                     && !machine.recorded
                                                     && !machine.writing
                                                     && world.nowMicros
-                                                                    - machine.hearing.aliveMicros()
+                                                                    - machine.liveness
+                                                                            .lastAliveMicros()
                                                             > keep
-                                            : world.nowMicros - machine.knownSinceMicros > keep;
+                                            : world.nowMicros - machine.firstSeenMicros > keep;
                             if (forgotten) {
-                                world.leastFence =
-                                        Math.max(world.leastFence, machine.hearing.fence() + 1);
-                                world.attentive.remove(machine);
+                                world.minFence =
+                                        Math.max(world.minFence, machine.liveness.fence() + 1);
+                                world.machinesWithPendingCommands.remove(machine);
                             }
                             return forgotten;
                         });
--- a/src/main/java/org/woadloom/core/machines/TaskLossHandler.java
+++ b/src/main/java/org/woadloom/core/machines/TaskLossHandler.java
@@ -15,47 +15,47 @@
         this.world = world;
     }
 
-    public void lost(TaskAttempt placement, String why) {
+    public void onLost(TaskAttempt attempt, String reason) {
         world.log(
                 LogEntry.info(LogEvent.TASK_LOST)
-                        .with("task", placement.task())
-                        .with("attempt", placement.attempt)
-                        .with("machine", placement.machine.host)
-                        .with("reason", why));
-        gone(placement);
+                        .with("task", attempt.task())
+                        .with("attempt", attempt.attempt)
+                        .with("machine", attempt.machine.host)
+                        .with("reason", reason));
+        remove(attempt);
     }
 
     /** Removes a placement whose end needs no line of its own. */
-    public void gone(TaskAttempt placement) {
-        placement.job.remove(placement);
-        recordOutcome(placement.job);
-        if (placement.machine.empty()) {
-            placement.machine.idleSinceMicros = world.nowMicros;
+    public void remove(TaskAttempt attempt) {
+        attempt.job.remove(attempt);
+        requestOutcomeWrite(attempt.job);
+        if (attempt.machine.isEmpty()) {
+            attempt.machine.idleSinceMicros = world.nowMicros;
         }
-        world.placementWorthTrying = true;
+        world.placementNeeded = true;
     }
 
     /** A job that is over has one more thing to tell: that nothing of it is left. */
-    private static void recordOutcome(Job job) {
-        if (!job.over()) {
-            job.recording.needs(PersistenceState.WriteReason.OUTCOME);
-        } else if (job.placements().isEmpty()) {
-            job.recording.needs(PersistenceState.WriteReason.LAUNCH);
+    private static void requestOutcomeWrite(Job job) {
+        if (!job.isOver()) {
+            job.persistence.requestWrite(PersistenceState.WriteReason.OUTCOME);
+        } else if (job.attempts().isEmpty()) {
+            job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
         }
     }
 
     /** Nothing is left on the machine and nothing more will come of what was sent there. */
-    public void all(Machine machine, String why) {
-        for (TaskAttempt placement : machine.snapshot()) {
-            lost(placement, why);
+    public void removeAll(Machine machine, String reason) {
+        for (TaskAttempt attempt : machine.snapshot()) {
+            onLost(attempt, reason);
         }
     }
 
     /** The worker's session is over; what was never sent can still be launched in the next one. */
-    public void session(Machine machine, String why) {
-        for (TaskAttempt placement : machine.snapshot()) {
-            if (!placement.neverSent()) {
-                lost(placement, why);
+    public void onSessionEnded(Machine machine, String reason) {
+        for (TaskAttempt attempt : machine.snapshot()) {
+            if (!attempt.wasNeverSent()) {
+                onLost(attempt, reason);
             }
         }
     }
--- a/src/main/java/org/woadloom/core/placement/CandidateMachines.java
+++ b/src/main/java/org/woadloom/core/placement/CandidateMachines.java
@@ -20,19 +20,19 @@
      * What the price counts at most, against 100 for an image that is there: to fetch one may take
      * a start its aim.
      */
-    private static final double CHEAPEST = 50;
+    private static final double PRICE_WEIGHT = 50;
 
     private final Job job;
-    private final Set<String> scarce;
-    private final PlacementConstraints eligibility;
+    private final Set<String> scarceZones;
+    private final PlacementConstraints constraints;
     private final Reservations reservations;
     private final PriorityQueue<Candidate> queue = new PriorityQueue<>();
 
     /** Replicas of the job by machine; empty for other jobs. */
     private final Map<Machine, Integer> replicas = new HashMap<>();
 
-    private final Map<String, Integer> roomByYard = new HashMap<>();
-    private double dearest = Double.MIN_NORMAL;
+    private final Map<String, Integer> fitsByZone = new HashMap<>();
+    private double highestPrice = Double.MIN_NORMAL;
     private Candidate taken;
 
     private static final class Candidate implements Comparable<Candidate> {
@@ -54,34 +54,34 @@
 
     CandidateMachines(
             Job job,
-            List<Machine> open,
-            Set<String> scarce,
-            PlacementConstraints eligibility,
+            List<Machine> openMachines,
+            Set<String> scarceZones,
+            PlacementConstraints constraints,
             Reservations reservations) {
         this.job = job;
-        this.scarce = scarce;
-        this.eligibility = eligibility;
+        this.scarceZones = scarceZones;
+        this.constraints = constraints;
         this.reservations = reservations;
         if (job.description.isService()) {
-            for (TaskAttempt placement : job.placements()) {
-                replicas.merge(placement.machine, 1, Integer::sum);
+            for (TaskAttempt attempt : job.attempts()) {
+                replicas.merge(attempt.machine, 1, Integer::sum);
             }
         }
         if (startsTogether()) {
-            for (Machine machine : open) {
-                if (eligibility.allows(job, machine)) {
-                    roomByYard.merge(
+            for (Machine machine : openMachines) {
+                if (constraints.allows(job, machine)) {
+                    fitsByZone.merge(
                             machine.zone,
-                            reservations.unreserved(machine, job).count(job.room),
+                            reservations.unreserved(machine, job).count(job.taskResources),
                             Integer::sum);
                 }
             }
         }
-        for (Machine machine : open) {
-            dearest = Math.max(dearest, machine.pricePerCpu());
+        for (Machine machine : openMachines) {
+            highestPrice = Math.max(highestPrice, machine.pricePerCpu());
         }
         int order = 0;
-        for (Machine machine : open) {
+        for (Machine machine : openMachines) {
             order++;
             if (fits(machine)) {
                 Candidate candidate = new Candidate(machine, order);
@@ -111,7 +111,7 @@
     }
 
     /** The machine that came last has got a task, and may take another. */
-    void placed() {
+    void onPlaced() {
         if (job.description.isService()) {
             replicas.merge(taken.machine, 1, Integer::sum);
         }
@@ -122,16 +122,16 @@
     }
 
     private boolean startsTogether() {
-        return job.description.sameZone() && job.placements().isEmpty();
+        return job.description.sameZone() && job.attempts().isEmpty();
     }
 
     private boolean fits(Machine machine) {
         // No reservation leaves more room than is not in use: most machines are passed over at
         // that.
-        return machine.room().holds(job.room)
-                && reservations.unreserved(machine, job).holds(job.room)
-                && job.allowed(reservations.credit(job, machine)) >= 1
-                && eligibility.allows(job, machine)
+        return machine.balance().contains(job.taskResources)
+                && reservations.unreserved(machine, job).contains(job.taskResources)
+                && job.allowedTasks(reservations.credit(job, machine)) >= 1
+                && constraints.allows(job, machine)
                 && !job.failedOn.contains(machine.host);
     }
 
@@ -141,7 +141,7 @@
             // The reservation is drawn before the machine.
             score += 100_000;
         }
-        if (machine.images.has(job.description.image())) {
+        if (machine.images.contains(job.description.image())) {
             score += 100;
         }
         if (job.description.isService()) {
@@ -150,22 +150,23 @@
         } else {
             // Dear machines fall idle first, and ordinary ones have room for work that may not use
             // spot machines.
-            score += CHEAPEST * (1 - machine.pricePerCpu() / dearest);
+            score += PRICE_WEIGHT * (1 - machine.pricePerCpu() / highestPrice);
         }
         if (startsTogether()) {
             // The first task fixes the zone, so it goes where most of the others fit.
-            score += 1000.0 * Math.min(job.pending(), roomByYard.getOrDefault(machine.zone, 0));
+            score +=
+                    1000.0 * Math.min(job.pendingTasks(), fitsByZone.getOrDefault(machine.zone, 0));
         }
         if (job.description.spreadAcrossZones()) {
-            score -= 10.0 * job.placedIn(machine.zone);
+            score -= 10.0 * job.attemptsInZone(machine.zone);
         }
-        if (scarce.contains(machine.zone) && !machine.spot) {
+        if (scarceZones.contains(machine.zone) && !machine.spot) {
             // Replicas that must spread put only the odd one elsewhere; work that has a choice
             // stays away.
             score -= job.description.spreadAcrossZones() ? 15 : 300;
         }
         // Fullest first, so that idle machines can be returned.
-        score += 20.0 * machine.used().cpu() / Math.max(1, machine.size().cpu());
+        score += 20.0 * machine.used().cpu() / Math.max(1, machine.capacity().cpu());
         return score;
     }
 }
--- a/src/main/java/org/woadloom/core/placement/PlacementConstraints.java
+++ b/src/main/java/org/woadloom/core/placement/PlacementConstraints.java
@@ -28,40 +28,40 @@
 
     public boolean allows(Job job, Machine machine) {
         return allows(job.description, machine.type, machine.zone, machine.spot)
-                && allowsYard(job, machine.zone);
+                && allowsZone(job, machine.zone);
     }
 
     /** Zone rules, given every task of the job that is or may be somewhere. */
-    public boolean allowsYard(Job job, String zone) {
+    public boolean allowsZone(Job job, String zone) {
         if (job.description.sameZone()
                 && !job.zones().isEmpty()
                 && !(job.zones().size() == 1 && job.zones().contains(zone))) {
             return false;
         }
         return !job.description.spreadAcrossZones()
-                || job.placedIn(zone) < (job.description.taskCount() + 1) / 2;
+                || job.attemptsInZone(zone) < (job.description.taskCount() + 1) / 2;
     }
 
     /** True if the machine's worker is in touch and new tasks may go there. */
-    public boolean takesTasks(Machine machine) {
+    public boolean acceptsTasks(Machine machine) {
         return machine.type != null
                 && machine.recorded
-                && !machine.leaving
+                && !machine.decommissioning
                 && !machine.deleted
-                && machine.up()
-                && machine.takenMicros < 0
+                && machine.isUp()
+                && machine.spotTerminationMicros < 0
                 && machine.quarantinedUntilMicros <= world.nowMicros
-                && machine.fullUntilMicros <= world.nowMicros
-                && !silent(machine)
-                && !machine.hearing.inDoubt(world.nowMicros);
+                && machine.refusesUntilMicros <= world.nowMicros
+                && !isSilent(machine)
+                && !machine.liveness.isSuspect(world.nowMicros);
     }
 
     /**
      * True for a worker whose reports are overdue, though it may still answer commands: its lease
      * is running out.
      */
-    public boolean silent(Machine machine) {
-        return world.nowMicros - machine.hearing.reportedMicros()
-                > world.hearingRules.freshMicros();
+    public boolean isSilent(Machine machine) {
+        return world.nowMicros - machine.liveness.lastHeartbeatMicros()
+                > world.livenessTimeouts.freshMicros();
     }
 }
--- a/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
+++ b/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
@@ -27,50 +27,53 @@
     private static final long MOVE_SEARCH_MICROS = 1_000_000;
 
     private final SchedulerState world;
-    private final PlacementConstraints eligibility;
+    private final PlacementConstraints constraints;
     private final Reservations reservations;
-    private final GangReservationPlanner gathering;
-    private long nextMoveMicros;
+    private final GangReservationPlanner gangPlanner;
+    private long nextReplicaMoveMicros;
 
     public PreemptionPlanner(
             SchedulerState world,
-            PlacementConstraints eligibility,
+            PlacementConstraints constraints,
             Reservations reservations,
-            GangReservationPlanner gathering) {
+            GangReservationPlanner gangPlanner) {
         this.world = world;
-        this.eligibility = eligibility;
+        this.constraints = constraints;
         this.reservations = reservations;
-        this.gathering = gathering;
+        this.gangPlanner = gangPlanner;
     }
 
     /** A kind of search that found too little on all machines in this pass. */
     private record FailedSearch(
-            ResourceRequest shape, Priority priority, TeamQuota borrowersGiveTo) {
+            ResourceRequest request, Priority priority, TeamQuota guaranteedTeam) {
         boolean covers(Job job, boolean fromBorrowers) {
             return priority.compareTo(job.priority()) >= 0
-                    && (!fromBorrowers || borrowersGiveTo == job.team)
-                    && shape.covers(job);
+                    && (!fromBorrowers || guaranteedTeam == job.team)
+                    && request.covers(job);
         }
     }
 
-    public void makeRoom(List<Job> queue) {
-        List<FailedSearch> hopeless = new ArrayList<>();
+    public void preemptFor(List<Job> queue) {
+        List<FailedSearch> failedSearches = new ArrayList<>();
         for (Job job : queue) {
-            if (gathering.gathers(job)) {
-                makeReservedRoom(job);
+            if (gangPlanner.needsReservations(job)) {
+                preemptOnReservedMachines(job);
                 continue;
             }
             // Room that is reserved for the job, or being made for it, is on its way.
-            int wanted = Math.min(job.pending() - reservations.heldFor(job), job.allowed());
+            int wanted =
+                    Math.min(job.pendingTasks() - reservations.countFor(job), job.allowedTasks());
             if (wanted <= 0) {
                 continue;
             }
             boolean fromBorrowers =
-                    job.guaranteed && job.team.withinGuarantee(job.room) && othersBorrow(job.team);
-            if (hopeless.stream().noneMatch(known -> known.covers(job, fromBorrowers))) {
-                wanted = free(job, wanted, fromBorrowers);
-                if (wanted > 0 && ResourceRequest.plain(job)) {
-                    hopeless.add(
+                    job.withinGuarantee
+                            && job.team.staysWithinGuarantee(job.taskResources)
+                            && othersBorrow(job.team);
+            if (failedSearches.stream().noneMatch(known -> known.covers(job, fromBorrowers))) {
+                wanted = freeResources(job, wanted, fromBorrowers);
+                if (wanted > 0 && ResourceRequest.isRepresentative(job)) {
+                    failedSearches.add(
                             new FailedSearch(
                                     ResourceRequest.of(job),
                                     job.priority(),
@@ -85,7 +88,7 @@
 
     private boolean othersBorrow(TeamQuota team) {
         for (TeamQuota other : world.teams.values()) {
-            if (other != team && other.beyondGuarantee()) {
+            if (other != team && other.exceedsGuarantee()) {
                 return true;
             }
         }
@@ -93,20 +96,20 @@
     }
 
     /** Makes room where that can be done; returns for how many tasks there is still none. */
-    private int free(Job job, int wanted, boolean fromBorrowers) {
+    private int freeResources(Job job, int wanted, boolean fromBorrowers) {
         int missing = wanted;
         for (Machine machine : world.machines.values()) {
             if (missing <= 0) {
                 break;
             }
-            if ((machine.hasHalting()
-                            || machine.hasBelow(job.priority())
-                            || fromBorrowers && !machine.empty())
-                    && machine.size().holds(job.room)
-                    && eligibility.takesTasks(machine)
-                    && eligibility.allows(job, machine)
+            if ((machine.hasStoppingTasks()
+                            || machine.hasTasksBelow(job.priority())
+                            || fromBorrowers && !machine.isEmpty())
+                    && machine.capacity().contains(job.taskResources)
+                    && constraints.acceptsTasks(machine)
+                    && constraints.allows(job, machine)
                     && !job.failedOn.contains(machine.host)) {
-                missing -= free(job, machine, missing);
+                missing -= freeResources(job, machine, missing);
             }
         }
         return missing;
@@ -118,44 +121,46 @@
      * that has room and its image.
      */
     private void moveReplica(Job job) {
-        if (world.nowMicros < nextMoveMicros) {
+        if (world.nowMicros < nextReplicaMoveMicros) {
             return;
         }
-        nextMoveMicros = world.nowMicros + MOVE_SEARCH_MICROS;
+        nextReplicaMoveMicros = world.nowMicros + MOVE_SEARCH_MICROS;
         for (Machine machine : world.machines.values()) {
-            if (!eligibility.takesTasks(machine) || !eligibility.allows(job, machine)) {
+            if (!constraints.acceptsTasks(machine) || !constraints.allows(job, machine)) {
                 continue;
             }
-            for (TaskAttempt placement : machine.placements()) {
-                Resources coming = reservations.balance(machine, null).plus(placement.job.room);
-                if (placement.job != job
-                        && placement.job.description.isService()
-                        && !placement.halting()
-                        && placement.stage == TaskAttempt.Stage.THERE
-                        && coming.holds(job.room)
-                        && hasRoomElsewhere(placement)
-                        && reservations.reserve(job, machine, job.room, true, true) != null) {
+            for (TaskAttempt attempt : machine.attempts()) {
+                Resources expected =
+                        reservations.balance(machine, null).plus(attempt.job.taskResources);
+                if (attempt.job != job
+                        && attempt.job.description.isService()
+                        && !attempt.isStopping()
+                        && attempt.stage == TaskAttempt.Stage.CONFIRMED
+                        && expected.contains(job.taskResources)
+                        && hasRoomElsewhere(attempt)
+                        && reservations.reserve(job, machine, job.taskResources, true, true)
+                                != null) {
                     world.log(
                             LogEntry.info(LogEvent.REPLICA_MOVED)
-                                    .with("task", placement.task())
+                                    .with("task", attempt.task())
                                     .with("zone", machine.zone)
                                     .with("for_job", job.jobId()));
-                    nextMoveMicros = world.nowMicros + MOVE_MICROS;
-                    stop(placement);
+                    nextReplicaMoveMicros = world.nowMicros + MOVE_MICROS;
+                    stop(attempt);
                     return;
                 }
             }
         }
     }
 
-    private boolean hasRoomElsewhere(TaskAttempt placement) {
-        Job job = placement.job;
+    private boolean hasRoomElsewhere(TaskAttempt attempt) {
+        Job job = attempt.job;
         for (Machine machine : world.machines.values()) {
-            if (!machine.zone.equals(placement.machine.zone)
-                    && eligibility.takesTasks(machine)
-                    && eligibility.allows(job, machine)
-                    && machine.images.has(job.description.image())
-                    && reservations.unreserved(machine, job).holds(job.room)) {
+            if (!machine.zone.equals(attempt.machine.zone)
+                    && constraints.acceptsTasks(machine)
+                    && constraints.allows(job, machine)
+                    && machine.images.contains(job.description.image())
+                    && reservations.unreserved(machine, job).contains(job.taskResources)) {
                 return true;
             }
         }
@@ -163,7 +168,7 @@
     }
 
     /** A job that gathers has its machines: what may be stopped there makes way. */
-    private void makeReservedRoom(Job job) {
+    private void preemptOnReservedMachines(Job job) {
         Set<Machine> machines = new LinkedHashSet<>();
         for (Reservation reservation : reservations.of(job)) {
             if (reservation.phase() == Reservation.Phase.WAITING) {
@@ -183,14 +188,15 @@
     }
 
     /** Stops what must go on one machine; returns how many of the job's tasks will fit. */
-    private int free(Job job, Machine machine, int wanted) {
-        Resources coming = stopFor(job, machine, reservations.balance(machine, null), job.room);
+    private int freeResources(Job job, Machine machine, int wanted) {
+        Resources expected =
+                stopFor(job, machine, reservations.balance(machine, null), job.taskResources);
         // The freed room is the preemptor's alone.
         int made = 0;
         while (made < wanted
-                && coming.holds(job.room)
-                && reservations.reserve(job, machine, job.room, true, true) != null) {
-            coming = coming.minus(job.room);
+                && expected.contains(job.taskResources)
+                && reservations.reserve(job, machine, job.taskResources, true, true) != null) {
+            expected = expected.minus(job.taskResources);
             made++;
         }
         return made;
@@ -201,30 +207,30 @@
      * there will be.
      */
     private Resources stopFor(Job job, Machine machine, Resources free, Resources needed) {
-        Resources coming = free;
+        Resources expected = free;
         List<TaskAttempt> victims = new ArrayList<>();
-        for (TaskAttempt placement : machine.placements()) {
-            if (placement.halting()) {
-                coming = coming.plus(placement.job.room);
-            } else if (mayStop(job, placement)) {
-                victims.add(placement);
+        for (TaskAttempt attempt : machine.attempts()) {
+            if (attempt.isStopping()) {
+                expected = expected.plus(attempt.job.taskResources);
+            } else if (mayStop(job, attempt)) {
+                victims.add(attempt);
             }
         }
         // The lowest rank first, then borrowers, then what can save, then what has run least.
         victims.sort(
                 Comparator.comparing((TaskAttempt p) -> p.job.priority())
-                        .thenComparing(p -> p.job.guaranteed)
+                        .thenComparing(p -> p.job.withinGuarantee)
                         .thenComparing(p -> p.job.description.checkpointIntervalSeconds() == 0)
                         .thenComparingLong(p -> -p.placedMicros));
         List<TaskAttempt> chosen = new ArrayList<>();
         for (TaskAttempt victim : victims) {
-            if (coming.holds(needed)) {
+            if (expected.contains(needed)) {
                 break;
             }
             chosen.add(victim);
-            coming = coming.plus(victim.job.room);
+            expected = expected.plus(victim.job.taskResources);
         }
-        if (!coming.holds(needed)) {
+        if (!expected.contains(needed)) {
             return Resources.NONE;
         }
         for (TaskAttempt victim : chosen) {
@@ -235,17 +241,17 @@
                             .with("for_job", job.jobId()));
             stop(victim);
         }
-        return coming;
+        return expected;
     }
 
     private void stop(TaskAttempt victim) {
-        victim.job.preempted(world.nowMicros);
-        if (victim.neverSent()) {
+        victim.job.onPreempted(world.nowMicros);
+        if (victim.wasNeverSent()) {
             victim.job.remove(victim);
-            victim.job.recording.needs(PersistenceState.WriteReason.OUTCOME);
-            world.placementWorthTrying = true;
+            victim.job.persistence.requestWrite(PersistenceState.WriteReason.OUTCOME);
+            world.placementNeeded = true;
         } else {
-            victim.halt(
+            victim.stop(
                     victim.job.description.checkpointIntervalSeconds() > 0
                             ? victim.job.description.checkpointCostSeconds()
                             : 0);
@@ -256,16 +262,16 @@
      * A lower rank, or a borrower of the same rank. The protocol would let a guarantee stop
      * borrowers of a higher rank as well; those would then stop the job in turn, and so on.
      */
-    private boolean mayStop(Job job, TaskAttempt placement) {
-        Job other = placement.job;
+    private boolean mayStop(Job job, TaskAttempt attempt) {
+        Job other = attempt.job;
         int order = other.priority().compareTo(job.priority());
         if (order != 0) {
             return order < 0;
         }
         return other.team != job.team
-                && !other.guaranteed
-                && other.team.beyondGuarantee()
-                && job.guaranteed
-                && job.team.withinGuarantee(job.room);
+                && !other.withinGuarantee
+                && other.team.exceedsGuarantee()
+                && job.withinGuarantee
+                && job.team.staysWithinGuarantee(job.taskResources);
     }
 }
--- a/src/main/java/org/woadloom/core/placement/QueueOrder.java
+++ b/src/main/java/org/woadloom/core/placement/QueueOrder.java
@@ -70,7 +70,7 @@
     private static final Comparator<Entry> ORDER =
             Comparator.comparing((Entry e) -> e.job.priority())
                     .reversed()
-                    .thenComparing(e -> !e.job.guaranteed)
+                    .thenComparing(e -> !e.job.withinGuarantee)
                     .thenComparing(e -> !e.overdue)
                     .thenComparing(Entry::standing)
                     .thenComparingDouble(Entry::turn)
@@ -99,14 +99,18 @@
         countFleet();
         List<Entry> entries = new ArrayList<>(jobs.size());
         for (Job job : jobs) {
-            double alone = (double) job.room.cpu() * job.pending() / fleet * runtimeMicros(job);
+            double alone =
+                    (double) job.taskResources.cpu()
+                            * job.pendingTasks()
+                            / fleet
+                            * runtimeMicros(job);
             boolean overdue = overdue(job);
             entries.add(
                     new Entry(
                             job,
                             overdue,
                             overdue ? Punctuality.DUE : standing(job),
-                            overdue ? job.sinceMicros() : job.sinceMicros() + alone));
+                            overdue ? job.queuedSinceMicros() : job.queuedSinceMicros() + alone));
         }
         entries.sort(ORDER);
         List<Job> sorted = new ArrayList<>(entries.size());
@@ -124,7 +128,7 @@
         countAgainMicros = world.nowMicros + COUNT_MICROS;
         fleet = 1;
         for (Machine machine : world.machines.values()) {
-            fleet += machine.up() ? machine.size().cpu() : 0;
+            fleet += machine.isUp() ? machine.capacity().cpu() : 0;
         }
     }
 
@@ -137,9 +141,9 @@
      * what comes after it.
      */
     private boolean overdue(Job job) {
-        long age = world.nowMicros - job.sinceMicros();
-        return !job.begun() && age > BEGIN_MICROS
-                || age > LARGE_MICROS && world.arrivals.largeInClass(job);
+        long age = world.nowMicros - job.queuedSinceMicros();
+        return !job.hasStarted() && age > BEGIN_MICROS
+                || age > LARGE_MICROS && world.demand.isLargeInClass(job);
     }
 
     /**
@@ -150,14 +154,14 @@
         if (job.description.isService()) {
             return Punctuality.DUE;
         }
-        boolean due = job.dueMicros() != Long.MAX_VALUE;
-        double from = due ? job.submittedMicros : job.sinceMicros();
+        boolean due = job.deadlineMicros() != Long.MAX_VALUE;
+        double from = due ? job.submittedMicros : job.queuedSinceMicros();
         double ends = world.nowMicros - from + runtimeMicros(job);
         List<Double> times =
                 due
                         ? multiples.getOrDefault(job.description.jobClass(), ONCE)
                         : targets.getOrDefault(job.description.jobClass(), List.of());
-        double unit = due ? job.dueMicros() - from : 1;
+        double unit = due ? job.deadlineMicros() - from : 1;
         for (double time : times) {
             if (ends <= time * unit) {
                 return time == times.get(0) || ends > time * unit * (1 - LEAD)
--- a/src/main/java/org/woadloom/core/placement/RecordSizeEstimate.java
+++ b/src/main/java/org/woadloom/core/placement/RecordSizeEstimate.java
@@ -29,7 +29,7 @@
     /** How many tasks of a job a value of this size holds when each is on a machine of its own. */
     public static int tasksApart(int valueBytes) {
         Compact size = new Compact(valueBytes, TYPICAL_DESCRIPTION);
-        return size.mostMore(0, valueBytes);
+        return size.maxMoreTasks(0, valueBytes);
     }
 
     private static final int TYPICAL_DESCRIPTION = 420;
@@ -38,43 +38,43 @@
      * How large the record may become with so many more tasks, the last of that number, on so many
      * more machines.
      */
-    abstract int with(int tasks, int lastIndex, int machines);
+    abstract int sizeWith(int tasks, int lastIndex, int machines);
 
-    abstract void placed(int index, boolean newMachine);
+    abstract void onPlaced(int index, boolean newMachine);
 
     private static int groups(Job job) {
         Set<Group> groups = new HashSet<>();
-        for (TaskAttempt placement : job.placements()) {
-            groups.add(new Group(placement.machine, placement.attempt));
+        for (TaskAttempt attempt : job.attempts()) {
+            groups.add(new Group(attempt.machine, attempt.attempt));
         }
         return groups.size();
     }
 
-    boolean takesMore(int index) {
-        return with(1, index, 1) <= limit;
+    boolean fitsOneMore(int index) {
+        return sizeWith(1, index, 1) <= limit;
     }
 
     /**
      * For how many more tasks from the given one on there is room, wherever they go; no more than
      * wanted.
      */
-    int mostMore(int index, int wanted) {
-        int most = 0;
+    int maxMoreTasks(int index, int wanted) {
+        int fitting = 0;
         int tooMany = wanted + 1;
-        while (tooMany - most > 1) {
-            int middle = (most + tooMany) / 2;
-            if (with(middle, index + middle - 1, middle) <= limit) {
-                most = middle;
+        while (tooMany - fitting > 1) {
+            int middle = (fitting + tooMany) / 2;
+            if (sizeWith(middle, index + middle - 1, middle) <= limit) {
+                fitting = middle;
             } else {
                 tooMany = middle;
             }
         }
-        return most;
+        return fitting;
     }
 
     /** One more task is placed there, under this pass's attempt. */
     void add(int index, Machine machine) {
-        placed(index, machines.add(machine));
+        onPlaced(index, machines.add(machine));
     }
 
     /** Of {@link org.woadloom.state.JobRecord}s with {@link TaskProgressCodec} as text. */
@@ -102,20 +102,20 @@
 
         Compact(Job job, int limit) {
             this(limit, job.descriptionSize());
-            front = job.done.nextClearBit(0);
-            end = job.done.length();
+            front = job.completedTasks.nextClearBit(0);
+            end = job.completedTasks.length();
             Set<Long> distinct = new HashSet<>();
-            for (TaskAttempt placement : job.placements()) {
-                front = Math.min(front, placement.index);
-                end = Math.max(end, placement.index + 1);
-                distinct.add(placement.attempt);
+            for (TaskAttempt attempt : job.attempts()) {
+                front = Math.min(front, attempt.index);
+                end = Math.max(end, attempt.index + 1);
+                distinct.add(attempt.attempt);
             }
             attempts = distinct.size() + 1;
             groups = groups(job);
         }
 
         @Override
-        int with(int tasks, int lastIndex, int machines) {
+        int sizeWith(int tasks, int lastIndex, int machines) {
             int all = groups + machines;
             int window = Math.max(end, lastIndex + 1) - front;
             int bytes =
@@ -126,7 +126,7 @@
         }
 
         @Override
-        void placed(int index, boolean newMachine) {
+        void onPlaced(int index, boolean newMachine) {
             end = Math.max(end, index + 1);
             groups += newMachine ? 1 : 0;
         }
@@ -150,24 +150,24 @@
         Plain(Job job, int limit) {
             super(limit);
             int doneRanges = 0;
-            for (int i = job.done.nextSetBit(0);
+            for (int i = job.completedTasks.nextSetBit(0);
                     i >= 0;
-                    i = job.done.nextSetBit(job.done.nextClearBit(i))) {
+                    i = job.completedTasks.nextSetBit(job.completedTasks.nextClearBit(i))) {
                 doneRanges++;
             }
             size =
                     FIXED
                             + PER_GROUP * groups(job)
-                            + PER_TASK * (job.placements().size() + doneRanges);
+                            + PER_TASK * (job.attempts().size() + doneRanges);
         }
 
         @Override
-        int with(int tasks, int lastIndex, int machines) {
+        int sizeWith(int tasks, int lastIndex, int machines) {
             return size + PER_GROUP * machines + PER_TASK * tasks;
         }
 
         @Override
-        void placed(int index, boolean newMachine) {
+        void onPlaced(int index, boolean newMachine) {
             size += PER_TASK + (newMachine ? PER_GROUP : 0);
         }
     }
--- a/src/main/java/org/woadloom/core/placement/ResourceRequest.java
+++ b/src/main/java/org/woadloom/core/placement/ResourceRequest.java
@@ -7,10 +7,10 @@
  * What a search for room looks for. Once no machine has room for a shape, none has it for anything
  * that needs at least as much and may go to no other machines, until room is freed.
  */
-record ResourceRequest(Resources room, List<String> machineTypes, String zone, boolean spot) {
+record ResourceRequest(Resources resources, List<String> machineTypes, String zone, boolean spot) {
     static ResourceRequest of(Job job) {
         return new ResourceRequest(
-                job.room,
+                job.taskResources,
                 job.description.machineTypes(),
                 job.description.zone(),
                 job.description.spotAllowed());
@@ -18,7 +18,7 @@
 
     /** True if the job's tasks find no room where this shape found none. */
     boolean covers(Job job) {
-        return job.room.holds(room)
+        return job.taskResources.contains(resources)
                 && (spot || !job.description.spotAllowed())
                 && (machineTypes == null || machineTypes.equals(job.description.machineTypes()))
                 && (zone == null || zone.equals(job.description.zone()));
@@ -28,7 +28,7 @@
      * True for jobs whose failed search speaks for others: nothing but the shape kept their tasks
      * away.
      */
-    static boolean plain(Job job) {
+    static boolean isRepresentative(Job job) {
         return !job.description.spreadAcrossZones()
                 && !job.description.sameZone()
                 && job.failedOn.isEmpty();
--- a/src/main/java/org/woadloom/core/placement/Resources.java
+++ b/src/main/java/org/woadloom/core/placement/Resources.java
@@ -9,7 +9,7 @@
 
     /** What one task takes, rounded up. */
     public static Resources of(JobDescription job) {
-        return new Resources(up(job.cpus()), up(job.gpus()), up(job.memoryGb()));
+        return new Resources(roundUp(job.cpus()), roundUp(job.gpus()), roundUp(job.memoryGb()));
     }
 
     /** What a machine has, rounded down. */
@@ -20,7 +20,7 @@
                 (long) (type.memoryGb() * 1000 + 1e-6));
     }
 
-    private static long up(double amount) {
+    private static long roundUp(double amount) {
         return (long) Math.ceil(amount * 1000 - 1e-6);
     }
 
@@ -36,7 +36,7 @@
         return new Resources(cpu * factor, gpu * factor, memory * factor);
     }
 
-    public boolean holds(Resources other) {
+    public boolean contains(Resources other) {
         return other.cpu <= cpu && other.gpu <= gpu && other.memory <= memory;
     }
 
@@ -56,14 +56,14 @@
     }
 
     /** The part without anything negative. */
-    public Resources floor() {
+    public Resources withoutNegatives() {
         return (cpu | gpu | memory) >= 0
                 ? this
                 : new Resources(Math.max(0, cpu), Math.max(0, gpu), Math.max(0, memory));
     }
 
     /** Of each the smaller amount. */
-    public Resources least(Resources other) {
+    public Resources min(Resources other) {
         return new Resources(
                 Math.min(cpu, other.cpu), Math.min(gpu, other.gpu), Math.min(memory, other.memory));
     }
--- a/src/main/java/org/woadloom/core/placement/TaskPlacer.java
+++ b/src/main/java/org/woadloom/core/placement/TaskPlacer.java
@@ -18,14 +18,14 @@
 public final class TaskPlacer {
 
     private final SchedulerState world;
-    private final PlacementConstraints eligibility;
+    private final PlacementConstraints constraints;
     private final Reservations reservations;
     private final QueueOrder order;
 
     public TaskPlacer(
-            SchedulerState world, PlacementConstraints eligibility, Reservations reservations) {
+            SchedulerState world, PlacementConstraints constraints, Reservations reservations) {
         this.world = world;
-        this.eligibility = eligibility;
+        this.constraints = constraints;
         this.reservations = reservations;
         this.order = new QueueOrder(world);
     }
@@ -34,7 +34,7 @@
     public List<Job> queue() {
         List<Job> jobs = new ArrayList<>();
         for (Job job : world.jobs.values()) {
-            if (job.pending() > 0 && job.notBeforeMicros <= world.nowMicros) {
+            if (job.pendingTasks() > 0 && job.placeNotBeforeMicros <= world.nowMicros) {
                 jobs.add(job);
             }
         }
@@ -44,75 +44,81 @@
     /** Places what finds room. */
     public void place() {
         long attempt = world.newAttempt();
-        List<Machine> open = null;
-        List<ResourceRequest> without = new ArrayList<>();
+        List<Machine> openMachines = null;
+        List<ResourceRequest> unsatisfied = new ArrayList<>();
         for (Job job : queue()) {
-            boolean holds = reservations.heldFor(job) > 0;
-            if (!holds && !job.description.isService() && job.backsOff(world.nowMicros)) {
+            boolean hasReservation = reservations.countFor(job) > 0;
+            if (!hasReservation
+                    && !job.description.isService()
+                    && job.isBackingOff(world.nowMicros)) {
                 continue;
             }
             // Without a reservation to draw from, the limit and what others did not find decide at
             // once.
-            if (!holds
-                    && (job.allowed() < 1
-                            || without.stream().anyMatch(shape -> shape.covers(job)))) {
+            if (!hasReservation
+                    && (job.allowedTasks() < 1
+                            || unsatisfied.stream().anyMatch(shape -> shape.covers(job)))) {
                 continue;
             }
-            if (open == null) {
-                open = open();
+            if (openMachines == null) {
+                openMachines = openMachines();
             }
-            if (placeJob(job, attempt, open) && !holds && ResourceRequest.plain(job)) {
-                without.add(ResourceRequest.of(job));
+            if (placeJob(job, attempt, openMachines)
+                    && !hasReservation
+                    && ResourceRequest.isRepresentative(job)) {
+                unsatisfied.add(ResourceRequest.of(job));
             }
         }
     }
 
     /** Machines that take tasks and have anything left; in one pass they only get fuller. */
-    private List<Machine> open() {
-        List<Machine> open = new ArrayList<>();
+    private List<Machine> openMachines() {
+        List<Machine> openMachines = new ArrayList<>();
         for (Machine machine : world.machines.values()) {
-            Resources room = machine.room();
+            Resources room = machine.balance();
             if ((room.cpu() > 0 || room.memory() > 0 || room.gpu() > 0)
-                    && eligibility.takesTasks(machine)) {
-                open.add(machine);
+                    && constraints.acceptsTasks(machine)) {
+                openMachines.add(machine);
             }
         }
-        return open;
+        return openMachines;
     }
 
     /** Returns true if the machines have no room for another task of the job. */
-    private boolean placeJob(Job job, long attempt, List<Machine> open) {
+    private boolean placeJob(Job job, long attempt, List<Machine> openMachines) {
         RecordSizeEstimate size = RecordSizeEstimate.of(job, world.valueBytes, world.format);
-        if (!size.takesMore(job.nextPending(0))
+        if (!size.fitsOneMore(job.nextPending(0))
                 || job.description.isGang()
-                        && !gangFits(job, size.mostMore(job.nextPending(0), job.pending()))) {
+                        && !gangFits(
+                                job, size.maxMoreTasks(job.nextPending(0), job.pendingTasks()))) {
             return false;
         }
         CandidateMachines candidates =
-                new CandidateMachines(job, open, world.scarceYards, eligibility, reservations);
+                new CandidateMachines(
+                        job, openMachines, world.scarceZones, constraints, reservations);
         int placed = 0;
         boolean full = false;
         for (int index = job.nextPending(0);
-                index >= 0 && size.takesMore(index);
+                index >= 0 && size.fitsOneMore(index);
                 index = job.nextPending(index + 1)) {
             Machine machine = candidates.next();
             if (machine == null) {
-                full = job.allowed() >= 1;
+                full = job.allowedTasks() >= 1;
                 break;
             }
-            TaskAttempt placement =
+            TaskAttempt taskAttempt =
                     new TaskAttempt(
                             job,
                             index,
                             machine,
                             attempt,
-                            job.recording.nextVersion(),
+                            job.persistence.nextVersion(),
                             world.nowMicros);
-            reservations.draw(placement);
-            job.add(placement);
+            reservations.draw(taskAttempt);
+            job.add(taskAttempt);
             size.add(index, machine);
-            job.recording.needs(PersistenceState.WriteReason.LAUNCH);
-            candidates.placed();
+            job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
+            candidates.onPlaced();
             placed++;
         }
         if (placed > 0) {
@@ -120,44 +126,44 @@
                     LogEntry.debug(LogEvent.TASKS_PLACED)
                             .with("job", job.jobId())
                             .with("tasks", placed)
-                            .with("pending", job.pending())
+                            .with("pending", job.pendingTasks())
                             .with("tasks_by_zone", job.tasksByZone()));
         }
         return full;
     }
 
     /** A gang starts only when all of its tasks that are left find room at once. */
-    private boolean gangFits(Job job, int most) {
-        int wanted = job.pending();
-        if (wanted > most) {
+    private boolean gangFits(Job job, int maxTasks) {
+        int wanted = job.pendingTasks();
+        if (wanted > maxTasks) {
             return false;
         }
-        Map<String, Integer> perYard = new LinkedHashMap<>();
+        Map<String, Integer> fitsByZone = new LinkedHashMap<>();
         Resources credit = Resources.NONE;
         for (Machine machine : world.machines.values()) {
-            if (eligibility.takesTasks(machine)
-                    && eligibility.allows(job, machine)
+            if (constraints.acceptsTasks(machine)
+                    && constraints.allows(job, machine)
                     && !job.failedOn.contains(machine.host)) {
-                perYard.merge(
+                fitsByZone.merge(
                         machine.zone,
-                        reservations.unreserved(machine, job).count(job.room),
+                        reservations.unreserved(machine, job).count(job.taskResources),
                         Integer::sum);
             }
         }
         for (Reservation reservation : reservations.of(job)) {
             credit = credit.plus(reservation.remaining());
         }
-        if (job.allowed(credit) < wanted) {
+        if (job.allowedTasks(credit) < wanted) {
             return false;
         }
         int largest = 0;
         int sum = 0;
-        int mostPerYard =
+        int maxPerZone =
                 job.description.spreadAcrossZones()
                         ? (job.description.taskCount() + 1) / 2
                         : Integer.MAX_VALUE;
-        for (Map.Entry<String, Integer> entry : perYard.entrySet()) {
-            int room = Math.min(entry.getValue(), mostPerYard - job.placedIn(entry.getKey()));
+        for (Map.Entry<String, Integer> entry : fitsByZone.entrySet()) {
+            int room = Math.min(entry.getValue(), maxPerZone - job.attemptsInZone(entry.getKey()));
             largest = Math.max(largest, room);
             sum += room;
         }
--- a/src/main/java/org/woadloom/core/quota/ClassFairShare.java
+++ b/src/main/java/org/woadloom/core/quota/ClassFairShare.java
@@ -18,9 +18,9 @@
  */
 public final class ClassFairShare {
     /** What is divided evenly among the classes; the rest goes by the order of service alone. */
-    private static final double DIVIDED = 2.0 / 3;
+    private static final double GUARANTEED_SHARE = 2.0 / 3;
 
-    private static final long TELL_MICROS = 60_000_000;
+    private static final long LOG_INTERVAL_MICROS = 60_000_000;
 
     /**
      * A class for which the limit has long had room waits for a machine: meanwhile its share is not
@@ -29,7 +29,7 @@
     private static final long UNUSED_MICROS = 75_000_000;
 
     private final SchedulerState world;
-    private final Map<TeamQuota, Long> toldMicros = new HashMap<>();
+    private final Map<TeamQuota, Long> loggedMicros = new HashMap<>();
 
     /** Since when the limit has had room for a job of the class that waits, by team and class. */
     private final Map<TeamQuota, Map<String, Long>> unusedMicros = new HashMap<>();
@@ -41,7 +41,7 @@
         Resources task = Resources.NONE;
 
         /** What the job that needs the least begins with, null while none waits. */
-        Resources least;
+        Resources smallestStart;
     }
 
     public ClassFairShare(SchedulerState world) {
@@ -52,49 +52,53 @@
     public void update() {
         Map<TeamQuota, Map<String, Demand>> demands = new LinkedHashMap<>();
         for (Job job : world.jobs.values()) {
-            if (job.pending() > 0 || !job.placements().isEmpty()) {
+            if (job.pendingTasks() > 0 || !job.attempts().isEmpty()) {
                 Demand demand =
                         demands.computeIfAbsent(job.team, t -> new LinkedHashMap<>())
                                 .computeIfAbsent(job.description.jobClass(), c -> new Demand());
-                demand.used = demand.used.plus(job.room.times(job.placements().size()));
-                demand.waiting = demand.waiting.plus(job.room.times(job.pending()));
-                demand.task = job.pending() > 0 ? job.room : demand.task;
-                if (job.pending() > 0) {
-                    Resources begins = job.room.times(job.description.isGang() ? job.pending() : 1);
-                    demand.least =
-                            demand.least == null || demand.least.holds(begins)
+                demand.used = demand.used.plus(job.taskResources.times(job.attempts().size()));
+                demand.waiting = demand.waiting.plus(job.taskResources.times(job.pendingTasks()));
+                demand.task = job.pendingTasks() > 0 ? job.taskResources : demand.task;
+                if (job.pendingTasks() > 0) {
+                    Resources begins =
+                            job.taskResources.times(
+                                    job.description.isGang() ? job.pendingTasks() : 1);
+                    demand.smallestStart =
+                            demand.smallestStart == null || demand.smallestStart.contains(begins)
                                     ? begins
-                                    : demand.least;
+                                    : demand.smallestStart;
                 }
             }
         }
         for (TeamQuota team : world.teams.values()) {
-            team.keep(kept(team, demands.getOrDefault(team, Map.of())));
+            team.setKeptForClasses(keptForClasses(team, demands.getOrDefault(team, Map.of())));
         }
     }
 
     /** What is kept for each class that waits and has less than its share. */
-    private Map<String, Resources> kept(TeamQuota team, Map<String, Demand> demands) {
+    private Map<String, Resources> keptForClasses(TeamQuota team, Map<String, Demand> demands) {
         Resources all = Resources.NONE;
         for (Demand demand : demands.values()) {
             all = all.plus(demand.used).plus(demand.waiting);
         }
-        if (demands.size() < 2 || team.withinLimit(all)) {
+        if (demands.size() < 2 || team.fitsLimit(all)) {
             unusedMicros.remove(team);
             return Map.of();
         }
         Map<String, Long> unused = unusedMicros.computeIfAbsent(team, t -> new HashMap<>());
         unused.keySet().retainAll(demands.keySet());
-        Resources share = team.partOfLimit(DIVIDED / demands.size());
+        Resources share = team.partOfLimit(GUARANTEED_SHARE / demands.size());
         Map<String, Resources> kept = new LinkedHashMap<>();
         demands.forEach(
                 (name, demand) -> {
-                    Resources missing = share.minus(demand.used).floor().least(demand.waiting);
-                    if (demand.used.equals(Resources.NONE) && !missing.holds(demand.task)) {
+                    Resources missing =
+                            share.minus(demand.used).withoutNegatives().min(demand.waiting);
+                    if (demand.used.equals(Resources.NONE) && !missing.contains(demand.task)) {
                         // Less than a task would be nothing at all.
                         missing = demand.task;
                     }
-                    if (demand.least == null || !team.withinLimit(team.used().plus(demand.least))) {
+                    if (demand.smallestStart == null
+                            || !team.fitsLimit(team.used().plus(demand.smallestStart))) {
                         unused.remove(name);
                     } else if (world.nowMicros - unused.computeIfAbsent(name, n -> world.nowMicros)
                             > UNUSED_MICROS) {
@@ -104,15 +108,16 @@
                         kept.put(name, missing);
                     }
                 });
-        tell(team, demands, all);
+        logDemand(team, demands, all);
         return kept;
     }
 
-    private void tell(TeamQuota team, Map<String, Demand> demands, Resources all) {
-        if (world.nowMicros - toldMicros.getOrDefault(team, Long.MIN_VALUE / 2) < TELL_MICROS) {
+    private void logDemand(TeamQuota team, Map<String, Demand> demands, Resources all) {
+        if (world.nowMicros - loggedMicros.getOrDefault(team, Long.MIN_VALUE / 2)
+                < LOG_INTERVAL_MICROS) {
             return;
         }
-        toldMicros.put(team, world.nowMicros);
+        loggedMicros.put(team, world.nowMicros);
         demands.forEach(
                 (name, demand) ->
                         world.log(
--- a/src/main/java/org/woadloom/core/quota/GuaranteedQuota.java
+++ b/src/main/java/org/woadloom/core/quota/GuaranteedQuota.java
@@ -16,13 +16,14 @@
  */
 public final class GuaranteedQuota {
     private static final Comparator<Job> BY_AGE =
-            Comparator.comparingLong((Job job) -> job.sinceMicros()).thenComparing(Job::jobId);
+            Comparator.comparingLong((Job job) -> job.queuedSinceMicros())
+                    .thenComparing(Job::jobId);
 
-    private static final long AGAIN_MICROS = 200_000;
+    private static final long UPDATE_INTERVAL_MICROS = 200_000;
 
     private final SchedulerState world;
-    private long seen = -1;
-    private long againMicros;
+    private long jobArrivalsSeen = -1;
+    private long nextUpdateMicros;
 
     public GuaranteedQuota(SchedulerState world) {
         this.world = world;
@@ -33,14 +34,14 @@
      * little later.
      */
     public void update() {
-        if (world.jobsCome == seen && world.nowMicros < againMicros) {
+        if (world.jobArrivals == jobArrivalsSeen && world.nowMicros < nextUpdateMicros) {
             return;
         }
-        seen = world.jobsCome;
-        againMicros = world.nowMicros + AGAIN_MICROS;
+        jobArrivalsSeen = world.jobArrivals;
+        nextUpdateMicros = world.nowMicros + UPDATE_INTERVAL_MICROS;
         List<Job> jobs = new ArrayList<>(world.jobs.size());
         for (Job job : world.jobs.values()) {
-            if (!job.over() && !job.waiting()) {
+            if (!job.isOver() && !job.isBlocked()) {
                 jobs.add(job);
             }
         }
@@ -49,9 +50,11 @@
         for (Job job : jobs) {
             Resources sum =
                     sums.getOrDefault(job.team, Resources.NONE)
-                            .plus(job.room.times(job.description.taskCount() - job.doneCount()));
+                            .plus(
+                                    job.taskResources.times(
+                                            job.description.taskCount() - job.completedCount()));
             sums.put(job.team, sum);
-            job.guaranteed = job.team.guarantees(sum);
+            job.withinGuarantee = job.team.fitsGuarantee(sum);
         }
     }
 }
--- a/src/main/java/org/woadloom/core/quota/QuotaRotation.java
+++ b/src/main/java/org/woadloom/core/quota/QuotaRotation.java
@@ -32,7 +32,7 @@
      * Turns follow each other for so long at most before the others of the team get what is free
      * for a while.
      */
-    private static final long ROW_MICROS = 60_000_000;
+    private static final long MAX_CONSECUTIVE_MICROS = 60_000_000;
 
     private static final long PAUSE_MICROS = 5_000_000;
 
@@ -41,26 +41,26 @@
     private final Map<TeamQuota, Turn> turns = new HashMap<>();
 
     /** Jobs that had a turn and could not begin, and until when they have no other. */
-    private final Map<Job, Long> passed = new HashMap<>();
+    private final Map<Job, Long> waitingForNextTurn = new HashMap<>();
 
     /** Since when each team has had one turn after the other. */
-    private final Map<TeamQuota, Long> rowMicros = new HashMap<>();
+    private final Map<TeamQuota, Long> turnsSinceMicros = new HashMap<>();
 
     /** Until when each team has no turn. */
-    private final Map<TeamQuota, Long> pausedMicros = new HashMap<>();
+    private final Map<TeamQuota, Long> pausedUntilMicros = new HashMap<>();
 
     /**
      * A job for which there is enough of the limit and that has not begun for so long lacks
      * something else, such as a machine.
      */
-    private static final long BEGIN_MICROS = 30_000_000;
+    private static final long START_TIMEOUT_MICROS = 30_000_000;
 
     private static final class Turn {
         final Job job;
         final long sinceMicros;
 
         /** Since when the limit leaves it what it needs, -1 while it does not. */
-        long enoughMicros = -1;
+        long sufficientSinceMicros = -1;
 
         Turn(Job job, long sinceMicros) {
             this.job = job;
@@ -75,28 +75,29 @@
 
     /** To be called before tasks are placed. */
     public void update() {
-        passed.entrySet()
+        waitingForNextTurn
+                .entrySet()
                 .removeIf(entry -> entry.getValue() < world.nowMicros || entry.getKey().finished);
         turns.values()
                 .removeIf(
                         turn -> {
-                            if (reservations.heldForOthers(turn.job)) {
+                            if (reservations.hasOthersInTeam(turn.job)) {
                                 // One that has gathered room on machines is further; each would
                                 // keep the other's limit.
                                 return true;
                             }
-                            if (turn.job.allowed() < needed(turn.job)) {
-                                turn.enoughMicros = -1;
-                            } else if (turn.enoughMicros < 0) {
-                                turn.enoughMicros = world.nowMicros;
+                            if (turn.job.allowedTasks() < tasksNeeded(turn.job)) {
+                                turn.sufficientSinceMicros = -1;
+                            } else if (turn.sufficientSinceMicros < 0) {
+                                turn.sufficientSinceMicros = world.nowMicros;
                             }
                             boolean over =
                                     world.nowMicros - turn.sinceMicros > TURN_MICROS
-                                            || turn.enoughMicros >= 0
-                                                    && world.nowMicros - turn.enoughMicros
-                                                            > BEGIN_MICROS;
-                            if (over && waits(turn.job)) {
-                                passed.put(turn.job, world.nowMicros + TURN_MICROS);
+                                            || turn.sufficientSinceMicros >= 0
+                                                    && world.nowMicros - turn.sufficientSinceMicros
+                                                            > START_TIMEOUT_MICROS;
+                            if (over && isWaiting(turn.job)) {
+                                waitingForNextTurn.put(turn.job, world.nowMicros + TURN_MICROS);
                                 world.log(
                                         LogEntry.info(LogEvent.QUOTA_TURN_EXPIRED)
                                                 .with("job", turn.job.jobId())
@@ -105,76 +106,82 @@
                                                         "turn_s",
                                                         world.nowMicros - turn.sinceMicros));
                             }
-                            return over || !waits(turn.job);
+                            return over || !isWaiting(turn.job);
                         });
-        rowMicros.forEach(
+        turnsSinceMicros.forEach(
                 (team, since) -> {
-                    if (!turns.containsKey(team) && world.nowMicros - since > ROW_MICROS) {
-                        pausedMicros.put(team, world.nowMicros + PAUSE_MICROS);
+                    if (!turns.containsKey(team)
+                            && world.nowMicros - since > MAX_CONSECUTIVE_MICROS) {
+                        pausedUntilMicros.put(team, world.nowMicros + PAUSE_MICROS);
                     }
                 });
         Map<TeamQuota, Job> next = new HashMap<>();
         for (Job job : world.jobs.values()) {
             if (!turns.containsKey(job.team)
-                    && !pauses(job.team)
-                    && waits(job)
-                    && !passed.containsKey(job)
-                    && world.nowMicros - job.sinceMicros() > PATIENCE_MICROS
-                    && job.allowed() < needed(job)
-                    && !reservations.heldForOthers(job)) {
-                next.merge(job.team, job, (a, b) -> b.sinceMicros() < a.sinceMicros() ? b : a);
+                    && !isPaused(job.team)
+                    && isWaiting(job)
+                    && !waitingForNextTurn.containsKey(job)
+                    && world.nowMicros - job.queuedSinceMicros() > PATIENCE_MICROS
+                    && job.allowedTasks() < tasksNeeded(job)
+                    && !reservations.hasOthersInTeam(job)) {
+                next.merge(
+                        job.team,
+                        job,
+                        (a, b) -> b.queuedSinceMicros() < a.queuedSinceMicros() ? b : a);
             }
         }
-        next.forEach(this::begin);
-        rowMicros.keySet().retainAll(turns.keySet());
-        turns.keySet().forEach(team -> rowMicros.putIfAbsent(team, world.nowMicros));
+        next.forEach(this::startTurn);
+        turnsSinceMicros.keySet().retainAll(turns.keySet());
+        turns.keySet().forEach(team -> turnsSinceMicros.putIfAbsent(team, world.nowMicros));
         for (TeamQuota team : world.teams.values()) {
             Turn turn = turns.get(team);
-            team.gather(
+            team.setTurn(
                     turn == null ? null : turn.job,
-                    turn == null ? Resources.NONE : turn.job.room.times(needed(turn.job)));
+                    turn == null
+                            ? Resources.NONE
+                            : turn.job.taskResources.times(tasksNeeded(turn.job)));
         }
     }
 
-    private boolean pauses(TeamQuota team) {
-        return world.nowMicros < pausedMicros.getOrDefault(team, Long.MIN_VALUE);
+    private boolean isPaused(TeamQuota team) {
+        return world.nowMicros < pausedUntilMicros.getOrDefault(team, Long.MIN_VALUE);
     }
 
     /**
      * What replicas use does not come free by itself: where they leave too little, there is nothing
      * to wait for.
      */
-    private void begin(TeamQuota team, Job job) {
+    private void startTurn(TeamQuota team, Job job) {
         Resources replicas = Resources.NONE;
         for (Job other : world.jobs.values()) {
-            if (other.team == team && other.description.isService() && !other.over()) {
-                replicas = replicas.plus(other.room.times(other.placements().size()));
+            if (other.team == team && other.description.isService() && !other.isOver()) {
+                replicas = replicas.plus(other.taskResources.times(other.attempts().size()));
             }
         }
         LogEvent event;
-        if (team.withinLimit(replicas.plus(job.room.times(needed(job))))) {
+        if (team.fitsLimit(replicas.plus(job.taskResources.times(tasksNeeded(job))))) {
             event = LogEvent.QUOTA_TURN_STARTED;
             turns.put(team, new Turn(job, world.nowMicros));
         } else {
             event = LogEvent.QUOTA_TURN_IMPOSSIBLE;
-            passed.put(job, world.nowMicros + TURN_MICROS);
+            waitingForNextTurn.put(job, world.nowMicros + TURN_MICROS);
         }
         world.log(
                 LogEntry.info(event)
                         .with("job", job.jobId())
                         .with("team", team.team.name())
-                        .withSeconds("waited_s", world.nowMicros - job.sinceMicros())
-                        .with("needed_tasks", needed(job))
-                        .with("allowed_tasks", job.allowed())
+                        .withSeconds("waited_s", world.nowMicros - job.queuedSinceMicros())
+                        .with("needed_tasks", tasksNeeded(job))
+                        .with("allowed_tasks", job.allowedTasks())
                         .with("replica_cpus", replicas.cpu() / 1000));
     }
 
-    private static boolean waits(Job job) {
-        return !job.over() && job.pending() > 0 && !job.begun();
+    private static boolean isWaiting(Job job) {
+        return !job.isOver() && job.pendingTasks() > 0 && !job.hasStarted();
     }
 
     /** With how many tasks the job begins: a gang with all of them. */
-    private static int needed(Job job) {
-        return job.description.isGang() ? job.pending() : 1;
+    private static int tasksNeeded(Job job) {
+        return job.description.isGang() ? job.pendingTasks() : 1;
     }
 }
--- a/src/main/java/org/woadloom/core/quota/TeamQuota.java
+++ b/src/main/java/org/woadloom/core/quota/TeamQuota.java
@@ -13,15 +13,15 @@
     private Resources used = Resources.NONE;
 
     /** By class, what of the limit is left to it alone; see {@link ClassFairShare}. */
-    private Map<String, Resources> kept = Map.of();
+    private Map<String, Resources> keptForClasses = Map.of();
 
     /**
      * The job for which the limit is gathered, and what of it is left to that job alone; see {@link
      * LimitTurns}.
      */
-    private Job gathering;
+    private Job turnHolder;
 
-    private Resources gathered = Resources.NONE;
+    private Resources keptForTurn = Resources.NONE;
 
     public TeamQuota(Team team) {
         this.team = team;
@@ -42,36 +42,36 @@
         used = used.minus(room);
     }
 
-    void keep(Map<String, Resources> forClasses) {
-        kept = forClasses;
+    void setKeptForClasses(Map<String, Resources> resourcesByClass) {
+        keptForClasses = resourcesByClass;
     }
 
-    void gather(Job job, Resources room) {
-        gathering = job;
-        gathered = room;
+    void setTurn(Job job, Resources room) {
+        turnHolder = job;
+        keptForTurn = room;
     }
 
     /** How many more tasks of this size the team's limit allows to a job. */
-    public int allowed(Resources task, Job job) {
-        return allowed(task, job, Resources.NONE);
+    public int allowedTasks(Resources task, Job job) {
+        return allowedTasks(task, job, Resources.NONE);
     }
 
     /** The same, where the first tasks give back what was held for them. */
-    public int allowed(Resources task, Job job, Resources credit) {
+    public int allowedTasks(Resources task, Job job, Resources credit) {
         Resources left = limit.minus(used).plus(credit);
-        if (gathering == job) {
-            return left.floor().count(task);
+        if (turnHolder == job) {
+            return left.withoutNegatives().count(task);
         }
-        left = left.minus(gathered);
+        left = left.minus(keptForTurn);
         String jobClass = job.description.jobClass();
-        for (Map.Entry<String, Resources> other : kept.entrySet()) {
+        for (Map.Entry<String, Resources> other : keptForClasses.entrySet()) {
             left = other.getKey().equals(jobClass) ? left : left.minus(other.getValue());
         }
-        return left.floor().count(task);
+        return left.withoutNegatives().count(task);
     }
 
-    boolean withinLimit(Resources all) {
-        return limit.holds(all);
+    boolean fitsLimit(Resources all) {
+        return limit.contains(all);
     }
 
     Resources partOfLimit(double part) {
@@ -80,16 +80,16 @@
     }
 
     /** True if so much is within the guarantee. */
-    public boolean guarantees(Resources all) {
-        return guarantee.holds(all);
+    public boolean fitsGuarantee(Resources all) {
+        return guarantee.contains(all);
     }
 
-    public boolean withinGuarantee(Resources more) {
-        return guarantee.holds(used.plus(more));
+    public boolean staysWithinGuarantee(Resources more) {
+        return guarantee.contains(used.plus(more));
     }
 
-    public boolean beyondGuarantee() {
-        return !guarantee.holds(used);
+    public boolean exceedsGuarantee() {
+        return !guarantee.contains(used);
     }
 
     public Resources used() {
--- a/src/main/java/org/woadloom/core/reservation/GangReservationPlanner.java
+++ b/src/main/java/org/woadloom/core/reservation/GangReservationPlanner.java
@@ -22,19 +22,19 @@
  */
 public final class GangReservationPlanner {
     private final SchedulerState world;
-    private final PlacementConstraints eligibility;
+    private final PlacementConstraints constraints;
     private final Reservations reservations;
 
     /** Who gathers in a zone; a gang that may spread over zones holds several. */
-    private final Map<String, Job> byYard = new LinkedHashMap<>();
+    private final Map<String, Job> holderByZone = new LinkedHashMap<>();
 
     private final Map<Job, Long> requeuedMicros = new LinkedHashMap<>();
     private final Map<Job, Long> renewedMicros = new LinkedHashMap<>();
 
     public GangReservationPlanner(
-            SchedulerState world, PlacementConstraints eligibility, Reservations reservations) {
+            SchedulerState world, PlacementConstraints constraints, Reservations reservations) {
         this.world = world;
-        this.eligibility = eligibility;
+        this.constraints = constraints;
         this.reservations = reservations;
     }
 
@@ -42,22 +42,22 @@
      * True for jobs that reserve: gangs, and tasks that take a large part of the machines they may
      * use.
      */
-    public boolean gathers(Job job) {
-        return job.description.isGang() || big(job);
+    public boolean needsReservations(Job job) {
+        return job.description.isGang() || isLargeTask(job);
     }
 
-    private boolean big(Job job) {
+    private boolean isLargeTask(Job job) {
         double share = world.settings.operator().bigTaskShare();
         boolean allowedAnywhere = false;
-        for (var type : world.types.values()) {
+        for (var type : world.machineTypes.values()) {
             if (type.fits(job.description)
                     && (job.description.machineTypes() == null
                             || job.description.machineTypes().contains(type.name()))) {
                 allowedAnywhere = true;
                 Resources size = Resources.of(type);
-                if (job.room.cpu() < size.cpu() * share
-                        && job.room.memory() < size.memory() * share
-                        && (size.gpu() == 0 || job.room.gpu() < size.gpu() * share)) {
+                if (job.taskResources.cpu() < size.cpu() * share
+                        && job.taskResources.memory() < size.memory() * share
+                        && (size.gpu() == 0 || job.taskResources.gpu() < size.gpu() * share)) {
                     return false;
                 }
             }
@@ -66,63 +66,65 @@
     }
 
     /** Takes note of reservations that failed, ends turns that are over and begins new ones. */
-    public void gather(List<Reservation> failed, List<Job> queue) {
+    public void update(List<Reservation> failed, List<Job> queue) {
         for (Reservation reservation : failed) {
-            if (byYard.containsValue(reservation.owner)) {
+            if (holderByZone.containsValue(reservation.owner)) {
                 world.log(
                         LogEntry.info(LogEvent.RESERVATION_FAILED)
                                 .with("job", reservation.owner.jobId())
                                 .with("machine", reservation.machine.host));
-                giveUp(reservation.owner);
+                requeue(reservation.owner);
             }
         }
-        for (Job job : new ArrayList<>(byYard.values())) {
-            if (job.over() || job.pending() == 0 || world.jobs.get(job.jobId()) != job) {
+        for (Job job : new ArrayList<>(holderByZone.values())) {
+            if (job.isOver() || job.pendingTasks() == 0 || world.jobs.get(job.jobId()) != job) {
                 end(job);
             }
         }
         List<Job> waiting = new ArrayList<>();
         for (Job job : queue) {
-            if (gathers(job) && !byYard.containsValue(job)) {
+            if (needsReservations(job) && !holderByZone.containsValue(job)) {
                 waiting.add(job);
             }
         }
         waiting.sort(
                 Comparator.comparingLong(
-                                (Job job) -> requeuedMicros.getOrDefault(job, job.sinceMicros()))
+                                (Job job) ->
+                                        requeuedMicros.getOrDefault(job, job.queuedSinceMicros()))
                         .thenComparing(Job::jobId));
         for (Job job : waiting) {
-            begin(job);
+            tryReserve(job);
         }
-        for (Job job : new LinkedHashSet<>(byYard.values())) {
+        for (Job job : new LinkedHashSet<>(holderByZone.values())) {
             renew(job);
         }
         requeuedMicros.keySet().removeIf(job -> !world.jobs.containsKey(job.jobId()));
     }
 
-    private void giveUp(Job job) {
+    private void requeue(Job job) {
         requeuedMicros.put(job, world.nowMicros);
         end(job);
     }
 
     private void end(Job job) {
-        byYard.values().removeIf(holder -> holder == job);
+        holderByZone.values().removeIf(holder -> holder == job);
         renewedMicros.remove(job);
         for (Reservation reservation : reservations.of(job)) {
             reservations.release(reservation);
         }
     }
 
-    private void begin(Job job) {
-        int wanted = job.description.isGang() ? job.pending() : 1;
-        for (Set<String> zones : choices(job)) {
-            List<Machine> chosen = choose(job, wanted, zones);
+    private void tryReserve(Job job) {
+        int wanted = job.description.isGang() ? job.pendingTasks() : 1;
+        for (Set<String> zones : zoneChoices(job)) {
+            List<Machine> chosen = chooseMachines(job, wanted, zones);
             if (chosen == null) {
                 continue;
             }
             List<Reservation> made = new ArrayList<>();
             for (Machine machine : chosen) {
-                Reservation reservation = reservations.reserve(job, machine, job.room, true, true);
+                Reservation reservation =
+                        reservations.reserve(job, machine, job.taskResources, true, true);
                 if (reservation == null) {
                     break;
                 }
@@ -132,7 +134,7 @@
                 made.forEach(reservations::release);
                 continue;
             }
-            chosen.forEach(machine -> byYard.put(machine.zone, job));
+            chosen.forEach(machine -> holderByZone.put(machine.zone, job));
             renewedMicros.put(job, world.nowMicros);
             world.log(
                     LogEntry.info(LogEvent.RESERVATIONS_MADE)
@@ -146,10 +148,10 @@
      * The sets of zones in which the job may gather: one zone each where all must be together, else
      * all free ones.
      */
-    private List<Set<String>> choices(Job job) {
+    private List<Set<String>> zoneChoices(Job job) {
         Set<String> open = new LinkedHashSet<>();
         for (Machine machine : world.machines.values()) {
-            if (!byYard.containsKey(machine.zone)) {
+            if (!holderByZone.containsKey(machine.zone)) {
                 open.add(machine.zone);
             }
         }
@@ -167,13 +169,13 @@
      * Machines for the wanted number of tasks: those that need the least more room first. Null if
      * there are too few.
      */
-    private List<Machine> choose(Job job, int wanted, Set<String> zones) {
+    private List<Machine> chooseMachines(Job job, int wanted, Set<String> zones) {
         List<Machine> candidates = new ArrayList<>();
         for (Machine machine : world.machines.values()) {
             if (zones.contains(machine.zone)
-                    && eligibility.takesTasks(machine)
-                    && eligibility.allows(job, machine)
-                    && machine.size().holds(job.room)
+                    && constraints.acceptsTasks(machine)
+                    && constraints.allows(job, machine)
+                    && machine.capacity().contains(job.taskResources)
                     && !job.failedOn.contains(machine.host)) {
                 candidates.add(machine);
             }
@@ -181,21 +183,21 @@
         candidates.sort(
                 Comparator.comparingLong(
                         (Machine machine) -> -reservations.unreserved(machine, job).cpu()));
-        int perYard =
+        int maxPerZone =
                 job.description.spreadAcrossZones()
                         ? (job.description.taskCount() + 1) / 2
                         : Integer.MAX_VALUE;
-        Map<String, Integer> inYard = new LinkedHashMap<>();
+        Map<String, Integer> chosenByZone = new LinkedHashMap<>();
         List<Machine> chosen = new ArrayList<>();
         for (Machine machine : candidates) {
-            int room = machine.size().count(job.room);
-            while (room > 0
+            int fitting = machine.capacity().count(job.taskResources);
+            while (fitting > 0
                     && chosen.size() < wanted
-                    && job.placedIn(machine.zone) + inYard.getOrDefault(machine.zone, 0)
-                            < perYard) {
+                    && job.attemptsInZone(machine.zone) + chosenByZone.getOrDefault(machine.zone, 0)
+                            < maxPerZone) {
                 chosen.add(machine);
-                inYard.merge(machine.zone, 1, Integer::sum);
-                room--;
+                chosenByZone.merge(machine.zone, 1, Integer::sum);
+                fitting--;
             }
         }
         return chosen.size() == wanted ? chosen : null;
--- a/src/main/java/org/woadloom/core/reservation/Reservation.java
+++ b/src/main/java/org/woadloom/core/reservation/Reservation.java
@@ -56,18 +56,18 @@
         return phase;
     }
 
-    void become(Phase next) {
+    void setPhase(Phase next) {
         phase = next;
     }
 
     /** True while the room is held. */
-    public boolean live() {
+    public boolean isLive() {
         return phase == Phase.WAITING || phase == Phase.AVAILABLE;
     }
 
     /** What is still to be drawn. */
     public Resources remaining() {
-        return live() ? template.minus(allocated) : Resources.NONE;
+        return isLive() ? template.minus(allocated) : Resources.NONE;
     }
 
     public Resources allocated() {
--- a/src/main/java/org/woadloom/core/reservation/Reservations.java
+++ b/src/main/java/org/woadloom/core/reservation/Reservations.java
@@ -27,7 +27,7 @@
     private final Map<Machine, List<Reservation>> byMachine = new HashMap<>();
 
     private final Map<Job, List<Reservation>> byOwner = new HashMap<>();
-    private long ids;
+    private long lastId;
 
     public Reservations(SchedulerState world) {
         this.world = world;
@@ -46,10 +46,11 @@
             Resources template,
             boolean allocateOnce,
             boolean preAllocation) {
-        if (owner.team.allowed(template, owner) < 1 || !machine.size().holds(template)) {
+        if (owner.team.allowedTasks(template, owner) < 1
+                || !machine.capacity().contains(template)) {
             return null;
         }
-        if (!preAllocation && !unreserved(machine, null).holds(template)) {
+        if (!preAllocation && !unreserved(machine, null).contains(template)) {
             return null;
         }
         if (!allocateOnce && reusable(owner, machine) != null) {
@@ -59,7 +60,7 @@
         }
         Reservation reservation =
                 new Reservation(
-                        ++ids,
+                        ++lastId,
                         template,
                         owner,
                         machine,
@@ -70,8 +71,8 @@
         byMachine.computeIfAbsent(machine, m -> new ArrayList<>(2)).add(reservation);
         byOwner.computeIfAbsent(owner, j -> new ArrayList<>(2)).add(reservation);
         owner.team.add(template);
-        reservation.become(Phase.WAITING);
-        settle(reservation);
+        reservation.setPhase(Phase.WAITING);
+        updatePhase(reservation);
         return reservation;
     }
 
@@ -88,7 +89,7 @@
      * A waiting reservation becomes available once the machine's room covers it and those made
      * before it.
      */
-    private void settle(Reservation reservation) {
+    private void updatePhase(Reservation reservation) {
         if (reservation.phase() != Phase.WAITING) {
             return;
         }
@@ -99,32 +100,32 @@
             }
             before = before.plus(other.remaining());
         }
-        if (reservation.machine.room().minus(before).holds(reservation.remaining())) {
-            reservation.become(Phase.AVAILABLE);
+        if (reservation.machine.balance().minus(before).contains(reservation.remaining())) {
+            reservation.setPhase(Phase.AVAILABLE);
         }
     }
 
     /** Brings phases up to date; what expired, or lies on a machine that is going, fails. */
-    public List<Reservation> sync() {
+    public List<Reservation> updatePhases() {
         List<Reservation> failed = new ArrayList<>();
         Map<Job, Integer> held = new LinkedHashMap<>();
         for (Reservation reservation : new ArrayList<>(live.values())) {
             Machine machine = reservation.machine;
             // A job that found room elsewhere meanwhile needs no more reservations than it has
             // pending tasks.
-            if (reservation.owner.over()
+            if (reservation.owner.isOver()
                     || held.merge(reservation.owner, 1, Integer::sum)
-                            > reservation.owner.pending()) {
+                            > reservation.owner.pendingTasks()) {
                 release(reservation);
             } else if (world.nowMicros >= reservation.expiresMicros()
                     || machine.deleted
-                    || machine.leaving
-                    || machine.takenMicros >= 0
-                    || !machine.up()) {
+                    || machine.decommissioning
+                    || machine.spotTerminationMicros >= 0
+                    || !machine.isUp()) {
                 release(reservation);
                 failed.add(reservation);
             } else {
-                settle(reservation);
+                updatePhase(reservation);
             }
         }
         return failed;
@@ -133,19 +134,20 @@
     /** Gives the room back; the reservation can't be drawn any more. */
     public void release(Reservation reservation) {
         end(reservation, Phase.FAILED);
-        world.placementWorthTrying = true;
+        world.placementNeeded = true;
     }
 
     private void end(Reservation reservation, Phase phase) {
         if (live.remove(reservation.id) != null) {
-            drop(byMachine, reservation.machine, reservation);
-            drop(byOwner, reservation.owner, reservation);
+            removeFrom(byMachine, reservation.machine, reservation);
+            removeFrom(byOwner, reservation.owner, reservation);
             reservation.owner.team.subtract(reservation.remaining());
-            reservation.become(phase);
+            reservation.setPhase(phase);
         }
     }
 
-    private static <K> void drop(Map<K, List<Reservation>> index, K key, Reservation reservation) {
+    private static <K> void removeFrom(
+            Map<K, List<Reservation>> index, K key, Reservation reservation) {
         List<Reservation> list = index.get(key);
         list.remove(reservation);
         if (list.isEmpty()) {
@@ -163,12 +165,12 @@
 
     /** The machine's free room without what is reserved for others than this job. */
     public Resources unreserved(Machine machine, Job job) {
-        return balance(machine, job).floor();
+        return balance(machine, job).withoutNegatives();
     }
 
     /** The same, negative where reservations wait for room that is still in use. */
     public Resources balance(Machine machine, Job job) {
-        Resources free = machine.room();
+        Resources free = machine.balance();
         List<Reservation> here = byMachine.get(machine);
         if (here == null) {
             return free;
@@ -205,7 +207,7 @@
     }
 
     private static long draws(Reservation reservation, Job job) {
-        Resources room = reservation.drawable(job.room);
+        Resources room = reservation.drawable(job.taskResources);
         return room.cpu() + room.gpu() * 16 + room.memory() / 16;
     }
 
@@ -217,18 +219,20 @@
         if (reservation == null) {
             return Resources.NONE;
         }
-        return reservation.allocateOnce ? reservation.remaining() : reservation.drawable(job.room);
+        return reservation.allocateOnce
+                ? reservation.remaining()
+                : reservation.drawable(job.taskResources);
     }
 
     /**
      * To be called before the placement is added: its room moves from the reservation to the task.
      */
-    public void draw(TaskAttempt placement) {
-        Reservation reservation = match(placement.job, placement.machine);
+    public void draw(TaskAttempt attempt) {
+        Reservation reservation = match(attempt.job, attempt.machine);
         if (reservation == null) {
             return;
         }
-        Resources drawn = reservation.drawable(placement.job.room);
+        Resources drawn = reservation.drawable(attempt.job.taskResources);
         if (reservation.allocateOnce) {
             end(reservation, Phase.SUCCEEDED);
             reservation.draw(drawn);
@@ -250,7 +254,7 @@
      * For how many tasks of the job no machine need be rented. A gang's waiting reservations do not
      * count: what they wait for may run long.
      */
-    public int coming(Job job) {
+    public int expectedTasks(Job job) {
         int count = 0;
         for (Reservation reservation : byOwner.getOrDefault(job, List.of())) {
             if (reservation.phase() == Phase.AVAILABLE || !job.description.isGang()) {
@@ -261,7 +265,7 @@
     }
 
     /** How many tasks of the job have room held, or being made, for them. */
-    public int heldFor(Job job) {
+    public int countFor(Job job) {
         return byOwner.getOrDefault(job, List.of()).size();
     }
 
@@ -269,7 +273,7 @@
      * True if room is held for a job of the team other than this one, which counts against the
      * limit.
      */
-    public boolean heldForOthers(Job job) {
+    public boolean hasOthersInTeam(Job job) {
         for (Job owner : byOwner.keySet()) {
             if (owner != job && owner.team == job.team) {
                 return true;
@@ -282,7 +286,7 @@
         return live.size();
     }
 
-    public boolean holdsAny(Machine machine) {
+    public boolean hasReservations(Machine machine) {
         return byMachine.containsKey(machine);
     }
 }
--- a/src/main/java/org/woadloom/core/rollout/ClusterMembership.java
+++ b/src/main/java/org/woadloom/core/rollout/ClusterMembership.java
@@ -10,56 +10,56 @@
  * either sees the word, or is seen.
  */
 public final class ClusterMembership {
-    private final Set<String> reads;
-    private boolean known;
-    private Set<String> lacks = Set.of();
+    private final Set<String> supported;
+    private boolean isKnown;
+    private Set<String> missingFeatures = Set.of();
 
     /** Why the record can't be read, or null. */
-    private String unreadable;
+    private String onRecordUnreadable;
 
     public ClusterMembership(Set<String> reads) {
-        this.reads = reads;
+        this.supported = reads;
     }
 
     /** The record was read after this process gave its word. */
-    public void read() {
-        known = true;
+    public void onRecordRead() {
+        isKnown = true;
     }
 
     /** The record that stands in the store now has a form that is known here. */
-    public void readable() {
-        unreadable = null;
+    public void onRecordReadable() {
+        onRecordUnreadable = null;
     }
 
     /** The word is gone: others may have gone on without this process. */
-    public void lapsed() {
-        known = false;
+    public void onAnnouncementLost() {
+        isKnown = false;
     }
 
     /** What the record says, as it was read or as a peer tells of it. */
-    public void required(Set<String> names) {
+    public void setRequired(Set<String> names) {
         Set<String> missing = new TreeSet<>(names);
-        missing.removeAll(reads);
-        lacks = missing;
+        missing.removeAll(supported);
+        missingFeatures = missing;
     }
 
     /** The record is of a form that this program does not know. */
-    public void unreadable(String why) {
-        unreadable = why;
+    public void onRecordUnreadable(String why) {
+        onRecordUnreadable = why;
     }
 
-    public boolean known() {
-        return known;
+    public boolean isKnown() {
+        return isKnown;
     }
 
     /**
      * What is required and not known here: as long as there is any, this process must not serve.
      */
-    public Set<String> lacks() {
-        return unreadable == null ? lacks : Set.of(unreadable);
+    public Set<String> missingFeatures() {
+        return onRecordUnreadable == null ? missingFeatures : Set.of(onRecordUnreadable);
     }
 
-    public boolean serves() {
-        return known && lacks().isEmpty();
+    public boolean mayServe() {
+        return isKnown && missingFeatures().isEmpty();
     }
 }
--- a/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
+++ b/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
@@ -39,15 +39,15 @@
     private static final long KEEPS_ENDING_MICROS = 60_000_000;
 
     /** More refusals, or late steps, than this in a second are no time to change anything. */
-    private static final long RESTLESS = 10;
+    private static final long MAX_CALM_REFUSALS = 10;
 
     private final SchedulerState world;
-    private final RecordMigration moves;
-    private SchedulerEvent.RolloutStateRead seen;
+    private final RecordMigration migration;
+    private SchedulerEvent.RolloutStateRead latest;
     private RolloutRecord writing;
 
     /** After a write that failed: whatever was in its way is read anew first. */
-    private long againMicros = Long.MIN_VALUE / 2;
+    private long retryAtMicros = Long.MIN_VALUE / 2;
 
     private long reviewedMicros = Long.MIN_VALUE / 2;
 
@@ -57,7 +57,7 @@
     private long calmSinceMicros;
     private long refusedBefore;
     private final Map<Feature, Count> counts = new EnumMap<>(Feature.class);
-    private final Map<Feature, String> told = new EnumMap<>(Feature.class);
+    private final Map<Feature, String> loggedReasons = new EnumMap<>(Feature.class);
     private final Map<String, LogEntry> steps = new LinkedHashMap<>();
     private Set<String> contradiction = Set.of();
 
@@ -73,20 +73,21 @@
 
     public FeatureRollout(SchedulerState world) {
         this.world = world;
-        moves = new RecordMigration(world);
+        migration = new RecordMigration(world);
         for (Feature feature : Feature.values()) {
             counts.put(feature, new Count());
         }
     }
 
-    public void seen(SchedulerEvent.RolloutStateRead now) {
-        if (seen != null && now.record().number() < seen.record().number()) {
+    public void latest(SchedulerEvent.RolloutStateRead now) {
+        if (latest != null && now.record().number() < latest.record().number()) {
             return;
         }
-        seen = now;
+        latest = now;
         Map<String, Object> lives = new LinkedHashMap<>();
-        now.words().forEach((label, spoken) -> lives.put(label, spoken.word().life()));
-        lives.put("wordless", now.wordless());
+        now.announcements()
+                .forEach((label, stored) -> lives.put(label, stored.announcement().life()));
+        lives.put("wordless", now.unannounced());
         if (!lives.equals(circumstances)) {
             circumstances = lives;
             calmSinceMicros = world.nowMicros;
@@ -95,33 +96,33 @@
     }
 
     /** Records that are not yet of the form in force, as last counted. */
-    public int left() {
+    public int recordsToMigrate() {
         int left = 0;
         for (Feature feature : Feature.values()) {
-            left += moves.left(feature);
+            left += migration.remaining(feature);
         }
         return left;
     }
 
     /** Records that could not be read when they were last counted. */
-    public int unreadable() {
+    public int unreadableRecords() {
         return counts.values().stream().mapToInt(count -> count.unreadable).sum();
     }
 
     public void review() {
-        if (seen == null || world.nowMicros - reviewedMicros < REVIEW_MICROS) {
+        if (latest == null || world.nowMicros - reviewedMicros < REVIEW_MICROS) {
             return;
         }
         reviewedMicros = world.nowMicros;
-        if (seen.refused() - refusedBefore > RESTLESS) {
+        if (latest.refusals() - refusedBefore > MAX_CALM_REFUSALS) {
             calmSinceMicros = world.nowMicros;
         }
-        refusedBefore = seen.refused();
+        refusedBefore = latest.refusals();
         for (Feature feature : Feature.values()) {
             count(feature);
         }
-        moves.go();
-        if (writing == null && world.nowMicros >= againMicros) {
+        migration.migrate();
+        if (writing == null && world.nowMicros >= retryAtMicros) {
             decide();
         }
     }
@@ -132,45 +133,45 @@
      */
     private void count(Feature feature) {
         Count count = counts.get(feature);
-        Standing standing = seen.record().of(feature.key());
+        Standing standing = latest.record().of(feature.key());
         if (!standing.equals(count.standing)) {
             count.standing = standing;
             count.sinceMicros = world.nowMicros;
             count.confirmed = feature.prefix() == null;
             count.asked = false;
             count.againMicros = 0;
-            moves.forget(feature);
+            migration.forget(feature);
         }
         boolean moving = standing.step() == Step.ON || standing.back();
         if (moving
                 && !count.confirmed
                 && !count.asked
-                && moves.left(feature) == 0
+                && migration.remaining(feature) == 0
                 && world.nowMicros >= count.againMicros
-                && moves.quiet(feature, standing.on())) {
+                && migration.isQuiet(feature, standing.on())) {
             count.asked = true;
             world.emit(new SchedulerAction.CountRecords(feature, standing.back()));
         }
     }
 
-    public void counted(SchedulerEvent.RecordsCounted result) {
+    public void onRecordsCounted(SchedulerEvent.RecordsCounted result) {
         Count count = counts.get(result.feature());
-        if (!count.asked || count.standing.back() != result.back()) {
+        if (!count.asked || count.standing.back() != result.rollingBack()) {
             return;
         }
         count.asked = false;
         count.againMicros = world.nowMicros + RECOUNT_MICROS;
-        if (!result.read()) {
+        if (!result.succeeded()) {
             return;
         }
         count.unreadable = result.unreadable().size();
-        count.confirmed = result.old().isEmpty() && result.unreadable().isEmpty();
-        if (!result.old().isEmpty()) {
+        count.confirmed = result.outdated().isEmpty() && result.unreadable().isEmpty();
+        if (!result.outdated().isEmpty()) {
             world.log(
                     LogEntry.info(LogEvent.ROLLOUT_RECORDS_OUTDATED)
                             .with("feature", result.feature().key())
-                            .with("records", result.old().size()));
-            moves.found(result.feature(), result.old());
+                            .with("records", result.outdated().size()));
+            migration.setOutdated(result.feature(), result.outdated());
             count.againMicros = 0;
         }
         if (!result.unreadable().isEmpty()) {
@@ -185,11 +186,13 @@
     private Set<String> members() {
         Set<Set<String>> named = new HashSet<>();
         named.add(new TreeSet<>(world.settings.nodes().keySet()));
-        seen.words().values().forEach(spoken -> named.add(spoken.word().members()));
+        latest.announcements()
+                .values()
+                .forEach(stored -> named.add(stored.announcement().members()));
         Set<String> members = new TreeSet<>();
         named.forEach(members::addAll);
-        members.addAll(seen.words().keySet());
-        members.addAll(seen.wordless());
+        members.addAll(latest.announcements().keySet());
+        members.addAll(latest.unannounced());
         if (named.size() > 1 && !members.equals(contradiction)) {
             contradiction = members;
             world.log(LogEntry.info(LogEvent.ROLLOUT_MEMBERS_DIFFER).with("members", named));
@@ -199,37 +202,38 @@
 
     private void decide() {
         Set<String> members = members();
-        Map<String, NodeAnnouncement> words = new LinkedHashMap<>();
-        seen.words().forEach((label, spoken) -> words.put(label, spoken.word()));
-        RolloutRecord next = seen.record();
+        Map<String, NodeAnnouncement> announcements = new LinkedHashMap<>();
+        latest.announcements()
+                .forEach((label, stored) -> announcements.put(label, stored.announcement()));
+        RolloutRecord next = latest.record();
         steps.clear();
         for (Feature feature : Feature.values()) {
-            next = decide(feature, next, members, words);
+            next = decide(feature, next, members, announcements);
         }
-        if (next == seen.record()) {
+        if (next == latest.record()) {
             return;
         }
         writing = next;
         Map<String, Long> conditions = new LinkedHashMap<>();
-        conditions.put(StoreKeys.ROLLOUT_STATE, seen.revision());
+        conditions.put(StoreKeys.ROLLOUT_STATE, latest.revision());
         // What was decided by these words is void if one has changed: a process that ended and came
         // back old, say.
-        seen.words()
+        latest.announcements()
                 .forEach(
-                        (label, spoken) ->
-                                conditions.put(StoreKeys.ROLLOUT_NODES + label, spoken.revision()));
-        long agreed = seen.agreed();
+                        (label, stored) ->
+                                conditions.put(StoreKeys.ROLLOUT_NODES + label, stored.revision()));
+        long agreed = latest.agreed();
         for (Feature feature : Feature.values()) {
             if (next.of(feature.key()).on()) {
                 agreed = Math.max(agreed, feature.agreedVersion());
             }
         }
-        if (agreed > seen.agreed()) {
-            conditions.put(StoreKeys.AGREED, seen.agreedStamp());
+        if (agreed > latest.agreed()) {
+            conditions.put(StoreKeys.AGREED, latest.agreedStamp());
         }
         world.emit(
                 new SchedulerAction.WriteRollout(
-                        next, conditions, agreed > seen.agreed() ? agreed : 0));
+                        next, conditions, agreed > latest.agreed() ? agreed : 0));
     }
 
     /** Takes the feature as far as it may go now, several steps where nothing lies between them. */
@@ -237,15 +241,15 @@
             Feature feature,
             RolloutRecord record,
             Set<String> members,
-            Map<String, NodeAnnouncement> words) {
+            Map<String, NodeAnnouncement> announcements) {
         RolloutRecord next = record;
-        RolloutRequest request = seen.asked().getOrDefault(feature.key(), RolloutRequest.AUTO);
+        RolloutRequest request = latest.requests().getOrDefault(feature.key(), RolloutRequest.AUTO);
         boolean troubled =
-                words.values().stream()
+                announcements.values().stream()
                         .anyMatch(
-                                word ->
-                                        word.starts() >= KEEPS_ENDING
-                                                && world.wallMicros - word.sinceWallMicros()
+                                announcement ->
+                                        announcement.starts() >= KEEPS_ENDING
+                                                && world.wallMicros - announcement.sinceWallMicros()
                                                         < KEEPS_ENDING_MICROS);
         while (true) {
             Count count = counts.get(feature);
@@ -255,27 +259,28 @@
                             && world.nowMicros - Math.max(count.sinceMicros, calmSinceMicros)
                                     >= world.settings.operator().soakMicros();
             Decision verdict =
-                    RolloutPolicy.judge(
+                    RolloutPolicy.decide(
                             feature,
                             new Situation(
                                     next,
                                     members,
-                                    words,
-                                    seen.wordless(),
-                                    seen.agreed(),
+                                    announcements,
+                                    latest.unannounced(),
+                                    latest.agreed(),
                                     request.verb(),
                                     soaked,
                                     troubled,
-                                    moves.left(feature),
+                                    migration.remaining(feature),
                                     same && count.confirmed),
                             world.wallMicros);
             if (verdict.next() == null) {
-                if (!Objects.equals(told.put(feature, verdict.why()), verdict.why())) {
+                if (!Objects.equals(
+                        loggedReasons.put(feature, verdict.reason()), verdict.reason())) {
                     world.log(
                             LogEntry.info(LogEvent.ROLLOUT_WAITING)
                                     .with("feature", feature.key())
                                     .with("step", next.of(feature.key()).step().text())
-                                    .with("reason", verdict.why()));
+                                    .with("reason", verdict.reason()));
                 }
                 return next;
             }
@@ -299,23 +304,23 @@
                             .with("step", to.step().text())
                             .with("rolling_back", to.back())
                             .with("allowed_by", by)
-                            .with("reason", verdict.why()));
+                            .with("reason", verdict.reason()));
         }
     }
 
-    public void written(SchedulerEvent.RolloutWriteCompleted result) {
+    public void onWriteCompleted(SchedulerEvent.RolloutWriteCompleted result) {
         if (writing == null || result.number() != writing.number()) {
             return;
         }
         if (result.outcome() == SchedulerEvent.WriteOutcome.WRITTEN) {
             steps.values().forEach(world::log);
-            seen = seen.with(writing, result.revision());
+            latest = latest.withRecord(writing, result.revision());
         }
         writing = null;
         reviewedMicros = Long.MIN_VALUE / 2;
         if (result.outcome() != SchedulerEvent.WriteOutcome.WRITTEN) {
-            againMicros = world.nowMicros + REVIEW_MICROS;
-            seen = null;
+            retryAtMicros = world.nowMicros + REVIEW_MICROS;
+            latest = null;
         }
     }
 }
--- a/src/main/java/org/woadloom/core/rollout/RecordMigration.java
+++ b/src/main/java/org/woadloom/core/rollout/RecordMigration.java
@@ -24,33 +24,33 @@
     private final Map<Feature, ArrayDeque<String>> waiting = new EnumMap<>(Feature.class);
 
     /** Jobs that are being rewritten, with the first version that has the new form. */
-    private final Map<Feature, Map<String, Long>> underWay = new EnumMap<>(Feature.class);
+    private final Map<Feature, Map<String, Long>> inFlight = new EnumMap<>(Feature.class);
 
     private double allowance;
-    private long wentMicros;
+    private long lastRunMicros;
 
     RecordMigration(SchedulerState world) {
         this.world = world;
-        wentMicros = world.nowMicros;
+        lastRunMicros = world.nowMicros;
         for (Feature feature : Feature.values()) {
             waiting.put(feature, new ArrayDeque<>());
-            underWay.put(feature, new HashMap<>());
+            inFlight.put(feature, new HashMap<>());
         }
     }
 
     /** The store was counted: these are not of the form that they should be. */
-    void found(Feature feature, List<String> keys) {
+    void setOutdated(Feature feature, List<String> keys) {
         waiting.get(feature).clear();
         waiting.get(feature).addAll(keys);
-        underWay.get(feature).clear();
+        inFlight.get(feature).clear();
     }
 
     void forget(Feature feature) {
-        found(feature, List.of());
+        setOutdated(feature, List.of());
     }
 
-    int left(Feature feature) {
-        return waiting.get(feature).size() + underWay.get(feature).size();
+    int remaining(Feature feature) {
+        return waiting.get(feature).size() + inFlight.get(feature).size();
     }
 
     /**
@@ -58,42 +58,47 @@
      * written over, which voids it; counted before that, the store would hold a record of that form
      * later.
      */
-    boolean quiet(Feature feature, boolean on) {
+    boolean isQuiet(Feature feature, boolean on) {
         if (feature != Feature.MACHINE_LIFE) {
             return true;
         }
-        return world.machineLife == on
+        return world.recordsMachineLifecycle == on
                 && world.machines.values().stream()
-                        .noneMatch(machine -> machine.mayChange(world.machineLifeSinceMicros));
+                        .noneMatch(
+                                machine ->
+                                        machine.mayRecordChange(
+                                                world.recordsMachineLifecycleSinceMicros));
     }
 
     /** Has as many records rewritten as the time since the last call allows. */
-    void go() {
+    void migrate() {
         // Under a load that takes all writes it still gets done, in an hour or so instead of
         // minutes.
         double rate =
-                world.writes.spare()
+                world.writeBudget.hasSpare()
                         ? Math.max(
                                 LEAST_PER_SECOND,
-                                world.writes.perSecond() * world.settings.operator().rewriteShare())
+                                world.writeBudget.perSecond()
+                                        * world.settings.operator().rewriteShare())
                         : LEAST_PER_SECOND;
         allowance =
                 Math.min(
-                        Math.max(1, rate), allowance + rate * (world.nowMicros - wentMicros) / 1e6);
-        wentMicros = world.nowMicros;
+                        Math.max(1, rate),
+                        allowance + rate * (world.nowMicros - lastRunMicros) / 1e6);
+        lastRunMicros = world.nowMicros;
         for (Feature feature : Feature.values()) {
-            settle(feature);
+            removeFinished(feature);
             ArrayDeque<String> keys = waiting.get(feature);
             while (allowance >= 1 && !keys.isEmpty()) {
-                allowance -= begin(feature, keys.poll()) ? 1 : 0;
+                allowance -= startRewrite(feature, keys.poll()) ? 1 : 0;
             }
         }
-        tellWhichCameUp();
+        rewriteReportedMachines();
     }
 
     /** What is written, gone, or known to be written anew by itself, is done with. */
-    private void settle(Feature feature) {
-        for (Iterator<Map.Entry<String, Long>> all = underWay.get(feature).entrySet().iterator();
+    private void removeFinished(Feature feature) {
+        for (Iterator<Map.Entry<String, Long>> all = inFlight.get(feature).entrySet().iterator();
                 all.hasNext(); ) {
             Map.Entry<String, Long> one = all.next();
             String key = one.getKey();
@@ -106,49 +111,49 @@
                             ? world.machines.get(key.substring(StoreKeys.MACHINES.length()))
                             : null;
             if (job == null && machine == null
-                    || job != null && job.recording.durable >= one.getValue()
-                    || machine != null && !machine.rewrite && !machine.writing) {
+                    || job != null && job.persistence.durableVersion >= one.getValue()
+                    || machine != null && !machine.rewriteNeeded && !machine.writing) {
                 all.remove();
             }
         }
     }
 
-    private boolean begin(Feature feature, String key) {
+    private boolean startRewrite(Feature feature, String key) {
         if (key.startsWith(StoreKeys.JOBS)) {
             Job job = world.jobs.get(key.substring(StoreKeys.JOBS.length()));
             if (job == null) {
                 return false;
             }
-            underWay.get(feature).put(key, job.recording.nextVersion());
-            job.recording.needs(PersistenceState.WriteReason.PHASE);
+            inFlight.get(feature).put(key, job.persistence.nextVersion());
+            job.persistence.requestWrite(PersistenceState.WriteReason.PHASE);
             return true;
         }
         Machine machine = world.machines.get(key.substring(StoreKeys.MACHINES.length()));
         if (machine == null || machine.deleted || !machine.recorded) {
             return false;
         }
-        underWay.get(feature).put(key, 0L);
-        machine.rewrite();
+        inFlight.get(feature).put(key, 0L);
+        machine.rewriteNeeded();
         return true;
     }
 
     /** Whether a machine ever came up is what a new leader wants to know of one that is silent. */
-    private void tellWhichCameUp() {
-        if (!world.machineLife) {
+    private void rewriteReportedMachines() {
+        if (!world.recordsMachineLifecycle) {
             return;
         }
         for (Machine machine : world.machines.values()) {
             if (allowance < 1) {
                 return;
             }
-            if (machine.heard()
+            if (machine.isKnownAlive()
                     && machine.recorded
-                    && !machine.upRecorded
-                    && !machine.rewrite
+                    && !machine.reportedRecorded
+                    && !machine.rewriteNeeded
                     && !machine.writing
-                    && !machine.leaving
+                    && !machine.decommissioning
                     && !machine.deleted) {
-                machine.rewrite();
+                machine.rewriteNeeded();
                 allowance--;
             }
         }
--- a/src/main/java/org/woadloom/core/rollout/RolloutPolicy.java
+++ b/src/main/java/org/woadloom/core/rollout/RolloutPolicy.java
@@ -33,23 +33,23 @@
     public record Situation(
             RolloutRecord record,
             Set<String> members,
-            Map<String, NodeAnnouncement> words,
-            Set<String> wordless,
+            Map<String, NodeAnnouncement> announcements,
+            Set<String> unannounced,
             long agreed,
-            Verb asked,
+            Verb requested,
             boolean soaked,
             boolean troubled,
-            int left,
+            int recordsLeft,
             boolean confirmed) {
 
-        Set<String> without(String feature, boolean acting) {
+        Set<String> membersWithout(String feature, boolean acting) {
             Set<String> lacking = new TreeSet<>();
             for (String member : members) {
-                NodeAnnouncement word = words.get(member);
-                if (word == null
-                        || wordless.contains(member)
-                        || !word.reads().contains(feature)
-                        || acting && !word.can().contains(feature)) {
+                NodeAnnouncement announcement = announcements.get(member);
+                if (announcement == null
+                        || unannounced.contains(member)
+                        || !announcement.reads().contains(feature)
+                        || acting && !announcement.can().contains(feature)) {
                     lacking.add(member);
                 }
             }
@@ -58,114 +58,121 @@
     }
 
     /** What is to be done: a new standing, or null and what it waits for. */
-    public record Decision(Standing next, String why) {
-        static Decision waits(String why) {
+    public record Decision(Standing next, String reason) {
+        static Decision waiting(String why) {
             return new Decision(null, why);
         }
     }
 
-    public static Decision judge(Feature feature, Situation s, long wallMicros) {
-        Standing at = s.record.of(feature.key());
-        if (!at.on() && feature.agreedVersion() > 0 && s.agreed >= feature.agreedVersion()) {
+    public static Decision decide(Feature feature, Situation situation, long wallMicros) {
+        Standing current = situation.record.of(feature.key());
+        if (!current.on()
+                && feature.agreedVersion() > 0
+                && situation.agreed >= feature.agreedVersion()) {
             return to(Step.ON, false, false, wallMicros, "an earlier version agreed on it");
         }
         boolean held =
-                s.asked != Verb.GO
-                        && (at.held()
-                                || s.troubled
-                                        && at.step() == Step.ON
+                situation.requested != Verb.GO
+                        && (current.held()
+                                || situation.troubled
+                                        && current.step() == Step.ON
                                         && feature.revocable()
                                         && feature.soaks());
-        if (s.asked == Verb.BACK || held) {
-            return backwards(feature, s, at, held, wallMicros);
+        if (situation.requested == Verb.BACK || held) {
+            return rollBack(feature, situation, current, held, wallMicros);
         }
-        if (s.asked == Verb.HOLD) {
-            return Decision.waits("held by an operator");
+        if (situation.requested == Verb.HOLD) {
+            return Decision.waiting("held by an operator");
         }
-        Set<String> lacking = s.without(feature.key(), false);
-        return switch (at.step()) {
+        Set<String> lacking = situation.membersWithout(feature.key(), false);
+        return switch (current.step()) {
             case OFF ->
                     lacking.isEmpty()
                             ? to(Step.UNDERSTOOD, false, false, wallMicros, "every node reads it")
-                            : Decision.waits("not read by " + lacking);
-            case UNDERSTOOD -> switchOn(feature, s, at, lacking, wallMicros);
-            case ON -> settle(s, lacking, wallMicros);
-            case SETTLED -> Decision.waits("settled");
+                            : Decision.waiting("not read by " + lacking);
+            case UNDERSTOOD -> switchOn(feature, situation, current, lacking, wallMicros);
+            case ON -> settle(situation, lacking, wallMicros);
+            case SETTLED -> Decision.waiting("settled");
         };
     }
 
     private static Decision switchOn(
-            Feature feature, Situation s, Standing at, Set<String> lacking, long wallMicros) {
+            Feature feature,
+            Situation situation,
+            Standing current,
+            Set<String> lacking,
+            long wallMicros) {
         if (!lacking.isEmpty()) {
             // While it is being taken back records of it may be there, and whoever can't read them
             // must stay out.
-            return at.back()
-                    ? Decision.waits("not read by " + lacking)
+            return current.back()
+                    ? Decision.waiting("not read by " + lacking)
                     : to(Step.OFF, false, false, wallMicros, lacking + " no longer reads it");
         }
-        Set<String> unable = s.without(feature.key(), true);
+        Set<String> unable = situation.membersWithout(feature.key(), true);
         if (!unable.isEmpty()) {
-            return Decision.waits("not for " + unable + " to act upon, by settings or version");
+            return Decision.waiting("not for " + unable + " to act upon, by settings or version");
         }
         for (String needed : feature.needs()) {
-            if (!s.record.of(needed).on()) {
-                return Decision.waits(needed + " is not on");
+            if (!situation.record.of(needed).on()) {
+                return Decision.waiting(needed + " is not on");
             }
         }
-        if (s.troubled && feature.soaks() && s.asked != Verb.GO) {
-            return Decision.waits("nodes keep ending");
+        if (situation.troubled && feature.soaks() && situation.requested != Verb.GO) {
+            return Decision.waiting("nodes keep ending");
         }
-        return s.soaked || s.asked == Verb.GO || !feature.soaks()
+        return situation.soaked || situation.requested == Verb.GO || !feature.soaks()
                 ? to(Step.ON, false, false, wallMicros, "every node reads and can do it")
-                : Decision.waits("time to pass");
+                : Decision.waiting("time to pass");
     }
 
-    private static Decision settle(Situation s, Set<String> lacking, long wallMicros) {
+    private static Decision settle(Situation situation, Set<String> lacking, long wallMicros) {
         if (!lacking.isEmpty()) {
-            return Decision.waits("not read by " + lacking);
+            return Decision.waiting("not read by " + lacking);
         }
-        if (s.left > 0) {
-            return Decision.waits("records to be rewritten");
+        if (situation.recordsLeft > 0) {
+            return Decision.waiting("records to be rewritten");
         }
-        if (!s.soaked && s.asked != Verb.GO) {
-            return Decision.waits("time to pass");
+        if (!situation.soaked && situation.requested != Verb.GO) {
+            return Decision.waiting("time to pass");
         }
-        return s.confirmed
+        return situation.confirmed
                 ? to(Step.SETTLED, false, false, wallMicros, "no record of the old form is left")
-                : Decision.waits("the store to be counted");
+                : Decision.waiting("the store to be counted");
     }
 
-    private static Decision backwards(
-            Feature feature, Situation s, Standing at, boolean held, long wallMicros) {
-        String why = held ? "nodes keep ending" : "an operator asked";
-        return switch (at.step()) {
-            case OFF -> Decision.waits(why + ": off");
-            case SETTLED -> Decision.waits("settled, can't be taken back");
+    private static Decision rollBack(
+            Feature feature, Situation situation, Standing current, boolean held, long wallMicros) {
+        String reason = held ? "nodes keep ending" : "an operator asked";
+        return switch (current.step()) {
+            case OFF -> Decision.waiting(reason + ": off");
+            case SETTLED -> Decision.waiting("settled, can't be taken back");
             case ON -> {
                 if (!feature.revocable()) {
-                    yield Decision.waits("on, can't be taken back");
+                    yield Decision.waiting("on, can't be taken back");
                 }
                 for (Feature other : Feature.values()) {
                     if (other.needs().contains(feature.key())
-                            && s.record.of(other.key()).required()) {
-                        yield Decision.waits("needed by " + other.key());
+                            && situation.record.of(other.key()).required()) {
+                        yield Decision.waiting("needed by " + other.key());
                     }
                 }
-                yield to(Step.UNDERSTOOD, true, held, wallMicros, why);
+                yield to(Step.UNDERSTOOD, true, held, wallMicros, reason);
             }
             case UNDERSTOOD -> {
-                if (at.back() && s.left > 0) {
-                    yield Decision.waits("records to be rewritten");
+                if (current.back() && situation.recordsLeft > 0) {
+                    yield Decision.waiting("records to be rewritten");
                 }
-                if (at.back() && !s.confirmed) {
-                    yield Decision.waits("the store to be counted");
+                if (current.back() && !situation.confirmed) {
+                    yield Decision.waiting("the store to be counted");
                 }
-                yield to(Step.OFF, false, held, wallMicros, why);
+                yield to(Step.OFF, false, held, wallMicros, reason);
             }
         };
     }
 
-    private static Decision to(Step step, boolean back, boolean held, long wallMicros, String why) {
-        return new Decision(new Standing(step, back, held, wallMicros, why), why);
+    private static Decision to(
+            Step step, boolean back, boolean held, long wallMicros, String reason) {
+        return new Decision(new Standing(step, back, held, wallMicros, reason), reason);
     }
 }
--- a/src/main/java/org/woadloom/core/slo/LargestJobsReport.java
+++ b/src/main/java/org/woadloom/core/slo/LargestJobsReport.java
@@ -16,8 +16,8 @@
  * on average.
  */
 final class LargestJobsReport {
-    private static final double PART = 0.1;
-    private static final int MOST_KEPT = 2_000;
+    private static final double LARGEST_SHARE = 0.1;
+    private static final int MAX_JOBS_PER_CLASS = 2_000;
     private static final long BEGIN_MICROS = 240_000_000;
 
     private final Map<String, Map<String, Entry>> byClass = new TreeMap<>();
@@ -25,25 +25,25 @@
     private static final class Entry {
         final long size;
         final long sinceMicros;
-        long begunMicros = Job.NEVER_MICROS;
+        long startedMicros = Job.NEVER_MICROS;
         boolean done;
         boolean cancelled;
 
         Entry(Job job) {
-            size = job.room.cpu() * job.description.taskCount();
-            sinceMicros = job.sinceMicros();
+            size = job.taskResources.cpu() * job.description.taskCount();
+            sinceMicros = job.queuedSinceMicros();
         }
 
         long waitedMicros() {
-            return begunMicros - sinceMicros;
+            return startedMicros - sinceMicros;
         }
     }
 
-    void come(Job job) {
+    void onJobAdded(Job job) {
         Map<String, Entry> jobs =
                 byClass.computeIfAbsent(job.description.jobClass(), name -> new LinkedHashMap<>());
         jobs.put(job.jobId(), new Entry(job));
-        if (jobs.size() > MOST_KEPT) {
+        if (jobs.size() > MAX_JOBS_PER_CLASS) {
             jobs.remove(jobs.keySet().iterator().next());
         }
     }
@@ -52,17 +52,17 @@
         return byClass.getOrDefault(job.description.jobClass(), Map.of()).get(job.jobId());
     }
 
-    void look(Job job) {
+    void observe(Job job) {
         Entry entry = entry(job);
         if (entry != null) {
-            entry.begunMicros = job.firstPlacedMicros();
+            entry.startedMicros = job.firstPlacedMicros();
             entry.cancelled = job.cancelled;
-            entry.done = job.allDone();
+            entry.done = job.isComplete();
         }
     }
 
     /** A line for each class, of jobs that nobody cancelled. */
-    List<LogEntry> tell() {
+    List<LogEntry> lines() {
         List<LogEntry> lines = new ArrayList<>();
         byClass.forEach(
                 (name, jobs) -> {
@@ -71,7 +71,7 @@
                     int done = 0;
                     long slowest = 0;
                     for (Entry entry : largest) {
-                        boolean hasBegun = entry.begunMicros != Job.NEVER_MICROS;
+                        boolean hasBegun = entry.startedMicros != Job.NEVER_MICROS;
                         begun += hasBegun && entry.waitedMicros() <= BEGIN_MICROS ? 1 : 0;
                         done += entry.done ? 1 : 0;
                         slowest = hasBegun ? Math.max(slowest, entry.waitedMicros()) : slowest;
@@ -93,6 +93,6 @@
         List<Entry> kept = new ArrayList<>(jobs);
         kept.removeIf(entry -> entry.cancelled);
         kept.sort(Comparator.comparingLong((Entry entry) -> -entry.size));
-        return kept.subList(0, (int) Math.ceil(kept.size() * PART));
+        return kept.subList(0, (int) Math.ceil(kept.size() * LARGEST_SHARE));
     }
 }
