--- a/src/main/java/org/woadloom/core/slo/ServiceLevelReport.java
+++ b/src/main/java/org/woadloom/core/slo/ServiceLevelReport.java
@@ -24,17 +24,17 @@
     private final Map<String, Count> counts = new TreeMap<>();
 
     /** Open jobs of which all tasks were seen running or done at once. */
-    private final Set<Job> whole = new HashSet<>();
+    private final Set<Job> fullyStarted = new HashSet<>();
 
-    private final LargestJobsReport largest = new LargestJobsReport();
+    private final LargestJobsReport largestJobs = new LargestJobsReport();
     private long nextMicros;
 
     private static final class Count {
         final String team;
         final String jobClass;
         int accepted;
-        int startedWhole;
-        int over;
+        int fullyStarted;
+        int ended;
         int cancelled;
         long longestWaitMicros;
 
@@ -45,7 +45,7 @@
 
         Row row() {
             return new Row(
-                    team, jobClass, accepted, startedWhole, over, cancelled, longestWaitMicros);
+                    team, jobClass, accepted, fullyStarted, ended, cancelled, longestWaitMicros);
         }
     }
 
@@ -54,8 +54,8 @@
             String team,
             String jobClass,
             int accepted,
-            int startedWhole,
-            int over,
+            int fullyStarted,
+            int ended,
             int cancelled,
             long longestWaitMicros) {}
 
@@ -70,33 +70,33 @@
                 key -> new Count(job.description.team(), job.description.jobClass()));
     }
 
-    public void come(Job job) {
+    public void onJobAdded(Job job) {
         count(job).accepted++;
-        largest.come(job);
+        largestJobs.onJobAdded(job);
     }
 
     /**
      * Looks at a job that may have all of its tasks running; to be called before they are stopped.
      */
-    public void look(Job job) {
-        if (!job.over()
-                && job.running() + job.doneCount() == job.description.taskCount()
-                && whole.add(job)) {
-            count(job).startedWhole++;
+    public void observe(Job job) {
+        if (!job.isOver()
+                && job.runningTasks() + job.completedCount() == job.description.taskCount()
+                && fullyStarted.add(job)) {
+            count(job).fullyStarted++;
         }
     }
 
     /** The job is over and nothing of it is left. */
-    public void over(Job job) {
+    public void onJobEnded(Job job) {
         Count count = count(job);
-        count.over++;
+        count.ended++;
         if (job.cancelled) {
             count.cancelled++;
         }
-        if (!whole.remove(job) && job.allDone()) {
-            count.startedWhole++;
+        if (!fullyStarted.remove(job) && job.isComplete()) {
+            count.fullyStarted++;
         }
-        largest.look(job);
+        largestJobs.observe(job);
     }
 
     /** Once a minute, one line and one row for each team and class. */
@@ -107,12 +107,13 @@
         nextMicros = world.nowMicros + PERIOD_MICROS;
         counts.values().forEach(count -> count.longestWaitMicros = 0);
         for (Job job : world.jobs.values()) {
-            look(job);
-            largest.look(job);
-            if (!job.waiting() && !job.over() && !whole.contains(job)) {
+            observe(job);
+            largestJobs.observe(job);
+            if (!job.isBlocked() && !job.isOver() && !fullyStarted.contains(job)) {
                 Count count = count(job);
                 count.longestWaitMicros =
-                        Math.max(count.longestWaitMicros, world.nowMicros - job.sinceMicros());
+                        Math.max(
+                                count.longestWaitMicros, world.nowMicros - job.queuedSinceMicros());
             }
         }
         List<Row> rows = new ArrayList<>();
@@ -125,12 +126,12 @@
                             .with("team", row.team)
                             .with("class", row.jobClass)
                             .with("accepted", row.accepted)
-                            .with("fully_started", row.startedWhole)
-                            .with("ended", row.over)
+                            .with("fully_started", row.fullyStarted)
+                            .with("ended", row.ended)
                             .with("cancelled", row.cancelled)
                             .withSeconds("longest_wait_s", row.longestWaitMicros));
         }
-        largest.tell().forEach(world::log);
+        largestJobs.lines().forEach(world::log);
         world.emit(new SchedulerAction.PublishServiceLevels(rows));
     }
 }
--- a/src/main/java/org/woadloom/metrics/NodeMetrics.java
+++ b/src/main/java/org/woadloom/metrics/NodeMetrics.java
@@ -91,8 +91,8 @@
     private void served(ServiceLevelReport.Row row) {
         Tags tags = Tags.of("team", row.team(), "class", row.jobClass());
         servedGauge("accepted", tags, row.accepted());
-        servedGauge("started", tags, row.startedWhole());
-        servedGauge("over", tags, row.over());
+        servedGauge("started", tags, row.fullyStarted());
+        servedGauge("over", tags, row.ended());
         servedGauge("wait_s", tags, row.longestWaitMicros() / 1e6);
     }
 
--- a/src/main/java/org/woadloom/node/CancellationConfirmer.java
+++ b/src/main/java/org/woadloom/node/CancellationConfirmer.java
@@ -104,7 +104,7 @@
                         DelegationTimeouts.of(
                                         settings.workers().leaseMicros(),
                                         settings.workers().cancelMicros())
-                                .careMicros());
+                                .delegationMicros());
         told = new ConfirmedCancellations(random.nextLong(), peers, loop.nowMicros());
     }
 
@@ -118,7 +118,7 @@
 
     /** What is agreed on is known, and no node vouches: nor did the process before this one. */
     void neverOn() {
-        told.nothingInherited();
+        told.forgetPredecessorPromises();
     }
 
     // Towards users.
@@ -126,8 +126,8 @@
     @Override
     public void mayTell(String jobId, long patienceMicros, Consumer<Boolean> answer) {
         long now = loop.nowMicros();
-        told.enter(jobId, now);
-        if (told.mayTell(jobId, now)) {
+        told.add(jobId, now);
+        if (told.tryConfirm(jobId, now)) {
             answer.accept(true);
             return;
         }
@@ -157,7 +157,7 @@
         long now = loop.nowMicros();
         for (Map.Entry<Waiting, String> entry : List.copyOf(waiting.entrySet())) {
             Waiting one = entry.getKey();
-            boolean may = told.mayTell(entry.getValue(), now);
+            boolean may = told.tryConfirm(entry.getValue(), now);
             if (may || now >= one.untilMicros) {
                 waiting.remove(one);
                 one.told.accept(may);
@@ -192,7 +192,7 @@
         long now = loop.nowMicros();
         vouchedMicros = now;
         WatermarkReport vouch =
-                told.vouch(leader, carrier.term(), carrier.stateSilentMicros(), now);
+                told.nextReport(leader, carrier.term(), carrier.stateSilentMicros(), now);
         if (vouch == null) {
             return;
         }
@@ -204,12 +204,12 @@
     }
 
     void taken(WatermarkAck taken) {
-        told.taken(taken);
+        told.onAck(taken);
         release();
     }
 
     void peerSpoke(String peer, long term, boolean leads) {
-        told.heard(peer, term, leads);
+        told.onPeerTerm(peer, term, leads);
     }
 
     // While this node leads.
@@ -220,14 +220,14 @@
 
     void end() {
         watermark = null;
-        told.ledUntilNow(self);
+        told.onLeadershipLost(self);
     }
 
     void heard(String node, WatermarkReport vouch) {
         long now = loop.nowMicros();
         String flaw =
-                vouch.jobs().stream().allMatch(JobDescription::isJobId)
-                        ? CancellationWatermark.flaw(vouch, now)
+                vouch.jobIds().stream().allMatch(JobDescription::isJobId)
+                        ? CancellationWatermark.validationError(vouch, now)
                         : "a name that is no job's";
         if (flaw != null) {
             malformed++;
@@ -237,13 +237,13 @@
         if (watermark == null || !view.ready()) {
             return;
         }
-        WatermarkAck taken = watermark.heard(node, vouch, view.cancellationsSeenMicros(), now);
+        WatermarkAck taken = watermark.onReport(node, vouch, view.cancellationsSeenMicros(), now);
         if (taken == null) {
             return;
         }
         // Before any report that comes after this: the next answer to a worker halts what it names.
-        if (!vouch.jobs().isEmpty()) {
-            view.cancelled(vouch.jobs());
+        if (!vouch.jobIds().isEmpty()) {
+            view.cancelled(vouch.jobIds());
         }
         if (node.equals(self)) {
             taken(taken);
@@ -263,7 +263,10 @@
     long behindMicros() {
         return watermark == null || !view.ready()
                 ? 0
-                : Math.max(0, loop.nowMicros() - watermark.micros(view.cancellationsSeenMicros()));
+                : Math.max(
+                        0,
+                        loop.nowMicros()
+                                - watermark.watermarkMicros(view.cancellationsSeenMicros()));
     }
 
     /**
@@ -281,7 +284,7 @@
             LOG.warn(
                     "event=lease_renewal_suspended cancellations_behind_s={} missing_reports={}",
                     behind / 1_000_000,
-                    watermark.behind(view.cancellationsSeenMicros()));
+                    watermark.laggards(view.cancellationsSeenMicros()));
         }
         return true;
     }
--- a/src/main/java/org/woadloom/node/DelegatedLeaseRenewer.java
+++ b/src/main/java/org/woadloom/node/DelegatedLeaseRenewer.java
@@ -57,18 +57,18 @@
 
     void stateAnswered(boolean served) {
         if (served) {
-            caretaker.stateAnswered(loop.nowMicros());
+            caretaker.onStoreAnswered(loop.nowMicros());
         } else {
-            caretaker.stateFailed();
+            caretaker.onStoreFailed();
         }
     }
 
     PeerStatus standing() {
-        return caretaker.standing(loop.nowMicros());
+        return caretaker.status(loop.nowMicros());
     }
 
     long stateSilentMicros() {
-        return standing().stateSilentMicros();
+        return standing().storeSilentMicros();
     }
 
     void stands(String peer, PeerStatus standing) {
@@ -76,12 +76,12 @@
     }
 
     void warranted(LeaseDelegation warrant) {
-        caretaker.warranted(warrant);
+        caretaker.onDelegation(warrant);
     }
 
     /** True while this node has lost the leader and the state service, and its warrant lasts. */
     boolean mayCare() {
-        return allowed && caretaker.mayCare(loop.nowMicros());
+        return allowed && caretaker.mayRenew(loop.nowMicros());
     }
 
     /**
@@ -102,11 +102,10 @@
                 // The leader reaches this worker, so it is this node alone that is cut off.
                 return null;
             }
-            if (!caretaker.takesCare(
-                    worker.zone(), fencingToken >> AgentLiveness.FENCE_BITS, now)) {
+            if (!caretaker.tryRenew(worker.zone(), fencingToken >> AgentLiveness.FENCE_BITS, now)) {
                 return null;
             }
-            if (now - loggedMicros > rules.patienceMicros()) {
+            if (now - loggedMicros > rules.silenceMicros()) {
                 loggedMicros = now;
                 LOG.info("event=delegated_lease_renewal machine={}", worker.host());
             }
@@ -126,6 +125,6 @@
                 .anyMatch(
                         said ->
                                 now - said.atMicros <= FRESH_MICROS
-                                        && said.standing.stateSilentMicros() == 0);
+                                        && said.standing.storeSilentMicros() == 0);
     }
 }
--- a/src/main/java/org/woadloom/node/LeaderActions.java
+++ b/src/main/java/org/woadloom/node/LeaderActions.java
@@ -492,7 +492,7 @@
             long ofTerm = term;
             rolloutDuties.count(count, outcome -> again(ofTerm, () -> queue.add(outcome)));
         } else if (effect instanceof SchedulerAction.DelegateLeases give) {
-            warrants.accept(give.node(), give.warrant());
+            warrants.accept(give.node(), give.delegation());
         } else if (effect instanceof SchedulerAction.StepDown away) {
             abdicate.accept(away.reason());
         } else if (effect instanceof SchedulerAction.Log note) {
--- a/src/main/java/org/woadloom/node/Node.java
+++ b/src/main/java/org/woadloom/node/Node.java
@@ -277,12 +277,12 @@
         metrics.gauge("woadloom.state.troubles", state, StoreClient::troubles);
         metrics.gauge("woadloom.jobs", core, Scheduler::jobs);
         metrics.gauge("woadloom.machines", core, Scheduler::machines);
-        metrics.gauge("woadloom.machines.deaf", core, Scheduler::deafMachines);
-        metrics.gauge("woadloom.jobs.waiting", core, Scheduler::waiting);
+        metrics.gauge("woadloom.machines.deaf", core, Scheduler::unreachableMachines);
+        metrics.gauge("woadloom.jobs.waiting", core, Scheduler::blockedJobs);
         metrics.gauge("woadloom.rollout.number", rollout, RolloutParticipant::number);
         metrics.gauge("woadloom.rollout.on", rollout, RolloutParticipant::features);
-        metrics.gauge("woadloom.rollout.rewrite", core, Scheduler::toRewrite);
-        metrics.gauge("woadloom.rollout.unreadable", core, Scheduler::unreadable);
+        metrics.gauge("woadloom.rollout.rewrite", core, Scheduler::recordsToMigrate);
+        metrics.gauge("woadloom.rollout.unreadable", core, Scheduler::unreadableRecords);
         metrics.gauge("woadloom.rollout.closed", rollout, r -> r.closed() == null ? 0 : 1);
         metrics.gauge("woadloom.reservations", core, Scheduler::reservations);
         metrics.gauge(
--- a/src/main/java/org/woadloom/node/RolloutActions.java
+++ b/src/main/java/org/woadloom/node/RolloutActions.java
@@ -40,8 +40,9 @@
         put.conditions().forEach((path, revision) -> conditions.add(new Condition(path, revision)));
         List<Change> changes = new ArrayList<>();
         changes.add(Change.put(StoreKeys.ROLLOUT_STATE, put.record().toMap()));
-        if (put.agreed() > 0) {
-            changes.add(Change.put(StoreKeys.AGREED, ImmutableMap.of("version", put.agreed())));
+        if (put.agreedVersion() > 0) {
+            changes.add(
+                    Change.put(StoreKeys.AGREED, ImmutableMap.of("version", put.agreedVersion())));
         }
         writer.add(
                 true,
@@ -77,7 +78,7 @@
                                         entry.path().substring(StoreKeys.MACHINES.length()),
                                         entry.value());
                             }
-                            if (count.feature().fresh(entry.value()) == count.back()) {
+                            if (count.feature().fresh(entry.value()) == count.rollingBack()) {
                                 old.add(entry.path());
                             }
                         } catch (MalformedMessageException e) {
@@ -91,7 +92,7 @@
                     outcome.add(
                             new SchedulerEvent.RecordsCounted(
                                     count.feature(),
-                                    count.back(),
+                                    count.rollingBack(),
                                     result == Result.OK,
                                     old,
                                     unreadable));
--- a/src/main/java/org/woadloom/node/RolloutParticipant.java
+++ b/src/main/java/org/woadloom/node/RolloutParticipant.java
@@ -159,7 +159,7 @@
 
     /** True once this process has given its word and read what is required. */
     boolean known() {
-        return belonging.known();
+        return belonging.isKnown();
     }
 
     /** Why this process must not serve, or null. */
@@ -169,7 +169,7 @@
 
     @Override
     public boolean open() {
-        return belonging.serves();
+        return belonging.mayServe();
     }
 
     @Override
@@ -307,7 +307,7 @@
                                         // The word is gone; it is given again before anything is
                                         // concluded from what is read.
                                         spoken = false;
-                                        belonging.lapsed();
+                                        belonging.onAnnouncementLost();
                                         speak();
                                     } else {
                                         renewLater(storeLease);
@@ -370,7 +370,7 @@
                         return;
                     }
                     if (afterTheWord && spoken) {
-                        belonging.read();
+                        belonging.onRecordRead();
                     }
                     entries.clear();
                     found.forEach(entry -> entries.put(entry.path(), entry));
@@ -391,7 +391,7 @@
             unreadable(stored, e);
             return;
         }
-        belonging.readable();
+        belonging.onRecordReadable();
         if (record.number() < number) {
             return;
         }
@@ -416,11 +416,12 @@
             required(
                     RolloutRecord.numberOf(stored.value()),
                     RolloutRecord.requiredBy(stored.value()));
-            if (belonging.lacks().isEmpty()) {
-                belonging.unreadable("the record of the rollout (" + why.getMessage() + ")");
+            if (belonging.missingFeatures().isEmpty()) {
+                belonging.onRecordUnreadable(
+                        "the record of the rollout (" + why.getMessage() + ")");
             }
         } catch (MalformedMessageException e) {
-            belonging.unreadable("the record of the rollout (" + e.getMessage() + ")");
+            belonging.onRecordUnreadable("the record of the rollout (" + e.getMessage() + ")");
         }
         close();
     }
@@ -428,15 +429,16 @@
     private void required(long ofNumber, Set<String> names) {
         number = ofNumber;
         requires = names;
-        belonging.required(names);
+        belonging.setRequired(names);
         close();
     }
 
     private void close() {
         String why =
-                belonging.lacks().isEmpty()
+                belonging.missingFeatures().isEmpty()
                         ? null
-                        : "this version does not know what the others use: " + belonging.lacks();
+                        : "this version does not know what the others use: "
+                                + belonging.missingFeatures();
         if (why != null && !why.equals(closed)) {
             LOG.error("event=serving_stopped reason=\"{}\"", why);
         } else if (why == null && closed != null) {
@@ -497,7 +499,7 @@
 
     /** What a decision rests on, or null as long as that is not known. */
     SchedulerEvent.RolloutStateRead situation(long refused) {
-        if (!belonging.serves()) {
+        if (!belonging.mayServe()) {
             return null;
         }
         Map<String, SchedulerEvent.StoredAnnouncement> words = new LinkedHashMap<>();
--- a/src/main/java/org/woadloom/peer/PeerCodec.java
+++ b/src/main/java/org/woadloom/peer/PeerCodec.java
@@ -103,14 +103,14 @@
                     PeerStatus s = m.standing();
                     writeLongs(
                             out,
-                            s.life(),
-                            s.aliveMicros(),
-                            s.saidMicros(),
+                            s.processId(),
+                            s.uptimeMicros(),
+                            s.sentMicros(),
                             s.term(),
-                            s.echoMicros(),
-                            s.promiseMicros(),
-                            s.caredMicros(),
-                            s.stateSilentMicros());
+                            s.echoedLeaderClockMicros(),
+                            s.noRenewalForMicros(),
+                            s.sinceLastRenewalMicros(),
+                            s.storeSilentMicros());
                 },
                 in ->
                         new PeerMessage.StatusReport(
@@ -128,7 +128,12 @@
                 17,
                 (out, m) -> {
                     LeaseDelegation w = m.warrant();
-                    writeLongs(out, w.term(), w.saidMicros(), w.leaderMicros(), w.settledMicros());
+                    writeLongs(
+                            out,
+                            w.term(),
+                            w.statusSentMicros(),
+                            w.leaderClockMicros(),
+                            w.cancellationLagMicros());
                 },
                 in ->
                         new PeerMessage.Delegation(
@@ -145,12 +150,12 @@
                     writeLongs(
                             out,
                             v.term(),
-                            v.life(),
-                            v.saidMicros(),
+                            v.processId(),
+                            v.sentMicros(),
                             v.sinceMicros(),
-                            v.echoMicros(),
+                            v.echoedLeaderClockMicros(),
                             v.promiseMicros());
-                    writeTexts(out, v.jobs());
+                    writeTexts(out, v.jobIds());
                 },
                 in ->
                         new PeerMessage.CancellationReport(
@@ -167,7 +172,12 @@
                 19,
                 (out, m) -> {
                     WatermarkAck t = m.taken();
-                    writeLongs(out, t.term(), t.life(), t.saidMicros(), t.leaderMicros());
+                    writeLongs(
+                            out,
+                            t.term(),
+                            t.processId(),
+                            t.reportSentMicros(),
+                            t.leaderClockMicros());
                 },
                 in ->
                         new PeerMessage.CancellationReportAck(
--- a/src/test/java/org/woadloom/core/SchedulerFixture.java
+++ b/src/test/java/org/woadloom/core/SchedulerFixture.java
@@ -55,16 +55,16 @@
                         1,
                         1_000_000,
                         0);
-        world.types.put(TYPE.name(), TYPE);
+        world.machineTypes.put(TYPE.name(), TYPE);
     }
 
     public Machine machine(String host, String zone) {
         Machine machine = new Machine(new MachineRecord(host, "m16", zone, false, false), world);
         machine.type = TYPE;
-        machine.resize(Resources.of(TYPE));
+        machine.setCapacity(Resources.of(TYPE));
         machine.recorded = true;
-        machine.confirm();
-        hear(machine, 1, machine.hearing.issue(world.nowMicros));
+        machine.confirmExistence();
+        hear(machine, 1, machine.liveness.issueToken(world.nowMicros));
         world.machines.put(host, machine);
         return machine;
     }
@@ -83,9 +83,9 @@
                         fencingToken,
                         -1,
                         List.of());
-        machine.hearing.mayWaitFor(report, world.nowMicros);
-        MessageAge age = machine.hearing.judge(report, AgentLiveness.NEVER, world.nowMicros);
-        machine.hearing.take(report, age, AgentLiveness.NEVER, world.nowMicros);
+        machine.liveness.awaitsAnswerTo(report, world.nowMicros);
+        MessageAge age = machine.liveness.classify(report, AgentLiveness.NEVER, world.nowMicros);
+        machine.liveness.accept(report, age, AgentLiveness.NEVER, world.nowMicros);
         return age;
     }
 
@@ -139,7 +139,12 @@
         try {
             JobRecord record = JobRecord.accepted(JobDescription.parse(map), 0);
             Job job =
-                    new Job(record, 1, world.teams.get("team"), world.nowMicros, world.unrecorded);
+                    new Job(
+                            record,
+                            1,
+                            world.teams.get("team"),
+                            world.nowMicros,
+                            world.jobsToPersist);
             world.jobs.put(jobId, job);
             return job;
         } catch (MalformedMessageException e) {
@@ -148,7 +153,7 @@
     }
 
     public List<SchedulerAction> effects() {
-        return world.takeEffects();
+        return world.takeActions();
     }
 
     public TaskAttempt place(Reservations reservations, Job job, int index, Machine machine) {
--- a/src/test/java/org/woadloom/core/WriteBudgetTest.java
+++ b/src/test/java/org/woadloom/core/WriteBudgetTest.java
@@ -19,17 +19,17 @@
         for (double machinesWanted : new double[] {0, 0.2, 1}) {
             for (double jobsWanted : new double[] {0, 0.2, 1}) {
                 WriteBudget budget = new WriteBudget();
-                budget.rate(RATE);
+                budget.setRate(RATE);
                 int jobs = 0;
                 int machines = 0;
                 for (int step = 0; step < SECONDS * 100; step++) {
                     budget.refill(step * 10_000L);
                     if (random.nextDouble() < machinesWanted && budget.allowsMachine()) {
-                        budget.machine();
+                        budget.takeMachine();
                         machines++;
                     }
                     if (random.nextDouble() < jobsWanted && budget.allowsJob()) {
-                        budget.job(1);
+                        budget.takeJob(1);
                         jobs++;
                     }
                 }
@@ -53,11 +53,11 @@
     @Test
     void endsGoAheadOfLaunches() {
         WriteBudget budget = new WriteBudget();
-        budget.rate(RATE);
+        budget.setRate(RATE);
         budget.refill(0);
         int ends = 0;
-        while (budget.allowsEnd() && ends < 10_000) {
-            budget.job(2);
+        while (budget.allowsFinalState() && ends < 10_000) {
+            budget.takeJob(2);
             ends++;
         }
         assertTrue(ends > 20 && ends < 100, ends + " ends at once");
--- a/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
@@ -56,7 +56,7 @@
 
         long micros() {
             // Of itself it vouches for everything: the node is the one that counts.
-            watermark.heard(
+            watermark.onReport(
                     label,
                     new WatermarkReport(
                             term,
@@ -68,7 +68,7 @@
                             List.of()),
                     clock(),
                     clock());
-            return watermark.micros(seenMicros);
+            return watermark.watermarkMicros(seenMicros);
         }
     }
 
@@ -120,7 +120,7 @@
     private void vouch(List<Leader> leaders) {
         Leader leader = leaders.get(leaderOfNode);
         long silent = silentSince < 0 ? 0 : now - silentSince;
-        WatermarkReport vouch = node.vouch(leader.label, leader.term, silent, nodeClock());
+        WatermarkReport vouch = node.nextReport(leader.label, leader.term, silent, nodeClock());
         if (vouch == null) {
             return;
         }
@@ -131,14 +131,14 @@
                         return;
                     }
                     WatermarkAck taken =
-                            leader.watermark.heard(
+                            leader.watermark.onReport(
                                     "node", vouch, leader.seenMicros, leader.clock());
                     if (taken != null) {
-                        leader.knows.addAll(vouch.jobs());
+                        leader.knows.addAll(vouch.jobIds());
                         send(
                                 () -> {
                                     if (speaker == node) {
-                                        node.taken(taken);
+                                        node.onAck(taken);
                                     }
                                 });
                     }
@@ -202,7 +202,7 @@
                     send(
                             () -> {
                                 if (hearing == node) {
-                                    node.heard(leader.label, knownTerm, leads);
+                                    node.onPeerTerm(leader.label, knownTerm, leads);
                                 }
                             });
                 }
@@ -227,10 +227,10 @@
                                         ? random.nextInt(made.size())
                                         : made.size());
                 made.add(jobId);
-                node.enter(jobId, nodeClock());
+                node.add(jobId, nodeClock());
             }
             for (String jobId : made) {
-                if (!toldAt.containsKey(jobId) && node.mayTell(jobId, nodeClock())) {
+                if (!toldAt.containsKey(jobId) && node.tryConfirm(jobId, nodeClock())) {
                     toldAt.put(jobId, now);
                 }
             }
@@ -280,9 +280,10 @@
         CancellationWatermark watermark = new CancellationWatermark(3, List.of("node"));
         ConfirmedCancellations silent = new ConfirmedCancellations(1, List.of("leader"), 0);
         for (long at = S; at < 1_000 * S; at += S) {
-            WatermarkAck taken = watermark.heard("node", silent.vouch("leader", 3, at, at), S, at);
-            silent.taken(taken);
-            assertTrue(at < 3 * S || watermark.micros(S) >= at, "behind at " + at);
+            WatermarkAck taken =
+                    watermark.onReport("node", silent.nextReport("leader", 3, at, at), S, at);
+            silent.onAck(taken);
+            assertTrue(at < 3 * S || watermark.watermarkMicros(S) >= at, "behind at " + at);
         }
         // A process that is back within the promise is believed, one that stayed away longer is
         // not.
@@ -290,16 +291,16 @@
         long kept = watermarkAfter(watermark, ended + 9 * S);
         assertTrue(kept >= ended + 30 * S, "at " + kept);
         assertEquals(kept, watermarkAfter(watermark, ended + 80 * S));
-        assertEquals(List.of("node"), watermark.behind(S));
+        assertEquals(List.of("node"), watermark.laggards(S));
     }
 
     private static long watermarkAfter(CancellationWatermark watermark, long started) {
         ConfirmedCancellations next =
                 new ConfirmedCancellations(started, List.of("leader"), started);
         for (long at = started + S; at < started + 40 * S; at += S) {
-            next.taken(watermark.heard("node", next.vouch("leader", 3, at, at), S, at));
+            next.onAck(watermark.onReport("node", next.nextReport("leader", 3, at, at), S, at));
         }
-        return watermark.micros(S);
+        return watermark.watermarkMicros(S);
     }
 
     /**
@@ -310,23 +311,23 @@
     @Test
     void aLeaderThatDoesNotAnswerHoldsNobodyUpForLong() {
         ConfirmedCancellations told = new ConfirmedCancellations(1, List.of(), 0);
-        told.enter("j-000001", S);
+        told.add("j-000001", S);
         long toldAt = 0;
         for (long at = S; at < 60 * S && toldAt == 0; at += S / 10) {
             if (at % (7 * S / 10) == 0) {
-                told.vouch("leader", 3, 0, at);
+                told.nextReport("leader", 3, 0, at);
             }
             boolean asks = at / S % 5 == 0;
-            toldAt = asks && told.mayTell("j-000001", at) ? at : 0;
+            toldAt = asks && told.tryConfirm("j-000001", at) ? at : 0;
         }
         assertTrue(toldAt > 0 && toldAt < 12 * S, "told at " + toldAt);
     }
 
     private static ConfirmedCancellations promised(String leader, long stateSilentMicros) {
         ConfirmedCancellations told = new ConfirmedCancellations(1, List.of(), 0);
-        told.vouch(leader, 3, stateSilentMicros, S);
-        told.enter("j-000001", 2 * S);
-        assertFalse(told.mayTell("j-000001", 2 * S));
+        told.nextReport(leader, 3, stateSilentMicros, S);
+        told.add("j-000001", 2 * S);
+        assertFalse(told.tryConfirm("j-000001", 2 * S));
         return told;
     }
 
@@ -337,14 +338,14 @@
     @Test
     void nobodyWaitsForAPromiseToANodeThatLeadsNoMore() {
         ConfirmedCancellations itself = promised("self", 20 * S);
-        itself.ledUntilNow("self");
-        assertTrue(itself.mayTell("j-000001", 2 * S));
+        itself.onLeadershipLost("self");
+        assertTrue(itself.tryConfirm("j-000001", 2 * S));
         ConfirmedCancellations other = promised("other", 20 * S);
-        other.ledUntilNow("self");
-        other.heard("other", 3, true);
-        assertFalse(other.mayTell("j-000001", 2 * S));
-        other.heard("other", 4, false);
-        assertTrue(other.mayTell("j-000001", 2 * S));
+        other.onLeadershipLost("self");
+        other.onPeerTerm("other", 3, true);
+        assertFalse(other.tryConfirm("j-000001", 2 * S));
+        other.onPeerTerm("other", 4, false);
+        assertTrue(other.tryConfirm("j-000001", 2 * S));
     }
 
     /**
@@ -354,13 +355,13 @@
     @Test
     void nobodyWaitsForAPromiseToANodeThatLeadsAgain() {
         ConfirmedCancellations told = promised("other", 20 * S);
-        told.vouch("between", 4, 0, 5 * S / 2);
-        WatermarkReport vouch = told.vouch("other", 5, 0, 4 * S);
-        assertFalse(told.mayTell("j-000001", 4 * S + 1));
-        told.taken(new WatermarkAck(5, 1, vouch.saidMicros(), 4 * S));
-        assertFalse(told.mayTell("j-000001", 4 * S + 1), "the one between may lead still");
-        told.heard("between", 5, false);
-        assertTrue(told.mayTell("j-000001", 4 * S + 1));
+        told.nextReport("between", 4, 0, 5 * S / 2);
+        WatermarkReport vouch = told.nextReport("other", 5, 0, 4 * S);
+        assertFalse(told.tryConfirm("j-000001", 4 * S + 1));
+        told.onAck(new WatermarkAck(5, 1, vouch.sentMicros(), 4 * S));
+        assertFalse(told.tryConfirm("j-000001", 4 * S + 1), "the one between may lead still");
+        told.onPeerTerm("between", 5, false);
+        assertTrue(told.tryConfirm("j-000001", 4 * S + 1));
     }
 
     /**
@@ -370,13 +371,13 @@
     @Test
     void aShorterPromiseEndsNoneOfTheProcessBefore() {
         ConfirmedCancellations told = new ConfirmedCancellations(1, List.of("other"), 0);
-        told.vouch("other", 3, 0, S);
-        told.enter("j-000001", 2 * S);
-        WatermarkReport vouch = told.vouch("between", 4, 0, 2 * S);
-        told.taken(new WatermarkAck(4, 1, vouch.saidMicros(), 2 * S));
-        told.heard("other", 4, true);
-        assertFalse(told.mayTell("j-000001", 14 * S));
-        assertTrue(told.mayTell("j-000001", 15 * S + 1));
+        told.nextReport("other", 3, 0, S);
+        told.add("j-000001", 2 * S);
+        WatermarkReport vouch = told.nextReport("between", 4, 0, 2 * S);
+        told.onAck(new WatermarkAck(4, 1, vouch.sentMicros(), 2 * S));
+        told.onPeerTerm("other", 4, true);
+        assertFalse(told.tryConfirm("j-000001", 14 * S));
+        assertTrue(told.tryConfirm("j-000001", 15 * S + 1));
     }
 
     /**
@@ -386,28 +387,28 @@
     @Test
     void whatIsDroppedIsNeitherToldNorVouchedFor() {
         ConfirmedCancellations told = new ConfirmedCancellations(1, List.of(), 0);
-        WatermarkReport first = told.vouch("leader", 3, 0, S);
-        told.taken(new WatermarkAck(3, 1, first.saidMicros(), S));
+        WatermarkReport first = told.nextReport("leader", 3, 0, S);
+        told.onAck(new WatermarkAck(3, 1, first.sentMicros(), S));
         for (int i = 0; i < 2_500; i++) {
-            told.enter("j-" + i, 2 * S + i);
+            told.add("j-" + i, 2 * S + i);
         }
-        WatermarkReport vouch = told.vouch("leader", 3, 0, 3 * S);
-        assertEquals(2_000, vouch.jobs().size());
+        WatermarkReport vouch = told.nextReport("leader", 3, 0, 3 * S);
+        assertEquals(2_000, vouch.jobIds().size());
         assertEquals(2 * S + 499, vouch.sinceMicros());
-        told.taken(new WatermarkAck(3, 1, vouch.saidMicros(), 3 * S));
-        assertFalse(told.mayTell("j-499", 3 * S + 1));
-        assertTrue(told.mayTell("j-500", 3 * S + 1));
+        told.onAck(new WatermarkAck(3, 1, vouch.sentMicros(), 3 * S));
+        assertFalse(told.tryConfirm("j-499", 3 * S + 1));
+        assertTrue(told.tryConfirm("j-500", 3 * S + 1));
         // A watermark that has seen nothing since does not follow such a vouch.
         CancellationWatermark watermark = new CancellationWatermark(3, List.of("node"));
-        watermark.heard("node", first, S, S);
-        watermark.heard("node", vouch, S, 3 * S);
-        assertEquals(S, watermark.micros(S));
+        watermark.onReport("node", first, S, S);
+        watermark.onReport("node", vouch, S, 3 * S);
+        assertEquals(S, watermark.watermarkMicros(S));
     }
 
     @Test
     void whatCannotBeIsLeftAlone() {
         CancellationWatermark watermark = new CancellationWatermark(3, List.of("node"));
-        long before = watermark.micros(S);
+        long before = watermark.watermarkMicros(S);
         List<WatermarkReport> flawed =
                 List.of(
                         new WatermarkReport(3, 1, 5, 6, WatermarkReport.NONE, 0, List.of()),
@@ -415,18 +416,18 @@
                         new WatermarkReport(3, 1, 5, 5, WatermarkReport.NONE, 60 * S, List.of()),
                         new WatermarkReport(3, 1, 5, 5, 11 * S, 0, List.of()));
         for (WatermarkReport vouch : flawed) {
-            assertFalse(CancellationWatermark.flaw(vouch, 10 * S) == null);
-            assertNull(watermark.heard("node", vouch, 10 * S, 10 * S));
+            assertFalse(CancellationWatermark.validationError(vouch, 10 * S) == null);
+            assertNull(watermark.onReport("node", vouch, 10 * S, 10 * S));
         }
         assertNull(
-                watermark.heard(
+                watermark.onReport(
                         "nobody",
                         new WatermarkReport(3, 1, 5, 5, S, 0, List.of()),
                         10 * S,
                         10 * S));
         assertNull(
-                watermark.heard(
+                watermark.onReport(
                         "node", new WatermarkReport(2, 1, 5, 5, S, 0, List.of()), 10 * S, 10 * S));
-        assertEquals(before, watermark.micros(S));
+        assertEquals(before, watermark.watermarkMicros(S));
     }
 }
--- a/src/test/java/org/woadloom/core/delegation/DelegationLedgerTest.java
+++ b/src/test/java/org/woadloom/core/delegation/DelegationLedgerTest.java
@@ -18,12 +18,12 @@
 
     /** The node tells how it stands and gets a warrant at once; all was settled a second before. */
     private void exchange(LeaseDelegate caretaker, long at) {
-        caretaker.warranted(book.heard("node", caretaker.standing(at + APART), at - S, at));
+        caretaker.onDelegation(book.onPeerStatus("node", caretaker.status(at + APART), at - S, at));
     }
 
     private void inTouch(long until) {
         for (long at = 0; at <= until; at += S) {
-            node.stateAnswered(at + APART);
+            node.onStoreAnswered(at + APART);
             exchange(node, at);
         }
     }
@@ -31,67 +31,67 @@
     @Test
     void aNodeThatIsInTouchHoldsUpNoProof() {
         inTouch(10 * S);
-        assertTrue(book.lastCareMicros("b", 10 * S) < 0);
-        assertEquals(0, book.patienceMicros("b", 10 * S));
+        assertTrue(book.lastRenewalMicros("b", 10 * S) < 0);
+        assertEquals(0, book.extraSilenceMicros("b", 10 * S));
     }
 
     @Test
     void careBeginsAfterThePromiseAndEndsWithTheWarrant() {
         inTouch(10 * S);
-        node.stateFailed();
+        node.onStoreFailed();
         long begins = -1;
         long ends = -1;
         for (long at = 10 * S; at < 60 * S; at += S / 10) {
-            if (node.takesCare("b", 7, at + APART)) {
+            if (node.tryRenew("b", 7, at + APART)) {
                 begins = begins < 0 ? at : begins;
                 ends = at;
                 assertTrue(
-                        book.lastCareMicros("b", at) >= at,
+                        book.lastRenewalMicros("b", at) >= at,
                         "the leader does not reckon with care at " + at);
             }
         }
         assertTrue(begins > 17 * S, "began at " + begins);
         assertTrue(
-                ends > 37 * S && ends + rules.leaseOverMicros() < 9 * S + 52 * S,
+                ends > 37 * S && ends + rules.leaseExpiryMicros() < 9 * S + 52 * S,
                 "ended at " + ends);
         assertTrue(
-                book.lastCareMicros("b", 100 * S) >= ends
-                        && book.lastCareMicros("b", 100 * S) < 41 * S);
+                book.lastRenewalMicros("b", 100 * S) >= ends
+                        && book.lastRenewalMicros("b", 100 * S) < 41 * S);
     }
 
     @Test
     void noCareForOthersZonesLaterTermsOrWithoutAWarrant() {
         inTouch(10 * S);
-        node.stateFailed();
+        node.onStoreFailed();
         long now = 25 * S + APART;
-        assertTrue(node.takesCare("b", 6, now));
-        assertFalse(node.takesCare("a", 7, now));
-        assertFalse(node.takesCare("b", 8, now));
+        assertTrue(node.tryRenew("b", 6, now));
+        assertFalse(node.tryRenew("a", 7, now));
+        assertFalse(node.tryRenew("b", 8, now));
         LeaseDelegate anew = new LeaseDelegate(rules, "b", 2, 12 * S + APART);
-        anew.stateFailed();
-        assertFalse(anew.takesCare("b", 7, now));
+        anew.onStoreFailed();
+        assertFalse(anew.tryRenew("b", 7, now));
     }
 
     /** An answer that was held up says nothing of the present. */
     @Test
     void aLateWarrantCountsFromWhenItWasAskedFor() {
         inTouch(10 * S);
-        PeerStatus said = node.standing(10 * S + APART);
-        node.stateFailed();
-        assertTrue(node.takesCare("b", 7, 30 * S + APART));
-        node.warranted(book.heard("node", said, 10 * S, 10 * S));
-        assertFalse(node.takesCare("b", 7, 45 * S + APART));
+        PeerStatus said = node.status(10 * S + APART);
+        node.onStoreFailed();
+        assertTrue(node.tryRenew("b", 7, 30 * S + APART));
+        node.onDelegation(book.onPeerStatus("node", said, 10 * S, 10 * S));
+        assertFalse(node.tryRenew("b", 7, 45 * S + APART));
     }
 
     @Test
     void aNewProcessTellsUntilWhenTheOldOneMayHaveCared() {
         inTouch(10 * S);
-        node.stateFailed();
-        assertTrue(node.takesCare("b", 7, 29 * S + APART));
+        node.onStoreFailed();
+        assertTrue(node.tryRenew("b", 7, 29 * S + APART));
         LeaseDelegate anew = new LeaseDelegate(rules, "b", 2, 30 * S + APART);
         exchange(anew, 32 * S);
         exchange(anew, 33 * S);
-        long last = book.lastCareMicros("b", 33 * S);
+        long last = book.lastRenewalMicros("b", 33 * S);
         assertTrue(last >= 30 * S && last < 31 * S, "last care at " + last);
     }
 
@@ -105,6 +105,6 @@
         LeaseDelegate anew = new LeaseDelegate(rules, "b", 2, 15 * S + APART);
         exchange(anew, 16 * S);
         exchange(anew, 17 * S);
-        assertTrue(book.lastCareMicros("b", 17 * S) < 0);
+        assertTrue(book.lastRenewalMicros("b", 17 * S) < 0);
     }
 }
--- a/src/test/java/org/woadloom/core/jobs/FailoverTest.java
+++ b/src/test/java/org/woadloom/core/jobs/FailoverTest.java
@@ -239,14 +239,14 @@
         Machine machine = fixture.machine("host-1", "a");
         Job job = fixture.job("j-1", 8, 1, 2);
         TaskAttempt running = fixture.place(reservations, job, 0, machine);
-        running.stage = TaskAttempt.Stage.THERE;
+        running.stage = TaskAttempt.Stage.CONFIRMED;
         fixture.place(reservations, job, 1, machine);
         Job next = fixture.job("j-2", 8, 1, 2);
-        job.recording.reading = true;
-        job.recording.readSent = true;
-        table.missing("j-1");
-        assertEquals(1, next.allowed(), "what was never sent is gone, the other is there");
-        assertTrue(running.halting());
+        job.persistence.readNeeded = true;
+        job.persistence.readInFlight = true;
+        table.onRecordNotFound("j-1");
+        assertEquals(1, next.allowedTasks(), "what was never sent is gone, the other is there");
+        assertTrue(running.isStopping());
         new JobPersister(fixture.world, table).emitWrites();
         assertTrue(
                 fixture.effects().stream()
@@ -256,9 +256,9 @@
                                                 || effect
                                                         instanceof SchedulerAction.WriteFinalState),
                 "there is no record to write");
-        new TaskLossHandler(fixture.world).gone(running);
+        new TaskLossHandler(fixture.world).remove(running);
         new JobPersister(fixture.world, table).emitWrites();
-        assertEquals(2, next.allowed());
+        assertEquals(2, next.allowedTasks());
         assertFalse(fixture.world.jobs.containsKey("j-1"));
     }
 }
--- a/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
+++ b/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
@@ -44,7 +44,7 @@
                 reservations.reserve(
                         job,
                         machines.get(random.nextInt(30)),
-                        job.room,
+                        job.taskResources,
                         true,
                         random.nextBoolean());
             }
@@ -64,7 +64,7 @@
                         new TaskAttempt(job, index, chosen, 1, 1, fixture.world.nowMicros);
                 reservations.draw(placement);
                 job.add(placement);
-                once.placed();
+                once.onPlaced();
                 placed++;
             }
         }
@@ -77,12 +77,13 @@
         for (int i = 0; i < count; i++) {
             Machine machine = fixture.machine("host-" + i, random.nextBoolean() ? "a" : "b");
             if (random.nextInt(3) == 0) {
-                machine.images.used("img", 1, 50);
+                machine.images.touch("img", 1, 50);
             }
             Job other = fixture.job("j-other" + i, 1 + random.nextInt(5), 1 + random.nextInt(5), 2);
             fixture.place(reservations, other, 0, machine);
             if (random.nextInt(4) == 0) {
-                reservations.reserve(other, machine, other.room, random.nextBoolean(), true);
+                reservations.reserve(
+                        other, machine, other.taskResources, random.nextBoolean(), true);
             }
             machines.add(machine);
         }
@@ -105,11 +106,11 @@
             Machine machine = machines.get(random.nextInt(machines.size()));
             List<Reservation> owned = reservations.of(job);
             if (random.nextInt(3) > 0) {
-                reservations.reserve(job, machine, job.room, true, random.nextBoolean());
+                reservations.reserve(job, machine, job.taskResources, true, random.nextBoolean());
             } else if (!owned.isEmpty()) {
                 reservations.release(owned.get(random.nextInt(owned.size())));
             }
-            Resources plain = machine.size().minus(machine.used());
+            Resources plain = machine.capacity().minus(machine.used());
             int total = 0;
             for (Job any : jobs) {
                 total += reservations.of(any).size();
@@ -146,12 +147,12 @@
         int most = 0;
         for (int wave = 0; wave < 400; wave++) {
             placer.place();
-            most = Math.max(most, job.placements().size());
+            most = Math.max(most, job.attempts().size());
             largest = Math.max(largest, Cbor.jsonSize(job.toRecord(1, wave).toMap(format)));
-            for (TaskAttempt placement : new ArrayList<>(job.placements())) {
+            for (TaskAttempt placement : new ArrayList<>(job.attempts())) {
                 if (random.nextInt(3) == 0) {
                     if (random.nextInt(8) > 0) {
-                        job.markDone(placement.index);
+                        job.markCompleted(placement.index);
                     }
                     job.remove(placement);
                 }
@@ -160,6 +161,8 @@
         }
         assertTrue(largest <= valueBytes, "a record of " + largest + " bytes");
         assertTrue(most > 150, "only " + most + " at once");
-        assertTrue(job.done.cardinality() > 10_000, job.done.cardinality() + " done");
+        assertTrue(
+                job.completedTasks.cardinality() > 10_000,
+                job.completedTasks.cardinality() + " done");
     }
 }
--- a/src/test/java/org/woadloom/core/placement/QueueOrderTest.java
+++ b/src/test/java/org/woadloom/core/placement/QueueOrderTest.java
@@ -30,7 +30,7 @@
     @Test
     void theGuaranteeComesBeforeLateness() {
         Job late = fixture.due("j-1", 10, 30);
-        late.guaranteed = true;
+        late.withinGuarantee = true;
         fixture.world.nowMicros += 25_000_000;
         Job fresh = fixture.due("j-2", 10, 30);
         assertEquals(List.of(late, fresh), order.sorted(List.of(fresh, late)));
--- a/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
+++ b/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
@@ -41,15 +41,15 @@
         Job service = fixture.ofClass("j-1", "web", 40, true);
         Job array = fixture.ofClass("j-2", "work", 40, false);
         shares.update();
-        assertEquals(16, service.allowed());
-        assertEquals(16, array.allowed());
+        assertEquals(16, service.allowedTasks());
+        assertEquals(16, array.allowedTasks());
         place(service, 0, 16);
         shares.update();
-        assertEquals(0, service.allowed(), "the rest is the other class's");
-        assertEquals(8, array.allowed());
+        assertEquals(0, service.allowedTasks(), "the rest is the other class's");
+        assertEquals(8, array.allowedTasks());
         place(array, 0, 8);
         shares.update();
-        assertEquals(0, array.allowed());
+        assertEquals(0, array.allowedTasks());
     }
 
     @Test
@@ -57,7 +57,7 @@
         Job service = fixture.ofClass("j-1", "web", 40, true);
         fixture.ofClass("j-2", "work", 3, false);
         shares.update();
-        assertEquals(21, service.allowed());
+        assertEquals(21, service.allowedTasks());
     }
 
     @Test
@@ -65,8 +65,8 @@
         Job service = fixture.ofClass("j-1", "web", 40, true);
         Job array = fixture.job("j-2", 12, 1, 3);
         shares.update();
-        assertEquals(12, service.allowed());
-        assertEquals(1, array.allowed());
+        assertEquals(12, service.allowedTasks());
+        assertEquals(1, array.allowedTasks());
     }
 
     /** What fits into the limit is served by the order alone. */
@@ -75,8 +75,8 @@
         Job service = fixture.ofClass("j-1", "web", 4, true);
         Job array = fixture.ofClass("j-2", "work", 20, false);
         shares.update();
-        assertEquals(24, service.allowed());
-        assertEquals(24, array.allowed());
+        assertEquals(24, service.allowedTasks());
+        assertEquals(24, array.allowedTasks());
         assertTrue(fixture.effects().isEmpty());
     }
 
@@ -87,12 +87,12 @@
         place(service, 0, 24);
         Job array = fixture.ofClass("j-2", "work", 40, false);
         shares.update();
-        assertEquals(0, array.allowed());
-        service.remove(service.placement(0));
-        service.remove(service.placement(1));
+        assertEquals(0, array.allowedTasks());
+        service.remove(service.attempt(0));
+        service.remove(service.attempt(1));
         shares.update();
-        assertEquals(0, service.allowed());
-        assertEquals(2, array.allowed());
+        assertEquals(0, service.allowedTasks());
+        assertEquals(2, array.allowedTasks());
     }
 
     /**
@@ -105,19 +105,19 @@
         Job array = fixture.job("j-2", 8, 1, 3);
         place(service, 0, 16);
         shares.update();
-        assertEquals(0, service.allowed());
+        assertEquals(0, service.allowedTasks());
         fixture.world.nowMicros += 76_000_000;
         shares.update();
-        assertEquals(8, service.allowed());
+        assertEquals(8, service.allowedTasks());
         place(service, 16, 24);
         shares.update();
-        service.remove(service.placement(0));
+        service.remove(service.attempt(0));
         shares.update();
         assertEquals(
                 0,
-                service.allowed(),
+                service.allowedTasks(),
                 "what comes free is kept again until it is enough for the other class");
-        assertEquals(0, array.allowed());
+        assertEquals(0, array.allowedTasks());
     }
 
     @Test
--- a/src/test/java/org/woadloom/core/quota/GuaranteedQuotaTest.java
+++ b/src/test/java/org/woadloom/core/quota/GuaranteedQuotaTest.java
@@ -17,12 +17,12 @@
         Job second = fixture.job("j-2", 4, 1, 2);
         Job third = fixture.job("j-3", 1, 1, 1);
         guarantees.update();
-        assertTrue(first.guaranteed);
-        assertTrue(second.guaranteed);
-        assertFalse(third.guaranteed, "16 CPUs are taken by the earlier jobs, placed or not");
-        first.markDone(0);
+        assertTrue(first.withinGuarantee);
+        assertTrue(second.withinGuarantee);
+        assertFalse(third.withinGuarantee, "16 CPUs are taken by the earlier jobs, placed or not");
+        first.markCompleted(0);
         fixture.world.nowMicros += 1_000_000;
         guarantees.update();
-        assertTrue(third.guaranteed, "what is done needs no room any more");
+        assertTrue(third.withinGuarantee, "what is done needs no room any more");
     }
 }
--- a/src/test/java/org/woadloom/core/quota/QuotaRotationTest.java
+++ b/src/test/java/org/woadloom/core/quota/QuotaRotationTest.java
@@ -26,7 +26,7 @@
     private void nibble() {
         while (true) {
             Job job = fixture.job("j-small-" + small, 1, 1, 1);
-            if (job.allowed() < 1) {
+            if (job.allowedTasks() < 1) {
                 fixture.world.jobs.remove(job.jobId());
                 return;
             }
@@ -36,7 +36,7 @@
 
     private Job[] running() {
         return fixture.world.jobs.values().stream()
-                .filter(job -> !job.placements().isEmpty())
+                .filter(job -> !job.attempts().isEmpty())
                 .toArray(Job[]::new);
     }
 
@@ -48,21 +48,21 @@
         fixture.world.nowMicros += 105_000_000;
         turns.update();
         for (Job job : running()) {
-            job.remove(job.placement(0));
+            job.remove(job.attempt(0));
             fixture.world.jobs.remove(job.jobId());
             nibble();
             turns.update();
-            if (large.allowed() > 0) {
+            if (large.allowedTasks() > 0) {
                 break;
             }
         }
-        assertEquals(1, large.allowed());
+        assertEquals(1, large.allowedTasks());
         fixture.place(reservations, large, 0, machines[0]);
         turns.update();
-        assertEquals(0, large.allowed(), "it has begun, and goes by the order again");
+        assertEquals(0, large.allowedTasks(), "it has begun, and goes by the order again");
         Job next = running()[0];
-        next.remove(next.placement(0));
-        assertEquals(1, fixture.job("j-next", 1, 1, 1).allowed());
+        next.remove(next.attempt(0));
+        assertEquals(1, fixture.job("j-next", 1, 1, 1).allowedTasks());
     }
 
     /** Two that wait have their turns one after the other. */
@@ -76,12 +76,12 @@
         turns.update();
         Job[] running = running();
         for (int i = 0; i < 8; i++) {
-            assertEquals(0, older.allowed());
-            assertEquals(0, younger.allowed());
-            running[i].remove(running[i].placement(0));
+            assertEquals(0, older.allowedTasks());
+            assertEquals(0, younger.allowedTasks());
+            running[i].remove(running[i].attempt(0));
         }
-        assertEquals(1, older.allowed());
-        assertEquals(0, younger.allowed());
+        assertEquals(1, older.allowedTasks());
+        assertEquals(0, younger.allowedTasks());
         assertTrue(
                 fixture.logged(
                         LogEvent.QUOTA_TURN_STARTED, "job=j-1", "waited_s=110", "needed_tasks=1"));
@@ -97,7 +97,7 @@
         fixture.job("j-large", 8, 1, 1);
         fixture.world.nowMicros += 105_000_000;
         turns.update();
-        assertEquals(4, fixture.job("j-small", 1, 1, 9).allowed());
+        assertEquals(4, fixture.job("j-small", 1, 1, 9).allowedTasks());
         assertTrue(
                 fixture.logged(LogEvent.QUOTA_TURN_IMPOSSIBLE, "job=j-large", "replica_cpus=20"));
     }
@@ -109,12 +109,15 @@
     @Test
     void thereIsNoTurnWhileAnotherJobOfTheTeamHoldsRoom() {
         Job gathers = fixture.job("j-1", 8, 1, 2);
-        reservations.reserve(gathers, machines[0], gathers.room, true, true);
-        reservations.reserve(gathers, machines[1], gathers.room, true, true);
+        reservations.reserve(gathers, machines[0], gathers.taskResources, true, true);
+        reservations.reserve(gathers, machines[1], gathers.taskResources, true, true);
         fixture.job("j-2", 12, 1, 1);
         fixture.world.nowMicros += 105_000_000;
         turns.update();
-        assertEquals(3, gathers.allowed(gathers.room.times(2)), "what it holds, and what is left");
+        assertEquals(
+                3,
+                gathers.allowedTasks(gathers.taskResources.times(2)),
+                "what it holds, and what is left");
     }
 
     /** A job that finds no machine though the limit is left to it gives the others a turn. */
@@ -125,15 +128,15 @@
         fixture.world.nowMicros += 105_000_000;
         turns.update();
         Job ended = running()[0];
-        ended.remove(ended.placement(0));
+        ended.remove(ended.attempt(0));
         fixture.world.jobs.remove(ended.jobId());
         Job small = fixture.job("j-small", 1, 1, 1);
         turns.update();
-        assertEquals(0, small.allowed());
+        assertEquals(0, small.allowedTasks());
         fixture.world.nowMicros += 61_000_000;
         turns.update();
-        assertEquals(1, small.allowed());
-        assertEquals(0, large.allowed());
+        assertEquals(1, small.allowedTasks());
+        assertEquals(0, large.allowedTasks());
     }
 
     /**
@@ -150,17 +153,17 @@
         turns.update();
         Job[] running = running();
         for (int i = 0; i < 8; i++) {
-            running[i].remove(running[i].placement(0));
+            running[i].remove(running[i].attempt(0));
             fixture.world.jobs.remove(running[i].jobId());
         }
         fixture.place(reservations, first, 0, machines[0]);
         turns.update();
         for (int i = 8; i < 16; i++) {
-            running[i].remove(running[i].placement(0));
+            running[i].remove(running[i].attempt(0));
             fixture.world.jobs.remove(running[i].jobId());
         }
-        assertEquals(0, fixture.job("j-small", 1, 1, 1).allowed());
-        assertEquals(1, second.allowed());
+        assertEquals(0, fixture.job("j-small", 1, 1, 1).allowedTasks());
+        assertEquals(1, second.allowedTasks());
     }
 
     /**
@@ -176,7 +179,7 @@
         turns.update();
         Job[] running = running();
         for (int i = 0; i < 9; i++) {
-            running[i].remove(running[i].placement(0));
+            running[i].remove(running[i].attempt(0));
             fixture.world.jobs.remove(running[i].jobId());
         }
         Job small = fixture.job("j-small", 1, 1, 1);
@@ -185,12 +188,14 @@
         for (int second = 0; second < 66; second++) {
             fixture.world.nowMicros += 1_000_000;
             turns.update();
-            free += small.allowed() > 1 ? 1 : 0;
+            free += small.allowedTasks() > 1 ? 1 : 0;
             for (Job job : List.copyOf(fixture.world.jobs.values())) {
-                if (job.room.cpu() == 8_000 && job.allowed() > 0 && small.allowed() < 2) {
+                if (job.taskResources.cpu() == 8_000
+                        && job.allowedTasks() > 0
+                        && small.allowedTasks() < 2) {
                     fixture.place(reservations, job, 0, machines[0]);
                     turns.update();
-                    job.remove(job.placement(0));
+                    job.remove(job.attempt(0));
                     fixture.world.jobs.remove(job.jobId());
                     begun++;
                     break;
@@ -213,7 +218,7 @@
         fixture.world.nowMicros += 105_000_000;
         turns.update();
         Job ended = running()[0];
-        ended.remove(ended.placement(0));
+        ended.remove(ended.attempt(0));
         fixture.world.jobs.remove(ended.jobId());
         Job small = fixture.job("j-small", 1, 1, 1);
         int waitedS = 0;
@@ -222,8 +227,8 @@
         for (int second = 0; second < 400; second++) {
             fixture.world.nowMicros += 1_000_000;
             turns.update();
-            waitedS = small.allowed() > 0 ? 0 : waitedS + 1;
-            turnsS += small.allowed() > 0 ? 0 : 1;
+            waitedS = small.allowedTasks() > 0 ? 0 : waitedS + 1;
+            turnsS += small.allowedTasks() > 0 ? 0 : 1;
             longestS = Math.max(longestS, waitedS);
         }
         assertTrue(
--- a/src/test/java/org/woadloom/core/reservation/ReservationsTest.java
+++ b/src/test/java/org/woadloom/core/reservation/ReservationsTest.java
@@ -99,7 +99,7 @@
         assertEquals(Phase.WAITING, waiting.phase());
         assertNull(reservations.match(owner, machine));
         running.remove(placement);
-        reservations.sync();
+        reservations.updatePhases();
         assertEquals(Phase.AVAILABLE, waiting.phase());
     }
 
@@ -111,7 +111,7 @@
         fixture.world.nowMicros += 40_000_000;
         reservations.renew(kept);
         fixture.world.nowMicros += 30_000_000;
-        assertEquals(java.util.List.of(lost), reservations.sync());
+        assertEquals(java.util.List.of(lost), reservations.updatePhases());
         assertEquals(Phase.FAILED, lost.phase());
         assertEquals(Phase.AVAILABLE, kept.phase());
         assertEquals(room(4, 0), owner.team.used());
@@ -121,8 +121,8 @@
     void aMachineThatGoesFailsItsReservations() {
         Job owner = fixture.job("j-1", 4, 0, 1);
         Reservation reservation = reservations.reserve(owner, machine, room(4, 0), true, false);
-        machine.leaving = true;
-        assertEquals(java.util.List.of(reservation), reservations.sync());
+        machine.decommissioning = true;
+        assertEquals(java.util.List.of(reservation), reservations.updatePhases());
         assertEquals(Resources.NONE, owner.team.used());
     }
 
--- a/src/test/java/org/woadloom/core/rollout/RolloutExplorer.java
+++ b/src/test/java/org/woadloom/core/rollout/RolloutExplorer.java
@@ -349,7 +349,7 @@
             }
         }
         Decision verdict =
-                RolloutPolicy.judge(
+                RolloutPolicy.decide(
                         FEATURE,
                         new Situation(
                                 record(s),
@@ -495,8 +495,8 @@
 
     private static boolean serves(State s, Member m) {
         ClusterMembership belonging = new ClusterMembership(m.fresh ? Feature.known() : Set.of());
-        belonging.required(record(s).requires());
-        belonging.read();
-        return belonging.serves();
+        belonging.setRequired(record(s).requires());
+        belonging.onRecordRead();
+        return belonging.mayServe();
     }
 }
--- a/src/test/java/org/woadloom/peer/PeerFramesGoldenTest.java
+++ b/src/test/java/org/woadloom/peer/PeerFramesGoldenTest.java
@@ -45,7 +45,7 @@
         all.put(
                 "17 warrant",
                 new PeerMessage.Delegation(
-                        new LeaseDelegation(1, 2, 3, LeaseDelegation.UNSETTLED)));
+                        new LeaseDelegation(1, 2, 3, LeaseDelegation.UNKNOWN_LAG)));
         all.put(
                 "18 vouch",
                 new PeerMessage.CancellationReport(
--- a/src/test/java/org/woadloom/sim/ClusterSimulation.java
+++ b/src/test/java/org/woadloom/sim/ClusterSimulation.java
@@ -337,7 +337,7 @@
                 return;
             }
             if (message instanceof PeerMessage.StatusReport stands) {
-                tookCare[member.index] |= stands.standing().caredMicros() >= 0;
+                tookCare[member.index] |= stands.standing().sinceLastRenewalMicros() >= 0;
             }
             if (message instanceof PeerMessage.JobChangeNotification && hintsLost) {
                 return;
@@ -357,10 +357,10 @@
                         new PeerMessage.CancellationReport(
                                 new WatermarkReport(
                                         v.term(),
-                                        v.life(),
-                                        v.saidMicros(),
+                                        v.processId(),
+                                        v.sentMicros(),
                                         v.sinceMicros(),
-                                        v.echoMicros(),
+                                        v.echoedLeaderClockMicros(),
                                         v.promiseMicros(),
                                         List.of()));
             }
@@ -754,14 +754,14 @@
         PeerStatus s = stands.standing();
         return new PeerMessage.StatusReport(
                 new PeerStatus(
-                        s.life(),
-                        s.aliveMicros(),
-                        s.saidMicros(),
+                        s.processId(),
+                        s.uptimeMicros(),
+                        s.sentMicros(),
                         s.term(),
-                        s.echoMicros(),
+                        s.echoedLeaderClockMicros(),
                         60_000_000,
                         -1,
-                        s.stateSilentMicros()));
+                        s.storeSilentMicros()));
     }
 
     private void toStateAsOld(
--- a/src/test/java/org/woadloom/sim/ServiceLevelTest.java
+++ b/src/test/java/org/woadloom/sim/ServiceLevelTest.java
@@ -105,7 +105,7 @@
     void theLeaderTellsWhatBecameOfTheLargest() {
         SchedulerFixture fixture = new SchedulerFixture();
         for (int i = 0; i < 20; i++) {
-            fixture.world.served.come(fixture.job("j-" + i, 1, 1, i < 18 ? 2 : 9));
+            fixture.world.serviceLevels.onJobAdded(fixture.job("j-" + i, 1, 1, i < 18 ? 2 : 9));
         }
         fixture.world.nowMicros += 70_000_000;
         var machine = fixture.machine("host-1", "a");
@@ -114,9 +114,9 @@
         TaskAttempt inherited =
                 new TaskAttempt(
                         fixture.world.jobs.get("j-19"), 0, machine, 1, 0, fixture.world.nowMicros);
-        inherited.stage = TaskAttempt.Stage.INHERITED;
+        inherited.stage = TaskAttempt.Stage.RECOVERED;
         inherited.job.add(inherited);
-        fixture.world.served.review();
+        fixture.world.serviceLevels.review();
         assertTrue(
                 fixture.logged(
                         LogEvent.LARGEST_JOBS_SERVICE_LEVEL,
@@ -132,17 +132,17 @@
     void theLeaderTellsWhoWaits() {
         SchedulerFixture fixture = new SchedulerFixture();
         Job waits = fixture.job("j-000001", 1, 1, 1);
-        fixture.world.served.come(waits);
+        fixture.world.serviceLevels.onJobAdded(waits);
         Job ended = fixture.job("j-000002", 1, 1, 1);
-        fixture.world.served.come(ended);
-        ended.markDone(0);
+        fixture.world.serviceLevels.onJobAdded(ended);
+        ended.markCompleted(0);
         fixture.world.jobs.remove(ended.jobId());
-        fixture.world.served.over(ended);
+        fixture.world.serviceLevels.onJobEnded(ended);
         fixture.world.nowMicros += 30_000_000;
-        fixture.world.served.review();
+        fixture.world.serviceLevels.review();
         assertTrue(fixture.effects().isEmpty(), "told before its time");
         fixture.world.nowMicros += 45_000_000;
-        fixture.world.served.review();
+        fixture.world.serviceLevels.review();
         SchedulerAction.PublishServiceLevels seen =
                 (SchedulerAction.PublishServiceLevels)
                         fixture.effects().stream()
@@ -161,8 +161,8 @@
                         row.team(),
                         row.jobClass(),
                         "" + row.accepted(),
-                        "" + row.startedWhole(),
-                        "" + row.over(),
+                        "" + row.fullyStarted(),
+                        "" + row.ended(),
                         "" + row.cancelled(),
                         "" + row.longestWaitMicros()));
     }
--- a/src/test/java/org/woadloom/sim/StepRenderer.java
+++ b/src/test/java/org/woadloom/sim/StepRenderer.java
@@ -68,7 +68,7 @@
                     c.term(),
                     each(c.jobs(), StepRenderer::storedJob),
                     each(c.machines(), StepRenderer::storedMachine),
-                    c.cancellationsSeenMicros());
+                    c.cancellationsReadUpToMicros());
         } else if (command instanceof SchedulerEvent.LeadershipLost) {
             return list("step-down");
         } else if (command instanceof SchedulerEvent.JobStored c) {
@@ -82,21 +82,21 @@
         } else if (command instanceof SchedulerEvent.JobReadFailed c) {
             return list("job-record-unreadable", c.jobId());
         } else if (command instanceof SchedulerEvent.DependencyResolved c) {
-            return list("job-found", c.jobId(), standing(c.standing()), c.overWallMicros());
+            return list("job-found", c.jobId(), standing(c.state()), c.endedWallMicros());
         } else if (command instanceof SchedulerEvent.StoreLimitsChanged c) {
             return list(
                     "storage",
                     c.valueBytes(),
                     format(c.format()),
                     c.writesPerSecond(),
-                    c.care(),
-                    c.machineLife());
+                    c.delegationEnabled(),
+                    c.recordsMachineLifecycle());
         } else if (command instanceof SchedulerEvent.PeerStatusReceived c) {
             return list(
                     "node-standing",
                     c.node(),
-                    nodeStanding(c.standing()),
-                    c.cancellationsSeenMicros());
+                    nodeStanding(c.status()),
+                    c.cancellationsReadUpToMicros());
         } else if (command instanceof SchedulerEvent.MachineRecordRead c) {
             return list(
                     "machine-record",
@@ -120,8 +120,8 @@
             return list(
                     "machine-written",
                     c.host(),
-                    c.leaving(),
-                    c.dropped(),
+                    c.decommissioning(),
+                    c.deleted(),
                     outcome(c.outcome()),
                     c.revision());
         } else if (command instanceof SchedulerEvent.MachineTypesRead c) {
@@ -131,27 +131,27 @@
         } else if (command instanceof SchedulerEvent.ScaleOutCompleted c) {
             return list("rented", c.requestName(), outcome(c.outcome()), c.hosts());
         } else if (command instanceof SchedulerEvent.MachineDeletionCompleted c) {
-            return list("deleted", c.hosts(), c.done());
+            return list("deleted", c.hosts(), c.succeeded());
         } else if (command instanceof SchedulerEvent.RolloutStateRead c) {
             return list(
                     "rollout",
                     c.record().toMap(),
                     c.revision(),
-                    sorted(c.words(), StepRenderer::spoken),
-                    sorted(c.asked(), request -> request.toMap()),
-                    List.copyOf(new TreeSet<>(c.wordless())),
+                    sorted(c.announcements(), StepRenderer::spoken),
+                    sorted(c.requests(), request -> request.toMap()),
+                    List.copyOf(new TreeSet<>(c.unannounced())),
                     c.agreed(),
                     c.agreedStamp(),
-                    c.refused());
+                    c.refusals());
         } else if (command instanceof SchedulerEvent.RolloutWriteCompleted c) {
             return list("rollout-written", c.number(), outcome(c.outcome()), c.revision());
         } else if (command instanceof SchedulerEvent.RecordsCounted c) {
             return list(
                     "records-counted",
                     c.feature().key(),
-                    c.back(),
-                    c.read(),
-                    c.old(),
+                    c.rollingBack(),
+                    c.succeeded(),
+                    c.outdated(),
                     c.unreadable());
         } else if (command instanceof SchedulerEvent.Tick) {
             return list("time");
@@ -196,15 +196,18 @@
         } else if (effect instanceof SchedulerAction.DeleteMachines e) {
             return list("delete", e.hosts());
         } else if (effect instanceof SchedulerAction.DelegateLeases e) {
-            return list("give-warrant", e.node(), warrant(e.warrant()));
+            return list("give-warrant", e.node(), warrant(e.delegation()));
         } else if (effect instanceof SchedulerAction.StepDown) {
             // Its reason is for the log.
             return list("abdicate");
         } else if (effect instanceof SchedulerAction.WriteRollout e) {
             return list(
-                    "put-rollout", e.record().toMap(), new TreeMap<>(e.conditions()), e.agreed());
+                    "put-rollout",
+                    e.record().toMap(),
+                    new TreeMap<>(e.conditions()),
+                    e.agreedVersion());
         } else if (effect instanceof SchedulerAction.CountRecords e) {
-            return list("count-records", e.feature().key(), e.back());
+            return list("count-records", e.feature().key(), e.rollingBack());
         } else if (effect instanceof SchedulerAction.PublishServiceLevels e) {
             return list(
                     "served",
@@ -215,8 +218,8 @@
                                             r.team(),
                                             r.jobClass(),
                                             r.accepted(),
-                                            r.startedWhole(),
-                                            r.over(),
+                                            r.fullyStarted(),
+                                            r.ended(),
                                             r.cancelled(),
                                             r.longestWaitMicros())));
         }
@@ -263,24 +266,25 @@
     }
 
     private static List<Object> spoken(SchedulerEvent.StoredAnnouncement spoken) {
-        NodeAnnouncement word = spoken.word();
+        NodeAnnouncement word = spoken.announcement();
         return list(word.toMap(), spoken.revision());
     }
 
     private static List<Object> nodeStanding(PeerStatus s) {
         return list(
-                s.life(),
-                s.aliveMicros(),
-                s.saidMicros(),
+                s.processId(),
+                s.uptimeMicros(),
+                s.sentMicros(),
                 s.term(),
-                s.echoMicros(),
-                s.promiseMicros(),
-                s.caredMicros(),
-                s.stateSilentMicros());
+                s.echoedLeaderClockMicros(),
+                s.noRenewalForMicros(),
+                s.sinceLastRenewalMicros(),
+                s.storeSilentMicros());
     }
 
     private static List<Object> warrant(LeaseDelegation w) {
-        return list(w.term(), w.saidMicros(), w.leaderMicros(), w.settledMicros());
+        return list(
+                w.term(), w.statusSentMicros(), w.leaderClockMicros(), w.cancellationLagMicros());
     }
 
     private static List<Object> listed(ListedMachine m) {
