--- a/src/main/java/org/woadloom/agent/AgentClient.java
+++ b/src/main/java/org/woadloom/agent/AgentClient.java
@@ -99,10 +99,10 @@
                 TIMEOUT_MICROS,
                 (status, body) -> {
                     ended(send, wasSilent, status);
-                    Heartbeat report = null;
+                    Heartbeat heartbeat = null;
                     if (status == 200 || status == 409) {
                         try {
-                            report = Heartbeat.read(body);
+                            heartbeat = Heartbeat.read(body);
                         } catch (MalformedMessageException e) {
                             // An address may have passed to another machine; without its report
                             // nothing is known.
@@ -114,7 +114,7 @@
                                             null));
                             return;
                         }
-                        if (!report.host().equals(send.host())) {
+                        if (!heartbeat.host().equals(send.host())) {
                             callback.result(
                                     new SchedulerEvent.DirectCommandCompleted(
                                             send.commandId(),
@@ -126,14 +126,14 @@
                     }
                     callback.result(
                             new SchedulerEvent.DirectCommandCompleted(
-                                    send.commandId(), send.host(), status, report));
+                                    send.commandId(), send.host(), status, heartbeat));
                 });
     }
 
     public static List<Object> orders(List<TaskCommand> commands) {
         List<Object> list = new ArrayList<>(commands.size());
-        for (TaskCommand order : commands) {
-            list.add(order.toMap());
+        for (TaskCommand command : commands) {
+            list.add(command.toMap());
         }
         return list;
     }
--- a/src/main/java/org/woadloom/agent/AgentConnectionBalancer.java
+++ b/src/main/java/org/woadloom/agent/AgentConnectionBalancer.java
@@ -21,29 +21,29 @@
 
     private static final long KEPT_MICROS = 60_000_000;
 
-    private final int most;
+    private final int maxAgents;
     private final long forgetMicros;
 
     /** Those that report here, and when they last did, the longest silent first. */
-    private final Map<String, Long> here = new LinkedHashMap<>(16, 0.75f, true);
+    private final Map<String, Long> connected = new LinkedHashMap<>(16, 0.75f, true);
 
     /** When those were sent on that have not been heard since, the first first. */
-    private final Map<String, Long> sentOn = new LinkedHashMap<>();
+    private final Map<String, Long> redirected = new LinkedHashMap<>();
 
     /** When those came back that could not get to another node. */
-    private final Map<String, Long> kept = new LinkedHashMap<>();
+    private final Map<String, Long> unableToMove = new LinkedHashMap<>();
 
     /**
      * @param most how many workers are taken while others can take the rest
      */
-    public AgentConnectionBalancer(int most, long reportMicros) {
-        this.most = most;
+    public AgentConnectionBalancer(int maxAgents, long reportMicros) {
+        this.maxAgents = maxAgents;
         this.forgetMicros = REPORTS_MISSED * reportMicros;
     }
 
     /** How many workers report here. */
     public int size() {
-        return here.size();
+        return connected.size();
     }
 
     /**
@@ -53,19 +53,22 @@
      * @param renewed its lease was renewed in this term, so that it has time to go elsewhere
      * @param others the nodes that can be reached
      */
-    public String sendTo(String host, boolean renewed, List<String> others, long now) {
-        dropBefore(here, now - forgetMicros);
-        dropBefore(sentOn, now - SENT_ON_MICROS);
-        dropBefore(kept, now - KEPT_MICROS);
-        here.put(host, now);
-        if (sentOn.remove(host) != null) {
-            kept.put(host, now);
+    public String redirectTarget(String host, boolean renewed, List<String> others, long now) {
+        removeOlderThan(connected, now - forgetMicros);
+        removeOlderThan(redirected, now - SENT_ON_MICROS);
+        removeOlderThan(unableToMove, now - KEPT_MICROS);
+        connected.put(host, now);
+        if (redirected.remove(host) != null) {
+            unableToMove.put(host, now);
         }
-        if (here.size() <= most || !renewed || others.isEmpty() || kept.containsKey(host)) {
+        if (connected.size() <= maxAgents
+                || !renewed
+                || others.isEmpty()
+                || unableToMove.containsKey(host)) {
             return null;
         }
-        here.remove(host);
-        sentOn.put(host, now);
+        connected.remove(host);
+        redirected.put(host, now);
         return others.get(
                 Hashing.consistentHash(
                         Hashing.murmur3_128().hashString(host, StandardCharsets.UTF_8),
@@ -73,12 +76,12 @@
     }
 
     /** A worker's report came by way of another node. */
-    public void carried(String host) {
-        here.remove(host);
-        sentOn.remove(host);
+    public void onForwarded(String host) {
+        connected.remove(host);
+        redirected.remove(host);
     }
 
-    private static void dropBefore(Map<String, Long> times, long before) {
+    private static void removeOlderThan(Map<String, Long> times, long before) {
         Iterator<Long> oldest = times.values().iterator();
         while (oldest.hasNext() && oldest.next() < before) {
             oldest.remove();
--- a/src/main/java/org/woadloom/cli/CheckCommand.java
+++ b/src/main/java/org/woadloom/cli/CheckCommand.java
@@ -49,7 +49,7 @@
                 "%d teams, zones %s, state service at %s, cloud at %s%n",
                 service.teams().size(),
                 String.join(", ", service.zones()),
-                service.stateAddress(),
+                service.storeAddress(),
                 service.cloudAddress());
         SocketBudget plan = SocketBudget.of(service);
         System.out.printf(
@@ -59,7 +59,7 @@
                     + " other nodes, %d for refusals, %d for the process%n",
                 service.resources().fdLimit(),
                 plan.inbound(),
-                plan.workers(),
+                plan.agents(),
                 plan.direct(),
                 plan.idle(),
                 plan.state(),
@@ -70,12 +70,12 @@
         System.out.printf(
                 "at most %d tasks of a job are placed at once where each has a machine of its own"
                         + " (value_kb)%n",
-                RecordSizeEstimate.tasksApart(service.state().leastValueBytes()));
+                RecordSizeEstimate.tasksApart(service.store().minValueBytes()));
         FleetSizeEstimate fleet = FleetSizeEstimate.of(service);
         System.out.printf(
                 "carries about %d machines: %d by fd_limit, %d by cpu_share and report_s%n",
-                fleet.workers(), fleet.bySockets(), fleet.byProcessor());
-        ServiceSettings.State state = service.state();
+                fleet.agents(), fleet.bySockets(), fleet.byProcessor());
+        ServiceSettings.Store state = service.store();
         if (state.next() != null) {
             System.out.printf(
                     "the state service may fall from values of %d bytes, %d changes a transaction"
@@ -89,7 +89,7 @@
         }
         DelegationTimeouts care =
                 DelegationTimeouts.of(
-                        service.workers().leaseMicros(), service.workers().cancelMicros());
+                        service.agents().leaseMicros(), service.agents().cancelMicros());
         if (care.isUsable()) {
             System.out.printf(
                     "in a zone that is cut off work goes on for up to %.1f s, and leases end after"
--- a/src/main/java/org/woadloom/cli/RolloutCommand.java
+++ b/src/main/java/org/woadloom/cli/RolloutCommand.java
@@ -73,7 +73,7 @@
 
     @Override
     public int run(CommandLine line) throws Exception {
-        String address = SettingsOptions.service(line).stateAddress();
+        String address = SettingsOptions.service(line).storeAddress();
         String action = line.getArgList().get(0);
         if (action.equals(SHOW)) {
             show(address);
@@ -172,14 +172,14 @@
         }
         for (Map.Entry<String, Object> entry : entries.entrySet()) {
             if (entry.getKey().startsWith(StoreKeys.ROLLOUT_NODES)) {
-                NodeAnnouncement word = NodeAnnouncement.parse(map(entry.getValue()));
+                NodeAnnouncement announcement = NodeAnnouncement.parse(map(entry.getValue()));
                 System.out.printf(
                         "node %s: reads %s, can do %s, names %s, start %d in a row%n",
                         entry.getKey().substring(StoreKeys.ROLLOUT_NODES.length()),
-                        word.reads(),
-                        word.can(),
-                        word.members(),
-                        word.starts());
+                        announcement.supportedFeatures(),
+                        announcement.usableFeatures(),
+                        announcement.members(),
+                        announcement.consecutiveStarts());
             }
         }
     }
--- a/src/main/java/org/woadloom/core/Scheduler.java
+++ b/src/main/java/org/woadloom/core/Scheduler.java
@@ -50,7 +50,7 @@
 
     /** The parts that exist only while this node leads. */
     private static final class LeaderTerm {
-        final SchedulerState world;
+        final SchedulerState state;
         final TaskLossHandler taskLosses;
         final JobRegistry jobs;
         final JobPersister jobPersister;
@@ -71,25 +71,25 @@
         long nextForgetMicros;
         long nextSearchMicros;
 
-        LeaderTerm(SchedulerState world) {
-            this.world = world;
-            taskLosses = new TaskLossHandler(world);
-            jobs = new JobRegistry(world);
-            jobPersister = new JobPersister(world, jobs);
-            machines = new MachineRegistry(world, taskLosses);
-            heartbeats = new HeartbeatHandler(world, machines, taskLosses);
-            directCommands = new DirectCommands(world, heartbeats, taskLosses);
-            prober = new AgentProber(world, taskLosses);
-            PlacementConstraints eligibility = new PlacementConstraints(world);
-            reservations = new Reservations(world);
-            gangPlanner = new GangReservationPlanner(world, eligibility, reservations);
-            guaranteedQuota = new GuaranteedQuota(world);
-            classFairShare = new ClassFairShare(world);
-            quotaRotation = new QuotaRotation(world, reservations);
-            placer = new TaskPlacer(world, eligibility, reservations);
-            preemption = new PreemptionPlanner(world, eligibility, reservations, gangPlanner);
-            autoscaler = new Autoscaler(world, eligibility, placer, machines, reservations);
-            rollout = new FeatureRollout(world);
+        LeaderTerm(SchedulerState state) {
+            this.state = state;
+            taskLosses = new TaskLossHandler(state);
+            jobs = new JobRegistry(state);
+            jobPersister = new JobPersister(state, jobs);
+            machines = new MachineRegistry(state, taskLosses);
+            heartbeats = new HeartbeatHandler(state, machines, taskLosses);
+            directCommands = new DirectCommands(state, heartbeats, taskLosses);
+            prober = new AgentProber(state, taskLosses);
+            PlacementConstraints eligibility = new PlacementConstraints(state);
+            reservations = new Reservations(state);
+            gangPlanner = new GangReservationPlanner(state, eligibility, reservations);
+            guaranteedQuota = new GuaranteedQuota(state);
+            classFairShare = new ClassFairShare(state);
+            quotaRotation = new QuotaRotation(state, reservations);
+            placer = new TaskPlacer(state, eligibility, reservations);
+            preemption = new PreemptionPlanner(state, eligibility, reservations, gangPlanner);
+            autoscaler = new Autoscaler(state, eligibility, placer, machines, reservations);
+            rollout = new FeatureRollout(state);
         }
     }
 
@@ -98,16 +98,16 @@
     }
 
     public int jobs() {
-        return leadership == null ? 0 : leadership.world.jobs.size();
+        return leadership == null ? 0 : leadership.state.jobs.size();
     }
 
     /** Jobs that wait for others. */
     public int blockedJobs() {
-        return leadership == null ? 0 : leadership.world.dependencies.blockedCount();
+        return leadership == null ? 0 : leadership.state.dependencies.blockedCount();
     }
 
     public int machines() {
-        return leadership == null ? 0 : leadership.world.machines.size();
+        return leadership == null ? 0 : leadership.state.machines.size();
     }
 
     /** Machines that report and that nothing reaches. */
@@ -145,14 +145,14 @@
                 delegationEnabled = seen.delegationEnabled();
                 recordsMachineLifecycle = seen.recordsMachineLifecycle();
                 if (leadership != null) {
-                    leadership.world.valueBytes = valueBytes;
-                    leadership.world.format = format;
-                    leadership.world.recordsMachineLifecycle(recordsMachineLifecycle, nowMicros);
-                    leadership.world.writeBudget.setRate(writesPerSecond);
+                    leadership.state.valueBytes = valueBytes;
+                    leadership.state.format = format;
+                    leadership.state.recordsMachineLifecycle(recordsMachineLifecycle, nowMicros);
+                    leadership.state.writeBudget.setRate(writesPerSecond);
                     if (delegationEnabled) {
-                        leadership.world.delegations.enable();
+                        leadership.state.delegations.enable();
                     }
-                    leadership.world.placementNeeded = true;
+                    leadership.state.placementNeeded = true;
                 }
             } else if (event instanceof SchedulerEvent.MachineTypesRead seen) {
                 types = seen.types();
@@ -160,32 +160,32 @@
                     leadership.machines.onMachineTypes(types);
                 }
             } else if (leadership != null) {
-                leadership.world.nowMicros = nowMicros;
-                leadership.world.wallMicros = wallMicros;
+                leadership.state.nowMicros = nowMicros;
+                leadership.state.wallMicros = wallMicros;
                 apply(leadership, event);
             }
         }
         if (leadership != null) {
-            leadership.world.nowMicros = nowMicros;
-            leadership.world.wallMicros = wallMicros;
+            leadership.state.nowMicros = nowMicros;
+            leadership.state.wallMicros = wallMicros;
             runPass(leadership);
-            actions.addAll(leadership.world.takeActions());
+            actions.addAll(leadership.state.takeActions());
         }
         return actions;
     }
 
     private void startTerm(
             long nowMicros, long wallMicros, SchedulerEvent.LeadershipAcquired lead) {
-        SchedulerState world =
+        SchedulerState state =
                 new SchedulerState(
                         settings, valueBytes, format, lead.term(), nowMicros, wallMicros);
-        world.writeBudget.setRate(writesPerSecond);
-        world.recordsMachineLifecycle(recordsMachineLifecycle, nowMicros);
-        world.cancellationsReadUpToMicros = lead.cancellationsReadUpToMicros();
+        state.writeBudget.setRate(writesPerSecond);
+        state.recordsMachineLifecycle(recordsMachineLifecycle, nowMicros);
+        state.cancellationsReadUpToMicros = lead.cancellationsReadUpToMicros();
         if (delegationEnabled) {
-            world.delegations.enable();
+            state.delegations.enable();
         }
-        leadership = new LeaderTerm(world);
+        leadership = new LeaderTerm(state);
         for (SchedulerEvent.StoredMachine machine : lead.machines()) {
             leadership.machines.load(machine);
         }
@@ -201,7 +201,7 @@
                                         machine.lifecycle() != null
                                                 && machine.lifecycle().hasReported())
                         .count();
-        world.log(
+        state.log(
                 LogEntry.info(LogEvent.TERM_STARTED)
                         .with("term", lead.term())
                         .with("jobs", lead.jobs().size())
@@ -227,7 +227,7 @@
         } else if (event instanceof SchedulerEvent.JobRecordNotFound missing) {
             leader.jobs.onRecordNotFound(missing.jobId());
         } else if (event instanceof SchedulerEvent.DependencyResolved found) {
-            leader.world.dependencies.onResolved(found);
+            leader.state.dependencies.onResolved(found);
         } else if (event instanceof SchedulerEvent.JobReadFailed unreadable) {
             leader.jobPersister.onReadFailed(unreadable.jobId());
         } else if (event instanceof SchedulerEvent.MachineWriteCompleted written) {
@@ -257,23 +257,23 @@
      * as a walk over hundreds of machines for each report would cost more than the reports.
      */
     private static void runPass(LeaderTerm leader) {
-        SchedulerState world = leader.world;
-        boolean sweep = world.nowMicros >= leader.nextSweepMicros;
+        SchedulerState state = leader.state;
+        boolean sweep = state.nowMicros >= leader.nextSweepMicros;
         if (sweep) {
-            leader.nextSweepMicros = world.nowMicros + SWEEP_MICROS;
+            leader.nextSweepMicros = state.nowMicros + SWEEP_MICROS;
             expireLeases(leader);
             drain(leader);
             leader.prober.review();
         }
-        if (world.nowMicros >= leader.nextForgetMicros) {
-            leader.nextForgetMicros = world.nowMicros + FORGET_MICROS;
+        if (state.nowMicros >= leader.nextForgetMicros) {
+            leader.nextForgetMicros = state.nowMicros + FORGET_MICROS;
             leader.machines.forget();
             leader.heartbeats.forget();
         }
-        world.dependencies.review();
-        if (world.placementNeeded || world.nowMicros >= leader.nextSearchMicros) {
-            world.placementNeeded = false;
-            leader.nextSearchMicros = world.nowMicros + SEARCH_MICROS;
+        state.dependencies.review();
+        if (state.placementNeeded || state.nowMicros >= leader.nextSearchMicros) {
+            state.placementNeeded = false;
+            leader.nextSearchMicros = state.nowMicros + SEARCH_MICROS;
             leader.guaranteedQuota.update();
             leader.classFairShare.update();
             leader.quotaRotation.update();
@@ -284,9 +284,9 @@
             leader.preemption.preemptFor(queue);
         }
         leader.autoscaler.review();
-        world.serviceLevels.review();
+        state.serviceLevels.review();
         leader.rollout.review();
-        world.writeBudget.refill(world.nowMicros);
+        state.writeBudget.refill(state.nowMicros);
         leader.jobPersister.emitWrites();
         leader.machines.emitWrites();
         leader.directCommands.emitCommands();
@@ -297,25 +297,25 @@
      * killed its tasks.
      */
     private static void expireLeases(LeaderTerm leader) {
-        SchedulerState world = leader.world;
+        SchedulerState state = leader.state;
         Map<String, Long> lastRenewals = new HashMap<>();
-        for (Machine machine : world.machines.values()) {
+        for (Machine machine : state.machines.values()) {
             if (machine.isUp()
                     && !machine.deleted
-                    && world.nowMicros - machine.lastAnsweredMicros
-                            > world.delegationTimeouts.leaseExpiryMicros()
-                    && world.nowMicros
+                    && state.nowMicros - machine.lastAnsweredMicros
+                            > state.delegationTimeouts.leaseExpiryMicros()
+                    && state.nowMicros
                                     - lastRenewals.computeIfAbsent(
                                             machine.zone,
                                             zone ->
-                                                    world.delegations.lastRenewalMicros(
-                                                            zone, world.nowMicros))
-                            > world.delegationTimeouts.leaseExpiryMicros()) {
-                world.log(
+                                                    state.delegations.lastRenewalMicros(
+                                                            zone, state.nowMicros))
+                            > state.delegationTimeouts.leaseExpiryMicros()) {
+                state.log(
                         LogEntry.info(LogEvent.LEASE_EXPIRED)
                                 .with("machine", machine.host)
                                 .with("zone", machine.zone)
-                                .with("term", world.term));
+                                .with("term", state.term));
                 machine.liveness.expireSession();
                 leader.taskLosses.onSessionEnded(machine, "lease expired");
             }
@@ -327,7 +327,7 @@
      * returned.
      */
     private static void drain(LeaderTerm leader) {
-        for (Machine machine : leader.world.machines.values()) {
+        for (Machine machine : leader.state.machines.values()) {
             if (machine.spotTerminationMicros < 0 && !machine.decommissioning) {
                 continue;
             }
--- a/src/main/java/org/woadloom/core/SchedulerSettings.java
+++ b/src/main/java/org/woadloom/core/SchedulerSettings.java
@@ -19,7 +19,7 @@
         Map<String, String> nodes,
         List<Team> teams,
         List<Objective> objectives,
-        long reportMicros,
+        long heartbeatMicros,
         long leaseMicros,
         long cancelMicros,
         long listLagMicros,
@@ -38,9 +38,9 @@
                 nodes,
                 settings.teams(),
                 settings.objectives(),
-                settings.workers().reportMicros(),
-                settings.workers().leaseMicros(),
-                settings.workers().cancelMicros(),
+                settings.agents().heartbeatMicros(),
+                settings.agents().leaseMicros(),
+                settings.agents().cancelMicros(),
                 settings.cloud().listLagMicros(),
                 operator);
     }
--- a/src/main/java/org/woadloom/core/SchedulerState.java
+++ b/src/main/java/org/woadloom/core/SchedulerState.java
@@ -103,7 +103,7 @@
         this.startedMicros = nowMicros;
         this.nowMicros = nowMicros;
         this.wallMicros = wallMicros;
-        livenessTimeouts = LivenessTimeouts.of(settings.reportMicros(), settings.leaseMicros());
+        livenessTimeouts = LivenessTimeouts.of(settings.heartbeatMicros(), settings.leaseMicros());
         delegationTimeouts = DelegationTimeouts.of(settings.leaseMicros(), settings.cancelMicros());
         delegations =
                 new DelegationLedger(delegationTimeouts, term, settings.label(), settings.nodes());
--- a/src/main/java/org/woadloom/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/woadloom/core/autoscaling/Autoscaler.java
@@ -58,7 +58,7 @@
      */
     private static final long PARTITIONED_MICROS = 50_000_000;
 
-    private final SchedulerState world;
+    private final SchedulerState state;
     private final PlacementConstraints constraints;
     private final TaskPlacer placer;
     private final MachineRegistry machines;
@@ -109,24 +109,24 @@
     }
 
     public Autoscaler(
-            SchedulerState world,
+            SchedulerState state,
             PlacementConstraints constraints,
             TaskPlacer placer,
             MachineRegistry machines,
             Reservations reservations) {
-        this.world = world;
+        this.state = state;
         this.constraints = constraints;
         this.placer = placer;
         this.machines = machines;
         this.reservations = reservations;
-        partitionedZones = new PartitionedZones(world, this::isMissingFromList);
+        partitionedZones = new PartitionedZones(state, this::isMissingFromList);
     }
 
     public void review() {
         for (ScaleOutRequest request : requests.values()) {
-            if (!request.sent && world.nowMicros >= request.retryAtMicros) {
+            if (!request.sent && state.nowMicros >= request.retryAtMicros) {
                 request.sent = true;
-                world.emit(
+                state.emit(
                         new SchedulerAction.RentMachines(
                                 request.name,
                                 request.kind.type.name(),
@@ -135,22 +135,22 @@
                                 request.count));
             }
         }
-        if (world.nowMicros - reviewedMicros < REVIEW_MICROS || world.machineTypes.isEmpty()) {
+        if (state.nowMicros - reviewedMicros < REVIEW_MICROS || state.machineTypes.isEmpty()) {
             return;
         }
-        reviewedMicros = world.nowMicros;
+        reviewedMicros = state.nowMicros;
         updateScarceZones();
         partitionedZones.review();
-        if (world.nowMicros - world.startedMicros > 2 * world.settings.reportMicros()) {
+        if (state.nowMicros - state.startedMicros > 2 * state.settings.heartbeatMicros()) {
             scaleOut(placer.queue());
         }
         scaleIn();
     }
 
     public void onMachinesListed(List<ListedMachine> machines) {
-        lastListMicros = world.nowMicros;
+        lastListMicros = state.nowMicros;
         machines.forEach(machine -> lastListedMicros.put(machine.host(), lastListMicros));
-        lastListedMicros.keySet().retainAll(world.machines.keySet());
+        lastListedMicros.keySet().retainAll(state.machines.keySet());
     }
 
     /**
@@ -160,15 +160,15 @@
      * slower still.
      */
     private boolean isMissingFromList(Machine machine) {
-        long there = Math.max(machine.rentedMicros, world.startedMicros);
+        long there = Math.max(machine.rentedMicros, state.startedMicros);
         return (machine.isKnownAlive() || machine.reportedRecorded)
                 && lastListMicros - lastListedMicros.getOrDefault(machine.host, there)
-                        > 2 * world.settings.listLagMicros() + LIST_MARGIN_MICROS;
+                        > 2 * state.settings.listLagMicros() + LIST_MARGIN_MICROS;
     }
 
     private void scaleOut(List<Job> queue) {
         List<Supply> supply = new ArrayList<>();
-        for (Machine machine : world.machines.values()) {
+        for (Machine machine : state.machines.values()) {
             // A machine that boots, or whose worker has not yet acknowledged this leader, or will
             // most likely hear again.
             if (!machine.decommissioning
@@ -245,20 +245,20 @@
             }
             ScaleOutRequest request =
                     new ScaleOutRequest(
-                            world.newRequestName(),
+                            state.newRequestName(),
                             entry.getKey(),
                             Math.min(MAX_MACHINES_PER_REQUEST, entry.getValue()),
-                            world.nowMicros);
+                            state.nowMicros);
             requests.put(request.name, request);
             request.sent = true;
-            world.log(
+            state.log(
                     LogEntry.info(LogEvent.SCALE_OUT_REQUESTED)
                             .with("request", request.name)
                             .with("count", request.count)
                             .with("type", request.kind.type.name())
                             .with("zone", request.kind.zone)
                             .with("spot", request.kind.spot));
-            world.emit(
+            state.emit(
                     new SchedulerAction.RentMachines(
                             request.name,
                             request.kind.type.name(),
@@ -272,7 +272,7 @@
         if (!machine.isKnownAlive()
                 && (machine.reportedRecorded
                                 && silentForMicros(machine)
-                                        > world.delegationTimeouts.leaseExpiryMicros()
+                                        > state.delegationTimeouts.leaseExpiryMicros()
                         || isMissingFromList(machine))) {
             // It was up under an earlier leader, and its worker would have found this one by now.
             return false;
@@ -280,8 +280,8 @@
         if (!machine.isKnownAlive() || !machine.recorded || !machine.hasAcknowledgedTerm()) {
             return !isUnreachableBeyondLease(machine, 0);
         }
-        return machine.liveness.isSuspect(world.nowMicros)
-                && machine.liveness.isReporting(world.nowMicros)
+        return machine.liveness.isSuspect(state.nowMicros)
+                && machine.liveness.isReporting(state.nowMicros)
                 && !isUnreachableBeyondLease(machine, 0);
     }
 
@@ -297,9 +297,9 @@
     /** What the cloud refused lately, or does not answer for: it is not to be waited for. */
     private boolean isUnavailable(MachineKind kind) {
         ScaleOutRequest request = requestFor(kind);
-        return notBefore.getOrDefault(kind, Long.MIN_VALUE) > world.nowMicros
+        return notBefore.getOrDefault(kind, Long.MIN_VALUE) > state.nowMicros
                 || partitionedZones.isPartitioned(kind.zone)
-                || request != null && world.nowMicros - request.createdMicros > ANSWER_MICROS;
+                || request != null && state.nowMicros - request.createdMicros > ANSWER_MICROS;
     }
 
     /**
@@ -307,28 +307,28 @@
      * has no choice.
      */
     private void updateScarceZones() {
-        world.scarceZones.clear();
+        state.scarceZones.clear();
         Set<String> open = new HashSet<>();
-        for (MachineType type : world.machineTypes.values()) {
+        for (MachineType type : state.machineTypes.values()) {
             for (String zone : type.zones()) {
                 Long refused = lastRefusedMicros.get(new MachineKind(type, zone, false));
-                if (refused != null && world.nowMicros - refused < SCARCE_MICROS) {
-                    world.scarceZones.add(zone);
+                if (refused != null && state.nowMicros - refused < SCARCE_MICROS) {
+                    state.scarceZones.add(zone);
                 } else {
                     open.add(zone);
                 }
             }
         }
-        world.scarceZones.removeAll(open);
+        state.scarceZones.removeAll(open);
         if (open.isEmpty()) {
             // Where every zone is scarce there is no elsewhere.
-            world.scarceZones.clear();
+            state.scarceZones.clear();
         }
     }
 
     private void onRefused(MachineKind kind) {
-        notBefore.put(kind, world.nowMicros + NO_CAPACITY_MICROS);
-        lastRefusedMicros.put(kind, world.nowMicros);
+        notBefore.put(kind, state.nowMicros + NO_CAPACITY_MICROS);
+        lastRefusedMicros.put(kind, state.nowMicros);
     }
 
     private boolean isUsable(Job job, MachineKind kind) {
@@ -352,7 +352,7 @@
     private MachineKind cheapest(Job job, int tasks, Map<String, Integer> spread) {
         MachineKind best = null;
         double bestPrice = 0;
-        for (MachineType type : world.machineTypes.values()) {
+        for (MachineType type : state.machineTypes.values()) {
             for (String zone : type.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
                     MachineKind kind = new MachineKind(type, zone, spot);
@@ -391,12 +391,12 @@
                                             request.kind.zone,
                                             request.kind.spot,
                                             false));
-                    machine.rentedMicros = world.nowMicros;
+                    machine.rentedMicros = state.nowMicros;
                 }
                 if (result.hosts().size() < request.count) {
                     onRefused(request.kind);
                 }
-                world.log(
+                state.log(
                         LogEntry.info(LogEvent.SCALE_OUT_COMPLETED)
                                 .with("request", request.name)
                                 .with("machines", String.join(",", result.hosts())));
@@ -404,12 +404,12 @@
             case NO_CAPACITY -> {
                 requests.remove(request.name);
                 onRefused(request.kind);
-                world.log(LogEntry.info(LogEvent.SCALE_OUT_REFUSED).with("request", request.name));
+                state.log(LogEntry.info(LogEvent.SCALE_OUT_REFUSED).with("request", request.name));
             }
             case REFUSED, UNKNOWN -> {
                 // The same claim again: it may have been granted, and then gives the same answer.
                 request.sent = false;
-                request.retryAtMicros = world.nowMicros + REPEAT_MICROS;
+                request.retryAtMicros = state.nowMicros + REPEAT_MICROS;
             }
         }
     }
@@ -417,7 +417,7 @@
     private void scaleIn() {
         Resources free = Resources.NONE;
         Resources used = Resources.NONE;
-        for (Machine machine : world.machines.values()) {
+        for (Machine machine : state.machines.values()) {
             if (constraints.acceptsTasks(machine)) {
                 free = free.plus(machine.free());
                 used = used.plus(machine.used());
@@ -428,17 +428,17 @@
         // Where nothing comes and nothing waits no room is kept; a gang that waits needs its
         // machines all at once.
         boolean quiet =
-                world.demand.isQuiet(world.nowMicros)
-                        && world.dependencies.blockedCount() == 0
+                state.demand.isQuiet(state.nowMicros)
+                        && state.dependencies.blockedCount() == 0
                         && placer.queue().isEmpty();
         long headroom =
                 quiet
                         ? 0
                         : Math.max(
-                                (long) (used.cpu() * world.settings.operator().headroom()),
-                                world.demand.largeJobCpu());
+                                (long) (used.cpu() * state.settings.operator().headroom()),
+                                state.demand.largeJobCpu());
         List<Machine> idle = new ArrayList<>();
-        for (Machine machine : world.machines.values()) {
+        for (Machine machine : state.machines.values()) {
             if (machine.decommissioning
                     || machine.deleted
                     || !machine.isConfirmed()
@@ -447,7 +447,7 @@
             }
             if (isMissingFromList(machine)
                     && partitionedZones.silentForMicros(machine)
-                            > 3 * world.settings.reportMicros() + SILENCE_MARGIN_MICROS) {
+                            > 3 * state.settings.heartbeatMicros() + SILENCE_MARGIN_MICROS) {
                 machine.decommission();
                 machine.abandoned = true;
                 logDecommissioned(machine, "silent and no longer listed");
@@ -477,9 +477,9 @@
         for (Machine machine : idle) {
             long left = free.minus(machine.capacity()).cpu();
             if (left > headroom
-                    && world.nowMicros - machine.idleSinceMicros
+                    && state.nowMicros - machine.idleSinceMicros
                             > maxIdleMicros(machine, left, headroom)
-                    && world.nowMicros - machine.rentedMicros > MIN_CHARGE_MICROS) {
+                    && state.nowMicros - machine.rentedMicros > MIN_CHARGE_MICROS) {
                 machine.decommission();
                 free = free.minus(machine.capacity());
                 logDecommissioned(machine, "idle");
@@ -488,7 +488,7 @@
     }
 
     private void logDecommissioned(Machine machine, String reason) {
-        world.log(
+        state.log(
                 LogEntry.info(LogEvent.MACHINE_DECOMMISSIONED)
                         .with("machine", machine.host)
                         .with("zone", machine.zone)
@@ -501,7 +501,7 @@
      */
     private long maxIdleMicros(Machine machine, long left, long headroom) {
         long most =
-                Math.min(world.settings.operator().idleReturnMicros(), machine.type.bootMicros());
+                Math.min(state.settings.operator().idleReturnMicros(), machine.type.bootMicros());
         return left > 2 * headroom ? most / 4 : most;
     }
 
@@ -515,11 +515,11 @@
         // asked.
         boolean answers =
                 machine.liveness.lastAliveMicros() - machine.liveness.lastHeartbeatMicros()
-                        > world.livenessTimeouts.freshMicros();
+                        > state.livenessTimeouts.freshMicros();
         long enough =
                 Math.max(
-                                3 * world.settings.reportMicros(),
-                                answers ? world.settings.leaseMicros() / 2 + ANSWER_MICROS : 0)
+                                3 * state.settings.heartbeatMicros(),
+                                answers ? state.settings.leaseMicros() / 2 + ANSWER_MICROS : 0)
                         + SILENCE_MARGIN_MICROS;
         if (!machine.isUp()
                 || partitionedZones.silentForMicros(machine) < enough
@@ -528,11 +528,12 @@
         }
         int all = 0;
         int silent = 0;
-        for (Machine other : world.machines.values()) {
+        for (Machine other : state.machines.values()) {
             if (other.zone.equals(machine.zone) && other.isUp() && !other.deleted) {
                 all++;
                 silent +=
-                        partitionedZones.silentForMicros(other) > 2 * world.settings.reportMicros()
+                        partitionedZones.silentForMicros(other)
+                                        > 2 * state.settings.heartbeatMicros()
                                 ? 1
                                 : 0;
             }
@@ -545,26 +546,26 @@
      * on it is left.
      */
     private boolean isUnreachableBeyondLease(Machine machine, long besidesMicros) {
-        return machine.liveness.isUnreachable(world.nowMicros)
-                && machine.liveness.unacknowledgedForMicros(world.nowMicros)
-                        > world.delegationTimeouts.leaseExpiryMicros() + besidesMicros;
+        return machine.liveness.isUnreachable(state.nowMicros)
+                && machine.liveness.unacknowledgedForMicros(state.nowMicros)
+                        > state.delegationTimeouts.leaseExpiryMicros() + besidesMicros;
     }
 
     /** Where a third of a zone is deaf, the fault is not the machines', and it may pass. */
     private boolean areManyUnreachable(String zone) {
         int all = 0;
         int unreachable = 0;
-        for (Machine machine : world.machines.values()) {
+        for (Machine machine : state.machines.values()) {
             if (machine.zone.equals(zone) && machine.isKnownAlive() && !machine.deleted) {
                 all++;
-                unreachable += machine.liveness.isUnreachable(world.nowMicros) ? 1 : 0;
+                unreachable += machine.liveness.isUnreachable(state.nowMicros) ? 1 : 0;
             }
         }
         return unreachable > 1 && unreachable * 3 > all;
     }
 
     private long silentForMicros(Machine machine) {
-        return world.nowMicros - Math.max(machine.liveness.lastAliveMicros(), world.startedMicros);
+        return state.nowMicros - Math.max(machine.liveness.lastAliveMicros(), state.startedMicros);
     }
 
     private static boolean hasWork(Machine machine) {
@@ -584,10 +585,10 @@
         if (machine.lifecycleKnown && !machine.reportedRecorded) {
             // No leader has heard it since it was rented; this one has waited for a report that may
             // be under way.
-            return world.nowMicros - machine.rentedMicros > patience
-                    && silentForMicros(machine) > 3 * world.settings.reportMicros();
+            return state.nowMicros - machine.rentedMicros > patience
+                    && silentForMicros(machine) > 3 * state.settings.heartbeatMicros();
         }
-        return world.nowMicros - Math.max(machine.rentedMicros, world.startedMicros) > patience;
+        return state.nowMicros - Math.max(machine.rentedMicros, state.startedMicros) > patience;
     }
 
     /**
@@ -598,8 +599,8 @@
         // In a zone that is cut off leases may be renewed by a node there, and the machines come
         // back with their work.
         long over =
-                world.delegationTimeouts.leaseExpiryMicros()
-                        + world.delegations.extraSilenceMicros(machine.zone, world.nowMicros);
+                state.delegationTimeouts.leaseExpiryMicros()
+                        + state.delegations.extraSilenceMicros(machine.zone, state.nowMicros);
         if (!machine.isKnownAlive() && !(machine.isEmpty() && machine.reportedRecorded)) {
             return !machine.isEmpty() && silentForMicros(machine) > over + 2_000_000;
         }
--- a/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
+++ b/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
@@ -21,7 +21,7 @@
     private static final long MAX_MICROS = 90_000_000;
     private static final long MARGIN_MICROS = 1_000_000;
 
-    private final SchedulerState world;
+    private final SchedulerState state;
     private final Predicate<Machine> missingFromList;
     private final Map<String, Long> sinceMicros = new HashMap<>();
 
@@ -29,8 +29,8 @@
      * @param unlisted true for machines of which the cloud tells that they are gone: their silence
      *     tells nothing of the zone
      */
-    PartitionedZones(SchedulerState world, Predicate<Machine> missingFromList) {
-        this.world = world;
+    PartitionedZones(SchedulerState state, Predicate<Machine> missingFromList) {
+        this.state = state;
         this.missingFromList = missingFromList;
     }
 
@@ -38,7 +38,7 @@
         Map<String, Integer> all = new HashMap<>();
         Map<String, Integer> silent = new HashMap<>();
         Set<String> connected = new HashSet<>();
-        for (Machine machine : world.machines.values()) {
+        for (Machine machine : state.machines.values()) {
             if ((machine.isKnownAlive() || machine.reportedRecorded)
                     && !machine.deleted
                     && !machine.decommissioning) {
@@ -54,8 +54,8 @@
         all.forEach(
                 (zone, count) -> {
                     if (count >= MIN_MACHINES && silent.get(zone) * 3 > count * 2) {
-                        if (sinceMicros.putIfAbsent(zone, world.nowMicros) == null) {
-                            world.log(
+                        if (sinceMicros.putIfAbsent(zone, state.nowMicros) == null) {
+                            state.log(
                                     LogEntry.info(LogEvent.ZONE_PARTITIONED)
                                             .with("zone", zone)
                                             .with("silent", silent.get(zone))
@@ -72,10 +72,10 @@
                             boolean over =
                                     connected.contains(partition.getKey())
                                             || !all.containsKey(partition.getKey())
-                                                    && world.nowMicros - partition.getValue()
+                                                    && state.nowMicros - partition.getValue()
                                                             > MAX_MICROS;
                             if (over) {
-                                world.log(
+                                state.log(
                                         LogEntry.info(LogEvent.ZONE_RECONNECTED)
                                                 .with("zone", partition.getKey()));
                             }
@@ -87,8 +87,8 @@
         // A worker finds a new leader within a lease.
         return silentForMicros(machine)
                 > (machine.isKnownAlive()
-                        ? 3 * world.settings.reportMicros() + MARGIN_MICROS
-                        : world.delegationTimeouts.leaseExpiryMicros());
+                        ? 3 * state.settings.heartbeatMicros() + MARGIN_MICROS
+                        : state.delegationTimeouts.leaseExpiryMicros());
     }
 
     /**
@@ -96,8 +96,8 @@
      * lease is over.
      */
     long silentForMicros(Machine machine) {
-        return world.nowMicros
-                - Math.max(machine.liveness.possiblyAliveMicros(), world.startedMicros);
+        return state.nowMicros
+                - Math.max(machine.liveness.possiblyAliveMicros(), state.startedMicros);
     }
 
     boolean isPartitioned(String zone) {
--- a/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
+++ b/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
@@ -25,7 +25,7 @@
     private static final int MAX_LOOKUPS = 12;
     private static final long LOOKUP_RETRY_MICROS = 500_000;
 
-    private final SchedulerState world;
+    private final SchedulerState state;
 
     /** The jobs that wait for each job, in the order in which they came. */
     private final Map<String, Set<Job>> dependents = new LinkedHashMap<>();
@@ -49,8 +49,8 @@
 
     private boolean changed;
 
-    public DependencyGraph(SchedulerState world) {
-        this.world = world;
+    public DependencyGraph(SchedulerState state) {
+        this.state = state;
     }
 
     public int blockedCount() {
@@ -63,7 +63,7 @@
             if (job.cancelled) {
                 onCancelled(job.jobId());
             } else if (job.persistence.isCompletionDurable()) {
-                onDone(job.jobId(), world.wallMicros);
+                onDone(job.jobId(), state.wallMicros);
             }
             changed = true;
         }
@@ -72,19 +72,19 @@
         }
         changed = true;
         unfinishedDependencies.put(job, new LinkedHashSet<>(job.description.dependencies()));
-        world.log(
+        state.log(
                 LogEntry.info(LogEvent.JOB_BLOCKED)
                         .with("job", job.jobId())
                         .with("dependencies", String.join(",", job.description.dependencies())));
         for (String before : job.description.dependencies()) {
             dependents.computeIfAbsent(before, jobId -> new LinkedHashSet<>()).add(job);
-            Job other = world.jobs.get(before);
+            Job other = state.jobs.get(before);
             if (other == null) {
-                unknown.putIfAbsent(before, world.nowMicros);
+                unknown.putIfAbsent(before, state.nowMicros);
             } else if (other.cancelled) {
                 onCancelled.add(before);
             } else if (other.persistence.isCompletionDurable()) {
-                onDone(before, world.wallMicros);
+                onDone(before, state.wallMicros);
             }
         }
     }
@@ -109,12 +109,12 @@
 
     private void unblock(Job job) {
         unfinishedDependencies.remove(job);
-        long at = Math.min(world.wallMicros, lastDone.remove(job));
-        job.unblock(world.nowMicros - (world.wallMicros - at), at);
-        world.jobArrivals++;
-        world.demand.add(job, world.nowMicros);
-        world.placementNeeded = true;
-        world.log(LogEntry.info(LogEvent.JOB_UNBLOCKED).with("job", job.jobId()));
+        long at = Math.min(state.wallMicros, lastDone.remove(job));
+        job.unblock(state.nowMicros - (state.wallMicros - at), at);
+        state.jobArrivals++;
+        state.demand.add(job, state.nowMicros);
+        state.placementNeeded = true;
+        state.log(LogEntry.info(LogEvent.JOB_UNBLOCKED).with("job", job.jobId()));
     }
 
     /** A job is cancelled, and the store says so: whatever needs it will never run. */
@@ -132,11 +132,11 @@
             return;
         }
         if (!outcomeKnown) {
-            unknown.put(job.jobId(), world.nowMicros);
+            unknown.put(job.jobId(), state.nowMicros);
         } else if (job.cancelled) {
             onCancelled(job.jobId());
         } else {
-            onDone(job.jobId(), world.wallMicros);
+            onDone(job.jobId(), state.wallMicros);
         }
     }
 
@@ -169,12 +169,12 @@
                     onDone(
                             jobId,
                             event.endedWallMicros() == 0
-                                    ? world.wallMicros
+                                    ? state.wallMicros
                                     : event.endedWallMicros());
             case CANCELLED -> onCancelled(jobId);
             case OPEN, NOT_FOUND, UNREADABLE -> {
-                if (!world.jobs.containsKey(jobId)) {
-                    unknown.put(jobId, world.nowMicros + LOOKUP_RETRY_MICROS);
+                if (!state.jobs.containsKey(jobId)) {
+                    unknown.put(jobId, state.nowMicros + LOOKUP_RETRY_MICROS);
                 }
             }
         }
@@ -191,7 +191,7 @@
                 if (!job.cancelled) {
                     job.cancelled = true;
                     job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
-                    world.log(
+                    state.log(
                             LogEntry.info(LogEvent.DEPENDENT_JOB_CANCELLED)
                                     .with("job", job.jobId())
                                     .with("dependency", jobId));
@@ -215,7 +215,7 @@
         }
         List<String> now = new ArrayList<>();
         for (Map.Entry<String, Long> entry : unknown.entrySet()) {
-            if (entry.getValue() <= world.nowMicros
+            if (entry.getValue() <= state.nowMicros
                     && resolving.size() + now.size() < MAX_LOOKUPS) {
                 now.add(entry.getKey());
             }
@@ -223,8 +223,8 @@
         for (String jobId : now) {
             unknown.remove(jobId);
             // A record that came meanwhile tells the rest by itself.
-            if (!world.jobs.containsKey(jobId) && resolving.add(jobId)) {
-                world.emit(new SchedulerAction.ResolveDependency(jobId));
+            if (!state.jobs.containsKey(jobId) && resolving.add(jobId)) {
+                state.emit(new SchedulerAction.ResolveDependency(jobId));
             }
         }
     }
@@ -262,17 +262,17 @@
                 }
                 ranks.merge(before, priority, (a, b) -> a.compareTo(b) >= 0 ? a : b);
                 dues.merge(before, start, Math::min);
-                Job other = world.jobs.get(before);
+                Job other = state.jobs.get(before);
                 if (other != null && unfinishedDependencies.containsKey(other)) {
                     open.add(other);
                 }
             }
         }
-        for (Job job : world.jobs.values()) {
+        for (Job job : state.jobs.values()) {
             job.inheritFromDependents(
                     ranks.getOrDefault(job.jobId(), job.description.priority()),
                     dues.getOrDefault(job.jobId(), Long.MAX_VALUE));
         }
-        world.placementNeeded = true;
+        state.placementNeeded = true;
     }
 }
--- a/src/main/java/org/woadloom/core/jobs/JobPersister.java
+++ b/src/main/java/org/woadloom/core/jobs/JobPersister.java
@@ -38,24 +38,24 @@
                                                     ? IMMEDIATE_AHEAD_MICROS
                                                     : 0));
 
-    private final SchedulerState world;
+    private final SchedulerState state;
     private final JobRegistry jobs;
 
-    public JobPersister(SchedulerState world, JobRegistry jobs) {
-        this.world = world;
+    public JobPersister(SchedulerState state, JobRegistry jobs) {
+        this.state = state;
         this.jobs = jobs;
     }
 
     public void emitWrites() {
         List<Job> due = new ArrayList<>();
         List<Job> replaced = new ArrayList<>();
-        world.jobsToPersist.removeIf(
+        state.jobsToPersist.removeIf(
                 job ->
                         job.finished
                                 || job.persistence.pendingReason
                                                 == PersistenceState.WriteReason.NONE
                                         && !job.persistence.readNeeded);
-        for (Job job : world.jobsToPersist) {
+        for (Job job : state.jobsToPersist) {
             PersistenceState persistence = job.persistence;
             if (persistence.isReplaced()) {
                 if (job.attempts().isEmpty()) {
@@ -63,14 +63,14 @@
                 }
                 continue;
             }
-            if (world.nowMicros < persistence.retryAtMicros) {
+            if (state.nowMicros < persistence.retryAtMicros) {
                 continue;
             }
             if (persistence.readNeeded) {
                 if (!persistence.readInFlight) {
                     persistence.readInFlight = true;
-                    persistence.retryAtMicros = world.nowMicros + RETRY_MICROS;
-                    world.emit(new SchedulerAction.ReadJob(job.jobId()));
+                    persistence.retryAtMicros = state.nowMicros + RETRY_MICROS;
+                    state.emit(new SchedulerAction.ReadJob(job.jobId()));
                 }
             } else if (persistence.versionInFlight == 0 && isDue(job)) {
                 due.add(job);
@@ -82,8 +82,8 @@
         }
         for (Job job : due) {
             if (job.isOver()
-                    ? world.writeBudget.allowsFinalState()
-                    : world.writeBudget.allowsJob()) {
+                    ? state.writeBudget.allowsFinalState()
+                    : state.writeBudget.allowsJob()) {
                 write(job);
             }
         }
@@ -92,26 +92,26 @@
     private void write(Job job) {
         PersistenceState persistence = job.persistence;
         if (job.isOver() && job.attempts().isEmpty()) {
-            world.writeBudget.takeJob(2);
+            state.writeBudget.takeJob(2);
             persistence.finalStateInFlight = true;
-            long version = persistence.beginWrite(world.nowMicros, job.isComplete());
-            world.emit(
+            long version = persistence.beginWrite(state.nowMicros, job.isComplete());
+            state.emit(
                     new SchedulerAction.WriteFinalState(
                             new FinalRecord(
                                     job.jobId(),
                                     job.cancelled,
                                     job.completedTasks.cardinality(),
-                                    world.wallMicros,
+                                    state.wallMicros,
                                     job.description.isService()),
                             persistence.revision,
                             version));
         } else {
-            world.writeBudget.takeJob(1);
+            state.writeBudget.takeJob(1);
             boolean urgent = persistence.pendingReason == PersistenceState.WriteReason.IMMEDIATE;
-            long version = persistence.beginWrite(world.nowMicros, job.isComplete());
-            world.emit(
+            long version = persistence.beginWrite(state.nowMicros, job.isComplete());
+            state.emit(
                     new SchedulerAction.WriteJob(
-                            job.toRecord(world.term, version), persistence.revision, urgent));
+                            job.toRecord(state.term, version), persistence.revision, urgent));
         }
     }
 
@@ -120,7 +120,7 @@
      * written later, as one.
      */
     private boolean isDue(Job job) {
-        long since = world.nowMicros - job.persistence.lastWriteMicros;
+        long since = state.nowMicros - job.persistence.lastWriteMicros;
         return switch (job.persistence.pendingReason) {
             case NONE -> false;
             case PHASE -> since >= PHASE_MICROS;
@@ -130,7 +130,7 @@
     }
 
     public void onWriteCompleted(SchedulerEvent.JobWriteCompleted result) {
-        Job job = world.jobs.get(result.jobId());
+        Job job = state.jobs.get(result.jobId());
         if (job == null) {
             return;
         }
@@ -144,7 +144,7 @@
                 job.releaseDurableAttempts();
                 jobs.onWriteAcknowledged(job);
                 if (finishing) {
-                    world.log(
+                    state.log(
                             LogEntry.info(
                                             job.cancelled
                                                     ? LogEvent.JOB_CANCELLED
@@ -159,7 +159,7 @@
                     // one.
                     persistence.readNeeded = true;
                     persistence.readInFlight = false;
-                    world.jobsToPersist.add(job);
+                    state.jobsToPersist.add(job);
                 }
             }
             case TOO_LARGE -> {
@@ -169,7 +169,7 @@
             }
             case NOT_WRITTEN -> {
                 if (persistence.versionInFlight == result.version()) {
-                    persistence.onWriteRefused(world.nowMicros + RETRY_MICROS);
+                    persistence.onWriteRefused(state.nowMicros + RETRY_MICROS);
                 }
             }
         }
@@ -181,7 +181,7 @@
      * at least as much as there is.
      */
     private void onRecordTooLarge(Job job) {
-        job.persistence.onWriteRefused(world.nowMicros + TOO_LARGE_MICROS);
+        job.persistence.onWriteRefused(state.nowMicros + TOO_LARGE_MICROS);
         int planned = 0;
         for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
             if (attempt.stage == TaskAttempt.Stage.PLANNED) {
@@ -190,9 +190,9 @@
             }
         }
         job.placeNotBeforeMicros =
-                Math.max(job.placeNotBeforeMicros, world.nowMicros + TOO_LARGE_MICROS);
-        world.placementNeeded = true;
-        world.log(
+                Math.max(job.placeNotBeforeMicros, state.nowMicros + TOO_LARGE_MICROS);
+        state.placementNeeded = true;
+        state.log(
                 LogEntry.info(LogEvent.JOB_RECORD_TOO_LARGE)
                         .with("job", job.jobId())
                         .with("waiting_tasks", planned));
@@ -200,10 +200,10 @@
 
     /** A read that got no answer is sent again. */
     public void onReadFailed(String jobId) {
-        Job job = world.jobs.get(jobId);
+        Job job = state.jobs.get(jobId);
         if (job != null && job.persistence.readNeeded) {
             job.persistence.readInFlight = false;
-            job.persistence.retryAtMicros = world.nowMicros + RETRY_MICROS;
+            job.persistence.retryAtMicros = state.nowMicros + RETRY_MICROS;
         }
     }
 }
--- a/src/main/java/org/woadloom/core/jobs/JobRegistry.java
+++ b/src/main/java/org/woadloom/core/jobs/JobRegistry.java
@@ -13,10 +13,10 @@
 
 /** Jobs as they are accepted, cancelled and read back. */
 public final class JobRegistry {
-    private final SchedulerState world;
+    private final SchedulerState state;
 
-    public JobRegistry(SchedulerState world) {
-        this.world = world;
+    public JobRegistry(SchedulerState state) {
+        this.state = state;
     }
 
     /** Takes over a job from its record: what the record names may be there. */
@@ -27,7 +27,7 @@
             return;
         }
         for (JobRecord.RecordedAttempt placed : record.attempts()) {
-            Machine machine = world.machines.get(placed.host());
+            Machine machine = state.machines.get(placed.host());
             if (machine == null) {
                 // A machine's record is dropped only after its deletion was answered, so nothing is
                 // left there.
@@ -38,7 +38,7 @@
                     i >= 0;
                     i = placed.tasks().nextSetBit(i + 1)) {
                 TaskAttempt attempt =
-                        new TaskAttempt(job, i, machine, placed.attempt(), 0, world.nowMicros);
+                        new TaskAttempt(job, i, machine, placed.attempt(), 0, state.nowMicros);
                 attempt.stage = TaskAttempt.Stage.RECOVERED;
                 job.add(attempt);
                 if (job.isOver() || job.completedTasks.get(i)) {
@@ -53,9 +53,9 @@
 
     /** A record that came from another node, from the watch or from a read. */
     public void onRecord(JobRecord record, long revision) {
-        Job job = world.jobs.get(record.description().jobId());
+        Job job = state.jobs.get(record.description().jobId());
         if (job == null) {
-            if (record.term() < world.term && record.attempts().isEmpty()) {
+            if (record.term() < state.term && record.attempts().isEmpty()) {
                 Job created = create(record, revision);
                 if (created != null) {
                     if (created.isOver()) {
@@ -63,7 +63,7 @@
                     }
                     logAccepted(record.description());
                 }
-                world.placementNeeded = true;
+                state.placementNeeded = true;
             }
             return;
         }
@@ -72,7 +72,7 @@
         if (revision < persistence.revision) {
             return;
         }
-        if (record.term() == world.term && record.version() > persistence.durableVersion) {
+        if (record.term() == state.term && record.version() > persistence.durableVersion) {
             // One of this term's own writes: it is durable, whatever became of the answer.
             persistence.durableVersion = record.version();
             job.releaseDurableAttempts();
@@ -93,11 +93,11 @@
      * place.
      */
     public void onDamagedRecord(SchedulerEvent.JobRecordDamaged event) {
-        Job job = world.jobs.get(event.jobId());
+        Job job = state.jobs.get(event.jobId());
         if (job == null || event.revision() < job.persistence.revision) {
             return;
         }
-        world.log(LogEntry.info(LogEvent.JOB_RECORD_DAMAGED).with("job", job.jobId()));
+        state.log(LogEntry.info(LogEvent.JOB_RECORD_DAMAGED).with("job", job.jobId()));
         job.persistence.revision = event.revision();
         if (event.cancelled() && !job.cancelled) {
             cancel(job);
@@ -115,7 +115,7 @@
      */
     public void onCancellationsConfirmed(List<String> jobIds) {
         for (String jobId : jobIds) {
-            Job job = world.jobs.get(jobId);
+            Job job = state.jobs.get(jobId);
             if (job != null && !job.cancelled) {
                 cancel(job);
             }
@@ -128,22 +128,22 @@
      * start on a guess, and what may be on machines counts until it is not.
      */
     public void onRecordNotFound(String jobId) {
-        Job job = world.jobs.get(jobId);
+        Job job = state.jobs.get(jobId);
         if (job == null || !job.persistence.readNeeded || !job.persistence.readInFlight) {
             return;
         }
-        world.serviceLevels.observe(job);
+        state.serviceLevels.observe(job);
         stopAll(job);
         if (job.attempts().isEmpty()) {
             onFinished(job, false);
         } else {
-            world.log(
+            state.log(
                     LogEntry.info(LogEvent.JOB_ENDED_ELSEWHERE)
                             .with("job", jobId)
                             .with("tasks", job.attempts().size()));
             job.cancelled = true;
             job.persistence.onReplaced();
-            world.placementNeeded = true;
+            state.placementNeeded = true;
         }
     }
 
@@ -159,14 +159,14 @@
             job.remove(attempt);
         }
         job.finished = true;
-        world.jobs.remove(job.jobId());
-        world.serviceLevels.onJobEnded(job);
-        world.dependencies.onJobRemoved(job, outcomeKnown);
-        world.placementNeeded = true;
+        state.jobs.remove(job.jobId());
+        state.serviceLevels.onJobEnded(job);
+        state.dependencies.onJobRemoved(job, outcomeKnown);
+        state.placementNeeded = true;
     }
 
     private void logAccepted(JobDescription job) {
-        world.log(
+        state.log(
                 LogEntry.info(LogEvent.JOB_ACCEPTED)
                         .with("job", job.jobId())
                         .with("team", job.team())
@@ -177,47 +177,47 @@
     }
 
     private Job create(JobRecord record, long revision) {
-        TeamQuota team = world.teams.get(record.description().team());
+        TeamQuota team = state.teams.get(record.description().team());
         if (team == null) {
-            world.log(
+            state.log(
                     LogEntry.info(LogEvent.JOB_TEAM_UNKNOWN)
                             .with("job", record.description().jobId())
                             .with("team", record.description().team()));
             return null;
         }
-        long age = Math.max(0, world.wallMicros - record.submittedWallMicros());
-        Job job = new Job(record, revision, team, world.nowMicros - age, world.jobsToPersist);
-        world.jobs.put(job.jobId(), job);
-        world.serviceLevels.onJobAdded(job);
-        world.jobArrivals++;
+        long age = Math.max(0, state.wallMicros - record.submittedWallMicros());
+        Job job = new Job(record, revision, team, state.nowMicros - age, state.jobsToPersist);
+        state.jobs.put(job.jobId(), job);
+        state.serviceLevels.onJobAdded(job);
+        state.jobArrivals++;
         if (record.isComplete()) {
             job.persistence.onReadAsComplete();
         }
         if (!job.isBlocked()) {
-            world.demand.add(job, world.nowMicros);
+            state.demand.add(job, state.nowMicros);
         }
-        world.dependencies.onJobAdded(job);
+        state.dependencies.onJobAdded(job);
         return job;
     }
 
     /** To be called when a write was acknowledged: what waits for a job that is done may go on. */
     void onWriteAcknowledged(Job job) {
         if (job.persistence.isCompletionDurable()) {
-            world.dependencies.onDone(job.jobId(), world.wallMicros);
+            state.dependencies.onDone(job.jobId(), state.wallMicros);
         }
     }
 
     private void cancel(Job job) {
-        world.serviceLevels.observe(job);
+        state.serviceLevels.observe(job);
         job.cancelled = true;
-        job.cancelledSinceMicros = world.cancellationsReadUpToMicros;
-        world.log(LogEntry.info(LogEvent.JOB_CANCEL_REQUESTED).with("job", job.jobId()));
-        world.dependencies.onCancelled(job.jobId());
+        job.cancelledSinceMicros = state.cancellationsReadUpToMicros;
+        state.log(LogEntry.info(LogEvent.JOB_CANCEL_REQUESTED).with("job", job.jobId()));
+        state.dependencies.onCancelled(job.jobId());
         stopAll(job);
         if (job.attempts().isEmpty()) {
             job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
         }
-        world.placementNeeded = true;
+        state.placementNeeded = true;
     }
 
     /** Stops everything of a job that is over. What was never sent is gone at once. */
--- a/src/main/java/org/woadloom/core/machines/AgentProber.java
+++ b/src/main/java/org/woadloom/core/machines/AgentProber.java
@@ -21,13 +21,13 @@
 public final class AgentProber {
     private static final int MAX_PROBES = 16;
 
-    private final SchedulerState world;
+    private final SchedulerState state;
     private final TaskLossHandler taskLosses;
     private final Set<String> unreachableCount = new HashSet<>();
     private final Set<Machine> probed = new HashSet<>();
 
-    public AgentProber(SchedulerState world, TaskLossHandler taskLosses) {
-        this.world = world;
+    public AgentProber(SchedulerState state, TaskLossHandler taskLosses) {
+        this.state = state;
         this.taskLosses = taskLosses;
     }
 
@@ -35,12 +35,12 @@
         probed.removeIf(
                 machine -> machine.commandInFlight == 0 && !machine.tokenDue() || machine.deleted);
         List<Machine> silent = new ArrayList<>();
-        for (Machine machine : world.machines.values()) {
+        for (Machine machine : state.machines.values()) {
             if (machine.deleted) {
                 unreachableCount.remove(machine.host);
                 continue;
             }
-            if (machine.liveness.isSuspect(world.nowMicros) && !machine.isEmpty()) {
+            if (machine.liveness.isSuspect(state.nowMicros) && !machine.isEmpty()) {
                 withdrawUnsentTasks(machine);
             }
             logReachability(machine);
@@ -70,20 +70,20 @@
 
     private void logReachability(Machine machine) {
         AgentLiveness liveness = machine.liveness;
-        if (liveness.isUnreachable(world.nowMicros)) {
+        if (liveness.isUnreachable(state.nowMicros)) {
             if (unreachableCount.add(machine.host)) {
-                world.log(
+                state.log(
                         LogEntry.info(LogEvent.MACHINE_UNREACHABLE)
                                 .with("machine", machine.host)
                                 .with("zone", machine.zone)
                                 .withSeconds(
                                         "unacknowledged_s",
-                                        liveness.unacknowledgedForMicros(world.nowMicros)));
+                                        liveness.unacknowledgedForMicros(state.nowMicros)));
             }
         } else if (!unreachableCount.isEmpty()
                 && liveness.hasAcknowledgedToken()
                 && unreachableCount.remove(machine.host)) {
-            world.log(
+            state.log(
                     LogEntry.info(LogEvent.MACHINE_REACHABLE)
                             .with("machine", machine.host)
                             .with("zone", machine.zone));
@@ -96,11 +96,11 @@
      */
     private boolean isSilent(Machine machine) {
         boolean known = machine.isKnownAlive() || machine.reportedRecorded || !machine.isEmpty();
-        long since = Math.max(machine.liveness.lastHeartbeatMicros(), world.startedMicros);
+        long since = Math.max(machine.liveness.lastHeartbeatMicros(), state.startedMicros);
         return known
                 && !machine.decommissioning
                 && !machine.address.isEmpty()
-                && world.nowMicros - since > world.livenessTimeouts.freshMicros();
+                && state.nowMicros - since > state.livenessTimeouts.freshMicros();
     }
 
     private void probe(List<Machine> silent) {
@@ -110,12 +110,12 @@
         silent.sort(Comparator.comparingLong((Machine machine) -> machine.lastProbeMicros));
         for (Machine machine : silent) {
             if (probed.size() >= MAX_PROBES
-                    || world.nowMicros - machine.lastProbeMicros
-                            < world.settings.leaseMicros() / 2) {
+                    || state.nowMicros - machine.lastProbeMicros
+                            < state.settings.leaseMicros() / 2) {
                 return;
             }
-            if (machine.commandInFlight == 0 && machine.acceptsDirectCommands(world.nowMicros)) {
-                machine.lastProbeMicros = world.nowMicros;
+            if (machine.commandInFlight == 0 && machine.acceptsDirectCommands(state.nowMicros)) {
+                machine.lastProbeMicros = state.nowMicros;
                 machine.liveness.requireAcknowledgement();
                 machine.requestToken();
                 probed.add(machine);
--- a/src/main/java/org/woadloom/core/machines/DirectCommands.java
+++ b/src/main/java/org/woadloom/core/machines/DirectCommands.java
@@ -19,7 +19,7 @@
     private static final int NOT_SENT = -1;
     private static final long PAUSE_MICROS = 2_000_000;
 
-    private final SchedulerState world;
+    private final SchedulerState state;
     private final HeartbeatHandler heartbeats;
     private final TaskLossHandler taskLosses;
     private final Map<Long, Sent> sent = new HashMap<>();
@@ -28,19 +28,19 @@
     private record Sent(List<TaskAttempt> starts, long sentMicros) {}
 
     public DirectCommands(
-            SchedulerState world, HeartbeatHandler heartbeats, TaskLossHandler taskLosses) {
-        this.world = world;
+            SchedulerState state, HeartbeatHandler heartbeats, TaskLossHandler taskLosses) {
+        this.state = state;
         this.heartbeats = heartbeats;
         this.taskLosses = taskLosses;
     }
 
     public void emitCommands() {
-        for (Machine machine : List.copyOf(world.machinesWithPendingCommands)) {
+        for (Machine machine : List.copyOf(state.machinesWithPendingCommands)) {
             if (machine.deleted) {
-                world.machinesWithPendingCommands.remove(machine);
+                state.machinesWithPendingCommands.remove(machine);
             } else if (machine.commandInFlight == 0
                     && !machine.address.isEmpty()
-                    && machine.acceptsDirectCommands(world.nowMicros)
+                    && machine.acceptsDirectCommands(state.nowMicros)
                     && machine.liveness.incarnation() >= machine.liveness.minIncarnation()) {
                 send(machine);
             }
@@ -63,7 +63,7 @@
                 } else if (attempt.isStopping()
                         && !attempt.wasNeverSent()
                         && attempt.stopSentMicros < 0) {
-                    attempt.stopSentMicros = world.nowMicros;
+                    attempt.stopSentMicros = state.nowMicros;
                     // Halts come first, so that the room they free is there for the launches.
                     commands.add(
                             0,
@@ -73,32 +73,32 @@
             }
         }
         if (all) {
-            world.machinesWithPendingCommands.remove(machine);
+            state.machinesWithPendingCommands.remove(machine);
         }
         boolean tokenDue = machine.takeTokenDue();
         if (commands.isEmpty() && !tokenDue) {
             return;
         }
-        long id = world.newCommandId();
+        long id = state.newCommandId();
         machine.commandInFlight = id;
         for (TaskAttempt attempt : starts) {
             attempt.stage = Stage.SENT;
             attempt.startToken = machine.liveness.fencingToken();
         }
-        sent.put(id, new Sent(starts, world.nowMicros));
-        world.emit(
+        sent.put(id, new Sent(starts, state.nowMicros));
+        state.emit(
                 new SchedulerAction.SendDirectCommand(
                         id,
                         machine.host,
                         machine.address,
-                        machine.liveness.issueToken(world.nowMicros),
+                        machine.liveness.issueToken(state.nowMicros),
                         machine.liveness.incarnation(),
                         commands));
     }
 
     public void onCompleted(SchedulerEvent.DirectCommandCompleted result) {
         Sent command = sent.remove(result.commandId());
-        Machine machine = world.machines.get(result.host());
+        Machine machine = state.machines.get(result.host());
         if (machine == null || command == null) {
             return;
         }
@@ -128,7 +128,7 @@
                 }
             }
             machine.directRetryAtMicros =
-                    world.nowMicros + (result.status() == 409 ? 100_000 : PAUSE_MICROS);
+                    state.nowMicros + (result.status() == 409 ? 100_000 : PAUSE_MICROS);
         } else {
             onNoAnswer(machine, starts);
         }
@@ -151,9 +151,9 @@
      */
     private void onNoAnswer(Machine machine, List<TaskAttempt> starts) {
         machine.directRetryAtMicros =
-                world.nowMicros
-                        + (machine.liveness.isUnreachable(world.nowMicros)
-                                ? world.settings.leaseMicros() / 2
+                state.nowMicros
+                        + (machine.liveness.isUnreachable(state.nowMicros)
+                                ? state.settings.leaseMicros() / 2
                                 : PAUSE_MICROS);
         for (TaskAttempt attempt : starts) {
             if (attempt.stage == Stage.SENT) {
@@ -163,7 +163,7 @@
         if (!starts.isEmpty()) {
             machine.liveness.raiseFence();
             machine.requestToken();
-            world.log(
+            state.log(
                     LogEntry.info(LogEvent.DIRECT_COMMAND_UNANSWERED)
                             .with("machine", machine.host)
                             .with("starts", starts.size()));
--- a/src/main/java/org/woadloom/core/machines/HeartbeatHandler.java
+++ b/src/main/java/org/woadloom/core/machines/HeartbeatHandler.java
@@ -30,7 +30,7 @@
     /** On so many machines a job without fault may have failed. */
     private static final int MAX_FAULTY_MACHINES = 2;
 
-    private final SchedulerState world;
+    private final SchedulerState state;
     private final MachineRegistry machines;
     private final TaskLossHandler taskLosses;
 
@@ -45,8 +45,8 @@
     private record Exit(TaskId task, long attempt) {}
 
     public HeartbeatHandler(
-            SchedulerState world, MachineRegistry machines, TaskLossHandler taskLosses) {
-        this.world = world;
+            SchedulerState state, MachineRegistry machines, TaskLossHandler taskLosses) {
+        this.state = state;
         this.machines = machines;
         this.taskLosses = taskLosses;
     }
@@ -65,13 +65,13 @@
         if (hasSeenLaterTerm(machine, heartbeat)) {
             return;
         }
-        if (!machine.liveness.awaitsAnswerTo(heartbeat, world.nowMicros)) {
+        if (!machine.liveness.awaitsAnswerTo(heartbeat, state.nowMicros)) {
             // Nobody waits for this answer; if somebody did, it would renew a lease that counts as
             // running out.
-            world.emit(new SchedulerAction.RejectHeartbeat(event.requestId()));
+            state.emit(new SchedulerAction.RejectHeartbeat(event.requestId()));
             return;
         }
-        machine.lastAnsweredMicros = world.nowMicros;
+        machine.lastAnsweredMicros = state.nowMicros;
         MessageAge age = apply(machine, heartbeat, AgentLiveness.NEVER);
         List<TaskCommand> commands =
                 age != MessageAge.DUPLICATE ? commandsFor(machine, heartbeat) : List.of();
@@ -81,9 +81,9 @@
         if (age != MessageAge.DUPLICATE && !machine.liveness.hasAcknowledgedToken()) {
             machine.requestToken();
         }
-        world.emit(
+        state.emit(
                 new SchedulerAction.AnswerHeartbeat(
-                        event.requestId(), machine.liveness.issueToken(world.nowMicros), commands));
+                        event.requestId(), machine.liveness.issueToken(state.nowMicros), commands));
     }
 
     /**
@@ -94,11 +94,11 @@
         if (heartbeat.fencingToken() <= machine.liveness.fencingToken()) {
             return false;
         }
-        if (heartbeat.fencingToken() >> AgentLiveness.FENCE_BITS == world.term) {
+        if (heartbeat.fencingToken() >> AgentLiveness.FENCE_BITS == state.term) {
             machine.liveness.advanceFencePast(heartbeat.fencingToken());
             return false;
         }
-        world.emit(
+        state.emit(
                 new SchedulerAction.StepDown(
                         "worker "
                                 + heartbeat.host()
@@ -118,7 +118,7 @@
         MessageAge age =
                 machine.deleted
                         ? MessageAge.DUPLICATE
-                        : liveness.classify(heartbeat, sinceMicros, world.nowMicros);
+                        : liveness.classify(heartbeat, sinceMicros, state.nowMicros);
         if (age == MessageAge.DUPLICATE) {
             return age;
         }
@@ -126,23 +126,23 @@
         boolean newSession =
                 liveness.incarnation() > 0 && heartbeat.incarnation() > liveness.incarnation();
         boolean first = !machine.hasAcknowledgedTerm();
-        boolean wasSuspect = liveness.isSuspect(world.nowMicros);
+        boolean wasSuspect = liveness.isSuspect(state.nowMicros);
         boolean wasNeverAlive = !machine.isKnownAlive();
-        liveness.accept(heartbeat, age, sinceMicros, world.nowMicros);
+        liveness.accept(heartbeat, age, sinceMicros, state.nowMicros);
         if (first && machine.hasAcknowledgedTerm()) {
-            world.placementNeeded = true;
-            machine.lastAnsweredMicros = Math.max(machine.lastAnsweredMicros, world.nowMicros);
+            state.placementNeeded = true;
+            machine.lastAnsweredMicros = Math.max(machine.lastAnsweredMicros, state.nowMicros);
         }
         if (wasNeverAlive && machine.isKnownAlive()) {
             machine.confirmExistence();
-            machine.idleSinceMicros = world.nowMicros;
-            world.log(
+            machine.idleSinceMicros = state.nowMicros;
+            state.log(
                     LogEntry.info(LogEvent.MACHINE_UP)
                             .with("machine", machine.host)
                             .with("zone", machine.zone));
         }
-        if (wasSuspect && !liveness.isSuspect(world.nowMicros)) {
-            world.placementNeeded = true;
+        if (wasSuspect && !liveness.isSuspect(state.nowMicros)) {
+            state.placementNeeded = true;
         }
         if (newSession || first) {
             machine.markPendingCommands();
@@ -150,21 +150,21 @@
         machine.address = heartbeat.address();
         if (heartbeat.spotNoticeMicros() >= 0 && age == MessageAge.FRESH) {
             if (machine.spotTerminationMicros < 0) {
-                world.log(
+                state.log(
                         LogEntry.info(LogEvent.SPOT_NOTICE)
                                 .with("machine", machine.host)
                                 .withSeconds("notice_s", heartbeat.spotNoticeMicros()));
             }
-            machine.spotTerminationMicros = world.nowMicros + heartbeat.spotNoticeMicros();
+            machine.spotTerminationMicros = state.nowMicros + heartbeat.spotNoticeMicros();
         }
         if (newSession) {
             // The new session's lease runs from its start, which may be later than our last answer:
             // a session that is
             // first seen in the body of a direct command has not been answered at all.
-            machine.lastAnsweredMicros = Math.max(machine.lastAnsweredMicros, world.nowMicros);
+            machine.lastAnsweredMicros = Math.max(machine.lastAnsweredMicros, state.nowMicros);
             onNewSession(machine);
             // It may have ended because nothing reaches the worker any more.
-            liveness.suspect(world.nowMicros);
+            liveness.suspect(state.nowMicros);
         }
         List<TaskStatus> tasks = heartbeat.tasks();
         TaskAttempt[] listed = new TaskAttempt[tasks.size()];
@@ -211,7 +211,7 @@
     }
 
     private TaskAttempt findAttempt(Machine machine, TaskStatus task) {
-        Job job = world.jobs.get(task.task().jobId());
+        Job job = state.jobs.get(task.task().jobId());
         TaskAttempt attempt = job == null ? null : job.attempt(task.task().index());
         return attempt != null && attempt.machine == machine && attempt.attempt == task.attempt()
                 ? attempt
@@ -225,7 +225,7 @@
         Machine machine = attempt.machine;
         if (task.state() == TaskStatus.State.RUNNING
                 && attempt.reportedState != TaskStatus.State.RUNNING) {
-            attempt.runningSinceMicros = world.nowMicros;
+            attempt.runningSinceMicros = state.nowMicros;
             attempt.job.persistence.requestWrite(PersistenceState.WriteReason.PHASE);
         }
         if (task.state() == TaskStatus.State.RUNNING) {
@@ -262,7 +262,7 @@
                 }
             }
             case RECOVERED -> {
-                if (heartbeat.fencingToken() >> AgentLiveness.FENCE_BITS == world.term) {
+                if (heartbeat.fencingToken() >> AgentLiveness.FENCE_BITS == state.term) {
                     taskLosses.onLost(attempt, "not found by the new leader");
                 }
             }
@@ -277,7 +277,7 @@
         Job job = attempt.job;
         Machine machine = attempt.machine;
         boolean service = job.description.isService();
-        world.log(
+        state.log(
                 LogEntry.debug(LogEvent.TASK_EXITED)
                         .with("task", attempt.task())
                         .with("attempt", attempt.attempt)
@@ -288,15 +288,15 @@
         } else if (task.exitReason() == TaskStatus.ExitReason.ERROR) {
             onTaskFailed(job, machine);
         } else if (task.exitReason() == TaskStatus.ExitReason.UNKNOWN_TASK) {
-            job.placeNotBeforeMicros = world.nowMicros + ERROR_BACKOFF_MICROS;
+            job.placeNotBeforeMicros = state.nowMicros + ERROR_BACKOFF_MICROS;
         } else if (task.exitReason() == TaskStatus.ExitReason.INSUFFICIENT_RESOURCES
                 || task.exitReason() == TaskStatus.ExitReason.ALREADY_RUNNING) {
-            world.log(
+            state.log(
                     LogEntry.info(LogEvent.TASK_REFUSED)
                             .with("task", attempt.task())
                             .with("machine", machine.host)
                             .with("reason", task.exitReason()));
-            machine.refusesUntilMicros = world.nowMicros + ERROR_BACKOFF_MICROS;
+            machine.refusesUntilMicros = state.nowMicros + ERROR_BACKOFF_MICROS;
         }
         if (!task.wasRefused()) {
             machine.images.touch(
@@ -314,29 +314,29 @@
     private void onTaskFailed(Job job, Machine machine) {
         job.failures++;
         job.failedOn.add(machine.host);
-        machine.failedJobs.put(job.jobId(), world.nowMicros);
+        machine.failedJobs.put(job.jobId(), state.nowMicros);
         // Failures of several jobs point at the machine; those of a job that fails on many machines
         // point at the job alone.
         machine.failedJobs
                 .entrySet()
                 .removeIf(
                         failure ->
-                                world.nowMicros - failure.getValue() > 60_000_000
-                                        || world.jobs.containsKey(failure.getKey())
-                                                && world.jobs.get(failure.getKey()).failedOn.size()
+                                state.nowMicros - failure.getValue() > 60_000_000
+                                        || state.jobs.containsKey(failure.getKey())
+                                                && state.jobs.get(failure.getKey()).failedOn.size()
                                                         > MAX_FAULTY_MACHINES);
         boolean machineAtFault = machine.failedJobs.size() >= 2;
-        if (machineAtFault && machine.quarantinedUntilMicros < world.nowMicros) {
+        if (machineAtFault && machine.quarantinedUntilMicros < state.nowMicros) {
             machine.quarantinedUntilMicros =
-                    world.nowMicros + world.settings.operator().quarantineMicros();
-            world.log(
+                    state.nowMicros + state.settings.operator().quarantineMicros();
+            state.log(
                     LogEntry.info(LogEvent.MACHINE_QUARANTINED)
                             .with("machine", machine.host)
                             .with("failed_jobs", machine.failedJobs.size()));
         }
         if (job.failedOn.size() > 1) {
             long pause = ERROR_BACKOFF_MICROS << Math.min(6, job.failures);
-            job.placeNotBeforeMicros = world.nowMicros + Math.min(MAX_BACKOFF_MICROS, pause);
+            job.placeNotBeforeMicros = state.nowMicros + Math.min(MAX_BACKOFF_MICROS, pause);
         }
     }
 
@@ -348,7 +348,7 @@
         if (known != null && known.containsKey(new Exit(task.task(), task.attempt()))) {
             return;
         }
-        Job job = world.jobs.get(task.task().jobId());
+        Job job = state.jobs.get(task.task().jobId());
         int index = task.task().index();
         if (job != null
                 && index < job.description.taskCount()
@@ -384,7 +384,7 @@
         Map<Exit, Long> stillListed = exits.isEmpty() ? Map.of() : new HashMap<>();
         for (TaskStatus task : heartbeat.tasks()) {
             if (task.state() == TaskStatus.State.EXITED) {
-                Job job = world.jobs.get(task.task().jobId());
+                Job job = state.jobs.get(task.task().jobId());
                 Exit exit = new Exit(task.task(), task.attempt());
                 Long version = exits.get(exit);
                 if (version != null) {
@@ -405,8 +405,8 @@
         // in time.
         boolean launches =
                 machine.hasAcknowledgedTerm()
-                        && !machine.acceptsDirectCommands(world.nowMicros)
-                        && !machine.liveness.isSuspect(world.nowMicros);
+                        && !machine.acceptsDirectCommands(state.nowMicros)
+                        && !machine.liveness.isSuspect(state.nowMicros);
         for (TaskAttempt attempt : machine.attempts()) {
             if (commands.size() >= MAX_COMMANDS) {
                 break;
@@ -427,6 +427,6 @@
 
     /** Drops what is kept for machines that are no longer known. */
     public void forget() {
-        acknowledgeAfterVersion.keySet().retainAll(world.machines.keySet());
+        acknowledgeAfterVersion.keySet().retainAll(state.machines.keySet());
     }
 }
--- a/src/main/java/org/woadloom/core/machines/Machine.java
+++ b/src/main/java/org/woadloom/core/machines/Machine.java
@@ -20,7 +20,7 @@
     public final String machineType;
     public final String zone;
     public final boolean spot;
-    private final SchedulerState world;
+    private final SchedulerState state;
 
     /** What the worker has said, and whether it hears us. */
     public final AgentLiveness liveness;
@@ -101,26 +101,26 @@
 
     private int stoppingTasks;
 
-    public Machine(MachineRecord record, SchedulerState world) {
+    public Machine(MachineRecord record, SchedulerState state) {
         this.host = record.host();
         this.machineType = record.machineType();
         this.zone = record.zone();
         this.spot = record.spot();
         this.decommissioning = record.decommissioning();
         this.decommissioningRecorded = record.decommissioning();
-        this.world = world;
-        this.firstSeenMicros = world.nowMicros;
-        this.liveness = new AgentLiveness(world.term, world.minFence, world.livenessTimeouts);
+        this.state = state;
+        this.firstSeenMicros = state.nowMicros;
+        this.liveness = new AgentLiveness(state.term, state.minFence, state.livenessTimeouts);
         this.lifecycleKnown = record.lifecycle() != null;
         this.reportedRecorded = lifecycleKnown && record.lifecycle().hasReported();
         // By another node's time of day, which may be ahead of ours.
         this.rentedMicros =
-                world.nowMicros
+                state.nowMicros
                         - (lifecycleKnown
                                 ? Math.max(
-                                        0, world.wallMicros - record.lifecycle().rentedWallMicros())
+                                        0, state.wallMicros - record.lifecycle().rentedWallMicros())
                                 : 0);
-        this.idleSinceMicros = world.nowMicros;
+        this.idleSinceMicros = state.nowMicros;
     }
 
     /** The machine exists, or did: it is recorded, and returned if need be. */
@@ -137,12 +137,12 @@
 
     /** There may be something to send to the worker. */
     public void markPendingCommands() {
-        world.machinesWithPendingCommands.add(this);
+        state.machinesWithPendingCommands.add(this);
     }
 
     /** There may be something to write of the machine, or to do about its going. */
     void markForPersistence() {
-        world.machinesToPersist.add(this);
+        state.machinesToPersist.add(this);
     }
 
     /** The machine is to be given back, once nothing is on it. */
@@ -158,9 +158,9 @@
                 zone,
                 spot,
                 decommissioning,
-                world.recordsMachineLifecycle
+                state.recordsMachineLifecycle
                         ? new MachineRecord.Lifecycle(
-                                world.wallMicros - (world.nowMicros - rentedMicros),
+                                state.wallMicros - (state.nowMicros - rentedMicros),
                                 isKnownAlive() || reportedRecorded)
                         : null);
     }
--- a/src/main/java/org/woadloom/core/machines/MachineRegistry.java
+++ b/src/main/java/org/woadloom/core/machines/MachineRegistry.java
@@ -26,7 +26,7 @@
      */
     private static final int MAX_CONCURRENT_DELETIONS = 2;
 
-    private final SchedulerState world;
+    private final SchedulerState state;
     private final TaskLossHandler taskLosses;
 
     /**
@@ -35,8 +35,8 @@
      */
     private int deletionsInFlight;
 
-    public MachineRegistry(SchedulerState world, TaskLossHandler taskLosses) {
-        this.world = world;
+    public MachineRegistry(SchedulerState state, TaskLossHandler taskLosses) {
+        this.state = state;
         this.taskLosses = taskLosses;
     }
 
@@ -60,35 +60,35 @@
      * and no part in anything.
      */
     public Machine findOrCreate(MachineRecord record) {
-        Machine machine = world.machines.get(record.host());
+        Machine machine = state.machines.get(record.host());
         return machine != null ? machine : create(record);
     }
 
     private Machine create(MachineRecord record) {
-        Machine machine = new Machine(record, world);
-        world.machines.put(machine.host, machine);
+        Machine machine = new Machine(record, state);
+        state.machines.put(machine.host, machine);
         setType(machine);
         return machine;
     }
 
     public void onMachineTypes(List<MachineType> types) {
         for (MachineType type : types) {
-            world.machineTypes.put(type.name(), type);
+            state.machineTypes.put(type.name(), type);
         }
-        for (Machine machine : world.machines.values()) {
+        for (Machine machine : state.machines.values()) {
             setType(machine);
         }
-        world.placementNeeded = true;
+        state.placementNeeded = true;
     }
 
     private void setType(Machine machine) {
-        machine.type = world.machineTypes.get(machine.machineType);
+        machine.type = state.machineTypes.get(machine.machineType);
         machine.setCapacity(machine.type == null ? Resources.NONE : Resources.of(machine.type));
     }
 
     public void onMachinesListed(List<ListedMachine> machines) {
         for (ListedMachine listed : machines) {
-            Machine machine = world.machines.get(listed.host());
+            Machine machine = state.machines.get(listed.host());
             if (machine == null || !machine.isConfirmed()) {
                 machine =
                         adopt(
@@ -98,20 +98,20 @@
                                         listed.zone(),
                                         listed.spot(),
                                         false));
-                world.log(
+                state.log(
                         LogEntry.info(LogEvent.MACHINE_DISCOVERED)
                                 .with("machine", machine.host)
                                 .with("zone", machine.zone));
             }
             // A new leader learns here for how long its machines have been paid for.
             machine.rentedMicros =
-                    Math.min(machine.rentedMicros, world.nowMicros - listed.rentedForMicros());
+                    Math.min(machine.rentedMicros, state.nowMicros - listed.rentedForMicros());
             if (listed.failed() && !machine.decommissioning) {
                 // A failed machine stays listed until it is deleted, and the deletion's answer is
                 // the proof we need.
                 machine.decommission();
                 machine.listedAsFailed = true;
-                world.log(
+                state.log(
                         LogEntry.info(LogEvent.MACHINE_FAILED)
                                 .with("machine", machine.host)
                                 .with("zone", machine.zone));
@@ -124,26 +124,26 @@
 
     /** A node tells how it stands, and gets a warrant for the zone that it is in. */
     public void onPeerStatus(SchedulerEvent.PeerStatusReceived event) {
-        world.cancellationsReadUpToMicros =
-                Math.max(world.cancellationsReadUpToMicros, event.cancellationsReadUpToMicros());
-        String zone = world.settings.nodes().get(event.node());
+        state.cancellationsReadUpToMicros =
+                Math.max(state.cancellationsReadUpToMicros, event.cancellationsReadUpToMicros());
+        String zone = state.settings.nodes().get(event.node());
         LeaseDelegation delegation =
                 zone == null
                         ? null
-                        : world.delegations.onPeerStatus(
+                        : state.delegations.onPeerStatus(
                                 event.node(),
                                 event.status(),
                                 cancellationsAppliedMicros(zone),
-                                world.nowMicros);
+                                state.nowMicros);
         if (delegation != null) {
-            world.emit(new SchedulerAction.DelegateLeases(event.node(), delegation));
+            state.emit(new SchedulerAction.DelegateLeases(event.node(), delegation));
         }
     }
 
     /** Up to this moment every cancellation has been carried out in the zone. */
     private long cancellationsAppliedMicros(String zone) {
-        long appliedMicros = world.cancellationsReadUpToMicros;
-        for (Job job : world.jobs.values()) {
+        long appliedMicros = state.cancellationsReadUpToMicros;
+        for (Job job : state.jobs.values()) {
             if (job.cancelled && job.attemptsInZone(zone) > 0) {
                 appliedMicros = Math.min(appliedMicros, job.cancelledSinceMicros);
             }
@@ -154,7 +154,7 @@
     public void emitWrites() {
         List<String> delete = new ArrayList<>();
         // A machine that is up can take tasks as soon as its record is there; the others have time.
-        world.machinesToPersist.removeIf(
+        state.machinesToPersist.removeIf(
                 machine ->
                         machine.deleted
                                 ? !machine.recorded && !machine.writing && !machine.reading
@@ -162,36 +162,36 @@
                                         && !machine.reading
                                         && !machine.decommissioning
                                         && !machine.rewriteNeeded);
-        for (Machine machine : world.machinesToPersist) {
+        for (Machine machine : state.machinesToPersist) {
             if (machine.isKnownAlive()
                     && !machine.recorded
                     && !machine.deleted
                     && !machine.reading
                     && !machine.writing
-                    && world.nowMicros >= machine.retryAtMicros
-                    && world.writeBudget.allowsMachine()) {
+                    && state.nowMicros >= machine.retryAtMicros
+                    && state.writeBudget.allowsMachine()) {
                 writeRecord(machine);
             }
         }
-        for (Machine machine : world.machinesToPersist) {
-            if (world.nowMicros < machine.retryAtMicros || machine.writing) {
+        for (Machine machine : state.machinesToPersist) {
+            if (state.nowMicros < machine.retryAtMicros || machine.writing) {
                 continue;
             }
             if (machine.reading) {
                 machine.writing = true;
-                world.emit(new SchedulerAction.ReadMachine(machine.host));
+                state.emit(new SchedulerAction.ReadMachine(machine.host));
             } else if (machine.deleted) {
-                if (machine.recorded && world.writeBudget.allowsMachine()) {
-                    world.writeBudget.takeMachine();
+                if (machine.recorded && state.writeBudget.allowsMachine()) {
+                    state.writeBudget.takeMachine();
                     machine.writing = true;
-                    world.emit(
+                    state.emit(
                             new SchedulerAction.DeleteMachineRecord(
                                     machine.host, machine.revision));
                 }
             } else if (!machine.recorded
                     || machine.decommissioning != machine.decommissioningRecorded
                     || machine.rewriteNeeded && !machine.deleting) {
-                if (world.writeBudget.allowsMachine()) {
+                if (state.writeBudget.allowsMachine()) {
                     writeRecord(machine);
                 }
             } else if (deletionsInFlight < (machine.abandoned ? MAX_CONCURRENT_DELETIONS : 1)
@@ -205,21 +205,21 @@
         }
         if (!delete.isEmpty()) {
             deletionsInFlight++;
-            world.log(
+            state.log(
                     LogEntry.info(LogEvent.MACHINES_DELETING)
                             .with("machines", String.join(",", delete)));
-            world.emit(new SchedulerAction.DeleteMachines(List.copyOf(delete)));
+            state.emit(new SchedulerAction.DeleteMachines(List.copyOf(delete)));
         }
     }
 
     private void writeRecord(Machine machine) {
-        world.writeBudget.takeMachine();
+        state.writeBudget.takeMachine();
         machine.writing = true;
-        machine.writeStartedMicros = world.nowMicros;
+        machine.writeStartedMicros = state.nowMicros;
         MachineRecord record = machine.toRecord();
         machine.reportedInWrite = record.lifecycle() != null && record.lifecycle().hasReported();
         machine.rewriteNeeded = false;
-        world.emit(new SchedulerAction.WriteMachine(record, machine.revision));
+        state.emit(new SchedulerAction.WriteMachine(record, machine.revision));
     }
 
     /** A machine that still answers is emptied first; one that is lost is deleted to get proof. */
@@ -228,12 +228,12 @@
                 || machine.listedAsFailed
                 || machine.abandoned
                 || !machine.isUp()
-                || world.nowMicros - machine.liveness.lastAliveMicros()
-                        > world.settings.leaseMicros() / 2;
+                || state.nowMicros - machine.liveness.lastAliveMicros()
+                        > state.settings.leaseMicros() / 2;
     }
 
     public void onWriteCompleted(SchedulerEvent.MachineWriteCompleted result) {
-        Machine machine = world.machines.get(result.host());
+        Machine machine = state.machines.get(result.host());
         if (machine == null) {
             return;
         }
@@ -244,18 +244,18 @@
                 machine.revision = result.deleted() ? 0 : result.revision();
                 machine.decommissioningRecorded = result.decommissioning();
                 machine.reportedRecorded = !result.deleted() && machine.reportedInWrite;
-                world.placementNeeded = true;
+                state.placementNeeded = true;
             }
             case CONFLICT, UNKNOWN -> {
                 machine.reading = true;
                 machine.markForPersistence();
             }
-            case NOT_WRITTEN, TOO_LARGE -> machine.retryAtMicros = world.nowMicros + RETRY_MICROS;
+            case NOT_WRITTEN, TOO_LARGE -> machine.retryAtMicros = state.nowMicros + RETRY_MICROS;
         }
     }
 
     public void onRecordRead(SchedulerEvent.MachineRecordRead result) {
-        Machine machine = world.machines.get(result.host());
+        Machine machine = state.machines.get(result.host());
         if (machine == null) {
             return;
         }
@@ -271,17 +271,17 @@
     }
 
     public void onReadFailed(String host) {
-        Machine machine = world.machines.get(host);
+        Machine machine = state.machines.get(host);
         if (machine != null) {
             machine.writing = false;
-            machine.retryAtMicros = world.nowMicros + RETRY_MICROS;
+            machine.retryAtMicros = state.nowMicros + RETRY_MICROS;
         }
     }
 
     public void onDeletionCompleted(SchedulerEvent.MachineDeletionCompleted result) {
         deletionsInFlight--;
         for (String host : result.hosts()) {
-            Machine machine = world.machines.get(host);
+            Machine machine = state.machines.get(host);
             if (machine == null) {
                 continue;
             }
@@ -290,17 +290,17 @@
                 machine.deleted = true;
                 machine.markForPersistence();
                 taskLosses.removeAll(machine, "machine deleted");
-                machine.liveness.onMachineDeleted(world.nowMicros);
+                machine.liveness.onMachineDeleted(state.nowMicros);
             } else {
-                machine.retryAtMicros = world.nowMicros + DELETE_RETRY_MICROS;
+                machine.retryAtMicros = state.nowMicros + DELETE_RETRY_MICROS;
             }
         }
     }
 
     /** Forgets deleted machines once the list, which lags, can no longer show them. */
     public void forget() {
-        long keep = 4 * world.settings.listLagMicros() + 60_000_000;
-        world.machines
+        long keep = 4 * state.settings.listLagMicros() + 60_000_000;
+        state.machines
                 .values()
                 .removeIf(
                         machine -> {
@@ -309,15 +309,15 @@
                                             ? machine.deleted
                                                     && !machine.recorded
                                                     && !machine.writing
-                                                    && world.nowMicros
+                                                    && state.nowMicros
                                                                     - machine.liveness
                                                                             .lastAliveMicros()
                                                             > keep
-                                            : world.nowMicros - machine.firstSeenMicros > keep;
+                                            : state.nowMicros - machine.firstSeenMicros > keep;
                             if (forgotten) {
-                                world.minFence =
-                                        Math.max(world.minFence, machine.liveness.fence() + 1);
-                                world.machinesWithPendingCommands.remove(machine);
+                                state.minFence =
+                                        Math.max(state.minFence, machine.liveness.fence() + 1);
+                                state.machinesWithPendingCommands.remove(machine);
                             }
                             return forgotten;
                         });
--- a/src/main/java/org/woadloom/core/machines/TaskLossHandler.java
+++ b/src/main/java/org/woadloom/core/machines/TaskLossHandler.java
@@ -9,14 +9,14 @@
 
 /** Removes placements that are proven to be gone. */
 public final class TaskLossHandler {
-    private final SchedulerState world;
+    private final SchedulerState state;
 
-    public TaskLossHandler(SchedulerState world) {
-        this.world = world;
+    public TaskLossHandler(SchedulerState state) {
+        this.state = state;
     }
 
     public void onLost(TaskAttempt attempt, String reason) {
-        world.log(
+        state.log(
                 LogEntry.info(LogEvent.TASK_LOST)
                         .with("task", attempt.task())
                         .with("attempt", attempt.attempt)
@@ -30,9 +30,9 @@
         attempt.job.remove(attempt);
         requestOutcomeWrite(attempt.job);
         if (attempt.machine.isEmpty()) {
-            attempt.machine.idleSinceMicros = world.nowMicros;
+            attempt.machine.idleSinceMicros = state.nowMicros;
         }
-        world.placementNeeded = true;
+        state.placementNeeded = true;
     }
 
     /** A job that is over has one more thing to tell: that nothing of it is left. */
--- a/src/main/java/org/woadloom/core/placement/PlacementConstraints.java
+++ b/src/main/java/org/woadloom/core/placement/PlacementConstraints.java
@@ -8,10 +8,10 @@
 
 /** Where a job's tasks are allowed at all, and which machines take new tasks now. */
 public final class PlacementConstraints {
-    private final SchedulerState world;
+    private final SchedulerState state;
 
-    public PlacementConstraints(SchedulerState world) {
-        this.world = world;
+    public PlacementConstraints(SchedulerState state) {
+        this.state = state;
     }
 
     /**
@@ -50,10 +50,10 @@
                 && !machine.deleted
                 && machine.isUp()
                 && machine.spotTerminationMicros < 0
-                && machine.quarantinedUntilMicros <= world.nowMicros
-                && machine.refusesUntilMicros <= world.nowMicros
+                && machine.quarantinedUntilMicros <= state.nowMicros
+                && machine.refusesUntilMicros <= state.nowMicros
                 && !isSilent(machine)
-                && !machine.liveness.isSuspect(world.nowMicros);
+                && !machine.liveness.isSuspect(state.nowMicros);
     }
 
     /**
@@ -61,7 +61,7 @@
      * is running out.
      */
     public boolean isSilent(Machine machine) {
-        return world.nowMicros - machine.liveness.lastHeartbeatMicros()
-                > world.livenessTimeouts.freshMicros();
+        return state.nowMicros - machine.liveness.lastHeartbeatMicros()
+                > state.livenessTimeouts.freshMicros();
     }
 }
--- a/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
+++ b/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
@@ -26,18 +26,18 @@
     private static final long MOVE_MICROS = 5_000_000;
     private static final long MOVE_SEARCH_MICROS = 1_000_000;
 
-    private final SchedulerState world;
+    private final SchedulerState state;
     private final PlacementConstraints constraints;
     private final Reservations reservations;
     private final GangReservationPlanner gangPlanner;
     private long nextReplicaMoveMicros;
 
     public PreemptionPlanner(
-            SchedulerState world,
+            SchedulerState state,
             PlacementConstraints constraints,
             Reservations reservations,
             GangReservationPlanner gangPlanner) {
-        this.world = world;
+        this.state = state;
         this.constraints = constraints;
         this.reservations = reservations;
         this.gangPlanner = gangPlanner;
@@ -87,7 +87,7 @@
     }
 
     private boolean othersBorrow(TeamQuota team) {
-        for (TeamQuota other : world.teams.values()) {
+        for (TeamQuota other : state.teams.values()) {
             if (other != team && other.exceedsGuarantee()) {
                 return true;
             }
@@ -98,7 +98,7 @@
     /** Makes room where that can be done; returns for how many tasks there is still none. */
     private int freeResources(Job job, int wanted, boolean fromBorrowers) {
         int missing = wanted;
-        for (Machine machine : world.machines.values()) {
+        for (Machine machine : state.machines.values()) {
             if (missing <= 0) {
                 break;
             }
@@ -121,11 +121,11 @@
      * that has room and its image.
      */
     private void moveReplica(Job job) {
-        if (world.nowMicros < nextReplicaMoveMicros) {
+        if (state.nowMicros < nextReplicaMoveMicros) {
             return;
         }
-        nextReplicaMoveMicros = world.nowMicros + MOVE_SEARCH_MICROS;
-        for (Machine machine : world.machines.values()) {
+        nextReplicaMoveMicros = state.nowMicros + MOVE_SEARCH_MICROS;
+        for (Machine machine : state.machines.values()) {
             if (!constraints.acceptsTasks(machine) || !constraints.allows(job, machine)) {
                 continue;
             }
@@ -140,12 +140,12 @@
                         && hasRoomElsewhere(attempt)
                         && reservations.reserve(job, machine, job.taskResources, true, true)
                                 != null) {
-                    world.log(
+                    state.log(
                             LogEntry.info(LogEvent.REPLICA_MOVED)
                                     .with("task", attempt.task())
                                     .with("zone", machine.zone)
                                     .with("for_job", job.jobId()));
-                    nextReplicaMoveMicros = world.nowMicros + MOVE_MICROS;
+                    nextReplicaMoveMicros = state.nowMicros + MOVE_MICROS;
                     stop(attempt);
                     return;
                 }
@@ -155,7 +155,7 @@
 
     private boolean hasRoomElsewhere(TaskAttempt attempt) {
         Job job = attempt.job;
-        for (Machine machine : world.machines.values()) {
+        for (Machine machine : state.machines.values()) {
             if (!machine.zone.equals(attempt.machine.zone)
                     && constraints.acceptsTasks(machine)
                     && constraints.allows(job, machine)
@@ -234,7 +234,7 @@
             return Resources.NONE;
         }
         for (TaskAttempt victim : chosen) {
-            world.log(
+            state.log(
                     LogEntry.info(LogEvent.TASK_PREEMPTED)
                             .with("task", victim.task())
                             .with("machine", machine.host)
@@ -245,11 +245,11 @@
     }
 
     private void stop(TaskAttempt victim) {
-        victim.job.onPreempted(world.nowMicros);
+        victim.job.onPreempted(state.nowMicros);
         if (victim.wasNeverSent()) {
             victim.job.remove(victim);
             victim.job.persistence.requestWrite(PersistenceState.WriteReason.OUTCOME);
-            world.placementNeeded = true;
+            state.placementNeeded = true;
         } else {
             victim.stop(
                     victim.job.description.checkpointIntervalSeconds() > 0
--- a/src/main/java/org/woadloom/core/quota/ClassFairShare.java
+++ b/src/main/java/org/woadloom/core/quota/ClassFairShare.java
@@ -28,7 +28,7 @@
      */
     private static final long UNUSED_MICROS = 75_000_000;
 
-    private final SchedulerState world;
+    private final SchedulerState state;
     private final Map<TeamQuota, Long> loggedMicros = new HashMap<>();
 
     /** Since when the limit has had room for a job of the class that waits, by team and class. */
@@ -44,14 +44,14 @@
         Resources smallestStart;
     }
 
-    public ClassFairShare(SchedulerState world) {
-        this.world = world;
+    public ClassFairShare(SchedulerState state) {
+        this.state = state;
     }
 
     /** To be called before tasks are placed. */
     public void update() {
         Map<TeamQuota, Map<String, Demand>> demands = new LinkedHashMap<>();
-        for (Job job : world.jobs.values()) {
+        for (Job job : state.jobs.values()) {
             if (job.pendingTasks() > 0 || !job.attempts().isEmpty()) {
                 Demand demand =
                         demands.computeIfAbsent(job.team, t -> new LinkedHashMap<>())
@@ -70,7 +70,7 @@
                 }
             }
         }
-        for (TeamQuota team : world.teams.values()) {
+        for (TeamQuota team : state.teams.values()) {
             team.setKeptForClasses(keptForClasses(team, demands.getOrDefault(team, Map.of())));
         }
     }
@@ -100,7 +100,7 @@
                     if (demand.smallestStart == null
                             || !team.fitsLimit(team.used().plus(demand.smallestStart))) {
                         unused.remove(name);
-                    } else if (world.nowMicros - unused.computeIfAbsent(name, n -> world.nowMicros)
+                    } else if (state.nowMicros - unused.computeIfAbsent(name, n -> state.nowMicros)
                             > UNUSED_MICROS) {
                         return;
                     }
@@ -113,14 +113,14 @@
     }
 
     private void logDemand(TeamQuota team, Map<String, Demand> demands, Resources all) {
-        if (world.nowMicros - loggedMicros.getOrDefault(team, Long.MIN_VALUE / 2)
+        if (state.nowMicros - loggedMicros.getOrDefault(team, Long.MIN_VALUE / 2)
                 < LOG_INTERVAL_MICROS) {
             return;
         }
-        loggedMicros.put(team, world.nowMicros);
+        loggedMicros.put(team, state.nowMicros);
         demands.forEach(
                 (name, demand) ->
-                        world.log(
+                        state.log(
                                 LogEntry.info(LogEvent.QUOTA_EXCEEDED)
                                         .with("team", team.team.name())
                                         .with("asked_cpus", all.cpu() / 1000)
--- a/src/main/java/org/woadloom/core/quota/GuaranteedQuota.java
+++ b/src/main/java/org/woadloom/core/quota/GuaranteedQuota.java
@@ -21,12 +21,12 @@
 
     private static final long UPDATE_INTERVAL_MICROS = 200_000;
 
-    private final SchedulerState world;
+    private final SchedulerState state;
     private long jobArrivalsSeen = -1;
     private long nextUpdateMicros;
 
-    public GuaranteedQuota(SchedulerState world) {
-        this.world = world;
+    public GuaranteedQuota(SchedulerState state) {
+        this.state = state;
     }
 
     /**
@@ -34,13 +34,13 @@
      * little later.
      */
     public void update() {
-        if (world.jobArrivals == jobArrivalsSeen && world.nowMicros < nextUpdateMicros) {
+        if (state.jobArrivals == jobArrivalsSeen && state.nowMicros < nextUpdateMicros) {
             return;
         }
-        jobArrivalsSeen = world.jobArrivals;
-        nextUpdateMicros = world.nowMicros + UPDATE_INTERVAL_MICROS;
-        List<Job> jobs = new ArrayList<>(world.jobs.size());
-        for (Job job : world.jobs.values()) {
+        jobArrivalsSeen = state.jobArrivals;
+        nextUpdateMicros = state.nowMicros + UPDATE_INTERVAL_MICROS;
+        List<Job> jobs = new ArrayList<>(state.jobs.size());
+        for (Job job : state.jobs.values()) {
             if (!job.isOver() && !job.isBlocked()) {
                 jobs.add(job);
             }
--- a/src/main/java/org/woadloom/core/quota/QuotaRotation.java
+++ b/src/main/java/org/woadloom/core/quota/QuotaRotation.java
@@ -36,7 +36,7 @@
 
     private static final long PAUSE_MICROS = 5_000_000;
 
-    private final SchedulerState world;
+    private final SchedulerState state;
     private final Reservations reservations;
     private final Map<TeamQuota, Turn> turns = new HashMap<>();
 
@@ -68,8 +68,8 @@
         }
     }
 
-    public QuotaRotation(SchedulerState world, Reservations reservations) {
-        this.world = world;
+    public QuotaRotation(SchedulerState state, Reservations reservations) {
+        this.state = state;
         this.reservations = reservations;
     }
 
@@ -77,7 +77,7 @@
     public void update() {
         waitingForNextTurn
                 .entrySet()
-                .removeIf(entry -> entry.getValue() < world.nowMicros || entry.getKey().finished);
+                .removeIf(entry -> entry.getValue() < state.nowMicros || entry.getKey().finished);
         turns.values()
                 .removeIf(
                         turn -> {
@@ -89,39 +89,39 @@
                             if (turn.job.allowedTasks() < tasksNeeded(turn.job)) {
                                 turn.sufficientSinceMicros = -1;
                             } else if (turn.sufficientSinceMicros < 0) {
-                                turn.sufficientSinceMicros = world.nowMicros;
+                                turn.sufficientSinceMicros = state.nowMicros;
                             }
                             boolean over =
-                                    world.nowMicros - turn.sinceMicros > TURN_MICROS
+                                    state.nowMicros - turn.sinceMicros > TURN_MICROS
                                             || turn.sufficientSinceMicros >= 0
-                                                    && world.nowMicros - turn.sufficientSinceMicros
+                                                    && state.nowMicros - turn.sufficientSinceMicros
                                                             > START_TIMEOUT_MICROS;
                             if (over && isWaiting(turn.job)) {
-                                waitingForNextTurn.put(turn.job, world.nowMicros + TURN_MICROS);
-                                world.log(
+                                waitingForNextTurn.put(turn.job, state.nowMicros + TURN_MICROS);
+                                state.log(
                                         LogEntry.info(LogEvent.QUOTA_TURN_EXPIRED)
                                                 .with("job", turn.job.jobId())
                                                 .with("team", turn.job.team.team.name())
                                                 .withSeconds(
                                                         "turn_s",
-                                                        world.nowMicros - turn.sinceMicros));
+                                                        state.nowMicros - turn.sinceMicros));
                             }
                             return over || !isWaiting(turn.job);
                         });
         turnsSinceMicros.forEach(
                 (team, since) -> {
                     if (!turns.containsKey(team)
-                            && world.nowMicros - since > MAX_CONSECUTIVE_MICROS) {
-                        pausedUntilMicros.put(team, world.nowMicros + PAUSE_MICROS);
+                            && state.nowMicros - since > MAX_CONSECUTIVE_MICROS) {
+                        pausedUntilMicros.put(team, state.nowMicros + PAUSE_MICROS);
                     }
                 });
         Map<TeamQuota, Job> next = new HashMap<>();
-        for (Job job : world.jobs.values()) {
+        for (Job job : state.jobs.values()) {
             if (!turns.containsKey(job.team)
                     && !isPaused(job.team)
                     && isWaiting(job)
                     && !waitingForNextTurn.containsKey(job)
-                    && world.nowMicros - job.queuedSinceMicros() > PATIENCE_MICROS
+                    && state.nowMicros - job.queuedSinceMicros() > PATIENCE_MICROS
                     && job.allowedTasks() < tasksNeeded(job)
                     && !reservations.hasOthersInTeam(job)) {
                 next.merge(
@@ -132,8 +132,8 @@
         }
         next.forEach(this::startTurn);
         turnsSinceMicros.keySet().retainAll(turns.keySet());
-        turns.keySet().forEach(team -> turnsSinceMicros.putIfAbsent(team, world.nowMicros));
-        for (TeamQuota team : world.teams.values()) {
+        turns.keySet().forEach(team -> turnsSinceMicros.putIfAbsent(team, state.nowMicros));
+        for (TeamQuota team : state.teams.values()) {
             Turn turn = turns.get(team);
             team.setTurn(
                     turn == null ? null : turn.job,
@@ -144,7 +144,7 @@
     }
 
     private boolean isPaused(TeamQuota team) {
-        return world.nowMicros < pausedUntilMicros.getOrDefault(team, Long.MIN_VALUE);
+        return state.nowMicros < pausedUntilMicros.getOrDefault(team, Long.MIN_VALUE);
     }
 
     /**
@@ -153,7 +153,7 @@
      */
     private void startTurn(TeamQuota team, Job job) {
         Resources replicas = Resources.NONE;
-        for (Job other : world.jobs.values()) {
+        for (Job other : state.jobs.values()) {
             if (other.team == team && other.description.isService() && !other.isOver()) {
                 replicas = replicas.plus(other.taskResources.times(other.attempts().size()));
             }
@@ -161,16 +161,16 @@
         LogEvent event;
         if (team.fitsLimit(replicas.plus(job.taskResources.times(tasksNeeded(job))))) {
             event = LogEvent.QUOTA_TURN_STARTED;
-            turns.put(team, new Turn(job, world.nowMicros));
+            turns.put(team, new Turn(job, state.nowMicros));
         } else {
             event = LogEvent.QUOTA_TURN_IMPOSSIBLE;
-            waitingForNextTurn.put(job, world.nowMicros + TURN_MICROS);
+            waitingForNextTurn.put(job, state.nowMicros + TURN_MICROS);
         }
-        world.log(
+        state.log(
                 LogEntry.info(event)
                         .with("job", job.jobId())
                         .with("team", team.team.name())
-                        .withSeconds("waited_s", world.nowMicros - job.queuedSinceMicros())
+                        .withSeconds("waited_s", state.nowMicros - job.queuedSinceMicros())
                         .with("needed_tasks", tasksNeeded(job))
                         .with("allowed_tasks", job.allowedTasks())
                         .with("replica_cpus", replicas.cpu() / 1000));
--- a/src/main/java/org/woadloom/core/reservation/Reservations.java
+++ b/src/main/java/org/woadloom/core/reservation/Reservations.java
@@ -17,7 +17,7 @@
  * What is held counts against the owner team's limit until it is drawn or released.
  */
 public final class Reservations {
-    private final SchedulerState world;
+    private final SchedulerState state;
     private final Map<Long, Reservation> live = new LinkedHashMap<>();
 
     /**
@@ -29,8 +29,8 @@
     private final Map<Job, List<Reservation>> byOwner = new HashMap<>();
     private long lastId;
 
-    public Reservations(SchedulerState world) {
-        this.world = world;
+    public Reservations(SchedulerState state) {
+        this.state = state;
     }
 
     /**
@@ -66,7 +66,7 @@
                         machine,
                         allocateOnce,
                         preAllocation,
-                        world.nowMicros + world.settings.operator().reservationTtlMicros());
+                        state.nowMicros + state.settings.operator().reservationTtlMicros());
         live.put(reservation.id, reservation);
         byMachine.computeIfAbsent(machine, m -> new ArrayList<>(2)).add(reservation);
         byOwner.computeIfAbsent(owner, j -> new ArrayList<>(2)).add(reservation);
@@ -117,7 +117,7 @@
                     || held.merge(reservation.owner, 1, Integer::sum)
                             > reservation.owner.pendingTasks()) {
                 release(reservation);
-            } else if (world.nowMicros >= reservation.expiresMicros()
+            } else if (state.nowMicros >= reservation.expiresMicros()
                     || machine.deleted
                     || machine.decommissioning
                     || machine.spotTerminationMicros >= 0
@@ -134,7 +134,7 @@
     /** Gives the room back; the reservation can't be drawn any more. */
     public void release(Reservation reservation) {
         end(reservation, Phase.FAILED);
-        world.placementNeeded = true;
+        state.placementNeeded = true;
     }
 
     private void end(Reservation reservation, Phase phase) {
@@ -160,7 +160,7 @@
     }
 
     public void renew(Reservation reservation) {
-        reservation.renew(world.nowMicros + world.settings.operator().reservationTtlMicros());
+        reservation.renew(state.nowMicros + state.settings.operator().reservationTtlMicros());
     }
 
     /** The machine's free room without what is reserved for others than this job. */
--- a/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
+++ b/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
@@ -41,7 +41,7 @@
     /** More refusals, or late steps, than this in a second are no time to change anything. */
     private static final long MAX_CALM_REFUSALS = 10;
 
-    private final SchedulerState world;
+    private final SchedulerState state;
     private final RecordMigration migration;
     private SchedulerEvent.RolloutStateRead latest;
     private RolloutRecord writing;
@@ -71,9 +71,9 @@
         int unreadable;
     }
 
-    public FeatureRollout(SchedulerState world) {
-        this.world = world;
-        migration = new RecordMigration(world);
+    public FeatureRollout(SchedulerState state) {
+        this.state = state;
+        migration = new RecordMigration(state);
         for (Feature feature : Feature.values()) {
             counts.put(feature, new Count());
         }
@@ -86,11 +86,11 @@
         latest = now;
         Map<String, Object> lives = new LinkedHashMap<>();
         now.announcements()
-                .forEach((label, stored) -> lives.put(label, stored.announcement().life()));
+                .forEach((label, stored) -> lives.put(label, stored.announcement().processId()));
         lives.put("wordless", now.unannounced());
         if (!lives.equals(circumstances)) {
             circumstances = lives;
-            calmSinceMicros = world.nowMicros;
+            calmSinceMicros = state.nowMicros;
         }
         reviewedMicros = Long.MIN_VALUE / 2;
     }
@@ -110,19 +110,19 @@
     }
 
     public void review() {
-        if (latest == null || world.nowMicros - reviewedMicros < REVIEW_MICROS) {
+        if (latest == null || state.nowMicros - reviewedMicros < REVIEW_MICROS) {
             return;
         }
-        reviewedMicros = world.nowMicros;
+        reviewedMicros = state.nowMicros;
         if (latest.refusals() - refusedBefore > MAX_CALM_REFUSALS) {
-            calmSinceMicros = world.nowMicros;
+            calmSinceMicros = state.nowMicros;
         }
         refusedBefore = latest.refusals();
         for (Feature feature : Feature.values()) {
             count(feature);
         }
         migration.migrate();
-        if (writing == null && world.nowMicros >= retryAtMicros) {
+        if (writing == null && state.nowMicros >= retryAtMicros) {
             decide();
         }
     }
@@ -136,7 +136,7 @@
         Standing standing = latest.record().of(feature.key());
         if (!standing.equals(count.standing)) {
             count.standing = standing;
-            count.sinceMicros = world.nowMicros;
+            count.sinceMicros = state.nowMicros;
             count.confirmed = feature.prefix() == null;
             count.asked = false;
             count.againMicros = 0;
@@ -147,10 +147,10 @@
                 && !count.confirmed
                 && !count.asked
                 && migration.remaining(feature) == 0
-                && world.nowMicros >= count.againMicros
+                && state.nowMicros >= count.againMicros
                 && migration.isQuiet(feature, standing.on())) {
             count.asked = true;
-            world.emit(new SchedulerAction.CountRecords(feature, standing.back()));
+            state.emit(new SchedulerAction.CountRecords(feature, standing.back()));
         }
     }
 
@@ -160,14 +160,14 @@
             return;
         }
         count.asked = false;
-        count.againMicros = world.nowMicros + RECOUNT_MICROS;
+        count.againMicros = state.nowMicros + RECOUNT_MICROS;
         if (!result.succeeded()) {
             return;
         }
         count.unreadable = result.unreadable().size();
         count.confirmed = result.outdated().isEmpty() && result.unreadable().isEmpty();
         if (!result.outdated().isEmpty()) {
-            world.log(
+            state.log(
                     LogEntry.info(LogEvent.ROLLOUT_RECORDS_OUTDATED)
                             .with("feature", result.feature().key())
                             .with("records", result.outdated().size()));
@@ -175,7 +175,7 @@
             count.againMicros = 0;
         }
         if (!result.unreadable().isEmpty()) {
-            world.log(
+            state.log(
                     LogEntry.info(LogEvent.ROLLOUT_RECORDS_UNREADABLE)
                             .with("feature", result.feature().key())
                             .with("records", String.join(",", result.unreadable())));
@@ -185,7 +185,7 @@
 
     private Set<String> members() {
         Set<Set<String>> named = new HashSet<>();
-        named.add(new TreeSet<>(world.settings.nodes().keySet()));
+        named.add(new TreeSet<>(state.settings.nodes().keySet()));
         latest.announcements()
                 .values()
                 .forEach(stored -> named.add(stored.announcement().members()));
@@ -195,7 +195,7 @@
         members.addAll(latest.unannounced());
         if (named.size() > 1 && !members.equals(contradiction)) {
             contradiction = members;
-            world.log(LogEntry.info(LogEvent.ROLLOUT_MEMBERS_DIFFER).with("members", named));
+            state.log(LogEntry.info(LogEvent.ROLLOUT_MEMBERS_DIFFER).with("members", named));
         }
         return members;
     }
@@ -231,7 +231,7 @@
         if (agreed > latest.agreed()) {
             conditions.put(StoreKeys.AGREED, latest.agreedStamp());
         }
-        world.emit(
+        state.emit(
                 new SchedulerAction.WriteRollout(
                         next, conditions, agreed > latest.agreed() ? agreed : 0));
     }
@@ -248,16 +248,16 @@
                 announcements.values().stream()
                         .anyMatch(
                                 announcement ->
-                                        announcement.starts() >= KEEPS_ENDING
-                                                && world.wallMicros - announcement.sinceWallMicros()
+                                        announcement.consecutiveStarts() >= KEEPS_ENDING
+                                                && state.wallMicros - announcement.sinceWallMicros()
                                                         < KEEPS_ENDING_MICROS);
         while (true) {
             Count count = counts.get(feature);
             boolean same = next.of(feature.key()).equals(count.standing);
             boolean soaked =
                     same
-                            && world.nowMicros - Math.max(count.sinceMicros, calmSinceMicros)
-                                    >= world.settings.operator().soakMicros();
+                            && state.nowMicros - Math.max(count.sinceMicros, calmSinceMicros)
+                                    >= state.settings.operator().soakMicros();
             Decision verdict =
                     RolloutPolicy.decide(
                             feature,
@@ -272,11 +272,11 @@
                                     troubled,
                                     migration.remaining(feature),
                                     same && count.confirmed),
-                            world.wallMicros);
+                            state.wallMicros);
             if (verdict.next() == null) {
                 if (!Objects.equals(
                         loggedReasons.put(feature, verdict.reason()), verdict.reason())) {
-                    world.log(
+                    state.log(
                             LogEntry.info(LogEvent.ROLLOUT_WAITING)
                                     .with("feature", feature.key())
                                     .with("step", next.of(feature.key()).step().text())
@@ -285,9 +285,9 @@
                 return next;
             }
             String by =
-                    world.settings.label()
+                    state.settings.label()
                             + " in term "
-                            + world.term
+                            + state.term
                             + (request.verb() == Verb.AUTO
                                     ? ""
                                     : ", " + request.verb().text() + " asked by " + request.by());
@@ -313,13 +313,13 @@
             return;
         }
         if (result.outcome() == SchedulerEvent.WriteOutcome.WRITTEN) {
-            steps.values().forEach(world::log);
+            steps.values().forEach(state::log);
             latest = latest.withRecord(writing, result.revision());
         }
         writing = null;
         reviewedMicros = Long.MIN_VALUE / 2;
         if (result.outcome() != SchedulerEvent.WriteOutcome.WRITTEN) {
-            retryAtMicros = world.nowMicros + REVIEW_MICROS;
+            retryAtMicros = state.nowMicros + REVIEW_MICROS;
             latest = null;
         }
     }
--- a/src/main/java/org/woadloom/core/rollout/RecordMigration.java
+++ b/src/main/java/org/woadloom/core/rollout/RecordMigration.java
@@ -20,7 +20,7 @@
 final class RecordMigration {
     private static final double LEAST_PER_SECOND = 0.2;
 
-    private final SchedulerState world;
+    private final SchedulerState state;
     private final Map<Feature, ArrayDeque<String>> waiting = new EnumMap<>(Feature.class);
 
     /** Jobs that are being rewritten, with the first version that has the new form. */
@@ -29,9 +29,9 @@
     private double allowance;
     private long lastRunMicros;
 
-    RecordMigration(SchedulerState world) {
-        this.world = world;
-        lastRunMicros = world.nowMicros;
+    RecordMigration(SchedulerState state) {
+        this.state = state;
+        lastRunMicros = state.nowMicros;
         for (Feature feature : Feature.values()) {
             waiting.put(feature, new ArrayDeque<>());
             inFlight.put(feature, new HashMap<>());
@@ -62,12 +62,12 @@
         if (feature != Feature.MACHINE_LIFE) {
             return true;
         }
-        return world.recordsMachineLifecycle == on
-                && world.machines.values().stream()
+        return state.recordsMachineLifecycle == on
+                && state.machines.values().stream()
                         .noneMatch(
                                 machine ->
                                         machine.mayRecordChange(
-                                                world.recordsMachineLifecycleSinceMicros));
+                                                state.recordsMachineLifecycleSinceMicros));
     }
 
     /** Has as many records rewritten as the time since the last call allows. */
@@ -75,17 +75,17 @@
         // Under a load that takes all writes it still gets done, in an hour or so instead of
         // minutes.
         double rate =
-                world.writeBudget.hasSpare()
+                state.writeBudget.hasSpare()
                         ? Math.max(
                                 LEAST_PER_SECOND,
-                                world.writeBudget.perSecond()
-                                        * world.settings.operator().rewriteShare())
+                                state.writeBudget.perSecond()
+                                        * state.settings.operator().rewriteShare())
                         : LEAST_PER_SECOND;
         allowance =
                 Math.min(
                         Math.max(1, rate),
-                        allowance + rate * (world.nowMicros - lastRunMicros) / 1e6);
-        lastRunMicros = world.nowMicros;
+                        allowance + rate * (state.nowMicros - lastRunMicros) / 1e6);
+        lastRunMicros = state.nowMicros;
         for (Feature feature : Feature.values()) {
             removeFinished(feature);
             ArrayDeque<String> keys = waiting.get(feature);
@@ -104,11 +104,11 @@
             String key = one.getKey();
             Job job =
                     key.startsWith(StoreKeys.JOBS)
-                            ? world.jobs.get(key.substring(StoreKeys.JOBS.length()))
+                            ? state.jobs.get(key.substring(StoreKeys.JOBS.length()))
                             : null;
             Machine machine =
                     key.startsWith(StoreKeys.MACHINES)
-                            ? world.machines.get(key.substring(StoreKeys.MACHINES.length()))
+                            ? state.machines.get(key.substring(StoreKeys.MACHINES.length()))
                             : null;
             if (job == null && machine == null
                     || job != null && job.persistence.durableVersion >= one.getValue()
@@ -120,7 +120,7 @@
 
     private boolean startRewrite(Feature feature, String key) {
         if (key.startsWith(StoreKeys.JOBS)) {
-            Job job = world.jobs.get(key.substring(StoreKeys.JOBS.length()));
+            Job job = state.jobs.get(key.substring(StoreKeys.JOBS.length()));
             if (job == null) {
                 return false;
             }
@@ -128,7 +128,7 @@
             job.persistence.requestWrite(PersistenceState.WriteReason.PHASE);
             return true;
         }
-        Machine machine = world.machines.get(key.substring(StoreKeys.MACHINES.length()));
+        Machine machine = state.machines.get(key.substring(StoreKeys.MACHINES.length()));
         if (machine == null || machine.deleted || !machine.recorded) {
             return false;
         }
@@ -139,10 +139,10 @@
 
     /** Whether a machine ever came up is what a new leader wants to know of one that is silent. */
     private void rewriteReportedMachines() {
-        if (!world.recordsMachineLifecycle) {
+        if (!state.recordsMachineLifecycle) {
             return;
         }
-        for (Machine machine : world.machines.values()) {
+        for (Machine machine : state.machines.values()) {
             if (allowance < 1) {
                 return;
             }
--- a/src/main/java/org/woadloom/core/rollout/RolloutPolicy.java
+++ b/src/main/java/org/woadloom/core/rollout/RolloutPolicy.java
@@ -48,8 +48,8 @@
                 NodeAnnouncement announcement = announcements.get(member);
                 if (announcement == null
                         || unannounced.contains(member)
-                        || !announcement.reads().contains(feature)
-                        || acting && !announcement.can().contains(feature)) {
+                        || !announcement.supportedFeatures().contains(feature)
+                        || acting && !announcement.usableFeatures().contains(feature)) {
                     lacking.add(member);
                 }
             }
--- a/src/main/java/org/woadloom/core/slo/ServiceLevelReport.java
+++ b/src/main/java/org/woadloom/core/slo/ServiceLevelReport.java
@@ -20,7 +20,7 @@
 public final class ServiceLevelReport {
     private static final long PERIOD_MICROS = 60_000_000;
 
-    private final SchedulerState world;
+    private final SchedulerState state;
     private final Map<String, Count> counts = new TreeMap<>();
 
     /** Open jobs of which all tasks were seen running or done at once. */
@@ -59,9 +59,9 @@
             int cancelled,
             long longestWaitMicros) {}
 
-    public ServiceLevelReport(SchedulerState world) {
-        this.world = world;
-        nextMicros = world.nowMicros + PERIOD_MICROS;
+    public ServiceLevelReport(SchedulerState state) {
+        this.state = state;
+        nextMicros = state.nowMicros + PERIOD_MICROS;
     }
 
     private Count count(Job job) {
@@ -101,28 +101,28 @@
 
     /** Once a minute, one line and one row for each team and class. */
     public void review() {
-        if (world.nowMicros < nextMicros) {
+        if (state.nowMicros < nextMicros) {
             return;
         }
-        nextMicros = world.nowMicros + PERIOD_MICROS;
+        nextMicros = state.nowMicros + PERIOD_MICROS;
         counts.values().forEach(count -> count.longestWaitMicros = 0);
-        for (Job job : world.jobs.values()) {
+        for (Job job : state.jobs.values()) {
             observe(job);
             largestJobs.observe(job);
             if (!job.isBlocked() && !job.isOver() && !fullyStarted.contains(job)) {
                 Count count = count(job);
                 count.longestWaitMicros =
                         Math.max(
-                                count.longestWaitMicros, world.nowMicros - job.queuedSinceMicros());
+                                count.longestWaitMicros, state.nowMicros - job.queuedSinceMicros());
             }
         }
         List<Row> rows = new ArrayList<>();
         for (Count count : counts.values()) {
             Row row = count.row();
             rows.add(row);
-            world.log(
+            state.log(
                     LogEntry.info(LogEvent.SERVICE_LEVEL)
-                            .with("term", world.term)
+                            .with("term", state.term)
                             .with("team", row.team)
                             .with("class", row.jobClass)
                             .with("accepted", row.accepted)
@@ -131,7 +131,7 @@
                             .with("cancelled", row.cancelled)
                             .withSeconds("longest_wait_s", row.longestWaitMicros));
         }
-        largestJobs.lines().forEach(world::log);
-        world.emit(new SchedulerAction.PublishServiceLevels(rows));
+        largestJobs.lines().forEach(state::log);
+        state.emit(new SchedulerAction.PublishServiceLevels(rows));
     }
 }
--- a/src/main/java/org/woadloom/http/AdmissionControl.java
+++ b/src/main/java/org/woadloom/http/AdmissionControl.java
@@ -28,10 +28,10 @@
      * While the cloud does not answer it is asked again after so long, however many ask: the leader
      * needs its calls.
      */
-    private static final long AGAIN_MICROS = 1_000_000;
+    private static final long REFRESH_INTERVAL_MICROS = 1_000_000;
 
     /** Users wait 5 s for an answer. */
-    private static final long PATIENCE_MICROS = 2_000_000;
+    private static final long REFRESH_TIMEOUT_MICROS = 2_000_000;
 
     private final EventLoop loop;
     private final ServiceSettings settings;
@@ -55,24 +55,24 @@
      * Answers with null for a job that can run as far as is known, or why it can't, or can't be
      * decided now.
      */
-    void judge(JobDescription job, Consumer<Response> refusal) {
-        String never = neverByItsTerms(job, settings.team(job.team()), settings.zones());
+    void check(JobDescription job, Consumer<Response> refusal) {
+        String never = rejectionByTerms(job, settings.team(job.team()), settings.zones());
         if (never != null) {
             refusal.accept(Response.error(422, never));
-        } else if (types.types().isEmpty()) {
+        } else if (types.current().isEmpty()) {
             refusal.accept(Response.unavailable("the machine types are not known yet"));
-        } else if (neverByTypes(job, types.types()) == null) {
+        } else if (rejectionByMachineTypes(job, types.current()) == null) {
             refusal.accept(null);
-        } else if (fresh()) {
-            refusal.accept(Response.error(422, neverByTypes(job, types.types())));
+        } else if (isFresh()) {
+            refusal.accept(Response.error(422, rejectionByMachineTypes(job, types.current())));
         } else {
-            whenRead(
+            afterRefresh(
                     () -> {
-                        String still = neverByTypes(job, types.types());
+                        String still = rejectionByMachineTypes(job, types.current());
                         refusal.accept(
                                 still == null
                                         ? null
-                                        : fresh()
+                                        : isFresh()
                                                 ? Response.error(422, still)
                                                 : Response.unavailable(
                                                         "the cloud does not tell its machine types"
@@ -81,34 +81,34 @@
         }
     }
 
-    private boolean fresh() {
+    private boolean isFresh() {
         return loop.nowMicros() - readMicros <= FRESH_MICROS;
     }
 
-    private void whenRead(Runnable then) {
+    private void afterRefresh(Runnable then) {
         if (!waiting.isEmpty()) {
             waiting.add(then);
             return;
         }
         long began = loop.nowMicros();
-        if (began - askedMicros < AGAIN_MICROS) {
+        if (began - askedMicros < REFRESH_INTERVAL_MICROS) {
             then.run();
             return;
         }
         askedMicros = began;
         waiting = new ArrayList<>(List.of(then));
         List<Runnable> mine = waiting;
-        types.readAnew(
+        types.refresh(
                 answered -> {
                     if (answered) {
                         readMicros = Math.max(readMicros, began);
                     }
-                    read(mine);
+                    resume(mine);
                 });
-        loop.schedule(PATIENCE_MICROS, () -> read(mine));
+        loop.schedule(REFRESH_TIMEOUT_MICROS, () -> resume(mine));
     }
 
-    private void read(List<Runnable> mine) {
+    private void resume(List<Runnable> mine) {
         if (waiting == mine) {
             waiting = List.of();
             mine.forEach(Runnable::run);
@@ -116,11 +116,11 @@
     }
 
     /** Why the job can't run whatever machines there are; null if it may. */
-    static String neverByItsTerms(JobDescription job, Team team, List<String> zones) {
+    static String rejectionByTerms(JobDescription job, Team team, List<String> zones) {
         if (team == null) {
             return "crew: unknown team";
         }
-        int together = together(job) ? job.taskCount() : 1;
+        int together = needsAllTasks(job) ? job.taskCount() : 1;
         if (job.cpus() * together > team.cpusMax() + 1e-9
                 || job.gpus() * together > team.gpusMax() + 1e-9) {
             return "the job needs more than the team's limit";
@@ -131,14 +131,14 @@
         if (job.machineTypes() != null && job.machineTypes().isEmpty()) {
             return "hosttypes: none is allowed";
         }
-        if (spreads(job) && (job.sameZone() || job.zone() != null)) {
+        if (mustSpread(job) && (job.sameZone() || job.zone() != null)) {
             return "apart: half of the tasks at most may be in one zone, and all must be";
         }
         return null;
     }
 
     /** Why the job can't run on such machines; null if it may. */
-    static String neverByTypes(JobDescription job, List<MachineType> types) {
+    static String rejectionByMachineTypes(JobDescription job, List<MachineType> types) {
         Set<String> zones = new HashSet<>();
         for (MachineType type : types) {
             if (type.fits(job)
@@ -152,13 +152,13 @@
         if (zones.isEmpty()) {
             return "a task fits no allowed machine type that is offered where it may run";
         }
-        return spreads(job) && zones.size() < 2
+        return mustSpread(job) && zones.size() < 2
                 ? "apart: only one zone offers what the tasks need"
                 : null;
     }
 
     /** All tasks are needed at once: an array may run a few at a time. */
-    private static boolean together(JobDescription job) {
+    private static boolean needsAllTasks(JobDescription job) {
         return job.isService() || job.isGang();
     }
 
@@ -166,7 +166,7 @@
      * Its tasks can't all be in one zone at once, and must all run at once. Tasks of an array take
      * turns there.
      */
-    private static boolean spreads(JobDescription job) {
-        return together(job) && job.spreadAcrossZones() && job.taskCount() > 1;
+    private static boolean mustSpread(JobDescription job) {
+        return needsAllTasks(job) && job.spreadAcrossZones() && job.taskCount() > 1;
     }
 }
--- a/src/main/java/org/woadloom/http/ApiServer.java
+++ b/src/main/java/org/woadloom/http/ApiServer.java
@@ -27,7 +27,7 @@
 
     public ApiServer(
             ServiceSettings settings,
-            XnioWorker worker,
+            XnioWorker agent,
             ByteBufferPool buffers,
             SocketBudget plan,
             ConnectionLimiter connections,
@@ -40,13 +40,13 @@
                 (int)
                         Math.max(
                                 LEAST_IDLE_MILLIS,
-                                (settings.workers().leaseMicros()
-                                                + settings.workers().reportMicros())
+                                (settings.agents().leaseMicros()
+                                                + settings.agents().heartbeatMicros())
                                         / 1000);
         int most = plan.inbound() + plan.refusals();
         undertow =
                 Undertow.builder()
-                        .setWorker(worker)
+                        .setWorker(agent)
                         .setByteBufferPool(buffers)
                         .addHttpListener(bind.getPort(), bind.getAddress().getHostAddress())
                         .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) TOO_LARGE_READ)
@@ -66,10 +66,10 @@
 
     private void receive(HttpServerExchange exchange) {
         boolean room =
-                connections.begins(exchange, exchange.getRequestPath().equals(Router.REPORT));
+                connections.onRequest(exchange, exchange.getRequestPath().equals(Router.REPORT));
         exchange.addExchangeCompleteListener(
                 (done, next) -> {
-                    connections.ends(done);
+                    connections.onAnswered(done);
                     next.proceed();
                 });
         exchange.getRequestReceiver()
@@ -111,7 +111,7 @@
         if (exchange.isComplete() || exchange.isResponseStarted()) {
             return;
         }
-        if (connections.closesAfter(exchange)) {
+        if (connections.shouldCloseAfter(exchange)) {
             exchange.setPersistent(false);
         }
         exchange.setStatusCode(response.status());
--- a/src/main/java/org/woadloom/http/ConnectionLimiter.java
+++ b/src/main/java/org/woadloom/http/ConnectionLimiter.java
@@ -20,7 +20,7 @@
     private static final long IDLE_MICROS = 15_000_000;
 
     /** A connection that is idle for less has most likely a request on its way. */
-    private static final long LEAST_IDLE_MICROS = 1_000_000;
+    private static final long MIN_IDLE_MICROS = 1_000_000;
 
     private static final long SWEEP_MICROS = 500_000;
     private static final AttachmentKey<Open> OPEN = AttachmentKey.create(Open.class);
@@ -31,7 +31,7 @@
     /** Users' connections without a request, the longest idle first. */
     private final LinkedHashSet<Open> idleUsers = new LinkedHashSet<>();
 
-    private int workers;
+    private int agents;
     private int users;
     private long closed;
     private long refused;
@@ -61,8 +61,8 @@
     }
 
     /** Connections whose last request was a worker's. */
-    public int workers() {
-        return workers;
+    public int agents() {
+        return agents;
     }
 
     public int users() {
@@ -79,22 +79,22 @@
         return refused;
     }
 
-    private int all() {
-        return workers + users;
+    private int total() {
+        return agents + users;
     }
 
     /**
      * A request has come. Returns false if there is no room for its connection: it is to be told
      * so, and closed.
      */
-    boolean begins(HttpServerExchange exchange, boolean ofWorker) {
+    boolean onRequest(HttpServerExchange exchange, boolean ofWorker) {
         Open open = exchange.getConnection().getAttachment(OPEN);
         if (open == null) {
             open = new Open(exchange.getConnection());
             open.worker = ofWorker;
             open.connection.putAttachment(OPEN, open);
             Open mine = open;
-            open.connection.addCloseListener(gone -> gone(mine));
+            open.connection.addCloseListener(gone -> onClosed(mine));
             count(ofWorker, 1);
         } else if (open.worker != ofWorker) {
             count(open.worker, -1);
@@ -102,22 +102,22 @@
             count(ofWorker, 1);
         }
         idleUsers.remove(open);
-        if (all() > plan.comfortable()) {
+        if (total() > plan.comfortable()) {
             makeRoom();
         }
-        boolean room = all() <= plan.inbound();
+        boolean room = total() <= plan.inbound();
         refused += room ? 0 : 1;
         return room;
     }
 
     /** The request is about to be answered; true if its connection is to be closed after that. */
-    boolean closesAfter(HttpServerExchange exchange) {
+    boolean shouldCloseAfter(HttpServerExchange exchange) {
         Open open = exchange.getConnection().getAttachment(OPEN);
-        return open != null && !open.worker && all() > plan.comfortable();
+        return open != null && !open.worker && total() > plan.comfortable();
     }
 
     /** The request was answered. */
-    void ends(HttpServerExchange exchange) {
+    void onAnswered(HttpServerExchange exchange) {
         Open open = exchange.getConnection().getAttachment(OPEN);
         if (open != null && !open.worker && open.connection.isOpen()) {
             open.idleSinceMicros = loop.nowMicros();
@@ -128,20 +128,20 @@
 
     private void count(boolean ofWorker, int change) {
         if (ofWorker) {
-            workers += change;
+            agents += change;
         } else {
             users += change;
         }
     }
 
-    private void gone(Open open) {
+    private void onClosed(Open open) {
         idleUsers.remove(open);
         count(open.worker, -1);
     }
 
     private void makeRoom() {
-        long before = loop.nowMicros() - LEAST_IDLE_MICROS;
-        while (all() > plan.comfortable() && !idleUsers.isEmpty()) {
+        long before = loop.nowMicros() - MIN_IDLE_MICROS;
+        while (total() > plan.comfortable() && !idleUsers.isEmpty()) {
             Open longest = idleUsers.iterator().next();
             if (longest.idleSinceMicros > before) {
                 return;
--- a/src/main/java/org/woadloom/http/JobApi.java
+++ b/src/main/java/org/woadloom/http/JobApi.java
@@ -50,16 +50,16 @@
      */
     public interface Confirmation {
         /** The answer is false where that was not known in time: the user asks again. */
-        void mayTell(String jobId, long patienceMicros, Consumer<Boolean> answer);
+        void confirm(String jobId, long patienceMicros, Consumer<Boolean> answer);
     }
 
     /** Where the machine types come from. */
     public interface Types {
         /** As they were last read, empty while they are unknown. */
-        List<MachineType> types();
+        List<MachineType> current();
 
         /** Reads them from the cloud; false if that does not answer. */
-        void readAnew(Consumer<Boolean> answered);
+        void refresh(Consumer<Boolean> answered);
     }
 
     /** How and how large records may be now. */
@@ -68,7 +68,7 @@
 
         int valueBytes();
 
-        void seen(RecordFormat format);
+        void onFormatSeen(RecordFormat format);
     }
 
     /**
@@ -77,9 +77,9 @@
     private static final int PROGRESS_BYTES = 400;
 
     private final EventLoop loop;
-    private final StoreClient state;
+    private final StoreClient store;
     private final Storage storage;
-    private final Hint hint;
+    private final Hint notifier;
     private final Confirmation confirmation;
     private final JobReader reader;
     private final CoalescingJobReader shared;
@@ -89,27 +89,27 @@
 
     public JobApi(
             EventLoop loop,
-            StoreClient state,
+            StoreClient store,
             ServiceSettings settings,
             Storage storage,
             Types types,
             Hint hint,
             Confirmation confirmation) {
         this.loop = loop;
-        this.state = state;
+        this.store = store;
         this.storage = storage;
-        this.hint = hint;
+        this.notifier = hint;
         this.confirmation = confirmation;
-        reader = new JobReader(state, storage::seen);
+        reader = new JobReader(store, storage::onFormatSeen);
         unanswered = new UnansweredQueries(loop);
         int nodes = settings.peers().size() + 1;
-        shared = new CoalescingJobReader(loop, state, reader, settings.state(), nodes);
+        shared = new CoalescingJobReader(loop, store, reader, settings.store(), nodes);
         admission = new AdmissionControl(loop, settings, types);
-        writes = new UserWrites(loop, state, settings.state().rps(), nodes);
+        writes = new UserWrites(loop, store, settings.store().rps(), nodes);
     }
 
     /** Logs what its user had to wait for. */
-    private Consumer<Response> timed(String what, Consumer<Response> answer) {
+    private Consumer<Response> logSlow(String what, Consumer<Response> answer) {
         long from = loop.nowMicros();
         return response -> {
             long took = loop.nowMicros() - from;
@@ -125,7 +125,7 @@
     }
 
     public void submit(byte[] body, Consumer<Response> unhurried) {
-        Consumer<Response> answer = timed("submit", unhurried);
+        Consumer<Response> answer = logSlow("submit", unhurried);
         Map<String, Object> map;
         try {
             map = Cbor.decodeMap(body);
@@ -140,7 +140,7 @@
             refuseUnlessKnown(map.get("uid"), Response.error(400, e.getMessage()), answer);
             return;
         }
-        admission.judge(
+        admission.check(
                 job,
                 refusal -> {
                     if (refusal != null) {
@@ -148,7 +148,7 @@
                     } else if (job.dependencies().isEmpty()) {
                         create(job, answer);
                     } else {
-                        createAfter(job, answer);
+                        createWithDependencies(job, answer);
                     }
                 });
     }
@@ -159,24 +159,24 @@
             answer.accept(refusal);
             return;
         }
-        reader.look(
+        reader.lookUp(
                 text,
-                looked -> {
-                    if (looked == null) {
+                lookup -> {
+                    if (lookup == null) {
                         answer.accept(Response.unavailable("the state service does not answer"));
-                    } else if (looked.status() != null) {
-                        tellAccepted(looked, answer);
+                    } else if (lookup.status() != null) {
+                        answerAccepted(lookup, answer);
                     } else {
                         answer.accept(refusal);
                     }
                 });
     }
 
-    private void tellAccepted(JobLookup looked, Consumer<Response> answer) {
-        tell(
-                CoalescingJobReader.JobView.of(looked),
+    private void answerAccepted(JobLookup lookup, Consumer<Response> answer) {
+        answerWithView(
+                CoalescingJobReader.JobView.of(lookup),
                 PATIENCE_MICROS,
-                () -> answer.accept(Response.of(200, looked.status().toMap())),
+                () -> answer.accept(Response.of(200, lookup.status().toMap())),
                 answer);
     }
 
@@ -185,7 +185,7 @@
      * submit it right after the answer for the ones before. Until every node is known to run this
      * version it can't be: version 1 would start it.
      */
-    private void createAfter(JobDescription job, Consumer<Response> answer) {
+    private void createWithDependencies(JobDescription job, Consumer<Response> answer) {
         for (String before : job.dependencies()) {
             if (!JobDescription.isJobId(before) || before.equals(job.jobId())) {
                 refuseUnlessKnown(
@@ -241,23 +241,23 @@
     }
 
     private void lookFor(String jobId, Finding finding) {
-        Boolean service = reader.acceptedService(jobId);
+        Boolean service = reader.isAcceptedService(jobId);
         if (service != null) {
             finding.found(true, service);
             return;
         }
-        reader.look(
+        reader.lookUp(
                 jobId,
-                looked ->
+                lookup ->
                         finding.found(
-                                looked != null,
-                                looked == null || looked.status() == null
+                                lookup != null,
+                                lookup == null || lookup.status() == null
                                         ? null
-                                        : (Boolean) looked.service()));
+                                        : (Boolean) lookup.isService()));
     }
 
     private void create(JobDescription job, Consumer<Response> answer) {
-        if (reader.acceptedService(job.jobId()) != null) {
+        if (reader.isAcceptedService(job.jobId()) != null) {
             // A transaction that can only fail would count as a change all the same, and those are
             // scarce.
             refuseUnlessKnown(
@@ -279,18 +279,18 @@
                         new Condition(StoreKeys.job(job.jobId()), 0),
                         new Condition(StoreKeys.finalState(job.jobId()), 0)),
                 Change.put(StoreKeys.job(job.jobId()), value),
-                reader::lookForRecord,
+                reader::lookUpRecord,
                 found -> true,
                 (result, storeRevision, found) -> {
                     boolean ours = found != null && record.equals(found.record());
                     if (result == Result.OK || ours) {
-                        reader.accepted(job.jobId(), job.isService());
-                        hint.changed(record, ours ? found.revision() : storeRevision);
+                        reader.onAccepted(job.jobId(), job.isService());
+                        notifier.changed(record, ours ? found.revision() : storeRevision);
                         answer.accept(
                                 Response.of(
                                         201, new JobStatus(job.jobId(), "queued", -1, 0).toMap()));
                     } else if (found != null) {
-                        tellAccepted(found, answer);
+                        answerAccepted(found, answer);
                     } else if (result == Result.CONFLICT) {
                         refuseUnlessKnown(
                                 job.jobId(),
@@ -307,7 +307,7 @@
                 });
     }
 
-    public void show(String jobId, Consumer<Response> answer) {
+    public void status(String jobId, Consumer<Response> answer) {
         if (!JobDescription.isJobId(jobId)) {
             answer.accept(Response.error(404, "no such job"));
             return;
@@ -315,38 +315,38 @@
         Consumer<CoalescingJobReader.JobView> told =
                 shown -> {
                     if (shown == null) {
-                        unanswered.refused(jobId, !state.refuses());
+                        unanswered.onRefused(jobId, !store.isRefusing());
                         answer.accept(Response.unavailable("the state service does not answer"));
                         return;
                     }
                     if (shown.status() == null) {
-                        unanswered.answered(jobId);
+                        unanswered.onAnswered(jobId);
                         answer.accept(Response.error(404, "no such job"));
                     } else {
-                        tell(
+                        answerWithView(
                                 shown,
                                 POLL_PATIENCE_MICROS,
                                 () -> {
-                                    unanswered.answered(jobId);
+                                    unanswered.onAnswered(jobId);
                                     answer.accept(Response.of(200, shownMap(shown)));
                                 },
                                 refused -> {
-                                    unanswered.refused(jobId, !state.refuses());
+                                    unanswered.onRefused(jobId, !store.isRefusing());
                                     answer.accept(refused);
                                 });
                     }
                 };
-        if (unanswered.goesFirst(jobId)) {
-            reader.look(
+        if (unanswered.hasPriority(jobId)) {
+            reader.lookUp(
                     RequestPriority.USER,
                     jobId,
-                    looked ->
+                    lookup ->
                             told.accept(
-                                    looked == null
+                                    lookup == null
                                             ? null
-                                            : CoalescingJobReader.JobView.of(looked)));
+                                            : CoalescingJobReader.JobView.of(lookup)));
         } else {
-            shared.ask(jobId, told);
+            shared.read(jobId, told);
         }
     }
 
@@ -372,7 +372,7 @@
             answer.accept(Response.error(404, "no such job"));
             return;
         }
-        cancel(jobId, MAX_CANCEL_TRIES, timed("cancel", answer));
+        cancel(jobId, MAX_CANCEL_TRIES, logSlow("cancel", answer));
     }
 
     /**
@@ -380,13 +380,13 @@
      * waits for others not if one of them is cancelled. Its own cancellation is the leader's to
      * write, which may have been without the state service for long, or there may have been none.
      */
-    private void tell(
+    private void answerWithView(
             CoalescingJobReader.JobView shown,
             long patienceMicros,
             Runnable told,
             Consumer<Response> refused) {
         if (shown.status().status().equals("cancelled")) {
-            confirmation.mayTell(
+            confirmation.confirm(
                     shown.status().jobId(),
                     patienceMicros,
                     may -> {
@@ -399,7 +399,7 @@
                         }
                     });
         } else {
-            noneCancelled(
+            checkNoneCancelled(
                     shown.awaits(),
                     none -> {
                         if (none) {
@@ -417,7 +417,7 @@
      * Whether the store says of each of these jobs, and of those before them, that it is not
      * cancelled.
      */
-    private void noneCancelled(List<String> jobIds, Consumer<Boolean> answer) {
+    private void checkNoneCancelled(List<String> jobIds, Consumer<Boolean> answer) {
         if (jobIds.isEmpty()) {
             answer.accept(true);
             return;
@@ -432,7 +432,7 @@
                     }
                 };
         for (String jobId : jobIds) {
-            shared.ask(
+            shared.read(
                     jobId,
                     shown -> {
                         if (shown == null
@@ -440,14 +440,14 @@
                                         && shown.status().status().equals("cancelled")) {
                             one.accept(false);
                         } else {
-                            noneCancelled(shown.awaits(), one);
+                            checkNoneCancelled(shown.awaits(), one);
                         }
                     });
         }
     }
 
-    private void tellEnd(JobStatus status, Consumer<Response> answer) {
-        tell(
+    private void answerEnded(JobStatus status, Consumer<Response> answer) {
+        answerWithView(
                 new CoalescingJobReader.JobView(status, List.of()),
                 PATIENCE_MICROS,
                 () -> answer.accept(Response.of(200, status.toMap())),
@@ -455,24 +455,24 @@
     }
 
     /** Nothing of a record that can't be read can be kept: the final state takes its place. */
-    private void cancelUnread(JobLookup looked, Consumer<Response> answer) {
-        String jobId = looked.unread().jobId();
+    private void cancelDamaged(JobLookup lookup, Consumer<Response> answer) {
+        String jobId = lookup.damaged().jobId();
         Consumer<Boolean> end =
                 cancelled -> {
                     if (cancelled) {
-                        tellEnd(new JobStatus(jobId, "cancelled", -1, 0), answer);
+                        answerEnded(new JobStatus(jobId, "cancelled", -1, 0), answer);
                     } else {
                         answer.accept(Response.unavailable("the job could not be cancelled now"));
                     }
                 };
-        if (looked.unread().status().equals("cancelled")) {
+        if (lookup.damaged().status().equals("cancelled")) {
             end.accept(true);
             return;
         }
         FinalRecord record = new FinalRecord(jobId, true, 0, loop.wallMicros(), false);
-        state.txn(
+        store.txn(
                 RequestPriority.USER,
-                List.of(new Condition(StoreKeys.job(jobId), looked.revision())),
+                List.of(new Condition(StoreKeys.job(jobId), lookup.revision())),
                 List.of(
                         Change.put(StoreKeys.finalState(jobId), record.toMap(storage.format())),
                         Change.drop(StoreKeys.job(jobId))),
@@ -480,40 +480,40 @@
     }
 
     private void cancel(String jobId, int tries, Consumer<Response> answer) {
-        reader.look(jobId, looked -> cancel(jobId, looked, tries, answer));
+        reader.lookUp(jobId, lookup -> cancel(jobId, lookup, tries, answer));
     }
 
-    private void cancel(String jobId, JobLookup looked, int tries, Consumer<Response> answer) {
-        if (looked == null) {
+    private void cancel(String jobId, JobLookup lookup, int tries, Consumer<Response> answer) {
+        if (lookup == null) {
             answer.accept(Response.unavailable("the job could not be cancelled now"));
-        } else if (looked.status() == null) {
+        } else if (lookup.status() == null) {
             answer.accept(Response.error(404, "no such job"));
-        } else if (looked.unread() != null) {
-            cancelUnread(looked, answer);
-        } else if (looked.finalState() != null
-                || looked.record().cancelled()
-                || looked.record().isComplete()) {
-            tellEnd(new JobStatus(jobId, looked.status().status(), -1, 0), answer);
+        } else if (lookup.damaged() != null) {
+            cancelDamaged(lookup, answer);
+        } else if (lookup.finalState() != null
+                || lookup.record().cancelled()
+                || lookup.record().isComplete()) {
+            answerEnded(new JobStatus(jobId, lookup.status().status(), -1, 0), answer);
         } else if (tries == 0) {
             answer.accept(Response.unavailable("the job could not be cancelled now"));
         } else {
-            JobRecord cancelled = looked.record().withCancellation();
+            JobRecord cancelled = lookup.record().withCancellation();
             RecordFormat format =
-                    looked.format() == RecordFormat.COMPACT ? looked.format() : storage.format();
+                    lookup.format() == RecordFormat.COMPACT ? lookup.format() : storage.format();
             // Once the record has another stamp, the write was carried out or never will be.
             writes.write(
                     jobId,
-                    List.of(new Condition(StoreKeys.job(jobId), looked.revision())),
+                    List.of(new Condition(StoreKeys.job(jobId), lookup.revision())),
                     Change.put(StoreKeys.job(jobId), cancelled.toMap(format)),
-                    reader::look,
-                    found -> found.status() != null && found.revision() != looked.revision(),
+                    reader::lookUp,
+                    found -> found.status() != null && found.revision() != lookup.revision(),
                     (result, storeRevision, found) -> {
                         if (result == Result.OK) {
-                            hint.changed(cancelled, storeRevision);
-                            tellEnd(new JobStatus(jobId, "cancelled", -1, 0), answer);
+                            notifier.changed(cancelled, storeRevision);
+                            answerEnded(new JobStatus(jobId, "cancelled", -1, 0), answer);
                         } else if (found != null) {
                             if (found.record() != null && found.record().cancelled()) {
-                                hint.changed(found.record(), found.revision());
+                                notifier.changed(found.record(), found.revision());
                             }
                             cancel(jobId, found, tries - 1, answer);
                         } else if (result == Result.CONFLICT) {
--- a/src/main/java/org/woadloom/http/Router.java
+++ b/src/main/java/org/woadloom/http/Router.java
@@ -11,22 +11,22 @@
 
     /** Answers the reports of workers. */
     public interface ReportApi {
-        void report(byte[] body, Consumer<Response> answer);
+        void onHeartbeat(byte[] body, Consumer<Response> answer);
     }
 
     /** Whether the node takes requests. */
     public interface Gate {
         /** Why nothing is to be taken by this process, or null. */
-        String closed();
+        String closedReason();
 
         /** Why users' requests can't be answered yet, or null. */
-        String notYet();
+        String notReadyReason();
 
         /** Somebody who is neither a worker nor another node has reached this one. */
-        void reachedFromOutside();
+        void onOutsideRequest();
 
         /** False while others can serve users and this node can't. */
-        boolean healthy();
+        boolean isHealthy();
     }
 
     private final Gate gate;
@@ -45,24 +45,24 @@
         boolean post = method.equals("POST");
         boolean get = method.equals("GET");
         if (!path.equals(REPORT)) {
-            gate.reachedFromOutside();
+            gate.onOutsideRequest();
         }
-        String closed = gate.closed();
+        String closed = gate.closedReason();
         if (closed != null && !path.equals("/metrics")) {
             answer.accept(Response.unavailable(closed));
-        } else if (gate.notYet() != null && path.startsWith(JOBS)) {
-            answer.accept(Response.unavailable(gate.notYet()));
+        } else if (gate.notReadyReason() != null && path.startsWith(JOBS)) {
+            answer.accept(Response.unavailable(gate.notReadyReason()));
         } else if (post && path.equals(REPORT)) {
-            reports.report(body, counted("report", answer));
+            reports.onHeartbeat(body, counted("report", answer));
         } else if (get && path.equals("/healthz")) {
             answer.accept(
-                    gate.healthy()
+                    gate.isHealthy()
                             ? Response.text("ok\n")
                             : Response.unavailable("alone without the state service"));
         } else if (post && path.equals(JOBS)) {
             jobs.submit(body, counted("submit", answer));
         } else if (get && path.startsWith(JOBS + "/")) {
-            jobs.show(path.substring(JOBS.length() + 1), counted("show", answer));
+            jobs.status(path.substring(JOBS.length() + 1), counted("show", answer));
         } else if (post && path.startsWith(JOBS + "/") && path.endsWith(CANCEL)) {
             jobs.cancel(
                     path.substring(JOBS.length() + 1, path.length() - CANCEL.length()),
--- a/src/main/java/org/woadloom/http/UserWrites.java
+++ b/src/main/java/org/woadloom/http/UserWrites.java
@@ -22,10 +22,10 @@
     private static final long FIRST_LOOK_MICROS = 400_000;
 
     private static final long SECOND_LOOK_MICROS = 1_200_000;
-    private static final int MOST_LOOKS = 2;
+    private static final int MAX_READS = 2;
 
     /** The part of the service's requests that these reads of all nodes together may take. */
-    private static final double PART = 0.1;
+    private static final double READ_SHARE = 0.1;
 
     /** Hears once what became of a write: its own answer, or what was read instead of it. */
     interface Outcome {
@@ -42,13 +42,13 @@
     }
 
     private final EventLoop loop;
-    private final StoreClient state;
-    private final TokenBucket looks;
+    private final StoreClient store;
+    private final TokenBucket readBudget;
 
-    UserWrites(EventLoop loop, StoreClient state, double requestsPerSecond, int nodes) {
+    UserWrites(EventLoop loop, StoreClient store, double requestsPerSecond, int nodes) {
         this.loop = loop;
-        this.state = state;
-        looks = new TokenBucket(requestsPerSecond * PART / nodes);
+        this.store = store;
+        readBudget = new TokenBucket(requestsPerSecond * READ_SHARE / nodes);
     }
 
     /**
@@ -65,7 +65,7 @@
         Write write = new Write(jobId, look, decides, outcome);
         loop.schedule(FIRST_LOOK_MICROS, write::look);
         loop.schedule(SECOND_LOOK_MICROS, write::look);
-        state.txn(
+        store.txn(
                 RequestPriority.USER,
                 conditions,
                 List.of(change),
@@ -105,10 +105,10 @@
 
         void look() {
             long now = loop.nowMicros();
-            if (told || reading || looked == MOST_LOOKS || looks.waitMicros(now, 1) > 0) {
+            if (told || reading || looked == MAX_READS || readBudget.waitMicros(now, 1) > 0) {
                 return;
             }
-            looks.take(now, 1);
+            readBudget.take(now, 1);
             looked++;
             reading = true;
             look.look(
