--- a/src/main/java/org/woadloom/leader/Election.java
+++ b/src/main/java/org/woadloom/leader/Election.java
@@ -38,23 +38,23 @@
     /** Whether this process may lead at all, by what the stored state requires of it. */
     public interface Fence {
         /** True once what is required was read and is known here. */
-        boolean open();
+        boolean isOpen();
 
         /** Holds as long as nothing else is required than what was read. */
         Condition condition();
 
         /** The condition has failed: what is required must be read again. */
-        void changed();
+        void onConflict();
     }
 
     /** What the node does when leadership comes and goes. */
     public interface Listener {
-        void elected(long term, long leaderRevision);
+        void onElected(long term, long leaderRevision);
 
-        void deposed(String reason);
+        void onDeposed(String reason);
 
         /** Another leader than before is known, this node perhaps. */
-        void leaderSeen();
+        void onLeaderChanged();
     }
 
     private enum Role {
@@ -64,7 +64,7 @@
     }
 
     private final EventLoop loop;
-    private final StoreClient state;
+    private final StoreClient store;
     private final String label;
     private final Random random;
     private final Fence fence;
@@ -72,28 +72,28 @@
     private Role role = Role.FOLLOWER;
     private long term;
     private long storeLease;
-    private LeaderKey current;
-    private long currentStamp;
-    private int campaign;
+    private LeaderKey leaderKey;
+    private long leaderRevision;
+    private int startCampaign;
 
     /** The term that this process has asked for, whose outcome it does not know yet; 0 for none. */
-    private long sought;
+    private long requestedTerm;
 
     /** This process does not campaign before. */
-    private long notBeforeMicros = Long.MIN_VALUE / 2;
+    private long campaignNotBeforeMicros = Long.MIN_VALUE / 2;
 
     /** The highest term ever heard of: a peer may still speak of a leader that is gone. */
     private long highestTerm;
 
     public Election(
             EventLoop loop,
-            StoreClient state,
+            StoreClient store,
             String label,
             Random random,
             Fence fence,
             Listener listener) {
         this.loop = loop;
-        this.state = state;
+        this.store = store;
         this.label = label;
         this.random = random;
         this.fence = fence;
@@ -101,21 +101,21 @@
     }
 
     public void start() {
-        look();
+        readLeaderKey();
     }
 
-    public boolean leads() {
+    public boolean isLeader() {
         return role == Role.LEADER;
     }
 
     /** The label of the leader as far as known, or null. */
     public String leader() {
-        return leads() ? label : current == null ? null : current.label();
+        return isLeader() ? label : leaderKey == null ? null : leaderKey.label();
     }
 
     /** The term of the leader as far as known, 0 for none. */
     public long knownTerm() {
-        return current == null ? 0 : current.term();
+        return leaderKey == null ? 0 : leaderKey.term();
     }
 
     /**
@@ -123,91 +123,95 @@
      * service refuses it alone; to lead on would keep workers from the new leader. The stamp stays
      * as it was, so a campaign on it can only fail.
      */
-    public void heardOf(String leader, long ofTerm) {
+    public void onPeerLeader(String leader, long ofTerm) {
         if (ofTerm <= highestTerm || leader.equals(label)) {
             return;
         }
         highestTerm = ofTerm;
         LOG.info("event=leader_reported_by_peer leader={} term={}", leader, ofTerm);
-        current = new LeaderKey(leader, ofTerm);
+        leaderKey = new LeaderKey(leader, ofTerm);
         stepDown(leader + " leads in term " + ofTerm);
-        loop.execute(listener::leaderSeen);
+        loop.execute(listener::onLeaderChanged);
     }
 
-    private void look() {
-        state.get(
+    private void readLeaderKey() {
+        store.get(
                 RequestPriority.URGENT,
                 StoreKeys.LEADER,
                 (result, entry, storeRevision) -> {
                     if (result == Result.OK) {
-                        seen(entry.value(), entry.revision());
+                        onLeaderKey(entry.value(), entry.revision());
                         watch(entry.revision());
                     } else if (result == Result.NOT_FOUND) {
-                        seen(null, storeRevision);
+                        onLeaderKey(null, storeRevision);
                         watch(storeRevision);
                     } else {
                         loop.schedule(
-                                RETRY_MICROS + random.nextInt((int) RETRY_MICROS), this::look);
+                                RETRY_MICROS + random.nextInt((int) RETRY_MICROS),
+                                this::readLeaderKey);
                     }
                 });
     }
 
     private void watch(long since) {
-        state.follow(
+        store.watch(
                 StoreKeys.LEADER,
                 since,
                 WATCH_MICROS,
                 (result, events, storeRevision) -> {
                     if (result != Result.OK) {
-                        loop.schedule(RETRY_MICROS, this::look);
+                        loop.schedule(RETRY_MICROS, this::readLeaderKey);
                         return;
                     }
                     for (StoreClient.Event event : events) {
                         if (event.path().equals(StoreKeys.LEADER)) {
-                            seen(event.value(), event.revision());
+                            onLeaderKey(event.value(), event.revision());
                         }
                     }
                     watch(Math.max(since, storeRevision));
                 });
     }
 
-    private void seen(Map<String, Object> value, long revision) {
-        if (revision < currentStamp) {
+    private void onLeaderKey(Map<String, Object> value, long revision) {
+        if (revision < leaderRevision) {
             return;
         }
-        currentStamp = revision;
-        LeaderKey before = current;
+        leaderRevision = revision;
+        LeaderKey before = leaderKey;
         try {
-            current = value == null ? null : LeaderKey.parse(value);
+            leaderKey = value == null ? null : LeaderKey.parse(value);
         } catch (MalformedMessageException e) {
-            current = null;
+            leaderKey = null;
         }
         highestTerm = Math.max(highestTerm, knownTerm());
         if (role != Role.LEADER
-                && sought == highestTerm
-                && new LeaderKey(label, sought).equals(current)) {
+                && requestedTerm == highestTerm
+                && new LeaderKey(label, requestedTerm).equals(leaderKey)) {
             // What was asked for was carried out, and its answer is late or lost: others would wait
             // for the grant's end.
-            won(sought, revision);
+            onElected(requestedTerm, revision);
             return;
         }
-        if (current != null && !current.equals(before)) {
-            LOG.info("event=leader_changed leader={} term={}", current.label(), current.term());
-            loop.execute(listener::leaderSeen);
+        if (leaderKey != null && !leaderKey.equals(before)) {
+            LOG.info("event=leader_changed leader={} term={}", leaderKey.label(), leaderKey.term());
+            loop.execute(listener::onLeaderChanged);
         }
-        if (role == Role.LEADER && (current == null || current.term() != term)) {
-            if (current == null || current.term() > term) {
-                stepDown(current == null ? "the leader key is gone" : current.label() + " leads");
+        if (role == Role.LEADER && (leaderKey == null || leaderKey.term() != term)) {
+            if (leaderKey == null || leaderKey.term() > term) {
+                stepDown(
+                        leaderKey == null
+                                ? "the leader key is gone"
+                                : leaderKey.label() + " leads");
             }
         }
         if (role == Role.FOLLOWER
-                && current != null
-                && current.label().equals(label)
+                && leaderKey != null
+                && leaderKey.label().equals(label)
                 && term == 0) {
-            leaveToOthers(revision);
-        } else if (role == Role.FOLLOWER && vacant()) {
+            yieldLeadership(revision);
+        } else if (role == Role.FOLLOWER && isVacant()) {
             // The key names this node from before it stepped down, or nobody.
-            campaignSoon(current == null && before == null ? 0 : random.nextInt(30_000));
+            scheduleCampaign(leaderKey == null && before == null ? 0 : random.nextInt(30_000));
         }
     }
 
@@ -217,100 +221,100 @@
      * left to a node that stays. The others see at once that nobody leads, and this process takes
      * over only if none of them does.
      */
-    private void leaveToOthers(long revision) {
-        state.txn(
+    private void yieldLeadership(long revision) {
+        store.txn(
                 RequestPriority.URGENT,
                 List.of(new Condition(StoreKeys.LEADER, revision)),
                 List.of(Change.drop(StoreKeys.LEADER)),
                 (result, storeRevision, conflicts) -> {
-                    notBeforeMicros = loop.nowMicros() + YIELD_MICROS;
+                    campaignNotBeforeMicros = loop.nowMicros() + YIELD_MICROS;
                     if (result == Result.OK) {
-                        seen(null, storeRevision);
+                        onLeaderKey(null, storeRevision);
                     } else if (role == Role.FOLLOWER) {
-                        failed();
+                        onCampaignFailed();
                     }
                 });
     }
 
-    private void campaignSoon(long delayMicros) {
-        int expected = ++campaign;
+    private void scheduleCampaign(long delayMicros) {
+        int expected = ++startCampaign;
         loop.schedule(
-                Math.max(Math.max(1, delayMicros), notBeforeMicros - loop.nowMicros()),
+                Math.max(Math.max(1, delayMicros), campaignNotBeforeMicros - loop.nowMicros()),
                 () -> {
                     // A watch that was cut off tells of the old leader's end and of the new leader
                     // in one answer.
-                    if (campaign == expected && role == Role.FOLLOWER && vacant()) {
-                        if (fence.open()) {
-                            campaign();
+                    if (startCampaign == expected && role == Role.FOLLOWER && isVacant()) {
+                        if (fence.isOpen()) {
+                            startCampaign();
                         } else {
-                            campaignSoon(FENCED_MICROS);
+                            scheduleCampaign(FENCED_MICROS);
                         }
                     }
                 });
     }
 
-    private boolean vacant() {
-        return current == null || current.label().equals(label);
+    private boolean isVacant() {
+        return leaderKey == null || leaderKey.label().equals(label);
     }
 
     /** Takes over although the leader key stands: its holder was seen to be gone. */
     public void takeOverFrom(String gone) {
         if (role == Role.FOLLOWER
-                && current != null
-                && current.label().equals(gone)
-                && fence.open()) {
+                && leaderKey != null
+                && leaderKey.label().equals(gone)
+                && fence.isOpen()) {
             LOG.info("event=failover_started former_leader={}", gone);
-            campaign();
+            startCampaign();
         }
     }
 
-    private void campaign() {
+    private void startCampaign() {
         role = Role.CANDIDATE;
-        sought = 0;
+        requestedTerm = 0;
         // The key as it is now: whoever takes it meanwhile is not to be deposed by a campaign
         // against another.
-        long leaderRevision = current == null ? 0 : currentStamp;
-        state.storeLease(
+        long leaderRevision = leaderKey == null ? 0 : this.leaderRevision;
+        store.storeLease(
                 GRANT_MICROS,
                 (result, granted) -> {
                     if (result != Result.OK) {
-                        failed();
+                        onCampaignFailed();
                         return;
                     }
                     storeLease = granted;
-                    state.get(
+                    store.get(
                             RequestPriority.URGENT,
                             StoreKeys.TERM,
                             (read, entry, storeRevision) -> {
                                 try {
                                     if (read == Result.OK) {
-                                        take(
+                                        takeTerm(
                                                 leaderRevision,
                                                 new Fields(entry.value()).integer("term") + 1,
                                                 entry.revision());
                                     } else if (read == Result.NOT_FOUND) {
-                                        take(leaderRevision, 1, 0);
+                                        takeTerm(leaderRevision, 1, 0);
                                     } else {
-                                        failed();
+                                        onCampaignFailed();
                                     }
                                 } catch (MalformedMessageException e) {
                                     LOG.error(
                                             "event=record_unreadable key={} error=\"{}\"",
                                             StoreKeys.TERM,
                                             e.getMessage());
-                                    failed();
+                                    onCampaignFailed();
                                 }
                             });
                 });
     }
 
-    private void take(long leaderRevision, long newTerm, long termRevision) {
-        sought = newTerm;
+    private void takeTerm(long leaderRevision, long newTerm, long termRevision) {
+        requestedTerm = newTerm;
         Map<String, Object> termValue = new LinkedHashMap<>();
         termValue.put("term", newTerm);
         // Whoever takes a term has read what the stored state requires, and nothing was added to it
         // since.
-        state.txn(
+        store.txn(
                 RequestPriority.URGENT,
                 List.of(
                         new Condition(StoreKeys.LEADER, leaderRevision),
@@ -323,68 +327,68 @@
                                 storeLease),
                         Change.put(StoreKeys.TERM, termValue)),
                 (result, storeRevision, conflicts) -> {
-                    if (sought != newTerm) {
+                    if (requestedTerm != newTerm) {
                         if (result == Result.CONFLICT && role == Role.LEADER && term == newTerm) {
                             // The key that was seen is of this node's process before, and so is the
                             // grant that it hangs on.
                             stepDown("the term was taken by an earlier process");
                         }
                     } else if (result == Result.OK) {
-                        won(newTerm, storeRevision);
+                        onElected(newTerm, storeRevision);
                     } else {
                         if (conflicts.contains(fence.condition().path())) {
-                            fence.changed();
+                            fence.onConflict();
                         }
                         // Without an answer it may have been carried out; otherwise a later
                         // campaign takes a higher term.
-                        sought = result == Result.UNKNOWN ? newTerm : 0;
-                        failed();
+                        requestedTerm = result == Result.UNKNOWN ? newTerm : 0;
+                        onCampaignFailed();
                     }
                 });
     }
 
-    private void failed() {
+    private void onCampaignFailed() {
         role = Role.FOLLOWER;
         long pause = RETRY_MICROS + random.nextInt((int) RETRY_MICROS);
         loop.schedule(
                 pause,
                 () ->
-                        state.get(
+                        store.get(
                                 RequestPriority.URGENT,
                                 StoreKeys.LEADER,
                                 (result, entry, storeRevision) -> {
                                     if (result == Result.OK) {
-                                        seen(entry.value(), entry.revision());
+                                        onLeaderKey(entry.value(), entry.revision());
                                     } else if (result == Result.NOT_FOUND) {
-                                        seen(null, storeRevision);
+                                        onLeaderKey(null, storeRevision);
                                     } else if (role == Role.FOLLOWER) {
-                                        failed();
+                                        onCampaignFailed();
                                     }
                                 }));
     }
 
-    private void won(long newTerm, long revision) {
+    private void onElected(long newTerm, long revision) {
         role = Role.LEADER;
-        sought = 0;
+        requestedTerm = 0;
         term = newTerm;
         highestTerm = Math.max(highestTerm, newTerm);
-        current = new LeaderKey(label, newTerm);
-        currentStamp = revision;
+        leaderKey = new LeaderKey(label, newTerm);
+        leaderRevision = revision;
         LOG.info("event=leader_elected term={}", newTerm);
         // The grant may be some seconds old.
-        renewLater(newTerm, 1);
-        listener.elected(newTerm, revision);
-        loop.execute(listener::leaderSeen);
+        scheduleRenewal(newTerm, 1);
+        listener.onElected(newTerm, revision);
+        loop.execute(listener::onLeaderChanged);
     }
 
-    private void renewLater(long ofTerm, long delayMicros) {
+    private void scheduleRenewal(long ofTerm, long delayMicros) {
         loop.schedule(
                 delayMicros,
                 () -> {
                     if (role != Role.LEADER || term != ofTerm) {
                         return;
                     }
-                    state.renew(
+                    store.renewLease(
                             storeLease,
                             (result, id) -> {
                                 if (result == Result.NOT_FOUND
@@ -393,7 +397,7 @@
                                     stepDown("the grant has ended");
                                 }
                             });
-                    renewLater(ofTerm, RENEW_MICROS);
+                    scheduleRenewal(ofTerm, RENEW_MICROS);
                 });
     }
 
@@ -404,10 +408,10 @@
         }
         LOG.info("event=leadership_lost term={} reason=\"{}\"", term, reason);
         role = Role.FOLLOWER;
-        if (current != null && current.term() == term) {
-            current = null;
+        if (leaderKey != null && leaderKey.term() == term) {
+            leaderKey = null;
         }
-        listener.deposed(reason);
-        failed();
+        listener.onDeposed(reason);
+        onCampaignFailed();
     }
 }
--- a/src/main/java/org/woadloom/leader/RecordWriter.java
+++ b/src/main/java/org/woadloom/leader/RecordWriter.java
@@ -32,22 +32,22 @@
     }
 
     public interface Outcome {
-        void written(WriteOutcome outcome, long revision);
+        void onWritten(WriteOutcome outcome, long revision);
     }
 
-    private final StoreClient state;
+    private final StoreClient store;
     private final StoreLimits limits;
     private final long leaderStamp;
-    private final Runnable deposed;
+    private final Runnable onDeposed;
     private final List<Write> urgent = new ArrayList<>();
     private final List<Write> normal = new ArrayList<>();
 
     public RecordWriter(
-            StoreClient state, StoreLimits limits, long leaderRevision, Runnable deposed) {
-        this.state = state;
+            StoreClient store, StoreLimits limits, long leaderRevision, Runnable deposed) {
+        this.store = store;
         this.limits = limits;
         this.leaderStamp = leaderRevision;
-        this.deposed = deposed;
+        this.onDeposed = deposed;
     }
 
     public void add(boolean isUrgent, Write write) {
@@ -68,7 +68,7 @@
             int size = write.size();
             if (!batch.isEmpty()
                     && (ops + write.changes.size() > limits.txnOps() || bytes + size > MAX_BYTES)) {
-                transact(urgency, batch);
+                writeBatch(urgency, batch);
                 batch = new ArrayList<>();
                 ops = 0;
                 bytes = 0;
@@ -79,11 +79,11 @@
         }
         writes.clear();
         if (!batch.isEmpty()) {
-            transact(urgency, batch);
+            writeBatch(urgency, batch);
         }
     }
 
-    private void transact(RequestPriority urgency, List<Write> batch) {
+    private void writeBatch(RequestPriority urgency, List<Write> batch) {
         List<Condition> conditions = new ArrayList<>();
         List<Change> changes = new ArrayList<>();
         conditions.add(new Condition(StoreKeys.LEADER, leaderStamp));
@@ -91,7 +91,7 @@
             conditions.addAll(write.conditions);
             changes.addAll(write.changes);
         }
-        state.txn(
+        store.txn(
                 urgency,
                 conditions,
                 changes,
@@ -101,18 +101,18 @@
                         case OK ->
                                 batch.forEach(
                                         write ->
-                                                write.callback.written(
+                                                write.callback.onWritten(
                                                         WriteOutcome.WRITTEN, storeRevision));
-                        case CONFLICT -> conflict(urgency, batch, failed);
+                        case CONFLICT -> onConflict(urgency, batch, failed);
                         case UNAVAILABLE, NOT_FOUND ->
                                 batch.forEach(
                                         write ->
-                                                write.callback.written(
+                                                write.callback.onWritten(
                                                         WriteOutcome.NOT_WRITTEN, 0));
-                        case BAD -> refused(urgency, batch, changes);
+                        case BAD -> onRefused(urgency, batch, changes);
                         case UNKNOWN ->
                                 batch.forEach(
-                                        write -> write.callback.written(WriteOutcome.UNKNOWN, 0));
+                                        write -> write.callback.onWritten(WriteOutcome.UNKNOWN, 0));
                     }
                 });
     }
@@ -135,41 +135,41 @@
      * A value or the number of changes is above a limit that has fallen. Each record is tried by
      * itself, so that what is too large holds up nothing else; nothing was executed.
      */
-    private void refused(RequestPriority urgency, List<Write> batch, List<Change> changes) {
+    private void onRefused(RequestPriority urgency, List<Write> batch, List<Change> changes) {
         if (batch.size() > 1) {
-            limits.refusedOps(changes.size());
-            batch.forEach(write -> transact(urgency, List.of(write)));
+            limits.onTransactionRefused(changes.size());
+            batch.forEach(write -> writeBatch(urgency, List.of(write)));
             return;
         }
         int largest = 0;
         for (Change change : changes) {
             largest = Math.max(largest, Cbor.jsonSize(change.value()));
         }
-        limits.refusedValue(largest);
-        batch.get(0).callback.written(WriteOutcome.TOO_LARGE, 0);
+        limits.onValueRefused(largest);
+        batch.get(0).callback.onWritten(WriteOutcome.TOO_LARGE, 0);
     }
 
-    private void conflict(RequestPriority urgency, List<Write> batch, List<String> failed) {
+    private void onConflict(RequestPriority urgency, List<Write> batch, List<String> failed) {
         if (failed.contains(StoreKeys.LEADER)) {
-            deposed.run();
+            onDeposed.run();
             return;
         }
-        List<Write> again = new ArrayList<>();
+        List<Write> retry = new ArrayList<>();
         for (Write write : batch) {
             boolean mine =
                     write.conditions.stream()
                             .anyMatch(condition -> failed.contains(condition.path()));
             if (mine) {
-                write.callback.written(WriteOutcome.CONFLICT, 0);
+                write.callback.onWritten(WriteOutcome.CONFLICT, 0);
             } else {
-                again.add(write);
+                retry.add(write);
             }
         }
         // One record's conflict must not hold up the others of the transaction.
-        if (again.size() < batch.size()) {
-            send(urgency, again);
+        if (retry.size() < batch.size()) {
+            send(urgency, retry);
         } else {
-            batch.forEach(write -> write.callback.written(WriteOutcome.UNKNOWN, 0));
+            batch.forEach(write -> write.callback.onWritten(WriteOutcome.UNKNOWN, 0));
         }
     }
 
--- a/src/main/java/org/woadloom/metrics/NodeMetrics.java
+++ b/src/main/java/org/woadloom/metrics/NodeMetrics.java
@@ -67,19 +67,19 @@
         steps.record(micros, TimeUnit.MICROSECONDS);
     }
 
-    public void done(SchedulerAction effect) {
-        if (effect instanceof SchedulerAction.AnswerHeartbeat) {
+    public void done(SchedulerAction action) {
+        if (action instanceof SchedulerAction.AnswerHeartbeat) {
             answers.increment();
-        } else if (effect instanceof SchedulerAction.SendDirectCommand) {
+        } else if (action instanceof SchedulerAction.SendDirectCommand) {
             launches.increment();
-        } else if (effect instanceof SchedulerAction.WriteJob
-                || effect instanceof SchedulerAction.WriteFinalState) {
+        } else if (action instanceof SchedulerAction.WriteJob
+                || action instanceof SchedulerAction.WriteFinalState) {
             writes.increment();
-        } else if (effect instanceof SchedulerAction.RentMachines) {
+        } else if (action instanceof SchedulerAction.RentMachines) {
             rentals.increment();
-        } else if (effect instanceof SchedulerAction.DeleteMachines) {
+        } else if (action instanceof SchedulerAction.DeleteMachines) {
             deletions.increment();
-        } else if (effect instanceof SchedulerAction.PublishServiceLevels seen) {
+        } else if (action instanceof SchedulerAction.PublishServiceLevels seen) {
             seen.rows().forEach(this::served);
         }
     }
--- a/src/main/java/org/woadloom/net/SocketBudget.java
+++ b/src/main/java/org/woadloom/net/SocketBudget.java
@@ -62,7 +62,7 @@
     }
 
     /** How many workers a node takes before it sends others to another node. */
-    public int workers() {
+    public int agents() {
         return (int) (inbound * WORKERS);
     }
 }
--- a/src/main/java/org/woadloom/node/CancellationConfirmer.java
+++ b/src/main/java/org/woadloom/node/CancellationConfirmer.java
@@ -46,46 +46,46 @@
     /** The way to the leader, and what it is told. */
     interface Carrier {
         /** The leader where messages reach it, this node perhaps; null otherwise. */
-        String reachedLeader();
+        String reachableLeader();
 
         long term();
 
-        void vouch(String leader, WatermarkReport vouch);
+        void sendReport(String leader, WatermarkReport report);
 
-        void taken(String node, WatermarkAck taken);
+        void sendAck(String node, WatermarkAck ack);
 
         /** For how long the state service has not served this node. */
-        long stateSilentMicros();
+        long storeSilentMicros();
     }
 
     /** What a leader knows by itself. */
     interface View {
         /** True once it has read the records. */
-        boolean ready();
+        boolean isReady();
 
-        long cancellationsSeenMicros();
+        long cancellationsReadUpToMicros();
 
-        void cancelled(List<String> jobIds);
+        void onCancelled(List<String> jobIds);
     }
 
     private final EventLoop loop;
     private final String self;
     private final List<String> nodes = new ArrayList<>();
-    private final long boundMicros;
+    private final long maxLagMicros;
     private final Carrier carrier;
     private final View view;
-    private final ConfirmedCancellations told;
+    private final ConfirmedCancellations confirmed;
 
     /** Who waits for which job to be told of, the first first. */
     private final Map<Waiting, String> waiting = new LinkedHashMap<>();
 
     private CancellationWatermark watermark;
-    private boolean on;
-    private boolean looking;
-    private boolean vouching;
-    private long vouchedMicros = Long.MIN_VALUE / 2;
+    private boolean setEnabled;
+    private boolean releaseScheduled;
+    private boolean reportScheduled;
+    private long lastReportMicros = Long.MIN_VALUE / 2;
     private long malformed;
-    private long restedMicros = Long.MIN_VALUE / 2;
+    private long suspensionLoggedMicros = Long.MIN_VALUE / 2;
 
     private record Waiting(long untilMicros, Consumer<Boolean> told) {}
 
@@ -98,57 +98,57 @@
         List<String> peers = settings.peers().stream().map(Peer::label).toList();
         nodes.add(self);
         nodes.addAll(peers);
-        boundMicros =
+        maxLagMicros =
                 Math.max(
                         LEAST_MICROS,
                         DelegationTimeouts.of(
-                                        settings.workers().leaseMicros(),
-                                        settings.workers().cancelMicros())
+                                        settings.agents().leaseMicros(),
+                                        settings.agents().cancelMicros())
                                 .delegationMicros());
-        told = new ConfirmedCancellations(random.nextLong(), peers, loop.nowMicros());
+        confirmed = new ConfirmedCancellations(random.nextLong(), peers, loop.nowMicros());
     }
 
     /**
      * The nodes have agreed to vouch, or have agreed no longer to: promises that were given hold
      * all the same.
      */
-    void on(boolean agreed) {
-        on = agreed;
+    void setEnabled(boolean agreed) {
+        setEnabled = agreed;
     }
 
     /** What is agreed on is known, and no node vouches: nor did the process before this one. */
-    void neverOn() {
-        told.forgetPredecessorPromises();
+    void onNeverEnabled() {
+        confirmed.forgetPredecessorPromises();
     }
 
     // Towards users.
 
     @Override
-    public void mayTell(String jobId, long patienceMicros, Consumer<Boolean> answer) {
+    public void confirm(String jobId, long patienceMicros, Consumer<Boolean> answer) {
         long now = loop.nowMicros();
-        told.add(jobId, now);
-        if (told.tryConfirm(jobId, now)) {
+        confirmed.add(jobId, now);
+        if (confirmed.tryConfirm(jobId, now)) {
             answer.accept(true);
             return;
         }
         waiting.put(new Waiting(now + patienceMicros, answer), jobId);
-        vouchSoon();
-        lookLater();
+        scheduleReport();
+        scheduleRelease();
     }
 
-    private void lookLater() {
-        if (!looking && !waiting.isEmpty()) {
-            looking = true;
+    private void scheduleRelease() {
+        if (!releaseScheduled && !waiting.isEmpty()) {
+            releaseScheduled = true;
             loop.schedule(
                     LOOK_MICROS,
                     () -> {
-                        looking = false;
+                        releaseScheduled = false;
                         release();
                         if (!waiting.isEmpty()
-                                && loop.nowMicros() - vouchedMicros >= AGAIN_MICROS) {
-                            vouch();
+                                && loop.nowMicros() - lastReportMicros >= AGAIN_MICROS) {
+                            sendReport();
                         }
-                        lookLater();
+                        scheduleRelease();
                     });
         }
     }
@@ -157,7 +157,7 @@
         long now = loop.nowMicros();
         for (Map.Entry<Waiting, String> entry : List.copyOf(waiting.entrySet())) {
             Waiting one = entry.getKey();
-            boolean may = told.tryConfirm(entry.getValue(), now);
+            boolean may = confirmed.tryConfirm(entry.getValue(), now);
             if (may || now >= one.untilMicros) {
                 waiting.remove(one);
                 one.told.accept(may);
@@ -172,83 +172,84 @@
 
     // Towards the leader.
 
-    private void vouchSoon() {
-        if (!vouching) {
-            vouching = true;
+    private void scheduleReport() {
+        if (!reportScheduled) {
+            reportScheduled = true;
             loop.execute(
                     () -> {
-                        vouching = false;
-                        vouch();
+                        reportScheduled = false;
+                        sendReport();
                     });
         }
     }
 
     /** To be called all the time: says what was told, and promises for a while. */
-    void vouch() {
-        String leader = carrier.reachedLeader();
-        if (!on || leader == null || leader.equals(self) && !view.ready()) {
+    void sendReport() {
+        String leader = carrier.reachableLeader();
+        if (!setEnabled || leader == null || leader.equals(self) && !view.isReady()) {
             return;
         }
         long now = loop.nowMicros();
-        vouchedMicros = now;
-        WatermarkReport vouch =
-                told.nextReport(leader, carrier.term(), carrier.stateSilentMicros(), now);
-        if (vouch == null) {
+        lastReportMicros = now;
+        WatermarkReport report =
+                confirmed.nextReport(leader, carrier.term(), carrier.storeSilentMicros(), now);
+        if (report == null) {
             return;
         }
         if (leader.equals(self)) {
-            heard(self, vouch);
+            onReport(self, report);
         } else {
-            carrier.vouch(leader, vouch);
+            carrier.sendReport(leader, report);
         }
     }
 
-    void taken(WatermarkAck taken) {
-        told.onAck(taken);
+    void onAck(WatermarkAck ack) {
+        confirmed.onAck(ack);
         release();
     }
 
-    void peerSpoke(String peer, long term, boolean leads) {
-        told.onPeerTerm(peer, term, leads);
+    void onPeerTerm(String peer, long term, boolean leads) {
+        confirmed.onPeerTerm(peer, term, leads);
     }
 
     // While this node leads.
 
-    void lead(long term) {
+    void startTerm(long term) {
         watermark = new CancellationWatermark(term, nodes);
     }
 
-    void end() {
+    void endTerm() {
         watermark = null;
-        told.onLeadershipLost(self);
+        confirmed.onLeadershipLost(self);
     }
 
-    void heard(String node, WatermarkReport vouch) {
+    void onReport(String node, WatermarkReport report) {
         long now = loop.nowMicros();
         String flaw =
-                vouch.jobIds().stream().allMatch(JobDescription::isJobId)
-                        ? CancellationWatermark.validationError(vouch, now)
+                report.jobIds().stream().allMatch(JobDescription::isJobId)
+                        ? CancellationWatermark.validationError(report, now)
                         : "a name that is no job's";
         if (flaw != null) {
             malformed++;
             LOG.warn("event=cancellation_report_invalid node={} error=\"{}\"", node, flaw);
             return;
         }
-        if (watermark == null || !view.ready()) {
+        if (watermark == null || !view.isReady()) {
             return;
         }
-        WatermarkAck taken = watermark.onReport(node, vouch, view.cancellationsSeenMicros(), now);
-        if (taken == null) {
+        WatermarkAck ack =
+                watermark.onReport(node, report, view.cancellationsReadUpToMicros(), now);
+        if (ack == null) {
             return;
         }
         // Before any report that comes after this: the next answer to a worker halts what it names.
-        if (!vouch.jobIds().isEmpty()) {
-            view.cancelled(vouch.jobIds());
+        if (!report.jobIds().isEmpty()) {
+            view.onCancelled(report.jobIds());
         }
         if (node.equals(self)) {
-            taken(taken);
+            onAck(ack);
         } else {
-            carrier.taken(node, taken);
+            carrier.sendAck(node, ack);
         }
     }
 
@@ -260,31 +261,31 @@
      * How long ago the moment is up to which this leader carries out every cancellation that was
      * told of; 0 for others.
      */
-    long behindMicros() {
-        return watermark == null || !view.ready()
+    long lagMicros() {
+        return watermark == null || !view.isReady()
                 ? 0
                 : Math.max(
                         0,
                         loop.nowMicros()
-                                - watermark.watermarkMicros(view.cancellationsSeenMicros()));
+                                - watermark.watermarkMicros(view.cancellationsReadUpToMicros()));
     }
 
     /**
      * Whether this leader must leave its workers to themselves, so that their leases end in time:
      * somebody may have been told of a cancellation that it lacks.
      */
-    boolean mustRest() {
-        long behind = behindMicros();
-        if (behind <= boundMicros) {
+    boolean mustSuspendLeases() {
+        long behind = lagMicros();
+        if (behind <= maxLagMicros) {
             return false;
         }
         long now = loop.nowMicros();
-        if (now - restedMicros > LOG_MICROS) {
-            restedMicros = now;
+        if (now - suspensionLoggedMicros > LOG_MICROS) {
+            suspensionLoggedMicros = now;
             LOG.warn(
                     "event=lease_renewal_suspended cancellations_behind_s={} missing_reports={}",
                     behind / 1_000_000,
-                    watermark.laggards(view.cancellationsSeenMicros()));
+                    watermark.laggards(view.cancellationsReadUpToMicros()));
         }
         return true;
     }
--- a/src/main/java/org/woadloom/node/DeferredHeartbeats.java
+++ b/src/main/java/org/woadloom/node/DeferredHeartbeats.java
@@ -18,7 +18,7 @@
     static final long WAIT_MICROS = 3_000_000;
 
     private final EventLoop loop;
-    private final int most;
+    private final int maxWaiting;
     private final Consumer<PendingHeartbeat> route;
     private final Set<Entry> waiting = new LinkedHashSet<>();
 
@@ -34,15 +34,15 @@
         }
     }
 
-    DeferredHeartbeats(EventLoop loop, int most, Consumer<PendingHeartbeat> route) {
+    DeferredHeartbeats(EventLoop loop, int maxWaiting, Consumer<PendingHeartbeat> route) {
         this.loop = loop;
-        this.most = most;
+        this.maxWaiting = maxWaiting;
         this.route = route;
     }
 
-    void park(PendingHeartbeat report) {
+    void defer(PendingHeartbeat report) {
         long left = report.untilMicros - loop.nowMicros();
-        if (left <= 0 || waiting.size() >= most) {
+        if (left <= 0 || waiting.size() >= maxWaiting) {
             report.answer.accept(Response.of(421, Map.of()));
             return;
         }
@@ -58,7 +58,7 @@
     }
 
     /** Sends all on their way. */
-    void release() {
+    void releaseAll() {
         List<Entry> all = new ArrayList<>(waiting);
         waiting.clear();
         all.forEach(entry -> route.accept(entry.report));
--- a/src/main/java/org/woadloom/node/DelegatedLeaseRenewer.java
+++ b/src/main/java/org/woadloom/node/DelegatedLeaseRenewer.java
@@ -25,63 +25,63 @@
 
     private final EventLoop loop;
     private final DelegationTimeouts rules;
-    private final LeaseDelegate caretaker;
+    private final LeaseDelegate delegate;
 
     /** What the other nodes last said of themselves, and when. */
-    private final Map<String, Heard> heard = new HashMap<>();
+    private final Map<String, Heard> peerStatuses = new HashMap<>();
 
     /** The tokens that workers in this node's care had when that began. */
     private final Map<String, Long> tokens = new HashMap<>();
 
-    private boolean allowed;
+    private boolean isEnabled;
     private long loggedMicros = Long.MIN_VALUE / 2;
 
-    private record Heard(long atMicros, PeerStatus standing) {}
+    private record Heard(long atMicros, PeerStatus status) {}
 
     DelegatedLeaseRenewer(EventLoop loop, ServiceSettings settings, Random random) {
         this.loop = loop;
         rules =
                 DelegationTimeouts.of(
-                        settings.workers().leaseMicros(), settings.workers().cancelMicros());
-        caretaker = new LeaseDelegate(rules, settings.zone(), random.nextLong(), loop.nowMicros());
+                        settings.agents().leaseMicros(), settings.agents().cancelMicros());
+        delegate = new LeaseDelegate(rules, settings.zone(), random.nextLong(), loop.nowMicros());
     }
 
     /** Every node runs a version that knows of care, and the operators want it. */
-    void allow() {
-        allowed = true;
+    void enable() {
+        isEnabled = true;
     }
 
-    boolean allowed() {
-        return allowed;
+    boolean isEnabled() {
+        return isEnabled;
     }
 
-    void stateAnswered(boolean served) {
+    void onStoreAnswer(boolean served) {
         if (served) {
-            caretaker.onStoreAnswered(loop.nowMicros());
+            delegate.onStoreAnswered(loop.nowMicros());
         } else {
-            caretaker.onStoreFailed();
+            delegate.onStoreFailed();
         }
     }
 
-    PeerStatus standing() {
-        return caretaker.status(loop.nowMicros());
+    PeerStatus status() {
+        return delegate.status(loop.nowMicros());
     }
 
-    long stateSilentMicros() {
-        return standing().storeSilentMicros();
+    long storeSilentMicros() {
+        return status().storeSilentMicros();
     }
 
-    void stands(String peer, PeerStatus standing) {
-        heard.put(peer, new Heard(loop.nowMicros(), standing));
+    void onPeerStatus(String peer, PeerStatus status) {
+        peerStatuses.put(peer, new Heard(loop.nowMicros(), status));
     }
 
-    void warranted(LeaseDelegation warrant) {
-        caretaker.onDelegation(warrant);
+    void onDelegation(LeaseDelegation delegation) {
+        delegate.onDelegation(delegation);
     }
 
     /** True while this node has lost the leader and the state service, and its warrant lasts. */
-    boolean mayCare() {
-        return allowed && caretaker.mayRenew(loop.nowMicros());
+    boolean mayRenew() {
+        return isEnabled && delegate.mayRenew(loop.nowMicros());
     }
 
     /**
@@ -90,24 +90,24 @@
      */
     Response answer(byte[] report) {
         long now = loop.nowMicros();
-        if (!mayCare()) {
+        if (!mayRenew()) {
             tokens.clear();
             return null;
         }
         try {
-            Heartbeat worker = Heartbeat.read(report);
-            long fencingToken = worker.fencingToken();
-            Long before = tokens.putIfAbsent(worker.host(), fencingToken);
+            Heartbeat agent = Heartbeat.read(report);
+            long fencingToken = agent.fencingToken();
+            Long before = tokens.putIfAbsent(agent.host(), fencingToken);
             if (before != null && fencingToken > before) {
                 // The leader reaches this worker, so it is this node alone that is cut off.
                 return null;
             }
-            if (!caretaker.tryRenew(worker.zone(), fencingToken >> AgentLiveness.FENCE_BITS, now)) {
+            if (!delegate.tryRenew(agent.zone(), fencingToken >> AgentLiveness.FENCE_BITS, now)) {
                 return null;
             }
             if (now - loggedMicros > rules.silenceMicros()) {
                 loggedMicros = now;
-                LOG.info("event=delegated_lease_renewal machine={}", worker.host());
+                LOG.info("event=delegated_lease_renewal machine={}", agent.host());
             }
             Map<String, Object> answer = new LinkedHashMap<>();
             answer.put("epoch", fencingToken);
@@ -119,12 +119,12 @@
     }
 
     /** True if a peer has said just now that the state service serves it. */
-    boolean peersServed() {
+    boolean arePeersServed() {
         long now = loop.nowMicros();
-        return heard.values().stream()
+        return peerStatuses.values().stream()
                 .anyMatch(
                         said ->
                                 now - said.atMicros <= FRESH_MICROS
-                                        && said.standing.storeSilentMicros() == 0);
+                                        && said.status.storeSilentMicros() == 0);
     }
 }
--- a/src/main/java/org/woadloom/node/EventQueue.java
+++ b/src/main/java/org/woadloom/node/EventQueue.java
@@ -18,24 +18,24 @@
  */
 public final class EventQueue {
     private static final long PAUSE_MICROS = 8_000;
-    private static final long MOST_PAUSE_MICROS = 200_000;
+    private static final long MAX_PAUSE_MICROS = 200_000;
     private static final int PAUSE_PER_STEP = 2;
 
     private final EventLoop loop;
     private final Scheduler core;
     private final Executor executor;
     private final NodeMetrics metrics;
-    private final int mostRepeatable;
+    private final int maxHeartbeats;
     private final StepObserver observer;
     private final ManyToOneConcurrentLinkedQueue<SchedulerEvent> queue =
             new ManyToOneConcurrentLinkedQueue<>();
-    private final AtomicInteger repeatable = new AtomicInteger();
+    private final AtomicInteger queuedHeartbeats = new AtomicInteger();
     private final AtomicBoolean scheduled = new AtomicBoolean();
     private volatile long notBeforeMicros = Long.MIN_VALUE / 2;
 
     /** Carries out what the core wants done. */
     public interface Executor {
-        void execute(List<SchedulerAction> effects);
+        void execute(List<SchedulerAction> actions);
     }
 
     /**
@@ -43,26 +43,26 @@
      */
     public EventQueue(
             EventLoop loop,
-            Scheduler core,
+            Scheduler scheduler,
             NodeMetrics metrics,
-            int mostRepeatable,
+            int maxHeartbeats,
             Executor executor) {
-        this(loop, core, metrics, mostRepeatable, executor, StepObserver.NONE);
+        this(loop, scheduler, metrics, maxHeartbeats, executor, StepObserver.NONE);
     }
 
     /** The same, with an observer of each step. */
     EventQueue(
             EventLoop loop,
-            Scheduler core,
+            Scheduler scheduler,
             NodeMetrics metrics,
-            int mostRepeatable,
+            int maxHeartbeats,
             Executor executor,
             StepObserver observer) {
         this.loop = loop;
-        this.core = core;
+        this.core = scheduler;
         this.executor = executor;
         this.metrics = metrics;
-        this.mostRepeatable = mostRepeatable;
+        this.maxHeartbeats = maxHeartbeats;
         this.observer = observer;
     }
 
@@ -70,8 +70,8 @@
      * Takes what must not get lost: the outcome of something that was asked for. What is under way
      * bounds their number.
      */
-    public void add(SchedulerEvent command) {
-        queue.add(command);
+    public void add(SchedulerEvent event) {
+        queue.add(event);
         wake();
     }
 
@@ -80,8 +80,8 @@
      * then.
      */
     public boolean offer(SchedulerEvent.HeartbeatReceived report) {
-        if (repeatable.incrementAndGet() > mostRepeatable) {
-            repeatable.decrementAndGet();
+        if (queuedHeartbeats.incrementAndGet() > maxHeartbeats) {
+            queuedHeartbeats.decrementAndGet();
             return false;
         }
         add(report);
@@ -100,25 +100,25 @@
     }
 
     private void drain() {
-        long begin = loop.nowMicros();
+        long startMicros = loop.nowMicros();
         List<SchedulerEvent> batch = new ArrayList<>();
-        for (SchedulerEvent command = queue.poll(); command != null; command = queue.poll()) {
-            if (command instanceof SchedulerEvent.HeartbeatReceived) {
-                repeatable.decrementAndGet();
+        for (SchedulerEvent event = queue.poll(); event != null; event = queue.poll()) {
+            if (event instanceof SchedulerEvent.HeartbeatReceived) {
+                queuedHeartbeats.decrementAndGet();
             }
-            batch.add(command);
+            batch.add(event);
         }
-        List<SchedulerAction> effects = core.step(begin, loop.wallMicros(), batch);
-        metrics.stepped(loop.nowMicros() - begin);
-        observer.onStep(begin, batch, effects);
-        effects.forEach(metrics::done);
-        executor.execute(effects);
-        long end = loop.nowMicros();
+        List<SchedulerAction> actions = core.step(startMicros, loop.wallMicros(), batch);
+        metrics.stepped(loop.nowMicros() - startMicros);
+        observer.onStep(startMicros, batch, actions);
+        actions.forEach(metrics::done);
+        executor.execute(actions);
+        long endMicros = loop.nowMicros();
         notBeforeMicros =
-                end
+                endMicros
                         + Math.min(
-                                MOST_PAUSE_MICROS,
-                                Math.max(PAUSE_MICROS, (end - begin) * PAUSE_PER_STEP));
+                                MAX_PAUSE_MICROS,
+                                Math.max(PAUSE_MICROS, (endMicros - startMicros) * PAUSE_PER_STEP));
         scheduled.set(false);
         if (!queue.isEmpty()) {
             wake();
--- a/src/main/java/org/woadloom/node/FleetSizeEstimate.java
+++ b/src/main/java/org/woadloom/node/FleetSizeEstimate.java
@@ -23,11 +23,11 @@
     public static FleetSizeEstimate of(ServiceSettings settings) {
         double reportsASecond = settings.resources().cpuShare() * (1 - SPARE) / REPORT_SECONDS;
         return new FleetSizeEstimate(
-                SocketBudget.of(settings).workers() * Math.max(1, settings.peers().size()),
-                (int) (reportsASecond * settings.workers().reportMicros() / 1e6));
+                SocketBudget.of(settings).agents() * Math.max(1, settings.peers().size()),
+                (int) (reportsASecond * settings.agents().heartbeatMicros() / 1e6));
     }
 
-    public int workers() {
+    public int agents() {
         return Math.min(bySockets, byProcessor);
     }
 }
--- a/src/main/java/org/woadloom/node/IsolationDetector.java
+++ b/src/main/java/org/woadloom/node/IsolationDetector.java
@@ -14,7 +14,7 @@
     private static final long OUTSIDE_MICROS = 3_000_000;
 
     private final EventLoop loop;
-    private boolean failing;
+    private boolean isStoreFailing;
     private long failingSinceMicros;
     private long outsideMicros = Long.MIN_VALUE / 2;
 
@@ -22,30 +22,30 @@
         this.loop = loop;
     }
 
-    void stateAnswered(boolean served) {
-        if (!served && !failing) {
+    void onStoreAnswer(boolean served) {
+        if (!served && !isStoreFailing) {
             failingSinceMicros = loop.nowMicros();
         }
-        failing = !served;
+        isStoreFailing = !served;
     }
 
     /** A user, or the load balancer's probe, has reached this node. */
-    void reachedFromOutside() {
+    void onOutsideRequest() {
         outsideMicros = loop.nowMicros();
     }
 
     /** The service has to be asked by itself, as nobody else may be left who asks. */
-    boolean failing() {
-        return failing;
+    boolean isStoreFailing() {
+        return isStoreFailing;
     }
 
     /**
      * @param peersServed a peer says that it is served
      * @param peersReached any peer can be reached
      */
-    boolean alone(boolean peersServed, boolean peersReached) {
+    boolean isIsolated(boolean peersServed, boolean peersReached) {
         long now = loop.nowMicros();
-        return failing
+        return isStoreFailing
                 && now - failingSinceMicros > LOST_MICROS
                 && (peersServed || !peersReached && now - outsideMicros < OUTSIDE_MICROS);
     }
--- a/src/main/java/org/woadloom/node/LeaderActions.java
+++ b/src/main/java/org/woadloom/node/LeaderActions.java
@@ -57,33 +57,33 @@
     }
 
     private final EventLoop loop;
-    private final StoreClient state;
+    private final StoreClient store;
     private final CloudClient cloud;
-    private final AgentClient workers;
+    private final AgentClient agents;
     private final ServiceSettings settings;
     private final StoreLimits limits;
     private final RolloutParticipant rollout;
     private final RolloutActions rolloutDuties;
     private final NodeMetrics metrics;
-    private final DelegatedLeaseRenewer care;
-    private final java.util.function.Consumer<String> abdicate;
-    private final BiConsumer<String, LeaseDelegation> warrants;
+    private final DelegatedLeaseRenewer delegatedRenewer;
+    private final java.util.function.Consumer<String> stepDown;
+    private final BiConsumer<String, LeaseDelegation> delegations;
     private EventQueue queue;
     private long term;
     private RecordWriter writer;
     private final Map<Long, ReportAnswer> answers = new HashMap<>();
-    private long replies;
-    private double toldWrites;
-    private long toldRolloutMicros = Long.MIN_VALUE / 2;
+    private long lastRequestId;
+    private double sentWriteRate;
+    private long rolloutSentMicros = Long.MIN_VALUE / 2;
 
     /** Every cancellation that was made before this moment has been read. */
-    private long cancellationsSeenMicros;
+    private long cancellationsReadUpToMicros;
 
     LeaderActions(
             EventLoop loop,
-            StoreClient state,
+            StoreClient store,
             CloudClient cloud,
-            AgentClient workers,
+            AgentClient agents,
             ServiceSettings settings,
             StoreLimits limits,
             RolloutParticipant rollout,
@@ -92,17 +92,17 @@
             java.util.function.Consumer<String> abdicate,
             BiConsumer<String, LeaseDelegation> warrants) {
         this.loop = loop;
-        this.state = state;
+        this.store = store;
         this.cloud = cloud;
-        this.workers = workers;
+        this.agents = agents;
         this.settings = settings;
         this.limits = limits;
         this.rollout = rollout;
         this.metrics = metrics;
-        rolloutDuties = new RolloutActions(state, rollout);
-        this.care = care;
-        this.abdicate = abdicate;
-        this.warrants = warrants;
+        rolloutDuties = new RolloutActions(store, rollout);
+        this.delegatedRenewer = care;
+        this.stepDown = abdicate;
+        this.delegations = warrants;
     }
 
     void attach(EventQueue commands) {
@@ -110,18 +110,18 @@
     }
 
     /** True once the records are read: only then may a report be decided. */
-    boolean ready() {
+    boolean isReady() {
         return writer != null;
     }
 
-    void begin(long newTerm, long leaderRevision) {
+    void start(long newTerm, long leaderRevision) {
         term = newTerm;
         writer = null;
         // The format must be known before the first write.
-        rollout.look(
+        rollout.readAgreedVersion(
                 RequestPriority.URGENT,
                 known ->
-                        again(
+                        inTerm(
                                 newTerm,
                                 () -> {
                                     if (known) {
@@ -130,10 +130,10 @@
                                         loop.schedule(
                                                 RETRY_MICROS,
                                                 () ->
-                                                        again(
+                                                        inTerm(
                                                                 newTerm,
                                                                 () ->
-                                                                        begin(
+                                                                        start(
                                                                                 newTerm,
                                                                                 leaderRevision)));
                                     }
@@ -141,25 +141,25 @@
     }
 
     /** Tells the core what its records must fit. */
-    void tellStorage() {
-        toldWrites = state.writesPerSecond();
+    void sendStoreLimits() {
+        sentWriteRate = store.writesPerSecond();
         queue.add(
                 new SchedulerEvent.StoreLimitsChanged(
                         rollout.format() == RecordFormat.COMPACT
                                 ? limits.valueBytes()
-                                : limits.valueBytesNow(),
+                                : limits.currentValueBytes(),
                         rollout.format(),
-                        toldWrites,
-                        care.allowed(),
-                        rollout.on(Feature.MACHINE_LIFE)));
+                        sentWriteRate,
+                        delegatedRenewer.isEnabled(),
+                        rollout.isOn(Feature.MACHINE_LIFE)));
     }
 
     /** Tells the core how the rollout stands, whenever that has changed and once a second. */
-    void tellRollout() {
+    void sendRolloutState() {
         long now = loop.nowMicros();
-        if (ready() && now - toldRolloutMicros >= ROLLOUT_MICROS) {
-            toldRolloutMicros = now;
-            SchedulerEvent.RolloutStateRead situation = rollout.situation(metrics.restless());
+        if (isReady() && now - rolloutSentMicros >= ROLLOUT_MICROS) {
+            rolloutSentMicros = now;
+            SchedulerEvent.RolloutStateRead situation = rollout.rolloutState(metrics.restless());
             if (situation != null) {
                 queue.add(situation);
             }
@@ -167,15 +167,15 @@
     }
 
     /** What was told of the rollout is out of date. */
-    void rolloutChanged() {
-        if (ready()) {
-            tellStorage();
-            toldRolloutMicros = Long.MIN_VALUE / 2;
-            tellRollout();
+    void onRolloutChanged() {
+        if (isReady()) {
+            sendStoreLimits();
+            rolloutSentMicros = Long.MIN_VALUE / 2;
+            sendRolloutState();
         }
     }
 
-    void end() {
+    void stop() {
         term = 0;
         writer = null;
         // The workers turn to another node at once instead of waiting for an answer.
@@ -186,34 +186,35 @@
     }
 
     /** Every cancellation that was made before this moment has been read. */
-    long cancellationsSeenMicros() {
-        return cancellationsSeenMicros;
+    long cancellationsReadUpToMicros() {
+        return cancellationsReadUpToMicros;
     }
 
     /** Users may hear that these jobs are cancelled. */
-    void cancellationsTold(List<String> jobIds) {
+    void onCancellationsConfirmed(List<String> jobIds) {
         queue.add(new SchedulerEvent.CancellationsConfirmed(jobIds));
     }
 
     /** A node, this one perhaps, tells how it stands. */
-    void nodeSpoke(String node, PeerStatus standing) {
-        if (ready()) {
+    void onPeerStatus(String node, PeerStatus status) {
+        if (isReady()) {
             queue.add(
-                    new SchedulerEvent.PeerStatusReceived(node, standing, cancellationsSeenMicros));
+                    new SchedulerEvent.PeerStatusReceived(
+                            node, status, cancellationsReadUpToMicros));
         }
     }
 
-    void report(Heartbeat report, ReportAnswer answer) {
-        long id = ++replies;
+    void onHeartbeat(Heartbeat heartbeat, ReportAnswer answer) {
+        long id = ++lastRequestId;
         answers.put(id, answer);
-        if (!queue.offer(new SchedulerEvent.HeartbeatReceived(id, report))) {
+        if (!queue.offer(new SchedulerEvent.HeartbeatReceived(id, heartbeat))) {
             answers.remove(id);
             answer.answer(null);
         }
     }
 
     private void loadMachines(long ofTerm, long leaderRevision) {
-        state.list(
+        store.list(
                 RequestPriority.URGENT,
                 StoreKeys.MACHINES,
                 (result, entries, storeRevision) -> {
@@ -223,7 +224,7 @@
                     if (result != Result.OK) {
                         loop.schedule(
                                 RETRY_MICROS,
-                                () -> again(ofTerm, () -> loadMachines(ofTerm, leaderRevision)));
+                                () -> inTerm(ofTerm, () -> loadMachines(ofTerm, leaderRevision)));
                         return;
                     }
                     List<SchedulerEvent.StoredMachine> machines = new ArrayList<>();
@@ -245,7 +246,7 @@
                 });
     }
 
-    private void again(long ofTerm, Runnable step) {
+    private void inTerm(long ofTerm, Runnable step) {
         if (term == ofTerm) {
             step.run();
         }
@@ -254,7 +255,7 @@
     private void loadJobs(
             long ofTerm, long leaderRevision, List<SchedulerEvent.StoredMachine> machines) {
         long asked = loop.nowMicros();
-        state.list(
+        store.list(
                 RequestPriority.URGENT,
                 StoreKeys.JOBS,
                 (result, entries, storeRevision) -> {
@@ -265,7 +266,7 @@
                         loop.schedule(
                                 RETRY_MICROS,
                                 () ->
-                                        again(
+                                        inTerm(
                                                 ofTerm,
                                                 () -> loadJobs(ofTerm, leaderRevision, machines)));
                         return;
@@ -285,17 +286,17 @@
                     }
                     writer =
                             new RecordWriter(
-                                    state,
+                                    store,
                                     limits,
                                     leaderRevision,
                                     () ->
-                                            again(
+                                            inTerm(
                                                     ofTerm,
                                                     () ->
-                                                            abdicate.accept(
+                                                            stepDown.accept(
                                                                     "another node took over")));
-                    tellStorage();
-                    cancellationsSeenMicros = asked;
+                    sendStoreLimits();
+                    cancellationsReadUpToMicros = asked;
                     queue.add(new SchedulerEvent.LeadershipAcquired(ofTerm, jobs, machines, asked));
                     followJobs(ofTerm, storeRevision);
                     sequence(ofTerm);
@@ -306,7 +307,7 @@
 
     private void followJobs(long ofTerm, long since) {
         long asked = loop.nowMicros();
-        state.follow(
+        store.watch(
                 StoreKeys.JOBS,
                 since,
                 WATCH_MICROS,
@@ -321,20 +322,21 @@
                                 jobSeen(event.path(), event.value(), event.revision());
                             }
                         }
-                        cancellationsSeenMicros = asked;
+                        cancellationsReadUpToMicros = asked;
                         followJobs(ofTerm, Math.max(since, storeRevision));
                     } else if (result == Result.NOT_FOUND) {
                         rereadJobs(ofTerm);
                     } else {
                         loop.schedule(
-                                RETRY_MICROS, () -> again(ofTerm, () -> followJobs(ofTerm, since)));
+                                RETRY_MICROS,
+                                () -> inTerm(ofTerm, () -> followJobs(ofTerm, since)));
                     }
                 });
     }
 
     /** The watch fell too far behind: everything is read again. */
     private void rereadJobs(long ofTerm) {
-        state.list(
+        store.list(
                 RequestPriority.NORMAL,
                 StoreKeys.JOBS,
                 (result, entries, storeRevision) -> {
@@ -342,7 +344,7 @@
                         return;
                     }
                     if (result != Result.OK) {
-                        loop.schedule(RETRY_MICROS, () -> again(ofTerm, () -> rereadJobs(ofTerm)));
+                        loop.schedule(RETRY_MICROS, () -> inTerm(ofTerm, () -> rereadJobs(ofTerm)));
                         return;
                     }
                     for (StoreClient.Entry entry : entries) {
@@ -353,7 +355,7 @@
     }
 
     private JobRecord read(Map<String, Object> value) throws MalformedMessageException {
-        rollout.seen(JobRecord.formatOf(value));
+        rollout.onFormatSeen(JobRecord.formatOf(value));
         return JobRecord.parse(value);
     }
 
@@ -377,15 +379,15 @@
         loop.schedule(
                 TICK_MICROS,
                 () ->
-                        again(
+                        inTerm(
                                 ofTerm,
                                 () -> {
-                                    if (Math.abs(state.writesPerSecond() - toldWrites)
-                                            > toldWrites * NOTABLE) {
-                                        tellStorage();
+                                    if (Math.abs(store.writesPerSecond() - sentWriteRate)
+                                            > sentWriteRate * NOTABLE) {
+                                        sendStoreLimits();
                                     }
                                     queue.add(new SchedulerEvent.Tick());
-                                    tellRollout();
+                                    sendRolloutState();
                                     sequence(ofTerm);
                                 }));
     }
@@ -393,7 +395,7 @@
     private void pollTypes(long ofTerm) {
         cloud.types(
                 types ->
-                        again(
+                        inTerm(
                                 ofTerm,
                                 () -> {
                                     if (types != null) {
@@ -401,14 +403,14 @@
                                     }
                                     loop.schedule(
                                             types == null ? 3_000_000 : 60_000_000,
-                                            () -> again(ofTerm, () -> pollTypes(ofTerm)));
+                                            () -> inTerm(ofTerm, () -> pollTypes(ofTerm)));
                                 }));
     }
 
     private void pollList(long ofTerm) {
         cloud.list(
                 machines ->
-                        again(
+                        inTerm(
                                 ofTerm,
                                 () -> {
                                     if (machines != null) {
@@ -419,83 +421,83 @@
                                                     MIN_LIST_MICROS,
                                                     settings.cloud().listLagMicros() / 2);
                                     loop.schedule(
-                                            pause, () -> again(ofTerm, () -> pollList(ofTerm)));
+                                            pause, () -> inTerm(ofTerm, () -> pollList(ofTerm)));
                                 }));
     }
 
-    void execute(List<SchedulerAction> effects) {
-        for (SchedulerAction effect : effects) {
+    void execute(List<SchedulerAction> actions) {
+        for (SchedulerAction action : actions) {
             if (writer == null) {
                 return;
             }
-            execute(effect);
+            execute(action);
         }
         if (writer != null) {
             writer.flush();
         }
     }
 
-    private void execute(SchedulerAction effect) {
-        if (effect instanceof SchedulerAction.AnswerHeartbeat answer) {
+    private void execute(SchedulerAction action) {
+        if (action instanceof SchedulerAction.AnswerHeartbeat answer) {
             ReportAnswer waiting = answers.remove(answer.requestId());
             if (waiting != null) {
                 waiting.answer(answer);
             }
-        } else if (effect instanceof SchedulerAction.RejectHeartbeat away) {
+        } else if (action instanceof SchedulerAction.RejectHeartbeat away) {
             ReportAnswer waiting = answers.remove(away.requestId());
             if (waiting != null) {
                 waiting.answer(null);
             }
-        } else if (effect instanceof SchedulerAction.SendDirectCommand send) {
+        } else if (action instanceof SchedulerAction.SendDirectCommand send) {
             long ofTerm = term;
-            workers.send(send, result -> again(ofTerm, () -> queue.add(result)));
-        } else if (effect instanceof SchedulerAction.WriteJob put) {
+            agents.send(send, result -> inTerm(ofTerm, () -> queue.add(result)));
+        } else if (action instanceof SchedulerAction.WriteJob put) {
             putJob(put);
-        } else if (effect instanceof SchedulerAction.WriteFinalState finish) {
+        } else if (action instanceof SchedulerAction.WriteFinalState finish) {
             finishJob(finish);
-        } else if (effect instanceof SchedulerAction.ReadJob read) {
+        } else if (action instanceof SchedulerAction.ReadJob read) {
             readJob(read.jobId());
-        } else if (effect instanceof SchedulerAction.ResolveDependency find) {
+        } else if (action instanceof SchedulerAction.ResolveDependency find) {
             findJob(find.jobId());
-        } else if (effect instanceof SchedulerAction.WriteMachine put) {
+        } else if (action instanceof SchedulerAction.WriteMachine put) {
             putMachine(put);
-        } else if (effect instanceof SchedulerAction.DeleteMachineRecord drop) {
+        } else if (action instanceof SchedulerAction.DeleteMachineRecord drop) {
             dropMachine(drop);
-        } else if (effect instanceof SchedulerAction.ReadMachine read) {
+        } else if (action instanceof SchedulerAction.ReadMachine read) {
             readMachine(read.host());
-        } else if (effect instanceof SchedulerAction.RentMachines rent) {
+        } else if (action instanceof SchedulerAction.RentMachines rent) {
             long ofTerm = term;
             cloud.rent(
                     rent,
                     (outcome, hosts) ->
-                            again(
+                            inTerm(
                                     ofTerm,
                                     () ->
                                             queue.add(
                                                     new SchedulerEvent.ScaleOutCompleted(
                                                             rent.requestName(), outcome, hosts))));
-        } else if (effect instanceof SchedulerAction.DeleteMachines delete) {
+        } else if (action instanceof SchedulerAction.DeleteMachines delete) {
             long ofTerm = term;
             cloud.delete(
                     delete.hosts(),
                     done ->
-                            again(
+                            inTerm(
                                     ofTerm,
                                     () ->
                                             queue.add(
                                                     new SchedulerEvent.MachineDeletionCompleted(
                                                             delete.hosts(), done))));
-        } else if (effect instanceof SchedulerAction.WriteRollout put) {
+        } else if (action instanceof SchedulerAction.WriteRollout put) {
             long ofTerm = term;
-            rolloutDuties.put(put, writer, outcome -> again(ofTerm, () -> queue.add(outcome)));
-        } else if (effect instanceof SchedulerAction.CountRecords count) {
+            rolloutDuties.put(put, writer, outcome -> inTerm(ofTerm, () -> queue.add(outcome)));
+        } else if (action instanceof SchedulerAction.CountRecords count) {
             long ofTerm = term;
-            rolloutDuties.count(count, outcome -> again(ofTerm, () -> queue.add(outcome)));
-        } else if (effect instanceof SchedulerAction.DelegateLeases give) {
-            warrants.accept(give.node(), give.delegation());
-        } else if (effect instanceof SchedulerAction.StepDown away) {
-            abdicate.accept(away.reason());
-        } else if (effect instanceof SchedulerAction.Log note) {
+            rolloutDuties.count(count, outcome -> inTerm(ofTerm, () -> queue.add(outcome)));
+        } else if (action instanceof SchedulerAction.DelegateLeases give) {
+            delegations.accept(give.node(), give.delegation());
+        } else if (action instanceof SchedulerAction.StepDown away) {
+            stepDown.accept(away.reason());
+        } else if (action instanceof SchedulerAction.Log note) {
             log(note.entry());
         }
     }
@@ -511,8 +513,8 @@
         String jobId = put.record().description().jobId();
         Map<String, Object> value = put.record().toMap(rollout.format());
         RecordWriter.Outcome outcome = jobWritten(jobId, put.record().version());
-        if (Cbor.jsonSize(value) > limits.valueBytesNow()) {
-            outcome.written(SchedulerEvent.WriteOutcome.TOO_LARGE, 0);
+        if (Cbor.jsonSize(value) > limits.currentValueBytes()) {
+            outcome.onWritten(SchedulerEvent.WriteOutcome.TOO_LARGE, 0);
         } else {
             writer.add(
                     put.urgent(),
@@ -537,12 +539,12 @@
     private RecordWriter.Outcome jobWritten(String jobId, long version) {
         long ofTerm = term;
         return (outcome, revision) ->
-                again(
+                inTerm(
                         ofTerm,
                         () -> {
                             if (outcome == SchedulerEvent.WriteOutcome.TOO_LARGE) {
                                 // A limit may have been learned from it.
-                                tellStorage();
+                                sendStoreLimits();
                             }
                             queue.add(
                                     new SchedulerEvent.JobWriteCompleted(
@@ -556,11 +558,11 @@
      */
     private void findJob(String jobId) {
         long ofTerm = term;
-        state.get(
+        store.get(
                 RequestPriority.URGENT,
                 StoreKeys.job(jobId),
                 (result, entry, storeRevision) ->
-                        again(
+                        inTerm(
                                 ofTerm,
                                 () -> {
                                     if (result == Result.OK) {
@@ -571,11 +573,11 @@
                                                         SchedulerEvent.DependencyState.OPEN,
                                                         0));
                                     } else if (result == Result.NOT_FOUND) {
-                                        state.get(
+                                        store.get(
                                                 RequestPriority.URGENT,
                                                 StoreKeys.finalState(jobId),
                                                 (read, found, at) ->
-                                                        again(
+                                                        inTerm(
                                                                 ofTerm,
                                                                 () ->
                                                                         queue.add(
@@ -618,11 +620,11 @@
 
     private void readJob(String jobId) {
         long ofTerm = term;
-        state.get(
+        store.get(
                 RequestPriority.URGENT,
                 StoreKeys.job(jobId),
                 (result, entry, storeRevision) ->
-                        again(
+                        inTerm(
                                 ofTerm,
                                 () -> {
                                     if (result == Result.OK) {
@@ -645,7 +647,7 @@
                         put.record().toMap(),
                         put.revision(),
                         (outcome, revision) ->
-                                again(
+                                inTerm(
                                         ofTerm,
                                         () ->
                                                 queue.add(
@@ -665,7 +667,7 @@
                         List.of(new Condition(StoreKeys.machine(drop.host()), drop.revision())),
                         List.of(Change.drop(StoreKeys.machine(drop.host()))),
                         (outcome, revision) ->
-                                again(
+                                inTerm(
                                         ofTerm,
                                         () ->
                                                 queue.add(
@@ -679,11 +681,11 @@
 
     private void readMachine(String host) {
         long ofTerm = term;
-        state.get(
+        store.get(
                 RequestPriority.NORMAL,
                 StoreKeys.machine(host),
                 (result, entry, storeRevision) ->
-                        again(
+                        inTerm(
                                 ofTerm,
                                 () -> {
                                     try {
--- a/src/main/java/org/woadloom/node/Node.java
+++ b/src/main/java/org/woadloom/node/Node.java
@@ -60,32 +60,32 @@
     private static final long LOADING_MICROS = 2_500_000;
 
     private static final long LOADING_POLL_MICROS = 20_000;
-    private static final long RETURN_MICROS = 12_000_000;
-    private static final long LOOK_MICROS = 700_000;
+    private static final long RETURN_WINDOW_MICROS = 12_000_000;
+    private static final long STORE_PROBE_MICROS = 700_000;
 
     /**
      * A worker that could not stay with the leader is carried for so long before it is sent there
      * again.
      */
-    private static final long STAY_MICROS = 60_000_000;
+    private static final long PROXY_MICROS = 60_000_000;
 
-    private static final int MOST_REPORTS_WAITING = 2_000;
+    private static final int MAX_WAITING_HEARTBEATS = 2_000;
 
     private final EventLoop loop;
     private final ServiceSettings settings;
     private final OperatorSettings operator;
     private final StoreLimits limits;
-    private final StoreClient state;
+    private final StoreClient store;
     private final RolloutParticipant rollout;
     private final CloudClient cloud;
     private final Election election;
-    private final LeaderActions duties;
+    private final LeaderActions leaderActions;
     private final EventQueue queue;
     private final Router router;
     private final PeerTracker peers;
-    private final StoreRelay mailbox;
-    private final DeferredHeartbeats parked;
-    private final DelegatedLeaseRenewer care;
+    private final StoreRelay storeRelay;
+    private final DeferredHeartbeats deferred;
+    private final DelegatedLeaseRenewer delegatedRenewer;
     private final CancellationConfirmer confirmations;
     private final IsolationDetector isolation;
     private final AgentConnectionBalancer attendance;
@@ -103,7 +103,7 @@
      * can't reach the leader. Then it is sent on; one that comes back indeed can't, or the leader
      * has too many: it stays for a while.
      */
-    private record Visit(long sinceMicros, boolean sentOn, long staysUntilMicros) {}
+    private record Visit(long sinceMicros, boolean redirected, long proxiedUntilMicros) {}
 
     public Node(
             EventLoop loop,
@@ -127,12 +127,13 @@
         this.loop = loop;
         this.settings = settings;
         this.operator = operator;
-        limits = new StoreLimits(settings.state());
+        limits = new StoreLimits(settings.store());
         SocketBudget plan = SocketBudget.of(settings);
-        attendance = new AgentConnectionBalancer(plan.workers(), settings.workers().reportMicros());
-        care = new DelegatedLeaseRenewer(loop, settings, random);
+        attendance =
+                new AgentConnectionBalancer(plan.agents(), settings.agents().heartbeatMicros());
+        delegatedRenewer = new DelegatedLeaseRenewer(loop, settings, random);
         isolation = new IsolationDetector(loop);
-        state =
+        store =
                 new StoreClient(
                         loop,
                         transport,
@@ -140,60 +141,66 @@
                         limits,
                         random,
                         served -> {
-                            care.stateAnswered(served);
-                            isolation.stateAnswered(served);
+                            delegatedRenewer.onStoreAnswer(served);
+                            isolation.onStoreAnswer(served);
                         });
         rollout =
                 new RolloutParticipant(
-                        loop, state, settings, operator, random, this::rolloutChanged);
+                        loop, store, settings, operator, random, this::onRolloutChanged);
         cloud = new CloudClient(loop, transport, settings);
-        duties =
+        leaderActions =
                 new LeaderActions(
                         loop,
-                        state,
+                        store,
                         cloud,
                         new AgentClient(transport, plan.direct()),
                         settings,
                         limits,
                         rollout,
                         metrics,
-                        care,
-                        this::abdicate,
-                        this::giveWarrant);
-        Scheduler core = new Scheduler(SchedulerSettings.of(settings, operator));
+                        delegatedRenewer,
+                        this::stepDown,
+                        this::sendDelegation);
+        Scheduler scheduler = new Scheduler(SchedulerSettings.of(settings, operator));
         queue =
                 new EventQueue(
-                        loop, core, metrics, MOST_REPORTS_WAITING, duties::execute, observer);
-        duties.attach(queue);
-        mailbox = new StoreRelay(loop, state, settings, limits, rollout, random);
-        parked =
+                        loop,
+                        scheduler,
+                        metrics,
+                        MAX_WAITING_HEARTBEATS,
+                        leaderActions::execute,
+                        observer);
+        leaderActions.attach(queue);
+        storeRelay = new StoreRelay(loop, store, settings, limits, rollout, random);
+        deferred =
                 new DeferredHeartbeats(
                         loop,
-                        MOST_REPORTS_WAITING,
+                        MAX_WAITING_HEARTBEATS,
                         report -> route(report.body(), report.answer(), report.untilMicros()));
         election =
                 new Election(
                         loop,
-                        state,
+                        store,
                         settings.label(),
                         random,
                         rollout,
                         new Election.Listener() {
                             @Override
-                            public void elected(long term, long leaderRevision) {
-                                state.lead(true);
-                                confirmations.lead(term);
-                                duties.begin(term, leaderRevision);
-                                mailbox.lead(term, Node.this::decide);
+                            public void onElected(long term, long leaderRevision) {
+                                store.setLeader(true);
+                                confirmations.startTerm(term);
+                                leaderActions.start(term, leaderRevision);
+                                storeRelay.start(term, Node.this::decide);
                             }
 
                             @Override
-                            public void leaderSeen() {
-                                peers.sayTerm();
+                            public void onLeaderChanged() {
+                                peers.announceTerm();
                                 // Reports that waited for a leader, or for one that is gone
                                 // meanwhile, have somewhere to go now.
-                                parked.release();
-                                mailbox.takeBack()
+                                deferred.releaseAll();
+                                storeRelay
+                                        .withdrawAll()
                                         .forEach(
                                                 report ->
                                                         route(
@@ -203,11 +210,11 @@
                             }
 
                             @Override
-                            public void deposed(String reason) {
-                                state.lead(false);
-                                confirmations.end();
-                                mailbox.end();
-                                duties.end();
+                            public void onDeposed(String reason) {
+                                store.setLeader(false);
+                                confirmations.endTerm();
+                                storeRelay.stop();
+                                leaderActions.stop();
                             }
                         });
         peers =
@@ -219,74 +226,83 @@
                         rollout,
                         new PeerTracker.Inbox() {
                             @Override
-                            public void hint(JobRecord record, long revision) {
-                                tellCore(record, revision);
+                            public void onJobChanged(JobRecord record, long revision) {
+                                notifyScheduler(record, revision);
                             }
 
                             @Override
-                            public void carried(byte[] report, Consumer<Response> answer) {
+                            public void onForwardedHeartbeat(
+                                    byte[] report, Consumer<Response> answer) {
                                 decide(report, answer);
                             }
 
                             @Override
-                            public PeerStatus standing() {
-                                return care.allowed() ? care.standing() : null;
+                            public PeerStatus status() {
+                                return delegatedRenewer.isEnabled()
+                                        ? delegatedRenewer.status()
+                                        : null;
                             }
 
                             @Override
-                            public void stands(String peer, PeerStatus standing) {
-                                if (care.allowed()) {
-                                    care.stands(peer, standing);
-                                    duties.nodeSpoke(peer, standing);
+                            public void onPeerStatus(String peer, PeerStatus status) {
+                                if (delegatedRenewer.isEnabled()) {
+                                    delegatedRenewer.onPeerStatus(peer, status);
+                                    leaderActions.onPeerStatus(peer, status);
                                 }
                             }
 
                             @Override
-                            public void warranted(LeaseDelegation warrant) {
-                                care.warranted(warrant);
+                            public void onDelegation(LeaseDelegation delegation) {
+                                delegatedRenewer.onDelegation(delegation);
                             }
 
                             @Override
-                            public void vouch() {
-                                confirmations.vouch();
+                            public void sendCancellationReport() {
+                                confirmations.sendReport();
                             }
 
                             @Override
-                            public void vouched(String peer, WatermarkReport vouch) {
-                                confirmations.heard(peer, vouch);
+                            public void onCancellationReport(String peer, WatermarkReport report) {
+                                confirmations.onReport(peer, report);
                             }
 
                             @Override
-                            public void taken(WatermarkAck taken) {
-                                confirmations.taken(taken);
+                            public void onCancellationReportAck(WatermarkAck ack) {
+                                confirmations.onAck(ack);
                             }
 
                             @Override
-                            public void spoke(String peer, long term, boolean leads) {
-                                confirmations.peerSpoke(peer, term, leads);
+                            public void onPeerTerm(String peer, long term, boolean leads) {
+                                confirmations.onPeerTerm(peer, term, leads);
                             }
                         });
         confirmations = new CancellationConfirmer(loop, settings, random, carrier(), view());
         JobApi jobs =
-                new JobApi(loop, state, settings, storage(), types(), this::changed, confirmations);
-        router = new Router(gate(), jobs, this::report, metrics);
+                new JobApi(
+                        loop,
+                        store,
+                        settings,
+                        storage(),
+                        types(),
+                        this::onJobChanged,
+                        confirmations);
+        router = new Router(gate(), jobs, this::onHeartbeat, metrics);
         metrics.gauge("woadloom.jobs.unanswered_s", jobs, j -> j.longestUnansweredMicros() / 1e6);
-        metrics.gauge("woadloom.alone", this, node -> node.alone() ? 1 : 0);
-        metrics.gauge("woadloom.leader", election, e -> e.leads() ? 1 : 0);
+        metrics.gauge("woadloom.alone", this, node -> node.isIsolated() ? 1 : 0);
+        metrics.gauge("woadloom.leader", election, e -> e.isLeader() ? 1 : 0);
         metrics.gauge("woadloom.term", election, Election::knownTerm);
-        metrics.gauge("woadloom.state.troubles", state, StoreClient::troubles);
-        metrics.gauge("woadloom.jobs", core, Scheduler::jobs);
-        metrics.gauge("woadloom.machines", core, Scheduler::machines);
-        metrics.gauge("woadloom.machines.deaf", core, Scheduler::unreachableMachines);
-        metrics.gauge("woadloom.jobs.waiting", core, Scheduler::blockedJobs);
+        metrics.gauge("woadloom.state.troubles", store, StoreClient::failures);
+        metrics.gauge("woadloom.jobs", scheduler, Scheduler::jobs);
+        metrics.gauge("woadloom.machines", scheduler, Scheduler::machines);
+        metrics.gauge("woadloom.machines.deaf", scheduler, Scheduler::unreachableMachines);
+        metrics.gauge("woadloom.jobs.waiting", scheduler, Scheduler::blockedJobs);
         metrics.gauge("woadloom.rollout.number", rollout, RolloutParticipant::number);
-        metrics.gauge("woadloom.rollout.on", rollout, RolloutParticipant::features);
-        metrics.gauge("woadloom.rollout.rewrite", core, Scheduler::recordsToMigrate);
-        metrics.gauge("woadloom.rollout.unreadable", core, Scheduler::unreadableRecords);
-        metrics.gauge("woadloom.rollout.closed", rollout, r -> r.closed() == null ? 0 : 1);
-        metrics.gauge("woadloom.reservations", core, Scheduler::reservations);
-        metrics.gauge(
-                "woadloom.cancellations.behind_s", confirmations, c -> c.behindMicros() / 1e6);
+        metrics.gauge("woadloom.rollout.on", rollout, RolloutParticipant::enabledCount);
+        metrics.gauge("woadloom.rollout.rewrite", scheduler, Scheduler::recordsToMigrate);
+        metrics.gauge("woadloom.rollout.unreadable", scheduler, Scheduler::unreadableRecords);
+        metrics.gauge("woadloom.rollout.closed", rollout, r -> r.closedReason() == null ? 0 : 1);
+        metrics.gauge("woadloom.reservations", scheduler, Scheduler::reservations);
+        metrics.gauge("woadloom.cancellations.behind_s", confirmations, c -> c.lagMicros() / 1e6);
         metrics.gauge(
                 "woadloom.cancellations.waiting", confirmations, CancellationConfirmer::waiting);
         metrics.gauge(
@@ -309,7 +325,7 @@
         election.start();
         peers.start();
         rollout.start();
-        lookAround();
+        probeStore();
         readTypes();
     }
 
@@ -318,23 +334,24 @@
      * asking tells. Reports that wait for either are answered as soon as it may take care of their
      * workers.
      */
-    private void lookAround() {
-        loop.schedule(LOOK_MICROS, this::lookAround);
+    private void probeStore() {
+        loop.schedule(STORE_PROBE_MICROS, this::probeStore);
         String leader = election.leader();
-        boolean inTouch = election.leads() || leader != null && peers.reaches(leader);
-        if (inTouch && !isolation.failing()) {
+        boolean inTouch = election.isLeader() || leader != null && peers.isReachable(leader);
+        if (inTouch && !isolation.isStoreFailing()) {
             return;
         }
         if (!probing) {
             probing = true;
-            state.get(
+            store.get(
                     RequestPriority.URGENT,
                     StoreKeys.LEADER,
                     (result, entry, storeRevision) -> probing = false);
         }
-        if (!inTouch && care.mayCare()) {
-            parked.release();
-            mailbox.takeBack()
+        if (!inTouch && delegatedRenewer.mayRenew()) {
+            deferred.releaseAll();
+            storeRelay
+                    .withdrawAll()
                     .forEach(report -> route(report.body(), report.answer(), report.untilMicros()));
         }
     }
@@ -343,44 +360,45 @@
      * True where the state service is lost to this node alone, as far as it can tell, and users
      * come to it in vain.
      */
-    private boolean alone() {
-        return isolation.alone(care.peersServed(), !peers.reached().isEmpty());
+    private boolean isIsolated() {
+        return isolation.isIsolated(
+                delegatedRenewer.arePeersServed(), !peers.reachablePeers().isEmpty());
     }
 
-    private void rolloutChanged() {
-        if (rollout.on(Feature.ZONE_CARE) && operator.care()) {
-            care.allow();
+    private void onRolloutChanged() {
+        if (rollout.isOn(Feature.ZONE_CARE) && operator.care()) {
+            delegatedRenewer.enable();
         }
-        confirmations.on(rollout.on(Feature.CANCELLATION_VOUCHES));
+        confirmations.setEnabled(rollout.isOn(Feature.CANCELLATION_VOUCHES));
         if (!rollout.mayBeOn(Feature.CANCELLATION_VOUCHES)) {
-            confirmations.neverOn();
+            confirmations.onNeverEnabled();
         }
-        if (rollout.closed() != null) {
-            election.stepDown(rollout.closed());
+        if (rollout.closedReason() != null) {
+            election.stepDown(rollout.closedReason());
         }
-        duties.rolloutChanged();
+        leaderActions.onRolloutChanged();
     }
 
     private Router.Gate gate() {
         return new Router.Gate() {
             @Override
-            public String closed() {
-                return rollout.closed();
+            public String closedReason() {
+                return rollout.closedReason();
             }
 
             @Override
-            public void reachedFromOutside() {
-                isolation.reachedFromOutside();
+            public void onOutsideRequest() {
+                isolation.onOutsideRequest();
             }
 
             @Override
-            public boolean healthy() {
-                return !alone();
+            public boolean isHealthy() {
+                return !isIsolated();
             }
 
             @Override
-            public String notYet() {
-                return rollout.known() ? null : "not yet known what the other nodes use";
+            public String notReadyReason() {
+                return rollout.isKnown() ? null : "not yet known what the other nodes use";
             }
         };
     }
@@ -388,9 +406,9 @@
     private CancellationConfirmer.Carrier carrier() {
         return new CancellationConfirmer.Carrier() {
             @Override
-            public String reachedLeader() {
+            public String reachableLeader() {
                 String leader = election.leader();
-                return leader != null && (election.leads() || peers.reaches(leader))
+                return leader != null && (election.isLeader() || peers.isReachable(leader))
                         ? leader
                         : null;
             }
@@ -401,18 +419,18 @@
             }
 
             @Override
-            public void vouch(String leader, WatermarkReport vouch) {
-                peers.vouch(leader, vouch);
+            public void sendReport(String leader, WatermarkReport report) {
+                peers.sendCancellationReport(leader, report);
             }
 
             @Override
-            public void taken(String node, WatermarkAck taken) {
-                peers.taken(node, taken);
+            public void sendAck(String node, WatermarkAck ack) {
+                peers.sendCancellationReportAck(node, ack);
             }
 
             @Override
-            public long stateSilentMicros() {
-                return care.stateSilentMicros();
+            public long storeSilentMicros() {
+                return delegatedRenewer.storeSilentMicros();
             }
         };
     }
@@ -420,18 +438,18 @@
     private CancellationConfirmer.View view() {
         return new CancellationConfirmer.View() {
             @Override
-            public boolean ready() {
-                return duties.ready();
+            public boolean isReady() {
+                return leaderActions.isReady();
             }
 
             @Override
-            public long cancellationsSeenMicros() {
-                return duties.cancellationsSeenMicros();
+            public long cancellationsReadUpToMicros() {
+                return leaderActions.cancellationsReadUpToMicros();
             }
 
             @Override
-            public void cancelled(List<String> jobIds) {
-                duties.cancellationsTold(jobIds);
+            public void onCancelled(List<String> jobIds) {
+                leaderActions.onCancellationsConfirmed(jobIds);
             }
         };
     }
@@ -447,25 +465,25 @@
             public int valueBytes() {
                 return rollout.format() == RecordFormat.COMPACT
                         ? limits.valueBytes()
-                        : limits.valueBytesNow();
+                        : limits.currentValueBytes();
             }
 
             @Override
-            public void seen(RecordFormat format) {
-                rollout.seen(format);
+            public void onFormatSeen(RecordFormat format) {
+                rollout.onFormatSeen(format);
             }
         };
     }
 
-    private void giveWarrant(String node, LeaseDelegation warrant) {
+    private void sendDelegation(String node, LeaseDelegation delegation) {
         if (node.equals(settings.label())) {
-            care.warranted(warrant);
+            delegatedRenewer.onDelegation(delegation);
         } else {
-            peers.warrant(node, warrant);
+            peers.sendDelegation(node, delegation);
         }
     }
 
-    private void abdicate(String reason) {
+    private void stepDown(String reason) {
         election.stepDown(reason);
     }
 
@@ -473,17 +491,17 @@
      * A job that this node made durable: the leader is told, and would find it by its watch as
      * well.
      */
-    private void changed(JobRecord record, long revision) {
+    private void onJobChanged(JobRecord record, long revision) {
         String leader = election.leader();
-        if (election.leads()) {
-            tellCore(record, revision);
+        if (election.isLeader()) {
+            notifyScheduler(record, revision);
         } else if (leader != null) {
-            peers.hint(leader, record, revision);
+            peers.notifyJobChanged(leader, record, revision);
         }
     }
 
-    private void tellCore(JobRecord record, long revision) {
-        if (duties.ready()) {
+    private void notifyScheduler(JobRecord record, long revision) {
+        if (leaderActions.isReady()) {
             queue.add(new SchedulerEvent.JobStored(record, revision));
         }
     }
@@ -491,17 +509,17 @@
     private JobApi.Types types() {
         return new JobApi.Types() {
             @Override
-            public List<MachineType> types() {
+            public List<MachineType> current() {
                 return types;
             }
 
             @Override
-            public void readAnew(Consumer<Boolean> answered) {
+            public void refresh(Consumer<Boolean> answered) {
                 cloud.types(
                         found -> {
                             boolean told = found != null && !found.isEmpty();
                             if (told) {
-                                typesSeen(found);
+                                onMachineTypes(found);
                             }
                             answered.accept(told);
                         });
@@ -517,17 +535,17 @@
         cloud.types(
                 found -> {
                     if (found != null && !found.isEmpty()) {
-                        typesSeen(found);
+                        onMachineTypes(found);
                         storeTypes(found);
                         return;
                     }
-                    state.get(
+                    store.get(
                             RequestPriority.NORMAL,
                             StoreKeys.TYPES,
                             (result, entry, storeRevision) -> {
                                 if (result == Result.OK && types.isEmpty()) {
                                     try {
-                                        typesSeen(MachineType.parseAll(entry.value()));
+                                        onMachineTypes(MachineType.parseAll(entry.value()));
                                     } catch (MalformedMessageException e) {
                                         LOG.error(
                                                 "event=record_unreadable key={} error=\"{}\"",
@@ -540,7 +558,7 @@
                 });
     }
 
-    private void typesSeen(List<MachineType> found) {
+    private void onMachineTypes(List<MachineType> found) {
         types = List.copyOf(found);
         queue.add(new SchedulerEvent.MachineTypesRead(types));
     }
@@ -550,14 +568,14 @@
         for (MachineType type : found) {
             list.add(type.toMap());
         }
-        state.txn(
+        store.txn(
                 RequestPriority.BACKGROUND,
                 List.of(),
                 List.of(Change.put(StoreKeys.TYPES, ImmutableMap.of("hosttypes", list))),
                 (result, storeRevision, failed) -> {});
     }
 
-    private void report(byte[] body, Consumer<Response> answer) {
+    private void onHeartbeat(byte[] body, Consumer<Response> answer) {
         // Whatever a report waited for in vain, it may be that the leader and the state service are
         // out of reach.
         route(
@@ -565,7 +583,7 @@
                 response -> {
                     Response cared =
                             response.status() == 421 || response.status() == 503
-                                    ? care.answer(body)
+                                    ? delegatedRenewer.answer(body)
                                     : null;
                     answer.accept(cared == null ? response : cared);
                 },
@@ -578,11 +596,11 @@
      * are gone or cut off.
      */
     private void route(byte[] body, Consumer<Response> answer, long untilMicros) {
-        if (election.leads()) {
+        if (election.isLeader()) {
             decide(body, answer, loop.nowMicros() + LOADING_MICROS, true);
             return;
         }
-        Response cared = care.answer(body);
+        Response cared = delegatedRenewer.answer(body);
         if (cared != null) {
             answer.accept(cared);
             return;
@@ -595,34 +613,35 @@
             return;
         }
         String leader = election.leader();
-        if (leader == null || leader.equals(settings.label()) || peers.gone(leader)) {
-            if (alone() && peers.reached().isEmpty()) {
+        if (leader == null || leader.equals(settings.label()) || peers.isGone(leader)) {
+            if (isIsolated() && peers.reachablePeers().isEmpty()) {
                 // No word of a leader will come here; the others have one, or will have.
                 answer.accept(Response.of(421, Map.of()));
                 return;
             }
-            parked.park(new DeferredHeartbeats.PendingHeartbeat(body, answer, untilMicros));
+            deferred.defer(new DeferredHeartbeats.PendingHeartbeat(body, answer, untilMicros));
             return;
         }
         long now = loop.nowMicros();
         Visit before = visits.getIfPresent(host);
-        boolean here = before != null && now - before.sinceMicros < RETURN_MICROS;
-        boolean stays = before != null && now < before.staysUntilMicros;
-        boolean cameBack = here && before.sentOn || stays;
-        if (!peers.reaches(leader) && (cameBack || !peers.refuses(leader))) {
+        boolean here = before != null && now - before.sinceMicros < RETURN_WINDOW_MICROS;
+        boolean stays = before != null && now < before.proxiedUntilMicros;
+        boolean cameBack = here && before.redirected || stays;
+        if (!peers.isReachable(leader) && (cameBack || !peers.isRefusing(leader))) {
             // Silence means a cut, which the worker would only find out by waiting for most of its
             // lease.
-            mailbox.carry(host, new DeferredHeartbeats.PendingHeartbeat(body, answer, untilMicros));
+            storeRelay.relay(
+                    host, new DeferredHeartbeats.PendingHeartbeat(body, answer, untilMicros));
             return;
         }
-        boolean first = !here && !stays && peers.reaches(leader);
+        boolean first = !here && !stays && peers.isReachable(leader);
         if (first) {
             visits.put(host, new Visit(now, false, 0));
         } else if (cameBack && !stays) {
-            visits.put(host, new Visit(now, true, now + STAY_MICROS));
+            visits.put(host, new Visit(now, true, now + PROXY_MICROS));
         }
         if (first || cameBack) {
-            peers.carry(leader, body, answer);
+            peers.forward(leader, body, answer);
             return;
         }
         visits.put(host, new Visit(now, true, 0));
@@ -638,52 +657,54 @@
      * @param direct the worker is connected to this node
      */
     private void decide(byte[] body, Consumer<Response> answer, long untilMicros, boolean direct) {
-        if (election.leads() && !duties.ready() && loop.nowMicros() < untilMicros) {
+        if (election.isLeader() && !leaderActions.isReady() && loop.nowMicros() < untilMicros) {
             // The records are being read; sent away now, the worker would be a second or more
             // without its leader.
             loop.schedule(LOADING_POLL_MICROS, () -> decide(body, answer, untilMicros, direct));
             return;
         }
-        if (election.leads() && duties.ready() && confirmations.mustRest()) {
+        if (election.isLeader() && leaderActions.isReady() && confirmations.mustSuspendLeases()) {
             answer.accept(Response.unavailable("cut off from the state service for too long"));
             return;
         }
-        if (!election.leads() || !duties.ready()) {
+        if (!election.isLeader() || !leaderActions.isReady()) {
             answer.accept(Response.of(421, Map.of()));
             return;
         }
-        Heartbeat report;
+        Heartbeat heartbeat;
         try {
-            report = Heartbeat.read(body);
+            heartbeat = Heartbeat.read(body);
         } catch (MalformedMessageException e) {
             answer.accept(Response.error(400, e.getMessage()));
             return;
         }
-        String elsewhere = attendant(report, direct);
+        String elsewhere = redirectTarget(heartbeat, direct);
         if (elsewhere != null) {
             answer.accept(Response.of(421, Map.of("overseer", elsewhere)));
             return;
         }
-        duties.report(
-                report,
+        leaderActions.onHeartbeat(
+                heartbeat,
                 decided ->
                         answer.accept(
                                 decided == null
                                         ? Response.unavailable("not taken here")
-                                        : reply(decided)));
+                                        : toResponse(decided)));
     }
 
     /** The node that is to take a worker from this one, or null if it may stay. */
-    private String attendant(Heartbeat report, boolean direct) {
+    private String redirectTarget(Heartbeat heartbeat, boolean direct) {
         if (!direct) {
-            attendance.carried(report.host());
+            attendance.onForwarded(heartbeat.host());
             return null;
         }
-        boolean renewed = report.fencingToken() >> AgentLiveness.FENCE_BITS == election.knownTerm();
-        return attendance.sendTo(report.host(), renewed, peers.reached(), loop.nowMicros());
+        boolean renewed =
+                heartbeat.fencingToken() >> AgentLiveness.FENCE_BITS == election.knownTerm();
+        return attendance.redirectTarget(
+                heartbeat.host(), renewed, peers.reachablePeers(), loop.nowMicros());
     }
 
-    private static Response reply(SchedulerAction.AnswerHeartbeat answer) {
+    private static Response toResponse(SchedulerAction.AnswerHeartbeat answer) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("epoch", answer.fencingToken());
         map.put("orders", AgentClient.orders(answer.commands()));
--- a/src/main/java/org/woadloom/node/PeerTracker.java
+++ b/src/main/java/org/woadloom/node/PeerTracker.java
@@ -29,26 +29,26 @@
 
     /** What arrives for this node. */
     interface Inbox {
-        void hint(JobRecord record, long revision);
+        void onJobChanged(JobRecord record, long revision);
 
-        void carried(byte[] report, Consumer<Response> answer);
+        void onForwardedHeartbeat(byte[] report, Consumer<Response> answer);
 
         /** How this node stands, for the leader; null where it does not speak of that. */
-        PeerStatus standing();
+        PeerStatus status();
 
-        void stands(String peer, PeerStatus standing);
+        void onPeerStatus(String peer, PeerStatus status);
 
-        void warranted(LeaseDelegation warrant);
+        void onDelegation(LeaseDelegation delegation);
 
         /** It is time to vouch for what this node told. */
-        void vouch();
+        void sendCancellationReport();
 
-        void vouched(String peer, WatermarkReport vouch);
+        void onCancellationReport(String peer, WatermarkReport report);
 
-        void taken(WatermarkAck taken);
+        void onCancellationReportAck(WatermarkAck ack);
 
         /** A peer knows of this term, and leads in it or does not. */
-        void spoke(String peer, long term, boolean leads);
+        void onPeerTerm(String peer, long term, boolean leads);
     }
 
     private final EventLoop loop;
@@ -58,7 +58,7 @@
     private final RolloutParticipant rollout;
     private final Inbox inbox;
     private final Map<String, Link> links = new HashMap<>();
-    private final Map<Long, Consumer<Response>> carrying = new HashMap<>();
+    private final Map<Long, Consumer<Response>> forwarded = new HashMap<>();
     private long ids;
 
     private static final class Link {
@@ -93,18 +93,18 @@
 
     private void ping() {
         String leader = election.leader();
-        if (leader != null && !election.leads()) {
+        if (leader != null && !election.isLeader()) {
             Link link = link(leader);
             if (link.connected) {
                 link.connectedInTerm = election.knownTerm();
             }
         }
-        sayTerm();
-        PeerStatus standing = inbox.standing();
-        if (standing != null && leader != null) {
-            PeerMessage mine = new PeerMessage.StatusReport(standing);
-            if (election.leads()) {
-                inbox.stands(leader, standing);
+        announceTerm();
+        PeerStatus status = inbox.status();
+        if (status != null && leader != null) {
+            PeerMessage mine = new PeerMessage.StatusReport(status);
+            if (election.isLeader()) {
+                inbox.onPeerStatus(leader, status);
                 // One that was started while the state service is down learns from it what is
                 // agreed on.
                 labels.forEach(label -> net.send(label, mine));
@@ -112,7 +112,7 @@
                 net.send(leader, mine);
             }
         }
-        inbox.vouch();
+        inbox.sendCancellationReport();
         loop.schedule(PING_MICROS, this::ping);
     }
 
@@ -120,7 +120,7 @@
      * Tells all peers which term this node knows of, at once where that has changed: users may wait
      * for just that.
      */
-    void sayTerm() {
+    void announceTerm() {
         PeerMessage said = term();
         labels.forEach(label -> net.send(label, said));
     }
@@ -128,7 +128,7 @@
     private PeerMessage term() {
         String leader = election.leader();
         return new PeerMessage.Ping(
-                election.knownTerm(), leader == null ? "" : leader, rollout.said());
+                election.knownTerm(), leader == null ? "" : leader, rollout.view());
     }
 
     private Link link(String label) {
@@ -136,31 +136,31 @@
     }
 
     /** True if the peer was heard lately and the direct link to it stands. */
-    boolean reaches(String label) {
+    boolean isReachable(String label) {
         Link link = link(label);
         return link.connected && loop.nowMicros() - link.heardMicros < REACH_MICROS;
     }
 
     /** The peers that are reached, in the order of the settings. */
-    List<String> reached() {
-        return labels.stream().filter(this::reaches).toList();
+    List<String> reachablePeers() {
+        return labels.stream().filter(this::isReachable).toList();
     }
 
     /**
      * True if the peer takes no connections, and has most likely ended. Where others refuse as well
      * and none can be reached, it is more likely the way between nodes that is closed.
      */
-    boolean gone(String label) {
-        if (!refuses(label) || link(label).connected) {
+    boolean isGone(String label) {
+        if (!isRefusing(label) || link(label).connected) {
             return false;
         }
         boolean othersRefuse = false;
         for (String other : labels) {
             if (!other.equals(label)) {
-                if (reaches(other)) {
+                if (isReachable(other)) {
                     return true;
                 }
-                othersRefuse |= refuses(other);
+                othersRefuse |= isRefusing(other);
             }
         }
         return !othersRefuse;
@@ -170,38 +170,38 @@
      * True if the peer's host says that it takes no connections: the way to it is open, for workers
      * at least.
      */
-    boolean refuses(String label) {
+    boolean isRefusing(String label) {
         return link(label).refusals > 0;
     }
 
-    void hint(String leader, JobRecord record, long revision) {
+    void notifyJobChanged(String leader, JobRecord record, long revision) {
         net.send(
                 leader,
                 new PeerMessage.JobChangeNotification(
                         Cbor.encode(record.toMap(rollout.format())), revision));
     }
 
-    void warrant(String label, LeaseDelegation warrant) {
-        net.send(label, new PeerMessage.Delegation(warrant));
+    void sendDelegation(String label, LeaseDelegation delegation) {
+        net.send(label, new PeerMessage.Delegation(delegation));
     }
 
-    void vouch(String leader, WatermarkReport vouch) {
-        net.send(leader, new PeerMessage.CancellationReport(vouch));
+    void sendCancellationReport(String leader, WatermarkReport report) {
+        net.send(leader, new PeerMessage.CancellationReport(report));
     }
 
-    void taken(String label, WatermarkAck taken) {
-        net.send(label, new PeerMessage.CancellationReportAck(taken));
+    void sendCancellationReportAck(String label, WatermarkAck ack) {
+        net.send(label, new PeerMessage.CancellationReportAck(ack));
     }
 
     /** Has the leader decide a report; the answer is 503 if none comes while the worker waits. */
-    void carry(String leader, byte[] report, Consumer<Response> answer) {
+    void forward(String leader, byte[] report, Consumer<Response> answer) {
         long id = ++ids;
-        carrying.put(id, answer);
+        forwarded.put(id, answer);
         net.send(leader, new PeerMessage.ForwardHeartbeat(id, report));
         loop.schedule(
                 CARRY_MICROS,
                 () -> {
-                    Consumer<Response> waiting = carrying.remove(id);
+                    Consumer<Response> waiting = forwarded.remove(id);
                     if (waiting != null) {
                         waiting.accept(Response.unavailable("the leader does not answer"));
                     }
@@ -209,19 +209,19 @@
     }
 
     @Override
-    public void received(String from, PeerMessage message) {
+    public void onMessage(String from, PeerMessage message) {
         link(from).heardMicros = loop.nowMicros();
         if (message instanceof PeerMessage.Ping ping) {
-            rollout.heard(from, ping.rollout());
-            inbox.spoke(from, ping.term(), from.equals(ping.leader()));
+            rollout.onPeerView(from, ping.rollout());
+            inbox.onPeerTerm(from, ping.term(), from.equals(ping.leader()));
             if (ping.leader() != null && !ping.leader().isEmpty()) {
-                election.heardOf(ping.leader(), ping.term());
+                election.onPeerLeader(ping.leader(), ping.term());
             }
         } else if (message instanceof PeerMessage.JobChangeNotification hint) {
             try {
                 Map<String, Object> record = Cbor.decodeMap(hint.record());
-                rollout.seen(JobRecord.formatOf(record));
-                inbox.hint(JobRecord.parse(record), hint.revision());
+                rollout.onFormatSeen(JobRecord.formatOf(record));
+                inbox.onJobChanged(JobRecord.parse(record), hint.revision());
             } catch (MalformedMessageException e) {
                 LOG.error(
                         "event=job_notification_unreadable node={} error=\"{}\"",
@@ -229,24 +229,24 @@
                         e.getMessage());
             }
         } else if (message instanceof PeerMessage.StatusReport stands) {
-            rollout.spokenOfCare();
-            inbox.stands(from, stands.standing());
+            rollout.onDelegationMessage();
+            inbox.onPeerStatus(from, stands.status());
         } else if (message instanceof PeerMessage.Delegation warranted) {
-            inbox.warranted(warranted.warrant());
+            inbox.onDelegation(warranted.delegation());
         } else if (message instanceof PeerMessage.CancellationReport vouched) {
-            inbox.vouched(from, vouched.vouch());
+            inbox.onCancellationReport(from, vouched.report());
         } else if (message instanceof PeerMessage.CancellationReportAck taken) {
-            inbox.taken(taken.taken());
+            inbox.onCancellationReportAck(taken.ack());
         } else if (message instanceof PeerMessage.ForwardHeartbeat carry) {
-            inbox.carried(
-                    carry.report(),
+            inbox.onForwardedHeartbeat(
+                    carry.heartbeat(),
                     response ->
                             net.send(
                                     from,
                                     new PeerMessage.ForwardedAnswer(
                                             carry.id(), response.status(), response.body())));
         } else if (message instanceof PeerMessage.ForwardedAnswer carried) {
-            Consumer<Response> waiting = carrying.remove(carried.id());
+            Consumer<Response> waiting = forwarded.remove(carried.id());
             if (waiting != null) {
                 waiting.accept(Response.cbor(carried.status(), carried.answer()));
             }
@@ -254,7 +254,7 @@
     }
 
     @Override
-    public void connected(String label) {
+    public void onConnected(String label) {
         Link link = link(label);
         link.connected = true;
         link.refusals = 0;
@@ -267,7 +267,7 @@
     }
 
     @Override
-    public void lost(String label, boolean refused) {
+    public void onConnectionLost(String label, boolean refused) {
         Link link = link(label);
         link.connected = false;
         if (!refused) {
@@ -281,7 +281,7 @@
         if (link.refusals >= REFUSALS
                 && label.equals(election.leader())
                 && link.connectedInTerm == election.knownTerm()
-                && gone(label)) {
+                && isGone(label)) {
             election.takeOverFrom(label);
         }
     }
--- a/src/main/java/org/woadloom/node/RolloutActions.java
+++ b/src/main/java/org/woadloom/node/RolloutActions.java
@@ -22,7 +22,7 @@
 final class RolloutActions {
     private static final Logger LOG = LoggerFactory.getLogger(RolloutActions.class);
 
-    private final StoreClient state;
+    private final StoreClient store;
     private final RolloutParticipant rollout;
 
     /** Takes an outcome, if the term still lasts. */
@@ -30,8 +30,8 @@
         void add(SchedulerEvent command);
     }
 
-    RolloutActions(StoreClient state, RolloutParticipant rollout) {
-        this.state = state;
+    RolloutActions(StoreClient store, RolloutParticipant rollout) {
+        this.store = store;
         this.rollout = rollout;
     }
 
@@ -51,7 +51,7 @@
                         changes,
                         (written, revision) -> {
                             // Written or not, what stands there now is what counts.
-                            rollout.changed();
+                            rollout.onConflict();
                             outcome.add(
                                     new SchedulerEvent.RolloutWriteCompleted(
                                             put.record().number(), written, revision));
@@ -63,7 +63,7 @@
      * form.
      */
     void count(SchedulerAction.CountRecords count, Outcome outcome) {
-        state.list(
+        store.list(
                 RequestPriority.BACKGROUND,
                 count.feature().prefix(),
                 (result, entries, storeRevision) -> {
--- a/src/main/java/org/woadloom/node/RolloutParticipant.java
+++ b/src/main/java/org/woadloom/node/RolloutParticipant.java
@@ -70,13 +70,13 @@
     private static final long HEARD_MICROS = 10_000_000;
 
     private final EventLoop loop;
-    private final StoreClient state;
+    private final StoreClient store;
     private final String label;
     private final Runnable changed;
-    private final Set<Feature> able;
+    private final Set<Feature> usableFeatures;
     private final Set<String> members = new TreeSet<>();
-    private final ClusterMembership belonging = new ClusterMembership(Feature.known());
-    private final long life;
+    private final ClusterMembership membership = new ClusterMembership(Feature.known());
+    private final long processId;
 
     /** What is below {@link StoreKeys#ROLLOUT}, as last read. */
     private final Map<String, Entry> entries = new HashMap<>();
@@ -88,7 +88,7 @@
      * The features that are on, by the record, by an earlier version's agreement or by a peer's
      * word.
      */
-    private final EnumSet<Feature> on = EnumSet.noneOf(Feature.class);
+    private final EnumSet<Feature> isOn = EnumSet.noneOf(Feature.class);
 
     /**
      * The number of the latest record that was read here or that a peer has read, and what it
@@ -97,38 +97,38 @@
     private long number;
 
     private Set<String> requires = Set.of();
-    private long agreed = 1;
+    private long agreedVersion = 1;
     private long agreedStamp;
-    private final Map<String, Long> wordlessMicros = new HashMap<>();
-    private String closed;
+    private final Map<String, Long> unannouncedPeers = new HashMap<>();
+    private String closedReason;
 
     /** The word of this process stands in the store, as far as known. */
-    private boolean spoken;
+    private boolean announced;
 
     private boolean following;
 
     RolloutParticipant(
             EventLoop loop,
-            StoreClient state,
+            StoreClient store,
             ServiceSettings settings,
             OperatorSettings operator,
             Random random,
             Runnable changed) {
         this.loop = loop;
-        this.state = state;
+        this.store = store;
         this.label = settings.label();
         this.changed = changed;
-        this.life = random.nextLong() >>> 1;
-        able = EnumSet.allOf(Feature.class);
+        this.processId = random.nextLong() >>> 1;
+        usableFeatures = EnumSet.allOf(Feature.class);
         if (!operator.care()) {
-            able.remove(Feature.ZONE_CARE);
+            usableFeatures.remove(Feature.ZONE_CARE);
         }
         members.add(label);
         settings.peers().stream().map(Peer::label).forEach(members::add);
     }
 
     void start() {
-        speak();
+        announce();
         poll();
     }
 
@@ -136,16 +136,16 @@
 
     /** How records are written now. */
     RecordFormat format() {
-        return on.contains(Feature.COMPACT_RECORDS) ? RecordFormat.COMPACT : RecordFormat.PLAIN;
+        return isOn.contains(Feature.COMPACT_RECORDS) ? RecordFormat.COMPACT : RecordFormat.PLAIN;
     }
 
-    boolean on(Feature feature) {
-        return on.contains(feature);
+    boolean isOn(Feature feature) {
+        return isOn.contains(feature);
     }
 
     /** It may be in use at some node, as far as is known here. */
     boolean mayBeOn(Feature feature) {
-        return !known() || on(feature) || record.of(feature.key()).required();
+        return !isKnown() || isOn(feature) || record.of(feature.key()).required();
     }
 
     long number() {
@@ -153,23 +153,23 @@
     }
 
     /** How many features are on or settled. */
-    int features() {
-        return on.size();
+    int enabledCount() {
+        return isOn.size();
     }
 
     /** True once this process has given its word and read what is required. */
-    boolean known() {
-        return belonging.isKnown();
+    boolean isKnown() {
+        return membership.isKnown();
     }
 
     /** Why this process must not serve, or null. */
-    String closed() {
-        return closed;
+    String closedReason() {
+        return closedReason;
     }
 
     @Override
-    public boolean open() {
-        return belonging.mayServe();
+    public boolean isOpen() {
+        return membership.mayServe();
     }
 
     @Override
@@ -178,61 +178,61 @@
     }
 
     @Override
-    public void changed() {
+    public void onConflict() {
         read(RequestPriority.URGENT, done -> {});
     }
 
     /** A record in the compact format was written by a node that knew that it may be. */
-    void seen(RecordFormat format) {
+    void onFormatSeen(RecordFormat format) {
         if (format == RecordFormat.COMPACT) {
-            turnOn(Feature.COMPACT_RECORDS);
+            enable(Feature.COMPACT_RECORDS);
         }
     }
 
     /** A node that speaks of care knows that it may. */
-    void spokenOfCare() {
-        turnOn(Feature.COMPACT_RECORDS);
-        turnOn(Feature.ZONE_CARE);
+    void onDelegationMessage() {
+        enable(Feature.COMPACT_RECORDS);
+        enable(Feature.ZONE_CARE);
     }
 
     // What this node says.
 
     /** For the other nodes. */
-    PeerMessage.RolloutView said() {
+    PeerMessage.RolloutView view() {
         return new PeerMessage.RolloutView(
                 number,
-                List.copyOf(Feature.keys(on)),
+                List.copyOf(Feature.keys(isOn)),
                 List.copyOf(requires),
                 List.copyOf(Feature.known()));
     }
 
     /** A peer spoke, without a word if it is of an earlier version. */
-    void heard(String from, PeerMessage.RolloutView said) {
+    void onPeerView(String from, PeerMessage.RolloutView said) {
         if (said == null) {
-            wordlessMicros.put(from, loop.nowMicros());
+            unannouncedPeers.put(from, loop.nowMicros());
             return;
         }
-        wordlessMicros.remove(from);
+        unannouncedPeers.remove(from);
         if (said.number() > number) {
-            required(said.number(), new TreeSet<>(said.requires()));
+            setRequired(said.number(), new TreeSet<>(said.requires()));
             for (Feature feature : Feature.values()) {
                 if (said.on().contains(feature.key())) {
-                    turnOn(feature);
-                } else if (feature.revocable() && on.remove(feature)) {
+                    enable(feature);
+                } else if (feature.revocable() && isOn.remove(feature)) {
                     changed.run();
                 }
             }
         }
     }
 
-    private void speak() {
-        state.storeLease(
+    private void announce() {
+        store.storeLease(
                 GRANT_MICROS,
                 (result, storeLease) -> {
                     if (result == Result.OK) {
-                        speak(storeLease);
+                        announce(storeLease);
                     } else {
-                        loop.schedule(RETRY_MICROS, this::speak);
+                        loop.schedule(RETRY_MICROS, this::announce);
                     }
                 });
     }
@@ -241,56 +241,60 @@
      * The word of the process before this one tells whether processes of this node end soon after
      * one another.
      */
-    private void speak(long storeLease) {
+    private void announce(long storeLease) {
         String key = StoreKeys.ROLLOUT_NODES + label;
-        state.get(
+        store.get(
                 RequestPriority.URGENT,
                 key,
                 (result, entry, storeRevision) -> {
                     if (result != Result.OK && result != Result.NOT_FOUND) {
-                        loop.schedule(RETRY_MICROS, this::speak);
+                        loop.schedule(RETRY_MICROS, this::announce);
                         return;
                     }
-                    NodeAnnouncement word =
+                    NodeAnnouncement announcement =
                             new NodeAnnouncement(
-                                    life,
+                                    processId,
                                     Feature.known(),
-                                    Feature.keys(able),
+                                    Feature.keys(usableFeatures),
                                     members,
-                                    starts(entry),
+                                    consecutiveStarts(entry),
                                     loop.wallMicros());
                     // Without the condition one without an answer, carried out after the next, hung
                     // the key on a grant that nobody renews.
                     Condition asRead = new Condition(key, entry == null ? 0 : entry.revision());
-                    state.txn(
+                    store.txn(
                             RequestPriority.URGENT,
                             List.of(asRead),
                             List.of(
-                                    new Change(key, word.toMap(), storeLease),
+                                    new Change(key, announcement.toMap(), storeLease),
                                     Change.put(
                                             StoreKeys.NODE_VERSIONS + label,
                                             ImmutableMap.of(FIELD, VERSION))),
                             (put, revision, failed) -> {
                                 if (put == Result.OK) {
-                                    spoken = true;
+                                    announced = true;
                                     renewLater(storeLease);
                                     follow();
                                 } else {
-                                    loop.schedule(RETRY_MICROS, this::speak);
+                                    loop.schedule(RETRY_MICROS, this::announce);
                                 }
                             });
                 });
     }
 
-    private int starts(Entry before) {
+    private int consecutiveStarts(Entry before) {
         try {
-            NodeAnnouncement word = before == null ? null : NodeAnnouncement.parse(before.value());
-            long since = word == null ? -1 : loop.wallMicros() - word.sinceWallMicros();
-            return word == null
+            NodeAnnouncement announcement =
+                    before == null ? null : NodeAnnouncement.parse(before.value());
+            long since =
+                    announcement == null ? -1 : loop.wallMicros() - announcement.sinceWallMicros();
+            return announcement == null
                     ? 1
-                    : word.life() == life
-                            ? word.starts()
-                            : since >= 0 && since < IN_A_ROW_MICROS ? word.starts() + 1 : 1;
+                    : announcement.processId() == processId
+                            ? announcement.consecutiveStarts()
+                            : since >= 0 && since < IN_A_ROW_MICROS
+                                    ? announcement.consecutiveStarts() + 1
+                                    : 1;
         } catch (MalformedMessageException e) {
             return 1;
         }
@@ -300,15 +304,15 @@
         loop.schedule(
                 RENEW_MICROS,
                 () ->
-                        state.renew(
+                        store.renewLease(
                                 storeLease,
                                 (result, id) -> {
                                     if (result == Result.NOT_FOUND) {
                                         // The word is gone; it is given again before anything is
                                         // concluded from what is read.
-                                        spoken = false;
-                                        belonging.onAnnouncementLost();
-                                        speak();
+                                        announced = false;
+                                        membership.onAnnouncementLost();
+                                        announce();
                                     } else {
                                         renewLater(storeLease);
                                     }
@@ -331,7 +335,7 @@
     }
 
     private void follow(long since) {
-        state.follow(
+        store.watch(
                 StoreKeys.ROLLOUT,
                 since,
                 WATCH_MICROS,
@@ -351,7 +355,7 @@
                         }
                     }
                     if (!events.isEmpty()) {
-                        judge();
+                        evaluate();
                     }
                     follow(Math.max(since, storeRevision));
                 });
@@ -360,8 +364,8 @@
     /** Reads everything anew; the consumer hears the generation, or -1. */
     private void read(RequestPriority urgency, Consumer<Long> done) {
         // What a watch that was opened before the word was given still brings is not enough.
-        boolean afterTheWord = spoken;
-        state.list(
+        boolean afterTheWord = announced;
+        store.list(
                 urgency,
                 StoreKeys.ROLLOUT,
                 (result, found, storeRevision) -> {
@@ -369,17 +373,17 @@
                         done.accept(-1L);
                         return;
                     }
-                    if (afterTheWord && spoken) {
-                        belonging.onRecordRead();
+                    if (afterTheWord && announced) {
+                        membership.onRecordRead();
                     }
                     entries.clear();
                     found.forEach(entry -> entries.put(entry.path(), entry));
-                    judge();
+                    evaluate();
                     done.accept(storeRevision);
                 });
     }
 
-    private void judge() {
+    private void evaluate() {
         Entry stored = entries.get(StoreKeys.ROLLOUT_STATE);
         if (stored != null && stored.revision() < stateStamp) {
             return;
@@ -388,18 +392,18 @@
         try {
             record = stored == null ? RolloutRecord.NONE : RolloutRecord.parse(stored.value());
         } catch (MalformedMessageException e) {
-            unreadable(stored, e);
+            onRecordUnreadable(stored, e);
             return;
         }
-        belonging.onRecordReadable();
+        membership.onRecordReadable();
         if (record.number() < number) {
             return;
         }
-        required(record.number(), record.requires());
+        setRequired(record.number(), record.requires());
         for (Feature feature : Feature.values()) {
             if (record.of(feature.key()).on()) {
-                turnOn(feature);
-            } else if (feature.revocable() && on.remove(feature)) {
+                enable(feature);
+            } else if (feature.revocable() && isOn.remove(feature)) {
                 LOG.info("event=feature_off feature={}", feature.key());
                 changed.run();
             }
@@ -411,48 +415,48 @@
      * The record is of a form to come. What it requires stands where it always will; without that
      * nothing can be done.
      */
-    private void unreadable(Entry stored, MalformedMessageException why) {
+    private void onRecordUnreadable(Entry stored, MalformedMessageException why) {
         try {
-            required(
+            setRequired(
                     RolloutRecord.numberOf(stored.value()),
                     RolloutRecord.requiredBy(stored.value()));
-            if (belonging.missingFeatures().isEmpty()) {
-                belonging.onRecordUnreadable(
+            if (membership.missingFeatures().isEmpty()) {
+                membership.onRecordUnreadable(
                         "the record of the rollout (" + why.getMessage() + ")");
             }
         } catch (MalformedMessageException e) {
-            belonging.onRecordUnreadable("the record of the rollout (" + e.getMessage() + ")");
+            membership.onRecordUnreadable("the record of the rollout (" + e.getMessage() + ")");
         }
-        close();
+        updateClosed();
     }
 
-    private void required(long ofNumber, Set<String> names) {
+    private void setRequired(long ofNumber, Set<String> names) {
         number = ofNumber;
         requires = names;
-        belonging.setRequired(names);
-        close();
+        membership.setRequired(names);
+        updateClosed();
     }
 
-    private void close() {
+    private void updateClosed() {
         String why =
-                belonging.missingFeatures().isEmpty()
+                membership.missingFeatures().isEmpty()
                         ? null
                         : "this version does not know what the others use: "
-                                + belonging.missingFeatures();
-        if (why != null && !why.equals(closed)) {
+                                + membership.missingFeatures();
+        if (why != null && !why.equals(closedReason)) {
             LOG.error("event=serving_stopped reason=\"{}\"", why);
-        } else if (why == null && closed != null) {
+        } else if (why == null && closedReason != null) {
             LOG.info("event=serving_resumed");
         }
-        boolean differs = !Objects.equals(why, closed);
-        closed = why;
+        boolean differs = !Objects.equals(why, closedReason);
+        closedReason = why;
         if (differs) {
             changed.run();
         }
     }
 
-    private void turnOn(Feature feature) {
-        if (on.add(feature)) {
+    private void enable(Feature feature) {
+        if (isOn.add(feature)) {
             LOG.info("event=feature_on feature={}", feature.key());
             changed.run();
         }
@@ -461,23 +465,26 @@
     // What versions 2 and 3 agree on.
 
     private void poll() {
-        look(RequestPriority.NORMAL, known -> {});
+        readAgreedVersion(RequestPriority.NORMAL, known -> {});
         loop.schedule(POLL_MICROS, this::poll);
     }
 
     /** Reads what an earlier version has agreed on; tells whether that could be read. */
-    void look(RequestPriority urgency, Consumer<Boolean> done) {
-        if (agreed >= VERSION) {
+    void readAgreedVersion(RequestPriority urgency, Consumer<Boolean> done) {
+        if (agreedVersion >= VERSION) {
             done.accept(true);
             return;
         }
-        state.get(
+        store.get(
                 urgency,
                 StoreKeys.AGREED,
                 (result, entry, storeRevision) -> {
                     try {
                         if (result == Result.OK) {
-                            agreed = Math.max(agreed, new Fields(entry.value()).integer(FIELD));
+                            agreedVersion =
+                                    Math.max(
+                                            agreedVersion,
+                                            new Fields(entry.value()).integer(FIELD));
                             agreedStamp = entry.revision();
                         }
                     } catch (MalformedMessageException e) {
@@ -487,8 +494,9 @@
                                 e.getMessage());
                     }
                     for (Feature feature : Feature.values()) {
-                        if (feature.agreedVersion() > 0 && agreed >= feature.agreedVersion()) {
-                            turnOn(feature);
+                        if (feature.agreedVersion() > 0
+                                && agreedVersion >= feature.agreedVersion()) {
+                            enable(feature);
                         }
                     }
                     done.accept(result == Result.OK || result == Result.NOT_FOUND);
@@ -498,8 +506,8 @@
     // For the core of a leader.
 
     /** What a decision rests on, or null as long as that is not known. */
-    SchedulerEvent.RolloutStateRead situation(long refused) {
-        if (!belonging.mayServe()) {
+    SchedulerEvent.RolloutStateRead rolloutState(long refused) {
+        if (!membership.mayServe()) {
             return null;
         }
         Map<String, SchedulerEvent.StoredAnnouncement> words = new LinkedHashMap<>();
@@ -526,13 +534,13 @@
             }
         }
         Set<String> wordless = new HashSet<>();
-        wordlessMicros.forEach(
+        unannouncedPeers.forEach(
                 (from, micros) -> {
                     if (loop.nowMicros() - micros < HEARD_MICROS) {
                         wordless.add(from);
                     }
                 });
         return new SchedulerEvent.RolloutStateRead(
-                record, stateStamp, words, asked, wordless, agreed, agreedStamp, refused);
+                record, stateStamp, words, asked, wordless, agreedVersion, agreedStamp, refused);
     }
 }
--- a/src/main/java/org/woadloom/node/Server.java
+++ b/src/main/java/org/woadloom/node/Server.java
@@ -32,7 +32,7 @@
 
     public static Node start(ServiceSettings settings, OperatorSettings operator)
             throws IOException {
-        XnioWorker worker =
+        XnioWorker agent =
                 Xnio.getInstance()
                         .createWorker(
                                 OptionMap.builder()
@@ -41,7 +41,7 @@
                                         .set(Options.WORKER_TASK_CORE_THREADS, 1)
                                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
                                         .getMap());
-        XnioIoThread thread = worker.getIoThread();
+        XnioIoThread thread = agent.getIoThread();
         ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, 256, 4);
         XnioEventLoop loop = new XnioEventLoop(thread);
         SocketBudget plan = SocketBudget.of(settings);
@@ -49,11 +49,11 @@
         // Not by clocks alone: one that stood still, or was set back, would make a process take
         // itself for the one before.
         Random random = new Random(new SecureRandom().nextLong());
-        XnioPeerTransport peers = new XnioPeerTransport(loop, worker, settings);
+        XnioPeerTransport peers = new XnioPeerTransport(loop, agent, settings);
         Node node = new Node(loop, transport, peers, settings, operator, random);
         ConnectionLimiter connections = new ConnectionLimiter(loop, plan);
         meter(node.metrics(), plan, connections, transport, peers);
-        new ApiServer(settings, worker, buffers, plan, connections, node.router()).start();
+        new ApiServer(settings, agent, buffers, plan, connections, node.router()).start();
         peers.bind();
         loop.execute(
                 () -> {
@@ -76,7 +76,7 @@
                     LOG.info(
                             "event=sockets workers={} users={} max={} outbound={} outbound_idle={}"
                                     + " peers={} idle_users_closed={} requests_refused={}",
-                            connections.workers(),
+                            connections.agents(),
                             connections.users(),
                             plan.inbound(),
                             transport.open(),
@@ -94,7 +94,7 @@
             ConnectionLimiter connections,
             UndertowTransport transport,
             XnioPeerTransport peers) {
-        metrics.gauge("woadloom.sockets.workers", connections, ConnectionLimiter::workers);
+        metrics.gauge("woadloom.sockets.workers", connections, ConnectionLimiter::agents);
         metrics.gauge("woadloom.sockets.users", connections, ConnectionLimiter::users);
         metrics.gauge("woadloom.sockets.inbound.most", plan, SocketBudget::inbound);
         metrics.gauge("woadloom.sockets.outbound", transport, UndertowTransport::open);
--- a/src/main/java/org/woadloom/node/StepObserver.java
+++ b/src/main/java/org/woadloom/node/StepObserver.java
@@ -10,12 +10,12 @@
  */
 public interface StepObserver {
     /** Looks at nothing. */
-    StepObserver NONE = (nowMicros, commands, effects) -> {};
+    StepObserver NONE = (nowMicros, commands, actions) -> {};
 
     /**
      * One step is over, and its effects are about to be executed.
      *
      * @param nowMicros the time that the core was given, by the node's loop
      */
-    void onStep(long nowMicros, List<SchedulerEvent> commands, List<SchedulerAction> effects);
+    void onStep(long nowMicros, List<SchedulerEvent> commands, List<SchedulerAction> actions);
 }
--- a/src/main/java/org/woadloom/node/StoreRelay.java
+++ b/src/main/java/org/woadloom/node/StoreRelay.java
@@ -59,14 +59,14 @@
     }
 
     private final EventLoop loop;
-    private final StoreClient state;
+    private final StoreClient store;
     private final String label;
     private final StoreLimits limits;
     private final RolloutParticipant rollout;
     private final Random random;
 
     /** How much shorter packed reports are than plain ones, by the last letter. */
-    private double packing = 0.25;
+    private double compressionRatio = 0.25;
 
     private final ArrayDeque<RelayedHeartbeat> outgoing = new ArrayDeque<>();
 
@@ -74,11 +74,11 @@
     private final Map<String, RelayedHeartbeat> waiting = new HashMap<>();
 
     /** The letter that is under way in each slot, 0 for none. */
-    private final long[] letters = new long[SLOTS];
+    private final long[] lettersInFlight = new long[SLOTS];
 
     private boolean flushScheduled;
     private boolean watching;
-    private long leading;
+    private long leadingTerm;
 
     /** One report on its way. */
     private record RelayedHeartbeat(
@@ -90,21 +90,21 @@
 
     StoreRelay(
             EventLoop loop,
-            StoreClient state,
+            StoreClient store,
             ServiceSettings settings,
             StoreLimits limits,
             RolloutParticipant rollout,
             Random random) {
         this.random = random;
         this.loop = loop;
-        this.state = state;
+        this.store = store;
         this.label = settings.label();
         this.limits = limits;
         this.rollout = rollout;
     }
 
     /** Sends a worker's report; the answer is 503 if none comes while the worker waits. */
-    void carry(String host, DeferredHeartbeats.PendingHeartbeat report) {
+    void relay(String host, DeferredHeartbeats.PendingHeartbeat report) {
         Consumer<Response> answer = report.answer();
         Map<String, Object> map;
         try {
@@ -115,7 +115,7 @@
         }
         RelayedHeartbeat parcel =
                 new RelayedHeartbeat(newId(), host, map, Cbor.jsonSize(map) + 40, report);
-        if (room(parcel.size) + LETTER_BYTES > limits.valueBytesNow()) {
+        if (estimatedSize(parcel.size) + LETTER_BYTES > limits.currentValueBytes()) {
             answer.accept(Response.unavailable("the report is too long for the state service"));
             return;
         }
@@ -138,7 +138,7 @@
     }
 
     /** Gives back what waits for an answer: it was meant for a leader that leads no more. */
-    List<DeferredHeartbeats.PendingHeartbeat> takeBack() {
+    List<DeferredHeartbeats.PendingHeartbeat> withdrawAll() {
         List<DeferredHeartbeats.PendingHeartbeat> reports = new ArrayList<>();
         waiting.values().forEach(parcel -> reports.add(parcel.sent));
         waiting.clear();
@@ -166,7 +166,7 @@
     private void flush() {
         flushScheduled = false;
         for (int slot = 0; slot < SLOTS && !outgoing.isEmpty(); slot++) {
-            if (letters[slot] == 0) {
+            if (lettersInFlight[slot] == 0) {
                 send(slot);
             }
         }
@@ -180,13 +180,13 @@
         List<Object> reports = new ArrayList<>();
         int size = LETTER_BYTES;
         // Answers with launches may be longer than the reports, and must fit in the same place.
-        int most = limits.valueBytesNow() / (packs() ? 1 : 2);
+        int most = limits.currentValueBytes() / (compresses() ? 1 : 2);
         List<RelayedHeartbeat> parcels = new ArrayList<>();
         int plain = 0;
         while (!outgoing.isEmpty()
-                && (reports.isEmpty() || size + room(outgoing.peekFirst().size) <= most)) {
+                && (reports.isEmpty() || size + estimatedSize(outgoing.peekFirst().size) <= most)) {
             RelayedHeartbeat parcel = outgoing.pollFirst();
-            size += room(parcel.size);
+            size += estimatedSize(parcel.size);
             plain += parcel.size;
             parcels.add(parcel);
             reports.add(Arrays.asList(parcel.id, parcel.report));
@@ -195,24 +195,24 @@
         value.put("id", id);
         value.put("at", loop.wallMicros());
         fill(value, REPORTS, reports);
-        packing =
-                packs()
+        compressionRatio =
+                compresses()
                         ? Math.max(0.05, 1.1 * Cbor.jsonSize(value.get(PACKED + REPORTS)) / plain)
-                        : packing;
-        if (packs() && Cbor.jsonSize(value) > limits.valueBytesNow()) {
+                        : compressionRatio;
+        if (compresses() && Cbor.jsonSize(value) > limits.currentValueBytes()) {
             // Now it is known how short they are: they go again, fewer at a time.
-            sendAgain(parcels);
+            resend(parcels);
             return;
         }
-        letters[slot] = id;
-        state.txn(
+        lettersInFlight[slot] = id;
+        store.txn(
                 RequestPriority.URGENT,
                 List.of(),
                 List.of(Change.put(StoreKeys.mail(label, slot), value)),
                 (result, storeRevision, failed) -> {
                     if (result == Result.BAD) {
-                        limits.refusedValue(Cbor.jsonSize(value));
-                        sendAgain(parcels);
+                        limits.onValueRefused(Cbor.jsonSize(value));
+                        resend(parcels);
                     }
                     if (result != Result.OK) {
                         LOG.debug(
@@ -229,7 +229,7 @@
      * What did not fit goes once more, in smaller letters; a single report that does not fit can't
      * be carried.
      */
-    private void sendAgain(List<RelayedHeartbeat> parcels) {
+    private void resend(List<RelayedHeartbeat> parcels) {
         for (int i = parcels.size() - 1; i >= 0; i--) {
             RelayedHeartbeat parcel = parcels.get(i);
             if (waiting.get(parcel.host) != parcel) {
@@ -250,16 +250,16 @@
     }
 
     /** True once every node can read packed letters. */
-    private boolean packs() {
+    private boolean compresses() {
         return rollout.format() == RecordFormat.COMPACT;
     }
 
-    private int room(int size) {
-        return packs() ? (int) (size * packing) + 1 : size;
+    private int estimatedSize(int size) {
+        return compresses() ? (int) (size * compressionRatio) + 1 : size;
     }
 
     private void fill(Map<String, Object> letter, String what, List<Object> items) {
-        if (packs()) {
+        if (compresses()) {
             letter.put(PACKED + what, CompressedList.pack(items));
         } else {
             letter.put(what, items);
@@ -276,8 +276,8 @@
     }
 
     private void free(int slot, long id) {
-        if (letters[slot] == id) {
-            letters[slot] = 0;
+        if (lettersInFlight[slot] == id) {
+            lettersInFlight[slot] = 0;
         }
     }
 
@@ -286,21 +286,21 @@
             watching = true;
             // The first revision of all: what is there already is read as well, and ignored by its
             // id.
-            state.list(
+            store.list(
                     RequestPriority.URGENT,
                     StoreKeys.mailOf(label),
                     (result, entries, storeRevision) -> {
-                        entries.forEach(entry -> answered(entry.path(), entry.value()));
+                        entries.forEach(entry -> onAnswers(entry.path(), entry.value()));
                         if (result == Result.OK) {
                             followAnswers(storeRevision);
                         } else {
-                            watchAgain();
+                            watchLater();
                         }
                     });
         }
     }
 
-    private void watchAgain() {
+    private void watchLater() {
         watching = false;
         if (!waiting.isEmpty()) {
             loop.schedule(RETRY_MICROS, this::watchAnswers);
@@ -308,25 +308,25 @@
     }
 
     private void followAnswers(long since) {
-        state.follow(
+        store.watch(
                 StoreKeys.mailOf(label),
                 since,
                 WATCH_MICROS,
                 (result, events, storeRevision) -> {
                     for (StoreClient.Event event : events) {
                         if (event.value() != null) {
-                            answered(event.path(), event.value());
+                            onAnswers(event.path(), event.value());
                         }
                     }
                     if (result == Result.OK && (!waiting.isEmpty() || !events.isEmpty())) {
                         followAnswers(Math.max(since, storeRevision));
                     } else {
-                        watchAgain();
+                        watchLater();
                     }
                 });
     }
 
-    private void answered(String path, Map<String, Object> value) {
+    private void onAnswers(String path, Map<String, Object> value) {
         try {
             Fields f = new Fields(value);
             List<?> answers = items(value, ANSWERS);
@@ -361,45 +361,45 @@
     // The leader's side.
 
     /** Answers letters as long as this term lasts. */
-    void lead(long term, Decider decider) {
-        leading = term;
+    void start(long term, Decider decider) {
+        leadingTerm = term;
         read(term, decider);
     }
 
-    void end() {
-        leading = 0;
+    void stop() {
+        leadingTerm = 0;
     }
 
     private void read(long term, Decider decider) {
-        state.list(
+        store.list(
                 RequestPriority.URGENT,
                 StoreKeys.MAIL,
                 (result, entries, storeRevision) -> {
-                    if (leading != term) {
+                    if (leadingTerm != term) {
                         return;
                     }
                     if (result != Result.OK) {
                         loop.schedule(RETRY_MICROS, () -> read(term, decider));
                         return;
                     }
-                    entries.forEach(entry -> letter(entry.path(), entry.value(), decider));
+                    entries.forEach(entry -> onLetter(entry.path(), entry.value(), decider));
                     followMail(term, storeRevision, decider);
                 });
     }
 
     private void followMail(long term, long since, Decider decider) {
-        state.follow(
+        store.watch(
                 StoreKeys.MAIL,
                 since,
                 WATCH_MICROS,
                 (result, events, storeRevision) -> {
-                    if (leading != term) {
+                    if (leadingTerm != term) {
                         return;
                     }
                     if (result == Result.OK) {
                         for (StoreClient.Event event : events) {
                             if (event.value() != null) {
-                                letter(event.path(), event.value(), decider);
+                                onLetter(event.path(), event.value(), decider);
                             }
                         }
                         followMail(term, Math.max(since, storeRevision), decider);
@@ -409,7 +409,7 @@
                 });
     }
 
-    private void letter(String path, Map<String, Object> value, Decider decider) {
+    private void onLetter(String path, Map<String, Object> value, Decider decider) {
         try {
             Fields f = new Fields(value);
             List<?> reports = items(value, REPORTS);
@@ -462,17 +462,17 @@
         Map<String, Object> value = new LinkedHashMap<>();
         value.put("id", id);
         fill(value, ANSWERS, answers);
-        while (Cbor.jsonSize(value) > limits.valueBytesNow() && !answers.isEmpty()) {
+        while (Cbor.jsonSize(value) > limits.currentValueBytes() && !answers.isEmpty()) {
             answers.subList(answers.size() * 3 / 4, answers.size()).clear();
             fill(value, ANSWERS, answers);
         }
-        state.txn(
+        store.txn(
                 RequestPriority.URGENT,
                 List.of(),
                 List.of(Change.put(path, value)),
                 (result, storeRevision, failed) -> {
                     if (result == Result.BAD) {
-                        limits.refusedValue(Cbor.jsonSize(value));
+                        limits.onValueRefused(Cbor.jsonSize(value));
                     }
                     if (result != Result.OK) {
                         LOG.debug(
--- a/src/main/java/org/woadloom/node/WarmUp.java
+++ b/src/main/java/org/woadloom/node/WarmUp.java
@@ -47,8 +47,8 @@
                     s.zones(),
                     s.teams(),
                     s.objectives(),
-                    s.workers(),
-                    s.state(),
+                    s.agents(),
+                    s.store(),
                     s.cloud(),
                     s.resources());
         }
--- a/src/main/java/org/woadloom/peer/PeerCodec.java
+++ b/src/main/java/org/woadloom/peer/PeerCodec.java
@@ -77,7 +77,7 @@
                 14,
                 (out, m) -> {
                     out.writeLong(m.id());
-                    writeBytes(out, m.report());
+                    writeBytes(out, m.heartbeat());
                 },
                 in -> {
                     long id = in.readLong();
@@ -100,7 +100,7 @@
                 PeerMessage.StatusReport.class,
                 16,
                 (out, m) -> {
-                    PeerStatus s = m.standing();
+                    PeerStatus s = m.status();
                     writeLongs(
                             out,
                             s.processId(),
@@ -127,7 +127,7 @@
                 PeerMessage.Delegation.class,
                 17,
                 (out, m) -> {
-                    LeaseDelegation w = m.warrant();
+                    LeaseDelegation w = m.delegation();
                     writeLongs(
                             out,
                             w.term(),
@@ -146,7 +146,7 @@
                 PeerMessage.CancellationReport.class,
                 18,
                 (out, m) -> {
-                    WatermarkReport v = m.vouch();
+                    WatermarkReport v = m.report();
                     writeLongs(
                             out,
                             v.term(),
@@ -171,7 +171,7 @@
                 PeerMessage.CancellationReportAck.class,
                 19,
                 (out, m) -> {
-                    WatermarkAck t = m.taken();
+                    WatermarkAck t = m.ack();
                     writeLongs(
                             out,
                             t.term(),
--- a/src/main/java/org/woadloom/peer/PeerMessage.java
+++ b/src/main/java/org/woadloom/peer/PeerMessage.java
@@ -34,23 +34,23 @@
     record JobChangeNotification(byte[] record, long revision) implements PeerMessage {}
 
     /** A worker's report, carried to the leader for a worker that can't reach it. */
-    record ForwardHeartbeat(long id, byte[] report) implements PeerMessage {}
+    record ForwardHeartbeat(long id, byte[] heartbeat) implements PeerMessage {}
 
     /** The leader's answer to a carried report. */
     record ForwardedAnswer(long id, int status, byte[] answer) implements PeerMessage {}
 
     /** How the sender stands. Only once every node runs version 3. */
-    record StatusReport(PeerStatus standing) implements PeerMessage {}
+    record StatusReport(PeerStatus status) implements PeerMessage {}
 
     /**
      * What the sender has told of cancellations, for the leader. Only while all nodes have agreed
      * to vouch.
      */
-    record CancellationReport(WatermarkReport vouch) implements PeerMessage {}
+    record CancellationReport(WatermarkReport report) implements PeerMessage {}
 
     /** The leader's answer to that. */
-    record CancellationReportAck(WatermarkAck taken) implements PeerMessage {}
+    record CancellationReportAck(WatermarkAck ack) implements PeerMessage {}
 
     /** The leader's answer to a standing. */
-    record Delegation(LeaseDelegation warrant) implements PeerMessage {}
+    record Delegation(LeaseDelegation delegation) implements PeerMessage {}
 }
--- a/src/main/java/org/woadloom/peer/PeerTransport.java
+++ b/src/main/java/org/woadloom/peer/PeerTransport.java
@@ -4,15 +4,15 @@
 public interface PeerTransport {
     /** Hears what happens, on the loop. */
     interface Listener {
-        void received(String from, PeerMessage message);
+        void onMessage(String from, PeerMessage message);
 
-        void connected(String label);
+        void onConnected(String label);
 
         /**
          * A connection ended, or could not be made; {@code refused} if the other side said so at
          * once.
          */
-        void lost(String label, boolean refused);
+        void onConnectionLost(String label, boolean refused);
     }
 
     void start(Listener listener);
--- a/src/main/java/org/woadloom/peer/XnioPeerTransport.java
+++ b/src/main/java/org/woadloom/peer/XnioPeerTransport.java
@@ -44,10 +44,10 @@
     private Listener listener;
     private int inbound;
 
-    public XnioPeerTransport(EventLoop loop, XnioWorker worker, ServiceSettings settings) {
+    public XnioPeerTransport(EventLoop loop, XnioWorker agent, ServiceSettings settings) {
         this.loop = loop;
-        this.worker = worker;
-        this.thread = worker.getIoThread();
+        this.worker = agent;
+        this.thread = agent.getIoThread();
         this.settings = settings;
     }
 
@@ -156,7 +156,7 @@
             } else if (from == null) {
                 throw new PeerFormatException("a message before the greeting");
             } else {
-                listener.received(from, message);
+                listener.onMessage(from, message);
             }
         }
     }
@@ -209,7 +209,7 @@
             opened.getSourceChannel().resumeReads();
             queue.clear();
             send(new PeerMessage.Hello(settings.label()));
-            listener.connected(peer.label());
+            listener.onConnected(peer.label());
         }
 
         private void readEnd(ConduitStreamSourceChannel channel, int mine) {
@@ -238,7 +238,7 @@
                 connection = null;
             }
             queue.clear();
-            listener.lost(peer.label(), refused);
+            listener.onConnectionLost(peer.label(), refused);
             loop.schedule(RECONNECT_MICROS, this::connect);
         }
 
--- a/src/main/java/org/woadloom/reads/CoalescingJobReader.java
+++ b/src/main/java/org/woadloom/reads/CoalescingJobReader.java
@@ -33,25 +33,25 @@
  */
 public final class CoalescingJobReader {
     /** The part of the service's requests that the rounds of all nodes together may take. */
-    private static final double PART = 0.1;
+    private static final double REQUEST_SHARE = 0.1;
 
     private static final long LEAST_PAUSE_MICROS = 100_000;
 
     /** So many changes are read at most after a gap, as all of them come in one answer. */
-    private static final double MOST_CHANGES = 1_500;
+    private static final double MAX_CHANGES = 1_500;
 
     private static final long LEAST_GAP_MICROS = 3_000_000;
     private static final long SLOW_MICROS = 400_000;
-    private static final int MOST_UNDER_WAY = 4;
-    private static final int MOST_REMEMBERED = 4_000;
+    private static final int MAX_ROUNDS_IN_FLIGHT = 4;
+    private static final int MAX_CACHED = 4_000;
 
     /** What a user is told of a job. The status is null for one that was never accepted. */
     public record JobView(JobStatus status, List<String> awaits) {
-        public static JobView of(JobLookup looked) {
-            boolean waits = looked.record() != null && !looked.record().cancelled();
+        public static JobView of(JobLookup lookup) {
+            boolean waits = lookup.record() != null && !lookup.record().cancelled();
             return new JobView(
-                    looked.status(),
-                    waits ? looked.record().description().dependencies() : List.of());
+                    lookup.status(),
+                    waits ? lookup.record().description().dependencies() : List.of());
         }
     }
 
@@ -78,23 +78,23 @@
     }
 
     private final EventLoop loop;
-    private final StoreClient state;
+    private final StoreClient store;
     private final JobReader reader;
     private final long pauseMicros;
     private final long gapMicros;
-    private final Cache<String, CachedJob> remembered =
-            Caffeine.newBuilder().maximumSize(MOST_REMEMBERED).executor(Runnable::run).build();
+    private final Cache<String, CachedJob> cached =
+            Caffeine.newBuilder().maximumSize(MAX_CACHED).executor(Runnable::run).build();
 
     /**
      * Jobs whose record is gone: it never comes back, so only their final state is left to be read.
      */
-    private final Cache<String, Long> over =
-            Caffeine.newBuilder().maximumSize(MOST_REMEMBERED).executor(Runnable::run).build();
+    private final Cache<String, Long> ended =
+            Caffeine.newBuilder().maximumSize(MAX_CACHED).executor(Runnable::run).build();
 
-    private Map<String, PendingRead> reading = new HashMap<>();
+    private Map<String, PendingRead> pendingReads = new HashMap<>();
 
     /** What was asked and is not answered, the first first. */
-    private final ArrayDeque<Question> asked = new ArrayDeque<>();
+    private final ArrayDeque<Question> questions = new ArrayDeque<>();
 
     private long lastAsked;
 
@@ -102,7 +102,7 @@
     private long lastCovered;
 
     private long lastRoundMicros = Long.MIN_VALUE / 2;
-    private int underWay;
+    private int roundsInFlight;
     private EventLoop.Timer timer;
     private long nextLookMicros;
 
@@ -110,10 +110,10 @@
      * Changes with each gap: what a round of an earlier one tells leaves out what was forgotten
      * since.
      */
-    private long era;
+    private long generation;
 
     /** The generation up to which everything remembered is true, -1 for none. */
-    private long since = -1;
+    private long readUpToRevision = -1;
 
     private long sinceMicros;
 
@@ -123,35 +123,36 @@
      */
     public CoalescingJobReader(
             EventLoop loop,
-            StoreClient state,
+            StoreClient store,
             JobReader reader,
-            ServiceSettings.State limits,
+            ServiceSettings.Store limits,
             int nodes) {
         this.loop = loop;
-        this.state = state;
+        this.store = store;
         this.reader = reader;
-        pauseMicros = Math.max(LEAST_PAUSE_MICROS, (long) (nodes / (limits.rps() * PART) * 1e6));
-        gapMicros = Math.max(LEAST_GAP_MICROS, (long) (MOST_CHANGES / limits.writeRps() * 1e6));
+        pauseMicros =
+                Math.max(LEAST_PAUSE_MICROS, (long) (nodes / (limits.rps() * REQUEST_SHARE) * 1e6));
+        gapMicros = Math.max(LEAST_GAP_MICROS, (long) (MAX_CHANGES / limits.writeRps() * 1e6));
     }
 
     /** Asks for a job; the answer is null if the store does not say. */
-    public void ask(String jobId, Consumer<JobView> answer) {
-        JobLookup known = reader.known(jobId);
+    public void read(String jobId, Consumer<JobView> answer) {
+        JobLookup known = reader.knownFinalState(jobId);
         if (known != null) {
             answer.accept(JobView.of(known));
             return;
         }
-        asked.add(new Question(++lastAsked, jobId, answer));
-        lookSoon();
+        questions.add(new Question(++lastAsked, jobId, answer));
+        scheduleRound();
     }
 
-    private void lookSoon() {
+    private void scheduleRound() {
         long now = loop.nowMicros();
         long next =
-                underWay >= MOST_UNDER_WAY
+                roundsInFlight >= MAX_ROUNDS_IN_FLIGHT
                         ? now + pauseMicros
                         : lastRoundMicros + (lastAsked > lastCovered ? pauseMicros : SLOW_MICROS);
-        if (asked.isEmpty() || timer != null && nextLookMicros <= next) {
+        if (questions.isEmpty() || timer != null && nextLookMicros <= next) {
             return;
         }
         if (timer != null) {
@@ -163,30 +164,32 @@
                         Math.max(1, next - now),
                         () -> {
                             timer = null;
-                            look();
-                            lookSoon();
+                            startRound();
+                            scheduleRound();
                         });
     }
 
     /** Begins a round if there is anybody whom none is for, or if the last one takes long. */
-    private void look() {
+    private void startRound() {
         long now = loop.nowMicros();
         boolean slow = now - lastRoundMicros >= SLOW_MICROS;
-        if (asked.isEmpty() || underWay >= MOST_UNDER_WAY || lastAsked == lastCovered && !slow) {
+        if (questions.isEmpty()
+                || roundsInFlight >= MAX_ROUNDS_IN_FLIGHT
+                || lastAsked == lastCovered && !slow) {
             return;
         }
         lastRoundMicros = now;
         lastCovered = lastAsked;
         long upTo = lastAsked;
-        underWay++;
-        if (since < 0 || now - sinceMicros > gapMicros) {
-            beginAnew(upTo, now);
-        } else if (state.refuses()) {
-            ifServed(upTo, () -> readChanges(upTo, now), () -> underWay--);
+        roundsInFlight++;
+        if (readUpToRevision < 0 || now - sinceMicros > gapMicros) {
+            restart(upTo, now);
+        } else if (store.isRefusing()) {
+            checkStore(upTo, () -> readChanges(upTo, now), () -> roundsInFlight--);
         } else {
             readChanges(upTo, now);
-            if (underWay > 1) {
-                ifServed(upTo, () -> {}, () -> {});
+            if (roundsInFlight > 1) {
+                checkStore(upTo, () -> {}, () -> {});
             }
         }
     }
@@ -195,14 +198,14 @@
      * In an outage those who ask are told at once: a read of changes hangs then, a plain one does
      * not.
      */
-    private void ifServed(long upTo, Runnable served, Runnable refused) {
-        state.get(
+    private void checkStore(long upTo, Runnable served, Runnable refused) {
+        store.get(
                 RequestPriority.USER,
                 StoreKeys.NOTHING,
                 (result, entry, storeRevision) -> {
                     if (result == Result.UNAVAILABLE) {
                         refused.run();
-                        answered(upTo, question -> question.answer.accept(null));
+                        answerUpTo(upTo, question -> question.answer.accept(null));
                     } else {
                         served.run();
                     }
@@ -210,83 +213,84 @@
     }
 
     private void readChanges(long upTo, long now) {
-        if (since < 0) {
+        if (readUpToRevision < 0) {
             // Another round found out that changes were missed while this one waited to begin.
-            beginAnew(upTo, now);
+            restart(upTo, now);
             return;
         }
-        long ofEra = era;
-        state.changes(
+        long ofEra = generation;
+        store.changes(
                 RequestPriority.USER,
                 StoreKeys.JOBS,
-                since,
+                readUpToRevision,
                 (result, events, storeRevision) -> {
-                    underWay--;
-                    if (ofEra != era) {
+                    roundsInFlight--;
+                    if (ofEra != generation) {
                         return;
                     }
                     if (result == Result.OK) {
                         // Where another answer came first that tells more, what this one leaves out
                         // will not be told again.
-                        Set<String> askedFor = storeRevision >= since ? askedFor(upTo) : Set.of();
-                        events.forEach(event -> changed(event, askedFor));
-                        told(storeRevision, now);
-                        answered(upTo, this::answer);
+                        Set<String> askedFor =
+                                storeRevision >= readUpToRevision ? questionedJobs(upTo) : Set.of();
+                        events.forEach(event -> onChange(event, askedFor));
+                        advance(storeRevision, now);
+                        answerUpTo(upTo, this::answer);
                     } else if (result == Result.NOT_FOUND) {
                         // Changes are kept for a while only.
-                        underWay++;
-                        beginAnew(lastAsked, loop.nowMicros());
+                        roundsInFlight++;
+                        restart(lastAsked, loop.nowMicros());
                     } else {
-                        answered(upTo, question -> question.answer.accept(null));
+                        answerUpTo(upTo, question -> question.answer.accept(null));
                     }
                 });
     }
 
-    private void told(long storeRevision, long asOfMicros) {
-        since = Math.max(since, storeRevision);
+    private void advance(long storeRevision, long asOfMicros) {
+        readUpToRevision = Math.max(readUpToRevision, storeRevision);
         sinceMicros = Math.max(sinceMicros, asOfMicros);
     }
 
-    private void answered(long upTo, Consumer<Question> how) {
-        while (!asked.isEmpty() && asked.peekFirst().number <= upTo) {
-            how.accept(asked.pollFirst());
+    private void answerUpTo(long upTo, Consumer<Question> how) {
+        while (!questions.isEmpty() && questions.peekFirst().number <= upTo) {
+            how.accept(questions.pollFirst());
         }
     }
 
     /**
      * Changes were missed: nothing that is remembered, or being read, says how things stand now.
      */
-    private void beginAnew(long upTo, long now) {
-        if (since >= 0) {
-            remembered.invalidateAll();
-            reading = new HashMap<>();
-            since = -1;
-            era++;
+    private void restart(long upTo, long now) {
+        if (readUpToRevision >= 0) {
+            cached.invalidateAll();
+            pendingReads = new HashMap<>();
+            readUpToRevision = -1;
+            generation++;
         }
-        long ofEra = era;
+        long ofEra = generation;
         // The answer for a key that is not there names the generation.
-        state.get(
+        store.get(
                 RequestPriority.USER,
                 StoreKeys.NOTHING,
                 (result, entry, storeRevision) -> {
-                    underWay--;
-                    if (ofEra != era || since >= 0) {
+                    roundsInFlight--;
+                    if (ofEra != generation || readUpToRevision >= 0) {
                         // Another answer came first, and what happened between the two must still
                         // be read.
                         return;
                     }
                     if (result == Result.NOT_FOUND) {
-                        told(storeRevision, now);
-                        answered(upTo, this::answer);
+                        advance(storeRevision, now);
+                        answerUpTo(upTo, this::answer);
                     } else {
-                        answered(upTo, question -> question.answer.accept(null));
+                        answerUpTo(upTo, question -> question.answer.accept(null));
                     }
                 });
     }
 
-    private Set<String> askedFor(long upTo) {
+    private Set<String> questionedJobs(long upTo) {
         Set<String> jobIds = new HashSet<>();
-        for (Question question : asked) {
+        for (Question question : questions) {
             if (question.number > upTo) {
                 break;
             }
@@ -299,29 +303,29 @@
      * @param askedFor the jobs for whose questions this was read: its changes tell of them as well
      *     as a read by key
      */
-    private void changed(Event event, Set<String> askedFor) {
+    private void onChange(Event event, Set<String> askedFor) {
         String jobId = event.path().substring(StoreKeys.JOBS.length());
         if (event.value() == null) {
-            over.put(jobId, event.revision());
+            ended.put(jobId, event.revision());
         }
-        CachedJob job = remembered.getIfPresent(jobId);
+        CachedJob job = cached.getIfPresent(jobId);
         if (job == null
                 && event.value() != null
                 && askedFor.contains(jobId)
-                && !reading.containsKey(jobId)) {
+                && !pendingReads.containsKey(jobId)) {
             job = new CachedJob(0, null);
-            remembered.put(jobId, job);
+            cached.put(jobId, job);
         }
         if (job != null && event.revision() > job.revision) {
             if (event.value() == null) {
                 // Its final state has to be read.
-                remembered.invalidate(jobId);
+                cached.invalidate(jobId);
             } else {
                 job.unread = event.value();
                 job.revision = event.revision();
             }
         }
-        PendingRead read = reading.get(jobId);
+        PendingRead read = pendingReads.get(jobId);
         if (read != null && (read.latest == null || event.revision() > read.latest.revision())) {
             read.latest = event;
         }
@@ -329,44 +333,44 @@
 
     private void answer(Question question) {
         // Its final state may have been read for another request since the question came.
-        JobLookup known = reader.known(question.jobId);
-        JobView shown = known != null ? JobView.of(known) : remembered(question.jobId);
+        JobLookup known = reader.knownFinalState(question.jobId);
+        JobView shown = known != null ? JobView.of(known) : cached(question.jobId);
         if (shown != null) {
             question.answer.accept(shown);
             return;
         }
-        PendingRead read = reading.get(question.jobId);
+        PendingRead read = pendingReads.get(question.jobId);
         if (read != null) {
             // One that is under way is as good: the rounds tell what has changed since it began.
             read.waiting.add(question.answer);
             return;
         }
         read = new PendingRead();
-        reading.put(question.jobId, read);
+        pendingReads.put(question.jobId, read);
         read.waiting.add(question.answer);
         read(question.jobId, read);
     }
 
-    private JobView remembered(String jobId) {
-        CachedJob job = remembered.getIfPresent(jobId);
+    private JobView cached(String jobId) {
+        CachedJob job = cached.getIfPresent(jobId);
         if (job != null && job.unread != null) {
-            JobLookup looked = reader.parse(jobId, job.unread, job.revision);
+            JobLookup lookup = reader.parse(jobId, job.unread, job.revision);
             job.unread = null;
-            job.shown = looked == null ? null : JobView.of(looked);
+            job.shown = lookup == null ? null : JobView.of(lookup);
         }
         return job == null ? null : job.shown;
     }
 
     private void read(String jobId, PendingRead read) {
-        reader.look(
+        reader.lookUp(
                 jobId,
-                over.getIfPresent(jobId) != null,
-                looked -> {
-                    JobLookup latest = looked;
-                    if (looked != null
-                            && looked.finalState() == null
+                ended.getIfPresent(jobId) != null,
+                lookup -> {
+                    JobLookup latest = lookup;
+                    if (lookup != null
+                            && lookup.finalState() == null
                             && read.latest != null
-                            && read.latest.revision() > looked.revision()) {
+                            && read.latest.revision() > lookup.revision()) {
                         if (read.latest.value() == null) {
                             read.latest = null;
                             read(jobId, read);
@@ -375,8 +379,10 @@
                         latest = reader.parse(jobId, read.latest.value(), read.latest.revision());
                     }
                     JobView shown = latest == null ? null : JobView.of(latest);
-                    if (reading.remove(jobId, read) && latest != null && latest.record() != null) {
-                        remembered.put(jobId, new CachedJob(latest.revision(), shown));
+                    if (pendingReads.remove(jobId, read)
+                            && latest != null
+                            && latest.record() != null) {
+                        cached.put(jobId, new CachedJob(latest.revision(), shown));
                     }
                     read.waiting.forEach(answer -> answer.accept(shown));
                 });
--- a/src/main/java/org/woadloom/reads/JobLookup.java
+++ b/src/main/java/org/woadloom/reads/JobLookup.java
@@ -16,14 +16,14 @@
         RecordFormat format,
         long revision,
         FinalRecord finalState,
-        JobStatus unread) {
+        JobStatus damaged) {
     static final JobLookup UNKNOWN = new JobLookup(null, null, 0, null, null);
 
     static JobLookup of(JobRecord record, RecordFormat format, long revision) {
         return new JobLookup(record, format, revision, null, null);
     }
 
-    static JobLookup over(FinalRecord finalState) {
+    static JobLookup ofFinalState(FinalRecord finalState) {
         return new JobLookup(null, null, 0, finalState, null);
     }
 
@@ -44,10 +44,12 @@
 
     /** Null for a job that was never accepted. */
     public JobStatus status() {
-        return finalState != null ? finalState.status() : record != null ? record.status() : unread;
+        return finalState != null
+                ? finalState.status()
+                : record != null ? record.status() : damaged;
     }
 
-    public boolean service() {
+    public boolean isService() {
         return finalState != null
                 ? finalState.service()
                 : record != null && record.description().isService();
--- a/src/main/java/org/woadloom/reads/JobReader.java
+++ b/src/main/java/org/woadloom/reads/JobReader.java
@@ -21,78 +21,78 @@
  */
 public final class JobReader {
     private static final Logger LOG = LoggerFactory.getLogger(JobReader.class);
-    private static final int MOST_KEPT = 20_000;
+    private static final int MAX_CACHED = 20_000;
 
-    private final StoreClient state;
+    private final StoreClient store;
     private final Consumer<RecordFormat> formatSeen;
     private final Cache<String, FinalRecord> finals =
-            Caffeine.newBuilder().maximumSize(MOST_KEPT).executor(Runnable::run).build();
+            Caffeine.newBuilder().maximumSize(MAX_CACHED).executor(Runnable::run).build();
 
     /** Jobs that are known to be accepted, which stays true; true for services. */
-    private final Cache<String, Boolean> accepted =
-            Caffeine.newBuilder().maximumSize(MOST_KEPT).executor(Runnable::run).build();
+    private final Cache<String, Boolean> onAccepted =
+            Caffeine.newBuilder().maximumSize(MAX_CACHED).executor(Runnable::run).build();
 
     /**
      * @param formatSeen hears in which format a record is
      */
-    public JobReader(StoreClient state, Consumer<RecordFormat> formatSeen) {
-        this.state = state;
+    public JobReader(StoreClient store, Consumer<RecordFormat> formatSeen) {
+        this.store = store;
         this.formatSeen = formatSeen;
     }
 
-    public void accepted(String jobId, boolean service) {
-        accepted.put(jobId, service);
+    public void onAccepted(String jobId, boolean service) {
+        onAccepted.put(jobId, service);
     }
 
     /** Whether an accepted job is a service; null for a job that is not known to be accepted. */
-    public Boolean acceptedService(String jobId) {
-        return accepted.getIfPresent(jobId);
+    public Boolean isAcceptedService(String jobId) {
+        return onAccepted.getIfPresent(jobId);
     }
 
     /** The job's final state if it was ever read here, or null. */
-    public JobLookup known(String jobId) {
+    public JobLookup knownFinalState(String jobId) {
         FinalRecord known = finals.getIfPresent(jobId);
-        return known == null ? null : JobLookup.over(known);
+        return known == null ? null : JobLookup.ofFinalState(known);
     }
 
     /**
      * Reads a job from the store, unless its final state is known; null if the store does not say.
      */
-    public void look(String jobId, Consumer<JobLookup> consumer) {
-        look(RequestPriority.NORMAL, jobId, consumer);
+    public void lookUp(String jobId, Consumer<JobLookup> consumer) {
+        lookUp(RequestPriority.NORMAL, jobId, consumer);
     }
 
     /** The same; of a job that is known to be over the final state is read at once. */
-    void look(String jobId, boolean over, Consumer<JobLookup> consumer) {
-        if (over && known(jobId) == null) {
-            lookForFinal(
+    void lookUp(String jobId, boolean over, Consumer<JobLookup> consumer) {
+        if (over && knownFinalState(jobId) == null) {
+            lookUpFinalState(
                     RequestPriority.NORMAL,
                     jobId,
-                    looked -> {
-                        if (looked == JobLookup.UNKNOWN) {
-                            look(jobId, consumer);
+                    lookup -> {
+                        if (lookup == JobLookup.UNKNOWN) {
+                            lookUp(jobId, consumer);
                         } else {
-                            consumer.accept(looked);
+                            consumer.accept(lookup);
                         }
                     });
         } else {
-            look(jobId, consumer);
+            lookUp(jobId, consumer);
         }
     }
 
     /** The same, before or after what else this node asks of the store. */
-    public void look(RequestPriority urgency, String jobId, Consumer<JobLookup> consumer) {
-        JobLookup known = known(jobId);
+    public void lookUp(RequestPriority urgency, String jobId, Consumer<JobLookup> consumer) {
+        JobLookup known = knownFinalState(jobId);
         if (known != null) {
             consumer.accept(known);
             return;
         }
-        state.get(
+        store.get(
                 urgency,
                 StoreKeys.job(jobId),
                 (result, entry, storeRevision) -> {
                     if (result == Result.NOT_FOUND) {
-                        lookForFinal(urgency, jobId, consumer);
+                        lookUpFinalState(urgency, jobId, consumer);
                     } else {
                         consumer.accept(
                                 result == Result.OK
@@ -106,8 +106,8 @@
      * Reads a job's record alone; null if the store does not say or there is none, which does not
      * say that there is no job.
      */
-    public void lookForRecord(RequestPriority urgency, String jobId, Consumer<JobLookup> consumer) {
-        state.get(
+    public void lookUpRecord(RequestPriority urgency, String jobId, Consumer<JobLookup> consumer) {
+        store.get(
                 urgency,
                 StoreKeys.job(jobId),
                 (result, entry, storeRevision) ->
@@ -121,25 +121,26 @@
      * A job moves from its record to its final state in one transaction, so this order of reading
      * can't miss it.
      */
-    private void lookForFinal(RequestPriority urgency, String jobId, Consumer<JobLookup> consumer) {
-        state.get(
+    private void lookUpFinalState(
+            RequestPriority urgency, String jobId, Consumer<JobLookup> consumer) {
+        store.get(
                 urgency,
                 StoreKeys.finalState(jobId),
                 (result, entry, storeRevision) -> {
-                    JobLookup looked = null;
+                    JobLookup lookup = null;
                     if (result == Result.NOT_FOUND) {
-                        looked = JobLookup.UNKNOWN;
+                        lookup = JobLookup.UNKNOWN;
                     } else if (result == Result.OK) {
                         try {
                             FinalRecord record = FinalRecord.parse(jobId, entry.value());
                             finals.put(jobId, record);
-                            accepted.put(jobId, record.service());
-                            looked = JobLookup.over(record);
+                            onAccepted.put(jobId, record.service());
+                            lookup = JobLookup.ofFinalState(record);
                         } catch (MalformedMessageException e) {
                             // What can't be read says nothing.
                         }
                     }
-                    consumer.accept(looked);
+                    consumer.accept(lookup);
                 });
     }
 
@@ -149,7 +150,7 @@
             RecordFormat format = JobRecord.formatOf(value);
             formatSeen.accept(format);
             JobRecord record = JobRecord.parse(value);
-            accepted.put(jobId, record.description().isService());
+            onAccepted.put(jobId, record.description().isService());
             return JobLookup.of(record, format, revision);
         } catch (MalformedMessageException e) {
             LOG.error(
--- a/src/main/java/org/woadloom/reads/UnansweredQueries.java
+++ b/src/main/java/org/woadloom/reads/UnansweredQueries.java
@@ -23,7 +23,7 @@
     /** Users ask every five seconds or so: whoever has stopped asking is not kept waiting. */
     private static final long FORGET_S = 30;
 
-    private static final int MOST_KEPT = 10_000;
+    private static final int MAX_JOBS = 10_000;
 
     private final EventLoop loop;
     private final Cache<String, Long> since;
@@ -33,21 +33,21 @@
         this.loop = loop;
         since =
                 Caffeine.newBuilder()
-                        .maximumSize(MOST_KEPT)
+                        .maximumSize(MAX_JOBS)
                         .executor(Runnable::run)
                         .ticker(() -> loop.nowMicros() * 1_000)
                         .expireAfterAccess(FORGET_S, TimeUnit.SECONDS)
                         .build();
     }
 
-    public void answered(String jobId) {
+    public void onAnswered(String jobId) {
         since.invalidate(jobId);
     }
 
     /**
      * @param served the store has answered others meanwhile: it is not an outage
      */
-    public void refused(String jobId, boolean served) {
+    public void onRefused(String jobId, boolean served) {
         if (!served) {
             since.invalidate(jobId);
             return;
@@ -65,7 +65,7 @@
     }
 
     /** True for a job whose users are to go first. */
-    public boolean goesFirst(String jobId) {
+    public boolean hasPriority(String jobId) {
         Long from = since.getIfPresent(jobId);
         return from != null && loop.nowMicros() - from >= FIRST_MICROS;
     }
--- a/src/main/java/org/woadloom/settings/ServiceSettings.java
+++ b/src/main/java/org/woadloom/settings/ServiceSettings.java
@@ -10,31 +10,31 @@
         String peerBind,
         List<Peer> peers,
         String cloudAddress,
-        String stateAddress,
+        String storeAddress,
         List<String> zones,
         List<Team> teams,
         List<Objective> objectives,
-        Workers workers,
-        State state,
+        Agents agents,
+        Store store,
         Cloud cloud,
         Resources resources) {
 
-    public record Workers(long reportMicros, long leaseMicros, long cancelMicros) {}
+    public record Agents(long heartbeatMicros, long leaseMicros, long cancelMicros) {}
 
     /**
      * The state service's limits now; {@code next} are those that it may have from some moment on,
      * without notice.
      */
-    public record State(double rps, double writeRps, int valueBytes, int txnOps, State next) {
+    public record Store(double rps, double writeRps, int valueBytes, int txnOps, Store next) {
         /**
          * The smaller of the two limits on values: what keeps to it is taken before and after the
          * change.
          */
-        public int leastValueBytes() {
+        public int minValueBytes() {
             return next == null ? valueBytes : Math.min(valueBytes, next.valueBytes);
         }
 
-        public int leastTxnOps() {
+        public int minTxnOps() {
             return next == null ? txnOps : Math.min(txnOps, next.txnOps);
         }
     }
