--- a/src/main/java/org/woadloom/settings/ServiceSettingsFile.java
+++ b/src/main/java/org/woadloom/settings/ServiceSettingsFile.java
@@ -30,23 +30,23 @@
      * The limits in force, and those announced in {@code next}, where what is not named stays as it
      * is.
      */
-    private static ServiceSettings.State stateLimits(Section state) throws SettingsException {
+    private static ServiceSettings.Store stateLimits(Section state) throws SettingsException {
         double rps = state.number("rps", 1);
         double writeRps = state.number("write_rps", 1);
         double valueKb = state.number("value_kb", 1);
         double txnOps = state.number("txn_ops", 2);
-        ServiceSettings.State next = null;
+        ServiceSettings.Store next = null;
         if (state.has("next")) {
             Section later = state.table("next");
             next =
-                    new ServiceSettings.State(
+                    new ServiceSettings.Store(
                             later.numberOr("rps", 1, rps),
                             later.numberOr("write_rps", 1, writeRps),
                             (int) (later.numberOr("value_kb", 1, valueKb) * 1024),
                             (int) later.numberOr("txn_ops", 2, txnOps),
                             null);
         }
-        return new ServiceSettings.State(rps, writeRps, (int) (valueKb * 1024), (int) txnOps, next);
+        return new ServiceSettings.Store(rps, writeRps, (int) (valueKb * 1024), (int) txnOps, next);
     }
 
     public static ServiceSettings parse(String file, String text) throws SettingsException {
@@ -83,7 +83,7 @@
                             s.numberOr("share", 0, 0),
                             s.numberOr("times", 1, 0)));
         }
-        Section workers = deployment.table("workers");
+        Section agents = deployment.table("workers");
         Section state = deployment.table("state");
         Section cloud = deployment.table("cloud");
         Section resources = deployment.table("resources");
@@ -98,10 +98,10 @@
                 List.copyOf(deployment.texts("zones")),
                 List.copyOf(teams),
                 List.copyOf(objectives),
-                new ServiceSettings.Workers(
-                        workers.micros("report_s", 0.01),
-                        workers.micros("lease_s", 0.1),
-                        workers.micros("cancel_s", 0.1)),
+                new ServiceSettings.Agents(
+                        agents.micros("report_s", 0.01),
+                        agents.micros("lease_s", 0.1),
+                        agents.micros("cancel_s", 0.1)),
                 stateLimits(state),
                 new ServiceSettings.Cloud(cloud.number("rps", 0.01), cloud.micros("list_lag_s", 0)),
                 new ServiceSettings.Resources(
--- a/src/main/java/org/woadloom/settings/SettingsValidator.java
+++ b/src/main/java/org/woadloom/settings/SettingsValidator.java
@@ -14,20 +14,20 @@
 
     public static List<String> problems(ServiceSettings settings) {
         List<String> problems = new ArrayList<>();
-        ServiceSettings.Workers workers = settings.workers();
-        if (workers.leaseMicros() < 2 * workers.reportMicros()) {
+        ServiceSettings.Agents agents = settings.agents();
+        if (agents.leaseMicros() < 2 * agents.heartbeatMicros()) {
             problems.add(
                     String.format(
                             "deployment.workers.lease_s = %s: shorter than two reports (report_s ="
                                     + " %s), so one lost answer ends it",
-                            seconds(workers.leaseMicros()), seconds(workers.reportMicros())));
+                            seconds(agents.leaseMicros()), seconds(agents.heartbeatMicros())));
         }
-        if (workers.cancelMicros() <= workers.leaseMicros()) {
+        if (agents.cancelMicros() <= agents.leaseMicros()) {
             problems.add(
                     String.format(
                             "deployment.workers.cancel_s = %s: no longer than a lease (lease_s ="
                                     + " %s), which is what ends tasks that can't be reached",
-                            seconds(workers.cancelMicros()), seconds(workers.leaseMicros())));
+                            seconds(agents.cancelMicros()), seconds(agents.leaseMicros())));
         }
         inZones(problems, settings, "area", settings.zone());
         Set<String> labels = new HashSet<>(Set.of(settings.label()));
--- a/src/main/java/org/woadloom/store/InFlightRequests.java
+++ b/src/main/java/org/woadloom/store/InFlightRequests.java
@@ -12,7 +12,7 @@
     private static final long OVERTAKEN_MICROS = 300_000;
 
     private final ArrayDeque<Sent> requests = new ArrayDeque<>();
-    private long sent;
+    private long lastNumber;
 
     /** The last one sent of those that were answered. */
     private long latestAnswered;
@@ -21,20 +21,20 @@
     static final class Sent {
         private final long number;
         private final long micros;
-        private boolean answered;
+        private boolean isAnswered;
 
         private Sent(long number, long micros) {
             this.number = number;
             this.micros = micros;
         }
 
-        boolean answered() {
-            return answered;
+        boolean isAnswered() {
+            return isAnswered;
         }
     }
 
     Sent send(long nowMicros) {
-        Sent request = new Sent(++sent, nowMicros);
+        Sent request = new Sent(++lastNumber, nowMicros);
         requests.addLast(request);
         return request;
     }
@@ -42,8 +42,8 @@
     /**
      * @param response whether the service has said anything
      */
-    void done(Sent request, boolean response) {
-        request.answered = true;
+    void onAnswered(Sent request, boolean response) {
+        request.isAnswered = true;
         requests.remove(request);
         if (response) {
             latestAnswered = Math.max(latestAnswered, request.number);
@@ -51,7 +51,7 @@
     }
 
     /** A request that was sent later has been answered. */
-    boolean overtaken(Sent request) {
+    boolean isOvertaken(Sent request) {
         return request.number < latestAnswered;
     }
 
@@ -60,10 +60,10 @@
     }
 
     /** How many may well be answered still. */
-    int awaited(long nowMicros) {
+    int awaitedCount(long nowMicros) {
         int count = 0;
         for (Sent request : requests) {
-            count += overtaken(request) && nowMicros - request.micros > OVERTAKEN_MICROS ? 0 : 1;
+            count += isOvertaken(request) && nowMicros - request.micros > OVERTAKEN_MICROS ? 0 : 1;
         }
         return count;
     }
--- a/src/main/java/org/woadloom/store/NodeAnnouncement.java
+++ b/src/main/java/org/woadloom/store/NodeAnnouncement.java
@@ -20,26 +20,26 @@
  *     before
  */
 public record NodeAnnouncement(
-        long life,
-        Set<String> reads,
-        Set<String> can,
+        long processId,
+        Set<String> supportedFeatures,
+        Set<String> usableFeatures,
         Set<String> members,
-        int starts,
+        int consecutiveStarts,
         long sinceWallMicros) {
 
     public NodeAnnouncement {
-        reads = new TreeSet<>(reads);
-        can = new TreeSet<>(can);
+        supportedFeatures = new TreeSet<>(supportedFeatures);
+        usableFeatures = new TreeSet<>(usableFeatures);
         members = new TreeSet<>(members);
     }
 
     public Map<String, Object> toMap() {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("life", life);
-        map.put("reads", List.copyOf(reads));
-        map.put("can", List.copyOf(can));
+        map.put("life", processId);
+        map.put("reads", List.copyOf(supportedFeatures));
+        map.put("can", List.copyOf(usableFeatures));
         map.put("members", List.copyOf(members));
-        map.put("starts", (long) starts);
+        map.put("starts", (long) consecutiveStarts);
         map.put("at", sinceWallMicros);
         return map;
     }
--- a/src/main/java/org/woadloom/store/StoreClient.java
+++ b/src/main/java/org/woadloom/store/StoreClient.java
@@ -80,28 +80,28 @@
         /**
          * @param served false for 503 or no answer
          */
-        void answered(boolean served);
+        void onAnswer(boolean served);
     }
 
     public interface EntryCallback {
-        void read(Result result, Entry entry, long storeRevision);
+        void onEntry(Result result, Entry entry, long storeRevision);
     }
 
     public interface ListCallback {
-        void read(Result result, List<Entry> entries, long storeRevision);
+        void onEntries(Result result, List<Entry> entries, long storeRevision);
     }
 
     public interface TxnCallback {
-        void done(Result result, long storeRevision, List<String> failed);
+        void onResult(Result result, long storeRevision, List<String> failed);
     }
 
     public interface WatchCallback {
         /** {@code NOT_FOUND} says that {@code since} is too old. */
-        void events(Result result, List<Event> events, long storeRevision);
+        void onEvents(Result result, List<Event> events, long storeRevision);
     }
 
     public interface LeaseCallback {
-        void granted(Result result, long storeLease);
+        void onLease(Result result, long storeLease);
     }
 
     private static final int MAX_IN_FLIGHT = 12;
@@ -128,8 +128,8 @@
     private final Random random;
     private final String address;
     private final StoreLimits limits;
-    private boolean leads;
-    private final int others;
+    private boolean isLeader;
+    private final int otherNodes;
     private final TokenBucket requests;
     private final TokenBucket writes;
     private final EnumMap<RequestPriority, ArrayDeque<Pending>> reads =
@@ -142,8 +142,8 @@
     /** When it looks again by itself, {@link Long#MAX_VALUE} for never. */
     private long wakeMicros = Long.MAX_VALUE;
 
-    private long troubles;
-    private boolean refuses;
+    private long failures;
+    private boolean isRefusing;
     private final HealthListener health;
 
     /**
@@ -179,12 +179,12 @@
         this.transport = transport;
         this.random = random;
         this.health = health;
-        this.address = settings.stateAddress();
+        this.address = settings.storeAddress();
         this.limits = limits;
-        this.others = Math.max(1, settings.peers().size());
+        this.otherNodes = Math.max(1, settings.peers().size());
         this.requests = new TokenBucket(1);
         this.writes = new TokenBucket(1);
-        lead(false);
+        setLeader(false);
         for (RequestPriority urgency : RequestPriority.values()) {
             reads.put(urgency, new ArrayDeque<>());
             changes.put(urgency, new ArrayDeque<>());
@@ -194,35 +194,36 @@
     /**
      * Sets this node's part of the service's limits: what one node leaves is there for the others.
      */
-    public void lead(boolean leads) {
-        this.leads = leads;
-        pace(loop.nowMicros());
+    public void setLeader(boolean leads) {
+        this.isLeader = leads;
+        updateRates(loop.nowMicros());
     }
 
     /** How many changes a second this node may make now. */
     public double writesPerSecond() {
         return limits.writeRate(loop.nowMicros())
-                * (leads ? LEADER_WRITES : OTHERS_WRITES / others);
+                * (isLeader ? LEADER_WRITES : OTHERS_WRITES / otherNodes);
     }
 
-    private void pace(long now) {
-        requests.rate(
+    private void updateRates(long now) {
+        requests.setRate(
                 now,
-                limits.requestRate(now) * (leads ? LEADER_REQUESTS : OTHERS_REQUESTS / others));
-        writes.rate(now, writesPerSecond());
+                limits.requestRate(now)
+                        * (isLeader ? LEADER_REQUESTS : OTHERS_REQUESTS / otherNodes));
+        writes.setRate(now, writesPerSecond());
     }
 
     /** Answers of the kind 429 or 503, or none at all, counted for the metrics. */
-    public long troubles() {
-        return troubles;
+    public long failures() {
+        return failures;
     }
 
     /**
      * True if the service, when it last answered, refused to serve. Reads of changes then hang
      * instead of being refused.
      */
-    public boolean refuses() {
-        return refuses;
+    public boolean isRefusing() {
+        return isRefusing;
     }
 
     public void get(RequestPriority urgency, String key, EntryCallback callback) {
@@ -236,21 +237,21 @@
                         TIMEOUT_MICROS,
                         (status, body) -> {
                             if (status == 200) {
-                                parsed(
+                                parse(
                                         body,
-                                        map -> callback.read(Result.OK, entry(map), 0),
-                                        () -> callback.read(Result.UNKNOWN, null, 0));
+                                        map -> callback.onEntry(Result.OK, entry(map), 0),
+                                        () -> callback.onEntry(Result.UNKNOWN, null, 0));
                             } else if (status == 404) {
-                                parsed(
+                                parse(
                                         body,
                                         map ->
-                                                callback.read(
+                                                callback.onEntry(
                                                         Result.NOT_FOUND,
                                                         null,
                                                         new Fields(map).integer("generation")),
-                                        () -> callback.read(Result.UNKNOWN, null, 0));
+                                        () -> callback.onEntry(Result.UNKNOWN, null, 0));
                             } else {
-                                callback.read(failure(status), null, 0);
+                                callback.onEntry(failure(status), null, 0);
                             }
                         }));
     }
@@ -279,10 +280,10 @@
                         TIMEOUT_MICROS * 2,
                         (status, body) -> {
                             if (status != 200) {
-                                callback.read(failure(status), List.of(), 0);
+                                callback.onEntries(failure(status), List.of(), 0);
                                 return;
                             }
-                            parsed(
+                            parse(
                                     body,
                                     map -> {
                                         Fields f = new Fields(map);
@@ -304,10 +305,10 @@
                                                     first,
                                                     callback);
                                         } else {
-                                            callback.read(Result.OK, found, first);
+                                            callback.onEntries(Result.OK, found, first);
                                         }
                                     },
-                                    () -> callback.read(Result.UNKNOWN, List.of(), 0));
+                                    () -> callback.onEntries(Result.UNKNOWN, List.of(), 0));
                         }));
     }
 
@@ -333,7 +334,7 @@
             TxnCallback callback) {
         UnansweredTransaction unanswered =
                 new UnansweredTransaction(this, urgency, conditions, changes, proof, callback);
-        txn(urgency, conditions, changes, unanswered, unanswered::look);
+        txn(urgency, conditions, changes, unanswered, unanswered::checkProof);
     }
 
     private void txn(
@@ -366,25 +367,25 @@
                         TIMEOUT_MICROS,
                         (status, body) -> {
                             if (status == 200) {
-                                parsed(
+                                parse(
                                         body,
                                         map ->
-                                                callback.done(
+                                                callback.onResult(
                                                         Result.OK,
                                                         new Fields(map).integer("generation"),
                                                         List.of()),
-                                        () -> callback.done(Result.UNKNOWN, 0, List.of()));
+                                        () -> callback.onResult(Result.UNKNOWN, 0, List.of()));
                             } else if (status == 409) {
-                                parsed(
+                                parse(
                                         body,
                                         map ->
-                                                callback.done(
+                                                callback.onResult(
                                                         Result.CONFLICT,
                                                         0,
                                                         new Fields(map).texts("failed")),
-                                        () -> callback.done(Result.UNKNOWN, 0, List.of()));
+                                        () -> callback.onResult(Result.UNKNOWN, 0, List.of()));
                             } else {
-                                callback.done(failure(status), 0, List.of());
+                                callback.onResult(failure(status), 0, List.of());
                             }
                         },
                         overdue));
@@ -403,19 +404,19 @@
                         TIMEOUT_MICROS,
                         (status, body) -> {
                             if (status == 200) {
-                                parsed(
+                                parse(
                                         body,
                                         map ->
-                                                callback.granted(
+                                                callback.onLease(
                                                         Result.OK, new Fields(map).integer("hold")),
-                                        () -> callback.granted(Result.UNKNOWN, 0));
+                                        () -> callback.onLease(Result.UNKNOWN, 0));
                             } else {
-                                callback.granted(failure(status), 0);
+                                callback.onLease(failure(status), 0);
                             }
                         }));
     }
 
-    public void renew(long storeLease, LeaseCallback callback) {
+    public void renewLease(long storeLease, LeaseCallback callback) {
         submit(
                 RequestPriority.URGENT,
                 new Pending(
@@ -425,7 +426,7 @@
                         0,
                         TIMEOUT_MICROS,
                         (status, body) ->
-                                callback.granted(
+                                callback.onLease(
                                         status == 200 ? Result.OK : failure(status), storeLease)));
     }
 
@@ -433,7 +434,7 @@
      * Waits for changes under the prefix after the given generation. Open watches bypass the
      * queue's concurrency.
      */
-    public void follow(String prefix, long since, long blockMicros, WatchCallback callback) {
+    public void watch(String prefix, long since, long blockMicros, WatchCallback callback) {
         String path =
                 "/follow?prefix=" + prefix + "&since=" + since + "&blockMs=" + blockMicros / 1000;
         transport.request(
@@ -443,8 +444,8 @@
                 null,
                 blockMicros + WATCH_GRACE_MICROS,
                 (status, body) -> {
-                    answered(status, 0, false);
-                    followed(status, body, since, callback);
+                    onAnswer(status, 0, false);
+                    onWatchAnswer(status, body, since, callback);
                 });
     }
 
@@ -462,12 +463,12 @@
                         null,
                         0,
                         TIMEOUT_MICROS,
-                        (status, body) -> followed(status, body, since, callback)));
+                        (status, body) -> onWatchAnswer(status, body, since, callback)));
     }
 
-    private static void followed(int status, byte[] body, long since, WatchCallback callback) {
+    private static void onWatchAnswer(int status, byte[] body, long since, WatchCallback callback) {
         if (status == 200) {
-            parsed(
+            parse(
                     body,
                     map -> {
                         Fields f = new Fields(map);
@@ -475,13 +476,13 @@
                         for (Object item : f.list("events")) {
                             events.add(event(itemMap(item)));
                         }
-                        callback.events(Result.OK, events, f.integer("generation"));
+                        callback.onEvents(Result.OK, events, f.integer("generation"));
                     },
-                    () -> callback.events(Result.UNKNOWN, List.of(), since));
+                    () -> callback.onEvents(Result.UNKNOWN, List.of(), since));
         } else if (status == 410) {
-            callback.events(Result.NOT_FOUND, List.of(), since);
+            callback.onEvents(Result.NOT_FOUND, List.of(), since);
         } else {
-            callback.events(failure(status), List.of(), since);
+            callback.onEvents(failure(status), List.of(), since);
         }
     }
 
@@ -507,8 +508,8 @@
 
     private void pump() {
         long now = loop.nowMicros();
-        while (inFlight.size() < MAX_UNANSWERED && inFlight.awaited(now) < MAX_IN_FLIGHT) {
-            pace(now);
+        while (inFlight.size() < MAX_UNANSWERED && inFlight.awaitedCount(now) < MAX_IN_FLIGHT) {
+            updateRates(now);
             Pending next = next(now);
             if (next == null) {
                 return;
@@ -575,7 +576,7 @@
             loop.schedule(
                     OVERDUE_MICROS,
                     () -> {
-                        if (!sent.answered()) {
+                        if (!sent.isAnswered()) {
                             pending.overdue.run();
                         }
                     });
@@ -587,9 +588,10 @@
                 pending.body,
                 pending.timeoutMicros,
                 (status, body) -> {
-                    boolean alone = status == HttpTransport.NO_RESPONSE && inFlight.overtaken(sent);
-                    inFlight.done(sent, status > 0);
-                    answered(status, pending.writeCount, alone);
+                    boolean alone =
+                            status == HttpTransport.NO_RESPONSE && inFlight.isOvertaken(sent);
+                    inFlight.onAnswered(sent, status > 0);
+                    onAnswer(status, pending.writeCount, alone);
                     pending.callback.answered(status, body);
                     pump();
                 });
@@ -598,15 +600,15 @@
     /**
      * @param alone this answer is lost, and others have come that were asked for later
      */
-    private void answered(int status, int changes, boolean alone) {
-        troubles += status == 429 || status == 503 || status <= 0 ? 1 : 0;
+    private void onAnswer(int status, int changes, boolean alone) {
+        failures += status == 429 || status == 503 || status <= 0 ? 1 : 0;
         if (alone) {
             return;
         }
-        health.answered(status > 0 && status != 503);
-        refuses = status > 0 ? status == 503 : refuses;
+        health.onAnswer(status > 0 && status != 503);
+        isRefusing = status > 0 ? status == 503 : isRefusing;
         if (status == 429) {
-            limits.tooFast(loop.nowMicros(), changes);
+            limits.onRateExceeded(loop.nowMicros(), changes);
         }
         if (status == 429 || status == 503 || status <= 0) {
             heldUntilMicros = loop.nowMicros() + 50_000 + random.nextInt(150_000);
@@ -617,7 +619,7 @@
         void read(Map<String, Object> map) throws MalformedMessageException;
     }
 
-    private static void parsed(byte[] body, Reader reader, Runnable unreadable) {
+    private static void parse(byte[] body, Reader reader, Runnable unreadable) {
         Map<String, Object> map;
         try {
             map = Cbor.decodeMap(body);
--- a/src/main/java/org/woadloom/store/TokenBucket.java
+++ b/src/main/java/org/woadloom/store/TokenBucket.java
@@ -14,7 +14,7 @@
     }
 
     /** Changes the rate from now on; what has gathered stays, up to one second's worth. */
-    public void rate(long now, double perSecond) {
+    public void setRate(long now, double perSecond) {
         refill(now);
         perMicro = perSecond / 1e6;
         capacity = Math.max(1, perSecond);
--- a/src/main/java/org/woadloom/store/UnansweredTransaction.java
+++ b/src/main/java/org/woadloom/store/UnansweredTransaction.java
@@ -16,21 +16,21 @@
  * once.
  */
 final class UnansweredTransaction implements TxnCallback {
-    private final StoreClient state;
+    private final StoreClient store;
     private final RequestPriority urgency;
     private final Change proof;
     private final long stampBefore;
     private final TxnCallback callback;
-    private boolean told;
+    private boolean completed;
 
     UnansweredTransaction(
-            StoreClient state,
+            StoreClient store,
             RequestPriority urgency,
             List<Condition> conditions,
             List<Change> changes,
             String proof,
             TxnCallback callback) {
-        this.state = state;
+        this.store = store;
         this.urgency = urgency;
         this.callback = callback;
         this.proof =
@@ -47,32 +47,32 @@
     }
 
     @Override
-    public void done(Result result, long storeRevision, List<String> failed) {
-        if (!told) {
-            told = true;
-            callback.done(result, storeRevision, failed);
+    public void onResult(Result result, long storeRevision, List<String> failed) {
+        if (!completed) {
+            completed = true;
+            callback.onResult(result, storeRevision, failed);
         }
     }
 
     /** The answer is late. */
-    void look() {
-        if (told || proof == null) {
+    void checkProof() {
+        if (completed || proof == null) {
             return;
         }
-        state.get(
+        store.get(
                 urgency,
                 proof.path(),
                 (result, entry, storeRevision) -> {
                     if (result == Result.OK
                             && entry.revision() > stampBefore
-                            && asWritten(entry.value())) {
+                            && isAsWritten(entry.value())) {
                         // All changes of a transaction have the same stamp.
-                        done(Result.OK, entry.revision(), List.of());
+                        onResult(Result.OK, entry.revision(), List.of());
                     }
                 });
     }
 
-    private boolean asWritten(Map<String, Object> value) {
+    private boolean isAsWritten(Map<String, Object> value) {
         try {
             return Cbor.decodeMap(Cbor.encode(proof.value())).equals(value);
         } catch (MalformedMessageException e) {
--- a/src/test/java/org/woadloom/agent/AgentConnectionBalancerTest.java
+++ b/src/test/java/org/woadloom/agent/AgentConnectionBalancerTest.java
@@ -20,7 +20,7 @@
     }
 
     private String report(String host, boolean renewed, long now) {
-        return attendance.sendTo(host, renewed, OTHERS, now);
+        return attendance.redirectTarget(host, renewed, OTHERS, now);
     }
 
     @Test
@@ -45,7 +45,7 @@
     @Test
     void aWorkerThatTheOtherNodeSendsBackIsSentThereAgain() {
         String where = report("host-3", true, 0);
-        attendance.carried("host-3");
+        attendance.onForwarded("host-3");
         assertEquals(where, report("host-3", true, REPORT));
     }
 
@@ -58,7 +58,7 @@
     @Test
     void withoutAnotherNodeAllStay() {
         for (int i = 0; i < 5; i++) {
-            assertNull(attendance.sendTo("more-" + i, true, List.of(), 0));
+            assertNull(attendance.redirectTarget("more-" + i, true, List.of(), 0));
         }
         assertEquals(7, attendance.size());
     }
--- a/src/test/java/org/woadloom/core/FaultyJobsTest.java
+++ b/src/test/java/org/woadloom/core/FaultyJobsTest.java
@@ -38,12 +38,13 @@
             }
             leader.pass(500_000);
             List<SchedulerAction> news =
-                    new ArrayList<>(leader.effects.subList(read, leader.effects.size()));
-            read = leader.effects.size();
-            for (SchedulerAction effect : news) {
-                if (effect instanceof SchedulerAction.SendDirectCommand sent) {
+                    new ArrayList<>(leader.actions.subList(read, leader.actions.size()));
+            read = leader.actions.size();
+            for (SchedulerAction action : news) {
+                if (action instanceof SchedulerAction.SendDirectCommand sent) {
                     epochs.put(sent.host(), sent.fencingToken());
-                    sent.commands().forEach(order -> execute(sent.host(), order, mistaken, faulty));
+                    sent.commands()
+                            .forEach(command -> execute(sent.host(), command, mistaken, faulty));
                     leader.step(
                             new SchedulerEvent.DirectCommandCompleted(
                                     sent.commandId(),
@@ -66,18 +67,19 @@
         return on.getOrDefault(host, Map.of()).values().toArray(TaskStatus[]::new);
     }
 
-    private void execute(String host, TaskCommand order, Set<String> mistaken, Set<String> faulty) {
-        String key = order.task() + " " + order.attempt();
-        if (order.action() == TaskCommand.Action.START) {
-            String jobId = order.task().jobId();
+    private void execute(
+            String host, TaskCommand command, Set<String> mistaken, Set<String> faulty) {
+        String key = command.task() + " " + command.attempt();
+        if (command.action() == TaskCommand.Action.START) {
+            String jobId = command.task().jobId();
             launches.merge(jobId + " " + host, 1, Integer::sum);
             boolean fails = mistaken.contains(jobId) || faulty.contains(host);
             on.computeIfAbsent(host, h -> new LinkedHashMap<>())
                     .put(
                             key,
                             new TaskStatus(
-                                    order.task(),
-                                    order.attempt(),
+                                    command.task(),
+                                    command.attempt(),
                                     fails ? TaskStatus.State.EXITED : TaskStatus.State.RUNNING,
                                     fails ? TaskStatus.ExitReason.ERROR : null,
                                     false));
--- a/src/test/java/org/woadloom/core/LeaderFixture.java
+++ b/src/test/java/org/woadloom/core/LeaderFixture.java
@@ -27,7 +27,7 @@
 
     private final Scheduler core;
     public long now = 100 * SECOND;
-    public final List<SchedulerAction> effects = new ArrayList<>();
+    public final List<SchedulerAction> actions = new ArrayList<>();
     private long stamps = 100;
     private long replies;
 
@@ -73,17 +73,17 @@
         List<SchedulerEvent> next = List.of(commands);
         while (next != null) {
             List<SchedulerAction> done = core.step(now, now, next);
-            effects.addAll(done);
+            actions.addAll(done);
             List<SchedulerEvent> written = new ArrayList<>();
-            for (SchedulerAction effect : done) {
-                if (effect instanceof SchedulerAction.WriteJob put) {
+            for (SchedulerAction action : done) {
+                if (action instanceof SchedulerAction.WriteJob put) {
                     written.add(
                             new SchedulerEvent.JobWriteCompleted(
                                     put.record().description().jobId(),
                                     put.record().version(),
                                     SchedulerEvent.WriteOutcome.WRITTEN,
                                     ++stamps));
-                } else if (effect instanceof SchedulerAction.WriteMachine put) {
+                } else if (action instanceof SchedulerAction.WriteMachine put) {
                     written.add(
                             new SchedulerEvent.MachineWriteCompleted(
                                     put.record().host(),
@@ -144,9 +144,9 @@
     }
 
     /** The answer to a report that arrives now; null where it is turned away. */
-    public SchedulerAction.AnswerHeartbeat report(Heartbeat report) {
+    public SchedulerAction.AnswerHeartbeat report(Heartbeat heartbeat) {
         long id = ++replies;
-        step(new SchedulerEvent.HeartbeatReceived(id, report));
+        step(new SchedulerEvent.HeartbeatReceived(id, heartbeat));
         return all(SchedulerAction.AnswerHeartbeat.class).stream()
                 .filter(answer -> answer.requestId() == id)
                 .findFirst()
@@ -154,7 +154,7 @@
     }
 
     public <E extends SchedulerAction> List<E> all(Class<E> kind) {
-        return effects.stream().filter(kind::isInstance).map(kind::cast).toList();
+        return actions.stream().filter(kind::isInstance).map(kind::cast).toList();
     }
 
     public <E extends SchedulerAction> E last(Class<E> kind) {
--- a/src/test/java/org/woadloom/core/SchedulerFixture.java
+++ b/src/test/java/org/woadloom/core/SchedulerFixture.java
@@ -28,7 +28,7 @@
     private static final MachineType TYPE =
             new MachineType("m16", 16, 0, 32, 50, 1, 1, 0.3, 30_000_000, List.of("a", "b"));
 
-    public final SchedulerState world;
+    public final SchedulerState state;
 
     public SchedulerFixture() {
         this(24);
@@ -38,7 +38,7 @@
      * @param limit the CPUs that the team may use at most
      */
     public SchedulerFixture(double limit) {
-        world =
+        state =
                 new SchedulerState(
                         new SchedulerSettings(
                                 "node",
@@ -55,23 +55,23 @@
                         1,
                         1_000_000,
                         0);
-        world.machineTypes.put(TYPE.name(), TYPE);
+        state.machineTypes.put(TYPE.name(), TYPE);
     }
 
     public Machine machine(String host, String zone) {
-        Machine machine = new Machine(new MachineRecord(host, "m16", zone, false, false), world);
+        Machine machine = new Machine(new MachineRecord(host, "m16", zone, false, false), state);
         machine.type = TYPE;
         machine.setCapacity(Resources.of(TYPE));
         machine.recorded = true;
         machine.confirmExistence();
-        hear(machine, 1, machine.liveness.issueToken(world.nowMicros));
-        world.machines.put(host, machine);
+        hear(machine, 1, machine.liveness.issueToken(state.nowMicros));
+        state.machines.put(host, machine);
         return machine;
     }
 
     /** The machine's worker reports with no tasks; its token is only new to it. */
     public MessageAge hear(Machine machine, long sequence, long fencingToken) {
-        Heartbeat report =
+        Heartbeat heartbeat =
                 new Heartbeat(
                         machine.host,
                         machine.host + ":9000",
@@ -83,9 +83,9 @@
                         fencingToken,
                         -1,
                         List.of());
-        machine.liveness.awaitsAnswerTo(report, world.nowMicros);
-        MessageAge age = machine.liveness.classify(report, AgentLiveness.NEVER, world.nowMicros);
-        machine.liveness.accept(report, age, AgentLiveness.NEVER, world.nowMicros);
+        machine.liveness.awaitsAnswerTo(heartbeat, state.nowMicros);
+        MessageAge age = machine.liveness.classify(heartbeat, AgentLiveness.NEVER, state.nowMicros);
+        machine.liveness.accept(heartbeat, age, AgentLiveness.NEVER, state.nowMicros);
         return age;
     }
 
@@ -142,35 +142,35 @@
                     new Job(
                             record,
                             1,
-                            world.teams.get("team"),
-                            world.nowMicros,
-                            world.jobsToPersist);
-            world.jobs.put(jobId, job);
+                            state.teams.get("team"),
+                            state.nowMicros,
+                            state.jobsToPersist);
+            state.jobs.put(jobId, job);
             return job;
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    public List<SchedulerAction> effects() {
-        return world.takeActions();
+    public List<SchedulerAction> actions() {
+        return state.takeActions();
     }
 
     public TaskAttempt place(Reservations reservations, Job job, int index, Machine machine) {
-        TaskAttempt placement =
-                new TaskAttempt(job, index, machine, world.newAttempt(), 1, world.nowMicros);
-        reservations.draw(placement);
-        job.add(placement);
-        return placement;
+        TaskAttempt attempt =
+                new TaskAttempt(job, index, machine, state.newAttempt(), 1, state.nowMicros);
+        reservations.draw(attempt);
+        job.add(attempt);
+        return attempt;
     }
 
     /**
      * True if an entry of the event was logged with these values since the effects were last taken.
      */
     public boolean logged(LogEvent event, String... values) {
-        return effects().stream()
+        return actions().stream()
                 .filter(SchedulerAction.Log.class::isInstance)
-                .map(effect -> ((SchedulerAction.Log) effect).entry())
+                .map(action -> ((SchedulerAction.Log) action).entry())
                 .filter(entry -> entry.event() == event)
                 .anyMatch(
                         entry ->
--- a/src/test/java/org/woadloom/core/UnreachableAgentsTest.java
+++ b/src/test/java/org/woadloom/core/UnreachableAgentsTest.java
@@ -50,7 +50,10 @@
                 launches +=
                         (int)
                                 sent.commands().stream()
-                                        .filter(order -> order.action() == TaskCommand.Action.START)
+                                        .filter(
+                                                command ->
+                                                        command.action()
+                                                                == TaskCommand.Action.START)
                                         .count();
                 leader.step(
                         new SchedulerEvent.DirectCommandCompleted(
--- a/src/test/java/org/woadloom/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/woadloom/core/autoscaling/AutoscalerTest.java
@@ -208,10 +208,10 @@
                         token,
                         sent.commands().stream()
                                 .map(
-                                        order ->
+                                        command ->
                                                 new TaskStatus(
-                                                        order.task(),
-                                                        order.attempt(),
+                                                        command.task(),
+                                                        command.attempt(),
                                                         TaskStatus.State.RUNNING,
                                                         null,
                                                         false))
@@ -226,10 +226,10 @@
                             token,
                             sent.commands().stream()
                                     .map(
-                                            order ->
+                                            command ->
                                                     new TaskStatus(
-                                                            order.task(),
-                                                            order.attempt(),
+                                                            command.task(),
+                                                            command.attempt(),
                                                             TaskStatus.State.RUNNING,
                                                             null,
                                                             false))
--- a/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
@@ -120,8 +120,8 @@
     private void vouch(List<Leader> leaders) {
         Leader leader = leaders.get(leaderOfNode);
         long silent = silentSince < 0 ? 0 : now - silentSince;
-        WatermarkReport vouch = node.nextReport(leader.label, leader.term, silent, nodeClock());
-        if (vouch == null) {
+        WatermarkReport report = node.nextReport(leader.label, leader.term, silent, nodeClock());
+        if (report == null) {
             return;
         }
         ConfirmedCancellations speaker = node;
@@ -130,15 +130,15 @@
                     if (leader.steppedDown) {
                         return;
                     }
-                    WatermarkAck taken =
+                    WatermarkAck ack =
                             leader.watermark.onReport(
-                                    "node", vouch, leader.seenMicros, leader.clock());
-                    if (taken != null) {
-                        leader.knows.addAll(vouch.jobIds());
+                                    "node", report, leader.seenMicros, leader.clock());
+                    if (ack != null) {
+                        leader.knows.addAll(report.jobIds());
                         send(
                                 () -> {
                                     if (speaker == node) {
-                                        node.onAck(taken);
+                                        node.onAck(ack);
                                     }
                                 });
                     }
@@ -280,9 +280,9 @@
         CancellationWatermark watermark = new CancellationWatermark(3, List.of("node"));
         ConfirmedCancellations silent = new ConfirmedCancellations(1, List.of("leader"), 0);
         for (long at = S; at < 1_000 * S; at += S) {
-            WatermarkAck taken =
+            WatermarkAck ack =
                     watermark.onReport("node", silent.nextReport("leader", 3, at, at), S, at);
-            silent.onAck(taken);
+            silent.onAck(ack);
             assertTrue(at < 3 * S || watermark.watermarkMicros(S) >= at, "behind at " + at);
         }
         // A process that is back within the promise is believed, one that stayed away longer is
@@ -356,9 +356,9 @@
     void nobodyWaitsForAPromiseToANodeThatLeadsAgain() {
         ConfirmedCancellations told = promised("other", 20 * S);
         told.nextReport("between", 4, 0, 5 * S / 2);
-        WatermarkReport vouch = told.nextReport("other", 5, 0, 4 * S);
+        WatermarkReport report = told.nextReport("other", 5, 0, 4 * S);
         assertFalse(told.tryConfirm("j-000001", 4 * S + 1));
-        told.onAck(new WatermarkAck(5, 1, vouch.sentMicros(), 4 * S));
+        told.onAck(new WatermarkAck(5, 1, report.sentMicros(), 4 * S));
         assertFalse(told.tryConfirm("j-000001", 4 * S + 1), "the one between may lead still");
         told.onPeerTerm("between", 5, false);
         assertTrue(told.tryConfirm("j-000001", 4 * S + 1));
@@ -373,8 +373,8 @@
         ConfirmedCancellations told = new ConfirmedCancellations(1, List.of("other"), 0);
         told.nextReport("other", 3, 0, S);
         told.add("j-000001", 2 * S);
-        WatermarkReport vouch = told.nextReport("between", 4, 0, 2 * S);
-        told.onAck(new WatermarkAck(4, 1, vouch.sentMicros(), 2 * S));
+        WatermarkReport report = told.nextReport("between", 4, 0, 2 * S);
+        told.onAck(new WatermarkAck(4, 1, report.sentMicros(), 2 * S));
         told.onPeerTerm("other", 4, true);
         assertFalse(told.tryConfirm("j-000001", 14 * S));
         assertTrue(told.tryConfirm("j-000001", 15 * S + 1));
@@ -392,16 +392,16 @@
         for (int i = 0; i < 2_500; i++) {
             told.add("j-" + i, 2 * S + i);
         }
-        WatermarkReport vouch = told.nextReport("leader", 3, 0, 3 * S);
-        assertEquals(2_000, vouch.jobIds().size());
-        assertEquals(2 * S + 499, vouch.sinceMicros());
-        told.onAck(new WatermarkAck(3, 1, vouch.sentMicros(), 3 * S));
+        WatermarkReport report = told.nextReport("leader", 3, 0, 3 * S);
+        assertEquals(2_000, report.jobIds().size());
+        assertEquals(2 * S + 499, report.sinceMicros());
+        told.onAck(new WatermarkAck(3, 1, report.sentMicros(), 3 * S));
         assertFalse(told.tryConfirm("j-499", 3 * S + 1));
         assertTrue(told.tryConfirm("j-500", 3 * S + 1));
         // A watermark that has seen nothing since does not follow such a vouch.
         CancellationWatermark watermark = new CancellationWatermark(3, List.of("node"));
         watermark.onReport("node", first, S, S);
-        watermark.onReport("node", vouch, S, 3 * S);
+        watermark.onReport("node", report, S, 3 * S);
         assertEquals(S, watermark.watermarkMicros(S));
     }
 
@@ -415,9 +415,9 @@
                         new WatermarkReport(3, 1, 5, 5, WatermarkReport.NONE, -1, List.of()),
                         new WatermarkReport(3, 1, 5, 5, WatermarkReport.NONE, 60 * S, List.of()),
                         new WatermarkReport(3, 1, 5, 5, 11 * S, 0, List.of()));
-        for (WatermarkReport vouch : flawed) {
-            assertFalse(CancellationWatermark.validationError(vouch, 10 * S) == null);
-            assertNull(watermark.onReport("node", vouch, 10 * S, 10 * S));
+        for (WatermarkReport report : flawed) {
+            assertFalse(CancellationWatermark.validationError(report, 10 * S) == null);
+            assertNull(watermark.onReport("node", report, 10 * S, 10 * S));
         }
         assertNull(
                 watermark.onReport(
--- a/src/test/java/org/woadloom/core/jobs/DependencyGraphTest.java
+++ b/src/test/java/org/woadloom/core/jobs/DependencyGraphTest.java
@@ -70,17 +70,17 @@
                 new SchedulerEvent.LeadershipAcquired(3, jobs, List.of(), 0));
     }
 
-    private static List<String> asked(List<SchedulerAction> effects) {
-        return effects.stream()
+    private static List<String> asked(List<SchedulerAction> actions) {
+        return actions.stream()
                 .filter(SchedulerAction.ResolveDependency.class::isInstance)
                 .map(e -> ((SchedulerAction.ResolveDependency) e).jobId())
                 .toList();
     }
 
-    private static Set<String> cancelled(List<SchedulerAction> effects) {
+    private static Set<String> cancelled(List<SchedulerAction> actions) {
         Set<String> jobIds = new HashSet<>();
-        for (SchedulerAction effect : effects) {
-            if (effect instanceof SchedulerAction.WriteFinalState finish
+        for (SchedulerAction action : actions) {
+            if (action instanceof SchedulerAction.WriteFinalState finish
                     && finish.record().cancelled()) {
                 jobIds.add(finish.record().jobId());
             }
@@ -99,11 +99,11 @@
         step(
                 new SchedulerEvent.DependencyResolved(
                         "j-2", SchedulerEvent.DependencyState.UNREADABLE, 0));
-        List<String> again = new ArrayList<>();
+        List<String> retry = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            again.addAll(asked(step()));
+            retry.addAll(asked(step()));
         }
-        assertEquals(List.of("j-2"), again);
+        assertEquals(List.of("j-2"), retry);
         step(
                 new SchedulerEvent.DependencyResolved(
                         "j-2", SchedulerEvent.DependencyState.NOT_FOUND, 0));
@@ -142,12 +142,12 @@
             chain[i] = i == 0 ? record("j-0") : record("j-" + i, "j-" + (i - 1));
         }
         lead(chain);
-        List<SchedulerAction> effects =
+        List<SchedulerAction> actions =
                 step(new SchedulerEvent.JobStored(record("j-0").withCancellation(), 9));
         Set<String> all = new HashSet<>();
         int steps = 0;
         while (all.size() < length && steps++ < 10_000) {
-            Set<String> written = cancelled(effects);
+            Set<String> written = cancelled(actions);
             assertTrue(written.size() <= 2 * WRITES_PER_SECOND, written.size() + " at once");
             all.addAll(written);
             List<SchedulerEvent> outcomes = new ArrayList<>();
@@ -156,7 +156,7 @@
                             outcomes.add(
                                     new SchedulerEvent.JobWriteCompleted(
                                             jobId, 1, SchedulerEvent.WriteOutcome.WRITTEN, 11)));
-            effects = step(outcomes.toArray(new SchedulerEvent[0]));
+            actions = step(outcomes.toArray(new SchedulerEvent[0]));
         }
         assertEquals(length, all.size());
         assertEquals(0, core.jobs());
--- a/src/test/java/org/woadloom/core/jobs/FailoverTest.java
+++ b/src/test/java/org/woadloom/core/jobs/FailoverTest.java
@@ -91,10 +91,10 @@
                         token,
                         launched.stream()
                                 .map(
-                                        order ->
+                                        command ->
                                                 new TaskStatus(
-                                                        order.task(),
-                                                        order.attempt(),
+                                                        command.task(),
+                                                        command.attempt(),
                                                         TaskStatus.State.RUNNING,
                                                         null,
                                                         false))
@@ -110,8 +110,8 @@
         leader.all(SchedulerAction.AnswerHeartbeat.class)
                 .forEach(answer -> commands.addAll(answer.commands()));
         commands.stream()
-                .filter(order -> order.action() == TaskCommand.Action.START)
-                .forEach(order -> launched.add(order.task().toString()));
+                .filter(command -> command.action() == TaskCommand.Action.START)
+                .forEach(command -> launched.add(command.task().toString()));
         return launched;
     }
 
@@ -234,8 +234,8 @@
     @Test
     void tasksOfAJobWhoseRecordIsGoneCountUntilTheyAre() {
         SchedulerFixture fixture = new SchedulerFixture(16);
-        JobRegistry table = new JobRegistry(fixture.world);
-        Reservations reservations = new Reservations(fixture.world);
+        JobRegistry table = new JobRegistry(fixture.state);
+        Reservations reservations = new Reservations(fixture.state);
         Machine machine = fixture.machine("host-1", "a");
         Job job = fixture.job("j-1", 8, 1, 2);
         TaskAttempt running = fixture.place(reservations, job, 0, machine);
@@ -247,18 +247,18 @@
         table.onRecordNotFound("j-1");
         assertEquals(1, next.allowedTasks(), "what was never sent is gone, the other is there");
         assertTrue(running.isStopping());
-        new JobPersister(fixture.world, table).emitWrites();
+        new JobPersister(fixture.state, table).emitWrites();
         assertTrue(
-                fixture.effects().stream()
+                fixture.actions().stream()
                         .noneMatch(
-                                effect ->
-                                        effect instanceof SchedulerAction.WriteJob
-                                                || effect
+                                action ->
+                                        action instanceof SchedulerAction.WriteJob
+                                                || action
                                                         instanceof SchedulerAction.WriteFinalState),
                 "there is no record to write");
-        new TaskLossHandler(fixture.world).remove(running);
-        new JobPersister(fixture.world, table).emitWrites();
+        new TaskLossHandler(fixture.state).remove(running);
+        new JobPersister(fixture.state, table).emitWrites();
         assertEquals(2, next.allowedTasks());
-        assertFalse(fixture.world.jobs.containsKey("j-1"));
+        assertFalse(fixture.state.jobs.containsKey("j-1"));
     }
 }
--- a/src/test/java/org/woadloom/core/liveness/DelayedHeartbeatsTest.java
+++ b/src/test/java/org/woadloom/core/liveness/DelayedHeartbeatsTest.java
@@ -39,12 +39,12 @@
         return (int)
                         leader.all(SchedulerAction.SendDirectCommand.class).stream()
                                 .flatMap(sent -> sent.commands().stream())
-                                .filter(order -> order.action() == TaskCommand.Action.START)
+                                .filter(command -> command.action() == TaskCommand.Action.START)
                                 .count()
                 + (int)
                         leader.all(SchedulerAction.AnswerHeartbeat.class).stream()
                                 .flatMap(answer -> answer.commands().stream())
-                                .filter(order -> order.action() == TaskCommand.Action.START)
+                                .filter(command -> command.action() == TaskCommand.Action.START)
                                 .count();
     }
 
--- a/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
+++ b/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
@@ -29,8 +29,8 @@
         for (long seed = 1; seed <= 60; seed++) {
             Random random = new Random(seed);
             SchedulerFixture fixture = new SchedulerFixture(400);
-            Reservations reservations = new Reservations(fixture.world);
-            PlacementConstraints eligibility = new PlacementConstraints(fixture.world);
+            Reservations reservations = new Reservations(fixture.state);
+            PlacementConstraints eligibility = new PlacementConstraints(fixture.state);
             List<Machine> machines = machines(fixture, reservations, random, 30);
             Job job =
                     fixture.job(
@@ -60,10 +60,10 @@
                 if (chosen == null) {
                     break;
                 }
-                TaskAttempt placement =
-                        new TaskAttempt(job, index, chosen, 1, 1, fixture.world.nowMicros);
-                reservations.draw(placement);
-                job.add(placement);
+                TaskAttempt attempt =
+                        new TaskAttempt(job, index, chosen, 1, 1, fixture.state.nowMicros);
+                reservations.draw(attempt);
+                job.add(attempt);
                 once.onPlaced();
                 placed++;
             }
@@ -98,9 +98,9 @@
     void reservationsByMachineAgreeWithAWalkOverAll() {
         Random random = new Random(5);
         SchedulerFixture fixture = new SchedulerFixture(4_000);
-        Reservations reservations = new Reservations(fixture.world);
+        Reservations reservations = new Reservations(fixture.state);
         List<Machine> machines = machines(fixture, reservations, random, 12);
-        List<Job> jobs = new ArrayList<>(fixture.world.jobs.values());
+        List<Job> jobs = new ArrayList<>(fixture.state.jobs.values());
         for (int step = 0; step < 2_000; step++) {
             Job job = jobs.get(random.nextInt(jobs.size()));
             Machine machine = machines.get(random.nextInt(machines.size()));
@@ -133,28 +133,28 @@
     void theRecordOfAHugeJobAlwaysFits(RecordFormat format, int valueBytes) {
         Random random = new Random(8);
         SchedulerFixture fixture = new SchedulerFixture(100_000);
-        fixture.world.format = format;
-        fixture.world.valueBytes = valueBytes;
-        Reservations reservations = new Reservations(fixture.world);
+        fixture.state.format = format;
+        fixture.state.valueBytes = valueBytes;
+        Reservations reservations = new Reservations(fixture.state);
         for (int i = 0; i < 200; i++) {
             fixture.machine("host-" + (100_000 + i), i % 2 == 0 ? "a" : "b");
         }
         Job job = fixture.job("j-999999", 1, 1, 100_000);
         TaskPlacer placer =
                 new TaskPlacer(
-                        fixture.world, new PlacementConstraints(fixture.world), reservations);
+                        fixture.state, new PlacementConstraints(fixture.state), reservations);
         int largest = 0;
         int most = 0;
         for (int wave = 0; wave < 400; wave++) {
             placer.place();
             most = Math.max(most, job.attempts().size());
             largest = Math.max(largest, Cbor.jsonSize(job.toRecord(1, wave).toMap(format)));
-            for (TaskAttempt placement : new ArrayList<>(job.attempts())) {
+            for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
                 if (random.nextInt(3) == 0) {
                     if (random.nextInt(8) > 0) {
-                        job.markCompleted(placement.index);
+                        job.markCompleted(attempt.index);
                     }
-                    job.remove(placement);
+                    job.remove(attempt);
                 }
             }
             largest = Math.max(largest, Cbor.jsonSize(job.toRecord(1, wave).toMap(format)));
--- a/src/test/java/org/woadloom/core/placement/QueueOrderTest.java
+++ b/src/test/java/org/woadloom/core/placement/QueueOrderTest.java
@@ -9,12 +9,12 @@
 
 class QueueOrderTest {
     private final SchedulerFixture fixture = new SchedulerFixture();
-    private final QueueOrder order = new QueueOrder(fixture.world);
+    private final QueueOrder order = new QueueOrder(fixture.state);
 
     @Test
     void whatCanStillBeInTimeGoesBeforeWhatIsLate() {
         Job late = fixture.due("j-1", 10, 30);
-        fixture.world.nowMicros += 25_000_000;
+        fixture.state.nowMicros += 25_000_000;
         Job fresh = fixture.due("j-2", 10, 30);
         assertEquals(List.of(fresh, late), order.sorted(List.of(late, fresh)));
     }
@@ -22,7 +22,7 @@
     @Test
     void aLateJobDoesNotWaitForEver() {
         Job late = fixture.due("j-1", 10, 30);
-        fixture.world.nowMicros += 200_000_000;
+        fixture.state.nowMicros += 200_000_000;
         Job fresh = fixture.due("j-2", 10, 30);
         assertEquals(List.of(late, fresh), order.sorted(List.of(fresh, late)));
     }
@@ -31,7 +31,7 @@
     void theGuaranteeComesBeforeLateness() {
         Job late = fixture.due("j-1", 10, 30);
         late.withinGuarantee = true;
-        fixture.world.nowMicros += 25_000_000;
+        fixture.state.nowMicros += 25_000_000;
         Job fresh = fixture.due("j-2", 10, 30);
         assertEquals(List.of(late, fresh), order.sorted(List.of(fresh, late)));
     }
--- a/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
+++ b/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
@@ -15,8 +15,8 @@
 /** One team, limited to 24 CPUs, on machines of 16. */
 class ClassFairShareTest {
     private final SchedulerFixture fixture = new SchedulerFixture();
-    private final ClassFairShare shares = new ClassFairShare(fixture.world);
-    private final Reservations reservations = new Reservations(fixture.world);
+    private final ClassFairShare shares = new ClassFairShare(fixture.state);
+    private final Reservations reservations = new Reservations(fixture.state);
     private Machine[] machines;
 
     @BeforeEach
@@ -77,7 +77,7 @@
         shares.update();
         assertEquals(24, service.allowedTasks());
         assertEquals(24, array.allowedTasks());
-        assertTrue(fixture.effects().isEmpty());
+        assertTrue(fixture.actions().isEmpty());
     }
 
     /** Nothing is stopped for a share: it is had as the other class's tasks end. */
@@ -106,7 +106,7 @@
         place(service, 0, 16);
         shares.update();
         assertEquals(0, service.allowedTasks());
-        fixture.world.nowMicros += 76_000_000;
+        fixture.state.nowMicros += 76_000_000;
         shares.update();
         assertEquals(8, service.allowedTasks());
         place(service, 16, 24);
@@ -126,7 +126,7 @@
         fixture.ofClass("j-2", "work", 40, false);
         shares.update();
         shares.update();
-        var told = fixture.effects();
+        var told = fixture.actions();
         assertEquals(
                 List.of(
                         "event=quota_exceeded team=team asked_cpus=80 asked_gpus=0 class=web"
@@ -134,10 +134,10 @@
                         "event=quota_exceeded team=team asked_cpus=80 asked_gpus=0 class=work"
                                 + " used_cpus=0 waiting_cpus=40"),
                 told.stream()
-                        .map(effect -> ((SchedulerAction.Log) effect).entry().toString())
+                        .map(action -> ((SchedulerAction.Log) action).entry().toString())
                         .toList());
-        fixture.world.nowMicros += 61_000_000;
+        fixture.state.nowMicros += 61_000_000;
         shares.update();
-        assertEquals(2, fixture.effects().size());
+        assertEquals(2, fixture.actions().size());
     }
 }
--- a/src/test/java/org/woadloom/core/quota/GuaranteedQuotaTest.java
+++ b/src/test/java/org/woadloom/core/quota/GuaranteedQuotaTest.java
@@ -12,7 +12,7 @@
     @Test
     void aJobIsWithinTheGuaranteeTogetherWithTheEarlierOnes() {
         SchedulerFixture fixture = new SchedulerFixture();
-        GuaranteedQuota guarantees = new GuaranteedQuota(fixture.world);
+        GuaranteedQuota guarantees = new GuaranteedQuota(fixture.state);
         Job first = fixture.job("j-1", 4, 1, 2);
         Job second = fixture.job("j-2", 4, 1, 2);
         Job third = fixture.job("j-3", 1, 1, 1);
@@ -21,7 +21,7 @@
         assertTrue(second.withinGuarantee);
         assertFalse(third.withinGuarantee, "16 CPUs are taken by the earlier jobs, placed or not");
         first.markCompleted(0);
-        fixture.world.nowMicros += 1_000_000;
+        fixture.state.nowMicros += 1_000_000;
         guarantees.update();
         assertTrue(third.withinGuarantee, "what is done needs no room any more");
     }
--- a/src/test/java/org/woadloom/core/reservation/ReservationsTest.java
+++ b/src/test/java/org/woadloom/core/reservation/ReservationsTest.java
@@ -14,7 +14,7 @@
 /** The proposal's cases, on machines of 16 CPUs and 32 GB. */
 class ReservationsTest {
     private final SchedulerFixture fixture = new SchedulerFixture();
-    private final Reservations reservations = new Reservations(fixture.world);
+    private final Reservations reservations = new Reservations(fixture.state);
     private final Machine machine = fixture.machine("host-1", "a");
 
     private static Resources room(double cpus, double gb) {
@@ -92,13 +92,13 @@
     @Test
     void preAllocationWaitsForRoomAndIsThenAvailable() {
         Job running = fixture.job("j-1", 16, 0, 1);
-        var placement = fixture.place(reservations, running, 0, machine);
+        var attempt = fixture.place(reservations, running, 0, machine);
         Job owner = fixture.job("j-2", 8, 0, 1);
         assertNull(reservations.reserve(owner, machine, room(8, 0), true, false));
         Reservation waiting = reservations.reserve(owner, machine, room(8, 0), true, true);
         assertEquals(Phase.WAITING, waiting.phase());
         assertNull(reservations.match(owner, machine));
-        running.remove(placement);
+        running.remove(attempt);
         reservations.updatePhases();
         assertEquals(Phase.AVAILABLE, waiting.phase());
     }
@@ -108,9 +108,9 @@
         Job owner = fixture.job("j-1", 4, 0, 2);
         Reservation kept = reservations.reserve(owner, machine, room(4, 0), true, false);
         Reservation lost = reservations.reserve(owner, machine, room(4, 0), true, false);
-        fixture.world.nowMicros += 40_000_000;
+        fixture.state.nowMicros += 40_000_000;
         reservations.renew(kept);
-        fixture.world.nowMicros += 30_000_000;
+        fixture.state.nowMicros += 30_000_000;
         assertEquals(java.util.List.of(lost), reservations.updatePhases());
         assertEquals(Phase.FAILED, lost.phase());
         assertEquals(Phase.AVAILABLE, kept.phase());
--- a/src/test/java/org/woadloom/http/AdmissionControlTest.java
+++ b/src/test/java/org/woadloom/http/AdmissionControlTest.java
@@ -74,8 +74,8 @@
     }
 
     private static boolean runs(JobDescription job) {
-        return AdmissionControl.neverByItsTerms(job, TEAM, ZONES) == null
-                && AdmissionControl.neverByTypes(job, TYPES) == null;
+        return AdmissionControl.rejectionByTerms(job, TEAM, ZONES) == null
+                && AdmissionControl.rejectionByMachineTypes(job, TYPES) == null;
     }
 
     @ParameterizedTest
@@ -130,10 +130,10 @@
     @Test
     void anUnknownTeamHasNoLimit() throws Exception {
         assertNotNull(
-                AdmissionControl.neverByItsTerms(
+                AdmissionControl.rejectionByTerms(
                         job("batch", 1, 1, 0, null, null, null), null, ZONES));
         assertNull(
-                AdmissionControl.neverByItsTerms(
+                AdmissionControl.rejectionByTerms(
                         job("batch", 1, 1, 0, null, null, null), TEAM, ZONES));
     }
 }
--- a/src/test/java/org/woadloom/node/EventQueueTest.java
+++ b/src/test/java/org/woadloom/node/EventQueueTest.java
@@ -28,7 +28,7 @@
     private static final int JOBS = 3_000;
 
     private final ArrayDeque<Runnable> soon = new ArrayDeque<>();
-    private final List<SchedulerAction> effects = new ArrayList<>();
+    private final List<SchedulerAction> actions = new ArrayList<>();
     private final Scheduler core =
             new Scheduler(
                     new SchedulerSettings(
@@ -42,7 +42,7 @@
                             3_000_000,
                             OperatorSettings.defaults()));
     private final EventQueue queue =
-            new EventQueue(new StillLoop(), core, new NodeMetrics(), 10, effects::addAll);
+            new EventQueue(new StillLoop(), core, new NodeMetrics(), 10, actions::addAll);
 
     /** Time stands still, and what is put off comes next. */
     private final class StillLoop implements EventLoop {
@@ -92,10 +92,10 @@
         }
         assertEquals(
                 10,
-                effects.stream().filter(SchedulerAction.AnswerHeartbeat.class::isInstance).count());
+                actions.stream().filter(SchedulerAction.AnswerHeartbeat.class::isInstance).count());
         assertEquals(
                 JOBS,
-                effects.stream().filter(SchedulerAction.WriteFinalState.class::isInstance).count());
+                actions.stream().filter(SchedulerAction.WriteFinalState.class::isInstance).count());
         assertTrue(queue.offer(report(1, 2)), "there is room again");
     }
 
--- a/src/test/java/org/woadloom/settings/SettingsGoldenTest.java
+++ b/src/test/java/org/woadloom/settings/SettingsGoldenTest.java
@@ -29,7 +29,7 @@
             golden.addText("peers " + peer.label(), peer.zone() + " " + peer.address());
         }
         golden.addText("outside.cloud", s.cloudAddress());
-        golden.addText("outside.state", s.stateAddress());
+        golden.addText("outside.state", s.storeAddress());
         golden.addText("deployment.zones", String.join(" ", s.zones()));
         for (Team team : s.teams()) {
             golden.addText(
@@ -58,13 +58,13 @@
         golden.addText(
                 "deployment.workers",
                 "report "
-                        + s.workers().reportMicros()
+                        + s.agents().heartbeatMicros()
                         + " lease "
-                        + s.workers().leaseMicros()
+                        + s.agents().leaseMicros()
                         + " cancel "
-                        + s.workers().cancelMicros());
-        golden.addText("deployment.state", limits(s.state()));
-        golden.addText("deployment.state.next", limits(s.state().next()));
+                        + s.agents().cancelMicros());
+        golden.addText("deployment.state", limits(s.store()));
+        golden.addText("deployment.state.next", limits(s.store().next()));
         golden.addText(
                 "deployment.cloud",
                 "rps " + s.cloud().rps() + " list_lag " + s.cloud().listLagMicros());
@@ -79,7 +79,7 @@
         golden.check("settings.txt");
     }
 
-    private static String limits(ServiceSettings.State state) {
+    private static String limits(ServiceSettings.Store state) {
         return "rps "
                 + state.rps()
                 + " write_rps "
--- a/src/test/java/org/woadloom/settings/SettingsTest.java
+++ b/src/test/java/org/woadloom/settings/SettingsTest.java
@@ -22,8 +22,8 @@
     void platformSettingsAreReadAndUnknownFieldsIgnored() throws Exception {
         ServiceSettings settings = ServiceSettingsFile.parse("f.toml", "novel = 1\n" + good());
         assertEquals("rehearsal", settings.label());
-        assertEquals(1_000_000, settings.workers().reportMicros());
-        assertEquals(8192, settings.state().valueBytes());
+        assertEquals(1_000_000, settings.agents().heartbeatMicros());
+        assertEquals(8192, settings.store().valueBytes());
         assertEquals("127.0.0.1:18933", settings.peer("other").address());
     }
 
@@ -68,14 +68,14 @@
         ServiceSettings settings = ServiceSettingsFile.parse("f.toml", good());
         assertEquals(
                 60,
-                FleetSizeEstimate.of(settings).workers(),
+                FleetSizeEstimate.of(settings).agents(),
                 "200 sockets, half of them for workers and users");
         ServiceSettings large =
                 ServiceSettingsFile.parse(
                         "f.toml", good().replace("fd_limit = 200", "fd_limit = 9000"));
         assertEquals(
                 1_000,
-                FleetSizeEstimate.of(large).workers(),
+                FleetSizeEstimate.of(large).agents(),
                 "one core, a report a second from each");
     }
 
--- a/src/test/java/org/woadloom/sim/BehaviourDigestTest.java
+++ b/src/test/java/org/woadloom/sim/BehaviourDigestTest.java
@@ -130,19 +130,19 @@
     }
 
     private static BehaviourDigest play(RandomDay day, BehaviourDigest digest) {
-        ClusterSimulation world =
+        ClusterSimulation cluster =
                 new ClusterSimulation(
                         day.seed(), day.upgrade() ? Scenario.UPGRADE : Scenario.PLAIN);
-        world.stepObserver =
-                (node, now, commands, effects) ->
-                        digest.add(StepRenderer.render(node, now, commands, effects));
-        world.users(TROUBLED_MICROS);
-        world.faults(TROUBLED_MICROS);
+        cluster.stepObserver =
+                (node, now, commands, actions) ->
+                        digest.add(StepRenderer.render(node, now, commands, actions));
+        cluster.users(TROUBLED_MICROS);
+        cluster.faults(TROUBLED_MICROS);
         if (day.upgrade()) {
-            world.upgrade(TROUBLED_MICROS);
+            cluster.upgradeNodes(TROUBLED_MICROS);
         }
         // Without the rules, which RandomDaysTest checks on these days.
-        world.loop.run(TROUBLED_MICROS + QUIET_MICROS);
+        cluster.loop.run(TROUBLED_MICROS + QUIET_MICROS);
         return digest;
     }
 
--- a/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
@@ -30,40 +30,40 @@
 
     /** Users who cancel, each on any node, and ask again until they are told. */
     private static final class Cancellers {
-        final ClusterSimulation world;
+        final ClusterSimulation cluster;
         final Set<String> asked = new HashSet<>();
         final List<Long> waits = new ArrayList<>();
         final Map<String, Integer> why = new TreeMap<>();
         int open;
 
-        Cancellers(ClusterSimulation world) {
-            this.world = world;
+        Cancellers(ClusterSimulation cluster) {
+            this.cluster = cluster;
         }
 
         void until(long end) {
-            if (world.loop.now() < end) {
+            if (cluster.loop.now() < end) {
                 one();
-                world.loop.after(S / 4, () -> until(end));
+                cluster.loop.after(S / 4, () -> until(end));
             }
         }
 
         /** Cancels a job that runs, or else one that waits. */
         void one() {
-            List<String> jobs = new ArrayList<>(world.truth.running());
-            jobs.addAll(world.truth.acceptedJobs());
-            jobs.removeIf(jobId -> asked.contains(jobId) || world.truth.isOver(jobId));
+            List<String> jobs = new ArrayList<>(cluster.invariants.running());
+            jobs.addAll(cluster.invariants.acceptedJobs());
+            jobs.removeIf(jobId -> asked.contains(jobId) || cluster.invariants.isOver(jobId));
             if (!jobs.isEmpty()) {
                 asked.add(jobs.get(0));
                 open++;
-                world.truth.cancelling(jobs.get(0));
-                ask(jobs.get(0), world.loop.now());
+                cluster.invariants.cancelling(jobs.get(0));
+                ask(jobs.get(0), cluster.loop.now());
             }
         }
 
         private void ask(String jobId, long since) {
-            long sent = world.loop.now();
-            int node = world.random.nextInt(ClusterSimulation.NODES);
-            world.toNode(
+            long sent = cluster.loop.now();
+            int node = cluster.random.nextInt(ClusterSimulation.NODES);
+            cluster.toNode(
                     "users",
                     node,
                     "POST",
@@ -71,17 +71,17 @@
                     Map.of(),
                     5 * S,
                     (status, body) -> {
-                        world.answered("cancel", jobId, sent, status, body);
+                        cluster.answered("cancel", jobId, sent, status, body);
                         if (status == 200) {
                             open--;
-                            waits.add(world.loop.now() - since);
+                            waits.add(cluster.loop.now() - since);
                         } else {
                             why.merge(status + " " + body.get("error"), 1, Integer::sum);
                             // A node that has ended, can't be reached or reaches nobody is no node
                             // that keeps anybody waiting.
-                            boolean served = status > 0 && !world.isIsolated(node);
-                            world.loop.after(
-                                    200_000, () -> ask(jobId, served ? since : world.loop.now()));
+                            boolean served = status > 0 && !cluster.isIsolated(node);
+                            cluster.loop.after(
+                                    200_000, () -> ask(jobId, served ? since : cluster.loop.now()));
                         }
                     });
         }
@@ -103,19 +103,19 @@
     }
 
     private static ClusterSimulation day(long seed, Flaw flaw) {
-        ClusterSimulation world =
+        ClusterSimulation cluster =
                 new ClusterSimulation(
                         seed, new Scenario(Scenario.LONG, Scenario.LONG, Version.NOW, flaw, 0));
-        world.trouble = 0;
-        world.servicesStay = true;
-        world.users(AT + 30 * S, 6);
-        world.run(AT);
-        return world;
+        cluster.trouble = 0;
+        cluster.servicesStay = true;
+        cluster.users(AT + 30 * S, 6);
+        cluster.run(AT);
+        return cluster;
     }
 
-    private static Cancellers cancelling(ClusterSimulation world, long forMicros) {
-        Cancellers users = new Cancellers(world);
-        users.until(world.loop.now() + forMicros);
+    private static Cancellers cancelling(ClusterSimulation cluster, long forMicros) {
+        Cancellers users = new Cancellers(cluster);
+        users.until(cluster.loop.now() + forMicros);
         return users;
     }
 
@@ -123,58 +123,58 @@
     enum Change {
         ROLLING_RESTART(1, 700) {
             @Override
-            void begin(ClusterSimulation world) {
+            void begin(ClusterSimulation cluster) {
                 for (int node = 0; node < ClusterSimulation.NODES; node++) {
                     int ending = node;
-                    world.loop.after(node * 5 * S, () -> world.end(ending, 300_000));
+                    cluster.loop.after(node * 5 * S, () -> cluster.end(ending, 300_000));
                 }
             }
         },
         LEADER_ENDS(1, 4000) {
             @Override
-            void begin(ClusterSimulation world) {
-                world.endLeader(8 * S);
+            void begin(ClusterSimulation cluster) {
+                cluster.endLeader(8 * S);
             }
         },
         LEADER_RETURNS_AT_ONCE(1, 600) {
             @Override
-            void begin(ClusterSimulation world) {
-                world.endLeader(200_000);
+            void begin(ClusterSimulation cluster) {
+                cluster.endLeader(200_000);
             }
         },
         LEADER_FREEZES(1, 6500) {
             @Override
-            void begin(ClusterSimulation world) {
-                world.freeze(world.leader(), 9 * S);
+            void begin(ClusterSimulation cluster) {
+                cluster.freeze(cluster.leader(), 9 * S);
             }
         },
         CUT_ENDS(1, 6500) {
             @Override
-            void begin(ClusterSimulation world) {
-                world.isolate(world.leader(), 9 * S);
+            void begin(ClusterSimulation cluster) {
+                cluster.isolate(cluster.leader(), 9 * S);
             }
         },
         REFUSED_UNTIL_DEPOSED(1, 4500) {
             @Override
-            void begin(ClusterSimulation world) {
-                world.refuseState(world.leader(), 9 * S);
+            void begin(ClusterSimulation cluster) {
+                cluster.refuseState(cluster.leader(), 9 * S);
             }
         },
         TEN_CHANGES(10, 1500) {
             @Override
-            void begin(ClusterSimulation world) {
+            void begin(ClusterSimulation cluster) {
                 for (int i = 0; i < 10; i++) {
-                    world.loop.after(
+                    cluster.loop.after(
                             i * 3 * S,
-                            () -> world.endLeader(100_000 + world.random.nextInt(900_000)));
+                            () -> cluster.endLeader(100_000 + cluster.random.nextInt(900_000)));
                 }
             }
         },
         ALL_END_ONE_RETURNS(1, 17000) {
             @Override
-            void begin(ClusterSimulation world) {
+            void begin(ClusterSimulation cluster) {
                 for (int node = 0; node < ClusterSimulation.NODES; node++) {
-                    world.end(node, node == 0 ? 300_000 : 25 * S);
+                    cluster.end(node, node == 0 ? 300_000 : 25 * S);
                 }
             }
         };
@@ -191,7 +191,7 @@
             longestWait = longestMillis * 1_000;
         }
 
-        abstract void begin(ClusterSimulation world);
+        abstract void begin(ClusterSimulation cluster);
     }
 
     /**
@@ -202,17 +202,17 @@
     @EnumSource
     void jobsAreCancelledWhileWorkChangesHands(Change change) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            ClusterSimulation world = day(seed, Flaw.NONE);
-            long term = world.term();
-            Cancellers users = cancelling(world, 35 * S);
-            world.loop.after(2 * S, () -> change.begin(world));
-            world.run(AT + 75 * S);
+            ClusterSimulation cluster = day(seed, Flaw.NONE);
+            long term = cluster.term();
+            Cancellers users = cancelling(cluster, 35 * S);
+            cluster.loop.after(2 * S, () -> change.begin(cluster));
+            cluster.run(AT + 75 * S);
             assertTrue(
-                    world.term() - term >= change.terms,
-                    "only " + (world.term() - term) + " changes, seed " + seed);
+                    cluster.term() - term >= change.terms,
+                    "only " + (cluster.term() - term) + " changes, seed " + seed);
             assertTrue(
-                    world.truth.cancelledWhileRunning > 15,
-                    "only " + world.truth.cancelledWhileRunning + " ran, seed " + seed);
+                    cluster.invariants.cancelledWhileRunning > 15,
+                    "only " + cluster.invariants.cancelledWhileRunning + " ran, seed " + seed);
             assertEquals(0, users.open, users + ", seed " + seed);
             assertTrue(users.longest() < change.longestWait, users + ", seed " + seed);
         }
@@ -235,50 +235,50 @@
     /** Jobs are cancelled within 0.2 s around the moment at which the refusal begins. */
     private static int atTheMomentOfTheRefusal(
             Else what, long seed, Scenario.Times told, Flaw flaw) {
-        ClusterSimulation world =
+        ClusterSimulation cluster =
                 new ClusterSimulation(
                         seed, new Scenario(Scenario.LONG, told, Version.NOW, flaw, 0));
-        world.trouble = 0;
-        world.servicesStay = true;
-        world.users(AT, 6);
-        world.run(AT);
-        Cancellers users = new Cancellers(world);
-        int leader = world.leader();
+        cluster.trouble = 0;
+        cluster.servicesStay = true;
+        cluster.users(AT, 6);
+        cluster.run(AT);
+        Cancellers users = new Cancellers(cluster);
+        int leader = cluster.leader();
         for (long at = 0; at < 400_000; at += 20_000) {
-            world.loop.after(at, users::one);
+            cluster.loop.after(at, users::one);
         }
-        world.hintsLost = what != Else.NOTHING;
+        cluster.hintsLost = what != Else.NOTHING;
         if (what == Else.PEERS_CUT_BEFORE) {
-            world.refusePeers(90 * S);
+            cluster.refusePeers(90 * S);
         }
-        world.loop.after(
+        cluster.loop.after(
                 200_000,
                 () -> {
-                    world.refuseState(leader, 90 * S);
+                    cluster.refuseState(leader, 90 * S);
                     switch (what) {
-                        case PEERS_CUT -> world.refusePeers(90 * S);
+                        case PEERS_CUT -> cluster.refusePeers(90 * S);
                         case ANOTHER_REFUSED ->
-                                world.refuseStateToo(
+                                cluster.refuseStateToo(
                                         (leader + 1) % ClusterSimulation.NODES, 90 * S);
                         case ANOTHER_ALONE ->
-                                world.isolate((leader + 1) % ClusterSimulation.NODES, 20 * S);
+                                cluster.isolate((leader + 1) % ClusterSimulation.NODES, 20 * S);
                         case CONFIRMING_NODES_END ->
-                                world.loop.after(
+                                cluster.loop.after(
                                         350_000,
                                         () -> {
-                                            world.end(
+                                            cluster.end(
                                                     (leader + 1) % ClusterSimulation.NODES,
                                                     300_000);
-                                            world.end(
+                                            cluster.end(
                                                     (leader + 2) % ClusterSimulation.NODES, 20 * S);
                                         });
                         default -> {}
                     }
                 });
-        world.loop.after(1_200_000, () -> world.stateOutage(64 * S));
-        world.run(AT + 1_200_000);
-        int confirmed = world.truth.cancelledWhileRunning;
-        world.run(AT + 90 * S);
+        cluster.loop.after(1_200_000, () -> cluster.stateOutage(64 * S));
+        cluster.run(AT + 1_200_000);
+        int confirmed = cluster.invariants.cancelledWhileRunning;
+        cluster.run(AT + 90 * S);
         assertEquals(0, users.open, users + ", seed " + seed);
         return confirmed;
     }
@@ -305,17 +305,17 @@
     void theStateServiceIsSlowThenRefusesTheLeaderThenEverybody() {
         int confirmed = 0;
         for (long seed = 1; seed <= SEEDS + 1; seed++) {
-            ClusterSimulation world = day(seed, Flaw.NONE);
-            world.lookClosely(25 * S);
-            world.slowState(900_000, 12 * S);
-            Cancellers users = cancelling(world, 20 * S);
-            world.loop.after(8 * S, () -> world.gap(4 * S, 60 * S));
-            world.run(AT + 12 * S);
-            confirmed += world.truth.cancelledWhileRunning;
-            world.run(AT + 100 * S);
+            ClusterSimulation cluster = day(seed, Flaw.NONE);
+            cluster.lookClosely(25 * S);
+            cluster.slowState(900_000, 12 * S);
+            Cancellers users = cancelling(cluster, 20 * S);
+            cluster.loop.after(8 * S, () -> cluster.gap(4 * S, 60 * S));
+            cluster.run(AT + 12 * S);
+            confirmed += cluster.invariants.cancelledWhileRunning;
+            cluster.run(AT + 100 * S);
             assertTrue(
-                    world.closeLooks > 10,
-                    "only " + world.closeLooks + " close looks, seed " + seed);
+                    cluster.closeLooks > 10,
+                    "only " + cluster.closeLooks + " close looks, seed " + seed);
             assertEquals(0, users.open, users + ", seed " + seed);
         }
         assertTrue(confirmed > 3, "only " + confirmed + " confirmed before the outage");
@@ -328,30 +328,30 @@
     enum Leader {
         ENDED {
             @Override
-            void meet(ClusterSimulation world) {
-                world.endLeader(3 * S);
+            void meet(ClusterSimulation cluster) {
+                cluster.endLeader(3 * S);
             }
         },
         FROZEN {
             @Override
-            void meet(ClusterSimulation world) {
-                world.freeze(world.leader(), 12 * S);
+            void meet(ClusterSimulation cluster) {
+                cluster.freeze(cluster.leader(), 12 * S);
             }
         },
         ISOLATED {
             @Override
-            void meet(ClusterSimulation world) {
-                world.isolate(world.leader(), 40 * S);
+            void meet(ClusterSimulation cluster) {
+                cluster.isolate(cluster.leader(), 40 * S);
             }
         },
         REFUSED {
             @Override
-            void meet(ClusterSimulation world) {
-                world.refuseState(world.leader(), 40 * S);
+            void meet(ClusterSimulation cluster) {
+                cluster.refuseState(cluster.leader(), 40 * S);
             }
         };
 
-        abstract void meet(ClusterSimulation world);
+        abstract void meet(ClusterSimulation cluster);
     }
 
     @ParameterizedTest
@@ -360,20 +360,20 @@
         int confirmed = 0;
         int called = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            ClusterSimulation world = day(seed, Flaw.NONE);
+            ClusterSimulation cluster = day(seed, Flaw.NONE);
             for (int i = 0; i < 2; i++) {
-                called += world.cancelNow(6, 5 * S + i * 9 * S);
-                world.loop.after(
+                called += cluster.cancelNow(6, 5 * S + i * 9 * S);
+                cluster.loop.after(
                         i * 60_000,
                         () -> {
-                            if (world.stored("leader") != null) {
-                                leader.meet(world);
+                            if (cluster.stored("leader") != null) {
+                                leader.meet(cluster);
                             }
                         });
-                world.run(world.loop.now() + 43 * S);
+                cluster.run(cluster.loop.now() + 43 * S);
             }
-            confirmed += world.truth.cancelledWhileRunning;
-            world.run(world.loop.now() + 20 * S);
+            confirmed += cluster.invariants.cancelledWhileRunning;
+            cluster.run(cluster.loop.now() + 20 * S);
         }
         assertTrue(called > 8, "only " + called + " called off");
         assertTrue(confirmed > 8, "only " + confirmed + " ran when that was confirmed");
@@ -386,23 +386,23 @@
     @Test
     void answersAreLostWhileLeadersChange() {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            ClusterSimulation world = day(seed, Flaw.NONE);
-            long term = world.term();
-            world.loseAnswers(40, 35 * S);
-            Cancellers users = cancelling(world, 30 * S);
+            ClusterSimulation cluster = day(seed, Flaw.NONE);
+            long term = cluster.term();
+            cluster.loseAnswers(40, 35 * S);
+            Cancellers users = cancelling(cluster, 30 * S);
             for (int i = 0; i < 6; i++) {
-                world.loop.after(i * 5 * S, () -> world.endLeader(300_000));
+                cluster.loop.after(i * 5 * S, () -> cluster.endLeader(300_000));
             }
-            world.run(AT + 90 * S);
+            cluster.run(AT + 90 * S);
             assertTrue(
-                    world.lostAnswersMade > 30,
-                    "only " + world.lostAnswersMade + " lost, seed " + seed);
+                    cluster.lostAnswersMade > 30,
+                    "only " + cluster.lostAnswersMade + " lost, seed " + seed);
             // As many terms as leaders ended: none was given up for an answer that was lost.
-            assertEquals(6, world.term() - term, "terms, seed " + seed);
+            assertEquals(6, cluster.term() - term, "terms, seed " + seed);
             assertEquals(0, users.open, users + ", seed " + seed);
             for (int node = 0; node < ClusterSimulation.NODES; node++) {
                 assertNotNull(
-                        world.stored(StoreKeys.ROLLOUT_NODES + ClusterSimulation.label(node)),
+                        cluster.stored(StoreKeys.ROLLOUT_NODES + ClusterSimulation.label(node)),
                         "no word of node " + node + ", seed " + seed);
             }
         }
--- a/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
@@ -32,41 +32,41 @@
     }
 
     private static ClusterSimulation day(long seed, Flaw flaw) {
-        ClusterSimulation world =
+        ClusterSimulation cluster =
                 new ClusterSimulation(
                         seed, new Scenario(Scenario.LONG, Scenario.LONG, Version.NOW, flaw, 0));
-        world.trouble = 0;
-        world.servicesStay = true;
-        world.users(AT);
-        world.run(AT);
-        return world;
+        cluster.trouble = 0;
+        cluster.servicesStay = true;
+        cluster.users(AT);
+        cluster.run(AT);
+        return cluster;
     }
 
-    private static void lose(ClusterSimulation world, Lost lost) {
+    private static void lose(ClusterSimulation cluster, Lost lost) {
         switch (lost) {
             case NOTHING -> {}
-            case HINTS -> world.hintsLost = true;
-            case DIRECTS -> world.directsLost = true;
-            case PEERS_UNTIL_THE_OUTAGE -> world.refusePeers(REFUSED);
-            case PEERS_UNTIL_IN_THE_OUTAGE -> world.refusePeers(REFUSED + 6_000_000);
-            case PEERS_THROUGHOUT -> world.refusePeers(REFUSED + DOWN);
+            case HINTS -> cluster.hintsLost = true;
+            case DIRECTS -> cluster.directsLost = true;
+            case PEERS_UNTIL_THE_OUTAGE -> cluster.refusePeers(REFUSED);
+            case PEERS_UNTIL_IN_THE_OUTAGE -> cluster.refusePeers(REFUSED + 6_000_000);
+            case PEERS_THROUGHOUT -> cluster.refusePeers(REFUSED + DOWN);
         }
     }
 
     /** The refusal begins, users cancel everything, and the outage comes. */
-    private static void refusedThenDown(ClusterSimulation world, long cancelAfterMicros) {
-        world.refuseState(world.leader(), 14_000_000);
-        world.loop.after(cancelAfterMicros, world::cancelEverything);
-        world.loop.after(REFUSED, () -> world.stateOutage(DOWN));
+    private static void refusedThenDown(ClusterSimulation cluster, long cancelAfterMicros) {
+        cluster.refuseState(cluster.leader(), 14_000_000);
+        cluster.loop.after(cancelAfterMicros, cluster::cancelEverything);
+        cluster.loop.after(REFUSED, () -> cluster.stateOutage(DOWN));
     }
 
     private static int confirmedBehindItsBack(Lost lost, long seed, Flaw flaw) {
-        ClusterSimulation world = day(seed, flaw);
-        lose(world, lost);
-        refusedThenDown(world, 300_000);
-        world.run(AT + REFUSED);
-        int confirmed = world.truth.cancelledWhileRunning;
-        world.run(QUIET);
+        ClusterSimulation cluster = day(seed, flaw);
+        lose(cluster, lost);
+        refusedThenDown(cluster, 300_000);
+        cluster.run(AT + REFUSED);
+        int confirmed = cluster.invariants.cancelledWhileRunning;
+        cluster.run(QUIET);
         return confirmed;
     }
 
@@ -91,19 +91,20 @@
         int confirmed = 0;
         int kept = 0;
         for (long seed = 1; seed <= 4; seed++) {
-            ClusterSimulation world = day(seed, Flaw.NONE);
-            world.hintsLost = true;
-            world.refuseState(world.leader(), 14_000_000);
-            world.loop.after(
-                    300_000, () -> world.truth.running().stream().limit(6).forEach(world::cancel));
-            world.loop.after(REFUSED, () -> world.stateOutage(DOWN));
-            world.run(AT + REFUSED);
-            confirmed += world.truth.cancelledWhileRunning;
-            kept += world.truth.running().size();
-            int before = world.truth.killedByLease;
-            world.run(AT + REFUSED + DOWN);
-            assertEquals(before, world.truth.killedByLease, "tasks killed, seed " + seed);
-            world.run(QUIET);
+            ClusterSimulation cluster = day(seed, Flaw.NONE);
+            cluster.hintsLost = true;
+            cluster.refuseState(cluster.leader(), 14_000_000);
+            cluster.loop.after(
+                    300_000,
+                    () -> cluster.invariants.running().stream().limit(6).forEach(cluster::cancel));
+            cluster.loop.after(REFUSED, () -> cluster.stateOutage(DOWN));
+            cluster.run(AT + REFUSED);
+            confirmed += cluster.invariants.cancelledWhileRunning;
+            kept += cluster.invariants.running().size();
+            int before = cluster.invariants.killedByLease;
+            cluster.run(AT + REFUSED + DOWN);
+            assertEquals(before, cluster.invariants.killedByLease, "tasks killed, seed " + seed);
+            cluster.run(QUIET);
         }
         assertTrue(confirmed > 3, "only " + confirmed + " confirmed in the gap");
         assertTrue(kept > 12, "only " + kept + " jobs ran on");
@@ -114,16 +115,16 @@
     void anOutageThatEndsForAllButTheLeader() {
         int confirmed = 0;
         for (long seed = 1; seed <= 4; seed++) {
-            ClusterSimulation world = day(seed, Flaw.NONE);
-            world.hintsLost = true;
-            int leader = world.leader();
-            world.stateOutage(20_000_000);
-            world.loop.after(18_000_000, () -> world.refuseState(leader, 90_000_000));
-            world.loop.after(20_200_000, world::cancelEverything);
-            world.loop.after(23_000_000, () -> world.stateOutage(DOWN));
-            world.run(AT + 23_000_000);
-            confirmed += world.truth.cancelledWhileRunning;
-            world.run(QUIET);
+            ClusterSimulation cluster = day(seed, Flaw.NONE);
+            cluster.hintsLost = true;
+            int leader = cluster.leader();
+            cluster.stateOutage(20_000_000);
+            cluster.loop.after(18_000_000, () -> cluster.refuseState(leader, 90_000_000));
+            cluster.loop.after(20_200_000, cluster::cancelEverything);
+            cluster.loop.after(23_000_000, () -> cluster.stateOutage(DOWN));
+            cluster.run(AT + 23_000_000);
+            confirmed += cluster.invariants.cancelledWhileRunning;
+            cluster.run(QUIET);
         }
         assertTrue(confirmed > 3, "only " + confirmed + " confirmed in the gap");
     }
@@ -146,17 +147,18 @@
     })
     void theConfirmingNodeEnds(long endsMillis, long awayMillis) {
         for (long seed = 1; seed <= 2; seed++) {
-            ClusterSimulation world = day(seed, Flaw.NONE);
-            world.hintsLost = true;
-            int leader = world.leader();
-            refusedThenDown(world, 300_000);
+            ClusterSimulation cluster = day(seed, Flaw.NONE);
+            cluster.hintsLost = true;
+            int leader = cluster.leader();
+            refusedThenDown(cluster, 300_000);
             for (int node = 0; node < ClusterSimulation.NODES; node++) {
                 if (node != leader) {
                     int ending = node;
-                    world.loop.after(endsMillis * 1000, () -> world.end(ending, awayMillis * 1000));
+                    cluster.loop.after(
+                            endsMillis * 1000, () -> cluster.end(ending, awayMillis * 1000));
                 }
             }
-            world.run(QUIET);
+            cluster.run(QUIET);
         }
     }
 
@@ -168,21 +170,21 @@
     void jobsThatWaitForACancelledOneAreNotCalledQueuedForLonger() {
         int polled = 0;
         for (long seed = 1; seed <= 6; seed++) {
-            ClusterSimulation world =
+            ClusterSimulation cluster =
                     new ClusterSimulation(
                             seed,
                             new Scenario(Scenario.LONG, Scenario.LONG, Version.NOW, Flaw.NONE, 0));
-            world.trouble = 0;
-            world.servicesStay = true;
-            world.users(AT);
+            cluster.trouble = 0;
+            cluster.servicesStay = true;
+            cluster.users(AT);
             for (int chain = 0; chain < 3; chain++) {
-                world.pipelines(AT);
+                cluster.pipelines(AT);
             }
-            world.run(AT);
-            refusedThenDown(world, 300_000);
-            world.run(AT + REFUSED);
-            polled += world.truth.waitingForCancelled();
-            world.run(QUIET);
+            cluster.run(AT);
+            refusedThenDown(cluster, 300_000);
+            cluster.run(AT + REFUSED);
+            polled += cluster.invariants.waitingForCancelled();
+            cluster.run(QUIET);
         }
         assertTrue(polled > 3, "only " + polled + " jobs waited for a cancelled one");
     }
@@ -191,11 +193,11 @@
     @Test
     void aSecondGapFollows() {
         for (long seed = 1; seed <= 3; seed++) {
-            ClusterSimulation world = day(seed, Flaw.NONE);
-            world.gap(2_000_000, DOWN);
-            world.users(AT + 150_000_000);
-            world.loop.after(87_000_000, () -> world.gap(1_500_000, DOWN));
-            world.run(AT + 300_000_000);
+            ClusterSimulation cluster = day(seed, Flaw.NONE);
+            cluster.gap(2_000_000, DOWN);
+            cluster.users(AT + 150_000_000);
+            cluster.loop.after(87_000_000, () -> cluster.gap(1_500_000, DOWN));
+            cluster.run(AT + 300_000_000);
         }
     }
 
@@ -206,12 +208,12 @@
     @Test
     void aNewLeaderIsElectedWithinTheGap() {
         for (long seed = 1; seed <= 4; seed++) {
-            ClusterSimulation world = day(seed, Flaw.NONE);
-            world.refusePeers(40_000_000);
-            world.refuseState(world.leader(), 100_000_000);
-            world.loop.after(6_000_000, world::cancelEverything);
-            world.loop.after(8_000_000, () -> world.stateOutage(DOWN));
-            world.run(QUIET);
+            ClusterSimulation cluster = day(seed, Flaw.NONE);
+            cluster.refusePeers(40_000_000);
+            cluster.refuseState(cluster.leader(), 100_000_000);
+            cluster.loop.after(6_000_000, cluster::cancelEverything);
+            cluster.loop.after(8_000_000, () -> cluster.stateOutage(DOWN));
+            cluster.run(QUIET);
         }
     }
 
--- a/src/test/java/org/woadloom/sim/ClusterSimulation.java
+++ b/src/test/java/org/woadloom/sim/ClusterSimulation.java
@@ -44,7 +44,7 @@
     private final StoreFaults stateTroubles;
     private final DelayedHeartbeats keptReports;
     final ServiceSettings settings;
-    final InvariantChecker truth;
+    final InvariantChecker invariants;
     private final SimulatedStore state;
     private final SimulatedCloud cloud;
     private final Member[] members = new Member[NODES];
@@ -145,7 +145,7 @@
     long brokenFrom;
 
     /** Is shown each step of each node. */
-    NodeStepObserver stepObserver = (node, now, commands, effects) -> {};
+    NodeStepObserver stepObserver = (node, now, commands, actions) -> {};
 
     private long slowLinksMicros;
     private long slowLinksUntil;
@@ -157,7 +157,7 @@
                 int node,
                 long nowMicros,
                 List<SchedulerEvent> commands,
-                List<SchedulerAction> effects);
+                List<SchedulerAction> actions);
     }
 
     /** One node and the life of its process. */
@@ -197,8 +197,8 @@
                             settingsOf(index, day, day.told(), namesOneMore[index]),
                             OperatorSettings.defaults(),
                             new Random(random.nextLong()),
-                            (now, commands, effects) ->
-                                    stepObserver.onStep(index, now, commands, effects));
+                            (now, commands, actions) ->
+                                    stepObserver.onStep(index, now, commands, actions));
             node.start();
         }
 
@@ -298,30 +298,30 @@
                 if (apart(yardOf(other.index), yardOf(member.index))) {
                     if (connected[other.index]) {
                         connected[other.index] = false;
-                        listener.lost(label(other.index), false);
+                        listener.onConnectionLost(label(other.index), false);
                     }
                     continue;
                 }
                 if (isolated == member.index || isolated == other.index) {
                     if (connected[other.index]) {
                         connected[other.index] = false;
-                        listener.lost(label(other.index), false);
+                        listener.onConnectionLost(label(other.index), false);
                     }
                     continue;
                 }
                 if (peersRefused) {
                     boolean was = connected[other.index];
                     connected[other.index] = false;
-                    listener.lost(label(other.index), !was);
+                    listener.onConnectionLost(label(other.index), !was);
                     continue;
                 }
                 if (other.alive && !connected[other.index]) {
                     connected[other.index] = true;
-                    listener.connected(label(other.index));
+                    listener.onConnected(label(other.index));
                 } else if (!other.alive) {
                     boolean was = connected[other.index];
                     connected[other.index] = false;
-                    listener.lost(label(other.index), !was);
+                    listener.onConnectionLost(label(other.index), !was);
                 }
             }
             loop.after(150_000, this::poll);
@@ -337,7 +337,7 @@
                 return;
             }
             if (message instanceof PeerMessage.StatusReport stands) {
-                tookCare[member.index] |= stands.standing().sinceLastRenewalMicros() >= 0;
+                tookCare[member.index] |= stands.status().sinceLastRenewalMicros() >= 0;
             }
             if (message instanceof PeerMessage.JobChangeNotification && hintsLost) {
                 return;
@@ -352,7 +352,7 @@
                     day.flaw() == Scenario.Flaw.PROMISES_TOO_MUCH ? withPromise(message) : message;
             if (day.flaw() == Scenario.Flaw.VOUCHES_FOR_ANYTHING
                     && message instanceof PeerMessage.CancellationReport vouched) {
-                WatermarkReport v = vouched.vouch();
+                WatermarkReport v = vouched.report();
                 sent =
                         new PeerMessage.CancellationReport(
                                 new WatermarkReport(
@@ -386,7 +386,7 @@
                                     () -> {
                                         if (other.peers.listener != null) {
                                             try {
-                                                other.peers.listener.received(
+                                                other.peers.listener.onMessage(
                                                         label(member.index), codec.decode(content));
                                             } catch (PeerFormatException e) {
                                                 throw new IllegalStateException(e);
@@ -401,12 +401,12 @@
         more = new Random(~seed);
         this.day = day;
         settings = settingsOf(0, day, day.real(), false);
-        truth = new InvariantChecker(loop, settings);
+        invariants = new InvariantChecker(loop, settings);
         userTroubles = new UserFaults(this, more);
-        truth.lastTaskEnded = userTroubles::lastTaskEnded;
+        invariants.lastTaskEnded = userTroubles::lastTaskEnded;
         stateTroubles = new StoreFaults(this, more);
         keptReports = new DelayedHeartbeats(this, more);
-        state = new SimulatedStore(loop, settings.state());
+        state = new SimulatedStore(loop, settings.store());
         cloud = new SimulatedCloud(this, more);
         if (day.flaw() == Scenario.Flaw.AGREED_TOO_EARLY) {
             state.handle(
@@ -439,7 +439,7 @@
         loop.after(
                 2_000_000,
                 () -> {
-                    truth.checkWaiting(cloud.machines.values());
+                    invariants.checkWaiting(cloud.machines.values());
                     lookForWaiting();
                 });
     }
@@ -525,9 +525,9 @@
                 day.zoneNames(),
                 teams(day),
                 List.of(),
-                new ServiceSettings.Workers(1_500_000, times.leaseMicros(), times.cancelMicros()),
-                new ServiceSettings.State(
-                        400, 200, 8192, 12, new ServiceSettings.State(400, 60, 1500, 4, null)),
+                new ServiceSettings.Agents(1_500_000, times.leaseMicros(), times.cancelMicros()),
+                new ServiceSettings.Store(
+                        400, 200, 8192, 12, new ServiceSettings.Store(400, 60, 1500, 4, null)),
                 new ServiceSettings.Cloud(8, 3_000_000),
                 new ServiceSettings.Resources(1, 200, 1000));
     }
@@ -751,7 +751,7 @@
         if (!(message instanceof PeerMessage.StatusReport stands)) {
             return message;
         }
-        PeerStatus s = stands.standing();
+        PeerStatus s = stands.status();
         return new PeerMessage.StatusReport(
                 new PeerStatus(
                         s.processId(),
@@ -803,27 +803,27 @@
         if (directsLost) {
             return;
         }
-        for (SimulatedAgent worker : cloud.machines.values()) {
-            if (worker.addr.equals(address) && !worker.dead) {
-                if (apart(worker.zone, yardOf(member.index)) || member.index == cutFromWorkers) {
+        for (SimulatedAgent agent : cloud.machines.values()) {
+            if (agent.addr.equals(address) && !agent.dead) {
+                if (apart(agent.zone, yardOf(member.index)) || member.index == cutFromWorkers) {
                     // Held back, and executed when the zones can reach each other again.
                     loop.after(1_000_000, () -> toWorker(member, address, body, respond, true));
                     return;
                 }
-                if (worker.deaf()) {
+                if (agent.deaf()) {
                     loop.after(500_000, () -> toWorker(member, address, body, respond, true));
                     return;
                 }
-                if (worker.hung()) {
+                if (agent.hung()) {
                     // The command is executed when the machine goes on.
-                    loop.at(worker.hungUntil, () -> toWorker(member, address, body, respond, true));
+                    loop.at(agent.hungUntil, () -> toWorker(member, address, body, respond, true));
                     return;
                 }
                 heldCommands += held ? 1 : 0;
-                Object[] answer = worker.direct(body);
+                Object[] answer = agent.direct(body);
                 @SuppressWarnings("unchecked")
                 Map<String, Object> report = (Map<String, Object>) answer[1];
-                if (!worker.mute()) {
+                if (!agent.mute()) {
                     respond.answer((Integer) answer[0], report);
                 }
                 return;
@@ -853,30 +853,30 @@
             loop.after(1_000, () -> callback.answer(HttpTransport.NOT_SENT, Map.of()));
             return;
         }
-        SimulatedAgent worker = cloud.machines.get(from);
-        if (worker != null && (apart(worker.zone, yardOf(index)) || index == cutFromWorkers)) {
+        SimulatedAgent agent = cloud.machines.get(from);
+        if (agent != null && (apart(agent.zone, yardOf(index)) || index == cutFromWorkers)) {
             loop.after(timeout, () -> callback.answer(HttpTransport.NO_RESPONSE, Map.of()));
             return;
         }
-        if (worker == null && yardOf(index).equals(island)) {
+        if (agent == null && yardOf(index).equals(island)) {
             loop.after(timeout, () -> callback.answer(HttpTransport.NO_RESPONSE, Map.of()));
             return;
         }
-        if (worker != null && (worker.mute() || worker.closedIn())) {
+        if (agent != null && (agent.mute() || agent.closedIn())) {
             loop.after(timeout, () -> callback.answer(HttpTransport.NO_RESPONSE, Map.of()));
             return;
         }
         int life = member.life;
-        if (worker != null && worker.deaf() && day.flaw() == Scenario.Flaw.DEAF_SEEM_TO_HEAR) {
-            body.put("epoch", Math.max((Long) body.get("epoch"), worker.tokenSent));
+        if (agent != null && agent.deaf() && day.flaw() == Scenario.Flaw.DEAF_SEEM_TO_HEAR) {
+            body.put("epoch", Math.max((Long) body.get("epoch"), agent.tokenSent));
         }
         boolean fillsIn =
                 day.flaw() == Scenario.Flaw.FILLS_IN_WHAT_IS_MISSING && path.equals("/v1/jobs");
         byte[] bytes = body == null ? new byte[0] : Cbor.encode(fillsIn ? filledIn(body) : body);
-        if (worker != null && random.nextInt(100) < copies) {
+        if (agent != null && random.nextInt(100) < copies) {
             copy(body);
         }
-        if (worker != null) {
+        if (agent != null) {
             keptReports.sent(body);
         }
         carry(
@@ -895,15 +895,14 @@
                                                     response -> {
                                                         Map<String, Object> answer =
                                                                 decode(response.body());
-                                                        if (worker != null
+                                                        if (agent != null
                                                                 && answer.get("epoch")
                                                                         instanceof Long token) {
-                                                            worker.tokenSent =
+                                                            agent.tokenSent =
                                                                     Math.max(
-                                                                            worker.tokenSent,
-                                                                            token);
+                                                                            agent.tokenSent, token);
                                                         }
-                                                        if (worker == null || !worker.deaf()) {
+                                                        if (agent == null || !agent.deaf()) {
                                                             respond.answer(
                                                                     response.status(), answer);
                                                         }
@@ -923,11 +922,11 @@
     }
 
     byte[] copyOf(Map<String, Object> report) {
-        Map<String, Object> again = new LinkedHashMap<>(report);
+        Map<String, Object> retry = new LinkedHashMap<>(report);
         if (day.flaw() == Scenario.Flaw.COPIES_LOOK_NEW) {
-            again.put("tick", (Long) report.get("tick") + 1_000);
+            retry.put("tick", (Long) report.get("tick") + 1_000);
         }
-        return Cbor.encode(again);
+        return Cbor.encode(retry);
     }
 
     /** False if it comes to a node that is not there, or out of reach. */
@@ -1047,7 +1046,7 @@
             map.put("awaits", awaits);
         }
         try {
-            truth.submitting(JobDescription.parse(map));
+            invariants.submitting(JobDescription.parse(map));
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
@@ -1110,8 +1109,8 @@
      */
     private void pipeline() {
         List<String> before = new ArrayList<>();
-        List<String> earlier = new ArrayList<>(truth.acceptedJobs());
-        earlier.removeIf(jobId -> truth.submitted.get(jobId).isService());
+        List<String> earlier = new ArrayList<>(invariants.acceptedJobs());
+        earlier.removeIf(jobId -> invariants.submitted.get(jobId).isService());
         if (random.nextInt(3) == 0 && !earlier.isEmpty()) {
             before.add(earlier.get(random.nextInt(earlier.size())));
         }
@@ -1158,7 +1157,7 @@
      * Replaces the nodes by the new version, one by one; then the limits fall, and users know of
      * pipelines.
      */
-    void upgrade(long until) {
+    void upgradeNodes(long until) {
         long at = 15_000_000 + random.nextInt(20_000_000);
         for (Member member : members) {
             loop.after(
@@ -1192,14 +1191,14 @@
                 (status, body) -> {
                     answered("poll", jobId, sent, status, body);
                     loop.after(
-                            truth.isOver(jobId) && status == 200 ? 40_000_000 : 3_000_000,
+                            invariants.isOver(jobId) && status == 200 ? 40_000_000 : 3_000_000,
                             () -> poll(jobId));
                 });
     }
 
     /** What a user was told. */
     void answered(String request, String jobId, long sent, int status, Map<String, Object> body) {
-        truth.answered(request, jobId, sent, status, body);
+        invariants.answered(request, jobId, sent, status, body);
         userTroubles.told(jobId, status);
     }
 
@@ -1212,7 +1211,7 @@
      * again (seed 308).
      */
     private void cancel(String jobId, long unknownUntil) {
-        truth.cancelling(jobId);
+        invariants.cancelling(jobId);
         long sent = loop.now();
         toNode(
                 "users",
@@ -1238,7 +1237,7 @@
                 "/v1/jobs/j-999999",
                 null,
                 2_000_000,
-                (status, body) -> truth.answered("poll", "j-999999", 0, status, body));
+                (status, body) -> invariants.answered("poll", "j-999999", 0, status, body));
     }
 
     // Faults.
@@ -1246,7 +1245,7 @@
     /** Troubles at random until the given time. */
     void faults(long until) {
         copies = Math.max(copies, 3);
-        truth.calmFrom = until + 60_000_000;
+        invariants.calmFrom = until + 60_000_000;
         loop.after(
                 2_000_000 + random.nextInt(9_000_000),
                 () -> {
@@ -1293,14 +1292,14 @@
                             1_000_000 + random.nextInt(4_000_000),
                             10_000_000 + random.nextInt(60_000_000));
             case 16, 17 ->
-                    anyWorker(worker -> worker.deafUntil = loop.now() + random.nextInt(40_000_000));
+                    anyWorker(agent -> agent.deafUntil = loop.now() + random.nextInt(40_000_000));
             case 18 ->
                     deafen(
                             yardOf(random.nextInt(NODES)),
                             1 + random.nextInt(3),
                             random.nextInt(25_000_000));
             case 19 ->
-                    anyWorker(worker -> worker.muteUntil = loop.now() + random.nextInt(40_000_000));
+                    anyWorker(agent -> agent.muteUntil = loop.now() + random.nextInt(40_000_000));
             case 20 -> isolate(random.nextInt(NODES), 5_000_000 + random.nextInt(40_000_000));
             case 21 -> {
                 copies = 30;
@@ -1320,7 +1319,7 @@
                 loop.after(random.nextInt(20_000_000), () -> cloud.down = false);
             }
             case 5, 6 ->
-                    anyWorker(worker -> worker.hungUntil = loop.now() + random.nextInt(25_000_000));
+                    anyWorker(agent -> agent.hungUntil = loop.now() + random.nextInt(25_000_000));
             case 7 -> anyWorker(SimulatedAgent::die);
             case 9 -> {
                 refusePeers(5_000_000 + random.nextInt(20_000_000));
@@ -1363,8 +1362,8 @@
                             case 1, 2 -> anyWorker(SimulatedAgent::die);
                             default ->
                                     anyWorker(
-                                            worker ->
-                                                    worker.hungUntil =
+                                            agent ->
+                                                    agent.hungUntil =
                                                             loop.now()
                                                                     + random.nextInt(25_000_000));
                         }
@@ -1428,7 +1427,7 @@
                             answer.put("code", response.status());
                             if (path.startsWith("/v1/jobs/")) {
                                 String jobId = path.split("/")[3];
-                                truth.answered(
+                                invariants.answered(
                                         path.endsWith("/cancel") ? "cancel" : "poll",
                                         jobId,
                                         sent,
@@ -1508,9 +1507,9 @@
      */
     void mute(String zone, int oneIn, long forMicros) {
         int count = 0;
-        for (SimulatedAgent worker : cloud.machines.values()) {
-            if (worker.zone.equals(zone) && count++ % oneIn == 0) {
-                worker.muteUntil = loop.now() + forMicros;
+        for (SimulatedAgent agent : cloud.machines.values()) {
+            if (agent.zone.equals(zone) && count++ % oneIn == 0) {
+                agent.muteUntil = loop.now() + forMicros;
             }
         }
     }
@@ -1618,7 +1617,7 @@
         loop.after(
                 refusedMicros / 4,
                 () ->
-                        truth.running().stream()
+                        invariants.running().stream()
                                 .filter(jobId -> random.nextInt(3) == 0)
                                 .forEach(this::cancel));
         loop.after(
@@ -1663,24 +1662,24 @@
      */
     void deafen(String zone, int oneIn, long forMicros) {
         int count = 0;
-        for (SimulatedAgent worker : cloud.machines.values()) {
-            if (worker.zone.equals(zone) && count++ % oneIn == 0) {
-                worker.deafUntil = loop.now() + forMicros;
+        for (SimulatedAgent agent : cloud.machines.values()) {
+            if (agent.zone.equals(zone) && count++ % oneIn == 0) {
+                agent.deafUntil = loop.now() + forMicros;
             }
         }
     }
 
     void hangAll(String zone, long forMicros) {
-        for (SimulatedAgent worker : cloud.machines.values()) {
-            if (worker.zone.equals(zone)) {
-                worker.hungUntil = loop.now() + forMicros;
+        for (SimulatedAgent agent : cloud.machines.values()) {
+            if (agent.zone.equals(zone)) {
+                agent.hungUntil = loop.now() + forMicros;
             }
         }
     }
 
     /** Every user asks to cancel, on whatever node can be reached. */
     void cancelEverything() {
-        truth.acceptedJobs().forEach(this::cancel);
+        invariants.acceptedJobs().forEach(this::cancel);
     }
 
     /** The index of the node that leads by the state service's word. */
@@ -1726,7 +1725,7 @@
     }
 
     /** The machines that are up, in the order in which they came. */
-    List<SimulatedAgent> workers() {
+    List<SimulatedAgent> agents() {
         return List.copyOf(cloud.machines.values());
     }
 
@@ -1818,24 +1817,24 @@
     }
 
     private void anyWorker(java.util.function.Consumer<SimulatedAgent> what) {
-        List<SimulatedAgent> workers = new ArrayList<>(cloud.machines.values());
-        if (!workers.isEmpty()) {
-            what.accept(workers.get(random.nextInt(workers.size())));
+        List<SimulatedAgent> agents = new ArrayList<>(cloud.machines.values());
+        if (!agents.isEmpty()) {
+            what.accept(agents.get(random.nextInt(agents.size())));
         }
     }
 
     /** Runs to the given time, checking the rules after every step. */
     void run(long until) {
         while (loop.step(until)) {
-            truth.check();
+            invariants.check();
         }
     }
 
     /** Accepted jobs that are neither done nor cancelled and should be by now. */
-    List<String> unfinished() {
+    List<String> unfinishedJobs() {
         List<String> result = new ArrayList<>();
-        for (String jobId : truth.acceptedJobs()) {
-            if (!truth.isOver(jobId) && !truth.submitted.get(jobId).isService()) {
+        for (String jobId : invariants.acceptedJobs()) {
+            if (!invariants.isOver(jobId) && !invariants.submitted.get(jobId).isService()) {
                 result.add(jobId);
             }
         }
--- a/src/test/java/org/woadloom/sim/CoalescingJobReaderTest.java
+++ b/src/test/java/org/woadloom/sim/CoalescingJobReaderTest.java
@@ -33,13 +33,13 @@
  * now and then.
  */
 class CoalescingJobReaderTest {
-    private static final ServiceSettings.State LIMITS =
-            new ServiceSettings.State(150, 60, 8192, 12, null);
+    private static final ServiceSettings.Store LIMITS =
+            new ServiceSettings.Store(150, 60, 8192, 12, null);
     private static final int NODES = 3;
 
     private final SimulatedEventLoop sim = new SimulatedEventLoop();
     private final SimulatedStore store =
-            new SimulatedStore(sim, new ServiceSettings.State(10_000, 10_000, 8192, 12, null));
+            new SimulatedStore(sim, new ServiceSettings.Store(10_000, 10_000, 8192, 12, null));
     private final Random random = new Random(7);
     private final List<CoalescingJobReader> nodes = new ArrayList<>();
     private final List<JobReader> readers = new ArrayList<>();
@@ -165,7 +165,7 @@
 
     private JobStatus ask(int node, String jobId) {
         CoalescingJobReader.JobView[] shown = {null};
-        nodes.get(node).ask(jobId, answer -> shown[0] = answer);
+        nodes.get(node).read(jobId, answer -> shown[0] = answer);
         run(2_000_000);
         return shown[0] == null ? null : shown[0].status();
     }
@@ -183,7 +183,7 @@
         int[] told = {0};
         for (int job = 1; job <= jobs; job++) {
             nodes.get(0)
-                    .ask(
+                    .read(
                             jobId(job),
                             answer -> told[0] += answer.status().status().equals(expected) ? 1 : 0);
         }
@@ -240,7 +240,7 @@
                 delay,
                 () -> {
                     nodes.get(job % NODES)
-                            .ask(jobId(job), shown -> answered += shown == null ? 0 : 1);
+                            .read(jobId(job), shown -> answered += shown == null ? 0 : 1);
                     poll(job, 5_000_000);
                 });
     }
@@ -289,17 +289,17 @@
                                 };
                         if (alone) {
                             readers.get(node)
-                                    .look(
+                                    .lookUp(
                                             jobId,
-                                            looked -> {
+                                            lookup -> {
                                                 answered[0]++;
-                                                if (looked != null) {
-                                                    check.accept(looked.status());
+                                                if (lookup != null) {
+                                                    check.accept(lookup.status());
                                                 }
                                             });
                         } else {
                             nodes.get(node)
-                                    .ask(
+                                    .read(
                                             jobId,
                                             shown -> {
                                                 answered[0]++;
@@ -366,7 +366,7 @@
         assertNull(ask(0, jobId(1)));
         int[] told = {0};
         for (int i = 0; i < 20; i++) {
-            nodes.get(0).ask(jobId(1), shown -> told[0] += shown == null ? 1 : 0);
+            nodes.get(0).read(jobId(1), shown -> told[0] += shown == null ? 1 : 0);
             run(500_000);
         }
         assertEquals(20, told[0], "told within half a second that the store does not answer");
--- a/src/test/java/org/woadloom/sim/DamagedRecordTest.java
+++ b/src/test/java/org/woadloom/sim/DamagedRecordTest.java
@@ -19,17 +19,20 @@
      * An open job, with everything of its record damaged but the field that says whether it is
      * cancelled.
      */
-    private static String damage(ClusterSimulation world, boolean cancelled) {
+    private static String damage(ClusterSimulation cluster, boolean cancelled) {
         String jobId =
-                world.truth.acceptedJobs().stream()
+                cluster.invariants.acceptedJobs().stream()
                         .filter(
                                 job ->
-                                        world.stored("job/" + job) != null
-                                                && !world.truth.isOver(job)
-                                                && !world.truth.submitted.get(job).isService())
+                                        cluster.stored("job/" + job) != null
+                                                && !cluster.invariants.isOver(job)
+                                                && !cluster.invariants
+                                                        .submitted
+                                                        .get(job)
+                                                        .isService())
                         .reduce((a, b) -> b)
                         .orElseThrow();
-        world.put(
+        cluster.put(
                 "job/" + jobId,
                 cancelled
                         ? Map.of("format", 2L, "job", "gone", "cancelled", true)
@@ -38,17 +41,17 @@
     }
 
     private static ClusterSimulation day() {
-        ClusterSimulation world = new ClusterSimulation(5, Scenario.PLAIN);
-        world.trouble = 0;
-        world.users(AT + 10_000_000);
-        world.run(AT);
-        return world;
+        ClusterSimulation cluster = new ClusterSimulation(5, Scenario.PLAIN);
+        cluster.trouble = 0;
+        cluster.users(AT + 10_000_000);
+        cluster.run(AT);
+        return cluster;
     }
 
-    private static Object told(ClusterSimulation world, int node, String method, String path) {
+    private static Object told(ClusterSimulation cluster, int node, String method, String path) {
         Map<String, Object> answer =
-                world.ask(node, method, path, method.equals("POST") ? Map.of() : null);
-        world.run(world.loop.now() + 2_000_000);
+                cluster.ask(node, method, path, method.equals("POST") ? Map.of() : null);
+        cluster.run(cluster.loop.now() + 2_000_000);
         assertEquals(200, answer.get("code"));
         return answer.get("status");
     }
@@ -56,46 +59,46 @@
     /** The leader writes what it knows in its place, and the job is done as if nothing had been. */
     @Test
     void aLeaderThatKnowsTheJobWritesItsRecordAnew() {
-        ClusterSimulation world = day();
-        String jobId = damage(world, false);
-        world.run(AT + 8_000_000);
+        ClusterSimulation cluster = day();
+        String jobId = damage(cluster, false);
+        cluster.run(AT + 8_000_000);
         assertTrue(
-                world.stored("job/" + jobId) == null
-                        || world.stored("job/" + jobId).get("job") instanceof Map);
-        world.run(AT + 400_000_000);
-        assertEquals("done", told(world, 0, "GET", "/v1/jobs/" + jobId));
+                cluster.stored("job/" + jobId) == null
+                        || cluster.stored("job/" + jobId).get("job") instanceof Map);
+        cluster.run(AT + 400_000_000);
+        assertEquals("done", told(cluster, 0, "GET", "/v1/jobs/" + jobId));
     }
 
     /** No leader knows it any more: its users hear of it, and can be rid of it. */
     @Test
     void aJobThatNoLeaderKnowsStaysKnownAndCanBeCancelled() {
-        ClusterSimulation world = day();
+        ClusterSimulation cluster = day();
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
-            world.end(i, 2_000_000);
+            cluster.end(i, 2_000_000);
         }
-        String jobId = damage(world, false);
-        world.run(AT + 20_000_000);
+        String jobId = damage(cluster, false);
+        cluster.run(AT + 20_000_000);
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
-            assertEquals("queued", told(world, i, "GET", "/v1/jobs/" + jobId));
+            assertEquals("queued", told(cluster, i, "GET", "/v1/jobs/" + jobId));
         }
-        world.truth.cancelling(jobId);
-        assertEquals("cancelled", told(world, 1, "POST", "/v1/jobs/" + jobId + "/cancel"));
-        assertNull(world.stored("job/" + jobId));
-        assertEquals("cancelled", told(world, 2, "GET", "/v1/jobs/" + jobId));
-        world.run(AT + 200_000_000);
+        cluster.invariants.cancelling(jobId);
+        assertEquals("cancelled", told(cluster, 1, "POST", "/v1/jobs/" + jobId + "/cancel"));
+        assertNull(cluster.stored("job/" + jobId));
+        assertEquals("cancelled", told(cluster, 2, "GET", "/v1/jobs/" + jobId));
+        cluster.run(AT + 200_000_000);
     }
 
     @Test
     void whatWasCancelledStaysCancelledAsLongAsThatFieldCanBeRead() {
-        ClusterSimulation world = day();
+        ClusterSimulation cluster = day();
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
-            world.end(i, 2_000_000);
+            cluster.end(i, 2_000_000);
         }
-        String jobId = damage(world, true);
-        world.truth.cancelling(jobId);
-        world.run(AT + 20_000_000);
-        assertEquals("cancelled", told(world, 0, "GET", "/v1/jobs/" + jobId));
-        assertEquals("cancelled", told(world, 2, "POST", "/v1/jobs/" + jobId + "/cancel"));
+        String jobId = damage(cluster, true);
+        cluster.invariants.cancelling(jobId);
+        cluster.run(AT + 20_000_000);
+        assertEquals("cancelled", told(cluster, 0, "GET", "/v1/jobs/" + jobId));
+        assertEquals("cancelled", told(cluster, 2, "POST", "/v1/jobs/" + jobId + "/cancel"));
     }
 
     /**
@@ -107,17 +110,17 @@
         EventLoop loop = sim.loop();
         UnansweredQueries unanswered = new UnansweredQueries(loop);
         for (int i = 0; i < 3; i++) {
-            unanswered.refused("j-1", true);
-            assertFalse(unanswered.goesFirst("j-1"));
+            unanswered.onRefused("j-1", true);
+            assertFalse(unanswered.hasPriority("j-1"));
             sim.step(sim.now() + 4_000_000);
         }
-        assertTrue(unanswered.goesFirst("j-1"));
+        assertTrue(unanswered.hasPriority("j-1"));
         assertEquals(12_000_000, unanswered.longestMicros());
-        assertNotEquals(true, unanswered.goesFirst("j-2"));
-        unanswered.answered("j-1");
+        assertNotEquals(true, unanswered.hasPriority("j-2"));
+        unanswered.onAnswered("j-1");
         assertEquals(0, unanswered.longestMicros());
-        unanswered.refused("j-2", true);
-        unanswered.refused("j-2", false);
+        unanswered.onRefused("j-2", true);
+        unanswered.onRefused("j-2", false);
         assertEquals(0, unanswered.longestMicros(), "an outage for all picks out nobody");
     }
 }
--- a/src/test/java/org/woadloom/sim/DelayedHeartbeats.java
+++ b/src/test/java/org/woadloom/sim/DelayedHeartbeats.java
@@ -11,14 +11,14 @@
 
     private record Kept(byte[] report, int term) {}
 
-    private final ClusterSimulation world;
+    private final ClusterSimulation cluster;
     private final Random random;
     private final List<Kept> kept = new ArrayList<>();
     private int ofHundred;
     private long until;
 
-    DelayedHeartbeats(ClusterSimulation world, Random random) {
-        this.world = world;
+    DelayedHeartbeats(ClusterSimulation cluster, Random random) {
+        this.cluster = cluster;
         this.random = random;
     }
 
@@ -28,8 +28,8 @@
     }
 
     void sent(Map<String, Object> report) {
-        if (world.loop.now() < until && random.nextInt(100) < ofHundred) {
-            kept.add(new Kept(world.copyOf(report), world.leaderChanges()));
+        if (cluster.loop.now() < until && random.nextInt(100) < ofHundred) {
+            kept.add(new Kept(cluster.copyOf(report), cluster.leaderChanges()));
             if (kept.size() == 1) {
                 look();
             }
@@ -37,18 +37,20 @@
     }
 
     private void look() {
-        int term = world.leaderChanges();
+        int term = cluster.leaderChanges();
         for (Kept copy : kept) {
             for (int node = 0; copy.term < term && node < ClusterSimulation.NODES; node++) {
                 int index = node;
-                world.loop.after(
+                cluster.loop.after(
                         1 + random.nextInt(300_000),
-                        () -> world.keptCopies += world.arrivesAgain(index, copy.report) ? 1 : 0);
+                        () ->
+                                cluster.keptCopies +=
+                                        cluster.arrivesAgain(index, copy.report) ? 1 : 0);
             }
         }
         kept.removeIf(copy -> copy.term < term);
         if (!kept.isEmpty()) {
-            world.loop.after(LOOK_MICROS, this::look);
+            cluster.loop.after(LOOK_MICROS, this::look);
         }
     }
 }
--- a/src/test/java/org/woadloom/sim/ElectionTest.java
+++ b/src/test/java/org/woadloom/sim/ElectionTest.java
@@ -23,8 +23,8 @@
  * lost, or too late.
  */
 class ElectionTest {
-    private static final ServiceSettings.State LIMITS =
-            new ServiceSettings.State(1_000, 400, 8192, 12, null);
+    private static final ServiceSettings.Store LIMITS =
+            new ServiceSettings.Store(1_000, 400, 8192, 12, null);
     private static final long S = 1_000_000;
 
     private final SimulatedEventLoop sim = new SimulatedEventLoop();
@@ -45,7 +45,7 @@
         Election.Fence fence =
                 new Election.Fence() {
                     @Override
-                    public boolean open() {
+                    public boolean isOpen() {
                         return true;
                     }
 
@@ -55,7 +55,7 @@
                     }
 
                     @Override
-                    public void changed() {}
+                    public void onConflict() {}
                 };
         Election election =
                 new Election(
@@ -117,7 +117,7 @@
                         fence,
                         new Election.Listener() {
                             @Override
-                            public void elected(long term, long leaderRevision) {
+                            public void onElected(long term, long leaderRevision) {
                                 assertEquals(
                                         leaderRevision,
                                         stampOfKey(),
@@ -126,12 +126,12 @@
                             }
 
                             @Override
-                            public void deposed(String reason) {
+                            public void onDeposed(String reason) {
                                 ends.add(reason);
                             }
 
                             @Override
-                            public void leaderSeen() {}
+                            public void onLeaderChanged() {}
                         });
         election.start();
         return election;
@@ -191,11 +191,11 @@
         long until = watches == 0 ? S / 10 : 3 * S;
         sim.run(until);
         assertEquals(1 + watches, lost);
-        assertTrue(election.leads(), "leads nobody after " + until);
+        assertTrue(election.isLeader(), "leads nobody after " + until);
         sim.run(30 * S);
         assertEquals(List.of(1L), terms);
         assertEquals(List.of(), ends);
-        assertTrue(election.leads());
+        assertTrue(election.isLeader());
     }
 
     /**
@@ -207,10 +207,10 @@
         earlierProcess = true;
         Election election = start();
         sim.run(S);
-        assertTrue(election.leads());
+        assertTrue(election.isLeader());
         assertEquals(2, terms.get(terms.size() - 1));
         sim.run(30 * S);
-        assertTrue(election.leads());
+        assertTrue(election.isLeader());
         assertEquals(2, terms.get(terms.size() - 1));
     }
 }
--- a/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
@@ -39,19 +39,19 @@
          */
         OLD_REPORTS {
             @Override
-            IntSupplier begin(ClusterSimulation world) {
-                world.copies = 40;
-                world.loop.after(12_000_000, () -> world.hangAll("a", 14_000_000));
-                return () -> world.oldCopies;
+            IntSupplier begin(ClusterSimulation cluster) {
+                cluster.copies = 40;
+                cluster.loop.after(12_000_000, () -> cluster.hangAll("a", 14_000_000));
+                return () -> cluster.oldCopies;
             }
         },
         /** The leader ends while jobs are done in part. */
         ENDS_FAR_APART {
             @Override
-            IntSupplier begin(ClusterSimulation world) {
-                int partly = world.truth.partlyDone();
-                world.endLeader(300_000);
-                world.loop.after(9_000_000, () -> world.restart(0));
+            IntSupplier begin(ClusterSimulation cluster) {
+                int partly = cluster.invariants.partlyDone();
+                cluster.endLeader(300_000);
+                cluster.loop.after(9_000_000, () -> cluster.restart(0));
                 return () -> partly;
             }
         },
@@ -61,35 +61,36 @@
          */
         LATE_WRITES {
             @Override
-            IntSupplier begin(ClusterSimulation world) {
-                world.writeLate(30, 25_000_000);
-                return () -> Math.min(world.lateWritesMade[0], world.lateWritesMade[1]);
+            IntSupplier begin(ClusterSimulation cluster) {
+                cluster.writeLate(30, 25_000_000);
+                return () -> Math.min(cluster.lateWritesMade[0], cluster.lateWritesMade[1]);
             }
         },
         /** All end, one returns at once, and leadership goes back and forth. */
         HAND_OVER_AND_BACK {
             @Override
-            IntSupplier begin(ClusterSimulation world) {
-                long before = world.term();
+            IntSupplier begin(ClusterSimulation cluster) {
+                long before = cluster.term();
                 for (int node = 0; node < ClusterSimulation.NODES; node++) {
-                    world.end(node, node == 0 ? 50_000 : 1_500_000L * node);
+                    cluster.end(node, node == 0 ? 50_000 : 1_500_000L * node);
                 }
                 for (long later = 6_000_000; later < 16_000_000; later += 2_500_000) {
-                    world.loop.after(
-                            later, () -> world.endLeader(50_000 + world.random.nextInt(400_000)));
+                    cluster.loop.after(
+                            later,
+                            () -> cluster.endLeader(50_000 + cluster.random.nextInt(400_000)));
                 }
-                world.loop.after(
-                        6_000_000, () -> world.endInElections(world.loop.now() + 10_000_000));
-                return () -> (int) (world.term() - before) - 2;
+                cluster.loop.after(
+                        6_000_000, () -> cluster.endInElections(cluster.loop.now() + 10_000_000));
+                return () -> (int) (cluster.term() - before) - 2;
             }
         },
         /** The state service refuses the leader alone, users cancel, and it is down for all. */
         REFUSED_THEN_DOWN {
             @Override
-            IntSupplier begin(ClusterSimulation world) {
-                int before = world.truth.cancelledWhileRunning;
-                world.gap(2_500_000, 35_000_000);
-                return () -> world.truth.cancelledWhileRunning - before;
+            IntSupplier begin(ClusterSimulation cluster) {
+                int before = cluster.invariants.cancelledWhileRunning;
+                cluster.gap(2_500_000, 35_000_000);
+                return () -> cluster.invariants.cancelledWhileRunning - before;
             }
         },
         /**
@@ -98,13 +99,16 @@
          */
         HELD_COMMANDS {
             @Override
-            IntSupplier begin(ClusterSimulation world) {
-                world.hangAll("b", 6_000_000);
-                world.loop.after(8_000_000, () -> world.hangAll("a", 3_000_000));
-                world.loop.after(
+            IntSupplier begin(ClusterSimulation cluster) {
+                cluster.hangAll("b", 6_000_000);
+                cluster.loop.after(8_000_000, () -> cluster.hangAll("a", 3_000_000));
+                cluster.loop.after(
                         1_000_000,
-                        () -> world.truth.running().stream().limit(2).forEach(world::cancel));
-                return () -> world.heldCommands;
+                        () ->
+                                cluster.invariants.running().stream()
+                                        .limit(2)
+                                        .forEach(cluster::cancel));
+                return () -> cluster.heldCommands;
             }
         },
         /**
@@ -112,11 +116,11 @@
          */
         LEADER_ENDS_OUT_OF_TOUCH {
             @Override
-            IntSupplier begin(ClusterSimulation world) {
-                world.deafen("a", 2, 28_000_000);
-                world.hangAll("b", 9_000_000);
-                int outOfTouch = world.truth.tasksIn("b");
-                world.loop.after(1_000_000, () -> world.endLeader(2_000_000));
+            IntSupplier begin(ClusterSimulation cluster) {
+                cluster.deafen("a", 2, 28_000_000);
+                cluster.hangAll("b", 9_000_000);
+                int outOfTouch = cluster.invariants.tasksIn("b");
+                cluster.loop.after(1_000_000, () -> cluster.endLeader(2_000_000));
                 return () -> outOfTouch;
             }
         },
@@ -126,13 +130,16 @@
          */
         LONE_LEADER {
             @Override
-            IntSupplier begin(ClusterSimulation world) {
-                int before = world.truth.cancelledWhileRunning;
-                world.isolate(world.leader(), 35_000_000);
-                world.loop.after(
+            IntSupplier begin(ClusterSimulation cluster) {
+                int before = cluster.invariants.cancelledWhileRunning;
+                cluster.isolate(cluster.leader(), 35_000_000);
+                cluster.loop.after(
                         7_000_000,
-                        () -> world.truth.running().stream().limit(4).forEach(world::cancel));
-                return () -> world.truth.cancelledWhileRunning - before;
+                        () ->
+                                cluster.invariants.running().stream()
+                                        .limit(4)
+                                        .forEach(cluster::cancel));
+                return () -> cluster.invariants.cancelledWhileRunning - before;
             }
         },
         /**
@@ -141,17 +148,18 @@
          */
         CLOSE_LOOKS {
             @Override
-            IntSupplier begin(ClusterSimulation world) {
-                world.lookClosely(30_000_000);
-                world.loop.after(8_000_000, () -> world.endLeader(200_000));
-                world.loop.after(
+            IntSupplier begin(ClusterSimulation cluster) {
+                cluster.lookClosely(30_000_000);
+                cluster.loop.after(8_000_000, () -> cluster.endLeader(200_000));
+                cluster.loop.after(
                         14_000_000,
                         () ->
-                                world.refuseState(
-                                        world.random.nextInt(ClusterSimulation.NODES), 6_000_000));
-                world.loop.after(16_000_000, () -> world.cancelNow(4, 0));
-                world.loop.after(22_000_000, () -> world.endLeader(2_000_000));
-                return within(world, () -> world.closeLooks);
+                                cluster.refuseState(
+                                        cluster.random.nextInt(ClusterSimulation.NODES),
+                                        6_000_000));
+                cluster.loop.after(16_000_000, () -> cluster.cancelNow(4, 0));
+                cluster.loop.after(22_000_000, () -> cluster.endLeader(2_000_000));
+                return within(cluster, () -> cluster.closeLooks);
             }
         },
         /**
@@ -160,10 +168,10 @@
          */
         LOST_ANSWERS {
             @Override
-            IntSupplier begin(ClusterSimulation world) {
-                world.loseAnswers(30, 25_000_000);
-                world.loop.after(10_000_000, () -> world.cancelNow(3, 0));
-                return within(world, () -> world.lostAnswersReadElsewhere);
+            IntSupplier begin(ClusterSimulation cluster) {
+                cluster.loseAnswers(30, 25_000_000);
+                cluster.loop.after(10_000_000, () -> cluster.cancelNow(3, 0));
+                return within(cluster, () -> cluster.lostAnswersReadElsewhere);
             }
         },
         /**
@@ -171,56 +179,56 @@
          */
         FOUR_A_SECOND {
             @Override
-            IntSupplier begin(ClusterSimulation world) {
-                world.oneTaskJobs(4, 40_000_000, 25);
-                return within(world, () -> world.oneTaskJobsCancelled);
+            IntSupplier begin(ClusterSimulation cluster) {
+                cluster.oneTaskJobs(4, 40_000_000, 25);
+                return within(cluster, () -> cluster.oneTaskJobsCancelled);
             }
         },
         /** Leaders change ten times in two minutes. */
         TEN_LEADERS {
             @Override
-            IntSupplier begin(ClusterSimulation world) {
-                world.endLeaders(40_000_000);
-                IntSupplier changes = within(world, world::leaderChanges);
+            IntSupplier begin(ClusterSimulation cluster) {
+                cluster.endLeaders(40_000_000);
+                IntSupplier changes = within(cluster, cluster::leaderChanges);
                 return () -> changes.getAsInt() - 3;
             }
         },
         /** The same while the store is down again and again, where leaders end as well. */
         TEN_LEADERS_IN_AN_OUTAGE {
             @Override
-            IntSupplier begin(ClusterSimulation world) {
-                world.endLeaders(40_000_000);
-                world.loop.after(5_000_000, () -> world.stateOutage(8_000_000));
-                world.loop.after(14_000_000, () -> world.stateOutage(3_000_000));
-                IntSupplier changes = within(world, world::leaderChanges);
-                IntSupplier ends = within(world, () -> world.leadersEndedInOutages);
+            IntSupplier begin(ClusterSimulation cluster) {
+                cluster.endLeaders(40_000_000);
+                cluster.loop.after(5_000_000, () -> cluster.stateOutage(8_000_000));
+                cluster.loop.after(14_000_000, () -> cluster.stateOutage(3_000_000));
+                IntSupplier changes = within(cluster, cluster::leaderChanges);
+                IntSupplier ends = within(cluster, () -> cluster.leadersEndedInOutages);
                 return () -> ends.getAsInt() > 0 ? changes.getAsInt() - 3 : -10;
             }
         },
         /** All controllers are away for longer than a lease. */
         ALL_AWAY {
             @Override
-            IntSupplier begin(ClusterSimulation world) {
+            IntSupplier begin(ClusterSimulation cluster) {
                 for (int node = 0; node < ClusterSimulation.NODES; node++) {
-                    world.end(
+                    cluster.end(
                             node,
                             Scenario.SHORT.leaseMicros()
                                     + 2_000_000
-                                    + world.random.nextInt(6_000_000));
+                                    + cluster.random.nextInt(6_000_000));
                 }
-                return within(world, () -> world.truth.killedByLease);
+                return within(cluster, () -> cluster.invariants.killedByLease);
             }
         },
         /** The store is slow while users cancel and look closely. */
         SLOW_STATE {
             @Override
-            IntSupplier begin(ClusterSimulation world) {
-                world.slowState(1_500_000, 30_000_000);
-                world.lookClosely(30_000_000);
+            IntSupplier begin(ClusterSimulation cluster) {
+                cluster.slowState(1_500_000, 30_000_000);
+                cluster.lookClosely(30_000_000);
                 for (long later = 3_000_000; later < 30_000_000; later += 9_000_000) {
-                    world.loop.after(later, () -> world.cancelNow(3, 0));
+                    cluster.loop.after(later, () -> cluster.cancelNow(3, 0));
                 }
-                return within(world, () -> world.truth.cancelledWhileRunning);
+                return within(cluster, () -> cluster.invariants.cancelledWhileRunning);
             }
         },
         /**
@@ -228,18 +236,18 @@
          */
         MORE_THAN_ROOM {
             @Override
-            IntSupplier begin(ClusterSimulation world) {
-                world.slowLinks(400_000, 35_000_000);
-                world.littleRoom(2, 35_000_000);
-                world.oneTaskJobs(2, 30_000_000, 10);
+            IntSupplier begin(ClusterSimulation cluster) {
+                cluster.slowLinks(400_000, 35_000_000);
+                cluster.littleRoom(2, 35_000_000);
+                cluster.oneTaskJobs(2, 30_000_000, 10);
                 int[] waiting = {0};
-                world.loop.after(
+                cluster.loop.after(
                         25_000_000,
                         () ->
                                 waiting[0] =
                                         Math.min(
-                                                world.truth.waiting(Priority.HIGH, false),
-                                                world.truth.waiting(Priority.HIGH, true)));
+                                                cluster.invariants.waiting(Priority.HIGH, false),
+                                                cluster.invariants.waiting(Priority.HIGH, true)));
                 return () -> waiting[0];
             }
         };
@@ -247,13 +255,13 @@
         /**
          * Brings it about; what is returned tells in the end how often that has come to something.
          */
-        abstract IntSupplier begin(ClusterSimulation world);
+        abstract IntSupplier begin(ClusterSimulation cluster);
 
         /** By how much it has grown until the next one begins. */
-        private static IntSupplier within(ClusterSimulation world, IntSupplier count) {
+        private static IntSupplier within(ClusterSimulation cluster, IntSupplier count) {
             int before = count.getAsInt();
             int[] grown = {0};
-            world.loop.after(EVERY - 4_000_000, () -> grown[0] = count.getAsInt() - before);
+            cluster.loop.after(EVERY - 4_000_000, () -> grown[0] = count.getAsInt() - before);
             return () -> grown[0];
         }
     }
@@ -263,31 +271,31 @@
     }
 
     private static void day(long seed, Scenario day, Set<Meeting> meetings) {
-        ClusterSimulation world = new ClusterSimulation(seed, day);
-        world.users(TROUBLED);
-        world.truth.calmFrom = TROUBLED + 60_000_000;
-        world.brokenFrom = AT;
+        ClusterSimulation cluster = new ClusterSimulation(seed, day);
+        cluster.users(TROUBLED);
+        cluster.invariants.calmFrom = TROUBLED + 60_000_000;
+        cluster.brokenFrom = AT;
         Map<Meeting, List<IntSupplier>> begun = new EnumMap<>(Meeting.class);
         meetings.forEach(meeting -> begun.put(meeting, new ArrayList<>()));
         for (int i = 0; i < TIMES; i++) {
             meetings.forEach(
                     meeting ->
-                            world.loop.after(
-                                    AT + world.random.nextInt(4_000_000),
+                            cluster.loop.after(
+                                    AT + cluster.random.nextInt(4_000_000),
                                     () -> {
-                                        if (world.stored("leader") != null) {
-                                            begun.get(meeting).add(meeting.begin(world));
+                                        if (cluster.stored("leader") != null) {
+                                            begun.get(meeting).add(meeting.begin(cluster));
                                         }
                                     }));
-            world.run(world.loop.now() + EVERY);
+            cluster.run(cluster.loop.now() + EVERY);
         }
-        world.run(TROUBLED + 400_000_000);
+        cluster.run(TROUBLED + 400_000_000);
         begun.forEach(
                 (meeting, times) ->
                         assertTrue(
                                 times.stream().mapToInt(IntSupplier::getAsInt).sum() > 0,
                                 meeting + " did not occur, seed " + seed));
-        assertEquals(List.of(), world.unfinished(), "seed " + seed);
+        assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
     }
 
     @ParameterizedTest
@@ -347,13 +355,13 @@
     void aWordThatIsCarriedOutLateReplacesNoNewerOne() {
         int late = 0;
         for (long seed = 1; seed <= 12; seed++) {
-            ClusterSimulation world = new ClusterSimulation(seed, Scenario.PLAIN);
-            world.writeLate(45, 25_000_000);
-            world.run(90_000_000);
-            late += world.lateWritesMade[0] + world.lateWritesMade[1];
+            ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
+            cluster.writeLate(45, 25_000_000);
+            cluster.run(90_000_000);
+            late += cluster.lateWritesMade[0] + cluster.lateWritesMade[1];
             for (int node = 0; node < ClusterSimulation.NODES; node++) {
                 assertNotNull(
-                        world.stored(StoreKeys.ROLLOUT_NODES + ClusterSimulation.label(node)),
+                        cluster.stored(StoreKeys.ROLLOUT_NODES + ClusterSimulation.label(node)),
                         "no word of node " + node + ", seed " + seed);
             }
         }
--- a/src/test/java/org/woadloom/sim/FleetLoadGenerator.java
+++ b/src/test/java/org/woadloom/sim/FleetLoadGenerator.java
@@ -51,8 +51,8 @@
     private final Random random = new Random(1);
     private final SimulatedEventLoop clock = new SimulatedEventLoop();
     private final SimulatedStore state =
-            new SimulatedStore(clock, new ServiceSettings.State(10_000, 10_000, 16_384, 16, null));
-    private final Map<String, Worker> workers = new LinkedHashMap<>();
+            new SimulatedStore(clock, new ServiceSettings.Store(10_000, 10_000, 16_384, 16, null));
+    private final Map<String, Worker> agents = new LinkedHashMap<>();
     private final Map<String, List<Object>> claims = new LinkedHashMap<>();
     private final List<String> nodes = new ArrayList<>();
     private final List<Process> processes = new ArrayList<>();
@@ -73,18 +73,18 @@
         this.machines = machines;
         this.measureMicros = seconds * 1_000_000L;
         this.extra = extra;
-        XnioWorker worker =
+        XnioWorker agent =
                 Xnio.getInstance()
                         .createWorker(
                                 OptionMap.builder()
                                         .set(Options.WORKER_IO_THREADS, 1)
                                         .set(Options.WORKER_TASK_CORE_THREADS, 1)
                                         .getMap());
-        thread = worker.getIoThread();
+        thread = agent.getIoThread();
         loop = new XnioEventLoop(thread);
         users = new UndertowTransport(loop, thread, buffers, 500);
         Undertow.builder()
-                .setWorker(worker)
+                .setWorker(agent)
                 .setByteBufferPool(buffers)
                 .addHttpListener(port, "0.0.0.0")
                 .setHandler(
@@ -181,7 +181,7 @@
         double seconds = measureMicros / 1e6;
         System.out.printf(
                 "%d workers, %.0f reports, %.0f launches, %.0f polls a second, %.0f jobs%n",
-                workers.size(),
+                agents.size(),
                 (now[0] - counts[0]) / seconds,
                 (now[1] - counts[1]) / seconds,
                 (now[2] - counts[2]) / seconds,
@@ -211,8 +211,8 @@
         loop.execute(
                 () -> {
                     long term = 0;
-                    for (Worker worker : workers.values()) {
-                        term = Math.max(term, worker.fencingToken >> AgentLiveness.FENCE_BITS);
+                    for (Worker agent : agents.values()) {
+                        term = Math.max(term, agent.fencingToken >> AgentLiveness.FENCE_BITS);
                     }
                     ending.destroyForcibly();
                     listedBytes = 0;
@@ -224,10 +224,10 @@
 
     private void watchTakeOver(long from, long term, CountDownLatch done) {
         long reached =
-                workers.values().stream()
+                agents.values().stream()
                         .filter(w -> w.fencingToken >> AgentLiveness.FENCE_BITS > term)
                         .count();
-        if (reached >= workers.size() * 0.95 && firstLaunch >= 0) {
+        if (reached >= agents.size() * 0.95 && firstLaunch >= 0) {
             System.out.printf(
                     "takeover: first launch after %.1f s, 95 %% of the workers reached after %.1f"
                             + " s, %d KB of records read%n",
@@ -426,16 +426,16 @@
         String path = exchange.getRequestPath() + (query.isEmpty() ? "" : "?" + query);
         Map<String, Object> map = decode(body);
         if (path.equals("/do")) {
-            Worker worker =
-                    workers.get(
+            Worker agent =
+                    agents.get(
                             "host-"
                                     + exchange.getDestinationAddress()
                                             .getAddress()
                                             .getHostAddress());
             reply(
                     exchange,
-                    worker == null ? 400 : 200,
-                    worker == null ? Map.of() : worker.direct(map));
+                    agent == null ? 400 : 200,
+                    agent == null ? Map.of() : agent.direct(map));
         } else if (path.startsWith("/machine")) {
             reply(exchange, 200, cloud(exchange.getRequestMethod().toString(), path, map));
         } else {
@@ -493,15 +493,15 @@
             ((List<?>) body.get("hosts"))
                     .forEach(
                             host -> {
-                                Worker worker = workers.remove(host);
-                                if (worker != null) {
-                                    worker.gone = true;
+                                Worker agent = agents.remove(host);
+                                if (agent != null) {
+                                    agent.gone = true;
                                 }
                             });
             return Map.of();
         }
         List<Object> hosts = new ArrayList<>();
-        workers.values()
+        agents.values()
                 .forEach(
                         w ->
                                 hosts.add(
@@ -526,14 +526,14 @@
     private List<Object> rent(Map<String, Object> body) {
         List<Object> hosts = new ArrayList<>();
         for (long i = 0; i < (Long) body.get("count"); i++) {
-            Worker worker =
+            Worker agent =
                     new Worker(
-                            workers.size() + claims.size() * 64,
+                            agents.size() + claims.size() * 64,
                             (String) body.get("yard"),
                             (Boolean) body.get("reclaimable"));
-            if (workers.putIfAbsent(worker.host, worker) == null) {
-                hosts.add(worker.host);
-                loop.schedule(1_000_000 + random.nextInt(2_000_000), worker::report);
+            if (agents.putIfAbsent(agent.host, agent) == null) {
+                hosts.add(agent.host);
+                loop.schedule(1_000_000 + random.nextInt(2_000_000), agent::report);
             }
         }
         return hosts;
--- a/src/test/java/org/woadloom/sim/InvariantChecker.java
+++ b/src/test/java/org/woadloom/sim/InvariantChecker.java
@@ -81,7 +81,7 @@
         this.settings = settings;
     }
 
-    void started(TaskId task, SimulatedAgent worker) {
+    void started(TaskId task, SimulatedAgent agent) {
         starts++;
         ran.add(task.jobId());
         JobDescription job = submitted.get(task.jobId());
@@ -93,19 +93,19 @@
             releases++;
         }
         SimulatedAgent other = on.get(task);
-        if (other != null && other != worker) {
+        if (other != null && other != agent) {
             throw new InvariantViolation(
-                    "ran_twice", task + " starts on " + worker.host + " while on " + other.host);
+                    "ran_twice", task + " starts on " + agent.host + " while on " + other.host);
         }
-        if (!worker.fits(job)) {
-            throw new InvariantViolation("wrong_place", task + " on " + worker.host);
+        if (!agent.fits(job)) {
+            throw new InvariantViolation("wrong_place", task + " on " + agent.host);
         }
         int sameYard = 1;
         for (Map.Entry<TaskId, SimulatedAgent> entry : on.entrySet()) {
             if (!entry.getKey().jobId().equals(task.jobId()) || entry.getKey().equals(task)) {
                 continue;
             }
-            if (entry.getValue().zone.equals(worker.zone)) {
+            if (entry.getValue().zone.equals(agent.zone)) {
                 sameYard++;
             } else if (job.sameZone()) {
                 throw new InvariantViolation("wrong_place", task + " starts apart from its job");
@@ -113,10 +113,10 @@
         }
         if (job.spreadAcrossZones() && sameYard > (job.taskCount() + 1) / 2) {
             throw new InvariantViolation(
-                    "wrong_place", task + " makes " + sameYard + " in " + worker.zone);
+                    "wrong_place", task + " makes " + sameYard + " in " + agent.zone);
         }
         startsAfterCancellation += toldCancelled.containsKey(task.jobId()) ? 1 : 0;
-        on.put(task, worker);
+        on.put(task, agent);
         Team team = settings.team(job.team());
         double cpus = used(job.team());
         if (cpus > team.cpusMax() + 1e-6) {
@@ -125,13 +125,13 @@
         cancelCheck(task);
     }
 
-    void ended(TaskId task, SimulatedAgent worker, boolean completed) {
+    void ended(TaskId task, SimulatedAgent agent, boolean completed) {
         freed.add(
                 new End(
                         loop.now(),
                         submitted.get(task.jobId()).team(),
                         submitted.get(task.jobId()).cpus()));
-        on.remove(task, worker);
+        on.remove(task, agent);
         if (completed && done.add(task) && allDone(task.jobId())) {
             lastTaskEnded.accept(task.jobId());
         }
@@ -148,9 +148,9 @@
     Set<SimulatedAgent> machinesOf(Collection<String> jobs) {
         Set<SimulatedAgent> machines = new LinkedHashSet<>();
         on.forEach(
-                (task, worker) -> {
+                (task, agent) -> {
                     if (jobs.contains(task.jobId())) {
-                        machines.add(worker);
+                        machines.add(agent);
                     }
                 });
         return machines;
@@ -191,7 +191,7 @@
      * team's limit. What fetches its image counts for the limit here, and what ended a moment ago,
      * of which no leader may have heard yet: a team whose short tasks follow each other is at it.
      */
-    void checkWaiting(Collection<SimulatedAgent> workers) {
+    void checkWaiting(Collection<SimulatedAgent> agents) {
         if (loop.now() < calmFrom) {
             return;
         }
@@ -207,9 +207,9 @@
                             && !job.spreadAcrossZones()
                             && job.dependencies().stream().allMatch(this::allDone)
                             && hasWaiting(job)
-                            && heldOrJustFreed(job.team(), workers) + job.cpus()
+                            && heldOrJustFreed(job.team(), agents) + job.cpus()
                                     <= settings.team(job.team()).cpusMax()
-                            && workers.stream().anyMatch(worker -> worker.takes(job));
+                            && agents.stream().anyMatch(agent -> agent.takes(job));
             if (!could) {
                 couldBegin.remove(jobId);
             } else if (loop.now() - couldBegin.computeIfAbsent(jobId, key -> loop.now())
@@ -224,9 +224,9 @@
         }
     }
 
-    private double heldOrJustFreed(String team, Collection<SimulatedAgent> workers) {
+    private double heldOrJustFreed(String team, Collection<SimulatedAgent> agents) {
         freed.removeIf(end -> loop.now() - end.micros > HEARD_MICROS);
-        return workers.stream().mapToDouble(worker -> worker.held(team)).sum()
+        return agents.stream().mapToDouble(agent -> agent.held(team)).sum()
                 + freed.stream().filter(end -> end.team.equals(team)).mapToDouble(End::cpus).sum();
     }
 
@@ -264,7 +264,7 @@
     }
 
     int tasksIn(String zone) {
-        return (int) on.values().stream().filter(worker -> worker.zone.equals(zone)).count();
+        return (int) on.values().stream().filter(agent -> agent.zone.equals(zone)).count();
     }
 
     /** A task of the job was started on some machine. */
@@ -278,7 +278,7 @@
 
     private void cancelCheck(TaskId task) {
         Long told = toldCancelled.get(task.jobId());
-        if (told != null && loop.now() - told > settings.workers().cancelMicros()) {
+        if (told != null && loop.now() - told > settings.agents().cancelMicros()) {
             throw new InvariantViolation(
                     "ran_cancelled", task + " is on a machine too long after the cancellation");
         }
@@ -342,7 +342,7 @@
         }
         if (said.equals("queued") || said.equals("running")) {
             Long told = cancelledBefore(jobId);
-            if (told != null && told + settings.workers().cancelMicros() < sent) {
+            if (told != null && told + settings.agents().cancelMicros() < sent) {
                 throw new InvariantViolation("orphaned", jobId + " is " + said);
             }
         }
--- a/src/test/java/org/woadloom/sim/JobLogLinesTest.java
+++ b/src/test/java/org/woadloom/sim/JobLogLinesTest.java
@@ -25,18 +25,18 @@
 
     @Test
     void linesOfJobsAreFound() {
-        ClusterSimulation world = new ClusterSimulation(1, Scenario.PLAIN);
+        ClusterSimulation cluster = new ClusterSimulation(1, Scenario.PLAIN);
         List<String> lines = new ArrayList<>();
-        world.stepObserver =
-                (node, now, commands, effects) ->
-                        effects.forEach(
-                                effect -> {
-                                    if (effect instanceof SchedulerAction.Log note) {
+        cluster.stepObserver =
+                (node, now, commands, actions) ->
+                        actions.forEach(
+                                action -> {
+                                    if (action instanceof SchedulerAction.Log note) {
                                         lines.add(note.entry().toString());
                                     }
                                 });
-        world.users(DAY_MICROS);
-        world.loop.run(DAY_MICROS);
+        cluster.users(DAY_MICROS);
+        cluster.loop.run(DAY_MICROS);
         for (Pattern form : List.of(ACCEPTED, DONE, CANCELLED)) {
             assertTrue(lines.stream().anyMatch(line -> form.matcher(line).find()), form.pattern());
         }
--- a/src/test/java/org/woadloom/sim/LoopbackNode.java
+++ b/src/test/java/org/woadloom/sim/LoopbackNode.java
@@ -25,7 +25,7 @@
     final SimulatedStore state =
             new SimulatedStore(
                     new SimulatedEventLoop(),
-                    new ServiceSettings.State(1_000, 1_000, 16_384, 16, null));
+                    new ServiceSettings.Store(1_000, 1_000, 16_384, 16, null));
     private Undertow outside;
     String address;
 
--- a/src/test/java/org/woadloom/sim/LoopbackTest.java
+++ b/src/test/java/org/woadloom/sim/LoopbackTest.java
@@ -78,7 +78,7 @@
         assertEquals(201, submit("j-2", "service", null));
         // The other node that the settings name has given no word.
         assertEquals(503, submit("j-3", "batch", List.of("j-1")));
-        NodeAnnouncement word =
+        NodeAnnouncement announcement =
                 new NodeAnnouncement(
                         7, Feature.known(), Feature.known(), Set.of("other", "rehearsal"), 1, 0);
         assertEquals(
@@ -97,7 +97,7 @@
                                                                 "put",
                                                                 "rollout/node/other",
                                                                 "value",
-                                                                word.toMap())))))
+                                                                announcement.toMap())))))
                         .statusCode());
         int chained = 503;
         for (int i = 0; chained == 503 && i < 2_000; i++) {
--- a/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
@@ -29,11 +29,11 @@
 
     enum OutOfTouch {
         /** It opens no connection; commands reach it and their answers arrive. */
-        CLOSED_IN((worker, until) -> worker.closedInUntil = until),
+        CLOSED_IN((agent, until) -> agent.closedInUntil = until),
         /** Commands reach it, and nothing that it says arrives. */
-        MUTE((worker, until) -> worker.muteUntil = until),
-        DEAF((worker, until) -> worker.deafUntil = until),
-        HANGS((worker, until) -> worker.hungUntil = until);
+        MUTE((agent, until) -> agent.muteUntil = until),
+        DEAF((agent, until) -> agent.deafUntil = until),
+        HANGS((agent, until) -> agent.hungUntil = until);
 
         private final BiConsumer<SimulatedAgent, Long> how;
 
@@ -41,8 +41,8 @@
             this.how = how;
         }
 
-        void befall(SimulatedAgent worker, long until) {
-            how.accept(worker, until);
+        void befall(SimulatedAgent agent, long until) {
+            how.accept(agent, until);
         }
     }
 
@@ -53,15 +53,15 @@
 
     /** No other trouble than the one that the test makes; leases are 20 s. */
     private static ClusterSimulation day(long seed, Scenario.Times told) {
-        ClusterSimulation world =
+        ClusterSimulation cluster =
                 new ClusterSimulation(
                         seed,
                         new Scenario(Scenario.LONG, told, Version.NOW, Scenario.Flaw.NONE, 0));
-        world.trouble = 0;
-        world.users(AT + 60_000_000);
-        world.truth.calmFrom = AT + 150_000_000;
-        world.run(AT);
-        return world;
+        cluster.trouble = 0;
+        cluster.users(AT + 60_000_000);
+        cluster.invariants.calmFrom = AT + 150_000_000;
+        cluster.run(AT);
+        return cluster;
     }
 
     /**
@@ -69,21 +69,21 @@
      * end.
      */
     private static List<SimulatedAgent> befall(
-            ClusterSimulation world, List<OutOfTouch> kinds, int oneIn, long forMicros) {
+            ClusterSimulation cluster, List<OutOfTouch> kinds, int oneIn, long forMicros) {
         List<SimulatedAgent> troubled = new ArrayList<>();
         List<SimulatedAgent> busy =
-                world.workers().stream().filter(worker -> !worker.running().isEmpty()).toList();
+                cluster.agents().stream().filter(agent -> !agent.running().isEmpty()).toList();
         for (int i = 0; i < busy.size(); i += oneIn) {
             kinds.get(troubled.size() % kinds.size())
-                    .befall(busy.get(i), world.loop.now() + forMicros);
+                    .befall(busy.get(i), cluster.loop.now() + forMicros);
             troubled.add(busy.get(i));
         }
         return troubled;
     }
 
-    private static Set<TaskId> tasksOn(List<SimulatedAgent> workers) {
+    private static Set<TaskId> tasksOn(List<SimulatedAgent> agents) {
         Set<TaskId> tasks = new LinkedHashSet<>();
-        workers.forEach(worker -> tasks.addAll(worker.running()));
+        agents.forEach(agent -> tasks.addAll(agent.running()));
         return tasks;
     }
 
@@ -91,18 +91,15 @@
      * Those of the tasks that are neither done nor called off, and run on none of these machines.
      */
     private static List<TaskId> left(
-            ClusterSimulation world, Set<TaskId> tasks, List<SimulatedAgent> notOn) {
+            ClusterSimulation cluster, Set<TaskId> tasks, List<SimulatedAgent> notOn) {
         Set<TaskId> running =
-                tasksOn(
-                        world.workers().stream()
-                                .filter(worker -> !notOn.contains(worker))
-                                .toList());
+                tasksOn(cluster.agents().stream().filter(agent -> !notOn.contains(agent)).toList());
         return tasks.stream()
                 .filter(
                         task ->
                                 !running.contains(task)
-                                        && !world.truth.isDone(task)
-                                        && !world.truth.isOver(task.jobId()))
+                                        && !cluster.invariants.isDone(task)
+                                        && !cluster.invariants.isOver(task.jobId()))
                 .toList();
     }
 
@@ -127,36 +124,36 @@
         int befallen = 0;
         int moved = 0;
         for (long seed = 1; seed <= seeds(2); seed++) {
-            ClusterSimulation world = day(seed, Scenario.LONG);
+            ClusterSimulation cluster = day(seed, Scenario.LONG);
             List<SimulatedAgent> troubled =
                     befall(
-                            world,
+                            cluster,
                             kind == null ? List.of(OutOfTouch.values()) : List.of(kind),
                             oneIn,
                             60_000_000);
             Set<TaskId> tasks = tasksOn(troubled);
             List<SimulatedAgent> others =
-                    world.workers().stream().filter(worker -> !troubled.contains(worker)).toList();
-            long term = world.term();
+                    cluster.agents().stream().filter(agent -> !troubled.contains(agent)).toList();
+            long term = cluster.term();
             if (leaderEnds == 1) {
-                world.loop.after(3_000_000, () -> world.endLeader(12_000_000));
+                cluster.loop.after(3_000_000, () -> cluster.endLeader(12_000_000));
             }
-            world.run(AT + 59_000_000);
-            assertEquals(leaderEnds == 1, world.term() > term);
+            cluster.run(AT + 59_000_000);
+            assertEquals(leaderEnds == 1, cluster.term() > term);
             assertEquals(
                     0,
-                    others.stream().mapToInt(worker -> worker.killedByLease).sum(),
+                    others.stream().mapToInt(agent -> agent.killedByLease).sum(),
                     "killed on machines without trouble, seed " + seed);
             assertEquals(
                     List.of(),
-                    left(world, tasks, troubled),
+                    left(cluster, tasks, troubled),
                     "neither done nor elsewhere after 59 s, seed " + seed);
             befallen += troubled.size();
             moved += tasks.size();
             // One team's limit has room for three of its larger tasks at a time, and seed 2 brings
             // it many.
-            world.run(AT + 420_000_000);
-            assertEquals(List.of(), world.unfinished(), "seed " + seed);
+            cluster.run(AT + 420_000_000);
+            assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
         }
         assertTrue(
                 befallen >= 2 && moved > 0,
@@ -168,12 +165,12 @@
     @EnumSource
     void withinALeaseNothingIsKilled(OutOfTouch kind) {
         for (long seed = 1; seed <= seeds(2); seed++) {
-            ClusterSimulation world = day(seed, Scenario.LONG);
-            int killed = world.truth.killedByLease;
-            List<SimulatedAgent> troubled = befall(world, List.of(kind), 3, 8_000_000);
+            ClusterSimulation cluster = day(seed, Scenario.LONG);
+            int killed = cluster.invariants.killedByLease;
+            List<SimulatedAgent> troubled = befall(cluster, List.of(kind), 3, 8_000_000);
             assertTrue(!troubled.isEmpty());
-            world.run(AT + 30_000_000);
-            assertEquals(killed, world.truth.killedByLease);
+            cluster.run(AT + 30_000_000);
+            assertEquals(killed, cluster.invariants.killedByLease);
         }
     }
 
@@ -185,15 +182,15 @@
     @ValueSource(ints = {10, 3})
     void machinesThatAreClosedInForLessThanALeaseAreKept(int oneIn) {
         for (long seed = 1; seed <= seeds(3); seed++) {
-            ClusterSimulation world = day(seed, Scenario.LONG);
-            int killed = world.truth.killedByLease;
+            ClusterSimulation cluster = day(seed, Scenario.LONG);
+            int killed = cluster.invariants.killedByLease;
             List<SimulatedAgent> troubled =
-                    befall(world, List.of(OutOfTouch.CLOSED_IN), oneIn, 15_000_000);
-            world.run(AT + 16_000_000);
-            assertEquals(killed, world.truth.killedByLease);
+                    befall(cluster, List.of(OutOfTouch.CLOSED_IN), oneIn, 15_000_000);
+            cluster.run(AT + 16_000_000);
+            assertEquals(killed, cluster.invariants.killedByLease);
             assertEquals(
                     0,
-                    troubled.stream().filter(worker -> worker.dead).count(),
+                    troubled.stream().filter(agent -> agent.dead).count(),
                     "given up, seed " + seed);
         }
     }
@@ -206,10 +203,10 @@
                         InvariantViolation.class,
                         () -> {
                             for (long seed = 1; seed <= 20; seed++) {
-                                ClusterSimulation world =
+                                ClusterSimulation cluster =
                                         day(seed, new Scenario.Times(9_000_000, 50_000_000));
-                                befall(world, List.of(OutOfTouch.CLOSED_IN), 2, 60_000_000);
-                                world.run(AT + 60_000_000);
+                                befall(cluster, List.of(OutOfTouch.CLOSED_IN), 2, 60_000_000);
+                                cluster.run(AT + 60_000_000);
                             }
                         });
         assertTrue(
@@ -224,31 +221,32 @@
     @Test
     void afterAllControllersWereAwayWorkBeginsAnewAtOnce() {
         for (long seed = 1; seed <= seeds(3); seed++) {
-            ClusterSimulation world = day(seed, Scenario.LONG);
-            int killed = world.truth.killedByLease;
-            Set<TaskId> tasks = tasksOn(world.workers());
+            ClusterSimulation cluster = day(seed, Scenario.LONG);
+            int killed = cluster.invariants.killedByLease;
+            Set<TaskId> tasks = tasksOn(cluster.agents());
             for (int node = 0; node < ClusterSimulation.NODES; node++) {
-                world.end(node, 32_000_000 + 300_000 * node);
+                cluster.end(node, 32_000_000 + 300_000 * node);
             }
-            world.run(AT + 32_000_000);
+            cluster.run(AT + 32_000_000);
             assertTrue(
-                    world.truth.killedByLease > killed && !tasks.isEmpty(),
+                    cluster.invariants.killedByLease > killed && !tasks.isEmpty(),
                     "no lease ended, seed " + seed);
-            int starts = world.truth.starts;
-            long begins = world.loop.now();
-            while (world.truth.starts == starts && world.loop.now() < begins + 60_000_000) {
-                world.run(world.loop.now() + 100_000);
+            int starts = cluster.invariants.starts;
+            long begins = cluster.loop.now();
+            while (cluster.invariants.starts == starts
+                    && cluster.loop.now() < begins + 60_000_000) {
+                cluster.run(cluster.loop.now() + 100_000);
             }
             assertTrue(
-                    world.loop.now() - begins < 15_000_000,
+                    cluster.loop.now() - begins < 15_000_000,
                     "first start after "
-                            + (world.loop.now() - begins) / 1_000_000
+                            + (cluster.loop.now() - begins) / 1_000_000
                             + " s, seed "
                             + seed);
-            world.run(begins + 60_000_000);
+            cluster.run(begins + 60_000_000);
             assertEquals(
                     List.of(),
-                    left(world, tasks, List.of()),
+                    left(cluster, tasks, List.of()),
                     "neither done nor begun anew, seed " + seed);
         }
     }
@@ -260,34 +258,34 @@
     void rentalsAndDeletionsThatAreCarriedOutLate() {
         Map<String, Integer> count = new LinkedHashMap<>();
         for (long seed = 1; seed <= seeds(4); seed++) {
-            ClusterSimulation world = new ClusterSimulation(seed, Scenario.PLAIN);
-            world.users(150_000_000);
-            world.truth.calmFrom = 230_000_000;
-            world.loop.after(3_000_000, () -> world.cloudLate(60, 150_000_000));
+            ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
+            cluster.users(150_000_000);
+            cluster.invariants.calmFrom = 230_000_000;
+            cluster.loop.after(3_000_000, () -> cluster.cloudLate(60, 150_000_000));
             for (long at = 25_000_000; at < 160_000_000; at += 14_000_000) {
                 // It is given up, and the leader that asks for its deletion ends.
-                world.loop.after(
+                cluster.loop.after(
                         at - 12_000_000,
                         () ->
-                                world.workers().stream()
-                                        .filter(worker -> !worker.running().isEmpty())
+                                cluster.agents().stream()
+                                        .filter(agent -> !agent.running().isEmpty())
                                         .limit(2)
                                         .forEach(
-                                                worker ->
-                                                        worker.hungUntil =
-                                                                world.loop.now() + 25_000_000));
-                world.loop.after(at, () -> world.endLeader(500_000));
+                                                agent ->
+                                                        agent.hungUntil =
+                                                                cluster.loop.now() + 25_000_000));
+                cluster.loop.after(at, () -> cluster.endLeader(500_000));
             }
-            world.run(480_000_000);
-            assertEquals(List.of(), world.unfinished(), "seed " + seed);
+            cluster.run(480_000_000);
+            assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
             Set<String> left = new HashSet<>();
-            world.workers().stream()
-                    .filter(worker -> !worker.dead && worker.started == 0)
-                    .forEach(worker -> left.add(worker.host));
-            left.retainAll(world.unexpectedMachines());
+            cluster.agents().stream()
+                    .filter(agent -> !agent.dead && agent.started == 0)
+                    .forEach(agent -> left.add(agent.host));
+            left.retainAll(cluster.unexpectedMachines());
             assertEquals(Set.of(), left, "neither used nor returned, seed " + seed);
-            count.merge("unexpected", world.unexpectedMachines().size(), Integer::sum);
-            count.merge("deleted for others", world.deletedForOthers(), Integer::sum);
+            count.merge("unexpected", cluster.unexpectedMachines().size(), Integer::sum);
+            count.merge("deleted for others", cluster.deletedForOthers(), Integer::sum);
         }
         assertTrue(
                 count.get("unexpected") >= 5 && count.get("deleted for others") >= 3, "" + count);
@@ -301,49 +299,49 @@
     void machinesThatAreUpAtOnceWhileWritesLagAndTheLeaderEnds() {
         Map<String, Integer> count = new LinkedHashMap<>();
         for (long seed = 1; seed <= seeds(3); seed++) {
-            ClusterSimulation world = new ClusterSimulation(seed, Scenario.PLAIN);
-            world.users(170_000_000);
-            world.truth.calmFrom = 240_000_000;
-            world.run(10_000_000);
-            long term = world.term();
-            world.quickMachines(150_000_000);
-            world.writeLate(20, 150_000_000);
-            world.loseAnswers(15, 150_000_000);
-            world.slowState(1_200_000, 150_000_000);
-            Set<SimulatedAgent> met = new HashSet<>(world.workers());
+            ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
+            cluster.users(170_000_000);
+            cluster.invariants.calmFrom = 240_000_000;
+            cluster.run(10_000_000);
+            long term = cluster.term();
+            cluster.quickMachines(150_000_000);
+            cluster.writeLate(20, 150_000_000);
+            cluster.loseAnswers(15, 150_000_000);
+            cluster.slowState(1_200_000, 150_000_000);
+            Set<SimulatedAgent> met = new HashSet<>(cluster.agents());
             int[] young = {0, 0};
             for (long at = 500_000; at < 150_000_000; at += 500_000) {
-                world.loop.after(
+                cluster.loop.after(
                         at,
                         () ->
-                                world.workers().stream()
-                                        .filter(
-                                                worker ->
-                                                        !met.contains(worker) && worker.started > 0)
+                                cluster.agents().stream()
+                                        .filter(agent -> !met.contains(agent) && agent.started > 0)
                                         .forEach(
-                                                worker -> {
+                                                agent -> {
                                                     // The first that is seen at work ends its
                                                     // leader, every second one ends itself as well.
-                                                    met.add(worker);
+                                                    met.add(agent);
                                                     young[0]++;
                                                     if (young[0] % 3 == 1) {
-                                                        world.endLeader(300_000);
+                                                        cluster.endLeader(300_000);
                                                     }
                                                     if (young[0] % 2 == 0) {
                                                         young[1]++;
-                                                        worker.die();
+                                                        agent.die();
                                                     }
                                                 }));
             }
-            world.run(480_000_000);
-            assertEquals(List.of(), world.unfinished(), "seed " + seed);
-            count.merge("quick", world.quickBoots, Integer::sum);
+            cluster.run(480_000_000);
+            assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
+            count.merge("quick", cluster.quickBoots, Integer::sum);
             count.merge("at work", young[0], Integer::sum);
             count.merge("ended", young[1], Integer::sum);
-            count.merge("terms", (int) (world.term() - term), Integer::sum);
+            count.merge("terms", (int) (cluster.term() - term), Integer::sum);
             count.merge(
-                    "late writes", world.lateWritesMade[0] + world.lateWritesMade[1], Integer::sum);
-            count.merge("lost answers", world.lostAnswersMade, Integer::sum);
+                    "late writes",
+                    cluster.lateWritesMade[0] + cluster.lateWritesMade[1],
+                    Integer::sum);
+            count.merge("lost answers", cluster.lostAnswersMade, Integer::sum);
         }
         assertTrue(count.values().stream().allMatch(times -> times >= 10), "" + count);
     }
