--- a/src/test/java/org/woadloom/sim/PartitionedZoneTest.java
+++ b/src/test/java/org/woadloom/sim/PartitionedZoneTest.java
@@ -19,32 +19,32 @@
 
     /** Zone "a" has two of the three nodes, zone "b" one. */
     private static ClusterSimulation cut(long seed, String zone, long forMicros) {
-        ClusterSimulation world = day(seed);
-        world.loop.after(CUT_AT, () -> world.island(zone, forMicros));
-        return world;
+        ClusterSimulation cluster = day(seed);
+        cluster.loop.after(CUT_AT, () -> cluster.island(zone, forMicros));
+        return cluster;
     }
 
     /** No other trouble than the one that the test makes. */
     private static ClusterSimulation day(long seed) {
-        ClusterSimulation world =
+        ClusterSimulation cluster =
                 new ClusterSimulation(
                         seed,
                         new Scenario(
                                 Scenario.LONG, Scenario.LONG, Version.NOW, Scenario.Flaw.NONE, 0));
-        world.trouble = 0;
-        world.users(QUIET);
-        return world;
+        cluster.trouble = 0;
+        cluster.users(QUIET);
+        return cluster;
     }
 
     /**
      * Lets the cut pass, and tells how many tasks leases killed from its beginning until a little
      * after its end.
      */
-    private static int killedMeanwhile(ClusterSimulation world) {
-        world.run(CUT_AT - 1);
-        int before = world.truth.killedByLease;
-        world.run(CUT_AT + BRIDGED + 2_000_000);
-        return world.truth.killedByLease - before;
+    private static int killedMeanwhile(ClusterSimulation cluster) {
+        cluster.run(CUT_AT - 1);
+        int before = cluster.invariants.killedByLease;
+        cluster.run(CUT_AT + BRIDGED + 2_000_000);
+        return cluster.invariants.killedByLease - before;
     }
 
     /** The lease is 20 s: without care every task of the zone would be killed. */
@@ -53,11 +53,11 @@
     void workGoesOnInAZoneThatIsCutOffForLongerThanALease(String zone) {
         int kept = 0;
         for (long seed = 1; seed <= 4; seed++) {
-            ClusterSimulation world = cut(seed, zone, BRIDGED);
-            world.run(CUT_AT - 1);
-            kept += world.truth.tasksIn(zone);
-            assertEquals(0, killedMeanwhile(world), "tasks killed, seed " + seed);
-            world.run(QUIET);
+            ClusterSimulation cluster = cut(seed, zone, BRIDGED);
+            cluster.run(CUT_AT - 1);
+            kept += cluster.invariants.tasksIn(zone);
+            assertEquals(0, killedMeanwhile(cluster), "tasks killed, seed " + seed);
+            cluster.run(QUIET);
         }
         assertTrue(kept > 10, "only " + kept + " tasks were there to be kept");
     }
@@ -65,10 +65,11 @@
     @Test
     void aLeaderThatIsCutOffCaresForItsOwnWorkersAndAnotherLeadsMeanwhile() {
         for (long seed = 1; seed <= 4; seed++) {
-            ClusterSimulation world = day(seed);
-            world.loop.after(CUT_AT, () -> world.island(world.yardOf(world.leader()), BRIDGED));
-            assertEquals(0, killedMeanwhile(world), "tasks killed, seed " + seed);
-            world.run(QUIET);
+            ClusterSimulation cluster = day(seed);
+            cluster.loop.after(
+                    CUT_AT, () -> cluster.island(cluster.yardOf(cluster.leader()), BRIDGED));
+            assertEquals(0, killedMeanwhile(cluster), "tasks killed, seed " + seed);
+            cluster.run(QUIET);
         }
     }
 
@@ -81,10 +82,10 @@
     void careEndsInTimeWhereTheCutDoesNot(long forMicros) {
         int killed = 0;
         for (long seed = 1; seed <= 4; seed++) {
-            ClusterSimulation world = cut(seed, "b", forMicros);
-            world.loop.after(CUT_AT + 200_000, world::cancelEverything);
-            world.run(QUIET);
-            killed += world.truth.killedByLease;
+            ClusterSimulation cluster = cut(seed, "b", forMicros);
+            cluster.loop.after(CUT_AT + 200_000, cluster::cancelEverything);
+            cluster.run(QUIET);
+            killed += cluster.invariants.killedByLease;
         }
         assertTrue(killed > 0, "no lease ended");
     }
@@ -92,26 +93,28 @@
     @Test
     void aCutThatOpensAndClosesStartsNoCareAnew() {
         for (long seed = 1; seed <= 4; seed++) {
-            ClusterSimulation world = cut(seed, "b", 24_000_000);
-            for (int again = 1; again < 5; again++) {
+            ClusterSimulation cluster = cut(seed, "b", 24_000_000);
+            for (int retry = 1; retry < 5; retry++) {
                 // Open for less than it takes to connect again, or for a little more.
-                long pause = again % 2 == 0 ? 120_000 : 900_000;
-                world.loop.after(
-                        CUT_AT + again * 24_000_000L + pause, () -> world.island("b", 23_000_000));
+                long pause = retry % 2 == 0 ? 120_000 : 900_000;
+                cluster.loop.after(
+                        CUT_AT + retry * 24_000_000L + pause,
+                        () -> cluster.island("b", 23_000_000));
             }
-            world.loop.after(CUT_AT + 1_000_000, world::cancelEverything);
-            world.run(QUIET);
+            cluster.loop.after(CUT_AT + 1_000_000, cluster::cancelEverything);
+            cluster.run(QUIET);
         }
     }
 
     @Test
     void aNodeThatOnlyTheStateServiceRefusesTakesNoCare() {
         for (long seed = 1; seed <= 3; seed++) {
-            ClusterSimulation world = day(seed);
-            world.loop.after(CUT_AT, () -> world.refuseState(1, 40_000_000));
-            world.run(QUIET);
+            ClusterSimulation cluster = day(seed);
+            cluster.loop.after(CUT_AT, () -> cluster.refuseState(1, 40_000_000));
+            cluster.run(QUIET);
             assertFalse(
-                    world.tookCare[0] || world.tookCare[1] || world.tookCare[2], "seed " + seed);
+                    cluster.tookCare[0] || cluster.tookCare[1] || cluster.tookCare[2],
+                    "seed " + seed);
         }
     }
 
@@ -123,12 +126,12 @@
     void aNodeThatIsStartedAnewTakesNoCare() {
         int killed = 0;
         for (long seed = 1; seed <= 4; seed++) {
-            ClusterSimulation world = cut(seed, "b", 30_000_000);
-            world.loop.after(CUT_AT + 2_000_000, () -> world.restart(1));
-            world.loop.after(CUT_AT + 20_000_000, world::cancelEverything);
-            world.run(QUIET);
-            assertFalse(world.tookCare[1], "seed " + seed);
-            killed += world.truth.killedByLease;
+            ClusterSimulation cluster = cut(seed, "b", 30_000_000);
+            cluster.loop.after(CUT_AT + 2_000_000, () -> cluster.restart(1));
+            cluster.loop.after(CUT_AT + 20_000_000, cluster::cancelEverything);
+            cluster.run(QUIET);
+            assertFalse(cluster.tookCare[1], "seed " + seed);
+            killed += cluster.invariants.killedByLease;
         }
         assertTrue(killed > 0, "no lease ended");
     }
@@ -158,12 +161,12 @@
     private static void hangUnderARenewedLease(
             long cutMicros, long hangMicros, long restartMicros) {
         for (long seed = 1; seed <= 6; seed++) {
-            ClusterSimulation world = cut(seed, "b", cutMicros);
+            ClusterSimulation cluster = cut(seed, "b", cutMicros);
             if (restartMicros >= 0) {
-                world.loop.after(CUT_AT + restartMicros, () -> world.restart(1));
+                cluster.loop.after(CUT_AT + restartMicros, () -> cluster.restart(1));
             }
-            world.loop.after(CUT_AT + hangMicros, () -> world.hangAll("b", 18_000_000));
-            world.run(QUIET);
+            cluster.loop.after(CUT_AT + hangMicros, () -> cluster.hangAll("b", 18_000_000));
+            cluster.run(QUIET);
         }
     }
 
@@ -171,11 +174,11 @@
     @Test
     void workersMoveBetweenTheNodesOfTheZone() {
         for (long seed = 1; seed <= 4; seed++) {
-            ClusterSimulation world = cut(seed, "a", BRIDGED);
+            ClusterSimulation cluster = cut(seed, "a", BRIDGED);
             int ending = seed % 2 == 0 ? 0 : 2;
-            world.loop.after(CUT_AT + 7_000_000, () -> world.end(ending, BRIDGED));
-            assertEquals(0, killedMeanwhile(world), "tasks killed, seed " + seed);
-            world.run(QUIET);
+            cluster.loop.after(CUT_AT + 7_000_000, () -> cluster.end(ending, BRIDGED));
+            assertEquals(0, killedMeanwhile(cluster), "tasks killed, seed " + seed);
+            cluster.run(QUIET);
         }
     }
 
@@ -187,16 +190,16 @@
     @Test
     void aLongOutageOfTheStateServiceEndsNoLease() {
         for (long seed = 1; seed <= 3; seed++) {
-            ClusterSimulation world = day(seed);
-            world.loop.after(CUT_AT, () -> world.stateOutage(60_000_000));
-            world.loop.after(
+            ClusterSimulation cluster = day(seed);
+            cluster.loop.after(CUT_AT, () -> cluster.stateOutage(60_000_000));
+            cluster.loop.after(
                     CUT_AT + 10_000_000,
-                    () -> world.restart((world.leader() + 1) % ClusterSimulation.NODES));
-            world.run(CUT_AT - 1);
-            int before = world.truth.killedByLease;
-            world.run(CUT_AT + 60_000_000);
-            assertEquals(before, world.truth.killedByLease, "tasks killed, seed " + seed);
-            world.run(QUIET);
+                    () -> cluster.restart((cluster.leader() + 1) % ClusterSimulation.NODES));
+            cluster.run(CUT_AT - 1);
+            int before = cluster.invariants.killedByLease;
+            cluster.run(CUT_AT + 60_000_000);
+            assertEquals(before, cluster.invariants.killedByLease, "tasks killed, seed " + seed);
+            cluster.run(QUIET);
         }
     }
 }
--- a/src/test/java/org/woadloom/sim/QuickRestartTest.java
+++ b/src/test/java/org/woadloom/sim/QuickRestartTest.java
@@ -17,11 +17,11 @@
     private static final long QUIET = 300_000_000;
 
     private static ClusterSimulation day(long seed) {
-        ClusterSimulation world = new ClusterSimulation(seed, Scenario.PLAIN);
-        world.trouble = 0;
-        world.users(AT + MINUTE);
-        world.run(AT);
-        return world;
+        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
+        cluster.trouble = 0;
+        cluster.users(AT + MINUTE);
+        cluster.run(AT);
+        return cluster;
     }
 
     /**
@@ -31,35 +31,35 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aLeaderThatKeepsEndingLeavesLeadingToANodeThatStays(long seed) {
-        ClusterSimulation world = day(seed);
-        int ending = world.leader();
-        long before = world.term();
-        world.keepsEnding(ending, 300_000, AT + MINUTE);
-        world.run(AT + 2_000_000);
-        int next = world.leader();
+        ClusterSimulation cluster = day(seed);
+        int ending = cluster.leader();
+        long before = cluster.term();
+        cluster.keepsEnding(ending, 300_000, AT + MINUTE);
+        cluster.run(AT + 2_000_000);
+        int next = cluster.leader();
         assertNotEquals(ending, next);
-        world.run(AT + MINUTE);
-        assertEquals(next, world.leader());
-        assertEquals(before + 1, world.term(), "terms taken while a node kept ending");
-        assertEquals(0, world.truth.killedByLease, "tasks killed by leases");
-        world.run(AT + MINUTE + QUIET);
-        assertEquals(List.of(), world.unfinished());
+        cluster.run(AT + MINUTE);
+        assertEquals(next, cluster.leader());
+        assertEquals(before + 1, cluster.term(), "terms taken while a node kept ending");
+        assertEquals(0, cluster.invariants.killedByLease, "tasks killed by leases");
+        cluster.run(AT + MINUTE + QUIET);
+        assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
     /** Where nobody else is there the former leader's next process leads. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aProcessThatIsAloneLeadsAgain(long seed) {
-        ClusterSimulation world = day(seed);
-        int leader = world.leader();
-        long before = world.term();
+        ClusterSimulation cluster = day(seed);
+        int leader = cluster.leader();
+        long before = cluster.term();
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
-            world.end(i, i == leader ? 50_000 : 20_000_000);
+            cluster.end(i, i == leader ? 50_000 : 20_000_000);
         }
-        world.run(AT + 1_500_000);
-        assertEquals(leader, world.leader());
-        assertEquals(before + 1, world.term());
-        world.run(AT + MINUTE);
-        assertEquals(0, world.truth.killedByLease, "tasks killed by leases");
+        cluster.run(AT + 1_500_000);
+        assertEquals(leader, cluster.leader());
+        assertEquals(before + 1, cluster.term());
+        cluster.run(AT + MINUTE);
+        assertEquals(0, cluster.invariants.killedByLease, "tasks killed by leases");
     }
 }
--- a/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
@@ -37,24 +37,25 @@
          */
         CANCELLED_OUT_OF_REACH {
             @Override
-            IntSupplier begin(ClusterSimulation world) {
-                boolean allAtLimit = world.truth.teamsAtLimit() == world.settings.teams().size();
-                int term = world.leaderChanges();
+            IntSupplier begin(ClusterSimulation cluster) {
+                boolean allAtLimit =
+                        cluster.invariants.teamsAtLimit() == cluster.settings.teams().size();
+                int term = cluster.leaderChanges();
                 int[] outOfReach = {0};
-                world.island("b", 24_000_000);
-                world.loop.after(
+                cluster.island("b", 24_000_000);
+                cluster.loop.after(
                         1_000_000,
                         () -> {
                             outOfReach[0] +=
-                                    cancelWhere(world, 2, machine -> machine.zone.equals("b"));
-                            world.cancelNow(3, 9_000_000);
-                            outOfReach[0] += cancelWhere(world, 3, SimulatedAgent::hung);
+                                    cancelWhere(cluster, 2, machine -> machine.zone.equals("b"));
+                            cluster.cancelNow(3, 9_000_000);
+                            outOfReach[0] += cancelWhere(cluster, 3, SimulatedAgent::hung);
                         });
-                world.loop.after(
-                        1_500_000 + world.random.nextInt(2_000_000),
-                        () -> world.endLeader(2_000_000));
-                world.loop.after(12_000_000, () -> world.endLeader(300_000));
-                return () -> allAtLimit && world.leaderChanges() > term ? outOfReach[0] : 0;
+                cluster.loop.after(
+                        1_500_000 + cluster.random.nextInt(2_000_000),
+                        () -> cluster.endLeader(2_000_000));
+                cluster.loop.after(12_000_000, () -> cluster.endLeader(300_000));
+                return () -> allAtLimit && cluster.leaderChanges() > term ? outOfReach[0] : 0;
             }
         },
         /**
@@ -63,21 +64,21 @@
          */
         CANCELLED_BEFORE_IT_COULD_ASK {
             @Override
-            IntSupplier begin(ClusterSimulation world) {
-                int term = world.leaderChanges();
+            IntSupplier begin(ClusterSimulation cluster) {
+                int term = cluster.leaderChanges();
                 int[] cancelled = {0};
-                world.deafen("a", 2, 26_000_000);
-                world.hangAll("b", 9_500_000);
-                world.loop.after(500_000, () -> world.endLeader(3_000_000));
+                cluster.deafen("a", 2, 26_000_000);
+                cluster.hangAll("b", 9_500_000);
+                cluster.loop.after(500_000, () -> cluster.endLeader(3_000_000));
                 untilSo(
-                        world,
-                        world.loop.now() + 9_000_000,
-                        () -> world.leaderChanges() > term,
+                        cluster,
+                        cluster.loop.now() + 9_000_000,
+                        () -> cluster.leaderChanges() > term,
                         () -> {
-                            if (world.truth.teamsAtLimit() > 0) {
+                            if (cluster.invariants.teamsAtLimit() > 0) {
                                 cancelled[0] +=
                                         cancelWhere(
-                                                world,
+                                                cluster,
                                                 3,
                                                 machine -> machine.hung() || machine.deaf());
                             }
@@ -88,13 +89,13 @@
         /** Old reports, of earlier sessions too, come to every node just as a new leader begins. */
         OLD_REPORTS_FOR_THE_NEXT_LEADER {
             @Override
-            IntSupplier begin(ClusterSimulation world) {
-                int before = world.keptCopies;
-                world.keepForNextLeader(25, 22_000_000);
-                world.loop.after(4_000_000, () -> world.hangAll("a", 11_500_000));
-                world.loop.after(18_000_000, () -> world.endLeader(300_000));
-                world.loop.after(24_000_000, () -> world.endLeader(3_000_000));
-                return () -> world.keptCopies - before;
+            IntSupplier begin(ClusterSimulation cluster) {
+                int before = cluster.keptCopies;
+                cluster.keepForNextLeader(25, 22_000_000);
+                cluster.loop.after(4_000_000, () -> cluster.hangAll("a", 11_500_000));
+                cluster.loop.after(18_000_000, () -> cluster.endLeader(300_000));
+                cluster.loop.after(24_000_000, () -> cluster.endLeader(3_000_000));
+                return () -> cluster.keptCopies - before;
             }
         },
         /**
@@ -103,25 +104,25 @@
          */
         HELD_BACK_UNTIL_IT_HAS_ACTED {
             @Override
-            IntSupplier begin(ClusterSimulation world) {
-                int term = world.leaderChanges();
+            IntSupplier begin(ClusterSimulation cluster) {
+                int term = cluster.leaderChanges();
                 int[] starts = {Integer.MAX_VALUE};
                 int[] arrived = {0};
                 List<byte[]> held = new ArrayList<>();
                 // What a refused command is answered with is a report; it never comes to whoever
                 // asked.
-                world.workers().forEach(machine -> held.add(world.copyOf(reportOf(machine))));
-                world.loop.after(300_000, () -> world.hangAll("b", 11_000_000));
-                world.loop.after(1_000_000, () -> world.endLeader(2_000_000));
+                cluster.agents().forEach(machine -> held.add(cluster.copyOf(reportOf(machine))));
+                cluster.loop.after(300_000, () -> cluster.hangAll("b", 11_000_000));
+                cluster.loop.after(1_000_000, () -> cluster.endLeader(2_000_000));
                 untilSo(
-                        world,
-                        world.loop.now() + 35_000_000,
-                        () -> world.leaderChanges() > term,
-                        () -> starts[0] = world.truth.starts + 3);
+                        cluster,
+                        cluster.loop.now() + 35_000_000,
+                        () -> cluster.leaderChanges() > term,
+                        () -> starts[0] = cluster.invariants.starts + 3);
                 untilSo(
-                        world,
-                        world.loop.now() + 40_000_000,
-                        () -> world.truth.starts >= starts[0],
+                        cluster,
+                        cluster.loop.now() + 40_000_000,
+                        () -> cluster.invariants.starts >= starts[0],
                         () ->
                                 held.forEach(
                                         report -> {
@@ -129,7 +130,7 @@
                                                     node < ClusterSimulation.NODES;
                                                     node++) {
                                                 arrived[0] +=
-                                                        world.arrivesAgain(node, report) ? 1 : 0;
+                                                        cluster.arrivesAgain(node, report) ? 1 : 0;
                                             }
                                         }));
                 return () -> arrived[0];
@@ -141,23 +142,23 @@
          */
         BOUND_TO_ONE_ZONE {
             @Override
-            IntSupplier begin(ClusterSimulation world) {
+            IntSupplier begin(ClusterSimulation cluster) {
                 int[] lost = {0};
                 for (int tasks : new int[] {1, 6, 10}) {
-                    submitBound(world, tasks);
+                    submitBound(cluster, tasks);
                 }
                 untilSo(
-                        world,
-                        world.loop.now() + 30_000_000,
-                        () -> tasksBound(world) >= 4,
+                        cluster,
+                        cluster.loop.now() + 30_000_000,
+                        () -> tasksBound(cluster) >= 4,
                         () -> {
-                            lost[0] += tasksBound(world);
-                            world.workers().stream()
+                            lost[0] += tasksBound(cluster);
+                            cluster.agents().stream()
                                     .filter(machine -> machine.zone.equals("b"))
                                     .forEach(SimulatedAgent::die);
-                            world.loop.after(
-                                    world.random.nextInt(2_000_000),
-                                    () -> world.endLeader(500_000));
+                            cluster.loop.after(
+                                    cluster.random.nextInt(2_000_000),
+                                    () -> cluster.endLeader(500_000));
                         });
                 return () -> lost[0];
             }
@@ -166,7 +167,7 @@
         /**
          * Brings it about; what is returned tells in the end how often that has come to something.
          */
-        abstract IntSupplier begin(ClusterSimulation world);
+        abstract IntSupplier begin(ClusterSimulation cluster);
     }
 
     private static Map<String, Object> reportOf(SimulatedAgent machine) {
@@ -178,34 +179,34 @@
 
     /** Calls off up to so many jobs that have a task on such a machine. */
     private static int cancelWhere(
-            ClusterSimulation world, int most, Predicate<SimulatedAgent> such) {
+            ClusterSimulation cluster, int most, Predicate<SimulatedAgent> such) {
         List<String> chosen =
-                world.truth.running().stream()
+                cluster.invariants.running().stream()
                         .filter(
                                 jobId ->
-                                        world.truth.machinesOf(Set.of(jobId)).stream()
+                                        cluster.invariants.machinesOf(Set.of(jobId)).stream()
                                                 .anyMatch(such))
                         .limit(most)
                         .toList();
-        chosen.forEach(world::cancel);
+        chosen.forEach(cluster::cancel);
         return chosen.size();
     }
 
     /** Does it once, as soon as it is so; not after the given time. */
     private static void untilSo(
-            ClusterSimulation world,
+            ClusterSimulation cluster,
             long until,
             java.util.function.BooleanSupplier so,
             Runnable then) {
         if (so.getAsBoolean()) {
             then.run();
-        } else if (world.loop.now() < until) {
-            world.loop.after(100_000, () -> untilSo(world, until, so, then));
+        } else if (cluster.loop.now() < until) {
+            cluster.loop.after(100_000, () -> untilSo(cluster, until, so, then));
         }
     }
 
-    private static void submitBound(ClusterSimulation world, int tasks) {
-        String jobId = world.newUid();
+    private static void submitBound(ClusterSimulation cluster, int tasks) {
+        String jobId = cluster.newUid();
         Map<String, Object> job =
                 new LinkedHashMap<>(
                         Map.of(
@@ -248,60 +249,61 @@
                         "snapshotCostS",
                         0.0));
         try {
-            world.truth.submitting(JobDescription.parse(job));
+            cluster.invariants.submitting(JobDescription.parse(job));
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
-        world.submit(jobId, job, world.loop.now() + 60_000_000, accepted -> {});
+        cluster.submit(jobId, job, cluster.loop.now() + 60_000_000, accepted -> {});
     }
 
-    private static int tasksBound(ClusterSimulation world) {
+    private static int tasksBound(ClusterSimulation cluster) {
         int tasks = 0;
-        for (String jobId : world.truth.running()) {
-            JobDescription job = world.truth.submitted.get(jobId);
+        for (String jobId : cluster.invariants.running()) {
+            JobDescription job = cluster.invariants.submitted.get(jobId);
             for (int i = 0; job.jobClass().equals("bound") && i < job.taskCount(); i++) {
-                tasks += world.truth.machineOf(new TaskId(jobId, i)) == null ? 0 : 1;
+                tasks += cluster.invariants.machineOf(new TaskId(jobId, i)) == null ? 0 : 1;
             }
         }
         return tasks;
     }
 
     private static WaitingJobs day(long seed, Scenario kind, Set<Meeting> meetings) {
-        ClusterSimulation world = new ClusterSimulation(seed, kind);
-        world.users(TROUBLED - EVERY);
-        world.truth.calmFrom = TROUBLED + 60_000_000;
-        WaitingJobs waiting = new WaitingJobs(world, TROUBLED + 60_000_000);
+        ClusterSimulation cluster = new ClusterSimulation(seed, kind);
+        cluster.users(TROUBLED - EVERY);
+        cluster.invariants.calmFrom = TROUBLED + 60_000_000;
+        WaitingJobs waiting = new WaitingJobs(cluster, TROUBLED + 60_000_000);
         Map<Meeting, List<IntSupplier>> begun = new LinkedHashMap<>();
         meetings.forEach(meeting -> begun.put(meeting, new ArrayList<>()));
         for (int i = 0; i < TIMES; i++) {
             meetings.forEach(
                     meeting ->
-                            world.loop.after(
-                                    AT + world.random.nextInt(4_000_000),
+                            cluster.loop.after(
+                                    AT + cluster.random.nextInt(4_000_000),
                                     () -> {
-                                        if (world.stored("leader") != null) {
-                                            begun.get(meeting).add(meeting.begin(world));
+                                        if (cluster.stored("leader") != null) {
+                                            begun.get(meeting).add(meeting.begin(cluster));
                                         }
                                     }));
-            world.run(world.loop.now() + EVERY);
+            cluster.run(cluster.loop.now() + EVERY);
         }
-        finish(world);
+        finish(cluster);
         begun.forEach(
                 (meeting, times) ->
                         assertTrue(
                                 times.stream().mapToInt(IntSupplier::getAsInt).sum() > 0,
                                 meeting + " did not occur, seed " + seed));
-        assertEquals(List.of(), world.unfinished(), "seed " + seed);
+        assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
         return waiting;
     }
 
     /**
      * Where a team's limit has room for one task at a time, what its users asked for takes long.
      */
-    private static void finish(ClusterSimulation world) {
-        while (world.loop.now() < TROUBLED + 1_500_000_000
-                && (world.loop.now() < TROUBLED + 200_000_000 || !world.unfinished().isEmpty())) {
-            world.run(world.loop.now() + 20_000_000);
+    private static void finish(ClusterSimulation cluster) {
+        while (cluster.loop.now() < TROUBLED + 1_500_000_000
+                && (cluster.loop.now() < TROUBLED + 200_000_000
+                        || !cluster.unfinishedJobs().isEmpty())) {
+            cluster.run(cluster.loop.now() + 20_000_000);
         }
     }
 
@@ -332,21 +334,21 @@
         int copies = 0;
         int waited = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            ClusterSimulation world = new ClusterSimulation(seed, Scenario.TIGHT);
-            world.users(TROUBLED - EVERY);
-            world.faults(TROUBLED);
-            world.keepForNextLeader(10, TROUBLED);
-            world.cancelAtEnd(10, TROUBLED);
-            world.loseAnswers(5, TROUBLED);
-            WaitingJobs waiting = new WaitingJobs(world, TROUBLED + 60_000_000);
+            ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.TIGHT);
+            cluster.users(TROUBLED - EVERY);
+            cluster.faults(TROUBLED);
+            cluster.keepForNextLeader(10, TROUBLED);
+            cluster.cancelAtEnd(10, TROUBLED);
+            cluster.loseAnswers(5, TROUBLED);
+            WaitingJobs waiting = new WaitingJobs(cluster, TROUBLED + 60_000_000);
             for (long at = 30_000_000; at < TROUBLED; at += 15_000_000) {
-                world.loop.at(at, () -> world.cancelNow(3, world.random.nextInt(9_000_000)));
-                world.run(at);
-                most = Math.max(most, world.truth.teamsAtLimit());
+                cluster.loop.at(at, () -> cluster.cancelNow(3, cluster.random.nextInt(9_000_000)));
+                cluster.run(at);
+                most = Math.max(most, cluster.invariants.teamsAtLimit());
             }
-            finish(world);
-            assertEquals(List.of(), world.unfinished(), "seed " + seed);
-            copies += world.keptCopies;
+            finish(cluster);
+            assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
+            copies += cluster.keptCopies;
             waited += waiting.seen;
         }
         assertTrue(
@@ -399,14 +401,14 @@
     /** Nobody leads any more, and its machines are there. */
     @Test
     void jobsThatAreLeftWaitingAreCaught() {
-        ClusterSimulation world = new ClusterSimulation(1, Scenario.PLAIN);
-        world.users(AT);
-        WaitingJobs waiting = new WaitingJobs(world, AT);
-        world.run(AT);
+        ClusterSimulation cluster = new ClusterSimulation(1, Scenario.PLAIN);
+        cluster.users(AT);
+        WaitingJobs waiting = new WaitingJobs(cluster, AT);
+        cluster.run(AT);
         for (int node = 0; node < ClusterSimulation.NODES; node++) {
-            world.end(node, 1_000_000_000);
+            cluster.end(node, 1_000_000_000);
         }
-        assertThrows(InvariantViolation.class, () -> world.run(AT + 120_000_000));
+        assertThrows(InvariantViolation.class, () -> cluster.run(AT + 120_000_000));
         assertTrue(waiting.longestMicros >= 90_000_000);
     }
 }
--- a/src/test/java/org/woadloom/sim/RandomScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/RandomScenariosTest.java
@@ -30,63 +30,63 @@
     @ParameterizedTest
     @MethodSource("seeds")
     void rulesHoldAndEveryAcceptedJobIsFinished(long seed) {
-        ClusterSimulation world = new ClusterSimulation(seed, Scenario.PLAIN);
-        world.users(TROUBLED);
-        world.faults(TROUBLED);
-        world.run(TROUBLED + QUIET);
-        assertTrue(world.truth.starts > 50, "only " + world.truth.starts + " starts");
-        assertEquals(List.of(), world.unfinished());
+        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
+        cluster.users(TROUBLED);
+        cluster.faults(TROUBLED);
+        cluster.run(TROUBLED + QUIET);
+        assertTrue(cluster.invariants.starts > 50, "only " + cluster.invariants.starts + " starts");
+        assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
     void rulesHoldWhileTheVersionInProductionIsReplaced(long seed) {
-        ClusterSimulation world = new ClusterSimulation(seed, Scenario.UPGRADE);
-        world.users(TROUBLED);
-        world.faults(TROUBLED);
-        world.upgrade(TROUBLED);
+        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.UPGRADE);
+        cluster.users(TROUBLED);
+        cluster.faults(TROUBLED);
+        cluster.upgradeNodes(TROUBLED);
         // Chains end later than single jobs.
-        world.run(TROUBLED + 2 * QUIET);
-        assertTrue(world.truth.starts > 50, "only " + world.truth.starts + " starts");
-        assertTrue(world.truth.releases > 0, "no job waited for another");
-        assertEquals(List.of(), world.unfinished());
+        cluster.run(TROUBLED + 2 * QUIET);
+        assertTrue(cluster.invariants.starts > 50, "only " + cluster.invariants.starts + " starts");
+        assertTrue(cluster.invariants.releases > 0, "no job waited for another");
+        assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void rulesHoldWhileVersion3IsReplaced(long seed) {
-        ClusterSimulation world =
+        ClusterSimulation cluster =
                 new ClusterSimulation(seed, Scenario.PLAIN.from(Version.AGREEING));
-        world.users(TROUBLED);
-        world.faults(TROUBLED);
-        world.upgrade(TROUBLED);
-        world.run(TROUBLED + 2 * QUIET);
-        assertEquals(List.of(), world.unfinished());
+        cluster.users(TROUBLED);
+        cluster.faults(TROUBLED);
+        cluster.upgradeNodes(TROUBLED);
+        cluster.run(TROUBLED + 2 * QUIET);
+        assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
     /** Any node is replaced by either version at any time; in the end all run this one. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void rulesHoldWhileVersionsChangeBothWays(long seed) {
-        ClusterSimulation world = new ClusterSimulation(seed, Scenario.PLAIN);
-        world.users(TROUBLED);
-        world.faults(TROUBLED);
-        world.changeVersions(TROUBLED);
-        world.run(TROUBLED + QUIET);
-        assertEquals(List.of(), world.unfinished());
-        if (machineLife(world).get("held") != null) {
+        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
+        cluster.users(TROUBLED);
+        cluster.faults(TROUBLED);
+        cluster.changeVersions(TROUBLED);
+        cluster.run(TROUBLED + QUIET);
+        assertEquals(List.of(), cluster.unfinishedJobs());
+        if (machineLife(cluster).get("held") != null) {
             // Nodes kept ending while it was on: that is for an operator to judge.
-            world.put(
+            cluster.put(
                     "rollout/asked/machine-life",
                     new RolloutRequest(RolloutRequest.Verb.GO, "test", 0).toMap());
-            world.run(TROUBLED + QUIET + 120_000_000);
+            cluster.run(TROUBLED + QUIET + 120_000_000);
         }
-        assertEquals("settled", machineLife(world).get("step"));
+        assertEquals("settled", machineLife(cluster).get("step"));
     }
 
-    private static Map<?, ?> machineLife(ClusterSimulation world) {
+    private static Map<?, ?> machineLife(ClusterSimulation cluster) {
         return (Map<?, ?>)
-                ((Map<?, ?>) world.stored("rollout/state").get("features")).get("machine-life");
+                ((Map<?, ?>) cluster.stored("rollout/state").get("features")).get("machine-life");
     }
 
     /** The checker must be able to fail. */
@@ -109,10 +109,10 @@
     }
 
     private static void upgrade(Scenario day) {
-        ClusterSimulation world = new ClusterSimulation(1, day);
-        world.users(TROUBLED);
-        world.upgrade(TROUBLED);
-        world.run(TROUBLED);
+        ClusterSimulation cluster = new ClusterSimulation(1, day);
+        cluster.users(TROUBLED);
+        cluster.upgradeNodes(TROUBLED);
+        cluster.run(TROUBLED);
     }
 
     @Test
@@ -126,7 +126,7 @@
                 assertThrows(
                         InvariantViolation.class,
                         () -> {
-                            ClusterSimulation world =
+                            ClusterSimulation cluster =
                                     new ClusterSimulation(
                                             1,
                                             told(
@@ -134,15 +134,15 @@
                                                     3 * Scenario.SHORT.cancelMicros()));
                             // Replicas that run in the zone when it is cut off are what the node
                             // there cares for.
-                            world.servicesStay = true;
-                            world.users(TROUBLED);
-                            world.run(60_000_000);
+                            cluster.servicesStay = true;
+                            cluster.users(TROUBLED);
+                            cluster.run(60_000_000);
                             assertTrue(
-                                    world.truth.tasksIn("b") > 3,
+                                    cluster.invariants.tasksIn("b") > 3,
                                     "hardly anything runs in the zone");
-                            world.island("b", 70_000_000);
-                            world.loop.after(200_000, world::cancelEverything);
-                            world.run(TROUBLED);
+                            cluster.island("b", 70_000_000);
+                            cluster.loop.after(200_000, cluster::cancelEverything);
+                            cluster.run(TROUBLED);
                         });
         assertTrue(caught.getMessage().contains("ran_cancelled"), caught.getMessage());
     }
@@ -181,10 +181,10 @@
         return assertThrows(
                 InvariantViolation.class,
                 () -> {
-                    ClusterSimulation world = new ClusterSimulation(1, Scenario.PLAIN.with(flaw));
-                    world.users(TROUBLED);
-                    world.truth.calmFrom = TROUBLED;
-                    world.run(TROUBLED + QUIET);
+                    ClusterSimulation cluster = new ClusterSimulation(1, Scenario.PLAIN.with(flaw));
+                    cluster.users(TROUBLED);
+                    cluster.invariants.calmFrom = TROUBLED;
+                    cluster.run(TROUBLED + QUIET);
                 });
     }
 
@@ -202,10 +202,10 @@
                 InvariantViolation.class,
                 () -> {
                     for (long seed = 1; seed <= 40; seed++) {
-                        ClusterSimulation world = new ClusterSimulation(seed, day);
-                        world.users(TROUBLED);
-                        world.faults(TROUBLED);
-                        world.run(TROUBLED);
+                        ClusterSimulation cluster = new ClusterSimulation(seed, day);
+                        cluster.users(TROUBLED);
+                        cluster.faults(TROUBLED);
+                        cluster.run(TROUBLED);
                     }
                 });
     }
--- a/src/test/java/org/woadloom/sim/RolloutTest.java
+++ b/src/test/java/org/woadloom/sim/RolloutTest.java
@@ -29,61 +29,61 @@
     private static final long BUSY = 240 * SECOND;
 
     private static ClusterSimulation busy(long seed, Version from) {
-        ClusterSimulation world = new ClusterSimulation(seed, Scenario.PLAIN.from(from));
-        world.users(BUSY);
-        return world;
+        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN.from(from));
+        cluster.users(BUSY);
+        return cluster;
     }
 
-    private static Standing standing(ClusterSimulation world, Feature feature) {
+    private static Standing standing(ClusterSimulation cluster, Feature feature) {
         try {
-            Map<String, Object> stored = world.stored("rollout/state");
+            Map<String, Object> stored = cluster.stored("rollout/state");
             return stored == null ? Standing.OFF : RolloutRecord.parse(stored).of(feature.key());
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static Step step(ClusterSimulation world) {
-        return standing(world, Feature.MACHINE_LIFE).step();
+    private static Step step(ClusterSimulation cluster) {
+        return standing(cluster, Feature.MACHINE_LIFE).step();
     }
 
-    private static void ask(ClusterSimulation world, Verb verb) {
-        world.put("rollout/asked/machine-life", new RolloutRequest(verb, "test", 0).toMap());
+    private static void ask(ClusterSimulation cluster, Verb verb) {
+        cluster.put("rollout/asked/machine-life", new RolloutRequest(verb, "test", 0).toMap());
     }
 
     /** Runs until the feature is as far as the given step, or for two minutes. */
-    private static void runTo(ClusterSimulation world, Step step) {
-        long until = world.loop.now() + 120 * SECOND;
-        while (step(world).compareTo(step) < 0 && world.loop.now() < until) {
-            world.run(world.loop.now() + SECOND / 10);
+    private static void runTo(ClusterSimulation cluster, Step step) {
+        long until = cluster.loop.now() + 120 * SECOND;
+        while (step(cluster).compareTo(step) < 0 && cluster.loop.now() < until) {
+            cluster.run(cluster.loop.now() + SECOND / 10);
         }
-        assertTrue(step(world).compareTo(step) >= 0, "not " + step + " but " + step(world));
+        assertTrue(step(cluster).compareTo(step) >= 0, "not " + step + " but " + step(cluster));
     }
 
     @Test
     void aFeatureIsHeldHurriedTakenBackAndRolledOutAgain() {
-        ClusterSimulation world = busy(5, Version.NOW);
-        ask(world, Verb.HOLD);
-        world.run(20 * SECOND);
-        assertEquals(Step.OFF, step(world), "held");
-        assertEquals(0, world.machineRecords()[1]);
-        ask(world, Verb.GO);
-        world.run(24 * SECOND);
-        assertTrue(standing(world, Feature.MACHINE_LIFE).on(), "hurried");
-        ask(world, Verb.BACK);
-        if (step(world) != Step.SETTLED) {
-            world.run(70 * SECOND);
-            assertEquals(Step.OFF, step(world), "taken back");
-            assertEquals(0, world.machineRecords()[1], "records of the feature are left");
+        ClusterSimulation cluster = busy(5, Version.NOW);
+        ask(cluster, Verb.HOLD);
+        cluster.run(20 * SECOND);
+        assertEquals(Step.OFF, step(cluster), "held");
+        assertEquals(0, cluster.machineRecords()[1]);
+        ask(cluster, Verb.GO);
+        cluster.run(24 * SECOND);
+        assertTrue(standing(cluster, Feature.MACHINE_LIFE).on(), "hurried");
+        ask(cluster, Verb.BACK);
+        if (step(cluster) != Step.SETTLED) {
+            cluster.run(70 * SECOND);
+            assertEquals(Step.OFF, step(cluster), "taken back");
+            assertEquals(0, cluster.machineRecords()[1], "records of the feature are left");
         }
-        ask(world, Verb.AUTO);
-        runTo(world, Step.SETTLED);
-        ask(world, Verb.BACK);
-        world.run(world.loop.now() + 30 * SECOND);
-        assertEquals(Step.SETTLED, step(world), "settled stays settled");
+        ask(cluster, Verb.AUTO);
+        runTo(cluster, Step.SETTLED);
+        ask(cluster, Verb.BACK);
+        cluster.run(cluster.loop.now() + 30 * SECOND);
+        assertEquals(Step.SETTLED, step(cluster), "settled stays settled");
         assertEquals(
-                world.machineRecords()[0],
-                world.machineRecords()[1],
+                cluster.machineRecords()[0],
+                cluster.machineRecords()[1],
                 "records of the old form are left");
     }
 
@@ -94,23 +94,23 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void stepsBackAndForthSurviveTroubles(long seed) {
-        ClusterSimulation world = busy(seed, Version.NOW);
-        world.clockOff[(int) (seed % ClusterSimulation.NODES)] =
+        ClusterSimulation cluster = busy(seed, Version.NOW);
+        cluster.clockOff[(int) (seed % ClusterSimulation.NODES)] =
                 seed % 2 == 0 ? 400 * SECOND : -400 * SECOND;
-        world.faults(BUSY);
+        cluster.faults(BUSY);
         long[] asks = {15, 40, 65, 110, 150};
         Verb[] verbs = {Verb.GO, Verb.BACK, Verb.GO, Verb.BACK, Verb.GO};
         for (int i = 0; i < asks.length; i++) {
             Verb verb = verbs[i];
-            world.loop.after(asks[i] * SECOND + seed * 700_000, () -> ask(world, verb));
+            cluster.loop.after(asks[i] * SECOND + seed * 700_000, () -> ask(cluster, verb));
         }
-        world.run(BUSY + 600 * SECOND);
-        assertEquals(Step.SETTLED, step(world));
+        cluster.run(BUSY + 600 * SECOND);
+        assertEquals(Step.SETTLED, step(cluster));
         assertEquals(
-                world.machineRecords()[0],
-                world.machineRecords()[1],
+                cluster.machineRecords()[0],
+                cluster.machineRecords()[1],
                 "records of the old form are left");
-        assertEquals(List.of(), world.unfinished());
+        assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
     /**
@@ -121,20 +121,20 @@
     @EnumSource(Step.class)
     void aNodeThatComesBackOldIsWaitedFor(Step at) {
         for (int who = 0; who < 2; who++) {
-            ClusterSimulation world = busy(11 + who, Version.NOW);
-            runTo(world, at);
-            int index = at == Step.OFF ? who : (world.leader() + who) % ClusterSimulation.NODES;
-            world.replace(index, Version.AGREEING, 1 * SECOND);
-            long back = world.loop.now();
-            Step before = step(world);
-            world.run(back + 40 * SECOND);
+            ClusterSimulation cluster = busy(11 + who, Version.NOW);
+            runTo(cluster, at);
+            int index = at == Step.OFF ? who : (cluster.leader() + who) % ClusterSimulation.NODES;
+            cluster.replace(index, Version.AGREEING, 1 * SECOND);
+            long back = cluster.loop.now();
+            Step before = step(cluster);
+            cluster.run(back + 40 * SECOND);
             if (before.compareTo(Step.ON) < 0) {
-                assertEquals(Step.OFF, step(world), "switched on with an old node, at " + at);
+                assertEquals(Step.OFF, step(cluster), "switched on with an old node, at " + at);
             } else {
-                assertEquals(before, step(world), "at " + at);
+                assertEquals(before, step(cluster), "at " + at);
             }
-            world.replace(index, Version.NOW, 1 * SECOND);
-            runTo(world, Step.SETTLED);
+            cluster.replace(index, Version.NOW, 1 * SECOND);
+            runTo(cluster, Step.SETTLED);
         }
     }
 
@@ -154,22 +154,22 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void allEndHalfWayAndHalfComeBackOld(long seed) {
-        ClusterSimulation world = busy(seed, Version.PRODUCTION);
-        world.run(20 * SECOND);
-        world.replace(0, Version.NOW, 2 * SECOND);
-        world.run(30 * SECOND);
+        ClusterSimulation cluster = busy(seed, Version.PRODUCTION);
+        cluster.run(20 * SECOND);
+        cluster.replace(0, Version.NOW, 2 * SECOND);
+        cluster.run(30 * SECOND);
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
-            world.replace(i, half(seed).get(i), (2 + i) * SECOND);
+            cluster.replace(i, half(seed).get(i), (2 + i) * SECOND);
         }
-        world.stateOutage(8 * SECOND);
-        world.run(70 * SECOND);
-        assertNull(world.stored("version/agreed"), "agreed with an old node");
+        cluster.stateOutage(8 * SECOND);
+        cluster.run(70 * SECOND);
+        assertNull(cluster.stored("version/agreed"), "agreed with an old node");
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
-            world.replace(i, Version.NOW, (1 + 3 * i) * SECOND);
+            cluster.replace(i, Version.NOW, (1 + 3 * i) * SECOND);
         }
-        world.run(90 * SECOND);
-        assertTrue(standing(world, Feature.COMPACT_RECORDS).on());
-        runTo(world, Step.SETTLED);
+        cluster.run(90 * SECOND);
+        assertTrue(standing(cluster, Feature.COMPACT_RECORDS).on());
+        runTo(cluster, Step.SETTLED);
     }
 
     /** Zone "b" is cut off in the middle with its only node, an old or a new one. */
@@ -178,39 +178,39 @@
             value = Version.class,
             names = {"AGREEING", "NOW"})
     void aZoneThatIsCutOffIsWaitedFor(Version there) {
-        ClusterSimulation world = busy(7, Version.NOW);
-        ask(world, Verb.HOLD);
-        world.run(10 * SECOND);
-        world.replace(1, there, SECOND / 2);
-        world.run(15 * SECOND);
-        world.island("b", 60 * SECOND);
-        world.run(45 * SECOND);
-        ask(world, Verb.GO);
-        world.run(74 * SECOND);
-        assertEquals(Step.OFF, step(world), "switched on without the zone's node");
-        world.replace(1, Version.NOW, SECOND);
-        runTo(world, Step.SETTLED);
+        ClusterSimulation cluster = busy(7, Version.NOW);
+        ask(cluster, Verb.HOLD);
+        cluster.run(10 * SECOND);
+        cluster.replace(1, there, SECOND / 2);
+        cluster.run(15 * SECOND);
+        cluster.island("b", 60 * SECOND);
+        cluster.run(45 * SECOND);
+        ask(cluster, Verb.GO);
+        cluster.run(74 * SECOND);
+        assertEquals(Step.OFF, step(cluster), "switched on without the zone's node");
+        cluster.replace(1, Version.NOW, SECOND);
+        runTo(cluster, Step.SETTLED);
     }
 
     /** A damaged record among the others is neither lost nor passed over. */
     @Test
     void aRecordThatCantBeReadIsKeptAndKeepsTheFeatureFromSettling() {
-        ClusterSimulation world = busy(8, Version.NOW);
-        world.put("machine/host-damaged", Map.of("hosttype", 7L));
-        world.run(90 * SECOND);
-        assertEquals(Step.ON, step(world));
-        assertEquals(Map.of("hosttype", 7L), world.stored("machine/host-damaged"));
-        world.put("machine/host-damaged", null);
-        runTo(world, Step.SETTLED);
+        ClusterSimulation cluster = busy(8, Version.NOW);
+        cluster.put("machine/host-damaged", Map.of("hosttype", 7L));
+        cluster.run(90 * SECOND);
+        assertEquals(Step.ON, step(cluster));
+        assertEquals(Map.of("hosttype", 7L), cluster.stored("machine/host-damaged"));
+        cluster.put("machine/host-damaged", null);
+        runTo(cluster, Step.SETTLED);
     }
 
     /** What a later version requires, in a record that this one can't read otherwise. */
     @Test
     void whoDoesNotKnowWhatIsRequiredServesNobody() {
-        ClusterSimulation world = busy(3, Version.NOW);
-        runTo(world, Step.SETTLED);
-        Map<String, Object> now = world.stored("rollout/state");
-        world.put(
+        ClusterSimulation cluster = busy(3, Version.NOW);
+        runTo(cluster, Step.SETTLED);
+        Map<String, Object> now = cluster.stored("rollout/state");
+        cluster.put(
                 "rollout/state",
                 Map.of(
                         "number",
@@ -220,27 +220,27 @@
                         "features",
                         Map.of("from-the-future", Map.of("step", "sideways"))));
         // A watch that was cut off is opened again after ten seconds.
-        world.run(world.loop.now() + 12 * SECOND);
+        cluster.run(cluster.loop.now() + 12 * SECOND);
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
-            assertEquals(503, world.status(i, "GET", "/healthz", null), "node " + i);
-            assertEquals(503, world.status(i, "GET", "/v1/jobs/j-000001", null));
-            assertEquals(503, world.status(i, "POST", "/v1/report", Map.of("host", "h")));
-            assertEquals(200, world.status(i, "GET", "/metrics", null));
+            assertEquals(503, cluster.status(i, "GET", "/healthz", null), "node " + i);
+            assertEquals(503, cluster.status(i, "GET", "/v1/jobs/j-000001", null));
+            assertEquals(503, cluster.status(i, "POST", "/v1/report", Map.of("host", "h")));
+            assertEquals(200, cluster.status(i, "GET", "/metrics", null));
         }
-        String term = String.valueOf(world.stored("term"));
-        world.replace(1, Version.NOW, 1 * SECOND);
-        world.run(world.loop.now() + 30 * SECOND);
-        assertEquals(term, String.valueOf(world.stored("term")), "a node campaigned");
-        Map<String, Object> again = new LinkedHashMap<>(now);
-        again.put("number", 1_001L);
-        world.put("rollout/state", again);
-        world.run(world.loop.now() + 10 * SECOND);
+        String term = String.valueOf(cluster.stored("term"));
+        cluster.replace(1, Version.NOW, 1 * SECOND);
+        cluster.run(cluster.loop.now() + 30 * SECOND);
+        assertEquals(term, String.valueOf(cluster.stored("term")), "a node campaigned");
+        Map<String, Object> retry = new LinkedHashMap<>(now);
+        retry.put("number", 1_001L);
+        cluster.put("rollout/state", retry);
+        cluster.run(cluster.loop.now() + 10 * SECOND);
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
-            assertEquals(200, world.status(i, "GET", "/healthz", null), "node " + i);
+            assertEquals(200, cluster.status(i, "GET", "/healthz", null), "node " + i);
         }
-        assertNotEquals(term, String.valueOf(world.stored("term")), "nobody leads again");
-        world.run(BUSY + 300 * SECOND);
-        assertEquals(List.of(), world.unfinished());
+        assertNotEquals(term, String.valueOf(cluster.stored("term")), "nobody leads again");
+        cluster.run(BUSY + 300 * SECOND);
+        assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
     /**
@@ -249,15 +249,15 @@
      */
     @Test
     void settingsThatContradictEachOtherSwitchNothing() {
-        ClusterSimulation world = new ClusterSimulation(4, Scenario.PLAIN);
-        world.namesOneMore[2] = true;
-        world.users(BUSY);
-        world.run(60 * SECOND);
+        ClusterSimulation cluster = new ClusterSimulation(4, Scenario.PLAIN);
+        cluster.namesOneMore[2] = true;
+        cluster.users(BUSY);
+        cluster.run(60 * SECOND);
         for (Feature feature : Feature.values()) {
-            assertEquals(Step.OFF, standing(world, feature).step(), feature.key());
+            assertEquals(Step.OFF, standing(cluster, feature).step(), feature.key());
         }
-        world.namesOneMore[2] = false;
-        world.replace(2, Version.NOW, 1 * SECOND);
-        runTo(world, Step.SETTLED);
+        cluster.namesOneMore[2] = false;
+        cluster.replace(2, Version.NOW, 1 * SECOND);
+        runTo(cluster, Step.SETTLED);
     }
 }
--- a/src/test/java/org/woadloom/sim/ServiceLevelTest.java
+++ b/src/test/java/org/woadloom/sim/ServiceLevelTest.java
@@ -27,15 +27,15 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void noTeamAndNoClassFallsUnderAHalf(long seed) {
-        ClusterSimulation world = new ClusterSimulation(seed, Scenario.CROWD);
-        world.users(TROUBLED, 4);
-        world.machineFaults(TROUBLED);
+        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.CROWD);
+        cluster.users(TROUBLED, 4);
+        cluster.machineFaults(TROUBLED);
         // The flood asks for more than there is: a part of its own jobs still waits then.
-        world.run(TROUBLED + 120_000_000);
+        cluster.run(TROUBLED + 120_000_000);
         Map<String, int[]> served = new TreeMap<>();
-        for (String jobId : world.truth.acceptedJobs()) {
-            var job = world.truth.submitted.get(jobId);
-            boolean counts = world.truth.ran(jobId) || world.truth.isOver(jobId);
+        for (String jobId : cluster.invariants.acceptedJobs()) {
+            var job = cluster.invariants.submitted.get(jobId);
+            boolean counts = cluster.invariants.ran(jobId) || cluster.invariants.isOver(jobId);
             for (String group : new String[] {"team " + job.team(), "class " + job.jobClass()}) {
                 int[] count = served.computeIfAbsent(group, g -> new int[2]);
                 count[0]++;
@@ -65,7 +65,7 @@
     @ParameterizedTest
     @CsvSource({"0,1", "14,2"})
     void aTeamAtItsLimitServesItsArraysBesideServicesThatStay(int crowd, long seed) {
-        ClusterSimulation world =
+        ClusterSimulation cluster =
                 new ClusterSimulation(
                         seed,
                         new Scenario(
@@ -74,23 +74,23 @@
                                 Version.NOW,
                                 Scenario.Flaw.NONE,
                                 crowd));
-        world.servicesStay = true;
-        world.users(TROUBLED, 3);
-        world.machineFaults(TROUBLED);
-        world.run(TROUBLED);
-        int before = arraysOver(world, crowd);
-        world.run(TROUBLED + 240_000_000);
-        int over = arraysOver(world, crowd) - before;
+        cluster.servicesStay = true;
+        cluster.users(TROUBLED, 3);
+        cluster.machineFaults(TROUBLED);
+        cluster.run(TROUBLED);
+        int before = arraysOver(cluster, crowd);
+        cluster.run(TROUBLED + 240_000_000);
+        int over = arraysOver(cluster, crowd) - before;
         assertTrue(over >= 12, over + " arrays of the team were done in four minutes at its limit");
     }
 
-    private static int arraysOver(ClusterSimulation world, int crowd) {
+    private static int arraysOver(ClusterSimulation cluster, int crowd) {
         String team = crowd == 0 ? "red" : "crowd-0";
         int over = 0;
-        for (String jobId : world.truth.acceptedJobs()) {
-            var job = world.truth.submitted.get(jobId);
+        for (String jobId : cluster.invariants.acceptedJobs()) {
+            var job = cluster.invariants.submitted.get(jobId);
             over +=
-                    job.team().equals(team) && !job.isService() && world.truth.isOver(jobId)
+                    job.team().equals(team) && !job.isService() && cluster.invariants.isOver(jobId)
                             ? 1
                             : 0;
         }
@@ -105,18 +105,18 @@
     void theLeaderTellsWhatBecameOfTheLargest() {
         SchedulerFixture fixture = new SchedulerFixture();
         for (int i = 0; i < 20; i++) {
-            fixture.world.serviceLevels.onJobAdded(fixture.job("j-" + i, 1, 1, i < 18 ? 2 : 9));
+            fixture.state.serviceLevels.onJobAdded(fixture.job("j-" + i, 1, 1, i < 18 ? 2 : 9));
         }
-        fixture.world.nowMicros += 70_000_000;
+        fixture.state.nowMicros += 70_000_000;
         var machine = fixture.machine("host-1", "a");
-        var reservations = new Reservations(fixture.world);
-        fixture.place(reservations, fixture.world.jobs.get("j-18"), 0, machine);
+        var reservations = new Reservations(fixture.state);
+        fixture.place(reservations, fixture.state.jobs.get("j-18"), 0, machine);
         TaskAttempt inherited =
                 new TaskAttempt(
-                        fixture.world.jobs.get("j-19"), 0, machine, 1, 0, fixture.world.nowMicros);
+                        fixture.state.jobs.get("j-19"), 0, machine, 1, 0, fixture.state.nowMicros);
         inherited.stage = TaskAttempt.Stage.RECOVERED;
         inherited.job.add(inherited);
-        fixture.world.serviceLevels.review();
+        fixture.state.serviceLevels.review();
         assertTrue(
                 fixture.logged(
                         LogEvent.LARGEST_JOBS_SERVICE_LEVEL,
@@ -132,23 +132,23 @@
     void theLeaderTellsWhoWaits() {
         SchedulerFixture fixture = new SchedulerFixture();
         Job waits = fixture.job("j-000001", 1, 1, 1);
-        fixture.world.serviceLevels.onJobAdded(waits);
+        fixture.state.serviceLevels.onJobAdded(waits);
         Job ended = fixture.job("j-000002", 1, 1, 1);
-        fixture.world.serviceLevels.onJobAdded(ended);
+        fixture.state.serviceLevels.onJobAdded(ended);
         ended.markCompleted(0);
-        fixture.world.jobs.remove(ended.jobId());
-        fixture.world.serviceLevels.onJobEnded(ended);
-        fixture.world.nowMicros += 30_000_000;
-        fixture.world.serviceLevels.review();
-        assertTrue(fixture.effects().isEmpty(), "told before its time");
-        fixture.world.nowMicros += 45_000_000;
-        fixture.world.serviceLevels.review();
+        fixture.state.jobs.remove(ended.jobId());
+        fixture.state.serviceLevels.onJobEnded(ended);
+        fixture.state.nowMicros += 30_000_000;
+        fixture.state.serviceLevels.review();
+        assertTrue(fixture.actions().isEmpty(), "told before its time");
+        fixture.state.nowMicros += 45_000_000;
+        fixture.state.serviceLevels.review();
         SchedulerAction.PublishServiceLevels seen =
                 (SchedulerAction.PublishServiceLevels)
-                        fixture.effects().stream()
+                        fixture.actions().stream()
                                 .filter(
-                                        effect ->
-                                                effect
+                                        action ->
+                                                action
                                                         instanceof
                                                         SchedulerAction.PublishServiceLevels)
                                 .findFirst()
--- a/src/test/java/org/woadloom/sim/SimulatedAgent.java
+++ b/src/test/java/org/woadloom/sim/SimulatedAgent.java
@@ -31,7 +31,7 @@
     final String machineType;
     final String zone;
     final boolean spot;
-    private final ClusterSimulation world;
+    private final ClusterSimulation cluster;
     private final double cpus;
     private final Map<TaskId, Task> tasks = new LinkedHashMap<>();
     private long incarnation = 1;
@@ -67,21 +67,21 @@
     long tokenSent;
 
     SimulatedAgent(
-            ClusterSimulation world,
+            ClusterSimulation cluster,
             String host,
             String machineType,
             String zone,
             boolean spot,
             double cpus) {
-        this.world = world;
+        this.cluster = cluster;
         this.host = host;
         this.addr = host + ":9000";
         this.machineType = machineType;
         this.zone = zone;
         this.spot = spot;
         this.cpus = cpus;
-        this.leaseFrom = world.loop.now();
-        this.node = world.random.nextInt(ClusterSimulation.NODES);
+        this.leaseFrom = cluster.loop.now();
+        this.node = cluster.random.nextInt(ClusterSimulation.NODES);
         beat();
         watchLease();
     }
@@ -91,8 +91,8 @@
      * on.
      */
     private void watchLease() {
-        world.loop.at(
-                leaseFrom + world.settings.workers().leaseMicros() + 1,
+        cluster.loop.at(
+                leaseFrom + cluster.settings.agents().leaseMicros() + 1,
                 () -> {
                     if (!dead) {
                         checkLease();
@@ -102,9 +102,9 @@
     }
 
     private void beat() {
-        long period = world.settings.workers().reportMicros();
-        world.loop.after(
-                period / 4 + world.random.nextInt((int) (period / 8)),
+        long period = cluster.settings.agents().heartbeatMicros();
+        cluster.loop.after(
+                period / 4 + cluster.random.nextInt((int) (period / 8)),
                 () -> {
                     if (dead) {
                         return;
@@ -112,7 +112,7 @@
                     if (!hung()) {
                         checkLease();
                         if (reportSent < 0
-                                && (changed || world.loop.now() - lastReport >= period)) {
+                                && (changed || cluster.loop.now() - lastReport >= period)) {
                             report();
                         }
                     }
@@ -123,19 +123,19 @@
     private long lastReport = Long.MIN_VALUE / 2;
 
     boolean hung() {
-        return world.loop.now() < hungUntil;
+        return cluster.loop.now() < hungUntil;
     }
 
     boolean deaf() {
-        return world.loop.now() < deafUntil;
+        return cluster.loop.now() < deafUntil;
     }
 
     boolean mute() {
-        return world.loop.now() < muteUntil;
+        return cluster.loop.now() < muteUntil;
     }
 
     boolean closedIn() {
-        return world.loop.now() < closedInUntil;
+        return cluster.loop.now() < closedInUntil;
     }
 
     /** The tasks that run here. */
@@ -148,15 +148,15 @@
     }
 
     private void checkLease() {
-        if (world.loop.now() - leaseFrom > world.settings.workers().leaseMicros()) {
+        if (cluster.loop.now() - leaseFrom > cluster.settings.agents().leaseMicros()) {
             for (Task task : tasks.values()) {
-                world.truth.killedByLease += task.status.equals("running") ? 1 : 0;
+                cluster.invariants.killedByLease += task.status.equals("running") ? 1 : 0;
                 killedByLease += task.status.equals("running") ? 1 : 0;
-                world.truth.ended(task.id, this, false);
+                cluster.invariants.ended(task.id, this, false);
             }
             tasks.clear();
             incarnation++;
-            leaseFrom = world.loop.now();
+            leaseFrom = cluster.loop.now();
             changed = true;
         }
     }
@@ -189,12 +189,12 @@
 
     private void report() {
         changed = false;
-        long sent = world.loop.now();
+        long sent = cluster.loop.now();
         lastReport = sent;
         reportSent = sent;
         long id = ++reportId;
         long ofTenure = incarnation;
-        world.toNode(
+        cluster.toNode(
                 host,
                 node,
                 "POST",
@@ -226,7 +226,7 @@
                     } else {
                         // It tries the next node a second later, and none before.
                         reportSent = sent;
-                        world.loop.after(
+                        cluster.loop.after(
                                 1_000_000,
                                 () -> {
                                     reportSent = -1;
@@ -244,7 +244,7 @@
             used +=
                     task.status.equals("exited")
                             ? 0
-                            : world.truth.submitted.get(task.id.jobId()).cpus();
+                            : cluster.invariants.submitted.get(task.id.jobId()).cpus();
         }
         return !dead
                 && !hung()
@@ -311,7 +311,7 @@
             free -=
                     task.status.equals("exited")
                             ? 0
-                            : world.truth.submitted.get(task.id.jobId()).cpus();
+                            : cluster.invariants.submitted.get(task.id.jobId()).cpus();
         }
         return free;
     }
@@ -322,7 +322,7 @@
     double held(String team) {
         double held = 0;
         for (Task task : tasks.values()) {
-            JobDescription job = world.truth.submitted.get(task.id.jobId());
+            JobDescription job = cluster.invariants.submitted.get(task.id.jobId());
             held += !task.status.equals("exited") && job.team().equals(team) ? job.cpus() : 0;
         }
         return held;
@@ -330,10 +330,10 @@
 
     private void launch(TaskId id, long attempt, Task present) {
         if (present != null && present.attempt == attempt
-                || world.isBroken(Scenario.Flaw.ONE_JOB_NOT_TAKEN) && id.jobId().endsWith("7")) {
+                || cluster.isBroken(Scenario.Flaw.ONE_JOB_NOT_TAKEN) && id.jobId().endsWith("7")) {
             return;
         }
-        JobDescription job = world.truth.submitted.get(id.jobId());
+        JobDescription job = cluster.invariants.submitted.get(id.jobId());
         if (job == null) {
             throw new InvariantViolation("accepted_unfit", id + " is started");
         }
@@ -350,14 +350,14 @@
             used +=
                     other.status.equals("exited") || other == task
                             ? 0
-                            : world.truth.submitted.get(other.id.jobId()).cpus();
+                            : cluster.invariants.submitted.get(other.id.jobId()).cpus();
         }
         if (used + job.cpus() > cpus + 1e-6) {
             task.status = "exited";
             task.cause = "no_room";
             return;
         }
-        world.loop.after(FETCH_MICROS, () -> run(task, job));
+        cluster.loop.after(FETCH_MICROS, () -> run(task, job));
     }
 
     private void run(Task task, JobDescription job) {
@@ -365,23 +365,23 @@
             return;
         }
         if (hung()) {
-            world.loop.at(hungUntil, () -> run(task, job));
+            cluster.loop.at(hungUntil, () -> run(task, job));
             return;
         }
         checkLease();
         if (tasks.get(task.id) != task) {
             return;
         }
-        if (world.truth.isDone(task.id)) {
+        if (cluster.invariants.isDone(task.id)) {
             exit(task, "done");
             return;
         }
-        world.truth.started(task.id, this);
+        cluster.invariants.started(task.id, this);
         started++;
         task.status = "running";
         changed = true;
         if (!job.isService()) {
-            world.loop.after((long) (job.estimatedRuntimeSeconds() * 1e6), () -> complete(task));
+            cluster.loop.after((long) (job.estimatedRuntimeSeconds() * 1e6), () -> complete(task));
         }
     }
 
@@ -390,7 +390,7 @@
             return;
         }
         if (hung()) {
-            world.loop.at(hungUntil, () -> complete(task));
+            cluster.loop.at(hungUntil, () -> complete(task));
             return;
         }
         checkLease();
@@ -403,14 +403,14 @@
         task.status = "exited";
         task.cause = cause;
         changed = true;
-        world.truth.ended(task.id, this, cause.equals("done"));
+        cluster.invariants.ended(task.id, this, cause.equals("done"));
     }
 
     /** The machine is gone, and everything on it. */
     void die() {
         dead = true;
         for (Task task : tasks.values()) {
-            world.truth.ended(task.id, this, false);
+            cluster.invariants.ended(task.id, this, false);
         }
         tasks.clear();
     }
--- a/src/test/java/org/woadloom/sim/SimulatedCloud.java
+++ b/src/test/java/org/woadloom/sim/SimulatedCloud.java
@@ -10,7 +10,7 @@
 final class SimulatedCloud {
     static final int CAPACITY = 14;
 
-    private final ClusterSimulation world;
+    private final ClusterSimulation cluster;
     private final Random more;
     final Map<String, SimulatedAgent> machines = new LinkedHashMap<>();
     private final Map<String, String[]> booting = new LinkedHashMap<>();
@@ -31,8 +31,8 @@
      */
     long quickUntil;
 
-    SimulatedCloud(ClusterSimulation world, Random more) {
-        this.world = world;
+    SimulatedCloud(ClusterSimulation cluster, Random more) {
+        this.cluster = cluster;
         this.more = more;
         refresh();
     }
@@ -42,15 +42,15 @@
         for (Map.Entry<String, String[]> entry : booting.entrySet()) {
             now.add(item(entry.getKey(), entry.getValue(), "booting"));
         }
-        for (SimulatedAgent worker : machines.values()) {
+        for (SimulatedAgent agent : machines.values()) {
             now.add(
                     item(
-                            worker.host,
-                            new String[] {worker.machineType, worker.zone, "" + worker.spot},
-                            worker.dead ? "failed" : "running"));
+                            agent.host,
+                            new String[] {agent.machineType, agent.zone, "" + agent.spot},
+                            agent.dead ? "failed" : "running"));
         }
-        world.loop.after(1_000_000 + world.random.nextInt(3_000_000), () -> shown = now);
-        world.loop.after(1_000_000, this::refresh);
+        cluster.loop.after(1_000_000 + cluster.random.nextInt(3_000_000), () -> shown = now);
+        cluster.loop.after(1_000_000, this::refresh);
     }
 
     private static Map<String, Object> item(String host, String[] kind, String status) {
@@ -68,8 +68,8 @@
     void handle(
             String method, String path, Map<String, Object> body, SimulatedStore.Answer answer) {
         if (method.equals("POST") && lateOfHundred > 0 && more.nextInt(100) < lateOfHundred) {
-            long term = world.term();
-            world.loop.after(
+            long term = cluster.term();
+            cluster.loop.after(
                     2_000_000 + more.nextInt(18_000_000), () -> carryOutLate(path, body, term));
         } else {
             carryOut(method, path, body, answer);
@@ -84,14 +84,14 @@
                 body,
                 (status, hosts) -> {
                     if (status == 200
-                            && world.term() != term
+                            && cluster.term() != term
                             && hosts.get("hosts") instanceof List<?> rented) {
                         rented.stream()
                                 .filter(booting::containsKey)
                                 .forEach(host -> unexpected.add((String) host));
                     }
                 });
-        deletedForOthers += world.term() != term ? before - machines.size() : 0;
+        deletedForOthers += cluster.term() != term ? before - machines.size() : 0;
     }
 
     private void carryOut(
@@ -107,9 +107,9 @@
         } else if (path.equals("/machines/delete")) {
             for (Object host : (List<?>) body.get("hosts")) {
                 booting.remove(host);
-                SimulatedAgent worker = machines.remove(host);
-                if (worker != null) {
-                    worker.die();
+                SimulatedAgent agent = machines.remove(host);
+                if (agent != null) {
+                    agent.die();
                 }
             }
             answer.answer(200, Map.of());
@@ -135,7 +135,7 @@
         map.put("rate", rate);
         map.put("marketPrice", rate / 4);
         map.put("readyS", 8.0);
-        map.put("yards", world.settings.zones());
+        map.put("yards", cluster.settings.zones());
         return map;
     }
 
@@ -146,7 +146,7 @@
             return;
         }
         List<Object> hosts = new ArrayList<>();
-        boolean quick = world.loop.now() < quickUntil;
+        boolean quick = cluster.loop.now() < quickUntil;
         for (long i = 0;
                 i < (Long) body.get("count") && machines.size() + booting.size() < capacity;
                 i++) {
@@ -159,11 +159,11 @@
                         (String) body.get("yard"),
                         "" + body.get("reclaimable")
                     });
-            if (world.random.nextInt(12) > 0) {
-                long usual = 2_000_000 + world.random.nextInt(12_000_000);
-                world.loop.after(
+            if (cluster.random.nextInt(12) > 0) {
+                long usual = 2_000_000 + cluster.random.nextInt(12_000_000);
+                cluster.loop.after(
                         quick ? 300_000 + more.nextInt(1_700_000) : usual, () -> boot(host));
-                world.quickBoots += quick ? 1 : 0;
+                cluster.quickBoots += quick ? 1 : 0;
             }
         }
         if (hosts.isEmpty()) {
@@ -172,7 +172,7 @@
         }
         claims.put(claim, hosts);
         if (quick) {
-            world.loop.after(
+            cluster.loop.after(
                     more.nextInt(2_500_000), () -> answer.answer(200, Map.of("hosts", hosts)));
             return;
         }
@@ -185,7 +185,7 @@
             machines.put(
                     host,
                     new SimulatedAgent(
-                            world,
+                            cluster,
                             host,
                             kind[0],
                             kind[1],
--- a/src/test/java/org/woadloom/sim/SimulatedStore.java
+++ b/src/test/java/org/woadloom/sim/SimulatedStore.java
@@ -21,7 +21,7 @@
     private record Change(String path, Object value, long revision) {}
 
     private final SimulatedEventLoop loop;
-    private ServiceSettings.State limits;
+    private ServiceSettings.Store limits;
     private double writes;
     private long refilled;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
@@ -32,7 +32,7 @@
     private long grantIds;
     boolean down;
 
-    SimulatedStore(SimulatedEventLoop loop, ServiceSettings.State limits) {
+    SimulatedStore(SimulatedEventLoop loop, ServiceSettings.Store limits) {
         this.loop = loop;
         this.limits = limits;
     }
@@ -43,7 +43,7 @@
 
     /** The client of one node that leads or follows alone. */
     static StoreClient client(
-            EventLoop loop, HttpTransport transport, ServiceSettings.State limits, long seed) {
+            EventLoop loop, HttpTransport transport, ServiceSettings.Store limits, long seed) {
         ServiceSettings settings =
                 new ServiceSettings(
                         "node",
@@ -56,7 +56,7 @@
                         List.of("a"),
                         List.of(),
                         List.of(),
-                        new ServiceSettings.Workers(1, 1, 1),
+                        new ServiceSettings.Agents(1, 1, 1),
                         limits,
                         new ServiceSettings.Cloud(1, 1),
                         new ServiceSettings.Resources(1, 1, 1));
@@ -308,16 +308,16 @@
             return;
         }
         boolean[] done = {false};
-        Runnable again =
+        Runnable retry =
                 () -> {
                     if (!done[0]) {
                         done[0] = true;
                         follow(path, until, answer);
                     }
                 };
-        watchers.add(again);
+        watchers.add(retry);
         if (loop.now() < until) {
-            loop.at(until, again);
+            loop.at(until, retry);
         }
     }
 }
--- a/src/test/java/org/woadloom/sim/StepRenderer.java
+++ b/src/test/java/org/woadloom/sim/StepRenderer.java
@@ -41,15 +41,15 @@
             int node,
             long nowMicros,
             List<SchedulerEvent> commands,
-            List<SchedulerAction> effects) {
+            List<SchedulerAction> actions) {
         StringBuilder out = new StringBuilder();
         line(out, "step ", list(node, nowMicros));
         for (SchedulerEvent command : commands) {
             line(out, "  in  ", command(command));
         }
-        for (SchedulerAction effect : effects) {
-            if (!(effect instanceof SchedulerAction.Log)) {
-                line(out, "  out ", effect(effect));
+        for (SchedulerAction action : actions) {
+            if (!(action instanceof SchedulerAction.Log)) {
+                line(out, "  out ", effect(action));
             }
         }
         return out.toString();
@@ -159,16 +159,16 @@
         throw new IllegalArgumentException("a command that has no text yet: " + command);
     }
 
-    private static List<Object> effect(SchedulerAction effect) {
-        if (effect instanceof SchedulerAction.AnswerHeartbeat e) {
+    private static List<Object> effect(SchedulerAction action) {
+        if (action instanceof SchedulerAction.AnswerHeartbeat e) {
             return list(
                     "answer",
                     e.requestId(),
                     e.fencingToken(),
                     each(e.commands(), TaskCommand::toMap));
-        } else if (effect instanceof SchedulerAction.RejectHeartbeat e) {
+        } else if (action instanceof SchedulerAction.RejectHeartbeat e) {
             return list("turn-away", e.requestId());
-        } else if (effect instanceof SchedulerAction.SendDirectCommand e) {
+        } else if (action instanceof SchedulerAction.SendDirectCommand e) {
             return list(
                     "send-direct",
                     e.commandId(),
@@ -177,38 +177,38 @@
                     e.fencingToken(),
                     e.incarnation(),
                     each(e.commands(), TaskCommand::toMap));
-        } else if (effect instanceof SchedulerAction.WriteJob e) {
+        } else if (action instanceof SchedulerAction.WriteJob e) {
             return list("put-job", job(e.record()), e.revision(), e.urgent());
-        } else if (effect instanceof SchedulerAction.WriteFinalState e) {
+        } else if (action instanceof SchedulerAction.WriteFinalState e) {
             return list("finish-job", finalRecord(e.record()), e.revision(), e.version());
-        } else if (effect instanceof SchedulerAction.ReadJob e) {
+        } else if (action instanceof SchedulerAction.ReadJob e) {
             return list("read-job", e.jobId());
-        } else if (effect instanceof SchedulerAction.ResolveDependency e) {
+        } else if (action instanceof SchedulerAction.ResolveDependency e) {
             return list("find-job", e.jobId());
-        } else if (effect instanceof SchedulerAction.WriteMachine e) {
+        } else if (action instanceof SchedulerAction.WriteMachine e) {
             return list("put-machine", machine(e.record()), e.revision());
-        } else if (effect instanceof SchedulerAction.DeleteMachineRecord e) {
+        } else if (action instanceof SchedulerAction.DeleteMachineRecord e) {
             return list("drop-machine", e.host(), e.revision());
-        } else if (effect instanceof SchedulerAction.ReadMachine e) {
+        } else if (action instanceof SchedulerAction.ReadMachine e) {
             return list("read-machine", e.host());
-        } else if (effect instanceof SchedulerAction.RentMachines e) {
+        } else if (action instanceof SchedulerAction.RentMachines e) {
             return list("rent", e.requestName(), e.machineType(), e.zone(), e.spot(), e.count());
-        } else if (effect instanceof SchedulerAction.DeleteMachines e) {
+        } else if (action instanceof SchedulerAction.DeleteMachines e) {
             return list("delete", e.hosts());
-        } else if (effect instanceof SchedulerAction.DelegateLeases e) {
+        } else if (action instanceof SchedulerAction.DelegateLeases e) {
             return list("give-warrant", e.node(), warrant(e.delegation()));
-        } else if (effect instanceof SchedulerAction.StepDown) {
+        } else if (action instanceof SchedulerAction.StepDown) {
             // Its reason is for the log.
             return list("abdicate");
-        } else if (effect instanceof SchedulerAction.WriteRollout e) {
+        } else if (action instanceof SchedulerAction.WriteRollout e) {
             return list(
                     "put-rollout",
                     e.record().toMap(),
                     new TreeMap<>(e.conditions()),
                     e.agreedVersion());
-        } else if (effect instanceof SchedulerAction.CountRecords e) {
+        } else if (action instanceof SchedulerAction.CountRecords e) {
             return list("count-records", e.feature().key(), e.rollingBack());
-        } else if (effect instanceof SchedulerAction.PublishServiceLevels e) {
+        } else if (action instanceof SchedulerAction.PublishServiceLevels e) {
             return list(
                     "served",
                     each(
@@ -223,7 +223,7 @@
                                             r.cancelled(),
                                             r.longestWaitMicros())));
         }
-        throw new IllegalArgumentException("an effect that has no text yet: " + effect);
+        throw new IllegalArgumentException("an effect that has no text yet: " + action);
     }
 
     /** The values of a command, an effect or a part of one; null is allowed. */
@@ -266,8 +266,8 @@
     }
 
     private static List<Object> spoken(SchedulerEvent.StoredAnnouncement spoken) {
-        NodeAnnouncement word = spoken.announcement();
-        return list(word.toMap(), spoken.revision());
+        NodeAnnouncement announcement = spoken.announcement();
+        return list(announcement.toMap(), spoken.revision());
     }
 
     private static List<Object> nodeStanding(PeerStatus s) {
@@ -299,29 +299,29 @@
     }
 
     /** As on the wire, but for the span in the warning. */
-    private static Map<String, Object> report(Heartbeat report) {
+    private static Map<String, Object> report(Heartbeat heartbeat) {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("host", report.host());
-        map.put("addr", report.address());
-        map.put("hosttype", report.machineType());
-        map.put("yard", report.zone());
-        map.put("reclaimable", report.spot());
-        map.put("tenure", report.incarnation());
-        map.put("tick", report.sequence());
-        map.put("epoch", report.fencingToken());
-        map.put("warningMicros", report.spotNoticeMicros());
-        map.put("shards", each(report.tasks(), StepRenderer::task));
+        map.put("host", heartbeat.host());
+        map.put("addr", heartbeat.address());
+        map.put("hosttype", heartbeat.machineType());
+        map.put("yard", heartbeat.zone());
+        map.put("reclaimable", heartbeat.spot());
+        map.put("tenure", heartbeat.incarnation());
+        map.put("tick", heartbeat.sequence());
+        map.put("epoch", heartbeat.fencingToken());
+        map.put("warningMicros", heartbeat.spotNoticeMicros());
+        map.put("shards", each(heartbeat.tasks(), StepRenderer::task));
         return map;
     }
 
-    private static List<Object> task(TaskStatus report) {
+    private static List<Object> task(TaskStatus status) {
         return list(
-                report.task().jobId(),
-                report.task().index(),
-                report.attempt(),
-                state(report.state()),
-                report.exitReason() == null ? null : cause(report.exitReason()),
-                report.checkpointed());
+                status.task().jobId(),
+                status.task().index(),
+                status.attempt(),
+                state(status.state()),
+                status.exitReason() == null ? null : cause(status.exitReason()),
+                status.checkpointed());
     }
 
     private static String state(TaskStatus.State state) {
--- a/src/test/java/org/woadloom/sim/StoreClientTest.java
+++ b/src/test/java/org/woadloom/sim/StoreClientTest.java
@@ -25,8 +25,8 @@
  * than are asked for.
  */
 class StoreClientTest {
-    private static final ServiceSettings.State LIMITS =
-            new ServiceSettings.State(1_000, 40, 8192, 12, null);
+    private static final ServiceSettings.Store LIMITS =
+            new ServiceSettings.Store(1_000, 40, 8192, 12, null);
 
     private final SimulatedEventLoop sim = new SimulatedEventLoop();
     private final List<String> sent = new ArrayList<>();
@@ -42,7 +42,7 @@
                         },
                         LIMITS,
                         1);
-        client.lead(true);
+        client.setLeader(true);
     }
 
     private void change(RequestPriority urgency, int changes) {
@@ -139,7 +139,7 @@
                         },
                         LIMITS,
                         1);
-        served.lead(true);
+        served.setLeader(true);
         return served;
     }
 
--- a/src/test/java/org/woadloom/sim/StoreFaults.java
+++ b/src/test/java/org/woadloom/sim/StoreFaults.java
@@ -7,7 +7,7 @@
     /** For so long nodes wait for an answer. */
     private static final long PATIENCE_MICROS = 2_000_000;
 
-    private final ClusterSimulation world;
+    private final ClusterSimulation cluster;
     private final Random random;
     private int lostOfHundred;
     private long loseUntil;
@@ -16,8 +16,8 @@
     private int lostBy = -1;
     private long lostAt;
 
-    StoreFaults(ClusterSimulation world, Random random) {
-        this.world = world;
+    StoreFaults(ClusterSimulation cluster, Random random) {
+        this.cluster = cluster;
         this.random = random;
     }
 
@@ -37,10 +37,10 @@
 
     /** A request that has come there, perhaps later, and whose answer may be lost, or late. */
     void meet(int node, String path, SimulatedStore.Answer reply, Request request) {
-        long now = world.loop.now();
+        long now = cluster.loop.now();
         boolean reads = path.startsWith("/keys/job/") || path.startsWith("/follow?prefix=job/");
         if (reads && lostBy >= 0 && node != lostBy && now - lostAt < PATIENCE_MICROS) {
-            world.lostAnswersReadElsewhere++;
+            cluster.lostAnswersReadElsewhere++;
             lostBy = -1;
         }
         boolean lost =
@@ -50,9 +50,9 @@
                         ? reply
                         : (status, body) -> {
                             if (status == 200) {
-                                world.lostAnswersMade++;
+                                cluster.lostAnswersMade++;
                                 lostBy = node;
-                                lostAt = world.loop.now();
+                                lostAt = cluster.loop.now();
                             } else {
                                 reply.answer(status, body);
                             }
@@ -63,12 +63,12 @@
         }
         long extra = random.nextLong(extraMicros + 1);
         long there = random.nextLong(extra + 1);
-        world.loop.after(
+        cluster.loop.after(
                 there,
                 () ->
                         request.made(
                                 (status, body) ->
-                                        world.loop.after(
+                                        cluster.loop.after(
                                                 extra - there, () -> answer.answer(status, body))));
     }
 }
--- a/src/test/java/org/woadloom/sim/StoredValuesGoldenTest.java
+++ b/src/test/java/org/woadloom/sim/StoredValuesGoldenTest.java
@@ -34,16 +34,16 @@
         check("letters.txt");
     }
 
-    private void readLetters(ClusterSimulation world, String format)
+    private void readLetters(ClusterSimulation cluster, String format)
             throws MalformedMessageException, IOException {
-        world.users(DAY_MICROS);
-        world.loop.after(DAY_MICROS / 3, () -> world.partition("a", "b", DAY_MICROS));
-        while (world.loop.step(DAY_MICROS)) {
+        cluster.users(DAY_MICROS);
+        cluster.loop.after(DAY_MICROS / 3, () -> cluster.partition("a", "b", DAY_MICROS));
+        while (cluster.loop.step(DAY_MICROS)) {
             for (int node = 0; node < ClusterSimulation.NODES; node++) {
                 for (int slot = 0; slot < SLOTS; slot++) {
                     letter(
                             format,
-                            world.stored("mail/" + ClusterSimulation.label(node) + "/" + slot));
+                            cluster.stored("mail/" + ClusterSimulation.label(node) + "/" + slot));
                 }
             }
         }
@@ -77,10 +77,10 @@
 
     @Test
     void leaderTermVersionsAndRolloutAreAsRecorded() {
-        ClusterSimulation world = new ClusterSimulation(1, Scenario.UPGRADE);
-        world.users(DAY_MICROS);
-        world.upgrade(DAY_MICROS);
-        world.loop.run(2 * DAY_MICROS);
+        ClusterSimulation cluster = new ClusterSimulation(1, Scenario.UPGRADE);
+        cluster.users(DAY_MICROS);
+        cluster.upgradeNodes(DAY_MICROS);
+        cluster.loop.run(2 * DAY_MICROS);
         for (String key :
                 List.of(
                         "leader",
@@ -90,7 +90,7 @@
                         "version/node/node-0",
                         "rollout/state",
                         "rollout/node/node-0")) {
-            shapes.put(key, Shape.of(world.stored(key)));
+            shapes.put(key, Shape.of(cluster.stored(key)));
         }
         check("stored-values.txt");
     }
--- a/src/test/java/org/woadloom/sim/ThreeZonesTest.java
+++ b/src/test/java/org/woadloom/sim/ThreeZonesTest.java
@@ -17,22 +17,22 @@
     private static final long QUIET = 600_000_000;
 
     private static ClusterSimulation day(long seed) {
-        ClusterSimulation world = new ClusterSimulation(seed, Scenario.PLAIN.inThreeZones());
-        world.trouble = 0;
-        world.copies = 3;
-        world.users(AT + 90_000_000);
-        world.truth.calmFrom = AT + 180_000_000;
-        world.run(AT);
-        return world;
+        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN.inThreeZones());
+        cluster.trouble = 0;
+        cluster.copies = 3;
+        cluster.users(AT + 90_000_000);
+        cluster.invariants.calmFrom = AT + 180_000_000;
+        cluster.run(AT);
+        return cluster;
     }
 
-    private static void untilAllIsDone(ClusterSimulation world) {
-        world.run(AT + QUIET);
-        assertEquals(List.of(), world.unfinished());
+    private static void untilAllIsDone(ClusterSimulation cluster) {
+        cluster.run(AT + QUIET);
+        assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
-    private static int with(ClusterSimulation world, boolean leader) {
-        return leader ? world.leader() : (world.leader() + 1) % ClusterSimulation.NODES;
+    private static int with(ClusterSimulation cluster, boolean leader) {
+        return leader ? cluster.leader() : (cluster.leader() + 1) % ClusterSimulation.NODES;
     }
 
     /**
@@ -42,37 +42,37 @@
     @ParameterizedTest
     @CsvSource({"1,true", "2,false", "3,true", "4,false"})
     void aZoneIsCutWithItsOnlyNodeWhileTheOthersEnd(long seed, boolean leader) {
-        ClusterSimulation world = day(seed);
-        int inside = with(world, leader);
-        world.island(world.yardOf(inside), 60_000_000);
+        ClusterSimulation cluster = day(seed);
+        int inside = with(cluster, leader);
+        cluster.island(cluster.yardOf(inside), 60_000_000);
         for (int i = 1; i <= 4; i++) {
             int ending = (inside + 1 + i % 2) % ClusterSimulation.NODES;
-            world.loop.after(i * 12_000_000L, () -> world.end(ending, 300_000));
+            cluster.loop.after(i * 12_000_000L, () -> cluster.end(ending, 300_000));
         }
-        untilAllIsDone(world);
+        untilAllIsDone(cluster);
     }
 
     /** Both reach the third zone: leadership settles, and nobody's work is lost. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void twoZonesCantReachEachOtherWithTheLeaderAtEitherEnd(long seed) {
-        ClusterSimulation world = day(seed);
-        int killed = world.truth.killedByLease;
-        int leader = world.leader();
-        world.partition(
-                world.yardOf(leader),
-                world.yardOf((leader + 1) % ClusterSimulation.NODES),
+        ClusterSimulation cluster = day(seed);
+        int killed = cluster.invariants.killedByLease;
+        int leader = cluster.leader();
+        cluster.partition(
+                cluster.yardOf(leader),
+                cluster.yardOf((leader + 1) % ClusterSimulation.NODES),
                 35_000_000);
         if (seed % 2 == 0) {
-            world.loop.after(10_000_000, () -> world.end(leader, 300_000));
+            cluster.loop.after(10_000_000, () -> cluster.end(leader, 300_000));
         }
-        long before = world.term();
-        world.run(AT + 50_000_000);
-        assertTrue(world.term() <= before + 1, "terms taken: " + (world.term() - before));
+        long before = cluster.term();
+        cluster.run(AT + 50_000_000);
+        assertTrue(cluster.term() <= before + 1, "terms taken: " + (cluster.term() - before));
         assertTrue(
-                world.truth.killedByLease <= killed + 2,
-                "tasks killed: " + (world.truth.killedByLease - killed));
-        untilAllIsDone(world);
+                cluster.invariants.killedByLease <= killed + 2,
+                "tasks killed: " + (cluster.invariants.killedByLease - killed));
+        untilAllIsDone(cluster);
     }
 
     /**
@@ -82,34 +82,36 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void allControllersEndInAnOutageAsMachinesAreTaken(long seed) {
-        ClusterSimulation world = day(seed);
-        world.stateOutage(12_000_000);
-        world.loop.after(
+        ClusterSimulation cluster = day(seed);
+        cluster.stateOutage(12_000_000);
+        cluster.loop.after(
                 3_000_000,
                 () -> {
                     for (int i = 0; i < ClusterSimulation.NODES; i++) {
-                        world.end(i, 50_000 + 900_000L * i);
+                        cluster.end(i, 50_000 + 900_000L * i);
                     }
-                    List<SimulatedAgent> workers = world.workers();
-                    for (int i = 0; i < workers.size(); i += 3) {
-                        workers.get(i).die();
+                    List<SimulatedAgent> agents = cluster.agents();
+                    for (int i = 0; i < agents.size(); i += 3) {
+                        agents.get(i).die();
                     }
                 });
-        untilAllIsDone(world);
+        untilAllIsDone(cluster);
     }
 
     /** Services must spread, one zone is dark, and what comes has only two left. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void servicesThatComeWhileAZoneIsCutStartInTheOthers(long seed) {
-        ClusterSimulation world = day(seed);
-        String dark = world.yardOf(with(world, false));
-        world.island(dark, 45_000_000);
-        world.users(world.loop.now() + 20_000_000, 3);
-        int before = world.rented();
-        world.run(AT + 40_000_000);
-        assertTrue(world.rented() - before <= 28, "rented meanwhile: " + (world.rented() - before));
-        untilAllIsDone(world);
+        ClusterSimulation cluster = day(seed);
+        String dark = cluster.yardOf(with(cluster, false));
+        cluster.island(dark, 45_000_000);
+        cluster.users(cluster.loop.now() + 20_000_000, 3);
+        int before = cluster.rented();
+        cluster.run(AT + 40_000_000);
+        assertTrue(
+                cluster.rented() - before <= 28,
+                "rented meanwhile: " + (cluster.rented() - before));
+        untilAllIsDone(cluster);
     }
 
     /**
@@ -120,13 +122,13 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aNodeIsAloneInAZoneThatCantReachAnother(long seed) {
-        ClusterSimulation world = day(seed);
-        int alone = with(world, seed % 2 == 0);
-        world.isolate(alone, 40_000_000);
-        world.partition(
-                world.yardOf(alone),
-                world.yardOf((alone + 1) % ClusterSimulation.NODES),
+        ClusterSimulation cluster = day(seed);
+        int alone = with(cluster, seed % 2 == 0);
+        cluster.isolate(alone, 40_000_000);
+        cluster.partition(
+                cluster.yardOf(alone),
+                cluster.yardOf((alone + 1) % ClusterSimulation.NODES),
                 30_000_000);
-        untilAllIsDone(world);
+        untilAllIsDone(cluster);
     }
 }
--- a/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
@@ -20,22 +20,22 @@
 
     /** The lease is 20 s; no other trouble than the one that the test makes. */
     private static ClusterSimulation day(long seed) {
-        ClusterSimulation world =
+        ClusterSimulation cluster =
                 new ClusterSimulation(
                         seed,
                         new Scenario(
                                 Scenario.LONG, Scenario.LONG, Version.NOW, Scenario.Flaw.NONE, 0));
-        world.trouble = 0;
-        world.copies = 5;
-        world.users(AT + 60_000_000);
-        world.truth.calmFrom = AT + 150_000_000;
-        world.run(AT);
-        return world;
+        cluster.trouble = 0;
+        cluster.copies = 5;
+        cluster.users(AT + 60_000_000);
+        cluster.invariants.calmFrom = AT + 150_000_000;
+        cluster.run(AT);
+        return cluster;
     }
 
-    private static void untilAllIsDone(ClusterSimulation world) {
-        world.run(AT + QUIET);
-        assertEquals(List.of(), world.unfinished());
+    private static void untilAllIsDone(ClusterSimulation cluster) {
+        cluster.run(AT + QUIET);
+        assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
     /** Shorter than a lease: nothing is lost, and nothing is rented or returned for it. */
@@ -44,16 +44,16 @@
         int wereDeaf = 0;
         int returned = 0;
         for (long seed = 1; seed <= 6; seed++) {
-            ClusterSimulation world = day(seed);
-            int killed = world.truth.killedByLease;
-            world.deafen("a", 1, 8_000_000);
+            ClusterSimulation cluster = day(seed);
+            int killed = cluster.invariants.killedByLease;
+            cluster.deafen("a", 1, 8_000_000);
             List<SimulatedAgent> deaf =
-                    world.workers().stream().filter(SimulatedAgent::deaf).toList();
-            world.run(AT + 16_000_000);
-            assertEquals(killed, world.truth.killedByLease);
+                    cluster.agents().stream().filter(SimulatedAgent::deaf).toList();
+            cluster.run(AT + 16_000_000);
+            assertEquals(killed, cluster.invariants.killedByLease);
             wereDeaf += deaf.size();
-            returned += (int) deaf.stream().filter(worker -> worker.dead).count();
-            untilAllIsDone(world);
+            returned += (int) deaf.stream().filter(agent -> agent.dead).count();
+            untilAllIsDone(cluster);
         }
         // Idle ones may have been returned meanwhile: on one day alone that may be most of a few.
         assertTrue(returned * 2 <= wereDeaf, returned + " of " + wereDeaf + " were returned");
@@ -62,12 +62,12 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void workOnMachinesThatAreDeafForThreeLeasesIsDoneElsewhere(long seed) {
-        ClusterSimulation world = day(seed);
-        world.deafen("a", 2, 60_000_000);
+        ClusterSimulation cluster = day(seed);
+        cluster.deafen("a", 2, 60_000_000);
         if (seed % 2 == 0) {
-            world.loop.after(5_000_000, () -> world.restart(world.leader()));
+            cluster.loop.after(5_000_000, () -> cluster.restart(cluster.leader()));
         }
-        untilAllIsDone(world);
+        untilAllIsDone(cluster);
     }
 
     /**
@@ -81,7 +81,7 @@
                         InvariantViolation.class,
                         () -> {
                             for (long seed = 1; seed <= 20; seed++) {
-                                ClusterSimulation world =
+                                ClusterSimulation cluster =
                                         new ClusterSimulation(
                                                 seed,
                                                 new Scenario(
@@ -90,11 +90,12 @@
                                                         Version.NOW,
                                                         Scenario.Flaw.DEAF_SEEM_TO_HEAR,
                                                         0));
-                                world.users(QUIET, 4);
+                                cluster.users(QUIET, 4);
                                 for (long at = AT; at < QUIET; at += 20_000_000) {
-                                    world.loop.after(at, () -> world.deafen("a", 1, 12_000_000));
+                                    cluster.loop.after(
+                                            at, () -> cluster.deafen("a", 1, 12_000_000));
                                 }
-                                world.run(QUIET);
+                                cluster.run(QUIET);
                             }
                         });
         assertTrue(
@@ -106,23 +107,23 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void machinesThatStayDeafAreReplaced(long seed) {
-        ClusterSimulation world = day(seed);
-        world.deafen("b", 3, 2 * QUIET);
-        List<SimulatedAgent> deaf = world.workers().stream().filter(SimulatedAgent::deaf).toList();
+        ClusterSimulation cluster = day(seed);
+        cluster.deafen("b", 3, 2 * QUIET);
+        List<SimulatedAgent> deaf = cluster.agents().stream().filter(SimulatedAgent::deaf).toList();
         assertTrue(!deaf.isEmpty());
-        world.run(AT + 180_000_000);
-        assertTrue(deaf.stream().allMatch(worker -> worker.dead));
-        untilAllIsDone(world);
+        cluster.run(AT + 180_000_000);
+        assertTrue(deaf.stream().allMatch(agent -> agent.dead));
+        untilAllIsDone(cluster);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void workOnMachinesOfWhichNothingIsHeardIsDoneElsewhere(long seed) {
-        ClusterSimulation world = day(seed);
-        world.workers().stream()
-                .filter(worker -> worker.zone.equals("a"))
-                .forEach(worker -> worker.muteUntil = world.loop.now() + 60_000_000);
-        untilAllIsDone(world);
+        ClusterSimulation cluster = day(seed);
+        cluster.agents().stream()
+                .filter(agent -> agent.zone.equals("a"))
+                .forEach(agent -> agent.muteUntil = cluster.loop.now() + 60_000_000);
+        untilAllIsDone(cluster);
     }
 
     /**
@@ -132,19 +133,19 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void aLeaderWithItsWorkersAloneLosesThemToTheOthers(long seed) {
-        ClusterSimulation world = day(seed);
-        int alone = world.leader();
-        int killed = world.truth.killedByLease;
-        world.isolate(alone, 60_000_000);
-        world.run(AT + 15_000_000);
-        assertNotEquals(alone, world.leader());
-        assertEquals(503, world.status(alone, "GET", "/healthz", null));
-        assertEquals(200, world.status(world.leader(), "GET", "/healthz", null));
-        world.run(AT + 60_000_000);
-        assertEquals(killed, world.truth.killedByLease, "tasks killed by leases");
-        world.run(AT + 75_000_000);
-        assertEquals(200, world.status(alone, "GET", "/healthz", null));
-        untilAllIsDone(world);
+        ClusterSimulation cluster = day(seed);
+        int alone = cluster.leader();
+        int killed = cluster.invariants.killedByLease;
+        cluster.isolate(alone, 60_000_000);
+        cluster.run(AT + 15_000_000);
+        assertNotEquals(alone, cluster.leader());
+        assertEquals(503, cluster.status(alone, "GET", "/healthz", null));
+        assertEquals(200, cluster.status(cluster.leader(), "GET", "/healthz", null));
+        cluster.run(AT + 60_000_000);
+        assertEquals(killed, cluster.invariants.killedByLease, "tasks killed by leases");
+        cluster.run(AT + 75_000_000);
+        assertEquals(200, cluster.status(alone, "GET", "/healthz", null));
+        untilAllIsDone(cluster);
     }
 
     /**
@@ -154,27 +155,27 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aFollowerWithItsWorkersAloneLosesThemToTheLeader(long seed) {
-        ClusterSimulation world = day(seed);
-        int leader = world.leader();
+        ClusterSimulation cluster = day(seed);
+        int leader = cluster.leader();
         int alone = (leader + 1) % ClusterSimulation.NODES;
-        int killed = world.truth.killedByLease;
-        world.isolate(alone, 60_000_000);
-        world.run(AT + 20_000_000);
-        assertEquals(503, world.status(alone, "GET", "/healthz", null));
-        world.run(AT + 60_000_000);
-        assertEquals(leader, world.leader());
-        assertEquals(killed, world.truth.killedByLease, "tasks killed by leases");
-        untilAllIsDone(world);
+        int killed = cluster.invariants.killedByLease;
+        cluster.isolate(alone, 60_000_000);
+        cluster.run(AT + 20_000_000);
+        assertEquals(503, cluster.status(alone, "GET", "/healthz", null));
+        cluster.run(AT + 60_000_000);
+        assertEquals(leader, cluster.leader());
+        assertEquals(killed, cluster.invariants.killedByLease, "tasks killed by leases");
+        untilAllIsDone(cluster);
     }
 
     /** In an outage for all, nobody is better off elsewhere. */
     @Test
     void inAnOutageForAllNodesStayHealthy() {
-        ClusterSimulation world = day(1);
-        world.stateOutage(20_000_000);
-        world.run(AT + 12_000_000);
+        ClusterSimulation cluster = day(1);
+        cluster.stateOutage(20_000_000);
+        cluster.run(AT + 12_000_000);
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
-            assertEquals(200, world.status(i, "GET", "/healthz", null));
+            assertEquals(200, cluster.status(i, "GET", "/healthz", null));
         }
     }
 
@@ -182,13 +183,13 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void nodesThatEndInTheMiddleOfElectionsEndUpWithOneLeader(long seed) {
-        ClusterSimulation world = day(seed);
-        long before = world.term();
-        world.end(world.leader(), 50_000);
-        world.endInElections(AT + 8_000_000);
-        world.run(AT + 20_000_000);
-        assertTrue(world.term() > before);
-        assertNotEquals(-1, world.leader());
-        untilAllIsDone(world);
+        ClusterSimulation cluster = day(seed);
+        long before = cluster.term();
+        cluster.end(cluster.leader(), 50_000);
+        cluster.endInElections(AT + 8_000_000);
+        cluster.run(AT + 20_000_000);
+        assertTrue(cluster.term() > before);
+        assertNotEquals(-1, cluster.leader());
+        untilAllIsDone(cluster);
     }
 }
--- a/src/test/java/org/woadloom/sim/UserFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/UserFaultCombinationsTest.java
@@ -23,14 +23,14 @@
          */
         END_OF_THE_LAST_TASK {
             @Override
-            void begin(ClusterSimulation world) {
-                world.cancelAtEnd(50, FOR);
-                world.lookClosely(FOR);
+            void begin(ClusterSimulation cluster) {
+                cluster.cancelAtEnd(50, FOR);
+                cluster.lookClosely(FOR);
             }
 
             @Override
-            int came(ClusterSimulation world) {
-                return Math.min(world.cancelledAtEnd, world.closeLooks);
+            int came(ClusterSimulation cluster) {
+                return Math.min(cluster.cancelledAtEnd, cluster.closeLooks);
             }
         },
         /**
@@ -39,13 +39,13 @@
          */
         ODD_REQUESTS {
             @Override
-            void begin(ClusterSimulation world) {
-                world.oddRequests(FOR);
+            void begin(ClusterSimulation cluster) {
+                cluster.oddRequests(FOR);
             }
 
             @Override
-            int came(ClusterSimulation world) {
-                return world.oddRequestsMade;
+            int came(ClusterSimulation cluster) {
+                return cluster.oddRequestsMade;
             }
         },
         /**
@@ -54,41 +54,41 @@
          */
         LOST_ANSWERS {
             @Override
-            void begin(ClusterSimulation world) {
-                world.loseAnswers(30, FOR);
-                world.lookClosely(FOR);
+            void begin(ClusterSimulation cluster) {
+                cluster.loseAnswers(30, FOR);
+                cluster.lookClosely(FOR);
             }
 
             @Override
-            int came(ClusterSimulation world) {
-                return Math.min(world.lostAnswersMade, world.closeLooks);
+            int came(ClusterSimulation cluster) {
+                return Math.min(cluster.lostAnswersMade, cluster.closeLooks);
             }
         };
 
-        abstract void begin(ClusterSimulation world);
+        abstract void begin(ClusterSimulation cluster);
 
-        abstract int came(ClusterSimulation world);
+        abstract int came(ClusterSimulation cluster);
     }
 
     private static ClusterSimulation day(long seed, Scenario day, Meeting meeting) {
-        ClusterSimulation world = new ClusterSimulation(seed, day);
-        world.users(AT + FOR);
-        world.truth.calmFrom = AT + FOR + 60_000_000;
-        world.loop.after(AT, () -> meeting.begin(world));
+        ClusterSimulation cluster = new ClusterSimulation(seed, day);
+        cluster.users(AT + FOR);
+        cluster.invariants.calmFrom = AT + FOR + 60_000_000;
+        cluster.loop.after(AT, () -> meeting.begin(cluster));
         // A team at its limit has work left for minutes: three tasks of its large jobs at a time.
-        world.run(AT + FOR + 500_000_000);
-        return world;
+        cluster.run(AT + FOR + 500_000_000);
+        return cluster;
     }
 
     @ParameterizedTest
     @EnumSource
     void rulesHoldInEachMeeting(Meeting meeting) {
         for (long seed = 1; seed <= SEEDS; seed++) {
-            ClusterSimulation world = day(seed, Scenario.PLAIN, meeting);
+            ClusterSimulation cluster = day(seed, Scenario.PLAIN, meeting);
             assertTrue(
-                    meeting.came(world) >= 5,
-                    meeting + " occurred " + meeting.came(world) + " times, seed " + seed);
-            assertEquals(List.of(), world.unfinished(), meeting + ", seed " + seed);
+                    meeting.came(cluster) >= 5,
+                    meeting + " occurred " + meeting.came(cluster) + " times, seed " + seed);
+            assertEquals(List.of(), cluster.unfinishedJobs(), meeting + ", seed " + seed);
         }
     }
 
--- a/src/test/java/org/woadloom/sim/UserFaults.java
+++ b/src/test/java/org/woadloom/sim/UserFaults.java
@@ -39,7 +39,7 @@
                     "snapshotEveryS",
                     "snapshotCostS");
 
-    private final ClusterSimulation world;
+    private final ClusterSimulation cluster;
     private final Random random;
     private final Set<String> lookedAt = new HashSet<>();
     private long lookUntil;
@@ -47,8 +47,8 @@
     private int endsOfHundred;
     private long endsUntil;
 
-    UserFaults(ClusterSimulation world, Random random) {
-        this.world = world;
+    UserFaults(ClusterSimulation cluster, Random random) {
+        this.cluster = cluster;
         this.random = random;
     }
 
@@ -58,55 +58,55 @@
 
     /** A user was told something of a job; what is new is looked at closely by all who care. */
     void told(String jobId, int status) {
-        if (world.loop.now() >= lookUntil
+        if (cluster.loop.now() >= lookUntil
                 || status != 200 && status != 201
-                || !lookedAt.add(jobId + world.truth.isOver(jobId))) {
+                || !lookedAt.add(jobId + cluster.invariants.isOver(jobId))) {
             return;
         }
-        world.closeLooks++;
+        cluster.closeLooks++;
         for (int node = 0; node < ClusterSimulation.NODES; node++) {
             int index = node;
             for (int look = 0; look < LOOKS; look++) {
-                world.loop.after(1 + random.nextInt(30_000), () -> ask(index, jobId));
+                cluster.loop.after(1 + random.nextInt(30_000), () -> ask(index, jobId));
             }
         }
-        world.loop.after(
+        cluster.loop.after(
                 1 + random.nextInt(10_000),
-                () -> repeat(jobId, world.truth.submitted.get(jobId).toMap()));
+                () -> repeat(jobId, cluster.invariants.submitted.get(jobId).toMap()));
         if (random.nextInt(5) == 0) {
-            world.loop.after(1 + random.nextInt(20_000), () -> world.cancel(jobId));
+            cluster.loop.after(1 + random.nextInt(20_000), () -> cluster.cancel(jobId));
         }
     }
 
     private void ask(int node, String jobId) {
-        long sent = world.loop.now();
-        world.toNode(
+        long sent = cluster.loop.now();
+        cluster.toNode(
                 "users",
                 node,
                 "GET",
                 "/v1/jobs/" + jobId,
                 null,
                 2_000_000,
-                (status, body) -> world.answered("poll", jobId, sent, status, body));
+                (status, body) -> cluster.answered("poll", jobId, sent, status, body));
     }
 
     private void repeat(String jobId, Map<String, Object> job) {
-        long sent = world.loop.now();
-        world.toNode(
+        long sent = cluster.loop.now();
+        cluster.toNode(
                 "users",
                 random.nextInt(ClusterSimulation.NODES),
                 "POST",
                 "/v1/jobs",
                 job,
                 5_000_000,
-                (status, body) -> world.answered("submit", jobId, sent, status, body));
+                (status, body) -> cluster.answered("submit", jobId, sent, status, body));
     }
 
     void oddRequests(long until) {
-        world.loop.after(
+        cluster.loop.after(
                 100_000 + random.nextInt(500_000),
                 () -> {
-                    if (world.loop.now() < until) {
+                    if (cluster.loop.now() < until) {
                         oddRequest(odd++ % 5);
                         oddRequests(until);
                     }
@@ -114,25 +114,25 @@
     }
 
     private void oddRequest(int kind) {
-        List<String> such = new ArrayList<>(world.truth.acceptedJobs());
-        such.removeIf(jobId -> world.truth.isOver(jobId) != (kind == 2));
+        List<String> such = new ArrayList<>(cluster.invariants.acceptedJobs());
+        such.removeIf(jobId -> cluster.invariants.isOver(jobId) != (kind == 2));
         if (kind < 3 && such.isEmpty()) {
             return;
         }
-        world.oddRequestsMade++;
-        String jobId = kind < 3 ? such.get(random.nextInt(such.size())) : world.newUid();
+        cluster.oddRequestsMade++;
+        String jobId = kind < 3 ? such.get(random.nextInt(such.size())) : cluster.newUid();
         Map<String, Object> job =
-                kind < 3 ? world.truth.submitted.get(jobId).toMap() : plain(jobId);
+                kind < 3 ? cluster.invariants.submitted.get(jobId).toMap() : plain(jobId);
         if (kind == 2) {
-            long sent = world.loop.now();
-            world.toNode(
+            long sent = cluster.loop.now();
+            cluster.toNode(
                     "users",
                     random.nextInt(ClusterSimulation.NODES),
                     "POST",
                     "/v1/jobs/" + jobId + "/cancel",
                     Map.of(),
                     5_000_000,
-                    (status, body) -> world.answered("cancel", jobId, sent, status, body));
+                    (status, body) -> cluster.answered("cancel", jobId, sent, status, body));
             return;
         }
         if (kind == 1 || kind == 4) {
@@ -142,8 +142,9 @@
             unfit(job, random.nextInt(6));
         }
         if (kind >= 3) {
-            world.truth.unfit.add(jobId);
-            world.loop.after(2_000_000, () -> ask(random.nextInt(ClusterSimulation.NODES), jobId));
+            cluster.invariants.unfit.add(jobId);
+            cluster.loop.after(
+                    2_000_000, () -> ask(random.nextInt(ClusterSimulation.NODES), jobId));
         }
         repeat(jobId, job);
     }
@@ -163,16 +164,16 @@
     }
 
     int cancelNow(int count, long hangMicros) {
-        List<String> running = new ArrayList<>(world.truth.running());
+        List<String> running = new ArrayList<>(cluster.invariants.running());
         Collections.shuffle(running, random);
         List<String> chosen = running.subList(0, Math.min(count, running.size()));
         if (hangMicros > 0) {
-            world.truth.machinesOf(chosen).stream()
+            cluster.invariants.machinesOf(chosen).stream()
                     .limit(MOST_HUNG)
-                    .forEach(worker -> worker.hungUntil = world.loop.now() + hangMicros);
+                    .forEach(agent -> agent.hungUntil = cluster.loop.now() + hangMicros);
         }
         chosen.forEach(
-                jobId -> world.loop.after(random.nextInt(200_000), () -> world.cancel(jobId)));
+                jobId -> cluster.loop.after(random.nextInt(200_000), () -> cluster.cancel(jobId)));
         return chosen.size();
     }
 
@@ -183,30 +184,32 @@
 
     /** At that very moment, or while its end is being written down. */
     void lastTaskEnded(String jobId) {
-        if (world.loop.now() < endsUntil && random.nextInt(100) < endsOfHundred) {
-            world.cancelledAtEnd++;
-            world.loop.after(
-                    random.nextBoolean() ? 1 : random.nextInt(800_000), () -> world.cancel(jobId));
+        if (cluster.loop.now() < endsUntil && random.nextInt(100) < endsOfHundred) {
+            cluster.cancelledAtEnd++;
+            cluster.loop.after(
+                    random.nextBoolean() ? 1 : random.nextInt(800_000),
+                    () -> cluster.cancel(jobId));
         }
     }
 
     void oneTaskJobs(int perSecond, long until, int ofHundredCancelled) {
-        world.loop.after(
+        cluster.loop.after(
                 1_000_000 / perSecond,
                 () -> {
-                    if (world.loop.now() < until) {
-                        String jobId = world.newUid();
+                    if (cluster.loop.now() < until) {
+                        String jobId = cluster.newUid();
                         Map<String, Object> job = plain(jobId);
                         try {
-                            world.truth.submitting(JobDescription.parse(job));
+                            cluster.invariants.submitting(JobDescription.parse(job));
                         } catch (MalformedMessageException e) {
                             throw new IllegalStateException(e);
                         }
-                        world.oneTaskJobsMade++;
-                        world.submit(jobId, job, world.loop.now() + 60_000_000, accepted -> {});
+                        cluster.oneTaskJobsMade++;
+                        cluster.submit(jobId, job, cluster.loop.now() + 60_000_000, accepted -> {});
                         if (random.nextInt(100) < ofHundredCancelled) {
-                            world.oneTaskJobsCancelled++;
-                            world.loop.after(random.nextInt(6_000_000), () -> world.cancel(jobId));
+                            cluster.oneTaskJobsCancelled++;
+                            cluster.loop.after(
+                                    random.nextInt(6_000_000), () -> cluster.cancel(jobId));
                         }
                         oneTaskJobs(perSecond, until, ofHundredCancelled);
                     }
--- a/src/test/java/org/woadloom/sim/UserWritesTest.java
+++ b/src/test/java/org/woadloom/sim/UserWritesTest.java
@@ -28,8 +28,8 @@
  * one; and of types added since.
  */
 class UserWritesTest {
-    private static final ServiceSettings.State LIMITS =
-            new ServiceSettings.State(150, 60, 8192, 12, null);
+    private static final ServiceSettings.Store LIMITS =
+            new ServiceSettings.Store(150, 60, 8192, 12, null);
     private static final ServiceSettings SETTINGS =
             new ServiceSettings(
                     "node",
@@ -42,7 +42,7 @@
                     List.of("a", "b"),
                     List.of(new Team("team", 8, 8, 0, 0)),
                     List.of(),
-                    new ServiceSettings.Workers(1, 1, 1),
+                    new ServiceSettings.Agents(1, 1, 1),
                     LIMITS,
                     new ServiceSettings.Cloud(1, 1),
                     new ServiceSettings.Resources(1, 1, 1));
@@ -53,7 +53,7 @@
 
     private final SimulatedEventLoop sim = new SimulatedEventLoop();
     private final SimulatedStore store =
-            new SimulatedStore(sim, new ServiceSettings.State(10_000, 10_000, 8192, 12, null));
+            new SimulatedStore(sim, new ServiceSettings.Store(10_000, 10_000, 8192, 12, null));
     private final Random random = new Random(11);
 
     /**
@@ -89,16 +89,16 @@
                         }
 
                         @Override
-                        public void seen(RecordFormat format) {}
+                        public void onFormatSeen(RecordFormat format) {}
                     },
                     new JobApi.Types() {
                         @Override
-                        public List<MachineType> types() {
+                        public List<MachineType> current() {
                             return types;
                         }
 
                         @Override
-                        public void readAnew(Consumer<Boolean> answered) {
+                        public void refresh(Consumer<Boolean> answered) {
                             typesRead++;
                             sim.after(
                                     5_000,
--- a/src/test/java/org/woadloom/sim/WaitingJobs.java
+++ b/src/test/java/org/woadloom/sim/WaitingJobs.java
@@ -13,7 +13,7 @@
     private static final long EVERY_MICROS = 1_000_000;
     private static final long LONGEST_MICROS = 90_000_000;
 
-    private final ClusterSimulation world;
+    private final ClusterSimulation cluster;
     private final long fromMicros;
     private final Map<String, Long> sinceMicros = new HashMap<>();
 
@@ -26,19 +26,20 @@
     /**
      * @param fromMicros when the last trouble is over
      */
-    WaitingJobs(ClusterSimulation world, long fromMicros) {
-        this.world = world;
+    WaitingJobs(ClusterSimulation cluster, long fromMicros) {
+        this.cluster = cluster;
         this.fromMicros = fromMicros;
         look();
     }
 
     private void look() {
-        for (String jobId : world.truth.acceptedJobs()) {
-            if (world.truth.isOver(jobId) || !couldRun(world.truth.submitted.get(jobId))) {
+        for (String jobId : cluster.invariants.acceptedJobs()) {
+            if (cluster.invariants.isOver(jobId)
+                    || !couldRun(cluster.invariants.submitted.get(jobId))) {
                 sinceMicros.remove(jobId);
                 continue;
             }
-            long now = world.loop.now();
+            long now = cluster.loop.now();
             long waited = now - Math.max(fromMicros, sinceMicros.computeIfAbsent(jobId, u -> now));
             seen++;
             longestMicros = Math.max(longestMicros, waited);
@@ -47,13 +48,13 @@
                         "left_waiting",
                         jobId
                                 + " of "
-                                + world.truth.submitted.get(jobId).team()
+                                + cluster.invariants.submitted.get(jobId).team()
                                 + " has waited for "
                                 + waited / 1_000_000
                                 + " s while a machine has room");
             }
         }
-        world.loop.after(EVERY_MICROS, this::look);
+        cluster.loop.after(EVERY_MICROS, this::look);
     }
 
     private boolean couldRun(JobDescription job) {
@@ -61,8 +62,8 @@
         Map<String, Integer> placed = new HashMap<>();
         for (int i = 0; i < job.taskCount(); i++) {
             TaskId task = new TaskId(job.jobId(), i);
-            SimulatedAgent machine = world.truth.machineOf(task);
-            waiting += machine == null && !world.truth.isDone(task) ? 1 : 0;
+            SimulatedAgent machine = cluster.invariants.machineOf(task);
+            waiting += machine == null && !cluster.invariants.isDone(task) ? 1 : 0;
             if (machine != null) {
                 placed.merge(machine.zone, 1, Integer::sum);
             }
@@ -70,12 +71,12 @@
         int together = job.isGang() ? waiting : 1;
         double needed = together * job.cpus();
         if (waiting == 0
-                || world.truth.used(job.team()) + needed
-                        > world.settings.team(job.team()).cpusMax() + 1e-6) {
+                || cluster.invariants.used(job.team()) + needed
+                        > cluster.settings.team(job.team()).cpusMax() + 1e-6) {
             return false;
         }
         Map<String, Integer> room = new HashMap<>();
-        for (SimulatedAgent machine : world.workers()) {
+        for (SimulatedAgent machine : cluster.agents()) {
             String zone = machine.zone;
             boolean fits =
                     !machine.dead
--- a/src/test/java/org/woadloom/store/ProductionFormatTest.java
+++ b/src/test/java/org/woadloom/store/ProductionFormatTest.java
@@ -66,7 +66,7 @@
                 continue;
             }
             Map<String, Object> map = Cbor.decodeMap(sample.getValue());
-            Map<String, Object> again =
+            Map<String, Object> retry =
                     switch (kind) {
                         case "job" -> JobRecord.parse(map).toMap(RecordFormat.PLAIN);
                         case "final" -> FinalRecord.parse("j-1", map).toMap(RecordFormat.PLAIN);
@@ -79,10 +79,10 @@
                                                 .toList());
                         default -> map;
                     };
-            assertArrayEquals(sample.getValue(), Cbor.encode(again), sample.getKey());
+            assertArrayEquals(sample.getValue(), Cbor.encode(retry), sample.getKey());
             if (kind.equals("job")) {
                 jobs++;
-                assertEquals(map.get("placed"), ProductionRecord.read(again).get("placed"));
+                assertEquals(map.get("placed"), ProductionRecord.read(retry).get("placed"));
                 JobRecord record = JobRecord.parse(map);
                 if (!record.cancelled()) {
                     assertEquals(
--- a/src/test/java/org/woadloom/store/StoreLimitsTest.java
+++ b/src/test/java/org/woadloom/store/StoreLimitsTest.java
@@ -7,20 +7,20 @@
 import org.woadloom.settings.ServiceSettings;
 
 class StoreLimitsTest {
-    private static final ServiceSettings.State NEXT =
-            new ServiceSettings.State(250, 70, 2_048, 5, null);
+    private static final ServiceSettings.Store NEXT =
+            new ServiceSettings.Store(250, 70, 2_048, 5, null);
 
     @Test
     void theAnnouncedLimitsHoldFromTheStartForWhatIsNew() {
-        StoreLimits limits = new StoreLimits(new ServiceSettings.State(250, 100, 16_384, 16, NEXT));
+        StoreLimits limits = new StoreLimits(new ServiceSettings.Store(250, 100, 16_384, 16, NEXT));
         assertEquals(2_048, limits.valueBytes());
         assertEquals(5, limits.txnOps());
         assertEquals(
                 16_384,
-                limits.valueBytesNow(),
+                limits.currentValueBytes(),
                 "production's records are larger until one is refused");
-        limits.refusedValue(9_000);
-        assertEquals(2_048, limits.valueBytesNow());
+        limits.onValueRefused(9_000);
+        assertEquals(2_048, limits.currentValueBytes());
     }
 
     /**
@@ -29,31 +29,31 @@
      */
     @Test
     void otherLimitsAreLearned() {
-        StoreLimits limits = new StoreLimits(new ServiceSettings.State(250, 100, 16_384, 16, null));
-        limits.refusedValue(9_000);
+        StoreLimits limits = new StoreLimits(new ServiceSettings.Store(250, 100, 16_384, 16, null));
+        limits.onValueRefused(9_000);
         assertEquals(8_999, limits.valueBytes());
-        assertEquals(8_999, limits.valueBytesNow());
-        limits.refusedValue(30);
+        assertEquals(8_999, limits.currentValueBytes());
+        limits.onValueRefused(30);
         assertEquals(1_024, limits.valueBytes());
-        limits.refusedOps(16);
+        limits.onTransactionRefused(16);
         assertEquals(15, limits.txnOps());
         for (int i = 0; i < 40; i++) {
-            limits.refusedOps(limits.txnOps());
+            limits.onTransactionRefused(limits.txnOps());
         }
         assertEquals(2, limits.txnOps(), "a final state needs two changes");
     }
 
     @Test
     void ratesFallAtOnceAndComeBackSlowly() {
-        StoreLimits limits = new StoreLimits(new ServiceSettings.State(250, 100, 16_384, 16, NEXT));
+        StoreLimits limits = new StoreLimits(new ServiceSettings.Store(250, 100, 16_384, 16, NEXT));
         assertEquals(100, limits.writeRate(1_000_000), 1e-9);
-        limits.tooFast(1_000_000, 3);
+        limits.onRateExceeded(1_000_000, 3);
         assertEquals(70, limits.writeRate(1_000_000), 1e-9);
         assertEquals(250, limits.requestRate(1_000_000), 1e-9);
-        limits.tooFast(1_100_000, 3);
+        limits.onRateExceeded(1_100_000, 3);
         assertEquals(70, limits.writeRate(1_100_000), 0.1, "refusals of one moment count once");
         for (int i = 2; i < 60; i++) {
-            limits.tooFast(i * 1_000_000L, 3);
+            limits.onRateExceeded(i * 1_000_000L, 3);
         }
         double low = limits.writeRate(60_000_000);
         assertTrue(low >= 19.9 && low < 25, "at " + low);
