--- a/src/main/java/org/woadloom/core/Scheduler.java
+++ b/src/main/java/org/woadloom/core/Scheduler.java
@@ -98,16 +98,16 @@
     }
 
     public int jobs() {
-        return leadership == null ? 0 : leadership.state.jobs.size();
+        return leadership == null ? 0 : leadership.state.jobs().size();
     }
 
     /** Jobs that wait for others. */
     public int blockedJobs() {
-        return leadership == null ? 0 : leadership.state.dependencies.blockedCount();
+        return leadership == null ? 0 : leadership.state.dependencies().blockedCount();
     }
 
     public int machines() {
-        return leadership == null ? 0 : leadership.state.machines.size();
+        return leadership == null ? 0 : leadership.state.machines().size();
     }
 
     /** Machines that report and that nothing reaches. */
@@ -145,14 +145,13 @@
                 delegationEnabled = seen.delegationEnabled();
                 recordsMachineLifecycle = seen.recordsMachineLifecycle();
                 if (leadership != null) {
-                    leadership.state.valueBytes = valueBytes;
-                    leadership.state.format = format;
+                    leadership.state.setRecordLimits(valueBytes, format);
                     leadership.state.recordsMachineLifecycle(recordsMachineLifecycle, nowMicros);
-                    leadership.state.writeBudget.setRate(writesPerSecond);
+                    leadership.state.writeBudget().setRate(writesPerSecond);
                     if (delegationEnabled) {
-                        leadership.state.delegations.enable();
+                        leadership.state.delegations().enable();
                     }
-                    leadership.state.placementNeeded = true;
+                    leadership.state.requestPlacement();
                 }
             } else if (event instanceof SchedulerEvent.MachineTypesRead seen) {
                 types = seen.types();
@@ -160,14 +159,12 @@
                     leadership.machines.onMachineTypes(types);
                 }
             } else if (leadership != null) {
-                leadership.state.nowMicros = nowMicros;
-                leadership.state.wallMicros = wallMicros;
+                leadership.state.setTime(nowMicros, wallMicros);
                 apply(leadership, event);
             }
         }
         if (leadership != null) {
-            leadership.state.nowMicros = nowMicros;
-            leadership.state.wallMicros = wallMicros;
+            leadership.state.setTime(nowMicros, wallMicros);
             runPass(leadership);
             actions.addAll(leadership.state.takeActions());
         }
@@ -179,11 +176,11 @@
         SchedulerState state =
                 new SchedulerState(
                         settings, valueBytes, format, lead.term(), nowMicros, wallMicros);
-        state.writeBudget.setRate(writesPerSecond);
+        state.writeBudget().setRate(writesPerSecond);
         state.recordsMachineLifecycle(recordsMachineLifecycle, nowMicros);
-        state.cancellationsReadUpToMicros = lead.cancellationsReadUpToMicros();
+        state.advanceCancellationsReadUpTo(lead.cancellationsReadUpToMicros());
         if (delegationEnabled) {
-            state.delegations.enable();
+            state.delegations().enable();
         }
         leadership = new LeaderTerm(state);
         for (SchedulerEvent.StoredMachine machine : lead.machines()) {
@@ -227,7 +224,7 @@
         } else if (event instanceof SchedulerEvent.JobRecordNotFound missing) {
             leader.jobs.onRecordNotFound(missing.jobId());
         } else if (event instanceof SchedulerEvent.DependencyResolved found) {
-            leader.state.dependencies.onResolved(found);
+            leader.state.dependencies().onResolved(found);
         } else if (event instanceof SchedulerEvent.JobReadFailed unreadable) {
             leader.jobPersister.onReadFailed(unreadable.jobId());
         } else if (event instanceof SchedulerEvent.MachineWriteCompleted written) {
@@ -258,22 +255,22 @@
      */
     private static void runPass(LeaderTerm leader) {
         SchedulerState state = leader.state;
-        boolean sweep = state.nowMicros >= leader.nextSweepMicros;
+        boolean sweep = state.nowMicros() >= leader.nextSweepMicros;
         if (sweep) {
-            leader.nextSweepMicros = state.nowMicros + SWEEP_MICROS;
+            leader.nextSweepMicros = state.nowMicros() + SWEEP_MICROS;
             expireLeases(leader);
             drain(leader);
             leader.prober.review();
         }
-        if (state.nowMicros >= leader.nextForgetMicros) {
-            leader.nextForgetMicros = state.nowMicros + FORGET_MICROS;
+        if (state.nowMicros() >= leader.nextForgetMicros) {
+            leader.nextForgetMicros = state.nowMicros() + FORGET_MICROS;
             leader.machines.forget();
             leader.heartbeats.forget();
         }
-        state.dependencies.review();
-        if (state.placementNeeded || state.nowMicros >= leader.nextSearchMicros) {
-            state.placementNeeded = false;
-            leader.nextSearchMicros = state.nowMicros + SEARCH_MICROS;
+        state.dependencies().review();
+        if (state.isPlacementNeeded() || state.nowMicros() >= leader.nextSearchMicros) {
+            state.clearPlacementRequest();
+            leader.nextSearchMicros = state.nowMicros() + SEARCH_MICROS;
             leader.guaranteedQuota.update();
             leader.classFairShare.update();
             leader.quotaRotation.update();
@@ -284,9 +281,9 @@
             leader.preemption.preemptFor(queue);
         }
         leader.autoscaler.review();
-        state.serviceLevels.review();
+        state.serviceLevels().review();
         leader.rollout.review();
-        state.writeBudget.refill(state.nowMicros);
+        state.writeBudget().refill(state.nowMicros());
         leader.jobPersister.emitWrites();
         leader.machines.emitWrites();
         leader.directCommands.emitCommands();
@@ -299,23 +296,24 @@
     private static void expireLeases(LeaderTerm leader) {
         SchedulerState state = leader.state;
         Map<String, Long> lastRenewals = new HashMap<>();
-        for (Machine machine : state.machines.values()) {
+        for (Machine machine : state.machines().values()) {
             if (machine.isUp()
-                    && !machine.deleted
-                    && state.nowMicros - machine.lastAnsweredMicros
-                            > state.delegationTimeouts.leaseExpiryMicros()
-                    && state.nowMicros
+                    && !machine.isDeleted()
+                    && state.nowMicros() - machine.lastAnsweredMicros()
+                            > state.delegationTimeouts().leaseExpiryMicros()
+                    && state.nowMicros()
                                     - lastRenewals.computeIfAbsent(
                                             machine.zone,
                                             zone ->
-                                                    state.delegations.lastRenewalMicros(
-                                                            zone, state.nowMicros))
-                            > state.delegationTimeouts.leaseExpiryMicros()) {
+                                                    state.delegations()
+                                                            .lastRenewalMicros(
+                                                                    zone, state.nowMicros()))
+                            > state.delegationTimeouts().leaseExpiryMicros()) {
                 state.log(
                         LogEntry.info(LogEvent.LEASE_EXPIRED)
                                 .with("machine", machine.host)
                                 .with("zone", machine.zone)
-                                .with("term", state.term));
+                                .with("term", state.term()));
                 machine.liveness.expireSession();
                 leader.taskLosses.onSessionEnded(machine, "lease expired");
             }
@@ -327,8 +325,8 @@
      * returned.
      */
     private static void drain(LeaderTerm leader) {
-        for (Machine machine : leader.state.machines.values()) {
-            if (machine.spotTerminationMicros < 0 && !machine.decommissioning) {
+        for (Machine machine : leader.state.machines().values()) {
+            if (machine.spotTerminationMicros() < 0 && !machine.isDecommissioning()) {
                 continue;
             }
             for (TaskAttempt attempt : machine.snapshot()) {
@@ -336,7 +334,7 @@
                 if (attempt.wasNeverSent()) {
                     leader.taskLosses.remove(attempt);
                 } else if (!attempt.isStopping()
-                        && (machine.decommissioning
+                        && (machine.isDecommissioning()
                                 || job.description.checkpointIntervalSeconds() > 0)) {
                     attempt.stop(job.description.checkpointCostSeconds());
                 }
--- a/src/main/java/org/woadloom/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/woadloom/core/autoscaling/Autoscaler.java
@@ -124,7 +124,7 @@
 
     public void review() {
         for (ScaleOutRequest request : requests.values()) {
-            if (!request.sent && state.nowMicros >= request.retryAtMicros) {
+            if (!request.sent && state.nowMicros() >= request.retryAtMicros) {
                 request.sent = true;
                 state.emit(
                         new SchedulerAction.RentMachines(
@@ -135,22 +135,22 @@
                                 request.count));
             }
         }
-        if (state.nowMicros - reviewedMicros < REVIEW_MICROS || state.machineTypes.isEmpty()) {
+        if (state.nowMicros() - reviewedMicros < REVIEW_MICROS || state.machineTypes().isEmpty()) {
             return;
         }
-        reviewedMicros = state.nowMicros;
+        reviewedMicros = state.nowMicros();
         updateScarceZones();
         partitionedZones.review();
-        if (state.nowMicros - state.startedMicros > 2 * state.settings.heartbeatMicros()) {
+        if (state.nowMicros() - state.startedMicros() > 2 * state.settings().heartbeatMicros()) {
             scaleOut(placer.queue());
         }
         scaleIn();
     }
 
     public void onMachinesListed(List<ListedMachine> machines) {
-        lastListMicros = state.nowMicros;
+        lastListMicros = state.nowMicros();
         machines.forEach(machine -> lastListedMicros.put(machine.host(), lastListMicros));
-        lastListedMicros.keySet().retainAll(state.machines.keySet());
+        lastListedMicros.keySet().retainAll(state.machines().keySet());
     }
 
     /**
@@ -160,27 +160,27 @@
      * slower still.
      */
     private boolean isMissingFromList(Machine machine) {
-        long there = Math.max(machine.rentedMicros, state.startedMicros);
-        return (machine.isKnownAlive() || machine.reportedRecorded)
+        long there = Math.max(machine.rentedMicros(), state.startedMicros());
+        return (machine.isKnownAlive() || machine.isReportedRecorded())
                 && lastListMicros - lastListedMicros.getOrDefault(machine.host, there)
-                        > 2 * state.settings.listLagMicros() + LIST_MARGIN_MICROS;
+                        > 2 * state.settings().listLagMicros() + LIST_MARGIN_MICROS;
     }
 
     private void scaleOut(List<Job> queue) {
         List<Supply> supply = new ArrayList<>();
-        for (Machine machine : state.machines.values()) {
+        for (Machine machine : state.machines().values()) {
             // A machine that boots, or whose worker has not yet acknowledged this leader, or will
             // most likely hear again.
-            if (!machine.decommissioning
-                    && !machine.deleted
-                    && machine.type != null
-                    && machine.spotTerminationMicros < 0
+            if (!machine.isDecommissioning()
+                    && !machine.isDeleted()
+                    && machine.type() != null
+                    && machine.spotTerminationMicros() < 0
                     && machine.isConfirmed()
                     && !partitionedZones.isPartitioned(machine.zone)
                     && isExpected(machine)) {
                 supply.add(
                         new Supply(
-                                new MachineKind(machine.type, machine.zone, machine.spot),
+                                new MachineKind(machine.type(), machine.zone, machine.spot),
                                 machine.free()));
             }
         }
@@ -248,7 +248,7 @@
                             state.newRequestName(),
                             entry.getKey(),
                             Math.min(MAX_MACHINES_PER_REQUEST, entry.getValue()),
-                            state.nowMicros);
+                            state.nowMicros());
             requests.put(request.name, request);
             request.sent = true;
             state.log(
@@ -270,18 +270,18 @@
 
     private boolean isExpected(Machine machine) {
         if (!machine.isKnownAlive()
-                && (machine.reportedRecorded
+                && (machine.isReportedRecorded()
                                 && silentForMicros(machine)
-                                        > state.delegationTimeouts.leaseExpiryMicros()
+                                        > state.delegationTimeouts().leaseExpiryMicros()
                         || isMissingFromList(machine))) {
             // It was up under an earlier leader, and its worker would have found this one by now.
             return false;
         }
-        if (!machine.isKnownAlive() || !machine.recorded || !machine.hasAcknowledgedTerm()) {
+        if (!machine.isKnownAlive() || !machine.isRecorded() || !machine.hasAcknowledgedTerm()) {
             return !isUnreachableBeyondLease(machine, 0);
         }
-        return machine.liveness.isSuspect(state.nowMicros)
-                && machine.liveness.isReporting(state.nowMicros)
+        return machine.liveness.isSuspect(state.nowMicros())
+                && machine.liveness.isReporting(state.nowMicros())
                 && !isUnreachableBeyondLease(machine, 0);
     }
 
@@ -297,9 +297,9 @@
     /** What the cloud refused lately, or does not answer for: it is not to be waited for. */
     private boolean isUnavailable(MachineKind kind) {
         ScaleOutRequest request = requestFor(kind);
-        return notBefore.getOrDefault(kind, Long.MIN_VALUE) > state.nowMicros
+        return notBefore.getOrDefault(kind, Long.MIN_VALUE) > state.nowMicros()
                 || partitionedZones.isPartitioned(kind.zone)
-                || request != null && state.nowMicros - request.createdMicros > ANSWER_MICROS;
+                || request != null && state.nowMicros() - request.createdMicros > ANSWER_MICROS;
     }
 
     /**
@@ -307,28 +307,28 @@
      * has no choice.
      */
     private void updateScarceZones() {
-        state.scarceZones.clear();
+        state.scarceZones().clear();
         Set<String> open = new HashSet<>();
-        for (MachineType type : state.machineTypes.values()) {
+        for (MachineType type : state.machineTypes().values()) {
             for (String zone : type.zones()) {
                 Long refused = lastRefusedMicros.get(new MachineKind(type, zone, false));
-                if (refused != null && state.nowMicros - refused < SCARCE_MICROS) {
-                    state.scarceZones.add(zone);
+                if (refused != null && state.nowMicros() - refused < SCARCE_MICROS) {
+                    state.scarceZones().add(zone);
                 } else {
                     open.add(zone);
                 }
             }
         }
-        state.scarceZones.removeAll(open);
+        state.scarceZones().removeAll(open);
         if (open.isEmpty()) {
             // Where every zone is scarce there is no elsewhere.
-            state.scarceZones.clear();
+            state.scarceZones().clear();
         }
     }
 
     private void onRefused(MachineKind kind) {
-        notBefore.put(kind, state.nowMicros + NO_CAPACITY_MICROS);
-        lastRefusedMicros.put(kind, state.nowMicros);
+        notBefore.put(kind, state.nowMicros() + NO_CAPACITY_MICROS);
+        lastRefusedMicros.put(kind, state.nowMicros());
     }
 
     private boolean isUsable(Job job, MachineKind kind) {
@@ -352,7 +352,7 @@
     private MachineKind cheapest(Job job, int tasks, Map<String, Integer> spread) {
         MachineKind best = null;
         double bestPrice = 0;
-        for (MachineType type : state.machineTypes.values()) {
+        for (MachineType type : state.machineTypes().values()) {
             for (String zone : type.zones()) {
                 for (boolean spot : new boolean[] {true, false}) {
                     MachineKind kind = new MachineKind(type, zone, spot);
@@ -391,7 +391,7 @@
                                             request.kind.zone,
                                             request.kind.spot,
                                             false));
-                    machine.rentedMicros = state.nowMicros;
+                    machine.onRented(state.nowMicros());
                 }
                 if (result.hosts().size() < request.count) {
                     onRefused(request.kind);
@@ -409,7 +409,7 @@
             case REFUSED, UNKNOWN -> {
                 // The same claim again: it may have been granted, and then gives the same answer.
                 request.sent = false;
-                request.retryAtMicros = state.nowMicros + REPEAT_MICROS;
+                request.retryAtMicros = state.nowMicros() + REPEAT_MICROS;
             }
         }
     }
@@ -417,7 +417,7 @@
     private void scaleIn() {
         Resources free = Resources.NONE;
         Resources used = Resources.NONE;
-        for (Machine machine : state.machines.values()) {
+        for (Machine machine : state.machines().values()) {
             if (constraints.acceptsTasks(machine)) {
                 free = free.plus(machine.free());
                 used = used.plus(machine.used());
@@ -428,42 +428,39 @@
         // Where nothing comes and nothing waits no room is kept; a gang that waits needs its
         // machines all at once.
         boolean quiet =
-                state.demand.isQuiet(state.nowMicros)
-                        && state.dependencies.blockedCount() == 0
+                state.demand().isQuiet(state.nowMicros())
+                        && state.dependencies().blockedCount() == 0
                         && placer.queue().isEmpty();
         long headroom =
                 quiet
                         ? 0
                         : Math.max(
-                                (long) (used.cpu() * state.settings.operator().headroom()),
-                                state.demand.largeJobCpu());
+                                (long) (used.cpu() * state.settings().operator().headroom()),
+                                state.demand().largeJobCpu());
         List<Machine> idle = new ArrayList<>();
-        for (Machine machine : state.machines.values()) {
-            if (machine.decommissioning
-                    || machine.deleted
+        for (Machine machine : state.machines().values()) {
+            if (machine.isDecommissioning()
+                    || machine.isDeleted()
                     || !machine.isConfirmed()
                     || reservations.hasReservations(machine)) {
                 continue;
             }
             if (isMissingFromList(machine)
                     && partitionedZones.silentForMicros(machine)
-                            > 3 * state.settings.heartbeatMicros() + SILENCE_MARGIN_MICROS) {
-                machine.decommission();
-                machine.abandoned = true;
+                            > 3 * state.settings().heartbeatMicros() + SILENCE_MARGIN_MICROS) {
+                machine.abandon();
                 logDecommissioned(machine, "silent and no longer listed");
             } else if (isSilentWithWork(machine)) {
-                machine.decommission();
-                machine.abandoned = true;
+                machine.abandon();
                 logDecommissioned(machine, "silent with tasks on it");
             } else if (isUnreachableBeyondLease(machine, UNREACHABLE_MICROS)
                     && (isUnreachableBeyondLease(machine, MANY_UNREACHABLE_MICROS)
                             || !areManyUnreachable(machine.zone))) {
-                machine.decommission();
-                machine.abandoned = true;
+                machine.abandon();
                 logDecommissioned(machine, "unreachable");
             } else if (hasFailedToBoot(machine)
                     || isLost(machine)
-                    || machine.spotTerminationMicros >= 0 && machine.isEmpty()) {
+                    || machine.spotTerminationMicros() >= 0 && machine.isEmpty()) {
                 machine.decommission();
                 logDecommissioned(machine, "never came up, lost, or taken by the cloud");
             } else if (machine.isKnownAlive()
@@ -477,9 +474,9 @@
         for (Machine machine : idle) {
             long left = free.minus(machine.capacity()).cpu();
             if (left > headroom
-                    && state.nowMicros - machine.idleSinceMicros
+                    && state.nowMicros() - machine.idleSinceMicros()
                             > maxIdleMicros(machine, left, headroom)
-                    && state.nowMicros - machine.rentedMicros > MIN_CHARGE_MICROS) {
+                    && state.nowMicros() - machine.rentedMicros() > MIN_CHARGE_MICROS) {
                 machine.decommission();
                 free = free.minus(machine.capacity());
                 logDecommissioned(machine, "idle");
@@ -501,7 +498,9 @@
      */
     private long maxIdleMicros(Machine machine, long left, long headroom) {
         long most =
-                Math.min(state.settings.operator().idleReturnMicros(), machine.type.bootMicros());
+                Math.min(
+                        state.settings().operator().idleReturnMicros(),
+                        machine.type().bootMicros());
         return left > 2 * headroom ? most / 4 : most;
     }
 
@@ -515,11 +514,11 @@
         // asked.
         boolean answers =
                 machine.liveness.lastAliveMicros() - machine.liveness.lastHeartbeatMicros()
-                        > state.livenessTimeouts.freshMicros();
+                        > state.livenessTimeouts().freshMicros();
         long enough =
                 Math.max(
-                                3 * state.settings.heartbeatMicros(),
-                                answers ? state.settings.leaseMicros() / 2 + ANSWER_MICROS : 0)
+                                3 * state.settings().heartbeatMicros(),
+                                answers ? state.settings().leaseMicros() / 2 + ANSWER_MICROS : 0)
                         + SILENCE_MARGIN_MICROS;
         if (!machine.isUp()
                 || partitionedZones.silentForMicros(machine) < enough
@@ -528,12 +527,12 @@
         }
         int all = 0;
         int silent = 0;
-        for (Machine other : state.machines.values()) {
-            if (other.zone.equals(machine.zone) && other.isUp() && !other.deleted) {
+        for (Machine other : state.machines().values()) {
+            if (other.zone.equals(machine.zone) && other.isUp() && !other.isDeleted()) {
                 all++;
                 silent +=
                         partitionedZones.silentForMicros(other)
-                                        > 2 * state.settings.heartbeatMicros()
+                                        > 2 * state.settings().heartbeatMicros()
                                 ? 1
                                 : 0;
             }
@@ -546,26 +545,27 @@
      * on it is left.
      */
     private boolean isUnreachableBeyondLease(Machine machine, long besidesMicros) {
-        return machine.liveness.isUnreachable(state.nowMicros)
-                && machine.liveness.unacknowledgedForMicros(state.nowMicros)
-                        > state.delegationTimeouts.leaseExpiryMicros() + besidesMicros;
+        return machine.liveness.isUnreachable(state.nowMicros())
+                && machine.liveness.unacknowledgedForMicros(state.nowMicros())
+                        > state.delegationTimeouts().leaseExpiryMicros() + besidesMicros;
     }
 
     /** Where a third of a zone is deaf, the fault is not the machines', and it may pass. */
     private boolean areManyUnreachable(String zone) {
         int all = 0;
         int unreachable = 0;
-        for (Machine machine : state.machines.values()) {
-            if (machine.zone.equals(zone) && machine.isKnownAlive() && !machine.deleted) {
+        for (Machine machine : state.machines().values()) {
+            if (machine.zone.equals(zone) && machine.isKnownAlive() && !machine.isDeleted()) {
                 all++;
-                unreachable += machine.liveness.isUnreachable(state.nowMicros) ? 1 : 0;
+                unreachable += machine.liveness.isUnreachable(state.nowMicros()) ? 1 : 0;
             }
         }
         return unreachable > 1 && unreachable * 3 > all;
     }
 
     private long silentForMicros(Machine machine) {
-        return state.nowMicros - Math.max(machine.liveness.lastAliveMicros(), state.startedMicros);
+        return state.nowMicros()
+                - Math.max(machine.liveness.lastAliveMicros(), state.startedMicros());
     }
 
     private static boolean hasWork(Machine machine) {
@@ -578,17 +578,18 @@
     }
 
     private boolean hasFailedToBoot(Machine machine) {
-        if (machine.isKnownAlive() || machine.type == null || !machine.isEmpty()) {
+        if (machine.isKnownAlive() || machine.type() == null || !machine.isEmpty()) {
             return false;
         }
-        long patience = 4 * machine.type.bootMicros() + 30_000_000;
-        if (machine.lifecycleKnown && !machine.reportedRecorded) {
+        long patience = 4 * machine.type().bootMicros() + 30_000_000;
+        if (machine.isLifecycleKnown() && !machine.isReportedRecorded()) {
             // No leader has heard it since it was rented; this one has waited for a report that may
             // be under way.
-            return state.nowMicros - machine.rentedMicros > patience
-                    && silentForMicros(machine) > 3 * state.settings.heartbeatMicros();
+            return state.nowMicros() - machine.rentedMicros() > patience
+                    && silentForMicros(machine) > 3 * state.settings().heartbeatMicros();
         }
-        return state.nowMicros - Math.max(machine.rentedMicros, state.startedMicros) > patience;
+        return state.nowMicros() - Math.max(machine.rentedMicros(), state.startedMicros())
+                > patience;
     }
 
     /**
@@ -599,9 +600,9 @@
         // In a zone that is cut off leases may be renewed by a node there, and the machines come
         // back with their work.
         long over =
-                state.delegationTimeouts.leaseExpiryMicros()
-                        + state.delegations.extraSilenceMicros(machine.zone, state.nowMicros);
-        if (!machine.isKnownAlive() && !(machine.isEmpty() && machine.reportedRecorded)) {
+                state.delegationTimeouts().leaseExpiryMicros()
+                        + state.delegations().extraSilenceMicros(machine.zone, state.nowMicros());
+        if (!machine.isKnownAlive() && !(machine.isEmpty() && machine.isReportedRecorded())) {
             return !machine.isEmpty() && silentForMicros(machine) > over + 2_000_000;
         }
         return silentForMicros(machine)
--- a/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
+++ b/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
@@ -38,10 +38,10 @@
         Map<String, Integer> all = new HashMap<>();
         Map<String, Integer> silent = new HashMap<>();
         Set<String> connected = new HashSet<>();
-        for (Machine machine : state.machines.values()) {
-            if ((machine.isKnownAlive() || machine.reportedRecorded)
-                    && !machine.deleted
-                    && !machine.decommissioning) {
+        for (Machine machine : state.machines().values()) {
+            if ((machine.isKnownAlive() || machine.isReportedRecorded())
+                    && !machine.isDeleted()
+                    && !machine.isDecommissioning()) {
                 if (missingFromList.test(machine) && isSilent(machine)) {
                     connected.add(machine.zone);
                     continue;
@@ -54,7 +54,7 @@
         all.forEach(
                 (zone, count) -> {
                     if (count >= MIN_MACHINES && silent.get(zone) * 3 > count * 2) {
-                        if (sinceMicros.putIfAbsent(zone, state.nowMicros) == null) {
+                        if (sinceMicros.putIfAbsent(zone, state.nowMicros()) == null) {
                             state.log(
                                     LogEntry.info(LogEvent.ZONE_PARTITIONED)
                                             .with("zone", zone)
@@ -72,7 +72,7 @@
                             boolean over =
                                     connected.contains(partition.getKey())
                                             || !all.containsKey(partition.getKey())
-                                                    && state.nowMicros - partition.getValue()
+                                                    && state.nowMicros() - partition.getValue()
                                                             > MAX_MICROS;
                             if (over) {
                                 state.log(
@@ -87,8 +87,8 @@
         // A worker finds a new leader within a lease.
         return silentForMicros(machine)
                 > (machine.isKnownAlive()
-                        ? 3 * state.settings.heartbeatMicros() + MARGIN_MICROS
-                        : state.delegationTimeouts.leaseExpiryMicros());
+                        ? 3 * state.settings().heartbeatMicros() + MARGIN_MICROS
+                        : state.delegationTimeouts().leaseExpiryMicros());
     }
 
     /**
@@ -96,8 +96,8 @@
      * lease is over.
      */
     long silentForMicros(Machine machine) {
-        return state.nowMicros
-                - Math.max(machine.liveness.possiblyAliveMicros(), state.startedMicros);
+        return state.nowMicros()
+                - Math.max(machine.liveness.possiblyAliveMicros(), state.startedMicros());
     }
 
     boolean isPartitioned(String zone) {
--- a/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
+++ b/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
@@ -63,7 +63,7 @@
             if (job.cancelled) {
                 onCancelled(job.jobId());
             } else if (job.persistence.isCompletionDurable()) {
-                onDone(job.jobId(), state.wallMicros);
+                onDone(job.jobId(), state.wallMicros());
             }
             changed = true;
         }
@@ -78,13 +78,13 @@
                         .with("dependencies", String.join(",", job.description.dependencies())));
         for (String before : job.description.dependencies()) {
             dependents.computeIfAbsent(before, jobId -> new LinkedHashSet<>()).add(job);
-            Job other = state.jobs.get(before);
+            Job other = state.jobs().get(before);
             if (other == null) {
-                unknown.putIfAbsent(before, state.nowMicros);
+                unknown.putIfAbsent(before, state.nowMicros());
             } else if (other.cancelled) {
                 onCancelled.add(before);
             } else if (other.persistence.isCompletionDurable()) {
-                onDone(before, state.wallMicros);
+                onDone(before, state.wallMicros());
             }
         }
     }
@@ -109,11 +109,11 @@
 
     private void unblock(Job job) {
         unfinishedDependencies.remove(job);
-        long at = Math.min(state.wallMicros, lastDone.remove(job));
-        job.unblock(state.nowMicros - (state.wallMicros - at), at);
-        state.jobArrivals++;
-        state.demand.add(job, state.nowMicros);
-        state.placementNeeded = true;
+        long at = Math.min(state.wallMicros(), lastDone.remove(job));
+        job.unblock(state.nowMicros() - (state.wallMicros() - at), at);
+        state.countJobArrival();
+        state.demand().add(job, state.nowMicros());
+        state.requestPlacement();
         state.log(LogEntry.info(LogEvent.JOB_UNBLOCKED).with("job", job.jobId()));
     }
 
@@ -132,11 +132,11 @@
             return;
         }
         if (!outcomeKnown) {
-            unknown.put(job.jobId(), state.nowMicros);
+            unknown.put(job.jobId(), state.nowMicros());
         } else if (job.cancelled) {
             onCancelled(job.jobId());
         } else {
-            onDone(job.jobId(), state.wallMicros);
+            onDone(job.jobId(), state.wallMicros());
         }
     }
 
@@ -169,12 +169,12 @@
                     onDone(
                             jobId,
                             event.endedWallMicros() == 0
-                                    ? state.wallMicros
+                                    ? state.wallMicros()
                                     : event.endedWallMicros());
             case CANCELLED -> onCancelled(jobId);
             case OPEN, NOT_FOUND, UNREADABLE -> {
-                if (!state.jobs.containsKey(jobId)) {
-                    unknown.put(jobId, state.nowMicros + LOOKUP_RETRY_MICROS);
+                if (!state.jobs().containsKey(jobId)) {
+                    unknown.put(jobId, state.nowMicros() + LOOKUP_RETRY_MICROS);
                 }
             }
         }
@@ -215,7 +215,7 @@
         }
         List<String> now = new ArrayList<>();
         for (Map.Entry<String, Long> entry : unknown.entrySet()) {
-            if (entry.getValue() <= state.nowMicros
+            if (entry.getValue() <= state.nowMicros()
                     && resolving.size() + now.size() < MAX_LOOKUPS) {
                 now.add(entry.getKey());
             }
@@ -223,7 +223,7 @@
         for (String jobId : now) {
             unknown.remove(jobId);
             // A record that came meanwhile tells the rest by itself.
-            if (!state.jobs.containsKey(jobId) && resolving.add(jobId)) {
+            if (!state.jobs().containsKey(jobId) && resolving.add(jobId)) {
                 state.emit(new SchedulerAction.ResolveDependency(jobId));
             }
         }
@@ -262,17 +262,17 @@
                 }
                 ranks.merge(before, priority, (a, b) -> a.compareTo(b) >= 0 ? a : b);
                 dues.merge(before, start, Math::min);
-                Job other = state.jobs.get(before);
+                Job other = state.jobs().get(before);
                 if (other != null && unfinishedDependencies.containsKey(other)) {
                     open.add(other);
                 }
             }
         }
-        for (Job job : state.jobs.values()) {
+        for (Job job : state.jobs().values()) {
             job.inheritFromDependents(
                     ranks.getOrDefault(job.jobId(), job.description.priority()),
                     dues.getOrDefault(job.jobId(), Long.MAX_VALUE));
         }
-        state.placementNeeded = true;
+        state.requestPlacement();
     }
 }
--- a/src/main/java/org/woadloom/core/jobs/Job.java
+++ b/src/main/java/org/woadloom/core/jobs/Job.java
@@ -68,22 +68,22 @@
     private int takenCount;
     private final Int2ObjectHashMap<TaskAttempt> attempts = new Int2ObjectHashMap<>();
     private final Map<String, Integer> attemptsByZone = new LinkedHashMap<>();
-    public boolean cancelled;
+    boolean cancelled;
 
     /** The job was cancelled at this moment or later. */
-    public long cancelledSinceMicros = Long.MIN_VALUE;
+    long cancelledSinceMicros = Long.MIN_VALUE;
 
     /** The final state is in the store, and the job is no longer among those of the core. */
-    public boolean finished;
+    boolean finished;
 
     /** Fits into the team's guarantee together with the team's earlier jobs. */
-    public boolean withinGuarantee;
+    boolean withinGuarantee;
 
-    public int failures;
+    int failures;
     private long firstPlacedMicros = NEVER_MICROS;
     private int preemptions;
     private long preemptedMicros = Long.MIN_VALUE / 2;
-    public long placeNotBeforeMicros;
+    long placeNotBeforeMicros;
 
     /** Machines on which tasks of the job ended with an error. */
     public final Set<String> failedOn = new LinkedHashSet<>();
@@ -362,4 +362,46 @@
                 term,
                 version);
     }
+
+    public boolean isCancelled() {
+        return cancelled;
+    }
+
+    /** The job was cancelled at this moment or later. */
+    public long cancelledSinceMicros() {
+        return cancelledSinceMicros;
+    }
+
+    /** The final state is in the store, and the job is no longer among those of the core. */
+    public boolean isFinished() {
+        return finished;
+    }
+
+    /** Fits into the team's guarantee together with the team's earlier jobs. */
+    public boolean isWithinGuarantee() {
+        return withinGuarantee;
+    }
+
+    public int failures() {
+        return failures;
+    }
+
+    public long placeNotBeforeMicros() {
+        return placeNotBeforeMicros;
+    }
+
+    /** Whether the job fits into its team's guarantee together with the team's earlier jobs. */
+    public void setWithinGuarantee(boolean fits) {
+        withinGuarantee = fits;
+    }
+
+    /** A task of the job ended with an error. */
+    public void countFailure() {
+        failures++;
+    }
+
+    /** No task of the job is placed before the given time. */
+    public void placeNotBefore(long micros) {
+        placeNotBeforeMicros = micros;
+    }
 }
--- a/src/main/java/org/woadloom/core/jobs/JobPersister.java
+++ b/src/main/java/org/woadloom/core/jobs/JobPersister.java
@@ -49,13 +49,14 @@
     public void emitWrites() {
         List<Job> due = new ArrayList<>();
         List<Job> replaced = new ArrayList<>();
-        state.jobsToPersist.removeIf(
-                job ->
-                        job.finished
-                                || job.persistence.pendingReason
-                                                == PersistenceState.WriteReason.NONE
-                                        && !job.persistence.readNeeded);
-        for (Job job : state.jobsToPersist) {
+        state.jobsToPersist()
+                .removeIf(
+                        job ->
+                                job.finished
+                                        || job.persistence.pendingReason
+                                                        == PersistenceState.WriteReason.NONE
+                                                && !job.persistence.readNeeded);
+        for (Job job : state.jobsToPersist()) {
             PersistenceState persistence = job.persistence;
             if (persistence.isReplaced()) {
                 if (job.attempts().isEmpty()) {
@@ -63,13 +64,13 @@
                 }
                 continue;
             }
-            if (state.nowMicros < persistence.retryAtMicros) {
+            if (state.nowMicros() < persistence.retryAtMicros) {
                 continue;
             }
             if (persistence.readNeeded) {
                 if (!persistence.readInFlight) {
                     persistence.readInFlight = true;
-                    persistence.retryAtMicros = state.nowMicros + RETRY_MICROS;
+                    persistence.retryAtMicros = state.nowMicros() + RETRY_MICROS;
                     state.emit(new SchedulerAction.ReadJob(job.jobId()));
                 }
             } else if (persistence.versionInFlight == 0 && isDue(job)) {
@@ -82,8 +83,8 @@
         }
         for (Job job : due) {
             if (job.isOver()
-                    ? state.writeBudget.allowsFinalState()
-                    : state.writeBudget.allowsJob()) {
+                    ? state.writeBudget().allowsFinalState()
+                    : state.writeBudget().allowsJob()) {
                 write(job);
             }
         }
@@ -92,26 +93,26 @@
     private void write(Job job) {
         PersistenceState persistence = job.persistence;
         if (job.isOver() && job.attempts().isEmpty()) {
-            state.writeBudget.takeJob(2);
+            state.writeBudget().takeJob(2);
             persistence.finalStateInFlight = true;
-            long version = persistence.beginWrite(state.nowMicros, job.isComplete());
+            long version = persistence.beginWrite(state.nowMicros(), job.isComplete());
             state.emit(
                     new SchedulerAction.WriteFinalState(
                             new FinalRecord(
                                     job.jobId(),
                                     job.cancelled,
                                     job.completedTasks.cardinality(),
-                                    state.wallMicros,
+                                    state.wallMicros(),
                                     job.description.isService()),
                             persistence.revision,
                             version));
         } else {
-            state.writeBudget.takeJob(1);
+            state.writeBudget().takeJob(1);
             boolean urgent = persistence.pendingReason == PersistenceState.WriteReason.IMMEDIATE;
-            long version = persistence.beginWrite(state.nowMicros, job.isComplete());
+            long version = persistence.beginWrite(state.nowMicros(), job.isComplete());
             state.emit(
                     new SchedulerAction.WriteJob(
-                            job.toRecord(state.term, version), persistence.revision, urgent));
+                            job.toRecord(state.term(), version), persistence.revision, urgent));
         }
     }
 
@@ -120,7 +121,7 @@
      * written later, as one.
      */
     private boolean isDue(Job job) {
-        long since = state.nowMicros - job.persistence.lastWriteMicros;
+        long since = state.nowMicros() - job.persistence.lastWriteMicros;
         return switch (job.persistence.pendingReason) {
             case NONE -> false;
             case PHASE -> since >= PHASE_MICROS;
@@ -130,7 +131,7 @@
     }
 
     public void onWriteCompleted(SchedulerEvent.JobWriteCompleted result) {
-        Job job = state.jobs.get(result.jobId());
+        Job job = state.jobs().get(result.jobId());
         if (job == null) {
             return;
         }
@@ -159,7 +160,7 @@
                     // one.
                     persistence.readNeeded = true;
                     persistence.readInFlight = false;
-                    state.jobsToPersist.add(job);
+                    state.jobsToPersist().add(job);
                 }
             }
             case TOO_LARGE -> {
@@ -169,7 +170,7 @@
             }
             case NOT_WRITTEN -> {
                 if (persistence.versionInFlight == result.version()) {
-                    persistence.onWriteRefused(state.nowMicros + RETRY_MICROS);
+                    persistence.onWriteRefused(state.nowMicros() + RETRY_MICROS);
                 }
             }
         }
@@ -181,7 +182,7 @@
      * at least as much as there is.
      */
     private void onRecordTooLarge(Job job) {
-        job.persistence.onWriteRefused(state.nowMicros + TOO_LARGE_MICROS);
+        job.persistence.onWriteRefused(state.nowMicros() + TOO_LARGE_MICROS);
         int planned = 0;
         for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
             if (attempt.stage == TaskAttempt.Stage.PLANNED) {
@@ -190,8 +191,8 @@
             }
         }
         job.placeNotBeforeMicros =
-                Math.max(job.placeNotBeforeMicros, state.nowMicros + TOO_LARGE_MICROS);
-        state.placementNeeded = true;
+                Math.max(job.placeNotBeforeMicros, state.nowMicros() + TOO_LARGE_MICROS);
+        state.requestPlacement();
         state.log(
                 LogEntry.info(LogEvent.JOB_RECORD_TOO_LARGE)
                         .with("job", job.jobId())
@@ -200,10 +201,10 @@
 
     /** A read that got no answer is sent again. */
     public void onReadFailed(String jobId) {
-        Job job = state.jobs.get(jobId);
+        Job job = state.jobs().get(jobId);
         if (job != null && job.persistence.readNeeded) {
             job.persistence.readInFlight = false;
-            job.persistence.retryAtMicros = state.nowMicros + RETRY_MICROS;
+            job.persistence.retryAtMicros = state.nowMicros() + RETRY_MICROS;
         }
     }
 }
--- a/src/main/java/org/woadloom/core/jobs/JobRegistry.java
+++ b/src/main/java/org/woadloom/core/jobs/JobRegistry.java
@@ -27,7 +27,7 @@
             return;
         }
         for (JobRecord.RecordedAttempt placed : record.attempts()) {
-            Machine machine = state.machines.get(placed.host());
+            Machine machine = state.machines().get(placed.host());
             if (machine == null) {
                 // A machine's record is dropped only after its deletion was answered, so nothing is
                 // left there.
@@ -38,8 +38,8 @@
                     i >= 0;
                     i = placed.tasks().nextSetBit(i + 1)) {
                 TaskAttempt attempt =
-                        new TaskAttempt(job, i, machine, placed.attempt(), 0, state.nowMicros);
-                attempt.stage = TaskAttempt.Stage.RECOVERED;
+                        new TaskAttempt(job, i, machine, placed.attempt(), 0, state.nowMicros());
+                attempt.onRecovered();
                 job.add(attempt);
                 if (job.isOver() || job.completedTasks.get(i)) {
                     attempt.stop(0);
@@ -53,9 +53,9 @@
 
     /** A record that came from another node, from the watch or from a read. */
     public void onRecord(JobRecord record, long revision) {
-        Job job = state.jobs.get(record.description().jobId());
+        Job job = state.jobs().get(record.description().jobId());
         if (job == null) {
-            if (record.term() < state.term && record.attempts().isEmpty()) {
+            if (record.term() < state.term() && record.attempts().isEmpty()) {
                 Job created = create(record, revision);
                 if (created != null) {
                     if (created.isOver()) {
@@ -63,7 +63,7 @@
                     }
                     logAccepted(record.description());
                 }
-                state.placementNeeded = true;
+                state.requestPlacement();
             }
             return;
         }
@@ -72,7 +72,7 @@
         if (revision < persistence.revision) {
             return;
         }
-        if (record.term() == state.term && record.version() > persistence.durableVersion) {
+        if (record.term() == state.term() && record.version() > persistence.durableVersion) {
             // One of this term's own writes: it is durable, whatever became of the answer.
             persistence.durableVersion = record.version();
             job.releaseDurableAttempts();
@@ -93,7 +93,7 @@
      * place.
      */
     public void onDamagedRecord(SchedulerEvent.JobRecordDamaged event) {
-        Job job = state.jobs.get(event.jobId());
+        Job job = state.jobs().get(event.jobId());
         if (job == null || event.revision() < job.persistence.revision) {
             return;
         }
@@ -115,7 +115,7 @@
      */
     public void onCancellationsConfirmed(List<String> jobIds) {
         for (String jobId : jobIds) {
-            Job job = state.jobs.get(jobId);
+            Job job = state.jobs().get(jobId);
             if (job != null && !job.cancelled) {
                 cancel(job);
             }
@@ -128,11 +128,11 @@
      * start on a guess, and what may be on machines counts until it is not.
      */
     public void onRecordNotFound(String jobId) {
-        Job job = state.jobs.get(jobId);
+        Job job = state.jobs().get(jobId);
         if (job == null || !job.persistence.readNeeded || !job.persistence.readInFlight) {
             return;
         }
-        state.serviceLevels.observe(job);
+        state.serviceLevels().observe(job);
         stopAll(job);
         if (job.attempts().isEmpty()) {
             onFinished(job, false);
@@ -143,7 +143,7 @@
                             .with("tasks", job.attempts().size()));
             job.cancelled = true;
             job.persistence.onReplaced();
-            state.placementNeeded = true;
+            state.requestPlacement();
         }
     }
 
@@ -159,10 +159,10 @@
             job.remove(attempt);
         }
         job.finished = true;
-        state.jobs.remove(job.jobId());
-        state.serviceLevels.onJobEnded(job);
-        state.dependencies.onJobRemoved(job, outcomeKnown);
-        state.placementNeeded = true;
+        state.jobs().remove(job.jobId());
+        state.serviceLevels().onJobEnded(job);
+        state.dependencies().onJobRemoved(job, outcomeKnown);
+        state.requestPlacement();
     }
 
     private void logAccepted(JobDescription job) {
@@ -177,7 +177,7 @@
     }
 
     private Job create(JobRecord record, long revision) {
-        TeamQuota team = state.teams.get(record.description().team());
+        TeamQuota team = state.teams().get(record.description().team());
         if (team == null) {
             state.log(
                     LogEntry.info(LogEvent.JOB_TEAM_UNKNOWN)
@@ -185,39 +185,39 @@
                             .with("team", record.description().team()));
             return null;
         }
-        long age = Math.max(0, state.wallMicros - record.submittedWallMicros());
-        Job job = new Job(record, revision, team, state.nowMicros - age, state.jobsToPersist);
-        state.jobs.put(job.jobId(), job);
-        state.serviceLevels.onJobAdded(job);
-        state.jobArrivals++;
+        long age = Math.max(0, state.wallMicros() - record.submittedWallMicros());
+        Job job = new Job(record, revision, team, state.nowMicros() - age, state.jobsToPersist());
+        state.jobs().put(job.jobId(), job);
+        state.serviceLevels().onJobAdded(job);
+        state.countJobArrival();
         if (record.isComplete()) {
             job.persistence.onReadAsComplete();
         }
         if (!job.isBlocked()) {
-            state.demand.add(job, state.nowMicros);
+            state.demand().add(job, state.nowMicros());
         }
-        state.dependencies.onJobAdded(job);
+        state.dependencies().onJobAdded(job);
         return job;
     }
 
     /** To be called when a write was acknowledged: what waits for a job that is done may go on. */
     void onWriteAcknowledged(Job job) {
         if (job.persistence.isCompletionDurable()) {
-            state.dependencies.onDone(job.jobId(), state.wallMicros);
+            state.dependencies().onDone(job.jobId(), state.wallMicros());
         }
     }
 
     private void cancel(Job job) {
-        state.serviceLevels.observe(job);
+        state.serviceLevels().observe(job);
         job.cancelled = true;
-        job.cancelledSinceMicros = state.cancellationsReadUpToMicros;
+        job.cancelledSinceMicros = state.cancellationsReadUpToMicros();
         state.log(LogEntry.info(LogEvent.JOB_CANCEL_REQUESTED).with("job", job.jobId()));
-        state.dependencies.onCancelled(job.jobId());
+        state.dependencies().onCancelled(job.jobId());
         stopAll(job);
         if (job.attempts().isEmpty()) {
             job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
         }
-        state.placementNeeded = true;
+        state.requestPlacement();
     }
 
     /** Stops everything of a job that is over. What was never sent is gone at once. */
--- a/src/main/java/org/woadloom/core/jobs/PersistenceState.java
+++ b/src/main/java/org/woadloom/core/jobs/PersistenceState.java
@@ -13,30 +13,30 @@
     private final Runnable onWriteNeeded;
 
     /** The record's stamp as far as known. */
-    public long revision;
+    long revision;
 
     /** Versions up to this one are durable. */
-    public long durableVersion;
+    long durableVersion;
 
     /** The first version in which all tasks are done, 0 while there is none. */
     private long completionVersion;
 
     /** The version that is being written, 0 for none. */
-    public long versionInFlight;
+    long versionInFlight;
 
     private long nextVersion = 1;
-    public WriteReason pendingReason = WriteReason.NONE;
+    WriteReason pendingReason = WriteReason.NONE;
     private boolean readAsComplete;
 
     /**
      * The answer to a write was lost or it met a conflict: the record must be read before the next
      * write.
      */
-    public boolean readNeeded;
+    boolean readNeeded;
 
-    public boolean readInFlight;
-    public long lastWriteMicros = Long.MIN_VALUE / 2;
-    public long retryAtMicros;
+    boolean readInFlight;
+    long lastWriteMicros = Long.MIN_VALUE / 2;
+    long retryAtMicros;
 
     /**
      * There is none any more, and the final state that took its place is not this leader's: nothing
@@ -45,7 +45,7 @@
     private boolean isReplaced;
 
     /** The final state is being written or is written. */
-    public boolean finalStateInFlight;
+    boolean finalStateInFlight;
 
     /**
      * @param needed hears when the record needs anything
@@ -128,4 +128,48 @@
             readNeeded = false;
         }
     }
+
+    /** The record's stamp as far as known. */
+    public long revision() {
+        return revision;
+    }
+
+    /** Versions up to this one are durable. */
+    public long durableVersion() {
+        return durableVersion;
+    }
+
+    /** The version that is being written, 0 for none. */
+    public long versionInFlight() {
+        return versionInFlight;
+    }
+
+    public WriteReason pendingReason() {
+        return pendingReason;
+    }
+
+    /**
+     * The answer to a write was lost or it met a conflict: the record must be read before the next
+     * write.
+     */
+    public boolean isReadNeeded() {
+        return readNeeded;
+    }
+
+    public boolean isReadInFlight() {
+        return readInFlight;
+    }
+
+    public long lastWriteMicros() {
+        return lastWriteMicros;
+    }
+
+    public long retryAtMicros() {
+        return retryAtMicros;
+    }
+
+    /** The final state is being written or is written. */
+    public boolean isFinalStateInFlight() {
+        return finalStateInFlight;
+    }
 }
--- a/src/main/java/org/woadloom/core/jobs/TaskAttempt.java
+++ b/src/main/java/org/woadloom/core/jobs/TaskAttempt.java
@@ -36,22 +36,22 @@
     public final long version;
 
     public final long placedMicros;
-    public Stage stage = Stage.PLANNED;
+    Stage stage = Stage.PLANNED;
 
     /** The token under which the last launch was sent. */
-    public long startToken;
+    long startToken;
 
-    public long answeredSequence;
-    public TaskStatus.State reportedState;
+    long answeredSequence;
+    TaskStatus.State reportedState;
 
     /** The last message that listed it. */
-    public long listedInMessage;
+    long listedInMessage;
 
-    public long runningSinceMicros = -1;
+    long runningSinceMicros = -1;
     private final TaskId task;
     private boolean isStopping;
-    public long stopSentMicros = -1;
-    public double gracePeriodSeconds;
+    long stopSentMicros = -1;
+    double gracePeriodSeconds;
 
     public TaskAttempt(
             Job job, int index, Machine machine, long attempt, long version, long nowMicros) {
@@ -92,4 +92,91 @@
     public boolean wasNeverSent() {
         return stage == Stage.PLANNED || stage == Stage.READY;
     }
+
+    public Stage stage() {
+        return stage;
+    }
+
+    /** The token under which the last launch was sent. */
+    public long startToken() {
+        return startToken;
+    }
+
+    public long answeredSequence() {
+        return answeredSequence;
+    }
+
+    public TaskStatus.State reportedState() {
+        return reportedState;
+    }
+
+    /** The last message that listed it. */
+    public long listedInMessage() {
+        return listedInMessage;
+    }
+
+    public long runningSinceMicros() {
+        return runningSinceMicros;
+    }
+
+    public long stopSentMicros() {
+        return stopSentMicros;
+    }
+
+    public double gracePeriodSeconds() {
+        return gracePeriodSeconds;
+    }
+
+    /** The attempt was read from a record that an earlier leader wrote. */
+    public void onRecovered() {
+        stage = Stage.RECOVERED;
+    }
+
+    /** The start command leaves, directly, under the given token. */
+    public void onStartSent(long token) {
+        stage = Stage.SENT;
+        startToken = token;
+    }
+
+    /** The start command leaves in the answer to the heartbeat of the given sequence. */
+    public void onStartSentInAnswer(long sequence, long token) {
+        stage = Stage.SENT_IN_ANSWER;
+        answeredSequence = sequence;
+        startToken = token;
+    }
+
+    /** No answer came to the direct command that started it. */
+    public void onStartUnanswered() {
+        stage = Stage.UNANSWERED;
+    }
+
+    /** The agent is known to have it. */
+    public void onConfirmed() {
+        stage = Stage.CONFIRMED;
+    }
+
+    /** The message of this number lists it. */
+    public void onListed(long messageNumber) {
+        listedInMessage = messageNumber;
+    }
+
+    /** It was first seen running at the given time. */
+    public void onRunning(long nowMicros) {
+        runningSinceMicros = nowMicros;
+    }
+
+    /** The agent reports it in this state. */
+    public void onReported(TaskStatus.State state) {
+        reportedState = state;
+    }
+
+    /** The stop command leaves. */
+    public void onStopSent(long nowMicros) {
+        stopSentMicros = nowMicros;
+    }
+
+    /** A stop command that was sent may not have arrived: it has to be sent again. */
+    public void requireStopAgain() {
+        stopSentMicros = -1;
+    }
 }
--- a/src/main/java/org/woadloom/core/machines/AgentProber.java
+++ b/src/main/java/org/woadloom/core/machines/AgentProber.java
@@ -35,12 +35,12 @@
         probed.removeIf(
                 machine -> machine.commandInFlight == 0 && !machine.tokenDue() || machine.deleted);
         List<Machine> silent = new ArrayList<>();
-        for (Machine machine : state.machines.values()) {
+        for (Machine machine : state.machines().values()) {
             if (machine.deleted) {
                 unreachableCount.remove(machine.host);
                 continue;
             }
-            if (machine.liveness.isSuspect(state.nowMicros) && !machine.isEmpty()) {
+            if (machine.liveness.isSuspect(state.nowMicros()) && !machine.isEmpty()) {
                 withdrawUnsentTasks(machine);
             }
             logReachability(machine);
@@ -70,7 +70,7 @@
 
     private void logReachability(Machine machine) {
         AgentLiveness liveness = machine.liveness;
-        if (liveness.isUnreachable(state.nowMicros)) {
+        if (liveness.isUnreachable(state.nowMicros())) {
             if (unreachableCount.add(machine.host)) {
                 state.log(
                         LogEntry.info(LogEvent.MACHINE_UNREACHABLE)
@@ -78,7 +78,7 @@
                                 .with("zone", machine.zone)
                                 .withSeconds(
                                         "unacknowledged_s",
-                                        liveness.unacknowledgedForMicros(state.nowMicros)));
+                                        liveness.unacknowledgedForMicros(state.nowMicros())));
             }
         } else if (!unreachableCount.isEmpty()
                 && liveness.hasAcknowledgedToken()
@@ -96,11 +96,11 @@
      */
     private boolean isSilent(Machine machine) {
         boolean known = machine.isKnownAlive() || machine.reportedRecorded || !machine.isEmpty();
-        long since = Math.max(machine.liveness.lastHeartbeatMicros(), state.startedMicros);
+        long since = Math.max(machine.liveness.lastHeartbeatMicros(), state.startedMicros());
         return known
                 && !machine.decommissioning
                 && !machine.address.isEmpty()
-                && state.nowMicros - since > state.livenessTimeouts.freshMicros();
+                && state.nowMicros() - since > state.livenessTimeouts().freshMicros();
     }
 
     private void probe(List<Machine> silent) {
@@ -110,12 +110,12 @@
         silent.sort(Comparator.comparingLong((Machine machine) -> machine.lastProbeMicros));
         for (Machine machine : silent) {
             if (probed.size() >= MAX_PROBES
-                    || state.nowMicros - machine.lastProbeMicros
-                            < state.settings.leaseMicros() / 2) {
+                    || state.nowMicros() - machine.lastProbeMicros
+                            < state.settings().leaseMicros() / 2) {
                 return;
             }
-            if (machine.commandInFlight == 0 && machine.acceptsDirectCommands(state.nowMicros)) {
-                machine.lastProbeMicros = state.nowMicros;
+            if (machine.commandInFlight == 0 && machine.acceptsDirectCommands(state.nowMicros())) {
+                machine.lastProbeMicros = state.nowMicros();
                 machine.liveness.requireAcknowledgement();
                 machine.requestToken();
                 probed.add(machine);
--- a/src/main/java/org/woadloom/core/machines/DirectCommands.java
+++ b/src/main/java/org/woadloom/core/machines/DirectCommands.java
@@ -35,12 +35,12 @@
     }
 
     public void emitCommands() {
-        for (Machine machine : List.copyOf(state.machinesWithPendingCommands)) {
+        for (Machine machine : List.copyOf(state.machinesWithPendingCommands())) {
             if (machine.deleted) {
-                state.machinesWithPendingCommands.remove(machine);
+                state.machinesWithPendingCommands().remove(machine);
             } else if (machine.commandInFlight == 0
                     && !machine.address.isEmpty()
-                    && machine.acceptsDirectCommands(state.nowMicros)
+                    && machine.acceptsDirectCommands(state.nowMicros())
                     && machine.liveness.incarnation() >= machine.liveness.minIncarnation()) {
                 send(machine);
             }
@@ -57,23 +57,23 @@
                     all = false;
                     break;
                 }
-                if (attempt.stage == Stage.READY && !attempt.isStopping()) {
+                if (attempt.stage() == Stage.READY && !attempt.isStopping()) {
                     commands.add(TaskCommand.start(attempt.task(), attempt.attempt));
                     starts.add(attempt);
                 } else if (attempt.isStopping()
                         && !attempt.wasNeverSent()
-                        && attempt.stopSentMicros < 0) {
-                    attempt.stopSentMicros = state.nowMicros;
+                        && attempt.stopSentMicros() < 0) {
+                    attempt.onStopSent(state.nowMicros());
                     // Halts come first, so that the room they free is there for the launches.
                     commands.add(
                             0,
                             TaskCommand.stop(
-                                    attempt.task(), attempt.attempt, attempt.gracePeriodSeconds));
+                                    attempt.task(), attempt.attempt, attempt.gracePeriodSeconds()));
                 }
             }
         }
         if (all) {
-            state.machinesWithPendingCommands.remove(machine);
+            state.machinesWithPendingCommands().remove(machine);
         }
         boolean tokenDue = machine.takeTokenDue();
         if (commands.isEmpty() && !tokenDue) {
@@ -82,23 +82,22 @@
         long id = state.newCommandId();
         machine.commandInFlight = id;
         for (TaskAttempt attempt : starts) {
-            attempt.stage = Stage.SENT;
-            attempt.startToken = machine.liveness.fencingToken();
+            attempt.onStartSent(machine.liveness.fencingToken());
         }
-        sent.put(id, new Sent(starts, state.nowMicros));
+        sent.put(id, new Sent(starts, state.nowMicros()));
         state.emit(
                 new SchedulerAction.SendDirectCommand(
                         id,
                         machine.host,
                         machine.address,
-                        machine.liveness.issueToken(state.nowMicros),
+                        machine.liveness.issueToken(state.nowMicros()),
                         machine.liveness.incarnation(),
                         commands));
     }
 
     public void onCompleted(SchedulerEvent.DirectCommandCompleted result) {
         Sent command = sent.remove(result.commandId());
-        Machine machine = state.machines.get(result.host());
+        Machine machine = state.machines().get(result.host());
         if (machine == null || command == null) {
             return;
         }
@@ -114,7 +113,7 @@
         }
         if (result.status() == 200 && result.heartbeat() != null) {
             for (TaskAttempt attempt : starts) {
-                attempt.stage = Stage.CONFIRMED;
+                attempt.onConfirmed();
             }
             heartbeats.apply(machine, result.heartbeat(), command.sentMicros);
         } else if (result.status() == 409 || result.status() == NOT_SENT) {
@@ -128,14 +127,14 @@
                 }
             }
             machine.directRetryAtMicros =
-                    state.nowMicros + (result.status() == 409 ? 100_000 : PAUSE_MICROS);
+                    state.nowMicros() + (result.status() == 409 ? 100_000 : PAUSE_MICROS);
         } else {
             onNoAnswer(machine, starts);
         }
     }
 
     private void returnToReady(TaskAttempt attempt) {
-        if (attempt.stage != Stage.SENT) {
+        if (attempt.stage() != Stage.SENT) {
             return;
         }
         if (attempt.isStopping()) {
@@ -151,13 +150,13 @@
      */
     private void onNoAnswer(Machine machine, List<TaskAttempt> starts) {
         machine.directRetryAtMicros =
-                state.nowMicros
-                        + (machine.liveness.isUnreachable(state.nowMicros)
-                                ? state.settings.leaseMicros() / 2
+                state.nowMicros()
+                        + (machine.liveness.isUnreachable(state.nowMicros())
+                                ? state.settings().leaseMicros() / 2
                                 : PAUSE_MICROS);
         for (TaskAttempt attempt : starts) {
-            if (attempt.stage == Stage.SENT) {
-                attempt.stage = Stage.UNANSWERED;
+            if (attempt.stage() == Stage.SENT) {
+                attempt.onStartUnanswered();
             }
         }
         if (!starts.isEmpty()) {
@@ -169,7 +168,7 @@
                             .with("starts", starts.size()));
         }
         for (TaskAttempt attempt : machine.attempts()) {
-            attempt.stopSentMicros = -1;
+            attempt.requireStopAgain();
         }
     }
 }
--- a/src/main/java/org/woadloom/core/machines/HeartbeatHandler.java
+++ b/src/main/java/org/woadloom/core/machines/HeartbeatHandler.java
@@ -65,13 +65,13 @@
         if (hasSeenLaterTerm(machine, heartbeat)) {
             return;
         }
-        if (!machine.liveness.awaitsAnswerTo(heartbeat, state.nowMicros)) {
+        if (!machine.liveness.awaitsAnswerTo(heartbeat, state.nowMicros())) {
             // Nobody waits for this answer; if somebody did, it would renew a lease that counts as
             // running out.
             state.emit(new SchedulerAction.RejectHeartbeat(event.requestId()));
             return;
         }
-        machine.lastAnsweredMicros = state.nowMicros;
+        machine.lastAnsweredMicros = state.nowMicros();
         MessageAge age = apply(machine, heartbeat, AgentLiveness.NEVER);
         List<TaskCommand> commands =
                 age != MessageAge.DUPLICATE ? commandsFor(machine, heartbeat) : List.of();
@@ -83,7 +83,9 @@
         }
         state.emit(
                 new SchedulerAction.AnswerHeartbeat(
-                        event.requestId(), machine.liveness.issueToken(state.nowMicros), commands));
+                        event.requestId(),
+                        machine.liveness.issueToken(state.nowMicros()),
+                        commands));
     }
 
     /**
@@ -94,7 +96,7 @@
         if (heartbeat.fencingToken() <= machine.liveness.fencingToken()) {
             return false;
         }
-        if (heartbeat.fencingToken() >> AgentLiveness.FENCE_BITS == state.term) {
+        if (heartbeat.fencingToken() >> AgentLiveness.FENCE_BITS == state.term()) {
             machine.liveness.advanceFencePast(heartbeat.fencingToken());
             return false;
         }
@@ -118,7 +120,7 @@
         MessageAge age =
                 machine.deleted
                         ? MessageAge.DUPLICATE
-                        : liveness.classify(heartbeat, sinceMicros, state.nowMicros);
+                        : liveness.classify(heartbeat, sinceMicros, state.nowMicros());
         if (age == MessageAge.DUPLICATE) {
             return age;
         }
@@ -126,23 +128,23 @@
         boolean newSession =
                 liveness.incarnation() > 0 && heartbeat.incarnation() > liveness.incarnation();
         boolean first = !machine.hasAcknowledgedTerm();
-        boolean wasSuspect = liveness.isSuspect(state.nowMicros);
+        boolean wasSuspect = liveness.isSuspect(state.nowMicros());
         boolean wasNeverAlive = !machine.isKnownAlive();
-        liveness.accept(heartbeat, age, sinceMicros, state.nowMicros);
+        liveness.accept(heartbeat, age, sinceMicros, state.nowMicros());
         if (first && machine.hasAcknowledgedTerm()) {
-            state.placementNeeded = true;
-            machine.lastAnsweredMicros = Math.max(machine.lastAnsweredMicros, state.nowMicros);
+            state.requestPlacement();
+            machine.lastAnsweredMicros = Math.max(machine.lastAnsweredMicros, state.nowMicros());
         }
         if (wasNeverAlive && machine.isKnownAlive()) {
             machine.confirmExistence();
-            machine.idleSinceMicros = state.nowMicros;
+            machine.idleSinceMicros = state.nowMicros();
             state.log(
                     LogEntry.info(LogEvent.MACHINE_UP)
                             .with("machine", machine.host)
                             .with("zone", machine.zone));
         }
-        if (wasSuspect && !liveness.isSuspect(state.nowMicros)) {
-            state.placementNeeded = true;
+        if (wasSuspect && !liveness.isSuspect(state.nowMicros())) {
+            state.requestPlacement();
         }
         if (newSession || first) {
             machine.markPendingCommands();
@@ -155,16 +157,16 @@
                                 .with("machine", machine.host)
                                 .withSeconds("notice_s", heartbeat.spotNoticeMicros()));
             }
-            machine.spotTerminationMicros = state.nowMicros + heartbeat.spotNoticeMicros();
+            machine.spotTerminationMicros = state.nowMicros() + heartbeat.spotNoticeMicros();
         }
         if (newSession) {
             // The new session's lease runs from its start, which may be later than our last answer:
             // a session that is
             // first seen in the body of a direct command has not been answered at all.
-            machine.lastAnsweredMicros = Math.max(machine.lastAnsweredMicros, state.nowMicros);
+            machine.lastAnsweredMicros = Math.max(machine.lastAnsweredMicros, state.nowMicros());
             onNewSession(machine);
             // It may have ended because nothing reaches the worker any more.
-            liveness.suspect(state.nowMicros);
+            liveness.suspect(state.nowMicros());
         }
         List<TaskStatus> tasks = heartbeat.tasks();
         TaskAttempt[] listed = new TaskAttempt[tasks.size()];
@@ -178,14 +180,14 @@
                 if (task.state() == TaskStatus.State.EXITED) {
                     onUnknownExit(machine, task);
                 }
-            } else if (attempt.listedInMessage != messageNumber) {
-                attempt.listedInMessage = messageNumber;
+            } else if (attempt.listedInMessage() != messageNumber) {
+                attempt.onListed(messageNumber);
                 found++;
             }
         }
         if (found < machine.attempts().size()) {
             for (TaskAttempt attempt : machine.snapshot()) {
-                if (attempt.listedInMessage != messageNumber) {
+                if (attempt.listedInMessage() != messageNumber) {
                     onNotListed(attempt, heartbeat, ownHeartbeat);
                 }
             }
@@ -204,14 +206,14 @@
         for (TaskAttempt attempt : machine.snapshot()) {
             // An earlier leader may have launched it in this session, or may still: what the
             // message lists decides about it.
-            if (!attempt.wasNeverSent() && attempt.stage != Stage.RECOVERED) {
+            if (!attempt.wasNeverSent() && attempt.stage() != Stage.RECOVERED) {
                 taskLosses.onLost(attempt, "the worker's lease ended");
             }
         }
     }
 
     private TaskAttempt findAttempt(Machine machine, TaskStatus task) {
-        Job job = state.jobs.get(task.task().jobId());
+        Job job = state.jobs().get(task.task().jobId());
         TaskAttempt attempt = job == null ? null : job.attempt(task.task().index());
         return attempt != null && attempt.machine == machine && attempt.attempt == task.attempt()
                 ? attempt
@@ -219,13 +221,13 @@
     }
 
     private void onListed(TaskAttempt attempt, TaskStatus task) {
-        if (attempt.stage != Stage.SENT) {
-            attempt.stage = Stage.CONFIRMED;
+        if (attempt.stage() != Stage.SENT) {
+            attempt.onConfirmed();
         }
         Machine machine = attempt.machine;
         if (task.state() == TaskStatus.State.RUNNING
-                && attempt.reportedState != TaskStatus.State.RUNNING) {
-            attempt.runningSinceMicros = state.nowMicros;
+                && attempt.reportedState() != TaskStatus.State.RUNNING) {
+            attempt.onRunning(state.nowMicros());
             attempt.job.persistence.requestWrite(PersistenceState.WriteReason.PHASE);
         }
         if (task.state() == TaskStatus.State.RUNNING) {
@@ -234,23 +236,23 @@
                     attempt.job.description.imageGb(),
                     machine.type == null ? 0 : machine.type.imageCacheGb());
         }
-        attempt.reportedState = task.state();
+        attempt.onReported(task.state());
     }
 
     private void onNotListed(TaskAttempt attempt, Heartbeat heartbeat, boolean ownHeartbeat) {
-        switch (attempt.stage) {
+        switch (attempt.stage()) {
             case CONFIRMED -> taskLosses.onLost(attempt, "no longer reported");
             case UNANSWERED -> {
                 // The worker refuses the old token from here on, so the late launch can no longer
                 // be executed.
-                if (heartbeat.fencingToken() > attempt.startToken) {
+                if (heartbeat.fencingToken() > attempt.startToken()) {
                     taskLosses.onLost(attempt, "the launch never arrived");
                 }
             }
             case SENT_IN_ANSWER -> {
                 // A worker has one report in flight: this one was made after the answer was
                 // executed or dropped.
-                if (ownHeartbeat && heartbeat.sequence() > attempt.answeredSequence) {
+                if (ownHeartbeat && heartbeat.sequence() > attempt.answeredSequence()) {
                     if (attempt.isStopping()) {
                         taskLosses.remove(attempt);
                     } else {
@@ -262,7 +264,7 @@
                 }
             }
             case RECOVERED -> {
-                if (heartbeat.fencingToken() >> AgentLiveness.FENCE_BITS == state.term) {
+                if (heartbeat.fencingToken() >> AgentLiveness.FENCE_BITS == state.term()) {
                     taskLosses.onLost(attempt, "not found by the new leader");
                 }
             }
@@ -288,7 +290,7 @@
         } else if (task.exitReason() == TaskStatus.ExitReason.ERROR) {
             onTaskFailed(job, machine);
         } else if (task.exitReason() == TaskStatus.ExitReason.UNKNOWN_TASK) {
-            job.placeNotBeforeMicros = state.nowMicros + ERROR_BACKOFF_MICROS;
+            job.placeNotBefore(state.nowMicros() + ERROR_BACKOFF_MICROS);
         } else if (task.exitReason() == TaskStatus.ExitReason.INSUFFICIENT_RESOURCES
                 || task.exitReason() == TaskStatus.ExitReason.ALREADY_RUNNING) {
             state.log(
@@ -296,7 +298,7 @@
                             .with("task", attempt.task())
                             .with("machine", machine.host)
                             .with("reason", task.exitReason()));
-            machine.refusesUntilMicros = state.nowMicros + ERROR_BACKOFF_MICROS;
+            machine.refusesUntilMicros = state.nowMicros() + ERROR_BACKOFF_MICROS;
         }
         if (!task.wasRefused()) {
             machine.images.touch(
@@ -312,31 +314,34 @@
     }
 
     private void onTaskFailed(Job job, Machine machine) {
-        job.failures++;
+        job.countFailure();
         job.failedOn.add(machine.host);
-        machine.failedJobs.put(job.jobId(), state.nowMicros);
+        machine.failedJobs.put(job.jobId(), state.nowMicros());
         // Failures of several jobs point at the machine; those of a job that fails on many machines
         // point at the job alone.
         machine.failedJobs
                 .entrySet()
                 .removeIf(
                         failure ->
-                                state.nowMicros - failure.getValue() > 60_000_000
-                                        || state.jobs.containsKey(failure.getKey())
-                                                && state.jobs.get(failure.getKey()).failedOn.size()
+                                state.nowMicros() - failure.getValue() > 60_000_000
+                                        || state.jobs().containsKey(failure.getKey())
+                                                && state.jobs()
+                                                                .get(failure.getKey())
+                                                                .failedOn
+                                                                .size()
                                                         > MAX_FAULTY_MACHINES);
         boolean machineAtFault = machine.failedJobs.size() >= 2;
-        if (machineAtFault && machine.quarantinedUntilMicros < state.nowMicros) {
+        if (machineAtFault && machine.quarantinedUntilMicros < state.nowMicros()) {
             machine.quarantinedUntilMicros =
-                    state.nowMicros + state.settings.operator().quarantineMicros();
+                    state.nowMicros() + state.settings().operator().quarantineMicros();
             state.log(
                     LogEntry.info(LogEvent.MACHINE_QUARANTINED)
                             .with("machine", machine.host)
                             .with("failed_jobs", machine.failedJobs.size()));
         }
         if (job.failedOn.size() > 1) {
-            long pause = ERROR_BACKOFF_MICROS << Math.min(6, job.failures);
-            job.placeNotBeforeMicros = state.nowMicros + Math.min(MAX_BACKOFF_MICROS, pause);
+            long pause = ERROR_BACKOFF_MICROS << Math.min(6, job.failures());
+            job.placeNotBefore(state.nowMicros() + Math.min(MAX_BACKOFF_MICROS, pause));
         }
     }
 
@@ -348,13 +353,13 @@
         if (known != null && known.containsKey(new Exit(task.task(), task.attempt()))) {
             return;
         }
-        Job job = state.jobs.get(task.task().jobId());
+        Job job = state.jobs().get(task.task().jobId());
         int index = task.task().index();
         if (job != null
                 && index < job.description.taskCount()
                 && task.exitReason() == TaskStatus.ExitReason.DONE
                 && !job.description.isService()
-                && !job.cancelled
+                && !job.isCancelled()
                 && job.markCompleted(index)) {
             TaskAttempt other = job.attempt(index);
             if (other != null && other.wasNeverSent()) {
@@ -384,14 +389,14 @@
         Map<Exit, Long> stillListed = exits.isEmpty() ? Map.of() : new HashMap<>();
         for (TaskStatus task : heartbeat.tasks()) {
             if (task.state() == TaskStatus.State.EXITED) {
-                Job job = state.jobs.get(task.task().jobId());
+                Job job = state.jobs().get(task.task().jobId());
                 Exit exit = new Exit(task.task(), task.attempt());
                 Long version = exits.get(exit);
                 if (version != null) {
                     stillListed.put(exit, version);
                 }
                 // A job that is no longer here has its final state in the store.
-                if (job == null || version != null && version <= job.persistence.durableVersion) {
+                if (job == null || version != null && version <= job.persistence.durableVersion()) {
                     commands.add(TaskCommand.acknowledgeExit(task.task(), task.attempt()));
                 }
             } else if (findAttempt(machine, task) == null) {
@@ -405,8 +410,8 @@
         // in time.
         boolean launches =
                 machine.hasAcknowledgedTerm()
-                        && !machine.acceptsDirectCommands(state.nowMicros)
-                        && !machine.liveness.isSuspect(state.nowMicros);
+                        && !machine.acceptsDirectCommands(state.nowMicros())
+                        && !machine.liveness.isSuspect(state.nowMicros());
         for (TaskAttempt attempt : machine.attempts()) {
             if (commands.size() >= MAX_COMMANDS) {
                 break;
@@ -414,11 +419,9 @@
             if (attempt.isStopping() && !attempt.wasNeverSent()) {
                 commands.add(
                         TaskCommand.stop(
-                                attempt.task(), attempt.attempt, attempt.gracePeriodSeconds));
-            } else if (attempt.stage == Stage.READY && launches && !attempt.isStopping()) {
-                attempt.stage = Stage.SENT_IN_ANSWER;
-                attempt.answeredSequence = heartbeat.sequence();
-                attempt.startToken = machine.liveness.fencingToken();
+                                attempt.task(), attempt.attempt, attempt.gracePeriodSeconds()));
+            } else if (attempt.stage() == Stage.READY && launches && !attempt.isStopping()) {
+                attempt.onStartSentInAnswer(heartbeat.sequence(), machine.liveness.fencingToken());
                 commands.add(TaskCommand.start(attempt.task(), attempt.attempt));
             }
         }
@@ -427,6 +430,6 @@
 
     /** Drops what is kept for machines that are no longer known. */
     public void forget() {
-        acknowledgeAfterVersion.keySet().retainAll(state.machines.keySet());
+        acknowledgeAfterVersion.keySet().retainAll(state.machines().keySet());
     }
 }
--- a/src/main/java/org/woadloom/core/machines/Machine.java
+++ b/src/main/java/org/woadloom/core/machines/Machine.java
@@ -25,25 +25,25 @@
     /** What the worker has said, and whether it hears us. */
     public final AgentLiveness liveness;
 
-    public MachineType type;
+    MachineType type;
     private Resources capacity = Resources.NONE;
-    public String address = "";
+    String address = "";
 
-    public long lastAnsweredMicros = -1;
+    long lastAnsweredMicros = -1;
 
     /** When the cloud takes the machine away, or -1. */
-    public long spotTerminationMicros = -1;
+    long spotTerminationMicros = -1;
 
     // The record.
-    public long revision;
-    public boolean recorded;
-    public boolean writing;
-    public boolean reading;
-    public boolean decommissioningRecorded;
-    public long retryAtMicros;
+    long revision;
+    boolean recorded;
+    boolean writing;
+    boolean reading;
+    boolean decommissioningRecorded;
+    long retryAtMicros;
 
     /** The stored record says that the worker was heard. */
-    public boolean reportedRecorded;
+    boolean reportedRecorded;
 
     /** When the last write of the record began. */
     long writeStartedMicros = Long.MIN_VALUE / 2;
@@ -52,12 +52,12 @@
     boolean reportedInWrite;
 
     /** The record is to be written once more, as its form has changed. */
-    public boolean rewriteNeeded;
+    boolean rewriteNeeded;
 
     /**
      * When it was rented is known from the record, and not only since when this leader knows it.
      */
-    public boolean lifecycleKnown;
+    boolean lifecycleKnown;
 
     // Its coming and going.
     public final long firstSeenMicros;
@@ -68,26 +68,26 @@
      */
     private boolean isConfirmed;
 
-    public long rentedMicros;
-    public long idleSinceMicros;
-    public boolean decommissioning;
-    public boolean deleting;
-    public boolean deleted;
-    public boolean listedAsFailed;
+    long rentedMicros;
+    long idleSinceMicros;
+    boolean decommissioning;
+    boolean deleting;
+    boolean deleted;
+    boolean listedAsFailed;
 
     /** Given up while its lease may still run: it is deleted without being emptied. */
-    public boolean abandoned;
+    boolean abandoned;
 
     // Direct commands.
-    public long commandInFlight;
-    public long directRetryAtMicros;
+    long commandInFlight;
+    long directRetryAtMicros;
     private boolean requestToken;
 
     /** When it was last spoken to because it was silent. */
     long lastProbeMicros = AgentLiveness.NEVER;
 
-    public long quarantinedUntilMicros;
-    public long refusesUntilMicros;
+    long quarantinedUntilMicros;
+    long refusesUntilMicros;
     public final Map<String, Long> failedJobs = new LinkedHashMap<>();
     public final ImageCache images = new ImageCache();
     private final Map<TaskId, TaskAttempt> attempts = new LinkedHashMap<>();
@@ -109,18 +109,19 @@
         this.decommissioning = record.decommissioning();
         this.decommissioningRecorded = record.decommissioning();
         this.state = state;
-        this.firstSeenMicros = state.nowMicros;
-        this.liveness = new AgentLiveness(state.term, state.minFence, state.livenessTimeouts);
+        this.firstSeenMicros = state.nowMicros();
+        this.liveness = new AgentLiveness(state.term(), state.minFence(), state.livenessTimeouts());
         this.lifecycleKnown = record.lifecycle() != null;
         this.reportedRecorded = lifecycleKnown && record.lifecycle().hasReported();
         // By another node's time of day, which may be ahead of ours.
         this.rentedMicros =
-                state.nowMicros
+                state.nowMicros()
                         - (lifecycleKnown
                                 ? Math.max(
-                                        0, state.wallMicros - record.lifecycle().rentedWallMicros())
+                                        0,
+                                        state.wallMicros() - record.lifecycle().rentedWallMicros())
                                 : 0);
-        this.idleSinceMicros = state.nowMicros;
+        this.idleSinceMicros = state.nowMicros();
     }
 
     /** The machine exists, or did: it is recorded, and returned if need be. */
@@ -137,12 +138,12 @@
 
     /** There may be something to send to the worker. */
     public void markPendingCommands() {
-        state.machinesWithPendingCommands.add(this);
+        state.machinesWithPendingCommands().add(this);
     }
 
     /** There may be something to write of the machine, or to do about its going. */
     void markForPersistence() {
-        state.machinesToPersist.add(this);
+        state.machinesToPersist().add(this);
     }
 
     /** The machine is to be given back, once nothing is on it. */
@@ -158,9 +159,9 @@
                 zone,
                 spot,
                 decommissioning,
-                state.recordsMachineLifecycle
+                state.recordsMachineLifecycle()
                         ? new MachineRecord.Lifecycle(
-                                state.wallMicros - (state.nowMicros - rentedMicros),
+                                state.wallMicros() - (state.nowMicros() - rentedMicros),
                                 isKnownAlive() || reportedRecorded)
                         : null);
     }
@@ -316,4 +317,130 @@
         }
         return false;
     }
+
+    public MachineType type() {
+        return type;
+    }
+
+    public String address() {
+        return address;
+    }
+
+    public long lastAnsweredMicros() {
+        return lastAnsweredMicros;
+    }
+
+    /** When the cloud takes the machine away, or -1. */
+    public long spotTerminationMicros() {
+        return spotTerminationMicros;
+    }
+
+    public long revision() {
+        return revision;
+    }
+
+    public boolean isRecorded() {
+        return recorded;
+    }
+
+    public boolean isWriting() {
+        return writing;
+    }
+
+    public boolean isReading() {
+        return reading;
+    }
+
+    public boolean isDecommissioningRecorded() {
+        return decommissioningRecorded;
+    }
+
+    public long retryAtMicros() {
+        return retryAtMicros;
+    }
+
+    /** The stored record says that the worker was heard. */
+    public boolean isReportedRecorded() {
+        return reportedRecorded;
+    }
+
+    /** The record is to be written once more, as its form has changed. */
+    public boolean isRewriteNeeded() {
+        return rewriteNeeded;
+    }
+
+    /**
+     * When it was rented is known from the record, and not only since when this leader knows it.
+     */
+    public boolean isLifecycleKnown() {
+        return lifecycleKnown;
+    }
+
+    public long rentedMicros() {
+        return rentedMicros;
+    }
+
+    public long idleSinceMicros() {
+        return idleSinceMicros;
+    }
+
+    public boolean isDecommissioning() {
+        return decommissioning;
+    }
+
+    public boolean isDeleting() {
+        return deleting;
+    }
+
+    public boolean isDeleted() {
+        return deleted;
+    }
+
+    public boolean isListedAsFailed() {
+        return listedAsFailed;
+    }
+
+    /** Given up while its lease may still run: it is deleted without being emptied. */
+    public boolean isAbandoned() {
+        return abandoned;
+    }
+
+    public long commandInFlight() {
+        return commandInFlight;
+    }
+
+    public long directRetryAtMicros() {
+        return directRetryAtMicros;
+    }
+
+    public long quarantinedUntilMicros() {
+        return quarantinedUntilMicros;
+    }
+
+    public long refusesUntilMicros() {
+        return refusesUntilMicros;
+    }
+
+    /** Sets what kind of machine it is, null while the cloud has not told of that kind. */
+    public void setType(MachineType newType) {
+        type = newType;
+        setCapacity(newType == null ? Resources.NONE : Resources.of(newType));
+    }
+
+    /** The cloud has just rented it. */
+    public void onRented(long nowMicros) {
+        rentedMicros = nowMicros;
+    }
+
+    /** Gives it up while its lease may still run: it is deleted without being emptied first. */
+    public void abandon() {
+        decommission();
+        abandoned = true;
+    }
+
+    /** Its record stands in the store as it should. */
+    public void onRecorded(long newRevision) {
+        recorded = true;
+        revision = newRevision;
+    }
 }
--- a/src/main/java/org/woadloom/core/machines/MachineRegistry.java
+++ b/src/main/java/org/woadloom/core/machines/MachineRegistry.java
@@ -9,7 +9,6 @@
 import org.woadloom.core.SchedulerState;
 import org.woadloom.core.delegation.LeaseDelegation;
 import org.woadloom.core.jobs.Job;
-import org.woadloom.core.placement.Resources;
 import org.woadloom.protocol.ListedMachine;
 import org.woadloom.protocol.MachineType;
 import org.woadloom.store.MachineRecord;
@@ -43,8 +42,7 @@
     public void load(SchedulerEvent.StoredMachine stored) {
         Machine machine = create(stored.record());
         machine.confirmExistence();
-        machine.recorded = true;
-        machine.revision = stored.revision();
+        machine.onRecorded(stored.revision());
     }
 
     /** A machine that was rented or listed; machines that nobody expected are taken over. */
@@ -60,35 +58,34 @@
      * and no part in anything.
      */
     public Machine findOrCreate(MachineRecord record) {
-        Machine machine = state.machines.get(record.host());
+        Machine machine = state.machines().get(record.host());
         return machine != null ? machine : create(record);
     }
 
     private Machine create(MachineRecord record) {
         Machine machine = new Machine(record, state);
-        state.machines.put(machine.host, machine);
+        state.machines().put(machine.host, machine);
         setType(machine);
         return machine;
     }
 
     public void onMachineTypes(List<MachineType> types) {
         for (MachineType type : types) {
-            state.machineTypes.put(type.name(), type);
+            state.machineTypes().put(type.name(), type);
         }
-        for (Machine machine : state.machines.values()) {
+        for (Machine machine : state.machines().values()) {
             setType(machine);
         }
-        state.placementNeeded = true;
+        state.requestPlacement();
     }
 
     private void setType(Machine machine) {
-        machine.type = state.machineTypes.get(machine.machineType);
-        machine.setCapacity(machine.type == null ? Resources.NONE : Resources.of(machine.type));
+        machine.setType(state.machineTypes().get(machine.machineType));
     }
 
     public void onMachinesListed(List<ListedMachine> machines) {
         for (ListedMachine listed : machines) {
-            Machine machine = state.machines.get(listed.host());
+            Machine machine = state.machines().get(listed.host());
             if (machine == null || !machine.isConfirmed()) {
                 machine =
                         adopt(
@@ -105,7 +102,7 @@
             }
             // A new leader learns here for how long its machines have been paid for.
             machine.rentedMicros =
-                    Math.min(machine.rentedMicros, state.nowMicros - listed.rentedForMicros());
+                    Math.min(machine.rentedMicros, state.nowMicros() - listed.rentedForMicros());
             if (listed.failed() && !machine.decommissioning) {
                 // A failed machine stays listed until it is deleted, and the deletion's answer is
                 // the proof we need.
@@ -124,17 +121,17 @@
 
     /** A node tells how it stands, and gets a warrant for the zone that it is in. */
     public void onPeerStatus(SchedulerEvent.PeerStatusReceived event) {
-        state.cancellationsReadUpToMicros =
-                Math.max(state.cancellationsReadUpToMicros, event.cancellationsReadUpToMicros());
-        String zone = state.settings.nodes().get(event.node());
+        state.advanceCancellationsReadUpTo(event.cancellationsReadUpToMicros());
+        String zone = state.settings().nodes().get(event.node());
         LeaseDelegation delegation =
                 zone == null
                         ? null
-                        : state.delegations.onPeerStatus(
-                                event.node(),
-                                event.status(),
-                                cancellationsAppliedMicros(zone),
-                                state.nowMicros);
+                        : state.delegations()
+                                .onPeerStatus(
+                                        event.node(),
+                                        event.status(),
+                                        cancellationsAppliedMicros(zone),
+                                        state.nowMicros());
         if (delegation != null) {
             state.emit(new SchedulerAction.DelegateLeases(event.node(), delegation));
         }
@@ -142,10 +139,10 @@
 
     /** Up to this moment every cancellation has been carried out in the zone. */
     private long cancellationsAppliedMicros(String zone) {
-        long appliedMicros = state.cancellationsReadUpToMicros;
-        for (Job job : state.jobs.values()) {
-            if (job.cancelled && job.attemptsInZone(zone) > 0) {
-                appliedMicros = Math.min(appliedMicros, job.cancelledSinceMicros);
+        long appliedMicros = state.cancellationsReadUpToMicros();
+        for (Job job : state.jobs().values()) {
+            if (job.isCancelled() && job.attemptsInZone(zone) > 0) {
+                appliedMicros = Math.min(appliedMicros, job.cancelledSinceMicros());
             }
         }
         return appliedMicros;
@@ -154,35 +151,36 @@
     public void emitWrites() {
         List<String> delete = new ArrayList<>();
         // A machine that is up can take tasks as soon as its record is there; the others have time.
-        state.machinesToPersist.removeIf(
-                machine ->
-                        machine.deleted
-                                ? !machine.recorded && !machine.writing && !machine.reading
-                                : machine.recorded
-                                        && !machine.reading
-                                        && !machine.decommissioning
-                                        && !machine.rewriteNeeded);
-        for (Machine machine : state.machinesToPersist) {
+        state.machinesToPersist()
+                .removeIf(
+                        machine ->
+                                machine.deleted
+                                        ? !machine.recorded && !machine.writing && !machine.reading
+                                        : machine.recorded
+                                                && !machine.reading
+                                                && !machine.decommissioning
+                                                && !machine.rewriteNeeded);
+        for (Machine machine : state.machinesToPersist()) {
             if (machine.isKnownAlive()
                     && !machine.recorded
                     && !machine.deleted
                     && !machine.reading
                     && !machine.writing
-                    && state.nowMicros >= machine.retryAtMicros
-                    && state.writeBudget.allowsMachine()) {
+                    && state.nowMicros() >= machine.retryAtMicros
+                    && state.writeBudget().allowsMachine()) {
                 writeRecord(machine);
             }
         }
-        for (Machine machine : state.machinesToPersist) {
-            if (state.nowMicros < machine.retryAtMicros || machine.writing) {
+        for (Machine machine : state.machinesToPersist()) {
+            if (state.nowMicros() < machine.retryAtMicros || machine.writing) {
                 continue;
             }
             if (machine.reading) {
                 machine.writing = true;
                 state.emit(new SchedulerAction.ReadMachine(machine.host));
             } else if (machine.deleted) {
-                if (machine.recorded && state.writeBudget.allowsMachine()) {
-                    state.writeBudget.takeMachine();
+                if (machine.recorded && state.writeBudget().allowsMachine()) {
+                    state.writeBudget().takeMachine();
                     machine.writing = true;
                     state.emit(
                             new SchedulerAction.DeleteMachineRecord(
@@ -191,7 +189,7 @@
             } else if (!machine.recorded
                     || machine.decommissioning != machine.decommissioningRecorded
                     || machine.rewriteNeeded && !machine.deleting) {
-                if (state.writeBudget.allowsMachine()) {
+                if (state.writeBudget().allowsMachine()) {
                     writeRecord(machine);
                 }
             } else if (deletionsInFlight < (machine.abandoned ? MAX_CONCURRENT_DELETIONS : 1)
@@ -213,9 +211,9 @@
     }
 
     private void writeRecord(Machine machine) {
-        state.writeBudget.takeMachine();
+        state.writeBudget().takeMachine();
         machine.writing = true;
-        machine.writeStartedMicros = state.nowMicros;
+        machine.writeStartedMicros = state.nowMicros();
         MachineRecord record = machine.toRecord();
         machine.reportedInWrite = record.lifecycle() != null && record.lifecycle().hasReported();
         machine.rewriteNeeded = false;
@@ -228,12 +226,12 @@
                 || machine.listedAsFailed
                 || machine.abandoned
                 || !machine.isUp()
-                || state.nowMicros - machine.liveness.lastAliveMicros()
-                        > state.settings.leaseMicros() / 2;
+                || state.nowMicros() - machine.liveness.lastAliveMicros()
+                        > state.settings().leaseMicros() / 2;
     }
 
     public void onWriteCompleted(SchedulerEvent.MachineWriteCompleted result) {
-        Machine machine = state.machines.get(result.host());
+        Machine machine = state.machines().get(result.host());
         if (machine == null) {
             return;
         }
@@ -244,18 +242,18 @@
                 machine.revision = result.deleted() ? 0 : result.revision();
                 machine.decommissioningRecorded = result.decommissioning();
                 machine.reportedRecorded = !result.deleted() && machine.reportedInWrite;
-                state.placementNeeded = true;
+                state.requestPlacement();
             }
             case CONFLICT, UNKNOWN -> {
                 machine.reading = true;
                 machine.markForPersistence();
             }
-            case NOT_WRITTEN, TOO_LARGE -> machine.retryAtMicros = state.nowMicros + RETRY_MICROS;
+            case NOT_WRITTEN, TOO_LARGE -> machine.retryAtMicros = state.nowMicros() + RETRY_MICROS;
         }
     }
 
     public void onRecordRead(SchedulerEvent.MachineRecordRead result) {
-        Machine machine = state.machines.get(result.host());
+        Machine machine = state.machines().get(result.host());
         if (machine == null) {
             return;
         }
@@ -271,17 +269,17 @@
     }
 
     public void onReadFailed(String host) {
-        Machine machine = state.machines.get(host);
+        Machine machine = state.machines().get(host);
         if (machine != null) {
             machine.writing = false;
-            machine.retryAtMicros = state.nowMicros + RETRY_MICROS;
+            machine.retryAtMicros = state.nowMicros() + RETRY_MICROS;
         }
     }
 
     public void onDeletionCompleted(SchedulerEvent.MachineDeletionCompleted result) {
         deletionsInFlight--;
         for (String host : result.hosts()) {
-            Machine machine = state.machines.get(host);
+            Machine machine = state.machines().get(host);
             if (machine == null) {
                 continue;
             }
@@ -290,17 +288,17 @@
                 machine.deleted = true;
                 machine.markForPersistence();
                 taskLosses.removeAll(machine, "machine deleted");
-                machine.liveness.onMachineDeleted(state.nowMicros);
+                machine.liveness.onMachineDeleted(state.nowMicros());
             } else {
-                machine.retryAtMicros = state.nowMicros + DELETE_RETRY_MICROS;
+                machine.retryAtMicros = state.nowMicros() + DELETE_RETRY_MICROS;
             }
         }
     }
 
     /** Forgets deleted machines once the list, which lags, can no longer show them. */
     public void forget() {
-        long keep = 4 * state.settings.listLagMicros() + 60_000_000;
-        state.machines
+        long keep = 4 * state.settings().listLagMicros() + 60_000_000;
+        state.machines()
                 .values()
                 .removeIf(
                         machine -> {
@@ -309,15 +307,14 @@
                                             ? machine.deleted
                                                     && !machine.recorded
                                                     && !machine.writing
-                                                    && state.nowMicros
+                                                    && state.nowMicros()
                                                                     - machine.liveness
                                                                             .lastAliveMicros()
                                                             > keep
-                                            : state.nowMicros - machine.firstSeenMicros > keep;
+                                            : state.nowMicros() - machine.firstSeenMicros > keep;
                             if (forgotten) {
-                                state.minFence =
-                                        Math.max(state.minFence, machine.liveness.fence() + 1);
-                                state.machinesWithPendingCommands.remove(machine);
+                                state.raiseMinFence(machine.liveness.fence() + 1);
+                                state.machinesWithPendingCommands().remove(machine);
                             }
                             return forgotten;
                         });
--- a/src/main/java/org/woadloom/core/machines/TaskLossHandler.java
+++ b/src/main/java/org/woadloom/core/machines/TaskLossHandler.java
@@ -30,9 +30,9 @@
         attempt.job.remove(attempt);
         requestOutcomeWrite(attempt.job);
         if (attempt.machine.isEmpty()) {
-            attempt.machine.idleSinceMicros = state.nowMicros;
+            attempt.machine.idleSinceMicros = state.nowMicros();
         }
-        state.placementNeeded = true;
+        state.requestPlacement();
     }
 
     /** A job that is over has one more thing to tell: that nothing of it is left. */
--- a/src/main/java/org/woadloom/core/placement/PlacementConstraints.java
+++ b/src/main/java/org/woadloom/core/placement/PlacementConstraints.java
@@ -27,7 +27,7 @@
     }
 
     public boolean allows(Job job, Machine machine) {
-        return allows(job.description, machine.type, machine.zone, machine.spot)
+        return allows(job.description, machine.type(), machine.zone, machine.spot)
                 && allowsZone(job, machine.zone);
     }
 
@@ -44,16 +44,16 @@
 
     /** True if the machine's worker is in touch and new tasks may go there. */
     public boolean acceptsTasks(Machine machine) {
-        return machine.type != null
-                && machine.recorded
-                && !machine.decommissioning
-                && !machine.deleted
+        return machine.type() != null
+                && machine.isRecorded()
+                && !machine.isDecommissioning()
+                && !machine.isDeleted()
                 && machine.isUp()
-                && machine.spotTerminationMicros < 0
-                && machine.quarantinedUntilMicros <= state.nowMicros
-                && machine.refusesUntilMicros <= state.nowMicros
+                && machine.spotTerminationMicros() < 0
+                && machine.quarantinedUntilMicros() <= state.nowMicros()
+                && machine.refusesUntilMicros() <= state.nowMicros()
                 && !isSilent(machine)
-                && !machine.liveness.isSuspect(state.nowMicros);
+                && !machine.liveness.isSuspect(state.nowMicros());
     }
 
     /**
@@ -61,7 +61,7 @@
      * is running out.
      */
     public boolean isSilent(Machine machine) {
-        return state.nowMicros - machine.liveness.lastHeartbeatMicros()
-                > state.livenessTimeouts.freshMicros();
+        return state.nowMicros() - machine.liveness.lastHeartbeatMicros()
+                > state.livenessTimeouts().freshMicros();
     }
 }
--- a/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
+++ b/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
@@ -67,7 +67,7 @@
                 continue;
             }
             boolean fromBorrowers =
-                    job.withinGuarantee
+                    job.isWithinGuarantee()
                             && job.team.staysWithinGuarantee(job.taskResources)
                             && othersBorrow(job.team);
             if (failedSearches.stream().noneMatch(known -> known.covers(job, fromBorrowers))) {
@@ -87,7 +87,7 @@
     }
 
     private boolean othersBorrow(TeamQuota team) {
-        for (TeamQuota other : state.teams.values()) {
+        for (TeamQuota other : state.teams().values()) {
             if (other != team && other.exceedsGuarantee()) {
                 return true;
             }
@@ -98,7 +98,7 @@
     /** Makes room where that can be done; returns for how many tasks there is still none. */
     private int freeResources(Job job, int wanted, boolean fromBorrowers) {
         int missing = wanted;
-        for (Machine machine : state.machines.values()) {
+        for (Machine machine : state.machines().values()) {
             if (missing <= 0) {
                 break;
             }
@@ -121,11 +121,11 @@
      * that has room and its image.
      */
     private void moveReplica(Job job) {
-        if (state.nowMicros < nextReplicaMoveMicros) {
+        if (state.nowMicros() < nextReplicaMoveMicros) {
             return;
         }
-        nextReplicaMoveMicros = state.nowMicros + MOVE_SEARCH_MICROS;
-        for (Machine machine : state.machines.values()) {
+        nextReplicaMoveMicros = state.nowMicros() + MOVE_SEARCH_MICROS;
+        for (Machine machine : state.machines().values()) {
             if (!constraints.acceptsTasks(machine) || !constraints.allows(job, machine)) {
                 continue;
             }
@@ -135,7 +135,7 @@
                 if (attempt.job != job
                         && attempt.job.description.isService()
                         && !attempt.isStopping()
-                        && attempt.stage == TaskAttempt.Stage.CONFIRMED
+                        && attempt.stage() == TaskAttempt.Stage.CONFIRMED
                         && expected.contains(job.taskResources)
                         && hasRoomElsewhere(attempt)
                         && reservations.reserve(job, machine, job.taskResources, true, true)
@@ -145,7 +145,7 @@
                                     .with("task", attempt.task())
                                     .with("zone", machine.zone)
                                     .with("for_job", job.jobId()));
-                    nextReplicaMoveMicros = state.nowMicros + MOVE_MICROS;
+                    nextReplicaMoveMicros = state.nowMicros() + MOVE_MICROS;
                     stop(attempt);
                     return;
                 }
@@ -155,7 +155,7 @@
 
     private boolean hasRoomElsewhere(TaskAttempt attempt) {
         Job job = attempt.job;
-        for (Machine machine : state.machines.values()) {
+        for (Machine machine : state.machines().values()) {
             if (!machine.zone.equals(attempt.machine.zone)
                     && constraints.acceptsTasks(machine)
                     && constraints.allows(job, machine)
@@ -219,7 +219,7 @@
         // The lowest rank first, then borrowers, then what can save, then what has run least.
         victims.sort(
                 Comparator.comparing((TaskAttempt p) -> p.job.priority())
-                        .thenComparing(p -> p.job.withinGuarantee)
+                        .thenComparing(p -> p.job.isWithinGuarantee())
                         .thenComparing(p -> p.job.description.checkpointIntervalSeconds() == 0)
                         .thenComparingLong(p -> -p.placedMicros));
         List<TaskAttempt> chosen = new ArrayList<>();
@@ -245,11 +245,11 @@
     }
 
     private void stop(TaskAttempt victim) {
-        victim.job.onPreempted(state.nowMicros);
+        victim.job.onPreempted(state.nowMicros());
         if (victim.wasNeverSent()) {
             victim.job.remove(victim);
             victim.job.persistence.requestWrite(PersistenceState.WriteReason.OUTCOME);
-            state.placementNeeded = true;
+            state.requestPlacement();
         } else {
             victim.stop(
                     victim.job.description.checkpointIntervalSeconds() > 0
@@ -269,9 +269,9 @@
             return order < 0;
         }
         return other.team != job.team
-                && !other.withinGuarantee
+                && !other.isWithinGuarantee()
                 && other.team.exceedsGuarantee()
-                && job.withinGuarantee
+                && job.isWithinGuarantee()
                 && job.team.staysWithinGuarantee(job.taskResources);
     }
 }
--- a/src/main/java/org/woadloom/core/placement/QueueOrder.java
+++ b/src/main/java/org/woadloom/core/placement/QueueOrder.java
@@ -70,7 +70,7 @@
     private static final Comparator<Entry> ORDER =
             Comparator.comparing((Entry e) -> e.job.priority())
                     .reversed()
-                    .thenComparing(e -> !e.job.withinGuarantee)
+                    .thenComparing(e -> !e.job.isWithinGuarantee())
                     .thenComparing(e -> !e.overdue)
                     .thenComparing(Entry::standing)
                     .thenComparingDouble(Entry::turn)
@@ -78,7 +78,7 @@
 
     public QueueOrder(SchedulerState state) {
         this.state = state;
-        for (Objective objective : state.settings.objectives()) {
+        for (Objective objective : state.settings().objectives()) {
             if (objective.kind().equals("finished") && objective.withinSeconds() > 0) {
                 targets.computeIfAbsent(objective.jobClass(), c -> new ArrayList<>())
                         .add(objective.withinSeconds() * 1e6);
@@ -122,12 +122,12 @@
 
     /** How large the fleet is changes slowly, and this is asked in every pass. */
     private void countFleet() {
-        if (state.nowMicros < countAgainMicros) {
+        if (state.nowMicros() < countAgainMicros) {
             return;
         }
-        countAgainMicros = state.nowMicros + COUNT_MICROS;
+        countAgainMicros = state.nowMicros() + COUNT_MICROS;
         fleet = 1;
-        for (Machine machine : state.machines.values()) {
+        for (Machine machine : state.machines().values()) {
             fleet += machine.isUp() ? machine.capacity().cpu() : 0;
         }
     }
@@ -141,9 +141,9 @@
      * what comes after it.
      */
     private boolean overdue(Job job) {
-        long age = state.nowMicros - job.queuedSinceMicros();
+        long age = state.nowMicros() - job.queuedSinceMicros();
         return !job.hasStarted() && age > BEGIN_MICROS
-                || age > LARGE_MICROS && state.demand.isLargeInClass(job);
+                || age > LARGE_MICROS && state.demand().isLargeInClass(job);
     }
 
     /**
@@ -156,7 +156,7 @@
         }
         boolean due = job.deadlineMicros() != Long.MAX_VALUE;
         double from = due ? job.submittedMicros : job.queuedSinceMicros();
-        double ends = state.nowMicros - from + runtimeMicros(job);
+        double ends = state.nowMicros() - from + runtimeMicros(job);
         List<Double> times =
                 due
                         ? multiples.getOrDefault(job.description.jobClass(), ONCE)
@@ -171,7 +171,8 @@
         }
         boolean patient =
                 !times.isEmpty()
-                        && state.nowMicros - from <= PATIENCE * times.get(times.size() - 1) * unit;
+                        && state.nowMicros() - from
+                                <= PATIENCE * times.get(times.size() - 1) * unit;
         return patient ? Punctuality.LATE : Punctuality.DUE;
     }
 }
--- a/src/main/java/org/woadloom/core/placement/TaskPlacer.java
+++ b/src/main/java/org/woadloom/core/placement/TaskPlacer.java
@@ -33,8 +33,8 @@
     /** Jobs with pending tasks that may be placed now, in the order in which they are served. */
     public List<Job> queue() {
         List<Job> jobs = new ArrayList<>();
-        for (Job job : state.jobs.values()) {
-            if (job.pendingTasks() > 0 && job.placeNotBeforeMicros <= state.nowMicros) {
+        for (Job job : state.jobs().values()) {
+            if (job.pendingTasks() > 0 && job.placeNotBeforeMicros() <= state.nowMicros()) {
                 jobs.add(job);
             }
         }
@@ -50,7 +50,7 @@
             boolean hasReservation = reservations.countFor(job) > 0;
             if (!hasReservation
                     && !job.description.isService()
-                    && job.isBackingOff(state.nowMicros)) {
+                    && job.isBackingOff(state.nowMicros())) {
                 continue;
             }
             // Without a reservation to draw from, the limit and what others did not find decide at
@@ -74,7 +74,7 @@
     /** Machines that take tasks and have anything left; in one pass they only get fuller. */
     private List<Machine> openMachines() {
         List<Machine> openMachines = new ArrayList<>();
-        for (Machine machine : state.machines.values()) {
+        for (Machine machine : state.machines().values()) {
             Resources room = machine.balance();
             if ((room.cpu() > 0 || room.memory() > 0 || room.gpu() > 0)
                     && constraints.acceptsTasks(machine)) {
@@ -86,7 +86,7 @@
 
     /** Returns true if the machines have no room for another task of the job. */
     private boolean placeJob(Job job, long attempt, List<Machine> openMachines) {
-        RecordSizeEstimate size = RecordSizeEstimate.of(job, state.valueBytes, state.format);
+        RecordSizeEstimate size = RecordSizeEstimate.of(job, state.valueBytes(), state.format());
         if (!size.fitsOneMore(job.nextPending(0))
                 || job.description.isGang()
                         && !gangFits(
@@ -95,7 +95,7 @@
         }
         CandidateMachines candidates =
                 new CandidateMachines(
-                        job, openMachines, state.scarceZones, constraints, reservations);
+                        job, openMachines, state.scarceZones(), constraints, reservations);
         int placed = 0;
         boolean full = false;
         for (int index = job.nextPending(0);
@@ -113,7 +113,7 @@
                             machine,
                             attempt,
                             job.persistence.nextVersion(),
-                            state.nowMicros);
+                            state.nowMicros());
             reservations.draw(taskAttempt);
             job.add(taskAttempt);
             size.add(index, machine);
@@ -140,7 +140,7 @@
         }
         Map<String, Integer> fitsByZone = new LinkedHashMap<>();
         Resources credit = Resources.NONE;
-        for (Machine machine : state.machines.values()) {
+        for (Machine machine : state.machines().values()) {
             if (constraints.acceptsTasks(machine)
                     && constraints.allows(job, machine)
                     && !job.failedOn.contains(machine.host)) {
--- a/src/main/java/org/woadloom/core/quota/ClassFairShare.java
+++ b/src/main/java/org/woadloom/core/quota/ClassFairShare.java
@@ -51,7 +51,7 @@
     /** To be called before tasks are placed. */
     public void update() {
         Map<TeamQuota, Map<String, Demand>> demands = new LinkedHashMap<>();
-        for (Job job : state.jobs.values()) {
+        for (Job job : state.jobs().values()) {
             if (job.pendingTasks() > 0 || !job.attempts().isEmpty()) {
                 Demand demand =
                         demands.computeIfAbsent(job.team, t -> new LinkedHashMap<>())
@@ -70,7 +70,7 @@
                 }
             }
         }
-        for (TeamQuota team : state.teams.values()) {
+        for (TeamQuota team : state.teams().values()) {
             team.setKeptForClasses(keptForClasses(team, demands.getOrDefault(team, Map.of())));
         }
     }
@@ -100,7 +100,8 @@
                     if (demand.smallestStart == null
                             || !team.fitsLimit(team.used().plus(demand.smallestStart))) {
                         unused.remove(name);
-                    } else if (state.nowMicros - unused.computeIfAbsent(name, n -> state.nowMicros)
+                    } else if (state.nowMicros()
+                                    - unused.computeIfAbsent(name, n -> state.nowMicros())
                             > UNUSED_MICROS) {
                         return;
                     }
@@ -113,11 +114,11 @@
     }
 
     private void logDemand(TeamQuota team, Map<String, Demand> demands, Resources all) {
-        if (state.nowMicros - loggedMicros.getOrDefault(team, Long.MIN_VALUE / 2)
+        if (state.nowMicros() - loggedMicros.getOrDefault(team, Long.MIN_VALUE / 2)
                 < LOG_INTERVAL_MICROS) {
             return;
         }
-        loggedMicros.put(team, state.nowMicros);
+        loggedMicros.put(team, state.nowMicros());
         demands.forEach(
                 (name, demand) ->
                         state.log(
--- a/src/main/java/org/woadloom/core/quota/GuaranteedQuota.java
+++ b/src/main/java/org/woadloom/core/quota/GuaranteedQuota.java
@@ -34,13 +34,13 @@
      * little later.
      */
     public void update() {
-        if (state.jobArrivals == jobArrivalsSeen && state.nowMicros < nextUpdateMicros) {
+        if (state.jobArrivals() == jobArrivalsSeen && state.nowMicros() < nextUpdateMicros) {
             return;
         }
-        jobArrivalsSeen = state.jobArrivals;
-        nextUpdateMicros = state.nowMicros + UPDATE_INTERVAL_MICROS;
-        List<Job> jobs = new ArrayList<>(state.jobs.size());
-        for (Job job : state.jobs.values()) {
+        jobArrivalsSeen = state.jobArrivals();
+        nextUpdateMicros = state.nowMicros() + UPDATE_INTERVAL_MICROS;
+        List<Job> jobs = new ArrayList<>(state.jobs().size());
+        for (Job job : state.jobs().values()) {
             if (!job.isOver() && !job.isBlocked()) {
                 jobs.add(job);
             }
@@ -54,7 +54,7 @@
                                     job.taskResources.times(
                                             job.description.taskCount() - job.completedCount()));
             sums.put(job.team, sum);
-            job.withinGuarantee = job.team.fitsGuarantee(sum);
+            job.setWithinGuarantee(job.team.fitsGuarantee(sum));
         }
     }
 }
--- a/src/main/java/org/woadloom/core/quota/QuotaRotation.java
+++ b/src/main/java/org/woadloom/core/quota/QuotaRotation.java
@@ -77,7 +77,10 @@
     public void update() {
         waitingForNextTurn
                 .entrySet()
-                .removeIf(entry -> entry.getValue() < state.nowMicros || entry.getKey().finished);
+                .removeIf(
+                        entry ->
+                                entry.getValue() < state.nowMicros()
+                                        || entry.getKey().isFinished());
         turns.values()
                 .removeIf(
                         turn -> {
@@ -89,39 +92,40 @@
                             if (turn.job.allowedTasks() < tasksNeeded(turn.job)) {
                                 turn.sufficientSinceMicros = -1;
                             } else if (turn.sufficientSinceMicros < 0) {
-                                turn.sufficientSinceMicros = state.nowMicros;
+                                turn.sufficientSinceMicros = state.nowMicros();
                             }
                             boolean over =
-                                    state.nowMicros - turn.sinceMicros > TURN_MICROS
+                                    state.nowMicros() - turn.sinceMicros > TURN_MICROS
                                             || turn.sufficientSinceMicros >= 0
-                                                    && state.nowMicros - turn.sufficientSinceMicros
+                                                    && state.nowMicros()
+                                                                    - turn.sufficientSinceMicros
                                                             > START_TIMEOUT_MICROS;
                             if (over && isWaiting(turn.job)) {
-                                waitingForNextTurn.put(turn.job, state.nowMicros + TURN_MICROS);
+                                waitingForNextTurn.put(turn.job, state.nowMicros() + TURN_MICROS);
                                 state.log(
                                         LogEntry.info(LogEvent.QUOTA_TURN_EXPIRED)
                                                 .with("job", turn.job.jobId())
                                                 .with("team", turn.job.team.team.name())
                                                 .withSeconds(
                                                         "turn_s",
-                                                        state.nowMicros - turn.sinceMicros));
+                                                        state.nowMicros() - turn.sinceMicros));
                             }
                             return over || !isWaiting(turn.job);
                         });
         turnsSinceMicros.forEach(
                 (team, since) -> {
                     if (!turns.containsKey(team)
-                            && state.nowMicros - since > MAX_CONSECUTIVE_MICROS) {
-                        pausedUntilMicros.put(team, state.nowMicros + PAUSE_MICROS);
+                            && state.nowMicros() - since > MAX_CONSECUTIVE_MICROS) {
+                        pausedUntilMicros.put(team, state.nowMicros() + PAUSE_MICROS);
                     }
                 });
         Map<TeamQuota, Job> next = new HashMap<>();
-        for (Job job : state.jobs.values()) {
+        for (Job job : state.jobs().values()) {
             if (!turns.containsKey(job.team)
                     && !isPaused(job.team)
                     && isWaiting(job)
                     && !waitingForNextTurn.containsKey(job)
-                    && state.nowMicros - job.queuedSinceMicros() > PATIENCE_MICROS
+                    && state.nowMicros() - job.queuedSinceMicros() > PATIENCE_MICROS
                     && job.allowedTasks() < tasksNeeded(job)
                     && !reservations.hasOthersInTeam(job)) {
                 next.merge(
@@ -132,8 +136,8 @@
         }
         next.forEach(this::startTurn);
         turnsSinceMicros.keySet().retainAll(turns.keySet());
-        turns.keySet().forEach(team -> turnsSinceMicros.putIfAbsent(team, state.nowMicros));
-        for (TeamQuota team : state.teams.values()) {
+        turns.keySet().forEach(team -> turnsSinceMicros.putIfAbsent(team, state.nowMicros()));
+        for (TeamQuota team : state.teams().values()) {
             Turn turn = turns.get(team);
             team.setTurn(
                     turn == null ? null : turn.job,
@@ -144,7 +148,7 @@
     }
 
     private boolean isPaused(TeamQuota team) {
-        return state.nowMicros < pausedUntilMicros.getOrDefault(team, Long.MIN_VALUE);
+        return state.nowMicros() < pausedUntilMicros.getOrDefault(team, Long.MIN_VALUE);
     }
 
     /**
@@ -153,7 +157,7 @@
      */
     private void startTurn(TeamQuota team, Job job) {
         Resources replicas = Resources.NONE;
-        for (Job other : state.jobs.values()) {
+        for (Job other : state.jobs().values()) {
             if (other.team == team && other.description.isService() && !other.isOver()) {
                 replicas = replicas.plus(other.taskResources.times(other.attempts().size()));
             }
@@ -161,16 +165,16 @@
         LogEvent event;
         if (team.fitsLimit(replicas.plus(job.taskResources.times(tasksNeeded(job))))) {
             event = LogEvent.QUOTA_TURN_STARTED;
-            turns.put(team, new Turn(job, state.nowMicros));
+            turns.put(team, new Turn(job, state.nowMicros()));
         } else {
             event = LogEvent.QUOTA_TURN_IMPOSSIBLE;
-            waitingForNextTurn.put(job, state.nowMicros + TURN_MICROS);
+            waitingForNextTurn.put(job, state.nowMicros() + TURN_MICROS);
         }
         state.log(
                 LogEntry.info(event)
                         .with("job", job.jobId())
                         .with("team", team.team.name())
-                        .withSeconds("waited_s", state.nowMicros - job.queuedSinceMicros())
+                        .withSeconds("waited_s", state.nowMicros() - job.queuedSinceMicros())
                         .with("needed_tasks", tasksNeeded(job))
                         .with("allowed_tasks", job.allowedTasks())
                         .with("replica_cpus", replicas.cpu() / 1000));
--- a/src/main/java/org/woadloom/core/reservation/GangReservationPlanner.java
+++ b/src/main/java/org/woadloom/core/reservation/GangReservationPlanner.java
@@ -47,9 +47,9 @@
     }
 
     private boolean isLargeTask(Job job) {
-        double share = state.settings.operator().bigTaskShare();
+        double share = state.settings().operator().bigTaskShare();
         boolean allowedAnywhere = false;
-        for (var type : state.machineTypes.values()) {
+        for (var type : state.machineTypes().values()) {
             if (type.fits(job.description)
                     && (job.description.machineTypes() == null
                             || job.description.machineTypes().contains(type.name()))) {
@@ -77,7 +77,7 @@
             }
         }
         for (Job job : new ArrayList<>(holderByZone.values())) {
-            if (job.isOver() || job.pendingTasks() == 0 || state.jobs.get(job.jobId()) != job) {
+            if (job.isOver() || job.pendingTasks() == 0 || state.jobs().get(job.jobId()) != job) {
                 end(job);
             }
         }
@@ -98,11 +98,11 @@
         for (Job job : new LinkedHashSet<>(holderByZone.values())) {
             renew(job);
         }
-        requeuedMicros.keySet().removeIf(job -> !state.jobs.containsKey(job.jobId()));
+        requeuedMicros.keySet().removeIf(job -> !state.jobs().containsKey(job.jobId()));
     }
 
     private void requeue(Job job) {
-        requeuedMicros.put(job, state.nowMicros);
+        requeuedMicros.put(job, state.nowMicros());
         end(job);
     }
 
@@ -135,7 +135,7 @@
                 continue;
             }
             chosen.forEach(machine -> holderByZone.put(machine.zone, job));
-            renewedMicros.put(job, state.nowMicros);
+            renewedMicros.put(job, state.nowMicros());
             state.log(
                     LogEntry.info(LogEvent.RESERVATIONS_MADE)
                             .with("job", job.jobId())
@@ -150,7 +150,7 @@
      */
     private List<Set<String>> zoneChoices(Job job) {
         Set<String> open = new LinkedHashSet<>();
-        for (Machine machine : state.machines.values()) {
+        for (Machine machine : state.machines().values()) {
             if (!holderByZone.containsKey(machine.zone)) {
                 open.add(machine.zone);
             }
@@ -171,7 +171,7 @@
      */
     private List<Machine> chooseMachines(Job job, int wanted, Set<String> zones) {
         List<Machine> candidates = new ArrayList<>();
-        for (Machine machine : state.machines.values()) {
+        for (Machine machine : state.machines().values()) {
             if (zones.contains(machine.zone)
                     && constraints.acceptsTasks(machine)
                     && constraints.allows(job, machine)
@@ -208,11 +208,11 @@
      * room.
      */
     private void renew(Job job) {
-        if (state.nowMicros - renewedMicros.getOrDefault(job, state.nowMicros)
-                < state.settings.operator().reservationRenewMicros()) {
+        if (state.nowMicros() - renewedMicros.getOrDefault(job, state.nowMicros())
+                < state.settings().operator().reservationRenewMicros()) {
             return;
         }
-        renewedMicros.put(job, state.nowMicros);
+        renewedMicros.put(job, state.nowMicros());
         for (Reservation reservation : reservations.of(job)) {
             reservations.renew(reservation);
         }
--- a/src/main/java/org/woadloom/core/reservation/Reservations.java
+++ b/src/main/java/org/woadloom/core/reservation/Reservations.java
@@ -66,7 +66,7 @@
                         machine,
                         allocateOnce,
                         preAllocation,
-                        state.nowMicros + state.settings.operator().reservationTtlMicros());
+                        state.nowMicros() + state.settings().operator().reservationTtlMicros());
         live.put(reservation.id, reservation);
         byMachine.computeIfAbsent(machine, m -> new ArrayList<>(2)).add(reservation);
         byOwner.computeIfAbsent(owner, j -> new ArrayList<>(2)).add(reservation);
@@ -117,10 +117,10 @@
                     || held.merge(reservation.owner, 1, Integer::sum)
                             > reservation.owner.pendingTasks()) {
                 release(reservation);
-            } else if (state.nowMicros >= reservation.expiresMicros()
-                    || machine.deleted
-                    || machine.decommissioning
-                    || machine.spotTerminationMicros >= 0
+            } else if (state.nowMicros() >= reservation.expiresMicros()
+                    || machine.isDeleted()
+                    || machine.isDecommissioning()
+                    || machine.spotTerminationMicros() >= 0
                     || !machine.isUp()) {
                 release(reservation);
                 failed.add(reservation);
@@ -134,7 +134,7 @@
     /** Gives the room back; the reservation can't be drawn any more. */
     public void release(Reservation reservation) {
         end(reservation, Phase.FAILED);
-        state.placementNeeded = true;
+        state.requestPlacement();
     }
 
     private void end(Reservation reservation, Phase phase) {
@@ -160,7 +160,7 @@
     }
 
     public void renew(Reservation reservation) {
-        reservation.renew(state.nowMicros + state.settings.operator().reservationTtlMicros());
+        reservation.renew(state.nowMicros() + state.settings().operator().reservationTtlMicros());
     }
 
     /** The machine's free room without what is reserved for others than this job. */
--- a/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
+++ b/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
@@ -90,7 +90,7 @@
         lives.put("wordless", now.unannounced());
         if (!lives.equals(circumstances)) {
             circumstances = lives;
-            calmSinceMicros = state.nowMicros;
+            calmSinceMicros = state.nowMicros();
         }
         reviewedMicros = Long.MIN_VALUE / 2;
     }
@@ -110,19 +110,19 @@
     }
 
     public void review() {
-        if (latest == null || state.nowMicros - reviewedMicros < REVIEW_MICROS) {
+        if (latest == null || state.nowMicros() - reviewedMicros < REVIEW_MICROS) {
             return;
         }
-        reviewedMicros = state.nowMicros;
+        reviewedMicros = state.nowMicros();
         if (latest.refusals() - refusedBefore > MAX_CALM_REFUSALS) {
-            calmSinceMicros = state.nowMicros;
+            calmSinceMicros = state.nowMicros();
         }
         refusedBefore = latest.refusals();
         for (Feature feature : Feature.values()) {
             count(feature);
         }
         migration.migrate();
-        if (writing == null && state.nowMicros >= retryAtMicros) {
+        if (writing == null && state.nowMicros() >= retryAtMicros) {
             decide();
         }
     }
@@ -136,7 +136,7 @@
         Standing standing = latest.record().of(feature.key());
         if (!standing.equals(count.standing)) {
             count.standing = standing;
-            count.sinceMicros = state.nowMicros;
+            count.sinceMicros = state.nowMicros();
             count.confirmed = feature.prefix() == null;
             count.asked = false;
             count.againMicros = 0;
@@ -147,7 +147,7 @@
                 && !count.confirmed
                 && !count.asked
                 && migration.remaining(feature) == 0
-                && state.nowMicros >= count.againMicros
+                && state.nowMicros() >= count.againMicros
                 && migration.isQuiet(feature, standing.on())) {
             count.asked = true;
             state.emit(new SchedulerAction.CountRecords(feature, standing.back()));
@@ -160,7 +160,7 @@
             return;
         }
         count.asked = false;
-        count.againMicros = state.nowMicros + RECOUNT_MICROS;
+        count.againMicros = state.nowMicros() + RECOUNT_MICROS;
         if (!result.succeeded()) {
             return;
         }
@@ -185,7 +185,7 @@
 
     private Set<String> members() {
         Set<Set<String>> named = new HashSet<>();
-        named.add(new TreeSet<>(state.settings.nodes().keySet()));
+        named.add(new TreeSet<>(state.settings().nodes().keySet()));
         latest.announcements()
                 .values()
                 .forEach(stored -> named.add(stored.announcement().members()));
@@ -249,15 +249,16 @@
                         .anyMatch(
                                 announcement ->
                                         announcement.consecutiveStarts() >= KEEPS_ENDING
-                                                && state.wallMicros - announcement.sinceWallMicros()
+                                                && state.wallMicros()
+                                                                - announcement.sinceWallMicros()
                                                         < KEEPS_ENDING_MICROS);
         while (true) {
             Count count = counts.get(feature);
             boolean same = next.of(feature.key()).equals(count.standing);
             boolean soaked =
                     same
-                            && state.nowMicros - Math.max(count.sinceMicros, calmSinceMicros)
-                                    >= state.settings.operator().soakMicros();
+                            && state.nowMicros() - Math.max(count.sinceMicros, calmSinceMicros)
+                                    >= state.settings().operator().soakMicros();
             Decision verdict =
                     RolloutPolicy.decide(
                             feature,
@@ -272,7 +273,7 @@
                                     troubled,
                                     migration.remaining(feature),
                                     same && count.confirmed),
-                            state.wallMicros);
+                            state.wallMicros());
             if (verdict.next() == null) {
                 if (!Objects.equals(
                         loggedReasons.put(feature, verdict.reason()), verdict.reason())) {
@@ -285,9 +286,9 @@
                 return next;
             }
             String by =
-                    state.settings.label()
+                    state.settings().label()
                             + " in term "
-                            + state.term
+                            + state.term()
                             + (request.verb() == Verb.AUTO
                                     ? ""
                                     : ", " + request.verb().text() + " asked by " + request.by());
@@ -319,7 +320,7 @@
         writing = null;
         reviewedMicros = Long.MIN_VALUE / 2;
         if (result.outcome() != SchedulerEvent.WriteOutcome.WRITTEN) {
-            retryAtMicros = state.nowMicros + REVIEW_MICROS;
+            retryAtMicros = state.nowMicros() + REVIEW_MICROS;
             latest = null;
         }
     }
--- a/src/main/java/org/woadloom/core/rollout/RecordMigration.java
+++ b/src/main/java/org/woadloom/core/rollout/RecordMigration.java
@@ -31,7 +31,7 @@
 
     RecordMigration(SchedulerState state) {
         this.state = state;
-        lastRunMicros = state.nowMicros;
+        lastRunMicros = state.nowMicros();
         for (Feature feature : Feature.values()) {
             waiting.put(feature, new ArrayDeque<>());
             inFlight.put(feature, new HashMap<>());
@@ -62,12 +62,12 @@
         if (feature != Feature.MACHINE_LIFE) {
             return true;
         }
-        return state.recordsMachineLifecycle == on
-                && state.machines.values().stream()
+        return state.recordsMachineLifecycle() == on
+                && state.machines().values().stream()
                         .noneMatch(
                                 machine ->
                                         machine.mayRecordChange(
-                                                state.recordsMachineLifecycleSinceMicros));
+                                                state.recordsMachineLifecycleSinceMicros()));
     }
 
     /** Has as many records rewritten as the time since the last call allows. */
@@ -75,17 +75,17 @@
         // Under a load that takes all writes it still gets done, in an hour or so instead of
         // minutes.
         double rate =
-                state.writeBudget.hasSpare()
+                state.writeBudget().hasSpare()
                         ? Math.max(
                                 LEAST_PER_SECOND,
-                                state.writeBudget.perSecond()
-                                        * state.settings.operator().rewriteShare())
+                                state.writeBudget().perSecond()
+                                        * state.settings().operator().rewriteShare())
                         : LEAST_PER_SECOND;
         allowance =
                 Math.min(
                         Math.max(1, rate),
-                        allowance + rate * (state.nowMicros - lastRunMicros) / 1e6);
-        lastRunMicros = state.nowMicros;
+                        allowance + rate * (state.nowMicros() - lastRunMicros) / 1e6);
+        lastRunMicros = state.nowMicros();
         for (Feature feature : Feature.values()) {
             removeFinished(feature);
             ArrayDeque<String> keys = waiting.get(feature);
@@ -104,15 +104,15 @@
             String key = one.getKey();
             Job job =
                     key.startsWith(StoreKeys.JOBS)
-                            ? state.jobs.get(key.substring(StoreKeys.JOBS.length()))
+                            ? state.jobs().get(key.substring(StoreKeys.JOBS.length()))
                             : null;
             Machine machine =
                     key.startsWith(StoreKeys.MACHINES)
-                            ? state.machines.get(key.substring(StoreKeys.MACHINES.length()))
+                            ? state.machines().get(key.substring(StoreKeys.MACHINES.length()))
                             : null;
             if (job == null && machine == null
-                    || job != null && job.persistence.durableVersion >= one.getValue()
-                    || machine != null && !machine.rewriteNeeded && !machine.writing) {
+                    || job != null && job.persistence.durableVersion() >= one.getValue()
+                    || machine != null && !machine.isRewriteNeeded() && !machine.isWriting()) {
                 all.remove();
             }
         }
@@ -120,7 +120,7 @@
 
     private boolean startRewrite(Feature feature, String key) {
         if (key.startsWith(StoreKeys.JOBS)) {
-            Job job = state.jobs.get(key.substring(StoreKeys.JOBS.length()));
+            Job job = state.jobs().get(key.substring(StoreKeys.JOBS.length()));
             if (job == null) {
                 return false;
             }
@@ -128,8 +128,8 @@
             job.persistence.requestWrite(PersistenceState.WriteReason.PHASE);
             return true;
         }
-        Machine machine = state.machines.get(key.substring(StoreKeys.MACHINES.length()));
-        if (machine == null || machine.deleted || !machine.recorded) {
+        Machine machine = state.machines().get(key.substring(StoreKeys.MACHINES.length()));
+        if (machine == null || machine.isDeleted() || !machine.isRecorded()) {
             return false;
         }
         inFlight.get(feature).put(key, 0L);
@@ -139,20 +139,20 @@
 
     /** Whether a machine ever came up is what a new leader wants to know of one that is silent. */
     private void rewriteReportedMachines() {
-        if (!state.recordsMachineLifecycle) {
+        if (!state.recordsMachineLifecycle()) {
             return;
         }
-        for (Machine machine : state.machines.values()) {
+        for (Machine machine : state.machines().values()) {
             if (allowance < 1) {
                 return;
             }
             if (machine.isKnownAlive()
-                    && machine.recorded
-                    && !machine.reportedRecorded
-                    && !machine.rewriteNeeded
-                    && !machine.writing
-                    && !machine.decommissioning
-                    && !machine.deleted) {
+                    && machine.isRecorded()
+                    && !machine.isReportedRecorded()
+                    && !machine.isRewriteNeeded()
+                    && !machine.isWriting()
+                    && !machine.isDecommissioning()
+                    && !machine.isDeleted()) {
                 machine.rewriteNeeded();
                 allowance--;
             }
--- a/src/main/java/org/woadloom/core/slo/LargestJobsReport.java
+++ b/src/main/java/org/woadloom/core/slo/LargestJobsReport.java
@@ -56,7 +56,7 @@
         Entry entry = entry(job);
         if (entry != null) {
             entry.startedMicros = job.firstPlacedMicros();
-            entry.cancelled = job.cancelled;
+            entry.cancelled = job.isCancelled();
             entry.done = job.isComplete();
         }
     }
--- a/src/main/java/org/woadloom/core/slo/ServiceLevelReport.java
+++ b/src/main/java/org/woadloom/core/slo/ServiceLevelReport.java
@@ -61,7 +61,7 @@
 
     public ServiceLevelReport(SchedulerState state) {
         this.state = state;
-        nextMicros = state.nowMicros + PERIOD_MICROS;
+        nextMicros = state.nowMicros() + PERIOD_MICROS;
     }
 
     private Count count(Job job) {
@@ -90,7 +90,7 @@
     public void onJobEnded(Job job) {
         Count count = count(job);
         count.ended++;
-        if (job.cancelled) {
+        if (job.isCancelled()) {
             count.cancelled++;
         }
         if (!fullyStarted.remove(job) && job.isComplete()) {
@@ -101,19 +101,20 @@
 
     /** Once a minute, one line and one row for each team and class. */
     public void review() {
-        if (state.nowMicros < nextMicros) {
+        if (state.nowMicros() < nextMicros) {
             return;
         }
-        nextMicros = state.nowMicros + PERIOD_MICROS;
+        nextMicros = state.nowMicros() + PERIOD_MICROS;
         counts.values().forEach(count -> count.longestWaitMicros = 0);
-        for (Job job : state.jobs.values()) {
+        for (Job job : state.jobs().values()) {
             observe(job);
             largestJobs.observe(job);
             if (!job.isBlocked() && !job.isOver() && !fullyStarted.contains(job)) {
                 Count count = count(job);
                 count.longestWaitMicros =
                         Math.max(
-                                count.longestWaitMicros, state.nowMicros - job.queuedSinceMicros());
+                                count.longestWaitMicros,
+                                state.nowMicros() - job.queuedSinceMicros());
             }
         }
         List<Row> rows = new ArrayList<>();
@@ -122,7 +123,7 @@
             rows.add(row);
             state.log(
                     LogEntry.info(LogEvent.SERVICE_LEVEL)
-                            .with("term", state.term)
+                            .with("term", state.term())
                             .with("team", row.team)
                             .with("class", row.jobClass)
                             .with("accepted", row.accepted)
--- a/src/test/java/org/woadloom/core/SchedulerFixture.java
+++ b/src/test/java/org/woadloom/core/SchedulerFixture.java
@@ -8,7 +8,6 @@
 import org.woadloom.core.liveness.AgentLiveness;
 import org.woadloom.core.liveness.MessageAge;
 import org.woadloom.core.machines.Machine;
-import org.woadloom.core.placement.Resources;
 import org.woadloom.core.reservation.Reservations;
 import org.woadloom.protocol.Heartbeat;
 import org.woadloom.protocol.JobDescription;
@@ -55,17 +54,16 @@
                         1,
                         1_000_000,
                         0);
-        state.machineTypes.put(TYPE.name(), TYPE);
+        state.machineTypes().put(TYPE.name(), TYPE);
     }
 
     public Machine machine(String host, String zone) {
         Machine machine = new Machine(new MachineRecord(host, "m16", zone, false, false), state);
-        machine.type = TYPE;
-        machine.setCapacity(Resources.of(TYPE));
-        machine.recorded = true;
+        machine.setType(TYPE);
+        machine.onRecorded(0);
         machine.confirmExistence();
-        hear(machine, 1, machine.liveness.issueToken(state.nowMicros));
-        state.machines.put(host, machine);
+        hear(machine, 1, machine.liveness.issueToken(state.nowMicros()));
+        state.machines().put(host, machine);
         return machine;
     }
 
@@ -83,9 +81,10 @@
                         fencingToken,
                         -1,
                         List.of());
-        machine.liveness.awaitsAnswerTo(heartbeat, state.nowMicros);
-        MessageAge age = machine.liveness.classify(heartbeat, AgentLiveness.NEVER, state.nowMicros);
-        machine.liveness.accept(heartbeat, age, AgentLiveness.NEVER, state.nowMicros);
+        machine.liveness.awaitsAnswerTo(heartbeat, state.nowMicros());
+        MessageAge age =
+                machine.liveness.classify(heartbeat, AgentLiveness.NEVER, state.nowMicros());
+        machine.liveness.accept(heartbeat, age, AgentLiveness.NEVER, state.nowMicros());
         return age;
     }
 
@@ -142,10 +141,10 @@
                     new Job(
                             record,
                             1,
-                            state.teams.get("team"),
-                            state.nowMicros,
-                            state.jobsToPersist);
-            state.jobs.put(jobId, job);
+                            state.teams().get("team"),
+                            state.nowMicros(),
+                            state.jobsToPersist());
+            state.jobs().put(jobId, job);
             return job;
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
@@ -158,7 +157,7 @@
 
     public TaskAttempt place(Reservations reservations, Job job, int index, Machine machine) {
         TaskAttempt attempt =
-                new TaskAttempt(job, index, machine, state.newAttempt(), 1, state.nowMicros);
+                new TaskAttempt(job, index, machine, state.newAttempt(), 1, state.nowMicros());
         reservations.draw(attempt);
         job.add(attempt);
         return attempt;
@@ -179,4 +178,14 @@
                                                 value ->
                                                         (entry + " ").contains(" " + value + " ")));
     }
+
+    /** Lets time pass. */
+    public void advance(long micros) {
+        state.setTime(state.nowMicros() + micros, state.wallMicros());
+    }
+
+    /** What the store takes, and the form of records that must fit. */
+    public void setRecordLimits(int valueBytes, RecordFormat format) {
+        state.setRecordLimits(valueBytes, format);
+    }
 }
--- a/src/test/java/org/woadloom/core/jobs/FailoverTest.java
+++ b/src/test/java/org/woadloom/core/jobs/FailoverTest.java
@@ -259,6 +259,6 @@
         new TaskLossHandler(fixture.state).remove(running);
         new JobPersister(fixture.state, table).emitWrites();
         assertEquals(2, next.allowedTasks());
-        assertFalse(fixture.state.jobs.containsKey("j-1"));
+        assertFalse(fixture.state.jobs().containsKey("j-1"));
     }
 }
--- a/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
+++ b/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
@@ -61,7 +61,7 @@
                     break;
                 }
                 TaskAttempt attempt =
-                        new TaskAttempt(job, index, chosen, 1, 1, fixture.state.nowMicros);
+                        new TaskAttempt(job, index, chosen, 1, 1, fixture.state.nowMicros());
                 reservations.draw(attempt);
                 job.add(attempt);
                 once.onPlaced();
@@ -100,7 +100,7 @@
         SchedulerFixture fixture = new SchedulerFixture(4_000);
         Reservations reservations = new Reservations(fixture.state);
         List<Machine> machines = machines(fixture, reservations, random, 12);
-        List<Job> jobs = new ArrayList<>(fixture.state.jobs.values());
+        List<Job> jobs = new ArrayList<>(fixture.state.jobs().values());
         for (int step = 0; step < 2_000; step++) {
             Job job = jobs.get(random.nextInt(jobs.size()));
             Machine machine = machines.get(random.nextInt(machines.size()));
@@ -133,8 +133,7 @@
     void theRecordOfAHugeJobAlwaysFits(RecordFormat format, int valueBytes) {
         Random random = new Random(8);
         SchedulerFixture fixture = new SchedulerFixture(100_000);
-        fixture.state.format = format;
-        fixture.state.valueBytes = valueBytes;
+        fixture.setRecordLimits(valueBytes, format);
         Reservations reservations = new Reservations(fixture.state);
         for (int i = 0; i < 200; i++) {
             fixture.machine("host-" + (100_000 + i), i % 2 == 0 ? "a" : "b");
--- a/src/test/java/org/woadloom/core/placement/QueueOrderTest.java
+++ b/src/test/java/org/woadloom/core/placement/QueueOrderTest.java
@@ -14,7 +14,7 @@
     @Test
     void whatCanStillBeInTimeGoesBeforeWhatIsLate() {
         Job late = fixture.due("j-1", 10, 30);
-        fixture.state.nowMicros += 25_000_000;
+        fixture.advance(25_000_000);
         Job fresh = fixture.due("j-2", 10, 30);
         assertEquals(List.of(fresh, late), order.sorted(List.of(late, fresh)));
     }
@@ -22,7 +22,7 @@
     @Test
     void aLateJobDoesNotWaitForEver() {
         Job late = fixture.due("j-1", 10, 30);
-        fixture.state.nowMicros += 200_000_000;
+        fixture.advance(200_000_000);
         Job fresh = fixture.due("j-2", 10, 30);
         assertEquals(List.of(late, fresh), order.sorted(List.of(fresh, late)));
     }
@@ -30,8 +30,8 @@
     @Test
     void theGuaranteeComesBeforeLateness() {
         Job late = fixture.due("j-1", 10, 30);
-        late.withinGuarantee = true;
-        fixture.state.nowMicros += 25_000_000;
+        late.setWithinGuarantee(true);
+        fixture.advance(25_000_000);
         Job fresh = fixture.due("j-2", 10, 30);
         assertEquals(List.of(late, fresh), order.sorted(List.of(fresh, late)));
     }
--- a/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
+++ b/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
@@ -106,7 +106,7 @@
         place(service, 0, 16);
         shares.update();
         assertEquals(0, service.allowedTasks());
-        fixture.state.nowMicros += 76_000_000;
+        fixture.advance(76_000_000);
         shares.update();
         assertEquals(8, service.allowedTasks());
         place(service, 16, 24);
@@ -136,7 +136,7 @@
                 told.stream()
                         .map(action -> ((SchedulerAction.Log) action).entry().toString())
                         .toList());
-        fixture.state.nowMicros += 61_000_000;
+        fixture.advance(61_000_000);
         shares.update();
         assertEquals(2, fixture.actions().size());
     }
--- a/src/test/java/org/woadloom/core/quota/GuaranteedQuotaTest.java
+++ b/src/test/java/org/woadloom/core/quota/GuaranteedQuotaTest.java
@@ -17,12 +17,13 @@
         Job second = fixture.job("j-2", 4, 1, 2);
         Job third = fixture.job("j-3", 1, 1, 1);
         guarantees.update();
-        assertTrue(first.withinGuarantee);
-        assertTrue(second.withinGuarantee);
-        assertFalse(third.withinGuarantee, "16 CPUs are taken by the earlier jobs, placed or not");
+        assertTrue(first.isWithinGuarantee());
+        assertTrue(second.isWithinGuarantee());
+        assertFalse(
+                third.isWithinGuarantee(), "16 CPUs are taken by the earlier jobs, placed or not");
         first.markCompleted(0);
-        fixture.state.nowMicros += 1_000_000;
+        fixture.advance(1_000_000);
         guarantees.update();
-        assertTrue(third.withinGuarantee, "what is done needs no room any more");
+        assertTrue(third.isWithinGuarantee(), "what is done needs no room any more");
     }
 }
--- a/src/test/java/org/woadloom/core/quota/QuotaRotationTest.java
+++ b/src/test/java/org/woadloom/core/quota/QuotaRotationTest.java
@@ -27,7 +27,7 @@
         while (true) {
             Job job = fixture.job("j-small-" + small, 1, 1, 1);
             if (job.allowedTasks() < 1) {
-                fixture.state.jobs.remove(job.jobId());
+                fixture.state.jobs().remove(job.jobId());
                 return;
             }
             fixture.place(reservations, job, 0, machines[small++ % 2]);
@@ -35,7 +35,7 @@
     }
 
     private Job[] running() {
-        return fixture.state.jobs.values().stream()
+        return fixture.state.jobs().values().stream()
                 .filter(job -> !job.attempts().isEmpty())
                 .toArray(Job[]::new);
     }
@@ -45,11 +45,11 @@
     void theLimitIsGatheredForATaskLargerThanThoseThatEnd() {
         nibble();
         Job large = fixture.job("j-large", 8, 1, 2);
-        fixture.state.nowMicros += 105_000_000;
+        fixture.advance(105_000_000);
         turns.update();
         for (Job job : running()) {
             job.remove(job.attempt(0));
-            fixture.state.jobs.remove(job.jobId());
+            fixture.state.jobs().remove(job.jobId());
             nibble();
             turns.update();
             if (large.allowedTasks() > 0) {
@@ -70,9 +70,9 @@
     void theOldestGoesFirst() {
         nibble();
         Job older = fixture.job("j-1", 8, 1, 1);
-        fixture.state.nowMicros += 5_000_000;
+        fixture.advance(5_000_000);
         Job younger = fixture.job("j-2", 6, 1, 1);
-        fixture.state.nowMicros += 105_000_000;
+        fixture.advance(105_000_000);
         turns.update();
         Job[] running = running();
         for (int i = 0; i < 8; i++) {
@@ -95,7 +95,7 @@
             fixture.place(reservations, service, i, machines[i % 2]);
         }
         fixture.job("j-large", 8, 1, 1);
-        fixture.state.nowMicros += 105_000_000;
+        fixture.advance(105_000_000);
         turns.update();
         assertEquals(4, fixture.job("j-small", 1, 1, 9).allowedTasks());
         assertTrue(
@@ -112,7 +112,7 @@
         reservations.reserve(gathers, machines[0], gathers.taskResources, true, true);
         reservations.reserve(gathers, machines[1], gathers.taskResources, true, true);
         fixture.job("j-2", 12, 1, 1);
-        fixture.state.nowMicros += 105_000_000;
+        fixture.advance(105_000_000);
         turns.update();
         assertEquals(
                 3,
@@ -125,15 +125,15 @@
     void aTurnEnds() {
         nibble();
         Job large = fixture.job("j-large", 8, 1, 1);
-        fixture.state.nowMicros += 105_000_000;
+        fixture.advance(105_000_000);
         turns.update();
         Job ended = running()[0];
         ended.remove(ended.attempt(0));
-        fixture.state.jobs.remove(ended.jobId());
+        fixture.state.jobs().remove(ended.jobId());
         Job small = fixture.job("j-small", 1, 1, 1);
         turns.update();
         assertEquals(0, small.allowedTasks());
-        fixture.state.nowMicros += 61_000_000;
+        fixture.advance(61_000_000);
         turns.update();
         assertEquals(1, small.allowedTasks());
         assertEquals(0, large.allowedTasks());
@@ -147,20 +147,20 @@
     void aTurnThatWasUsedIsFollowedByTheNextAtOnce() {
         nibble();
         Job first = fixture.job("j-1", 8, 1, 1);
-        fixture.state.nowMicros += 1_000_000;
+        fixture.advance(1_000_000);
         Job second = fixture.job("j-2", 8, 1, 1);
-        fixture.state.nowMicros += 105_000_000;
+        fixture.advance(105_000_000);
         turns.update();
         Job[] running = running();
         for (int i = 0; i < 8; i++) {
             running[i].remove(running[i].attempt(0));
-            fixture.state.jobs.remove(running[i].jobId());
+            fixture.state.jobs().remove(running[i].jobId());
         }
         fixture.place(reservations, first, 0, machines[0]);
         turns.update();
         for (int i = 8; i < 16; i++) {
             running[i].remove(running[i].attempt(0));
-            fixture.state.jobs.remove(running[i].jobId());
+            fixture.state.jobs().remove(running[i].jobId());
         }
         assertEquals(0, fixture.job("j-small", 1, 1, 1).allowedTasks());
         assertEquals(1, second.allowedTasks());
@@ -175,28 +175,28 @@
         for (int i = 0; i < 200; i++) {
             fixture.job("j-" + i, 8, 1, 1);
         }
-        fixture.state.nowMicros += 105_000_000;
+        fixture.advance(105_000_000);
         turns.update();
         Job[] running = running();
         for (int i = 0; i < 9; i++) {
             running[i].remove(running[i].attempt(0));
-            fixture.state.jobs.remove(running[i].jobId());
+            fixture.state.jobs().remove(running[i].jobId());
         }
         Job small = fixture.job("j-small", 1, 1, 1);
         int begun = 0;
         int free = 0;
         for (int second = 0; second < 66; second++) {
-            fixture.state.nowMicros += 1_000_000;
+            fixture.advance(1_000_000);
             turns.update();
             free += small.allowedTasks() > 1 ? 1 : 0;
-            for (Job job : List.copyOf(fixture.state.jobs.values())) {
+            for (Job job : List.copyOf(fixture.state.jobs().values())) {
                 if (job.taskResources.cpu() == 8_000
                         && job.allowedTasks() > 0
                         && small.allowedTasks() < 2) {
                     fixture.place(reservations, job, 0, machines[0]);
                     turns.update();
                     job.remove(job.attempt(0));
-                    fixture.state.jobs.remove(job.jobId());
+                    fixture.state.jobs().remove(job.jobId());
                     begun++;
                     break;
                 }
@@ -215,17 +215,17 @@
         nibble();
         fixture.job("j-1", 8, 1, 1);
         fixture.job("j-2", 8, 1, 1);
-        fixture.state.nowMicros += 105_000_000;
+        fixture.advance(105_000_000);
         turns.update();
         Job ended = running()[0];
         ended.remove(ended.attempt(0));
-        fixture.state.jobs.remove(ended.jobId());
+        fixture.state.jobs().remove(ended.jobId());
         Job small = fixture.job("j-small", 1, 1, 1);
         int waitedS = 0;
         int longestS = 0;
         int turnsS = 0;
         for (int second = 0; second < 400; second++) {
-            fixture.state.nowMicros += 1_000_000;
+            fixture.advance(1_000_000);
             turns.update();
             waitedS = small.allowedTasks() > 0 ? 0 : waitedS + 1;
             turnsS += small.allowedTasks() > 0 ? 0 : 1;
@@ -240,13 +240,13 @@
     void withAgeTheLargestGoBeforeTheOthersOfTheirKind() {
         QueueOrder order = new QueueOrder(fixture.state);
         Job large = fixture.due("j-1", 100, 60);
-        fixture.state.nowMicros += 149_000_000;
+        fixture.advance(149_000_000);
         Job small = fixture.due("j-2", 10, 60);
         assertEquals(
                 List.of(small, large),
                 order.sorted(List.of(large, small)),
                 "it is late, and has time yet");
-        fixture.state.nowMicros += 2_000_000;
+        fixture.advance(2_000_000);
         assertEquals(List.of(large, small), order.sorted(List.of(small, large)));
     }
 }
--- a/src/test/java/org/woadloom/core/reservation/ReservationsTest.java
+++ b/src/test/java/org/woadloom/core/reservation/ReservationsTest.java
@@ -108,9 +108,9 @@
         Job owner = fixture.job("j-1", 4, 0, 2);
         Reservation kept = reservations.reserve(owner, machine, room(4, 0), true, false);
         Reservation lost = reservations.reserve(owner, machine, room(4, 0), true, false);
-        fixture.state.nowMicros += 40_000_000;
+        fixture.advance(40_000_000);
         reservations.renew(kept);
-        fixture.state.nowMicros += 30_000_000;
+        fixture.advance(30_000_000);
         assertEquals(java.util.List.of(lost), reservations.updatePhases());
         assertEquals(Phase.FAILED, lost.phase());
         assertEquals(Phase.AVAILABLE, kept.phase());
@@ -121,7 +121,7 @@
     void aMachineThatGoesFailsItsReservations() {
         Job owner = fixture.job("j-1", 4, 0, 1);
         Reservation reservation = reservations.reserve(owner, machine, room(4, 0), true, false);
-        machine.decommissioning = true;
+        machine.decommission();
         assertEquals(java.util.List.of(reservation), reservations.updatePhases());
         assertEquals(Resources.NONE, owner.team.used());
     }
--- a/src/test/java/org/woadloom/sim/ServiceLevelTest.java
+++ b/src/test/java/org/woadloom/sim/ServiceLevelTest.java
@@ -105,18 +105,23 @@
     void theLeaderTellsWhatBecameOfTheLargest() {
         SchedulerFixture fixture = new SchedulerFixture();
         for (int i = 0; i < 20; i++) {
-            fixture.state.serviceLevels.onJobAdded(fixture.job("j-" + i, 1, 1, i < 18 ? 2 : 9));
+            fixture.state.serviceLevels().onJobAdded(fixture.job("j-" + i, 1, 1, i < 18 ? 2 : 9));
         }
-        fixture.state.nowMicros += 70_000_000;
+        fixture.advance(70_000_000);
         var machine = fixture.machine("host-1", "a");
         var reservations = new Reservations(fixture.state);
-        fixture.place(reservations, fixture.state.jobs.get("j-18"), 0, machine);
+        fixture.place(reservations, fixture.state.jobs().get("j-18"), 0, machine);
         TaskAttempt inherited =
                 new TaskAttempt(
-                        fixture.state.jobs.get("j-19"), 0, machine, 1, 0, fixture.state.nowMicros);
-        inherited.stage = TaskAttempt.Stage.RECOVERED;
+                        fixture.state.jobs().get("j-19"),
+                        0,
+                        machine,
+                        1,
+                        0,
+                        fixture.state.nowMicros());
+        inherited.onRecovered();
         inherited.job.add(inherited);
-        fixture.state.serviceLevels.review();
+        fixture.state.serviceLevels().review();
         assertTrue(
                 fixture.logged(
                         LogEvent.LARGEST_JOBS_SERVICE_LEVEL,
@@ -132,17 +137,17 @@
     void theLeaderTellsWhoWaits() {
         SchedulerFixture fixture = new SchedulerFixture();
         Job waits = fixture.job("j-000001", 1, 1, 1);
-        fixture.state.serviceLevels.onJobAdded(waits);
+        fixture.state.serviceLevels().onJobAdded(waits);
         Job ended = fixture.job("j-000002", 1, 1, 1);
-        fixture.state.serviceLevels.onJobAdded(ended);
+        fixture.state.serviceLevels().onJobAdded(ended);
         ended.markCompleted(0);
-        fixture.state.jobs.remove(ended.jobId());
-        fixture.state.serviceLevels.onJobEnded(ended);
-        fixture.state.nowMicros += 30_000_000;
-        fixture.state.serviceLevels.review();
+        fixture.state.jobs().remove(ended.jobId());
+        fixture.state.serviceLevels().onJobEnded(ended);
+        fixture.advance(30_000_000);
+        fixture.state.serviceLevels().review();
         assertTrue(fixture.actions().isEmpty(), "told before its time");
-        fixture.state.nowMicros += 45_000_000;
-        fixture.state.serviceLevels.review();
+        fixture.advance(45_000_000);
+        fixture.state.serviceLevels().review();
         SchedulerAction.PublishServiceLevels seen =
                 (SchedulerAction.PublishServiceLevels)
                         fixture.actions().stream()
