--- a/src/test/java/org/woadloom/worker/WorkerFormsGoldenTest.java
+++ b/src/test/java/org/woadloom/agent/AgentFormsGoldenTest.java
@@ -1,4 +1,4 @@
-package org.woadloom.worker;
+package org.woadloom.agent;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -7,7 +7,6 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.woadloom.agent.AgentClient;
 import org.woadloom.core.SchedulerAction;
 import org.woadloom.golden.GoldenFile;
 import org.woadloom.protocol.Cbor;
@@ -18,7 +17,7 @@
 import org.woadloom.protocol.TaskStatus;
 
 /** What workers are sent, byte by byte, and how each field and word of their reports is read. */
-class WorkerFormsGoldenTest {
+class AgentFormsGoldenTest {
     private static final TaskId TASK = new TaskId("j-000412", 3);
     private static final List<String> STATES =
             List.of("fetching", "gathering", "running", "flushing", "exited", "novel");
--- a/src/test/java/org/woadloom/golden/Shape.java
+++ b/src/test/java/org/woadloom/golden/ValueShape.java
@@ -9,8 +9,8 @@
  * A wire value with the names of its leaves' kinds in place of the leaves, for forms that hold
  * times and random numbers.
  */
-public final class Shape {
-    private Shape() {}
+public final class ValueShape {
+    private ValueShape() {}
 
     /** The shape; that of a list is the shape of its first item. */
     public static Object of(Object value) {
--- a/src/test/java/org/woadloom/node/LettersGoldenTest.java
+++ b/src/test/java/org/woadloom/node/CompressedListGoldenTest.java
@@ -16,7 +16,7 @@
  * A packed list that was recorded is read, and what is packed now is read as the same; how well it
  * is packed may change.
  */
-class LettersGoldenTest {
+class CompressedListGoldenTest {
     private static final String FILE = "packed-letter.txt";
 
     private static List<Object> reports() {
--- a/src/test/java/org/woadloom/sim/HttpFormsGoldenTest.java
+++ b/src/test/java/org/woadloom/sim/HttpFormsGoldenTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.woadloom.golden.CanonicalJson;
 import org.woadloom.golden.GoldenFile;
-import org.woadloom.golden.Shape;
+import org.woadloom.golden.ValueShape;
 import org.woadloom.protocol.Cbor;
 import org.woadloom.protocol.MalformedMessageException;
 
@@ -120,7 +120,8 @@
         golden.addValue(
                 "report, keys of the answer",
                 List.copyOf(new TreeSet<>(Cbor.decodeMap(answered.body()).keySet())));
-        golden.addValue("report, token", Shape.of(Cbor.decodeMap(answered.body()).get("epoch")));
+        golden.addValue(
+                "report, token", ValueShape.of(Cbor.decodeMap(answered.body()).get("epoch")));
         golden.check("http.txt");
         checkMetrics(ask("GET", "/metrics", null));
     }
--- a/src/test/java/org/woadloom/sim/StoredValuesGoldenTest.java
+++ b/src/test/java/org/woadloom/sim/StoredValuesGoldenTest.java
@@ -9,7 +9,7 @@
 import java.util.zip.InflaterInputStream;
 import org.junit.jupiter.api.Test;
 import org.woadloom.golden.GoldenFile;
-import org.woadloom.golden.Shape;
+import org.woadloom.golden.ValueShape;
 import org.woadloom.protocol.Cbor;
 import org.woadloom.protocol.MalformedMessageException;
 
@@ -60,9 +60,9 @@
                             ? unpack((String) letter.get("packed-" + items))
                             : letter.get(items);
             if (list instanceof List<?> all && !all.isEmpty()) {
-                shapes.putIfAbsent(format + " " + items, Shape.of(letter));
+                shapes.putIfAbsent(format + " " + items, ValueShape.of(letter));
                 shapes.putIfAbsent(
-                        format + " " + items + ", one", Shape.ofEach((List<?>) all.get(0)));
+                        format + " " + items + ", one", ValueShape.ofEach((List<?>) all.get(0)));
             }
         }
     }
@@ -90,7 +90,7 @@
                         "version/node/node-0",
                         "rollout/state",
                         "rollout/node/node-0")) {
-            shapes.put(key, Shape.of(cluster.stored(key)));
+            shapes.put(key, ValueShape.of(cluster.stored(key)));
         }
         check("stored-values.txt");
     }
--- a/src/test/java/org/woadloom/state/StoredFormsGoldenTest.java
+++ b/src/test/java/org/woadloom/store/StoredFormsGoldenTest.java
@@ -1,4 +1,4 @@
-package org.woadloom.state;
+package org.woadloom.store;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -15,14 +15,6 @@
 import org.woadloom.protocol.JobDescription;
 import org.woadloom.protocol.MachineType;
 import org.woadloom.protocol.MalformedMessageException;
-import org.woadloom.store.FinalRecord;
-import org.woadloom.store.JobRecord;
-import org.woadloom.store.MachineRecord;
-import org.woadloom.store.NodeAnnouncement;
-import org.woadloom.store.RecordFormat;
-import org.woadloom.store.RolloutRecord;
-import org.woadloom.store.RolloutRequest;
-import org.woadloom.store.StoreKeys;
 
 /**
  * Every stored record with every field, byte by byte, and read back from the bytes that were
