--- a/src/main/java/org/woadloom/leader/Election.java
+++ b/src/main/java/org/woadloom/leader/Election.java
@@ -118,7 +118,7 @@
     }
 
     private void look() {
-        state.get(Urgency.URGENT, Keys.LEADER, (result, entry, generation) -> {
+        state.get(Urgency.CONTROL, Keys.LEADER, (result, entry, generation) -> {
             if (result == Result.OK) {
                 seen(entry.value(), entry.stamp());
                 watch(entry.stamp());
@@ -186,7 +186,7 @@
      * once that nobody leads, and this process takes over only if none of them does.
      */
     private void leaveToOthers(long stamp) {
-        state.txn(Urgency.URGENT, List.of(new Condition(Keys.LEADER, stamp)), List.of(Change.drop(Keys.LEADER)),
+        state.txn(Urgency.CONTROL, List.of(new Condition(Keys.LEADER, stamp)), List.of(Change.drop(Keys.LEADER)),
                 (result, generation, conflicts) -> {
                     notBeforeMicros = loop.nowMicros() + YIELD_MICROS;
                     if (result == Result.OK) {
@@ -234,7 +234,7 @@
                 return;
             }
             grant = granted;
-            state.get(Urgency.URGENT, Keys.TERM, (read, entry, generation) -> {
+            state.get(Urgency.CONTROL, Keys.TERM, (read, entry, generation) -> {
                 try {
                     if (read == Result.OK) {
                         take(leaderStamp, new Fields(entry.value()).integer("term") + 1, entry.stamp());
@@ -256,7 +256,7 @@
         Map<String, Object> termValue = new LinkedHashMap<>();
         termValue.put("term", newTerm);
         // Whoever takes a term has read what the stored state requires, and nothing was added to it since.
-        state.txn(Urgency.URGENT, List.of(new Condition(Keys.LEADER, leaderStamp),
+        state.txn(Urgency.CONTROL, List.of(new Condition(Keys.LEADER, leaderStamp),
                 new Condition(Keys.TERM, termStamp), fence.condition()),
                 List.of(new Change(Keys.LEADER, new LeaderKey(label, newTerm).toMap(), grant),
                         Change.put(Keys.TERM, termValue)), (result, generation, conflicts) -> {
@@ -281,7 +281,7 @@
     private void failed() {
         role = Role.FOLLOWER;
         long pause = RETRY_MICROS + random.nextInt((int) RETRY_MICROS);
-        loop.schedule(pause, () -> state.get(Urgency.URGENT, Keys.LEADER, (result, entry, generation) -> {
+        loop.schedule(pause, () -> state.get(Urgency.CONTROL, Keys.LEADER, (result, entry, generation) -> {
             if (result == Result.OK) {
                 seen(entry.value(), entry.stamp());
             } else if (result == Result.NOT_FOUND) {
--- a/src/main/java/org/woadloom/node/Node.java
+++ b/src/main/java/org/woadloom/node/Node.java
@@ -245,7 +245,7 @@
         }
         if (!probing) {
             probing = true;
-            state.get(Urgency.URGENT, Keys.LEADER, (result, entry, generation) -> probing = false);
+            state.get(Urgency.CONTROL, Keys.LEADER, (result, entry, generation) -> probing = false);
         }
         if (!inTouch && care.mayCare()) {
             parked.release();
--- a/src/main/java/org/woadloom/node/Rollout.java
+++ b/src/main/java/org/woadloom/node/Rollout.java
@@ -151,7 +151,7 @@
 
     @Override
     public void changed() {
-        read(Urgency.URGENT, done -> {
+        read(Urgency.CONTROL, done -> {
         });
     }
 
@@ -208,7 +208,7 @@
     /** The word of the process before this one tells whether processes of this node end soon after one another. */
     private void speak(long grant) {
         String key = Keys.ROLLOUT_NODES + label;
-        state.get(Urgency.URGENT, key, (result, entry, generation) -> {
+        state.get(Urgency.CONTROL, key, (result, entry, generation) -> {
             if (result != Result.OK && result != Result.NOT_FOUND) {
                 loop.schedule(RETRY_MICROS, this::speak);
                 return;
@@ -216,7 +216,7 @@
             NodeWord word = new NodeWord(life, Feature.known(), Feature.keys(able), members, starts(entry), loop.wallMicros());
             // Without the condition one without an answer, carried out after the next, hung the key on a grant that nobody renews.
             Condition asRead = new Condition(key, entry == null ? 0 : entry.stamp());
-            state.txn(Urgency.URGENT, List.of(asRead), List.of(new Change(key, word.toMap(), grant),
+            state.txn(Urgency.CONTROL, List.of(asRead), List.of(new Change(key, word.toMap(), grant),
                     Change.put(Keys.NODE_VERSIONS + label, ImmutableMap.of(FIELD, VERSION))), (put, stamp, failed) -> {
                         if (put == Result.OK) {
                             spoken = true;
@@ -256,7 +256,7 @@
     // What the store says.
 
     private void follow() {
-        read(Urgency.URGENT, generation -> {
+        read(Urgency.CONTROL, generation -> {
             if (generation < 0) {
                 loop.schedule(RETRY_MICROS, this::follow);
             } else if (!following) {
--- a/src/main/java/org/woadloom/state/Budget.java
+++ b/src/main/java/org/woadloom/state/Budget.java
@@ -30,8 +30,13 @@
 
     /** How long until the given number may be taken; something larger than the bucket waits for a full one. */
     public long waitMicros(long now, int count) {
+        return waitMicros(now, count, 0);
+    }
+
+    /** The same for whoever may run into a debt of so much. */
+    long waitMicros(long now, int count, double debt) {
         refill(now);
-        double missing = Math.min(count, capacity) - tokens;
+        double missing = Math.min(count, capacity) - tokens - debt;
         return missing <= 1e-9 ? 0 : Math.max(1, (long) Math.ceil(missing / perMicro));
     }
 
--- /dev/null
+++ b/src/main/java/org/woadloom/state/RequestScheduler.java
@@ -0,0 +1,143 @@
+package org.woadloom.state;
+
+import java.util.ArrayDeque;
+import java.util.function.Predicate;
+
+/**
+ * Decides which request to the store is sent next, under a node's part of the store's two rates: of requests, and of changes.
+ *
+ * <p>Control requests (elections, renewals of the leader's key, proofs of leadership) go first. They are few, and may run into
+ * a reserve of each rate that nobody else touches; the others make up for it later. Behind a backlog of users the leader's
+ * key would expire, and nobody could be elected before the backlog was gone.
+ *
+ * <p>Everybody else gets the shares of {@link Share}. A change that waits for its rate holds back other changes, so that a
+ * large one is not overtaken for ever, but no reads.
+ */
+final class RequestScheduler<T> {
+    /** Control's reserve, as a part of one second's worth; an election writes two keys and a node's word two. */
+    private static final double RESERVE = 0.1;
+    private static final int MIN_RESERVE = 4;
+    /** By how many seconds of the whole rate users may run ahead of their share: about what a user takes for no wait. */
+    private static final double USER_BURST_SECONDS = 0.5;
+    private static final int MIN_USER_BURST = 4;
+    /** A share's bound, against a fault that asks without end: far more than the rates let pass before users give up. */
+    private static final int MAX_QUEUED = 16_000;
+
+    private final Budget requests = new Budget(1);
+    private final Budget changes = new Budget(1);
+    private double requestsPerSecond;
+    private double changesPerSecond;
+    private final ArrayDeque<Queued<T>> control = new ArrayDeque<>();
+    private final WeightedQueues<Queued<T>> waitingReads = new WeightedQueues<>();
+    private final WeightedQueues<Queued<T>> waitingChanges = new WeightedQueues<>();
+    private boolean lastWasChange;
+
+    private record Queued<T>(T request, int changeCount) {
+    }
+
+    /** Either a request to be sent now, or how long to wait; {@link Long#MAX_VALUE} where nothing waits. */
+    record Turn<T>(T request, long waitMicros) {
+    }
+
+    /** Sets this node's part of the store's rates. */
+    void rates(long now, double requestRate, double changeRate) {
+        requestsPerSecond = requestRate;
+        changesPerSecond = changeRate;
+        requests.rate(now, requestRate);
+        changes.rate(now, changeRate);
+    }
+
+    /** False if too much waits already. */
+    boolean add(StateClient.Urgency priority, T request, int changeCount) {
+        Queued<T> queued = new Queued<>(request, changeCount);
+        if (priority == StateClient.Urgency.CONTROL) {
+            return control.size() < MAX_QUEUED && control.add(queued);
+        }
+        WeightedQueues<Queued<T>> queues = changeCount > 0 ? waitingChanges : waitingReads;
+        if (queues.size(priority.share()) >= MAX_QUEUED) {
+            return false;
+        }
+        queues.add(priority.share(), queued, changeCount);
+        return true;
+    }
+
+    boolean controlWaits() {
+        return !control.isEmpty();
+    }
+
+    /**
+     * Takes the request that is to be sent now, if there is one.
+     *
+     * @param onlyControl no place is left for any other request
+     * @param heldMicros how long what is not urgent is held back
+     */
+    Turn<T> next(long now, boolean onlyControl, long heldMicros) {
+        long wait = Long.MAX_VALUE;
+        if (!control.isEmpty()) {
+            wait = controlWait(now, control.peekFirst());
+            if (wait <= 0) {
+                return take(now, control.pollFirst());
+            }
+        }
+        if (onlyControl) {
+            return new Turn<>(null, wait);
+        }
+        return nextOfShares(now, heldMicros, wait);
+    }
+
+    private Turn<T> nextOfShares(long now, long heldMicros, long waitOfControl) {
+        long requestWait = requests.waitMicros(now, 1);
+        Predicate<Share> allowed = share -> heldMicros <= 0 || share == Share.USERS || share == Share.URGENT;
+        Share change = waitingChanges.next(allowed, burst(changesPerSecond));
+        Share read = waitingReads.next(allowed, burst(requestsPerSecond));
+        long changeWait = change == null ? Long.MAX_VALUE
+                : Math.max(requestWait, changes.waitMicros(now, waitingChanges.peek(change).changeCount()));
+        long readWait = read == null ? Long.MAX_VALUE : requestWait;
+        if (changeWait <= 0 && (readWait > 0 || changeFirst(change, read))) {
+            lastWasChange = true;
+            return take(now, waitingChanges.take(change));
+        }
+        if (readWait <= 0) {
+            lastWasChange = false;
+            return take(now, waitingReads.take(read));
+        }
+        long heldWait = heldMicros > 0 && anyHeld() ? Math.max(heldMicros, requestWait) : Long.MAX_VALUE;
+        return new Turn<>(null, Math.min(Math.min(changeWait, readWait), Math.min(heldWait, waitOfControl)));
+    }
+
+    /** Users first; otherwise in turns, so that neither uses up the rate of requests. */
+    private boolean changeFirst(Share change, Share read) {
+        boolean userChange = change == Share.USERS;
+        boolean userRead = read == Share.USERS;
+        return userChange != userRead ? userChange : !lastWasChange;
+    }
+
+    private boolean anyHeld() {
+        return holdsAny(Share.NORMAL) || holdsAny(Share.BACKGROUND);
+    }
+
+    private boolean holdsAny(Share share) {
+        return !waitingReads.isEmpty(share) || !waitingChanges.isEmpty(share);
+    }
+
+    private static double burst(double perSecond) {
+        return Math.max(MIN_USER_BURST, perSecond * USER_BURST_SECONDS);
+    }
+
+    private long controlWait(long now, Queued<T> queued) {
+        long requestWait = requests.waitMicros(now, 1, reserve(requestsPerSecond));
+        long changeWait = queued.changeCount() == 0 ? 0
+                : changes.waitMicros(now, queued.changeCount(), reserve(changesPerSecond));
+        return Math.max(requestWait, changeWait);
+    }
+
+    private static double reserve(double perSecond) {
+        return Math.max(MIN_RESERVE, perSecond * RESERVE);
+    }
+
+    private Turn<T> take(long now, Queued<T> queued) {
+        requests.take(now, 1);
+        changes.take(now, queued.changeCount());
+        return new Turn<>(queued.request(), 0);
+    }
+}
--- a/src/main/java/org/woadloom/state/StateClient.java
+++ b/src/main/java/org/woadloom/state/StateClient.java
@@ -1,8 +1,6 @@
 package org.woadloom.state;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.EnumMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -15,16 +13,33 @@
 import org.woadloom.wire.WireException;
 
 /**
- * The state service's protocol. Requests wait in queues by urgency, under budgets that stay below the service's limits; a
- * 429 or 503 holds everything but the most urgent back for a moment, with jitter. Changes have a budget of their own, and
- * reads pass by changes that wait for it: a leader changes as much as it may for minutes, and users poll it all the while.
+ * The state service's protocol. A {@link RequestScheduler} says which request is sent next, under rates that stay below the
+ * service's limits; a 429 or 503 holds everything but the most urgent back for a moment, with jitter.
  *
  * <p>Single answers get lost while the service goes on serving. A request that later ones have overtaken holds up nobody, and
  * says nothing about the service.
  */
 public final class StateClient {
-    /** Requests of a lower urgency wait while one of a higher is queued. */
-    public enum Urgency { USER, URGENT, NORMAL, BACKGROUND }
+    /** How much a request matters; {@link Share} says what each gets while others wait. */
+    public enum Urgency {
+        /** Elections, renewals of the leader's key and proofs of leadership: before everything else. */
+        CONTROL(null),
+        /** A user waits for it. */
+        USER(Share.USERS),
+        URGENT(Share.URGENT),
+        NORMAL(Share.NORMAL),
+        BACKGROUND(Share.BACKGROUND);
+
+        private final Share share;
+
+        Urgency(Share share) {
+            this.share = share;
+        }
+
+        Share share() {
+            return share;
+        }
+    }
 
     public enum Result { OK, NOT_FOUND, CONFLICT, BAD, UNAVAILABLE, UNKNOWN }
 
@@ -95,7 +110,8 @@
     private static final int MAX_IN_FLIGHT = 12;
     /** With those that most likely get no answer any more. */
     private static final int MAX_UNANSWERED = 36;
-    private static final int MAX_QUEUED = 2_000;
+    /** Places in flight for control requests alone: others may hang until their time-out. */
+    private static final int CONTROL_IN_FLIGHT = 6;
     private static final long TIMEOUT_MICROS = 2_000_000;
     private static final long WATCH_GRACE_MICROS = 2_000_000;
     /** Most answers take less than 10 ms, and now and then a few hundred. */
@@ -113,10 +129,7 @@
     private final Limits limits;
     private boolean leads;
     private final int others;
-    private final Budget requests;
-    private final Budget writes;
-    private final EnumMap<Urgency, ArrayDeque<Pending>> reads = new EnumMap<>(Urgency.class);
-    private final EnumMap<Urgency, ArrayDeque<Pending>> changes = new EnumMap<>(Urgency.class);
+    private final RequestScheduler<Pending> scheduler = new RequestScheduler<>();
     private final InFlight inFlight = new InFlight();
     private long heldUntilMicros;
     /** When it looks again by itself, {@link Long#MAX_VALUE} for never. */
@@ -142,13 +155,7 @@
         this.address = settings.stateAddress();
         this.limits = limits;
         this.others = Math.max(1, settings.peers().size());
-        this.requests = new Budget(1);
-        this.writes = new Budget(1);
         lead(false);
-        for (Urgency urgency : Urgency.values()) {
-            reads.put(urgency, new ArrayDeque<>());
-            changes.put(urgency, new ArrayDeque<>());
-        }
     }
 
     /** Sets this node's part of the service's limits: what one node leaves is there for the others. */
@@ -163,8 +170,8 @@
     }
 
     private void pace(long now) {
-        requests.rate(now, limits.requestRate(now) * (leads ? LEADER_REQUESTS : OTHERS_REQUESTS / others));
-        writes.rate(now, writesPerSecond());
+        double requestsPerSecond = limits.requestRate(now) * (leads ? LEADER_REQUESTS : OTHERS_REQUESTS / others);
+        scheduler.rates(now, requestsPerSecond, writesPerSecond());
     }
 
     /** Answers of the kind 429 or 503, or none at all, counted for the metrics. */
@@ -263,10 +270,11 @@
                 }, overdue));
     }
 
+    /** A lease on which keys of this node's process hang: the leader's, and its word. */
     public void grant(long lifeMicros, GrantCallback callback) {
         Map<String, Object> request = new LinkedHashMap<>();
         request.put("lifeMs", lifeMicros / 1000);
-        submit(Urgency.URGENT, new Pending("POST", "/grants", Cbor.encode(request), 0, TIMEOUT_MICROS,
+        submit(Urgency.CONTROL, new Pending("POST", "/grants", Cbor.encode(request), 0, TIMEOUT_MICROS,
                 (status, body) -> {
                     if (status == 200) {
                         parsed(body, map -> callback.granted(Result.OK, new Fields(map).integer("hold")),
@@ -278,7 +286,7 @@
     }
 
     public void renew(long grant, GrantCallback callback) {
-        submit(Urgency.URGENT, new Pending("POST", "/grants/" + grant + "/renew", Cbor.encode(Map.of()), 0,
+        submit(Urgency.CONTROL, new Pending("POST", "/grants/" + grant + "/renew", Cbor.encode(Map.of()), 0,
                 TIMEOUT_MICROS, (status, body) -> callback.granted(status == 200 ? Result.OK : failure(status), grant)));
     }
 
@@ -326,56 +334,32 @@
     }
 
     private void submit(Urgency urgency, Pending pending) {
-        ArrayDeque<Pending> queue = (pending.writeCount > 0 ? changes : reads).get(urgency);
-        if (queue.size() >= MAX_QUEUED) {
+        if (!scheduler.add(urgency, pending, pending.writeCount)) {
             loop.execute(() -> pending.callback.answered(HttpTransport.NOT_SENT, new byte[0]));
             return;
         }
-        queue.addLast(pending);
         pump();
     }
 
     private void pump() {
         long now = loop.nowMicros();
-        while (inFlight.size() < MAX_UNANSWERED && inFlight.awaited(now) < MAX_IN_FLIGHT) {
+        boolean full = isFull(now, 0);
+        while (!full || scheduler.controlWaits() && !isFull(now, CONTROL_IN_FLIGHT)) {
             pace(now);
-            Pending next = next(now);
-            if (next == null) {
+            RequestScheduler.Turn<Pending> turn = scheduler.next(now, full, heldUntilMicros - now);
+            if (turn.request() == null) {
+                if (turn.waitMicros() < Long.MAX_VALUE) {
+                    wakeAfter(turn.waitMicros());
+                }
                 return;
             }
-            requests.take(now, 1);
-            writes.take(now, next.writeCount);
-            send(next);
+            send(turn.request());
+            full = isFull(now, 0);
         }
     }
 
-    /** Takes the first request that may be sent now out of its queue. Where all must wait, it looks again in time. */
-    private Pending next(long now) {
-        long request = requests.waitMicros(now, 1);
-        long wait = Long.MAX_VALUE;
-        boolean changeWaits = false;
-        for (Urgency urgency : Urgency.values()) {
-            long held = urgency.compareTo(Urgency.URGENT) > 0 ? Math.max(request, heldUntilMicros - now) : request;
-            Pending change = changeWaits ? null : changes.get(urgency).peekFirst();
-            if (change != null) {
-                long needed = Math.max(held, writes.waitMicros(now, change.writeCount));
-                if (needed <= 0) {
-                    return changes.get(urgency).pollFirst();
-                }
-                changeWaits = true;
-                wait = Math.min(wait, needed);
-            }
-            if (!reads.get(urgency).isEmpty()) {
-                if (held <= 0) {
-                    return reads.get(urgency).pollFirst();
-                }
-                wait = Math.min(wait, held);
-            }
-        }
-        if (wait < Long.MAX_VALUE) {
-            wakeAfter(wait);
-        }
-        return null;
+    private boolean isFull(long now, int more) {
+        return inFlight.size() >= MAX_UNANSWERED + more || inFlight.awaited(now) >= MAX_IN_FLIGHT + more;
     }
 
     private void wakeAfter(long micros) {
--- /dev/null
+++ b/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
@@ -0,0 +1,329 @@
+package org.woadloom.sim;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.function.Consumer;
+import org.junit.jupiter.api.Test;
+import org.woadloom.http.JobApi;
+import org.woadloom.http.Response;
+import org.woadloom.leader.Election;
+import org.woadloom.net.HttpTransport;
+import org.woadloom.net.Loop;
+import org.woadloom.settings.Peer;
+import org.woadloom.settings.ServiceSettings;
+import org.woadloom.settings.Team;
+import org.woadloom.state.JobRecord;
+import org.woadloom.state.Limits;
+import org.woadloom.state.RecordFormat;
+import org.woadloom.state.StateClient;
+import org.woadloom.state.StateClient.Change;
+import org.woadloom.state.StateClient.Condition;
+import org.woadloom.state.StateClient.Result;
+import org.woadloom.state.StateClient.Urgency;
+import org.woadloom.wire.Cbor;
+import org.woadloom.wire.MachineType;
+import org.woadloom.wire.WireException;
+
+/** Users submit more than the store's rate of changes for a minute: three nodes, each with its election and its users. */
+class LeadershipUnderLoadTest {
+    private static final long SECOND = 1_000_000;
+    private static final int NODES = 3;
+    private static final int SUBMISSIONS_PER_SECOND = 120;
+    private static final long USER_TIMEOUT = 5 * SECOND;
+    private static final long GRANT = 4 * SECOND;
+    private static final ServiceSettings.State LIMITS = new ServiceSettings.State(400, 60, 8192, 12, null);
+    private static final MachineType TYPE = new MachineType("m", 4, 0, 8, 50, 1, 1, 0.3, 30 * SECOND, List.of("a"));
+
+    private final SimLoop sim = new SimLoop();
+    private final StateStandIn store = new StateStandIn(sim, LIMITS);
+    private final Random random = new Random(5);
+    private final List<Member> members = new ArrayList<>();
+    private final List<Submission> submissions = new ArrayList<>();
+
+    /** One submission, without its retries. */
+    private static final class Submission {
+        int status;
+        long tookMicros = Long.MAX_VALUE;
+    }
+
+    /** A node's process: its client of the store, its election and what users ask of it. */
+    private final class Member {
+        final int index;
+        boolean alive = true;
+        final StateClient client;
+        final Election election;
+        final JobApi api;
+        int elected;
+        int deposed;
+        final List<Long> recordWaits = new ArrayList<>();
+        int recordsAsked;
+
+        Member(int index) {
+            this.index = index;
+            ServiceSettings settings = settings(index);
+            Loop loop = loop();
+            client = new StateClient(loop, this::request, settings, new Limits(LIMITS), new Random(index), served -> {
+            });
+            election = new Election(loop, client, settings.label(), new Random(index + 10), fence(), listener());
+            api = new JobApi(loop, client, settings, storage(), types(), (record, stamp) -> {
+            }, (uid, patience, answer) -> answer.accept(true));
+        }
+
+        private Loop loop() {
+            Loop whole = sim.loop();
+            return new Loop() {
+                @Override
+                public long nowMicros() {
+                    return whole.nowMicros();
+                }
+
+                @Override
+                public long wallMicros() {
+                    return whole.wallMicros();
+                }
+
+                @Override
+                public void execute(Runnable task) {
+                    schedule(1, task);
+                }
+
+                @Override
+                public Timer schedule(long delayMicros, Runnable task) {
+                    return whole.schedule(delayMicros, () -> whileAlive(task));
+                }
+            };
+        }
+
+        private void whileAlive(Runnable task) {
+            if (alive) {
+                task.run();
+            }
+        }
+
+        private void request(String address, String method, String path, byte[] body, long timeout,
+                HttpTransport.Callback callback) {
+            boolean[] answered = {false};
+            sim.after(timeout, () -> answer(answered, callback, HttpTransport.NO_RESPONSE, Map.of()));
+            Map<String, Object> asked = decode(body);
+            sim.after(2_000, () -> store.handle(method, path, asked,
+                    (status, map) -> sim.after(2_000, () -> answer(answered, callback, status, map))));
+        }
+
+        private void answer(boolean[] answered, HttpTransport.Callback callback, int status, Map<String, Object> map) {
+            if (!answered[0]) {
+                answered[0] = true;
+                whileAlive(() -> callback.answered(status, status > 0 ? Cbor.encode(map) : new byte[0]));
+            }
+        }
+
+        private Election.Listener listener() {
+            return new Election.Listener() {
+                @Override
+                public void elected(long term, long leaderStamp) {
+                    elected++;
+                    client.lead(true);
+                }
+
+                @Override
+                public void deposed(String reason) {
+                    deposed++;
+                    client.lead(false);
+                }
+
+                @Override
+                public void leaderSeen() {
+                }
+            };
+        }
+
+        /** The leader's own record of work that ends: what it waits for is noted. */
+        void writeRecord() {
+            long from = sim.now();
+            recordsAsked++;
+            client.txn(Urgency.URGENT, List.of(), List.of(Change.put("record/" + recordsAsked % 50, Map.of("n", from))),
+                    (result, generation, failed) -> {
+                        if (result == Result.OK) {
+                            recordWaits.add(sim.now() - from);
+                        }
+                    });
+        }
+    }
+
+    private static ServiceSettings settings(int index) {
+        List<Peer> peers = new ArrayList<>();
+        for (int other = 0; other < NODES; other++) {
+            if (other != index) {
+                peers.add(new Peer("node-" + other, "a", "node-" + other + ":1"));
+            }
+        }
+        return new ServiceSettings("node-" + index, "a", "0:1", "0:2", peers, "cloud", "state", List.of("a"),
+                List.of(new Team("team", 8, 8, 0, 0)), List.of(), new ServiceSettings.Workers(1, 1, 1), LIMITS,
+                new ServiceSettings.Cloud(1, 1), new ServiceSettings.Resources(1, 1, 1));
+    }
+
+    private static Election.Fence fence() {
+        return new Election.Fence() {
+            @Override
+            public boolean open() {
+                return true;
+            }
+
+            @Override
+            public Condition condition() {
+                return new Condition("rollout/state", 0);
+            }
+
+            @Override
+            public void changed() {
+            }
+        };
+    }
+
+    private static JobApi.Storage storage() {
+        return new JobApi.Storage() {
+            @Override
+            public RecordFormat format() {
+                return RecordFormat.COMPACT;
+            }
+
+            @Override
+            public int valueBytes() {
+                return 8192;
+            }
+
+            @Override
+            public void seen(RecordFormat format) {
+            }
+        };
+    }
+
+    private static JobApi.Types types() {
+        return new JobApi.Types() {
+            @Override
+            public List<MachineType> types() {
+                return List.of(TYPE);
+            }
+
+            @Override
+            public void readAnew(Consumer<Boolean> answered) {
+                answered.accept(true);
+            }
+        };
+    }
+
+    private static Map<String, Object> decode(byte[] body) {
+        try {
+            return body == null || body.length == 0 ? Map.of() : Cbor.decodeMap(body);
+        } catch (WireException e) {
+            throw new IllegalStateException(e);
+        }
+    }
+
+    private void start() {
+        for (int index = 0; index < NODES; index++) {
+            members.add(new Member(index));
+        }
+        members.forEach(member -> member.election.start());
+        sim.run(2 * SECOND);
+        assertEquals(1, members.stream().filter(member -> member.election.leads()).count());
+    }
+
+    private Member leader() {
+        return members.stream().filter(member -> member.alive && member.election.leads()).findFirst().orElse(null);
+    }
+
+    /** Submits at a steady rate until the given time, at any node whose process is there; the users try again for a minute. */
+    private void users(long until, int perSecond) {
+        if (sim.now() < until) {
+            Map<String, Object> job = LoopbackNode.job(String.format("j-%06d", submissions.size()), "team");
+            submit(job, sim.now() + 60 * SECOND);
+            sim.after(SECOND / perSecond, () -> users(until, perSecond));
+        }
+    }
+
+    private void submit(Map<String, Object> job, long until) {
+        List<Member> alive = members.stream().filter(member -> member.alive).toList();
+        Submission submission = new Submission();
+        submissions.add(submission);
+        long from = sim.now();
+        boolean[] over = {false};
+        Consumer<Response> retry = response -> {
+            if (!over[0]) {
+                over[0] = true;
+                if ((response == null || response.status() == 503) && sim.now() < until) {
+                    sim.after(SECOND, () -> submit(job, until));
+                }
+            }
+        };
+        sim.after(USER_TIMEOUT, () -> retry.accept(null));
+        alive.get(random.nextInt(alive.size())).api.submit(Cbor.encode(job), response -> {
+            submission.status = response.status();
+            submission.tookMicros = sim.now() - from;
+            retry.accept(response);
+        });
+    }
+
+    private void leaderWrites(long until, int perSecond) {
+        if (sim.now() < until) {
+            Member leader = leader();
+            if (leader != null) {
+                leader.writeRecord();
+            }
+            sim.after(SECOND / perSecond, () -> leaderWrites(until, perSecond));
+        }
+    }
+
+    /** The longest time without the leader key, from now until the given time. */
+    private long longestGap(long until) {
+        long since = sim.now();
+        long longest = 0;
+        while (sim.now() < until) {
+            sim.run(sim.now() + SECOND / 100);
+            if (leader() != null) {
+                since = sim.now();
+            }
+            longest = Math.max(longest, sim.now() - since);
+        }
+        return longest;
+    }
+
+    /** The leader keeps its key while users ask for more than the store takes. */
+    @Test
+    void leadershipIsKept() {
+        start();
+        users(62 * SECOND, SUBMISSIONS_PER_SECOND);
+        assertEquals(0, longestGap(62 * SECOND));
+        assertEquals(1, members.stream().mapToInt(member -> member.elected).sum());
+    }
+
+    /** Elections waited behind all users' changes of their nodes: nobody led before the backlog was gone. */
+    @Test
+    void aLeaderThatEndsIsReplacedInTheUsualTime() {
+        start();
+        users(62 * SECOND, SUBMISSIONS_PER_SECOND);
+        sim.run(30 * SECOND);
+        leader().alive = false;
+        long gap = longestGap(62 * SECOND);
+        assertTrue(gap > 0 && gap <= GRANT + SECOND, "no leader for " + gap + " us");
+    }
+
+    /** Work that ends has to be recorded, also while users' changes queue. */
+    @Test
+    void theLeadersRecordsHaveTheirShare() {
+        start();
+        users(62 * SECOND, SUBMISSIONS_PER_SECOND);
+        leaderWrites(61 * SECOND, 10);
+        sim.run(62 * SECOND);
+        Member leader = leader();
+        assertTrue(leader.recordWaits.size() >= leader.recordsAsked * 9 / 10,
+                leader.recordWaits.size() + " of " + leader.recordsAsked + " records were written");
+        long longest = leader.recordWaits.stream().mapToLong(Long::longValue).max().orElse(0);
+        assertTrue(longest <= SECOND, "a record waited for " + longest + " us");
+    }
+}
--- /dev/null
+++ b/src/test/java/org/woadloom/state/RequestSchedulerTest.java
@@ -0,0 +1,110 @@
+package org.woadloom.state;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.EnumMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.woadloom.state.StateClient.Urgency;
+
+/** Which request goes first, at 100 requests and 40 changes a second. */
+class RequestSchedulerTest {
+    private static final long SECOND = 1_000_000;
+
+    private final RequestScheduler<Urgency> scheduler = new RequestScheduler<>();
+    private long now;
+
+    RequestSchedulerTest() {
+        scheduler.rates(now, 100, 40);
+        now += SECOND;
+    }
+
+    private void add(Urgency urgency, int count, int changes) {
+        for (int i = 0; i < count; i++) {
+            assertTrue(scheduler.add(urgency, urgency, changes));
+        }
+    }
+
+    /** What is sent within so long. */
+    private List<Urgency> sentWithin(long micros) {
+        List<Urgency> sent = new ArrayList<>();
+        long until = now + micros;
+        while (now < until) {
+            RequestScheduler.Turn<Urgency> turn = scheduler.next(now, false, 0);
+            if (turn.request() != null) {
+                sent.add(turn.request());
+            } else {
+                now += Math.min(turn.waitMicros(), until - now);
+            }
+        }
+        return sent;
+    }
+
+    private static Map<Urgency, Integer> counts(List<Urgency> sent) {
+        Map<Urgency, Integer> counts = new EnumMap<>(Urgency.class);
+        sent.forEach(urgency -> counts.merge(urgency, 1, Integer::sum));
+        return counts;
+    }
+
+    @Test
+    void controlGoesFirstAlsoWhereTheRateIsUsedUp() {
+        add(Urgency.USER, 4_000, 1);
+        sentWithin(5 * SECOND);
+        add(Urgency.CONTROL, 1, 2);
+        add(Urgency.CONTROL, 1, 0);
+        RequestScheduler.Turn<Urgency> first = scheduler.next(now, true, SECOND);
+        RequestScheduler.Turn<Urgency> second = scheduler.next(now, true, SECOND);
+        assertEquals(List.of(Urgency.CONTROL, Urgency.CONTROL), List.of(first.request(), second.request()));
+    }
+
+    /** The reserve is bounded: a fault that asks without end stays below the store's rate. */
+    @Test
+    void controlPaysForWhatItTakes() {
+        add(Urgency.CONTROL, 1_000, 1);
+        int sent = sentWithin(5 * SECOND).size();
+        assertTrue(sent >= 5 * 40 && sent <= 6 * 40 + 5, sent + " were sent");
+    }
+
+    @Test
+    void usersWaitForNothingElseWhileTheyAreFew() {
+        add(Urgency.URGENT, 500, 1);
+        sentWithin(3 * SECOND);
+        add(Urgency.USER, 10, 1);
+        assertEquals(Map.of(Urgency.USER, 10), counts(sentWithin(SECOND / 2).subList(0, 10)));
+    }
+
+    @Test
+    void aBacklogOfUsersLeavesTheOthersTheirShares() {
+        add(Urgency.USER, 4_000, 1);
+        add(Urgency.URGENT, 4_000, 1);
+        add(Urgency.NORMAL, 4_000, 1);
+        add(Urgency.BACKGROUND, 4_000, 1);
+        sentWithin(5 * SECOND);
+        Map<Urgency, Integer> sent = counts(sentWithin(100 * SECOND));
+        assertEquals(4_000 * 8 / 19.0, sent.get(Urgency.USER), 20);
+        assertEquals(4_000 * 8 / 19.0, sent.get(Urgency.URGENT), 20);
+        assertEquals(4_000 * 2 / 19.0, sent.get(Urgency.NORMAL), 20);
+        assertEquals(4_000 / 19.0, sent.get(Urgency.BACKGROUND), 20);
+    }
+
+    @Test
+    void whatOneShareLeavesIsTheOthers() {
+        add(Urgency.BACKGROUND, 4_000, 1);
+        int sent = sentWithin(10 * SECOND).size();
+        assertTrue(sent >= 10 * 40, sent + " were sent");
+    }
+
+    /** Reads pass by changes that wait for their rate, and a large change is not passed by others for ever. */
+    @Test
+    void aLargeChangeComesToItsTurn() {
+        add(Urgency.URGENT, 10, 40);
+        sentWithin(1_000);
+        add(Urgency.NORMAL, 1, 0);
+        assertEquals(List.of(Urgency.NORMAL), sentWithin(1_000));
+        add(Urgency.NORMAL, 1_000, 1);
+        assertTrue(counts(sentWithin(10 * SECOND)).get(Urgency.URGENT) >= 7);
+    }
+}
