--- a/src/main/java/org/woadloom/http/JobApi.java
+++ b/src/main/java/org/woadloom/http/JobApi.java
@@ -79,6 +79,8 @@
     private final SharedReads shared;
     private final Admission admission;
     private final UserWrites writes;
+    private final SharedAnswers<JobDescription> submissions = new SharedAnswers<>();
+    private final SharedAnswers<String> cancellations = new SharedAnswers<>();
     private final Unanswered unanswered;
 
     public JobApi(Loop loop, StateClient state, ServiceSettings settings, Storage storage, Types types, Hint hint,
@@ -110,6 +112,7 @@
 
     public void submit(byte[] body, Consumer<Response> unhurried) {
         Consumer<Response> answer = timed("a submission", unhurried);
+        long until = loop.nowMicros() + PATIENCE_MICROS;
         Map<String, Object> map;
         try {
             map = Cbor.decodeMap(body);
@@ -121,60 +124,61 @@
         try {
             job = JobDescription.submitted(map);
         } catch (WireException e) {
-            refuseUnlessKnown(map.get("uid"), Response.error(400, e.getMessage()), answer);
+            refuseUnlessKnown(map.get("uid"), Response.error(400, e.getMessage()), until, answer);
             return;
         }
         admission.judge(job, refusal -> {
             if (refusal != null) {
-                refuseUnlessKnown(job.uid(), refusal, answer);
+                refuseUnlessKnown(job.uid(), refusal, until, answer);
             } else if (job.awaits().isEmpty()) {
-                create(job, answer);
+                create(job, until, answer);
             } else {
-                createAfter(job, answer);
+                createAfter(job, until, answer);
             }
         });
     }
 
     /** A job that was accepted stays accepted, whatever a repeated request looks like. */
-    private void refuseUnlessKnown(Object uid, Response refusal, Consumer<Response> answer) {
+    private void refuseUnlessKnown(Object uid, Response refusal, long until, Consumer<Response> answer) {
         if (!(uid instanceof String text) || !JobDescription.isUid(text)) {
             answer.accept(refusal);
             return;
         }
-        reader.look(text, looked -> {
+        reader.look(text, until, looked -> {
             if (looked == null) {
                 answer.accept(Response.unavailable("the state service does not answer"));
             } else if (looked.status() != null) {
-                tellAccepted(looked, answer);
+                tellAccepted(looked, until, answer);
             } else {
                 answer.accept(refusal);
             }
         });
     }
 
-    private void tellAccepted(Looked looked, Consumer<Response> answer) {
-        tell(SharedReads.Shown.of(looked), PATIENCE_MICROS, () -> answer.accept(Response.of(200, looked.status().toMap())), answer);
+    private void tellAccepted(Looked looked, long until, Consumer<Response> answer) {
+        tell(SharedReads.Shown.of(looked), until - loop.nowMicros(),
+                () -> answer.accept(Response.of(200, looked.status().toMap())), answer);
     }
 
     /**
      * A job that waits for others is accepted once the store has told of each of them, as users submit it right after the
      * answer for the ones before. Until every node is known to run this version it can't be: version 1 would start it.
      */
-    private void createAfter(JobDescription job, Consumer<Response> answer) {
+    private void createAfter(JobDescription job, long until, Consumer<Response> answer) {
         for (String before : job.awaits()) {
             if (!JobDescription.isUid(before) || before.equals(job.uid())) {
-                refuseUnlessKnown(job.uid(), Response.error(422, "awaits: " + before + " can't be waited for"), answer);
+                refuseUnlessKnown(job.uid(), Response.error(422, "awaits: " + before + " can't be waited for"), until, answer);
                 return;
             }
         }
         if (storage.format() != RecordFormat.COMPACT) {
-            refuseUnlessKnown(job.uid(), Response.unavailable("awaits: not before all nodes run this version"), answer);
+            refuseUnlessKnown(job.uid(), Response.unavailable("awaits: not before all nodes run this version"), until, answer);
             return;
         }
         Response[] refusal = {null};
         int[] missing = {job.awaits().size()};
         for (String before : job.awaits()) {
-            lookFor(before, (looked, service) -> {
+            lookFor(before, until, (looked, service) -> {
                 if (!looked && (refusal[0] == null || refusal[0].status() == 422)) {
                     refusal[0] = Response.unavailable("the state service does not answer");
                 } else if (looked && refusal[0] == null && (service == null || service)) {
@@ -185,9 +189,9 @@
                     return;
                 }
                 if (refusal[0] == null) {
-                    create(job, answer);
+                    create(job, until, answer);
                 } else {
-                    refuseUnlessKnown(job.uid(), refusal[0], answer);
+                    refuseUnlessKnown(job.uid(), refusal[0], until, answer);
                 }
             });
         }
@@ -198,20 +202,25 @@
         void found(boolean looked, Boolean service);
     }
 
-    private void lookFor(String uid, Finding finding) {
+    private void lookFor(String uid, long until, Finding finding) {
         Boolean service = reader.acceptedService(uid);
         if (service != null) {
             finding.found(true, service);
             return;
         }
-        reader.look(uid, looked -> finding.found(looked != null,
+        reader.look(uid, until, looked -> finding.found(looked != null,
                 looked == null || looked.status() == null ? null : (Boolean) looked.service()));
     }
 
-    private void create(JobDescription job, Consumer<Response> answer) {
+    /** Users who try again while the first write is queued or under way share it. */
+    private void create(JobDescription job, long until, Consumer<Response> answer) {
+        submissions.share(job, loop.nowMicros(), until, answer, whole -> createOnce(job, until, whole));
+    }
+
+    private void createOnce(JobDescription job, long until, Consumer<Response> answer) {
         if (reader.acceptedService(job.uid()) != null) {
             // A transaction that can only fail would count as a change all the same, and those are scarce.
-            refuseUnlessKnown(job.uid(), Response.unavailable("the job changed meanwhile"), answer);
+            refuseUnlessKnown(job.uid(), Response.unavailable("the job changed meanwhile"), until, answer);
             return;
         }
         JobRecord record = JobRecord.accepted(job, loop.wallMicros());
@@ -219,22 +228,24 @@
         Map<String, Object> value = record.toMap(format);
         int spare = format == RecordFormat.COMPACT ? PROGRESS_BYTES : 0;
         if (Cbor.jsonSize(value) + spare > storage.valueBytes()) {
-            refuseUnlessKnown(job.uid(), Response.error(400, "the job's description is too long"), answer);
+            refuseUnlessKnown(job.uid(), Response.error(400, "the job's description is too long"), until, answer);
             return;
         }
-        writes.write(job.uid(), List.of(new Condition(Keys.job(job.uid()), 0), new Condition(Keys.finalState(job.uid()), 0)),
-                Change.put(Keys.job(job.uid()), value), reader::lookForRecord, found -> true, (result, generation, found) -> {
+        writes.write(Urgency.USER, until, job.uid(),
+                List.of(new Condition(Keys.job(job.uid()), 0), new Condition(Keys.finalState(job.uid()), 0)),
+                Change.put(Keys.job(job.uid()), value), reader::lookForRecord, found -> true,
+                (result, generation, found) -> {
                     boolean ours = found != null && record.equals(found.record());
                     if (result == Result.OK || ours) {
                         reader.accepted(job.uid(), job.service());
                         hint.changed(record, ours ? found.stamp() : generation);
                         answer.accept(Response.of(201, new JobStatus(job.uid(), "queued", -1, 0).toMap()));
                     } else if (found != null) {
-                        tellAccepted(found, answer);
+                        tellAccepted(found, until, answer);
                     } else if (result == Result.CONFLICT) {
-                        refuseUnlessKnown(job.uid(), Response.unavailable("the job changed meanwhile"), answer);
+                        refuseUnlessKnown(job.uid(), Response.unavailable("the job changed meanwhile"), until, answer);
                     } else if (result == Result.BAD) {
-                        refuseUnlessKnown(job.uid(), Response.error(400, "the job's description is too long"), answer);
+                        refuseUnlessKnown(job.uid(), Response.error(400, "the job's description is too long"), until, answer);
                     } else {
                         answer.accept(Response.unavailable("the state service does not answer"));
                     }
@@ -291,7 +302,9 @@
             answer.accept(Response.error(404, "no such job"));
             return;
         }
-        cancel(uid, MAX_CANCEL_TRIES, timed("a cancellation", answer));
+        long until = loop.nowMicros() + PATIENCE_MICROS;
+        cancellations.share(uid, loop.nowMicros(), until, timed("a cancellation", answer),
+                whole -> cancel(uid, MAX_CANCEL_TRIES, until, whole));
     }
 
     /**
@@ -344,16 +357,17 @@
         }
     }
 
-    private void tellEnd(JobStatus status, Consumer<Response> answer) {
-        tell(new SharedReads.Shown(status, List.of()), PATIENCE_MICROS, () -> answer.accept(Response.of(200, status.toMap())), answer);
+    private void tellEnd(JobStatus status, long until, Consumer<Response> answer) {
+        tell(new SharedReads.Shown(status, List.of()), until - loop.nowMicros(),
+                () -> answer.accept(Response.of(200, status.toMap())), answer);
     }
 
     /** Nothing of a record that can't be read can be kept: the final state takes its place. */
-    private void cancelUnread(Looked looked, Consumer<Response> answer) {
+    private void cancelUnread(Looked looked, long until, Consumer<Response> answer) {
         String uid = looked.unread().uid();
         Consumer<Boolean> end = cancelled -> {
             if (cancelled) {
-                tellEnd(new JobStatus(uid, "cancelled", -1, 0), answer);
+                tellEnd(new JobStatus(uid, "cancelled", -1, 0), until, answer);
             } else {
                 answer.accept(Response.unavailable("the job could not be cancelled now"));
             }
@@ -363,43 +377,43 @@
             return;
         }
         FinalRecord record = new FinalRecord(uid, true, 0, loop.wallMicros(), false);
-        state.txn(Urgency.USER, List.of(new Condition(Keys.job(uid), looked.stamp())),
+        state.txn(Urgency.CANCELLATION, until, List.of(new Condition(Keys.job(uid), looked.stamp())),
                 List.of(Change.put(Keys.finalState(uid), record.toMap(storage.format())), Change.drop(Keys.job(uid))),
                 (result, generation, failed) -> end.accept(result == Result.OK));
     }
 
-    private void cancel(String uid, int tries, Consumer<Response> answer) {
-        reader.look(uid, looked -> cancel(uid, looked, tries, answer));
+    private void cancel(String uid, int tries, long until, Consumer<Response> answer) {
+        reader.look(uid, until, looked -> cancel(uid, looked, tries, until, answer));
     }
 
-    private void cancel(String uid, Looked looked, int tries, Consumer<Response> answer) {
+    private void cancel(String uid, Looked looked, int tries, long until, Consumer<Response> answer) {
         if (looked == null) {
             answer.accept(Response.unavailable("the job could not be cancelled now"));
         } else if (looked.status() == null) {
             answer.accept(Response.error(404, "no such job"));
         } else if (looked.unread() != null) {
-            cancelUnread(looked, answer);
+            cancelUnread(looked, until, answer);
         } else if (looked.finalState() != null || looked.record().cancelled() || looked.record().allDone()) {
-            tellEnd(new JobStatus(uid, looked.status().status(), -1, 0), answer);
+            tellEnd(new JobStatus(uid, looked.status().status(), -1, 0), until, answer);
         } else if (tries == 0) {
             answer.accept(Response.unavailable("the job could not be cancelled now"));
         } else {
             JobRecord cancelled = looked.record().asCancelled();
             RecordFormat format = looked.format() == RecordFormat.COMPACT ? looked.format() : storage.format();
             // Once the record has another stamp, the write was carried out or never will be.
-            writes.write(uid, List.of(new Condition(Keys.job(uid), looked.stamp())),
+            writes.write(Urgency.CANCELLATION, until, uid, List.of(new Condition(Keys.job(uid), looked.stamp())),
                     Change.put(Keys.job(uid), cancelled.toMap(format)), reader::look,
                     found -> found.status() != null && found.stamp() != looked.stamp(), (result, generation, found) -> {
                         if (result == Result.OK) {
                             hint.changed(cancelled, generation);
-                            tellEnd(new JobStatus(uid, "cancelled", -1, 0), answer);
+                            tellEnd(new JobStatus(uid, "cancelled", -1, 0), until, answer);
                         } else if (found != null) {
                             if (found.record() != null && found.record().cancelled()) {
                                 hint.changed(found.record(), found.stamp());
                             }
-                            cancel(uid, found, tries - 1, answer);
+                            cancel(uid, found, tries - 1, until, answer);
                         } else if (result == Result.CONFLICT) {
-                            cancel(uid, tries - 1, answer);
+                            cancel(uid, tries - 1, until, answer);
                         } else {
                             answer.accept(Response.unavailable("the job could not be cancelled now"));
                         }
--- a/src/main/java/org/woadloom/http/UserWrites.java
+++ b/src/main/java/org/woadloom/http/UserWrites.java
@@ -20,6 +20,8 @@
     /** Most answers take less than 10 ms, and now and then a few hundred. */
     private static final long FIRST_LOOK_MICROS = 400_000;
     private static final long SECOND_LOOK_MICROS = 1_200_000;
+    /** What is sent takes so long to be answered, but for rare cases. */
+    private static final long ANSWER_MICROS = 800_000;
     private static final int MOST_LOOKS = 2;
     /** The part of the service's requests that these reads of all nodes together may take. */
     private static final double PART = 0.1;
@@ -45,12 +47,18 @@
         looks = new Budget(requestsPerSecond * PART / nodes);
     }
 
-    /** @param decides whether what was read, which is not null, makes the write's own answer needless */
-    void write(String uid, List<Condition> conditions, Change change, Look look, Predicate<Looked> decides, Outcome outcome) {
+    /**
+     * @param answerByMicros until when its user waits: shortly before it is not sent any more, and then nothing is known
+     * @param decides whether what was read, which is not null, makes the write's own answer needless
+     */
+    void write(Urgency urgency, long answerByMicros, String uid, List<Condition> conditions, Change change, Look look,
+            Predicate<Looked> decides, Outcome outcome) {
         Write write = new Write(uid, look, decides, outcome);
         loop.schedule(FIRST_LOOK_MICROS, write::look);
         loop.schedule(SECOND_LOOK_MICROS, write::look);
-        state.txn(Urgency.USER, conditions, List.of(change), (result, generation, failed) -> write.answered(result, generation));
+        loop.schedule(Math.max(1, answerByMicros - loop.nowMicros()), () -> write.tell(Result.UNKNOWN, 0, null));
+        state.txn(urgency, answerByMicros - ANSWER_MICROS, conditions, List.of(change),
+                (result, generation, failed) -> write.answered(result, generation));
     }
 
     private final class Write {
--- a/src/main/java/org/woadloom/node/Node.java
+++ b/src/main/java/org/woadloom/node/Node.java
@@ -199,6 +199,7 @@
         metrics.gauge("woadloom.leader", election, e -> e.leads() ? 1 : 0);
         metrics.gauge("woadloom.term", election, Election::knownTerm);
         metrics.gauge("woadloom.state.troubles", state, StateClient::troubles);
+        metrics.gauge("woadloom.state.shed", state, StateClient::shed);
         metrics.gauge("woadloom.jobs", core, Core::jobs);
         metrics.gauge("woadloom.machines", core, Core::machines);
         metrics.gauge("woadloom.machines.deaf", core, Core::deafMachines);
--- a/src/main/java/org/woadloom/reads/JobReader.java
+++ b/src/main/java/org/woadloom/reads/JobReader.java
@@ -51,34 +51,43 @@
 
     /** Reads a job from the store, unless its final state is known; null if the store does not say. */
     public void look(String uid, Consumer<Looked> consumer) {
-        look(Urgency.NORMAL, uid, consumer);
+        look(uid, StateClient.NO_DEADLINE, consumer);
+    }
+
+    /** The same, without what would be asked of the store only after the given moment. */
+    public void look(String uid, long deadlineMicros, Consumer<Looked> consumer) {
+        look(Urgency.NORMAL, uid, deadlineMicros, consumer);
     }
 
     /** The same; of a job that is known to be over the final state is read at once. */
-    void look(String uid, boolean over, Consumer<Looked> consumer) {
+    void look(String uid, boolean over, long deadlineMicros, Consumer<Looked> consumer) {
         if (over && known(uid) == null) {
-            lookForFinal(Urgency.NORMAL, uid, looked -> {
+            lookForFinal(Urgency.NORMAL, uid, deadlineMicros, looked -> {
                 if (looked == Looked.UNKNOWN) {
-                    look(uid, consumer);
+                    look(uid, deadlineMicros, consumer);
                 } else {
                     consumer.accept(looked);
                 }
             });
         } else {
-            look(uid, consumer);
+            look(uid, deadlineMicros, consumer);
         }
     }
 
     /** The same, before or after what else this node asks of the store. */
     public void look(Urgency urgency, String uid, Consumer<Looked> consumer) {
+        look(urgency, uid, StateClient.NO_DEADLINE, consumer);
+    }
+
+    private void look(Urgency urgency, String uid, long deadlineMicros, Consumer<Looked> consumer) {
         Looked known = known(uid);
         if (known != null) {
             consumer.accept(known);
             return;
         }
-        state.get(urgency, Keys.job(uid), (result, entry, generation) -> {
+        state.get(urgency, Keys.job(uid), deadlineMicros, (result, entry, generation) -> {
             if (result == Result.NOT_FOUND) {
-                lookForFinal(urgency, uid, consumer);
+                lookForFinal(urgency, uid, deadlineMicros, consumer);
             } else {
                 consumer.accept(result == Result.OK ? parse(uid, entry.value(), entry.stamp()) : null);
             }
@@ -92,8 +101,8 @@
     }
 
     /** A job moves from its record to its final state in one transaction, so this order of reading can't miss it. */
-    private void lookForFinal(Urgency urgency, String uid, Consumer<Looked> consumer) {
-        state.get(urgency, Keys.finalState(uid), (result, entry, generation) -> {
+    private void lookForFinal(Urgency urgency, String uid, long deadlineMicros, Consumer<Looked> consumer) {
+        state.get(urgency, Keys.finalState(uid), deadlineMicros, (result, entry, generation) -> {
             Looked looked = null;
             if (result == Result.NOT_FOUND) {
                 looked = Looked.UNKNOWN;
--- a/src/main/java/org/woadloom/reads/SharedReads.java
+++ b/src/main/java/org/woadloom/reads/SharedReads.java
@@ -38,6 +38,8 @@
     private static final long LEAST_GAP_MICROS = 3_000_000;
     private static final long SLOW_MICROS = 400_000;
     private static final int MOST_UNDER_WAY = 4;
+    /** Users who poll wait 2 s: what would be read by key only after this comes too late for them. */
+    private static final long PATIENCE_MICROS = 1_800_000;
     private static final int MOST_REMEMBERED = 4_000;
 
     /** What a user is told of a job. The status is null for one that was never accepted. */
@@ -48,7 +50,7 @@
         }
     }
 
-    private record Question(long number, String uid, Consumer<Shown> answer) {
+    private record Question(long number, long askedMicros, String uid, Consumer<Shown> answer) {
     }
 
     /** A job as of the last round: read already, or as the store gave it. */
@@ -114,7 +116,7 @@
             answer.accept(Shown.of(known));
             return;
         }
-        asked.add(new Question(++lastAsked, uid, answer));
+        asked.add(new Question(++lastAsked, loop.nowMicros(), uid, answer));
         lookSoon();
     }
 
@@ -291,7 +293,7 @@
         read = new Reading();
         reading.put(question.uid, read);
         read.waiting.add(question.answer);
-        read(question.uid, read);
+        read(question.uid, read, question.askedMicros + PATIENCE_MICROS);
     }
 
     private Shown remembered(String uid) {
@@ -304,14 +306,14 @@
         return job == null ? null : job.shown;
     }
 
-    private void read(String uid, Reading read) {
-        reader.look(uid, over.getIfPresent(uid) != null, looked -> {
+    private void read(String uid, Reading read, long deadlineMicros) {
+        reader.look(uid, over.getIfPresent(uid) != null, deadlineMicros, looked -> {
             Looked latest = looked;
             if (looked != null && looked.finalState() == null && read.latest != null
                     && read.latest.stamp() > looked.stamp()) {
                 if (read.latest.value() == null) {
                     read.latest = null;
-                    read(uid, read);
+                    read(uid, read, deadlineMicros);
                     return;
                 }
                 latest = reader.parse(uid, read.latest.value(), read.latest.stamp());
--- a/src/main/java/org/woadloom/state/RequestScheduler.java
+++ b/src/main/java/org/woadloom/state/RequestScheduler.java
@@ -28,8 +28,8 @@
     private double requestsPerSecond;
     private double changesPerSecond;
     private final ArrayDeque<Queued<T>> control = new ArrayDeque<>();
-    private final WeightedQueues<Queued<T>> waitingReads = new WeightedQueues<>();
-    private final WeightedQueues<Queued<T>> waitingChanges = new WeightedQueues<>();
+    private final WeightedQueues<T> waitingReads = new WeightedQueues<>();
+    private final WeightedQueues<T> waitingChanges = new WeightedQueues<>();
     private boolean lastWasChange;
 
     private record Queued<T>(T request, int changeCount) {
@@ -49,18 +49,33 @@
 
     /** False if too much waits already. */
     boolean add(StateClient.Urgency priority, T request, int changeCount) {
-        Queued<T> queued = new Queued<>(request, changeCount);
         if (priority == StateClient.Urgency.CONTROL) {
-            return control.size() < MAX_QUEUED && control.add(queued);
+            return control.size() < MAX_QUEUED && control.add(new Queued<>(request, changeCount));
         }
-        WeightedQueues<Queued<T>> queues = changeCount > 0 ? waitingChanges : waitingReads;
+        WeightedQueues<T> queues = changeCount > 0 ? waitingChanges : waitingReads;
         if (queues.size(priority.share()) >= MAX_QUEUED) {
             return false;
         }
-        queues.add(priority.share(), queued, changeCount);
+        queues.add(priority.share(), request, changeCount, priority.isPreferred());
         return true;
     }
 
+    /** Takes out a request that is not to be sent any more; false if it was taken already. */
+    boolean remove(StateClient.Urgency priority, T request, int changeCount) {
+        WeightedQueues<T> queues = changeCount > 0 ? waitingChanges : waitingReads;
+        return queues.remove(priority.share(), request, priority.isPreferred());
+    }
+
+    /** For how long a request that comes now would wait, as far as the rates and the queue before it tell. */
+    long estimatedWaitMicros(long now, StateClient.Urgency priority, int changeCount) {
+        boolean change = changeCount > 0;
+        WeightedQueues<T> queues = change ? waitingChanges : waitingReads;
+        double perSecond = (change ? changesPerSecond : requestsPerSecond) * queues.partOf(priority.share());
+        double before = queues.costBefore(priority.share(), priority.isPreferred());
+        long ownWait = change ? changes.waitMicros(now, changeCount) : requests.waitMicros(now, 1);
+        return ownWait + (long) (before / perSecond * 1e6);
+    }
+
     boolean controlWaits() {
         return !control.isEmpty();
     }
@@ -76,7 +91,8 @@
         if (!control.isEmpty()) {
             wait = controlWait(now, control.peekFirst());
             if (wait <= 0) {
-                return take(now, control.pollFirst());
+                Queued<T> first = control.pollFirst();
+                return taken(now, first.request(), first.changeCount());
             }
         }
         if (onlyControl) {
@@ -91,15 +107,16 @@
         Share change = waitingChanges.next(allowed, burst(changesPerSecond));
         Share read = waitingReads.next(allowed, burst(requestsPerSecond));
         long changeWait = change == null ? Long.MAX_VALUE
-                : Math.max(requestWait, changes.waitMicros(now, waitingChanges.peek(change).changeCount()));
+                : Math.max(requestWait, changes.waitMicros(now, waitingChanges.costOfFirst(change)));
         long readWait = read == null ? Long.MAX_VALUE : requestWait;
         if (changeWait <= 0 && (readWait > 0 || changeFirst(change, read))) {
             lastWasChange = true;
-            return take(now, waitingChanges.take(change));
+            int changeCount = waitingChanges.costOfFirst(change);
+            return taken(now, waitingChanges.take(change), changeCount);
         }
         if (readWait <= 0) {
             lastWasChange = false;
-            return take(now, waitingReads.take(read));
+            return taken(now, waitingReads.take(read), 0);
         }
         long heldWait = heldMicros > 0 && anyHeld() ? Math.max(heldMicros, requestWait) : Long.MAX_VALUE;
         return new Turn<>(null, Math.min(Math.min(changeWait, readWait), Math.min(heldWait, waitOfControl)));
@@ -135,9 +152,9 @@
         return Math.max(MIN_RESERVE, perSecond * RESERVE);
     }
 
-    private Turn<T> take(long now, Queued<T> queued) {
+    private Turn<T> taken(long now, T request, int changeCount) {
         requests.take(now, 1);
-        changes.take(now, queued.changeCount());
-        return new Turn<>(queued.request(), 0);
+        changes.take(now, changeCount);
+        return new Turn<>(request, 0);
     }
 }
--- a/src/main/java/org/woadloom/state/StateClient.java
+++ b/src/main/java/org/woadloom/state/StateClient.java
@@ -24,6 +24,8 @@
     public enum Urgency {
         /** Elections, renewals of the leader's key and proofs of leadership: before everything else. */
         CONTROL(null),
+        /** A user's cancellation, which goes before other users' requests: it frees what they wait for. */
+        CANCELLATION(Share.USERS),
         /** A user waits for it. */
         USER(Share.USERS),
         URGENT(Share.URGENT),
@@ -39,6 +41,10 @@
         Share share() {
             return share;
         }
+
+        boolean isPreferred() {
+            return this == CANCELLATION;
+        }
     }
 
     public enum Result { OK, NOT_FOUND, CONFLICT, BAD, UNAVAILABLE, UNKNOWN }
@@ -110,6 +116,8 @@
     private static final int MAX_IN_FLIGHT = 12;
     /** With those that most likely get no answer any more. */
     private static final int MAX_UNANSWERED = 36;
+    /** Stands for a request that may wait for its turn as long as it takes. */
+    public static final long NO_DEADLINE = Long.MAX_VALUE;
     /** Places in flight for control requests alone: others may hang until their time-out. */
     private static final int CONTROL_IN_FLIGHT = 6;
     private static final long TIMEOUT_MICROS = 2_000_000;
@@ -135,12 +143,18 @@
     /** When it looks again by itself, {@link Long#MAX_VALUE} for never. */
     private long wakeMicros = Long.MAX_VALUE;
     private long troubles;
+    private long shed;
     private boolean refuses;
     private final Health health;
 
     /** @param overdue is run when there is no answer after a while; null for most requests */
     private record Pending(String method, String path, byte[] body, int writeCount, long timeoutMicros,
-            HttpTransport.Callback callback, Runnable overdue) {
+            HttpTransport.Callback callback, Runnable overdue, boolean[] sent) {
+        Pending(String method, String path, byte[] body, int writeCount, long timeoutMicros, HttpTransport.Callback callback,
+                Runnable overdue) {
+            this(method, path, body, writeCount, timeoutMicros, callback, overdue, new boolean[1]);
+        }
+
         Pending(String method, String path, byte[] body, int writeCount, long timeoutMicros, HttpTransport.Callback callback) {
             this(method, path, body, writeCount, timeoutMicros, callback, null);
         }
@@ -184,8 +198,18 @@
         return refuses;
     }
 
+    /** Requests that were not sent, as whoever had asked for them would not have waited for so long. */
+    public long shed() {
+        return shed;
+    }
+
     public void get(Urgency urgency, String key, EntryCallback callback) {
-        submit(urgency, new Pending("GET", "/keys/" + key, null, 0, TIMEOUT_MICROS, (status, body) -> {
+        get(urgency, key, NO_DEADLINE, callback);
+    }
+
+    /** @param deadlineMicros the read is not sent any more after this moment, and not queued if it can't be sent by then */
+    public void get(Urgency urgency, String key, long deadlineMicros, EntryCallback callback) {
+        submit(urgency, deadlineMicros, new Pending("GET", "/keys/" + key, null, 0, TIMEOUT_MICROS, (status, body) -> {
             if (status == 200) {
                 parsed(body, map -> callback.read(Result.OK, entry(map), 0),
                         () -> callback.read(Result.UNKNOWN, null, 0));
@@ -228,7 +252,13 @@
     }
 
     public void txn(Urgency urgency, List<Condition> conditions, List<Change> changes, TxnCallback callback) {
-        txn(urgency, conditions, changes, callback, null);
+        txn(urgency, NO_DEADLINE, conditions, changes, callback);
+    }
+
+    /** @param deadlineMicros it is not sent any more after this moment, and not queued if it can't be sent by then */
+    public void txn(Urgency urgency, long deadlineMicros, List<Condition> conditions, List<Change> changes,
+            TxnCallback callback) {
+        txn(urgency, deadlineMicros, conditions, changes, callback, null);
     }
 
     /**
@@ -238,10 +268,11 @@
      */
     public void txn(Urgency urgency, List<Condition> conditions, List<Change> changes, String proof, TxnCallback callback) {
         UnansweredTransaction unanswered = new UnansweredTransaction(this, urgency, conditions, changes, proof, callback);
-        txn(urgency, conditions, changes, unanswered, unanswered::look);
+        txn(urgency, NO_DEADLINE, conditions, changes, unanswered, unanswered::look);
     }
 
-    private void txn(Urgency urgency, List<Condition> conditions, List<Change> changes, TxnCallback callback, Runnable overdue) {
+    private void txn(Urgency urgency, long deadlineMicros, List<Condition> conditions, List<Change> changes,
+            TxnCallback callback, Runnable overdue) {
         List<Object> ifs = new ArrayList<>();
         for (Condition condition : conditions) {
             Map<String, Object> map = new LinkedHashMap<>();
@@ -256,7 +287,7 @@
         Map<String, Object> request = new LinkedHashMap<>();
         request.put("if", ifs);
         request.put("then", thens);
-        submit(urgency, new Pending("POST", "/txn", Cbor.encode(request), changes.size(), TIMEOUT_MICROS,
+        submit(urgency, deadlineMicros, new Pending("POST", "/txn", Cbor.encode(request), changes.size(), TIMEOUT_MICROS,
                 (status, body) -> {
                     if (status == 200) {
                         parsed(body, map -> callback.done(Result.OK, new Fields(map).integer("generation"), List.of()),
@@ -334,13 +365,32 @@
     }
 
     private void submit(Urgency urgency, Pending pending) {
-        if (!scheduler.add(urgency, pending, pending.writeCount)) {
-            loop.execute(() -> pending.callback.answered(HttpTransport.NOT_SENT, new byte[0]));
+        submit(urgency, NO_DEADLINE, pending);
+    }
+
+    private void submit(Urgency urgency, long deadlineMicros, Pending pending) {
+        long now = loop.nowMicros();
+        boolean comesTooLate = deadlineMicros != NO_DEADLINE
+                && scheduler.estimatedWaitMicros(now, urgency, pending.writeCount) > deadlineMicros - now;
+        if (comesTooLate || !scheduler.add(urgency, pending, pending.writeCount)) {
+            shed(pending);
             return;
         }
+        if (deadlineMicros != NO_DEADLINE) {
+            loop.schedule(Math.max(1, deadlineMicros - now), () -> {
+                if (!pending.sent[0] && scheduler.remove(urgency, pending, pending.writeCount)) {
+                    shed(pending);
+                }
+            });
+        }
         pump();
     }
 
+    private void shed(Pending pending) {
+        shed++;
+        loop.execute(() -> pending.callback.answered(HttpTransport.NOT_SENT, new byte[0]));
+    }
+
     private void pump() {
         long now = loop.nowMicros();
         boolean full = isFull(now, 0);
@@ -376,6 +426,7 @@
     }
 
     private void send(Pending pending) {
+        pending.sent[0] = true;
         InFlight.Sent sent = inFlight.send(loop.nowMicros());
         if (pending.overdue != null) {
             loop.schedule(OVERDUE_MICROS, () -> {
--- a/src/main/java/org/woadloom/state/WeightedQueues.java
+++ b/src/main/java/org/woadloom/state/WeightedQueues.java
@@ -11,24 +11,95 @@
  * burst, so that a few of their requests wait for nothing else; a lasting backlog of theirs gets its share and no more.
  */
 final class WeightedQueues<T> {
-    private final Map<Share, ArrayDeque<Item<T>>> queues = new EnumMap<>(Share.class);
+    private final Map<Share, Queue<T>> queues = new EnumMap<>(Share.class);
     private final Map<Share, Double> virtualTimes = new EnumMap<>(Share.class);
 
     private record Item<T>(T request, int cost) {
     }
 
+    /** One share's requests: the preferred ones before the others, and each in the order in which they came. */
+    private static final class Queue<T> {
+        final ArrayDeque<Item<T>> preferred = new ArrayDeque<>();
+        final ArrayDeque<Item<T>> ordinary = new ArrayDeque<>();
+        long preferredCost;
+        long ordinaryCost;
+
+        boolean isEmpty() {
+            return preferred.isEmpty() && ordinary.isEmpty();
+        }
+
+        int size() {
+            return preferred.size() + ordinary.size();
+        }
+
+        void add(Item<T> item, boolean isPreferred) {
+            (isPreferred ? preferred : ordinary).addLast(item);
+            count(item, isPreferred, 1);
+        }
+
+        private void count(Item<T> item, boolean isPreferred, int sign) {
+            if (isPreferred) {
+                preferredCost += (long) sign * item.cost();
+            } else {
+                ordinaryCost += (long) sign * item.cost();
+            }
+        }
+
+        Item<T> first() {
+            return preferred.isEmpty() ? ordinary.peekFirst() : preferred.peekFirst();
+        }
+
+        Item<T> takeFirst() {
+            boolean isPreferred = !preferred.isEmpty();
+            Item<T> item = isPreferred ? preferred.pollFirst() : ordinary.pollFirst();
+            count(item, isPreferred, -1);
+            return item;
+        }
+
+        boolean remove(T request, boolean isPreferred) {
+            return (isPreferred ? preferred : ordinary).removeIf(item -> {
+                boolean same = item.request() == request;
+                if (same) {
+                    count(item, isPreferred, -1);
+                }
+                return same;
+            });
+        }
+    }
+
     WeightedQueues() {
         for (Share share : Share.values()) {
-            queues.put(share, new ArrayDeque<>());
+            queues.put(share, new Queue<>());
             virtualTimes.put(share, 0.0);
         }
     }
 
-    void add(Share share, T request, int cost) {
+    /** @param isPreferred goes before those of its share that are not */
+    void add(Share share, T request, int cost, boolean isPreferred) {
         if (queues.get(share).isEmpty()) {
             joinAgain(share);
         }
-        queues.get(share).addLast(new Item<>(request, Math.max(1, cost)));
+        queues.get(share).add(new Item<>(request, Math.max(1, cost)), isPreferred);
+    }
+
+    /** Takes out what is not to be sent any more; false if it is not here. */
+    boolean remove(Share share, T request, boolean isPreferred) {
+        return queues.get(share).remove(request, isPreferred);
+    }
+
+    /** The cost of what a request that comes now would wait for in its own queue. */
+    long costBefore(Share share, boolean isPreferred) {
+        Queue<T> queue = queues.get(share);
+        return queue.preferredCost + (isPreferred ? 0 : queue.ordinaryCost);
+    }
+
+    /** The part of the rate that a share gets while it and all that wait now do. */
+    double partOf(Share asked) {
+        int sum = 0;
+        for (Share share : Share.values()) {
+            sum += share == asked || !queues.get(share).isEmpty() ? share.weight() : 0;
+        }
+        return (double) asked.weight() / sum;
     }
 
     /** Whoever asked for nothing has saved up nothing. */
@@ -67,12 +138,13 @@
         return virtualTimes.get(share) - ahead;
     }
 
-    T peek(Share share) {
-        return queues.get(share).peekFirst().request();
+    /** What the first request of a share costs. */
+    int costOfFirst(Share share) {
+        return queues.get(share).first().cost();
     }
 
     T take(Share share) {
-        Item<T> item = queues.get(share).pollFirst();
+        Item<T> item = queues.get(share).takeFirst();
         virtualTimes.merge(share, (double) item.cost() / share.weight(), Double::sum);
         return item.request();
     }
--- a/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
+++ b/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
@@ -326,4 +326,20 @@
         long longest = leader.recordWaits.stream().mapToLong(Long::longValue).max().orElse(0);
         assertTrue(longest <= SECOND, "a record waited for " + longest + " us");
     }
+
+    /** Yes or no: nobody is kept waiting for longer than users wait, and the store's rate is used. */
+    @Test
+    void everySubmissionIsAnsweredInTime() {
+        start();
+        users(62 * SECOND, SUBMISSIONS_PER_SECOND);
+        sim.run(62 * SECOND);
+        long begun = submissions.size();
+        sim.run(68 * SECOND);
+        List<Submission> all = submissions.subList(0, (int) begun);
+        assertEquals(0, all.stream().filter(one -> one.tookMicros > USER_TIMEOUT).count(), "late of " + begun);
+        assertTrue(all.stream().allMatch(one -> one.status == 201 || one.status == 200 || one.status == 503));
+        int[] stored = store.count("job/", value -> true);
+        assertTrue(stored[0] >= 60 * 40, stored[0] + " jobs were accepted");
+        assertTrue(all.stream().anyMatch(one -> one.status == 503));
+    }
 }
--- a/src/test/java/org/woadloom/sim/StateClientTest.java
+++ b/src/test/java/org/woadloom/sim/StateClientTest.java
@@ -74,6 +74,23 @@
         assertEquals(List.of("/keys/held back for a moment"), sent);
     }
 
+    /** What can't be sent in time is refused at once, and what waited too long is not sent: its user has given up. */
+    @Test
+    void whatComesTooLateIsNotSent() {
+        List<Long> refused = new ArrayList<>();
+        for (int i = 0; i < 300; i++) {
+            client.txn(Urgency.USER, sim.now() + 4_000_000, List.of(), List.of(Change.put("key", Map.of())),
+                    (result, generation, failed) -> refused.add(sim.now()));
+        }
+        run(1_000);
+        assertTrue(refused.size() > 100 && refused.size() < 200, refused.size() + " were refused at once");
+        assertEquals(refused.size(), client.shed());
+        run(10_000_000);
+        assertEquals(300, refused.size(), "each is answered");
+        assertEquals(300 - client.shed(), sent.size());
+        assertTrue(refused.stream().allMatch(at -> at <= 4_100_000));
+    }
+
     // Single answers that are lost.
 
     private final StateStandIn store = new StateStandIn(sim, LIMITS);
--- a/src/test/java/org/woadloom/sim/UserWritesTest.java
+++ b/src/test/java/org/woadloom/sim/UserWritesTest.java
@@ -41,6 +41,7 @@
     private long carriedOutAfter;
     private int lost;
     private int reads;
+    private int transactions;
     private final Map<String, Integer> hints = new LinkedHashMap<>();
     private List<MachineType> types = List.of(TYPE);
     /** What the cloud would say, null in an outage of it. */
@@ -100,6 +101,7 @@
         boolean none = path.equals("/txn") && random.nextInt(100) < unanswered;
         lost += none ? 1 : 0;
         reads += method.equals("GET") ? 1 : 0;
+        transactions += path.equals("/txn") ? 1 : 0;
         if (!none || carriedOutAfter >= 0) {
             sim.after(none ? 3_000 + carriedOutAfter : 3_000, () -> handle(method, path, body, (status, map) -> sim.after(2_000, () -> {
                 if (!none) {
@@ -235,4 +237,33 @@
         assertEquals(422, refused.response.status());
         assertEquals(2, typesRead, "one reading serves both");
     }
+
+    /** Who tries again while the first write is under way costs no second one: changes are scarce. */
+    @Test
+    void triesOfOneJobShareOneWrite() {
+        List<Asked> submitted = List.of(submit(job(1)), submit(job(1)), submit(job(1)));
+        sim.run(sim.now() + 1_000_000);
+        submitted.forEach(one -> assertEquals(List.of(201, 1), List.of(one.response.status(), one.answers)));
+        assertEquals(1, transactions);
+        List<Asked> cancelled = new ArrayList<>();
+        for (int i = 0; i < 3; i++) {
+            cancelled.add(ask(submitted.get(0).uid, answer -> api.cancel(submitted.get(0).uid, answer)));
+        }
+        sim.run(sim.now() + 1_000_000);
+        cancelled.forEach(one -> assertEquals(List.of(200, 1), List.of(one.response.status(), one.answers)));
+        assertEquals(2, transactions);
+    }
+
+    /** A write that is sent, and whose answer never comes, is not waited for longer than its user does. */
+    @Test
+    void everybodyIsAnsweredInTime() {
+        unanswered = 100;
+        carriedOutAfter = -1;
+        Asked first = submit(job(1));
+        sim.run(sim.now() + 3_000_000);
+        Asked joined = submit(job(1));
+        sim.run(sim.now() + 6_000_000);
+        assertEquals(List.of(503, 503), List.of(first.response.status(), joined.response.status()));
+        assertTrue(first.tookMicros < 5_000_000 && joined.tookMicros < 5_000_000);
+    }
 }
--- a/src/test/java/org/woadloom/state/RequestSchedulerTest.java
+++ b/src/test/java/org/woadloom/state/RequestSchedulerTest.java
@@ -107,4 +107,36 @@
         add(Urgency.NORMAL, 1_000, 1);
         assertTrue(counts(sentWithin(10 * SECOND)).get(Urgency.URGENT) >= 7);
     }
+
+    /** A cancellation frees what others wait for. */
+    @Test
+    void cancellationsGoBeforeSubmissions() {
+        add(Urgency.USER, 1_000, 1);
+        sentWithin(SECOND);
+        add(Urgency.CANCELLATION, 10, 1);
+        assertEquals(Map.of(Urgency.CANCELLATION, 10), counts(sentWithin(SECOND).subList(0, 10)));
+    }
+
+    @Test
+    void theEstimateIsWhatIsWaitedFor() {
+        add(Urgency.URGENT, 4_000, 1);
+        add(Urgency.USER, 100, 1);
+        sentWithin(2 * SECOND);
+        add(Urgency.USER, 60, 1);
+        long estimated = scheduler.estimatedWaitMicros(now, Urgency.USER, 1);
+        assertTrue(estimated > scheduler.estimatedWaitMicros(now, Urgency.CANCELLATION, 1));
+        add(Urgency.USER, 1, 1);
+        long from = now;
+        while (scheduler.estimatedWaitMicros(now, Urgency.USER, 1) > 60_000 && now - from < 20 * SECOND) {
+            sentWithin(10_000);
+        }
+        assertEquals(estimated, now - from, 0.2 * estimated);
+    }
+
+    @Test
+    void whatWasTakenOutIsNotSent() {
+        add(Urgency.USER, 3, 1);
+        assertTrue(scheduler.remove(Urgency.USER, Urgency.USER, 1));
+        assertEquals(List.of(), sentWithin(SECOND));
+    }
 }
