--- a/src/main/java/org/woadloom/http/JobApi.java
+++ b/src/main/java/org/woadloom/http/JobApi.java
@@ -214,7 +214,18 @@
 
     /** Users who try again while the first write is queued or under way share it. */
     private void create(JobDescription job, long until, Consumer<Response> answer) {
-        submissions.share(job, loop.nowMicros(), until, answer, whole -> createOnce(job, until, whole));
+        submissions.share(job, loop.nowMicros(), until, answer, early -> createdBefore(job.uid(), early, until, answer),
+                whole -> createOnce(job, until, whole));
+    }
+
+    /** What was told of another's submission may be out of date: the job may be cancelled since. It is read again. */
+    private void createdBefore(String uid, Response early, long until, Consumer<Response> answer) {
+        if (early.status() == 503) {
+            answer.accept(early);
+        } else {
+            boolean accepted = early.status() / 100 == 2;
+            refuseUnlessKnown(uid, accepted ? Response.unavailable("the job changed meanwhile") : early, until, answer);
+        }
     }
 
     private void createOnce(JobDescription job, long until, Consumer<Response> answer) {
@@ -303,10 +314,20 @@
             return;
         }
         long until = loop.nowMicros() + PATIENCE_MICROS;
-        cancellations.share(uid, loop.nowMicros(), until, timed("a cancellation", answer),
+        Consumer<Response> told = timed("a cancellation", answer);
+        cancellations.share(uid, loop.nowMicros(), until, told, early -> cancelledBefore(uid, early, until, told),
                 whole -> cancel(uid, MAX_CANCEL_TRIES, until, whole));
     }
 
+    /** That it is over is true for ever; that it is unknown may not be true any more. */
+    private void cancelledBefore(String uid, Response early, long until, Consumer<Response> answer) {
+        if (early.status() == 200 || early.status() == 503) {
+            answer.accept(early);
+        } else {
+            cancel(uid, MAX_CANCEL_TRIES, until, answer);
+        }
+    }
+
     /**
      * Tells a user of a job's status: of a cancellation not before that is safe, and of a job that waits for others not if
      * one of them is cancelled. Its own cancellation is the leader's to write, which may have been without the state service
