--- a/src/main/java/org/woadloom/node/Node.java
+++ b/src/main/java/org/woadloom/node/Node.java
@@ -205,6 +205,7 @@
         metrics.gauge("woadloom.leader", election, e -> e.leads() ? 1 : 0);
         metrics.gauge("woadloom.term", election, Election::knownTerm);
         metrics.gauge("woadloom.state.troubles", state, StateClient::troubles);
+        metrics.gauge("woadloom.state.shed", state, StateClient::shed);
         metrics.gauge("woadloom.jobs", core, Core::jobs);
         metrics.gauge("woadloom.machines", core, Core::machines);
         metrics.gauge("woadloom.machines.deaf", core, Core::deafMachines);
@@ -251,7 +252,7 @@
         }
         if (!probing) {
             probing = true;
-            state.get(Urgency.URGENT, Keys.LEADER, (result, entry, generation) -> probing = false);
+            state.get(Urgency.CONTROL, Keys.LEADER, (result, entry, generation) -> probing = false);
         }
         if (!inTouch && care.mayCare()) {
             parked.release();
--- a/src/main/java/org/woadloom/reads/SharedReads.java
+++ b/src/main/java/org/woadloom/reads/SharedReads.java
@@ -33,12 +33,22 @@
     /** The part of the service's requests that the rounds of all nodes together may take. */
     private static final double PART = 0.1;
     private static final long LEAST_PAUSE_MICROS = 100_000;
-    /** So many changes are read at most after a gap, as all of them come in one answer. */
+    /**
+     * So many changes are read at most after a gap, as all of them come in one answer and are on the heap together. It bounds
+     * how long a gap may be, and not how many jobs there are.
+     */
     private static final double MOST_CHANGES = 1_500;
     private static final long LEAST_GAP_MICROS = 3_000_000;
     private static final long SLOW_MICROS = 400_000;
     private static final int MOST_UNDER_WAY = 4;
-    private static final int MOST_REMEMBERED = 4_000;
+    /** Users who poll wait 2 s: what would be read by key only after this comes too late for them. */
+    private static final long PATIENCE_MICROS = 1_800_000;
+    /**
+     * Users of each job ask every node in turn, so a node is asked for every open job; what is forgotten is read again by key,
+     * at a few tens a second. 4,000 machines have some 12,000 open jobs. A job takes 225 bytes of heap here (measured), and
+     * 1.7 KB more from its change until it is asked for again: 3.6 MB for 16,000, as few change within a poll's five seconds.
+     */
+    private static final int MOST_REMEMBERED = 16_000;
 
     /** What a user is told of a job. The status is null for one that was never accepted. */
     public record Shown(JobStatus status, List<String> awaits) {
@@ -48,7 +58,7 @@
         }
     }
 
-    private record Question(long number, String uid, Consumer<Shown> answer) {
+    private record Question(long number, long askedMicros, String uid, Consumer<Shown> answer) {
     }
 
     /** A job as of the last round: read already, or as the store gave it. */
@@ -114,7 +124,7 @@
             answer.accept(Shown.of(known));
             return;
         }
-        asked.add(new Question(++lastAsked, uid, answer));
+        asked.add(new Question(++lastAsked, loop.nowMicros(), uid, answer));
         lookSoon();
     }
 
@@ -291,7 +301,7 @@
         read = new Reading();
         reading.put(question.uid, read);
         read.waiting.add(question.answer);
-        read(question.uid, read);
+        read(question.uid, read, question.askedMicros + PATIENCE_MICROS);
     }
 
     private Shown remembered(String uid) {
@@ -304,14 +314,14 @@
         return job == null ? null : job.shown;
     }
 
-    private void read(String uid, Reading read) {
-        reader.look(uid, over.getIfPresent(uid) != null, looked -> {
+    private void read(String uid, Reading read, long deadlineMicros) {
+        reader.look(uid, over.getIfPresent(uid) != null, deadlineMicros, looked -> {
             Looked latest = looked;
             if (looked != null && looked.finalState() == null && read.latest != null
                     && read.latest.stamp() > looked.stamp()) {
                 if (read.latest.value() == null) {
                     read.latest = null;
-                    read(uid, read);
+                    read(uid, read, deadlineMicros);
                     return;
                 }
                 latest = reader.parse(uid, read.latest.value(), read.latest.stamp());
--- a/src/main/java/org/woadloom/state/StateClient.java
+++ b/src/main/java/org/woadloom/state/StateClient.java
@@ -1,8 +1,6 @@
 package org.woadloom.state;
 
-import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.EnumMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -15,16 +13,39 @@
 import org.woadloom.wire.WireException;
 
 /**
- * The state service's protocol. Requests wait in queues by urgency, under budgets that stay below the service's limits; a
- * 429 or 503 holds everything but the most urgent back for a moment, with jitter. Changes have a budget of their own, and
- * reads pass by changes that wait for it: a leader changes as much as it may for minutes, and users poll it all the while.
+ * The state service's protocol. A {@link RequestScheduler} says which request is sent next, under rates that stay below the
+ * service's limits; a 429 or 503 holds everything but the most urgent back for a moment, with jitter.
  *
  * <p>Single answers get lost while the service goes on serving. A request that later ones have overtaken holds up nobody, and
  * says nothing about the service.
  */
 public final class StateClient {
-    /** Requests of a lower urgency wait while one of a higher is queued. */
-    public enum Urgency { USER, URGENT, NORMAL, BACKGROUND }
+    /** How much a request matters; {@link Share} says what each gets while others wait. */
+    public enum Urgency {
+        /** Elections, renewals of the leader's key and proofs of leadership: before everything else. */
+        CONTROL(null),
+        /** A user's cancellation, which goes before other users' requests: it frees what they wait for. */
+        CANCELLATION(Share.USERS),
+        /** A user waits for it. */
+        USER(Share.USERS),
+        URGENT(Share.URGENT),
+        NORMAL(Share.NORMAL),
+        BACKGROUND(Share.BACKGROUND);
+
+        private final Share share;
+
+        Urgency(Share share) {
+            this.share = share;
+        }
+
+        Share share() {
+            return share;
+        }
+
+        boolean isPreferred() {
+            return this == CANCELLATION;
+        }
+    }
 
     public enum Result { OK, NOT_FOUND, CONFLICT, BAD, UNAVAILABLE, UNKNOWN }
 
@@ -95,7 +116,15 @@
     private static final int MAX_IN_FLIGHT = 12;
     /** With those that most likely get no answer any more. */
     private static final int MAX_UNANSWERED = 36;
-    private static final int MAX_QUEUED = 2_000;
+    /** Stands for a request that may wait for its turn as long as it takes. */
+    public static final long NO_DEADLINE = Long.MAX_VALUE;
+    /** Places in flight for control requests alone: others may hang until their time-out. */
+    private static final int CONTROL_IN_FLIGHT = 6;
+    /**
+     * Entries of a list's page: a takeover reads 12,000 jobs in 24 pages, one after another. The store gives at most 1,000, or
+     * 512 KiB, which would all be on the heap together.
+     */
+    private static final int PAGE_ENTRIES = 500;
     private static final long TIMEOUT_MICROS = 2_000_000;
     private static final long WATCH_GRACE_MICROS = 2_000_000;
     /** Most answers take less than 10 ms, and now and then a few hundred. */
@@ -113,21 +142,24 @@
     private final Limits limits;
     private boolean leads;
     private final int others;
-    private final Budget requests;
-    private final Budget writes;
-    private final EnumMap<Urgency, ArrayDeque<Pending>> reads = new EnumMap<>(Urgency.class);
-    private final EnumMap<Urgency, ArrayDeque<Pending>> changes = new EnumMap<>(Urgency.class);
+    private final RequestScheduler<Pending> scheduler = new RequestScheduler<>();
     private final InFlight inFlight = new InFlight();
     private long heldUntilMicros;
     /** When it looks again by itself, {@link Long#MAX_VALUE} for never. */
     private long wakeMicros = Long.MAX_VALUE;
     private long troubles;
+    private long shed;
     private boolean refuses;
     private final Health health;
 
     /** @param overdue is run when there is no answer after a while; null for most requests */
     private record Pending(String method, String path, byte[] body, int writeCount, long timeoutMicros,
-            HttpTransport.Callback callback, Runnable overdue) {
+            HttpTransport.Callback callback, Runnable overdue, boolean[] sent) {
+        Pending(String method, String path, byte[] body, int writeCount, long timeoutMicros, HttpTransport.Callback callback,
+                Runnable overdue) {
+            this(method, path, body, writeCount, timeoutMicros, callback, overdue, new boolean[1]);
+        }
+
         Pending(String method, String path, byte[] body, int writeCount, long timeoutMicros, HttpTransport.Callback callback) {
             this(method, path, body, writeCount, timeoutMicros, callback, null);
         }
@@ -142,13 +174,7 @@
         this.address = settings.stateAddress();
         this.limits = limits;
         this.others = Math.max(1, settings.peers().size());
-        this.requests = new Budget(1);
-        this.writes = new Budget(1);
         lead(false);
-        for (Urgency urgency : Urgency.values()) {
-            reads.put(urgency, new ArrayDeque<>());
-            changes.put(urgency, new ArrayDeque<>());
-        }
     }
 
     /** Sets this node's part of the service's limits: what one node leaves is there for the others. */
@@ -163,8 +189,8 @@
     }
 
     private void pace(long now) {
-        requests.rate(now, limits.requestRate(now) * (leads ? LEADER_REQUESTS : OTHERS_REQUESTS / others));
-        writes.rate(now, writesPerSecond());
+        double requestsPerSecond = limits.requestRate(now) * (leads ? LEADER_REQUESTS : OTHERS_REQUESTS / others);
+        scheduler.rates(now, requestsPerSecond, writesPerSecond());
     }
 
     /** Answers of the kind 429 or 503, or none at all, counted for the metrics. */
@@ -177,8 +203,18 @@
         return refuses;
     }
 
+    /** Requests that were not sent, as whoever had asked for them would not have waited for so long. */
+    public long shed() {
+        return shed;
+    }
+
     public void get(Urgency urgency, String key, EntryCallback callback) {
-        submit(urgency, new Pending("GET", "/keys/" + key, null, 0, TIMEOUT_MICROS, (status, body) -> {
+        get(urgency, key, NO_DEADLINE, callback);
+    }
+
+    /** @param deadlineMicros the read is not sent any more after this moment, and not queued if it can't be sent by then */
+    public void get(Urgency urgency, String key, long deadlineMicros, EntryCallback callback) {
+        submit(urgency, deadlineMicros, new Pending("GET", "/keys/" + key, null, 0, TIMEOUT_MICROS, (status, body) -> {
             if (status == 200) {
                 parsed(body, map -> callback.read(Result.OK, entry(map), 0),
                         () -> callback.read(Result.UNKNOWN, null, 0));
@@ -198,7 +234,7 @@
 
     private void listPage(Urgency urgency, String prefix, String since, List<Entry> found, long generation,
             ListCallback callback) {
-        String path = "/keys?prefix=" + prefix + (since == null ? "" : "&since=" + since) + "&most=200";
+        String path = "/keys?prefix=" + prefix + (since == null ? "" : "&since=" + since) + "&most=" + PAGE_ENTRIES;
         submit(urgency, new Pending("GET", path, null, 0, TIMEOUT_MICROS * 2, (status, body) -> {
             if (status != 200) {
                 callback.read(failure(status), List.of(), 0);
@@ -221,7 +257,13 @@
     }
 
     public void txn(Urgency urgency, List<Condition> conditions, List<Change> changes, TxnCallback callback) {
-        txn(urgency, conditions, changes, callback, null);
+        txn(urgency, NO_DEADLINE, conditions, changes, callback);
+    }
+
+    /** @param deadlineMicros it is not sent any more after this moment, and not queued if it can't be sent by then */
+    public void txn(Urgency urgency, long deadlineMicros, List<Condition> conditions, List<Change> changes,
+            TxnCallback callback) {
+        txn(urgency, deadlineMicros, conditions, changes, callback, null);
     }
 
     /**
@@ -231,10 +273,11 @@
      */
     public void txn(Urgency urgency, List<Condition> conditions, List<Change> changes, String proof, TxnCallback callback) {
         UnansweredTransaction unanswered = new UnansweredTransaction(this, urgency, conditions, changes, proof, callback);
-        txn(urgency, conditions, changes, unanswered, unanswered::look);
+        txn(urgency, NO_DEADLINE, conditions, changes, unanswered, unanswered::look);
     }
 
-    private void txn(Urgency urgency, List<Condition> conditions, List<Change> changes, TxnCallback callback, Runnable overdue) {
+    private void txn(Urgency urgency, long deadlineMicros, List<Condition> conditions, List<Change> changes,
+            TxnCallback callback, Runnable overdue) {
         List<Object> ifs = new ArrayList<>();
         for (Condition condition : conditions) {
             Map<String, Object> map = new LinkedHashMap<>();
@@ -249,7 +292,7 @@
         Map<String, Object> request = new LinkedHashMap<>();
         request.put("if", ifs);
         request.put("then", thens);
-        submit(urgency, new Pending("POST", "/txn", Cbor.encode(request), changes.size(), TIMEOUT_MICROS,
+        submit(urgency, deadlineMicros, new Pending("POST", "/txn", Cbor.encode(request), changes.size(), TIMEOUT_MICROS,
                 (status, body) -> {
                     if (status == 200) {
                         parsed(body, map -> callback.done(Result.OK, new Fields(map).integer("generation"), List.of()),
@@ -263,10 +306,11 @@
                 }, overdue));
     }
 
+    /** A lease on which keys of this node's process hang: the leader's, and its word. */
     public void grant(long lifeMicros, GrantCallback callback) {
         Map<String, Object> request = new LinkedHashMap<>();
         request.put("lifeMs", lifeMicros / 1000);
-        submit(Urgency.URGENT, new Pending("POST", "/grants", Cbor.encode(request), 0, TIMEOUT_MICROS,
+        submit(Urgency.CONTROL, new Pending("POST", "/grants", Cbor.encode(request), 0, TIMEOUT_MICROS,
                 (status, body) -> {
                     if (status == 200) {
                         parsed(body, map -> callback.granted(Result.OK, new Fields(map).integer("hold")),
@@ -278,7 +322,7 @@
     }
 
     public void renew(long grant, GrantCallback callback) {
-        submit(Urgency.URGENT, new Pending("POST", "/grants/" + grant + "/renew", Cbor.encode(Map.of()), 0,
+        submit(Urgency.CONTROL, new Pending("POST", "/grants/" + grant + "/renew", Cbor.encode(Map.of()), 0,
                 TIMEOUT_MICROS, (status, body) -> callback.granted(status == 200 ? Result.OK : failure(status), grant)));
     }
 
@@ -326,56 +370,51 @@
     }
 
     private void submit(Urgency urgency, Pending pending) {
-        ArrayDeque<Pending> queue = (pending.writeCount > 0 ? changes : reads).get(urgency);
-        if (queue.size() >= MAX_QUEUED) {
-            loop.execute(() -> pending.callback.answered(HttpTransport.NOT_SENT, new byte[0]));
+        submit(urgency, NO_DEADLINE, pending);
+    }
+
+    private void submit(Urgency urgency, long deadlineMicros, Pending pending) {
+        long now = loop.nowMicros();
+        boolean comesTooLate = deadlineMicros != NO_DEADLINE
+                && scheduler.estimatedWaitMicros(now, urgency, pending.writeCount) > deadlineMicros - now;
+        if (comesTooLate || !scheduler.add(urgency, pending, pending.writeCount)) {
+            shed(pending);
             return;
         }
-        queue.addLast(pending);
+        if (deadlineMicros != NO_DEADLINE) {
+            loop.schedule(Math.max(1, deadlineMicros - now), () -> {
+                if (!pending.sent[0] && scheduler.remove(urgency, pending, pending.writeCount)) {
+                    shed(pending);
+                }
+            });
+        }
         pump();
     }
 
+    private void shed(Pending pending) {
+        shed++;
+        loop.execute(() -> pending.callback.answered(HttpTransport.NOT_SENT, new byte[0]));
+    }
+
     private void pump() {
         long now = loop.nowMicros();
-        while (inFlight.size() < MAX_UNANSWERED && inFlight.awaited(now) < MAX_IN_FLIGHT) {
+        boolean full = isFull(now, 0);
+        while (!full || scheduler.controlWaits() && !isFull(now, CONTROL_IN_FLIGHT)) {
             pace(now);
-            Pending next = next(now);
-            if (next == null) {
+            RequestScheduler.Turn<Pending> turn = scheduler.next(now, full, heldUntilMicros - now);
+            if (turn.request() == null) {
+                if (turn.waitMicros() < Long.MAX_VALUE) {
+                    wakeAfter(turn.waitMicros());
+                }
                 return;
             }
-            requests.take(now, 1);
-            writes.take(now, next.writeCount);
-            send(next);
+            send(turn.request());
+            full = isFull(now, 0);
         }
     }
 
-    /** Takes the first request that may be sent now out of its queue. Where all must wait, it looks again in time. */
-    private Pending next(long now) {
-        long request = requests.waitMicros(now, 1);
-        long wait = Long.MAX_VALUE;
-        boolean changeWaits = false;
-        for (Urgency urgency : Urgency.values()) {
-            long held = urgency.compareTo(Urgency.URGENT) > 0 ? Math.max(request, heldUntilMicros - now) : request;
-            Pending change = changeWaits ? null : changes.get(urgency).peekFirst();
-            if (change != null) {
-                long needed = Math.max(held, writes.waitMicros(now, change.writeCount));
-                if (needed <= 0) {
-                    return changes.get(urgency).pollFirst();
-                }
-                changeWaits = true;
-                wait = Math.min(wait, needed);
-            }
-            if (!reads.get(urgency).isEmpty()) {
-                if (held <= 0) {
-                    return reads.get(urgency).pollFirst();
-                }
-                wait = Math.min(wait, held);
-            }
-        }
-        if (wait < Long.MAX_VALUE) {
-            wakeAfter(wait);
-        }
-        return null;
+    private boolean isFull(long now, int more) {
+        return inFlight.size() >= MAX_UNANSWERED + more || inFlight.awaited(now) >= MAX_IN_FLIGHT + more;
     }
 
     private void wakeAfter(long micros) {
@@ -392,6 +431,7 @@
     }
 
     private void send(Pending pending) {
+        pending.sent[0] = true;
         InFlight.Sent sent = inFlight.send(loop.nowMicros());
         if (pending.overdue != null) {
             loop.schedule(OVERDUE_MICROS, () -> {
