--- a/src/main/java/org/woadloom/cloud/CloudClient.java
+++ b/src/main/java/org/woadloom/cloud/CloudClient.java
@@ -22,6 +22,7 @@
 public final class CloudClient {
     private static final long TIMEOUT_MICROS = 8_000_000;
     private static final double SHARE_OF_LIMIT = 0.8;
+    /** The cloud's bound: nine calls list 4,000 machines. */
     private static final int PAGE = 500;
 
     private final Loop loop;
--- a/src/main/java/org/woadloom/core/cancellation/ToldCancellations.java
+++ b/src/main/java/org/woadloom/core/cancellation/ToldCancellations.java
@@ -21,6 +21,10 @@
     private static final long SILENT_MICROS = 1_000_000;
     /** While the leader has not taken in for so long what somebody waits to be told of, it gets no new promise. */
     private static final long LONG_MICROS = 700_000;
+    /**
+     * Only what the leader has not taken in yet is sent, and it answers within a second: more cancellations than the state
+     * service takes in that time, whatever the fleet. Beyond the bound the vouch says from when on it is complete.
+     */
     private static final int MOST_KEPT = 2_000;
     private static final long NEVER = Long.MIN_VALUE / 4;
     /** Before every term, also that of a node that knows of none. */
--- a/src/main/java/org/woadloom/core/capacity/Capacity.java
+++ b/src/main/java/org/woadloom/core/capacity/Capacity.java
@@ -26,7 +26,9 @@
 
 /** Rents machines for work that finds no room, and returns those that are idle. */
 public final class Capacity {
+    /** Machines of one claim: the cloud's bound. */
     private static final int MAX_COUNT = 50;
+    /** Claims under way; the cloud's rate of calls is below what they would allow, whatever the fleet. */
     private static final int MAX_CLAIMS = 4;
     private static final long REVIEW_MICROS = 500_000;
     private static final long NO_CAPACITY_MICROS = 15_000_000;
--- a/src/main/java/org/woadloom/core/machines/Contact.java
+++ b/src/main/java/org/woadloom/core/machines/Contact.java
@@ -16,7 +16,9 @@
  * which that controller then can't help hearing of.
  */
 public final class Contact {
-    private static final int MOST_PROBES = 16;
+    /** As many at a time in any fleet, and one more for each so many machines, within the sockets for direct commands. */
+    private static final int MIN_PROBES = 16;
+    private static final int MACHINES_PER_PROBE = 64;
 
     private final World world;
     private final Losses losses;
@@ -82,12 +84,13 @@
     }
 
     private void probe(List<Machine> silent) {
-        if (silent.isEmpty() || probed.size() >= MOST_PROBES) {
+        int maxProbes = Math.max(MIN_PROBES, world.machines.size() / MACHINES_PER_PROBE);
+        if (silent.isEmpty() || probed.size() >= maxProbes) {
             return;
         }
         silent.sort(Comparator.comparingLong((Machine machine) -> machine.probedMicros));
         for (Machine machine : silent) {
-            if (probed.size() >= MOST_PROBES || world.nowMicros - machine.probedMicros < world.settings.leaseMicros() / 2) {
+            if (probed.size() >= maxProbes || world.nowMicros - machine.probedMicros < world.settings.leaseMicros() / 2) {
                 return;
             }
             if (machine.sendInFlight == 0 && machine.directWorks(world.nowMicros)) {
--- a/src/main/java/org/woadloom/core/machines/MachineTable.java
+++ b/src/main/java/org/woadloom/core/machines/MachineTable.java
@@ -16,6 +16,7 @@
 public final class MachineTable {
     private static final long RETRY_MICROS = 300_000;
     private static final long DELETE_RETRY_MICROS = 2_000_000;
+    /** Machines of one deletion: the cloud's bound. */
     private static final int MAX_DELETE = 100;
     /** The deletion of a machine with work on it is the proof that the work is gone, so it waits for no other. */
     private static final int MOST_DELETIONS = 2;
--- a/src/main/java/org/woadloom/core/served/LargestJobs.java
+++ b/src/main/java/org/woadloom/core/served/LargestJobs.java
@@ -12,7 +12,8 @@
 /** What became of the largest tenth of each class's jobs: whoever serves only small ones looks well on average. */
 final class LargestJobs {
     private static final double PART = 0.1;
-    private static final int MOST_KEPT = 2_000;
+    /** About 12,000 jobs are open at 4,000 machines, and all may be of one class; the report is of the latest. */
+    private static final int MOST_KEPT = 12_000;
     private static final long BEGIN_MICROS = 240_000_000;
 
     private final Map<String, Map<String, Entry>> byClass = new TreeMap<>();
--- a/src/main/java/org/woadloom/node/CommandQueue.java
+++ b/src/main/java/org/woadloom/node/CommandQueue.java
@@ -4,6 +4,7 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
+import java.util.concurrent.atomic.AtomicLong;
 import org.agrona.concurrent.ManyToOneConcurrentLinkedQueue;
 import org.woadloom.core.Command;
 import org.woadloom.core.Core;
@@ -27,6 +28,7 @@
     private final int mostRepeatable;
     private final ManyToOneConcurrentLinkedQueue<Command> queue = new ManyToOneConcurrentLinkedQueue<>();
     private final AtomicInteger repeatable = new AtomicInteger();
+    private final AtomicLong refused = new AtomicLong();
     private final AtomicBoolean scheduled = new AtomicBoolean();
     private volatile long notBeforeMicros = Long.MIN_VALUE / 2;
 
@@ -54,12 +56,18 @@
     public boolean offer(Command.Report report) {
         if (repeatable.incrementAndGet() > mostRepeatable) {
             repeatable.decrementAndGet();
+            refused.incrementAndGet();
             return false;
         }
         add(report);
         return true;
     }
 
+    /** Reports that were refused because too many waited, since the process began. */
+    long refused() {
+        return refused.get();
+    }
+
     private void wake() {
         if (scheduled.compareAndSet(false, true)) {
             long wait = notBeforeMicros - loop.nowMicros();
--- a/src/main/java/org/woadloom/node/Letters.java
+++ b/src/main/java/org/woadloom/node/Letters.java
@@ -17,7 +17,7 @@
 final class Letters {
     private static final String ITEMS = "items";
     /** What a list may be at most when it is read: far more than any value holds, so that none fills the memory. */
-    private static final int MOST_BYTES = 512 * 1024;
+    static final int MOST_BYTES = 512 * 1024;
 
     private Letters() {
     }
--- a/src/main/java/org/woadloom/node/Mailbox.java
+++ b/src/main/java/org/woadloom/node/Mailbox.java
@@ -39,7 +39,13 @@
     private static final long RETRY_MICROS = 300_000;
     /** A letter that lay here for longer, by clocks that are apart a little, is of the past: nobody waits for its answers. */
     private static final long STALE_MICROS = 10_000_000;
+    /**
+     * Letters under way. With more reports they get fuller rather than more, up to the value limit, and each slot is used
+     * again as soon as it is answered. Must not grow before every version in use ignores slots that it does not know.
+     */
     private static final int SLOTS = 8;
+    /** Packed letters are read up to this length: what is longer goes in the next one. */
+    private static final int MAX_PLAIN_BYTES = Letters.MOST_BYTES / 2;
     private static final String REPORTS = "reports";
     private static final String ANSWERS = "answers";
     private static final String PACKED = "packed-";
@@ -157,7 +163,8 @@
         int most = limits.valueBytesNow() / (packs() ? 1 : 2);
         List<Parcel> parcels = new ArrayList<>();
         int plain = 0;
-        while (!outgoing.isEmpty() && (reports.isEmpty() || size + room(outgoing.peekFirst().size) <= most)) {
+        while (!outgoing.isEmpty() && (reports.isEmpty() || size + room(outgoing.peekFirst().size) <= most
+                && plain + outgoing.peekFirst().size <= MAX_PLAIN_BYTES)) {
             Parcel parcel = outgoing.pollFirst();
             size += room(parcel.size);
             plain += parcel.size;
@@ -230,7 +237,7 @@
     }
 
     private void free(int slot, long id) {
-        if (letters[slot] == id) {
+        if (slot >= 0 && slot < SLOTS && letters[slot] == id) {
             letters[slot] = 0;
         }
     }
@@ -384,7 +391,7 @@
         Map<String, Object> value = new LinkedHashMap<>();
         value.put("id", id);
         fill(value, ANSWERS, answers);
-        while (Cbor.jsonSize(value) > limits.valueBytesNow() && !answers.isEmpty()) {
+        while ((Cbor.jsonSize(value) > limits.valueBytesNow() || Cbor.jsonSize(answers) > MAX_PLAIN_BYTES) && !answers.isEmpty()) {
             answers.subList(answers.size() * 3 / 4, answers.size()).clear();
             fill(value, ANSWERS, answers);
         }
--- a/src/main/java/org/woadloom/node/Node.java
+++ b/src/main/java/org/woadloom/node/Node.java
@@ -59,7 +59,13 @@
     private static final long LOOK_MICROS = 700_000;
     /** A worker that could not stay with the leader is carried for so long before it is sent there again. */
     private static final long STAY_MICROS = 60_000_000;
-    private static final int MOST_REPORTS_WAITING = 2_000;
+    /**
+     * After a full stop every worker reports within one interval while there is no leader yet: half more than the largest
+     * fleet of about 4,000 machines, as some repeat theirs. A report takes about a kilobyte.
+     */
+    static final int MAX_WAITING_REPORTS = 6_000;
+    /** Twice the largest fleet, so that no machine that still reports drops out. */
+    private static final int MAX_VISITS = 10_000;
 
     private final Loop loop;
     private final ServiceSettings settings;
@@ -80,7 +86,7 @@
     private final Isolation isolation;
     private final Attendance attendance;
     /** Workers that came to this node instead of the leader's lately. */
-    private final Cache<String, Visit> visits = Caffeine.newBuilder().maximumSize(10_000)
+    private final Cache<String, Visit> visits = Caffeine.newBuilder().maximumSize(MAX_VISITS)
             .executor(Runnable::run).build();
     private final NodeMetrics metrics = new NodeMetrics();
     private List<MachineType> types = List.of();
@@ -112,10 +118,10 @@
         duties = new LeaderDuties(loop, state, cloud, new WorkerClient(transport, plan.direct()), settings, limits, rollout, metrics, care, this::abdicate,
                 this::giveWarrant);
         Core core = new Core(CoreSettings.of(settings, operator));
-        queue = new CommandQueue(loop, core, metrics, MOST_REPORTS_WAITING, duties::execute);
+        queue = new CommandQueue(loop, core, metrics, MAX_WAITING_REPORTS, duties::execute);
         duties.attach(queue);
         mailbox = new Mailbox(loop, state, settings, limits, rollout, random);
-        parked = new ParkedReports(loop, MOST_REPORTS_WAITING,
+        parked = new ParkedReports(loop, MAX_WAITING_REPORTS,
                 report -> route(report.body(), report.answer(), report.untilMicros()));
         election = new Election(loop, state, settings.label(), random, rollout, new Election.Listener() {
             @Override
@@ -212,6 +218,9 @@
         metrics.gauge("woadloom.cancellations.behind_s", confirmations, c -> c.behindMicros() / 1e6);
         metrics.gauge("woadloom.cancellations.waiting", confirmations, Confirmations::waiting);
         metrics.gauge("woadloom.cancellations.malformed", confirmations, Confirmations::malformed);
+        metrics.gauge("woadloom.reports.queue_full", queue, CommandQueue::refused);
+        metrics.gauge("woadloom.reports.parked_full", parked, ParkedReports::refused);
+        metrics.gauge("woadloom.peers.queue_full", peers, PeerLinks::refused);
         metrics.gauge("woadloom.workers.here", attendance, Attendance::size);
     }
 
--- a/src/main/java/org/woadloom/node/ParkedReports.java
+++ b/src/main/java/org/woadloom/node/ParkedReports.java
@@ -17,6 +17,7 @@
     private final Loop loop;
     private final int most;
     private final Consumer<Parked> route;
+    private long refused;
     private final Set<Entry> waiting = new LinkedHashSet<>();
 
     /** One report, with the time until which it may wait for its answer. */
@@ -40,7 +41,9 @@
 
     void park(Parked report) {
         long left = report.untilMicros - loop.nowMicros();
-        if (left <= 0 || waiting.size() >= most) {
+        boolean full = waiting.size() >= most;
+        refused += full ? 1 : 0;
+        if (left <= 0 || full) {
             report.answer.accept(Response.of(421, Map.of()));
             return;
         }
@@ -53,6 +56,11 @@
         });
     }
 
+    /** Reports that were sent back because too many waited, since the process began. */
+    long refused() {
+        return refused;
+    }
+
     /** Sends all on their way. */
     void release() {
         List<Entry> all = new ArrayList<>(waiting);
--- a/src/main/java/org/woadloom/node/PeerLinks.java
+++ b/src/main/java/org/woadloom/node/PeerLinks.java
@@ -60,6 +60,7 @@
     private final Map<String, Link> links = new HashMap<>();
     private final Map<Long, Consumer<Response>> carrying = new HashMap<>();
     private long ids;
+    private long refused;
 
     private static final class Link {
         boolean connected;
@@ -175,8 +176,18 @@
         net.send(label, new PeerMessage.Taken(taken));
     }
 
+    /** Reports that were not carried because the queue to the leader was full, since the process began. */
+    long refused() {
+        return refused;
+    }
+
     /** Has the leader decide a report; the answer is 503 if none comes while the worker waits. */
     void carry(String leader, byte[] report, Consumer<Response> answer) {
+        if (!net.accepts(leader)) {
+            refused++;
+            answer.accept(Response.unavailable("too much waits for the leader"));
+            return;
+        }
         long id = ++ids;
         carrying.put(id, answer);
         net.send(leader, new PeerMessage.Carry(id, report));
--- a/src/main/java/org/woadloom/peer/PeerCodec.java
+++ b/src/main/java/org/woadloom/peer/PeerCodec.java
@@ -17,8 +17,10 @@
 /** Messages between nodes as Kryo writes them; only the registered classes can be read. Used by one thread. */
 public final class PeerCodec {
     static final int MAX_FRAME = 256 * 1024;
+    /** One report or record: a body has 64 KiB at most, whatever the fleet. */
     private static final int MAX_BYTES = 128 * 1024;
     private static final int MAX_TEXTS = 100;
+    /** Twice what ToldCancellations sends at most; with the longest ids a frame still holds that. */
     private static final int MAX_JOBS = 4_000;
 
     private final Kryo kryo = new Kryo();
--- a/src/main/java/org/woadloom/peer/PeerNet.java
+++ b/src/main/java/org/woadloom/peer/PeerNet.java
@@ -15,4 +15,9 @@
     void start(Listener listener);
 
     void send(String label, PeerMessage message);
+
+    /** False while the queue to a connected peer is full, so that what is sent would be dropped. */
+    default boolean accepts(String label) {
+        return true;
+    }
 }
--- a/src/main/java/org/woadloom/peer/XnioPeerNet.java
+++ b/src/main/java/org/woadloom/peer/XnioPeerNet.java
@@ -3,7 +3,6 @@
 import java.io.IOException;
 import java.net.ConnectException;
 import java.nio.ByteBuffer;
-import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
 import org.slf4j.Logger;
@@ -32,7 +31,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(XnioPeerNet.class);
     private static final long RECONNECT_MICROS = 150_000;
     private static final long CONNECT_TIMEOUT_MICROS = 2_000_000;
-    private static final int MAX_QUEUED = 256;
+    /** Connections of the other nodes, old ones among them: their number doesn't grow with the fleet. */
     private static final int MAX_INBOUND = 16;
 
     private final Loop loop;
@@ -78,6 +77,17 @@
         }
     }
 
+    @Override
+    public boolean accepts(String label) {
+        Outbound out = outbound.get(label);
+        return out == null || out.connection == null || !out.queue.full();
+    }
+
+    /** Messages that were dropped because the queue to their peer was full, since the process began. */
+    public long refused() {
+        return outbound.values().stream().mapToLong(out -> out.queue.refused()).sum();
+    }
+
     /** Connections with other nodes, in both directions. */
     public int open() {
         int open = inbound;
@@ -159,7 +169,7 @@
     /** The connection to one peer, made again whenever it ends. */
     private final class Outbound {
         private final Peer peer;
-        private final ArrayDeque<ByteBuffer> queue = new ArrayDeque<>();
+        private final SendQueue queue = new SendQueue();
         private StreamConnection connection;
         private int attempt;
 
@@ -229,24 +239,22 @@
         }
 
         void send(PeerMessage message) {
-            if (connection == null || queue.size() >= MAX_QUEUED) {
-                return;
+            if (connection != null && queue.add(codec.encode(message))) {
+                write(connection.getSinkChannel());
             }
-            queue.addLast(ByteBuffer.wrap(codec.encode(message)));
-            write(connection.getSinkChannel());
         }
 
         private void write(ConduitStreamSinkChannel channel) {
             int mine = attempt;
             try {
                 while (!queue.isEmpty()) {
-                    ByteBuffer first = queue.peekFirst();
+                    ByteBuffer first = queue.first();
                     channel.write(first);
                     if (first.hasRemaining()) {
                         channel.resumeWrites();
                         return;
                     }
-                    queue.pollFirst();
+                    queue.removeFirst();
                 }
                 if (!channel.flush()) {
                     channel.resumeWrites();
--- a/src/main/java/org/woadloom/worker/WorkerClient.java
+++ b/src/main/java/org/woadloom/worker/WorkerClient.java
@@ -21,6 +21,7 @@
  */
 public final class WorkerClient {
     private static final long TIMEOUT_MICROS = 2_000_000;
+    /** Twice the largest fleet. */
     private static final int MOST_REMEMBERED = 10_000;
 
     private final HttpTransport transport;
--- /dev/null
+++ b/src/test/java/org/woadloom/core/served/LargestJobsTest.java
@@ -0,0 +1,32 @@
+package org.woadloom.core.served;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import org.woadloom.core.CoreFixture;
+
+class LargestJobsTest {
+    private static final int OPEN_JOBS = 12_000;
+
+    private final CoreFixture fixture = new CoreFixture();
+    private final LargestJobs largest = new LargestJobs();
+
+    private void come(int jobs) {
+        for (int i = 0; i < jobs; i++) {
+            largest.come(fixture.job("j-" + i, 1, 1, 1));
+        }
+    }
+
+    @Test
+    void allOpenJobsOfALargeFleetAreReported() {
+        come(OPEN_JOBS);
+        assertTrue(largest.tell().get(0).contains("work: 1200 asked"), largest.tell().get(0));
+    }
+
+    /** The report is of the latest: it counts what it is of. */
+    @Test
+    void beyondThatTheLatestAreReported() {
+        come(OPEN_JOBS + 500);
+        assertTrue(largest.tell().get(0).contains("work: 1200 asked"), largest.tell().get(0));
+    }
+}
--- a/src/test/java/org/woadloom/node/CommandQueueTest.java
+++ b/src/test/java/org/woadloom/node/CommandQueueTest.java
@@ -83,6 +83,14 @@
         assertTrue(queue.offer(report(1, 2)), "there is room again");
     }
 
+    @Test
+    void whatIsShedIsCounted() {
+        for (int i = 0; i < 25; i++) {
+            queue.offer(report(i, 1));
+        }
+        assertEquals(15, queue.refused());
+    }
+
     private static Command.Report report(int host, long tick) {
         return new Command.Report(host, new WorkerReport("host-" + host, "a:1", "m", "a", false, 1, tick, 0, -1,
                 List.of()));
--- a/src/test/java/org/woadloom/node/LettersTest.java
+++ b/src/test/java/org/woadloom/node/LettersTest.java
@@ -42,6 +42,20 @@
         assertEquals(reports, Letters.unpack(packed));
     }
 
+    /** The bound on what is unpacked is above the reports of a whole zone of idle workers. */
+    @Test
+    void theReportsOfFourThousandIdleWorkersAreReadBack() throws WireException {
+        List<Object> reports = new ArrayList<>();
+        for (int host = 0; host < 4_000; host++) {
+            Map<String, Object> report = new LinkedHashMap<>();
+            report.put("host", String.format("host-%06d", host));
+            report.put("tick", 17L);
+            report.put("shards", List.of());
+            reports.add(Arrays.asList((long) host, report));
+        }
+        assertEquals(reports, Letters.unpack(Letters.pack(reports)));
+    }
+
     @Test
     void brokenLettersAreRefused() {
         String packed = Letters.pack(List.of("a", "b"));
--- /dev/null
+++ b/src/test/java/org/woadloom/node/PeerLinksTest.java
@@ -0,0 +1,44 @@
+package org.woadloom.node;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.woadloom.http.Response;
+import org.woadloom.peer.PeerMessage;
+import org.woadloom.peer.PeerNet;
+
+class PeerLinksTest {
+    private final List<PeerMessage> sent = new ArrayList<>();
+    private boolean full;
+    private final PeerLinks links = new PeerLinks(new StillLoop(), new PeerNet() {
+        @Override
+        public void start(Listener listener) {
+        }
+
+        @Override
+        public void send(String label, PeerMessage message) {
+            sent.add(message);
+        }
+
+        @Override
+        public boolean accepts(String label) {
+            return !full;
+        }
+    }, List.of("leader"), null, null, null);
+
+    /** Its worker is told at once, rather than when it has given up. */
+    @Test
+    void aReportThatCannotBeCarriedIsRefusedAtOnceAndCounted() {
+        List<Response> answers = new ArrayList<>();
+        links.carry("leader", new byte[0], answers::add);
+        assertEquals(1, sent.size());
+        assertEquals(List.of(), answers);
+        full = true;
+        links.carry("leader", new byte[0], answers::add);
+        assertEquals(1, sent.size());
+        assertEquals(503, answers.get(0).status());
+        assertEquals(1, links.refused());
+    }
+}
--- /dev/null
+++ b/src/test/java/org/woadloom/node/StillLoop.java
@@ -0,0 +1,26 @@
+package org.woadloom.node;
+
+import org.woadloom.net.Loop;
+
+/** A loop whose time stands still: nothing that is scheduled ever runs. */
+final class StillLoop implements Loop {
+    @Override
+    public long nowMicros() {
+        return 0;
+    }
+
+    @Override
+    public long wallMicros() {
+        return 0;
+    }
+
+    @Override
+    public void execute(Runnable task) {
+    }
+
+    @Override
+    public Timer schedule(long delayMicros, Runnable task) {
+        return () -> {
+        };
+    }
+}
--- /dev/null
+++ b/src/test/java/org/woadloom/peer/SendQueueTest.java
@@ -0,0 +1,50 @@
+package org.woadloom.peer;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+class SendQueueTest {
+    private static final int FLEET = 4_082;
+    private static final int HEARTBEAT_BYTES = 600;
+
+    private final SendQueue queue = new SendQueue();
+
+    @Test
+    void theHeartbeatsOfAWholeFleetFit() {
+        for (int i = 0; i < FLEET; i++) {
+            assertTrue(queue.add(new byte[HEARTBEAT_BYTES]));
+        }
+        assertEquals(0, queue.refused());
+    }
+
+    @Test
+    void framesBeyondTheirNumberAreRefusedAndCounted() {
+        for (int i = 0; i < SendQueue.MAX_FRAMES; i++) {
+            assertTrue(queue.add(new byte[1]));
+        }
+        assertTrue(queue.full());
+        assertFalse(queue.add(new byte[1]));
+        assertEquals(1, queue.refused());
+        queue.removeFirst();
+        assertTrue(queue.add(new byte[1]), "there is room again");
+    }
+
+    @Test
+    void framesBeyondTheirBytesAreRefusedAndCounted() {
+        int frames = 0;
+        while (queue.add(new byte[PeerCodec.MAX_FRAME])) {
+            frames++;
+        }
+        assertEquals(SendQueue.MAX_BYTES / PeerCodec.MAX_FRAME, frames);
+        assertEquals(1, queue.refused());
+        // What was partly written counts whole until it is gone.
+        queue.first().position(10);
+        queue.removeFirst();
+        assertFalse(queue.full());
+        queue.clear();
+        assertTrue(queue.isEmpty());
+    }
+}
