--- a/src/main/java/org/woadloom/http/ApiServer.java
+++ b/src/main/java/org/woadloom/http/ApiServer.java
@@ -11,6 +11,9 @@
 import org.woadloom.net.Addresses;
 import org.woadloom.net.SocketPlan;
 import org.woadloom.settings.ServiceSettings;
+import org.woadloom.wire.Cbor;
+import org.woadloom.wire.Fields;
+import org.woadloom.wire.WireException;
 import org.xnio.Options;
 import org.xnio.XnioWorker;
 
@@ -19,7 +22,8 @@
     private static final int MAX_BODY = 64 * 1024;
     private static final int TOO_LARGE_READ = MAX_BODY * 4;
     private static final int LEAST_IDLE_MILLIS = 20_000;
-    private static final int BACKLOG = 256;
+    /** After a stop about 4,000 workers connect within one interval; the operating system may cap it. */
+    private static final int BACKLOG = 4_096;
 
     private final Undertow undertow;
     private final Connections connections;
@@ -79,11 +83,23 @@
                 response -> send(exchange, response));
     }
 
+    /** A renewed lease without commands, or the name of another node: the worker has no further use for this connection. */
+    private static boolean needsNothing(Response response) {
+        if (response.status() != 200) {
+            return response.status() == 421;
+        }
+        try {
+            return new Fields(Cbor.decodeMap(response.body())).list("orders").isEmpty();
+        } catch (WireException e) {
+            return false;
+        }
+    }
+
     private void send(HttpServerExchange exchange, Response response) {
         if (exchange.isComplete() || exchange.isResponseStarted()) {
             return;
         }
-        if (connections.closesAfter(exchange)) {
+        if (connections.closesAfter(exchange, () -> needsNothing(response))) {
             exchange.setPersistent(false);
         }
         exchange.setStatusCode(response.status());
--- a/src/main/java/org/woadloom/http/Connections.java
+++ b/src/main/java/org/woadloom/http/Connections.java
@@ -4,6 +4,7 @@
 import io.undertow.server.ServerConnection;
 import io.undertow.util.AttachmentKey;
 import java.util.LinkedHashSet;
+import java.util.function.BooleanSupplier;
 import org.woadloom.net.Loop;
 import org.woadloom.net.SocketPlan;
 import org.xnio.IoUtils;
@@ -11,8 +12,8 @@
 /**
  * The connections on which workers or users have asked something. Users poll every few seconds and then are gone, often
  * without a word, while the leader needs a socket for every worker: users' connections that have been idle for longer than
- * anybody polls are closed, and where sockets are short those that have been idle for longest. What is asked on a
- * connection beyond the plan is answered at once and closed: nobody is left waiting in the backlog.
+ * anybody polls are closed, and where sockets are short those that have been idle for longest, and those of workers with the
+ * answers to their heartbeats. What is asked on a connection beyond the plan is answered at once and closed: nobody is left waiting in the backlog.
  */
 public final class Connections {
     /** Three polls of a user who still wants to know. */
@@ -30,6 +31,7 @@
     private int users;
     private long closed;
     private long refused;
+    private long closedWorkers;
 
     private static final class Open {
         final ServerConnection connection;
@@ -72,6 +74,11 @@
         return refused;
     }
 
+    /** Connections of workers that were closed with their answer for want of sockets, since the process began. */
+    public long closedWorkers() {
+        return closedWorkers;
+    }
+
     private int all() {
         return workers + users;
     }
@@ -100,10 +107,22 @@
         return room;
     }
 
-    /** The request is about to be answered; true if its connection is to be closed after that. */
-    boolean closesAfter(HttpServerExchange exchange) {
+    /**
+     * The request is about to be answered; true if its connection is to be closed after that.
+     *
+     * @param needsNothing asked only of a worker's request while sockets are short: whether the answer brings it nothing to do
+     */
+    boolean closesAfter(HttpServerExchange exchange, BooleanSupplier needsNothing) {
         Open open = exchange.getConnection().getAttachment(OPEN);
-        return open != null && !open.worker && all() > plan.comfortable();
+        if (open == null || all() <= plan.comfortable()) {
+            return false;
+        }
+        if (!open.worker) {
+            return true;
+        }
+        boolean closes = plan.closesWorker(all(), needsNothing.getAsBoolean());
+        closedWorkers += closes ? 1 : 0;
+        return closes;
     }
 
     /** The request was answered. */
--- a/src/main/java/org/woadloom/net/SocketPlan.java
+++ b/src/main/java/org/woadloom/net/SocketPlan.java
@@ -45,6 +45,19 @@
         return (int) (inbound * COMFORTABLE);
     }
 
+    /**
+     * Whether the connection of a worker is closed with its answer. With more workers than sockets each holds one only for
+     * the moment of its heartbeat: first those that need nothing, then, with half of what is left above the comfortable
+     * level in use, all of them.
+     *
+     * @param open connections of workers and users
+     * @param needsNothing the answer brings the worker nothing to do
+     */
+    public boolean closesWorker(int open, boolean needsNothing) {
+        int level = needsNothing ? comfortable() : (comfortable() + inbound) / 2;
+        return open > level;
+    }
+
     /** How many workers a node takes before it sends others to another node. */
     public int workers() {
         return (int) (inbound * WORKERS);
--- a/src/main/java/org/woadloom/node/Server.java
+++ b/src/main/java/org/woadloom/node/Server.java
@@ -77,7 +77,9 @@
         metrics.gauge("woadloom.sockets.outbound", transport, UndertowTransport::open);
         metrics.gauge("woadloom.sockets.outbound.idle", transport, UndertowTransport::idle);
         metrics.gauge("woadloom.sockets.peers", peers, XnioPeerNet::open);
+        metrics.gauge("woadloom.peers.dropped", peers, XnioPeerNet::refused);
         metrics.gauge("woadloom.sockets.closed", connections, Connections::closed);
+        metrics.gauge("woadloom.sockets.closed_workers", connections, Connections::closedWorkers);
         metrics.gauge("woadloom.sockets.refused", connections, Connections::refused);
     }
 }
