--- a/src/main/java/org/woadloom/core/placement/ServiceOrder.java
+++ b/src/main/java/org/woadloom/core/placement/ServiceOrder.java
@@ -1,7 +1,6 @@
 package org.woadloom.core.placement;
 
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -48,13 +47,23 @@
     private record Entry(Job job, boolean overdue, Standing standing, double turn) {
     }
 
-    private static final Comparator<Entry> ORDER = Comparator
-            .comparing((Entry e) -> e.job.rank()).reversed()
-            .thenComparing(e -> !e.job.guaranteed)
-            .thenComparing(e -> !e.overdue)
-            .thenComparing(Entry::standing)
-            .thenComparingDouble(Entry::turn)
-            .thenComparing(e -> e.job.uid());
+    /** Every search sorts all waiting jobs several times, so without the boxes of a chain of comparators. */
+    private static int compare(Entry one, Entry other) {
+        int order = other.job.rank().compareTo(one.job.rank());
+        if (order == 0) {
+            order = Boolean.compare(other.job.guaranteed, one.job.guaranteed);
+        }
+        if (order == 0) {
+            order = Boolean.compare(other.overdue, one.overdue);
+        }
+        if (order == 0) {
+            order = one.standing.compareTo(other.standing);
+        }
+        if (order == 0) {
+            order = Double.compare(one.turn, other.turn);
+        }
+        return order == 0 ? one.job.uid().compareTo(other.job.uid()) : order;
+    }
 
     public ServiceOrder(World world) {
         this.world = world;
@@ -81,7 +90,7 @@
             entries.add(new Entry(job, overdue, overdue ? Standing.DUE : standing(job),
                     overdue ? job.sinceMicros() : job.sinceMicros() + alone));
         }
-        entries.sort(ORDER);
+        entries.sort(ServiceOrder::compare);
         List<Job> sorted = new ArrayList<>(entries.size());
         for (Entry entry : entries) {
             sorted.add(entry.job);
