--- a/src/test/java/org/woadloom/sim/MeetingsTest.java
+++ b/src/test/java/org/woadloom/sim/MeetingsTest.java
@@ -216,6 +216,11 @@
     }
 
     private static void day(long seed, Day day, Set<Meeting> meetings) {
+        play(seed, day, meetings).forEach((meeting, times) -> assertTrue(times > 0, meeting + " did not occur, seed " + seed));
+    }
+
+    /** Plays a day whole and returns how often each meeting came to something. */
+    private static Map<Meeting, Integer> play(long seed, Day day, Set<Meeting> meetings) {
         World world = new World(seed, day);
         world.users(TROUBLED);
         world.truth.calmFrom = TROUBLED + 60_000_000;
@@ -231,9 +236,10 @@
             world.run(world.loop.now() + EVERY);
         }
         world.run(TROUBLED + 400_000_000);
-        begun.forEach((meeting, times) -> assertTrue(times.stream().mapToInt(IntSupplier::getAsInt).sum() > 0,
-                meeting + " did not occur, seed " + seed));
+        Map<Meeting, Integer> occurred = new EnumMap<>(Meeting.class);
+        begun.forEach((meeting, times) -> occurred.put(meeting, times.stream().mapToInt(IntSupplier::getAsInt).sum()));
         assertEquals(List.of(), world.unfinished(), "seed " + seed);
+        return occurred;
     }
 
     @ParameterizedTest
@@ -254,14 +260,18 @@
         }
     }
 
-    /** The checks must be able to fail: what a broken service does in such a meeting is caught by the rule that it breaks. */
+    /**
+     * The checks must be able to fail: what a broken service does in such a meeting is caught by the rule that it breaks. How
+     * often the meeting came to something is not asked here: without conditions no late write is ever void, and the broken
+     * rule itself is the proof that it occurred.
+     */
     @ParameterizedTest
     @CsvSource({"OLD_CHANGES, CLOSE_LOOKS, went_back", "UNSEEN_RECORDS, CLOSE_LOOKS, forgotten",
             "NO_CONDITIONS, LATE_WRITES, ''", "NO_CONDITIONS, TEN_LEADERS, ''"})
     void aBrokenServiceIsCaught(Day.Flaw flaw, Meeting meeting, String rule) {
         Violation caught = assertThrows(Violation.class, () -> {
             for (long seed = 1; seed <= 6; seed++) {
-                day(seed, Day.PLAIN.with(flaw), Set.of(meeting));
+                play(seed, Day.PLAIN.with(flaw), Set.of(meeting));
             }
         });
         assertTrue(caught.getMessage().startsWith(rule), caught.getMessage());
