--- a/src/test/java/org/woadloom/core/SearchPauseTest.java
+++ b/src/test/java/org/woadloom/core/SearchPauseTest.java
@@ -25,7 +25,7 @@
     }
 
     private static long placed(LeaderFixture leader) {
-        return leader.all(Effect.Note.class).stream().filter(note -> note.text().contains(" places ")).count();
+        return leader.all(Effect.Note.class).stream().filter(note -> note.entry().event() == LogEvent.TASKS_PLACED).count();
     }
 
     /** A search has just found room on the first machine when the second comes up. */
--- a/src/test/java/org/woadloom/core/served/LargestJobsTest.java
+++ b/src/test/java/org/woadloom/core/served/LargestJobsTest.java
@@ -20,13 +20,13 @@
     @Test
     void allOpenJobsOfALargeFleetAreReported() {
         come(OPEN_JOBS);
-        assertTrue(largest.tell().get(0).contains("work: 1200 asked"), largest.tell().get(0));
+        assertTrue(largest.tell().get(0).toString().contains(" class=work jobs=1200 "), largest.tell().get(0).toString());
     }
 
     /** The report is of the latest: it counts what it is of. */
     @Test
     void beyondThatTheLatestAreReported() {
         come(OPEN_JOBS + 500);
-        assertTrue(largest.tell().get(0).contains("work: 1200 asked"), largest.tell().get(0));
+        assertTrue(largest.tell().get(0).toString().contains(" class=work jobs=1200 "), largest.tell().get(0).toString());
     }
 }
