--- /dev/null
+++ b/src/test/java/org/woadloom/architecture/ArchitectureTest.java
@@ -0,0 +1,132 @@
+package org.woadloom.architecture;
+
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
+import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
+import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
+
+import com.tngtech.archunit.core.domain.JavaClasses;
+import com.tngtech.archunit.core.importer.ClassFileImporter;
+import com.tngtech.archunit.core.importer.ImportOption;
+import org.junit.jupiter.api.BeforeAll;
+import org.junit.jupiter.api.Test;
+
+/** The layers and the rules that docs/architecture.md states. */
+class ArchitectureTest {
+    private static final String ROOT = "org.woadloom";
+
+    private static JavaClasses program;
+
+    @BeforeAll
+    static void readClasses() {
+        program =
+                new ClassFileImporter()
+                        .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+                        .importPackages(ROOT);
+    }
+
+    @Test
+    void packagesUseOnlyWhatIsBelowThem() {
+        layeredArchitecture()
+                .consideringOnlyDependenciesInLayers()
+                .layer("programs")
+                .definedBy(ROOT + ".cli..")
+                .layer("composition")
+                .definedBy(ROOT + ".node..")
+                .layer("services")
+                .definedBy(
+                        ROOT + ".http..",
+                        ROOT + ".reads..",
+                        ROOT + ".peer..",
+                        ROOT + ".leader..",
+                        ROOT + ".cloud..",
+                        ROOT + ".agent..",
+                        ROOT + ".metrics..")
+                .layer("decisions")
+                .definedBy(ROOT + ".core..")
+                .layer("storage")
+                .definedBy(ROOT + ".store..")
+                .layer("transport")
+                .definedBy(ROOT + ".net..")
+                .layer("base")
+                .definedBy(ROOT + ".settings..", ROOT + ".protocol..")
+                .whereLayer("programs")
+                .mayNotBeAccessedByAnyLayer()
+                .whereLayer("composition")
+                .mayOnlyBeAccessedByLayers("programs")
+                .whereLayer("services")
+                .mayOnlyBeAccessedByLayers("programs", "composition")
+                .whereLayer("decisions")
+                .mayOnlyBeAccessedByLayers("programs", "composition", "services")
+                .whereLayer("storage")
+                .mayOnlyBeAccessedByLayers("programs", "composition", "services", "decisions")
+                .whereLayer("transport")
+                .mayOnlyBeAccessedByLayers("programs", "composition", "services", "storage")
+                .check(program);
+    }
+
+    @Test
+    void packagesDoNotDependOnEachOtherInCircles() {
+        slices().matching(ROOT + ".(*)..").should().beFreeOfCycles().check(program);
+    }
+
+    @Test
+    void theSchedulerReadsNoClockAndDoesNoInputOrOutput() {
+        noClasses()
+                .that()
+                .resideInAPackage(ROOT + ".core..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "java.io..",
+                        "java.nio..",
+                        "java.net..",
+                        "java.time..",
+                        "java.util.concurrent..",
+                        "org.slf4j..",
+                        "org.xnio..",
+                        "io.undertow..")
+                .orShould()
+                .dependOnClassesThat()
+                .haveFullyQualifiedName("java.util.Random")
+                .orShould()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .check(program);
+    }
+
+    @Test
+    void theSchedulerUsesTheStoresRecordsAndNotItsClient() {
+        noClasses()
+                .that()
+                .resideInAPackage(ROOT + ".core..")
+                .should()
+                .dependOnClassesThat()
+                .haveSimpleNameStartingWith("StoreClient")
+                .check(program);
+    }
+
+    /**
+     * Jobs, machines, quota, reservations and placement are one model. It reports to the service
+     * levels, and knows nothing of what is built on it.
+     */
+    @Test
+    void theModelOfJobsAndMachinesKnowsNothingOfWhatIsBuiltOnIt() {
+        classes()
+                .that()
+                .resideInAnyPackage(
+                        ROOT + ".core.jobs..",
+                        ROOT + ".core.machines..",
+                        ROOT + ".core.quota..",
+                        ROOT + ".core.reservation..",
+                        ROOT + ".core.placement..")
+                .should()
+                .onlyDependOnClassesThat()
+                .resideOutsideOfPackages(
+                        ROOT + ".core.autoscaling..",
+                        ROOT + ".core.rollout..",
+                        ROOT + ".core.cancellation..")
+                .check(program);
+    }
+}
