--- a/src/main/java/org/woadloom/core/SchedulerState.java
+++ b/src/main/java/org/woadloom/core/SchedulerState.java
@@ -1,12 +1,14 @@
 package org.woadloom.core;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.Predicate;
 import org.woadloom.core.delegation.DelegationLedger;
 import org.woadloom.core.delegation.DelegationTimeouts;
 import org.woadloom.core.jobs.DemandEstimator;
@@ -26,20 +28,31 @@
     private final long term;
     private final long startedMicros;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
+    private final Map<String, Job> jobsView = Collections.unmodifiableMap(jobs);
     private final Map<String, Machine> machines = new LinkedHashMap<>();
+    private final Map<String, Machine> machinesView = Collections.unmodifiableMap(machines);
 
     /**
      * Machines to which there may be something to send: the others are passed over in every step.
      */
     private final Set<Machine> machinesWithPendingCommands = new LinkedHashSet<>();
 
+    private final Set<Machine> machinesWithPendingCommandsView =
+            Collections.unmodifiableSet(machinesWithPendingCommands);
+
     /** Machines whose record is not as it should be, or that are to go. */
     private final Set<Machine> machinesToPersist = new LinkedHashSet<>();
 
+    private final Set<Machine> machinesToPersistView =
+            Collections.unmodifiableSet(machinesToPersist);
+
     /** Jobs whose record does not say everything. */
     private final Set<Job> jobsToPersist = new LinkedHashSet<>();
 
+    private final Set<Job> jobsToPersistView = Collections.unmodifiableSet(jobsToPersist);
+
     private final Map<String, TeamQuota> teams = new LinkedHashMap<>();
+    private final Map<String, TeamQuota> teamsView = Collections.unmodifiableMap(teams);
     private final DemandEstimator demand = new DemandEstimator();
     private final DependencyGraph dependencies = new DependencyGraph(this);
     private final ServiceLevelReport serviceLevels;
@@ -71,10 +84,14 @@
 
     private long recordsMachineLifecycleSinceMicros;
     private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
+    private final Map<String, MachineType> machineTypesView =
+            Collections.unmodifiableMap(machineTypes);
 
     /** Zones in which no machine of the ordinary kinds was to be had lately. */
     private final Set<String> scarceZones = new HashSet<>();
 
+    private final Set<String> scarceZonesView = Collections.unmodifiableSet(scarceZones);
+
     private long nowMicros;
     private long wallMicros;
 
@@ -160,7 +177,7 @@
     }
 
     /** A machine that is forgotten may have been given any token below this fence. */
-    public void raiseMinFence(long fence) {
+    private void raiseMinFence(long fence) {
         minFence = Math.max(minFence, fence);
     }
 
@@ -196,33 +213,98 @@
         return startedMicros;
     }
 
+    /** All jobs of the term by id, in the order in which they came; read-only. */
     public Map<String, Job> jobs() {
-        return jobs;
+        return jobsView;
     }
 
+    /** Adds a job under its id. */
+    public void addJob(Job job) {
+        jobs.put(job.jobId(), job);
+    }
+
+    /** Removes a job that is over, of which no attempt is left. */
+    public void removeJob(Job job) {
+        jobs.remove(job.jobId());
+    }
+
+    /** All machines of the term by name, in the order in which they were first seen; read-only. */
     public Map<String, Machine> machines() {
-        return machines;
+        return machinesView;
+    }
+
+    /** Adds a machine under its name. */
+    public void addMachine(Machine machine) {
+        machines.put(machine.host, machine);
+    }
+
+    /**
+     * Forgets the machines for which the condition holds, and raises the lowest fence above theirs:
+     * a machine that comes back under a forgotten name takes no token of before.
+     */
+    public void forgetMachinesIf(Predicate<Machine> condition) {
+        machines.values()
+                .removeIf(
+                        machine -> {
+                            boolean forgotten = condition.test(machine);
+                            if (forgotten) {
+                                raiseMinFence(machine.liveness.fence() + 1);
+                                machinesWithPendingCommands.remove(machine);
+                            }
+                            return forgotten;
+                        });
     }
 
     /**
      * Machines to which there may be something to send: the others are passed over in every step.
      */
     public Set<Machine> machinesWithPendingCommands() {
-        return machinesWithPendingCommands;
+        return machinesWithPendingCommandsView;
     }
 
-    /** Machines whose record is not as it should be, or that are to go. */
+    /** There may be something to send to the machine's agent. */
+    public void markPendingCommands(Machine machine) {
+        machinesWithPendingCommands.add(machine);
+    }
+
+    /** Nothing is left to send to the machine's agent. */
+    public void clearPendingCommands(Machine machine) {
+        machinesWithPendingCommands.remove(machine);
+    }
+
+    /** Machines whose record is out of date, or that are to be deleted; read-only. */
     public Set<Machine> machinesToPersist() {
-        return machinesToPersist;
+        return machinesToPersistView;
     }
 
-    /** Jobs whose record does not say everything. */
+    /** There may be something to write of the machine, or it is to be deleted. */
+    public void markForPersistence(Machine machine) {
+        machinesToPersist.add(machine);
+    }
+
+    /** Takes the machines for which the condition holds off those to be persisted. */
+    public void unmarkMachinesIf(Predicate<Machine> condition) {
+        machinesToPersist.removeIf(condition);
+    }
+
+    /** Jobs whose record is out of date; read-only. */
     public Set<Job> jobsToPersist() {
-        return jobsToPersist;
+        return jobsToPersistView;
+    }
+
+    /** There may be something to write of the job. */
+    public void markForPersistence(Job job) {
+        jobsToPersist.add(job);
+    }
+
+    /** Takes the jobs for which the condition holds off those to be persisted. */
+    public void unmarkJobsIf(Predicate<Job> condition) {
+        jobsToPersist.removeIf(condition);
     }
 
+    /** The quotas of the teams that the settings name, by team; read-only. */
     public Map<String, TeamQuota> teams() {
-        return teams;
+        return teamsView;
     }
 
     public DemandEstimator demand() {
@@ -286,13 +368,25 @@
         return recordsMachineLifecycleSinceMicros;
     }
 
+    /** The machine types that the cloud offers, by name; read-only. */
     public Map<String, MachineType> machineTypes() {
-        return machineTypes;
+        return machineTypesView;
     }
 
-    /** Zones in which no machine of the ordinary kinds was to be had lately. */
+    /** Adds a machine type, or replaces the one of the same name. */
+    public void addMachineType(MachineType type) {
+        machineTypes.put(type.name(), type);
+    }
+
+    /** Zones in which the cloud lately refused every on-demand machine type; read-only. */
     public Set<String> scarceZones() {
-        return scarceZones;
+        return scarceZonesView;
+    }
+
+    /** Replaces the scarce zones. */
+    public void setScarceZones(Set<String> zones) {
+        scarceZones.clear();
+        scarceZones.addAll(zones);
     }
 
     public long nowMicros() {
--- a/src/main/java/org/woadloom/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/woadloom/core/autoscaling/Autoscaler.java
@@ -314,23 +314,21 @@
      * has no choice.
      */
     private void updateScarceZones() {
-        state.scarceZones().clear();
+        Set<String> scarce = new HashSet<>();
         Set<String> open = new HashSet<>();
         for (MachineType type : state.machineTypes().values()) {
             for (String zone : type.zones()) {
                 Long refused = lastRefusedMicros.get(new MachineKind(type, zone, false));
                 if (refused != null && state.nowMicros() - refused < SCARCE_MICROS) {
-                    state.scarceZones().add(zone);
+                    scarce.add(zone);
                 } else {
                     open.add(zone);
                 }
             }
         }
-        state.scarceZones().removeAll(open);
-        if (open.isEmpty()) {
-            // Where every zone is scarce there is no elsewhere.
-            state.scarceZones().clear();
-        }
+        scarce.removeAll(open);
+        // Where every zone is scarce there is no elsewhere.
+        state.setScarceZones(open.isEmpty() ? Set.of() : scarce);
     }
 
     private void onRefused(MachineKind kind) {
--- a/src/main/java/org/woadloom/core/jobs/Job.java
+++ b/src/main/java/org/woadloom/core/jobs/Job.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.Consumer;
 import org.agrona.collections.Int2ObjectHashMap;
 import org.woadloom.core.placement.Resources;
 import org.woadloom.core.quota.TeamQuota;
@@ -96,7 +97,7 @@
             long revision,
             TeamQuota team,
             long submittedMicros,
-            Set<Job> jobsToPersist) {
+            Consumer<Job> markForPersistence) {
         this.description = record.description();
         this.taskResources = Resources.of(record.description());
         this.team = team;
@@ -106,7 +107,7 @@
         this.takenTasks.or(record.done());
         this.takenCount = takenTasks.cardinality();
         this.cancelled = record.cancelled();
-        this.persistence = new PersistenceState(revision, () -> jobsToPersist.add(this));
+        this.persistence = new PersistenceState(revision, () -> markForPersistence.accept(this));
         this.completedCount = completedTasks.cardinality();
         this.readyWallMicros = record.readyWallMicros();
         this.isBlocked = !record.description().dependencies().isEmpty();
--- a/src/main/java/org/woadloom/core/jobs/JobPersister.java
+++ b/src/main/java/org/woadloom/core/jobs/JobPersister.java
@@ -49,13 +49,12 @@
     public void emitWrites() {
         List<Job> due = new ArrayList<>();
         List<Job> replaced = new ArrayList<>();
-        state.jobsToPersist()
-                .removeIf(
-                        job ->
-                                job.finished
-                                        || job.persistence.pendingReason
-                                                        == PersistenceState.WriteReason.NONE
-                                                && !job.persistence.readNeeded);
+        state.unmarkJobsIf(
+                job ->
+                        job.finished
+                                || job.persistence.pendingReason
+                                                == PersistenceState.WriteReason.NONE
+                                        && !job.persistence.readNeeded);
         for (Job job : state.jobsToPersist()) {
             PersistenceState persistence = job.persistence;
             if (persistence.isReplaced()) {
@@ -160,7 +159,7 @@
                     // one.
                     persistence.readNeeded = true;
                     persistence.readInFlight = false;
-                    state.jobsToPersist().add(job);
+                    state.markForPersistence(job);
                 }
             }
             case TOO_LARGE -> {
--- a/src/main/java/org/woadloom/core/jobs/JobRegistry.java
+++ b/src/main/java/org/woadloom/core/jobs/JobRegistry.java
@@ -159,7 +159,7 @@
             job.remove(attempt);
         }
         job.finished = true;
-        state.jobs().remove(job.jobId());
+        state.removeJob(job);
         state.serviceLevels().onJobEnded(job);
         state.dependencies().onJobRemoved(job, outcomeKnown);
         state.requestPlacement();
@@ -186,8 +186,9 @@
             return null;
         }
         long age = Math.max(0, state.wallMicros() - record.submittedWallMicros());
-        Job job = new Job(record, revision, team, state.nowMicros() - age, state.jobsToPersist());
-        state.jobs().put(job.jobId(), job);
+        Job job =
+                new Job(record, revision, team, state.nowMicros() - age, state::markForPersistence);
+        state.addJob(job);
         state.serviceLevels().onJobAdded(job);
         state.countJobArrival();
         if (record.isComplete()) {
--- a/src/main/java/org/woadloom/core/machines/DirectCommands.java
+++ b/src/main/java/org/woadloom/core/machines/DirectCommands.java
@@ -37,7 +37,7 @@
     public void emitCommands() {
         for (Machine machine : List.copyOf(state.machinesWithPendingCommands())) {
             if (machine.deleted) {
-                state.machinesWithPendingCommands().remove(machine);
+                state.clearPendingCommands(machine);
             } else if (machine.commandInFlight == 0
                     && !machine.address.isEmpty()
                     && machine.acceptsDirectCommands(state.nowMicros())
@@ -73,7 +73,7 @@
             }
         }
         if (all) {
-            state.machinesWithPendingCommands().remove(machine);
+            state.clearPendingCommands(machine);
         }
         boolean tokenDue = machine.takeTokenDue();
         if (commands.isEmpty() && !tokenDue) {
--- a/src/main/java/org/woadloom/core/machines/Machine.java
+++ b/src/main/java/org/woadloom/core/machines/Machine.java
@@ -138,12 +138,12 @@
 
     /** There may be something to send to the worker. */
     public void markPendingCommands() {
-        state.machinesWithPendingCommands().add(this);
+        state.markPendingCommands(this);
     }
 
     /** There may be something to write of the machine, or to do about its going. */
     void markForPersistence() {
-        state.machinesToPersist().add(this);
+        state.markForPersistence(this);
     }
 
     /** The machine is to be given back, once nothing is on it. */
--- a/src/main/java/org/woadloom/core/machines/MachineRegistry.java
+++ b/src/main/java/org/woadloom/core/machines/MachineRegistry.java
@@ -66,14 +66,14 @@
 
     private Machine create(MachineRecord record) {
         Machine machine = new Machine(record, state);
-        state.machines().put(machine.host, machine);
+        state.addMachine(machine);
         setType(machine);
         return machine;
     }
 
     public void onMachineTypes(List<MachineType> types) {
         for (MachineType type : types) {
-            state.machineTypes().put(type.name(), type);
+            state.addMachineType(type);
         }
         for (Machine machine : state.machines().values()) {
             setType(machine);
@@ -153,15 +153,14 @@
     public void emitWrites() {
         List<String> delete = new ArrayList<>();
         // A machine that is up can take tasks as soon as its record is there; the others have time.
-        state.machinesToPersist()
-                .removeIf(
-                        machine ->
-                                machine.deleted
-                                        ? !machine.recorded && !machine.writing && !machine.reading
-                                        : machine.recorded
-                                                && !machine.reading
-                                                && !machine.decommissioning
-                                                && !machine.rewriteNeeded);
+        state.unmarkMachinesIf(
+                machine ->
+                        machine.deleted
+                                ? !machine.recorded && !machine.writing && !machine.reading
+                                : machine.recorded
+                                        && !machine.reading
+                                        && !machine.decommissioning
+                                        && !machine.rewriteNeeded);
         for (Machine machine : state.machinesToPersist()) {
             if (machine.isKnownAlive()
                     && !machine.recorded
@@ -300,25 +299,14 @@
     /** Forgets deleted machines once the list, which lags, can no longer show them. */
     public void forget() {
         long keep = 4 * state.settings().listLagMicros() + 60_000_000;
-        state.machines()
-                .values()
-                .removeIf(
-                        machine -> {
-                            boolean forgotten =
-                                    machine.isConfirmed()
-                                            ? machine.deleted
-                                                    && !machine.recorded
-                                                    && !machine.writing
-                                                    && state.nowMicros()
-                                                                    - machine.liveness
-                                                                            .lastAliveMicros()
-                                                            > keep
-                                            : state.nowMicros() - machine.firstSeenMicros > keep;
-                            if (forgotten) {
-                                state.raiseMinFence(machine.liveness.fence() + 1);
-                                state.machinesWithPendingCommands().remove(machine);
-                            }
-                            return forgotten;
-                        });
+        state.forgetMachinesIf(
+                machine ->
+                        machine.isConfirmed()
+                                ? machine.deleted
+                                        && !machine.recorded
+                                        && !machine.writing
+                                        && state.nowMicros() - machine.liveness.lastAliveMicros()
+                                                > keep
+                                : state.nowMicros() - machine.firstSeenMicros > keep);
     }
 }
--- a/src/test/java/org/woadloom/core/SchedulerFixture.java
+++ b/src/test/java/org/woadloom/core/SchedulerFixture.java
@@ -54,7 +54,7 @@
                         1,
                         1_000_000,
                         0);
-        state.machineTypes().put(TYPE.name(), TYPE);
+        state.addMachineType(TYPE);
     }
 
     public Machine machine(String host, String zone) {
@@ -63,7 +63,7 @@
         machine.onRecorded(0);
         machine.confirmExistence();
         hear(machine, 1, machine.liveness.issueToken(state.nowMicros()));
-        state.machines().put(host, machine);
+        state.addMachine(machine);
         return machine;
     }
 
@@ -143,8 +143,8 @@
                             1,
                             state.teams().get("team"),
                             state.nowMicros(),
-                            state.jobsToPersist());
-            state.jobs().put(jobId, job);
+                            state::markForPersistence);
+            state.addJob(job);
             return job;
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
--- a/src/test/java/org/woadloom/core/quota/QuotaRotationTest.java
+++ b/src/test/java/org/woadloom/core/quota/QuotaRotationTest.java
@@ -27,7 +27,7 @@
         while (true) {
             Job job = fixture.job("j-small-" + small, 1, 1, 1);
             if (job.allowedTasks() < 1) {
-                fixture.state.jobs().remove(job.jobId());
+                fixture.state.removeJob(job);
                 return;
             }
             fixture.place(reservations, job, 0, machines[small++ % 2]);
@@ -49,7 +49,7 @@
         turns.update();
         for (Job job : running()) {
             job.remove(job.attempt(0));
-            fixture.state.jobs().remove(job.jobId());
+            fixture.state.removeJob(job);
             nibble();
             turns.update();
             if (large.allowedTasks() > 0) {
@@ -129,7 +129,7 @@
         turns.update();
         Job ended = running()[0];
         ended.remove(ended.attempt(0));
-        fixture.state.jobs().remove(ended.jobId());
+        fixture.state.removeJob(ended);
         Job small = fixture.job("j-small", 1, 1, 1);
         turns.update();
         assertEquals(0, small.allowedTasks());
@@ -154,13 +154,13 @@
         Job[] running = running();
         for (int i = 0; i < 8; i++) {
             running[i].remove(running[i].attempt(0));
-            fixture.state.jobs().remove(running[i].jobId());
+            fixture.state.removeJob(running[i]);
         }
         fixture.place(reservations, first, 0, machines[0]);
         turns.update();
         for (int i = 8; i < 16; i++) {
             running[i].remove(running[i].attempt(0));
-            fixture.state.jobs().remove(running[i].jobId());
+            fixture.state.removeJob(running[i]);
         }
         assertEquals(0, fixture.job("j-small", 1, 1, 1).allowedTasks());
         assertEquals(1, second.allowedTasks());
@@ -180,7 +180,7 @@
         Job[] running = running();
         for (int i = 0; i < 9; i++) {
             running[i].remove(running[i].attempt(0));
-            fixture.state.jobs().remove(running[i].jobId());
+            fixture.state.removeJob(running[i]);
         }
         Job small = fixture.job("j-small", 1, 1, 1);
         int begun = 0;
@@ -196,7 +196,7 @@
                     fixture.place(reservations, job, 0, machines[0]);
                     turns.update();
                     job.remove(job.attempt(0));
-                    fixture.state.jobs().remove(job.jobId());
+                    fixture.state.removeJob(job);
                     begun++;
                     break;
                 }
@@ -219,7 +219,7 @@
         turns.update();
         Job ended = running()[0];
         ended.remove(ended.attempt(0));
-        fixture.state.jobs().remove(ended.jobId());
+        fixture.state.removeJob(ended);
         Job small = fixture.job("j-small", 1, 1, 1);
         int waitedS = 0;
         int longestS = 0;
--- a/src/test/java/org/woadloom/sim/ServiceLevelTest.java
+++ b/src/test/java/org/woadloom/sim/ServiceLevelTest.java
@@ -141,7 +141,7 @@
         Job ended = fixture.job("j-000002", 1, 1, 1);
         fixture.state.serviceLevels().onJobAdded(ended);
         ended.markCompleted(0);
-        fixture.state.jobs().remove(ended.jobId());
+        fixture.state.removeJob(ended);
         fixture.state.serviceLevels().onJobEnded(ended);
         fixture.advance(30_000_000);
         fixture.state.serviceLevels().review();
