--- a/src/main/java/org/woadloom/core/SchedulerEvent.java
+++ b/src/main/java/org/woadloom/core/SchedulerEvent.java
@@ -15,66 +15,132 @@
 import org.woadloom.store.RolloutRecord;
 import org.woadloom.store.RolloutRequest;
 
-/** What happens to the core. Everything it knows of the world comes through here. */
+/**
+ * What has happened. Everything that the scheduler knows of the world comes to it as one of these.
+ */
 public sealed interface SchedulerEvent {
-    /** A record as read from the state service. */
+    /** An event that matters whether this node leads or not. */
+    sealed interface NodeEvent extends SchedulerEvent {
+        /** Calls the handler's method for this kind of event. */
+        void accept(NodeEventHandler handler);
+    }
+
+    /** An event that matters only to the leader; at any other time it is dropped. */
+    sealed interface TermEvent extends SchedulerEvent {
+        /** Calls the handler's method for this kind of event. */
+        void accept(TermEventHandler handler);
+    }
+
+    /** A job's record as it was read from the store, with its revision. */
     record StoredJob(JobRecord record, long revision) {}
 
+    /** A machine's record as it was read from the store, with its revision. */
     record StoredMachine(MachineRecord record, long revision) {}
 
     /**
-     * This node has taken the term and has read every record.
+     * This node has taken a term and has read every record.
      *
-     * @param cancellationsSeenMicros the records tell of every cancellation that was made before
-     *     this moment
+     * @param cancellationsReadUpToMicros the records tell of every cancellation that was made
+     *     before this moment
      */
     record LeadershipAcquired(
             long term,
             List<StoredJob> jobs,
             List<StoredMachine> machines,
             long cancellationsReadUpToMicros)
-            implements SchedulerEvent {}
+            implements NodeEvent {
+        @Override
+        public void accept(NodeEventHandler handler) {
+            handler.onLeadershipAcquired(this);
+        }
+    }
 
-    /** This node leads no more: everything is forgotten. */
-    record LeadershipLost() implements SchedulerEvent {}
+    /** This node no longer leads: all state of the term is dropped. */
+    record LeadershipLost() implements NodeEvent {
+        @Override
+        public void accept(NodeEventHandler handler) {
+            handler.onLeadershipLost(this);
+        }
+    }
 
-    /** A job's record was accepted, changed or read. */
-    record JobStored(JobRecord record, long revision) implements SchedulerEvent {}
+    /** A job's record was written by a node that took a request of a user, or was read. */
+    record JobStored(JobRecord record, long revision) implements TermEvent {
+        @Override
+        public void accept(TermEventHandler handler) {
+            handler.onJobStored(this);
+        }
+    }
 
-    /** A job's record was read and says nothing but, perhaps, that it is cancelled. */
-    record JobRecordDamaged(String jobId, long revision, boolean cancelled)
-            implements SchedulerEvent {}
+    /**
+     * A job's record was read and can't be decoded.
+     *
+     * @param cancelled whether it can still be told that the job is cancelled
+     */
+    record JobRecordDamaged(String jobId, long revision, boolean cancelled) implements TermEvent {
+        @Override
+        public void accept(TermEventHandler handler) {
+            handler.onJobRecordDamaged(this);
+        }
+    }
 
-    /** Somebody may be told that these jobs are cancelled, as the state service says. */
-    record CancellationsConfirmed(List<String> jobIds) implements SchedulerEvent {}
+    /** The store holds these jobs as cancelled, and users may be told so. */
+    record CancellationsConfirmed(List<String> jobIds) implements TermEvent {
+        @Override
+        public void accept(TermEventHandler handler) {
+            handler.onCancellationsConfirmed(this);
+        }
+    }
 
-    /** A job's record was looked for and is not there. */
-    record JobRecordNotFound(String jobId) implements SchedulerEvent {}
+    /** A job's record was to be read, and the store holds none. */
+    record JobRecordNotFound(String jobId) implements TermEvent {
+        @Override
+        public void accept(TermEventHandler handler) {
+            handler.onJobRecordNotFound(this);
+        }
+    }
 
-    /** A job's record could not be read. */
-    record JobReadFailed(String jobId) implements SchedulerEvent {}
+    /** A job's record could not be read: the store did not answer. */
+    record JobReadFailed(String jobId) implements TermEvent {
+        @Override
+        public void accept(TermEventHandler handler) {
+            handler.onJobReadFailed(this);
+        }
+    }
 
-    /** What the store says of a job that others wait for. */
+    /** What the store holds of a job that others depend on. */
     enum DependencyState {
+        /** The job's record: it is not over. */
         OPEN,
+        /** A final state: the job is done. */
         DONE,
+        /** A final state: the job was cancelled. */
         CANCELLED,
+        /** Nothing. */
         NOT_FOUND,
+        /** A value that can't be decoded, or no answer. */
         UNREADABLE
     }
 
     /**
-     * The answer to {@link SchedulerAction.ResolveDependency}, with the time at which the job was
-     * over, 0 where that is not known.
+     * The answer to {@link SchedulerAction.ResolveDependency}.
+     *
+     * @param endedWallMicros when the job ended, 0 where that is not known
      */
     record DependencyResolved(String jobId, DependencyState state, long endedWallMicros)
-            implements SchedulerEvent {}
+            implements TermEvent {
+        @Override
+        public void accept(TermEventHandler handler) {
+            handler.onDependencyResolved(this);
+        }
+    }
 
     /**
-     * What the state service takes, and how records are written, from now on; and whether nodes
-     * take care of workers.
+     * From now on the store takes this much, and records have this form.
      *
-     * @param machineLife whether records of machines tell of their lives
+     * @param valueBytes the largest value that the store takes
+     * @param delegationEnabled whether all nodes can renew leases of a partitioned zone
+     * @param recordsMachineLifecycle whether records of machines say when these were rented and
+     *     whether they ever reported
      */
     record StoreLimitsChanged(
             int valueBytes,
@@ -82,85 +148,187 @@
             double writesPerSecond,
             boolean delegationEnabled,
             boolean recordsMachineLifecycle)
-            implements SchedulerEvent {}
+            implements NodeEvent {
+        @Override
+        public void accept(NodeEventHandler handler) {
+            handler.onStoreLimitsChanged(this);
+        }
+    }
 
     /**
-     * A node, this one perhaps, tells how it stands.
+     * A node, this one perhaps, has sent its status; answered by {@link
+     * SchedulerAction.DelegateLeases}.
      *
-     * @param cancellationsSeenMicros the core has been told of every cancellation that was made
-     *     before this moment
+     * @param cancellationsReadUpToMicros the scheduler has been given every cancellation that was
+     *     made before this moment
      */
     record PeerStatusReceived(String node, PeerStatus status, long cancellationsReadUpToMicros)
-            implements SchedulerEvent {}
+            implements TermEvent {
+        @Override
+        public void accept(TermEventHandler handler) {
+            handler.onPeerStatus(this);
+        }
+    }
 
     /**
-     * A machine's record as read after a write without a clear outcome; null where there is none.
+     * The answer to {@link SchedulerAction.ReadMachine}, which follows a write without a clear
+     * outcome.
+     *
+     * @param record null where the store holds none
      */
     record MachineRecordRead(String host, MachineRecord record, long revision)
-            implements SchedulerEvent {}
+            implements TermEvent {
+        @Override
+        public void accept(TermEventHandler handler) {
+            handler.onMachineRecordRead(this);
+        }
+    }
 
-    record MachineReadFailed(String host) implements SchedulerEvent {}
+    /** A machine's record could not be read: the store did not answer. */
+    record MachineReadFailed(String host) implements TermEvent {
+        @Override
+        public void accept(TermEventHandler handler) {
+            handler.onMachineReadFailed(this);
+        }
+    }
 
     /**
-     * A worker's report, to be answered by a {@link SchedulerAction.AnswerHeartbeat} with the same
-     * id.
+     * An agent has sent a heartbeat; answered by {@link SchedulerAction.AnswerHeartbeat} or {@link
+     * SchedulerAction.RejectHeartbeat} with the same id.
      */
-    record HeartbeatReceived(long requestId, Heartbeat heartbeat) implements SchedulerEvent {}
-
-    /** The outcome of a direct command: the HTTP status, 0 for no response, -1 for never sent. */
-    record DirectCommandCompleted(long commandId, String host, int status, Heartbeat heartbeat)
-            implements SchedulerEvent {}
+    record HeartbeatReceived(long requestId, Heartbeat heartbeat) implements TermEvent {
+        @Override
+        public void accept(TermEventHandler handler) {
+            handler.onHeartbeat(this);
+        }
+    }
 
     /**
-     * What became of a write; one that is too large for the state service was not executed and
-     * never will be.
+     * The outcome of a {@link SchedulerAction.SendDirectCommand}.
+     *
+     * @param status the status of the HTTP response, 0 for no response, -1 if nothing was sent
+     * @param heartbeat what the agent answered, or null
      */
+    record DirectCommandCompleted(long commandId, String host, int status, Heartbeat heartbeat)
+            implements TermEvent {
+        @Override
+        public void accept(TermEventHandler handler) {
+            handler.onDirectCommandCompleted(this);
+        }
+    }
+
+    /** What became of a write to the store. */
     enum WriteOutcome {
+        /** It was executed. */
         WRITTEN,
+        /** It was not executed, as a revision was another than its condition said. */
         CONFLICT,
+        /** It may have been executed, or may still be. */
         UNKNOWN,
+        /** It was not executed and never will be. */
         NOT_WRITTEN,
+        /** It was not executed and never will be, as the value is larger than the store takes. */
         TOO_LARGE
     }
 
+    /**
+     * The outcome of a {@link SchedulerAction.WriteJob} or {@link SchedulerAction.WriteFinalState}.
+     *
+     * @param version the version of the job that was to be written
+     * @param revision the record's new revision, if it was written
+     */
     record JobWriteCompleted(String jobId, long version, WriteOutcome outcome, long revision)
-            implements SchedulerEvent {}
+            implements TermEvent {
+        @Override
+        public void accept(TermEventHandler handler) {
+            handler.onJobWriteCompleted(this);
+        }
+    }
 
+    /**
+     * The outcome of a {@link SchedulerAction.WriteMachine} or {@link
+     * SchedulerAction.DeleteMachineRecord}.
+     *
+     * @param decommissioning what the record that was to be written says of that
+     * @param deleted whether the record was to be deleted
+     * @param revision the record's new revision, if it was written
+     */
     record MachineWriteCompleted(
             String host,
             boolean decommissioning,
             boolean deleted,
             WriteOutcome outcome,
             long revision)
-            implements SchedulerEvent {}
+            implements TermEvent {
+        @Override
+        public void accept(TermEventHandler handler) {
+            handler.onMachineWriteCompleted(this);
+        }
+    }
 
-    record MachineTypesRead(List<MachineType> types) implements SchedulerEvent {}
+    /** The cloud has said which machine types it offers. */
+    record MachineTypesRead(List<MachineType> types) implements NodeEvent {
+        @Override
+        public void accept(NodeEventHandler handler) {
+            handler.onMachineTypesRead(this);
+        }
+    }
 
-    record MachinesListed(List<ListedMachine> machines) implements SchedulerEvent {}
+    /** The cloud has listed its machines; the list lags behind. */
+    record MachinesListed(List<ListedMachine> machines) implements TermEvent {
+        @Override
+        public void accept(TermEventHandler handler) {
+            handler.onMachinesListed(this);
+        }
+    }
 
+    /** What became of a request for machines. */
     enum ScaleOutOutcome {
+        /** The cloud has rented the machines. */
         RENTED,
+        /** The cloud has no machine of the kind for now. */
         NO_CAPACITY,
+        /** The cloud refused the request for another reason. */
         REFUSED,
+        /** There was no answer: machines may have been rented. */
         UNKNOWN
     }
 
+    /**
+     * The outcome of a {@link SchedulerAction.RentMachines}.
+     *
+     * @param hosts the machines that were rented
+     */
     record ScaleOutCompleted(String requestName, ScaleOutOutcome outcome, List<String> hosts)
-            implements SchedulerEvent {}
+            implements TermEvent {
+        @Override
+        public void accept(TermEventHandler handler) {
+            handler.onScaleOutCompleted(this);
+        }
+    }
 
-    record MachineDeletionCompleted(List<String> hosts, boolean succeeded)
-            implements SchedulerEvent {}
+    /** The outcome of a {@link SchedulerAction.DeleteMachines}. */
+    record MachineDeletionCompleted(List<String> hosts, boolean succeeded) implements TermEvent {
+        @Override
+        public void accept(TermEventHandler handler) {
+            handler.onMachineDeletionCompleted(this);
+        }
+    }
 
-    /** A live process's word, and the stamp under which it was read. */
+    /** What a live process announces of itself, and the revision at which it was read. */
     record StoredAnnouncement(NodeAnnouncement announcement, long revision) {}
 
     /**
-     * The rollout as the store tells it.
+     * The state of the rollout as the store holds it.
      *
-     * @param wordless nodes that were heard lately and give no word
-     * @param agreed what versions 2 and 3 have agreed on
-     * @param refused how many answers were refused and how many steps were late, since this process
-     *     began
+     * @param revision the revision of the record
+     * @param announcements what live processes announce, by node
+     * @param requests what operators ask for, by feature
+     * @param unannounced nodes that sent something lately and announce nothing
+     * @param agreed the version that nodes of versions 2 and 3 have agreed on
+     * @param agreedStamp the revision of the agreed version
+     * @param refusals how many answers were refused and how many steps were late since this process
+     *     started
      */
     record RolloutStateRead(
             RolloutRecord record,
@@ -171,11 +339,17 @@
             long agreed,
             long agreedStamp,
             long refusals)
-            implements SchedulerEvent {
-        public RolloutStateRead withRecord(RolloutRecord changed, long changedStamp) {
+            implements TermEvent {
+        @Override
+        public void accept(TermEventHandler handler) {
+            handler.onRolloutStateRead(this);
+        }
+
+        /** The same with another record, which was written at the given revision. */
+        public RolloutStateRead withRecord(RolloutRecord newRecord, long newRevision) {
             return new RolloutStateRead(
-                    changed,
-                    changedStamp,
+                    newRecord,
+                    newRevision,
                     announcements,
                     requests,
                     unannounced,
@@ -185,18 +359,120 @@
         }
     }
 
+    /**
+     * The outcome of a {@link SchedulerAction.WriteRollout}.
+     *
+     * @param number the number of the record that was to be written
+     * @param revision the record's new revision, if it was written
+     */
     record RolloutWriteCompleted(long number, WriteOutcome outcome, long revision)
-            implements SchedulerEvent {}
+            implements TermEvent {
+        @Override
+        public void accept(TermEventHandler handler) {
+            handler.onRolloutWriteCompleted(this);
+        }
+    }
 
-    /** What {@link SchedulerAction.CountRecords} found, if the store could be read. */
+    /**
+     * The outcome of a {@link SchedulerAction.CountRecords}.
+     *
+     * @param succeeded whether the store could be read
+     * @param outdated the keys of the records that are to be rewritten
+     * @param unreadable the keys of the records that can't be decoded
+     */
     record RecordsCounted(
             Feature feature,
             boolean rollingBack,
             boolean succeeded,
             List<String> outdated,
             List<String> unreadable)
-            implements SchedulerEvent {}
+            implements TermEvent {
+        @Override
+        public void accept(TermEventHandler handler) {
+            handler.onRecordsCounted(this);
+        }
+    }
+
+    /** Time has passed: what is due by now is done in the pass that ends the step. */
+    record Tick() implements TermEvent {
+        @Override
+        public void accept(TermEventHandler handler) {
+            // The event has no effect of its own.
+        }
+    }
+
+    /** Handles the events that matter whether this node leads or not. */
+    interface NodeEventHandler {
+        /** Handles {@link LeadershipAcquired}. */
+        void onLeadershipAcquired(LeadershipAcquired event);
+
+        /** Handles {@link LeadershipLost}. */
+        void onLeadershipLost(LeadershipLost event);
+
+        /** Handles {@link StoreLimitsChanged}. */
+        void onStoreLimitsChanged(StoreLimitsChanged event);
+
+        /** Handles {@link MachineTypesRead}. */
+        void onMachineTypesRead(MachineTypesRead event);
+    }
+
+    /** Handles the events that matter only to the leader. */
+    interface TermEventHandler {
+        /** Handles {@link JobStored}. */
+        void onJobStored(JobStored event);
+
+        /** Handles {@link JobRecordDamaged}. */
+        void onJobRecordDamaged(JobRecordDamaged event);
+
+        /** Handles {@link CancellationsConfirmed}. */
+        void onCancellationsConfirmed(CancellationsConfirmed event);
+
+        /** Handles {@link JobRecordNotFound}. */
+        void onJobRecordNotFound(JobRecordNotFound event);
+
+        /** Handles {@link JobReadFailed}. */
+        void onJobReadFailed(JobReadFailed event);
+
+        /** Handles {@link DependencyResolved}. */
+        void onDependencyResolved(DependencyResolved event);
 
-    /** Time has passed. */
-    record Tick() implements SchedulerEvent {}
+        /** Handles {@link PeerStatusReceived}. */
+        void onPeerStatus(PeerStatusReceived event);
+
+        /** Handles {@link MachineRecordRead}. */
+        void onMachineRecordRead(MachineRecordRead event);
+
+        /** Handles {@link MachineReadFailed}. */
+        void onMachineReadFailed(MachineReadFailed event);
+
+        /** Handles {@link HeartbeatReceived}. */
+        void onHeartbeat(HeartbeatReceived event);
+
+        /** Handles {@link DirectCommandCompleted}. */
+        void onDirectCommandCompleted(DirectCommandCompleted event);
+
+        /** Handles {@link JobWriteCompleted}. */
+        void onJobWriteCompleted(JobWriteCompleted event);
+
+        /** Handles {@link MachineWriteCompleted}. */
+        void onMachineWriteCompleted(MachineWriteCompleted event);
+
+        /** Handles {@link MachinesListed}. */
+        void onMachinesListed(MachinesListed event);
+
+        /** Handles {@link ScaleOutCompleted}. */
+        void onScaleOutCompleted(ScaleOutCompleted event);
+
+        /** Handles {@link MachineDeletionCompleted}. */
+        void onMachineDeletionCompleted(MachineDeletionCompleted event);
+
+        /** Handles {@link RolloutStateRead}. */
+        void onRolloutStateRead(RolloutStateRead event);
+
+        /** Handles {@link RolloutWriteCompleted}. */
+        void onRolloutWriteCompleted(RolloutWriteCompleted event);
+
+        /** Handles {@link RecordsCounted}. */
+        void onRecordsCounted(RecordsCounted event);
+    }
 }
--- a/src/main/java/org/woadloom/core/SchedulerState.java
+++ b/src/main/java/org/woadloom/core/SchedulerState.java
@@ -22,8 +22,15 @@
 import org.woadloom.settings.Team;
 import org.woadloom.store.RecordFormat;
 
-/** Everything one term of leadership knows, and the effects of the step that is under way. */
+/**
+ * Everything that the scheduler knows in one term of leadership, and the actions of the step that
+ * is under way. The collections that it hands out are read-only; they change by its own methods,
+ * which keep what belongs together.
+ */
 public final class SchedulerState {
+    /** An attempt number has the term in the bits above these, and a count in these. */
+    private static final int ATTEMPT_BITS = 32;
+
     private final SchedulerSettings settings;
     private final long term;
     private final long startedMicros;
@@ -32,21 +39,19 @@
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private final Map<String, Machine> machinesView = Collections.unmodifiableMap(machines);
 
-    /**
-     * Machines to which there may be something to send: the others are passed over in every step.
-     */
+    /** Machines to which there may be something to send; the others are skipped in every step. */
     private final Set<Machine> machinesWithPendingCommands = new LinkedHashSet<>();
 
     private final Set<Machine> machinesWithPendingCommandsView =
             Collections.unmodifiableSet(machinesWithPendingCommands);
 
-    /** Machines whose record is not as it should be, or that are to go. */
+    /** Machines whose record is out of date, or that are to be deleted. */
     private final Set<Machine> machinesToPersist = new LinkedHashSet<>();
 
     private final Set<Machine> machinesToPersistView =
             Collections.unmodifiableSet(machinesToPersist);
 
-    /** Jobs whose record does not say everything. */
+    /** Jobs whose record is out of date. */
     private final Set<Job> jobsToPersist = new LinkedHashSet<>();
 
     private final Set<Job> jobsToPersistView = Collections.unmodifiableSet(jobsToPersist);
@@ -57,29 +62,27 @@
     private final DependencyGraph dependencies = new DependencyGraph(this);
     private final ServiceLevelReport serviceLevels;
 
-    /**
-     * The largest value that the state service takes, and the format of the records that must fit.
-     */
+    /** The largest value that the store takes. */
     private int valueBytes;
 
     private final LivenessTimeouts livenessTimeouts;
 
-    /**
-     * No machine of this term that is forgotten was ever given a token with this fence or a higher
-     * one.
-     */
+    /** Every token that a forgotten machine was given in this term has a lower fence than this. */
     private long minFence;
 
     private final DelegationTimeouts delegationTimeouts;
     private final DelegationLedger delegations;
 
-    /** Every cancellation that was made before this moment has been seen. */
+    /** Every cancellation that was made before this moment has been read. */
     private long cancellationsReadUpToMicros = Long.MIN_VALUE;
 
     private final WriteBudget writeBudget = new WriteBudget();
-    private RecordFormat format;
+    private RecordFormat format = RecordFormat.PLAIN;
 
-    /** Whether records of machines tell of their lives, and since when it is so. */
+    /**
+     * Whether records of machines say when these were rented and whether they ever reported, and
+     * since when that is so.
+     */
     private boolean recordsMachineLifecycle;
 
     private long recordsMachineLifecycleSinceMicros;
@@ -87,7 +90,7 @@
     private final Map<String, MachineType> machineTypesView =
             Collections.unmodifiableMap(machineTypes);
 
-    /** Zones in which no machine of the ordinary kinds was to be had lately. */
+    /** Zones in which the cloud lately refused every on-demand machine type. */
     private final Set<String> scarceZones = new HashSet<>();
 
     private final Set<String> scarceZonesView = Collections.unmodifiableSet(scarceZones);
@@ -95,26 +98,18 @@
     private long nowMicros;
     private long wallMicros;
 
-    /** How many jobs have come, or begun after those before them. */
+    /** How many jobs have arrived, or were unblocked. */
     private long jobArrivals;
 
     /** Set when something changed that may let a task be placed. */
     private boolean placementNeeded = true;
 
     private List<SchedulerAction> actions = new ArrayList<>();
-    private long attempts;
-    private long commandIds;
-    private long requestNames;
-
-    SchedulerState(
-            SchedulerSettings settings,
-            int valueBytes,
-            RecordFormat format,
-            long term,
-            long nowMicros,
-            long wallMicros) {
-        this.valueBytes = valueBytes;
-        this.format = format;
+    private long lastAttempt;
+    private long lastCommandId;
+    private long lastRequest;
+
+    SchedulerState(SchedulerSettings settings, long term, long nowMicros, long wallMicros) {
         this.settings = settings;
         this.term = term;
         this.startedMicros = nowMicros;
@@ -130,17 +125,12 @@
         }
     }
 
-    void recordsMachineLifecycle(boolean told, long now) {
-        if (told != recordsMachineLifecycle) {
-            recordsMachineLifecycle = told;
-            recordsMachineLifecycleSinceMicros = now;
-        }
-    }
-
+    /** Adds an action to those of the step under way. */
     public void emit(SchedulerAction action) {
         actions.add(action);
     }
 
+    /** Adds a line for the log to the actions of the step under way. */
     public void log(LogEntry entry) {
         actions.add(new SchedulerAction.Log(entry));
     }
@@ -151,13 +141,22 @@
         wallMicros = wall;
     }
 
-    /** What the store takes from now on, and the form of records that must fit. */
-    void setRecordLimits(int maxValueBytes, RecordFormat newFormat) {
-        valueBytes = maxValueBytes;
-        format = newFormat;
+    /** Follows what the store takes from now on, and the form of the records that it must fit. */
+    void setStoreLimits(SchedulerEvent.StoreLimitsChanged limits) {
+        valueBytes = limits.valueBytes();
+        format = limits.format();
+        writeBudget.setRate(limits.writesPerSecond());
+        if (limits.recordsMachineLifecycle() != recordsMachineLifecycle) {
+            recordsMachineLifecycle = limits.recordsMachineLifecycle();
+            recordsMachineLifecycleSinceMicros = nowMicros;
+        }
+        if (limits.delegationEnabled()) {
+            delegations.enable();
+        }
+        requestPlacement();
     }
 
-    /** Something changed that may let a task be placed: the next pass looks for it. */
+    /** Something changed that may let a task be placed: the next pass tries. */
     public void requestPlacement() {
         placementNeeded = true;
     }
@@ -166,7 +165,7 @@
         placementNeeded = false;
     }
 
-    /** A job has come, or has started after those that it depended on. */
+    /** A job has arrived, or the last one that it depends on is done. */
     public void countJobArrival() {
         jobArrivals++;
     }
@@ -176,11 +175,7 @@
         cancellationsReadUpToMicros = Math.max(cancellationsReadUpToMicros, micros);
     }
 
-    /** A machine that is forgotten may have been given any token below this fence. */
-    private void raiseMinFence(long fence) {
-        minFence = Math.max(minFence, fence);
-    }
-
+    /** Hands over the actions of the step, and starts with none again. */
     List<SchedulerAction> takeActions() {
         List<SchedulerAction> current = actions;
         actions = new ArrayList<>();
@@ -189,26 +184,30 @@
 
     /** An attempt number that no leader has used or will use: the term is taken once only. */
     public long newAttempt() {
-        return (term << 32) + ++attempts;
+        return (term << ATTEMPT_BITS) + ++lastAttempt;
     }
 
+    /** An id for a direct command that no other of this term has. */
     public long newCommandId() {
-        return ++commandIds;
+        return ++lastCommandId;
     }
 
     /** A rental request's name, which must never be used again by any node. */
     public String newRequestName() {
-        return "r-" + term + "-" + ++requestNames;
+        return "r-" + term + "-" + ++lastRequest;
     }
 
+    /** What the deployment settles. */
     public SchedulerSettings settings() {
         return settings;
     }
 
+    /** The term in which this node leads. */
     public long term() {
         return term;
     }
 
+    /** When this node took the term, by the monotonic clock. */
     public long startedMicros() {
         return startedMicros;
     }
@@ -248,7 +247,7 @@
                         machine -> {
                             boolean forgotten = condition.test(machine);
                             if (forgotten) {
-                                raiseMinFence(machine.liveness.fence() + 1);
+                                minFence = Math.max(minFence, machine.liveness.fence() + 1);
                                 machinesWithPendingCommands.remove(machine);
                             }
                             return forgotten;
@@ -307,63 +306,70 @@
         return teamsView;
     }
 
+    /** What jobs will ask for next, by those that have come. */
     public DemandEstimator demand() {
         return demand;
     }
 
+    /** Which jobs wait for which. */
     public DependencyGraph dependencies() {
         return dependencies;
     }
 
+    /** How the jobs of this term are served. */
     public ServiceLevelReport serviceLevels() {
         return serviceLevels;
     }
 
-    /**
-     * The largest value that the state service takes, and the format of the records that must fit.
-     */
+    /** The largest value that the store takes. */
     public int valueBytes() {
         return valueBytes;
     }
 
+    /** After how long without a heartbeat a machine counts as silent or lost. */
     public LivenessTimeouts livenessTimeouts() {
         return livenessTimeouts;
     }
 
     /**
-     * No machine of this term that is forgotten was ever given a token with this fence or a higher
-     * one.
+     * The lowest fence for a machine that is not known: every token that a forgotten machine was
+     * given in this term has a lower one.
      */
     public long minFence() {
         return minFence;
     }
 
+    /** The bounds within which nodes may renew leases for the leader. */
     public DelegationTimeouts delegationTimeouts() {
         return delegationTimeouts;
     }
 
+    /** Until when each node may have renewed leases for the leader. */
     public DelegationLedger delegations() {
         return delegations;
     }
 
-    /** Every cancellation that was made before this moment has been seen. */
+    /** Every cancellation that was made before this moment has been read. */
     public long cancellationsReadUpToMicros() {
         return cancellationsReadUpToMicros;
     }
 
+    /** How many writes to the store may still be asked for. */
     public WriteBudget writeBudget() {
         return writeBudget;
     }
 
+    /** The form in which records are written. */
     public RecordFormat format() {
         return format;
     }
 
-    /** Whether records of machines tell of their lives, and since when it is so. */
+    /** Whether records of machines say when these were rented and whether they ever reported. */
     public boolean recordsMachineLifecycle() {
         return recordsMachineLifecycle;
     }
 
+    /** Since when {@link #recordsMachineLifecycle()} has been as it is. */
     public long recordsMachineLifecycleSinceMicros() {
         return recordsMachineLifecycleSinceMicros;
     }
@@ -389,15 +395,17 @@
         scarceZones.addAll(zones);
     }
 
+    /** The time of this step by the monotonic clock. */
     public long nowMicros() {
         return nowMicros;
     }
 
+    /** The time of this step since 1970. */
     public long wallMicros() {
         return wallMicros;
     }
 
-    /** How many jobs have come, or begun after those before them. */
+    /** How many jobs have arrived, or were unblocked. */
     public long jobArrivals() {
         return jobArrivals;
     }
--- a/src/test/java/org/woadloom/core/SchedulerFixture.java
+++ b/src/test/java/org/woadloom/core/SchedulerFixture.java
@@ -49,11 +49,11 @@
                                 30_000_000,
                                 3_000_000,
                                 OperatorSettings.defaults()),
-                        8192,
-                        RecordFormat.PLAIN,
                         1,
                         1_000_000,
                         0);
+        state.setStoreLimits(
+                new SchedulerEvent.StoreLimitsChanged(8192, RecordFormat.PLAIN, 0, false, false));
         state.addMachineType(TYPE);
     }
 
@@ -186,6 +186,7 @@
 
     /** What the store takes, and the form of records that must fit. */
     public void setRecordLimits(int valueBytes, RecordFormat format) {
-        state.setRecordLimits(valueBytes, format);
+        state.setStoreLimits(
+                new SchedulerEvent.StoreLimitsChanged(valueBytes, format, 0, false, false));
     }
 }
