--- a/src/main/java/org/woadloom/core/SchedulerSettings.java
+++ b/src/main/java/org/woadloom/core/SchedulerSettings.java
@@ -9,10 +9,14 @@
 import org.woadloom.settings.Team;
 
 /**
- * What the core is told of the deployment.
+ * The settings of the deployment that the scheduler rests on.
  *
- * @param label this node
- * @param nodes all nodes with their zones
+ * @param label the name of this node
+ * @param nodes the zone of each node, this one's among them
+ * @param heartbeatMicros how often an agent sends a heartbeat
+ * @param leaseMicros how long an agent may go without an answer before it kills its tasks
+ * @param cancelMicros within what time the tasks of a cancelled job must have stopped
+ * @param listLagMicros by how much the cloud's list of machines may be out of date
  */
 public record SchedulerSettings(
         String label,
@@ -25,10 +29,12 @@
         long listLagMicros,
         OperatorSettings operator) {
 
+    /** Copies the zones, so that nobody changes them. */
     public SchedulerSettings {
         nodes = Map.copyOf(nodes);
     }
 
+    /** Picks out of the settings files what the scheduler needs. */
     public static SchedulerSettings of(ServiceSettings settings, OperatorSettings operator) {
         Map<String, String> nodes = new LinkedHashMap<>();
         nodes.put(settings.label(), settings.zone());
--- a/src/main/java/org/woadloom/core/WriteBudget.java
+++ b/src/main/java/org/woadloom/core/WriteBudget.java
@@ -1,67 +1,90 @@
 package org.woadloom.core;
 
 /**
- * How many changes the core may still ask for, at the rate that the state service bears. What is
- * asked for beyond it would only queue, with users' requests behind it; what waits here is written
- * later and more at a time. Machines have a part of their own, so that a wave of rentals does not
- * hold up launches, nor launches the records of machines; what one leaves is the other's.
+ * A token bucket of writes to the store, at the rate that the store takes. Writes beyond it would
+ * only queue, with users' requests behind them; what waits here is written later, several changes
+ * in one write. Machines have a share of their own, so that a wave of rentals does not delay starts
+ * of tasks, nor starts the records of machines; what one does not use is the other's.
  */
 public final class WriteBudget {
-    private static final double MACHINES = 0.4;
+    /** The part of the rate that is for the records of machines. */
+    private static final double MACHINE_SHARE = 0.4;
+
+    /** The bucket holds as many writes as come in this time. */
     private static final double BURST_SECONDS = 0.4;
 
-    /** How far ahead ends and cancellations may go: they can't wait for others. */
-    private static final double AHEAD_SECONDS = 1.5;
+    /** How much of the rate to come final states and cancellations may use: they can't wait. */
+    private static final double OVERDRAFT_SECONDS = 1.5;
+
+    private static final double MIN_CAPACITY = 2;
+    private static final long NEVER_MICROS = Long.MIN_VALUE;
 
     private double perSecond;
-    private double jobs;
-    private double machines;
-    private long lastMicros = Long.MIN_VALUE;
+    private double jobTokens;
+    private double machineTokens;
+    private long lastRefillMicros = NEVER_MICROS;
 
+    /** Follows the rate that the store takes. */
     void setRate(double writesPerSecond) {
         perSecond = writesPerSecond;
     }
 
+    /** Adds the tokens of the time since the last refill. */
     void refill(long nowMicros) {
         double seconds =
-                lastMicros == Long.MIN_VALUE ? BURST_SECONDS : (nowMicros - lastMicros) / 1e6;
-        lastMicros = nowMicros;
-        double cap = Math.max(2, perSecond * BURST_SECONDS);
-        machines += perSecond * seconds * MACHINES;
-        jobs += perSecond * seconds * (1 - MACHINES) + Math.max(0, machines - cap * MACHINES);
-        machines = Math.min(machines, cap * MACHINES) + Math.max(0, jobs - cap);
-        jobs = Math.min(jobs, cap);
-        machines = Math.min(machines, cap);
+                lastRefillMicros == NEVER_MICROS
+                        ? BURST_SECONDS
+                        : (nowMicros - lastRefillMicros) / 1e6;
+        lastRefillMicros = nowMicros;
+        double capacity = capacity();
+        machineTokens += perSecond * seconds * MACHINE_SHARE;
+        jobTokens +=
+                perSecond * seconds * (1 - MACHINE_SHARE)
+                        + Math.max(0, machineTokens - capacity * MACHINE_SHARE);
+        machineTokens =
+                Math.min(machineTokens, capacity * MACHINE_SHARE)
+                        + Math.max(0, jobTokens - capacity);
+        jobTokens = Math.min(jobTokens, capacity);
+        machineTokens = Math.min(machineTokens, capacity);
+    }
+
+    private double capacity() {
+        return Math.max(MIN_CAPACITY, perSecond * BURST_SECONDS);
     }
 
+    /** The rate in writes a second. */
     public double perSecond() {
         return perSecond;
     }
 
-    /** True if there is room for what can wait: nothing else uses up what the rate allows. */
+    /** Whether there is spare capacity for what can wait: nothing else uses up the rate. */
     public boolean hasSpare() {
-        double cap = Math.max(2, perSecond * BURST_SECONDS);
-        return jobs >= cap / 2 && machines >= cap * MACHINES / 2;
+        double capacity = capacity();
+        return jobTokens >= capacity / 2 && machineTokens >= capacity * MACHINE_SHARE / 2;
     }
 
+    /** Whether the record of a job may be written. */
     public boolean allowsJob() {
-        return jobs > 0;
+        return jobTokens > 0;
     }
 
-    /** True if the end of a job, or a cancellation, may be written. */
+    /** Whether the final state of a job, or a cancellation, may be written. */
     public boolean allowsFinalState() {
-        return jobs > -perSecond * AHEAD_SECONDS;
+        return jobTokens > -perSecond * OVERDRAFT_SECONDS;
     }
 
+    /** Takes the tokens of a write that changes so many keys. */
     public void takeJob(int changes) {
-        jobs -= changes;
+        jobTokens -= changes;
     }
 
+    /** Whether the record of a machine may be written. */
     public boolean allowsMachine() {
-        return machines > 0;
+        return machineTokens > 0;
     }
 
+    /** Takes the token of a write of a machine's record. */
     public void takeMachine() {
-        machines--;
+        machineTokens--;
     }
 }
--- a/src/main/java/org/woadloom/core/delegation/DelegationLedger.java
+++ b/src/main/java/org/woadloom/core/delegation/DelegationLedger.java
@@ -4,34 +4,34 @@
 import java.util.Map;
 
 /**
- * The leader's book of warrants: until when each node may have renewed leases in the leader's
- * absence. A worker that has acknowledged this term is renewed under warrants of this term alone,
- * so what earlier leaders gave away is of no account.
+ * The leader's record of its delegations: until when each node may have renewed leases by itself.
+ * An agent that has acknowledged this term is renewed under delegations of this term alone, so
+ * those of earlier leaders need not be known.
  */
 public final class DelegationLedger {
-    private static final long NEVER = Long.MIN_VALUE / 4;
+    private static final long NEVER_MICROS = Long.MIN_VALUE / 4;
 
     private final DelegationTimeouts timeouts;
     private final long term;
     private final String self;
     private final Map<String, Delegate> delegates = new LinkedHashMap<>();
 
-    /** Every node is known to run a version that takes care. */
-    private boolean enable;
+    /** Whether every node runs a version that can renew leases. */
+    private boolean enabled;
 
     private static final class Delegate {
         final String zone;
         long processId;
         boolean known;
 
-        /** When the last warrant was given; it may be held long after. */
-        long grantedMicros = NEVER;
+        /** When the last delegation was sent; the node may hold it long after. */
+        long grantedMicros = NEVER_MICROS;
 
-        /** The node takes no care before. */
-        long noRenewalUntilMicros = NEVER;
+        /** The node renews no lease before this moment. */
+        long noRenewalUntilMicros = NEVER_MICROS;
 
-        /** It took care for the last time at this moment or before. */
-        long lastRenewalMicros = NEVER;
+        /** The node renewed a lease for the last time at this moment or before. */
+        long lastRenewalMicros = NEVER_MICROS;
 
         Delegate(String zone) {
             this.zone = zone;
@@ -42,8 +42,8 @@
      * @param nodes all nodes with their zones
      */
     public DelegationLedger(
-            DelegationTimeouts rules, long term, String self, Map<String, String> nodes) {
-        this.timeouts = rules;
+            DelegationTimeouts timeouts, long term, String self, Map<String, String> nodes) {
+        this.timeouts = timeouts;
         this.term = term;
         this.self = self;
         nodes.forEach(
@@ -54,15 +54,17 @@
                 });
     }
 
+    /** Every node runs a version that can renew leases. */
     public void enable() {
-        enable = true;
+        enabled = true;
     }
 
     /**
-     * Takes in what a node says, and gives it a new warrant.
+     * Takes in a node's status, and answers it by a new delegation.
      *
-     * @param settledMicros up to when every cancellation is carried out in its zone, or {@link
-     *     Long#MIN_VALUE}
+     * @param cancellationsAppliedMicros up to when every cancellation is carried out in its zone,
+     *     {@link Long#MIN_VALUE} where that is not known
+     * @return the delegation, or null for a node that the settings do not name
      */
     public LeaseDelegation onPeerStatus(
             String node, PeerStatus status, long cancellationsAppliedMicros, long nowMicros) {
@@ -84,8 +86,8 @@
 
     private void update(Delegate delegate, PeerStatus status, long nowMicros) {
         if (delegate.known && delegate.processId != status.processId()) {
-            // The process before this one may have taken care until it ended, which was before this
-            // one began.
+            // The process before this one may have renewed leases until it ended, which was before
+            // this one started.
             long startedMicros =
                     nowMicros - DelegationTimeouts.shortestMicros(status.uptimeMicros());
             if (startedMicros > delegate.noRenewalUntilMicros) {
@@ -116,15 +118,15 @@
     }
 
     private long validUntilMicros(Delegate delegate) {
-        return delegate.grantedMicros == NEVER
-                ? NEVER
+        return delegate.grantedMicros == NEVER_MICROS
+                ? NEVER_MICROS
                 : delegate.grantedMicros
                         + DelegationTimeouts.longestMicros(timeouts.delegationMicros());
     }
 
-    /** No worker of the zone was answered by any node in this leader's place after this moment. */
+    /** No lease of the zone was renewed by any other node after this moment. */
     public long lastRenewalMicros(String zone, long nowMicros) {
-        long last = NEVER;
+        long last = NEVER_MICROS;
         for (Delegate delegate : delegates.values()) {
             if (delegate.zone.equals(zone)) {
                 last = Math.max(last, delegate.lastRenewalMicros);
@@ -137,11 +139,11 @@
     }
 
     /**
-     * For how much longer than usual to have patience with a silent zone, in which a node may be
-     * taking care.
+     * For how much longer than usual a zone may be silent before its machines are given up, as a
+     * node may be renewing their leases.
      */
     public long extraSilenceMicros(String zone, long nowMicros) {
-        if (!enable || !timeouts.isUsable()) {
+        if (!enabled || !timeouts.isUsable()) {
             return 0;
         }
         for (Delegate delegate : delegates.values()) {
--- a/src/main/java/org/woadloom/core/delegation/DelegationTimeouts.java
+++ b/src/main/java/org/woadloom/core/delegation/DelegationTimeouts.java
@@ -1,19 +1,24 @@
 package org.woadloom.core.delegation;
 
 /**
- * The times of caretaking, which all nodes work out alike from the platform's settings.
+ * The bounds of delegated renewal, which all nodes work out alike from the settings.
  *
- * @param careMicros how long after a moment up to which every cancellation is carried out a worker
- *     may still be answered by a node that is cut off: its lease then ends within the time that a
- *     cancelled task may stay
- * @param patienceMicros how long a node must have heard neither the leader nor the state service
- *     before it takes care
- * @param leaseOverMicros how long after an answer a worker's lease is certainly over
+ * @param delegationMicros how long after every cancellation was last known to be carried out a node
+ *     that is cut off may still renew an agent's lease: the lease then ends within the time in
+ *     which a cancelled task must have stopped
+ * @param silenceMicros how long a node must have received nothing from the leader or the store
+ *     before it renews leases
+ * @param leaseExpiryMicros how long after a renewal an agent's lease has certainly expired
  */
 public record DelegationTimeouts(
         long delegationMicros, long silenceMicros, long leaseExpiryMicros) {
+    /** Two clocks drift apart by a five hundredth at most. */
+    private static final long DRIFT_DIVISOR = 500;
+
+    /** Timers fire late and clocks step by less than this. */
     private static final long MARGIN_MICROS = 250_000;
 
+    /** Works out the bounds from how long a lease lasts and how soon cancelled tasks must stop. */
     public static DelegationTimeouts of(long leaseMicros, long cancelMicros) {
         long leaseOver = longestMicros(leaseMicros);
         return new DelegationTimeouts(
@@ -22,20 +27,17 @@
                 leaseOver);
     }
 
-    /**
-     * A span by another clock, at most: clocks drift apart by a twentieth of a percent each, and
-     * timers step.
-     */
+    /** The longest that a span of another clock may be by this one, as clocks drift apart. */
     public static long longestMicros(long micros) {
-        return micros + micros / 500 + MARGIN_MICROS;
+        return micros + micros / DRIFT_DIVISOR + MARGIN_MICROS;
     }
 
-    /** A span by another clock, at least. */
+    /** The shortest that a span of another clock may be by this one. */
     public static long shortestMicros(long micros) {
-        return micros - micros / 500 - MARGIN_MICROS;
+        return micros - micros / DRIFT_DIVISOR - MARGIN_MICROS;
     }
 
-    /** Where cancelled tasks must go at once there is no time to take care in. */
+    /** Whether there is time to renew in: not where cancelled tasks must stop almost at once. */
     public boolean isUsable() {
         return delegationMicros > 2 * silenceMicros;
     }
--- a/src/main/java/org/woadloom/core/delegation/LeaseDelegate.java
+++ b/src/main/java/org/woadloom/core/delegation/LeaseDelegate.java
@@ -1,13 +1,13 @@
 package org.woadloom.core.delegation;
 
 /**
- * When a node that is cut off may renew the leases of its zone's workers by itself. It may while it
- * holds a warrant of the leader that it has lost, and only after it has heard neither the leader
- * nor the state service for a while, so that its promises to the leader hold. A process that was
- * started anew holds no warrant.
+ * Decides when a node that is cut off may renew the leases of its zone's agents by itself: while it
+ * holds a delegation of the leader that it has lost, and only after it has received nothing from
+ * the leader or the store for a while, so that its promises to the leader hold. A process that was
+ * restarted holds no delegation.
  */
 public final class LeaseDelegate {
-    private static final long NEVER = Long.MIN_VALUE / 4;
+    private static final long NEVER_MICROS = Long.MIN_VALUE / 4;
 
     private final DelegationTimeouts timeouts;
     private final String zone;
@@ -15,14 +15,14 @@
     private final long startedMicros;
     private long term;
     private long leaderClockMicros;
-    private long validUntilMicros = NEVER;
+    private long validUntilMicros = NEVER_MICROS;
     private long lastLeaderContactMicros;
     private long lastStoreAnswerMicros;
-    private boolean storeFails;
-    private long lastRenewalMicros = NEVER;
+    private boolean isStoreFailing;
+    private long lastRenewalMicros = NEVER_MICROS;
 
-    public LeaseDelegate(DelegationTimeouts rules, String zone, long processId, long nowMicros) {
-        this.timeouts = rules;
+    public LeaseDelegate(DelegationTimeouts timeouts, String zone, long processId, long nowMicros) {
+        this.timeouts = timeouts;
         this.zone = zone;
         this.processId = processId;
         this.startedMicros = nowMicros;
@@ -30,18 +30,18 @@
         this.lastStoreAnswerMicros = nowMicros;
     }
 
-    /** A warrant has come; one of an earlier term is of the past. */
+    /** Takes in a delegation; one of an earlier term is void. */
     public void onDelegation(LeaseDelegation delegation) {
         if (delegation.term() < term) {
             return;
         }
         if (delegation.term() > term) {
-            validUntilMicros = NEVER;
+            validUntilMicros = NEVER_MICROS;
             leaderClockMicros = delegation.leaderClockMicros();
         }
         term = delegation.term();
         leaderClockMicros = Math.max(leaderClockMicros, delegation.leaderClockMicros());
-        // By the time when the node spoke, as the answer may have been held up on its way.
+        // By the time when the status was sent, as the answer may have been held up on its way.
         lastLeaderContactMicros = Math.max(lastLeaderContactMicros, delegation.statusSentMicros());
         if (delegation.cancellationLagMicros() < LeaseDelegation.UNKNOWN_LAG) {
             validUntilMicros =
@@ -53,21 +53,23 @@
         }
     }
 
+    /** The store has answered this node. */
     public void onStoreAnswered(long nowMicros) {
         lastStoreAnswerMicros = nowMicros;
-        storeFails = false;
+        isStoreFailing = false;
     }
 
+    /** A request to the store has failed. */
     public void onStoreFailed() {
-        storeFails = true;
+        isStoreFailing = true;
     }
 
-    /** True while this node has lost the leader and the state service for long enough. */
+    /** Whether this node has received nothing from leader and store for long enough. */
     private boolean isPartitioned(long nowMicros) {
-        return storeFails && nowMicros > renewFromMicros();
+        return isStoreFailing && nowMicros > renewFromMicros();
     }
 
-    /** True while it is cut off and its warrant lasts. */
+    /** Whether this node is cut off and holds a valid delegation. */
     public boolean mayRenew(long nowMicros) {
         return timeouts.isUsable() && isPartitioned(nowMicros) && nowMicros <= validUntilMicros;
     }
@@ -76,7 +78,7 @@
         return Math.max(lastLeaderContactMicros, lastStoreAnswerMicros) + timeouts.silenceMicros();
     }
 
-    /** Whether to renew a worker's lease; that it is done is remembered for the leader. */
+    /** Whether to renew an agent's lease now; a renewal is noted for the next status. */
     public boolean tryRenew(String agentZone, long agentTerm, long nowMicros) {
         if (!mayRenew(nowMicros) || !agentZone.equals(zone) || agentTerm > term || agentTerm == 0) {
             return false;
@@ -85,6 +87,7 @@
         return true;
     }
 
+    /** The status to send to the leader. */
     public PeerStatus status(long nowMicros) {
         return new PeerStatus(
                 processId,
@@ -93,7 +96,7 @@
                 term,
                 leaderClockMicros,
                 Math.max(0, renewFromMicros() - nowMicros),
-                lastRenewalMicros == NEVER ? -1 : nowMicros - lastRenewalMicros,
-                storeFails ? nowMicros - lastStoreAnswerMicros : 0);
+                lastRenewalMicros == NEVER_MICROS ? -1 : nowMicros - lastRenewalMicros,
+                isStoreFailing ? nowMicros - lastStoreAnswerMicros : 0);
     }
 }
--- a/src/main/java/org/woadloom/core/delegation/LeaseDelegation.java
+++ b/src/main/java/org/woadloom/core/delegation/LeaseDelegation.java
@@ -1,16 +1,18 @@
 package org.woadloom.core.delegation;
 
 /**
- * The leader's leave to take care of workers in its absence, and its sign of life.
+ * The leader's answer to a node's status: the node may renew leases while it can't reach the
+ * leader.
  *
- * @param term the leader's; workers that have seen a token of a later term are none of this
- *     warrant's business
- * @param saidMicros the standing's time that it answers, by the node's own clock
- * @param leaderMicros the time by the leader's clock
- * @param settledMicros how long before the standing was heard the moment lies up to which every
- *     cancellation has been carried out in the node's zone, {@link #UNSETTLED} where there is none
+ * @param term the leader's term; leases of agents that have seen a token of a later term must not
+ *     be renewed by this delegation
+ * @param statusSentMicros when the status that this answers was sent, by the node's clock
+ * @param leaderClockMicros the time by the leader's clock
+ * @param cancellationLagMicros how long before the status was received every cancellation was last
+ *     known to be carried out in the node's zone, {@link #UNKNOWN_LAG} where that is not known
  */
 public record LeaseDelegation(
         long term, long statusSentMicros, long leaderClockMicros, long cancellationLagMicros) {
+    /** No such moment is known; longer than any delegation lasts. */
     public static final long UNKNOWN_LAG = Long.MAX_VALUE / 4;
 }
