--- a/src/main/java/org/woadloom/core/SchedulerState.java
+++ b/src/main/java/org/woadloom/core/SchedulerState.java
@@ -1,12 +1,14 @@
 package org.woadloom.core;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.Predicate;
 import org.woadloom.core.delegation.DelegationLedger;
 import org.woadloom.core.delegation.DelegationTimeouts;
 import org.woadloom.core.jobs.DemandEstimator;
@@ -20,84 +22,94 @@
 import org.woadloom.settings.Team;
 import org.woadloom.store.RecordFormat;
 
-/** Everything one term of leadership knows, and the effects of the step that is under way. */
+/**
+ * Everything that the scheduler knows in one term of leadership, and the actions of the step that
+ * is under way. The collections that it hands out are read-only; they change by its own methods,
+ * which keep what belongs together.
+ */
 public final class SchedulerState {
+    /** An attempt number has the term in the bits above these, and a count in these. */
+    private static final int ATTEMPT_BITS = 32;
+
     private final SchedulerSettings settings;
     private final long term;
     private final long startedMicros;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
+    private final Map<String, Job> jobsView = Collections.unmodifiableMap(jobs);
     private final Map<String, Machine> machines = new LinkedHashMap<>();
+    private final Map<String, Machine> machinesView = Collections.unmodifiableMap(machines);
 
-    /**
-     * Machines to which there may be something to send: the others are passed over in every step.
-     */
+    /** Machines to which there may be something to send; the others are skipped in every step. */
     private final Set<Machine> machinesWithPendingCommands = new LinkedHashSet<>();
 
-    /** Machines whose record is not as it should be, or that are to go. */
+    private final Set<Machine> machinesWithPendingCommandsView =
+            Collections.unmodifiableSet(machinesWithPendingCommands);
+
+    /** Machines whose record is out of date, or that are to be deleted. */
     private final Set<Machine> machinesToPersist = new LinkedHashSet<>();
 
-    /** Jobs whose record does not say everything. */
+    private final Set<Machine> machinesToPersistView =
+            Collections.unmodifiableSet(machinesToPersist);
+
+    /** Jobs whose record is out of date. */
     private final Set<Job> jobsToPersist = new LinkedHashSet<>();
 
+    private final Set<Job> jobsToPersistView = Collections.unmodifiableSet(jobsToPersist);
+
     private final Map<String, TeamQuota> teams = new LinkedHashMap<>();
+    private final Map<String, TeamQuota> teamsView = Collections.unmodifiableMap(teams);
     private final DemandEstimator demand = new DemandEstimator();
     private final DependencyGraph dependencies = new DependencyGraph(this);
     private final ServiceLevelReport serviceLevels;
 
-    /**
-     * The largest value that the state service takes, and the format of the records that must fit.
-     */
+    /** The largest value that the store takes. */
     private int valueBytes;
 
     private final LivenessTimeouts livenessTimeouts;
 
-    /**
-     * No machine of this term that is forgotten was ever given a token with this fence or a higher
-     * one.
-     */
+    /** Every token that a forgotten machine was given in this term has a lower fence than this. */
     private long minFence;
 
     private final DelegationTimeouts delegationTimeouts;
     private final DelegationLedger delegations;
 
-    /** Every cancellation that was made before this moment has been seen. */
+    /** Every cancellation that was made before this moment has been read. */
     private long cancellationsReadUpToMicros = Long.MIN_VALUE;
 
     private final WriteBudget writeBudget = new WriteBudget();
-    private RecordFormat format;
+    private RecordFormat format = RecordFormat.PLAIN;
 
-    /** Whether records of machines tell of their lives, and since when it is so. */
+    /**
+     * Whether records of machines say when these were rented and whether they ever reported, and
+     * since when that is so.
+     */
     private boolean recordsMachineLifecycle;
 
     private long recordsMachineLifecycleSinceMicros;
     private final Map<String, MachineType> machineTypes = new LinkedHashMap<>();
+    private final Map<String, MachineType> machineTypesView =
+            Collections.unmodifiableMap(machineTypes);
 
-    /** Zones in which no machine of the ordinary kinds was to be had lately. */
+    /** Zones in which the cloud lately refused every on-demand machine type. */
     private final Set<String> scarceZones = new HashSet<>();
 
+    private final Set<String> scarceZonesView = Collections.unmodifiableSet(scarceZones);
+
     private long nowMicros;
     private long wallMicros;
 
-    /** How many jobs have come, or begun after those before them. */
+    /** How many jobs have arrived, or were unblocked. */
     private long jobArrivals;
 
     /** Set when something changed that may let a task be placed. */
     private boolean placementNeeded = true;
 
     private List<SchedulerAction> actions = new ArrayList<>();
-    private long attempts;
-    private long commandIds;
-    private long requestNames;
-
-    SchedulerState(
-            SchedulerSettings settings,
-            int valueBytes,
-            RecordFormat format,
-            long term,
-            long nowMicros,
-            long wallMicros) {
-        this.valueBytes = valueBytes;
-        this.format = format;
+    private long lastAttempt;
+    private long lastCommandId;
+    private long lastRequest;
+
+    SchedulerState(SchedulerSettings settings, long term, long nowMicros, long wallMicros) {
         this.settings = settings;
         this.term = term;
         this.startedMicros = nowMicros;
@@ -113,17 +125,12 @@
         }
     }
 
-    void recordsMachineLifecycle(boolean told, long now) {
-        if (told != recordsMachineLifecycle) {
-            recordsMachineLifecycle = told;
-            recordsMachineLifecycleSinceMicros = now;
-        }
-    }
-
+    /** Adds an action to those of the step under way. */
     public void emit(SchedulerAction action) {
         actions.add(action);
     }
 
+    /** Adds a line for the log to the actions of the step under way. */
     public void log(LogEntry entry) {
         actions.add(new SchedulerAction.Log(entry));
     }
@@ -134,13 +141,22 @@
         wallMicros = wall;
     }
 
-    /** What the store takes from now on, and the form of records that must fit. */
-    void setRecordLimits(int maxValueBytes, RecordFormat newFormat) {
-        valueBytes = maxValueBytes;
-        format = newFormat;
+    /** Follows what the store takes from now on, and the form of the records that it must fit. */
+    void setStoreLimits(SchedulerEvent.StoreLimitsChanged limits) {
+        valueBytes = limits.valueBytes();
+        format = limits.format();
+        writeBudget.setRate(limits.writesPerSecond());
+        if (limits.recordsMachineLifecycle() != recordsMachineLifecycle) {
+            recordsMachineLifecycle = limits.recordsMachineLifecycle();
+            recordsMachineLifecycleSinceMicros = nowMicros;
+        }
+        if (limits.delegationEnabled()) {
+            delegations.enable();
+        }
+        requestPlacement();
     }
 
-    /** Something changed that may let a task be placed: the next pass looks for it. */
+    /** Something changed that may let a task be placed: the next pass tries. */
     public void requestPlacement() {
         placementNeeded = true;
     }
@@ -149,7 +165,7 @@
         placementNeeded = false;
     }
 
-    /** A job has come, or has started after those that it depended on. */
+    /** A job has arrived, or the last one that it depends on is done. */
     public void countJobArrival() {
         jobArrivals++;
     }
@@ -159,11 +175,7 @@
         cancellationsReadUpToMicros = Math.max(cancellationsReadUpToMicros, micros);
     }
 
-    /** A machine that is forgotten may have been given any token below this fence. */
-    public void raiseMinFence(long fence) {
-        minFence = Math.max(minFence, fence);
-    }
-
+    /** Hands over the actions of the step, and starts with none again. */
     List<SchedulerAction> takeActions() {
         List<SchedulerAction> current = actions;
         actions = new ArrayList<>();
@@ -172,138 +184,228 @@
 
     /** An attempt number that no leader has used or will use: the term is taken once only. */
     public long newAttempt() {
-        return (term << 32) + ++attempts;
+        return (term << ATTEMPT_BITS) + ++lastAttempt;
     }
 
+    /** An id for a direct command that no other of this term has. */
     public long newCommandId() {
-        return ++commandIds;
+        return ++lastCommandId;
     }
 
     /** A rental request's name, which must never be used again by any node. */
     public String newRequestName() {
-        return "r-" + term + "-" + ++requestNames;
+        return "r-" + term + "-" + ++lastRequest;
     }
 
+    /** What the deployment settles. */
     public SchedulerSettings settings() {
         return settings;
     }
 
+    /** The term in which this node leads. */
     public long term() {
         return term;
     }
 
+    /** When this node took the term, by the monotonic clock. */
     public long startedMicros() {
         return startedMicros;
     }
 
+    /** All jobs of the term by id, in the order in which they came; read-only. */
     public Map<String, Job> jobs() {
-        return jobs;
+        return jobsView;
+    }
+
+    /** Adds a job under its id. */
+    public void addJob(Job job) {
+        jobs.put(job.jobId(), job);
+    }
+
+    /** Removes a job that is over, of which no attempt is left. */
+    public void removeJob(Job job) {
+        jobs.remove(job.jobId());
     }
 
+    /** All machines of the term by name, in the order in which they were first seen; read-only. */
     public Map<String, Machine> machines() {
-        return machines;
+        return machinesView;
+    }
+
+    /** Adds a machine under its name. */
+    public void addMachine(Machine machine) {
+        machines.put(machine.host, machine);
+    }
+
+    /**
+     * Forgets the machines for which the condition holds, and raises the lowest fence above theirs:
+     * a machine that comes back under a forgotten name takes no token of before.
+     */
+    public void forgetMachinesIf(Predicate<Machine> condition) {
+        machines.values()
+                .removeIf(
+                        machine -> {
+                            boolean forgotten = condition.test(machine);
+                            if (forgotten) {
+                                minFence = Math.max(minFence, machine.liveness.fence() + 1);
+                                machinesWithPendingCommands.remove(machine);
+                            }
+                            return forgotten;
+                        });
     }
 
     /**
      * Machines to which there may be something to send: the others are passed over in every step.
      */
     public Set<Machine> machinesWithPendingCommands() {
-        return machinesWithPendingCommands;
+        return machinesWithPendingCommandsView;
     }
 
-    /** Machines whose record is not as it should be, or that are to go. */
+    /** There may be something to send to the machine's agent. */
+    public void markPendingCommands(Machine machine) {
+        machinesWithPendingCommands.add(machine);
+    }
+
+    /** Nothing is left to send to the machine's agent. */
+    public void clearPendingCommands(Machine machine) {
+        machinesWithPendingCommands.remove(machine);
+    }
+
+    /** Machines whose record is out of date, or that are to be deleted; read-only. */
     public Set<Machine> machinesToPersist() {
-        return machinesToPersist;
+        return machinesToPersistView;
+    }
+
+    /** There may be something to write of the machine, or it is to be deleted. */
+    public void markForPersistence(Machine machine) {
+        machinesToPersist.add(machine);
     }
 
-    /** Jobs whose record does not say everything. */
+    /** Takes the machines for which the condition holds off those to be persisted. */
+    public void unmarkMachinesIf(Predicate<Machine> condition) {
+        machinesToPersist.removeIf(condition);
+    }
+
+    /** Jobs whose record is out of date; read-only. */
     public Set<Job> jobsToPersist() {
-        return jobsToPersist;
+        return jobsToPersistView;
+    }
+
+    /** There may be something to write of the job. */
+    public void markForPersistence(Job job) {
+        jobsToPersist.add(job);
+    }
+
+    /** Takes the jobs for which the condition holds off those to be persisted. */
+    public void unmarkJobsIf(Predicate<Job> condition) {
+        jobsToPersist.removeIf(condition);
     }
 
+    /** The quotas of the teams that the settings name, by team; read-only. */
     public Map<String, TeamQuota> teams() {
-        return teams;
+        return teamsView;
     }
 
+    /** What jobs will ask for next, by those that have come. */
     public DemandEstimator demand() {
         return demand;
     }
 
+    /** Which jobs wait for which. */
     public DependencyGraph dependencies() {
         return dependencies;
     }
 
+    /** How the jobs of this term are served. */
     public ServiceLevelReport serviceLevels() {
         return serviceLevels;
     }
 
-    /**
-     * The largest value that the state service takes, and the format of the records that must fit.
-     */
+    /** The largest value that the store takes. */
     public int valueBytes() {
         return valueBytes;
     }
 
+    /** After how long without a heartbeat a machine counts as silent or lost. */
     public LivenessTimeouts livenessTimeouts() {
         return livenessTimeouts;
     }
 
     /**
-     * No machine of this term that is forgotten was ever given a token with this fence or a higher
-     * one.
+     * The lowest fence for a machine that is not known: every token that a forgotten machine was
+     * given in this term has a lower one.
      */
     public long minFence() {
         return minFence;
     }
 
+    /** The bounds within which nodes may renew leases for the leader. */
     public DelegationTimeouts delegationTimeouts() {
         return delegationTimeouts;
     }
 
+    /** Until when each node may have renewed leases for the leader. */
     public DelegationLedger delegations() {
         return delegations;
     }
 
-    /** Every cancellation that was made before this moment has been seen. */
+    /** Every cancellation that was made before this moment has been read. */
     public long cancellationsReadUpToMicros() {
         return cancellationsReadUpToMicros;
     }
 
+    /** How many writes to the store may still be asked for. */
     public WriteBudget writeBudget() {
         return writeBudget;
     }
 
+    /** The form in which records are written. */
     public RecordFormat format() {
         return format;
     }
 
-    /** Whether records of machines tell of their lives, and since when it is so. */
+    /** Whether records of machines say when these were rented and whether they ever reported. */
     public boolean recordsMachineLifecycle() {
         return recordsMachineLifecycle;
     }
 
+    /** Since when {@link #recordsMachineLifecycle()} has been as it is. */
     public long recordsMachineLifecycleSinceMicros() {
         return recordsMachineLifecycleSinceMicros;
     }
 
+    /** The machine types that the cloud offers, by name; read-only. */
     public Map<String, MachineType> machineTypes() {
-        return machineTypes;
+        return machineTypesView;
+    }
+
+    /** Adds a machine type, or replaces the one of the same name. */
+    public void addMachineType(MachineType type) {
+        machineTypes.put(type.name(), type);
     }
 
-    /** Zones in which no machine of the ordinary kinds was to be had lately. */
+    /** Zones in which the cloud lately refused every on-demand machine type; read-only. */
     public Set<String> scarceZones() {
-        return scarceZones;
+        return scarceZonesView;
+    }
+
+    /** Replaces the scarce zones. */
+    public void setScarceZones(Set<String> zones) {
+        scarceZones.clear();
+        scarceZones.addAll(zones);
     }
 
+    /** The time of this step by the monotonic clock. */
     public long nowMicros() {
         return nowMicros;
     }
 
+    /** The time of this step since 1970. */
     public long wallMicros() {
         return wallMicros;
     }
 
-    /** How many jobs have come, or begun after those before them. */
+    /** How many jobs have arrived, or were unblocked. */
     public long jobArrivals() {
         return jobArrivals;
     }
--- a/src/test/java/org/woadloom/core/SchedulerFixture.java
+++ b/src/test/java/org/woadloom/core/SchedulerFixture.java
@@ -49,12 +49,12 @@
                                 30_000_000,
                                 3_000_000,
                                 OperatorSettings.defaults()),
-                        8192,
-                        RecordFormat.PLAIN,
                         1,
                         1_000_000,
                         0);
-        state.machineTypes().put(TYPE.name(), TYPE);
+        state.setStoreLimits(
+                new SchedulerEvent.StoreLimitsChanged(8192, RecordFormat.PLAIN, 0, false, false));
+        state.addMachineType(TYPE);
     }
 
     public Machine machine(String host, String zone) {
@@ -63,7 +63,7 @@
         machine.onRecorded(0);
         machine.confirmExistence();
         hear(machine, 1, machine.liveness.issueToken(state.nowMicros()));
-        state.machines().put(host, machine);
+        state.addMachine(machine);
         return machine;
     }
 
@@ -143,8 +143,8 @@
                             1,
                             state.teams().get("team"),
                             state.nowMicros(),
-                            state.jobsToPersist());
-            state.jobs().put(jobId, job);
+                            state::markForPersistence);
+            state.addJob(job);
             return job;
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
@@ -186,6 +186,7 @@
 
     /** What the store takes, and the form of records that must fit. */
     public void setRecordLimits(int valueBytes, RecordFormat format) {
-        state.setRecordLimits(valueBytes, format);
+        state.setStoreLimits(
+                new SchedulerEvent.StoreLimitsChanged(valueBytes, format, 0, false, false));
     }
 }
