--- /dev/null
+++ b/src/main/java/org/woadloom/core/autoscaling/MachineKind.java
@@ -0,0 +1,15 @@
+package org.woadloom.core.autoscaling;
+
+import org.woadloom.core.machines.Machine;
+import org.woadloom.protocol.MachineType;
+
+/** What the cloud can be asked for: a type of machine in a zone, as spot or on demand. */
+record MachineKind(MachineType type, String zone, boolean spot) {
+    static MachineKind of(Machine machine) {
+        return new MachineKind(machine.type(), machine.zone, machine.spot);
+    }
+
+    double price() {
+        return spot ? type.spotPrice() : type.onDemandPrice();
+    }
+}
--- a/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
+++ b/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
@@ -4,76 +4,93 @@
 import java.util.HashSet;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.Predicate;
 import org.woadloom.core.LogEntry;
 import org.woadloom.core.LogEvent;
 import org.woadloom.core.SchedulerState;
 import org.woadloom.core.machines.Machine;
 
 /**
- * Zones of which hardly a machine is heard any more: most likely they are cut off. What is rented
- * there now would cost money and count as coming without ever reporting, and what is there comes
- * back with its images when the cut is over. A zone is dark until a third of its machines are
- * heard, or for a while where none is left to be heard of.
+ * Zones most of whose machines are silent: most likely the network to them is partitioned. What is
+ * rented there now would cost money and count as booting without ever reporting, and the machines
+ * that are there come back with their images when the partition heals. A zone counts as partitioned
+ * until a third of its machines report, or for a while where no machine is left to report.
  */
 final class PartitionedZones {
+    /** With fewer machines a zone's silence may be theirs. */
     private static final int MIN_MACHINES = 3;
-    private static final long MAX_MICROS = 90_000_000;
+
+    /** For how long a zone without machines counts as partitioned. */
+    private static final long MAX_MICROS_WITHOUT_MACHINES = 90_000_000;
+
     private static final long MARGIN_MICROS = 1_000_000;
 
     private final SchedulerState state;
-    private final Predicate<Machine> missingFromList;
-    private final Map<String, Long> sinceMicros = new HashMap<>();
+    private final MachineListing listing;
+    private final Map<String, Long> partitionedSinceMicros = new HashMap<>();
+
+    /** The machines of each zone as this review finds them. */
+    private static final class ZoneCounts {
+        private final Map<String, Integer> machines = new HashMap<>();
+        private final Map<String, Integer> silent = new HashMap<>();
+        private final Set<String> connected = new HashSet<>();
+    }
 
     /**
-     * @param unlisted true for machines of which the cloud tells that they are gone: their silence
-     *     tells nothing of the zone
+     * @param listing tells of machines that the cloud no longer has: their silence says nothing of
+     *     the zone
      */
-    PartitionedZones(SchedulerState state, Predicate<Machine> missingFromList) {
+    PartitionedZones(SchedulerState state, MachineListing listing) {
         this.state = state;
-        this.missingFromList = missingFromList;
+        this.listing = listing;
     }
 
     void review() {
-        Map<String, Integer> all = new HashMap<>();
-        Map<String, Integer> silent = new HashMap<>();
-        Set<String> connected = new HashSet<>();
+        ZoneCounts counts = count();
+        counts.machines.forEach((zone, machines) -> judge(zone, machines, counts));
+        removeReconnected(counts);
+    }
+
+    private ZoneCounts count() {
+        ZoneCounts counts = new ZoneCounts();
         for (Machine machine : state.machines().values()) {
-            if ((machine.isKnownAlive() || machine.isReportedRecorded())
-                    && !machine.isDeleted()
-                    && !machine.isDecommissioning()) {
-                if (missingFromList.test(machine) && isSilent(machine)) {
-                    connected.add(machine.zone);
-                    continue;
-                }
-                all.merge(machine.zone, 1, Integer::sum);
-                silent.merge(machine.zone, isSilent(machine) ? 1 : 0, Integer::sum);
+            boolean wasUp = machine.isKnownAlive() || machine.isReportedRecorded();
+            if (!wasUp || machine.isDeleted() || machine.isDecommissioning()) {
+                continue;
             }
+            boolean silent = isSilent(machine);
+            if (silent && listing.isMissing(machine)) {
+                counts.connected.add(machine.zone);
+                continue;
+            }
+            counts.machines.merge(machine.zone, 1, Integer::sum);
+            counts.silent.merge(machine.zone, silent ? 1 : 0, Integer::sum);
         }
-        connected.removeAll(all.keySet());
-        all.forEach(
-                (zone, count) -> {
-                    if (count >= MIN_MACHINES && silent.get(zone) * 3 > count * 2) {
-                        if (sinceMicros.putIfAbsent(zone, state.nowMicros()) == null) {
-                            state.log(
-                                    LogEntry.info(LogEvent.ZONE_PARTITIONED)
-                                            .with("zone", zone)
-                                            .with("silent", silent.get(zone))
-                                            .with("machines", count));
-                        }
-                    } else if (silent.get(zone) < count) {
-                        connected.add(zone);
-                    }
-                });
-        sinceMicros
+        // A zone whose machines are all gone from the list is connected; one with others is judged.
+        counts.connected.removeAll(counts.machines.keySet());
+        return counts;
+    }
+
+    private void judge(String zone, int machines, ZoneCounts counts) {
+        int silent = counts.silent.get(zone);
+        if (machines >= MIN_MACHINES && silent * 3 > machines * 2) {
+            if (partitionedSinceMicros.putIfAbsent(zone, state.nowMicros()) == null) {
+                state.log(
+                        LogEntry.info(LogEvent.ZONE_PARTITIONED)
+                                .with("zone", zone)
+                                .with("silent", silent)
+                                .with("machines", machines));
+            }
+        } else if (silent < machines) {
+            counts.connected.add(zone);
+        }
+    }
+
+    private void removeReconnected(ZoneCounts counts) {
+        partitionedSinceMicros
                 .entrySet()
                 .removeIf(
                         partition -> {
-                            boolean over =
-                                    connected.contains(partition.getKey())
-                                            || !all.containsKey(partition.getKey())
-                                                    && state.nowMicros() - partition.getValue()
-                                                            > MAX_MICROS;
+                            boolean over = isOver(partition.getKey(), partition.getValue(), counts);
                             if (over) {
                                 state.log(
                                         LogEntry.info(LogEvent.ZONE_RECONNECTED)
@@ -83,17 +100,24 @@
                         });
     }
 
+    private boolean isOver(String zone, long sinceMicros, ZoneCounts counts) {
+        return counts.connected.contains(zone)
+                || !counts.machines.containsKey(zone)
+                        && state.nowMicros() - sinceMicros > MAX_MICROS_WITHOUT_MACHINES;
+    }
+
     private boolean isSilent(Machine machine) {
-        // A worker finds a new leader within a lease.
-        return silentForMicros(machine)
-                > (machine.isKnownAlive()
+        // An agent finds a new leader within a lease.
+        long limitMicros =
+                machine.isKnownAlive()
                         ? 3 * state.settings().heartbeatMicros() + MARGIN_MICROS
-                        : state.delegationTimeouts().leaseExpiryMicros());
+                        : state.delegationTimeouts().leaseExpiryMicros();
+        return silentForMicros(machine) > limitMicros;
     }
 
     /**
-     * For how long. A deaf worker's reports are rare and may be old, but its work runs on until its
-     * lease is over.
+     * For how long nothing has come from the machine. An unreachable agent's heartbeats are rare
+     * and may be old, but its tasks run on until its lease is over, so those count as well.
      */
     long silentForMicros(Machine machine) {
         return state.nowMicros()
@@ -101,6 +125,6 @@
     }
 
     boolean isPartitioned(String zone) {
-        return sinceMicros.containsKey(zone);
+        return partitionedSinceMicros.containsKey(zone);
     }
 }
--- /dev/null
+++ b/src/main/java/org/woadloom/core/autoscaling/ScaleOutRequest.java
@@ -0,0 +1,55 @@
+package org.woadloom.core.autoscaling;
+
+import org.woadloom.core.SchedulerAction;
+
+/** A request for machines of one kind that the cloud has not answered for good. */
+final class ScaleOutRequest {
+    private final String name;
+    private final MachineKind kind;
+    private final int count;
+    private final long createdMicros;
+    private boolean inFlight;
+    private long retryAtMicros;
+
+    ScaleOutRequest(String name, MachineKind kind, int count, long createdMicros) {
+        this.name = name;
+        this.kind = kind;
+        this.count = count;
+        this.createdMicros = createdMicros;
+    }
+
+    /** The idempotency key: the cloud answers a repeated request by the same name alike. */
+    String name() {
+        return name;
+    }
+
+    MachineKind kind() {
+        return kind;
+    }
+
+    /** How many machines are requested; the cloud may give fewer. */
+    int count() {
+        return count;
+    }
+
+    long createdMicros() {
+        return createdMicros;
+    }
+
+    boolean isDue(long nowMicros) {
+        return !inFlight && nowMicros >= retryAtMicros;
+    }
+
+    /** Marks the request as sent and returns the action that sends it. */
+    SchedulerAction.RentMachines send() {
+        inFlight = true;
+        return new SchedulerAction.RentMachines(
+                name, kind.type().name(), kind.zone(), kind.spot(), count);
+    }
+
+    /** The outcome of the last sending is unknown. */
+    void retryAt(long micros) {
+        inFlight = false;
+        retryAtMicros = micros;
+    }
+}
