--- a/src/main/java/org/woadloom/core/liveness/AgentLiveness.java
+++ b/src/main/java/org/woadloom/core/liveness/AgentLiveness.java
@@ -3,16 +3,18 @@
 import org.woadloom.protocol.Heartbeat;
 
 /**
- * What is known of one worker's messages and of its hearing ours: which of its messages is the
- * newest, when it was certainly alive, and whether it has shown that it heard the present token.
- * Copies of its reports may come minutes late, and reports may arrive of a worker that nothing
- * reaches; only the token that a message carries, and the command that it answers, tell when it was
- * made.
+ * What is known of one agent's messages and of its receiving ours: which of its messages is the
+ * newest, when it was certainly alive, and whether it has acknowledged the present token. Copies of
+ * its heartbeats may come minutes late, and heartbeats may come from an agent that nothing reaches;
+ * only the token that a message carries, and the command that it answers, tell when it was made.
  */
 public final class AgentLiveness {
+    /** A fencing token is the term, followed by so many bits that count within the term. */
     public static final int FENCE_BITS = 24;
 
-    /** For what is not known, or was never. */
+    /**
+     * A time that has not come or is not known; so far from the range's end that differences fit.
+     */
     public static final long NEVER = Long.MIN_VALUE / 4;
 
     private final long term;
@@ -21,12 +23,12 @@
     private long sequence;
     private long minIncarnation;
     private long acknowledgedToken;
-    // The last report of its own, and when that first came.
+    // The newest heartbeat, as opposed to answers to commands, and when it first arrived.
     private long heartbeatIncarnation;
     private long heartbeatSequence;
     private long heartbeatArrivedMicros = NEVER;
 
-    /** Since when they have come without a long gap. */
+    /** Since when heartbeats have come without a gap that would make it unreachable. */
     private long reportingSinceMicros = NEVER;
 
     private long lastAliveMicros = NEVER;
@@ -37,44 +39,47 @@
     private long tokenIssuedMicros = NEVER;
 
     /**
-     * Since when a token is out that the worker has not shown to have heard, {@link #NEVER} for
-     * none.
+     * Since when a token is issued that the agent has not acknowledged, {@link #NEVER} for none.
      */
     private long unacknowledgedSinceMicros = NEVER;
 
     /**
-     * @param fence no message of this worker carries a token of this term from before this one
+     * @param fence the first of the term's fences for this agent; none of its messages carries a
+     *     token of this term from before this one
      */
-    public AgentLiveness(long term, long fence, LivenessTimeouts rules) {
+    public AgentLiveness(long term, long fence, LivenessTimeouts timeouts) {
         this.term = term;
         this.fence = fence;
-        this.timeouts = rules;
+        this.timeouts = timeouts;
     }
 
     public long incarnation() {
         return incarnation;
     }
 
-    /** Reports of sessions before this one are of the past: their lease is known to be over. */
+    /** Messages of incarnations before this one are obsolete: their lease is known to be over. */
     public long minIncarnation() {
         return minIncarnation;
     }
 
-    /** The worker's session is known to be over, though it has not said so. */
+    /**
+     * The lease of the agent's incarnation is known to be over, though the agent has not said so.
+     */
     public void expireSession() {
         minIncarnation = incarnation + 1;
     }
 
-    /** The token that this worker's commands carry now. */
+    /** The token that commands to this agent carry now. */
     public long fencingToken() {
         return (term << FENCE_BITS) | fence;
     }
 
+    /** The part of the token that counts within the term. */
     public long fence() {
         return fence;
     }
 
-    /** The present token goes out with a command or an answer. */
+    /** Returns the present token, which goes out with a command or an answer now. */
     public long issueToken(long nowMicros) {
         tokenIssuedMicros = tokenIssuedMicros == NEVER ? nowMicros : tokenIssuedMicros;
         if (unacknowledgedSinceMicros == NEVER && !hasAcknowledgedToken()) {
@@ -89,7 +94,7 @@
         tokenIssuedMicros = NEVER;
     }
 
-    /** The worker is to show that it hears, unless it is already to show that. */
+    /** Asks the agent to acknowledge a new token, unless one is unacknowledged already. */
     public void requireAcknowledgement() {
         if (hasAcknowledgedToken()) {
             raiseFence();
@@ -97,7 +102,8 @@
     }
 
     /**
-     * The same, where it has most likely not heard for a while: no new work until it has shown it.
+     * The same, where the agent has most likely been unreachable for a while: it gets no new tasks
+     * until it has acknowledged.
      */
     public void suspect(long nowMicros) {
         requireAcknowledgement();
@@ -108,35 +114,35 @@
     }
 
     /**
-     * A message carries a token of this term that is higher than ours: of a machine of this name
-     * that was forgotten. What it says is of the past, so its numbers must not come back.
+     * A message carries a token of this term that is higher than ours: it was issued to a machine
+     * of this name that was forgotten since. Such tokens must not be issued again.
      */
     public void advanceFencePast(long fencingToken) {
         fence = (fencingToken & ((1L << FENCE_BITS) - 1)) + 1;
         tokenIssuedMicros = NEVER;
     }
 
+    /** True if the agent has acknowledged the present token. */
     public boolean hasAcknowledgedToken() {
         return acknowledgedToken == fencingToken();
     }
 
     /**
-     * True once the worker has acknowledged a token of this term: no earlier leader can reach it
-     * any more.
+     * True once the agent has acknowledged a token of this term: it accepts no command of an
+     * earlier leader any more.
      */
     public boolean hasAcknowledgedTerm() {
         return acknowledgedToken >> FENCE_BITS == term;
     }
 
     /**
-     * The last moment at which the worker certainly lived; {@link #NEVER} while that is not known
-     * of any.
+     * The last moment at which the agent was certainly alive; {@link #NEVER} while none is known.
      */
     public long lastAliveMicros() {
         return lastAliveMicros;
     }
 
-    /** The last moment at which it made a report that arrived. */
+    /** The last moment at which the agent is known to have sent a heartbeat. */
     public long lastHeartbeatMicros() {
         return lastHeartbeatMicros;
     }
@@ -145,46 +151,52 @@
         return lastAliveMicros != NEVER;
     }
 
-    /** What is to follow from a message of this worker is for this to say, and only for this. */
-    public MessageAge classify(Heartbeat heartbeat, long sinceMicros, long nowMicros) {
+    /**
+     * Decides what may follow from a message of this agent; nothing else does.
+     *
+     * @param commandSentMicros when the command was sent that the message answers, {@link #NEVER}
+     *     for a heartbeat
+     */
+    public MessageAge classify(Heartbeat heartbeat, long commandSentMicros, long nowMicros) {
         if (heartbeat.incarnation() < minIncarnation
                 || !heartbeat.isNewerThan(incarnation, sequence)) {
             return MessageAge.DUPLICATE;
         }
-        return nowMicros - sentNotBefore(heartbeat, sinceMicros) <= timeouts.freshMicros()
+        return nowMicros - sentNotBefore(heartbeat, commandSentMicros) <= timeouts.freshMicros()
                 ? MessageAge.FRESH
                 : MessageAge.POSSIBLY_DELAYED;
     }
 
     /**
-     * A message that is newer than all before it was made after those, and after the token that it
-     * carries went out.
+     * The earliest moment at which a message that is newer than all before it can have been made:
+     * after those, and after the token that it carries was issued.
      */
-    private long sentNotBefore(Heartbeat heartbeat, long sinceMicros) {
-        long sentMicros = Math.max(sinceMicros, lastAliveMicros);
+    private long sentNotBefore(Heartbeat heartbeat, long commandSentMicros) {
+        long sentMicros = Math.max(commandSentMicros, lastAliveMicros);
         return heartbeat.fencingToken() == fencingToken()
                 ? Math.max(sentMicros, tokenIssuedMicros)
                 : sentMicros;
     }
 
     /**
-     * Takes in a message that is no copy.
+     * Takes in a message that is no duplicate.
      *
-     * @param sinceMicros when the command was sent that it answers, {@link #NEVER} for a report of
-     *     its own
+     * @param commandSentMicros when the command was sent that it answers, {@link #NEVER} for a
+     *     heartbeat
      */
-    public void accept(Heartbeat heartbeat, MessageAge age, long sinceMicros, long nowMicros) {
+    public void accept(
+            Heartbeat heartbeat, MessageAge age, long commandSentMicros, long nowMicros) {
         long aliveAtMicros =
-                age == MessageAge.FRESH ? nowMicros : sentNotBefore(heartbeat, sinceMicros);
+                age == MessageAge.FRESH ? nowMicros : sentNotBefore(heartbeat, commandSentMicros);
         incarnation = heartbeat.incarnation();
         minIncarnation = heartbeat.incarnation();
         sequence = heartbeat.sequence();
         lastAliveMicros = Math.max(lastAliveMicros, aliveAtMicros);
-        if (sinceMicros == NEVER) {
+        if (commandSentMicros == NEVER) {
             lastHeartbeatMicros = Math.max(lastHeartbeatMicros, aliveAtMicros);
         } else if (age == MessageAge.FRESH
                 && nowMicros - heartbeatArrivedMicros <= timeouts.freshMicros()) {
-            // The report that came a moment ago is of a worker that lives.
+            // The heartbeat that arrived a moment ago was sent by an agent that is alive.
             lastHeartbeatMicros = Math.max(lastHeartbeatMicros, heartbeatArrivedMicros);
         }
         if (heartbeat.fencingToken() > acknowledgedToken) {
@@ -197,22 +209,22 @@
     }
 
     /**
-     * The last moment at which it may have lived: when a report came that may have been under way
-     * for long, at most.
+     * The last moment at which the agent may have been alive: at the latest when its last heartbeat
+     * arrived, which may have been in transit for long.
      */
     public long possiblyAliveMicros() {
         return Math.max(lastAliveMicros, heartbeatArrivedMicros);
     }
 
-    /** The end of the machine was confirmed at this moment. */
+    /** The deletion of the machine was confirmed at this moment. */
     public void onMachineDeleted(long nowMicros) {
         lastAliveMicros = nowMicros;
     }
 
     /**
-     * Whether an answer that is given now may renew the worker's lease. It has one report under way
-     * at a time, and waits for its answer for four seconds: whoever still sends an earlier one,
-     * nobody waits for that answer.
+     * Whether an answer that is given now may renew the agent's lease. An agent has one heartbeat
+     * in flight at a time and gives it up after a timeout: no agent waits for the answer to an
+     * earlier one, whoever still delivers it.
      */
     public boolean awaitsAnswerTo(Heartbeat heartbeat, long nowMicros) {
         if (heartbeat.isNewerThan(heartbeatIncarnation, heartbeatSequence)) {
@@ -230,15 +242,15 @@
                 && nowMicros - heartbeatArrivedMicros <= timeouts.answerTimeoutMicros();
     }
 
-    /** True while a token is out that the worker should have heard by now: it gets no new work. */
+    /** True while a token is unacknowledged for too long: the agent gets no new tasks. */
     public boolean isSuspect(long nowMicros) {
         return unacknowledgedSinceMicros != NEVER
                 && nowMicros - unacknowledgedSinceMicros > timeouts.freshMicros();
     }
 
     /**
-     * True for a worker that goes on reporting, though nothing that we say has reached it for a
-     * while.
+     * True for an agent that goes on sending heartbeats, though nothing that we send has reached it
+     * for a while.
      */
     public boolean isUnreachable(long nowMicros) {
         return unacknowledgedSinceMicros != NEVER
@@ -248,14 +260,14 @@
                 && isReporting(nowMicros);
     }
 
-    /** True while reports of its own come, fresh or not. */
+    /** True while its heartbeats come, fresh or not. */
     public boolean isReporting(long nowMicros) {
         return nowMicros - heartbeatArrivedMicros <= timeouts.unreachableMicros();
     }
 
     /**
-     * For how long it has reported without having heard what it should have; 0 for a worker that
-     * hears.
+     * For how long it has sent heartbeats without acknowledging the token; 0 for an agent that is
+     * reachable.
      */
     public long unacknowledgedForMicros(long nowMicros) {
         return unacknowledgedSinceMicros == NEVER
--- a/src/main/java/org/woadloom/core/liveness/MessageAge.java
+++ b/src/main/java/org/woadloom/core/liveness/MessageAge.java
@@ -1,19 +1,16 @@
 package org.woadloom.core.liveness;
 
-/**
- * What the time at which a worker's message was made is known to be. Decided in {@link
- * Hearing#judge} alone.
- */
+/** What is known of the time at which an agent's message was made. */
 public enum MessageAge {
     /**
-     * Something newer was heard before, or the session is known to be over: nothing follows from
-     * it.
+     * A newer message was received before, or the incarnation's lease is known to be over: nothing
+     * follows from the message.
      */
     DUPLICATE,
     /**
-     * Newer than anything heard, but it may have been under way for long. What it says of tasks, in
-     * the order of its numbers, holds for ever; that the worker lives now, and hears, does not
-     * follow from it.
+     * Newer than anything received, but it may have been in transit for long. What it says of
+     * tasks, in the order of sequence numbers, holds for ever; that the agent lives and is
+     * reachable now does not follow from it.
      */
     POSSIBLY_DELAYED,
     /** Made just now. */
