--- a/src/main/java/org/woadloom/core/machines/AgentProber.java
+++ b/src/main/java/org/woadloom/core/machines/AgentProber.java
@@ -12,16 +12,16 @@
 import org.woadloom.core.liveness.AgentLiveness;
 
 /**
- * Looks after workers that are out of touch. One that is deaf (it reports, and nothing reaches it)
- * or in doubt gets no more launches: what was meant for it goes elsewhere. One that is silent is
- * spoken to directly, a few at a time: an answer tells that it lives, and one that reports to a
- * controller that has lost everybody else learns of the present token that way, which that
- * controller then can't help hearing of.
+ * Reviews agents that are out of touch. One that is unreachable (its heartbeats come, and nothing
+ * reaches it) or suspect gets no more starts: what was meant for it goes elsewhere. One that is
+ * silent is probed by a direct command, a few at a time: an answer tells that it is alive. An agent
+ * that reports to a partitioned earlier leader learns the present token that way, and its next
+ * heartbeat makes that leader step down.
  */
 public final class AgentProber {
     /**
-     * As many at a time in any fleet, and one more for each so many machines, within the sockets
-     * for direct commands.
+     * Agents that are probed at a time in a small fleet; in a large one it is one for each so many
+     * machines, within the sockets for direct commands.
      */
     private static final int MIN_PROBES = 16;
 
@@ -29,7 +29,7 @@
 
     private final SchedulerState state;
     private final TaskLossHandler taskLosses;
-    private final Set<String> unreachableCount = new HashSet<>();
+    private final Set<String> unreachableHosts = new HashSet<>();
     private final Set<Machine> probed = new HashSet<>();
 
     public AgentProber(SchedulerState state, TaskLossHandler taskLosses) {
@@ -37,13 +37,13 @@
         this.taskLosses = taskLosses;
     }
 
+    /** To be called at intervals: walks over all machines. */
     public void review() {
-        probed.removeIf(
-                machine -> machine.commandInFlight == 0 && !machine.tokenDue() || machine.deleted);
+        probed.removeIf(machine -> isProbeOver(machine));
         List<Machine> silent = new ArrayList<>();
         for (Machine machine : state.machines().values()) {
-            if (machine.deleted) {
-                unreachableCount.remove(machine.host);
+            if (machine.isDeleted()) {
+                unreachableHosts.remove(machine.host);
                 continue;
             }
             if (machine.liveness.isSuspect(state.nowMicros()) && !machine.isEmpty()) {
@@ -57,14 +57,19 @@
         probe(silent);
     }
 
-    /** How many machines report that nothing reaches. */
+    private static boolean isProbeOver(Machine machine) {
+        return machine.isDeleted()
+                || !machine.commands.isCommandInFlight() && !machine.commands.isTokenRequested();
+    }
+
+    /** How many machines have agents that report but are reached by nothing. */
     public int unreachableCount() {
-        return unreachableCount.size();
+        return unreachableHosts.size();
     }
 
     /**
-     * What was never sent can go elsewhere; the worker may come to hear again at any time, and
-     * nobody waits for it.
+     * What was never sent can go elsewhere: the agent may be reachable again at any time, but is
+     * not waited for.
      */
     private void withdrawUnsentTasks(Machine machine) {
         for (TaskAttempt attempt : machine.snapshot()) {
@@ -77,7 +82,7 @@
     private void logReachability(Machine machine) {
         AgentLiveness liveness = machine.liveness;
         if (liveness.isUnreachable(state.nowMicros())) {
-            if (unreachableCount.add(machine.host)) {
+            if (unreachableHosts.add(machine.host)) {
                 state.log(
                         LogEntry.info(LogEvent.MACHINE_UNREACHABLE)
                                 .with("machine", machine.host)
@@ -86,9 +91,9 @@
                                         "unacknowledged_s",
                                         liveness.unacknowledgedForMicros(state.nowMicros())));
             }
-        } else if (!unreachableCount.isEmpty()
+        } else if (!unreachableHosts.isEmpty()
                 && liveness.hasAcknowledgedToken()
-                && unreachableCount.remove(machine.host)) {
+                && unreachableHosts.remove(machine.host)) {
             state.log(
                     LogEntry.info(LogEvent.MACHINE_REACHABLE)
                             .with("machine", machine.host)
@@ -97,15 +102,16 @@
     }
 
     /**
-     * Out of touch although it was there: by its own word to this leader, or by what earlier ones
-     * have recorded.
+     * True if no heartbeat comes from an agent that was up, by its messages to this leader or by
+     * what earlier leaders have recorded.
      */
     private boolean isSilent(Machine machine) {
-        boolean known = machine.isKnownAlive() || machine.reportedRecorded || !machine.isEmpty();
+        boolean known =
+                machine.isKnownAlive() || machine.isReportedRecorded() || !machine.isEmpty();
         long since = Math.max(machine.liveness.lastHeartbeatMicros(), state.startedMicros());
         return known
-                && !machine.decommissioning
-                && !machine.address.isEmpty()
+                && !machine.isDecommissioning()
+                && !machine.address().isEmpty()
                 && state.nowMicros() - since > state.livenessTimeouts().freshMicros();
     }
 
@@ -114,15 +120,17 @@
         if (silent.isEmpty() || probed.size() >= maxProbes) {
             return;
         }
-        silent.sort(Comparator.comparingLong((Machine machine) -> machine.lastProbeMicros));
+        silent.sort(
+                Comparator.comparingLong((Machine machine) -> machine.commands.lastProbeMicros()));
         for (Machine machine : silent) {
             if (probed.size() >= maxProbes
-                    || state.nowMicros() - machine.lastProbeMicros
+                    || state.nowMicros() - machine.commands.lastProbeMicros()
                             < state.settings().leaseMicros() / 2) {
                 return;
             }
-            if (machine.commandInFlight == 0 && machine.acceptsDirectCommands(state.nowMicros())) {
-                machine.lastProbeMicros = state.nowMicros();
+            if (!machine.commands.isCommandInFlight()
+                    && machine.acceptsDirectCommands(state.nowMicros())) {
+                machine.commands.onProbe(state.nowMicros());
                 machine.liveness.requireAcknowledgement();
                 machine.requestToken();
                 probed.add(machine);
--- a/src/main/java/org/woadloom/core/machines/DirectCommands.java
+++ b/src/main/java/org/woadloom/core/machines/DirectCommands.java
@@ -13,10 +13,18 @@
 import org.woadloom.core.jobs.TaskAttempt.Stage;
 import org.woadloom.protocol.TaskCommand;
 
-/** Sends commands straight to workers, one request at a time to each. */
+/** Sends commands directly to agents, one request at a time to each. */
 public final class DirectCommands {
-    private static final int MAX_COMMANDS = 400;
+    private static final int MAX_COMMANDS = HeartbeatCommands.MAX_COMMANDS;
+    private static final int STATUS_OK = 200;
+
+    /** The agent refused the command's token or incarnation and executed nothing. */
+    private static final int STATUS_CONFLICT = 409;
+
+    /** The request did not leave this node. */
     private static final int NOT_SENT = -1;
+
+    private static final long CONFLICT_PAUSE_MICROS = 100_000;
     private static final long PAUSE_MICROS = 2_000_000;
 
     private final SchedulerState state;
@@ -24,7 +32,7 @@
     private final TaskLossHandler taskLosses;
     private final Map<Long, Sent> sent = new HashMap<>();
 
-    /** What went out with a command, and when. */
+    /** The attempts that a request starts, and when it was sent. */
     private record Sent(List<TaskAttempt> starts, long sentMicros) {}
 
     public DirectCommands(
@@ -34,12 +42,13 @@
         this.taskLosses = taskLosses;
     }
 
+    /** Emits a request to each agent for which there are commands, and none in flight. */
     public void emitCommands() {
         for (Machine machine : List.copyOf(state.machinesWithPendingCommands())) {
-            if (machine.deleted) {
+            if (machine.isDeleted()) {
                 state.machinesWithPendingCommands().remove(machine);
-            } else if (machine.commandInFlight == 0
-                    && !machine.address.isEmpty()
+            } else if (!machine.commands.isCommandInFlight()
+                    && !machine.address().isEmpty()
                     && machine.acceptsDirectCommands(state.nowMicros())
                     && machine.liveness.incarnation() >= machine.liveness.minIncarnation()) {
                 send(machine);
@@ -64,7 +73,7 @@
                         && !attempt.wasNeverSent()
                         && attempt.stopSentMicros() < 0) {
                     attempt.onStopSent(state.nowMicros());
-                    // Halts come first, so that the room they free is there for the launches.
+                    // Stops come first, so that the resources they free are there for the starts.
                     commands.add(
                             0,
                             TaskCommand.stop(
@@ -75,12 +84,12 @@
         if (all) {
             state.machinesWithPendingCommands().remove(machine);
         }
-        boolean tokenDue = machine.takeTokenDue();
+        boolean tokenDue = machine.commands.takeTokenRequest();
         if (commands.isEmpty() && !tokenDue) {
             return;
         }
         long id = state.newCommandId();
-        machine.commandInFlight = id;
+        machine.commands.onSent(id);
         for (TaskAttempt attempt : starts) {
             attempt.onStartSent(machine.liveness.fencingToken());
         }
@@ -89,12 +98,13 @@
                 new SchedulerAction.SendDirectCommand(
                         id,
                         machine.host,
-                        machine.address,
+                        machine.address(),
                         machine.liveness.issueToken(state.nowMicros()),
                         machine.liveness.incarnation(),
                         commands));
     }
 
+    /** Takes in an agent's answer, or that there is none. */
     public void onCompleted(SchedulerEvent.DirectCommandCompleted result) {
         Sent command = sent.remove(result.commandId());
         Machine machine = state.machines().get(result.host());
@@ -102,8 +112,7 @@
             return;
         }
         List<TaskAttempt> starts = command.starts;
-        if (machine.commandInFlight == result.commandId()) {
-            machine.commandInFlight = 0;
+        if (machine.commands.onCompleted(result.commandId())) {
             machine.markPendingCommands();
         }
         starts.removeIf(attempt -> attempt.job.attempt(attempt.index) != attempt);
@@ -111,23 +120,26 @@
                 && heartbeats.hasSeenLaterTerm(machine, result.heartbeat())) {
             return;
         }
-        if (result.status() == 200 && result.heartbeat() != null) {
+        if (result.status() == STATUS_OK && result.heartbeat() != null) {
             for (TaskAttempt attempt : starts) {
                 attempt.onConfirmed();
             }
             heartbeats.apply(machine, result.heartbeat(), command.sentMicros);
-        } else if (result.status() == 409 || result.status() == NOT_SENT) {
-            // Nothing was executed: the launches can go again as they are.
+        } else if (result.status() == STATUS_CONFLICT || result.status() == NOT_SENT) {
+            // Nothing was executed: the starts can be sent again as they are.
             starts.forEach(this::returnToReady);
             if (result.heartbeat() != null) {
                 heartbeats.apply(machine, result.heartbeat(), command.sentMicros);
                 if (!machine.liveness.hasAcknowledgedToken()) {
-                    // It was asked under another session's number, which is known now.
+                    // It was sent to another incarnation; the present one is known now.
                     machine.requestToken();
                 }
             }
-            machine.directRetryAtMicros =
-                    state.nowMicros() + (result.status() == 409 ? 100_000 : PAUSE_MICROS);
+            machine.commands.pauseUntil(
+                    state.nowMicros()
+                            + (result.status() == STATUS_CONFLICT
+                                    ? CONFLICT_PAUSE_MICROS
+                                    : PAUSE_MICROS));
         } else {
             onNoAnswer(machine, starts);
         }
@@ -145,15 +157,15 @@
     }
 
     /**
-     * The launches may be executed minutes late; a raised token makes the worker refuse them from
-     * then on.
+     * The starts may be executed minutes late; a higher token makes the agent refuse them from then
+     * on.
      */
     private void onNoAnswer(Machine machine, List<TaskAttempt> starts) {
-        machine.directRetryAtMicros =
+        machine.commands.pauseUntil(
                 state.nowMicros()
                         + (machine.liveness.isUnreachable(state.nowMicros())
                                 ? state.settings().leaseMicros() / 2
-                                : PAUSE_MICROS);
+                                : PAUSE_MICROS));
         for (TaskAttempt attempt : starts) {
             if (attempt.stage() == Stage.SENT) {
                 attempt.onStartUnanswered();
--- /dev/null
+++ b/src/main/java/org/woadloom/core/machines/HeartbeatCommands.java
@@ -0,0 +1,72 @@
+package org.woadloom.core.machines;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.woadloom.core.SchedulerState;
+import org.woadloom.core.jobs.Job;
+import org.woadloom.core.jobs.TaskAttempt;
+import org.woadloom.core.jobs.TaskAttempt.Stage;
+import org.woadloom.protocol.Heartbeat;
+import org.woadloom.protocol.TaskCommand;
+import org.woadloom.protocol.TaskStatus;
+
+/** Chooses the commands that go to an agent in the answer to its heartbeat. */
+final class HeartbeatCommands {
+    /** The most commands of attempts in one message to an agent. */
+    static final int MAX_COMMANDS = 400;
+
+    private final SchedulerState state;
+    private final ExitAcknowledgements acknowledgements;
+
+    HeartbeatCommands(SchedulerState state, ExitAcknowledgements acknowledgements) {
+        this.state = state;
+        this.acknowledgements = acknowledgements;
+    }
+
+    /** The commands that answer a heartbeat that has been taken in. */
+    List<TaskCommand> commandsFor(Machine machine, Heartbeat heartbeat) {
+        List<TaskCommand> commands = new ArrayList<>();
+        for (TaskStatus task : heartbeat.tasks()) {
+            addCommandFor(machine, task, commands);
+        }
+        acknowledgements.retainListed(machine, heartbeat);
+        addAttemptCommands(machine, heartbeat, commands);
+        return commands;
+    }
+
+    private void addCommandFor(Machine machine, TaskStatus task, List<TaskCommand> commands) {
+        if (task.state() == TaskStatus.State.EXITED) {
+            Job job = state.jobs().get(task.task().jobId());
+            if (acknowledgements.isDue(machine, task, job)) {
+                commands.add(TaskCommand.acknowledgeExit(task.task(), task.attempt()));
+            }
+        } else if (AttemptReconciler.findAttempt(state, machine, task) == null) {
+            commands.add(TaskCommand.stop(task.task(), task.attempt(), 0));
+        }
+    }
+
+    /**
+     * Stops are sent at once, as an answer without them would renew the lease of a task that must
+     * end in time. Starts are sent this way only while direct commands fail.
+     */
+    private void addAttemptCommands(
+            Machine machine, Heartbeat heartbeat, List<TaskCommand> commands) {
+        boolean sendsStarts =
+                machine.hasAcknowledgedTerm()
+                        && !machine.acceptsDirectCommands(state.nowMicros())
+                        && !machine.liveness.isSuspect(state.nowMicros());
+        for (TaskAttempt attempt : machine.attempts()) {
+            if (commands.size() >= MAX_COMMANDS) {
+                return;
+            }
+            if (attempt.isStopping() && !attempt.wasNeverSent()) {
+                commands.add(
+                        TaskCommand.stop(
+                                attempt.task(), attempt.attempt, attempt.gracePeriodSeconds()));
+            } else if (attempt.stage() == Stage.READY && sendsStarts && !attempt.isStopping()) {
+                attempt.onStartSentInAnswer(heartbeat.sequence(), machine.liveness.fencingToken());
+                commands.add(TaskCommand.start(attempt.task(), attempt.attempt));
+            }
+        }
+    }
+}
--- a/src/main/java/org/woadloom/core/machines/ImageCache.java
+++ b/src/main/java/org/woadloom/core/machines/ImageCache.java
@@ -4,12 +4,15 @@
 import java.util.Map;
 
 /**
- * What a machine's image cache should hold: the most recently used images. A guess that only guides
- * choices.
+ * What a machine's image cache should hold: the most recently used images. An estimate, by which
+ * machines are preferred; nothing relies on it.
  */
 public final class ImageCache {
     private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
 
+    /**
+     * The image was used: it is in the cache, and the least recently used others have made place.
+     */
     public void touch(String image, double gb, double cacheGb) {
         images.put(image, gb);
         double total = 0;
--- a/src/main/java/org/woadloom/core/machines/Machine.java
+++ b/src/main/java/org/woadloom/core/machines/Machine.java
@@ -1,446 +1,374 @@
 package org.woadloom.core.machines;
 
-import java.util.ArrayList;
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import org.woadloom.core.SchedulerState;
+import org.woadloom.core.jobs.Job;
 import org.woadloom.core.jobs.TaskAttempt;
 import org.woadloom.core.liveness.AgentLiveness;
 import org.woadloom.core.placement.Resources;
 import org.woadloom.protocol.MachineType;
 import org.woadloom.protocol.Priority;
-import org.woadloom.protocol.TaskId;
 import org.woadloom.store.MachineRecord;
 
-/** A machine as the leader knows it. */
+/** A machine as the leader knows it, with the agent on it. */
 public final class Machine {
+    /** For a time that has not come or is not known. */
+    private static final long UNKNOWN_MICROS = -1;
+
     public final String host;
     public final String machineType;
     public final String zone;
     public final boolean spot;
-    private final SchedulerState state;
-
-    /** What the worker has said, and whether it hears us. */
-    public final AgentLiveness liveness;
-
-    MachineType type;
-    private Resources capacity = Resources.NONE;
-    String address = "";
-
-    long lastAnsweredMicros = -1;
-
-    /** When the cloud takes the machine away, or -1. */
-    long spotTerminationMicros = -1;
-
-    // The record.
-    long revision;
-    boolean recorded;
-    boolean writing;
-    boolean reading;
-    boolean decommissioningRecorded;
-    long retryAtMicros;
-
-    /** The stored record says that the worker was heard. */
-    boolean reportedRecorded;
-
-    /** When the last write of the record began. */
-    long writeStartedMicros = Long.MIN_VALUE / 2;
-
-    /** The record as it is being written says so. */
-    boolean reportedInWrite;
-
-    /** The record is to be written once more, as its form has changed. */
-    boolean rewriteNeeded;
 
-    /**
-     * When it was rented is known from the record, and not only since when this leader knows it.
-     */
-    boolean lifecycleKnown;
-
-    // Its coming and going.
+    /** When this leader first met the machine's name. */
     public final long firstSeenMicros;
 
-    /**
-     * It was rented, listed or recorded, or its worker was certainly there: more than a name in a
-     * report.
-     */
-    private boolean isConfirmed;
-
-    long rentedMicros;
-    long idleSinceMicros;
-    boolean decommissioning;
-    boolean deleting;
-    boolean deleted;
-    boolean listedAsFailed;
-
-    /** Given up while its lease may still run: it is deleted without being emptied. */
-    boolean abandoned;
-
-    // Direct commands.
-    long commandInFlight;
-    long directRetryAtMicros;
-    private boolean requestToken;
-
-    /** When it was last spoken to because it was silent. */
-    long lastProbeMicros = AgentLiveness.NEVER;
+    /** What is known of the agent's messages, and whether it receives ours. */
+    public final AgentLiveness liveness;
 
-    long quarantinedUntilMicros;
-    long refusesUntilMicros;
-    public final Map<String, Long> failedJobs = new LinkedHashMap<>();
+    /** The images that its cache should hold. */
     public final ImageCache images = new ImageCache();
-    private final Map<TaskId, TaskAttempt> attempts = new LinkedHashMap<>();
-    private Resources used = Resources.NONE;
-
-    /** What is in use taken from the size, or null after a change. */
-    private Resources balance;
 
-    /** How many tasks of each rank are here that have not been told to stop. */
-    private final int[] runningByPriority = new int[Priority.values().length];
+    final MachineRecordState recordState;
+    final MachineLifecycle lifecycle;
+    final CommandChannel commands = new CommandChannel();
 
-    private int stoppingTasks;
+    /** Jobs whose tasks failed here lately, and when the last one of each did. */
+    final Map<String, Long> failedJobs = new LinkedHashMap<>();
 
+    private final SchedulerState state;
+    private final ResourceAccount resources = new ResourceAccount();
+    private final boolean lifecycleKnown;
+    private MachineType type;
+    private String address = "";
+    private boolean confirmed;
+    private long rentedMicros;
+    private long idleSinceMicros;
+    private long lastAnsweredMicros = UNKNOWN_MICROS;
+    private long spotTerminationMicros = UNKNOWN_MICROS;
+    private long quarantinedUntilMicros;
+    private long refusesUntilMicros;
+
+    /** A machine of which the record is stored, or that was rented, listed, or named. */
     public Machine(MachineRecord record, SchedulerState state) {
         this.host = record.host();
         this.machineType = record.machineType();
         this.zone = record.zone();
         this.spot = record.spot();
-        this.decommissioning = record.decommissioning();
-        this.decommissioningRecorded = record.decommissioning();
         this.state = state;
         this.firstSeenMicros = state.nowMicros();
         this.liveness = new AgentLiveness(state.term(), state.minFence(), state.livenessTimeouts());
+        this.recordState = new MachineRecordState(record);
+        this.lifecycle = new MachineLifecycle(record.decommissioning());
         this.lifecycleKnown = record.lifecycle() != null;
-        this.reportedRecorded = lifecycleKnown && record.lifecycle().hasReported();
-        // By another node's time of day, which may be ahead of ours.
-        this.rentedMicros =
-                state.nowMicros()
-                        - (lifecycleKnown
-                                ? Math.max(
-                                        0,
-                                        state.wallMicros() - record.lifecycle().rentedWallMicros())
-                                : 0);
+        this.rentedMicros = state.nowMicros() - rentedForMicros(record, state);
         this.idleSinceMicros = state.nowMicros();
     }
 
-    /** The machine exists, or did: it is recorded, and returned if need be. */
+    /** By another node's time of day, which may be ahead of ours. */
+    private static long rentedForMicros(MachineRecord record, SchedulerState state) {
+        return record.lifecycle() == null
+                ? 0
+                : Math.max(0, state.wallMicros() - record.lifecycle().rentedWallMicros());
+    }
+
+    // Existence and record
+
+    /** The machine exists, or did: it is recorded, and deleted if need be. */
     public void confirmExistence() {
-        if (!isConfirmed) {
-            isConfirmed = true;
+        if (!confirmed) {
+            confirmed = true;
             markForPersistence();
         }
     }
 
+    /**
+     * True if it was rented, listed or recorded, or its agent was certainly there: it is more than
+     * a name in a heartbeat.
+     */
     public boolean isConfirmed() {
-        return isConfirmed;
+        return confirmed;
     }
 
-    /** There may be something to send to the worker. */
-    public void markPendingCommands() {
-        state.machinesWithPendingCommands().add(this);
-    }
-
-    /** There may be something to write of the machine, or to do about its going. */
+    /** There may be something to write of the machine, or it may have to be deleted. */
     void markForPersistence() {
         state.machinesToPersist().add(this);
     }
 
-    /** The machine is to be given back, once nothing is on it. */
-    public void decommission() {
-        decommissioning = true;
-        markForPersistence();
-    }
-
+    /** The record of the present state, in the form that is in force now. */
     public MachineRecord toRecord() {
-        return new MachineRecord(
-                host,
-                machineType,
-                zone,
-                spot,
-                decommissioning,
+        MachineRecord.Lifecycle recordedLifecycle =
                 state.recordsMachineLifecycle()
                         ? new MachineRecord.Lifecycle(
                                 state.wallMicros() - (state.nowMicros() - rentedMicros),
-                                isKnownAlive() || reportedRecorded)
-                        : null);
+                                isKnownAlive() || isReportedRecorded())
+                        : null;
+        return new MachineRecord(
+                host, machineType, zone, spot, isDecommissioning(), recordedLifecycle);
+    }
+
+    /** Its record stands in the store as it should. */
+    public void onRecorded(long newRevision) {
+        recordState.onRecorded(newRevision);
+    }
+
+    public boolean isRecorded() {
+        return recordState.isRecorded();
+    }
+
+    /** True while a write, read or deletion of the record is under way. */
+    public boolean isWriting() {
+        return recordState.isRequestInFlight();
     }
 
     /** True while a write that began at the given moment or before may still change the record. */
     public boolean mayRecordChange(long sinceMicros) {
-        return (writing || reading) && writeStartedMicros <= sinceMicros;
+        return recordState.mayChange(sinceMicros);
     }
 
     /** Has the record written in the form that is in force now. */
     public void rewriteNeeded() {
-        rewriteNeeded = true;
+        recordState.requestRewrite();
         markForPersistence();
     }
 
-    /** Has the present token sent to the worker, with or without orders. */
-    public void requestToken() {
-        requestToken = true;
-        markPendingCommands();
+    /** True if the record is to be written once more, as its form has changed. */
+    public boolean isRewriteNeeded() {
+        return recordState.isRewriteNeeded();
     }
 
-    boolean tokenDue() {
-        return requestToken;
+    /** True if the stored record says that an agent on the machine has reported. */
+    public boolean isReportedRecorded() {
+        return recordState.isReportedRecorded();
     }
 
-    boolean takeTokenDue() {
-        boolean due = requestToken;
-        requestToken = false;
-        return due;
+    /** True if the record, and not only this leader, knows since when the machine is rented. */
+    public boolean isLifecycleKnown() {
+        return lifecycleKnown;
     }
 
-    /**
-     * True once the worker has acknowledged a token of this term: no earlier leader can reach it
-     * any more.
-     */
-    public boolean hasAcknowledgedTerm() {
-        return liveness.hasAcknowledgedTerm();
-    }
+    // Lifecycle
 
-    public boolean isKnownAlive() {
-        return liveness.isKnownAlive();
+    /** The cloud has just rented it. */
+    public void onRented(long nowMicros) {
+        rentedMicros = nowMicros;
     }
 
-    /** True for a worker that was in touch lately and whose lease is not known to be over. */
-    public boolean isUp() {
-        return hasAcknowledgedTerm() && liveness.incarnation() >= liveness.minIncarnation();
+    /** The cloud lists it as rented since this time, or later. */
+    void onListedAsRented(long sinceMicros) {
+        rentedMicros = Math.min(rentedMicros, sinceMicros);
     }
 
-    /**
-     * True unless a direct command went unanswered just now; launches go in answers to reports
-     * then.
-     */
-    public boolean acceptsDirectCommands(long nowMicros) {
-        return nowMicros >= directRetryAtMicros;
+    public long rentedMicros() {
+        return rentedMicros;
     }
 
-    public void add(TaskAttempt attempt) {
-        attempts.put(attempt.task(), attempt);
-        used = used.plus(attempt.job.taskResources);
-        balance = null;
-        if (attempt.isStopping()) {
-            stoppingTasks++;
-        } else {
-            runningByPriority[attempt.job.priority().ordinal()]++;
-        }
+    /** The machine is to be deleted, once it is empty. */
+    public void decommission() {
+        lifecycle.decommission();
+        markForPersistence();
     }
 
-    public void remove(TaskAttempt attempt) {
-        if (attempts.remove(attempt.task(), attempt)) {
-            used = used.minus(attempt.job.taskResources);
-            balance = null;
-            if (attempt.isStopping()) {
-                stoppingTasks--;
-            } else {
-                runningByPriority[attempt.job.priority().ordinal()]--;
-            }
-        }
+    /** Gives it up while its lease may still run: it is deleted without being emptied first. */
+    public void abandon() {
+        lifecycle.abandon();
+        markForPersistence();
     }
 
-    public Collection<TaskAttempt> attempts() {
-        return attempts.values();
+    /** The cloud lists it as failed. */
+    void fail() {
+        lifecycle.fail();
+        markForPersistence();
     }
 
-    /** A copy, for loops that remove. */
-    public List<TaskAttempt> snapshot() {
-        return new ArrayList<>(attempts.values());
+    /** True from the moment at which it is decommissioned, also when it is deleted. */
+    public boolean isDecommissioning() {
+        return lifecycle.isDecommissioning();
     }
 
-    public boolean isEmpty() {
-        return attempts.isEmpty();
+    /** True once the cloud has confirmed the deletion. */
+    public boolean isDeleted() {
+        return lifecycle.isDeleted();
     }
 
-    public Resources used() {
-        return used;
+    /** When the cloud takes a spot machine away, or -1. */
+    public long spotTerminationMicros() {
+        return spotTerminationMicros;
     }
 
-    public Resources capacity() {
-        return capacity;
+    void setSpotTermination(long micros) {
+        spotTerminationMicros = micros;
     }
 
-    public void setCapacity(Resources to) {
-        capacity = to;
-        balance = null;
-    }
+    // The agent and commands to it
 
-    /** Its size without what is in use; negative where more is recorded than it has. */
-    public Resources balance() {
-        if (balance == null) {
-            balance = capacity.minus(used);
-        }
-        return balance;
-    }
-
-    /** What a processor costs here, by the prices last seen; 0 while they are unknown. */
-    public double pricePerCpu() {
-        return type == null || type.cpus() <= 0
-                ? 0
-                : (spot ? type.spotPrice() : type.onDemandPrice()) / type.cpus();
+    /** Where the agent accepts direct commands; empty while that is not known. */
+    public String address() {
+        return address;
     }
 
-    public Resources free() {
-        return balance().withoutNegatives();
+    void setAddress(String newAddress) {
+        address = newAddress;
     }
 
-    /** To be called when a task that is here is told to stop. */
-    public void onStopping(TaskAttempt attempt) {
-        markPendingCommands();
-        if (attempts.get(attempt.task()) == attempt) {
-            runningByPriority[attempt.job.priority().ordinal()]--;
-            stoppingTasks++;
-        }
+    /** When a heartbeat of the agent was last answered, which renewed its lease, or -1. */
+    public long lastAnsweredMicros() {
+        return lastAnsweredMicros;
     }
 
-    /** To be called when the rank of a task's job has changed. */
-    public void onPriorityChanged(TaskAttempt attempt, Priority before) {
-        if (attempts.get(attempt.task()) == attempt && !attempt.isStopping()) {
-            runningByPriority[before.ordinal()]--;
-            runningByPriority[attempt.job.priority().ordinal()]++;
-        }
+    /** The agent's lease may run from now, as its heartbeat is answered or it was restarted. */
+    void onLeaseRenewed() {
+        lastAnsweredMicros = state.nowMicros();
     }
 
-    /** True if room will come free here without anything more being stopped. */
-    public boolean hasStoppingTasks() {
-        return stoppingTasks > 0;
+    /**
+     * True once the agent has acknowledged a token of this term, and so refuses earlier leaders.
+     */
+    public boolean hasAcknowledgedTerm() {
+        return liveness.hasAcknowledgedTerm();
     }
 
-    /** True if a task of a lower rank is here that has not been told to stop. */
-    public boolean hasTasksBelow(Priority priority) {
-        for (int i = 0; i < priority.ordinal(); i++) {
-            if (runningByPriority[i] > 0) {
-                return true;
-            }
-        }
-        return false;
+    public boolean isKnownAlive() {
+        return liveness.isKnownAlive();
     }
 
-    public MachineType type() {
-        return type;
+    /** True for an agent that was in touch lately and whose lease is not known to be over. */
+    public boolean isUp() {
+        return hasAcknowledgedTerm() && liveness.incarnation() >= liveness.minIncarnation();
     }
 
-    public String address() {
-        return address;
+    /** There may be something to send to the agent. */
+    public void markPendingCommands() {
+        state.machinesWithPendingCommands().add(this);
     }
 
-    public long lastAnsweredMicros() {
-        return lastAnsweredMicros;
+    /** Has the present token sent to the agent, with or without commands. */
+    public void requestToken() {
+        commands.requestToken();
+        markPendingCommands();
     }
 
-    /** When the cloud takes the machine away, or -1. */
-    public long spotTerminationMicros() {
-        return spotTerminationMicros;
+    /** False after a direct command went unanswered; starts go in heartbeats' answers then. */
+    public boolean acceptsDirectCommands(long nowMicros) {
+        return !commands.isPaused(nowMicros);
     }
 
-    public long revision() {
-        return revision;
+    /** Until when it gets no tasks because tasks of several jobs failed on it. */
+    public long quarantinedUntilMicros() {
+        return quarantinedUntilMicros;
     }
 
-    public boolean isRecorded() {
-        return recorded;
+    void quarantineUntil(long micros) {
+        quarantinedUntilMicros = micros;
     }
 
-    public boolean isWriting() {
-        return writing;
+    /** Until when it gets no tasks because it refused one. */
+    public long refusesUntilMicros() {
+        return refusesUntilMicros;
     }
 
-    public boolean isReading() {
-        return reading;
+    void pausePlacementUntil(long micros) {
+        refusesUntilMicros = micros;
     }
 
-    public boolean isDecommissioningRecorded() {
-        return decommissioningRecorded;
-    }
+    // Attempts and resources
 
-    public long retryAtMicros() {
-        return retryAtMicros;
+    /** Its type with capacity and prices, or null while the cloud has not told of that type. */
+    public MachineType type() {
+        return type;
     }
 
-    /** The stored record says that the worker was heard. */
-    public boolean isReportedRecorded() {
-        return reportedRecorded;
+    /** Sets the type and with it the capacity; null if the cloud has not told of that type. */
+    public void setType(MachineType newType) {
+        type = newType;
+        resources.setCapacity(newType == null ? Resources.NONE : Resources.of(newType));
     }
 
-    /** The record is to be written once more, as its form has changed. */
-    public boolean isRewriteNeeded() {
-        return rewriteNeeded;
+    /** The price of a CPU by the prices last seen; 0 while they are unknown. */
+    public double pricePerCpu() {
+        if (type == null || type.cpus() <= 0) {
+            return 0;
+        }
+        return (spot ? type.spotPrice() : type.onDemandPrice()) / type.cpus();
     }
 
-    /**
-     * When it was rented is known from the record, and not only since when this leader knows it.
-     */
-    public boolean isLifecycleKnown() {
-        return lifecycleKnown;
+    public void add(TaskAttempt attempt) {
+        resources.add(attempt);
     }
 
-    public long rentedMicros() {
-        return rentedMicros;
+    public void remove(TaskAttempt attempt) {
+        resources.remove(attempt);
     }
 
-    public long idleSinceMicros() {
-        return idleSinceMicros;
+    public Collection<TaskAttempt> attempts() {
+        return resources.attempts();
     }
 
-    public boolean isDecommissioning() {
-        return decommissioning;
+    /** A copy of the attempts, for loops that remove. */
+    public List<TaskAttempt> snapshot() {
+        return resources.snapshot();
     }
 
-    public boolean isDeleting() {
-        return deleting;
+    public boolean isEmpty() {
+        return resources.isEmpty();
     }
 
-    public boolean isDeleted() {
-        return deleted;
+    public Resources capacity() {
+        return resources.capacity();
     }
 
-    public boolean isListedAsFailed() {
-        return listedAsFailed;
+    public Resources used() {
+        return resources.used();
     }
 
-    /** Given up while its lease may still run: it is deleted without being emptied. */
-    public boolean isAbandoned() {
-        return abandoned;
+    /** The capacity minus what is in use; negative where recorded attempts use more. */
+    public Resources balance() {
+        return resources.balance();
     }
 
-    public long commandInFlight() {
-        return commandInFlight;
+    public Resources free() {
+        return resources.balance().withoutNegatives();
     }
 
-    public long directRetryAtMicros() {
-        return directRetryAtMicros;
+    /** To be called when a task that is here is told to stop. */
+    public void onStopping(TaskAttempt attempt) {
+        markPendingCommands();
+        resources.onStopping(attempt);
     }
 
-    public long quarantinedUntilMicros() {
-        return quarantinedUntilMicros;
+    /** To be called when the priority of a task's job has changed. */
+    public void onPriorityChanged(TaskAttempt attempt, Priority before) {
+        resources.onPriorityChanged(attempt, before);
     }
 
-    public long refusesUntilMicros() {
-        return refusesUntilMicros;
+    /** True if resources will come free here without anything more being stopped. */
+    public boolean hasStoppingTasks() {
+        return resources.hasStoppingTasks();
     }
 
-    /** Sets what kind of machine it is, null while the cloud has not told of that kind. */
-    public void setType(MachineType newType) {
-        type = newType;
-        setCapacity(newType == null ? Resources.NONE : Resources.of(newType));
+    /** True if a task of a lower priority is here that is not stopping. */
+    public boolean hasTasksBelow(Priority priority) {
+        return resources.hasTasksBelow(priority);
     }
 
-    /** The cloud has just rented it. */
-    public void onRented(long nowMicros) {
-        rentedMicros = nowMicros;
+    /** A task of the job has run here, so its image is in the cache. */
+    void onImageUsed(Job job) {
+        images.touch(
+                job.description.image(),
+                job.description.imageGb(),
+                type == null ? 0 : type.imageCacheGb());
     }
 
-    /** Gives it up while its lease may still run: it is deleted without being emptied first. */
-    public void abandon() {
-        decommission();
-        abandoned = true;
+    /** Since when nothing is on it, while nothing is. */
+    public long idleSinceMicros() {
+        return idleSinceMicros;
     }
 
-    /** Its record stands in the store as it should. */
-    public void onRecorded(long newRevision) {
-        recorded = true;
-        revision = newRevision;
+    /** The idle time counts from now. */
+    void restartIdleTime() {
+        idleSinceMicros = state.nowMicros();
     }
 }
--- /dev/null
+++ b/src/main/java/org/woadloom/core/machines/MachinePersister.java
@@ -0,0 +1,117 @@
+package org.woadloom.core.machines;
+
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerEvent;
+import org.woadloom.core.SchedulerState;
+import org.woadloom.store.MachineRecord;
+
+/** Keeps the stored records of machines equal to what the leader knows of them. */
+final class MachinePersister {
+    private static final long RETRY_MICROS = 300_000;
+
+    private final SchedulerState state;
+
+    MachinePersister(SchedulerState state) {
+        this.state = state;
+    }
+
+    /** Emits what the write budget allows, first the records of machines that are up. */
+    void emitWrites() {
+        state.machinesToPersist().removeIf(MachinePersister::isPersisted);
+        // A machine that is up can take tasks as soon as its record is there; the others have time.
+        for (Machine machine : state.machinesToPersist()) {
+            MachineRecordState record = machine.recordState;
+            if (machine.isKnownAlive()
+                    && !record.isRecorded()
+                    && !machine.isDeleted()
+                    && !record.isReadNeeded()
+                    && record.isRequestDue(state.nowMicros())
+                    && state.writeBudget().allowsMachine()) {
+                emitWrite(machine);
+            }
+        }
+        for (Machine machine : state.machinesToPersist()) {
+            if (machine.recordState.isRequestDue(state.nowMicros())) {
+                emitRequest(machine);
+            }
+        }
+    }
+
+    /** True if there is nothing more to write of the machine, and it is not to be deleted. */
+    private static boolean isPersisted(Machine machine) {
+        MachineRecordState record = machine.recordState;
+        if (machine.isDeleted()) {
+            return !record.isRecorded() && !record.isRequestInFlight() && !record.isReadNeeded();
+        }
+        return record.isRecorded()
+                && !record.isReadNeeded()
+                && !machine.isDecommissioning()
+                && !record.isRewriteNeeded();
+    }
+
+    /** True for a machine that is not deleted and whose record is not as it should be. */
+    static boolean needsWrite(Machine machine) {
+        MachineRecordState record = machine.recordState;
+        return !record.isRecorded()
+                || machine.isDecommissioning() != record.isDecommissioningRecorded()
+                || record.isRewriteNeeded() && !machine.lifecycle.isDeleting();
+    }
+
+    private void emitRequest(Machine machine) {
+        MachineRecordState record = machine.recordState;
+        if (record.isReadNeeded()) {
+            record.onRequestStarted();
+            state.emit(new SchedulerAction.ReadMachine(machine.host));
+        } else if (machine.isDeleted()) {
+            if (record.isRecorded() && state.writeBudget().allowsMachine()) {
+                state.writeBudget().takeMachine();
+                record.onRequestStarted();
+                state.emit(
+                        new SchedulerAction.DeleteMachineRecord(machine.host, record.revision()));
+            }
+        } else if (needsWrite(machine) && state.writeBudget().allowsMachine()) {
+            emitWrite(machine);
+        }
+    }
+
+    private void emitWrite(Machine machine) {
+        state.writeBudget().takeMachine();
+        MachineRecord record = machine.toRecord();
+        machine.recordState.onWriteStarted(record, state.nowMicros());
+        state.emit(new SchedulerAction.WriteMachine(record, machine.recordState.revision()));
+    }
+
+    void onWriteCompleted(SchedulerEvent.MachineWriteCompleted result) {
+        Machine machine = state.machines().get(result.host());
+        if (machine == null) {
+            return;
+        }
+        MachineRecordState record = machine.recordState;
+        switch (result.outcome()) {
+            case WRITTEN -> {
+                record.onWritten(result);
+                state.requestPlacement();
+            }
+            case CONFLICT, UNKNOWN -> {
+                record.onWriteUnclear();
+                machine.markForPersistence();
+            }
+            case NOT_WRITTEN, TOO_LARGE -> record.onRequestFailed(state.nowMicros() + RETRY_MICROS);
+        }
+    }
+
+    void onRecordRead(SchedulerEvent.MachineRecordRead result) {
+        Machine machine = state.machines().get(result.host());
+        if (machine != null) {
+            machine.recordState.onRead(result, machine.isDeleted());
+            machine.markForPersistence();
+        }
+    }
+
+    void onReadFailed(String host) {
+        Machine machine = state.machines().get(host);
+        if (machine != null) {
+            machine.recordState.onRequestFailed(state.nowMicros() + RETRY_MICROS);
+        }
+    }
+}
--- a/src/main/java/org/woadloom/core/machines/MachineRegistry.java
+++ b/src/main/java/org/woadloom/core/machines/MachineRegistry.java
@@ -1,6 +1,5 @@
 package org.woadloom.core.machines;
 
-import java.util.ArrayList;
 import java.util.List;
 import org.woadloom.core.LogEntry;
 import org.woadloom.core.LogEvent;
@@ -13,34 +12,27 @@
 import org.woadloom.protocol.MachineType;
 import org.woadloom.store.MachineRecord;
 
-/** Machines as they are rented, found, recorded and deleted. */
+/**
+ * The machines that the leader knows, as they are loaded, rented, listed or named by a heartbeat.
+ * Their records are kept by {@link MachinePersister}, their deletion is in {@link MachineDeleter}.
+ */
 public final class MachineRegistry {
-    private static final long RETRY_MICROS = 300_000;
-    private static final long DELETE_RETRY_MICROS = 2_000_000;
+    /** A deleted machine is kept for so many lags of the cloud's list, and the margin. */
+    private static final int FORGET_LIST_LAGS = 4;
 
-    /** Machines of one deletion: the cloud's bound. */
-    private static final int MAX_MACHINES_PER_DELETION = 100;
-
-    /**
-     * The deletion of a machine with work on it is the proof that the work is gone, so it waits for
-     * no other.
-     */
-    private static final int MAX_CONCURRENT_DELETIONS = 2;
+    private static final long FORGET_MARGIN_MICROS = 60_000_000;
 
     private final SchedulerState state;
-    private final TaskLossHandler taskLosses;
-
-    /**
-     * Deletions that are under way: what is to go meanwhile goes with the next one, as the cloud
-     * takes few calls.
-     */
-    private int deletionsInFlight;
+    private final MachinePersister persister;
+    private final MachineDeleter deleter;
 
     public MachineRegistry(SchedulerState state, TaskLossHandler taskLosses) {
         this.state = state;
-        this.taskLosses = taskLosses;
+        this.persister = new MachinePersister(state);
+        this.deleter = new MachineDeleter(state, taskLosses);
     }
 
+    /** Takes over a machine from the store, when this node starts to lead. */
     public void load(SchedulerEvent.StoredMachine stored) {
         Machine machine = create(stored.record());
         machine.confirmExistence();
@@ -55,9 +47,9 @@
     }
 
     /**
-     * A machine that a report names. One that is not known may have been deleted long ago, as
-     * copies of reports come late: until it has answered, it is no more than a name, with no record
-     * and no part in anything.
+     * The machine that a heartbeat names. One that is not known may have been deleted long ago, as
+     * copies of heartbeats come late: until its agent has answered, it is no more than a name, with
+     * no record, and gets no tasks.
      */
     public Machine findOrCreate(MachineRecord record) {
         Machine machine = state.machines().get(record.host());
@@ -71,6 +63,7 @@
         return machine;
     }
 
+    /** Takes in the types that the cloud rents out, with their prices. */
     public void onMachineTypes(List<MachineType> types) {
         for (MachineType type : types) {
             state.machineTypes().put(type.name(), type);
@@ -85,43 +78,47 @@
         machine.setType(state.machineTypes().get(machine.machineType));
     }
 
+    /** Takes in the cloud's list: machines that nobody expected, failures, and rental times. */
     public void onMachinesListed(List<ListedMachine> machines) {
         for (ListedMachine listed : machines) {
             Machine machine = state.machines().get(listed.host());
             if (machine == null || !machine.isConfirmed()) {
-                machine =
-                        adopt(
-                                new MachineRecord(
-                                        listed.host(),
-                                        listed.machineType(),
-                                        listed.zone(),
-                                        listed.spot(),
-                                        false));
-                state.log(
-                        LogEntry.info(LogEvent.MACHINE_DISCOVERED)
-                                .with("machine", machine.host)
-                                .with("zone", machine.zone));
+                machine = discover(listed);
             }
             // A new leader learns here for how long its machines have been paid for.
-            machine.rentedMicros =
-                    Math.min(machine.rentedMicros, state.nowMicros() - listed.rentedForMicros());
-            if (listed.failed() && !machine.decommissioning) {
+            machine.onListedAsRented(state.nowMicros() - listed.rentedForMicros());
+            if (listed.failed() && !machine.isDecommissioning()) {
                 // A failed machine stays listed until it is deleted, and the deletion's answer is
                 // the proof we need.
-                machine.decommission();
-                machine.listedAsFailed = true;
+                machine.fail();
                 state.log(
                         LogEntry.info(LogEvent.MACHINE_FAILED)
                                 .with("machine", machine.host)
                                 .with("zone", machine.zone));
             }
-            if (machine.address.isEmpty()) {
-                machine.address = listed.address();
+            if (machine.address().isEmpty()) {
+                machine.setAddress(listed.address());
             }
         }
     }
 
-    /** A node tells how it stands, and gets a warrant for the zone that it is in. */
+    private Machine discover(ListedMachine listed) {
+        Machine machine =
+                adopt(
+                        new MachineRecord(
+                                listed.host(),
+                                listed.machineType(),
+                                listed.zone(),
+                                listed.spot(),
+                                false));
+        state.log(
+                LogEntry.info(LogEvent.MACHINE_DISCOVERED)
+                        .with("machine", machine.host)
+                        .with("zone", machine.zone));
+        return machine;
+    }
+
+    /** A node announces its status, and gets a lease delegation for the zone that it is in. */
     public void onPeerStatus(SchedulerEvent.PeerStatusReceived event) {
         state.advanceCancellationsReadUpTo(event.cancellationsReadUpToMicros());
         String zone = state.settings().nodes().get(event.node());
@@ -139,7 +136,7 @@
         }
     }
 
-    /** Up to this moment every cancellation has been carried out in the zone. */
+    /** Up to this moment every cancellation has been applied in the zone. */
     private long cancellationsAppliedMicros(String zone) {
         long appliedMicros = state.cancellationsReadUpToMicros();
         for (Job job : state.jobs().values()) {
@@ -150,170 +147,44 @@
         return appliedMicros;
     }
 
+    /** Emits writes of records, and then a deletion of machines. */
     public void emitWrites() {
-        List<String> delete = new ArrayList<>();
-        // A machine that is up can take tasks as soon as its record is there; the others have time.
-        state.machinesToPersist()
-                .removeIf(
-                        machine ->
-                                machine.deleted
-                                        ? !machine.recorded && !machine.writing && !machine.reading
-                                        : machine.recorded
-                                                && !machine.reading
-                                                && !machine.decommissioning
-                                                && !machine.rewriteNeeded);
-        for (Machine machine : state.machinesToPersist()) {
-            if (machine.isKnownAlive()
-                    && !machine.recorded
-                    && !machine.deleted
-                    && !machine.reading
-                    && !machine.writing
-                    && state.nowMicros() >= machine.retryAtMicros
-                    && state.writeBudget().allowsMachine()) {
-                writeRecord(machine);
-            }
-        }
-        for (Machine machine : state.machinesToPersist()) {
-            if (state.nowMicros() < machine.retryAtMicros || machine.writing) {
-                continue;
-            }
-            if (machine.reading) {
-                machine.writing = true;
-                state.emit(new SchedulerAction.ReadMachine(machine.host));
-            } else if (machine.deleted) {
-                if (machine.recorded && state.writeBudget().allowsMachine()) {
-                    state.writeBudget().takeMachine();
-                    machine.writing = true;
-                    state.emit(
-                            new SchedulerAction.DeleteMachineRecord(
-                                    machine.host, machine.revision));
-                }
-            } else if (!machine.recorded
-                    || machine.decommissioning != machine.decommissioningRecorded
-                    || machine.rewriteNeeded && !machine.deleting) {
-                if (state.writeBudget().allowsMachine()) {
-                    writeRecord(machine);
-                }
-            } else if (deletionsInFlight < (machine.abandoned ? MAX_CONCURRENT_DELETIONS : 1)
-                    && machine.decommissioningRecorded
-                    && !machine.deleting
-                    && isDeletable(machine)
-                    && delete.size() < MAX_MACHINES_PER_DELETION) {
-                machine.deleting = true;
-                delete.add(machine.host);
-            }
-        }
-        if (!delete.isEmpty()) {
-            deletionsInFlight++;
-            state.log(
-                    LogEntry.info(LogEvent.MACHINES_DELETING)
-                            .with("machines", String.join(",", delete)));
-            state.emit(new SchedulerAction.DeleteMachines(List.copyOf(delete)));
-        }
-    }
-
-    private void writeRecord(Machine machine) {
-        state.writeBudget().takeMachine();
-        machine.writing = true;
-        machine.writeStartedMicros = state.nowMicros();
-        MachineRecord record = machine.toRecord();
-        machine.reportedInWrite = record.lifecycle() != null && record.lifecycle().hasReported();
-        machine.rewriteNeeded = false;
-        state.emit(new SchedulerAction.WriteMachine(record, machine.revision));
-    }
-
-    /** A machine that still answers is emptied first; one that is lost is deleted to get proof. */
-    private boolean isDeletable(Machine machine) {
-        return machine.isEmpty()
-                || machine.listedAsFailed
-                || machine.abandoned
-                || !machine.isUp()
-                || state.nowMicros() - machine.liveness.lastAliveMicros()
-                        > state.settings().leaseMicros() / 2;
+        persister.emitWrites();
+        deleter.emitDeletion();
     }
 
+    /** Takes in the outcome of a record's write or deletion. */
     public void onWriteCompleted(SchedulerEvent.MachineWriteCompleted result) {
-        Machine machine = state.machines().get(result.host());
-        if (machine == null) {
-            return;
-        }
-        machine.writing = false;
-        switch (result.outcome()) {
-            case WRITTEN -> {
-                machine.recorded = !result.deleted();
-                machine.revision = result.deleted() ? 0 : result.revision();
-                machine.decommissioningRecorded = result.decommissioning();
-                machine.reportedRecorded = !result.deleted() && machine.reportedInWrite;
-                state.requestPlacement();
-            }
-            case CONFLICT, UNKNOWN -> {
-                machine.reading = true;
-                machine.markForPersistence();
-            }
-            case NOT_WRITTEN, TOO_LARGE -> machine.retryAtMicros = state.nowMicros() + RETRY_MICROS;
-        }
+        persister.onWriteCompleted(result);
     }
 
+    /** Takes in a record that was read after an unclear write. */
     public void onRecordRead(SchedulerEvent.MachineRecordRead result) {
-        Machine machine = state.machines().get(result.host());
-        if (machine == null) {
-            return;
-        }
-        machine.writing = false;
-        machine.reading = false;
-        // Recorded or not, the present state is written again on the stamp just read: that voids a
-        // late write.
-        machine.recorded = machine.deleted && result.record() != null;
-        machine.revision = result.record() == null ? 0 : result.revision();
-        machine.decommissioningRecorded =
-                result.record() != null && result.record().decommissioning();
-        machine.markForPersistence();
+        persister.onRecordRead(result);
     }
 
+    /** The record could not be read; it is read again. */
     public void onReadFailed(String host) {
-        Machine machine = state.machines().get(host);
-        if (machine != null) {
-            machine.writing = false;
-            machine.retryAtMicros = state.nowMicros() + RETRY_MICROS;
-        }
+        persister.onReadFailed(host);
     }
 
+    /** Takes in the cloud's answer to a deletion of machines. */
     public void onDeletionCompleted(SchedulerEvent.MachineDeletionCompleted result) {
-        deletionsInFlight--;
-        for (String host : result.hosts()) {
-            Machine machine = state.machines().get(host);
-            if (machine == null) {
-                continue;
-            }
-            machine.deleting = false;
-            if (result.succeeded()) {
-                machine.deleted = true;
-                machine.markForPersistence();
-                taskLosses.removeAll(machine, "machine deleted");
-                machine.liveness.onMachineDeleted(state.nowMicros());
-            } else {
-                machine.retryAtMicros = state.nowMicros() + DELETE_RETRY_MICROS;
-            }
-        }
+        deleter.onDeletionCompleted(result);
     }
 
-    /** Forgets deleted machines once the list, which lags, can no longer show them. */
+    /**
+     * Forgets deleted machines once the list, which lags, can no longer show them, and names that
+     * no agent has answered for.
+     */
     public void forget() {
-        long keep = 4 * state.settings().listLagMicros() + 60_000_000;
+        long keepMicros =
+                FORGET_LIST_LAGS * state.settings().listLagMicros() + FORGET_MARGIN_MICROS;
         state.machines()
                 .values()
                 .removeIf(
                         machine -> {
-                            boolean forgotten =
-                                    machine.isConfirmed()
-                                            ? machine.deleted
-                                                    && !machine.recorded
-                                                    && !machine.writing
-                                                    && state.nowMicros()
-                                                                    - machine.liveness
-                                                                            .lastAliveMicros()
-                                                            > keep
-                                            : state.nowMicros() - machine.firstSeenMicros > keep;
+                            boolean forgotten = isForgettable(machine, keepMicros);
                             if (forgotten) {
                                 state.raiseMinFence(machine.liveness.fence() + 1);
                                 state.machinesWithPendingCommands().remove(machine);
@@ -321,4 +192,14 @@
                             return forgotten;
                         });
     }
+
+    private boolean isForgettable(Machine machine, long keepMicros) {
+        if (!machine.isConfirmed()) {
+            return state.nowMicros() - machine.firstSeenMicros > keepMicros;
+        }
+        return machine.isDeleted()
+                && !machine.isRecorded()
+                && !machine.isWriting()
+                && state.nowMicros() - machine.liveness.lastAliveMicros() > keepMicros;
+    }
 }
--- /dev/null
+++ b/src/main/java/org/woadloom/core/machines/ResourceAccount.java
@@ -0,0 +1,117 @@
+package org.woadloom.core.machines;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.woadloom.core.jobs.TaskAttempt;
+import org.woadloom.core.placement.Resources;
+import org.woadloom.protocol.Priority;
+import org.woadloom.protocol.TaskId;
+
+/**
+ * The attempts on a machine and the resources that they use. The resources in use are always the
+ * sum over the attempts, and each attempt is counted either as stopping or as running at its job's
+ * priority.
+ */
+final class ResourceAccount {
+    private final Map<TaskId, TaskAttempt> attempts = new LinkedHashMap<>();
+    private Resources capacity = Resources.NONE;
+    private Resources used = Resources.NONE;
+
+    /** The capacity minus what is in use; null after a change, until it is asked for. */
+    private Resources balance;
+
+    private final int[] runningByPriority = new int[Priority.values().length];
+    private int stopping;
+
+    void add(TaskAttempt attempt) {
+        attempts.put(attempt.task(), attempt);
+        used = used.plus(attempt.job.taskResources);
+        balance = null;
+        if (attempt.isStopping()) {
+            stopping++;
+        } else {
+            runningByPriority[attempt.job.priority().ordinal()]++;
+        }
+    }
+
+    /** Removes the attempt; no effect if it is not here. */
+    void remove(TaskAttempt attempt) {
+        if (attempts.remove(attempt.task(), attempt)) {
+            used = used.minus(attempt.job.taskResources);
+            balance = null;
+            if (attempt.isStopping()) {
+                stopping--;
+            } else {
+                runningByPriority[attempt.job.priority().ordinal()]--;
+            }
+        }
+    }
+
+    void onStopping(TaskAttempt attempt) {
+        if (contains(attempt)) {
+            runningByPriority[attempt.job.priority().ordinal()]--;
+            stopping++;
+        }
+    }
+
+    void onPriorityChanged(TaskAttempt attempt, Priority before) {
+        if (contains(attempt) && !attempt.isStopping()) {
+            runningByPriority[before.ordinal()]--;
+            runningByPriority[attempt.job.priority().ordinal()]++;
+        }
+    }
+
+    private boolean contains(TaskAttempt attempt) {
+        return attempts.get(attempt.task()) == attempt;
+    }
+
+    Collection<TaskAttempt> attempts() {
+        return attempts.values();
+    }
+
+    List<TaskAttempt> snapshot() {
+        return new ArrayList<>(attempts.values());
+    }
+
+    boolean isEmpty() {
+        return attempts.isEmpty();
+    }
+
+    Resources capacity() {
+        return capacity;
+    }
+
+    void setCapacity(Resources newCapacity) {
+        capacity = newCapacity;
+        balance = null;
+    }
+
+    Resources used() {
+        return used;
+    }
+
+    /** The capacity minus what is in use; negative where recorded attempts use more. */
+    Resources balance() {
+        if (balance == null) {
+            balance = capacity.minus(used);
+        }
+        return balance;
+    }
+
+    boolean hasStoppingTasks() {
+        return stopping > 0;
+    }
+
+    /** True if a task of a lower priority is here that is not stopping. */
+    boolean hasTasksBelow(Priority priority) {
+        for (int lower = 0; lower < priority.ordinal(); lower++) {
+            if (runningByPriority[lower] > 0) {
+                return true;
+            }
+        }
+        return false;
+    }
+}
--- /dev/null
+++ b/src/main/java/org/woadloom/core/machines/TaskExitHandler.java
@@ -0,0 +1,163 @@
+package org.woadloom.core.machines;
+
+import org.woadloom.core.LogEntry;
+import org.woadloom.core.LogEvent;
+import org.woadloom.core.SchedulerState;
+import org.woadloom.core.jobs.Job;
+import org.woadloom.core.jobs.PersistenceState;
+import org.woadloom.core.jobs.TaskAttempt;
+import org.woadloom.protocol.TaskStatus;
+
+/** Takes in the exits of tasks: their outcome, and whose fault a failure is. */
+final class TaskExitHandler {
+    private static final long RETRY_MICROS = 1_000_000;
+    private static final long MAX_BACKOFF_MICROS = 60_000_000;
+
+    /** Doublings of the backoff; with more it is beyond its maximum. */
+    private static final int MAX_BACKOFF_DOUBLINGS = 6;
+
+    /** For how long a failure counts against its machine. */
+    private static final long FAILURE_WINDOW_MICROS = 60_000_000;
+
+    /** So many different jobs must have failed on a machine for it to be at fault. */
+    private static final int MIN_FAILED_JOBS_OF_FAULTY_MACHINE = 2;
+
+    /** On so many machines a job without fault may have failed. */
+    private static final int MAX_FAULTY_MACHINES = 2;
+
+    private final SchedulerState state;
+    private final TaskLossHandler taskLosses;
+    private final ExitAcknowledgements acknowledgements;
+
+    TaskExitHandler(
+            SchedulerState state,
+            TaskLossHandler taskLosses,
+            ExitAcknowledgements acknowledgements) {
+        this.state = state;
+        this.taskLosses = taskLosses;
+        this.acknowledgements = acknowledgements;
+    }
+
+    void onExited(TaskAttempt attempt, TaskStatus task) {
+        Job job = attempt.job;
+        Machine machine = attempt.machine;
+        state.log(
+                LogEntry.debug(LogEvent.TASK_EXITED)
+                        .with("task", attempt.task())
+                        .with("attempt", attempt.attempt)
+                        .with("machine", machine.host)
+                        .with("reason", task.exitReason()));
+        applyExitReason(attempt, task);
+        if (!task.wasRefused()) {
+            machine.onImageUsed(job);
+        }
+        taskLosses.remove(attempt);
+        if (job.isComplete()) {
+            job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
+        }
+        acknowledgements.add(machine, task, job.persistence.nextVersion());
+    }
+
+    private void applyExitReason(TaskAttempt attempt, TaskStatus task) {
+        Job job = attempt.job;
+        switch (task.exitReason()) {
+            case DONE -> {
+                if (!job.description.isService()) {
+                    job.markCompleted(attempt.index);
+                }
+            }
+            case ERROR -> onTaskFailed(job, attempt.machine);
+            case UNKNOWN_TASK -> job.placeNotBefore(state.nowMicros() + RETRY_MICROS);
+            case INSUFFICIENT_RESOURCES, ALREADY_RUNNING -> onRefused(attempt, task);
+            default -> {
+                // The task was stopped; it is placed again as any other.
+            }
+        }
+    }
+
+    private void onRefused(TaskAttempt attempt, TaskStatus task) {
+        state.log(
+                LogEntry.info(LogEvent.TASK_REFUSED)
+                        .with("task", attempt.task())
+                        .with("machine", attempt.machine.host)
+                        .with("reason", task.exitReason()));
+        attempt.machine.pausePlacementUntil(state.nowMicros() + RETRY_MICROS);
+    }
+
+    private void onTaskFailed(Job job, Machine machine) {
+        job.countFailure();
+        job.failedOn.add(machine.host);
+        machine.failedJobs.put(job.jobId(), state.nowMicros());
+        quarantineIfFaulty(machine);
+        if (job.failedOn.size() > 1) {
+            long backoffMicros = RETRY_MICROS << Math.min(MAX_BACKOFF_DOUBLINGS, job.failures());
+            job.placeNotBefore(state.nowMicros() + Math.min(MAX_BACKOFF_MICROS, backoffMicros));
+        }
+    }
+
+    /**
+     * Failures of several jobs point at the machine; those of a job that fails on many machines
+     * point at the job alone.
+     */
+    private void quarantineIfFaulty(Machine machine) {
+        machine.failedJobs
+                .entrySet()
+                .removeIf(
+                        failure ->
+                                state.nowMicros() - failure.getValue() > FAILURE_WINDOW_MICROS
+                                        || isFaulty(state.jobs().get(failure.getKey())));
+        if (machine.failedJobs.size() >= MIN_FAILED_JOBS_OF_FAULTY_MACHINE
+                && machine.quarantinedUntilMicros() < state.nowMicros()) {
+            machine.quarantineUntil(
+                    state.nowMicros() + state.settings().operator().quarantineMicros());
+            state.log(
+                    LogEntry.info(LogEvent.MACHINE_QUARANTINED)
+                            .with("machine", machine.host)
+                            .with("failed_jobs", machine.failedJobs.size()));
+        }
+    }
+
+    private static boolean isFaulty(Job job) {
+        return job != null && job.failedOn.size() > MAX_FAULTY_MACHINES;
+    }
+
+    /**
+     * An exit that no attempt accounts for: an earlier leader's, or of an attempt that was taken
+     * for lost. Work that is done counts all the same.
+     */
+    void onExitWithoutAttempt(Machine machine, TaskStatus task) {
+        Job job = state.jobs().get(task.task().jobId());
+        if (job == null || acknowledgements.contains(machine, task)) {
+            return;
+        }
+        if (completesTask(job, task)) {
+            stopOtherAttempt(job, task.task().index());
+            job.persistence.requestWrite(
+                    job.isComplete()
+                            ? PersistenceState.WriteReason.IMMEDIATE
+                            : PersistenceState.WriteReason.OUTCOME);
+            acknowledgements.add(machine, task, job.persistence.nextVersion());
+        } else {
+            // There is nothing to write, so any version will do.
+            acknowledgements.add(machine, task, 0);
+        }
+    }
+
+    private static boolean completesTask(Job job, TaskStatus task) {
+        int index = task.task().index();
+        return index < job.description.taskCount()
+                && task.exitReason() == TaskStatus.ExitReason.DONE
+                && !job.description.isService()
+                && !job.isCancelled()
+                && job.markCompleted(index);
+    }
+
+    private void stopOtherAttempt(Job job, int index) {
+        TaskAttempt other = job.attempt(index);
+        if (other != null && other.wasNeverSent()) {
+            taskLosses.remove(other);
+        } else if (other != null) {
+            other.stop(0);
+        }
+    }
+}
--- a/src/main/java/org/woadloom/core/machines/TaskLossHandler.java
+++ b/src/main/java/org/woadloom/core/machines/TaskLossHandler.java
@@ -7,7 +7,7 @@
 import org.woadloom.core.jobs.PersistenceState;
 import org.woadloom.core.jobs.TaskAttempt;
 
-/** Removes placements that are proven to be gone. */
+/** Removes attempts that are proven to be gone. */
 public final class TaskLossHandler {
     private final SchedulerState state;
 
@@ -15,6 +15,7 @@
         this.state = state;
     }
 
+    /** Removes an attempt that ended without an exit, and logs why. */
     public void onLost(TaskAttempt attempt, String reason) {
         state.log(
                 LogEntry.info(LogEvent.TASK_LOST)
@@ -25,17 +26,17 @@
         remove(attempt);
     }
 
-    /** Removes a placement whose end needs no line of its own. */
+    /** Removes an attempt whose end needs no log entry of its own. */
     public void remove(TaskAttempt attempt) {
         attempt.job.remove(attempt);
         requestOutcomeWrite(attempt.job);
         if (attempt.machine.isEmpty()) {
-            attempt.machine.idleSinceMicros = state.nowMicros();
+            attempt.machine.restartIdleTime();
         }
         state.requestPlacement();
     }
 
-    /** A job that is over has one more thing to tell: that nothing of it is left. */
+    /** Of a job that is over only the end of its last attempt is still to be recorded. */
     private static void requestOutcomeWrite(Job job) {
         if (!job.isOver()) {
             job.persistence.requestWrite(PersistenceState.WriteReason.OUTCOME);
@@ -44,14 +45,16 @@
         }
     }
 
-    /** Nothing is left on the machine and nothing more will come of what was sent there. */
+    /** Removes all attempts: none is left on the machine, and none will be started there. */
     public void removeAll(Machine machine, String reason) {
         for (TaskAttempt attempt : machine.snapshot()) {
             onLost(attempt, reason);
         }
     }
 
-    /** The worker's session is over; what was never sent can still be launched in the next one. */
+    /**
+     * The agent's lease is over; what was never sent can still be started by its next incarnation.
+     */
     public void onSessionEnded(Machine machine, String reason) {
         for (TaskAttempt attempt : machine.snapshot()) {
             if (!attempt.wasNeverSent()) {
--- a/src/test/java/org/woadloom/core/machines/AgentProberTest.java
+++ b/src/test/java/org/woadloom/core/machines/AgentProberTest.java
@@ -11,11 +11,13 @@
     /** How many of so many silent machines are spoken to at once. */
     private long probed(int machines) {
         for (int i = 0; i < machines; i++) {
-            fixture.machine(String.format("host-%06d", i), "a").address = "a:1";
+            fixture.machine(String.format("host-%06d", i), "a").setAddress("a:1");
         }
         fixture.advance(30_000_000);
         new AgentProber(fixture.state, new TaskLossHandler(fixture.state)).review();
-        return fixture.state.machines().values().stream().filter(Machine::tokenDue).count();
+        return fixture.state.machines().values().stream()
+                .filter(machine -> machine.commands.isTokenRequested())
+                .count();
     }
 
     @Test
