--- /dev/null
+++ b/src/test/java/org/woadloom/core/machines/MachineLifecycleTest.java
@@ -0,0 +1,61 @@
+package org.woadloom.core.machines;
+
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+class MachineLifecycleTest {
+    private final MachineLifecycle lifecycle = new MachineLifecycle(false);
+
+    @Test
+    void decommissioningEndsInDeletion() {
+        assertFalse(lifecycle.isDecommissioning());
+        lifecycle.decommission();
+        assertTrue(lifecycle.isDecommissioning());
+        lifecycle.startDeletion();
+        assertTrue(lifecycle.isDeleting());
+        assertTrue(lifecycle.isDecommissioning());
+        lifecycle.onDeleted();
+        assertTrue(lifecycle.isDeleted());
+        assertFalse(lifecycle.isDeleting());
+    }
+
+    @Test
+    void aFailedDeletionIsDueAgain() {
+        lifecycle.decommission();
+        lifecycle.startDeletion();
+        lifecycle.onDeletionFailed();
+        assertFalse(lifecycle.isDeleting());
+        assertTrue(lifecycle.isDecommissioning());
+        assertFalse(lifecycle.isDeleted());
+    }
+
+    /** An answer to an earlier leadership's deletion may come after this one's. */
+    @Test
+    void aDeletedMachineStaysDeleted() {
+        lifecycle.onDeleted();
+        lifecycle.onDeletionFailed();
+        lifecycle.decommission();
+        assertTrue(lifecycle.isDeleted());
+    }
+
+    @Test
+    void aFailureOfAnEarlierDeletionDecommissionsNothing() {
+        lifecycle.onDeletionFailed();
+        assertFalse(lifecycle.isDecommissioning());
+    }
+
+    @Test
+    void onlyAbandonedAndFailedMachinesAreDeletedWithTasks() {
+        lifecycle.decommission();
+        assertFalse(lifecycle.isDeletedWithTasks());
+        MachineLifecycle abandoned = new MachineLifecycle(false);
+        abandoned.abandon();
+        assertTrue(abandoned.isDecommissioning() && abandoned.isDeletedWithTasks());
+        MachineLifecycle failed = new MachineLifecycle(true);
+        failed.fail();
+        assertTrue(failed.isDeletedWithTasks());
+        assertFalse(failed.isAbandoned());
+    }
+}
