--- /dev/null
+++ b/src/main/java/org/woadloom/core/jobs/AttemptTable.java
@@ -0,0 +1,51 @@
+package org.woadloom.core.jobs;
+
+import java.util.Collection;
+import java.util.Collections;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import org.agrona.collections.Int2ObjectHashMap;
+
+/** The present attempts of one job, by task and counted by zone. A task has at most one. */
+final class AttemptTable {
+    private final Int2ObjectHashMap<TaskAttempt> byTask = new Int2ObjectHashMap<>();
+    private final Map<String, Integer> countByZone = new LinkedHashMap<>();
+
+    boolean isEmpty() {
+        return byTask.isEmpty();
+    }
+
+    Collection<TaskAttempt> all() {
+        return byTask.values();
+    }
+
+    /** The attempt of a task, or null. */
+    TaskAttempt of(int index) {
+        return byTask.get(index);
+    }
+
+    void add(TaskAttempt attempt) {
+        byTask.put(attempt.index, attempt);
+        countByZone.merge(attempt.machine.zone, 1, Integer::sum);
+    }
+
+    /** Removes an attempt; false if it is not, or no longer, the one of its task. */
+    boolean remove(TaskAttempt attempt) {
+        if (byTask.get(attempt.index) != attempt) {
+            return false;
+        }
+        byTask.remove(attempt.index);
+        countByZone.computeIfPresent(
+                attempt.machine.zone, (zone, count) -> count == 1 ? null : count - 1);
+        return true;
+    }
+
+    int countInZone(String zone) {
+        return countByZone.getOrDefault(zone, 0);
+    }
+
+    /** How many attempts there are in each zone that has any; a view. */
+    Map<String, Integer> countByZone() {
+        return Collections.unmodifiableMap(countByZone);
+    }
+}
--- a/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
+++ b/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
@@ -60,7 +60,7 @@
     /** A job has come; what it waits for may be known already, and others may wait for it. */
     void onJobAdded(Job job) {
         if (dependents.containsKey(job.jobId())) {
-            if (job.cancelled) {
+            if (job.isCancelled()) {
                 onCancelled(job.jobId());
             } else if (job.persistence.isCompletionDurable()) {
                 onDone(job.jobId(), state.wallMicros());
@@ -81,7 +81,7 @@
             Job other = state.jobs().get(before);
             if (other == null) {
                 unknown.putIfAbsent(before, state.nowMicros());
-            } else if (other.cancelled) {
+            } else if (other.isCancelled()) {
                 onCancelled.add(before);
             } else if (other.persistence.isCompletionDurable()) {
                 onDone(before, state.wallMicros());
@@ -133,7 +133,7 @@
         }
         if (!outcomeKnown) {
             unknown.put(job.jobId(), state.nowMicros());
-        } else if (job.cancelled) {
+        } else if (job.isCancelled()) {
             onCancelled(job.jobId());
         } else {
             onDone(job.jobId(), state.wallMicros());
@@ -188,8 +188,8 @@
         while (!onCancelled.isEmpty()) {
             String jobId = onCancelled.poll();
             for (Job job : new ArrayList<>(dependents.getOrDefault(jobId, Set.of()))) {
-                if (!job.cancelled) {
-                    job.cancelled = true;
+                if (!job.isCancelled()) {
+                    job.markCancelled();
                     job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
                     state.log(
                             LogEntry.info(LogEvent.DEPENDENT_JOB_CANCELLED)
--- a/src/main/java/org/woadloom/core/jobs/Job.java
+++ b/src/main/java/org/woadloom/core/jobs/Job.java
@@ -3,13 +3,12 @@
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Collection;
-import java.util.Collections;
+import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.agrona.collections.Int2ObjectHashMap;
 import org.woadloom.core.placement.Resources;
 import org.woadloom.core.quota.TeamQuota;
 import org.woadloom.protocol.Cbor;
@@ -18,78 +17,64 @@
 import org.woadloom.protocol.TaskStatus;
 import org.woadloom.store.JobRecord;
 
-/** A job that is not over, or that may still have tasks on machines. */
+/**
+ * A job that is not over, or that may still have tasks on machines.
+ *
+ * <p>{@link TaskSet} has what is completed and pending, {@link AttemptTable} what is on machines,
+ * {@link PersistenceState} how the stored record stands against both. All times in microseconds are
+ * of the leader's own clock, those named "wall" of the time of day.
+ */
 public final class Job {
+    /** A time that has not come. */
     public static final long NEVER_MICROS = Long.MIN_VALUE;
-    private static final long PREEMPTION_BACKOFF_MICROS = 1_500_000;
-    private static final long PREEMPTION_MEMORY_MICROS = 30_000_000;
+
+    /** What {@link #nextPending} returns when no task is pending. */
+    public static final int NO_TASK = -1;
+
+    private static final double MICROS_PER_SECOND = 1e6;
 
     public final JobDescription description;
+
+    /** What one task takes. */
     public final Resources taskResources;
+
     public final TeamQuota team;
     public final long submittedWallMicros;
     public final long submittedMicros;
+    public final PersistenceState persistence;
 
-    /**
-     * From when on the job's times count, its deadline apart: its submission, or when the last job
-     * before it was done.
-     */
+    /** Names of the machines on which tasks of the job ended with an error. */
+    public final Set<String> failedOn = new LinkedHashSet<>();
+
+    private final TaskSet tasks;
+    private final AttemptTable attempts = new AttemptTable();
+    private final PreemptionBackoff preemptionBackoff = new PreemptionBackoff();
     private long queuedSinceMicros;
 
-    /**
-     * When the last job before it was done by the time of day, 0 where it waits still or waited for
-     * none.
-     */
+    /** When its last dependency was done by the time of day; 0 while it waits or if it has none. */
     private long readyWallMicros;
 
-    /** Must not start: a job before it is not known to be done. */
     private boolean isBlocked;
-
-    /** Its own rank, or a higher one of a job that needs it. */
     private Priority priority;
-
-    /**
-     * By when it has to be done for itself, or for the jobs that need it; {@link Long#MAX_VALUE}
-     * for no such time.
-     */
     private long deadlineMicros;
 
+    /** In bytes, 0 until it is asked for. */
     private int descriptionSize;
 
-    /** Tasks that are done: a subset of this may not be durable yet. */
-    public final BitSet completedTasks;
-
-    private int completedCount;
-    public final PersistenceState persistence;
-
-    /** Done or placed: what is clear here is pending. */
-    private final BitSet takenTasks = new BitSet();
-
-    private int takenCount;
-    private final Int2ObjectHashMap<TaskAttempt> attempts = new Int2ObjectHashMap<>();
-    private final Map<String, Integer> attemptsByZone = new LinkedHashMap<>();
-    boolean cancelled;
-
-    /** The job was cancelled at this moment or later. */
-    long cancelledSinceMicros = Long.MIN_VALUE;
-
-    /** The final state is in the store, and the job is no longer among those of the core. */
-    boolean finished;
-
-    /** Fits into the team's guarantee together with the team's earlier jobs. */
-    boolean withinGuarantee;
-
-    int failures;
+    private boolean cancelled;
+    private long cancelledSinceMicros = NEVER_MICROS;
+    private boolean finished;
+    private boolean withinGuarantee;
+    private int failures;
     private long firstPlacedMicros = NEVER_MICROS;
-    private int preemptions;
-    private long preemptedMicros = Long.MIN_VALUE / 2;
-    long placeNotBeforeMicros;
-
-    /** Machines on which tasks of the job ended with an error. */
-    public final Set<String> failedOn = new LinkedHashSet<>();
+    private long placeNotBeforeMicros;
 
     /**
-     * @param unrecorded where the job puts itself when its record needs anything
+     * A job as its record has it, without the attempts that the record names.
+     *
+     * @param revision the record's revision
+     * @param submittedMicros when it was submitted, by the leader's clock
+     * @param jobsToPersist where the job puts itself when its record must be written
      */
     public Job(
             JobRecord record,
@@ -102,12 +87,9 @@
         this.team = team;
         this.submittedWallMicros = record.submittedWallMicros();
         this.submittedMicros = submittedMicros;
-        this.completedTasks = (BitSet) record.done().clone();
-        this.takenTasks.or(record.done());
-        this.takenCount = takenTasks.cardinality();
+        this.tasks = new TaskSet(description.taskCount(), record.done());
         this.cancelled = record.cancelled();
         this.persistence = new PersistenceState(revision, () -> jobsToPersist.add(this));
-        this.completedCount = completedTasks.cardinality();
         this.readyWallMicros = record.readyWallMicros();
         this.isBlocked = !record.description().dependencies().isEmpty();
         this.queuedSinceMicros =
@@ -118,59 +100,64 @@
         this.deadlineMicros = ownDeadlineMicros();
     }
 
-    long ownDeadlineMicros() {
-        return description.deadlineSeconds() == null
-                ? Long.MAX_VALUE
-                : submittedMicros + (long) (description.deadlineSeconds() * 1e6);
+    public String jobId() {
+        return description.jobId();
     }
 
-    /** True while the job must not start: it is queued, holds no room and asks for none. */
+    /**
+     * How many bytes the description takes in the compact format, about: it is in every record of
+     * the job.
+     */
+    public int descriptionSize() {
+        if (descriptionSize == 0) {
+            descriptionSize = Cbor.jsonSize(description.withoutDependencies().toMap());
+        }
+        return descriptionSize;
+    }
+
+    // Dependencies, and what jobs that depend on this one ask of it.
+
+    /** True while a dependency is not known to be done: the job holds and asks for no resources. */
     public boolean isBlocked() {
         return isBlocked;
     }
 
-    /** Every job before it is done, durably. */
+    /** Every dependency is done, durably, the last of them at the given times. */
     void unblock(long nowMicros, long wallMicros) {
         isBlocked = false;
         queuedSinceMicros = Math.max(submittedMicros, nowMicros);
         readyWallMicros = wallMicros;
     }
 
+    /**
+     * From when on the job's times count, its deadline apart: its submission, or when its last
+     * dependency was done.
+     */
     public long queuedSinceMicros() {
         return queuedSinceMicros;
     }
 
+    /** Its own priority, or a higher one of a job that depends on it. */
     public Priority priority() {
         return priority;
     }
 
+    /**
+     * By when it must be done for itself or for the jobs that depend on it; {@link Long#MAX_VALUE}
+     * for no deadline.
+     */
     public long deadlineMicros() {
         return deadlineMicros;
     }
 
-    /** A task of the job is stopped for another job. */
-    public void onPreempted(long nowMicros) {
-        if (nowMicros == preemptedMicros) {
-            return;
-        }
-        preemptions =
-                nowMicros - preemptedMicros > PREEMPTION_MEMORY_MICROS
-                        ? 1
-                        : Math.min(preemptions + 1, 3);
-        preemptedMicros = nowMicros;
-    }
-
-    /**
-     * True for a while after tasks were stopped for others, longer each time: started again in
-     * whatever hole there is, they would be stopped again for the next job of a higher rank, dozens
-     * of times.
-     */
-    public boolean isBackingOff(long nowMicros) {
-        return preemptions > 0
-                && nowMicros - preemptedMicros < PREEMPTION_BACKOFF_MICROS << preemptions;
+    /** The deadline of its own description; {@link Long#MAX_VALUE} for none. */
+    long ownDeadlineMicros() {
+        return description.deadlineSeconds() == null
+                ? Long.MAX_VALUE
+                : submittedMicros + (long) (description.deadlineSeconds() * MICROS_PER_SECOND);
     }
 
-    /** What the jobs that need this one ask of it. */
+    /** Takes over the highest priority and the earliest deadline of the jobs that depend on it. */
     void inheritFromDependents(Priority highestPriority, long earliestDeadlineMicros) {
         Priority before = priority;
         priority =
@@ -179,229 +166,255 @@
                         : description.priority();
         deadlineMicros = Math.min(ownDeadlineMicros(), earliestDeadlineMicros);
         if (before != priority) {
-            preemptions = 0;
-            attempts.values()
-                    .forEach(attempt -> attempt.machine.onPriorityChanged(attempt, before));
+            preemptionBackoff.reset();
+            attempts.all().forEach(attempt -> attempt.machine.onPriorityChanged(attempt, before));
         }
     }
 
-    public String jobId() {
-        return description.jobId();
+    // Its end.
+
+    /** True when every task is completed, which never is the case for a service. */
+    public boolean isComplete() {
+        return !description.isService() && tasks.areAllCompleted();
     }
 
-    public int completedCount() {
-        return completedCount;
+    public boolean isCancelled() {
+        return cancelled;
     }
 
-    public boolean isComplete() {
-        return !description.isService() && completedCount == description.taskCount();
+    /** The job was cancelled at this moment or later; {@link #NEVER_MICROS} if not known. */
+    public long cancelledSinceMicros() {
+        return cancelledSinceMicros;
     }
 
-    /**
-     * How long the description is in the compact format, about: it is in every record of the job.
-     */
-    public int descriptionSize() {
-        if (descriptionSize == 0) {
-            descriptionSize = Cbor.jsonSize(description.withoutDependencies().toMap());
-        }
-        return descriptionSize;
+    /** The job is cancelled, and when is not known. */
+    void markCancelled() {
+        cancelled = true;
+    }
+
+    /** The job was cancelled at the given time or later. */
+    void markCancelledSince(long micros) {
+        cancelled = true;
+        cancelledSinceMicros = micros;
+    }
+
+    /** True once the final state is in the store and the scheduler no longer has the job. */
+    public boolean isFinished() {
+        return finished;
     }
 
-    /** True when nothing is left to run: only tasks that must go may still be somewhere. */
+    void markFinished() {
+        finished = true;
+    }
+
+    /** True when nothing is left to run: only tasks that must stop may still be somewhere. */
     public boolean isOver() {
         return finished || cancelled || isComplete();
     }
 
-    public Collection<TaskAttempt> attempts() {
-        return attempts.values();
+    // Tasks.
+
+    public int completedCount() {
+        return tasks.completedCount();
+    }
+
+    public boolean isCompleted(int index) {
+        return tasks.isCompleted(index);
     }
 
     /**
-     * When a task of the job was first placed, as far as this leader knows; {@link #NEVER_MICROS}
-     * for never.
+     * The completed tasks, to be read only. The record in the store may lack the latest of them.
      */
-    public long firstPlacedMicros() {
-        return firstPlacedMicros;
+    public BitSet completedTasks() {
+        return tasks.completed();
     }
 
-    /** Some of it is done, or on a machine, or about to be. */
-    public boolean hasStarted() {
-        return completedCount > 0 || !attempts.isEmpty();
+    /** A task has completed; false if that was known. */
+    public boolean markCompleted(int index) {
+        return tasks.complete(index);
     }
 
-    public TaskAttempt attempt(int index) {
-        return attempts.get(index);
+    /** How many tasks could be placed now as far as the job itself is concerned. */
+    public int pendingTasks() {
+        return isOver() || isBlocked ? 0 : tasks.pendingCount();
     }
 
-    public int attemptsInZone(String zone) {
-        return attemptsByZone.getOrDefault(zone, 0);
+    /** The first task from the given index on that has no attempt, or {@link #NO_TASK}. */
+    public int nextPending(int from) {
+        return tasks.nextPending(from);
     }
 
-    /** The zones in which tasks of the job are or may be. */
-    public Collection<String> zones() {
-        return attemptsByZone.keySet();
+    public int runningTasks() {
+        int running = 0;
+        for (TaskAttempt attempt : attempts.all()) {
+            if (attempt.reportedState() == TaskStatus.State.RUNNING) {
+                running++;
+            }
+        }
+        return running;
     }
 
-    /** How many tasks are or may be in each zone. */
-    public Map<String, Integer> tasksByZone() {
-        return Collections.unmodifiableMap(attemptsByZone);
+    /** True if any task is completed, or is or may be on a machine. */
+    public boolean hasStarted() {
+        return tasks.completedCount() > 0 || !attempts.isEmpty();
     }
 
-    public int pendingTasks() {
-        return isOver() || isBlocked ? 0 : description.taskCount() - takenCount;
+    // Attempts.
+
+    public Collection<TaskAttempt> attempts() {
+        return attempts.all();
     }
 
-    /** How many more of its tasks the team's limit allows. */
-    public int allowedTasks() {
-        return allowedTasks(Resources.NONE);
+    /** The present attempt of a task, or null. */
+    public TaskAttempt attempt(int index) {
+        return attempts.of(index);
     }
 
-    /** The same, where the first tasks give back what was held for them. */
-    public int allowedTasks(Resources credit) {
-        return team.allowedTasks(taskResources, this, credit);
+    public int attemptsInZone(String zone) {
+        return attempts.countInZone(zone);
     }
 
-    public int nextPending(int from) {
-        int next = takenTasks.nextClearBit(from);
-        return next < description.taskCount() ? next : -1;
+    /** The zones in which tasks of the job are or may be. */
+    public Collection<String> zones() {
+        return attempts.countByZone().keySet();
     }
 
+    /** How many tasks are or may be in each zone. */
+    public Map<String, Integer> tasksByZone() {
+        return attempts.countByZone();
+    }
+
+    /** Adds an attempt here, to its machine and to the team's use. */
     public void add(TaskAttempt attempt) {
         if (isBlocked) {
-            throw new IllegalStateException("job " + jobId() + " waits for others");
+            throw new IllegalStateException(
+                    "job " + jobId() + " can't be placed before its dependencies are done");
         }
         if (firstPlacedMicros == NEVER_MICROS) {
-            // An earlier leader placed what is inherited: when is not known, and it is not said to
-            // have waited until now.
+            // When an earlier leader placed it is not known; the job is not counted as having
+            // waited until now.
             firstPlacedMicros =
-                    attempt.stage == TaskAttempt.Stage.RECOVERED
+                    attempt.stage() == TaskAttempt.Stage.RECOVERED
                             ? queuedSinceMicros
                             : attempt.placedMicros;
         }
-        attempts.put(attempt.index, attempt);
-        markTaken(attempt.index);
-        attemptsByZone.merge(attempt.machine.zone, 1, Integer::sum);
+        attempts.add(attempt);
+        tasks.take(attempt.index);
         attempt.machine.add(attempt);
         team.add(taskResources);
     }
 
+    /** Removes an attempt wherever {@link #add} put it; its task is pending again. */
     public void remove(TaskAttempt attempt) {
-        if (attempts.get(attempt.index) != attempt) {
+        if (!attempts.remove(attempt)) {
             return;
         }
-        attempts.remove(attempt.index);
-        if (!completedTasks.get(attempt.index) && takenTasks.get(attempt.index)) {
-            takenTasks.clear(attempt.index);
-            takenCount--;
-        }
-        attemptsByZone.computeIfPresent(
-                attempt.machine.zone, (zone, count) -> count == 1 ? null : count - 1);
+        tasks.release(attempt.index);
         attempt.machine.remove(attempt);
         team.subtract(taskResources);
     }
 
-    /** Placements whose record has become durable may be launched. */
+    /** Attempts that the durable record names may be started. */
     public void releaseDurableAttempts() {
-        for (TaskAttempt attempt : attempts.values()) {
-            if (attempt.stage == TaskAttempt.Stage.PLANNED
-                    && attempt.version <= persistence.durableVersion) {
+        for (TaskAttempt attempt : attempts.all()) {
+            if (attempt.stage() == TaskAttempt.Stage.PLANNED
+                    && attempt.version <= persistence.durableVersion()) {
                 attempt.markReady();
             }
         }
     }
 
-    private void markTaken(int index) {
-        if (!takenTasks.get(index)) {
-            takenTasks.set(index);
-            takenCount++;
-        }
-    }
+    // Quota.
 
-    public boolean markCompleted(int index) {
-        if (completedTasks.get(index)) {
-            return false;
-        }
-        completedTasks.set(index);
-        completedCount++;
-        markTaken(index);
-        return true;
+    /** How many more of its tasks the team's limit allows. */
+    public int allowedTasks() {
+        return allowedTasks(Resources.NONE);
     }
 
-    public int runningTasks() {
-        int running = 0;
-        for (TaskAttempt attempt : attempts.values()) {
-            if (attempt.reportedState == TaskStatus.State.RUNNING) {
-                running++;
-            }
-        }
-        return running;
+    /** The same, where the first tasks give back what was reserved for them. */
+    public int allowedTasks(Resources credit) {
+        return team.allowedTasks(taskResources, this, credit);
     }
 
-    /** The record as it should be written now. */
-    public JobRecord toRecord(long term, long version) {
-        Map<String, JobRecord.RecordedAttempt> groups = new LinkedHashMap<>();
-        List<TaskAttempt> ordered = new ArrayList<>(attempts.values());
-        ordered.sort((a, b) -> Integer.compare(a.index, b.index));
-        for (TaskAttempt p : ordered) {
-            groups.computeIfAbsent(
-                            p.machine.host + " " + p.attempt,
-                            k ->
-                                    new JobRecord.RecordedAttempt(
-                                            p.machine.host, p.attempt, new BitSet()))
-                    .tasks()
-                    .set(p.index);
-        }
-        return new JobRecord(
-                isBlocked ? description : description.withoutDependencies(),
-                submittedWallMicros,
-                readyWallMicros,
-                cancelled,
-                (BitSet) completedTasks.clone(),
-                List.copyOf(groups.values()),
-                runningTasks(),
-                term,
-                version);
+    /** True if the job fits into its team's guarantee together with the team's earlier jobs. */
+    public boolean isWithinGuarantee() {
+        return withinGuarantee;
     }
 
-    public boolean isCancelled() {
-        return cancelled;
+    public void setWithinGuarantee(boolean fits) {
+        withinGuarantee = fits;
     }
 
-    /** The job was cancelled at this moment or later. */
-    public long cancelledSinceMicros() {
-        return cancelledSinceMicros;
+    // When it is placed.
+
+    /**
+     * When a task of the job was first placed, as far as this leader knows; {@link #NEVER_MICROS}
+     * for never.
+     */
+    public long firstPlacedMicros() {
+        return firstPlacedMicros;
     }
 
-    /** The final state is in the store, and the job is no longer among those of the core. */
-    public boolean isFinished() {
-        return finished;
+    /** No task of the job is placed before this time. */
+    public long placeNotBeforeMicros() {
+        return placeNotBeforeMicros;
     }
 
-    /** Fits into the team's guarantee together with the team's earlier jobs. */
-    public boolean isWithinGuarantee() {
-        return withinGuarantee;
+    public void placeNotBefore(long micros) {
+        placeNotBeforeMicros = micros;
     }
 
+    /** How many of its tasks ended with an error. */
     public int failures() {
         return failures;
     }
 
-    public long placeNotBeforeMicros() {
-        return placeNotBeforeMicros;
+    /** A task of the job ended with an error. */
+    public void countFailure() {
+        failures++;
     }
 
-    /** Whether the job fits into its team's guarantee together with the team's earlier jobs. */
-    public void setWithinGuarantee(boolean fits) {
-        withinGuarantee = fits;
+    /** A task of the job is stopped for another job. */
+    public void onPreempted(long nowMicros) {
+        preemptionBackoff.onPreempted(nowMicros);
     }
 
-    /** A task of the job ended with an error. */
-    public void countFailure() {
-        failures++;
+    /** True for a while after tasks were preempted, longer each time. */
+    public boolean isBackingOff(long nowMicros) {
+        return preemptionBackoff.isActive(nowMicros);
     }
 
-    /** No task of the job is placed before the given time. */
-    public void placeNotBefore(long micros) {
-        placeNotBeforeMicros = micros;
+    // Its record.
+
+    /** The record as it should be written now, by the leader of the given term. */
+    public JobRecord toRecord(long term, long version) {
+        return new JobRecord(
+                isBlocked ? description : description.withoutDependencies(),
+                submittedWallMicros,
+                readyWallMicros,
+                cancelled,
+                (BitSet) tasks.completed().clone(),
+                recordedAttempts(),
+                runningTasks(),
+                term,
+                version);
+    }
+
+    /** The attempts, those of the same machine and number as one, in the order of the tasks. */
+    private List<JobRecord.RecordedAttempt> recordedAttempts() {
+        List<TaskAttempt> ordered = new ArrayList<>(attempts.all());
+        ordered.sort(Comparator.comparingInt(attempt -> attempt.index));
+        Map<String, JobRecord.RecordedAttempt> groups = new LinkedHashMap<>();
+        for (TaskAttempt attempt : ordered) {
+            String host = attempt.machine.host;
+            groups.computeIfAbsent(
+                            host + " " + attempt.attempt,
+                            key ->
+                                    new JobRecord.RecordedAttempt(
+                                            host, attempt.attempt, new BitSet()))
+                    .tasks()
+                    .set(attempt.index);
+        }
+        return List.copyOf(groups.values());
     }
 }
--- a/src/main/java/org/woadloom/core/jobs/JobPersister.java
+++ b/src/main/java/org/woadloom/core/jobs/JobPersister.java
@@ -8,35 +8,40 @@
 import org.woadloom.core.SchedulerAction;
 import org.woadloom.core.SchedulerEvent;
 import org.woadloom.core.SchedulerState;
+import org.woadloom.core.jobs.PersistenceState.WriteReason;
 import org.woadloom.store.FinalRecord;
 
 /**
- * Keeps the jobs' durable records up with what the core knows; one write of a job is under way at a
- * time.
+ * Keeps the jobs' durable records up with what the scheduler knows, within the write budget; one
+ * write of a job is in flight at a time.
  */
 public final class JobPersister {
-    private static final long PHASE_MICROS = 1_000_000;
-    private static final long OUTCOME_MICROS = 250_000;
+    /** How long after a write the next one leaves that only tells of phases. */
+    private static final long PHASE_INTERVAL_MICROS = 1_000_000;
+
+    /** The same where tasks have ended, which users see. */
+    private static final long OUTCOME_INTERVAL_MICROS = 250_000;
+
     private static final long RETRY_MICROS = 150_000;
-    private static final long TOO_LARGE_MICROS = 1_000_000;
 
-    /** How much sooner than by its turn a launch is written. */
-    private static final long IMMEDIATE_AHEAD_MICROS = 2_000_000;
+    /** A record that is too large gets shorter only as tasks end. */
+    private static final long TOO_LARGE_RETRY_MICROS = 1_000_000;
+
+    /** How much sooner than by its turn a write leaves that start commands wait for. */
+    private static final long IMMEDIATE_ADVANTAGE_MICROS = 2_000_000;
+
+    /** What a write takes from the budget: a final state replaces the record, two changes. */
+    private static final int CHANGES_OF_FINAL_STATE = 2;
+
+    private static final int CHANGES_OF_RECORD = 1;
 
     /**
-     * Ends and cancellations first, then what was written longest ago, launches with a start: no
-     * completion starves.
+     * Ends and cancellations first, then what was written longest ago, with an advantage for what
+     * start commands wait for: so no completion starves.
      */
     private static final Comparator<Job> WRITE_ORDER =
             Comparator.comparing((Job job) -> !job.isOver())
-                    .thenComparingLong(
-                            job ->
-                                    job.persistence.lastWriteMicros
-                                            - (job.persistence.pendingReason
-                                                            == PersistenceState.WriteReason
-                                                                    .IMMEDIATE
-                                                    ? IMMEDIATE_AHEAD_MICROS
-                                                    : 0));
+                    .thenComparingLong(JobPersister::turnMicros);
 
     private final SchedulerState state;
     private final JobRegistry jobs;
@@ -46,35 +51,30 @@
         this.jobs = jobs;
     }
 
+    private static long turnMicros(Job job) {
+        PersistenceState persistence = job.persistence;
+        return persistence.pendingReason() == WriteReason.IMMEDIATE
+                ? persistence.lastWriteMicros() - IMMEDIATE_ADVANTAGE_MICROS
+                : persistence.lastWriteMicros();
+    }
+
+    /** Emits the reads and writes that are due; what the budget does not allow waits. */
     public void emitWrites() {
         List<Job> due = new ArrayList<>();
         List<Job> replaced = new ArrayList<>();
-        state.jobsToPersist()
-                .removeIf(
-                        job ->
-                                job.finished
-                                        || job.persistence.pendingReason
-                                                        == PersistenceState.WriteReason.NONE
-                                                && !job.persistence.readNeeded);
+        state.jobsToPersist().removeIf(job -> job.isFinished() || !job.persistence.needsExchange());
         for (Job job : state.jobsToPersist()) {
             PersistenceState persistence = job.persistence;
             if (persistence.isReplaced()) {
                 if (job.attempts().isEmpty()) {
                     replaced.add(job);
                 }
-                continue;
-            }
-            if (state.nowMicros() < persistence.retryAtMicros) {
-                continue;
-            }
-            if (persistence.readNeeded) {
-                if (!persistence.readInFlight) {
-                    persistence.readInFlight = true;
-                    persistence.retryAtMicros = state.nowMicros() + RETRY_MICROS;
-                    state.emit(new SchedulerAction.ReadJob(job.jobId()));
+            } else if (state.nowMicros() >= persistence.retryAtMicros()) {
+                if (persistence.isReadNeeded()) {
+                    readUnlessOpen(job);
+                } else if (persistence.isIdle() && isDue(job)) {
+                    due.add(job);
                 }
-            } else if (persistence.versionInFlight == 0 && isDue(job)) {
-                due.add(job);
             }
         }
         replaced.forEach(job -> jobs.onFinished(job, false));
@@ -82,116 +82,125 @@
             due.sort(WRITE_ORDER);
         }
         for (Job job : due) {
-            if (job.isOver()
-                    ? state.writeBudget().allowsFinalState()
-                    : state.writeBudget().allowsJob()) {
+            if (isWithinBudget(job)) {
                 write(job);
             }
         }
     }
 
-    private void write(Job job) {
-        PersistenceState persistence = job.persistence;
-        if (job.isOver() && job.attempts().isEmpty()) {
-            state.writeBudget().takeJob(2);
-            persistence.finalStateInFlight = true;
-            long version = persistence.beginWrite(state.nowMicros(), job.isComplete());
-            state.emit(
-                    new SchedulerAction.WriteFinalState(
-                            new FinalRecord(
-                                    job.jobId(),
-                                    job.cancelled,
-                                    job.completedTasks.cardinality(),
-                                    state.wallMicros(),
-                                    job.description.isService()),
-                            persistence.revision,
-                            version));
-        } else {
-            state.writeBudget().takeJob(1);
-            boolean urgent = persistence.pendingReason == PersistenceState.WriteReason.IMMEDIATE;
-            long version = persistence.beginWrite(state.nowMicros(), job.isComplete());
-            state.emit(
-                    new SchedulerAction.WriteJob(
-                            job.toRecord(state.term(), version), persistence.revision, urgent));
-        }
-    }
-
     /**
-     * Outcomes and phases are gathered for a while; whatever the budget does not allow yet is
+     * Phases and outcomes are collected for a while; whatever the budget does not allow yet is
      * written later, as one.
      */
     private boolean isDue(Job job) {
-        long since = state.nowMicros() - job.persistence.lastWriteMicros;
-        return switch (job.persistence.pendingReason) {
+        long sinceLastWrite = state.nowMicros() - job.persistence.lastWriteMicros();
+        return switch (job.persistence.pendingReason()) {
             case NONE -> false;
-            case PHASE -> since >= PHASE_MICROS;
-            case OUTCOME -> since >= OUTCOME_MICROS;
+            case PHASE -> sinceLastWrite >= PHASE_INTERVAL_MICROS;
+            case OUTCOME -> sinceLastWrite >= OUTCOME_INTERVAL_MICROS;
             case IMMEDIATE -> true;
         };
     }
 
+    private boolean isWithinBudget(Job job) {
+        return job.isOver()
+                ? state.writeBudget().allowsFinalState()
+                : state.writeBudget().allowsJob();
+    }
+
+    private void readUnlessOpen(Job job) {
+        if (!job.persistence.isReading()) {
+            job.persistence.startRead(state.nowMicros() + RETRY_MICROS);
+            state.emit(new SchedulerAction.ReadJob(job.jobId()));
+        }
+    }
+
+    private void write(Job job) {
+        if (job.isOver() && job.attempts().isEmpty()) {
+            writeFinalState(job);
+        } else {
+            writeRecord(job);
+        }
+    }
+
+    private void writeFinalState(Job job) {
+        state.writeBudget().takeJob(CHANGES_OF_FINAL_STATE);
+        long version = job.persistence.startFinalWrite(state.nowMicros(), job.isComplete());
+        FinalRecord record =
+                new FinalRecord(
+                        job.jobId(),
+                        job.isCancelled(),
+                        job.completedCount(),
+                        state.wallMicros(),
+                        job.description.isService());
+        state.emit(
+                new SchedulerAction.WriteFinalState(record, job.persistence.revision(), version));
+    }
+
+    private void writeRecord(Job job) {
+        state.writeBudget().takeJob(CHANGES_OF_RECORD);
+        boolean urgent = job.persistence.pendingReason() == WriteReason.IMMEDIATE;
+        long version = job.persistence.startWrite(state.nowMicros(), job.isComplete());
+        state.emit(
+                new SchedulerAction.WriteJob(
+                        job.toRecord(state.term(), version), job.persistence.revision(), urgent));
+    }
+
     public void onWriteCompleted(SchedulerEvent.JobWriteCompleted result) {
         Job job = state.jobs().get(result.jobId());
         if (job == null) {
             return;
         }
-        PersistenceState persistence = job.persistence;
+        boolean isInFlight = job.persistence.isInFlight(result.version());
         switch (result.outcome()) {
-            case WRITTEN -> {
-                boolean finishing =
-                        persistence.finalStateInFlight
-                                && persistence.versionInFlight == result.version();
-                persistence.onWriteConfirmed(result.version(), result.revision());
-                job.releaseDurableAttempts();
-                jobs.onWriteAcknowledged(job);
-                if (finishing) {
-                    state.log(
-                            LogEntry.info(
-                                            job.cancelled
-                                                    ? LogEvent.JOB_CANCELLED
-                                                    : LogEvent.JOB_DONE)
-                                    .with("job", job.jobId()));
-                    jobs.onFinished(job, true);
-                }
-            }
+            case WRITTEN -> onWritten(job, result);
             case CONFLICT, UNKNOWN -> {
-                if (persistence.versionInFlight == result.version()) {
-                    // Nothing may be concluded from a write without an answer: read before the next
-                    // one.
-                    persistence.readNeeded = true;
-                    persistence.readInFlight = false;
+                if (isInFlight) {
+                    job.persistence.requireRead();
                     state.jobsToPersist().add(job);
                 }
             }
             case TOO_LARGE -> {
-                if (persistence.versionInFlight == result.version()) {
+                if (isInFlight) {
                     onRecordTooLarge(job);
                 }
             }
             case NOT_WRITTEN -> {
-                if (persistence.versionInFlight == result.version()) {
-                    persistence.onWriteRefused(state.nowMicros() + RETRY_MICROS);
+                if (isInFlight) {
+                    job.persistence.onWriteRefused(state.nowMicros() + RETRY_MICROS);
                 }
             }
         }
     }
 
+    private void onWritten(Job job, SchedulerEvent.JobWriteCompleted result) {
+        boolean isFinalState = job.persistence.isFinalStateInFlight(result.version());
+        job.persistence.onWriteConfirmed(result.version(), result.revision());
+        job.releaseDurableAttempts();
+        jobs.onWriteAcknowledged(job);
+        if (isFinalState) {
+            LogEvent event = job.isCancelled() ? LogEvent.JOB_CANCELLED : LogEvent.JOB_DONE;
+            state.log(LogEntry.info(event).with("job", job.jobId()));
+            jobs.onFinished(job, true);
+        }
+    }
+
     /**
      * The record as it is can't be stored. What was planned for it and never sent is taken back;
      * what else it should say waits until tasks have ended and it is shorter: the stored one names
      * at least as much as there is.
      */
     private void onRecordTooLarge(Job job) {
-        job.persistence.onWriteRefused(state.nowMicros() + TOO_LARGE_MICROS);
+        long retryAtMicros = state.nowMicros() + TOO_LARGE_RETRY_MICROS;
+        job.persistence.onWriteRefused(retryAtMicros);
         int planned = 0;
         for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
-            if (attempt.stage == TaskAttempt.Stage.PLANNED) {
+            if (attempt.stage() == TaskAttempt.Stage.PLANNED) {
                 job.remove(attempt);
                 planned++;
             }
         }
-        job.placeNotBeforeMicros =
-                Math.max(job.placeNotBeforeMicros, state.nowMicros() + TOO_LARGE_MICROS);
+        job.placeNotBefore(Math.max(job.placeNotBeforeMicros(), retryAtMicros));
         state.requestPlacement();
         state.log(
                 LogEntry.info(LogEvent.JOB_RECORD_TOO_LARGE)
@@ -202,9 +211,8 @@
     /** A read that got no answer is sent again. */
     public void onReadFailed(String jobId) {
         Job job = state.jobs().get(jobId);
-        if (job != null && job.persistence.readNeeded) {
-            job.persistence.readInFlight = false;
-            job.persistence.retryAtMicros = state.nowMicros() + RETRY_MICROS;
+        if (job != null && job.persistence.isReadNeeded()) {
+            job.persistence.onReadFailed(state.nowMicros() + RETRY_MICROS);
         }
     }
 }
--- a/src/main/java/org/woadloom/core/jobs/JobRegistry.java
+++ b/src/main/java/org/woadloom/core/jobs/JobRegistry.java
@@ -41,7 +41,7 @@
                         new TaskAttempt(job, i, machine, placed.attempt(), 0, state.nowMicros());
                 attempt.onRecovered();
                 job.add(attempt);
-                if (job.isOver() || job.completedTasks.get(i)) {
+                if (job.isOver() || job.isCompleted(i)) {
                     attempt.stop(0);
                 }
             }
@@ -68,18 +68,18 @@
             return;
         }
         PersistenceState persistence = job.persistence;
-        boolean answersRead = persistence.readNeeded && persistence.readInFlight;
-        if (revision < persistence.revision) {
+        boolean answersRead = persistence.isReading();
+        if (revision < persistence.revision()) {
             return;
         }
-        if (record.term() == state.term() && record.version() > persistence.durableVersion) {
+        if (record.term() == state.term() && record.version() > persistence.durableVersion()) {
             // One of this term's own writes: it is durable, whatever became of the answer.
-            persistence.durableVersion = record.version();
+            persistence.onVersionRead(record.version());
             job.releaseDurableAttempts();
             onWriteAcknowledged(job);
         }
-        persistence.revision = revision;
-        if (record.cancelled() && !job.cancelled) {
+        persistence.onRevisionRead(revision);
+        if (record.cancelled() && !job.isCancelled()) {
             cancel(job);
         }
         if (answersRead) {
@@ -94,15 +94,15 @@
      */
     public void onDamagedRecord(SchedulerEvent.JobRecordDamaged event) {
         Job job = state.jobs().get(event.jobId());
-        if (job == null || event.revision() < job.persistence.revision) {
+        if (job == null || event.revision() < job.persistence.revision()) {
             return;
         }
         state.log(LogEntry.info(LogEvent.JOB_RECORD_DAMAGED).with("job", job.jobId()));
-        job.persistence.revision = event.revision();
-        if (event.cancelled() && !job.cancelled) {
+        job.persistence.onRevisionRead(event.revision());
+        if (event.cancelled() && !job.isCancelled()) {
             cancel(job);
         }
-        if (job.persistence.readNeeded && job.persistence.readInFlight) {
+        if (job.persistence.isReading()) {
             job.persistence.onRecordRead();
         } else {
             job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
@@ -116,7 +116,7 @@
     public void onCancellationsConfirmed(List<String> jobIds) {
         for (String jobId : jobIds) {
             Job job = state.jobs().get(jobId);
-            if (job != null && !job.cancelled) {
+            if (job != null && !job.isCancelled()) {
                 cancel(job);
             }
         }
@@ -129,7 +129,7 @@
      */
     public void onRecordNotFound(String jobId) {
         Job job = state.jobs().get(jobId);
-        if (job == null || !job.persistence.readNeeded || !job.persistence.readInFlight) {
+        if (job == null || !job.persistence.isReading()) {
             return;
         }
         state.serviceLevels().observe(job);
@@ -141,7 +141,7 @@
                     LogEntry.info(LogEvent.JOB_ENDED_ELSEWHERE)
                             .with("job", jobId)
                             .with("tasks", job.attempts().size()));
-            job.cancelled = true;
+            job.markCancelled();
             job.persistence.onReplaced();
             state.requestPlacement();
         }
@@ -158,7 +158,7 @@
         for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
             job.remove(attempt);
         }
-        job.finished = true;
+        job.markFinished();
         state.jobs().remove(job.jobId());
         state.serviceLevels().onJobEnded(job);
         state.dependencies().onJobRemoved(job, outcomeKnown);
@@ -209,8 +209,7 @@
 
     private void cancel(Job job) {
         state.serviceLevels().observe(job);
-        job.cancelled = true;
-        job.cancelledSinceMicros = state.cancellationsReadUpToMicros();
+        job.markCancelledSince(state.cancellationsReadUpToMicros());
         state.log(LogEntry.info(LogEvent.JOB_CANCEL_REQUESTED).with("job", job.jobId()));
         state.dependencies().onCancelled(job.jobId());
         stopAll(job);
--- a/src/main/java/org/woadloom/core/jobs/PersistenceState.java
+++ b/src/main/java/org/woadloom/core/jobs/PersistenceState.java
@@ -1,65 +1,78 @@
 package org.woadloom.core.jobs;
 
-/** How a job's durable record stands against what the core knows. */
+/**
+ * How a job's durable record stands against what the scheduler knows.
+ *
+ * <p>Every write has a version, counted per job and term. One write is in flight at a time; the
+ * request that is open, or needed before the next write, is the {@link Exchange}:
+ *
+ * <pre>
+ * IDLE ----- startWrite --------------------------&gt; WRITING
+ * WRITING -- onWriteConfirmed, onWriteRefused -----&gt; IDLE
+ * WRITING -- requireRead (outcome not clear) -----&gt; READ_NEEDED
+ * READ_NEEDED -- startRead -----------------------&gt; READING
+ * READING -- onReadFailed ------------------------&gt; READ_NEEDED
+ * READING -- onRecordRead ------------------------&gt; IDLE
+ * READING -- onReplaced --------------------------&gt; REPLACED, for good
+ * </pre>
+ */
 public final class PersistenceState {
-    /** What a change needs: the more urgent a change, the sooner it is written. */
+    /** Why the record must be written: the more urgent the change, the later in this order. */
     public enum WriteReason {
         NONE,
+        /** Tasks have moved on without an end, such as from pulling to running. */
         PHASE,
+        /** Tasks have ended or are gone. */
         OUTCOME,
+        /** Users or start commands wait for the write. */
         IMMEDIATE
     }
 
-    private final Runnable onWriteNeeded;
+    private enum Exchange {
+        IDLE,
+        WRITING,
+        /** A write has met a conflict or its answer was lost: nothing is known of the record. */
+        READ_NEEDED,
+        READING,
+        /** A final state that is not this leader's has taken the record's place. */
+        REPLACED
+    }
 
-    /** The record's stamp as far as known. */
-    long revision;
+    /** In place of a version. */
+    private static final long NO_VERSION = 0;
 
-    /** Versions up to this one are durable. */
-    long durableVersion;
+    private final Runnable onWriteNeeded;
+    private Exchange exchange = Exchange.IDLE;
+    private long revision;
+    private long durableVersion;
 
-    /** The first version in which all tasks are done, 0 while there is none. */
-    private long completionVersion;
+    /** The first version in which all tasks are completed. */
+    private long completionVersion = NO_VERSION;
 
-    /** The version that is being written, 0 for none. */
-    long versionInFlight;
+    /** The version of the last write until its outcome is clear. */
+    private long versionInFlight = NO_VERSION;
 
     private long nextVersion = 1;
-    WriteReason pendingReason = WriteReason.NONE;
+    private WriteReason pendingReason = WriteReason.NONE;
     private boolean readAsComplete;
+    private boolean finalStateInFlight;
 
-    /**
-     * The answer to a write was lost or it met a conflict: the record must be read before the next
-     * write.
-     */
-    boolean readNeeded;
-
-    boolean readInFlight;
-    long lastWriteMicros = Long.MIN_VALUE / 2;
-    long retryAtMicros;
+    /** Half of the range, so that differences to it do not overflow. */
+    private long lastWriteMicros = Long.MIN_VALUE / 2;
 
-    /**
-     * There is none any more, and the final state that took its place is not this leader's: nothing
-     * is written.
-     */
-    private boolean isReplaced;
-
-    /** The final state is being written or is written. */
-    boolean finalStateInFlight;
+    private long retryAtMicros;
 
     /**
-     * @param needed hears when the record needs anything
+     * @param onWriteNeeded called when there is a more urgent reason to write than before
      */
     PersistenceState(long revision, Runnable onWriteNeeded) {
         this.revision = revision;
         this.onWriteNeeded = onWriteNeeded;
     }
 
-    /** The version that the next write will have; a change made now is durable with it. */
-    public long nextVersion() {
-        return nextVersion;
-    }
+    // What is to be done.
 
+    /** Asks for a write; one that is already asked for keeps the more urgent reason. */
     public void requestWrite(WriteReason reason) {
         if (reason.compareTo(pendingReason) > 0) {
             pendingReason = reason;
@@ -67,71 +80,54 @@
         }
     }
 
-    public long beginWrite(long nowMicros, boolean allDone) {
-        versionInFlight = nextVersion++;
-        if (allDone && completionVersion == 0) {
-            completionVersion = versionInFlight;
-        }
-        pendingReason = WriteReason.NONE;
-        lastWriteMicros = nowMicros;
-        return versionInFlight;
+    WriteReason pendingReason() {
+        return pendingReason;
     }
 
-    /**
-     * The write was not executed; what it held is still to be written, not before the given time.
-     */
-    void onWriteRefused(long retryAtMicros) {
-        versionInFlight = 0;
-        finalStateInFlight = false;
-        requestWrite(WriteReason.IMMEDIATE);
-        this.retryAtMicros = retryAtMicros;
+    /** True while there is anything to write or to read. */
+    boolean needsExchange() {
+        return pendingReason != WriteReason.NONE || isReadNeeded();
     }
 
     /**
-     * The record was read after a write without a clear outcome: everything is written again on its
-     * stamp.
+     * True while no write may leave before the record was read, whether that read is open or not.
      */
-    void onRecordRead() {
-        readNeeded = false;
-        readInFlight = false;
-        versionInFlight = 0;
-        finalStateInFlight = false;
-        requestWrite(WriteReason.IMMEDIATE);
+    boolean isReadNeeded() {
+        return exchange == Exchange.READ_NEEDED || exchange == Exchange.READING;
     }
 
-    /** Another's final state has taken the record's place. */
-    void onReplaced() {
-        isReplaced = true;
-        readNeeded = false;
-        pendingReason = WriteReason.NONE;
+    /** True while a read that is needed is open. */
+    boolean isReading() {
+        return exchange == Exchange.READING;
     }
 
-    boolean isReplaced() {
-        return isReplaced;
+    /** True if a write may leave now. */
+    boolean isIdle() {
+        return exchange == Exchange.IDLE;
     }
 
-    /** The record as it was read says that all is done. */
-    void onReadAsComplete() {
-        readAsComplete = true;
+    /**
+     * True once another's final state has taken the record's place: nothing is written any more.
+     */
+    boolean isReplaced() {
+        return exchange == Exchange.REPLACED;
     }
 
-    /** True once the store says that all tasks are done. */
-    boolean isCompletionDurable() {
-        return readAsComplete || completionVersion > 0 && durableVersion >= completionVersion;
+    /** No request leaves before this time. */
+    long retryAtMicros() {
+        return retryAtMicros;
     }
 
-    public void onWriteConfirmed(long version, long newRevision) {
-        durableVersion = Math.max(durableVersion, version);
-        revision = Math.max(revision, newRevision);
-        if (versionInFlight == version) {
-            versionInFlight = 0;
-            readNeeded = false;
-        }
+    /** When the last write left, long ago if there was none. */
+    long lastWriteMicros() {
+        return lastWriteMicros;
     }
 
-    /** The record's stamp as far as known. */
-    public long revision() {
-        return revision;
+    // Versions and revisions.
+
+    /** The version that the next write will have; a change made now is durable with it. */
+    public long nextVersion() {
+        return nextVersion;
     }
 
     /** Versions up to this one are durable. */
@@ -139,37 +135,126 @@
         return durableVersion;
     }
 
-    /** The version that is being written, 0 for none. */
-    public long versionInFlight() {
+    /** The record names this version of the current term, whatever became of the write's answer. */
+    void onVersionRead(long version) {
+        durableVersion = version;
+    }
+
+    /** The record's revision as far as known: the condition of the next write. */
+    long revision() {
+        return revision;
+    }
+
+    void onRevisionRead(long readRevision) {
+        revision = readRevision;
+    }
+
+    /** True once the store says that all tasks are completed. */
+    boolean isCompletionDurable() {
+        return readAsComplete
+                || completionVersion != NO_VERSION && durableVersion >= completionVersion;
+    }
+
+    /** The record as it was read says that all tasks are completed. */
+    void onReadAsComplete() {
+        readAsComplete = true;
+    }
+
+    // Writes.
+
+    /**
+     * A write leaves.
+     *
+     * @param allCompleted whether it says that all tasks are completed
+     * @return its version
+     */
+    long startWrite(long nowMicros, boolean allCompleted) {
+        exchange = Exchange.WRITING;
+        versionInFlight = nextVersion++;
+        if (allCompleted && completionVersion == NO_VERSION) {
+            completionVersion = versionInFlight;
+        }
+        pendingReason = WriteReason.NONE;
+        lastWriteMicros = nowMicros;
         return versionInFlight;
     }
 
-    public WriteReason pendingReason() {
-        return pendingReason;
+    /** The same for the job's final state. */
+    long startFinalWrite(long nowMicros, boolean allCompleted) {
+        finalStateInFlight = true;
+        return startWrite(nowMicros, allCompleted);
+    }
+
+    /** True for the version of the last write as long as its outcome is not clear. */
+    boolean isInFlight(long version) {
+        return versionInFlight == version;
+    }
+
+    /** The same where that write is of the final state. */
+    boolean isFinalStateInFlight(long version) {
+        return finalStateInFlight && versionInFlight == version;
+    }
+
+    void onWriteConfirmed(long version, long newRevision) {
+        durableVersion = Math.max(durableVersion, version);
+        revision = Math.max(revision, newRevision);
+        if (versionInFlight == version) {
+            versionInFlight = NO_VERSION;
+            becomeIdle();
+        }
     }
 
     /**
-     * The answer to a write was lost or it met a conflict: the record must be read before the next
-     * write.
+     * The write was not executed; what it held is still to be written, not before the given time.
      */
-    public boolean isReadNeeded() {
-        return readNeeded;
+    void onWriteRefused(long retryAtMicros) {
+        versionInFlight = NO_VERSION;
+        finalStateInFlight = false;
+        if (exchange == Exchange.WRITING) {
+            exchange = Exchange.IDLE;
+        }
+        requestWrite(WriteReason.IMMEDIATE);
+        this.retryAtMicros = retryAtMicros;
     }
 
-    public boolean isReadInFlight() {
-        return readInFlight;
+    // Reads.
+
+    /** Nothing may be concluded from the last write: the record is read before the next one. */
+    void requireRead() {
+        if (!isReplaced()) {
+            exchange = Exchange.READ_NEEDED;
+        }
     }
 
-    public long lastWriteMicros() {
-        return lastWriteMicros;
+    /** A read leaves; if it gets no answer another may leave at the given time. */
+    void startRead(long retryAtMicros) {
+        exchange = Exchange.READING;
+        this.retryAtMicros = retryAtMicros;
     }
 
-    public long retryAtMicros() {
-        return retryAtMicros;
+    /** The read got no answer; another may leave at the given time. */
+    void onReadFailed(long retryAtMicros) {
+        exchange = Exchange.READ_NEEDED;
+        this.retryAtMicros = retryAtMicros;
     }
 
-    /** The final state is being written or is written. */
-    public boolean isFinalStateInFlight() {
-        return finalStateInFlight;
+    /** The record was read: everything is written again, on the revision that was read. */
+    void onRecordRead() {
+        versionInFlight = NO_VERSION;
+        finalStateInFlight = false;
+        becomeIdle();
+        requestWrite(WriteReason.IMMEDIATE);
+    }
+
+    /** The read found no record: a final state that is not this leader's has taken its place. */
+    void onReplaced() {
+        exchange = Exchange.REPLACED;
+        pendingReason = WriteReason.NONE;
+    }
+
+    private void becomeIdle() {
+        if (!isReplaced()) {
+            exchange = Exchange.IDLE;
+        }
     }
 }
--- a/src/main/java/org/woadloom/core/jobs/TaskAttempt.java
+++ b/src/main/java/org/woadloom/core/jobs/TaskAttempt.java
@@ -5,53 +5,79 @@
 import org.woadloom.protocol.TaskStatus;
 
 /**
- * A task that is, or may be, on a machine under one attempt. It counts for everything from the
- * moment it is decided until there is proof that the attempt is not there and never will be.
+ * One attempt to run a task on a machine. It counts against machine and quota from the moment it is
+ * planned until there is proof that it is not on the machine and never will be.
+ *
+ * <p>Its {@link Stage} changes only in the methods of this class:
+ *
+ * <table>
+ * <caption>Transitions</caption>
+ * <tr><th>method</th><th>from</th><th>to</th><th>when</th></tr>
+ * <tr><td>constructor</td><td></td><td>PLANNED</td><td>the task is placed</td></tr>
+ * <tr><td>{@link #onRecovered}</td><td>PLANNED</td><td>RECOVERED</td>
+ *     <td>a new leader loads it from a record</td></tr>
+ * <tr><td>{@link #markReady}</td><td>PLANNED</td><td>READY</td>
+ *     <td>the record that names it is durable</td></tr>
+ * <tr><td>{@link #onStartSent}</td><td>READY</td><td>SENT</td>
+ *     <td>a direct command leaves</td></tr>
+ * <tr><td>{@link #onStartSentInAnswer}</td><td>READY</td><td>SENT_IN_ANSWER</td>
+ *     <td>a heartbeat is answered</td></tr>
+ * <tr><td>{@link #markReady}</td><td>SENT, SENT_IN_ANSWER</td><td>READY</td>
+ *     <td>the command is proven not to have been executed</td></tr>
+ * <tr><td>{@link #onStartUnanswered}</td><td>SENT</td><td>UNANSWERED</td>
+ *     <td>no answer came to the direct command</td></tr>
+ * <tr><td>{@link #onConfirmed}</td><td>any but PLANNED</td><td>CONFIRMED</td>
+ *     <td>the agent answers or lists it</td></tr>
+ * </table>
+ *
+ * <p>That a task is to stop is independent of the stage.
  */
 public final class TaskAttempt {
-    /** How far the launch has come. */
+    /** How far the start has come. */
     public enum Stage {
         /** Decided; the record that names it is not yet known to be durable. */
         PLANNED,
         /** Durable and not sent. */
         READY,
-        /** Sent straight to the worker, with no answer yet. */
+        /** Sent directly to the agent, with no answer yet. */
         SENT,
-        /** Sent straight to the worker, and no answer came: it may be executed minutes late. */
+        /** Sent directly to the agent without an answer: it may be executed minutes late. */
         UNANSWERED,
-        /** Sent in the answer to a report; that worker's next report settles it. */
+        /** Sent in the answer to a heartbeat; that agent's next heartbeat settles it. */
         SENT_IN_ANSWER,
-        /** The worker is known to have it. */
+        /** The agent is known to have it. */
         CONFIRMED,
         /** Loaded from a record that an earlier leader wrote: anything may be true of it. */
         RECOVERED
     }
 
+    /** In place of a time: it has not happened. */
+    private static final long NOT_YET_MICROS = -1;
+
     public final Job job;
+
+    /** The task's index in its job. */
     public final int index;
+
     public final Machine machine;
+
+    /** The attempt's number, which no other attempt of the task has. */
     public final long attempt;
 
-    /** The version of the job's record that first names this placement. */
+    /** The version of the job's record that first names this attempt. */
     public final long version;
 
     public final long placedMicros;
-    Stage stage = Stage.PLANNED;
-
-    /** The token under which the last launch was sent. */
-    long startToken;
-
-    long answeredSequence;
-    TaskStatus.State reportedState;
-
-    /** The last message that listed it. */
-    long listedInMessage;
-
-    long runningSinceMicros = -1;
     private final TaskId task;
+    private Stage stage = Stage.PLANNED;
+    private long startToken;
+    private long answeredSequence;
+    private TaskStatus.State reportedState;
+    private long listedInMessage;
+    private long runningSinceMicros = NOT_YET_MICROS;
     private boolean isStopping;
-    long stopSentMicros = -1;
-    double gracePeriodSeconds;
+    private long stopSentMicros = NOT_YET_MICROS;
+    private double gracePeriodSeconds;
 
     public TaskAttempt(
             Job job, int index, Machine machine, long attempt, long version, long nowMicros) {
@@ -68,63 +94,13 @@
         return task;
     }
 
-    /** True for a task that is to stop; its launch is never sent again. */
-    public boolean isStopping() {
-        return isStopping;
-    }
-
-    /** The task is to stop, with this much time to save. */
-    public void stop(double gracePeriod) {
-        gracePeriodSeconds = gracePeriod;
-        if (!isStopping) {
-            isStopping = true;
-            machine.onStopping(this);
-        }
-    }
-
-    /** The launch may be sent, or sent again. */
-    public void markReady() {
-        stage = Stage.READY;
-        machine.markPendingCommands();
-    }
-
-    /** True while no launch of this attempt can ever have left. */
-    public boolean wasNeverSent() {
-        return stage == Stage.PLANNED || stage == Stage.READY;
-    }
-
     public Stage stage() {
         return stage;
     }
 
-    /** The token under which the last launch was sent. */
-    public long startToken() {
-        return startToken;
-    }
-
-    public long answeredSequence() {
-        return answeredSequence;
-    }
-
-    public TaskStatus.State reportedState() {
-        return reportedState;
-    }
-
-    /** The last message that listed it. */
-    public long listedInMessage() {
-        return listedInMessage;
-    }
-
-    public long runningSinceMicros() {
-        return runningSinceMicros;
-    }
-
-    public long stopSentMicros() {
-        return stopSentMicros;
-    }
-
-    public double gracePeriodSeconds() {
-        return gracePeriodSeconds;
+    /** True while no start command of this attempt can ever have left. */
+    public boolean wasNeverSent() {
+        return stage == Stage.PLANNED || stage == Stage.READY;
     }
 
     /** The attempt was read from a record that an earlier leader wrote. */
@@ -132,6 +108,12 @@
         stage = Stage.RECOVERED;
     }
 
+    /** The start command may be sent, or sent again. */
+    public void markReady() {
+        stage = Stage.READY;
+        machine.markPendingCommands();
+    }
+
     /** The start command leaves, directly, under the given token. */
     public void onStartSent(long token) {
         stage = Stage.SENT;
@@ -155,28 +137,72 @@
         stage = Stage.CONFIRMED;
     }
 
-    /** The message of this number lists it. */
+    /** The fencing token under which the last start command was sent. */
+    public long startToken() {
+        return startToken;
+    }
+
+    /** The sequence of the heartbeat in whose answer the start command was last sent. */
+    public long answeredSequence() {
+        return answeredSequence;
+    }
+
+    /** The state that the agent last reported, null before the first. */
+    public TaskStatus.State reportedState() {
+        return reportedState;
+    }
+
+    public void onReported(TaskStatus.State state) {
+        reportedState = state;
+    }
+
+    /** The number of the last message of the agent that listed it. */
+    public long listedInMessage() {
+        return listedInMessage;
+    }
+
     public void onListed(long messageNumber) {
         listedInMessage = messageNumber;
     }
 
-    /** It was first seen running at the given time. */
+    /** When it was first seen running, negative before that. */
+    public long runningSinceMicros() {
+        return runningSinceMicros;
+    }
+
     public void onRunning(long nowMicros) {
         runningSinceMicros = nowMicros;
     }
 
-    /** The agent reports it in this state. */
-    public void onReported(TaskStatus.State state) {
-        reportedState = state;
+    /** True for a task that is to stop; its start command is never sent again. */
+    public boolean isStopping() {
+        return isStopping;
+    }
+
+    /** The task is to stop within the given time, in which it may save a checkpoint. */
+    public void stop(double gracePeriod) {
+        gracePeriodSeconds = gracePeriod;
+        if (!isStopping) {
+            isStopping = true;
+            machine.onStopping(this);
+        }
+    }
+
+    public double gracePeriodSeconds() {
+        return gracePeriodSeconds;
+    }
+
+    /** When the stop command was last sent, negative while it has to be sent. */
+    public long stopSentMicros() {
+        return stopSentMicros;
     }
 
-    /** The stop command leaves. */
     public void onStopSent(long nowMicros) {
         stopSentMicros = nowMicros;
     }
 
     /** A stop command that was sent may not have arrived: it has to be sent again. */
     public void requireStopAgain() {
-        stopSentMicros = -1;
+        stopSentMicros = NOT_YET_MICROS;
     }
 }
--- a/src/main/java/org/woadloom/core/placement/RecordSizeEstimate.java
+++ b/src/main/java/org/woadloom/core/placement/RecordSizeEstimate.java
@@ -102,8 +102,8 @@
 
         Compact(Job job, int limit) {
             this(limit, job.descriptionSize());
-            front = job.completedTasks.nextClearBit(0);
-            end = job.completedTasks.length();
+            front = job.completedTasks().nextClearBit(0);
+            end = job.completedTasks().length();
             Set<Long> distinct = new HashSet<>();
             for (TaskAttempt attempt : job.attempts()) {
                 front = Math.min(front, attempt.index);
@@ -150,9 +150,9 @@
         Plain(Job job, int limit) {
             super(limit);
             int doneRanges = 0;
-            for (int i = job.completedTasks.nextSetBit(0);
+            for (int i = job.completedTasks().nextSetBit(0);
                     i >= 0;
-                    i = job.completedTasks.nextSetBit(job.completedTasks.nextClearBit(i))) {
+                    i = job.completedTasks().nextSetBit(job.completedTasks().nextClearBit(i))) {
                 doneRanges++;
             }
             size =
--- a/src/test/java/org/woadloom/core/jobs/FailoverTest.java
+++ b/src/test/java/org/woadloom/core/jobs/FailoverTest.java
@@ -239,11 +239,11 @@
         Machine machine = fixture.machine("host-1", "a");
         Job job = fixture.job("j-1", 8, 1, 2);
         TaskAttempt running = fixture.place(reservations, job, 0, machine);
-        running.stage = TaskAttempt.Stage.CONFIRMED;
+        running.onConfirmed();
         fixture.place(reservations, job, 1, machine);
         Job next = fixture.job("j-2", 8, 1, 2);
-        job.persistence.readNeeded = true;
-        job.persistence.readInFlight = true;
+        job.persistence.requireRead();
+        job.persistence.startRead(fixture.state.nowMicros());
         table.onRecordNotFound("j-1");
         assertEquals(1, next.allowedTasks(), "what was never sent is gone, the other is there");
         assertTrue(running.isStopping());
--- a/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
+++ b/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
@@ -161,7 +161,7 @@
         assertTrue(largest <= valueBytes, "a record of " + largest + " bytes");
         assertTrue(most > 150, "only " + most + " at once");
         assertTrue(
-                job.completedTasks.cardinality() > 10_000,
-                job.completedTasks.cardinality() + " done");
+                job.completedTasks().cardinality() > 10_000,
+                job.completedTasks().cardinality() + " done");
     }
 }
