--- a/src/main/java/org/woadloom/core/placement/Resources.java
+++ b/src/main/java/org/woadloom/core/placement/Resources.java
@@ -3,8 +3,17 @@
 import org.woadloom.protocol.JobDescription;
 import org.woadloom.protocol.MachineType;
 
-/** An amount of a machine, in whole thousandths so that sums do not drift. */
+/**
+ * An amount of processors, GPUs and memory in GB, each in whole thousandths so that sums do not
+ * drift. Amounts may be negative where more is promised than there is.
+ */
 public record Resources(long cpu, long gpu, long memory) {
+    /** How many units make a processor, a GPU or a GB. */
+    public static final long UNITS = 1000;
+
+    /** What settings may be off by as binary fractions, in units. */
+    private static final double ROUNDING_ERROR = 1e-6;
+
     public static final Resources NONE = new Resources(0, 0, 0);
 
     /** What one task takes, rounded up. */
@@ -15,13 +24,16 @@
     /** What a machine has, rounded down. */
     public static Resources of(MachineType type) {
         return new Resources(
-                (long) (type.cpus() * 1000 + 1e-6),
-                (long) (type.gpus() * 1000 + 1e-6),
-                (long) (type.memoryGb() * 1000 + 1e-6));
+                roundDown(type.cpus()), roundDown(type.gpus()), roundDown(type.memoryGb()));
     }
 
     private static long roundUp(double amount) {
-        return (long) Math.ceil(amount * 1000 - 1e-6);
+        return (long) Math.ceil(amount * UNITS - ROUNDING_ERROR);
+    }
+
+    /** An amount in units, rounded down. */
+    public static long roundDown(double amount) {
+        return (long) (amount * UNITS + ROUNDING_ERROR);
     }
 
     public Resources plus(Resources other) {
@@ -36,6 +48,7 @@
         return new Resources(cpu * factor, gpu * factor, memory * factor);
     }
 
+    /** True if there is at least as much of each as in the other. */
     public boolean contains(Resources other) {
         return other.cpu <= cpu && other.gpu <= gpu && other.memory <= memory;
     }
--- a/src/main/java/org/woadloom/core/quota/GuaranteedQuota.java
+++ b/src/main/java/org/woadloom/core/quota/GuaranteedQuota.java
@@ -16,8 +16,7 @@
  */
 public final class GuaranteedQuota {
     private static final Comparator<Job> BY_AGE =
-            Comparator.comparingLong((Job job) -> job.queuedSinceMicros())
-                    .thenComparing(Job::jobId);
+            Comparator.comparingLong(Job::queuedSinceMicros).thenComparing(Job::jobId);
 
     private static final long UPDATE_INTERVAL_MICROS = 200_000;
 
@@ -30,8 +29,8 @@
     }
 
     /**
-     * Jobs that come are judged at once, and room in a guarantee that comes free is given away a
-     * little later.
+     * Marks the jobs that are within a guarantee. New jobs are judged at once; what comes free of a
+     * guarantee is given away a little later.
      */
     public void update() {
         if (state.jobArrivals() == jobArrivalsSeen && state.nowMicros() < nextUpdateMicros) {
@@ -39,6 +38,19 @@
         }
         jobArrivalsSeen = state.jobArrivals();
         nextUpdateMicros = state.nowMicros() + UPDATE_INTERVAL_MICROS;
+        Map<TeamQuota, Resources> askedByTeam = new HashMap<>();
+        for (Job job : openJobsByAge()) {
+            int openTasks = job.description.taskCount() - job.completedCount();
+            Resources asked =
+                    askedByTeam
+                            .getOrDefault(job.team, Resources.NONE)
+                            .plus(job.taskResources.times(openTasks));
+            askedByTeam.put(job.team, asked);
+            job.setWithinGuarantee(job.team.fitsGuarantee(asked));
+        }
+    }
+
+    private List<Job> openJobsByAge() {
         List<Job> jobs = new ArrayList<>(state.jobs().size());
         for (Job job : state.jobs().values()) {
             if (!job.isOver() && !job.isBlocked()) {
@@ -46,15 +58,6 @@
             }
         }
         jobs.sort(BY_AGE);
-        Map<TeamQuota, Resources> sums = new HashMap<>();
-        for (Job job : jobs) {
-            Resources sum =
-                    sums.getOrDefault(job.team, Resources.NONE)
-                            .plus(
-                                    job.taskResources.times(
-                                            job.description.taskCount() - job.completedCount()));
-            sums.put(job.team, sum);
-            job.setWithinGuarantee(job.team.fitsGuarantee(sum));
-        }
+        return jobs;
     }
 }
--- a/src/main/java/org/woadloom/core/quota/TeamQuota.java
+++ b/src/main/java/org/woadloom/core/quota/TeamQuota.java
@@ -5,9 +5,16 @@
 import org.woadloom.core.placement.Resources;
 import org.woadloom.settings.Team;
 
-/** What a team's tasks may be using, reserved room included, against its guarantee and limit. */
+/**
+ * What a team's tasks may be using, reserved resources included, against its guarantee and limit.
+ * Neither bounds memory.
+ */
 public final class TeamQuota {
     public final Team team;
+
+    /** More memory than there is, and far enough from the greatest value for sums. */
+    private static final long UNBOUNDED_MEMORY = Long.MAX_VALUE / 4;
+
     private final Resources guarantee;
     private final Resources limit;
     private Resources used = Resources.NONE;
@@ -16,8 +23,8 @@
     private Map<String, Resources> keptForClasses = Map.of();
 
     /**
-     * The job for which the limit is gathered, and what of it is left to that job alone; see {@link
-     * LimitTurns}.
+     * The job whose turn it is, and what of the limit is left to that job alone; see {@link
+     * QuotaRotation}.
      */
     private Job turnHolder;
 
@@ -25,30 +32,33 @@
 
     public TeamQuota(Team team) {
         this.team = team;
-        this.guarantee = room(team.cpus(), team.gpus());
-        this.limit = room(team.cpusMax(), team.gpusMax());
+        this.guarantee = bounds(team.cpus(), team.gpus());
+        this.limit = bounds(team.cpusMax(), team.gpusMax());
     }
 
-    private static Resources room(double cpus, double gpus) {
+    private static Resources bounds(double cpus, double gpus) {
         return new Resources(
-                (long) (cpus * 1000 + 1e-6), (long) (gpus * 1000 + 1e-6), Long.MAX_VALUE / 4);
+                Resources.roundDown(cpus), Resources.roundDown(gpus), UNBOUNDED_MEMORY);
     }
 
-    public void add(Resources room) {
-        used = used.plus(room);
+    /** An attempt or a reservation of the team has come. */
+    public void add(Resources amount) {
+        used = used.plus(amount);
     }
 
-    public void subtract(Resources room) {
-        used = used.minus(room);
+    /** An attempt or a reservation of the team has ended. */
+    public void subtract(Resources amount) {
+        used = used.minus(amount);
     }
 
     void setKeptForClasses(Map<String, Resources> resourcesByClass) {
         keptForClasses = resourcesByClass;
     }
 
-    void setTurn(Job job, Resources room) {
+    /** Whose turn it is, null for nobody's, and what the team's other jobs leave to it. */
+    void setTurn(Job job, Resources kept) {
         turnHolder = job;
-        keptForTurn = room;
+        keptForTurn = kept;
     }
 
     /** How many more tasks of this size the team's limit allows to a job. */
@@ -56,7 +66,7 @@
         return allowedTasks(task, job, Resources.NONE);
     }
 
-    /** The same, where the first tasks give back what was held for them. */
+    /** The same, where the first tasks give back what was reserved for them. */
     public int allowedTasks(Resources task, Job job, Resources credit) {
         Resources left = limit.minus(used).plus(credit);
         if (turnHolder == job) {
@@ -70,24 +80,28 @@
         return left.withoutNegatives().count(task);
     }
 
+    /** True if so much in all is within the limit. */
     boolean fitsLimit(Resources all) {
         return limit.contains(all);
     }
 
+    /** A part of the limit; memory, which has none, as it is. */
     Resources partOfLimit(double part) {
         return new Resources(
                 (long) (limit.cpu() * part), (long) (limit.gpu() * part), limit.memory());
     }
 
-    /** True if so much is within the guarantee. */
+    /** True if so much in all is within the guarantee. */
     public boolean fitsGuarantee(Resources all) {
         return guarantee.contains(all);
     }
 
+    /** True if so much more than what is used is within the guarantee. */
     public boolean staysWithinGuarantee(Resources more) {
         return guarantee.contains(used.plus(more));
     }
 
+    /** True if the team borrows: it uses more than its guarantee. */
     public boolean exceedsGuarantee() {
         return !guarantee.contains(used);
     }
