--- a/src/main/java/org/woadloom/core/jobs/DemandEstimator.java
+++ b/src/main/java/org/woadloom/core/jobs/DemandEstimator.java
@@ -3,22 +3,21 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/**
- * How much room the latest jobs asked for: what comes next is likely no larger than most of them.
- */
+/** How much the latest jobs asked for: what comes next is likely no larger than most of them. */
 public final class DemandEstimator {
     private static final int KEPT_JOBS = 20;
     private static final int KEPT_JOBS_PER_CLASS = 60;
 
+    /** How long no job has come when it counts as quiet. */
     private static final long QUIET_MICROS = 120_000_000;
 
     private final RecentJobSizes batch = new RecentJobSizes(KEPT_JOBS);
     private final Map<String, RecentJobSizes> byClass = new HashMap<>();
-    private long lastMicros = Long.MIN_VALUE / 2;
+    private long lastArrivalMicros = Long.MIN_VALUE / 2;
 
-    /** Notes a job that may start. Replicas are too long-lived to keep room free for. */
+    /** Notes a job that may start. Replicas are too long-lived to keep machines free for. */
     void add(Job job, long nowMicros) {
-        lastMicros = nowMicros;
+        lastArrivalMicros = nowMicros;
         if (!job.description.isService()) {
             batch.add(job);
         }
@@ -35,9 +34,9 @@
         return batch.large();
     }
 
-    /** True if nothing has come for so long that no room need be kept for what may come next. */
+    /** True if nothing has come for so long that no machine need be kept for what may come next. */
     public boolean isQuiet(long nowMicros) {
-        return nowMicros - lastMicros > QUIET_MICROS;
+        return nowMicros - lastArrivalMicros > QUIET_MICROS;
     }
 
     /** True for one of the largest of its class: no more than one in ten was larger lately. */
--- a/src/main/java/org/woadloom/core/jobs/JobRegistry.java
+++ b/src/main/java/org/woadloom/core/jobs/JobRegistry.java
@@ -11,15 +11,18 @@
 import org.woadloom.protocol.JobDescription;
 import org.woadloom.store.JobRecord;
 
-/** Jobs as they are accepted, cancelled and read back. */
+/** The jobs that the scheduler has: accepted, cancelled, read back and removed. */
 public final class JobRegistry {
+    /** Seconds: the task is of no use any more, so it need not save a checkpoint. */
+    private static final double NO_GRACE_PERIOD = 0;
+
     private final SchedulerState state;
 
     public JobRegistry(SchedulerState state) {
         this.state = state;
     }
 
-    /** Takes over a job from its record: what the record names may be there. */
+    /** Takes over a job from an earlier leader's record: the attempts it names may be running. */
     public void load(SchedulerEvent.StoredJob stored) {
         JobRecord record = stored.record();
         Job job = create(record, stored.revision());
@@ -42,7 +45,7 @@
                 attempt.onRecovered();
                 job.add(attempt);
                 if (job.isOver() || job.isCompleted(i)) {
-                    attempt.stop(0);
+                    attempt.stop(NO_GRACE_PERIOD);
                 }
             }
         }
@@ -110,8 +113,8 @@
     }
 
     /**
-     * Users may hear that these are cancelled; the records, on whose stamps all else depends, are
-     * read when they can be.
+     * Users may be told that these are cancelled. Their records, on whose revisions all writes
+     * depend, are read when they can be.
      */
     public void onCancellationsConfirmed(List<String> jobIds) {
         for (String jobId : jobIds) {
@@ -123,9 +126,9 @@
     }
 
     /**
-     * The record is gone: by a final write of ours without an answer, most likely, or it was
-     * damaged and a cancellation's final state took its place. What waits for the job must not
-     * start on a guess, and what may be on machines counts until it is not.
+     * The record no longer exists: most likely by a final write of this leader without an answer,
+     * or it was damaged and a cancellation's final state took its place. What depends on the job
+     * must not start on a guess, and attempts count until they are proven gone.
      */
     public void onRecordNotFound(String jobId) {
         Job job = state.jobs().get(jobId);
@@ -148,11 +151,11 @@
     }
 
     /**
-     * The job's final state is in the store. A late hint can bring back a job that is over; what
-     * was planned for it then was never launched, as its record can't be written, and must not go
-     * on counting.
+     * The job's final state is in the store. A late notification can bring back a job that is over;
+     * what was planned for it then was never started, as its record can't be written, and must not
+     * go on counting.
      *
-     * @param known false if only the store knows whether it was done or cancelled
+     * @param outcomeKnown false if only the store knows whether it was done or cancelled
      */
     public void onFinished(Job job, boolean outcomeKnown) {
         for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
@@ -200,7 +203,7 @@
         return job;
     }
 
-    /** To be called when a write was acknowledged: what waits for a job that is done may go on. */
+    /** A write was acknowledged: what depends on a job that is done may be unblocked. */
     void onWriteAcknowledged(Job job) {
         if (job.persistence.isCompletionDurable()) {
             state.dependencies().onDone(job.jobId(), state.wallMicros());
@@ -219,13 +222,13 @@
         state.requestPlacement();
     }
 
-    /** Stops everything of a job that is over. What was never sent is gone at once. */
+    /** Stops all attempts of a job that is over; what was never sent is removed at once. */
     public void stopAll(Job job) {
         for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
             if (attempt.wasNeverSent()) {
                 job.remove(attempt);
             } else {
-                attempt.stop(0);
+                attempt.stop(NO_GRACE_PERIOD);
             }
         }
     }
--- a/src/main/java/org/woadloom/core/jobs/RecentJobSizes.java
+++ b/src/main/java/org/woadloom/core/jobs/RecentJobSizes.java
@@ -4,9 +4,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** How much processor time the latest jobs asked for at once, each by itself. */
+/** How many processors the latest jobs asked for in all their tasks together, job by job. */
 final class RecentJobSizes {
-    private static final double LARGE = 0.9;
+    /** The quantile from which on a job is large. */
+    private static final double LARGE_QUANTILE = 0.9;
 
     private final int kept;
     private final ArrayDeque<Long> cpus = new ArrayDeque<>();
@@ -27,7 +28,7 @@
         }
         List<Long> sorted = new ArrayList<>(cpus);
         sorted.sort(null);
-        large = sorted.get((int) Math.ceil(sorted.size() * LARGE) - 1);
+        large = sorted.get((int) Math.ceil(sorted.size() * LARGE_QUANTILE) - 1);
     }
 
     /** What nine in ten of them did not exceed; 0 as long as there was none. */
--- a/src/main/java/org/woadloom/core/placement/CandidateMachines.java
+++ b/src/main/java/org/woadloom/core/placement/CandidateMachines.java
@@ -9,19 +9,47 @@
 import org.woadloom.core.jobs.TaskAttempt;
 import org.woadloom.core.machines.Machine;
 import org.woadloom.core.reservation.Reservations;
+import org.woadloom.protocol.JobDescription;
 
 /**
- * The machines for one job's tasks, best first. All are looked at once; after that only what comes
- * to the top is looked at again. That is as good as looking at all each time, since placing a task
- * makes no machine but its own better.
+ * The machines for one job's tasks, best first.
+ *
+ * <p>All are scored once; after that only what comes to the top of the queue is scored again. That
+ * is as good as scoring all each time, since placing a task makes no machine but its own better.
+ *
+ * <p>A score is a sum of the weights below; what decides first has the larger weight.
  */
 final class CandidateMachines {
+    /** More than all else together: a job's reservation is drawn before any other machine. */
+    private static final double RESERVED_WEIGHT = 100_000;
+
+    /** For each task of a job that must stay in one zone which fits into the machine's zone. */
+    private static final double ZONE_FIT_WEIGHT = 1000;
+
+    /** Against a machine for each replica of the service there: they are lost together. */
+    private static final double REPLICA_WEIGHT = 1000;
+
+    /** Against ordinary machines of a scarce zone, for work that could go elsewhere. */
+    private static final double SCARCE_ZONE_WEIGHT = 300;
+
+    /** The same for replicas that must spread: only the odd one is to go to another zone. */
+    private static final double SCARCE_ZONE_SPREAD_WEIGHT = 15;
+
+    /** For an image that is there: to pull one may make a start miss its objective. */
+    private static final double IMAGE_WEIGHT = 100;
+
     /**
-     * What the price counts at most, against 100 for an image that is there: to fetch one may take
-     * a start its aim.
+     * For the cheapest machine, less than the image: expensive machines become idle first, and
+     * ordinary ones keep resources for work that may not use spot machines.
      */
     private static final double PRICE_WEIGHT = 50;
 
+    /** For a full machine, in proportion to its use: idle machines can be scaled in. */
+    private static final double UTILIZATION_WEIGHT = 20;
+
+    /** Against a zone for each task there of a job that spreads. */
+    private static final double SPREAD_WEIGHT = 10;
+
     private final Job job;
     private final Set<String> scarceZones;
     private final PlacementConstraints constraints;
@@ -67,19 +95,27 @@
                 replicas.merge(attempt.machine, 1, Integer::sum);
             }
         }
-        if (startsTogether()) {
-            for (Machine machine : openMachines) {
-                if (constraints.allows(job, machine)) {
-                    fitsByZone.merge(
-                            machine.zone,
-                            reservations.unreserved(machine, job).count(job.taskResources),
-                            Integer::sum);
-                }
-            }
+        if (isFirstOfZone()) {
+            countFitsByZone(openMachines);
         }
         for (Machine machine : openMachines) {
             highestPrice = Math.max(highestPrice, machine.pricePerCpu());
         }
+        enqueueFitting(openMachines);
+    }
+
+    private void countFitsByZone(List<Machine> openMachines) {
+        for (Machine machine : openMachines) {
+            if (constraints.allows(job, machine)) {
+                fitsByZone.merge(
+                        machine.zone,
+                        reservations.unreserved(machine, job).count(job.taskResources),
+                        Integer::sum);
+            }
+        }
+    }
+
+    private void enqueueFitting(List<Machine> openMachines) {
         int order = 0;
         for (Machine machine : openMachines) {
             order++;
@@ -91,7 +127,7 @@
         }
     }
 
-    /** The best machine that has room for one more task, or null. */
+    /** The best machine that one more task fits into, or null. */
     Machine next() {
         while (!queue.isEmpty()) {
             Candidate first = queue.poll();
@@ -110,7 +146,7 @@
         return null;
     }
 
-    /** The machine that came last has got a task, and may take another. */
+    /** The machine that {@link #next} returned last has got a task, and may take another. */
     void onPlaced() {
         if (job.description.isService()) {
             replicas.merge(taken.machine, 1, Integer::sum);
@@ -121,13 +157,14 @@
         }
     }
 
-    private boolean startsTogether() {
+    /** True while the next task decides the zone of all others. */
+    private boolean isFirstOfZone() {
         return job.description.sameZone() && job.attempts().isEmpty();
     }
 
     private boolean fits(Machine machine) {
-        // No reservation leaves more room than is not in use: most machines are passed over at
-        // that.
+        // The cheapest check first: reservations only take from what is not in use, and most
+        // machines fail already at that.
         return machine.balance().contains(job.taskResources)
                 && reservations.unreserved(machine, job).contains(job.taskResources)
                 && job.allowedTasks(reservations.credit(job, machine)) >= 1
@@ -135,38 +172,35 @@
                 && !job.failedOn.contains(machine.host);
     }
 
+    /** The order of the sums is part of the result, as these are floating-point numbers. */
     private double score(Machine machine) {
+        JobDescription description = job.description;
         double score = 0;
         if (reservations.match(job, machine) != null) {
-            // The reservation is drawn before the machine.
-            score += 100_000;
+            score += RESERVED_WEIGHT;
         }
-        if (machine.images.contains(job.description.image())) {
-            score += 100;
+        if (machine.images.contains(description.image())) {
+            score += IMAGE_WEIGHT;
         }
-        if (job.description.isService()) {
-            // Replicas on one machine are lost together.
-            score -= 1000.0 * replicas.getOrDefault(machine, 0);
+        if (description.isService()) {
+            score -= REPLICA_WEIGHT * replicas.getOrDefault(machine, 0);
         } else {
-            // Dear machines fall idle first, and ordinary ones have room for work that may not use
-            // spot machines.
             score += PRICE_WEIGHT * (1 - machine.pricePerCpu() / highestPrice);
         }
-        if (startsTogether()) {
-            // The first task fixes the zone, so it goes where most of the others fit.
-            score +=
-                    1000.0 * Math.min(job.pendingTasks(), fitsByZone.getOrDefault(machine.zone, 0));
+        if (isFirstOfZone()) {
+            int zoneFits = fitsByZone.getOrDefault(machine.zone, 0);
+            score += ZONE_FIT_WEIGHT * Math.min(job.pendingTasks(), zoneFits);
         }
-        if (job.description.spreadAcrossZones()) {
-            score -= 10.0 * job.attemptsInZone(machine.zone);
+        if (description.spreadAcrossZones()) {
+            score -= SPREAD_WEIGHT * job.attemptsInZone(machine.zone);
         }
         if (scarceZones.contains(machine.zone) && !machine.spot) {
-            // Replicas that must spread put only the odd one elsewhere; work that has a choice
-            // stays away.
-            score -= job.description.spreadAcrossZones() ? 15 : 300;
+            score -=
+                    description.spreadAcrossZones()
+                            ? SCARCE_ZONE_SPREAD_WEIGHT
+                            : SCARCE_ZONE_WEIGHT;
         }
-        // Fullest first, so that idle machines can be returned.
-        score += 20.0 * machine.used().cpu() / Math.max(1, machine.capacity().cpu());
+        score += UTILIZATION_WEIGHT * machine.used().cpu() / Math.max(1, machine.capacity().cpu());
         return score;
     }
 }
--- a/src/main/java/org/woadloom/core/placement/PlacementConstraints.java
+++ b/src/main/java/org/woadloom/core/placement/PlacementConstraints.java
@@ -26,6 +26,7 @@
                 && (!spot || job.spotAllowed());
     }
 
+    /** The same for a machine, with the zone rules. */
     public boolean allows(Job job, Machine machine) {
         return allows(job.description, machine.type(), machine.zone, machine.spot)
                 && allowsZone(job, machine.zone);
@@ -39,10 +40,15 @@
             return false;
         }
         return !job.description.spreadAcrossZones()
-                || job.attemptsInZone(zone) < (job.description.taskCount() + 1) / 2;
+                || job.attemptsInZone(zone) < maxTasksPerZone(job.description);
     }
 
-    /** True if the machine's worker is in touch and new tasks may go there. */
+    /** How many tasks of a job may be in one zone: half of them, rounded up, if they spread. */
+    public static int maxTasksPerZone(JobDescription job) {
+        return job.spreadAcrossZones() ? (job.taskCount() + 1) / 2 : Integer.MAX_VALUE;
+    }
+
+    /** True if the machine's agent is reachable and new tasks may go there. */
     public boolean acceptsTasks(Machine machine) {
         return machine.type() != null
                 && machine.isRecorded()
@@ -57,8 +63,8 @@
     }
 
     /**
-     * True for a worker whose reports are overdue, though it may still answer commands: its lease
-     * is running out.
+     * True for a machine whose heartbeats are overdue, though its agent may still answer commands:
+     * its lease is running out.
      */
     public boolean isSilent(Machine machine) {
         return state.nowMicros() - machine.liveness.lastHeartbeatMicros()
--- a/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
+++ b/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
@@ -19,12 +19,23 @@
 import org.woadloom.protocol.Priority;
 
 /**
- * Stops tasks to make room: work of a lower rank, and, for work within its team's guarantee,
- * whatever another team runs beyond its own.
+ * Stops tasks in favour of others: work of a lower priority, and, for work within its team's
+ * guarantee, whatever another team runs beyond its own.
  */
 public final class PreemptionPlanner {
-    private static final long MOVE_MICROS = 5_000_000;
-    private static final long MOVE_SEARCH_MICROS = 1_000_000;
+    /** At most one replica is moved to another zone in this time: each move interrupts it. */
+    private static final long MOVE_INTERVAL_MICROS = 5_000_000;
+
+    /** How often a replica to move is searched for: the search is over all machines. */
+    private static final long MOVE_SEARCH_INTERVAL_MICROS = 1_000_000;
+
+    /** Lowest priority first, then borrowers, then what can checkpoint, then what ran least. */
+    private static final Comparator<TaskAttempt> VICTIM_ORDER =
+            Comparator.comparing((TaskAttempt attempt) -> attempt.job.priority())
+                    .thenComparing(attempt -> attempt.job.isWithinGuarantee())
+                    .thenComparing(
+                            attempt -> attempt.job.description.checkpointIntervalSeconds() == 0)
+                    .thenComparingLong(attempt -> -attempt.placedMicros);
 
     private final SchedulerState state;
     private final PlacementConstraints constraints;
@@ -43,7 +54,7 @@
         this.gangPlanner = gangPlanner;
     }
 
-    /** A kind of search that found too little on all machines in this pass. */
+    /** A search that found too little on all machines in this pass, and speaks for others. */
     private record FailedSearch(
             ResourceRequest request, Priority priority, TeamQuota guaranteedTeam) {
         boolean covers(Job job, boolean fromBorrowers) {
@@ -53,6 +64,7 @@
         }
     }
 
+    /** Frees resources for the waiting jobs, in their order. */
     public void preemptFor(List<Job> queue) {
         List<FailedSearch> failedSearches = new ArrayList<>();
         for (Job job : queue) {
@@ -60,7 +72,7 @@
                 preemptOnReservedMachines(job);
                 continue;
             }
-            // Room that is reserved for the job, or being made for it, is on its way.
+            // What is reserved for the job, or being freed for it, is on its way.
             int wanted =
                     Math.min(job.pendingTasks() - reservations.countFor(job), job.allowedTasks());
             if (wanted <= 0) {
@@ -95,7 +107,7 @@
         return false;
     }
 
-    /** Makes room where that can be done; returns for how many tasks there is still none. */
+    /** Frees resources where that can be done; returns for how many tasks there are still none. */
     private int freeResources(Job job, int wanted, boolean fromBorrowers) {
         int missing = wanted;
         for (Machine machine : state.machines().values()) {
@@ -117,14 +129,14 @@
 
     /**
      * Replicas that must spread may find the only zone that is left to them full of replicas that
-     * could as well be elsewhere. One of those moves, at most one in a while, and only to a machine
-     * that has room and its image.
+     * could as well be elsewhere. One of those moves, at most one in a while, and only if a machine
+     * elsewhere has the resources and its image.
      */
     private void moveReplica(Job job) {
         if (state.nowMicros() < nextReplicaMoveMicros) {
             return;
         }
-        nextReplicaMoveMicros = state.nowMicros() + MOVE_SEARCH_MICROS;
+        nextReplicaMoveMicros = state.nowMicros() + MOVE_SEARCH_INTERVAL_MICROS;
         for (Machine machine : state.machines().values()) {
             if (!constraints.acceptsTasks(machine) || !constraints.allows(job, machine)) {
                 continue;
@@ -137,7 +149,7 @@
                         && !attempt.isStopping()
                         && attempt.stage() == TaskAttempt.Stage.CONFIRMED
                         && expected.contains(job.taskResources)
-                        && hasRoomElsewhere(attempt)
+                        && fitsInOtherZone(attempt)
                         && reservations.reserve(job, machine, job.taskResources, true, true)
                                 != null) {
                     state.log(
@@ -145,7 +157,7 @@
                                     .with("task", attempt.task())
                                     .with("zone", machine.zone)
                                     .with("for_job", job.jobId()));
-                    nextReplicaMoveMicros = state.nowMicros() + MOVE_MICROS;
+                    nextReplicaMoveMicros = state.nowMicros() + MOVE_INTERVAL_MICROS;
                     stop(attempt);
                     return;
                 }
@@ -153,7 +165,7 @@
         }
     }
 
-    private boolean hasRoomElsewhere(TaskAttempt attempt) {
+    private boolean fitsInOtherZone(TaskAttempt attempt) {
         Job job = attempt.job;
         for (Machine machine : state.machines().values()) {
             if (!machine.zone.equals(attempt.machine.zone)
@@ -167,7 +179,7 @@
         return false;
     }
 
-    /** A job that gathers has its machines: what may be stopped there makes way. */
+    /** A job that reserves has its machines: what may be stopped there is stopped. */
     private void preemptOnReservedMachines(Job job) {
         Set<Machine> machines = new LinkedHashSet<>();
         for (Reservation reservation : reservations.of(job)) {
@@ -191,7 +203,7 @@
     private int freeResources(Job job, Machine machine, int wanted) {
         Resources expected =
                 stopFor(job, machine, reservations.balance(machine, null), job.taskResources);
-        // The freed room is the preemptor's alone.
+        // What is freed is reserved, so that no other job takes it.
         int made = 0;
         while (made < wanted
                 && expected.contains(job.taskResources)
@@ -203,8 +215,8 @@
     }
 
     /**
-     * Stops tasks until the room is enough, or none if that can't be had; returns the room that
-     * there will be.
+     * Stops tasks until what is free suffices, or none if it never would; returns what will be
+     * free.
      */
     private Resources stopFor(Job job, Machine machine, Resources free, Resources needed) {
         Resources expected = free;
@@ -216,12 +228,7 @@
                 victims.add(attempt);
             }
         }
-        // The lowest rank first, then borrowers, then what can save, then what has run least.
-        victims.sort(
-                Comparator.comparing((TaskAttempt p) -> p.job.priority())
-                        .thenComparing(p -> p.job.isWithinGuarantee())
-                        .thenComparing(p -> p.job.description.checkpointIntervalSeconds() == 0)
-                        .thenComparingLong(p -> -p.placedMicros));
+        victims.sort(VICTIM_ORDER);
         List<TaskAttempt> chosen = new ArrayList<>();
         for (TaskAttempt victim : victims) {
             if (expected.contains(needed)) {
@@ -259,8 +266,8 @@
     }
 
     /**
-     * A lower rank, or a borrower of the same rank. The protocol would let a guarantee stop
-     * borrowers of a higher rank as well; those would then stop the job in turn, and so on.
+     * True for a lower priority, or a borrower of the same one. A guarantee could stop borrowers of
+     * a higher priority as well; those would then stop the job in turn, and so on.
      */
     private boolean mayStop(Job job, TaskAttempt attempt) {
         Job other = attempt.job;
--- a/src/main/java/org/woadloom/core/placement/QueueOrder.java
+++ b/src/main/java/org/woadloom/core/placement/QueueOrder.java
@@ -10,40 +10,45 @@
 import org.woadloom.settings.Objective;
 
 /**
- * The order in which waiting jobs are served: by rank, then work within its team's guarantee, then
- * what is overdue, then what can still be in time, then age. Under overload age alone would make
- * every job late. Jobs that are small for the fleet go a little before their age, as if each had
- * queued for the time that the whole fleet needs for it.
+ * The order in which waiting jobs are served: by priority, then work within its team's guarantee,
+ * then what is overdue, then what can still be in time, then age. Under overload age alone would
+ * make every job late. Jobs that are small for the fleet go a little before their age: to its time
+ * in the queue each is added the time that the whole fleet would need for it.
  */
 public final class QueueOrder {
     /**
      * A late job is served by its age again after so many times the longest time it had: nobody
      * waits for ever.
      */
-    private static final int PATIENCE = 6;
+    private static final int MAX_LATENESS_FACTOR = 6;
 
-    private static final long COUNT_MICROS = 500_000;
+    /** How often the fleet is counted. */
+    private static final long FLEET_COUNT_INTERVAL_MICROS = 500_000;
 
     /**
      * A job that has missed a time is served this part of the next one before it would miss that,
      * too.
      */
-    private static final double LEAD = 0.2;
+    private static final double LEAD_SHARE = 0.2;
 
-    private static final List<Double> ONCE = List.of(1.0);
+    /** Without an objective for deadlines a job is to be done by its own. */
+    private static final List<Double> DEADLINE_ITSELF = List.of(1.0);
 
     /**
-     * Every job is to begin within four minutes: from this age on one that has not goes before the
+     * Every job is to start within four minutes: from this age on one that has not goes before the
      * others of its kind.
      */
-    private static final long BEGIN_MICROS = 150_000_000;
+    private static final long START_OVERDUE_MICROS = 150_000_000;
 
     /** From this age on the largest jobs of a class go before the others until they are done. */
-    private static final long LARGE_MICROS = 180_000_000;
+    private static final long LARGE_OVERDUE_MICROS = 180_000_000;
 
     private final SchedulerState state;
-    private long fleet;
-    private long countAgainMicros = Long.MIN_VALUE;
+
+    /** The processors of all machines that are up, in units of {@link Resources}. */
+    private long fleetCpu;
+
+    private long nextFleetCountMicros = Long.MIN_VALUE;
 
     /** By class, the times within which the users want its jobs done, the shortest first. */
     private final Map<String, List<Double>> targets = new HashMap<>();
@@ -54,7 +59,7 @@
      */
     private final Map<String, List<Double>> multiples = new HashMap<>();
 
-    /** How a job stands to those times, what goes first first. */
+    /** How a job stands to those times, in the order in which jobs are served. */
     private enum Punctuality {
         /** It can make the first of them, or is just in time for the next, or nobody can say. */
         DUE,
@@ -64,10 +69,10 @@
         LATE
     }
 
-    private record Entry(Job job, boolean overdue, Punctuality standing, double turn) {}
+    private record Entry(Job job, boolean overdue, Punctuality punctuality, double turnMicros) {}
 
     /**
-     * Every search sorts all waiting jobs several times, so without the boxes of a chain of
+     * All waiting jobs are sorted several times a pass: without the boxing of a chain of
      * comparators.
      */
     private static int compare(Entry one, Entry other) {
@@ -79,10 +84,10 @@
             order = Boolean.compare(other.overdue, one.overdue);
         }
         if (order == 0) {
-            order = one.standing.compareTo(other.standing);
+            order = one.punctuality.compareTo(other.punctuality);
         }
         if (order == 0) {
-            order = Double.compare(one.turn, other.turn);
+            order = Double.compare(one.turnMicros, other.turnMicros);
         }
         return order == 0 ? one.job.jobId().compareTo(other.job.jobId()) : order;
     }
@@ -103,6 +108,7 @@
         multiples.values().forEach(times -> times.sort(null));
     }
 
+    /** The jobs in the order in which they are to be served now. */
     public List<Job> sorted(List<Job> jobs) {
         if (jobs.isEmpty()) {
             return jobs;
@@ -113,14 +119,14 @@
             double alone =
                     (double) job.taskResources.cpu()
                             * job.pendingTasks()
-                            / fleet
+                            / fleetCpu
                             * runtimeMicros(job);
-            boolean overdue = overdue(job);
+            boolean overdue = isOverdue(job);
             entries.add(
                     new Entry(
                             job,
                             overdue,
-                            overdue ? Punctuality.DUE : standing(job),
+                            overdue ? Punctuality.DUE : punctuality(job),
                             overdue ? job.queuedSinceMicros() : job.queuedSinceMicros() + alone));
         }
         entries.sort(QueueOrder::compare);
@@ -133,13 +139,13 @@
 
     /** How large the fleet is changes slowly, and this is asked in every pass. */
     private void countFleet() {
-        if (state.nowMicros() < countAgainMicros) {
+        if (state.nowMicros() < nextFleetCountMicros) {
             return;
         }
-        countAgainMicros = state.nowMicros() + COUNT_MICROS;
-        fleet = 1;
+        nextFleetCountMicros = state.nowMicros() + FLEET_COUNT_INTERVAL_MICROS;
+        fleetCpu = 1;
         for (Machine machine : state.machines().values()) {
-            fleet += machine.isUp() ? machine.capacity().cpu() : 0;
+            fleetCpu += machine.isUp() ? machine.capacity().cpu() : 0;
         }
     }
 
@@ -148,42 +154,42 @@
     }
 
     /**
-     * A job that has not begun, and one of the largest that is not done, can't be left behind for
+     * A job that has not started, and one of the largest that is not done, can't be left behind for
      * what comes after it.
      */
-    private boolean overdue(Job job) {
+    private boolean isOverdue(Job job) {
         long age = state.nowMicros() - job.queuedSinceMicros();
-        return !job.hasStarted() && age > BEGIN_MICROS
-                || age > LARGE_MICROS && state.demand().isLargeInClass(job);
+        return !job.hasStarted() && age > START_OVERDUE_MICROS
+                || age > LARGE_OVERDUE_MICROS && state.demand().isLargeInClass(job);
     }
 
     /**
      * By its owner's estimate. A job that has missed a time makes way for those that can make it,
      * as long as it can.
      */
-    private Punctuality standing(Job job) {
+    private Punctuality punctuality(Job job) {
         if (job.description.isService()) {
             return Punctuality.DUE;
         }
-        boolean due = job.deadlineMicros() != Long.MAX_VALUE;
-        double from = due ? job.submittedMicros : job.queuedSinceMicros();
+        boolean hasDeadline = job.deadlineMicros() != Long.MAX_VALUE;
+        double from = hasDeadline ? job.submittedMicros : job.queuedSinceMicros();
         double ends = state.nowMicros() - from + runtimeMicros(job);
         List<Double> times =
-                due
-                        ? multiples.getOrDefault(job.description.jobClass(), ONCE)
+                hasDeadline
+                        ? multiples.getOrDefault(job.description.jobClass(), DEADLINE_ITSELF)
                         : targets.getOrDefault(job.description.jobClass(), List.of());
-        double unit = due ? job.deadlineMicros() - from : 1;
+        double unit = hasDeadline ? job.deadlineMicros() - from : 1;
         for (double time : times) {
             if (ends <= time * unit) {
-                return time == times.get(0) || ends > time * unit * (1 - LEAD)
+                return time == times.get(0) || ends > time * unit * (1 - LEAD_SHARE)
                         ? Punctuality.DUE
                         : Punctuality.LATER;
             }
         }
-        boolean patient =
+        boolean isLate =
                 !times.isEmpty()
                         && state.nowMicros() - from
-                                <= PATIENCE * times.get(times.size() - 1) * unit;
-        return patient ? Punctuality.LATE : Punctuality.DUE;
+                                <= MAX_LATENESS_FACTOR * times.get(times.size() - 1) * unit;
+        return isLate ? Punctuality.LATE : Punctuality.DUE;
     }
 }
--- a/src/main/java/org/woadloom/core/placement/RecordSizeEstimate.java
+++ b/src/main/java/org/woadloom/core/placement/RecordSizeEstimate.java
@@ -9,13 +9,19 @@
 import org.woadloom.store.TaskProgressCodec;
 
 /**
- * An upper bound of what a job's one record may grow to, so that a job too large for it runs in
- * waves: what is placed at once must fit the state service's values, however its tasks end.
+ * An upper bound of what a job's one record may grow to, in bytes, so that a job too large for it
+ * runs in waves: what is placed at once must fit the store's values, however its tasks end.
  */
 public abstract sealed class RecordSizeEstimate {
+    /** Bytes of an ordinary description in the compact format. */
+    private static final int TYPICAL_DESCRIPTION = 420;
+
+    /** How large the store's values may be. */
     private final int limit;
+
     private final Set<Machine> machines = new HashSet<>();
 
+    /** What a record names together: the tasks of one machine under one attempt number. */
     private record Group(Machine machine, long attempt) {}
 
     private RecordSizeEstimate(int limit) {
@@ -32,8 +38,6 @@
         return size.maxMoreTasks(0, valueBytes);
     }
 
-    private static final int TYPICAL_DESCRIPTION = 420;
-
     /**
      * How large the record may become with so many more tasks, the last of that number, on so many
      * more machines.
@@ -54,10 +58,7 @@
         return sizeWith(1, index, 1) <= limit;
     }
 
-    /**
-     * For how many more tasks from the given one on there is room, wherever they go; no more than
-     * wanted.
-     */
+    /** How many more tasks from the given one on fit, wherever they go; no more than wanted. */
     int maxMoreTasks(int index, int wanted) {
         int fitting = 0;
         int tooMany = wanted + 1;
@@ -77,7 +78,7 @@
         onPlaced(index, machines.add(machine));
     }
 
-    /** Of {@link org.woadloom.state.JobRecord}s with {@link TaskProgressCodec} as text. */
+    /** Of {@link org.woadloom.store.JobRecord}s with {@link TaskProgressCodec} as text. */
     private static final class Compact extends RecordSizeEstimate {
         /** What is around the description and the progress. */
         private static final int FIXED = 260;
--- a/src/main/java/org/woadloom/core/placement/ResourceRequest.java
+++ b/src/main/java/org/woadloom/core/placement/ResourceRequest.java
@@ -4,8 +4,8 @@
 import org.woadloom.core.jobs.Job;
 
 /**
- * What a search for room looks for. Once no machine has room for a shape, none has it for anything
- * that needs at least as much and may go to no other machines, until room is freed.
+ * What a search for machines looks for. Once no machine satisfies a request, none satisfies one
+ * that needs at least as much and may go to no other machines, until resources are freed.
  */
 record ResourceRequest(Resources resources, List<String> machineTypes, String zone, boolean spot) {
     static ResourceRequest of(Job job) {
@@ -16,7 +16,7 @@
                 job.description.spotAllowed());
     }
 
-    /** True if the job's tasks find no room where this shape found none. */
+    /** True if the job's tasks find no machine where this request found none. */
     boolean covers(Job job) {
         return job.taskResources.contains(resources)
                 && (spot || !job.description.spotAllowed())
@@ -25,8 +25,8 @@
     }
 
     /**
-     * True for jobs whose failed search speaks for others: nothing but the shape kept their tasks
-     * away.
+     * True for jobs whose failed search speaks for others: nothing but the request kept their tasks
+     * from the machines.
      */
     static boolean isRepresentative(Job job) {
         return !job.description.spreadAcrossZones()
--- a/src/main/java/org/woadloom/core/placement/TaskPlacer.java
+++ b/src/main/java/org/woadloom/core/placement/TaskPlacer.java
@@ -14,9 +14,8 @@
 import org.woadloom.core.reservation.Reservation;
 import org.woadloom.core.reservation.Reservations;
 
-/** Decides what runs where, in the order of {@link QueueOrder}. */
+/** Decides which task runs on which machine, in the order of {@link QueueOrder}. */
 public final class TaskPlacer {
-
     private final SchedulerState state;
     private final PlacementConstraints constraints;
     private final Reservations reservations;
@@ -41,23 +40,14 @@
         return order.sorted(jobs);
     }
 
-    /** Places what finds room. */
+    /** Places the pending tasks that fit, each job in its turn. */
     public void place() {
         long attempt = state.newAttempt();
         List<Machine> openMachines = null;
         List<ResourceRequest> unsatisfied = new ArrayList<>();
         for (Job job : queue()) {
             boolean hasReservation = reservations.countFor(job) > 0;
-            if (!hasReservation
-                    && !job.description.isService()
-                    && job.isBackingOff(state.nowMicros())) {
-                continue;
-            }
-            // Without a reservation to draw from, the limit and what others did not find decide at
-            // once.
-            if (!hasReservation
-                    && (job.allowedTasks() < 1
-                            || unsatisfied.stream().anyMatch(shape -> shape.covers(job)))) {
+            if (!hasReservation && isPassedOver(job, unsatisfied)) {
                 continue;
             }
             if (openMachines == null) {
@@ -71,12 +61,24 @@
         }
     }
 
+    /**
+     * True if a job without a reservation to draw from need not be tried: it backs off, its team's
+     * limit is reached, or one that asked for no more found no machine.
+     */
+    private boolean isPassedOver(Job job, List<ResourceRequest> unsatisfied) {
+        if (!job.description.isService() && job.isBackingOff(state.nowMicros())) {
+            return true;
+        }
+        return job.allowedTasks() < 1
+                || unsatisfied.stream().anyMatch(request -> request.covers(job));
+    }
+
     /** Machines that take tasks and have anything left; in one pass they only get fuller. */
     private List<Machine> openMachines() {
         List<Machine> openMachines = new ArrayList<>();
         for (Machine machine : state.machines().values()) {
-            Resources room = machine.balance();
-            if ((room.cpu() > 0 || room.memory() > 0 || room.gpu() > 0)
+            Resources free = machine.balance();
+            if ((free.cpu() > 0 || free.memory() > 0 || free.gpu() > 0)
                     && constraints.acceptsTasks(machine)) {
                 openMachines.add(machine);
             }
@@ -84,7 +86,7 @@
         return openMachines;
     }
 
-    /** Returns true if the machines have no room for another task of the job. */
+    /** Places tasks of a job; true if the machines have no resources for another one. */
     private boolean placeJob(Job job, long attempt, List<Machine> openMachines) {
         RecordSizeEstimate size = RecordSizeEstimate.of(job, state.valueBytes(), state.format());
         if (!size.fitsOneMore(job.nextPending(0))
@@ -99,7 +101,7 @@
         int placed = 0;
         boolean full = false;
         for (int index = job.nextPending(0);
-                index >= 0 && size.fitsOneMore(index);
+                index != Job.NO_TASK && size.fitsOneMore(index);
                 index = job.nextPending(index + 1)) {
             Machine machine = candidates.next();
             if (machine == null) {
@@ -122,51 +124,57 @@
             placed++;
         }
         if (placed > 0) {
-            state.log(
-                    LogEntry.debug(LogEvent.TASKS_PLACED)
-                            .with("job", job.jobId())
-                            .with("tasks", placed)
-                            .with("pending", job.pendingTasks())
-                            .with("tasks_by_zone", job.tasksByZone()));
+            logPlaced(job, placed);
         }
         return full;
     }
 
-    /** A gang starts only when all of its tasks that are left find room at once. */
+    private void logPlaced(Job job, int placed) {
+        state.log(
+                LogEntry.debug(LogEvent.TASKS_PLACED)
+                        .with("job", job.jobId())
+                        .with("tasks", placed)
+                        .with("pending", job.pendingTasks())
+                        .with("tasks_by_zone", job.tasksByZone()));
+    }
+
+    /** A gang starts only when all of its tasks that are left fit at once. */
     private boolean gangFits(Job job, int maxTasks) {
         int wanted = job.pendingTasks();
         if (wanted > maxTasks) {
             return false;
         }
-        Map<String, Integer> fitsByZone = new LinkedHashMap<>();
+        Map<String, Integer> fitsByZone = gangFitsByZone(job);
         Resources credit = Resources.NONE;
-        for (Machine machine : state.machines().values()) {
-            if (constraints.acceptsTasks(machine)
-                    && constraints.allows(job, machine)
-                    && !job.failedOn.contains(machine.host)) {
-                fitsByZone.merge(
-                        machine.zone,
-                        reservations.unreserved(machine, job).count(job.taskResources),
-                        Integer::sum);
-            }
-        }
         for (Reservation reservation : reservations.of(job)) {
             credit = credit.plus(reservation.remaining());
         }
         if (job.allowedTasks(credit) < wanted) {
             return false;
         }
+        int maxPerZone = PlacementConstraints.maxTasksPerZone(job.description);
         int largest = 0;
         int sum = 0;
-        int maxPerZone =
-                job.description.spreadAcrossZones()
-                        ? (job.description.taskCount() + 1) / 2
-                        : Integer.MAX_VALUE;
         for (Map.Entry<String, Integer> entry : fitsByZone.entrySet()) {
-            int room = Math.min(entry.getValue(), maxPerZone - job.attemptsInZone(entry.getKey()));
-            largest = Math.max(largest, room);
-            sum += room;
+            int fits = Math.min(entry.getValue(), maxPerZone - job.attemptsInZone(entry.getKey()));
+            largest = Math.max(largest, fits);
+            sum += fits;
         }
         return (job.description.sameZone() ? largest : sum) >= wanted;
     }
+
+    private Map<String, Integer> gangFitsByZone(Job job) {
+        Map<String, Integer> fitsByZone = new LinkedHashMap<>();
+        for (Machine machine : state.machines().values()) {
+            if (constraints.acceptsTasks(machine)
+                    && constraints.allows(job, machine)
+                    && !job.failedOn.contains(machine.host)) {
+                fitsByZone.merge(
+                        machine.zone,
+                        reservations.unreserved(machine, job).count(job.taskResources),
+                        Integer::sum);
+            }
+        }
+        return fitsByZone;
+    }
 }
--- a/src/main/java/org/woadloom/core/reservation/GangReservationPlanner.java
+++ b/src/main/java/org/woadloom/core/reservation/GangReservationPlanner.java
@@ -16,19 +16,22 @@
 import org.woadloom.core.placement.Resources;
 
 /**
- * Gathers room for gangs, and for tasks too big for the free room of any machine now. In each zone
- * one job gathers at a time, the oldest first; its reservations are renewed while it does. If one
- * of them fails, all are released and the job queues again.
+ * Accumulates reservations for gangs, and for tasks too large for what is free on any machine now.
+ *
+ * <p>In each zone one job reserves at a time, the oldest first; its reservations are renewed while
+ * it does. If one of them fails, all are released and the job queues again.
  */
 public final class GangReservationPlanner {
     private final SchedulerState state;
     private final PlacementConstraints constraints;
     private final Reservations reservations;
 
-    /** Who gathers in a zone; a gang that may spread over zones holds several. */
+    /** The job that reserves in a zone; a gang that may spread over zones holds several. */
     private final Map<String, Job> holderByZone = new LinkedHashMap<>();
 
+    /** When a reservation of the job last failed: from then on it waits anew. */
     private final Map<Job, Long> requeuedMicros = new LinkedHashMap<>();
+
     private final Map<Job, Long> renewedMicros = new LinkedHashMap<>();
 
     public GangReservationPlanner(
@@ -65,22 +68,48 @@
         return allowedAnywhere;
     }
 
-    /** Takes note of reservations that failed, ends turns that are over and begins new ones. */
+    /**
+     * Lets jobs queue again whose reservations failed, ends what is over, and reserves for the
+     * next.
+     *
+     * @param failed the reservations that failed since the last call
+     * @param queue the jobs with pending tasks
+     */
     public void update(List<Reservation> failed, List<Job> queue) {
+        requeueFailed(failed);
+        endFinished();
+        for (Job job : waitingByAge(queue)) {
+            tryReserve(job);
+        }
+        for (Job job : new LinkedHashSet<>(holderByZone.values())) {
+            renewIfDue(job);
+        }
+        requeuedMicros.keySet().removeIf(job -> !state.jobs().containsKey(job.jobId()));
+    }
+
+    private void requeueFailed(List<Reservation> failed) {
         for (Reservation reservation : failed) {
             if (holderByZone.containsValue(reservation.owner)) {
                 state.log(
                         LogEntry.info(LogEvent.RESERVATION_FAILED)
                                 .with("job", reservation.owner.jobId())
                                 .with("machine", reservation.machine.host));
-                requeue(reservation.owner);
+                requeuedMicros.put(reservation.owner, state.nowMicros());
+                end(reservation.owner);
             }
         }
+    }
+
+    private void endFinished() {
         for (Job job : new ArrayList<>(holderByZone.values())) {
             if (job.isOver() || job.pendingTasks() == 0 || state.jobs().get(job.jobId()) != job) {
                 end(job);
             }
         }
+    }
+
+    /** The jobs that need reservations and have none, those first that have waited longest. */
+    private List<Job> waitingByAge(List<Job> queue) {
         List<Job> waiting = new ArrayList<>();
         for (Job job : queue) {
             if (needsReservations(job) && !holderByZone.containsValue(job)) {
@@ -92,18 +121,7 @@
                                 (Job job) ->
                                         requeuedMicros.getOrDefault(job, job.queuedSinceMicros()))
                         .thenComparing(Job::jobId));
-        for (Job job : waiting) {
-            tryReserve(job);
-        }
-        for (Job job : new LinkedHashSet<>(holderByZone.values())) {
-            renew(job);
-        }
-        requeuedMicros.keySet().removeIf(job -> !state.jobs().containsKey(job.jobId()));
-    }
-
-    private void requeue(Job job) {
-        requeuedMicros.put(job, state.nowMicros());
-        end(job);
+        return waiting;
     }
 
     private void end(Job job) {
@@ -121,32 +139,36 @@
             if (chosen == null) {
                 continue;
             }
-            List<Reservation> made = new ArrayList<>();
-            for (Machine machine : chosen) {
-                Reservation reservation =
-                        reservations.reserve(job, machine, job.taskResources, true, true);
-                if (reservation == null) {
-                    break;
-                }
-                made.add(reservation);
+            if (reserveAll(job, chosen)) {
+                chosen.forEach(machine -> holderByZone.put(machine.zone, job));
+                renewedMicros.put(job, state.nowMicros());
+                state.log(
+                        LogEntry.info(LogEvent.RESERVATIONS_MADE)
+                                .with("job", job.jobId())
+                                .with("tasks", wanted));
+                return;
             }
-            if (made.size() < chosen.size()) {
+        }
+    }
+
+    /** Reserves for one task on each of the machines, or, if that fails for one, on none. */
+    private boolean reserveAll(Job job, List<Machine> machines) {
+        List<Reservation> made = new ArrayList<>();
+        for (Machine machine : machines) {
+            Reservation reservation =
+                    reservations.reserve(job, machine, job.taskResources, true, true);
+            if (reservation == null) {
                 made.forEach(reservations::release);
-                continue;
+                return false;
             }
-            chosen.forEach(machine -> holderByZone.put(machine.zone, job));
-            renewedMicros.put(job, state.nowMicros());
-            state.log(
-                    LogEntry.info(LogEvent.RESERVATIONS_MADE)
-                            .with("job", job.jobId())
-                            .with("tasks", wanted));
-            return;
+            made.add(reservation);
         }
+        return true;
     }
 
     /**
-     * The sets of zones in which the job may gather: one zone each where all must be together, else
-     * all free ones.
+     * The sets of zones in which the job may reserve: one zone each where all must be together,
+     * else all free ones.
      */
     private List<Set<String>> zoneChoices(Job job) {
         Set<String> open = new LinkedHashSet<>();
@@ -166,27 +188,12 @@
     }
 
     /**
-     * Machines for the wanted number of tasks: those that need the least more room first. Null if
-     * there are too few.
+     * A machine for each of the wanted number of tasks, those first on which the most is free; null
+     * if there are too few.
      */
     private List<Machine> chooseMachines(Job job, int wanted, Set<String> zones) {
-        List<Machine> candidates = new ArrayList<>();
-        for (Machine machine : state.machines().values()) {
-            if (zones.contains(machine.zone)
-                    && constraints.acceptsTasks(machine)
-                    && constraints.allows(job, machine)
-                    && machine.capacity().contains(job.taskResources)
-                    && !job.failedOn.contains(machine.host)) {
-                candidates.add(machine);
-            }
-        }
-        candidates.sort(
-                Comparator.comparingLong(
-                        (Machine machine) -> -reservations.unreserved(machine, job).cpu()));
-        int maxPerZone =
-                job.description.spreadAcrossZones()
-                        ? (job.description.taskCount() + 1) / 2
-                        : Integer.MAX_VALUE;
+        List<Machine> candidates = machinesByFreeCpu(job, zones);
+        int maxPerZone = PlacementConstraints.maxTasksPerZone(job.description);
         Map<String, Integer> chosenByZone = new LinkedHashMap<>();
         List<Machine> chosen = new ArrayList<>();
         for (Machine machine : candidates) {
@@ -203,11 +210,28 @@
         return chosen.size() == wanted ? chosen : null;
     }
 
+    private List<Machine> machinesByFreeCpu(Job job, Set<String> zones) {
+        List<Machine> candidates = new ArrayList<>();
+        for (Machine machine : state.machines().values()) {
+            if (zones.contains(machine.zone)
+                    && constraints.acceptsTasks(machine)
+                    && constraints.allows(job, machine)
+                    && machine.capacity().contains(job.taskResources)
+                    && !job.failedOn.contains(machine.host)) {
+                candidates.add(machine);
+            }
+        }
+        candidates.sort(
+                Comparator.comparingLong(
+                        (Machine machine) -> -reservations.unreserved(machine, job).cpu()));
+        return candidates;
+    }
+
     /**
-     * Renewal keeps a gathering job's room; a machine that got stuck is then exchanged for one with
-     * room.
+     * Renews what a job has reserved, at intervals: reservations that are not renewed expire, and
+     * others may then use what they held.
      */
-    private void renew(Job job) {
+    private void renewIfDue(Job job) {
         if (state.nowMicros() - renewedMicros.getOrDefault(job, state.nowMicros())
                 < state.settings().operator().reservationRenewMicros()) {
             return;
--- a/src/main/java/org/woadloom/core/reservation/Reservation.java
+++ b/src/main/java/org/woadloom/core/reservation/Reservation.java
@@ -4,14 +4,19 @@
 import org.woadloom.core.machines.Machine;
 import org.woadloom.core.placement.Resources;
 
-/** Room on one machine that only its owner's tasks may draw. */
+/** Resources on one machine that only its owner's tasks may draw. */
 public final class Reservation {
-    /** The phases of the paper. */
+    /** The phases of a reservation, as in the paper that docs/design.md names. */
     public enum Phase {
+        /** Just made. */
         PENDING,
+        /** Holds resources of which a part is still in use. */
         WAITING,
+        /** The owner's tasks may draw it. */
         AVAILABLE,
+        /** Drawn. */
         SUCCEEDED,
+        /** Released or expired before it was drawn. */
         FAILED
     }
 
@@ -28,7 +33,7 @@
     /** Ends with the first owner that draws it, whatever is left. */
     public final boolean allocateOnce;
 
-    /** Made on a machine that had no room yet. */
+    /** Made without regard to what was free on the machine. */
     public final boolean preAllocation;
 
     private Phase phase = Phase.PENDING;
@@ -60,7 +65,7 @@
         phase = next;
     }
 
-    /** True while the room is held. */
+    /** True while the resources are held. */
     public boolean isLive() {
         return phase == Phase.WAITING || phase == Phase.AVAILABLE;
     }
@@ -76,15 +81,11 @@
 
     /** What a task of this size would draw here before it takes from the machine. */
     public Resources drawable(Resources task) {
-        Resources left = remaining();
-        return new Resources(
-                Math.min(left.cpu(), task.cpu()),
-                Math.min(left.gpu(), task.gpu()),
-                Math.min(left.memory(), task.memory()));
+        return remaining().min(task);
     }
 
-    void draw(Resources room) {
-        allocated = allocated.plus(room);
+    void draw(Resources amount) {
+        allocated = allocated.plus(amount);
     }
 
     public long expiresMicros() {
--- a/src/main/java/org/woadloom/core/reservation/Reservations.java
+++ b/src/main/java/org/woadloom/core/reservation/Reservations.java
@@ -13,16 +13,21 @@
 import org.woadloom.core.reservation.Reservation.Phase;
 
 /**
- * All reservations of this term. They are the leader's working state: a new leader gathers again.
+ * All reservations of this term. They are the leader's working state: a new leader reserves anew.
  * What is held counts against the owner team's limit until it is drawn or released.
  */
 public final class Reservations {
+    /** What GPUs and memory weigh against processors where two reservations are compared. */
+    private static final long CPUS_PER_GPU = 16;
+
+    private static final long GB_PER_CPU = 16;
+
     private final SchedulerState state;
     private final Map<Long, Reservation> live = new LinkedHashMap<>();
 
     /**
-     * The live ones again, in the order in which they were made: hundreds of machines are asked for
-     * theirs in a pass.
+     * The live ones by machine, in the order in which they were made: hundreds of machines are
+     * asked for theirs in a pass.
      */
     private final Map<Machine, List<Reservation>> byMachine = new HashMap<>();
 
@@ -34,11 +39,13 @@
     }
 
     /**
-     * Holds room for a job's tasks.
+     * Reserves resources for a job's tasks.
      *
-     * @param preAllocation skip the check for free room: the reservation waits until there is
+     * @param template how much
+     * @param allocateOnce whether the first task that draws it ends it, whatever is left
+     * @param preAllocation skip the check for what is free: the reservation waits until there is
      *     enough
-     * @return null if the machine has not got the room, or the team's limit does not allow it
+     * @return null if the machine has not got the resources, or the team's limit does not allow it
      */
     public Reservation reserve(
             Job owner,
@@ -55,7 +62,7 @@
         }
         if (!allocateOnce && reusable(owner, machine) != null) {
             // One reusable reservation of an owner on a machine is enough: a second one would only
-            // split the room.
+            // split the resources.
             return null;
         }
         Reservation reservation =
@@ -86,8 +93,7 @@
     }
 
     /**
-     * A waiting reservation becomes available once the machine's room covers it and those made
-     * before it.
+     * A waiting reservation becomes available once what is free covers it and those made before it.
      */
     private void updatePhase(Reservation reservation) {
         if (reservation.phase() != Phase.WAITING) {
@@ -105,14 +111,19 @@
         }
     }
 
-    /** Brings phases up to date; what expired, or lies on a machine that is going, fails. */
+    /**
+     * Brings phases up to date. What expired, or lies on a machine that is not to stay, is
+     * released.
+     *
+     * @return what was released so, though its job still needs it
+     */
     public List<Reservation> updatePhases() {
         List<Reservation> failed = new ArrayList<>();
         Map<Job, Integer> held = new LinkedHashMap<>();
         for (Reservation reservation : new ArrayList<>(live.values())) {
             Machine machine = reservation.machine;
-            // A job that found room elsewhere meanwhile needs no more reservations than it has
-            // pending tasks.
+            // A job placed elsewhere meanwhile needs no more reservations than it has pending
+            // tasks.
             if (reservation.owner.isOver()
                     || held.merge(reservation.owner, 1, Integer::sum)
                             > reservation.owner.pendingTasks()) {
@@ -131,7 +142,7 @@
         return failed;
     }
 
-    /** Gives the room back; the reservation can't be drawn any more. */
+    /** Gives the resources back; the reservation can't be drawn any more. */
     public void release(Reservation reservation) {
         end(reservation, Phase.FAILED);
         state.requestPlacement();
@@ -159,16 +170,17 @@
         return byMachine.getOrDefault(machine, List.of());
     }
 
+    /** Puts the expiry off. */
     public void renew(Reservation reservation) {
         reservation.renew(state.nowMicros() + state.settings().operator().reservationTtlMicros());
     }
 
-    /** The machine's free room without what is reserved for others than this job. */
+    /** What is free on the machine without what is reserved for others than this job. */
     public Resources unreserved(Machine machine, Job job) {
         return balance(machine, job).withoutNegatives();
     }
 
-    /** The same, negative where reservations wait for room that is still in use. */
+    /** The same, negative where reservations wait for resources that are still in use. */
     public Resources balance(Machine machine, Job job) {
         Resources free = machine.balance();
         List<Reservation> here = byMachine.get(machine);
@@ -199,16 +211,16 @@
             }
             if (best == null
                     || (best.allocateOnce || reservation.allocateOnce)
-                            && draws(reservation, job) > draws(best, job)) {
+                            && drawnValue(reservation, job) > drawnValue(best, job)) {
                 best = reservation;
             }
         }
         return best;
     }
 
-    private static long draws(Reservation reservation, Job job) {
-        Resources room = reservation.drawable(job.taskResources);
-        return room.cpu() + room.gpu() * 16 + room.memory() / 16;
+    private static long drawnValue(Reservation reservation, Job job) {
+        Resources drawable = reservation.drawable(job.taskResources);
+        return drawable.cpu() + drawable.gpu() * CPUS_PER_GPU + drawable.memory() / GB_PER_CPU;
     }
 
     /**
@@ -224,9 +236,7 @@
                 : reservation.drawable(job.taskResources);
     }
 
-    /**
-     * To be called before the placement is added: its room moves from the reservation to the task.
-     */
+    /** To be called before the attempt is added: what it takes moves from the reservation to it. */
     public void draw(TaskAttempt attempt) {
         Reservation reservation = match(attempt.job, attempt.machine);
         if (reservation == null) {
@@ -245,13 +255,14 @@
         }
     }
 
+    /** The live reservations of a job, in the order in which they were made. */
     public List<Reservation> of(Job job) {
         List<Reservation> owned = byOwner.get(job);
         return owned == null ? List.of() : List.copyOf(owned);
     }
 
     /**
-     * For how many tasks of the job no machine need be rented. A gang's waiting reservations do not
+     * For how many tasks of the job no scale-out is needed. A gang's waiting reservations do not
      * count: what they wait for may run long.
      */
     public int expectedTasks(Job job) {
@@ -264,14 +275,14 @@
         return count;
     }
 
-    /** How many tasks of the job have room held, or being made, for them. */
+    /** How many reservations the job has, whether they wait or not. */
     public int countFor(Job job) {
         return byOwner.getOrDefault(job, List.of()).size();
     }
 
     /**
-     * True if room is held for a job of the team other than this one, which counts against the
-     * limit.
+     * True if anything is reserved for a job of the team other than this one, which counts against
+     * the limit.
      */
     public boolean hasOthersInTeam(Job job) {
         for (Job owner : byOwner.keySet()) {
@@ -282,6 +293,7 @@
         return false;
     }
 
+    /** How many are live. */
     public int size() {
         return live.size();
     }
