--- a/src/main/java/org/woadloom/core/jobs/JobRegistry.java
+++ b/src/main/java/org/woadloom/core/jobs/JobRegistry.java
@@ -11,15 +11,18 @@
 import org.woadloom.protocol.JobDescription;
 import org.woadloom.store.JobRecord;
 
-/** Jobs as they are accepted, cancelled and read back. */
+/** The jobs that the scheduler has: accepted, cancelled, read back and removed. */
 public final class JobRegistry {
+    /** Seconds: the task is of no use any more, so it need not save a checkpoint. */
+    private static final double NO_GRACE_PERIOD = 0;
+
     private final SchedulerState state;
 
     public JobRegistry(SchedulerState state) {
         this.state = state;
     }
 
-    /** Takes over a job from its record: what the record names may be there. */
+    /** Takes over a job from an earlier leader's record: the attempts it names may be running. */
     public void load(SchedulerEvent.StoredJob stored) {
         JobRecord record = stored.record();
         Job job = create(record, stored.revision());
@@ -41,8 +44,8 @@
                         new TaskAttempt(job, i, machine, placed.attempt(), 0, state.nowMicros());
                 attempt.onRecovered();
                 job.add(attempt);
-                if (job.isOver() || job.completedTasks.get(i)) {
-                    attempt.stop(0);
+                if (job.isOver() || job.isCompleted(i)) {
+                    attempt.stop(NO_GRACE_PERIOD);
                 }
             }
         }
@@ -68,18 +71,18 @@
             return;
         }
         PersistenceState persistence = job.persistence;
-        boolean answersRead = persistence.readNeeded && persistence.readInFlight;
-        if (revision < persistence.revision) {
+        boolean answersRead = persistence.isReading();
+        if (revision < persistence.revision()) {
             return;
         }
-        if (record.term() == state.term() && record.version() > persistence.durableVersion) {
+        if (record.term() == state.term() && record.version() > persistence.durableVersion()) {
             // One of this term's own writes: it is durable, whatever became of the answer.
-            persistence.durableVersion = record.version();
+            persistence.onVersionRead(record.version());
             job.releaseDurableAttempts();
             onWriteAcknowledged(job);
         }
-        persistence.revision = revision;
-        if (record.cancelled() && !job.cancelled) {
+        persistence.onRevisionRead(revision);
+        if (record.cancelled() && !job.isCancelled()) {
             cancel(job);
         }
         if (answersRead) {
@@ -94,15 +97,15 @@
      */
     public void onDamagedRecord(SchedulerEvent.JobRecordDamaged event) {
         Job job = state.jobs().get(event.jobId());
-        if (job == null || event.revision() < job.persistence.revision) {
+        if (job == null || event.revision() < job.persistence.revision()) {
             return;
         }
         state.log(LogEntry.info(LogEvent.JOB_RECORD_DAMAGED).with("job", job.jobId()));
-        job.persistence.revision = event.revision();
-        if (event.cancelled() && !job.cancelled) {
+        job.persistence.onRevisionRead(event.revision());
+        if (event.cancelled() && !job.isCancelled()) {
             cancel(job);
         }
-        if (job.persistence.readNeeded && job.persistence.readInFlight) {
+        if (job.persistence.isReading()) {
             job.persistence.onRecordRead();
         } else {
             job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
@@ -110,26 +113,26 @@
     }
 
     /**
-     * Users may hear that these are cancelled; the records, on whose stamps all else depends, are
-     * read when they can be.
+     * Users may be told that these are cancelled. Their records, on whose revisions all writes
+     * depend, are read when they can be.
      */
     public void onCancellationsConfirmed(List<String> jobIds) {
         for (String jobId : jobIds) {
             Job job = state.jobs().get(jobId);
-            if (job != null && !job.cancelled) {
+            if (job != null && !job.isCancelled()) {
                 cancel(job);
             }
         }
     }
 
     /**
-     * The record is gone: by a final write of ours without an answer, most likely, or it was
-     * damaged and a cancellation's final state took its place. What waits for the job must not
-     * start on a guess, and what may be on machines counts until it is not.
+     * The record no longer exists: most likely by a final write of this leader without an answer,
+     * or it was damaged and a cancellation's final state took its place. What depends on the job
+     * must not start on a guess, and attempts count until they are proven gone.
      */
     public void onRecordNotFound(String jobId) {
         Job job = state.jobs().get(jobId);
-        if (job == null || !job.persistence.readNeeded || !job.persistence.readInFlight) {
+        if (job == null || !job.persistence.isReading()) {
             return;
         }
         state.serviceLevels().observe(job);
@@ -141,24 +144,24 @@
                     LogEntry.info(LogEvent.JOB_ENDED_ELSEWHERE)
                             .with("job", jobId)
                             .with("tasks", job.attempts().size()));
-            job.cancelled = true;
+            job.markCancelled();
             job.persistence.onReplaced();
             state.requestPlacement();
         }
     }
 
     /**
-     * The job's final state is in the store. A late hint can bring back a job that is over; what
-     * was planned for it then was never launched, as its record can't be written, and must not go
-     * on counting.
+     * The job's final state is in the store. A late notification can bring back a job that is over;
+     * what was planned for it then was never started, as its record can't be written, and must not
+     * go on counting.
      *
-     * @param known false if only the store knows whether it was done or cancelled
+     * @param outcomeKnown false if only the store knows whether it was done or cancelled
      */
     public void onFinished(Job job, boolean outcomeKnown) {
         for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
             job.remove(attempt);
         }
-        job.finished = true;
+        job.markFinished();
         state.removeJob(job);
         state.serviceLevels().onJobEnded(job);
         state.dependencies().onJobRemoved(job, outcomeKnown);
@@ -186,8 +189,7 @@
             return null;
         }
         long age = Math.max(0, state.wallMicros() - record.submittedWallMicros());
-        Job job =
-                new Job(record, revision, team, state.nowMicros() - age, state::markForPersistence);
+        Job job = new Job(record, revision, team, state.nowMicros() - age, state::markForPersistence);
         state.addJob(job);
         state.serviceLevels().onJobAdded(job);
         state.countJobArrival();
@@ -201,7 +203,7 @@
         return job;
     }
 
-    /** To be called when a write was acknowledged: what waits for a job that is done may go on. */
+    /** A write was acknowledged: what depends on a job that is done may be unblocked. */
     void onWriteAcknowledged(Job job) {
         if (job.persistence.isCompletionDurable()) {
             state.dependencies().onDone(job.jobId(), state.wallMicros());
@@ -210,8 +212,7 @@
 
     private void cancel(Job job) {
         state.serviceLevels().observe(job);
-        job.cancelled = true;
-        job.cancelledSinceMicros = state.cancellationsReadUpToMicros();
+        job.markCancelledSince(state.cancellationsReadUpToMicros());
         state.log(LogEntry.info(LogEvent.JOB_CANCEL_REQUESTED).with("job", job.jobId()));
         state.dependencies().onCancelled(job.jobId());
         stopAll(job);
@@ -221,13 +222,13 @@
         state.requestPlacement();
     }
 
-    /** Stops everything of a job that is over. What was never sent is gone at once. */
+    /** Stops all attempts of a job that is over; what was never sent is removed at once. */
     public void stopAll(Job job) {
         for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
             if (attempt.wasNeverSent()) {
                 job.remove(attempt);
             } else {
-                attempt.stop(0);
+                attempt.stop(NO_GRACE_PERIOD);
             }
         }
     }
