--- a/src/main/java/org/woadloom/store/InFlightRequests.java
+++ b/src/main/java/org/woadloom/store/InFlightRequests.java
@@ -6,65 +6,73 @@
  * The requests that have been sent and have no answer yet, in the order in which they were sent.
  */
 final class InFlightRequests {
-    /**
-     * A request that was sent so long ago, and that later ones have overtaken, is not waited for.
-     */
-    private static final long OVERTAKEN_MICROS = 300_000;
-
     private final ArrayDeque<Sent> requests = new ArrayDeque<>();
-    private long lastNumber;
+    private long lastSentNumber;
 
-    /** The last one sent of those that were answered. */
-    private long latestAnswered;
+    /** The number of the last one sent of those that were answered. */
+    private long lastAnsweredNumber;
 
     /** One request on its way. */
     static final class Sent {
         private final long number;
-        private final long micros;
+        private final long sentMicros;
         private boolean isAnswered;
 
-        private Sent(long number, long micros) {
+        private Sent(long number, long sentMicros) {
             this.number = number;
-            this.micros = micros;
+            this.sentMicros = sentMicros;
         }
 
+        /** True once it was answered or its time-out has passed. */
         boolean isAnswered() {
             return isAnswered;
         }
     }
 
-    Sent send(long nowMicros) {
-        Sent request = new Sent(++lastNumber, nowMicros);
+    /** Adds a request that is sent now. */
+    Sent add(long nowMicros) {
+        lastSentNumber++;
+        Sent request = new Sent(lastSentNumber, nowMicros);
         requests.addLast(request);
         return request;
     }
 
     /**
-     * @param response whether the service has said anything
+     * Removes a request whose answer or time-out came.
+     *
+     * @param hasAnswer false for a time-out or a broken connection
      */
-    void onAnswered(Sent request, boolean response) {
+    void onAnswered(Sent request, boolean hasAnswer) {
         request.isAnswered = true;
         requests.remove(request);
-        if (response) {
-            latestAnswered = Math.max(latestAnswered, request.number);
+        if (hasAnswer) {
+            lastAnsweredNumber = Math.max(lastAnsweredNumber, request.number);
         }
     }
 
-    /** A request that was sent later has been answered. */
+    /** True if a request that was sent later has been answered. */
     boolean isOvertaken(Sent request) {
-        return request.number < latestAnswered;
+        return request.number < lastAnsweredNumber;
     }
 
+    /** How many have no answer yet, the overtaken ones among them. */
     int size() {
         return requests.size();
     }
 
-    /** How many may well be answered still. */
+    /** How many may still be answered: those that were not overtaken long ago. */
     int awaitedCount(long nowMicros) {
         int count = 0;
         for (Sent request : requests) {
-            count += isOvertaken(request) && nowMicros - request.micros > OVERTAKEN_MICROS ? 0 : 1;
+            if (!isGivenUp(request, nowMicros)) {
+                count++;
+            }
         }
         return count;
     }
+
+    private boolean isGivenUp(Sent request, long nowMicros) {
+        return isOvertaken(request)
+                && nowMicros - request.sentMicros > StoreRequestPolicy.OVERTAKEN_MICROS;
+    }
 }
--- a/src/main/java/org/woadloom/store/RateShare.java
+++ b/src/main/java/org/woadloom/store/RateShare.java
@@ -1,30 +1,37 @@
 package org.woadloom.store;
 
 /**
- * Who shares a node's part of the store's rates, and by which weights while all of them wait. A
- * share that nobody asks for is the others'. The election and its proofs have no weight: they go
- * first, within a reserve of their own.
+ * Who shares a node's part of the store's rates, and by which weights while all of them wait. What
+ * a share does not use is the others'. Control requests have no weight: they go first, within a
+ * reserve of their own.
  */
 enum RateShare {
     /**
-     * Half of what the leader and the users divide: neither the users nor the leader's records may
-     * starve the other.
+     * Half of what is divided between users and the leader's urgent records: neither may starve the
+     * other.
      */
-    USERS(8),
-    /** Launches, ends and machines: work waits for them. */
-    URGENT(8),
-    /** Progress, which may be a little older, and reads that somebody asked for again. */
-    NORMAL(2),
+    USERS(8, false),
+    /** Starts, exits and machines: work waits for them. */
+    URGENT(8, false),
+    /** Progress, which may be a little older, and reads that are retried. */
+    NORMAL(2, true),
     /** Housekeeping, which only must not stand still. */
-    BACKGROUND(1);
+    BACKGROUND(1, true);
 
     private final int weight;
+    private final boolean isHeldAfterRefusal;
 
-    RateShare(int weight) {
+    RateShare(int weight, boolean isHeldAfterRefusal) {
         this.weight = weight;
+        this.isHeldAfterRefusal = isHeldAfterRefusal;
     }
 
     int weight() {
         return weight;
     }
+
+    /** Whether its requests are held back for a moment when the store refuses one. */
+    boolean isHeldAfterRefusal() {
+        return isHeldAfterRefusal;
+    }
 }
--- a/src/main/java/org/woadloom/store/RequestScheduler.java
+++ b/src/main/java/org/woadloom/store/RequestScheduler.java
@@ -16,26 +16,29 @@
  * back other changes, so that a large one is not overtaken for ever, but no reads.
  */
 final class RequestScheduler<T> {
-    /**
-     * Control's reserve, as a part of one second's worth; an election writes two keys and a node's
-     * word two.
-     */
-    private static final double RESERVE = 0.1;
+    /** Stands for a wait without end, as there is nothing to be sent. */
+    static final long NOTHING_WAITS = Long.MAX_VALUE;
+
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    /** The reserve of control requests, in seconds of the whole rate. */
+    private static final double CONTROL_RESERVE_SECONDS = 0.1;
 
-    private static final int MIN_RESERVE = 4;
+    /** An election writes two keys, and a node's announcement two. */
+    private static final int MIN_CONTROL_RESERVE = 4;
 
     /**
-     * By how many seconds of the whole rate users may run ahead of their share: about what a user
-     * takes for no wait.
+     * By how many seconds of the whole rate users may run ahead of their share: a wait that a user
+     * hardly notices.
      */
     private static final double USER_BURST_SECONDS = 0.5;
 
     private static final int MIN_USER_BURST = 4;
 
     /**
-     * Bound of each queue, for faults that ask without end. What users ask has deadlines, so their
-     * queues stay far shorter; the leader's records for 12,000 jobs are at most 1,000 transactions
-     * at 12 changes each. A read takes some 200 bytes of heap.
+     * Bound of each queue, in case a fault makes requests without end. Users' requests have
+     * deadlines, so their queues stay far shorter; the leader's records for 12,000 jobs are at most
+     * 1,000 transactions of 12 changes each. A read takes some 200 bytes of heap.
      */
     private static final int MAX_QUEUED = 8_000;
 
@@ -46,30 +49,36 @@
     private final ArrayDeque<Queued<T>> control = new ArrayDeque<>();
     private final WeightedQueues<T> waitingReads = new WeightedQueues<>();
     private final WeightedQueues<T> waitingChanges = new WeightedQueues<>();
+
+    /** Whether the last request that was taken from a share was a change. */
     private boolean lastWasChange;
 
     private record Queued<T>(T request, int changeCount) {}
 
     /**
-     * Either a request to be sent now, or how long to wait; {@link Long#MAX_VALUE} where nothing
-     * waits.
+     * Either a request to be sent now, or null and how long to wait, {@link #NOTHING_WAITS} where
+     * no request waits for a rate.
      */
     record Turn<T>(T request, long waitMicros) {}
 
     /** Sets this node's part of the store's rates. */
-    void rates(long now, double requestRate, double changeRate) {
-        requestsPerSecond = requestRate;
-        changesPerSecond = changeRate;
-        requests.setRate(now, requestRate);
-        changes.setRate(now, changeRate);
+    void setRates(long now, double requestsPerSecond, double changesPerSecond) {
+        this.requestsPerSecond = requestsPerSecond;
+        this.changesPerSecond = changesPerSecond;
+        requests.setRate(now, requestsPerSecond);
+        changes.setRate(now, changesPerSecond);
     }
 
-    /** False if too much waits already. */
+    /**
+     * Queues a request; false if too many wait already.
+     *
+     * @param changeCount how many changes it makes, 0 for a read
+     */
     boolean add(StoreClient.RequestPriority priority, T request, int changeCount) {
         if (priority == StoreClient.RequestPriority.CONTROL) {
             return control.size() < MAX_QUEUED && control.add(new Queued<>(request, changeCount));
         }
-        WeightedQueues<T> queues = changeCount > 0 ? waitingChanges : waitingReads;
+        WeightedQueues<T> queues = queuesFor(changeCount);
         if (queues.size(priority.share()) >= MAX_QUEUED) {
             return false;
         }
@@ -77,27 +86,34 @@
         return true;
     }
 
-    /** Takes out a request that is not to be sent any more; false if it was taken already. */
+    private WeightedQueues<T> queuesFor(int changeCount) {
+        return changeCount > 0 ? waitingChanges : waitingReads;
+    }
+
+    /**
+     * Removes a request, not a control one, that is not to be sent any more; false if it was taken
+     * already.
+     */
     boolean remove(StoreClient.RequestPriority priority, T request, int changeCount) {
-        WeightedQueues<T> queues = changeCount > 0 ? waitingChanges : waitingReads;
-        return queues.remove(priority.share(), request, priority.isPreferred());
+        return queuesFor(changeCount).remove(priority.share(), request, priority.isPreferred());
     }
 
     /**
-     * For how long a request that comes now would wait, as far as the rates and the queue before it
-     * tell.
+     * For how long a request, not a control one, that comes now would wait, going by the rates and
+     * the queue before it.
      */
     long estimatedWaitMicros(long now, StoreClient.RequestPriority priority, int changeCount) {
-        boolean change = changeCount > 0;
-        WeightedQueues<T> queues = change ? waitingChanges : waitingReads;
+        boolean isChange = changeCount > 0;
+        WeightedQueues<T> queues = queuesFor(changeCount);
         double perSecond =
-                (change ? changesPerSecond : requestsPerSecond) * queues.partOf(priority.share());
-        double before = queues.costBefore(priority.share(), priority.isPreferred());
-        long ownWait = change ? changes.waitMicros(now, changeCount) : requests.waitMicros(now, 1);
-        return ownWait + (long) (before / perSecond * 1e6);
+                (isChange ? changesPerSecond : requestsPerSecond) * queues.partOf(priority.share());
+        double costBefore = queues.costBefore(priority.share(), priority.isPreferred());
+        long ownWait =
+                isChange ? changes.waitMicros(now, changeCount) : requests.waitMicros(now, 1);
+        return ownWait + (long) (costBefore / perSecond * MICROS_PER_SECOND);
     }
 
-    boolean controlWaits() {
+    boolean hasControlRequests() {
         return !control.isEmpty();
     }
 
@@ -105,10 +121,11 @@
      * Takes the request that is to be sent now, if there is one.
      *
      * @param onlyControl no place is left for any other request
-     * @param heldMicros how long what is not urgent is held back
+     * @param heldMicros how long normal and background requests are held back; not positive where
+     *     they are not
      */
     Turn<T> next(long now, boolean onlyControl, long heldMicros) {
-        long wait = Long.MAX_VALUE;
+        long wait = NOTHING_WAITS;
         if (!control.isEmpty()) {
             wait = controlWait(now, control.peekFirst());
             if (wait <= 0) {
@@ -122,20 +139,15 @@
         return nextOfShares(now, heldMicros, wait);
     }
 
-    private Turn<T> nextOfShares(long now, long heldMicros, long waitOfControl) {
+    private Turn<T> nextOfShares(long now, long heldMicros, long controlWait) {
+        boolean isHolding = heldMicros > 0;
         long requestWait = requests.waitMicros(now, 1);
-        Predicate<RateShare> allowed =
-                share -> heldMicros <= 0 || share == RateShare.USERS || share == RateShare.URGENT;
-        RateShare change = waitingChanges.next(allowed, burst(changesPerSecond));
-        RateShare read = waitingReads.next(allowed, burst(requestsPerSecond));
-        long changeWait =
-                change == null
-                        ? Long.MAX_VALUE
-                        : Math.max(
-                                requestWait,
-                                changes.waitMicros(now, waitingChanges.costOfFirst(change)));
-        long readWait = read == null ? Long.MAX_VALUE : requestWait;
-        if (changeWait <= 0 && (readWait > 0 || changeFirst(change, read))) {
+        Predicate<RateShare> allowed = share -> !isHolding || !share.isHeldAfterRefusal();
+        RateShare change = waitingChanges.next(allowed, userBurst(changesPerSecond));
+        RateShare read = waitingReads.next(allowed, userBurst(requestsPerSecond));
+        long changeWait = change == null ? NOTHING_WAITS : changeWait(now, change, requestWait);
+        long readWait = read == null ? NOTHING_WAITS : requestWait;
+        if (changeWait <= 0 && (readWait > 0 || isChangeFirst(change, read))) {
             lastWasChange = true;
             int changeCount = waitingChanges.costOfFirst(change);
             return taken(now, waitingChanges.take(change), changeCount);
@@ -144,20 +156,23 @@
             lastWasChange = false;
             return taken(now, waitingReads.take(read), 0);
         }
-        long heldWait =
-                heldMicros > 0 && anyHeld() ? Math.max(heldMicros, requestWait) : Long.MAX_VALUE;
-        return new Turn<>(
-                null, Math.min(Math.min(changeWait, readWait), Math.min(heldWait, waitOfControl)));
+        long heldWait = isHolding && holdsAny() ? Math.max(heldMicros, requestWait) : NOTHING_WAITS;
+        long wait = Math.min(Math.min(changeWait, readWait), Math.min(heldWait, controlWait));
+        return new Turn<>(null, wait);
+    }
+
+    private long changeWait(long now, RateShare share, long requestWait) {
+        return Math.max(requestWait, changes.waitMicros(now, waitingChanges.costOfFirst(share)));
     }
 
     /** Users first; otherwise in turns, so that neither uses up the rate of requests. */
-    private boolean changeFirst(RateShare change, RateShare read) {
-        boolean userChange = change == RateShare.USERS;
-        boolean userRead = read == RateShare.USERS;
-        return userChange != userRead ? userChange : !lastWasChange;
+    private boolean isChangeFirst(RateShare change, RateShare read) {
+        boolean isUserChange = change == RateShare.USERS;
+        boolean isUserRead = read == RateShare.USERS;
+        return isUserChange != isUserRead ? isUserChange : !lastWasChange;
     }
 
-    private boolean anyHeld() {
+    private boolean holdsAny() {
         return holdsAny(RateShare.NORMAL) || holdsAny(RateShare.BACKGROUND);
     }
 
@@ -165,21 +180,22 @@
         return !waitingReads.isEmpty(share) || !waitingChanges.isEmpty(share);
     }
 
-    private static double burst(double perSecond) {
+    private static double userBurst(double perSecond) {
         return Math.max(MIN_USER_BURST, perSecond * USER_BURST_SECONDS);
     }
 
     private long controlWait(long now, Queued<T> queued) {
-        long requestWait = requests.waitMicros(now, 1, reserve(requestsPerSecond));
+        long requestWait = requests.waitMicros(now, 1, controlReserve(requestsPerSecond));
         long changeWait =
                 queued.changeCount() == 0
                         ? 0
-                        : changes.waitMicros(now, queued.changeCount(), reserve(changesPerSecond));
+                        : changes.waitMicros(
+                                now, queued.changeCount(), controlReserve(changesPerSecond));
         return Math.max(requestWait, changeWait);
     }
 
-    private static double reserve(double perSecond) {
-        return Math.max(MIN_RESERVE, perSecond * RESERVE);
+    private static double controlReserve(double perSecond) {
+        return Math.max(MIN_CONTROL_RESERVE, perSecond * CONTROL_RESERVE_SECONDS);
     }
 
     private Turn<T> taken(long now, T request, int changeCount) {
--- a/src/main/java/org/woadloom/store/StoreClient.java
+++ b/src/main/java/org/woadloom/store/StoreClient.java
@@ -1,30 +1,32 @@
 package org.woadloom.store;
 
 import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
 import org.woadloom.net.EventLoop;
 import org.woadloom.net.HttpTransport;
-import org.woadloom.protocol.Cbor;
-import org.woadloom.protocol.Fields;
 import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.settings.ServiceSettings;
 
 /**
- * The state service's protocol. A {@link RequestScheduler} says which request is sent next, under
- * rates that stay below the service's limits; a 429 or 503 holds everything but the most urgent
- * back for a moment, with jitter.
+ * The client of the store, a consensus-backed key-value store: reads, compare-and-swap transactions
+ * on the revisions of keys, watches, and leases on which keys can be made to depend.
  *
- * <p>Single answers get lost while the service goes on serving. A request that later ones have
- * overtaken holds up nobody, and says nothing about the service.
+ * <p>{@link StoreRequestQueue} decides when a request is sent, {@link StoreProtocol} has the form
+ * of requests and answers, {@link StoreRequestPolicy} the time-outs and bounds. Nothing is retried
+ * here: only the caller knows whether its request is still wanted. All callbacks run on the event
+ * loop.
  */
 public final class StoreClient {
-    /** How much a request matters; {@link RateShare} says what each gets while others wait. */
+    /** Stands for a request that may wait for its turn as long as it takes. */
+    public static final long NO_DEADLINE = Long.MAX_VALUE;
+
+    /** How urgent a request is; {@link RateShare} says what each gets while others wait. */
     public enum RequestPriority {
         /**
-         * Elections, renewals of the leader's key and proofs of leadership: before everything else.
+         * Elections, renewals of the leader's lease and proofs of leadership: before everything
+         * else.
          */
         CONTROL(null),
         /**
@@ -34,8 +36,11 @@
         CANCELLATION(RateShare.USERS),
         /** A user waits for it. */
         USER(RateShare.USERS),
+        /** Work on machines waits for it. */
         URGENT(RateShare.URGENT),
+        /** May be a little late, as the progress of jobs. */
         NORMAL(RateShare.NORMAL),
+        /** Housekeeping. */
         BACKGROUND(RateShare.BACKGROUND);
 
         private final RateShare share;
@@ -44,170 +49,111 @@
             this.share = share;
         }
 
+        /** The share that it is sent from; null for control requests, which need none. */
         RateShare share() {
             return share;
         }
 
+        /** Whether it goes before others of its share. */
         boolean isPreferred() {
             return this == CANCELLATION;
         }
     }
 
+    /** How a request ended. */
     public enum Result {
+        /** Executed. */
         OK,
+        /** The key or lease does not exist, or the changes asked for are not kept any more. */
         NOT_FOUND,
+        /** A transaction's conditions did not hold; not executed. */
         CONFLICT,
+        /** Refused as such, for a limit on sizes perhaps; not executed. */
         BAD,
+        /** Not executed, as the store was not asked or would not serve; it may serve later. */
         UNAVAILABLE,
+        /** No answer, or none that can be read: it may have been executed, or may be later. */
         UNKNOWN
     }
 
-    /** One key with its value and the stamp of its last change. */
+    /** One key with its value and the revision of its last change. */
     public record Entry(String path, Map<String, Object> value, long revision) {}
 
-    /** A condition of a transaction: the key's stamp, 0 where it must not exist. */
+    /** A condition of a transaction: the key's revision, 0 where it must not exist. */
     public record Condition(String path, long revision) {}
 
-    /** A change of a transaction: a put, or a drop where the value is null. */
+    /** A change of a transaction: a put, or a deletion where the value is null. */
     public record Change(String path, Map<String, Object> value, long storeLease) {
+        /** The lease of keys that stay until they are deleted. */
+        static final long NO_LEASE = 0;
+
+        /** Writes a key that depends on no lease. */
         public static Change put(String path, Map<String, Object> value) {
-            return new Change(path, value, 0);
+            return new Change(path, value, NO_LEASE);
         }
 
+        /** Deletes a key. */
         public static Change drop(String path) {
-            return new Change(path, null, 0);
-        }
-
-        Map<String, Object> toMap() {
-            Map<String, Object> map = new LinkedHashMap<>();
-            if (value == null) {
-                map.put("drop", path);
-            } else {
-                map.put("put", path);
-                map.put("value", value);
-                if (storeLease != 0) {
-                    map.put("hold", storeLease);
-                }
-            }
-            return map;
+            return new Change(path, null, NO_LEASE);
         }
     }
 
-    /** An event of a watch; the value is null where the key was dropped. */
+    /** An event of a watch; the value is null where the key was deleted. */
     public record Event(String path, Map<String, Object> value, long revision) {}
 
-    /** Hears whether the service can be reached. */
+    /** Is told whether the store can be reached. */
     public interface HealthListener {
         /**
-         * @param served false for 503 or no answer
+         * @param isServing false for 503 or no answer
          */
-        void onAnswer(boolean served);
+        void onAnswer(boolean isServing);
     }
 
+    /** Receives one key. */
     public interface EntryCallback {
+        /**
+         * @param entry null unless the result is {@code OK}
+         * @param storeRevision at which the key did not exist, for {@code NOT_FOUND}; otherwise 0
+         */
         void onEntry(Result result, Entry entry, long storeRevision);
     }
 
+    /** Receives all keys with a prefix. */
     public interface ListCallback {
+        /**
+         * @param storeRevision of the first page: changes after it are to be read by a watch
+         */
         void onEntries(Result result, List<Entry> entries, long storeRevision);
     }
 
+    /** Receives the outcome of a transaction. */
     public interface TxnCallback {
+        /**
+         * @param storeRevision the revision of all changed keys, for {@code OK}; otherwise 0
+         * @param failed the keys whose conditions did not hold, for {@code CONFLICT}
+         */
         void onResult(Result result, long storeRevision, List<String> failed);
     }
 
+    /** Receives the changes under a prefix. */
     public interface WatchCallback {
-        /** {@code NOT_FOUND} says that {@code since} is too old. */
+        /**
+         * {@code NOT_FOUND} says that the revision asked for is too old.
+         *
+         * @param storeRevision up to which these are all changes
+         */
         void onEvents(Result result, List<Event> events, long storeRevision);
     }
 
+    /** Receives a granted or renewed lease. */
     public interface LeaseCallback {
+        /** {@code NOT_FOUND} says that the lease has expired. */
         void onLease(Result result, long storeLease);
     }
 
-    private static final int MAX_IN_FLIGHT = 12;
-
-    /** With those that most likely get no answer any more. */
-    private static final int MAX_UNANSWERED = 36;
-
-    /** Stands for a request that may wait for its turn as long as it takes. */
-    public static final long NO_DEADLINE = Long.MAX_VALUE;
-
-    /** Places in flight for control requests alone: others may hang until their time-out. */
-    private static final int CONTROL_IN_FLIGHT = 6;
-
-    /**
-     * Entries of a list's page: a takeover reads 12,000 jobs in 24 pages, one after another. The
-     * store gives at most 1,000, or 512 KiB, which would all be on the heap together.
-     */
-    private static final int PAGE_ENTRIES = 500;
-
-    private static final long TIMEOUT_MICROS = 2_000_000;
-    private static final long WATCH_GRACE_MICROS = 2_000_000;
-
-    /** Most answers take less than 10 ms, and now and then a few hundred. */
-    private static final long OVERDUE_MICROS = 400_000;
-
-    // All nodes share the service's limits. The leader writes most; reads are for users, whom every
-    // node serves.
-    private static final double LEADER_WRITES = 0.75;
-    private static final double OTHERS_WRITES = 0.3;
-    private static final double LEADER_REQUESTS = 0.5;
-    private static final double OTHERS_REQUESTS = 0.6;
-
-    private final EventLoop loop;
-    private final HttpTransport transport;
-    private final Random random;
-    private final String address;
-    private final StoreLimits limits;
-    private boolean isLeader;
-    private final int otherNodes;
-    private final RequestScheduler<Pending> scheduler = new RequestScheduler<>();
-    private final InFlightRequests inFlight = new InFlightRequests();
-    private long heldUntilMicros;
-
-    /** When it looks again by itself, {@link Long#MAX_VALUE} for never. */
-    private long wakeMicros = Long.MAX_VALUE;
-
-    private long failures;
-    private long shed;
-    private boolean isRefusing;
-    private final HealthListener health;
-
-    /**
-     * @param overdue is run when there is no answer after a while; null for most requests
-     */
-    private record Pending(
-            String method,
-            String path,
-            byte[] body,
-            int writeCount,
-            long timeoutMicros,
-            HttpTransport.Callback callback,
-            Runnable overdue,
-            boolean[] sent) {
-        Pending(
-                String method,
-                String path,
-                byte[] body,
-                int writeCount,
-                long timeoutMicros,
-                HttpTransport.Callback callback,
-                Runnable overdue) {
-            this(method, path, body, writeCount, timeoutMicros, callback, overdue, new boolean[1]);
-        }
-
-        Pending(
-                String method,
-                String path,
-                byte[] body,
-                int writeCount,
-                long timeoutMicros,
-                HttpTransport.Callback callback) {
-            this(method, path, body, writeCount, timeoutMicros, callback, null);
-        }
-    }
+    private final StoreRequestQueue queue;
 
+    /** Starts as a follower, see {@link #setLeader}. */
     public StoreClient(
             EventLoop loop,
             HttpTransport transport,
@@ -215,513 +161,311 @@
             StoreLimits limits,
             Random random,
             HealthListener health) {
-        this.loop = loop;
-        this.transport = transport;
-        this.random = random;
-        this.health = health;
-        this.address = settings.storeAddress();
-        this.limits = limits;
-        this.otherNodes = Math.max(1, settings.peers().size());
-        setLeader(false);
+        int otherNodes = Math.max(1, settings.peers().size());
+        queue =
+                new StoreRequestQueue(
+                        loop,
+                        transport,
+                        settings.storeAddress(),
+                        limits,
+                        otherNodes,
+                        random,
+                        health);
+        queue.setLeader(false);
     }
 
     /**
-     * Sets this node's part of the service's limits: what one node leaves is there for the others.
+     * Sets this node's part of the store's limits: what one node leaves is there for the others.
      */
-    public void setLeader(boolean leads) {
-        this.isLeader = leads;
-        updateRates(loop.nowMicros());
+    public void setLeader(boolean isLeader) {
+        queue.setLeader(isLeader);
     }
 
     /** How many changes a second this node may make now. */
     public double writesPerSecond() {
-        return limits.writeRate(loop.nowMicros())
-                * (isLeader ? LEADER_WRITES : OTHERS_WRITES / otherNodes);
-    }
-
-    private void updateRates(long now) {
-        double requestsPerSecond =
-                limits.requestRate(now)
-                        * (isLeader ? LEADER_REQUESTS : OTHERS_REQUESTS / otherNodes);
-        scheduler.rates(now, requestsPerSecond, writesPerSecond());
+        return queue.writesPerSecond();
     }
 
     /** Answers of the kind 429 or 503, or none at all, counted for the metrics. */
     public long failures() {
-        return failures;
+        return queue.failures();
     }
 
     /**
-     * True if the service, when it last answered, refused to serve. Reads of changes then hang
+     * True if the store, when it last answered, refused to serve. Reads of changes then hang
      * instead of being refused.
      */
     public boolean isRefusing() {
-        return isRefusing;
+        return queue.isRefusing();
     }
 
     /**
      * Requests that were not sent, as whoever had asked for them would not have waited for so long.
      */
     public long shed() {
-        return shed;
+        return queue.shed();
     }
 
-    public void get(RequestPriority urgency, String key, EntryCallback callback) {
-        get(urgency, key, NO_DEADLINE, callback);
+    /** Reads one key. */
+    public void get(RequestPriority priority, String key, EntryCallback callback) {
+        get(priority, key, NO_DEADLINE, callback);
     }
 
     /**
+     * Reads one key.
+     *
      * @param deadlineMicros the read is not sent any more after this moment, and not queued if it
      *     can't be sent by then
      */
     public void get(
-            RequestPriority urgency, String key, long deadlineMicros, EntryCallback callback) {
-        submit(
-                urgency,
+            RequestPriority priority, String key, long deadlineMicros, EntryCallback callback) {
+        queue.submit(
+                priority,
                 deadlineMicros,
-                new Pending(
-                        "GET",
-                        "/keys/" + key,
-                        null,
-                        0,
-                        TIMEOUT_MICROS,
-                        (status, body) -> {
-                            if (status == 200) {
-                                parse(
-                                        body,
-                                        map -> callback.onEntry(Result.OK, entry(map), 0),
-                                        () -> callback.onEntry(Result.UNKNOWN, null, 0));
-                            } else if (status == 404) {
-                                parse(
-                                        body,
-                                        map ->
-                                                callback.onEntry(
-                                                        Result.NOT_FOUND,
-                                                        null,
-                                                        new Fields(map).integer("generation")),
-                                        () -> callback.onEntry(Result.UNKNOWN, null, 0));
-                            } else {
-                                callback.onEntry(failure(status), null, 0);
-                            }
-                        }));
-    }
-
-    /** Reads all keys with the prefix, page by page; the generation is that of the first page. */
-    public void list(RequestPriority urgency, String prefix, ListCallback callback) {
-        listPage(urgency, prefix, null, new ArrayList<>(), -1, callback);
+                StoreRequest.get(
+                        StoreProtocol.keyPath(key),
+                        StoreRequestPolicy.TIMEOUT_MICROS,
+                        (status, body) -> onEntryAnswer(status, body, callback)));
+    }
+
+    private static void onEntryAnswer(int status, byte[] body, EntryCallback callback) {
+        try {
+            switch (status) {
+                case StoreProtocol.OK ->
+                        callback.onEntry(Result.OK, StoreProtocol.decodeEntry(body), 0);
+                case StoreProtocol.NOT_FOUND ->
+                        callback.onEntry(
+                                Result.NOT_FOUND, null, StoreProtocol.decodeStoreRevision(body));
+                default -> callback.onEntry(StoreProtocol.failure(status), null, 0);
+            }
+        } catch (MalformedMessageException e) {
+            callback.onEntry(Result.UNKNOWN, null, 0);
+        }
+    }
+
+    /** Reads all keys with the prefix, page by page. */
+    public void list(RequestPriority priority, String prefix, ListCallback callback) {
+        listPage(priority, prefix, null, new Listing(), callback);
+    }
+
+    /** The pages of a list that have been read. */
+    private static final class Listing {
+        private final List<Entry> entries = new ArrayList<>();
+        private long storeRevision;
+
+        void add(StoreProtocol.Page page) {
+            if (entries.isEmpty()) {
+                storeRevision = page.storeRevision();
+            }
+            entries.addAll(page.entries());
+        }
+
+        String lastKey() {
+            return entries.get(entries.size() - 1).path();
+        }
     }
 
+    /**
+     * @param after the last key of the page before, null for the first page
+     */
     private void listPage(
-            RequestPriority urgency,
+            RequestPriority priority,
+            String prefix,
+            String after,
+            Listing listing,
+            ListCallback callback) {
+        queue.submit(
+                priority,
+                NO_DEADLINE,
+                StoreRequest.get(
+                        StoreProtocol.pagePath(prefix, after),
+                        StoreRequestPolicy.PAGE_TIMEOUT_MICROS,
+                        (status, body) ->
+                                onPage(priority, prefix, listing, status, body, callback)));
+    }
+
+    private void onPage(
+            RequestPriority priority,
             String prefix,
-            String since,
-            List<Entry> found,
-            long storeRevision,
+            Listing listing,
+            int status,
+            byte[] body,
             ListCallback callback) {
-        String path =
-                "/keys?prefix="
-                        + prefix
-                        + (since == null ? "" : "&since=" + since)
-                        + "&most="
-                        + PAGE_ENTRIES;
-        submit(
-                urgency,
-                new Pending(
-                        "GET",
-                        path,
-                        null,
-                        0,
-                        TIMEOUT_MICROS * 2,
-                        (status, body) -> {
-                            if (status != 200) {
-                                callback.onEntries(failure(status), List.of(), 0);
-                                return;
-                            }
-                            parse(
-                                    body,
-                                    map -> {
-                                        Fields f = new Fields(map);
-                                        for (Object item : f.list("items")) {
-                                            found.add(entry(itemMap(item)));
-                                        }
-                                        // Changes made after the first page are seen by following
-                                        // from its generation.
-                                        long first =
-                                                storeRevision < 0
-                                                        ? f.integer("generation")
-                                                        : storeRevision;
-                                        if (f.flagOr("more", false) && !found.isEmpty()) {
-                                            listPage(
-                                                    urgency,
-                                                    prefix,
-                                                    found.get(found.size() - 1).path(),
-                                                    found,
-                                                    first,
-                                                    callback);
-                                        } else {
-                                            callback.onEntries(Result.OK, found, first);
-                                        }
-                                    },
-                                    () -> callback.onEntries(Result.UNKNOWN, List.of(), 0));
-                        }));
+        if (status != StoreProtocol.OK) {
+            callback.onEntries(StoreProtocol.failure(status), List.of(), 0);
+            return;
+        }
+        StoreProtocol.Page page;
+        try {
+            page = StoreProtocol.decodePage(body);
+        } catch (MalformedMessageException e) {
+            callback.onEntries(Result.UNKNOWN, List.of(), 0);
+            return;
+        }
+        listing.add(page);
+        if (page.hasMore() && !listing.entries.isEmpty()) {
+            listPage(priority, prefix, listing.lastKey(), listing, callback);
+        } else {
+            callback.onEntries(Result.OK, listing.entries, listing.storeRevision);
+        }
     }
 
+    /** Makes all changes at once if all conditions hold, and none of them otherwise. */
     public void txn(
-            RequestPriority urgency,
+            RequestPriority priority,
             List<Condition> conditions,
             List<Change> changes,
             TxnCallback callback) {
-        txn(urgency, NO_DEADLINE, conditions, changes, callback);
+        txn(priority, NO_DEADLINE, conditions, changes, callback);
     }
 
     /**
+     * The same with a deadline.
+     *
      * @param deadlineMicros it is not sent any more after this moment, and not queued if it can't
      *     be sent by then
      */
     public void txn(
-            RequestPriority urgency,
+            RequestPriority priority,
             long deadlineMicros,
             List<Condition> conditions,
             List<Change> changes,
             TxnCallback callback) {
-        txn(urgency, deadlineMicros, conditions, changes, callback, null);
+        submitTransaction(priority, deadlineMicros, conditions, changes, callback, null);
     }
 
     /**
      * The same, where the first of the changes that puts the given key has a value that nobody else
      * ever writes there: when the answer is late the key is read, and the value shows that the
-     * transaction was carried out. That it is not there shows nothing, as it may be carried out
-     * still.
+     * transaction was executed. That it is not there shows nothing, as it may be executed still.
+     *
+     * @param proof the key, or null where no key is such a proof
      */
     public void txn(
-            RequestPriority urgency,
+            RequestPriority priority,
             List<Condition> conditions,
             List<Change> changes,
             String proof,
             TxnCallback callback) {
         UnansweredTransaction unanswered =
-                new UnansweredTransaction(this, urgency, conditions, changes, proof, callback);
-        txn(urgency, NO_DEADLINE, conditions, changes, unanswered, unanswered::checkProof);
+                new UnansweredTransaction(this, priority, conditions, changes, proof, callback);
+        submitTransaction(
+                priority, NO_DEADLINE, conditions, changes, unanswered, unanswered::checkProof);
     }
 
-    private void txn(
-            RequestPriority urgency,
+    private void submitTransaction(
+            RequestPriority priority,
             long deadlineMicros,
             List<Condition> conditions,
             List<Change> changes,
             TxnCallback callback,
-            Runnable overdue) {
-        List<Object> ifs = new ArrayList<>();
-        for (Condition condition : conditions) {
-            Map<String, Object> map = new LinkedHashMap<>();
-            map.put("path", condition.path());
-            map.put("stamp", condition.revision());
-            ifs.add(map);
-        }
-        List<Object> thens = new ArrayList<>();
-        for (Change change : changes) {
-            thens.add(change.toMap());
-        }
-        Map<String, Object> request = new LinkedHashMap<>();
-        request.put("if", ifs);
-        request.put("then", thens);
-        submit(
-                urgency,
+            Runnable onOverdue) {
+        queue.submit(
+                priority,
                 deadlineMicros,
-                new Pending(
-                        "POST",
-                        "/txn",
-                        Cbor.encode(request),
+                StoreRequest.transaction(
+                        StoreProtocol.TRANSACTIONS_PATH,
+                        StoreProtocol.encodeTransaction(conditions, changes),
                         changes.size(),
-                        TIMEOUT_MICROS,
-                        (status, body) -> {
-                            if (status == 200) {
-                                parse(
-                                        body,
-                                        map ->
-                                                callback.onResult(
-                                                        Result.OK,
-                                                        new Fields(map).integer("generation"),
-                                                        List.of()),
-                                        () -> callback.onResult(Result.UNKNOWN, 0, List.of()));
-                            } else if (status == 409) {
-                                parse(
-                                        body,
-                                        map ->
-                                                callback.onResult(
-                                                        Result.CONFLICT,
-                                                        0,
-                                                        new Fields(map).texts("failed")),
-                                        () -> callback.onResult(Result.UNKNOWN, 0, List.of()));
-                            } else {
-                                callback.onResult(failure(status), 0, List.of());
-                            }
-                        },
-                        overdue));
-    }
-
-    /** A lease on which keys of this node's process hang: the leader's, and its word. */
-    public void storeLease(long lifeMicros, LeaseCallback callback) {
-        Map<String, Object> request = new LinkedHashMap<>();
-        request.put("lifeMs", lifeMicros / 1000);
-        submit(
+                        (status, body) -> onTransactionAnswer(status, body, callback),
+                        onOverdue));
+    }
+
+    private static void onTransactionAnswer(int status, byte[] body, TxnCallback callback) {
+        try {
+            switch (status) {
+                case StoreProtocol.OK ->
+                        callback.onResult(
+                                Result.OK, StoreProtocol.decodeStoreRevision(body), List.of());
+                case StoreProtocol.CONFLICT ->
+                        callback.onResult(Result.CONFLICT, 0, StoreProtocol.decodeFailedKeys(body));
+                default -> callback.onResult(StoreProtocol.failure(status), 0, List.of());
+            }
+        } catch (MalformedMessageException e) {
+            callback.onResult(Result.UNKNOWN, 0, List.of());
+        }
+    }
+
+    /** Asks for a lease; keys that are put on it are deleted when it expires. */
+    public void storeLease(long lifetimeMicros, LeaseCallback callback) {
+        queue.submit(
                 RequestPriority.CONTROL,
-                new Pending(
-                        "POST",
-                        "/grants",
-                        Cbor.encode(request),
-                        0,
-                        TIMEOUT_MICROS,
-                        (status, body) -> {
-                            if (status == 200) {
-                                parse(
-                                        body,
-                                        map ->
-                                                callback.onLease(
-                                                        Result.OK, new Fields(map).integer("hold")),
-                                        () -> callback.onLease(Result.UNKNOWN, 0));
-                            } else {
-                                callback.onLease(failure(status), 0);
-                            }
-                        }));
+                NO_DEADLINE,
+                StoreRequest.post(
+                        StoreProtocol.LEASES_PATH,
+                        StoreProtocol.encodeLeaseRequest(lifetimeMicros),
+                        (status, body) -> onLeaseAnswer(status, body, callback)));
+    }
+
+    private static void onLeaseAnswer(int status, byte[] body, LeaseCallback callback) {
+        if (status != StoreProtocol.OK) {
+            callback.onLease(StoreProtocol.failure(status), Change.NO_LEASE);
+            return;
+        }
+        try {
+            callback.onLease(Result.OK, StoreProtocol.decodeLease(body));
+        } catch (MalformedMessageException e) {
+            callback.onLease(Result.UNKNOWN, Change.NO_LEASE);
+        }
     }
 
+    /** Renews a lease for its whole lifetime. */
     public void renewLease(long storeLease, LeaseCallback callback) {
-        submit(
+        queue.submit(
                 RequestPriority.CONTROL,
-                new Pending(
-                        "POST",
-                        "/grants/" + storeLease + "/renew",
-                        Cbor.encode(Map.of()),
-                        0,
-                        TIMEOUT_MICROS,
+                NO_DEADLINE,
+                StoreRequest.post(
+                        StoreProtocol.renewalPath(storeLease),
+                        StoreProtocol.encodeRenewal(),
                         (status, body) ->
                                 callback.onLease(
-                                        status == 200 ? Result.OK : failure(status), storeLease)));
+                                        status == StoreProtocol.OK
+                                                ? Result.OK
+                                                : StoreProtocol.failure(status),
+                                        storeLease)));
     }
 
     /**
-     * Waits for changes under the prefix after the given generation. Open watches bypass the
-     * queue's concurrency.
+     * Waits for changes under the prefix after the given revision of the store. An open watch takes
+     * no place among the requests in flight.
      */
     public void watch(String prefix, long since, long blockMicros, WatchCallback callback) {
-        String path =
-                "/follow?prefix=" + prefix + "&since=" + since + "&blockMs=" + blockMicros / 1000;
-        transport.request(
-                address,
-                "GET",
-                path,
-                null,
-                blockMicros + WATCH_GRACE_MICROS,
-                (status, body) -> {
-                    onAnswer(status, 0, false);
-                    onWatchAnswer(status, body, since, callback);
-                });
+        queue.sendUnqueued(
+                StoreRequest.get(
+                        StoreProtocol.watchPath(prefix, since, blockMicros),
+                        blockMicros + StoreRequestPolicy.WATCH_GRACE_MICROS,
+                        (status, body) -> onWatchAnswer(status, body, since, callback)));
     }
 
     /**
-     * Reads what has changed under the prefix after the given generation, without waiting for more.
+     * Reads what has changed under the prefix after the given revision of the store, without
+     * waiting for more.
      */
     public void changes(
-            RequestPriority urgency, String prefix, long since, WatchCallback callback) {
-        String path = "/follow?prefix=" + prefix + "&since=" + since + "&blockMs=0";
-        submit(
-                urgency,
-                new Pending(
-                        "GET",
-                        path,
-                        null,
-                        0,
-                        TIMEOUT_MICROS,
+            RequestPriority priority, String prefix, long since, WatchCallback callback) {
+        queue.submit(
+                priority,
+                NO_DEADLINE,
+                StoreRequest.get(
+                        StoreProtocol.watchPath(prefix, since, 0),
+                        StoreRequestPolicy.TIMEOUT_MICROS,
                         (status, body) -> onWatchAnswer(status, body, since, callback)));
     }
 
     private static void onWatchAnswer(int status, byte[] body, long since, WatchCallback callback) {
-        if (status == 200) {
-            parse(
-                    body,
-                    map -> {
-                        Fields f = new Fields(map);
-                        List<Event> events = new ArrayList<>();
-                        for (Object item : f.list("events")) {
-                            events.add(event(itemMap(item)));
-                        }
-                        callback.onEvents(Result.OK, events, f.integer("generation"));
-                    },
-                    () -> callback.onEvents(Result.UNKNOWN, List.of(), since));
-        } else if (status == 410) {
+        if (status == StoreProtocol.COMPACTED) {
             callback.onEvents(Result.NOT_FOUND, List.of(), since);
-        } else {
-            callback.onEvents(failure(status), List.of(), since);
-        }
-    }
-
-    private static Result failure(int status) {
-        return switch (status) {
-            case 404 -> Result.NOT_FOUND;
-            case 400 -> Result.BAD;
-                // 429 and 503 were not executed, and neither was what was never sent.
-            case 429, 503, HttpTransport.NOT_SENT -> Result.UNAVAILABLE;
-            default -> Result.UNKNOWN;
-        };
-    }
-
-    private void submit(RequestPriority urgency, Pending pending) {
-        submit(urgency, NO_DEADLINE, pending);
-    }
-
-    private void submit(RequestPriority urgency, long deadlineMicros, Pending pending) {
-        long now = loop.nowMicros();
-        boolean comesTooLate =
-                deadlineMicros != NO_DEADLINE
-                        && scheduler.estimatedWaitMicros(now, urgency, pending.writeCount)
-                                > deadlineMicros - now;
-        if (comesTooLate || !scheduler.add(urgency, pending, pending.writeCount)) {
-            shed(pending);
             return;
         }
-        if (deadlineMicros != NO_DEADLINE) {
-            loop.schedule(
-                    Math.max(1, deadlineMicros - now),
-                    () -> {
-                        if (!pending.sent[0]
-                                && scheduler.remove(urgency, pending, pending.writeCount)) {
-                            shed(pending);
-                        }
-                    });
-        }
-        pump();
-    }
-
-    private void shed(Pending pending) {
-        shed++;
-        loop.execute(() -> pending.callback.answered(HttpTransport.NOT_SENT, new byte[0]));
-    }
-
-    private void pump() {
-        long now = loop.nowMicros();
-        boolean full = isFull(now, 0);
-        while (!full || scheduler.controlWaits() && !isFull(now, CONTROL_IN_FLIGHT)) {
-            updateRates(now);
-            RequestScheduler.Turn<Pending> turn = scheduler.next(now, full, heldUntilMicros - now);
-            if (turn.request() == null) {
-                if (turn.waitMicros() < Long.MAX_VALUE) {
-                    wakeAfter(turn.waitMicros());
-                }
-                return;
-            }
-            send(turn.request());
-            full = isFull(now, 0);
-        }
-    }
-
-    private boolean isFull(long now, int more) {
-        return inFlight.size() >= MAX_UNANSWERED + more
-                || inFlight.awaitedCount(now) >= MAX_IN_FLIGHT + more;
-    }
-
-    private void wakeAfter(long micros) {
-        long at = loop.nowMicros() + micros;
-        if (at < wakeMicros) {
-            wakeMicros = at;
-            loop.schedule(
-                    micros,
-                    () -> {
-                        if (wakeMicros == at) {
-                            wakeMicros = Long.MAX_VALUE;
-                        }
-                        pump();
-                    });
-        }
-    }
-
-    private void send(Pending pending) {
-        pending.sent[0] = true;
-        InFlightRequests.Sent sent = inFlight.send(loop.nowMicros());
-        if (pending.overdue != null) {
-            loop.schedule(
-                    OVERDUE_MICROS,
-                    () -> {
-                        if (!sent.isAnswered()) {
-                            pending.overdue.run();
-                        }
-                    });
-        }
-        transport.request(
-                address,
-                pending.method,
-                pending.path,
-                pending.body,
-                pending.timeoutMicros,
-                (status, body) -> {
-                    boolean alone =
-                            status == HttpTransport.NO_RESPONSE && inFlight.isOvertaken(sent);
-                    inFlight.onAnswered(sent, status > 0);
-                    onAnswer(status, pending.writeCount, alone);
-                    pending.callback.answered(status, body);
-                    pump();
-                });
-    }
-
-    /**
-     * @param alone this answer is lost, and others have come that were asked for later
-     */
-    private void onAnswer(int status, int changes, boolean alone) {
-        failures += status == 429 || status == 503 || status <= 0 ? 1 : 0;
-        if (alone) {
-            return;
-        }
-        health.onAnswer(status > 0 && status != 503);
-        isRefusing = status > 0 ? status == 503 : isRefusing;
-        if (status == 429) {
-            limits.onRateExceeded(loop.nowMicros(), changes);
-        }
-        if (status == 429 || status == 503 || status <= 0) {
-            heldUntilMicros = loop.nowMicros() + 50_000 + random.nextInt(150_000);
-        }
-    }
-
-    private interface Reader {
-        void read(Map<String, Object> map) throws MalformedMessageException;
-    }
-
-    private static void parse(byte[] body, Reader reader, Runnable unreadable) {
-        Map<String, Object> map;
-        try {
-            map = Cbor.decodeMap(body);
-        } catch (MalformedMessageException e) {
-            unreadable.run();
+        if (status != StoreProtocol.OK) {
+            callback.onEvents(StoreProtocol.failure(status), List.of(), since);
             return;
         }
         try {
-            reader.read(map);
+            StoreProtocol.Events changes = StoreProtocol.decodeEvents(body);
+            callback.onEvents(Result.OK, changes.events(), changes.storeRevision());
         } catch (MalformedMessageException e) {
-            unreadable.run();
+            callback.onEvents(Result.UNKNOWN, List.of(), since);
         }
     }
-
-    @SuppressWarnings("unchecked")
-    private static Map<String, Object> itemMap(Object item) throws MalformedMessageException {
-        if (item instanceof Map<?, ?>) {
-            return (Map<String, Object>) item;
-        }
-        throw new MalformedMessageException("items: expected maps");
-    }
-
-    @SuppressWarnings("unchecked")
-    private static Entry entry(Map<String, Object> map) throws MalformedMessageException {
-        Fields f = new Fields(map);
-        return new Entry(
-                f.text("path"), (Map<String, Object>) map.get("value"), f.integer("stamp"));
-    }
-
-    @SuppressWarnings("unchecked")
-    private static Event event(Map<String, Object> map) throws MalformedMessageException {
-        Fields f = new Fields(map);
-        boolean put = f.has("put");
-        return new Event(
-                f.text(put ? "put" : "drop"),
-                put ? (Map<String, Object>) map.get("value") : null,
-                f.integer("stamp"));
-    }
 }
--- /dev/null
+++ b/src/main/java/org/woadloom/store/StoreProtocol.java
@@ -0,0 +1,216 @@
+package org.woadloom.store;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.woadloom.net.HttpTransport;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.Fields;
+import org.woadloom.protocol.MalformedMessageException;
+import org.woadloom.store.StoreClient.Change;
+import org.woadloom.store.StoreClient.Condition;
+import org.woadloom.store.StoreClient.Entry;
+import org.woadloom.store.StoreClient.Event;
+import org.woadloom.store.StoreClient.Result;
+
+/**
+ * The store's protocol over HTTP: paths, statuses, and the CBOR of requests and answers. The only
+ * place that has its names.
+ */
+final class StoreProtocol {
+    static final int OK = 200;
+    static final int NOT_FOUND = 404;
+
+    /** Conditions of a transaction failed; the answer names their keys. */
+    static final int CONFLICT = 409;
+
+    /** Changes after the given revision are not kept any more. */
+    static final int COMPACTED = 410;
+
+    /** Above a rate limit; not executed. */
+    static final int TOO_MANY_REQUESTS = 429;
+
+    /** The store does not serve at present; not executed. */
+    static final int UNAVAILABLE = 503;
+
+    static final String TRANSACTIONS_PATH = "/txn";
+    static final String LEASES_PATH = "/grants";
+
+    private static final int BAD_REQUEST = 400;
+    private static final int MICROS_PER_MILLI = 1_000;
+
+    private static final String PATH = "path";
+    private static final String REVISION = "stamp";
+    private static final String STORE_REVISION = "generation";
+    private static final String VALUE = "value";
+    private static final String PUT = "put";
+    private static final String DROP = "drop";
+    private static final String LEASE = "hold";
+    private static final String LEASE_MILLIS = "lifeMs";
+    private static final String CONDITIONS = "if";
+    private static final String CHANGES = "then";
+    private static final String FAILED_KEYS = "failed";
+    private static final String ENTRIES = "items";
+    private static final String HAS_MORE = "more";
+    private static final String EVENTS = "events";
+
+    private StoreProtocol() {}
+
+    /** One page of a list, with the revision of the store at which it was read. */
+    record Page(List<Entry> entries, long storeRevision, boolean hasMore) {}
+
+    /** What has changed under a prefix, up to the given revision of the store. */
+    record Events(List<Event> events, long storeRevision) {}
+
+    static String keyPath(String key) {
+        return "/keys/" + key;
+    }
+
+    /**
+     * @param after the last key of the page before, null for the first page
+     */
+    static String pagePath(String prefix, String after) {
+        String since = after == null ? "" : "&since=" + after;
+        return "/keys?prefix=" + prefix + since + "&most=" + StoreRequestPolicy.PAGE_ENTRIES;
+    }
+
+    /** Changes after a revision of the store, for which the answer waits up to the given time. */
+    static String watchPath(String prefix, long sinceRevision, long blockMicros) {
+        return "/follow?prefix="
+                + prefix
+                + "&since="
+                + sinceRevision
+                + "&blockMs="
+                + blockMicros / MICROS_PER_MILLI;
+    }
+
+    static String renewalPath(long storeLease) {
+        return LEASES_PATH + "/" + storeLease + "/renew";
+    }
+
+    static byte[] encodeTransaction(List<Condition> conditions, List<Change> changes) {
+        List<Object> encodedConditions = new ArrayList<>();
+        for (Condition condition : conditions) {
+            encodedConditions.add(conditionToMap(condition));
+        }
+        List<Object> encodedChanges = new ArrayList<>();
+        for (Change change : changes) {
+            encodedChanges.add(changeToMap(change));
+        }
+        Map<String, Object> request = new LinkedHashMap<>();
+        request.put(CONDITIONS, encodedConditions);
+        request.put(CHANGES, encodedChanges);
+        return Cbor.encode(request);
+    }
+
+    private static Map<String, Object> conditionToMap(Condition condition) {
+        Map<String, Object> map = new LinkedHashMap<>();
+        map.put(PATH, condition.path());
+        map.put(REVISION, condition.revision());
+        return map;
+    }
+
+    private static Map<String, Object> changeToMap(Change change) {
+        Map<String, Object> map = new LinkedHashMap<>();
+        if (change.value() == null) {
+            map.put(DROP, change.path());
+            return map;
+        }
+        map.put(PUT, change.path());
+        map.put(VALUE, change.value());
+        if (change.storeLease() != Change.NO_LEASE) {
+            map.put(LEASE, change.storeLease());
+        }
+        return map;
+    }
+
+    static byte[] encodeLeaseRequest(long lifetimeMicros) {
+        Map<String, Object> request = new LinkedHashMap<>();
+        request.put(LEASE_MILLIS, lifetimeMicros / MICROS_PER_MILLI);
+        return Cbor.encode(request);
+    }
+
+    static byte[] encodeRenewal() {
+        return Cbor.encode(Map.of());
+    }
+
+    /** What a status means that has no meaning of its own for the request. */
+    static Result failure(int status) {
+        return switch (status) {
+            case NOT_FOUND -> Result.NOT_FOUND;
+            case BAD_REQUEST -> Result.BAD;
+            case TOO_MANY_REQUESTS, UNAVAILABLE, HttpTransport.NOT_SENT -> Result.UNAVAILABLE;
+            default -> Result.UNKNOWN;
+        };
+    }
+
+    /** True where the store could not be asked, or did not execute the request for its load. */
+    static boolean isFailure(int status) {
+        return status == TOO_MANY_REQUESTS || status == UNAVAILABLE || !isAnswer(status);
+    }
+
+    /** True for an HTTP status, false for the transport's constants. */
+    static boolean isAnswer(int status) {
+        return status > 0;
+    }
+
+    static Entry decodeEntry(byte[] body) throws MalformedMessageException {
+        return entry(Cbor.decodeMap(body));
+    }
+
+    static Page decodePage(byte[] body) throws MalformedMessageException {
+        Fields fields = new Fields(Cbor.decodeMap(body));
+        List<Entry> entries = new ArrayList<>();
+        for (Object item : fields.list(ENTRIES)) {
+            entries.add(entry(itemMap(item)));
+        }
+        return new Page(entries, fields.integer(STORE_REVISION), fields.flagOr(HAS_MORE, false));
+    }
+
+    static Events decodeEvents(byte[] body) throws MalformedMessageException {
+        Fields fields = new Fields(Cbor.decodeMap(body));
+        List<Event> events = new ArrayList<>();
+        for (Object item : fields.list(EVENTS)) {
+            events.add(event(itemMap(item)));
+        }
+        return new Events(events, fields.integer(STORE_REVISION));
+    }
+
+    static long decodeStoreRevision(byte[] body) throws MalformedMessageException {
+        return new Fields(Cbor.decodeMap(body)).integer(STORE_REVISION);
+    }
+
+    static List<String> decodeFailedKeys(byte[] body) throws MalformedMessageException {
+        return new Fields(Cbor.decodeMap(body)).texts(FAILED_KEYS);
+    }
+
+    static long decodeLease(byte[] body) throws MalformedMessageException {
+        return new Fields(Cbor.decodeMap(body)).integer(LEASE);
+    }
+
+    @SuppressWarnings("unchecked") // Cbor decodes no keys but texts.
+    private static Map<String, Object> itemMap(Object item) throws MalformedMessageException {
+        if (item instanceof Map<?, ?>) {
+            return (Map<String, Object>) item;
+        }
+        throw new MalformedMessageException("items: expected maps");
+    }
+
+    @SuppressWarnings("unchecked") // Cbor decodes no keys but texts.
+    private static Entry entry(Map<String, Object> map) throws MalformedMessageException {
+        Fields fields = new Fields(map);
+        return new Entry(
+                fields.text(PATH), (Map<String, Object>) map.get(VALUE), fields.integer(REVISION));
+    }
+
+    @SuppressWarnings("unchecked") // Cbor decodes no keys but texts.
+    private static Event event(Map<String, Object> map) throws MalformedMessageException {
+        Fields fields = new Fields(map);
+        boolean isPut = fields.has(PUT);
+        return new Event(
+                fields.text(isPut ? PUT : DROP),
+                isPut ? (Map<String, Object>) map.get(VALUE) : null,
+                fields.integer(REVISION));
+    }
+}
--- a/src/main/java/org/woadloom/store/UnansweredTransaction.java
+++ b/src/main/java/org/woadloom/store/UnansweredTransaction.java
@@ -12,35 +12,38 @@
 
 /**
  * A transaction whose answer may be lost. One key of it gets a value that nobody else ever writes
- * there: once that is read, all of the transaction was carried out. Whatever comes first is told,
- * once.
+ * there: once that is read, all of the transaction was executed. The callback gets whatever comes
+ * first, the answer or the proof, once.
  */
 final class UnansweredTransaction implements TxnCallback {
     private final StoreClient store;
-    private final RequestPriority urgency;
+    private final RequestPriority priority;
+
+    /** The change that proves the execution, or null if there is none. */
     private final Change proof;
-    private final long stampBefore;
+
+    private final long revisionBefore;
     private final TxnCallback callback;
-    private boolean completed;
+    private boolean isCompleted;
 
     UnansweredTransaction(
             StoreClient store,
-            RequestPriority urgency,
+            RequestPriority priority,
             List<Condition> conditions,
             List<Change> changes,
-            String proof,
+            String proofKey,
             TxnCallback callback) {
         this.store = store;
-        this.urgency = urgency;
+        this.priority = priority;
         this.callback = callback;
         this.proof =
                 changes.stream()
-                        .filter(change -> change.path().equals(proof) && change.value() != null)
+                        .filter(change -> change.path().equals(proofKey) && change.value() != null)
                         .findFirst()
                         .orElse(null);
-        stampBefore =
+        revisionBefore =
                 conditions.stream()
-                        .filter(condition -> condition.path().equals(proof))
+                        .filter(condition -> condition.path().equals(proofKey))
                         .mapToLong(Condition::revision)
                         .findFirst()
                         .orElse(0);
@@ -48,30 +51,31 @@
 
     @Override
     public void onResult(Result result, long storeRevision, List<String> failed) {
-        if (!completed) {
-            completed = true;
+        if (!isCompleted) {
+            isCompleted = true;
             callback.onResult(result, storeRevision, failed);
         }
     }
 
-    /** The answer is late. */
+    /** Reads the key that proves the execution, as the answer is late. */
     void checkProof() {
-        if (completed || proof == null) {
+        if (isCompleted || proof == null) {
             return;
         }
         store.get(
-                urgency,
+                priority,
                 proof.path(),
                 (result, entry, storeRevision) -> {
                     if (result == Result.OK
-                            && entry.revision() > stampBefore
+                            && entry.revision() > revisionBefore
                             && isAsWritten(entry.value())) {
-                        // All changes of a transaction have the same stamp.
+                        // All changes of a transaction have the same revision.
                         onResult(Result.OK, entry.revision(), List.of());
                     }
                 });
     }
 
+    /** Compares with the value as it would be decoded, whose types may differ. */
     private boolean isAsWritten(Map<String, Object> value) {
         try {
             return Cbor.decodeMap(Cbor.encode(proof.value())).equals(value);
--- a/src/main/java/org/woadloom/store/WeightedQueues.java
+++ b/src/main/java/org/woadloom/store/WeightedQueues.java
@@ -6,10 +6,10 @@
 import java.util.function.Predicate;
 
 /**
- * Queues that divide a rate by their weights (start-time fair queueing): taking something moves a
- * queue's virtual time on by the cost divided by the weight, and the queue that is furthest behind
- * is next. Users may run ahead of their share by a burst, so that a few of their requests wait for
- * nothing else; a lasting backlog of theirs gets its share and no more.
+ * Queues that divide a rate by the weights of {@link RateShare} (start-time fair queueing): taking
+ * a request advances its queue's virtual time by the cost divided by the weight, and the queue with
+ * the least virtual time is next. Users may run ahead of their share by a burst, so that a few of
+ * their requests wait for nothing else; a lasting backlog of theirs gets its share and no more.
  */
 final class WeightedQueues<T> {
     private final Map<RateShare, Queue<T>> queues = new EnumMap<>(RateShare.class);
@@ -22,10 +22,10 @@
      * they came.
      */
     private static final class Queue<T> {
-        final ArrayDeque<Item<T>> preferred = new ArrayDeque<>();
-        final ArrayDeque<Item<T>> ordinary = new ArrayDeque<>();
-        long preferredCost;
-        long ordinaryCost;
+        private final ArrayDeque<Item<T>> preferred = new ArrayDeque<>();
+        private final ArrayDeque<Item<T>> ordinary = new ArrayDeque<>();
+        private long preferredCost;
+        private long ordinaryCost;
 
         boolean isEmpty() {
             return preferred.isEmpty() && ordinary.isEmpty();
@@ -37,14 +37,14 @@
 
         void add(Item<T> item, boolean isPreferred) {
             (isPreferred ? preferred : ordinary).addLast(item);
-            count(item, isPreferred, 1);
+            addCost(item.cost(), isPreferred);
         }
 
-        private void count(Item<T> item, boolean isPreferred, int sign) {
+        private void addCost(int cost, boolean isPreferred) {
             if (isPreferred) {
-                preferredCost += (long) sign * item.cost();
+                preferredCost += cost;
             } else {
-                ordinaryCost += (long) sign * item.cost();
+                ordinaryCost += cost;
             }
         }
 
@@ -55,7 +55,7 @@
         Item<T> takeFirst() {
             boolean isPreferred = !preferred.isEmpty();
             Item<T> item = isPreferred ? preferred.pollFirst() : ordinary.pollFirst();
-            count(item, isPreferred, -1);
+            addCost(-item.cost(), isPreferred);
             return item;
         }
 
@@ -63,11 +63,11 @@
             return (isPreferred ? preferred : ordinary)
                     .removeIf(
                             item -> {
-                                boolean same = item.request() == request;
-                                if (same) {
-                                    count(item, isPreferred, -1);
+                                boolean isSame = item.request() == request;
+                                if (isSame) {
+                                    addCost(-item.cost(), isPreferred);
                                 }
-                                return same;
+                                return isSame;
                             });
         }
     }
@@ -80,16 +80,18 @@
     }
 
     /**
+     * Queues a request.
+     *
      * @param isPreferred goes before those of its share that are not
      */
     void add(RateShare share, T request, int cost, boolean isPreferred) {
         if (queues.get(share).isEmpty()) {
-            joinAgain(share);
+            activate(share);
         }
         queues.get(share).add(new Item<>(request, Math.max(1, cost)), isPreferred);
     }
 
-    /** Takes out what is not to be sent any more; false if it is not here. */
+    /** Removes a request that is not to be sent any more; false if it is not queued. */
     boolean remove(RateShare share, T request, boolean isPreferred) {
         return queues.get(share).remove(request, isPreferred);
     }
@@ -100,27 +102,29 @@
         return queue.preferredCost + (isPreferred ? 0 : queue.ordinaryCost);
     }
 
-    /** The part of the rate that a share gets while it and all that wait now do. */
-    double partOf(RateShare asked) {
-        int sum = 0;
-        for (RateShare share : RateShare.values()) {
-            sum += share == asked || !queues.get(share).isEmpty() ? share.weight() : 0;
+    /** The part of the rate that a share gets beside all that have something waiting now. */
+    double partOf(RateShare share) {
+        int weights = share.weight();
+        for (RateShare other : RateShare.values()) {
+            if (other != share && !queues.get(other).isEmpty()) {
+                weights += other.weight();
+            }
         }
-        return (double) asked.weight() / sum;
+        return (double) share.weight() / weights;
     }
 
-    /** Whoever asked for nothing has saved up nothing. */
-    private void joinAgain(RateShare joining) {
-        double furthestBehind = Double.MAX_VALUE;
+    /** Starts a share that had nothing waiting: it has saved up nothing in the meantime. */
+    private void activate(RateShare activated) {
+        double leastTime = Double.MAX_VALUE;
         for (RateShare share : RateShare.values()) {
             if (!queues.get(share).isEmpty()) {
-                furthestBehind = Math.min(furthestBehind, virtualTimes.get(share));
+                leastTime = Math.min(leastTime, virtualTimes.get(share));
             }
         }
-        if (furthestBehind == Double.MAX_VALUE) {
+        if (leastTime == Double.MAX_VALUE) {
             virtualTimes.replaceAll((share, time) -> 0.0);
         } else {
-            virtualTimes.merge(joining, furthestBehind, Math::max);
+            virtualTimes.merge(activated, leastTime, Math::max);
         }
     }
 
@@ -132,15 +136,16 @@
     RateShare next(Predicate<RateShare> allowed, double userBurst) {
         RateShare next = null;
         for (RateShare share : RateShare.values()) {
-            boolean waits = !queues.get(share).isEmpty() && allowed.test(share);
-            if (waits && (next == null || startOf(share, userBurst) < startOf(next, userBurst))) {
+            boolean isCandidate = !queues.get(share).isEmpty() && allowed.test(share);
+            if (isCandidate
+                    && (next == null || startTime(share, userBurst) < startTime(next, userBurst))) {
                 next = share;
             }
         }
         return next;
     }
 
-    private double startOf(RateShare share, double userBurst) {
+    private double startTime(RateShare share, double userBurst) {
         double ahead = share == RateShare.USERS ? userBurst / share.weight() : 0;
         return virtualTimes.get(share) - ahead;
     }
@@ -150,6 +155,7 @@
         return queues.get(share).first().cost();
     }
 
+    /** Removes the first request of a share, and counts its cost. */
     T take(RateShare share) {
         Item<T> item = queues.get(share).takeFirst();
         virtualTimes.merge(share, (double) item.cost() / share.weight(), Double::sum);
--- a/src/test/java/org/woadloom/store/RequestSchedulerTest.java
+++ b/src/test/java/org/woadloom/store/RequestSchedulerTest.java
@@ -18,7 +18,7 @@
     private long now;
 
     RequestSchedulerTest() {
-        scheduler.rates(now, 100, 40);
+        scheduler.setRates(now, 100, 40);
         now += SECOND;
     }
 
