--- a/src/main/java/org/woadloom/store/FinalRecord.java
+++ b/src/main/java/org/woadloom/store/FinalRecord.java
@@ -8,35 +8,53 @@
 
 /**
  * What is kept of a job for ever once it is over and none of its tasks can be on a machine. Version
- * 1 wrote neither when that was (0 here) nor that the job was a service, and passes over both.
+ * 1 wrote neither when that was nor that the job was a service, and ignores both.
+ *
+ * @param done how many of its tasks were completed
+ * @param wallMicros when it was over, by the time of day, 0 where that is not known
  */
 public record FinalRecord(
         String jobId, boolean cancelled, int done, long wallMicros, boolean service) {
+    private static final String STATUS = "status";
+    private static final String DONE = "done";
+    private static final String FINISHED_AT = "at";
+    private static final String SERVICE = "service";
+
+    private static final String STATUS_CANCELLED = "cancelled";
+    private static final String STATUS_DONE = "done";
+
+    /** What users are told of the job. */
     public JobStatus status() {
-        return new JobStatus(jobId, cancelled ? "cancelled" : "done", done, 0);
+        return new JobStatus(jobId, statusText(), done, 0);
+    }
+
+    private String statusText() {
+        return cancelled ? STATUS_CANCELLED : STATUS_DONE;
     }
 
+    /** The stored form. */
     public Map<String, Object> toMap(RecordFormat format) {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("status", cancelled ? "cancelled" : "done");
-        map.put("done", (long) done);
+        map.put(STATUS, statusText());
+        map.put(DONE, (long) done);
         if (format == RecordFormat.COMPACT) {
-            map.put("at", wallMicros);
+            map.put(FINISHED_AT, wallMicros);
             if (service) {
-                map.put("service", true);
+                map.put(SERVICE, true);
             }
         }
         return map;
     }
 
+    /** Reads the stored form of either format. */
     public static FinalRecord parse(String jobId, Map<String, Object> map)
             throws MalformedMessageException {
-        Fields f = new Fields(map);
+        Fields fields = new Fields(map);
         return new FinalRecord(
                 jobId,
-                f.text("status").equals("cancelled"),
-                (int) f.integerOr("done", 0),
-                f.integerOr("at", 0),
-                f.flagOr("service", false));
+                fields.text(STATUS).equals(STATUS_CANCELLED),
+                (int) fields.integerOr(DONE, 0),
+                fields.integerOr(FINISHED_AT, 0),
+                fields.flagOr(SERVICE, false));
     }
 }
--- a/src/main/java/org/woadloom/store/MachineRecord.java
+++ b/src/main/java/org/woadloom/store/MachineRecord.java
@@ -6,10 +6,11 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * What a new leader must know of a machine before it has heard from it. {@code leaving} is written
- * before the deletion is asked for: that request may be executed late, so nothing may be placed
- * there again. {@code life} is null where the record does not tell it: earlier versions pass over
- * it.
+ * What a new leader must know of a machine before its first heartbeat.
+ *
+ * @param decommissioning written before the deletion is requested from the cloud: that request may
+ *     be executed late, so nothing may be placed there any more
+ * @param lifecycle null where the record has none: earlier versions neither write nor read it
  */
 public record MachineRecord(
         String host,
@@ -18,48 +19,58 @@
         boolean spot,
         boolean decommissioning,
         Lifecycle lifecycle) {
-    private static final String RENTED = "at";
+    private static final String MACHINE_TYPE = "hosttype";
+    private static final String ZONE = "yard";
+    private static final String SPOT = "reclaimable";
+    private static final String DECOMMISSIONING = "leaving";
+    private static final String RENTED_AT = "at";
+    private static final String HAS_REPORTED = "up";
 
-    /** When the machine was rented, by the time of day, and whether its worker was ever heard. */
+    /** When the machine was rented, by the time of day, and whether its agent ever reported. */
     public record Lifecycle(long rentedWallMicros, boolean hasReported) {}
 
-    /** A machine of whose life nothing is known. */
+    /** A machine whose lifecycle is not known. */
     public MachineRecord(
             String host, String machineType, String zone, boolean spot, boolean decommissioning) {
         this(host, machineType, zone, spot, decommissioning, null);
     }
 
-    /** True for a stored record that tells of the machine's life. */
+    /** True for a stored record that has the machine's lifecycle. */
     public static boolean hasLifecycle(Map<String, Object> map) {
-        return map.containsKey(RENTED);
+        return map.containsKey(RENTED_AT);
     }
 
+    /** The stored form. */
     public Map<String, Object> toMap() {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("hosttype", machineType);
-        map.put("yard", zone);
-        map.put("reclaimable", spot);
+        map.put(MACHINE_TYPE, machineType);
+        map.put(ZONE, zone);
+        map.put(SPOT, spot);
         if (decommissioning) {
-            map.put("leaving", true);
+            map.put(DECOMMISSIONING, true);
         }
         if (lifecycle != null) {
-            map.put(RENTED, lifecycle.rentedWallMicros);
+            map.put(RENTED_AT, lifecycle.rentedWallMicros);
             if (lifecycle.hasReported) {
-                map.put("up", true);
+                map.put(HAS_REPORTED, true);
             }
         }
         return map;
     }
 
+    /** Reads the stored form. */
     public static MachineRecord parse(String host, Map<String, Object> map)
             throws MalformedMessageException {
-        Fields f = new Fields(map);
+        Fields fields = new Fields(map);
         return new MachineRecord(
                 host,
-                f.text("hosttype"),
-                f.text("yard"),
-                f.flag("reclaimable"),
-                f.flagOr("leaving", false),
-                hasLifecycle(map) ? new Lifecycle(f.integer(RENTED), f.flagOr("up", false)) : null);
+                fields.text(MACHINE_TYPE),
+                fields.text(ZONE),
+                fields.flag(SPOT),
+                fields.flagOr(DECOMMISSIONING, false),
+                hasLifecycle(map)
+                        ? new Lifecycle(
+                                fields.integer(RENTED_AT), fields.flagOr(HAS_REPORTED, false))
+                        : null);
     }
 }
--- a/src/main/java/org/woadloom/store/NodeAnnouncement.java
+++ b/src/main/java/org/woadloom/store/NodeAnnouncement.java
@@ -9,15 +9,17 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * What a running process says of itself. It hangs on a grant that the process renews, so the word
- * of one that is gone goes with it.
+ * What a running process announces of itself. The key depends on a store lease that the process
+ * renews, so it is deleted when the process has ended.
  *
- * @param life tells this process from any other
- * @param reads the features of which it understands what is written
- * @param can the features that it can act upon, by its program and its operators' settings
+ * @param processId tells this process from any other
+ * @param supportedFeatures the features whose stored forms it reads
+ * @param usableFeatures the features that it can act upon, by its program and its operators'
+ *     settings
  * @param members the nodes that its settings name, itself among them
- * @param starts how many processes of this node began in a row, each within a minute of the one
- *     before
+ * @param consecutiveStarts how many processes of this node started in a row, each within a minute
+ *     of the one before
+ * @param sinceWallMicros when it started, by the time of day
  */
 public record NodeAnnouncement(
         long processId,
@@ -26,32 +28,41 @@
         Set<String> members,
         int consecutiveStarts,
         long sinceWallMicros) {
+    private static final String PROCESS_ID = "life";
+    private static final String SUPPORTED_FEATURES = "reads";
+    private static final String USABLE_FEATURES = "can";
+    private static final String MEMBERS = "members";
+    private static final String CONSECUTIVE_STARTS = "starts";
+    private static final String SINCE = "at";
 
+    /** Copies and sorts the names. */
     public NodeAnnouncement {
         supportedFeatures = new TreeSet<>(supportedFeatures);
         usableFeatures = new TreeSet<>(usableFeatures);
         members = new TreeSet<>(members);
     }
 
+    /** The stored form. */
     public Map<String, Object> toMap() {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("life", processId);
-        map.put("reads", List.copyOf(supportedFeatures));
-        map.put("can", List.copyOf(usableFeatures));
-        map.put("members", List.copyOf(members));
-        map.put("starts", (long) consecutiveStarts);
-        map.put("at", sinceWallMicros);
+        map.put(PROCESS_ID, processId);
+        map.put(SUPPORTED_FEATURES, List.copyOf(supportedFeatures));
+        map.put(USABLE_FEATURES, List.copyOf(usableFeatures));
+        map.put(MEMBERS, List.copyOf(members));
+        map.put(CONSECUTIVE_STARTS, (long) consecutiveStarts);
+        map.put(SINCE, sinceWallMicros);
         return map;
     }
 
+    /** Reads the stored form. */
     public static NodeAnnouncement parse(Map<String, Object> map) throws MalformedMessageException {
-        Fields f = new Fields(map);
+        Fields fields = new Fields(map);
         return new NodeAnnouncement(
-                f.integer("life"),
-                Set.copyOf(f.texts("reads")),
-                Set.copyOf(f.texts("can")),
-                Set.copyOf(f.texts("members")),
-                (int) f.integerOr("starts", 1),
-                f.integerOr("at", 0));
+                fields.integer(PROCESS_ID),
+                Set.copyOf(fields.texts(SUPPORTED_FEATURES)),
+                Set.copyOf(fields.texts(USABLE_FEATURES)),
+                Set.copyOf(fields.texts(MEMBERS)),
+                (int) fields.integerOr(CONSECUTIVE_STARTS, 1),
+                fields.integerOr(SINCE, 0));
     }
 }
--- a/src/main/java/org/woadloom/store/RolloutRecord.java
+++ b/src/main/java/org/woadloom/store/RolloutRecord.java
@@ -13,68 +13,84 @@
 
 /**
  * How far each feature has been rolled out: the one record that says what may be written and acted
- * upon. Only a leader changes it. {@code number} counts its changes, so that of two readings the
- * later is known.
+ * upon. Only a leader changes it.
  *
- * <p>{@code requires} is for programs of the future and the past alike: whoever does not know a
- * name in it must not serve. That field and the number keep their form for ever.
+ * <p>The stored field {@code requires} is for later and earlier programs alike: a process that does
+ * not know a name in it must not serve. That field and the number keep their form for ever.
+ *
+ * @param number counts the record's changes, so that of two reads the later one is known
+ * @param features by name; a feature that is missing is {@link Standing#OFF}
  */
 public record RolloutRecord(long number, Map<String, Standing> features) {
+    /** What holds while there is no record. */
     public static final RolloutRecord NONE = new RolloutRecord(0, Map.of());
+
     private static final String NUMBER = "number";
     private static final String REQUIRES = "requires";
+    private static final String FEATURES = "features";
+    private static final String STEP = "step";
+    private static final String SINCE = "at";
+    private static final String CHANGED_BY = "by";
+    private static final String ROLLED_BACK = "back";
+    private static final String HELD = "held";
 
     /** How far a feature is. */
     public enum Step {
         /** Not every member understands it. */
         OFF,
-        /** Every member reads what it writes; or it is being taken back. */
+        /** Every member reads what it writes; or it is being rolled back. */
         UNDERSTOOD,
         /** It is written and acted upon. */
         ON,
-        /** Nothing of the old form is left, and it can't be taken back. */
+        /** No record of the old form is left, and it can't be rolled back. */
         SETTLED;
 
+        /** The stored form. */
         public String text() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
 
     /**
-     * A feature's step, since when by the time of day, and who allowed it.
+     * A feature's step.
      *
-     * @param back it was on, and its records are rewritten in the old form
-     * @param held it was taken back because nodes kept ending, and waits for an operator
+     * @param back whether it was on, and its records are rewritten in the old form
+     * @param held whether it was rolled back because nodes kept ending, and waits for an operator
+     * @param sinceWallMicros when it reached this, by the time of day
+     * @param by who allowed it
      */
     public record Standing(Step step, boolean back, boolean held, long sinceWallMicros, String by) {
         public static final Standing OFF = new Standing(Step.OFF, false, false, 0, "");
 
-        /** True where records may exist that only those can read who know the feature. */
+        /** True where records may exist that only a process that knows the feature can read. */
         public boolean required() {
             return on() || back;
         }
 
+        /** True while it is written and acted upon. */
         public boolean on() {
             return step.compareTo(Step.ON) >= 0;
         }
     }
 
+    /** Copies and sorts the features. */
     public RolloutRecord {
         features = new TreeMap<>(features);
     }
 
+    /** A feature's standing. */
     public Standing of(String feature) {
         return features.getOrDefault(feature, Standing.OFF);
     }
 
-    /** The next state of the record, in which the feature stands so. */
+    /** The next version of the record, with the given standing of the feature. */
     public RolloutRecord with(String feature, Standing standing) {
         Map<String, Standing> changed = new TreeMap<>(features);
         changed.put(feature, standing);
         return new RolloutRecord(number + 1, changed);
     }
 
-    /** What every process must know that is to serve. */
+    /** The features that a process must know in order to serve. */
     public Set<String> requires() {
         Set<String> names = new TreeSet<>();
         features.forEach(
@@ -86,30 +102,31 @@
         return names;
     }
 
+    /** The stored form. */
     public Map<String, Object> toMap() {
         Map<String, Object> all = new LinkedHashMap<>();
         features.forEach(
                 (name, standing) -> {
                     Map<String, Object> map = new LinkedHashMap<>();
-                    map.put("step", standing.step.text());
-                    map.put("at", standing.sinceWallMicros);
-                    map.put("by", standing.by);
+                    map.put(STEP, standing.step.text());
+                    map.put(SINCE, standing.sinceWallMicros);
+                    map.put(CHANGED_BY, standing.by);
                     if (standing.back) {
-                        map.put("back", true);
+                        map.put(ROLLED_BACK, true);
                     }
                     if (standing.held) {
-                        map.put("held", true);
+                        map.put(HELD, true);
                     }
                     all.put(name, map);
                 });
         Map<String, Object> map = new LinkedHashMap<>();
         map.put(NUMBER, number);
         map.put(REQUIRES, List.copyOf(requires()));
-        map.put("features", all);
+        map.put(FEATURES, all);
         return map;
     }
 
-    /** What a stored record requires, whatever else it holds. */
+    /** The required features of a stored record, whatever else it holds. */
     public static Set<String> requiredBy(Map<String, Object> map) throws MalformedMessageException {
         return new TreeSet<>(new Fields(map).texts(REQUIRES));
     }
@@ -119,10 +136,11 @@
         return new Fields(map).integer(NUMBER);
     }
 
+    /** Reads the stored form. */
     public static RolloutRecord parse(Map<String, Object> map) throws MalformedMessageException {
         Fields f = new Fields(map);
         Map<String, Standing> features = new TreeMap<>();
-        if (!(f.raw("features") instanceof Map<?, ?> all)) {
+        if (!(f.raw(FEATURES) instanceof Map<?, ?> all)) {
             throw new MalformedMessageException("features: expected a map");
         }
         for (Map.Entry<?, ?> entry : new ArrayList<>(all.entrySet())) {
@@ -130,11 +148,11 @@
             features.put(
                     (String) entry.getKey(),
                     new Standing(
-                            step(standing.text("step")),
-                            standing.flagOr("back", false),
-                            standing.flagOr("held", false),
-                            standing.integerOr("at", 0),
-                            standing.textOr("by", "")));
+                            step(standing.text(STEP)),
+                            standing.flagOr(ROLLED_BACK, false),
+                            standing.flagOr(HELD, false),
+                            standing.integerOr(SINCE, 0),
+                            standing.textOr(CHANGED_BY, "")));
         }
         return new RolloutRecord(f.integer(NUMBER), features);
     }
--- a/src/main/java/org/woadloom/store/RolloutRequest.java
+++ b/src/main/java/org/woadloom/store/RolloutRequest.java
@@ -6,28 +6,32 @@
 import org.woadloom.protocol.Fields;
 import org.woadloom.protocol.MalformedMessageException;
 
-/** What an operator asks for a feature. It stands until another takes its place. */
+/** What an operator requests for a feature. It holds until another request replaces it. */
 public record RolloutRequest(Verb verb, String by, long wallMicros) {
+    /** What holds while no operator has requested anything. */
     public static final RolloutRequest AUTO = new RolloutRequest(Verb.AUTO, "", 0);
 
+    private static final String VERB = "verb";
+    private static final String OPERATOR = "by";
+    private static final String REQUESTED_AT = "at";
+
+    /** What is to happen with the rollout. */
     public enum Verb {
-        /** Goes on by itself. */
+        /** Advances by itself. */
         AUTO,
-        /** Stays where it is. */
+        /** Stays at its step. */
         HOLD,
-        /**
-         * Goes on without waiting for time to pass, also after it was held because nodes kept
-         * ending.
-         */
+        /** Advances without the waiting times, also after it was held because nodes kept ending. */
         GO,
-        /** Is taken back, as long as it is not settled. */
+        /** Is rolled back, as long as it is not settled. */
         BACK;
 
+        /** The stored form. */
         public String text() {
             return name().toLowerCase(Locale.ROOT);
         }
 
-        /** The verb, or null for any other word. */
+        /** The verb of a stored form, or null for an unknown one. */
         public static Verb of(String text) {
             for (Verb verb : values()) {
                 if (verb.text().equals(text)) {
@@ -38,21 +42,22 @@
         }
     }
 
+    /** The stored form. */
     public Map<String, Object> toMap() {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("verb", verb.text());
-        map.put("by", by);
-        map.put("at", wallMicros);
+        map.put(VERB, verb.text());
+        map.put(OPERATOR, by);
+        map.put(REQUESTED_AT, wallMicros);
         return map;
     }
 
-    /**
-     * A verb of a later version holds the feature where it is, as it is not known what it would do.
-     */
+    /** A verb of a later version holds the feature at its step, as its effect is not known. */
     public static RolloutRequest parse(Map<String, Object> map) throws MalformedMessageException {
-        Fields f = new Fields(map);
-        Verb verb = Verb.of(f.text("verb"));
+        Fields fields = new Fields(map);
+        Verb verb = Verb.of(fields.text(VERB));
         return new RolloutRequest(
-                verb == null ? Verb.HOLD : verb, f.textOr("by", ""), f.integerOr("at", 0));
+                verb == null ? Verb.HOLD : verb,
+                fields.textOr(OPERATOR, ""),
+                fields.integerOr(REQUESTED_AT, 0));
     }
 }
--- a/src/main/java/org/woadloom/store/TaskRanges.java
+++ b/src/main/java/org/woadloom/store/TaskRanges.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.woadloom.protocol.MalformedMessageException;
 
-/** Task numbers as a flat list of first and last, which keeps records of large arrays small. */
+/** Task numbers as a flat list of the first and last of each range, as version 1 stores them. */
 final class TaskRanges {
     private TaskRanges() {}
 
