--- a/src/main/java/org/woadloom/metrics/NodeMetrics.java
+++ b/src/main/java/org/woadloom/metrics/NodeMetrics.java
@@ -17,29 +17,40 @@
 import org.woadloom.core.SchedulerAction;
 import org.woadloom.core.slo.ServiceLevelReport;
 
-/** What a node counts of itself. */
+/** The meters of one node. Belongs to the event loop. */
 public final class NodeMetrics {
-    /** A step that takes so long holds up everything else. */
-    private static final long LATE_MICROS = 250_000;
+    /** A step of the scheduler that takes longer holds up everything else. */
+    private static final long LATE_STEP_MICROS = 250_000;
 
-    private long restless;
+    private static final int SERVICE_UNAVAILABLE = 503;
+
+    /** What requests of agents are called; that one is refused is no sign of overload. */
+    private static final String HEARTBEAT = "report";
+
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    private long refusedOrLate;
     private final MeterRegistry registry = new SimpleMeterRegistry();
     private final Timer steps = registry.timer("woadloom.core.step");
 
-    /** By what was asked and the status: to have the registry find one costs more than to count. */
+    /** By request and status: to have the registry find a counter costs more than to count. */
     private final Map<String, Map<Integer, Counter>> httpAnswers = new HashMap<>();
 
     private final Counter answers = registry.counter("woadloom.reports.answered");
-    private final Counter launches = registry.counter("woadloom.direct.sent");
+    private final Counter directCommands = registry.counter("woadloom.direct.sent");
     private final Counter writes = registry.counter("woadloom.records.written");
     private final Counter rentals = registry.counter("woadloom.cloud.rentals");
     private final Map<String, AtomicDouble> served = new HashMap<>();
     private final Counter deletions = registry.counter("woadloom.cloud.deletions");
 
-    /** Notes the answer to a request of users or workers. */
+    /**
+     * Counts the answer to a request of a user or an agent.
+     *
+     * @param what the kind of request, as the meters name it
+     */
     public void answered(String what, int status) {
-        if (status == 503 && !what.equals("report")) {
-            restless++;
+        if (status == SERVICE_UNAVAILABLE && !what.equals(HEARTBEAT)) {
+            refusedOrLate++;
         }
         httpAnswers
                 .computeIfAbsent(what, w -> new HashMap<>())
@@ -55,23 +66,25 @@
                 .increment();
     }
 
-    /** Answers that were refused and steps that were late, since the process began. */
-    public long restless() {
-        return restless;
+    /** Users' requests that were refused and steps that were late, since the process started. */
+    public long refusedOrLate() {
+        return refusedOrLate;
     }
 
-    public void stepped(long micros) {
-        if (micros > LATE_MICROS) {
-            restless++;
+    /** Counts a step of the scheduler by the time that it took. */
+    public void onStepTaken(long micros) {
+        if (micros > LATE_STEP_MICROS) {
+            refusedOrLate++;
         }
         steps.record(micros, TimeUnit.MICROSECONDS);
     }
 
-    public void done(SchedulerAction action) {
+    /** Counts an action that the scheduler has decided on. */
+    public void onAction(SchedulerAction action) {
         if (action instanceof SchedulerAction.AnswerHeartbeat) {
             answers.increment();
         } else if (action instanceof SchedulerAction.SendDirectCommand) {
-            launches.increment();
+            directCommands.increment();
         } else if (action instanceof SchedulerAction.WriteJob
                 || action instanceof SchedulerAction.WriteFinalState) {
             writes.increment();
@@ -79,8 +92,8 @@
             rentals.increment();
         } else if (action instanceof SchedulerAction.DeleteMachines) {
             deletions.increment();
-        } else if (action instanceof SchedulerAction.PublishServiceLevels seen) {
-            seen.rows().forEach(this::served);
+        } else if (action instanceof SchedulerAction.PublishServiceLevels report) {
+            report.rows().forEach(this::setServiceLevels);
         }
     }
 
@@ -88,22 +101,22 @@
      * The latest row of each team and class stands until the next; a node that leads no more keeps
      * its last.
      */
-    private void served(ServiceLevelReport.Row row) {
+    private void setServiceLevels(ServiceLevelReport.Row row) {
         Tags tags = Tags.of("team", row.team(), "class", row.jobClass());
-        servedGauge("accepted", tags, row.accepted());
-        servedGauge("started", tags, row.fullyStarted());
-        servedGauge("over", tags, row.ended());
-        servedGauge("wait_s", tags, row.longestWaitMicros() / 1e6);
+        setServedGauge("accepted", tags, row.accepted());
+        setServedGauge("started", tags, row.fullyStarted());
+        setServedGauge("over", tags, row.ended());
+        setServedGauge("wait_s", tags, row.longestWaitMicros() / MICROS_PER_SECOND);
     }
 
-    private void servedGauge(String what, Tags tags, double value) {
+    private void setServedGauge(String what, Tags tags, double value) {
         served.computeIfAbsent(
                         what + tags,
                         key -> registry.gauge("woadloom.served." + what, tags, new AtomicDouble()))
                 .set(value);
     }
 
-    /** A value that is read whenever the metrics are. */
+    /** Registers a value that is read whenever the meters are. */
     public <T> void gauge(String name, T of, ToDoubleFunction<T> value) {
         registry.gauge(name, of, value);
     }
--- a/src/main/java/org/woadloom/node/CompressedList.java
+++ b/src/main/java/org/woadloom/node/CompressedList.java
@@ -14,17 +14,17 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * Lists as short text: reports say the same words again and again, and a value of the state service
- * may be small.
+ * Lists as deflated CBOR in Base64: heartbeats repeat themselves, and a value in the store may be
+ * small.
  */
 final class CompressedList {
     private static final String ITEMS = "items";
 
     /**
-     * What a list may be at most when it is read: far more than any value holds, so that none fills
-     * the memory.
+     * The largest list that is read, before compression: far more than any value holds, so that
+     * none fills the memory.
      */
-    static final int MOST_BYTES = 512 * 1024;
+    static final int MAX_BYTES = 512 * 1024;
 
     private CompressedList() {}
 
@@ -42,7 +42,7 @@
         try (InflaterInputStream in =
                 new InflaterInputStream(
                         new ByteArrayInputStream(Base64.getDecoder().decode(text)))) {
-            byte[] bytes = ByteStreams.limit(in, MOST_BYTES).readAllBytes();
+            byte[] bytes = ByteStreams.limit(in, MAX_BYTES).readAllBytes();
             return new Fields(Cbor.decodeMap(bytes)).list(ITEMS);
         } catch (IOException | IllegalArgumentException e) {
             throw new MalformedMessageException("letter: not a packed list");
--- a/src/main/java/org/woadloom/node/DeferredHeartbeats.java
+++ b/src/main/java/org/woadloom/node/DeferredHeartbeats.java
@@ -3,18 +3,16 @@
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.woadloom.http.Response;
 import org.woadloom.net.EventLoop;
 
 /**
- * Reports that came while there was no leader. They go on their way once there is one, or are sent
- * back in time.
+ * Heartbeats that arrived while there was no leader. They are routed once there is one; an agent
+ * whose heartbeat waits in vain is sent to another node in time.
  */
 final class DeferredHeartbeats {
-    /** Less than the four seconds for which a worker waits. */
+    /** Less than the four seconds for which an agent waits for an answer. */
     static final long WAIT_MICROS = 3_000_000;
 
     private final EventLoop loop;
@@ -23,15 +21,12 @@
     private long refused;
     private final Set<Entry> waiting = new LinkedHashSet<>();
 
-    /** One report, with the time until which it may wait for its answer. */
-    record PendingHeartbeat(byte[] body, Consumer<Response> answer, long untilMicros) {}
-
-    /** Told apart by identity: two reports may have the same content. */
+    /** Compared by identity: two heartbeats may have the same content. */
     private static final class Entry {
-        final PendingHeartbeat report;
+        private final PendingHeartbeat heartbeat;
 
-        Entry(PendingHeartbeat report) {
-            this.report = report;
+        Entry(PendingHeartbeat heartbeat) {
+            this.heartbeat = heartbeat;
         }
     }
 
@@ -41,34 +36,41 @@
         this.route = route;
     }
 
-    void defer(PendingHeartbeat report) {
-        long left = report.untilMicros - loop.nowMicros();
-        boolean full = waiting.size() >= maxWaiting;
-        refused += full ? 1 : 0;
-        if (left <= 0 || full) {
-            report.answer.accept(Response.of(421, Map.of()));
+    /** Keeps a heartbeat, or sends its agent elsewhere at once where too many wait. */
+    void defer(PendingHeartbeat heartbeat) {
+        long remainingMicros = heartbeat.untilMicros() - loop.nowMicros();
+        boolean isFull = waiting.size() >= maxWaiting;
+        if (isFull) {
+            refused++;
+        }
+        if (remainingMicros <= 0 || isFull) {
+            sendElsewhere(heartbeat);
             return;
         }
-        Entry entry = new Entry(report);
+        Entry entry = new Entry(heartbeat);
         waiting.add(entry);
         loop.schedule(
-                left,
+                remainingMicros,
                 () -> {
                     if (waiting.remove(entry)) {
-                        report.answer.accept(Response.of(421, Map.of()));
+                        sendElsewhere(heartbeat);
                     }
                 });
     }
 
-    /** Reports that were sent back because too many waited, since the process began. */
+    private static void sendElsewhere(PendingHeartbeat heartbeat) {
+        heartbeat.answer().accept(HeartbeatResponses.wrongNode());
+    }
+
+    /** Heartbeats that were sent back because too many waited, since the process started. */
     long refused() {
         return refused;
     }
 
-    /** Sends all on their way. */
+    /** Routes all that wait. */
     void releaseAll() {
-        List<Entry> all = new ArrayList<>(waiting);
+        List<Entry> released = new ArrayList<>(waiting);
         waiting.clear();
-        all.forEach(entry -> route.accept(entry.report));
+        released.forEach(entry -> route.accept(entry.heartbeat));
     }
 }
--- a/src/main/java/org/woadloom/node/DelegatedLeaseRenewer.java
+++ b/src/main/java/org/woadloom/node/DelegatedLeaseRenewer.java
@@ -1,8 +1,6 @@
 package org.woadloom.node;
 
 import java.util.HashMap;
-import java.util.LinkedHashMap;
-import java.util.List;
 import java.util.Map;
 import java.util.Random;
 import org.slf4j.Logger;
@@ -18,41 +16,47 @@
 import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.settings.ServiceSettings;
 
-/** Answers workers in the leader's place while this node is cut off with them. */
+/**
+ * Renews the leases of agents in the leader's place while this node is cut off together with them.
+ * Belongs to the event loop.
+ */
 final class DelegatedLeaseRenewer {
     private static final Logger LOG = LoggerFactory.getLogger(DelegatedLeaseRenewer.class);
-    private static final long FRESH_MICROS = 2_500_000;
+
+    /** A peer's status counts as its present one for so long: some three pings. */
+    private static final long STATUS_VALID_MICROS = 2_500_000;
 
     private final EventLoop loop;
-    private final DelegationTimeouts rules;
+    private final DelegationTimeouts timeouts;
     private final LeaseDelegate delegate;
 
-    /** What the other nodes last said of themselves, and when. */
-    private final Map<String, Heard> peerStatuses = new HashMap<>();
+    /** The other nodes' latest status, by their labels. */
+    private final Map<String, ReceivedStatus> peerStatuses = new HashMap<>();
 
-    /** The tokens that workers in this node's care had when that began. */
+    /** The tokens that agents had when this node started to renew their leases. */
     private final Map<String, Long> tokens = new HashMap<>();
 
-    private boolean isEnabled;
-    private long loggedMicros = Long.MIN_VALUE / 2;
+    private boolean enabled;
+    private long lastLoggedMicros = Long.MIN_VALUE / 2;
 
-    private record Heard(long atMicros, PeerStatus status) {}
+    private record ReceivedStatus(long receivedMicros, PeerStatus status) {}
 
     DelegatedLeaseRenewer(EventLoop loop, ServiceSettings settings, Random random) {
         this.loop = loop;
-        rules =
+        timeouts =
                 DelegationTimeouts.of(
                         settings.agents().leaseMicros(), settings.agents().cancelMicros());
-        delegate = new LeaseDelegate(rules, settings.zone(), random.nextLong(), loop.nowMicros());
+        delegate =
+                new LeaseDelegate(timeouts, settings.zone(), random.nextLong(), loop.nowMicros());
     }
 
-    /** Every node runs a version that knows of care, and the operators want it. */
+    /** Every node runs a version that knows of delegation, and the operators want it. */
     void enable() {
-        isEnabled = true;
+        enabled = true;
     }
 
     boolean isEnabled() {
-        return isEnabled;
+        return enabled;
     }
 
     void onStoreAnswer(boolean served) {
@@ -72,59 +76,57 @@
     }
 
     void onPeerStatus(String peer, PeerStatus status) {
-        peerStatuses.put(peer, new Heard(loop.nowMicros(), status));
+        peerStatuses.put(peer, new ReceivedStatus(loop.nowMicros(), status));
     }
 
     void onDelegation(LeaseDelegation delegation) {
         delegate.onDelegation(delegation);
     }
 
-    /** True while this node has lost the leader and the state service, and its warrant lasts. */
+    /** True while this node has lost the leader and the store, and its delegation lasts. */
     boolean mayRenew() {
-        return isEnabled && delegate.mayRenew(loop.nowMicros());
+        return enabled && delegate.mayRenew(loop.nowMicros());
     }
 
     /**
-     * The answer to a report that finds no leader: the worker's own token and no orders; null where
-     * care may not be taken.
+     * The answer to a heartbeat that finds no leader: the agent's own token and no commands; null
+     * where this node may not renew the lease.
      */
-    Response answer(byte[] report) {
+    Response answer(byte[] body) {
         long now = loop.nowMicros();
         if (!mayRenew()) {
             tokens.clear();
             return null;
         }
         try {
-            Heartbeat agent = Heartbeat.read(report);
-            long fencingToken = agent.fencingToken();
-            Long before = tokens.putIfAbsent(agent.host(), fencingToken);
+            Heartbeat heartbeat = Heartbeat.read(body);
+            long fencingToken = heartbeat.fencingToken();
+            Long before = tokens.putIfAbsent(heartbeat.host(), fencingToken);
             if (before != null && fencingToken > before) {
-                // The leader reaches this worker, so it is this node alone that is cut off.
+                // The leader reaches this agent, so it is this node alone that is cut off.
                 return null;
             }
-            if (!delegate.tryRenew(agent.zone(), fencingToken >> AgentLiveness.FENCE_BITS, now)) {
+            if (!delegate.tryRenew(
+                    heartbeat.zone(), fencingToken >> AgentLiveness.FENCE_BITS, now)) {
                 return null;
             }
-            if (now - loggedMicros > rules.silenceMicros()) {
-                loggedMicros = now;
-                LOG.info("event=delegated_lease_renewal machine={}", agent.host());
+            if (now - lastLoggedMicros > timeouts.silenceMicros()) {
+                lastLoggedMicros = now;
+                LOG.info("event=delegated_lease_renewal machine={}", heartbeat.host());
             }
-            Map<String, Object> answer = new LinkedHashMap<>();
-            answer.put("epoch", fencingToken);
-            answer.put("orders", List.of());
-            return Response.of(200, answer);
+            return HeartbeatResponses.renewed(fencingToken);
         } catch (MalformedMessageException e) {
             return null;
         }
     }
 
-    /** True if a peer has said just now that the state service serves it. */
+    /** True if a peer has reported just now that the store serves it. */
     boolean arePeersServed() {
         long now = loop.nowMicros();
         return peerStatuses.values().stream()
                 .anyMatch(
-                        said ->
-                                now - said.atMicros <= FRESH_MICROS
-                                        && said.status.storeSilentMicros() == 0);
+                        received ->
+                                now - received.receivedMicros <= STATUS_VALID_MICROS
+                                        && received.status.storeSilentMicros() == 0);
     }
 }
--- a/src/main/java/org/woadloom/node/EventQueue.java
+++ b/src/main/java/org/woadloom/node/EventQueue.java
@@ -13,17 +13,20 @@
 import org.woadloom.net.EventLoop;
 
 /**
- * The queue in front of the core: whatever has gathered by the time the core gets its turn is one
- * batch. The core then pauses for a multiple of what the batch took, so that under load the batches
- * grow and sockets are still served.
+ * The queue in front of the scheduler: whatever has gathered by the time the scheduler gets its
+ * turn is one batch. The scheduler then pauses for a multiple of what the batch took, so that under
+ * load the batches grow and sockets are still served. Events may be added from any thread; batches
+ * are taken on the event loop.
  */
 public final class EventQueue {
-    private static final long PAUSE_MICROS = 8_000;
+    private static final long MIN_PAUSE_MICROS = 8_000;
     private static final long MAX_PAUSE_MICROS = 200_000;
-    private static final int PAUSE_PER_STEP = 2;
+
+    /** The pause after a batch, as a multiple of the time that the batch took. */
+    private static final int PAUSE_FACTOR = 2;
 
     private final EventLoop loop;
-    private final Scheduler core;
+    private final Scheduler scheduler;
     private final Executor executor;
     private final NodeMetrics metrics;
     private final int maxHeartbeats;
@@ -32,16 +35,21 @@
             new ManyToOneConcurrentLinkedQueue<>();
     private final AtomicInteger queuedHeartbeats = new AtomicInteger();
     private final AtomicLong refused = new AtomicLong();
-    private final AtomicBoolean scheduled = new AtomicBoolean();
+    private final AtomicBoolean drainScheduled = new AtomicBoolean();
+
+    /** The next batch is not taken before this time; at first long before any time of the loop. */
     private volatile long notBeforeMicros = Long.MIN_VALUE / 2;
 
-    /** Carries out what the core wants done. */
+    /** Carries out the scheduler's actions. */
     public interface Executor {
+        /** Called on the event loop after each batch, also without any action. */
         void execute(List<SchedulerAction> actions);
     }
 
     /**
-     * @param mostRepeatable how many commands may wait that their senders repeat by themselves
+     * Creates a queue without an observer.
+     *
+     * @param maxHeartbeats how many heartbeats may wait; their agents repeat them by themselves
      */
     public EventQueue(
             EventLoop loop,
@@ -61,7 +69,7 @@
             Executor executor,
             StepObserver observer) {
         this.loop = loop;
-        this.core = scheduler;
+        this.scheduler = scheduler;
         this.executor = executor;
         this.metrics = metrics;
         this.maxHeartbeats = maxHeartbeats;
@@ -69,8 +77,8 @@
     }
 
     /**
-     * Takes what must not get lost: the outcome of something that was asked for. What is under way
-     * bounds their number.
+     * Adds an event that must not get lost: the outcome of something that was asked for. What is
+     * under way bounds their number.
      */
     public void add(SchedulerEvent event) {
         queue.add(event);
@@ -78,29 +86,29 @@
     }
 
     /**
-     * Takes a report, which its worker repeats; returns false if too many wait, and it is dropped
+     * Adds a heartbeat, which its agent repeats; returns false if too many wait, and it is dropped
      * then.
      */
-    public boolean offer(SchedulerEvent.HeartbeatReceived report) {
+    public boolean offer(SchedulerEvent.HeartbeatReceived heartbeat) {
         if (queuedHeartbeats.incrementAndGet() > maxHeartbeats) {
             queuedHeartbeats.decrementAndGet();
             refused.incrementAndGet();
             return false;
         }
-        add(report);
+        add(heartbeat);
         return true;
     }
 
-    /** Reports that were refused because too many waited, since the process began. */
+    /** Heartbeats that were refused because too many waited, since the process started. */
     long refused() {
         return refused.get();
     }
 
     private void wake() {
-        if (scheduled.compareAndSet(false, true)) {
-            long wait = notBeforeMicros - loop.nowMicros();
-            if (wait > 0) {
-                loop.schedule(wait, this::drain);
+        if (drainScheduled.compareAndSet(false, true)) {
+            long waitMicros = notBeforeMicros - loop.nowMicros();
+            if (waitMicros > 0) {
+                loop.schedule(waitMicros, this::drain);
             } else {
                 loop.execute(this::drain);
             }
@@ -109,6 +117,21 @@
 
     private void drain() {
         long startMicros = loop.nowMicros();
+        List<SchedulerEvent> batch = takeBatch();
+        List<SchedulerAction> actions = scheduler.step(startMicros, loop.wallMicros(), batch);
+        metrics.onStepTaken(loop.nowMicros() - startMicros);
+        observer.onStep(startMicros, batch, actions);
+        actions.forEach(metrics::onAction);
+        executor.execute(actions);
+        long endMicros = loop.nowMicros();
+        notBeforeMicros = endMicros + pauseMicros(endMicros - startMicros);
+        drainScheduled.set(false);
+        if (!queue.isEmpty()) {
+            wake();
+        }
+    }
+
+    private List<SchedulerEvent> takeBatch() {
         List<SchedulerEvent> batch = new ArrayList<>();
         for (SchedulerEvent event = queue.poll(); event != null; event = queue.poll()) {
             if (event instanceof SchedulerEvent.HeartbeatReceived) {
@@ -116,20 +139,10 @@
             }
             batch.add(event);
         }
-        List<SchedulerAction> actions = core.step(startMicros, loop.wallMicros(), batch);
-        metrics.stepped(loop.nowMicros() - startMicros);
-        observer.onStep(startMicros, batch, actions);
-        actions.forEach(metrics::done);
-        executor.execute(actions);
-        long endMicros = loop.nowMicros();
-        notBeforeMicros =
-                endMicros
-                        + Math.min(
-                                MAX_PAUSE_MICROS,
-                                Math.max(PAUSE_MICROS, (endMicros - startMicros) * PAUSE_PER_STEP));
-        scheduled.set(false);
-        if (!queue.isEmpty()) {
-            wake();
-        }
+        return batch;
+    }
+
+    private static long pauseMicros(long batchMicros) {
+        return Math.min(MAX_PAUSE_MICROS, Math.max(MIN_PAUSE_MICROS, batchMicros * PAUSE_FACTOR));
     }
 }
--- /dev/null
+++ b/src/main/java/org/woadloom/node/NodeGauges.java
@@ -0,0 +1,70 @@
+package org.woadloom.node;
+
+import org.woadloom.agent.AgentConnectionBalancer;
+import org.woadloom.core.Scheduler;
+import org.woadloom.http.JobApi;
+import org.woadloom.leader.Election;
+import org.woadloom.metrics.NodeMetrics;
+import org.woadloom.store.StoreClient;
+
+/** Registers what is measured of a node's parts whenever its metrics are read. */
+final class NodeGauges {
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    private NodeGauges() {}
+
+    static void registerUsersAndElection(
+            NodeMetrics metrics, JobApi jobs, Node node, Election election) {
+        metrics.gauge(
+                "woadloom.jobs.unanswered_s",
+                jobs,
+                j -> j.longestUnansweredMicros() / MICROS_PER_SECOND);
+        metrics.gauge("woadloom.alone", node, n -> n.isIsolated() ? 1 : 0);
+        metrics.gauge("woadloom.leader", election, e -> e.isLeader() ? 1 : 0);
+        metrics.gauge("woadloom.term", election, Election::knownTerm);
+    }
+
+    static void registerStore(NodeMetrics metrics, StoreClient store) {
+        metrics.gauge("woadloom.state.troubles", store, StoreClient::failures);
+        metrics.gauge("woadloom.state.shed", store, StoreClient::shed);
+    }
+
+    static void registerScheduler(
+            NodeMetrics metrics, Scheduler scheduler, RolloutParticipant rollout) {
+        metrics.gauge("woadloom.jobs", scheduler, Scheduler::jobs);
+        metrics.gauge("woadloom.machines", scheduler, Scheduler::machines);
+        metrics.gauge("woadloom.machines.deaf", scheduler, Scheduler::unreachableMachines);
+        metrics.gauge("woadloom.jobs.waiting", scheduler, Scheduler::blockedJobs);
+        metrics.gauge("woadloom.rollout.number", rollout, RolloutParticipant::number);
+        metrics.gauge("woadloom.rollout.on", rollout, RolloutParticipant::enabledCount);
+        metrics.gauge("woadloom.rollout.rewrite", scheduler, Scheduler::recordsToMigrate);
+        metrics.gauge("woadloom.rollout.unreadable", scheduler, Scheduler::unreadableRecords);
+        metrics.gauge("woadloom.rollout.closed", rollout, r -> r.closedReason() == null ? 0 : 1);
+        metrics.gauge("woadloom.reservations", scheduler, Scheduler::reservations);
+    }
+
+    static void registerCancellations(NodeMetrics metrics, CancellationConfirmer confirmations) {
+        metrics.gauge(
+                "woadloom.cancellations.behind_s",
+                confirmations,
+                c -> c.lagMicros() / MICROS_PER_SECOND);
+        metrics.gauge(
+                "woadloom.cancellations.waiting", confirmations, CancellationConfirmer::waiting);
+        metrics.gauge(
+                "woadloom.cancellations.malformed",
+                confirmations,
+                CancellationConfirmer::malformed);
+    }
+
+    static void registerQueues(
+            NodeMetrics metrics,
+            EventQueue queue,
+            HeartbeatRouter heartbeats,
+            PeerTracker peers,
+            AgentConnectionBalancer connectionBalancer) {
+        metrics.gauge("woadloom.reports.queue_full", queue, EventQueue::refused);
+        metrics.gauge("woadloom.reports.parked_full", heartbeats, HeartbeatRouter::refused);
+        metrics.gauge("woadloom.peers.queue_full", peers, PeerTracker::refused);
+        metrics.gauge("woadloom.workers.here", connectionBalancer, AgentConnectionBalancer::size);
+    }
+}
--- a/src/main/java/org/woadloom/node/PeerTracker.java
+++ b/src/main/java/org/woadloom/node/PeerTracker.java
@@ -19,28 +19,31 @@
 import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.store.JobRecord;
 
-/** What this node knows of the others' reach, and what it has them carry. */
+/**
+ * Exchanges messages with the other nodes, and knows which of them can be reached. Belongs to the
+ * event loop.
+ */
 final class PeerTracker implements PeerTransport.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(PeerTracker.class);
     private static final long PING_MICROS = 700_000;
-    private static final long REACH_MICROS = 2_500_000;
-    private static final long CARRY_MICROS = 3_500_000;
-    private static final int REFUSALS = 2;
+
+    /** A leader that refuses connections so often in a row has most likely ended. */
+    private static final int REFUSALS_OF_ENDED_LEADER = 2;
 
     /** What arrives for this node. */
     interface Inbox {
         void onJobChanged(JobRecord record, long revision);
 
-        void onForwardedHeartbeat(byte[] report, Consumer<Response> answer);
+        void onForwardedHeartbeat(byte[] heartbeat, Consumer<Response> answer);
 
-        /** How this node stands, for the leader; null where it does not speak of that. */
+        /** This node's status for the leader; null where it sends none. */
         PeerStatus status();
 
         void onPeerStatus(String peer, PeerStatus status);
 
         void onDelegation(LeaseDelegation delegation);
 
-        /** It is time to vouch for what this node told. */
+        /** It is time to send a watermark report of confirmed cancellations. */
         void sendCancellationReport();
 
         void onCancellationReport(String peer, WatermarkReport report);
@@ -52,107 +55,108 @@
     }
 
     private final EventLoop loop;
-    private final PeerTransport net;
+    private final PeerTransport transport;
     private final List<String> labels;
     private final Election election;
     private final RolloutParticipant rollout;
     private final Inbox inbox;
-    private final Map<String, Link> links = new HashMap<>();
-    private final Map<Long, Consumer<Response>> forwarded = new HashMap<>();
-    private long ids;
-    private long refused;
-
-    private static final class Link {
-        boolean connected;
-        long heardMicros = Long.MIN_VALUE / 2;
-
-        /** The leader's term during which a connection to it stood. */
-        long connectedInTerm;
-
-        int refusals;
-    }
+    private final ForwardedHeartbeats forwarded;
+    private final Map<String, PeerLink> links = new HashMap<>();
 
+    /**
+     * @param labels of the other nodes
+     */
     PeerTracker(
             EventLoop loop,
-            PeerTransport net,
+            PeerTransport transport,
             List<String> labels,
             Election election,
             RolloutParticipant rollout,
             Inbox inbox) {
-        this.labels = labels;
         this.loop = loop;
-        this.net = net;
+        this.transport = transport;
+        this.labels = labels;
         this.election = election;
         this.rollout = rollout;
         this.inbox = inbox;
+        forwarded = new ForwardedHeartbeats(loop, transport);
     }
 
     void start() {
-        net.start(this);
+        transport.start(this);
         ping();
     }
 
     private void ping() {
         String leader = election.leader();
         if (leader != null && !election.isLeader()) {
-            Link link = link(leader);
-            if (link.connected) {
-                link.connectedInTerm = election.knownTerm();
+            PeerLink link = link(leader);
+            if (link.isConnected()) {
+                link.onConnectedToLeader(election.knownTerm());
             }
         }
         announceTerm();
         PeerStatus status = inbox.status();
         if (status != null && leader != null) {
-            PeerMessage mine = new PeerMessage.StatusReport(status);
-            if (election.isLeader()) {
-                inbox.onPeerStatus(leader, status);
-                // One that was started while the state service is down learns from it what is
-                // agreed on.
-                labels.forEach(label -> net.send(label, mine));
-            } else {
-                net.send(leader, mine);
-            }
+            sendStatus(leader, status);
         }
         inbox.sendCancellationReport();
         loop.schedule(PING_MICROS, this::ping);
     }
 
+    private void sendStatus(String leader, PeerStatus status) {
+        PeerMessage message = new PeerMessage.StatusReport(status);
+        if (election.isLeader()) {
+            inbox.onPeerStatus(leader, status);
+            // A node that was started while the store is down learns from it what is agreed on.
+            labels.forEach(label -> transport.send(label, message));
+        } else {
+            transport.send(leader, message);
+        }
+    }
+
     /**
      * Tells all peers which term this node knows of, at once where that has changed: users may wait
      * for just that.
      */
     void announceTerm() {
-        PeerMessage said = term();
-        labels.forEach(label -> net.send(label, said));
+        PeerMessage message = termMessage();
+        labels.forEach(label -> transport.send(label, message));
     }
 
-    private PeerMessage term() {
+    private PeerMessage termMessage() {
         String leader = election.leader();
         return new PeerMessage.Ping(
                 election.knownTerm(), leader == null ? "" : leader, rollout.view());
     }
 
-    private Link link(String label) {
-        return links.computeIfAbsent(label, l -> new Link());
+    private PeerLink link(String label) {
+        return links.computeIfAbsent(label, l -> new PeerLink());
     }
 
-    /** True if the peer was heard lately and the direct link to it stands. */
+    /** True if the peer was heard from lately and the direct connection to it stands. */
     boolean isReachable(String label) {
-        Link link = link(label);
-        return link.connected && loop.nowMicros() - link.heardMicros < REACH_MICROS;
+        return link(label).isReachable(loop.nowMicros());
     }
 
-    /** The peers that are reached, in the order of the settings. */
+    /** The peers that can be reached, in the order of the settings. */
     List<String> reachablePeers() {
         return labels.stream().filter(this::isReachable).toList();
     }
 
+    /** The leader where messages reach it, this node perhaps; null otherwise. */
+    String reachableLeader() {
+        String leader = election.leader();
+        boolean isReachable = leader != null && (election.isLeader() || isReachable(leader));
+        return isReachable ? leader : null;
+    }
+
     /**
      * True if the peer takes no connections, and has most likely ended. Where others refuse as well
-     * and none can be reached, it is more likely the way between nodes that is closed.
+     * and none can be reached, it is more likely the network between the nodes that is closed.
      */
     boolean isGone(String label) {
-        if (!isRefusing(label) || link(label).connected) {
+        if (!isRefusing(label) || link(label).isConnected()) {
             return false;
         }
         boolean othersRefuse = false;
@@ -168,133 +172,121 @@
     }
 
     /**
-     * True if the peer's host says that it takes no connections: the way to it is open, for workers
+     * True if the peer's host says that it takes no connections: the way to it is open, for agents
      * at least.
      */
     boolean isRefusing(String label) {
-        return link(label).refusals > 0;
+        return link(label).refusals() > 0;
     }
 
     void notifyJobChanged(String leader, JobRecord record, long revision) {
-        net.send(
-                leader,
-                new PeerMessage.JobChangeNotification(
-                        Cbor.encode(record.toMap(rollout.format())), revision));
+        byte[] content = Cbor.encode(record.toMap(rollout.format()));
+        transport.send(leader, new PeerMessage.JobChangeNotification(content, revision));
     }
 
     void sendDelegation(String label, LeaseDelegation delegation) {
-        net.send(label, new PeerMessage.Delegation(delegation));
+        transport.send(label, new PeerMessage.Delegation(delegation));
     }
 
     void sendCancellationReport(String leader, WatermarkReport report) {
-        net.send(leader, new PeerMessage.CancellationReport(report));
+        transport.send(leader, new PeerMessage.CancellationReport(report));
     }
 
     void sendCancellationReportAck(String label, WatermarkAck ack) {
-        net.send(label, new PeerMessage.CancellationReportAck(ack));
+        transport.send(label, new PeerMessage.CancellationReportAck(ack));
+    }
+
+    /** Has the leader decide a heartbeat; the answer is 503 if none comes while the agent waits. */
+    void forward(String leader, byte[] heartbeat, Consumer<Response> answer) {
+        forwarded.forward(leader, heartbeat, answer);
     }
 
     /**
-     * Reports that were not carried because the queue to the leader was full, since the process
-     * began.
+     * Heartbeats that were not forwarded because the queue to the leader was full, since the
+     * process started.
      */
     long refused() {
-        return refused;
-    }
-
-    /** Has the leader decide a report; the answer is 503 if none comes while the worker waits. */
-    void forward(String leader, byte[] report, Consumer<Response> answer) {
-        if (!net.accepts(leader)) {
-            refused++;
-            answer.accept(Response.unavailable("too much waits for the leader"));
-            return;
-        }
-        long id = ++ids;
-        forwarded.put(id, answer);
-        net.send(leader, new PeerMessage.ForwardHeartbeat(id, report));
-        loop.schedule(
-                CARRY_MICROS,
-                () -> {
-                    Consumer<Response> waiting = forwarded.remove(id);
-                    if (waiting != null) {
-                        waiting.accept(Response.unavailable("the leader does not answer"));
-                    }
-                });
+        return forwarded.refused();
     }
 
     @Override
     public void onMessage(String from, PeerMessage message) {
-        link(from).heardMicros = loop.nowMicros();
+        link(from).onMessage(loop.nowMicros());
         if (message instanceof PeerMessage.Ping ping) {
-            rollout.onPeerView(from, ping.rollout());
-            inbox.onPeerTerm(from, ping.term(), from.equals(ping.leader()));
-            if (ping.leader() != null && !ping.leader().isEmpty()) {
-                election.onPeerLeader(ping.leader(), ping.term());
-            }
-        } else if (message instanceof PeerMessage.JobChangeNotification hint) {
-            try {
-                Map<String, Object> record = Cbor.decodeMap(hint.record());
-                rollout.onFormatSeen(JobRecord.formatOf(record));
-                inbox.onJobChanged(JobRecord.parse(record), hint.revision());
-            } catch (MalformedMessageException e) {
-                LOG.error(
-                        "event=job_notification_unreadable node={} error=\"{}\"",
-                        from,
-                        e.getMessage());
-            }
-        } else if (message instanceof PeerMessage.StatusReport stands) {
+            onPing(from, ping);
+        } else if (message instanceof PeerMessage.JobChangeNotification notification) {
+            onJobChangeNotification(from, notification);
+        } else if (message instanceof PeerMessage.StatusReport report) {
             rollout.onDelegationMessage();
-            inbox.onPeerStatus(from, stands.status());
-        } else if (message instanceof PeerMessage.Delegation warranted) {
-            inbox.onDelegation(warranted.delegation());
-        } else if (message instanceof PeerMessage.CancellationReport vouched) {
-            inbox.onCancellationReport(from, vouched.report());
-        } else if (message instanceof PeerMessage.CancellationReportAck taken) {
-            inbox.onCancellationReportAck(taken.ack());
-        } else if (message instanceof PeerMessage.ForwardHeartbeat carry) {
-            inbox.onForwardedHeartbeat(
-                    carry.heartbeat(),
-                    response ->
-                            net.send(
-                                    from,
-                                    new PeerMessage.ForwardedAnswer(
-                                            carry.id(), response.status(), response.body())));
-        } else if (message instanceof PeerMessage.ForwardedAnswer carried) {
-            Consumer<Response> waiting = forwarded.remove(carried.id());
-            if (waiting != null) {
-                waiting.accept(Response.cbor(carried.status(), carried.answer()));
-            }
+            inbox.onPeerStatus(from, report.status());
+        } else if (message instanceof PeerMessage.Delegation granted) {
+            inbox.onDelegation(granted.delegation());
+        } else if (message instanceof PeerMessage.CancellationReport report) {
+            inbox.onCancellationReport(from, report.report());
+        } else if (message instanceof PeerMessage.CancellationReportAck acknowledged) {
+            inbox.onCancellationReportAck(acknowledged.ack());
+        } else if (message instanceof PeerMessage.ForwardHeartbeat forward) {
+            onForwardHeartbeat(from, forward);
+        } else if (message instanceof PeerMessage.ForwardedAnswer answer) {
+            forwarded.onAnswer(answer);
         }
     }
 
+    private void onPing(String from, PeerMessage.Ping ping) {
+        rollout.onPeerView(from, ping.rollout());
+        inbox.onPeerTerm(from, ping.term(), from.equals(ping.leader()));
+        if (ping.leader() != null && !ping.leader().isEmpty()) {
+            election.onPeerLeader(ping.leader(), ping.term());
+        }
+    }
+
+    private void onJobChangeNotification(
+            String from, PeerMessage.JobChangeNotification notification) {
+        try {
+            Map<String, Object> record = Cbor.decodeMap(notification.record());
+            rollout.onFormatSeen(JobRecord.formatOf(record));
+            inbox.onJobChanged(JobRecord.parse(record), notification.revision());
+        } catch (MalformedMessageException e) {
+            LOG.error(
+                    "event=job_notification_unreadable node={} error=\"{}\"", from, e.getMessage());
+        }
+    }
+
+    private void onForwardHeartbeat(String from, PeerMessage.ForwardHeartbeat forward) {
+        inbox.onForwardedHeartbeat(
+                forward.heartbeat(),
+                response ->
+                        transport.send(
+                                from,
+                                new PeerMessage.ForwardedAnswer(
+                                        forward.id(), response.status(), response.body())));
+    }
+
     @Override
     public void onConnected(String label) {
-        Link link = link(label);
-        link.connected = true;
-        link.refusals = 0;
-        link.heardMicros = loop.nowMicros();
+        PeerLink link = link(label);
+        link.onConnected(loop.nowMicros());
         if (label.equals(election.leader())) {
-            link.connectedInTerm = election.knownTerm();
+            link.onConnectedToLeader(election.knownTerm());
         }
-        // A process that has just begun waits for a word of each.
-        net.send(label, term());
+        // A process that has just started waits for a message from each peer.
+        transport.send(label, termMessage());
     }
 
     @Override
     public void onConnectionLost(String label, boolean refused) {
-        Link link = link(label);
-        link.connected = false;
+        PeerLink link = link(label);
+        link.onConnectionLost();
         if (!refused) {
             return;
         }
-        link.refusals++;
-        // A leader that we could reach in its term, and that refuses now, is most likely dead. If
-        // it only refuses us,
-        // it will lead again in a term in which we never reached it, and then its grant decides: no
-        // ping-pong.
-        if (link.refusals >= REFUSALS
+        link.onConnectionRefused();
+        // A leader that this node could reach in its term, and that refuses now, has most likely
+        // ended. If it refuses this node alone, it will lead again in a term in which this node
+        // never reached it, and then its store lease decides: leadership does not swing.
+        if (link.refusals() >= REFUSALS_OF_ENDED_LEADER
                 && label.equals(election.leader())
-                && link.connectedInTerm == election.knownTerm()
+                && link.wasConnectedInTerm(election.knownTerm())
                 && isGone(label)) {
             election.takeOverFrom(label);
         }
--- /dev/null
+++ b/src/main/java/org/woadloom/node/RecordReads.java
@@ -0,0 +1,135 @@
+package org.woadloom.node;
+
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import org.woadloom.core.SchedulerEvent;
+import org.woadloom.core.SchedulerEvent.DependencyState;
+import org.woadloom.protocol.MalformedMessageException;
+import org.woadloom.store.FinalRecord;
+import org.woadloom.store.MachineRecord;
+import org.woadloom.store.StoreClient;
+import org.woadloom.store.StoreClient.RequestPriority;
+import org.woadloom.store.StoreClient.Result;
+import org.woadloom.store.StoreKeys;
+
+/** Reads single records for a leader's scheduler; each answer is one of its events. */
+final class RecordReads {
+    private static final Logger LOG = LoggerFactory.getLogger(RecordReads.class);
+
+    private final StoreClient store;
+    private final JobRecordReader jobRecords;
+    private final EventQueue queue;
+
+    RecordReads(StoreClient store, JobRecordReader jobRecords, EventQueue queue) {
+        this.store = store;
+        this.jobRecords = jobRecords;
+        this.queue = queue;
+    }
+
+    void readJob(LeadershipTerm term, String jobId) {
+        store.get(
+                RequestPriority.URGENT,
+                StoreKeys.job(jobId),
+                (result, entry, storeRevision) -> {
+                    if (!term.isActive()) {
+                        return;
+                    }
+                    if (result == Result.OK) {
+                        addJob(entry);
+                    } else if (result == Result.NOT_FOUND) {
+                        queue.add(new SchedulerEvent.JobRecordNotFound(jobId));
+                    } else {
+                        queue.add(new SchedulerEvent.JobReadFailed(jobId));
+                    }
+                });
+    }
+
+    /**
+     * Finds out how a job stands on which another depends. Its record is read first, as a job moves
+     * from there to its final state in one transaction.
+     */
+    void resolveDependency(LeadershipTerm term, String jobId) {
+        store.get(
+                RequestPriority.URGENT,
+                StoreKeys.job(jobId),
+                (result, entry, storeRevision) -> {
+                    if (!term.isActive()) {
+                        return;
+                    }
+                    if (result == Result.OK) {
+                        addJob(entry);
+                        queue.add(dependency(jobId, DependencyState.OPEN));
+                    } else if (result == Result.NOT_FOUND) {
+                        resolveByFinalState(term, jobId);
+                    } else {
+                        queue.add(dependency(jobId, DependencyState.UNREADABLE));
+                    }
+                });
+    }
+
+    void readMachine(LeadershipTerm term, String host) {
+        store.get(
+                RequestPriority.NORMAL,
+                StoreKeys.machine(host),
+                (result, entry, storeRevision) -> {
+                    if (term.isActive()) {
+                        queue.add(machineRead(host, result, entry));
+                    }
+                });
+    }
+
+    private void addJob(StoreClient.Entry entry) {
+        queue.add(jobRecords.toEvent(entry.path(), entry.value(), entry.revision()));
+    }
+
+    private void resolveByFinalState(LeadershipTerm term, String jobId) {
+        store.get(
+                RequestPriority.URGENT,
+                StoreKeys.finalState(jobId),
+                (result, entry, storeRevision) -> {
+                    if (term.isActive()) {
+                        queue.add(finalDependency(jobId, result, entry));
+                    }
+                });
+    }
+
+    private static SchedulerEvent.DependencyResolved finalDependency(
+            String jobId, Result result, StoreClient.Entry entry) {
+        if (result == Result.NOT_FOUND) {
+            LOG.error("event=dependency_not_found job={}", jobId);
+            return dependency(jobId, DependencyState.NOT_FOUND);
+        }
+        if (result != Result.OK) {
+            return dependency(jobId, DependencyState.UNREADABLE);
+        }
+        try {
+            FinalRecord record = FinalRecord.parse(jobId, entry.value());
+            DependencyState state =
+                    record.cancelled() ? DependencyState.CANCELLED : DependencyState.DONE;
+            return new SchedulerEvent.DependencyResolved(jobId, state, record.wallMicros());
+        } catch (MalformedMessageException e) {
+            UnreadableRecords.log(entry.path(), e);
+            return dependency(jobId, DependencyState.UNREADABLE);
+        }
+    }
+
+    private static SchedulerEvent.DependencyResolved dependency(
+            String jobId, DependencyState state) {
+        return new SchedulerEvent.DependencyResolved(jobId, state, 0);
+    }
+
+    private static SchedulerEvent machineRead(String host, Result result, StoreClient.Entry entry) {
+        if (result == Result.NOT_FOUND) {
+            return new SchedulerEvent.MachineRecordRead(host, null, 0);
+        }
+        if (result != Result.OK) {
+            return new SchedulerEvent.MachineReadFailed(host);
+        }
+        try {
+            MachineRecord record = MachineRecord.parse(host, entry.value());
+            return new SchedulerEvent.MachineRecordRead(host, record, entry.revision());
+        } catch (MalformedMessageException e) {
+            return new SchedulerEvent.MachineReadFailed(host);
+        }
+    }
+}
--- a/src/main/java/org/woadloom/node/RolloutActions.java
+++ b/src/main/java/org/woadloom/node/RolloutActions.java
@@ -3,8 +3,6 @@
 import com.google.common.collect.ImmutableMap;
 import java.util.ArrayList;
 import java.util.List;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 import org.woadloom.core.SchedulerAction;
 import org.woadloom.core.SchedulerEvent;
 import org.woadloom.leader.RecordWriter;
@@ -20,8 +18,6 @@
 
 /** Carries out what a leader's core wants done of a rollout. */
 final class RolloutActions {
-    private static final Logger LOG = LoggerFactory.getLogger(RolloutActions.class);
-
     private final StoreClient store;
     private final RolloutParticipant rollout;
 
@@ -35,7 +31,7 @@
         this.rollout = rollout;
     }
 
-    void put(SchedulerAction.WriteRollout put, RecordWriter writer, Outcome outcome) {
+    void write(SchedulerAction.WriteRollout put, RecordWriter writer, Outcome outcome) {
         List<Condition> conditions = new ArrayList<>();
         put.conditions().forEach((path, revision) -> conditions.add(new Condition(path, revision)));
         List<Change> changes = new ArrayList<>();
@@ -62,7 +58,7 @@
      * Reads all records that the feature writes, after everything else, and judges each by its
      * form.
      */
-    void count(SchedulerAction.CountRecords count, Outcome outcome) {
+    void countRecords(SchedulerAction.CountRecords count, Outcome outcome) {
         store.list(
                 RequestPriority.BACKGROUND,
                 count.feature().prefix(),
@@ -82,10 +78,7 @@
                                 old.add(entry.path());
                             }
                         } catch (MalformedMessageException e) {
-                            LOG.error(
-                                    "event=record_unreadable key={} error=\"{}\"",
-                                    entry.path(),
-                                    e.getMessage());
+                            UnreadableRecords.log(entry.path(), e);
                             unreadable.add(entry.path());
                         }
                     }
--- a/src/main/java/org/woadloom/node/RolloutParticipant.java
+++ b/src/main/java/org/woadloom/node/RolloutParticipant.java
@@ -1,8 +1,5 @@
 package org.woadloom.node;
 
-import com.google.common.collect.ImmutableMap;
-import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.EnumSet;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -22,7 +19,6 @@
 import org.woadloom.leader.Election;
 import org.woadloom.net.EventLoop;
 import org.woadloom.peer.PeerMessage;
-import org.woadloom.protocol.Fields;
 import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.settings.OperatorSettings;
 import org.woadloom.settings.Peer;
@@ -32,132 +28,131 @@
 import org.woadloom.store.RolloutRecord;
 import org.woadloom.store.RolloutRequest;
 import org.woadloom.store.StoreClient;
-import org.woadloom.store.StoreClient.Change;
 import org.woadloom.store.StoreClient.Condition;
 import org.woadloom.store.StoreClient.Entry;
 import org.woadloom.store.StoreClient.RequestPriority;
-import org.woadloom.store.StoreClient.Result;
 import org.woadloom.store.StoreKeys;
 
 /**
- * This node's part of a rollout: it gives its word, which lasts as long as its process renews it,
- * then reads what is required and what is on, and follows that. It acts upon a feature only by what
- * the store says, or what a node says that has read it there, never by its own settings. What moves
- * a feature is the leader's core (`core.rollout`).
+ * This node's part of a rollout: it announces itself, then reads which features are required and
+ * which are on, and follows that. It uses a feature only by what the store says, or what a node
+ * says that has read it there, never by its own settings. What moves a rollout on is the leader's
+ * scheduler ({@code core.rollout}). Belongs to the event loop.
  */
 final class RolloutParticipant implements Election.Fence {
     private static final Logger LOG = LoggerFactory.getLogger(RolloutParticipant.class);
 
-    /**
-     * What versions 2 and 3 are told of this one: they agree on compact records and on care by it.
-     */
-    private static final long VERSION = 3;
-
-    private static final String FIELD = "version";
-    private static final long POLL_MICROS = 1_000_000;
-    private static final long RETRY_MICROS = 300_000;
-    private static final long WATCH_MICROS = 10_000_000;
-
-    /**
-     * A word outlasts a restart, so that the next process knows that it is one, and little more.
-     */
-    private static final long GRANT_MICROS = 15_000_000;
-
-    private static final long RENEW_MICROS = 4_000_000;
-    private static final long IN_A_ROW_MICROS = 60_000_000;
-
-    /** For how long a node that gives no word is believed to be there after it was heard. */
-    private static final long HEARD_MICROS = 10_000_000;
+    /** For so long a node without an announcement counts as running after its last message. */
+    private static final long UNANNOUNCED_PEER_MICROS = 10_000_000;
 
     private final EventLoop loop;
-    private final StoreClient store;
-    private final String label;
-    private final Runnable changed;
-    private final Set<Feature> usableFeatures;
-    private final Set<String> members = new TreeSet<>();
+    private final Runnable onChanged;
     private final ClusterMembership membership = new ClusterMembership(Feature.known());
-    private final long processId;
-
-    /** What is below {@link StoreKeys#ROLLOUT}, as last read. */
-    private final Map<String, Entry> entries = new HashMap<>();
-
+    private final NodeAnnouncer announcer;
+    private final RolloutWatcher watcher;
+    private final AgreedVersion agreedVersion;
     private RolloutRecord record = RolloutRecord.NONE;
-    private long stateStamp;
+    private long stateRevision;
 
     /**
-     * The features that are on, by the record, by an earlier version's agreement or by a peer's
-     * word.
+     * The features that are on, by the record, by the agreed version of earlier releases or by a
+     * peer's message.
      */
-    private final EnumSet<Feature> isOn = EnumSet.noneOf(Feature.class);
+    private final EnumSet<Feature> enabled = EnumSet.noneOf(Feature.class);
 
-    /**
-     * The number of the latest record that was read here or that a peer has read, and what it
-     * requires.
-     */
+    /** The number of the latest record that was read here or that a peer has read. */
     private long number;
 
-    private Set<String> requires = Set.of();
-    private long agreedVersion = 1;
-    private long agreedStamp;
-    private final Map<String, Long> unannouncedPeers = new HashMap<>();
-    private String closedReason;
+    /** The features that the record of that number requires. */
+    private Set<String> required = Set.of();
 
-    /** The word of this process stands in the store, as far as known. */
-    private boolean announced;
+    /** When peers of earlier releases, which announce nothing, last sent a message. */
+    private final Map<String, Long> unannouncedPeers = new HashMap<>();
 
-    private boolean following;
+    private String closedReason;
 
+    /**
+     * @param onChanged called when a feature has been switched, or whether this process may serve
+     */
     RolloutParticipant(
             EventLoop loop,
             StoreClient store,
             ServiceSettings settings,
             OperatorSettings operator,
             Random random,
-            Runnable changed) {
+            Runnable onChanged) {
         this.loop = loop;
-        this.store = store;
-        this.label = settings.label();
-        this.changed = changed;
-        this.processId = random.nextLong() >>> 1;
-        usableFeatures = EnumSet.allOf(Feature.class);
+        this.onChanged = onChanged;
+        EnumSet<Feature> usableFeatures = EnumSet.allOf(Feature.class);
         if (!operator.care()) {
             usableFeatures.remove(Feature.ZONE_CARE);
         }
-        members.add(label);
+        Set<String> members = new TreeSet<>();
+        members.add(settings.label());
         settings.peers().stream().map(Peer::label).forEach(members::add);
+        watcher = new RolloutWatcher(loop, store, new WatcherListener());
+        announcer =
+                new NodeAnnouncer(
+                        loop,
+                        store,
+                        settings.label(),
+                        random.nextLong() >>> 1,
+                        usableFeatures,
+                        members,
+                        membership,
+                        watcher::start);
+        agreedVersion = new AgreedVersion(loop, store, this::enable);
     }
 
     void start() {
-        announce();
-        poll();
+        announcer.announce();
+        agreedVersion.poll();
     }
 
-    // What the rest of the node asks.
+    private final class WatcherListener implements RolloutWatcher.Listener {
+        @Override
+        public boolean isAnnounced() {
+            return announcer.isAnnounced();
+        }
+
+        @Override
+        public void onReadSinceAnnouncement() {
+            membership.onRecordRead();
+        }
 
-    /** How records are written now. */
+        @Override
+        public void onEntries() {
+            evaluate();
+        }
+    }
+
+    /** The format in which records are written now. */
     RecordFormat format() {
-        return isOn.contains(Feature.COMPACT_RECORDS) ? RecordFormat.COMPACT : RecordFormat.PLAIN;
+        return enabled.contains(Feature.COMPACT_RECORDS)
+                ? RecordFormat.COMPACT
+                : RecordFormat.PLAIN;
     }
 
     boolean isOn(Feature feature) {
-        return isOn.contains(feature);
+        return enabled.contains(feature);
     }
 
-    /** It may be in use at some node, as far as is known here. */
+    /** True if the feature may be in use at some node, as far as is known here. */
     boolean mayBeOn(Feature feature) {
         return !isKnown() || isOn(feature) || record.of(feature.key()).required();
     }
 
+    /** The number of the record that was last read. */
     long number() {
         return record.number();
     }
 
     /** How many features are on or settled. */
     int enabledCount() {
-        return isOn.size();
+        return enabled.size();
     }
 
-    /** True once this process has given its word and read what is required. */
+    /** True once this process has announced itself and read what is required. */
     boolean isKnown() {
         return membership.isKnown();
     }
@@ -174,12 +169,12 @@
 
     @Override
     public Condition condition() {
-        return new Condition(StoreKeys.ROLLOUT_STATE, stateStamp);
+        return new Condition(StoreKeys.ROLLOUT_STATE, stateRevision);
     }
 
     @Override
     public void onConflict() {
-        read(RequestPriority.CONTROL, done -> {});
+        watcher.refresh();
     }
 
     /** A record in the compact format was written by a node that knew that it may be. */
@@ -189,206 +184,60 @@
         }
     }
 
-    /** A node that speaks of care knows that it may. */
+    /** A node that sends messages of delegation knows that it may. */
     void onDelegationMessage() {
         enable(Feature.COMPACT_RECORDS);
         enable(Feature.ZONE_CARE);
     }
 
-    // What this node says.
+    /**
+     * Reads the version that earlier releases agreed on.
+     *
+     * @param done is told whether the store has answered
+     */
+    void readAgreedVersion(RequestPriority priority, Consumer<Boolean> done) {
+        agreedVersion.read(priority, done);
+    }
 
-    /** For the other nodes. */
+    /** What this node tells the others of the rollout. */
     PeerMessage.RolloutView view() {
         return new PeerMessage.RolloutView(
                 number,
-                List.copyOf(Feature.keys(isOn)),
-                List.copyOf(requires),
+                List.copyOf(Feature.keys(enabled)),
+                List.copyOf(required),
                 List.copyOf(Feature.known()));
     }
 
-    /** A peer spoke, without a word if it is of an earlier version. */
-    void onPeerView(String from, PeerMessage.RolloutView said) {
-        if (said == null) {
+    /**
+     * Takes what a peer tells of the rollout.
+     *
+     * @param view null from an earlier release
+     */
+    void onPeerView(String from, PeerMessage.RolloutView view) {
+        if (view == null) {
             unannouncedPeers.put(from, loop.nowMicros());
             return;
         }
         unannouncedPeers.remove(from);
-        if (said.number() > number) {
-            setRequired(said.number(), new TreeSet<>(said.requires()));
-            for (Feature feature : Feature.values()) {
-                if (said.on().contains(feature.key())) {
-                    enable(feature);
-                } else if (feature.revocable() && isOn.remove(feature)) {
-                    changed.run();
-                }
-            }
+        if (view.number() <= number) {
+            return;
         }
-    }
-
-    private void announce() {
-        store.storeLease(
-                GRANT_MICROS,
-                (result, storeLease) -> {
-                    if (result == Result.OK) {
-                        announce(storeLease);
-                    } else {
-                        loop.schedule(RETRY_MICROS, this::announce);
-                    }
-                });
-    }
-
-    /**
-     * The word of the process before this one tells whether processes of this node end soon after
-     * one another.
-     */
-    private void announce(long storeLease) {
-        String key = StoreKeys.ROLLOUT_NODES + label;
-        store.get(
-                RequestPriority.CONTROL,
-                key,
-                (result, entry, storeRevision) -> {
-                    if (result != Result.OK && result != Result.NOT_FOUND) {
-                        loop.schedule(RETRY_MICROS, this::announce);
-                        return;
-                    }
-                    NodeAnnouncement announcement =
-                            new NodeAnnouncement(
-                                    processId,
-                                    Feature.known(),
-                                    Feature.keys(usableFeatures),
-                                    members,
-                                    consecutiveStarts(entry),
-                                    loop.wallMicros());
-                    // Without the condition one without an answer, carried out after the next, hung
-                    // the key on a grant that nobody renews.
-                    Condition asRead = new Condition(key, entry == null ? 0 : entry.revision());
-                    store.txn(
-                            RequestPriority.CONTROL,
-                            List.of(asRead),
-                            List.of(
-                                    new Change(key, announcement.toMap(), storeLease),
-                                    Change.put(
-                                            StoreKeys.NODE_VERSIONS + label,
-                                            ImmutableMap.of(FIELD, VERSION))),
-                            (put, revision, failed) -> {
-                                if (put == Result.OK) {
-                                    announced = true;
-                                    renewLater(storeLease);
-                                    follow();
-                                } else {
-                                    loop.schedule(RETRY_MICROS, this::announce);
-                                }
-                            });
-                });
-    }
-
-    private int consecutiveStarts(Entry before) {
-        try {
-            NodeAnnouncement announcement =
-                    before == null ? null : NodeAnnouncement.parse(before.value());
-            long since =
-                    announcement == null ? -1 : loop.wallMicros() - announcement.sinceWallMicros();
-            return announcement == null
-                    ? 1
-                    : announcement.processId() == processId
-                            ? announcement.consecutiveStarts()
-                            : since >= 0 && since < IN_A_ROW_MICROS
-                                    ? announcement.consecutiveStarts() + 1
-                                    : 1;
-        } catch (MalformedMessageException e) {
-            return 1;
+        setRequired(view.number(), new TreeSet<>(view.requires()));
+        for (Feature feature : Feature.values()) {
+            if (view.on().contains(feature.key())) {
+                enable(feature);
+            } else if (feature.revocable() && enabled.remove(feature)) {
+                onChanged.run();
+            }
         }
     }
 
-    private void renewLater(long storeLease) {
-        loop.schedule(
-                RENEW_MICROS,
-                () ->
-                        store.renewLease(
-                                storeLease,
-                                (result, id) -> {
-                                    if (result == Result.NOT_FOUND) {
-                                        // The word is gone; it is given again before anything is
-                                        // concluded from what is read.
-                                        announced = false;
-                                        membership.onAnnouncementLost();
-                                        announce();
-                                    } else {
-                                        renewLater(storeLease);
-                                    }
-                                }));
-    }
-
-    // What the store says.
-
-    private void follow() {
-        read(
-                RequestPriority.CONTROL,
-                storeRevision -> {
-                    if (storeRevision < 0) {
-                        loop.schedule(RETRY_MICROS, this::follow);
-                    } else if (!following) {
-                        following = true;
-                        follow(storeRevision);
-                    }
-                });
-    }
-
-    private void follow(long since) {
-        store.watch(
-                StoreKeys.ROLLOUT,
-                since,
-                WATCH_MICROS,
-                (result, events, storeRevision) -> {
-                    if (result != Result.OK) {
-                        following = false;
-                        loop.schedule(RETRY_MICROS, this::follow);
-                        return;
-                    }
-                    for (StoreClient.Event event : events) {
-                        if (event.value() == null) {
-                            entries.remove(event.path());
-                        } else {
-                            entries.put(
-                                    event.path(),
-                                    new Entry(event.path(), event.value(), event.revision()));
-                        }
-                    }
-                    if (!events.isEmpty()) {
-                        evaluate();
-                    }
-                    follow(Math.max(since, storeRevision));
-                });
-    }
-
-    /** Reads everything anew; the consumer hears the generation, or -1. */
-    private void read(RequestPriority urgency, Consumer<Long> done) {
-        // What a watch that was opened before the word was given still brings is not enough.
-        boolean afterTheWord = announced;
-        store.list(
-                urgency,
-                StoreKeys.ROLLOUT,
-                (result, found, storeRevision) -> {
-                    if (result != Result.OK) {
-                        done.accept(-1L);
-                        return;
-                    }
-                    if (afterTheWord && announced) {
-                        membership.onRecordRead();
-                    }
-                    entries.clear();
-                    found.forEach(entry -> entries.put(entry.path(), entry));
-                    evaluate();
-                    done.accept(storeRevision);
-                });
-    }
-
     private void evaluate() {
-        Entry stored = entries.get(StoreKeys.ROLLOUT_STATE);
-        if (stored != null && stored.revision() < stateStamp) {
+        Entry stored = watcher.entry(StoreKeys.ROLLOUT_STATE);
+        if (stored != null && stored.revision() < stateRevision) {
             return;
         }
-        stateStamp = stored == null ? 0 : stored.revision();
+        stateRevision = stored == null ? 0 : stored.revision();
         try {
             record = stored == null ? RolloutRecord.NONE : RolloutRecord.parse(stored.value());
         } catch (MalformedMessageException e) {
@@ -403,144 +252,124 @@
         for (Feature feature : Feature.values()) {
             if (record.of(feature.key()).on()) {
                 enable(feature);
-            } else if (feature.revocable() && isOn.remove(feature)) {
+            } else if (feature.revocable() && enabled.remove(feature)) {
                 LOG.info("event=feature_off feature={}", feature.key());
-                changed.run();
+                onChanged.run();
             }
         }
-        changed.run();
+        onChanged.run();
     }
 
     /**
-     * The record is of a form to come. What it requires stands where it always will; without that
-     * nothing can be done.
+     * The record has the form of a later release. The features that it requires can be read in
+     * every form; without them nothing can be done.
      */
-    private void onRecordUnreadable(Entry stored, MalformedMessageException why) {
+    private void onRecordUnreadable(Entry stored, MalformedMessageException error) {
         try {
             setRequired(
                     RolloutRecord.numberOf(stored.value()),
                     RolloutRecord.requiredBy(stored.value()));
             if (membership.missingFeatures().isEmpty()) {
-                membership.onRecordUnreadable(
-                        "the record of the rollout (" + why.getMessage() + ")");
+                membership.onRecordUnreadable(unreadable(error));
             }
         } catch (MalformedMessageException e) {
-            membership.onRecordUnreadable("the record of the rollout (" + e.getMessage() + ")");
+            membership.onRecordUnreadable(unreadable(e));
         }
         updateClosed();
     }
 
-    private void setRequired(long ofNumber, Set<String> names) {
+    private static String unreadable(MalformedMessageException error) {
+        return "the record of the rollout (" + error.getMessage() + ")";
+    }
+
+    private void setRequired(long ofNumber, Set<String> features) {
         number = ofNumber;
-        requires = names;
-        membership.setRequired(names);
+        required = features;
+        membership.setRequired(features);
         updateClosed();
     }
 
     private void updateClosed() {
-        String why =
+        String reason =
                 membership.missingFeatures().isEmpty()
                         ? null
                         : "this version does not know what the others use: "
                                 + membership.missingFeatures();
-        if (why != null && !why.equals(closedReason)) {
-            LOG.error("event=serving_stopped reason=\"{}\"", why);
-        } else if (why == null && closedReason != null) {
-            LOG.info("event=serving_resumed");
+        if (Objects.equals(reason, closedReason)) {
+            return;
         }
-        boolean differs = !Objects.equals(why, closedReason);
-        closedReason = why;
-        if (differs) {
-            changed.run();
+        if (reason != null) {
+            LOG.error("event=serving_stopped reason=\"{}\"", reason);
+        } else {
+            LOG.info("event=serving_resumed");
         }
+        closedReason = reason;
+        onChanged.run();
     }
 
     private void enable(Feature feature) {
-        if (isOn.add(feature)) {
+        if (enabled.add(feature)) {
             LOG.info("event=feature_on feature={}", feature.key());
-            changed.run();
+            onChanged.run();
         }
     }
 
-    // What versions 2 and 3 agree on.
-
-    private void poll() {
-        readAgreedVersion(RequestPriority.NORMAL, known -> {});
-        loop.schedule(POLL_MICROS, this::poll);
-    }
-
-    /** Reads what an earlier version has agreed on; tells whether that could be read. */
-    void readAgreedVersion(RequestPriority urgency, Consumer<Boolean> done) {
-        if (agreedVersion >= VERSION) {
-            done.accept(true);
-            return;
-        }
-        store.get(
-                urgency,
-                StoreKeys.AGREED,
-                (result, entry, storeRevision) -> {
-                    try {
-                        if (result == Result.OK) {
-                            agreedVersion =
-                                    Math.max(
-                                            agreedVersion,
-                                            new Fields(entry.value()).integer(FIELD));
-                            agreedStamp = entry.revision();
-                        }
-                    } catch (MalformedMessageException e) {
-                        LOG.error(
-                                "event=record_unreadable key={} error=\"{}\"",
-                                entry.path(),
-                                e.getMessage());
-                    }
-                    for (Feature feature : Feature.values()) {
-                        if (feature.agreedVersion() > 0
-                                && agreedVersion >= feature.agreedVersion()) {
-                            enable(feature);
-                        }
-                    }
-                    done.accept(result == Result.OK || result == Result.NOT_FOUND);
-                });
-    }
-
-    // For the core of a leader.
-
-    /** What a decision rests on, or null as long as that is not known. */
+    /**
+     * What the leader's scheduler decides a rollout by, or null as long as that is not known.
+     *
+     * @param refused answers refused and steps late at this node since its process started
+     */
     SchedulerEvent.RolloutStateRead rolloutState(long refused) {
         if (!membership.mayServe()) {
             return null;
         }
-        Map<String, SchedulerEvent.StoredAnnouncement> words = new LinkedHashMap<>();
-        Map<String, RolloutRequest> asked = new LinkedHashMap<>();
-        List<Entry> sorted = new ArrayList<>(entries.values());
-        sorted.sort(Comparator.comparing(Entry::path));
-        for (Entry entry : sorted) {
+        Map<String, SchedulerEvent.StoredAnnouncement> announcements = new LinkedHashMap<>();
+        Map<String, RolloutRequest> requests = new LinkedHashMap<>();
+        for (Entry entry : watcher.sortedEntries()) {
             try {
-                if (entry.path().startsWith(StoreKeys.ROLLOUT_NODES)) {
-                    words.put(
-                            entry.path().substring(StoreKeys.ROLLOUT_NODES.length()),
-                            new SchedulerEvent.StoredAnnouncement(
-                                    NodeAnnouncement.parse(entry.value()), entry.revision()));
-                } else if (entry.path().startsWith(StoreKeys.ROLLOUT_ASKED)) {
-                    asked.put(
-                            entry.path().substring(StoreKeys.ROLLOUT_ASKED.length()),
-                            RolloutRequest.parse(entry.value()));
-                }
+                addEntry(entry, announcements, requests);
             } catch (MalformedMessageException e) {
-                LOG.error(
-                        "event=record_unreadable key={} error=\"{}\"",
-                        entry.path(),
-                        e.getMessage());
+                UnreadableRecords.log(entry.path(), e);
             }
         }
-        Set<String> wordless = new HashSet<>();
+        return new SchedulerEvent.RolloutStateRead(
+                record,
+                stateRevision,
+                announcements,
+                requests,
+                recentUnannouncedPeers(),
+                agreedVersion.version(),
+                agreedVersion.revision(),
+                refused);
+    }
+
+    private static void addEntry(
+            Entry entry,
+            Map<String, SchedulerEvent.StoredAnnouncement> announcements,
+            Map<String, RolloutRequest> requests)
+            throws MalformedMessageException {
+        String key = entry.path();
+        if (key.startsWith(StoreKeys.ROLLOUT_NODES)) {
+            announcements.put(
+                    key.substring(StoreKeys.ROLLOUT_NODES.length()),
+                    new SchedulerEvent.StoredAnnouncement(
+                            NodeAnnouncement.parse(entry.value()), entry.revision()));
+        } else if (key.startsWith(StoreKeys.ROLLOUT_ASKED)) {
+            requests.put(
+                    key.substring(StoreKeys.ROLLOUT_ASKED.length()),
+                    RolloutRequest.parse(entry.value()));
+        }
+    }
+
+    private Set<String> recentUnannouncedPeers() {
+        long now = loop.nowMicros();
+        Set<String> recent = new HashSet<>();
         unannouncedPeers.forEach(
-                (from, micros) -> {
-                    if (loop.nowMicros() - micros < HEARD_MICROS) {
-                        wordless.add(from);
+                (peer, lastMessageMicros) -> {
+                    if (now - lastMessageMicros < UNANNOUNCED_PEER_MICROS) {
+                        recent.add(peer);
                     }
                 });
-        return new SchedulerEvent.RolloutStateRead(
-                record, stateStamp, words, asked, wordless, agreedVersion, agreedStamp, refused);
+        return recent;
     }
 }
--- a/src/main/java/org/woadloom/node/StoreRelay.java
+++ b/src/main/java/org/woadloom/node/StoreRelay.java
@@ -2,9 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
@@ -13,11 +11,11 @@
 import org.slf4j.LoggerFactory;
 import org.woadloom.http.Response;
 import org.woadloom.net.EventLoop;
+import org.woadloom.node.RelayCodec.RelayedAnswer;
+import org.woadloom.node.RelayCodec.RelayedHeartbeat;
 import org.woadloom.protocol.Cbor;
-import org.woadloom.protocol.Fields;
 import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.settings.ServiceSettings;
-import org.woadloom.store.RecordFormat;
 import org.woadloom.store.StoreClient;
 import org.woadloom.store.StoreClient.Change;
 import org.woadloom.store.StoreClient.RequestPriority;
@@ -26,76 +24,58 @@
 import org.woadloom.store.StoreLimits;
 
 /**
- * Carries reports to the leader through the state service, where this node can't reach the leader:
- * otherwise every lease in a zone that is cut off from it would end. Reports go many at a time in
- * one of a few letters; the leader writes the answers in the place of the letter, so that each
- * costs two changes and nothing is left to clear away. The answers need no conditions, as a worker
- * refuses an old token.
+ * Relays heartbeats through the store to a leader that this node can't reach: otherwise every lease
+ * in a zone that is cut off from the leader would expire. Heartbeats go in batches, each in one of
+ * a few slots; the leader ({@link StoreRelayLeader}) writes the answers in the place of the batch,
+ * so that each costs two changes and nothing is left to delete. The answers need no conditions, as
+ * an agent refuses an old fencing token.
  */
 final class StoreRelay {
     private static final Logger LOG = LoggerFactory.getLogger(StoreRelay.class);
     private static final long BATCH_MICROS = 100_000;
-    private static final long WAIT_MICROS = 3_500_000;
-    private static final long WATCH_MICROS = 10_000_000;
+    private static final long ANSWER_TIMEOUT_MICROS = 3_500_000;
+    private static final long WATCH_TIMEOUT_MICROS = 10_000_000;
     private static final long RETRY_MICROS = 300_000;
 
-    /**
-     * A letter that lay here for longer, by clocks that are apart a little, is of the past: nobody
-     * waits for its answers.
-     */
-    private static final long STALE_MICROS = 10_000_000;
-
-    /**
-     * Letters under way. With more reports they get fuller rather than more, up to the value limit,
-     * and each slot is used again as soon as it is answered. Must not grow before every version in
-     * use ignores slots that it does not know.
-     */
-    private static final int SLOTS = 8;
-
-    /** Packed letters are read up to this length: what is longer goes in the next one. */
-    private static final int MAX_PLAIN_BYTES = CompressedList.MOST_BYTES / 2;
-
-    private static final String REPORTS = "reports";
-    private static final String ANSWERS = "answers";
-    private static final String PACKED = "packed-";
+    /** What is stored around one heartbeat of a batch. */
+    private static final int HEARTBEAT_OVERHEAD_BYTES = 40;
 
-    /** What is around the reports in a letter. */
-    private static final int LETTER_BYTES = 200;
+    private static final double INITIAL_COMPRESSION_RATIO = 0.25;
+    private static final double MIN_COMPRESSION_RATIO = 0.05;
 
-    /** Decides a report; only the leader has one. */
-    interface Decider {
-        void decide(byte[] report, Consumer<Response> answer);
-    }
+    /** The next batch may compress a little worse than the last. */
+    private static final double COMPRESSION_MARGIN = 1.1;
 
     private final EventLoop loop;
     private final StoreClient store;
     private final String label;
     private final StoreLimits limits;
-    private final RolloutParticipant rollout;
+    private final RelayCodec codec;
     private final Random random;
+    private final RelaySlots slots = new RelaySlots();
 
-    /** How much shorter packed reports are than plain ones, by the last letter. */
-    private double compressionRatio = 0.25;
-
-    private final ArrayDeque<RelayedHeartbeat> outgoing = new ArrayDeque<>();
+    /** The size of compressed heartbeats as a part of that of plain ones, by the last batch. */
+    private double compressionRatio = INITIAL_COMPRESSION_RATIO;
 
-    /** Reports that wait for an answer, by machine. */
-    private final Map<String, RelayedHeartbeat> waiting = new HashMap<>();
+    private final ArrayDeque<Relayed> outgoing = new ArrayDeque<>();
 
-    /** The letter that is under way in each slot, 0 for none. */
-    private final long[] lettersInFlight = new long[SLOTS];
+    /** Heartbeats that wait for an answer, sent or not, by machine. */
+    private final Map<String, Relayed> waiting = new HashMap<>();
 
     private boolean flushScheduled;
     private boolean watching;
-    private long leadingTerm;
 
-    /** One report on its way. */
-    private record RelayedHeartbeat(
-            long id,
-            String host,
-            Object report,
-            int size,
-            DeferredHeartbeats.PendingHeartbeat sent) {}
+    /**
+     * A heartbeat on its way.
+     *
+     * @param plainBytes its size in a batch that is not compressed
+     */
+    private record Relayed(
+            RelayedHeartbeat heartbeat, String host, int plainBytes, PendingHeartbeat origin) {
+        void answer(Response response) {
+            origin.answer().accept(response);
+        }
+    }
 
     StoreRelay(
             EventLoop loop,
@@ -104,118 +84,154 @@
             StoreLimits limits,
             RolloutParticipant rollout,
             Random random) {
-        this.random = random;
         this.loop = loop;
         this.store = store;
         this.label = settings.label();
         this.limits = limits;
-        this.rollout = rollout;
+        this.codec = new RelayCodec(rollout);
+        this.random = random;
     }
 
-    /** Sends a worker's report; the answer is 503 if none comes while the worker waits. */
-    void relay(String host, DeferredHeartbeats.PendingHeartbeat report) {
-        Consumer<Response> answer = report.answer();
-        Map<String, Object> map;
+    /** Sends an agent's heartbeat; the answer is 503 if none comes while the agent waits. */
+    void relay(String host, PendingHeartbeat origin) {
+        Map<String, Object> content;
         try {
-            map = Cbor.decodeMap(report.body());
+            content = Cbor.decodeMap(origin.body());
         } catch (MalformedMessageException e) {
-            answer.accept(Response.error(400, e.getMessage()));
+            origin.answer().accept(Response.error(400, e.getMessage()));
             return;
         }
-        RelayedHeartbeat parcel =
-                new RelayedHeartbeat(newId(), host, map, Cbor.jsonSize(map) + 40, report);
-        if (estimatedSize(parcel.size) + LETTER_BYTES > limits.currentValueBytes()) {
-            answer.accept(Response.unavailable("the report is too long for the state service"));
+        Relayed relayed =
+                new Relayed(
+                        new RelayedHeartbeat(newId(), content),
+                        host,
+                        Cbor.jsonSize(content) + HEARTBEAT_OVERHEAD_BYTES,
+                        origin);
+        if (estimatedBytes(relayed) + RelayCodec.BATCH_OVERHEAD_BYTES
+                > limits.currentValueBytes()) {
+            refuseTooLong(relayed);
             return;
         }
-        RelayedHeartbeat before = waiting.put(host, parcel);
-        if (before != null) {
-            outgoing.remove(before);
-            before.sent.answer().accept(Response.unavailable("a newer report was sent"));
+        Relayed superseded = waiting.put(host, relayed);
+        if (superseded != null) {
+            outgoing.remove(superseded);
+            superseded.answer(Response.unavailable("a newer report was sent"));
         }
-        loop.schedule(
-                WAIT_MICROS,
-                () -> {
-                    if (waiting.remove(host, parcel)) {
-                        outgoing.remove(parcel);
-                        answer.accept(Response.unavailable("the leader does not answer"));
-                    }
-                });
+        loop.schedule(ANSWER_TIMEOUT_MICROS, () -> onTimeout(relayed));
         watchAnswers();
-        outgoing.addLast(parcel);
-        flushSoon();
+        outgoing.addLast(relayed);
+        scheduleFlush();
     }
 
     /** Gives back what waits for an answer: it was meant for a leader that leads no more. */
-    List<DeferredHeartbeats.PendingHeartbeat> withdrawAll() {
-        List<DeferredHeartbeats.PendingHeartbeat> reports = new ArrayList<>();
-        waiting.values().forEach(parcel -> reports.add(parcel.sent));
+    List<PendingHeartbeat> withdrawAll() {
+        List<PendingHeartbeat> withdrawn = new ArrayList<>();
+        waiting.values().forEach(relayed -> withdrawn.add(relayed.origin));
         waiting.clear();
         outgoing.clear();
-        return reports;
+        return withdrawn;
     }
 
     /**
-     * At random, so that a restarted node takes no answer to its former self for its own, whatever
-     * its clock says: the answer may hold a launch that was cleared since, and must not reach the
-     * worker again.
+     * At random, so that a restarted node takes no answer to its predecessor for its own, whatever
+     * its clock says: the answer may hold a start command that was acknowledged since, and must not
+     * reach the agent once more.
      */
     private long newId() {
         return random.nextLong() >>> 1;
     }
 
-    private void flushSoon() {
+    private void onTimeout(Relayed relayed) {
+        if (waiting.remove(relayed.host, relayed)) {
+            outgoing.remove(relayed);
+            relayed.answer(Response.unavailable("the leader does not answer"));
+        }
+    }
+
+    private static void refuseTooLong(Relayed relayed) {
+        relayed.answer(Response.unavailable("the report is too long for the state service"));
+    }
+
+    private void scheduleFlush() {
         if (!flushScheduled) {
             flushScheduled = true;
             loop.schedule(BATCH_MICROS, this::flush);
         }
     }
 
-    /** Fills the free slots; what finds none waits for the next, and the letters get fuller. */
+    /** Fills the free slots; what finds none waits for the next, and the batches get larger. */
     private void flush() {
         flushScheduled = false;
-        for (int slot = 0; slot < SLOTS && !outgoing.isEmpty(); slot++) {
-            if (lettersInFlight[slot] == 0) {
+        for (int slot = 0; slot < RelaySlots.COUNT && !outgoing.isEmpty(); slot++) {
+            if (slots.isFree(slot)) {
                 send(slot);
             }
         }
         if (!outgoing.isEmpty()) {
-            flushSoon();
+            scheduleFlush();
         }
     }
 
     private void send(int slot) {
-        long id = newId();
-        List<Object> reports = new ArrayList<>();
-        int size = LETTER_BYTES;
-        // Answers with launches may be longer than the reports, and must fit in the same place.
-        int most = limits.currentValueBytes() / (compresses() ? 1 : 2);
-        List<RelayedHeartbeat> parcels = new ArrayList<>();
-        int plain = 0;
-        while (!outgoing.isEmpty()
-                && (reports.isEmpty()
-                        || size + estimatedSize(outgoing.peekFirst().size) <= most
-                                && plain + outgoing.peekFirst().size <= MAX_PLAIN_BYTES)) {
-            RelayedHeartbeat parcel = outgoing.pollFirst();
-            size += estimatedSize(parcel.size);
-            plain += parcel.size;
-            parcels.add(parcel);
-            reports.add(Arrays.asList(parcel.id, parcel.report));
+        long batchId = newId();
+        List<Relayed> batch = takeBatch();
+        Map<String, Object> value =
+                codec.encodeHeartbeats(
+                        batchId,
+                        loop.wallMicros(),
+                        batch.stream().map(Relayed::heartbeat).toList());
+        if (codec.isCompressing()) {
+            updateCompressionRatio(batch, value);
+            if (Cbor.jsonSize(value) > limits.currentValueBytes()) {
+                // With the ratio that is known now, the next batches are small enough.
+                resend(batch);
+                return;
+            }
         }
-        Map<String, Object> value = new LinkedHashMap<>();
-        value.put("id", id);
-        value.put("at", loop.wallMicros());
-        fill(value, REPORTS, reports);
-        compressionRatio =
-                compresses()
-                        ? Math.max(0.05, 1.1 * Cbor.jsonSize(value.get(PACKED + REPORTS)) / plain)
-                        : compressionRatio;
-        if (compresses() && Cbor.jsonSize(value) > limits.currentValueBytes()) {
-            // Now it is known how short they are: they go again, fewer at a time.
-            resend(parcels);
-            return;
+        slots.occupy(slot, batchId);
+        write(slot, batchId, batch, value);
+        loop.schedule(ANSWER_TIMEOUT_MICROS, () -> slots.free(slot, batchId));
+    }
+
+    private List<Relayed> takeBatch() {
+        // Answers with start commands may be longer than the heartbeats, and must fit in the same
+        // place.
+        int maxBytes = limits.currentValueBytes() / (codec.isCompressing() ? 1 : 2);
+        List<Relayed> batch = new ArrayList<>();
+        int bytes = RelayCodec.BATCH_OVERHEAD_BYTES;
+        int plainBytes = 0;
+        while (!outgoing.isEmpty()) {
+            Relayed next = outgoing.peekFirst();
+            boolean fits =
+                    bytes + estimatedBytes(next) <= maxBytes
+                            && plainBytes + next.plainBytes <= RelayCodec.MAX_PLAIN_BYTES;
+            if (!batch.isEmpty() && !fits) {
+                break;
+            }
+            outgoing.removeFirst();
+            bytes += estimatedBytes(next);
+            plainBytes += next.plainBytes;
+            batch.add(next);
         }
-        lettersInFlight[slot] = id;
+        return batch;
+    }
+
+    private int estimatedBytes(Relayed relayed) {
+        return codec.isCompressing()
+                ? (int) (relayed.plainBytes * compressionRatio) + 1
+                : relayed.plainBytes;
+    }
+
+    private void updateCompressionRatio(List<Relayed> batch, Map<String, Object> value) {
+        int plainBytes = 0;
+        for (Relayed relayed : batch) {
+            plainBytes += relayed.plainBytes;
+        }
+        double ratio = COMPRESSION_MARGIN * RelayCodec.compressedHeartbeatsSize(value) / plainBytes;
+        compressionRatio = Math.max(MIN_COMPRESSION_RATIO, ratio);
+    }
+
+    private void write(int slot, long batchId, List<Relayed> batch, Map<String, Object> value) {
         store.txn(
                 RequestPriority.URGENT,
                 List.of(),
@@ -223,276 +239,106 @@
                 (result, storeRevision, failed) -> {
                     if (result == Result.BAD) {
                         limits.onValueRefused(Cbor.jsonSize(value));
-                        resend(parcels);
+                        resend(batch);
                     }
                     if (result != Result.OK) {
                         LOG.debug(
                                 "event=relay_write_failed heartbeats={} result={}",
-                                reports.size(),
+                                batch.size(),
                                 result);
-                        free(slot, id);
+                        slots.free(slot, batchId);
                     }
                 });
-        loop.schedule(WAIT_MICROS, () -> free(slot, id));
     }
 
     /**
-     * What did not fit goes once more, in smaller letters; a single report that does not fit can't
-     * be carried.
+     * Sends what did not fit in smaller batches; a single heartbeat that does not fit can't be
+     * relayed.
      */
-    private void resend(List<RelayedHeartbeat> parcels) {
-        for (int i = parcels.size() - 1; i >= 0; i--) {
-            RelayedHeartbeat parcel = parcels.get(i);
-            if (waiting.get(parcel.host) != parcel) {
+    private void resend(List<Relayed> batch) {
+        for (int i = batch.size() - 1; i >= 0; i--) {
+            Relayed relayed = batch.get(i);
+            if (waiting.get(relayed.host) != relayed) {
                 continue;
             }
-            if (parcels.size() > 1) {
-                outgoing.addFirst(parcel);
+            if (batch.size() > 1) {
+                outgoing.addFirst(relayed);
             } else {
-                waiting.remove(parcel.host);
-                parcel.sent
-                        .answer()
-                        .accept(
-                                Response.unavailable(
-                                        "the report is too long for the state service"));
+                waiting.remove(relayed.host);
+                refuseTooLong(relayed);
             }
         }
-        flushSoon();
-    }
-
-    /** True once every node can read packed letters. */
-    private boolean compresses() {
-        return rollout.format() == RecordFormat.COMPACT;
-    }
-
-    private int estimatedSize(int size) {
-        return compresses() ? (int) (size * compressionRatio) + 1 : size;
-    }
-
-    private void fill(Map<String, Object> letter, String what, List<Object> items) {
-        if (compresses()) {
-            letter.put(PACKED + what, CompressedList.pack(items));
-        } else {
-            letter.put(what, items);
-        }
-    }
-
-    /** What a letter holds, or null where it holds something else. */
-    private static List<?> items(Map<String, Object> letter, String what)
-            throws MalformedMessageException {
-        Fields f = new Fields(letter);
-        return f.has(PACKED + what)
-                ? CompressedList.unpack(f.text(PACKED + what))
-                : f.has(what) ? f.list(what) : null;
-    }
-
-    private void free(int slot, long id) {
-        if (slot >= 0 && slot < SLOTS && lettersInFlight[slot] == id) {
-            lettersInFlight[slot] = 0;
-        }
+        scheduleFlush();
     }
 
     private void watchAnswers() {
-        if (!watching) {
-            watching = true;
-            // The first revision of all: what is there already is read as well, and ignored by its
-            // id.
-            store.list(
-                    RequestPriority.URGENT,
-                    StoreKeys.mailOf(label),
-                    (result, entries, storeRevision) -> {
-                        entries.forEach(entry -> onAnswers(entry.path(), entry.value()));
-                        if (result == Result.OK) {
-                            followAnswers(storeRevision);
-                        } else {
-                            watchLater();
-                        }
-                    });
+        if (watching) {
+            return;
         }
+        watching = true;
+        // The list gives the revision to watch from; answers to earlier batches that it shows are
+        // ignored by their ids.
+        store.list(
+                RequestPriority.URGENT,
+                StoreKeys.mailOf(label),
+                (result, entries, storeRevision) -> {
+                    entries.forEach(entry -> onBatch(entry.path(), entry.value()));
+                    if (result == Result.OK) {
+                        watchAnswersSince(storeRevision);
+                    } else {
+                        watchAnswersLater();
+                    }
+                });
     }
 
-    private void watchLater() {
+    private void watchAnswersLater() {
         watching = false;
         if (!waiting.isEmpty()) {
             loop.schedule(RETRY_MICROS, this::watchAnswers);
         }
     }
 
-    private void followAnswers(long since) {
+    private void watchAnswersSince(long sinceRevision) {
         store.watch(
                 StoreKeys.mailOf(label),
-                since,
-                WATCH_MICROS,
+                sinceRevision,
+                WATCH_TIMEOUT_MICROS,
                 (result, events, storeRevision) -> {
                     for (StoreClient.Event event : events) {
                         if (event.value() != null) {
-                            onAnswers(event.path(), event.value());
+                            onBatch(event.path(), event.value());
                         }
                     }
                     if (result == Result.OK && (!waiting.isEmpty() || !events.isEmpty())) {
-                        followAnswers(Math.max(since, storeRevision));
+                        watchAnswersSince(Math.max(sinceRevision, storeRevision));
                     } else {
-                        watchLater();
+                        watchAnswersLater();
                     }
                 });
     }
 
-    private void onAnswers(String path, Map<String, Object> value) {
+    private void onBatch(String path, Map<String, Object> value) {
         try {
-            Fields f = new Fields(value);
-            List<?> answers = items(value, ANSWERS);
-            if (answers == null) {
+            RelayCodec.AnswerBatch batch = RelayCodec.decodeAnswers(value);
+            if (batch == null) {
                 return;
             }
-            free(
-                    (int) Long.parseLong(path.substring(StoreKeys.mailOf(label).length())),
-                    f.integer("id"));
-            for (Object item : answers) {
-                if (!(item instanceof List<?> parts)
-                        || parts.size() != 4
-                        || !(parts.get(0) instanceof Long id)
-                        || !(parts.get(1) instanceof String host)
-                        || !(parts.get(2) instanceof Long status)) {
-                    throw new MalformedMessageException(
-                            "answers: expected id, machine, status and body");
-                }
-                RelayedHeartbeat mine = waiting.get(host);
-                if (mine != null && mine.id == id) {
-                    waiting.remove(host);
-                    mine.sent
-                            .answer()
-                            .accept(Response.cbor(status.intValue(), Cbor.encode(parts.get(3))));
-                }
+            long slot = Long.parseLong(path.substring(StoreKeys.mailOf(label).length()));
+            slots.free((int) slot, batch.id());
+            for (Object item : batch.items()) {
+                onAnswer(RelayCodec.decodeAnswer(item));
             }
         } catch (MalformedMessageException | NumberFormatException e) {
-            LOG.error("event=record_unreadable key={} error=\"{}\"", path, e.getMessage());
-        }
-    }
-
-    // The leader's side.
-
-    /** Answers letters as long as this term lasts. */
-    void start(long term, Decider decider) {
-        leadingTerm = term;
-        read(term, decider);
-    }
-
-    void stop() {
-        leadingTerm = 0;
-    }
-
-    private void read(long term, Decider decider) {
-        store.list(
-                RequestPriority.URGENT,
-                StoreKeys.MAIL,
-                (result, entries, storeRevision) -> {
-                    if (leadingTerm != term) {
-                        return;
-                    }
-                    if (result != Result.OK) {
-                        loop.schedule(RETRY_MICROS, () -> read(term, decider));
-                        return;
-                    }
-                    entries.forEach(entry -> onLetter(entry.path(), entry.value(), decider));
-                    followMail(term, storeRevision, decider);
-                });
-    }
-
-    private void followMail(long term, long since, Decider decider) {
-        store.watch(
-                StoreKeys.MAIL,
-                since,
-                WATCH_MICROS,
-                (result, events, storeRevision) -> {
-                    if (leadingTerm != term) {
-                        return;
-                    }
-                    if (result == Result.OK) {
-                        for (StoreClient.Event event : events) {
-                            if (event.value() != null) {
-                                onLetter(event.path(), event.value(), decider);
-                            }
-                        }
-                        followMail(term, Math.max(since, storeRevision), decider);
-                    } else {
-                        loop.schedule(RETRY_MICROS, () -> read(term, decider));
-                    }
-                });
-    }
-
-    private void onLetter(String path, Map<String, Object> value, Decider decider) {
-        try {
-            Fields f = new Fields(value);
-            List<?> reports = items(value, REPORTS);
-            if (reports == null) {
-                return;
-            }
-            long id = f.integer("id");
-            if (Math.abs(loop.wallMicros() - f.integer("at")) > STALE_MICROS || reports.isEmpty()) {
-                return;
-            }
-            List<Object> answers = new ArrayList<>();
-            int[] missing = {reports.size()};
-            for (Object item : reports) {
-                if (!(item instanceof List<?> parts)
-                        || parts.size() != 2
-                        || !(parts.get(0) instanceof Long reportId)) {
-                    throw new MalformedMessageException("reports: expected id and report");
-                }
-                String host = Fields.of(parts.get(1), "report").text("host");
-                decider.decide(
-                        Cbor.encode(parts.get(1)),
-                        response -> {
-                            answers.add(
-                                    Arrays.asList(
-                                            reportId,
-                                            host,
-                                            (long) response.status(),
-                                            body(response)));
-                            if (--missing[0] == 0) {
-                                reply(path, id, answers);
-                            }
-                        });
-            }
-        } catch (MalformedMessageException e) {
-            LOG.error("event=record_unreadable key={} error=\"{}\"", path, e.getMessage());
+            UnreadableRecords.log(path, e);
         }
     }
 
-    private static Object body(Response response) {
-        try {
-            return Cbor.decodeMap(response.body());
-        } catch (MalformedMessageException e) {
-            throw new IllegalStateException(e);
+    private void onAnswer(RelayedAnswer answer) {
+        Relayed relayed = waiting.get(answer.host());
+        if (relayed != null && relayed.heartbeat.id() == answer.heartbeatId()) {
+            waiting.remove(answer.host());
+            Consumer<Response> origin = relayed.origin.answer();
+            origin.accept(Response.cbor(answer.status(), Cbor.encode(answer.content())));
         }
     }
-
-    /** Answers that don't fit are left out: their workers report again. */
-    private void reply(String path, long id, List<Object> all) {
-        List<Object> answers = new ArrayList<>(all);
-        Map<String, Object> value = new LinkedHashMap<>();
-        value.put("id", id);
-        fill(value, ANSWERS, answers);
-        while ((Cbor.jsonSize(value) > limits.currentValueBytes()
-                        || Cbor.jsonSize(answers) > MAX_PLAIN_BYTES)
-                && !answers.isEmpty()) {
-            answers.subList(answers.size() * 3 / 4, answers.size()).clear();
-            fill(value, ANSWERS, answers);
-        }
-        store.txn(
-                RequestPriority.URGENT,
-                List.of(),
-                List.of(Change.put(path, value)),
-                (result, storeRevision, failed) -> {
-                    if (result == Result.BAD) {
-                        limits.onValueRefused(Cbor.jsonSize(value));
-                    }
-                    if (result != Result.OK) {
-                        LOG.debug(
-                                "event=relay_write_failed answers={} result={}",
-                                answers.size(),
-                                result);
-                    }
-                });
-    }
 }
--- /dev/null
+++ b/src/main/java/org/woadloom/node/UnreadableRecords.java
@@ -0,0 +1,15 @@
+package org.woadloom.node;
+
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Logs stored values that can't be read, in the same form wherever they are found. */
+final class UnreadableRecords {
+    private static final Logger LOG = LoggerFactory.getLogger(UnreadableRecords.class);
+
+    private UnreadableRecords() {}
+
+    static void log(String key, Exception error) {
+        LOG.error("event=record_unreadable key={} error=\"{}\"", key, error.getMessage());
+    }
+}
--- a/src/main/java/org/woadloom/peer/PeerCodec.java
+++ b/src/main/java/org/woadloom/peer/PeerCodec.java
@@ -19,180 +19,223 @@
  * thread.
  */
 public final class PeerCodec {
-    static final int MAX_FRAME = 256 * 1024;
+    /** The longest frame behind its length; a longer one ends the connection. */
+    static final int MAX_FRAME_BYTES = 256 * 1024;
 
-    /** One report or record: a body has 64 KiB at most, whatever the fleet. */
-    private static final int MAX_BYTES = 128 * 1024;
+    /** One heartbeat or record: a body has 64 KiB at most, whatever the fleet. */
+    private static final int MAX_FIELD_BYTES = 128 * 1024;
 
-    private static final int MAX_TEXTS = 100;
+    /** Far more features than any version knows. */
+    private static final int MAX_FEATURES = 100;
 
     /**
-     * Twice what ToldCancellations sends at most; with the longest ids a frame still holds that.
+     * Twice what {@code ConfirmedCancellations} sends at most; with the longest ids a frame still
+     * holds that.
      */
     private static final int MAX_JOBS = 4_000;
 
+    /** The smallest size of the buffer into which a message is written. */
+    private static final int BUFFER_BYTES = 256;
+
+    // The numbers by which frames name their class. They never change, and none is used anew.
+    private static final int HELLO_ID = 10;
+    private static final int PING_ID = 11;
+    private static final int JOB_CHANGE_ID = 13;
+    private static final int FORWARD_HEARTBEAT_ID = 14;
+    private static final int FORWARDED_ANSWER_ID = 15;
+    private static final int STATUS_REPORT_ID = 16;
+    private static final int DELEGATION_ID = 17;
+    private static final int CANCELLATION_REPORT_ID = 18;
+    private static final int CANCELLATION_REPORT_ACK_ID = 19;
+
     private final Kryo kryo = new Kryo();
 
+    /** Creates a codec that knows all messages of {@link PeerMessage}. */
     public PeerCodec() {
         kryo.setRegistrationRequired(true);
         kryo.setReferences(false);
-        register(
-                PeerMessage.Hello.class,
-                10,
-                (out, m) -> out.writeString(m.label()),
-                in -> new PeerMessage.Hello(in.readString()));
-        register(
-                PeerMessage.Ping.class,
-                11,
-                (out, m) -> {
-                    out.writeLong(m.term());
-                    out.writeString(m.leader());
-                    if (m.rollout() != null) {
-                        out.writeLong(m.rollout().number());
-                        writeTexts(out, m.rollout().on());
-                        writeTexts(out, m.rollout().requires());
-                        writeTexts(out, m.rollout().reads());
-                    }
-                },
-                in -> {
-                    long term = in.readLong();
-                    String leader = in.readString();
-                    return new PeerMessage.Ping(
-                            term,
-                            leader,
-                            in.position() == in.limit()
-                                    ? null
-                                    : new PeerMessage.RolloutView(
-                                            in.readLong(),
-                                            readTexts(in, MAX_TEXTS),
-                                            readTexts(in, MAX_TEXTS),
-                                            readTexts(in, MAX_TEXTS)));
-                });
+        register(PeerMessage.Hello.class, HELLO_ID, PeerCodec::writeHello, PeerCodec::readHello);
+        register(PeerMessage.Ping.class, PING_ID, PeerCodec::writePing, PeerCodec::readPing);
         register(
                 PeerMessage.JobChangeNotification.class,
-                13,
-                (out, m) -> {
-                    out.writeLong(m.revision());
-                    writeBytes(out, m.record());
-                },
-                in -> {
-                    long revision = in.readLong();
-                    return new PeerMessage.JobChangeNotification(readBytes(in), revision);
-                });
+                JOB_CHANGE_ID,
+                PeerCodec::writeJobChange,
+                PeerCodec::readJobChange);
         register(
                 PeerMessage.ForwardHeartbeat.class,
-                14,
-                (out, m) -> {
-                    out.writeLong(m.id());
-                    writeBytes(out, m.heartbeat());
-                },
-                in -> {
-                    long id = in.readLong();
-                    return new PeerMessage.ForwardHeartbeat(id, readBytes(in));
-                });
+                FORWARD_HEARTBEAT_ID,
+                PeerCodec::writeForwardHeartbeat,
+                PeerCodec::readForwardHeartbeat);
         register(
                 PeerMessage.ForwardedAnswer.class,
-                15,
-                (out, m) -> {
-                    out.writeLong(m.id());
-                    out.writeInt(m.status());
-                    writeBytes(out, m.answer());
-                },
-                in -> {
-                    long id = in.readLong();
-                    int status = in.readInt();
-                    return new PeerMessage.ForwardedAnswer(id, status, readBytes(in));
-                });
+                FORWARDED_ANSWER_ID,
+                PeerCodec::writeForwardedAnswer,
+                PeerCodec::readForwardedAnswer);
         register(
                 PeerMessage.StatusReport.class,
-                16,
-                (out, m) -> {
-                    PeerStatus s = m.status();
-                    writeLongs(
-                            out,
-                            s.processId(),
-                            s.uptimeMicros(),
-                            s.sentMicros(),
-                            s.term(),
-                            s.echoedLeaderClockMicros(),
-                            s.noRenewalForMicros(),
-                            s.sinceLastRenewalMicros(),
-                            s.storeSilentMicros());
-                },
-                in ->
-                        new PeerMessage.StatusReport(
-                                new PeerStatus(
-                                        in.readLong(),
-                                        in.readLong(),
-                                        in.readLong(),
-                                        in.readLong(),
-                                        in.readLong(),
-                                        in.readLong(),
-                                        in.readLong(),
-                                        in.readLong())));
+                STATUS_REPORT_ID,
+                PeerCodec::writeStatusReport,
+                PeerCodec::readStatusReport);
         register(
                 PeerMessage.Delegation.class,
-                17,
-                (out, m) -> {
-                    LeaseDelegation w = m.delegation();
-                    writeLongs(
-                            out,
-                            w.term(),
-                            w.statusSentMicros(),
-                            w.leaderClockMicros(),
-                            w.cancellationLagMicros());
-                },
-                in ->
-                        new PeerMessage.Delegation(
-                                new LeaseDelegation(
-                                        in.readLong(),
-                                        in.readLong(),
-                                        in.readLong(),
-                                        in.readLong())));
+                DELEGATION_ID,
+                PeerCodec::writeDelegation,
+                PeerCodec::readDelegation);
         register(
                 PeerMessage.CancellationReport.class,
-                18,
-                (out, m) -> {
-                    WatermarkReport v = m.report();
-                    writeLongs(
-                            out,
-                            v.term(),
-                            v.processId(),
-                            v.sentMicros(),
-                            v.sinceMicros(),
-                            v.echoedLeaderClockMicros(),
-                            v.promiseMicros());
-                    writeTexts(out, v.jobIds());
-                },
-                in ->
-                        new PeerMessage.CancellationReport(
-                                new WatermarkReport(
-                                        in.readLong(),
-                                        in.readLong(),
-                                        in.readLong(),
-                                        in.readLong(),
-                                        in.readLong(),
-                                        in.readLong(),
-                                        readTexts(in, MAX_JOBS))));
+                CANCELLATION_REPORT_ID,
+                PeerCodec::writeCancellationReport,
+                PeerCodec::readCancellationReport);
         register(
                 PeerMessage.CancellationReportAck.class,
-                19,
-                (out, m) -> {
-                    WatermarkAck t = m.ack();
-                    writeLongs(
-                            out,
-                            t.term(),
-                            t.processId(),
-                            t.reportSentMicros(),
-                            t.leaderClockMicros());
-                },
-                in ->
-                        new PeerMessage.CancellationReportAck(
-                                new WatermarkAck(
-                                        in.readLong(),
-                                        in.readLong(),
-                                        in.readLong(),
-                                        in.readLong())));
+                CANCELLATION_REPORT_ACK_ID,
+                PeerCodec::writeCancellationReportAck,
+                PeerCodec::readCancellationReportAck);
+    }
+
+    private static void writeHello(Output out, PeerMessage.Hello message) {
+        out.writeString(message.label());
+    }
+
+    private static PeerMessage.Hello readHello(Input in) {
+        return new PeerMessage.Hello(in.readString());
+    }
+
+    private static void writePing(Output out, PeerMessage.Ping message) {
+        out.writeLong(message.term());
+        out.writeString(message.leader());
+        PeerMessage.RolloutView view = message.rollout();
+        if (view != null) {
+            out.writeLong(view.number());
+            writeTexts(out, view.on());
+            writeTexts(out, view.requires());
+            writeTexts(out, view.reads());
+        }
+    }
+
+    private static PeerMessage.Ping readPing(Input in) {
+        long term = in.readLong();
+        String leader = in.readString();
+        // Releases up to 3 send nothing more.
+        boolean isAtEnd = in.position() == in.limit();
+        return new PeerMessage.Ping(term, leader, isAtEnd ? null : readRolloutView(in));
+    }
+
+    private static PeerMessage.RolloutView readRolloutView(Input in) {
+        return new PeerMessage.RolloutView(
+                in.readLong(),
+                readTexts(in, MAX_FEATURES),
+                readTexts(in, MAX_FEATURES),
+                readTexts(in, MAX_FEATURES));
+    }
+
+    private static void writeJobChange(Output out, PeerMessage.JobChangeNotification message) {
+        out.writeLong(message.revision());
+        writeBytes(out, message.record());
+    }
+
+    private static PeerMessage.JobChangeNotification readJobChange(Input in) {
+        long revision = in.readLong();
+        return new PeerMessage.JobChangeNotification(readBytes(in), revision);
+    }
+
+    private static void writeForwardHeartbeat(Output out, PeerMessage.ForwardHeartbeat message) {
+        out.writeLong(message.id());
+        writeBytes(out, message.heartbeat());
+    }
+
+    private static PeerMessage.ForwardHeartbeat readForwardHeartbeat(Input in) {
+        return new PeerMessage.ForwardHeartbeat(in.readLong(), readBytes(in));
+    }
+
+    private static void writeForwardedAnswer(Output out, PeerMessage.ForwardedAnswer message) {
+        out.writeLong(message.id());
+        out.writeInt(message.status());
+        writeBytes(out, message.answer());
+    }
+
+    private static PeerMessage.ForwardedAnswer readForwardedAnswer(Input in) {
+        return new PeerMessage.ForwardedAnswer(in.readLong(), in.readInt(), readBytes(in));
+    }
+
+    private static void writeStatusReport(Output out, PeerMessage.StatusReport message) {
+        PeerStatus status = message.status();
+        writeLongs(
+                out,
+                status.processId(),
+                status.uptimeMicros(),
+                status.sentMicros(),
+                status.term(),
+                status.echoedLeaderClockMicros(),
+                status.noRenewalForMicros(),
+                status.sinceLastRenewalMicros(),
+                status.storeSilentMicros());
+    }
+
+    private static PeerMessage.StatusReport readStatusReport(Input in) {
+        return new PeerMessage.StatusReport(
+                new PeerStatus(
+                        in.readLong(),
+                        in.readLong(),
+                        in.readLong(),
+                        in.readLong(),
+                        in.readLong(),
+                        in.readLong(),
+                        in.readLong(),
+                        in.readLong()));
+    }
+
+    private static void writeDelegation(Output out, PeerMessage.Delegation message) {
+        LeaseDelegation delegation = message.delegation();
+        writeLongs(
+                out,
+                delegation.term(),
+                delegation.statusSentMicros(),
+                delegation.leaderClockMicros(),
+                delegation.cancellationLagMicros());
+    }
+
+    private static PeerMessage.Delegation readDelegation(Input in) {
+        return new PeerMessage.Delegation(
+                new LeaseDelegation(in.readLong(), in.readLong(), in.readLong(), in.readLong()));
+    }
+
+    private static void writeCancellationReport(
+            Output out, PeerMessage.CancellationReport message) {
+        WatermarkReport report = message.report();
+        writeLongs(
+                out,
+                report.term(),
+                report.processId(),
+                report.sentMicros(),
+                report.sinceMicros(),
+                report.echoedLeaderClockMicros(),
+                report.promiseMicros());
+        writeTexts(out, report.jobIds());
+    }
+
+    private static PeerMessage.CancellationReport readCancellationReport(Input in) {
+        return new PeerMessage.CancellationReport(
+                new WatermarkReport(
+                        in.readLong(),
+                        in.readLong(),
+                        in.readLong(),
+                        in.readLong(),
+                        in.readLong(),
+                        in.readLong(),
+                        readTexts(in, MAX_JOBS)));
+    }
+
+    private static void writeCancellationReportAck(
+            Output out, PeerMessage.CancellationReportAck message) {
+        WatermarkAck ack = message.ack();
+        writeLongs(
+                out, ack.term(), ack.processId(), ack.reportSentMicros(), ack.leaderClockMicros());
+    }
+
+    private static PeerMessage.CancellationReportAck readCancellationReportAck(Input in) {
+        return new PeerMessage.CancellationReportAck(
+                new WatermarkAck(in.readLong(), in.readLong(), in.readLong(), in.readLong()));
     }
 
     private <T> void register(
@@ -201,12 +244,12 @@
                 type,
                 new Serializer<T>() {
                     @Override
-                    public void write(Kryo k, Output out, T message) {
+                    public void write(Kryo ignored, Output out, T message) {
                         writer.accept(out, message);
                     }
 
                     @Override
-                    public T read(Kryo k, Input in, Class<? extends T> c) {
+                    public T read(Kryo ignored, Input in, Class<? extends T> exactType) {
                         return reader.apply(in);
                     }
                 },
@@ -224,9 +267,9 @@
         texts.forEach(out::writeString);
     }
 
-    private static List<String> readTexts(Input in, int most) {
+    private static List<String> readTexts(Input in, int maxCount) {
         int count = in.readInt();
-        if (count < 0 || count > most) {
+        if (count < 0 || count > maxCount) {
             throw new KryoException("a list of " + count + " texts");
         }
         List<String> texts = new ArrayList<>();
@@ -243,15 +286,15 @@
 
     private static byte[] readBytes(Input in) {
         int length = in.readInt();
-        if (length < 0 || length > MAX_BYTES) {
+        if (length < 0 || length > MAX_FIELD_BYTES) {
             throw new KryoException("a field of " + length + " bytes");
         }
         return in.readBytes(length);
     }
 
-    /** The message behind its length. */
+    /** The frame of a message: its length, then what Kryo writes. */
     public byte[] encode(PeerMessage message) {
-        Output out = new Output(256, MAX_FRAME);
+        Output out = new Output(BUFFER_BYTES, MAX_FRAME_BYTES);
         out.writeInt(0);
         kryo.writeClassAndObject(out, message);
         int length = out.position() - Integer.BYTES;
@@ -261,7 +304,7 @@
         return out.toBytes();
     }
 
-    /** Reads what a frame holds behind its length. */
+    /** Reads the message in a frame, without the frame's length. */
     public PeerMessage decode(byte[] frame) throws PeerFormatException {
         try {
             Object message = kryo.readClassAndObject(new Input(frame));
--- a/src/main/java/org/woadloom/peer/PeerFormatException.java
+++ b/src/main/java/org/woadloom/peer/PeerFormatException.java
@@ -1,6 +1,6 @@
 package org.woadloom.peer;
 
-/** Bytes on the peer port that are no message. */
+/** The bytes received on the peer port are not a message, or not one that may come there. */
 public final class PeerFormatException extends Exception {
     PeerFormatException(String message) {
         super(message);
--- a/src/main/java/org/woadloom/peer/PeerMessage.java
+++ b/src/main/java/org/woadloom/peer/PeerMessage.java
@@ -6,51 +6,51 @@
 import org.woadloom.core.delegation.LeaseDelegation;
 import org.woadloom.core.delegation.PeerStatus;
 
-/** What controller nodes say to one another. Losing one costs time and never safety. */
+/** A message between controller nodes. Losing one costs time and never safety. */
 public sealed interface PeerMessage {
-    /** The first message on a connection: who speaks. */
+    /** The first message on a connection: the label of the sender. */
     record Hello(String label) implements PeerMessage {}
 
     /**
-     * Sent all the time, so that a silent cut is noticed, with the highest term that the sender
-     * knows and who leads in it (empty for nobody): a node that only the state service refuses
-     * hears of a new leader that way. What it says of the rollout follows at the end, where
-     * versions up to 3 read no further; null from those.
+     * Sent all the time, so that a silent partition is noticed, with the highest term that the
+     * sender knows and who leads in it (empty for nobody): a node that can't reach the store alone
+     * learns of a new leader that way. The view of the rollout follows at the end, where versions
+     * up to 3 read no further; null from those.
      */
     record Ping(long term, String leader, RolloutView rollout) implements PeerMessage {}
 
     /**
-     * What a node has read of the rollout, and what it reads: one that can't reach the state
-     * service learns it here.
+     * What a node has read of the rollout, and what it can read itself: a node that can't reach the
+     * store learns it here.
      *
-     * @param number of the record that it has read
+     * @param number of the record that the sender has read
      * @param on the features that are on by that record
-     * @param requires what a process must know that is to serve
-     * @param reads what the sender knows
+     * @param requires the features that a process must know to serve
+     * @param reads the features that the sender knows
      */
     record RolloutView(long number, List<String> on, List<String> requires, List<String> reads) {}
 
     /** A job's record, as CBOR, that this node has just made durable. */
     record JobChangeNotification(byte[] record, long revision) implements PeerMessage {}
 
-    /** A worker's report, carried to the leader for a worker that can't reach it. */
+    /** A heartbeat, forwarded to the leader for an agent that can't reach it. */
     record ForwardHeartbeat(long id, byte[] heartbeat) implements PeerMessage {}
 
-    /** The leader's answer to a carried report. */
+    /** The leader's answer to a forwarded heartbeat. */
     record ForwardedAnswer(long id, int status, byte[] answer) implements PeerMessage {}
 
-    /** How the sender stands. Only once every node runs version 3. */
+    /** The sender's status. Only once every node runs version 3. */
     record StatusReport(PeerStatus status) implements PeerMessage {}
 
     /**
-     * What the sender has told of cancellations, for the leader. Only while all nodes have agreed
-     * to vouch.
+     * The cancellations that the sender has confirmed to users, for the leader. Only while the
+     * feature of watermark reports is on.
      */
     record CancellationReport(WatermarkReport report) implements PeerMessage {}
 
-    /** The leader's answer to that. */
+    /** The leader's answer to a cancellation report. */
     record CancellationReportAck(WatermarkAck ack) implements PeerMessage {}
 
-    /** The leader's answer to a standing. */
+    /** The leader's answer to a status report. */
     record Delegation(LeaseDelegation delegation) implements PeerMessage {}
 }
--- a/src/main/java/org/woadloom/peer/PeerTransport.java
+++ b/src/main/java/org/woadloom/peer/PeerTransport.java
@@ -2,7 +2,7 @@
 
 /** Connections to the other nodes. Messages to a peer that is not connected are dropped. */
 public interface PeerTransport {
-    /** Hears what happens, on the loop. */
+    /** Is told what happens, on the event loop. */
     interface Listener {
         void onMessage(String from, PeerMessage message);
 
@@ -15,8 +15,10 @@
         void onConnectionLost(String label, boolean refused);
     }
 
+    /** Connects to all peers, and reconnects from then on. */
     void start(Listener listener);
 
+    /** Sends a message, or drops it where the peer is not connected or its queue is full. */
     void send(String label, PeerMessage message);
 
     /** False while the queue to a connected peer is full, so that what is sent would be dropped. */
--- a/src/main/java/org/woadloom/peer/SendQueue.java
+++ b/src/main/java/org/woadloom/peer/SendQueue.java
@@ -21,13 +21,14 @@
     private int bytes;
     private long refused;
 
-    boolean full() {
+    /** True if the next frame would be refused. */
+    boolean isFull() {
         return frames.size() >= MAX_FRAMES || bytes >= MAX_BYTES;
     }
 
-    /** Returns false, and counts it, where there is no room for the frame. */
+    /** Returns false, and counts it, where the queue is full. */
     boolean add(byte[] frame) {
-        if (full()) {
+        if (isFull()) {
             refused++;
             return false;
         }
--- a/src/main/java/org/woadloom/peer/XnioPeerTransport.java
+++ b/src/main/java/org/woadloom/peer/XnioPeerTransport.java
@@ -89,7 +89,7 @@
     @Override
     public boolean accepts(String label) {
         Outbound out = outbound.get(label);
-        return out == null || out.connection == null || !out.queue.full();
+        return out == null || out.connection == null || !out.queue.isFull();
     }
 
     /**
--- a/src/test/java/org/woadloom/metrics/NodeMetricsGoldenTest.java
+++ b/src/test/java/org/woadloom/metrics/NodeMetricsGoldenTest.java
@@ -17,14 +17,14 @@
         NodeMetrics metrics = new NodeMetrics();
         metrics.answered("submit", 201);
         metrics.answered("report", 503);
-        metrics.stepped(1_500);
-        metrics.done(new SchedulerAction.AnswerHeartbeat(1, 2, List.of()));
-        metrics.done(
+        metrics.onStepTaken(1_500);
+        metrics.onAction(new SchedulerAction.AnswerHeartbeat(1, 2, List.of()));
+        metrics.onAction(
                 new SchedulerAction.SendDirectCommand(1, "host-1", "10.0.0.1:1", 2, 3, List.of()));
-        metrics.done(new SchedulerAction.ReadJob("j-1"));
-        metrics.done(new SchedulerAction.RentMachines("claim", "m", "a", false, 1));
-        metrics.done(new SchedulerAction.DeleteMachines(List.of("host-1")));
-        metrics.done(
+        metrics.onAction(new SchedulerAction.ReadJob("j-1"));
+        metrics.onAction(new SchedulerAction.RentMachines("claim", "m", "a", false, 1));
+        metrics.onAction(new SchedulerAction.DeleteMachines(List.of("host-1")));
+        metrics.onAction(
                 new SchedulerAction.PublishServiceLevels(
                         List.of(
                                 new ServiceLevelReport.Row(
--- a/src/test/java/org/woadloom/node/DeferredHeartbeatsTest.java
+++ b/src/test/java/org/woadloom/node/DeferredHeartbeatsTest.java
@@ -13,12 +13,13 @@
     private final StoppedEventLoop loop = new StoppedEventLoop();
     private final List<Response> answers = new ArrayList<>();
     private int routed;
-    private final DeferredHeartbeats parked =
-            new DeferredHeartbeats(loop, Node.MAX_WAITING_REPORTS, report -> routed++);
+    private final DeferredHeartbeats deferred =
+            new DeferredHeartbeats(
+                    loop, HeartbeatRouter.MAX_WAITING_HEARTBEATS, report -> routed++);
 
-    private void park() {
-        parked.defer(
-                new DeferredHeartbeats.PendingHeartbeat(
+    private void defer() {
+        deferred.defer(
+                new PendingHeartbeat(
                         new byte[0],
                         answers::add,
                         loop.nowMicros() + DeferredHeartbeats.WAIT_MICROS));
@@ -28,19 +29,19 @@
     @Test
     void aWholeFleetWaitsForItsLeader() {
         for (int i = 0; i < FLEET; i++) {
-            park();
+            defer();
         }
-        parked.releaseAll();
+        deferred.releaseAll();
         assertEquals(FLEET, routed);
-        assertEquals(0, parked.refused());
+        assertEquals(0, deferred.refused());
     }
 
     @Test
     void whatIsTooMuchIsSentBackAtOnceAndCounted() {
-        for (int i = 0; i < Node.MAX_WAITING_REPORTS + 3; i++) {
-            park();
+        for (int i = 0; i < HeartbeatRouter.MAX_WAITING_HEARTBEATS + 3; i++) {
+            defer();
         }
         assertEquals(List.of(421, 421, 421), answers.stream().map(Response::status).toList());
-        assertEquals(3, parked.refused());
+        assertEquals(3, deferred.refused());
     }
 }
--- a/src/test/java/org/woadloom/peer/SendQueueTest.java
+++ b/src/test/java/org/woadloom/peer/SendQueueTest.java
@@ -25,7 +25,7 @@
         for (int i = 0; i < SendQueue.MAX_FRAMES; i++) {
             assertTrue(queue.add(new byte[1]));
         }
-        assertTrue(queue.full());
+        assertTrue(queue.isFull());
         assertFalse(queue.add(new byte[1]));
         assertEquals(1, queue.refused());
         queue.removeFirst();
@@ -35,15 +35,15 @@
     @Test
     void framesBeyondTheirBytesAreRefusedAndCounted() {
         int frames = 0;
-        while (queue.add(new byte[PeerCodec.MAX_FRAME])) {
+        while (queue.add(new byte[PeerCodec.MAX_FRAME_BYTES])) {
             frames++;
         }
-        assertEquals(SendQueue.MAX_BYTES / PeerCodec.MAX_FRAME, frames);
+        assertEquals(SendQueue.MAX_BYTES / PeerCodec.MAX_FRAME_BYTES, frames);
         assertEquals(1, queue.refused());
         // What was partly written counts whole until it is gone.
         queue.first().position(10);
         queue.removeFirst();
-        assertFalse(queue.full());
+        assertFalse(queue.isFull());
         queue.clear();
         assertTrue(queue.isEmpty());
     }
