--- a/src/main/java/org/woadloom/protocol/Cbor.java
+++ b/src/main/java/org/woadloom/protocol/Cbor.java
@@ -21,12 +21,17 @@
  */
 public final class Cbor {
     private static final CBORFactory FACTORY = new CBORFactory();
+
+    /** How deep maps and lists may be nested. */
     private static final int MAX_DEPTH = 32;
 
+    private static final int INITIAL_BYTES = 256;
+
     private Cbor() {}
 
+    /** Encodes a value, most often a map. */
     public static byte[] encode(Object value) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream(256);
+        ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BYTES);
         try (JsonGenerator generator = FACTORY.createGenerator(out)) {
             write(generator, value);
         } catch (IOException e) {
@@ -37,10 +42,10 @@
 
     /** Decodes a body that must be one map. */
     public static Map<String, Object> decodeMap(byte[] body) throws MalformedMessageException {
-        return map(decode(body));
+        return requireMap(decode(body));
     }
 
-    private static Map<String, Object> map(Object value) throws MalformedMessageException {
+    private static Map<String, Object> requireMap(Object value) throws MalformedMessageException {
         if (!(value instanceof Map<?, ?> map)) {
             throw new MalformedMessageException("body: expected a map");
         }
@@ -49,15 +54,17 @@
         return result;
     }
 
+    /** Decodes a body that must be one value. */
     public static Object decode(byte[] body) throws MalformedMessageException {
         return decode(FACTORY, body, "CBOR");
     }
 
     /** The same values written as JSON, for people; no interface carries it. */
     public static Map<String, Object> decodeJsonMap(byte[] text) throws MalformedMessageException {
-        return map(decode(new JsonFactory(), text, "JSON"));
+        return requireMap(decode(new JsonFactory(), text, "JSON"));
     }
 
+    /** Writes a value as JSON, for people. */
     public static String toJson(Object value) {
         StringWriter out = new StringWriter();
         try (JsonGenerator generator = new JsonFactory().createGenerator(out)) {
@@ -89,6 +96,12 @@
         }
     }
 
+    /**
+     * Reads one value.
+     *
+     * @param token the first token of the value, which the parser has just given
+     * @param depth how many maps and lists it is in
+     */
     static Object read(JsonParser parser, JsonToken token, int depth)
             throws IOException, MalformedMessageException {
         if (depth > MAX_DEPTH) {
@@ -96,32 +109,9 @@
         }
         switch (token) {
             case START_OBJECT:
-                {
-                    Map<String, Object> map = new LinkedHashMap<>();
-                    String name;
-                    while ((name = parser.nextFieldName()) != null) {
-                        int known = map.size();
-                        map.put(name, read(parser, next(parser), depth + 1));
-                        if (map.size() == known) {
-                            throw new MalformedMessageException(
-                                    "body: " + name + " stands twice in a map");
-                        }
-                    }
-                    if (parser.currentToken() != JsonToken.END_OBJECT) {
-                        throw new MalformedMessageException("body: a map key is not text");
-                    }
-                    return map;
-                }
+                return readMap(parser, depth);
             case START_ARRAY:
-                {
-                    List<Object> list = new ArrayList<>();
-                    for (JsonToken item = next(parser);
-                            item != JsonToken.END_ARRAY;
-                            item = next(parser)) {
-                        list.add(read(parser, item, depth + 1));
-                    }
-                    return list;
-                }
+                return readList(parser, depth);
             case VALUE_STRING:
                 return parser.getText();
             case VALUE_NUMBER_INT:
@@ -142,6 +132,42 @@
         }
     }
 
+    private static Map<String, Object> readMap(JsonParser parser, int depth)
+            throws IOException, MalformedMessageException {
+        Map<String, Object> map = new LinkedHashMap<>();
+        String name;
+        while ((name = parser.nextFieldName()) != null) {
+            int sizeBefore = map.size();
+            map.put(name, read(parser, next(parser), depth + 1));
+            if (map.size() == sizeBefore) {
+                throw duplicateField(name);
+            }
+        }
+        requireEndOfMap(parser);
+        return map;
+    }
+
+    private static List<Object> readList(JsonParser parser, int depth)
+            throws IOException, MalformedMessageException {
+        List<Object> list = new ArrayList<>();
+        for (JsonToken item = next(parser); item != JsonToken.END_ARRAY; item = next(parser)) {
+            list.add(read(parser, item, depth + 1));
+        }
+        return list;
+    }
+
+    static MalformedMessageException duplicateField(String name) {
+        return new MalformedMessageException("body: " + name + " stands twice in a map");
+    }
+
+    /** The parser gives no name either at the end of a map or for a key that is not text. */
+    static void requireEndOfMap(JsonParser parser) throws MalformedMessageException {
+        if (parser.currentToken() != JsonToken.END_OBJECT) {
+            throw new MalformedMessageException("body: a map key is not text");
+        }
+    }
+
+    /** The next token of a value that is not complete yet. */
     static JsonToken next(JsonParser parser) throws IOException, MalformedMessageException {
         JsonToken token = parser.nextToken();
         if (token == null) {
--- a/src/main/java/org/woadloom/protocol/FieldReader.java
+++ b/src/main/java/org/woadloom/protocol/FieldReader.java
@@ -6,22 +6,34 @@
 import java.util.Arrays;
 
 /**
- * Reads the fields of one map as they come, for messages that arrive by the hundred a second:
- * nothing is made of what is not asked for. It refuses what {@link Cbor#decode} and {@link Fields}
- * refuse, and treats null as missing like them.
+ * Reads the fields of one map in a streaming way, for messages that arrive by the hundred a second:
+ * no object is made for a field that is not used. It refuses what {@link Cbor#decode} and {@link
+ * Fields} refuse, and treats null as missing like them.
  */
 final class FieldReader {
+    /** How deep a value of a field is nested, for {@link Cbor#read}. */
+    private static final int VALUE_DEPTH = 2;
+
+    private static final int INITIAL_NAMES = 16;
+
     private final JsonParser parser;
+
+    /** The first token of the current field's value. */
     private JsonToken value;
+
+    /** The current field's name. */
     private String name;
-    private String[] names = new String[16];
-    private int count;
+
+    /** The names of the map's fields so far: the first {@link #nameCount} elements. */
+    private String[] names = new String[INITIAL_NAMES];
+
+    private int nameCount;
 
     private FieldReader(JsonParser parser) {
         this.parser = parser;
     }
 
-    /** What is made of a message. */
+    /** Makes a message, or a part of one, of the fields of a map. */
     interface Reading<T> {
         T read(FieldReader fields) throws IOException, MalformedMessageException;
     }
@@ -46,37 +58,38 @@
         }
     }
 
-    /** Goes on to the next field with a value; returns its name, or null at the end of the map. */
+    /** Advances to the next field with a value; returns its name, or null at the end of the map. */
     String next() throws IOException, MalformedMessageException {
         while ((name = parser.nextFieldName()) != null) {
-            once();
+            checkNotDuplicate();
             value = Cbor.next(parser);
             if (value != JsonToken.VALUE_NULL) {
                 return name;
             }
         }
-        if (parser.currentToken() != JsonToken.END_OBJECT) {
-            throw new MalformedMessageException("body: a map key is not text");
-        }
+        Cbor.requireEndOfMap(parser);
         return null;
     }
 
-    /** A map has few fields, and their names are mostly the same objects each time. */
-    private void once() throws MalformedMessageException {
-        for (int i = 0; i < count; i++) {
+    /**
+     * A linear search is cheapest: a map has few fields, and their names are mostly the same
+     * objects.
+     */
+    private void checkNotDuplicate() throws MalformedMessageException {
+        for (int i = 0; i < nameCount; i++) {
             if (names[i].equals(name)) {
-                throw new MalformedMessageException("body: " + name + " stands twice in a map");
+                throw Cbor.duplicateField(name);
             }
         }
-        if (count == names.length) {
-            names = Arrays.copyOf(names, 2 * count);
+        if (nameCount == names.length) {
+            names = Arrays.copyOf(names, 2 * nameCount);
         }
-        names[count++] = name;
+        names[nameCount++] = name;
     }
 
-    /** Passes over a field that is not known, which must be well-formed all the same. */
+    /** Skips the value of an unknown field, which must be well-formed all the same. */
     void skip() throws IOException, MalformedMessageException {
-        Cbor.read(parser, value, 2);
+        Cbor.read(parser, value, VALUE_DEPTH);
     }
 
     String text() throws IOException, MalformedMessageException {
@@ -106,28 +119,28 @@
     }
 
     private Object scalar() throws IOException, MalformedMessageException {
-        return Cbor.read(parser, value, 2);
+        return Cbor.read(parser, value, VALUE_DEPTH);
     }
 
-    /** Goes through a list of maps, one call of the reader for each. */
+    /** Reads a list of maps, with one call for each. */
     void maps(Reading<?> each) throws IOException, MalformedMessageException {
-        String of = name;
+        String listName = name;
         if (value != JsonToken.START_ARRAY) {
-            throw new MalformedMessageException(of + ": expected a list");
+            throw new MalformedMessageException(listName + ": expected a list");
         }
         FieldReader item = new FieldReader(parser);
         for (JsonToken token = Cbor.next(parser);
                 token != JsonToken.END_ARRAY;
                 token = Cbor.next(parser)) {
             if (token != JsonToken.START_OBJECT) {
-                throw new MalformedMessageException(of + ": expected a map");
+                throw new MalformedMessageException(listName + ": expected a map");
             }
-            item.count = 0;
+            item.nameCount = 0;
             each.read(item);
         }
     }
 
-    /** A field that must be there. */
+    /** The value of a field that must be there. */
     static <T> T required(String name, T value, String what) throws MalformedMessageException {
         if (value == null) {
             throw new MalformedMessageException(name + ": expected " + what);
--- a/src/main/java/org/woadloom/protocol/Heartbeat.java
+++ b/src/main/java/org/woadloom/protocol/Heartbeat.java
@@ -4,7 +4,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A worker's report. {@code warningMicros} is -1 unless the cloud has given notice. */
+/**
+ * An agent's heartbeat with the status of its machine and of all its tasks.
+ *
+ * @param incarnation grows with each start of the agent's process
+ * @param sequence grows with each heartbeat of one incarnation
+ * @param fencingToken the newest token that the agent has seen
+ * @param spotNoticeMicros how long after the heartbeat the cloud takes the machine back; {@link
+ *     #NO_SPOT_NOTICE} unless it has given notice
+ */
 public record Heartbeat(
         String host,
         String address,
@@ -17,6 +25,28 @@
         long spotNoticeMicros,
         List<TaskStatus> tasks) {
 
+    /** In place of {@link #spotNoticeMicros} while the cloud has not given notice. */
+    public static final long NO_SPOT_NOTICE = -1;
+
+    private static final int MAX_HOST_LENGTH = 100;
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    /** The names of the fields in a heartbeat's body. */
+    static final class Field {
+        static final String HOST = "host";
+        static final String ADDRESS = "addr";
+        static final String MACHINE_TYPE = "hosttype";
+        static final String ZONE = "yard";
+        static final String SPOT = "reclaimable";
+        static final String INCARNATION = "tenure";
+        static final String SEQUENCE = "tick";
+        static final String FENCING_TOKEN = "epoch";
+        static final String SPOT_NOTICE_SECONDS = "warningS";
+        static final String TASKS = "shards";
+
+        private Field() {}
+    }
+
     public static Heartbeat read(byte[] body) throws MalformedMessageException {
         return FieldReader.body(body, Heartbeat::read);
     }
@@ -31,20 +61,21 @@
         Long incarnation = null;
         Long sequence = null;
         Long fencingToken = null;
-        long spotNotice = -1;
+        long spotNoticeMicros = NO_SPOT_NOTICE;
         List<TaskStatus> tasks = null;
         for (String name = fields.next(); name != null; name = fields.next()) {
             switch (name) {
-                case "host" -> host = fields.text();
-                case "addr" -> address = fields.text();
-                case "hosttype" -> machineType = fields.text();
-                case "yard" -> zone = fields.text();
-                case "reclaimable" -> spot = fields.flag();
-                case "tenure" -> incarnation = fields.count();
-                case "tick" -> sequence = fields.count();
-                case "epoch" -> fencingToken = fields.count();
-                case "warningS" -> spotNotice = (long) (fields.amount() * 1e6);
-                case "shards" -> {
+                case Field.HOST -> host = fields.text();
+                case Field.ADDRESS -> address = fields.text();
+                case Field.MACHINE_TYPE -> machineType = fields.text();
+                case Field.ZONE -> zone = fields.text();
+                case Field.SPOT -> spot = fields.flag();
+                case Field.INCARNATION -> incarnation = fields.count();
+                case Field.SEQUENCE -> sequence = fields.count();
+                case Field.FENCING_TOKEN -> fencingToken = fields.count();
+                case Field.SPOT_NOTICE_SECONDS ->
+                        spotNoticeMicros = (long) (fields.amount() * MICROS_PER_SECOND);
+                case Field.TASKS -> {
                     List<TaskStatus> read = new ArrayList<>();
                     fields.maps(item -> read.add(TaskStatus.read(item)));
                     tasks = read;
@@ -52,28 +83,34 @@
                 default -> fields.skip();
             }
         }
-        if (host == null
-                || host.isEmpty()
-                || host.length() > 100
-                || host.indexOf(' ') >= 0
-                || host.indexOf('/') >= 0) {
-            throw new MalformedMessageException("host: expected a machine's name");
+        if (host == null || !isHostName(host)) {
+            throw new MalformedMessageException(Field.HOST + ": expected a machine's name");
         }
         return new Heartbeat(
                 host,
-                FieldReader.required("addr", address, "text"),
-                FieldReader.required("hosttype", machineType, "text"),
-                FieldReader.required("yard", zone, "text"),
+                FieldReader.required(Field.ADDRESS, address, "text"),
+                FieldReader.required(Field.MACHINE_TYPE, machineType, "text"),
+                FieldReader.required(Field.ZONE, zone, "text"),
                 spot,
-                FieldReader.required("tenure", incarnation, "an integer"),
-                FieldReader.required("tick", sequence, "an integer"),
-                FieldReader.required("epoch", fencingToken, "an integer"),
-                spotNotice,
-                FieldReader.required("shards", tasks, "a list"));
+                FieldReader.required(Field.INCARNATION, incarnation, "an integer"),
+                FieldReader.required(Field.SEQUENCE, sequence, "an integer"),
+                FieldReader.required(Field.FENCING_TOKEN, fencingToken, "an integer"),
+                spotNoticeMicros,
+                FieldReader.required(Field.TASKS, tasks, "a list"));
+    }
+
+    /** A host's name becomes part of a key in the store and of log lines. */
+    private static boolean isHostName(String text) {
+        return !text.isEmpty()
+                && text.length() <= MAX_HOST_LENGTH
+                && text.indexOf(' ') < 0
+                && text.indexOf('/') < 0;
     }
 
-    /** True if this message was made after the one with the given tenure and tick. */
-    public boolean isNewerThan(long otherTenure, long otherTick) {
-        return incarnation != otherTenure ? incarnation > otherTenure : sequence > otherTick;
+    /** Whether this heartbeat was made after the one with the given incarnation and sequence. */
+    public boolean isNewerThan(long otherIncarnation, long otherSequence) {
+        return incarnation != otherIncarnation
+                ? incarnation > otherIncarnation
+                : sequence > otherSequence;
     }
 }
--- a/src/main/java/org/woadloom/protocol/JobDescription.java
+++ b/src/main/java/org/woadloom/protocol/JobDescription.java
@@ -6,10 +6,14 @@
 import java.util.Map;
 
 /**
- * A job as its user submits it. {@code hosttypes}, {@code yard} and {@code dueS} are null where the
- * user set no limit; amounts and durations keep the protocol's units here and become microseconds
- * in the core. {@code awaits} is empty for a job that waits for no other; it was written by no
- * version before 2.
+ * A job as its user submits it. Amounts and durations keep the protocol's units here and become
+ * microseconds in the core.
+ *
+ * @param machineTypes the types that its tasks may run on; null for any
+ * @param zone where all of its tasks must run; null for anywhere
+ * @param deadlineSeconds when it should be over, counted from its submission; null for no deadline
+ * @param dependencies the jobs that must be done before this one starts; empty for a job that waits
+ *     for no other. Version 1 did not write this field
  */
 public record JobDescription(
         String jobId,
@@ -34,43 +38,78 @@
         Double deadlineSeconds,
         List<String> dependencies) {
 
+    /** The names of the fields in a submission and in a stored record. */
+    public static final class Field {
+        public static final String JOB_ID = "uid";
+        public static final String JOB_CLASS = "jobclass";
+        public static final String TEAM = "crew";
+        public static final String KIND = "shape";
+        public static final String PRIORITY = "rank";
+        public static final String TASK_COUNT = "shards";
+        public static final String CPUS = "vcpus";
+        public static final String GPUS = "cards";
+        public static final String MEMORY_GB = "ramGb";
+        public static final String IMAGE = "bundle";
+        public static final String IMAGE_GB = "pullGb";
+        public static final String MACHINE_TYPES = "hosttypes";
+        public static final String ZONE = "yard";
+        public static final String SAME_ZONE = "samePlace";
+        public static final String SPREAD_ACROSS_ZONES = "apart";
+        public static final String SPOT_ALLOWED = "reclaimable";
+        public static final String ESTIMATED_RUNTIME_SECONDS = "runtimeS";
+        public static final String CHECKPOINT_INTERVAL_SECONDS = "snapshotEveryS";
+        public static final String CHECKPOINT_COST_SECONDS = "snapshotCostS";
+        public static final String DEADLINE_SECONDS = "dueS";
+        public static final String DEPENDENCIES = "awaits";
+
+        private Field() {}
+    }
+
     public static final int MAX_TASKS = 100_000;
-    private static final int MAX_NAME = 120;
+    private static final int MAX_NAME_LENGTH = 120;
+    private static final String JOB_ID_PREFIX = "j-";
+    private static final int MIN_JOB_ID_LENGTH = 3;
+    private static final int MAX_JOB_ID_LENGTH = 66;
 
-    /** What users must give, and stored records leave out where it has the usual value. */
-    private static final List<String> LEFT_OUT_IN_RECORDS =
+    /** What a submission must have, and stored records leave out where it has its default. */
+    private static final List<String> OPTIONAL_IN_RECORDS =
             List.of(
-                    "cards",
-                    "pullGb",
-                    "samePlace",
-                    "apart",
-                    "reclaimable",
-                    "runtimeS",
-                    "snapshotEveryS",
-                    "snapshotCostS");
+                    Field.GPUS,
+                    Field.IMAGE_GB,
+                    Field.SAME_ZONE,
+                    Field.SPREAD_ACROSS_ZONES,
+                    Field.SPOT_ALLOWED,
+                    Field.ESTIMATED_RUNTIME_SECONDS,
+                    Field.CHECKPOINT_INTERVAL_SECONDS,
+                    Field.CHECKPOINT_COST_SECONDS);
 
     /** True for text that has the form of a job id and can be part of a key and of a path. */
     public static boolean isJobId(String text) {
-        if (!text.startsWith("j-") || text.length() < 3 || text.length() > 66) {
+        if (!text.startsWith(JOB_ID_PREFIX)
+                || text.length() < MIN_JOB_ID_LENGTH
+                || text.length() > MAX_JOB_ID_LENGTH) {
             return false;
         }
-        for (int i = 2; i < text.length(); i++) {
-            char c = text.charAt(i);
-            if (!(c >= '0' && c <= '9'
-                    || c >= 'a' && c <= 'z'
-                    || c >= 'A' && c <= 'Z'
-                    || c == '-'
-                    || c == '_')) {
+        for (int i = JOB_ID_PREFIX.length(); i < text.length(); i++) {
+            if (!isJobIdCharacter(text.charAt(i))) {
                 return false;
             }
         }
         return true;
     }
 
-    /** As its user submits it: only what may be null may be missing. */
+    private static boolean isJobIdCharacter(char c) {
+        return c >= '0' && c <= '9'
+                || c >= 'a' && c <= 'z'
+                || c >= 'A' && c <= 'Z'
+                || c == '-'
+                || c == '_';
+    }
+
+    /** Parses a submission: only what may be null may be missing. */
     public static JobDescription submitted(Map<String, Object> map)
             throws MalformedMessageException {
-        for (String field : LEFT_OUT_IN_RECORDS) {
+        for (String field : OPTIONAL_IN_RECORDS) {
             if (map.get(field) == null) {
                 throw new MalformedMessageException(field + ": is missing");
             }
@@ -78,57 +117,65 @@
         return parse(map);
     }
 
-    /** As a record holds it, of this version or an earlier one. */
+    /** Parses the description in a stored record, of this version or an earlier one. */
     public static JobDescription parse(Map<String, Object> map) throws MalformedMessageException {
-        Fields f = new Fields(map);
-        String jobId = f.text("uid");
+        Fields fields = new Fields(map);
+        String jobId = fields.text(Field.JOB_ID);
         if (!isJobId(jobId)) {
-            throw new MalformedMessageException("uid: expected an id such as j-000412");
+            throw new MalformedMessageException(Field.JOB_ID + ": expected an id such as j-000412");
         }
-        long shards = f.integer("shards");
-        if (shards < 1 || shards > MAX_TASKS) {
-            throw new MalformedMessageException("shards: expected 1 to " + MAX_TASKS);
+        long taskCount = fields.integer(Field.TASK_COUNT);
+        if (taskCount < 1 || taskCount > MAX_TASKS) {
+            throw new MalformedMessageException(Field.TASK_COUNT + ": expected 1 to " + MAX_TASKS);
         }
-        List<String> machineTypes = f.has("hosttypes") ? List.copyOf(f.texts("hosttypes")) : null;
-        double cpus = f.amount("vcpus");
-        double gpus = f.amountOr("cards", 0);
-        double memoryGb = f.amount("ramGb");
+        List<String> machineTypes =
+                fields.has(Field.MACHINE_TYPES)
+                        ? List.copyOf(fields.texts(Field.MACHINE_TYPES))
+                        : null;
+        double cpus = fields.amount(Field.CPUS);
+        double gpus = fields.amountOr(Field.GPUS, 0);
+        double memoryGb = fields.amount(Field.MEMORY_GB);
         if (cpus == 0 && gpus == 0 && memoryGb == 0) {
-            throw new MalformedMessageException("vcpus: a task must take something of its machine");
+            throw new MalformedMessageException(
+                    Field.CPUS + ": a task must take something of its machine");
         }
         return new JobDescription(
                 jobId,
-                name(f, "jobclass"),
-                name(f, "crew"),
-                JobKind.parse(f.text("shape")),
-                Priority.parse(f.text("rank")),
-                (int) shards,
+                name(fields, Field.JOB_CLASS),
+                name(fields, Field.TEAM),
+                JobKind.parse(fields.text(Field.KIND)),
+                Priority.parse(fields.text(Field.PRIORITY)),
+                (int) taskCount,
                 cpus,
                 gpus,
                 memoryGb,
-                name(f, "bundle"),
-                f.amountOr("pullGb", 0),
+                name(fields, Field.IMAGE),
+                fields.amountOr(Field.IMAGE_GB, 0),
                 machineTypes,
-                f.textOr("yard", null),
-                f.flagOr("samePlace", false),
-                f.flagOr("apart", false),
-                f.flagOr("reclaimable", false),
-                f.amountOr("runtimeS", 0),
-                f.amountOr("snapshotEveryS", 0),
-                f.amountOr("snapshotCostS", 0),
-                f.has("dueS") ? Double.valueOf(f.amount("dueS")) : null,
-                dependencies(f));
+                fields.textOr(Field.ZONE, null),
+                fields.flagOr(Field.SAME_ZONE, false),
+                fields.flagOr(Field.SPREAD_ACROSS_ZONES, false),
+                fields.flagOr(Field.SPOT_ALLOWED, false),
+                fields.amountOr(Field.ESTIMATED_RUNTIME_SECONDS, 0),
+                fields.amountOr(Field.CHECKPOINT_INTERVAL_SECONDS, 0),
+                fields.amountOr(Field.CHECKPOINT_COST_SECONDS, 0),
+                fields.has(Field.DEADLINE_SECONDS)
+                        ? Double.valueOf(fields.amount(Field.DEADLINE_SECONDS))
+                        : null,
+                dependencies(fields));
     }
 
     /**
      * The jobs that have to be done before this one starts; each is named once here, however often
      * its user did.
      */
-    private static List<String> dependencies(Fields f) throws MalformedMessageException {
-        return f.has("awaits") ? List.copyOf(new LinkedHashSet<>(f.texts("awaits"))) : List.of();
+    private static List<String> dependencies(Fields fields) throws MalformedMessageException {
+        return fields.has(Field.DEPENDENCIES)
+                ? List.copyOf(new LinkedHashSet<>(fields.texts(Field.DEPENDENCIES)))
+                : List.of();
     }
 
-    /** The same job where what it waited for is done. */
+    /** The same job once its dependencies are done. */
     public JobDescription withoutDependencies() {
         return dependencies.isEmpty()
                 ? this
@@ -156,11 +203,11 @@
                         List.of());
     }
 
-    private static String name(Fields f, String field) throws MalformedMessageException {
-        String text = f.text(field);
-        if (text.isEmpty() || text.length() > MAX_NAME) {
+    private static String name(Fields fields, String field) throws MalformedMessageException {
+        String text = fields.text(field);
+        if (text.isEmpty() || text.length() > MAX_NAME_LENGTH) {
             throw new MalformedMessageException(
-                    field + ": expected 1 to " + MAX_NAME + " characters");
+                    field + ": expected 1 to " + MAX_NAME_LENGTH + " characters");
         }
         return text;
     }
@@ -175,28 +222,28 @@
 
     public Map<String, Object> toMap() {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("uid", jobId);
-        map.put("jobclass", jobClass);
-        map.put("crew", team);
-        map.put("shape", kind.wireName());
-        map.put("rank", priority.wireName());
-        map.put("shards", (long) taskCount);
-        map.put("vcpus", cpus);
-        map.put("cards", gpus);
-        map.put("ramGb", memoryGb);
-        map.put("bundle", image);
-        map.put("pullGb", imageGb);
-        map.put("hosttypes", machineTypes);
-        map.put("yard", zone);
-        map.put("samePlace", sameZone);
-        map.put("apart", spreadAcrossZones);
-        map.put("reclaimable", spotAllowed);
-        map.put("runtimeS", estimatedRuntimeSeconds);
-        map.put("snapshotEveryS", checkpointIntervalSeconds);
-        map.put("snapshotCostS", checkpointCostSeconds);
-        map.put("dueS", deadlineSeconds);
+        map.put(Field.JOB_ID, jobId);
+        map.put(Field.JOB_CLASS, jobClass);
+        map.put(Field.TEAM, team);
+        map.put(Field.KIND, kind.wireName());
+        map.put(Field.PRIORITY, priority.wireName());
+        map.put(Field.TASK_COUNT, (long) taskCount);
+        map.put(Field.CPUS, cpus);
+        map.put(Field.GPUS, gpus);
+        map.put(Field.MEMORY_GB, memoryGb);
+        map.put(Field.IMAGE, image);
+        map.put(Field.IMAGE_GB, imageGb);
+        map.put(Field.MACHINE_TYPES, machineTypes);
+        map.put(Field.ZONE, zone);
+        map.put(Field.SAME_ZONE, sameZone);
+        map.put(Field.SPREAD_ACROSS_ZONES, spreadAcrossZones);
+        map.put(Field.SPOT_ALLOWED, spotAllowed);
+        map.put(Field.ESTIMATED_RUNTIME_SECONDS, estimatedRuntimeSeconds);
+        map.put(Field.CHECKPOINT_INTERVAL_SECONDS, checkpointIntervalSeconds);
+        map.put(Field.CHECKPOINT_COST_SECONDS, checkpointCostSeconds);
+        map.put(Field.DEADLINE_SECONDS, deadlineSeconds);
         if (!dependencies.isEmpty()) {
-            map.put("awaits", dependencies);
+            map.put(Field.DEPENDENCIES, dependencies);
         }
         return map;
     }
--- a/src/main/java/org/woadloom/protocol/JobKind.java
+++ b/src/main/java/org/woadloom/protocol/JobKind.java
@@ -27,6 +27,7 @@
                 return kind;
             }
         }
-        throw new MalformedMessageException("shape: expected batch, group or service");
+        throw new MalformedMessageException(
+                JobDescription.Field.KIND + ": expected batch, group or service");
     }
 }
--- a/src/main/java/org/woadloom/protocol/ListedMachine.java
+++ b/src/main/java/org/woadloom/protocol/ListedMachine.java
@@ -1,6 +1,10 @@
 package org.woadloom.protocol;
 
-/** One machine as the cloud's list shows it; the list lags, so absence from it says nothing. */
+/**
+ * One machine as the cloud's list shows it. The list lags, so absence from it says nothing.
+ *
+ * @param rentedForMicros for how long the cloud has charged for it
+ */
 public record ListedMachine(
         String host,
         String address,
@@ -9,19 +13,36 @@
         boolean spot,
         String status,
         long rentedForMicros) {
+    private static final String FAILED = "failed";
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    /** The names of the fields in the cloud's list, and of the list itself. */
+    static final class Field {
+        static final String HOST = "uid";
+        static final String ADDRESS = "addr";
+        static final String MACHINE_TYPE = "hosttype";
+        static final String ZONE = "yard";
+        static final String SPOT = "reclaimable";
+        static final String STATUS = "status";
+        static final String RENTED_SECONDS = "heldS";
+        static final String LIST = "hosts";
+
+        private Field() {}
+    }
+
     public static ListedMachine parse(Object value) throws MalformedMessageException {
-        Fields f = Fields.of(value, "hosts");
+        Fields fields = Fields.of(value, Field.LIST);
         return new ListedMachine(
-                f.text("uid"),
-                f.textOr("addr", ""),
-                f.text("hosttype"),
-                f.text("yard"),
-                f.flagOr("reclaimable", false),
-                f.text("status"),
-                (long) (f.amountOr("heldS", 0) * 1e6));
+                fields.text(Field.HOST),
+                fields.textOr(Field.ADDRESS, ""),
+                fields.text(Field.MACHINE_TYPE),
+                fields.text(Field.ZONE),
+                fields.flagOr(Field.SPOT, false),
+                fields.text(Field.STATUS),
+                (long) (fields.amountOr(Field.RENTED_SECONDS, 0) * MICROS_PER_SECOND));
     }
 
     public boolean failed() {
-        return status.equals("failed");
+        return status.equals(FAILED);
     }
 }
--- a/src/main/java/org/woadloom/protocol/MachineType.java
+++ b/src/main/java/org/woadloom/protocol/MachineType.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A kind of machine that the cloud rents. Prices are per hour. */
+/** A kind of machine that the cloud offers. Prices are per hour. */
 public record MachineType(
         String name,
         double cpus,
@@ -18,25 +18,51 @@
         long bootMicros,
         List<String> zones) {
 
+    private static final double DEFAULT_IMAGE_GB_PER_SECOND = 0.1;
+    private static final double DEFAULT_BOOT_SECONDS = 60;
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    /** Allows for the rounding of sums of resources. */
+    private static final double ROUNDING = 1e-9;
+
+    /** The names of the fields in the cloud's list, and of the list itself. */
+    static final class Field {
+        static final String NAME = "name";
+        static final String CPUS = "vcpus";
+        static final String GPUS = "cards";
+        static final String MEMORY_GB = "ramGb";
+        static final String IMAGE_CACHE_GB = "cacheGb";
+        static final String IMAGE_GB_PER_SECOND = "pullGbPerS";
+        static final String ON_DEMAND_PRICE = "rate";
+        static final String SPOT_PRICE = "marketPrice";
+        static final String BOOT_SECONDS = "readyS";
+        static final String ZONES = "yards";
+        static final String LIST = "hosttypes";
+
+        private Field() {}
+    }
+
     public static MachineType parse(Object value) throws MalformedMessageException {
-        Fields f = Fields.of(value, "hosttypes");
+        Fields fields = Fields.of(value, Field.LIST);
         return new MachineType(
-                f.text("name"),
-                f.amount("vcpus"),
-                f.amountOr("cards", 0),
-                f.amount("ramGb"),
-                f.amountOr("cacheGb", 0),
-                f.amountOr("pullGbPerS", 0.1),
-                f.amount("rate"),
-                f.amountOr("marketPrice", f.amount("rate")),
-                (long) (f.amountOr("readyS", 60) * 1e6),
-                List.copyOf(f.texts("yards")));
+                fields.text(Field.NAME),
+                fields.amount(Field.CPUS),
+                fields.amountOr(Field.GPUS, 0),
+                fields.amount(Field.MEMORY_GB),
+                fields.amountOr(Field.IMAGE_CACHE_GB, 0),
+                fields.amountOr(Field.IMAGE_GB_PER_SECOND, DEFAULT_IMAGE_GB_PER_SECOND),
+                fields.amount(Field.ON_DEMAND_PRICE),
+                fields.amountOr(Field.SPOT_PRICE, fields.amount(Field.ON_DEMAND_PRICE)),
+                (long)
+                        (fields.amountOr(Field.BOOT_SECONDS, DEFAULT_BOOT_SECONDS)
+                                * MICROS_PER_SECOND),
+                List.copyOf(fields.texts(Field.ZONES)));
     }
 
     public static List<MachineType> parseAll(Map<String, Object> map)
             throws MalformedMessageException {
         List<MachineType> types = new ArrayList<>();
-        for (Object item : new Fields(map).list("hosttypes")) {
+        for (Object item : new Fields(map).list(Field.LIST)) {
             types.add(parse(item));
         }
         return types;
@@ -44,23 +70,23 @@
 
     public Map<String, Object> toMap() {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("name", name);
-        map.put("vcpus", cpus);
-        map.put("cards", gpus);
-        map.put("ramGb", memoryGb);
-        map.put("cacheGb", imageCacheGb);
-        map.put("pullGbPerS", imageGbPerSecond);
-        map.put("rate", onDemandPrice);
-        map.put("marketPrice", spotPrice);
-        map.put("readyS", bootMicros / 1e6);
-        map.put("yards", zones);
+        map.put(Field.NAME, name);
+        map.put(Field.CPUS, cpus);
+        map.put(Field.GPUS, gpus);
+        map.put(Field.MEMORY_GB, memoryGb);
+        map.put(Field.IMAGE_CACHE_GB, imageCacheGb);
+        map.put(Field.IMAGE_GB_PER_SECOND, imageGbPerSecond);
+        map.put(Field.ON_DEMAND_PRICE, onDemandPrice);
+        map.put(Field.SPOT_PRICE, spotPrice);
+        map.put(Field.BOOT_SECONDS, bootMicros / MICROS_PER_SECOND);
+        map.put(Field.ZONES, zones);
         return map;
     }
 
-    /** True if one task of the job fits on an empty machine of this type. */
+    /** Whether one task of the job fits on an empty machine of this type. */
     public boolean fits(JobDescription job) {
-        return job.cpus() <= cpus + 1e-9
-                && job.gpus() <= gpus + 1e-9
-                && job.memoryGb() <= memoryGb + 1e-9;
+        return job.cpus() <= cpus + ROUNDING
+                && job.gpus() <= gpus + ROUNDING
+                && job.memoryGb() <= memoryGb + ROUNDING;
     }
 }
--- a/src/main/java/org/woadloom/protocol/Priority.java
+++ b/src/main/java/org/woadloom/protocol/Priority.java
@@ -1,5 +1,7 @@
 package org.woadloom.protocol;
 
+import java.util.Locale;
+
 /** Priority of a job, lowest first so that {@link #compareTo} orders by importance. */
 public enum Priority {
     LOW,
@@ -8,7 +10,7 @@
     CRITICAL;
 
     public String wireName() {
-        return name().toLowerCase(java.util.Locale.ROOT);
+        return name().toLowerCase(Locale.ROOT);
     }
 
     static Priority parse(String text) throws MalformedMessageException {
@@ -17,6 +19,7 @@
                 return priority;
             }
         }
-        throw new MalformedMessageException("rank: expected critical, high, standard or low");
+        throw new MalformedMessageException(
+                JobDescription.Field.PRIORITY + ": expected critical, high, standard or low");
     }
 }
--- a/src/main/java/org/woadloom/protocol/TaskCommand.java
+++ b/src/main/java/org/woadloom/protocol/TaskCommand.java
@@ -4,10 +4,23 @@
 import java.util.Map;
 
 /**
- * A command to a worker. Every order names the attempt, so a late one can only touch what it was
+ * A command to an agent. Every command names the attempt, so a late one can only touch what it was
  * meant for.
+ *
+ * @param gracePeriodSeconds how long a task that is stopped may take to save its progress; 0 for
+ *     other commands
  */
 public record TaskCommand(Action action, TaskId task, long attempt, double gracePeriodSeconds) {
+    /** The names of the fields of a command. */
+    static final class Field {
+        static final String ACTION = "verb";
+        static final String TASK = "shard";
+        static final String ATTEMPT = "try";
+        static final String GRACE_PERIOD_SECONDS = "windDownS";
+
+        private Field() {}
+    }
+
     /** What the agent is to do with the task. */
     public enum Action {
         START("launch"),
@@ -35,11 +48,11 @@
 
     public Map<String, Object> toMap() {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("verb", action.wireName);
-        map.put("shard", task.toString());
-        map.put("try", attempt);
+        map.put(Field.ACTION, action.wireName);
+        map.put(Field.TASK, task.toString());
+        map.put(Field.ATTEMPT, attempt);
         if (action == Action.STOP) {
-            map.put("windDownS", gracePeriodSeconds);
+            map.put(Field.GRACE_PERIOD_SECONDS, gracePeriodSeconds);
         }
         return map;
     }
--- a/src/main/java/org/woadloom/protocol/TaskId.java
+++ b/src/main/java/org/woadloom/protocol/TaskId.java
@@ -11,10 +11,11 @@
                     return new TaskId(text.substring(0, slash), index);
                 }
             } catch (NumberFormatException e) {
-                // falls through to the one error below
+                // Falls through to the one error below.
             }
         }
-        throw new MalformedMessageException("shard: expected an id such as j-000412/3");
+        throw new MalformedMessageException(
+                TaskStatus.Field.TASK + ": expected an id such as j-000412/3");
     }
 
     @Override
--- a/src/main/java/org/woadloom/protocol/TaskStatus.java
+++ b/src/main/java/org/woadloom/protocol/TaskStatus.java
@@ -2,17 +2,36 @@
 
 import java.io.IOException;
 
-/** What a worker says of one task. {@code cause} is null unless the task has exited. */
+/**
+ * What an agent reports of one task.
+ *
+ * @param exitReason null unless the task has exited
+ * @param checkpointed whether its progress was saved before it exited
+ */
 public record TaskStatus(
         TaskId task, long attempt, State state, ExitReason exitReason, boolean checkpointed) {
+    /** The names of the fields of one task in a heartbeat's body. */
+    static final class Field {
+        static final String TASK = "shard";
+        static final String ATTEMPT = "try";
+        static final String STATE = "status";
+        static final String EXIT_REASON = "cause";
+        static final String CHECKPOINTED = "saved";
+
+        private Field() {}
+    }
+
+    /** What the task is doing. */
     public enum State {
         FETCHING,
+        /** Waits for the other tasks of its gang. */
         GATHERING,
         RUNNING,
         CHECKPOINTING,
         EXITED
     }
 
+    /** Why the task is over, or never ran. */
     public enum ExitReason {
         DONE,
         STOPPED,
@@ -30,25 +49,25 @@
         TaskId task = null;
         Long attempt = null;
         State state = null;
-        ExitReason cause = ExitReason.ERROR;
-        boolean saved = false;
+        ExitReason exitReason = ExitReason.ERROR;
+        boolean checkpointed = false;
         for (String name = fields.next(); name != null; name = fields.next()) {
             switch (name) {
-                case "shard" -> task = TaskId.parse(fields.text());
-                case "try" -> attempt = fields.integer();
-                case "status" -> state = state(fields.text());
-                case "cause" -> cause = exitReason(fields.text());
-                case "saved" -> saved = fields.flag();
+                case Field.TASK -> task = TaskId.parse(fields.text());
+                case Field.ATTEMPT -> attempt = fields.integer();
+                case Field.STATE -> state = state(fields.text());
+                case Field.EXIT_REASON -> exitReason = exitReason(fields.text());
+                case Field.CHECKPOINTED -> checkpointed = fields.flag();
                 default -> fields.skip();
             }
         }
-        FieldReader.required("status", state, "text");
+        FieldReader.required(Field.STATE, state, "text");
         return new TaskStatus(
-                FieldReader.required("shard", task, "text"),
-                FieldReader.required("try", attempt, "an integer"),
+                FieldReader.required(Field.TASK, task, "text"),
+                FieldReader.required(Field.ATTEMPT, attempt, "an integer"),
                 state,
-                state == State.EXITED ? cause : null,
-                saved);
+                state == State.EXITED ? exitReason : null,
+                checkpointed);
     }
 
     private static State state(String text) {
@@ -76,7 +95,7 @@
         };
     }
 
-    /** True where the worker refused the launch: nothing of this attempt ever ran. */
+    /** Whether the agent refused the start command: nothing of this attempt ever ran. */
     public boolean wasRefused() {
         return exitReason == ExitReason.INSUFFICIENT_RESOURCES
                 || exitReason == ExitReason.ALREADY_RUNNING
