--- a/src/main/java/org/woadloom/http/ApiServer.java
+++ b/src/main/java/org/woadloom/http/ApiServer.java
@@ -17,95 +17,108 @@
 import org.xnio.Options;
 import org.xnio.XnioWorker;
 
-/** The Undertow listener for users, workers and health checks. */
+/** The HTTP listener for users, agents and health checks. */
 public final class ApiServer {
-    private static final int MAX_BODY = 64 * 1024;
-    private static final int TOO_LARGE_READ = MAX_BODY * 4;
-    private static final int LEAST_IDLE_MILLIS = 20_000;
+    /** The largest body that is accepted, in bytes. */
+    private static final int MAX_BODY_BYTES = 64 * 1024;
 
     /**
-     * After a stop about 4,000 workers connect within one interval; the operating system may cap
-     * it.
+     * The largest body that is read, in bytes: up to here the sender is told that it is too large.
+     */
+    private static final int MAX_READ_BYTES = MAX_BODY_BYTES * 4;
+
+    private static final int MIN_IDLE_TIMEOUT_MILLIS = 20_000;
+
+    /**
+     * After a stop about 4,000 agents connect within one heartbeat interval; the operating system
+     * may cap it.
      */
     private static final int BACKLOG = 4_096;
 
+    private static final String COMMANDS_FIELD = "orders";
+
+    private static final Response UNREADABLE_BODY =
+            Response.error(HttpStatus.BAD_REQUEST, "the body could not be read");
+    private static final Response BODY_TOO_LARGE =
+            Response.error(HttpStatus.BAD_REQUEST, "the body is larger than 64 KiB");
+    private static final Response TOO_MANY_CONNECTIONS =
+            Response.unavailable("too many connections");
+
     private final Undertow undertow;
     private final ConnectionLimiter connections;
     private final Router router;
 
     public ApiServer(
             ServiceSettings settings,
-            XnioWorker agent,
+            XnioWorker xnioWorker,
             ByteBufferPool buffers,
-            SocketBudget plan,
+            SocketBudget budget,
             ConnectionLimiter connections,
             Router router) {
         this.connections = connections;
         this.router = router;
         InetSocketAddress bind = Addresses.parse(settings.bind());
-        // A worker that is silent for longer has lost its lease and begins anew.
-        int idleMillis =
-                (int)
-                        Math.max(
-                                LEAST_IDLE_MILLIS,
-                                (settings.agents().leaseMicros()
-                                                + settings.agents().heartbeatMicros())
-                                        / 1000);
-        int most = plan.inbound() + plan.refusals();
+        int maxConnections = budget.inbound() + budget.refusals();
         undertow =
                 Undertow.builder()
-                        .setWorker(agent)
+                        .setWorker(xnioWorker)
                         .setByteBufferPool(buffers)
                         .addHttpListener(bind.getPort(), bind.getAddress().getHostAddress())
-                        .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) TOO_LARGE_READ)
-                        .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, idleMillis)
+                        .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, (long) MAX_READ_BYTES)
+                        .setServerOption(
+                                UndertowOptions.NO_REQUEST_TIMEOUT, idleTimeoutMillis(settings))
                         .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
                         .setSocketOption(Options.BACKLOG, BACKLOG)
                         .setSocketOption(Options.TCP_NODELAY, true)
-                        .setSocketOption(Options.CONNECTION_HIGH_WATER, most)
-                        .setSocketOption(Options.CONNECTION_LOW_WATER, most)
+                        .setSocketOption(Options.CONNECTION_HIGH_WATER, maxConnections)
+                        .setSocketOption(Options.CONNECTION_LOW_WATER, maxConnections)
                         .setHandler(this::receive)
                         .build();
     }
 
+    /** An agent that is silent for longer has lost its lease and connects anew. */
+    private static int idleTimeoutMillis(ServiceSettings settings) {
+        long longestUsefulMicros =
+                settings.agents().leaseMicros() + settings.agents().heartbeatMicros();
+        return (int) Math.max(MIN_IDLE_TIMEOUT_MILLIS, longestUsefulMicros / 1000);
+    }
+
+    /** Starts to accept connections. */
     public void start() {
         undertow.start();
     }
 
     private void receive(HttpServerExchange exchange) {
-        boolean room =
-                connections.onRequest(exchange, exchange.getRequestPath().equals(Router.REPORT));
+        boolean accepted =
+                connections.onRequest(
+                        exchange, exchange.getRequestPath().equals(Router.HEARTBEATS));
         exchange.addExchangeCompleteListener(
-                (done, next) -> {
-                    connections.onAnswered(done);
+                (answered, next) -> {
+                    connections.onAnswered(answered);
                     next.proceed();
                 });
         exchange.getRequestReceiver()
                 .receiveFullBytes(
-                        (done, body) ->
-                                done.dispatch(
+                        (received, body) ->
+                                received.dispatch(
                                         SameThreadExecutor.INSTANCE,
-                                        () -> handle(done, body, room)),
+                                        () -> handle(received, body, accepted)),
                         (failed, e) -> {
                             failed.setPersistent(false);
                             failed.dispatch(
                                     SameThreadExecutor.INSTANCE,
-                                    () ->
-                                            send(
-                                                    failed,
-                                                    Response.error(
-                                                            400, "the body could not be read")));
+                                    () -> send(failed, UNREADABLE_BODY));
                         });
     }
 
-    private void handle(HttpServerExchange exchange, byte[] body, boolean room) {
-        if (!room) {
+    private void handle(HttpServerExchange exchange, byte[] body, boolean accepted) {
+        if (!accepted) {
             exchange.setPersistent(false);
-            send(exchange, Response.unavailable("too many connections"));
+            send(exchange, TOO_MANY_CONNECTIONS);
             return;
         }
-        if (body.length > MAX_BODY) {
-            send(exchange, Response.error(400, "the body is larger than 64 KiB"));
+        if (body.length > MAX_BODY_BYTES) {
+            send(exchange, BODY_TOO_LARGE);
             return;
         }
         router.handle(
@@ -116,15 +129,17 @@
     }
 
     /**
-     * A renewed lease without commands, or the name of another node: the worker has no further use
-     * for this connection.
+     * Whether the answer to a heartbeat gives its agent nothing to do: a renewed lease without
+     * commands, or a redirection to another node. Then the agent has no use for this connection
+     * until its next heartbeat.
      */
     private static boolean needsNothing(Response response) {
-        if (response.status() != 200) {
-            return response.status() == 421;
+        if (response.status() != HttpStatus.OK) {
+            return response.status() == HttpStatus.MISDIRECTED_REQUEST;
         }
         try {
-            return new Fields(Cbor.decodeMap(response.body())).list("orders").isEmpty();
+            Fields answer = new Fields(Cbor.decodeMap(response.body()));
+            return answer.list(COMMANDS_FIELD).isEmpty();
         } catch (MalformedMessageException e) {
             return false;
         }
--- /dev/null
+++ b/src/main/java/org/woadloom/http/CancellationHandler.java
@@ -0,0 +1,198 @@
+package org.woadloom.http;
+
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.woadloom.net.EventLoop;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.JobStatus;
+import org.woadloom.reads.CoalescingJobReader.JobView;
+import org.woadloom.reads.JobLookup;
+import org.woadloom.reads.JobReader;
+import org.woadloom.store.FinalRecord;
+import org.woadloom.store.JobRecord;
+import org.woadloom.store.RecordFormat;
+import org.woadloom.store.StoreClient;
+import org.woadloom.store.StoreClient.Change;
+import org.woadloom.store.StoreClient.Condition;
+import org.woadloom.store.StoreClient.RequestPriority;
+import org.woadloom.store.StoreClient.Result;
+import org.woadloom.store.StoreKeys;
+
+/**
+ * Cancels jobs by a compare-and-swap on their records. The leader writes the same records, so a
+ * conflict is followed by another read and another attempt.
+ */
+final class CancellationHandler {
+    private static final int MAX_ATTEMPTS = 6;
+    private static final Refusal NOT_CANCELLED =
+            Refusal.unavailable("the job could not be cancelled now");
+
+    private final EventLoop loop;
+    private final StoreClient store;
+    private final JobApi.Storage storage;
+    private final JobReader reader;
+    private final StatusConfirmer confirmer;
+    private final UserWrites writes;
+    private final JobApi.Hint notifier;
+    private final SharedAnswers<String, JobAnswer> cancellations = new SharedAnswers<>();
+
+    CancellationHandler(
+            EventLoop loop,
+            StoreClient store,
+            JobApi.Storage storage,
+            JobReader reader,
+            StatusConfirmer confirmer,
+            UserWrites writes,
+            JobApi.Hint notifier) {
+        this.loop = loop;
+        this.store = store;
+        this.storage = storage;
+        this.reader = reader;
+        this.confirmer = confirmer;
+        this.writes = writes;
+        this.notifier = notifier;
+    }
+
+    void cancel(String jobId, Consumer<JobAnswer> answer) {
+        if (!JobDescription.isJobId(jobId)) {
+            answer.accept(Refusal.unknownJob());
+            return;
+        }
+        long deadlineMicros = loop.nowMicros() + JobApi.ANSWER_TIMEOUT_MICROS;
+        cancellations.share(
+                jobId,
+                loop.nowMicros(),
+                deadlineMicros,
+                answer,
+                shared -> answerJoined(jobId, shared, deadlineMicros, answer),
+                result -> new Cancellation(jobId, deadlineMicros, result).start());
+    }
+
+    /** That a job is over stays true; that it is unknown may not be true any more. */
+    private void answerJoined(
+            String jobId, JobAnswer shared, long deadlineMicros, Consumer<JobAnswer> answer) {
+        if (shared instanceof Refusal refusal && !refusal.isTemporary()) {
+            new Cancellation(jobId, deadlineMicros, answer).start();
+        } else {
+            answer.accept(shared);
+        }
+    }
+
+    /** The cancellation of one job, until its user is answered. */
+    private final class Cancellation {
+        private final String jobId;
+        private final long deadlineMicros;
+        private final Consumer<JobAnswer> answer;
+        private int attemptsLeft = MAX_ATTEMPTS;
+
+        Cancellation(String jobId, long deadlineMicros, Consumer<JobAnswer> answer) {
+            this.jobId = jobId;
+            this.deadlineMicros = deadlineMicros;
+            this.answer = answer;
+        }
+
+        void start() {
+            reader.lookUp(jobId, deadlineMicros, this::attempt);
+        }
+
+        private void attempt(JobLookup lookup) {
+            if (lookup == null) {
+                answer.accept(NOT_CANCELLED);
+            } else if (lookup.status() == null) {
+                answer.accept(Refusal.unknownJob());
+            } else if (lookup.damaged() != null) {
+                replaceDamagedRecord(lookup);
+            } else if (isOver(lookup)) {
+                answerOver(lookup.status().status());
+            } else if (attemptsLeft == 0) {
+                answer.accept(NOT_CANCELLED);
+            } else {
+                writeCancellation(lookup);
+            }
+        }
+
+        private static boolean isOver(JobLookup lookup) {
+            return lookup.finalState() != null
+                    || lookup.record().cancelled()
+                    || lookup.record().isComplete();
+        }
+
+        private void writeCancellation(JobLookup lookup) {
+            JobRecord cancelled = lookup.record().withCancellation();
+            RecordFormat format =
+                    lookup.format() == RecordFormat.COMPACT
+                            ? RecordFormat.COMPACT
+                            : storage.format();
+            writes.write(
+                    new UserWrites.Request(
+                            RequestPriority.CANCELLATION,
+                            deadlineMicros,
+                            jobId,
+                            List.of(new Condition(StoreKeys.job(jobId), lookup.revision())),
+                            Change.put(StoreKeys.job(jobId), cancelled.toMap(format))),
+                    reader::lookUp,
+                    // Once the record has another revision, the write was carried out or never
+                    // will be.
+                    found -> found.status() != null && found.revision() != lookup.revision(),
+                    (result, storeRevision, found) ->
+                            onWritten(cancelled, result, storeRevision, found));
+        }
+
+        private void onWritten(
+                JobRecord cancelled, Result result, long storeRevision, JobLookup found) {
+            if (result == Result.OK) {
+                notifier.changed(cancelled, storeRevision);
+                answerOver(JobStatus.CANCELLED);
+            } else if (found != null) {
+                if (found.record() != null && found.record().cancelled()) {
+                    notifier.changed(found.record(), found.revision());
+                }
+                attemptsLeft--;
+                attempt(found);
+            } else if (result == Result.CONFLICT) {
+                attemptsLeft--;
+                start();
+            } else {
+                answer.accept(NOT_CANCELLED);
+            }
+        }
+
+        /** Nothing of a record that can't be read can be kept: the final state takes its place. */
+        private void replaceDamagedRecord(JobLookup lookup) {
+            if (lookup.damaged().isCancelled()) {
+                answerOver(JobStatus.CANCELLED);
+                return;
+            }
+            FinalRecord finalState = new FinalRecord(jobId, true, 0, loop.wallMicros(), false);
+            store.txn(
+                    RequestPriority.CANCELLATION,
+                    deadlineMicros,
+                    List.of(new Condition(StoreKeys.job(jobId), lookup.revision())),
+                    List.of(
+                            Change.put(
+                                    StoreKeys.finalState(jobId),
+                                    finalState.toMap(storage.format())),
+                            Change.drop(StoreKeys.job(jobId))),
+                    (result, storeRevision, failed) -> {
+                        if (result == Result.OK) {
+                            answerOver(JobStatus.CANCELLED);
+                        } else {
+                            answer.accept(NOT_CANCELLED);
+                        }
+                    });
+        }
+
+        private void answerOver(String status) {
+            JobStatus over = JobStatus.withoutCounts(jobId, status);
+            confirmer.confirm(
+                    new JobView(over, List.of()),
+                    deadlineMicros - loop.nowMicros(),
+                    refusal -> answer.accept(orFound(refusal, over)));
+        }
+
+        private static JobAnswer orFound(Optional<Refusal> refusal, JobStatus status) {
+            return refusal.isPresent() ? refusal.get() : new JobAnswer.Found(status);
+        }
+    }
+}
--- a/src/main/java/org/woadloom/http/ConnectionLimiter.java
+++ b/src/main/java/org/woadloom/http/ConnectionLimiter.java
@@ -10,64 +10,67 @@
 import org.xnio.IoUtils;
 
 /**
- * The connections on which workers or users have asked something. Users poll every few seconds and
- * then are gone, often without a word, while the leader needs a socket for every worker: users'
+ * Keeps the connections of agents and users within the socket budget. Users poll every few seconds
+ * and then go away, often without closing, while the leader needs a socket for every agent: users'
  * connections that have been idle for longer than anybody polls are closed, and where sockets are
- * short those that have been idle for longest, and those of workers with the answers to their
- * heartbeats. What is asked on a connection beyond the plan is answered at once and closed: nobody
- * is left waiting in the backlog.
+ * short those that have been idle for longest, and those of agents with the answers to their
+ * heartbeats. A request on a connection beyond the budget is refused at once and its connection
+ * closed, so that nobody is left waiting in the backlog.
  */
 public final class ConnectionLimiter {
-    /** Three polls of a user who still wants to know. */
-    private static final long IDLE_MICROS = 15_000_000;
+    /** Three polls of a user who is still interested. */
+    private static final long MAX_IDLE_MICROS = 15_000_000;
 
     /** A connection that is idle for less has most likely a request on its way. */
     private static final long MIN_IDLE_MICROS = 1_000_000;
 
-    private static final long SWEEP_MICROS = 500_000;
-    private static final AttachmentKey<Open> OPEN = AttachmentKey.create(Open.class);
+    private static final long SWEEP_INTERVAL_MICROS = 500_000;
+    private static final AttachmentKey<TrackedConnection> TRACKED =
+            AttachmentKey.create(TrackedConnection.class);
 
     private final EventLoop loop;
-    private final SocketBudget plan;
+    private final SocketBudget budget;
 
     /** Users' connections without a request, the longest idle first. */
-    private final LinkedHashSet<Open> idleUsers = new LinkedHashSet<>();
+    private final LinkedHashSet<TrackedConnection> idleUsers = new LinkedHashSet<>();
 
     private int agents;
     private int users;
     private long closed;
     private long refused;
-    private long closedWorkers;
+    private long closedAgents;
 
-    private static final class Open {
+    private static final class TrackedConnection {
         final ServerConnection connection;
-        boolean worker;
+        boolean ofAgent;
         long idleSinceMicros;
 
-        Open(ServerConnection connection) {
+        TrackedConnection(ServerConnection connection) {
             this.connection = connection;
         }
     }
 
-    public ConnectionLimiter(EventLoop loop, SocketBudget plan) {
+    public ConnectionLimiter(EventLoop loop, SocketBudget budget) {
         this.loop = loop;
-        this.plan = plan;
+        this.budget = budget;
     }
 
+    /** Starts to close idle connections at regular intervals. */
     public void start() {
         loop.schedule(
-                SWEEP_MICROS,
+                SWEEP_INTERVAL_MICROS,
                 () -> {
                     sweep();
                     start();
                 });
     }
 
-    /** Connections whose last request was a worker's. */
+    /** How many connections are open whose last request was an agent's. */
     public int agents() {
         return agents;
     }
 
+    /** How many other connections are open. */
     public int users() {
         return users;
     }
@@ -83,11 +86,11 @@
     }
 
     /**
-     * Connections of workers that were closed with their answer for want of sockets, since the
+     * Connections of agents that were closed with their answer for want of sockets, since the
      * process began.
      */
     public long closedWorkers() {
-        return closedWorkers;
+        return closedAgents;
     }
 
     private int total() {
@@ -95,96 +98,103 @@
     }
 
     /**
-     * A request has come. Returns false if there is no room for its connection: it is to be told
-     * so, and closed.
+     * Counts the connection of a request that has arrived.
+     *
+     * @return false if the budget has no socket for it: the request is to be refused, and the
+     *     connection closed
      */
-    boolean onRequest(HttpServerExchange exchange, boolean ofWorker) {
-        Open open = exchange.getConnection().getAttachment(OPEN);
-        if (open == null) {
-            open = new Open(exchange.getConnection());
-            open.worker = ofWorker;
-            open.connection.putAttachment(OPEN, open);
-            Open mine = open;
-            open.connection.addCloseListener(gone -> onClosed(mine));
-            count(ofWorker, 1);
-        } else if (open.worker != ofWorker) {
-            count(open.worker, -1);
-            open.worker = ofWorker;
-            count(ofWorker, 1);
+    boolean onRequest(HttpServerExchange exchange, boolean ofAgent) {
+        TrackedConnection tracked = exchange.getConnection().getAttachment(TRACKED);
+        if (tracked == null) {
+            tracked = new TrackedConnection(exchange.getConnection());
+            tracked.ofAgent = ofAgent;
+            tracked.connection.putAttachment(TRACKED, tracked);
+            TrackedConnection opened = tracked;
+            tracked.connection.addCloseListener(closed -> onClosed(opened));
+            count(ofAgent, 1);
+        } else if (tracked.ofAgent != ofAgent) {
+            count(tracked.ofAgent, -1);
+            tracked.ofAgent = ofAgent;
+            count(ofAgent, 1);
+        }
+        idleUsers.remove(tracked);
+        if (total() > budget.comfortable()) {
+            closeLongestIdle();
         }
-        idleUsers.remove(open);
-        if (total() > plan.comfortable()) {
-            makeRoom();
+        boolean accepted = total() <= budget.inbound();
+        if (!accepted) {
+            refused++;
         }
-        boolean room = total() <= plan.inbound();
-        refused += room ? 0 : 1;
-        return room;
+        return accepted;
     }
 
     /**
-     * The request is about to be answered; true if its connection is to be closed after that.
+     * Whether the connection of a request that is about to be answered is to be closed after that.
      *
-     * @param needsNothing asked only of a worker's request while sockets are short: whether the
-     *     answer brings it nothing to do
+     * @param needsNothing whether the answer gives its agent nothing to do; asked only for an
+     *     agent's request while sockets are short
      */
     boolean shouldCloseAfter(HttpServerExchange exchange, BooleanSupplier needsNothing) {
-        Open open = exchange.getConnection().getAttachment(OPEN);
-        if (open == null || total() <= plan.comfortable()) {
+        TrackedConnection tracked = exchange.getConnection().getAttachment(TRACKED);
+        if (tracked == null || total() <= budget.comfortable()) {
             return false;
         }
-        if (!open.worker) {
+        if (!tracked.ofAgent) {
             return true;
         }
-        boolean closes = plan.closesWorker(total(), needsNothing.getAsBoolean());
-        closedWorkers += closes ? 1 : 0;
+        boolean closes = budget.closesWorker(total(), needsNothing.getAsBoolean());
+        if (closes) {
+            closedAgents++;
+        }
         return closes;
     }
 
     /** The request was answered. */
     void onAnswered(HttpServerExchange exchange) {
-        Open open = exchange.getConnection().getAttachment(OPEN);
-        if (open != null && !open.worker && open.connection.isOpen()) {
-            open.idleSinceMicros = loop.nowMicros();
-            idleUsers.remove(open);
-            idleUsers.add(open);
+        TrackedConnection tracked = exchange.getConnection().getAttachment(TRACKED);
+        if (tracked != null && !tracked.ofAgent && tracked.connection.isOpen()) {
+            tracked.idleSinceMicros = loop.nowMicros();
+            idleUsers.remove(tracked);
+            idleUsers.add(tracked);
         }
     }
 
-    private void count(boolean ofWorker, int change) {
-        if (ofWorker) {
+    private void count(boolean ofAgent, int change) {
+        if (ofAgent) {
             agents += change;
         } else {
             users += change;
         }
     }
 
-    private void onClosed(Open open) {
-        idleUsers.remove(open);
-        count(open.worker, -1);
+    private void onClosed(TrackedConnection tracked) {
+        idleUsers.remove(tracked);
+        count(tracked.ofAgent, -1);
     }
 
-    private void makeRoom() {
-        long before = loop.nowMicros() - MIN_IDLE_MICROS;
-        while (total() > plan.comfortable() && !idleUsers.isEmpty()) {
-            Open longest = idleUsers.iterator().next();
-            if (longest.idleSinceMicros > before) {
+    private void closeLongestIdle() {
+        long idleBeforeMicros = loop.nowMicros() - MIN_IDLE_MICROS;
+        while (total() > budget.comfortable() && !idleUsers.isEmpty()) {
+            TrackedConnection longestIdle = idleUsers.iterator().next();
+            if (longestIdle.idleSinceMicros > idleBeforeMicros) {
                 return;
             }
-            close(longest);
+            close(longestIdle);
         }
     }
 
     private void sweep() {
-        long before = loop.nowMicros() - IDLE_MICROS;
-        while (!idleUsers.isEmpty() && idleUsers.iterator().next().idleSinceMicros < before) {
+        long idleBeforeMicros = loop.nowMicros() - MAX_IDLE_MICROS;
+        while (!idleUsers.isEmpty()
+                && idleUsers.iterator().next().idleSinceMicros < idleBeforeMicros) {
             close(idleUsers.iterator().next());
         }
-        makeRoom();
+        closeLongestIdle();
     }
 
-    private void close(Open open) {
-        idleUsers.remove(open);
+    private void close(TrackedConnection tracked) {
+        idleUsers.remove(tracked);
         closed++;
-        IoUtils.safeClose(open.connection);
+        IoUtils.safeClose(tracked.connection);
     }
 }
--- a/src/main/java/org/woadloom/http/Router.java
+++ b/src/main/java/org/woadloom/http/Router.java
@@ -3,26 +3,29 @@
 import java.util.function.Consumer;
 import org.woadloom.metrics.NodeMetrics;
 
-/** Finds what answers a request, whatever carries it. */
+/** Routes requests by method and path, apart from how they are carried. */
 public final class Router {
-    static final String REPORT = "/v1/report";
+    static final String HEARTBEATS = "/v1/report";
     private static final String JOBS = "/v1/jobs";
-    private static final String CANCEL = "/cancel";
+    private static final String JOB_PREFIX = JOBS + "/";
+    private static final String CANCEL_SUFFIX = "/cancel";
+    private static final String HEALTH = "/healthz";
+    private static final String METRICS = "/metrics";
 
-    /** Answers the reports of workers. */
+    /** Answers the heartbeats of agents. */
     public interface ReportApi {
         void onHeartbeat(byte[] body, Consumer<Response> answer);
     }
 
-    /** Whether the node takes requests. */
+    /** Whether the node accepts requests. */
     public interface Gate {
-        /** Why nothing is to be taken by this process, or null. */
+        /** Why this process accepts no request at all, or null. */
         String closedReason();
 
         /** Why users' requests can't be answered yet, or null. */
         String notReadyReason();
 
-        /** Somebody who is neither a worker nor another node has reached this one. */
+        /** A request that is neither an agent's nor another node's has reached this node. */
         void onOutsideRequest();
 
         /** False while others can serve users and this node can't. */
@@ -31,52 +34,52 @@
 
     private final Gate gate;
     private final JobApi jobs;
-    private final ReportApi reports;
+    private final ReportApi heartbeats;
     private final NodeMetrics metrics;
 
-    public Router(Gate gate, JobApi jobs, ReportApi reports, NodeMetrics metrics) {
+    public Router(Gate gate, JobApi jobs, ReportApi heartbeats, NodeMetrics metrics) {
         this.gate = gate;
         this.jobs = jobs;
-        this.reports = reports;
+        this.heartbeats = heartbeats;
         this.metrics = metrics;
     }
 
     public void handle(String method, String path, byte[] body, Consumer<Response> answer) {
         boolean post = method.equals("POST");
         boolean get = method.equals("GET");
-        if (!path.equals(REPORT)) {
+        if (!path.equals(HEARTBEATS)) {
             gate.onOutsideRequest();
         }
         String closed = gate.closedReason();
-        if (closed != null && !path.equals("/metrics")) {
+        if (closed != null && !path.equals(METRICS)) {
             answer.accept(Response.unavailable(closed));
         } else if (gate.notReadyReason() != null && path.startsWith(JOBS)) {
             answer.accept(Response.unavailable(gate.notReadyReason()));
-        } else if (post && path.equals(REPORT)) {
-            reports.onHeartbeat(body, counted("report", answer));
-        } else if (get && path.equals("/healthz")) {
+        } else if (post && path.equals(HEARTBEATS)) {
+            heartbeats.onHeartbeat(body, counted("report", answer));
+        } else if (get && path.equals(HEALTH)) {
             answer.accept(
                     gate.isHealthy()
                             ? Response.text("ok\n")
                             : Response.unavailable("alone without the state service"));
         } else if (post && path.equals(JOBS)) {
             jobs.submit(body, counted("submit", answer));
-        } else if (get && path.startsWith(JOBS + "/")) {
-            jobs.status(path.substring(JOBS.length() + 1), counted("show", answer));
-        } else if (post && path.startsWith(JOBS + "/") && path.endsWith(CANCEL)) {
+        } else if (get && path.startsWith(JOB_PREFIX)) {
+            jobs.status(path.substring(JOB_PREFIX.length()), counted("show", answer));
+        } else if (post && path.startsWith(JOB_PREFIX) && path.endsWith(CANCEL_SUFFIX)) {
             jobs.cancel(
-                    path.substring(JOBS.length() + 1, path.length() - CANCEL.length()),
+                    path.substring(JOB_PREFIX.length(), path.length() - CANCEL_SUFFIX.length()),
                     counted("cancel", answer));
-        } else if (get && path.equals("/metrics")) {
+        } else if (get && path.equals(METRICS)) {
             answer.accept(Response.json(metrics.toMap()));
         } else {
-            answer.accept(Response.error(404, "no such path"));
+            answer.accept(Response.error(HttpStatus.NOT_FOUND, "no such path"));
         }
     }
 
-    private Consumer<Response> counted(String what, Consumer<Response> answer) {
+    private Consumer<Response> counted(String request, Consumer<Response> answer) {
         return response -> {
-            metrics.answered(what, response.status());
+            metrics.answered(request, response.status());
             answer.accept(response);
         };
     }
--- a/src/main/java/org/woadloom/http/SharedAnswers.java
+++ b/src/main/java/org/woadloom/http/SharedAnswers.java
@@ -7,44 +7,46 @@
 import java.util.function.Consumer;
 
 /**
- * Requests for the same thing that come while the first is under way cost the store no second
- * write. What the first one's answer rests on may be older than they are, so each decides by itself
- * what the answer means to it.
+ * Coalesces equal requests (single flight): those that come while the first is under way cost the
+ * store no second write. What the first one's answer rests on may be older than they are, so each
+ * decides by itself what the answer means to it.
+ *
+ * @param <K> what makes requests equal
+ * @param <A> the answer
  */
-final class SharedAnswers<K> {
-    private final Map<K, Work> underWay = new HashMap<>();
+final class SharedAnswers<K, A> {
+    private final Map<K, InFlight<A>> inFlight = new HashMap<>();
 
-    private record Work(long untilMicros, List<Consumer<Response>> answers) {}
+    private record InFlight<A>(long deadlineMicros, List<Consumer<A>> waiting) {}
 
     /**
-     * Does the work, unless it is under way for this key; either way one of the two hears the
-     * answer, once.
+     * Starts the request, unless one with this key is in flight; either way exactly one of {@code
+     * first} and {@code joined} gets the answer, once.
      *
-     * @param first hears the answer to the work that it begins
-     * @param joined hears the answer to work that had begun before
-     * @param untilMicros nobody joins the work any more after this moment, when it should have been
-     *     answered
+     * @param deadlineMicros when the request should have been answered: nobody joins it after that
+     * @param first gets the answer to the request that this call starts
+     * @param joined gets the answer to a request that was started before
      */
     void share(
             K key,
             long nowMicros,
-            long untilMicros,
-            Consumer<Response> first,
-            Consumer<Response> joined,
-            Consumer<Consumer<Response>> work) {
-        Work before = underWay.get(key);
-        if (before != null && nowMicros < before.untilMicros) {
-            before.answers.add(joined);
+            long deadlineMicros,
+            Consumer<A> first,
+            Consumer<A> joined,
+            Consumer<Consumer<A>> request) {
+        InFlight<A> earlier = inFlight.get(key);
+        if (earlier != null && nowMicros < earlier.deadlineMicros) {
+            earlier.waiting.add(joined);
             return;
         }
-        Work begun = new Work(untilMicros, new ArrayList<>(List.of(first)));
-        underWay.put(key, begun);
-        work.accept(
-                response -> {
-                    if (underWay.get(key) == begun) {
-                        underWay.remove(key);
+        InFlight<A> started = new InFlight<>(deadlineMicros, new ArrayList<>(List.of(first)));
+        inFlight.put(key, started);
+        request.accept(
+                answer -> {
+                    if (inFlight.get(key) == started) {
+                        inFlight.remove(key);
                     }
-                    begun.answers.forEach(one -> one.accept(response));
+                    started.waiting.forEach(waiting -> waiting.accept(answer));
                 });
     }
 }
--- /dev/null
+++ b/src/main/java/org/woadloom/http/StatusConfirmer.java
@@ -0,0 +1,94 @@
+package org.woadloom.http;
+
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.woadloom.reads.CoalescingJobReader;
+import org.woadloom.reads.CoalescingJobReader.JobView;
+
+/**
+ * Decides whether a status that was read may be told to a user yet. A cancellation is told only
+ * once it is confirmed. A job that waits for others is not shown as queued once one of them is
+ * cancelled: its own cancellation is the leader's to write, and there may have been no leader, or
+ * one that was cut off from the store.
+ */
+final class StatusConfirmer {
+    private static final Refusal UNCONFIRMED_CANCELLATION =
+            Refusal.unavailable("the cancellation can't be confirmed yet");
+    private static final Refusal DEPENDENCY_CANCELLED =
+            Refusal.unavailable("a job before it is cancelled, and so it will be");
+
+    private final CoalescingJobReader reader;
+    private final JobApi.Confirmation confirmation;
+
+    StatusConfirmer(CoalescingJobReader reader, JobApi.Confirmation confirmation) {
+        this.reader = reader;
+        this.confirmation = confirmation;
+    }
+
+    /**
+     * Reports empty if the status may be told, or else why it may not be.
+     *
+     * @param timeoutMicros for how long the user still waits
+     */
+    void confirm(JobView job, long timeoutMicros, Consumer<Optional<Refusal>> result) {
+        if (job.status().isCancelled()) {
+            confirmation.confirm(
+                    job.status().jobId(),
+                    timeoutMicros,
+                    confirmed -> result.accept(refuseUnless(confirmed, UNCONFIRMED_CANCELLATION)));
+        } else {
+            checkNoneCancelled(
+                    job.dependencies(),
+                    noneCancelled ->
+                            result.accept(refuseUnless(noneCancelled, DEPENDENCY_CANCELLED)));
+        }
+    }
+
+    private static Optional<Refusal> refuseUnless(boolean allowed, Refusal refusal) {
+        return allowed ? Optional.empty() : Optional.of(refusal);
+    }
+
+    /**
+     * Whether the store says of each of these jobs, and of their dependencies in turn, that it is
+     * not cancelled.
+     */
+    private void checkNoneCancelled(List<String> jobIds, Consumer<Boolean> result) {
+        if (jobIds.isEmpty()) {
+            result.accept(true);
+            return;
+        }
+        Conjunction noneCancelled = new Conjunction(jobIds.size(), result);
+        for (String jobId : jobIds) {
+            reader.read(
+                    jobId,
+                    job -> {
+                        if (job == null || job.status() != null && job.status().isCancelled()) {
+                            noneCancelled.add(false);
+                        } else {
+                            checkNoneCancelled(job.dependencies(), noneCancelled::add);
+                        }
+                    });
+        }
+    }
+
+    /** Reports whether all of several answers are true, once the last one is in. */
+    private static final class Conjunction {
+        private final Consumer<Boolean> result;
+        private int remaining;
+        private boolean allTrue = true;
+
+        Conjunction(int answers, Consumer<Boolean> result) {
+            this.result = result;
+            remaining = answers;
+        }
+
+        void add(boolean answer) {
+            allTrue &= answer;
+            remaining--;
+            if (remaining == 0) {
+                result.accept(allTrue);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/org/woadloom/http/SubmissionHandler.java
@@ -0,0 +1,223 @@
+package org.woadloom.http;
+
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Consumer;
+import org.woadloom.net.EventLoop;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.MalformedMessageException;
+import org.woadloom.reads.CoalescingJobReader.JobView;
+import org.woadloom.reads.JobLookup;
+import org.woadloom.reads.JobReader;
+import org.woadloom.store.JobRecord;
+import org.woadloom.store.RecordFormat;
+import org.woadloom.store.StoreClient.Change;
+import org.woadloom.store.StoreClient.Condition;
+import org.woadloom.store.StoreClient.RequestPriority;
+import org.woadloom.store.StoreClient.Result;
+import org.woadloom.store.StoreKeys;
+
+/**
+ * Accepts submitted jobs. A submission is an idempotent request: a job that was accepted stays
+ * accepted, whatever a repeated request looks like, so every refusal is given only after the store
+ * says that the job is unknown.
+ */
+final class SubmissionHandler {
+    /**
+     * Space in bytes that a compact record needs beside its description, so that some tasks at a
+     * time can be placed.
+     */
+    private static final int PROGRESS_BYTES = 400;
+
+    private static final Refusal DESCRIPTION_TOO_LONG =
+            Refusal.invalid("the job's description is too long");
+
+    private final EventLoop loop;
+    private final JobApi.Storage storage;
+    private final JobReader reader;
+    private final AdmissionControl admission;
+    private final DependencyValidator dependencies;
+    private final StatusConfirmer confirmer;
+    private final UserWrites writes;
+    private final JobApi.Hint notifier;
+    private final SharedAnswers<JobDescription, JobAnswer> submissions = new SharedAnswers<>();
+
+    SubmissionHandler(
+            EventLoop loop,
+            JobApi.Storage storage,
+            JobReader reader,
+            AdmissionControl admission,
+            StatusConfirmer confirmer,
+            UserWrites writes,
+            JobApi.Hint notifier) {
+        this.loop = loop;
+        this.storage = storage;
+        this.reader = reader;
+        this.admission = admission;
+        this.confirmer = confirmer;
+        this.writes = writes;
+        this.notifier = notifier;
+        dependencies = new DependencyValidator(reader, storage);
+    }
+
+    void submit(byte[] body, Consumer<JobAnswer> answer) {
+        long deadlineMicros = loop.nowMicros() + JobApi.ANSWER_TIMEOUT_MICROS;
+        Map<String, Object> fields;
+        try {
+            fields = Cbor.decodeMap(body);
+        } catch (MalformedMessageException e) {
+            answer.accept(Refusal.invalid(e.getMessage()));
+            return;
+        }
+        JobDescription job;
+        try {
+            job = JobDescription.submitted(fields);
+        } catch (MalformedMessageException e) {
+            Refusal refusal = Refusal.invalid(e.getMessage());
+            if (fields.get(JobDescription.Field.JOB_ID) instanceof String jobId
+                    && JobDescription.isJobId(jobId)) {
+                refuseUnlessAccepted(jobId, refusal, deadlineMicros, answer);
+            } else {
+                answer.accept(refusal);
+            }
+            return;
+        }
+        admit(job, deadlineMicros, answer);
+    }
+
+    private void admit(JobDescription job, long deadlineMicros, Consumer<JobAnswer> answer) {
+        admission.check(
+                job,
+                refusal -> {
+                    if (refusal.isPresent()) {
+                        refuseUnlessAccepted(job.jobId(), refusal.get(), deadlineMicros, answer);
+                    } else {
+                        checkDependencies(job, deadlineMicros, answer);
+                    }
+                });
+    }
+
+    private void checkDependencies(
+            JobDescription job, long deadlineMicros, Consumer<JobAnswer> answer) {
+        dependencies.check(
+                job,
+                deadlineMicros,
+                refusal -> {
+                    if (refusal.isPresent()) {
+                        refuseUnlessAccepted(job.jobId(), refusal.get(), deadlineMicros, answer);
+                    } else {
+                        create(job, deadlineMicros, answer);
+                    }
+                });
+    }
+
+    private void refuseUnlessAccepted(
+            String jobId, Refusal refusal, long deadlineMicros, Consumer<JobAnswer> answer) {
+        reader.lookUp(
+                jobId,
+                deadlineMicros,
+                lookup -> {
+                    if (lookup == null) {
+                        answer.accept(Refusal.storeUnavailable());
+                    } else if (lookup.status() != null) {
+                        answerAccepted(lookup, deadlineMicros, answer);
+                    } else {
+                        answer.accept(refusal);
+                    }
+                });
+    }
+
+    private void answerAccepted(JobLookup lookup, long deadlineMicros, Consumer<JobAnswer> answer) {
+        confirmer.confirm(
+                JobView.of(lookup),
+                deadlineMicros - loop.nowMicros(),
+                refusal -> answer.accept(orFound(refusal, lookup)));
+    }
+
+    private static JobAnswer orFound(Optional<Refusal> refusal, JobLookup lookup) {
+        return refusal.isPresent() ? refusal.get() : new JobAnswer.Found(lookup.status());
+    }
+
+    /** Users who retry while the first write is queued or under way share it. */
+    private void create(JobDescription job, long deadlineMicros, Consumer<JobAnswer> answer) {
+        submissions.share(
+                job,
+                loop.nowMicros(),
+                deadlineMicros,
+                answer,
+                shared -> answerJoined(job.jobId(), shared, deadlineMicros, answer),
+                result -> write(job, deadlineMicros, result));
+    }
+
+    /**
+     * What was told of another's submission may be out of date: the job may be cancelled since. It
+     * is read again.
+     */
+    private void answerJoined(
+            String jobId, JobAnswer shared, long deadlineMicros, Consumer<JobAnswer> answer) {
+        if (!(shared instanceof Refusal refusal)) {
+            refuseUnlessAccepted(jobId, Refusal.jobChanged(), deadlineMicros, answer);
+        } else if (refusal.isTemporary()) {
+            answer.accept(refusal);
+        } else {
+            refuseUnlessAccepted(jobId, refusal, deadlineMicros, answer);
+        }
+    }
+
+    private void write(JobDescription job, long deadlineMicros, Consumer<JobAnswer> answer) {
+        String jobId = job.jobId();
+        if (reader.isAcceptedService(jobId) != null) {
+            // A transaction that can only fail would count as a change all the same, and those are
+            // scarce.
+            refuseUnlessAccepted(jobId, Refusal.jobChanged(), deadlineMicros, answer);
+            return;
+        }
+        JobRecord record = JobRecord.accepted(job, loop.wallMicros());
+        RecordFormat format = storage.format();
+        Map<String, Object> value = record.toMap(format);
+        int reservedBytes = format == RecordFormat.COMPACT ? PROGRESS_BYTES : 0;
+        if (Cbor.jsonSize(value) + reservedBytes > storage.valueBytes()) {
+            refuseUnlessAccepted(jobId, DESCRIPTION_TOO_LONG, deadlineMicros, answer);
+            return;
+        }
+        writes.write(
+                new UserWrites.Request(
+                        RequestPriority.USER,
+                        deadlineMicros,
+                        jobId,
+                        List.of(
+                                new Condition(StoreKeys.job(jobId), 0),
+                                new Condition(StoreKeys.finalState(jobId), 0)),
+                        Change.put(StoreKeys.job(jobId), value)),
+                reader::lookUpRecord,
+                found -> true,
+                (result, storeRevision, found) ->
+                        onWritten(record, result, storeRevision, found, deadlineMicros, answer));
+    }
+
+    private void onWritten(
+            JobRecord record,
+            Result result,
+            long storeRevision,
+            JobLookup found,
+            long deadlineMicros,
+            Consumer<JobAnswer> answer) {
+        JobDescription job = record.description();
+        boolean foundOwnWrite = found != null && record.equals(found.record());
+        if (result == Result.OK || foundOwnWrite) {
+            reader.onAccepted(job.jobId(), job.isService());
+            notifier.changed(record, foundOwnWrite ? found.revision() : storeRevision);
+            answer.accept(new JobAnswer.Created(job.jobId()));
+        } else if (found != null) {
+            answerAccepted(found, deadlineMicros, answer);
+        } else if (result == Result.CONFLICT) {
+            refuseUnlessAccepted(job.jobId(), Refusal.jobChanged(), deadlineMicros, answer);
+        } else if (result == Result.BAD) {
+            refuseUnlessAccepted(job.jobId(), DESCRIPTION_TOO_LONG, deadlineMicros, answer);
+        } else {
+            answer.accept(Refusal.storeUnavailable());
+        }
+    }
+}
--- a/src/main/java/org/woadloom/http/UserWrites.java
+++ b/src/main/java/org/woadloom/http/UserWrites.java
@@ -13,133 +13,142 @@
 import org.woadloom.store.TokenBucket;
 
 /**
- * Writes that a user waits for. Where the answer is late the job is read, and its user is told if
- * that shows that the write was carried out, or that it never can be. That it is not there proves
- * nothing: it may be carried out still.
+ * Writes that a user waits for. Where the store's answer is late the job is read back, and its user
+ * is answered if that shows that the write was carried out, or that it never can be. That the write
+ * can't be seen proves nothing: it may still be carried out.
  */
 final class UserWrites {
     /** Most answers take less than 10 ms, and now and then a few hundred. */
-    private static final long FIRST_LOOK_MICROS = 400_000;
+    private static final long FIRST_READ_BACK_MICROS = 400_000;
 
-    private static final long SECOND_LOOK_MICROS = 1_200_000;
+    private static final long SECOND_READ_BACK_MICROS = 1_200_000;
+    private static final int MAX_READ_BACKS = 2;
 
-    /** What is sent takes so long to be answered, but for rare cases. */
-    private static final long ANSWER_MICROS = 800_000;
+    /** A request that was sent is answered within this time, but for rare cases. */
+    private static final long STORE_ANSWER_MICROS = 800_000;
 
-    private static final int MAX_READS = 2;
+    /** The share of the service's store requests that the read-backs of all nodes may take. */
+    private static final double READ_BACK_SHARE = 0.1;
 
-    /** The part of the service's requests that these reads of all nodes together may take. */
-    private static final double READ_SHARE = 0.1;
+    /**
+     * One write of a job's record.
+     *
+     * @param deadlineMicros until when its user waits. Shortly before it the request is not sent
+     *     any more, and then nothing is known of it
+     */
+    record Request(
+            RequestPriority priority,
+            long deadlineMicros,
+            String jobId,
+            List<Condition> conditions,
+            Change change) {}
 
-    /** Hears once what became of a write: its own answer, or what was read instead of it. */
+    /** How the job is read back. */
+    interface ReadBack {
+        void read(RequestPriority priority, String jobId, Consumer<JobLookup> consumer);
+    }
+
+    /** Is called once with what became of a write: its own answer, or what was read back. */
     interface Outcome {
         /**
-         * @param found what was read, which decides; null where the write was answered, or nothing
-         *     is known
+         * @param found what was read back, which decides; null where the write was answered, or
+         *     nothing is known
          */
-        void done(Result result, long storeRevision, JobLookup found);
-    }
-
-    /** How the job is read. */
-    interface Look {
-        void look(RequestPriority urgency, String jobId, Consumer<JobLookup> consumer);
+        void onCompleted(Result result, long storeRevision, JobLookup found);
     }
 
     private final EventLoop loop;
     private final StoreClient store;
-    private final TokenBucket readBudget;
+    private final TokenBucket readBackBudget;
 
     UserWrites(EventLoop loop, StoreClient store, double requestsPerSecond, int nodes) {
         this.loop = loop;
         this.store = store;
-        readBudget = new TokenBucket(requestsPerSecond * READ_SHARE / nodes);
+        readBackBudget = new TokenBucket(requestsPerSecond * READ_BACK_SHARE / nodes);
     }
 
     /**
-     * @param answerByMicros until when its user waits: shortly before it is not sent any more, and
-     *     then nothing is known
-     * @param decides whether what was read, which is not null, makes the write's own answer
+     * @param isDecisive whether what was read back, which is not null, makes the write's own answer
      *     needless
      */
     void write(
-            RequestPriority urgency,
-            long answerByMicros,
-            String jobId,
-            List<Condition> conditions,
-            Change change,
-            Look look,
-            Predicate<JobLookup> decides,
-            Outcome outcome) {
-        Write write = new Write(jobId, look, decides, outcome);
-        loop.schedule(FIRST_LOOK_MICROS, write::look);
-        loop.schedule(SECOND_LOOK_MICROS, write::look);
+            Request request, ReadBack readBack, Predicate<JobLookup> isDecisive, Outcome outcome) {
+        PendingWrite write = new PendingWrite(request.jobId, readBack, isDecisive, outcome);
+        loop.schedule(FIRST_READ_BACK_MICROS, write::startReadBack);
+        loop.schedule(SECOND_READ_BACK_MICROS, write::startReadBack);
         loop.schedule(
-                Math.max(1, answerByMicros - loop.nowMicros()),
-                () -> write.tell(Result.UNKNOWN, 0, null));
+                Math.max(1, request.deadlineMicros - loop.nowMicros()), write::completeUnknown);
         store.txn(
-                urgency,
-                answerByMicros - ANSWER_MICROS,
-                conditions,
-                List.of(change),
-                (result, storeRevision, failed) -> write.answered(result, storeRevision));
+                request.priority,
+                request.deadlineMicros - STORE_ANSWER_MICROS,
+                request.conditions,
+                List.of(request.change),
+                (result, storeRevision, failed) -> write.onAnswered(result, storeRevision));
     }
 
-    private final class Write {
-        final String jobId;
-        final Look look;
-        final Predicate<JobLookup> decides;
-        final Outcome outcome;
-        boolean told;
-        boolean reading;
-        int looked;
+    private final class PendingWrite {
+        private final String jobId;
+        private final ReadBack readBack;
+        private final Predicate<JobLookup> isDecisive;
+        private final Outcome outcome;
+        private boolean completed;
+        private boolean readingBack;
+        private int readBacks;
 
-        /** The write's answer was that there is none. */
-        boolean unknown;
+        /** The store client gave up on the write, and can't say whether it was carried out. */
+        private boolean resultUnknown;
 
-        Write(String jobId, Look look, Predicate<JobLookup> decides, Outcome outcome) {
+        PendingWrite(
+                String jobId, ReadBack readBack, Predicate<JobLookup> isDecisive, Outcome outcome) {
             this.jobId = jobId;
-            this.look = look;
-            this.decides = decides;
+            this.readBack = readBack;
+            this.isDecisive = isDecisive;
             this.outcome = outcome;
         }
 
-        void answered(Result result, long storeRevision) {
+        void onAnswered(Result result, long storeRevision) {
             if (result != Result.UNKNOWN) {
-                tell(result, storeRevision, null);
+                complete(result, storeRevision, null);
                 return;
             }
-            unknown = true;
-            look();
-            if (!reading) {
-                tell(Result.UNKNOWN, 0, null);
+            resultUnknown = true;
+            startReadBack();
+            if (!readingBack) {
+                completeUnknown();
             }
         }
 
-        void look() {
+        void startReadBack() {
             long now = loop.nowMicros();
-            if (told || reading || looked == MAX_READS || readBudget.waitMicros(now, 1) > 0) {
+            if (completed
+                    || readingBack
+                    || readBacks == MAX_READ_BACKS
+                    || readBackBudget.waitMicros(now, 1) > 0) {
                 return;
             }
-            readBudget.take(now, 1);
-            looked++;
-            reading = true;
-            look.look(
-                    RequestPriority.USER,
-                    jobId,
-                    found -> {
-                        reading = false;
-                        if (found != null && decides.test(found)) {
-                            tell(Result.UNKNOWN, 0, found);
-                        } else if (unknown) {
-                            tell(Result.UNKNOWN, 0, null);
-                        }
-                    });
+            readBackBudget.take(now, 1);
+            readBacks++;
+            readingBack = true;
+            readBack.read(RequestPriority.USER, jobId, this::onReadBack);
+        }
+
+        private void onReadBack(JobLookup found) {
+            readingBack = false;
+            if (found != null && isDecisive.test(found)) {
+                complete(Result.UNKNOWN, 0, found);
+            } else if (resultUnknown) {
+                completeUnknown();
+            }
+        }
+
+        void completeUnknown() {
+            complete(Result.UNKNOWN, 0, null);
         }
 
-        private void tell(Result result, long storeRevision, JobLookup found) {
-            if (!told) {
-                told = true;
-                outcome.done(result, storeRevision, found);
+        private void complete(Result result, long storeRevision, JobLookup found) {
+            if (!completed) {
+                completed = true;
+                outcome.onCompleted(result, storeRevision, found);
             }
         }
     }
--- a/src/main/java/org/woadloom/reads/JobLookup.java
+++ b/src/main/java/org/woadloom/reads/JobLookup.java
@@ -7,9 +7,14 @@
 import org.woadloom.store.RecordFormat;
 
 /**
- * What the store says of a job: one of the records, or neither where it is unknown.
+ * What the store says of a job: one of {@code record}, {@code finalState} and {@code damaged} is
+ * there, or none of them where the job is unknown.
  *
- * @param unread what is told of a record that is there and can't be read; null otherwise
+ * @param record the record of a job that is not over, or null
+ * @param format the format of that record, or null
+ * @param revision the revision of the record, readable or not; 0 without one
+ * @param finalState the final state of a job that is over, or null
+ * @param damaged the status that is told of a record that can't be read, or null
  */
 public record JobLookup(
         JobRecord record,
@@ -17,6 +22,9 @@
         long revision,
         FinalRecord finalState,
         JobStatus damaged) {
+    /** In a job's record, in every format. */
+    private static final String CANCELLED_FIELD = "cancelled";
+
     static final JobLookup UNKNOWN = new JobLookup(null, null, 0, null, null);
 
     static JobLookup of(JobRecord record, RecordFormat format, long revision) {
@@ -28,27 +36,28 @@
     }
 
     /**
-     * A job that has a record was accepted and has no final state yet, whatever else can't be read;
-     * that it was cancelled is said by a field of its own. More is not known, and it is neither
-     * forgotten nor over.
+     * A job with a record that can't be read. It was accepted and has no final state yet, and
+     * whether it was cancelled is in a field of its own; nothing else is known.
      */
     static JobLookup unreadable(String jobId, Map<String, Object> value, long revision) {
-        boolean cancelled = value != null && Boolean.TRUE.equals(value.get("cancelled"));
+        boolean cancelled = value != null && Boolean.TRUE.equals(value.get(CANCELLED_FIELD));
         return new JobLookup(
                 null,
                 null,
                 revision,
                 null,
-                new JobStatus(jobId, cancelled ? "cancelled" : "queued", -1, 0));
+                JobStatus.withoutCounts(jobId, cancelled ? JobStatus.CANCELLED : JobStatus.QUEUED));
     }
 
-    /** Null for a job that was never accepted. */
+    /** The status that users are told; null for a job that was never accepted. */
     public JobStatus status() {
-        return finalState != null
-                ? finalState.status()
-                : record != null ? record.status() : damaged;
+        if (finalState != null) {
+            return finalState.status();
+        }
+        return record != null ? record.status() : damaged;
     }
 
+    /** False where that is not known. */
     public boolean isService() {
         return finalState != null
                 ? finalState.service()
--- a/src/main/java/org/woadloom/reads/JobReader.java
+++ b/src/main/java/org/woadloom/reads/JobReader.java
@@ -16,7 +16,7 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * Reads one job by its keys. Only what never changes is kept: final states, and that a job was
+ * Reads one job by its keys. Only what never changes is cached: final states, and that a job was
  * accepted.
  */
 public final class JobReader {
@@ -25,39 +25,40 @@
     /**
      * More than the 12,000 open jobs of 4,000 machines, with those that ended lately. A final state
      * takes 164 bytes of heap and an accepted job 131 (measured): 5.9 MB when both are full. What
-     * is dropped is read again when it is asked for.
+     * is evicted is read again when it is asked for.
      */
     private static final int MAX_CACHED = 20_000;
 
     private final StoreClient store;
     private final Consumer<RecordFormat> formatSeen;
-    private final Cache<String, FinalRecord> finals =
+    private final Cache<String, FinalRecord> finalStates =
             Caffeine.newBuilder().maximumSize(MAX_CACHED).executor(Runnable::run).build();
 
-    /** Jobs that are known to be accepted, which stays true; true for services. */
-    private final Cache<String, Boolean> onAccepted =
+    /** The jobs that are known to be accepted, and whether each is a service. */
+    private final Cache<String, Boolean> acceptedJobs =
             Caffeine.newBuilder().maximumSize(MAX_CACHED).executor(Runnable::run).build();
 
     /**
-     * @param formatSeen hears in which format a record is
+     * @param formatSeen is notified of the format of each record that is read
      */
     public JobReader(StoreClient store, Consumer<RecordFormat> formatSeen) {
         this.store = store;
         this.formatSeen = formatSeen;
     }
 
+    /** Notes that a job was accepted by this node. */
     public void onAccepted(String jobId, boolean service) {
-        onAccepted.put(jobId, service);
+        acceptedJobs.put(jobId, service);
     }
 
     /** Whether an accepted job is a service; null for a job that is not known to be accepted. */
     public Boolean isAcceptedService(String jobId) {
-        return onAccepted.getIfPresent(jobId);
+        return acceptedJobs.getIfPresent(jobId);
     }
 
     /** The job's final state if it was ever read here, or null. */
     public JobLookup knownFinalState(String jobId) {
-        FinalRecord known = finals.getIfPresent(jobId);
+        FinalRecord known = finalStates.getIfPresent(jobId);
         return known == null ? null : JobLookup.ofFinalState(known);
     }
 
@@ -68,12 +69,12 @@
         lookUp(jobId, StoreClient.NO_DEADLINE, consumer);
     }
 
-    /** The same, without what would be asked of the store only after the given moment. */
+    /** The same; a request that has not been sent by the deadline is given up. */
     public void lookUp(String jobId, long deadlineMicros, Consumer<JobLookup> consumer) {
         lookUp(RequestPriority.NORMAL, jobId, deadlineMicros, consumer);
     }
 
-    /** The same; of a job that is known to be over the final state is read at once. */
+    /** The same; the final state of a job that is known to be over is read first. */
     void lookUp(String jobId, boolean over, long deadlineMicros, Consumer<JobLookup> consumer) {
         if (over && knownFinalState(jobId) == null) {
             lookUpFinalState(
@@ -92,13 +93,13 @@
         }
     }
 
-    /** The same, before or after what else this node asks of the store. */
-    public void lookUp(RequestPriority urgency, String jobId, Consumer<JobLookup> consumer) {
-        lookUp(urgency, jobId, StoreClient.NO_DEADLINE, consumer);
+    /** The same, with a priority among the other requests of this node to the store. */
+    public void lookUp(RequestPriority priority, String jobId, Consumer<JobLookup> consumer) {
+        lookUp(priority, jobId, StoreClient.NO_DEADLINE, consumer);
     }
 
     private void lookUp(
-            RequestPriority urgency,
+            RequestPriority priority,
             String jobId,
             long deadlineMicros,
             Consumer<JobLookup> consumer) {
@@ -108,12 +109,12 @@
             return;
         }
         store.get(
-                urgency,
+                priority,
                 StoreKeys.job(jobId),
                 deadlineMicros,
                 (result, entry, storeRevision) -> {
                     if (result == Result.NOT_FOUND) {
-                        lookUpFinalState(urgency, jobId, deadlineMicros, consumer);
+                        lookUpFinalState(priority, jobId, deadlineMicros, consumer);
                     } else {
                         consumer.accept(
                                 result == Result.OK
@@ -127,9 +128,9 @@
      * Reads a job's record alone; null if the store does not say or there is none, which does not
      * say that there is no job.
      */
-    public void lookUpRecord(RequestPriority urgency, String jobId, Consumer<JobLookup> consumer) {
+    public void lookUpRecord(RequestPriority priority, String jobId, Consumer<JobLookup> consumer) {
         store.get(
-                urgency,
+                priority,
                 StoreKeys.job(jobId),
                 (result, entry, storeRevision) ->
                         consumer.accept(
@@ -143,39 +144,43 @@
      * can't miss it.
      */
     private void lookUpFinalState(
-            RequestPriority urgency,
+            RequestPriority priority,
             String jobId,
             long deadlineMicros,
             Consumer<JobLookup> consumer) {
         store.get(
-                urgency,
+                priority,
                 StoreKeys.finalState(jobId),
                 deadlineMicros,
                 (result, entry, storeRevision) -> {
-                    JobLookup lookup = null;
                     if (result == Result.NOT_FOUND) {
-                        lookup = JobLookup.UNKNOWN;
-                    } else if (result == Result.OK) {
-                        try {
-                            FinalRecord record = FinalRecord.parse(jobId, entry.value());
-                            finals.put(jobId, record);
-                            onAccepted.put(jobId, record.service());
-                            lookup = JobLookup.ofFinalState(record);
-                        } catch (MalformedMessageException e) {
-                            // What can't be read says nothing.
-                        }
+                        consumer.accept(JobLookup.UNKNOWN);
+                    } else {
+                        consumer.accept(
+                                result == Result.OK ? parseFinalState(jobId, entry.value()) : null);
                     }
-                    consumer.accept(lookup);
                 });
     }
 
-    /** What a job's record says; null for one of a later version. */
+    /** Null for one that can't be read. */
+    private JobLookup parseFinalState(String jobId, Map<String, Object> value) {
+        try {
+            FinalRecord finalState = FinalRecord.parse(jobId, value);
+            finalStates.put(jobId, finalState);
+            acceptedJobs.put(jobId, finalState.service());
+            return JobLookup.ofFinalState(finalState);
+        } catch (MalformedMessageException e) {
+            return null;
+        }
+    }
+
+    /** Parses a job's record; null for one of a later version. */
     JobLookup parse(String jobId, Map<String, Object> value, long revision) {
         try {
             RecordFormat format = JobRecord.formatOf(value);
             formatSeen.accept(format);
             JobRecord record = JobRecord.parse(value);
-            onAccepted.put(jobId, record.description().isService());
+            acceptedJobs.put(jobId, record.description().isService());
             return JobLookup.of(record, format, revision);
         } catch (MalformedMessageException e) {
             LOG.error(
--- a/src/main/java/org/woadloom/reads/UnansweredQueries.java
+++ b/src/main/java/org/woadloom/reads/UnansweredQueries.java
@@ -8,76 +8,87 @@
 import org.woadloom.net.EventLoop;
 
 /**
- * For how long each job has been asked about here in vain while the store was well. Whatever picks
- * out one job again and again, a job that nobody can be told about is as good as forgotten: its
- * users go before everybody else's after a while, and the log and a meter name it.
+ * Keeps for how long each job has been queried on this node in vain while the store answered other
+ * queries. A fault may hit the same job time and again; to its users a job that is never answered
+ * for is as good as lost. So its queries get priority after a while, and the log and a metric name
+ * it.
  */
 public final class UnansweredQueries {
     private static final Logger LOG = LoggerFactory.getLogger(UnansweredQueries.class);
 
     /** A job that went without an answer for so long is read by itself. */
-    private static final long FIRST_MICROS = 10_000_000;
+    private static final long PRIORITY_AFTER_MICROS = 10_000_000;
 
-    private static final long TELL_MICROS = 20_000_000;
+    private static final long WARN_AFTER_MICROS = 20_000_000;
+    private static final long WARN_INTERVAL_MICROS = 20_000_000;
 
-    /** Users ask every five seconds or so: whoever has stopped asking is not kept waiting. */
-    private static final long FORGET_S = 30;
+    /** Users poll every five seconds or so: a job that nobody polls for any more is dropped. */
+    private static final long EXPIRY_SECONDS = 30;
+
+    /** Earlier than any moment of the loop's clock, without overflow in differences. */
+    private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
     /**
-     * All open jobs of 4,000 machines, 12,000, and some more: one that was dropped would be timed
+     * All open jobs of 4,000 machines, 12,000, and some more: one that was evicted would be timed
      * anew. 161 bytes each (measured).
      */
     private static final int MAX_JOBS = 16_000;
 
     private final EventLoop loop;
-    private final Cache<String, Long> since;
-    private long toldMicros = Long.MIN_VALUE / 2;
+    private final Cache<String, Long> firstRefusalMicros;
+    private long lastWarningMicros = NEVER_MICROS;
 
     public UnansweredQueries(EventLoop loop) {
         this.loop = loop;
-        since =
+        firstRefusalMicros =
                 Caffeine.newBuilder()
                         .maximumSize(MAX_JOBS)
                         .executor(Runnable::run)
                         .ticker(() -> loop.nowMicros() * 1_000)
-                        .expireAfterAccess(FORGET_S, TimeUnit.SECONDS)
+                        .expireAfterAccess(EXPIRY_SECONDS, TimeUnit.SECONDS)
                         .build();
     }
 
+    /** Notes that a query for the job was answered. */
     public void onAnswered(String jobId) {
-        since.invalidate(jobId);
+        firstRefusalMicros.invalidate(jobId);
     }
 
     /**
-     * @param served the store has answered others meanwhile: it is not an outage
+     * Notes that a query for the job could not be answered.
+     *
+     * @param served whether the store answers others meanwhile: during an outage nothing counts
      */
     public void onRefused(String jobId, boolean served) {
         if (!served) {
-            since.invalidate(jobId);
+            firstRefusalMicros.invalidate(jobId);
             return;
         }
         long now = loop.nowMicros();
-        long from = since.get(jobId, key -> now);
-        if (now - from >= TELL_MICROS && now - toldMicros >= TELL_MICROS) {
-            toldMicros = now;
+        long start = firstRefusalMicros.get(jobId, key -> now);
+        if (now - start >= WARN_AFTER_MICROS && now - lastWarningMicros >= WARN_INTERVAL_MICROS) {
+            lastWarningMicros = now;
             LOG.warn(
                     "event=job_unanswered job={} since_s={} unanswered_jobs={}",
                     jobId,
-                    (now - from) / 1_000_000,
-                    since.estimatedSize());
+                    (now - start) / 1_000_000,
+                    firstRefusalMicros.estimatedSize());
         }
     }
 
-    /** True for a job whose users are to go first. */
+    /** Whether queries for the job go before others. */
     public boolean hasPriority(String jobId) {
-        Long from = since.getIfPresent(jobId);
-        return from != null && loop.nowMicros() - from >= FIRST_MICROS;
+        Long start = firstRefusalMicros.getIfPresent(jobId);
+        return start != null && loop.nowMicros() - start >= PRIORITY_AFTER_MICROS;
     }
 
-    /** For how long the longest has gone without an answer. */
+    /** The longest time for which a job has gone without an answer. */
     public long longestMicros() {
-        since.cleanUp();
+        firstRefusalMicros.cleanUp();
         long now = loop.nowMicros();
-        return since.asMap().values().stream().mapToLong(from -> now - from).max().orElse(0);
+        return firstRefusalMicros.asMap().values().stream()
+                .mapToLong(start -> now - start)
+                .max()
+                .orElse(0);
     }
 }
