--- a/src/main/java/org/woadloom/agent/AgentClient.java
+++ b/src/main/java/org/woadloom/agent/AgentClient.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.woadloom.core.SchedulerAction;
-import org.woadloom.core.SchedulerEvent;
+import org.woadloom.core.SchedulerAction.SendDirectCommand;
+import org.woadloom.core.SchedulerEvent.DirectCommandCompleted;
 import org.woadloom.net.HttpTransport;
 import org.woadloom.protocol.Cbor;
 import org.woadloom.protocol.Heartbeat;
@@ -16,122 +16,133 @@
 import org.woadloom.protocol.TaskCommand;
 
 /**
- * Direct commands to workers. Those to workers that did not answer the last one take half of the
- * connections at most, and go after the others: where many machines hang at once, each of them
- * holds a connection for as long as an answer is waited for.
+ * Sends direct commands to agents. Commands to agents that did not answer the last one take half of
+ * the connections at most, and go after the others: where many machines hang at once, each of them
+ * holds a connection until the timeout. Nothing is retried here; the scheduler decides that.
  */
 public final class AgentClient {
     private static final long TIMEOUT_MICROS = 2_000_000;
 
-    /** Twice the largest fleet. */
-    private static final int MOST_REMEMBERED = 10_000;
+    /** Twice the largest cluster, in machines. */
+    private static final int MAX_SILENT_ADDRESSES = 10_000;
+
+    private static final int STATUS_OK = 200;
+
+    /** The agent refuses a command, and answers with its own state. */
+    private static final int STATUS_CONFLICT = 409;
+
+    private static final String COMMANDS_PATH = "/do";
+    private static final String FENCING_TOKEN_FIELD = "epoch";
+    private static final String INCARNATION_FIELD = "tenure";
+    private static final String COMMANDS_FIELD = "orders";
 
     private final HttpTransport transport;
-    private final int mostInFlight;
-    private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
-    private final ArrayDeque<Waiting> toSilent = new ArrayDeque<>();
+    private final int maxInFlight;
+    private final ArrayDeque<QueuedCommand> queue = new ArrayDeque<>();
+    private final ArrayDeque<QueuedCommand> queueToSilent = new ArrayDeque<>();
     private int inFlight;
     private int silentInFlight;
 
     /**
-     * Addresses that gave no answer to the last command, the longest silent first; what is gone
-     * drops out in time.
+     * Addresses that did not answer the last command, the longest silent first; those of machines
+     * that were removed drop out in time.
      */
-    private final Set<String> silent = new LinkedHashSet<>();
+    private final Set<String> silentAddresses = new LinkedHashSet<>();
 
-    private record Waiting(SchedulerAction.SendDirectCommand send, Callback callback) {}
+    private record QueuedCommand(SendDirectCommand send, Callback callback) {}
 
+    /** Is called once with the result of a command. */
     public interface Callback {
-        void result(SchedulerEvent.DirectCommandCompleted result);
+        void result(DirectCommandCompleted result);
     }
 
     /**
-     * @param mostInFlight how many commands may be under way, each of them on a connection of its
-     *     own
+     * @param maxInFlight how many commands may be in flight, each on a connection of its own
      */
-    public AgentClient(HttpTransport transport, int mostInFlight) {
+    public AgentClient(HttpTransport transport, int maxInFlight) {
         this.transport = transport;
-        this.mostInFlight = mostInFlight;
+        this.maxInFlight = maxInFlight;
     }
 
-    public void send(SchedulerAction.SendDirectCommand send, Callback callback) {
-        (silent.contains(send.address()) ? toSilent : waiting).addLast(new Waiting(send, callback));
-        pump();
+    /** Sends a command, as soon as there is a connection for it. */
+    public void send(SendDirectCommand send, Callback callback) {
+        boolean silent = silentAddresses.contains(send.address());
+        (silent ? queueToSilent : queue).addLast(new QueuedCommand(send, callback));
+        sendQueued();
     }
 
-    private void pump() {
-        while (inFlight < mostInFlight && !waiting.isEmpty()) {
-            begin(waiting.pollFirst(), false);
+    private void sendQueued() {
+        while (inFlight < maxInFlight && !queue.isEmpty()) {
+            request(queue.pollFirst(), false);
         }
-        while (inFlight < mostInFlight
-                && silentInFlight < Math.max(1, mostInFlight / 2)
-                && !toSilent.isEmpty()) {
-            begin(toSilent.pollFirst(), true);
+        while (inFlight < maxInFlight
+                && silentInFlight < Math.max(1, maxInFlight / 2)
+                && !queueToSilent.isEmpty()) {
+            request(queueToSilent.pollFirst(), true);
         }
     }
 
-    private void begin(Waiting next, boolean wasSilent) {
+    private void request(QueuedCommand command, boolean wasSilent) {
         inFlight++;
         silentInFlight += wasSilent ? 1 : 0;
-        request(next.send, wasSilent, next.callback);
+        SendDirectCommand send = command.send;
+        transport.request(
+                send.address(),
+                "POST",
+                COMMANDS_PATH,
+                encode(send),
+                TIMEOUT_MICROS,
+                (status, body) -> {
+                    onCompleted(send.address(), wasSilent, status);
+                    command.callback.result(resultOf(send, status, body));
+                });
     }
 
-    private void ended(SchedulerAction.SendDirectCommand send, boolean wasSilent, int status) {
+    private void onCompleted(String address, boolean wasSilent, int status) {
         inFlight--;
         silentInFlight -= wasSilent ? 1 : 0;
         if (status != HttpTransport.NO_RESPONSE) {
-            silent.remove(send.address());
-        } else if (silent.add(send.address()) && silent.size() > MOST_REMEMBERED) {
-            silent.remove(silent.iterator().next());
+            silentAddresses.remove(address);
+        } else if (silentAddresses.add(address) && silentAddresses.size() > MAX_SILENT_ADDRESSES) {
+            silentAddresses.remove(silentAddresses.iterator().next());
         }
-        pump();
+        sendQueued();
     }
 
-    private void request(
-            SchedulerAction.SendDirectCommand send, boolean wasSilent, Callback callback) {
+    /**
+     * An address may have passed to another machine: without a heartbeat of the right one nothing
+     * is known of the command.
+     */
+    private static DirectCommandCompleted resultOf(
+            SendDirectCommand send, int status, byte[] body) {
+        if (status != STATUS_OK && status != STATUS_CONFLICT) {
+            return result(send, status, null);
+        }
+        try {
+            Heartbeat heartbeat = Heartbeat.read(body);
+            if (heartbeat.host().equals(send.host())) {
+                return result(send, status, heartbeat);
+            }
+        } catch (MalformedMessageException e) {
+            // As if the answer had not come.
+        }
+        return result(send, HttpTransport.NO_RESPONSE, null);
+    }
+
+    private static DirectCommandCompleted result(
+            SendDirectCommand send, int status, Heartbeat heartbeat) {
+        return new DirectCommandCompleted(send.commandId(), send.host(), status, heartbeat);
+    }
+
+    private static byte[] encode(SendDirectCommand send) {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("epoch", send.fencingToken());
-        map.put("tenure", send.incarnation());
-        map.put("orders", orders(send.commands()));
-        transport.request(
-                send.address(),
-                "POST",
-                "/do",
-                Cbor.encode(map),
-                TIMEOUT_MICROS,
-                (status, body) -> {
-                    ended(send, wasSilent, status);
-                    Heartbeat heartbeat = null;
-                    if (status == 200 || status == 409) {
-                        try {
-                            heartbeat = Heartbeat.read(body);
-                        } catch (MalformedMessageException e) {
-                            // An address may have passed to another machine; without its report
-                            // nothing is known.
-                            callback.result(
-                                    new SchedulerEvent.DirectCommandCompleted(
-                                            send.commandId(),
-                                            send.host(),
-                                            HttpTransport.NO_RESPONSE,
-                                            null));
-                            return;
-                        }
-                        if (!heartbeat.host().equals(send.host())) {
-                            callback.result(
-                                    new SchedulerEvent.DirectCommandCompleted(
-                                            send.commandId(),
-                                            send.host(),
-                                            HttpTransport.NO_RESPONSE,
-                                            null));
-                            return;
-                        }
-                    }
-                    callback.result(
-                            new SchedulerEvent.DirectCommandCompleted(
-                                    send.commandId(), send.host(), status, heartbeat));
-                });
+        map.put(FENCING_TOKEN_FIELD, send.fencingToken());
+        map.put(INCARNATION_FIELD, send.incarnation());
+        map.put(COMMANDS_FIELD, orders(send.commands()));
+        return Cbor.encode(map);
     }
 
+    /** The commands as the protocol has them, in a body of their own or in a heartbeat's answer. */
     public static List<Object> orders(List<TaskCommand> commands) {
         List<Object> list = new ArrayList<>(commands.size());
         for (TaskCommand command : commands) {
--- a/src/main/java/org/woadloom/agent/AgentConnectionBalancer.java
+++ b/src/main/java/org/woadloom/agent/AgentConnectionBalancer.java
@@ -8,55 +8,59 @@
 import java.util.Map;
 
 /**
- * Which workers report to this node itself. A leader that has more than it can bear sends some on
- * to a node that carries their reports to it: who talks to a worker is all that changes, the leader
- * decides as before. Only workers whose lease it has just renewed are sent on. One that comes back
- * without having been heard by way of that node can't get there, and stays for a while.
+ * Decides which agents send their heartbeats to this node itself. A leader with more agents than it
+ * can serve redirects some to another node, which forwards their heartbeats to it: only the
+ * connection moves, the leader decides as before. Only agents whose lease it has just renewed are
+ * redirected. One that comes back without a heartbeat by way of the other node can't reach that
+ * node, and stays for a while.
  */
 public final class AgentConnectionBalancer {
-    private static final int REPORTS_MISSED = 3;
+    /** An agent that missed so many heartbeats does not count as connected any more. */
+    private static final int MAX_MISSED_HEARTBEATS = 3;
 
-    /** Within such a time a worker that was sent on has come to the other node, or back. */
-    private static final long SENT_ON_MICROS = 20_000_000;
+    /** Within this time an agent that was redirected has reached the other node, or is back. */
+    private static final long REDIRECTION_TIMEOUT_MICROS = 20_000_000;
 
-    private static final long KEPT_MICROS = 60_000_000;
+    /** For how long an agent that came back is not redirected again. */
+    private static final long STAY_MICROS = 60_000_000;
 
     private final int maxAgents;
-    private final long forgetMicros;
+    private final long disconnectMicros;
 
-    /** Those that report here, and when they last did, the longest silent first. */
+    /** When each connected agent last sent a heartbeat, the longest silent first. */
     private final Map<String, Long> connected = new LinkedHashMap<>(16, 0.75f, true);
 
-    /** When those were sent on that have not been heard since, the first first. */
+    /** When each agent was redirected that has sent no heartbeat since, in that order. */
     private final Map<String, Long> redirected = new LinkedHashMap<>();
 
-    /** When those came back that could not get to another node. */
+    /** When each agent came back that could not reach another node. */
     private final Map<String, Long> unableToMove = new LinkedHashMap<>();
 
     /**
-     * @param most how many workers are taken while others can take the rest
+     * @param maxAgents how many agents this node serves while others can serve the rest
+     * @param heartbeatMicros the interval between an agent's heartbeats
      */
-    public AgentConnectionBalancer(int maxAgents, long reportMicros) {
+    public AgentConnectionBalancer(int maxAgents, long heartbeatMicros) {
         this.maxAgents = maxAgents;
-        this.forgetMicros = REPORTS_MISSED * reportMicros;
+        this.disconnectMicros = MAX_MISSED_HEARTBEATS * heartbeatMicros;
     }
 
-    /** How many workers report here. */
+    /** How many agents are connected to this node. */
     public int size() {
         return connected.size();
     }
 
     /**
-     * A worker reports to this node, which leads. Returns the node that it is to report to instead,
-     * or null if it may stay.
+     * Counts an agent that sent a heartbeat to this node, which leads, and picks the node that it
+     * is to connect to instead; null if it may stay.
      *
-     * @param renewed its lease was renewed in this term, so that it has time to go elsewhere
+     * @param renewed whether its lease was renewed in this term, so that it has time to reconnect
      * @param others the nodes that can be reached
      */
     public String redirectTarget(String host, boolean renewed, List<String> others, long now) {
-        removeOlderThan(connected, now - forgetMicros);
-        removeOlderThan(redirected, now - SENT_ON_MICROS);
-        removeOlderThan(unableToMove, now - KEPT_MICROS);
+        removeOlderThan(connected, now - disconnectMicros);
+        removeOlderThan(redirected, now - REDIRECTION_TIMEOUT_MICROS);
+        removeOlderThan(unableToMove, now - STAY_MICROS);
         connected.put(host, now);
         if (redirected.remove(host) != null) {
             unableToMove.put(host, now);
@@ -75,7 +79,7 @@
                         others.size()));
     }
 
-    /** A worker's report came by way of another node. */
+    /** Notes that an agent's heartbeat came by way of another node. */
     public void onForwarded(String host) {
         connected.remove(host);
         redirected.remove(host);
--- a/src/main/java/org/woadloom/cloud/CloudClient.java
+++ b/src/main/java/org/woadloom/cloud/CloudClient.java
@@ -18,45 +18,78 @@
 import org.woadloom.settings.ServiceSettings;
 import org.woadloom.store.TokenBucket;
 
-/** The cloud's protocol, within the rate that the settings allow. */
+/**
+ * The client of the cloud, within the rate that the settings allow. Calls wait for the rate in the
+ * order of their kind. Nothing is retried here.
+ */
 public final class CloudClient {
     private static final long TIMEOUT_MICROS = 8_000_000;
-    private static final double SHARE_OF_LIMIT = 0.8;
 
-    /** The cloud's bound: nine calls list 4,000 machines. */
-    private static final int PAGE = 500;
+    /** The share of the rate that the settings allow which is used. */
+    private static final double RATE_SHARE = 0.8;
+
+    /** How many machines a call lists, the cloud's bound: nine calls list 4,000. */
+    private static final int PAGE_SIZE = 500;
+
+    private static final int STATUS_OK = 200;
+    private static final int STATUS_SERVICE_UNAVAILABLE = 503;
+    private static final String NO_CAPACITY_ERROR = "no capacity";
+
+    private static final String TYPES_PATH = "/machine_types";
+    private static final String MACHINES_PATH = "/machines";
+    private static final String DELETE_PATH = "/machines/delete";
+
+    /** The names of the fields in requests and answers. */
+    private static final class Field {
+        static final String REQUEST_NAME = "claim";
+        static final String MACHINE_TYPE = "hosttype";
+        static final String ZONE = "yard";
+        static final String SPOT = "reclaimable";
+        static final String COUNT = "count";
+        static final String HOSTS = "hosts";
+        static final String MORE = "more";
+        static final String ERROR = "error";
+
+        private Field() {}
+    }
 
     private final EventLoop loop;
     private final HttpTransport transport;
     private final String address;
     private final TokenBucket budget;
-    private final EnumMap<Call, ArrayDeque<Runnable>> waiting = new EnumMap<>(Call.class);
+    private final EnumMap<CallKind, ArrayDeque<Runnable>> waiting = new EnumMap<>(CallKind.class);
     private boolean wakeScheduled;
 
     /**
-     * What goes first where calls must wait: deletions are proofs and end what is paid for, and
+     * The kinds of calls, the most urgent first: deletions are proofs and end what is paid for, and
      * lists can wait for long.
      */
-    private enum Call {
+    private enum CallKind {
         DELETE,
         RENT,
         READ
     }
 
+    /** Receives the machine types. */
     public interface TypesCallback {
         /** Null where the cloud did not give them. */
         void types(List<MachineType> types);
     }
 
+    /** Receives the list of machines. */
     public interface ListCallback {
+        /** Null where the cloud did not give all of it. */
         void machines(List<ListedMachine> machines);
     }
 
+    /** Receives the outcome of a rental. */
     public interface RentCallback {
         void rented(ScaleOutOutcome outcome, List<String> hosts);
     }
 
+    /** Receives the outcome of a deletion. */
     public interface DeleteCallback {
+        /** False where it may or may not have been carried out. */
         void deleted(boolean done);
     }
 
@@ -64,53 +97,60 @@
         this.loop = loop;
         this.transport = transport;
         this.address = settings.cloudAddress();
-        for (Call call : Call.values()) {
-            waiting.put(call, new ArrayDeque<>());
+        for (CallKind kind : CallKind.values()) {
+            waiting.put(kind, new ArrayDeque<>());
         }
-        this.budget = new TokenBucket(settings.cloud().rps() * SHARE_OF_LIMIT);
+        this.budget = new TokenBucket(settings.cloud().rps() * RATE_SHARE);
     }
 
+    /** Reads the machine types that the cloud offers. */
     public void types(TypesCallback callback) {
         request(
-                Call.READ,
+                CallKind.READ,
                 "GET",
-                "/machine_types",
+                TYPES_PATH,
                 null,
                 (status, body) -> {
                     try {
                         callback.types(
-                                status == 200 ? MachineType.parseAll(Cbor.decodeMap(body)) : null);
+                                status == STATUS_OK
+                                        ? MachineType.parseAll(Cbor.decodeMap(body))
+                                        : null);
                     } catch (MalformedMessageException e) {
                         callback.types(null);
                     }
                 });
     }
 
-    /** Reads the whole list; null where a page was not given. */
+    /** Reads the whole list of machines, page by page. */
     public void list(ListCallback callback) {
         page("", new ArrayList<>(), callback);
     }
 
     private void page(String since, List<ListedMachine> found, ListCallback callback) {
         String path =
-                "/machines?" + (since.isEmpty() ? "" : "since=" + since + "&") + "most=" + PAGE;
+                MACHINES_PATH
+                        + "?"
+                        + (since.isEmpty() ? "" : "since=" + since + "&")
+                        + "most="
+                        + PAGE_SIZE;
         request(
-                Call.READ,
+                CallKind.READ,
                 "GET",
                 path,
                 null,
                 (status, body) -> {
-                    if (status != 200) {
+                    if (status != STATUS_OK) {
                         callback.machines(null);
                         return;
                     }
                     boolean more;
                     try {
-                        Fields f = new Fields(Cbor.decodeMap(body));
-                        for (Object item : f.list("hosts")) {
+                        Fields answer = new Fields(Cbor.decodeMap(body));
+                        for (Object item : answer.list(Field.HOSTS)) {
                             found.add(ListedMachine.parse(item));
                         }
-                        more = f.flagOr("more", false) && !found.isEmpty();
+                        more = answer.flagOr(Field.MORE, false) && !found.isEmpty();
                     } catch (MalformedMessageException e) {
                         callback.machines(null);
                         return;
@@ -123,25 +163,27 @@
                 });
     }
 
+    /** Rents machines; repeated under the same name, the request gives the same machines. */
     public void rent(SchedulerAction.RentMachines rent, RentCallback callback) {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("claim", rent.requestName());
-        map.put("hosttype", rent.machineType());
-        map.put("yard", rent.zone());
-        map.put("reclaimable", rent.spot());
-        map.put("count", (long) rent.count());
+        map.put(Field.REQUEST_NAME, rent.requestName());
+        map.put(Field.MACHINE_TYPE, rent.machineType());
+        map.put(Field.ZONE, rent.zone());
+        map.put(Field.SPOT, rent.spot());
+        map.put(Field.COUNT, (long) rent.count());
         request(
-                Call.RENT,
+                CallKind.RENT,
                 "POST",
-                "/machines",
+                MACHINES_PATH,
                 Cbor.encode(map),
                 (status, body) -> {
                     try {
-                        if (status == 200) {
+                        if (status == STATUS_OK) {
                             callback.rented(
                                     ScaleOutOutcome.RENTED,
-                                    new Fields(Cbor.decodeMap(body)).texts("hosts"));
-                        } else if (status == 503 && "no capacity".equals(error(body))) {
+                                    new Fields(Cbor.decodeMap(body)).texts(Field.HOSTS));
+                        } else if (status == STATUS_SERVICE_UNAVAILABLE
+                                && NO_CAPACITY_ERROR.equals(error(body))) {
                             callback.rented(ScaleOutOutcome.NO_CAPACITY, List.of());
                         } else {
                             boolean refused = status > 0 || status == HttpTransport.NOT_SENT;
@@ -156,51 +198,61 @@
     }
 
     private static String error(byte[] body) throws MalformedMessageException {
-        return new Fields(Cbor.decodeMap(body)).textOr("error", "");
+        return new Fields(Cbor.decodeMap(body)).textOr(Field.ERROR, "");
     }
 
+    /** Returns machines. */
     public void delete(List<String> hosts, DeleteCallback callback) {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("hosts", new ArrayList<Object>(hosts));
+        map.put(Field.HOSTS, new ArrayList<Object>(hosts));
         request(
-                Call.DELETE,
+                CallKind.DELETE,
                 "POST",
-                "/machines/delete",
+                DELETE_PATH,
                 Cbor.encode(map),
-                (status, body) -> callback.deleted(status == 200));
+                (status, body) -> callback.deleted(status == STATUS_OK));
     }
 
     private void request(
-            Call call, String method, String path, byte[] body, HttpTransport.Callback callback) {
-        waiting.get(call)
+            CallKind kind,
+            String method,
+            String path,
+            byte[] body,
+            HttpTransport.Callback callback) {
+        waiting.get(kind)
                 .addLast(
                         () ->
                                 transport.request(
                                         address, method, path, body, TIMEOUT_MICROS, callback));
-        pump();
+        sendQueued();
     }
 
-    private ArrayDeque<Runnable> first() {
-        return waiting.values().stream().filter(queue -> !queue.isEmpty()).findFirst().orElse(null);
+    private ArrayDeque<Runnable> mostUrgentQueue() {
+        return waiting.values().stream()
+                .filter(candidate -> !candidate.isEmpty())
+                .findFirst()
+                .orElse(null);
     }
 
-    private void pump() {
-        for (ArrayDeque<Runnable> first = first(); first != null; first = first()) {
-            long wait = budget.waitMicros(loop.nowMicros(), 1);
-            if (wait > 0) {
+    private void sendQueued() {
+        for (ArrayDeque<Runnable> queue = mostUrgentQueue();
+                queue != null;
+                queue = mostUrgentQueue()) {
+            long waitMicros = budget.waitMicros(loop.nowMicros(), 1);
+            if (waitMicros > 0) {
                 if (!wakeScheduled) {
                     wakeScheduled = true;
                     loop.schedule(
-                            wait,
+                            waitMicros,
                             () -> {
                                 wakeScheduled = false;
-                                pump();
+                                sendQueued();
                             });
                 }
                 return;
             }
             budget.take(loop.nowMicros(), 1);
-            first.pollFirst().run();
+            queue.pollFirst().run();
         }
     }
 }
--- a/src/main/java/org/woadloom/net/EventLoop.java
+++ b/src/main/java/org/woadloom/net/EventLoop.java
@@ -16,9 +16,10 @@
     /** Runs the task soon, after what is running now. May be called from any thread. */
     void execute(Runnable task);
 
+    /** Runs the task once, after the delay, unless it is cancelled before. */
     Timer schedule(long delayMicros, Runnable task);
 
-    /** A task that was put off. */
+    /** A scheduled task. */
     interface Timer {
         void cancel();
     }
--- a/src/main/java/org/woadloom/net/HttpTransport.java
+++ b/src/main/java/org/woadloom/net/HttpTransport.java
@@ -19,6 +19,13 @@
         void answered(int status, byte[] body);
     }
 
+    /**
+     * Sends a request.
+     *
+     * @param address host and port
+     * @param body null for a request without one
+     * @param timeoutMicros after which the callback gets one of the two constants
+     */
     void request(
             String address,
             String method,
--- a/src/main/java/org/woadloom/net/SocketBudget.java
+++ b/src/main/java/org/woadloom/net/SocketBudget.java
@@ -3,17 +3,17 @@
 import org.woadloom.settings.ServiceSettings;
 
 /**
- * What a node's sockets are for: {@code fd_limit} less what it needs itself is for workers and
- * users. All are numbers of sockets.
+ * How a node divides its sockets: what is left of {@code fd_limit} after its own needs is for
+ * agents and users. All components are numbers of sockets.
  *
  * @param process listeners, pollers and files of the process
- * @param peers connections with the other nodes, old ones that are about to end among them
- * @param state requests and watches of the state service
+ * @param peers connections with the other nodes, among them old ones that are about to close
+ * @param state requests to the store and watches
  * @param cloud requests to the cloud
- * @param direct commands to workers that are under way at a time
- * @param idle connections kept open to whomever was asked last
- * @param refusals connections that are taken only to be told at once to come back later
- * @param inbound workers and users
+ * @param direct commands to agents in flight at a time
+ * @param idle idle connections that are kept open
+ * @param refusals connections that are accepted only to be refused at once with a retry time
+ * @param inbound agents and users
  */
 public record SocketBudget(
         int process,
@@ -24,58 +24,67 @@
         int idle,
         int refusals,
         int inbound) {
-    private static final int PROCESS = 32;
-    private static final int EACH_PEER = 4;
-    private static final int STRANGE_PEERS = 8;
+    private static final int PROCESS_SOCKETS = 32;
+    private static final int SOCKETS_PER_PEER = 4;
+    private static final int UNKNOWN_PEER_SOCKETS = 8;
 
-    /** 36 requests at most, most of which get no answer any more, and the watches. */
-    private static final int STATE = 48;
+    /** At most 36 requests, most of which will get no answer any more, and the watches. */
+    private static final int STORE_SOCKETS = 48;
 
-    private static final int CLOUD = 8;
-    private static final double DIRECT = 0.1;
-    private static final double IDLE = 0.05;
-    private static final double REFUSALS = 0.02;
+    private static final int CLOUD_SOCKETS = 8;
+    private static final double DIRECT_SHARE = 0.1;
+    private static final double IDLE_SHARE = 0.05;
+    private static final double REFUSAL_SHARE = 0.02;
 
     /**
-     * With more than this part of its connections in use a node makes room: the rest is for bursts
-     * and reconnections.
+     * With more than this share of its inbound connections in use a node closes some: the rest is
+     * for bursts and reconnections.
      */
-    private static final double COMFORTABLE = 0.85;
+    private static final double COMFORTABLE_SHARE = 0.85;
 
-    /** The part that workers may take as long as another node can take the rest of them. */
-    private static final double WORKERS = 0.6;
+    /** The share that agents may use as long as another node can serve the rest of them. */
+    private static final double AGENT_SHARE = 0.6;
 
+    /** Divides the sockets that the settings allow. */
     public static SocketBudget of(ServiceSettings settings) {
-        int all = settings.resources().fdLimit();
-        int peers = settings.peers().size() * EACH_PEER + STRANGE_PEERS;
-        int direct = (int) (all * DIRECT);
-        int idle = (int) (all * IDLE);
-        int refusals = (int) Math.max(1, all * REFUSALS);
-        int rest = all - PROCESS - peers - STATE - CLOUD - direct - idle - refusals;
+        int total = settings.resources().fdLimit();
+        int peers = settings.peers().size() * SOCKETS_PER_PEER + UNKNOWN_PEER_SOCKETS;
+        int direct = (int) (total * DIRECT_SHARE);
+        int idle = (int) (total * IDLE_SHARE);
+        int refusals = (int) Math.max(1, total * REFUSAL_SHARE);
+        int ownNeeds =
+                PROCESS_SOCKETS + peers + STORE_SOCKETS + CLOUD_SOCKETS + direct + idle + refusals;
         return new SocketBudget(
-                PROCESS, peers, STATE, CLOUD, direct, idle, refusals, Math.max(all / 2, rest));
+                PROCESS_SOCKETS,
+                peers,
+                STORE_SOCKETS,
+                CLOUD_SOCKETS,
+                direct,
+                idle,
+                refusals,
+                Math.max(total / 2, total - ownNeeds));
     }
 
-    /** How many connections of workers and users are well. */
+    /** How many inbound connections may be open before some are closed. */
     public int comfortable() {
-        return (int) (inbound * COMFORTABLE);
+        return (int) (inbound * COMFORTABLE_SHARE);
     }
 
     /**
-     * Whether the connection of a worker is closed with its answer. With more workers than sockets
+     * Whether the connection of an agent is closed with its answer. With more agents than sockets
      * each holds one only for the moment of its heartbeat: first those that need nothing, then,
      * with half of what is left above the comfortable level in use, all of them.
      *
-     * @param open connections of workers and users
-     * @param needsNothing the answer brings the worker nothing to do
+     * @param open how many connections of agents and users are open
+     * @param needsNothing whether the answer gives the agent nothing to do
      */
     public boolean closesWorker(int open, boolean needsNothing) {
         int level = needsNothing ? comfortable() : (comfortable() + inbound) / 2;
         return open > level;
     }
 
-    /** How many workers a node takes before it sends others to another node. */
+    /** How many agents a node serves before it redirects others to another node. */
     public int agents() {
-        return (int) (inbound * WORKERS);
+        return (int) (inbound * AGENT_SHARE);
     }
 }
--- a/src/main/java/org/woadloom/net/UndertowTransport.java
+++ b/src/main/java/org/woadloom/net/UndertowTransport.java
@@ -28,48 +28,55 @@
  * connections per host.
  */
 public final class UndertowTransport implements HttpTransport {
-    private static final int MAX_IDLE = 8;
-    private static final long IDLE_MICROS = 20_000_000;
+    private static final int MAX_IDLE_PER_HOST = 8;
+    private static final long MAX_IDLE_MICROS = 20_000_000;
 
-    /** How many idle connections are looked at for their age after each request. */
-    private static final int SWEEP = 2;
+    /** How many idle connections are checked for their age after each request. */
+    private static final int EVICTIONS_PER_REQUEST = 2;
 
-    private static final HttpString CBOR_LENGTH = Headers.CONTENT_LENGTH;
+    private static final String CBOR = "application/cbor";
+    private static final byte[] NO_BODY = {};
+    private static final int READ_BUFFER_BYTES = 4096;
+    private static final int RESPONSE_BYTES = 512;
 
     private final EventLoop loop;
     private final XnioIoThread thread;
     private final ByteBufferPool buffers;
     private final HttpClientProvider provider = new HttpClientProvider();
-    private final int mostIdle;
+    private final int maxIdle;
 
-    /** Takes what is read before it is appended to its response; all is done on one thread. */
-    private final ByteBuffer buffer = ByteBuffer.allocate(4096);
+    /** Is read into before the bytes are appended to their response; shared, on one thread. */
+    private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
 
-    private final Map<String, ArrayDeque<Idle>> idle = new HashMap<>();
+    private final Map<String, ArrayDeque<IdleConnection>> idleByAddress = new HashMap<>();
 
     /**
-     * All of them, the longest idle first: workers come by the hundred, and sockets are limited.
+     * All idle connections, the longest idle first: agents are called by the hundred, and sockets
+     * are limited.
      */
-    private final LinkedHashSet<Idle> byAge = new LinkedHashSet<>();
+    private final LinkedHashSet<IdleConnection> idleByAge = new LinkedHashSet<>();
 
-    private int underWay;
+    private int inFlight;
 
-    private static final class Idle {
+    private static final class IdleConnection {
         final String address;
         final ClientConnection connection;
         final long sinceMicros;
 
-        Idle(String address, ClientConnection connection, long sinceMicros) {
+        IdleConnection(String address, ClientConnection connection, long sinceMicros) {
             this.address = address;
             this.connection = connection;
             this.sinceMicros = sinceMicros;
         }
     }
 
+    /**
+     * @param maxIdle how many idle connections are kept, to all hosts together
+     */
     public UndertowTransport(
-            EventLoop loop, XnioIoThread thread, ByteBufferPool buffers, int mostIdle) {
+            EventLoop loop, XnioIoThread thread, ByteBufferPool buffers, int maxIdle) {
         this.loop = loop;
-        this.mostIdle = mostIdle;
+        this.maxIdle = maxIdle;
         this.thread = thread;
         this.buffers = buffers;
     }
@@ -83,8 +90,8 @@
             long timeoutMicros,
             Callback callback) {
         Call call = new Call(address, method, path, body, callback);
-        underWay++;
-        call.timer = loop.schedule(timeoutMicros, call::timedOut);
+        inFlight++;
+        call.timer = loop.schedule(timeoutMicros, call::onTimeout);
         ClientConnection connection = takeIdle(address);
         if (connection != null) {
             call.send(connection);
@@ -103,7 +110,7 @@
 
                     @Override
                     public void failed(IOException e) {
-                        call.finish(NOT_SENT, new byte[0]);
+                        call.finish(NOT_SENT, NO_BODY);
                     }
                 },
                 URI.create("http://" + address),
@@ -113,22 +120,23 @@
                 OptionMap.EMPTY);
     }
 
-    /** Connections for requests that are under way, and those that are kept. */
+    /** How many connections are open, for requests in flight or idle. */
     public int open() {
-        return underWay + byAge.size();
+        return inFlight + idleByAge.size();
     }
 
+    /** How many connections are open and idle. */
     public int idle() {
-        return byAge.size();
+        return idleByAge.size();
     }
 
     private ClientConnection takeIdle(String address) {
-        ArrayDeque<Idle> queue = idle.get(address);
+        ArrayDeque<IdleConnection> queue = idleByAddress.get(address);
         while (queue != null && !queue.isEmpty()) {
-            Idle candidate = queue.pollLast();
-            byAge.remove(candidate);
+            IdleConnection candidate = queue.pollLast();
+            idleByAge.remove(candidate);
             if (candidate.connection.isOpen()
-                    && loop.nowMicros() - candidate.sinceMicros < IDLE_MICROS) {
+                    && loop.nowMicros() - candidate.sinceMicros < MAX_IDLE_MICROS) {
                 return candidate.connection;
             }
             IoUtils.safeClose(candidate.connection);
@@ -136,34 +144,37 @@
         return null;
     }
 
-    private void giveBack(String address, ClientConnection connection) {
-        ArrayDeque<Idle> queue = idle.computeIfAbsent(address, a -> new ArrayDeque<>());
-        if (!connection.isOpen() || queue.size() >= MAX_IDLE) {
+    private void release(String address, ClientConnection connection) {
+        ArrayDeque<IdleConnection> queue =
+                idleByAddress.computeIfAbsent(address, a -> new ArrayDeque<>());
+        if (!connection.isOpen() || queue.size() >= MAX_IDLE_PER_HOST) {
             IoUtils.safeClose(connection);
             return;
         }
-        Idle mine = new Idle(address, connection, loop.nowMicros());
-        queue.addLast(mine);
-        byAge.add(mine);
-        for (int i = 0; i < SWEEP && !byAge.isEmpty(); i++) {
-            Idle oldest = byAge.iterator().next();
-            if (byAge.size() <= mostIdle && loop.nowMicros() - oldest.sinceMicros < IDLE_MICROS) {
+        IdleConnection released = new IdleConnection(address, connection, loop.nowMicros());
+        queue.addLast(released);
+        idleByAge.add(released);
+        for (int i = 0; i < EVICTIONS_PER_REQUEST && !idleByAge.isEmpty(); i++) {
+            IdleConnection oldest = idleByAge.iterator().next();
+            if (idleByAge.size() <= maxIdle
+                    && loop.nowMicros() - oldest.sinceMicros < MAX_IDLE_MICROS) {
                 break;
             }
-            drop(oldest);
+            evict(oldest);
         }
     }
 
-    private void drop(Idle candidate) {
-        byAge.remove(candidate);
-        ArrayDeque<Idle> queue = idle.get(candidate.address);
+    private void evict(IdleConnection candidate) {
+        idleByAge.remove(candidate);
+        ArrayDeque<IdleConnection> queue = idleByAddress.get(candidate.address);
         queue.remove(candidate);
         if (queue.isEmpty()) {
-            idle.remove(candidate.address);
+            idleByAddress.remove(candidate.address);
         }
         IoUtils.safeClose(candidate.connection);
     }
 
+    /** One request, until its callback is called. */
     private final class Call {
         private final String address;
         private final String method;
@@ -182,28 +193,28 @@
             this.callback = callback;
         }
 
-        void timedOut() {
+        void onTimeout() {
             if (!finished) {
                 boolean sent = connection != null;
                 if (sent) {
                     IoUtils.safeClose(connection);
                 }
-                finish(sent ? NO_RESPONSE : NOT_SENT, new byte[0]);
+                finish(sent ? NO_RESPONSE : NOT_SENT, NO_BODY);
             }
         }
 
         void finish(int status, byte[] response) {
             if (!finished) {
                 finished = true;
-                underWay--;
+                inFlight--;
                 timer.cancel();
                 callback.answered(status, response);
             }
         }
 
-        void broken() {
+        void fail() {
             IoUtils.safeClose(connection);
-            finish(NO_RESPONSE, new byte[0]);
+            finish(NO_RESPONSE, NO_BODY);
         }
 
         void send(ClientConnection opened) {
@@ -212,25 +223,26 @@
                     new ClientRequest().setPath(path).setMethod(HttpString.tryFromString(method));
             request.getRequestHeaders().put(Headers.HOST, address);
             if (body != null) {
-                request.getRequestHeaders().put(CBOR_LENGTH, Integer.toString(body.length));
-                request.getRequestHeaders().put(Headers.CONTENT_TYPE, "application/cbor");
+                request.getRequestHeaders()
+                        .put(Headers.CONTENT_LENGTH, Integer.toString(body.length));
+                request.getRequestHeaders().put(Headers.CONTENT_TYPE, CBOR);
             }
             connection.sendRequest(
                     request,
                     new ClientCallback<>() {
                         @Override
                         public void completed(ClientExchange exchange) {
-                            started(exchange);
+                            onSent(exchange);
                         }
 
                         @Override
                         public void failed(IOException e) {
-                            broken();
+                            fail();
                         }
                     });
         }
 
-        private void started(ClientExchange exchange) {
+        private void onSent(ClientExchange exchange) {
             exchange.setResponseListener(
                     new ClientCallback<>() {
                         @Override
@@ -240,7 +252,7 @@
 
                         @Override
                         public void failed(IOException e) {
-                            broken();
+                            fail();
                         }
                     });
             if (body == null) {
@@ -252,7 +264,7 @@
                 channel.getWriteSetter().set(ready -> write(ready, buffer));
                 write(channel, buffer);
             } catch (RuntimeException e) {
-                broken();
+                fail();
             }
         }
 
@@ -267,13 +279,11 @@
                 channel.shutdownWrites();
                 if (!channel.flush()) {
                     channel.getWriteSetter()
-                            .set(
-                                    ChannelListeners.flushingChannelListener(
-                                            null, (c, e) -> broken()));
+                            .set(ChannelListeners.flushingChannelListener(null, (c, e) -> fail()));
                     channel.resumeWrites();
                 }
             } catch (IOException e) {
-                broken();
+                fail();
             }
         }
 
@@ -286,7 +296,7 @@
                                             .getResponseHeaders()
                                             .getFirst(Headers.CONNECTION));
             StreamSourceChannel channel = exchange.getResponseChannel();
-            ByteArrayOutputStream received = new ByteArrayOutputStream(512);
+            ByteArrayOutputStream received = new ByteArrayOutputStream(RESPONSE_BYTES);
             channel.getReadSetter().set(ready -> drain(ready, received, status, closes));
             drain(channel, received, status, closes);
         }
@@ -298,8 +308,8 @@
                 boolean closes) {
             try {
                 while (true) {
-                    buffer.clear();
-                    int count = channel.read(buffer);
+                    readBuffer.clear();
+                    int count = channel.read(readBuffer);
                     if (count == 0) {
                         channel.resumeReads();
                         return;
@@ -307,16 +317,16 @@
                     if (count < 0) {
                         break;
                     }
-                    received.write(buffer.array(), 0, count);
+                    received.write(readBuffer.array(), 0, count);
                 }
             } catch (IOException e) {
-                broken();
+                fail();
                 return;
             }
             if (finished || closes) {
                 IoUtils.safeClose(connection);
             } else {
-                giveBack(address, connection);
+                release(address, connection);
             }
             finish(status, received.toByteArray());
         }
--- a/src/main/java/org/woadloom/net/XnioEventLoop.java
+++ b/src/main/java/org/woadloom/net/XnioEventLoop.java
@@ -12,6 +12,9 @@
  */
 public final class XnioEventLoop implements EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(XnioEventLoop.class);
+    private static final int MICROS_PER_MILLI = 1000;
+    private static final int NANOS_PER_MICRO = 1000;
+
     private final XnioIoThread thread;
 
     public XnioEventLoop(XnioIoThread thread) {
@@ -20,12 +23,12 @@
 
     @Override
     public long nowMicros() {
-        return System.nanoTime() / 1000;
+        return System.nanoTime() / NANOS_PER_MICRO;
     }
 
     @Override
     public long wallMicros() {
-        return System.currentTimeMillis() * 1000;
+        return System.currentTimeMillis() * MICROS_PER_MILLI;
     }
 
     @Override
@@ -38,7 +41,7 @@
         XnioExecutor.Key key =
                 thread.executeAfter(
                         () -> run(task),
-                        Math.max(1, (delayMicros + 999) / 1000),
+                        Math.max(1, (delayMicros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI),
                         TimeUnit.MILLISECONDS);
         return key::remove;
     }
@@ -47,7 +50,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            // A fault in one task must not end the thread that carries the leases of every worker.
+            // A fault in one task must not end the thread that carries the leases of every agent.
             LOG.error("event=loop_task_failed", e);
         }
     }
--- a/src/main/java/org/woadloom/settings/OperatorSettingsFile.java
+++ b/src/main/java/org/woadloom/settings/OperatorSettingsFile.java
@@ -14,6 +14,13 @@
  * not apply.
  */
 public final class OperatorSettingsFile {
+    private static final double MICROS_PER_SECOND = 1e6;
+
+    /** The bounds of every duration: a tenth of a second, and a day. */
+    private static final double MIN_SECONDS = 0.1;
+
+    private static final double MAX_SECONDS = 86_400;
+
     private OperatorSettingsFile() {}
 
     public static OperatorSettings read(Path path) throws SettingsException {
@@ -31,18 +38,34 @@
         } catch (HCLParserException | IOException | RuntimeException e) {
             throw new SettingsException(file + ": not HCL: " + e.getMessage());
         }
-        OperatorSettings d = OperatorSettings.defaults();
+        OperatorSettings defaults = OperatorSettings.defaults();
         OperatorSettings result =
                 new OperatorSettings(
-                        micros(file, flat, "reservation.ttl_s", d.reservationTtlMicros()),
-                        micros(file, flat, "reservation.renew_s", d.reservationRenewMicros()),
-                        number(file, flat, "reservation.big_task_share", d.bigTaskShare(), 0.01, 1),
-                        number(file, flat, "capacity.headroom", d.headroom(), 0, 10),
-                        micros(file, flat, "capacity.idle_return_s", d.idleReturnMicros()),
-                        micros(file, flat, "machines.quarantine_s", d.quarantineMicros()),
-                        flag(file, flat, "zones.care", d.care()),
-                        micros(file, flat, "rollout.soak_s", d.soakMicros()),
-                        number(file, flat, "rollout.rewrite_share", d.rewriteShare(), 0.01, 0.5));
+                        micros(file, flat, "reservation.ttl_s", defaults.reservationTtlMicros()),
+                        micros(
+                                file,
+                                flat,
+                                "reservation.renew_s",
+                                defaults.reservationRenewMicros()),
+                        number(
+                                file,
+                                flat,
+                                "reservation.big_task_share",
+                                defaults.bigTaskShare(),
+                                0.01,
+                                1),
+                        number(file, flat, "capacity.headroom", defaults.headroom(), 0, 10),
+                        micros(file, flat, "capacity.idle_return_s", defaults.idleReturnMicros()),
+                        micros(file, flat, "machines.quarantine_s", defaults.quarantineMicros()),
+                        flag(file, flat, "zones.care", defaults.care()),
+                        micros(file, flat, "rollout.soak_s", defaults.soakMicros()),
+                        number(
+                                file,
+                                flat,
+                                "rollout.rewrite_share",
+                                defaults.rewriteShare(),
+                                0.01,
+                                0.5));
         if (!flat.isEmpty()) {
             throw new SettingsException(
                     file + ": " + flat.keySet().iterator().next() + ": no such setting");
@@ -55,7 +78,7 @@
     }
 
     private static void flatten(
-            String file, String prefix, Map<?, ?> map, Map<String, Object> into) {
+            String file, String prefix, Map<?, ?> map, Map<String, Object> settings) {
         for (Map.Entry<?, ?> entry : map.entrySet()) {
             String key = prefix + entry.getKey();
             Object value = entry.getValue();
@@ -63,23 +86,25 @@
                 value = list.get(0);
             }
             if (value instanceof Map<?, ?> block) {
-                flatten(file, key + ".", block, into);
+                flatten(file, key + ".", block, settings);
             } else {
-                into.put(key, value);
+                settings.put(key, value);
             }
         }
     }
 
-    private static long micros(String file, Map<String, Object> flat, String key, long otherwise)
+    private static long micros(String file, Map<String, Object> flat, String key, long defaultValue)
             throws SettingsException {
-        return Math.round(number(file, flat, key, otherwise / 1e6, 0.1, 86_400) * 1e6);
+        return Math.round(
+                number(file, flat, key, defaultValue / MICROS_PER_SECOND, MIN_SECONDS, MAX_SECONDS)
+                        * MICROS_PER_SECOND);
     }
 
     private static boolean flag(
-            String file, Map<String, Object> flat, String key, boolean otherwise)
+            String file, Map<String, Object> flat, String key, boolean defaultValue)
             throws SettingsException {
         if (!flat.containsKey(key)) {
-            return otherwise;
+            return defaultValue;
         }
         if (flat.remove(key) instanceof Boolean value) {
             return value;
@@ -91,20 +116,20 @@
             String file,
             Map<String, Object> flat,
             String key,
-            double otherwise,
-            double least,
-            double most)
+            double defaultValue,
+            double minimum,
+            double maximum)
             throws SettingsException {
         if (!flat.containsKey(key)) {
-            return otherwise;
+            return defaultValue;
         }
         Object value = flat.remove(key);
         if (value instanceof Number number
-                && number.doubleValue() >= least
-                && number.doubleValue() <= most) {
+                && number.doubleValue() >= minimum
+                && number.doubleValue() <= maximum) {
             return number.doubleValue();
         }
         throw new SettingsException(
-                file + ": " + key + ": expected a number from " + least + " to " + most);
+                file + ": " + key + ": expected a number from " + minimum + " to " + maximum);
     }
 }
--- a/src/main/java/org/woadloom/settings/Section.java
+++ b/src/main/java/org/woadloom/settings/Section.java
@@ -6,6 +6,9 @@
 
 /** Checked access to one table of a TOML file; every error names file and key. */
 final class Section {
+    private static final int MAX_PORT = 65_535;
+    private static final double MICROS_PER_SECOND = 1e6;
+
     private final String file;
     private final String path;
     private final Config config;
@@ -66,30 +69,30 @@
         int colon = text.lastIndexOf(':');
         try {
             int port = Integer.parseInt(text.substring(colon + 1));
-            if (colon > 0 && port > 0 && port < 65536) {
+            if (colon > 0 && port > 0 && port <= MAX_PORT) {
                 return text;
             }
         } catch (NumberFormatException e) {
-            // reported below
+            // Falls through to the one error below.
         }
         throw error(key, "an address such as 10.0.0.1:8080");
     }
 
-    double number(String key, double least) throws SettingsException {
+    double number(String key, double minimum) throws SettingsException {
         if (value(key) instanceof Number number
-                && number.doubleValue() >= least
+                && number.doubleValue() >= minimum
                 && Double.isFinite(number.doubleValue())) {
             return number.doubleValue();
         }
-        throw error(key, "a number of at least " + least);
+        throw error(key, "a number of at least " + minimum);
     }
 
-    double numberOr(String key, double least, double otherwise) throws SettingsException {
-        return value(key) == null ? otherwise : number(key, least);
+    double numberOr(String key, double minimum, double otherwise) throws SettingsException {
+        return value(key) == null ? otherwise : number(key, minimum);
     }
 
-    long micros(String key, double leastSeconds) throws SettingsException {
-        return Math.round(number(key, leastSeconds) * 1e6);
+    long micros(String key, double minimumSeconds) throws SettingsException {
+        return Math.round(number(key, minimumSeconds) * MICROS_PER_SECOND);
     }
 
     List<String> texts(String key) throws SettingsException {
--- a/src/main/java/org/woadloom/settings/ServiceSettings.java
+++ b/src/main/java/org/woadloom/settings/ServiceSettings.java
@@ -19,30 +19,36 @@
         Cloud cloud,
         Resources resources) {
 
+    /** The agents' heartbeat interval and lease, and how soon a cancellation must take effect. */
     public record Agents(long heartbeatMicros, long leaseMicros, long cancelMicros) {}
 
     /**
-     * The state service's limits now; {@code next} are those that it may have from some moment on,
-     * without notice.
+     * The limits that the store has now.
+     *
+     * @param next the limits that it may have from some moment on, without notice; null for none
      */
     public record Store(double rps, double writeRps, int valueBytes, int txnOps, Store next) {
         /**
-         * The smaller of the two limits on values: what keeps to it is taken before and after the
-         * change.
+         * The smaller of the two limits on values: what keeps to it is accepted before and after
+         * the change.
          */
         public int minValueBytes() {
             return next == null ? valueBytes : Math.min(valueBytes, next.valueBytes);
         }
 
+        /** The smaller of the two limits on the operations of a transaction. */
         public int minTxnOps() {
             return next == null ? txnOps : Math.min(txnOps, next.txnOps);
         }
     }
 
+    /** The rate of calls that the cloud accepts, and by how much its list of machines may lag. */
     public record Cloud(double rps, long listLagMicros) {}
 
+    /** What the machine of a node gives its process. */
     public record Resources(double cpuShare, double ramMb, int fdLimit) {}
 
+    /** The peer with this label, or null. */
     public Peer peer(String peerLabel) {
         for (Peer peer : peers) {
             if (peer.label().equals(peerLabel)) {
@@ -52,6 +58,7 @@
         return null;
     }
 
+    /** The team with this name, or null. */
     public Team team(String name) {
         for (Team team : teams) {
             if (team.name().equals(name)) {
