--- a/src/main/java/org/woadloom/settings/ServiceSettingsFile.java
+++ b/src/main/java/org/woadloom/settings/ServiceSettingsFile.java
@@ -14,8 +14,11 @@
  * add some.
  */
 public final class ServiceSettingsFile {
+    private static final int BYTES_PER_KB = 1024;
+
     private ServiceSettingsFile() {}
 
+    /** Reads and parses the file. */
     public static ServiceSettings read(Path path) throws SettingsException {
         String text;
         try {
@@ -30,7 +33,7 @@
      * The limits in force, and those announced in {@code next}, where what is not named stays as it
      * is.
      */
-    private static ServiceSettings.Store stateLimits(Section state) throws SettingsException {
+    private static ServiceSettings.Store storeLimits(Section state) throws SettingsException {
         double rps = state.number("rps", 1);
         double writeRps = state.number("write_rps", 1);
         double valueKb = state.number("value_kb", 1);
@@ -42,47 +45,70 @@
                     new ServiceSettings.Store(
                             later.numberOr("rps", 1, rps),
                             later.numberOr("write_rps", 1, writeRps),
-                            (int) (later.numberOr("value_kb", 1, valueKb) * 1024),
+                            (int) (later.numberOr("value_kb", 1, valueKb) * BYTES_PER_KB),
                             (int) later.numberOr("txn_ops", 2, txnOps),
                             null);
         }
-        return new ServiceSettings.Store(rps, writeRps, (int) (valueKb * 1024), (int) txnOps, next);
+        return new ServiceSettings.Store(
+                rps, writeRps, (int) (valueKb * BYTES_PER_KB), (int) txnOps, next);
     }
 
-    public static ServiceSettings parse(String file, String text) throws SettingsException {
-        Config config;
+    private static Config parseToml(String file, String text) throws SettingsException {
         try {
-            config = new TomlParser().parse(text);
+            return new TomlParser().parse(text);
         } catch (ParsingException e) {
             throw new SettingsException(file + ": not TOML: " + e.getMessage());
         }
-        Section root = new Section(file, "", config);
+    }
+
+    private static List<Peer> peers(Section root) throws SettingsException {
         List<Peer> peers = new ArrayList<>();
-        for (Section s : root.tables("peers")) {
-            peers.add(new Peer(s.text("label"), s.text("area"), s.address("address")));
+        for (Section peer : root.tables("peers")) {
+            peers.add(new Peer(peer.text("label"), peer.text("area"), peer.address("address")));
         }
-        Section outside = root.table("outside");
-        Section deployment = root.table("deployment");
+        return List.copyOf(peers);
+    }
+
+    private static List<Team> teams(Section deployment) throws SettingsException {
         List<Team> teams = new ArrayList<>();
-        for (Section s : deployment.tables("teams")) {
+        for (Section team : deployment.tables("teams")) {
             teams.add(
                     new Team(
-                            s.text("name"),
-                            s.numberOr("cpus", 0, 0),
-                            s.numberOr("cpus_max", 0, 0),
-                            s.numberOr("gpus", 0, 0),
-                            s.numberOr("gpus_max", 0, 0)));
+                            team.text("name"),
+                            team.numberOr("cpus", 0, 0),
+                            team.numberOr("cpus_max", 0, 0),
+                            team.numberOr("gpus", 0, 0),
+                            team.numberOr("gpus_max", 0, 0)));
         }
+        return List.copyOf(teams);
+    }
+
+    private static List<Objective> objectives(Section deployment) throws SettingsException {
         List<Objective> objectives = new ArrayList<>();
-        for (Section s : deployment.tables("objectives")) {
+        for (Section objective : deployment.tables("objectives")) {
             objectives.add(
                     new Objective(
-                            s.textOr("kind", ""),
-                            s.textOr("class", ""),
-                            s.numberOr("within_s", 0, 0),
-                            s.numberOr("share", 0, 0),
-                            s.numberOr("times", 1, 0)));
+                            objective.textOr("kind", ""),
+                            objective.textOr("class", ""),
+                            objective.numberOr("within_s", 0, 0),
+                            objective.numberOr("share", 0, 0),
+                            objective.numberOr("times", 1, 0)));
         }
+        return List.copyOf(objectives);
+    }
+
+    /**
+     * Parses the text of the file.
+     *
+     * @param file its name, for errors
+     */
+    public static ServiceSettings parse(String file, String text) throws SettingsException {
+        Section root = new Section(file, "", parseToml(file, text));
+        List<Peer> peers = peers(root);
+        Section outside = root.table("outside");
+        Section deployment = root.table("deployment");
+        List<Team> teams = teams(deployment);
+        List<Objective> objectives = objectives(deployment);
         Section agents = deployment.table("workers");
         Section state = deployment.table("state");
         Section cloud = deployment.table("cloud");
@@ -92,17 +118,17 @@
                 root.text("area"),
                 root.address("bind"),
                 root.address("peer_bind"),
-                List.copyOf(peers),
+                peers,
                 outside.address("cloud"),
                 outside.address("state"),
                 List.copyOf(deployment.texts("zones")),
-                List.copyOf(teams),
-                List.copyOf(objectives),
+                teams,
+                objectives,
                 new ServiceSettings.Agents(
                         agents.micros("report_s", 0.01),
                         agents.micros("lease_s", 0.1),
                         agents.micros("cancel_s", 0.1)),
-                stateLimits(state),
+                storeLimits(state),
                 new ServiceSettings.Cloud(cloud.number("rps", 0.01), cloud.micros("list_lag_s", 0)),
                 new ServiceSettings.Resources(
                         resources.number("cpu_share", 0.001),
