--- a/src/test/java/org/woadloom/sim/BehaviourDigestTest.java
+++ b/src/test/java/org/woadloom/sim/BehaviourDigestTest.java
@@ -136,8 +136,8 @@
         cluster.stepObserver =
                 (node, now, commands, actions) ->
                         digest.add(StepRenderer.render(node, now, commands, actions));
-        cluster.users(TROUBLED_MICROS);
-        cluster.faults(TROUBLED_MICROS);
+        cluster.users.submitUntil(TROUBLED_MICROS);
+        cluster.randomFaults.startUntil(TROUBLED_MICROS);
         if (day.upgrade()) {
             cluster.upgradeNodes(TROUBLED_MICROS);
         }
--- a/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
@@ -12,6 +12,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.ExtendWith;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -23,10 +24,11 @@
  * InvariantChecker} checks after each step that no cancelled task stays too long; what is counted
  * here is that the meeting came about, and how long users waited.
  */
+@ExtendWith(PrintReplayCommand.class)
 class CancellationFaultCombinationsTest {
     private static final long S = 1_000_000;
     private static final long AT = 30 * S;
-    private static final int SEEDS = Integer.getInteger("seeds", 1);
+    private static final int SEEDS = 1;
 
     /** Users who cancel, each on any node, and ask again until they are told. */
     private static final class Cancellers {
@@ -49,13 +51,13 @@
 
         /** Cancels a job that runs, or else one that waits. */
         void one() {
-            List<String> jobs = new ArrayList<>(cluster.invariants.running());
-            jobs.addAll(cluster.invariants.acceptedJobs());
-            jobs.removeIf(jobId -> asked.contains(jobId) || cluster.invariants.isOver(jobId));
+            List<String> jobs = new ArrayList<>(cluster.observed.runningJobs());
+            jobs.addAll(cluster.observed.acceptedJobs());
+            jobs.removeIf(jobId -> asked.contains(jobId) || cluster.observed.isOver(jobId));
             if (!jobs.isEmpty()) {
                 asked.add(jobs.get(0));
                 open++;
-                cluster.invariants.cancelling(jobs.get(0));
+                cluster.observed.recordCancelRequest(jobs.get(0));
                 ask(jobs.get(0), cluster.loop.now());
             }
         }
@@ -71,7 +73,7 @@
                     Map.of(),
                     5 * S,
                     (status, body) -> {
-                        cluster.answered("cancel", jobId, sent, status, body);
+                        cluster.users.onAnswer(UserRequest.CANCEL, jobId, sent, status, body);
                         if (status == 200) {
                             open--;
                             waits.add(cluster.loop.now() - since);
@@ -108,7 +110,7 @@
                         seed, new Scenario(Scenario.LONG, Scenario.LONG, Version.NOW, flaw, 0));
         cluster.trouble = 0;
         cluster.servicesStay = true;
-        cluster.users(AT + 30 * S, 6);
+        cluster.users.submitUntil(AT + 30 * S, 6);
         cluster.run(AT);
         return cluster;
     }
@@ -201,7 +203,7 @@
     @ParameterizedTest
     @EnumSource
     void jobsAreCancelledWhileWorkChangesHands(Change change) {
-        for (long seed = 1; seed <= SEEDS; seed++) {
+        for (long seed : Seeds.usually(SEEDS)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
             long term = cluster.term();
             Cancellers users = cancelling(cluster, 35 * S);
@@ -211,8 +213,8 @@
                     cluster.term() - term >= change.terms,
                     "only " + (cluster.term() - term) + " changes, seed " + seed);
             assertTrue(
-                    cluster.invariants.cancelledWhileRunning > 15,
-                    "only " + cluster.invariants.cancelledWhileRunning + " ran, seed " + seed);
+                    cluster.observed.cancelledWhileRunning > 15,
+                    "only " + cluster.observed.cancelledWhileRunning + " ran, seed " + seed);
             assertEquals(0, users.open, users + ", seed " + seed);
             assertTrue(users.longest() < change.longestWait, users + ", seed " + seed);
         }
@@ -240,7 +242,7 @@
                         seed, new Scenario(Scenario.LONG, told, Version.NOW, flaw, 0));
         cluster.trouble = 0;
         cluster.servicesStay = true;
-        cluster.users(AT, 6);
+        cluster.users.submitUntil(AT, 6);
         cluster.run(AT);
         Cancellers users = new Cancellers(cluster);
         int leader = cluster.leader();
@@ -277,7 +279,7 @@
                 });
         cluster.loop.after(1_200_000, () -> cluster.stateOutage(64 * S));
         cluster.run(AT + 1_200_000);
-        int confirmed = cluster.invariants.cancelledWhileRunning;
+        int confirmed = cluster.observed.cancelledWhileRunning;
         cluster.run(AT + 90 * S);
         assertEquals(0, users.open, users + ", seed " + seed);
         return confirmed;
@@ -287,7 +289,7 @@
     @EnumSource
     void jobsAreCancelledAtTheVeryMomentOfTheRefusal(Else what) {
         int confirmed = 0;
-        for (long seed = 1; seed <= SEEDS + 1; seed++) {
+        for (long seed : Seeds.usually(SEEDS + 1)) {
             confirmed += atTheMomentOfTheRefusal(what, seed, Scenario.LONG, Flaw.NONE);
         }
         // With the peers cut from before only a leader that nobody promised anything could be
@@ -304,14 +306,14 @@
     @Test
     void theStateServiceIsSlowThenRefusesTheLeaderThenEverybody() {
         int confirmed = 0;
-        for (long seed = 1; seed <= SEEDS + 1; seed++) {
+        for (long seed : Seeds.usually(SEEDS + 1)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
             cluster.lookClosely(25 * S);
             cluster.slowState(900_000, 12 * S);
             Cancellers users = cancelling(cluster, 20 * S);
             cluster.loop.after(8 * S, () -> cluster.gap(4 * S, 60 * S));
             cluster.run(AT + 12 * S);
-            confirmed += cluster.invariants.cancelledWhileRunning;
+            confirmed += cluster.observed.cancelledWhileRunning;
             cluster.run(AT + 100 * S);
             assertTrue(
                     cluster.closeLooks > 10,
@@ -359,7 +361,7 @@
     void manyAreCalledOffAndMachinesHang(Leader leader) {
         int confirmed = 0;
         int called = 0;
-        for (long seed = 1; seed <= SEEDS; seed++) {
+        for (long seed : Seeds.usually(SEEDS)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
             for (int i = 0; i < 2; i++) {
                 called += cluster.cancelNow(6, 5 * S + i * 9 * S);
@@ -372,7 +374,7 @@
                         });
                 cluster.run(cluster.loop.now() + 43 * S);
             }
-            confirmed += cluster.invariants.cancelledWhileRunning;
+            confirmed += cluster.observed.cancelledWhileRunning;
             cluster.run(cluster.loop.now() + 20 * S);
         }
         assertTrue(called > 8, "only " + called + " called off");
@@ -385,7 +387,7 @@
      */
     @Test
     void answersAreLostWhileLeadersChange() {
-        for (long seed = 1; seed <= SEEDS; seed++) {
+        for (long seed : Seeds.usually(SEEDS)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
             long term = cluster.term();
             cluster.loseAnswers(40, 35 * S);
@@ -419,7 +421,7 @@
                 assertThrows(
                         InvariantViolation.class,
                         () -> {
-                            for (long seed = 1; seed <= 8; seed++) {
+                            for (long seed : Seeds.first(8)) {
                                 atTheMomentOfTheRefusal(
                                         what,
                                         seed,
--- a/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.ExtendWith;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -15,6 +16,7 @@
  * all for longer than a cancelled task may stay, while workers go on reporting to that leader.
  * {@link InvariantChecker} checks {@code ran_cancelled}.
  */
+@ExtendWith(PrintReplayCommand.class)
 class CancellationWatermarkScenariosTest {
     private static final long AT = 60_000_000;
     private static final long REFUSED = 2_500_000;
@@ -37,7 +39,7 @@
                         seed, new Scenario(Scenario.LONG, Scenario.LONG, Version.NOW, flaw, 0));
         cluster.trouble = 0;
         cluster.servicesStay = true;
-        cluster.users(AT);
+        cluster.users.submitUntil(AT);
         cluster.run(AT);
         return cluster;
     }
@@ -56,7 +58,7 @@
     /** The refusal begins, users cancel everything, and the outage comes. */
     private static void refusedThenDown(ClusterSimulation cluster, long cancelAfterMicros) {
         cluster.refuseState(cluster.leader(), 14_000_000);
-        cluster.loop.after(cancelAfterMicros, cluster::cancelEverything);
+        cluster.loop.after(cancelAfterMicros, cluster.users::cancelAll);
         cluster.loop.after(REFUSED, () -> cluster.stateOutage(DOWN));
     }
 
@@ -65,7 +67,7 @@
         lose(cluster, lost);
         refusedThenDown(cluster, 300_000);
         cluster.run(AT + REFUSED);
-        int confirmed = cluster.invariants.cancelledWhileRunning;
+        int confirmed = cluster.observed.cancelledWhileRunning;
         cluster.run(QUIET);
         return confirmed;
     }
@@ -74,7 +76,7 @@
     @EnumSource
     void tasksAreGoneInTimeWhateverElseIsLost(Lost lost) {
         int confirmed = 0;
-        for (long seed = 1; seed <= 3; seed++) {
+        for (long seed : Seeds.first(3)) {
             confirmed += confirmedBehindItsBack(lost, seed, Flaw.NONE);
         }
         if (lost == Lost.NOTHING || lost == Lost.HINTS || lost == Lost.DIRECTS) {
@@ -90,20 +92,23 @@
     void whatRunsOnIsNotTouchedWhereTheNodesReachEachOther() {
         int confirmed = 0;
         int kept = 0;
-        for (long seed = 1; seed <= 4; seed++) {
+        for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
             cluster.hintsLost = true;
             cluster.refuseState(cluster.leader(), 14_000_000);
             cluster.loop.after(
                     300_000,
-                    () -> cluster.invariants.running().stream().limit(6).forEach(cluster::cancel));
+                    () ->
+                            cluster.observed.runningJobs().stream()
+                                    .limit(6)
+                                    .forEach(cluster.users::cancel));
             cluster.loop.after(REFUSED, () -> cluster.stateOutage(DOWN));
             cluster.run(AT + REFUSED);
-            confirmed += cluster.invariants.cancelledWhileRunning;
-            kept += cluster.invariants.running().size();
-            int before = cluster.invariants.killedByLease;
+            confirmed += cluster.observed.cancelledWhileRunning;
+            kept += cluster.observed.runningJobs().size();
+            int before = cluster.observed.killedByLease;
             cluster.run(AT + REFUSED + DOWN);
-            assertEquals(before, cluster.invariants.killedByLease, "tasks killed, seed " + seed);
+            assertEquals(before, cluster.observed.killedByLease, "tasks killed, seed " + seed);
             cluster.run(QUIET);
         }
         assertTrue(confirmed > 3, "only " + confirmed + " confirmed in the gap");
@@ -114,16 +119,16 @@
     @Test
     void anOutageThatEndsForAllButTheLeader() {
         int confirmed = 0;
-        for (long seed = 1; seed <= 4; seed++) {
+        for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
             cluster.hintsLost = true;
             int leader = cluster.leader();
             cluster.stateOutage(20_000_000);
             cluster.loop.after(18_000_000, () -> cluster.refuseState(leader, 90_000_000));
-            cluster.loop.after(20_200_000, cluster::cancelEverything);
+            cluster.loop.after(20_200_000, cluster.users::cancelAll);
             cluster.loop.after(23_000_000, () -> cluster.stateOutage(DOWN));
             cluster.run(AT + 23_000_000);
-            confirmed += cluster.invariants.cancelledWhileRunning;
+            confirmed += cluster.observed.cancelledWhileRunning;
             cluster.run(QUIET);
         }
         assertTrue(confirmed > 3, "only " + confirmed + " confirmed in the gap");
@@ -146,7 +151,7 @@
         "9000, 20000"
     })
     void theConfirmingNodeEnds(long endsMillis, long awayMillis) {
-        for (long seed = 1; seed <= 2; seed++) {
+        for (long seed : Seeds.first(2)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
             cluster.hintsLost = true;
             int leader = cluster.leader();
@@ -169,21 +174,21 @@
     @Test
     void jobsThatWaitForACancelledOneAreNotCalledQueuedForLonger() {
         int polled = 0;
-        for (long seed = 1; seed <= 6; seed++) {
+        for (long seed : Seeds.first(6)) {
             ClusterSimulation cluster =
                     new ClusterSimulation(
                             seed,
                             new Scenario(Scenario.LONG, Scenario.LONG, Version.NOW, Flaw.NONE, 0));
             cluster.trouble = 0;
             cluster.servicesStay = true;
-            cluster.users(AT);
+            cluster.users.submitUntil(AT);
             for (int chain = 0; chain < 3; chain++) {
-                cluster.pipelines(AT);
+                cluster.users.submitPipelinesUntil(AT);
             }
             cluster.run(AT);
             refusedThenDown(cluster, 300_000);
             cluster.run(AT + REFUSED);
-            polled += cluster.invariants.waitingForCancelled();
+            polled += cluster.observed.waitingForCancelled();
             cluster.run(QUIET);
         }
         assertTrue(polled > 3, "only " + polled + " jobs waited for a cancelled one");
@@ -192,10 +197,10 @@
     /** Twice in a row, and the leader has changed meanwhile or not. */
     @Test
     void aSecondGapFollows() {
-        for (long seed = 1; seed <= 3; seed++) {
+        for (long seed : Seeds.first(3)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
             cluster.gap(2_000_000, DOWN);
-            cluster.users(AT + 150_000_000);
+            cluster.users.submitUntil(AT + 150_000_000);
             cluster.loop.after(87_000_000, () -> cluster.gap(1_500_000, DOWN));
             cluster.run(AT + 300_000_000);
         }
@@ -207,11 +212,11 @@
      */
     @Test
     void aNewLeaderIsElectedWithinTheGap() {
-        for (long seed = 1; seed <= 4; seed++) {
+        for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
             cluster.refusePeers(40_000_000);
             cluster.refuseState(cluster.leader(), 100_000_000);
-            cluster.loop.after(6_000_000, cluster::cancelEverything);
+            cluster.loop.after(6_000_000, cluster.users::cancelAll);
             cluster.loop.after(8_000_000, () -> cluster.stateOutage(DOWN));
             cluster.run(QUIET);
         }
@@ -226,7 +231,7 @@
                 assertThrows(
                         InvariantViolation.class,
                         () -> {
-                            for (long seed = 1; seed <= 6; seed++) {
+                            for (long seed : Seeds.first(6)) {
                                 confirmedBehindItsBack(Lost.HINTS, seed, Flaw.VOUCHES_FOR_ANYTHING);
                             }
                         });
--- /dev/null
+++ b/src/test/java/org/woadloom/sim/CancelledTasksInvariant.java
@@ -0,0 +1,43 @@
+package org.woadloom.sim;
+
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.TaskId;
+import org.woadloom.settings.ServiceSettings;
+
+/**
+ * {@link ProtocolRule#RAN_CANCELLED}: the tasks of a cancelled job are off their machines within
+ * the agreed time after the first user was told, and none starts after that.
+ */
+final class CancelledTasksInvariant extends Invariant {
+    private final SimulatedEventLoop loop;
+    private final ObservedState observed;
+    private final long cancelMicros;
+
+    CancelledTasksInvariant(
+            SimulatedEventLoop loop, ObservedState observed, ServiceSettings settings) {
+        this.loop = loop;
+        this.observed = observed;
+        this.cancelMicros = settings.agents().cancelMicros();
+    }
+
+    @Override
+    void afterTaskStart(TaskId task, JobDescription job) {
+        check(task);
+    }
+
+    @Override
+    void afterStep() {
+        if (observed.hasCancelledJobs()) {
+            observed.runningTasks().forEach(this::check);
+        }
+    }
+
+    private void check(TaskId task) {
+        Long toldMicros = observed.toldCancelledMicros(task.jobId());
+        if (toldMicros != null && loop.now() - toldMicros > cancelMicros) {
+            throw new InvariantViolation(
+                    ProtocolRule.RAN_CANCELLED,
+                    task + " is on a machine too long after the cancellation");
+        }
+    }
+}
--- a/src/test/java/org/woadloom/sim/ClusterSimulation.java
+++ b/src/test/java/org/woadloom/sim/ClusterSimulation.java
@@ -35,7 +35,7 @@
     final Random random;
 
     /**
-     * Of the troubles that are off unless asked for: a day without them draws the same from {@link
+     * Of the troubles that are off unless asked for: a run without them draws the same from {@link
      * #random} as ever.
      */
     private final Random more;
@@ -44,11 +44,14 @@
     private final StoreFaults stateTroubles;
     private final DelayedHeartbeats keptReports;
     final ServiceSettings settings;
+    final ObservedState observed;
     final InvariantChecker invariants;
     private final SimulatedStore state;
     private final SimulatedCloud cloud;
     private final Member[] members = new Member[NODES];
-    private final Scenario day;
+    final Scenario scenario;
+    final SimulatedUsers users;
+    final RandomFaults randomFaults;
 
     /**
      * Two zones that can't reach each other, or none; the state service and the cloud belong to
@@ -149,7 +152,6 @@
 
     private long slowLinksMicros;
     private long slowLinksUntil;
-    private int jobs;
 
     /** Is shown each step of the nodes' cores. */
     interface NodeStepObserver {
@@ -194,7 +196,7 @@
                                             this, mine, address, method, path, body, timeout,
                                             callback),
                             peers,
-                            settingsOf(index, day, day.told(), namesOneMore[index]),
+                            settingsOf(index, scenario, scenario.told(), namesOneMore[index]),
                             OperatorSettings.defaults(),
                             new Random(random.nextLong()),
                             (now, commands, actions) ->
@@ -295,7 +297,7 @@
                 if (other == null || other == member) {
                     continue;
                 }
-                if (apart(yardOf(other.index), yardOf(member.index))) {
+                if (apart(zoneOf(other.index), zoneOf(member.index))) {
                     if (connected[other.index]) {
                         connected[other.index] = false;
                         listener.onConnectionLost(label(other.index), false);
@@ -349,8 +351,10 @@
                 return;
             }
             PeerMessage sent =
-                    day.flaw() == Scenario.Flaw.PROMISES_TOO_MUCH ? withPromise(message) : message;
-            if (day.flaw() == Scenario.Flaw.VOUCHES_FOR_ANYTHING
+                    scenario.flaw() == Scenario.Flaw.PROMISES_TOO_MUCH
+                            ? withPromise(message)
+                            : message;
+            if (scenario.flaw() == Scenario.Flaw.VOUCHES_FOR_ANYTHING
                     && message instanceof PeerMessage.CancellationReport vouched) {
                 WatermarkReport v = vouched.report();
                 sent =
@@ -396,19 +400,22 @@
         }
     }
 
-    ClusterSimulation(long seed, Scenario day) {
+    ClusterSimulation(long seed, Scenario scenario) {
+        PrintReplayCommand.onSimulation(seed);
         random = new Random(seed);
         more = new Random(~seed);
-        this.day = day;
-        settings = settingsOf(0, day, day.real(), false);
-        invariants = new InvariantChecker(loop, settings);
+        this.scenario = scenario;
+        settings = settingsOf(0, scenario, scenario.real(), false);
+        observed = new ObservedState(loop, settings);
         userTroubles = new UserFaults(this, more);
-        invariants.lastTaskEnded = userTroubles::lastTaskEnded;
+        users = new SimulatedUsers(this, random, userTroubles);
+        randomFaults = new RandomFaults(this, random);
+        invariants = new InvariantChecker(loop, settings, observed, userTroubles::lastTaskEnded);
         stateTroubles = new StoreFaults(this, more);
         keptReports = new DelayedHeartbeats(this, more);
         state = new SimulatedStore(loop, settings.store());
         cloud = new SimulatedCloud(this, more);
-        if (day.flaw() == Scenario.Flaw.AGREED_TOO_EARLY) {
+        if (scenario.flaw() == Scenario.Flaw.AGREED_TOO_EARLY) {
             state.handle(
                     "POST",
                     "/txn",
@@ -426,7 +433,7 @@
         }
         for (int i = 0; i < NODES; i++) {
             members[i] = new Member(i);
-            members[i].version = day.from();
+            members[i].version = scenario.from();
         }
         for (Member member : members) {
             loop.after(random.nextInt(500_000), member::start);
@@ -439,7 +446,7 @@
         loop.after(
                 2_000_000,
                 () -> {
-                    invariants.checkWaiting(cloud.machines.values());
+                    invariants.checkProgress(cloud.machines.values());
                     lookForWaiting();
                 });
     }
@@ -479,7 +486,7 @@
     }
 
     boolean isBroken(Scenario.Flaw flaw) {
-        return day.flaw() == flaw;
+        return scenario.flaw() == flaw;
     }
 
     static String label(int index) {
@@ -490,25 +497,25 @@
         return Integer.parseInt(label.substring(5));
     }
 
-    private static List<Team> teams(Scenario day) {
-        if (day.tight()) {
+    private static List<Team> teams(Scenario scenario) {
+        if (scenario.tight()) {
             return List.of(new Team("red", 12, 20, 0, 0), new Team("blue", 8, 12, 0, 0));
         }
         List<Team> teams =
                 new ArrayList<>(
                         List.of(new Team("red", 40, 60, 0, 0), new Team("blue", 24, 30, 0, 0)));
-        for (int i = 0; i < day.crowd(); i++) {
+        for (int i = 0; i < scenario.crowd(); i++) {
             teams.add(new Team("crowd-" + i, 8, i == 0 ? 60 : 20, 0, 0));
         }
         return teams;
     }
 
     private static ServiceSettings settingsOf(
-            int index, Scenario day, Scenario.Times times, boolean oneMore) {
+            int index, Scenario scenario, Scenario.Times times, boolean oneMore) {
         List<Peer> peers = new ArrayList<>();
         for (int i = 0; i < NODES; i++) {
             if (i != index) {
-                peers.add(new Peer(label(i), day.yardOf(i), "node-" + i + ":1"));
+                peers.add(new Peer(label(i), scenario.zoneOf(i), "node-" + i + ":1"));
             }
         }
         if (oneMore) {
@@ -516,14 +523,14 @@
         }
         return new ServiceSettings(
                 label(index),
-                day.yardOf(index),
+                scenario.zoneOf(index),
                 "0:1",
                 "0:2",
                 peers,
                 "cloud",
                 "state",
-                day.zoneNames(),
-                teams(day),
+                scenario.zoneNames(),
+                teams(scenario),
                 List.of(),
                 new ServiceSettings.Agents(1_500_000, times.leaseMicros(), times.cancelMicros()),
                 new ServiceSettings.Store(
@@ -582,7 +589,7 @@
         if (address.equals("state") && broken(path, map, respond)) {
             return;
         }
-        if (yardOf(member.index).equals(island)) {
+        if (zoneOf(member.index).equals(island)) {
             // Held back, and executed when the zone is back.
             loop.after(
                     1_000_000,
@@ -608,7 +615,7 @@
                                     unlessRefused(
                                             member,
                                             status,
-                                            day.flaw() == Scenario.Flaw.ONE_JOB_REFUSED
+                                            scenario.flaw() == Scenario.Flaw.ONE_JOB_REFUSED
                                                     ? withoutOneJob(answer)
                                                     : answer,
                                             respond)
@@ -617,7 +624,7 @@
                     method,
                     path,
                     map,
-                    day.flaw() == Scenario.Flaw.FORGETS_AWAITS
+                    scenario.flaw() == Scenario.Flaw.FORGETS_AWAITS
                             ? (status, answer) ->
                                     watch.answer(status, ProductionFilter.withoutAwaits(answer))
                             : watch);
@@ -661,7 +668,7 @@
         if (loop.now() < brokenFrom) {
             return false;
         }
-        switch (day.flaw()) {
+        switch (scenario.flaw()) {
             case ONE_JOB_REFUSED -> {
                 if (job && path.endsWith("7")) {
                     respond.answer(503, Map.of("error", "trouble"));
@@ -727,7 +734,7 @@
             String path,
             Map<String, Object> body,
             SimulatedStore.Answer respond) {
-        if (yardOf(member.index).equals(island) || member.index == isolated) {
+        if (zoneOf(member.index).equals(island) || member.index == isolated) {
             loop.after(
                     1_000_000,
                     () -> fromNodeHeld(member, mine, address, method, path, body, respond));
@@ -805,7 +812,7 @@
         }
         for (SimulatedAgent agent : cloud.machines.values()) {
             if (agent.addr.equals(address) && !agent.dead) {
-                if (apart(agent.zone, yardOf(member.index)) || member.index == cutFromWorkers) {
+                if (apart(agent.zone, zoneOf(member.index)) || member.index == cutFromWorkers) {
                     // Held back, and executed when the zones can reach each other again.
                     loop.after(1_000_000, () -> toWorker(member, address, body, respond, true));
                     return;
@@ -854,11 +861,11 @@
             return;
         }
         SimulatedAgent agent = cloud.machines.get(from);
-        if (agent != null && (apart(agent.zone, yardOf(index)) || index == cutFromWorkers)) {
+        if (agent != null && (apart(agent.zone, zoneOf(index)) || index == cutFromWorkers)) {
             loop.after(timeout, () -> callback.answer(HttpTransport.NO_RESPONSE, Map.of()));
             return;
         }
-        if (agent == null && yardOf(index).equals(island)) {
+        if (agent == null && zoneOf(index).equals(island)) {
             loop.after(timeout, () -> callback.answer(HttpTransport.NO_RESPONSE, Map.of()));
             return;
         }
@@ -867,11 +874,12 @@
             return;
         }
         int life = member.life;
-        if (agent != null && agent.deaf() && day.flaw() == Scenario.Flaw.DEAF_SEEM_TO_HEAR) {
+        if (agent != null && agent.deaf() && scenario.flaw() == Scenario.Flaw.DEAF_SEEM_TO_HEAR) {
             body.put("epoch", Math.max((Long) body.get("epoch"), agent.tokenSent));
         }
         boolean fillsIn =
-                day.flaw() == Scenario.Flaw.FILLS_IN_WHAT_IS_MISSING && path.equals("/v1/jobs");
+                scenario.flaw() == Scenario.Flaw.FILLS_IN_WHAT_IS_MISSING
+                        && path.equals("/v1/jobs");
         byte[] bytes = body == null ? new byte[0] : Cbor.encode(fillsIn ? filledIn(body) : body);
         if (agent != null && random.nextInt(100) < copies) {
             copy(body);
@@ -923,7 +931,7 @@
 
     byte[] copyOf(Map<String, Object> report) {
         Map<String, Object> retry = new LinkedHashMap<>(report);
-        if (day.flaw() == Scenario.Flaw.COPIES_LOOK_NEW) {
+        if (scenario.flaw() == Scenario.Flaw.COPIES_LOOK_NEW) {
             retry.put("tick", (Long) report.get("tick") + 1_000);
         }
         return Cbor.encode(retry);
@@ -932,7 +940,7 @@
     /** False if it comes to a node that is not there, or out of reach. */
     boolean arrivesAgain(int index, byte[] report) {
         Member member = members[index];
-        if (!member.alive || yardOf(index).equals(island)) {
+        if (!member.alive || zoneOf(index).equals(island)) {
             return false;
         }
         member.node.router().handle("POST", "/v1/report", report, response -> {});
@@ -980,179 +988,6 @@
         }
     }
 
-    // Users.
-
-    /** Keeps submitting until the given time. */
-    void users(long until) {
-        users(until, 1);
-    }
-
-    /** So many times as many. */
-    void users(long until, int times) {
-        loop.after(
-                (300_000 + random.nextInt(2_500_000)) / times,
-                () -> {
-                    if (loop.now() < until) {
-                        newJob();
-                        users(until, times);
-                    }
-                });
-    }
-
-    String newUid() {
-        return String.format("j-%06d", jobs++);
-    }
-
-    private void newJob() {
-        newJob(newUid(), random.nextInt(10), List.of(), accepted -> {});
-    }
-
-    /** Submits a job; the last argument hears when it is accepted. */
-    private void newJob(String jobId, int kind, List<String> awaits, Runnable1 accepted) {
-        Map<String, Object> map = new LinkedHashMap<>();
-        boolean service = kind < 3;
-        boolean gang = kind == 3;
-        map.put("uid", jobId);
-        map.put("jobclass", service ? "web" : "work");
-        map.put("crew", team());
-        map.put("shape", service ? "service" : gang ? "group" : "batch");
-        map.put("rank", service ? "critical" : random.nextBoolean() ? "high" : "standard");
-        map.put(
-                "shards",
-                (long)
-                        (service
-                                ? 1 + random.nextInt(3)
-                                : kind == 4 && day.upgrade()
-                                        ? 20 + random.nextInt(100)
-                                        : 1 + random.nextInt(gang ? 4 : 9)));
-        map.put(
-                "vcpus",
-                service || kind == 4 && day.upgrade()
-                        ? 1.0
-                        : (double) (1 << random.nextInt(awaits.isEmpty() ? 4 : 2)));
-        map.put("cards", 0.0);
-        map.put("ramGb", 2.0);
-        map.put("bundle", "img-" + random.nextInt(4));
-        map.put("pullGb", 1.0);
-        map.put("hosttypes", random.nextInt(5) == 0 ? List.of("large") : null);
-        map.put("yard", random.nextInt(8) == 0 ? "b" : null);
-        map.put("samePlace", random.nextInt(6) == 0);
-        map.put("apart", service && map.get("yard") == null && !(Boolean) map.get("samePlace"));
-        map.put("reclaimable", !service);
-        map.put("runtimeS", service ? 0.0 : 2.0 + random.nextInt(15));
-        map.put("snapshotEveryS", 0.0);
-        map.put("snapshotCostS", 0.0);
-        if (!awaits.isEmpty()) {
-            map.put("awaits", awaits);
-        }
-        try {
-            invariants.submitting(JobDescription.parse(map));
-        } catch (MalformedMessageException e) {
-            throw new IllegalStateException(e);
-        }
-        submit(jobId, map, loop.now() + 60_000_000, accepted);
-        if (!servicesStay && (service || random.nextInt(12) == 0)) {
-            loop.after(5_000_000 + random.nextInt(60_000_000), () -> cancel(jobId));
-        }
-    }
-
-    /** Among a crowd of teams one asks for as much as all others together. */
-    private String team() {
-        if (day.crowd() == 0) {
-            return random.nextBoolean() ? "red" : "blue";
-        }
-        return random.nextBoolean()
-                ? "crowd-0"
-                : settings.teams().get(random.nextInt(settings.teams().size())).name();
-    }
-
-    interface Runnable1 {
-        void accepted(String jobId);
-    }
-
-    void submit(String jobId, Map<String, Object> job, long until, Runnable1 accepted) {
-        long sent = loop.now();
-        toNode(
-                "users",
-                random.nextInt(NODES),
-                "POST",
-                "/v1/jobs",
-                job,
-                5_000_000,
-                (status, body) -> {
-                    answered("submit", jobId, sent, status, body);
-                    if (status == 200 || status == 201) {
-                        poll(jobId);
-                        accepted.accepted(jobId);
-                    } else if (loop.now() < until) {
-                        loop.after(1_000_000, () -> submit(jobId, job, until, accepted));
-                    }
-                });
-    }
-
-    /** Submits pipelines until the given time. */
-    void pipelines(long until) {
-        loop.after(
-                3_000_000 + random.nextInt(14_000_000),
-                () -> {
-                    if (loop.now() < until) {
-                        pipeline();
-                        pipelines(until);
-                    }
-                });
-    }
-
-    /**
-     * A chain with branches, each job submitted once those before it are accepted. Some name jobs
-     * that were there before, some have their last job only much later, and any job may be
-     * cancelled at any time.
-     */
-    private void pipeline() {
-        List<String> before = new ArrayList<>();
-        List<String> earlier = new ArrayList<>(invariants.acceptedJobs());
-        earlier.removeIf(jobId -> invariants.submitted.get(jobId).isService());
-        if (random.nextInt(3) == 0 && !earlier.isEmpty()) {
-            before.add(earlier.get(random.nextInt(earlier.size())));
-        }
-        stage(before, 1 + random.nextInt(5));
-    }
-
-    private void stage(List<String> before, int left) {
-        if (left == 0) {
-            return;
-        }
-        int width = 1 + random.nextInt(2);
-        List<String> accepted = new ArrayList<>();
-        for (int i = 0; i < width; i++) {
-            String jobId = newUid();
-            List<String> awaits = new ArrayList<>(before);
-            if (awaits.size() > 1 && random.nextBoolean()) {
-                awaits.remove(random.nextInt(awaits.size()));
-            }
-            newJob(
-                    jobId,
-                    4 + random.nextInt(6),
-                    awaits,
-                    known -> {
-                        accepted.add(known);
-                        if (accepted.size() == width) {
-                            List<String> next = new ArrayList<>(accepted);
-                            if (random.nextInt(3) == 0) {
-                                next.addAll(before);
-                            }
-                            long late =
-                                    left == 2 && random.nextInt(4) == 0
-                                            ? random.nextInt(60_000_000)
-                                            : 1;
-                            loop.after(late, () -> stage(next, left - 1));
-                        }
-                    });
-            if (random.nextInt(10) == 0) {
-                loop.after(random.nextInt(40_000_000), () -> cancel(jobId));
-            }
-        }
-    }
-
     /**
      * Replaces the nodes by the new version, one by one; then the limits fall, and users know of
      * pipelines.
@@ -1175,203 +1010,12 @@
                     });
             at += 1_000_000 + random.nextInt(random.nextInt(4) == 0 ? 40_000_000 : 10_000_000);
         }
-        loop.after(at + 5_000_000, () -> pipelines(until));
+        loop.after(at + 5_000_000, () -> users.submitPipelinesUntil(until));
         loop.after(at + random.nextInt(40_000_000), state::nextLimits);
     }
 
-    private void poll(String jobId) {
-        long sent = loop.now();
-        toNode(
-                "users",
-                random.nextInt(NODES),
-                "GET",
-                "/v1/jobs/" + jobId,
-                null,
-                2_000_000,
-                (status, body) -> {
-                    answered("poll", jobId, sent, status, body);
-                    loop.after(
-                            invariants.isOver(jobId) && status == 200 ? 40_000_000 : 3_000_000,
-                            () -> poll(jobId));
-                });
-    }
-
-    /** What a user was told. */
-    void answered(String request, String jobId, long sent, int status, Map<String, Object> body) {
-        invariants.answered(request, jobId, sent, status, body);
-        userTroubles.told(jobId, status);
-    }
-
-    void cancel(String jobId) {
-        cancel(jobId, loop.now() + 70_000_000);
-    }
-
-    /**
-     * A job that is not known yet may be accepted still, and would run for ever if nobody asked
-     * again (seed 308).
-     */
-    private void cancel(String jobId, long unknownUntil) {
-        invariants.cancelling(jobId);
-        long sent = loop.now();
-        toNode(
-                "users",
-                random.nextInt(NODES),
-                "POST",
-                "/v1/jobs/" + jobId + "/cancel",
-                Map.of(),
-                5_000_000,
-                (status, body) -> {
-                    answered("cancel", jobId, sent, status, body);
-                    if (status != 200 && (status != 404 || loop.now() < unknownUntil)) {
-                        loop.after(1_000_000, () -> cancel(jobId, unknownUntil));
-                    }
-                });
-    }
-
-    /** Asks about a job that nobody submitted. */
-    void askForUnknown() {
-        toNode(
-                "users",
-                random.nextInt(NODES),
-                "GET",
-                "/v1/jobs/j-999999",
-                null,
-                2_000_000,
-                (status, body) -> invariants.answered("poll", "j-999999", 0, status, body));
-    }
-
     // Faults.
 
-    /** Troubles at random until the given time. */
-    void faults(long until) {
-        copies = Math.max(copies, 3);
-        invariants.calmFrom = until + 60_000_000;
-        loop.after(
-                2_000_000 + random.nextInt(9_000_000),
-                () -> {
-                    if (loop.now() < until) {
-                        fault();
-                        faults(until);
-                    }
-                });
-    }
-
-    private void fault() {
-        switch (random.nextInt(36)) {
-            case 25 -> lookClosely(5_000_000 + random.nextInt(25_000_000));
-            case 26 -> oddRequests(5_000_000 + random.nextInt(25_000_000));
-            case 27 -> loseAnswers(5 + random.nextInt(40), random.nextInt(40_000_000));
-            case 28 -> {
-                keepForNextLeader(5 + random.nextInt(30), 1_000_000 + random.nextInt(20_000_000));
-                loop.after(
-                        random.nextInt(25_000_000),
-                        () -> endLeader(50_000 + random.nextInt(3_000_000)));
-            }
-            case 29 ->
-                    cancelNow(
-                            1 + random.nextInt(8),
-                            random.nextBoolean() ? 0 : random.nextInt(25_000_000));
-            case 30 -> cancelAtEnd(20 + random.nextInt(60), random.nextInt(40_000_000));
-            case 31 ->
-                    mute(
-                            yardOf(random.nextInt(NODES)),
-                            1 + random.nextInt(3),
-                            random.nextInt(40_000_000));
-            case 32 -> quickMachines(random.nextInt(40_000_000));
-            case 33 -> slowState(random.nextInt(1_500_000), random.nextInt(30_000_000));
-            case 34 -> oneTaskJobs(1 + random.nextInt(4), random.nextInt(20_000_000), 25);
-            case 35 -> {
-                int away = 1 + random.nextInt(15);
-                for (int node = 0; node < NODES; node++) {
-                    end(node, away * 1_000_000L + random.nextInt(1_000_000));
-                }
-            }
-            case 24 -> writeLate(5 + random.nextInt(40), random.nextInt(40_000_000));
-            case 22, 23 ->
-                    gap(
-                            1_000_000 + random.nextInt(4_000_000),
-                            10_000_000 + random.nextInt(60_000_000));
-            case 16, 17 ->
-                    anyWorker(agent -> agent.deafUntil = loop.now() + random.nextInt(40_000_000));
-            case 18 ->
-                    deafen(
-                            yardOf(random.nextInt(NODES)),
-                            1 + random.nextInt(3),
-                            random.nextInt(25_000_000));
-            case 19 ->
-                    anyWorker(agent -> agent.muteUntil = loop.now() + random.nextInt(40_000_000));
-            case 20 -> isolate(random.nextInt(NODES), 5_000_000 + random.nextInt(40_000_000));
-            case 21 -> {
-                copies = 30;
-                loop.after(random.nextInt(60_000_000), () -> copies = 3);
-            }
-            case 0, 1 -> restart(members[random.nextInt(NODES)]);
-            case 2 -> {
-                for (Member member : members) {
-                    restart(member);
-                }
-            }
-            case 3 -> {
-                stateOutage(2_000_000 + random.nextInt(18_000_000));
-            }
-            case 4 -> {
-                cloud.down = true;
-                loop.after(random.nextInt(20_000_000), () -> cloud.down = false);
-            }
-            case 5, 6 ->
-                    anyWorker(agent -> agent.hungUntil = loop.now() + random.nextInt(25_000_000));
-            case 7 -> anyWorker(SimulatedAgent::die);
-            case 9 -> {
-                refusePeers(5_000_000 + random.nextInt(20_000_000));
-            }
-            case 10 -> refuseState(random.nextInt(NODES), 5_000_000 + random.nextInt(25_000_000));
-            case 11 -> {
-                cutFromWorkers = random.nextInt(NODES);
-                loop.after(5_000_000 + random.nextInt(25_000_000), () -> cutFromWorkers = -1);
-            }
-            case 15 ->
-                    keepsEnding(
-                            random.nextInt(NODES),
-                            100_000 + random.nextInt(1_500_000),
-                            loop.now() + random.nextInt(30_000_000));
-            case 13, 14 ->
-                    island(yardOf(random.nextInt(NODES)), 5_000_000 + random.nextInt(40_000_000));
-            case 8 -> {
-                List<String> zones = day.zoneNames();
-                partition(
-                        zones.get(0),
-                        zones.get(1 + random.nextInt(zones.size() - 1)),
-                        5_000_000 + random.nextInt(25_000_000));
-            }
-            default -> {
-                trouble = 60;
-                loop.after(random.nextInt(15_000_000), () -> trouble = 4);
-            }
-        }
-        askForUnknown();
-    }
-
-    /** Machines hang or die at random until the given time, and now and then a controller ends. */
-    void machineFaults(long until) {
-        loop.after(
-                1_000_000 + random.nextInt(5_000_000),
-                () -> {
-                    if (loop.now() < until) {
-                        switch (random.nextInt(6)) {
-                            case 0 -> restart(random.nextInt(NODES));
-                            case 1, 2 -> anyWorker(SimulatedAgent::die);
-                            default ->
-                                    anyWorker(
-                                            agent ->
-                                                    agent.hungUntil =
-                                                            loop.now()
-                                                                    + random.nextInt(25_000_000));
-                        }
-                        machineFaults(until);
-                    }
-                });
-    }
-
     /** A node's process ends, and one of the given version begins after the given time. */
     void replace(int index, Version version, long afterMicros) {
         Member member = members[index];
@@ -1387,28 +1031,6 @@
                 });
     }
 
-    /**
-     * Replaces a node by version 3 or by this one now and then until the given time, and then all
-     * by this one.
-     */
-    void changeVersions(long until) {
-        loop.after(
-                5_000_000 + random.nextInt(15_000_000),
-                () -> {
-                    if (loop.now() < until) {
-                        replace(
-                                random.nextInt(NODES),
-                                random.nextBoolean() ? Version.AGREEING : Version.NOW,
-                                500_000 + random.nextInt(4_000_000));
-                        changeVersions(until);
-                    } else {
-                        for (int i = 0; i < NODES; i++) {
-                            replace(i, Version.NOW, (1 + 5L * i) * 1_000_000);
-                        }
-                    }
-                });
-    }
-
     /**
      * What a node answers; the answer's {@code code} is its status. Empty as long as there is none.
      */
@@ -1427,8 +1049,10 @@
                             answer.put("code", response.status());
                             if (path.startsWith("/v1/jobs/")) {
                                 String jobId = path.split("/")[3];
-                                invariants.answered(
-                                        path.endsWith("/cancel") ? "cancel" : "poll",
+                                invariants.onAnswer(
+                                        path.endsWith("/cancel")
+                                                ? UserRequest.CANCEL
+                                                : UserRequest.POLL,
                                         jobId,
                                         sent,
                                         response.status(),
@@ -1617,9 +1241,9 @@
         loop.after(
                 refusedMicros / 4,
                 () ->
-                        invariants.running().stream()
+                        observed.runningJobs().stream()
                                 .filter(jobId -> random.nextInt(3) == 0)
-                                .forEach(this::cancel));
+                                .forEach(users::cancel));
         loop.after(
                 refusedMicros,
                 () -> {
@@ -1634,6 +1258,18 @@
         loop.after(forMicros, () -> lateWrites = 0);
     }
 
+    /** The cloud answers nothing but errors for a while. */
+    void cloudOutage(long forMicros) {
+        cloud.down = true;
+        loop.after(forMicros, () -> cloud.down = false);
+    }
+
+    /** No agent reaches this node for a while, and it reaches none. */
+    void cutFromAgents(int index, long forMicros) {
+        cutFromWorkers = index;
+        loop.after(forMicros, () -> cutFromWorkers = -1);
+    }
+
     /** For a while no node takes connections from another. */
     void refusePeers(long forMicros) {
         peersRefused = true;
@@ -1677,18 +1313,13 @@
         }
     }
 
-    /** Every user asks to cancel, on whatever node can be reached. */
-    void cancelEverything() {
-        invariants.acceptedJobs().forEach(this::cancel);
-    }
-
     /** The index of the node that leads by the state service's word. */
     int leader() {
         return nodeIndex((String) state.value("leader").get("label"));
     }
 
-    String yardOf(int index) {
-        return day.yardOf(index);
+    String zoneOf(int index) {
+        return scenario.zoneOf(index);
     }
 
     /** Two zones can't reach each other for a while. */
@@ -1816,7 +1447,8 @@
         return cloud.deletedForOthers;
     }
 
-    private void anyWorker(java.util.function.Consumer<SimulatedAgent> what) {
+    /** Does this to a machine that is drawn at random, if there is any. */
+    void anyWorker(java.util.function.Consumer<SimulatedAgent> what) {
         List<SimulatedAgent> agents = new ArrayList<>(cloud.machines.values());
         if (!agents.isEmpty()) {
             what.accept(agents.get(random.nextInt(agents.size())));
@@ -1826,15 +1458,15 @@
     /** Runs to the given time, checking the rules after every step. */
     void run(long until) {
         while (loop.step(until)) {
-            invariants.check();
+            invariants.afterStep();
         }
     }
 
     /** Accepted jobs that are neither done nor cancelled and should be by now. */
     List<String> unfinishedJobs() {
         List<String> result = new ArrayList<>();
-        for (String jobId : invariants.acceptedJobs()) {
-            if (!invariants.isOver(jobId) && !invariants.submitted.get(jobId).isService()) {
+        for (String jobId : observed.acceptedJobs()) {
+            if (!observed.isOver(jobId) && !observed.job(jobId).isService()) {
                 result.add(jobId);
             }
         }
--- /dev/null
+++ b/src/test/java/org/woadloom/sim/CompletionInvariant.java
@@ -0,0 +1,17 @@
+package org.woadloom.sim;
+
+/** {@link ProtocolRule#NOT_DONE}: a job is called done only if all of its tasks are. */
+final class CompletionInvariant extends Invariant {
+    private final ObservedState observed;
+
+    CompletionInvariant(ObservedState observed) {
+        this.observed = observed;
+    }
+
+    @Override
+    void onJobStatus(UserAnswer answer) {
+        if (answer.isDone() && !observed.isAllDone(answer.jobId())) {
+            throw new InvariantViolation(ProtocolRule.NOT_DONE, answer.jobId());
+        }
+    }
+}
--- a/src/test/java/org/woadloom/sim/DamagedRecordTest.java
+++ b/src/test/java/org/woadloom/sim/DamagedRecordTest.java
@@ -8,10 +8,12 @@
 
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.ExtendWith;
 import org.woadloom.net.EventLoop;
 import org.woadloom.reads.UnansweredQueries;
 
 /** A job whose record can't be read stays known, and one of which nobody is told is found. */
+@ExtendWith(PrintReplayCommand.class)
 class DamagedRecordTest {
     private static final long AT = 60_000_000;
 
@@ -21,15 +23,12 @@
      */
     private static String damage(ClusterSimulation cluster, boolean cancelled) {
         String jobId =
-                cluster.invariants.acceptedJobs().stream()
+                cluster.observed.acceptedJobs().stream()
                         .filter(
                                 job ->
                                         cluster.stored("job/" + job) != null
-                                                && !cluster.invariants.isOver(job)
-                                                && !cluster.invariants
-                                                        .submitted
-                                                        .get(job)
-                                                        .isService())
+                                                && !cluster.observed.isOver(job)
+                                                && !cluster.observed.job(job).isService())
                         .reduce((a, b) -> b)
                         .orElseThrow();
         cluster.put(
@@ -43,7 +42,7 @@
     private static ClusterSimulation day() {
         ClusterSimulation cluster = new ClusterSimulation(5, Scenario.PLAIN);
         cluster.trouble = 0;
-        cluster.users(AT + 10_000_000);
+        cluster.users.submitUntil(AT + 10_000_000);
         cluster.run(AT);
         return cluster;
     }
@@ -81,7 +80,7 @@
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
             assertEquals("queued", told(cluster, i, "GET", "/v1/jobs/" + jobId));
         }
-        cluster.invariants.cancelling(jobId);
+        cluster.observed.recordCancelRequest(jobId);
         assertEquals("cancelled", told(cluster, 1, "POST", "/v1/jobs/" + jobId + "/cancel"));
         assertNull(cluster.stored("job/" + jobId));
         assertEquals("cancelled", told(cluster, 2, "GET", "/v1/jobs/" + jobId));
@@ -95,7 +94,7 @@
             cluster.end(i, 2_000_000);
         }
         String jobId = damage(cluster, true);
-        cluster.invariants.cancelling(jobId);
+        cluster.observed.recordCancelRequest(jobId);
         cluster.run(AT + 20_000_000);
         assertEquals("cancelled", told(cluster, 0, "GET", "/v1/jobs/" + jobId));
         assertEquals("cancelled", told(cluster, 2, "POST", "/v1/jobs/" + jobId + "/cancel"));
--- /dev/null
+++ b/src/test/java/org/woadloom/sim/DependencyOrderInvariant.java
@@ -0,0 +1,23 @@
+package org.woadloom.sim;
+
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.TaskId;
+
+/** {@link ProtocolRule#TOO_EARLY}: a job starts once all jobs that it depends on are done. */
+final class DependencyOrderInvariant extends Invariant {
+    private final ObservedState observed;
+
+    DependencyOrderInvariant(ObservedState observed) {
+        this.observed = observed;
+    }
+
+    @Override
+    void beforeTaskStart(TaskId task, JobDescription job, SimulatedAgent agent) {
+        for (String dependency : job.dependencies()) {
+            if (!observed.isAllDone(dependency)) {
+                throw new InvariantViolation(
+                        ProtocolRule.TOO_EARLY, task + " starts before " + dependency + " is done");
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/org/woadloom/sim/DurableAcceptanceInvariant.java
@@ -0,0 +1,58 @@
+package org.woadloom.sim;
+
+import java.util.HashMap;
+import java.util.Map;
+
+/**
+ * {@link ProtocolRule#FORGOTTEN}: once a user was told that a job is accepted, no later request is
+ * answered as if it were not, and while no fault is active polls for it get answers.
+ */
+final class DurableAcceptanceInvariant extends Invariant {
+    /** Stricter than the protocol's 90 s. */
+    private static final long MAX_UNANSWERED_MICROS = 75_000_000;
+
+    private final SimulatedEventLoop loop;
+    private final ObservedState observed;
+    private final Map<String, Long> lastAnsweredPollMicros = new HashMap<>();
+
+    DurableAcceptanceInvariant(SimulatedEventLoop loop, ObservedState observed) {
+        this.loop = loop;
+        this.observed = observed;
+    }
+
+    @Override
+    void onAnswer(UserAnswer answer) {
+        checkStillKnown(answer);
+        if (answer.request() == UserRequest.POLL && observed.isAccepted(answer.jobId())) {
+            checkAnswered(answer);
+        }
+    }
+
+    private void checkStillKnown(UserAnswer answer) {
+        boolean refused =
+                answer.request() == UserRequest.SUBMIT
+                        && (answer.status() == 400 || answer.status() == 422);
+        boolean unknown = answer.status() == 404 || refused;
+        if (unknown && observed.acceptedMicros(answer.jobId()) < answer.sentMicros()) {
+            throw new InvariantViolation(
+                    ProtocolRule.FORGOTTEN,
+                    answer.request() + " " + answer.jobId() + " " + answer.status());
+        }
+    }
+
+    private void checkAnswered(UserAnswer answer) {
+        String jobId = answer.jobId();
+        if (answer.status() == 200) {
+            lastAnsweredPollMicros.put(jobId, loop.now());
+            return;
+        }
+        long answeredMicros =
+                lastAnsweredPollMicros.getOrDefault(jobId, observed.acceptedMicros(jobId));
+        long unansweredMicros = loop.now() - Math.max(observed.faultFreeFromMicros, answeredMicros);
+        if (unansweredMicros > MAX_UNANSWERED_MICROS) {
+            throw new InvariantViolation(
+                    ProtocolRule.FORGOTTEN,
+                    jobId + " gets no answer for " + unansweredMicros / 1_000_000 + " s");
+        }
+    }
+}
--- a/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
@@ -12,6 +12,7 @@
 import java.util.Set;
 import java.util.function.IntSupplier;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.ExtendWith;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -22,13 +23,14 @@
  * Each meeting of troubles that operators have seen a rule broken in, by itself and two at a time,
  * several times in a day; that it did occur is counted. The rules are checked after each step.
  */
+@ExtendWith(PrintReplayCommand.class)
 class FaultCombinationsTest {
     private static final long AT = 40_000_000;
     private static final long EVERY = 45_000_000;
     private static final int TIMES = 3;
 
     /** {@code -Dseeds=30} tries more. */
-    private static final long SEEDS = Long.getLong("seeds", 3);
+    private static final long SEEDS = 3;
 
     private static final long TROUBLED = AT + TIMES * EVERY;
 
@@ -49,7 +51,7 @@
         ENDS_FAR_APART {
             @Override
             IntSupplier begin(ClusterSimulation cluster) {
-                int partly = cluster.invariants.partlyDone();
+                int partly = cluster.observed.partlyDone();
                 cluster.endLeader(300_000);
                 cluster.loop.after(9_000_000, () -> cluster.restart(0));
                 return () -> partly;
@@ -88,9 +90,9 @@
         REFUSED_THEN_DOWN {
             @Override
             IntSupplier begin(ClusterSimulation cluster) {
-                int before = cluster.invariants.cancelledWhileRunning;
+                int before = cluster.observed.cancelledWhileRunning;
                 cluster.gap(2_500_000, 35_000_000);
-                return () -> cluster.invariants.cancelledWhileRunning - before;
+                return () -> cluster.observed.cancelledWhileRunning - before;
             }
         },
         /**
@@ -105,9 +107,9 @@
                 cluster.loop.after(
                         1_000_000,
                         () ->
-                                cluster.invariants.running().stream()
+                                cluster.observed.runningJobs().stream()
                                         .limit(2)
-                                        .forEach(cluster::cancel));
+                                        .forEach(cluster.users::cancel));
                 return () -> cluster.heldCommands;
             }
         },
@@ -119,7 +121,7 @@
             IntSupplier begin(ClusterSimulation cluster) {
                 cluster.deafen("a", 2, 28_000_000);
                 cluster.hangAll("b", 9_000_000);
-                int outOfTouch = cluster.invariants.tasksIn("b");
+                int outOfTouch = cluster.observed.tasksIn("b");
                 cluster.loop.after(1_000_000, () -> cluster.endLeader(2_000_000));
                 return () -> outOfTouch;
             }
@@ -131,15 +133,15 @@
         LONE_LEADER {
             @Override
             IntSupplier begin(ClusterSimulation cluster) {
-                int before = cluster.invariants.cancelledWhileRunning;
+                int before = cluster.observed.cancelledWhileRunning;
                 cluster.isolate(cluster.leader(), 35_000_000);
                 cluster.loop.after(
                         7_000_000,
                         () ->
-                                cluster.invariants.running().stream()
+                                cluster.observed.runningJobs().stream()
                                         .limit(4)
-                                        .forEach(cluster::cancel));
-                return () -> cluster.invariants.cancelledWhileRunning - before;
+                                        .forEach(cluster.users::cancel));
+                return () -> cluster.observed.cancelledWhileRunning - before;
             }
         },
         /**
@@ -216,7 +218,7 @@
                                     + 2_000_000
                                     + cluster.random.nextInt(6_000_000));
                 }
-                return within(cluster, () -> cluster.invariants.killedByLease);
+                return within(cluster, () -> cluster.observed.killedByLease);
             }
         },
         /** The store is slow while users cancel and look closely. */
@@ -228,7 +230,7 @@
                 for (long later = 3_000_000; later < 30_000_000; later += 9_000_000) {
                     cluster.loop.after(later, () -> cluster.cancelNow(3, 0));
                 }
-                return within(cluster, () -> cluster.invariants.cancelledWhileRunning);
+                return within(cluster, () -> cluster.observed.cancelledWhileRunning);
             }
         },
         /**
@@ -246,8 +248,8 @@
                         () ->
                                 waiting[0] =
                                         Math.min(
-                                                cluster.invariants.waiting(Priority.HIGH, false),
-                                                cluster.invariants.waiting(Priority.HIGH, true)));
+                                                cluster.observed.waitingAtOrAbove(Priority.HIGH),
+                                                cluster.observed.waitingBelow(Priority.HIGH)));
                 return () -> waiting[0];
             }
         };
@@ -280,8 +282,8 @@
     /** Plays a day whole and returns how often each meeting came to something. */
     private static Map<Meeting, Integer> play(long seed, Scenario day, Set<Meeting> meetings) {
         ClusterSimulation cluster = new ClusterSimulation(seed, day);
-        cluster.users(TROUBLED);
-        cluster.invariants.calmFrom = TROUBLED + 60_000_000;
+        cluster.users.submitUntil(TROUBLED);
+        cluster.observed.faultFreeFromMicros = TROUBLED + 60_000_000;
         cluster.brokenFrom = AT;
         Map<Meeting, List<IntSupplier>> begun = new EnumMap<>(Meeting.class);
         meetings.forEach(meeting -> begun.put(meeting, new ArrayList<>()));
@@ -310,7 +312,7 @@
     @ParameterizedTest
     @EnumSource
     void rulesHoldInEachMeeting(Meeting meeting) {
-        for (long seed = 1; seed <= SEEDS; seed++) {
+        for (long seed : Seeds.usually(SEEDS)) {
             day(seed, Set.of(meeting));
         }
     }
@@ -327,7 +329,7 @@
         "FOUR_A_SECOND, LATE_WRITES"
     })
     void rulesHoldInTwoAtOnce(Meeting one, Meeting other) {
-        for (long seed = 1; seed <= SEEDS; seed++) {
+        for (long seed : Seeds.usually(SEEDS)) {
             day(seed, Set.of(one, other));
         }
     }
@@ -350,7 +352,7 @@
                 assertThrows(
                         InvariantViolation.class,
                         () -> {
-                            for (long seed = 1; seed <= 6; seed++) {
+                            for (long seed : Seeds.first(6)) {
                                 play(seed, Scenario.PLAIN.with(flaw), Set.of(meeting));
                             }
                         });
@@ -365,7 +367,7 @@
     @Test
     void aWordThatIsCarriedOutLateReplacesNoNewerOne() {
         int late = 0;
-        for (long seed = 1; seed <= 12; seed++) {
+        for (long seed : Seeds.first(12)) {
             ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
             cluster.writeLate(45, 25_000_000);
             cluster.run(90_000_000);
--- a/src/test/java/org/woadloom/sim/InvariantViolation.java
+++ b/src/test/java/org/woadloom/sim/InvariantViolation.java
@@ -1,10 +1,17 @@
 package org.woadloom.sim;
 
-/** A rule was broken. */
+/** Thrown where the simulation breaks one of the protocol's rules; ends the run. */
 final class InvariantViolation extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    InvariantViolation(String rule, String what) {
-        super(rule + ": " + what);
+    private final ProtocolRule rule;
+
+    InvariantViolation(ProtocolRule rule, String details) {
+        super(rule.id() + ": " + details);
+        this.rule = rule;
+    }
+
+    ProtocolRule rule() {
+        return rule;
     }
 }
--- a/src/test/java/org/woadloom/sim/JobLogLinesTest.java
+++ b/src/test/java/org/woadloom/sim/JobLogLinesTest.java
@@ -6,12 +6,14 @@
 import java.util.List;
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.ExtendWith;
 import org.woadloom.core.SchedulerAction;
 
 /**
  * Programs that read the log find the lines of accepted, done and cancelled jobs, as words or as
  * {@code key=value}.
  */
+@ExtendWith(PrintReplayCommand.class)
 class JobLogLinesTest {
     private static final Pattern ACCEPTED =
             Pattern.compile(
@@ -35,7 +37,7 @@
                                         lines.add(note.entry().toString());
                                     }
                                 });
-        cluster.users(DAY_MICROS);
+        cluster.users.submitUntil(DAY_MICROS);
         cluster.loop.run(DAY_MICROS);
         for (Pattern form : List.of(ACCEPTED, DONE, CANCELLED)) {
             assertTrue(lines.stream().anyMatch(line -> form.matcher(line).find()), form.pattern());
--- /dev/null
+++ b/src/test/java/org/woadloom/sim/KnownJobsInvariant.java
@@ -0,0 +1,17 @@
+package org.woadloom.sim;
+
+/** {@link ProtocolRule#INVENTED}: only jobs that somebody submitted are known. */
+final class KnownJobsInvariant extends Invariant {
+    private final ObservedState observed;
+
+    KnownJobsInvariant(ObservedState observed) {
+        this.observed = observed;
+    }
+
+    @Override
+    void onAnswer(UserAnswer answer) {
+        if (answer.status() == 200 && !observed.isSubmitted(answer.jobId())) {
+            throw new InvariantViolation(ProtocolRule.INVENTED, answer.jobId());
+        }
+    }
+}
--- a/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
@@ -13,6 +13,7 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.ExtendWith;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -24,6 +25,7 @@
  * touch in one way or another while the leader ends. Each meeting is counted; the rules are checked
  * after each step.
  */
+@ExtendWith(PrintReplayCommand.class)
 class MachineFaultCombinationsTest {
     private static final long AT = 60_000_000;
 
@@ -46,11 +48,6 @@
         }
     }
 
-    /** So many unless {@code -Dseeds} asks for more. */
-    private static long seeds(int usually) {
-        return Long.getLong("seeds", usually);
-    }
-
     /** No other trouble than the one that the test makes; leases are 20 s. */
     private static ClusterSimulation day(long seed, Scenario.Times told) {
         ClusterSimulation cluster =
@@ -58,8 +55,8 @@
                         seed,
                         new Scenario(Scenario.LONG, told, Version.NOW, Scenario.Flaw.NONE, 0));
         cluster.trouble = 0;
-        cluster.users(AT + 60_000_000);
-        cluster.invariants.calmFrom = AT + 150_000_000;
+        cluster.users.submitUntil(AT + 60_000_000);
+        cluster.observed.faultFreeFromMicros = AT + 150_000_000;
         cluster.run(AT);
         return cluster;
     }
@@ -98,8 +95,8 @@
                 .filter(
                         task ->
                                 !running.contains(task)
-                                        && !cluster.invariants.isDone(task)
-                                        && !cluster.invariants.isOver(task.jobId()))
+                                        && !cluster.observed.isDone(task)
+                                        && !cluster.observed.isOver(task.jobId()))
                 .toList();
     }
 
@@ -123,7 +120,7 @@
             OutOfTouch kind, int oneIn, int leaderEnds) {
         int befallen = 0;
         int moved = 0;
-        for (long seed = 1; seed <= seeds(2); seed++) {
+        for (long seed : Seeds.usually(2)) {
             ClusterSimulation cluster = day(seed, Scenario.LONG);
             List<SimulatedAgent> troubled =
                     befall(
@@ -164,13 +161,13 @@
     @ParameterizedTest
     @EnumSource
     void withinALeaseNothingIsKilled(OutOfTouch kind) {
-        for (long seed = 1; seed <= seeds(2); seed++) {
+        for (long seed : Seeds.usually(2)) {
             ClusterSimulation cluster = day(seed, Scenario.LONG);
-            int killed = cluster.invariants.killedByLease;
+            int killed = cluster.observed.killedByLease;
             List<SimulatedAgent> troubled = befall(cluster, List.of(kind), 3, 8_000_000);
             assertTrue(!troubled.isEmpty());
             cluster.run(AT + 30_000_000);
-            assertEquals(killed, cluster.invariants.killedByLease);
+            assertEquals(killed, cluster.observed.killedByLease);
         }
     }
 
@@ -181,13 +178,13 @@
     @ParameterizedTest
     @ValueSource(ints = {10, 3})
     void machinesThatAreClosedInForLessThanALeaseAreKept(int oneIn) {
-        for (long seed = 1; seed <= seeds(3); seed++) {
+        for (long seed : Seeds.usually(3)) {
             ClusterSimulation cluster = day(seed, Scenario.LONG);
-            int killed = cluster.invariants.killedByLease;
+            int killed = cluster.observed.killedByLease;
             List<SimulatedAgent> troubled =
                     befall(cluster, List.of(OutOfTouch.CLOSED_IN), oneIn, 15_000_000);
             cluster.run(AT + 16_000_000);
-            assertEquals(killed, cluster.invariants.killedByLease);
+            assertEquals(killed, cluster.observed.killedByLease);
             assertEquals(
                     0,
                     troubled.stream().filter(agent -> agent.dead).count(),
@@ -202,7 +199,7 @@
                 assertThrows(
                         InvariantViolation.class,
                         () -> {
-                            for (long seed = 1; seed <= 20; seed++) {
+                            for (long seed : Seeds.first(20)) {
                                 ClusterSimulation cluster =
                                         day(seed, new Scenario.Times(9_000_000, 50_000_000));
                                 befall(cluster, List.of(OutOfTouch.CLOSED_IN), 2, 60_000_000);
@@ -220,21 +217,20 @@
      */
     @Test
     void afterAllControllersWereAwayWorkBeginsAnewAtOnce() {
-        for (long seed = 1; seed <= seeds(3); seed++) {
+        for (long seed : Seeds.usually(3)) {
             ClusterSimulation cluster = day(seed, Scenario.LONG);
-            int killed = cluster.invariants.killedByLease;
+            int killed = cluster.observed.killedByLease;
             Set<TaskId> tasks = tasksOn(cluster.agents());
             for (int node = 0; node < ClusterSimulation.NODES; node++) {
                 cluster.end(node, 32_000_000 + 300_000 * node);
             }
             cluster.run(AT + 32_000_000);
             assertTrue(
-                    cluster.invariants.killedByLease > killed && !tasks.isEmpty(),
+                    cluster.observed.killedByLease > killed && !tasks.isEmpty(),
                     "no lease ended, seed " + seed);
-            int starts = cluster.invariants.starts;
+            int starts = cluster.observed.starts;
             long begins = cluster.loop.now();
-            while (cluster.invariants.starts == starts
-                    && cluster.loop.now() < begins + 60_000_000) {
+            while (cluster.observed.starts == starts && cluster.loop.now() < begins + 60_000_000) {
                 cluster.run(cluster.loop.now() + 100_000);
             }
             assertTrue(
@@ -257,10 +253,10 @@
     @Test
     void rentalsAndDeletionsThatAreCarriedOutLate() {
         Map<String, Integer> count = new LinkedHashMap<>();
-        for (long seed = 1; seed <= seeds(4); seed++) {
+        for (long seed : Seeds.usually(4)) {
             ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
-            cluster.users(150_000_000);
-            cluster.invariants.calmFrom = 230_000_000;
+            cluster.users.submitUntil(150_000_000);
+            cluster.observed.faultFreeFromMicros = 230_000_000;
             cluster.loop.after(3_000_000, () -> cluster.cloudLate(60, 150_000_000));
             for (long at = 25_000_000; at < 160_000_000; at += 14_000_000) {
                 // It is given up, and the leader that asks for its deletion ends.
@@ -298,10 +294,10 @@
     @Test
     void machinesThatAreUpAtOnceWhileWritesLagAndTheLeaderEnds() {
         Map<String, Integer> count = new LinkedHashMap<>();
-        for (long seed = 1; seed <= seeds(3); seed++) {
+        for (long seed : Seeds.usually(3)) {
             ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
-            cluster.users(170_000_000);
-            cluster.invariants.calmFrom = 240_000_000;
+            cluster.users.submitUntil(170_000_000);
+            cluster.observed.faultFreeFromMicros = 240_000_000;
             cluster.run(10_000_000);
             long term = cluster.term();
             cluster.quickMachines(150_000_000);
--- /dev/null
+++ b/src/test/java/org/woadloom/sim/OrphanedDependentInvariant.java
@@ -0,0 +1,29 @@
+package org.woadloom.sim;
+
+import org.woadloom.settings.ServiceSettings;
+
+/**
+ * {@link ProtocolRule#ORPHANED}: a job that depends on a cancelled one is cancelled too, within the
+ * time that a cancellation may take.
+ */
+final class OrphanedDependentInvariant extends Invariant {
+    private final ObservedState observed;
+    private final long cancelMicros;
+
+    OrphanedDependentInvariant(ObservedState observed, ServiceSettings settings) {
+        this.observed = observed;
+        this.cancelMicros = settings.agents().cancelMicros();
+    }
+
+    @Override
+    void onJobStatus(UserAnswer answer) {
+        if (!answer.jobStatus().equals("queued") && !answer.jobStatus().equals("running")) {
+            return;
+        }
+        Long toldMicros = observed.dependencyCancelledMicros(answer.jobId());
+        if (toldMicros != null && toldMicros + cancelMicros < answer.sentMicros()) {
+            throw new InvariantViolation(
+                    ProtocolRule.ORPHANED, answer.jobId() + " is " + answer.jobStatus());
+        }
+    }
+}
--- a/src/test/java/org/woadloom/sim/PartitionedZoneTest.java
+++ b/src/test/java/org/woadloom/sim/PartitionedZoneTest.java
@@ -5,10 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.ExtendWith;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A zone is cut off from everything; the rules are checked after each step, as on random days. */
+@ExtendWith(PrintReplayCommand.class)
 class PartitionedZoneTest {
     private static final long CUT_AT = 60_000_000;
 
@@ -32,7 +34,7 @@
                         new Scenario(
                                 Scenario.LONG, Scenario.LONG, Version.NOW, Scenario.Flaw.NONE, 0));
         cluster.trouble = 0;
-        cluster.users(QUIET);
+        cluster.users.submitUntil(QUIET);
         return cluster;
     }
 
@@ -42,9 +44,9 @@
      */
     private static int killedMeanwhile(ClusterSimulation cluster) {
         cluster.run(CUT_AT - 1);
-        int before = cluster.invariants.killedByLease;
+        int before = cluster.observed.killedByLease;
         cluster.run(CUT_AT + BRIDGED + 2_000_000);
-        return cluster.invariants.killedByLease - before;
+        return cluster.observed.killedByLease - before;
     }
 
     /** The lease is 20 s: without care every task of the zone would be killed. */
@@ -52,10 +54,10 @@
     @ValueSource(strings = {"a", "b"})
     void workGoesOnInAZoneThatIsCutOffForLongerThanALease(String zone) {
         int kept = 0;
-        for (long seed = 1; seed <= 4; seed++) {
+        for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = cut(seed, zone, BRIDGED);
             cluster.run(CUT_AT - 1);
-            kept += cluster.invariants.tasksIn(zone);
+            kept += cluster.observed.tasksIn(zone);
             assertEquals(0, killedMeanwhile(cluster), "tasks killed, seed " + seed);
             cluster.run(QUIET);
         }
@@ -64,10 +66,10 @@
 
     @Test
     void aLeaderThatIsCutOffCaresForItsOwnWorkersAndAnotherLeadsMeanwhile() {
-        for (long seed = 1; seed <= 4; seed++) {
+        for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = day(seed);
             cluster.loop.after(
-                    CUT_AT, () -> cluster.island(cluster.yardOf(cluster.leader()), BRIDGED));
+                    CUT_AT, () -> cluster.island(cluster.zoneOf(cluster.leader()), BRIDGED));
             assertEquals(0, killedMeanwhile(cluster), "tasks killed, seed " + seed);
             cluster.run(QUIET);
         }
@@ -81,18 +83,18 @@
     @ValueSource(longs = {55_000_000, 75_000_000})
     void careEndsInTimeWhereTheCutDoesNot(long forMicros) {
         int killed = 0;
-        for (long seed = 1; seed <= 4; seed++) {
+        for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = cut(seed, "b", forMicros);
-            cluster.loop.after(CUT_AT + 200_000, cluster::cancelEverything);
+            cluster.loop.after(CUT_AT + 200_000, cluster.users::cancelAll);
             cluster.run(QUIET);
-            killed += cluster.invariants.killedByLease;
+            killed += cluster.observed.killedByLease;
         }
         assertTrue(killed > 0, "no lease ended");
     }
 
     @Test
     void aCutThatOpensAndClosesStartsNoCareAnew() {
-        for (long seed = 1; seed <= 4; seed++) {
+        for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = cut(seed, "b", 24_000_000);
             for (int retry = 1; retry < 5; retry++) {
                 // Open for less than it takes to connect again, or for a little more.
@@ -101,14 +103,14 @@
                         CUT_AT + retry * 24_000_000L + pause,
                         () -> cluster.island("b", 23_000_000));
             }
-            cluster.loop.after(CUT_AT + 1_000_000, cluster::cancelEverything);
+            cluster.loop.after(CUT_AT + 1_000_000, cluster.users::cancelAll);
             cluster.run(QUIET);
         }
     }
 
     @Test
     void aNodeThatOnlyTheStateServiceRefusesTakesNoCare() {
-        for (long seed = 1; seed <= 3; seed++) {
+        for (long seed : Seeds.first(3)) {
             ClusterSimulation cluster = day(seed);
             cluster.loop.after(CUT_AT, () -> cluster.refuseState(1, 40_000_000));
             cluster.run(QUIET);
@@ -125,13 +127,13 @@
     @Test
     void aNodeThatIsStartedAnewTakesNoCare() {
         int killed = 0;
-        for (long seed = 1; seed <= 4; seed++) {
+        for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = cut(seed, "b", 30_000_000);
             cluster.loop.after(CUT_AT + 2_000_000, () -> cluster.restart(1));
-            cluster.loop.after(CUT_AT + 20_000_000, cluster::cancelEverything);
+            cluster.loop.after(CUT_AT + 20_000_000, cluster.users::cancelAll);
             cluster.run(QUIET);
             assertFalse(cluster.tookCare[1], "seed " + seed);
-            killed += cluster.invariants.killedByLease;
+            killed += cluster.observed.killedByLease;
         }
         assertTrue(killed > 0, "no lease ended");
     }
@@ -160,7 +162,7 @@
      */
     private static void hangUnderARenewedLease(
             long cutMicros, long hangMicros, long restartMicros) {
-        for (long seed = 1; seed <= 6; seed++) {
+        for (long seed : Seeds.first(6)) {
             ClusterSimulation cluster = cut(seed, "b", cutMicros);
             if (restartMicros >= 0) {
                 cluster.loop.after(CUT_AT + restartMicros, () -> cluster.restart(1));
@@ -173,7 +175,7 @@
     /** One of the zone's two nodes ends in the middle of the cut; its workers move to the other. */
     @Test
     void workersMoveBetweenTheNodesOfTheZone() {
-        for (long seed = 1; seed <= 4; seed++) {
+        for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = cut(seed, "a", BRIDGED);
             int ending = seed % 2 == 0 ? 0 : 2;
             cluster.loop.after(CUT_AT + 7_000_000, () -> cluster.end(ending, BRIDGED));
@@ -189,16 +191,16 @@
      */
     @Test
     void aLongOutageOfTheStateServiceEndsNoLease() {
-        for (long seed = 1; seed <= 3; seed++) {
+        for (long seed : Seeds.first(3)) {
             ClusterSimulation cluster = day(seed);
             cluster.loop.after(CUT_AT, () -> cluster.stateOutage(60_000_000));
             cluster.loop.after(
                     CUT_AT + 10_000_000,
                     () -> cluster.restart((cluster.leader() + 1) % ClusterSimulation.NODES));
             cluster.run(CUT_AT - 1);
-            int before = cluster.invariants.killedByLease;
+            int before = cluster.observed.killedByLease;
             cluster.run(CUT_AT + 60_000_000);
-            assertEquals(before, cluster.invariants.killedByLease, "tasks killed, seed " + seed);
+            assertEquals(before, cluster.observed.killedByLease, "tasks killed, seed " + seed);
             cluster.run(QUIET);
         }
     }
--- a/src/test/java/org/woadloom/sim/ProductionFilter.java
+++ b/src/test/java/org/woadloom/sim/ProductionFilter.java
@@ -42,7 +42,7 @@
             return ProductionRecord.read((Map<String, Object>) value);
         } catch (MalformedMessageException e) {
             throw new InvariantViolation(
-                    "unreadable", "version 1 meets " + value + ": " + e.getMessage());
+                    ProtocolRule.UNREADABLE, "version 1 meets " + value + ": " + e.getMessage());
         }
     }
 
--- a/src/test/java/org/woadloom/sim/QuickRestartTest.java
+++ b/src/test/java/org/woadloom/sim/QuickRestartTest.java
@@ -4,13 +4,15 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 
 import java.util.List;
+import org.junit.jupiter.api.extension.ExtendWith;
 import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
+import org.junit.jupiter.params.provider.MethodSource;
 
 /**
  * Processes that end are there again within a fraction of a second; the rules are checked after
  * each step.
  */
+@ExtendWith(PrintReplayCommand.class)
 class QuickRestartTest {
     private static final long AT = 40_000_000;
     private static final long MINUTE = 60_000_000;
@@ -19,7 +21,7 @@
     private static ClusterSimulation day(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
         cluster.trouble = 0;
-        cluster.users(AT + MINUTE);
+        cluster.users.submitUntil(AT + MINUTE);
         cluster.run(AT);
         return cluster;
     }
@@ -29,7 +31,7 @@
      * get to leading.
      */
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3})
+    @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void aLeaderThatKeepsEndingLeavesLeadingToANodeThatStays(long seed) {
         ClusterSimulation cluster = day(seed);
         int ending = cluster.leader();
@@ -41,14 +43,14 @@
         cluster.run(AT + MINUTE);
         assertEquals(next, cluster.leader());
         assertEquals(before + 1, cluster.term(), "terms taken while a node kept ending");
-        assertEquals(0, cluster.invariants.killedByLease, "tasks killed by leases");
+        assertEquals(0, cluster.observed.killedByLease, "tasks killed by leases");
         cluster.run(AT + MINUTE + QUIET);
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
     /** Where nobody else is there the former leader's next process leads. */
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3})
+    @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void aProcessThatIsAloneLeadsAgain(long seed) {
         ClusterSimulation cluster = day(seed);
         int leader = cluster.leader();
@@ -60,6 +62,6 @@
         assertEquals(leader, cluster.leader());
         assertEquals(before + 1, cluster.term());
         cluster.run(AT + MINUTE);
-        assertEquals(0, cluster.invariants.killedByLease, "tasks killed by leases");
+        assertEquals(0, cluster.observed.killedByLease, "tasks killed by leases");
     }
 }
--- a/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
@@ -12,6 +12,7 @@
 import java.util.function.IntSupplier;
 import java.util.function.Predicate;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.ExtendWith;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -23,12 +24,13 @@
  * Troubles that meet while teams are at their limits or jobs are bound to a zone; that each did
  * occur is counted.
  */
+@ExtendWith(PrintReplayCommand.class)
 class QuotaFaultCombinationsTest {
     private static final long AT = 40_000_000;
     private static final long EVERY = 45_000_000;
     private static final int TIMES = 3;
     private static final long TROUBLED = AT + TIMES * EVERY;
-    private static final int SEEDS = Integer.getInteger("seeds", 2);
+    private static final int SEEDS = 2;
 
     enum Meeting {
         /**
@@ -39,7 +41,7 @@
             @Override
             IntSupplier begin(ClusterSimulation cluster) {
                 boolean allAtLimit =
-                        cluster.invariants.teamsAtLimit() == cluster.settings.teams().size();
+                        cluster.observed.teamsAtLimit() == cluster.settings.teams().size();
                 int term = cluster.leaderChanges();
                 int[] outOfReach = {0};
                 cluster.island("b", 24_000_000);
@@ -75,7 +77,7 @@
                         cluster.loop.now() + 9_000_000,
                         () -> cluster.leaderChanges() > term,
                         () -> {
-                            if (cluster.invariants.teamsAtLimit() > 0) {
+                            if (cluster.observed.teamsAtLimit() > 0) {
                                 cancelled[0] +=
                                         cancelWhere(
                                                 cluster,
@@ -118,11 +120,11 @@
                         cluster,
                         cluster.loop.now() + 35_000_000,
                         () -> cluster.leaderChanges() > term,
-                        () -> starts[0] = cluster.invariants.starts + 3);
+                        () -> starts[0] = cluster.observed.starts + 3);
                 untilSo(
                         cluster,
                         cluster.loop.now() + 40_000_000,
-                        () -> cluster.invariants.starts >= starts[0],
+                        () -> cluster.observed.starts >= starts[0],
                         () ->
                                 held.forEach(
                                         report -> {
@@ -181,14 +183,14 @@
     private static int cancelWhere(
             ClusterSimulation cluster, int most, Predicate<SimulatedAgent> such) {
         List<String> chosen =
-                cluster.invariants.running().stream()
+                cluster.observed.runningJobs().stream()
                         .filter(
                                 jobId ->
-                                        cluster.invariants.machinesOf(Set.of(jobId)).stream()
+                                        cluster.observed.machinesOf(Set.of(jobId)).stream()
                                                 .anyMatch(such))
                         .limit(most)
                         .toList();
-        chosen.forEach(cluster::cancel);
+        chosen.forEach(cluster.users::cancel);
         return chosen.size();
     }
 
@@ -206,7 +208,7 @@
     }
 
     private static void submitBound(ClusterSimulation cluster, int tasks) {
-        String jobId = cluster.newUid();
+        String jobId = cluster.users.newJobId();
         Map<String, Object> job =
                 new LinkedHashMap<>(
                         Map.of(
@@ -249,19 +251,19 @@
                         "snapshotCostS",
                         0.0));
         try {
-            cluster.invariants.submitting(JobDescription.parse(job));
+            cluster.observed.recordSubmission(JobDescription.parse(job));
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
-        cluster.submit(jobId, job, cluster.loop.now() + 60_000_000, accepted -> {});
+        cluster.users.submit(jobId, job, cluster.loop.now() + 60_000_000, accepted -> {});
     }
 
     private static int tasksBound(ClusterSimulation cluster) {
         int tasks = 0;
-        for (String jobId : cluster.invariants.running()) {
-            JobDescription job = cluster.invariants.submitted.get(jobId);
+        for (String jobId : cluster.observed.runningJobs()) {
+            JobDescription job = cluster.observed.job(jobId);
             for (int i = 0; job.jobClass().equals("bound") && i < job.taskCount(); i++) {
-                tasks += cluster.invariants.machineOf(new TaskId(jobId, i)) == null ? 0 : 1;
+                tasks += cluster.observed.machineOf(new TaskId(jobId, i)) == null ? 0 : 1;
             }
         }
         return tasks;
@@ -269,8 +271,8 @@
 
     private static WaitingJobs day(long seed, Scenario kind, Set<Meeting> meetings) {
         ClusterSimulation cluster = new ClusterSimulation(seed, kind);
-        cluster.users(TROUBLED - EVERY);
-        cluster.invariants.calmFrom = TROUBLED + 60_000_000;
+        cluster.users.submitUntil(TROUBLED - EVERY);
+        cluster.observed.faultFreeFromMicros = TROUBLED + 60_000_000;
         WaitingJobs waiting = new WaitingJobs(cluster, TROUBLED + 60_000_000);
         Map<Meeting, List<IntSupplier>> begun = new LinkedHashMap<>();
         meetings.forEach(meeting -> begun.put(meeting, new ArrayList<>()));
@@ -311,7 +313,7 @@
     @EnumSource
     void rulesHoldInEachMeeting(Meeting meeting) {
         int seen = 0;
-        for (long seed = 1; seed <= SEEDS; seed++) {
+        for (long seed : Seeds.usually(SEEDS)) {
             seen += day(seed, Scenario.TIGHT, Set.of(meeting)).seen;
         }
         assertTrue(seen > 0, "no job ever waited for a moment");
@@ -324,7 +326,7 @@
         "BOUND_TO_ONE_ZONE, CANCELLED_BEFORE_IT_COULD_ASK"
     })
     void rulesHoldInTwoAtOnce(Meeting one, Meeting other) {
-        day(SEEDS, Scenario.TIGHT, Set.of(one, other));
+        day(Seeds.usualCount(SEEDS), Scenario.TIGHT, Set.of(one, other));
     }
 
     /** Everything else at random besides. */
@@ -333,10 +335,10 @@
         int most = 0;
         int copies = 0;
         int waited = 0;
-        for (long seed = 1; seed <= SEEDS; seed++) {
+        for (long seed : Seeds.usually(SEEDS)) {
             ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.TIGHT);
-            cluster.users(TROUBLED - EVERY);
-            cluster.faults(TROUBLED);
+            cluster.users.submitUntil(TROUBLED - EVERY);
+            cluster.randomFaults.startUntil(TROUBLED);
             cluster.keepForNextLeader(10, TROUBLED);
             cluster.cancelAtEnd(10, TROUBLED);
             cluster.loseAnswers(5, TROUBLED);
@@ -344,7 +346,7 @@
             for (long at = 30_000_000; at < TROUBLED; at += 15_000_000) {
                 cluster.loop.at(at, () -> cluster.cancelNow(3, cluster.random.nextInt(9_000_000)));
                 cluster.run(at);
-                most = Math.max(most, cluster.invariants.teamsAtLimit());
+                most = Math.max(most, cluster.observed.teamsAtLimit());
             }
             finish(cluster);
             assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
@@ -373,7 +375,7 @@
                 assertThrows(
                         InvariantViolation.class,
                         () -> {
-                            for (long seed = 1; seed <= 20; seed++) {
+                            for (long seed : Seeds.first(20)) {
                                 day(seed, broken, Set.of(meeting));
                             }
                         });
@@ -402,7 +404,7 @@
     @Test
     void jobsThatAreLeftWaitingAreCaught() {
         ClusterSimulation cluster = new ClusterSimulation(1, Scenario.PLAIN);
-        cluster.users(AT);
+        cluster.users.submitUntil(AT);
         WaitingJobs waiting = new WaitingJobs(cluster, AT);
         cluster.run(AT);
         for (int node = 0; node < ClusterSimulation.NODES; node++) {
--- /dev/null
+++ b/src/test/java/org/woadloom/sim/RandomFaults.java
@@ -0,0 +1,188 @@
+package org.woadloom.sim;
+
+import java.util.List;
+import java.util.Random;
+
+/**
+ * Draws faults of a simulated cluster at random, and their times. The order of the draws is part of
+ * what a seed stands for: a change of it changes every random run.
+ */
+final class RandomFaults {
+    private final ClusterSimulation cluster;
+    private final Random random;
+
+    RandomFaults(ClusterSimulation cluster, Random random) {
+        this.cluster = cluster;
+        this.random = random;
+    }
+
+    /** Any fault, every two to eleven seconds until the given time. */
+    void startUntil(long until) {
+        cluster.copies = Math.max(cluster.copies, 3);
+        cluster.observed.faultFreeFromMicros = until + 60_000_000;
+        cluster.loop.after(
+                2_000_000 + random.nextInt(9_000_000),
+                () -> {
+                    if (cluster.loop.now() < until) {
+                        fault();
+                        startUntil(until);
+                    }
+                });
+    }
+
+    private void fault() {
+        switch (random.nextInt(36)) {
+            case 25 -> cluster.lookClosely(5_000_000 + random.nextInt(25_000_000));
+            case 26 -> cluster.oddRequests(5_000_000 + random.nextInt(25_000_000));
+            case 27 -> cluster.loseAnswers(5 + random.nextInt(40), random.nextInt(40_000_000));
+            case 28 -> {
+                cluster.keepForNextLeader(
+                        5 + random.nextInt(30), 1_000_000 + random.nextInt(20_000_000));
+                cluster.loop.after(
+                        random.nextInt(25_000_000),
+                        () -> cluster.endLeader(50_000 + random.nextInt(3_000_000)));
+            }
+            case 29 ->
+                    cluster.cancelNow(
+                            1 + random.nextInt(8),
+                            random.nextBoolean() ? 0 : random.nextInt(25_000_000));
+            case 30 -> cluster.cancelAtEnd(20 + random.nextInt(60), random.nextInt(40_000_000));
+            case 31 ->
+                    cluster.mute(
+                            cluster.zoneOf(random.nextInt(ClusterSimulation.NODES)),
+                            1 + random.nextInt(3),
+                            random.nextInt(40_000_000));
+            case 32 -> cluster.quickMachines(random.nextInt(40_000_000));
+            case 33 -> cluster.slowState(random.nextInt(1_500_000), random.nextInt(30_000_000));
+            case 34 -> cluster.oneTaskJobs(1 + random.nextInt(4), random.nextInt(20_000_000), 25);
+            case 35 -> {
+                int away = 1 + random.nextInt(15);
+                for (int node = 0; node < ClusterSimulation.NODES; node++) {
+                    cluster.end(node, away * 1_000_000L + random.nextInt(1_000_000));
+                }
+            }
+            case 24 -> cluster.writeLate(5 + random.nextInt(40), random.nextInt(40_000_000));
+            case 22, 23 ->
+                    cluster.gap(
+                            1_000_000 + random.nextInt(4_000_000),
+                            10_000_000 + random.nextInt(60_000_000));
+            case 16, 17 ->
+                    cluster.anyWorker(
+                            agent ->
+                                    agent.deafUntil =
+                                            cluster.loop.now() + random.nextInt(40_000_000));
+            case 18 ->
+                    cluster.deafen(
+                            cluster.zoneOf(random.nextInt(ClusterSimulation.NODES)),
+                            1 + random.nextInt(3),
+                            random.nextInt(25_000_000));
+            case 19 ->
+                    cluster.anyWorker(
+                            agent ->
+                                    agent.muteUntil =
+                                            cluster.loop.now() + random.nextInt(40_000_000));
+            case 20 ->
+                    cluster.isolate(
+                            random.nextInt(ClusterSimulation.NODES),
+                            5_000_000 + random.nextInt(40_000_000));
+            case 21 -> {
+                cluster.copies = 30;
+                cluster.loop.after(random.nextInt(60_000_000), () -> cluster.copies = 3);
+            }
+            case 0, 1 -> cluster.restart(random.nextInt(ClusterSimulation.NODES));
+            case 2 -> {
+                for (int node = 0; node < ClusterSimulation.NODES; node++) {
+                    cluster.restart(node);
+                }
+            }
+            case 3 -> {
+                cluster.stateOutage(2_000_000 + random.nextInt(18_000_000));
+            }
+            case 4 -> {
+                cluster.cloudOutage(random.nextInt(20_000_000));
+            }
+            case 5, 6 ->
+                    cluster.anyWorker(
+                            agent ->
+                                    agent.hungUntil =
+                                            cluster.loop.now() + random.nextInt(25_000_000));
+            case 7 -> cluster.anyWorker(SimulatedAgent::die);
+            case 9 -> {
+                cluster.refusePeers(5_000_000 + random.nextInt(20_000_000));
+            }
+            case 10 ->
+                    cluster.refuseState(
+                            random.nextInt(ClusterSimulation.NODES),
+                            5_000_000 + random.nextInt(25_000_000));
+            case 11 -> {
+                cluster.cutFromAgents(
+                        random.nextInt(ClusterSimulation.NODES),
+                        5_000_000 + random.nextInt(25_000_000));
+            }
+            case 15 ->
+                    cluster.keepsEnding(
+                            random.nextInt(ClusterSimulation.NODES),
+                            100_000 + random.nextInt(1_500_000),
+                            cluster.loop.now() + random.nextInt(30_000_000));
+            case 13, 14 ->
+                    cluster.island(
+                            cluster.zoneOf(random.nextInt(ClusterSimulation.NODES)),
+                            5_000_000 + random.nextInt(40_000_000));
+            case 8 -> {
+                List<String> zones = cluster.scenario.zoneNames();
+                cluster.partition(
+                        zones.get(0),
+                        zones.get(1 + random.nextInt(zones.size() - 1)),
+                        5_000_000 + random.nextInt(25_000_000));
+            }
+            default -> {
+                cluster.trouble = 60;
+                cluster.loop.after(random.nextInt(15_000_000), () -> cluster.trouble = 4);
+            }
+        }
+        cluster.users.pollUnknownJob();
+    }
+
+    /** Machines hang or die at random until the given time, and now and then a controller ends. */
+    void startMachineFaultsUntil(long until) {
+        cluster.loop.after(
+                1_000_000 + random.nextInt(5_000_000),
+                () -> {
+                    if (cluster.loop.now() < until) {
+                        switch (random.nextInt(6)) {
+                            case 0 -> cluster.restart(random.nextInt(ClusterSimulation.NODES));
+                            case 1, 2 -> cluster.anyWorker(SimulatedAgent::die);
+                            default ->
+                                    cluster.anyWorker(
+                                            agent ->
+                                                    agent.hungUntil =
+                                                            cluster.loop.now()
+                                                                    + random.nextInt(25_000_000));
+                        }
+                        startMachineFaultsUntil(until);
+                    }
+                });
+    }
+
+    /**
+     * Replaces a node by version 3 or by this one now and then until the given time, and then all
+     * by this one.
+     */
+    void changeVersionsUntil(long until) {
+        cluster.loop.after(
+                5_000_000 + random.nextInt(15_000_000),
+                () -> {
+                    if (cluster.loop.now() < until) {
+                        cluster.replace(
+                                random.nextInt(ClusterSimulation.NODES),
+                                random.nextBoolean() ? Version.AGREEING : Version.NOW,
+                                500_000 + random.nextInt(4_000_000));
+                        changeVersionsUntil(until);
+                    } else {
+                        for (int i = 0; i < ClusterSimulation.NODES; i++) {
+                            cluster.replace(i, Version.NOW, (1 + 5L * i) * 1_000_000);
+                        }
+                    }
+                });
+    }
+}
--- a/src/test/java/org/woadloom/sim/RandomScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/RandomScenariosTest.java
@@ -8,14 +8,15 @@
 import java.util.Map;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.ExtendWith;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
-import org.junit.jupiter.params.provider.ValueSource;
 import org.woadloom.store.RolloutRequest;
 
 /**
  * Seeded random days with every trouble the stand-ins know; the rules are checked after each step.
  */
+@ExtendWith(PrintReplayCommand.class)
 class RandomScenariosTest {
     private static final long TROUBLED = 180_000_000;
     private static final long QUIET = 600_000_000;
@@ -24,17 +25,17 @@
      * A few by default, so that every build tries the same days; {@code -Dseeds=500} tries more.
      */
     static LongStream seeds() {
-        return LongStream.rangeClosed(1, Long.getLong("seeds", 12));
+        return LongStream.of(Seeds.usually(12));
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
     void rulesHoldAndEveryAcceptedJobIsFinished(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
-        cluster.users(TROUBLED);
-        cluster.faults(TROUBLED);
+        cluster.users.submitUntil(TROUBLED);
+        cluster.randomFaults.startUntil(TROUBLED);
         cluster.run(TROUBLED + QUIET);
-        assertTrue(cluster.invariants.starts > 50, "only " + cluster.invariants.starts + " starts");
+        assertTrue(cluster.observed.starts > 50, "only " + cluster.observed.starts + " starts");
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
@@ -42,23 +43,23 @@
     @MethodSource("seeds")
     void rulesHoldWhileTheVersionInProductionIsReplaced(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.UPGRADE);
-        cluster.users(TROUBLED);
-        cluster.faults(TROUBLED);
+        cluster.users.submitUntil(TROUBLED);
+        cluster.randomFaults.startUntil(TROUBLED);
         cluster.upgradeNodes(TROUBLED);
         // Chains end later than single jobs.
         cluster.run(TROUBLED + 2 * QUIET);
-        assertTrue(cluster.invariants.starts > 50, "only " + cluster.invariants.starts + " starts");
-        assertTrue(cluster.invariants.releases > 0, "no job waited for another");
+        assertTrue(cluster.observed.starts > 50, "only " + cluster.observed.starts + " starts");
+        assertTrue(cluster.observed.releases > 0, "no job waited for another");
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4})
+    @MethodSource("org.woadloom.sim.Seeds#firstFour")
     void rulesHoldWhileVersion3IsReplaced(long seed) {
         ClusterSimulation cluster =
                 new ClusterSimulation(seed, Scenario.PLAIN.from(Version.AGREEING));
-        cluster.users(TROUBLED);
-        cluster.faults(TROUBLED);
+        cluster.users.submitUntil(TROUBLED);
+        cluster.randomFaults.startUntil(TROUBLED);
         cluster.upgradeNodes(TROUBLED);
         cluster.run(TROUBLED + 2 * QUIET);
         assertEquals(List.of(), cluster.unfinishedJobs());
@@ -66,12 +67,12 @@
 
     /** Any node is replaced by either version at any time; in the end all run this one. */
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4})
+    @MethodSource("org.woadloom.sim.Seeds#firstFour")
     void rulesHoldWhileVersionsChangeBothWays(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
-        cluster.users(TROUBLED);
-        cluster.faults(TROUBLED);
-        cluster.changeVersions(TROUBLED);
+        cluster.users.submitUntil(TROUBLED);
+        cluster.randomFaults.startUntil(TROUBLED);
+        cluster.randomFaults.changeVersionsUntil(TROUBLED);
         cluster.run(TROUBLED + QUIET);
         assertEquals(List.of(), cluster.unfinishedJobs());
         if (machineLife(cluster).get("held") != null) {
@@ -110,7 +111,7 @@
 
     private static void upgrade(Scenario day) {
         ClusterSimulation cluster = new ClusterSimulation(1, day);
-        cluster.users(TROUBLED);
+        cluster.users.submitUntil(TROUBLED);
         cluster.upgradeNodes(TROUBLED);
         cluster.run(TROUBLED);
     }
@@ -135,13 +136,13 @@
                             // Replicas that run in the zone when it is cut off are what the node
                             // there cares for.
                             cluster.servicesStay = true;
-                            cluster.users(TROUBLED);
+                            cluster.users.submitUntil(TROUBLED);
                             cluster.run(60_000_000);
                             assertTrue(
-                                    cluster.invariants.tasksIn("b") > 3,
+                                    cluster.observed.tasksIn("b") > 3,
                                     "hardly anything runs in the zone");
                             cluster.island("b", 70_000_000);
-                            cluster.loop.after(200_000, cluster::cancelEverything);
+                            cluster.loop.after(200_000, cluster.users::cancelAll);
                             cluster.run(TROUBLED);
                         });
         assertTrue(caught.getMessage().contains("ran_cancelled"), caught.getMessage());
@@ -182,8 +183,8 @@
                 InvariantViolation.class,
                 () -> {
                     ClusterSimulation cluster = new ClusterSimulation(1, Scenario.PLAIN.with(flaw));
-                    cluster.users(TROUBLED);
-                    cluster.invariants.calmFrom = TROUBLED;
+                    cluster.users.submitUntil(TROUBLED);
+                    cluster.observed.faultFreeFromMicros = TROUBLED;
                     cluster.run(TROUBLED + QUIET);
                 });
     }
@@ -201,10 +202,10 @@
         return assertThrows(
                 InvariantViolation.class,
                 () -> {
-                    for (long seed = 1; seed <= 40; seed++) {
+                    for (long seed : Seeds.first(40)) {
                         ClusterSimulation cluster = new ClusterSimulation(seed, day);
-                        cluster.users(TROUBLED);
-                        cluster.faults(TROUBLED);
+                        cluster.users.submitUntil(TROUBLED);
+                        cluster.randomFaults.startUntil(TROUBLED);
                         cluster.run(TROUBLED);
                     }
                 });
--- a/src/test/java/org/woadloom/sim/RolloutTest.java
+++ b/src/test/java/org/woadloom/sim/RolloutTest.java
@@ -9,9 +9,10 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.ExtendWith;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import org.junit.jupiter.params.provider.ValueSource;
+import org.junit.jupiter.params.provider.MethodSource;
 import org.woadloom.core.rollout.Feature;
 import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.store.RolloutRecord;
@@ -24,13 +25,14 @@
  * Features are rolled out while nodes, machines and the store fail; the rules are checked after
  * each step.
  */
+@ExtendWith(PrintReplayCommand.class)
 class RolloutTest {
     private static final long SECOND = 1_000_000;
     private static final long BUSY = 240 * SECOND;
 
     private static ClusterSimulation busy(long seed, Version from) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN.from(from));
-        cluster.users(BUSY);
+        cluster.users.submitUntil(BUSY);
         return cluster;
     }
 
@@ -92,12 +94,12 @@
      * of day is far off.
      */
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4, 5, 6})
+    @MethodSource("org.woadloom.sim.Seeds#firstSix")
     void stepsBackAndForthSurviveTroubles(long seed) {
         ClusterSimulation cluster = busy(seed, Version.NOW);
         cluster.clockOff[(int) (seed % ClusterSimulation.NODES)] =
                 seed % 2 == 0 ? 400 * SECOND : -400 * SECOND;
-        cluster.faults(BUSY);
+        cluster.randomFaults.startUntil(BUSY);
         long[] asks = {15, 40, 65, 110, 150};
         Verb[] verbs = {Verb.GO, Verb.BACK, Verb.GO, Verb.BACK, Verb.GO};
         for (int i = 0; i < asks.length; i++) {
@@ -152,7 +154,7 @@
 
     /** Everything goes down half-way, half of it comes back old, and the store is away as well. */
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3})
+    @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void allEndHalfWayAndHalfComeBackOld(long seed) {
         ClusterSimulation cluster = busy(seed, Version.PRODUCTION);
         cluster.run(20 * SECOND);
@@ -251,7 +253,7 @@
     void settingsThatContradictEachOtherSwitchNothing() {
         ClusterSimulation cluster = new ClusterSimulation(4, Scenario.PLAIN);
         cluster.namesOneMore[2] = true;
-        cluster.users(BUSY);
+        cluster.users.submitUntil(BUSY);
         cluster.run(60 * SECOND);
         for (Feature feature : Feature.values()) {
             assertEquals(Step.OFF, standing(cluster, feature).step(), feature.key());
--- a/src/test/java/org/woadloom/sim/Scenario.java
+++ b/src/test/java/org/woadloom/sim/Scenario.java
@@ -68,7 +68,7 @@
         return zones == 3 ? List.of("a", "b", "c") : List.of("a", "b");
     }
 
-    String yardOf(int node) {
+    String zoneOf(int node) {
         return zoneNames().get(node % zones);
     }
 
--- a/src/test/java/org/woadloom/sim/ServiceLevelTest.java
+++ b/src/test/java/org/woadloom/sim/ServiceLevelTest.java
@@ -6,9 +6,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.ExtendWith;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.junit.jupiter.params.provider.ValueSource;
+import org.junit.jupiter.params.provider.MethodSource;
 import org.woadloom.core.LogEvent;
 import org.woadloom.core.SchedulerAction;
 import org.woadloom.core.SchedulerFixture;
@@ -20,22 +21,23 @@
  * Sixteen teams of which one floods the service, while machines and controllers fail: nobody is
  * left out.
  */
+@ExtendWith(PrintReplayCommand.class)
 class ServiceLevelTest {
     private static final long TROUBLED = 180_000_000;
     private static final double LEAST = 0.5;
 
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4})
+    @MethodSource("org.woadloom.sim.Seeds#firstFour")
     void noTeamAndNoClassFallsUnderAHalf(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.CROWD);
-        cluster.users(TROUBLED, 4);
-        cluster.machineFaults(TROUBLED);
+        cluster.users.submitUntil(TROUBLED, 4);
+        cluster.randomFaults.startMachineFaultsUntil(TROUBLED);
         // The flood asks for more than there is: a part of its own jobs still waits then.
         cluster.run(TROUBLED + 120_000_000);
         Map<String, int[]> served = new TreeMap<>();
-        for (String jobId : cluster.invariants.acceptedJobs()) {
-            var job = cluster.invariants.submitted.get(jobId);
-            boolean counts = cluster.invariants.ran(jobId) || cluster.invariants.isOver(jobId);
+        for (String jobId : cluster.observed.acceptedJobs()) {
+            var job = cluster.observed.job(jobId);
+            boolean counts = cluster.observed.wasStarted(jobId) || cluster.observed.isOver(jobId);
             for (String group : new String[] {"team " + job.team(), "class " + job.jobClass()}) {
                 int[] count = served.computeIfAbsent(group, g -> new int[2]);
                 count[0]++;
@@ -75,8 +77,8 @@
                                 Scenario.Flaw.NONE,
                                 crowd));
         cluster.servicesStay = true;
-        cluster.users(TROUBLED, 3);
-        cluster.machineFaults(TROUBLED);
+        cluster.users.submitUntil(TROUBLED, 3);
+        cluster.randomFaults.startMachineFaultsUntil(TROUBLED);
         cluster.run(TROUBLED);
         int before = arraysOver(cluster, crowd);
         cluster.run(TROUBLED + 240_000_000);
@@ -87,10 +89,10 @@
     private static int arraysOver(ClusterSimulation cluster, int crowd) {
         String team = crowd == 0 ? "red" : "crowd-0";
         int over = 0;
-        for (String jobId : cluster.invariants.acceptedJobs()) {
-            var job = cluster.invariants.submitted.get(jobId);
+        for (String jobId : cluster.observed.acceptedJobs()) {
+            var job = cluster.observed.job(jobId);
             over +=
-                    job.team().equals(team) && !job.isService() && cluster.invariants.isOver(jobId)
+                    job.team().equals(team) && !job.isService() && cluster.observed.isOver(jobId)
                             ? 1
                             : 0;
         }
--- a/src/test/java/org/woadloom/sim/SimulatedAgent.java
+++ b/src/test/java/org/woadloom/sim/SimulatedAgent.java
@@ -150,9 +150,9 @@
     private void checkLease() {
         if (cluster.loop.now() - leaseFrom > cluster.settings.agents().leaseMicros()) {
             for (Task task : tasks.values()) {
-                cluster.invariants.killedByLease += task.status.equals("running") ? 1 : 0;
+                cluster.observed.killedByLease += task.status.equals("running") ? 1 : 0;
                 killedByLease += task.status.equals("running") ? 1 : 0;
-                cluster.invariants.ended(task.id, this, false);
+                cluster.invariants.onTaskEnded(task.id, this, false);
             }
             tasks.clear();
             incarnation++;
@@ -241,10 +241,7 @@
     boolean takes(JobDescription job) {
         double used = 0;
         for (Task task : tasks.values()) {
-            used +=
-                    task.status.equals("exited")
-                            ? 0
-                            : cluster.invariants.submitted.get(task.id.jobId()).cpus();
+            used += task.status.equals("exited") ? 0 : cluster.observed.job(task.id.jobId()).cpus();
         }
         return !dead
                 && !hung()
@@ -308,10 +305,7 @@
     double free() {
         double free = cpus;
         for (Task task : tasks.values()) {
-            free -=
-                    task.status.equals("exited")
-                            ? 0
-                            : cluster.invariants.submitted.get(task.id.jobId()).cpus();
+            free -= task.status.equals("exited") ? 0 : cluster.observed.job(task.id.jobId()).cpus();
         }
         return free;
     }
@@ -322,7 +316,7 @@
     double held(String team) {
         double held = 0;
         for (Task task : tasks.values()) {
-            JobDescription job = cluster.invariants.submitted.get(task.id.jobId());
+            JobDescription job = cluster.observed.job(task.id.jobId());
             held += !task.status.equals("exited") && job.team().equals(team) ? job.cpus() : 0;
         }
         return held;
@@ -333,16 +327,17 @@
                 || cluster.isBroken(Scenario.Flaw.ONE_JOB_NOT_TAKEN) && id.jobId().endsWith("7")) {
             return;
         }
-        JobDescription job = cluster.invariants.submitted.get(id.jobId());
+        JobDescription job = cluster.observed.job(id.jobId());
         if (job == null) {
-            throw new InvariantViolation("accepted_unfit", id + " is started");
+            throw new InvariantViolation(ProtocolRule.ACCEPTED_UNFIT, id + " is started");
         }
         Task task = new Task(id, attempt);
         if (present != null && !present.status.equals("exited")) {
             // The refused attempt can't be listed beside the other one in this stand-in; the leader
             // must not get here.
             throw new InvariantViolation(
-                    "ran_twice", id + " is sent to " + host + " where another attempt is");
+                    ProtocolRule.RAN_TWICE,
+                    id + " is sent to " + host + " where another attempt is");
         }
         tasks.put(id, task);
         double used = 0;
@@ -350,7 +345,7 @@
             used +=
                     other.status.equals("exited") || other == task
                             ? 0
-                            : cluster.invariants.submitted.get(other.id.jobId()).cpus();
+                            : cluster.observed.job(other.id.jobId()).cpus();
         }
         if (used + job.cpus() > cpus + 1e-6) {
             task.status = "exited";
@@ -372,11 +367,11 @@
         if (tasks.get(task.id) != task) {
             return;
         }
-        if (cluster.invariants.isDone(task.id)) {
+        if (cluster.observed.isDone(task.id)) {
             exit(task, "done");
             return;
         }
-        cluster.invariants.started(task.id, this);
+        cluster.invariants.onTaskStarted(task.id, this);
         started++;
         task.status = "running";
         changed = true;
@@ -403,14 +398,14 @@
         task.status = "exited";
         task.cause = cause;
         changed = true;
-        cluster.invariants.ended(task.id, this, cause.equals("done"));
+        cluster.invariants.onTaskEnded(task.id, this, cause.equals("done"));
     }
 
     /** The machine is gone, and everything on it. */
     void die() {
         dead = true;
         for (Task task : tasks.values()) {
-            cluster.invariants.ended(task.id, this, false);
+            cluster.invariants.onTaskEnded(task.id, this, false);
         }
         tasks.clear();
     }
--- /dev/null
+++ b/src/test/java/org/woadloom/sim/SimulatedUsers.java
@@ -0,0 +1,274 @@
+package org.woadloom.sim;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.function.Consumer;
+import org.woadloom.protocol.JobDescription;
+import org.woadloom.protocol.MalformedMessageException;
+
+/**
+ * The users of a simulated cluster: they submit jobs and pipelines, poll what was accepted, and
+ * cancel some of it, each request at a node chosen at random. {@link UserFaults} has what they do
+ * beyond that.
+ */
+final class SimulatedUsers {
+    /** For so long a user repeats a submission that gets no answer. */
+    private static final long SUBMIT_TIMEOUT_MICROS = 60_000_000;
+
+    /** For so long a user repeats a cancellation of a job that nobody knows. */
+    private static final long UNKNOWN_JOB_MICROS = 70_000_000;
+
+    private final ClusterSimulation cluster;
+    private final Random random;
+    private final UserFaults faults;
+    private int jobs;
+
+    SimulatedUsers(ClusterSimulation cluster, Random random, UserFaults faults) {
+        this.cluster = cluster;
+        this.random = random;
+        this.faults = faults;
+    }
+
+    /** Submits jobs until the given time. */
+    void submitUntil(long until) {
+        submitUntil(until, 1);
+    }
+
+    /** Submits so many times as many jobs as usual until the given time. */
+    void submitUntil(long until, int times) {
+        cluster.loop.after(
+                (300_000 + random.nextInt(2_500_000)) / times,
+                () -> {
+                    if (cluster.loop.now() < until) {
+                        newJob();
+                        submitUntil(until, times);
+                    }
+                });
+    }
+
+    String newJobId() {
+        return String.format("j-%06d", jobs++);
+    }
+
+    private void newJob() {
+        newJob(newJobId(), random.nextInt(10), List.of(), accepted -> {});
+    }
+
+    /** Submits a job; the last argument hears when it is accepted. */
+    private void newJob(String jobId, int kind, List<String> awaits, Consumer<String> onAccepted) {
+        Map<String, Object> map = new LinkedHashMap<>();
+        boolean service = kind < 3;
+        boolean gang = kind == 3;
+        map.put("uid", jobId);
+        map.put("jobclass", service ? "web" : "work");
+        map.put("crew", team());
+        map.put("shape", service ? "service" : gang ? "group" : "batch");
+        map.put("rank", service ? "critical" : random.nextBoolean() ? "high" : "standard");
+        map.put(
+                "shards",
+                (long)
+                        (service
+                                ? 1 + random.nextInt(3)
+                                : kind == 4 && cluster.scenario.upgrade()
+                                        ? 20 + random.nextInt(100)
+                                        : 1 + random.nextInt(gang ? 4 : 9)));
+        map.put(
+                "vcpus",
+                service || kind == 4 && cluster.scenario.upgrade()
+                        ? 1.0
+                        : (double) (1 << random.nextInt(awaits.isEmpty() ? 4 : 2)));
+        map.put("cards", 0.0);
+        map.put("ramGb", 2.0);
+        map.put("bundle", "img-" + random.nextInt(4));
+        map.put("pullGb", 1.0);
+        map.put("hosttypes", random.nextInt(5) == 0 ? List.of("large") : null);
+        map.put("yard", random.nextInt(8) == 0 ? "b" : null);
+        map.put("samePlace", random.nextInt(6) == 0);
+        map.put("apart", service && map.get("yard") == null && !(Boolean) map.get("samePlace"));
+        map.put("reclaimable", !service);
+        map.put("runtimeS", service ? 0.0 : 2.0 + random.nextInt(15));
+        map.put("snapshotEveryS", 0.0);
+        map.put("snapshotCostS", 0.0);
+        if (!awaits.isEmpty()) {
+            map.put("awaits", awaits);
+        }
+        try {
+            cluster.observed.recordSubmission(JobDescription.parse(map));
+        } catch (MalformedMessageException e) {
+            throw new IllegalStateException(e);
+        }
+        submit(jobId, map, cluster.loop.now() + SUBMIT_TIMEOUT_MICROS, onAccepted);
+        if (!cluster.servicesStay && (service || random.nextInt(12) == 0)) {
+            cluster.loop.after(5_000_000 + random.nextInt(60_000_000), () -> cancel(jobId));
+        }
+    }
+
+    /** Among a crowd of teams one asks for as much as all others together. */
+    private String team() {
+        if (cluster.scenario.crowd() == 0) {
+            return random.nextBoolean() ? "red" : "blue";
+        }
+        return random.nextBoolean()
+                ? "crowd-0"
+                : cluster.settings
+                        .teams()
+                        .get(random.nextInt(cluster.settings.teams().size()))
+                        .name();
+    }
+
+    void submit(String jobId, Map<String, Object> job, long until, Consumer<String> onAccepted) {
+        long sent = cluster.loop.now();
+        cluster.toNode(
+                "users",
+                random.nextInt(ClusterSimulation.NODES),
+                "POST",
+                "/v1/jobs",
+                job,
+                5_000_000,
+                (status, body) -> {
+                    onAnswer(UserRequest.SUBMIT, jobId, sent, status, body);
+                    if (status == 200 || status == 201) {
+                        poll(jobId);
+                        onAccepted.accept(jobId);
+                    } else if (cluster.loop.now() < until) {
+                        cluster.loop.after(1_000_000, () -> submit(jobId, job, until, onAccepted));
+                    }
+                });
+    }
+
+    /** Submits pipelines until the given time. */
+    void submitPipelinesUntil(long until) {
+        cluster.loop.after(
+                3_000_000 + random.nextInt(14_000_000),
+                () -> {
+                    if (cluster.loop.now() < until) {
+                        pipeline();
+                        submitPipelinesUntil(until);
+                    }
+                });
+    }
+
+    /**
+     * A chain with branches, each job submitted once those before it are accepted. Some name jobs
+     * that were there before, some have their last job only much later, and any job may be
+     * cancelled at any time.
+     */
+    private void pipeline() {
+        List<String> before = new ArrayList<>();
+        List<String> earlier = new ArrayList<>(cluster.observed.acceptedJobs());
+        earlier.removeIf(jobId -> cluster.observed.job(jobId).isService());
+        if (random.nextInt(3) == 0 && !earlier.isEmpty()) {
+            before.add(earlier.get(random.nextInt(earlier.size())));
+        }
+        stage(before, 1 + random.nextInt(5));
+    }
+
+    private void stage(List<String> before, int left) {
+        if (left == 0) {
+            return;
+        }
+        int width = 1 + random.nextInt(2);
+        List<String> accepted = new ArrayList<>();
+        for (int i = 0; i < width; i++) {
+            String jobId = newJobId();
+            List<String> awaits = new ArrayList<>(before);
+            if (awaits.size() > 1 && random.nextBoolean()) {
+                awaits.remove(random.nextInt(awaits.size()));
+            }
+            newJob(
+                    jobId,
+                    4 + random.nextInt(6),
+                    awaits,
+                    known -> {
+                        accepted.add(known);
+                        if (accepted.size() == width) {
+                            List<String> next = new ArrayList<>(accepted);
+                            if (random.nextInt(3) == 0) {
+                                next.addAll(before);
+                            }
+                            long late =
+                                    left == 2 && random.nextInt(4) == 0
+                                            ? random.nextInt(60_000_000)
+                                            : 1;
+                            cluster.loop.after(late, () -> stage(next, left - 1));
+                        }
+                    });
+            if (random.nextInt(10) == 0) {
+                cluster.loop.after(random.nextInt(40_000_000), () -> cancel(jobId));
+            }
+        }
+    }
+
+    private void poll(String jobId) {
+        long sent = cluster.loop.now();
+        cluster.toNode(
+                "users",
+                random.nextInt(ClusterSimulation.NODES),
+                "GET",
+                "/v1/jobs/" + jobId,
+                null,
+                2_000_000,
+                (status, body) -> {
+                    onAnswer(UserRequest.POLL, jobId, sent, status, body);
+                    cluster.loop.after(
+                            cluster.observed.isOver(jobId) && status == 200
+                                    ? 40_000_000
+                                    : 3_000_000,
+                            () -> poll(jobId));
+                });
+    }
+
+    /** A user gets an answer. */
+    void onAnswer(
+            UserRequest request, String jobId, long sent, int status, Map<String, Object> body) {
+        cluster.invariants.onAnswer(request, jobId, sent, status, body);
+        faults.told(jobId, status);
+    }
+
+    void cancel(String jobId) {
+        cancel(jobId, cluster.loop.now() + UNKNOWN_JOB_MICROS);
+    }
+
+    /**
+     * A job that is not known yet may be accepted still, and would run for ever if nobody asked
+     * again.
+     */
+    private void cancel(String jobId, long unknownUntil) {
+        cluster.observed.recordCancelRequest(jobId);
+        long sent = cluster.loop.now();
+        cluster.toNode(
+                "users",
+                random.nextInt(ClusterSimulation.NODES),
+                "POST",
+                "/v1/jobs/" + jobId + "/cancel",
+                Map.of(),
+                5_000_000,
+                (status, body) -> {
+                    onAnswer(UserRequest.CANCEL, jobId, sent, status, body);
+                    if (status != 200 && (status != 404 || cluster.loop.now() < unknownUntil)) {
+                        cluster.loop.after(1_000_000, () -> cancel(jobId, unknownUntil));
+                    }
+                });
+    }
+
+    /** Polls a job that nobody submitted. */
+    void pollUnknownJob() {
+        cluster.toNode(
+                "users",
+                random.nextInt(ClusterSimulation.NODES),
+                "GET",
+                "/v1/jobs/j-999999",
+                null,
+                2_000_000,
+                (status, body) ->
+                        cluster.invariants.onAnswer(UserRequest.POLL, "j-999999", 0, status, body));
+    }
+
+    /** Every user asks to cancel, on whatever node can be reached. */
+    void cancelAll() {
+        cluster.observed.acceptedJobs().forEach(this::cancel);
+    }
+}
--- a/src/test/java/org/woadloom/sim/StoredValuesGoldenTest.java
+++ b/src/test/java/org/woadloom/sim/StoredValuesGoldenTest.java
@@ -36,7 +36,7 @@
 
     private void readLetters(ClusterSimulation cluster, String format)
             throws MalformedMessageException, IOException {
-        cluster.users(DAY_MICROS);
+        cluster.users.submitUntil(DAY_MICROS);
         cluster.loop.after(DAY_MICROS / 3, () -> cluster.partition("a", "b", DAY_MICROS));
         while (cluster.loop.step(DAY_MICROS)) {
             for (int node = 0; node < ClusterSimulation.NODES; node++) {
@@ -78,7 +78,7 @@
     @Test
     void leaderTermVersionsAndRolloutAreAsRecorded() {
         ClusterSimulation cluster = new ClusterSimulation(1, Scenario.UPGRADE);
-        cluster.users(DAY_MICROS);
+        cluster.users.submitUntil(DAY_MICROS);
         cluster.upgradeNodes(DAY_MICROS);
         cluster.loop.run(2 * DAY_MICROS);
         for (String key :
--- a/src/test/java/org/woadloom/sim/ThreeZonesTest.java
+++ b/src/test/java/org/woadloom/sim/ThreeZonesTest.java
@@ -4,14 +4,16 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import org.junit.jupiter.api.extension.ExtendWith;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.junit.jupiter.params.provider.ValueSource;
+import org.junit.jupiter.params.provider.MethodSource;
 
 /**
  * Three zones with a controller in each, which fail in pairs; the rules are checked after each
  * step.
  */
+@ExtendWith(PrintReplayCommand.class)
 class ThreeZonesTest {
     private static final long AT = 60_000_000;
     private static final long QUIET = 600_000_000;
@@ -20,8 +22,8 @@
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN.inThreeZones());
         cluster.trouble = 0;
         cluster.copies = 3;
-        cluster.users(AT + 90_000_000);
-        cluster.invariants.calmFrom = AT + 180_000_000;
+        cluster.users.submitUntil(AT + 90_000_000);
+        cluster.observed.faultFreeFromMicros = AT + 180_000_000;
         cluster.run(AT);
         return cluster;
     }
@@ -44,7 +46,7 @@
     void aZoneIsCutWithItsOnlyNodeWhileTheOthersEnd(long seed, boolean leader) {
         ClusterSimulation cluster = day(seed);
         int inside = with(cluster, leader);
-        cluster.island(cluster.yardOf(inside), 60_000_000);
+        cluster.island(cluster.zoneOf(inside), 60_000_000);
         for (int i = 1; i <= 4; i++) {
             int ending = (inside + 1 + i % 2) % ClusterSimulation.NODES;
             cluster.loop.after(i * 12_000_000L, () -> cluster.end(ending, 300_000));
@@ -54,14 +56,14 @@
 
     /** Both reach the third zone: leadership settles, and nobody's work is lost. */
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4})
+    @MethodSource("org.woadloom.sim.Seeds#firstFour")
     void twoZonesCantReachEachOtherWithTheLeaderAtEitherEnd(long seed) {
         ClusterSimulation cluster = day(seed);
-        int killed = cluster.invariants.killedByLease;
+        int killed = cluster.observed.killedByLease;
         int leader = cluster.leader();
         cluster.partition(
-                cluster.yardOf(leader),
-                cluster.yardOf((leader + 1) % ClusterSimulation.NODES),
+                cluster.zoneOf(leader),
+                cluster.zoneOf((leader + 1) % ClusterSimulation.NODES),
                 35_000_000);
         if (seed % 2 == 0) {
             cluster.loop.after(10_000_000, () -> cluster.end(leader, 300_000));
@@ -70,8 +72,8 @@
         cluster.run(AT + 50_000_000);
         assertTrue(cluster.term() <= before + 1, "terms taken: " + (cluster.term() - before));
         assertTrue(
-                cluster.invariants.killedByLease <= killed + 2,
-                "tasks killed: " + (cluster.invariants.killedByLease - killed));
+                cluster.observed.killedByLease <= killed + 2,
+                "tasks killed: " + (cluster.observed.killedByLease - killed));
         untilAllIsDone(cluster);
     }
 
@@ -80,7 +82,7 @@
      * gone without notice.
      */
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3})
+    @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void allControllersEndInAnOutageAsMachinesAreTaken(long seed) {
         ClusterSimulation cluster = day(seed);
         cluster.stateOutage(12_000_000);
@@ -100,12 +102,12 @@
 
     /** Services must spread, one zone is dark, and what comes has only two left. */
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3})
+    @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void servicesThatComeWhileAZoneIsCutStartInTheOthers(long seed) {
         ClusterSimulation cluster = day(seed);
-        String dark = cluster.yardOf(with(cluster, false));
+        String dark = cluster.zoneOf(with(cluster, false));
         cluster.island(dark, 45_000_000);
-        cluster.users(cluster.loop.now() + 20_000_000, 3);
+        cluster.users.submitUntil(cluster.loop.now() + 20_000_000, 3);
         int before = cluster.rented();
         cluster.run(AT + 40_000_000);
         assertTrue(
@@ -120,14 +122,14 @@
      * them once more and halted nothing (ran_cancelled).
      */
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3})
+    @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void aNodeIsAloneInAZoneThatCantReachAnother(long seed) {
         ClusterSimulation cluster = day(seed);
         int alone = with(cluster, seed % 2 == 0);
         cluster.isolate(alone, 40_000_000);
         cluster.partition(
-                cluster.yardOf(alone),
-                cluster.yardOf((alone + 1) % ClusterSimulation.NODES),
+                cluster.zoneOf(alone),
+                cluster.zoneOf((alone + 1) % ClusterSimulation.NODES),
                 30_000_000);
         untilAllIsDone(cluster);
     }
--- a/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
@@ -7,13 +7,15 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.ExtendWith;
 import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
+import org.junit.jupiter.params.provider.MethodSource;
 
 /**
  * Workers that hear nothing, or of whom nothing is heard, and a controller that is left with its
  * workers alone.
  */
+@ExtendWith(PrintReplayCommand.class)
 class UnreachableAgentScenariosTest {
     private static final long AT = 60_000_000;
     private static final long QUIET = 600_000_000;
@@ -27,8 +29,8 @@
                                 Scenario.LONG, Scenario.LONG, Version.NOW, Scenario.Flaw.NONE, 0));
         cluster.trouble = 0;
         cluster.copies = 5;
-        cluster.users(AT + 60_000_000);
-        cluster.invariants.calmFrom = AT + 150_000_000;
+        cluster.users.submitUntil(AT + 60_000_000);
+        cluster.observed.faultFreeFromMicros = AT + 150_000_000;
         cluster.run(AT);
         return cluster;
     }
@@ -43,14 +45,14 @@
     void aZoneThatIsDeafForEightSecondsLosesNothing() {
         int wereDeaf = 0;
         int returned = 0;
-        for (long seed = 1; seed <= 6; seed++) {
+        for (long seed : Seeds.first(6)) {
             ClusterSimulation cluster = day(seed);
-            int killed = cluster.invariants.killedByLease;
+            int killed = cluster.observed.killedByLease;
             cluster.deafen("a", 1, 8_000_000);
             List<SimulatedAgent> deaf =
                     cluster.agents().stream().filter(SimulatedAgent::deaf).toList();
             cluster.run(AT + 16_000_000);
-            assertEquals(killed, cluster.invariants.killedByLease);
+            assertEquals(killed, cluster.observed.killedByLease);
             wereDeaf += deaf.size();
             returned += (int) deaf.stream().filter(agent -> agent.dead).count();
             untilAllIsDone(cluster);
@@ -60,7 +62,7 @@
     }
 
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4})
+    @MethodSource("org.woadloom.sim.Seeds#firstFour")
     void workOnMachinesThatAreDeafForThreeLeasesIsDoneElsewhere(long seed) {
         ClusterSimulation cluster = day(seed);
         cluster.deafen("a", 2, 60_000_000);
@@ -80,7 +82,7 @@
                 assertThrows(
                         InvariantViolation.class,
                         () -> {
-                            for (long seed = 1; seed <= 20; seed++) {
+                            for (long seed : Seeds.first(20)) {
                                 ClusterSimulation cluster =
                                         new ClusterSimulation(
                                                 seed,
@@ -90,7 +92,7 @@
                                                         Version.NOW,
                                                         Scenario.Flaw.DEAF_SEEM_TO_HEAR,
                                                         0));
-                                cluster.users(QUIET, 4);
+                                cluster.users.submitUntil(QUIET, 4);
                                 for (long at = AT; at < QUIET; at += 20_000_000) {
                                     cluster.loop.after(
                                             at, () -> cluster.deafen("a", 1, 12_000_000));
@@ -105,7 +107,7 @@
 
     /** A machine that stays deaf costs money for nothing, and is replaced. */
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3})
+    @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void machinesThatStayDeafAreReplaced(long seed) {
         ClusterSimulation cluster = day(seed);
         cluster.deafen("b", 3, 2 * QUIET);
@@ -117,7 +119,7 @@
     }
 
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3})
+    @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void workOnMachinesOfWhichNothingIsHeardIsDoneElsewhere(long seed) {
         ClusterSimulation cluster = day(seed);
         cluster.agents().stream()
@@ -131,18 +133,18 @@
      * no more.
      */
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4, 5, 6})
+    @MethodSource("org.woadloom.sim.Seeds#firstSix")
     void aLeaderWithItsWorkersAloneLosesThemToTheOthers(long seed) {
         ClusterSimulation cluster = day(seed);
         int alone = cluster.leader();
-        int killed = cluster.invariants.killedByLease;
+        int killed = cluster.observed.killedByLease;
         cluster.isolate(alone, 60_000_000);
         cluster.run(AT + 15_000_000);
         assertNotEquals(alone, cluster.leader());
         assertEquals(503, cluster.status(alone, "GET", "/healthz", null));
         assertEquals(200, cluster.status(cluster.leader(), "GET", "/healthz", null));
         cluster.run(AT + 60_000_000);
-        assertEquals(killed, cluster.invariants.killedByLease, "tasks killed by leases");
+        assertEquals(killed, cluster.observed.killedByLease, "tasks killed by leases");
         cluster.run(AT + 75_000_000);
         assertEquals(200, cluster.status(alone, "GET", "/healthz", null));
         untilAllIsDone(cluster);
@@ -153,18 +155,18 @@
      * leader that reaches them.
      */
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3})
+    @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void aFollowerWithItsWorkersAloneLosesThemToTheLeader(long seed) {
         ClusterSimulation cluster = day(seed);
         int leader = cluster.leader();
         int alone = (leader + 1) % ClusterSimulation.NODES;
-        int killed = cluster.invariants.killedByLease;
+        int killed = cluster.observed.killedByLease;
         cluster.isolate(alone, 60_000_000);
         cluster.run(AT + 20_000_000);
         assertEquals(503, cluster.status(alone, "GET", "/healthz", null));
         cluster.run(AT + 60_000_000);
         assertEquals(leader, cluster.leader());
-        assertEquals(killed, cluster.invariants.killedByLease, "tasks killed by leases");
+        assertEquals(killed, cluster.observed.killedByLease, "tasks killed by leases");
         untilAllIsDone(cluster);
     }
 
@@ -181,7 +183,7 @@
 
     /** Candidates, voters and former leaders end in the middle of it, and are back 50 ms later. */
     @ParameterizedTest
-    @ValueSource(longs = {1, 2, 3, 4})
+    @MethodSource("org.woadloom.sim.Seeds#firstFour")
     void nodesThatEndInTheMiddleOfElectionsEndUpWithOneLeader(long seed) {
         ClusterSimulation cluster = day(seed);
         long before = cluster.term();
--- a/src/test/java/org/woadloom/sim/UserFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/UserFaultCombinationsTest.java
@@ -5,6 +5,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.ExtendWith;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
@@ -12,8 +13,9 @@
  * What users ask meets what just happened to their jobs; that it did is counted, and the rules are
  * checked after each step.
  */
+@ExtendWith(PrintReplayCommand.class)
 class UserFaultCombinationsTest {
-    private static final int SEEDS = Integer.getInteger("seeds", 3);
+    private static final int SEEDS = 3;
     private static final long AT = 20_000_000;
     private static final long FOR = 120_000_000;
 
@@ -72,8 +74,8 @@
 
     private static ClusterSimulation day(long seed, Scenario day, Meeting meeting) {
         ClusterSimulation cluster = new ClusterSimulation(seed, day);
-        cluster.users(AT + FOR);
-        cluster.invariants.calmFrom = AT + FOR + 60_000_000;
+        cluster.users.submitUntil(AT + FOR);
+        cluster.observed.faultFreeFromMicros = AT + FOR + 60_000_000;
         cluster.loop.after(AT, () -> meeting.begin(cluster));
         // A team at its limit has work left for minutes: three tasks of its large jobs at a time.
         cluster.run(AT + FOR + 500_000_000);
@@ -83,7 +85,7 @@
     @ParameterizedTest
     @EnumSource
     void rulesHoldInEachMeeting(Meeting meeting) {
-        for (long seed = 1; seed <= SEEDS; seed++) {
+        for (long seed : Seeds.usually(SEEDS)) {
             ClusterSimulation cluster = day(seed, Scenario.PLAIN, meeting);
             assertTrue(
                     meeting.came(cluster) >= 5,
@@ -93,7 +95,7 @@
     }
 
     private static String broken(Scenario.Flaw flaw, Meeting meeting) {
-        for (long seed = 1; seed <= SEEDS; seed++) {
+        for (long seed : Seeds.usually(SEEDS)) {
             try {
                 day(seed, Scenario.PLAIN.with(flaw), meeting);
             } catch (InvariantViolation e) {
--- a/src/test/java/org/woadloom/sim/UserFaults.java
+++ b/src/test/java/org/woadloom/sim/UserFaults.java
@@ -60,7 +60,7 @@
     void told(String jobId, int status) {
         if (cluster.loop.now() >= lookUntil
                 || status != 200 && status != 201
-                || !lookedAt.add(jobId + cluster.invariants.isOver(jobId))) {
+                || !lookedAt.add(jobId + cluster.observed.isOver(jobId))) {
             return;
         }
         cluster.closeLooks++;
@@ -72,9 +72,9 @@
         }
         cluster.loop.after(
                 1 + random.nextInt(10_000),
-                () -> repeat(jobId, cluster.invariants.submitted.get(jobId).toMap()));
+                () -> repeat(jobId, cluster.observed.job(jobId).toMap()));
         if (random.nextInt(5) == 0) {
-            cluster.loop.after(1 + random.nextInt(20_000), () -> cluster.cancel(jobId));
+            cluster.loop.after(1 + random.nextInt(20_000), () -> cluster.users.cancel(jobId));
         }
     }
 
@@ -87,7 +87,8 @@
                 "/v1/jobs/" + jobId,
                 null,
                 2_000_000,
-                (status, body) -> cluster.answered("poll", jobId, sent, status, body));
+                (status, body) ->
+                        cluster.users.onAnswer(UserRequest.POLL, jobId, sent, status, body));
     }
 
     private void repeat(String jobId, Map<String, Object> job) {
@@ -99,7 +100,8 @@
                 "/v1/jobs",
                 job,
                 5_000_000,
-                (status, body) -> cluster.answered("submit", jobId, sent, status, body));
+                (status, body) ->
+                        cluster.users.onAnswer(UserRequest.SUBMIT, jobId, sent, status, body));
     }
 
     void oddRequests(long until) {
@@ -114,15 +116,14 @@
     }
 
     private void oddRequest(int kind) {
-        List<String> such = new ArrayList<>(cluster.invariants.acceptedJobs());
-        such.removeIf(jobId -> cluster.invariants.isOver(jobId) != (kind == 2));
+        List<String> such = new ArrayList<>(cluster.observed.acceptedJobs());
+        such.removeIf(jobId -> cluster.observed.isOver(jobId) != (kind == 2));
         if (kind < 3 && such.isEmpty()) {
             return;
         }
         cluster.oddRequestsMade++;
-        String jobId = kind < 3 ? such.get(random.nextInt(such.size())) : cluster.newUid();
-        Map<String, Object> job =
-                kind < 3 ? cluster.invariants.submitted.get(jobId).toMap() : plain(jobId);
+        String jobId = kind < 3 ? such.get(random.nextInt(such.size())) : cluster.users.newJobId();
+        Map<String, Object> job = kind < 3 ? cluster.observed.job(jobId).toMap() : plain(jobId);
         if (kind == 2) {
             long sent = cluster.loop.now();
             cluster.toNode(
@@ -132,7 +133,8 @@
                     "/v1/jobs/" + jobId + "/cancel",
                     Map.of(),
                     5_000_000,
-                    (status, body) -> cluster.answered("cancel", jobId, sent, status, body));
+                    (status, body) ->
+                            cluster.users.onAnswer(UserRequest.CANCEL, jobId, sent, status, body));
             return;
         }
         if (kind == 1 || kind == 4) {
@@ -142,7 +144,7 @@
             unfit(job, random.nextInt(6));
         }
         if (kind >= 3) {
-            cluster.invariants.unfit.add(jobId);
+            cluster.observed.recordUnfit(jobId);
             cluster.loop.after(
                     2_000_000, () -> ask(random.nextInt(ClusterSimulation.NODES), jobId));
         }
@@ -164,16 +166,18 @@
     }
 
     int cancelNow(int count, long hangMicros) {
-        List<String> running = new ArrayList<>(cluster.invariants.running());
+        List<String> running = new ArrayList<>(cluster.observed.runningJobs());
         Collections.shuffle(running, random);
         List<String> chosen = running.subList(0, Math.min(count, running.size()));
         if (hangMicros > 0) {
-            cluster.invariants.machinesOf(chosen).stream()
+            cluster.observed.machinesOf(chosen).stream()
                     .limit(MOST_HUNG)
                     .forEach(agent -> agent.hungUntil = cluster.loop.now() + hangMicros);
         }
         chosen.forEach(
-                jobId -> cluster.loop.after(random.nextInt(200_000), () -> cluster.cancel(jobId)));
+                jobId ->
+                        cluster.loop.after(
+                                random.nextInt(200_000), () -> cluster.users.cancel(jobId)));
         return chosen.size();
     }
 
@@ -188,7 +192,7 @@
             cluster.cancelledAtEnd++;
             cluster.loop.after(
                     random.nextBoolean() ? 1 : random.nextInt(800_000),
-                    () -> cluster.cancel(jobId));
+                    () -> cluster.users.cancel(jobId));
         }
     }
 
@@ -197,19 +201,20 @@
                 1_000_000 / perSecond,
                 () -> {
                     if (cluster.loop.now() < until) {
-                        String jobId = cluster.newUid();
+                        String jobId = cluster.users.newJobId();
                         Map<String, Object> job = plain(jobId);
                         try {
-                            cluster.invariants.submitting(JobDescription.parse(job));
+                            cluster.observed.recordSubmission(JobDescription.parse(job));
                         } catch (MalformedMessageException e) {
                             throw new IllegalStateException(e);
                         }
                         cluster.oneTaskJobsMade++;
-                        cluster.submit(jobId, job, cluster.loop.now() + 60_000_000, accepted -> {});
+                        cluster.users.submit(
+                                jobId, job, cluster.loop.now() + 60_000_000, accepted -> {});
                         if (random.nextInt(100) < ofHundredCancelled) {
                             cluster.oneTaskJobsCancelled++;
                             cluster.loop.after(
-                                    random.nextInt(6_000_000), () -> cluster.cancel(jobId));
+                                    random.nextInt(6_000_000), () -> cluster.users.cancel(jobId));
                         }
                         oneTaskJobs(perSecond, until, ofHundredCancelled);
                     }
--- a/src/test/java/org/woadloom/sim/WaitingJobs.java
+++ b/src/test/java/org/woadloom/sim/WaitingJobs.java
@@ -33,9 +33,8 @@
     }
 
     private void look() {
-        for (String jobId : cluster.invariants.acceptedJobs()) {
-            if (cluster.invariants.isOver(jobId)
-                    || !couldRun(cluster.invariants.submitted.get(jobId))) {
+        for (String jobId : cluster.observed.acceptedJobs()) {
+            if (cluster.observed.isOver(jobId) || !couldRun(cluster.observed.job(jobId))) {
                 sinceMicros.remove(jobId);
                 continue;
             }
@@ -45,10 +44,10 @@
             longestMicros = Math.max(longestMicros, waited);
             if (waited > LONGEST_MICROS) {
                 throw new InvariantViolation(
-                        "left_waiting",
+                        ProtocolRule.LEFT_WAITING,
                         jobId
                                 + " of "
-                                + cluster.invariants.submitted.get(jobId).team()
+                                + cluster.observed.job(jobId).team()
                                 + " has waited for "
                                 + waited / 1_000_000
                                 + " s while a machine has room");
@@ -62,8 +61,8 @@
         Map<String, Integer> placed = new HashMap<>();
         for (int i = 0; i < job.taskCount(); i++) {
             TaskId task = new TaskId(job.jobId(), i);
-            SimulatedAgent machine = cluster.invariants.machineOf(task);
-            waiting += machine == null && !cluster.invariants.isDone(task) ? 1 : 0;
+            SimulatedAgent machine = cluster.observed.machineOf(task);
+            waiting += machine == null && !cluster.observed.isDone(task) ? 1 : 0;
             if (machine != null) {
                 placed.merge(machine.zone, 1, Integer::sum);
             }
@@ -71,7 +70,7 @@
         int together = job.isGang() ? waiting : 1;
         double needed = together * job.cpus();
         if (waiting == 0
-                || cluster.invariants.used(job.team()) + needed
+                || cluster.observed.cpusUsedBy(job.team()) + needed
                         > cluster.settings.team(job.team()).cpusMax() + 1e-6) {
             return false;
         }
