--- a/src/main/java/org/woadloom/core/jobs/Job.java
+++ b/src/main/java/org/woadloom/core/jobs/Job.java
@@ -75,7 +75,7 @@
      *
      * @param revision the record's revision
      * @param submittedMicros when it was submitted, by the leader's clock
-     * @param jobsToPersist where the job puts itself when its record must be written
+     * @param markForPersistence is given the job when its record must be written
      */
     public Job(
             JobRecord record,
--- a/src/main/java/org/woadloom/core/jobs/JobRegistry.java
+++ b/src/main/java/org/woadloom/core/jobs/JobRegistry.java
@@ -189,7 +189,8 @@
             return null;
         }
         long age = Math.max(0, state.wallMicros() - record.submittedWallMicros());
-        Job job = new Job(record, revision, team, state.nowMicros() - age, state::markForPersistence);
+        Job job =
+                new Job(record, revision, team, state.nowMicros() - age, state::markForPersistence);
         state.addJob(job);
         state.serviceLevels().onJobAdded(job);
         state.countJobArrival();
