--- a/src/main/java/org/woadloom/core/cancellation/CancellationWatermark.java
+++ b/src/main/java/org/woadloom/core/cancellation/CancellationWatermark.java
@@ -6,31 +6,30 @@
 import org.woadloom.core.delegation.DelegationTimeouts;
 
 /**
- * The leader's low watermark of cancellations: it carries out every one that any user was told of
- * before that moment, by its own clock. A complete view of the state service moves it, and so do
- * the nodes, each by what it vouches for; the least of them counts. Nothing is concluded from
- * silence.
+ * The leader's low watermark of cancellations: the leader carries out every one that was confirmed
+ * to any user before that moment, by its own clock. A complete read of the store advances it, and
+ * so do the nodes by their reports, of which the lowest counts. Nothing is concluded from silence.
  */
 public final class CancellationWatermark {
-    private static final long NEVER = Long.MIN_VALUE / 4;
+    private static final long NEVER_MICROS = Long.MIN_VALUE / 4;
 
     private final long term;
-    private final Map<String, Holder> holders = new LinkedHashMap<>();
+    private final Map<String, NodeWatermark> nodeWatermarks = new LinkedHashMap<>();
 
-    private static final class Holder {
-        long life;
+    private static final class NodeWatermark {
+        long processId;
 
         /**
-         * Everything that this process of the node told up to this moment of its clock is carried
+         * Every cancellation that this process confirmed up to this moment of its clock is carried
          * out.
          */
-        long coveredMicros = NEVER;
+        long coveredMicros = NEVER_MICROS;
 
         /**
-         * Everything that any process of the node told up to this moment of the leader's clock is
-         * carried out.
+         * Every cancellation that any process of the node confirmed up to this moment of the
+         * leader's clock is carried out.
          */
-        long watermarkMicros = NEVER;
+        long watermarkMicros = NEVER_MICROS;
     }
 
     /**
@@ -38,10 +37,10 @@
      */
     public CancellationWatermark(long term, Iterable<String> nodes) {
         this.term = term;
-        nodes.forEach(label -> holders.put(label, new Holder()));
+        nodes.forEach(label -> nodeWatermarks.put(label, new NodeWatermark()));
     }
 
-    /** Why a vouch can't be what a node said, or null. */
+    /** Why a report can't have been sent by a node, or null if it can. */
     public static String validationError(WatermarkReport report, long nowMicros) {
         return report.sinceMicros() > report.sentMicros()
                 ? "it begins after it was said"
@@ -55,37 +54,41 @@
     }
 
     /**
-     * A node vouches; the jobs that it names must have been given to the core.
+     * Takes in a node's report; the jobs that it names must have been given to the scheduler.
      *
-     * @param seenMicros every cancellation that was made before this moment was read from the state
-     *     service
-     * @return the answer, or null where there is none
+     * @param readUpToMicros every cancellation that was made before this moment was read from the
+     *     store
+     * @return the answer, or null where the report is not taken
      */
     public WatermarkAck onReport(
             String node, WatermarkReport report, long readUpToMicros, long nowMicros) {
-        Holder holder = holders.get(node);
-        if (holder == null || report.term() != term || validationError(report, nowMicros) != null) {
+        NodeWatermark nodeWatermark = nodeWatermarks.get(node);
+        if (nodeWatermark == null
+                || report.term() != term
+                || validationError(report, nowMicros) != null) {
             return null;
         }
-        // The moment since which it is complete, by this clock, at the latest: it was said before
-        // it came.
+        // By this clock the report is complete since this moment at the latest, as it was sent
+        // before it was received.
         long completeSinceMicros =
                 nowMicros
                         - DelegationTimeouts.shortestMicros(
                                 report.sentMicros() - report.sinceMicros());
-        boolean follows =
-                holder.life == report.processId() && report.sinceMicros() <= holder.coveredMicros
-                        || completeSinceMicros <= Math.max(readUpToMicros, holder.watermarkMicros);
-        if (follows) {
-            holder.coveredMicros =
-                    holder.life == report.processId()
-                            ? Math.max(holder.coveredMicros, report.sentMicros())
+        boolean continuesEarlierReports =
+                nodeWatermark.processId == report.processId()
+                                && report.sinceMicros() <= nodeWatermark.coveredMicros
+                        || completeSinceMicros
+                                <= Math.max(readUpToMicros, nodeWatermark.watermarkMicros);
+        if (continuesEarlierReports) {
+            nodeWatermark.coveredMicros =
+                    nodeWatermark.processId == report.processId()
+                            ? Math.max(nodeWatermark.coveredMicros, report.sentMicros())
                             : report.sentMicros();
-            holder.life = report.processId();
+            nodeWatermark.processId = report.processId();
             if (report.echoedLeaderClockMicros() != WatermarkReport.NONE) {
-                holder.watermarkMicros =
+                nodeWatermark.watermarkMicros =
                         Math.max(
-                                holder.watermarkMicros,
+                                nodeWatermark.watermarkMicros,
                                 report.echoedLeaderClockMicros()
                                         + Math.max(
                                                 0,
@@ -96,25 +99,26 @@
         return new WatermarkAck(term, report.processId(), report.sentMicros(), nowMicros);
     }
 
-    /** Every cancellation that anybody was told of before this moment is carried out. */
+    /** Every cancellation that was confirmed to anybody before this moment is carried out. */
     public long watermarkMicros(long readUpToMicros) {
-        long least = Long.MAX_VALUE;
-        for (Holder holder : holders.values()) {
-            least = Math.min(least, holder.watermarkMicros);
+        long lowest = Long.MAX_VALUE;
+        for (NodeWatermark nodeWatermark : nodeWatermarks.values()) {
+            lowest = Math.min(lowest, nodeWatermark.watermarkMicros);
         }
-        return Math.max(readUpToMicros, least);
+        return Math.max(readUpToMicros, lowest);
     }
 
     /**
-     * The nodes that have vouched for the least, as an operator wants to know who holds the leader
-     * back.
+     * The nodes with the lowest watermark, as an operator wants to know which of them hold the
+     * leader back.
      */
     public List<String> laggards(long readUpToMicros) {
-        long least = watermarkMicros(readUpToMicros);
-        return holders.entrySet().stream()
+        long lowest = watermarkMicros(readUpToMicros);
+        return nodeWatermarks.entrySet().stream()
                 .filter(
                         entry ->
-                                Math.max(readUpToMicros, entry.getValue().watermarkMicros) <= least)
+                                Math.max(readUpToMicros, entry.getValue().watermarkMicros)
+                                        <= lowest)
                 .map(Map.Entry::getKey)
                 .toList();
     }
--- a/src/main/java/org/woadloom/core/cancellation/ConfirmedCancellations.java
+++ b/src/main/java/org/woadloom/core/cancellation/ConfirmedCancellations.java
@@ -7,70 +7,71 @@
 import java.util.Map;
 
 /**
- * The cancellations that a node has told of or is about to, and its promises to leaders: it tells
- * of none that the leader lacks while one relies on that. Pure: its owner brings the time and
- * carries the messages.
+ * The cancellations that a node has confirmed to users or is about to, and its promises to leaders:
+ * it confirms none that a leader lacks while that leader relies on the promise. It reads no clock
+ * and sends nothing; its owner does.
  */
 public final class ConfirmedCancellations {
-    /** What a node that the state service serves promises: less than a user waits for an answer. */
+    /** The promise of a node that the store serves: shorter than a user waits for an ack. */
     public static final long PROMISE_MICROS = 3_000_000;
 
     /**
-     * What one promises that it does not serve, which can learn of no cancellation before it does
-     * again. It bridges the time from a process's end to the first word of the next: an outage that
-     * lasts on is then no reason to stop work.
+     * The promise of a node that the store does not serve, which learns of no cancellation until it
+     * does again. It bridges the time from the end of a process to the first report of the next, so
+     * that a lasting outage of the store is no reason to stop work.
      */
     public static final long SILENT_PROMISE_MICROS = 15_000_000;
 
-    private static final long SILENT_MICROS = 1_000_000;
+    /** A store that has not answered for so long counts as not serving. */
+    private static final long STORE_SILENT_MICROS = 1_000_000;
 
     /**
-     * While the leader has not taken in for so long what somebody waits to be told of, it gets no
-     * new promise.
+     * While the leader has not acknowledged for so long what a user waits for, it gets no new
+     * promise.
      */
     private static final long OVERDUE_MICROS = 700_000;
 
     /**
-     * Only what the leader has not taken in yet is sent, and it answers within a second: more
-     * cancellations than the state service takes in that time, whatever the fleet. Beyond the bound
-     * the vouch says from when on it is complete.
+     * Only what the leader has not acknowledged is sent, and it answers within a second: these are
+     * more cancellations than the store takes in that time. Beyond the bound the report says from
+     * when on it is complete.
      */
     private static final int MAX_ENTRIES = 2_000;
 
-    private static final long NEVER = Long.MIN_VALUE / 4;
+    private static final long NEVER_MICROS = Long.MIN_VALUE / 4;
 
     /** Before every term, also that of a node that knows of none. */
     private static final long NO_TERM = -1;
 
     private final long processId;
 
-    /** By job, the first first; no two are of the same moment, nor of that of a vouch. */
+    /** By job, the earliest first; no two have the same time, nor that of a report. */
     private final LinkedHashMap<String, Entry> entries = new LinkedHashMap<>();
 
     private long latestMicros;
 
-    /** Everything that this process told after this moment is among the entries. */
+    /** Every cancellation that this process confirmed after this moment is among the entries. */
     private long completeSinceMicros;
 
     private long term;
     private String leader;
     private long echoedLeaderClockMicros = WatermarkReport.NONE;
 
-    /** All entries up to this moment are taken in by the leader of the term. */
-    private long acknowledgedMicros = NEVER;
+    /** The leader of the term has acknowledged all entries up to this moment. */
+    private long acknowledgedMicros = NEVER_MICROS;
 
     /** Until when this term's leader may rely on a promise. */
-    private long promisedUntilMicros = NEVER;
+    private long promisedUntilMicros = NEVER_MICROS;
 
     /**
-     * What nodes may still rely on as leaders of before, by node; this one's own leadership is
-     * never among them.
+     * Promises that earlier leaders may still rely on, by node; those to this node itself are never
+     * among them.
      */
     private final Map<String, OutstandingPromise> outstandingPromises = new HashMap<>();
 
     private static final class Entry {
         final long micros;
-        boolean told;
+        boolean confirmed;
 
         Entry(long micros) {
             this.micros = micros;
@@ -78,16 +79,17 @@
     }
 
     /**
-     * A promise to a leader of before.
+     * A promise to an earlier leader.
      *
-     * @param term the latest that it may be of, as far as this process knows
-     * @param inherited the process before this one may have given one too, in a term that is not
-     *     known here
+     * @param term the latest term that it may be of, as far as this process knows
+     * @param fromPredecessor whether the process before this one may have given one too, in a term
+     *     that is not known here
+     * @param untilMicros when the promise ends
      */
     private record OutstandingPromise(long term, boolean fromPredecessor, long untilMicros) {
-        /** A node says which term it knows of: no word of before a promise ends that. */
-        boolean endsAt(long itsTerm, boolean leads) {
-            return itsTerm > term && !(fromPredecessor && leads);
+        /** Whether a node that knows of this term no longer relies on the promise. */
+        boolean endsAt(long peerTerm, boolean leads) {
+            return peerTerm > term && !(fromPredecessor && leads);
         }
     }
 
@@ -107,12 +109,12 @@
         completeSinceMicros = nowMicros;
     }
 
-    /** Promises are not in use, so the process before this one has given none. */
+    /** Promises are not in use yet, so the process before this one has given none. */
     public void forgetPredecessorPromises() {
         outstandingPromises.values().removeIf(OutstandingPromise::fromPredecessor);
     }
 
-    /** The state service says that the job is cancelled, and somebody wants to know. */
+    /** The store holds the job as cancelled, and a user waits to be told so. */
     public void add(String jobId, long nowMicros) {
         if (entries.containsKey(jobId)) {
             return;
@@ -129,60 +131,60 @@
         return latestMicros;
     }
 
-    /** Whether a user may be told of an entered cancellation now; one that may counts as told. */
+    /** Whether a user may be told of an added cancellation now; if so it counts as confirmed. */
     public boolean tryConfirm(String jobId, long nowMicros) {
         Entry entry = entries.get(jobId);
         if (entry == null) {
             return false;
         }
-        entry.told |=
+        entry.confirmed |=
                 entry.micros <= acknowledgedMicros
                         ? !isPromiseOutstanding(nowMicros, leader)
                         : nowMicros > promisedUntilMicros && !isPromiseOutstanding(nowMicros, null);
-        return entry.told;
+        return entry.confirmed;
     }
 
     /**
-     * Whether any leader of before may rely on a promise, but for the node that leads now and has
-     * taken in what is asked about: whatever it was promised before, it lacks nothing.
+     * Whether any earlier leader may rely on a promise, except for the given node, which leads now
+     * and has acknowledged the entry in question.
      */
-    private boolean isPromiseOutstanding(long nowMicros, String but) {
+    private boolean isPromiseOutstanding(long nowMicros, String exceptNode) {
         return outstandingPromises.entrySet().stream()
                 .anyMatch(
                         entry ->
-                                !entry.getKey().equals(but)
+                                !entry.getKey().equals(exceptNode)
                                         && nowMicros <= entry.getValue().untilMicros);
     }
 
     /**
-     * A peer has said which term it knows of and whether it leads in that: one that leads no more
-     * relies on nothing.
+     * A peer has reported which term it knows of and whether it leads in that; one that no longer
+     * leads relies on no promise.
      */
-    public void onPeerTerm(String peer, long itsTerm, boolean leads) {
+    public void onPeerTerm(String peer, long peerTerm, boolean leads) {
         outstandingPromises.computeIfPresent(
-                peer, (node, promise) -> promise.endsAt(itsTerm, leads) ? null : promise);
-        if (peer.equals(leader) && itsTerm > term) {
-            promisedUntilMicros = NEVER;
+                peer, (node, promise) -> promise.endsAt(peerTerm, leads) ? null : promise);
+        if (peer.equals(leader) && peerTerm > term) {
+            promisedUntilMicros = NEVER_MICROS;
         }
     }
 
     /**
-     * This node itself has led and does so no more: it relies on nothing, and nobody else would
-     * ever say so.
+     * This node itself has led and no longer does: it relies on no promise, and no peer would ever
+     * report that.
      */
     public void onLeadershipLost(String self) {
         if (self.equals(leader)) {
-            promisedUntilMicros = NEVER;
+            promisedUntilMicros = NEVER_MICROS;
         }
     }
 
     /**
-     * What to say to the leader of a term, or null to that of one that is over.
+     * The report to send to the leader of a term, or null if that term is over.
      *
-     * @param stateSilentMicros for how long the state service has not served this node
+     * @param storeSilentMicros for how long the store has not served this node
      */
     public WatermarkReport nextReport(
-            String ofLeader, long ofTerm, long stateSilentMicros, long nowMicros) {
+            String ofLeader, long ofTerm, long storeSilentMicros, long nowMicros) {
         if (ofTerm < term) {
             return null;
         }
@@ -197,36 +199,36 @@
                         jobs.add(jobId);
                     }
                 });
-        long said = next(nowMicros);
+        long sentMicros = next(nowMicros);
         long promise =
                 hasOverdueEntry(nowMicros)
                         ? 0
-                        : stateSilentMicros > SILENT_MICROS
+                        : storeSilentMicros > STORE_SILENT_MICROS
                                 ? SILENT_PROMISE_MICROS
                                 : PROMISE_MICROS;
         if (promise > 0) {
-            promisedUntilMicros = Math.max(promisedUntilMicros, said + promise);
+            promisedUntilMicros = Math.max(promisedUntilMicros, sentMicros + promise);
         }
         return new WatermarkReport(
-                term, processId, said, since, echoedLeaderClockMicros, promise, jobs);
+                term, processId, sentMicros, since, echoedLeaderClockMicros, promise, jobs);
     }
 
     /**
-     * Whoever asked may have gone meanwhile: by the time he asks again the promise has to have run
-     * out.
+     * Whether a user has waited too long for the leader. The user may have given up; by the next
+     * request the promise has to have ended.
      */
     private boolean hasOverdueEntry(long nowMicros) {
         return entries.values().stream()
                 .anyMatch(
                         entry ->
-                                !entry.told
+                                !entry.confirmed
                                         && entry.micros > acknowledgedMicros
                                         && nowMicros - entry.micros > OVERDUE_MICROS);
     }
 
     /**
-     * What a new leader has read of the state service may be older than anything that was told: it
-     * gets all there is.
+     * What a new leader has read of the store may be older than any confirmation, so it is sent all
+     * entries.
      */
     private void startTerm(String newLeader, long newTerm, long nowMicros) {
         if (promisedUntilMicros >= nowMicros) {
@@ -242,16 +244,16 @@
         }
         leader = newLeader;
         term = newTerm;
-        promisedUntilMicros = NEVER;
-        acknowledgedMicros = NEVER;
+        promisedUntilMicros = NEVER_MICROS;
+        acknowledgedMicros = NEVER_MICROS;
         echoedLeaderClockMicros = WatermarkReport.NONE;
     }
 
-    /** The leader has answered. */
-    public void onAck(WatermarkAck answer) {
-        if (answer.term() == term && answer.processId() == processId) {
-            acknowledgedMicros = Math.max(acknowledgedMicros, answer.reportSentMicros());
-            echoedLeaderClockMicros = Math.max(echoedLeaderClockMicros, answer.leaderClockMicros());
+    /** Takes in the leader's answer to a report; one to another process is ignored. */
+    public void onAck(WatermarkAck ack) {
+        if (ack.term() == term && ack.processId() == processId) {
+            acknowledgedMicros = Math.max(acknowledgedMicros, ack.reportSentMicros());
+            echoedLeaderClockMicros = Math.max(echoedLeaderClockMicros, ack.leaderClockMicros());
         }
     }
 }
--- a/src/main/java/org/woadloom/core/cancellation/WatermarkReport.java
+++ b/src/main/java/org/woadloom/core/cancellation/WatermarkReport.java
@@ -3,16 +3,19 @@
 import java.util.List;
 
 /**
- * What a node vouches for to the leader: of every cancellation that it has told anybody of after
- * {@code sinceMicros} and up to {@code saidMicros} the job is named here, and until {@code
- * promiseMicros} after that it tells of none that the leader has not taken in. Times are the node's
- * own unless said otherwise.
+ * A node's report to the leader on the cancellations that it has confirmed to users. It names the
+ * job of each one that was confirmed after {@code sinceMicros} and up to {@code sentMicros}, and
+ * promises that until {@code promiseMicros} later none is confirmed that the leader has not
+ * acknowledged. Times are by the node's clock unless said otherwise.
  *
  * @param term the term of the leader that it is for
- * @param life tells the node's processes apart
- * @param echoMicros the latest time of that leader's clock that the node has seen, {@link #NONE}
- *     for none
- * @param jobs the jobs that the state service has said are cancelled
+ * @param processId tells the node's processes apart
+ * @param sentMicros when the report was sent
+ * @param sinceMicros from when on the report is complete
+ * @param echoedLeaderClockMicros the latest time of that leader's clock that the node has seen,
+ *     {@link #NONE} for none
+ * @param promiseMicros for how long the promise holds
+ * @param jobIds the jobs that the store holds as cancelled
  */
 public record WatermarkReport(
         long term,
@@ -22,5 +25,6 @@
         long echoedLeaderClockMicros,
         long promiseMicros,
         List<String> jobIds) {
+    /** No time of the leader's clock has been seen. */
     public static final long NONE = Long.MIN_VALUE;
 }
--- a/src/main/java/org/woadloom/core/rollout/ClusterMembership.java
+++ b/src/main/java/org/woadloom/core/rollout/ClusterMembership.java
@@ -4,10 +4,10 @@
 import java.util.TreeSet;
 
 /**
- * Whether a process belongs among the others, by what the stored state requires and what this
- * program knows. It begins unknown, and takes no user's request and no term before it has given its
- * word and then read the record, in that order: a leader that switches a feature on meanwhile
- * either sees the word, or is seen.
+ * Whether this process may serve, by which features the store's records require and which ones this
+ * program reads. It takes no user's request and no term before it has announced itself and then
+ * read the record of the rollout, in that order: a leader that switches a feature on meanwhile
+ * either sees the announcement, or its change is seen here.
  */
 public final class ClusterMembership {
     private final Set<String> supported;
@@ -15,28 +15,31 @@
     private Set<String> missingFeatures = Set.of();
 
     /** Why the record can't be read, or null. */
-    private String onRecordUnreadable;
+    private String unreadableReason;
 
-    public ClusterMembership(Set<String> reads) {
-        this.supported = reads;
+    /**
+     * @param supported the keys of the features that this program reads
+     */
+    public ClusterMembership(Set<String> supported) {
+        this.supported = supported;
     }
 
-    /** The record was read after this process gave its word. */
+    /** The record was read after this process announced itself. */
     public void onRecordRead() {
         isKnown = true;
     }
 
     /** The record that stands in the store now has a form that is known here. */
     public void onRecordReadable() {
-        onRecordUnreadable = null;
+        unreadableReason = null;
     }
 
-    /** The word is gone: others may have gone on without this process. */
+    /** The announcement expired: others may have moved on without this process. */
     public void onAnnouncementLost() {
         isKnown = false;
     }
 
-    /** What the record says, as it was read or as a peer tells of it. */
+    /** The features that the record requires, as it was read or as a peer reports it. */
     public void setRequired(Set<String> names) {
         Set<String> missing = new TreeSet<>(names);
         missing.removeAll(supported);
@@ -44,21 +47,21 @@
     }
 
     /** The record is of a form that this program does not know. */
-    public void onRecordUnreadable(String why) {
-        onRecordUnreadable = why;
+    public void onRecordUnreadable(String reason) {
+        unreadableReason = reason;
     }
 
+    /** Whether the record was read since this process announced itself. */
     public boolean isKnown() {
         return isKnown;
     }
 
-    /**
-     * What is required and not known here: as long as there is any, this process must not serve.
-     */
+    /** What is required and not supported here; while there is any, this process must not serve. */
     public Set<String> missingFeatures() {
-        return onRecordUnreadable == null ? missingFeatures : Set.of(onRecordUnreadable);
+        return unreadableReason == null ? missingFeatures : Set.of(unreadableReason);
     }
 
+    /** Whether this process may take users' requests and terms. */
     public boolean mayServe() {
         return isKnown && missingFeatures().isEmpty();
     }
--- a/src/main/java/org/woadloom/core/rollout/RecordMigration.java
+++ b/src/main/java/org/woadloom/core/rollout/RecordMigration.java
@@ -18,7 +18,7 @@
  * again.
  */
 final class RecordMigration {
-    private static final double LEAST_PER_SECOND = 0.2;
+    private static final double MIN_REWRITES_PER_SECOND = 0.2;
 
     private final SchedulerState state;
     private final Map<Feature, ArrayDeque<String>> waiting = new EnumMap<>(Feature.class);
@@ -77,10 +77,10 @@
         double rate =
                 state.writeBudget().hasSpare()
                         ? Math.max(
-                                LEAST_PER_SECOND,
+                                MIN_REWRITES_PER_SECOND,
                                 state.writeBudget().perSecond()
                                         * state.settings().operator().rewriteShare())
-                        : LEAST_PER_SECOND;
+                        : MIN_REWRITES_PER_SECOND;
         allowance =
                 Math.min(
                         Math.max(1, rate),
--- a/src/main/java/org/woadloom/core/slo/LargestJobsReport.java
+++ b/src/main/java/org/woadloom/core/slo/LargestJobsReport.java
@@ -12,8 +12,8 @@
 import org.woadloom.core.jobs.Job;
 
 /**
- * What became of the largest tenth of each class's jobs: whoever serves only small ones looks well
- * on average.
+ * Reports how the largest tenth of each class's jobs is served, as an average hides a scheduler
+ * that serves only small ones.
  */
 final class LargestJobsReport {
     private static final double LARGEST_SHARE = 0.1;
@@ -24,7 +24,8 @@
      */
     private static final int MAX_JOBS_PER_CLASS = 12_000;
 
-    private static final long BEGIN_MICROS = 240_000_000;
+    /** A job that waited no longer than this started in time. */
+    private static final long START_OBJECTIVE_MICROS = 240_000_000;
 
     private final Map<String, Map<String, Entry>> byClass = new TreeMap<>();
 
@@ -40,6 +41,10 @@
             sinceMicros = job.queuedSinceMicros();
         }
 
+        boolean hasStarted() {
+            return startedMicros != Job.NEVER_MICROS;
+        }
+
         long waitedMicros() {
             return startedMicros - sinceMicros;
         }
@@ -73,28 +78,36 @@
         byClass.forEach(
                 (name, jobs) -> {
                     List<Entry> largest = largest(jobs.values());
-                    int begun = 0;
-                    int done = 0;
-                    long slowest = 0;
-                    for (Entry entry : largest) {
-                        boolean hasBegun = entry.startedMicros != Job.NEVER_MICROS;
-                        begun += hasBegun && entry.waitedMicros() <= BEGIN_MICROS ? 1 : 0;
-                        done += entry.done ? 1 : 0;
-                        slowest = hasBegun ? Math.max(slowest, entry.waitedMicros()) : slowest;
-                    }
                     if (!largest.isEmpty()) {
-                        lines.add(
-                                LogEntry.info(LogEvent.LARGEST_JOBS_SERVICE_LEVEL)
-                                        .with("class", name)
-                                        .with("jobs", largest.size())
-                                        .with("started_in_time", begun)
-                                        .withSeconds("slowest_start_s", slowest)
-                                        .with("done", done));
+                        lines.add(line(name, largest));
                     }
                 });
         return lines;
     }
 
+    private static LogEntry line(String jobClass, List<Entry> largest) {
+        int startedInTime = 0;
+        int done = 0;
+        long slowestStartMicros = 0;
+        for (Entry entry : largest) {
+            if (entry.hasStarted()) {
+                slowestStartMicros = Math.max(slowestStartMicros, entry.waitedMicros());
+                if (entry.waitedMicros() <= START_OBJECTIVE_MICROS) {
+                    startedInTime++;
+                }
+            }
+            if (entry.done) {
+                done++;
+            }
+        }
+        return LogEntry.info(LogEvent.LARGEST_JOBS_SERVICE_LEVEL)
+                .with("class", jobClass)
+                .with("jobs", largest.size())
+                .with("started_in_time", startedInTime)
+                .withSeconds("slowest_start_s", slowestStartMicros)
+                .with("done", done);
+    }
+
     private static List<Entry> largest(Collection<Entry> jobs) {
         List<Entry> kept = new ArrayList<>(jobs);
         kept.removeIf(entry -> entry.cancelled);
--- a/src/main/java/org/woadloom/core/slo/ServiceLevelReport.java
+++ b/src/main/java/org/woadloom/core/slo/ServiceLevelReport.java
@@ -13,9 +13,9 @@
 import org.woadloom.core.jobs.Job;
 
 /**
- * Who is served: by team and class, how many jobs this term has known, how many of them ran as a
- * whole, how many are over, and for how long the one that waits longest has waited. It only tells;
- * nothing is decided by it.
+ * Reports, by team and class, how many jobs this term has known, how many of them had all tasks
+ * running, how many are over, and how long the one that waits longest has waited. Nothing is
+ * decided by it.
  */
 public final class ServiceLevelReport {
     private static final long PERIOD_MICROS = 60_000_000;
@@ -59,6 +59,7 @@
             int cancelled,
             long longestWaitMicros) {}
 
+    /** A report on the jobs of this state's term. */
     public ServiceLevelReport(SchedulerState state) {
         this.state = state;
         nextMicros = state.nowMicros() + PERIOD_MICROS;
@@ -70,14 +71,13 @@
                 key -> new Count(job.description.team(), job.description.jobClass()));
     }
 
+    /** The job has come into this term. */
     public void onJobAdded(Job job) {
         count(job).accepted++;
         largestJobs.onJobAdded(job);
     }
 
-    /**
-     * Looks at a job that may have all of its tasks running; to be called before they are stopped.
-     */
+    /** Notes whether all tasks of the job run or are done; to be called before they are stopped. */
     public void observe(Job job) {
         if (!job.isOver()
                 && job.runningTasks() + job.completedCount() == job.description.taskCount()
@@ -99,12 +99,17 @@
         largestJobs.observe(job);
     }
 
-    /** Once a minute, one line and one row for each team and class. */
+    /** Once a minute, logs a line and publishes a row for each team and class. */
     public void review() {
         if (state.nowMicros() < nextMicros) {
             return;
         }
         nextMicros = state.nowMicros() + PERIOD_MICROS;
+        updateCounts();
+        publish();
+    }
+
+    private void updateCounts() {
         counts.values().forEach(count -> count.longestWaitMicros = 0);
         for (Job job : state.jobs().values()) {
             observe(job);
@@ -117,6 +122,9 @@
                                 state.nowMicros() - job.queuedSinceMicros());
             }
         }
+    }
+
+    private void publish() {
         List<Row> rows = new ArrayList<>();
         for (Count count : counts.values()) {
             Row row = count.row();
