--- a/src/main/java/org/woadloom/core/machines/DirectCommands.java
+++ b/src/main/java/org/woadloom/core/machines/DirectCommands.java
@@ -59,33 +59,12 @@
     private void send(Machine machine) {
         List<TaskCommand> commands = new ArrayList<>();
         List<TaskAttempt> starts = new ArrayList<>();
-        boolean all = true;
-        if (machine.hasAcknowledgedTerm()) {
-            for (TaskAttempt attempt : machine.attempts()) {
-                if (commands.size() >= MAX_COMMANDS) {
-                    all = false;
-                    break;
-                }
-                if (attempt.stage() == Stage.READY && !attempt.isStopping()) {
-                    commands.add(TaskCommand.start(attempt.task(), attempt.attempt));
-                    starts.add(attempt);
-                } else if (attempt.isStopping()
-                        && !attempt.wasNeverSent()
-                        && attempt.stopSentMicros() < 0) {
-                    attempt.onStopSent(state.nowMicros());
-                    // Stops come first, so that the resources they free are there for the starts.
-                    commands.add(
-                            0,
-                            TaskCommand.stop(
-                                    attempt.task(), attempt.attempt, attempt.gracePeriodSeconds()));
-                }
-            }
-        }
-        if (all) {
+        boolean complete = !machine.hasAcknowledgedTerm() || collect(machine, commands, starts);
+        if (complete) {
             state.machinesWithPendingCommands().remove(machine);
         }
-        boolean tokenDue = machine.commands.takeTokenRequest();
-        if (commands.isEmpty() && !tokenDue) {
+        boolean tokenRequested = machine.commands.takeTokenRequest();
+        if (commands.isEmpty() && !tokenRequested) {
             return;
         }
         long id = state.newCommandId();
@@ -104,6 +83,29 @@
                         commands));
     }
 
+    /** Collects the commands that are due; returns false if there are more than one request has. */
+    private boolean collect(Machine machine, List<TaskCommand> commands, List<TaskAttempt> starts) {
+        for (TaskAttempt attempt : machine.attempts()) {
+            if (commands.size() >= MAX_COMMANDS) {
+                return false;
+            }
+            if (attempt.stage() == Stage.READY && !attempt.isStopping()) {
+                commands.add(TaskCommand.start(attempt.task(), attempt.attempt));
+                starts.add(attempt);
+            } else if (attempt.isStopping()
+                    && !attempt.wasNeverSent()
+                    && attempt.stopSentMicros() < 0) {
+                attempt.onStopSent(state.nowMicros());
+                // Stops come first, so that the resources they free are there for the starts.
+                commands.add(
+                        0,
+                        TaskCommand.stop(
+                                attempt.task(), attempt.attempt, attempt.gracePeriodSeconds()));
+            }
+        }
+        return true;
+    }
+
     /** Takes in an agent's answer, or that there is none. */
     public void onCompleted(SchedulerEvent.DirectCommandCompleted result) {
         Sent command = sent.remove(result.commandId());
@@ -126,25 +128,28 @@
             }
             heartbeats.apply(machine, result.heartbeat(), command.sentMicros);
         } else if (result.status() == STATUS_CONFLICT || result.status() == NOT_SENT) {
-            // Nothing was executed: the starts can be sent again as they are.
-            starts.forEach(this::returnToReady);
-            if (result.heartbeat() != null) {
-                heartbeats.apply(machine, result.heartbeat(), command.sentMicros);
-                if (!machine.liveness.hasAcknowledgedToken()) {
-                    // It was sent to another incarnation; the present one is known now.
-                    machine.requestToken();
-                }
-            }
-            machine.commands.pauseUntil(
-                    state.nowMicros()
-                            + (result.status() == STATUS_CONFLICT
-                                    ? CONFLICT_PAUSE_MICROS
-                                    : PAUSE_MICROS));
+            onNotExecuted(machine, command, result);
         } else {
             onNoAnswer(machine, starts);
         }
     }
 
+    /** Nothing was executed: the starts can be sent again as they are. */
+    private void onNotExecuted(
+            Machine machine, Sent command, SchedulerEvent.DirectCommandCompleted result) {
+        command.starts.forEach(this::returnToReady);
+        if (result.heartbeat() != null) {
+            heartbeats.apply(machine, result.heartbeat(), command.sentMicros);
+            if (!machine.liveness.hasAcknowledgedToken()) {
+                // It was sent to another incarnation; the present one is known now.
+                machine.requestToken();
+            }
+        }
+        long pauseMicros =
+                result.status() == STATUS_CONFLICT ? CONFLICT_PAUSE_MICROS : PAUSE_MICROS;
+        machine.commands.pauseUntil(state.nowMicros() + pauseMicros);
+    }
+
     private void returnToReady(TaskAttempt attempt) {
         if (attempt.stage() != Stage.SENT) {
             return;
