--- a/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
+++ b/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
@@ -16,36 +16,41 @@
 import org.woadloom.protocol.Priority;
 
 /**
- * Jobs that wait for others. A job is let go once each job before it is <em>durably</em> done: a
- * final state in the store, or a record that says all done and was acknowledged. That this leader
- * knows a job no more proves nothing, so the store is asked. If a job before it is cancelled, so is
- * the job, and whatever waits for it.
+ * Jobs that wait for their dependencies.
+ *
+ * <p>A job is unblocked once each of its dependencies is <em>durably</em> done: a final state in
+ * the store, or a record that says that all tasks are completed and was acknowledged. That this
+ * leader does not have a job proves nothing, so the store is asked. If a dependency is cancelled,
+ * so is the job, and whatever depends on it.
  */
 public final class DependencyGraph {
+    /** How many lookups in the store may be open at a time. */
     private static final int MAX_LOOKUPS = 12;
+
     private static final long LOOKUP_RETRY_MICROS = 500_000;
 
     private final SchedulerState state;
 
-    /** The jobs that wait for each job, in the order in which they came. */
+    /** By dependency, the jobs that wait for it, in the order in which they came. */
     private final Map<String, Set<Job>> dependents = new LinkedHashMap<>();
 
-    /** For each waiting job, those before it that are not known to be done. */
+    /** For each blocked job, its dependencies that are not known to be done. */
     private final Map<Job, Set<String>> unfinishedDependencies = new LinkedHashMap<>();
 
-    /** By the time of day, when the last job before a waiting job was done as far as known. */
-    private final Map<Job, Long> lastDone = new HashMap<>();
+    /** By the time of day, when the last dependency of a blocked job was done as far as known. */
+    private final Map<Job, Long> lastDoneWallMicros = new HashMap<>();
 
-    /** Jobs the store is to be asked about, and when. */
-    private final Map<String, Long> unknown = new LinkedHashMap<>();
+    /** Dependencies that the store is to be asked about, and when. */
+    private final Map<String, Long> lookUpAtMicros = new LinkedHashMap<>();
 
+    /** Dependencies that the store was asked about. */
     private final Set<String> resolving = new LinkedHashSet<>();
 
     /**
-     * Cancelled jobs whose waiters are to be cancelled as well: a list, so that no chain is too
-     * long.
+     * Cancelled jobs whose dependents are to be cancelled as well: a queue, so that no chain is too
+     * long for the stack.
      */
-    private final ArrayDeque<String> onCancelled = new ArrayDeque<>();
+    private final ArrayDeque<String> cancelledDependencies = new ArrayDeque<>();
 
     private boolean changed;
 
@@ -53,11 +58,12 @@
         this.state = state;
     }
 
+    /** How many jobs wait for dependencies. */
     public int blockedCount() {
         return unfinishedDependencies.size();
     }
 
-    /** A job has come; what it waits for may be known already, and others may wait for it. */
+    /** A job has come; its dependencies may be known already, and others may depend on it. */
     void onJobAdded(Job job) {
         if (dependents.containsKey(job.jobId())) {
             if (job.isCancelled()) {
@@ -76,29 +82,29 @@
                 LogEntry.info(LogEvent.JOB_BLOCKED)
                         .with("job", job.jobId())
                         .with("dependencies", String.join(",", job.description.dependencies())));
-        for (String before : job.description.dependencies()) {
-            dependents.computeIfAbsent(before, jobId -> new LinkedHashSet<>()).add(job);
-            Job other = state.jobs().get(before);
+        for (String dependency : job.description.dependencies()) {
+            dependents.computeIfAbsent(dependency, jobId -> new LinkedHashSet<>()).add(job);
+            Job other = state.jobs().get(dependency);
             if (other == null) {
-                unknown.putIfAbsent(before, state.nowMicros());
+                lookUpAtMicros.putIfAbsent(dependency, state.nowMicros());
             } else if (other.isCancelled()) {
-                onCancelled.add(before);
+                cancelledDependencies.add(dependency);
             } else if (other.persistence.isCompletionDurable()) {
-                onDone(before, state.wallMicros());
+                onDone(dependency, state.wallMicros());
             }
         }
     }
 
     /** A job is done, and the store says so. */
     void onDone(String jobId, long wallMicros) {
-        unknown.remove(jobId);
+        lookUpAtMicros.remove(jobId);
         Set<Job> jobs = dependents.remove(jobId);
         if (jobs == null) {
             return;
         }
         changed = true;
         for (Job job : jobs) {
-            lastDone.merge(job, wallMicros, Math::max);
+            lastDoneWallMicros.merge(job, wallMicros, Math::max);
             Set<String> left = unfinishedDependencies.get(job);
             left.remove(jobId);
             if (left.isEmpty()) {
@@ -109,7 +115,7 @@
 
     private void unblock(Job job) {
         unfinishedDependencies.remove(job);
-        long at = Math.min(state.wallMicros(), lastDone.remove(job));
+        long at = Math.min(state.wallMicros(), lastDoneWallMicros.remove(job));
         job.unblock(state.nowMicros() - (state.wallMicros() - at), at);
         state.countJobArrival();
         state.demand().add(job, state.nowMicros());
@@ -117,11 +123,11 @@
         state.log(LogEntry.info(LogEvent.JOB_UNBLOCKED).with("job", job.jobId()));
     }
 
-    /** A job is cancelled, and the store says so: whatever needs it will never run. */
+    /** A job is cancelled, and the store says so: whatever depends on it will never run. */
     void onCancelled(String jobId) {
-        unknown.remove(jobId);
+        lookUpAtMicros.remove(jobId);
         if (dependents.containsKey(jobId)) {
-            onCancelled.add(jobId);
+            cancelledDependencies.add(jobId);
         }
     }
 
@@ -132,7 +138,7 @@
             return;
         }
         if (!outcomeKnown) {
-            unknown.put(job.jobId(), state.nowMicros());
+            lookUpAtMicros.put(job.jobId(), state.nowMicros());
         } else if (job.isCancelled()) {
             onCancelled(job.jobId());
         } else {
@@ -140,10 +146,10 @@
         }
     }
 
-    /** The job itself waits no more, as it is over. */
+    /** The job itself waits for nothing more, as it is over. */
     private void forget(Job job) {
         Set<String> before = unfinishedDependencies.remove(job);
-        lastDone.remove(job);
+        lastDoneWallMicros.remove(job);
         if (before == null) {
             return;
         }
@@ -153,11 +159,12 @@
             jobs.remove(job);
             if (jobs.isEmpty()) {
                 dependents.remove(jobId);
-                unknown.remove(jobId);
+                lookUpAtMicros.remove(jobId);
             }
         }
     }
 
+    /** The store's answer about a dependency; without a clear one it is asked again. */
     public void onResolved(SchedulerEvent.DependencyResolved event) {
         String jobId = event.jobId();
         resolving.remove(jobId);
@@ -174,19 +181,28 @@
             case CANCELLED -> onCancelled(jobId);
             case OPEN, NOT_FOUND, UNREADABLE -> {
                 if (!state.jobs().containsKey(jobId)) {
-                    unknown.put(jobId, state.nowMicros() + LOOKUP_RETRY_MICROS);
+                    lookUpAtMicros.put(jobId, state.nowMicros() + LOOKUP_RETRY_MICROS);
                 }
             }
         }
     }
 
     /**
-     * Cancels what must be, asks for what is not known, and has jobs inherit from those that need
-     * them.
+     * Cancels what depends on cancelled jobs, asks the store for what is not known, and has jobs
+     * inherit from their dependents; called once a pass.
      */
     public void review() {
-        while (!onCancelled.isEmpty()) {
-            String jobId = onCancelled.poll();
+        cancelDependents();
+        resolveUnknown();
+        if (changed) {
+            changed = false;
+            propagatePriorities();
+        }
+    }
+
+    private void cancelDependents() {
+        while (!cancelledDependencies.isEmpty()) {
+            String jobId = cancelledDependencies.poll();
             for (Job job : new ArrayList<>(dependents.getOrDefault(jobId, Set.of()))) {
                 if (!job.isCancelled()) {
                     job.markCancelled();
@@ -198,71 +214,70 @@
                 }
                 forget(job);
                 if (dependents.containsKey(job.jobId())) {
-                    onCancelled.add(job.jobId());
+                    cancelledDependencies.add(job.jobId());
                 }
             }
         }
-        resolveUnknown();
-        if (changed) {
-            changed = false;
-            propagatePriorities();
-        }
     }
 
     private void resolveUnknown() {
-        if (unknown.isEmpty() || resolving.size() >= MAX_LOOKUPS) {
+        if (lookUpAtMicros.isEmpty() || resolving.size() >= MAX_LOOKUPS) {
             return;
         }
-        List<String> now = new ArrayList<>();
-        for (Map.Entry<String, Long> entry : unknown.entrySet()) {
-            if (entry.getValue() <= state.nowMicros()
-                    && resolving.size() + now.size() < MAX_LOOKUPS) {
-                now.add(entry.getKey());
-            }
-        }
-        for (String jobId : now) {
-            unknown.remove(jobId);
-            // A record that came meanwhile tells the rest by itself.
+        for (String jobId : dueLookups()) {
+            lookUpAtMicros.remove(jobId);
+            // If its record has come meanwhile, the job itself will report its end.
             if (!state.jobs().containsKey(jobId) && resolving.add(jobId)) {
                 state.emit(new SchedulerAction.ResolveDependency(jobId));
             }
         }
     }
 
+    private List<String> dueLookups() {
+        List<String> due = new ArrayList<>();
+        for (Map.Entry<String, Long> entry : lookUpAtMicros.entrySet()) {
+            if (entry.getValue() <= state.nowMicros()
+                    && resolving.size() + due.size() < MAX_LOOKUPS) {
+                due.add(entry.getKey());
+            }
+        }
+        return due;
+    }
+
     /**
-     * Each job gets the highest rank, and the earliest time by which it must be done, of all that
-     * need it: priority inheritance, and the latest start on the longest path that remains. From
-     * what waits last to what comes first.
+     * Each job gets the highest priority of all that depend on it, and the earliest deadline that
+     * leaves each of them its estimated time. Goes from dependents to dependencies.
      */
     private void propagatePriorities() {
-        Map<String, Priority> ranks = new HashMap<>();
-        Map<String, Long> dues = new HashMap<>();
+        Map<String, Priority> priorities = new HashMap<>();
+        Map<String, Long> deadlines = new HashMap<>();
         ArrayDeque<Job> open = new ArrayDeque<>(unfinishedDependencies.keySet());
         while (!open.isEmpty()) {
             Job job = open.poll();
-            Priority inherited = ranks.get(job.jobId());
+            Priority inherited = priorities.get(job.jobId());
             Priority priority =
                     inherited != null && inherited.compareTo(job.description.priority()) > 0
                             ? inherited
                             : job.description.priority();
-            long due =
+            long deadline =
                     Math.min(
                             job.ownDeadlineMicros(),
-                            dues.getOrDefault(job.jobId(), Long.MAX_VALUE));
-            long start =
-                    due == Long.MAX_VALUE
-                            ? due
-                            : due - (long) (job.description.estimatedRuntimeSeconds() * 1e6);
-            for (String before : unfinishedDependencies.get(job)) {
+                            deadlines.getOrDefault(job.jobId(), Long.MAX_VALUE));
+            long latestStart =
+                    deadline == Long.MAX_VALUE
+                            ? deadline
+                            : deadline - (long) (job.description.estimatedRuntimeSeconds() * 1e6);
+            for (String dependency : unfinishedDependencies.get(job)) {
                 boolean higher =
-                        ranks.get(before) == null || ranks.get(before).compareTo(priority) < 0;
-                boolean sooner = dues.getOrDefault(before, Long.MAX_VALUE) > start;
+                        priorities.get(dependency) == null
+                                || priorities.get(dependency).compareTo(priority) < 0;
+                boolean sooner = deadlines.getOrDefault(dependency, Long.MAX_VALUE) > latestStart;
                 if (!higher && !sooner) {
                     continue;
                 }
-                ranks.merge(before, priority, (a, b) -> a.compareTo(b) >= 0 ? a : b);
-                dues.merge(before, start, Math::min);
-                Job other = state.jobs().get(before);
+                priorities.merge(dependency, priority, (a, b) -> a.compareTo(b) >= 0 ? a : b);
+                deadlines.merge(dependency, latestStart, Math::min);
+                Job other = state.jobs().get(dependency);
                 if (other != null && unfinishedDependencies.containsKey(other)) {
                     open.add(other);
                 }
@@ -270,8 +285,8 @@
         }
         for (Job job : state.jobs().values()) {
             job.inheritFromDependents(
-                    ranks.getOrDefault(job.jobId(), job.description.priority()),
-                    dues.getOrDefault(job.jobId(), Long.MAX_VALUE));
+                    priorities.getOrDefault(job.jobId(), job.description.priority()),
+                    deadlines.getOrDefault(job.jobId(), Long.MAX_VALUE));
         }
         state.requestPlacement();
     }
--- a/src/main/java/org/woadloom/core/jobs/JobRegistry.java
+++ b/src/main/java/org/woadloom/core/jobs/JobRegistry.java
@@ -58,18 +58,27 @@
     public void onRecord(JobRecord record, long revision) {
         Job job = state.jobs().get(record.description().jobId());
         if (job == null) {
+            // One of this term, or with attempts, is a late copy of a job that is over.
             if (record.term() < state.term() && record.attempts().isEmpty()) {
-                Job created = create(record, revision);
-                if (created != null) {
-                    if (created.isOver()) {
-                        created.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
-                    }
-                    logAccepted(record.description());
-                }
-                state.requestPlacement();
+                accept(record, revision);
             }
             return;
         }
+        updateFrom(record, revision, job);
+    }
+
+    private void accept(JobRecord record, long revision) {
+        Job job = create(record, revision);
+        if (job != null) {
+            if (job.isOver()) {
+                job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
+            }
+            logAccepted(record.description());
+        }
+        state.requestPlacement();
+    }
+
+    private void updateFrom(JobRecord record, long revision, Job job) {
         PersistenceState persistence = job.persistence;
         boolean answersRead = persistence.isReading();
         if (revision < persistence.revision()) {
--- a/src/test/java/org/woadloom/core/jobs/FailoverTest.java
+++ b/src/test/java/org/woadloom/core/jobs/FailoverTest.java
@@ -77,7 +77,7 @@
         long token = leader.isUp(UP, 1);
         leader.report(message(UP, 1, 3, token));
         leader.pass(SECOND);
-        List<TaskCommand> launched =
+        List<TaskCommand> started =
                 leader.all(SchedulerAction.SendDirectCommand.class).stream()
                         .filter(sent -> sent.host().equals(UP) && !sent.commands().isEmpty())
                         .findFirst()
@@ -89,7 +89,7 @@
                         1,
                         4,
                         token,
-                        launched.stream()
+                        started.stream()
                                 .map(
                                         command ->
                                                 new TaskStatus(
@@ -102,8 +102,8 @@
         return leader;
     }
 
-    private static Set<String> launched(LeaderFixture leader) {
-        Set<String> launched = new TreeSet<>();
+    private static Set<String> started(LeaderFixture leader) {
+        Set<String> started = new TreeSet<>();
         List<TaskCommand> commands = new ArrayList<>();
         leader.all(SchedulerAction.SendDirectCommand.class)
                 .forEach(sent -> commands.addAll(sent.commands()));
@@ -111,8 +111,8 @@
                 .forEach(answer -> commands.addAll(answer.commands()));
         commands.stream()
                 .filter(command -> command.action() == TaskCommand.Action.START)
-                .forEach(command -> launched.add(command.task().toString()));
-        return launched;
+                .forEach(command -> started.add(command.task().toString()));
+        return started;
     }
 
     /** What a message of the machine that could not be asked says of the task that may be there. */
@@ -149,22 +149,22 @@
     @EnumSource
     void aTaskOfACancelledJobCountsUntilItIsProvenGone(Word word) {
         LeaderFixture leader = atItsLimit(true);
-        assertEquals(Set.of("j-000002/0"), launched(leader), "one task's room is in doubt");
+        assertEquals(Set.of("j-000002/0"), started(leader), "one task's resources are in doubt");
         leader.report(word.message);
         leader.pass(SECOND);
         assertEquals(
                 word.proof ? Set.of("j-000002/0", "j-000002/1") : Set.of("j-000002/0"),
-                launched(leader));
+                started(leader));
     }
 
-    /** It may be minutes old: its worker may be gone, and what its session was is not known. */
+    /** It may be minutes old: its agent may be gone, and its incarnation is not known. */
     @Test
     void nothingStartsWhereOnlyAnOldReportCameFrom() {
         LeaderFixture leader = new LeaderFixture(200, List.of(placed("j-000001", false)), LOST);
         leader.report(message(LOST, 1, 50, EARLIER << AgentLiveness.FENCE_BITS));
         leader.submit("j-000002", 1);
         leader.passUnanswered(20 * SECOND);
-        assertEquals(Set.of(), launched(leader));
+        assertEquals(Set.of(), started(leader));
         assertFalse(
                 leader.logged(LogEvent.LEASE_EXPIRED, "machine=" + LOST)
                         || leader.logged(LogEvent.TASK_LOST),
@@ -172,8 +172,8 @@
     }
 
     /**
-     * The deletion's answer is the proof where the worker is never heard of again, and the team has
-     * its room back in time.
+     * The deletion's answer is the proof where the agent is never heard of again, and the team has
+     * its quota back in time.
      */
     @Test
     void aTeamGetsBackWhatIsOnAMachineThatIsNeverHeardOfAgain() {
@@ -192,16 +192,16 @@
                             leader.last(SchedulerAction.AnswerHeartbeat.class).fencingToken()));
         }
         assertEquals(List.of(LOST), leader.last(SchedulerAction.DeleteMachines.class).hosts());
-        assertEquals(Set.of("j-000002/0"), launched(leader));
+        assertEquals(Set.of("j-000002/0"), started(leader));
         leader.step(new SchedulerEvent.MachineDeletionCompleted(List.of(LOST), true));
         assertTrue(
                 leader.logged(LogEvent.TASK_LOST, "machine=" + LOST, "reason=\"machine deleted\""));
     }
 
     /**
-     * An old report of session 1 came first, and the worker answers a command for that session in
-     * its second: refused, but it has seen the token. What the earlier leader launched in the
-     * second session is in that very answer.
+     * An old heartbeat of incarnation 1 came first, and the agent answers a command for that
+     * session in its second: refused, but it has seen the token. What the earlier leader started in
+     * the second session is in that very answer.
      */
     @Test
     void whatTheFirstMessageOfALaterSessionListsIsThere() {
@@ -224,7 +224,7 @@
         leader.isUp(UP, 1);
         leader.pass(SECOND);
         assertFalse(leader.logged(LogEvent.TASK_LOST));
-        assertEquals(Set.of(), launched(leader), "it runs where it was");
+        assertEquals(Set.of(), started(leader), "it runs where it was");
     }
 
     /**
--- a/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
+++ b/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
@@ -96,8 +96,8 @@
     }
 
     /**
-     * A class whose jobs find no machine, though the limit has room for them, keeps nobody waiting
-     * for long.
+     * A class whose jobs find no machine, though the limit allows them, keeps nobody waiting for
+     * long.
      */
     @Test
     void aShareThatFindsNoMachineGoesToOthers() {
--- a/src/test/java/org/woadloom/core/quota/GuaranteedQuotaTest.java
+++ b/src/test/java/org/woadloom/core/quota/GuaranteedQuotaTest.java
@@ -24,6 +24,7 @@
         first.markCompleted(0);
         fixture.advance(1_000_000);
         guarantees.update();
-        assertTrue(third.isWithinGuarantee(), "what is done needs no room any more");
+        assertTrue(
+                third.isWithinGuarantee(), "what is done takes nothing of the guarantee any more");
     }
 }
--- a/src/test/java/org/woadloom/core/quota/QuotaRotationTest.java
+++ b/src/test/java/org/woadloom/core/quota/QuotaRotationTest.java
@@ -103,20 +103,20 @@
     }
 
     /**
-     * Room that is reserved counts against the limit, so a gang that gathers and a turn would each
-     * wait for the other.
+     * What is reserved counts against the limit, so a gang that reserves and a turn would each wait
+     * for the other.
      */
     @Test
     void thereIsNoTurnWhileAnotherJobOfTheTeamHoldsRoom() {
-        Job gathers = fixture.job("j-1", 8, 1, 2);
-        reservations.reserve(gathers, machines[0], gathers.taskResources, true, true);
-        reservations.reserve(gathers, machines[1], gathers.taskResources, true, true);
+        Job reserving = fixture.job("j-1", 8, 1, 2);
+        reservations.reserve(reserving, machines[0], reserving.taskResources, true, true);
+        reservations.reserve(reserving, machines[1], reserving.taskResources, true, true);
         fixture.job("j-2", 12, 1, 1);
         fixture.advance(105_000_000);
         turns.update();
         assertEquals(
                 3,
-                gathers.allowedTasks(gathers.taskResources.times(2)),
+                reserving.allowedTasks(reserving.taskResources.times(2)),
                 "what it holds, and what is left");
     }
 
@@ -167,7 +167,7 @@
     }
 
     /**
-     * Where large jobs begin in turn after turn, what is small has its time as well, once a minute.
+     * Where large jobs start in turn after turn, what is small has its time as well, once a minute.
      */
     @Test
     void turnsThatAreUsedMakeAPauseOnceAMinute() {
--- a/src/test/java/org/woadloom/core/reservation/ReservationsTest.java
+++ b/src/test/java/org/woadloom/core/reservation/ReservationsTest.java
@@ -17,7 +17,7 @@
     private final Reservations reservations = new Reservations(fixture.state);
     private final Machine machine = fixture.machine("host-1", "a");
 
-    private static Resources room(double cpus, double gb) {
+    private static Resources amount(double cpus, double gb) {
         return new Resources((long) (cpus * 1000), 0, (long) (gb * 1000));
     }
 
@@ -27,65 +27,65 @@
         Job other = fixture.job("j-2", 4, 4, 1);
         assertEquals(
                 Phase.AVAILABLE,
-                reservations.reserve(owner, machine, room(4, 4), true, false).phase());
-        assertEquals(room(12, 28), reservations.unreserved(machine, other));
-        assertEquals(room(16, 32), reservations.unreserved(machine, owner));
+                reservations.reserve(owner, machine, amount(4, 4), true, false).phase());
+        assertEquals(amount(12, 28), reservations.unreserved(machine, other));
+        assertEquals(amount(16, 32), reservations.unreserved(machine, owner));
         assertNull(reservations.match(other, machine));
     }
 
     @Test
     void allocateOnceEndsWithItsFirstOwnerWhateverIsLeft() {
         Job owner = fixture.job("j-1", 2, 2, 2);
-        Reservation reservation = reservations.reserve(owner, machine, room(4, 4), true, false);
+        Reservation reservation = reservations.reserve(owner, machine, amount(4, 4), true, false);
         fixture.place(reservations, owner, 0, machine);
         assertEquals(Phase.SUCCEEDED, reservation.phase());
-        assertEquals(room(14, 30), reservations.unreserved(machine, fixture.job("j-2", 2, 2, 1)));
-        assertEquals(room(2, 2), owner.team.used());
+        assertEquals(amount(14, 30), reservations.unreserved(machine, fixture.job("j-2", 2, 2, 1)));
+        assertEquals(amount(2, 2), owner.team.used());
     }
 
     @Test
     void anOwnerThatNeedsMoreTakesTheRestFromTheMachine() {
         Job owner = fixture.job("j-1", 6, 1, 1);
-        Reservation reservation = reservations.reserve(owner, machine, room(4, 0), true, false);
+        Reservation reservation = reservations.reserve(owner, machine, amount(4, 0), true, false);
         fixture.place(reservations, owner, 0, machine);
-        assertEquals(room(4, 0), reservation.allocated());
-        assertEquals(room(10, 31), machine.free());
+        assertEquals(amount(4, 0), reservation.allocated());
+        assertEquals(amount(10, 31), machine.free());
     }
 
     @Test
     void reusableRoomIsDrawnByOneOwnerAfterAnother() {
         Job owner = fixture.job("j-1", 4, 0, 2);
-        Reservation reservation = reservations.reserve(owner, machine, room(8, 0), false, false);
+        Reservation reservation = reservations.reserve(owner, machine, amount(8, 0), false, false);
         fixture.place(reservations, owner, 0, machine);
         assertEquals(Phase.AVAILABLE, reservation.phase());
-        assertEquals(room(4, 0), reservation.remaining());
+        assertEquals(amount(4, 0), reservation.remaining());
         fixture.place(reservations, owner, 1, machine);
         assertEquals(Phase.SUCCEEDED, reservation.phase());
-        assertEquals(room(8, 0), owner.team.used());
+        assertEquals(amount(8, 0), owner.team.used());
     }
 
     @Test
     void aSecondOwnerDrawsWhatIsLeftAndThenTheMachine() {
         Job owner = fixture.job("j-1", 4, 0, 2);
-        Reservation reservation = reservations.reserve(owner, machine, room(6, 0), false, false);
+        Reservation reservation = reservations.reserve(owner, machine, amount(6, 0), false, false);
         fixture.place(reservations, owner, 0, machine);
         fixture.place(reservations, owner, 1, machine);
-        assertEquals(room(6, 0), reservation.allocated());
-        assertEquals(room(8, 32), machine.free());
+        assertEquals(amount(6, 0), reservation.allocated());
+        assertEquals(amount(8, 32), machine.free());
     }
 
     @Test
     void oneReusableReservationAnOwnerAndMachine() {
         Job owner = fixture.job("j-1", 2, 0, 4);
-        assertNotNull(reservations.reserve(owner, machine, room(4, 0), false, false));
-        assertNull(reservations.reserve(owner, machine, room(4, 0), false, false));
+        assertNotNull(reservations.reserve(owner, machine, amount(4, 0), false, false));
+        assertNull(reservations.reserve(owner, machine, amount(4, 0), false, false));
     }
 
     @Test
     void theReservationFromWhichMostIsDrawnIsChosen() {
         Job owner = fixture.job("j-1", 4, 0, 2);
-        reservations.reserve(owner, machine, room(1, 0), true, false);
-        Reservation larger = reservations.reserve(owner, machine, room(3, 0), true, false);
+        reservations.reserve(owner, machine, amount(1, 0), true, false);
+        Reservation larger = reservations.reserve(owner, machine, amount(3, 0), true, false);
         assertEquals(larger, reservations.match(owner, machine));
     }
 
@@ -94,8 +94,8 @@
         Job running = fixture.job("j-1", 16, 0, 1);
         var attempt = fixture.place(reservations, running, 0, machine);
         Job owner = fixture.job("j-2", 8, 0, 1);
-        assertNull(reservations.reserve(owner, machine, room(8, 0), true, false));
-        Reservation waiting = reservations.reserve(owner, machine, room(8, 0), true, true);
+        assertNull(reservations.reserve(owner, machine, amount(8, 0), true, false));
+        Reservation waiting = reservations.reserve(owner, machine, amount(8, 0), true, true);
         assertEquals(Phase.WAITING, waiting.phase());
         assertNull(reservations.match(owner, machine));
         running.remove(attempt);
@@ -106,21 +106,21 @@
     @Test
     void timeToLiveEndsAReservationUnlessItIsRenewed() {
         Job owner = fixture.job("j-1", 4, 0, 2);
-        Reservation kept = reservations.reserve(owner, machine, room(4, 0), true, false);
-        Reservation lost = reservations.reserve(owner, machine, room(4, 0), true, false);
+        Reservation kept = reservations.reserve(owner, machine, amount(4, 0), true, false);
+        Reservation lost = reservations.reserve(owner, machine, amount(4, 0), true, false);
         fixture.advance(40_000_000);
         reservations.renew(kept);
         fixture.advance(30_000_000);
         assertEquals(java.util.List.of(lost), reservations.updatePhases());
         assertEquals(Phase.FAILED, lost.phase());
         assertEquals(Phase.AVAILABLE, kept.phase());
-        assertEquals(room(4, 0), owner.team.used());
+        assertEquals(amount(4, 0), owner.team.used());
     }
 
     @Test
     void aMachineThatGoesFailsItsReservations() {
         Job owner = fixture.job("j-1", 4, 0, 1);
-        Reservation reservation = reservations.reserve(owner, machine, room(4, 0), true, false);
+        Reservation reservation = reservations.reserve(owner, machine, amount(4, 0), true, false);
         machine.decommission();
         assertEquals(java.util.List.of(reservation), reservations.updatePhases());
         assertEquals(Resources.NONE, owner.team.used());
@@ -129,8 +129,8 @@
     @Test
     void reservedRoomCountsToTheTeamsLimit() {
         Job owner = fixture.job("j-1", 16, 0, 2);
-        assertNotNull(reservations.reserve(owner, machine, room(16, 0), true, true));
+        assertNotNull(reservations.reserve(owner, machine, amount(16, 0), true, true));
         Machine second = fixture.machine("host-2", "a");
-        assertNull(reservations.reserve(owner, second, room(16, 0), true, true));
+        assertNull(reservations.reserve(owner, second, amount(16, 0), true, true));
     }
 }
