--- a/src/main/java/org/woadloom/leader/Election.java
+++ b/src/main/java/org/woadloom/leader/Election.java
@@ -17,40 +17,80 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * Who leads. The leader key hangs on a grant that the leader renews, but that is only for liveness:
- * safety comes from the term, which every leader takes anew, and from the key's stamp, on which all
- * its writes are conditional. For that reason a node may take over at any time without asking
- * whether the old leader is really gone.
+ * Elects the leader. The leader key depends on a store lease that the leader renews, but that is
+ * only for liveness: safety comes from the term, which every leader takes anew, and from the key's
+ * revision, on which all its writes are conditional. For that reason a node may take over at any
+ * time without asking whether the former leader has really ended.
+ *
+ * <table>
+ * <caption>Roles of a node, and what changes them</caption>
+ * <tr><th>from</th><th>to</th><th>when</th></tr>
+ * <tr><td>follower</td><td>candidate</td><td>the leader key is vacant, or its holder was seen to
+ *     have ended ({@link #takeOverFrom}), and the fence is open</td></tr>
+ * <tr><td>candidate</td><td>leader</td><td>the transaction that takes key and term succeeded</td></tr>
+ * <tr><td>candidate</td><td>follower</td><td>a step of the campaign failed; the key is read again
+ *     after a pause</td></tr>
+ * <tr><td>follower, candidate</td><td>leader</td><td>the key shows the term that was requested, so
+ *     the transaction succeeded though its answer is late or lost</td></tr>
+ * <tr><td>leader</td><td>follower</td><td>the key was deleted or has a later term, a peer knows a
+ *     later term, the lease has expired, or {@link #stepDown}</td></tr>
+ * </table>
  */
 public final class Election {
     private static final Logger LOG = LoggerFactory.getLogger(Election.class);
-    private static final long GRANT_MICROS = 4_000_000;
-    private static final long RENEW_MICROS = 1_000_000;
-    private static final long WATCH_MICROS = 10_000_000;
-    private static final long RETRY_MICROS = 250_000;
-    private static final long FENCED_MICROS = 20_000;
 
     /**
-     * How long a process that found its node's former leadership leaves the others to take over.
+     * The lifetime of the leader's store lease: how long a leader that has ended goes unnoticed.
      */
+    private static final long LEASE_MICROS = 4_000_000;
+
+    /** Between renewals; three may be lost before the lease expires. */
+    private static final long RENEWAL_INTERVAL_MICROS = 1_000_000;
+
+    /** How long one watch of the leader key waits for a change. */
+    private static final long WATCH_MICROS = 10_000_000;
+
+    /** The pause before a retry, with up to as much again at random so that nodes don't collide. */
+    private static final long RETRY_MICROS = 250_000;
+
+    /** How often a vacant key is tried while the fence is closed. */
+    private static final long FENCED_RETRY_MICROS = 20_000;
+
+    /** Up to how long a follower waits, at random, before it takes a key that became vacant. */
+    private static final int CAMPAIGN_JITTER_MICROS = 30_000;
+
+    /** How long a process that gives up the former leadership of its node leaves others to lead. */
     private static final long YIELD_MICROS = 250_000;
 
-    /** Whether this process may lead at all, by what the stored state requires of it. */
+    private static final String TERM = "term";
+
+    /** The revision that a key has in a condition where it must not exist. */
+    private static final long ABSENT = 0;
+
+    private static final long NO_TERM = 0;
+
+    /** Whether this process may lead, by the features that the stored state requires. */
     public interface Fence {
-        /** True once what is required was read and is known here. */
+        /** True once the required features were read and this process supports them. */
         boolean isOpen();
 
-        /** Holds as long as nothing else is required than what was read. */
+        /** Holds as long as the required features are those that were read. */
         Condition condition();
 
-        /** The condition has failed: what is required must be read again. */
+        /** The condition has failed: the required features must be read again. */
         void onConflict();
     }
 
-    /** What the node does when leadership comes and goes. */
+    /** Is told when this node gains or loses the leadership. */
     public interface Listener {
+        /**
+         * This node leads from now on.
+         *
+         * @param leaderRevision the leader key's revision, on which its writes are conditional
+         */
         void onElected(long term, long leaderRevision);
 
+        /** This node leads no more. */
         void onDeposed(String reason);
 
         /** Another leader than before is known, this node perhaps. */
@@ -72,19 +112,27 @@
     private Role role = Role.FOLLOWER;
     private long term;
     private long storeLease;
+
+    /** The leader key as far as known, null where it does not exist. */
     private LeaderKey leaderKey;
+
     private long leaderRevision;
-    private int startCampaign;
 
-    /** The term that this process has asked for, whose outcome it does not know yet; 0 for none. */
-    private long requestedTerm;
+    /** Counts the scheduled campaigns: only the last one that was scheduled is run. */
+    private int campaignNumber;
 
-    /** This process does not campaign before. */
+    /** The term that this process requested and whose outcome is unknown, or {@link #NO_TERM}. */
+    private long requestedTerm = NO_TERM;
+
+    /** This process does not campaign before this time. */
     private long campaignNotBeforeMicros = Long.MIN_VALUE / 2;
 
-    /** The highest term ever heard of: a peer may still speak of a leader that is gone. */
+    /** The highest term known: a peer may still report the leader of an earlier one. */
     private long highestTerm;
 
+    /**
+     * @param label the name of this node
+     */
     public Election(
             EventLoop loop,
             StoreClient store,
@@ -100,37 +148,42 @@
         this.listener = listener;
     }
 
+    /** Reads and watches the leader key from now on, and campaigns where it is vacant. */
     public void start() {
         readLeaderKey();
     }
 
+    /** True while this node leads as far as it knows. */
     public boolean isLeader() {
         return role == Role.LEADER;
     }
 
     /** The label of the leader as far as known, or null. */
     public String leader() {
-        return isLeader() ? label : leaderKey == null ? null : leaderKey.label();
+        if (isLeader()) {
+            return label;
+        }
+        return leaderKey == null ? null : leaderKey.label();
     }
 
     /** The term of the leader as far as known, 0 for none. */
     public long knownTerm() {
-        return leaderKey == null ? 0 : leaderKey.term();
+        return leaderKey == null ? NO_TERM : leaderKey.term();
     }
 
     /**
-     * A peer knows of a leader in a later term. That may be all this node learns while the state
-     * service refuses it alone; to lead on would keep workers from the new leader. The stamp stays
-     * as it was, so a campaign on it can only fail.
+     * A peer knows of a leader in a later term. That may be all this node learns while the store
+     * refuses it alone; to lead on would keep agents from the new leader. The known revision of the
+     * key stays as it was, so a campaign on it can only fail.
      */
-    public void onPeerLeader(String leader, long ofTerm) {
-        if (ofTerm <= highestTerm || leader.equals(label)) {
+    public void onPeerLeader(String leader, long leaderTerm) {
+        if (leaderTerm <= highestTerm || leader.equals(label)) {
             return;
         }
-        highestTerm = ofTerm;
-        LOG.info("event=leader_reported_by_peer leader={} term={}", leader, ofTerm);
-        leaderKey = new LeaderKey(leader, ofTerm);
-        stepDown(leader + " leads in term " + ofTerm);
+        highestTerm = leaderTerm;
+        LOG.info("event=leader_reported_by_peer leader={} term={}", leader, leaderTerm);
+        leaderKey = new LeaderKey(leader, leaderTerm);
+        stepDown(leader + " leads in term " + leaderTerm);
         loop.execute(listener::onLeaderChanged);
     }
 
@@ -146,9 +199,7 @@
                         onLeaderKey(null, storeRevision);
                         watch(storeRevision);
                     } else {
-                        loop.schedule(
-                                RETRY_MICROS + random.nextInt((int) RETRY_MICROS),
-                                this::readLeaderKey);
+                        loop.schedule(retryPauseMicros(), this::readLeaderKey);
                     }
                 });
     }
@@ -177,49 +228,64 @@
             return;
         }
         leaderRevision = revision;
-        LeaderKey before = leaderKey;
-        try {
-            leaderKey = value == null ? null : LeaderKey.parse(value);
-        } catch (MalformedMessageException e) {
-            leaderKey = null;
-        }
+        LeaderKey former = leaderKey;
+        leaderKey = parse(value);
         highestTerm = Math.max(highestTerm, knownTerm());
-        if (role != Role.LEADER
-                && requestedTerm == highestTerm
-                && new LeaderKey(label, requestedTerm).equals(leaderKey)) {
-            // What was asked for was carried out, and its answer is late or lost: others would wait
-            // for the grant's end.
+        if (role != Role.LEADER && isRequestedKey()) {
+            // The transaction was executed and its answer is late or lost: others would wait for
+            // the lease to expire.
             onElected(requestedTerm, revision);
             return;
         }
-        if (leaderKey != null && !leaderKey.equals(before)) {
+        if (leaderKey != null && !leaderKey.equals(former)) {
             LOG.info("event=leader_changed leader={} term={}", leaderKey.label(), leaderKey.term());
             loop.execute(listener::onLeaderChanged);
         }
-        if (role == Role.LEADER && (leaderKey == null || leaderKey.term() != term)) {
-            if (leaderKey == null || leaderKey.term() > term) {
-                stepDown(
-                        leaderKey == null
-                                ? "the leader key is gone"
-                                : leaderKey.label() + " leads");
-            }
+        if (role == Role.LEADER) {
+            stepDownIfReplaced();
         }
-        if (role == Role.FOLLOWER
-                && leaderKey != null
-                && leaderKey.label().equals(label)
-                && term == 0) {
+        if (role == Role.FOLLOWER) {
+            campaignIfVacant(former, revision);
+        }
+    }
+
+    private static LeaderKey parse(Map<String, Object> value) {
+        try {
+            return value == null ? null : LeaderKey.parse(value);
+        } catch (MalformedMessageException e) {
+            return null;
+        }
+    }
+
+    private boolean isRequestedKey() {
+        return requestedTerm == highestTerm
+                && new LeaderKey(label, requestedTerm).equals(leaderKey);
+    }
+
+    private void stepDownIfReplaced() {
+        if (leaderKey == null) {
+            stepDown("the leader key is gone");
+        } else if (leaderKey.term() > term) {
+            stepDown(leaderKey.label() + " leads");
+        }
+    }
+
+    private void campaignIfVacant(LeaderKey former, long revision) {
+        boolean isOwnKey = leaderKey != null && leaderKey.label().equals(label);
+        if (isOwnKey && term == NO_TERM) {
             yieldLeadership(revision);
-        } else if (role == Role.FOLLOWER && isVacant()) {
-            // The key names this node from before it stepped down, or nobody.
-            scheduleCampaign(leaderKey == null && before == null ? 0 : random.nextInt(30_000));
+        } else if (isVacant()) {
+            // The key names this node from before it stepped down, or does not exist.
+            boolean hasNeverExisted = leaderKey == null && former == null;
+            scheduleCampaign(hasNeverExisted ? 0 : random.nextInt(CAMPAIGN_JITTER_MICROS));
         }
     }
 
     /**
-     * The process before this one led. One that keeps ending would take over again and again, and
-     * read all records each time, while the others wait for its grant to end: leading is better
-     * left to a node that stays. The others see at once that nobody leads, and this process takes
-     * over only if none of them does.
+     * Deletes the key of this node's former process. A process that keeps ending would take over
+     * each time, and read all records, while the others wait for its lease to expire: leading is
+     * better left to a node that stays. The others see at once that nobody leads, and this process
+     * takes over only if none of them does.
      */
     private void yieldLeadership(long revision) {
         store.txn(
@@ -237,17 +303,17 @@
     }
 
     private void scheduleCampaign(long delayMicros) {
-        int expected = ++startCampaign;
+        int expected = ++campaignNumber;
         loop.schedule(
                 Math.max(Math.max(1, delayMicros), campaignNotBeforeMicros - loop.nowMicros()),
                 () -> {
-                    // A watch that was cut off tells of the old leader's end and of the new leader
-                    // in one answer.
-                    if (startCampaign == expected && role == Role.FOLLOWER && isVacant()) {
+                    // An interrupted watch gives the former leader's end and the new leader in one
+                    // answer.
+                    if (campaignNumber == expected && role == Role.FOLLOWER && isVacant()) {
                         if (fence.isOpen()) {
                             startCampaign();
                         } else {
-                            scheduleCampaign(FENCED_MICROS);
+                            scheduleCampaign(FENCED_RETRY_MICROS);
                         }
                     }
                 });
@@ -257,151 +323,167 @@
         return leaderKey == null || leaderKey.label().equals(label);
     }
 
-    /** Takes over although the leader key stands: its holder was seen to be gone. */
-    public void takeOverFrom(String gone) {
+    /** Takes over although the leader key exists, as its holder was seen to have ended. */
+    public void takeOverFrom(String formerLeader) {
         if (role == Role.FOLLOWER
                 && leaderKey != null
-                && leaderKey.label().equals(gone)
+                && leaderKey.label().equals(formerLeader)
                 && fence.isOpen()) {
-            LOG.info("event=failover_started former_leader={}", gone);
+            LOG.info("event=failover_started former_leader={}", formerLeader);
             startCampaign();
         }
     }
 
     private void startCampaign() {
         role = Role.CANDIDATE;
-        requestedTerm = 0;
-        // The key as it is now: whoever takes it meanwhile is not to be deposed by a campaign
-        // against another.
-        long leaderRevision = leaderKey == null ? 0 : this.leaderRevision;
+        requestedTerm = NO_TERM;
+        // The key as it is now: a campaign against one leader must not depose the next.
+        long revisionToReplace = leaderKey == null ? ABSENT : leaderRevision;
         store.storeLease(
-                GRANT_MICROS,
-                (result, granted) -> {
+                LEASE_MICROS,
+                (result, lease) -> {
                     if (result != Result.OK) {
                         onCampaignFailed();
                         return;
                     }
-                    storeLease = granted;
-                    store.get(
-                            RequestPriority.CONTROL,
-                            StoreKeys.TERM,
-                            (read, entry, storeRevision) -> {
-                                try {
-                                    if (read == Result.OK) {
-                                        takeTerm(
-                                                leaderRevision,
-                                                new Fields(entry.value()).integer("term") + 1,
-                                                entry.revision());
-                                    } else if (read == Result.NOT_FOUND) {
-                                        takeTerm(leaderRevision, 1, 0);
-                                    } else {
-                                        onCampaignFailed();
-                                    }
-                                } catch (MalformedMessageException e) {
-                                    LOG.error(
-                                            "event=record_unreadable key={} error=\"{}\"",
-                                            StoreKeys.TERM,
-                                            e.getMessage());
-                                    onCampaignFailed();
-                                }
-                            });
+                    storeLease = lease;
+                    readTerm(revisionToReplace);
                 });
     }
 
-    private void takeTerm(long leaderRevision, long newTerm, long termRevision) {
-        requestedTerm = newTerm;
-        Map<String, Object> termValue = new LinkedHashMap<>();
-        termValue.put("term", newTerm);
-        // Whoever takes a term has read what the stored state requires, and nothing was added to it
-        // since.
-        store.txn(
+    private void readTerm(long revisionToReplace) {
+        store.get(
                 RequestPriority.CONTROL,
-                List.of(
-                        new Condition(StoreKeys.LEADER, leaderRevision),
-                        new Condition(StoreKeys.TERM, termRevision),
-                        fence.condition()),
-                List.of(
-                        new Change(
-                                StoreKeys.LEADER,
-                                new LeaderKey(label, newTerm).toMap(),
-                                storeLease),
-                        Change.put(StoreKeys.TERM, termValue)),
-                (result, storeRevision, conflicts) -> {
-                    if (requestedTerm != newTerm) {
-                        if (result == Result.CONFLICT && role == Role.LEADER && term == newTerm) {
-                            // The key that was seen is of this node's process before, and so is the
-                            // grant that it hangs on.
-                            stepDown("the term was taken by an earlier process");
-                        }
+                StoreKeys.TERM,
+                (result, entry, storeRevision) -> {
+                    if (result == Result.NOT_FOUND) {
+                        takeTerm(revisionToReplace, 1, ABSENT);
                     } else if (result == Result.OK) {
-                        onElected(newTerm, storeRevision);
+                        onTerm(revisionToReplace, entry);
                     } else {
-                        if (conflicts.contains(fence.condition().path())) {
-                            fence.onConflict();
-                        }
-                        // Without an answer it may have been carried out; otherwise a later
-                        // campaign takes a higher term.
-                        requestedTerm = result == Result.UNKNOWN ? newTerm : 0;
                         onCampaignFailed();
                     }
                 });
     }
 
+    private void onTerm(long revisionToReplace, StoreClient.Entry entry) {
+        long lastTerm;
+        try {
+            lastTerm = new Fields(entry.value()).integer(TERM);
+        } catch (MalformedMessageException e) {
+            LOG.error(
+                    "event=record_unreadable key={} error=\"{}\"", StoreKeys.TERM, e.getMessage());
+            onCampaignFailed();
+            return;
+        }
+        takeTerm(revisionToReplace, lastTerm + 1, entry.revision());
+    }
+
+    private void takeTerm(long revisionToReplace, long newTerm, long termRevision) {
+        requestedTerm = newTerm;
+        Map<String, Object> termValue = new LinkedHashMap<>();
+        termValue.put(TERM, newTerm);
+        // Whoever takes a term has read the required features, and none was added since.
+        List<Condition> conditions =
+                List.of(
+                        new Condition(StoreKeys.LEADER, revisionToReplace),
+                        new Condition(StoreKeys.TERM, termRevision),
+                        fence.condition());
+        Map<String, Object> keyValue = new LeaderKey(label, newTerm).toMap();
+        List<Change> changes =
+                List.of(
+                        new Change(StoreKeys.LEADER, keyValue, storeLease),
+                        Change.put(StoreKeys.TERM, termValue));
+        store.txn(
+                RequestPriority.CONTROL,
+                conditions,
+                changes,
+                (result, storeRevision, conflicts) ->
+                        onTermAnswer(newTerm, result, storeRevision, conflicts));
+    }
+
+    private void onTermAnswer(
+            long newTerm, Result result, long storeRevision, List<String> conflicts) {
+        if (requestedTerm != newTerm) {
+            if (result == Result.CONFLICT && role == Role.LEADER && term == newTerm) {
+                // The key that was seen is of this node's former process, and so is the lease that
+                // it depends on.
+                stepDown("the term was taken by an earlier process");
+            }
+            return;
+        }
+        if (result == Result.OK) {
+            onElected(newTerm, storeRevision);
+            return;
+        }
+        if (conflicts.contains(fence.condition().path())) {
+            fence.onConflict();
+        }
+        // Without an answer it may have been executed; otherwise a later campaign takes a higher
+        // term.
+        requestedTerm = result == Result.UNKNOWN ? newTerm : NO_TERM;
+        onCampaignFailed();
+    }
+
     private void onCampaignFailed() {
         role = Role.FOLLOWER;
-        long pause = RETRY_MICROS + random.nextInt((int) RETRY_MICROS);
-        loop.schedule(
-                pause,
-                () ->
-                        store.get(
-                                RequestPriority.CONTROL,
-                                StoreKeys.LEADER,
-                                (result, entry, storeRevision) -> {
-                                    if (result == Result.OK) {
-                                        onLeaderKey(entry.value(), entry.revision());
-                                    } else if (result == Result.NOT_FOUND) {
-                                        onLeaderKey(null, storeRevision);
-                                    } else if (role == Role.FOLLOWER) {
-                                        onCampaignFailed();
-                                    }
-                                }));
+        loop.schedule(retryPauseMicros(), this::readKeyAfterCampaign);
+    }
+
+    private void readKeyAfterCampaign() {
+        store.get(
+                RequestPriority.CONTROL,
+                StoreKeys.LEADER,
+                (result, entry, storeRevision) -> {
+                    if (result == Result.OK) {
+                        onLeaderKey(entry.value(), entry.revision());
+                    } else if (result == Result.NOT_FOUND) {
+                        onLeaderKey(null, storeRevision);
+                    } else if (role == Role.FOLLOWER) {
+                        onCampaignFailed();
+                    }
+                });
+    }
+
+    private long retryPauseMicros() {
+        return RETRY_MICROS + random.nextInt((int) RETRY_MICROS);
     }
 
     private void onElected(long newTerm, long revision) {
         role = Role.LEADER;
-        requestedTerm = 0;
+        requestedTerm = NO_TERM;
         term = newTerm;
         highestTerm = Math.max(highestTerm, newTerm);
         leaderKey = new LeaderKey(label, newTerm);
         leaderRevision = revision;
         LOG.info("event=leader_elected term={}", newTerm);
-        // The grant may be some seconds old.
+        // The lease may be some seconds old.
         scheduleRenewal(newTerm, 1);
         listener.onElected(newTerm, revision);
         loop.execute(listener::onLeaderChanged);
     }
 
-    private void scheduleRenewal(long ofTerm, long delayMicros) {
+    private void scheduleRenewal(long renewedTerm, long delayMicros) {
         loop.schedule(
                 delayMicros,
                 () -> {
-                    if (role != Role.LEADER || term != ofTerm) {
+                    if (role != Role.LEADER || term != renewedTerm) {
                         return;
                     }
                     store.renewLease(
                             storeLease,
-                            (result, id) -> {
+                            (result, lease) -> {
                                 if (result == Result.NOT_FOUND
                                         && role == Role.LEADER
-                                        && term == ofTerm) {
+                                        && term == renewedTerm) {
                                     stepDown("the grant has ended");
                                 }
                             });
-                    scheduleRenewal(ofTerm, RENEW_MICROS);
+                    scheduleRenewal(renewedTerm, RENEWAL_INTERVAL_MICROS);
                 });
     }
 
-    /** Leads no more, for a reason that the node has seen elsewhere. */
+    /** Gives up the leadership, if this node has it, for the reason given to log and listener. */
     public void stepDown(String reason) {
         if (role != Role.LEADER) {
             return;
--- a/src/main/java/org/woadloom/leader/LeaderKey.java
+++ b/src/main/java/org/woadloom/leader/LeaderKey.java
@@ -5,17 +5,20 @@
 import org.woadloom.protocol.Fields;
 import org.woadloom.protocol.MalformedMessageException;
 
-/** The value of the leader key. */
+/** The value of the leader key: the name of the node that leads, and its term. */
 public record LeaderKey(String label, long term) {
+    private static final String LABEL = "label";
+    private static final String TERM = "term";
+
     Map<String, Object> toMap() {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("label", label);
-        map.put("term", term);
+        map.put(LABEL, label);
+        map.put(TERM, term);
         return map;
     }
 
     static LeaderKey parse(Map<String, Object> map) throws MalformedMessageException {
-        Fields f = new Fields(map);
-        return new LeaderKey(f.text("label"), f.integer("term"));
+        Fields fields = new Fields(map);
+        return new LeaderKey(fields.text(LABEL), fields.integer(TERM));
     }
 }
--- a/src/main/java/org/woadloom/leader/RecordWriter.java
+++ b/src/main/java/org/woadloom/leader/RecordWriter.java
@@ -13,43 +13,63 @@
 import org.woadloom.store.StoreLimits;
 
 /**
- * Writes a leader's records. Every transaction is conditional on the leader key's stamp, so that
- * whatever arrives after another node has taken over can only fail, and on the stamp of each record
- * it changes.
+ * Writes a leader's records. Every transaction is conditional on the leader key's revision, so that
+ * whatever arrives after another node has taken over can only fail, and on the revision of each
+ * record that it changes.
  */
 public final class RecordWriter {
-    private static final int MAX_BYTES = 56 * 1024;
+    /** Of one transaction, as far as it is not one record alone. */
+    private static final int MAX_TRANSACTION_BYTES = 56 * 1024;
+
+    /** Counted for each change beside its value: key, revision and their names. */
+    private static final int CHANGE_OVERHEAD_BYTES = 260;
+
+    private static final long NO_REVISION = 0;
 
     /** One record's write: conditions and changes that belong together. */
     public record Write(List<Condition> conditions, List<Change> changes, Outcome callback) {
+        /** About how many bytes of a transaction it takes. */
         int size() {
             int size = 0;
             for (Change change : changes) {
-                size += 260 + Cbor.jsonSize(change.value());
+                size += CHANGE_OVERHEAD_BYTES + Cbor.jsonSize(change.value());
             }
             return size;
         }
+
+        boolean hasCondition(List<String> failedKeys) {
+            return conditions.stream().anyMatch(condition -> failedKeys.contains(condition.path()));
+        }
     }
 
+    /** Receives the outcome of a write. */
     public interface Outcome {
+        /**
+         * @param revision of the written records, 0 unless they were written
+         */
         void onWritten(WriteOutcome outcome, long revision);
     }
 
     private final StoreClient store;
     private final StoreLimits limits;
-    private final long leaderStamp;
+    private final long leaderRevision;
     private final Runnable onDeposed;
     private final List<Write> urgent = new ArrayList<>();
     private final List<Write> normal = new ArrayList<>();
 
+    /**
+     * @param leaderRevision the leader key's revision since this node leads
+     * @param onDeposed run when a write shows that another node has taken over
+     */
     public RecordWriter(
-            StoreClient store, StoreLimits limits, long leaderRevision, Runnable deposed) {
+            StoreClient store, StoreLimits limits, long leaderRevision, Runnable onDeposed) {
         this.store = store;
         this.limits = limits;
-        this.leaderStamp = leaderRevision;
-        this.onDeposed = deposed;
+        this.leaderRevision = leaderRevision;
+        this.onDeposed = onDeposed;
     }
 
+    /** Adds a write, which is sent by the next {@link #flush}. */
     public void add(boolean isUrgent, Write write) {
         (isUrgent ? urgent : normal).add(write);
     }
@@ -60,15 +80,16 @@
         send(RequestPriority.NORMAL, normal);
     }
 
-    private void send(RequestPriority urgency, List<Write> writes) {
+    private void send(RequestPriority priority, List<Write> writes) {
         List<Write> batch = new ArrayList<>();
         int ops = 0;
         int bytes = 0;
         for (Write write : writes) {
             int size = write.size();
             if (!batch.isEmpty()
-                    && (ops + write.changes.size() > limits.txnOps() || bytes + size > MAX_BYTES)) {
-                writeBatch(urgency, batch);
+                    && (ops + write.changes.size() > limits.txnOps()
+                            || bytes + size > MAX_TRANSACTION_BYTES)) {
+                writeBatch(priority, batch);
                 batch = new ArrayList<>();
                 ops = 0;
                 bytes = 0;
@@ -79,50 +100,45 @@
         }
         writes.clear();
         if (!batch.isEmpty()) {
-            writeBatch(urgency, batch);
+            writeBatch(priority, batch);
         }
     }
 
-    private void writeBatch(RequestPriority urgency, List<Write> batch) {
+    private void writeBatch(RequestPriority priority, List<Write> batch) {
         List<Condition> conditions = new ArrayList<>();
         List<Change> changes = new ArrayList<>();
-        conditions.add(new Condition(StoreKeys.LEADER, leaderStamp));
+        conditions.add(new Condition(StoreKeys.LEADER, leaderRevision));
         for (Write write : batch) {
             conditions.addAll(write.conditions);
             changes.addAll(write.changes);
         }
         store.txn(
-                urgency,
+                priority,
                 conditions,
                 changes,
-                proof(changes),
+                proofKey(changes),
                 (result, storeRevision, failed) -> {
                     switch (result) {
-                        case OK ->
-                                batch.forEach(
-                                        write ->
-                                                write.callback.onWritten(
-                                                        WriteOutcome.WRITTEN, storeRevision));
-                        case CONFLICT -> onConflict(urgency, batch, failed);
+                        case OK -> complete(batch, WriteOutcome.WRITTEN, storeRevision);
+                        case CONFLICT -> onConflict(priority, batch, failed);
                         case UNAVAILABLE, NOT_FOUND ->
-                                batch.forEach(
-                                        write ->
-                                                write.callback.onWritten(
-                                                        WriteOutcome.NOT_WRITTEN, 0));
-                        case BAD -> onRefused(urgency, batch, changes);
-                        case UNKNOWN ->
-                                batch.forEach(
-                                        write -> write.callback.onWritten(WriteOutcome.UNKNOWN, 0));
+                                complete(batch, WriteOutcome.NOT_WRITTEN, NO_REVISION);
+                        case BAD -> onRefused(priority, batch, changes);
+                        case UNKNOWN -> complete(batch, WriteOutcome.UNKNOWN, NO_REVISION);
                     }
                 });
     }
 
+    private static void complete(List<Write> batch, WriteOutcome outcome, long revision) {
+        batch.forEach(write -> write.callback.onWritten(outcome, revision));
+    }
+
     /**
-     * The key of a record that nobody else can have written like this: a job's, which names the
-     * term and the version of this write. What another leader writes of a machine may well read the
-     * same.
+     * The key of a record that nobody else can have written like this, or null: a job's, which has
+     * the term and the version of this write. Another leader's record of a machine may well be
+     * equal.
      */
-    private static String proof(List<Change> changes) {
+    private static String proofKey(List<Change> changes) {
         for (Change change : changes) {
             if (change.path().startsWith(StoreKeys.JOBS) && change.value() != null) {
                 return change.path();
@@ -135,10 +151,10 @@
      * A value or the number of changes is above a limit that has fallen. Each record is tried by
      * itself, so that what is too large holds up nothing else; nothing was executed.
      */
-    private void onRefused(RequestPriority urgency, List<Write> batch, List<Change> changes) {
+    private void onRefused(RequestPriority priority, List<Write> batch, List<Change> changes) {
         if (batch.size() > 1) {
             limits.onTransactionRefused(changes.size());
-            batch.forEach(write -> writeBatch(urgency, List.of(write)));
+            batch.forEach(write -> writeBatch(priority, List.of(write)));
             return;
         }
         int largest = 0;
@@ -146,34 +162,32 @@
             largest = Math.max(largest, Cbor.jsonSize(change.value()));
         }
         limits.onValueRefused(largest);
-        batch.get(0).callback.onWritten(WriteOutcome.TOO_LARGE, 0);
+        batch.get(0).callback.onWritten(WriteOutcome.TOO_LARGE, NO_REVISION);
     }
 
-    private void onConflict(RequestPriority urgency, List<Write> batch, List<String> failed) {
+    private void onConflict(RequestPriority priority, List<Write> batch, List<String> failed) {
         if (failed.contains(StoreKeys.LEADER)) {
             onDeposed.run();
             return;
         }
         List<Write> retry = new ArrayList<>();
         for (Write write : batch) {
-            boolean mine =
-                    write.conditions.stream()
-                            .anyMatch(condition -> failed.contains(condition.path()));
-            if (mine) {
-                write.callback.onWritten(WriteOutcome.CONFLICT, 0);
+            boolean isInConflict = write.hasCondition(failed);
+            if (isInConflict) {
+                write.callback.onWritten(WriteOutcome.CONFLICT, NO_REVISION);
             } else {
                 retry.add(write);
             }
         }
         // One record's conflict must not hold up the others of the transaction.
         if (retry.size() < batch.size()) {
-            send(urgency, retry);
+            send(priority, retry);
         } else {
-            batch.forEach(write -> write.callback.onWritten(WriteOutcome.UNKNOWN, 0));
+            complete(batch, WriteOutcome.UNKNOWN, NO_REVISION);
         }
     }
 
-    /** A put of one key on condition of its stamp. */
+    /** A put of one key on condition of its revision. */
     public static Write put(
             String key, Map<String, Object> value, long revision, Outcome callback) {
         return new Write(
--- a/src/main/java/org/woadloom/store/TaskProgressCodec.java
+++ b/src/main/java/org/woadloom/store/TaskProgressCodec.java
@@ -8,26 +8,40 @@
 import java.util.BitSet;
 import java.util.Comparator;
 import java.util.List;
-import java.util.TreeMap;
 import java.util.TreeSet;
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * What is done and what is placed, as short text: a job of hundreds of tasks on as many machines
- * must fit one value of 2 KiB. After a leading version: the number of tasks at the front that are
- * done; the attempts; the machines' names, as stems with differences of their numbers; per machine
- * and attempt a group; then one symbol of a few bits for each task up to the last that is not
- * pending: pending, done, or its group. Last, the tasks that are done and still somewhere.
+ * Completed tasks and recorded attempts as short text: a job of hundreds of tasks on as many
+ * machines must fit one value of 2 KiB. The text is Base64 of, in this order:
+ *
+ * <ol>
+ *   <li>the version of the format;
+ *   <li>how many tasks at the front are done and on no machine;
+ *   <li>the distinct attempt numbers, ascending, as differences;
+ *   <li>the groups, one for each machine and attempt, sorted: the machine's name, as a stem and
+ *       differences of the number behind it, and the index of the attempt where there are several;
+ *   <li>a symbol of a few bits for each task up to the last that is not pending: pending, done, or
+ *       its group;
+ *   <li>the tasks that are done and still on a machine, as differences.
+ * </ol>
+ *
+ * Numbers are of variable length, seven bits a byte, the lowest first.
  */
 public final class TaskProgressCodec {
     private static final int VERSION = 1;
+
+    // Symbols of tasks.
     private static final int PENDING = 0;
     private static final int DONE = 1;
     private static final int FIRST_GROUP = 2;
-    private static final int MOST_DIGITS = 17;
+
+    /** Digits at a name's end that are taken as its number: as many as surely fit a long. */
+    private static final int MAX_DIGITS = 17;
 
     private TaskProgressCodec() {}
 
+    /** What a text holds. */
     record Decoded(BitSet done, List<JobRecord.RecordedAttempt> placed) {}
 
     /**
@@ -37,7 +51,7 @@
         static Name of(String host) {
             int from = host.length();
             while (from > 0
-                    && host.length() - from < MOST_DIGITS
+                    && host.length() - from < MAX_DIGITS
                     && Character.digit(host.charAt(from - 1), 10) >= 0
                     && host.charAt(from - 1) < 128) {
                 from--;
@@ -72,82 +86,112 @@
     private record Group(Name name, long attempt, BitSet tasks) {}
 
     static String encode(BitSet done, List<JobRecord.RecordedAttempt> placed) {
-        List<Group> groups = new ArrayList<>();
+        List<Group> groups = sortedGroups(placed);
         TreeSet<Long> attempts = new TreeSet<>();
         int end = done.length();
-        for (JobRecord.RecordedAttempt p : placed) {
-            groups.add(new Group(Name.of(p.host()), p.attempt(), p.tasks()));
-            attempts.add(p.attempt());
-            end = Math.max(end, p.tasks().length());
-        }
-        groups.sort(Comparator.comparing(Group::name).thenComparingLong(Group::attempt));
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        number(out, VERSION);
         int front = done.nextClearBit(0);
         for (Group group : groups) {
-            // What is done and still somewhere needs its symbol.
+            attempts.add(group.attempt);
+            end = Math.max(end, group.tasks.length());
+            // A task that is done and still on a machine needs its symbol.
             int first = group.tasks.nextSetBit(0);
             front = first < 0 ? front : Math.min(front, first);
         }
-        number(out, front);
-        number(out, attempts.size());
-        List<Long> order = new ArrayList<>(attempts);
+        ByteArrayOutputStream out = new ByteArrayOutputStream();
+        writeNumber(out, VERSION);
+        writeNumber(out, front);
+        List<Long> attemptOrder = new ArrayList<>(attempts);
+        writeAttempts(out, attemptOrder);
+        writeGroups(out, groups, attemptOrder);
+        TreeSet<Integer> doneOnMachine = new TreeSet<>();
+        int[] symbols = symbols(done, groups, front, end, doneOnMachine);
+        writeNumber(out, symbols.length);
+        writeSymbols(out, symbols, bits(groups.size()));
+        writeTasks(out, doneOnMachine);
+        return Base64.getEncoder().withoutPadding().encodeToString(out.toByteArray());
+    }
+
+    private static List<Group> sortedGroups(List<JobRecord.RecordedAttempt> placed) {
+        List<Group> groups = new ArrayList<>();
+        for (JobRecord.RecordedAttempt recorded : placed) {
+            groups.add(new Group(Name.of(recorded.host()), recorded.attempt(), recorded.tasks()));
+        }
+        groups.sort(Comparator.comparing(Group::name).thenComparingLong(Group::attempt));
+        return groups;
+    }
+
+    private static void writeAttempts(ByteArrayOutputStream out, List<Long> attempts) {
+        writeNumber(out, attempts.size());
         long last = 0;
-        for (long attempt : order) {
-            number(out, attempt - last);
+        for (long attempt : attempts) {
+            writeNumber(out, attempt - last);
             last = attempt;
         }
-        number(out, groups.size());
-        Name before = null;
+    }
+
+    private static void writeGroups(
+            ByteArrayOutputStream out, List<Group> groups, List<Long> attempts) {
+        writeNumber(out, groups.size());
+        Name last = null;
         for (Group group : groups) {
-            // A difference of 0 begins a new stem; the same machine again counts as 1.
-            if (group.name.sameStem(before)) {
-                number(out, group.name.number - before.number + 1);
+            // A difference of 0 starts a new stem, so the same machine counts as 1.
+            if (group.name.sameStem(last)) {
+                writeNumber(out, group.name.number - last.number + 1);
             } else {
-                number(out, 0);
-                text(out, group.name.stem);
-                number(out, group.name.digits);
-                number(out, group.name.number);
+                writeNumber(out, 0);
+                writeText(out, group.name.stem);
+                writeNumber(out, group.name.digits);
+                writeNumber(out, group.name.number);
             }
-            before = group.name;
-            if (order.size() > 1) {
-                number(out, order.indexOf(group.attempt));
+            last = group.name;
+            if (attempts.size() > 1) {
+                writeNumber(out, attempts.indexOf(group.attempt));
             }
         }
-        TreeMap<Integer, Integer> both = new TreeMap<>();
+    }
+
+    /**
+     * The symbols of the tasks from front to end.
+     *
+     * @param doneOnMachine receives the tasks that are done and in a group
+     */
+    private static int[] symbols(
+            BitSet done, List<Group> groups, int front, int end, TreeSet<Integer> doneOnMachine) {
         int[] symbols = new int[Math.max(0, end - front)];
         for (int i = 0; i < symbols.length; i++) {
             symbols[i] = done.get(front + i) ? DONE : PENDING;
         }
         for (int g = 0; g < groups.size(); g++) {
             BitSet tasks = groups.get(g).tasks;
-            for (int i = tasks.nextSetBit(0); i >= 0; i = tasks.nextSetBit(i + 1)) {
-                if (symbols[i - front] >= FIRST_GROUP) {
-                    throw new IllegalArgumentException("task " + i + " is placed twice");
+            for (int task = tasks.nextSetBit(0); task >= 0; task = tasks.nextSetBit(task + 1)) {
+                int symbol = symbols[task - front];
+                if (symbol >= FIRST_GROUP) {
+                    throw new IllegalArgumentException("task " + task + " is placed twice");
                 }
-                if (symbols[i - front] == DONE) {
-                    both.put(i, g);
+                if (symbol == DONE) {
+                    doneOnMachine.add(task);
                 }
-                symbols[i - front] = FIRST_GROUP + g;
+                symbols[task - front] = FIRST_GROUP + g;
             }
         }
-        number(out, symbols.length);
-        pack(out, symbols, bits(groups.size()));
-        number(out, both.size());
-        int at = 0;
-        for (int i : both.keySet()) {
-            number(out, i - at);
-            at = i;
+        return symbols;
+    }
+
+    private static void writeTasks(ByteArrayOutputStream out, TreeSet<Integer> tasks) {
+        writeNumber(out, tasks.size());
+        int last = 0;
+        for (int task : tasks) {
+            writeNumber(out, task - last);
+            last = task;
         }
-        return Base64.getEncoder().withoutPadding().encodeToString(out.toByteArray());
     }
 
-    /** How many bits a task's symbol takes beside so many groups. */
+    /** How many bits a task's symbol takes where there are so many groups. */
     public static int bits(int groups) {
         return Integer.SIZE - Integer.numberOfLeadingZeros(FIRST_GROUP + groups - 1);
     }
 
-    private static void number(ByteArrayOutputStream out, long value) {
+    private static void writeNumber(ByteArrayOutputStream out, long value) {
         long rest = value;
         while ((rest & ~0x7fL) != 0) {
             out.write((int) (rest & 0x7f | 0x80));
@@ -156,13 +200,13 @@
         out.write((int) rest);
     }
 
-    private static void text(ByteArrayOutputStream out, String text) {
+    private static void writeText(ByteArrayOutputStream out, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        number(out, bytes.length);
+        writeNumber(out, bytes.length);
         out.writeBytes(bytes);
     }
 
-    private static void pack(ByteArrayOutputStream out, int[] symbols, int bits) {
+    private static void writeSymbols(ByteArrayOutputStream out, int[] symbols, int bits) {
         BitSet packed = new BitSet();
         for (int i = 0; i < symbols.length; i++) {
             for (int b = 0; b < bits; b++) {
@@ -173,7 +217,7 @@
         out.writeBytes(bytes);
     }
 
-    static Decoded decode(String text, int shards) throws MalformedMessageException {
+    static Decoded decode(String text, int taskCount) throws MalformedMessageException {
         Input in;
         try {
             in = new Input(Base64.getDecoder().decode(text));
@@ -183,39 +227,67 @@
         if (in.number() != VERSION) {
             throw new MalformedMessageException("progress: a version that is not known");
         }
-        int front = in.count(shards);
-        long[] attempts = new long[in.count(shards)];
+        int front = in.count(taskCount);
+        long[] attempts = readAttempts(in, taskCount);
+        List<JobRecord.RecordedAttempt> placed = readGroups(in, taskCount, attempts);
+        BitSet done = new BitSet();
+        done.set(0, front);
+        readSymbols(in, front, taskCount, done, placed);
+        int task = 0;
+        for (int left = in.count(taskCount); left > 0; left--) {
+            task += in.count(taskCount - 1 - task);
+            done.set(task);
+        }
+        return new Decoded(done, placed);
+    }
+
+    private static long[] readAttempts(Input in, int taskCount) throws MalformedMessageException {
+        long[] attempts = new long[in.count(taskCount)];
         long attempt = 0;
         for (int i = 0; i < attempts.length; i++) {
             attempt += in.number();
             attempts[i] = attempt;
         }
+        return attempts;
+    }
+
+    private static List<JobRecord.RecordedAttempt> readGroups(
+            Input in, int taskCount, long[] attempts) throws MalformedMessageException {
         List<JobRecord.RecordedAttempt> placed = new ArrayList<>();
-        int groups = in.count(shards);
+        int groups = in.count(taskCount);
         Name name = null;
         for (int g = 0; g < groups; g++) {
-            long difference = in.number();
-            if (difference == 0) {
-                name = new Name(in.text(), in.count(MOST_DIGITS), in.number());
-            } else if (name != null) {
-                name = new Name(name.stem, name.digits, name.number + difference - 1);
-            }
-            if (name == null || Long.toString(name.number).length() > Math.max(1, name.digits)) {
-                throw new MalformedMessageException("progress: a machine without a name");
-            }
-            placed.add(
-                    new JobRecord.RecordedAttempt(
-                            name.host(),
-                            attempts[
-                                    attempts.length > 1
-                                            ? in.count(attempts.length - 1)
-                                            : in.first(attempts.length)],
-                            new BitSet()));
+            name = readName(in, name);
+            int attempt =
+                    attempts.length > 1 ? in.count(attempts.length - 1) : in.first(attempts.length);
+            placed.add(new JobRecord.RecordedAttempt(name.host(), attempts[attempt], new BitSet()));
         }
-        BitSet done = new BitSet();
-        done.set(0, front);
+        return placed;
+    }
+
+    /**
+     * @param last the name before, null for the first
+     */
+    private static Name readName(Input in, Name last) throws MalformedMessageException {
+        long difference = in.number();
+        Name name = null;
+        if (difference == 0) {
+            name = new Name(in.text(), in.count(MAX_DIGITS), in.number());
+        } else if (last != null) {
+            name = new Name(last.stem, last.digits, last.number + difference - 1);
+        }
+        if (name == null || Long.toString(name.number).length() > Math.max(1, name.digits)) {
+            throw new MalformedMessageException("progress: a machine without a name");
+        }
+        return name;
+    }
+
+    private static void readSymbols(
+            Input in, int front, int taskCount, BitSet done, List<JobRecord.RecordedAttempt> placed)
+            throws MalformedMessageException {
+        int groups = placed.size();
         int bits = bits(groups);
-        int symbols = in.count(shards - front);
+        int symbols = in.count(taskCount - front);
         BitSet packed = in.packed(symbols * bits);
         for (int i = 0; i < symbols; i++) {
             int symbol = 0;
@@ -230,12 +302,6 @@
                 placed.get(symbol - FIRST_GROUP).tasks().set(front + i);
             }
         }
-        int at = 0;
-        for (int left = in.count(shards); left > 0; left--) {
-            at += in.count(shards - 1 - at);
-            done.set(at);
-        }
-        return new Decoded(done, placed);
     }
 
     /** Reads what {@link #encode} wrote, refusing whatever it could not have written. */
@@ -259,9 +325,9 @@
             throw new MalformedMessageException("progress: a number that is too large");
         }
 
-        int count(int most) throws MalformedMessageException {
+        int count(int max) throws MalformedMessageException {
             long value = number();
-            if (value > most) {
+            if (value > max) {
                 throw new MalformedMessageException("progress: a number that is too large");
             }
             return (int) value;
