--- a/src/main/java/org/woadloom/leader/RecordWriter.java
+++ b/src/main/java/org/woadloom/leader/RecordWriter.java
@@ -43,6 +43,7 @@
     }
 
     /** Receives the outcome of a write. */
+    /** Is told what became of one write. */
     public interface Outcome {
         /**
          * @param revision of the written records, 0 unless they were written
--- a/src/test/java/org/woadloom/sim/BehaviourDigestTest.java
+++ b/src/test/java/org/woadloom/sim/BehaviourDigestTest.java
@@ -39,8 +39,8 @@
     private static final long TROUBLED_MICROS = 150_000_000;
     private static final long QUIET_MICROS = 30_000_000;
 
-    private static final Map<String, Expected> expected = new TreeMap<>();
-    private static final Map<String, BehaviourDigest> played = new TreeMap<>();
+    private static final Map<String, Expected> EXPECTED = new TreeMap<>();
+    private static final Map<String, BehaviourDigest> PLAYED = new TreeMap<>();
 
     /** The hash of a day, and the marks that tell where a change begins. */
     private record Expected(String hash, String marks) {}
@@ -82,7 +82,7 @@
         }
         for (String line : Files.readAllLines(EXPECTED, StandardCharsets.US_ASCII)) {
             String[] parts = line.split(" ");
-            expected.put(parts[0] + " " + parts[1], new Expected(parts[2], parts[3]));
+            EXPECTED.put(parts[0] + " " + parts[1], new Expected(parts[2], parts[3]));
         }
     }
 
@@ -90,7 +90,7 @@
     static void writeExpected() throws IOException {
         if (RECORDS) {
             List<String> lines = new ArrayList<>();
-            played.forEach(
+            PLAYED.forEach(
                     (day, digest) -> lines.add(day + " " + digest.hash() + " " + digest.marks()));
             Files.write(EXPECTED, lines, StandardCharsets.US_ASCII);
         }
@@ -99,9 +99,9 @@
     @ParameterizedTest
     @MethodSource("days")
     void everyStepDecidesAsRecorded(RandomDay day) throws IOException {
-        Expected before = expected.get(day.key());
+        Expected before = EXPECTED.get(day.key());
         BehaviourDigest digest = play(day, before == null ? null : before.marks());
-        played.put(day.key(), digest);
+        PLAYED.put(day.key(), digest);
         if (RECORDS) {
             return;
         }
