--- a/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
+++ b/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
@@ -23,8 +23,8 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * The leader's part of a rollout: watches who is there, moves features step by step, has records
- * rewritten and counted.
+ * The leader's part of a rollout: watches which processes are alive, moves features step by step,
+ * and has records rewritten and counted.
  */
 public final class FeatureRollout {
     private static final long REVIEW_MICROS = 1_000_000;
@@ -46,12 +46,12 @@
     private SchedulerEvent.RolloutStateRead latest;
     private RolloutRecord writing;
 
-    /** After a write that failed: whatever was in its way is read anew first. */
+    /** After a write that failed, nothing is written before this, as the state is read first. */
     private long retryAtMicros = Long.MIN_VALUE / 2;
 
     private long reviewedMicros = Long.MIN_VALUE / 2;
 
-    /** Who lives and how; while it stays the same, time passes. */
+    /** Which processes are alive; soaking starts over when that changes. */
     private Object circumstances;
 
     private long calmSinceMicros;
@@ -61,7 +61,7 @@
     private final Map<String, LogEntry> steps = new LinkedHashMap<>();
     private Set<String> contradiction = Set.of();
 
-    /** How far the counting of a feature's records has come, for the standing that it has. */
+    /** How far the counting of a feature's records has come, in its current standing. */
     private static final class Count {
         Standing standing = Standing.OFF;
         long sinceMicros;
@@ -71,6 +71,7 @@
         int unreadable;
     }
 
+    /** A rollout that waits for its state to be read. */
     public FeatureRollout(SchedulerState state) {
         this.state = state;
         migration = new RecordMigration(state);
@@ -79,6 +80,7 @@
         }
     }
 
+    /** Takes in the state of the rollout, unless it is older than what is known. */
     public void latest(SchedulerEvent.RolloutStateRead now) {
         if (latest != null && now.record().number() < latest.record().number()) {
             return;
@@ -109,6 +111,7 @@
         return counts.values().stream().mapToInt(count -> count.unreadable).sum();
     }
 
+    /** Once a second, counts and rewrites records and takes the features as far as they may go. */
     public void review() {
         if (latest == null || state.nowMicros() - reviewedMicros < REVIEW_MICROS) {
             return;
@@ -154,6 +157,7 @@
         }
     }
 
+    /** Takes in which records are to be rewritten. */
     public void onRecordsCounted(SchedulerEvent.RecordsCounted result) {
         Count count = counts.get(result.feature());
         if (!count.asked || count.standing.back() != result.rollingBack()) {
@@ -216,8 +220,8 @@
         writing = next;
         Map<String, Long> conditions = new LinkedHashMap<>();
         conditions.put(StoreKeys.ROLLOUT_STATE, latest.revision());
-        // What was decided by these words is void if one has changed: a process that ended and came
-        // back old, say.
+        // What was decided by these announcements is void if one has changed, as when a process was
+        // replaced by one of an earlier version.
         latest.announcements()
                 .forEach(
                         (label, stored) ->
@@ -309,6 +313,7 @@
         }
     }
 
+    /** Logs the steps that are written; after any other outcome the state is read again. */
     public void onWriteCompleted(SchedulerEvent.RolloutWriteCompleted result) {
         if (writing == null || result.number() != writing.number()) {
             return;
--- a/src/main/java/org/woadloom/core/rollout/RecordMigration.java
+++ b/src/main/java/org/woadloom/core/rollout/RecordMigration.java
@@ -38,7 +38,7 @@
         }
     }
 
-    /** The store was counted: these are not of the form that they should be. */
+    /** The store was counted, and the records under these keys are to be rewritten. */
     void setOutdated(Feature feature, List<String> keys) {
         waiting.get(feature).clear();
         waiting.get(feature).addAll(keys);
@@ -96,7 +96,7 @@
         rewriteReportedMachines();
     }
 
-    /** What is written, gone, or known to be written anew by itself, is done with. */
+    /** Drops the records that are rewritten, or whose job or machine is no longer there. */
     private void removeFinished(Feature feature) {
         for (Iterator<Map.Entry<String, Long>> all = inFlight.get(feature).entrySet().iterator();
                 all.hasNext(); ) {
--- a/src/main/java/org/woadloom/core/rollout/RolloutPolicy.java
+++ b/src/main/java/org/woadloom/core/rollout/RolloutPolicy.java
@@ -11,8 +11,8 @@
 
 /**
  * Decides the next step of a feature from what is known: no clock, no state of its own. A step that
- * is taken by it is written on condition that neither the record nor any member's word has changed
- * since.
+ * is taken by it is written on condition that neither the record nor any member's announcement has
+ * changed since.
  */
 public final class RolloutPolicy {
     private RolloutPolicy() {}
@@ -20,14 +20,16 @@
     /**
      * What a decision rests on.
      *
-     * @param members all nodes that any live node's settings name, and all that were heard lately
-     * @param words what live processes say
-     * @param wordless nodes that were heard lately and say nothing: they run a version from before
-     *     words
-     * @param agreed what versions 2 and 3 have agreed on
+     * @param members all nodes that any live node's settings name, and all that sent something
+     *     lately
+     * @param announcements what live processes announce, by node
+     * @param unannounced nodes that sent something lately and announce nothing: they run a version
+     *     that knows no announcements
+     * @param agreed the version that nodes of versions 2 and 3 have agreed on
+     * @param requested what an operator asks for
      * @param soaked enough time has passed without trouble
-     * @param troubled a node keeps ending
-     * @param left how many records are not yet of the form they are moved to
+     * @param troubled a node's process keeps ending
+     * @param recordsLeft how many records are not yet of the form that they are moved to
      * @param confirmed the store was counted, and no such record was found
      */
     public record Situation(
