--- a/src/test/java/org/woadloom/sim/ElectionTest.java
+++ b/src/test/java/org/woadloom/sim/ElectionTest.java
@@ -19,8 +19,8 @@
 import org.woadloom.store.StoreClient.Condition;
 
 /**
- * One process campaigns, and what it asks of the state service is carried out while the answer gets
- * lost, or too late.
+ * One process campaigns, and what it asks of the store is carried out while the answer gets lost,
+ * or too late.
  */
 class ElectionTest {
     private static final ServiceSettings.Store LIMITS =
--- a/src/test/java/org/woadloom/sim/StoreClientTest.java
+++ b/src/test/java/org/woadloom/sim/StoreClientTest.java
@@ -21,8 +21,8 @@
 import org.woadloom.store.StoreClient.Result;
 
 /**
- * What waits for what on the way to the state service: 30 changes a second here, and more reads
- * than are asked for.
+ * What waits for what on the way to the store: 30 changes a second here, and more reads than are
+ * asked for.
  */
 class StoreClientTest {
     private static final ServiceSettings.Store LIMITS =
@@ -45,9 +45,9 @@
         client.setLeader(true);
     }
 
-    private void change(RequestPriority urgency, int changes) {
+    private void change(RequestPriority priority, int changes) {
         client.txn(
-                urgency,
+                priority,
                 List.of(),
                 Collections.nCopies(changes, Change.put("key", Map.of())),
                 (result, storeRevision, failed) -> {});
--- a/src/test/java/org/woadloom/store/RequestSchedulerTest.java
+++ b/src/test/java/org/woadloom/store/RequestSchedulerTest.java
@@ -22,9 +22,9 @@
         now += SECOND;
     }
 
-    private void add(RequestPriority urgency, int count, int changes) {
+    private void add(RequestPriority priority, int count, int changes) {
         for (int i = 0; i < count; i++) {
-            assertTrue(scheduler.add(urgency, urgency, changes));
+            assertTrue(scheduler.add(priority, priority, changes));
         }
     }
 
@@ -45,7 +45,7 @@
 
     private static Map<RequestPriority, Integer> counts(List<RequestPriority> sent) {
         Map<RequestPriority, Integer> counts = new EnumMap<>(RequestPriority.class);
-        sent.forEach(urgency -> counts.merge(urgency, 1, Integer::sum));
+        sent.forEach(priority -> counts.merge(priority, 1, Integer::sum));
         return counts;
     }
 
