--- a/src/main/java/org/woadloom/node/CancellationConfirmer.java
+++ b/src/main/java/org/woadloom/node/CancellationConfirmer.java
@@ -20,30 +20,30 @@
 import org.woadloom.settings.ServiceSettings;
 
 /**
- * Users hear of a cancellation once the leader has it, or once no leader relies on a promise of
- * this node; and a leader goes on without the state service as long as all nodes vouch for what
- * they told.
+ * Confirms cancellations to users once the leader has them, or once no leader relies on a promise
+ * of this node. In return a leader goes on without the store as long as all nodes send watermark
+ * reports of what they have confirmed. Belongs to the event loop.
  */
 final class CancellationConfirmer implements JobApi.Confirmation {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationConfirmer.class);
-    private static final long LOOK_MICROS = 50_000;
+    private static final long RELEASE_INTERVAL_MICROS = 50_000;
 
     /**
-     * While somebody waits the leader is vouched to so often: it may have been loading, or what was
-     * said got lost.
+     * While a user waits a report is sent to the leader so often: it may have been loading, or the
+     * one before got lost.
      */
-    private static final long AGAIN_MICROS = 200_000;
+    private static final long REPORT_RETRY_MICROS = 200_000;
 
-    private static final long LOG_MICROS = 10_000_000;
+    private static final long LOG_INTERVAL_MICROS = 10_000_000;
 
     /**
-     * A leader that is served may be this far behind by its watch alone, so none ever rests sooner:
-     * not even where a cancelled task may stay for little longer than a lease, which then asks for
-     * more than any leader can do.
+     * A leader that the store serves may be this far behind by its watch alone, so none suspends
+     * lease renewal sooner: not even where a cancelled task may stay for little longer than a
+     * lease, which then asks for more than any leader can do.
      */
-    private static final long LEAST_MICROS = 5_000_000;
+    private static final long MIN_TOLERATED_LAG_MICROS = 5_000_000;
 
-    /** The way to the leader, and what it is told. */
+    /** Sends reports to the leader, and knows whether it can be reached. */
     interface Carrier {
         /** The leader where messages reach it, this node perhaps; null otherwise. */
         String reachableLeader();
@@ -54,7 +54,7 @@
 
         void sendAck(String node, WatermarkAck ack);
 
-        /** For how long the state service has not served this node. */
+        /** For how long the store has not served this node. */
         long storeSilentMicros();
     }
 
@@ -76,18 +76,18 @@
     private final View view;
     private final ConfirmedCancellations confirmed;
 
-    /** Who waits for which job to be told of, the first first. */
+    /** The users who wait, in order of arrival, and the job of each. */
     private final Map<Waiting, String> waiting = new LinkedHashMap<>();
 
     private CancellationWatermark watermark;
-    private boolean setEnabled;
+    private boolean reportsEnabled;
     private boolean releaseScheduled;
     private boolean reportScheduled;
     private long lastReportMicros = Long.MIN_VALUE / 2;
     private long malformed;
     private long suspensionLoggedMicros = Long.MIN_VALUE / 2;
 
-    private record Waiting(long untilMicros, Consumer<Boolean> told) {}
+    private record Waiting(long untilMicros, Consumer<Boolean> answer) {}
 
     CancellationConfirmer(
             EventLoop loop, ServiceSettings settings, Random random, Carrier carrier, View view) {
@@ -100,7 +100,7 @@
         nodes.addAll(peers);
         maxLagMicros =
                 Math.max(
-                        LEAST_MICROS,
+                        MIN_TOLERATED_LAG_MICROS,
                         DelegationTimeouts.of(
                                         settings.agents().leaseMicros(),
                                         settings.agents().cancelMicros())
@@ -109,14 +109,14 @@
     }
 
     /**
-     * The nodes have agreed to vouch, or have agreed no longer to: promises that were given hold
+     * The feature of watermark reports has been switched on or off; promises that were given hold
      * all the same.
      */
     void setEnabled(boolean agreed) {
-        setEnabled = agreed;
+        reportsEnabled = agreed;
     }
 
-    /** What is agreed on is known, and no node vouches: nor did the process before this one. */
+    /** The feature is known to have been off: the process before this one made no promises. */
     void onNeverEnabled() {
         confirmed.forgetPredecessorPromises();
     }
@@ -140,12 +140,12 @@
         if (!releaseScheduled && !waiting.isEmpty()) {
             releaseScheduled = true;
             loop.schedule(
-                    LOOK_MICROS,
+                    RELEASE_INTERVAL_MICROS,
                     () -> {
                         releaseScheduled = false;
                         release();
                         if (!waiting.isEmpty()
-                                && loop.nowMicros() - lastReportMicros >= AGAIN_MICROS) {
+                                && loop.nowMicros() - lastReportMicros >= REPORT_RETRY_MICROS) {
                             sendReport();
                         }
                         scheduleRelease();
@@ -156,16 +156,16 @@
     private void release() {
         long now = loop.nowMicros();
         for (Map.Entry<Waiting, String> entry : List.copyOf(waiting.entrySet())) {
-            Waiting one = entry.getKey();
-            boolean may = confirmed.tryConfirm(entry.getValue(), now);
-            if (may || now >= one.untilMicros) {
-                waiting.remove(one);
-                one.told.accept(may);
+            Waiting user = entry.getKey();
+            boolean confirmable = confirmed.tryConfirm(entry.getValue(), now);
+            if (confirmable || now >= user.untilMicros) {
+                waiting.remove(user);
+                user.answer.accept(confirmable);
             }
         }
     }
 
-    /** How many users wait to be told of a cancellation. */
+    /** How many users wait for the confirmation of a cancellation. */
     int waiting() {
         return waiting.size();
     }
@@ -183,10 +183,10 @@
         }
     }
 
-    /** To be called all the time: says what was told, and promises for a while. */
+    /** Sends a report of what was confirmed, with a promise for a while; called all the time. */
     void sendReport() {
         String leader = carrier.reachableLeader();
-        if (!setEnabled || leader == null || leader.equals(self) && !view.isReady()) {
+        if (!reportsEnabled || leader == null || leader.equals(self) && !view.isReady()) {
             return;
         }
         long now = loop.nowMicros();
@@ -242,7 +242,7 @@
         if (ack == null) {
             return;
         }
-        // Before any report that comes after this: the next answer to a worker halts what it names.
+        // Before any heartbeat that comes after this: the next answer to an agent stops these jobs.
         if (!report.jobIds().isEmpty()) {
             view.onCancelled(report.jobIds());
         }
@@ -258,8 +258,8 @@
     }
 
     /**
-     * How long ago the moment is up to which this leader carries out every cancellation that was
-     * told of; 0 for others.
+     * How long ago the moment is up to which this leader knows every cancellation that was
+     * confirmed; 0 while this node does not lead.
      */
     long lagMicros() {
         return watermark == null || !view.isReady()
@@ -271,8 +271,8 @@
     }
 
     /**
-     * Whether this leader must leave its workers to themselves, so that their leases end in time:
-     * somebody may have been told of a cancellation that it lacks.
+     * Whether this leader must stop to renew leases, so that they expire in time: a user may have
+     * been told of a cancellation that the leader lacks.
      */
     boolean mustSuspendLeases() {
         long behind = lagMicros();
@@ -280,7 +280,7 @@
             return false;
         }
         long now = loop.nowMicros();
-        if (now - suspensionLoggedMicros > LOG_MICROS) {
+        if (now - suspensionLoggedMicros > LOG_INTERVAL_MICROS) {
             suspensionLoggedMicros = now;
             LOG.warn(
                     "event=lease_renewal_suspended cancellations_behind_s={} missing_reports={}",
--- a/src/main/java/org/woadloom/node/IsolationDetector.java
+++ b/src/main/java/org/woadloom/node/IsolationDetector.java
@@ -3,50 +3,52 @@
 import org.woadloom.net.EventLoop;
 
 /**
- * Whether this node alone has lost the state service, while it is reached by users: it can tell
- * them nothing then, and they are better off with the others. In an outage for all there are no
- * others, and in a zone that is cut off there are no users.
+ * Detects that the store is lost to this node alone while users reach it: it can't answer them, and
+ * another node can. In an outage of the store no node can, and in a partitioned zone there are no
+ * users. Belongs to the event loop.
  */
 final class IsolationDetector {
-    /** So long without an answer is more than a slow one. */
-    private static final long LOST_MICROS = 3_000_000;
+    /** A store that has failed for longer than this is not only slow. */
+    private static final long STORE_LOST_MICROS = 3_000_000;
 
+    /** For so long a request from outside shows that users reach this node. */
     private static final long OUTSIDE_MICROS = 3_000_000;
 
     private final EventLoop loop;
-    private boolean isStoreFailing;
+    private boolean storeFailing;
     private long failingSinceMicros;
-    private long outsideMicros = Long.MIN_VALUE / 2;
+    private long lastOutsideRequestMicros = Long.MIN_VALUE / 2;
 
     IsolationDetector(EventLoop loop) {
         this.loop = loop;
     }
 
     void onStoreAnswer(boolean served) {
-        if (!served && !isStoreFailing) {
+        if (!served && !storeFailing) {
             failingSinceMicros = loop.nowMicros();
         }
-        isStoreFailing = !served;
+        storeFailing = !served;
     }
 
     /** A user, or the load balancer's probe, has reached this node. */
     void onOutsideRequest() {
-        outsideMicros = loop.nowMicros();
+        lastOutsideRequestMicros = loop.nowMicros();
     }
 
-    /** The service has to be asked by itself, as nobody else may be left who asks. */
+    /** True from the first failure until the store serves this node once more. */
     boolean isStoreFailing() {
-        return isStoreFailing;
+        return storeFailing;
     }
 
     /**
-     * @param peersServed a peer says that it is served
+     * @param peersServed a peer has reported that the store serves it
      * @param peersReached any peer can be reached
      */
     boolean isIsolated(boolean peersServed, boolean peersReached) {
         long now = loop.nowMicros();
-        return isStoreFailing
-                && now - failingSinceMicros > LOST_MICROS
-                && (peersServed || !peersReached && now - outsideMicros < OUTSIDE_MICROS);
+        return storeFailing
+                && now - failingSinceMicros > STORE_LOST_MICROS
+                && (peersServed
+                        || !peersReached && now - lastOutsideRequestMicros < OUTSIDE_MICROS);
     }
 }
--- a/src/main/java/org/woadloom/node/Node.java
+++ b/src/main/java/org/woadloom/node/Node.java
@@ -104,20 +104,7 @@
                         HeartbeatRouter.MAX_WAITING_HEARTBEATS,
                         this::execute,
                         observer);
-        leaderActions =
-                new LeaderActions(
-                        loop,
-                        store,
-                        cloud,
-                        new AgentClient(transport, sockets.direct()),
-                        settings,
-                        limits,
-                        rollout,
-                        metrics,
-                        delegatedRenewer,
-                        queue,
-                        this::stepDown,
-                        this::sendDelegation);
+        leaderActions = newLeaderActions(loop, cloud, new AgentClient(transport, sockets.direct()));
         StoreRelay storeRelay = new StoreRelay(loop, store, settings, limits, rollout, random);
         election =
                 new Election(
@@ -133,32 +120,13 @@
         confirmations =
                 new CancellationConfirmer(
                         loop, settings, random, new ConfirmerCarrier(), new ConfirmerView());
-        heartbeats =
-                new HeartbeatRouter(
-                        loop,
-                        settings.label(),
-                        election,
-                        peers,
-                        storeRelay,
-                        delegatedRenewer,
-                        confirmations,
-                        leaderActions,
-                        connectionBalancer,
-                        this::isIsolated);
+        heartbeats = newHeartbeatRouter(loop, storeRelay, connectionBalancer);
         relayLeader =
                 new StoreRelayLeader(
                         loop, store, limits, rollout, heartbeats::onForwardedHeartbeat);
         storeProbe = new StoreProbe(loop, store, peers, isolation, delegatedRenewer, heartbeats);
         machineTypes = new MachineTypeCatalog(loop, cloud, store, queue);
-        JobApi jobs =
-                new JobApi(
-                        loop,
-                        store,
-                        settings,
-                        new RecordStorage(),
-                        machineTypes,
-                        this::onJobChanged,
-                        confirmations);
+        JobApi jobs = newJobApi(loop);
         router = new Router(new RequestGate(), jobs, heartbeats::onHeartbeat, metrics);
         NodeGauges.registerUsersAndElection(metrics, jobs, this, election);
         NodeGauges.registerStore(metrics, store);
@@ -167,6 +135,48 @@
         NodeGauges.registerQueues(metrics, queue, heartbeats, peers, connectionBalancer);
     }
 
+    private LeaderActions newLeaderActions(EventLoop loop, CloudClient cloud, AgentClient agents) {
+        return new LeaderActions(
+                loop,
+                store,
+                cloud,
+                agents,
+                settings,
+                limits,
+                rollout,
+                metrics,
+                delegatedRenewer,
+                queue,
+                this::stepDown,
+                this::sendDelegation);
+    }
+
+    private HeartbeatRouter newHeartbeatRouter(
+            EventLoop loop, StoreRelay storeRelay, AgentConnectionBalancer connectionBalancer) {
+        return new HeartbeatRouter(
+                loop,
+                settings.label(),
+                election,
+                peers,
+                storeRelay,
+                delegatedRenewer,
+                confirmations,
+                leaderActions,
+                connectionBalancer,
+                this::isIsolated);
+    }
+
+    private JobApi newJobApi(EventLoop loop) {
+        return new JobApi(
+                loop,
+                store,
+                settings,
+                new RecordStorage(),
+                machineTypes,
+                this::onJobChanged,
+                confirmations);
+    }
+
     NodeMetrics metrics() {
         return metrics;
     }
