--- a/src/main/java/org/woadloom/protocol/JobDescription.java
+++ b/src/main/java/org/woadloom/protocol/JobDescription.java
@@ -99,9 +99,9 @@
     }
 
     private static boolean isJobIdCharacter(char c) {
-        return c >= '0' && c <= '9'
-                || c >= 'a' && c <= 'z'
-                || c >= 'A' && c <= 'Z'
+        return (c >= '0' && c <= '9')
+                || (c >= 'a' && c <= 'z')
+                || (c >= 'A' && c <= 'Z')
                 || c == '-'
                 || c == '_';
     }
