--- a/src/main/java/org/woadloom/node/Server.java
+++ b/src/main/java/org/woadloom/node/Server.java
@@ -26,13 +26,14 @@
 public final class Server {
     private static final Logger LOG = LoggerFactory.getLogger(Server.class);
     private static final int BUFFER_BYTES = 8 * 1024;
-    private static final long TELL_MICROS = 30_000_000;
+    private static final long SOCKET_LOG_INTERVAL_MICROS = 30_000_000;
 
     private Server() {}
 
+    /** Starts a node on the addresses in its settings; it runs until the process ends. */
     public static Node start(ServiceSettings settings, OperatorSettings operator)
             throws IOException {
-        XnioWorker agent =
+        XnioWorker worker =
                 Xnio.getInstance()
                         .createWorker(
                                 OptionMap.builder()
@@ -41,7 +42,7 @@
                                         .set(Options.WORKER_TASK_CORE_THREADS, 1)
                                         .set(Options.WORKER_TASK_MAX_THREADS, 1)
                                         .getMap());
-        XnioIoThread thread = agent.getIoThread();
+        XnioIoThread thread = worker.getIoThread();
         ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, 256, 4);
         XnioEventLoop loop = new XnioEventLoop(thread);
         SocketBudget plan = SocketBudget.of(settings);
@@ -49,29 +50,29 @@
         // Not by clocks alone: one that stood still, or was set back, would make a process take
         // itself for the one before.
         Random random = new Random(new SecureRandom().nextLong());
-        XnioPeerTransport peers = new XnioPeerTransport(loop, agent, settings);
+        XnioPeerTransport peers = new XnioPeerTransport(loop, worker, settings);
         Node node = new Node(loop, transport, peers, settings, operator, random);
         ConnectionLimiter connections = new ConnectionLimiter(loop, plan);
-        meter(node.metrics(), plan, connections, transport, peers);
-        new ApiServer(settings, agent, buffers, plan, connections, node.router()).start();
+        registerGauges(node.metrics(), plan, connections, transport, peers);
+        new ApiServer(settings, worker, buffers, plan, connections, node.router()).start();
         peers.bind();
         loop.execute(
                 () -> {
                     connections.start();
                     node.start();
-                    tell(loop, plan, connections, transport, peers);
+                    logSockets(loop, plan, connections, transport, peers);
                 });
         return node;
     }
 
-    private static void tell(
+    private static void logSockets(
             XnioEventLoop loop,
             SocketBudget plan,
             ConnectionLimiter connections,
             UndertowTransport transport,
             XnioPeerTransport peers) {
         loop.schedule(
-                TELL_MICROS,
+                SOCKET_LOG_INTERVAL_MICROS,
                 () -> {
                     LOG.info(
                             "event=sockets workers={} users={} max={} outbound={} outbound_idle={}"
@@ -84,11 +85,11 @@
                             peers.open(),
                             connections.closed(),
                             connections.refused());
-                    tell(loop, plan, connections, transport, peers);
+                    logSockets(loop, plan, connections, transport, peers);
                 });
     }
 
-    private static void meter(
+    private static void registerGauges(
             NodeMetrics metrics,
             SocketBudget plan,
             ConnectionLimiter connections,
--- a/src/main/java/org/woadloom/node/WarmUp.java
+++ b/src/main/java/org/woadloom/node/WarmUp.java
@@ -13,11 +13,12 @@
 import org.woadloom.settings.ServiceSettingsFile;
 
 /**
- * Starts a node on loopback ports whose state service and cloud are the node itself, asks it a few
- * things and returns. It is run only by the build, to find out which classes a start loads.
+ * Starts a node on loopback ports whose store and cloud are the node itself, asks it a few things
+ * and returns. It is run only by the build, to find out which classes a start loads.
  */
 public final class WarmUp {
-    private static final long WORK_MILLIS = 1_500;
+    /** For so long the node runs, so that its timers load their classes as well. */
+    private static final long RUN_MILLIS = 1_500;
 
     private WarmUp() {}
 
@@ -28,7 +29,7 @@
         ask(settings, "POST", "/v1/jobs", Cbor.encode(Map.of("uid", "j-1")));
         ask(settings, "GET", "/v1/jobs/j-1", null);
         ask(settings, "POST", "/v1/report", Cbor.encode(Map.of("host", "host-1")));
-        Thread.sleep(WORK_MILLIS);
+        Thread.sleep(RUN_MILLIS);
     }
 
     /** Two builds may run on one machine at the same time. */
--- a/src/main/java/org/woadloom/peer/XnioPeerTransport.java
+++ b/src/main/java/org/woadloom/peer/XnioPeerTransport.java
@@ -32,10 +32,7 @@
     private static final long RECONNECT_MICROS = 150_000;
     private static final long CONNECT_TIMEOUT_MICROS = 2_000_000;
 
-    /**
-     * Connections of the other nodes, old ones among them: their number doesn't grow with the
-     * fleet.
-     */
+    /** Inbound connections, closing ones among them: their number doesn't grow with the fleet. */
     private static final int MAX_INBOUND = 16;
 
     private final EventLoop loop;
@@ -47,10 +44,10 @@
     private Listener listener;
     private int inbound;
 
-    public XnioPeerTransport(EventLoop loop, XnioWorker agent, ServiceSettings settings) {
+    public XnioPeerTransport(EventLoop loop, XnioWorker worker, ServiceSettings settings) {
         this.loop = loop;
-        this.worker = agent;
-        this.thread = agent.getIoThread();
+        this.worker = worker;
+        this.thread = worker.getIoThread();
         this.settings = settings;
     }
 
@@ -69,8 +66,8 @@
     }
 
     @Override
-    public void start(Listener heard) {
-        listener = heard;
+    public void start(Listener messageListener) {
+        listener = messageListener;
         for (Peer peer : settings.peers()) {
             Outbound out = new Outbound(peer);
             outbound.put(peer.label(), out);
@@ -93,7 +90,8 @@
     }
 
     /**
-     * Messages that were dropped because the queue to their peer was full, since the process began.
+     * Messages that were dropped because the queue to their peer was full, since the process
+     * started.
      */
     public long refused() {
         return outbound.values().stream().mapToLong(out -> out.queue.refused()).sum();
@@ -117,7 +115,7 @@
                     continue;
                 }
                 inbound++;
-                new Inbound(connection).begin();
+                new Inbound(connection).start();
             }
         } catch (IOException e) {
             LOG.error("event=peer_port_failed error=\"{}\"", e.getMessage());
@@ -135,7 +133,7 @@
             this.connection = connection;
         }
 
-        void begin() {
+        void start() {
             connection.setCloseListener(closed -> inbound--);
             connection.getSourceChannel().setReadListener(this::read);
             connection.getSourceChannel().resumeReads();
@@ -154,7 +152,7 @@
                         return;
                     }
                     for (byte[] frame : frames.add(buffer.array(), count)) {
-                        received(codec.decode(frame));
+                        onMessage(codec.decode(frame));
                     }
                 }
             } catch (IOException | PeerFormatException e) {
@@ -163,7 +161,7 @@
             }
         }
 
-        private void received(PeerMessage message) throws PeerFormatException {
+        private void onMessage(PeerMessage message) throws PeerFormatException {
             if (message instanceof PeerMessage.Hello hello) {
                 if (settings.peer(hello.label()) == null) {
                     throw new PeerFormatException("unknown peer " + hello.label());
