--- a/src/main/java/org/woadloom/cli/CheckCommand.java
+++ b/src/main/java/org/woadloom/cli/CheckCommand.java
@@ -59,14 +59,14 @@
                     + " other nodes, %d for refusals, %d for the process%n",
                 service.resources().fdLimit(),
                 plan.inbound(),
-                plan.agents(),
-                plan.direct(),
-                plan.idle(),
-                plan.state(),
+                plan.maxAgents(),
+                plan.directCommands(),
+                plan.idleConnections(),
+                plan.store(),
                 plan.cloud(),
                 plan.peers(),
-                plan.refusals(),
-                plan.process());
+                plan.refusedConnections(),
+                plan.processOverhead());
         System.out.printf(
                 "at most %d tasks of a job are placed at once where each has a machine of its own"
                         + " (value_kb)%n",
--- a/src/main/java/org/woadloom/cli/RolloutCommand.java
+++ b/src/main/java/org/woadloom/cli/RolloutCommand.java
@@ -20,7 +20,7 @@
 import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.store.NodeAnnouncement;
 import org.woadloom.store.RolloutRecord;
-import org.woadloom.store.RolloutRecord.Standing;
+import org.woadloom.store.RolloutRecord.FeatureState;
 import org.woadloom.store.RolloutRecord.Step;
 import org.woadloom.store.RolloutRequest;
 import org.woadloom.store.RolloutRequest.Verb;
@@ -103,9 +103,9 @@
     /** What can no longer be done is refused here; the leader refuses it as well. */
     private static int ask(String address, Verb verb, Feature feature, String by)
             throws IOException, InterruptedException, MalformedMessageException {
-        Standing standing = record(list(address)).of(feature.key());
+        FeatureState standing = record(list(address)).stateOf(feature.key());
         if (verb == Verb.BACK
-                && (standing.step() == Step.SETTLED || (standing.on() && !feature.revocable()))) {
+                && (standing.step() == Step.SETTLED || (standing.isOn() && !feature.revocable()))) {
             System.err.println(
                     "woadloom: "
                             + feature.key()
@@ -116,7 +116,11 @@
         }
         RolloutRequest request = new RolloutRequest(verb, by, Instant.now().toEpochMilli() * 1000);
         Map<String, Object> put =
-                Map.of("put", StoreKeys.ROLLOUT_ASKED + feature.key(), "value", request.toMap());
+                Map.of(
+                        "put",
+                        StoreKeys.ROLLOUT_REQUEST_PREFIX + feature.key(),
+                        "value",
+                        request.toMap());
         send(
                 address,
                 HttpRequest.newBuilder(URI.create("http://" + address + "/txn"))
@@ -140,9 +144,10 @@
         RolloutRecord record = record(entries);
         System.out.printf("%-16s %-10s %-20s %s%n", "feature", "step", "since (UTC)", "allowed by");
         for (Feature feature : Feature.values()) {
-            Standing standing = record.of(feature.key());
+            FeatureState standing = record.stateOf(feature.key());
             RolloutRequest request =
-                    entries.get(StoreKeys.ROLLOUT_ASKED + feature.key()) instanceof Map<?, ?> asked
+                    entries.get(StoreKeys.ROLLOUT_REQUEST_PREFIX + feature.key())
+                                    instanceof Map<?, ?> asked
                             ? RolloutRequest.parse(map(asked))
                             : RolloutRequest.AUTO;
             System.out.printf(
@@ -152,30 +157,30 @@
                     standing.sinceWallMicros() == 0
                             ? "-"
                             : Instant.ofEpochSecond(standing.sinceWallMicros() / 1_000_000),
-                    standing.by().isEmpty() ? "-" : standing.by(),
-                    standing.back() ? "; being taken back" : "",
-                    standing.held() ? "; held, as nodes kept ending" : "",
+                    standing.changedBy().isEmpty() ? "-" : standing.changedBy(),
+                    standing.isRollingBack() ? "; being taken back" : "",
+                    standing.isHeld() ? "; held, as nodes kept ending" : "",
                     request.verb() == Verb.AUTO
                             ? ""
-                            : "; " + request.verb().text() + " asked by " + request.by());
+                            : "; " + request.verb().text() + " asked by " + request.operator());
         }
         for (Feature feature : Feature.values()) {
             System.out.printf(
                     "%s writes %s; can be read by %s and later%n",
                     feature.key(), feature.writes(), feature.leastReader());
         }
-        Set<String> unknown = record.requires();
+        Set<String> unknown = record.requiredFeatures();
         unknown.removeAll(Feature.known());
         if (!unknown.isEmpty()) {
             System.out.println(
                     "required and not known to this version: " + String.join(", ", unknown));
         }
         for (Map.Entry<String, Object> entry : entries.entrySet()) {
-            if (entry.getKey().startsWith(StoreKeys.ROLLOUT_NODES)) {
+            if (entry.getKey().startsWith(StoreKeys.ROLLOUT_NODE_PREFIX)) {
                 NodeAnnouncement announcement = NodeAnnouncement.parse(map(entry.getValue()));
                 System.out.printf(
                         "node %s: reads %s, can do %s, names %s, start %d in a row%n",
-                        entry.getKey().substring(StoreKeys.ROLLOUT_NODES.length()),
+                        entry.getKey().substring(StoreKeys.ROLLOUT_NODE_PREFIX.length()),
                         announcement.supportedFeatures(),
                         announcement.usableFeatures(),
                         announcement.members(),
@@ -207,7 +212,7 @@
                                         "http://"
                                                 + address
                                                 + "/keys?prefix="
-                                                + StoreKeys.ROLLOUT
+                                                + StoreKeys.ROLLOUT_PREFIX
                                                 + "&most=1000")));
         Map<String, Object> entries = new TreeMap<>();
         for (Object item : new Fields(Cbor.decodeMap(body)).list("items")) {
--- a/src/main/java/org/woadloom/core/jobs/Job.java
+++ b/src/main/java/org/woadloom/core/jobs/Job.java
@@ -89,7 +89,7 @@
         this.team = team;
         this.submittedWallMicros = record.submittedWallMicros();
         this.submittedMicros = submittedMicros;
-        this.tasks = new TaskSet(description.taskCount(), record.done());
+        this.tasks = new TaskSet(description.taskCount(), record.completedTasks());
         this.cancelled = record.cancelled();
         this.persistence = new PersistenceState(revision, () -> markForPersistence.accept(this));
         this.readyWallMicros = record.readyWallMicros();
--- a/src/main/java/org/woadloom/core/jobs/JobRegistry.java
+++ b/src/main/java/org/woadloom/core/jobs/JobRegistry.java
@@ -84,9 +84,10 @@
         if (revision < persistence.revision()) {
             return;
         }
-        if (record.term() == state.term() && record.version() > persistence.durableVersion()) {
+        if (record.term() == state.term()
+                && record.writeSequence() > persistence.durableVersion()) {
             // One of this term's own writes: it is durable, whatever became of the answer.
-            persistence.onVersionRead(record.version());
+            persistence.onVersionRead(record.writeSequence());
             job.releaseDurableAttempts();
             onWriteAcknowledged(job);
         }
--- a/src/main/java/org/woadloom/core/placement/RecordSizeEstimate.java
+++ b/src/main/java/org/woadloom/core/placement/RecordSizeEstimate.java
@@ -122,7 +122,7 @@
             int bytes =
                     all * (attempts > FEW_ATTEMPTS ? PER_GROUP_OF_MANY : PER_GROUP)
                             + attempts * PER_ATTEMPT
-                            + (window * TaskProgressCodec.bits(all) + 7) / 8;
+                            + (window * TaskProgressCodec.bitsPerTask(all) + 7) / 8;
             return FIXED + description + (bytes * 4 + 2) / 3;
         }
 
--- a/src/main/java/org/woadloom/core/rollout/Feature.java
+++ b/src/main/java/org/woadloom/core/rollout/Feature.java
@@ -27,7 +27,7 @@
             false,
             false,
             Set.of(),
-            StoreKeys.JOBS,
+            StoreKeys.JOB_PREFIX,
             value -> JobRecord.formatOf(value) == RecordFormat.COMPACT),
     /** Leases are renewed in a zone that is cut off. */
     ZONE_CARE(
@@ -49,7 +49,7 @@
             true,
             true,
             Set.of(),
-            StoreKeys.MACHINES,
+            StoreKeys.MACHINE_PREFIX,
             MachineRecord::hasLifecycle),
     /** Nodes vouch to the leader for the cancellations that they confirm. */
     CANCELLATION_VOUCHES(
--- a/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
+++ b/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
@@ -16,7 +16,7 @@
 import org.woadloom.core.rollout.RolloutPolicy.Situation;
 import org.woadloom.store.NodeAnnouncement;
 import org.woadloom.store.RolloutRecord;
-import org.woadloom.store.RolloutRecord.Standing;
+import org.woadloom.store.RolloutRecord.FeatureState;
 import org.woadloom.store.RolloutRecord.Step;
 import org.woadloom.store.RolloutRequest;
 import org.woadloom.store.RolloutRequest.Verb;
@@ -63,7 +63,7 @@
 
     /** How far the counting of a feature's records has come, in its current standing. */
     private static final class Count {
-        Standing standing = Standing.OFF;
+        FeatureState standing = FeatureState.OFF;
         long sinceMicros;
         boolean asked;
         boolean confirmed;
@@ -136,7 +136,7 @@
      */
     private void count(Feature feature) {
         Count count = counts.get(feature);
-        Standing standing = latest.record().of(feature.key());
+        FeatureState standing = latest.record().stateOf(feature.key());
         if (!standing.equals(count.standing)) {
             count.standing = standing;
             count.sinceMicros = state.nowMicros();
@@ -145,22 +145,22 @@
             count.againMicros = 0;
             migration.forget(feature);
         }
-        boolean moving = standing.step() == Step.ON || standing.back();
+        boolean moving = standing.step() == Step.ON || standing.isRollingBack();
         if (moving
                 && !count.confirmed
                 && !count.asked
                 && migration.remaining(feature) == 0
                 && state.nowMicros() >= count.againMicros
-                && migration.isQuiet(feature, standing.on())) {
+                && migration.isQuiet(feature, standing.isOn())) {
             count.asked = true;
-            state.emit(new SchedulerAction.CountRecords(feature, standing.back()));
+            state.emit(new SchedulerAction.CountRecords(feature, standing.isRollingBack()));
         }
     }
 
     /** Takes in which records are to be rewritten. */
     public void onRecordsCounted(SchedulerEvent.RecordsCounted result) {
         Count count = counts.get(result.feature());
-        if (!count.asked || count.standing.back() != result.rollingBack()) {
+        if (!count.asked || count.standing.isRollingBack() != result.rollingBack()) {
             return;
         }
         count.asked = false;
@@ -228,15 +228,16 @@
         latest.announcements()
                 .forEach(
                         (label, stored) ->
-                                conditions.put(StoreKeys.ROLLOUT_NODES + label, stored.revision()));
+                                conditions.put(
+                                        StoreKeys.ROLLOUT_NODE_PREFIX + label, stored.revision()));
         long agreed = latest.agreed();
         for (Feature feature : Feature.values()) {
-            if (next.of(feature.key()).on()) {
+            if (next.stateOf(feature.key()).isOn()) {
                 agreed = Math.max(agreed, feature.agreedVersion());
             }
         }
         if (agreed > latest.agreed()) {
-            conditions.put(StoreKeys.AGREED, latest.agreedStamp());
+            conditions.put(StoreKeys.AGREED_VERSION, latest.agreedStamp());
         }
         state.emit(
                 new SchedulerAction.WriteRollout(
@@ -257,11 +258,11 @@
                                 announcement ->
                                         announcement.consecutiveStarts() >= KEEPS_ENDING
                                                 && state.wallMicros()
-                                                                - announcement.sinceWallMicros()
+                                                                - announcement.startedWallMicros()
                                                         < KEEPS_ENDING_MICROS);
         while (true) {
             Count count = counts.get(feature);
-            boolean same = next.of(feature.key()).equals(count.standing);
+            boolean same = next.stateOf(feature.key()).equals(count.standing);
             boolean soaked =
                     same
                             && state.nowMicros() - Math.max(count.sinceMicros, calmSinceMicros)
@@ -287,7 +288,7 @@
                     state.log(
                             LogEntry.info(LogEvent.ROLLOUT_WAITING)
                                     .with("feature", feature.key())
-                                    .with("step", next.of(feature.key()).step().text())
+                                    .with("step", next.stateOf(feature.key()).step().text())
                                     .with("reason", verdict.reason()));
                 }
                 return next;
@@ -298,19 +299,26 @@
                             + state.term()
                             + (request.verb() == Verb.AUTO
                                     ? ""
-                                    : ", " + request.verb().text() + " asked by " + request.by());
-            Standing to = verdict.next();
+                                    : ", "
+                                            + request.verb().text()
+                                            + " asked by "
+                                            + request.operator());
+            FeatureState to = verdict.next();
             next =
-                    next.with(
+                    next.withState(
                             feature.key(),
-                            new Standing(
-                                    to.step(), to.back(), to.held(), to.sinceWallMicros(), by));
+                            new FeatureState(
+                                    to.step(),
+                                    to.isRollingBack(),
+                                    to.isHeld(),
+                                    to.sinceWallMicros(),
+                                    by));
             steps.put(
                     feature.key() + " " + to.step(),
                     LogEntry.info(LogEvent.ROLLOUT_STEP)
                             .with("feature", feature.key())
                             .with("step", to.step().text())
-                            .with("rolling_back", to.back())
+                            .with("rolling_back", to.isRollingBack())
                             .with("allowed_by", by)
                             .with("reason", verdict.reason()));
         }
--- a/src/main/java/org/woadloom/core/rollout/RecordMigration.java
+++ b/src/main/java/org/woadloom/core/rollout/RecordMigration.java
@@ -103,12 +103,12 @@
             Map.Entry<String, Long> one = all.next();
             String key = one.getKey();
             Job job =
-                    key.startsWith(StoreKeys.JOBS)
-                            ? state.jobs().get(key.substring(StoreKeys.JOBS.length()))
+                    key.startsWith(StoreKeys.JOB_PREFIX)
+                            ? state.jobs().get(key.substring(StoreKeys.JOB_PREFIX.length()))
                             : null;
             Machine machine =
-                    key.startsWith(StoreKeys.MACHINES)
-                            ? state.machines().get(key.substring(StoreKeys.MACHINES.length()))
+                    key.startsWith(StoreKeys.MACHINE_PREFIX)
+                            ? state.machines().get(key.substring(StoreKeys.MACHINE_PREFIX.length()))
                             : null;
             if ((job == null && machine == null)
                     || (job != null && job.persistence.durableVersion() >= one.getValue())
@@ -119,8 +119,8 @@
     }
 
     private boolean startRewrite(Feature feature, String key) {
-        if (key.startsWith(StoreKeys.JOBS)) {
-            Job job = state.jobs().get(key.substring(StoreKeys.JOBS.length()));
+        if (key.startsWith(StoreKeys.JOB_PREFIX)) {
+            Job job = state.jobs().get(key.substring(StoreKeys.JOB_PREFIX.length()));
             if (job == null) {
                 return false;
             }
@@ -128,7 +128,7 @@
             job.persistence.requestWrite(PersistenceState.WriteReason.PHASE);
             return true;
         }
-        Machine machine = state.machines().get(key.substring(StoreKeys.MACHINES.length()));
+        Machine machine = state.machines().get(key.substring(StoreKeys.MACHINE_PREFIX.length()));
         if (machine == null || machine.isDeleted() || !machine.isRecorded()) {
             return false;
         }
--- a/src/main/java/org/woadloom/core/rollout/RolloutPolicy.java
+++ b/src/main/java/org/woadloom/core/rollout/RolloutPolicy.java
@@ -5,7 +5,7 @@
 import java.util.TreeSet;
 import org.woadloom.store.NodeAnnouncement;
 import org.woadloom.store.RolloutRecord;
-import org.woadloom.store.RolloutRecord.Standing;
+import org.woadloom.store.RolloutRecord.FeatureState;
 import org.woadloom.store.RolloutRecord.Step;
 import org.woadloom.store.RolloutRequest.Verb;
 
@@ -60,22 +60,22 @@
     }
 
     /** What is to be done: a new standing, or null and what it waits for. */
-    public record Decision(Standing next, String reason) {
+    public record Decision(FeatureState next, String reason) {
         static Decision waiting(String why) {
             return new Decision(null, why);
         }
     }
 
     public static Decision decide(Feature feature, Situation situation, long wallMicros) {
-        Standing current = situation.record.of(feature.key());
-        if (!current.on()
+        FeatureState current = situation.record.stateOf(feature.key());
+        if (!current.isOn()
                 && feature.agreedVersion() > 0
                 && situation.agreed >= feature.agreedVersion()) {
             return to(Step.ON, false, false, wallMicros, "an earlier version agreed on it");
         }
         boolean held =
                 situation.requested != Verb.GO
-                        && (current.held()
+                        && (current.isHeld()
                                 || (situation.troubled
                                         && current.step() == Step.ON
                                         && feature.revocable()
@@ -101,13 +101,13 @@
     private static Decision switchOn(
             Feature feature,
             Situation situation,
-            Standing current,
+            FeatureState current,
             Set<String> lacking,
             long wallMicros) {
         if (!lacking.isEmpty()) {
             // While it is being taken back records of it may be there, and whoever can't read them
             // must stay out.
-            return current.back()
+            return current.isRollingBack()
                     ? Decision.waiting("not read by " + lacking)
                     : to(Step.OFF, false, false, wallMicros, lacking + " no longer reads it");
         }
@@ -116,7 +116,7 @@
             return Decision.waiting("not for " + unable + " to act upon, by settings or version");
         }
         for (String needed : feature.needs()) {
-            if (!situation.record.of(needed).on()) {
+            if (!situation.record.stateOf(needed).isOn()) {
                 return Decision.waiting(needed + " is not on");
             }
         }
@@ -144,7 +144,11 @@
     }
 
     private static Decision rollBack(
-            Feature feature, Situation situation, Standing current, boolean held, long wallMicros) {
+            Feature feature,
+            Situation situation,
+            FeatureState current,
+            boolean held,
+            long wallMicros) {
         String reason = held ? "nodes keep ending" : "an operator asked";
         return switch (current.step()) {
             case OFF -> Decision.waiting(reason + ": off");
@@ -155,17 +159,17 @@
                 }
                 for (Feature other : Feature.values()) {
                     if (other.needs().contains(feature.key())
-                            && situation.record.of(other.key()).required()) {
+                            && situation.record.stateOf(other.key()).isRequired()) {
                         yield Decision.waiting("needed by " + other.key());
                     }
                 }
                 yield to(Step.UNDERSTOOD, true, held, wallMicros, reason);
             }
             case UNDERSTOOD -> {
-                if (current.back() && situation.recordsLeft > 0) {
+                if (current.isRollingBack() && situation.recordsLeft > 0) {
                     yield Decision.waiting("records to be rewritten");
                 }
-                if (current.back() && !situation.confirmed) {
+                if (current.isRollingBack() && !situation.confirmed) {
                     yield Decision.waiting("the store to be counted");
                 }
                 yield to(Step.OFF, false, held, wallMicros, reason);
@@ -175,6 +179,6 @@
 
     private static Decision to(
             Step step, boolean back, boolean held, long wallMicros, String reason) {
-        return new Decision(new Standing(step, back, held, wallMicros, reason), reason);
+        return new Decision(new FeatureState(step, back, held, wallMicros, reason), reason);
     }
 }
--- a/src/main/java/org/woadloom/http/ApiServer.java
+++ b/src/main/java/org/woadloom/http/ApiServer.java
@@ -58,7 +58,7 @@
         this.connections = connections;
         this.router = router;
         InetSocketAddress bind = Addresses.parse(settings.bind());
-        int maxConnections = budget.inbound() + budget.refusals();
+        int maxConnections = budget.inbound() + budget.refusedConnections();
         undertow =
                 Undertow.builder()
                         .setWorker(xnioWorker)
--- a/src/main/java/org/woadloom/http/CancellationHandler.java
+++ b/src/main/java/org/woadloom/http/CancellationHandler.java
@@ -102,7 +102,7 @@
                 answer.accept(NOT_CANCELLED);
             } else if (lookup.status() == null) {
                 answer.accept(Refusal.unknownJob());
-            } else if (lookup.damaged() != null) {
+            } else if (lookup.unreadableStatus() != null) {
                 replaceDamagedRecord(lookup);
             } else if (isOver(lookup)) {
                 answerOver(lookup.status().status());
@@ -161,7 +161,7 @@
 
         /** Nothing of a record that can't be read can be kept: the final state takes its place. */
         private void replaceDamagedRecord(JobLookup lookup) {
-            if (lookup.damaged().isCancelled()) {
+            if (lookup.unreadableStatus().isCancelled()) {
                 answerOver(JobStatus.CANCELLED);
                 return;
             }
@@ -174,7 +174,7 @@
                             Change.put(
                                     StoreKeys.finalState(jobId),
                                     finalState.toMap(storage.format())),
-                            Change.drop(StoreKeys.job(jobId))),
+                            Change.delete(StoreKeys.job(jobId))),
                     (result, storeRevision, failed) -> {
                         if (result == Result.OK) {
                             answerOver(JobStatus.CANCELLED);
--- a/src/main/java/org/woadloom/http/ConnectionLimiter.java
+++ b/src/main/java/org/woadloom/http/ConnectionLimiter.java
@@ -118,7 +118,7 @@
             count(ofAgent, 1);
         }
         idleUsers.remove(tracked);
-        if (total() > budget.comfortable()) {
+        if (total() > budget.inboundHighWatermark()) {
             closeLongestIdle();
         }
         boolean accepted = total() <= budget.inbound();
@@ -136,13 +136,13 @@
      */
     boolean shouldCloseAfter(HttpServerExchange exchange, BooleanSupplier needsNothing) {
         TrackedConnection tracked = exchange.getConnection().getAttachment(TRACKED);
-        if (tracked == null || total() <= budget.comfortable()) {
+        if (tracked == null || total() <= budget.inboundHighWatermark()) {
             return false;
         }
         if (!tracked.ofAgent) {
             return true;
         }
-        boolean closes = budget.closesWorker(total(), needsNothing.getAsBoolean());
+        boolean closes = budget.closesAgentConnection(total(), needsNothing.getAsBoolean());
         if (closes) {
             closedAgents++;
         }
@@ -174,7 +174,7 @@
 
     private void closeLongestIdle() {
         long idleBeforeMicros = loop.nowMicros() - MIN_IDLE_MICROS;
-        while (total() > budget.comfortable() && !idleUsers.isEmpty()) {
+        while (total() > budget.inboundHighWatermark() && !idleUsers.isEmpty()) {
             TrackedConnection longestIdle = idleUsers.iterator().next();
             if (longestIdle.idleSinceMicros > idleBeforeMicros) {
                 return;
--- a/src/main/java/org/woadloom/http/Refusal.java
+++ b/src/main/java/org/woadloom/http/Refusal.java
@@ -39,7 +39,7 @@
 
     /** A question about a job that gets no answer now. */
     static Refusal of(QueryRefusal reason) {
-        return unavailable(reason.text());
+        return unavailable(reason.message());
     }
 
     static Refusal storeUnavailable() {
--- a/src/main/java/org/woadloom/http/Router.java
+++ b/src/main/java/org/woadloom/http/Router.java
@@ -79,7 +79,7 @@
 
     private Consumer<Response> counted(String request, Consumer<Response> answer) {
         return response -> {
-            metrics.answered(request, response.status());
+            metrics.recordResponse(request, response.status());
             answer.accept(response);
         };
     }
--- a/src/main/java/org/woadloom/http/StatusHandler.java
+++ b/src/main/java/org/woadloom/http/StatusHandler.java
@@ -89,11 +89,11 @@
 
     /** How many polls were refused for the reason. */
     long refusals(QueryRefusal reason) {
-        return unanswered.refusals(reason);
+        return unanswered.refusalCount(reason);
     }
 
     /** The longest time for which a job was polled for in vain while others were answered. */
     long longestUnansweredMicros() {
-        return unanswered.longestMicros();
+        return unanswered.longestUnansweredMicros();
     }
 }
--- a/src/main/java/org/woadloom/leader/Election.java
+++ b/src/main/java/org/woadloom/leader/Election.java
@@ -215,7 +215,7 @@
                         return;
                     }
                     for (StoreClient.Event event : events) {
-                        if (event.path().equals(StoreKeys.LEADER)) {
+                        if (event.key().equals(StoreKeys.LEADER)) {
                             onLeaderKey(event.value(), event.revision());
                         }
                     }
@@ -291,7 +291,7 @@
         store.txn(
                 RequestPriority.CONTROL,
                 List.of(new Condition(StoreKeys.LEADER, revision)),
-                List.of(Change.drop(StoreKeys.LEADER)),
+                List.of(Change.delete(StoreKeys.LEADER)),
                 (result, storeRevision, conflicts) -> {
                     campaignNotBeforeMicros = loop.nowMicros() + YIELD_MICROS;
                     if (result == Result.OK) {
@@ -339,7 +339,7 @@
         requestedTerm = NO_TERM;
         // The key as it is now: a campaign against one leader must not depose the next.
         long revisionToReplace = leaderKey == null ? ABSENT : leaderRevision;
-        store.storeLease(
+        store.grantLease(
                 LEASE_MICROS,
                 (result, lease) -> {
                     if (result != Result.OK) {
@@ -416,7 +416,7 @@
             onElected(newTerm, storeRevision);
             return;
         }
-        if (conflicts.contains(fence.condition().path())) {
+        if (conflicts.contains(fence.condition().key())) {
             fence.onConflict();
         }
         // Without an answer it may have been executed; otherwise a later campaign takes a higher
--- a/src/main/java/org/woadloom/leader/RecordWriter.java
+++ b/src/main/java/org/woadloom/leader/RecordWriter.java
@@ -38,7 +38,7 @@
         }
 
         boolean hasCondition(List<String> failedKeys) {
-            return conditions.stream().anyMatch(condition -> failedKeys.contains(condition.path()));
+            return conditions.stream().anyMatch(condition -> failedKeys.contains(condition.key()));
         }
     }
 
@@ -90,7 +90,7 @@
         for (Write write : writes) {
             int size = write.size();
             if (!batch.isEmpty()
-                    && (ops + write.changes.size() > limits.txnOps()
+                    && (ops + write.changes.size() > limits.maxTransactionChanges()
                             || bytes + size > MAX_TRANSACTION_BYTES)) {
                 writeBatch(priority, batch);
                 batch = new ArrayList<>();
@@ -143,8 +143,8 @@
      */
     private static String proofKey(List<Change> changes) {
         for (Change change : changes) {
-            if (change.path().startsWith(StoreKeys.JOBS) && change.value() != null) {
-                return change.path();
+            if (change.key().startsWith(StoreKeys.JOB_PREFIX) && change.value() != null) {
+                return change.key();
             }
         }
         return null;
--- a/src/main/java/org/woadloom/metrics/NodeMetrics.java
+++ b/src/main/java/org/woadloom/metrics/NodeMetrics.java
@@ -29,7 +29,7 @@
 
     private static final double MICROS_PER_SECOND = 1e6;
 
-    private long refusedOrLate;
+    private long refusedOrLateCount;
     private final MeterRegistry registry = new SimpleMeterRegistry();
     private final Timer steps = registry.timer("woadloom.core.step");
 
@@ -48,9 +48,9 @@
      *
      * @param what the kind of request, as the meters name it
      */
-    public void answered(String what, int status) {
+    public void recordResponse(String what, int status) {
         if (status == SERVICE_UNAVAILABLE && !what.equals(HEARTBEAT)) {
-            refusedOrLate++;
+            refusedOrLateCount++;
         }
         httpAnswers
                 .computeIfAbsent(what, w -> new HashMap<>())
@@ -67,14 +67,14 @@
     }
 
     /** Users' requests that were refused and steps that were late, since the process started. */
-    public long refusedOrLate() {
-        return refusedOrLate;
+    public long refusedOrLateCount() {
+        return refusedOrLateCount;
     }
 
     /** Counts a step of the scheduler by the time that it took. */
-    public void onStepTaken(long micros) {
+    public void recordStep(long micros) {
         if (micros > LATE_STEP_MICROS) {
-            refusedOrLate++;
+            refusedOrLateCount++;
         }
         steps.record(micros, TimeUnit.MICROSECONDS);
     }
@@ -85,7 +85,7 @@
     }
 
     /** Counts an action that the scheduler has decided on. */
-    public void onAction(SchedulerAction action) {
+    public void recordAction(SchedulerAction action) {
         if (action instanceof SchedulerAction.AnswerHeartbeat) {
             answers.increment();
         } else if (action instanceof SchedulerAction.SendDirectCommand) {
--- a/src/main/java/org/woadloom/net/HttpTransport.java
+++ b/src/main/java/org/woadloom/net/HttpTransport.java
@@ -16,7 +16,7 @@
      */
     @FunctionalInterface
     interface Callback {
-        void answered(int status, byte[] body);
+        void onResponse(int status, byte[] body);
     }
 
     /**
--- a/src/main/java/org/woadloom/net/SocketBudget.java
+++ b/src/main/java/org/woadloom/net/SocketBudget.java
@@ -6,23 +6,24 @@
  * How a node divides its sockets: what is left of {@code fd_limit} after its own needs is for
  * agents and users. All components are numbers of sockets.
  *
- * @param process listeners, pollers and files of the process
+ * @param processOverhead listeners, pollers and files of the process
  * @param peers connections with the other nodes, among them old ones that are about to close
- * @param state requests to the store and watches
+ * @param store requests to the store and watches
  * @param cloud requests to the cloud
- * @param direct commands to agents in flight at a time
- * @param idle idle connections that are kept open
- * @param refusals connections that are accepted only to be refused at once with a retry time
+ * @param directCommands commands to agents in flight at a time
+ * @param idleConnections idle connections that are kept open
+ * @param refusedConnections connections that are accepted only to be refused at once with a retry
+ *     time
  * @param inbound agents and users
  */
 public record SocketBudget(
-        int process,
+        int processOverhead,
         int peers,
-        int state,
+        int store,
         int cloud,
-        int direct,
-        int idle,
-        int refusals,
+        int directCommands,
+        int idleConnections,
+        int refusedConnections,
         int inbound) {
     private static final int PROCESS_SOCKETS = 32;
     private static final int SOCKETS_PER_PEER = 4;
@@ -66,7 +67,7 @@
     }
 
     /** How many inbound connections may be open before some are closed. */
-    public int comfortable() {
+    public int inboundHighWatermark() {
         return (int) (inbound * COMFORTABLE_SHARE);
     }
 
@@ -78,13 +79,13 @@
      * @param open how many connections of agents and users are open
      * @param needsNothing whether the answer gives the agent nothing to do
      */
-    public boolean closesWorker(int open, boolean needsNothing) {
-        int level = needsNothing ? comfortable() : (comfortable() + inbound) / 2;
+    public boolean closesAgentConnection(int open, boolean needsNothing) {
+        int level = needsNothing ? inboundHighWatermark() : (inboundHighWatermark() + inbound) / 2;
         return open > level;
     }
 
     /** How many agents a node serves before it redirects others to another node. */
-    public int agents() {
+    public int maxAgents() {
         return (int) (inbound * AGENT_SHARE);
     }
 }
--- a/src/main/java/org/woadloom/net/UndertowTransport.java
+++ b/src/main/java/org/woadloom/net/UndertowTransport.java
@@ -121,12 +121,12 @@
     }
 
     /** How many connections are open, for requests in flight or idle. */
-    public int open() {
+    public int openConnectionCount() {
         return inFlight + idleByAge.size();
     }
 
     /** How many connections are open and idle. */
-    public int idle() {
+    public int idleConnectionCount() {
         return idleByAge.size();
     }
 
@@ -208,7 +208,7 @@
                 finished = true;
                 inFlight--;
                 timer.cancel();
-                callback.answered(status, response);
+                callback.onResponse(status, response);
             }
         }
 
--- a/src/main/java/org/woadloom/node/AgreedVersion.java
+++ b/src/main/java/org/woadloom/node/AgreedVersion.java
@@ -68,7 +68,7 @@
         }
         store.get(
                 priority,
-                StoreKeys.AGREED,
+                StoreKeys.AGREED_VERSION,
                 (result, entry, storeRevision) -> {
                     if (result == Result.OK) {
                         update(entry);
@@ -83,7 +83,7 @@
             version = Math.max(version, new Fields(entry.value()).integer(FIELD));
             revision = entry.revision();
         } catch (MalformedMessageException e) {
-            UnreadableRecords.log(entry.path(), e);
+            UnreadableRecords.log(entry.key(), e);
         }
     }
 
--- a/src/main/java/org/woadloom/node/EventQueue.java
+++ b/src/main/java/org/woadloom/node/EventQueue.java
@@ -119,9 +119,9 @@
         long startMicros = loop.nowMicros();
         List<SchedulerEvent> batch = takeBatch();
         List<SchedulerAction> actions = scheduler.step(startMicros, loop.wallMicros(), batch);
-        metrics.onStepTaken(loop.nowMicros() - startMicros);
+        metrics.recordStep(loop.nowMicros() - startMicros);
         observer.onStep(startMicros, batch, actions);
-        actions.forEach(metrics::onAction);
+        actions.forEach(metrics::recordAction);
         executor.execute(actions);
         long endMicros = loop.nowMicros();
         notBeforeMicros = endMicros + pauseMicros(endMicros - startMicros);
--- a/src/main/java/org/woadloom/node/FleetSizeEstimate.java
+++ b/src/main/java/org/woadloom/node/FleetSizeEstimate.java
@@ -24,7 +24,7 @@
         double heartbeatsPerSecond =
                 settings.resources().cpuShare() * (1 - SPARE_PART) / HEARTBEAT_SECONDS;
         return new FleetSizeEstimate(
-                SocketBudget.of(settings).agents() * Math.max(1, settings.peers().size()),
+                SocketBudget.of(settings).maxAgents() * Math.max(1, settings.peers().size()),
                 (int) (heartbeatsPerSecond * settings.agents().heartbeatMicros() / 1e6));
     }
 
--- a/src/main/java/org/woadloom/node/ForwardedHeartbeats.java
+++ b/src/main/java/org/woadloom/node/ForwardedHeartbeats.java
@@ -26,14 +26,14 @@
 
     /** Has the leader decide a heartbeat; the answer is 503 if none comes in time. */
     void forward(String leader, byte[] heartbeat, Consumer<Response> answer) {
-        if (!transport.accepts(leader)) {
+        if (!transport.acceptsMessages(leader)) {
             refused++;
             answer.accept(Response.unavailable("too much waits for the leader"));
             return;
         }
         long id = ++lastId;
         answersById.put(id, answer);
-        transport.send(leader, new PeerMessage.ForwardHeartbeat(id, heartbeat));
+        transport.send(leader, new PeerMessage.ForwardedHeartbeat(id, heartbeat));
         loop.schedule(
                 ANSWER_TIMEOUT_MICROS,
                 () -> {
--- a/src/main/java/org/woadloom/node/JobRecordReader.java
+++ b/src/main/java/org/woadloom/node/JobRecordReader.java
@@ -32,7 +32,7 @@
         } catch (MalformedMessageException e) {
             UnreadableRecords.log(path, e);
         }
-        String jobId = path.substring(StoreKeys.JOBS.length());
+        String jobId = path.substring(StoreKeys.JOB_PREFIX.length());
         if (JobRecord.isOfLaterVersion(value)) {
             return new SchedulerEvent.JobReadFailed(jobId);
         }
--- a/src/main/java/org/woadloom/node/JobWatcher.java
+++ b/src/main/java/org/woadloom/node/JobWatcher.java
@@ -41,7 +41,7 @@
     void watch(LeadershipTerm term, long sinceRevision) {
         long requestedMicros = loop.nowMicros();
         store.watch(
-                StoreKeys.JOBS,
+                StoreKeys.JOB_PREFIX,
                 sinceRevision,
                 WATCH_TIMEOUT_MICROS,
                 (result, events, storeRevision) -> {
@@ -63,7 +63,7 @@
     private void onChange(LeadershipTerm term, StoreClient.Event event) {
         // What this leader wrote itself, and what it deleted, it knows already.
         if (event.value() != null && !JobRecord.isWrittenInTerm(term.number(), event.value())) {
-            queue.add(jobRecords.toEvent(event.path(), event.value(), event.revision()));
+            queue.add(jobRecords.toEvent(event.key(), event.value(), event.revision()));
         }
     }
 
@@ -71,7 +71,7 @@
     private void listAndWatch(LeadershipTerm term) {
         store.list(
                 RequestPriority.NORMAL,
-                StoreKeys.JOBS,
+                StoreKeys.JOB_PREFIX,
                 (result, entries, storeRevision) -> {
                     if (!term.isActive()) {
                         return;
@@ -81,8 +81,7 @@
                         return;
                     }
                     for (StoreClient.Entry entry : entries) {
-                        queue.add(
-                                jobRecords.toEvent(entry.path(), entry.value(), entry.revision()));
+                        queue.add(jobRecords.toEvent(entry.key(), entry.value(), entry.revision()));
                     }
                     watch(term, storeRevision);
                 });
--- a/src/main/java/org/woadloom/node/MachineTypeCatalog.java
+++ b/src/main/java/org/woadloom/node/MachineTypeCatalog.java
@@ -82,7 +82,7 @@
     private void readStored() {
         store.get(
                 RequestPriority.NORMAL,
-                StoreKeys.TYPES,
+                StoreKeys.MACHINE_TYPES,
                 (result, entry, storeRevision) -> {
                     if (result == Result.OK && types.isEmpty()) {
                         updateFromStored(entry);
@@ -95,7 +95,7 @@
         try {
             update(MachineType.parseAll(entry.value()));
         } catch (MalformedMessageException e) {
-            UnreadableRecords.log(StoreKeys.TYPES, e);
+            UnreadableRecords.log(StoreKeys.MACHINE_TYPES, e);
         }
     }
 
@@ -107,7 +107,7 @@
         store.txn(
                 RequestPriority.BACKGROUND,
                 List.of(),
-                List.of(Change.put(StoreKeys.TYPES, ImmutableMap.of(STORED_TYPES, items))),
+                List.of(Change.put(StoreKeys.MACHINE_TYPES, ImmutableMap.of(STORED_TYPES, items))),
                 (result, storeRevision, failed) -> {});
     }
 }
--- a/src/main/java/org/woadloom/node/Node.java
+++ b/src/main/java/org/woadloom/node/Node.java
@@ -87,7 +87,8 @@
         limits = new StoreLimits(settings.store());
         SocketBudget sockets = SocketBudget.of(settings);
         AgentConnectionBalancer connectionBalancer =
-                new AgentConnectionBalancer(sockets.agents(), settings.agents().heartbeatMicros());
+                new AgentConnectionBalancer(
+                        sockets.maxAgents(), settings.agents().heartbeatMicros());
         delegatedRenewer = new DelegatedLeaseRenewer(loop, settings, random);
         isolation = new IsolationDetector(loop);
         store = new StoreClient(loop, transport, settings, limits, random, this::onStoreAnswer);
@@ -104,7 +105,8 @@
                         HeartbeatRouter.MAX_WAITING_HEARTBEATS,
                         this::execute,
                         observer);
-        leaderActions = newLeaderActions(loop, cloud, new AgentClient(transport, sockets.direct()));
+        leaderActions =
+                newLeaderActions(loop, cloud, new AgentClient(transport, sockets.directCommands()));
         StoreRelay storeRelay = new StoreRelay(loop, store, settings, limits, rollout, random);
         election =
                 new Election(
@@ -387,8 +389,8 @@
         @Override
         public int valueBytes() {
             return rollout.format() == RecordFormat.COMPACT
-                    ? limits.valueBytes()
-                    : limits.currentValueBytes();
+                    ? limits.maxValueBytes()
+                    : limits.maxAcceptedValueBytes();
         }
 
         @Override
--- a/src/main/java/org/woadloom/node/NodeAnnouncer.java
+++ b/src/main/java/org/woadloom/node/NodeAnnouncer.java
@@ -77,7 +77,7 @@
 
     /** Announces this process, and repeats that until it succeeds. */
     void announce() {
-        store.storeLease(
+        store.grantLease(
                 LEASE_MICROS,
                 (result, storeLease) -> {
                     if (result == Result.OK) {
@@ -124,7 +124,7 @@
                 new Condition(key(), predecessor == null ? 0 : predecessor.revision());
         Change version =
                 Change.put(
-                        StoreKeys.NODE_VERSIONS + label,
+                        StoreKeys.NODE_VERSION_PREFIX + label,
                         ImmutableMap.of(AgreedVersion.FIELD, AgreedVersion.ANNOUNCED));
         store.txn(
                 RequestPriority.CONTROL,
@@ -142,7 +142,7 @@
     }
 
     private String key() {
-        return StoreKeys.ROLLOUT_NODES + label;
+        return StoreKeys.ROLLOUT_NODE_PREFIX + label;
     }
 
     private int consecutiveStarts(Entry predecessor) {
@@ -158,7 +158,7 @@
         if (announcement.processId() == processId) {
             return announcement.consecutiveStarts();
         }
-        long ageMicros = loop.wallMicros() - announcement.sinceWallMicros();
+        long ageMicros = loop.wallMicros() - announcement.startedWallMicros();
         boolean isConsecutive = ageMicros >= 0 && ageMicros < CONSECUTIVE_START_MICROS;
         return isConsecutive ? announcement.consecutiveStarts() + 1 : 1;
     }
--- a/src/main/java/org/woadloom/node/NodeGauges.java
+++ b/src/main/java/org/woadloom/node/NodeGauges.java
@@ -38,11 +38,11 @@
     }
 
     static void registerStore(NodeMetrics metrics, StoreClient store) {
-        metrics.gauge("woadloom.state.troubles", store, StoreClient::failures);
-        metrics.gauge("woadloom.state.shed", store, StoreClient::shed);
+        metrics.gauge("woadloom.state.troubles", store, StoreClient::failureCount);
+        metrics.gauge("woadloom.state.shed", store, StoreClient::shedCount);
         for (RateShare share : RateShare.values()) {
             String name = share.name().toLowerCase(Locale.ROOT);
-            metrics.gauge("woadloom.state.queued", "share", name, store, s -> s.queued(share));
+            metrics.gauge("woadloom.state.queued", "share", name, store, s -> s.queuedCount(share));
             metrics.gauge(
                     "woadloom.state.queue_age_s",
                     "share",
--- a/src/main/java/org/woadloom/node/PeerTracker.java
+++ b/src/main/java/org/woadloom/node/PeerTracker.java
@@ -225,7 +225,7 @@
             inbox.onCancellationReport(from, report.report());
         } else if (message instanceof PeerMessage.CancellationReportAck acknowledged) {
             inbox.onCancellationReportAck(acknowledged.ack());
-        } else if (message instanceof PeerMessage.ForwardHeartbeat forward) {
+        } else if (message instanceof PeerMessage.ForwardedHeartbeat forward) {
             onForwardHeartbeat(from, forward);
         } else if (message instanceof PeerMessage.ForwardedAnswer answer) {
             forwarded.onAnswer(answer);
@@ -252,7 +252,7 @@
         }
     }
 
-    private void onForwardHeartbeat(String from, PeerMessage.ForwardHeartbeat forward) {
+    private void onForwardHeartbeat(String from, PeerMessage.ForwardedHeartbeat forward) {
         inbox.onForwardedHeartbeat(
                 forward.heartbeat(),
                 response ->
--- a/src/main/java/org/woadloom/node/RecordReads.java
+++ b/src/main/java/org/woadloom/node/RecordReads.java
@@ -79,7 +79,7 @@
     }
 
     private void addJob(StoreClient.Entry entry) {
-        queue.add(jobRecords.toEvent(entry.path(), entry.value(), entry.revision()));
+        queue.add(jobRecords.toEvent(entry.key(), entry.value(), entry.revision()));
     }
 
     private void resolveByFinalState(LeadershipTerm term, String jobId) {
@@ -106,9 +106,9 @@
             FinalRecord record = FinalRecord.parse(jobId, entry.value());
             DependencyState state =
                     record.cancelled() ? DependencyState.CANCELLED : DependencyState.DONE;
-            return new SchedulerEvent.DependencyResolved(jobId, state, record.wallMicros());
+            return new SchedulerEvent.DependencyResolved(jobId, state, record.endedWallMicros());
         } catch (MalformedMessageException e) {
-            UnreadableRecords.log(entry.path(), e);
+            UnreadableRecords.log(entry.key(), e);
             return dependency(jobId, DependencyState.UNREADABLE);
         }
     }
--- a/src/main/java/org/woadloom/node/RecordWrites.java
+++ b/src/main/java/org/woadloom/node/RecordWrites.java
@@ -38,8 +38,8 @@
     void writeJob(SchedulerAction.WriteJob action) {
         String jobId = action.record().description().jobId();
         Map<String, Object> value = action.record().toMap(rollout.format());
-        RecordWriter.Outcome callback = onJobWritten(jobId, action.record().version());
-        if (Cbor.jsonSize(value) > limits.currentValueBytes()) {
+        RecordWriter.Outcome callback = onJobWritten(jobId, action.record().writeSequence());
+        if (Cbor.jsonSize(value) > limits.maxAcceptedValueBytes()) {
             callback.onWritten(SchedulerEvent.WriteOutcome.TOO_LARGE, 0);
         } else {
             writer.add(
@@ -58,7 +58,7 @@
                         List.of(new Condition(StoreKeys.job(jobId), action.revision())),
                         List.of(
                                 Change.put(StoreKeys.finalState(jobId), value),
-                                Change.drop(StoreKeys.job(jobId))),
+                                Change.delete(StoreKeys.job(jobId))),
                         onJobWritten(jobId, action.version())));
     }
 
@@ -79,7 +79,7 @@
                 false,
                 new RecordWriter.Write(
                         List.of(new Condition(key, action.revision())),
-                        List.of(Change.drop(key)),
+                        List.of(Change.delete(key)),
                         onMachineWritten(action.host(), true, true)));
     }
 
--- a/src/main/java/org/woadloom/node/RolloutActions.java
+++ b/src/main/java/org/woadloom/node/RolloutActions.java
@@ -38,7 +38,9 @@
         changes.add(Change.put(StoreKeys.ROLLOUT_STATE, put.record().toMap()));
         if (put.agreedVersion() > 0) {
             changes.add(
-                    Change.put(StoreKeys.AGREED, ImmutableMap.of("version", put.agreedVersion())));
+                    Change.put(
+                            StoreKeys.AGREED_VERSION,
+                            ImmutableMap.of("version", put.agreedVersion())));
         }
         writer.add(
                 true,
@@ -67,19 +69,19 @@
                     List<String> unreadable = new ArrayList<>();
                     for (StoreClient.Entry entry : entries) {
                         try {
-                            if (entry.path().startsWith(StoreKeys.JOBS)) {
+                            if (entry.key().startsWith(StoreKeys.JOB_PREFIX)) {
                                 JobRecord.parse(entry.value());
                             } else {
                                 MachineRecord.parse(
-                                        entry.path().substring(StoreKeys.MACHINES.length()),
+                                        entry.key().substring(StoreKeys.MACHINE_PREFIX.length()),
                                         entry.value());
                             }
                             if (count.feature().fresh(entry.value()) == count.rollingBack()) {
-                                old.add(entry.path());
+                                old.add(entry.key());
                             }
                         } catch (MalformedMessageException e) {
-                            UnreadableRecords.log(entry.path(), e);
-                            unreadable.add(entry.path());
+                            UnreadableRecords.log(entry.key(), e);
+                            unreadable.add(entry.key());
                         }
                     }
                     outcome.add(
--- a/src/main/java/org/woadloom/node/RolloutParticipant.java
+++ b/src/main/java/org/woadloom/node/RolloutParticipant.java
@@ -139,7 +139,7 @@
 
     /** True if the feature may be in use at some node, as far as is known here. */
     boolean mayBeOn(Feature feature) {
-        return !isKnown() || isOn(feature) || record.of(feature.key()).required();
+        return !isKnown() || isOn(feature) || record.stateOf(feature.key()).isRequired();
     }
 
     /** The number of the record that was last read. */
@@ -219,12 +219,12 @@
             return;
         }
         unannouncedPeers.remove(from);
-        if (view.number() <= number) {
+        if (view.recordNumber() <= number) {
             return;
         }
-        setRequired(view.number(), new TreeSet<>(view.requires()));
+        setRequired(view.recordNumber(), new TreeSet<>(view.requiredFeatures()));
         for (Feature feature : Feature.values()) {
-            if (view.on().contains(feature.key())) {
+            if (view.enabledFeatures().contains(feature.key())) {
                 enable(feature);
             } else if (feature.revocable() && enabled.remove(feature)) {
                 onChanged.run();
@@ -248,9 +248,9 @@
         if (record.number() < number) {
             return;
         }
-        setRequired(record.number(), record.requires());
+        setRequired(record.number(), record.requiredFeatures());
         for (Feature feature : Feature.values()) {
-            if (record.of(feature.key()).on()) {
+            if (record.stateOf(feature.key()).isOn()) {
                 enable(feature);
             } else if (feature.revocable() && enabled.remove(feature)) {
                 LOG.info("event=feature_off feature={}", feature.key());
@@ -267,8 +267,8 @@
     private void onRecordUnreadable(Entry stored, MalformedMessageException error) {
         try {
             setRequired(
-                    RolloutRecord.numberOf(stored.value()),
-                    RolloutRecord.requiredBy(stored.value()));
+                    RolloutRecord.parseNumber(stored.value()),
+                    RolloutRecord.parseRequiredFeatures(stored.value()));
             if (membership.missingFeatures().isEmpty()) {
                 membership.onRecordUnreadable(unreadable(error));
             }
@@ -329,7 +329,7 @@
             try {
                 addEntry(entry, announcements, requests);
             } catch (MalformedMessageException e) {
-                UnreadableRecords.log(entry.path(), e);
+                UnreadableRecords.log(entry.key(), e);
             }
         }
         return new SchedulerEvent.RolloutStateRead(
@@ -348,15 +348,15 @@
             Map<String, SchedulerEvent.StoredAnnouncement> announcements,
             Map<String, RolloutRequest> requests)
             throws MalformedMessageException {
-        String key = entry.path();
-        if (key.startsWith(StoreKeys.ROLLOUT_NODES)) {
+        String key = entry.key();
+        if (key.startsWith(StoreKeys.ROLLOUT_NODE_PREFIX)) {
             announcements.put(
-                    key.substring(StoreKeys.ROLLOUT_NODES.length()),
+                    key.substring(StoreKeys.ROLLOUT_NODE_PREFIX.length()),
                     new SchedulerEvent.StoredAnnouncement(
                             NodeAnnouncement.parse(entry.value()), entry.revision()));
-        } else if (key.startsWith(StoreKeys.ROLLOUT_ASKED)) {
+        } else if (key.startsWith(StoreKeys.ROLLOUT_REQUEST_PREFIX)) {
             requests.put(
-                    key.substring(StoreKeys.ROLLOUT_ASKED.length()),
+                    key.substring(StoreKeys.ROLLOUT_REQUEST_PREFIX.length()),
                     RolloutRequest.parse(entry.value()));
         }
     }
--- a/src/main/java/org/woadloom/node/RolloutWatcher.java
+++ b/src/main/java/org/woadloom/node/RolloutWatcher.java
@@ -51,7 +51,7 @@
     /** All entries, by their keys. */
     List<Entry> sortedEntries() {
         List<Entry> sorted = new ArrayList<>(entries.values());
-        sorted.sort(Comparator.comparing(Entry::path));
+        sorted.sort(Comparator.comparing(Entry::key));
         return sorted;
     }
 
@@ -76,7 +76,7 @@
 
     private void watch(long sinceRevision) {
         store.watch(
-                StoreKeys.ROLLOUT,
+                StoreKeys.ROLLOUT_PREFIX,
                 sinceRevision,
                 WATCH_TIMEOUT_MICROS,
                 (result, events, storeRevision) -> {
@@ -95,9 +95,9 @@
 
     private void apply(StoreClient.Event event) {
         if (event.value() == null) {
-            entries.remove(event.path());
+            entries.remove(event.key());
         } else {
-            entries.put(event.path(), new Entry(event.path(), event.value(), event.revision()));
+            entries.put(event.key(), new Entry(event.key(), event.value(), event.revision()));
         }
     }
 
@@ -110,7 +110,7 @@
         boolean wasAnnounced = listener.isAnnounced();
         store.list(
                 priority,
-                StoreKeys.ROLLOUT,
+                StoreKeys.ROLLOUT_PREFIX,
                 (result, found, storeRevision) -> {
                     if (result != Result.OK) {
                         done.accept(OptionalLong.empty());
@@ -120,7 +120,7 @@
                         listener.onReadSinceAnnouncement();
                     }
                     entries.clear();
-                    found.forEach(entry -> entries.put(entry.path(), entry));
+                    found.forEach(entry -> entries.put(entry.key(), entry));
                     listener.onEntries();
                     done.accept(OptionalLong.of(storeRevision));
                 });
--- a/src/main/java/org/woadloom/node/SchedulerStatusFeed.java
+++ b/src/main/java/org/woadloom/node/SchedulerStatusFeed.java
@@ -49,8 +49,8 @@
         sentWritesPerSecond = store.writesPerSecond();
         int maxValueBytes =
                 rollout.format() == RecordFormat.COMPACT
-                        ? limits.valueBytes()
-                        : limits.currentValueBytes();
+                        ? limits.maxValueBytes()
+                        : limits.maxAcceptedValueBytes();
         queue.add(
                 new SchedulerEvent.StoreLimitsChanged(
                         maxValueBytes,
@@ -74,7 +74,7 @@
             return;
         }
         rolloutSentMicros = now;
-        SchedulerEvent.RolloutStateRead state = rollout.rolloutState(metrics.refusedOrLate());
+        SchedulerEvent.RolloutStateRead state = rollout.rolloutState(metrics.refusedOrLateCount());
         if (state != null) {
             queue.add(state);
         }
--- a/src/main/java/org/woadloom/node/Server.java
+++ b/src/main/java/org/woadloom/node/Server.java
@@ -46,7 +46,8 @@
         ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, 256, 4);
         XnioEventLoop loop = new XnioEventLoop(thread);
         SocketBudget plan = SocketBudget.of(settings);
-        UndertowTransport transport = new UndertowTransport(loop, thread, buffers, plan.idle());
+        UndertowTransport transport =
+                new UndertowTransport(loop, thread, buffers, plan.idleConnections());
         // Not by clocks alone: one that stood still, or was set back, would make a process take
         // itself for the one before.
         Random random = new Random(new SecureRandom().nextLong());
@@ -82,9 +83,9 @@
                             connections.agents(),
                             connections.users(),
                             plan.inbound(),
-                            transport.open(),
-                            transport.idle(),
-                            peers.open(),
+                            transport.openConnectionCount(),
+                            transport.idleConnectionCount(),
+                            peers.openConnectionCount(),
                             connections.closed(),
                             connections.refused());
                     logSockets(loop, plan, connections, transport, peers);
@@ -100,10 +101,14 @@
         metrics.gauge("woadloom.sockets.workers", connections, ConnectionLimiter::agents);
         metrics.gauge("woadloom.sockets.users", connections, ConnectionLimiter::users);
         metrics.gauge("woadloom.sockets.inbound.most", plan, SocketBudget::inbound);
-        metrics.gauge("woadloom.sockets.outbound", transport, UndertowTransport::open);
-        metrics.gauge("woadloom.sockets.outbound.idle", transport, UndertowTransport::idle);
-        metrics.gauge("woadloom.sockets.peers", peers, XnioPeerTransport::open);
-        metrics.gauge("woadloom.peers.dropped", peers, XnioPeerTransport::refused);
+        metrics.gauge(
+                "woadloom.sockets.outbound", transport, UndertowTransport::openConnectionCount);
+        metrics.gauge(
+                "woadloom.sockets.outbound.idle",
+                transport,
+                UndertowTransport::idleConnectionCount);
+        metrics.gauge("woadloom.sockets.peers", peers, XnioPeerTransport::openConnectionCount);
+        metrics.gauge("woadloom.peers.dropped", peers, XnioPeerTransport::droppedMessageCount);
         metrics.gauge("woadloom.sockets.closed", connections, ConnectionLimiter::closed);
         metrics.gauge(
                 "woadloom.sockets.closed_workers", connections, ConnectionLimiter::closedWorkers);
--- a/src/main/java/org/woadloom/node/StateLoader.java
+++ b/src/main/java/org/woadloom/node/StateLoader.java
@@ -66,7 +66,7 @@
     private void loadMachines(LeadershipTerm term, Consumer<StoredState> onLoaded) {
         store.list(
                 RequestPriority.URGENT,
-                StoreKeys.MACHINES,
+                StoreKeys.MACHINE_PREFIX,
                 (result, entries, storeRevision) -> {
                     if (!term.isActive()) {
                         return;
@@ -86,7 +86,7 @@
         long requestedMicros = loop.nowMicros();
         store.list(
                 RequestPriority.URGENT,
-                StoreKeys.JOBS,
+                StoreKeys.JOB_PREFIX,
                 (result, entries, storeRevision) -> {
                     if (!term.isActive()) {
                         return;
@@ -106,11 +106,11 @@
         List<SchedulerEvent.StoredMachine> machines = new ArrayList<>();
         for (StoreClient.Entry entry : entries) {
             try {
-                String host = entry.path().substring(StoreKeys.MACHINES.length());
+                String host = entry.key().substring(StoreKeys.MACHINE_PREFIX.length());
                 MachineRecord record = MachineRecord.parse(host, entry.value());
                 machines.add(new SchedulerEvent.StoredMachine(record, entry.revision()));
             } catch (MalformedMessageException e) {
-                UnreadableRecords.log(entry.path(), e);
+                UnreadableRecords.log(entry.key(), e);
             }
         }
         return machines;
@@ -124,7 +124,7 @@
                         new SchedulerEvent.StoredJob(
                                 jobRecords.parse(entry.value()), entry.revision()));
             } catch (MalformedMessageException e) {
-                UnreadableRecords.log(entry.path(), e);
+                UnreadableRecords.log(entry.key(), e);
             }
         }
         return jobs;
--- a/src/main/java/org/woadloom/node/StoreRelay.java
+++ b/src/main/java/org/woadloom/node/StoreRelay.java
@@ -108,7 +108,7 @@
                         Cbor.jsonSize(content) + HEARTBEAT_OVERHEAD_BYTES,
                         origin);
         if (estimatedBytes(relayed) + RelayCodec.BATCH_OVERHEAD_BYTES
-                > limits.currentValueBytes()) {
+                > limits.maxAcceptedValueBytes()) {
             refuseTooLong(relayed);
             return;
         }
@@ -182,7 +182,7 @@
                         batch.stream().map(Relayed::heartbeat).toList());
         if (codec.isCompressing()) {
             updateCompressionRatio(batch, value);
-            if (Cbor.jsonSize(value) > limits.currentValueBytes()) {
+            if (Cbor.jsonSize(value) > limits.maxAcceptedValueBytes()) {
                 // With the ratio that is known now, the next batches are small enough.
                 resend(batch);
                 return;
@@ -196,7 +196,7 @@
     private List<Relayed> takeBatch() {
         // Answers with start commands may be longer than the heartbeats, and must fit in the same
         // place.
-        int maxBytes = limits.currentValueBytes() / (codec.isCompressing() ? 1 : 2);
+        int maxBytes = limits.maxAcceptedValueBytes() / (codec.isCompressing() ? 1 : 2);
         List<Relayed> batch = new ArrayList<>();
         int bytes = RelayCodec.BATCH_OVERHEAD_BYTES;
         int plainBytes = 0;
@@ -235,7 +235,7 @@
         store.txn(
                 RequestPriority.URGENT,
                 List.of(),
-                List.of(Change.put(StoreKeys.mail(label, slot), value)),
+                List.of(Change.put(StoreKeys.relaySlot(label, slot), value)),
                 (result, storeRevision, failed) -> {
                     if (result == Result.BAD) {
                         limits.onValueRefused(Cbor.jsonSize(value));
@@ -282,9 +282,9 @@
         // ignored by their ids.
         store.list(
                 RequestPriority.URGENT,
-                StoreKeys.mailOf(label),
+                StoreKeys.relayPrefix(label),
                 (result, entries, storeRevision) -> {
-                    entries.forEach(entry -> onBatch(entry.path(), entry.value()));
+                    entries.forEach(entry -> onBatch(entry.key(), entry.value()));
                     if (result == Result.OK) {
                         watchAnswersSince(storeRevision);
                     } else {
@@ -302,13 +302,13 @@
 
     private void watchAnswersSince(long sinceRevision) {
         store.watch(
-                StoreKeys.mailOf(label),
+                StoreKeys.relayPrefix(label),
                 sinceRevision,
                 WATCH_TIMEOUT_MICROS,
                 (result, events, storeRevision) -> {
                     for (StoreClient.Event event : events) {
                         if (event.value() != null) {
-                            onBatch(event.path(), event.value());
+                            onBatch(event.key(), event.value());
                         }
                     }
                     if (result == Result.OK && (!waiting.isEmpty() || !events.isEmpty())) {
@@ -325,7 +325,7 @@
             if (batch == null) {
                 return;
             }
-            long slot = Long.parseLong(path.substring(StoreKeys.mailOf(label).length()));
+            long slot = Long.parseLong(path.substring(StoreKeys.relayPrefix(label).length()));
             slots.free((int) slot, batch.id());
             for (Object item : batch.items()) {
                 onAnswer(RelayCodec.decodeAnswer(item));
--- a/src/main/java/org/woadloom/node/StoreRelayLeader.java
+++ b/src/main/java/org/woadloom/node/StoreRelayLeader.java
@@ -71,7 +71,7 @@
     private void listAndWatch(long term) {
         store.list(
                 RequestPriority.URGENT,
-                StoreKeys.MAIL,
+                StoreKeys.RELAY_PREFIX,
                 (result, entries, storeRevision) -> {
                     if (leadingTerm != term) {
                         return;
@@ -80,14 +80,14 @@
                         loop.schedule(RETRY_MICROS, () -> listAndWatch(term));
                         return;
                     }
-                    entries.forEach(entry -> onBatch(entry.path(), entry.value()));
+                    entries.forEach(entry -> onBatch(entry.key(), entry.value()));
                     watch(term, storeRevision);
                 });
     }
 
     private void watch(long term, long sinceRevision) {
         store.watch(
-                StoreKeys.MAIL,
+                StoreKeys.RELAY_PREFIX,
                 sinceRevision,
                 WATCH_TIMEOUT_MICROS,
                 (result, events, storeRevision) -> {
@@ -100,7 +100,7 @@
                     }
                     for (StoreClient.Event event : events) {
                         if (event.value() != null) {
-                            onBatch(event.path(), event.value());
+                            onBatch(event.key(), event.value());
                         }
                     }
                     watch(term, Math.max(sinceRevision, storeRevision));
@@ -188,7 +188,7 @@
     }
 
     private boolean isTooLong(Map<String, Object> value, List<RelayedAnswer> answers) {
-        return Cbor.jsonSize(value) > limits.currentValueBytes()
+        return Cbor.jsonSize(value) > limits.maxAcceptedValueBytes()
                 || RelayCodec.plainAnswersSize(answers) > RelayCodec.MAX_PLAIN_BYTES;
     }
 }
--- a/src/main/java/org/woadloom/peer/PeerCodec.java
+++ b/src/main/java/org/woadloom/peer/PeerCodec.java
@@ -62,7 +62,7 @@
                 PeerCodec::writeJobChange,
                 PeerCodec::readJobChange);
         register(
-                PeerMessage.ForwardHeartbeat.class,
+                PeerMessage.ForwardedHeartbeat.class,
                 FORWARD_HEARTBEAT_ID,
                 PeerCodec::writeForwardHeartbeat,
                 PeerCodec::readForwardHeartbeat);
@@ -106,10 +106,10 @@
         out.writeString(message.leader());
         PeerMessage.RolloutView view = message.rollout();
         if (view != null) {
-            out.writeLong(view.number());
-            writeTexts(out, view.on());
-            writeTexts(out, view.requires());
-            writeTexts(out, view.reads());
+            out.writeLong(view.recordNumber());
+            writeTexts(out, view.enabledFeatures());
+            writeTexts(out, view.requiredFeatures());
+            writeTexts(out, view.supportedFeatures());
         }
     }
 
@@ -139,13 +139,13 @@
         return new PeerMessage.JobChangeNotification(readBytes(in), revision);
     }
 
-    private static void writeForwardHeartbeat(Output out, PeerMessage.ForwardHeartbeat message) {
+    private static void writeForwardHeartbeat(Output out, PeerMessage.ForwardedHeartbeat message) {
         out.writeLong(message.id());
         writeBytes(out, message.heartbeat());
     }
 
-    private static PeerMessage.ForwardHeartbeat readForwardHeartbeat(Input in) {
-        return new PeerMessage.ForwardHeartbeat(in.readLong(), readBytes(in));
+    private static PeerMessage.ForwardedHeartbeat readForwardHeartbeat(Input in) {
+        return new PeerMessage.ForwardedHeartbeat(in.readLong(), readBytes(in));
     }
 
     private static void writeForwardedAnswer(Output out, PeerMessage.ForwardedAnswer message) {
--- a/src/main/java/org/woadloom/peer/PeerMessage.java
+++ b/src/main/java/org/woadloom/peer/PeerMessage.java
@@ -23,18 +23,22 @@
      * What a node has read of the rollout, and what it can read itself: a node that can't reach the
      * store learns it here.
      *
-     * @param number of the record that the sender has read
-     * @param on the features that are on by that record
-     * @param requires the features that a process must know to serve
-     * @param reads the features that the sender knows
+     * @param recordNumber of the record that the sender has read
+     * @param enabledFeatures the features that are on by that record
+     * @param requiredFeatures the features that a process must know to serve
+     * @param supportedFeatures the features that the sender knows
      */
-    record RolloutView(long number, List<String> on, List<String> requires, List<String> reads) {}
+    record RolloutView(
+            long recordNumber,
+            List<String> enabledFeatures,
+            List<String> requiredFeatures,
+            List<String> supportedFeatures) {}
 
     /** A job's record, as CBOR, that this node has just made durable. */
     record JobChangeNotification(byte[] record, long revision) implements PeerMessage {}
 
     /** A heartbeat, forwarded to the leader for an agent that can't reach it. */
-    record ForwardHeartbeat(long id, byte[] heartbeat) implements PeerMessage {}
+    record ForwardedHeartbeat(long id, byte[] heartbeat) implements PeerMessage {}
 
     /** The leader's answer to a forwarded heartbeat. */
     record ForwardedAnswer(long id, int status, byte[] answer) implements PeerMessage {}
--- a/src/main/java/org/woadloom/peer/PeerTransport.java
+++ b/src/main/java/org/woadloom/peer/PeerTransport.java
@@ -22,7 +22,7 @@
     void send(String label, PeerMessage message);
 
     /** False while the queue to a connected peer is full, so that what is sent would be dropped. */
-    default boolean accepts(String label) {
+    default boolean acceptsMessages(String label) {
         return true;
     }
 }
--- a/src/main/java/org/woadloom/peer/XnioPeerTransport.java
+++ b/src/main/java/org/woadloom/peer/XnioPeerTransport.java
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public boolean accepts(String label) {
+    public boolean acceptsMessages(String label) {
         Outbound out = outbound.get(label);
         return out == null || out.connection == null || !out.queue.isFull();
     }
@@ -93,12 +93,12 @@
      * Messages that were dropped because the queue to their peer was full, since the process
      * started.
      */
-    public long refused() {
+    public long droppedMessageCount() {
         return outbound.values().stream().mapToLong(out -> out.queue.refused()).sum();
     }
 
     /** Connections with other nodes, in both directions. */
-    public int open() {
+    public int openConnectionCount() {
         int open = inbound;
         for (Outbound out : outbound.values()) {
             open += out.connection == null ? 0 : 1;
--- a/src/main/java/org/woadloom/reads/CoalescingJobReader.java
+++ b/src/main/java/org/woadloom/reads/CoalescingJobReader.java
@@ -234,7 +234,7 @@
     private void checkStore(Round round, Runnable onServed, Runnable onRefused) {
         store.get(
                 RequestPriority.SHARED_READ,
-                StoreKeys.NOTHING,
+                StoreKeys.NEVER_WRITTEN,
                 (result, entry, storeRevision) -> {
                     if (result == Result.UNAVAILABLE) {
                         onRefused.run();
@@ -252,9 +252,9 @@
             return;
         }
         long startGeneration = generation;
-        store.changes(
+        store.readChanges(
                 RequestPriority.SHARED_READ,
-                StoreKeys.JOBS,
+                StoreKeys.JOB_PREFIX,
                 revision,
                 (result, changes, storeRevision) -> {
                     roundsInFlight--;
@@ -297,7 +297,7 @@
         // The answer for a key that does not exist carries the store's revision.
         store.get(
                 RequestPriority.SHARED_READ,
-                StoreKeys.NOTHING,
+                StoreKeys.NEVER_WRITTEN,
                 (result, entry, storeRevision) -> {
                     roundsInFlight--;
                     if (startGeneration != generation || revision != NO_REVISION) {
--- a/src/main/java/org/woadloom/reads/JobLookup.java
+++ b/src/main/java/org/woadloom/reads/JobLookup.java
@@ -14,14 +14,14 @@
  * @param format the format of that record, or null
  * @param revision the revision of the record, readable or not; 0 without one
  * @param finalState the final state of a job that is over, or null
- * @param damaged the status that is told of a record that can't be read, or null
+ * @param unreadableStatus the status that is told of a record that can't be read, or null
  */
 public record JobLookup(
         JobRecord record,
         RecordFormat format,
         long revision,
         FinalRecord finalState,
-        JobStatus damaged) {
+        JobStatus unreadableStatus) {
     /** In a job's record, in every format. */
     private static final String CANCELLED_FIELD = "cancelled";
 
@@ -54,13 +54,13 @@
         if (finalState != null) {
             return finalState.status();
         }
-        return record != null ? record.status() : damaged;
+        return record != null ? record.status() : unreadableStatus;
     }
 
     /** False where that is not known. */
     public boolean isService() {
         return finalState != null
-                ? finalState.service()
+                ? finalState.isService()
                 : record != null && record.description().isService();
     }
 }
--- a/src/main/java/org/woadloom/reads/JobReader.java
+++ b/src/main/java/org/woadloom/reads/JobReader.java
@@ -177,7 +177,7 @@
         try {
             FinalRecord finalState = FinalRecord.parse(jobId, value);
             finalStates.put(jobId, finalState);
-            acceptedJobs.put(jobId, finalState.service());
+            acceptedJobs.put(jobId, finalState.isService());
             return JobLookup.ofFinalState(finalState);
         } catch (MalformedMessageException e) {
             return null;
--- a/src/main/java/org/woadloom/reads/QueryRefusal.java
+++ b/src/main/java/org/woadloom/reads/QueryRefusal.java
@@ -14,11 +14,11 @@
     DEPENDENCY_CANCELLED("dependency_cancelled", "a job before it is cancelled, and so it will be");
 
     private final String key;
-    private final String text;
+    private final String message;
 
     QueryRefusal(String key, String text) {
         this.key = key;
-        this.text = text;
+        this.message = text;
     }
 
     /** The name in log lines and metrics. */
@@ -27,7 +27,7 @@
     }
 
     /** What the user is told. */
-    public String text() {
-        return text;
+    public String message() {
+        return message;
     }
 }
--- a/src/main/java/org/woadloom/reads/RecentJobs.java
+++ b/src/main/java/org/woadloom/reads/RecentJobs.java
@@ -103,7 +103,7 @@
      *     read by key
      */
     void onChange(Event change, Set<String> queried) {
-        String jobId = change.path().substring(StoreKeys.JOBS.length());
+        String jobId = change.key().substring(StoreKeys.JOB_PREFIX.length());
         boolean removed = change.value() == null;
         refill.onChange(jobId, change);
         if (removed) {
--- a/src/main/java/org/woadloom/reads/RecentJobsRefill.java
+++ b/src/main/java/org/woadloom/reads/RecentJobsRefill.java
@@ -118,7 +118,7 @@
         current.changes.clear();
         store.page(
                 RequestPriority.SHARED_READ,
-                StoreKeys.JOBS,
+                StoreKeys.JOB_PREFIX,
                 current.lastKey,
                 (result, entries, hasMore) -> {
                     if (current == pass) {
@@ -140,9 +140,9 @@
         current.pages++;
         current.jobs += entries.size();
         for (Entry entry : entries) {
-            String jobId = entry.path().substring(StoreKeys.JOBS.length());
+            String jobId = entry.key().substring(StoreKeys.JOB_PREFIX.length());
             target.onRecord(jobId, entry, current.changes.get(jobId));
-            current.lastKey = entry.path();
+            current.lastKey = entry.key();
         }
         if (hasMore && !entries.isEmpty()) {
             readPage(current);
@@ -157,7 +157,7 @@
     private static boolean advances(Pass current, List<Entry> entries) {
         return entries.isEmpty()
                 || current.lastKey == null
-                || entries.get(0).path().compareTo(current.lastKey) > 0;
+                || entries.get(0).key().compareTo(current.lastKey) > 0;
     }
 
     private void retry(Pass current) {
--- a/src/main/java/org/woadloom/reads/UnansweredQueries.java
+++ b/src/main/java/org/woadloom/reads/UnansweredQueries.java
@@ -35,7 +35,7 @@
 
     private final EventLoop loop;
     private final Cache<String, Long> firstRefusalMicros;
-    private final Map<QueryRefusal, Long> refusals = new EnumMap<>(QueryRefusal.class);
+    private final Map<QueryRefusal, Long> refusalCounts = new EnumMap<>(QueryRefusal.class);
     private long lastWarningMicros = NEVER_MICROS;
 
     public UnansweredQueries(EventLoop loop) {
@@ -61,7 +61,7 @@
      *     towards the job's time
      */
     public void onRefused(String jobId, QueryRefusal reason, boolean served) {
-        refusals.merge(reason, 1L, Long::sum);
+        refusalCounts.merge(reason, 1L, Long::sum);
         if (!served) {
             firstRefusalMicros.invalidate(jobId);
             return;
@@ -80,8 +80,8 @@
     }
 
     /** How many queries were refused for the reason, since the process started. */
-    public long refusals(QueryRefusal reason) {
-        return refusals.getOrDefault(reason, 0L);
+    public long refusalCount(QueryRefusal reason) {
+        return refusalCounts.getOrDefault(reason, 0L);
     }
 
     /** Whether queries for the job go before others. */
@@ -91,7 +91,7 @@
     }
 
     /** The longest time for which a job has gone without an answer. */
-    public long longestMicros() {
+    public long longestUnansweredMicros() {
         firstRefusalMicros.cleanUp();
         long now = loop.nowMicros();
         return firstRefusalMicros.asMap().values().stream()
--- a/src/main/java/org/woadloom/store/FinalRecord.java
+++ b/src/main/java/org/woadloom/store/FinalRecord.java
@@ -10,11 +10,15 @@
  * What is kept of a job for ever once it is over and none of its tasks can be on a machine. Version
  * 1 wrote neither when that was nor that the job was a service, and ignores both.
  *
- * @param done how many of its tasks were completed
- * @param wallMicros when it was over, by the time of day, 0 where that is not known
+ * @param completedCount how many of its tasks were completed
+ * @param endedWallMicros when it was over, by the time of day, 0 where that is not known
  */
 public record FinalRecord(
-        String jobId, boolean cancelled, int done, long wallMicros, boolean service) {
+        String jobId,
+        boolean cancelled,
+        int completedCount,
+        long endedWallMicros,
+        boolean isService) {
     private static final String STATUS = "status";
     private static final String DONE = "done";
     private static final String FINISHED_AT = "at";
@@ -25,7 +29,7 @@
 
     /** What users are told of the job. */
     public JobStatus status() {
-        return new JobStatus(jobId, statusText(), done, 0);
+        return new JobStatus(jobId, statusText(), completedCount, 0);
     }
 
     private String statusText() {
@@ -36,10 +40,10 @@
     public Map<String, Object> toMap(RecordFormat format) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put(STATUS, statusText());
-        map.put(DONE, (long) done);
+        map.put(DONE, (long) completedCount);
         if (format == RecordFormat.COMPACT) {
-            map.put(FINISHED_AT, wallMicros);
-            if (service) {
+            map.put(FINISHED_AT, endedWallMicros);
+            if (isService) {
                 map.put(SERVICE, true);
             }
         }
--- a/src/main/java/org/woadloom/store/JobRecord.java
+++ b/src/main/java/org/woadloom/store/JobRecord.java
@@ -15,22 +15,22 @@
  *
  * @param readyWallMicros when the last of its dependencies was done, 0 for a job that has none or
  *     still waits; once it is set, the description has no dependencies any more
- * @param done the tasks that are completed
- * @param running how many tasks users are told to be running
+ * @param completedTasks the tasks that are completed
+ * @param runningCount how many tasks users are told to be running
  * @param term the term of the leader that wrote it, 0 for a user's submission
- * @param version which of that leader's writes this is, so that a write whose answer was lost can
- *     be recognised
+ * @param writeSequence which of that leader's writes this is, so that a write whose answer was lost
+ *     can be recognised
  */
 public record JobRecord(
         JobDescription description,
         long submittedWallMicros,
         long readyWallMicros,
         boolean cancelled,
-        BitSet done,
+        BitSet completedTasks,
         List<RecordedAttempt> attempts,
-        int running,
+        int runningCount,
         long term,
-        long version) {
+        long writeSequence) {
 
     /** The version of the compact format. */
     private static final int FORMAT = 2;
@@ -67,21 +67,22 @@
                 submittedWallMicros,
                 readyWallMicros,
                 true,
-                done,
+                completedTasks,
                 attempts,
                 0,
                 term,
-                version);
+                writeSequence);
     }
 
     /** True once all tasks are done; a service never is. */
     public boolean isComplete() {
-        return !description.isService() && done.cardinality() == description.taskCount();
+        return !description.isService() && completedTasks.cardinality() == description.taskCount();
     }
 
     /** What users are told while this record stands. */
     public JobStatus status() {
-        return new JobStatus(description.jobId(), statusText(), done.cardinality(), running);
+        return new JobStatus(
+                description.jobId(), statusText(), completedTasks.cardinality(), runningCount);
     }
 
     private String statusText() {
@@ -93,7 +94,7 @@
         if (isComplete()) {
             return "done";
         }
-        return running > 0 ? "running" : "queued";
+        return runningCount > 0 ? "running" : "queued";
     }
 
     /** The stored form. */
@@ -118,10 +119,10 @@
         if (cancelled) {
             map.put(CANCELLED, true);
         }
-        map.put(PROGRESS, TaskProgressCodec.encode(done, attempts));
-        map.put(RUNNING, (long) running);
+        map.put(PROGRESS, TaskProgressCodec.encode(completedTasks, attempts));
+        map.put(RUNNING, (long) runningCount);
         map.put(TERM, term);
-        map.put(VERSION, version);
+        map.put(VERSION, writeSequence);
         return map;
     }
 
@@ -137,7 +138,7 @@
         if (cancelled) {
             map.put(CANCELLED, true);
         }
-        map.put(DONE, TaskRanges.encode(done));
+        map.put(DONE, TaskRanges.encode(completedTasks));
         List<Object> encodedAttempts = new ArrayList<>();
         for (RecordedAttempt recorded : attempts) {
             List<Object> item = new ArrayList<>();
@@ -147,9 +148,9 @@
             encodedAttempts.add(item);
         }
         map.put(ATTEMPTS, encodedAttempts);
-        map.put(RUNNING, (long) running);
+        map.put(RUNNING, (long) runningCount);
         map.put(TERM, term);
-        map.put(VERSION, version);
+        map.put(VERSION, writeSequence);
         return map;
     }
 
--- a/src/main/java/org/woadloom/store/NodeAnnouncement.java
+++ b/src/main/java/org/woadloom/store/NodeAnnouncement.java
@@ -19,7 +19,7 @@
  * @param members the nodes that its settings name, itself among them
  * @param consecutiveStarts how many processes of this node started in a row, each within a minute
  *     of the one before
- * @param sinceWallMicros when it started, by the time of day
+ * @param startedWallMicros when it started, by the time of day
  */
 public record NodeAnnouncement(
         long processId,
@@ -27,7 +27,7 @@
         Set<String> usableFeatures,
         Set<String> members,
         int consecutiveStarts,
-        long sinceWallMicros) {
+        long startedWallMicros) {
     private static final String PROCESS_ID = "life";
     private static final String SUPPORTED_FEATURES = "reads";
     private static final String USABLE_FEATURES = "can";
@@ -50,7 +50,7 @@
         map.put(USABLE_FEATURES, List.copyOf(usableFeatures));
         map.put(MEMBERS, List.copyOf(members));
         map.put(CONSECUTIVE_STARTS, (long) consecutiveStarts);
-        map.put(SINCE, sinceWallMicros);
+        map.put(SINCE, startedWallMicros);
         return map;
     }
 
--- a/src/main/java/org/woadloom/store/RolloutRecord.java
+++ b/src/main/java/org/woadloom/store/RolloutRecord.java
@@ -19,9 +19,9 @@
  * not know a name in it must not serve. That field and the number keep their form for ever.
  *
  * @param number counts the record's changes, so that of two reads the later one is known
- * @param features by name; a feature that is missing is {@link Standing#OFF}
+ * @param features by name; a feature that is missing is {@link FeatureState#OFF}
  */
-public record RolloutRecord(long number, Map<String, Standing> features) {
+public record RolloutRecord(long number, Map<String, FeatureState> features) {
     /** What holds while there is no record. */
     public static final RolloutRecord NONE = new RolloutRecord(0, Map.of());
 
@@ -54,21 +54,26 @@
     /**
      * A feature's step.
      *
-     * @param back whether it was on, and its records are rewritten in the old form
-     * @param held whether it was rolled back because nodes kept ending, and waits for an operator
+     * @param isRollingBack whether it was on, and its records are rewritten in the old form
+     * @param isHeld whether it was rolled back because nodes kept ending, and waits for an operator
      * @param sinceWallMicros when it reached this, by the time of day
-     * @param by who allowed it
+     * @param changedBy who allowed it
      */
-    public record Standing(Step step, boolean back, boolean held, long sinceWallMicros, String by) {
-        public static final Standing OFF = new Standing(Step.OFF, false, false, 0, "");
+    public record FeatureState(
+            Step step,
+            boolean isRollingBack,
+            boolean isHeld,
+            long sinceWallMicros,
+            String changedBy) {
+        public static final FeatureState OFF = new FeatureState(Step.OFF, false, false, 0, "");
 
         /** True where records may exist that only a process that knows the feature can read. */
-        public boolean required() {
-            return on() || back;
+        public boolean isRequired() {
+            return isOn() || isRollingBack;
         }
 
         /** True while it is written and acted upon. */
-        public boolean on() {
+        public boolean isOn() {
             return step.compareTo(Step.ON) >= 0;
         }
     }
@@ -79,23 +84,23 @@
     }
 
     /** A feature's standing. */
-    public Standing of(String feature) {
-        return features.getOrDefault(feature, Standing.OFF);
+    public FeatureState stateOf(String feature) {
+        return features.getOrDefault(feature, FeatureState.OFF);
     }
 
     /** The next version of the record, with the given standing of the feature. */
-    public RolloutRecord with(String feature, Standing standing) {
-        Map<String, Standing> changed = new TreeMap<>(features);
+    public RolloutRecord withState(String feature, FeatureState standing) {
+        Map<String, FeatureState> changed = new TreeMap<>(features);
         changed.put(feature, standing);
         return new RolloutRecord(number + 1, changed);
     }
 
     /** The features that a process must know in order to serve. */
-    public Set<String> requires() {
+    public Set<String> requiredFeatures() {
         Set<String> names = new TreeSet<>();
         features.forEach(
                 (name, standing) -> {
-                    if (standing.required()) {
+                    if (standing.isRequired()) {
                         names.add(name);
                     }
                 });
@@ -110,36 +115,37 @@
                     Map<String, Object> map = new LinkedHashMap<>();
                     map.put(STEP, standing.step.text());
                     map.put(SINCE, standing.sinceWallMicros);
-                    map.put(CHANGED_BY, standing.by);
-                    if (standing.back) {
+                    map.put(CHANGED_BY, standing.changedBy);
+                    if (standing.isRollingBack) {
                         map.put(ROLLED_BACK, true);
                     }
-                    if (standing.held) {
+                    if (standing.isHeld) {
                         map.put(HELD, true);
                     }
                     all.put(name, map);
                 });
         Map<String, Object> map = new LinkedHashMap<>();
         map.put(NUMBER, number);
-        map.put(REQUIRES, List.copyOf(requires()));
+        map.put(REQUIRES, List.copyOf(requiredFeatures()));
         map.put(FEATURES, all);
         return map;
     }
 
     /** The required features of a stored record, whatever else it holds. */
-    public static Set<String> requiredBy(Map<String, Object> map) throws MalformedMessageException {
+    public static Set<String> parseRequiredFeatures(Map<String, Object> map)
+            throws MalformedMessageException {
         return new TreeSet<>(new Fields(map).texts(REQUIRES));
     }
 
     /** A stored record's number, whatever else it holds. */
-    public static long numberOf(Map<String, Object> map) throws MalformedMessageException {
+    public static long parseNumber(Map<String, Object> map) throws MalformedMessageException {
         return new Fields(map).integer(NUMBER);
     }
 
     /** Reads the stored form. */
     public static RolloutRecord parse(Map<String, Object> map) throws MalformedMessageException {
         Fields f = new Fields(map);
-        Map<String, Standing> features = new TreeMap<>();
+        Map<String, FeatureState> features = new TreeMap<>();
         if (!(f.raw(FEATURES) instanceof Map<?, ?> all)) {
             throw new MalformedMessageException("features: expected a map");
         }
@@ -147,7 +153,7 @@
             Fields standing = Fields.of(entry.getValue(), (String) entry.getKey());
             features.put(
                     (String) entry.getKey(),
-                    new Standing(
+                    new FeatureState(
                             step(standing.text(STEP)),
                             standing.flagOr(ROLLED_BACK, false),
                             standing.flagOr(HELD, false),
--- a/src/main/java/org/woadloom/store/RolloutRequest.java
+++ b/src/main/java/org/woadloom/store/RolloutRequest.java
@@ -7,7 +7,7 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /** What an operator requests for a feature. It holds until another request replaces it. */
-public record RolloutRequest(Verb verb, String by, long wallMicros) {
+public record RolloutRequest(Verb verb, String operator, long requestedWallMicros) {
     /** What holds while no operator has requested anything. */
     public static final RolloutRequest AUTO = new RolloutRequest(Verb.AUTO, "", 0);
 
@@ -46,8 +46,8 @@
     public Map<String, Object> toMap() {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put(VERB, verb.text());
-        map.put(OPERATOR, by);
-        map.put(REQUESTED_AT, wallMicros);
+        map.put(OPERATOR, operator);
+        map.put(REQUESTED_AT, requestedWallMicros);
         return map;
     }
 
--- a/src/main/java/org/woadloom/store/StoreClient.java
+++ b/src/main/java/org/woadloom/store/StoreClient.java
@@ -82,13 +82,13 @@
     }
 
     /** One key with its value and the revision of its last change. */
-    public record Entry(String path, Map<String, Object> value, long revision) {}
+    public record Entry(String key, Map<String, Object> value, long revision) {}
 
     /** A condition of a transaction: the key's revision, 0 where it must not exist. */
-    public record Condition(String path, long revision) {}
+    public record Condition(String key, long revision) {}
 
     /** A change of a transaction: a put, or a deletion where the value is null. */
-    public record Change(String path, Map<String, Object> value, long storeLease) {
+    public record Change(String key, Map<String, Object> value, long storeLease) {
         /** The lease of keys that stay until they are deleted. */
         static final long NO_LEASE = 0;
 
@@ -98,13 +98,13 @@
         }
 
         /** Deletes a key. */
-        public static Change drop(String path) {
+        public static Change delete(String path) {
             return new Change(path, null, NO_LEASE);
         }
     }
 
     /** An event of a watch; the value is null where the key was deleted. */
-    public record Event(String path, Map<String, Object> value, long revision) {}
+    public record Event(String key, Map<String, Object> value, long revision) {}
 
     /** Is told whether the store can be reached. */
     public interface HealthListener {
@@ -210,8 +210,8 @@
     }
 
     /** Answers of the kind 429 or 503, or none at all, counted for the metrics. */
-    public long failures() {
-        return queue.failures();
+    public long failureCount() {
+        return queue.failureCount();
     }
 
     /**
@@ -225,13 +225,13 @@
     /**
      * Requests that were not sent, as whoever had asked for them would not have waited for so long.
      */
-    public long shed() {
+    public long shedCount() {
         return queue.shed();
     }
 
     /** How many requests of the share wait to be sent. */
-    public int queued(RateShare share) {
-        return queue.queued(share);
+    public int queuedCount(RateShare share) {
+        return queue.queuedCount(share);
     }
 
     /** For how long the oldest request of the share has waited to be sent. */
@@ -324,7 +324,7 @@
         }
 
         String lastKey() {
-            return entries.get(entries.size() - 1).path();
+            return entries.get(entries.size() - 1).key();
         }
     }
 
@@ -450,7 +450,7 @@
     }
 
     /** Asks for a lease; keys that are put on it are deleted when it expires. */
-    public void storeLease(long lifetimeMicros, LeaseCallback callback) {
+    public void grantLease(long lifetimeMicros, LeaseCallback callback) {
         queue.submit(
                 RequestPriority.CONTROL,
                 NO_DEADLINE,
@@ -504,7 +504,7 @@
      * Reads what has changed under the prefix after the given revision of the store, without
      * waiting for more.
      */
-    public void changes(
+    public void readChanges(
             RequestPriority priority, String prefix, long since, WatchCallback callback) {
         queue.submit(
                 priority,
--- a/src/main/java/org/woadloom/store/StoreLimits.java
+++ b/src/main/java/org/woadloom/store/StoreLimits.java
@@ -19,8 +19,8 @@
     private static final double MICROS_PER_SECOND = 1e6;
 
     private final ServiceSettings.Store settings;
-    private int valueBytes;
-    private int txnOps;
+    private int maxValueBytes;
+    private int maxTransactionChanges;
 
     /** The size of the smallest value that was refused, {@link #NONE_REFUSED} for none. */
     private int refusedBytes = NONE_REFUSED;
@@ -84,25 +84,25 @@
     /** Starts with the limits of the settings, the announced ones where sizes are concerned. */
     public StoreLimits(ServiceSettings.Store settings) {
         this.settings = settings;
-        this.valueBytes = settings.minValueBytes();
-        this.txnOps = settings.minTxnOps();
+        this.maxValueBytes = settings.minValueBytes();
+        this.maxTransactionChanges = settings.minTxnOps();
         ServiceSettings.Store next = settings.next() == null ? settings : settings.next();
         this.requests = new AdaptiveRate(settings.rps(), next.rps());
         this.writes = new AdaptiveRate(settings.writeRps(), next.writeRps());
     }
 
     /** The largest value that is sure to be taken, as far as known. */
-    public int valueBytes() {
-        return valueBytes;
+    public int maxValueBytes() {
+        return maxValueBytes;
     }
 
     /**
      * The largest value that the store takes as long as it has not refused one: records of earlier
      * versions may need it.
      */
-    public int currentValueBytes() {
+    public int maxAcceptedValueBytes() {
         return Math.max(
-                valueBytes,
+                maxValueBytes,
                 refusedBytes == NONE_REFUSED ? settings.valueBytes() : refusedBytes - 1);
     }
 
@@ -112,12 +112,12 @@
                 settings.next() == null ? Integer.MAX_VALUE : settings.next().valueBytes() + 1;
         int refused = Math.max(MIN_VALUE_BYTES, Math.min(bytes, announced));
         refusedBytes = refusedBytes == NONE_REFUSED ? refused : Math.min(refusedBytes, refused);
-        valueBytes = Math.min(valueBytes, refused - 1);
+        maxValueBytes = Math.min(maxValueBytes, refused - 1);
     }
 
     /** The largest number of changes in one transaction that is sure to be taken. */
-    public int txnOps() {
-        return txnOps;
+    public int maxTransactionChanges() {
+        return maxTransactionChanges;
     }
 
     /**
@@ -125,7 +125,7 @@
      * time.
      */
     public void onTransactionRefused(int ops) {
-        txnOps = Math.max(MIN_TXN_OPS, Math.min(txnOps, ops - 1));
+        maxTransactionChanges = Math.max(MIN_TXN_OPS, Math.min(maxTransactionChanges, ops - 1));
     }
 
     /** How many requests a second the store bears now. */
--- a/src/main/java/org/woadloom/store/StoreProtocol.java
+++ b/src/main/java/org/woadloom/store/StoreProtocol.java
@@ -106,7 +106,7 @@
 
     private static Map<String, Object> conditionToMap(Condition condition) {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put(PATH, condition.path());
+        map.put(PATH, condition.key());
         map.put(REVISION, condition.revision());
         return map;
     }
@@ -114,10 +114,10 @@
     private static Map<String, Object> changeToMap(Change change) {
         Map<String, Object> map = new LinkedHashMap<>();
         if (change.value() == null) {
-            map.put(DROP, change.path());
+            map.put(DROP, change.key());
             return map;
         }
-        map.put(PUT, change.path());
+        map.put(PUT, change.key());
         map.put(VALUE, change.value());
         if (change.storeLease() != Change.NO_LEASE) {
             map.put(LEASE, change.storeLease());
--- a/src/main/java/org/woadloom/store/StoreRequestQueue.java
+++ b/src/main/java/org/woadloom/store/StoreRequestQueue.java
@@ -33,8 +33,8 @@
     /** When the next timer runs that sends what has waited for its rate. */
     private long wakeMicros = NEVER;
 
-    private long failures;
-    private long shed;
+    private long failureCount;
+    private long shedCount;
     private boolean isRefusing;
 
     /**
@@ -81,16 +81,16 @@
     }
 
     /** Answers of the kind 429 or 503, or none at all. */
-    long failures() {
-        return failures;
+    long failureCount() {
+        return failureCount;
     }
 
     /** Requests that were not sent as they would have come too late, or as too many waited. */
     long shed() {
-        return shed;
+        return shedCount;
     }
 
-    int queued(RateShare share) {
+    int queuedCount(RateShare share) {
         return scheduler.queued(share);
     }
 
@@ -141,8 +141,8 @@
     }
 
     private void shed(StoreRequest request) {
-        shed++;
-        loop.execute(() -> request.callback().answered(HttpTransport.NOT_SENT, EMPTY_BODY));
+        shedCount++;
+        loop.execute(() -> request.callback().onResponse(HttpTransport.NOT_SENT, EMPTY_BODY));
     }
 
     /** Sends a request at once, whatever waits, and without a place among those in flight. */
@@ -152,7 +152,7 @@
                 address,
                 (status, body) -> {
                     recordAnswer(status, 0);
-                    request.callback().answered(status, body);
+                    request.callback().onResponse(status, body);
                 });
     }
 
@@ -217,11 +217,11 @@
         boolean isLostAlone = status == HttpTransport.NO_RESPONSE && inFlight.isOvertaken(sent);
         inFlight.onAnswered(sent, StoreProtocol.isAnswer(status));
         if (isLostAlone) {
-            failures++;
+            failureCount++;
         } else {
             recordAnswer(status, request.changeCount());
         }
-        request.callback().answered(status, body);
+        request.callback().onResponse(status, body);
         sendAllowed();
     }
 
@@ -229,7 +229,7 @@
     private void recordAnswer(int status, int changeCount) {
         boolean isFailure = StoreProtocol.isFailure(status);
         if (isFailure) {
-            failures++;
+            failureCount++;
         }
         boolean isAnswer = StoreProtocol.isAnswer(status);
         boolean isUnavailable = status == StoreProtocol.UNAVAILABLE;
--- a/src/main/java/org/woadloom/store/TaskProgressCodec.java
+++ b/src/main/java/org/woadloom/store/TaskProgressCodec.java
@@ -107,7 +107,7 @@
         TreeSet<Integer> doneOnMachine = new TreeSet<>();
         int[] symbols = symbols(done, groups, front, end, doneOnMachine);
         writeNumber(out, symbols.length);
-        writeSymbols(out, symbols, bits(groups.size()));
+        writeSymbols(out, symbols, bitsPerTask(groups.size()));
         writeTasks(out, doneOnMachine);
         return Base64.getEncoder().withoutPadding().encodeToString(out.toByteArray());
     }
@@ -188,7 +188,7 @@
     }
 
     /** How many bits a task's symbol takes where there are so many groups. */
-    public static int bits(int groups) {
+    public static int bitsPerTask(int groups) {
         return Integer.SIZE - Integer.numberOfLeadingZeros(FIRST_GROUP + groups - 1);
     }
 
@@ -287,7 +287,7 @@
             Input in, int front, int taskCount, BitSet done, List<JobRecord.RecordedAttempt> placed)
             throws MalformedMessageException {
         int groups = placed.size();
-        int bits = bits(groups);
+        int bits = bitsPerTask(groups);
         int symbols = in.count(taskCount - front);
         BitSet packed = in.packed(symbols * bits);
         for (int i = 0; i < symbols; i++) {
--- a/src/main/java/org/woadloom/store/UnansweredTransaction.java
+++ b/src/main/java/org/woadloom/store/UnansweredTransaction.java
@@ -38,12 +38,12 @@
         this.callback = callback;
         this.proof =
                 changes.stream()
-                        .filter(change -> change.path().equals(proofKey) && change.value() != null)
+                        .filter(change -> change.key().equals(proofKey) && change.value() != null)
                         .findFirst()
                         .orElse(null);
         revisionBefore =
                 conditions.stream()
-                        .filter(condition -> condition.path().equals(proofKey))
+                        .filter(condition -> condition.key().equals(proofKey))
                         .mapToLong(Condition::revision)
                         .findFirst()
                         .orElse(0);
@@ -64,7 +64,7 @@
         }
         store.get(
                 priority,
-                proof.path(),
+                proof.key(),
                 (result, entry, storeRevision) -> {
                     if (result == Result.OK
                             && entry.revision() > revisionBefore
--- a/src/test/java/org/woadloom/agent/AgentClientTest.java
+++ b/src/test/java/org/woadloom/agent/AgentClientTest.java
@@ -36,7 +36,7 @@
     }
 
     private void none(String address) {
-        underWay.remove(address).answered(HttpTransport.NO_RESPONSE, new byte[0]);
+        underWay.remove(address).onResponse(HttpTransport.NO_RESPONSE, new byte[0]);
     }
 
     private void hangAll(int machines) {
@@ -80,7 +80,7 @@
         for (int i = 0; i < 40; i++) {
             send("hung-" + i);
         }
-        underWay.remove("hung-0").answered(503, new byte[0]);
+        underWay.remove("hung-0").onResponse(503, new byte[0]);
         send("hung-0");
         assertTrue(underWay.containsKey("hung-0"));
         assertEquals(SLOTS / 2 + 1, underWay.size());
--- a/src/test/java/org/woadloom/core/LeaderFixture.java
+++ b/src/test/java/org/woadloom/core/LeaderFixture.java
@@ -83,7 +83,7 @@
                     written.add(
                             new SchedulerEvent.JobWriteCompleted(
                                     put.record().description().jobId(),
-                                    put.record().version(),
+                                    put.record().writeSequence(),
                                     SchedulerEvent.WriteOutcome.WRITTEN,
                                     ++stamps));
                 } else if (action instanceof SchedulerAction.WriteMachine put) {
--- a/src/test/java/org/woadloom/core/StepCostBenchmark.java
+++ b/src/test/java/org/woadloom/core/StepCostBenchmark.java
@@ -362,7 +362,7 @@
                 outcomes.add(
                         new SchedulerEvent.JobWriteCompleted(
                                 put.record().description().jobId(),
-                                put.record().version(),
+                                put.record().writeSequence(),
                                 SchedulerEvent.WriteOutcome.WRITTEN,
                                 ++stamps));
             } else if (action instanceof SchedulerAction.WriteFinalState finish) {
--- a/src/test/java/org/woadloom/core/jobs/DependencyGraphTest.java
+++ b/src/test/java/org/woadloom/core/jobs/DependencyGraphTest.java
@@ -119,7 +119,7 @@
     @Test
     void aJobBeforeItWhoseRecordIsGoneIsLookedUp() throws MalformedMessageException {
         JobRecord done = record("j-1");
-        done.done().set(0);
+        done.completedTasks().set(0);
         // Its final state is written at once, and no answer comes.
         lead(done);
         step(
--- a/src/test/java/org/woadloom/core/rollout/RolloutExplorer.java
+++ b/src/test/java/org/woadloom/core/rollout/RolloutExplorer.java
@@ -16,7 +16,7 @@
 import org.woadloom.core.rollout.RolloutPolicy.Situation;
 import org.woadloom.store.NodeAnnouncement;
 import org.woadloom.store.RolloutRecord;
-import org.woadloom.store.RolloutRecord.Standing;
+import org.woadloom.store.RolloutRecord.FeatureState;
 import org.woadloom.store.RolloutRecord.Step;
 import org.woadloom.store.RolloutRequest.Verb;
 
@@ -71,10 +71,10 @@
      */
     private record State(
             List<Member> members,
-            Standing standing,
+            FeatureState standing,
             boolean oldRecords,
             boolean newRecords,
-            Standing intent,
+            FeatureState intent,
             boolean overtaken,
             boolean wordsChanged,
             boolean late,
@@ -96,8 +96,8 @@
                     .hash();
         }
 
-        private static int code(Standing standing) {
-            return standing.step().ordinal() * 2 + (standing.back() ? 1 : 0);
+        private static int code(FeatureState standing) {
+            return standing.step().ordinal() * 2 + (standing.isRollingBack() ? 1 : 0);
         }
 
         State with(int index, Member member) {
@@ -145,7 +145,7 @@
                     asked);
         }
 
-        State intent(Standing to, Standing now) {
+        State intent(FeatureState to, FeatureState now) {
             return new State(
                     members, now, oldRecords, newRecords, to, false, false, late, up, asked);
         }
@@ -236,7 +236,7 @@
         State first =
                 new State(
                                 List.of(node, node, node),
-                                Standing.OFF,
+                                FeatureState.OFF,
                                 true,
                                 false,
                                 null,
@@ -285,7 +285,7 @@
         for (Member member : state.members) {
             if (member.phase == Phase.SERVING
                     && !member.fresh
-                    && (state.newRecords || state.standing.on())) {
+                    && (state.newRecords || state.standing.isOn())) {
                 return "a node serves that can't read what is written";
             }
         }
@@ -320,19 +320,19 @@
                                 wish)
                         .led(0);
         for (int i = 0; i < 8; i++) {
-            Standing next = decide(s);
+            FeatureState next = decide(s);
             s = next != null ? s.intent(null, next) : rewritten(s);
         }
         return s;
     }
 
     private static State rewritten(State s) {
-        boolean fresh = s.standing.on();
-        return fresh || s.standing.back() ? s.records(!fresh, fresh, false) : s;
+        boolean fresh = s.standing.isOn();
+        return fresh || s.standing.isRollingBack() ? s.records(!fresh, fresh, false) : s;
     }
 
-    private Standing decide(State s) {
-        boolean back = s.standing.back();
+    private FeatureState decide(State s) {
+        boolean back = s.standing.isRollingBack();
         boolean left = back ? s.newRecords : s.oldRecords;
         boolean sure =
                 fault == Fault.LEAVES_RECORDS
@@ -365,7 +365,8 @@
                         0);
         return verdict.next() == null
                 ? null
-                : new Standing(verdict.next().step(), verdict.next().back(), false, 0, "");
+                : new FeatureState(
+                        verdict.next().step(), verdict.next().isRollingBack(), false, 0, "");
     }
 
     private static RolloutRecord record(State s) {
@@ -391,7 +392,7 @@
                     new Next(
                             "the step "
                                     + s.intent.step()
-                                    + (s.intent.back() ? " (back)" : "")
+                                    + (s.intent.isRollingBack() ? " (back)" : "")
                                     + (holds ? " is written" : " fails"),
                             s.intent(null, holds ? s.intent : s.standing)));
         }
@@ -462,22 +463,22 @@
         if (!m.leads || !m.fresh) {
             return;
         }
-        Standing decided = s.intent == null ? decide(s) : null;
+        FeatureState decided = s.intent == null ? decide(s) : null;
         if (decided != null) {
             all.add(
                     new Next(
                             "the leader decides "
                                     + decided.step()
-                                    + (decided.back() ? " (back)" : ""),
+                                    + (decided.isRollingBack() ? " (back)" : ""),
                             s.intent(decided, s.standing)));
         }
-        if (s.up && s.standing.on()) {
+        if (s.up && s.standing.isOn()) {
             all.add(new Next("the leader writes", s.records(s.oldRecords, true, s.late)));
             all.add(
                     new Next(
                             "the leader writes, with no answer",
                             s.records(s.oldRecords, s.newRecords, true)));
-        } else if (s.up && !s.standing.back()) {
+        } else if (s.up && !s.standing.isRollingBack()) {
             all.add(
                     new Next(
                             "the leader writes the old form",
@@ -495,7 +496,7 @@
 
     private static boolean serves(State s, Member m) {
         ClusterMembership belonging = new ClusterMembership(m.fresh ? Feature.known() : Set.of());
-        belonging.setRequired(record(s).requires());
+        belonging.setRequired(record(s).requiredFeatures());
         belonging.onRecordRead();
         return belonging.mayServe();
     }
--- a/src/test/java/org/woadloom/metrics/NodeMetricsGoldenTest.java
+++ b/src/test/java/org/woadloom/metrics/NodeMetricsGoldenTest.java
@@ -15,16 +15,16 @@
     @Test
     void countersAndGaugesAreAsRecorded() {
         NodeMetrics metrics = new NodeMetrics();
-        metrics.answered("submit", 201);
-        metrics.answered("report", 503);
-        metrics.onStepTaken(1_500);
-        metrics.onAction(new SchedulerAction.AnswerHeartbeat(1, 2, List.of()));
-        metrics.onAction(
+        metrics.recordResponse("submit", 201);
+        metrics.recordResponse("report", 503);
+        metrics.recordStep(1_500);
+        metrics.recordAction(new SchedulerAction.AnswerHeartbeat(1, 2, List.of()));
+        metrics.recordAction(
                 new SchedulerAction.SendDirectCommand(1, "host-1", "10.0.0.1:1", 2, 3, List.of()));
-        metrics.onAction(new SchedulerAction.ReadJob("j-1"));
-        metrics.onAction(new SchedulerAction.RentMachines("claim", "m", "a", false, 1));
-        metrics.onAction(new SchedulerAction.DeleteMachines(List.of("host-1")));
-        metrics.onAction(
+        metrics.recordAction(new SchedulerAction.ReadJob("j-1"));
+        metrics.recordAction(new SchedulerAction.RentMachines("claim", "m", "a", false, 1));
+        metrics.recordAction(new SchedulerAction.DeleteMachines(List.of("host-1")));
+        metrics.recordAction(
                 new SchedulerAction.PublishServiceLevels(
                         List.of(
                                 new ServiceLevelReport.Row(
--- a/src/test/java/org/woadloom/node/PeerTrackerTest.java
+++ b/src/test/java/org/woadloom/node/PeerTrackerTest.java
@@ -25,7 +25,7 @@
                         }
 
                         @Override
-                        public boolean accepts(String label) {
+                        public boolean acceptsMessages(String label) {
                             return !full;
                         }
                     },
--- a/src/test/java/org/woadloom/peer/PeerFramesGoldenTest.java
+++ b/src/test/java/org/woadloom/peer/PeerFramesGoldenTest.java
@@ -37,7 +37,7 @@
                         7, "", new PeerMessage.RolloutView(0, List.of(), List.of(), List.of())));
         all.put("11 ping of version 3", new PeerMessage.Ping(7, "node-1", null));
         all.put("13 hint", new PeerMessage.JobChangeNotification(new byte[] {1, 2, 3}, 41));
-        all.put("14 report", new PeerMessage.ForwardHeartbeat(42, new byte[] {4, 5}));
+        all.put("14 report", new PeerMessage.ForwardedHeartbeat(42, new byte[] {4, 5}));
         all.put("15 answer", new PeerMessage.ForwardedAnswer(42, 421, new byte[] {6}));
         all.put(
                 "16 standing",
--- a/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
@@ -404,7 +404,8 @@
             assertEquals(0, users.open, users + ", seed " + seed);
             for (int node = 0; node < ClusterSimulation.NODES; node++) {
                 assertNotNull(
-                        cluster.stored(StoreKeys.ROLLOUT_NODES + ClusterSimulation.label(node)),
+                        cluster.stored(
+                                StoreKeys.ROLLOUT_NODE_PREFIX + ClusterSimulation.label(node)),
                         "no word of node " + node + ", seed " + seed);
             }
         }
--- a/src/test/java/org/woadloom/sim/ClusterSimulation.java
+++ b/src/test/java/org/woadloom/sim/ClusterSimulation.java
@@ -559,7 +559,7 @@
                         member.whenAwake(
                                 mine,
                                 () ->
-                                        callback.answered(
+                                        callback.onResponse(
                                                 status,
                                                 status > 0 ? Cbor.encode(answer) : new byte[0])),
                 reply -> {
--- a/src/test/java/org/woadloom/sim/DamagedRecordTest.java
+++ b/src/test/java/org/woadloom/sim/DamagedRecordTest.java
@@ -115,12 +115,12 @@
             sim.step(sim.now() + 4_000_000);
         }
         assertTrue(unanswered.hasPriority("j-1"));
-        assertEquals(12_000_000, unanswered.longestMicros());
+        assertEquals(12_000_000, unanswered.longestUnansweredMicros());
         assertNotEquals(true, unanswered.hasPriority("j-2"));
         unanswered.onAnswered("j-1");
-        assertEquals(0, unanswered.longestMicros());
+        assertEquals(0, unanswered.longestUnansweredMicros());
         unanswered.onRefused("j-2", QueryRefusal.READ_UNANSWERED, true);
         unanswered.onRefused("j-2", QueryRefusal.READ_UNANSWERED, false);
-        assertEquals(0, unanswered.longestMicros(), "an outage for all picks out nobody");
+        assertEquals(0, unanswered.longestUnansweredMicros(), "an outage for all picks out nobody");
     }
 }
--- a/src/test/java/org/woadloom/sim/ElectionTest.java
+++ b/src/test/java/org/woadloom/sim/ElectionTest.java
@@ -72,7 +72,7 @@
                                                             () -> {
                                                                 if (open[0]) {
                                                                     open[0] = false;
-                                                                    callback.answered(
+                                                                    callback.onResponse(
                                                                             HttpTransport
                                                                                     .NO_RESPONSE,
                                                                             new byte[0]);
@@ -102,7 +102,7 @@
                                                                                         && !loses) {
                                                                                     open[0] = false;
                                                                                     callback
-                                                                                            .answered(
+                                                                                            .onResponse(
                                                                                                     status,
                                                                                                     Cbor
                                                                                                             .encode(
--- a/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
@@ -383,7 +383,8 @@
             late += cluster.lateWritesMade[0] + cluster.lateWritesMade[1];
             for (int node = 0; node < ClusterSimulation.NODES; node++) {
                 assertNotNull(
-                        cluster.stored(StoreKeys.ROLLOUT_NODES + ClusterSimulation.label(node)),
+                        cluster.stored(
+                                StoreKeys.ROLLOUT_NODE_PREFIX + ClusterSimulation.label(node)),
                         "no word of node " + node + ", seed " + seed);
             }
         }
--- a/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
+++ b/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
@@ -164,7 +164,7 @@
                 answered[0] = true;
                 whileAlive(
                         () ->
-                                callback.answered(
+                                callback.onResponse(
                                         status, status > 0 ? Cbor.encode(map) : new byte[0]));
             }
         }
--- a/src/test/java/org/woadloom/sim/ManyJobsReadsTest.java
+++ b/src/test/java/org/woadloom/sim/ManyJobsReadsTest.java
@@ -48,7 +48,7 @@
                                         sim.after(
                                                 1_000,
                                                 () ->
-                                                        callback.answered(
+                                                        callback.onResponse(
                                                                 status, Cbor.encode(map)))));
     }
 
--- a/src/test/java/org/woadloom/sim/ProductionFilter.java
+++ b/src/test/java/org/woadloom/sim/ProductionFilter.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.UnaryOperator;
 import org.woadloom.protocol.MalformedMessageException;
-import org.woadloom.store.ProductionRecord;
+import org.woadloom.store.Version1JobRecord;
 
 /**
  * Makes a node a stand-in for version 1: what it reads of jobs is what that version's reader leaves
@@ -39,7 +39,7 @@
     @SuppressWarnings("unchecked")
     static Map<String, Object> record(Object value) {
         try {
-            return ProductionRecord.read((Map<String, Object>) value);
+            return Version1JobRecord.read((Map<String, Object>) value);
         } catch (MalformedMessageException e) {
             throw new InvariantViolation(
                     ProtocolRule.UNREADABLE, "version 1 meets " + value + ": " + e.getMessage());
--- a/src/test/java/org/woadloom/sim/RolloutTest.java
+++ b/src/test/java/org/woadloom/sim/RolloutTest.java
@@ -16,7 +16,7 @@
 import org.woadloom.core.rollout.Feature;
 import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.store.RolloutRecord;
-import org.woadloom.store.RolloutRecord.Standing;
+import org.woadloom.store.RolloutRecord.FeatureState;
 import org.woadloom.store.RolloutRecord.Step;
 import org.woadloom.store.RolloutRequest;
 import org.woadloom.store.RolloutRequest.Verb;
@@ -36,10 +36,12 @@
         return cluster;
     }
 
-    private static Standing standing(ClusterSimulation cluster, Feature feature) {
+    private static FeatureState standing(ClusterSimulation cluster, Feature feature) {
         try {
             Map<String, Object> stored = cluster.stored("rollout/state");
-            return stored == null ? Standing.OFF : RolloutRecord.parse(stored).of(feature.key());
+            return stored == null
+                    ? FeatureState.OFF
+                    : RolloutRecord.parse(stored).stateOf(feature.key());
         } catch (MalformedMessageException e) {
             throw new IllegalStateException(e);
         }
@@ -71,7 +73,7 @@
         assertEquals(0, cluster.machineRecords()[1]);
         ask(cluster, Verb.GO);
         cluster.run(24 * SECOND);
-        assertTrue(standing(cluster, Feature.MACHINE_LIFE).on(), "hurried");
+        assertTrue(standing(cluster, Feature.MACHINE_LIFE).isOn(), "hurried");
         ask(cluster, Verb.BACK);
         if (step(cluster) != Step.SETTLED) {
             cluster.run(70 * SECOND);
@@ -170,7 +172,7 @@
             cluster.replace(i, Version.NOW, (1 + 3 * i) * SECOND);
         }
         cluster.run(90 * SECOND);
-        assertTrue(standing(cluster, Feature.COMPACT_RECORDS).on());
+        assertTrue(standing(cluster, Feature.COMPACT_RECORDS).isOn());
         runTo(cluster, Step.SETTLED);
     }
 
--- a/src/test/java/org/woadloom/sim/SingleAnswer.java
+++ b/src/test/java/org/woadloom/sim/SingleAnswer.java
@@ -17,7 +17,7 @@
     void answer(int status, Map<String, Object> body) {
         if (!isAnswered) {
             isAnswered = true;
-            callback.answered(status, status > 0 ? Cbor.encode(body) : new byte[0]);
+            callback.onResponse(status, status > 0 ? Cbor.encode(body) : new byte[0]);
         }
     }
 }
--- a/src/test/java/org/woadloom/sim/StoreClientTest.java
+++ b/src/test/java/org/woadloom/sim/StoreClientTest.java
@@ -38,7 +38,7 @@
                         sim.loop(),
                         (address, method, path, body, timeout, callback) -> {
                             sent.add(path);
-                            sim.after(2_000, () -> callback.answered(503, new byte[0]));
+                            sim.after(2_000, () -> callback.onResponse(503, new byte[0]));
                         },
                         LIMITS,
                         1);
@@ -107,10 +107,10 @@
         assertTrue(
                 refused.size() > 100 && refused.size() < 200,
                 refused.size() + " were refused at once");
-        assertEquals(refused.size(), client.shed());
+        assertEquals(refused.size(), client.shedCount());
         run(10_000_000);
         assertEquals(300, refused.size(), "each is answered");
-        assertEquals(300 - client.shed(), sent.size());
+        assertEquals(300 - client.shedCount(), sent.size());
         assertTrue(refused.stream().allMatch(at -> at <= 4_100_000));
     }
 
@@ -140,7 +140,7 @@
                                                     () -> {
                                                         if (!told[0]) {
                                                             told[0] = true;
-                                                            callback.answered(
+                                                            callback.onResponse(
                                                                     status,
                                                                     status > 0
                                                                             ? Cbor.encode(content)
--- a/src/test/java/org/woadloom/store/ProductionFormatTest.java
+++ b/src/test/java/org/woadloom/store/ProductionFormatTest.java
@@ -38,7 +38,7 @@
                     "Hint",
                     PeerMessage.JobChangeNotification.class,
                     "Carry",
-                    PeerMessage.ForwardHeartbeat.class,
+                    PeerMessage.ForwardedHeartbeat.class,
                     "Carried",
                     PeerMessage.ForwardedAnswer.class);
 
@@ -82,7 +82,7 @@
             assertArrayEquals(sample.getValue(), Cbor.encode(retry), sample.getKey());
             if (kind.equals("job")) {
                 jobs++;
-                assertEquals(map.get("placed"), ProductionRecord.read(retry).get("placed"));
+                assertEquals(map.get("placed"), Version1JobRecord.read(retry).get("placed"));
                 JobRecord record = JobRecord.parse(map);
                 if (!record.cancelled()) {
                     assertEquals(
@@ -121,7 +121,7 @@
         JobRecord record = JobRecord.accepted(JobDescription.parse(job(3, List.of("j-1"))), 5);
         assertThrows(IllegalStateException.class, () -> record.toMap(RecordFormat.PLAIN));
         Map<String, Object> compact = record.toMap(RecordFormat.COMPACT);
-        assertThrows(MalformedMessageException.class, () -> ProductionRecord.read(compact));
+        assertThrows(MalformedMessageException.class, () -> Version1JobRecord.read(compact));
         assertEquals(List.of("j-1"), JobRecord.parse(compact).description().dependencies());
     }
 
@@ -136,11 +136,11 @@
                 record.submittedWallMicros(),
                 record.readyWallMicros(),
                 record.cancelled(),
-                record.done(),
+                record.completedTasks(),
                 placed,
-                record.running(),
+                record.runningCount(),
                 record.term(),
-                record.version());
+                record.writeSequence());
     }
 
     private static Map<String, Object> job(int shards, List<String> awaits) {
--- a/src/test/java/org/woadloom/store/StoreLimitsTest.java
+++ b/src/test/java/org/woadloom/store/StoreLimitsTest.java
@@ -13,14 +13,14 @@
     @Test
     void theAnnouncedLimitsHoldFromTheStartForWhatIsNew() {
         StoreLimits limits = new StoreLimits(new ServiceSettings.Store(250, 100, 16_384, 16, NEXT));
-        assertEquals(2_048, limits.valueBytes());
-        assertEquals(5, limits.txnOps());
+        assertEquals(2_048, limits.maxValueBytes());
+        assertEquals(5, limits.maxTransactionChanges());
         assertEquals(
                 16_384,
-                limits.currentValueBytes(),
+                limits.maxAcceptedValueBytes(),
                 "production's records are larger until one is refused");
         limits.onValueRefused(9_000);
-        assertEquals(2_048, limits.currentValueBytes());
+        assertEquals(2_048, limits.maxAcceptedValueBytes());
     }
 
     /**
@@ -31,16 +31,16 @@
     void otherLimitsAreLearned() {
         StoreLimits limits = new StoreLimits(new ServiceSettings.Store(250, 100, 16_384, 16, null));
         limits.onValueRefused(9_000);
-        assertEquals(8_999, limits.valueBytes());
-        assertEquals(8_999, limits.currentValueBytes());
+        assertEquals(8_999, limits.maxValueBytes());
+        assertEquals(8_999, limits.maxAcceptedValueBytes());
         limits.onValueRefused(30);
-        assertEquals(1_024, limits.valueBytes());
+        assertEquals(1_024, limits.maxValueBytes());
         limits.onTransactionRefused(16);
-        assertEquals(15, limits.txnOps());
+        assertEquals(15, limits.maxTransactionChanges());
         for (int i = 0; i < 40; i++) {
-            limits.onTransactionRefused(limits.txnOps());
+            limits.onTransactionRefused(limits.maxTransactionChanges());
         }
-        assertEquals(2, limits.txnOps(), "a final state needs two changes");
+        assertEquals(2, limits.maxTransactionChanges(), "a final state needs two changes");
     }
 
     @Test
--- a/src/test/java/org/woadloom/store/StoredFormsGoldenTest.java
+++ b/src/test/java/org/woadloom/store/StoredFormsGoldenTest.java
@@ -123,15 +123,15 @@
                                 false,
                                 new MachineRecord.Lifecycle(1_700_000_000_000_003L, false))
                         .toMap());
-        Map<String, RolloutRecord.Standing> features = new LinkedHashMap<>();
+        Map<String, RolloutRecord.FeatureState> features = new LinkedHashMap<>();
         for (RolloutRecord.Step step : RolloutRecord.Step.values()) {
             features.put(
                     "feature-" + step.text(),
-                    new RolloutRecord.Standing(step, false, false, 17, "node-1"));
+                    new RolloutRecord.FeatureState(step, false, false, 17, "node-1"));
         }
         features.put(
                 "feature-back",
-                new RolloutRecord.Standing(
+                new RolloutRecord.FeatureState(
                         RolloutRecord.Step.UNDERSTOOD, true, true, 18, "operator"));
         all.put("rollout state", new RolloutRecord(9, features).toMap());
         for (RolloutRequest.Verb verb : RolloutRequest.Verb.values()) {
@@ -210,7 +210,7 @@
         }
         JobRecord read = JobRecord.parse(Cbor.decodeMap(GoldenFile.readBytes(FILE, "job compact")));
         assertEquals(job(List.of(), 0).attempts(), read.attempts());
-        assertEquals(job(List.of(), 0).done(), read.done());
+        assertEquals(job(List.of(), 0).completedTasks(), read.completedTasks());
     }
 
     @Test
@@ -218,24 +218,24 @@
         GoldenFile golden = new GoldenFile();
         golden.addText("leader", StoreKeys.LEADER);
         golden.addText("term", StoreKeys.TERM);
-        golden.addText("types", StoreKeys.TYPES);
-        golden.addText("nothing", StoreKeys.NOTHING);
-        golden.addText("jobs", StoreKeys.JOBS);
+        golden.addText("types", StoreKeys.MACHINE_TYPES);
+        golden.addText("nothing", StoreKeys.NEVER_WRITTEN);
+        golden.addText("jobs", StoreKeys.JOB_PREFIX);
         golden.addText("job", StoreKeys.job("j-1"));
-        golden.addText("finals", StoreKeys.FINALS);
+        golden.addText("finals", StoreKeys.FINAL_STATE_PREFIX);
         golden.addText("final", StoreKeys.finalState("j-1"));
-        golden.addText("machines", StoreKeys.MACHINES);
+        golden.addText("machines", StoreKeys.MACHINE_PREFIX);
         golden.addText("machine", StoreKeys.machine("host-1"));
-        golden.addText("mail", StoreKeys.MAIL);
-        golden.addText("mail of a node", StoreKeys.mailOf("node-1"));
-        golden.addText("one letter", StoreKeys.mail("node-1", 3));
-        golden.addText("versions", StoreKeys.VERSIONS);
-        golden.addText("agreed version", StoreKeys.AGREED);
-        golden.addText("version of nodes", StoreKeys.NODE_VERSIONS);
-        golden.addText("rollout", StoreKeys.ROLLOUT);
+        golden.addText("mail", StoreKeys.RELAY_PREFIX);
+        golden.addText("mail of a node", StoreKeys.relayPrefix("node-1"));
+        golden.addText("one letter", StoreKeys.relaySlot("node-1", 3));
+        golden.addText("versions", StoreKeys.VERSION_PREFIX);
+        golden.addText("agreed version", StoreKeys.AGREED_VERSION);
+        golden.addText("version of nodes", StoreKeys.NODE_VERSION_PREFIX);
+        golden.addText("rollout", StoreKeys.ROLLOUT_PREFIX);
         golden.addText("rollout state", StoreKeys.ROLLOUT_STATE);
-        golden.addText("rollout nodes", StoreKeys.ROLLOUT_NODES);
-        golden.addText("rollout asked", StoreKeys.ROLLOUT_ASKED);
+        golden.addText("rollout nodes", StoreKeys.ROLLOUT_NODE_PREFIX);
+        golden.addText("rollout asked", StoreKeys.ROLLOUT_REQUEST_PREFIX);
         golden.check("keys.txt");
     }
 }
--- a/src/test/java/org/woadloom/store/ProductionRecord.java
+++ b/src/test/java/org/woadloom/store/Version1JobRecord.java
@@ -10,7 +10,7 @@
  * Version 1's reading of a job's record, frozen: what it does not know is lost when it writes the
  * record again. The samples under {@code production/} were written by that version itself.
  */
-public final class ProductionRecord {
+public final class Version1JobRecord {
     private static final List<String> JOB =
             List.of(
                     "uid",
@@ -36,7 +36,7 @@
     private static final List<String> RECORD =
             List.of("job", "at", "cancelled", "done", "placed", "running", "term", "version");
 
-    private ProductionRecord() {}
+    private Version1JobRecord() {}
 
     /** The record as version 1 understands it, or an error where it can't read it. */
     public static Map<String, Object> read(Map<String, Object> value)
