--- a/src/main/java/org/woadloom/metrics/NodeMetrics.java
+++ b/src/main/java/org/woadloom/metrics/NodeMetrics.java
@@ -36,31 +36,31 @@
     /** By request and status: to have the registry find a counter costs more than to count. */
     private final Map<String, Map<Integer, Counter>> httpAnswers = new HashMap<>();
 
-    private final Counter answers = registry.counter("woadloom.reports.answered");
+    private final Counter heartbeatAnswers = registry.counter("woadloom.reports.answered");
     private final Counter directCommands = registry.counter("woadloom.direct.sent");
-    private final Counter writes = registry.counter("woadloom.records.written");
+    private final Counter recordWrites = registry.counter("woadloom.records.written");
     private final Counter rentals = registry.counter("woadloom.cloud.rentals");
-    private final Map<String, AtomicDouble> served = new HashMap<>();
+    private final Map<String, AtomicDouble> serviceLevelGauges = new HashMap<>();
     private final Counter deletions = registry.counter("woadloom.cloud.deletions");
 
     /**
      * Counts the answer to a request of a user or an agent.
      *
-     * @param what the kind of request, as the meters name it
+     * @param request the kind of request, as the meters name it
      */
-    public void recordResponse(String what, int status) {
-        if (status == SERVICE_UNAVAILABLE && !what.equals(HEARTBEAT)) {
+    public void recordResponse(String request, int status) {
+        if (status == SERVICE_UNAVAILABLE && !request.equals(HEARTBEAT)) {
             refusedOrLateCount++;
         }
         httpAnswers
-                .computeIfAbsent(what, w -> new HashMap<>())
+                .computeIfAbsent(request, w -> new HashMap<>())
                 .computeIfAbsent(
                         status,
                         s ->
                                 registry.counter(
                                         "woadloom.http.answers",
                                         "what",
-                                        what,
+                                        request,
                                         "status",
                                         Integer.toString(s)))
                 .increment();
@@ -87,12 +87,12 @@
     /** Counts an action that the scheduler has decided on. */
     public void recordAction(SchedulerAction action) {
         if (action instanceof SchedulerAction.AnswerHeartbeat) {
-            answers.increment();
+            heartbeatAnswers.increment();
         } else if (action instanceof SchedulerAction.SendDirectCommand) {
             directCommands.increment();
         } else if (action instanceof SchedulerAction.WriteJob
                 || action instanceof SchedulerAction.WriteFinalState) {
-            writes.increment();
+            recordWrites.increment();
         } else if (action instanceof SchedulerAction.RentMachines) {
             rentals.increment();
         } else if (action instanceof SchedulerAction.DeleteMachines) {
@@ -108,28 +108,29 @@
      */
     private void setServiceLevels(ServiceLevelReport.Row row) {
         Tags tags = Tags.of("team", row.team(), "class", row.jobClass());
-        setServedGauge("accepted", tags, row.accepted());
-        setServedGauge("started", tags, row.fullyStarted());
-        setServedGauge("over", tags, row.ended());
-        setServedGauge("wait_s", tags, row.longestWaitMicros() / MICROS_PER_SECOND);
+        setServiceLevelGauge("accepted", tags, row.accepted());
+        setServiceLevelGauge("started", tags, row.fullyStarted());
+        setServiceLevelGauge("over", tags, row.ended());
+        setServiceLevelGauge("wait_s", tags, row.longestWaitMicros() / MICROS_PER_SECOND);
     }
 
-    private void setServedGauge(String what, Tags tags, double value) {
-        served.computeIfAbsent(
-                        what + tags,
-                        key -> registry.gauge("woadloom.served." + what, tags, new AtomicDouble()))
+    private void setServiceLevelGauge(String name, Tags tags, double value) {
+        serviceLevelGauges
+                .computeIfAbsent(
+                        name + tags,
+                        key -> registry.gauge("woadloom.served." + name, tags, new AtomicDouble()))
                 .set(value);
     }
 
     /** Registers a value that is read whenever the meters are. */
-    public <T> void gauge(String name, T of, ToDoubleFunction<T> value) {
-        registry.gauge(name, of, value);
+    public <T> void gauge(String name, T source, ToDoubleFunction<T> value) {
+        registry.gauge(name, source, value);
     }
 
     /** The same for one of several values of that name, told apart by a tag. */
     public <T> void gauge(
-            String name, String tag, String tagValue, T of, ToDoubleFunction<T> value) {
-        registry.gauge(name, Tags.of(tag, tagValue), of, value);
+            String name, String tag, String tagValue, T source, ToDoubleFunction<T> value) {
+        registry.gauge(name, Tags.of(tag, tagValue), source, value);
     }
 
     /** All meters, by name and tags. */
--- a/src/main/java/org/woadloom/net/SocketBudget.java
+++ b/src/main/java/org/woadloom/net/SocketBudget.java
@@ -27,13 +27,13 @@
         int inbound) {
     private static final int PROCESS_SOCKETS = 32;
     private static final int SOCKETS_PER_PEER = 4;
-    private static final int UNKNOWN_PEER_SOCKETS = 8;
+    private static final int UNIDENTIFIED_PEER_SOCKETS = 8;
 
     /** At most 36 requests, most of which will get no answer any more, and the watches. */
     private static final int STORE_SOCKETS = 48;
 
     private static final int CLOUD_SOCKETS = 8;
-    private static final double DIRECT_SHARE = 0.1;
+    private static final double DIRECT_COMMAND_SHARE = 0.1;
     private static final double IDLE_SHARE = 0.05;
     private static final double REFUSAL_SHARE = 0.02;
 
@@ -41,7 +41,7 @@
      * With more than this share of its inbound connections in use a node closes some: the rest is
      * for bursts and reconnections.
      */
-    private static final double COMFORTABLE_SHARE = 0.85;
+    private static final double HIGH_WATERMARK_SHARE = 0.85;
 
     /** The share that agents may use as long as another node can serve the rest of them. */
     private static final double AGENT_SHARE = 0.6;
@@ -49,8 +49,8 @@
     /** Divides the sockets that the settings allow. */
     public static SocketBudget of(ServiceSettings settings) {
         int total = settings.resources().fdLimit();
-        int peers = settings.peers().size() * SOCKETS_PER_PEER + UNKNOWN_PEER_SOCKETS;
-        int direct = (int) (total * DIRECT_SHARE);
+        int peers = settings.peers().size() * SOCKETS_PER_PEER + UNIDENTIFIED_PEER_SOCKETS;
+        int direct = (int) (total * DIRECT_COMMAND_SHARE);
         int idle = (int) (total * IDLE_SHARE);
         int refusals = (int) Math.max(1, total * REFUSAL_SHARE);
         int ownNeeds =
@@ -68,7 +68,7 @@
 
     /** How many inbound connections may be open before some are closed. */
     public int inboundHighWatermark() {
-        return (int) (inbound * COMFORTABLE_SHARE);
+        return (int) (inbound * HIGH_WATERMARK_SHARE);
     }
 
     /**
--- a/src/main/java/org/woadloom/net/UndertowTransport.java
+++ b/src/main/java/org/woadloom/net/UndertowTransport.java
@@ -32,7 +32,7 @@
     private static final long MAX_IDLE_MICROS = 20_000_000;
 
     /** How many idle connections are checked for their age after each request. */
-    private static final int EVICTIONS_PER_REQUEST = 2;
+    private static final int MAX_EVICTIONS_PER_REQUEST = 2;
 
     private static final String CBOR = "application/cbor";
     private static final byte[] NO_BODY = {};
@@ -43,7 +43,7 @@
     private final XnioIoThread thread;
     private final ByteBufferPool buffers;
     private final HttpClientProvider provider = new HttpClientProvider();
-    private final int maxIdle;
+    private final int maxIdleConnections;
 
     /** Is read into before the bytes are appended to their response; shared, on one thread. */
     private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
@@ -61,22 +61,22 @@
     private static final class IdleConnection {
         final String address;
         final ClientConnection connection;
-        final long sinceMicros;
+        final long idleSinceMicros;
 
         IdleConnection(String address, ClientConnection connection, long sinceMicros) {
             this.address = address;
             this.connection = connection;
-            this.sinceMicros = sinceMicros;
+            this.idleSinceMicros = sinceMicros;
         }
     }
 
     /**
-     * @param maxIdle how many idle connections are kept, to all hosts together
+     * @param maxIdleConnections how many idle connections are kept, to all hosts together
      */
     public UndertowTransport(
-            EventLoop loop, XnioIoThread thread, ByteBufferPool buffers, int maxIdle) {
+            EventLoop loop, XnioIoThread thread, ByteBufferPool buffers, int maxIdleConnections) {
         this.loop = loop;
-        this.maxIdle = maxIdle;
+        this.maxIdleConnections = maxIdleConnections;
         this.thread = thread;
         this.buffers = buffers;
     }
@@ -101,7 +101,7 @@
                 new ClientCallback<>() {
                     @Override
                     public void completed(ClientConnection opened) {
-                        if (call.finished) {
+                        if (call.isFinished) {
                             IoUtils.safeClose(opened);
                         } else {
                             call.send(opened);
@@ -136,7 +136,7 @@
             IdleConnection candidate = queue.pollLast();
             idleByAge.remove(candidate);
             if (candidate.connection.isOpen()
-                    && loop.nowMicros() - candidate.sinceMicros < MAX_IDLE_MICROS) {
+                    && loop.nowMicros() - candidate.idleSinceMicros < MAX_IDLE_MICROS) {
                 return candidate.connection;
             }
             IoUtils.safeClose(candidate.connection);
@@ -144,20 +144,20 @@
         return null;
     }
 
-    private void release(String address, ClientConnection connection) {
+    private void returnToPool(String address, ClientConnection connection) {
         ArrayDeque<IdleConnection> queue =
                 idleByAddress.computeIfAbsent(address, a -> new ArrayDeque<>());
         if (!connection.isOpen() || queue.size() >= MAX_IDLE_PER_HOST) {
             IoUtils.safeClose(connection);
             return;
         }
-        IdleConnection released = new IdleConnection(address, connection, loop.nowMicros());
-        queue.addLast(released);
-        idleByAge.add(released);
-        for (int i = 0; i < EVICTIONS_PER_REQUEST && !idleByAge.isEmpty(); i++) {
+        IdleConnection returned = new IdleConnection(address, connection, loop.nowMicros());
+        queue.addLast(returned);
+        idleByAge.add(returned);
+        for (int i = 0; i < MAX_EVICTIONS_PER_REQUEST && !idleByAge.isEmpty(); i++) {
             IdleConnection oldest = idleByAge.iterator().next();
-            if (idleByAge.size() <= maxIdle
-                    && loop.nowMicros() - oldest.sinceMicros < MAX_IDLE_MICROS) {
+            if (idleByAge.size() <= maxIdleConnections
+                    && loop.nowMicros() - oldest.idleSinceMicros < MAX_IDLE_MICROS) {
                 break;
             }
             evict(oldest);
@@ -183,7 +183,7 @@
         private final Callback callback;
         private EventLoop.Timer timer;
         private ClientConnection connection;
-        private boolean finished;
+        private boolean isFinished;
 
         Call(String address, String method, String path, byte[] body, Callback callback) {
             this.address = address;
@@ -194,18 +194,18 @@
         }
 
         void onTimeout() {
-            if (!finished) {
-                boolean sent = connection != null;
-                if (sent) {
+            if (!isFinished) {
+                boolean isSent = connection != null;
+                if (isSent) {
                     IoUtils.safeClose(connection);
                 }
-                finish(sent ? NO_RESPONSE : NOT_SENT, NO_BODY);
+                finish(isSent ? NO_RESPONSE : NOT_SENT, NO_BODY);
             }
         }
 
         void finish(int status, byte[] response) {
-            if (!finished) {
-                finished = true;
+            if (!isFinished) {
+                isFinished = true;
                 inFlight--;
                 timer.cancel();
                 callback.onResponse(status, response);
@@ -247,7 +247,7 @@
                     new ClientCallback<>() {
                         @Override
                         public void completed(ClientExchange answered) {
-                            read(answered);
+                            onResponseHeaders(answered);
                         }
 
                         @Override
@@ -261,14 +261,14 @@
             try {
                 StreamSinkChannel channel = exchange.getRequestChannel();
                 ByteBuffer buffer = ByteBuffer.wrap(body);
-                channel.getWriteSetter().set(ready -> write(ready, buffer));
-                write(channel, buffer);
+                channel.getWriteSetter().set(ready -> writeBody(ready, buffer));
+                writeBody(channel, buffer);
             } catch (RuntimeException e) {
                 fail();
             }
         }
 
-        private void write(StreamSinkChannel channel, ByteBuffer buffer) {
+        private void writeBody(StreamSinkChannel channel, ByteBuffer buffer) {
             try {
                 while (buffer.hasRemaining()) {
                     if (channel.write(buffer) == 0) {
@@ -287,9 +287,9 @@
             }
         }
 
-        private void read(ClientExchange exchange) {
+        private void onResponseHeaders(ClientExchange exchange) {
             int status = exchange.getResponse().getResponseCode();
-            boolean closes =
+            boolean closesConnection =
                     "close"
                             .equalsIgnoreCase(
                                     exchange.getResponse()
@@ -297,15 +297,16 @@
                                             .getFirst(Headers.CONNECTION));
             StreamSourceChannel channel = exchange.getResponseChannel();
             ByteArrayOutputStream received = new ByteArrayOutputStream(RESPONSE_BYTES);
-            channel.getReadSetter().set(ready -> drain(ready, received, status, closes));
-            drain(channel, received, status, closes);
+            channel.getReadSetter()
+                    .set(ready -> readBody(ready, received, status, closesConnection));
+            readBody(channel, received, status, closesConnection);
         }
 
-        private void drain(
+        private void readBody(
                 StreamSourceChannel channel,
                 ByteArrayOutputStream received,
                 int status,
-                boolean closes) {
+                boolean closesConnection) {
             try {
                 while (true) {
                     readBuffer.clear();
@@ -323,10 +324,10 @@
                 fail();
                 return;
             }
-            if (finished || closes) {
+            if (isFinished || closesConnection) {
                 IoUtils.safeClose(connection);
             } else {
-                release(address, connection);
+                returnToPool(address, connection);
             }
             finish(status, received.toByteArray());
         }
--- a/src/main/java/org/woadloom/peer/FrameReader.java
+++ b/src/main/java/org/woadloom/peer/FrameReader.java
@@ -8,32 +8,32 @@
 
 /** Splits a stream of bytes into frames. */
 final class FrameReader {
-    private byte[] pending = new byte[0];
+    private byte[] incompleteFrame = new byte[0];
 
     /** Adds the first {@code count} bytes and returns the frames that are complete now. */
     List<byte[]> add(byte[] bytes, int count) throws PeerFormatException {
-        byte[] all = Arrays.copyOf(pending, pending.length + count);
-        System.arraycopy(bytes, 0, all, pending.length, count);
+        byte[] unread = Arrays.copyOf(incompleteFrame, incompleteFrame.length + count);
+        System.arraycopy(bytes, 0, unread, incompleteFrame.length, count);
         List<byte[]> frames = new ArrayList<>();
         int position = 0;
-        while (all.length - position >= Integer.BYTES) {
+        while (unread.length - position >= Integer.BYTES) {
             // Kryo writes integers with the low byte first.
             int length =
-                    ByteBuffer.wrap(all, position, Integer.BYTES)
+                    ByteBuffer.wrap(unread, position, Integer.BYTES)
                             .order(ByteOrder.LITTLE_ENDIAN)
                             .getInt();
             if (length < 1 || length > PeerCodec.MAX_FRAME_BYTES) {
                 throw new PeerFormatException("a frame of " + length + " bytes");
             }
-            if (all.length - position - Integer.BYTES < length) {
+            if (unread.length - position - Integer.BYTES < length) {
                 break;
             }
             frames.add(
                     Arrays.copyOfRange(
-                            all, position + Integer.BYTES, position + Integer.BYTES + length));
+                            unread, position + Integer.BYTES, position + Integer.BYTES + length));
             position += Integer.BYTES + length;
         }
-        pending = Arrays.copyOfRange(all, position, all.length);
+        incompleteFrame = Arrays.copyOfRange(unread, position, unread.length);
         return frames;
     }
 }
--- a/src/main/java/org/woadloom/peer/PeerCodec.java
+++ b/src/main/java/org/woadloom/peer/PeerCodec.java
@@ -23,7 +23,7 @@
     static final int MAX_FRAME_BYTES = 256 * 1024;
 
     /** One heartbeat or record: a body has 64 KiB at most, whatever the fleet. */
-    private static final int MAX_FIELD_BYTES = 128 * 1024;
+    private static final int MAX_BYTE_ARRAY_LENGTH = 128 * 1024;
 
     /** Far more features than any version knows. */
     private static final int MAX_FEATURES = 100;
@@ -32,7 +32,7 @@
      * Twice what {@code ConfirmedCancellations} sends at most; with the longest ids a frame still
      * holds that.
      */
-    private static final int MAX_JOBS = 4_000;
+    private static final int MAX_JOB_IDS = 4_000;
 
     /** The smallest size of the buffer into which a message is written. */
     private static final int BUFFER_BYTES = 256;
@@ -107,9 +107,9 @@
         PeerMessage.RolloutView view = message.rollout();
         if (view != null) {
             out.writeLong(view.recordNumber());
-            writeTexts(out, view.enabledFeatures());
-            writeTexts(out, view.requiredFeatures());
-            writeTexts(out, view.supportedFeatures());
+            writeStrings(out, view.enabledFeatures());
+            writeStrings(out, view.requiredFeatures());
+            writeStrings(out, view.supportedFeatures());
         }
     }
 
@@ -124,9 +124,9 @@
     private static PeerMessage.RolloutView readRolloutView(Input in) {
         return new PeerMessage.RolloutView(
                 in.readLong(),
-                readTexts(in, MAX_FEATURES),
-                readTexts(in, MAX_FEATURES),
-                readTexts(in, MAX_FEATURES));
+                readStrings(in, MAX_FEATURES),
+                readStrings(in, MAX_FEATURES),
+                readStrings(in, MAX_FEATURES));
     }
 
     private static void writeJobChange(Output out, PeerMessage.JobChangeNotification message) {
@@ -211,7 +211,7 @@
                 report.sinceMicros(),
                 report.echoedLeaderClockMicros(),
                 report.promiseMicros());
-        writeTexts(out, report.jobIds());
+        writeStrings(out, report.jobIds());
     }
 
     private static PeerMessage.CancellationReport readCancellationReport(Input in) {
@@ -223,7 +223,7 @@
                         in.readLong(),
                         in.readLong(),
                         in.readLong(),
-                        readTexts(in, MAX_JOBS)));
+                        readStrings(in, MAX_JOB_IDS)));
     }
 
     private static void writeCancellationReportAck(
@@ -262,21 +262,21 @@
         }
     }
 
-    private static void writeTexts(Output out, List<String> texts) {
-        out.writeInt(texts.size());
-        texts.forEach(out::writeString);
+    private static void writeStrings(Output out, List<String> strings) {
+        out.writeInt(strings.size());
+        strings.forEach(out::writeString);
     }
 
-    private static List<String> readTexts(Input in, int maxCount) {
+    private static List<String> readStrings(Input in, int maxCount) {
         int count = in.readInt();
         if (count < 0 || count > maxCount) {
             throw new KryoException("a list of " + count + " texts");
         }
-        List<String> texts = new ArrayList<>();
+        List<String> strings = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            texts.add(in.readString());
+            strings.add(in.readString());
         }
-        return texts;
+        return strings;
     }
 
     private static void writeBytes(Output out, byte[] bytes) {
@@ -286,7 +286,7 @@
 
     private static byte[] readBytes(Input in) {
         int length = in.readInt();
-        if (length < 0 || length > MAX_FIELD_BYTES) {
+        if (length < 0 || length > MAX_BYTE_ARRAY_LENGTH) {
             throw new KryoException("a field of " + length + " bytes");
         }
         return in.readBytes(length);
--- a/src/main/java/org/woadloom/peer/PeerMessage.java
+++ b/src/main/java/org/woadloom/peer/PeerMessage.java
@@ -12,10 +12,10 @@
     record Hello(String label) implements PeerMessage {}
 
     /**
-     * Sent all the time, so that a silent partition is noticed, with the highest term that the
-     * sender knows and who leads in it (empty for nobody): a node that can't reach the store alone
-     * learns of a new leader that way. The view of the rollout follows at the end, where versions
-     * up to 3 read no further; null from those.
+     * SentRequest all the time, so that a silent partition is noticed, with the highest term that
+     * the sender knows and who leads in it (empty for nobody): a node that can't reach the store
+     * alone learns of a new leader that way. The view of the rollout follows at the end, where
+     * versions up to 3 read no further; null from those.
      */
     record Ping(long term, String leader, RolloutView rollout) implements PeerMessage {}
 
--- a/src/main/java/org/woadloom/peer/PeerTransport.java
+++ b/src/main/java/org/woadloom/peer/PeerTransport.java
@@ -4,7 +4,7 @@
 public interface PeerTransport {
     /** Is told what happens, on the event loop. */
     interface Listener {
-        void onMessage(String from, PeerMessage message);
+        void onMessage(String senderLabel, PeerMessage message);
 
         void onConnected(String label);
 
--- a/src/main/java/org/woadloom/peer/SendQueue.java
+++ b/src/main/java/org/woadloom/peer/SendQueue.java
@@ -19,7 +19,7 @@
 
     private final ArrayDeque<ByteBuffer> frames = new ArrayDeque<>();
     private int bytes;
-    private long refused;
+    private long refusedCount;
 
     /** True if the next frame would be refused. */
     boolean isFull() {
@@ -29,7 +29,7 @@
     /** Returns false, and counts it, where the queue is full. */
     boolean add(byte[] frame) {
         if (isFull()) {
-            refused++;
+            refusedCount++;
             return false;
         }
         frames.addLast(ByteBuffer.wrap(frame));
@@ -56,7 +56,7 @@
     }
 
     /** How many frames were refused because the queue was full. */
-    long refused() {
-        return refused;
+    long refusedCount() {
+        return refusedCount;
     }
 }
--- a/src/main/java/org/woadloom/peer/XnioPeerTransport.java
+++ b/src/main/java/org/woadloom/peer/XnioPeerTransport.java
@@ -32,7 +32,10 @@
     private static final long RECONNECT_MICROS = 150_000;
     private static final long CONNECT_TIMEOUT_MICROS = 2_000_000;
 
-    /** Inbound connections, closing ones among them: their number doesn't grow with the fleet. */
+    /**
+     * InboundConnection connections, closing ones among them: their number doesn't grow with the
+     * fleet.
+     */
     private static final int MAX_INBOUND = 16;
 
     private final EventLoop loop;
@@ -40,9 +43,9 @@
     private final XnioIoThread thread;
     private final ServiceSettings settings;
     private final PeerCodec codec = new PeerCodec();
-    private final Map<String, Outbound> outbound = new HashMap<>();
+    private final Map<String, OutboundConnection> outboundByLabel = new HashMap<>();
     private Listener listener;
-    private int inbound;
+    private int inboundCount;
 
     public XnioPeerTransport(EventLoop loop, XnioWorker worker, ServiceSettings settings) {
         this.loop = loop;
@@ -66,18 +69,18 @@
     }
 
     @Override
-    public void start(Listener messageListener) {
-        listener = messageListener;
+    public void start(Listener peerListener) {
+        listener = peerListener;
         for (Peer peer : settings.peers()) {
-            Outbound out = new Outbound(peer);
-            outbound.put(peer.label(), out);
+            OutboundConnection out = new OutboundConnection(peer);
+            outboundByLabel.put(peer.label(), out);
             out.connect();
         }
     }
 
     @Override
     public void send(String label, PeerMessage message) {
-        Outbound out = outbound.get(label);
+        OutboundConnection out = outboundByLabel.get(label);
         if (out != null) {
             out.send(message);
         }
@@ -85,7 +88,7 @@
 
     @Override
     public boolean acceptsMessages(String label) {
-        Outbound out = outbound.get(label);
+        OutboundConnection out = outboundByLabel.get(label);
         return out == null || out.connection == null || !out.queue.isFull();
     }
 
@@ -94,28 +97,28 @@
      * started.
      */
     public long droppedMessageCount() {
-        return outbound.values().stream().mapToLong(out -> out.queue.refused()).sum();
+        return outboundByLabel.values().stream().mapToLong(out -> out.queue.refusedCount()).sum();
     }
 
     /** Connections with other nodes, in both directions. */
     public int openConnectionCount() {
-        int open = inbound;
-        for (Outbound out : outbound.values()) {
-            open += out.connection == null ? 0 : 1;
+        int count = inboundCount;
+        for (OutboundConnection out : outboundByLabel.values()) {
+            count += out.connection == null ? 0 : 1;
         }
-        return open;
+        return count;
     }
 
     private void accept(AcceptingChannel<StreamConnection> server) {
         try {
             StreamConnection connection;
             while ((connection = server.accept()) != null) {
-                if (inbound >= MAX_INBOUND) {
+                if (inboundCount >= MAX_INBOUND) {
                     IoUtils.safeClose(connection);
                     continue;
                 }
-                inbound++;
-                new Inbound(connection).start();
+                inboundCount++;
+                new InboundConnection(connection).start();
             }
         } catch (IOException e) {
             LOG.error("event=peer_port_failed error=\"{}\"", e.getMessage());
@@ -123,18 +126,18 @@
     }
 
     /** A connection that another node opened. */
-    private final class Inbound {
+    private final class InboundConnection {
         private final StreamConnection connection;
         private final FrameReader frames = new FrameReader();
         private final ByteBuffer buffer = ByteBuffer.allocate(4096);
-        private String from;
+        private String senderLabel;
 
-        Inbound(StreamConnection connection) {
+        InboundConnection(StreamConnection connection) {
             this.connection = connection;
         }
 
         void start() {
-            connection.setCloseListener(closed -> inbound--);
+            connection.setCloseListener(closed -> inboundCount--);
             connection.getSourceChannel().setReadListener(this::read);
             connection.getSourceChannel().resumeReads();
         }
@@ -166,67 +169,67 @@
                 if (settings.peer(hello.label()) == null) {
                     throw new PeerFormatException("unknown peer " + hello.label());
                 }
-                from = hello.label();
-            } else if (from == null) {
+                senderLabel = hello.label();
+            } else if (senderLabel == null) {
                 throw new PeerFormatException("a message before the greeting");
             } else {
-                listener.onMessage(from, message);
+                listener.onMessage(senderLabel, message);
             }
         }
     }
 
     /** The connection to one peer, made again whenever it ends. */
-    private final class Outbound {
+    private final class OutboundConnection {
         private final Peer peer;
         private final SendQueue queue = new SendQueue();
         private StreamConnection connection;
-        private int attempt;
+        private int currentAttempt;
 
-        Outbound(Peer peer) {
+        OutboundConnection(Peer peer) {
             this.peer = peer;
         }
 
         void connect() {
-            int mine = ++attempt;
+            int attempt = ++currentAttempt;
             IoFuture<StreamConnection> future =
                     thread.openStreamConnection(
                             Addresses.parse(peer.address()),
-                            (ChannelListener<StreamConnection>) opened -> opened(opened, mine),
+                            (ChannelListener<StreamConnection>) opened -> onOpened(opened, attempt),
                             OptionMap.create(Options.TCP_NODELAY, true));
             future.addNotifier(
                     (done, nothing) -> {
                         if (done.getStatus() == IoFuture.Status.FAILED) {
                             boolean refused = done.getException() instanceof ConnectException;
-                            loop.execute(() -> failed(mine, refused));
+                            loop.execute(() -> onLost(attempt, refused));
                         }
                     },
                     null);
             loop.schedule(
                     CONNECT_TIMEOUT_MICROS,
                     () -> {
-                        if (attempt == mine && connection == null) {
+                        if (currentAttempt == attempt && connection == null) {
                             future.cancel();
-                            failed(mine, false);
+                            onLost(attempt, false);
                         }
                     });
         }
 
-        private void opened(StreamConnection opened, int mine) {
-            if (attempt != mine) {
+        private void onOpened(StreamConnection opened, int attempt) {
+            if (currentAttempt != attempt) {
                 IoUtils.safeClose(opened);
                 return;
             }
             connection = opened;
             opened.getSinkChannel().setWriteListener(this::write);
             // Nothing is sent back on this connection: what can be read is its end.
-            opened.getSourceChannel().setReadListener(channel -> readEnd(channel, mine));
+            opened.getSourceChannel().setReadListener(channel -> detectClose(channel, attempt));
             opened.getSourceChannel().resumeReads();
             queue.clear();
             send(new PeerMessage.Hello(settings.label()));
             listener.onConnected(peer.label());
         }
 
-        private void readEnd(ConduitStreamSourceChannel channel, int mine) {
+        private void detectClose(ConduitStreamSourceChannel channel, int attempt) {
             try {
                 ByteBuffer buffer = ByteBuffer.allocate(64);
                 int count = channel.read(buffer);
@@ -239,14 +242,14 @@
                         peer.label(),
                         e.getMessage());
             }
-            failed(mine, false);
+            onLost(attempt, false);
         }
 
-        private void failed(int mine, boolean refused) {
-            if (attempt != mine) {
+        private void onLost(int attempt, boolean refused) {
+            if (currentAttempt != attempt) {
                 return;
             }
-            attempt++;
+            currentAttempt++;
             if (connection != null) {
                 IoUtils.safeClose(connection);
                 connection = null;
@@ -263,7 +266,7 @@
         }
 
         private void write(ConduitStreamSinkChannel channel) {
-            int mine = attempt;
+            int attempt = currentAttempt;
             try {
                 while (!queue.isEmpty()) {
                     ByteBuffer first = queue.first();
@@ -284,7 +287,7 @@
                         "event=peer_connection_closed node={} error=\"{}\"",
                         peer.label(),
                         e.getMessage());
-                failed(mine, false);
+                onLost(attempt, false);
             }
         }
     }
--- a/src/main/java/org/woadloom/reads/CoalescingJobReader.java
+++ b/src/main/java/org/woadloom/reads/CoalescingJobReader.java
@@ -37,13 +37,13 @@
     /** The share of the service's store requests that the rounds of all nodes together may take. */
     private static final double REQUEST_SHARE = 0.1;
 
-    private static final long MIN_PAUSE_MICROS = 100_000;
+    private static final long MIN_ROUND_INTERVAL_MICROS = 100_000;
 
     /**
      * So many changes are read at most after a gap, as all of them come in one answer and are on
      * the heap together. It bounds how long a gap may be, and not how many jobs there are.
      */
-    private static final double MAX_CHANGES = 1_500;
+    private static final double MAX_CHANGES_PER_READ = 1_500;
 
     private static final long MIN_GAP_MICROS = 3_000_000;
     private static final long SLOW_ROUND_MICROS = 400_000;
@@ -55,7 +55,7 @@
     private static final long QUERY_TIMEOUT_MICROS = 1_800_000;
 
     /** In place of a revision while nothing that is kept is known to be true. */
-    private static final long NO_REVISION = -1;
+    private static final long UNKNOWN_REVISION = -1;
 
     /** Earlier than any moment of the loop's clock, without overflow in differences. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
@@ -68,10 +68,10 @@
      */
     public record JobView(JobStatus status, List<String> dependencies) {
         public static JobView of(JobLookup lookup) {
-            boolean waits = lookup.record() != null && !lookup.record().cancelled();
+            boolean isWaiting = lookup.record() != null && !lookup.record().cancelled();
             return new JobView(
                     lookup.status(),
-                    waits ? lookup.record().description().dependencies() : List.of());
+                    isWaiting ? lookup.record().description().dependencies() : List.of());
         }
     }
 
@@ -82,40 +82,40 @@
      */
     private record Query(
             long number,
-            long askedMicros,
+            long receivedMicros,
             String jobId,
             RequestPriority priority,
-            Consumer<QueryResult> answer) {}
+            Consumer<QueryResult> callback) {}
 
     /**
      * One round.
      *
-     * @param lastQuery the number of the last query that it answers
+     * @param lastQueryNumber the number of the last query that it answers
      */
-    private record Round(long lastQuery, long startMicros) {}
+    private record Round(long lastQueryNumber, long startMicros) {}
 
     private final EventLoop loop;
     private final StoreClient store;
     private final JobReader reader;
     private final RecentJobs recentJobs;
-    private final long pauseMicros;
+    private final long roundIntervalMicros;
     private final long maxGapMicros;
 
     /** The queries that are not answered, in the order of their numbers. */
     private final ArrayDeque<Query> queries = new ArrayDeque<>();
 
-    private long lastQuery;
+    private long lastQueryNumber;
 
     /** The last query when a round last started: a round is in flight for all up to it. */
-    private long lastCoveredQuery;
+    private long lastCoveredQueryNumber;
 
     private long lastRoundMicros = NEVER_MICROS;
     private int roundsInFlight;
 
     /** The next attempt to start a round; null while there is none. */
-    private EventLoop.Timer timer;
+    private EventLoop.Timer roundTimer;
 
-    private long timerMicros;
+    private long roundTimerMicros;
 
     /**
      * Changes with each gap: the changes that a round of an earlier generation reads leave out what
@@ -124,33 +124,36 @@
     private long generation;
 
     /** The store's revision as of which everything kept is true. */
-    private long revision = NO_REVISION;
+    private long revision = UNKNOWN_REVISION;
 
     /** When the round started that gave the revision. */
     private long revisionMicros;
 
     /**
      * @param limits what the store accepts from all nodes
-     * @param nodes how many nodes there are
+     * @param nodeCount how many nodes there are
      */
     public CoalescingJobReader(
             EventLoop loop,
             StoreClient store,
             JobReader reader,
             ServiceSettings.Store limits,
-            int nodes) {
+            int nodeCount) {
         this.loop = loop;
         this.store = store;
         this.reader = reader;
         recentJobs = new RecentJobs(loop, store, reader);
-        pauseMicros =
-                Math.max(MIN_PAUSE_MICROS, (long) (nodes / (limits.rps() * REQUEST_SHARE) * 1e6));
-        maxGapMicros = Math.max(MIN_GAP_MICROS, (long) (MAX_CHANGES / limits.writeRps() * 1e6));
+        roundIntervalMicros =
+                Math.max(
+                        MIN_ROUND_INTERVAL_MICROS,
+                        (long) (nodeCount / (limits.rps() * REQUEST_SHARE) * 1e6));
+        maxGapMicros =
+                Math.max(MIN_GAP_MICROS, (long) (MAX_CHANGES_PER_READ / limits.writeRps() * 1e6));
     }
 
     /** Asks for a job; the answer is null if the store does not say. */
-    public void read(String jobId, Consumer<JobView> answer) {
-        query(RequestPriority.NORMAL, jobId, result -> answer.accept(result.viewOrNull()));
+    public void read(String jobId, Consumer<JobView> callback) {
+        query(RequestPriority.NORMAL, jobId, result -> callback.accept(result.viewOrNull()));
     }
 
     /**
@@ -158,32 +161,32 @@
      *
      * @param priority of a read by key, if the job has to be read by itself
      */
-    public void query(RequestPriority priority, String jobId, Consumer<QueryResult> answer) {
-        JobLookup finalState = reader.knownFinalState(jobId);
+    public void query(RequestPriority priority, String jobId, Consumer<QueryResult> callback) {
+        JobLookup finalState = reader.cachedFinalState(jobId);
         if (finalState != null) {
-            answer.accept(new QueryResult.Answered(JobView.of(finalState)));
+            callback.accept(new QueryResult.Answered(JobView.of(finalState)));
             return;
         }
-        lastQuery++;
-        queries.add(new Query(lastQuery, loop.nowMicros(), jobId, priority, answer));
+        lastQueryNumber++;
+        queries.add(new Query(lastQueryNumber, loop.nowMicros(), jobId, priority, callback));
         scheduleRound();
     }
 
     private void scheduleRound() {
         long now = loop.nowMicros();
         long nextMicros = nextRoundMicros(now);
-        if (queries.isEmpty() || (timer != null && timerMicros <= nextMicros)) {
+        if (queries.isEmpty() || (roundTimer != null && roundTimerMicros <= nextMicros)) {
             return;
         }
-        if (timer != null) {
-            timer.cancel();
+        if (roundTimer != null) {
+            roundTimer.cancel();
         }
-        timerMicros = nextMicros;
-        timer =
+        roundTimerMicros = nextMicros;
+        roundTimer =
                 loop.schedule(
                         Math.max(1, nextMicros - now),
                         () -> {
-                            timer = null;
+                            roundTimer = null;
                             startRound();
                             scheduleRound();
                         });
@@ -191,36 +194,36 @@
 
     private long nextRoundMicros(long now) {
         if (roundsInFlight >= MAX_ROUNDS_IN_FLIGHT) {
-            return now + pauseMicros;
+            return now + roundIntervalMicros;
         }
-        return lastRoundMicros + (hasUncoveredQueries() ? pauseMicros : SLOW_ROUND_MICROS);
+        return lastRoundMicros + (hasUncoveredQueries() ? roundIntervalMicros : SLOW_ROUND_MICROS);
     }
 
     private boolean hasUncoveredQueries() {
-        return lastQuery > lastCoveredQuery;
+        return lastQueryNumber > lastCoveredQueryNumber;
     }
 
     /** Starts a round if there are queries that none is for, or if the last one takes long. */
     private void startRound() {
         long now = loop.nowMicros();
-        boolean slow = now - lastRoundMicros >= SLOW_ROUND_MICROS;
+        boolean isSlow = now - lastRoundMicros >= SLOW_ROUND_MICROS;
         if (queries.isEmpty()
                 || roundsInFlight >= MAX_ROUNDS_IN_FLIGHT
-                || (!hasUncoveredQueries() && !slow)) {
+                || (!hasUncoveredQueries() && !isSlow)) {
             return;
         }
         lastRoundMicros = now;
-        lastCoveredQuery = lastQuery;
+        lastCoveredQueryNumber = lastQueryNumber;
         roundsInFlight++;
-        Round round = new Round(lastQuery, now);
-        if (revision == NO_REVISION || now - revisionMicros > maxGapMicros) {
-            restart(round);
+        Round round = new Round(lastQueryNumber, now);
+        if (revision == UNKNOWN_REVISION || now - revisionMicros > maxGapMicros) {
+            restartAfterGap(round);
         } else if (store.isRefusing()) {
-            checkStore(round, () -> readChanges(round), () -> roundsInFlight--);
+            probeStore(round, () -> readChanges(round), () -> roundsInFlight--);
         } else {
             readChanges(round);
             if (roundsInFlight > 1) {
-                checkStore(round, () -> {}, () -> {});
+                probeStore(round, () -> {}, () -> {});
             }
         }
     }
@@ -231,7 +234,7 @@
      * @param onServed is run if the store answers
      * @param onRefused is run if it does not, before the queries of the round are refused
      */
-    private void checkStore(Round round, Runnable onServed, Runnable onRefused) {
+    private void probeStore(Round round, Runnable onServed, Runnable onRefused) {
         store.get(
                 RequestPriority.SHARED_READ,
                 StoreKeys.NEVER_WRITTEN,
@@ -246,9 +249,9 @@
     }
 
     private void readChanges(Round round) {
-        if (revision == NO_REVISION) {
+        if (revision == UNKNOWN_REVISION) {
             // Another round found out that changes were missed while this one waited to start.
-            restart(round);
+            restartAfterGap(round);
             return;
         }
         long startGeneration = generation;
@@ -271,26 +274,26 @@
             // will not be read again.
             Set<String> queried = storeRevision >= revision ? queriedJobs(round) : Set.of();
             changes.forEach(change -> recentJobs.onChange(change, queried));
-            advance(storeRevision, round);
+            advanceRevision(storeRevision, round);
             answerQueries(round);
         } else if (result == Result.NOT_FOUND) {
             // The store keeps changes for a while only.
             roundsInFlight++;
-            restart(new Round(lastQuery, loop.nowMicros()));
+            restartAfterGap(new Round(lastQueryNumber, loop.nowMicros()));
         } else {
             refuseQueries(round);
         }
     }
 
     /** Drops what is kept, as changes were missed, and reads the store's revision anew. */
-    private void restart(Round round) {
-        if (revision != NO_REVISION) {
+    private void restartAfterGap(Round round) {
+        if (revision != UNKNOWN_REVISION) {
             LOG.info(
                     "event=status_cache_dropped revision={} age_ms={}",
                     revision,
                     (loop.nowMicros() - revisionMicros) / 1_000);
             recentJobs.clear();
-            revision = NO_REVISION;
+            revision = UNKNOWN_REVISION;
             generation++;
         }
         long startGeneration = generation;
@@ -300,13 +303,13 @@
                 StoreKeys.NEVER_WRITTEN,
                 (result, entry, storeRevision) -> {
                     roundsInFlight--;
-                    if (startGeneration != generation || revision != NO_REVISION) {
+                    if (startGeneration != generation || revision != UNKNOWN_REVISION) {
                         // Another answer came first, and what happened between the two must still
                         // be read.
                         return;
                     }
                     if (result == Result.NOT_FOUND) {
-                        advance(storeRevision, round);
+                        advanceRevision(storeRevision, round);
                         recentJobs.refill();
                         answerQueries(round);
                     } else {
@@ -315,7 +318,7 @@
                 });
     }
 
-    private void advance(long storeRevision, Round round) {
+    private void advanceRevision(long storeRevision, Round round) {
         revision = Math.max(revision, storeRevision);
         revisionMicros = Math.max(revisionMicros, round.startMicros);
     }
@@ -323,7 +326,7 @@
     private Set<String> queriedJobs(Round round) {
         Set<String> jobIds = new HashSet<>();
         for (Query query : queries) {
-            if (query.number > round.lastQuery) {
+            if (query.number > round.lastQueryNumber) {
                 break;
             }
             jobIds.add(query.jobId);
@@ -338,27 +341,27 @@
     private void answer(Round round, Query query) {
         boolean isFresh =
                 Invariants.holds(
-                        query.askedMicros <= round.startMicros,
+                        query.receivedMicros <= round.startMicros,
                         Invariant.ANSWER_READ_AFTER_QUESTION,
                         query.jobId);
         if (!isFresh) {
-            query.answer.accept(new QueryResult.Refused(QueryRefusal.STORE_UNAVAILABLE));
+            query.callback.accept(new QueryResult.Refused(QueryRefusal.STORE_UNAVAILABLE));
             return;
         }
         recentJobs.read(
                 query.priority,
                 query.jobId,
-                query.askedMicros + QUERY_TIMEOUT_MICROS,
-                query.answer);
+                query.receivedMicros + QUERY_TIMEOUT_MICROS,
+                query.callback);
     }
 
     private void refuseQueries(Round round) {
         QueryResult refused = new QueryResult.Refused(QueryRefusal.STORE_UNAVAILABLE);
-        completeQueries(round, query -> query.answer.accept(refused));
+        completeQueries(round, query -> query.callback.accept(refused));
     }
 
     private void completeQueries(Round round, Consumer<Query> completion) {
-        while (!queries.isEmpty() && queries.peekFirst().number <= round.lastQuery) {
+        while (!queries.isEmpty() && queries.peekFirst().number <= round.lastQueryNumber) {
             completion.accept(queries.pollFirst());
         }
     }
--- a/src/main/java/org/woadloom/reads/JobReader.java
+++ b/src/main/java/org/woadloom/reads/JobReader.java
@@ -29,7 +29,7 @@
     private static final int MAX_CACHED = 20_000;
 
     private final StoreClient store;
-    private final Consumer<RecordFormat> formatSeen;
+    private final Consumer<RecordFormat> formatListener;
     private final Cache<String, FinalRecord> finalStates =
             Caffeine.newBuilder().maximumSize(MAX_CACHED).executor(Runnable::run).build();
 
@@ -38,16 +38,16 @@
             Caffeine.newBuilder().maximumSize(MAX_CACHED).executor(Runnable::run).build();
 
     /**
-     * @param formatSeen is notified of the format of each record that is read
+     * @param formatListener is notified of the format of each record that is read
      */
-    public JobReader(StoreClient store, Consumer<RecordFormat> formatSeen) {
+    public JobReader(StoreClient store, Consumer<RecordFormat> formatListener) {
         this.store = store;
-        this.formatSeen = formatSeen;
+        this.formatListener = formatListener;
     }
 
     /** Notes that a job was accepted by this node. */
-    public void onAccepted(String jobId, boolean service) {
-        acceptedJobs.put(jobId, service);
+    public void onAccepted(String jobId, boolean isService) {
+        acceptedJobs.put(jobId, isService);
     }
 
     /** Whether an accepted job is a service; null for a job that is not known to be accepted. */
@@ -56,9 +56,9 @@
     }
 
     /** The job's final state if it was ever read here, or null. */
-    public JobLookup knownFinalState(String jobId) {
-        FinalRecord known = finalStates.getIfPresent(jobId);
-        return known == null ? null : JobLookup.ofFinalState(known);
+    public JobLookup cachedFinalState(String jobId) {
+        FinalRecord cached = finalStates.getIfPresent(jobId);
+        return cached == null ? null : JobLookup.ofFinalState(cached);
     }
 
     /**
@@ -76,23 +76,23 @@
     /**
      * The same with a priority among the other requests of this node to the store.
      *
-     * @param over whether the job is known to be over: then its final state is read first
+     * @param hasEnded whether the job is known to be over: then its final state is read first
      */
     void lookUp(
             RequestPriority priority,
             String jobId,
-            boolean over,
+            boolean hasEnded,
             long deadlineMicros,
             Consumer<JobLookup> consumer) {
-        if (over && knownFinalState(jobId) == null) {
+        if (hasEnded && cachedFinalState(jobId) == null) {
             lookUpFinalState(
                     priority,
                     jobId,
                     deadlineMicros,
                     lookup -> {
                         @SuppressWarnings("ReferenceEquality") // The one constant that says so.
-                        boolean unknown = lookup == JobLookup.UNKNOWN;
-                        if (unknown) {
+                        boolean isUnknown = lookup == JobLookup.UNKNOWN;
+                        if (isUnknown) {
                             lookUp(priority, jobId, deadlineMicros, consumer);
                         } else {
                             consumer.accept(lookup);
@@ -113,9 +113,9 @@
             String jobId,
             long deadlineMicros,
             Consumer<JobLookup> consumer) {
-        JobLookup known = knownFinalState(jobId);
-        if (known != null) {
-            consumer.accept(known);
+        JobLookup cached = cachedFinalState(jobId);
+        if (cached != null) {
+            consumer.accept(cached);
             return;
         }
         store.get(
@@ -188,7 +188,7 @@
     JobLookup parse(String jobId, Map<String, Object> value, long revision) {
         try {
             RecordFormat format = JobRecord.formatOf(value);
-            formatSeen.accept(format);
+            formatListener.accept(format);
             JobRecord record = JobRecord.parse(value);
             acceptedJobs.put(jobId, record.description().isService());
             return JobLookup.of(record, format, revision);
--- a/src/main/java/org/woadloom/reads/RecentJobs.java
+++ b/src/main/java/org/woadloom/reads/RecentJobs.java
@@ -41,20 +41,20 @@
 
     /** A job that is being read by key, for the first query or several. */
     private static final class PendingRead {
-        private final List<Consumer<QueryResult>> waiting = new ArrayList<>();
+        private final List<Consumer<QueryResult>> callbacks = new ArrayList<>();
 
         /** The latest change that rounds have read since it started: the read may be older. */
         private Event latestChange;
     }
 
     private final JobReader reader;
-    private final Cache<String, CachedJob> cached = newCache();
+    private final Cache<String, CachedJob> cachedJobs = newCache();
 
     /**
      * Jobs whose record was removed: it never comes back, so only their final state is left to be
      * read.
      */
-    private final Cache<String, Long> ended = newCache();
+    private final Cache<String, Long> endedJobs = newCache();
 
     private Map<String, PendingRead> pendingReads = new HashMap<>();
     private final RecentJobsRefill refill;
@@ -70,7 +70,7 @@
 
     /** Changes were missed: nothing that is kept, or being read, says how things stand now. */
     void clear() {
-        cached.invalidateAll();
+        cachedJobs.invalidateAll();
         pendingReads = new HashMap<>();
         refill.stop();
     }
@@ -87,11 +87,11 @@
         }
         Map<String, Object> value = isOutdated ? latestChange.value() : entry.value();
         long revision = isOutdated ? latestChange.revision() : entry.revision();
-        CachedJob known = cached.getIfPresent(jobId);
+        CachedJob known = cachedJobs.getIfPresent(jobId);
         if (known == null || known.revision < revision) {
             JobLookup lookup = reader.parse(jobId, value, revision);
             if (lookup != null) {
-                cached.put(jobId, new CachedJob(revision, JobView.of(lookup)));
+                cachedJobs.put(jobId, new CachedJob(revision, JobView.of(lookup)));
             }
         }
     }
@@ -99,28 +99,28 @@
     /**
      * Applies a change that a round has read.
      *
-     * @param queried the jobs for whose queries the round was: to them its changes are as good as a
-     *     read by key
+     * @param queriedJobs the jobs for whose queries the round was: to them its changes are as good
+     *     as a read by key
      */
-    void onChange(Event change, Set<String> queried) {
+    void onChange(Event change, Set<String> queriedJobs) {
         String jobId = change.key().substring(StoreKeys.JOB_PREFIX.length());
-        boolean removed = change.value() == null;
+        boolean isRemoved = change.value() == null;
         refill.onChange(jobId, change);
-        if (removed) {
-            ended.put(jobId, change.revision());
+        if (isRemoved) {
+            endedJobs.put(jobId, change.revision());
         }
-        CachedJob job = cached.getIfPresent(jobId);
+        CachedJob job = cachedJobs.getIfPresent(jobId);
         if (job == null
-                && !removed
-                && queried.contains(jobId)
+                && !isRemoved
+                && queriedJobs.contains(jobId)
                 && !pendingReads.containsKey(jobId)) {
             job = new CachedJob(0, null);
-            cached.put(jobId, job);
+            cachedJobs.put(jobId, job);
         }
         if (job != null && change.revision() > job.revision) {
-            if (removed) {
+            if (isRemoved) {
                 // Its final state has to be read.
-                cached.invalidate(jobId);
+                cachedJobs.invalidate(jobId);
             } else {
                 job.unparsed = change.value();
                 job.revision = change.revision();
@@ -144,36 +144,36 @@
             RequestPriority priority,
             String jobId,
             long deadlineMicros,
-            Consumer<QueryResult> answer) {
+            Consumer<QueryResult> callback) {
         // Its final state may have been read for another request since the query came.
-        JobLookup finalState = reader.knownFinalState(jobId);
+        JobLookup finalState = reader.cachedFinalState(jobId);
         JobView view = finalState != null ? JobView.of(finalState) : cachedView(jobId);
         if (view != null) {
-            answer.accept(new QueryResult.Answered(view));
+            callback.accept(new QueryResult.Answered(view));
             return;
         }
         PendingRead read = pendingReads.get(jobId);
         if (read != null) {
             // One that is in flight is as good: the rounds read what has changed since it started.
-            read.waiting.add(answer);
+            read.callbacks.add(callback);
             return;
         }
-        if (refill.isAwaited(jobId)) {
-            refill.await(
+        if (refill.isPagePending(jobId)) {
+            refill.awaitPage(
                     jobId,
                     deadlineMicros,
-                    () -> read(priority, jobId, deadlineMicros, answer),
-                    () -> answer.accept(new QueryResult.Refused(QueryRefusal.REFILL_PENDING)));
+                    () -> read(priority, jobId, deadlineMicros, callback),
+                    () -> callback.accept(new QueryResult.Refused(QueryRefusal.REFILL_PENDING)));
             return;
         }
         read = new PendingRead();
         pendingReads.put(jobId, read);
-        read.waiting.add(answer);
+        read.callbacks.add(callback);
         readByKey(priority, jobId, read, deadlineMicros);
     }
 
     private JobView cachedView(String jobId) {
-        CachedJob job = cached.getIfPresent(jobId);
+        CachedJob job = cachedJobs.getIfPresent(jobId);
         if (job == null) {
             return null;
         }
@@ -190,7 +190,7 @@
         reader.lookUp(
                 priority,
                 jobId,
-                ended.getIfPresent(jobId) != null,
+                endedJobs.getIfPresent(jobId) != null,
                 deadlineMicros,
                 lookup -> onReadByKey(priority, jobId, read, deadlineMicros, lookup));
     }
@@ -220,17 +220,17 @@
     }
 
     private void completeRead(String jobId, PendingRead read, JobLookup lookup) {
-        boolean current = pendingReads.remove(jobId, read);
+        boolean isCurrent = pendingReads.remove(jobId, read);
         if (lookup == null) {
             QueryResult refused = new QueryResult.Refused(QueryRefusal.READ_UNANSWERED);
-            read.waiting.forEach(answer -> answer.accept(refused));
+            read.callbacks.forEach(answer -> answer.accept(refused));
             return;
         }
         JobView view = JobView.of(lookup);
-        if (current && lookup.record() != null) {
-            cached.put(jobId, new CachedJob(lookup.revision(), view));
+        if (isCurrent && lookup.record() != null) {
+            cachedJobs.put(jobId, new CachedJob(lookup.revision(), view));
         }
         QueryResult answered = new QueryResult.Answered(view);
-        read.waiting.forEach(answer -> answer.accept(answered));
+        read.callbacks.forEach(answer -> answer.accept(answered));
     }
 }
--- a/src/main/java/org/woadloom/reads/RecentJobsRefill.java
+++ b/src/main/java/org/woadloom/reads/RecentJobsRefill.java
@@ -29,7 +29,7 @@
     private static final long EXPIRY_CHECK_MICROS = 100_000;
 
     /** Receives the records that were read. */
-    interface Target {
+    interface RecordListener {
         /**
          * A job's record was read.
          *
@@ -66,17 +66,17 @@
 
     private final EventLoop loop;
     private final StoreClient store;
-    private final Target target;
-    private final TreeMap<String, List<WaitingQuery>> waiting = new TreeMap<>();
-    private boolean expiryScheduled;
+    private final RecordListener recordListener;
+    private final TreeMap<String, List<WaitingQuery>> waitingQueries = new TreeMap<>();
+    private boolean isExpiryScheduled;
 
     /** Null while none is under way. */
     private Pass pass;
 
-    RecentJobsRefill(EventLoop loop, StoreClient store, Target target) {
+    RecentJobsRefill(EventLoop loop, StoreClient store, RecordListener recordListener) {
         this.loop = loop;
         this.store = store;
-        this.target = target;
+        this.recordListener = recordListener;
     }
 
     /** Starts from the first page; whoever waits goes on waiting. */
@@ -91,14 +91,15 @@
     }
 
     /** Whether the job's page is still to be read. */
-    boolean isAwaited(String jobId) {
+    boolean isPagePending(String jobId) {
         return pass != null
                 && (pass.lastKey == null || StoreKeys.job(jobId).compareTo(pass.lastKey) > 0);
     }
 
     /** Runs one of the two when the job's page has been read, or at the deadline. */
-    void await(String jobId, long deadlineMicros, Runnable onRead, Runnable onExpired) {
-        waiting.computeIfAbsent(StoreKeys.job(jobId), key -> new ArrayList<>())
+    void awaitPage(String jobId, long deadlineMicros, Runnable onRead, Runnable onExpired) {
+        waitingQueries
+                .computeIfAbsent(StoreKeys.job(jobId), key -> new ArrayList<>())
                 .add(new WaitingQuery(deadlineMicros, onRead, onExpired));
         scheduleExpiry();
     }
@@ -106,11 +107,11 @@
     /** Notes a change that a round has read. */
     void onChange(String jobId, Event change) {
         if (pass != null) {
-            pass.changes.merge(jobId, change, RecentJobsRefill::later);
+            pass.changes.merge(jobId, change, RecentJobsRefill::laterOf);
         }
     }
 
-    private static Event later(Event one, Event other) {
+    private static Event laterOf(Event one, Event other) {
         return one.revision() >= other.revision() ? one : other;
     }
 
@@ -133,7 +134,7 @@
             return;
         }
         if (!Invariants.holds(
-                advances(current, entries), Invariant.LIST_PAGES_ADVANCE, current.lastKey)) {
+                isAfterLastKey(current, entries), Invariant.LIST_PAGES_ADVANCE, current.lastKey)) {
             loop.schedule(RETRY_MICROS, () -> retry(current));
             return;
         }
@@ -141,20 +142,20 @@
         current.jobs += entries.size();
         for (Entry entry : entries) {
             String jobId = entry.key().substring(StoreKeys.JOB_PREFIX.length());
-            target.onRecord(jobId, entry, current.changes.get(jobId));
+            recordListener.onRecord(jobId, entry, current.changes.get(jobId));
             current.lastKey = entry.key();
         }
         if (hasMore && !entries.isEmpty()) {
             readPage(current);
-            release(waiting.headMap(current.lastKey, true));
+            release(waitingQueries.headMap(current.lastKey, true));
         } else {
             pass = null;
-            logEnd(current);
-            release(waiting);
+            logCompleted(current);
+            release(waitingQueries);
         }
     }
 
-    private static boolean advances(Pass current, List<Entry> entries) {
+    private static boolean isAfterLastKey(Pass current, List<Entry> entries) {
         return entries.isEmpty()
                 || current.lastKey == null
                 || entries.get(0).key().compareTo(current.lastKey) > 0;
@@ -166,13 +167,13 @@
         }
     }
 
-    private void logEnd(Pass ended) {
+    private void logCompleted(Pass completed) {
         LOG.info(
                 "event=status_cache_refilled jobs={} pages={} took_ms={} waiting_jobs={}",
-                ended.jobs,
-                ended.pages,
-                (loop.nowMicros() - ended.startMicros) / 1_000,
-                waiting.size());
+                completed.jobs,
+                completed.pages,
+                (loop.nowMicros() - completed.startMicros) / 1_000,
+                waitingQueries.size());
     }
 
     private static void release(Map<String, List<WaitingQuery>> released) {
@@ -182,12 +183,12 @@
     }
 
     private void scheduleExpiry() {
-        if (!expiryScheduled && !waiting.isEmpty()) {
-            expiryScheduled = true;
+        if (!isExpiryScheduled && !waitingQueries.isEmpty()) {
+            isExpiryScheduled = true;
             loop.schedule(
                     EXPIRY_CHECK_MICROS,
                     () -> {
-                        expiryScheduled = false;
+                        isExpiryScheduled = false;
                         expire();
                         scheduleExpiry();
                     });
@@ -197,10 +198,10 @@
     private void expire() {
         long now = loop.nowMicros();
         List<WaitingQuery> expired = new ArrayList<>();
-        for (List<WaitingQuery> queries : waiting.values()) {
+        for (List<WaitingQuery> queries : waitingQueries.values()) {
             queries.removeIf(query -> now >= query.deadlineMicros && expired.add(query));
         }
-        waiting.values().removeIf(List::isEmpty);
+        waitingQueries.values().removeIf(List::isEmpty);
         expired.forEach(query -> query.onExpired.run());
     }
 }
--- a/src/main/java/org/woadloom/reads/UnansweredQueries.java
+++ b/src/main/java/org/woadloom/reads/UnansweredQueries.java
@@ -57,12 +57,12 @@
     /**
      * Notes that a query for the job could not be answered.
      *
-     * @param served whether the store answers others meanwhile: during an outage nothing counts
-     *     towards the job's time
+     * @param isStoreServing whether the store answers others meanwhile: during an outage nothing
+     *     counts towards the job's time
      */
-    public void onRefused(String jobId, QueryRefusal reason, boolean served) {
+    public void onRefused(String jobId, QueryRefusal reason, boolean isStoreServing) {
         refusalCounts.merge(reason, 1L, Long::sum);
-        if (!served) {
+        if (!isStoreServing) {
             firstRefusalMicros.invalidate(jobId);
             return;
         }
--- a/src/main/java/org/woadloom/store/InFlightRequests.java
+++ b/src/main/java/org/woadloom/store/InFlightRequests.java
@@ -6,19 +6,19 @@
  * The requests that have been sent and have no answer yet, in the order in which they were sent.
  */
 final class InFlightRequests {
-    private final ArrayDeque<Sent> requests = new ArrayDeque<>();
+    private final ArrayDeque<SentRequest> requests = new ArrayDeque<>();
     private long lastSentNumber;
 
     /** The number of the last one sent of those that were answered. */
     private long lastAnsweredNumber;
 
     /** One request on its way. */
-    static final class Sent {
+    static final class SentRequest {
         private final long number;
         private final long sentMicros;
         private boolean isAnswered;
 
-        private Sent(long number, long sentMicros) {
+        private SentRequest(long number, long sentMicros) {
             this.number = number;
             this.sentMicros = sentMicros;
         }
@@ -30,9 +30,9 @@
     }
 
     /** Adds a request that is sent now. */
-    Sent add(long nowMicros) {
+    SentRequest add(long nowMicros) {
         lastSentNumber++;
-        Sent request = new Sent(lastSentNumber, nowMicros);
+        SentRequest request = new SentRequest(lastSentNumber, nowMicros);
         requests.addLast(request);
         return request;
     }
@@ -42,7 +42,7 @@
      *
      * @param hasAnswer false for a time-out or a broken connection
      */
-    void onAnswered(Sent request, boolean hasAnswer) {
+    void onAnswered(SentRequest request, boolean hasAnswer) {
         request.isAnswered = true;
         requests.remove(request);
         if (hasAnswer) {
@@ -51,7 +51,7 @@
     }
 
     /** True if a request that was sent later has been answered. */
-    boolean isOvertaken(Sent request) {
+    boolean isOvertaken(SentRequest request) {
         return request.number < lastAnsweredNumber;
     }
 
@@ -61,17 +61,17 @@
     }
 
     /** How many may still be answered: those that were not overtaken long ago. */
-    int awaitedCount(long nowMicros) {
+    int expectedAnswerCount(long nowMicros) {
         int count = 0;
-        for (Sent request : requests) {
-            if (!isGivenUp(request, nowMicros)) {
+        for (SentRequest request : requests) {
+            if (!isNoLongerExpected(request, nowMicros)) {
                 count++;
             }
         }
         return count;
     }
 
-    private boolean isGivenUp(Sent request, long nowMicros) {
+    private boolean isNoLongerExpected(SentRequest request, long nowMicros) {
         return isOvertaken(request)
                 && nowMicros - request.sentMicros > StoreRequestPolicy.OVERTAKEN_MICROS;
     }
--- a/src/main/java/org/woadloom/store/JobRecord.java
+++ b/src/main/java/org/woadloom/store/JobRecord.java
@@ -33,7 +33,7 @@
         long writeSequence) {
 
     /** The version of the compact format. */
-    private static final int FORMAT = 2;
+    private static final int COMPACT_FORMAT = 2;
 
     // Stored names; "format" and "progress" are of the compact format, "done" and "placed" of the
     // plain one.
@@ -110,7 +110,7 @@
             job.remove(DESCRIPTION_MACHINE_TYPES);
         }
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put(FORMAT_VERSION, (long) FORMAT);
+        map.put(FORMAT_VERSION, (long) COMPACT_FORMAT);
         map.put(DESCRIPTION, job);
         map.put(SUBMITTED_AT, submittedWallMicros);
         if (readyWallMicros != 0) {
@@ -164,7 +164,9 @@
 
     /** True for a record of a form that only later versions know: it is not damaged. */
     public static boolean isOfLaterVersion(Map<String, Object> map) {
-        return map != null && map.get(FORMAT_VERSION) instanceof Long format && format > FORMAT;
+        return map != null
+                && map.get(FORMAT_VERSION) instanceof Long format
+                && format > COMPACT_FORMAT;
     }
 
     /**
@@ -194,8 +196,8 @@
                 fields.integer(SUBMITTED_AT),
                 fields.integerOr(READY_AT, 0),
                 fields.flagOr(CANCELLED, false),
-                progress.done(),
-                progress.placed(),
+                progress.completedTasks(),
+                progress.attempts(),
                 (int) fields.integerOr(RUNNING, 0),
                 fields.integerOr(TERM, 0),
                 fields.integerOr(VERSION, 0));
@@ -203,7 +205,7 @@
 
     private static TaskProgressCodec.Decoded parseCompact(Fields fields, JobDescription description)
             throws MalformedMessageException {
-        if (fields.integer(FORMAT_VERSION) != FORMAT) {
+        if (fields.integer(FORMAT_VERSION) != COMPACT_FORMAT) {
             throw new MalformedMessageException("format: a later version's");
         }
         return TaskProgressCodec.decode(fields.text(PROGRESS), description.taskCount());
@@ -211,7 +213,7 @@
 
     private static TaskProgressCodec.Decoded parsePlain(Fields fields, JobDescription description)
             throws MalformedMessageException {
-        List<RecordedAttempt> placed = new ArrayList<>();
+        List<RecordedAttempt> attempts = new ArrayList<>();
         for (Object item : fields.list(ATTEMPTS)) {
             if (!(item instanceof List<?> parts)
                     || parts.size() != 3
@@ -220,11 +222,11 @@
                     || !(parts.get(2) instanceof List<?> tasks)) {
                 throw new MalformedMessageException("placed: expected host, attempt and tasks");
             }
-            placed.add(
+            attempts.add(
                     new RecordedAttempt(
                             host, attempt, TaskRanges.decode(tasks, description.taskCount())));
         }
         return new TaskProgressCodec.Decoded(
-                TaskRanges.decode(fields.list(DONE), description.taskCount()), placed);
+                TaskRanges.decode(fields.list(DONE), description.taskCount()), attempts);
     }
 }
--- a/src/main/java/org/woadloom/store/RequestScheduler.java
+++ b/src/main/java/org/woadloom/store/RequestScheduler.java
@@ -18,7 +18,7 @@
  */
 final class RequestScheduler<T> {
     /** Stands for a wait without end, as there is nothing to be sent. */
-    static final long NOTHING_WAITS = Long.MAX_VALUE;
+    static final long NO_WAITING_REQUEST = Long.MAX_VALUE;
 
     private static final double MICROS_PER_SECOND = 1e6;
 
@@ -56,7 +56,7 @@
      * Either a request to be sent now, or null and how long to wait, {@link #NOTHING_WAITS} where
      * no request waits for a rate.
      */
-    record Turn<T>(T request, long waitMicros) {}
+    record Decision<T>(T request, long waitMicros) {}
 
     /** Sets this node's part of the store's rates. */
     void setRates(long now, double requestsPerSecond, double changesPerSecond) {
@@ -103,21 +103,22 @@
         boolean isChange = changeCount > 0;
         WeightedQueues<T> queues = queuesFor(changeCount);
         double perSecond =
-                (isChange ? changesPerSecond : requestsPerSecond) * queues.partOf(priority.share());
-        double costBefore = queues.costBefore(priority.share(), priority.isPreferred());
+                (isChange ? changesPerSecond : requestsPerSecond)
+                        * queues.rateFraction(priority.share());
+        double costAhead = queues.costAhead(priority.share(), priority.isPreferred());
         long ownWait =
                 isChange ? changes.waitMicros(now, changeCount) : requests.waitMicros(now, 1);
-        return ownWait + (long) (costBefore / perSecond * MICROS_PER_SECOND);
+        return ownWait + (long) (costAhead / perSecond * MICROS_PER_SECOND);
     }
 
     /** How many requests of the share wait. */
-    int queued(RateShare share) {
+    int queuedCount(RateShare share) {
         return waitingReads.size(share) + waitingChanges.size(share);
     }
 
     /** The request of each of the share's queues that has waited for longest. */
-    Stream<T> firstOf(RateShare share) {
-        return Stream.concat(waitingReads.firstOf(share), waitingChanges.firstOf(share));
+    Stream<T> oldestOf(RateShare share) {
+        return Stream.concat(waitingReads.oldestOf(share), waitingChanges.oldestOf(share));
     }
 
     boolean hasControlRequests() {
@@ -127,45 +128,49 @@
     /**
      * Takes the request that is to be sent now, if there is one.
      *
-     * @param onlyControl no place is left for any other request
+     * @param controlOnly no place is left for any other request
      * @param heldMicros how long normal and background requests are held back; not positive where
      *     they are not
      */
-    Turn<T> next(long now, boolean onlyControl, long heldMicros) {
-        long wait = NOTHING_WAITS;
+    Decision<T> next(long now, boolean controlOnly, long heldMicros) {
+        long wait = NO_WAITING_REQUEST;
         if (!control.isEmpty()) {
             wait = controlWait(now, control.peekFirst());
             if (wait <= 0) {
                 Queued<T> first = control.pollFirst();
-                return taken(now, first.request(), first.changeCount());
+                return take(now, first.request(), first.changeCount());
             }
         }
-        if (onlyControl) {
-            return new Turn<>(null, wait);
+        if (controlOnly) {
+            return new Decision<>(null, wait);
         }
         return nextOfShares(now, heldMicros, wait);
     }
 
-    private Turn<T> nextOfShares(long now, long heldMicros, long controlWait) {
+    private Decision<T> nextOfShares(long now, long heldMicros, long controlWait) {
         boolean isHolding = heldMicros > 0;
         long requestWait = requests.waitMicros(now, 1);
         Predicate<RateShare> allowed = share -> !isHolding || !share.isHeldAfterRefusal();
-        RateShare change = waitingChanges.next(allowed, userBurst(changesPerSecond));
-        RateShare read = waitingReads.next(allowed, userBurst(requestsPerSecond));
-        long changeWait = change == null ? NOTHING_WAITS : changeWait(now, change, requestWait);
-        long readWait = read == null ? NOTHING_WAITS : requestWait;
-        if (changeWait <= 0 && (readWait > 0 || isChangeFirst(change, read))) {
+        RateShare change = waitingChanges.nextShare(allowed, userBurst(changesPerSecond));
+        RateShare read = waitingReads.nextShare(allowed, userBurst(requestsPerSecond));
+        long changeWait =
+                change == null ? NO_WAITING_REQUEST : changeWait(now, change, requestWait);
+        long readWait = read == null ? NO_WAITING_REQUEST : requestWait;
+        if (changeWait <= 0 && (readWait > 0 || isChangeNext(change, read))) {
             lastWasChange = true;
             int changeCount = waitingChanges.costOfFirst(change);
-            return taken(now, waitingChanges.take(change), changeCount);
+            return take(now, waitingChanges.take(change), changeCount);
         }
         if (readWait <= 0) {
             lastWasChange = false;
-            return taken(now, waitingReads.take(read), 0);
+            return take(now, waitingReads.take(read), 0);
         }
-        long heldWait = isHolding && holdsAny() ? Math.max(heldMicros, requestWait) : NOTHING_WAITS;
+        long heldWait =
+                isHolding && hasHeldRequests()
+                        ? Math.max(heldMicros, requestWait)
+                        : NO_WAITING_REQUEST;
         long wait = Math.min(Math.min(changeWait, readWait), Math.min(heldWait, controlWait));
-        return new Turn<>(null, wait);
+        return new Decision<>(null, wait);
     }
 
     private long changeWait(long now, RateShare share, long requestWait) {
@@ -173,17 +178,17 @@
     }
 
     /** Users first; otherwise in turns, so that neither uses up the rate of requests. */
-    private boolean isChangeFirst(RateShare change, RateShare read) {
+    private boolean isChangeNext(RateShare change, RateShare read) {
         boolean isUserChange = change == RateShare.USERS;
         boolean isUserRead = read == RateShare.USERS;
         return isUserChange != isUserRead ? isUserChange : !lastWasChange;
     }
 
-    private boolean holdsAny() {
-        return holdsAny(RateShare.NORMAL) || holdsAny(RateShare.BACKGROUND);
+    private boolean hasHeldRequests() {
+        return hasHeldRequests(RateShare.NORMAL) || hasHeldRequests(RateShare.BACKGROUND);
     }
 
-    private boolean holdsAny(RateShare share) {
+    private boolean hasHeldRequests(RateShare share) {
         return !waitingReads.isEmpty(share) || !waitingChanges.isEmpty(share);
     }
 
@@ -205,9 +210,9 @@
         return Math.max(MIN_CONTROL_RESERVE, perSecond * CONTROL_RESERVE_SECONDS);
     }
 
-    private Turn<T> taken(long now, T request, int changeCount) {
+    private Decision<T> take(long now, T request, int changeCount) {
         requests.take(now, 1);
         changes.take(now, changeCount);
-        return new Turn<>(request, 0);
+        return new Decision<>(request, 0);
     }
 }
--- a/src/main/java/org/woadloom/store/StoreClient.java
+++ b/src/main/java/org/woadloom/store/StoreClient.java
@@ -183,17 +183,17 @@
             ServiceSettings settings,
             StoreLimits limits,
             Random random,
-            HealthListener health) {
-        int otherNodes = Math.max(1, settings.peers().size());
+            HealthListener healthListener) {
+        int followerCount = Math.max(1, settings.peers().size());
         queue =
                 new StoreRequestQueue(
                         loop,
                         transport,
                         settings.storeAddress(),
                         limits,
-                        otherNodes,
+                        followerCount,
                         random,
-                        health);
+                        healthListener);
         queue.setLeader(false);
     }
 
@@ -269,7 +269,7 @@
                 case StoreProtocol.NOT_FOUND ->
                         callback.onEntry(
                                 Result.NOT_FOUND, null, StoreProtocol.decodeStoreRevision(body));
-                default -> callback.onEntry(StoreProtocol.failure(status), null, 0);
+                default -> callback.onEntry(StoreProtocol.resultOf(status), null, 0);
             }
         } catch (MalformedMessageException e) {
             callback.onEntry(Result.UNKNOWN, null, 0);
@@ -293,7 +293,7 @@
 
     private static void onSinglePage(int status, byte[] body, PageCallback callback) {
         if (status != StoreProtocol.OK) {
-            callback.onPage(StoreProtocol.failure(status), List.of(), false);
+            callback.onPage(StoreProtocol.resultOf(status), List.of(), false);
             return;
         }
         StoreProtocol.Page page;
@@ -308,11 +308,11 @@
 
     /** Reads all keys with the prefix, page by page. */
     public void list(RequestPriority priority, String prefix, ListCallback callback) {
-        listPage(priority, prefix, null, new Listing(), callback);
+        listPage(priority, prefix, null, new PagedEntries(), callback);
     }
 
     /** The pages of a list that have been read. */
-    private static final class Listing {
+    private static final class PagedEntries {
         private final List<Entry> entries = new ArrayList<>();
         private long storeRevision;
 
@@ -335,7 +335,7 @@
             RequestPriority priority,
             String prefix,
             String after,
-            Listing listing,
+            PagedEntries pages,
             ListCallback callback) {
         queue.submit(
                 priority,
@@ -343,19 +343,18 @@
                 StoreRequest.get(
                         StoreProtocol.pagePath(prefix, after),
                         StoreRequestPolicy.PAGE_TIMEOUT_MICROS,
-                        (status, body) ->
-                                onPage(priority, prefix, listing, status, body, callback)));
+                        (status, body) -> onPage(priority, prefix, pages, status, body, callback)));
     }
 
     private void onPage(
             RequestPriority priority,
             String prefix,
-            Listing listing,
+            PagedEntries pages,
             int status,
             byte[] body,
             ListCallback callback) {
         if (status != StoreProtocol.OK) {
-            callback.onEntries(StoreProtocol.failure(status), List.of(), 0);
+            callback.onEntries(StoreProtocol.resultOf(status), List.of(), 0);
             return;
         }
         StoreProtocol.Page page;
@@ -365,11 +364,11 @@
             callback.onEntries(Result.UNKNOWN, List.of(), 0);
             return;
         }
-        listing.add(page);
-        if (page.hasMore() && !listing.entries.isEmpty()) {
-            listPage(priority, prefix, listing.lastKey(), listing, callback);
+        pages.add(page);
+        if (page.hasMore() && !pages.entries.isEmpty()) {
+            listPage(priority, prefix, pages.lastKey(), pages, callback);
         } else {
-            callback.onEntries(Result.OK, listing.entries, listing.storeRevision);
+            callback.onEntries(Result.OK, pages.entries, pages.storeRevision);
         }
     }
 
@@ -442,7 +441,7 @@
                                 Result.OK, StoreProtocol.decodeStoreRevision(body), List.of());
                 case StoreProtocol.CONFLICT ->
                         callback.onResult(Result.CONFLICT, 0, StoreProtocol.decodeFailedKeys(body));
-                default -> callback.onResult(StoreProtocol.failure(status), 0, List.of());
+                default -> callback.onResult(StoreProtocol.resultOf(status), 0, List.of());
             }
         } catch (MalformedMessageException e) {
             callback.onResult(Result.UNKNOWN, 0, List.of());
@@ -462,7 +461,7 @@
 
     private static void onLeaseAnswer(int status, byte[] body, LeaseCallback callback) {
         if (status != StoreProtocol.OK) {
-            callback.onLease(StoreProtocol.failure(status), Change.NO_LEASE);
+            callback.onLease(StoreProtocol.resultOf(status), Change.NO_LEASE);
             return;
         }
         try {
@@ -484,7 +483,7 @@
                                 callback.onLease(
                                         status == StoreProtocol.OK
                                                 ? Result.OK
-                                                : StoreProtocol.failure(status),
+                                                : StoreProtocol.resultOf(status),
                                         storeLease)));
     }
 
@@ -521,7 +520,7 @@
             return;
         }
         if (status != StoreProtocol.OK) {
-            callback.onEvents(StoreProtocol.failure(status), List.of(), since);
+            callback.onEvents(StoreProtocol.resultOf(status), List.of(), since);
             return;
         }
         try {
--- a/src/main/java/org/woadloom/store/StoreLimits.java
+++ b/src/main/java/org/woadloom/store/StoreLimits.java
@@ -31,13 +31,13 @@
     /** The part of a rate in the settings that the store bears now. */
     private static final class AdaptiveRate {
         /** It is never cut below this part, so that the store is still asked. */
-        private static final double MIN_PART = 0.2;
+        private static final double MIN_FRACTION = 0.2;
 
         /** What a refusal leaves of it. */
         private static final double CUT_FACTOR = 0.85;
 
         /** How much of the whole comes back each second: all of it in 250 s. */
-        private static final double REGAINED_PER_SECOND = 0.004;
+        private static final double RECOVERY_PER_SECOND = 0.004;
 
         /** Refusals within this time of a cut are taken to be of requests sent before it. */
         private static final long CUT_INTERVAL_MICROS = 500_000;
@@ -45,8 +45,8 @@
         /** A refusal this soon after a cut shows that the cut was too small. */
         private static final long REPEATED_REFUSAL_MICROS = 5_000_000;
 
-        private final double announcedPart;
-        private double part = 1;
+        private final double announcedFraction;
+        private double fraction = 1;
         private long lastMicros;
         private long cutMicros = Long.MIN_VALUE / 2;
 
@@ -55,14 +55,14 @@
          * @param announced the rate to which it is announced to fall
          */
         AdaptiveRate(double current, double announced) {
-            announcedPart = Math.min(1, announced / current);
+            announcedFraction = Math.min(1, announced / current);
         }
 
-        double part(long nowMicros) {
+        double fraction(long nowMicros) {
             double seconds = Math.max(0, nowMicros - lastMicros) / MICROS_PER_SECOND;
-            part = Math.min(1, part + seconds * REGAINED_PER_SECOND);
+            fraction = Math.min(1, fraction + seconds * RECOVERY_PER_SECOND);
             lastMicros = Math.max(nowMicros, lastMicros);
-            return part;
+            return fraction;
         }
 
         void cut(long nowMicros) {
@@ -74,10 +74,10 @@
             // At first it is taken to have fallen as announced; if a refusal follows soon, the
             // store bears less than that.
             boolean isRepeated = sinceCut <= REPEATED_REFUSAL_MICROS;
-            part =
-                    part(nowMicros) > announcedPart && !isRepeated
-                            ? announcedPart
-                            : Math.max(MIN_PART, part * CUT_FACTOR);
+            fraction =
+                    fraction(nowMicros) > announcedFraction && !isRepeated
+                            ? announcedFraction
+                            : Math.max(MIN_FRACTION, fraction * CUT_FACTOR);
         }
     }
 
@@ -124,22 +124,23 @@
      * A transaction of so many changes was refused, and its changes were taken one record at a
      * time.
      */
-    public void onTransactionRefused(int ops) {
-        maxTransactionChanges = Math.max(MIN_TXN_OPS, Math.min(maxTransactionChanges, ops - 1));
+    public void onTransactionRefused(int changeCount) {
+        maxTransactionChanges =
+                Math.max(MIN_TXN_OPS, Math.min(maxTransactionChanges, changeCount - 1));
     }
 
     /** How many requests a second the store bears now. */
     public double requestRate(long nowMicros) {
-        return settings.rps() * requests.part(nowMicros);
+        return settings.rps() * requests.fraction(nowMicros);
     }
 
     /** How many changes a second the store bears now. */
     public double writeRate(long nowMicros) {
-        return settings.writeRps() * writes.part(nowMicros);
+        return settings.writeRps() * writes.fraction(nowMicros);
     }
 
     /** A request with so many changes was refused for coming too fast. */
-    public void onRateExceeded(long nowMicros, int changes) {
-        (changes > 0 ? writes : requests).cut(nowMicros);
+    public void onRateExceeded(long nowMicros, int changeCount) {
+        (changeCount > 0 ? writes : requests).cut(nowMicros);
     }
 }
--- a/src/main/java/org/woadloom/store/StoreProtocol.java
+++ b/src/main/java/org/woadloom/store/StoreProtocol.java
@@ -45,7 +45,7 @@
     private static final String STORE_REVISION = "generation";
     private static final String VALUE = "value";
     private static final String PUT = "put";
-    private static final String DROP = "drop";
+    private static final String DELETE = "drop";
     private static final String LEASE = "hold";
     private static final String LEASE_MILLIS = "lifeMs";
     private static final String CONDITIONS = "if";
@@ -114,7 +114,7 @@
     private static Map<String, Object> changeToMap(Change change) {
         Map<String, Object> map = new LinkedHashMap<>();
         if (change.value() == null) {
-            map.put(DROP, change.key());
+            map.put(DELETE, change.key());
             return map;
         }
         map.put(PUT, change.key());
@@ -136,7 +136,7 @@
     }
 
     /** What a status means that has no meaning of its own for the request. */
-    static Result failure(int status) {
+    static Result resultOf(int status) {
         return switch (status) {
             case NOT_FOUND -> Result.NOT_FOUND;
             case BAD_REQUEST -> Result.BAD;
@@ -147,23 +147,23 @@
 
     /** True where the store could not be asked, or did not execute the request for its load. */
     static boolean isFailure(int status) {
-        return status == TOO_MANY_REQUESTS || status == UNAVAILABLE || !isAnswer(status);
+        return status == TOO_MANY_REQUESTS || status == UNAVAILABLE || !isHttpStatus(status);
     }
 
     /** True for an HTTP status, false for the transport's constants. */
-    static boolean isAnswer(int status) {
+    static boolean isHttpStatus(int status) {
         return status > 0;
     }
 
     static Entry decodeEntry(byte[] body) throws MalformedMessageException {
-        return entry(Cbor.decodeMap(body));
+        return parseEntry(Cbor.decodeMap(body));
     }
 
     static Page decodePage(byte[] body) throws MalformedMessageException {
         Fields fields = new Fields(Cbor.decodeMap(body));
         List<Entry> entries = new ArrayList<>();
         for (Object item : fields.list(ENTRIES)) {
-            entries.add(entry(itemMap(item)));
+            entries.add(parseEntry(requireMap(item)));
         }
         return new Page(entries, fields.integer(STORE_REVISION), fields.flagOr(HAS_MORE, false));
     }
@@ -172,7 +172,7 @@
         Fields fields = new Fields(Cbor.decodeMap(body));
         List<Event> events = new ArrayList<>();
         for (Object item : fields.list(EVENTS)) {
-            events.add(event(itemMap(item)));
+            events.add(parseEvent(requireMap(item)));
         }
         return new Events(events, fields.integer(STORE_REVISION));
     }
@@ -190,7 +190,7 @@
     }
 
     @SuppressWarnings("unchecked") // Cbor decodes no keys but texts.
-    private static Map<String, Object> itemMap(Object item) throws MalformedMessageException {
+    private static Map<String, Object> requireMap(Object item) throws MalformedMessageException {
         if (item instanceof Map<?, ?>) {
             return (Map<String, Object>) item;
         }
@@ -198,18 +198,18 @@
     }
 
     @SuppressWarnings("unchecked") // Cbor decodes no keys but texts.
-    private static Entry entry(Map<String, Object> map) throws MalformedMessageException {
+    private static Entry parseEntry(Map<String, Object> map) throws MalformedMessageException {
         Fields fields = new Fields(map);
         return new Entry(
                 fields.text(PATH), (Map<String, Object>) map.get(VALUE), fields.integer(REVISION));
     }
 
     @SuppressWarnings("unchecked") // Cbor decodes no keys but texts.
-    private static Event event(Map<String, Object> map) throws MalformedMessageException {
+    private static Event parseEvent(Map<String, Object> map) throws MalformedMessageException {
         Fields fields = new Fields(map);
         boolean isPut = fields.has(PUT);
         return new Event(
-                fields.text(isPut ? PUT : DROP),
+                fields.text(isPut ? PUT : DELETE),
                 isPut ? (Map<String, Object>) map.get(VALUE) : null,
                 fields.integer(REVISION));
     }
--- a/src/main/java/org/woadloom/store/StoreRequestPolicy.java
+++ b/src/main/java/org/woadloom/store/StoreRequestPolicy.java
@@ -24,7 +24,7 @@
     static final long OVERTAKEN_MICROS = 300_000;
 
     /** Requests in flight whose answers can be expected. */
-    static final int MAX_AWAITED = 12;
+    static final int MAX_EXPECTED_ANSWERS = 12;
 
     /** Requests in flight, with the overtaken ones that most likely get no answer any more. */
     static final int MAX_IN_FLIGHT = 36;
@@ -33,7 +33,7 @@
      * Further places in flight for control requests alone: all others may hang until their
      * time-out.
      */
-    static final int CONTROL_IN_FLIGHT = 6;
+    static final int EXTRA_CONTROL_IN_FLIGHT = 6;
 
     /**
      * Entries of a list's page: a new leader reads 12,000 jobs in 24 pages, one after another. The
@@ -49,10 +49,10 @@
 
     // All nodes share the store's limits. The leader writes most; reads are for users, whom every
     // node serves. The others' parts are divided among them.
-    static final double LEADER_WRITE_PART = 0.75;
-    static final double FOLLOWERS_WRITE_PART = 0.3;
-    static final double LEADER_REQUEST_PART = 0.5;
-    static final double FOLLOWERS_REQUEST_PART = 0.6;
+    static final double LEADER_WRITE_FRACTION = 0.75;
+    static final double FOLLOWERS_WRITE_FRACTION = 0.3;
+    static final double LEADER_REQUEST_FRACTION = 0.5;
+    static final double FOLLOWERS_REQUEST_FRACTION = 0.6;
 
     private StoreRequestPolicy() {}
 }
--- a/src/main/java/org/woadloom/store/StoreRequestQueue.java
+++ b/src/main/java/org/woadloom/store/StoreRequestQueue.java
@@ -22,39 +22,40 @@
     private final HttpTransport transport;
     private final String address;
     private final StoreLimits limits;
-    private final int otherNodes;
+    private final int followerCount;
     private final Random random;
-    private final HealthListener health;
+    private final HealthListener healthListener;
     private final RequestScheduler<StoreRequest> scheduler = new RequestScheduler<>();
     private final InFlightRequests inFlight = new InFlightRequests();
     private boolean isLeader;
     private long heldUntilMicros;
 
     /** When the next timer runs that sends what has waited for its rate. */
-    private long wakeMicros = NEVER;
+    private long nextWakeMicros = NEVER;
 
     private long failureCount;
     private long shedCount;
     private boolean isRefusing;
 
     /**
-     * @param otherNodes among how many nodes the followers' part of the store's limits is divided
+     * @param followerCount among how many nodes the followers' part of the store's limits is
+     *     divided
      */
     StoreRequestQueue(
             EventLoop loop,
             HttpTransport transport,
             String address,
             StoreLimits limits,
-            int otherNodes,
+            int followerCount,
             Random random,
-            HealthListener health) {
+            HealthListener healthListener) {
         this.loop = loop;
         this.transport = transport;
         this.address = address;
         this.limits = limits;
-        this.otherNodes = otherNodes;
+        this.followerCount = followerCount;
         this.random = random;
-        this.health = health;
+        this.healthListener = healthListener;
     }
 
     /** Sets this node's part of the store's limits. */
@@ -65,19 +66,19 @@
 
     /** How many changes a second this node may make now. */
     double writesPerSecond() {
-        double part =
+        double fraction =
                 isLeader
-                        ? StoreRequestPolicy.LEADER_WRITE_PART
-                        : StoreRequestPolicy.FOLLOWERS_WRITE_PART / otherNodes;
-        return limits.writeRate(loop.nowMicros()) * part;
+                        ? StoreRequestPolicy.LEADER_WRITE_FRACTION
+                        : StoreRequestPolicy.FOLLOWERS_WRITE_FRACTION / followerCount;
+        return limits.writeRate(loop.nowMicros()) * fraction;
     }
 
     private void updateRates(long nowMicros) {
-        double part =
+        double fraction =
                 isLeader
-                        ? StoreRequestPolicy.LEADER_REQUEST_PART
-                        : StoreRequestPolicy.FOLLOWERS_REQUEST_PART / otherNodes;
-        scheduler.setRates(nowMicros, limits.requestRate(nowMicros) * part, writesPerSecond());
+                        ? StoreRequestPolicy.LEADER_REQUEST_FRACTION
+                        : StoreRequestPolicy.FOLLOWERS_REQUEST_FRACTION / followerCount;
+        scheduler.setRates(nowMicros, limits.requestRate(nowMicros) * fraction, writesPerSecond());
     }
 
     /** Answers of the kind 429 or 503, or none at all. */
@@ -91,13 +92,13 @@
     }
 
     int queuedCount(RateShare share) {
-        return scheduler.queued(share);
+        return scheduler.queuedCount(share);
     }
 
     long longestQueuedMicros(RateShare share) {
         long now = loop.nowMicros();
         return scheduler
-                .firstOf(share)
+                .oldestOf(share)
                 .mapToLong(request -> now - request.queuedMicros())
                 .max()
                 .orElse(0);
@@ -162,44 +163,45 @@
         boolean isFull = isFull(now, 0);
         while (!isFull
                 || (scheduler.hasControlRequests()
-                        && !isFull(now, StoreRequestPolicy.CONTROL_IN_FLIGHT))) {
+                        && !isFull(now, StoreRequestPolicy.EXTRA_CONTROL_IN_FLIGHT))) {
             updateRates(now);
-            RequestScheduler.Turn<StoreRequest> turn =
+            RequestScheduler.Decision<StoreRequest> decision =
                     scheduler.next(now, isFull, heldUntilMicros - now);
-            if (turn.request() == null) {
-                if (turn.waitMicros() < RequestScheduler.NOTHING_WAITS) {
-                    wakeAfter(turn.waitMicros());
+            if (decision.request() == null) {
+                if (decision.waitMicros() < RequestScheduler.NO_WAITING_REQUEST) {
+                    wakeAfter(decision.waitMicros());
                 }
                 return;
             }
-            send(turn.request());
+            send(decision.request());
             isFull = isFull(now, 0);
         }
     }
 
-    private boolean isFull(long nowMicros, int extraPlaces) {
-        return inFlight.size() >= StoreRequestPolicy.MAX_IN_FLIGHT + extraPlaces
-                || inFlight.awaitedCount(nowMicros) >= StoreRequestPolicy.MAX_AWAITED + extraPlaces;
+    private boolean isFull(long nowMicros, int extraSlots) {
+        return inFlight.size() >= StoreRequestPolicy.MAX_IN_FLIGHT + extraSlots
+                || inFlight.expectedAnswerCount(nowMicros)
+                        >= StoreRequestPolicy.MAX_EXPECTED_ANSWERS + extraSlots;
     }
 
     private void wakeAfter(long delayMicros) {
         long atMicros = loop.nowMicros() + delayMicros;
-        if (atMicros >= wakeMicros) {
+        if (atMicros >= nextWakeMicros) {
             return;
         }
-        wakeMicros = atMicros;
+        nextWakeMicros = atMicros;
         loop.schedule(
                 delayMicros,
                 () -> {
-                    if (wakeMicros == atMicros) {
-                        wakeMicros = NEVER;
+                    if (nextWakeMicros == atMicros) {
+                        nextWakeMicros = NEVER;
                     }
                     sendAllowed();
                 });
     }
 
     private void send(StoreRequest request) {
-        InFlightRequests.Sent sent = inFlight.add(loop.nowMicros());
+        InFlightRequests.SentRequest sent = inFlight.add(loop.nowMicros());
         if (request.onOverdue() != null) {
             loop.schedule(
                     StoreRequestPolicy.OVERDUE_MICROS,
@@ -213,10 +215,10 @@
     }
 
     private void onAnswer(
-            StoreRequest request, InFlightRequests.Sent sent, int status, byte[] body) {
-        boolean isLostAlone = status == HttpTransport.NO_RESPONSE && inFlight.isOvertaken(sent);
-        inFlight.onAnswered(sent, StoreProtocol.isAnswer(status));
-        if (isLostAlone) {
+            StoreRequest request, InFlightRequests.SentRequest sent, int status, byte[] body) {
+        boolean isSingleLoss = status == HttpTransport.NO_RESPONSE && inFlight.isOvertaken(sent);
+        inFlight.onAnswered(sent, StoreProtocol.isHttpStatus(status));
+        if (isSingleLoss) {
             failureCount++;
         } else {
             recordAnswer(status, request.changeCount());
@@ -231,9 +233,9 @@
         if (isFailure) {
             failureCount++;
         }
-        boolean isAnswer = StoreProtocol.isAnswer(status);
+        boolean isAnswer = StoreProtocol.isHttpStatus(status);
         boolean isUnavailable = status == StoreProtocol.UNAVAILABLE;
-        health.onAnswer(isAnswer && !isUnavailable);
+        healthListener.onAnswer(isAnswer && !isUnavailable);
         if (isAnswer) {
             isRefusing = isUnavailable;
         }
--- a/src/main/java/org/woadloom/store/TaskProgressCodec.java
+++ b/src/main/java/org/woadloom/store/TaskProgressCodec.java
@@ -43,110 +43,113 @@
     private TaskProgressCodec() {}
 
     /** What a text holds. */
-    record Decoded(BitSet done, List<JobRecord.RecordedAttempt> placed) {}
+    record Decoded(BitSet completedTasks, List<JobRecord.RecordedAttempt> attempts) {}
 
     /**
      * A machine's name in two parts: names that a cloud counts up differ in their numbers alone.
      */
-    private record Name(String stem, int digits, long number) implements Comparable<Name> {
-        static Name of(String host) {
-            int from = host.length();
-            while (from > 0
-                    && host.length() - from < MAX_DIGITS
-                    && Character.digit(host.charAt(from - 1), 10) >= 0
-                    && host.charAt(from - 1) < 128) {
-                from--;
+    private record MachineName(String stem, int digitCount, long number)
+            implements Comparable<MachineName> {
+        static MachineName of(String host) {
+            int numberStart = host.length();
+            while (numberStart > 0
+                    && host.length() - numberStart < MAX_DIGITS
+                    && Character.digit(host.charAt(numberStart - 1), 10) >= 0
+                    && host.charAt(numberStart - 1) < 128) {
+                numberStart--;
             }
-            return new Name(
-                    host.substring(0, from),
-                    host.length() - from,
-                    from == host.length() ? 0 : Long.parseLong(host.substring(from)));
+            return new MachineName(
+                    host.substring(0, numberStart),
+                    host.length() - numberStart,
+                    numberStart == host.length() ? 0 : Long.parseLong(host.substring(numberStart)));
         }
 
         String host() {
-            if (digits == 0) {
+            if (digitCount == 0) {
                 return stem;
             }
             String number = Long.toString(this.number);
-            return stem + "0".repeat(digits - number.length()) + number;
+            return stem + "0".repeat(digitCount - number.length()) + number;
         }
 
-        boolean sameStem(Name other) {
-            return other != null && stem.equals(other.stem) && digits == other.digits;
+        boolean hasSameStem(MachineName other) {
+            return other != null && stem.equals(other.stem) && digitCount == other.digitCount;
         }
 
         @Override
-        public int compareTo(Name other) {
-            return Comparator.comparing(Name::stem)
-                    .thenComparingInt(Name::digits)
-                    .thenComparingLong(Name::number)
+        public int compareTo(MachineName other) {
+            return Comparator.comparing(MachineName::stem)
+                    .thenComparingInt(MachineName::digitCount)
+                    .thenComparingLong(MachineName::number)
                     .compare(this, other);
         }
     }
 
-    private record Group(Name name, long attempt, BitSet tasks) {}
+    private record Group(MachineName machine, long attempt, BitSet tasks) {}
 
-    static String encode(BitSet done, List<JobRecord.RecordedAttempt> placed) {
-        List<Group> groups = sortedGroups(placed);
-        TreeSet<Long> attempts = new TreeSet<>();
-        int end = done.length();
-        int front = done.nextClearBit(0);
+    static String encode(BitSet completedTasks, List<JobRecord.RecordedAttempt> recordedAttempts) {
+        List<Group> groups = sortedGroups(recordedAttempts);
+        TreeSet<Long> attemptNumbers = new TreeSet<>();
+        int end = completedTasks.length();
+        int leadingDone = completedTasks.nextClearBit(0);
         for (Group group : groups) {
-            attempts.add(group.attempt);
+            attemptNumbers.add(group.attempt);
             end = Math.max(end, group.tasks.length());
             // A task that is done and still on a machine needs its symbol.
             int first = group.tasks.nextSetBit(0);
-            front = first < 0 ? front : Math.min(front, first);
+            leadingDone = first < 0 ? leadingDone : Math.min(leadingDone, first);
         }
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        writeNumber(out, VERSION);
-        writeNumber(out, front);
-        List<Long> attemptOrder = new ArrayList<>(attempts);
-        writeAttempts(out, attemptOrder);
-        writeGroups(out, groups, attemptOrder);
+        writeVarint(out, VERSION);
+        writeVarint(out, leadingDone);
+        List<Long> sortedAttemptNumbers = new ArrayList<>(attemptNumbers);
+        writeAttempts(out, sortedAttemptNumbers);
+        writeGroups(out, groups, sortedAttemptNumbers);
         TreeSet<Integer> doneOnMachine = new TreeSet<>();
-        int[] symbols = symbols(done, groups, front, end, doneOnMachine);
-        writeNumber(out, symbols.length);
+        int[] symbols = symbols(completedTasks, groups, leadingDone, end, doneOnMachine);
+        writeVarint(out, symbols.length);
         writeSymbols(out, symbols, bitsPerTask(groups.size()));
         writeTasks(out, doneOnMachine);
         return Base64.getEncoder().withoutPadding().encodeToString(out.toByteArray());
     }
 
-    private static List<Group> sortedGroups(List<JobRecord.RecordedAttempt> placed) {
+    private static List<Group> sortedGroups(List<JobRecord.RecordedAttempt> recordedAttempts) {
         List<Group> groups = new ArrayList<>();
-        for (JobRecord.RecordedAttempt recorded : placed) {
-            groups.add(new Group(Name.of(recorded.host()), recorded.attempt(), recorded.tasks()));
+        for (JobRecord.RecordedAttempt recorded : recordedAttempts) {
+            groups.add(
+                    new Group(
+                            MachineName.of(recorded.host()), recorded.attempt(), recorded.tasks()));
         }
-        groups.sort(Comparator.comparing(Group::name).thenComparingLong(Group::attempt));
+        groups.sort(Comparator.comparing(Group::machine).thenComparingLong(Group::attempt));
         return groups;
     }
 
-    private static void writeAttempts(ByteArrayOutputStream out, List<Long> attempts) {
-        writeNumber(out, attempts.size());
-        long last = 0;
-        for (long attempt : attempts) {
-            writeNumber(out, attempt - last);
-            last = attempt;
+    private static void writeAttempts(ByteArrayOutputStream out, List<Long> attemptNumbers) {
+        writeVarint(out, attemptNumbers.size());
+        long previous = 0;
+        for (long attempt : attemptNumbers) {
+            writeVarint(out, attempt - previous);
+            previous = attempt;
         }
     }
 
     private static void writeGroups(
-            ByteArrayOutputStream out, List<Group> groups, List<Long> attempts) {
-        writeNumber(out, groups.size());
-        Name last = null;
+            ByteArrayOutputStream out, List<Group> groups, List<Long> attemptNumbers) {
+        writeVarint(out, groups.size());
+        MachineName previous = null;
         for (Group group : groups) {
             // A difference of 0 starts a new stem, so the same machine counts as 1.
-            if (group.name.sameStem(last)) {
-                writeNumber(out, group.name.number - last.number + 1);
+            if (group.machine.hasSameStem(previous)) {
+                writeVarint(out, group.machine.number - previous.number + 1);
             } else {
-                writeNumber(out, 0);
-                writeText(out, group.name.stem);
-                writeNumber(out, group.name.digits);
-                writeNumber(out, group.name.number);
+                writeVarint(out, 0);
+                writeString(out, group.machine.stem);
+                writeVarint(out, group.machine.digitCount);
+                writeVarint(out, group.machine.number);
             }
-            last = group.name;
-            if (attempts.size() > 1) {
-                writeNumber(out, attempts.indexOf(group.attempt));
+            previous = group.machine;
+            if (attemptNumbers.size() > 1) {
+                writeVarint(out, attemptNumbers.indexOf(group.attempt));
             }
         }
     }
@@ -157,64 +160,69 @@
      * @param doneOnMachine receives the tasks that are done and in a group
      */
     private static int[] symbols(
-            BitSet done, List<Group> groups, int front, int end, SortedSet<Integer> doneOnMachine) {
-        int[] symbols = new int[Math.max(0, end - front)];
+            BitSet completedTasks,
+            List<Group> groups,
+            int firstTask,
+            int end,
+            SortedSet<Integer> doneOnMachine) {
+        int[] symbols = new int[Math.max(0, end - firstTask)];
         for (int i = 0; i < symbols.length; i++) {
-            symbols[i] = done.get(front + i) ? DONE : PENDING;
+            symbols[i] = completedTasks.get(firstTask + i) ? DONE : PENDING;
         }
         for (int g = 0; g < groups.size(); g++) {
             BitSet tasks = groups.get(g).tasks;
             for (int task = tasks.nextSetBit(0); task >= 0; task = tasks.nextSetBit(task + 1)) {
-                int symbol = symbols[task - front];
+                int symbol = symbols[task - firstTask];
                 if (symbol >= FIRST_GROUP) {
                     throw new IllegalArgumentException("task " + task + " is placed twice");
                 }
                 if (symbol == DONE) {
                     doneOnMachine.add(task);
                 }
-                symbols[task - front] = FIRST_GROUP + g;
+                symbols[task - firstTask] = FIRST_GROUP + g;
             }
         }
         return symbols;
     }
 
     private static void writeTasks(ByteArrayOutputStream out, SortedSet<Integer> tasks) {
-        writeNumber(out, tasks.size());
-        int last = 0;
+        writeVarint(out, tasks.size());
+        int previous = 0;
         for (int task : tasks) {
-            writeNumber(out, task - last);
-            last = task;
+            writeVarint(out, task - previous);
+            previous = task;
         }
     }
 
     /** How many bits a task's symbol takes where there are so many groups. */
-    public static int bitsPerTask(int groups) {
-        return Integer.SIZE - Integer.numberOfLeadingZeros(FIRST_GROUP + groups - 1);
+    public static int bitsPerTask(int groupCount) {
+        return Integer.SIZE - Integer.numberOfLeadingZeros(FIRST_GROUP + groupCount - 1);
     }
 
-    private static void writeNumber(ByteArrayOutputStream out, long value) {
-        long rest = value;
-        while ((rest & ~0x7fL) != 0) {
-            out.write((int) ((rest & 0x7f) | 0x80));
-            rest >>>= 7;
+    private static void writeVarint(ByteArrayOutputStream out, long value) {
+        long remaining = value;
+        while ((remaining & ~0x7fL) != 0) {
+            out.write((int) ((remaining & 0x7f) | 0x80));
+            remaining >>>= 7;
         }
-        out.write((int) rest);
+        out.write((int) remaining);
     }
 
-    private static void writeText(ByteArrayOutputStream out, String text) {
+    private static void writeString(ByteArrayOutputStream out, String text) {
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        writeNumber(out, bytes.length);
+        writeVarint(out, bytes.length);
         out.writeBytes(bytes);
     }
 
-    private static void writeSymbols(ByteArrayOutputStream out, int[] symbols, int bits) {
+    private static void writeSymbols(ByteArrayOutputStream out, int[] symbols, int bitsPerSymbol) {
         BitSet packed = new BitSet();
         for (int i = 0; i < symbols.length; i++) {
-            for (int b = 0; b < bits; b++) {
-                packed.set(i * bits + b, (symbols[i] >> b & 1) == 1);
+            for (int b = 0; b < bitsPerSymbol; b++) {
+                packed.set(i * bitsPerSymbol + b, (symbols[i] >> b & 1) == 1);
             }
         }
-        byte[] bytes = Arrays.copyOf(packed.toByteArray(), (symbols.length * bits + 7) / 8);
+        byte[] bytes =
+                Arrays.copyOf(packed.toByteArray(), (symbols.length * bitsPerSymbol + 7) / 8);
         out.writeBytes(bytes);
     }
 
@@ -225,82 +233,92 @@
         } catch (IllegalArgumentException e) {
             throw new MalformedMessageException("progress: not Base64");
         }
-        if (in.number() != VERSION) {
+        if (in.readVarint() != VERSION) {
             throw new MalformedMessageException("progress: a version that is not known");
         }
-        int front = in.count(taskCount);
-        long[] attempts = readAttempts(in, taskCount);
-        List<JobRecord.RecordedAttempt> placed = readGroups(in, taskCount, attempts);
-        BitSet done = new BitSet();
-        done.set(0, front);
-        readSymbols(in, front, taskCount, done, placed);
+        int leadingDone = in.readCount(taskCount);
+        long[] attemptNumbers = readAttempts(in, taskCount);
+        List<JobRecord.RecordedAttempt> recordedAttempts =
+                readGroups(in, taskCount, attemptNumbers);
+        BitSet completedTasks = new BitSet();
+        completedTasks.set(0, leadingDone);
+        readSymbols(in, leadingDone, taskCount, completedTasks, recordedAttempts);
         int task = 0;
-        for (int left = in.count(taskCount); left > 0; left--) {
-            task += in.count(taskCount - 1 - task);
-            done.set(task);
+        for (int remaining = in.readCount(taskCount); remaining > 0; remaining--) {
+            task += in.readCount(taskCount - 1 - task);
+            completedTasks.set(task);
         }
-        return new Decoded(done, placed);
+        return new Decoded(completedTasks, recordedAttempts);
     }
 
     private static long[] readAttempts(Input in, int taskCount) throws MalformedMessageException {
-        long[] attempts = new long[in.count(taskCount)];
+        long[] attemptNumbers = new long[in.readCount(taskCount)];
         long attempt = 0;
-        for (int i = 0; i < attempts.length; i++) {
-            attempt += in.number();
-            attempts[i] = attempt;
+        for (int i = 0; i < attemptNumbers.length; i++) {
+            attempt += in.readVarint();
+            attemptNumbers[i] = attempt;
         }
-        return attempts;
+        return attemptNumbers;
     }
 
     private static List<JobRecord.RecordedAttempt> readGroups(
-            Input in, int taskCount, long[] attempts) throws MalformedMessageException {
-        List<JobRecord.RecordedAttempt> placed = new ArrayList<>();
-        int groups = in.count(taskCount);
-        Name name = null;
-        for (int g = 0; g < groups; g++) {
+            Input in, int taskCount, long[] attemptNumbers) throws MalformedMessageException {
+        List<JobRecord.RecordedAttempt> recordedAttempts = new ArrayList<>();
+        int groupCount = in.readCount(taskCount);
+        MachineName name = null;
+        for (int g = 0; g < groupCount; g++) {
             name = readName(in, name);
-            int attempt =
-                    attempts.length > 1 ? in.count(attempts.length - 1) : in.first(attempts.length);
-            placed.add(new JobRecord.RecordedAttempt(name.host(), attempts[attempt], new BitSet()));
+            int attemptIndex =
+                    attemptNumbers.length > 1
+                            ? in.readCount(attemptNumbers.length - 1)
+                            : in.readOnlyIndex(attemptNumbers.length);
+            recordedAttempts.add(
+                    new JobRecord.RecordedAttempt(
+                            name.host(), attemptNumbers[attemptIndex], new BitSet()));
         }
-        return placed;
+        return recordedAttempts;
     }
 
     /**
-     * @param last the name before, null for the first
+     * @param previous the name before, null for the first
      */
-    private static Name readName(Input in, Name last) throws MalformedMessageException {
-        long difference = in.number();
-        Name name = null;
-        if (difference == 0) {
-            name = new Name(in.text(), in.count(MAX_DIGITS), in.number());
-        } else if (last != null) {
-            name = new Name(last.stem, last.digits, last.number + difference - 1);
+    private static MachineName readName(Input in, MachineName previous)
+            throws MalformedMessageException {
+        long delta = in.readVarint();
+        MachineName name = null;
+        if (delta == 0) {
+            name = new MachineName(in.readString(), in.readCount(MAX_DIGITS), in.readVarint());
+        } else if (previous != null) {
+            name = new MachineName(previous.stem, previous.digitCount, previous.number + delta - 1);
         }
-        if (name == null || Long.toString(name.number).length() > Math.max(1, name.digits)) {
+        if (name == null || Long.toString(name.number).length() > Math.max(1, name.digitCount)) {
             throw new MalformedMessageException("progress: a machine without a name");
         }
         return name;
     }
 
     private static void readSymbols(
-            Input in, int front, int taskCount, BitSet done, List<JobRecord.RecordedAttempt> placed)
+            Input in,
+            int firstTask,
+            int taskCount,
+            BitSet completedTasks,
+            List<JobRecord.RecordedAttempt> recordedAttempts)
             throws MalformedMessageException {
-        int groups = placed.size();
-        int bits = bitsPerTask(groups);
-        int symbols = in.count(taskCount - front);
-        BitSet packed = in.packed(symbols * bits);
-        for (int i = 0; i < symbols; i++) {
+        int groupCount = recordedAttempts.size();
+        int bitsPerSymbol = bitsPerTask(groupCount);
+        int symbolCount = in.readCount(taskCount - firstTask);
+        BitSet packed = in.readBits(symbolCount * bitsPerSymbol);
+        for (int i = 0; i < symbolCount; i++) {
             int symbol = 0;
-            for (int b = 0; b < bits; b++) {
-                symbol |= packed.get(i * bits + b) ? 1 << b : 0;
+            for (int b = 0; b < bitsPerSymbol; b++) {
+                symbol |= packed.get(i * bitsPerSymbol + b) ? 1 << b : 0;
             }
             if (symbol == DONE) {
-                done.set(front + i);
-            } else if (symbol >= FIRST_GROUP + groups) {
+                completedTasks.set(firstTask + i);
+            } else if (symbol >= FIRST_GROUP + groupCount) {
                 throw new MalformedMessageException("progress: a group that is not there");
             } else if (symbol >= FIRST_GROUP) {
-                placed.get(symbol - FIRST_GROUP).tasks().set(front + i);
+                recordedAttempts.get(symbol - FIRST_GROUP).tasks().set(firstTask + i);
             }
         }
     }
@@ -308,16 +326,16 @@
     /** Reads what {@link #encode} wrote, refusing whatever it could not have written. */
     private static final class Input {
         private final byte[] bytes;
-        private int at;
+        private int position;
 
         Input(byte[] bytes) {
             this.bytes = bytes;
         }
 
-        long number() throws MalformedMessageException {
+        long readVarint() throws MalformedMessageException {
             long value = 0;
             for (int shift = 0; shift < Long.SIZE - 1; shift += 7) {
-                byte b = next();
+                byte b = readByte();
                 value |= (long) (b & 0x7f) << shift;
                 if (b >= 0) {
                     return value;
@@ -326,43 +344,43 @@
             throw new MalformedMessageException("progress: a number that is too large");
         }
 
-        int count(int max) throws MalformedMessageException {
-            long value = number();
+        int readCount(int max) throws MalformedMessageException {
+            long value = readVarint();
             if (value > max) {
                 throw new MalformedMessageException("progress: a number that is too large");
             }
             return (int) value;
         }
 
-        int first(int size) throws MalformedMessageException {
+        int readOnlyIndex(int size) throws MalformedMessageException {
             if (size == 0) {
                 throw new MalformedMessageException("progress: a group without an attempt");
             }
             return 0;
         }
 
-        String text() throws MalformedMessageException {
-            byte[] part = part(count(bytes.length));
+        String readString() throws MalformedMessageException {
+            byte[] part = readBytes(readCount(bytes.length));
             return new String(part, StandardCharsets.UTF_8);
         }
 
-        BitSet packed(int bits) throws MalformedMessageException {
-            return BitSet.valueOf(part((bits + 7) / 8));
+        BitSet readBits(int bitCount) throws MalformedMessageException {
+            return BitSet.valueOf(readBytes((bitCount + 7) / 8));
         }
 
-        private byte[] part(int length) throws MalformedMessageException {
-            if (length > bytes.length - at) {
+        private byte[] readBytes(int length) throws MalformedMessageException {
+            if (length > bytes.length - position) {
                 throw new MalformedMessageException("progress: cut short");
             }
-            at += length;
-            return Arrays.copyOfRange(bytes, at - length, at);
+            position += length;
+            return Arrays.copyOfRange(bytes, position - length, position);
         }
 
-        private byte next() throws MalformedMessageException {
-            if (at >= bytes.length) {
+        private byte readByte() throws MalformedMessageException {
+            if (position >= bytes.length) {
                 throw new MalformedMessageException("progress: cut short");
             }
-            return bytes[at++];
+            return bytes[position++];
         }
     }
 }
--- a/src/main/java/org/woadloom/store/TaskRanges.java
+++ b/src/main/java/org/woadloom/store/TaskRanges.java
@@ -20,14 +20,14 @@
         return list;
     }
 
-    static BitSet decode(List<?> list, int size) throws MalformedMessageException {
+    static BitSet decode(List<?> list, int taskCount) throws MalformedMessageException {
         BitSet set = new BitSet();
         for (int i = 0; i + 1 < list.size(); i += 2) {
             if (!(list.get(i) instanceof Long first)
                     || !(list.get(i + 1) instanceof Long last)
                     || first < 0
                     || last < first
-                    || last >= size) {
+                    || last >= taskCount) {
                 throw new MalformedMessageException("ranges: expected pairs of task numbers");
             }
             set.set(first.intValue(), last.intValue() + 1);
--- a/src/main/java/org/woadloom/store/UnansweredTransaction.java
+++ b/src/main/java/org/woadloom/store/UnansweredTransaction.java
@@ -20,7 +20,7 @@
     private final RequestPriority priority;
 
     /** The change that proves the execution, or null if there is none. */
-    private final Change proof;
+    private final Change proofChange;
 
     private final long revisionBefore;
     private final TxnCallback callback;
@@ -36,7 +36,7 @@
         this.store = store;
         this.priority = priority;
         this.callback = callback;
-        this.proof =
+        this.proofChange =
                 changes.stream()
                         .filter(change -> change.key().equals(proofKey) && change.value() != null)
                         .findFirst()
@@ -59,16 +59,16 @@
 
     /** Reads the key that proves the execution, as the answer is late. */
     void checkProof() {
-        if (isCompleted || proof == null) {
+        if (isCompleted || proofChange == null) {
             return;
         }
         store.get(
                 priority,
-                proof.key(),
+                proofChange.key(),
                 (result, entry, storeRevision) -> {
                     if (result == Result.OK
                             && entry.revision() > revisionBefore
-                            && isAsWritten(entry.value())) {
+                            && matchesWrittenValue(entry.value())) {
                         // All changes of a transaction have the same revision.
                         onResult(Result.OK, entry.revision(), List.of());
                     }
@@ -76,9 +76,9 @@
     }
 
     /** Compares with the value as it would be decoded, whose types may differ. */
-    private boolean isAsWritten(Map<String, Object> value) {
+    private boolean matchesWrittenValue(Map<String, Object> value) {
         try {
-            return Cbor.decodeMap(Cbor.encode(proof.value())).equals(value);
+            return Cbor.decodeMap(Cbor.encode(proofChange.value())).equals(value);
         } catch (MalformedMessageException e) {
             return false;
         }
--- a/src/main/java/org/woadloom/store/WeightedQueues.java
+++ b/src/main/java/org/woadloom/store/WeightedQueues.java
@@ -98,20 +98,20 @@
     }
 
     /** The cost of what a request that comes now would wait for in its own queue. */
-    long costBefore(RateShare share, boolean isPreferred) {
+    long costAhead(RateShare share, boolean isPreferred) {
         Queue<T> queue = queues.get(share);
         return queue.preferredCost + (isPreferred ? 0 : queue.ordinaryCost);
     }
 
     /** The part of the rate that a share gets beside all that have something waiting now. */
-    double partOf(RateShare share) {
-        int weights = share.weight();
+    double rateFraction(RateShare share) {
+        int totalWeight = share.weight();
         for (RateShare other : RateShare.values()) {
             if (other != share && !queues.get(other).isEmpty()) {
-                weights += other.weight();
+                totalWeight += other.weight();
             }
         }
-        return (double) share.weight() / weights;
+        return (double) share.weight() / totalWeight;
     }
 
     /** Starts a share that had nothing waiting: it has saved up nothing in the meantime. */
@@ -134,7 +134,7 @@
      *
      * @param userBurst the cost by which users may run ahead of their share
      */
-    RateShare next(Predicate<RateShare> allowed, double userBurst) {
+    RateShare nextShare(Predicate<RateShare> allowed, double userBurst) {
         RateShare next = null;
         for (RateShare share : RateShare.values()) {
             boolean isCandidate = !queues.get(share).isEmpty() && allowed.test(share);
@@ -147,8 +147,8 @@
     }
 
     private double startTime(RateShare share, double userBurst) {
-        double ahead = share == RateShare.USERS ? userBurst / share.weight() : 0;
-        return virtualTimes.get(share) - ahead;
+        double allowance = share == RateShare.USERS ? userBurst / share.weight() : 0;
+        return virtualTimes.get(share) - allowance;
     }
 
     /** What the first request of a share costs. */
@@ -164,7 +164,7 @@
     }
 
     /** The first of the share's preferred requests, and the first of the others. */
-    Stream<T> firstOf(RateShare share) {
+    Stream<T> oldestOf(RateShare share) {
         Queue<T> queue = queues.get(share);
         return Stream.of(queue.preferred, queue.ordinary)
                 .filter(items -> !items.isEmpty())
--- a/src/test/java/org/woadloom/metrics/NodeMetricsGoldenTest.java
+++ b/src/test/java/org/woadloom/metrics/NodeMetricsGoldenTest.java
@@ -13,7 +13,7 @@
  */
 class NodeMetricsGoldenTest {
     @Test
-    void countersAndGaugesAreAsRecorded() {
+    void countersAndGaugesMatchGoldenFile() {
         NodeMetrics metrics = new NodeMetrics();
         metrics.recordResponse("submit", 201);
         metrics.recordResponse("report", 503);
--- a/src/test/java/org/woadloom/peer/PeerCodecTest.java
+++ b/src/test/java/org/woadloom/peer/PeerCodecTest.java
@@ -13,7 +13,7 @@
     private final PeerCodec codec = new PeerCodec();
 
     @Test
-    void messagesSurviveAnyCutOfTheStream() throws PeerFormatException {
+    void frameReaderReassemblesMessagesSplitAtAnyByte() throws PeerFormatException {
         byte[] first = codec.encode(new PeerMessage.Hello("node-1"));
         byte[] second = codec.encode(new PeerMessage.ForwardedAnswer(7, 200, new byte[] {1, 2, 3}));
         byte[] stream = Arrays.copyOf(first, first.length + second.length);
@@ -26,26 +26,26 @@
             frames.addAll(reader.add(rest, rest.length));
             assertEquals(2, frames.size());
             assertEquals(new PeerMessage.Hello("node-1"), codec.decode(frames.get(0)));
-            PeerMessage.ForwardedAnswer carried =
+            PeerMessage.ForwardedAnswer answer =
                     (PeerMessage.ForwardedAnswer) codec.decode(frames.get(1));
-            assertEquals(7, carried.id());
-            assertArrayEquals(new byte[] {1, 2, 3}, carried.answer());
+            assertEquals(7, answer.id());
+            assertArrayEquals(new byte[] {1, 2, 3}, answer.answer());
         }
     }
 
     @Test
-    void brokenFramesAreRefusedAndNeverThrowAnythingElse() {
+    void decodeOfCorruptFramesThrowsOnlyPeerFormatException() {
         byte[] frame = codec.encode(new PeerMessage.JobChangeNotification(new byte[40], 9));
-        byte[] good = Arrays.copyOfRange(frame, 4, frame.length);
+        byte[] valid = Arrays.copyOfRange(frame, 4, frame.length);
         Random random = new Random(3);
         int refused = 0;
         for (int round = 0; round < 5_000; round++) {
-            byte[] bad = Arrays.copyOf(good, random.nextInt(good.length + 1));
-            if (bad.length > 0) {
-                bad[random.nextInt(Math.min(12, bad.length))] = (byte) random.nextInt(256);
+            byte[] corrupt = Arrays.copyOf(valid, random.nextInt(valid.length + 1));
+            if (corrupt.length > 0) {
+                corrupt[random.nextInt(Math.min(12, corrupt.length))] = (byte) random.nextInt(256);
             }
             try {
-                codec.decode(bad);
+                codec.decode(corrupt);
             } catch (PeerFormatException e) {
                 refused++;
             }
--- a/src/test/java/org/woadloom/peer/PeerFramesGoldenTest.java
+++ b/src/test/java/org/woadloom/peer/PeerFramesGoldenTest.java
@@ -21,7 +21,7 @@
 class PeerFramesGoldenTest {
     private static final String FILE = "peer-frames.txt";
 
-    private static Map<String, PeerMessage> frames() {
+    private static Map<String, PeerMessage> messagesByName() {
         Map<String, PeerMessage> all = new LinkedHashMap<>();
         all.put("10 hello", new PeerMessage.Hello("node-1"));
         all.put(
@@ -58,23 +58,24 @@
     }
 
     @Test
-    void framesAreWrittenAndReadAsRecorded() throws IOException, PeerFormatException {
+    void framesMatchGoldenBytesAndRoundTrip() throws IOException, PeerFormatException {
         PeerCodec codec = new PeerCodec();
         GoldenFile golden = new GoldenFile();
-        frames().forEach((name, message) -> golden.addBytes(name, codec.encode(message)));
+        messagesByName().forEach((name, message) -> golden.addBytes(name, codec.encode(message)));
         golden.check(FILE);
-        for (String name : frames().keySet()) {
+        for (String name : messagesByName().keySet()) {
             byte[] recorded = GoldenFile.readBytes(FILE, name);
             PeerMessage read =
                     codec.decode(Arrays.copyOfRange(recorded, Integer.BYTES, recorded.length));
-            assertEquals(frames().get(name).getClass(), read.getClass(), name);
+            assertEquals(messagesByName().get(name).getClass(), read.getClass(), name);
             assertArrayEquals(recorded, codec.encode(read), name);
         }
     }
 
     @Test
-    void everyKindOfFrameIsRecorded() {
-        long kinds = frames().values().stream().map(PeerMessage::getClass).distinct().count();
-        assertEquals(PeerMessage.class.getPermittedSubclasses().length, kinds);
+    void goldenFileCoversEveryMessageType() {
+        long messageTypes =
+                messagesByName().values().stream().map(PeerMessage::getClass).distinct().count();
+        assertEquals(PeerMessage.class.getPermittedSubclasses().length, messageTypes);
     }
 }
--- a/src/test/java/org/woadloom/peer/SendQueueTest.java
+++ b/src/test/java/org/woadloom/peer/SendQueueTest.java
@@ -7,39 +7,39 @@
 import org.junit.jupiter.api.Test;
 
 class SendQueueTest {
-    private static final int FLEET = 4_082;
+    private static final int FLEET_SIZE = 4_082;
     private static final int HEARTBEAT_BYTES = 600;
 
     private final SendQueue queue = new SendQueue();
 
     @Test
-    void theHeartbeatsOfAWholeFleetFit() {
-        for (int i = 0; i < FLEET; i++) {
+    void queueHoldsTheHeartbeatsOfTheLargestFleet() {
+        for (int i = 0; i < FLEET_SIZE; i++) {
             assertTrue(queue.add(new byte[HEARTBEAT_BYTES]));
         }
-        assertEquals(0, queue.refused());
+        assertEquals(0, queue.refusedCount());
     }
 
     @Test
-    void framesBeyondTheirNumberAreRefusedAndCounted() {
+    void framesAboveTheFrameLimitAreRefusedAndCounted() {
         for (int i = 0; i < SendQueue.MAX_FRAMES; i++) {
             assertTrue(queue.add(new byte[1]));
         }
         assertTrue(queue.isFull());
         assertFalse(queue.add(new byte[1]));
-        assertEquals(1, queue.refused());
+        assertEquals(1, queue.refusedCount());
         queue.removeFirst();
         assertTrue(queue.add(new byte[1]), "there is room again");
     }
 
     @Test
-    void framesBeyondTheirBytesAreRefusedAndCounted() {
+    void framesAboveTheByteLimitAreRefusedAndCounted() {
         int frames = 0;
         while (queue.add(new byte[PeerCodec.MAX_FRAME_BYTES])) {
             frames++;
         }
         assertEquals(SendQueue.MAX_BYTES / PeerCodec.MAX_FRAME_BYTES, frames);
-        assertEquals(1, queue.refused());
+        assertEquals(1, queue.refusedCount());
         // What was partly written counts whole until it is gone.
         queue.first().position(10);
         queue.removeFirst();
--- a/src/test/java/org/woadloom/sim/CoalescingJobReaderTest.java
+++ b/src/test/java/org/woadloom/sim/CoalescingJobReaderTest.java
@@ -41,27 +41,28 @@
     private final SimulatedStore store =
             new SimulatedStore(sim, new ServiceSettings.Store(10_000, 10_000, 8192, 12, null));
     private final Random random = new Random(7);
-    private final List<CoalescingJobReader> nodes = new ArrayList<>();
-    private final List<JobReader> readers = new ArrayList<>();
-    private int requests;
-    private int answered;
+    private final List<CoalescingJobReader> jobReaders = new ArrayList<>();
+    private final List<JobReader> keyReaders = new ArrayList<>();
+    private int requestCount;
+    private int answeredCount;
 
     /** How many of a hundred requests take long, or lose their answer. */
-    private int trouble;
+    private int slowOrLostPercent;
 
     /**
      * How many of a hundred reads of changes are told that those are not kept any more, and how
      * many were.
      */
-    private int gone;
+    private int compactedPercent;
 
-    private int toldGone;
+    private int compactedCount;
 
     CoalescingJobReaderTest() {
         for (int i = 0; i < NODES; i++) {
             StoreClient client = SimulatedStore.client(sim.loop(), this::request, LIMITS, i);
-            readers.add(new JobReader(client, format -> {}));
-            nodes.add(new CoalescingJobReader(sim.loop(), client, readers.get(i), LIMITS, NODES));
+            keyReaders.add(new JobReader(client, format -> {}));
+            jobReaders.add(
+                    new CoalescingJobReader(sim.loop(), client, keyReaders.get(i), LIMITS, NODES));
         }
     }
 
@@ -72,22 +73,22 @@
             byte[] body,
             long timeout,
             HttpTransport.Callback callback) {
-        requests++;
+        requestCount++;
         SingleAnswer answer = new SingleAnswer(callback);
         sim.after(timeout, () -> answer.answer(HttpTransport.NO_RESPONSE, Map.of()));
-        if (path.startsWith("/follow") && random.nextInt(100) < gone) {
-            toldGone++;
+        if (path.startsWith("/follow") && random.nextInt(100) < compactedPercent) {
+            compactedCount++;
             sim.after(2_000 + random.nextInt(300_000), () -> answer.answer(410, Map.of()));
             return;
         }
         assertFalse(path.contains("since=-"), "the service would call it malformed: " + path);
-        boolean lost = random.nextInt(100) < trouble;
-        long there =
-                random.nextInt(100) < trouble
+        boolean isAnswerLost = random.nextInt(100) < slowOrLostPercent;
+        long requestDelay =
+                random.nextInt(100) < slowOrLostPercent
                         ? random.nextInt(1_500_000)
                         : 2_000 + random.nextInt(3_000);
         sim.after(
-                there,
+                requestDelay,
                 () -> {
                     try {
                         store.handle(
@@ -96,11 +97,11 @@
                                 body == null ? Map.of() : Cbor.decodeMap(body),
                                 (status, map) ->
                                         sim.after(
-                                                random.nextInt(100) < trouble
+                                                random.nextInt(100) < slowOrLostPercent
                                                         ? random.nextInt(1_500_000)
                                                         : 2_000,
                                                 () -> {
-                                                    if (!lost) {
+                                                    if (!isAnswerLost) {
                                                         answer.answer(status, map);
                                                     }
                                                 }));
@@ -150,11 +151,11 @@
                 Map.of("put", "final/" + jobId, "value", Map.of("status", "done", "done", 20L)));
     }
 
-    private JobStatus ask(int node, String jobId) {
-        CoalescingJobReader.JobView[] shown = {null};
-        nodes.get(node).read(jobId, answer -> shown[0] = answer);
+    private JobStatus query(int node, String jobId) {
+        CoalescingJobReader.JobView[] result = {null};
+        jobReaders.get(node).read(jobId, answer -> result[0] = answer);
         run(2_000_000);
-        return shown[0] == null ? null : shown[0].status();
+        return result[0] == null ? null : result[0].status();
     }
 
     private void run(long micros) {
@@ -165,18 +166,21 @@
         return String.format("j-%06d", job);
     }
 
-    private int askAll(int jobs, String expected) {
-        requests = 0;
-        int[] told = {0};
-        for (int job = 1; job <= jobs; job++) {
-            nodes.get(0)
+    private int queryAll(int jobCount, String expected) {
+        requestCount = 0;
+        int[] expectedAnswers = {0};
+        for (int job = 1; job <= jobCount; job++) {
+            jobReaders
+                    .get(0)
                     .read(
                             jobId(job),
-                            answer -> told[0] += answer.status().status().equals(expected) ? 1 : 0);
+                            answer ->
+                                    expectedAnswers[0] +=
+                                            answer.status().status().equals(expected) ? 1 : 0);
         }
         run(1_000_000);
-        assertEquals(jobs, told[0]);
-        return requests;
+        assertEquals(jobCount, expectedAnswers[0]);
+        return requestCount;
     }
 
     /**
@@ -184,18 +188,18 @@
      * end, starved all others.
      */
     @Test
-    void whatHasJustChangedIsToldByTheSharedRead() {
+    void changedJobsAreAnsweredFromSharedReads() {
         put(jobId(0), false);
-        ask(0, jobId(0));
+        query(0, jobId(0));
         for (int job = 1; job <= 20; job++) {
             put(jobId(job), false);
         }
-        int reads = askAll(20, "queued");
+        int reads = queryAll(20, "queued");
         assertTrue(reads <= 3, reads + " reads for 20 new jobs");
         for (int job = 1; job <= 20; job++) {
             finish(jobId(job));
         }
-        reads = askAll(20, "done");
+        reads = queryAll(20, "done");
         assertTrue(reads <= 23, reads + " reads for 20 jobs that are over");
     }
 
@@ -204,30 +208,32 @@
      * takes.
      */
     @Test
-    void aThousandOpenJobsAreAQuarterOfTheRequests() {
+    void pollingAThousandJobsTakesLessThanAQuarterOfTheRequestRate() {
         for (int job = 0; job < 1_000; job++) {
             put(jobId(job), false);
             poll(job, random.nextInt(5_000_000));
         }
         run(30_000_000);
-        requests = 0;
-        answered = 0;
+        requestCount = 0;
+        answeredCount = 0;
         for (int second = 0; second < 20; second++) {
             for (int change = 0; change < 20; change++) {
                 put(jobId(random.nextInt(1_000)), false);
             }
             run(1_000_000);
         }
-        assertTrue(requests / 20.0 < LIMITS.rps() / 4, requests / 20.0 + " requests a second");
-        assertTrue(answered > 3_900, answered + " polls answered");
+        assertTrue(
+                requestCount / 20.0 < LIMITS.rps() / 4, requestCount / 20.0 + " requests a second");
+        assertTrue(answeredCount > 3_900, answeredCount + " polls answered");
     }
 
     private void poll(int job, long delay) {
         sim.after(
                 delay,
                 () -> {
-                    nodes.get(job % NODES)
-                            .read(jobId(job), shown -> answered += shown == null ? 0 : 1);
+                    jobReaders
+                            .get(job % NODES)
+                            .read(jobId(job), shown -> answeredCount += shown == null ? 0 : 1);
                     poll(job, 5_000_000);
                 });
     }
@@ -239,57 +245,59 @@
      */
     @ParameterizedTest
     @CsvSource({"0, 0", "10, 0", "40, 0", "0, 25", "25, 25", "40, 40"})
-    void nothingOlderIsTold(int troubles, int lostChanges) {
+    void answersNeverGoBackInTime(int slowOrLost, int compacted) {
         for (long seed = 1; seed <= Long.getLong("seeds", 4); seed++) {
-            CoalescingJobReaderTest day = new CoalescingJobReaderTest();
-            day.random.setSeed(seed);
-            day.trouble = troubles;
-            day.gone = lostChanges;
-            day.play();
+            CoalescingJobReaderTest scenario = new CoalescingJobReaderTest();
+            scenario.random.setSeed(seed);
+            scenario.slowOrLostPercent = slowOrLost;
+            scenario.compactedPercent = compacted;
+            scenario.runRandomScenario();
         }
     }
 
     /** Jobs come, change and end all the time, and are asked for while they do. */
-    private void play() {
-        Map<String, Integer> told = new LinkedHashMap<>();
-        int[] answers = new int[4];
-        List<int[]> asked = new ArrayList<>();
+    private void runRandomScenario() {
+        Map<String, Integer> highestProgress = new LinkedHashMap<>();
+        int[] answersByProgress = new int[4];
+        List<int[]> answerCounts = new ArrayList<>();
         for (int i = 0; i < 5_000; i++) {
             int node = random.nextInt(NODES);
-            boolean alone = random.nextInt(4) == 0;
-            sim.after(random.nextInt(120_000_000), () -> step(someUid()));
+            boolean isReadByKey = random.nextInt(4) == 0;
+            sim.after(random.nextInt(120_000_000), () -> changeJob(randomCurrentJobId()));
             sim.after(
                     random.nextInt(120_000_000),
                     () -> {
-                        String jobId = someUid();
-                        int before = told.getOrDefault(jobId, 0);
-                        int[] answered = {0};
-                        asked.add(answered);
+                        String jobId = randomCurrentJobId();
+                        int before = highestProgress.getOrDefault(jobId, 0);
+                        int[] answerCount = {0};
+                        answerCounts.add(answerCount);
                         Consumer<JobStatus> check =
                                 status -> {
-                                    int now = stage(status);
+                                    int now = progressOf(status);
                                     assertTrue(
                                             now >= before,
                                             jobId + " was " + before + " and is " + now);
-                                    told.merge(jobId, now, Math::max);
-                                    answers[Math.min(3, (now + 999) / 1_000)]++;
+                                    highestProgress.merge(jobId, now, Math::max);
+                                    answersByProgress[Math.min(3, (now + 999) / 1_000)]++;
                                 };
-                        if (alone) {
-                            readers.get(node)
+                        if (isReadByKey) {
+                            keyReaders
+                                    .get(node)
                                     .lookUp(
                                             jobId,
                                             lookup -> {
-                                                answered[0]++;
+                                                answerCount[0]++;
                                                 if (lookup != null) {
                                                     check.accept(lookup.status());
                                                 }
                                             });
                         } else {
-                            nodes.get(node)
+                            jobReaders
+                                    .get(node)
                                     .read(
                                             jobId,
                                             shown -> {
-                                                answered[0]++;
+                                                answerCount[0]++;
                                                 if (shown != null) {
                                                     check.accept(shown.status());
                                                 }
@@ -300,41 +308,45 @@
         sim.after(60_000_000, () -> store.outage(true));
         sim.after(66_000_000, () -> store.outage(false));
         run(125_000_000);
-        boolean missed = gone > 0;
-        trouble = 0;
-        gone = 0;
+        boolean hasMissedChanges = compactedPercent > 0;
+        slowOrLostPercent = 0;
+        compactedPercent = 0;
         // What waits for slow reads is answered once the store is well.
         run(90_000_000);
-        assertTrue(answers[1] > 20 && answers[2] > 20 && answers[3] > 20, Arrays.toString(answers));
+        assertTrue(
+                answersByProgress[1] > 20 && answersByProgress[2] > 20 && answersByProgress[3] > 20,
+                Arrays.toString(answersByProgress));
         assertEquals(
                 0,
-                asked.stream().filter(times -> times[0] != 1).count(),
+                answerCounts.stream().filter(times -> times[0] != 1).count(),
                 "questions that have not one answer");
-        assertTrue(!missed || toldGone > 20, toldGone + " times changes were missed");
+        assertTrue(
+                !hasMissedChanges || compactedCount > 20,
+                compactedCount + " times changes were missed");
     }
 
     /** Of those of these seconds: each comes, lives for some and is asked for for a while after. */
-    private String someUid() {
+    private String randomCurrentJobId() {
         return jobId((int) (sim.now() / 1_000_000) + random.nextInt(10));
     }
 
     /** Jobs come, change, are cancelled and end, one step at a time. */
-    private void step(String jobId) {
+    private void changeJob(String jobId) {
         if (store.down || store.value("final/" + jobId) != null || random.nextInt(3) > 0) {
             return;
         }
         Map<String, Object> record = store.value("job/" + jobId);
-        int luck = random.nextInt(12);
+        int choice = random.nextInt(12);
         if (record == null) {
             put(jobId, false);
-        } else if (luck == 0) {
+        } else if (choice == 0) {
             finish(jobId);
         } else if (!Boolean.TRUE.equals(record.get("cancelled"))) {
-            put(jobId, luck < 3, ((Long) record.get("running")).intValue() + 1);
+            put(jobId, choice < 3, ((Long) record.get("running")).intValue() + 1);
         }
     }
 
-    private static int stage(JobStatus status) {
+    private static int progressOf(JobStatus status) {
         return status == null
                 ? 0
                 : switch (status.status()) {
@@ -346,36 +358,37 @@
 
     /** Where the store does not say, nobody is told what was true before. */
     @Test
-    void anOutageIsToldAsOne() {
+    void queriesDuringAnOutageGetNoStaleAnswer() {
         put(jobId(1), false);
-        assertEquals("queued", ask(0, jobId(1)).status());
+        assertEquals("queued", query(0, jobId(1)).status());
         store.outage(true);
-        assertNull(ask(0, jobId(1)));
-        int[] told = {0};
+        assertNull(query(0, jobId(1)));
+        int[] refusedCount = {0};
         for (int i = 0; i < 20; i++) {
-            nodes.get(0).read(jobId(1), shown -> told[0] += shown == null ? 1 : 0);
+            jobReaders.get(0).read(jobId(1), shown -> refusedCount[0] += shown == null ? 1 : 0);
             run(500_000);
         }
-        assertEquals(20, told[0], "told within half a second that the store does not answer");
+        assertEquals(
+                20, refusedCount[0], "told within half a second that the store does not answer");
         store.outage(false);
         put(jobId(1), true);
-        assertEquals("cancelled", ask(0, jobId(1)).status());
-        assertNull(ask(1, jobId(2)), "a job that was never accepted has no status");
+        assertEquals("cancelled", query(0, jobId(1)).status());
+        assertNull(query(1, jobId(2)), "a job that was never accepted has no status");
         // After a gap everything is read again: changes are kept for a while only.
         run(60_000_000);
         finish(jobId(1));
-        assertEquals("done", ask(0, jobId(1)).status());
+        assertEquals("done", query(0, jobId(1)).status());
     }
 
     /** One read in twenty takes seconds while the store is slow; everybody would wait for it. */
     @Test
-    void aReadThatTakesLongHoldsUpNobody() {
+    void slowReadsDoNotDelayOtherQueries() {
         put(jobId(1), false);
-        assertEquals("queued", ask(0, jobId(1)).status());
-        trouble = 30;
+        assertEquals("queued", query(0, jobId(1)).status());
+        slowOrLostPercent = 30;
         for (int i = 0; i < 200; i++) {
-            answered += ask(0, jobId(1)) == null ? 0 : 1;
+            answeredCount += query(0, jobId(1)) == null ? 0 : 1;
         }
-        assertTrue(answered > 180, answered + " of 200 answered within 2 s");
+        assertTrue(answeredCount > 180, answeredCount + " of 200 answered within 2 s");
     }
 }
--- a/src/test/java/org/woadloom/sim/StoreClientTest.java
+++ b/src/test/java/org/woadloom/sim/StoreClientTest.java
@@ -45,11 +45,11 @@
         client.setLeader(true);
     }
 
-    private void change(RequestPriority priority, int changes) {
+    private void submitChanges(RequestPriority priority, int changeCount) {
         client.txn(
                 priority,
                 List.of(),
-                Collections.nCopies(changes, Change.put("key", Map.of())),
+                Collections.nCopies(changeCount, Change.put("key", Map.of())),
                 (result, storeRevision, failed) -> {});
     }
 
@@ -61,9 +61,9 @@
      * The leader's changes wait for their budget for minutes; users' polls would wait behind them.
      */
     @Test
-    void readsPassByChangesThatWaitForTheirBudget() {
+    void readIsSentWhileChangesWaitForTheirRate() {
         for (int i = 0; i < 30; i++) {
-            change(RequestPriority.URGENT, 12);
+            submitChanges(RequestPriority.URGENT, 12);
         }
         run(200_000);
         sent.clear();
@@ -74,10 +74,10 @@
 
     /** Whoever comes later may have to wait for less. */
     @Test
-    void aShortWaitIsNotTakenForALongOne() {
+    void requestWithAShorterWaitIsNotDelayedByALongerTimer() {
         client.get(RequestPriority.URGENT, "refused", (result, entry, storeRevision) -> {});
-        change(RequestPriority.URGENT, 30);
-        change(RequestPriority.URGENT, 30);
+        submitChanges(RequestPriority.URGENT, 30);
+        submitChanges(RequestPriority.URGENT, 30);
         run(3_000);
         sent.clear();
         client.get(
@@ -93,7 +93,7 @@
      * has given up.
      */
     @Test
-    void whatComesTooLateIsNotSent() {
+    void requestsThatWouldMissTheirDeadlineAreRefusedUnsent() {
         List<Long> refused = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             client.txn(
@@ -117,29 +117,29 @@
     // Single answers that are lost.
 
     private final SimulatedStore store = new SimulatedStore(sim, LIMITS);
-    private final Random luck = new Random(7);
+    private final Random random = new Random(7);
 
     /** What becomes of a transaction. */
-    private enum Fate {
+    private enum Outcome {
         ANSWERED,
         ANSWER_LOST,
-        CARRIED_OUT_LATE
+        EXECUTED_LATE
     }
 
-    private StoreClient served(Supplier<Fate> fates) {
-        StoreClient served =
+    private StoreClient clientOfStore(Supplier<Outcome> outcomes) {
+        StoreClient storeClient =
                 SimulatedStore.client(
                         sim.loop(),
                         (address, method, path, body, timeout, callback) -> {
-                            boolean[] told = {false};
+                            boolean[] isAnswered = {false};
                             Map<String, Object> map = body == null ? Map.of() : decoded(body);
                             SimulatedStore.Answer answer =
                                     (status, content) ->
                                             sim.after(
                                                     3_000,
                                                     () -> {
-                                                        if (!told[0]) {
-                                                            told[0] = true;
+                                                        if (!isAnswered[0]) {
+                                                            isAnswered[0] = true;
                                                             callback.onResponse(
                                                                     status,
                                                                     status > 0
@@ -148,11 +148,11 @@
                                                         }
                                                     });
                             sim.after(timeout, () -> answer.answer(0, Map.of()));
-                            switch (path.equals("/txn") ? fates.get() : Fate.ANSWERED) {
+                            switch (path.equals("/txn") ? outcomes.get() : Outcome.ANSWERED) {
                                 case ANSWERED -> store.handle(method, path, map, answer);
                                 case ANSWER_LOST ->
                                         store.handle(method, path, map, (status, content) -> {});
-                                case CARRIED_OUT_LATE ->
+                                case EXECUTED_LATE ->
                                         sim.after(
                                                 4_000_000,
                                                 () ->
@@ -165,8 +165,8 @@
                         },
                         LIMITS,
                         1);
-        served.setLeader(true);
-        return served;
+        storeClient.setLeader(true);
+        return storeClient;
     }
 
     private static Map<String, Object> decoded(byte[] body) {
@@ -182,51 +182,53 @@
      * for a moment.
      */
     @Test
-    void singleAnswersThatAreLostHoldUpNothingElse() {
-        StoreClient served = served(() -> luck.nextInt(10) < 4 ? Fate.ANSWER_LOST : Fate.ANSWERED);
-        int[] read = {0};
-        int[] slow = {0};
+    void lostAnswersDoNotDelayOtherRequests() {
+        StoreClient storeClient =
+                clientOfStore(
+                        () -> random.nextInt(10) < 4 ? Outcome.ANSWER_LOST : Outcome.ANSWERED);
+        int[] readCount = {0};
+        int[] slowCount = {0};
         for (long at = 0; at < 20_000_000; at += 50_000) {
             String key = "key" + at;
             sim.after(
                     at,
                     () -> {
-                        served.txn(
+                        storeClient.txn(
                                 RequestPriority.URGENT,
                                 List.of(),
                                 List.of(Change.put(key, Map.of())),
                                 (result, storeRevision, failed) -> {});
-                        long asked = sim.now();
-                        served.get(
+                        long requestedAt = sim.now();
+                        storeClient.get(
                                 RequestPriority.NORMAL,
                                 key,
                                 (result, entry, storeRevision) -> {
-                                    read[0]++;
-                                    slow[0] += sim.now() - asked > 100_000 ? 1 : 0;
+                                    readCount[0]++;
+                                    slowCount[0] += sim.now() - requestedAt > 100_000 ? 1 : 0;
                                 });
                     });
         }
         run(20_000_000);
-        assertEquals(0, slow[0], "of " + read[0] + " reads so many were slow");
-        assertEquals(400, read[0]);
+        assertEquals(0, slowCount[0], "of " + readCount[0] + " reads so many were slow");
+        assertEquals(400, readCount[0]);
     }
 
     private Result write(
-            StoreClient served, String key, Map<String, Object> value, long[] toldAfter) {
-        Result[] told = {null};
-        long from = sim.now();
-        served.txn(
+            StoreClient storeClient, String key, Map<String, Object> value, long[] reportedAfter) {
+        Result[] reported = {null};
+        long start = sim.now();
+        storeClient.txn(
                 RequestPriority.URGENT,
                 List.of(new Condition(key, 0)),
                 List.of(Change.put(key, value)),
                 key,
                 (result, storeRevision, failed) -> {
-                    assertNull(told[0], "told twice");
-                    told[0] = result;
-                    toldAfter[0] = sim.now() - from;
+                    assertNull(reported[0], "told twice");
+                    reported[0] = result;
+                    reportedAfter[0] = sim.now() - start;
                 });
         run(6_000_000);
-        return told[0];
+        return reported[0];
     }
 
     /**
@@ -234,15 +236,23 @@
      * proof.
      */
     @Test
-    void aTransactionWhoseAnswerIsLostIsReadBack() {
-        long[] after = {0};
+    void transactionWithALostAnswerIsConfirmedByReadingItsProofKey() {
+        long[] reportedAfter = {0};
         assertEquals(
                 Result.OK,
-                write(served(() -> Fate.ANSWER_LOST), "job/1", Map.of("version", 3L), after));
-        assertTrue(after[0] < 500_000, "told after " + after[0]);
+                write(
+                        clientOfStore(() -> Outcome.ANSWER_LOST),
+                        "job/1",
+                        Map.of("version", 3L),
+                        reportedAfter));
+        assertTrue(reportedAfter[0] < 500_000, "told after " + reportedAfter[0]);
         assertEquals(
                 Result.UNKNOWN,
-                write(served(() -> Fate.CARRIED_OUT_LATE), "job/2", Map.of("version", 3L), after));
+                write(
+                        clientOfStore(() -> Outcome.EXECUTED_LATE),
+                        "job/2",
+                        Map.of("version", 3L),
+                        reportedAfter));
         // Somebody else's value is there: the transaction failed, and its answer was lost.
         store.handle(
                 "POST",
@@ -255,6 +265,10 @@
                 (status, content) -> {});
         assertEquals(
                 Result.UNKNOWN,
-                write(served(() -> Fate.ANSWER_LOST), "job/3", Map.of("version", 3L), after));
+                write(
+                        clientOfStore(() -> Outcome.ANSWER_LOST),
+                        "job/3",
+                        Map.of("version", 3L),
+                        reportedAfter));
     }
 }
--- a/src/test/java/org/woadloom/sim/StoredValuesGoldenTest.java
+++ b/src/test/java/org/woadloom/sim/StoredValuesGoldenTest.java
@@ -28,20 +28,20 @@
      * either format.
      */
     @Test
-    void lettersAreAsRecorded() throws MalformedMessageException, IOException {
-        readLetters(new ClusterSimulation(1, Scenario.PLAIN), "packed");
-        readLetters(new ClusterSimulation(1, Scenario.UPGRADE), "plain");
+    void relayedMessagesMatchGoldenShapes() throws MalformedMessageException, IOException {
+        collectRelayedMessages(new ClusterSimulation(1, Scenario.PLAIN), "packed");
+        collectRelayedMessages(new ClusterSimulation(1, Scenario.UPGRADE), "plain");
         check("letters.txt");
     }
 
-    private void readLetters(ClusterSimulation cluster, String format)
+    private void collectRelayedMessages(ClusterSimulation cluster, String format)
             throws MalformedMessageException, IOException {
         cluster.users.submitUntil(DAY_MICROS);
         cluster.loop.after(DAY_MICROS / 3, () -> cluster.partition("a", "b", DAY_MICROS));
         while (cluster.loop.step(DAY_MICROS)) {
             for (int node = 0; node < ClusterSimulation.NODES; node++) {
                 for (int slot = 0; slot < SLOTS; slot++) {
-                    letter(
+                    addMessage(
                             format,
                             cluster.stored("mail/" + ClusterSimulation.label(node) + "/" + slot));
                 }
@@ -49,28 +49,28 @@
         }
     }
 
-    private void letter(String format, Map<String, Object> letter)
+    private void addMessage(String format, Map<String, Object> message)
             throws MalformedMessageException, IOException {
-        if (letter == null) {
+        if (message == null) {
             return;
         }
         for (String items : List.of("reports", "answers")) {
             Object list =
-                    letter.containsKey("packed-" + items)
-                            ? unpack((String) letter.get("packed-" + items))
-                            : letter.get(items);
+                    message.containsKey("packed-" + items)
+                            ? unpack((String) message.get("packed-" + items))
+                            : message.get(items);
             if (list instanceof List<?> all) {
                 all.stream()
                         .map(item -> (List<?>) item)
                         .filter(StoredValuesGoldenTest::showsTasks)
                         .findFirst()
-                        .ifPresent(item -> addShapes(format + " " + items, letter, item));
+                        .ifPresent(item -> addShapes(format + " " + items, message, item));
             }
         }
     }
 
-    private void addShapes(String name, Map<String, Object> letter, List<?> item) {
-        shapes.putIfAbsent(name, ValueShape.of(letter));
+    private void addShapes(String name, Map<String, Object> message, List<?> item) {
+        shapes.putIfAbsent(name, ValueShape.of(message));
         shapes.putIfAbsent(name + ", one", ValueShape.ofEach(item));
     }
 
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void leaderTermVersionsAndRolloutAreAsRecorded() {
+    void leaderTermVersionAndRolloutValuesMatchGoldenShapes() {
         ClusterSimulation cluster = new ClusterSimulation(1, Scenario.UPGRADE);
         cluster.users.submitUntil(DAY_MICROS);
         cluster.upgradeNodes(DAY_MICROS);
--- a/src/test/java/org/woadloom/store/RequestSchedulerTest.java
+++ b/src/test/java/org/woadloom/store/RequestSchedulerTest.java
@@ -33,7 +33,7 @@
         List<RequestPriority> sent = new ArrayList<>();
         long until = now + micros;
         while (now < until) {
-            RequestScheduler.Turn<RequestPriority> turn = scheduler.next(now, false, 0);
+            RequestScheduler.Decision<RequestPriority> turn = scheduler.next(now, false, 0);
             if (turn.request() != null) {
                 sent.add(turn.request());
             } else {
@@ -50,13 +50,13 @@
     }
 
     @Test
-    void controlGoesFirstAlsoWhereTheRateIsUsedUp() {
+    void controlRequestsAreSentFirstWhenTheRateIsExhausted() {
         add(RequestPriority.USER, 4_000, 1);
         sentWithin(5 * SECOND);
         add(RequestPriority.CONTROL, 1, 2);
         add(RequestPriority.CONTROL, 1, 0);
-        RequestScheduler.Turn<RequestPriority> first = scheduler.next(now, true, SECOND);
-        RequestScheduler.Turn<RequestPriority> second = scheduler.next(now, true, SECOND);
+        RequestScheduler.Decision<RequestPriority> first = scheduler.next(now, true, SECOND);
+        RequestScheduler.Decision<RequestPriority> second = scheduler.next(now, true, SECOND);
         assertEquals(
                 List.of(RequestPriority.CONTROL, RequestPriority.CONTROL),
                 List.of(first.request(), second.request()));
@@ -64,14 +64,14 @@
 
     /** The reserve is bounded: a fault that asks without end stays below the store's rate. */
     @Test
-    void controlPaysForWhatItTakes() {
+    void controlRequestsStayWithinTheRateAndTheirReserve() {
         add(RequestPriority.CONTROL, 1_000, 1);
         int sent = sentWithin(5 * SECOND).size();
         assertTrue(sent >= 5 * 40 && sent <= 6 * 40 + 5, sent + " were sent");
     }
 
     @Test
-    void usersWaitForNothingElseWhileTheyAreFew() {
+    void fewUserRequestsAreSentBeforeABacklogOfUrgentOnes() {
         add(RequestPriority.URGENT, 500, 1);
         sentWithin(3 * SECOND);
         add(RequestPriority.USER, 10, 1);
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void aBacklogOfUsersLeavesTheOthersTheirShares() {
+    void backloggedSharesDivideTheRateByWeight() {
         add(RequestPriority.USER, 4_000, 1);
         add(RequestPriority.URGENT, 4_000, 1);
         add(RequestPriority.NORMAL, 4_000, 1);
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void whatOneShareLeavesIsTheOthers() {
+    void singleActiveShareGetsTheWholeRate() {
         add(RequestPriority.BACKGROUND, 4_000, 1);
         int sent = sentWithin(10 * SECOND).size();
         assertTrue(sent >= 10 * 40, sent + " were sent");
@@ -105,7 +105,7 @@
      * for ever.
      */
     @Test
-    void aLargeChangeComesToItsTurn() {
+    void largeChangeLetsReadsPassButIsNotStarvedBySmallChanges() {
         add(RequestPriority.URGENT, 10, 40);
         sentWithin(1_000);
         add(RequestPriority.NORMAL, 1, 0);
@@ -116,7 +116,7 @@
 
     /** A cancellation frees what others wait for. */
     @Test
-    void cancellationsGoBeforeSubmissions() {
+    void cancellationsAreSentBeforeOtherUserRequests() {
         add(RequestPriority.USER, 1_000, 1);
         sentWithin(SECOND);
         add(RequestPriority.CANCELLATION, 10, 1);
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void theEstimateIsWhatIsWaitedFor() {
+    void estimatedWaitMatchesTheActualWait() {
         add(RequestPriority.URGENT, 4_000, 1);
         add(RequestPriority.USER, 100, 1);
         sentWithin(2 * SECOND);
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void whatWasTakenOutIsNotSent() {
+    void removedRequestsAreNotSent() {
         add(RequestPriority.USER, 3, 1);
         assertTrue(scheduler.remove(RequestPriority.USER, RequestPriority.USER, 1));
         assertEquals(List.of(), sentWithin(SECOND));
@@ -151,7 +151,7 @@
 
     /** A full queue refuses more, and refuses nobody else. */
     @Test
-    void aFullQueueRefuses() {
+    void fullQueueRefusesOnlyItsOwnShare() {
         int added = 0;
         while (added < 100_000
                 && scheduler.add(RequestPriority.NORMAL, RequestPriority.NORMAL, 0)) {
--- a/src/test/java/org/woadloom/store/StoreLimitsTest.java
+++ b/src/test/java/org/woadloom/store/StoreLimitsTest.java
@@ -7,12 +7,13 @@
 import org.woadloom.settings.ServiceSettings;
 
 class StoreLimitsTest {
-    private static final ServiceSettings.Store NEXT =
+    private static final ServiceSettings.Store ANNOUNCED =
             new ServiceSettings.Store(250, 70, 2_048, 5, null);
 
     @Test
-    void theAnnouncedLimitsHoldFromTheStartForWhatIsNew() {
-        StoreLimits limits = new StoreLimits(new ServiceSettings.Store(250, 100, 16_384, 16, NEXT));
+    void announcedSizeLimitsApplyBeforeAnyRefusal() {
+        StoreLimits limits =
+                new StoreLimits(new ServiceSettings.Store(250, 100, 16_384, 16, ANNOUNCED));
         assertEquals(2_048, limits.maxValueBytes());
         assertEquals(5, limits.maxTransactionChanges());
         assertEquals(
@@ -28,7 +29,7 @@
      * everything away.
      */
     @Test
-    void otherLimitsAreLearned() {
+    void unannouncedSizeLimitsAreLearnedFromRefusals() {
         StoreLimits limits = new StoreLimits(new ServiceSettings.Store(250, 100, 16_384, 16, null));
         limits.onValueRefused(9_000);
         assertEquals(8_999, limits.maxValueBytes());
@@ -44,8 +45,9 @@
     }
 
     @Test
-    void ratesFallAtOnceAndComeBackSlowly() {
-        StoreLimits limits = new StoreLimits(new ServiceSettings.Store(250, 100, 16_384, 16, NEXT));
+    void rateDropsAtOnceAfterARefusalAndRecoversSlowly() {
+        StoreLimits limits =
+                new StoreLimits(new ServiceSettings.Store(250, 100, 16_384, 16, ANNOUNCED));
         assertEquals(100, limits.writeRate(1_000_000), 1e-9);
         limits.onRateExceeded(1_000_000, 3);
         assertEquals(70, limits.writeRate(1_000_000), 1e-9);
--- a/src/test/java/org/woadloom/store/StoredFormsGoldenTest.java
+++ b/src/test/java/org/woadloom/store/StoredRecordsGoldenTest.java
@@ -20,14 +20,15 @@
  * Every stored record with every field, byte by byte, and read back from the bytes that were
  * recorded.
  */
-class StoredFormsGoldenTest {
+class StoredRecordsGoldenTest {
     private static final String FILE = "stored-records.txt";
 
-    private interface Reader {
-        Map<String, Object> readAndWrite(Map<String, Object> map) throws MalformedMessageException;
+    private interface RoundTrip {
+        Map<String, Object> decodeAndEncode(Map<String, Object> map)
+                throws MalformedMessageException;
     }
 
-    private static Map<String, Object> description(List<String> awaits) {
+    private static Map<String, Object> description(List<String> dependencies) {
         Map<String, Object> job = new LinkedHashMap<>();
         job.put("uid", "j-000412");
         job.put("jobclass", "nightly");
@@ -49,34 +50,36 @@
         job.put("snapshotEveryS", 30.0);
         job.put("snapshotCostS", 2.0);
         job.put("dueS", 600.0);
-        job.put("awaits", awaits);
+        job.put("awaits", dependencies);
         return job;
     }
 
-    private static JobRecord job(List<String> awaits, long readyWallMicros)
+    private static JobRecord job(List<String> dependencies, long readyWallMicros)
             throws MalformedMessageException {
         BitSet done = new BitSet();
         done.set(0, 7);
         done.set(9);
-        BitSet one = new BitSet();
-        one.set(8);
-        BitSet more = new BitSet();
-        more.set(10, 20);
+        BitSet firstAttemptTasks = new BitSet();
+        firstAttemptTasks.set(8);
+        BitSet secondAttemptTasks = new BitSet();
+        secondAttemptTasks.set(10, 20);
         return new JobRecord(
-                JobDescription.parse(description(awaits)),
+                JobDescription.parse(description(dependencies)),
                 1_700_000_000_000_001L,
                 readyWallMicros,
                 false,
                 done,
                 List.of(
-                        new JobRecord.RecordedAttempt("host-000007", (5L << 32) + 3, one),
-                        new JobRecord.RecordedAttempt("host-000231", (5L << 32) + 4, more)),
+                        new JobRecord.RecordedAttempt(
+                                "host-000007", (5L << 32) + 3, firstAttemptTasks),
+                        new JobRecord.RecordedAttempt(
+                                "host-000231", (5L << 32) + 4, secondAttemptTasks)),
                 11,
                 5,
                 12);
     }
 
-    private static Map<String, Map<String, Object>> jobs() throws MalformedMessageException {
+    private static Map<String, Map<String, Object>> jobRecords() throws MalformedMessageException {
         Map<String, Map<String, Object>> all = new LinkedHashMap<>();
         all.put("job plain", job(List.of(), 0).toMap(RecordFormat.PLAIN));
         all.put(
@@ -93,7 +96,7 @@
         return all;
     }
 
-    private static Map<String, Map<String, Object>> others() {
+    private static Map<String, Map<String, Object>> otherRecords() {
         Map<String, Map<String, Object>> all = new LinkedHashMap<>();
         FinalRecord done = new FinalRecord("j-1", false, 40, 1_700_000_000_000_002L, true);
         all.put("final plain", done.toMap(RecordFormat.PLAIN));
@@ -169,7 +172,7 @@
         return all;
     }
 
-    private static Reader reader(String name) {
+    private static RoundTrip roundTripOf(String name) {
         if (name.startsWith("job")) {
             return map -> JobRecord.parse(map).toMap(JobRecord.formatOf(map));
         } else if (name.startsWith("final")) {
@@ -195,9 +198,9 @@
     }
 
     @Test
-    void recordsAreWrittenAndReadAsRecorded() throws MalformedMessageException, IOException {
-        Map<String, Map<String, Object>> all = jobs();
-        all.putAll(others());
+    void storedRecordsMatchGoldenBytesAndRoundTrip() throws MalformedMessageException, IOException {
+        Map<String, Map<String, Object>> all = jobRecords();
+        all.putAll(otherRecords());
         GoldenFile golden = new GoldenFile();
         all.forEach((name, map) -> golden.addBytes(name, Cbor.encode(map)));
         golden.check(FILE);
@@ -205,7 +208,7 @@
             byte[] recorded = GoldenFile.readBytes(FILE, name);
             assertArrayEquals(
                     recorded,
-                    Cbor.encode(reader(name).readAndWrite(Cbor.decodeMap(recorded))),
+                    Cbor.encode(roundTripOf(name).decodeAndEncode(Cbor.decodeMap(recorded))),
                     name);
         }
         JobRecord read = JobRecord.parse(Cbor.decodeMap(GoldenFile.readBytes(FILE, "job compact")));
@@ -214,7 +217,7 @@
     }
 
     @Test
-    void keysAreAsRecorded() {
+    void storeKeysMatchGoldenFile() {
         GoldenFile golden = new GoldenFile();
         golden.addText("leader", StoreKeys.LEADER);
         golden.addText("term", StoreKeys.TERM);
--- a/src/test/java/org/woadloom/store/ProductionFormatTest.java
+++ b/src/test/java/org/woadloom/store/Version1FormatTest.java
@@ -27,7 +27,7 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /** Version 1 and this one read each other's bytes, as long as version 1 may run anywhere. */
-class ProductionFormatTest {
+class Version1FormatTest {
     /** The message that each sampled frame holds, by the name that version 1 had for it. */
     private static final Map<String, Class<? extends PeerMessage>> TYPES_BY_SAMPLE =
             Map.of(
@@ -44,7 +44,7 @@
 
     private static Map<String, byte[]> samples() throws IOException {
         Map<String, byte[]> samples = new LinkedHashMap<>();
-        try (var in = ProductionFormatTest.class.getResourceAsStream("/production/samples.txt")) {
+        try (var in = Version1FormatTest.class.getResourceAsStream("/production/samples.txt")) {
             for (String line :
                     new String(in.readAllBytes(), StandardCharsets.US_ASCII).split("\n")) {
                 int colon = line.indexOf(": ");
@@ -58,7 +58,7 @@
 
     /** A job that waits for no other is stored byte for byte as before. */
     @Test
-    void whatVersion1WroteIsReadAndWrittenTheSame() throws IOException, MalformedMessageException {
+    void version1RecordsReencodeToTheSameBytes() throws IOException, MalformedMessageException {
         int jobs = 0;
         for (Map.Entry<String, byte[]> sample : samples().entrySet()) {
             String kind = sample.getKey().split(" ")[0];
@@ -66,7 +66,7 @@
                 continue;
             }
             Map<String, Object> map = Cbor.decodeMap(sample.getValue());
-            Map<String, Object> retry =
+            Map<String, Object> reencoded =
                     switch (kind) {
                         case "job" -> JobRecord.parse(map).toMap(RecordFormat.PLAIN);
                         case "final" -> FinalRecord.parse("j-1", map).toMap(RecordFormat.PLAIN);
@@ -79,15 +79,15 @@
                                                 .toList());
                         default -> map;
                     };
-            assertArrayEquals(sample.getValue(), Cbor.encode(retry), sample.getKey());
+            assertArrayEquals(sample.getValue(), Cbor.encode(reencoded), sample.getKey());
             if (kind.equals("job")) {
                 jobs++;
-                assertEquals(map.get("placed"), Version1JobRecord.read(retry).get("placed"));
+                assertEquals(map.get("placed"), Version1JobRecord.read(reencoded).get("placed"));
                 JobRecord record = JobRecord.parse(map);
                 if (!record.cancelled()) {
                     assertEquals(
-                            sorted(record),
-                            sorted(JobRecord.parse(record.toMap(RecordFormat.COMPACT))));
+                            sortAttempts(record),
+                            sortAttempts(JobRecord.parse(record.toMap(RecordFormat.COMPACT))));
                 }
                 Map<String, Object> cancelled =
                         record.withCancellation().toMap(RecordFormat.COMPACT);
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void peerFramesOfVersion1AreReadAndSentTheSame() throws IOException, PeerFormatException {
+    void version1PeerFramesReencodeToTheSameBytes() throws IOException, PeerFormatException {
         PeerCodec codec = new PeerCodec();
         int frames = 0;
         for (Map.Entry<String, byte[]> sample : samples().entrySet()) {
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void version1IsNeverGivenAJobThatWaits() throws MalformedMessageException {
+    void plainFormatRejectsJobsWithDependencies() throws MalformedMessageException {
         JobRecord record = JobRecord.accepted(JobDescription.parse(job(3, List.of("j-1"))), 5);
         assertThrows(IllegalStateException.class, () -> record.toMap(RecordFormat.PLAIN));
         Map<String, Object> compact = record.toMap(RecordFormat.COMPACT);
@@ -126,9 +126,9 @@
     }
 
     /** Which group of tasks comes first says nothing. */
-    private static JobRecord sorted(JobRecord record) {
-        List<JobRecord.RecordedAttempt> placed = new ArrayList<>(record.attempts());
-        placed.sort(
+    private static JobRecord sortAttempts(JobRecord record) {
+        List<JobRecord.RecordedAttempt> attempts = new ArrayList<>(record.attempts());
+        attempts.sort(
                 Comparator.comparing(JobRecord.RecordedAttempt::host)
                         .thenComparingLong(JobRecord.RecordedAttempt::attempt));
         return new JobRecord(
@@ -137,24 +137,24 @@
                 record.readyWallMicros(),
                 record.cancelled(),
                 record.completedTasks(),
-                placed,
+                attempts,
                 record.runningCount(),
                 record.term(),
                 record.writeSequence());
     }
 
-    private static Map<String, Object> job(int shards, List<String> awaits) {
+    private static Map<String, Object> job(int taskCount, List<String> dependencies) {
         Map<String, Object> job = new LinkedHashMap<>();
         job.put("uid", "j-700001");
         job.put("jobclass", "work");
         job.put("crew", "red");
         job.put("shape", "batch");
         job.put("rank", "low");
-        job.put("shards", (long) shards);
+        job.put("shards", (long) taskCount);
         job.put("vcpus", 1.0);
         job.put("ramGb", 2.0);
         job.put("bundle", "img");
-        job.put("awaits", awaits);
+        job.put("awaits", dependencies);
         return job;
     }
 
@@ -163,22 +163,24 @@
      * refused, never misread.
      */
     @Test
-    void compactRecordsKeepEverything() throws MalformedMessageException {
+    void compactFormatRoundTripsRandomRecordsAndRejectsCorruptText()
+            throws MalformedMessageException {
         Random random = new Random(11);
-        String[] names = {"host-%06d", "m%d", "a", "x-9-%d-b", "0%018d"};
+        String[] hostFormats = {"host-%06d", "m%d", "a", "x-9-%d-b", "0%018d"};
         for (int round = 0; round < 400; round++) {
-            int shards = 1 + random.nextInt(400);
-            int spread = 1 + random.nextInt(150);
+            int taskCount = 1 + random.nextInt(400);
+            int machineCount = 1 + random.nextInt(150);
             BitSet done = new BitSet();
-            done.set(0, random.nextInt(shards));
+            done.set(0, random.nextInt(taskCount));
             Map<String, JobRecord.RecordedAttempt> placed = new LinkedHashMap<>();
-            for (int i = 0; i < shards; i++) {
-                int luck = random.nextInt(4);
-                if (luck == 0) {
+            for (int i = 0; i < taskCount; i++) {
+                int outcome = random.nextInt(4);
+                if (outcome == 0) {
                     done.set(i);
-                } else if (luck > 1 && (!done.get(i) || random.nextInt(20) == 0)) {
-                    int at = random.nextInt(spread);
-                    String host = String.format(names[at % names.length], at * 13);
+                } else if (outcome > 1 && (!done.get(i) || random.nextInt(20) == 0)) {
+                    int machine = random.nextInt(machineCount);
+                    String host =
+                            String.format(hostFormats[machine % hostFormats.length], machine * 13);
                     long attempt = (random.nextLong(1, 5) << 32) + random.nextInt(3);
                     placed.computeIfAbsent(
                                     host + " " + attempt,
@@ -189,7 +191,7 @@
             }
             JobRecord record =
                     new JobRecord(
-                            JobDescription.parse(job(shards, List.of())),
+                            JobDescription.parse(job(taskCount, List.of())),
                             17,
                             random.nextInt(2),
                             false,
@@ -198,15 +200,15 @@
                             3,
                             4,
                             5);
-            JobRecord back =
+            JobRecord decoded =
                     JobRecord.parse(
                             Cbor.decodeMap(Cbor.encode(record.toMap(RecordFormat.COMPACT))));
-            assertEquals(sorted(record), sorted(back));
+            assertEquals(sortAttempts(record), sortAttempts(decoded));
             String text = (String) record.toMap(RecordFormat.COMPACT).get("progress");
-            char[] broken = text.toCharArray();
-            broken[random.nextInt(broken.length)] = "Aa0/*".charAt(random.nextInt(5));
+            char[] corrupted = text.toCharArray();
+            corrupted[random.nextInt(corrupted.length)] = "Aa0/*".charAt(random.nextInt(5));
             try {
-                TaskProgressCodec.decode(new String(broken), shards);
+                TaskProgressCodec.decode(new String(corrupted), taskCount);
             } catch (MalformedMessageException e) {
                 assertFalse(e.getMessage().isEmpty());
             }
--- a/src/test/java/org/woadloom/store/Version1JobRecord.java
+++ b/src/test/java/org/woadloom/store/Version1JobRecord.java
@@ -11,7 +11,7 @@
  * record again. The samples under {@code production/} were written by that version itself.
  */
 public final class Version1JobRecord {
-    private static final List<String> JOB =
+    private static final List<String> DESCRIPTION_FIELDS =
             List.of(
                     "uid",
                     "jobclass",
@@ -33,7 +33,7 @@
                     "snapshotEveryS",
                     "snapshotCostS",
                     "dueS");
-    private static final List<String> RECORD =
+    private static final List<String> RECORD_FIELDS =
             List.of("job", "at", "cancelled", "done", "placed", "running", "term", "version");
 
     private Version1JobRecord() {}
@@ -41,11 +41,12 @@
     /** The record as version 1 understands it, or an error where it can't read it. */
     public static Map<String, Object> read(Map<String, Object> value)
             throws MalformedMessageException {
-        Fields f = new Fields(value);
-        Map<String, Object> job = pick(Fields.of(value.get("job"), "job"), JOB);
-        long shards = new Fields(job).integer("shards");
-        ranges(f.list("done"), shards);
-        for (Object item : f.list("placed")) {
+        Fields fields = new Fields(value);
+        Map<String, Object> job =
+                copyFields(Fields.of(value.get("job"), "job"), DESCRIPTION_FIELDS);
+        long taskCount = new Fields(job).integer("shards");
+        checkRanges(fields.list("done"), taskCount);
+        for (Object item : fields.list("placed")) {
             if (!(item instanceof List<?> parts)
                     || parts.size() != 3
                     || !(parts.get(0) instanceof String)
@@ -53,18 +54,18 @@
                     || !(parts.get(2) instanceof List<?> tasks)) {
                 throw new MalformedMessageException("placed: expected host, attempt and tasks");
             }
-            ranges(tasks, shards);
+            checkRanges(tasks, taskCount);
         }
-        f.integer("at");
-        Map<String, Object> known = pick(f, RECORD);
+        fields.integer("at");
+        Map<String, Object> known = copyFields(fields, RECORD_FIELDS);
         known.put("job", job);
         return known;
     }
 
-    private static void ranges(List<?> list, long shards) throws MalformedMessageException {
+    private static void checkRanges(List<?> list, long taskCount) throws MalformedMessageException {
         List<Long> numbers = new ArrayList<>();
         for (Object item : list) {
-            if (!(item instanceof Long number) || number < 0 || number >= shards) {
+            if (!(item instanceof Long number) || number < 0 || number >= taskCount) {
                 throw new MalformedMessageException("ranges: expected pairs of task numbers");
             }
             numbers.add(number);
@@ -74,13 +75,13 @@
         }
     }
 
-    private static Map<String, Object> pick(Fields f, List<String> names) {
-        Map<String, Object> picked = new java.util.LinkedHashMap<>();
+    private static Map<String, Object> copyFields(Fields fields, List<String> names) {
+        Map<String, Object> copied = new java.util.LinkedHashMap<>();
         for (String name : names) {
-            if (f.has(name)) {
-                picked.put(name, f.raw(name));
+            if (fields.has(name)) {
+                copied.put(name, fields.raw(name));
             }
         }
-        return picked;
+        return copied;
     }
 }
