--- a/src/main/java/org/woadloom/metrics/NodeMetrics.java
+++ b/src/main/java/org/woadloom/metrics/NodeMetrics.java
@@ -17,14 +17,14 @@
 import org.woadloom.core.SchedulerAction;
 import org.woadloom.core.slo.ServiceLevelReport;
 
-/** The meters of one node. Belongs to the event loop. */
+/** The metrics of one node. Must only be used on the event loop. */
 public final class NodeMetrics {
-    /** A step of the scheduler that takes longer holds up everything else. */
+    /** A scheduler step longer than this delays all other work of the node noticeably. */
     private static final long LATE_STEP_MICROS = 250_000;
 
     private static final int SERVICE_UNAVAILABLE = 503;
 
-    /** What requests of agents are called; that one is refused is no sign of overload. */
+    /** Name of agents' requests in the metrics. A refusal of one is not a sign of overload. */
     private static final String HEARTBEAT = "report";
 
     private static final double MICROS_PER_SECOND = 1e6;
@@ -33,7 +33,10 @@
     private final MeterRegistry registry = new SimpleMeterRegistry();
     private final Timer steps = registry.timer("woadloom.core.step");
 
-    /** By request and status: to have the registry find a counter costs more than to count. */
+    /**
+     * Counters by request and status, because looking up a counter in the registry costs more than
+     * incrementing it.
+     */
     private final Map<String, Map<Integer, Counter>> httpAnswers = new HashMap<>();
 
     private final Counter heartbeatAnswers = registry.counter("woadloom.reports.answered");
@@ -44,9 +47,9 @@
     private final Counter deletions = registry.counter("woadloom.cloud.deletions");
 
     /**
-     * Counts the answer to a request of a user or an agent.
+     * Counts the response to a request of a user or an agent.
      *
-     * @param request the kind of request, as the meters name it
+     * @param request kind of request, as named in the metrics
      */
     public void recordResponse(String request, int status) {
         if (status == SERVICE_UNAVAILABLE && !request.equals(HEARTBEAT)) {
@@ -66,12 +69,15 @@
                 .increment();
     }
 
-    /** Users' requests that were refused and steps that were late, since the process started. */
+    /**
+     * Returns how many requests of users were refused and how many scheduler steps were late, since
+     * the process started.
+     */
     public long refusedOrLateCount() {
         return refusedOrLateCount;
     }
 
-    /** Counts a step of the scheduler by the time that it took. */
+    /** Records the duration of a scheduler step. */
     public void recordStep(long micros) {
         if (micros > LATE_STEP_MICROS) {
             refusedOrLateCount++;
@@ -79,12 +85,12 @@
         steps.record(micros, TimeUnit.MICROSECONDS);
     }
 
-    /** The time that all steps of the scheduler have taken, since the process started. */
+    /** Returns the total duration of all scheduler steps since the process started. */
     public double stepSeconds() {
         return steps.totalTime(TimeUnit.SECONDS);
     }
 
-    /** Counts an action that the scheduler has decided on. */
+    /** Counts an action decided by the scheduler. */
     public void recordAction(SchedulerAction action) {
         if (action instanceof SchedulerAction.AnswerHeartbeat) {
             heartbeatAnswers.increment();
@@ -103,8 +109,8 @@
     }
 
     /**
-     * The latest row of each team and class stands until the next; a node that leads no more keeps
-     * its last.
+     * Sets the gauges of a team and job class. They keep their values until the next report; a node
+     * that is no longer the leader keeps its last values.
      */
     private void setServiceLevels(ServiceLevelReport.Row row) {
         Tags tags = Tags.of("team", row.team(), "class", row.jobClass());
@@ -122,18 +128,18 @@
                 .set(value);
     }
 
-    /** Registers a value that is read whenever the meters are. */
+    /** Registers a gauge, which is evaluated whenever the metrics are read. */
     public <T> void gauge(String name, T source, ToDoubleFunction<T> value) {
         registry.gauge(name, source, value);
     }
 
-    /** The same for one of several values of that name, told apart by a tag. */
+    /** Registers one of several gauges with the same name, distinguished by a tag. */
     public <T> void gauge(
             String name, String tag, String tagValue, T source, ToDoubleFunction<T> value) {
         registry.gauge(name, Tags.of(tag, tagValue), source, value);
     }
 
-    /** All meters, by name and tags. */
+    /** Returns all metric values by name and tags. */
     public Map<String, Object> toMap() {
         Map<String, Object> map = new LinkedHashMap<>();
         for (Meter meter : registry.getMeters()) {
--- a/src/main/java/org/woadloom/metrics/package-info.java
+++ b/src/main/java/org/woadloom/metrics/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The meters of a node: {@link org.woadloom.metrics.NodeMetrics} counts answers, steps and actions,
- * and has gauges read from other parts. Depends on {@code core} for what is counted.
+ * Metrics of a node: {@link org.woadloom.metrics.NodeMetrics} counts responses, scheduler steps and
+ * actions, and evaluates gauges of other components. Depends on {@code core} for the counted types.
  */
 package org.woadloom.metrics;
--- a/src/main/java/org/woadloom/net/Addresses.java
+++ b/src/main/java/org/woadloom/net/Addresses.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 
-/** Parses addresses of the settings, such as 10.0.0.1:8080. */
+/** Parses addresses in the settings, such as 10.0.0.1:8080. */
 public final class Addresses {
     private Addresses() {}
 
--- a/src/main/java/org/woadloom/net/EventLoop.java
+++ b/src/main/java/org/woadloom/net/EventLoop.java
@@ -1,22 +1,23 @@
 package org.woadloom.net;
 
 /**
- * The one thread on which a node does everything, and its clocks. The service runs it on an XNIO
- * I/O thread, the tests in virtual time.
+ * The single thread on which a node runs all its work, and the node's clocks. The service runs it
+ * on an XNIO I/O thread; the tests run it in virtual time.
  */
 public interface EventLoop {
     /**
-     * The steady clock. It may run fast or slow by a little, and says nothing of the time of day.
+     * Returns the monotonic clock. Its rate may be slightly off, and it is unrelated to the wall
+     * clock.
      */
     long nowMicros();
 
-    /** The time of day, within the platform's bound of the truth. */
+    /** Returns the wall clock, which the platform keeps within a bounded error of the true time. */
     long wallMicros();
 
-    /** Runs the task soon, after what is running now. May be called from any thread. */
+    /** Runs the task as soon as possible after the current one. May be called from any thread. */
     void execute(Runnable task);
 
-    /** Runs the task once, after the delay, unless it is cancelled before. */
+    /** Runs the task once after the delay, unless it is cancelled. */
     Timer schedule(long delayMicros, Runnable task);
 
     /** A scheduled task. */
--- a/src/main/java/org/woadloom/net/HttpTransport.java
+++ b/src/main/java/org/woadloom/net/HttpTransport.java
@@ -1,18 +1,19 @@
 package org.woadloom.net;
 
-/** Sends requests to other hosts. Every request gets exactly one answer, on the loop. */
+/** Sends HTTP requests to other hosts. Every request gets exactly one answer, on the event loop. */
 public interface HttpTransport {
     /**
-     * The status given when no response came: the request may have been executed, or may be later.
+     * Status if no response was received: the request may have been executed, or may still be
+     * executed later.
      */
     int NO_RESPONSE = 0;
 
-    /** The status given when the request was certainly never sent. */
+    /** Status if the request was definitely never sent. */
     int NOT_SENT = -1;
 
     /**
-     * The answer to a request: an HTTP status with its body, or one of the two constants with an
-     * empty body.
+     * Receives the answer to a request: an HTTP status with its body, or {@link #NO_RESPONSE} or
+     * {@link #NOT_SENT} with an empty body.
      */
     @FunctionalInterface
     interface Callback {
@@ -23,8 +24,9 @@
      * Sends a request.
      *
      * @param address host and port
-     * @param body null for a request without one
-     * @param timeoutMicros after which the callback gets one of the two constants
+     * @param body null for a request without a body
+     * @param timeoutMicros time after which the callback gets {@link #NO_RESPONSE} or {@link
+     *     #NOT_SENT}
      */
     void request(
             String address,
--- a/src/main/java/org/woadloom/net/SocketBudget.java
+++ b/src/main/java/org/woadloom/net/SocketBudget.java
@@ -3,18 +3,17 @@
 import org.woadloom.settings.ServiceSettings;
 
 /**
- * How a node divides its sockets: what is left of {@code fd_limit} after its own needs is for
- * agents and users. All components are numbers of sockets.
+ * Division of a node's sockets: what remains of {@code fd_limit} after the node's own needs is
+ * available to agents and users. All components are numbers of sockets.
  *
  * @param processOverhead listeners, pollers and files of the process
- * @param peers connections with the other nodes, among them old ones that are about to close
- * @param store requests to the store and watches
+ * @param peers connections with other nodes, including old ones that are closing
+ * @param store requests and watches to the store
  * @param cloud requests to the cloud
- * @param directCommands commands to agents in flight at a time
- * @param idleConnections idle connections that are kept open
- * @param refusedConnections connections that are accepted only to be refused at once with a retry
- *     time
- * @param inbound agents and users
+ * @param directCommands concurrent commands sent directly to agents
+ * @param idleConnections idle outbound connections that are kept open
+ * @param refusedConnections connections accepted only to be refused immediately with a retry time
+ * @param inbound connections of agents and users
  */
 public record SocketBudget(
         int processOverhead,
@@ -29,7 +28,7 @@
     private static final int SOCKETS_PER_PEER = 4;
     private static final int UNIDENTIFIED_PEER_SOCKETS = 8;
 
-    /** At most 36 requests, most of which will get no answer any more, and the watches. */
+    /** Up to 36 requests in flight, most of which will never be answered, and the watches. */
     private static final int STORE_SOCKETS = 48;
 
     private static final int CLOUD_SOCKETS = 8;
@@ -38,15 +37,18 @@
     private static final double REFUSAL_SHARE = 0.02;
 
     /**
-     * With more than this share of its inbound connections in use a node closes some: the rest is
-     * for bursts and reconnections.
+     * Fraction of inbound connections in use above which a node closes some; the rest is reserved
+     * for bursts and reconnects.
      */
     private static final double HIGH_WATERMARK_SHARE = 0.85;
 
-    /** The share that agents may use as long as another node can serve the rest of them. */
+    /**
+     * Fraction of inbound connections that agents may use while another node can serve the
+     * remaining agents.
+     */
     private static final double AGENT_SHARE = 0.6;
 
-    /** Divides the sockets that the settings allow. */
+    /** Divides the sockets allowed by the settings. */
     public static SocketBudget of(ServiceSettings settings) {
         int total = settings.resources().fdLimit();
         int peers = settings.peers().size() * SOCKETS_PER_PEER + UNIDENTIFIED_PEER_SOCKETS;
@@ -66,25 +68,29 @@
                 Math.max(total / 2, total - ownNeeds));
     }
 
-    /** How many inbound connections may be open before some are closed. */
+    /** Returns the number of open inbound connections above which some are closed. */
     public int inboundHighWatermark() {
         return (int) (inbound * HIGH_WATERMARK_SHARE);
     }
 
     /**
-     * Whether the connection of an agent is closed with its answer. With more agents than sockets
-     * each holds one only for the moment of its heartbeat: first those that need nothing, then,
-     * with half of what is left above the comfortable level in use, all of them.
+     * Returns true if the connection of an agent is closed after its answer. If there are more
+     * agents than sockets, each agent holds a connection only for the duration of a heartbeat.
+     * Above the high watermark this applies to agents that have nothing to do, and halfway between
+     * the high watermark and the limit to all agents.
      *
-     * @param open how many connections of agents and users are open
-     * @param needsNothing whether the answer gives the agent nothing to do
+     * @param open number of open connections of agents and users
+     * @param needsNothing true if the answer contains no work for the agent
      */
     public boolean closesAgentConnection(int open, boolean needsNothing) {
         int level = needsNothing ? inboundHighWatermark() : (inboundHighWatermark() + inbound) / 2;
         return open > level;
     }
 
-    /** How many agents a node serves before it redirects others to another node. */
+    /**
+     * Returns the number of agents that a node serves before it redirects further ones to another
+     * node.
+     */
     public int maxAgents() {
         return (int) (inbound * AGENT_SHARE);
     }
--- a/src/main/java/org/woadloom/net/UndertowTransport.java
+++ b/src/main/java/org/woadloom/net/UndertowTransport.java
@@ -24,14 +24,14 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * Requests through Undertow's client, on the node's I/O thread, with a small pool of idle
- * connections per host.
+ * HTTP transport on Undertow's client. It runs on the node's I/O thread and keeps a small pool of
+ * idle connections per host.
  */
 public final class UndertowTransport implements HttpTransport {
     private static final int MAX_IDLE_PER_HOST = 8;
     private static final long MAX_IDLE_MICROS = 20_000_000;
 
-    /** How many idle connections are checked for their age after each request. */
+    /** Maximum number of idle connections that are checked for their age after each request. */
     private static final int MAX_EVICTIONS_PER_REQUEST = 2;
 
     private static final String CBOR = "application/cbor";
@@ -45,14 +45,17 @@
     private final HttpClientProvider provider = new HttpClientProvider();
     private final int maxIdleConnections;
 
-    /** Is read into before the bytes are appended to their response; shared, on one thread. */
+    /**
+     * Receives response bytes before they are appended to their response. Shared by all requests,
+     * which run on one thread.
+     */
     private final ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
 
     private final Map<String, ArrayDeque<IdleConnection>> idleByAddress = new HashMap<>();
 
     /**
-     * All idle connections, the longest idle first: agents are called by the hundred, and sockets
-     * are limited.
+     * All idle connections, longest idle first. Their total is limited because a node calls
+     * hundreds of agents while its sockets are limited.
      */
     private final LinkedHashSet<IdleConnection> idleByAge = new LinkedHashSet<>();
 
@@ -71,7 +74,7 @@
     }
 
     /**
-     * @param maxIdleConnections how many idle connections are kept, to all hosts together
+     * @param maxIdleConnections maximum number of idle connections, over all hosts
      */
     public UndertowTransport(
             EventLoop loop, XnioIoThread thread, ByteBufferPool buffers, int maxIdleConnections) {
@@ -120,12 +123,12 @@
                 OptionMap.EMPTY);
     }
 
-    /** How many connections are open, for requests in flight or idle. */
+    /** Returns the number of open connections, in use or idle. */
     public int openConnectionCount() {
         return inFlight + idleByAge.size();
     }
 
-    /** How many connections are open and idle. */
+    /** Returns the number of idle connections. */
     public int idleConnectionCount() {
         return idleByAge.size();
     }
@@ -174,7 +177,7 @@
         IoUtils.safeClose(candidate.connection);
     }
 
-    /** One request, until its callback is called. */
+    /** A request in flight, until its callback is called. */
     private final class Call {
         private final String address;
         private final String method;
--- a/src/main/java/org/woadloom/net/XnioEventLoop.java
+++ b/src/main/java/org/woadloom/net/XnioEventLoop.java
@@ -7,8 +7,8 @@
 import org.xnio.XnioIoThread;
 
 /**
- * The loop on XNIO's single I/O thread. The machine has a fifth of a core, so a second thread would
- * add switches and no speed.
+ * Event loop on XNIO's single I/O thread. A node runs on a fifth of a core, so a second thread
+ * would add context switches without adding throughput.
  */
 public final class XnioEventLoop implements EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(XnioEventLoop.class);
@@ -50,7 +50,8 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            // A fault in one task must not end the thread that carries the leases of every agent.
+            // A bug in one task must not terminate this thread, which renews the leases of all
+            // agents.
             LOG.error("event=loop_task_failed", e);
         }
     }
--- a/src/main/java/org/woadloom/net/package-info.java
+++ b/src/main/java/org/woadloom/net/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Transport: the event loop that everything runs on ({@link org.woadloom.net.EventLoop}), the HTTP
- * client ({@link org.woadloom.net.HttpTransport}), and the budget of sockets ({@link
- * org.woadloom.net.SocketBudget}). The interfaces are what the simulation in the tests replaces.
+ * Networking: the event loop that all work runs on ({@link org.woadloom.net.EventLoop}), the HTTP
+ * client ({@link org.woadloom.net.HttpTransport}), and the socket budget ({@link
+ * org.woadloom.net.SocketBudget}). The simulation in the tests replaces the interfaces.
  *
- * <p>Depends on {@code settings} alone.
+ * <p>Depends only on {@code settings}.
  */
 package org.woadloom.net;
--- a/src/main/java/org/woadloom/peer/PeerCodec.java
+++ b/src/main/java/org/woadloom/peer/PeerCodec.java
@@ -15,29 +15,32 @@
 import org.woadloom.core.delegation.PeerStatus;
 
 /**
- * Messages between nodes as Kryo writes them; only the registered classes can be read. Used by one
- * thread.
+ * Encodes and decodes messages between nodes with Kryo. Only registered classes can be decoded. Not
+ * thread-safe.
  */
 public final class PeerCodec {
-    /** The longest frame behind its length; a longer one ends the connection. */
+    /** Maximum frame size without the length prefix; a longer frame closes the connection. */
     static final int MAX_FRAME_BYTES = 256 * 1024;
 
-    /** One heartbeat or record: a body has 64 KiB at most, whatever the fleet. */
+    /**
+     * Maximum size of one heartbeat or record. The body of a request has 64 KiB at most, regardless
+     * of the fleet size.
+     */
     private static final int MAX_BYTE_ARRAY_LENGTH = 128 * 1024;
 
-    /** Far more features than any version knows. */
+    /** Maximum number of features in a list, far more than any release has. */
     private static final int MAX_FEATURES = 100;
 
     /**
-     * Twice what {@code ConfirmedCancellations} sends at most; with the longest ids a frame still
-     * holds that.
+     * Maximum number of job ids in a report: twice what {@code ConfirmedCancellations} sends. With
+     * the longest ids such a report still fits into a frame.
      */
     private static final int MAX_JOB_IDS = 4_000;
 
-    /** The smallest size of the buffer into which a message is written. */
+    /** Initial size of the buffer for encoding a message. */
     private static final int BUFFER_BYTES = 256;
 
-    // The numbers by which frames name their class. They never change, and none is used anew.
+    // Class ids in frames. They never change, and ids of removed messages are never reused.
     private static final int HELLO_ID = 10;
     private static final int PING_ID = 11;
     private static final int JOB_CHANGE_ID = 13;
@@ -50,7 +53,7 @@
 
     private final Kryo kryo = new Kryo();
 
-    /** Creates a codec that knows all messages of {@link PeerMessage}. */
+    /** Creates a codec for all messages of {@link PeerMessage}. */
     public PeerCodec() {
         kryo.setRegistrationRequired(true);
         kryo.setReferences(false);
@@ -116,7 +119,7 @@
     private static PeerMessage.Ping readPing(Input in) {
         long term = in.readLong();
         String leader = in.readString();
-        // Releases up to 3 send nothing more.
+        // Releases up to 3 do not send the rollout view.
         boolean isAtEnd = in.position() == in.limit();
         return new PeerMessage.Ping(term, leader, isAtEnd ? null : readRolloutView(in));
     }
@@ -270,7 +273,8 @@
     private static List<String> readStrings(Input in, int maxCount) {
         int count = in.readInt();
         if (count < 0 || count > maxCount) {
-            throw new KryoException("a list of " + count + " texts");
+            throw new KryoException(
+                    "string list of length " + count + ", expected 0 to " + maxCount);
         }
         List<String> strings = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -287,12 +291,13 @@
     private static byte[] readBytes(Input in) {
         int length = in.readInt();
         if (length < 0 || length > MAX_BYTE_ARRAY_LENGTH) {
-            throw new KryoException("a field of " + length + " bytes");
+            throw new KryoException(
+                    "byte array of length " + length + ", expected 0 to " + MAX_BYTE_ARRAY_LENGTH);
         }
         return in.readBytes(length);
     }
 
-    /** The frame of a message: its length, then what Kryo writes. */
+    /** Encodes a message as a frame: its length, then the Kryo encoding. */
     public byte[] encode(PeerMessage message) {
         Output out = new Output(BUFFER_BYTES, MAX_FRAME_BYTES);
         out.writeInt(0);
@@ -304,7 +309,7 @@
         return out.toBytes();
     }
 
-    /** Reads the message in a frame, without the frame's length. */
+    /** Decodes the message in a frame without its length prefix. */
     public PeerMessage decode(byte[] frame) throws PeerFormatException {
         try {
             Object message = kryo.readClassAndObject(new Input(frame));
@@ -312,8 +317,8 @@
                 return known;
             }
         } catch (KryoException | IllegalArgumentException | IndexOutOfBoundsException e) {
-            throw new PeerFormatException("not a message of a peer: " + e.getMessage());
+            throw new PeerFormatException("cannot decode peer message: " + e.getMessage());
         }
-        throw new PeerFormatException("not a message of a peer");
+        throw new PeerFormatException("frame of " + frame.length + " bytes is not a peer message");
     }
 }
--- a/src/main/java/org/woadloom/peer/PeerMessage.java
+++ b/src/main/java/org/woadloom/peer/PeerMessage.java
@@ -6,27 +6,30 @@
 import org.woadloom.core.delegation.LeaseDelegation;
 import org.woadloom.core.delegation.PeerStatus;
 
-/** A message between controller nodes. Losing one costs time and never safety. */
+/**
+ * A message between controller nodes. Losing a message may cause delays but never affects
+ * correctness.
+ */
 public sealed interface PeerMessage {
-    /** The first message on a connection: the label of the sender. */
+    /** The first message on a connection, with the label of the sending node. */
     record Hello(String label) implements PeerMessage {}
 
     /**
-     * SentRequest all the time, so that a silent partition is noticed, with the highest term that
-     * the sender knows and who leads in it (empty for nobody): a node that can't reach the store
-     * alone learns of a new leader that way. The view of the rollout follows at the end, where
-     * versions up to 3 read no further; null from those.
+     * Sent periodically to detect silent partitions. It contains the highest term known to the
+     * sender and the leader of that term (empty if there is none), so that a node that cannot reach
+     * the store still learns of a new leader. The rollout view is encoded last, because releases up
+     * to 3 do not read that far; it is null in a ping from such a release.
      */
     record Ping(long term, String leader, RolloutView rollout) implements PeerMessage {}
 
     /**
-     * What a node has read of the rollout, and what it can read itself: a node that can't reach the
-     * store learns it here.
+     * The rollout as known to the sender, and the features that the sender supports. A node that
+     * cannot reach the store learns the rollout state from this view.
      *
-     * @param recordNumber of the record that the sender has read
-     * @param enabledFeatures the features that are on by that record
-     * @param requiredFeatures the features that a process must know to serve
-     * @param supportedFeatures the features that the sender knows
+     * @param recordNumber number of the rollout record that the sender has read
+     * @param enabledFeatures features that are on according to that record
+     * @param requiredFeatures features that a process must support in order to serve
+     * @param supportedFeatures features that the sender supports
      */
     record RolloutView(
             long recordNumber,
@@ -34,21 +37,21 @@
             List<String> requiredFeatures,
             List<String> supportedFeatures) {}
 
-    /** A job's record, as CBOR, that this node has just made durable. */
+    /** A job record, as CBOR, that the sender has just written to the store. */
     record JobChangeNotification(byte[] record, long revision) implements PeerMessage {}
 
-    /** A heartbeat, forwarded to the leader for an agent that can't reach it. */
+    /** An agent's heartbeat, forwarded to the leader because the agent cannot reach it. */
     record ForwardedHeartbeat(long id, byte[] heartbeat) implements PeerMessage {}
 
     /** The leader's answer to a forwarded heartbeat. */
     record ForwardedAnswer(long id, int status, byte[] answer) implements PeerMessage {}
 
-    /** The sender's status. Only once every node runs version 3. */
+    /** The sender's status. Sent only when every node runs version 3 or later. */
     record StatusReport(PeerStatus status) implements PeerMessage {}
 
     /**
-     * The cancellations that the sender has confirmed to users, for the leader. Only while the
-     * feature of watermark reports is on.
+     * The cancellations that the sender has confirmed to users, sent to the leader. Sent only while
+     * the watermark reports feature is on.
      */
     record CancellationReport(WatermarkReport report) implements PeerMessage {}
 
--- a/src/main/java/org/woadloom/peer/SendQueue.java
+++ b/src/main/java/org/woadloom/peer/SendQueue.java
@@ -4,29 +4,32 @@
 import java.util.ArrayDeque;
 
 /**
- * Frames that wait to be written to one peer, bounded in number and in bytes; what it refuses is
- * counted.
+ * Frames waiting to be written to one peer. The queue is bounded in frames and in bytes, and counts
+ * refused frames.
  */
 final class SendQueue {
     /**
-     * Twice the largest fleet of about 4,000 machines: every heartbeat of it and its answer may
+     * Twice the largest fleet of about 4,000 machines, because every heartbeat and its answer may
      * pass through one peer.
      */
     static final int MAX_FRAMES = 8_192;
 
-    /** A heartbeat has some hundred bytes; a peer that reads nothing must not fill the heap. */
+    /** Limits the heap used for a peer that does not read. A heartbeat has a few hundred bytes. */
     static final int MAX_BYTES = 4 * 1024 * 1024;
 
     private final ArrayDeque<ByteBuffer> frames = new ArrayDeque<>();
     private int bytes;
     private long refusedCount;
 
-    /** True if the next frame would be refused. */
+    /** Returns true if the next frame would be refused. */
     boolean isFull() {
         return frames.size() >= MAX_FRAMES || bytes >= MAX_BYTES;
     }
 
-    /** Returns false, and counts it, where the queue is full. */
+    /**
+     * Appends a frame. If the queue is full, the frame is counted as refused and the method returns
+     * false.
+     */
     boolean add(byte[] frame) {
         if (isFull()) {
             refusedCount++;
@@ -41,7 +44,7 @@
         return frames.isEmpty();
     }
 
-    /** The frame that is to be written next, or null; it stays until it is removed. */
+    /** Returns the frame to write next, or null. It stays in the queue until it is removed. */
     ByteBuffer first() {
         return frames.peekFirst();
     }
@@ -55,7 +58,7 @@
         bytes = 0;
     }
 
-    /** How many frames were refused because the queue was full. */
+    /** Returns how many frames were refused because the queue was full. */
     long refusedCount() {
         return refusedCount;
     }
--- a/src/main/java/org/woadloom/peer/XnioPeerTransport.java
+++ b/src/main/java/org/woadloom/peer/XnioPeerTransport.java
@@ -24,8 +24,8 @@
 import org.xnio.conduits.ConduitStreamSourceChannel;
 
 /**
- * Peer connections over XNIO: each node opens one to every other for what it sends, and reads from
- * those that the others opened.
+ * Peer transport over XNIO. Each node opens a connection to every other node for sending, and
+ * receives on the connections that the others have opened.
  */
 public final class XnioPeerTransport implements PeerTransport {
     private static final Logger LOG = LoggerFactory.getLogger(XnioPeerTransport.class);
@@ -33,8 +33,8 @@
     private static final long CONNECT_TIMEOUT_MICROS = 2_000_000;
 
     /**
-     * InboundConnection connections, closing ones among them: their number doesn't grow with the
-     * fleet.
+     * Maximum number of inbound connections, including closing ones. Their number does not depend
+     * on the fleet size.
      */
     private static final int MAX_INBOUND = 16;
 
@@ -54,7 +54,7 @@
         this.settings = settings;
     }
 
-    /** Binds the peer port; a node that can't do that does not start. */
+    /** Binds the peer port. A node that cannot bind it does not start. */
     public void bind() throws IOException {
         AcceptingChannel<StreamConnection> server =
                 worker.createStreamConnectionServer(
@@ -93,14 +93,14 @@
     }
 
     /**
-     * Messages that were dropped because the queue to their peer was full, since the process
-     * started.
+     * Returns how many messages were dropped because the send queue of their peer was full, since
+     * the process started.
      */
     public long droppedMessageCount() {
         return outboundByLabel.values().stream().mapToLong(out -> out.queue.refusedCount()).sum();
     }
 
-    /** Connections with other nodes, in both directions. */
+    /** Returns the number of open connections with other nodes, in both directions. */
     public int openConnectionCount() {
         int count = inboundCount;
         for (OutboundConnection out : outboundByLabel.values()) {
@@ -125,7 +125,7 @@
         }
     }
 
-    /** A connection that another node opened. */
+    /** A connection opened by another node. */
     private final class InboundConnection {
         private final StreamConnection connection;
         private final FrameReader frames = new FrameReader();
@@ -167,18 +167,21 @@
         private void onMessage(PeerMessage message) throws PeerFormatException {
             if (message instanceof PeerMessage.Hello hello) {
                 if (settings.peer(hello.label()) == null) {
-                    throw new PeerFormatException("unknown peer " + hello.label());
+                    throw new PeerFormatException(
+                            String.format("Hello from unknown node \"%.40s\"", hello.label()));
                 }
                 senderLabel = hello.label();
             } else if (senderLabel == null) {
-                throw new PeerFormatException("a message before the greeting");
+                throw new PeerFormatException(
+                        message.getClass().getSimpleName()
+                                + " received, expected Hello as the first message");
             } else {
                 listener.onMessage(senderLabel, message);
             }
         }
     }
 
-    /** The connection to one peer, made again whenever it ends. */
+    /** The connection to one peer, reopened whenever it is lost. */
     private final class OutboundConnection {
         private final Peer peer;
         private final SendQueue queue = new SendQueue();
@@ -221,7 +224,8 @@
             }
             connection = opened;
             opened.getSinkChannel().setWriteListener(this::write);
-            // Nothing is sent back on this connection: what can be read is its end.
+            // The peer sends nothing on this connection, so it only becomes readable when the peer
+            // closes it.
             opened.getSourceChannel().setReadListener(channel -> detectClose(channel, attempt));
             opened.getSourceChannel().resumeReads();
             queue.clear();
--- a/src/main/java/org/woadloom/reads/CoalescingJobReader.java
+++ b/src/main/java/org/woadloom/reads/CoalescingJobReader.java
@@ -19,29 +19,32 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * Answers users who poll, from reads that they share. One <em>round</em>, a request for all that
- * has changed since the last one, serves everybody who asked before it was sent, however many jobs
- * they ask for. So each answer rests on a read that started after its query came, as if each had
- * been read by itself, and nobody is told anything older than what any node told before.
+ * Answers polling users from shared reads. A <em>round</em> is one request for all changes since
+ * the previous round; it answers every query that arrived before it was sent, for any number of
+ * jobs. Each answer is therefore based on a read that started after its query arrived, as if the
+ * job had been read individually, and no node ever reports a state older than one that any node has
+ * already reported.
  *
- * <p>A round that takes long would hold up everybody, so another one is started after a while, and
- * the first answer counts.
+ * <p>A slow round would delay all queries, so after a while another one is started, and the first
+ * answer counts.
  *
- * <p>Jobs that were asked for lately are kept ({@link RecentJobs}). After a gap between rounds all
- * of them are dropped, as the changes that were missed may be many, and all open jobs are read page
- * by page ({@link RecentJobsRefill}).
+ * <p>Recently queried jobs are cached ({@link RecentJobs}). After a gap between rounds the whole
+ * cache is dropped, because many changes may have been missed, and all open jobs are read again
+ * page by page ({@link RecentJobsRefill}).
  */
 public final class CoalescingJobReader {
     private static final Logger LOG = LoggerFactory.getLogger(CoalescingJobReader.class);
 
-    /** The share of the service's store requests that the rounds of all nodes together may take. */
+    /**
+     * Fraction of the service's store request rate that the rounds of all nodes together may use.
+     */
     private static final double REQUEST_SHARE = 0.1;
 
     private static final long MIN_ROUND_INTERVAL_MICROS = 100_000;
 
     /**
-     * So many changes are read at most after a gap, as all of them come in one answer and are on
-     * the heap together. It bounds how long a gap may be, and not how many jobs there are.
+     * Maximum number of changes read after a gap, because they arrive in a single answer and are on
+     * the heap at once. This limits the length of a gap, not the number of jobs.
      */
     private static final double MAX_CHANGES_PER_READ = 1_500;
 
@@ -50,21 +53,21 @@
     private static final int MAX_ROUNDS_IN_FLIGHT = 4;
 
     /**
-     * Users who poll wait 2 s: what would be read by key only after this comes too late for them.
+     * Polling users wait 2 s, so a read by key that has not been sent after this time is dropped.
      */
     private static final long QUERY_TIMEOUT_MICROS = 1_800_000;
 
-    /** In place of a revision while nothing that is kept is known to be true. */
+    /** Revision while nothing in the cache is known to be current. */
     private static final long UNKNOWN_REVISION = -1;
 
-    /** Earlier than any moment of the loop's clock, without overflow in differences. */
+    /** Earlier than any time of the loop's clock, but safe from overflow in subtractions. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
     /**
-     * What a user is told of a job.
+     * State of a job as reported to a user.
      *
      * @param status null for a job that was never accepted
-     * @param dependencies the jobs that it waits for
+     * @param dependencies ids of the jobs that it still waits for
      */
     public record JobView(JobStatus status, List<String> dependencies) {
         public static JobView of(JobLookup lookup) {
@@ -76,9 +79,9 @@
     }
 
     /**
-     * One query.
+     * A query for a job.
      *
-     * @param priority of the read by key that it may need
+     * @param priority priority of the read by key that the query may need
      */
     private record Query(
             long number,
@@ -88,9 +91,9 @@
             Consumer<QueryResult> callback) {}
 
     /**
-     * One round.
+     * A round of reading changes.
      *
-     * @param lastQueryNumber the number of the last query that it answers
+     * @param lastQueryNumber number of the last query that the round answers
      */
     private record Round(long lastQueryNumber, long startMicros) {}
 
@@ -101,37 +104,40 @@
     private final long roundIntervalMicros;
     private final long maxGapMicros;
 
-    /** The queries that are not answered, in the order of their numbers. */
+    /** Unanswered queries, ordered by number. */
     private final ArrayDeque<Query> queries = new ArrayDeque<>();
 
     private long lastQueryNumber;
 
-    /** The last query when a round last started: a round is in flight for all up to it. */
+    /**
+     * Number of the latest query when the latest round started: every query up to it is covered by
+     * a round.
+     */
     private long lastCoveredQueryNumber;
 
     private long lastRoundMicros = NEVER_MICROS;
     private int roundsInFlight;
 
-    /** The next attempt to start a round; null while there is none. */
+    /** Timer of the next attempt to start a round, or null. */
     private EventLoop.Timer roundTimer;
 
     private long roundTimerMicros;
 
     /**
-     * Changes with each gap: the changes that a round of an earlier generation reads leave out what
-     * was dropped since.
+     * Incremented at every gap. A round of an earlier generation does not contain the changes of
+     * jobs that were dropped since it started.
      */
     private long generation;
 
-    /** The store's revision as of which everything kept is true. */
+    /** Store revision at which all cached jobs are current. */
     private long revision = UNKNOWN_REVISION;
 
-    /** When the round started that gave the revision. */
+    /** Start time of the round that returned the revision. */
     private long revisionMicros;
 
     /**
-     * @param limits what the store accepts from all nodes
-     * @param nodeCount how many nodes there are
+     * @param limits the store's limits, shared by all nodes
+     * @param nodeCount number of nodes
      */
     public CoalescingJobReader(
             EventLoop loop,
@@ -151,15 +157,15 @@
                 Math.max(MIN_GAP_MICROS, (long) (MAX_CHANGES_PER_READ / limits.writeRps() * 1e6));
     }
 
-    /** Asks for a job; the answer is null if the store does not say. */
+    /** Reads a job. The answer is null if the store did not provide one. */
     public void read(String jobId, Consumer<JobView> callback) {
         query(RequestPriority.NORMAL, jobId, result -> callback.accept(result.viewOrNull()));
     }
 
     /**
-     * Asks for a job, and for the reason if there is no answer.
+     * Reads a job. The result contains the reason if there is no answer.
      *
-     * @param priority of a read by key, if the job has to be read by itself
+     * @param priority priority of the read by key, if the job has to be read individually
      */
     public void query(RequestPriority priority, String jobId, Consumer<QueryResult> callback) {
         JobLookup finalState = reader.cachedFinalState(jobId);
@@ -203,7 +209,7 @@
         return lastQueryNumber > lastCoveredQueryNumber;
     }
 
-    /** Starts a round if there are queries that none is for, or if the last one takes long. */
+    /** Starts a round if there are queries that no round covers, or if the latest round is slow. */
     private void startRound() {
         long now = loop.nowMicros();
         boolean isSlow = now - lastRoundMicros >= SLOW_ROUND_MICROS;
@@ -229,10 +235,11 @@
     }
 
     /**
-     * Lets users fail fast in an outage: a read of changes hangs then, a plain read does not.
+     * Makes queries fail fast in an outage, when the store leaves reads of changes unanswered but
+     * refuses plain reads.
      *
-     * @param onServed is run if the store answers
-     * @param onRefused is run if it does not, before the queries of the round are refused
+     * @param onServed run if the store answers
+     * @param onRefused run if it does not, before the queries of the round are refused
      */
     private void probeStore(Round round, Runnable onServed, Runnable onRefused) {
         store.get(
@@ -250,7 +257,7 @@
 
     private void readChanges(Round round) {
         if (revision == UNKNOWN_REVISION) {
-            // Another round found out that changes were missed while this one waited to start.
+            // Another round has detected missed changes while this one was waiting to start.
             restartAfterGap(round);
             return;
         }
@@ -270,14 +277,15 @@
     private void onChangesRead(
             Round round, Result result, List<Event> changes, long storeRevision) {
         if (result == Result.OK) {
-            // Where the answer to a later round came first, the changes that this one leaves out
-            // will not be read again.
+            // If a later round was answered first, changes after this round's revision have already
+            // been read and will not be read again, so this round's changes must not be cached for
+            // queried jobs.
             Set<String> queried = storeRevision >= revision ? queriedJobs(round) : Set.of();
             changes.forEach(change -> recentJobs.onChange(change, queried));
             advanceRevision(storeRevision, round);
             answerQueries(round);
         } else if (result == Result.NOT_FOUND) {
-            // The store keeps changes for a while only.
+            // The store has compacted the changes.
             roundsInFlight++;
             restartAfterGap(new Round(lastQueryNumber, loop.nowMicros()));
         } else {
@@ -285,7 +293,7 @@
         }
     }
 
-    /** Drops what is kept, as changes were missed, and reads the store's revision anew. */
+    /** Drops the cache because changes were missed, and reads the current store revision. */
     private void restartAfterGap(Round round) {
         if (revision != UNKNOWN_REVISION) {
             LOG.info(
@@ -297,15 +305,15 @@
             generation++;
         }
         long startGeneration = generation;
-        // The answer for a key that does not exist carries the store's revision.
+        // The answer for a missing key contains the store's revision.
         store.get(
                 RequestPriority.SHARED_READ,
                 StoreKeys.NEVER_WRITTEN,
                 (result, entry, storeRevision) -> {
                     roundsInFlight--;
                     if (startGeneration != generation || revision != UNKNOWN_REVISION) {
-                        // Another answer came first, and what happened between the two must still
-                        // be read.
+                        // Another answer came first and its revision is in use. Advancing to this
+                        // later revision would skip the changes between the two.
                         return;
                     }
                     if (result == Result.NOT_FOUND) {
--- a/src/main/java/org/woadloom/reads/JobLookup.java
+++ b/src/main/java/org/woadloom/reads/JobLookup.java
@@ -7,14 +7,14 @@
 import org.woadloom.store.RecordFormat;
 
 /**
- * What the store says of a job: one of {@code record}, {@code finalState} and {@code damaged} is
- * there, or none of them where the job is unknown.
+ * Result of reading a job from the store: exactly one of {@code record}, {@code finalState} and
+ * {@code unreadableStatus} is set, or none of them if the job is unknown.
  *
- * @param record the record of a job that is not over, or null
- * @param format the format of that record, or null
- * @param revision the revision of the record, readable or not; 0 without one
- * @param finalState the final state of a job that is over, or null
- * @param unreadableStatus the status that is told of a record that can't be read, or null
+ * @param record record of a job that has not ended, or null
+ * @param format format of that record, or null
+ * @param revision revision of the record, whether readable or not; 0 without a record
+ * @param finalState final state of a job that has ended, or null
+ * @param unreadableStatus status reported for a job whose record cannot be decoded, or null
  */
 public record JobLookup(
         JobRecord record,
@@ -22,7 +22,7 @@
         long revision,
         FinalRecord finalState,
         JobStatus unreadableStatus) {
-    /** In a job's record, in every format. */
+    /** Field of a job's record in every format. */
     private static final String CANCELLED_FIELD = "cancelled";
 
     static final JobLookup UNKNOWN = new JobLookup(null, null, 0, null, null);
@@ -36,8 +36,9 @@
     }
 
     /**
-     * A job with a record that can't be read. It was accepted and has no final state yet, and
-     * whether it was cancelled is in a field of its own; nothing else is known.
+     * Returns the lookup of a job whose record cannot be decoded. The job was accepted and has no
+     * final state yet. Whether it was cancelled is stored in a separate field; nothing else is
+     * known.
      */
     static JobLookup unreadable(String jobId, Map<String, Object> value, long revision) {
         boolean cancelled = value != null && Boolean.TRUE.equals(value.get(CANCELLED_FIELD));
@@ -49,7 +50,7 @@
                 JobStatus.withoutCounts(jobId, cancelled ? JobStatus.CANCELLED : JobStatus.QUEUED));
     }
 
-    /** The status that users are told; null for a job that was never accepted. */
+    /** Returns the status reported to users, null for a job that was never accepted. */
     public JobStatus status() {
         if (finalState != null) {
             return finalState.status();
@@ -57,7 +58,7 @@
         return record != null ? record.status() : unreadableStatus;
     }
 
-    /** False where that is not known. */
+    /** Returns true if the job is known to be a service. */
     public boolean isService() {
         return finalState != null
                 ? finalState.isService()
--- a/src/main/java/org/woadloom/reads/JobReader.java
+++ b/src/main/java/org/woadloom/reads/JobReader.java
@@ -16,15 +16,15 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * Reads one job by its keys. Only what never changes is cached: final states, and that a job was
+ * Reads single jobs by key. Caches only facts that never change: final states, and that a job was
  * accepted.
  */
 public final class JobReader {
     private static final Logger LOG = LoggerFactory.getLogger(JobReader.class);
 
     /**
-     * Jobs: the 12,000 open ones of 4,000 machines, and those that ended lately. What is evicted is
-     * read again when it is asked for.
+     * Number of cached jobs: enough for the 12,000 open jobs of 4,000 machines and recently ended
+     * jobs. Evicted entries are read again on demand.
      */
     private static final int MAX_CACHED = 20_000;
 
@@ -33,50 +33,57 @@
     private final Cache<String, FinalRecord> finalStates =
             Caffeine.newBuilder().maximumSize(MAX_CACHED).executor(Runnable::run).build();
 
-    /** The jobs that are known to be accepted, and whether each is a service. */
+    /** Jobs that are known to be accepted, and whether each of them is a service. */
     private final Cache<String, Boolean> acceptedJobs =
             Caffeine.newBuilder().maximumSize(MAX_CACHED).executor(Runnable::run).build();
 
     /**
-     * @param formatListener is notified of the format of each record that is read
+     * @param formatListener receives the format of every record that is read
      */
     public JobReader(StoreClient store, Consumer<RecordFormat> formatListener) {
         this.store = store;
         this.formatListener = formatListener;
     }
 
-    /** Notes that a job was accepted by this node. */
+    /** Records that this node has accepted a job. */
     public void onAccepted(String jobId, boolean isService) {
         acceptedJobs.put(jobId, isService);
     }
 
-    /** Whether an accepted job is a service; null for a job that is not known to be accepted. */
+    /**
+     * Returns whether an accepted job is a service, or null for a job that is not known to be
+     * accepted.
+     */
     public Boolean isAcceptedService(String jobId) {
         return acceptedJobs.getIfPresent(jobId);
     }
 
-    /** The job's final state if it was ever read here, or null. */
+    /** Returns the job's final state if this node has read it before, or null. */
     public JobLookup cachedFinalState(String jobId) {
         FinalRecord cached = finalStates.getIfPresent(jobId);
         return cached == null ? null : JobLookup.ofFinalState(cached);
     }
 
     /**
-     * Reads a job from the store, unless its final state is known; null if the store does not say.
+     * Reads a job from the store, unless its final state is cached. The result is null if the store
+     * did not provide an answer.
      */
     public void lookUp(String jobId, Consumer<JobLookup> consumer) {
         lookUp(jobId, StoreClient.NO_DEADLINE, consumer);
     }
 
-    /** The same; a request that has not been sent by the deadline is given up. */
+    /**
+     * Reads a job like {@link #lookUp(String, Consumer)}. A request that has not been sent by the
+     * deadline is dropped.
+     */
     public void lookUp(String jobId, long deadlineMicros, Consumer<JobLookup> consumer) {
         lookUp(RequestPriority.NORMAL, jobId, deadlineMicros, consumer);
     }
 
     /**
-     * The same with a priority among the other requests of this node to the store.
+     * Reads a job with the given request priority and deadline.
      *
-     * @param hasEnded whether the job is known to be over: then its final state is read first
+     * @param hasEnded true if the job is known to have ended; its final state is then read first
      */
     void lookUp(
             RequestPriority priority,
@@ -103,7 +110,7 @@
         }
     }
 
-    /** The same, with a priority among the other requests of this node to the store. */
+    /** Reads a job like {@link #lookUp(String, Consumer)}, with the given request priority. */
     public void lookUp(RequestPriority priority, String jobId, Consumer<JobLookup> consumer) {
         lookUp(priority, jobId, StoreClient.NO_DEADLINE, consumer);
     }
@@ -135,8 +142,8 @@
     }
 
     /**
-     * Reads a job's record alone; null if the store does not say or there is none, which does not
-     * say that there is no job.
+     * Reads only a job's record. The result is null if the store did not provide an answer or there
+     * is no record, so null does not mean that the job does not exist.
      */
     public void lookUpRecord(RequestPriority priority, String jobId, Consumer<JobLookup> consumer) {
         store.get(
@@ -150,8 +157,8 @@
     }
 
     /**
-     * A job moves from its record to its final state in one transaction, so this order of reading
-     * can't miss it.
+     * Reads a job's final state. A job moves from its record to its final state in one transaction,
+     * so reading the record first and the final state second cannot miss it.
      */
     private void lookUpFinalState(
             RequestPriority priority,
@@ -172,7 +179,7 @@
                 });
     }
 
-    /** Null for one that can't be read. */
+    /** Decodes a final state; returns null if it cannot be decoded. */
     private JobLookup parseFinalState(String jobId, Map<String, Object> value) {
         try {
             FinalRecord finalState = FinalRecord.parse(jobId, value);
@@ -184,7 +191,7 @@
         }
     }
 
-    /** Parses a job's record; null for one of a later version. */
+    /** Decodes a job's record. Returns null for a record in a format of a later release. */
     JobLookup parse(String jobId, Map<String, Object> value, long revision) {
         try {
             RecordFormat format = JobRecord.formatOf(value);
--- a/src/main/java/org/woadloom/reads/QueryRefusal.java
+++ b/src/main/java/org/woadloom/reads/QueryRefusal.java
@@ -1,17 +1,22 @@
 package org.woadloom.reads;
 
-/** Why a question about a job gets no answer now; its user asks again. */
+/** Reason for which a query for a job is refused. The user is expected to retry. */
 public enum QueryRefusal {
-    /** The read that all queries share was refused by the store, or not answered. */
+    /** The store refused the shared read or did not answer it. */
     STORE_UNAVAILABLE("store_unavailable", "the state service does not answer"),
-    /** The job had to be read by itself, and was not read while its user waited. */
+    /** The job had to be read individually, and the read did not end while the user was waiting. */
     READ_UNANSWERED("read_unanswered", "the job could not be read in time"),
-    /** The page with the job has not been read yet since changes were missed. */
-    REFILL_PENDING("refill_pending", "the jobs are being read"),
-    /** A cancellation is told only once the leader has it. */
+    /**
+     * The cache is being refilled after a gap, and the page containing the job has not been read
+     * yet.
+     */
+    REFILL_PENDING("refill_pending", "job states are being reloaded"),
+    /** A cancellation is only reported once the leader knows it. */
     CANCELLATION_UNCONFIRMED("cancellation_unconfirmed", "the cancellation can't be confirmed yet"),
-    /** The job's own cancellation is still to be written. */
-    DEPENDENCY_CANCELLED("dependency_cancelled", "a job before it is cancelled, and so it will be");
+    /** A dependency was cancelled, and this job's own cancellation has not been written yet. */
+    DEPENDENCY_CANCELLED(
+            "dependency_cancelled",
+            "a dependency was cancelled, and the cancellation of this job is pending");
 
     private final String key;
     private final String message;
@@ -21,12 +26,12 @@
         this.message = text;
     }
 
-    /** The name in log lines and metrics. */
+    /** Returns the name used in log lines and metrics. */
     public String key() {
         return key;
     }
 
-    /** What the user is told. */
+    /** Returns the error message for the user. */
     public String message() {
         return message;
     }
--- a/src/main/java/org/woadloom/reads/QueryResult.java
+++ b/src/main/java/org/woadloom/reads/QueryResult.java
@@ -2,15 +2,15 @@
 
 import org.woadloom.reads.CoalescingJobReader.JobView;
 
-/** What a query for a job came to. */
+/** Result of a query for a job. */
 public sealed interface QueryResult {
-    /** The job was read, or the store says that there is none. */
+    /** The job was read, or the store confirmed that it does not exist. */
     record Answered(JobView view) implements QueryResult {}
 
-    /** The store did not say. */
+    /** The query was refused. */
     record Refused(QueryRefusal reason) implements QueryResult {}
 
-    /** The view, or null where there is none. */
+    /** Returns the job view, or null if the query was refused. */
     default JobView viewOrNull() {
         return this instanceof Answered answered ? answered.view() : null;
     }
--- a/src/main/java/org/woadloom/reads/RecentJobs.java
+++ b/src/main/java/org/woadloom/reads/RecentJobs.java
@@ -17,17 +17,18 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * The jobs that were asked for lately, as of the last round of {@link CoalescingJobReader}, and the
- * reads by key of those that are not kept. Rounds bring changes in; after a gap in them everything
- * has to be cleared and refilled.
+ * Cache of recently queried jobs, current as of the latest round of {@link CoalescingJobReader},
+ * and the reads by key of jobs that are not cached. Rounds apply changes to it. After a gap between
+ * rounds it has to be cleared and refilled.
  */
 final class RecentJobs {
     /**
-     * Jobs: the 12,000 open ones of 4,000 machines, which are all polled at every node, and more.
+     * Number of cached jobs: the 12,000 open jobs of 4,000 machines, all of which are polled at
+     * every node, plus a margin.
      */
     private static final int MAX_CACHED = 16_000;
 
-    /** A job as of the last round: parsed already, or as the store gave it. */
+    /** A job as of the latest round. It is decoded on first use. */
     private static final class CachedJob {
         private Map<String, Object> unparsed;
         private long revision;
@@ -39,11 +40,14 @@
         }
     }
 
-    /** A job that is being read by key, for the first query or several. */
+    /** A read by key that is in flight, on behalf of one or more queries. */
     private static final class PendingRead {
         private final List<Consumer<QueryResult>> callbacks = new ArrayList<>();
 
-        /** The latest change that rounds have read since it started: the read may be older. */
+        /**
+         * The latest change that rounds have read since the read started; the result of the read
+         * may be older.
+         */
         private Event latestChange;
     }
 
@@ -51,8 +55,8 @@
     private final Cache<String, CachedJob> cachedJobs = newCache();
 
     /**
-     * Jobs whose record was removed: it never comes back, so only their final state is left to be
-     * read.
+     * Jobs whose record was removed, with the revision of the removal. A removed record never comes
+     * back, so only the final state remains to be read.
      */
     private final Cache<String, Long> endedJobs = newCache();
 
@@ -68,14 +72,17 @@
         return Caffeine.newBuilder().maximumSize(MAX_CACHED).executor(Runnable::run).build();
     }
 
-    /** Changes were missed: nothing that is kept, or being read, says how things stand now. */
+    /**
+     * Discards cached jobs and reads in flight, because changes were missed and none of them is
+     * known to be current.
+     */
     void clear() {
         cachedJobs.invalidateAll();
         pendingReads = new HashMap<>();
         refill.stop();
     }
 
-    /** Reads all open jobs; rounds have to bring in what changes from now on. */
+    /** Reads all open jobs. Rounds must supply the changes from now on. */
     void refill() {
         refill.start();
     }
@@ -99,8 +106,8 @@
     /**
      * Applies a change that a round has read.
      *
-     * @param queriedJobs the jobs for whose queries the round was: to them its changes are as good
-     *     as a read by key
+     * @param queriedJobs jobs whose queries the round answers; for them the change is as good as a
+     *     read by key
      */
     void onChange(Event change, Set<String> queriedJobs) {
         String jobId = change.key().substring(StoreKeys.JOB_PREFIX.length());
@@ -119,7 +126,7 @@
         }
         if (job != null && change.revision() > job.revision) {
             if (isRemoved) {
-                // Its final state has to be read.
+                // The final state has to be read by key.
                 cachedJobs.invalidate(jobId);
             } else {
                 job.unparsed = change.value();
@@ -135,17 +142,18 @@
     }
 
     /**
-     * Answers from what is kept, from a page that is awaited, or from a read by key.
+     * Answers a query from the cache, from a refill page that is still to be read, or from a read
+     * by key.
      *
-     * @param priority of a read by key
-     * @param deadlineMicros when a read that has not been sent yet is of no use any more
+     * @param priority priority of the read by key
+     * @param deadlineMicros time after which a read that has not been sent is no longer useful
      */
     void read(
             RequestPriority priority,
             String jobId,
             long deadlineMicros,
             Consumer<QueryResult> callback) {
-        // Its final state may have been read for another request since the query came.
+        // Another request may have read the final state since the query arrived.
         JobLookup finalState = reader.cachedFinalState(jobId);
         JobView view = finalState != null ? JobView.of(finalState) : cachedView(jobId);
         if (view != null) {
@@ -154,7 +162,8 @@
         }
         PendingRead read = pendingReads.get(jobId);
         if (read != null) {
-            // One that is in flight is as good: the rounds read what has changed since it started.
+            // A read in flight is current enough, because rounds supply the changes made since it
+            // started.
             read.callbacks.add(callback);
             return;
         }
--- a/src/main/java/org/woadloom/reads/RecentJobsRefill.java
+++ b/src/main/java/org/woadloom/reads/RecentJobsRefill.java
@@ -18,32 +18,31 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * Reads the records of all open jobs page by page, in the order of their keys, after the changes
- * since the last read were missed. Queries for jobs whose page has not been read yet wait for it,
- * each until its user has left: hundreds of jobs come with one request, and read one by one they
- * would take minutes.
+ * Reads the records of all open jobs page by page, in key order, after changes were missed. Queries
+ * for jobs whose page has not been read yet wait for it until their deadline: one request returns
+ * hundreds of jobs, while reading them individually would take minutes.
  */
 final class RecentJobsRefill {
     private static final Logger LOG = LoggerFactory.getLogger(RecentJobsRefill.class);
     private static final long RETRY_MICROS = 200_000;
     private static final long EXPIRY_CHECK_MICROS = 100_000;
 
-    /** Receives the records that were read. */
+    /** Receives the records that are read. */
     interface RecordListener {
         /**
-         * A job's record was read.
+         * Called for each record that was read.
          *
-         * @param latestChange the latest change of the job that was seen since the page was asked
-         *     for, or null: the record may be older
+         * @param latestChange the latest change of the job seen since the page was requested, or
+         *     null; the record may be older than the change
          */
         void onRecord(String jobId, Entry entry, Event latestChange);
     }
 
     /**
-     * A query that waits for its job's page.
+     * A query that waits for the page containing its job.
      *
-     * @param onRead is run when the page has been read
-     * @param onExpired is run if that has not happened by the deadline
+     * @param onRead run when the page has been read
+     * @param onExpired run if the page has not been read by the deadline
      */
     private record WaitingQuery(long deadlineMicros, Runnable onRead, Runnable onExpired) {}
 
@@ -53,10 +52,10 @@
         private int pages;
         private int jobs;
 
-        /** The last key that was read, null before the first page. */
+        /** Last key that was read, null before the first page. */
         private String lastKey;
 
-        /** The latest change of each job since the page in flight was asked for. */
+        /** Latest change of each job since the page in flight was requested. */
         private final Map<String, Event> changes = new HashMap<>();
 
         Pass(long startMicros) {
@@ -70,7 +69,7 @@
     private final TreeMap<String, List<WaitingQuery>> waitingQueries = new TreeMap<>();
     private boolean isExpiryScheduled;
 
-    /** Null while none is under way. */
+    /** The current pass, or null. */
     private Pass pass;
 
     RecentJobsRefill(EventLoop loop, StoreClient store, RecordListener recordListener) {
@@ -79,24 +78,29 @@
         this.recordListener = recordListener;
     }
 
-    /** Starts from the first page; whoever waits goes on waiting. */
+    /** Starts a pass at the first page. Queries that are already waiting keep waiting. */
     void start() {
         pass = new Pass(loop.nowMicros());
         readPage(pass);
     }
 
-    /** Drops what is under way, as changes were missed; whoever waits does so for the next pass. */
+    /**
+     * Aborts the current pass because changes were missed. Waiting queries wait for the next pass.
+     */
     void stop() {
         pass = null;
     }
 
-    /** Whether the job's page is still to be read. */
+    /** Returns true if the page containing the job has not been read yet. */
     boolean isPagePending(String jobId) {
         return pass != null
                 && (pass.lastKey == null || StoreKeys.job(jobId).compareTo(pass.lastKey) > 0);
     }
 
-    /** Runs one of the two when the job's page has been read, or at the deadline. */
+    /**
+     * Runs {@code onRead} when the page containing the job has been read, or {@code onExpired} at
+     * the deadline.
+     */
     void awaitPage(String jobId, long deadlineMicros, Runnable onRead, Runnable onExpired) {
         waitingQueries
                 .computeIfAbsent(StoreKeys.job(jobId), key -> new ArrayList<>())
@@ -104,7 +108,7 @@
         scheduleExpiry();
     }
 
-    /** Notes a change that a round has read. */
+    /** Records a change that a round has read. */
     void onChange(String jobId, Event change) {
         if (pass != null) {
             pass.changes.merge(jobId, change, RecentJobsRefill::laterOf);
--- a/src/main/java/org/woadloom/reads/UnansweredQueries.java
+++ b/src/main/java/org/woadloom/reads/UnansweredQueries.java
@@ -10,27 +10,27 @@
 import org.woadloom.net.EventLoop;
 
 /**
- * Keeps for how long each job has been queried on this node in vain while the store answered other
- * queries. A fault may hit the same job time and again; to its users a job that is never answered
- * for is as good as lost. So its queries get priority after a while, and the log and a metric name
- * it.
+ * Tracks how long queries for each job have been refused on this node although the store answered
+ * other queries. A fault may affect the same job repeatedly, and its users cannot tell an
+ * unanswered job from a lost one. Queries for such a job therefore get a higher priority after a
+ * while, and the job appears in the log and in a metric.
  */
 public final class UnansweredQueries {
     private static final Logger LOG = LoggerFactory.getLogger(UnansweredQueries.class);
 
-    /** A job that went without an answer for so long is read by itself. */
+    /** Time without an answer after which the job is read individually with priority. */
     private static final long PRIORITY_AFTER_MICROS = 10_000_000;
 
     private static final long WARN_AFTER_MICROS = 20_000_000;
     private static final long WARN_INTERVAL_MICROS = 20_000_000;
 
-    /** Users poll every five seconds or so: a job that nobody polls for any more is dropped. */
+    /** Users poll about every 5 s; a job that is no longer polled is dropped. */
     private static final long EXPIRY_SECONDS = 30;
 
-    /** Earlier than any moment of the loop's clock, without overflow in differences. */
+    /** Earlier than any time of the loop's clock, but safe from overflow in subtractions. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
-    /** The 12,000 open jobs of 4,000 machines, and more: one that is evicted is timed anew. */
+    /** The 12,000 open jobs of 4,000 machines plus a margin; timing restarts for an evicted job. */
     private static final int MAX_JOBS = 16_000;
 
     private final EventLoop loop;
@@ -49,16 +49,16 @@
                         .build();
     }
 
-    /** Notes that a query for the job was answered. */
+    /** Records that a query for the job was answered. */
     public void onAnswered(String jobId) {
         firstRefusalMicros.invalidate(jobId);
     }
 
     /**
-     * Notes that a query for the job could not be answered.
+     * Records that a query for the job was refused.
      *
-     * @param isStoreServing whether the store answers others meanwhile: during an outage nothing
-     *     counts towards the job's time
+     * @param isStoreServing true if the store currently answers other queries; time during an
+     *     outage does not count
      */
     public void onRefused(String jobId, QueryRefusal reason, boolean isStoreServing) {
         refusalCounts.merge(reason, 1L, Long::sum);
@@ -79,18 +79,18 @@
         }
     }
 
-    /** How many queries were refused for the reason, since the process started. */
+    /** Returns how many queries were refused for the given reason since the process started. */
     public long refusalCount(QueryRefusal reason) {
         return refusalCounts.getOrDefault(reason, 0L);
     }
 
-    /** Whether queries for the job go before others. */
+    /** Returns true if queries for the job are sent before others. */
     public boolean hasPriority(String jobId) {
         Long start = firstRefusalMicros.getIfPresent(jobId);
         return start != null && loop.nowMicros() - start >= PRIORITY_AFTER_MICROS;
     }
 
-    /** The longest time for which a job has gone without an answer. */
+    /** Returns the longest time for which any job has gone without an answer. */
     public long longestUnansweredMicros() {
         firstRefusalMicros.cleanUp();
         long now = loop.nowMicros();
--- a/src/main/java/org/woadloom/reads/package-info.java
+++ b/src/main/java/org/woadloom/reads/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Reads of jobs on behalf of users. {@link org.woadloom.reads.JobReader} reads one job by its keys;
- * {@link org.woadloom.reads.CoalescingJobReader} answers users who poll from reads that they share.
+ * Reads of jobs on behalf of users. {@link org.woadloom.reads.JobReader} reads single jobs by key;
+ * {@link org.woadloom.reads.CoalescingJobReader} answers polling users from shared reads.
  *
  * <p>Depends on {@code store}, {@code net}, {@code protocol} and {@code settings}.
  */
--- a/src/main/java/org/woadloom/store/FinalRecord.java
+++ b/src/main/java/org/woadloom/store/FinalRecord.java
@@ -7,11 +7,13 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * What is kept of a job for ever once it is over and none of its tasks can be on a machine. Version
- * 1 wrote neither when that was nor that the job was a service, and ignores both.
+ * Permanent record of a job that has ended and no longer has tasks on any machine.
  *
- * @param completedCount how many of its tasks were completed
- * @param endedWallMicros when it was over, by the time of day, 0 where that is not known
+ * <p>Version 1 does not write {@code endedWallMicros} and {@code isService} and ignores them on
+ * read.
+ *
+ * @param completedCount number of tasks that completed
+ * @param endedWallMicros wall-clock time at which the job ended, 0 if unknown
  */
 public record FinalRecord(
         String jobId,
@@ -27,7 +29,7 @@
     private static final String STATUS_CANCELLED = "cancelled";
     private static final String STATUS_DONE = "done";
 
-    /** What users are told of the job. */
+    /** Returns the status reported to users. */
     public JobStatus status() {
         return new JobStatus(jobId, statusText(), completedCount, 0);
     }
@@ -36,7 +38,7 @@
         return cancelled ? STATUS_CANCELLED : STATUS_DONE;
     }
 
-    /** The stored form. */
+    /** Encodes the record for the store. */
     public Map<String, Object> toMap(RecordFormat format) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put(STATUS, statusText());
@@ -50,7 +52,7 @@
         return map;
     }
 
-    /** Reads the stored form of either format. */
+    /** Decodes a stored record of either format. */
     public static FinalRecord parse(String jobId, Map<String, Object> map)
             throws MalformedMessageException {
         Fields fields = new Fields(map);
--- a/src/main/java/org/woadloom/store/InFlightRequests.java
+++ b/src/main/java/org/woadloom/store/InFlightRequests.java
@@ -2,17 +2,15 @@
 
 import java.util.ArrayDeque;
 
-/**
- * The requests that have been sent and have no answer yet, in the order in which they were sent.
- */
+/** Requests that were sent and are not answered yet, in sending order. */
 final class InFlightRequests {
     private final ArrayDeque<SentRequest> requests = new ArrayDeque<>();
     private long lastSentNumber;
 
-    /** The number of the last one sent of those that were answered. */
+    /** Highest number among the answered requests. Requests are numbered in sending order. */
     private long lastAnsweredNumber;
 
-    /** One request on its way. */
+    /** A request that was sent. */
     static final class SentRequest {
         private final long number;
         private final long sentMicros;
@@ -23,13 +21,13 @@
             this.sentMicros = sentMicros;
         }
 
-        /** True once it was answered or its time-out has passed. */
+        /** Returns true once the request was answered or has timed out. */
         boolean isAnswered() {
             return isAnswered;
         }
     }
 
-    /** Adds a request that is sent now. */
+    /** Registers a request that is sent now. */
     SentRequest add(long nowMicros) {
         lastSentNumber++;
         SentRequest request = new SentRequest(lastSentNumber, nowMicros);
@@ -38,9 +36,9 @@
     }
 
     /**
-     * Removes a request whose answer or time-out came.
+     * Removes a request that was answered or has timed out.
      *
-     * @param hasAnswer false for a time-out or a broken connection
+     * @param hasAnswer false for a timeout or a broken connection
      */
     void onAnswered(SentRequest request, boolean hasAnswer) {
         request.isAnswered = true;
@@ -50,17 +48,20 @@
         }
     }
 
-    /** True if a request that was sent later has been answered. */
+    /** Returns true if a request that was sent later has already been answered. */
     boolean isOvertaken(SentRequest request) {
         return request.number < lastAnsweredNumber;
     }
 
-    /** How many have no answer yet, the overtaken ones among them. */
+    /** Returns the number of unanswered requests, including overtaken ones. */
     int size() {
         return requests.size();
     }
 
-    /** How many may still be answered: those that were not overtaken long ago. */
+    /**
+     * Returns the number of requests whose answer is still expected, that is, without those that
+     * were overtaken and are older than {@link StoreRequestPolicy#OVERTAKEN_MICROS}.
+     */
     int expectedAnswerCount(long nowMicros) {
         int count = 0;
         for (SentRequest request : requests) {
--- a/src/main/java/org/woadloom/store/JobRecord.java
+++ b/src/main/java/org/woadloom/store/JobRecord.java
@@ -11,15 +11,16 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * The one durable record of a job that is not over, or that may still have tasks on machines.
+ * Durable record of a job that has not ended, or whose tasks may still be on machines.
  *
- * @param readyWallMicros when the last of its dependencies was done, 0 for a job that has none or
- *     still waits; once it is set, the description has no dependencies any more
- * @param completedTasks the tasks that are completed
- * @param runningCount how many tasks users are told to be running
- * @param term the term of the leader that wrote it, 0 for a user's submission
- * @param writeSequence which of that leader's writes this is, so that a write whose answer was lost
- *     can be recognised
+ * @param readyWallMicros wall-clock time at which the last dependency completed, 0 for a job
+ *     without dependencies or with pending ones; once it is set, the description lists no
+ *     dependencies
+ * @param completedTasks indexes of the completed tasks
+ * @param runningCount number of running tasks reported to users
+ * @param term term of the leader that wrote the record, 0 for a user's submission
+ * @param writeSequence sequence number of the write within the term; lets a leader recognize its
+ *     own write when the store's answer was lost
  */
 public record JobRecord(
         JobDescription description,
@@ -32,11 +33,11 @@
         long term,
         long writeSequence) {
 
-    /** The version of the compact format. */
+    /** Version number of the compact format. */
     private static final int COMPACT_FORMAT = 2;
 
-    // Stored names; "format" and "progress" are of the compact format, "done" and "placed" of the
-    // plain one.
+    // Stored field names. "format" and "progress" occur only in the compact format, "done" and
+    // "placed" only in the plain format.
     private static final String FORMAT_VERSION = "format";
     private static final String DESCRIPTION = "job";
     private static final String SUBMITTED_AT = "at";
@@ -49,18 +50,20 @@
     private static final String TERM = "term";
     private static final String VERSION = "version";
 
-    /** The field of the description that a cancelled job needs no more. */
+    /** Field of the description that is dropped from the record of a cancelled job. */
     private static final String DESCRIPTION_MACHINE_TYPES = "hosttypes";
 
-    /** The tasks that may be on a machine under one attempt number. */
+    /** Tasks that may be on one machine under the same attempt number. */
     public record RecordedAttempt(String host, long attempt, BitSet tasks) {}
 
-    /** The first record of a submitted job. */
+    /** Returns the initial record of a submitted job. */
     public static JobRecord accepted(JobDescription description, long wallMicros) {
         return new JobRecord(description, wallMicros, 0, false, new BitSet(), List.of(), 0, 0, 0);
     }
 
-    /** The record as a user's cancellation leaves it; the leader stops its tasks later. */
+    /**
+     * Returns the record after a user's cancellation. The leader stops the job's tasks afterwards.
+     */
     public JobRecord withCancellation() {
         return new JobRecord(
                 description,
@@ -74,20 +77,20 @@
                 writeSequence);
     }
 
-    /** True once all tasks are done; a service never is. */
+    /** Returns true once all tasks have completed. A service never completes. */
     public boolean isComplete() {
         return !description.isService() && completedTasks.cardinality() == description.taskCount();
     }
 
-    /** What users are told while this record stands. */
+    /** Returns the status reported to users as long as this record is in the store. */
     public JobStatus status() {
         return new JobStatus(
                 description.jobId(), statusText(), completedTasks.cardinality(), runningCount);
     }
 
     private String statusText() {
-        // A record is marked cancelled only while it is incomplete, and the confirmed status must
-        // stay.
+        // Checked first: a job can only be cancelled while it is incomplete, and once a
+        // cancellation has been confirmed to the user the status must not change to "done".
         if (cancelled) {
             return "cancelled";
         }
@@ -97,7 +100,7 @@
         return runningCount > 0 ? "running" : "queued";
     }
 
-    /** The stored form. */
+    /** Encodes the record for the store. */
     public Map<String, Object> toMap(RecordFormat format) {
         return format == RecordFormat.COMPACT ? toCompactMap() : toPlainMap();
     }
@@ -106,7 +109,8 @@
         Map<String, Object> job = description.toMap();
         job.values().removeIf(value -> value == null || Boolean.FALSE.equals(value));
         if (cancelled) {
-            // None of its tasks will be placed any more, and a cancellation must always fit.
+            // The machine types are only needed to place tasks, and a cancelled record must always
+            // fit into the value size limit.
             job.remove(DESCRIPTION_MACHINE_TYPES);
         }
         Map<String, Object> map = new LinkedHashMap<>();
@@ -126,11 +130,13 @@
         return map;
     }
 
-    /** As version 1 reads and writes it; it knows no dependencies. */
+    /** Encodes the format that version 1 reads and writes, which has no dependencies. */
     private Map<String, Object> toPlainMap() {
         if (!description.dependencies().isEmpty() || readyWallMicros != 0) {
             throw new IllegalStateException(
-                    "version 1 would start " + description.jobId() + " before its time");
+                    "job "
+                            + description.jobId()
+                            + " has or had dependencies, which the plain format cannot represent");
         }
         Map<String, Object> map = new LinkedHashMap<>();
         map.put(DESCRIPTION, description.toMap());
@@ -155,14 +161,17 @@
     }
 
     /**
-     * The format in which a record is stored: one that reads as compact was written after that had
-     * been decided.
+     * Returns the format of a stored record. A compact record shows that the cluster had already
+     * switched to the compact format.
      */
     public static RecordFormat formatOf(Map<String, Object> map) {
         return map.containsKey(FORMAT_VERSION) ? RecordFormat.COMPACT : RecordFormat.PLAIN;
     }
 
-    /** True for a record of a form that only later versions know: it is not damaged. */
+    /**
+     * Returns true for a record in a format of a later release, which must not be treated as
+     * damaged.
+     */
     public static boolean isOfLaterVersion(Map<String, Object> map) {
         return map != null
                 && map.get(FORMAT_VERSION) instanceof Long format
@@ -170,8 +179,9 @@
     }
 
     /**
-     * True for a record as the leader of the term wrote it, which knows it therefore. A user's
-     * cancellation keeps the term.
+     * Returns true for a record written by the leader of the given term, which that leader
+     * therefore already knows. A user's cancellation keeps the term of the record, so cancelled
+     * records are excluded.
      */
     public static boolean isWrittenInTerm(long term, Map<String, Object> map) {
         return map.get(TERM) instanceof Long written
@@ -179,12 +189,12 @@
                 && !map.containsKey(CANCELLED);
     }
 
-    /** Reads the stored form of either format. */
+    /** Decodes a stored record of either format. */
     @SuppressWarnings("unchecked") // Cbor decodes no keys but texts.
     public static JobRecord parse(Map<String, Object> map) throws MalformedMessageException {
         Fields fields = new Fields(map);
         if (!(map.get(DESCRIPTION) instanceof Map<?, ?> job)) {
-            throw new MalformedMessageException("job: expected a map");
+            throw new MalformedMessageException(DESCRIPTION + ": expected a map");
         }
         JobDescription description = JobDescription.parse((Map<String, Object>) job);
         TaskProgressCodec.Decoded progress =
@@ -205,8 +215,10 @@
 
     private static TaskProgressCodec.Decoded parseCompact(Fields fields, JobDescription description)
             throws MalformedMessageException {
-        if (fields.integer(FORMAT_VERSION) != COMPACT_FORMAT) {
-            throw new MalformedMessageException("format: a later version's");
+        long format = fields.integer(FORMAT_VERSION);
+        if (format != COMPACT_FORMAT) {
+            throw new MalformedMessageException(
+                    "format: version " + format + ", expected " + COMPACT_FORMAT);
         }
         return TaskProgressCodec.decode(fields.text(PROGRESS), description.taskCount());
     }
@@ -220,7 +232,8 @@
                     || !(parts.get(0) instanceof String host)
                     || !(parts.get(1) instanceof Long attempt)
                     || !(parts.get(2) instanceof List<?> tasks)) {
-                throw new MalformedMessageException("placed: expected host, attempt and tasks");
+                throw new MalformedMessageException(
+                        ATTEMPTS + ": expected lists of host, attempt and task ranges");
             }
             attempts.add(
                     new RecordedAttempt(
--- a/src/main/java/org/woadloom/store/MachineRecord.java
+++ b/src/main/java/org/woadloom/store/MachineRecord.java
@@ -6,11 +6,11 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * What a new leader must know of a machine before its first heartbeat.
+ * Durable record of a machine; a new leader loads it before the machine's first heartbeat arrives.
  *
- * @param decommissioning written before the deletion is requested from the cloud: that request may
- *     be executed late, so nothing may be placed there any more
- * @param lifecycle null where the record has none: earlier versions neither write nor read it
+ * @param decommissioning set before the cloud is asked to delete the machine. The cloud may execute
+ *     the deletion late, so no task may be placed on the machine from then on
+ * @param lifecycle null if the record has none; earlier versions neither write nor read it
  */
 public record MachineRecord(
         String host,
@@ -26,21 +26,24 @@
     private static final String RENTED_AT = "at";
     private static final String HAS_REPORTED = "up";
 
-    /** When the machine was rented, by the time of day, and whether its agent ever reported. */
+    /**
+     * Wall-clock time at which the machine was rented, and whether its agent has ever sent a
+     * heartbeat.
+     */
     public record Lifecycle(long rentedWallMicros, boolean hasReported) {}
 
-    /** A machine whose lifecycle is not known. */
+    /** Creates a record with an unknown lifecycle. */
     public MachineRecord(
             String host, String machineType, String zone, boolean spot, boolean decommissioning) {
         this(host, machineType, zone, spot, decommissioning, null);
     }
 
-    /** True for a stored record that has the machine's lifecycle. */
+    /** Returns true if the stored record contains the machine's lifecycle. */
     public static boolean hasLifecycle(Map<String, Object> map) {
         return map.containsKey(RENTED_AT);
     }
 
-    /** The stored form. */
+    /** Encodes the record for the store. */
     public Map<String, Object> toMap() {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put(MACHINE_TYPE, machineType);
@@ -58,7 +61,7 @@
         return map;
     }
 
-    /** Reads the stored form. */
+    /** Decodes a stored record. */
     public static MachineRecord parse(String host, Map<String, Object> map)
             throws MalformedMessageException {
         Fields fields = new Fields(map);
--- a/src/main/java/org/woadloom/store/NodeAnnouncement.java
+++ b/src/main/java/org/woadloom/store/NodeAnnouncement.java
@@ -9,17 +9,17 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * What a running process announces of itself. The key depends on a store lease that the process
- * renews, so it is deleted when the process has ended.
+ * Record that a running controller process publishes about itself. Its key is attached to a store
+ * lease that the process renews, so the store deletes the key after the process has stopped.
  *
- * @param processId tells this process from any other
- * @param supportedFeatures the features whose stored forms it reads
- * @param usableFeatures the features that it can act upon, by its program and its operators'
- *     settings
- * @param members the nodes that its settings name, itself among them
- * @param consecutiveStarts how many processes of this node started in a row, each within a minute
- *     of the one before
- * @param startedWallMicros when it started, by the time of day
+ * @param processId unique id of the process
+ * @param supportedFeatures features whose stored formats the process can read
+ * @param usableFeatures features that the process can use, according to its release and its
+ *     operator's settings
+ * @param members nodes listed in the process's settings, including its own
+ * @param consecutiveStarts number of starts of this node in a row, each within a minute of the
+ *     previous one
+ * @param startedWallMicros wall-clock time at which the process started
  */
 public record NodeAnnouncement(
         long processId,
@@ -35,14 +35,14 @@
     private static final String CONSECUTIVE_STARTS = "starts";
     private static final String SINCE = "at";
 
-    /** Copies and sorts the names. */
+    /** Copies and sorts the sets. */
     public NodeAnnouncement {
         supportedFeatures = new TreeSet<>(supportedFeatures);
         usableFeatures = new TreeSet<>(usableFeatures);
         members = new TreeSet<>(members);
     }
 
-    /** The stored form. */
+    /** Encodes the record for the store. */
     public Map<String, Object> toMap() {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put(PROCESS_ID, processId);
@@ -54,7 +54,7 @@
         return map;
     }
 
-    /** Reads the stored form. */
+    /** Decodes a stored record. */
     public static NodeAnnouncement parse(Map<String, Object> map) throws MalformedMessageException {
         Fields fields = new Fields(map);
         return new NodeAnnouncement(
--- a/src/main/java/org/woadloom/store/RateShare.java
+++ b/src/main/java/org/woadloom/store/RateShare.java
@@ -1,21 +1,20 @@
 package org.woadloom.store;
 
 /**
- * Who shares a node's part of the store's rates, and by which weights while all of them wait. What
- * a share does not use is the others'. Control requests have no weight: they go first, within a
- * reserve of their own.
+ * Request classes that share a node's part of the store's rate limits. While several classes have
+ * requests queued, the rate is divided by weight; what one class leaves unused goes to the others.
+ * Control requests belong to no class: they are sent first and have a reserve of their own.
  */
 public enum RateShare {
     /**
-     * Half of what is divided between users and the leader's urgent records: neither may starve the
-     * other.
+     * User requests. Same weight as the leader's urgent records, so that neither starves the other.
      */
     USERS(8, false),
-    /** Starts, exits and machines: work waits for them. */
+    /** Task starts, task exits and machine records, which work on machines waits for. */
     URGENT(8, false),
-    /** Progress, which may be a little older, and reads that are retried. */
+    /** Job progress, which may be slightly stale, and reads that are retried. */
     NORMAL(2, true),
-    /** Housekeeping, which only must not stand still. */
+    /** Background maintenance, which must make some progress but is not urgent. */
     BACKGROUND(1, true);
 
     private final int weight;
@@ -30,7 +29,9 @@
         return weight;
     }
 
-    /** Whether its requests are held back for a moment when the store refuses one. */
+    /**
+     * Returns true if requests of this class are paused for a moment after the store refuses one.
+     */
     boolean isHeldAfterRefusal() {
         return isHeldAfterRefusal;
     }
--- a/src/main/java/org/woadloom/store/RecordFormat.java
+++ b/src/main/java/org/woadloom/store/RecordFormat.java
@@ -1,9 +1,9 @@
 package org.woadloom.store;
 
-/** How the records of jobs are stored. */
+/** Storage format of job records. */
 public enum RecordFormat {
-    /** As version 1 reads and writes them, until every node is known to run a later one. */
+    /** Format of version 1, used until every node is known to run a later version. */
     PLAIN,
-    /** With the progress of tasks packed by {@link TaskProgressCodec}. */
+    /** Format with task progress packed by {@link TaskProgressCodec}. */
     COMPACT
 }
--- a/src/main/java/org/woadloom/store/RequestScheduler.java
+++ b/src/main/java/org/woadloom/store/RequestScheduler.java
@@ -5,38 +5,39 @@
 import java.util.stream.Stream;
 
 /**
- * Decides which request to the store is sent next, under a node's part of the store's two rates: of
- * requests, and of changes.
+ * Chooses the next request to send to the store, within this node's part of the store's two rate
+ * limits: requests per second and changes per second.
  *
- * <p>Control requests (elections, renewals of the leader's key, proofs of leadership) go first.
- * They are few, and may run into a reserve of each rate that nobody else touches; the others make
- * up for it later. Behind a backlog of users the leader's key would expire, and nobody could be
- * elected before the backlog was gone.
+ * <p>Control requests (elections, renewals of the leader's key, leadership checks) are sent first.
+ * They are few and may overdraw each rate by a reserve that no other request may use; the other
+ * requests then wait until the overdraft is repaid. Without this, a backlog of user requests would
+ * let the leader's key expire and block the election of a new leader until the backlog had drained.
  *
- * <p>Everybody else gets the shares of {@link RateShare}. A change that waits for its rate holds
- * back other changes, so that a large one is not overtaken for ever, but no reads.
+ * <p>All other requests get the weighted shares of {@link RateShare}. A change that waits for its
+ * rate also holds back later changes, so that small changes cannot starve a large one. It does not
+ * hold back reads.
  */
 final class RequestScheduler<T> {
-    /** Stands for a wait without end, as there is nothing to be sent. */
+    /** Wait time returned when no queued request waits for a rate. */
     static final long NO_WAITING_REQUEST = Long.MAX_VALUE;
 
     private static final double MICROS_PER_SECOND = 1e6;
 
-    /** The reserve of control requests, in seconds of the whole rate. */
+    /** Reserve of control requests, as seconds' worth of the whole rate. */
     private static final double CONTROL_RESERVE_SECONDS = 0.1;
 
-    /** An election writes two keys, and a node's announcement two. */
+    /** Minimum reserve: an election writes two keys, and so does a node announcement. */
     private static final int MIN_CONTROL_RESERVE = 4;
 
     /**
-     * By how many seconds of the whole rate users may run ahead of their share: a wait that a user
-     * hardly notices.
+     * How far user requests may run ahead of their share, as seconds' worth of the whole rate. A
+     * user hardly notices a delay of this length.
      */
     private static final double USER_BURST_SECONDS = 0.5;
 
     private static final int MIN_USER_BURST = 4;
 
-    /** Requests in each queue, in case a fault makes them without end. */
+    /** Maximum length of each queue; bounds memory if a bug produces requests without limit. */
     private static final int MAX_QUEUED = 8_000;
 
     private final TokenBucket requests = new TokenBucket(1);
@@ -47,18 +48,18 @@
     private final WeightedQueues<T> waitingReads = new WeightedQueues<>();
     private final WeightedQueues<T> waitingChanges = new WeightedQueues<>();
 
-    /** Whether the last request that was taken from a share was a change. */
+    /** Whether the last request taken from a share was a change. */
     private boolean lastWasChange;
 
     private record Queued<T>(T request, int changeCount) {}
 
     /**
-     * Either a request to be sent now, or null and how long to wait, {@link #NOTHING_WAITS} where
-     * no request waits for a rate.
+     * Next step: a request to send now, or null together with the time to wait, which is {@link
+     * #NO_WAITING_REQUEST} if no request waits for a rate.
      */
     record Decision<T>(T request, long waitMicros) {}
 
-    /** Sets this node's part of the store's rates. */
+    /** Sets this node's part of the store's rate limits. */
     void setRates(long now, double requestsPerSecond, double changesPerSecond) {
         this.requestsPerSecond = requestsPerSecond;
         this.changesPerSecond = changesPerSecond;
@@ -67,9 +68,9 @@
     }
 
     /**
-     * Queues a request; false if too many wait already.
+     * Queues a request. Returns false if the queue is full.
      *
-     * @param changeCount how many changes it makes, 0 for a read
+     * @param changeCount number of changes in the request, 0 for a read
      */
     boolean add(StoreClient.RequestPriority priority, T request, int changeCount) {
         if (priority == StoreClient.RequestPriority.CONTROL) {
@@ -88,16 +89,16 @@
     }
 
     /**
-     * Removes a request, not a control one, that is not to be sent any more; false if it was taken
-     * already.
+     * Removes a queued request that must no longer be sent. Returns false if it has already been
+     * taken. Control requests cannot be removed.
      */
     boolean remove(StoreClient.RequestPriority priority, T request, int changeCount) {
         return queuesFor(changeCount).remove(priority.share(), request, priority.isPreferred());
     }
 
     /**
-     * For how long a request, not a control one, that comes now would wait, going by the rates and
-     * the queue before it.
+     * Estimates how long a request submitted now would wait, from the current rates and the queue
+     * in front of it. Not for control requests.
      */
     long estimatedWaitMicros(long now, StoreClient.RequestPriority priority, int changeCount) {
         boolean isChange = changeCount > 0;
@@ -111,12 +112,12 @@
         return ownWait + (long) (costAhead / perSecond * MICROS_PER_SECOND);
     }
 
-    /** How many requests of the share wait. */
+    /** Returns the number of queued requests of the share. */
     int queuedCount(RateShare share) {
         return waitingReads.size(share) + waitingChanges.size(share);
     }
 
-    /** The request of each of the share's queues that has waited for longest. */
+    /** Returns the oldest request of each queue of the share. */
     Stream<T> oldestOf(RateShare share) {
         return Stream.concat(waitingReads.oldestOf(share), waitingChanges.oldestOf(share));
     }
@@ -126,10 +127,11 @@
     }
 
     /**
-     * Takes the request that is to be sent now, if there is one.
+     * Takes the request to send now, if there is one.
      *
-     * @param controlOnly no place is left for any other request
-     * @param heldMicros how long normal and background requests are held back; not positive where
+     * @param controlOnly true if only control requests may be sent because all other slots are in
+     *     use
+     * @param heldMicros how much longer normal and background requests are held back; 0 or less if
      *     they are not
      */
     Decision<T> next(long now, boolean controlOnly, long heldMicros) {
@@ -177,7 +179,10 @@
         return Math.max(requestWait, changes.waitMicros(now, waitingChanges.costOfFirst(share)));
     }
 
-    /** Users first; otherwise in turns, so that neither uses up the rate of requests. */
+    /**
+     * User requests go first. Otherwise changes and reads alternate, so that neither uses up the
+     * request rate.
+     */
     private boolean isChangeNext(RateShare change, RateShare read) {
         boolean isUserChange = change == RateShare.USERS;
         boolean isUserRead = read == RateShare.USERS;
--- a/src/main/java/org/woadloom/store/RolloutRecord.java
+++ b/src/main/java/org/woadloom/store/RolloutRecord.java
@@ -12,17 +12,19 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * How far each feature has been rolled out: the one record that says what may be written and acted
- * upon. Only a leader changes it.
+ * Rollout state of every feature. It determines which formats may be written and which features are
+ * in use. Only a leader changes it.
  *
- * <p>The stored field {@code requires} is for later and earlier programs alike: a process that does
- * not know a name in it must not serve. That field and the number keep their form for ever.
+ * <p>The stored field {@code requires} is read by every release, earlier and later ones: a process
+ * that does not know one of the listed features must not serve. The formats of that field and of
+ * {@code number} never change.
  *
- * @param number counts the record's changes, so that of two reads the later one is known
- * @param features by name; a feature that is missing is {@link FeatureState#OFF}
+ * @param number incremented with every change of the record, so that the newer of two reads can be
+ *     identified
+ * @param features state by feature name; a missing feature is {@link FeatureState#OFF}
  */
 public record RolloutRecord(long number, Map<String, FeatureState> features) {
-    /** What holds while there is no record. */
+    /** Used while no record exists. */
     public static final RolloutRecord NONE = new RolloutRecord(0, Map.of());
 
     private static final String NUMBER = "number";
@@ -34,15 +36,15 @@
     private static final String ROLLED_BACK = "back";
     private static final String HELD = "held";
 
-    /** How far a feature is. */
+    /** Rollout phase of a feature. */
     public enum Step {
-        /** Not every member understands it. */
+        /** Not every member supports the feature. */
         OFF,
-        /** Every member reads what it writes; or it is being rolled back. */
+        /** Every member can read what the feature writes, or the feature is being rolled back. */
         UNDERSTOOD,
-        /** It is written and acted upon. */
+        /** The feature's formats are written and the feature is in use. */
         ON,
-        /** No record of the old form is left, and it can't be rolled back. */
+        /** No record in the old format is left; the feature can no longer be rolled back. */
         SETTLED;
 
         /** The stored form. */
@@ -52,12 +54,14 @@
     }
 
     /**
-     * A feature's step.
+     * Rollout state of one feature.
      *
-     * @param isRollingBack whether it was on, and its records are rewritten in the old form
-     * @param isHeld whether it was rolled back because nodes kept ending, and waits for an operator
-     * @param sinceWallMicros when it reached this, by the time of day
-     * @param changedBy who allowed it
+     * @param isRollingBack true if the feature was on and its records are being rewritten in the
+     *     old format
+     * @param isHeld true if the feature was rolled back because nodes kept crashing, and the
+     *     rollout waits for an operator
+     * @param sinceWallMicros wall-clock time at which the feature reached this state
+     * @param changedBy the operator or node that allowed the change
      */
     public record FeatureState(
             Step step,
@@ -67,12 +71,12 @@
             String changedBy) {
         public static final FeatureState OFF = new FeatureState(Step.OFF, false, false, 0, "");
 
-        /** True where records may exist that only a process that knows the feature can read. */
+        /** Returns true if records may exist that only a process with this feature can read. */
         public boolean isRequired() {
             return isOn() || isRollingBack;
         }
 
-        /** True while it is written and acted upon. */
+        /** Returns true while the feature is in use and its formats are written. */
         public boolean isOn() {
             return step.compareTo(Step.ON) >= 0;
         }
@@ -83,19 +87,19 @@
         features = new TreeMap<>(features);
     }
 
-    /** A feature's standing. */
+    /** Returns the state of a feature. */
     public FeatureState stateOf(String feature) {
         return features.getOrDefault(feature, FeatureState.OFF);
     }
 
-    /** The next version of the record, with the given standing of the feature. */
+    /** Returns the next version of the record, with a changed state of one feature. */
     public RolloutRecord withState(String feature, FeatureState standing) {
         Map<String, FeatureState> changed = new TreeMap<>(features);
         changed.put(feature, standing);
         return new RolloutRecord(number + 1, changed);
     }
 
-    /** The features that a process must know in order to serve. */
+    /** Returns the features that a process must support in order to serve. */
     public Set<String> requiredFeatures() {
         Set<String> names = new TreeSet<>();
         features.forEach(
@@ -131,23 +135,25 @@
         return map;
     }
 
-    /** The required features of a stored record, whatever else it holds. */
+    /**
+     * Decodes only the required features of a stored record. Works for records of every release.
+     */
     public static Set<String> parseRequiredFeatures(Map<String, Object> map)
             throws MalformedMessageException {
         return new TreeSet<>(new Fields(map).texts(REQUIRES));
     }
 
-    /** A stored record's number, whatever else it holds. */
+    /** Decodes only the number of a stored record. Works for records of every release. */
     public static long parseNumber(Map<String, Object> map) throws MalformedMessageException {
         return new Fields(map).integer(NUMBER);
     }
 
-    /** Reads the stored form. */
+    /** Decodes a stored record. */
     public static RolloutRecord parse(Map<String, Object> map) throws MalformedMessageException {
         Fields f = new Fields(map);
         Map<String, FeatureState> features = new TreeMap<>();
         if (!(f.raw(FEATURES) instanceof Map<?, ?> all)) {
-            throw new MalformedMessageException("features: expected a map");
+            throw new MalformedMessageException(FEATURES + ": expected a map");
         }
         for (Map.Entry<?, ?> entry : new ArrayList<>(all.entrySet())) {
             Fields standing = Fields.of(entry.getValue(), (String) entry.getKey());
@@ -169,6 +175,6 @@
                 return step;
             }
         }
-        throw new MalformedMessageException("step: " + text + " is a later version's");
+        throw new MalformedMessageException(String.format("step: unknown value \"%.40s\"", text));
     }
 }
--- a/src/main/java/org/woadloom/store/RolloutRequest.java
+++ b/src/main/java/org/woadloom/store/RolloutRequest.java
@@ -6,24 +6,30 @@
 import org.woadloom.protocol.Fields;
 import org.woadloom.protocol.MalformedMessageException;
 
-/** What an operator requests for a feature. It holds until another request replaces it. */
+/**
+ * An operator's request for the rollout of a feature. It stays in effect until another request
+ * replaces it.
+ */
 public record RolloutRequest(Verb verb, String operator, long requestedWallMicros) {
-    /** What holds while no operator has requested anything. */
+    /** Used while no operator has made a request. */
     public static final RolloutRequest AUTO = new RolloutRequest(Verb.AUTO, "", 0);
 
     private static final String VERB = "verb";
     private static final String OPERATOR = "by";
     private static final String REQUESTED_AT = "at";
 
-    /** What is to happen with the rollout. */
+    /** Requested handling of the rollout. */
     public enum Verb {
-        /** Advances by itself. */
+        /** The rollout advances automatically. */
         AUTO,
-        /** Stays at its step. */
+        /** The rollout stays in its current step. */
         HOLD,
-        /** Advances without the waiting times, also after it was held because nodes kept ending. */
+        /**
+         * The rollout advances without waiting periods, even after it was held because nodes kept
+         * crashing.
+         */
         GO,
-        /** Is rolled back, as long as it is not settled. */
+        /** The feature is rolled back, unless it is already settled. */
         BACK;
 
         /** The stored form. */
@@ -31,7 +37,7 @@
             return name().toLowerCase(Locale.ROOT);
         }
 
-        /** The verb of a stored form, or null for an unknown one. */
+        /** Returns the verb with the given stored name, or null if it is unknown. */
         public static Verb of(String text) {
             for (Verb verb : values()) {
                 if (verb.text().equals(text)) {
@@ -51,7 +57,10 @@
         return map;
     }
 
-    /** A verb of a later version holds the feature at its step, as its effect is not known. */
+    /**
+     * Decodes a stored request. A verb of a later release, whose effect is unknown, is treated as
+     * {@link Verb#HOLD}.
+     */
     public static RolloutRequest parse(Map<String, Object> map) throws MalformedMessageException {
         Fields fields = new Fields(map);
         Verb verb = Verb.of(fields.text(VERB));
--- a/src/main/java/org/woadloom/store/StoreClient.java
+++ b/src/main/java/org/woadloom/store/StoreClient.java
@@ -10,42 +10,45 @@
 import org.woadloom.settings.ServiceSettings;
 
 /**
- * The client of the store, a consensus-backed key-value store: reads, compare-and-swap transactions
- * on the revisions of keys, watches, and leases on which keys can be made to depend.
+ * Client of the store, a consensus-backed key-value store. It supports reads, compare-and-swap
+ * transactions on key revisions, watches, and leases that keys can be attached to.
  *
- * <p>{@link StoreRequestQueue} decides when a request is sent, {@link StoreProtocol} has the form
- * of requests and answers, {@link StoreRequestPolicy} the time-outs and bounds. Nothing is retried
- * here: only the caller knows whether its request is still wanted. All callbacks run on the event
- * loop.
+ * <p>{@link StoreRequestQueue} decides when a request is sent, {@link StoreProtocol} encodes
+ * requests and decodes answers, {@link StoreRequestPolicy} holds timeouts and limits. The client
+ * never retries, because only the caller knows whether a request is still wanted. All callbacks run
+ * on the event loop.
  */
 public final class StoreClient {
-    /** Stands for a request that may wait for its turn as long as it takes. */
+    /** Deadline of a request that may stay queued for any length of time. */
     public static final long NO_DEADLINE = Long.MAX_VALUE;
 
-    /** How urgent a request is; {@link RateShare} says what each gets while others wait. */
+    /**
+     * Priority of a request. {@link RateShare} defines how the rate is divided between classes with
+     * queued requests.
+     */
     public enum RequestPriority {
         /**
-         * Elections, renewals of the leader's lease and proofs of leadership: before everything
+         * Elections, renewals of the leader's lease and leadership checks. Sent before everything
          * else.
          */
         CONTROL(null),
         /**
-         * A user's cancellation, which goes before other users' requests: it frees what they wait
-         * for.
+         * A user's cancellation. Sent before other user requests because it frees resources that
+         * they may wait for.
          */
         CANCELLATION(RateShare.USERS),
         /**
-         * A read that answers all users who wait on this node: before reads for a single one of
-         * them.
+         * A read whose result answers all users waiting on this node. Sent before reads for a
+         * single user.
          */
         SHARED_READ(RateShare.USERS),
-        /** A user waits for it. */
+        /** A request that a user waits for. */
         USER(RateShare.USERS),
-        /** Work on machines waits for it. */
+        /** A request that work on machines waits for. */
         URGENT(RateShare.URGENT),
-        /** May be a little late, as the progress of jobs. */
+        /** A request that may be slightly late, such as job progress. */
         NORMAL(RateShare.NORMAL),
-        /** Housekeeping. */
+        /** Background maintenance. */
         BACKGROUND(RateShare.BACKGROUND);
 
         private final RateShare share;
@@ -54,129 +57,146 @@
             this.share = share;
         }
 
-        /** The share that it is sent from; null for control requests, which need none. */
+        /** Returns the rate share that the request uses, null for control requests. */
         RateShare share() {
             return share;
         }
 
-        /** Whether it goes before others of its share. */
+        /** Returns true if the request is sent before the other requests of its share. */
         boolean isPreferred() {
             return this == CANCELLATION || this == SHARED_READ;
         }
     }
 
-    /** How a request ended. */
+    /** Outcome of a request. */
     public enum Result {
-        /** Executed. */
+        /** The request was executed. */
         OK,
-        /** The key or lease does not exist, or the changes asked for are not kept any more. */
+        /** The key or lease does not exist, or the requested change history has been compacted. */
         NOT_FOUND,
-        /** A transaction's conditions did not hold; not executed. */
+        /** A condition of the transaction failed; nothing was executed. */
         CONFLICT,
-        /** Refused as such, for a limit on sizes perhaps; not executed. */
+        /**
+         * The store rejected the request as invalid, for example because it exceeds a size limit;
+         * not executed.
+         */
         BAD,
-        /** Not executed, as the store was not asked or would not serve; it may serve later. */
+        /**
+         * Not executed: the request was not sent, or the store refused to serve it. A later attempt
+         * may succeed.
+         */
         UNAVAILABLE,
-        /** No answer, or none that can be read: it may have been executed, or may be later. */
+        /**
+         * No answer arrived, or it could not be decoded. The request may have been executed, or may
+         * still be executed later.
+         */
         UNKNOWN
     }
 
-    /** One key with its value and the revision of its last change. */
+    /** A key with its value and the revision of its last change. */
     public record Entry(String key, Map<String, Object> value, long revision) {}
 
-    /** A condition of a transaction: the key's revision, 0 where it must not exist. */
+    /**
+     * A condition of a transaction: the current revision of the key, 0 if the key must not exist.
+     */
     public record Condition(String key, long revision) {}
 
-    /** A change of a transaction: a put, or a deletion where the value is null. */
+    /** A change of a transaction: a put, or a deletion if the value is null. */
     public record Change(String key, Map<String, Object> value, long storeLease) {
-        /** The lease of keys that stay until they are deleted. */
+        /** Lease id of keys that are not attached to a lease. */
         static final long NO_LEASE = 0;
 
-        /** Writes a key that depends on no lease. */
+        /** Creates a put of a key that is not attached to a lease. */
         public static Change put(String path, Map<String, Object> value) {
             return new Change(path, value, NO_LEASE);
         }
 
-        /** Deletes a key. */
+        /** Creates a deletion. */
         public static Change delete(String path) {
             return new Change(path, null, NO_LEASE);
         }
     }
 
-    /** An event of a watch; the value is null where the key was deleted. */
+    /** A change reported by a watch. The value is null if the key was deleted. */
     public record Event(String key, Map<String, Object> value, long revision) {}
 
-    /** Is told whether the store can be reached. */
+    /** Listener for the availability of the store. */
     public interface HealthListener {
         /**
-         * A request was answered, or timed out.
+         * Called when a request was answered or has timed out.
          *
-         * @param isServing false for 503 or no answer
+         * @param isServing false for status 503 or no answer
          */
         void onAnswer(boolean isServing);
     }
 
-    /** Receives one key. */
+    /** Callback for a read of one key. */
     public interface EntryCallback {
         /**
-         * The key was read.
+         * Called when the read has ended.
          *
          * @param entry null unless the result is {@code OK}
-         * @param storeRevision at which the key did not exist, for {@code NOT_FOUND}; otherwise 0
+         * @param storeRevision revision at which the key did not exist, for {@code NOT_FOUND};
+         *     otherwise 0
          */
         void onEntry(Result result, Entry entry, long storeRevision);
     }
 
-    /** Receives all keys with a prefix. */
+    /** Callback for a read of all keys with a prefix. */
     public interface ListCallback {
         /**
-         * All pages were read, or one could not be.
+         * Called when all pages were read or one of them failed.
          *
-         * @param storeRevision of the first page: changes after it are to be read by a watch
+         * @param storeRevision revision of the first page; the caller reads later changes with a
+         *     watch from this revision
          */
         void onEntries(Result result, List<Entry> entries, long storeRevision);
     }
 
-    /** Receives one page of the keys with a prefix. */
+    /** Callback for a read of one page of the keys with a prefix. */
     public interface PageCallback {
         /**
-         * The page was read, or could not be.
+         * Called when the read has ended.
          *
-         * @param hasMore whether there are keys after those of this page
+         * @param hasMore true if there are keys after this page
          */
         void onPage(Result result, List<Entry> entries, boolean hasMore);
     }
 
-    /** Receives the outcome of a transaction. */
+    /** Callback for a transaction. */
     public interface TxnCallback {
         /**
-         * The transaction was answered, or its outcome is unknown.
+         * Called when the transaction was answered, or its outcome is unknown.
          *
          * @param storeRevision the revision of all changed keys, for {@code OK}; otherwise 0
-         * @param failed the keys whose conditions did not hold, for {@code CONFLICT}
+         * @param failed the keys whose conditions failed, for {@code CONFLICT}
          */
         void onResult(Result result, long storeRevision, List<String> failed);
     }
 
-    /** Receives the changes under a prefix. */
+    /** Callback for the changes of keys with a prefix. */
     public interface WatchCallback {
         /**
-         * {@code NOT_FOUND} says that the revision asked for is too old.
+         * Called when the changes were read. The result is {@code NOT_FOUND} if the requested
+         * revision has been compacted.
          *
-         * @param storeRevision up to which these are all changes
+         * @param storeRevision revision up to which the events are complete
          */
         void onEvents(Result result, List<Event> events, long storeRevision);
     }
 
-    /** Receives a granted or renewed lease. */
+    /** Callback for a granted or renewed lease. */
     public interface LeaseCallback {
-        /** {@code NOT_FOUND} says that the lease has expired. */
+        /**
+         * Called when the request has ended. The result is {@code NOT_FOUND} if the lease has
+         * expired.
+         */
         void onLease(Result result, long storeLease);
     }
 
     private final StoreRequestQueue queue;
 
-    /** Starts as a follower, see {@link #setLeader}. */
+    /** Creates a client with the rate limits of a follower, see {@link #setLeader}. */
     public StoreClient(
             EventLoop loop,
             HttpTransport transport,
@@ -198,43 +218,48 @@
     }
 
     /**
-     * Sets this node's part of the store's limits: what one node leaves is there for the others.
+     * Sets this node's part of the store's rate limits. The leader gets a larger part, and the rest
+     * is divided among the other nodes.
      */
     public void setLeader(boolean isLeader) {
         queue.setLeader(isLeader);
     }
 
-    /** How many changes a second this node may make now. */
+    /** Returns the number of changes per second that this node may currently make. */
     public double writesPerSecond() {
         return queue.writesPerSecond();
     }
 
-    /** Answers of the kind 429 or 503, or none at all, counted for the metrics. */
+    /**
+     * Returns how many requests were answered with 429 or 503 or not at all, since the process
+     * started.
+     */
     public long failureCount() {
         return queue.failureCount();
     }
 
     /**
-     * True if the store, when it last answered, refused to serve. Reads of changes then hang
-     * instead of being refused.
+     * Returns true if the store's latest answer was a refusal to serve. In that state the store
+     * leaves reads of changes unanswered instead of refusing them.
      */
     public boolean isRefusing() {
         return queue.isRefusing();
     }
 
     /**
-     * Requests that were not sent, as whoever had asked for them would not have waited for so long.
+     * Returns how many requests were dropped unsent, since the process started: they would have
+     * missed their deadline, or their queue was full.
      */
     public long shedCount() {
         return queue.shed();
     }
 
-    /** How many requests of the share wait to be sent. */
+    /** Returns the number of queued requests of the share. */
     public int queuedCount(RateShare share) {
         return queue.queuedCount(share);
     }
 
-    /** For how long the oldest request of the share has waited to be sent. */
+    /** Returns how long the oldest queued request of the share has waited. */
     public long longestQueuedMicros(RateShare share) {
         return queue.longestQueuedMicros(share);
     }
@@ -247,8 +272,8 @@
     /**
      * Reads one key.
      *
-     * @param deadlineMicros the read is not sent any more after this moment, and not queued if it
-     *     can't be sent by then
+     * @param deadlineMicros the read is not sent after this time, and is refused immediately if it
+     *     cannot be sent by then
      */
     public void get(
             RequestPriority priority, String key, long deadlineMicros, EntryCallback callback) {
@@ -279,7 +304,7 @@
     /**
      * Reads one page of the keys with the prefix.
      *
-     * @param after the last key of the page before, null for the first page
+     * @param after last key of the previous page, null for the first page
      */
     public void page(RequestPriority priority, String prefix, String after, PageCallback callback) {
         queue.submit(
@@ -311,7 +336,7 @@
         listPage(priority, prefix, null, new PagedEntries(), callback);
     }
 
-    /** The pages of a list that have been read. */
+    /** Accumulates the pages of a list. */
     private static final class PagedEntries {
         private final List<Entry> entries = new ArrayList<>();
         private long storeRevision;
@@ -329,7 +354,7 @@
     }
 
     /**
-     * @param after the last key of the page before, null for the first page
+     * @param after last key of the previous page, null for the first page
      */
     private void listPage(
             RequestPriority priority,
@@ -372,7 +397,7 @@
         }
     }
 
-    /** Makes all changes at once if all conditions hold, and none of them otherwise. */
+    /** Executes all changes atomically if all conditions hold, otherwise none of them. */
     public void txn(
             RequestPriority priority,
             List<Condition> conditions,
@@ -382,10 +407,10 @@
     }
 
     /**
-     * The same with a deadline.
+     * Executes a transaction that is only useful until a deadline.
      *
-     * @param deadlineMicros it is not sent any more after this moment, and not queued if it can't
-     *     be sent by then
+     * @param deadlineMicros the transaction is not sent after this time, and is refused immediately
+     *     if it cannot be sent by then
      */
     public void txn(
             RequestPriority priority,
@@ -397,11 +422,12 @@
     }
 
     /**
-     * The same, where the first of the changes that puts the given key has a value that nobody else
-     * ever writes there: when the answer is late the key is read, and the value shows that the
-     * transaction was executed. That it is not there shows nothing, as it may be executed still.
+     * Executes a transaction whose execution can be verified when the answer is late or lost. The
+     * change of the key {@code proof} must put a value that no other writer ever puts there. If the
+     * answer is late, the client reads that key: finding the value shows that the transaction was
+     * executed. Not finding it shows nothing, because the transaction may still be executed later.
      *
-     * @param proof the key, or null where no key is such a proof
+     * @param proof the key to read, or null if no key can serve as proof
      */
     public void txn(
             RequestPriority priority,
@@ -448,7 +474,7 @@
         }
     }
 
-    /** Asks for a lease; keys that are put on it are deleted when it expires. */
+    /** Requests a new lease. When it expires, the store deletes the keys attached to it. */
     public void grantLease(long lifetimeMicros, LeaseCallback callback) {
         queue.submit(
                 RequestPriority.CONTROL,
@@ -471,7 +497,7 @@
         }
     }
 
-    /** Renews a lease for its whole lifetime. */
+    /** Extends a lease by its full lifetime. */
     public void renewLease(long storeLease, LeaseCallback callback) {
         queue.submit(
                 RequestPriority.CONTROL,
@@ -488,8 +514,8 @@
     }
 
     /**
-     * Waits for changes under the prefix after the given revision of the store. An open watch takes
-     * no place among the requests in flight.
+     * Waits for changes of keys with the prefix after the given store revision. An open watch does
+     * not count as a request in flight.
      */
     public void watch(String prefix, long since, long blockMicros, WatchCallback callback) {
         queue.sendUnqueued(
@@ -500,8 +526,8 @@
     }
 
     /**
-     * Reads what has changed under the prefix after the given revision of the store, without
-     * waiting for more.
+     * Reads the changes of keys with the prefix after the given store revision, without waiting for
+     * further changes.
      */
     public void readChanges(
             RequestPriority priority, String prefix, long since, WatchCallback callback) {
--- a/src/main/java/org/woadloom/store/StoreKeys.java
+++ b/src/main/java/org/woadloom/store/StoreKeys.java
@@ -1,36 +1,47 @@
 package org.woadloom.store;
 
-/** The keys in the store. */
+/** Keys in the store. */
 public final class StoreKeys {
     /**
-     * Who leads; on the leader's store lease, so that it is deleted when the leader stops renewing.
+     * The current leader. Attached to the leader's store lease, so the store deletes the key when
+     * the leader stops renewing the lease.
      */
     public static final String LEADER = "leader";
 
-    /** The highest term ever taken; on no lease, so it never decreases. */
+    /** The highest term ever taken. Not attached to a lease, so it never decreases. */
     public static final String TERM = "term";
 
-    /** The machine types as the cloud last gave them, for a start while the cloud is down. */
+    /**
+     * The latest machine types from the cloud. Used when a node starts while the cloud is
+     * unavailable.
+     */
     public static final String MACHINE_TYPES = "types";
 
-    /** Never written: the answer that it does not exist has the store's revision. */
+    /**
+     * A key that is never written. A read of it returns the current store revision with the
+     * not-found answer.
+     */
     public static final String NEVER_WRITTEN = "nothing";
 
     public static final String JOB_PREFIX = "job/";
     public static final String FINAL_STATE_PREFIX = "final/";
     public static final String MACHINE_PREFIX = "machine/";
 
-    /** Heartbeats relayed to a leader that their node can't reach, and the answers to them. */
+    /**
+     * Prefix of heartbeats that nodes relay through the store because they cannot reach the leader,
+     * and of the answers to them.
+     */
     public static final String RELAY_PREFIX = "mail/";
 
-    /** Which version each node runs, and which of them all nodes are known to run. */
+    /** Prefix of the version that each node runs and of the version agreed by all nodes. */
     public static final String VERSION_PREFIX = "version/";
 
     public static final String AGREED_VERSION = VERSION_PREFIX + "agreed";
     public static final String NODE_VERSION_PREFIX = VERSION_PREFIX + "node/";
 
     /**
-     * How far each feature is rolled out, what running nodes announce, and what operators request.
+     * Prefix of the rollout state, the announcements of running nodes, and the requests of
+     * operators.
      */
     public static final String ROLLOUT_PREFIX = "rollout/";
 
@@ -40,27 +51,27 @@
 
     private StoreKeys() {}
 
-    /** A job that is not over. */
+    /** Key of a job that has not ended. */
     public static String job(String jobId) {
         return JOB_PREFIX + jobId;
     }
 
-    /** A job that is over. */
+    /** Key of a job that has ended. */
     public static String finalState(String jobId) {
         return FINAL_STATE_PREFIX + jobId;
     }
 
-    /** The prefix of one node's relayed messages. */
+    /** Prefix of the relayed messages of one node. */
     public static String relayPrefix(String label) {
         return RELAY_PREFIX + label + "/";
     }
 
-    /** One of a node's relayed messages. */
+    /** Key of one relayed message of a node. */
     public static String relaySlot(String label, int slot) {
         return relayPrefix(label) + slot;
     }
 
-    /** A machine. */
+    /** Key of a machine. */
     public static String machine(String host) {
         return MACHINE_PREFIX + host;
     }
--- a/src/main/java/org/woadloom/store/StoreLimits.java
+++ b/src/main/java/org/woadloom/store/StoreLimits.java
@@ -3,16 +3,21 @@
 import org.woadloom.settings.ServiceSettings;
 
 /**
- * The store's limits as far as this node knows them. They may fall at any moment. Sizes of values
- * and transactions keep to the announced smaller ones from the start, as that costs little; what is
- * refused all the same teaches a smaller one. Rates follow the answers: down at once when a request
- * is refused, up again slowly.
+ * The store's limits as far as this node knows them; the store may lower them at any time. For
+ * sizes of values and transactions the smaller limits announced in the settings apply from the
+ * start, because they cost little; a refusal lowers them further. Rates adapt to the answers: a
+ * refusal cuts a rate immediately, and it recovers slowly.
  */
 public final class StoreLimits {
-    /** No limit is taken to be below this: a smaller value was refused for something else. */
+    /**
+     * Lower bound of a learned size limit. A refusal of a smaller value must have had another
+     * cause.
+     */
     private static final int MIN_VALUE_BYTES = 1025;
 
-    /** An election changes two keys in one transaction. */
+    /**
+     * Lower bound of a learned transaction limit: an election changes two keys in one transaction.
+     */
     private static final int MIN_TXN_OPS = 2;
 
     private static final int NONE_REFUSED = 0;
@@ -22,27 +27,30 @@
     private int maxValueBytes;
     private int maxTransactionChanges;
 
-    /** The size of the smallest value that was refused, {@link #NONE_REFUSED} for none. */
+    /** Size of the smallest value that was refused, {@link #NONE_REFUSED} if none was. */
     private int refusedBytes = NONE_REFUSED;
 
     private final AdaptiveRate requests;
     private final AdaptiveRate writes;
 
-    /** The part of a rate in the settings that the store bears now. */
+    /** The fraction of a configured rate that the store currently sustains. */
     private static final class AdaptiveRate {
-        /** It is never cut below this part, so that the store is still asked. */
+        /** Lower bound of the fraction, so that the store is still probed. */
         private static final double MIN_FRACTION = 0.2;
 
-        /** What a refusal leaves of it. */
+        /** Factor applied to the fraction at a refusal. */
         private static final double CUT_FACTOR = 0.85;
 
-        /** How much of the whole comes back each second: all of it in 250 s. */
+        /** Recovery per second, as a fraction of the configured rate: full recovery takes 250 s. */
         private static final double RECOVERY_PER_SECOND = 0.004;
 
-        /** Refusals within this time of a cut are taken to be of requests sent before it. */
+        /**
+         * Refusals within this time after a cut are attributed to requests that were sent before
+         * it.
+         */
         private static final long CUT_INTERVAL_MICROS = 500_000;
 
-        /** A refusal this soon after a cut shows that the cut was too small. */
+        /** A refusal within this time after a cut shows that the cut was too small. */
         private static final long REPEATED_REFUSAL_MICROS = 5_000_000;
 
         private final double announcedFraction;
@@ -51,8 +59,8 @@
         private long cutMicros = Long.MIN_VALUE / 2;
 
         /**
-         * @param current the rate of today in the settings
-         * @param announced the rate to which it is announced to fall
+         * @param current the current rate in the settings
+         * @param announced the rate that it is announced to drop to
          */
         AdaptiveRate(double current, double announced) {
             announcedFraction = Math.min(1, announced / current);
@@ -71,8 +79,8 @@
                 return;
             }
             cutMicros = nowMicros;
-            // At first it is taken to have fallen as announced; if a refusal follows soon, the
-            // store bears less than that.
+            // The first refusal is attributed to the announced lower rate taking effect. If another
+            // one follows soon, the store sustains less than the announced rate.
             boolean isRepeated = sinceCut <= REPEATED_REFUSAL_MICROS;
             fraction =
                     fraction(nowMicros) > announcedFraction && !isRepeated
@@ -81,7 +89,9 @@
         }
     }
 
-    /** Starts with the limits of the settings, the announced ones where sizes are concerned. */
+    /**
+     * Starts with the limits in the settings: announced limits for sizes, current limits for rates.
+     */
     public StoreLimits(ServiceSettings.Store settings) {
         this.settings = settings;
         this.maxValueBytes = settings.minValueBytes();
@@ -91,13 +101,13 @@
         this.writes = new AdaptiveRate(settings.writeRps(), next.writeRps());
     }
 
-    /** The largest value that is sure to be taken, as far as known. */
+    /** Returns the largest value size that the store is known to accept. */
     public int maxValueBytes() {
         return maxValueBytes;
     }
 
     /**
-     * The largest value that the store takes as long as it has not refused one: records of earlier
+     * Returns the largest value size that the store has not refused so far. Records of earlier
      * versions may need it.
      */
     public int maxAcceptedValueBytes() {
@@ -106,7 +116,9 @@
                 refusedBytes == NONE_REFUSED ? settings.valueBytes() : refusedBytes - 1);
     }
 
-    /** A value of this size was refused by itself. */
+    /**
+     * Records that a value of this size was refused although it was the only change of its request.
+     */
     public void onValueRefused(int bytes) {
         int announced =
                 settings.next() == null ? Integer.MAX_VALUE : settings.next().valueBytes() + 1;
@@ -115,31 +127,35 @@
         maxValueBytes = Math.min(maxValueBytes, refused - 1);
     }
 
-    /** The largest number of changes in one transaction that is sure to be taken. */
+    /**
+     * Returns the largest number of changes that the store is known to accept in one transaction.
+     */
     public int maxTransactionChanges() {
         return maxTransactionChanges;
     }
 
     /**
-     * A transaction of so many changes was refused, and its changes were taken one record at a
-     * time.
+     * Records that a transaction with this many changes was refused, while the same changes were
+     * accepted one record at a time.
      */
     public void onTransactionRefused(int changeCount) {
         maxTransactionChanges =
                 Math.max(MIN_TXN_OPS, Math.min(maxTransactionChanges, changeCount - 1));
     }
 
-    /** How many requests a second the store bears now. */
+    /** Returns the number of requests per second that the store currently sustains. */
     public double requestRate(long nowMicros) {
         return settings.rps() * requests.fraction(nowMicros);
     }
 
-    /** How many changes a second the store bears now. */
+    /** Returns the number of changes per second that the store currently sustains. */
     public double writeRate(long nowMicros) {
         return settings.writeRps() * writes.fraction(nowMicros);
     }
 
-    /** A request with so many changes was refused for coming too fast. */
+    /**
+     * Records that a request with this many changes was refused because it exceeded the rate limit.
+     */
     public void onRateExceeded(long nowMicros, int changeCount) {
         (changeCount > 0 ? writes : requests).cut(nowMicros);
     }
--- a/src/main/java/org/woadloom/store/StoreProtocol.java
+++ b/src/main/java/org/woadloom/store/StoreProtocol.java
@@ -15,23 +15,23 @@
 import org.woadloom.store.StoreClient.Result;
 
 /**
- * The store's protocol over HTTP: paths, statuses, and the CBOR of requests and answers. The only
- * place that has its names.
+ * The store's HTTP protocol: paths, status codes, and the CBOR encoding of requests and answers.
+ * All names of the protocol are defined here.
  */
 final class StoreProtocol {
     static final int OK = 200;
     static final int NOT_FOUND = 404;
 
-    /** Conditions of a transaction failed; the answer names their keys. */
+    /** A condition of the transaction failed; the answer lists the keys. */
     static final int CONFLICT = 409;
 
-    /** Changes after the given revision are not kept any more. */
+    /** The changes after the given revision have been compacted. */
     static final int COMPACTED = 410;
 
-    /** Above a rate limit; not executed. */
+    /** A rate limit was exceeded; the request was not executed. */
     static final int TOO_MANY_REQUESTS = 429;
 
-    /** The store does not serve at present; not executed. */
+    /** The store is currently unavailable; the request was not executed. */
     static final int UNAVAILABLE = 503;
 
     static final String TRANSACTIONS_PATH = "/txn";
@@ -57,10 +57,10 @@
 
     private StoreProtocol() {}
 
-    /** One page of a list, with the revision of the store at which it was read. */
+    /** One page of a list and the store revision at which it was read. */
     record Page(List<Entry> entries, long storeRevision, boolean hasMore) {}
 
-    /** What has changed under a prefix, up to the given revision of the store. */
+    /** Changes of keys with a prefix, complete up to the given store revision. */
     record Events(List<Event> events, long storeRevision) {}
 
     static String keyPath(String key) {
@@ -68,14 +68,17 @@
     }
 
     /**
-     * @param after the last key of the page before, null for the first page
+     * @param after last key of the previous page, null for the first page
      */
     static String pagePath(String prefix, String after) {
         String since = after == null ? "" : "&since=" + after;
         return "/keys?prefix=" + prefix + since + "&most=" + StoreRequestPolicy.PAGE_ENTRIES;
     }
 
-    /** Changes after a revision of the store, for which the answer waits up to the given time. */
+    /**
+     * Path of a read of the changes after a store revision. The store delays its answer by up to
+     * {@code blockMicros} while there are none.
+     */
     static String watchPath(String prefix, long sinceRevision, long blockMicros) {
         return "/follow?prefix="
                 + prefix
@@ -135,7 +138,7 @@
         return Cbor.encode(Map.of());
     }
 
-    /** What a status means that has no meaning of its own for the request. */
+    /** Maps a status code that has no special meaning for the request at hand. */
     static Result resultOf(int status) {
         return switch (status) {
             case NOT_FOUND -> Result.NOT_FOUND;
@@ -145,12 +148,15 @@
         };
     }
 
-    /** True where the store could not be asked, or did not execute the request for its load. */
+    /**
+     * Returns true if the store could not be reached or did not execute the request because of
+     * overload or unavailability.
+     */
     static boolean isFailure(int status) {
         return status == TOO_MANY_REQUESTS || status == UNAVAILABLE || !isHttpStatus(status);
     }
 
-    /** True for an HTTP status, false for the transport's constants. */
+    /** Returns true for an HTTP status code, false for the constants of {@link HttpTransport}. */
     static boolean isHttpStatus(int status) {
         return status > 0;
     }
@@ -163,7 +169,7 @@
         Fields fields = new Fields(Cbor.decodeMap(body));
         List<Entry> entries = new ArrayList<>();
         for (Object item : fields.list(ENTRIES)) {
-            entries.add(parseEntry(requireMap(item)));
+            entries.add(parseEntry(requireMap(ENTRIES, item)));
         }
         return new Page(entries, fields.integer(STORE_REVISION), fields.flagOr(HAS_MORE, false));
     }
@@ -172,7 +178,7 @@
         Fields fields = new Fields(Cbor.decodeMap(body));
         List<Event> events = new ArrayList<>();
         for (Object item : fields.list(EVENTS)) {
-            events.add(parseEvent(requireMap(item)));
+            events.add(parseEvent(requireMap(EVENTS, item)));
         }
         return new Events(events, fields.integer(STORE_REVISION));
     }
@@ -190,11 +196,12 @@
     }
 
     @SuppressWarnings("unchecked") // Cbor decodes no keys but texts.
-    private static Map<String, Object> requireMap(Object item) throws MalformedMessageException {
+    private static Map<String, Object> requireMap(String field, Object item)
+            throws MalformedMessageException {
         if (item instanceof Map<?, ?>) {
             return (Map<String, Object>) item;
         }
-        throw new MalformedMessageException("items: expected maps");
+        throw new MalformedMessageException(field + ": expected a list of maps");
     }
 
     @SuppressWarnings("unchecked") // Cbor decodes no keys but texts.
--- a/src/main/java/org/woadloom/store/StoreRequest.java
+++ b/src/main/java/org/woadloom/store/StoreRequest.java
@@ -2,7 +2,7 @@
 
 import org.woadloom.net.HttpTransport;
 
-/** One HTTP request to the store, from when it is asked for until it is answered or shed. */
+/** An HTTP request to the store, from its submission until it is answered or dropped. */
 final class StoreRequest {
     private final String method;
     private final String path;
@@ -31,20 +31,22 @@
         this.onOverdue = onOverdue;
     }
 
-    /** A read. */
+    /** Creates a read. */
     static StoreRequest get(String path, long timeoutMicros, HttpTransport.Callback callback) {
         return new StoreRequest("GET", path, null, 0, timeoutMicros, callback, null);
     }
 
-    /** A request on a store lease, which changes no keys. */
+    /** Creates a request for a store lease, which changes no keys. */
     static StoreRequest post(String path, byte[] body, HttpTransport.Callback callback) {
         return transaction(path, body, 0, callback, null);
     }
 
     /**
-     * @param changeCount how many changes of the store's rate of changes it takes
+     * Creates a transaction.
+     *
+     * @param changeCount number of changes that count against the store's rate of changes
      * @param onOverdue run once if there is no answer after {@link
-     *     StoreRequestPolicy#OVERDUE_MICROS}; null for nothing
+     *     StoreRequestPolicy#OVERDUE_MICROS}, or null
      */
     static StoreRequest transaction(
             String path,
@@ -70,17 +72,17 @@
         return callback;
     }
 
-    /** What to do when the answer is late, or null. */
+    /** Returns the action for a late answer, or null. */
     Runnable onOverdue() {
         return onOverdue;
     }
 
-    /** Notes when it was asked for. */
+    /** Records the time of submission. */
     void onQueued(long nowMicros) {
         queuedMicros = nowMicros;
     }
 
-    /** When it was asked for. */
+    /** Returns the time of submission. */
     long queuedMicros() {
         return queuedMicros;
     }
@@ -89,7 +91,9 @@
         return isSent;
     }
 
-    /** Sends the request; the given callback, not the request's own, gets the answer. */
+    /**
+     * Sends the request. The answer goes to {@code onAnswer} instead of the request's own callback.
+     */
     void send(HttpTransport transport, String address, HttpTransport.Callback onAnswer) {
         isSent = true;
         transport.request(address, method, path, body, timeoutMicros, onAnswer);
--- a/src/main/java/org/woadloom/store/StoreRequestQueue.java
+++ b/src/main/java/org/woadloom/store/StoreRequestQueue.java
@@ -7,12 +7,12 @@
 import org.woadloom.store.StoreClient.RequestPriority;
 
 /**
- * The requests of this node that wait for the store or its answer. {@link RequestScheduler} says
- * which is sent next, under rates that stay below the store's limits; after a 429 or 503, or no
- * answer, everything but the most urgent is held back for a moment, with jitter.
+ * Queue of this node's requests to the store. {@link RequestScheduler} chooses the next request
+ * under rates that stay below the store's limits. After a 429, a 503 or a missing answer, normal
+ * and background requests are held back briefly, with jitter.
  *
- * <p>Single answers get lost while the store goes on serving. A request that later ones have
- * overtaken holds up nobody, and says nothing about the store.
+ * <p>Single answers can get lost while the store keeps serving. A request that was overtaken by
+ * later ones therefore does not hold back other requests and does not count as a sign of an outage.
  */
 final class StoreRequestQueue {
     private static final long NEVER = Long.MAX_VALUE;
@@ -30,7 +30,7 @@
     private boolean isLeader;
     private long heldUntilMicros;
 
-    /** When the next timer runs that sends what has waited for its rate. */
+    /** Time of the earliest timer that sends requests waiting for a rate. */
     private long nextWakeMicros = NEVER;
 
     private long failureCount;
@@ -38,7 +38,7 @@
     private boolean isRefusing;
 
     /**
-     * @param followerCount among how many nodes the followers' part of the store's limits is
+     * @param followerCount number of nodes among which the followers' part of the store's limits is
      *     divided
      */
     StoreRequestQueue(
@@ -58,13 +58,13 @@
         this.healthListener = healthListener;
     }
 
-    /** Sets this node's part of the store's limits. */
+    /** Sets this node's part of the store's rate limits. */
     void setLeader(boolean isLeader) {
         this.isLeader = isLeader;
         updateRates(loop.nowMicros());
     }
 
-    /** How many changes a second this node may make now. */
+    /** Returns the number of changes per second that this node may currently make. */
     double writesPerSecond() {
         double fraction =
                 isLeader
@@ -81,12 +81,15 @@
         scheduler.setRates(nowMicros, limits.requestRate(nowMicros) * fraction, writesPerSecond());
     }
 
-    /** Answers of the kind 429 or 503, or none at all. */
+    /** Returns how many requests were answered with 429 or 503 or not at all. */
     long failureCount() {
         return failureCount;
     }
 
-    /** Requests that were not sent as they would have come too late, or as too many waited. */
+    /**
+     * Returns how many requests were dropped because they would have missed their deadline or their
+     * queue was full.
+     */
     long shed() {
         return shedCount;
     }
@@ -104,17 +107,17 @@
                 .orElse(0);
     }
 
-    /** True if the last answer was that the store does not serve. */
+    /** Returns true if the latest answer was 503. */
     boolean isRefusing() {
         return isRefusing;
     }
 
     /**
-     * Queues a request, or sheds it: then its callback gets {@link HttpTransport#NOT_SENT}, not
-     * before this method has returned.
+     * Queues a request, or drops it. The callback of a dropped request gets {@link
+     * HttpTransport#NOT_SENT}, after this method has returned.
      *
-     * @param deadlineMicros it is not sent any more after this moment, and not queued if it can't
-     *     be sent by then
+     * @param deadlineMicros the request is not sent after this time, and is dropped immediately if
+     *     it cannot be sent by then
      */
     void submit(RequestPriority priority, long deadlineMicros, StoreRequest request) {
         long now = loop.nowMicros();
@@ -146,7 +149,7 @@
         loop.execute(() -> request.callback().onResponse(HttpTransport.NOT_SENT, EMPTY_BODY));
     }
 
-    /** Sends a request at once, whatever waits, and without a place among those in flight. */
+    /** Sends a request immediately, without queueing and without counting it as in flight. */
     void sendUnqueued(StoreRequest request) {
         request.send(
                 transport,
@@ -157,7 +160,10 @@
                 });
     }
 
-    /** Sends what rates and places in flight allow now, and sets a timer for the rest. */
+    /**
+     * Sends the queued requests that the rates and in-flight limits allow now, and sets a timer for
+     * the rest.
+     */
     private void sendAllowed() {
         long now = loop.nowMicros();
         boolean isFull = isFull(now, 0);
@@ -227,7 +233,7 @@
         sendAllowed();
     }
 
-    /** Takes from an answer, or from its absence, what it says about the store. */
+    /** Updates the view of the store's health from an answer or a missing answer. */
     private void recordAnswer(int status, int changeCount) {
         boolean isFailure = StoreProtocol.isFailure(status);
         if (isFailure) {
--- a/src/main/java/org/woadloom/store/TaskRanges.java
+++ b/src/main/java/org/woadloom/store/TaskRanges.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import org.woadloom.protocol.MalformedMessageException;
 
-/** Task numbers as a flat list of the first and last of each range, as version 1 stores them. */
+/**
+ * Encodes task indexes as a flat list of the first and last index of each range, the format of
+ * version 1.
+ */
 final class TaskRanges {
     private TaskRanges() {}
 
@@ -28,7 +31,8 @@
                     || first < 0
                     || last < first
                     || last >= taskCount) {
-                throw new MalformedMessageException("ranges: expected pairs of task numbers");
+                throw new MalformedMessageException(
+                        "task ranges: expected pairs of a first and last index below " + taskCount);
             }
             set.set(first.intValue(), last.intValue() + 1);
         }
--- a/src/main/java/org/woadloom/store/UnansweredTransaction.java
+++ b/src/main/java/org/woadloom/store/UnansweredTransaction.java
@@ -11,15 +11,15 @@
 import org.woadloom.store.StoreClient.TxnCallback;
 
 /**
- * A transaction whose answer may be lost. One key of it gets a value that nobody else ever writes
- * there: once that is read, all of the transaction was executed. The callback gets whatever comes
- * first, the answer or the proof, once.
+ * A transaction whose answer may get lost. One of its changes puts a value that no other writer
+ * ever puts at that key, so reading this value proves that the whole transaction was executed. The
+ * callback is called once, with the answer or the proof, whichever comes first.
  */
 final class UnansweredTransaction implements TxnCallback {
     private final StoreClient store;
     private final RequestPriority priority;
 
-    /** The change that proves the execution, or null if there is none. */
+    /** The change whose value proves the execution, or null. */
     private final Change proofChange;
 
     private final long revisionBefore;
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Reads the key that proves the execution, as the answer is late. */
+    /** Reads the proof key because the answer is late. */
     void checkProof() {
         if (isCompleted || proofChange == null) {
             return;
@@ -69,13 +69,13 @@
                     if (result == Result.OK
                             && entry.revision() > revisionBefore
                             && matchesWrittenValue(entry.value())) {
-                        // All changes of a transaction have the same revision.
+                        // All keys changed by a transaction have the same revision.
                         onResult(Result.OK, entry.revision(), List.of());
                     }
                 });
     }
 
-    /** Compares with the value as it would be decoded, whose types may differ. */
+    /** Compares with the encoded and decoded value, because decoding may change number types. */
     private boolean matchesWrittenValue(Map<String, Object> value) {
         try {
             return Cbor.decodeMap(Cbor.encode(proofChange.value())).equals(value);
--- a/src/main/java/org/woadloom/store/WeightedQueues.java
+++ b/src/main/java/org/woadloom/store/WeightedQueues.java
@@ -7,10 +7,11 @@
 import java.util.stream.Stream;
 
 /**
- * Queues that divide a rate by the weights of {@link RateShare} (start-time fair queueing): taking
- * a request advances its queue's virtual time by the cost divided by the weight, and the queue with
- * the least virtual time is next. Users may run ahead of their share by a burst, so that a few of
- * their requests wait for nothing else; a lasting backlog of theirs gets its share and no more.
+ * Queues that divide a rate by the weights of {@link RateShare}, using start-time fair queueing:
+ * taking a request advances the virtual time of its queue by the cost divided by the weight, and
+ * the queue with the lowest virtual time is served next. User requests may run ahead of their share
+ * by a burst, so that a few of them are sent without waiting for other shares; a lasting backlog of
+ * user requests gets its share and no more.
  */
 final class WeightedQueues<T> {
     private final Map<RateShare, Queue<T>> queues = new EnumMap<>(RateShare.class);
@@ -19,8 +20,8 @@
     private record Item<T>(T request, int cost) {}
 
     /**
-     * One share's requests: the preferred ones before the others, and each in the order in which
-     * they came.
+     * The requests of one share. Preferred requests come before the others; each group is first in,
+     * first out.
      */
     private static final class Queue<T> {
         private final ArrayDeque<Item<T>> preferred = new ArrayDeque<>();
@@ -83,7 +84,7 @@
     /**
      * Queues a request.
      *
-     * @param isPreferred goes before those of its share that are not
+     * @param isPreferred true if the request goes before the non-preferred requests of its share
      */
     void add(RateShare share, T request, int cost, boolean isPreferred) {
         if (queues.get(share).isEmpty()) {
@@ -92,18 +93,21 @@
         queues.get(share).add(new Item<>(request, Math.max(1, cost)), isPreferred);
     }
 
-    /** Removes a request that is not to be sent any more; false if it is not queued. */
+    /** Removes a request. Returns false if it is not queued. */
     boolean remove(RateShare share, T request, boolean isPreferred) {
         return queues.get(share).remove(request, isPreferred);
     }
 
-    /** The cost of what a request that comes now would wait for in its own queue. */
+    /** Returns the total cost of the requests of the share that would be taken before a new one. */
     long costAhead(RateShare share, boolean isPreferred) {
         Queue<T> queue = queues.get(share);
         return queue.preferredCost + (isPreferred ? 0 : queue.ordinaryCost);
     }
 
-    /** The part of the rate that a share gets beside all that have something waiting now. */
+    /**
+     * Returns the fraction of the rate that a share gets while all currently non-empty shares
+     * compete.
+     */
     double rateFraction(RateShare share) {
         int totalWeight = share.weight();
         for (RateShare other : RateShare.values()) {
@@ -114,7 +118,10 @@
         return (double) share.weight() / totalWeight;
     }
 
-    /** Starts a share that had nothing waiting: it has saved up nothing in the meantime. */
+    /**
+     * Activates a share whose queue was empty. Its virtual time is raised to the current minimum,
+     * so that it earns no credit for the time without requests.
+     */
     private void activate(RateShare activated) {
         double leastTime = Double.MAX_VALUE;
         for (RateShare share : RateShare.values()) {
@@ -130,9 +137,9 @@
     }
 
     /**
-     * The share whose turn it is among the allowed ones that have something waiting, or null.
+     * Returns the share to serve next among the allowed shares with queued requests, or null.
      *
-     * @param userBurst the cost by which users may run ahead of their share
+     * @param userBurst the cost by which user requests may run ahead of their share
      */
     RateShare nextShare(Predicate<RateShare> allowed, double userBurst) {
         RateShare next = null;
@@ -151,19 +158,19 @@
         return virtualTimes.get(share) - allowance;
     }
 
-    /** What the first request of a share costs. */
+    /** Returns the cost of the share's first request. */
     int costOfFirst(RateShare share) {
         return queues.get(share).first().cost();
     }
 
-    /** Removes the first request of a share, and counts its cost. */
+    /** Removes the first request of a share and charges its cost to the share. */
     T take(RateShare share) {
         Item<T> item = queues.get(share).takeFirst();
         virtualTimes.merge(share, (double) item.cost() / share.weight(), Double::sum);
         return item.request();
     }
 
-    /** The first of the share's preferred requests, and the first of the others. */
+    /** Returns the oldest preferred and the oldest other request of the share. */
     Stream<T> oldestOf(RateShare share) {
         Queue<T> queue = queues.get(share);
         return Stream.of(queue.preferred, queue.ordinary)
--- a/src/test/java/org/woadloom/metrics/NodeMetricsGoldenTest.java
+++ b/src/test/java/org/woadloom/metrics/NodeMetricsGoldenTest.java
@@ -8,8 +8,8 @@
 import org.woadloom.golden.GoldenFile;
 
 /**
- * What a node counts of itself, by name, tags and value; the gauges of its parts are in the answers
- * of a whole node.
+ * Compares the metrics of {@link NodeMetrics} with a golden file, by name, tags and value. The
+ * gauges of other components are covered by the golden file for a whole node.
  */
 class NodeMetricsGoldenTest {
     @Test
--- a/src/test/java/org/woadloom/peer/PeerFramesGoldenTest.java
+++ b/src/test/java/org/woadloom/peer/PeerFramesGoldenTest.java
@@ -16,7 +16,8 @@
 import org.woadloom.golden.GoldenFile;
 
 /**
- * Every kind of frame between nodes, byte by byte, and read back from the bytes that were recorded.
+ * Compares the encoding of every type of peer message with recorded bytes, and checks that the
+ * recorded bytes round-trip.
  */
 class PeerFramesGoldenTest {
     private static final String FILE = "peer-frames.txt";
--- a/src/test/java/org/woadloom/peer/SendQueueTest.java
+++ b/src/test/java/org/woadloom/peer/SendQueueTest.java
@@ -29,7 +29,7 @@
         assertFalse(queue.add(new byte[1]));
         assertEquals(1, queue.refusedCount());
         queue.removeFirst();
-        assertTrue(queue.add(new byte[1]), "there is room again");
+        assertTrue(queue.add(new byte[1]), "a removed frame makes room for another");
     }
 
     @Test
@@ -40,7 +40,7 @@
         }
         assertEquals(SendQueue.MAX_BYTES / PeerCodec.MAX_FRAME_BYTES, frames);
         assertEquals(1, queue.refusedCount());
-        // What was partly written counts whole until it is gone.
+        // A partly written frame counts with its full size until it is removed.
         queue.first().position(10);
         queue.removeFirst();
         assertFalse(queue.isFull());
--- a/src/test/java/org/woadloom/sim/CoalescingJobReaderTest.java
+++ b/src/test/java/org/woadloom/sim/CoalescingJobReaderTest.java
@@ -29,8 +29,8 @@
 import org.woadloom.store.StoreClient;
 
 /**
- * Users' polls on three nodes, with the stand-in of the state service behind a network that is slow
- * now and then.
+ * Tests user polls on three nodes, with a simulated store behind a network that is occasionally
+ * slow.
  */
 class CoalescingJobReaderTest {
     private static final ServiceSettings.Store LIMITS =
@@ -46,12 +46,12 @@
     private int requestCount;
     private int answeredCount;
 
-    /** How many of a hundred requests take long, or lose their answer. */
+    /** Percentage of requests that are slow, and of requests whose answer is lost. */
     private int slowOrLostPercent;
 
     /**
-     * How many of a hundred reads of changes are told that those are not kept any more, and how
-     * many were.
+     * Percentage of reads of changes that are answered with "compacted", and the number of reads
+     * that were.
      */
     private int compactedPercent;
 
@@ -81,7 +81,7 @@
             sim.after(2_000 + random.nextInt(300_000), () -> answer.answer(410, Map.of()));
             return;
         }
-        assertFalse(path.contains("since=-"), "the service would call it malformed: " + path);
+        assertFalse(path.contains("since=-"), "negative revision in " + path);
         boolean isAnswerLost = random.nextInt(100) < slowOrLostPercent;
         long requestDelay =
                 random.nextInt(100) < slowOrLostPercent
@@ -124,7 +124,7 @@
     }
 
     /**
-     * @param running counts the changes, so that an answer tells how old it is
+     * @param running a counter of changes, so that an answer shows which state it reflects
      */
     private void put(String jobId, boolean cancelled, int running) {
         try {
@@ -184,8 +184,8 @@
     }
 
     /**
-     * Users look closely right after each change: one read by key for each of them, and two for an
-     * end, starved all others.
+     * Users poll most right after a change. Guards against reading each changed job by key, and
+     * each ended one by two keys, which starved all other requests.
      */
     @Test
     void changedJobsAreAnsweredFromSharedReads() {
@@ -200,12 +200,12 @@
             finish(jobId(job));
         }
         reads = queryAll(20, "done");
-        assertTrue(reads <= 23, reads + " reads for 20 jobs that are over");
+        assertTrue(reads <= 23, reads + " reads for 20 ended jobs");
     }
 
     /**
-     * A thousand open jobs polled every 5 s were 200 requests a second, of the 150 that the service
-     * takes.
+     * Guards against one request per poll: a thousand open jobs polled every 5 s would be 200
+     * requests per second, of the 150 that the store accepts.
      */
     @Test
     void pollingAThousandJobsTakesLessThanAQuarterOfTheRequestRate() {
@@ -239,9 +239,9 @@
     }
 
     /**
-     * Whatever any node has told, no node tells anything older to whoever asks after that, and each
-     * question has one answer: polls, and what reads a job by itself, as repeated submissions and
-     * cancellations do.
+     * No query may get an older state than any node had reported before the query, and every query
+     * gets exactly one answer. Covers polls and reads by key, which repeated submissions and
+     * cancellations use.
      */
     @ParameterizedTest
     @CsvSource({"0, 0", "10, 0", "40, 0", "0, 25", "25, 25", "40, 40"})
@@ -255,7 +255,7 @@
         }
     }
 
-    /** Jobs come, change and end all the time, and are asked for while they do. */
+    /** Creates, changes and ends jobs at random while they are queried. */
     private void runRandomScenario() {
         Map<String, Integer> highestProgress = new LinkedHashMap<>();
         int[] answersByProgress = new int[4];
@@ -276,7 +276,7 @@
                                     int now = progressOf(status);
                                     assertTrue(
                                             now >= before,
-                                            jobId + " was " + before + " and is " + now);
+                                            jobId + " went back from " + before + " to " + now);
                                     highestProgress.merge(jobId, now, Math::max);
                                     answersByProgress[Math.min(3, (now + 999) / 1_000)]++;
                                 };
@@ -311,7 +311,7 @@
         boolean hasMissedChanges = compactedPercent > 0;
         slowOrLostPercent = 0;
         compactedPercent = 0;
-        // What waits for slow reads is answered once the store is well.
+        // Queries that wait for slow reads are answered once the store has recovered.
         run(90_000_000);
         assertTrue(
                 answersByProgress[1] > 20 && answersByProgress[2] > 20 && answersByProgress[3] > 20,
@@ -319,18 +319,21 @@
         assertEquals(
                 0,
                 answerCounts.stream().filter(times -> times[0] != 1).count(),
-                "questions that have not one answer");
+                "queries without exactly one answer");
         assertTrue(
                 !hasMissedChanges || compactedCount > 20,
-                compactedCount + " times changes were missed");
+                compactedCount + " reads answered with 410");
     }
 
-    /** Of those of these seconds: each comes, lives for some and is asked for for a while after. */
+    /**
+     * Returns a random current job id: each job exists for some seconds and is queried for a while
+     * afterwards.
+     */
     private String randomCurrentJobId() {
         return jobId((int) (sim.now() / 1_000_000) + random.nextInt(10));
     }
 
-    /** Jobs come, change, are cancelled and end, one step at a time. */
+    /** Creates, changes, cancels or ends a job, one step at a time. */
     private void changeJob(String jobId) {
         if (store.down || store.value("final/" + jobId) != null || random.nextInt(3) > 0) {
             return;
@@ -356,7 +359,7 @@
                 };
     }
 
-    /** Where the store does not say, nobody is told what was true before. */
+    /** During an outage queries must be refused instead of being answered with an earlier state. */
     @Test
     void queriesDuringAnOutageGetNoStaleAnswer() {
         put(jobId(1), false);
@@ -368,19 +371,22 @@
             jobReaders.get(0).read(jobId(1), shown -> refusedCount[0] += shown == null ? 1 : 0);
             run(500_000);
         }
-        assertEquals(
-                20, refusedCount[0], "told within half a second that the store does not answer");
+        assertEquals(20, refusedCount[0], "queries refused within 500 ms during the outage");
         store.outage(false);
         put(jobId(1), true);
         assertEquals("cancelled", query(0, jobId(1)).status());
         assertNull(query(1, jobId(2)), "a job that was never accepted has no status");
-        // After a gap everything is read again: changes are kept for a while only.
+        // After a gap the whole cache is read again, because the store keeps changes for a limited
+        // time.
         run(60_000_000);
         finish(jobId(1));
         assertEquals("done", query(0, jobId(1)).status());
     }
 
-    /** One read in twenty takes seconds while the store is slow; everybody would wait for it. */
+    /**
+     * While the store is slow, one read in twenty takes seconds. Such a read must not delay all
+     * queries.
+     */
     @Test
     void slowReadsDoNotDelayOtherQueries() {
         put(jobId(1), false);
--- a/src/test/java/org/woadloom/sim/StoreClientTest.java
+++ b/src/test/java/org/woadloom/sim/StoreClientTest.java
@@ -21,8 +21,8 @@
 import org.woadloom.store.StoreClient.Result;
 
 /**
- * What waits for what on the way to the store: 30 changes a second here, and more reads than are
- * asked for.
+ * Tests which requests of {@link StoreClient} wait for others. The leader's rates here are 30
+ * changes per second and more requests than the tests make.
  */
 class StoreClientTest {
     private static final ServiceSettings.Store LIMITS =
@@ -58,7 +58,8 @@
     }
 
     /**
-     * The leader's changes wait for their budget for minutes; users' polls would wait behind them.
+     * Guards against user polls queueing behind the leader's changes, which can wait minutes for
+     * their rate.
      */
     @Test
     void readIsSentWhileChangesWaitForTheirRate() {
@@ -72,7 +73,10 @@
         assertEquals(List.of("/keys/polled"), sent);
     }
 
-    /** Whoever comes later may have to wait for less. */
+    /**
+     * Guards against a timer for an earlier request with a long wait delaying a later request with
+     * a short wait.
+     */
     @Test
     void requestWithAShorterWaitIsNotDelayedByALongerTimer() {
         client.get(RequestPriority.URGENT, "refused", (result, entry, storeRevision) -> {});
@@ -89,8 +93,8 @@
     }
 
     /**
-     * What can't be sent in time is refused at once, and what waited too long is not sent: its user
-     * has given up.
+     * A request that cannot be sent before its deadline is refused immediately, and one that is
+     * still queued at its deadline is dropped, because its user has given up.
      */
     @Test
     void requestsThatWouldMissTheirDeadlineAreRefusedUnsent() {
@@ -109,17 +113,17 @@
                 refused.size() + " were refused at once");
         assertEquals(refused.size(), client.shedCount());
         run(10_000_000);
-        assertEquals(300, refused.size(), "each is answered");
+        assertEquals(300, refused.size(), "every request is answered");
         assertEquals(300 - client.shedCount(), sent.size());
         assertTrue(refused.stream().allMatch(at -> at <= 4_100_000));
     }
 
-    // Single answers that are lost.
+    // Lost answers.
 
     private final SimulatedStore store = new SimulatedStore(sim, LIMITS);
     private final Random random = new Random(7);
 
-    /** What becomes of a transaction. */
+    /** What happens to a transaction. */
     private enum Outcome {
         ANSWERED,
         ANSWER_LOST,
@@ -178,8 +182,8 @@
     }
 
     /**
-     * A lost answer used to hold one of twelve places for 2 s, and everything that is not urgent
-     * for a moment.
+     * Guards against lost answers blocking in-flight slots until their timeout (2 s, 12 slots) and
+     * causing non-urgent requests to be held back.
      */
     @Test
     void lostAnswersDoNotDelayOtherRequests() {
@@ -209,7 +213,7 @@
                     });
         }
         run(20_000_000);
-        assertEquals(0, slowCount[0], "of " + readCount[0] + " reads so many were slow");
+        assertEquals(0, slowCount[0], "slow reads out of " + readCount[0]);
         assertEquals(400, readCount[0]);
     }
 
@@ -223,7 +227,7 @@
                 List.of(Change.put(key, value)),
                 key,
                 (result, storeRevision, failed) -> {
-                    assertNull(reported[0], "told twice");
+                    assertNull(reported[0], "result reported twice");
                     reported[0] = result;
                     reportedAfter[0] = sim.now() - start;
                 });
@@ -232,8 +236,8 @@
     }
 
     /**
-     * Whether it was carried out is read after a fraction of a second; that it was not yet is no
-     * proof.
+     * The proof key is read after a fraction of a second. Its absence proves nothing, because the
+     * transaction may still be executed.
      */
     @Test
     void transactionWithALostAnswerIsConfirmedByReadingItsProofKey() {
@@ -245,7 +249,7 @@
                         "job/1",
                         Map.of("version", 3L),
                         reportedAfter));
-        assertTrue(reportedAfter[0] < 500_000, "told after " + reportedAfter[0]);
+        assertTrue(reportedAfter[0] < 500_000, "reported after " + reportedAfter[0]);
         assertEquals(
                 Result.UNKNOWN,
                 write(
@@ -253,7 +257,7 @@
                         "job/2",
                         Map.of("version", 3L),
                         reportedAfter));
-        // Somebody else's value is there: the transaction failed, and its answer was lost.
+        // Another writer's value is at the key: the transaction failed and its answer was lost.
         store.handle(
                 "POST",
                 "/txn",
--- a/src/test/java/org/woadloom/sim/StoredValuesGoldenTest.java
+++ b/src/test/java/org/woadloom/sim/StoredValuesGoldenTest.java
@@ -14,8 +14,8 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * The shapes of the values that nodes store besides records of jobs and machines, as they are found
- * on simulated days.
+ * Compares the shapes of stored values other than job and machine records, as they occur in
+ * simulations, with golden files.
  */
 class StoredValuesGoldenTest {
     private static final int SLOTS = 8;
@@ -24,8 +24,8 @@
     private final Map<String, Object> shapes = new TreeMap<>();
 
     /**
-     * Reports and answers that nodes in different zones exchange through the state service, of
-     * either format.
+     * Heartbeats and answers relayed between nodes in different zones through the store, in both
+     * formats.
      */
     @Test
     void relayedMessagesMatchGoldenShapes() throws MalformedMessageException, IOException {
@@ -74,7 +74,7 @@
         shapes.putIfAbsent(name + ", one", ValueShape.ofEach(item));
     }
 
-    /** False for a report without tasks, which would not show their form. */
+    /** Returns false for a report without tasks, which would not show the format of tasks. */
     private static boolean showsTasks(List<?> item) {
         return item.stream()
                 .noneMatch(
--- a/src/test/java/org/woadloom/store/RequestSchedulerTest.java
+++ b/src/test/java/org/woadloom/store/RequestSchedulerTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.woadloom.store.StoreClient.RequestPriority;
 
-/** Which request goes first, at 100 requests and 40 changes a second. */
+/** Tests the order of requests at rates of 100 requests and 40 changes per second. */
 class RequestSchedulerTest {
     private static final long SECOND = 1_000_000;
 
@@ -28,7 +28,7 @@
         }
     }
 
-    /** What is sent within so long. */
+    /** Returns the requests sent within the given time. */
     private List<RequestPriority> sentWithin(long micros) {
         List<RequestPriority> sent = new ArrayList<>();
         long until = now + micros;
@@ -62,7 +62,10 @@
                 List.of(first.request(), second.request()));
     }
 
-    /** The reserve is bounded: a fault that asks without end stays below the store's rate. */
+    /**
+     * The reserve is bounded: even a bug that submits control requests without end must stay within
+     * the store's rate.
+     */
     @Test
     void controlRequestsStayWithinTheRateAndTheirReserve() {
         add(RequestPriority.CONTROL, 1_000, 1);
@@ -101,8 +104,8 @@
     }
 
     /**
-     * Reads pass by changes that wait for their rate, and a large change is not passed by others
-     * for ever.
+     * Reads must not wait behind changes that wait for their rate, and a large change must not be
+     * overtaken by small ones indefinitely.
      */
     @Test
     void largeChangeLetsReadsPassButIsNotStarvedBySmallChanges() {
@@ -114,7 +117,7 @@
         assertTrue(counts(sentWithin(10 * SECOND)).get(RequestPriority.URGENT) >= 7);
     }
 
-    /** A cancellation frees what others wait for. */
+    /** Cancellations go first because they free resources that other users wait for. */
     @Test
     void cancellationsAreSentBeforeOtherUserRequests() {
         add(RequestPriority.USER, 1_000, 1);
@@ -149,7 +152,7 @@
         assertEquals(List.of(), sentWithin(SECOND));
     }
 
-    /** A full queue refuses more, and refuses nobody else. */
+    /** A full queue must refuse further requests of its share without affecting other shares. */
     @Test
     void fullQueueRefusesOnlyItsOwnShare() {
         int added = 0;
--- a/src/test/java/org/woadloom/store/StoreLimitsTest.java
+++ b/src/test/java/org/woadloom/store/StoreLimitsTest.java
@@ -19,14 +19,14 @@
         assertEquals(
                 16_384,
                 limits.maxAcceptedValueBytes(),
-                "production's records are larger until one is refused");
+                "existing records may be larger until the store refuses one");
         limits.onValueRefused(9_000);
         assertEquals(2_048, limits.maxAcceptedValueBytes());
     }
 
     /**
-     * Limits that nobody announced are learned, and a refusal for something else does not take
-     * everything away.
+     * Limits that were not announced are learned from refusals. A refusal of a tiny value, which
+     * must have another cause, must not lower the limit below its minimum.
      */
     @Test
     void unannouncedSizeLimitsAreLearnedFromRefusals() {
@@ -53,12 +53,13 @@
         assertEquals(70, limits.writeRate(1_000_000), 1e-9);
         assertEquals(250, limits.requestRate(1_000_000), 1e-9);
         limits.onRateExceeded(1_100_000, 3);
-        assertEquals(70, limits.writeRate(1_100_000), 0.1, "refusals of one moment count once");
+        assertEquals(
+                70, limits.writeRate(1_100_000), 0.1, "refusals within 500 ms of a cut count once");
         for (int i = 2; i < 60; i++) {
             limits.onRateExceeded(i * 1_000_000L, 3);
         }
         double low = limits.writeRate(60_000_000);
-        assertTrue(low >= 19.9 && low < 25, "at " + low);
+        assertTrue(low >= 19.9 && low < 25, low + " changes per second");
         assertTrue(limits.writeRate(120_000_000) > low + 15);
         assertEquals(100, limits.writeRate(1_000_000_000), 1e-9);
     }
--- a/src/test/java/org/woadloom/store/StoredRecordsGoldenTest.java
+++ b/src/test/java/org/woadloom/store/StoredRecordsGoldenTest.java
@@ -17,8 +17,8 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * Every stored record with every field, byte by byte, and read back from the bytes that were
- * recorded.
+ * Compares the encoding of every stored record, with all fields set, with recorded bytes, and
+ * checks that the recorded bytes round-trip.
  */
 class StoredRecordsGoldenTest {
     private static final String FILE = "stored-records.txt";
--- a/src/test/java/org/woadloom/store/Version1FormatTest.java
+++ b/src/test/java/org/woadloom/store/Version1FormatTest.java
@@ -26,9 +26,12 @@
 import org.woadloom.protocol.MachineType;
 import org.woadloom.protocol.MalformedMessageException;
 
-/** Version 1 and this one read each other's bytes, as long as version 1 may run anywhere. */
+/**
+ * Checks that version 1 and this release can read each other's records and peer frames, which is
+ * required as long as version 1 may still run on some node.
+ */
 class Version1FormatTest {
-    /** The message that each sampled frame holds, by the name that version 1 had for it. */
+    /** Message type of each sampled frame, by the name that version 1 used for it. */
     private static final Map<String, Class<? extends PeerMessage>> TYPES_BY_SAMPLE =
             Map.of(
                     "Hello",
@@ -56,7 +59,7 @@
         return samples;
     }
 
-    /** A job that waits for no other is stored byte for byte as before. */
+    /** A job without dependencies must be stored byte for byte as version 1 stored it. */
     @Test
     void version1RecordsReencodeToTheSameBytes() throws IOException, MalformedMessageException {
         int jobs = 0;
@@ -125,7 +128,7 @@
         assertEquals(List.of("j-1"), JobRecord.parse(compact).description().dependencies());
     }
 
-    /** Which group of tasks comes first says nothing. */
+    /** Returns the record with its attempts sorted, because their order has no meaning. */
     private static JobRecord sortAttempts(JobRecord record) {
         List<JobRecord.RecordedAttempt> attempts = new ArrayList<>(record.attempts());
         attempts.sort(
@@ -159,8 +162,8 @@
     }
 
     /**
-     * Any record survives the compact format, whatever the machines are called; broken text is
-     * refused, never misread.
+     * Random records with various machine name patterns must round-trip through the compact format.
+     * Decoding corrupted text may only fail with {@link MalformedMessageException}.
      */
     @Test
     void compactFormatRoundTripsRandomRecordsAndRejectsCorruptText()
--- a/src/test/java/org/woadloom/store/Version1JobRecord.java
+++ b/src/test/java/org/woadloom/store/Version1JobRecord.java
@@ -7,8 +7,8 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * Version 1's reading of a job's record, frozen: what it does not know is lost when it writes the
- * record again. The samples under {@code production/} were written by that version itself.
+ * Frozen copy of how version 1 reads a job record: fields that it does not know are lost when it
+ * writes the record again. The samples under {@code production/} were written by version 1 itself.
  */
 public final class Version1JobRecord {
     private static final List<String> DESCRIPTION_FIELDS =
@@ -38,7 +38,7 @@
 
     private Version1JobRecord() {}
 
-    /** The record as version 1 understands it, or an error where it can't read it. */
+    /** Returns the record as version 1 understands it, or throws if version 1 cannot read it. */
     public static Map<String, Object> read(Map<String, Object> value)
             throws MalformedMessageException {
         Fields fields = new Fields(value);
