--- a/src/main/java/org/woadloom/cli/CheckCommand.java
+++ b/src/main/java/org/woadloom/cli/CheckCommand.java
@@ -74,7 +74,7 @@
         FleetSizeEstimate fleet = FleetSizeEstimate.of(service);
         System.out.printf(
                 "carries about %d machines: %d by fd_limit, %d by cpu_share and report_s%n",
-                fleet.agents(), fleet.bySockets(), fleet.byProcessor());
+                fleet.maxAgents(), fleet.maxAgentsBySockets(), fleet.maxAgentsByCpu());
         ServiceSettings.Store state = service.store();
         if (state.next() != null) {
             System.out.printf(
--- a/src/main/java/org/woadloom/cli/RehearseCommand.java
+++ b/src/main/java/org/woadloom/cli/RehearseCommand.java
@@ -2,7 +2,7 @@
 
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
-import org.woadloom.node.WarmUp;
+import org.woadloom.node.CdsTrainingRun;
 
 /** Run by the build, so that the class-data archive holds the classes that serving needs. */
 final class RehearseCommand implements Subcommand {
@@ -34,7 +34,7 @@
 
     @Override
     public int run(CommandLine line) throws Exception {
-        WarmUp.run(java.nio.file.Path.of(line.getArgList().get(0)));
+        CdsTrainingRun.run(java.nio.file.Path.of(line.getArgList().get(0)));
         return DONE;
     }
 }
--- a/src/main/java/org/woadloom/leader/Election.java
+++ b/src/main/java/org/woadloom/leader/Election.java
@@ -70,15 +70,15 @@
     private static final long NO_TERM = 0;
 
     /** Whether this process may lead, by the features that the stored state requires. */
-    public interface Fence {
+    public interface Eligibility {
         /** True once the required features were read and this process supports them. */
-        boolean isOpen();
+        boolean isEligible();
 
         /** Holds as long as the required features are those that were read. */
         Condition condition();
 
         /** The condition has failed: the required features must be read again. */
-        void onConflict();
+        void refresh();
     }
 
     /** Is told when this node gains or loses the leadership. */
@@ -91,7 +91,7 @@
         void onElected(long term, long leaderRevision);
 
         /** This node leads no more. */
-        void onDeposed(String reason);
+        void onLeadershipLost(String reason);
 
         /** Another leader than before is known, this node perhaps. */
         void onLeaderChanged();
@@ -107,14 +107,14 @@
     private final StoreClient store;
     private final String label;
     private final Random random;
-    private final Fence fence;
+    private final Eligibility eligibility;
     private final Listener listener;
     private Role role = Role.FOLLOWER;
     private long term;
     private long storeLease;
 
     /** The leader key as far as known, null where it does not exist. */
-    private LeaderKey leaderKey;
+    private LeaderRecord leaderKey;
 
     private long leaderRevision;
 
@@ -138,13 +138,13 @@
             StoreClient store,
             String label,
             Random random,
-            Fence fence,
+            Eligibility eligibility,
             Listener listener) {
         this.loop = loop;
         this.store = store;
         this.label = label;
         this.random = random;
-        this.fence = fence;
+        this.eligibility = eligibility;
         this.listener = listener;
     }
 
@@ -167,7 +167,7 @@
     }
 
     /** The term of the leader as far as known, 0 for none. */
-    public long knownTerm() {
+    public long leaderTerm() {
         return leaderKey == null ? NO_TERM : leaderKey.term();
     }
 
@@ -182,7 +182,7 @@
         }
         highestTerm = leaderTerm;
         LOG.info("event=leader_reported_by_peer leader={} term={}", leader, leaderTerm);
-        leaderKey = new LeaderKey(leader, leaderTerm);
+        leaderKey = new LeaderRecord(leader, leaderTerm);
         stepDown(leader + " leads in term " + leaderTerm);
         loop.execute(listener::onLeaderChanged);
     }
@@ -228,9 +228,9 @@
             return;
         }
         leaderRevision = revision;
-        LeaderKey former = leaderKey;
+        LeaderRecord former = leaderKey;
         leaderKey = parse(value);
-        highestTerm = Math.max(highestTerm, knownTerm());
+        highestTerm = Math.max(highestTerm, leaderTerm());
         if (role != Role.LEADER && isRequestedKey()) {
             // The transaction was executed and its answer is late or lost: others would wait for
             // the lease to expire.
@@ -249,9 +249,9 @@
         }
     }
 
-    private static LeaderKey parse(Map<String, Object> value) {
+    private static LeaderRecord parse(Map<String, Object> value) {
         try {
-            return value == null ? null : LeaderKey.parse(value);
+            return value == null ? null : LeaderRecord.parse(value);
         } catch (MalformedMessageException e) {
             return null;
         }
@@ -259,7 +259,7 @@
 
     private boolean isRequestedKey() {
         return requestedTerm == highestTerm
-                && new LeaderKey(label, requestedTerm).equals(leaderKey);
+                && new LeaderRecord(label, requestedTerm).equals(leaderKey);
     }
 
     private void stepDownIfReplaced() {
@@ -270,7 +270,7 @@
         }
     }
 
-    private void campaignIfVacant(LeaderKey former, long revision) {
+    private void campaignIfVacant(LeaderRecord former, long revision) {
         boolean isOwnKey = leaderKey != null && leaderKey.label().equals(label);
         if (isOwnKey && term == NO_TERM) {
             yieldLeadership(revision);
@@ -310,7 +310,7 @@
                     // An interrupted watch gives the former leader's end and the new leader in one
                     // answer.
                     if (campaignNumber == expected && role == Role.FOLLOWER && isVacant()) {
-                        if (fence.isOpen()) {
+                        if (eligibility.isEligible()) {
                             startCampaign();
                         } else {
                             scheduleCampaign(FENCED_RETRY_MICROS);
@@ -328,7 +328,7 @@
         if (role == Role.FOLLOWER
                 && leaderKey != null
                 && leaderKey.label().equals(formerLeader)
-                && fence.isOpen()) {
+                && eligibility.isEligible()) {
             LOG.info("event=failover_started former_leader={}", formerLeader);
             startCampaign();
         }
@@ -388,8 +388,8 @@
                 List.of(
                         new Condition(StoreKeys.LEADER, revisionToReplace),
                         new Condition(StoreKeys.TERM, termRevision),
-                        fence.condition());
-        Map<String, Object> keyValue = new LeaderKey(label, newTerm).toMap();
+                        eligibility.condition());
+        Map<String, Object> keyValue = new LeaderRecord(label, newTerm).toMap();
         List<Change> changes =
                 List.of(
                         new Change(StoreKeys.LEADER, keyValue, storeLease),
@@ -416,8 +416,8 @@
             onElected(newTerm, storeRevision);
             return;
         }
-        if (conflicts.contains(fence.condition().path())) {
-            fence.onConflict();
+        if (conflicts.contains(eligibility.condition().path())) {
+            eligibility.refresh();
         }
         // Without an answer it may have been executed; otherwise a later campaign takes a higher
         // term.
@@ -454,7 +454,7 @@
         requestedTerm = NO_TERM;
         term = newTerm;
         highestTerm = Math.max(highestTerm, newTerm);
-        leaderKey = new LeaderKey(label, newTerm);
+        leaderKey = new LeaderRecord(label, newTerm);
         leaderRevision = revision;
         LOG.info("event=leader_elected term={}", newTerm);
         // The lease may be some seconds old.
@@ -493,7 +493,7 @@
         if (leaderKey != null && leaderKey.term() == term) {
             leaderKey = null;
         }
-        listener.onDeposed(reason);
+        listener.onLeadershipLost(reason);
         onCampaignFailed();
     }
 }
--- a/src/main/java/org/woadloom/leader/LeaderKey.java
+++ b/src/main/java/org/woadloom/leader/LeaderRecord.java
@@ -6,7 +6,7 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /** The value of the leader key: the name of the node that leads, and its term. */
-public record LeaderKey(String label, long term) {
+public record LeaderRecord(String label, long term) {
     private static final String LABEL = "label";
     private static final String TERM = "term";
 
@@ -17,8 +17,8 @@
         return map;
     }
 
-    static LeaderKey parse(Map<String, Object> map) throws MalformedMessageException {
+    static LeaderRecord parse(Map<String, Object> map) throws MalformedMessageException {
         Fields fields = new Fields(map);
-        return new LeaderKey(fields.text(LABEL), fields.integer(TERM));
+        return new LeaderRecord(fields.text(LABEL), fields.integer(TERM));
     }
 }
--- a/src/main/java/org/woadloom/leader/RecordWriter.java
+++ b/src/main/java/org/woadloom/leader/RecordWriter.java
@@ -27,7 +27,7 @@
     private static final long NO_REVISION = 0;
 
     /** One record's write: conditions and changes that belong together. */
-    public record Write(List<Condition> conditions, List<Change> changes, Outcome callback) {
+    public record Write(List<Condition> conditions, List<Change> changes, WriteCallback callback) {
         /** About how many bytes of a transaction it takes. */
         int size() {
             int size = 0;
@@ -44,7 +44,7 @@
 
     /** Receives the outcome of a write. */
     /** Is told what became of one write. */
-    public interface Outcome {
+    public interface WriteCallback {
         /**
          * The write was answered, or never will be.
          *
@@ -191,8 +191,8 @@
     }
 
     /** A put of one key on condition of its revision. */
-    public static Write put(
-            String key, Map<String, Object> value, long revision, Outcome callback) {
+    public static Write conditionalPut(
+            String key, Map<String, Object> value, long revision, WriteCallback callback) {
         return new Write(
                 List.of(new Condition(key, revision)), List.of(Change.put(key, value)), callback);
     }
--- a/src/main/java/org/woadloom/node/WarmUp.java
+++ b/src/main/java/org/woadloom/node/CdsTrainingRun.java
@@ -16,11 +16,11 @@
  * Starts a node on loopback ports whose store and cloud are the node itself, asks it a few things
  * and returns. It is run only by the build, to find out which classes a start loads.
  */
-public final class WarmUp {
+public final class CdsTrainingRun {
     /** For so long the node runs, so that its timers load their classes as well. */
     private static final long RUN_MILLIS = 1_500;
 
-    private WarmUp() {}
+    private CdsTrainingRun() {}
 
     public static void run(Path file) throws Exception {
         ServiceSettings settings = onFreePorts(ServiceSettingsFile.read(file));
--- a/src/main/java/org/woadloom/node/EventQueue.java
+++ b/src/main/java/org/woadloom/node/EventQueue.java
@@ -27,7 +27,7 @@
 
     private final EventLoop loop;
     private final Scheduler scheduler;
-    private final Executor executor;
+    private final ActionHandler actionHandler;
     private final NodeMetrics metrics;
     private final int maxHeartbeats;
     private final StepObserver observer;
@@ -41,9 +41,9 @@
     private volatile long notBeforeMicros = Long.MIN_VALUE / 2;
 
     /** Carries out the scheduler's actions. */
-    public interface Executor {
+    public interface ActionHandler {
         /** Called on the event loop after each batch, also without any action. */
-        void execute(List<SchedulerAction> actions);
+        void onActions(List<SchedulerAction> actions);
     }
 
     /**
@@ -56,8 +56,8 @@
             Scheduler scheduler,
             NodeMetrics metrics,
             int maxHeartbeats,
-            Executor executor) {
-        this(loop, scheduler, metrics, maxHeartbeats, executor, StepObserver.NONE);
+            ActionHandler actionHandler) {
+        this(loop, scheduler, metrics, maxHeartbeats, actionHandler, StepObserver.NONE);
     }
 
     /** The same, with an observer of each step. */
@@ -66,11 +66,11 @@
             Scheduler scheduler,
             NodeMetrics metrics,
             int maxHeartbeats,
-            Executor executor,
+            ActionHandler actionHandler,
             StepObserver observer) {
         this.loop = loop;
         this.scheduler = scheduler;
-        this.executor = executor;
+        this.actionHandler = actionHandler;
         this.metrics = metrics;
         this.maxHeartbeats = maxHeartbeats;
         this.observer = observer;
@@ -100,7 +100,7 @@
     }
 
     /** Heartbeats that were refused because too many waited, since the process started. */
-    long refused() {
+    long refusedHeartbeats() {
         return refused.get();
     }
 
@@ -122,7 +122,7 @@
         metrics.onStepTaken(loop.nowMicros() - startMicros);
         observer.onStep(startMicros, batch, actions);
         actions.forEach(metrics::onAction);
-        executor.execute(actions);
+        actionHandler.onActions(actions);
         long endMicros = loop.nowMicros();
         notBeforeMicros = endMicros + pauseMicros(endMicros - startMicros);
         drainScheduled.set(false);
--- a/src/main/java/org/woadloom/node/FleetSizeEstimate.java
+++ b/src/main/java/org/woadloom/node/FleetSizeEstimate.java
@@ -7,10 +7,10 @@
  * Roughly how many machines a set of settings can carry: the leader decides every heartbeat, and
  * the nodes share the connections.
  *
- * @param bySockets how many agents can be connected beside users while one node is missing
- * @param byProcessor for how many agents heartbeats can be decided in time
+ * @param maxAgentsBySockets how many agents can be connected beside users while one node is missing
+ * @param maxAgentsByCpu for how many agents heartbeats can be decided in time
  */
-public record FleetSizeEstimate(int bySockets, int byProcessor) {
+public record FleetSizeEstimate(int maxAgentsBySockets, int maxAgentsByCpu) {
     /**
      * What a heartbeat costs the leader with all that follows from it; see "How cost grows" in
      * docs/assessment.md.
@@ -28,7 +28,7 @@
                 (int) (heartbeatsPerSecond * settings.agents().heartbeatMicros() / 1e6));
     }
 
-    public int agents() {
-        return Math.min(bySockets, byProcessor);
+    public int maxAgents() {
+        return Math.min(maxAgentsBySockets, maxAgentsByCpu);
     }
 }
--- a/src/main/java/org/woadloom/node/HeartbeatRouter.java
+++ b/src/main/java/org/woadloom/node/HeartbeatRouter.java
@@ -228,7 +228,7 @@
             return null;
         }
         long tokenTerm = heartbeat.fencingToken() >> AgentLiveness.FENCE_BITS;
-        boolean renewedInTerm = tokenTerm == election.knownTerm();
+        boolean renewedInTerm = tokenTerm == election.leaderTerm();
         return connectionBalancer.redirectTarget(
                 heartbeat.host(), renewedInTerm, peers.reachablePeers(), loop.nowMicros());
     }
--- a/src/main/java/org/woadloom/node/Node.java
+++ b/src/main/java/org/woadloom/node/Node.java
@@ -272,7 +272,7 @@
         }
 
         @Override
-        public void onDeposed(String reason) {
+        public void onLeadershipLost(String reason) {
             store.setLeader(false);
             confirmations.endTerm();
             relayLeader.stop();
@@ -340,7 +340,7 @@
 
         @Override
         public long term() {
-            return election.knownTerm();
+            return election.leaderTerm();
         }
 
         @Override
--- a/src/main/java/org/woadloom/node/NodeGauges.java
+++ b/src/main/java/org/woadloom/node/NodeGauges.java
@@ -34,7 +34,7 @@
         metrics.gauge("woadloom.invariants.violated", metrics, ignored -> Invariants.violations());
         metrics.gauge("woadloom.alone", node, n -> n.isIsolated() ? 1 : 0);
         metrics.gauge("woadloom.leader", election, e -> e.isLeader() ? 1 : 0);
-        metrics.gauge("woadloom.term", election, Election::knownTerm);
+        metrics.gauge("woadloom.term", election, Election::leaderTerm);
     }
 
     static void registerStore(NodeMetrics metrics, StoreClient store) {
@@ -86,7 +86,7 @@
             HeartbeatRouter heartbeats,
             PeerTracker peers,
             AgentConnectionBalancer connectionBalancer) {
-        metrics.gauge("woadloom.reports.queue_full", queue, EventQueue::refused);
+        metrics.gauge("woadloom.reports.queue_full", queue, EventQueue::refusedHeartbeats);
         metrics.gauge("woadloom.reports.parked_full", heartbeats, HeartbeatRouter::refused);
         metrics.gauge("woadloom.peers.queue_full", peers, PeerTracker::refused);
         metrics.gauge("woadloom.workers.here", connectionBalancer, AgentConnectionBalancer::size);
--- a/src/main/java/org/woadloom/node/PeerTracker.java
+++ b/src/main/java/org/woadloom/node/PeerTracker.java
@@ -92,7 +92,7 @@
         if (leader != null && !election.isLeader()) {
             PeerLink link = link(leader);
             if (link.isConnected()) {
-                link.onConnectedToLeader(election.knownTerm());
+                link.onConnectedToLeader(election.leaderTerm());
             }
         }
         announceTerm();
@@ -127,7 +127,7 @@
     private PeerMessage termMessage() {
         String leader = election.leader();
         return new PeerMessage.Ping(
-                election.knownTerm(), leader == null ? "" : leader, rollout.view());
+                election.leaderTerm(), leader == null ? "" : leader, rollout.view());
     }
 
     private PeerLink link(String label) {
@@ -267,7 +267,7 @@
         PeerLink link = link(label);
         link.onConnected(loop.nowMicros());
         if (label.equals(election.leader())) {
-            link.onConnectedToLeader(election.knownTerm());
+            link.onConnectedToLeader(election.leaderTerm());
         }
         // A process that has just started waits for a message from each peer.
         transport.send(label, termMessage());
@@ -286,7 +286,7 @@
         // never reached it, and then its store lease decides: leadership does not swing.
         if (link.refusals() >= REFUSALS_OF_ENDED_LEADER
                 && label.equals(election.leader())
-                && link.wasConnectedInTerm(election.knownTerm())
+                && link.wasConnectedInTerm(election.leaderTerm())
                 && isGone(label)) {
             election.takeOverFrom(label);
         }
--- a/src/main/java/org/woadloom/node/RecordWrites.java
+++ b/src/main/java/org/woadloom/node/RecordWrites.java
@@ -38,13 +38,14 @@
     void writeJob(SchedulerAction.WriteJob action) {
         String jobId = action.record().description().jobId();
         Map<String, Object> value = action.record().toMap(rollout.format());
-        RecordWriter.Outcome callback = onJobWritten(jobId, action.record().version());
+        RecordWriter.WriteCallback callback = onJobWritten(jobId, action.record().version());
         if (Cbor.jsonSize(value) > limits.currentValueBytes()) {
             callback.onWritten(SchedulerEvent.WriteOutcome.TOO_LARGE, 0);
         } else {
             writer.add(
                     action.urgent(),
-                    RecordWriter.put(StoreKeys.job(jobId), value, action.revision(), callback));
+                    RecordWriter.conditionalPut(
+                            StoreKeys.job(jobId), value, action.revision(), callback));
         }
     }
 
@@ -66,7 +67,7 @@
         String host = action.record().host();
         writer.add(
                 true,
-                RecordWriter.put(
+                RecordWriter.conditionalPut(
                         StoreKeys.machine(host),
                         action.record().toMap(),
                         action.revision(),
@@ -83,7 +84,7 @@
                         onMachineWritten(action.host(), true, true)));
     }
 
-    private RecordWriter.Outcome onJobWritten(String jobId, long version) {
+    private RecordWriter.WriteCallback onJobWritten(String jobId, long version) {
         return (outcome, revision) -> {
             if (!term.isActive()) {
                 return;
@@ -96,7 +97,7 @@
         };
     }
 
-    private RecordWriter.Outcome onMachineWritten(
+    private RecordWriter.WriteCallback onMachineWritten(
             String host, boolean decommissioning, boolean deleted) {
         return (outcome, revision) -> {
             if (term.isActive()) {
--- a/src/main/java/org/woadloom/node/RolloutActions.java
+++ b/src/main/java/org/woadloom/node/RolloutActions.java
@@ -47,7 +47,7 @@
                         changes,
                         (written, revision) -> {
                             // Written or not, what stands there now is what counts.
-                            rollout.onConflict();
+                            rollout.refresh();
                             outcome.add(
                                     new SchedulerEvent.RolloutWriteCompleted(
                                             put.record().number(), written, revision));
--- a/src/main/java/org/woadloom/node/RolloutParticipant.java
+++ b/src/main/java/org/woadloom/node/RolloutParticipant.java
@@ -39,7 +39,7 @@
  * says that has read it there, never by its own settings. What moves a rollout on is the leader's
  * scheduler ({@code core.rollout}). Belongs to the event loop.
  */
-final class RolloutParticipant implements Election.Fence {
+final class RolloutParticipant implements Election.Eligibility {
     private static final Logger LOG = LoggerFactory.getLogger(RolloutParticipant.class);
 
     /** For so long a node without an announcement counts as running after its last message. */
@@ -163,7 +163,7 @@
     }
 
     @Override
-    public boolean isOpen() {
+    public boolean isEligible() {
         return membership.mayServe();
     }
 
@@ -173,7 +173,7 @@
     }
 
     @Override
-    public void onConflict() {
+    public void refresh() {
         watcher.refresh();
     }
 
--- a/src/main/java/org/woadloom/node/StepObserver.java
+++ b/src/main/java/org/woadloom/node/StepObserver.java
@@ -17,5 +17,5 @@
      *
      * @param nowMicros the time that the scheduler was given, by the node's loop
      */
-    void onStep(long nowMicros, List<SchedulerEvent> commands, List<SchedulerAction> actions);
+    void onStep(long nowMicros, List<SchedulerEvent> events, List<SchedulerAction> actions);
 }
--- a/src/test/java/org/woadloom/node/EventQueueTest.java
+++ b/src/test/java/org/woadloom/node/EventQueueTest.java
@@ -104,7 +104,7 @@
         for (int i = 0; i < 25; i++) {
             queue.offer(report(i, 1));
         }
-        assertEquals(15, queue.refused());
+        assertEquals(15, queue.refusedHeartbeats());
     }
 
     private static SchedulerEvent.HeartbeatReceived report(int host, long sequence) {
--- a/src/test/java/org/woadloom/settings/SettingsTest.java
+++ b/src/test/java/org/woadloom/settings/SettingsTest.java
@@ -68,14 +68,14 @@
         ServiceSettings settings = ServiceSettingsFile.parse("f.toml", good());
         assertEquals(
                 60,
-                FleetSizeEstimate.of(settings).agents(),
+                FleetSizeEstimate.of(settings).maxAgents(),
                 "200 sockets, half of them for workers and users");
         ServiceSettings large =
                 ServiceSettingsFile.parse(
                         "f.toml", good().replace("fd_limit = 200", "fd_limit = 9000"));
         assertEquals(
                 1_000,
-                FleetSizeEstimate.of(large).agents(),
+                FleetSizeEstimate.of(large).maxAgents(),
                 "one core, a report a second from each");
     }
 
--- a/src/test/java/org/woadloom/sim/ElectionTest.java
+++ b/src/test/java/org/woadloom/sim/ElectionTest.java
@@ -42,10 +42,10 @@
     private boolean earlierProcess;
 
     private Election start() {
-        Election.Fence fence =
-                new Election.Fence() {
+        Election.Eligibility fence =
+                new Election.Eligibility() {
                     @Override
-                    public boolean isOpen() {
+                    public boolean isEligible() {
                         return true;
                     }
 
@@ -55,7 +55,7 @@
                     }
 
                     @Override
-                    public void onConflict() {}
+                    public void refresh() {}
                 };
         Election election =
                 new Election(
@@ -126,7 +126,7 @@
                             }
 
                             @Override
-                            public void onDeposed(String reason) {
+                            public void onLeadershipLost(String reason) {
                                 ends.add(reason);
                             }
 
--- a/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
+++ b/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
@@ -178,7 +178,7 @@
                 }
 
                 @Override
-                public void onDeposed(String reason) {
+                public void onLeadershipLost(String reason) {
                     deposed++;
                     client.setLeader(false);
                 }
@@ -213,10 +213,10 @@
                 LIMITS);
     }
 
-    private static Election.Fence fence() {
-        return new Election.Fence() {
+    private static Election.Eligibility fence() {
+        return new Election.Eligibility() {
             @Override
-            public boolean isOpen() {
+            public boolean isEligible() {
                 return true;
             }
 
@@ -226,7 +226,7 @@
             }
 
             @Override
-            public void onConflict() {}
+            public void refresh() {}
         };
     }
 
