--- a/src/main/java/org/woadloom/core/LeaderTerm.java
+++ b/src/main/java/org/woadloom/core/LeaderTerm.java
@@ -142,7 +142,7 @@
     }
 
     int reservationCount() {
-        return reservations.size();
+        return reservations.count();
     }
 
     long machinesExamined() {
@@ -177,7 +177,7 @@
             placeTasks();
         }
         autoscaler.review(isSearchComplete);
-        state.serviceLevels().review();
+        state.serviceLevels().reportIfDue();
         rollout.review();
         emitActions();
     }
@@ -190,7 +190,7 @@
 
     private boolean isPlacementDue() {
         return !isSearchComplete
-                || ((state.isPlacementNeeded() || state.nowMicros() >= nextPlacementMicros)
+                || ((state.isPlacementRequested() || state.nowMicros() >= nextPlacementMicros)
                         && state.nowMicros() >= placementNotBeforeMicros);
     }
 
@@ -204,7 +204,7 @@
 
     private void placeTasks() {
         for (TeamQuota team : state.teams().values()) {
-            team.reviewLostTasks(state.nowMicros(), reservations::countFor);
+            team.expireLostTaskHolds(state.nowMicros(), reservations::countFor);
         }
         guaranteedQuota.update();
         classFairShare.update();
--- a/src/main/java/org/woadloom/core/Scheduler.java
+++ b/src/main/java/org/woadloom/core/Scheduler.java
@@ -27,27 +27,27 @@
     }
 
     /** Jobs that are not over, or not stored as such yet; 0 while this node does not lead. */
-    public int jobs() {
+    public int openJobCount() {
         return countInTerm(term -> term.state().jobs().size());
     }
 
     /** Jobs that wait for those that they depend on. */
-    public int blockedJobs() {
+    public int blockedJobCount() {
         return countInTerm(term -> term.state().dependencies().blockedCount());
     }
 
     /** Machines that are known, also those that are only rented or about to be deleted. */
-    public int machines() {
+    public int machineCount() {
         return countInTerm(term -> term.state().machines().size());
     }
 
     /** Machines whose agents send heartbeats and that no direct command reaches. */
-    public int unreachableMachines() {
+    public int unreachableMachineCount() {
         return countInTerm(LeaderTerm::unreachableMachineCount);
     }
 
     /** Reservations of resources for gangs. */
-    public int reservations() {
+    public int reservationCount() {
         return countInTerm(LeaderTerm::reservationCount);
     }
 
@@ -57,12 +57,12 @@
     }
 
     /** Records that a rollout still has to rewrite. */
-    public int recordsToMigrate() {
+    public int recordsToMigrateCount() {
         return countInTerm(LeaderTerm::recordsToMigrate);
     }
 
     /** Records that could not be read when a rollout counted them. */
-    public int unreadableRecords() {
+    public int unreadableRecordCount() {
         return countInTerm(LeaderTerm::unreadableRecords);
     }
 
--- a/src/main/java/org/woadloom/core/SchedulerAction.java
+++ b/src/main/java/org/woadloom/core/SchedulerAction.java
@@ -113,11 +113,12 @@
     /**
      * Write how far the features are; answered by {@link SchedulerEvent.RolloutWriteCompleted}.
      *
-     * @param conditions the revision that each of these keys must still have
+     * @param expectedRevisions the revision that each of these keys must still have
      * @param agreedVersion the version that is written for nodes of versions 2 and 3, which know no
      *     rollouts; 0 for none
      */
-    record WriteRollout(RolloutRecord record, Map<String, Long> conditions, long agreedVersion)
+    record WriteRollout(
+            RolloutRecord record, Map<String, Long> expectedRevisions, long agreedVersion)
             implements SchedulerAction {}
 
     /**
--- a/src/main/java/org/woadloom/core/SchedulerEvent.java
+++ b/src/main/java/org/woadloom/core/SchedulerEvent.java
@@ -74,9 +74,10 @@
     /**
      * A job's record was read and can't be decoded.
      *
-     * @param cancelled whether it can still be told that the job is cancelled
+     * @param knownCancelled whether it can still be told that the job is cancelled
      */
-    record JobRecordDamaged(String jobId, long revision, boolean cancelled) implements TermEvent {
+    record JobRecordDamaged(String jobId, long revision, boolean knownCancelled)
+            implements TermEvent {
         @Override
         public void accept(TermEventHandler handler) {
             handler.onJobRecordDamaged(this);
@@ -137,14 +138,14 @@
     /**
      * From now on the store takes this much, and records have this form.
      *
-     * @param valueBytes the largest value that the store takes
+     * @param maxValueBytes the largest value that the store takes
      * @param delegationEnabled whether all nodes can renew leases of a partitioned zone
      * @param recordsMachineLifecycle whether records of machines say when these were rented and
      *     whether they ever reported
      */
     record StoreLimitsChanged(
-            int valueBytes,
-            RecordFormat format,
+            int maxValueBytes,
+            RecordFormat recordFormat,
             double writesPerSecond,
             boolean delegationEnabled,
             boolean recordsMachineLifecycle)
@@ -324,21 +325,21 @@
      * @param revision the revision of the record
      * @param announcements what live processes announce, by node
      * @param requests what operators ask for, by feature
-     * @param unannounced nodes that sent something lately and announce nothing
-     * @param agreed the version that nodes of versions 2 and 3 have agreed on
-     * @param agreedStamp the revision of the agreed version
-     * @param refusals how many answers were refused and how many steps were late since this process
-     *     started
+     * @param unannouncedNodes nodes that sent something lately and announce nothing
+     * @param agreedVersion the version that nodes of versions 2 and 3 have agreed on
+     * @param agreedVersionRevision the revision of the agreed version
+     * @param overloadSignals how many answers were refused and how many steps were late since this
+     *     process started
      */
     record RolloutStateRead(
             RolloutRecord record,
             long revision,
             Map<String, StoredAnnouncement> announcements,
             Map<String, RolloutRequest> requests,
-            Set<String> unannounced,
-            long agreed,
-            long agreedStamp,
-            long refusals)
+            Set<String> unannouncedNodes,
+            long agreedVersion,
+            long agreedVersionRevision,
+            long overloadSignals)
             implements TermEvent {
         @Override
         public void accept(TermEventHandler handler) {
@@ -352,20 +353,20 @@
                     newRevision,
                     announcements,
                     requests,
-                    unannounced,
-                    agreed,
-                    agreedStamp,
-                    refusals);
+                    unannouncedNodes,
+                    agreedVersion,
+                    agreedVersionRevision,
+                    overloadSignals);
         }
     }
 
     /**
      * The outcome of a {@link SchedulerAction.WriteRollout}.
      *
-     * @param number the number of the record that was to be written
+     * @param recordNumber the number of the record that was to be written
      * @param revision the record's new revision, if it was written
      */
-    record RolloutWriteCompleted(long number, WriteOutcome outcome, long revision)
+    record RolloutWriteCompleted(long recordNumber, WriteOutcome outcome, long revision)
             implements TermEvent {
         @Override
         public void accept(TermEventHandler handler) {
--- a/src/main/java/org/woadloom/core/SchedulerSettings.java
+++ b/src/main/java/org/woadloom/core/SchedulerSettings.java
@@ -11,27 +11,27 @@
 /**
  * The settings of the deployment that the scheduler rests on.
  *
- * @param label the name of this node
- * @param nodes the zone of each node, this one's among them
- * @param heartbeatMicros how often an agent sends a heartbeat
- * @param leaseMicros how long an agent may go without an answer before it kills its tasks
- * @param cancelMicros within what time the tasks of a cancelled job must have stopped
- * @param listLagMicros by how much the cloud's list of machines may be out of date
+ * @param nodeName the name of this node
+ * @param zoneByNode the zone of each node, this one's among them
+ * @param heartbeatIntervalMicros how often an agent sends a heartbeat
+ * @param leaseDurationMicros how long an agent may go without an answer before it kills its tasks
+ * @param cancellationTimeoutMicros within what time the tasks of a cancelled job must have stopped
+ * @param machineListLagMicros by how much the cloud's list of machines may be out of date
  */
 public record SchedulerSettings(
-        String label,
-        Map<String, String> nodes,
+        String nodeName,
+        Map<String, String> zoneByNode,
         List<Team> teams,
         List<Objective> objectives,
-        long heartbeatMicros,
-        long leaseMicros,
-        long cancelMicros,
-        long listLagMicros,
+        long heartbeatIntervalMicros,
+        long leaseDurationMicros,
+        long cancellationTimeoutMicros,
+        long machineListLagMicros,
         OperatorSettings operator) {
 
     /** Copies the zones, so that nobody changes them. */
     public SchedulerSettings {
-        nodes = Map.copyOf(nodes);
+        zoneByNode = Map.copyOf(zoneByNode);
     }
 
     /** Picks out of the settings files what the scheduler needs. */
--- a/src/main/java/org/woadloom/core/SchedulerState.java
+++ b/src/main/java/org/woadloom/core/SchedulerState.java
@@ -33,7 +33,7 @@
 
     private final SchedulerSettings settings;
     private final long term;
-    private final long startedMicros;
+    private final long termStartMicros;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Map<String, Job> jobsView = Collections.unmodifiableMap(jobs);
     private final Map<String, Machine> machines = new LinkedHashMap<>();
@@ -58,12 +58,12 @@
 
     private final Map<String, TeamQuota> teams = new LinkedHashMap<>();
     private final Map<String, TeamQuota> teamsView = Collections.unmodifiableMap(teams);
-    private final DemandEstimator demand = new DemandEstimator();
+    private final DemandEstimator demandEstimator = new DemandEstimator();
     private final DependencyGraph dependencies = new DependencyGraph(this);
     private final ServiceLevelReport serviceLevels;
 
     /** The largest value that the store takes. */
-    private int valueBytes;
+    private int maxValueBytes;
 
     private final LivenessTimeouts livenessTimeouts;
 
@@ -77,7 +77,7 @@
     private long cancellationsReadUpToMicros = Long.MIN_VALUE;
 
     private final WriteBudget writeBudget = new WriteBudget();
-    private RecordFormat format = RecordFormat.PLAIN;
+    private RecordFormat recordFormat = RecordFormat.PLAIN;
 
     /**
      * Whether records of machines say when these were rented and whether they ever reported, and
@@ -99,10 +99,10 @@
     private long wallMicros;
 
     /** How many jobs have arrived, or were unblocked. */
-    private long jobArrivals;
+    private long jobArrivalCount;
 
     /** Set when something changed that may let a task be placed. */
-    private boolean placementNeeded = true;
+    private boolean placementRequested = true;
 
     private List<SchedulerAction> actions = new ArrayList<>();
     private long lastAttempt;
@@ -112,13 +112,18 @@
     SchedulerState(SchedulerSettings settings, long term, long nowMicros, long wallMicros) {
         this.settings = settings;
         this.term = term;
-        this.startedMicros = nowMicros;
+        this.termStartMicros = nowMicros;
         this.nowMicros = nowMicros;
         this.wallMicros = wallMicros;
-        livenessTimeouts = LivenessTimeouts.of(settings.heartbeatMicros(), settings.leaseMicros());
-        delegationTimeouts = DelegationTimeouts.of(settings.leaseMicros(), settings.cancelMicros());
+        livenessTimeouts =
+                LivenessTimeouts.of(
+                        settings.heartbeatIntervalMicros(), settings.leaseDurationMicros());
+        delegationTimeouts =
+                DelegationTimeouts.of(
+                        settings.leaseDurationMicros(), settings.cancellationTimeoutMicros());
         delegations =
-                new DelegationLedger(delegationTimeouts, term, settings.label(), settings.nodes());
+                new DelegationLedger(
+                        delegationTimeouts, term, settings.nodeName(), settings.zoneByNode());
         serviceLevels = new ServiceLevelReport(this);
         for (Team team : settings.teams()) {
             teams.put(team.name(), new TeamQuota(team));
@@ -143,8 +148,8 @@
 
     /** Follows what the store takes from now on, and the form of the records that it must fit. */
     void setStoreLimits(SchedulerEvent.StoreLimitsChanged limits) {
-        valueBytes = limits.valueBytes();
-        format = limits.format();
+        maxValueBytes = limits.maxValueBytes();
+        recordFormat = limits.recordFormat();
         writeBudget.setRate(limits.writesPerSecond());
         if (limits.recordsMachineLifecycle() != recordsMachineLifecycle) {
             recordsMachineLifecycle = limits.recordsMachineLifecycle();
@@ -158,16 +163,16 @@
 
     /** Something changed that may let a task be placed: the next pass tries. */
     public void requestPlacement() {
-        placementNeeded = true;
+        placementRequested = true;
     }
 
     void clearPlacementRequest() {
-        placementNeeded = false;
+        placementRequested = false;
     }
 
     /** A job has arrived, or the last one that it depends on is done. */
     public void countJobArrival() {
-        jobArrivals++;
+        jobArrivalCount++;
     }
 
     /** Every cancellation that was made before the given moment has been read. */
@@ -183,7 +188,7 @@
     }
 
     /** An attempt number that no leader has used or will use: the term is taken once only. */
-    public long newAttempt() {
+    public long newAttemptNumber() {
         return (term << ATTEMPT_BITS) + ++lastAttempt;
     }
 
@@ -208,8 +213,8 @@
     }
 
     /** When this node took the term, by the monotonic clock. */
-    public long startedMicros() {
-        return startedMicros;
+    public long termStartMicros() {
+        return termStartMicros;
     }
 
     /** All jobs of the term by id, in the order in which they came; read-only. */
@@ -282,7 +287,7 @@
     }
 
     /** Takes the machines for which the condition holds off those to be persisted. */
-    public void unmarkMachinesIf(Predicate<Machine> condition) {
+    public void removeMachinesToPersistIf(Predicate<Machine> condition) {
         machinesToPersist.removeIf(condition);
     }
 
@@ -297,7 +302,7 @@
     }
 
     /** Takes the jobs for which the condition holds off those to be persisted. */
-    public void unmarkJobsIf(Predicate<Job> condition) {
+    public void removeJobsToPersistIf(Predicate<Job> condition) {
         jobsToPersist.removeIf(condition);
     }
 
@@ -307,8 +312,8 @@
     }
 
     /** What jobs will ask for next, by those that have come. */
-    public DemandEstimator demand() {
-        return demand;
+    public DemandEstimator demandEstimator() {
+        return demandEstimator;
     }
 
     /** Which jobs wait for which. */
@@ -322,8 +327,8 @@
     }
 
     /** The largest value that the store takes. */
-    public int valueBytes() {
-        return valueBytes;
+    public int maxValueBytes() {
+        return maxValueBytes;
     }
 
     /** After how long without a heartbeat a machine counts as silent or lost. */
@@ -360,8 +365,8 @@
     }
 
     /** The form in which records are written. */
-    public RecordFormat format() {
-        return format;
+    public RecordFormat recordFormat() {
+        return recordFormat;
     }
 
     /** Whether records of machines say when these were rented and whether they ever reported. */
@@ -406,12 +411,12 @@
     }
 
     /** How many jobs have arrived, or were unblocked. */
-    public long jobArrivals() {
-        return jobArrivals;
+    public long jobArrivalCount() {
+        return jobArrivalCount;
     }
 
     /** Set when something changed that may let a task be placed. */
-    public boolean isPlacementNeeded() {
-        return placementNeeded;
+    public boolean isPlacementRequested() {
+        return placementRequested;
     }
 }
--- a/src/main/java/org/woadloom/core/WriteBudget.java
+++ b/src/main/java/org/woadloom/core/WriteBudget.java
@@ -53,38 +53,38 @@
     }
 
     /** The rate in writes a second. */
-    public double perSecond() {
+    public double writesPerSecond() {
         return perSecond;
     }
 
     /** Whether there is spare capacity for what can wait: nothing else uses up the rate. */
-    public boolean hasSpare() {
+    public boolean hasSpareCapacity() {
         double capacity = capacity();
         return jobTokens >= capacity / 2 && machineTokens >= capacity * MACHINE_SHARE / 2;
     }
 
     /** Whether the record of a job may be written. */
-    public boolean allowsJob() {
+    public boolean allowsJobWrite() {
         return jobTokens > 0;
     }
 
     /** Whether the final state of a job, or a cancellation, may be written. */
-    public boolean allowsFinalState() {
+    public boolean allowsFinalStateWrite() {
         return jobTokens > -perSecond * OVERDRAFT_SECONDS;
     }
 
     /** Takes the tokens of a write that changes so many keys. */
-    public void takeJob(int changes) {
+    public void consumeJobTokens(int changes) {
         jobTokens -= changes;
     }
 
     /** Whether the record of a machine may be written. */
-    public boolean allowsMachine() {
+    public boolean allowsMachineWrite() {
         return machineTokens > 0;
     }
 
     /** Takes the token of a write of a machine's record. */
-    public void takeMachine() {
+    public void consumeMachineToken() {
         machineTokens--;
     }
 }
--- a/src/main/java/org/woadloom/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/woadloom/core/autoscaling/Autoscaler.java
@@ -82,7 +82,8 @@
         refusedKinds.updateScarceZones();
         partitionedZones.review();
         // A new leader first waits for the agents' heartbeats: their machines may be all it needs.
-        if (state.nowMicros() - state.startedMicros() > 2 * state.settings().heartbeatMicros()) {
+        if (state.nowMicros() - state.termStartMicros()
+                > 2 * state.settings().heartbeatIntervalMicros()) {
             requests.request(scaleOut.plan(placer.queue()));
         }
         scaleIn.review();
--- a/src/main/java/org/woadloom/core/autoscaling/MachineListing.java
+++ b/src/main/java/org/woadloom/core/autoscaling/MachineListing.java
@@ -39,8 +39,8 @@
         if (!machine.isKnownAlive() && !machine.isReportedRecorded()) {
             return false;
         }
-        long existsSinceMicros = Math.max(machine.rentedMicros(), state.startedMicros());
+        long existsSinceMicros = Math.max(machine.rentedMicros(), state.termStartMicros());
         return lastListMicros - lastListedMicros.getOrDefault(machine.host, existsSinceMicros)
-                > 2 * state.settings().listLagMicros() + MARGIN_MICROS;
+                > 2 * state.settings().machineListLagMicros() + MARGIN_MICROS;
     }
 }
--- a/src/main/java/org/woadloom/core/autoscaling/MachineLossDetector.java
+++ b/src/main/java/org/woadloom/core/autoscaling/MachineLossDetector.java
@@ -90,7 +90,7 @@
     private boolean isSilentAndMissing(Machine machine) {
         return listing.isMissing(machine)
                 && partitionedZones.silentForMicros(machine)
-                        > 3 * state.settings().heartbeatMicros() + SILENCE_MARGIN_MICROS;
+                        > 3 * state.settings().heartbeatIntervalMicros() + SILENCE_MARGIN_MICROS;
     }
 
     /**
@@ -105,14 +105,15 @@
     }
 
     private long silenceLimitMicros(Machine machine) {
-        long limitMicros = 3 * state.settings().heartbeatMicros();
+        long limitMicros = 3 * state.settings().heartbeatIntervalMicros();
         boolean answersCommandsOnly =
                 machine.liveness.lastAliveMicros() - machine.liveness.lastHeartbeatMicros()
                         > state.livenessTimeouts().freshMicros();
         if (answersCommandsOnly) {
             // It is probed again half a lease after the last probe.
             long probeMicros =
-                    state.settings().leaseMicros() / 2 + ScaleOutRequests.ANSWER_TIMEOUT_MICROS;
+                    state.settings().leaseDurationMicros() / 2
+                            + ScaleOutRequests.ANSWER_TIMEOUT_MICROS;
             limitMicros = Math.max(limitMicros, probeMicros);
         }
         return limitMicros + SILENCE_MARGIN_MICROS;
@@ -135,7 +136,7 @@
             if (machine.zone.equals(zone) && machine.isUp() && !machine.isDeleted()) {
                 up++;
                 if (partitionedZones.silentForMicros(machine)
-                        > 2 * state.settings().heartbeatMicros()) {
+                        > 2 * state.settings().heartbeatIntervalMicros()) {
                     silent++;
                 }
             }
@@ -185,9 +186,9 @@
             // No leader has heard from it since it was rented; this one has waited for a heartbeat
             // that may be under way.
             return state.nowMicros() - machine.rentedMicros() > timeoutMicros
-                    && sinceAliveMicros(machine) > 3 * state.settings().heartbeatMicros();
+                    && sinceAliveMicros(machine) > 3 * state.settings().heartbeatIntervalMicros();
         }
-        long bootingSinceMicros = Math.max(machine.rentedMicros(), state.startedMicros());
+        long bootingSinceMicros = Math.max(machine.rentedMicros(), state.termStartMicros());
         return state.nowMicros() - bootingSinceMicros > timeoutMicros;
     }
 
@@ -216,6 +217,6 @@
     /** How long ago the machine was certainly alive, no longer than this leader leads. */
     private long sinceAliveMicros(Machine machine) {
         return state.nowMicros()
-                - Math.max(machine.liveness.lastAliveMicros(), state.startedMicros());
+                - Math.max(machine.liveness.lastAliveMicros(), state.termStartMicros());
     }
 }
--- a/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
+++ b/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
@@ -110,7 +110,7 @@
         // An agent finds a new leader within a lease.
         long limitMicros =
                 machine.isKnownAlive()
-                        ? 3 * state.settings().heartbeatMicros() + MARGIN_MICROS
+                        ? 3 * state.settings().heartbeatIntervalMicros() + MARGIN_MICROS
                         : state.delegationTimeouts().leaseExpiryMicros();
         return silentForMicros(machine) > limitMicros;
     }
@@ -121,7 +121,7 @@
      */
     long silentForMicros(Machine machine) {
         return state.nowMicros()
-                - Math.max(machine.liveness.possiblyAliveMicros(), state.startedMicros());
+                - Math.max(machine.liveness.possiblyAliveMicros(), state.termStartMicros());
     }
 
     boolean isPartitioned(String zone) {
--- a/src/main/java/org/woadloom/core/autoscaling/ScaleInPlanner.java
+++ b/src/main/java/org/woadloom/core/autoscaling/ScaleInPlanner.java
@@ -57,14 +57,14 @@
      */
     private long headroomCpu(Resources used) {
         boolean quiet =
-                state.demand().isQuiet(state.nowMicros())
+                state.demandEstimator().isQuiet(state.nowMicros())
                         && state.dependencies().blockedCount() == 0
                         && placer.queue().isEmpty();
         if (quiet) {
             return 0;
         }
         long fluctuationCpu = (long) (used.cpu() * state.settings().operator().headroom());
-        return Math.max(fluctuationCpu, state.demand().largeJobCpu());
+        return Math.max(fluctuationCpu, state.demandEstimator().largeJobCpu());
     }
 
     /** Decommissions lost machines and returns the idle ones. */
--- a/src/main/java/org/woadloom/core/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/org/woadloom/core/autoscaling/ScaleOutPlanner.java
@@ -127,7 +127,7 @@
         Resources planned = plannedByTeam.getOrDefault(job.team, Resources.NONE);
         int tasks =
                 Math.min(
-                        job.pendingTasks() - reservations.expectedTasks(job),
+                        job.pendingTasks() - reservations.tasksNotNeedingScaleOut(job),
                         job.allowedTasks(Resources.NONE.minus(planned)));
         if (tasks > 0) {
             plannedByTeam.put(job.team, planned.plus(job.taskResources.times(tasks)));
--- a/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
+++ b/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
@@ -118,7 +118,7 @@
         long at = Math.min(state.wallMicros(), lastDoneWallMicros.remove(job));
         job.unblock(state.nowMicros() - (state.wallMicros() - at), at);
         state.countJobArrival();
-        state.demand().add(job, state.nowMicros());
+        state.demandEstimator().add(job, state.nowMicros());
         state.requestPlacement();
         state.log(LogEntry.info(LogEvent.JOB_UNBLOCKED).with("job", job.jobId()));
     }
--- a/src/main/java/org/woadloom/core/jobs/Job.java
+++ b/src/main/java/org/woadloom/core/jobs/Job.java
@@ -314,7 +314,7 @@
         }
         tasks.release(attempt.index);
         attempt.machine.remove(attempt);
-        team.subtract(taskResources);
+        team.subtractUsage(taskResources);
     }
 
     /** Attempts that the durable record names may be started. */
--- a/src/main/java/org/woadloom/core/jobs/JobPersister.java
+++ b/src/main/java/org/woadloom/core/jobs/JobPersister.java
@@ -62,7 +62,7 @@
     public void emitWrites() {
         List<Job> due = new ArrayList<>();
         List<Job> replaced = new ArrayList<>();
-        state.unmarkJobsIf(job -> job.isFinished() || !job.persistence.needsExchange());
+        state.removeJobsToPersistIf(job -> job.isFinished() || !job.persistence.needsExchange());
         for (Job job : state.jobsToPersist()) {
             PersistenceState persistence = job.persistence;
             if (persistence.isReplaced()) {
@@ -104,8 +104,8 @@
 
     private boolean isWithinBudget(Job job) {
         return job.isOver()
-                ? state.writeBudget().allowsFinalState()
-                : state.writeBudget().allowsJob();
+                ? state.writeBudget().allowsFinalStateWrite()
+                : state.writeBudget().allowsJobWrite();
     }
 
     private void readUnlessOpen(Job job) {
@@ -124,7 +124,7 @@
     }
 
     private void writeFinalState(Job job) {
-        state.writeBudget().takeJob(CHANGES_OF_FINAL_STATE);
+        state.writeBudget().consumeJobTokens(CHANGES_OF_FINAL_STATE);
         long version = job.persistence.startFinalWrite(state.nowMicros(), job.isComplete());
         FinalRecord record =
                 new FinalRecord(
@@ -138,7 +138,7 @@
     }
 
     private void writeRecord(Job job) {
-        state.writeBudget().takeJob(CHANGES_OF_RECORD);
+        state.writeBudget().consumeJobTokens(CHANGES_OF_RECORD);
         boolean urgent = job.persistence.pendingReason() == WriteReason.IMMEDIATE;
         long version = job.persistence.startWrite(state.nowMicros(), job.isComplete());
         state.emit(
--- a/src/main/java/org/woadloom/core/jobs/JobRegistry.java
+++ b/src/main/java/org/woadloom/core/jobs/JobRegistry.java
@@ -111,7 +111,7 @@
         }
         state.log(LogEntry.info(LogEvent.JOB_RECORD_DAMAGED).with("job", job.jobId()));
         job.persistence.onRevisionRead(event.revision());
-        if (event.cancelled() && !job.isCancelled()) {
+        if (event.knownCancelled() && !job.isCancelled()) {
             cancel(job);
         }
         if (job.persistence.isReading()) {
@@ -144,7 +144,7 @@
         if (job == null || !job.persistence.isReading()) {
             return;
         }
-        state.serviceLevels().observe(job);
+        state.serviceLevels().recordIfFullyStarted(job);
         stopAll(job);
         if (job.attempts().isEmpty()) {
             onFinished(job, false);
@@ -207,7 +207,7 @@
             job.persistence.onReadAsComplete();
         }
         if (!job.isBlocked()) {
-            state.demand().add(job, state.nowMicros());
+            state.demandEstimator().add(job, state.nowMicros());
         }
         state.dependencies().onJobAdded(job);
         return job;
@@ -221,7 +221,7 @@
     }
 
     private void cancel(Job job) {
-        state.serviceLevels().observe(job);
+        state.serviceLevels().recordIfFullyStarted(job);
         job.markCancelledSince(state.cancellationsReadUpToMicros());
         state.log(LogEntry.info(LogEvent.JOB_CANCEL_REQUESTED).with("job", job.jobId()));
         state.dependencies().onCancelled(job.jobId());
--- a/src/main/java/org/woadloom/core/machines/AgentProber.java
+++ b/src/main/java/org/woadloom/core/machines/AgentProber.java
@@ -108,7 +108,7 @@
     private boolean isSilent(Machine machine) {
         boolean known =
                 machine.isKnownAlive() || machine.isReportedRecorded() || !machine.isEmpty();
-        long since = Math.max(machine.liveness.lastHeartbeatMicros(), state.startedMicros());
+        long since = Math.max(machine.liveness.lastHeartbeatMicros(), state.termStartMicros());
         return known
                 && !machine.isDecommissioning()
                 && !machine.address().isEmpty()
@@ -125,7 +125,7 @@
         for (Machine machine : silent) {
             if (probed.size() >= maxProbes
                     || state.nowMicros() - machine.commands.lastProbeMicros()
-                            < state.settings().leaseMicros() / 2) {
+                            < state.settings().leaseDurationMicros() / 2) {
                 return;
             }
             if (!machine.commands.isCommandInFlight()
--- a/src/main/java/org/woadloom/core/machines/DirectCommands.java
+++ b/src/main/java/org/woadloom/core/machines/DirectCommands.java
@@ -169,7 +169,7 @@
         machine.commands.pauseUntil(
                 state.nowMicros()
                         + (machine.liveness.isUnreachable(state.nowMicros())
-                                ? state.settings().leaseMicros() / 2
+                                ? state.settings().leaseDurationMicros() / 2
                                 : PAUSE_MICROS));
         for (TaskAttempt attempt : starts) {
             if (attempt.stage() == Stage.SENT) {
--- a/src/main/java/org/woadloom/core/machines/MachineDeleter.java
+++ b/src/main/java/org/woadloom/core/machines/MachineDeleter.java
@@ -75,7 +75,7 @@
                 || machine.lifecycle.isDeletedWithTasks()
                 || !machine.isUp()
                 || state.nowMicros() - machine.liveness.lastAliveMicros()
-                        > state.settings().leaseMicros() / 2;
+                        > state.settings().leaseDurationMicros() / 2;
     }
 
     void onDeletionCompleted(SchedulerEvent.MachineDeletionCompleted result) {
--- a/src/main/java/org/woadloom/core/machines/MachinePersister.java
+++ b/src/main/java/org/woadloom/core/machines/MachinePersister.java
@@ -17,7 +17,7 @@
 
     /** Emits what the write budget allows, first the records of machines that are up. */
     void emitWrites() {
-        state.unmarkMachinesIf(MachinePersister::isPersisted);
+        state.removeMachinesToPersistIf(MachinePersister::isPersisted);
         // A machine that is up can take tasks as soon as its record is there; the others have time.
         for (Machine machine : state.machinesToPersist()) {
             MachineRecordState record = machine.recordState;
@@ -26,7 +26,7 @@
                     && !machine.isDeleted()
                     && !record.isReadNeeded()
                     && record.isRequestDue(state.nowMicros())
-                    && state.writeBudget().allowsMachine()) {
+                    && state.writeBudget().allowsMachineWrite()) {
                 emitWrite(machine);
             }
         }
@@ -63,19 +63,19 @@
             record.onRequestStarted();
             state.emit(new SchedulerAction.ReadMachine(machine.host));
         } else if (machine.isDeleted()) {
-            if (record.isRecorded() && state.writeBudget().allowsMachine()) {
-                state.writeBudget().takeMachine();
+            if (record.isRecorded() && state.writeBudget().allowsMachineWrite()) {
+                state.writeBudget().consumeMachineToken();
                 record.onRequestStarted();
                 state.emit(
                         new SchedulerAction.DeleteMachineRecord(machine.host, record.revision()));
             }
-        } else if (needsWrite(machine) && state.writeBudget().allowsMachine()) {
+        } else if (needsWrite(machine) && state.writeBudget().allowsMachineWrite()) {
             emitWrite(machine);
         }
     }
 
     private void emitWrite(Machine machine) {
-        state.writeBudget().takeMachine();
+        state.writeBudget().consumeMachineToken();
         MachineRecord record = machine.toRecord();
         machine.recordState.onWriteStarted(record, state.nowMicros());
         state.emit(new SchedulerAction.WriteMachine(record, machine.recordState.revision()));
--- a/src/main/java/org/woadloom/core/machines/MachineRegistry.java
+++ b/src/main/java/org/woadloom/core/machines/MachineRegistry.java
@@ -121,7 +121,7 @@
     /** A node announces its status, and gets a lease delegation for the zone that it is in. */
     public void onPeerStatus(SchedulerEvent.PeerStatusReceived event) {
         state.advanceCancellationsReadUpTo(event.cancellationsReadUpToMicros());
-        String zone = state.settings().nodes().get(event.node());
+        String zone = state.settings().zoneByNode().get(event.node());
         LeaseDelegation delegation =
                 zone == null
                         ? null
@@ -179,7 +179,7 @@
      */
     public void forget() {
         long keepMicros =
-                FORGET_LIST_LAGS * state.settings().listLagMicros() + FORGET_MARGIN_MICROS;
+                FORGET_LIST_LAGS * state.settings().machineListLagMicros() + FORGET_MARGIN_MICROS;
         state.forgetMachinesIf(machine -> isForgettable(machine, keepMicros));
     }
 
--- a/src/main/java/org/woadloom/core/placement/CandidateMachines.java
+++ b/src/main/java/org/woadloom/core/placement/CandidateMachines.java
@@ -167,7 +167,7 @@
         // machines fail already at that.
         return machine.balance().contains(job.taskResources)
                 && reservations.unreserved(machine, job).contains(job.taskResources)
-                && job.allowedTasks(reservations.credit(job, machine)) >= 1
+                && job.allowedTasks(reservations.quotaCredit(job, machine)) >= 1
                 && constraints.allows(job, machine)
                 && !job.failedOn.contains(machine.host);
     }
@@ -176,7 +176,7 @@
     private double score(Machine machine) {
         JobDescription description = job.description;
         double score = 0;
-        if (reservations.match(job, machine) != null) {
+        if (reservations.bestMatch(job, machine) != null) {
             score += RESERVED_WEIGHT;
         }
         if (machine.images.contains(description.image())) {
--- a/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
+++ b/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
@@ -143,7 +143,9 @@
             }
             for (TaskAttempt attempt : machine.attempts()) {
                 Resources expected =
-                        reservations.balance(machine, null).plus(attempt.job.taskResources);
+                        reservations
+                                .unreservedBalance(machine, null)
+                                .plus(attempt.job.taskResources);
                 if (attempt.job != job
                         && attempt.job.description.isService()
                         && !attempt.isStopping()
@@ -182,27 +184,31 @@
     /** A job that reserves has its machines: what may be stopped there is stopped. */
     private void preemptOnReservedMachines(Job job) {
         Set<Machine> machines = new LinkedHashSet<>();
-        for (Reservation reservation : reservations.of(job)) {
+        for (Reservation reservation : reservations.reservationsOf(job)) {
             if (reservation.phase() == Reservation.Phase.WAITING) {
                 machines.add(reservation.machine);
             }
         }
         for (Machine machine : machines) {
             Resources wanted = Resources.NONE;
-            for (Reservation reservation : reservations.of(job)) {
+            for (Reservation reservation : reservations.reservationsOf(job)) {
                 wanted =
                         reservation.machine == machine
                                 ? wanted.plus(reservation.remaining())
                                 : wanted;
             }
-            stopFor(job, machine, reservations.balance(machine, job), wanted);
+            stopFor(job, machine, reservations.unreservedBalance(machine, job), wanted);
         }
     }
 
     /** Stops what must go on one machine; returns how many of the job's tasks will fit. */
     private int freeResources(Job job, Machine machine, int wanted) {
         Resources expected =
-                stopFor(job, machine, reservations.balance(machine, null), job.taskResources);
+                stopFor(
+                        job,
+                        machine,
+                        reservations.unreservedBalance(machine, null),
+                        job.taskResources);
         // What is freed is reserved, so that no other job takes it.
         int made = 0;
         while (made < wanted
--- a/src/main/java/org/woadloom/core/placement/QueueOrder.java
+++ b/src/main/java/org/woadloom/core/placement/QueueOrder.java
@@ -160,7 +160,7 @@
     private boolean isOverdue(Job job) {
         long age = state.nowMicros() - job.queuedSinceMicros();
         return (!job.hasStarted() && age > START_OVERDUE_MICROS)
-                || (age > LARGE_OVERDUE_MICROS && state.demand().isLargeInClass(job));
+                || (age > LARGE_OVERDUE_MICROS && state.demandEstimator().isLargeInClass(job));
     }
 
     /**
--- a/src/main/java/org/woadloom/core/placement/TaskPlacer.java
+++ b/src/main/java/org/woadloom/core/placement/TaskPlacer.java
@@ -65,7 +65,7 @@
      * @return whether every job had its turn; if not, the next call goes on
      */
     public boolean place() {
-        long attempt = state.newAttempt();
+        long attempt = state.newAttemptNumber();
         search.beginStep();
         List<Machine> openMachines = null;
         for (Job job : queue()) {
@@ -123,7 +123,8 @@
 
     /** Places tasks of a job; true if the machines have no resources for another one. */
     private boolean placeJob(Job job, long attempt, List<Machine> openMachines) {
-        RecordSizeEstimate size = RecordSizeEstimate.of(job, state.valueBytes(), state.format());
+        RecordSizeEstimate size =
+                RecordSizeEstimate.of(job, state.maxValueBytes(), state.recordFormat());
         if (!size.fitsOneMore(job.nextPending(0))
                 || (job.description.isGang()
                         && !gangFits(
@@ -152,7 +153,7 @@
                             attempt,
                             job.persistence.nextVersion(),
                             state.nowMicros());
-            reservations.draw(taskAttempt);
+            reservations.allocateTo(taskAttempt);
             job.add(taskAttempt);
             size.add(index, machine);
             job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
@@ -182,7 +183,7 @@
         }
         Map<String, Integer> fitsByZone = gangFitsByZone(job);
         Resources credit = Resources.NONE;
-        for (Reservation reservation : reservations.of(job)) {
+        for (Reservation reservation : reservations.reservationsOf(job)) {
             credit = credit.plus(reservation.remaining());
         }
         if (job.allowedTasks(credit) < wanted) {
--- a/src/main/java/org/woadloom/core/placement/WaitingJobsReport.java
+++ b/src/main/java/org/woadloom/core/placement/WaitingJobsReport.java
@@ -79,7 +79,7 @@
         if (job.placeNotBeforeMicros() > state.nowMicros()) {
             return PendingReason.RETRY_DELAY;
         }
-        Optional<PendingReason> atLimit = job.team.whyNotAllowed(job);
+        Optional<PendingReason> atLimit = job.team.quotaPendingReason(job);
         return atLimit.orElseGet(() -> reasonOnMachines(job));
     }
 
--- a/src/main/java/org/woadloom/core/quota/GuaranteedQuota.java
+++ b/src/main/java/org/woadloom/core/quota/GuaranteedQuota.java
@@ -33,10 +33,10 @@
      * guarantee is given away a little later.
      */
     public void update() {
-        if (state.jobArrivals() == jobArrivalsSeen && state.nowMicros() < nextUpdateMicros) {
+        if (state.jobArrivalCount() == jobArrivalsSeen && state.nowMicros() < nextUpdateMicros) {
             return;
         }
-        jobArrivalsSeen = state.jobArrivals();
+        jobArrivalsSeen = state.jobArrivalCount();
         nextUpdateMicros = state.nowMicros() + UPDATE_INTERVAL_MICROS;
         Map<TeamQuota, Resources> askedByTeam = new HashMap<>();
         for (Job job : openJobsByAge()) {
--- a/src/main/java/org/woadloom/core/quota/QuotaRotation.java
+++ b/src/main/java/org/woadloom/core/quota/QuotaRotation.java
@@ -100,7 +100,7 @@
 
     /** Decides whether a turn ends; one that ends without a start makes its job wait. */
     private boolean endsNow(Turn turn) {
-        if (reservations.hasOthersInTeam(turn.job)) {
+        if (reservations.hasOtherOwnerInTeam(turn.job)) {
             // One that has reserved resources on machines is further; each would keep the other's
             // limit.
             return true;
@@ -157,7 +157,7 @@
                 && !waitingForNextTurn.containsKey(job)
                 && state.nowMicros() - job.waitingSinceMicros() > PATIENCE_MICROS
                 && job.allowedTasks() < tasksNeeded(job)
-                && !reservations.hasOthersInTeam(job);
+                && !reservations.hasOtherOwnerInTeam(job);
     }
 
     /**
--- a/src/main/java/org/woadloom/core/quota/TeamQuota.java
+++ b/src/main/java/org/woadloom/core/quota/TeamQuota.java
@@ -50,7 +50,7 @@
     }
 
     /** A reservation of the team has come. */
-    public void add(Resources amount) {
+    public void addUsage(Resources amount) {
         used = used.plus(amount);
     }
 
@@ -76,12 +76,12 @@
      *
      * @param reservedTasks for how many tasks of a job there are reservations, which count as used
      */
-    public void reviewLostTasks(long nowMicros, ToIntFunction<Job> reservedTasks) {
+    public void expireLostTaskHolds(long nowMicros, ToIntFunction<Job> reservedTasks) {
         lostTasks.review(nowMicros, reservedTasks);
     }
 
     /** An attempt or a reservation of the team has ended. */
-    public void subtract(Resources amount) {
+    public void subtractUsage(Resources amount) {
         used = used.minus(amount);
     }
 
@@ -112,7 +112,7 @@
     }
 
     /** Why the limit allows the job no task now; empty if it allows one. */
-    public Optional<PendingReason> whyNotAllowed(Job job) {
+    public Optional<PendingReason> quotaPendingReason(Job job) {
         Resources task = job.taskResources;
         if (allowedTasks(task, job) > 0) {
             return Optional.empty();
--- a/src/main/java/org/woadloom/core/reservation/GangReservationPlanner.java
+++ b/src/main/java/org/woadloom/core/reservation/GangReservationPlanner.java
@@ -144,7 +144,7 @@
     private void end(Job job) {
         holderByZone.values().removeIf(holder -> holder == job);
         renewedMicros.remove(job);
-        for (Reservation reservation : reservations.of(job)) {
+        for (Reservation reservation : reservations.reservationsOf(job)) {
             reservations.release(reservation);
         }
     }
@@ -301,7 +301,7 @@
             return;
         }
         renewedMicros.put(job, state.nowMicros());
-        for (Reservation reservation : reservations.of(job)) {
+        for (Reservation reservation : reservations.reservationsOf(job)) {
             reservations.renew(reservation);
         }
     }
--- a/src/main/java/org/woadloom/core/reservation/Reservation.java
+++ b/src/main/java/org/woadloom/core/reservation/Reservation.java
@@ -23,7 +23,7 @@
     public final long id;
 
     /** The template: what is held. */
-    public final Resources template;
+    public final Resources resources;
 
     /** The job whose tasks may draw it. */
     public final Job owner;
@@ -49,7 +49,7 @@
             boolean preAllocation,
             long expiresMicros) {
         this.id = id;
-        this.template = template;
+        this.resources = template;
         this.owner = owner;
         this.machine = machine;
         this.allocateOnce = allocateOnce;
@@ -72,7 +72,7 @@
 
     /** What is still to be drawn. */
     public Resources remaining() {
-        return isLive() ? template.minus(allocated) : Resources.NONE;
+        return isLive() ? resources.minus(allocated) : Resources.NONE;
     }
 
     public Resources allocated() {
@@ -80,11 +80,11 @@
     }
 
     /** What a task of this size would draw here before it takes from the machine. */
-    public Resources drawable(Resources task) {
+    public Resources allocatableTo(Resources task) {
         return remaining().min(task);
     }
 
-    void draw(Resources amount) {
+    void allocate(Resources amount) {
         allocated = allocated.plus(amount);
     }
 
--- a/src/main/java/org/woadloom/core/reservation/Reservations.java
+++ b/src/main/java/org/woadloom/core/reservation/Reservations.java
@@ -77,7 +77,7 @@
         live.put(reservation.id, reservation);
         byMachine.computeIfAbsent(machine, m -> new ArrayList<>(2)).add(reservation);
         byOwner.computeIfAbsent(owner, j -> new ArrayList<>(2)).add(reservation);
-        owner.team.add(template);
+        owner.team.addUsage(template);
         reservation.setPhase(Phase.WAITING);
         updatePhase(reservation);
         return reservation;
@@ -152,7 +152,7 @@
         if (live.remove(reservation.id) != null) {
             removeFrom(byMachine, reservation.machine, reservation);
             removeFrom(byOwner, reservation.owner, reservation);
-            reservation.owner.team.subtract(reservation.remaining());
+            reservation.owner.team.subtractUsage(reservation.remaining());
             reservation.setPhase(phase);
         }
     }
@@ -177,11 +177,11 @@
 
     /** What is free on the machine without what is reserved for others than this job. */
     public Resources unreserved(Machine machine, Job job) {
-        return balance(machine, job).withoutNegatives();
+        return unreservedBalance(machine, job).withoutNegatives();
     }
 
     /** The same, negative where reservations wait for resources that are still in use. */
-    public Resources balance(Machine machine, Job job) {
+    public Resources unreservedBalance(Machine machine, Job job) {
         Resources free = machine.balance();
         List<Reservation> here = byMachine.get(machine);
         if (here == null) {
@@ -199,7 +199,7 @@
      * The reservation from which a task of the job draws first on this machine: the one from which
      * it gets most, and among reusable ones the earliest.
      */
-    public Reservation match(Job job, Machine machine) {
+    public Reservation bestMatch(Job job, Machine machine) {
         List<Reservation> here = byMachine.get(machine);
         if (here == null) {
             return null;
@@ -219,36 +219,36 @@
     }
 
     private static long drawnValue(Reservation reservation, Job job) {
-        Resources drawable = reservation.drawable(job.taskResources);
+        Resources drawable = reservation.allocatableTo(job.taskResources);
         return drawable.cpu() + drawable.gpu() * CPUS_PER_GPU + drawable.memory() / GB_PER_CPU;
     }
 
     /**
      * What the job's team gets back from its limit when a task of the job draws the reservation.
      */
-    public Resources credit(Job job, Machine machine) {
-        Reservation reservation = match(job, machine);
+    public Resources quotaCredit(Job job, Machine machine) {
+        Reservation reservation = bestMatch(job, machine);
         if (reservation == null) {
             return Resources.NONE;
         }
         return reservation.allocateOnce
                 ? reservation.remaining()
-                : reservation.drawable(job.taskResources);
+                : reservation.allocatableTo(job.taskResources);
     }
 
     /** To be called before the attempt is added: what it takes moves from the reservation to it. */
-    public void draw(TaskAttempt attempt) {
-        Reservation reservation = match(attempt.job, attempt.machine);
+    public void allocateTo(TaskAttempt attempt) {
+        Reservation reservation = bestMatch(attempt.job, attempt.machine);
         if (reservation == null) {
             return;
         }
-        Resources drawn = reservation.drawable(attempt.job.taskResources);
+        Resources drawn = reservation.allocatableTo(attempt.job.taskResources);
         if (reservation.allocateOnce) {
             end(reservation, Phase.SUCCEEDED);
-            reservation.draw(drawn);
+            reservation.allocate(drawn);
         } else {
-            reservation.owner.team.subtract(drawn);
-            reservation.draw(drawn);
+            reservation.owner.team.subtractUsage(drawn);
+            reservation.allocate(drawn);
             if (reservation.remaining().equals(Resources.NONE)) {
                 end(reservation, Phase.SUCCEEDED);
             }
@@ -256,7 +256,7 @@
     }
 
     /** The live reservations of a job, in the order in which they were made. */
-    public List<Reservation> of(Job job) {
+    public List<Reservation> reservationsOf(Job job) {
         List<Reservation> owned = byOwner.get(job);
         return owned == null ? List.of() : List.copyOf(owned);
     }
@@ -265,7 +265,7 @@
      * For how many tasks of the job no scale-out is needed. A gang's waiting reservations do not
      * count: what they wait for may run long.
      */
-    public int expectedTasks(Job job) {
+    public int tasksNotNeedingScaleOut(Job job) {
         int count = 0;
         for (Reservation reservation : byOwner.getOrDefault(job, List.of())) {
             if (reservation.phase() == Phase.AVAILABLE || !job.description.isGang()) {
@@ -284,7 +284,7 @@
      * True if anything is reserved for a job of the team other than this one, which counts against
      * the limit.
      */
-    public boolean hasOthersInTeam(Job job) {
+    public boolean hasOtherOwnerInTeam(Job job) {
         for (Job owner : byOwner.keySet()) {
             if (owner != job && owner.team == job.team) {
                 return true;
@@ -294,7 +294,7 @@
     }
 
     /** How many are live. */
-    public int size() {
+    public int count() {
         return live.size();
     }
 
--- a/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
+++ b/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
@@ -89,7 +89,7 @@
         Map<String, Object> lives = new LinkedHashMap<>();
         now.announcements()
                 .forEach((label, stored) -> lives.put(label, stored.announcement().processId()));
-        lives.put("wordless", now.unannounced());
+        lives.put("wordless", now.unannouncedNodes());
         if (!lives.equals(circumstances)) {
             circumstances = lives;
             calmSinceMicros = state.nowMicros();
@@ -117,10 +117,10 @@
             return;
         }
         reviewedMicros = state.nowMicros();
-        if (latest.refusals() - refusedBefore > MAX_CALM_REFUSALS) {
+        if (latest.overloadSignals() - refusedBefore > MAX_CALM_REFUSALS) {
             calmSinceMicros = state.nowMicros();
         }
-        refusedBefore = latest.refusals();
+        refusedBefore = latest.overloadSignals();
         for (Feature feature : Feature.values()) {
             count(feature);
         }
@@ -189,14 +189,14 @@
 
     private Set<String> members() {
         Set<Set<String>> named = new HashSet<>();
-        named.add(new TreeSet<>(state.settings().nodes().keySet()));
+        named.add(new TreeSet<>(state.settings().zoneByNode().keySet()));
         latest.announcements()
                 .values()
                 .forEach(stored -> named.add(stored.announcement().members()));
         Set<String> members = new TreeSet<>();
         named.forEach(members::addAll);
         members.addAll(latest.announcements().keySet());
-        members.addAll(latest.unannounced());
+        members.addAll(latest.unannouncedNodes());
         if (named.size() > 1 && !members.equals(contradiction)) {
             contradiction = members;
             state.log(LogEntry.info(LogEvent.ROLLOUT_MEMBERS_DIFFER).with("members", named));
@@ -229,18 +229,18 @@
                 .forEach(
                         (label, stored) ->
                                 conditions.put(StoreKeys.ROLLOUT_NODES + label, stored.revision()));
-        long agreed = latest.agreed();
+        long agreed = latest.agreedVersion();
         for (Feature feature : Feature.values()) {
             if (next.of(feature.key()).on()) {
                 agreed = Math.max(agreed, feature.agreedVersion());
             }
         }
-        if (agreed > latest.agreed()) {
-            conditions.put(StoreKeys.AGREED, latest.agreedStamp());
+        if (agreed > latest.agreedVersion()) {
+            conditions.put(StoreKeys.AGREED, latest.agreedVersionRevision());
         }
         state.emit(
                 new SchedulerAction.WriteRollout(
-                        next, conditions, agreed > latest.agreed() ? agreed : 0));
+                        next, conditions, agreed > latest.agreedVersion() ? agreed : 0));
     }
 
     /** Takes the feature as far as it may go now, several steps where nothing lies between them. */
@@ -273,8 +273,8 @@
                                     next,
                                     members,
                                     announcements,
-                                    latest.unannounced(),
-                                    latest.agreed(),
+                                    latest.unannouncedNodes(),
+                                    latest.agreedVersion(),
                                     request.verb(),
                                     soaked,
                                     troubled,
@@ -293,7 +293,7 @@
                 return next;
             }
             String by =
-                    state.settings().label()
+                    state.settings().nodeName()
                             + " in term "
                             + state.term()
                             + (request.verb() == Verb.AUTO
@@ -318,7 +318,7 @@
 
     /** Logs the steps that are written; after any other outcome the state is read again. */
     public void onWriteCompleted(SchedulerEvent.RolloutWriteCompleted result) {
-        if (writing == null || result.number() != writing.number()) {
+        if (writing == null || result.recordNumber() != writing.number()) {
             return;
         }
         if (result.outcome() == SchedulerEvent.WriteOutcome.WRITTEN) {
--- a/src/main/java/org/woadloom/core/rollout/RecordMigration.java
+++ b/src/main/java/org/woadloom/core/rollout/RecordMigration.java
@@ -75,10 +75,10 @@
         // Under a load that takes all writes it still gets done, in an hour or so instead of
         // minutes.
         double rate =
-                state.writeBudget().hasSpare()
+                state.writeBudget().hasSpareCapacity()
                         ? Math.max(
                                 MIN_REWRITES_PER_SECOND,
-                                state.writeBudget().perSecond()
+                                state.writeBudget().writesPerSecond()
                                         * state.settings().operator().rewriteShare())
                         : MIN_REWRITES_PER_SECOND;
         allowance =
--- a/src/main/java/org/woadloom/core/slo/ServiceLevelReport.java
+++ b/src/main/java/org/woadloom/core/slo/ServiceLevelReport.java
@@ -78,7 +78,7 @@
     }
 
     /** Notes whether all tasks of the job run or are done; to be called before they are stopped. */
-    public void observe(Job job) {
+    public void recordIfFullyStarted(Job job) {
         if (!job.isOver()
                 && job.runningTasks() + job.completedCount() == job.description.taskCount()
                 && fullyStarted.add(job)) {
@@ -100,7 +100,7 @@
     }
 
     /** Once a minute, logs a line and publishes a row for each team and class. */
-    public void review() {
+    public void reportIfDue() {
         if (state.nowMicros() < nextMicros) {
             return;
         }
@@ -112,7 +112,7 @@
     private void updateCounts() {
         counts.values().forEach(count -> count.longestWaitMicros = 0);
         for (Job job : state.jobs().values()) {
-            observe(job);
+            recordIfFullyStarted(job);
             largestJobs.observe(job);
             if (!job.isBlocked() && !job.isOver() && !fullyStarted.contains(job)) {
                 Count count = count(job);
--- a/src/main/java/org/woadloom/node/NodeGauges.java
+++ b/src/main/java/org/woadloom/node/NodeGauges.java
@@ -54,17 +54,17 @@
 
     static void registerScheduler(
             NodeMetrics metrics, Scheduler scheduler, RolloutParticipant rollout) {
-        metrics.gauge("woadloom.jobs", scheduler, Scheduler::jobs);
-        metrics.gauge("woadloom.machines", scheduler, Scheduler::machines);
-        metrics.gauge("woadloom.machines.deaf", scheduler, Scheduler::unreachableMachines);
+        metrics.gauge("woadloom.jobs", scheduler, Scheduler::openJobCount);
+        metrics.gauge("woadloom.machines", scheduler, Scheduler::machineCount);
+        metrics.gauge("woadloom.machines.deaf", scheduler, Scheduler::unreachableMachineCount);
         metrics.gauge("woadloom.core.machines_examined", scheduler, Scheduler::machinesExamined);
-        metrics.gauge("woadloom.jobs.waiting", scheduler, Scheduler::blockedJobs);
+        metrics.gauge("woadloom.jobs.waiting", scheduler, Scheduler::blockedJobCount);
         metrics.gauge("woadloom.rollout.number", rollout, RolloutParticipant::number);
         metrics.gauge("woadloom.rollout.on", rollout, RolloutParticipant::enabledCount);
-        metrics.gauge("woadloom.rollout.rewrite", scheduler, Scheduler::recordsToMigrate);
-        metrics.gauge("woadloom.rollout.unreadable", scheduler, Scheduler::unreadableRecords);
+        metrics.gauge("woadloom.rollout.rewrite", scheduler, Scheduler::recordsToMigrateCount);
+        metrics.gauge("woadloom.rollout.unreadable", scheduler, Scheduler::unreadableRecordCount);
         metrics.gauge("woadloom.rollout.closed", rollout, r -> r.closedReason() == null ? 0 : 1);
-        metrics.gauge("woadloom.reservations", scheduler, Scheduler::reservations);
+        metrics.gauge("woadloom.reservations", scheduler, Scheduler::reservationCount);
     }
 
     static void registerCancellations(NodeMetrics metrics, CancellationConfirmer confirmations) {
--- a/src/main/java/org/woadloom/node/RolloutActions.java
+++ b/src/main/java/org/woadloom/node/RolloutActions.java
@@ -33,7 +33,8 @@
 
     void write(SchedulerAction.WriteRollout put, RecordWriter writer, Outcome outcome) {
         List<Condition> conditions = new ArrayList<>();
-        put.conditions().forEach((path, revision) -> conditions.add(new Condition(path, revision)));
+        put.expectedRevisions()
+                .forEach((path, revision) -> conditions.add(new Condition(path, revision)));
         List<Change> changes = new ArrayList<>();
         changes.add(Change.put(StoreKeys.ROLLOUT_STATE, put.record().toMap()));
         if (put.agreedVersion() > 0) {
--- a/src/test/java/org/woadloom/core/BoundedStepTest.java
+++ b/src/test/java/org/woadloom/core/BoundedStepTest.java
@@ -43,9 +43,9 @@
                     JobRecord.accepted(LeaderFixture.job(String.format("j-%06d", i), 2), i * 10L));
         }
         LeaderFixture leader = new LeaderFixture(16.0 * MACHINES, records, hosts());
-        leader.allAreUp(hosts());
+        leader.bringUpAll(hosts());
         for (int i = 0; i < STEPS; i++) {
-            leader.now += STEP_INTERVAL_MICROS;
+            leader.nowMicros += STEP_INTERVAL_MICROS;
             leader.step(new SchedulerEvent.Tick());
         }
         return leader;
@@ -57,8 +57,8 @@
     void noStepSearchesForLongerThanTheLeadersLeaseAllows(int jobs) {
         LeaderFixture leader = afterAFullStop(jobs);
         assertTrue(
-                leader.mostMachinesInAStep() <= MAX_MACHINES,
-                leader.mostMachinesInAStep() + " machines in a step");
+                leader.maxMachinesExaminedInStep() <= MAX_MACHINES,
+                leader.maxMachinesExaminedInStep() + " machines in a step");
     }
 
     @Test
@@ -75,7 +75,7 @@
     }
 
     private static List<String> placedJobs(LeaderFixture leader) {
-        return leader.all(SchedulerAction.Log.class).stream()
+        return leader.actionsOfType(SchedulerAction.Log.class).stream()
                 .filter(log -> log.entry().event() == LogEvent.TASKS_PLACED)
                 .map(log -> log.entry().toString().replaceAll(".*job=(\\S+).*", "$1"))
                 .distinct()
--- a/src/test/java/org/woadloom/core/FaultyJobsTest.java
+++ b/src/test/java/org/woadloom/core/FaultyJobsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.woadloom.core.LeaderFixture.SECOND;
-import static org.woadloom.core.LeaderFixture.message;
+import static org.woadloom.core.LeaderFixture.heartbeat;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -30,13 +30,13 @@
 
     /** Every worker answers at once; tasks of these jobs, and all on these machines, fail. */
     private void pass(long micros, Set<String> mistaken, Set<String> faulty) {
-        for (long until = leader.now + micros; leader.now < until; ) {
+        for (long until = leader.nowMicros + micros; leader.nowMicros < until; ) {
             for (int i = 0; i < MACHINES; i++) {
                 String host = "host-00000" + i;
-                leader.report(
-                        message(host, 1, ++sequence, epochs.getOrDefault(host, 0L), tasks(host)));
+                leader.sendHeartbeat(
+                        heartbeat(host, 1, ++sequence, epochs.getOrDefault(host, 0L), tasks(host)));
             }
-            leader.pass(500_000);
+            leader.advance(500_000);
             List<SchedulerAction> news =
                     new ArrayList<>(leader.actions.subList(read, leader.actions.size()));
             read = leader.actions.size();
@@ -50,7 +50,7 @@
                                     sent.commandId(),
                                     sent.host(),
                                     200,
-                                    message(
+                                    heartbeat(
                                             sent.host(),
                                             1,
                                             ++sequence,
@@ -113,7 +113,7 @@
                 MACHINES,
                 launches.keySet().stream().filter(key -> key.startsWith("j-000003")).count(),
                 "quarantined: "
-                        + leader.all(SchedulerAction.Log.class).stream()
+                        + leader.actionsOfType(SchedulerAction.Log.class).stream()
                                 .filter(
                                         note ->
                                                 note.entry().event()
--- a/src/test/java/org/woadloom/core/LeaderFixture.java
+++ b/src/test/java/org/woadloom/core/LeaderFixture.java
@@ -26,11 +26,11 @@
             new MachineType("m16", 16, 0, 32, 50, 1, 1, 0.3, 30 * SECOND, List.of("a", "b"));
 
     private final Scheduler core;
-    public long now = 100 * SECOND;
+    public long nowMicros = 100 * SECOND;
     public final List<SchedulerAction> actions = new ArrayList<>();
     private long stamps = 100;
     private long replies;
-    private long mostMachinesInAStep;
+    private long maxMachinesExaminedInStep;
 
     /** Leads with these machines recorded. */
     public LeaderFixture(String... hosts) {
@@ -67,15 +67,16 @@
                 new SchedulerEvent.StoreLimitsChanged(
                         8192, RecordFormat.COMPACT, 100, false, false),
                 new SchedulerEvent.MachineTypesRead(List.of(TYPE)),
-                new SchedulerEvent.LeadershipAcquired(TERM, stored, machines, now));
+                new SchedulerEvent.LeadershipAcquired(TERM, stored, machines, nowMicros));
     }
 
     public void step(SchedulerEvent... commands) {
         List<SchedulerEvent> next = List.of(commands);
         while (next != null) {
             long examined = core.machinesExamined();
-            List<SchedulerAction> done = core.step(now, now, next);
-            mostMachinesInAStep = Math.max(mostMachinesInAStep, core.machinesExamined() - examined);
+            List<SchedulerAction> done = core.step(nowMicros, nowMicros, next);
+            maxMachinesExaminedInStep =
+                    Math.max(maxMachinesExaminedInStep, core.machinesExamined() - examined);
             actions.addAll(done);
             List<SchedulerEvent> written = new ArrayList<>();
             for (SchedulerAction action : done) {
@@ -101,15 +102,17 @@
     }
 
     /** Time passes, step by step, while nothing is heard. */
-    public void pass(long micros) {
-        for (long until = now + micros; now < until; ) {
-            now += 100_000;
+    public void advance(long micros) {
+        for (long until = nowMicros + micros; nowMicros < until; ) {
+            nowMicros += 100_000;
             step(new SchedulerEvent.Tick());
         }
     }
 
     public void submit(String jobId, int shards) {
-        step(new SchedulerEvent.JobStored(JobRecord.accepted(job(jobId, shards), now), ++stamps));
+        step(
+                new SchedulerEvent.JobStored(
+                        JobRecord.accepted(job(jobId, shards), nowMicros), ++stamps));
     }
 
     /** Tasks of 8 CPUs each. */
@@ -131,7 +134,7 @@
         }
     }
 
-    public static Heartbeat message(
+    public static Heartbeat heartbeat(
             String host, long incarnation, long sequence, long fencingToken, TaskStatus... tasks) {
         return new Heartbeat(
                 host,
@@ -147,21 +150,21 @@
     }
 
     /** The answer to a report that arrives now; null where it is turned away. */
-    public SchedulerAction.AnswerHeartbeat report(Heartbeat heartbeat) {
+    public SchedulerAction.AnswerHeartbeat sendHeartbeat(Heartbeat heartbeat) {
         long id = ++replies;
         step(new SchedulerEvent.HeartbeatReceived(id, heartbeat));
-        return all(SchedulerAction.AnswerHeartbeat.class).stream()
+        return actionsOfType(SchedulerAction.AnswerHeartbeat.class).stream()
                 .filter(answer -> answer.requestId() == id)
                 .findFirst()
                 .orElse(null);
     }
 
-    public <E extends SchedulerAction> List<E> all(Class<E> kind) {
+    public <E extends SchedulerAction> List<E> actionsOfType(Class<E> kind) {
         return actions.stream().filter(kind::isInstance).map(kind::cast).toList();
     }
 
-    public <E extends SchedulerAction> E last(Class<E> kind) {
-        List<E> all = all(kind);
+    public <E extends SchedulerAction> E lastAction(Class<E> kind) {
+        List<E> all = actionsOfType(kind);
         return all.get(all.size() - 1);
     }
 
@@ -170,7 +173,7 @@
      * line.
      */
     public boolean logged(LogEvent event, String... values) {
-        return all(SchedulerAction.Log.class).stream()
+        return actionsOfType(SchedulerAction.Log.class).stream()
                 .map(SchedulerAction.Log::entry)
                 .filter(entry -> entry.event() == event)
                 .anyMatch(
@@ -182,15 +185,16 @@
     }
 
     /** The worker answers the last direct command. */
-    public void answered(Heartbeat body) {
-        SchedulerAction.SendDirectCommand sent = last(SchedulerAction.SendDirectCommand.class);
+    public void answerLastDirectCommand(Heartbeat body) {
+        SchedulerAction.SendDirectCommand sent =
+                lastAction(SchedulerAction.SendDirectCommand.class);
         step(new SchedulerEvent.DirectCommandCompleted(sent.commandId(), sent.host(), 200, body));
     }
 
     /** The worker answers the last direct command if that only tells it of its token. */
-    public void greeted(String host, long incarnation, long sequence) {
+    public void acknowledgeToken(String host, long incarnation, long sequence) {
         List<SchedulerAction.SendDirectCommand> there =
-                all(SchedulerAction.SendDirectCommand.class).stream()
+                actionsOfType(SchedulerAction.SendDirectCommand.class).stream()
                         .filter(sent -> sent.host().equals(host))
                         .toList();
         SchedulerAction.SendDirectCommand sent = there.get(there.size() - 1);
@@ -200,16 +204,16 @@
                             sent.commandId(),
                             host,
                             200,
-                            message(host, incarnation, sequence, sent.fencingToken())));
+                            heartbeat(host, incarnation, sequence, sent.fencingToken())));
         }
     }
 
     /** All agents report at once, in one batch, and then answer their tokens in another. */
-    public void allAreUp(String... hosts) {
+    public void bringUpAll(String... hosts) {
         int before = actions.size();
         List<SchedulerEvent> events = new ArrayList<>();
         for (String host : hosts) {
-            events.add(new SchedulerEvent.HeartbeatReceived(++replies, message(host, 1, 1, 0)));
+            events.add(new SchedulerEvent.HeartbeatReceived(++replies, heartbeat(host, 1, 1, 0)));
         }
         step(events.toArray(new SchedulerEvent[0]));
         events.clear();
@@ -220,31 +224,31 @@
                                 sent.commandId(),
                                 sent.host(),
                                 200,
-                                message(sent.host(), 1, 2, sent.fencingToken())));
+                                heartbeat(sent.host(), 1, 2, sent.fencingToken())));
             }
         }
         step(events.toArray(new SchedulerEvent[0]));
     }
 
     /** The most machines that one step so far has examined for placements. */
-    public long mostMachinesInAStep() {
-        return mostMachinesInAStep;
+    public long maxMachinesExaminedInStep() {
+        return maxMachinesExaminedInStep;
     }
 
     /** Nobody answers any of them. */
-    public void unanswered() {
+    public void failDirectCommands() {
         for (SchedulerAction.SendDirectCommand sent :
-                all(SchedulerAction.SendDirectCommand.class)) {
+                actionsOfType(SchedulerAction.SendDirectCommand.class)) {
             // The core passes over those whose outcome it knows.
             step(new SchedulerEvent.DirectCommandCompleted(sent.commandId(), sent.host(), 0, null));
         }
     }
 
     /** Time passes, and no direct command is answered. */
-    public void passUnanswered(long micros) {
-        for (long until = now + micros; now < until; ) {
-            pass(Math.min(SECOND, until - now));
-            unanswered();
+    public void advanceWithoutAnswers(long micros) {
+        for (long until = nowMicros + micros; nowMicros < until; ) {
+            advance(Math.min(SECOND, until - nowMicros));
+            failDirectCommands();
         }
     }
 
@@ -252,10 +256,10 @@
      * A worker that reports, and answers the greeting that follows; returns the token that it has
      * then.
      */
-    public long isUp(String host, long sequence) {
-        report(message(host, 1, sequence, 0));
-        long token = last(SchedulerAction.SendDirectCommand.class).fencingToken();
-        answered(message(host, 1, sequence + 1, token));
+    public long bringUp(String host, long sequence) {
+        sendHeartbeat(heartbeat(host, 1, sequence, 0));
+        long token = lastAction(SchedulerAction.SendDirectCommand.class).fencingToken();
+        answerLastDirectCommand(heartbeat(host, 1, sequence + 1, token));
         return token;
     }
 }
--- a/src/test/java/org/woadloom/core/SchedulerFixture.java
+++ b/src/test/java/org/woadloom/core/SchedulerFixture.java
@@ -62,13 +62,13 @@
         machine.setType(TYPE);
         machine.onRecorded(0);
         machine.confirmExistence();
-        hear(machine, 1, machine.liveness.issueToken(state.nowMicros()));
+        receiveHeartbeat(machine, 1, machine.liveness.issueToken(state.nowMicros()));
         state.addMachine(machine);
         return machine;
     }
 
     /** The machine's worker reports with no tasks; its token is only new to it. */
-    public MessageAge hear(Machine machine, long sequence, long fencingToken) {
+    public MessageAge receiveHeartbeat(Machine machine, long sequence, long fencingToken) {
         Heartbeat heartbeat =
                 new Heartbeat(
                         machine.host,
@@ -103,7 +103,7 @@
     }
 
     /** One task of one CPU with an estimate of its run time and a deadline, submitted now. */
-    public Job due(String jobId, double runtimeS, double dueS) {
+    public Job jobWithDeadline(String jobId, double runtimeS, double dueS) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("runtimeS", runtimeS);
         map.put("dueS", dueS);
@@ -111,7 +111,7 @@
     }
 
     /** Tasks of one CPU each, of a class of their own. */
-    public Job ofClass(String jobId, String jobClass, int shards, boolean service) {
+    public Job jobOfClass(String jobId, String jobClass, int shards, boolean service) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("jobclass", jobClass);
         return job(jobId, 1, 1, shards, service, false, map);
@@ -157,8 +157,9 @@
 
     public TaskAttempt place(Reservations reservations, Job job, int index, Machine machine) {
         TaskAttempt attempt =
-                new TaskAttempt(job, index, machine, state.newAttempt(), 1, state.nowMicros());
-        reservations.draw(attempt);
+                new TaskAttempt(
+                        job, index, machine, state.newAttemptNumber(), 1, state.nowMicros());
+        reservations.allocateTo(attempt);
         job.add(attempt);
         return attempt;
     }
@@ -185,7 +186,7 @@
     }
 
     /** What the store takes, and the form of records that must fit. */
-    public void setRecordLimits(int valueBytes, RecordFormat format) {
+    public void setStoreLimits(int valueBytes, RecordFormat format) {
         state.setStoreLimits(
                 new SchedulerEvent.StoreLimitsChanged(valueBytes, format, 0, false, false));
     }
--- a/src/test/java/org/woadloom/core/SearchPauseTest.java
+++ b/src/test/java/org/woadloom/core/SearchPauseTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.woadloom.core.LeaderFixture.SECOND;
-import static org.woadloom.core.LeaderFixture.message;
+import static org.woadloom.core.LeaderFixture.heartbeat;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -25,7 +25,7 @@
     }
 
     private static long placed(LeaderFixture leader) {
-        return leader.all(SchedulerAction.Log.class).stream()
+        return leader.actionsOfType(SchedulerAction.Log.class).stream()
                 .filter(note -> note.entry().event() == LogEvent.TASKS_PLACED)
                 .count();
     }
@@ -33,9 +33,9 @@
     /** A search has just found room on the first machine when the second comes up. */
     private static LeaderFixture justSearched(int jobs) {
         LeaderFixture leader = withJobs(jobs);
-        leader.isUp(FIRST, 1);
+        leader.bringUp(FIRST, 1);
         for (int i = 0; placed(leader) == 0 && i < 20; i++) {
-            leader.pass(SECOND / 10);
+            leader.advance(SECOND / 10);
         }
         assertEquals(2, placed(leader));
         return leader;
@@ -44,17 +44,17 @@
     @Test
     void withFewJobsNothingWaits() {
         LeaderFixture leader = justSearched(1_000);
-        leader.isUp(SECOND_HOST, 1);
+        leader.bringUp(SECOND_HOST, 1);
         assertEquals(4, placed(leader));
     }
 
     @Test
     void withVeryManyJobsPlacingWaitsAndHeartbeatsDoNot() {
         LeaderFixture leader = justSearched(12_000);
-        leader.isUp(SECOND_HOST, 1);
-        assertNotNull(leader.report(message(FIRST, 1, 3, 0)));
+        leader.bringUp(SECOND_HOST, 1);
+        assertNotNull(leader.sendHeartbeat(heartbeat(FIRST, 1, 3, 0)));
         assertEquals(2, placed(leader));
-        leader.pass(SECOND / 5);
+        leader.advance(SECOND / 5);
         assertTrue(placed(leader) == 4, placed(leader) + " are placed after the pause");
     }
 }
--- a/src/test/java/org/woadloom/core/StepCostBenchmark.java
+++ b/src/test/java/org/woadloom/core/StepCostBenchmark.java
@@ -150,7 +150,7 @@
                 "| %d, %d | %.0f us, %.0f us, %.0f | %.1f us | %.1f ms |  (%.0f heartbeats and %.0f"
                         + " launches a second)%n",
                 size,
-                core.jobs(),
+                core.openJobCount(),
                 total / 1e3 / times.size(),
                 times.get(times.size() * 99 / 100) / 1e3,
                 allocated / 1024.0 / times.size(),
--- a/src/test/java/org/woadloom/core/UnreachableAgentsTest.java
+++ b/src/test/java/org/woadloom/core/UnreachableAgentsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.woadloom.core.LeaderFixture.SECOND;
-import static org.woadloom.core.LeaderFixture.message;
+import static org.woadloom.core.LeaderFixture.heartbeat;
 
 import org.junit.jupiter.api.Test;
 import org.woadloom.protocol.TaskCommand;
@@ -26,27 +26,30 @@
 
     /** It has a task, and its last report is answered now. */
     private void isClosedIn() {
-        token = leader.isUp(HOST, 1);
+        token = leader.bringUp(HOST, 1);
         leader.submit("j-000001", 1);
-        leader.pass(100_000);
-        TaskCommand launch = leader.last(SchedulerAction.SendDirectCommand.class).commands().get(0);
+        leader.advance(100_000);
+        TaskCommand launch =
+                leader.lastAction(SchedulerAction.SendDirectCommand.class).commands().get(0);
         task =
                 new TaskStatus(
                         launch.task(), launch.attempt(), TaskStatus.State.RUNNING, null, false);
-        leader.answered(message(HOST, 1, ++sequence, token, task));
-        leader.report(message(HOST, 1, ++sequence, token, task));
-        answered = leader.now;
-        seen = leader.all(SchedulerAction.SendDirectCommand.class).size();
+        leader.answerLastDirectCommand(heartbeat(HOST, 1, ++sequence, token, task));
+        leader.sendHeartbeat(heartbeat(HOST, 1, ++sequence, token, task));
+        answered = leader.nowMicros;
+        seen = leader.actionsOfType(SchedulerAction.SendDirectCommand.class).size();
     }
 
     /** Returns how many tasks it was sent until then. */
     private int until(long micros) {
         int launches = 0;
-        while (leader.now < answered + micros) {
-            leader.pass(100_000);
-            for (; seen < leader.all(SchedulerAction.SendDirectCommand.class).size(); seen++) {
+        while (leader.nowMicros < answered + micros) {
+            leader.advance(100_000);
+            for (;
+                    seen < leader.actionsOfType(SchedulerAction.SendDirectCommand.class).size();
+                    seen++) {
                 SchedulerAction.SendDirectCommand sent =
-                        leader.all(SchedulerAction.SendDirectCommand.class).get(seen);
+                        leader.actionsOfType(SchedulerAction.SendDirectCommand.class).get(seen);
                 launches +=
                         (int)
                                 sent.commands().stream()
@@ -60,7 +63,7 @@
                                 sent.commandId(),
                                 HOST,
                                 200,
-                                message(HOST, 1, ++sequence, sent.fencingToken(), task)));
+                                heartbeat(HOST, 1, ++sequence, sent.fencingToken(), task)));
             }
         }
         return launches;
@@ -99,6 +102,6 @@
                         TaskStatus.ExitReason.DONE,
                         false);
         until(6 * SECOND);
-        assertEquals(1, leader.all(SchedulerAction.WriteFinalState.class).size());
+        assertEquals(1, leader.actionsOfType(SchedulerAction.WriteFinalState.class).size());
     }
 }
--- a/src/test/java/org/woadloom/core/WriteBudgetTest.java
+++ b/src/test/java/org/woadloom/core/WriteBudgetTest.java
@@ -24,12 +24,12 @@
                 int machines = 0;
                 for (int step = 0; step < SECONDS * 100; step++) {
                     budget.refill(step * 10_000L);
-                    if (random.nextDouble() < machinesWanted && budget.allowsMachine()) {
-                        budget.takeMachine();
+                    if (random.nextDouble() < machinesWanted && budget.allowsMachineWrite()) {
+                        budget.consumeMachineToken();
                         machines++;
                     }
-                    if (random.nextDouble() < jobsWanted && budget.allowsJob()) {
-                        budget.takeJob(1);
+                    if (random.nextDouble() < jobsWanted && budget.allowsJobWrite()) {
+                        budget.consumeJobTokens(1);
                         jobs++;
                     }
                 }
@@ -56,11 +56,11 @@
         budget.setRate(RATE);
         budget.refill(0);
         int ends = 0;
-        while (budget.allowsFinalState() && ends < 10_000) {
-            budget.takeJob(2);
+        while (budget.allowsFinalStateWrite() && ends < 10_000) {
+            budget.consumeJobTokens(2);
             ends++;
         }
         assertTrue(ends > 20 && ends < 100, ends + " ends at once");
-        assertTrue(!budget.allowsJob());
+        assertTrue(!budget.allowsJobWrite());
     }
 }
--- a/src/test/java/org/woadloom/core/autoscaling/AutoscalerDuringSearchTest.java
+++ b/src/test/java/org/woadloom/core/autoscaling/AutoscalerDuringSearchTest.java
@@ -42,7 +42,7 @@
         for (int second = 0; second < 300; second++) {
             fixture.advance(SECOND);
             for (Machine machine : others) {
-                fixture.hear(machine, second + 2, machine.liveness.issueToken(0));
+                fixture.receiveHeartbeat(machine, second + 2, machine.liveness.issueToken(0));
             }
             autoscaler.review(false);
         }
--- a/src/test/java/org/woadloom/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/woadloom/core/autoscaling/AutoscalerTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.woadloom.core.LeaderFixture.SECOND;
-import static org.woadloom.core.LeaderFixture.message;
+import static org.woadloom.core.LeaderFixture.heartbeat;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -24,7 +24,7 @@
     private final LeaderFixture leader = new LeaderFixture();
 
     private List<SchedulerAction.RentMachines> rentals() {
-        return leader.all(SchedulerAction.RentMachines.class);
+        return leader.actionsOfType(SchedulerAction.RentMachines.class);
     }
 
     /**
@@ -36,7 +36,7 @@
         for (int i = 0; i < 12; i++) {
             leader.submit("j-" + i, 25);
         }
-        leader.pass(10 * SECOND);
+        leader.advance(10 * SECOND);
         assertEquals(
                 13,
                 rentals().stream().mapToInt(SchedulerAction.RentMachines::count).sum(),
@@ -50,10 +50,10 @@
     @Test
     void aKindIsNotAskedForAgainBeforeItsAnswer() {
         leader.submit("j-1", 10);
-        leader.pass(5 * SECOND);
+        leader.advance(5 * SECOND);
         assertEquals(1, rentals().size());
         leader.submit("j-2", 10);
-        leader.pass(SECOND);
+        leader.advance(SECOND);
         assertEquals(1, rentals().size());
         SchedulerAction.RentMachines first = rentals().get(0);
         leader.step(
@@ -61,7 +61,7 @@
                         first.requestName(),
                         SchedulerEvent.ScaleOutOutcome.RENTED,
                         List.of("host-1", "host-2")));
-        leader.pass(SECOND);
+        leader.advance(SECOND);
         assertEquals(2, rentals().size());
         SchedulerAction.RentMachines second = rentals().get(1);
         assertTrue(
@@ -73,9 +73,9 @@
     @Test
     void anotherKindIsAskedForWhereNoAnswerComes() {
         leader.submit("j-1", 10);
-        leader.pass(4 * SECOND);
+        leader.advance(4 * SECOND);
         leader.submit("j-2", 10);
-        leader.pass(4 * SECOND);
+        leader.advance(4 * SECOND);
         assertEquals(2, rentals().size());
         assertTrue(
                 !rentals().get(0).zone().equals(rentals().get(1).zone())
@@ -89,40 +89,40 @@
     @Test
     void deletionsGatherWhileOneIsUnderWay() {
         for (int i = 0; i < 6; i++) {
-            leader.isUp("host-00000" + i, 1);
-            leader.pass(SECOND);
+            leader.bringUp("host-00000" + i, 1);
+            leader.advance(SECOND);
         }
-        leader.passUnanswered(100 * SECOND);
+        leader.advanceWithoutAnswers(100 * SECOND);
         List<SchedulerAction.DeleteMachines> deletions =
-                leader.all(SchedulerAction.DeleteMachines.class);
+                leader.actionsOfType(SchedulerAction.DeleteMachines.class);
         assertEquals(1, deletions.size(), "none was answered");
         leader.step(new SchedulerEvent.MachineDeletionCompleted(deletions.get(0).hosts(), true));
-        leader.pass(SECOND);
-        assertEquals(5, leader.last(SchedulerAction.DeleteMachines.class).hosts().size());
+        leader.advance(SECOND);
+        assertEquals(5, leader.lastAction(SchedulerAction.DeleteMachines.class).hosts().size());
     }
 
     /** What is rented in a zone that is cut off boots for nothing, and would count as coming. */
     @Test
     void nothingIsRentedInAZoneThatHasGoneSilent() {
         for (int i = 0; i < 4; i++) {
-            leader.isUp("host-00000" + i, 1);
+            leader.bringUp("host-00000" + i, 1);
         }
-        leader.passUnanswered(8 * SECOND);
+        leader.advanceWithoutAnswers(8 * SECOND);
         assertTrue(leader.logged(LogEvent.ZONE_PARTITIONED, "zone=a", "silent=4", "machines=4"));
         leader.submit("j-1", 10);
-        leader.passUnanswered(30 * SECOND);
+        leader.advanceWithoutAnswers(30 * SECOND);
         assertTrue(rentals().size() > 0);
         assertTrue(rentals().stream().allMatch(rent -> rent.zone().equals("b")));
         assertEquals(
                 List.of(),
-                leader.all(SchedulerAction.DeleteMachines.class),
+                leader.actionsOfType(SchedulerAction.DeleteMachines.class),
                 "they come back with their images");
         for (String host : List.of("host-000001", "host-000002")) {
-            leader.report(message(host, 2, 10, 0));
-            leader.pass(100_000);
-            leader.greeted(host, 2, 11);
+            leader.sendHeartbeat(heartbeat(host, 2, 10, 0));
+            leader.advance(100_000);
+            leader.acknowledgeToken(host, 2, 11);
         }
-        leader.pass(SECOND);
+        leader.advance(SECOND);
         assertTrue(leader.logged(LogEvent.ZONE_RECONNECTED, "zone=a"));
     }
 
@@ -145,17 +145,18 @@
                                                 false,
                                                 false,
                                                 new MachineRecord.Lifecycle(
-                                                        leader.now - 900 * SECOND, true)),
+                                                        leader.nowMicros - 900 * SECOND, true)),
                                         50)),
-                        leader.now));
+                        leader.nowMicros));
         leader.submit("j-1", 2);
-        leader.pass(10 * SECOND);
+        leader.advance(10 * SECOND);
         assertEquals(0, rentals().size(), "it may come yet");
-        leader.pass(2 * SECOND);
+        leader.advance(2 * SECOND);
         assertEquals(1, rentals().size());
-        leader.pass(25 * SECOND);
+        leader.advance(25 * SECOND);
         assertEquals(
-                List.of("host-000001"), leader.last(SchedulerAction.DeleteMachines.class).hosts());
+                List.of("host-000001"),
+                leader.lastAction(SchedulerAction.DeleteMachines.class).hosts());
     }
 
     /**
@@ -174,19 +175,20 @@
                                     "a",
                                     false,
                                     false,
-                                    new MachineRecord.Lifecycle(leader.now - 900 * SECOND, true)),
+                                    new MachineRecord.Lifecycle(
+                                            leader.nowMicros - 900 * SECOND, true)),
                             50 + i));
         }
         leader.step(
                 new SchedulerEvent.LeadershipAcquired(
-                        LeaderFixture.TERM + 1, List.of(), stored, leader.now));
+                        LeaderFixture.TERM + 1, List.of(), stored, leader.nowMicros));
         leader.submit("j-1", 2);
-        leader.pass(50 * SECOND);
+        leader.advance(50 * SECOND);
         assertTrue(
                 rentals().size() > 0
                         && rentals().stream().allMatch(rent -> rent.zone().equals("b")),
                 "" + rentals());
-        assertEquals(List.of(), leader.all(SchedulerAction.DeleteMachines.class));
+        assertEquals(List.of(), leader.actionsOfType(SchedulerAction.DeleteMachines.class));
     }
 
     /**
@@ -195,13 +197,13 @@
      */
     @Test
     void whatTheListLacksIsNotTakenForGone() {
-        long token = leader.isUp("host-000001", 1);
+        long token = leader.bringUp("host-000001", 1);
         leader.submit("j-1", 2);
-        leader.pass(100_000);
+        leader.advance(100_000);
         SchedulerAction.SendDirectCommand sent =
-                leader.last(SchedulerAction.SendDirectCommand.class);
-        leader.answered(
-                message(
+                leader.lastAction(SchedulerAction.SendDirectCommand.class);
+        leader.answerLastDirectCommand(
+                heartbeat(
                         "host-000001",
                         1,
                         5,
@@ -218,8 +220,8 @@
                                 .toArray(TaskStatus[]::new)));
         for (int i = 0; i < 30; i++) {
             leader.step(new SchedulerEvent.MachinesListed(List.of()));
-            leader.report(
-                    message(
+            leader.sendHeartbeat(
+                    heartbeat(
                             "host-000001",
                             1,
                             6 + i,
@@ -234,13 +236,13 @@
                                                             null,
                                                             false))
                                     .toArray(TaskStatus[]::new)));
-            leader.pass(SECOND);
+            leader.advance(SECOND);
         }
         assertEquals(2, sent.commands().size());
         assertTrue(
                 !leader.logged(LogEvent.TASK_LOST)
                         && rentals().isEmpty()
-                        && leader.all(SchedulerAction.DeleteMachines.class).isEmpty());
+                        && leader.actionsOfType(SchedulerAction.DeleteMachines.class).isEmpty());
     }
 
     private static ListedMachine item(String host) {
@@ -255,44 +257,44 @@
     void whatIsSilentAndNoLongerListedIsGivenUpAndDarkensNoZone() {
         List<ListedMachine> all = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            leader.isUp("host-00000" + i, 1);
+            leader.bringUp("host-00000" + i, 1);
             all.add(item("host-00000" + i));
         }
-        long token = leader.last(SchedulerAction.SendDirectCommand.class).fencingToken();
+        long token = leader.lastAction(SchedulerAction.SendDirectCommand.class).fencingToken();
         for (int s = 0; s < 14; s++) {
             leader.step(new SchedulerEvent.MachinesListed(s < 3 ? all : all.subList(3, 4)));
-            leader.report(message("host-000003", 1, 10 + s, token));
-            leader.passUnanswered(SECOND);
+            leader.sendHeartbeat(heartbeat("host-000003", 1, 10 + s, token));
+            leader.advanceWithoutAnswers(SECOND);
         }
         assertTrue(
                 leader.logged(LogEvent.ZONE_PARTITIONED, "zone=a", "silent=3", "machines=4")
                         && leader.logged(LogEvent.ZONE_RECONNECTED, "zone=a"));
         assertEquals(
                 List.of("host-000000", "host-000001", "host-000002"),
-                leader.all(SchedulerAction.DeleteMachines.class).stream()
+                leader.actionsOfType(SchedulerAction.DeleteMachines.class).stream()
                         .flatMap(delete -> delete.hosts().stream())
                         .distinct()
                         .sorted()
                         .toList());
         leader.submit("j-1", 10);
-        leader.passUnanswered(SECOND);
+        leader.advanceWithoutAnswers(SECOND);
         assertTrue(rentals().stream().anyMatch(rent -> rent.zone().equals("a")), "" + rentals());
     }
 
     /** Lists are two lags old and may go back; one that answers is there whatever they show. */
     @Test
     void nothingIsGivenUpForBeingUnlistedTooSoonOrWhileItReports() {
-        long token = leader.isUp("host-000001", 1);
-        leader.isUp("host-000002", 1);
+        long token = leader.bringUp("host-000001", 1);
+        leader.bringUp("host-000002", 1);
         leader.step(
                 new SchedulerEvent.MachinesListed(
                         List.of(item("host-000001"), item("host-000002"))));
         for (int s = 0; s < 30; s++) {
-            leader.report(message("host-000001", 1, 10 + s, token));
+            leader.sendHeartbeat(heartbeat("host-000001", 1, 10 + s, token));
             leader.step(
                     new SchedulerEvent.MachinesListed(
                             s < 6 ? List.of() : List.of(item("host-000002"))));
-            leader.passUnanswered(SECOND);
+            leader.advanceWithoutAnswers(SECOND);
         }
         assertTrue(
                 !leader.logged(
@@ -303,7 +305,7 @@
     @Test
     void aMachineThatBootsIsNotGivenUpForBeingUnlisted() {
         leader.submit("j-1", 2);
-        leader.pass(5 * SECOND);
+        leader.advance(5 * SECOND);
         leader.step(
                 new SchedulerEvent.ScaleOutCompleted(
                         rentals().get(0).requestName(),
@@ -311,10 +313,10 @@
                         List.of("host-000001")));
         for (int s = 0; s < 30; s++) {
             leader.step(new SchedulerEvent.MachinesListed(List.of()));
-            leader.pass(SECOND);
+            leader.advance(SECOND);
         }
         assertTrue(
-                leader.all(SchedulerAction.DeleteMachines.class).isEmpty()
+                leader.actionsOfType(SchedulerAction.DeleteMachines.class).isEmpty()
                         && rentals().size() == 1);
     }
 }
--- a/src/test/java/org/woadloom/core/jobs/DependencyGraphTest.java
+++ b/src/test/java/org/woadloom/core/jobs/DependencyGraphTest.java
@@ -95,7 +95,7 @@
         step(
                 new SchedulerEvent.DependencyResolved(
                         "j-1", SchedulerEvent.DependencyState.DONE, 1_000_000));
-        assertEquals(1, core.blockedJobs());
+        assertEquals(1, core.blockedJobCount());
         step(
                 new SchedulerEvent.DependencyResolved(
                         "j-2", SchedulerEvent.DependencyState.UNREADABLE, 0));
@@ -107,9 +107,9 @@
         step(
                 new SchedulerEvent.DependencyResolved(
                         "j-2", SchedulerEvent.DependencyState.NOT_FOUND, 0));
-        assertEquals(1, core.blockedJobs());
+        assertEquals(1, core.blockedJobCount());
         step(new SchedulerEvent.DependencyResolved("j-2", SchedulerEvent.DependencyState.DONE, 0));
-        assertEquals(0, core.blockedJobs());
+        assertEquals(0, core.blockedJobCount());
     }
 
     /**
@@ -128,9 +128,9 @@
         step(new SchedulerEvent.JobRecordNotFound("j-1"));
         assertEquals(
                 List.of("j-1"), asked(step(new SchedulerEvent.JobStored(record("j-2", "j-1"), 9))));
-        assertEquals(1, core.blockedJobs());
+        assertEquals(1, core.blockedJobCount());
         step(new SchedulerEvent.DependencyResolved("j-1", SchedulerEvent.DependencyState.DONE, 0));
-        assertEquals(0, core.blockedJobs());
+        assertEquals(0, core.blockedJobCount());
     }
 
     /** A chain of thousands needs no stack, and its writes stay within the rate. */
@@ -159,7 +159,7 @@
             actions = step(outcomes.toArray(new SchedulerEvent[0]));
         }
         assertEquals(length, all.size());
-        assertEquals(0, core.jobs());
+        assertEquals(0, core.openJobCount());
         double seconds = steps * 0.1;
         assertTrue(
                 2 * length / seconds <= WRITES_PER_SECOND * 1.05 + 2,
--- a/src/test/java/org/woadloom/core/jobs/FailoverTest.java
+++ b/src/test/java/org/woadloom/core/jobs/FailoverTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.woadloom.core.LeaderFixture.SECOND;
 import static org.woadloom.core.LeaderFixture.TERM;
-import static org.woadloom.core.LeaderFixture.message;
+import static org.woadloom.core.LeaderFixture.heartbeat;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -74,17 +74,17 @@
         LeaderFixture leader =
                 new LeaderFixture(16, List.of(placed("j-000001", cancelled)), LOST, UP);
         leader.submit("j-000002", 2);
-        long token = leader.isUp(UP, 1);
-        leader.report(message(UP, 1, 3, token));
-        leader.pass(SECOND);
+        long token = leader.bringUp(UP, 1);
+        leader.sendHeartbeat(heartbeat(UP, 1, 3, token));
+        leader.advance(SECOND);
         List<TaskCommand> started =
-                leader.all(SchedulerAction.SendDirectCommand.class).stream()
+                leader.actionsOfType(SchedulerAction.SendDirectCommand.class).stream()
                         .filter(sent -> sent.host().equals(UP) && !sent.commands().isEmpty())
                         .findFirst()
                         .orElseThrow()
                         .commands();
-        leader.answered(
-                message(
+        leader.answerLastDirectCommand(
+                heartbeat(
                         UP,
                         1,
                         4,
@@ -105,9 +105,9 @@
     private static Set<String> started(LeaderFixture leader) {
         Set<String> started = new TreeSet<>();
         List<TaskCommand> commands = new ArrayList<>();
-        leader.all(SchedulerAction.SendDirectCommand.class)
+        leader.actionsOfType(SchedulerAction.SendDirectCommand.class)
                 .forEach(sent -> commands.addAll(sent.commands()));
-        leader.all(SchedulerAction.AnswerHeartbeat.class)
+        leader.actionsOfType(SchedulerAction.AnswerHeartbeat.class)
                 .forEach(answer -> commands.addAll(answer.commands()));
         commands.stream()
                 .filter(command -> command.action() == TaskCommand.Action.START)
@@ -117,10 +117,10 @@
 
     /** What a message of the machine that could not be asked says of the task that may be there. */
     private enum Word {
-        OLD_AND_WITHOUT_IT(false, message(LOST, 1, 10, EARLIER << AgentLiveness.FENCE_BITS)),
+        OLD_AND_WITHOUT_IT(false, heartbeat(LOST, 1, 10, EARLIER << AgentLiveness.FENCE_BITS)),
         OLD_AND_LISTS_IT(
                 false,
-                message(
+                heartbeat(
                         LOST,
                         1,
                         10,
@@ -128,13 +128,13 @@
                         task("j-000001", TaskStatus.State.RUNNING, null))),
         OLD_AND_ENDED_IT(
                 true,
-                message(
+                heartbeat(
                         LOST,
                         1,
                         10,
                         EARLIER << AgentLiveness.FENCE_BITS,
                         task("j-000001", TaskStatus.State.EXITED, TaskStatus.ExitReason.STOPPED))),
-        OF_THIS_TERM_WITHOUT_IT(true, message(LOST, 1, 10, TERM << AgentLiveness.FENCE_BITS));
+        OF_THIS_TERM_WITHOUT_IT(true, heartbeat(LOST, 1, 10, TERM << AgentLiveness.FENCE_BITS));
 
         private final boolean proof;
         private final Heartbeat message;
@@ -150,8 +150,8 @@
     void aTaskOfACancelledJobCountsUntilItIsProvenGone(Word word) {
         LeaderFixture leader = atItsLimit(true);
         assertEquals(Set.of("j-000002/0"), started(leader), "one task's resources are in doubt");
-        leader.report(word.message);
-        leader.pass(SECOND);
+        leader.sendHeartbeat(word.message);
+        leader.advance(SECOND);
         assertEquals(
                 word.proof ? Set.of("j-000002/0", "j-000002/1") : Set.of("j-000002/0"),
                 started(leader));
@@ -161,9 +161,9 @@
     @Test
     void nothingStartsWhereOnlyAnOldReportCameFrom() {
         LeaderFixture leader = new LeaderFixture(200, List.of(placed("j-000001", false)), LOST);
-        leader.report(message(LOST, 1, 50, EARLIER << AgentLiveness.FENCE_BITS));
+        leader.sendHeartbeat(heartbeat(LOST, 1, 50, EARLIER << AgentLiveness.FENCE_BITS));
         leader.submit("j-000002", 1);
-        leader.passUnanswered(20 * SECOND);
+        leader.advanceWithoutAnswers(20 * SECOND);
         assertEquals(Set.of(), started(leader));
         assertFalse(
                 leader.logged(LogEvent.LEASE_EXPIRED, "machine=" + LOST)
@@ -178,20 +178,22 @@
     @Test
     void aTeamGetsBackWhatIsOnAMachineThatIsNeverHeardOfAgain() {
         LeaderFixture leader = atItsLimit(true);
-        long began = leader.now;
+        long began = leader.nowMicros;
         for (long sequence = 10;
-                leader.all(SchedulerAction.DeleteMachines.class).isEmpty()
-                        && leader.now - began < 90 * SECOND;
+                leader.actionsOfType(SchedulerAction.DeleteMachines.class).isEmpty()
+                        && leader.nowMicros - began < 90 * SECOND;
                 sequence++) {
-            leader.passUnanswered(SECOND);
-            leader.report(
-                    message(
+            leader.advanceWithoutAnswers(SECOND);
+            leader.sendHeartbeat(
+                    heartbeat(
                             UP,
                             1,
                             sequence,
-                            leader.last(SchedulerAction.AnswerHeartbeat.class).fencingToken()));
+                            leader.lastAction(SchedulerAction.AnswerHeartbeat.class)
+                                    .fencingToken()));
         }
-        assertEquals(List.of(LOST), leader.last(SchedulerAction.DeleteMachines.class).hosts());
+        assertEquals(
+                List.of(LOST), leader.lastAction(SchedulerAction.DeleteMachines.class).hosts());
         assertEquals(Set.of("j-000002/0"), started(leader));
         leader.step(new SchedulerEvent.MachineDeletionCompleted(List.of(LOST), true));
         assertTrue(
@@ -206,23 +208,23 @@
     @Test
     void whatTheFirstMessageOfALaterSessionListsIsThere() {
         LeaderFixture leader = new LeaderFixture(200, List.of(placed("j-000001", false)), LOST, UP);
-        leader.report(message(LOST, 1, 50, EARLIER << AgentLiveness.FENCE_BITS));
+        leader.sendHeartbeat(heartbeat(LOST, 1, 50, EARLIER << AgentLiveness.FENCE_BITS));
         SchedulerAction.SendDirectCommand greeting =
-                leader.last(SchedulerAction.SendDirectCommand.class);
+                leader.lastAction(SchedulerAction.SendDirectCommand.class);
         assertEquals(1, greeting.incarnation());
         leader.step(
                 new SchedulerEvent.DirectCommandCompleted(
                         greeting.commandId(),
                         LOST,
                         409,
-                        message(
+                        heartbeat(
                                 LOST,
                                 2,
                                 80,
                                 greeting.fencingToken(),
                                 task("j-000001", TaskStatus.State.RUNNING, null))));
-        leader.isUp(UP, 1);
-        leader.pass(SECOND);
+        leader.bringUp(UP, 1);
+        leader.advance(SECOND);
         assertFalse(leader.logged(LogEvent.TASK_LOST));
         assertEquals(Set.of(), started(leader), "it runs where it was");
     }
--- a/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
+++ b/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
@@ -62,7 +62,7 @@
                 }
                 TaskAttempt attempt =
                         new TaskAttempt(job, index, chosen, 1, 1, fixture.state.nowMicros());
-                reservations.draw(attempt);
+                reservations.allocateTo(attempt);
                 job.add(attempt);
                 once.onPlaced();
                 placed++;
@@ -104,7 +104,7 @@
         for (int step = 0; step < 2_000; step++) {
             Job job = jobs.get(random.nextInt(jobs.size()));
             Machine machine = machines.get(random.nextInt(machines.size()));
-            List<Reservation> owned = reservations.of(job);
+            List<Reservation> owned = reservations.reservationsOf(job);
             if (random.nextInt(3) > 0) {
                 reservations.reserve(job, machine, job.taskResources, true, random.nextBoolean());
             } else if (!owned.isEmpty()) {
@@ -113,15 +113,15 @@
             Resources plain = machine.capacity().minus(machine.used());
             int total = 0;
             for (Job any : jobs) {
-                total += reservations.of(any).size();
-                for (Reservation reservation : reservations.of(any)) {
+                total += reservations.reservationsOf(any).size();
+                for (Reservation reservation : reservations.reservationsOf(any)) {
                     if (reservation.machine == machine && any != job) {
                         plain = plain.minus(reservation.remaining());
                     }
                 }
             }
-            assertEquals(plain, reservations.balance(machine, job));
-            assertEquals(total, reservations.size());
+            assertEquals(plain, reservations.unreservedBalance(machine, job));
+            assertEquals(total, reservations.count());
         }
     }
 
@@ -133,7 +133,7 @@
     void theRecordOfAHugeJobAlwaysFits(RecordFormat format, int valueBytes) {
         Random random = new Random(8);
         SchedulerFixture fixture = new SchedulerFixture(100_000);
-        fixture.setRecordLimits(valueBytes, format);
+        fixture.setStoreLimits(valueBytes, format);
         Reservations reservations = new Reservations(fixture.state);
         for (int i = 0; i < 200; i++) {
             fixture.machine("host-" + (100_000 + i), i % 2 == 0 ? "a" : "b");
--- a/src/test/java/org/woadloom/core/placement/QueueOrderTest.java
+++ b/src/test/java/org/woadloom/core/placement/QueueOrderTest.java
@@ -13,26 +13,26 @@
 
     @Test
     void whatCanStillBeInTimeGoesBeforeWhatIsLate() {
-        Job late = fixture.due("j-1", 10, 30);
+        Job late = fixture.jobWithDeadline("j-1", 10, 30);
         fixture.advance(25_000_000);
-        Job fresh = fixture.due("j-2", 10, 30);
+        Job fresh = fixture.jobWithDeadline("j-2", 10, 30);
         assertEquals(List.of(fresh, late), order.sorted(List.of(late, fresh)));
     }
 
     @Test
     void aLateJobDoesNotWaitForEver() {
-        Job late = fixture.due("j-1", 10, 30);
+        Job late = fixture.jobWithDeadline("j-1", 10, 30);
         fixture.advance(200_000_000);
-        Job fresh = fixture.due("j-2", 10, 30);
+        Job fresh = fixture.jobWithDeadline("j-2", 10, 30);
         assertEquals(List.of(late, fresh), order.sorted(List.of(fresh, late)));
     }
 
     @Test
     void theGuaranteeComesBeforeLateness() {
-        Job late = fixture.due("j-1", 10, 30);
+        Job late = fixture.jobWithDeadline("j-1", 10, 30);
         late.setWithinGuarantee(true);
         fixture.advance(25_000_000);
-        Job fresh = fixture.due("j-2", 10, 30);
+        Job fresh = fixture.jobWithDeadline("j-2", 10, 30);
         assertEquals(List.of(late, fresh), order.sorted(List.of(fresh, late)));
     }
 }
--- a/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
+++ b/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
@@ -38,8 +38,8 @@
     /** Two thirds of the limit are divided: 8 CPUs for each of two classes. */
     @Test
     void aClassThatWaitsIsLeftItsShareOfATeamAtItsLimit() {
-        Job service = fixture.ofClass("j-1", "web", 40, true);
-        Job array = fixture.ofClass("j-2", "work", 40, false);
+        Job service = fixture.jobOfClass("j-1", "web", 40, true);
+        Job array = fixture.jobOfClass("j-2", "work", 40, false);
         shares.update();
         assertEquals(16, service.allowedTasks());
         assertEquals(16, array.allowedTasks());
@@ -54,15 +54,15 @@
 
     @Test
     void noMoreIsKeptThanWaits() {
-        Job service = fixture.ofClass("j-1", "web", 40, true);
-        fixture.ofClass("j-2", "work", 3, false);
+        Job service = fixture.jobOfClass("j-1", "web", 40, true);
+        fixture.jobOfClass("j-2", "work", 3, false);
         shares.update();
         assertEquals(21, service.allowedTasks());
     }
 
     @Test
     void aShareIsOneTaskAtLeast() {
-        Job service = fixture.ofClass("j-1", "web", 40, true);
+        Job service = fixture.jobOfClass("j-1", "web", 40, true);
         Job array = fixture.job("j-2", 12, 1, 3);
         shares.update();
         assertEquals(12, service.allowedTasks());
@@ -72,8 +72,8 @@
     /** What fits into the limit is served by the order alone. */
     @Test
     void aTeamWithinItsLimitIsNotConcerned() {
-        Job service = fixture.ofClass("j-1", "web", 4, true);
-        Job array = fixture.ofClass("j-2", "work", 20, false);
+        Job service = fixture.jobOfClass("j-1", "web", 4, true);
+        Job array = fixture.jobOfClass("j-2", "work", 20, false);
         shares.update();
         assertEquals(24, service.allowedTasks());
         assertEquals(24, array.allowedTasks());
@@ -83,9 +83,9 @@
     /** Nothing is stopped for a share: it is had as the other class's tasks end. */
     @Test
     void aShareIsHadAsRoomComesFree() {
-        Job service = fixture.ofClass("j-1", "web", 30, true);
+        Job service = fixture.jobOfClass("j-1", "web", 30, true);
         place(service, 0, 24);
-        Job array = fixture.ofClass("j-2", "work", 40, false);
+        Job array = fixture.jobOfClass("j-2", "work", 40, false);
         shares.update();
         assertEquals(0, array.allowedTasks());
         service.remove(service.attempt(0));
@@ -101,7 +101,7 @@
      */
     @Test
     void aShareThatFindsNoMachineGoesToOthers() {
-        Job service = fixture.ofClass("j-1", "web", 40, true);
+        Job service = fixture.jobOfClass("j-1", "web", 40, true);
         Job array = fixture.job("j-2", 8, 1, 3);
         place(service, 0, 16);
         shares.update();
@@ -122,8 +122,8 @@
 
     @Test
     void theLogTellsOfATeamThatAsksForMoreThanItsLimitOnceAMinute() {
-        fixture.ofClass("j-1", "web", 40, true);
-        fixture.ofClass("j-2", "work", 40, false);
+        fixture.jobOfClass("j-1", "web", 40, true);
+        fixture.jobOfClass("j-2", "work", 40, false);
         shares.update();
         shares.update();
         var told = fixture.actions();
--- a/src/test/java/org/woadloom/core/quota/LostTaskHoldsTest.java
+++ b/src/test/java/org/woadloom/core/quota/LostTaskHoldsTest.java
@@ -40,7 +40,7 @@
     }
 
     private void review() {
-        large.team.reviewLostTasks(fixture.state.nowMicros(), reservations::countFor);
+        large.team.expireLostTaskHolds(fixture.state.nowMicros(), reservations::countFor);
     }
 
     /** Guards against a lost task of a started job that waited 109 s behind newer, smaller ones. */
@@ -76,18 +76,19 @@
     /** The first of two tasks ends; the other fills the limit with what the first one used. */
     private static boolean isNextJobServedAfter(TaskStatus.ExitReason reason) {
         LeaderFixture leader = new LeaderFixture(16, List.of(), HOST);
-        leader.isUp(HOST, 1);
+        leader.bringUp(HOST, 1);
         leader.submit("j-1", 2);
         leader.submit("j-2", 1);
         SchedulerAction.SendDirectCommand sent =
-                leader.last(SchedulerAction.SendDirectCommand.class);
+                leader.lastAction(SchedulerAction.SendDirectCommand.class);
         TaskStatus[] tasks =
                 sent.commands().stream()
                         .map(command -> status(command, TaskStatus.State.RUNNING, null))
                         .toArray(TaskStatus[]::new);
-        leader.answered(LeaderFixture.message(HOST, 1, 3, sent.fencingToken(), tasks));
+        leader.answerLastDirectCommand(
+                LeaderFixture.heartbeat(HOST, 1, 3, sent.fencingToken(), tasks));
         tasks[0] = status(sent.commands().get(0), TaskStatus.State.EXITED, reason);
-        leader.report(LeaderFixture.message(HOST, 1, 4, sent.fencingToken(), tasks));
+        leader.sendHeartbeat(LeaderFixture.heartbeat(HOST, 1, 4, sent.fencingToken(), tasks));
         return leader.logged(LogEvent.TASKS_PLACED, "job=j-2");
     }
 
--- a/src/test/java/org/woadloom/core/quota/QuotaRotationTest.java
+++ b/src/test/java/org/woadloom/core/quota/QuotaRotationTest.java
@@ -273,9 +273,9 @@
     @Test
     void withAgeTheLargestGoBeforeTheOthersOfTheirKind() {
         QueueOrder order = new QueueOrder(fixture.state);
-        Job large = fixture.due("j-1", 100, 60);
+        Job large = fixture.jobWithDeadline("j-1", 100, 60);
         fixture.advance(149_000_000);
-        Job small = fixture.due("j-2", 10, 60);
+        Job small = fixture.jobWithDeadline("j-2", 10, 60);
         assertEquals(
                 List.of(small, large),
                 order.sorted(List.of(large, small)),
--- a/src/test/java/org/woadloom/core/reservation/ReservationsTest.java
+++ b/src/test/java/org/woadloom/core/reservation/ReservationsTest.java
@@ -30,7 +30,7 @@
                 reservations.reserve(owner, machine, amount(4, 4), true, false).phase());
         assertEquals(amount(12, 28), reservations.unreserved(machine, other));
         assertEquals(amount(16, 32), reservations.unreserved(machine, owner));
-        assertNull(reservations.match(other, machine));
+        assertNull(reservations.bestMatch(other, machine));
     }
 
     @Test
@@ -86,7 +86,7 @@
         Job owner = fixture.job("j-1", 4, 0, 2);
         reservations.reserve(owner, machine, amount(1, 0), true, false);
         Reservation larger = reservations.reserve(owner, machine, amount(3, 0), true, false);
-        assertEquals(larger, reservations.match(owner, machine));
+        assertEquals(larger, reservations.bestMatch(owner, machine));
     }
 
     @Test
@@ -97,7 +97,7 @@
         assertNull(reservations.reserve(owner, machine, amount(8, 0), true, false));
         Reservation waiting = reservations.reserve(owner, machine, amount(8, 0), true, true);
         assertEquals(Phase.WAITING, waiting.phase());
-        assertNull(reservations.match(owner, machine));
+        assertNull(reservations.bestMatch(owner, machine));
         running.remove(attempt);
         reservations.updatePhases();
         assertEquals(Phase.AVAILABLE, waiting.phase());
--- a/src/test/java/org/woadloom/sim/ServiceLevelTest.java
+++ b/src/test/java/org/woadloom/sim/ServiceLevelTest.java
@@ -123,7 +123,7 @@
                         fixture.state.nowMicros());
         inherited.onRecovered();
         inherited.job.add(inherited);
-        fixture.state.serviceLevels().review();
+        fixture.state.serviceLevels().reportIfDue();
         assertTrue(
                 fixture.logged(
                         LogEvent.LARGEST_JOBS_SERVICE_LEVEL,
@@ -146,10 +146,10 @@
         fixture.state.removeJob(ended);
         fixture.state.serviceLevels().onJobEnded(ended);
         fixture.advance(30_000_000);
-        fixture.state.serviceLevels().review();
+        fixture.state.serviceLevels().reportIfDue();
         assertTrue(fixture.actions().isEmpty(), "told before its time");
         fixture.advance(45_000_000);
-        fixture.state.serviceLevels().review();
+        fixture.state.serviceLevels().reportIfDue();
         SchedulerAction.PublishServiceLevels seen =
                 (SchedulerAction.PublishServiceLevels)
                         fixture.actions().stream()
--- a/src/test/java/org/woadloom/sim/StepRenderer.java
+++ b/src/test/java/org/woadloom/sim/StepRenderer.java
@@ -74,7 +74,8 @@
         } else if (command instanceof SchedulerEvent.JobStored c) {
             return list("job-record", job(c.record()), c.revision());
         } else if (command instanceof SchedulerEvent.JobRecordDamaged c) {
-            return list("job-record-partly-unreadable", c.jobId(), c.revision(), c.cancelled());
+            return list(
+                    "job-record-partly-unreadable", c.jobId(), c.revision(), c.knownCancelled());
         } else if (command instanceof SchedulerEvent.CancellationsConfirmed c) {
             return list("cancellations-told", c.jobIds());
         } else if (command instanceof SchedulerEvent.JobRecordNotFound c) {
@@ -86,8 +87,8 @@
         } else if (command instanceof SchedulerEvent.StoreLimitsChanged c) {
             return list(
                     "storage",
-                    c.valueBytes(),
-                    format(c.format()),
+                    c.maxValueBytes(),
+                    format(c.recordFormat()),
                     c.writesPerSecond(),
                     c.delegationEnabled(),
                     c.recordsMachineLifecycle());
@@ -139,12 +140,12 @@
                     c.revision(),
                     sorted(c.announcements(), StepRenderer::spoken),
                     sorted(c.requests(), request -> request.toMap()),
-                    List.copyOf(new TreeSet<>(c.unannounced())),
-                    c.agreed(),
-                    c.agreedStamp(),
-                    c.refusals());
+                    List.copyOf(new TreeSet<>(c.unannouncedNodes())),
+                    c.agreedVersion(),
+                    c.agreedVersionRevision(),
+                    c.overloadSignals());
         } else if (command instanceof SchedulerEvent.RolloutWriteCompleted c) {
-            return list("rollout-written", c.number(), outcome(c.outcome()), c.revision());
+            return list("rollout-written", c.recordNumber(), outcome(c.outcome()), c.revision());
         } else if (command instanceof SchedulerEvent.RecordsCounted c) {
             return list(
                     "records-counted",
@@ -204,7 +205,7 @@
             return list(
                     "put-rollout",
                     e.record().toMap(),
-                    new TreeMap<>(e.conditions()),
+                    new TreeMap<>(e.expectedRevisions()),
                     e.agreedVersion());
         } else if (action instanceof SchedulerAction.CountRecords e) {
             return list("count-records", e.feature().key(), e.rollingBack());
