--- a/src/main/java/org/woadloom/cli/CheckCommand.java
+++ b/src/main/java/org/woadloom/cli/CheckCommand.java
@@ -70,7 +70,7 @@
         System.out.printf(
                 "at most %d tasks of a job are placed at once where each has a machine of its own"
                         + " (value_kb)%n",
-                RecordSizeEstimate.tasksApart(service.store().minValueBytes()));
+                RecordSizeEstimate.maxTasksOnDistinctMachines(service.store().minValueBytes()));
         FleetSizeEstimate fleet = FleetSizeEstimate.of(service);
         System.out.printf(
                 "carries about %d machines: %d by fd_limit, %d by cpu_share and report_s%n",
@@ -90,11 +90,11 @@
         DelegationTimeouts care =
                 DelegationTimeouts.of(
                         service.agents().leaseMicros(), service.agents().cancelMicros());
-        if (care.isUsable()) {
+        if (care.allowsDelegation()) {
             System.out.printf(
                     "in a zone that is cut off work goes on for up to %.1f s, and leases end after"
                             + " that%n",
-                    care.delegationMicros() / 1e6);
+                    care.validityMicros() / 1e6);
         } else {
             System.out.println(
                     "in a zone that is cut off leases end: cancel_s leaves no time to renew them"
--- a/src/main/java/org/woadloom/core/LeaderTerm.java
+++ b/src/main/java/org/woadloom/core/LeaderTerm.java
@@ -171,7 +171,7 @@
             machines.forget();
             heartbeats.forget();
         }
-        state.dependencies().review();
+        state.dependencies().processChanges();
         if (isPlacementDue()) {
             schedulePlacement();
             placeTasks();
@@ -213,16 +213,16 @@
         isSearchComplete = placer.place();
         gangPlanner.maintain(failedReservations);
         if (isSearchComplete) {
-            List<Job> queue = placer.queue();
+            List<Job> queue = placer.placementQueue();
             gangPlanner.reserve(queue);
             preemption.preemptFor(queue);
-            waitingJobs.review();
+            waitingJobs.logIfDue();
         }
     }
 
     private void emitActions() {
         state.writeBudget().refill(state.nowMicros());
-        jobPersister.emitWrites();
+        jobPersister.emitDueRequests();
         machines.emitWrites();
         directCommands.emitCommands();
     }
@@ -244,7 +244,7 @@
 
     @Override
     public void onJobStored(SchedulerEvent.JobStored event) {
-        jobs.onRecord(event.record(), event.revision());
+        jobs.onRecordChanged(event.record(), event.revision());
     }
 
     @Override
--- a/src/main/java/org/woadloom/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/woadloom/core/autoscaling/Autoscaler.java
@@ -83,7 +83,7 @@
         partitionedZones.review();
         // A new leader first waits for the agents' heartbeats: their machines may be all it needs.
         if (state.nowMicros() - state.startedMicros() > 2 * state.settings().heartbeatMicros()) {
-            requests.request(scaleOut.plan(placer.queue()));
+            requests.request(scaleOut.plan(placer.placementQueue()));
         }
         scaleIn.review();
     }
--- a/src/main/java/org/woadloom/core/autoscaling/MachineLossDetector.java
+++ b/src/main/java/org/woadloom/core/autoscaling/MachineLossDetector.java
@@ -75,7 +75,7 @@
             return !isUnreachableBeyondLease(machine, 0);
         }
         return machine.liveness.isSuspect(state.nowMicros())
-                && machine.liveness.isReporting(state.nowMicros())
+                && machine.liveness.isSendingHeartbeats(state.nowMicros())
                 && !isUnreachableBeyondLease(machine, 0);
     }
 
@@ -108,7 +108,7 @@
         long limitMicros = 3 * state.settings().heartbeatMicros();
         boolean answersCommandsOnly =
                 machine.liveness.lastAliveMicros() - machine.liveness.lastHeartbeatMicros()
-                        > state.livenessTimeouts().freshMicros();
+                        > state.livenessTimeouts().maxFreshAgeMicros();
         if (answersCommandsOnly) {
             // It is probed again half a lease after the last probe.
             long probeMicros =
@@ -200,7 +200,8 @@
         // with their tasks.
         long leaseOverMicros =
                 state.delegationTimeouts().leaseExpiryMicros()
-                        + state.delegations().extraSilenceMicros(machine.zone, state.nowMicros());
+                        + state.delegations()
+                                .extraSilenceAllowanceMicros(machine.zone, state.nowMicros());
         long silentMicros = sinceAliveMicros(machine);
         boolean wasUp =
                 machine.isKnownAlive() || (machine.isEmpty() && machine.isReportedRecorded());
--- a/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
+++ b/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
@@ -121,7 +121,7 @@
      */
     long silentForMicros(Machine machine) {
         return state.nowMicros()
-                - Math.max(machine.liveness.possiblyAliveMicros(), state.startedMicros());
+                - Math.max(machine.liveness.lastPossiblyAliveMicros(), state.startedMicros());
     }
 
     boolean isPartitioned(String zone) {
--- a/src/main/java/org/woadloom/core/autoscaling/ScaleInPlanner.java
+++ b/src/main/java/org/woadloom/core/autoscaling/ScaleInPlanner.java
@@ -59,7 +59,7 @@
         boolean quiet =
                 state.demand().isQuiet(state.nowMicros())
                         && state.dependencies().blockedCount() == 0
-                        && placer.queue().isEmpty();
+                        && placer.placementQueue().isEmpty();
         if (quiet) {
             return 0;
         }
--- a/src/main/java/org/woadloom/core/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/org/woadloom/core/autoscaling/ScaleOutPlanner.java
@@ -57,7 +57,7 @@
                 return Integer.MAX_VALUE;
             }
             return (job.description.taskCount() + 1) / 2
-                    - job.attemptsInZone(zone)
+                    - job.attemptCountInZone(zone)
                     - tasksByZone.getOrDefault(zone, 0);
         }
     }
@@ -124,13 +124,13 @@
      * each of its jobs would ask for all that is left of it.
      */
     private int tasksToPlan(Job job, Map<TeamQuota, Resources> plannedByTeam) {
-        Resources planned = plannedByTeam.getOrDefault(job.team, Resources.NONE);
+        Resources planned = plannedByTeam.getOrDefault(job.teamQuota, Resources.NONE);
         int tasks =
                 Math.min(
-                        job.pendingTasks() - reservations.expectedTasks(job),
+                        job.pendingTaskCount() - reservations.expectedTasks(job),
                         job.allowedTasks(Resources.NONE.minus(planned)));
         if (tasks > 0) {
-            plannedByTeam.put(job.team, planned.plus(job.taskResources.times(tasks)));
+            plannedByTeam.put(job.teamQuota, planned.plus(job.taskResources.times(tasks)));
         }
         return tasks;
     }
@@ -172,7 +172,7 @@
     /** Gives the capacity to as many of the tasks as fit; returns how many. */
     private static int assign(Job job, int tasks, ExpectedCapacity capacity, ZoneSpread spread) {
         String zone = capacity.kind.zone();
-        int fitting = Math.min(tasks, capacity.free.count(job.taskResources));
+        int fitting = Math.min(tasks, capacity.free.countFitting(job.taskResources));
         int assigned = Math.min(fitting, spread.tasksLeftIn(zone));
         capacity.free = capacity.free.minus(job.taskResources.times(assigned));
         spread.add(zone, assigned);
@@ -189,7 +189,7 @@
         MachineKind best = null;
         double bestPrice = 0;
         for (MachineType type : state.machineTypes().values()) {
-            int tasksPerMachine = Resources.of(type).count(job.taskResources);
+            int tasksPerMachine = Resources.of(type).countFitting(job.taskResources);
             for (String zone : type.zones()) {
                 int fits = Math.min(tasksPerMachine, spread.tasksLeftIn(zone));
                 if (fits < 1) {
--- a/src/main/java/org/woadloom/core/cancellation/CancellationWatermark.java
+++ b/src/main/java/org/woadloom/core/cancellation/CancellationWatermark.java
@@ -42,11 +42,11 @@
 
     /** Why a report can't have been sent by a node, or null if it can. */
     public static String validationError(WatermarkReport report, long nowMicros) {
-        return report.sinceMicros() > report.sentMicros()
+        return report.completeSinceMicros() > report.sentMicros()
                 ? "it begins after it was said"
                 : report.promiseMicros() < 0
                                 || report.promiseMicros()
-                                        > ConfirmedCancellations.SILENT_PROMISE_MICROS
+                                        > ConfirmedCancellations.STORE_OUTAGE_PROMISE_MICROS
                         ? "a promise of " + report.promiseMicros() + " microseconds"
                         : report.echoedLeaderClockMicros() > nowMicros
                                 ? "a time that is yet to come"
@@ -72,11 +72,11 @@
         // before it was received.
         long completeSinceMicros =
                 nowMicros
-                        - DelegationTimeouts.shortestMicros(
-                                report.sentMicros() - report.sinceMicros());
+                        - DelegationTimeouts.minElapsedMicros(
+                                report.sentMicros() - report.completeSinceMicros());
         boolean continuesEarlierReports =
                 (nodeWatermark.processId == report.processId()
-                                && report.sinceMicros() <= nodeWatermark.coveredMicros)
+                                && report.completeSinceMicros() <= nodeWatermark.coveredMicros)
                         || completeSinceMicros
                                 <= Math.max(readUpToMicros, nodeWatermark.watermarkMicros);
         if (continuesEarlierReports) {
@@ -85,14 +85,14 @@
                             ? Math.max(nodeWatermark.coveredMicros, report.sentMicros())
                             : report.sentMicros();
             nodeWatermark.processId = report.processId();
-            if (report.echoedLeaderClockMicros() != WatermarkReport.NONE) {
+            if (report.echoedLeaderClockMicros() != WatermarkReport.NO_LEADER_CLOCK) {
                 nodeWatermark.watermarkMicros =
                         Math.max(
                                 nodeWatermark.watermarkMicros,
                                 report.echoedLeaderClockMicros()
                                         + Math.max(
                                                 0,
-                                                DelegationTimeouts.shortestMicros(
+                                                DelegationTimeouts.minElapsedMicros(
                                                         report.promiseMicros())));
             }
         }
@@ -112,7 +112,7 @@
      * The nodes with the lowest watermark, as an operator wants to know which of them hold the
      * leader back.
      */
-    public List<String> laggards(long readUpToMicros) {
+    public List<String> slowestNodes(long readUpToMicros) {
         long lowest = watermarkMicros(readUpToMicros);
         return nodeWatermarks.entrySet().stream()
                 .filter(
--- a/src/main/java/org/woadloom/core/cancellation/ConfirmedCancellations.java
+++ b/src/main/java/org/woadloom/core/cancellation/ConfirmedCancellations.java
@@ -20,7 +20,7 @@
      * does again. It bridges the time from the end of a process to the first report of the next, so
      * that a lasting outage of the store is no reason to stop work.
      */
-    public static final long SILENT_PROMISE_MICROS = 15_000_000;
+    public static final long STORE_OUTAGE_PROMISE_MICROS = 15_000_000;
 
     /** A store that has not answered for so long counts as not serving. */
     private static final long STORE_SILENT_MICROS = 1_000_000;
@@ -55,7 +55,7 @@
 
     private long term;
     private String leader;
-    private long echoedLeaderClockMicros = WatermarkReport.NONE;
+    private long echoedLeaderClockMicros = WatermarkReport.NO_LEADER_CLOCK;
 
     /** The leader of the term has acknowledged all entries up to this moment. */
     private long acknowledgedMicros = NEVER_MICROS;
@@ -104,7 +104,7 @@
                         outstandingPromises.put(
                                 peer,
                                 new OutstandingPromise(
-                                        NO_TERM, true, nowMicros + SILENT_PROMISE_MICROS)));
+                                        NO_TERM, true, nowMicros + STORE_OUTAGE_PROMISE_MICROS)));
         latestMicros = nowMicros;
         completeSinceMicros = nowMicros;
     }
@@ -204,7 +204,7 @@
                 hasOverdueEntry(nowMicros)
                         ? 0
                         : storeSilentMicros > STORE_SILENT_MICROS
-                                ? SILENT_PROMISE_MICROS
+                                ? STORE_OUTAGE_PROMISE_MICROS
                                 : PROMISE_MICROS;
         if (promise > 0) {
             promisedUntilMicros = Math.max(promisedUntilMicros, sentMicros + promise);
@@ -246,7 +246,7 @@
         term = newTerm;
         promisedUntilMicros = NEVER_MICROS;
         acknowledgedMicros = NEVER_MICROS;
-        echoedLeaderClockMicros = WatermarkReport.NONE;
+        echoedLeaderClockMicros = WatermarkReport.NO_LEADER_CLOCK;
     }
 
     /** Takes in the leader's answer to a report; one to another process is ignored. */
--- a/src/main/java/org/woadloom/core/delegation/DelegationLedger.java
+++ b/src/main/java/org/woadloom/core/delegation/DelegationLedger.java
@@ -89,7 +89,7 @@
             // The process before this one may have renewed leases until it ended, which was before
             // this one started.
             long startedMicros =
-                    nowMicros - DelegationTimeouts.shortestMicros(status.uptimeMicros());
+                    nowMicros - DelegationTimeouts.minElapsedMicros(status.uptimeMicros());
             if (startedMicros > delegate.noRenewalUntilMicros) {
                 delegate.lastRenewalMicros =
                         Math.max(
@@ -104,7 +104,7 @@
                     Math.max(
                             delegate.noRenewalUntilMicros,
                             status.echoedLeaderClockMicros()
-                                    + DelegationTimeouts.shortestMicros(
+                                    + DelegationTimeouts.minElapsedMicros(
                                             status.noRenewalForMicros()));
         }
         if (status.sinceLastRenewalMicros() >= 0) {
@@ -112,7 +112,7 @@
                     Math.max(
                             delegate.lastRenewalMicros,
                             nowMicros
-                                    - DelegationTimeouts.shortestMicros(
+                                    - DelegationTimeouts.minElapsedMicros(
                                             status.sinceLastRenewalMicros()));
         }
     }
@@ -121,11 +121,11 @@
         return delegate.grantedMicros == NEVER_MICROS
                 ? NEVER_MICROS
                 : delegate.grantedMicros
-                        + DelegationTimeouts.longestMicros(timeouts.delegationMicros());
+                        + DelegationTimeouts.maxElapsedMicros(timeouts.validityMicros());
     }
 
     /** No lease of the zone was renewed by any other node after this moment. */
-    public long lastRenewalMicros(String zone, long nowMicros) {
+    public long latestPossibleRenewalMicros(String zone, long nowMicros) {
         long last = NEVER_MICROS;
         for (Delegate delegate : delegates.values()) {
             if (delegate.zone.equals(zone)) {
@@ -142,13 +142,13 @@
      * For how much longer than usual a zone may be silent before its machines are given up, as a
      * node may be renewing their leases.
      */
-    public long extraSilenceMicros(String zone, long nowMicros) {
-        if (!enabled || !timeouts.isUsable()) {
+    public long extraSilenceAllowanceMicros(String zone, long nowMicros) {
+        if (!enabled || !timeouts.allowsDelegation()) {
             return 0;
         }
         for (Delegate delegate : delegates.values()) {
             if (delegate.zone.equals(zone) && nowMicros > delegate.noRenewalUntilMicros) {
-                return timeouts.delegationMicros();
+                return timeouts.validityMicros();
             }
         }
         return 0;
--- a/src/main/java/org/woadloom/core/delegation/LeaseDelegate.java
+++ b/src/main/java/org/woadloom/core/delegation/LeaseDelegate.java
@@ -49,7 +49,7 @@
                             validUntilMicros,
                             delegation.statusSentMicros()
                                     - delegation.cancellationLagMicros()
-                                    + timeouts.delegationMicros());
+                                    + timeouts.validityMicros());
         }
     }
 
@@ -71,11 +71,14 @@
 
     /** Whether this node is cut off and holds a valid delegation. */
     public boolean mayRenew(long nowMicros) {
-        return timeouts.isUsable() && isPartitioned(nowMicros) && nowMicros <= validUntilMicros;
+        return timeouts.allowsDelegation()
+                && isPartitioned(nowMicros)
+                && nowMicros <= validUntilMicros;
     }
 
     private long renewFromMicros() {
-        return Math.max(lastLeaderContactMicros, lastStoreAnswerMicros) + timeouts.silenceMicros();
+        return Math.max(lastLeaderContactMicros, lastStoreAnswerMicros)
+                + timeouts.partitionSilenceMicros();
     }
 
     /** Whether to renew an agent's lease now; a renewal is noted for the next status. */
--- a/src/main/java/org/woadloom/core/jobs/AttemptTable.java
+++ b/src/main/java/org/woadloom/core/jobs/AttemptTable.java
@@ -25,16 +25,16 @@
     }
 
     void add(TaskAttempt attempt) {
-        byTask.put(attempt.index, attempt);
+        byTask.put(attempt.taskIndex, attempt);
         countByZone.merge(attempt.machine.zone, 1, Integer::sum);
     }
 
     /** Removes an attempt; false if it is not, or no longer, the one of its task. */
     boolean remove(TaskAttempt attempt) {
-        if (byTask.get(attempt.index) != attempt) {
+        if (byTask.get(attempt.taskIndex) != attempt) {
             return false;
         }
-        byTask.remove(attempt.index);
+        byTask.remove(attempt.taskIndex);
         countByZone.computeIfPresent(
                 attempt.machine.zone, (zone, count) -> count == 1 ? null : count - 1);
         return true;
--- a/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
+++ b/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
@@ -73,7 +73,7 @@
             }
             changed = true;
         }
-        if (!job.isBlocked() || job.isOver()) {
+        if (!job.isBlocked() || job.isTerminal()) {
             return;
         }
         changed = true;
@@ -191,7 +191,7 @@
      * Cancels what depends on cancelled jobs, asks the store for what is not known, and has jobs
      * inherit from their dependents; called once a pass.
      */
-    public void review() {
+    public void processChanges() {
         cancelDependents();
         resolveUnknown();
         if (changed) {
@@ -206,7 +206,7 @@
             for (Job job : new ArrayList<>(dependents.getOrDefault(jobId, Set.of()))) {
                 if (!job.isCancelled()) {
                     job.markCancelled();
-                    job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
+                    job.persistence.requestWrite(PersistenceState.WriteUrgency.IMMEDIATE);
                     state.log(
                             LogEntry.info(LogEvent.DEPENDENT_JOB_CANCELLED)
                                     .with("job", job.jobId())
--- a/src/main/java/org/woadloom/core/jobs/Job.java
+++ b/src/main/java/org/woadloom/core/jobs/Job.java
@@ -39,13 +39,13 @@
     /** What one task takes. */
     public final Resources taskResources;
 
-    public final TeamQuota team;
+    public final TeamQuota teamQuota;
     public final long submittedWallMicros;
     public final long submittedMicros;
     public final PersistenceState persistence;
 
     /** Names of the machines on which tasks of the job ended with an error. */
-    public final Set<String> failedOn = new LinkedHashSet<>();
+    public final Set<String> failedOnHosts = new LinkedHashSet<>();
 
     private final TaskSet tasks;
     private final AttemptTable attempts = new AttemptTable();
@@ -86,7 +86,7 @@
             Consumer<Job> markForPersistence) {
         this.description = record.description();
         this.taskResources = Resources.of(record.description());
-        this.team = team;
+        this.teamQuota = team;
         this.submittedWallMicros = record.submittedWallMicros();
         this.submittedMicros = submittedMicros;
         this.tasks = new TaskSet(description.taskCount(), record.done());
@@ -201,7 +201,7 @@
     }
 
     /** True once the final state is in the store and the scheduler no longer has the job. */
-    public boolean isFinished() {
+    public boolean isRemoved() {
         return finished;
     }
 
@@ -210,13 +210,13 @@
     }
 
     /** True when nothing is left to run: only tasks that must stop may still be somewhere. */
-    public boolean isOver() {
+    public boolean isTerminal() {
         return finished || cancelled || isComplete();
     }
 
     // Tasks.
 
-    public int completedCount() {
+    public int completedTaskCount() {
         return tasks.completedCount();
     }
 
@@ -237,8 +237,8 @@
     }
 
     /** How many tasks could be placed now as far as the job itself is concerned. */
-    public int pendingTasks() {
-        return isOver() || isBlocked ? 0 : tasks.pendingCount();
+    public int pendingTaskCount() {
+        return isTerminal() || isBlocked ? 0 : tasks.pendingCount();
     }
 
     /** The first task from the given index on that has no attempt, or {@link #NO_TASK}. */
@@ -246,7 +246,7 @@
         return tasks.nextPending(from);
     }
 
-    public int runningTasks() {
+    public int runningTaskCount() {
         int running = 0;
         for (TaskAttempt attempt : attempts.all()) {
             if (attempt.reportedState() == TaskStatus.State.RUNNING) {
@@ -272,22 +272,22 @@
         return attempts.of(index);
     }
 
-    public int attemptsInZone(String zone) {
+    public int attemptCountInZone(String zone) {
         return attempts.countInZone(zone);
     }
 
     /** The zones in which tasks of the job are or may be. */
-    public Collection<String> zones() {
+    public Collection<String> occupiedZones() {
         return attempts.countByZone().keySet();
     }
 
     /** How many tasks are or may be in each zone. */
-    public Map<String, Integer> tasksByZone() {
+    public Map<String, Integer> attemptCountByZone() {
         return attempts.countByZone();
     }
 
     /** Adds an attempt here, to its machine and to the team's use. */
-    public void add(TaskAttempt attempt) {
+    public void addAttempt(TaskAttempt attempt) {
         if (isBlocked) {
             throw new IllegalStateException(
                     "job " + jobId() + " can't be placed before its dependencies are done");
@@ -302,26 +302,26 @@
         }
         lastPlacedMicros = attempt.placedMicros;
         attempts.add(attempt);
-        tasks.take(attempt.index);
+        tasks.take(attempt.taskIndex);
         attempt.machine.add(attempt);
-        team.onTaskPlaced(this);
+        teamQuota.onTaskPlaced(this);
     }
 
-    /** Removes an attempt wherever {@link #add} put it; its task is pending again. */
-    public void remove(TaskAttempt attempt) {
+    /** Removes an attempt wherever {@link #addAttempt} put it; its task is pending again. */
+    public void removeAttempt(TaskAttempt attempt) {
         if (!attempts.remove(attempt)) {
             return;
         }
-        tasks.release(attempt.index);
+        tasks.release(attempt.taskIndex);
         attempt.machine.remove(attempt);
-        team.subtract(taskResources);
+        teamQuota.subtract(taskResources);
     }
 
     /** Attempts that the durable record names may be started. */
     public void releaseDurableAttempts() {
         for (TaskAttempt attempt : attempts.all()) {
             if (attempt.stage() == TaskAttempt.Stage.PLANNED
-                    && attempt.version <= persistence.durableVersion()) {
+                    && attempt.recordVersion <= persistence.durableVersion()) {
                 attempt.markReady();
             }
         }
@@ -336,7 +336,7 @@
 
     /** The same, where the first tasks give back what was reserved for them. */
     public int allowedTasks(Resources credit) {
-        return team.allowedTasks(taskResources, this, credit);
+        return teamQuota.allowedTasks(taskResources, this, credit);
     }
 
     /** True if the job fits into its team's guarantee together with the team's earlier jobs. */
@@ -384,12 +384,12 @@
     }
 
     /** How many of its tasks ended with an error. */
-    public int failures() {
+    public int taskFailureCount() {
         return failures;
     }
 
     /** A task of the job ended with an error. */
-    public void countFailure() {
+    public void countTaskFailure() {
         failures++;
     }
 
@@ -414,7 +414,7 @@
                 cancelled,
                 (BitSet) tasks.completed().clone(),
                 recordedAttempts(),
-                runningTasks(),
+                runningTaskCount(),
                 term,
                 version);
     }
@@ -422,17 +422,17 @@
     /** The attempts, those of the same machine and number as one, in the order of the tasks. */
     private List<JobRecord.RecordedAttempt> recordedAttempts() {
         List<TaskAttempt> ordered = new ArrayList<>(attempts.all());
-        ordered.sort(Comparator.comparingInt(attempt -> attempt.index));
+        ordered.sort(Comparator.comparingInt(attempt -> attempt.taskIndex));
         Map<String, JobRecord.RecordedAttempt> groups = new LinkedHashMap<>();
         for (TaskAttempt attempt : ordered) {
             String host = attempt.machine.host;
             groups.computeIfAbsent(
-                            host + " " + attempt.attempt,
+                            host + " " + attempt.attemptNumber,
                             key ->
                                     new JobRecord.RecordedAttempt(
-                                            host, attempt.attempt, new BitSet()))
+                                            host, attempt.attemptNumber, new BitSet()))
                     .tasks()
-                    .set(attempt.index);
+                    .set(attempt.taskIndex);
         }
         return List.copyOf(groups.values());
     }
--- a/src/main/java/org/woadloom/core/jobs/JobPersister.java
+++ b/src/main/java/org/woadloom/core/jobs/JobPersister.java
@@ -8,7 +8,7 @@
 import org.woadloom.core.SchedulerAction;
 import org.woadloom.core.SchedulerEvent;
 import org.woadloom.core.SchedulerState;
-import org.woadloom.core.jobs.PersistenceState.WriteReason;
+import org.woadloom.core.jobs.PersistenceState.WriteUrgency;
 import org.woadloom.store.FinalRecord;
 
 /**
@@ -40,7 +40,7 @@
      * start commands wait for: so no completion starves.
      */
     private static final Comparator<Job> WRITE_ORDER =
-            Comparator.comparing((Job job) -> !job.isOver())
+            Comparator.comparing((Job job) -> !job.isTerminal())
                     .thenComparingLong(JobPersister::turnMicros);
 
     private final SchedulerState state;
@@ -53,16 +53,16 @@
 
     private static long turnMicros(Job job) {
         PersistenceState persistence = job.persistence;
-        return persistence.pendingReason() == WriteReason.IMMEDIATE
+        return persistence.pendingReason() == WriteUrgency.IMMEDIATE
                 ? persistence.lastWriteMicros() - IMMEDIATE_ADVANTAGE_MICROS
                 : persistence.lastWriteMicros();
     }
 
     /** Emits the reads and writes that are due; what the budget does not allow waits. */
-    public void emitWrites() {
+    public void emitDueRequests() {
         List<Job> due = new ArrayList<>();
         List<Job> replaced = new ArrayList<>();
-        state.unmarkJobsIf(job -> job.isFinished() || !job.persistence.needsExchange());
+        state.unmarkJobsIf(job -> job.isRemoved() || !job.persistence.needsExchange());
         for (Job job : state.jobsToPersist()) {
             PersistenceState persistence = job.persistence;
             if (persistence.isReplaced()) {
@@ -77,7 +77,7 @@
                 }
             }
         }
-        replaced.forEach(job -> jobs.onFinished(job, false));
+        replaced.forEach(job -> jobs.remove(job, false));
         if (due.size() > 1) {
             due.sort(WRITE_ORDER);
         }
@@ -96,14 +96,14 @@
         long sinceLastWrite = state.nowMicros() - job.persistence.lastWriteMicros();
         return switch (job.persistence.pendingReason()) {
             case NONE -> false;
-            case PHASE -> sinceLastWrite >= PHASE_INTERVAL_MICROS;
-            case OUTCOME -> sinceLastWrite >= OUTCOME_INTERVAL_MICROS;
+            case TASK_PROGRESS -> sinceLastWrite >= PHASE_INTERVAL_MICROS;
+            case TASK_ENDED -> sinceLastWrite >= OUTCOME_INTERVAL_MICROS;
             case IMMEDIATE -> true;
         };
     }
 
     private boolean isWithinBudget(Job job) {
-        return job.isOver()
+        return job.isTerminal()
                 ? state.writeBudget().allowsFinalState()
                 : state.writeBudget().allowsJob();
     }
@@ -116,7 +116,7 @@
     }
 
     private void write(Job job) {
-        if (job.isOver() && job.attempts().isEmpty()) {
+        if (job.isTerminal() && job.attempts().isEmpty()) {
             writeFinalState(job);
         } else {
             writeRecord(job);
@@ -130,7 +130,7 @@
                 new FinalRecord(
                         job.jobId(),
                         job.isCancelled(),
-                        job.completedCount(),
+                        job.completedTaskCount(),
                         state.wallMicros(),
                         job.description.isService());
         state.emit(
@@ -139,7 +139,7 @@
 
     private void writeRecord(Job job) {
         state.writeBudget().takeJob(CHANGES_OF_RECORD);
-        boolean urgent = job.persistence.pendingReason() == WriteReason.IMMEDIATE;
+        boolean urgent = job.persistence.pendingReason() == WriteUrgency.IMMEDIATE;
         long version = job.persistence.startWrite(state.nowMicros(), job.isComplete());
         state.emit(
                 new SchedulerAction.WriteJob(
@@ -181,7 +181,7 @@
         if (isFinalState) {
             LogEvent event = job.isCancelled() ? LogEvent.JOB_CANCELLED : LogEvent.JOB_DONE;
             state.log(LogEntry.info(event).with("job", job.jobId()));
-            jobs.onFinished(job, true);
+            jobs.remove(job, true);
         }
     }
 
@@ -196,7 +196,7 @@
         int planned = 0;
         for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
             if (attempt.stage() == TaskAttempt.Stage.PLANNED) {
-                job.remove(attempt);
+                job.removeAttempt(attempt);
                 planned++;
             }
         }
--- a/src/main/java/org/woadloom/core/jobs/JobRegistry.java
+++ b/src/main/java/org/woadloom/core/jobs/JobRegistry.java
@@ -34,7 +34,7 @@
             if (machine == null) {
                 // A machine's record is dropped only after its deletion was answered, so nothing is
                 // left there.
-                job.persistence.requestWrite(PersistenceState.WriteReason.OUTCOME);
+                job.persistence.requestWrite(PersistenceState.WriteUrgency.TASK_ENDED);
                 continue;
             }
             for (int i = placed.tasks().nextSetBit(0);
@@ -43,19 +43,19 @@
                 TaskAttempt attempt =
                         new TaskAttempt(job, i, machine, placed.attempt(), 0, state.nowMicros());
                 attempt.onRecovered();
-                job.add(attempt);
-                if (job.isOver() || job.isCompleted(i)) {
-                    attempt.stop(NO_GRACE_PERIOD);
+                job.addAttempt(attempt);
+                if (job.isTerminal() || job.isCompleted(i)) {
+                    attempt.requestStop(NO_GRACE_PERIOD);
                 }
             }
         }
-        if (job.isOver() && job.attempts().isEmpty()) {
-            job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
+        if (job.isTerminal() && job.attempts().isEmpty()) {
+            job.persistence.requestWrite(PersistenceState.WriteUrgency.IMMEDIATE);
         }
     }
 
     /** A record that came from another node, from the watch or from a read. */
-    public void onRecord(JobRecord record, long revision) {
+    public void onRecordChanged(JobRecord record, long revision) {
         Job job = state.jobs().get(record.description().jobId());
         if (job == null) {
             // One of this term, or with attempts, is a late copy of a job that is over.
@@ -70,8 +70,8 @@
     private void accept(JobRecord record, long revision) {
         Job job = create(record, revision);
         if (job != null) {
-            if (job.isOver()) {
-                job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
+            if (job.isTerminal()) {
+                job.persistence.requestWrite(PersistenceState.WriteUrgency.IMMEDIATE);
             }
             logAccepted(record.description());
         }
@@ -117,7 +117,7 @@
         if (job.persistence.isReading()) {
             job.persistence.onRecordRead();
         } else {
-            job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
+            job.persistence.requestWrite(PersistenceState.WriteUrgency.IMMEDIATE);
         }
     }
 
@@ -145,9 +145,9 @@
             return;
         }
         state.serviceLevels().observe(job);
-        stopAll(job);
+        stopAllAttempts(job);
         if (job.attempts().isEmpty()) {
-            onFinished(job, false);
+            remove(job, false);
         } else {
             state.log(
                     LogEntry.info(LogEvent.JOB_ENDED_ELSEWHERE)
@@ -166,9 +166,9 @@
      *
      * @param outcomeKnown false if only the store knows whether it was done or cancelled
      */
-    public void onFinished(Job job, boolean outcomeKnown) {
+    public void remove(Job job, boolean outcomeKnown) {
         for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
-            job.remove(attempt);
+            job.removeAttempt(attempt);
         }
         job.markFinished();
         state.removeJob(job);
@@ -225,20 +225,20 @@
         job.markCancelledSince(state.cancellationsReadUpToMicros());
         state.log(LogEntry.info(LogEvent.JOB_CANCEL_REQUESTED).with("job", job.jobId()));
         state.dependencies().onCancelled(job.jobId());
-        stopAll(job);
+        stopAllAttempts(job);
         if (job.attempts().isEmpty()) {
-            job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
+            job.persistence.requestWrite(PersistenceState.WriteUrgency.IMMEDIATE);
         }
         state.requestPlacement();
     }
 
     /** Stops all attempts of a job that is over; what was never sent is removed at once. */
-    public void stopAll(Job job) {
+    public void stopAllAttempts(Job job) {
         for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
             if (attempt.wasNeverSent()) {
-                job.remove(attempt);
+                job.removeAttempt(attempt);
             } else {
-                attempt.stop(NO_GRACE_PERIOD);
+                attempt.requestStop(NO_GRACE_PERIOD);
             }
         }
     }
--- a/src/main/java/org/woadloom/core/jobs/PersistenceState.java
+++ b/src/main/java/org/woadloom/core/jobs/PersistenceState.java
@@ -18,12 +18,12 @@
  */
 public final class PersistenceState {
     /** Why the record must be written: the more urgent the change, the later in this order. */
-    public enum WriteReason {
+    public enum WriteUrgency {
         NONE,
         /** Tasks have moved on without an end, such as from pulling to running. */
-        PHASE,
+        TASK_PROGRESS,
         /** Tasks have ended or are gone. */
-        OUTCOME,
+        TASK_ENDED,
         /** Users or start commands wait for the write. */
         IMMEDIATE
     }
@@ -53,7 +53,7 @@
     private long versionInFlight = NO_VERSION;
 
     private long nextVersion = 1;
-    private WriteReason pendingReason = WriteReason.NONE;
+    private WriteUrgency pendingReason = WriteUrgency.NONE;
     private boolean readAsComplete;
     private boolean finalStateInFlight;
 
@@ -73,20 +73,20 @@
     // What is to be done.
 
     /** Asks for a write; one that is already asked for keeps the more urgent reason. */
-    public void requestWrite(WriteReason reason) {
+    public void requestWrite(WriteUrgency reason) {
         if (reason.compareTo(pendingReason) > 0) {
             pendingReason = reason;
             onWriteNeeded.run();
         }
     }
 
-    WriteReason pendingReason() {
+    WriteUrgency pendingReason() {
         return pendingReason;
     }
 
     /** True while there is anything to write or to read. */
     boolean needsExchange() {
-        return pendingReason != WriteReason.NONE || isReadNeeded();
+        return pendingReason != WriteUrgency.NONE || isReadNeeded();
     }
 
     /**
@@ -174,7 +174,7 @@
         if (allCompleted && completionVersion == NO_VERSION) {
             completionVersion = versionInFlight;
         }
-        pendingReason = WriteReason.NONE;
+        pendingReason = WriteUrgency.NONE;
         lastWriteMicros = nowMicros;
         return versionInFlight;
     }
@@ -213,7 +213,7 @@
         if (exchange == Exchange.WRITING) {
             exchange = Exchange.IDLE;
         }
-        requestWrite(WriteReason.IMMEDIATE);
+        requestWrite(WriteUrgency.IMMEDIATE);
         this.retryAtMicros = retryAtMicros;
     }
 
@@ -243,13 +243,13 @@
         versionInFlight = NO_VERSION;
         finalStateInFlight = false;
         becomeIdle();
-        requestWrite(WriteReason.IMMEDIATE);
+        requestWrite(WriteUrgency.IMMEDIATE);
     }
 
     /** The read found no record: a final state that is not this leader's has taken its place. */
     void onReplaced() {
         exchange = Exchange.REPLACED;
-        pendingReason = WriteReason.NONE;
+        pendingReason = WriteUrgency.NONE;
     }
 
     private void becomeIdle() {
--- a/src/main/java/org/woadloom/core/jobs/TaskAttempt.java
+++ b/src/main/java/org/woadloom/core/jobs/TaskAttempt.java
@@ -20,9 +20,9 @@
  *     <td>the record that names it is durable</td></tr>
  * <tr><td>{@link #onStartSent}</td><td>READY</td><td>SENT</td>
  *     <td>a direct command leaves</td></tr>
- * <tr><td>{@link #onStartSentInAnswer}</td><td>READY</td><td>SENT_IN_ANSWER</td>
+ * <tr><td>{@link #onStartSentInResponse}</td><td>READY</td><td>SENT_IN_RESPONSE</td>
  *     <td>a heartbeat is answered</td></tr>
- * <tr><td>{@link #markReady}</td><td>SENT, SENT_IN_ANSWER</td><td>READY</td>
+ * <tr><td>{@link #markReady}</td><td>SENT, SENT_IN_RESPONSE</td><td>READY</td>
  *     <td>the command is proven not to have been executed</td></tr>
  * <tr><td>{@link #onStartUnanswered}</td><td>SENT</td><td>UNANSWERED</td>
  *     <td>no answer came to the direct command</td></tr>
@@ -44,7 +44,7 @@
         /** Sent directly to the agent without an answer: it may be executed minutes late. */
         UNANSWERED,
         /** Sent in the answer to a heartbeat; that agent's next heartbeat settles it. */
-        SENT_IN_ANSWER,
+        SENT_IN_RESPONSE,
         /** The agent is known to have it. */
         CONFIRMED,
         /** Loaded from a record that an earlier leader wrote: anything may be true of it. */
@@ -57,23 +57,23 @@
     public final Job job;
 
     /** The task's index in its job. */
-    public final int index;
+    public final int taskIndex;
 
     public final Machine machine;
 
     /** The attempt's number, which no other attempt of the task has. */
-    public final long attempt;
+    public final long attemptNumber;
 
     /** The version of the job's record that first names this attempt. */
-    public final long version;
+    public final long recordVersion;
 
     public final long placedMicros;
-    private final TaskId task;
+    private final TaskId taskId;
     private Stage stage = Stage.PLANNED;
     private long startToken;
-    private long answeredSequence;
+    private long startHeartbeatSequence;
     private TaskStatus.State reportedState;
-    private long listedInMessage;
+    private long lastListingMessage;
     private long runningSinceMicros = NOT_YET_MICROS;
     private boolean isStopping;
     private long stopSentMicros = NOT_YET_MICROS;
@@ -82,16 +82,16 @@
     public TaskAttempt(
             Job job, int index, Machine machine, long attempt, long version, long nowMicros) {
         this.job = job;
-        this.index = index;
+        this.taskIndex = index;
         this.machine = machine;
-        this.attempt = attempt;
-        this.version = version;
+        this.attemptNumber = attempt;
+        this.recordVersion = version;
         this.placedMicros = nowMicros;
-        this.task = new TaskId(job.jobId(), index);
+        this.taskId = new TaskId(job.jobId(), index);
     }
 
-    public TaskId task() {
-        return task;
+    public TaskId taskId() {
+        return taskId;
     }
 
     public Stage stage() {
@@ -121,9 +121,9 @@
     }
 
     /** The start command leaves in the answer to the heartbeat of the given sequence. */
-    public void onStartSentInAnswer(long sequence, long token) {
-        stage = Stage.SENT_IN_ANSWER;
-        answeredSequence = sequence;
+    public void onStartSentInResponse(long sequence, long token) {
+        stage = Stage.SENT_IN_RESPONSE;
+        startHeartbeatSequence = sequence;
         startToken = token;
     }
 
@@ -143,8 +143,8 @@
     }
 
     /** The sequence of the heartbeat in whose answer the start command was last sent. */
-    public long answeredSequence() {
-        return answeredSequence;
+    public long startHeartbeatSequence() {
+        return startHeartbeatSequence;
     }
 
     /** The state that the agent last reported, null before the first. */
@@ -157,12 +157,12 @@
     }
 
     /** The number of the last message of the agent that listed it. */
-    public long listedInMessage() {
-        return listedInMessage;
+    public long lastListingMessage() {
+        return lastListingMessage;
     }
 
-    public void onListed(long messageNumber) {
-        listedInMessage = messageNumber;
+    public void onListedInMessage(long messageNumber) {
+        lastListingMessage = messageNumber;
     }
 
     /** When it was first seen running, negative before that. */
@@ -180,7 +180,7 @@
     }
 
     /** The task is to stop within the given time, in which it may save a checkpoint. */
-    public void stop(double gracePeriod) {
+    public void requestStop(double gracePeriod) {
         gracePeriodSeconds = gracePeriod;
         if (!isStopping) {
             isStopping = true;
@@ -202,7 +202,7 @@
     }
 
     /** A stop command that was sent may not have arrived: it has to be sent again. */
-    public void requireStopAgain() {
+    public void resendStop() {
         stopSentMicros = NOT_YET_MICROS;
     }
 }
--- a/src/main/java/org/woadloom/core/liveness/AgentLiveness.java
+++ b/src/main/java/org/woadloom/core/liveness/AgentLiveness.java
@@ -65,7 +65,7 @@
     /**
      * The lease of the agent's incarnation is known to be over, though the agent has not said so.
      */
-    public void expireSession() {
+    public void expireIncarnation() {
         minIncarnation = incarnation + 1;
     }
 
@@ -89,7 +89,7 @@
     }
 
     /** Voids every command that was sent under the present token and has not arrived. */
-    public void raiseFence() {
+    public void incrementFence() {
         fence++;
         tokenIssuedMicros = NEVER;
     }
@@ -97,7 +97,7 @@
     /** Asks the agent to acknowledge a new token, unless one is unacknowledged already. */
     public void requireAcknowledgement() {
         if (hasAcknowledgedToken()) {
-            raiseFence();
+            incrementFence();
         }
     }
 
@@ -105,12 +105,12 @@
      * The same, where the agent has most likely been unreachable for a while: it gets no new tasks
      * until it has acknowledged.
      */
-    public void suspect(long nowMicros) {
+    public void markSuspect(long nowMicros) {
         requireAcknowledgement();
         unacknowledgedSinceMicros =
                 Math.min(
                         unacknowledgedSinceMicros == NEVER ? nowMicros : unacknowledgedSinceMicros,
-                        nowMicros - timeouts.freshMicros() - 1);
+                        nowMicros - timeouts.maxFreshAgeMicros() - 1);
     }
 
     /**
@@ -162,7 +162,8 @@
                 || !heartbeat.isNewerThan(incarnation, sequence)) {
             return MessageAge.DUPLICATE;
         }
-        return nowMicros - sentNotBefore(heartbeat, commandSentMicros) <= timeouts.freshMicros()
+        return nowMicros - sentNotBefore(heartbeat, commandSentMicros)
+                        <= timeouts.maxFreshAgeMicros()
                 ? MessageAge.FRESH
                 : MessageAge.POSSIBLY_DELAYED;
     }
@@ -195,7 +196,7 @@
         if (commandSentMicros == NEVER) {
             lastHeartbeatMicros = Math.max(lastHeartbeatMicros, aliveAtMicros);
         } else if (age == MessageAge.FRESH
-                && nowMicros - heartbeatArrivedMicros <= timeouts.freshMicros()) {
+                && nowMicros - heartbeatArrivedMicros <= timeouts.maxFreshAgeMicros()) {
             // The heartbeat that arrived a moment ago was sent by an agent that is alive.
             lastHeartbeatMicros = Math.max(lastHeartbeatMicros, heartbeatArrivedMicros);
         }
@@ -212,7 +213,7 @@
      * The last moment at which the agent may have been alive: at the latest when its last heartbeat
      * arrived, which may have been in transit for long.
      */
-    public long possiblyAliveMicros() {
+    public long lastPossiblyAliveMicros() {
         return Math.max(lastAliveMicros, heartbeatArrivedMicros);
     }
 
@@ -226,7 +227,7 @@
      * in flight at a time and gives it up after a timeout: no agent waits for the answer to an
      * earlier one, whoever still delivers it.
      */
-    public boolean awaitsAnswerTo(Heartbeat heartbeat, long nowMicros) {
+    public boolean recordHeartbeatArrival(Heartbeat heartbeat, long nowMicros) {
         if (heartbeat.isNewerThan(heartbeatIncarnation, heartbeatSequence)) {
             heartbeatIncarnation = heartbeat.incarnation();
             heartbeatSequence = heartbeat.sequence();
@@ -239,13 +240,13 @@
         }
         return heartbeat.incarnation() == heartbeatIncarnation
                 && heartbeat.sequence() == heartbeatSequence
-                && nowMicros - heartbeatArrivedMicros <= timeouts.answerTimeoutMicros();
+                && nowMicros - heartbeatArrivedMicros <= timeouts.responseTimeoutMicros();
     }
 
     /** True while a token is unacknowledged for too long: the agent gets no new tasks. */
     public boolean isSuspect(long nowMicros) {
         return unacknowledgedSinceMicros != NEVER
-                && nowMicros - unacknowledgedSinceMicros > timeouts.freshMicros();
+                && nowMicros - unacknowledgedSinceMicros > timeouts.maxFreshAgeMicros();
     }
 
     /**
@@ -257,11 +258,11 @@
                 && heartbeatArrivedMicros
                                 - Math.max(unacknowledgedSinceMicros, reportingSinceMicros)
                         > timeouts.unreachableMicros()
-                && isReporting(nowMicros);
+                && isSendingHeartbeats(nowMicros);
     }
 
     /** True while its heartbeats come, fresh or not. */
-    public boolean isReporting(long nowMicros) {
+    public boolean isSendingHeartbeats(long nowMicros) {
         return nowMicros - heartbeatArrivedMicros <= timeouts.unreachableMicros();
     }
 
--- a/src/main/java/org/woadloom/core/liveness/LivenessTimeouts.java
+++ b/src/main/java/org/woadloom/core/liveness/LivenessTimeouts.java
@@ -3,13 +3,14 @@
 /**
  * The timeouts by which agents are judged, all from the platform's settings.
  *
- * @param freshMicros a message that is known to be no older counts as made now; also how long an
- *     agent may take to acknowledge a new token before it gets no new tasks
+ * @param maxFreshAgeMicros a message that is known to be no older counts as made now; also how long
+ *     an agent may take to acknowledge a new token before it gets no new tasks
  * @param unreachableMicros an agent that reports for so long without acknowledging a token is
  *     unreachable: in this time it has tried two nodes
- * @param answerTimeoutMicros an agent waits no longer for the answer to a heartbeat
+ * @param responseTimeoutMicros an agent waits no longer for the answer to a heartbeat
  */
-public record LivenessTimeouts(long freshMicros, long unreachableMicros, long answerTimeoutMicros) {
+public record LivenessTimeouts(
+        long maxFreshAgeMicros, long unreachableMicros, long responseTimeoutMicros) {
     /** After so long without an answer an agent gives up a heartbeat. */
     private static final long AGENT_ANSWER_TIMEOUT_MICROS = 4_000_000;
 
--- a/src/main/java/org/woadloom/core/machines/AgentProber.java
+++ b/src/main/java/org/woadloom/core/machines/AgentProber.java
@@ -112,7 +112,7 @@
         return known
                 && !machine.isDecommissioning()
                 && !machine.address().isEmpty()
-                && state.nowMicros() - since > state.livenessTimeouts().freshMicros();
+                && state.nowMicros() - since > state.livenessTimeouts().maxFreshAgeMicros();
     }
 
     private void probe(List<Machine> silent) {
--- a/src/main/java/org/woadloom/core/machines/AttemptReconciler.java
+++ b/src/main/java/org/woadloom/core/machines/AttemptReconciler.java
@@ -42,14 +42,14 @@
                 if (task.state() == TaskStatus.State.EXITED) {
                     exits.onExitWithoutAttempt(machine, task);
                 }
-            } else if (attempt.listedInMessage() != messageNumber) {
-                attempt.onListed(messageNumber);
+            } else if (attempt.lastListingMessage() != messageNumber) {
+                attempt.onListedInMessage(messageNumber);
                 found++;
             }
         }
         if (found < machine.attempts().size()) {
             for (TaskAttempt attempt : machine.snapshot()) {
-                if (attempt.listedInMessage() != messageNumber) {
+                if (attempt.lastListingMessage() != messageNumber) {
                     onNotListed(attempt, heartbeat, ownHeartbeat);
                 }
             }
@@ -65,7 +65,9 @@
     static TaskAttempt findAttempt(SchedulerState state, Machine machine, TaskStatus task) {
         Job job = state.jobs().get(task.task().jobId());
         TaskAttempt attempt = job == null ? null : job.attempt(task.task().index());
-        return attempt != null && attempt.machine == machine && attempt.attempt == task.attempt()
+        return attempt != null
+                        && attempt.machine == machine
+                        && attempt.attemptNumber == task.attempt()
                 ? attempt
                 : null;
     }
@@ -81,7 +83,7 @@
         if (task.state() == TaskStatus.State.RUNNING) {
             if (attempt.reportedState() != TaskStatus.State.RUNNING) {
                 attempt.onRunning(state.nowMicros());
-                attempt.job.persistence.requestWrite(PersistenceState.WriteReason.PHASE);
+                attempt.job.persistence.requestWrite(PersistenceState.WriteUrgency.TASK_PROGRESS);
             }
             attempt.machine.onImageUsed(attempt.job);
         }
--- a/src/main/java/org/woadloom/core/machines/DirectCommands.java
+++ b/src/main/java/org/woadloom/core/machines/DirectCommands.java
@@ -90,7 +90,7 @@
                 return false;
             }
             if (attempt.stage() == Stage.READY && !attempt.isStopping()) {
-                commands.add(TaskCommand.start(attempt.task(), attempt.attempt));
+                commands.add(TaskCommand.start(attempt.taskId(), attempt.attemptNumber));
                 starts.add(attempt);
             } else if (attempt.isStopping()
                     && !attempt.wasNeverSent()
@@ -100,7 +100,9 @@
                 commands.add(
                         0,
                         TaskCommand.stop(
-                                attempt.task(), attempt.attempt, attempt.gracePeriodSeconds()));
+                                attempt.taskId(),
+                                attempt.attemptNumber,
+                                attempt.gracePeriodSeconds()));
             }
         }
         return true;
@@ -117,7 +119,7 @@
         if (machine.commands.onCompleted(result.commandId())) {
             machine.markPendingCommands();
         }
-        starts.removeIf(attempt -> attempt.job.attempt(attempt.index) != attempt);
+        starts.removeIf(attempt -> attempt.job.attempt(attempt.taskIndex) != attempt);
         if (result.heartbeat() != null
                 && heartbeats.hasSeenLaterTerm(machine, result.heartbeat())) {
             return;
@@ -177,7 +179,7 @@
             }
         }
         if (!starts.isEmpty()) {
-            machine.liveness.raiseFence();
+            machine.liveness.incrementFence();
             machine.requestToken();
             state.log(
                     LogEntry.info(LogEvent.DIRECT_COMMAND_UNANSWERED)
@@ -185,7 +187,7 @@
                             .with("starts", starts.size()));
         }
         for (TaskAttempt attempt : machine.attempts()) {
-            attempt.requireStopAgain();
+            attempt.resendStop();
         }
     }
 }
--- a/src/main/java/org/woadloom/core/machines/HeartbeatCommands.java
+++ b/src/main/java/org/woadloom/core/machines/HeartbeatCommands.java
@@ -62,10 +62,13 @@
             if (attempt.isStopping() && !attempt.wasNeverSent()) {
                 commands.add(
                         TaskCommand.stop(
-                                attempt.task(), attempt.attempt, attempt.gracePeriodSeconds()));
+                                attempt.taskId(),
+                                attempt.attemptNumber,
+                                attempt.gracePeriodSeconds()));
             } else if (attempt.stage() == Stage.READY && sendsStarts && !attempt.isStopping()) {
-                attempt.onStartSentInAnswer(heartbeat.sequence(), machine.liveness.fencingToken());
-                commands.add(TaskCommand.start(attempt.task(), attempt.attempt));
+                attempt.onStartSentInResponse(
+                        heartbeat.sequence(), machine.liveness.fencingToken());
+                commands.add(TaskCommand.start(attempt.taskId(), attempt.attemptNumber));
             }
         }
     }
--- a/src/main/java/org/woadloom/core/machines/HeartbeatHandler.java
+++ b/src/main/java/org/woadloom/core/machines/HeartbeatHandler.java
@@ -40,7 +40,7 @@
         if (hasSeenLaterTerm(machine, heartbeat)) {
             return;
         }
-        if (!machine.liveness.awaitsAnswerTo(heartbeat, state.nowMicros())) {
+        if (!machine.liveness.recordHeartbeatArrival(heartbeat, state.nowMicros())) {
             // No agent waits for this answer; if one did, it would renew a lease that counts as
             // running out.
             state.emit(new SchedulerAction.RejectHeartbeat(event.requestId()));
@@ -176,7 +176,7 @@
             }
         }
         // The last one may have ended because nothing reaches the agent any more.
-        machine.liveness.suspect(state.nowMicros());
+        machine.liveness.markSuspect(state.nowMicros());
     }
 
     /** Drops what is kept for machines that are no longer known. */
--- a/src/main/java/org/woadloom/core/machines/LeaseExpiry.java
+++ b/src/main/java/org/woadloom/core/machines/LeaseExpiry.java
@@ -40,7 +40,8 @@
     /** The last renewal by a delegate is a matter of the zone, and worked out once for each. */
     private long lastDelegatedRenewalMicros(String zone, Map<String, Long> byZone) {
         return byZone.computeIfAbsent(
-                zone, name -> state.delegations().lastRenewalMicros(name, state.nowMicros()));
+                zone,
+                name -> state.delegations().latestPossibleRenewalMicros(name, state.nowMicros()));
     }
 
     private void expire(Machine machine) {
@@ -49,7 +50,7 @@
                         .with("machine", machine.host)
                         .with("zone", machine.zone)
                         .with("term", state.term()));
-        machine.liveness.expireSession();
+        machine.liveness.expireIncarnation();
         taskLosses.onSessionEnded(machine, "lease expired");
     }
 }
--- a/src/main/java/org/woadloom/core/machines/LossProof.java
+++ b/src/main/java/org/woadloom/core/machines/LossProof.java
@@ -52,8 +52,8 @@
                 // An agent has one heartbeat in flight: this one was made after the answer was
                 // executed
                 // or dropped.
-            case SENT_IN_ANSWER ->
-                    ownHeartbeat && heartbeat.sequence() > attempt.answeredSequence()
+            case SENT_IN_RESPONSE ->
+                    ownHeartbeat && heartbeat.sequence() > attempt.startHeartbeatSequence()
                             ? START_NOT_EXECUTED
                             : NONE;
             case RECOVERED ->
--- a/src/main/java/org/woadloom/core/machines/Machine.java
+++ b/src/main/java/org/woadloom/core/machines/Machine.java
@@ -330,7 +330,7 @@
     }
 
     public Resources free() {
-        return resources.balance().withoutNegatives();
+        return resources.balance().clampToNonNegative();
     }
 
     /** To be called when a task that is here is told to stop. */
--- a/src/main/java/org/woadloom/core/machines/MachineDrainer.java
+++ b/src/main/java/org/woadloom/core/machines/MachineDrainer.java
@@ -31,7 +31,7 @@
             if (attempt.wasNeverSent()) {
                 taskLosses.remove(attempt);
             } else if (!attempt.isStopping() && mustLeave(attempt)) {
-                attempt.stop(attempt.job.description.checkpointCostSeconds());
+                attempt.requestStop(attempt.job.description.checkpointCostSeconds());
             }
         }
     }
--- a/src/main/java/org/woadloom/core/machines/MachineRegistry.java
+++ b/src/main/java/org/woadloom/core/machines/MachineRegistry.java
@@ -140,7 +140,7 @@
     private long cancellationsAppliedMicros(String zone) {
         long appliedMicros = state.cancellationsReadUpToMicros();
         for (Job job : state.jobs().values()) {
-            if (job.isCancelled() && job.attemptsInZone(zone) > 0) {
+            if (job.isCancelled() && job.attemptCountInZone(zone) > 0) {
                 appliedMicros = Math.min(appliedMicros, job.cancelledSinceMicros());
             }
         }
--- a/src/main/java/org/woadloom/core/machines/ResourceAccount.java
+++ b/src/main/java/org/woadloom/core/machines/ResourceAccount.java
@@ -29,7 +29,7 @@
     private int stopping;
 
     void add(TaskAttempt attempt) {
-        attempts.put(attempt.task(), attempt);
+        attempts.put(attempt.taskId(), attempt);
         used = used.plus(attempt.job.taskResources);
         balance = null;
         if (attempt.isStopping()) {
@@ -41,7 +41,7 @@
 
     /** Removes the attempt; no effect if it is not here. */
     void remove(TaskAttempt attempt) {
-        if (attempts.remove(attempt.task(), attempt)) {
+        if (attempts.remove(attempt.taskId(), attempt)) {
             used = used.minus(attempt.job.taskResources);
             balance = null;
             if (attempt.isStopping()) {
@@ -67,7 +67,7 @@
     }
 
     private boolean contains(TaskAttempt attempt) {
-        return attempts.get(attempt.task()) == attempt;
+        return attempts.get(attempt.taskId()) == attempt;
     }
 
     Collection<TaskAttempt> attempts() {
--- a/src/main/java/org/woadloom/core/machines/TaskExitHandler.java
+++ b/src/main/java/org/woadloom/core/machines/TaskExitHandler.java
@@ -43,8 +43,8 @@
         Machine machine = attempt.machine;
         state.log(
                 LogEntry.debug(LogEvent.TASK_EXITED)
-                        .with("task", attempt.task())
-                        .with("attempt", attempt.attempt)
+                        .with("task", attempt.taskId())
+                        .with("attempt", attempt.attemptNumber)
                         .with("machine", machine.host)
                         .with("reason", task.exitReason()));
         applyExitReason(attempt, task);
@@ -57,7 +57,7 @@
             taskLosses.remove(attempt);
         }
         if (job.isComplete()) {
-            job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
+            job.persistence.requestWrite(PersistenceState.WriteUrgency.IMMEDIATE);
         }
         acknowledgements.add(machine, task, job.persistence.nextVersion());
     }
@@ -67,7 +67,7 @@
         switch (task.exitReason()) {
             case DONE -> {
                 if (!job.description.isService()) {
-                    job.markCompleted(attempt.index);
+                    job.markCompleted(attempt.taskIndex);
                 }
             }
             case ERROR -> onTaskFailed(job, attempt.machine);
@@ -82,19 +82,20 @@
     private void onRefused(TaskAttempt attempt, TaskStatus task) {
         state.log(
                 LogEntry.info(LogEvent.TASK_REFUSED)
-                        .with("task", attempt.task())
+                        .with("task", attempt.taskId())
                         .with("machine", attempt.machine.host)
                         .with("reason", task.exitReason()));
         attempt.machine.pausePlacementUntil(state.nowMicros() + RETRY_MICROS);
     }
 
     private void onTaskFailed(Job job, Machine machine) {
-        job.countFailure();
-        job.failedOn.add(machine.host);
+        job.countTaskFailure();
+        job.failedOnHosts.add(machine.host);
         machine.failedJobs.put(job.jobId(), state.nowMicros());
         quarantineIfFaulty(machine);
-        if (job.failedOn.size() > 1) {
-            long backoffMicros = RETRY_MICROS << Math.min(MAX_BACKOFF_DOUBLINGS, job.failures());
+        if (job.failedOnHosts.size() > 1) {
+            long backoffMicros =
+                    RETRY_MICROS << Math.min(MAX_BACKOFF_DOUBLINGS, job.taskFailureCount());
             job.placeNotBefore(state.nowMicros() + Math.min(MAX_BACKOFF_MICROS, backoffMicros));
         }
     }
@@ -122,7 +123,7 @@
     }
 
     private static boolean isFaulty(Job job) {
-        return job != null && job.failedOn.size() > MAX_FAULTY_MACHINES;
+        return job != null && job.failedOnHosts.size() > MAX_FAULTY_MACHINES;
     }
 
     /**
@@ -138,8 +139,8 @@
             stopOtherAttempt(job, task.task().index());
             job.persistence.requestWrite(
                     job.isComplete()
-                            ? PersistenceState.WriteReason.IMMEDIATE
-                            : PersistenceState.WriteReason.OUTCOME);
+                            ? PersistenceState.WriteUrgency.IMMEDIATE
+                            : PersistenceState.WriteUrgency.TASK_ENDED);
             acknowledgements.add(machine, task, job.persistence.nextVersion());
         } else {
             // There is nothing to write, so any version will do.
@@ -161,7 +162,7 @@
         if (other != null && other.wasNeverSent()) {
             taskLosses.remove(other);
         } else if (other != null) {
-            other.stop(0);
+            other.requestStop(0);
         }
     }
 }
--- a/src/main/java/org/woadloom/core/machines/TaskLossHandler.java
+++ b/src/main/java/org/woadloom/core/machines/TaskLossHandler.java
@@ -19,8 +19,8 @@
     public void onLost(TaskAttempt attempt, String reason) {
         state.log(
                 LogEntry.info(LogEvent.TASK_LOST)
-                        .with("task", attempt.task())
-                        .with("attempt", attempt.attempt)
+                        .with("task", attempt.taskId())
+                        .with("attempt", attempt.attemptNumber)
                         .with("machine", attempt.machine.host)
                         .with("reason", reason));
         remove(attempt);
@@ -33,14 +33,14 @@
     public void remove(TaskAttempt attempt) {
         removeFailed(attempt);
         Job job = attempt.job;
-        if (!job.isOver() && !job.isCompleted(attempt.index)) {
-            job.team.onTaskLost(job, state.nowMicros());
+        if (!job.isTerminal() && !job.isCompleted(attempt.taskIndex)) {
+            job.teamQuota.onTaskLost(job, state.nowMicros());
         }
     }
 
     /** Removes an attempt whose task failed: what it used of its team's limit is free at once. */
     void removeFailed(TaskAttempt attempt) {
-        attempt.job.remove(attempt);
+        attempt.job.removeAttempt(attempt);
         requestOutcomeWrite(attempt.job);
         if (attempt.machine.isEmpty()) {
             attempt.machine.restartIdleTime();
@@ -50,10 +50,10 @@
 
     /** Of a job that is over only the end of its last attempt is still to be recorded. */
     private static void requestOutcomeWrite(Job job) {
-        if (!job.isOver()) {
-            job.persistence.requestWrite(PersistenceState.WriteReason.OUTCOME);
+        if (!job.isTerminal()) {
+            job.persistence.requestWrite(PersistenceState.WriteUrgency.TASK_ENDED);
         } else if (job.attempts().isEmpty()) {
-            job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
+            job.persistence.requestWrite(PersistenceState.WriteUrgency.IMMEDIATE);
         }
     }
 
--- a/src/main/java/org/woadloom/core/placement/CandidateMachines.java
+++ b/src/main/java/org/woadloom/core/placement/CandidateMachines.java
@@ -109,7 +109,7 @@
             if (constraints.allows(job, machine)) {
                 fitsByZone.merge(
                         machine.zone,
-                        reservations.unreserved(machine, job).count(job.taskResources),
+                        reservations.unreserved(machine, job).countFitting(job.taskResources),
                         Integer::sum);
             }
         }
@@ -169,7 +169,7 @@
                 && reservations.unreserved(machine, job).contains(job.taskResources)
                 && job.allowedTasks(reservations.credit(job, machine)) >= 1
                 && constraints.allows(job, machine)
-                && !job.failedOn.contains(machine.host);
+                && !job.failedOnHosts.contains(machine.host);
     }
 
     /** The order of the sums is part of the result, as these are floating-point numbers. */
@@ -189,10 +189,10 @@
         }
         if (isFirstOfZone()) {
             int zoneFits = fitsByZone.getOrDefault(machine.zone, 0);
-            score += ZONE_FIT_WEIGHT * Math.min(job.pendingTasks(), zoneFits);
+            score += ZONE_FIT_WEIGHT * Math.min(job.pendingTaskCount(), zoneFits);
         }
         if (description.spreadAcrossZones()) {
-            score -= SPREAD_WEIGHT * job.attemptsInZone(machine.zone);
+            score -= SPREAD_WEIGHT * job.attemptCountInZone(machine.zone);
         }
         if (scarceZones.contains(machine.zone) && !machine.spot) {
             score -=
--- a/src/main/java/org/woadloom/core/placement/SteppedSearch.java
+++ b/src/main/java/org/woadloom/core/placement/IncrementalSearch.java
@@ -8,7 +8,7 @@
  * A search on behalf of many jobs that is spread over steps: each step examines a bounded number of
  * machines, and the next one goes on with the jobs that were not visited.
  */
-public final class SteppedSearch {
+public final class IncrementalSearch {
     private final int maxMachinesPerStep;
     private final Set<Job> visited = new HashSet<>();
     private long machinesExamined;
@@ -18,7 +18,7 @@
      * @param maxMachinesPerStep how many machines one step examines at most, each counted anew for
      *     each job
      */
-    public SteppedSearch(int maxMachinesPerStep) {
+    public IncrementalSearch(int maxMachinesPerStep) {
         this.maxMachinesPerStep = maxMachinesPerStep;
     }
 
@@ -33,23 +33,23 @@
     }
 
     /** True if this step may examine so many more machines, or has not examined any yet. */
-    public boolean allows(long machines) {
+    public boolean mayExamine(long machines) {
         long examinedInStep = machinesExamined - examinedBeforeStep;
         return examinedInStep == 0 || examinedInStep + machines <= maxMachinesPerStep;
     }
 
     /** The search for the job is made now. */
-    public void visit(Job job) {
+    public void markVisited(Job job) {
         visited.add(job);
     }
 
     /** So many machines are examined. */
-    public void count(int machines) {
+    public void addExamined(int machines) {
         machinesExamined += machines;
     }
 
     /** The search was made for every job: what follows is another one. */
-    public void end() {
+    public void reset() {
         visited.clear();
     }
 
--- a/src/main/java/org/woadloom/core/placement/PlacementConstraints.java
+++ b/src/main/java/org/woadloom/core/placement/PlacementConstraints.java
@@ -35,12 +35,12 @@
     /** Zone rules, given every task of the job that is or may be somewhere. */
     public boolean allowsZone(Job job, String zone) {
         if (job.description.sameZone()
-                && !job.zones().isEmpty()
-                && !(job.zones().size() == 1 && job.zones().contains(zone))) {
+                && !job.occupiedZones().isEmpty()
+                && !(job.occupiedZones().size() == 1 && job.occupiedZones().contains(zone))) {
             return false;
         }
         return !job.description.spreadAcrossZones()
-                || job.attemptsInZone(zone) < maxTasksPerZone(job.description);
+                || job.attemptCountInZone(zone) < maxTasksPerZone(job.description);
     }
 
     /** How many tasks of a job may be in one zone: half of them, rounded up, if they spread. */
@@ -58,7 +58,7 @@
                 && machine.spotTerminationMicros() < 0
                 && machine.quarantinedUntilMicros() <= state.nowMicros()
                 && machine.refusesUntilMicros() <= state.nowMicros()
-                && !isSilent(machine)
+                && !isHeartbeatOverdue(machine)
                 && !machine.liveness.isSuspect(state.nowMicros());
     }
 
@@ -66,8 +66,8 @@
      * True for a machine whose heartbeats are overdue, though its agent may still answer commands:
      * its lease is running out.
      */
-    public boolean isSilent(Machine machine) {
+    public boolean isHeartbeatOverdue(Machine machine) {
         return state.nowMicros() - machine.liveness.lastHeartbeatMicros()
-                > state.livenessTimeouts().freshMicros();
+                > state.livenessTimeouts().maxFreshAgeMicros();
     }
 }
--- a/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
+++ b/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
@@ -59,7 +59,7 @@
             ResourceRequest request, Priority priority, TeamQuota guaranteedTeam) {
         boolean covers(Job job, boolean fromBorrowers) {
             return priority.compareTo(job.priority()) >= 0
-                    && (!fromBorrowers || guaranteedTeam == job.team)
+                    && (!fromBorrowers || guaranteedTeam == job.teamQuota)
                     && request.covers(job);
         }
     }
@@ -74,14 +74,16 @@
             }
             // What is reserved for the job, or being freed for it, is on its way.
             int wanted =
-                    Math.min(job.pendingTasks() - reservations.countFor(job), job.allowedTasks());
+                    Math.min(
+                            job.pendingTaskCount() - reservations.countFor(job),
+                            job.allowedTasks());
             if (wanted <= 0) {
                 continue;
             }
             boolean fromBorrowers =
                     job.isWithinGuarantee()
-                            && job.team.staysWithinGuarantee(job.taskResources)
-                            && othersBorrow(job.team);
+                            && job.teamQuota.staysWithinGuarantee(job.taskResources)
+                            && othersBorrow(job.teamQuota);
             if (failedSearches.stream().noneMatch(known -> known.covers(job, fromBorrowers))) {
                 wanted = freeResources(job, wanted, fromBorrowers);
                 if (wanted > 0 && ResourceRequest.isRepresentative(job)) {
@@ -89,7 +91,7 @@
                             new FailedSearch(
                                     ResourceRequest.of(job),
                                     job.priority(),
-                                    fromBorrowers ? job.team : null));
+                                    fromBorrowers ? job.teamQuota : null));
                 }
             }
             if (wanted > 0 && job.description.isService()) {
@@ -120,7 +122,7 @@
                     && machine.capacity().contains(job.taskResources)
                     && constraints.acceptsTasks(machine)
                     && constraints.allows(job, machine)
-                    && !job.failedOn.contains(machine.host)) {
+                    && !job.failedOnHosts.contains(machine.host)) {
                 missing -= freeResources(job, machine, missing);
             }
         }
@@ -154,7 +156,7 @@
                                 != null) {
                     state.log(
                             LogEntry.info(LogEvent.REPLICA_MOVED)
-                                    .with("task", attempt.task())
+                                    .with("task", attempt.taskId())
                                     .with("zone", machine.zone)
                                     .with("for_job", job.jobId()));
                     nextReplicaMoveMicros = state.nowMicros() + MOVE_INTERVAL_MICROS;
@@ -243,7 +245,7 @@
         for (TaskAttempt victim : chosen) {
             state.log(
                     LogEntry.info(LogEvent.TASK_PREEMPTED)
-                            .with("task", victim.task())
+                            .with("task", victim.taskId())
                             .with("machine", machine.host)
                             .with("for_job", job.jobId()));
             stop(victim);
@@ -254,11 +256,11 @@
     private void stop(TaskAttempt victim) {
         victim.job.onPreempted(state.nowMicros());
         if (victim.wasNeverSent()) {
-            victim.job.remove(victim);
-            victim.job.persistence.requestWrite(PersistenceState.WriteReason.OUTCOME);
+            victim.job.removeAttempt(victim);
+            victim.job.persistence.requestWrite(PersistenceState.WriteUrgency.TASK_ENDED);
             state.requestPlacement();
         } else {
-            victim.stop(
+            victim.requestStop(
                     victim.job.description.checkpointIntervalSeconds() > 0
                             ? victim.job.description.checkpointCostSeconds()
                             : 0);
@@ -275,10 +277,10 @@
         if (order != 0) {
             return order < 0;
         }
-        return other.team != job.team
+        return other.teamQuota != job.teamQuota
                 && !other.isWithinGuarantee()
-                && other.team.exceedsGuarantee()
+                && other.teamQuota.exceedsGuarantee()
                 && job.isWithinGuarantee()
-                && job.team.staysWithinGuarantee(job.taskResources);
+                && job.teamQuota.staysWithinGuarantee(job.taskResources);
     }
 }
--- a/src/main/java/org/woadloom/core/placement/QueueOrder.java
+++ b/src/main/java/org/woadloom/core/placement/QueueOrder.java
@@ -118,7 +118,7 @@
         for (Job job : jobs) {
             double alone =
                     (double) job.taskResources.cpu()
-                            * job.pendingTasks()
+                            * job.pendingTaskCount()
                             / fleetCpu
                             * runtimeMicros(job);
             boolean overdue = isOverdue(job);
--- a/src/main/java/org/woadloom/core/placement/RecordSizeEstimate.java
+++ b/src/main/java/org/woadloom/core/placement/RecordSizeEstimate.java
@@ -33,7 +33,7 @@
     }
 
     /** How many tasks of a job a value of this size holds when each is on a machine of its own. */
-    public static int tasksApart(int valueBytes) {
+    public static int maxTasksOnDistinctMachines(int valueBytes) {
         Compact size = new Compact(valueBytes, TYPICAL_DESCRIPTION);
         return size.maxMoreTasks(0, valueBytes);
     }
@@ -49,7 +49,7 @@
     private static int groups(Job job) {
         Set<Group> groups = new HashSet<>();
         for (TaskAttempt attempt : job.attempts()) {
-            groups.add(new Group(attempt.machine, attempt.attempt));
+            groups.add(new Group(attempt.machine, attempt.attemptNumber));
         }
         return groups.size();
     }
@@ -107,9 +107,9 @@
             end = job.completedTasks().length();
             Set<Long> distinct = new HashSet<>();
             for (TaskAttempt attempt : job.attempts()) {
-                front = Math.min(front, attempt.index);
-                end = Math.max(end, attempt.index + 1);
-                distinct.add(attempt.attempt);
+                front = Math.min(front, attempt.taskIndex);
+                end = Math.max(end, attempt.taskIndex + 1);
+                distinct.add(attempt.attemptNumber);
             }
             attempts = distinct.size() + 1;
             groups = groups(job);
--- a/src/main/java/org/woadloom/core/placement/ResourceRequest.java
+++ b/src/main/java/org/woadloom/core/placement/ResourceRequest.java
@@ -31,6 +31,6 @@
     static boolean isRepresentative(Job job) {
         return !job.description.spreadAcrossZones()
                 && !job.description.sameZone()
-                && job.failedOn.isEmpty();
+                && job.failedOnHosts.isEmpty();
     }
 }
--- a/src/main/java/org/woadloom/core/placement/Resources.java
+++ b/src/main/java/org/woadloom/core/placement/Resources.java
@@ -9,7 +9,7 @@
  */
 public record Resources(long cpu, long gpu, long memory) {
     /** How many units make a processor, a GPU or a GB. */
-    public static final long UNITS = 1000;
+    public static final long SCALE = 1000;
 
     /** What settings may be off by as binary fractions, in units. */
     private static final double ROUNDING_ERROR = 1e-6;
@@ -18,22 +18,27 @@
 
     /** What one task takes, rounded up. */
     public static Resources of(JobDescription job) {
-        return new Resources(roundUp(job.cpus()), roundUp(job.gpus()), roundUp(job.memoryGb()));
+        return new Resources(
+                toUnitsRoundedUp(job.cpus()),
+                toUnitsRoundedUp(job.gpus()),
+                toUnitsRoundedUp(job.memoryGb()));
     }
 
     /** What a machine has, rounded down. */
     public static Resources of(MachineType type) {
         return new Resources(
-                roundDown(type.cpus()), roundDown(type.gpus()), roundDown(type.memoryGb()));
+                toUnitsRoundedDown(type.cpus()),
+                toUnitsRoundedDown(type.gpus()),
+                toUnitsRoundedDown(type.memoryGb()));
     }
 
-    private static long roundUp(double amount) {
-        return (long) Math.ceil(amount * UNITS - ROUNDING_ERROR);
+    private static long toUnitsRoundedUp(double amount) {
+        return (long) Math.ceil(amount * SCALE - ROUNDING_ERROR);
     }
 
     /** An amount in units, rounded down. */
-    public static long roundDown(double amount) {
-        return (long) (amount * UNITS + ROUNDING_ERROR);
+    public static long toUnitsRoundedDown(double amount) {
+        return (long) (amount * SCALE + ROUNDING_ERROR);
     }
 
     public Resources plus(Resources other) {
@@ -54,7 +59,7 @@
     }
 
     /** How many times the other fits; the other must not be nothing. */
-    public int count(Resources other) {
+    public int countFitting(Resources other) {
         long count = Integer.MAX_VALUE;
         if (other.cpu > 0) {
             count = Math.min(count, cpu / other.cpu);
@@ -69,7 +74,7 @@
     }
 
     /** The part without anything negative. */
-    public Resources withoutNegatives() {
+    public Resources clampToNonNegative() {
         return (cpu | gpu | memory) >= 0
                 ? this
                 : new Resources(Math.max(0, cpu), Math.max(0, gpu), Math.max(0, memory));
--- a/src/main/java/org/woadloom/core/placement/TaskPlacer.java
+++ b/src/main/java/org/woadloom/core/placement/TaskPlacer.java
@@ -30,7 +30,7 @@
     private final Reservations reservations;
     private final QueueOrder order;
 
-    private final SteppedSearch search = new SteppedSearch(MAX_MACHINES_PER_STEP);
+    private final IncrementalSearch search = new IncrementalSearch(MAX_MACHINES_PER_STEP);
 
     /** What found no machine in the present search. */
     private final List<ResourceRequest> unsatisfied = new ArrayList<>();
@@ -44,10 +44,10 @@
     }
 
     /** Jobs with pending tasks that may be placed now, in the order in which they are served. */
-    public List<Job> queue() {
+    public List<Job> placementQueue() {
         List<Job> jobs = new ArrayList<>();
         for (Job job : state.jobs().values()) {
-            if (job.pendingTasks() > 0 && job.placeNotBeforeMicros() <= state.nowMicros()) {
+            if (job.pendingTaskCount() > 0 && job.placeNotBeforeMicros() <= state.nowMicros()) {
                 jobs.add(job);
             }
         }
@@ -68,7 +68,7 @@
         long attempt = state.newAttempt();
         search.beginStep();
         List<Machine> openMachines = null;
-        for (Job job : queue()) {
+        for (Job job : placementQueue()) {
             boolean hasReservation = reservations.countFor(job) > 0;
             if (search.isVisited(job) || (!hasReservation && isPassedOver(job))) {
                 continue;
@@ -76,17 +76,17 @@
             if (openMachines == null) {
                 openMachines = openMachines();
             }
-            if (!search.allows(searchCost(job, openMachines))) {
+            if (!search.mayExamine(searchCost(job, openMachines))) {
                 return false;
             }
-            search.visit(job);
+            search.markVisited(job);
             if (placeJob(job, attempt, openMachines)
                     && !hasReservation
                     && ResourceRequest.isRepresentative(job)) {
                 unsatisfied.add(ResourceRequest.of(job));
             }
         }
-        search.end();
+        search.reset();
         unsatisfied.clear();
         return true;
     }
@@ -127,10 +127,11 @@
         if (!size.fitsOneMore(job.nextPending(0))
                 || (job.description.isGang()
                         && !gangFits(
-                                job, size.maxMoreTasks(job.nextPending(0), job.pendingTasks())))) {
+                                job,
+                                size.maxMoreTasks(job.nextPending(0), job.pendingTaskCount())))) {
             return false;
         }
-        search.count(openMachines.size());
+        search.addExamined(openMachines.size());
         CandidateMachines candidates =
                 new CandidateMachines(
                         job, openMachines, state.scarceZones(), constraints, reservations);
@@ -153,9 +154,9 @@
                             job.persistence.nextVersion(),
                             state.nowMicros());
             reservations.draw(taskAttempt);
-            job.add(taskAttempt);
+            job.addAttempt(taskAttempt);
             size.add(index, machine);
-            job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
+            job.persistence.requestWrite(PersistenceState.WriteUrgency.IMMEDIATE);
             candidates.onPlaced();
             placed++;
         }
@@ -170,13 +171,13 @@
                 LogEntry.debug(LogEvent.TASKS_PLACED)
                         .with("job", job.jobId())
                         .with("tasks", placed)
-                        .with("pending", job.pendingTasks())
-                        .with("tasks_by_zone", job.tasksByZone()));
+                        .with("pending", job.pendingTaskCount())
+                        .with("tasks_by_zone", job.attemptCountByZone()));
     }
 
     /** A gang starts only when all of its tasks that are left fit at once. */
     private boolean gangFits(Job job, int maxTasks) {
-        int wanted = job.pendingTasks();
+        int wanted = job.pendingTaskCount();
         if (wanted > maxTasks) {
             return false;
         }
@@ -192,7 +193,8 @@
         int largest = 0;
         int sum = 0;
         for (Map.Entry<String, Integer> entry : fitsByZone.entrySet()) {
-            int fits = Math.min(entry.getValue(), maxPerZone - job.attemptsInZone(entry.getKey()));
+            int fits =
+                    Math.min(entry.getValue(), maxPerZone - job.attemptCountInZone(entry.getKey()));
             largest = Math.max(largest, fits);
             sum += fits;
         }
@@ -200,15 +202,15 @@
     }
 
     private Map<String, Integer> gangFitsByZone(Job job) {
-        search.count(state.machines().size());
+        search.addExamined(state.machines().size());
         Map<String, Integer> fitsByZone = new LinkedHashMap<>();
         for (Machine machine : state.machines().values()) {
             if (constraints.acceptsTasks(machine)
                     && constraints.allows(job, machine)
-                    && !job.failedOn.contains(machine.host)) {
+                    && !job.failedOnHosts.contains(machine.host)) {
                 fitsByZone.merge(
                         machine.zone,
-                        reservations.unreserved(machine, job).count(job.taskResources),
+                        reservations.unreserved(machine, job).countFitting(job.taskResources),
                         Integer::sum);
             }
         }
--- a/src/main/java/org/woadloom/core/placement/WaitingJobsReport.java
+++ b/src/main/java/org/woadloom/core/placement/WaitingJobsReport.java
@@ -35,7 +35,7 @@
     }
 
     /** To be called after a complete search for placements; reports where that is due. */
-    public void review() {
+    public void logIfDue() {
         if (state.nowMicros() < nextMicros) {
             return;
         }
@@ -48,7 +48,7 @@
     private List<Job> longestWaiting() {
         List<Job> waiting = new ArrayList<>();
         for (Job job : state.jobs().values()) {
-            if (job.pendingTasks() > 0
+            if (job.pendingTaskCount() > 0
                     && state.nowMicros() - job.waitingSinceMicros() > MIN_WAIT_MICROS) {
                 waiting.add(job);
             }
@@ -61,14 +61,14 @@
         state.log(
                 LogEntry.info(LogEvent.TASKS_PENDING)
                         .with("job", job.jobId())
-                        .with("team", job.team.team.name())
+                        .with("team", job.teamQuota.team.name())
                         .with("class", job.description.jobClass())
-                        .with("pending", job.pendingTasks())
+                        .with("pending", job.pendingTaskCount())
                         .with("task_cpus", job.description.cpus())
                         .with("reason", reason(job).text())
                         .withSeconds("waited_s", state.nowMicros() - job.waitingSinceMicros())
-                        .with("team_used_cpus", job.team.used().cpu() / Resources.UNITS)
-                        .with("last_placed_job", job.team.lastPlacedJobId()));
+                        .with("team_used_cpus", job.teamQuota.used().cpu() / Resources.SCALE)
+                        .with("last_placed_job", job.teamQuota.lastPlacedJobId()));
     }
 
     /** Why the job's next task is not placed now. */
@@ -79,7 +79,7 @@
         if (job.placeNotBeforeMicros() > state.nowMicros()) {
             return PendingReason.RETRY_DELAY;
         }
-        Optional<PendingReason> atLimit = job.team.whyNotAllowed(job);
+        Optional<PendingReason> atLimit = job.teamQuota.whyNotAllowed(job);
         return atLimit.orElseGet(() -> reasonOnMachines(job));
     }
 
@@ -88,7 +88,7 @@
         for (Machine machine : state.machines().values()) {
             if (constraints.acceptsTasks(machine)
                     && constraints.allows(job, machine)
-                    && !job.failedOn.contains(machine.host)) {
+                    && !job.failedOnHosts.contains(machine.host)) {
                 anyAccepts = true;
                 if (reservations.unreserved(machine, job).contains(job.taskResources)) {
                     return job.description.isGang()
--- a/src/main/java/org/woadloom/core/quota/ClassFairShare.java
+++ b/src/main/java/org/woadloom/core/quota/ClassFairShare.java
@@ -48,7 +48,7 @@
         Resources smallestStart;
 
         void add(Job job) {
-            int pending = job.pendingTasks();
+            int pending = job.pendingTaskCount();
             used = used.plus(job.taskResources.times(job.attempts().size()));
             waiting = waiting.plus(job.taskResources.times(pending));
             if (pending > 0) {
@@ -62,7 +62,7 @@
 
         /** What the class lacks of its share and could use. */
         Resources missing(Resources share) {
-            Resources missing = share.minus(used).withoutNegatives().min(waiting);
+            Resources missing = share.minus(used).clampToNonNegative().min(waiting);
             // Less than a task would be nothing at all.
             return used.equals(Resources.NONE) && !missing.contains(task) ? task : missing;
         }
@@ -83,8 +83,8 @@
     private Map<TeamQuota, Map<String, Demand>> demandByTeamAndClass() {
         Map<TeamQuota, Map<String, Demand>> demands = new LinkedHashMap<>();
         for (Job job : state.jobs().values()) {
-            if (job.pendingTasks() > 0 || !job.attempts().isEmpty()) {
-                demands.computeIfAbsent(job.team, team -> new LinkedHashMap<>())
+            if (job.pendingTaskCount() > 0 || !job.attempts().isEmpty()) {
+                demands.computeIfAbsent(job.teamQuota, team -> new LinkedHashMap<>())
                         .computeIfAbsent(job.description.jobClass(), name -> new Demand())
                         .add(job);
             }
@@ -141,12 +141,12 @@
                         state.log(
                                 LogEntry.info(LogEvent.QUOTA_EXCEEDED)
                                         .with("team", team.team.name())
-                                        .with("asked_cpus", total.cpu() / Resources.UNITS)
-                                        .with("asked_gpus", total.gpu() / Resources.UNITS)
+                                        .with("asked_cpus", total.cpu() / Resources.SCALE)
+                                        .with("asked_gpus", total.gpu() / Resources.SCALE)
                                         .with("class", name)
-                                        .with("used_cpus", demand.used.cpu() / Resources.UNITS)
+                                        .with("used_cpus", demand.used.cpu() / Resources.SCALE)
                                         .with(
                                                 "waiting_cpus",
-                                                demand.waiting.cpu() / Resources.UNITS)));
+                                                demand.waiting.cpu() / Resources.SCALE)));
     }
 }
--- a/src/main/java/org/woadloom/core/quota/GuaranteedQuota.java
+++ b/src/main/java/org/woadloom/core/quota/GuaranteedQuota.java
@@ -40,20 +40,20 @@
         nextUpdateMicros = state.nowMicros() + UPDATE_INTERVAL_MICROS;
         Map<TeamQuota, Resources> askedByTeam = new HashMap<>();
         for (Job job : openJobsByAge()) {
-            int openTasks = job.description.taskCount() - job.completedCount();
+            int openTasks = job.description.taskCount() - job.completedTaskCount();
             Resources asked =
                     askedByTeam
-                            .getOrDefault(job.team, Resources.NONE)
+                            .getOrDefault(job.teamQuota, Resources.NONE)
                             .plus(job.taskResources.times(openTasks));
-            askedByTeam.put(job.team, asked);
-            job.setWithinGuarantee(job.team.fitsGuarantee(asked));
+            askedByTeam.put(job.teamQuota, asked);
+            job.setWithinGuarantee(job.teamQuota.fitsGuarantee(asked));
         }
     }
 
     private List<Job> openJobsByAge() {
         List<Job> jobs = new ArrayList<>(state.jobs().size());
         for (Job job : state.jobs().values()) {
-            if (!job.isOver() && !job.isBlocked()) {
+            if (!job.isTerminal() && !job.isBlocked()) {
                 jobs.add(job);
             }
         }
--- a/src/main/java/org/woadloom/core/quota/LostTaskHolds.java
+++ b/src/main/java/org/woadloom/core/quota/LostTaskHolds.java
@@ -71,7 +71,8 @@
     void review(long nowMicros, ToIntFunction<Job> reservedTasks) {
         holds.forEach(
                 (job, hold) ->
-                        hold.review(nowMicros, job.pendingTasks(), reservedTasks.applyAsInt(job)));
+                        hold.review(
+                                nowMicros, job.pendingTaskCount(), reservedTasks.applyAsInt(job)));
         holds.values().removeIf(hold -> hold.lossMicros.isEmpty());
         total = Resources.NONE;
         holds.forEach((job, hold) -> total = total.plus(job.taskResources.times(hold.tasks)));
--- a/src/main/java/org/woadloom/core/quota/QuotaRotation.java
+++ b/src/main/java/org/woadloom/core/quota/QuotaRotation.java
@@ -86,8 +86,7 @@
                 .entrySet()
                 .removeIf(
                         entry ->
-                                entry.getValue() < state.nowMicros()
-                                        || entry.getKey().isFinished());
+                                entry.getValue() < state.nowMicros() || entry.getKey().isRemoved());
         turns.values().removeIf(this::endsNow);
         pauseAfterConsecutiveTurns();
         oldestCandidates().forEach(this::startTurn);
@@ -117,7 +116,7 @@
             state.log(
                     LogEntry.info(LogEvent.QUOTA_TURN_EXPIRED)
                             .with("job", turn.job.jobId())
-                            .with("team", turn.job.team.team.name())
+                            .with("team", turn.job.teamQuota.team.name())
                             .withSeconds("turn_s", state.nowMicros() - turn.sinceMicros));
         }
         return isExpired || !isWaiting;
@@ -144,15 +143,15 @@
         Map<TeamQuota, Job> oldest = new HashMap<>();
         for (Job job : state.jobs().values()) {
             if (needsTurn(job)) {
-                oldest.merge(job.team, job, QuotaRotation::nextOf);
+                oldest.merge(job.teamQuota, job, QuotaRotation::nextOf);
             }
         }
         return oldest;
     }
 
     private boolean needsTurn(Job job) {
-        return !turns.containsKey(job.team)
-                && !isPaused(job.team)
+        return !turns.containsKey(job.teamQuota)
+                && !isPaused(job.teamQuota)
                 && isWaiting(job)
                 && !waitingForNextTurn.containsKey(job)
                 && state.nowMicros() - job.waitingSinceMicros() > PATIENCE_MICROS
@@ -201,14 +200,14 @@
                         .withSeconds("waited_s", state.nowMicros() - job.waitingSinceMicros())
                         .with("needed_tasks", tasksNeeded(job))
                         .with("allowed_tasks", job.allowedTasks())
-                        .with("replica_cpus", replicas.cpu() / Resources.UNITS));
+                        .with("replica_cpus", replicas.cpu() / Resources.SCALE));
     }
 
     /** What a team's replicas use: it does not come free by itself, so no turn waits for it. */
     private Resources usedByReplicas(TeamQuota team) {
         Resources used = Resources.NONE;
         for (Job job : state.jobs().values()) {
-            if (job.team == team && job.description.isService() && !job.isOver()) {
+            if (job.teamQuota == team && job.description.isService() && !job.isTerminal()) {
                 used = used.plus(job.taskResources.times(job.attempts().size()));
             }
         }
@@ -216,11 +215,11 @@
     }
 
     private static boolean isWaiting(Job job) {
-        return !job.isOver() && job.pendingTasks() > 0;
+        return !job.isTerminal() && job.pendingTaskCount() > 0;
     }
 
     /** With how many tasks the job starts: a gang with all of them. */
     private static int tasksNeeded(Job job) {
-        return job.description.isGang() ? job.pendingTasks() : 1;
+        return job.description.isGang() ? job.pendingTaskCount() : 1;
     }
 }
--- a/src/main/java/org/woadloom/core/quota/TeamQuota.java
+++ b/src/main/java/org/woadloom/core/quota/TeamQuota.java
@@ -46,7 +46,9 @@
 
     private static Resources bounds(double cpus, double gpus) {
         return new Resources(
-                Resources.roundDown(cpus), Resources.roundDown(gpus), UNBOUNDED_MEMORY);
+                Resources.toUnitsRoundedDown(cpus),
+                Resources.toUnitsRoundedDown(gpus),
+                UNBOUNDED_MEMORY);
     }
 
     /** A reservation of the team has come. */
@@ -103,12 +105,12 @@
     /** The same, where the first tasks give back what was reserved for them. */
     public int allowedTasks(Resources task, Job job, Resources credit) {
         Resources free = limit.minus(used).plus(credit).minus(lostTasks.heldForOthers(job));
-        int freeTasks = free.withoutNegatives().count(task);
+        int freeTasks = free.clampToNonNegative().countFitting(task);
         if (turnHolder == job) {
             return freeTasks;
         }
         int lost = Math.min(lostTasks.tasksOf(job), freeTasks);
-        return Math.max(lost, notKeptForOthers(free, job).withoutNegatives().count(task));
+        return Math.max(lost, notKeptForOthers(free, job).clampToNonNegative().countFitting(task));
     }
 
     /** Why the limit allows the job no task now; empty if it allows one. */
--- a/src/main/java/org/woadloom/core/reservation/GangReservationPlanner.java
+++ b/src/main/java/org/woadloom/core/reservation/GangReservationPlanner.java
@@ -12,9 +12,9 @@
 import org.woadloom.core.SchedulerState;
 import org.woadloom.core.jobs.Job;
 import org.woadloom.core.machines.Machine;
+import org.woadloom.core.placement.IncrementalSearch;
 import org.woadloom.core.placement.PlacementConstraints;
 import org.woadloom.core.placement.Resources;
-import org.woadloom.core.placement.SteppedSearch;
 
 /**
  * Accumulates reservations for gangs, and for tasks too large for what is free on any machine now.
@@ -38,7 +38,7 @@
 
     private final Map<Job, Long> renewedMicros = new LinkedHashMap<>();
 
-    private final SteppedSearch search = new SteppedSearch(MAX_MACHINES_PER_STEP);
+    private final IncrementalSearch search = new IncrementalSearch(MAX_MACHINES_PER_STEP);
 
     public GangReservationPlanner(
             SchedulerState state, PlacementConstraints constraints, Reservations reservations) {
@@ -119,7 +119,9 @@
 
     private void endFinished() {
         for (Job job : new ArrayList<>(holderByZone.values())) {
-            if (job.isOver() || job.pendingTasks() == 0 || state.jobs().get(job.jobId()) != job) {
+            if (job.isTerminal()
+                    || job.pendingTaskCount() == 0
+                    || state.jobs().get(job.jobId()) != job) {
                 end(job);
             }
         }
@@ -164,15 +166,15 @@
             if (search.isVisited(job)) {
                 continue;
             }
-            if (!search.allows((long) accepting.size() * (openZones.size() + 1))) {
+            if (!search.mayExamine((long) accepting.size() * (openZones.size() + 1))) {
                 return;
             }
-            search.visit(job);
+            search.markVisited(job);
             if (tryReserve(job, openZones, accepting)) {
                 openZones.removeAll(holderByZone.keySet());
             }
         }
-        search.end();
+        search.reset();
     }
 
     private List<Machine> acceptingMachines() {
@@ -188,7 +190,7 @@
     /** The zones with machines in which no job reserves. */
     private Set<String> openZones() {
         Set<String> open = new LinkedHashSet<>();
-        search.count(state.machines().size());
+        search.addExamined(state.machines().size());
         for (Machine machine : state.machines().values()) {
             if (!holderByZone.containsKey(machine.zone)) {
                 open.add(machine.zone);
@@ -198,7 +200,7 @@
     }
 
     private boolean tryReserve(Job job, Set<String> openZones, List<Machine> accepting) {
-        int wanted = job.description.isGang() ? job.pendingTasks() : 1;
+        int wanted = job.description.isGang() ? job.pendingTaskCount() : 1;
         if (job.allowedTasks() < wanted) {
             return false;
         }
@@ -261,10 +263,11 @@
         Map<String, Integer> chosenByZone = new LinkedHashMap<>();
         List<Machine> chosen = new ArrayList<>();
         for (Machine machine : candidates) {
-            int fitting = machine.capacity().count(job.taskResources);
+            int fitting = machine.capacity().countFitting(job.taskResources);
             while (fitting > 0
                     && chosen.size() < wanted
-                    && job.attemptsInZone(machine.zone) + chosenByZone.getOrDefault(machine.zone, 0)
+                    && job.attemptCountInZone(machine.zone)
+                                    + chosenByZone.getOrDefault(machine.zone, 0)
                             < maxPerZone) {
                 chosen.add(machine);
                 chosenByZone.merge(machine.zone, 1, Integer::sum);
@@ -276,12 +279,12 @@
 
     private List<Machine> machinesByFreeCpu(Job job, Set<String> zones, List<Machine> accepting) {
         List<Machine> candidates = new ArrayList<>();
-        search.count(accepting.size());
+        search.addExamined(accepting.size());
         for (Machine machine : accepting) {
             if (zones.contains(machine.zone)
                     && constraints.allows(job, machine)
                     && machine.capacity().contains(job.taskResources)
-                    && !job.failedOn.contains(machine.host)) {
+                    && !job.failedOnHosts.contains(machine.host)) {
                 candidates.add(machine);
             }
         }
--- a/src/main/java/org/woadloom/core/reservation/Reservations.java
+++ b/src/main/java/org/woadloom/core/reservation/Reservations.java
@@ -53,7 +53,7 @@
             Resources template,
             boolean allocateOnce,
             boolean preAllocation) {
-        if (owner.team.allowedTasks(template, owner) < 1
+        if (owner.teamQuota.allowedTasks(template, owner) < 1
                 || !machine.capacity().contains(template)) {
             return null;
         }
@@ -77,7 +77,7 @@
         live.put(reservation.id, reservation);
         byMachine.computeIfAbsent(machine, m -> new ArrayList<>(2)).add(reservation);
         byOwner.computeIfAbsent(owner, j -> new ArrayList<>(2)).add(reservation);
-        owner.team.add(template);
+        owner.teamQuota.add(template);
         reservation.setPhase(Phase.WAITING);
         updatePhase(reservation);
         return reservation;
@@ -124,9 +124,9 @@
             Machine machine = reservation.machine;
             // A job placed elsewhere meanwhile needs no more reservations than it has pending
             // tasks.
-            if (reservation.owner.isOver()
+            if (reservation.owner.isTerminal()
                     || held.merge(reservation.owner, 1, Integer::sum)
-                            > reservation.owner.pendingTasks()) {
+                            > reservation.owner.pendingTaskCount()) {
                 release(reservation);
             } else if (state.nowMicros() >= reservation.expiresMicros()
                     || machine.isDeleted()
@@ -152,7 +152,7 @@
         if (live.remove(reservation.id) != null) {
             removeFrom(byMachine, reservation.machine, reservation);
             removeFrom(byOwner, reservation.owner, reservation);
-            reservation.owner.team.subtract(reservation.remaining());
+            reservation.owner.teamQuota.subtract(reservation.remaining());
             reservation.setPhase(phase);
         }
     }
@@ -177,7 +177,7 @@
 
     /** What is free on the machine without what is reserved for others than this job. */
     public Resources unreserved(Machine machine, Job job) {
-        return balance(machine, job).withoutNegatives();
+        return balance(machine, job).clampToNonNegative();
     }
 
     /** The same, negative where reservations wait for resources that are still in use. */
@@ -247,7 +247,7 @@
             end(reservation, Phase.SUCCEEDED);
             reservation.draw(drawn);
         } else {
-            reservation.owner.team.subtract(drawn);
+            reservation.owner.teamQuota.subtract(drawn);
             reservation.draw(drawn);
             if (reservation.remaining().equals(Resources.NONE)) {
                 end(reservation, Phase.SUCCEEDED);
@@ -286,7 +286,7 @@
      */
     public boolean hasOthersInTeam(Job job) {
         for (Job owner : byOwner.keySet()) {
-            if (owner != job && owner.team == job.team) {
+            if (owner != job && owner.teamQuota == job.teamQuota) {
                 return true;
             }
         }
--- a/src/main/java/org/woadloom/core/rollout/RecordMigration.java
+++ b/src/main/java/org/woadloom/core/rollout/RecordMigration.java
@@ -125,7 +125,7 @@
                 return false;
             }
             inFlight.get(feature).put(key, job.persistence.nextVersion());
-            job.persistence.requestWrite(PersistenceState.WriteReason.PHASE);
+            job.persistence.requestWrite(PersistenceState.WriteUrgency.TASK_PROGRESS);
             return true;
         }
         Machine machine = state.machines().get(key.substring(StoreKeys.MACHINES.length()));
--- a/src/main/java/org/woadloom/core/slo/ServiceLevelReport.java
+++ b/src/main/java/org/woadloom/core/slo/ServiceLevelReport.java
@@ -79,8 +79,8 @@
 
     /** Notes whether all tasks of the job run or are done; to be called before they are stopped. */
     public void observe(Job job) {
-        if (!job.isOver()
-                && job.runningTasks() + job.completedCount() == job.description.taskCount()
+        if (!job.isTerminal()
+                && job.runningTaskCount() + job.completedTaskCount() == job.description.taskCount()
                 && fullyStarted.add(job)) {
             count(job).fullyStarted++;
         }
@@ -114,7 +114,7 @@
         for (Job job : state.jobs().values()) {
             observe(job);
             largestJobs.observe(job);
-            if (!job.isBlocked() && !job.isOver() && !fullyStarted.contains(job)) {
+            if (!job.isBlocked() && !job.isTerminal() && !fullyStarted.contains(job)) {
                 Count count = count(job);
                 count.longestWaitMicros =
                         Math.max(
--- a/src/main/java/org/woadloom/node/CancellationConfirmer.java
+++ b/src/main/java/org/woadloom/node/CancellationConfirmer.java
@@ -104,7 +104,7 @@
                         DelegationTimeouts.of(
                                         settings.agents().leaseMicros(),
                                         settings.agents().cancelMicros())
-                                .delegationMicros());
+                                .validityMicros());
         confirmed = new ConfirmedCancellations(random.nextLong(), peers, loop.nowMicros());
     }
 
@@ -285,7 +285,7 @@
             LOG.warn(
                     "event=lease_renewal_suspended cancellations_behind_s={} missing_reports={}",
                     behind / 1_000_000,
-                    watermark.laggards(view.cancellationsReadUpToMicros()));
+                    watermark.slowestNodes(view.cancellationsReadUpToMicros()));
         }
         return true;
     }
--- a/src/main/java/org/woadloom/node/DelegatedLeaseRenewer.java
+++ b/src/main/java/org/woadloom/node/DelegatedLeaseRenewer.java
@@ -110,7 +110,7 @@
                     heartbeat.zone(), fencingToken >> AgentLiveness.FENCE_BITS, now)) {
                 return null;
             }
-            if (now - lastLoggedMicros > timeouts.silenceMicros()) {
+            if (now - lastLoggedMicros > timeouts.partitionSilenceMicros()) {
                 lastLoggedMicros = now;
                 LOG.info("event=delegated_lease_renewal machine={}", heartbeat.host());
             }
--- a/src/main/java/org/woadloom/peer/PeerCodec.java
+++ b/src/main/java/org/woadloom/peer/PeerCodec.java
@@ -208,7 +208,7 @@
                 report.term(),
                 report.processId(),
                 report.sentMicros(),
-                report.sinceMicros(),
+                report.completeSinceMicros(),
                 report.echoedLeaderClockMicros(),
                 report.promiseMicros());
         writeTexts(out, report.jobIds());
--- a/src/test/java/org/woadloom/core/SchedulerFixture.java
+++ b/src/test/java/org/woadloom/core/SchedulerFixture.java
@@ -81,7 +81,7 @@
                         fencingToken,
                         -1,
                         List.of());
-        machine.liveness.awaitsAnswerTo(heartbeat, state.nowMicros());
+        machine.liveness.recordHeartbeatArrival(heartbeat, state.nowMicros());
         MessageAge age =
                 machine.liveness.classify(heartbeat, AgentLiveness.NEVER, state.nowMicros());
         machine.liveness.accept(heartbeat, age, AgentLiveness.NEVER, state.nowMicros());
@@ -159,7 +159,7 @@
         TaskAttempt attempt =
                 new TaskAttempt(job, index, machine, state.newAttempt(), 1, state.nowMicros());
         reservations.draw(attempt);
-        job.add(attempt);
+        job.addAttempt(attempt);
         return attempt;
     }
 
--- a/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
@@ -64,7 +64,7 @@
                             clock(),
                             term * 500 * S,
                             clock(),
-                            ConfirmedCancellations.SILENT_PROMISE_MICROS,
+                            ConfirmedCancellations.STORE_OUTAGE_PROMISE_MICROS,
                             List.of()),
                     clock(),
                     clock());
@@ -291,7 +291,7 @@
         long kept = watermarkAfter(watermark, ended + 9 * S);
         assertTrue(kept >= ended + 30 * S, "at " + kept);
         assertEquals(kept, watermarkAfter(watermark, ended + 80 * S));
-        assertEquals(List.of("node"), watermark.laggards(S));
+        assertEquals(List.of("node"), watermark.slowestNodes(S));
     }
 
     private static long watermarkAfter(CancellationWatermark watermark, long started) {
@@ -394,7 +394,7 @@
         }
         WatermarkReport report = told.nextReport("leader", 3, 0, 3 * S);
         assertEquals(2_000, report.jobIds().size());
-        assertEquals(2 * S + 499, report.sinceMicros());
+        assertEquals(2 * S + 499, report.completeSinceMicros());
         told.onAck(new WatermarkAck(3, 1, report.sentMicros(), 3 * S));
         assertFalse(told.tryConfirm("j-499", 3 * S + 1));
         assertTrue(told.tryConfirm("j-500", 3 * S + 1));
@@ -411,9 +411,12 @@
         long before = watermark.watermarkMicros(S);
         List<WatermarkReport> flawed =
                 List.of(
-                        new WatermarkReport(3, 1, 5, 6, WatermarkReport.NONE, 0, List.of()),
-                        new WatermarkReport(3, 1, 5, 5, WatermarkReport.NONE, -1, List.of()),
-                        new WatermarkReport(3, 1, 5, 5, WatermarkReport.NONE, 60 * S, List.of()),
+                        new WatermarkReport(
+                                3, 1, 5, 6, WatermarkReport.NO_LEADER_CLOCK, 0, List.of()),
+                        new WatermarkReport(
+                                3, 1, 5, 5, WatermarkReport.NO_LEADER_CLOCK, -1, List.of()),
+                        new WatermarkReport(
+                                3, 1, 5, 5, WatermarkReport.NO_LEADER_CLOCK, 60 * S, List.of()),
                         new WatermarkReport(3, 1, 5, 5, 11 * S, 0, List.of()));
         for (WatermarkReport report : flawed) {
             assertFalse(CancellationWatermark.validationError(report, 10 * S) == null);
--- a/src/test/java/org/woadloom/core/delegation/DelegationLedgerTest.java
+++ b/src/test/java/org/woadloom/core/delegation/DelegationLedgerTest.java
@@ -31,8 +31,8 @@
     @Test
     void aNodeThatIsInTouchHoldsUpNoProof() {
         inTouch(10 * S);
-        assertTrue(book.lastRenewalMicros("b", 10 * S) < 0);
-        assertEquals(0, book.extraSilenceMicros("b", 10 * S));
+        assertTrue(book.latestPossibleRenewalMicros("b", 10 * S) < 0);
+        assertEquals(0, book.extraSilenceAllowanceMicros("b", 10 * S));
     }
 
     @Test
@@ -46,7 +46,7 @@
                 begins = begins < 0 ? at : begins;
                 ends = at;
                 assertTrue(
-                        book.lastRenewalMicros("b", at) >= at,
+                        book.latestPossibleRenewalMicros("b", at) >= at,
                         "the leader does not reckon with care at " + at);
             }
         }
@@ -55,8 +55,8 @@
                 ends > 37 * S && ends + rules.leaseExpiryMicros() < 9 * S + 52 * S,
                 "ended at " + ends);
         assertTrue(
-                book.lastRenewalMicros("b", 100 * S) >= ends
-                        && book.lastRenewalMicros("b", 100 * S) < 41 * S);
+                book.latestPossibleRenewalMicros("b", 100 * S) >= ends
+                        && book.latestPossibleRenewalMicros("b", 100 * S) < 41 * S);
     }
 
     @Test
@@ -91,7 +91,7 @@
         LeaseDelegate anew = new LeaseDelegate(rules, "b", 2, 30 * S + APART);
         exchange(anew, 32 * S);
         exchange(anew, 33 * S);
-        long last = book.lastRenewalMicros("b", 33 * S);
+        long last = book.latestPossibleRenewalMicros("b", 33 * S);
         assertTrue(last >= 30 * S && last < 31 * S, "last care at " + last);
     }
 
@@ -105,6 +105,6 @@
         LeaseDelegate anew = new LeaseDelegate(rules, "b", 2, 15 * S + APART);
         exchange(anew, 16 * S);
         exchange(anew, 17 * S);
-        assertTrue(book.lastRenewalMicros("b", 17 * S) < 0);
+        assertTrue(book.latestPossibleRenewalMicros("b", 17 * S) < 0);
     }
 }
--- a/src/test/java/org/woadloom/core/jobs/FailoverTest.java
+++ b/src/test/java/org/woadloom/core/jobs/FailoverTest.java
@@ -247,7 +247,7 @@
         table.onRecordNotFound("j-1");
         assertEquals(1, next.allowedTasks(), "what was never sent is gone, the other is there");
         assertTrue(running.isStopping());
-        new JobPersister(fixture.state, table).emitWrites();
+        new JobPersister(fixture.state, table).emitDueRequests();
         assertTrue(
                 fixture.actions().stream()
                         .noneMatch(
@@ -257,7 +257,7 @@
                                                         instanceof SchedulerAction.WriteFinalState),
                 "there is no record to write");
         new TaskLossHandler(fixture.state).remove(running);
-        new JobPersister(fixture.state, table).emitWrites();
+        new JobPersister(fixture.state, table).emitDueRequests();
         assertEquals(2, next.allowedTasks());
         assertFalse(fixture.state.jobs().containsKey("j-1"));
     }
--- a/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
+++ b/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
@@ -63,7 +63,7 @@
                 TaskAttempt attempt =
                         new TaskAttempt(job, index, chosen, 1, 1, fixture.state.nowMicros());
                 reservations.draw(attempt);
-                job.add(attempt);
+                job.addAttempt(attempt);
                 once.onPlaced();
                 placed++;
             }
@@ -151,9 +151,9 @@
             for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
                 if (random.nextInt(3) == 0) {
                     if (random.nextInt(8) > 0) {
-                        job.markCompleted(attempt.index);
+                        job.markCompleted(attempt.taskIndex);
                     }
-                    job.remove(attempt);
+                    job.removeAttempt(attempt);
                 }
             }
             largest = Math.max(largest, Cbor.jsonSize(job.toRecord(1, wave).toMap(format)));
--- a/src/test/java/org/woadloom/core/placement/SteppedSearchTest.java
+++ b/src/test/java/org/woadloom/core/placement/SteppedSearchTest.java
@@ -10,16 +10,16 @@
 
 class SteppedSearchTest {
     private final Job job = new SchedulerFixture().job("j-1", 1, 1, 1);
-    private final SteppedSearch search = new SteppedSearch(10);
+    private final IncrementalSearch search = new IncrementalSearch(10);
 
     @Test
     void aStepExaminesNoMoreThanItMay() {
         search.beginStep();
-        search.count(6);
-        assertTrue(search.allows(4));
-        assertFalse(search.allows(5));
+        search.addExamined(6);
+        assertTrue(search.mayExamine(4));
+        assertFalse(search.mayExamine(5));
         search.beginStep();
-        assertTrue(search.allows(5));
+        assertTrue(search.mayExamine(5));
         assertEquals(6, search.machinesExamined());
     }
 
@@ -27,17 +27,17 @@
     @Test
     void theFirstVisitOfAStepIsAlwaysAllowed() {
         search.beginStep();
-        assertTrue(search.allows(11));
-        search.count(11);
-        assertFalse(search.allows(1));
+        assertTrue(search.mayExamine(11));
+        search.addExamined(11);
+        assertFalse(search.mayExamine(1));
     }
 
     @Test
     void aJobIsVisitedOnceInASearch() {
-        search.visit(job);
+        search.markVisited(job);
         search.beginStep();
         assertTrue(search.isVisited(job));
-        search.end();
+        search.reset();
         assertFalse(search.isVisited(job));
     }
 }
--- a/src/test/java/org/woadloom/core/placement/WaitingJobsReportTest.java
+++ b/src/test/java/org/woadloom/core/placement/WaitingJobsReportTest.java
@@ -51,10 +51,10 @@
         fixture.place(reservations, full, 0, machine);
         fixture.place(reservations, full, 1, machine);
         fixture.job("j-waiting", 2, 1, 3);
-        report.review();
+        report.logIfDue();
         assertFalse(fixture.logged(LogEvent.TASKS_PENDING));
         fixture.advance(40_000_000);
-        report.review();
+        report.logIfDue();
         assertTrue(
                 fixture.logged(
                         LogEvent.TASKS_PENDING,
@@ -63,7 +63,7 @@
                         "waited_s=40",
                         "last_placed_job=j-full"));
         fixture.advance(10_000_000);
-        report.review();
+        report.logIfDue();
         assertFalse(fixture.logged(LogEvent.TASKS_PENDING));
     }
 }
--- a/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
+++ b/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
@@ -88,8 +88,8 @@
         Job array = fixture.ofClass("j-2", "work", 40, false);
         shares.update();
         assertEquals(0, array.allowedTasks());
-        service.remove(service.attempt(0));
-        service.remove(service.attempt(1));
+        service.removeAttempt(service.attempt(0));
+        service.removeAttempt(service.attempt(1));
         shares.update();
         assertEquals(0, service.allowedTasks());
         assertEquals(2, array.allowedTasks());
@@ -111,7 +111,7 @@
         assertEquals(8, service.allowedTasks());
         place(service, 16, 24);
         shares.update();
-        service.remove(service.attempt(0));
+        service.removeAttempt(service.attempt(0));
         shares.update();
         assertEquals(
                 0,
--- a/src/test/java/org/woadloom/core/quota/LostTaskHoldsTest.java
+++ b/src/test/java/org/woadloom/core/quota/LostTaskHoldsTest.java
@@ -40,7 +40,7 @@
     }
 
     private void review() {
-        large.team.reviewLostTasks(fixture.state.nowMicros(), reservations::countFor);
+        large.teamQuota.reviewLostTasks(fixture.state.nowMicros(), reservations::countFor);
     }
 
     /** Guards against a lost task of a started job that waited 109 s behind newer, smaller ones. */
@@ -59,7 +59,7 @@
     void whatIsKeptForOthersDoesNotDelayALostTask() {
         Job waiting = fixture.job("j-turn", 8, 1, 1);
         losses.onLost(attempt, "lease expired");
-        large.team.setTurn(waiting, waiting.taskResources);
+        large.teamQuota.setTurn(waiting, waiting.taskResources);
         review();
         assertEquals(0, waiting.allowedTasks());
         assertEquals(1, large.allowedTasks());
@@ -106,7 +106,7 @@
     @Test
     void aReservationForALostTaskCountsOnce() {
         losses.onLost(attempt, "lease expired");
-        small.remove(small.attempt(0));
+        small.removeAttempt(small.attempt(0));
         reservations.reserve(large, machine, large.taskResources, true, true);
         review();
         assertEquals(1, small.allowedTasks());
--- a/src/test/java/org/woadloom/core/quota/QuotaRotationTest.java
+++ b/src/test/java/org/woadloom/core/quota/QuotaRotationTest.java
@@ -49,7 +49,7 @@
         fixture.advance(105_000_000);
         turns.update();
         for (Job job : running()) {
-            job.remove(job.attempt(0));
+            job.removeAttempt(job.attempt(0));
             fixture.state.removeJob(job);
             nibble();
             turns.update();
@@ -62,7 +62,7 @@
         turns.update();
         assertEquals(0, large.allowedTasks(), "it has begun, and goes by the order again");
         Job next = running()[0];
-        next.remove(next.attempt(0));
+        next.removeAttempt(next.attempt(0));
         assertEquals(1, fixture.job("j-next", 1, 1, 1).allowedTasks());
     }
 
@@ -79,7 +79,7 @@
         for (int i = 0; i < 8; i++) {
             assertEquals(0, older.allowedTasks());
             assertEquals(0, younger.allowedTasks());
-            running[i].remove(running[i].attempt(0));
+            running[i].removeAttempt(running[i].attempt(0));
         }
         assertEquals(1, older.allowedTasks());
         assertEquals(0, younger.allowedTasks());
@@ -116,7 +116,7 @@
         List<Job> small =
                 Arrays.stream(running()).filter(job -> job.taskResources.cpu() < 2_000).toList();
         for (Job job : small.subList(0, count)) {
-            job.remove(job.attempt(0));
+            job.removeAttempt(job.attempt(0));
             fixture.state.removeJob(job);
         }
     }
@@ -162,7 +162,7 @@
         fixture.advance(105_000_000);
         turns.update();
         Job ended = running()[0];
-        ended.remove(ended.attempt(0));
+        ended.removeAttempt(ended.attempt(0));
         fixture.state.removeJob(ended);
         Job small = fixture.job("j-small", 1, 1, 1);
         turns.update();
@@ -187,13 +187,13 @@
         turns.update();
         Job[] running = running();
         for (int i = 0; i < 8; i++) {
-            running[i].remove(running[i].attempt(0));
+            running[i].removeAttempt(running[i].attempt(0));
             fixture.state.removeJob(running[i]);
         }
         fixture.place(reservations, first, 0, machines[0]);
         turns.update();
         for (int i = 8; i < 16; i++) {
-            running[i].remove(running[i].attempt(0));
+            running[i].removeAttempt(running[i].attempt(0));
             fixture.state.removeJob(running[i]);
         }
         assertEquals(0, fixture.job("j-small", 1, 1, 1).allowedTasks());
@@ -213,7 +213,7 @@
         turns.update();
         Job[] running = running();
         for (int i = 0; i < 9; i++) {
-            running[i].remove(running[i].attempt(0));
+            running[i].removeAttempt(running[i].attempt(0));
             fixture.state.removeJob(running[i]);
         }
         Job small = fixture.job("j-small", 1, 1, 1);
@@ -229,7 +229,7 @@
                         && small.allowedTasks() < 2) {
                     fixture.place(reservations, job, 0, machines[0]);
                     turns.update();
-                    job.remove(job.attempt(0));
+                    job.removeAttempt(job.attempt(0));
                     fixture.state.removeJob(job);
                     begun++;
                     break;
@@ -252,7 +252,7 @@
         fixture.advance(105_000_000);
         turns.update();
         Job ended = running()[0];
-        ended.remove(ended.attempt(0));
+        ended.removeAttempt(ended.attempt(0));
         fixture.state.removeJob(ended);
         Job small = fixture.job("j-small", 1, 1, 1);
         int waitedS = 0;
--- a/src/test/java/org/woadloom/core/reservation/ReservationsTest.java
+++ b/src/test/java/org/woadloom/core/reservation/ReservationsTest.java
@@ -40,7 +40,7 @@
         fixture.place(reservations, owner, 0, machine);
         assertEquals(Phase.SUCCEEDED, reservation.phase());
         assertEquals(amount(14, 30), reservations.unreserved(machine, fixture.job("j-2", 2, 2, 1)));
-        assertEquals(amount(2, 2), owner.team.used());
+        assertEquals(amount(2, 2), owner.teamQuota.used());
     }
 
     @Test
@@ -61,7 +61,7 @@
         assertEquals(amount(4, 0), reservation.remaining());
         fixture.place(reservations, owner, 1, machine);
         assertEquals(Phase.SUCCEEDED, reservation.phase());
-        assertEquals(amount(8, 0), owner.team.used());
+        assertEquals(amount(8, 0), owner.teamQuota.used());
     }
 
     @Test
@@ -98,7 +98,7 @@
         Reservation waiting = reservations.reserve(owner, machine, amount(8, 0), true, true);
         assertEquals(Phase.WAITING, waiting.phase());
         assertNull(reservations.match(owner, machine));
-        running.remove(attempt);
+        running.removeAttempt(attempt);
         reservations.updatePhases();
         assertEquals(Phase.AVAILABLE, waiting.phase());
     }
@@ -114,7 +114,7 @@
         assertEquals(java.util.List.of(lost), reservations.updatePhases());
         assertEquals(Phase.FAILED, lost.phase());
         assertEquals(Phase.AVAILABLE, kept.phase());
-        assertEquals(amount(4, 0), owner.team.used());
+        assertEquals(amount(4, 0), owner.teamQuota.used());
     }
 
     @Test
@@ -123,7 +123,7 @@
         Reservation reservation = reservations.reserve(owner, machine, amount(4, 0), true, false);
         machine.decommission();
         assertEquals(java.util.List.of(reservation), reservations.updatePhases());
-        assertEquals(Resources.NONE, owner.team.used());
+        assertEquals(Resources.NONE, owner.teamQuota.used());
     }
 
     @Test
--- a/src/test/java/org/woadloom/peer/PeerFramesGoldenTest.java
+++ b/src/test/java/org/woadloom/peer/PeerFramesGoldenTest.java
@@ -50,7 +50,13 @@
                 "18 vouch",
                 new PeerMessage.CancellationReport(
                         new WatermarkReport(
-                                1, 2, 3, 4, WatermarkReport.NONE, 6, List.of("j-1", "j-2"))));
+                                1,
+                                2,
+                                3,
+                                4,
+                                WatermarkReport.NO_LEADER_CLOCK,
+                                6,
+                                List.of("j-1", "j-2"))));
         all.put(
                 "19 vouch taken",
                 new PeerMessage.CancellationReportAck(new WatermarkAck(1, 2, 3, 4)));
--- a/src/test/java/org/woadloom/sim/ClusterSimulation.java
+++ b/src/test/java/org/woadloom/sim/ClusterSimulation.java
@@ -363,7 +363,7 @@
                                         v.term(),
                                         v.processId(),
                                         v.sentMicros(),
-                                        v.sinceMicros(),
+                                        v.completeSinceMicros(),
                                         v.echoedLeaderClockMicros(),
                                         v.promiseMicros(),
                                         List.of()));
--- a/src/test/java/org/woadloom/sim/ServiceLevelTest.java
+++ b/src/test/java/org/woadloom/sim/ServiceLevelTest.java
@@ -122,7 +122,7 @@
                         0,
                         fixture.state.nowMicros());
         inherited.onRecovered();
-        inherited.job.add(inherited);
+        inherited.job.addAttempt(inherited);
         fixture.state.serviceLevels().review();
         assertTrue(
                 fixture.logged(
