--- a/src/main/java/org/woadloom/cli/RolloutCommand.java
+++ b/src/main/java/org/woadloom/cli/RolloutCommand.java
@@ -60,7 +60,7 @@
                                 .argName("NAME")
                                 .desc(
                                         "the feature that is asked for: "
-                                                + String.join(", ", Feature.known()))
+                                                + String.join(", ", Feature.allKeys()))
                                 .build())
                 .addOption(
                         Option.builder()
@@ -97,7 +97,7 @@
             }
         }
         throw new UsageException(
-                "--feature: expected one of " + String.join(", ", Feature.known()));
+                "--feature: expected one of " + String.join(", ", Feature.allKeys()));
     }
 
     /** What can no longer be done is refused here; the leader refuses it as well. */
@@ -105,7 +105,8 @@
             throws IOException, InterruptedException, MalformedMessageException {
         Standing standing = record(list(address)).of(feature.key());
         if (verb == Verb.BACK
-                && (standing.step() == Step.SETTLED || (standing.on() && !feature.revocable()))) {
+                && (standing.step() == Step.SETTLED
+                        || (standing.on() && !feature.canBeRolledBack()))) {
             System.err.println(
                     "woadloom: "
                             + feature.key()
@@ -162,10 +163,10 @@
         for (Feature feature : Feature.values()) {
             System.out.printf(
                     "%s writes %s; can be read by %s and later%n",
-                    feature.key(), feature.writes(), feature.leastReader());
+                    feature.key(), feature.writtenFormat(), feature.earliestReader());
         }
         Set<String> unknown = record.requires();
-        unknown.removeAll(Feature.known());
+        unknown.removeAll(Feature.allKeys());
         if (!unknown.isEmpty()) {
             System.out.println(
                     "required and not known to this version: " + String.join(", ", unknown));
--- a/src/main/java/org/woadloom/core/LeaderTerm.java
+++ b/src/main/java/org/woadloom/core/LeaderTerm.java
@@ -168,8 +168,8 @@
         }
         if (state.nowMicros() >= nextForgetMicros) {
             nextForgetMicros = state.nowMicros() + FORGET_INTERVAL_MICROS;
-            machines.forget();
-            heartbeats.forget();
+            machines.forgetDeletedMachines();
+            heartbeats.dropForgottenMachines();
         }
         state.dependencies().review();
         if (isPlacementDue()) {
@@ -310,7 +310,7 @@
 
     @Override
     public void onRolloutStateRead(SchedulerEvent.RolloutStateRead event) {
-        rollout.latest(event);
+        rollout.onStateRead(event);
     }
 
     @Override
--- a/src/main/java/org/woadloom/core/autoscaling/MachineListing.java
+++ b/src/main/java/org/woadloom/core/autoscaling/MachineListing.java
@@ -36,7 +36,7 @@
      * left out: it may only be new to a list that lags further behind.
      */
     boolean isMissing(Machine machine) {
-        if (!machine.isKnownAlive() && !machine.isReportedRecorded()) {
+        if (!machine.isKnownAlive() && !machine.isHeartbeatRecorded()) {
             return false;
         }
         long existsSinceMicros = Math.max(machine.rentedMicros(), state.startedMicros());
--- a/src/main/java/org/woadloom/core/autoscaling/MachineLossDetector.java
+++ b/src/main/java/org/woadloom/core/autoscaling/MachineLossDetector.java
@@ -81,7 +81,7 @@
 
     /** Its agent would have found this leader by now. */
     private boolean wasUpUnderEarlierLeader(Machine machine) {
-        return (machine.isReportedRecorded()
+        return (machine.isHeartbeatRecorded()
                         && sinceAliveMicros(machine)
                                 > state.delegationTimeouts().leaseExpiryMicros())
                 || listing.isMissing(machine);
@@ -181,7 +181,7 @@
             return false;
         }
         long timeoutMicros = BOOT_TIMES * machine.type().bootMicros() + BOOT_MARGIN_MICROS;
-        if (machine.isLifecycleKnown() && !machine.isReportedRecorded()) {
+        if (machine.isRentalTimeRecorded() && !machine.isHeartbeatRecorded()) {
             // No leader has heard from it since it was rented; this one has waited for a heartbeat
             // that may be under way.
             return state.nowMicros() - machine.rentedMicros() > timeoutMicros
@@ -203,7 +203,7 @@
                         + state.delegations().extraSilenceMicros(machine.zone, state.nowMicros());
         long silentMicros = sinceAliveMicros(machine);
         boolean wasUp =
-                machine.isKnownAlive() || (machine.isEmpty() && machine.isReportedRecorded());
+                machine.isKnownAlive() || (machine.isEmpty() && machine.isHeartbeatRecorded());
         if (!wasUp) {
             return !machine.isEmpty()
                     && silentMicros > leaseOverMicros + LOST_WITH_RECOVERED_TASKS_MICROS;
--- a/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
+++ b/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
@@ -53,7 +53,7 @@
     private ZoneCounts count() {
         ZoneCounts counts = new ZoneCounts();
         for (Machine machine : state.machines().values()) {
-            boolean wasUp = machine.isKnownAlive() || machine.isReportedRecorded();
+            boolean wasUp = machine.isKnownAlive() || machine.isHeartbeatRecorded();
             if (!wasUp || machine.isDeleted() || machine.isDecommissioning()) {
                 continue;
             }
--- a/src/main/java/org/woadloom/core/machines/AgentProber.java
+++ b/src/main/java/org/woadloom/core/machines/AgentProber.java
@@ -107,7 +107,7 @@
      */
     private boolean isSilent(Machine machine) {
         boolean known =
-                machine.isKnownAlive() || machine.isReportedRecorded() || !machine.isEmpty();
+                machine.isKnownAlive() || machine.isHeartbeatRecorded() || !machine.isEmpty();
         long since = Math.max(machine.liveness.lastHeartbeatMicros(), state.startedMicros());
         return known
                 && !machine.isDecommissioning()
--- a/src/main/java/org/woadloom/core/machines/DirectCommands.java
+++ b/src/main/java/org/woadloom/core/machines/DirectCommands.java
@@ -119,7 +119,7 @@
         }
         starts.removeIf(attempt -> attempt.job.attempt(attempt.index) != attempt);
         if (result.heartbeat() != null
-                && heartbeats.hasSeenLaterTerm(machine, result.heartbeat())) {
+                && heartbeats.stepDownIfLaterTerm(machine, result.heartbeat())) {
             return;
         }
         if (result.status() == STATUS_OK && result.heartbeat() != null) {
--- a/src/main/java/org/woadloom/core/machines/HeartbeatHandler.java
+++ b/src/main/java/org/woadloom/core/machines/HeartbeatHandler.java
@@ -37,7 +37,7 @@
     public void onHeartbeat(SchedulerEvent.HeartbeatReceived event) {
         Heartbeat heartbeat = event.heartbeat();
         Machine machine = findOrCreateMachine(heartbeat);
-        if (hasSeenLaterTerm(machine, heartbeat)) {
+        if (stepDownIfLaterTerm(machine, heartbeat)) {
             return;
         }
         if (!machine.liveness.awaitsAnswerTo(heartbeat, state.nowMicros())) {
@@ -75,7 +75,7 @@
      * True if the agent has seen a token of a later leader; this one then steps down. A higher
      * token of this term was issued to a machine of that name that has been forgotten since.
      */
-    public boolean hasSeenLaterTerm(Machine machine, Heartbeat heartbeat) {
+    public boolean stepDownIfLaterTerm(Machine machine, Heartbeat heartbeat) {
         if (heartbeat.fencingToken() <= machine.liveness.fencingToken()) {
             return false;
         }
@@ -180,7 +180,7 @@
     }
 
     /** Drops what is kept for machines that are no longer known. */
-    public void forget() {
+    public void dropForgottenMachines() {
         acknowledgements.retainMachines(state.machines().keySet());
     }
 }
--- a/src/main/java/org/woadloom/core/machines/LeaseExpiry.java
+++ b/src/main/java/org/woadloom/core/machines/LeaseExpiry.java
@@ -26,7 +26,7 @@
         for (Machine machine : state.machines().values()) {
             if (machine.isUp()
                     && !machine.isDeleted()
-                    && isLeaseOver(machine.lastAnsweredMicros())
+                    && isLeaseOver(machine.lastLeaseRenewalMicros())
                     && isLeaseOver(lastDelegatedRenewalMicros(machine.zone, delegatedRenewals))) {
                 expire(machine);
             }
--- a/src/main/java/org/woadloom/core/machines/Machine.java
+++ b/src/main/java/org/woadloom/core/machines/Machine.java
@@ -41,16 +41,16 @@
 
     private final SchedulerState state;
     private final ResourceAccount resources = new ResourceAccount();
-    private final boolean lifecycleKnown;
+    private final boolean rentalTimeRecorded;
     private MachineType type;
     private String address = "";
     private boolean confirmed;
     private long rentedMicros;
     private long idleSinceMicros;
-    private long lastAnsweredMicros = UNKNOWN_MICROS;
+    private long lastLeaseRenewalMicros = UNKNOWN_MICROS;
     private long spotTerminationMicros = UNKNOWN_MICROS;
     private long quarantinedUntilMicros;
-    private long refusesUntilMicros;
+    private long placementPausedUntilMicros;
 
     /** A machine of which the record is stored, or that was rented, listed, or named. */
     public Machine(MachineRecord record, SchedulerState state) {
@@ -63,7 +63,7 @@
         this.liveness = new AgentLiveness(state.term(), state.minFence(), state.livenessTimeouts());
         this.recordState = new MachineRecordState(record);
         this.lifecycle = new MachineLifecycle(record.decommissioning());
-        this.lifecycleKnown = record.lifecycle() != null;
+        this.rentalTimeRecorded = record.lifecycle() != null;
         this.rentedMicros = state.nowMicros() - rentedForMicros(record, state);
         this.idleSinceMicros = state.nowMicros();
     }
@@ -104,7 +104,7 @@
                 state.recordsMachineLifecycle()
                         ? new MachineRecord.Lifecycle(
                                 state.wallMicros() - (state.nowMicros() - rentedMicros),
-                                isKnownAlive() || isReportedRecorded())
+                                isKnownAlive() || isHeartbeatRecorded())
                         : null;
         return new MachineRecord(
                 host, machineType, zone, spot, isDecommissioning(), recordedLifecycle);
@@ -120,7 +120,7 @@
     }
 
     /** True while a write, read or deletion of the record is under way. */
-    public boolean isWriting() {
+    public boolean isRecordRequestInFlight() {
         return recordState.isRequestInFlight();
     }
 
@@ -130,7 +130,7 @@
     }
 
     /** Has the record written in the form that is in force now. */
-    public void rewriteNeeded() {
+    public void requestRewrite() {
         recordState.requestRewrite();
         markForPersistence();
     }
@@ -141,13 +141,13 @@
     }
 
     /** True if the stored record says that an agent on the machine has reported. */
-    public boolean isReportedRecorded() {
+    public boolean isHeartbeatRecorded() {
         return recordState.isReportedRecorded();
     }
 
     /** True if the record, and not only this leader, knows since when the machine is rented. */
-    public boolean isLifecycleKnown() {
-        return lifecycleKnown;
+    public boolean isRentalTimeRecorded() {
+        return rentalTimeRecorded;
     }
 
     // Lifecycle
@@ -215,13 +215,13 @@
     }
 
     /** When a heartbeat of the agent was last answered, which renewed its lease, or -1. */
-    public long lastAnsweredMicros() {
-        return lastAnsweredMicros;
+    public long lastLeaseRenewalMicros() {
+        return lastLeaseRenewalMicros;
     }
 
     /** The agent's lease may run from now, as its heartbeat is answered or it was restarted. */
     void onLeaseRenewed() {
-        lastAnsweredMicros = state.nowMicros();
+        lastLeaseRenewalMicros = state.nowMicros();
     }
 
     /**
@@ -266,12 +266,12 @@
     }
 
     /** Until when it gets no tasks because it refused one. */
-    public long refusesUntilMicros() {
-        return refusesUntilMicros;
+    public long placementPausedUntilMicros() {
+        return placementPausedUntilMicros;
     }
 
     void pausePlacementUntil(long micros) {
-        refusesUntilMicros = micros;
+        placementPausedUntilMicros = micros;
     }
 
     // Attempts and resources
@@ -340,8 +340,8 @@
     }
 
     /** To be called when the priority of a task's job has changed. */
-    public void onPriorityChanged(TaskAttempt attempt, Priority before) {
-        resources.onPriorityChanged(attempt, before);
+    public void onPriorityChanged(TaskAttempt attempt, Priority previous) {
+        resources.onPriorityChanged(attempt, previous);
     }
 
     /** True if resources will come free here without anything more being stopped. */
--- a/src/main/java/org/woadloom/core/machines/MachineRegistry.java
+++ b/src/main/java/org/woadloom/core/machines/MachineRegistry.java
@@ -177,7 +177,7 @@
      * Forgets deleted machines once the list, which lags, can no longer show them, and names that
      * no agent has answered for.
      */
-    public void forget() {
+    public void forgetDeletedMachines() {
         long keepMicros =
                 FORGET_LIST_LAGS * state.settings().listLagMicros() + FORGET_MARGIN_MICROS;
         state.forgetMachinesIf(machine -> isForgettable(machine, keepMicros));
@@ -189,7 +189,7 @@
         }
         return machine.isDeleted()
                 && !machine.isRecorded()
-                && !machine.isWriting()
+                && !machine.isRecordRequestInFlight()
                 && state.nowMicros() - machine.liveness.lastAliveMicros() > keepMicros;
     }
 }
--- a/src/main/java/org/woadloom/core/placement/PlacementConstraints.java
+++ b/src/main/java/org/woadloom/core/placement/PlacementConstraints.java
@@ -57,7 +57,7 @@
                 && machine.isUp()
                 && machine.spotTerminationMicros() < 0
                 && machine.quarantinedUntilMicros() <= state.nowMicros()
-                && machine.refusesUntilMicros() <= state.nowMicros()
+                && machine.placementPausedUntilMicros() <= state.nowMicros()
                 && !isSilent(machine)
                 && !machine.liveness.isSuspect(state.nowMicros());
     }
--- a/src/main/java/org/woadloom/core/rollout/ClusterMembership.java
+++ b/src/main/java/org/woadloom/core/rollout/ClusterMembership.java
@@ -11,7 +11,7 @@
  */
 public final class ClusterMembership {
     private final Set<String> supported;
-    private boolean isKnown;
+    private boolean isRecordRead;
     private Set<String> missingFeatures = Set.of();
 
     /** Why the record can't be read, or null. */
@@ -26,7 +26,7 @@
 
     /** The record was read after this process announced itself. */
     public void onRecordRead() {
-        isKnown = true;
+        isRecordRead = true;
     }
 
     /** The record that stands in the store now has a form that is known here. */
@@ -36,11 +36,11 @@
 
     /** The announcement expired: others may have moved on without this process. */
     public void onAnnouncementLost() {
-        isKnown = false;
+        isRecordRead = false;
     }
 
     /** The features that the record requires, as it was read or as a peer reports it. */
-    public void setRequired(Set<String> names) {
+    public void setRequiredFeatures(Set<String> names) {
         Set<String> missing = new TreeSet<>(names);
         missing.removeAll(supported);
         missingFeatures = missing;
@@ -52,8 +52,8 @@
     }
 
     /** Whether the record was read since this process announced itself. */
-    public boolean isKnown() {
-        return isKnown;
+    public boolean isRecordRead() {
+        return isRecordRead;
     }
 
     /** What is required and not supported here; while there is any, this process must not serve. */
@@ -63,6 +63,6 @@
 
     /** Whether this process may take users' requests and terms. */
     public boolean mayServe() {
-        return isKnown && missingFeatures().isEmpty();
+        return isRecordRead && missingFeatures().isEmpty();
     }
 }
--- a/src/main/java/org/woadloom/core/rollout/Feature.java
+++ b/src/main/java/org/woadloom/core/rollout/Feature.java
@@ -30,7 +30,7 @@
             StoreKeys.JOBS,
             value -> JobRecord.formatOf(value) == RecordFormat.COMPACT),
     /** Leases are renewed in a zone that is cut off. */
-    ZONE_CARE(
+    LEASE_DELEGATION(
             "zone-care",
             "peer frames 16 and 17",
             "version 3",
@@ -41,7 +41,7 @@
             null,
             value -> true),
     /** Records of machines say when they were rented and whether they ever came up. */
-    MACHINE_LIFE(
+    MACHINE_LIFECYCLE(
             "machine-life",
             "machine/ with at and up; earlier versions pass over both",
             "version 1",
@@ -52,7 +52,7 @@
             StoreKeys.MACHINES,
             MachineRecord::hasLifecycle),
     /** Nodes vouch to the leader for the cancellations that they confirm. */
-    CANCELLATION_VOUCHES(
+    CANCELLATION_REPORTS(
             "cancellation-vouches",
             "peer frames 18 and 19",
             "the first version that lists it",
@@ -64,76 +64,76 @@
             value -> true);
 
     private final String key;
-    private final String writes;
-    private final String leastReader;
+    private final String writtenFormat;
+    private final String earliestReader;
     private final long agreedVersion;
-    private final boolean revocable;
+    private final boolean canBeRolledBack;
     private final boolean soaks;
-    private final Set<String> needs;
-    private final String prefix;
-    private final Predicate<Map<String, Object>> fresh;
+    private final Set<String> prerequisites;
+    private final String recordPrefix;
+    private final Predicate<Map<String, Object>> featureFormat;
 
     /**
-     * @param leastReader the earliest version that reads what it writes without harm
+     * @param earliestReader the earliest version that reads what it writes without harm
      * @param agreedVersion the number under which versions 2 and 3 agree on it, 0 for none; they
      *     never take that back
-     * @param revocable whether it can be taken back while it is on and not settled
+     * @param canBeRolledBack whether it can be taken back while it is on and not settled
      * @param soaks whether it waits for a time without trouble, and is taken back by itself in
      *     trouble; one that keeps a rule without writing records does neither
-     * @param prefix where its records are, or null if it has none
-     * @param fresh whether a stored record is of its form
+     * @param recordPrefix where its records are, or null if it has none
+     * @param featureFormat whether a stored record is of its form
      */
     Feature(
             String key,
-            String writes,
-            String leastReader,
+            String writtenFormat,
+            String earliestReader,
             long agreedVersion,
-            boolean revocable,
+            boolean canBeRolledBack,
             boolean soaks,
-            Set<String> needs,
-            String prefix,
-            Predicate<Map<String, Object>> fresh) {
+            Set<String> prerequisites,
+            String recordPrefix,
+            Predicate<Map<String, Object>> featureFormat) {
         this.key = key;
-        this.writes = writes;
-        this.leastReader = leastReader;
+        this.writtenFormat = writtenFormat;
+        this.earliestReader = earliestReader;
         this.agreedVersion = agreedVersion;
-        this.revocable = revocable;
+        this.canBeRolledBack = canBeRolledBack;
         this.soaks = soaks;
-        this.needs = needs;
-        this.prefix = prefix;
-        this.fresh = fresh;
+        this.prerequisites = prerequisites;
+        this.recordPrefix = recordPrefix;
+        this.featureFormat = featureFormat;
     }
 
     public String key() {
         return key;
     }
 
-    public String writes() {
-        return writes;
+    public String writtenFormat() {
+        return writtenFormat;
     }
 
-    public String leastReader() {
-        return leastReader;
+    public String earliestReader() {
+        return earliestReader;
     }
 
     public long agreedVersion() {
         return agreedVersion;
     }
 
-    public boolean revocable() {
-        return revocable;
+    public boolean canBeRolledBack() {
+        return canBeRolledBack;
     }
 
-    public Set<String> needs() {
-        return needs;
+    public Set<String> prerequisites() {
+        return prerequisites;
     }
 
-    public String prefix() {
-        return prefix;
+    public String recordPrefix() {
+        return recordPrefix;
     }
 
-    public boolean fresh(Map<String, Object> record) {
-        return fresh.test(record);
+    public boolean isInFeatureFormat(Map<String, Object> record) {
+        return featureFormat.test(record);
     }
 
     boolean soaks() {
@@ -147,7 +147,7 @@
     }
 
     /** The names of all features that this program knows. */
-    public static Set<String> known() {
+    public static Set<String> allKeys() {
         return keys(EnumSet.allOf(Feature.class));
     }
 }
--- a/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
+++ b/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
@@ -81,7 +81,7 @@
     }
 
     /** Takes in the state of the rollout, unless it is older than what is known. */
-    public void latest(SchedulerEvent.RolloutStateRead now) {
+    public void onStateRead(SchedulerEvent.RolloutStateRead now) {
         if (latest != null && now.record().number() < latest.record().number()) {
             return;
         }
@@ -140,7 +140,7 @@
         if (!standing.equals(count.standing)) {
             count.standing = standing;
             count.sinceMicros = state.nowMicros();
-            count.confirmed = feature.prefix() == null;
+            count.confirmed = feature.recordPrefix() == null;
             count.asked = false;
             count.againMicros = 0;
             migration.forget(feature);
--- a/src/main/java/org/woadloom/core/rollout/RecordMigration.java
+++ b/src/main/java/org/woadloom/core/rollout/RecordMigration.java
@@ -59,7 +59,7 @@
      * later.
      */
     boolean isQuiet(Feature feature, boolean on) {
-        if (feature != Feature.MACHINE_LIFE) {
+        if (feature != Feature.MACHINE_LIFECYCLE) {
             return true;
         }
         return state.recordsMachineLifecycle() == on
@@ -112,7 +112,9 @@
                             : null;
             if ((job == null && machine == null)
                     || (job != null && job.persistence.durableVersion() >= one.getValue())
-                    || (machine != null && !machine.isRewriteNeeded() && !machine.isWriting())) {
+                    || (machine != null
+                            && !machine.isRewriteNeeded()
+                            && !machine.isRecordRequestInFlight())) {
                 all.remove();
             }
         }
@@ -133,7 +135,7 @@
             return false;
         }
         inFlight.get(feature).put(key, 0L);
-        machine.rewriteNeeded();
+        machine.requestRewrite();
         return true;
     }
 
@@ -148,12 +150,12 @@
             }
             if (machine.isKnownAlive()
                     && machine.isRecorded()
-                    && !machine.isReportedRecorded()
+                    && !machine.isHeartbeatRecorded()
                     && !machine.isRewriteNeeded()
-                    && !machine.isWriting()
+                    && !machine.isRecordRequestInFlight()
                     && !machine.isDecommissioning()
                     && !machine.isDeleted()) {
-                machine.rewriteNeeded();
+                machine.requestRewrite();
                 allowance--;
             }
         }
--- a/src/main/java/org/woadloom/core/rollout/RolloutPolicy.java
+++ b/src/main/java/org/woadloom/core/rollout/RolloutPolicy.java
@@ -78,7 +78,7 @@
                         && (current.held()
                                 || (situation.troubled
                                         && current.step() == Step.ON
-                                        && feature.revocable()
+                                        && feature.canBeRolledBack()
                                         && feature.soaks()));
         if (situation.requested == Verb.BACK || held) {
             return rollBack(feature, situation, current, held, wallMicros);
@@ -115,7 +115,7 @@
         if (!unable.isEmpty()) {
             return Decision.waiting("not for " + unable + " to act upon, by settings or version");
         }
-        for (String needed : feature.needs()) {
+        for (String needed : feature.prerequisites()) {
             if (!situation.record.of(needed).on()) {
                 return Decision.waiting(needed + " is not on");
             }
@@ -150,11 +150,11 @@
             case OFF -> Decision.waiting(reason + ": off");
             case SETTLED -> Decision.waiting("settled, can't be taken back");
             case ON -> {
-                if (!feature.revocable()) {
+                if (!feature.canBeRolledBack()) {
                     yield Decision.waiting("on, can't be taken back");
                 }
                 for (Feature other : Feature.values()) {
-                    if (other.needs().contains(feature.key())
+                    if (other.prerequisites().contains(feature.key())
                             && situation.record.of(other.key()).required()) {
                         yield Decision.waiting("needed by " + other.key());
                     }
--- a/src/main/java/org/woadloom/node/Node.java
+++ b/src/main/java/org/woadloom/node/Node.java
@@ -211,11 +211,11 @@
     }
 
     private void onRolloutChanged() {
-        if (rollout.isOn(Feature.ZONE_CARE) && operator.care()) {
+        if (rollout.isOn(Feature.LEASE_DELEGATION) && operator.care()) {
             delegatedRenewer.enable();
         }
-        confirmations.setEnabled(rollout.isOn(Feature.CANCELLATION_VOUCHES));
-        if (!rollout.mayBeOn(Feature.CANCELLATION_VOUCHES)) {
+        confirmations.setEnabled(rollout.isOn(Feature.CANCELLATION_REPORTS));
+        if (!rollout.mayBeOn(Feature.CANCELLATION_REPORTS)) {
             confirmations.onNeverEnabled();
         }
         if (rollout.closedReason() != null) {
--- a/src/main/java/org/woadloom/node/NodeAnnouncer.java
+++ b/src/main/java/org/woadloom/node/NodeAnnouncer.java
@@ -113,7 +113,7 @@
         NodeAnnouncement announcement =
                 new NodeAnnouncement(
                         processId,
-                        Feature.known(),
+                        Feature.allKeys(),
                         Feature.keys(usableFeatures),
                         members,
                         consecutiveStarts(predecessor),
--- a/src/main/java/org/woadloom/node/RolloutActions.java
+++ b/src/main/java/org/woadloom/node/RolloutActions.java
@@ -61,7 +61,7 @@
     void countRecords(SchedulerAction.CountRecords count, Outcome outcome) {
         store.list(
                 RequestPriority.BACKGROUND,
-                count.feature().prefix(),
+                count.feature().recordPrefix(),
                 (result, entries, storeRevision) -> {
                     List<String> old = new ArrayList<>();
                     List<String> unreadable = new ArrayList<>();
@@ -74,7 +74,8 @@
                                         entry.path().substring(StoreKeys.MACHINES.length()),
                                         entry.value());
                             }
-                            if (count.feature().fresh(entry.value()) == count.rollingBack()) {
+                            if (count.feature().isInFeatureFormat(entry.value())
+                                    == count.rollingBack()) {
                                 old.add(entry.path());
                             }
                         } catch (MalformedMessageException e) {
--- a/src/main/java/org/woadloom/node/RolloutParticipant.java
+++ b/src/main/java/org/woadloom/node/RolloutParticipant.java
@@ -47,7 +47,7 @@
 
     private final EventLoop loop;
     private final Runnable onChanged;
-    private final ClusterMembership membership = new ClusterMembership(Feature.known());
+    private final ClusterMembership membership = new ClusterMembership(Feature.allKeys());
     private final NodeAnnouncer announcer;
     private final RolloutWatcher watcher;
     private final AgreedVersion agreedVersion;
@@ -85,7 +85,7 @@
         this.onChanged = onChanged;
         EnumSet<Feature> usableFeatures = EnumSet.allOf(Feature.class);
         if (!operator.care()) {
-            usableFeatures.remove(Feature.ZONE_CARE);
+            usableFeatures.remove(Feature.LEASE_DELEGATION);
         }
         Set<String> members = new TreeSet<>();
         members.add(settings.label());
@@ -154,7 +154,7 @@
 
     /** True once this process has announced itself and read what is required. */
     boolean isKnown() {
-        return membership.isKnown();
+        return membership.isRecordRead();
     }
 
     /** Why this process must not serve, or null. */
@@ -187,7 +187,7 @@
     /** A node that sends messages of delegation knows that it may. */
     void onDelegationMessage() {
         enable(Feature.COMPACT_RECORDS);
-        enable(Feature.ZONE_CARE);
+        enable(Feature.LEASE_DELEGATION);
     }
 
     /**
@@ -205,7 +205,7 @@
                 number,
                 List.copyOf(Feature.keys(enabled)),
                 List.copyOf(required),
-                List.copyOf(Feature.known()));
+                List.copyOf(Feature.allKeys()));
     }
 
     /**
@@ -226,7 +226,7 @@
         for (Feature feature : Feature.values()) {
             if (view.on().contains(feature.key())) {
                 enable(feature);
-            } else if (feature.revocable() && enabled.remove(feature)) {
+            } else if (feature.canBeRolledBack() && enabled.remove(feature)) {
                 onChanged.run();
             }
         }
@@ -252,7 +252,7 @@
         for (Feature feature : Feature.values()) {
             if (record.of(feature.key()).on()) {
                 enable(feature);
-            } else if (feature.revocable() && enabled.remove(feature)) {
+            } else if (feature.canBeRolledBack() && enabled.remove(feature)) {
                 LOG.info("event=feature_off feature={}", feature.key());
                 onChanged.run();
             }
@@ -285,7 +285,7 @@
     private void setRequired(long ofNumber, Set<String> features) {
         number = ofNumber;
         required = features;
-        membership.setRequired(features);
+        membership.setRequiredFeatures(features);
         updateClosed();
     }
 
--- a/src/main/java/org/woadloom/node/SchedulerStatusFeed.java
+++ b/src/main/java/org/woadloom/node/SchedulerStatusFeed.java
@@ -57,7 +57,7 @@
                         rollout.format(),
                         sentWritesPerSecond,
                         delegatedRenewer.isEnabled(),
-                        rollout.isOn(Feature.MACHINE_LIFE)));
+                        rollout.isOn(Feature.MACHINE_LIFECYCLE)));
     }
 
     void sendStoreLimitsIfRateChanged() {
--- a/src/test/java/org/woadloom/core/rollout/RolloutExplorer.java
+++ b/src/test/java/org/woadloom/core/rollout/RolloutExplorer.java
@@ -36,7 +36,7 @@
         LATE_RECORD
     }
 
-    private static final Feature FEATURE = Feature.MACHINE_LIFE;
+    private static final Feature FEATURE = Feature.MACHINE_LIFECYCLE;
     private static final int NODES = 3;
 
     private enum Phase {
@@ -344,7 +344,7 @@
             labels.add(label);
             Word word = s.members.get(i).word;
             if (word != Word.NONE) {
-                Set<String> reads = word == Word.NEW ? Feature.known() : Set.of();
+                Set<String> reads = word == Word.NEW ? Feature.allKeys() : Set.of();
                 words.put(label, new NodeAnnouncement(i, reads, reads, labels, 1, 0));
             }
         }
@@ -494,8 +494,8 @@
     }
 
     private static boolean serves(State s, Member m) {
-        ClusterMembership belonging = new ClusterMembership(m.fresh ? Feature.known() : Set.of());
-        belonging.setRequired(record(s).requires());
+        ClusterMembership belonging = new ClusterMembership(m.fresh ? Feature.allKeys() : Set.of());
+        belonging.setRequiredFeatures(record(s).requires());
         belonging.onRecordRead();
         return belonging.mayServe();
     }
--- a/src/test/java/org/woadloom/sim/LoopbackTest.java
+++ b/src/test/java/org/woadloom/sim/LoopbackTest.java
@@ -80,7 +80,12 @@
         assertEquals(503, submit("j-3", "batch", List.of("j-1")));
         NodeAnnouncement announcement =
                 new NodeAnnouncement(
-                        7, Feature.known(), Feature.known(), Set.of("other", "rehearsal"), 1, 0);
+                        7,
+                        Feature.allKeys(),
+                        Feature.allKeys(),
+                        Set.of("other", "rehearsal"),
+                        1,
+                        0);
         assertEquals(
                 200,
                 ask(
--- a/src/test/java/org/woadloom/sim/RolloutTest.java
+++ b/src/test/java/org/woadloom/sim/RolloutTest.java
@@ -46,7 +46,7 @@
     }
 
     private static Step step(ClusterSimulation cluster) {
-        return standing(cluster, Feature.MACHINE_LIFE).step();
+        return standing(cluster, Feature.MACHINE_LIFECYCLE).step();
     }
 
     private static void ask(ClusterSimulation cluster, Verb verb) {
@@ -71,7 +71,7 @@
         assertEquals(0, cluster.machineRecords()[1]);
         ask(cluster, Verb.GO);
         cluster.run(24 * SECOND);
-        assertTrue(standing(cluster, Feature.MACHINE_LIFE).on(), "hurried");
+        assertTrue(standing(cluster, Feature.MACHINE_LIFECYCLE).on(), "hurried");
         ask(cluster, Verb.BACK);
         if (step(cluster) != Step.SETTLED) {
             cluster.run(70 * SECOND);
