--- a/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
+++ b/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
@@ -30,7 +30,7 @@
 
 void review(){ ZoneCounts counts= count(); counts.machines.forEach((zone, machines)-> judge(zone, machines, counts)); removeReconnected(counts); }
 
-private ZoneCounts count(){ ZoneCounts counts= new ZoneCounts(); for(Machine machine: state.machines().values()){ boolean wasUp= machine.isKnownAlive()|| machine.isReportedRecorded(); if(!wasUp|| machine.isDeleted()|| machine.isDecommissioning()){ continue; } boolean silent= isSilent(machine); if(silent&& listing.isMissing(machine)){ counts.connected.add(machine.zone); continue; } counts.machines.merge(machine.zone, 1, Integer:: sum); counts.silent.merge(machine.zone, silent? 1: 0, Integer:: sum); }
+private ZoneCounts count(){ ZoneCounts counts= new ZoneCounts(); for(Machine machine: state.machines().values()){ boolean wasUp= machine.isKnownAlive()|| machine.isHeartbeatRecorded(); if(!wasUp|| machine.isDeleted()|| machine.isDecommissioning()){ continue; } boolean silent= isSilent(machine); if(silent&& listing.isMissing(machine)){ counts.connected.add(machine.zone); continue; } counts.machines.merge(machine.zone, 1, Integer:: sum); counts.silent.merge(machine.zone, silent? 1: 0, Integer:: sum); }
 // A zone whose machines are all gone from the list is connected; one with others is judged.
 counts.connected.removeAll(counts.machines.keySet()); return counts; }
 
--- a/src/main/java/org/woadloom/core/machines/DirectCommands.java
+++ b/src/main/java/org/woadloom/core/machines/DirectCommands.java
@@ -121,7 +121,7 @@
         }
         starts.removeIf(attempt -> attempt.job.attempt(attempt.taskIndex) != attempt);
         if (result.heartbeat() != null
-                && heartbeats.hasSeenLaterTerm(machine, result.heartbeat())) {
+                && heartbeats.stepDownIfLaterTerm(machine, result.heartbeat())) {
             return;
         }
         if (result.status() == STATUS_OK && result.heartbeat() != null) {
