--- a/src/main/java/org/woadloom/core/jobs/JobRegistry.java
+++ b/src/main/java/org/woadloom/core/jobs/JobRegistry.java
@@ -24,9 +24,9 @@
 
 private void accept(JobRecord record, long revision){ Job job= create(record, revision); if(job!= null){ if(job.isTerminal()){ job.persistence.requestWrite(PersistenceState.WriteUrgency.IMMEDIATE); } logAccepted(record.description()); } state.requestPlacement(); }
 
-private void updateFrom(JobRecord record, long revision, Job job){ PersistenceState persistence= job.persistence; boolean answersRead= persistence.isReading(); if(revision< persistence.revision()){ return; } if(record.term()== state.term()&& record.version()> persistence.durableVersion()){
+private void updateFrom(JobRecord record, long revision, Job job){ PersistenceState persistence= job.persistence; boolean answersRead= persistence.isReading(); if(revision< persistence.revision()){ return; } if(record.term()== state.term()&& record.writeSequence()> persistence.durableVersion()){
 // One of this term's own writes: it is durable, whatever became of the answer.
-persistence.onVersionRead(record.version()); job.releaseDurableAttempts(); onWriteAcknowledged(job); } persistence.onRevisionRead(revision); if(record.cancelled()&&!job.isCancelled()){ cancel(job); } if(answersRead){
+persistence.onVersionRead(record.writeSequence()); job.releaseDurableAttempts(); onWriteAcknowledged(job); } persistence.onRevisionRead(revision); if(record.cancelled()&&!job.isCancelled()){ cancel(job); } if(answersRead){
 // The record may lack what the lost write held; the next write carries everything.
 persistence.onRecordRead(); } }
 
