--- a/src/main/java/org/woadloom/cli/RolloutCommand.java
+++ b/src/main/java/org/woadloom/cli/RolloutCommand.java
@@ -1,36 +1,251 @@
 package org.woadloom.cli;
 
-import java.io.IOException; import java.net.URI; import java.net.http.HttpClient; import java.net.http.HttpRequest; import java.net.http.HttpResponse; import java.time.Duration; import java.time.Instant; import java.util.List; import java.util.Map; import java.util.Set; import java.util.TreeMap; import org.apache.commons.cli.CommandLine; import org.apache.commons.cli.Option; import org.apache.commons.cli.Options; import org.woadloom.core.rollout.Feature; import org.woadloom.protocol.Cbor; import org.woadloom.protocol.Fields; import org.woadloom.protocol.MalformedMessageException; import org.woadloom.store.NodeAnnouncement; import org.woadloom.store.RolloutRecord; import org.woadloom.store.RolloutRecord.FeatureState; import org.woadloom.store.RolloutRecord.Step; import org.woadloom.store.RolloutRequest; import org.woadloom.store.RolloutRequest.Verb; import org.woadloom.store.StoreKeys;
+import java.io.IOException;
+import java.net.URI;
+import java.net.http.HttpClient;
+import java.net.http.HttpRequest;
+import java.net.http.HttpResponse;
+import java.time.Duration;
+import java.time.Instant;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import org.apache.commons.cli.CommandLine;
+import org.apache.commons.cli.Option;
+import org.apache.commons.cli.Options;
+import org.woadloom.core.rollout.Feature;
+import org.woadloom.protocol.Cbor;
+import org.woadloom.protocol.Fields;
+import org.woadloom.protocol.MalformedMessageException;
+import org.woadloom.store.NodeAnnouncement;
+import org.woadloom.store.RolloutRecord;
+import org.woadloom.store.RolloutRecord.FeatureState;
+import org.woadloom.store.RolloutRecord.Step;
+import org.woadloom.store.RolloutRequest;
+import org.woadloom.store.RolloutRequest.Verb;
+import org.woadloom.store.StoreKeys;
 
 /**
  * Shows how far each feature is rolled out, or writes what an operator asks for one, straight in
  * the state service.
  */
-final class RolloutCommand implements Subcommand{ private static final Duration TIMEOUT= Duration.ofSeconds(5); private static final String SHOW= "show";
+final class RolloutCommand implements Subcommand {
+    private static final Duration TIMEOUT = Duration.ofSeconds(5);
+    private static final String SHOW = "show";
 
-@Override public String name(){ return "rollout"; }
+    @Override
+    public String name() {
+        return "rollout";
+    }
 
-@Override public String arguments(){ return "show|auto|hold|go|back"; }
+    @Override
+    public String arguments() {
+        return "show|auto|hold|go|back";
+    }
 
-@Override public String description(){ return "Shows the rollout of features, or asks the leader to go on by itself, to hold, to"+ " go on at once, or to take one back."; }
+    @Override
+    public String description() {
+        return "Shows the rollout of features, or asks the leader to go on by itself, to hold, to"
+                + " go on at once, or to take one back.";
+    }
 
-@Override public Options options(){ return SettingsOptions.options().addOption(Option.builder().longOpt("feature").hasArg().argName("NAME").desc("the feature that is asked for: "+ String.join(", ", Feature.allKeys())).build()).addOption(Option.builder().longOpt("by").hasArg().argName("WHO").desc("who asks, for the log (default: the user of this shell)").build()); }
+    @Override
+    public Options options() {
+        return SettingsOptions.options()
+                .addOption(
+                        Option.builder()
+                                .longOpt("feature")
+                                .hasArg()
+                                .argName("NAME")
+                                .desc(
+                                        "the feature that is asked for: "
+                                                + String.join(", ", Feature.allKeys()))
+                                .build())
+                .addOption(
+                        Option.builder()
+                                .longOpt("by")
+                                .hasArg()
+                                .argName("WHO")
+                                .desc("who asks, for the log (default: the user of this shell)")
+                                .build());
+    }
 
-@Override public int run(CommandLine line) throws Exception{ String address= SettingsOptions.service(line).storeAddress(); String action= line.getArgList().get(0); if(action.equals(SHOW)){ show(address); return DONE; } Verb verb= Verb.of(action); if(verb== null){ throw new UsageException(action+ ": expected one of "+ arguments()); } return ask(address, verb, feature(line.getOptionValue("feature")), line.getOptionValue("by", System.getProperty("user.name"))); }
+    @Override
+    public int run(CommandLine line) throws Exception {
+        String address = SettingsOptions.service(line).storeAddress();
+        String action = line.getArgList().get(0);
+        if (action.equals(SHOW)) {
+            show(address);
+            return DONE;
+        }
+        Verb verb = Verb.of(action);
+        if (verb == null) {
+            throw new UsageException(action + ": expected one of " + arguments());
+        }
+        return ask(
+                address,
+                verb,
+                feature(line.getOptionValue("feature")),
+                line.getOptionValue("by", System.getProperty("user.name")));
+    }
 
-private static Feature feature(String name) throws UsageException{ for(Feature feature: Feature.values()){ if(feature.key().equals(name)){ return feature; } } throw new UsageException("--feature: expected one of "+ String.join(", ", Feature.allKeys())); }
+    private static Feature feature(String name) throws UsageException {
+        for (Feature feature : Feature.values()) {
+            if (feature.key().equals(name)) {
+                return feature;
+            }
+        }
+        throw new UsageException(
+                "--feature: expected one of " + String.join(", ", Feature.allKeys()));
+    }
 
-/** What can no longer be done is refused here; the leader refuses it as well. */
-private static int ask(String address, Verb verb, Feature feature, String by) throws IOException, InterruptedException, MalformedMessageException{ FeatureState standing= record(list(address)).stateOf(feature.key()); if(verb== Verb.BACK&&(standing.step()== Step.SETTLED||(standing.isOn()&&!feature.canBeRolledBack()))){ System.err.println("woadloom: "+ feature.key()+ " is "+ standing.step().text()+ " and can't be taken back"); return FAILED; } RolloutRequest request= new RolloutRequest(verb, by, Instant.now().toEpochMilli()* 1000); Map< String, Object> put= Map.of("put", StoreKeys.ROLLOUT_REQUEST_PREFIX+ feature.key(), "value", request.toMap()); send(address, HttpRequest.newBuilder(URI.create("http://"+ address+ "/txn")).POST(HttpRequest.BodyPublishers.ofByteArray(Cbor.encode(Map.of("if", List.of(), "then", List.of(put)))))); System.out.println(feature.key()+ ": "+ verb.text()+ " asked; it is "+ standing.step().text()+ " now"); return DONE; }
+    /** What can no longer be done is refused here; the leader refuses it as well. */
+    private static int ask(String address, Verb verb, Feature feature, String by)
+            throws IOException, InterruptedException, MalformedMessageException {
+        FeatureState standing = record(list(address)).stateOf(feature.key());
+        if (verb == Verb.BACK
+                && (standing.step() == Step.SETTLED
+                        || (standing.isOn() && !feature.canBeRolledBack()))) {
+            System.err.println(
+                    "woadloom: "
+                            + feature.key()
+                            + " is "
+                            + standing.step().text()
+                            + " and can't be taken back");
+            return FAILED;
+        }
+        RolloutRequest request = new RolloutRequest(verb, by, Instant.now().toEpochMilli() * 1000);
+        Map<String, Object> put =
+                Map.of(
+                        "put",
+                        StoreKeys.ROLLOUT_REQUEST_PREFIX + feature.key(),
+                        "value",
+                        request.toMap());
+        send(
+                address,
+                HttpRequest.newBuilder(URI.create("http://" + address + "/txn"))
+                        .POST(
+                                HttpRequest.BodyPublishers.ofByteArray(
+                                        Cbor.encode(
+                                                Map.of("if", List.of(), "then", List.of(put))))));
+        System.out.println(
+                feature.key()
+                        + ": "
+                        + verb.text()
+                        + " asked; it is "
+                        + standing.step().text()
+                        + " now");
+        return DONE;
+    }
 
-private static void show(String address) throws IOException, InterruptedException, MalformedMessageException{ Map< String, Object> entries= list(address); RolloutRecord record= record(entries); System.out.printf("%-16s %-10s %-20s %s%n", "feature", "step", "since (UTC)", "allowed by"); for(Feature feature: Feature.values()){ FeatureState standing= record.stateOf(feature.key()); RolloutRequest request= entries.get(StoreKeys.ROLLOUT_REQUEST_PREFIX+ feature.key()) instanceof Map<?,?> asked? RolloutRequest.parse(map(asked)): RolloutRequest.AUTO; System.out.printf("%-16s %-10s %-20s %s%s%s%s%n", feature.key(), standing.step().text(), standing.sinceWallMicros()== 0? "-": Instant.ofEpochSecond(standing.sinceWallMicros()/ 1_000_000), standing.changedBy().isEmpty()? "-": standing.changedBy(), standing.isRollingBack()? "; being taken back": "", standing.isHeld()? "; held, as nodes kept ending": "", request.verb()== Verb.AUTO? "": "; "+ request.verb().text()+ " asked by "+ request.operator()); } for(Feature feature: Feature.values()){ System.out.printf("%s writes %s; can be read by %s and later%n", feature.key(), feature.writtenFormat(), feature.earliestReader()); } Set< String> unknown= record.requiredFeatures(); unknown.removeAll(Feature.allKeys()); if(!unknown.isEmpty()){ System.out.println("required and not known to this version: "+ String.join(", ", unknown)); } for(Map.Entry< String, Object> entry: entries.entrySet()){ if(entry.getKey().startsWith(StoreKeys.ROLLOUT_NODE_PREFIX)){ NodeAnnouncement announcement= NodeAnnouncement.parse(map(entry.getValue())); System.out.printf("node %s: reads %s, can do %s, names %s, start %d in a row%n", entry.getKey().substring(StoreKeys.ROLLOUT_NODE_PREFIX.length()), announcement.supportedFeatures(), announcement.usableFeatures(), announcement.members(), announcement.consecutiveStarts()); } } }
+    private static void show(String address)
+            throws IOException, InterruptedException, MalformedMessageException {
+        Map<String, Object> entries = list(address);
+        RolloutRecord record = record(entries);
+        System.out.printf("%-16s %-10s %-20s %s%n", "feature", "step", "since (UTC)", "allowed by");
+        for (Feature feature : Feature.values()) {
+            FeatureState standing = record.stateOf(feature.key());
+            RolloutRequest request =
+                    entries.get(StoreKeys.ROLLOUT_REQUEST_PREFIX + feature.key())
+                                    instanceof Map<?, ?> asked
+                            ? RolloutRequest.parse(map(asked))
+                            : RolloutRequest.AUTO;
+            System.out.printf(
+                    "%-16s %-10s %-20s %s%s%s%s%n",
+                    feature.key(),
+                    standing.step().text(),
+                    standing.sinceWallMicros() == 0
+                            ? "-"
+                            : Instant.ofEpochSecond(standing.sinceWallMicros() / 1_000_000),
+                    standing.changedBy().isEmpty() ? "-" : standing.changedBy(),
+                    standing.isRollingBack() ? "; being taken back" : "",
+                    standing.isHeld() ? "; held, as nodes kept ending" : "",
+                    request.verb() == Verb.AUTO
+                            ? ""
+                            : "; " + request.verb().text() + " asked by " + request.operator());
+        }
+        for (Feature feature : Feature.values()) {
+            System.out.printf(
+                    "%s writes %s; can be read by %s and later%n",
+                    feature.key(), feature.writtenFormat(), feature.earliestReader());
+        }
+        Set<String> unknown = record.requiredFeatures();
+        unknown.removeAll(Feature.allKeys());
+        if (!unknown.isEmpty()) {
+            System.out.println(
+                    "required and not known to this version: " + String.join(", ", unknown));
+        }
+        for (Map.Entry<String, Object> entry : entries.entrySet()) {
+            if (entry.getKey().startsWith(StoreKeys.ROLLOUT_NODE_PREFIX)) {
+                NodeAnnouncement announcement = NodeAnnouncement.parse(map(entry.getValue()));
+                System.out.printf(
+                        "node %s: reads %s, can do %s, names %s, start %d in a row%n",
+                        entry.getKey().substring(StoreKeys.ROLLOUT_NODE_PREFIX.length()),
+                        announcement.supportedFeatures(),
+                        announcement.usableFeatures(),
+                        announcement.members(),
+                        announcement.consecutiveStarts());
+            }
+        }
+    }
 
-private static RolloutRecord record(Map< String, Object> entries) throws MalformedMessageException{ Object stored= entries.get(StoreKeys.ROLLOUT_STATE); return stored== null? RolloutRecord.NONE: RolloutRecord.parse(map(stored)); }
+    private static RolloutRecord record(Map<String, Object> entries)
+            throws MalformedMessageException {
+        Object stored = entries.get(StoreKeys.ROLLOUT_STATE);
+        return stored == null ? RolloutRecord.NONE : RolloutRecord.parse(map(stored));
+    }
 
-@SuppressWarnings("unchecked") private static Map< String, Object> map(Object value) throws MalformedMessageException{ Fields.of(value, "value"); return(Map< String, Object>) value; }
+    @SuppressWarnings("unchecked")
+    private static Map<String, Object> map(Object value) throws MalformedMessageException {
+        Fields.of(value, "value");
+        return (Map<String, Object>) value;
+    }
 
-/** Everything below the rollout's prefix: a few records and one for each node. */
-private static Map< String, Object> list(String address) throws IOException, InterruptedException, MalformedMessageException{ byte[] body= send(address, HttpRequest.newBuilder(URI.create("http://"+ address+ "/keys?prefix="+ StoreKeys.ROLLOUT_PREFIX+ "&most=1000"))); Map< String, Object> entries= new TreeMap<>(); for(Object item: new Fields(Cbor.decodeMap(body)).list("items")){ Fields entry= Fields.of(item, "items"); entries.put(entry.text("path"), entry.raw("value")); } return entries; }
+    /** Everything below the rollout's prefix: a few records and one for each node. */
+    private static Map<String, Object> list(String address)
+            throws IOException, InterruptedException, MalformedMessageException {
+        byte[] body =
+                send(
+                        address,
+                        HttpRequest.newBuilder(
+                                URI.create(
+                                        "http://"
+                                                + address
+                                                + "/keys?prefix="
+                                                + StoreKeys.ROLLOUT_PREFIX
+                                                + "&most=1000")));
+        Map<String, Object> entries = new TreeMap<>();
+        for (Object item : new Fields(Cbor.decodeMap(body)).list("items")) {
+            Fields entry = Fields.of(item, "items");
+            entries.put(entry.text("path"), entry.raw("value"));
+        }
+        return entries;
+    }
 
-/** A client is made only here: its classes would cost every start of a node a third more. */
-private static byte[] send(String address, HttpRequest.Builder request) throws IOException, InterruptedException{ HttpResponse< byte[]> response; try{ response= HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build().send(request.timeout(TIMEOUT).build(), HttpResponse.BodyHandlers.ofByteArray()); } catch(IOException e){ throw new IOException("the state service at "+ address+ " does not answer: "+ e.getClass().getSimpleName()); } if(response.statusCode()!= 200){ throw new IOException("the state service at "+ address+ " answered "+ response.statusCode()); } return response.body(); } }
+    /** A client is made only here: its classes would cost every start of a node a third more. */
+    private static byte[] send(String address, HttpRequest.Builder request)
+            throws IOException, InterruptedException {
+        HttpResponse<byte[]> response;
+        try {
+            response =
+                    HttpClient.newBuilder()
+                            .version(HttpClient.Version.HTTP_1_1)
+                            .build()
+                            .send(
+                                    request.timeout(TIMEOUT).build(),
+                                    HttpResponse.BodyHandlers.ofByteArray());
+        } catch (IOException e) {
+            throw new IOException(
+                    "the state service at "
+                            + address
+                            + " does not answer: "
+                            + e.getClass().getSimpleName());
+        }
+        if (response.statusCode() != 200) {
+            throw new IOException(
+                    "the state service at " + address + " answered " + response.statusCode());
+        }
+        return response.body();
+    }
+}
--- a/src/test/java/org/woadloom/sim/RolloutTest.java
+++ b/src/test/java/org/woadloom/sim/RolloutTest.java
@@ -1,62 +1,267 @@
 package org.woadloom.sim;
 
-import static org.junit.jupiter.api.Assertions.assertEquals; import static org.junit.jupiter.api.Assertions.assertNotEquals; import static org.junit.jupiter.api.Assertions.assertNull; import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.LinkedHashMap; import java.util.List; import java.util.Map; import org.junit.jupiter.api.Test; import org.junit.jupiter.api.extension.ExtendWith; import org.junit.jupiter.params.ParameterizedTest; import org.junit.jupiter.params.provider.EnumSource; import org.junit.jupiter.params.provider.MethodSource; import org.woadloom.core.rollout.Feature; import org.woadloom.protocol.MalformedMessageException; import org.woadloom.store.RolloutRecord; import org.woadloom.store.RolloutRecord.FeatureState; import org.woadloom.store.RolloutRecord.Step; import org.woadloom.store.RolloutRequest; import org.woadloom.store.RolloutRequest.Verb;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.ExtendWith;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+import org.junit.jupiter.params.provider.MethodSource;
+import org.woadloom.core.rollout.Feature;
+import org.woadloom.protocol.MalformedMessageException;
+import org.woadloom.store.RolloutRecord;
+import org.woadloom.store.RolloutRecord.FeatureState;
+import org.woadloom.store.RolloutRecord.Step;
+import org.woadloom.store.RolloutRequest;
+import org.woadloom.store.RolloutRequest.Verb;
 
 /**
  * Features are rolled out while nodes, machines and the store fail; the rules are checked after
  * each step.
  */
-@ExtendWith(PrintReplayCommand.class) class RolloutTest{ private static final long SECOND= 1_000_000; private static final long BUSY= 240* SECOND;
+@ExtendWith(PrintReplayCommand.class)
+class RolloutTest {
+    private static final long SECOND = 1_000_000;
+    private static final long BUSY = 240 * SECOND;
 
-private static ClusterSimulation busy(long seed, Version from){ ClusterSimulation cluster= new ClusterSimulation(seed, Scenario.PLAIN.from(from)); cluster.users.submitUntil(BUSY); return cluster; }
+    private static ClusterSimulation busy(long seed, Version from) {
+        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN.from(from));
+        cluster.users.submitUntil(BUSY);
+        return cluster;
+    }
 
-private static FeatureState standing(ClusterSimulation cluster, Feature feature){ try{ Map< String, Object> stored= cluster.stored("rollout/state"); return stored== null? FeatureState.OFF: RolloutRecord.parse(stored).stateOf(feature.key()); } catch(MalformedMessageException e){ throw new IllegalStateException(e); } }
+    private static FeatureState standing(ClusterSimulation cluster, Feature feature) {
+        try {
+            Map<String, Object> stored = cluster.stored("rollout/state");
+            return stored == null
+                    ? FeatureState.OFF
+                    : RolloutRecord.parse(stored).stateOf(feature.key());
+        } catch (MalformedMessageException e) {
+            throw new IllegalStateException(e);
+        }
+    }
 
-private static Step step(ClusterSimulation cluster){ return standing(cluster, Feature.MACHINE_LIFECYCLE).step(); }
+    private static Step step(ClusterSimulation cluster) {
+        return standing(cluster, Feature.MACHINE_LIFECYCLE).step();
+    }
 
-private static void ask(ClusterSimulation cluster, Verb verb){ cluster.put("rollout/asked/machine-life", new RolloutRequest(verb, "test", 0).toMap()); }
+    private static void ask(ClusterSimulation cluster, Verb verb) {
+        cluster.put("rollout/asked/machine-life", new RolloutRequest(verb, "test", 0).toMap());
+    }
 
-/** Runs until the feature is as far as the given step, or for two minutes. */
-private static void runTo(ClusterSimulation cluster, Step step){ long until= cluster.loop.now()+ 120* SECOND; while(step(cluster).compareTo(step)< 0&& cluster.loop.now()< until){ cluster.run(cluster.loop.now()+ SECOND/ 10); } assertTrue(step(cluster).compareTo(step)>= 0, "not "+ step+ " but "+ step(cluster)); }
+    /** Runs until the feature is as far as the given step, or for two minutes. */
+    private static void runTo(ClusterSimulation cluster, Step step) {
+        long until = cluster.loop.now() + 120 * SECOND;
+        while (step(cluster).compareTo(step) < 0 && cluster.loop.now() < until) {
+            cluster.run(cluster.loop.now() + SECOND / 10);
+        }
+        assertTrue(step(cluster).compareTo(step) >= 0, "not " + step + " but " + step(cluster));
+    }
 
-@Test void aFeatureIsHeldHurriedTakenBackAndRolledOutAgain(){ ClusterSimulation cluster= busy(5, Version.NOW); ask(cluster, Verb.HOLD); cluster.run(20* SECOND); assertEquals(Step.OFF, step(cluster), "held"); assertEquals(0, cluster.machineRecords()[1]); ask(cluster, Verb.GO); cluster.run(24* SECOND); assertTrue(standing(cluster, Feature.MACHINE_LIFECYCLE).isOn(), "hurried"); ask(cluster, Verb.BACK); if(step(cluster)!= Step.SETTLED){ cluster.run(70* SECOND); assertEquals(Step.OFF, step(cluster), "taken back"); assertEquals(0, cluster.machineRecords()[1], "records of the feature are left"); } ask(cluster, Verb.AUTO); runTo(cluster, Step.SETTLED); ask(cluster, Verb.BACK); cluster.run(cluster.loop.now()+ 30* SECOND); assertEquals(Step.SETTLED, step(cluster), "settled stays settled"); assertEquals(cluster.machineRecords()[0], cluster.machineRecords()[1], "records of the old form are left"); }
+    @Test
+    void aFeatureIsHeldHurriedTakenBackAndRolledOutAgain() {
+        ClusterSimulation cluster = busy(5, Version.NOW);
+        ask(cluster, Verb.HOLD);
+        cluster.run(20 * SECOND);
+        assertEquals(Step.OFF, step(cluster), "held");
+        assertEquals(0, cluster.machineRecords()[1]);
+        ask(cluster, Verb.GO);
+        cluster.run(24 * SECOND);
+        assertTrue(standing(cluster, Feature.MACHINE_LIFECYCLE).isOn(), "hurried");
+        ask(cluster, Verb.BACK);
+        if (step(cluster) != Step.SETTLED) {
+            cluster.run(70 * SECOND);
+            assertEquals(Step.OFF, step(cluster), "taken back");
+            assertEquals(0, cluster.machineRecords()[1], "records of the feature are left");
+        }
+        ask(cluster, Verb.AUTO);
+        runTo(cluster, Step.SETTLED);
+        ask(cluster, Verb.BACK);
+        cluster.run(cluster.loop.now() + 30 * SECOND);
+        assertEquals(Step.SETTLED, step(cluster), "settled stays settled");
+        assertEquals(
+                cluster.machineRecords()[0],
+                cluster.machineRecords()[1],
+                "records of the old form are left");
+    }
 
-/**
+    /**
      * Every trouble there is, in the middle of a step forward and of a step back; one node's time
      * of day is far off.
      */
-@ParameterizedTest @MethodSource("org.woadloom.sim.Seeds#firstSix") void stepsBackAndForthSurviveTroubles(long seed){ ClusterSimulation cluster= busy(seed, Version.NOW); cluster.clockOff[(int)(seed% ClusterSimulation.NODES)]= seed% 2== 0? 400* SECOND:- 400* SECOND; cluster.randomFaults.startUntil(BUSY); long[] asks={ 15, 40, 65, 110, 150} ; Verb[] verbs={ Verb.GO, Verb.BACK, Verb.GO, Verb.BACK, Verb.GO} ; for(int i= 0; i< asks.length; i++){ Verb verb= verbs[i]; cluster.loop.after(asks[i]* SECOND+ seed* 700_000,()-> ask(cluster, verb)); } cluster.run(BUSY+ 600* SECOND); assertEquals(Step.SETTLED, step(cluster)); assertEquals(cluster.machineRecords()[0], cluster.machineRecords()[1], "records of the old form are left"); assertEquals(List.of(), cluster.unfinishedJobs()); }
+    @ParameterizedTest
+    @MethodSource("org.woadloom.sim.Seeds#firstSix")
+    void stepsBackAndForthSurviveTroubles(long seed) {
+        ClusterSimulation cluster = busy(seed, Version.NOW);
+        cluster.clockOff[(int) (seed % ClusterSimulation.NODES)] =
+                seed % 2 == 0 ? 400 * SECOND : -400 * SECOND;
+        cluster.randomFaults.startUntil(BUSY);
+        long[] asks = {15, 40, 65, 110, 150};
+        Verb[] verbs = {Verb.GO, Verb.BACK, Verb.GO, Verb.BACK, Verb.GO};
+        for (int i = 0; i < asks.length; i++) {
+            Verb verb = verbs[i];
+            cluster.loop.after(asks[i] * SECOND + seed * 700_000, () -> ask(cluster, verb));
+        }
+        cluster.run(BUSY + 600 * SECOND);
+        assertEquals(Step.SETTLED, step(cluster));
+        assertEquals(
+                cluster.machineRecords()[0],
+                cluster.machineRecords()[1],
+                "records of the old form are left");
+        assertEquals(List.of(), cluster.unfinishedJobs());
+    }
 
-/**
+    /**
      * A node comes back as an earlier version at each step: nothing is switched on with it, and all
      * goes on after it.
      */
-@ParameterizedTest @EnumSource(Step.class) void aNodeThatComesBackOldIsWaitedFor(Step at){ for(int who= 0; who< 2; who++){ ClusterSimulation cluster= busy(11+ who, Version.NOW); runTo(cluster, at); int index= at== Step.OFF? who:(cluster.leader()+ who)% ClusterSimulation.NODES; cluster.replace(index, Version.AGREEING, 1* SECOND); long back= cluster.loop.now(); Step before= step(cluster); cluster.run(back+ 40* SECOND); if(before.compareTo(Step.ON)< 0){ assertEquals(Step.OFF, step(cluster), "switched on with an old node, at "+ at); } else{ assertEquals(before, step(cluster), "at "+ at); } cluster.replace(index, Version.NOW, 1* SECOND); runTo(cluster, Step.SETTLED); } }
+    @ParameterizedTest
+    @EnumSource(Step.class)
+    void aNodeThatComesBackOldIsWaitedFor(Step at) {
+        for (int who = 0; who < 2; who++) {
+            ClusterSimulation cluster = busy(11 + who, Version.NOW);
+            runTo(cluster, at);
+            int index = at == Step.OFF ? who : (cluster.leader() + who) % ClusterSimulation.NODES;
+            cluster.replace(index, Version.AGREEING, 1 * SECOND);
+            long back = cluster.loop.now();
+            Step before = step(cluster);
+            cluster.run(back + 40 * SECOND);
+            if (before.compareTo(Step.ON) < 0) {
+                assertEquals(Step.OFF, step(cluster), "switched on with an old node, at " + at);
+            } else {
+                assertEquals(before, step(cluster), "at " + at);
+            }
+            cluster.replace(index, Version.NOW, 1 * SECOND);
+            runTo(cluster, Step.SETTLED);
+        }
+    }
 
-/**
+    /**
      * What comes back after everything went down half-way; with the first, three versions run side
      * by side.
      */
-private static List< Version> half(long seed){ return switch((int) seed){ case 1-> List.of(Version.NOW, Version.AGREEING, Version.PRODUCTION); case 2-> List.of(Version.PRODUCTION, Version.NOW, Version.PRODUCTION); default-> List.of(Version.PRODUCTION, Version.PRODUCTION, Version.NOW); } ; }
+    private static List<Version> half(long seed) {
+        return switch ((int) seed) {
+            case 1 -> List.of(Version.NOW, Version.AGREEING, Version.PRODUCTION);
+            case 2 -> List.of(Version.PRODUCTION, Version.NOW, Version.PRODUCTION);
+            default -> List.of(Version.PRODUCTION, Version.PRODUCTION, Version.NOW);
+        };
+    }
 
-/** Everything goes down half-way, half of it comes back old, and the store is away as well. */
-@ParameterizedTest @MethodSource("org.woadloom.sim.Seeds#firstThree") void allEndHalfWayAndHalfComeBackOld(long seed){ ClusterSimulation cluster= busy(seed, Version.PRODUCTION); cluster.run(20* SECOND); cluster.replace(0, Version.NOW, 2* SECOND); cluster.run(30* SECOND); for(int i= 0; i< ClusterSimulation.NODES; i++){ cluster.replace(i, half(seed).get(i),(2+ i)* SECOND); } cluster.stateOutage(8* SECOND); cluster.run(70* SECOND); assertNull(cluster.stored("version/agreed"), "agreed with an old node"); for(int i= 0; i< ClusterSimulation.NODES; i++){ cluster.replace(i, Version.NOW,(1+ 3* i)* SECOND); } cluster.run(90* SECOND); assertTrue(standing(cluster, Feature.COMPACT_RECORDS).isOn()); runTo(cluster, Step.SETTLED); }
+    /** Everything goes down half-way, half of it comes back old, and the store is away as well. */
+    @ParameterizedTest
+    @MethodSource("org.woadloom.sim.Seeds#firstThree")
+    void allEndHalfWayAndHalfComeBackOld(long seed) {
+        ClusterSimulation cluster = busy(seed, Version.PRODUCTION);
+        cluster.run(20 * SECOND);
+        cluster.replace(0, Version.NOW, 2 * SECOND);
+        cluster.run(30 * SECOND);
+        for (int i = 0; i < ClusterSimulation.NODES; i++) {
+            cluster.replace(i, half(seed).get(i), (2 + i) * SECOND);
+        }
+        cluster.stateOutage(8 * SECOND);
+        cluster.run(70 * SECOND);
+        assertNull(cluster.stored("version/agreed"), "agreed with an old node");
+        for (int i = 0; i < ClusterSimulation.NODES; i++) {
+            cluster.replace(i, Version.NOW, (1 + 3 * i) * SECOND);
+        }
+        cluster.run(90 * SECOND);
+        assertTrue(standing(cluster, Feature.COMPACT_RECORDS).isOn());
+        runTo(cluster, Step.SETTLED);
+    }
 
-/** Zone "b" is cut off in the middle with its only node, an old or a new one. */
-@ParameterizedTest @EnumSource(value= Version.class, names={ "AGREEING", "NOW"} ) void aZoneThatIsCutOffIsWaitedFor(Version there){ ClusterSimulation cluster= busy(7, Version.NOW); ask(cluster, Verb.HOLD); cluster.run(10* SECOND); cluster.replace(1, there, SECOND/ 2); cluster.run(15* SECOND); cluster.island("b", 60* SECOND); cluster.run(45* SECOND); ask(cluster, Verb.GO); cluster.run(74* SECOND); assertEquals(Step.OFF, step(cluster), "switched on without the zone's node"); cluster.replace(1, Version.NOW, SECOND); runTo(cluster, Step.SETTLED); }
+    /** Zone "b" is cut off in the middle with its only node, an old or a new one. */
+    @ParameterizedTest
+    @EnumSource(
+            value = Version.class,
+            names = {"AGREEING", "NOW"})
+    void aZoneThatIsCutOffIsWaitedFor(Version there) {
+        ClusterSimulation cluster = busy(7, Version.NOW);
+        ask(cluster, Verb.HOLD);
+        cluster.run(10 * SECOND);
+        cluster.replace(1, there, SECOND / 2);
+        cluster.run(15 * SECOND);
+        cluster.island("b", 60 * SECOND);
+        cluster.run(45 * SECOND);
+        ask(cluster, Verb.GO);
+        cluster.run(74 * SECOND);
+        assertEquals(Step.OFF, step(cluster), "switched on without the zone's node");
+        cluster.replace(1, Version.NOW, SECOND);
+        runTo(cluster, Step.SETTLED);
+    }
 
-/** A damaged record among the others is neither lost nor passed over. */
-@Test void aRecordThatCantBeReadIsKeptAndKeepsTheFeatureFromSettling(){ ClusterSimulation cluster= busy(8, Version.NOW); cluster.put("machine/host-damaged", Map.of("hosttype", 7L)); cluster.run(90* SECOND); assertEquals(Step.ON, step(cluster)); assertEquals(Map.of("hosttype", 7L), cluster.stored("machine/host-damaged")); cluster.put("machine/host-damaged", null); runTo(cluster, Step.SETTLED); }
+    /** A damaged record among the others is neither lost nor passed over. */
+    @Test
+    void aRecordThatCantBeReadIsKeptAndKeepsTheFeatureFromSettling() {
+        ClusterSimulation cluster = busy(8, Version.NOW);
+        cluster.put("machine/host-damaged", Map.of("hosttype", 7L));
+        cluster.run(90 * SECOND);
+        assertEquals(Step.ON, step(cluster));
+        assertEquals(Map.of("hosttype", 7L), cluster.stored("machine/host-damaged"));
+        cluster.put("machine/host-damaged", null);
+        runTo(cluster, Step.SETTLED);
+    }
 
-/** What a later version requires, in a record that this one can't read otherwise. */
-@Test void whoDoesNotKnowWhatIsRequiredServesNobody(){ ClusterSimulation cluster= busy(3, Version.NOW); runTo(cluster, Step.SETTLED); Map< String, Object> now= cluster.stored("rollout/state"); cluster.put("rollout/state", Map.of("number", 1_000L, "requires", List.of("compact-records", "from-the-future"), "features", Map.of("from-the-future", Map.of("step", "sideways"))));
-// A watch that was cut off is opened again after ten seconds.
-cluster.run(cluster.loop.now()+ 12* SECOND); for(int i= 0; i< ClusterSimulation.NODES; i++){ assertEquals(503, cluster.status(i, "GET", "/healthz", null), "node "+ i); assertEquals(503, cluster.status(i, "GET", "/v1/jobs/j-000001", null)); assertEquals(503, cluster.status(i, "POST", "/v1/report", Map.of("host", "h"))); assertEquals(200, cluster.status(i, "GET", "/metrics", null)); } String term= String.valueOf(cluster.stored("term")); cluster.replace(1, Version.NOW, 1* SECOND); cluster.run(cluster.loop.now()+ 30* SECOND); assertEquals(term, String.valueOf(cluster.stored("term")), "a node campaigned"); Map< String, Object> retry= new LinkedHashMap<>(now); retry.put("number", 1_001L); cluster.put("rollout/state", retry); cluster.run(cluster.loop.now()+ 10* SECOND); for(int i= 0; i< ClusterSimulation.NODES; i++){ assertEquals(200, cluster.status(i, "GET", "/healthz", null), "node "+ i); } assertNotEquals(term, String.valueOf(cluster.stored("term")), "nobody leads again"); cluster.run(BUSY+ 300* SECOND); assertEquals(List.of(), cluster.unfinishedJobs()); }
+    /** What a later version requires, in a record that this one can't read otherwise. */
+    @Test
+    void whoDoesNotKnowWhatIsRequiredServesNobody() {
+        ClusterSimulation cluster = busy(3, Version.NOW);
+        runTo(cluster, Step.SETTLED);
+        Map<String, Object> now = cluster.stored("rollout/state");
+        cluster.put(
+                "rollout/state",
+                Map.of(
+                        "number",
+                        1_000L,
+                        "requires",
+                        List.of("compact-records", "from-the-future"),
+                        "features",
+                        Map.of("from-the-future", Map.of("step", "sideways"))));
+        // A watch that was cut off is opened again after ten seconds.
+        cluster.run(cluster.loop.now() + 12 * SECOND);
+        for (int i = 0; i < ClusterSimulation.NODES; i++) {
+            assertEquals(503, cluster.status(i, "GET", "/healthz", null), "node " + i);
+            assertEquals(503, cluster.status(i, "GET", "/v1/jobs/j-000001", null));
+            assertEquals(503, cluster.status(i, "POST", "/v1/report", Map.of("host", "h")));
+            assertEquals(200, cluster.status(i, "GET", "/metrics", null));
+        }
+        String term = String.valueOf(cluster.stored("term"));
+        cluster.replace(1, Version.NOW, 1 * SECOND);
+        cluster.run(cluster.loop.now() + 30 * SECOND);
+        assertEquals(term, String.valueOf(cluster.stored("term")), "a node campaigned");
+        Map<String, Object> retry = new LinkedHashMap<>(now);
+        retry.put("number", 1_001L);
+        cluster.put("rollout/state", retry);
+        cluster.run(cluster.loop.now() + 10 * SECOND);
+        for (int i = 0; i < ClusterSimulation.NODES; i++) {
+            assertEquals(200, cluster.status(i, "GET", "/healthz", null), "node " + i);
+        }
+        assertNotEquals(term, String.valueOf(cluster.stored("term")), "nobody leads again");
+        cluster.run(BUSY + 300 * SECOND);
+        assertEquals(List.of(), cluster.unfinishedJobs());
+    }
 
-/**
+    /**
      * One node's settings name a node that nobody else's do: it has to be there, or to be named no
      * more.
      */
-@Test void settingsThatContradictEachOtherSwitchNothing(){ ClusterSimulation cluster= new ClusterSimulation(4, Scenario.PLAIN); cluster.namesOneMore[2]= true; cluster.users.submitUntil(BUSY); cluster.run(60* SECOND); for(Feature feature: Feature.values()){ assertEquals(Step.OFF, standing(cluster, feature).step(), feature.key()); } cluster.namesOneMore[2]= false; cluster.replace(2, Version.NOW, 1* SECOND); runTo(cluster, Step.SETTLED); } }
+    @Test
+    void settingsThatContradictEachOtherSwitchNothing() {
+        ClusterSimulation cluster = new ClusterSimulation(4, Scenario.PLAIN);
+        cluster.namesOneMore[2] = true;
+        cluster.users.submitUntil(BUSY);
+        cluster.run(60 * SECOND);
+        for (Feature feature : Feature.values()) {
+            assertEquals(Step.OFF, standing(cluster, feature).step(), feature.key());
+        }
+        cluster.namesOneMore[2] = false;
+        cluster.replace(2, Version.NOW, 1 * SECOND);
+        runTo(cluster, Step.SETTLED);
+    }
+}
--- a/src/test/java/org/woadloom/sim/ServiceLevelTest.java
+++ b/src/test/java/org/woadloom/sim/ServiceLevelTest.java
@@ -1,32 +1,176 @@
 package org.woadloom.sim;
 
-import static org.junit.jupiter.api.Assertions.assertEquals; import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.Map; import java.util.TreeMap; import org.junit.jupiter.api.Test; import org.junit.jupiter.api.extension.ExtendWith; import org.junit.jupiter.params.ParameterizedTest; import org.junit.jupiter.params.provider.CsvSource; import org.junit.jupiter.params.provider.MethodSource; import org.woadloom.core.LogEvent; import org.woadloom.core.SchedulerAction; import org.woadloom.core.SchedulerFixture; import org.woadloom.core.jobs.Job; import org.woadloom.core.jobs.TaskAttempt; import org.woadloom.core.reservation.Reservations;
+import java.util.Map;
+import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.extension.ExtendWith;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.MethodSource;
+import org.woadloom.core.LogEvent;
+import org.woadloom.core.SchedulerAction;
+import org.woadloom.core.SchedulerFixture;
+import org.woadloom.core.jobs.Job;
+import org.woadloom.core.jobs.TaskAttempt;
+import org.woadloom.core.reservation.Reservations;
 
 /**
  * Sixteen teams of which one floods the service, while machines and controllers fail: nobody is
  * left out.
  */
-@ExtendWith(PrintReplayCommand.class) class ServiceLevelTest{ private static final long TROUBLED= 180_000_000; private static final double LEAST= 0.5;
+@ExtendWith(PrintReplayCommand.class)
+class ServiceLevelTest {
+    private static final long TROUBLED = 180_000_000;
+    private static final double LEAST = 0.5;
 
-@ParameterizedTest @MethodSource("org.woadloom.sim.Seeds#firstFour") void noTeamAndNoClassFallsUnderAHalf(long seed){ ClusterSimulation cluster= new ClusterSimulation(seed, Scenario.CROWD); cluster.users.submitUntil(TROUBLED, 4); cluster.randomFaults.startMachineFaultsUntil(TROUBLED);
-// The flood asks for more than there is: a part of its own jobs still waits then.
-cluster.run(TROUBLED+ 120_000_000); Map< String, int[]> served= new TreeMap<>(); for(String jobId: cluster.observed.acceptedJobs()){ var job= cluster.observed.job(jobId); boolean counts= cluster.observed.wasStarted(jobId)|| cluster.observed.isOver(jobId); for(String group: new String[]{ "team "+ job.team(), "class "+ job.jobClass()} ){ int[] count= served.computeIfAbsent(group, g-> new int[2]); count[0]++; count[1]+= counts? 1: 0; } } assertEquals(18, served.size(), "teams and classes that had jobs"); served.forEach((group, count)-> assertTrue(count[1]>= LEAST* count[0], group+ ": "+ count[1]+ " of "+ count[0]+ ", seed "+ seed)); int flood= served.get("team crowd-0")[0]; served.forEach((group, count)-> assertTrue(!group.startsWith("team")|| group.endsWith("crowd-0")|| count[0]* 4< flood, group+ " is no smaller than the flood")); }
+    @ParameterizedTest
+    @MethodSource("org.woadloom.sim.Seeds#firstFour")
+    void noTeamAndNoClassFallsUnderAHalf(long seed) {
+        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.CROWD);
+        cluster.users.submitUntil(TROUBLED, 4);
+        cluster.randomFaults.startMachineFaultsUntil(TROUBLED);
+        // The flood asks for more than there is: a part of its own jobs still waits then.
+        cluster.run(TROUBLED + 120_000_000);
+        Map<String, int[]> served = new TreeMap<>();
+        for (String jobId : cluster.observed.acceptedJobs()) {
+            var job = cluster.observed.job(jobId);
+            boolean counts = cluster.observed.wasStarted(jobId) || cluster.observed.isOver(jobId);
+            for (String group : new String[] {"team " + job.team(), "class " + job.jobClass()}) {
+                int[] count = served.computeIfAbsent(group, g -> new int[2]);
+                count[0]++;
+                count[1] += counts ? 1 : 0;
+            }
+        }
+        assertEquals(18, served.size(), "teams and classes that had jobs");
+        served.forEach(
+                (group, count) ->
+                        assertTrue(
+                                count[1] >= LEAST * count[0],
+                                group + ": " + count[1] + " of " + count[0] + ", seed " + seed));
+        int flood = served.get("team crowd-0")[0];
+        served.forEach(
+                (group, count) ->
+                        assertTrue(
+                                !group.startsWith("team")
+                                        || group.endsWith("crowd-0")
+                                        || count[0] * 4 < flood,
+                                group + " is no smaller than the flood"));
+    }
 
-/**
+    /**
      * A team floods with services that nobody cancels; its arrays get their share of its limit all
      * the same.
      */
-@ParameterizedTest @CsvSource({ "0,1", "14,2"} ) void aTeamAtItsLimitServesItsArraysBesideServicesThatStay(int crowd, long seed){ ClusterSimulation cluster= new ClusterSimulation(seed, new Scenario(Scenario.SHORT, Scenario.SHORT, Version.NOW, Scenario.Flaw.NONE, crowd)); cluster.servicesStay= true; cluster.users.submitUntil(TROUBLED, 3); cluster.randomFaults.startMachineFaultsUntil(TROUBLED); cluster.run(TROUBLED); int before= arraysOver(cluster, crowd); cluster.run(TROUBLED+ 240_000_000); int over= arraysOver(cluster, crowd)- before; assertTrue(over>= 12, over+ " arrays of the team were done in four minutes at its limit"); }
+    @ParameterizedTest
+    @CsvSource({"0,1", "14,2"})
+    void aTeamAtItsLimitServesItsArraysBesideServicesThatStay(int crowd, long seed) {
+        ClusterSimulation cluster =
+                new ClusterSimulation(
+                        seed,
+                        new Scenario(
+                                Scenario.SHORT,
+                                Scenario.SHORT,
+                                Version.NOW,
+                                Scenario.Flaw.NONE,
+                                crowd));
+        cluster.servicesStay = true;
+        cluster.users.submitUntil(TROUBLED, 3);
+        cluster.randomFaults.startMachineFaultsUntil(TROUBLED);
+        cluster.run(TROUBLED);
+        int before = arraysOver(cluster, crowd);
+        cluster.run(TROUBLED + 240_000_000);
+        int over = arraysOver(cluster, crowd) - before;
+        assertTrue(over >= 12, over + " arrays of the team were done in four minutes at its limit");
+    }
 
-private static int arraysOver(ClusterSimulation cluster, int crowd){ String team= crowd== 0? "red": "crowd-0"; int over= 0; for(String jobId: cluster.observed.acceptedJobs()){ var job= cluster.observed.job(jobId); over+= job.team().equals(team)&&!job.isService()&& cluster.observed.isOver(jobId)? 1: 0; } return over; }
+    private static int arraysOver(ClusterSimulation cluster, int crowd) {
+        String team = crowd == 0 ? "red" : "crowd-0";
+        int over = 0;
+        for (String jobId : cluster.observed.acceptedJobs()) {
+            var job = cluster.observed.job(jobId);
+            over +=
+                    job.team().equals(team) && !job.isService() && cluster.observed.isOver(jobId)
+                            ? 1
+                            : 0;
+        }
+        return over;
+    }
 
-/**
+    /**
      * The largest tenth of a class, and how long those waited; what an earlier leader placed has
      * not waited until now.
      */
-@Test void theLeaderTellsWhatBecameOfTheLargest(){ SchedulerFixture fixture= new SchedulerFixture(); for(int i= 0; i< 20; i++){ fixture.state.serviceLevels().onJobAdded(fixture.job("j-"+ i, 1, 1, i< 18? 2: 9)); } fixture.advance(70_000_000); var machine= fixture.machine("host-1", "a"); var reservations= new Reservations(fixture.state); fixture.place(reservations, fixture.state.jobs().get("j-18"), 0, machine); TaskAttempt inherited= new TaskAttempt(fixture.state.jobs().get("j-19"), 0, machine, 1, 0, fixture.state.nowMicros()); inherited.onRecovered(); inherited.job.addAttempt(inherited); fixture.state.serviceLevels().reportIfDue(); assertTrue(fixture.logged(LogEvent.LARGEST_JOBS_SERVICE_LEVEL, "class=work", "jobs=2", "started_in_time=2", "slowest_start_s=70", "done=0")); }
+    @Test
+    void theLeaderTellsWhatBecameOfTheLargest() {
+        SchedulerFixture fixture = new SchedulerFixture();
+        for (int i = 0; i < 20; i++) {
+            fixture.state.serviceLevels().onJobAdded(fixture.job("j-" + i, 1, 1, i < 18 ? 2 : 9));
+        }
+        fixture.advance(70_000_000);
+        var machine = fixture.machine("host-1", "a");
+        var reservations = new Reservations(fixture.state);
+        fixture.place(reservations, fixture.state.jobs().get("j-18"), 0, machine);
+        TaskAttempt inherited =
+                new TaskAttempt(
+                        fixture.state.jobs().get("j-19"),
+                        0,
+                        machine,
+                        1,
+                        0,
+                        fixture.state.nowMicros());
+        inherited.onRecovered();
+        inherited.job.addAttempt(inherited);
+        fixture.state.serviceLevels().reportIfDue();
+        assertTrue(
+                fixture.logged(
+                        LogEvent.LARGEST_JOBS_SERVICE_LEVEL,
+                        "class=work",
+                        "jobs=2",
+                        "started_in_time=2",
+                        "slowest_start_s=70",
+                        "done=0"));
+    }
 
-/** What the leader tells is counted once a minute, and only what it has seen. */
-@Test void theLeaderTellsWhoWaits(){ SchedulerFixture fixture= new SchedulerFixture(); Job waits= fixture.job("j-000001", 1, 1, 1); fixture.state.serviceLevels().onJobAdded(waits); Job ended= fixture.job("j-000002", 1, 1, 1); fixture.state.serviceLevels().onJobAdded(ended); ended.markCompleted(0); fixture.state.removeJob(ended); fixture.state.serviceLevels().onJobEnded(ended); fixture.advance(30_000_000); fixture.state.serviceLevels().reportIfDue(); assertTrue(fixture.actions().isEmpty(), "told before its time"); fixture.advance(45_000_000); fixture.state.serviceLevels().reportIfDue(); SchedulerAction.PublishServiceLevels seen=(SchedulerAction.PublishServiceLevels) fixture.actions().stream().filter(action-> action instanceof SchedulerAction.PublishServiceLevels).findFirst().orElseThrow(); var row= seen.rows().get(0); assertEquals("team work 2 1 1 0 75000000", String.join(" ", row.team(), row.jobClass(), ""+ row.accepted(), ""+ row.fullyStarted(), ""+ row.ended(), ""+ row.cancelled(), ""+ row.longestWaitMicros())); } }
+    /** What the leader tells is counted once a minute, and only what it has seen. */
+    @Test
+    void theLeaderTellsWhoWaits() {
+        SchedulerFixture fixture = new SchedulerFixture();
+        Job waits = fixture.job("j-000001", 1, 1, 1);
+        fixture.state.serviceLevels().onJobAdded(waits);
+        Job ended = fixture.job("j-000002", 1, 1, 1);
+        fixture.state.serviceLevels().onJobAdded(ended);
+        ended.markCompleted(0);
+        fixture.state.removeJob(ended);
+        fixture.state.serviceLevels().onJobEnded(ended);
+        fixture.advance(30_000_000);
+        fixture.state.serviceLevels().reportIfDue();
+        assertTrue(fixture.actions().isEmpty(), "told before its time");
+        fixture.advance(45_000_000);
+        fixture.state.serviceLevels().reportIfDue();
+        SchedulerAction.PublishServiceLevels seen =
+                (SchedulerAction.PublishServiceLevels)
+                        fixture.actions().stream()
+                                .filter(
+                                        action ->
+                                                action
+                                                        instanceof
+                                                        SchedulerAction.PublishServiceLevels)
+                                .findFirst()
+                                .orElseThrow();
+        var row = seen.rows().get(0);
+        assertEquals(
+                "team work 2 1 1 0 75000000",
+                String.join(
+                        " ",
+                        row.team(),
+                        row.jobClass(),
+                        "" + row.accepted(),
+                        "" + row.fullyStarted(),
+                        "" + row.ended(),
+                        "" + row.cancelled(),
+                        "" + row.longestWaitMicros()));
+    }
+}
