--- a/src/main/java/org/woadloom/core/jobs/JobRegistry.java
+++ b/src/main/java/org/woadloom/core/jobs/JobRegistry.java
@@ -34,7 +34,7 @@
             if (machine == null) {
                 // A machine's record is dropped only after its deletion was answered, so nothing is
                 // left there.
-                job.persistence.requestWrite(PersistenceState.WriteReason.OUTCOME);
+                job.persistence.requestWrite(PersistenceState.WriteUrgency.TASK_ENDED);
                 continue;
             }
             for (int i = placed.tasks().nextSetBit(0);
@@ -43,19 +43,19 @@
                 TaskAttempt attempt =
                         new TaskAttempt(job, i, machine, placed.attempt(), 0, state.nowMicros());
                 attempt.onRecovered();
-                job.add(attempt);
-                if (job.isOver() || job.isCompleted(i)) {
-                    attempt.stop(NO_GRACE_PERIOD);
+                job.addAttempt(attempt);
+                if (job.isTerminal() || job.isCompleted(i)) {
+                    attempt.requestStop(NO_GRACE_PERIOD);
                 }
             }
         }
-        if (job.isOver() && job.attempts().isEmpty()) {
-            job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
+        if (job.isTerminal() && job.attempts().isEmpty()) {
+            job.persistence.requestWrite(PersistenceState.WriteUrgency.IMMEDIATE);
         }
     }
 
     /** A record that came from another node, from the watch or from a read. */
-    public void onRecord(JobRecord record, long revision) {
+    public void onRecordChanged(JobRecord record, long revision) {
         Job job = state.jobs().get(record.description().jobId());
         if (job == null) {
             // One of this term, or with attempts, is a late copy of a job that is over.
@@ -70,8 +70,8 @@
     private void accept(JobRecord record, long revision) {
         Job job = create(record, revision);
         if (job != null) {
-            if (job.isOver()) {
-                job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
+            if (job.isTerminal()) {
+                job.persistence.requestWrite(PersistenceState.WriteUrgency.IMMEDIATE);
             }
             logAccepted(record.description());
         }
@@ -112,13 +112,13 @@
         }
         state.log(LogEntry.info(LogEvent.JOB_RECORD_DAMAGED).with("job", job.jobId()));
         job.persistence.onRevisionRead(event.revision());
-        if (event.cancelled() && !job.isCancelled()) {
+        if (event.knownCancelled() && !job.isCancelled()) {
             cancel(job);
         }
         if (job.persistence.isReading()) {
             job.persistence.onRecordRead();
         } else {
-            job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
+            job.persistence.requestWrite(PersistenceState.WriteUrgency.IMMEDIATE);
         }
     }
 
@@ -145,10 +145,10 @@
         if (job == null || !job.persistence.isReading()) {
             return;
         }
-        state.serviceLevels().observe(job);
-        stopAll(job);
+        state.serviceLevels().recordIfFullyStarted(job);
+        stopAllAttempts(job);
         if (job.attempts().isEmpty()) {
-            onFinished(job, false);
+            remove(job, false);
         } else {
             state.log(
                     LogEntry.info(LogEvent.JOB_ENDED_ELSEWHERE)
@@ -167,9 +167,9 @@
      *
      * @param outcomeKnown false if only the store knows whether it was done or cancelled
      */
-    public void onFinished(Job job, boolean outcomeKnown) {
+    public void remove(Job job, boolean outcomeKnown) {
         for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
-            job.remove(attempt);
+            job.removeAttempt(attempt);
         }
         job.markFinished();
         state.removeJob(job);
@@ -208,7 +208,7 @@
             job.persistence.onReadAsComplete();
         }
         if (!job.isBlocked()) {
-            state.demand().add(job, state.nowMicros());
+            state.demandEstimator().add(job, state.nowMicros());
         }
         state.dependencies().onJobAdded(job);
         return job;
@@ -222,24 +222,24 @@
     }
 
     private void cancel(Job job) {
-        state.serviceLevels().observe(job);
+        state.serviceLevels().recordIfFullyStarted(job);
         job.markCancelledSince(state.cancellationsReadUpToMicros());
         state.log(LogEntry.info(LogEvent.JOB_CANCEL_REQUESTED).with("job", job.jobId()));
         state.dependencies().onCancelled(job.jobId());
-        stopAll(job);
+        stopAllAttempts(job);
         if (job.attempts().isEmpty()) {
-            job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
+            job.persistence.requestWrite(PersistenceState.WriteUrgency.IMMEDIATE);
         }
         state.requestPlacement();
     }
 
     /** Stops all attempts of a job that is over; what was never sent is removed at once. */
-    public void stopAll(Job job) {
+    public void stopAllAttempts(Job job) {
         for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
             if (attempt.wasNeverSent()) {
-                job.remove(attempt);
+                job.removeAttempt(attempt);
             } else {
-                attempt.stop(NO_GRACE_PERIOD);
+                attempt.requestStop(NO_GRACE_PERIOD);
             }
         }
     }
--- a/src/main/java/org/woadloom/core/machines/HeartbeatHandler.java
+++ b/src/main/java/org/woadloom/core/machines/HeartbeatHandler.java
@@ -37,10 +37,10 @@
     public void onHeartbeat(SchedulerEvent.HeartbeatReceived event) {
         Heartbeat heartbeat = event.heartbeat();
         Machine machine = findOrCreateMachine(heartbeat);
-        if (hasSeenLaterTerm(machine, heartbeat)) {
+        if (stepDownIfLaterTerm(machine, heartbeat)) {
             return;
         }
-        if (!machine.liveness.awaitsAnswerTo(heartbeat, state.nowMicros())) {
+        if (!machine.liveness.recordHeartbeatArrival(heartbeat, state.nowMicros())) {
             // No agent waits for this answer; if one did, it would renew a lease that counts as
             // running out.
             state.emit(new SchedulerAction.RejectHeartbeat(event.requestId()));
@@ -75,7 +75,7 @@
      * True if the agent has seen a token of a later leader; this one then steps down. A higher
      * token of this term was issued to a machine of that name that has been forgotten since.
      */
-    public boolean hasSeenLaterTerm(Machine machine, Heartbeat heartbeat) {
+    public boolean stepDownIfLaterTerm(Machine machine, Heartbeat heartbeat) {
         if (heartbeat.fencingToken() <= machine.liveness.fencingToken()) {
             return false;
         }
@@ -176,11 +176,11 @@
             }
         }
         // The last one may have ended because nothing reaches the agent any more.
-        machine.liveness.suspect(state.nowMicros());
+        machine.liveness.markSuspect(state.nowMicros());
     }
 
     /** Drops what is kept for machines that are no longer known. */
-    public void forget() {
+    public void dropForgottenMachines() {
         acknowledgements.retainMachines(state.machines().keySet());
     }
 }
--- a/src/main/java/org/woadloom/core/placement/QueueOrder.java
+++ b/src/main/java/org/woadloom/core/placement/QueueOrder.java
@@ -118,7 +118,7 @@
         for (Job job : jobs) {
             double alone =
                     (double) job.taskResources.cpu()
-                            * job.pendingTasks()
+                            * job.pendingTaskCount()
                             / fleetCpu
                             * runtimeMicros(job);
             boolean overdue = isOverdue(job);
@@ -160,7 +160,7 @@
     private boolean isOverdue(Job job) {
         long age = state.nowMicros() - job.queuedSinceMicros();
         return (!job.hasStarted() && age > START_OVERDUE_MICROS)
-                || (age > LARGE_OVERDUE_MICROS && state.demand().isLargeInClass(job));
+                || (age > LARGE_OVERDUE_MICROS && state.demandEstimator().isLargeInClass(job));
     }
 
     /**
--- a/src/main/java/org/woadloom/core/rollout/RecordMigration.java
+++ b/src/main/java/org/woadloom/core/rollout/RecordMigration.java
@@ -59,7 +59,7 @@
      * later.
      */
     boolean isQuiet(Feature feature, boolean on) {
-        if (feature != Feature.MACHINE_LIFE) {
+        if (feature != Feature.MACHINE_LIFECYCLE) {
             return true;
         }
         return state.recordsMachineLifecycle() == on
@@ -75,10 +75,10 @@
         // Under a load that takes all writes it still gets done, in an hour or so instead of
         // minutes.
         double rate =
-                state.writeBudget().hasSpare()
+                state.writeBudget().hasSpareCapacity()
                         ? Math.max(
                                 MIN_REWRITES_PER_SECOND,
-                                state.writeBudget().perSecond()
+                                state.writeBudget().writesPerSecond()
                                         * state.settings().operator().rewriteShare())
                         : MIN_REWRITES_PER_SECOND;
         allowance =
@@ -112,7 +112,9 @@
                             : null;
             if ((job == null && machine == null)
                     || (job != null && job.persistence.durableVersion() >= one.getValue())
-                    || (machine != null && !machine.isRewriteNeeded() && !machine.isWriting())) {
+                    || (machine != null
+                            && !machine.isRewriteNeeded()
+                            && !machine.isRecordRequestInFlight())) {
                 all.remove();
             }
         }
@@ -125,7 +127,7 @@
                 return false;
             }
             inFlight.get(feature).put(key, job.persistence.nextVersion());
-            job.persistence.requestWrite(PersistenceState.WriteReason.PHASE);
+            job.persistence.requestWrite(PersistenceState.WriteUrgency.TASK_PROGRESS);
             return true;
         }
         Machine machine = state.machines().get(key.substring(StoreKeys.MACHINE_PREFIX.length()));
@@ -133,7 +135,7 @@
             return false;
         }
         inFlight.get(feature).put(key, 0L);
-        machine.rewriteNeeded();
+        machine.requestRewrite();
         return true;
     }
 
@@ -148,12 +150,12 @@
             }
             if (machine.isKnownAlive()
                     && machine.isRecorded()
-                    && !machine.isReportedRecorded()
+                    && !machine.isHeartbeatRecorded()
                     && !machine.isRewriteNeeded()
-                    && !machine.isWriting()
+                    && !machine.isRecordRequestInFlight()
                     && !machine.isDecommissioning()
                     && !machine.isDeleted()) {
-                machine.rewriteNeeded();
+                machine.requestRewrite();
                 allowance--;
             }
         }
--- a/src/main/java/org/woadloom/node/Node.java
+++ b/src/main/java/org/woadloom/node/Node.java
@@ -213,11 +213,11 @@
     }
 
     private void onRolloutChanged() {
-        if (rollout.isOn(Feature.ZONE_CARE) && operator.care()) {
+        if (rollout.isOn(Feature.LEASE_DELEGATION) && operator.care()) {
             delegatedRenewer.enable();
         }
-        confirmations.setEnabled(rollout.isOn(Feature.CANCELLATION_VOUCHES));
-        if (!rollout.mayBeOn(Feature.CANCELLATION_VOUCHES)) {
+        confirmations.setEnabled(rollout.isOn(Feature.CANCELLATION_REPORTS));
+        if (!rollout.mayBeOn(Feature.CANCELLATION_REPORTS)) {
             confirmations.onNeverEnabled();
         }
         if (rollout.closedReason() != null) {
@@ -274,7 +274,7 @@
         }
 
         @Override
-        public void onDeposed(String reason) {
+        public void onLeadershipLost(String reason) {
             store.setLeader(false);
             confirmations.endTerm();
             relayLeader.stop();
@@ -342,7 +342,7 @@
 
         @Override
         public long term() {
-            return election.knownTerm();
+            return election.leaderTerm();
         }
 
         @Override
--- a/src/main/java/org/woadloom/node/RolloutActions.java
+++ b/src/main/java/org/woadloom/node/RolloutActions.java
@@ -33,7 +33,8 @@
 
     void write(SchedulerAction.WriteRollout put, RecordWriter writer, Outcome outcome) {
         List<Condition> conditions = new ArrayList<>();
-        put.conditions().forEach((path, revision) -> conditions.add(new Condition(path, revision)));
+        put.expectedRevisions()
+                .forEach((path, revision) -> conditions.add(new Condition(path, revision)));
         List<Change> changes = new ArrayList<>();
         changes.add(Change.put(StoreKeys.ROLLOUT_STATE, put.record().toMap()));
         if (put.agreedVersion() > 0) {
@@ -49,7 +50,7 @@
                         changes,
                         (written, revision) -> {
                             // Written or not, what stands there now is what counts.
-                            rollout.onConflict();
+                            rollout.refresh();
                             outcome.add(
                                     new SchedulerEvent.RolloutWriteCompleted(
                                             put.record().number(), written, revision));
@@ -63,7 +64,7 @@
     void countRecords(SchedulerAction.CountRecords count, Outcome outcome) {
         store.list(
                 RequestPriority.BACKGROUND,
-                count.feature().prefix(),
+                count.feature().recordPrefix(),
                 (result, entries, storeRevision) -> {
                     List<String> old = new ArrayList<>();
                     List<String> unreadable = new ArrayList<>();
@@ -76,7 +77,8 @@
                                         entry.key().substring(StoreKeys.MACHINE_PREFIX.length()),
                                         entry.value());
                             }
-                            if (count.feature().fresh(entry.value()) == count.rollingBack()) {
+                            if (count.feature().isInFeatureFormat(entry.value())
+                                    == count.rollingBack()) {
                                 old.add(entry.key());
                             }
                         } catch (MalformedMessageException e) {
--- a/src/main/java/org/woadloom/peer/PeerCodec.java
+++ b/src/main/java/org/woadloom/peer/PeerCodec.java
@@ -211,7 +211,7 @@
                 report.term(),
                 report.processId(),
                 report.sentMicros(),
-                report.sinceMicros(),
+                report.completeSinceMicros(),
                 report.echoedLeaderClockMicros(),
                 report.promiseMicros());
         writeStrings(out, report.jobIds());
--- a/src/test/java/org/woadloom/sim/RolloutTest.java
+++ b/src/test/java/org/woadloom/sim/RolloutTest.java
@@ -48,7 +48,7 @@
     }
 
     private static Step step(ClusterSimulation cluster) {
-        return standing(cluster, Feature.MACHINE_LIFE).step();
+        return standing(cluster, Feature.MACHINE_LIFECYCLE).step();
     }
 
     private static void ask(ClusterSimulation cluster, Verb verb) {
@@ -73,7 +73,7 @@
         assertEquals(0, cluster.machineRecords()[1]);
         ask(cluster, Verb.GO);
         cluster.run(24 * SECOND);
-        assertTrue(standing(cluster, Feature.MACHINE_LIFE).isOn(), "hurried");
+        assertTrue(standing(cluster, Feature.MACHINE_LIFECYCLE).isOn(), "hurried");
         ask(cluster, Verb.BACK);
         if (step(cluster) != Step.SETTLED) {
             cluster.run(70 * SECOND);
