--- a/src/main/java/org/woadloom/metrics/NodeMetrics.java
+++ b/src/main/java/org/woadloom/metrics/NodeMetrics.java
@@ -56,16 +56,16 @@
             refusedOrLateCount++;
         }
         httpAnswers
-                .computeIfAbsent(request, w -> new HashMap<>())
+                .computeIfAbsent(request, key -> new HashMap<>())
                 .computeIfAbsent(
                         status,
-                        s ->
+                        key ->
                                 registry.counter(
                                         "woadloom.http.answers",
                                         "what",
                                         request,
                                         "status",
-                                        Integer.toString(s)))
+                                        Integer.toString(key)))
                 .increment();
     }
 
--- a/src/main/java/org/woadloom/store/RolloutRecord.java
+++ b/src/main/java/org/woadloom/store/RolloutRecord.java
@@ -93,9 +93,9 @@
     }
 
     /** Returns the next version of the record, with a changed state of one feature. */
-    public RolloutRecord withState(String feature, FeatureState standing) {
+    public RolloutRecord withState(String feature, FeatureState state) {
         Map<String, FeatureState> changed = new TreeMap<>(features);
-        changed.put(feature, standing);
+        changed.put(feature, state);
         return new RolloutRecord(number + 1, changed);
     }
 
@@ -103,8 +103,8 @@
     public Set<String> requiredFeatures() {
         Set<String> names = new TreeSet<>();
         features.forEach(
-                (name, standing) -> {
-                    if (standing.isRequired()) {
+                (name, state) -> {
+                    if (state.isRequired()) {
                         names.add(name);
                     }
                 });
@@ -113,25 +113,25 @@
 
     /** The stored form. */
     public Map<String, Object> toMap() {
-        Map<String, Object> all = new LinkedHashMap<>();
+        Map<String, Object> featureMaps = new LinkedHashMap<>();
         features.forEach(
-                (name, standing) -> {
+                (name, state) -> {
                     Map<String, Object> map = new LinkedHashMap<>();
-                    map.put(STEP, standing.step.text());
-                    map.put(SINCE, standing.sinceWallMicros);
-                    map.put(CHANGED_BY, standing.changedBy);
-                    if (standing.isRollingBack) {
+                    map.put(STEP, state.step.text());
+                    map.put(SINCE, state.sinceWallMicros);
+                    map.put(CHANGED_BY, state.changedBy);
+                    if (state.isRollingBack) {
                         map.put(ROLLED_BACK, true);
                     }
-                    if (standing.isHeld) {
+                    if (state.isHeld) {
                         map.put(HELD, true);
                     }
-                    all.put(name, map);
+                    featureMaps.put(name, map);
                 });
         Map<String, Object> map = new LinkedHashMap<>();
         map.put(NUMBER, number);
         map.put(REQUIRES, List.copyOf(requiredFeatures()));
-        map.put(FEATURES, all);
+        map.put(FEATURES, featureMaps);
         return map;
     }
 
@@ -150,26 +150,26 @@
 
     /** Decodes a stored record. */
     public static RolloutRecord parse(Map<String, Object> map) throws MalformedMessageException {
-        Fields f = new Fields(map);
+        Fields fields = new Fields(map);
         Map<String, FeatureState> features = new TreeMap<>();
-        if (!(f.raw(FEATURES) instanceof Map<?, ?> all)) {
+        if (!(fields.raw(FEATURES) instanceof Map<?, ?> featureMaps)) {
             throw new MalformedMessageException(FEATURES + ": expected a map");
         }
-        for (Map.Entry<?, ?> entry : new ArrayList<>(all.entrySet())) {
-            Fields standing = Fields.of(entry.getValue(), (String) entry.getKey());
+        for (Map.Entry<?, ?> entry : new ArrayList<>(featureMaps.entrySet())) {
+            Fields stateFields = Fields.of(entry.getValue(), (String) entry.getKey());
             features.put(
                     (String) entry.getKey(),
                     new FeatureState(
-                            step(standing.text(STEP)),
-                            standing.flagOr(ROLLED_BACK, false),
-                            standing.flagOr(HELD, false),
-                            standing.integerOr(SINCE, 0),
-                            standing.textOr(CHANGED_BY, "")));
+                            parseStep(stateFields.text(STEP)),
+                            stateFields.flagOr(ROLLED_BACK, false),
+                            stateFields.flagOr(HELD, false),
+                            stateFields.integerOr(SINCE, 0),
+                            stateFields.textOr(CHANGED_BY, "")));
         }
-        return new RolloutRecord(f.integer(NUMBER), features);
+        return new RolloutRecord(fields.integer(NUMBER), features);
     }
 
-    private static Step step(String text) throws MalformedMessageException {
+    private static Step parseStep(String text) throws MalformedMessageException {
         for (Step step : Step.values()) {
             if (step.text().equals(text)) {
                 return step;
