--- a/src/main/java/org/woadloom/core/LeaderTerm.java
+++ b/src/main/java/org/woadloom/core/LeaderTerm.java
@@ -27,36 +27,42 @@
 import org.woadloom.protocol.MachineType;
 
 /**
- * One term of this node's leadership: the parts that decide, what each event means to them, and the
- * order in which they run. A new term starts with new parts, so nothing of an earlier one can be
- * left in them.
+ * The components of one leadership term of this node. Passes each event to the component that
+ * handles it and runs the components in a fixed order. Every term gets new instances, so no state
+ * of an earlier term can leak into it.
  */
 final class LeaderTerm implements SchedulerEvent.TermEventHandler {
-    /** A walk over all machines for each heartbeat would cost more than the heartbeats. */
+    /**
+     * The review visits every machine; running it after each heartbeat would cost more processor
+     * time than the heartbeats themselves.
+     */
     private static final long MACHINE_REVIEW_INTERVAL_MICROS = 100_000;
 
-    private static final long FORGET_INTERVAL_MICROS = 2_000_000;
+    private static final long CLEANUP_INTERVAL_MICROS = 2_000_000;
 
-    /** Backoffs, quarantines and reservations end without an event. */
+    /**
+     * Placement runs at least this often: backoffs, quarantines and reservations expire by time, so
+     * no event triggers it then.
+     */
     private static final long PLACEMENT_INTERVAL_MICROS = 500_000;
 
     /**
-     * Placement walks over all open jobs several times, and in a large fleet something changes in
-     * every step. With more jobs than this the next placement waits in proportion, so that
-     * heartbeats keep most of the processor time: a fifth of a second at 12,000 jobs. With fewer
-     * nothing waits.
+     * Placement iterates over all open jobs several times, and in a large cluster every step
+     * changes something. With more open jobs than this the next placement is delayed in proportion
+     * to the excess, which leaves most of the processor time to heartbeats: by 0.2 s at 12,000
+     * jobs. With fewer jobs there is no delay.
      */
-    private static final int MAX_JOBS_WITHOUT_PAUSE = 4_000;
+    private static final int MAX_JOBS_WITHOUT_PLACEMENT_DELAY = 4_000;
 
-    private static final long PLACEMENT_PAUSE_MICROS_PER_JOB = 25;
+    private static final long PLACEMENT_DELAY_MICROS_PER_JOB = 25;
 
     private final SchedulerState state;
-    private final JobRegistry jobs;
+    private final JobRegistry jobRegistry;
     private final JobPersister jobPersister;
-    private final MachineRegistry machines;
-    private final HeartbeatHandler heartbeats;
+    private final MachineRegistry machineRegistry;
+    private final HeartbeatHandler heartbeatHandler;
     private final DirectCommands directCommands;
-    private final AgentProber prober;
+    private final AgentProber agentProber;
     private final LeaseExpiry leaseExpiry;
     private final MachineDrainer drainer;
     private final Reservations reservations;
@@ -68,24 +74,24 @@
     private final PreemptionPlanner preemption;
     private final WaitingJobsReport waitingJobs;
     private final Autoscaler autoscaler;
-    private final FeatureRollout rollout;
+    private final FeatureRollout featureRollout;
     private long nextMachineReviewMicros;
-    private long nextForgetMicros;
-    private long nextPlacementMicros;
-    private long placementNotBeforeMicros;
+    private long nextCleanupMicros;
+    private long latestPlacementMicros;
+    private long earliestPlacementMicros;
 
-    /** Whether every waiting job had its turn in the present search for placements. */
+    /** Whether the current placement search, which may span several steps, has tried every job. */
     private boolean isSearchComplete = true;
 
     LeaderTerm(SchedulerState state) {
         this.state = state;
         TaskLossHandler taskLosses = new TaskLossHandler(state);
-        jobs = new JobRegistry(state);
-        jobPersister = new JobPersister(state, jobs);
-        machines = new MachineRegistry(state, taskLosses);
-        heartbeats = new HeartbeatHandler(state, machines, taskLosses);
-        directCommands = new DirectCommands(state, heartbeats, taskLosses);
-        prober = new AgentProber(state, taskLosses);
+        jobRegistry = new JobRegistry(state);
+        jobPersister = new JobPersister(state, jobRegistry);
+        machineRegistry = new MachineRegistry(state, taskLosses);
+        heartbeatHandler = new HeartbeatHandler(state, machineRegistry, taskLosses);
+        directCommands = new DirectCommands(state, heartbeatHandler, taskLosses);
+        agentProber = new AgentProber(state, taskLosses);
         leaseExpiry = new LeaseExpiry(state, taskLosses);
         drainer = new MachineDrainer(state, taskLosses);
         PlacementConstraints constraints = new PlacementConstraints(state);
@@ -97,19 +103,19 @@
         placer = new TaskPlacer(state, constraints, reservations);
         preemption = new PreemptionPlanner(state, constraints, reservations, gangPlanner);
         waitingJobs = new WaitingJobsReport(state, constraints, reservations);
-        autoscaler = new Autoscaler(state, constraints, placer, machines, reservations);
-        rollout = new FeatureRollout(state);
+        autoscaler = new Autoscaler(state, constraints, placer, machineRegistry, reservations);
+        featureRollout = new FeatureRollout(state);
     }
 
-    /** Takes in what the store held when the term was taken. */
+    /** Loads the records that the store held when the term began. */
     void load(SchedulerEvent.LeadershipAcquired event, List<MachineType> machineTypes) {
         for (SchedulerEvent.StoredMachine machine : event.machines()) {
-            machines.load(machine);
+            machineRegistry.load(machine);
         }
         for (SchedulerEvent.StoredJob job : event.jobs()) {
-            jobs.load(job);
+            jobRegistry.load(job);
         }
-        machines.onMachineTypes(machineTypes);
+        machineRegistry.onMachineTypes(machineTypes);
         state.log(
                 LogEntry.info(LogEvent.TERM_STARTED)
                         .with("term", event.term())
@@ -130,7 +136,7 @@
     }
 
     void onMachineTypes(List<MachineType> machineTypes) {
-        machines.onMachineTypes(machineTypes);
+        machineRegistry.onMachineTypes(machineTypes);
     }
 
     SchedulerState state() {
@@ -138,7 +144,7 @@
     }
 
     int unreachableMachineCount() {
-        return prober.unreachableCount();
+        return agentProber.unreachableCount();
     }
 
     int reservationCount() {
@@ -150,26 +156,26 @@
     }
 
     int recordsToMigrate() {
-        return rollout.recordsToMigrate();
+        return featureRollout.recordsToMigrate();
     }
 
     int unreadableRecords() {
-        return rollout.unreadableRecords();
+        return featureRollout.unreadableRecords();
     }
 
     /**
-     * Does what the events of a step have made possible, and what is due by now. Whatever only time
-     * brings about is looked for at intervals.
+     * Runs once per step, after its events: does the work that they made possible and the work that
+     * is due by time, for which it checks at intervals.
      */
     void runPass() {
         if (state.nowMicros() >= nextMachineReviewMicros) {
             nextMachineReviewMicros = state.nowMicros() + MACHINE_REVIEW_INTERVAL_MICROS;
             reviewMachines();
         }
-        if (state.nowMicros() >= nextForgetMicros) {
-            nextForgetMicros = state.nowMicros() + FORGET_INTERVAL_MICROS;
-            machines.forget();
-            heartbeats.forget();
+        if (state.nowMicros() >= nextCleanupMicros) {
+            nextCleanupMicros = state.nowMicros() + CLEANUP_INTERVAL_MICROS;
+            machineRegistry.forget();
+            heartbeatHandler.forget();
         }
         state.dependencies().review();
         if (isPlacementDue()) {
@@ -178,28 +184,30 @@
         }
         autoscaler.review(isSearchComplete);
         state.serviceLevels().reportIfDue();
-        rollout.review();
+        featureRollout.review();
         emitActions();
     }
 
     private void reviewMachines() {
         leaseExpiry.expireLeases();
         drainer.drainMachines();
-        prober.review();
+        agentProber.review();
     }
 
     private boolean isPlacementDue() {
         return !isSearchComplete
-                || ((state.isPlacementRequested() || state.nowMicros() >= nextPlacementMicros)
-                        && state.nowMicros() >= placementNotBeforeMicros);
+                || ((state.isPlacementRequested() || state.nowMicros() >= latestPlacementMicros)
+                        && state.nowMicros() >= earliestPlacementMicros);
     }
 
-    /** Notes that placement runs now, and when it may and when it has to run next. */
+    /**
+     * Clears the placement request and sets the earliest and the latest time of the next placement.
+     */
     private void schedulePlacement() {
         state.clearPlacementRequest();
-        nextPlacementMicros = state.nowMicros() + PLACEMENT_INTERVAL_MICROS;
-        int jobsBeyond = Math.max(0, state.jobs().size() - MAX_JOBS_WITHOUT_PAUSE);
-        placementNotBeforeMicros = state.nowMicros() + jobsBeyond * PLACEMENT_PAUSE_MICROS_PER_JOB;
+        latestPlacementMicros = state.nowMicros() + PLACEMENT_INTERVAL_MICROS;
+        int excessJobs = Math.max(0, state.jobs().size() - MAX_JOBS_WITHOUT_PLACEMENT_DELAY);
+        earliestPlacementMicros = state.nowMicros() + excessJobs * PLACEMENT_DELAY_MICROS_PER_JOB;
     }
 
     private void placeTasks() {
@@ -223,18 +231,18 @@
     private void emitActions() {
         state.writeBudget().refill(state.nowMicros());
         jobPersister.emitWrites();
-        machines.emitWrites();
+        machineRegistry.emitWrites();
         directCommands.emitCommands();
     }
 
     @Override
     public void onHeartbeat(SchedulerEvent.HeartbeatReceived event) {
-        heartbeats.onHeartbeat(event);
+        heartbeatHandler.onHeartbeat(event);
     }
 
     @Override
     public void onPeerStatus(SchedulerEvent.PeerStatusReceived event) {
-        machines.onPeerStatus(event);
+        machineRegistry.onPeerStatus(event);
     }
 
     @Override
@@ -244,17 +252,17 @@
 
     @Override
     public void onJobStored(SchedulerEvent.JobStored event) {
-        jobs.onRecord(event.record(), event.revision());
+        jobRegistry.onRecord(event.record(), event.revision());
     }
 
     @Override
     public void onJobRecordDamaged(SchedulerEvent.JobRecordDamaged event) {
-        jobs.onDamagedRecord(event);
+        jobRegistry.onDamagedRecord(event);
     }
 
     @Override
     public void onJobRecordNotFound(SchedulerEvent.JobRecordNotFound event) {
-        jobs.onRecordNotFound(event.jobId());
+        jobRegistry.onRecordNotFound(event.jobId());
     }
 
     @Override
@@ -269,7 +277,7 @@
 
     @Override
     public void onCancellationsConfirmed(SchedulerEvent.CancellationsConfirmed event) {
-        jobs.onCancellationsConfirmed(event.jobIds());
+        jobRegistry.onCancellationsConfirmed(event.jobIds());
     }
 
     @Override
@@ -279,22 +287,22 @@
 
     @Override
     public void onMachineRecordRead(SchedulerEvent.MachineRecordRead event) {
-        machines.onRecordRead(event);
+        machineRegistry.onRecordRead(event);
     }
 
     @Override
     public void onMachineReadFailed(SchedulerEvent.MachineReadFailed event) {
-        machines.onReadFailed(event.host());
+        machineRegistry.onReadFailed(event.host());
     }
 
     @Override
     public void onMachineWriteCompleted(SchedulerEvent.MachineWriteCompleted event) {
-        machines.onWriteCompleted(event);
+        machineRegistry.onWriteCompleted(event);
     }
 
     @Override
     public void onMachinesListed(SchedulerEvent.MachinesListed event) {
-        machines.onMachinesListed(event.machines());
+        machineRegistry.onMachinesListed(event.machines());
         autoscaler.onMachinesListed(event.machines());
     }
 
@@ -305,21 +313,21 @@
 
     @Override
     public void onMachineDeletionCompleted(SchedulerEvent.MachineDeletionCompleted event) {
-        machines.onDeletionCompleted(event);
+        machineRegistry.onDeletionCompleted(event);
     }
 
     @Override
     public void onRolloutStateRead(SchedulerEvent.RolloutStateRead event) {
-        rollout.latest(event);
+        featureRollout.latest(event);
     }
 
     @Override
     public void onRolloutWriteCompleted(SchedulerEvent.RolloutWriteCompleted event) {
-        rollout.onWriteCompleted(event);
+        featureRollout.onWriteCompleted(event);
     }
 
     @Override
     public void onRecordsCounted(SchedulerEvent.RecordsCounted event) {
-        rollout.onRecordsCounted(event);
+        featureRollout.onRecordsCounted(event);
     }
 }
--- a/src/main/java/org/woadloom/core/LogEntry.java
+++ b/src/main/java/org/woadloom/core/LogEntry.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * One line for the log: an event and the values that belong to it, in the order in which they were
- * added. The line reads {@code event=lease_expired machine=host-000231 zone=a}; values that are not
- * one plain word are quoted.
+ * One log line: an event and its fields, in the order in which they were added. The line reads
+ * {@code event=lease_expired machine=host-000231 zone=a}; a value is quoted if it is empty or
+ * contains whitespace, a quote or an equals sign.
  */
 public final class LogEntry {
-    /** How much a line matters. */
+    /** The level at which a line is logged. */
     public enum Level {
         DEBUG,
         INFO
@@ -26,23 +26,23 @@
         this.event = event;
     }
 
-    /** An entry that operators see by default. */
+    /** An entry that is visible at the default log level. */
     public static LogEntry info(LogEvent event) {
         return new LogEntry(Level.INFO, event);
     }
 
-    /** An entry for tracing single tasks. */
+    /** An entry for tracing individual tasks. */
     public static LogEntry debug(LogEvent event) {
         return new LogEntry(Level.DEBUG, event);
     }
 
-    /** Adds a value. */
+    /** Adds a field and returns this entry. */
     public LogEntry with(String key, Object value) {
         fields.add(new Field(key, value));
         return this;
     }
 
-    /** Adds a duration in whole seconds; the key should end with {@code _s}. */
+    /** Adds a duration, rounded down to whole seconds; the key should end with {@code _s}. */
     public LogEntry withSeconds(String key, long micros) {
         return with(key, micros / 1_000_000);
     }
@@ -55,7 +55,7 @@
         return event;
     }
 
-    /** The line as it is written to the log. */
+    /** Formats the line as it is written to the log. */
     @Override
     public String toString() {
         StringBuilder line = new StringBuilder("event=").append(event.text());
@@ -63,14 +63,14 @@
             line.append(' ')
                     .append(field.key)
                     .append('=')
-                    .append(quoted(String.valueOf(field.value)));
+                    .append(quoteIfNeeded(String.valueOf(field.value)));
         }
         return line.toString();
     }
 
-    private static String quoted(String value) {
-        boolean plain =
+    private static String quoteIfNeeded(String value) {
+        boolean isPlain =
                 !value.isEmpty() && value.chars().noneMatch(c -> c <= ' ' || c == '"' || c == '=');
-        return plain ? value : '"' + value.replace("\"", "\\\"") + '"';
+        return isPlain ? value : '"' + value.replace("\"", "\\\"") + '"';
     }
 }
--- a/src/main/java/org/woadloom/core/LogEvent.java
+++ b/src/main/java/org/woadloom/core/LogEvent.java
@@ -3,70 +3,73 @@
 import java.util.Locale;
 
 /**
- * What the scheduler logs. The name of each constant, in lower case, is the {@code event} of its
- * log line.
+ * The events that the scheduler logs. The name of a constant, in lower case, is the value of {@code
+ * event} in its log line.
  */
 public enum LogEvent {
-    /** This node leads: the records of jobs and machines are loaded. */
+    /** This node has become the leader and loaded the records of jobs and machines. */
     TERM_STARTED,
-    /** A job was stored by the node that took it, and this leader has it now. */
+    /** The leader has received a job that the node that accepted it had stored. */
     JOB_ACCEPTED,
     /** A user cancelled the job; its tasks are being stopped. */
     JOB_CANCEL_REQUESTED,
-    /** The final state of a cancelled job is stored, and none of its tasks is left. */
+    /** A cancelled job has no tasks left, and its final state is stored. */
     JOB_CANCELLED,
     /** The final state of a completed job is stored. */
     JOB_DONE,
-    /** A job has to wait until the jobs that it depends on are done. */
+    /** A job waits for its dependencies. */
     JOB_BLOCKED,
-    /** The last job that a blocked job depends on is done. */
+    /** The last dependency of a blocked job is done. */
     JOB_UNBLOCKED,
-    /** A job is cancelled because one that it depends on was. */
+    /** A job is cancelled because one of its dependencies was cancelled. */
     DEPENDENT_JOB_CANCELLED,
-    /** A job's record can't be read; what this leader knows of it is written in its place. */
+    /** A job's record can't be decoded; the leader replaces it by what it knows of the job. */
     JOB_RECORD_DAMAGED,
     /**
-     * Another node has stored the final state of a job that has tasks here; they are being stopped.
+     * Another node has stored the final state of a job of which this leader still knows tasks; they
+     * are being stopped.
      */
     JOB_ENDED_ELSEWHERE,
     /**
-     * A job's record grew beyond what the store takes; tasks that were not started yet wait for
-     * others to end.
+     * A job's record exceeds the largest value that the store accepts; tasks that have not started
+     * wait until others end.
      */
     JOB_RECORD_TOO_LARGE,
-    /** A job names a team that the settings lack; it can't be scheduled. */
+    /** A job names a team that is not in the settings; it can't be scheduled. */
     JOB_TEAM_UNKNOWN,
-    /** Tasks of a job were given machines. */
+    /** Tasks of a job were assigned to machines. */
     TASKS_PLACED,
-    /** At intervals, why one of the jobs that have waited longest has tasks that are not placed. */
+    /** Logged at intervals: why one of the jobs that have waited longest has unplaced tasks. */
     TASKS_PENDING,
-    /** A task attempt is proven to be gone without having completed. */
+    /** A task attempt certainly no longer runs and has not completed. */
     TASK_LOST,
     /** A task attempt ended on its machine. */
     TASK_EXITED,
     /** A machine refused to start a task. */
     TASK_REFUSED,
-    /** A running task is stopped for a job of higher priority, or within its team's guarantee. */
+    /**
+     * A running task is stopped for a job of higher priority or one within its team's guarantee.
+     */
     TASK_PREEMPTED,
-    /** A replica moves to another zone, as the place it has is the only one for another job. */
+    /** A service replica moves to another zone because another job can run only in its place. */
     REPLICA_MOVED,
-    /** No answer came to a direct command that started tasks: they may still be started late. */
+    /** A direct command that starts tasks was not answered: the tasks may still start later. */
     DIRECT_COMMAND_UNANSWERED,
-    /** The lease of a machine's agent is certainly over: its tasks have been killed. */
+    /** The lease of a machine's agent has certainly expired: the agent has killed its tasks. */
     LEASE_EXPIRED,
     /** A machine's agent has reported for the first time. */
     MACHINE_UP,
-    /** The machine list names a machine that this leader did not know. */
+    /** The cloud's machine list contains a machine that this leader did not know. */
     MACHINE_DISCOVERED,
-    /** The cloud says that a machine has failed. */
+    /** The cloud reports that a machine has failed. */
     MACHINE_FAILED,
-    /** The cloud has given notice that it takes a spot machine away. */
+    /** The cloud has announced that it will reclaim a spot machine. */
     SPOT_NOTICE,
-    /** Tasks of several jobs failed on a machine; it gets no tasks for a while. */
+    /** Tasks of several jobs failed on a machine; for some time it gets no new tasks. */
     MACHINE_QUARANTINED,
-    /** A machine's agent reports, and nothing that is sent to it arrives. */
+    /** A machine's agent sends heartbeats, but no direct command reaches it. */
     MACHINE_UNREACHABLE,
-    /** An unreachable machine's agent has acknowledged a token again. */
+    /** The agent of an unreachable machine has acknowledged a fencing token again. */
     MACHINE_REACHABLE,
     /** A machine is to be deleted, for the reason given. */
     MACHINE_DECOMMISSIONED,
@@ -78,38 +81,38 @@
     SCALE_OUT_COMPLETED,
     /** The cloud has no machine of the requested kind. */
     SCALE_OUT_REFUSED,
-    /** Hardly a machine of a zone reports: nothing is rented there. */
+    /** Almost no machine of a zone sends heartbeats: no machines are rented there. */
     ZONE_PARTITIONED,
-    /** A partitioned zone reports again, or none of its machines is left. */
+    /** The machines of a partitioned zone send heartbeats again, or none of them is left. */
     ZONE_RECONNECTED,
-    /** A job holds reservations for all of its tasks. */
+    /** Reservations were made for all tasks of a gang, or for one large task. */
     RESERVATIONS_MADE,
-    /** A reservation failed; all of its job are released, and the job queues again. */
+    /** A reservation failed; all reservations of its job are released, and the job queues again. */
     RESERVATION_FAILED,
-    /** A team asks for more than its limit; what a class of it uses and what waits. */
+    /** A team asks for more than its limit: what one of its job classes uses and waits for. */
     QUOTA_EXCEEDED,
-    /** What comes free of a team's limit is kept for one job that has waited for long. */
+    /** A job that has waited for long gets a turn: freed quota of its team is kept for it. */
     QUOTA_TURN_STARTED,
-    /** A job that has waited for long gets no turn, as replicas hold too much of the limit. */
+    /** A job that has waited for long gets no turn: service replicas use too much of the limit. */
     QUOTA_TURN_IMPOSSIBLE,
-    /** A job could not start in the time in which the limit was kept for it. */
+    /** A job did not start during its turn. */
     QUOTA_TURN_EXPIRED,
-    /** Once a minute, how a class of a team is served. */
+    /** Logged once a minute: how the jobs of one class of one team are served. */
     SERVICE_LEVEL,
-    /** Once a minute, how the largest jobs of a class are served. */
+    /** Logged once a minute: how the largest jobs of a class are served. */
     LARGEST_JOBS_SERVICE_LEVEL,
-    /** Stored records are not of the form in force and are to be rewritten. */
+    /** Stored records are not in the current format and will be rewritten. */
     ROLLOUT_RECORDS_OUTDATED,
-    /** Stored records can't be read and are kept as they are. */
+    /** Stored records can't be decoded and are left unchanged. */
     ROLLOUT_RECORDS_UNREADABLE,
-    /** The settings of the nodes name different nodes. */
+    /** The settings of the nodes disagree on which nodes the cluster has. */
     ROLLOUT_MEMBERS_DIFFER,
-    /** A feature stays at its step, for the reason given. */
+    /** The rollout of a feature stays at its step, for the logged reason. */
     ROLLOUT_WAITING,
-    /** A feature has moved to another step. */
+    /** The rollout of a feature has moved to another step. */
     ROLLOUT_STEP;
 
-    /** The name as it stands in the log. */
+    /** The name as it is written to the log. */
     public String text() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/org/woadloom/core/Scheduler.java
+++ b/src/main/java/org/woadloom/core/Scheduler.java
@@ -6,12 +6,12 @@
 import org.woadloom.store.RecordFormat;
 
 /**
- * The scheduler: a deterministic state machine that owns all state of the cluster while this node
- * leads. Events go in, actions come out; the same events at the same times give the same actions,
- * and nothing in it reads a clock, a file or a socket.
+ * The scheduler: a deterministic state machine that owns all cluster state while this node is the
+ * leader. It consumes events and emits actions. The same events at the same times give the same
+ * actions; it reads no clock, file or socket.
  *
- * <p>Every node has one. While the node does not lead it knows no more than the limits of the store
- * and the machine types, and asks for nothing.
+ * <p>Every node has one. While the node is not the leader, the scheduler keeps only the limits of
+ * the store and the machine types, and emits no actions.
  */
 public final class Scheduler {
     private final SchedulerSettings settings;
@@ -19,49 +19,52 @@
     private SchedulerEvent.StoreLimitsChanged storeLimits =
             new SchedulerEvent.StoreLimitsChanged(0, RecordFormat.PLAIN, 0, false, false);
 
-    /** The term in which this node leads; null while it does not. */
+    /** The current term of leadership; null while this node is not the leader. */
     private LeaderTerm leaderTerm;
 
     public Scheduler(SchedulerSettings settings) {
         this.settings = settings;
     }
 
-    /** Jobs that are not over, or not stored as such yet; 0 while this node does not lead. */
+    /** How many jobs have no final state in the store; 0 while this node is not the leader. */
     public int openJobCount() {
         return countInTerm(term -> term.state().jobs().size());
     }
 
-    /** Jobs that wait for those that they depend on. */
+    /** How many jobs wait for their dependencies. */
     public int blockedJobCount() {
         return countInTerm(term -> term.state().dependencies().blockedCount());
     }
 
-    /** Machines that are known, also those that are only rented or about to be deleted. */
+    /** How many machines are known, including those that have not come up or are to be deleted. */
     public int machineCount() {
         return countInTerm(term -> term.state().machines().size());
     }
 
-    /** Machines whose agents send heartbeats and that no direct command reaches. */
+    /** How many machines send heartbeats but can't be reached by direct commands. */
     public int unreachableMachineCount() {
         return countInTerm(LeaderTerm::unreachableMachineCount);
     }
 
-    /** Reservations of resources for gangs. */
+    /** How many reservations of machine resources exist. */
     public int reservationCount() {
         return countInTerm(LeaderTerm::reservationCount);
     }
 
-    /** Machines that searches have examined in this term, counted anew for each job. */
+    /**
+     * How many machines the placement and reservation searches of this term have examined; a
+     * machine counts once for each job it is examined for.
+     */
     public long machinesExamined() {
         return leaderTerm == null ? 0 : leaderTerm.machinesExamined();
     }
 
-    /** Records that a rollout still has to rewrite. */
+    /** How many records a feature rollout still has to rewrite. */
     public int recordsToMigrateCount() {
         return countInTerm(LeaderTerm::recordsToMigrate);
     }
 
-    /** Records that could not be read when a rollout counted them. */
+    /** How many records could not be decoded when a feature rollout last counted them. */
     public int unreadableRecordCount() {
         return countInTerm(LeaderTerm::unreadableRecords);
     }
@@ -71,12 +74,12 @@
     }
 
     /**
-     * Applies the events in order, then does what has become possible or due.
+     * Applies the events in order, then does the work that has become possible or due.
      *
-     * @param nowMicros the time by a monotonic clock, for every span that is measured
-     * @param wallMicros the time since 1970, for what is stored or compared between nodes
-     * @param events what has happened since the last step
-     * @return what is to be done, in this order; nothing while this node does not lead
+     * @param nowMicros the time by a monotonic clock, used to measure durations
+     * @param wallMicros the time since 1970, used in stored records and across nodes
+     * @param events the events since the last step
+     * @return the actions to execute, in this order; empty while this node is not the leader
      */
     public List<SchedulerAction> step(
             long nowMicros, long wallMicros, List<SchedulerEvent> events) {
@@ -97,7 +100,7 @@
         return leaderTerm.state().takeActions();
     }
 
-    /** Handles the events that matter whether this node leads or not, at the time of one step. */
+    /** Handles the events of one step that apply whether or not this node is the leader. */
     private final class NodeEvents implements SchedulerEvent.NodeEventHandler {
         private final long nowMicros;
         private final long wallMicros;
--- a/src/main/java/org/woadloom/core/SchedulerAction.java
+++ b/src/main/java/org/woadloom/core/SchedulerAction.java
@@ -12,20 +12,21 @@
 import org.woadloom.store.RolloutRecord;
 
 /**
- * What the scheduler wants done. Where the outcome matters to it, it comes back as the {@link
- * SchedulerEvent} that the action names.
+ * An output of the scheduler, which the node executes. Where the scheduler needs the outcome, it
+ * gets it as the {@link SchedulerEvent} that the action's comment names.
  */
 public sealed interface SchedulerAction {
     /**
      * Answer the heartbeat of this request, which renews the agent's lease.
      *
-     * @param fencingToken the token that the agent is to require of commands from now on
+     * @param fencingToken the agent must from now on refuse commands with a lower token
      */
     record AnswerHeartbeat(long requestId, long fencingToken, List<TaskCommand> commands)
             implements SchedulerAction {}
 
     /**
-     * Drop a heartbeat: whoever forwarded it must not wait for an answer, and no lease is renewed.
+     * Reject a heartbeat: no lease is renewed, and the node that forwarded it must not wait for an
+     * answer.
      */
     record RejectHeartbeat(long requestId) implements SchedulerAction {}
 
@@ -33,7 +34,8 @@
      * Send commands to an agent without waiting for its next heartbeat; answered by {@link
      * SchedulerEvent.DirectCommandCompleted}.
      *
-     * @param incarnation the agent's process that the commands are for; another one refuses them
+     * @param incarnation identifies the agent process that the commands are for; any other process
+     *     refuses them
      */
     record SendDirectCommand(
             long commandId,
@@ -45,16 +47,16 @@
             implements SchedulerAction {}
 
     /**
-     * Write a job's record on condition that its revision in the store is still the given one;
-     * answered by {@link SchedulerEvent.JobWriteCompleted} with the version in the record.
+     * Write a job's record if its revision in the store is still the given one; answered by {@link
+     * SchedulerEvent.JobWriteCompleted} with the version in the record.
      *
-     * @param urgent whether tasks can't start or stop before it is written
+     * @param urgent whether tasks can't start or stop until the record is written
      */
     record WriteJob(JobRecord record, long revision, boolean urgent) implements SchedulerAction {}
 
     /**
-     * Replace a job's record by its final state, on the same condition; answered by {@link
-     * SchedulerEvent.JobWriteCompleted} with the given version.
+     * Replace a job's record by its final state if the record's revision is still the given one;
+     * answered by {@link SchedulerEvent.JobWriteCompleted} with the given version.
      */
     record WriteFinalState(FinalRecord record, long revision, long version)
             implements SchedulerAction {}
@@ -67,20 +69,20 @@
     record ReadJob(String jobId) implements SchedulerAction {}
 
     /**
-     * Find out what the store holds of a job that others depend on, its record or its final state;
+     * Look up whether the store holds the record or the final state of a job that others depend on;
      * answered by {@link SchedulerEvent.DependencyResolved}.
      */
     record ResolveDependency(String jobId) implements SchedulerAction {}
 
     /**
-     * Write a machine's record on condition that its revision in the store is still the given one;
-     * answered by {@link SchedulerEvent.MachineWriteCompleted}.
+     * Write a machine's record if its revision in the store is still the given one; answered by
+     * {@link SchedulerEvent.MachineWriteCompleted}.
      */
     record WriteMachine(MachineRecord record, long revision) implements SchedulerAction {}
 
     /**
-     * Delete a machine's record, on the same condition; answered by {@link
-     * SchedulerEvent.MachineWriteCompleted}.
+     * Delete a machine's record if its revision in the store is still the given one; answered by
+     * {@link SchedulerEvent.MachineWriteCompleted}.
      */
     record DeleteMachineRecord(String host, long revision) implements SchedulerAction {}
 
@@ -93,41 +95,46 @@
     /**
      * Rent machines from the cloud; answered by {@link SchedulerEvent.ScaleOutCompleted}.
      *
-     * @param requestName makes a repeated request the same one to the cloud
+     * @param requestName the idempotency key by which the cloud recognizes a repeated request
      */
     record RentMachines(
             String requestName, String machineType, String zone, boolean spot, int count)
             implements SchedulerAction {}
 
     /**
-     * Give machines back to the cloud; answered by {@link SchedulerEvent.MachineDeletionCompleted}.
+     * Have the cloud delete machines; answered by {@link SchedulerEvent.MachineDeletionCompleted}.
      */
     record DeleteMachines(List<String> hosts) implements SchedulerAction {}
 
-    /** Send a node the delegation that answers its {@link SchedulerEvent.PeerStatusReceived}. */
+    /**
+     * Send a node permission to renew agents' leases on behalf of the leader, in answer to its
+     * {@link SchedulerEvent.PeerStatusReceived}.
+     */
     record DelegateLeases(String node, LeaseDelegation delegation) implements SchedulerAction {}
 
-    /** Give up leadership: an agent has acknowledged a token of a later term. */
+    /** Give up leadership, because an agent has acknowledged a fencing token of a later term. */
     record StepDown(String reason) implements SchedulerAction {}
 
     /**
-     * Write how far the features are; answered by {@link SchedulerEvent.RolloutWriteCompleted}.
+     * Write the state of the feature rollouts; answered by {@link
+     * SchedulerEvent.RolloutWriteCompleted}.
      *
-     * @param expectedRevisions the revision that each of these keys must still have
-     * @param agreedVersion the version that is written for nodes of versions 2 and 3, which know no
-     *     rollouts; 0 for none
+     * @param expectedRevisions for each key, the revision that it must still have for the write to
+     *     be executed
+     * @param agreedVersion the agreed version to write for nodes of versions 2 and 3, which do not
+     *     support feature rollouts; 0 to write none
      */
     record WriteRollout(
             RolloutRecord record, Map<String, Long> expectedRevisions, long agreedVersion)
             implements SchedulerAction {}
 
     /**
-     * Find the feature's records in the store that are not in its form, or that are where it is
-     * rolled back; answered by {@link SchedulerEvent.RecordsCounted}.
+     * Find the records in the store that are not in the feature's format or, if the feature is
+     * being rolled back, those that are; answered by {@link SchedulerEvent.RecordsCounted}.
      */
     record CountRecords(Feature feature, boolean rollingBack) implements SchedulerAction {}
 
-    /** Publish, once a minute, how each team's jobs of each class are served. */
+    /** Publish how each team's jobs of each class are served; emitted once a minute. */
     record PublishServiceLevels(List<ServiceLevelReport.Row> rows) implements SchedulerAction {}
 
     /** Write one line to the log. */
--- a/src/main/java/org/woadloom/core/SchedulerEvent.java
+++ b/src/main/java/org/woadloom/core/SchedulerEvent.java
@@ -15,17 +15,15 @@
 import org.woadloom.store.RolloutRecord;
 import org.woadloom.store.RolloutRequest;
 
-/**
- * What has happened. Everything that the scheduler knows of the world comes to it as one of these.
- */
+/** An input of the scheduler. Everything it learns from outside reaches it as one of these. */
 public sealed interface SchedulerEvent {
-    /** An event that matters whether this node leads or not. */
+    /** An event that applies whether or not this node is the leader. */
     sealed interface NodeEvent extends SchedulerEvent {
         /** Calls the handler's method for this kind of event. */
         void accept(NodeEventHandler handler);
     }
 
-    /** An event that matters only to the leader; at any other time it is dropped. */
+    /** An event that applies only to the leader; otherwise it is dropped. */
     sealed interface TermEvent extends SchedulerEvent {
         /** Calls the handler's method for this kind of event. */
         void accept(TermEventHandler handler);
@@ -38,10 +36,10 @@
     record StoredMachine(MachineRecord record, long revision) {}
 
     /**
-     * This node has taken a term and has read every record.
+     * This node has become the leader and has read every record.
      *
-     * @param cancellationsReadUpToMicros the records tell of every cancellation that was made
-     *     before this moment
+     * @param cancellationsReadUpToMicros the records contain every cancellation that was stored
+     *     before this time
      */
     record LeadershipAcquired(
             long term,
@@ -55,7 +53,7 @@
         }
     }
 
-    /** This node no longer leads: all state of the term is dropped. */
+    /** This node is no longer the leader: all state of the term is dropped. */
     record LeadershipLost() implements NodeEvent {
         @Override
         public void accept(NodeEventHandler handler) {
@@ -63,7 +61,7 @@
         }
     }
 
-    /** A job's record was written by a node that took a request of a user, or was read. */
+    /** A job's record was written by a node that handled a user's request, or was read. */
     record JobStored(JobRecord record, long revision) implements TermEvent {
         @Override
         public void accept(TermEventHandler handler) {
@@ -74,7 +72,7 @@
     /**
      * A job's record was read and can't be decoded.
      *
-     * @param knownCancelled whether it can still be told that the job is cancelled
+     * @param knownCancelled whether the readable part of the record says that the job is cancelled
      */
     record JobRecordDamaged(String jobId, long revision, boolean knownCancelled)
             implements TermEvent {
@@ -84,7 +82,7 @@
         }
     }
 
-    /** The store holds these jobs as cancelled, and users may be told so. */
+    /** The cancellation of these jobs is stored and may be confirmed to users. */
     record CancellationsConfirmed(List<String> jobIds) implements TermEvent {
         @Override
         public void accept(TermEventHandler handler) {
@@ -92,7 +90,7 @@
         }
     }
 
-    /** A job's record was to be read, and the store holds none. */
+    /** A job's record was to be read, but the store holds none. */
     record JobRecordNotFound(String jobId) implements TermEvent {
         @Override
         public void accept(TermEventHandler handler) {
@@ -110,7 +108,7 @@
 
     /** What the store holds of a job that others depend on. */
     enum DependencyState {
-        /** The job's record: it is not over. */
+        /** The job's record: the job has not ended. */
         OPEN,
         /** A final state: the job is done. */
         DONE,
@@ -118,14 +116,14 @@
         CANCELLED,
         /** Nothing. */
         NOT_FOUND,
-        /** A value that can't be decoded, or no answer. */
+        /** Unknown: the value can't be decoded, or the store did not answer. */
         UNREADABLE
     }
 
     /**
      * The answer to {@link SchedulerAction.ResolveDependency}.
      *
-     * @param endedWallMicros when the job ended, 0 where that is not known
+     * @param endedWallMicros when the job ended; 0 if that is not known
      */
     record DependencyResolved(String jobId, DependencyState state, long endedWallMicros)
             implements TermEvent {
@@ -136,12 +134,15 @@
     }
 
     /**
-     * From now on the store takes this much, and records have this form.
+     * The limits of the store or the formats of the records have changed.
      *
-     * @param maxValueBytes the largest value that the store takes
-     * @param delegationEnabled whether all nodes can renew leases of a partitioned zone
-     * @param recordsMachineLifecycle whether records of machines say when these were rented and
-     *     whether they ever reported
+     * @param maxValueBytes the largest value that the store accepts
+     * @param recordFormat the format in which job records are written
+     * @param writesPerSecond the rate of writes that the store sustains
+     * @param delegationEnabled whether every node is able to renew agents' leases for the leader
+     *     while a zone is partitioned
+     * @param recordsMachineLifecycle whether machine records include when the machine was rented
+     *     and whether it ever sent a heartbeat
      */
     record StoreLimitsChanged(
             int maxValueBytes,
@@ -157,11 +158,11 @@
     }
 
     /**
-     * A node, this one perhaps, has sent its status; answered by {@link
+     * A node, possibly this one, has sent its status; answered by {@link
      * SchedulerAction.DelegateLeases}.
      *
-     * @param cancellationsReadUpToMicros the scheduler has been given every cancellation that was
-     *     made before this moment
+     * @param cancellationsReadUpToMicros the scheduler has received every cancellation that was
+     *     stored before this time
      */
     record PeerStatusReceived(String node, PeerStatus status, long cancellationsReadUpToMicros)
             implements TermEvent {
@@ -172,10 +173,10 @@
     }
 
     /**
-     * The answer to {@link SchedulerAction.ReadMachine}, which follows a write without a clear
-     * outcome.
+     * The answer to {@link SchedulerAction.ReadMachine}, which follows a write whose outcome is
+     * unknown or a conflict.
      *
-     * @param record null where the store holds none
+     * @param record null if the store holds none
      */
     record MachineRecordRead(String host, MachineRecord record, long revision)
             implements TermEvent {
@@ -208,7 +209,7 @@
      * The outcome of a {@link SchedulerAction.SendDirectCommand}.
      *
      * @param status the status of the HTTP response, 0 for no response, -1 if nothing was sent
-     * @param heartbeat what the agent answered, or null
+     * @param heartbeat the agent's answer, or null
      */
     record DirectCommandCompleted(long commandId, String host, int status, Heartbeat heartbeat)
             implements TermEvent {
@@ -218,17 +219,17 @@
         }
     }
 
-    /** What became of a write to the store. */
+    /** The outcome of a write to the store. */
     enum WriteOutcome {
         /** It was executed. */
         WRITTEN,
-        /** It was not executed, as a revision was another than its condition said. */
+        /** It was not executed, because a key did not have the expected revision. */
         CONFLICT,
-        /** It may have been executed, or may still be. */
+        /** It may have been executed, or may still be executed. */
         UNKNOWN,
         /** It was not executed and never will be. */
         NOT_WRITTEN,
-        /** It was not executed and never will be, as the value is larger than the store takes. */
+        /** It was not executed and never will be, because the value exceeds the store's limit. */
         TOO_LARGE
     }
 
@@ -250,7 +251,8 @@
      * The outcome of a {@link SchedulerAction.WriteMachine} or {@link
      * SchedulerAction.DeleteMachineRecord}.
      *
-     * @param decommissioning what the record that was to be written says of that
+     * @param decommissioning whether the record that was to be written has the machine as
+     *     decommissioning
      * @param deleted whether the record was to be deleted
      * @param revision the record's new revision, if it was written
      */
@@ -267,7 +269,7 @@
         }
     }
 
-    /** The cloud has said which machine types it offers. */
+    /** The cloud has listed the machine types that it offers. */
     record MachineTypesRead(List<MachineType> types) implements NodeEvent {
         @Override
         public void accept(NodeEventHandler handler) {
@@ -275,7 +277,7 @@
         }
     }
 
-    /** The cloud has listed its machines; the list lags behind. */
+    /** The cloud has listed its machines; the list may be out of date. */
     record MachinesListed(List<ListedMachine> machines) implements TermEvent {
         @Override
         public void accept(TermEventHandler handler) {
@@ -283,11 +285,11 @@
         }
     }
 
-    /** What became of a request for machines. */
+    /** The outcome of a request for machines. */
     enum ScaleOutOutcome {
         /** The cloud has rented the machines. */
         RENTED,
-        /** The cloud has no machine of the kind for now. */
+        /** The cloud has no machine of the requested type at present. */
         NO_CAPACITY,
         /** The cloud refused the request for another reason. */
         REFUSED,
@@ -316,19 +318,19 @@
         }
     }
 
-    /** What a live process announces of itself, and the revision at which it was read. */
+    /** The announcement of a live node process, and the revision at which it was read. */
     record StoredAnnouncement(NodeAnnouncement announcement, long revision) {}
 
     /**
-     * The state of the rollout as the store holds it.
+     * The state of the feature rollouts in the store.
      *
      * @param revision the revision of the record
-     * @param announcements what live processes announce, by node
-     * @param requests what operators ask for, by feature
-     * @param unannouncedNodes nodes that sent something lately and announce nothing
+     * @param announcements the announcements of live node processes, by node
+     * @param requests the operators' requests, by feature
+     * @param unannouncedNodes nodes that sent messages recently but have no announcement
      * @param agreedVersion the version that nodes of versions 2 and 3 have agreed on
      * @param agreedVersionRevision the revision of the agreed version
-     * @param overloadSignals how many answers were refused and how many steps were late since this
+     * @param overloadSignals how many answers were refused plus how many steps were late since this
      *     process started
      */
     record RolloutStateRead(
@@ -346,7 +348,7 @@
             handler.onRolloutStateRead(this);
         }
 
-        /** The same with another record, which was written at the given revision. */
+        /** Returns a copy with another record, which was written at the given revision. */
         public RolloutStateRead withRecord(RolloutRecord newRecord, long newRevision) {
             return new RolloutStateRead(
                     newRecord,
@@ -363,7 +365,7 @@
     /**
      * The outcome of a {@link SchedulerAction.WriteRollout}.
      *
-     * @param recordNumber the number of the record that was to be written
+     * @param recordNumber the sequence number of the record that was to be written
      * @param revision the record's new revision, if it was written
      */
     record RolloutWriteCompleted(long recordNumber, WriteOutcome outcome, long revision)
@@ -378,7 +380,7 @@
      * The outcome of a {@link SchedulerAction.CountRecords}.
      *
      * @param succeeded whether the store could be read
-     * @param outdated the keys of the records that are to be rewritten
+     * @param outdated the keys of the records that must be rewritten
      * @param unreadable the keys of the records that can't be decoded
      */
     record RecordsCounted(
@@ -394,15 +396,15 @@
         }
     }
 
-    /** Time has passed: what is due by now is done in the pass that ends the step. */
+    /** Time has passed: the pass at the end of the step does the work that is due. */
     record Tick() implements TermEvent {
         @Override
         public void accept(TermEventHandler handler) {
-            // The event has no effect of its own.
+            // Nothing to do: the pass at the end of the step checks the time.
         }
     }
 
-    /** Handles the events that matter whether this node leads or not. */
+    /** Handles the events that apply whether or not this node is the leader. */
     interface NodeEventHandler {
         /** Handles {@link LeadershipAcquired}. */
         void onLeadershipAcquired(LeadershipAcquired event);
@@ -417,7 +419,7 @@
         void onMachineTypesRead(MachineTypesRead event);
     }
 
-    /** Handles the events that matter only to the leader. */
+    /** Handles the events that apply only to the leader. */
     interface TermEventHandler {
         /** Handles {@link JobStored}. */
         void onJobStored(JobStored event);
--- a/src/main/java/org/woadloom/core/SchedulerSettings.java
+++ b/src/main/java/org/woadloom/core/SchedulerSettings.java
@@ -9,13 +9,13 @@
 import org.woadloom.settings.Team;
 
 /**
- * The settings of the deployment that the scheduler rests on.
+ * The settings that the scheduler uses.
  *
  * @param nodeName the name of this node
- * @param zoneByNode the zone of each node, this one's among them
+ * @param zoneByNode the zone of each node, including this one
  * @param heartbeatIntervalMicros how often an agent sends a heartbeat
  * @param leaseDurationMicros how long an agent may go without an answer before it kills its tasks
- * @param cancellationTimeoutMicros within what time the tasks of a cancelled job must have stopped
+ * @param cancellationTimeoutMicros how soon the tasks of a cancelled job must have stopped
  * @param machineListLagMicros by how much the cloud's list of machines may be out of date
  */
 public record SchedulerSettings(
@@ -29,12 +29,12 @@
         long machineListLagMicros,
         OperatorSettings operator) {
 
-    /** Copies the zones, so that nobody changes them. */
+    /** Copies the map, so that later changes to the argument have no effect. */
     public SchedulerSettings {
         zoneByNode = Map.copyOf(zoneByNode);
     }
 
-    /** Picks out of the settings files what the scheduler needs. */
+    /** Extracts what the scheduler needs from the settings files. */
     public static SchedulerSettings of(ServiceSettings settings, OperatorSettings operator) {
         Map<String, String> nodes = new LinkedHashMap<>();
         nodes.put(settings.label(), settings.zone());
--- a/src/main/java/org/woadloom/core/SchedulerState.java
+++ b/src/main/java/org/woadloom/core/SchedulerState.java
@@ -23,13 +23,13 @@
 import org.woadloom.store.RecordFormat;
 
 /**
- * Everything that the scheduler knows in one term of leadership, and the actions of the step that
- * is under way. The collections that it hands out are read-only; they change by its own methods,
- * which keep what belongs together.
+ * All state of the scheduler in one term of leadership, and the actions emitted in the current
+ * step. The collections it returns are read-only views; they change only through its methods, which
+ * keep them consistent with each other.
  */
 public final class SchedulerState {
-    /** An attempt number has the term in the bits above these, and a count in these. */
-    private static final int ATTEMPT_BITS = 32;
+    /** The number of low bits of an attempt number that hold a counter; the term is above them. */
+    private static final int ATTEMPT_COUNTER_BITS = 32;
 
     private final SchedulerSettings settings;
     private final long term;
@@ -39,19 +39,16 @@
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private final Map<String, Machine> machinesView = Collections.unmodifiableMap(machines);
 
-    /** Machines to which there may be something to send; the others are skipped in every step. */
     private final Set<Machine> machinesWithPendingCommands = new LinkedHashSet<>();
 
     private final Set<Machine> machinesWithPendingCommandsView =
             Collections.unmodifiableSet(machinesWithPendingCommands);
 
-    /** Machines whose record is out of date, or that are to be deleted. */
     private final Set<Machine> machinesToPersist = new LinkedHashSet<>();
 
     private final Set<Machine> machinesToPersistView =
             Collections.unmodifiableSet(machinesToPersist);
 
-    /** Jobs whose record is out of date. */
     private final Set<Job> jobsToPersist = new LinkedHashSet<>();
 
     private final Set<Job> jobsToPersistView = Collections.unmodifiableSet(jobsToPersist);
@@ -62,27 +59,20 @@
     private final DependencyGraph dependencies = new DependencyGraph(this);
     private final ServiceLevelReport serviceLevels;
 
-    /** The largest value that the store takes. */
     private int maxValueBytes;
 
     private final LivenessTimeouts livenessTimeouts;
 
-    /** Every token that a forgotten machine was given in this term has a lower fence than this. */
     private long minFence;
 
     private final DelegationTimeouts delegationTimeouts;
     private final DelegationLedger delegations;
 
-    /** Every cancellation that was made before this moment has been read. */
     private long cancellationsReadUpToMicros = Long.MIN_VALUE;
 
     private final WriteBudget writeBudget = new WriteBudget();
     private RecordFormat recordFormat = RecordFormat.PLAIN;
 
-    /**
-     * Whether records of machines say when these were rented and whether they ever reported, and
-     * since when that is so.
-     */
     private boolean recordsMachineLifecycle;
 
     private long recordsMachineLifecycleSinceMicros;
@@ -90,7 +80,6 @@
     private final Map<String, MachineType> machineTypesView =
             Collections.unmodifiableMap(machineTypes);
 
-    /** Zones in which the cloud lately refused every on-demand machine type. */
     private final Set<String> scarceZones = new HashSet<>();
 
     private final Set<String> scarceZonesView = Collections.unmodifiableSet(scarceZones);
@@ -98,16 +87,14 @@
     private long nowMicros;
     private long wallMicros;
 
-    /** How many jobs have arrived, or were unblocked. */
     private long jobArrivalCount;
 
-    /** Set when something changed that may let a task be placed. */
     private boolean placementRequested = true;
 
     private List<SchedulerAction> actions = new ArrayList<>();
-    private long lastAttempt;
+    private long lastAttemptCounter;
     private long lastCommandId;
-    private long lastRequest;
+    private long lastRequestNumber;
 
     SchedulerState(SchedulerSettings settings, long term, long nowMicros, long wallMicros) {
         this.settings = settings;
@@ -130,23 +117,23 @@
         }
     }
 
-    /** Adds an action to those of the step under way. */
+    /** Adds an action to those of the current step. */
     public void emit(SchedulerAction action) {
         actions.add(action);
     }
 
-    /** Adds a line for the log to the actions of the step under way. */
+    /** Adds a log line to the actions of the current step. */
     public void log(LogEntry entry) {
         actions.add(new SchedulerAction.Log(entry));
     }
 
-    /** Moves to the time of a step. */
+    /** Sets the time of the current step. */
     void setTime(long now, long wall) {
         nowMicros = now;
         wallMicros = wall;
     }
 
-    /** Follows what the store takes from now on, and the form of the records that it must fit. */
+    /** Adopts changed store limits and record formats. */
     void setStoreLimits(SchedulerEvent.StoreLimitsChanged limits) {
         maxValueBytes = limits.maxValueBytes();
         recordFormat = limits.recordFormat();
@@ -161,7 +148,7 @@
         requestPlacement();
     }
 
-    /** Something changed that may let a task be placed: the next pass tries. */
+    /** Has the next pass try to place tasks, because a change may have made that possible. */
     public void requestPlacement() {
         placementRequested = true;
     }
@@ -170,211 +157,214 @@
         placementRequested = false;
     }
 
-    /** A job has arrived, or the last one that it depends on is done. */
+    /** Counts a job that has arrived or was unblocked by its last dependency. */
     public void countJobArrival() {
         jobArrivalCount++;
     }
 
-    /** Every cancellation that was made before the given moment has been read. */
+    /** Notes that every cancellation stored before the given time has been read. */
     public void advanceCancellationsReadUpTo(long micros) {
         cancellationsReadUpToMicros = Math.max(cancellationsReadUpToMicros, micros);
     }
 
-    /** Hands over the actions of the step, and starts with none again. */
+    /** Returns the actions emitted since the last call and clears them. */
     List<SchedulerAction> takeActions() {
-        List<SchedulerAction> current = actions;
+        List<SchedulerAction> taken = actions;
         actions = new ArrayList<>();
-        return current;
+        return taken;
     }
 
-    /** An attempt number that no leader has used or will use: the term is taken once only. */
+    /** Returns an attempt number that no other leader uses: each term has only one leader. */
     public long newAttemptNumber() {
-        return (term << ATTEMPT_BITS) + ++lastAttempt;
+        return (term << ATTEMPT_COUNTER_BITS) + ++lastAttemptCounter;
     }
 
-    /** An id for a direct command that no other of this term has. */
+    /** Returns an id for a direct command that is unique within this term. */
     public long newCommandId() {
         return ++lastCommandId;
     }
 
-    /** A rental request's name, which must never be used again by any node. */
+    /** Returns a name for a rental request that no node has used or will use. */
     public String newRequestName() {
-        return "r-" + term + "-" + ++lastRequest;
+        return "r-" + term + "-" + ++lastRequestNumber;
     }
 
-    /** What the deployment settles. */
     public SchedulerSettings settings() {
         return settings;
     }
 
-    /** The term in which this node leads. */
+    /** The term in which this node is the leader. */
     public long term() {
         return term;
     }
 
-    /** When this node took the term, by the monotonic clock. */
+    /** When this node became the leader, by the monotonic clock. */
     public long termStartMicros() {
         return termStartMicros;
     }
 
-    /** All jobs of the term by id, in the order in which they came; read-only. */
+    /** All jobs of the term by id, in order of arrival; read-only. */
     public Map<String, Job> jobs() {
         return jobsView;
     }
 
-    /** Adds a job under its id. */
     public void addJob(Job job) {
         jobs.put(job.jobId(), job);
     }
 
-    /** Removes a job that is over, of which no attempt is left. */
+    /** Removes a job that is over and has no attempts left. */
     public void removeJob(Job job) {
         jobs.remove(job.jobId());
     }
 
-    /** All machines of the term by name, in the order in which they were first seen; read-only. */
+    /**
+     * All machines of the term by host name, in the order in which they were first seen; read-only.
+     */
     public Map<String, Machine> machines() {
         return machinesView;
     }
 
-    /** Adds a machine under its name. */
     public void addMachine(Machine machine) {
         machines.put(machine.host, machine);
     }
 
     /**
-     * Forgets the machines for which the condition holds, and raises the lowest fence above theirs:
-     * a machine that comes back under a forgotten name takes no token of before.
+     * Removes the machines that match and raises {@link #minFence()} above their fences, so that a
+     * machine that returns under a removed name is not given a token that was issued before.
      */
     public void forgetMachinesIf(Predicate<Machine> condition) {
         machines.values()
                 .removeIf(
                         machine -> {
-                            boolean forgotten = condition.test(machine);
-                            if (forgotten) {
+                            boolean matches = condition.test(machine);
+                            if (matches) {
                                 minFence = Math.max(minFence, machine.liveness.fence() + 1);
                                 machinesWithPendingCommands.remove(machine);
                             }
-                            return forgotten;
+                            return matches;
                         });
     }
 
     /**
-     * Machines to which there may be something to send: the others are passed over in every step.
+     * Machines to which there may be something to send; read-only. A step looks only at these, not
+     * at all machines.
      */
     public Set<Machine> machinesWithPendingCommands() {
         return machinesWithPendingCommandsView;
     }
 
-    /** There may be something to send to the machine's agent. */
+    /** Notes that there may be something to send to the machine's agent. */
     public void markPendingCommands(Machine machine) {
         machinesWithPendingCommands.add(machine);
     }
 
-    /** Nothing is left to send to the machine's agent. */
+    /** Notes that nothing is left to send to the machine's agent. */
     public void clearPendingCommands(Machine machine) {
         machinesWithPendingCommands.remove(machine);
     }
 
-    /** Machines whose record is out of date, or that are to be deleted; read-only. */
+    /** Machines whose record may be out of date, or that are to be deleted; read-only. */
     public Set<Machine> machinesToPersist() {
         return machinesToPersistView;
     }
 
-    /** There may be something to write of the machine, or it is to be deleted. */
+    /** Notes that the machine's record may be out of date, or that the machine is to be deleted. */
     public void markForPersistence(Machine machine) {
         machinesToPersist.add(machine);
     }
 
-    /** Takes the machines for which the condition holds off those to be persisted. */
+    /** Removes the machines that match from {@link #machinesToPersist()}. */
     public void removeMachinesToPersistIf(Predicate<Machine> condition) {
         machinesToPersist.removeIf(condition);
     }
 
-    /** Jobs whose record is out of date; read-only. */
+    /** Jobs whose record may be out of date; read-only. */
     public Set<Job> jobsToPersist() {
         return jobsToPersistView;
     }
 
-    /** There may be something to write of the job. */
+    /** Notes that the job's record may be out of date. */
     public void markForPersistence(Job job) {
         jobsToPersist.add(job);
     }
 
-    /** Takes the jobs for which the condition holds off those to be persisted. */
+    /** Removes the jobs that match from {@link #jobsToPersist()}. */
     public void removeJobsToPersistIf(Predicate<Job> condition) {
         jobsToPersist.removeIf(condition);
     }
 
-    /** The quotas of the teams that the settings name, by team; read-only. */
+    /** The quotas of the teams in the settings, by team name; read-only. */
     public Map<String, TeamQuota> teams() {
         return teamsView;
     }
 
-    /** What jobs will ask for next, by those that have come. */
+    /** Estimates the resources that future jobs will request, from those that have arrived. */
     public DemandEstimator demandEstimator() {
         return demandEstimator;
     }
 
-    /** Which jobs wait for which. */
+    /** The dependencies between jobs. */
     public DependencyGraph dependencies() {
         return dependencies;
     }
 
-    /** How the jobs of this term are served. */
+    /** The service level report on the jobs of this term. */
     public ServiceLevelReport serviceLevels() {
         return serviceLevels;
     }
 
-    /** The largest value that the store takes. */
+    /** The largest value that the store accepts. */
     public int maxValueBytes() {
         return maxValueBytes;
     }
 
-    /** After how long without a heartbeat a machine counts as silent or lost. */
+    /** How long a machine may go without a heartbeat before it counts as silent or as lost. */
     public LivenessTimeouts livenessTimeouts() {
         return livenessTimeouts;
     }
 
     /**
-     * The lowest fence for a machine that is not known: every token that a forgotten machine was
-     * given in this term has a lower one.
+     * The fence to start with for a new machine: higher than that of every token that was issued in
+     * this term to a machine since removed.
      */
     public long minFence() {
         return minFence;
     }
 
-    /** The bounds within which nodes may renew leases for the leader. */
+    /** How long nodes may renew leases for the leader. */
     public DelegationTimeouts delegationTimeouts() {
         return delegationTimeouts;
     }
 
-    /** Until when each node may have renewed leases for the leader. */
+    /** Tracks until when each node may have renewed leases for the leader. */
     public DelegationLedger delegations() {
         return delegations;
     }
 
-    /** Every cancellation that was made before this moment has been read. */
+    /** Every cancellation that was stored before this time has been read. */
     public long cancellationsReadUpToMicros() {
         return cancellationsReadUpToMicros;
     }
 
-    /** How many writes to the store may still be asked for. */
+    /** Limits the rate of writes to the store. */
     public WriteBudget writeBudget() {
         return writeBudget;
     }
 
-    /** The form in which records are written. */
+    /** The format in which job records are written. */
     public RecordFormat recordFormat() {
         return recordFormat;
     }
 
-    /** Whether records of machines say when these were rented and whether they ever reported. */
+    /**
+     * Whether machine records include when the machine was rented and whether it ever sent a
+     * heartbeat.
+     */
     public boolean recordsMachineLifecycle() {
         return recordsMachineLifecycle;
     }
 
-    /** Since when {@link #recordsMachineLifecycle()} has been as it is. */
+    /** When {@link #recordsMachineLifecycle()} last changed. */
     public long recordsMachineLifecycleSinceMicros() {
         return recordsMachineLifecycleSinceMicros;
     }
@@ -389,12 +379,11 @@
         machineTypes.put(type.name(), type);
     }
 
-    /** Zones in which the cloud lately refused every on-demand machine type; read-only. */
+    /** Zones in which the cloud recently refused every on-demand machine type; read-only. */
     public Set<String> scarceZones() {
         return scarceZonesView;
     }
 
-    /** Replaces the scarce zones. */
     public void setScarceZones(Set<String> zones) {
         scarceZones.clear();
         scarceZones.addAll(zones);
@@ -410,12 +399,12 @@
         return wallMicros;
     }
 
-    /** How many jobs have arrived, or were unblocked. */
+    /** How many jobs have arrived or were unblocked in this term. */
     public long jobArrivalCount() {
         return jobArrivalCount;
     }
 
-    /** Set when something changed that may let a task be placed. */
+    /** Whether something changed that may allow a task to be placed. */
     public boolean isPlacementRequested() {
         return placementRequested;
     }
--- a/src/main/java/org/woadloom/core/WriteBudget.java
+++ b/src/main/java/org/woadloom/core/WriteBudget.java
@@ -1,40 +1,44 @@
 package org.woadloom.core;
 
 /**
- * A token bucket of writes to the store, at the rate that the store takes. Writes beyond it would
- * only queue, with users' requests behind them; what waits here is written later, several changes
- * in one write. Machines have a share of their own, so that a wave of rentals does not delay starts
- * of tasks, nor starts the records of machines; what one does not use is the other's.
+ * A token bucket that limits the scheduler's writes to the rate that the store sustains. Writes
+ * above that rate would only queue in the store and delay users' requests behind them; a change
+ * that waits here is merged with later ones into a single write.
+ *
+ * <p>Jobs and machines have a bucket each, so that many rentals at once do not delay starts of
+ * tasks, and many starts do not delay machine records. Tokens that overflow one bucket go to the
+ * other.
  */
 public final class WriteBudget {
-    /** The part of the rate that is for the records of machines. */
+    /** The part of the rate that is reserved for machine records. */
     private static final double MACHINE_SHARE = 0.4;
 
-    /** The bucket holds as many writes as come in this time. */
-    private static final double BURST_SECONDS = 0.4;
+    /** The bucket capacity, as the time in which it fills at the full rate. */
+    private static final double CAPACITY_SECONDS = 0.4;
 
-    /** How much of the rate to come final states and cancellations may use: they can't wait. */
+    /**
+     * How far final states and cancellations, which can't wait, may overdraw the bucket, as the
+     * time that refills it at the full rate.
+     */
     private static final double OVERDRAFT_SECONDS = 1.5;
 
     private static final double MIN_CAPACITY = 2;
-    private static final long NEVER_MICROS = Long.MIN_VALUE;
+    private static final long NEVER = Long.MIN_VALUE;
 
     private double perSecond;
     private double jobTokens;
     private double machineTokens;
-    private long lastRefillMicros = NEVER_MICROS;
+    private long lastRefillMicros = NEVER;
 
-    /** Follows the rate that the store takes. */
+    /** Sets the rate that the store sustains. */
     void setRate(double writesPerSecond) {
         perSecond = writesPerSecond;
     }
 
-    /** Adds the tokens of the time since the last refill. */
+    /** Adds the tokens for the time since the last refill. */
     void refill(long nowMicros) {
         double seconds =
-                lastRefillMicros == NEVER_MICROS
-                        ? BURST_SECONDS
-                        : (nowMicros - lastRefillMicros) / 1e6;
+                lastRefillMicros == NEVER ? CAPACITY_SECONDS : (nowMicros - lastRefillMicros) / 1e6;
         lastRefillMicros = nowMicros;
         double capacity = capacity();
         machineTokens += perSecond * seconds * MACHINE_SHARE;
@@ -49,41 +53,40 @@
     }
 
     private double capacity() {
-        return Math.max(MIN_CAPACITY, perSecond * BURST_SECONDS);
+        return Math.max(MIN_CAPACITY, perSecond * CAPACITY_SECONDS);
     }
 
-    /** The rate in writes a second. */
     public double writesPerSecond() {
         return perSecond;
     }
 
-    /** Whether there is spare capacity for what can wait: nothing else uses up the rate. */
+    /**
+     * Whether both buckets are at least half full, so that deferrable writes delay nothing else.
+     */
     public boolean hasSpareCapacity() {
         double capacity = capacity();
         return jobTokens >= capacity / 2 && machineTokens >= capacity * MACHINE_SHARE / 2;
     }
 
-    /** Whether the record of a job may be written. */
     public boolean allowsJobWrite() {
         return jobTokens > 0;
     }
 
-    /** Whether the final state of a job, or a cancellation, may be written. */
+    /** Whether the final state or the cancellation of a job may be written. */
     public boolean allowsFinalStateWrite() {
         return jobTokens > -perSecond * OVERDRAFT_SECONDS;
     }
 
-    /** Takes the tokens of a write that changes so many keys. */
-    public void consumeJobTokens(int changes) {
-        jobTokens -= changes;
+    /** Consumes a token for each key that a job's write changes. */
+    public void consumeJobTokens(int changedKeys) {
+        jobTokens -= changedKeys;
     }
 
-    /** Whether the record of a machine may be written. */
     public boolean allowsMachineWrite() {
         return machineTokens > 0;
     }
 
-    /** Takes the token of a write of a machine's record. */
+    /** Consumes the token for one write of a machine record. */
     public void consumeMachineToken() {
         machineTokens--;
     }
--- a/src/main/java/org/woadloom/core/quota/ClassFairShare.java
+++ b/src/main/java/org/woadloom/core/quota/ClassFairShare.java
@@ -10,61 +10,66 @@
 import org.woadloom.core.placement.Resources;
 
 /**
- * The minimum share of each job class in a team that asks for more than its limit.
+ * Keeps a minimum share of a team's limit for each of its job classes while the team asks for more
+ * than the limit.
  *
- * <p>Each class that has work gets a part of the limit, as far as it can use it, whatever the
- * priority of the others. Without that a team's arrays would wait for ever behind services, which
- * stay for as long as their users like. Nothing is stopped for it: what a class does not use of its
- * share is kept from the team's other classes while it has work waiting. Teams whose work fits into
- * their limit are not concerned.
+ * <p>Each class with work gets an equal part of the limit, as far as it can use it, regardless of
+ * the priority of the other classes. Otherwise a team's array jobs would wait indefinitely behind
+ * services, which run until their users stop them. No task is preempted for this: while a class has
+ * pending tasks, the unused part of its share is not available to the team's other classes. Teams
+ * whose demand fits their limit are not affected.
  */
 public final class ClassFairShare {
-    /** What is divided evenly among the classes; the rest goes by the queue's order alone. */
-    private static final double GUARANTEED_SHARE = 2.0 / 3;
+    /** The part of the limit that is divided evenly; the rest is assigned in queue order. */
+    private static final double DIVIDED_PART_OF_LIMIT = 2.0 / 3;
 
     private static final long LOG_INTERVAL_MICROS = 60_000_000;
 
     /**
-     * A class that has not used its share for so long, though the limit allows it, waits for a
-     * machine: until it uses it the share is not kept from the others.
+     * A class that starts no job for this long although the limit allows it is waiting for a
+     * machine; its share is then available to the other classes until the limit no longer allows it
+     * to start one.
      */
-    private static final long UNUSED_MICROS = 75_000_000;
+    private static final long UNUSED_SHARE_TIMEOUT_MICROS = 75_000_000;
 
     private final SchedulerState state;
-    private final Map<TeamQuota, Long> loggedMicros = new HashMap<>();
+    private final Map<TeamQuota, Long> lastLogMicros = new HashMap<>();
 
-    /** Since when the limit has allowed a waiting job of the class to start, by team and class. */
-    private final Map<TeamQuota, Map<String, Long>> unusedMicros = new HashMap<>();
+    /** Since when the limit has allowed a pending job of the class to start, by team and class. */
+    private final Map<TeamQuota, Map<String, Long>> startAllowedSinceMicros = new HashMap<>();
 
-    /** What one class of a team uses and asks for. */
+    /** The resources that one class of a team uses and waits for. */
     private static final class Demand {
         Resources used = Resources.NONE;
-        Resources waiting = Resources.NONE;
+        Resources pending = Resources.NONE;
 
-        /** One task of a job that waits. */
-        Resources task = Resources.NONE;
+        /** The resources of one pending task. */
+        Resources pendingTask = Resources.NONE;
 
-        /** What the smallest job that waits needs to start, null while none waits. */
-        Resources smallestStart;
+        /** The resources that the smallest pending job needs to start; null if none is pending. */
+        Resources smallestPendingStart;
 
         void add(Job job) {
-            int pending = job.pendingTasks();
+            int pendingTasks = job.pendingTasks();
             used = used.plus(job.taskResources.times(job.attempts().size()));
-            waiting = waiting.plus(job.taskResources.times(pending));
-            if (pending > 0) {
-                task = job.taskResources;
-                Resources start = job.taskResources.times(job.description.isGang() ? pending : 1);
-                if (smallestStart == null || smallestStart.contains(start)) {
-                    smallestStart = start;
+            pending = pending.plus(job.taskResources.times(pendingTasks));
+            if (pendingTasks > 0) {
+                pendingTask = job.taskResources;
+                Resources start =
+                        job.taskResources.times(job.description.isGang() ? pendingTasks : 1);
+                if (smallestPendingStart == null || smallestPendingStart.contains(start)) {
+                    smallestPendingStart = start;
                 }
             }
         }
 
-        /** What the class lacks of its share and could use. */
-        Resources missing(Resources share) {
-            Resources missing = share.minus(used).withoutNegatives().min(waiting);
-            // Less than a task would be nothing at all.
-            return used.equals(Resources.NONE) && !missing.contains(task) ? task : missing;
+        /** The unused part of the class's share, at most what its pending tasks need. */
+        Resources unusedShare(Resources share) {
+            Resources unused = share.minus(used).withoutNegatives().min(pending);
+            // A class that uses nothing gets at least one task: it could not use less than that.
+            return used.equals(Resources.NONE) && !unused.contains(pendingTask)
+                    ? pendingTask
+                    : unused;
         }
     }
 
@@ -72,7 +77,7 @@
         this.state = state;
     }
 
-    /** Computes what is kept for each class; to be called before tasks are placed. */
+    /** Computes what is kept for each class. To be called before tasks are placed. */
     public void update() {
         Map<TeamQuota, Map<String, Demand>> demands = demandByTeamAndClass();
         for (TeamQuota team : state.teams().values()) {
@@ -92,61 +97,65 @@
         return demands;
     }
 
-    /** What is kept for each class that waits and has less than its share. */
+    /** The resources kept for each class that has pending tasks and uses less than its share. */
     private Map<String, Resources> keptForClasses(TeamQuota team, Map<String, Demand> demands) {
-        Resources total = Resources.NONE;
+        Resources totalDemand = Resources.NONE;
         for (Demand demand : demands.values()) {
-            total = total.plus(demand.used).plus(demand.waiting);
+            totalDemand = totalDemand.plus(demand.used).plus(demand.pending);
         }
-        if (demands.size() < 2 || team.fitsLimit(total)) {
-            unusedMicros.remove(team);
+        if (demands.size() < 2 || team.fitsLimit(totalDemand)) {
+            startAllowedSinceMicros.remove(team);
             return Map.of();
         }
-        Map<String, Long> unusedSince = unusedMicros.computeIfAbsent(team, t -> new HashMap<>());
-        unusedSince.keySet().retainAll(demands.keySet());
-        Resources share = team.partOfLimit(GUARANTEED_SHARE / demands.size());
+        Map<String, Long> startAllowedSince =
+                startAllowedSinceMicros.computeIfAbsent(team, t -> new HashMap<>());
+        startAllowedSince.keySet().retainAll(demands.keySet());
+        Resources share = team.fractionOfLimit(DIVIDED_PART_OF_LIMIT / demands.size());
         Map<String, Resources> kept = new LinkedHashMap<>();
         demands.forEach(
                 (name, demand) -> {
-                    Resources missing = demand.missing(share);
-                    if (!leavesUnused(team, name, demand, unusedSince)
-                            && (missing.cpu() > 0 || missing.gpu() > 0)) {
-                        kept.put(name, missing);
+                    Resources unusedShare = demand.unusedShare(share);
+                    if (!isShareLeftUnused(team, name, demand, startAllowedSince)
+                            && (unusedShare.cpu() > 0 || unusedShare.gpu() > 0)) {
+                        kept.put(name, unusedShare);
                     }
                 });
-        logDemand(team, demands, total);
+        logDemand(team, demands, totalDemand);
         return kept;
     }
 
-    /** True if the limit has long allowed a waiting job of the class to start and none did. */
-    private boolean leavesUnused(
-            TeamQuota team, String jobClass, Demand demand, Map<String, Long> unusedSince) {
-        if (demand.smallestStart == null
-                || !team.fitsLimit(team.used().plus(demand.smallestStart))) {
-            unusedSince.remove(jobClass);
+    /**
+     * True if the limit has allowed a pending job of the class to start for longer than {@link
+     * #UNUSED_SHARE_TIMEOUT_MICROS}.
+     */
+    private boolean isShareLeftUnused(
+            TeamQuota team, String jobClass, Demand demand, Map<String, Long> startAllowedSince) {
+        if (demand.smallestPendingStart == null
+                || !team.fitsLimit(team.used().plus(demand.smallestPendingStart))) {
+            startAllowedSince.remove(jobClass);
             return false;
         }
-        long since = unusedSince.computeIfAbsent(jobClass, name -> state.nowMicros());
-        return state.nowMicros() - since > UNUSED_MICROS;
+        long since = startAllowedSince.computeIfAbsent(jobClass, name -> state.nowMicros());
+        return state.nowMicros() - since > UNUSED_SHARE_TIMEOUT_MICROS;
     }
 
-    private void logDemand(TeamQuota team, Map<String, Demand> demands, Resources total) {
-        if (state.nowMicros() - loggedMicros.getOrDefault(team, Long.MIN_VALUE / 2)
+    private void logDemand(TeamQuota team, Map<String, Demand> demands, Resources totalDemand) {
+        if (state.nowMicros() - lastLogMicros.getOrDefault(team, Long.MIN_VALUE / 2)
                 < LOG_INTERVAL_MICROS) {
             return;
         }
-        loggedMicros.put(team, state.nowMicros());
+        lastLogMicros.put(team, state.nowMicros());
         demands.forEach(
                 (name, demand) ->
                         state.log(
                                 LogEntry.info(LogEvent.QUOTA_EXCEEDED)
                                         .with("team", team.team.name())
-                                        .with("asked_cpus", total.cpu() / Resources.UNITS)
-                                        .with("asked_gpus", total.gpu() / Resources.UNITS)
+                                        .with("asked_cpus", totalDemand.cpu() / Resources.UNITS)
+                                        .with("asked_gpus", totalDemand.gpu() / Resources.UNITS)
                                         .with("class", name)
                                         .with("used_cpus", demand.used.cpu() / Resources.UNITS)
                                         .with(
                                                 "waiting_cpus",
-                                                demand.waiting.cpu() / Resources.UNITS)));
+                                                demand.pending.cpu() / Resources.UNITS)));
     }
 }
--- a/src/main/java/org/woadloom/core/quota/GuaranteedQuota.java
+++ b/src/main/java/org/woadloom/core/quota/GuaranteedQuota.java
@@ -10,9 +10,9 @@
 import org.woadloom.core.placement.Resources;
 
 /**
- * Which jobs are within their team's guarantee: those that fit into it together with the team's
- * earlier jobs that are not finished. It is a property of the whole job, so that two teams whose
- * use is near their guarantees don't stop each other's tasks in turn.
+ * Decides which jobs are within their team's guarantee: a job is if it fits into the guarantee
+ * together with all earlier unfinished jobs of the team. This is decided for a job as a whole, so
+ * that two teams close to their guarantees do not keep preempting each other's tasks.
  */
 public final class GuaranteedQuota {
     private static final Comparator<Job> BY_AGE =
@@ -21,7 +21,7 @@
     private static final long UPDATE_INTERVAL_MICROS = 200_000;
 
     private final SchedulerState state;
-    private long jobArrivalsSeen = -1;
+    private long lastJobArrivalCount = -1;
     private long nextUpdateMicros;
 
     public GuaranteedQuota(SchedulerState state) {
@@ -29,24 +29,25 @@
     }
 
     /**
-     * Marks the jobs that are within a guarantee. New jobs are judged at once; what comes free of a
-     * guarantee is given away a little later.
+     * Marks the jobs that are within a guarantee: immediately when a job arrives, otherwise at
+     * intervals, so quota freed by finished jobs is reassigned with a short delay.
      */
     public void update() {
-        if (state.jobArrivalCount() == jobArrivalsSeen && state.nowMicros() < nextUpdateMicros) {
+        if (state.jobArrivalCount() == lastJobArrivalCount
+                && state.nowMicros() < nextUpdateMicros) {
             return;
         }
-        jobArrivalsSeen = state.jobArrivalCount();
+        lastJobArrivalCount = state.jobArrivalCount();
         nextUpdateMicros = state.nowMicros() + UPDATE_INTERVAL_MICROS;
-        Map<TeamQuota, Resources> askedByTeam = new HashMap<>();
+        Map<TeamQuota, Resources> requestedByTeam = new HashMap<>();
         for (Job job : openJobsByAge()) {
-            int openTasks = job.description.taskCount() - job.completedCount();
-            Resources asked =
-                    askedByTeam
+            int unfinishedTasks = job.description.taskCount() - job.completedCount();
+            Resources requested =
+                    requestedByTeam
                             .getOrDefault(job.team, Resources.NONE)
-                            .plus(job.taskResources.times(openTasks));
-            askedByTeam.put(job.team, asked);
-            job.setWithinGuarantee(job.team.fitsGuarantee(asked));
+                            .plus(job.taskResources.times(unfinishedTasks));
+            requestedByTeam.put(job.team, requested);
+            job.setWithinGuarantee(job.team.fitsGuarantee(requested));
         }
     }
 
--- a/src/main/java/org/woadloom/core/quota/LostTaskHolds.java
+++ b/src/main/java/org/woadloom/core/quota/LostTaskHolds.java
@@ -8,83 +8,88 @@
 import org.woadloom.core.placement.Resources;
 
 /**
- * What of a team's limit is held for tasks that were lost with their machines, until they are
- * placed again.
+ * Holds the quota of tasks that were lost with their machines until they are placed again.
  *
- * <p>Otherwise what a large task used would go to smaller ones the moment it is lost, and would not
- * come together again. Nobody has less for it than while the task was there. A hold ends after a
- * while, as a task that lacks a machine must not keep the limit unused.
+ * <p>Otherwise the quota of a lost large task would go to smaller tasks immediately, and would not
+ * be free in one piece again for long. A hold leaves other jobs no less than they had while the
+ * task ran. It expires after a while, so that a task for which there is no machine does not keep
+ * quota unused.
  */
 final class LostTaskHolds {
-    /** As long as a turn at the limit, and well below the time that others may be left waiting. */
+    /**
+     * As long as a turn of {@link QuotaRotation}, and well below the time jobs may have to wait.
+     */
     private static final long MAX_HOLD_MICROS = 60_000_000;
 
     private final Map<Job, Hold> holds = new LinkedHashMap<>();
 
-    /** What is held for all jobs: asked for each machine of each search. */
-    private Resources total = Resources.NONE;
+    /** The total held for all jobs. Cached because a search reads it for each machine. */
+    private Resources totalHeld = Resources.NONE;
 
     /** The lost tasks of one job. */
     private static final class Hold {
-        /** When each was lost, the earliest first. */
-        final ArrayDeque<Long> lossMicros = new ArrayDeque<>();
+        /** When each task was lost, the earliest first. */
+        final ArrayDeque<Long> lossTimesMicros = new ArrayDeque<>();
 
-        /** For how many of them something is held: for those without a reservation. */
-        int tasks;
+        /**
+         * For how many of them quota is held: those without a reservation, which counts as used.
+         */
+        int heldTasks;
 
-        void review(long nowMicros, int pendingTasks, int reservedTasks) {
-            lossMicros.removeIf(micros -> nowMicros - micros > MAX_HOLD_MICROS);
-            while (lossMicros.size() > pendingTasks) {
-                lossMicros.remove();
+        void expire(long nowMicros, int pendingTasks, int reservedTasks) {
+            lossTimesMicros.removeIf(micros -> nowMicros - micros > MAX_HOLD_MICROS);
+            while (lossTimesMicros.size() > pendingTasks) {
+                lossTimesMicros.remove();
             }
-            tasks = Math.max(0, lossMicros.size() - reservedTasks);
+            heldTasks = Math.max(0, lossTimesMicros.size() - reservedTasks);
         }
 
         void onPlaced() {
-            lossMicros.remove();
-            tasks = Math.min(tasks, lossMicros.size());
+            lossTimesMicros.remove();
+            heldTasks = Math.min(heldTasks, lossTimesMicros.size());
         }
     }
 
-    /** Holds what the task of the job used until now. */
+    /** Holds the quota that a lost task of the job used. */
     void onLost(Job job, long nowMicros) {
         Hold hold = holds.computeIfAbsent(job, key -> new Hold());
-        hold.lossMicros.add(nowMicros);
-        hold.tasks++;
-        total = total.plus(job.taskResources);
+        hold.lossTimesMicros.add(nowMicros);
+        hold.heldTasks++;
+        totalHeld = totalHeld.plus(job.taskResources);
     }
 
-    /** A task of the job was placed, which may be one of those that were lost. */
+    /** Ends the oldest hold of the job, one of whose tasks was placed. */
     void onPlaced(Job job) {
         Hold hold = holds.get(job);
         if (hold != null) {
-            int before = hold.tasks;
+            int before = hold.heldTasks;
             hold.onPlaced();
-            total = total.minus(job.taskResources.times(before - hold.tasks));
-            if (hold.lossMicros.isEmpty()) {
+            totalHeld = totalHeld.minus(job.taskResources.times(before - hold.heldTasks));
+            if (hold.lossTimesMicros.isEmpty()) {
                 holds.remove(job);
             }
         }
     }
 
-    /** Ends holds that are too old, and those of jobs that have no use for them. */
-    void review(long nowMicros, ToIntFunction<Job> reservedTasks) {
+    /** Ends holds that are too old, and those in excess of their job's pending tasks. */
+    void expireHolds(long nowMicros, ToIntFunction<Job> reservedTasks) {
         holds.forEach(
                 (job, hold) ->
-                        hold.review(nowMicros, job.pendingTasks(), reservedTasks.applyAsInt(job)));
-        holds.values().removeIf(hold -> hold.lossMicros.isEmpty());
-        total = Resources.NONE;
-        holds.forEach((job, hold) -> total = total.plus(job.taskResources.times(hold.tasks)));
+                        hold.expire(nowMicros, job.pendingTasks(), reservedTasks.applyAsInt(job)));
+        holds.values().removeIf(hold -> hold.lossTimesMicros.isEmpty());
+        totalHeld = Resources.NONE;
+        holds.forEach(
+                (job, hold) -> totalHeld = totalHeld.plus(job.taskResources.times(hold.heldTasks)));
     }
 
-    /** For how many lost tasks of the job something is held. */
-    int tasksOf(Job job) {
+    /** For how many lost tasks of the job quota is held. */
+    int heldTasks(Job job) {
         Hold hold = holds.get(job);
-        return hold == null ? 0 : hold.tasks;
+        return hold == null ? 0 : hold.heldTasks;
     }
 
-    /** What is held for jobs other than this one. */
+    /** The quota held for jobs other than this one. */
     Resources heldForOthers(Job job) {
-        return total.minus(job.taskResources.times(tasksOf(job)));
+        return totalHeld.minus(job.taskResources.times(heldTasks(job)));
     }
 }
--- a/src/main/java/org/woadloom/core/quota/QuotaRotation.java
+++ b/src/main/java/org/woadloom/core/quota/QuotaRotation.java
@@ -10,47 +10,51 @@
 import org.woadloom.core.reservation.Reservations;
 
 /**
- * A reservation against a team's limit, for one job of the team at a time, oldest first.
+ * Gives jobs that are starved by their team's limit a turn, one job of a team at a time, the
+ * longest waiting first.
  *
- * <p>What comes free of a limit that is reached goes to whatever fits into it, so a gang, or a task
- * larger than those that end, might wait behind smaller ones for ever. Once such a job has waited
- * for a while without starting it gets a turn, in which the other jobs of its team leave it what it
- * needs to start. Nothing is stopped for it. Jobs that have not started come first; a started one
- * of which nothing was placed for as long gets a turn for its next task.
+ * <p>Quota that is freed at a reached limit goes to whatever task fits, so a gang, or a task larger
+ * than those that end, could wait behind smaller ones indefinitely. A job that has waited long
+ * enough without starting therefore gets a turn: until it starts, or the turn expires, freed quota
+ * that it needs to start is kept from the other jobs of its team. No task is preempted for it. Jobs
+ * that have not started come first; a started job that has had no task placed for as long gets a
+ * turn for its next task.
  */
 public final class QuotaRotation {
-    /** How long a job waits before it gets a turn: well under the four minutes to its start. */
-    private static final long PATIENCE_MICROS = 100_000_000;
+    /** How long a job waits before it gets a turn: well below the start objective of 4 minutes. */
+    private static final long MIN_WAIT_MICROS = 100_000_000;
 
-    /** How long a turn lasts, and how long its job then waits for the next one. */
-    private static final long TURN_MICROS = 60_000_000;
+    /** How long a turn lasts at most, and how long its job then waits for the next one. */
+    private static final long MAX_TURN_MICROS = 60_000_000;
 
-    /** After turns in a row for so long the others of the team get what is free for a while. */
-    private static final long MAX_CONSECUTIVE_MICROS = 60_000_000;
+    /** After consecutive turns for this long, the team has a pause without turns. */
+    private static final long MAX_CONSECUTIVE_TURNS_MICROS = 60_000_000;
 
-    /** How long that while is. */
+    /** How long the team's other jobs then get the freed quota. */
     private static final long PAUSE_MICROS = 5_000_000;
 
     /**
-     * A job for which the limit has sufficed for so long without a start lacks something else, such
-     * as a machine.
+     * A job that has not started although the limit has allowed it for this long lacks something
+     * else, such as a machine.
      */
     private static final long START_TIMEOUT_MICROS = 30_000_000;
 
-    /** In place of a time: the limit does not leave the job what it needs. */
-    private static final long NOT_SUFFICIENT = -1;
+    /** In place of a time: the limit does not allow the job what it needs. */
+    private static final long NOT_ALLOWED = -1;
 
     private final SchedulerState state;
     private final Reservations reservations;
     private final Map<TeamQuota, Turn> turns = new HashMap<>();
 
-    /** Jobs that had a turn and could not start, and until when they have no other. */
-    private final Map<Job, Long> waitingForNextTurn = new HashMap<>();
+    /**
+     * For jobs that had a turn, or were refused one, and did not start: when they may get the next.
+     */
+    private final Map<Job, Long> noTurnUntilMicros = new HashMap<>();
 
-    /** Since when each team has had one turn after the other. */
-    private final Map<TeamQuota, Long> turnsSinceMicros = new HashMap<>();
+    /** For teams with a turn: since when one turn has followed another without a gap. */
+    private final Map<TeamQuota, Long> consecutiveTurnsSinceMicros = new HashMap<>();
 
-    /** Until when each team has no turn. */
+    /** Until when each team gets no turn. */
     private final Map<TeamQuota, Long> pausedUntilMicros = new HashMap<>();
 
     private static final class Turn {
@@ -58,8 +62,8 @@
         final long sinceMicros;
         final boolean hadStarted;
 
-        /** Since when the limit leaves it what it needs. */
-        long sufficientSinceMicros = NOT_SUFFICIENT;
+        /** Since when the limit has allowed the job what it needs. */
+        long startAllowedSinceMicros = NOT_ALLOWED;
 
         Turn(Job job, long sinceMicros) {
             this.job = job;
@@ -67,11 +71,10 @@
             this.hadStarted = job.hasStarted();
         }
 
-        /** True while the job has not got what the turn is for: its start, or its next task. */
-        boolean isWaiting() {
-            boolean isServed =
-                    hadStarted ? job.lastPlacedMicros() >= sinceMicros : job.hasStarted();
-            return QuotaRotation.isWaiting(job) && !isServed;
+        /** True while what the turn is for, the job's start or its next task, has not happened. */
+        boolean isUnused() {
+            boolean isUsed = hadStarted ? job.lastPlacedMicros() >= sinceMicros : job.hasStarted();
+            return QuotaRotation.hasPendingTasks(job) && !isUsed;
         }
     }
 
@@ -80,90 +83,92 @@
         this.reservations = reservations;
     }
 
-    /** Ends turns that are over and starts new ones; to be called before tasks are placed. */
+    /** Ends turns that are over and starts new ones. To be called before tasks are placed. */
     public void update() {
-        waitingForNextTurn
+        noTurnUntilMicros
                 .entrySet()
                 .removeIf(
                         entry ->
                                 entry.getValue() < state.nowMicros()
                                         || entry.getKey().isFinished());
-        turns.values().removeIf(this::endsNow);
+        turns.values().removeIf(this::updateAndCheckOver);
         pauseAfterConsecutiveTurns();
-        oldestCandidates().forEach(this::startTurn);
-        turnsSinceMicros.keySet().retainAll(turns.keySet());
-        turns.keySet().forEach(team -> turnsSinceMicros.putIfAbsent(team, state.nowMicros()));
+        nextCandidates().forEach(this::startTurn);
+        consecutiveTurnsSinceMicros.keySet().retainAll(turns.keySet());
+        turns.keySet()
+                .forEach(team -> consecutiveTurnsSinceMicros.putIfAbsent(team, state.nowMicros()));
         for (TeamQuota team : state.teams().values()) {
             applyTurn(team);
         }
     }
 
-    /** Decides whether a turn ends; one that ends without a start makes its job wait. */
-    private boolean endsNow(Turn turn) {
+    /**
+     * Updates the turn and returns true if it is over. If it ends unused, its job must wait before
+     * it gets another.
+     */
+    private boolean updateAndCheckOver(Turn turn) {
         if (reservations.hasOtherOwnerInTeam(turn.job)) {
-            // One that has reserved resources on machines is further; each would keep the other's
-            // limit.
+            // A job that has reserved machines goes first: the turn and the reservations would each
+            // hold quota that the other needs.
             return true;
         }
-        if (turn.job.allowedTasks() < tasksNeeded(turn.job)) {
-            turn.sufficientSinceMicros = NOT_SUFFICIENT;
-        } else if (turn.sufficientSinceMicros == NOT_SUFFICIENT) {
-            turn.sufficientSinceMicros = state.nowMicros();
+        if (turn.job.allowedTasks() < tasksToStart(turn.job)) {
+            turn.startAllowedSinceMicros = NOT_ALLOWED;
+        } else if (turn.startAllowedSinceMicros == NOT_ALLOWED) {
+            turn.startAllowedSinceMicros = state.nowMicros();
         }
         boolean isExpired = isExpired(turn);
-        boolean isWaiting = turn.isWaiting();
-        if (isExpired && isWaiting) {
-            waitingForNextTurn.put(turn.job, state.nowMicros() + TURN_MICROS);
+        boolean isUnused = turn.isUnused();
+        if (isExpired && isUnused) {
+            noTurnUntilMicros.put(turn.job, state.nowMicros() + MAX_TURN_MICROS);
             state.log(
                     LogEntry.info(LogEvent.QUOTA_TURN_EXPIRED)
                             .with("job", turn.job.jobId())
                             .with("team", turn.job.team.team.name())
                             .withSeconds("turn_s", state.nowMicros() - turn.sinceMicros));
         }
-        return isExpired || !isWaiting;
+        return isExpired || !isUnused;
     }
 
     private boolean isExpired(Turn turn) {
-        return state.nowMicros() - turn.sinceMicros > TURN_MICROS
-                || (turn.sufficientSinceMicros != NOT_SUFFICIENT
-                        && state.nowMicros() - turn.sufficientSinceMicros > START_TIMEOUT_MICROS);
+        return state.nowMicros() - turn.sinceMicros > MAX_TURN_MICROS
+                || (turn.startAllowedSinceMicros != NOT_ALLOWED
+                        && state.nowMicros() - turn.startAllowedSinceMicros > START_TIMEOUT_MICROS);
     }
 
     private void pauseAfterConsecutiveTurns() {
-        turnsSinceMicros.forEach(
+        consecutiveTurnsSinceMicros.forEach(
                 (team, since) -> {
                     if (!turns.containsKey(team)
-                            && state.nowMicros() - since > MAX_CONSECUTIVE_MICROS) {
+                            && state.nowMicros() - since > MAX_CONSECUTIVE_TURNS_MICROS) {
                         pausedUntilMicros.put(team, state.nowMicros() + PAUSE_MICROS);
                     }
                 });
     }
 
-    /** For each team without a turn, the job that is to have the next one, if any needs one. */
-    private Map<TeamQuota, Job> oldestCandidates() {
-        Map<TeamQuota, Job> oldest = new HashMap<>();
+    /** For each team without a turn, the job that gets the next one; none if no job needs one. */
+    private Map<TeamQuota, Job> nextCandidates() {
+        Map<TeamQuota, Job> candidates = new HashMap<>();
         for (Job job : state.jobs().values()) {
             if (needsTurn(job)) {
-                oldest.merge(job.team, job, QuotaRotation::nextOf);
+                candidates.merge(job.team, job, QuotaRotation::preferred);
             }
         }
-        return oldest;
+        return candidates;
     }
 
     private boolean needsTurn(Job job) {
         return !turns.containsKey(job.team)
                 && !isPaused(job.team)
-                && isWaiting(job)
-                && !waitingForNextTurn.containsKey(job)
-                && state.nowMicros() - job.waitingSinceMicros() > PATIENCE_MICROS
-                && job.allowedTasks() < tasksNeeded(job)
+                && hasPendingTasks(job)
+                && !noTurnUntilMicros.containsKey(job)
+                && state.nowMicros() - job.waitingSinceMicros() > MIN_WAIT_MICROS
+                && job.allowedTasks() < tasksToStart(job)
                 && !reservations.hasOtherOwnerInTeam(job);
     }
 
-    /**
-     * The one of two that comes first: one that has not started, then the one that waits longer.
-     */
-    private static Job nextOf(Job one, Job other) {
+    /** Prefers a job that has not started, then the one that has waited longer. */
+    private static Job preferred(Job one, Job other) {
         if (one.hasStarted() != other.hasStarted()) {
             return one.hasStarted() ? other : one;
         }
@@ -175,7 +180,7 @@
         if (turn == null) {
             team.setTurn(null, Resources.NONE);
         } else {
-            team.setTurn(turn.job, turn.job.taskResources.times(tasksNeeded(turn.job)));
+            team.setTurn(turn.job, turn.job.taskResources.times(tasksToStart(turn.job)));
         }
     }
 
@@ -183,15 +188,18 @@
         return state.nowMicros() < pausedUntilMicros.getOrDefault(team, Long.MIN_VALUE);
     }
 
-    /** Starts a turn, or makes the job wait if the team's replicas leave it too little. */
+    /**
+     * Starts a turn, or makes the job wait if the team's service replicas leave too little of the
+     * limit for it.
+     */
     private void startTurn(TeamQuota team, Job job) {
         Resources replicas = usedByReplicas(team);
         boolean isPossible =
-                team.fitsLimit(replicas.plus(job.taskResources.times(tasksNeeded(job))));
+                team.fitsLimit(replicas.plus(job.taskResources.times(tasksToStart(job))));
         if (isPossible) {
             turns.put(team, new Turn(job, state.nowMicros()));
         } else {
-            waitingForNextTurn.put(job, state.nowMicros() + TURN_MICROS);
+            noTurnUntilMicros.put(job, state.nowMicros() + MAX_TURN_MICROS);
         }
         LogEvent event = isPossible ? LogEvent.QUOTA_TURN_STARTED : LogEvent.QUOTA_TURN_IMPOSSIBLE;
         state.log(
@@ -199,12 +207,15 @@
                         .with("job", job.jobId())
                         .with("team", team.team.name())
                         .withSeconds("waited_s", state.nowMicros() - job.waitingSinceMicros())
-                        .with("needed_tasks", tasksNeeded(job))
+                        .with("needed_tasks", tasksToStart(job))
                         .with("allowed_tasks", job.allowedTasks())
                         .with("replica_cpus", replicas.cpu() / Resources.UNITS));
     }
 
-    /** What a team's replicas use: it does not come free by itself, so no turn waits for it. */
+    /**
+     * The resources that the team's service replicas use. Replicas do not end by themselves, so a
+     * turn can't wait for their quota.
+     */
     private Resources usedByReplicas(TeamQuota team) {
         Resources used = Resources.NONE;
         for (Job job : state.jobs().values()) {
@@ -215,12 +226,12 @@
         return used;
     }
 
-    private static boolean isWaiting(Job job) {
+    private static boolean hasPendingTasks(Job job) {
         return !job.isOver() && job.pendingTasks() > 0;
     }
 
-    /** With how many tasks the job starts: a gang with all of them. */
-    private static int tasksNeeded(Job job) {
+    /** How many tasks the job needs to start at once: all of a gang, otherwise one. */
+    private static int tasksToStart(Job job) {
         return job.description.isGang() ? job.pendingTasks() : 1;
     }
 }
--- a/src/main/java/org/woadloom/core/quota/TeamQuota.java
+++ b/src/main/java/org/woadloom/core/quota/TeamQuota.java
@@ -9,78 +9,78 @@
 import org.woadloom.settings.Team;
 
 /**
- * What a team's tasks may be using, reserved resources included, against its guarantee and limit.
- * Neither bounds memory.
+ * Tracks the resources that a team uses, including reserved ones, against its guarantee and its
+ * limit. Neither bounds memory.
  */
 public final class TeamQuota {
     public final Team team;
 
-    /** More memory than there is, and far enough from the greatest value for sums. */
+    /** More memory than any cluster has, yet small enough that sums do not overflow. */
     private static final long UNBOUNDED_MEMORY = Long.MAX_VALUE / 4;
 
     private final Resources guarantee;
     private final Resources limit;
     private Resources used = Resources.NONE;
 
-    /** By class, what of the limit is left to it alone; see {@link ClassFairShare}. */
+    /** The part of the limit kept for each job class; see {@link ClassFairShare}. */
     private Map<String, Resources> keptForClasses = Map.of();
 
-    /**
-     * The job whose turn it is, and what of the limit is left to that job alone; see {@link
-     * QuotaRotation}.
-     */
+    /** The job that has the team's turn, or null; see {@link QuotaRotation}. */
     private Job turnHolder;
 
+    /** The part of the limit kept for the job that has the turn. */
     private Resources keptForTurn = Resources.NONE;
 
     /** Empty until this term has placed a task of the team, or found one in a record. */
     private String lastPlacedJobId = "";
 
-    private final LostTaskHolds lostTasks = new LostTaskHolds();
+    private final LostTaskHolds lostTaskHolds = new LostTaskHolds();
 
     public TeamQuota(Team team) {
         this.team = team;
-        this.guarantee = bounds(team.cpus(), team.gpus());
-        this.limit = bounds(team.cpusMax(), team.gpusMax());
+        this.guarantee = toResources(team.cpus(), team.gpus());
+        this.limit = toResources(team.cpusMax(), team.gpusMax());
     }
 
-    private static Resources bounds(double cpus, double gpus) {
+    private static Resources toResources(double cpus, double gpus) {
         return new Resources(
                 Resources.roundDown(cpus), Resources.roundDown(gpus), UNBOUNDED_MEMORY);
     }
 
-    /** A reservation of the team has come. */
+    /** Adds reserved resources to the team's usage. */
     public void addUsage(Resources amount) {
         used = used.plus(amount);
     }
 
-    /** An attempt of one of the job's tasks has come. */
+    /** Adds the resources of a task that was placed, or found in a record, to the team's usage. */
     public void onTaskPlaced(Job job) {
         used = used.plus(job.taskResources);
-        lostTasks.onPlaced(job);
+        lostTaskHolds.onPlaced(job);
         lastPlacedJobId = job.jobId();
     }
 
-    /** The job whose task was placed, or found in its record, last; empty for none in this term. */
+    /** The job whose task was last placed, or found in its record; empty if none in this term. */
     public String lastPlacedJobId() {
         return lastPlacedJobId;
     }
 
-    /** A task of the job was lost: what it used is held until the job's next task is placed. */
+    /** Holds the quota of a lost task until the next task of the job is placed. */
     public void onTaskLost(Job job, long nowMicros) {
-        lostTasks.onLost(job, nowMicros);
+        lostTaskHolds.onLost(job, nowMicros);
     }
 
     /**
-     * Ends what is held in vain for lost tasks; to be called before tasks are placed.
+     * Ends holds for lost tasks that have expired or are not needed any more. To be called before
+     * tasks are placed.
      *
-     * @param reservedTasks for how many tasks of a job there are reservations, which count as used
+     * @param reservedTasks the number of a job's tasks with reservations, which count as used
+     *     already
      */
     public void expireLostTaskHolds(long nowMicros, ToIntFunction<Job> reservedTasks) {
-        lostTasks.review(nowMicros, reservedTasks);
+        lostTaskHolds.expireHolds(nowMicros, reservedTasks);
     }
 
-    /** An attempt or a reservation of the team has ended. */
+    /** Subtracts the resources of an attempt or a reservation that has ended. */
     public void subtractUsage(Resources amount) {
         used = used.minus(amount);
     }
@@ -89,29 +89,33 @@
         keptForClasses = resourcesByClass;
     }
 
-    /** Whose turn it is, null for nobody's, and what the team's other jobs leave to it. */
+    /** Sets the job that has the turn, or null, and the resources that are kept for it. */
     void setTurn(Job job, Resources kept) {
         turnHolder = job;
         keptForTurn = kept;
     }
 
-    /** How many more tasks of this size the team's limit allows to a job. */
+    /** How many more tasks with these resources the team's limit allows the job. */
     public int allowedTasks(Resources task, Job job) {
         return allowedTasks(task, job, Resources.NONE);
     }
 
-    /** The same, where the first tasks give back what was reserved for them. */
+    /**
+     * The same, if placing the tasks frees reserved resources of the team.
+     *
+     * @param credit the reserved resources that are freed
+     */
     public int allowedTasks(Resources task, Job job, Resources credit) {
-        Resources free = limit.minus(used).plus(credit).minus(lostTasks.heldForOthers(job));
+        Resources free = limit.minus(used).plus(credit).minus(lostTaskHolds.heldForOthers(job));
         int freeTasks = free.withoutNegatives().count(task);
         if (turnHolder == job) {
             return freeTasks;
         }
-        int lost = Math.min(lostTasks.tasksOf(job), freeTasks);
-        return Math.max(lost, notKeptForOthers(free, job).withoutNegatives().count(task));
+        int heldForJob = Math.min(lostTaskHolds.heldTasks(job), freeTasks);
+        return Math.max(heldForJob, notKeptForOthers(free, job).withoutNegatives().count(task));
     }
 
-    /** Why the limit allows the job no task now; empty if it allows one. */
+    /** Why the limit allows no task of the job now; empty if it allows one. */
     public Optional<PendingReason> quotaPendingReason(Job job) {
         Resources task = job.taskResources;
         if (allowedTasks(task, job) > 0) {
@@ -121,7 +125,7 @@
         if (!free.contains(task)) {
             return Optional.of(PendingReason.TEAM_LIMIT);
         }
-        free = free.minus(lostTasks.heldForOthers(job));
+        free = free.minus(lostTaskHolds.heldForOthers(job));
         if (!free.contains(task)) {
             return Optional.of(PendingReason.HELD_FOR_LOST_TASKS);
         }
@@ -131,7 +135,7 @@
                         : PendingReason.KEPT_FOR_TURN);
     }
 
-    /** What of the free limit is kept neither for a turn nor for other classes than the job's. */
+    /** The part of the free quota that is kept neither for a turn nor for other job classes. */
     private Resources notKeptForOthers(Resources free, Job job) {
         Resources left = free.minus(keptForTurn);
         String jobClass = job.description.jobClass();
@@ -141,28 +145,28 @@
         return left;
     }
 
-    /** True if so much in all is within the limit. */
-    boolean fitsLimit(Resources all) {
-        return limit.contains(all);
+    /** True if this total is within the limit. */
+    boolean fitsLimit(Resources total) {
+        return limit.contains(total);
     }
 
-    /** A part of the limit; memory, which has none, as it is. */
-    Resources partOfLimit(double part) {
+    /** This fraction of the limit; memory, which is unbounded, is not scaled. */
+    Resources fractionOfLimit(double fraction) {
         return new Resources(
-                (long) (limit.cpu() * part), (long) (limit.gpu() * part), limit.memory());
+                (long) (limit.cpu() * fraction), (long) (limit.gpu() * fraction), limit.memory());
     }
 
-    /** True if so much in all is within the guarantee. */
-    public boolean fitsGuarantee(Resources all) {
-        return guarantee.contains(all);
+    /** True if this total is within the guarantee. */
+    public boolean fitsGuarantee(Resources total) {
+        return guarantee.contains(total);
     }
 
-    /** True if so much more than what is used is within the guarantee. */
-    public boolean staysWithinGuarantee(Resources more) {
-        return guarantee.contains(used.plus(more));
+    /** True if the team's usage plus the given resources is within the guarantee. */
+    public boolean staysWithinGuarantee(Resources additional) {
+        return guarantee.contains(used.plus(additional));
     }
 
-    /** True if the team borrows: it uses more than its guarantee. */
+    /** True if the team uses more than its guarantee, that is, borrows unused quota of others. */
     public boolean exceedsGuarantee() {
         return !guarantee.contains(used);
     }
--- a/src/main/java/org/woadloom/core/quota/package-info.java
+++ b/src/main/java/org/woadloom/core/quota/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Teams' guarantees and limits, and who gets what of a limit that is reached.
+ * Teams' guarantees and limits, and how quota is divided among the jobs of a team at its limit.
  *
- * <p>TeamQuota counts what is used; the other classes set, before tasks are placed, which jobs are
- * within a guarantee, what is kept for job classes, and whose turn it is. Depends on jobs,
- * reservations and amounts of resources; starts with {@link org.woadloom.core.quota.TeamQuota}.
+ * <p>TeamQuota tracks usage. Before tasks are placed, the other classes decide which jobs are
+ * within a guarantee, what is kept for job classes and for lost tasks, and which job has a turn.
+ * The package depends on jobs, reservations and resource amounts. Start reading at {@link
+ * org.woadloom.core.quota.TeamQuota}.
  */
 package org.woadloom.core.quota;
--- a/src/main/java/org/woadloom/core/reservation/GangReservationPlanner.java
+++ b/src/main/java/org/woadloom/core/reservation/GangReservationPlanner.java
@@ -17,26 +17,28 @@
 import org.woadloom.core.placement.SteppedSearch;
 
 /**
- * Accumulates reservations for gangs, and for tasks too large for what is free on any machine now.
+ * Makes reservations for gangs, and for single tasks that take a large part of a machine, so that
+ * smaller tasks do not keep taking the resources that these wait for.
  *
- * <p>In each zone one job reserves at a time, the oldest first; its reservations are renewed while
- * it does. If one of them fails, all are released and the job queues again.
+ * <p>At most one job at a time holds reservations in a zone, the job that has waited longest first.
+ * Its reservations are renewed until its tasks are placed. If one of them fails, all are released
+ * and the job queues again.
  */
 public final class GangReservationPlanner {
-    /** Half of what a search for placements may examine in the same step. */
+    /** Half of what the placement search may examine in the same step. */
     private static final int MAX_MACHINES_PER_STEP = 100_000;
 
     private final SchedulerState state;
     private final PlacementConstraints constraints;
     private final Reservations reservations;
 
-    /** The job that reserves in a zone; a gang that may spread over zones holds several. */
-    private final Map<String, Job> holderByZone = new LinkedHashMap<>();
+    /** The job that holds reservations in a zone; a gang may do so in several zones. */
+    private final Map<String, Job> reservingJobByZone = new LinkedHashMap<>();
 
-    /** When a reservation of the job last failed: from then on it waits anew. */
-    private final Map<Job, Long> requeuedMicros = new LinkedHashMap<>();
+    /** When a reservation of the job last failed; its waiting time counts from then. */
+    private final Map<Job, Long> requeuedSinceMicros = new LinkedHashMap<>();
 
-    private final Map<Job, Long> renewedMicros = new LinkedHashMap<>();
+    private final Map<Job, Long> lastRenewalMicros = new LinkedHashMap<>();
 
     private final SteppedSearch search = new SteppedSearch(MAX_MACHINES_PER_STEP);
 
@@ -47,13 +49,16 @@
         this.reservations = reservations;
     }
 
-    /** How many machines the planning of this term has examined, counted anew for each job. */
+    /**
+     * How many machines the planner has examined in this term; a machine counts once for each job
+     * it is examined for.
+     */
     public long machinesExamined() {
         return search.machinesExamined();
     }
 
     /**
-     * True for jobs that reserve: gangs, and tasks that take a large part of the machines they may
+     * True for gangs, and for jobs whose tasks take a large part of every machine type they may
      * use.
      */
     public boolean needsReservations(Job job) {
@@ -62,12 +67,12 @@
 
     private boolean isLargeTask(Job job) {
         double share = state.settings().operator().bigTaskShare();
-        boolean allowedAnywhere = false;
+        boolean fitsAnyType = false;
         for (var type : state.machineTypes().values()) {
             if (type.fits(job.description)
                     && (job.description.machineTypes() == null
                             || job.description.machineTypes().contains(type.name()))) {
-                allowedAnywhere = true;
+                fitsAnyType = true;
                 Resources size = Resources.of(type);
                 if (job.taskResources.cpu() < size.cpu() * share
                         && job.taskResources.memory() < size.memory() * share
@@ -76,100 +81,103 @@
                 }
             }
         }
-        return allowedAnywhere;
+        return fitsAnyType;
     }
 
     /**
-     * Lets jobs queue again whose reservations failed, ends what is over, and renews the others; to
-     * be called in every pass, as reservations expire whether a search is over or not.
+     * Requeues jobs whose reservations failed, releases the reservations of jobs that need none any
+     * more, and renews the others. Must be called in every pass: reservations expire even while a
+     * placement search that spans several steps is unfinished.
      *
      * @param failed the reservations that failed since the last call
      */
     public void maintain(List<Reservation> failed) {
         requeueFailed(failed);
-        endFinished();
-        for (Job job : new LinkedHashSet<>(holderByZone.values())) {
+        releaseUnneeded();
+        for (Job job : new LinkedHashSet<>(reservingJobByZone.values())) {
             renewIfDue(job);
         }
-        requeuedMicros.keySet().removeIf(job -> !state.jobs().containsKey(job.jobId()));
+        requeuedSinceMicros.keySet().removeIf(job -> !state.jobs().containsKey(job.jobId()));
     }
 
     /**
-     * Reserves for the next jobs, those first that have waited longest; to be called once a search
-     * for placements is over.
+     * Makes reservations for the jobs that have waited longest. To be called when a placement
+     * search is complete.
      *
      * @param queue the jobs with pending tasks
      */
     public void reserve(List<Job> queue) {
-        reserveFor(waitingByAge(queue));
+        reserveInOrder(jobsToReserveFor(queue));
     }
 
     private void requeueFailed(List<Reservation> failed) {
         for (Reservation reservation : failed) {
-            if (holderByZone.containsValue(reservation.owner)) {
+            if (reservingJobByZone.containsValue(reservation.owner)) {
                 state.log(
                         LogEntry.info(LogEvent.RESERVATION_FAILED)
                                 .with("job", reservation.owner.jobId())
                                 .with("machine", reservation.machine.host));
-                requeuedMicros.put(reservation.owner, state.nowMicros());
-                end(reservation.owner);
+                requeuedSinceMicros.put(reservation.owner, state.nowMicros());
+                releaseAll(reservation.owner);
             }
         }
     }
 
-    private void endFinished() {
-        for (Job job : new ArrayList<>(holderByZone.values())) {
+    private void releaseUnneeded() {
+        for (Job job : new ArrayList<>(reservingJobByZone.values())) {
             if (job.isOver() || job.pendingTasks() == 0 || state.jobs().get(job.jobId()) != job) {
-                end(job);
+                releaseAll(job);
             }
         }
     }
 
-    /** The jobs that need reservations and have none, those first that have waited longest. */
-    private List<Job> waitingByAge(List<Job> queue) {
+    /** The jobs that need reservations and have none, the longest waiting first. */
+    private List<Job> jobsToReserveFor(List<Job> queue) {
         List<Job> waiting = new ArrayList<>();
         for (Job job : queue) {
-            if (needsReservations(job) && !holderByZone.containsValue(job)) {
+            if (needsReservations(job) && !reservingJobByZone.containsValue(job)) {
                 waiting.add(job);
             }
         }
         waiting.sort(
                 Comparator.comparingLong(
                                 (Job job) ->
-                                        requeuedMicros.getOrDefault(job, job.queuedSinceMicros()))
+                                        requeuedSinceMicros.getOrDefault(
+                                                job, job.queuedSinceMicros()))
                         .thenComparing(Job::jobId));
         return waiting;
     }
 
-    private void end(Job job) {
-        holderByZone.values().removeIf(holder -> holder == job);
-        renewedMicros.remove(job);
+    private void releaseAll(Job job) {
+        reservingJobByZone.values().removeIf(holder -> holder == job);
+        lastRenewalMicros.remove(job);
         for (Reservation reservation : reservations.reservationsOf(job)) {
             reservations.release(reservation);
         }
     }
 
     /**
-     * Reserves for the jobs in this order as long as there is a zone in which nobody does, and as
-     * far as one step may search; the next one goes on with the jobs that were not tried.
+     * Makes reservations for the jobs in this order until no zone is left without one or the step
+     * has examined its share of machines; the next step continues with the jobs that were not
+     * tried.
      */
-    private void reserveFor(List<Job> waiting) {
-        Set<String> openZones = openZones();
+    private void reserveInOrder(List<Job> waiting) {
+        Set<String> freeZones = freeZones();
         List<Machine> accepting = acceptingMachines();
         search.beginStep();
         for (Job job : waiting) {
-            if (openZones.isEmpty()) {
+            if (freeZones.isEmpty()) {
                 break;
             }
             if (search.isVisited(job)) {
                 continue;
             }
-            if (!search.allows((long) accepting.size() * (openZones.size() + 1))) {
+            if (!search.allows((long) accepting.size() * (freeZones.size() + 1))) {
                 return;
             }
             search.visit(job);
-            if (tryReserve(job, openZones, accepting)) {
-                openZones.removeAll(holderByZone.keySet());
+            if (tryReserve(job, freeZones, accepting)) {
+                freeZones.removeAll(reservingJobByZone.keySet());
             }
         }
         search.end();
@@ -185,42 +193,42 @@
         return accepting;
     }
 
-    /** The zones with machines in which no job reserves. */
-    private Set<String> openZones() {
-        Set<String> open = new LinkedHashSet<>();
+    /** The zones that have machines and in which no job holds reservations. */
+    private Set<String> freeZones() {
+        Set<String> free = new LinkedHashSet<>();
         search.count(state.machines().size());
         for (Machine machine : state.machines().values()) {
-            if (!holderByZone.containsKey(machine.zone)) {
-                open.add(machine.zone);
+            if (!reservingJobByZone.containsKey(machine.zone)) {
+                free.add(machine.zone);
             }
         }
-        return open;
+        return free;
     }
 
-    private boolean tryReserve(Job job, Set<String> openZones, List<Machine> accepting) {
-        int wanted = job.description.isGang() ? job.pendingTasks() : 1;
-        if (job.allowedTasks() < wanted) {
+    private boolean tryReserve(Job job, Set<String> freeZones, List<Machine> accepting) {
+        int taskCount = job.description.isGang() ? job.pendingTasks() : 1;
+        if (job.allowedTasks() < taskCount) {
             return false;
         }
-        for (Set<String> zones : zoneChoices(job, openZones)) {
-            List<Machine> chosen = chooseMachines(job, wanted, zones, accepting);
+        for (Set<String> zones : zoneSetsToTry(job, freeZones)) {
+            List<Machine> chosen = chooseMachines(job, taskCount, zones, accepting);
             if (chosen == null) {
                 continue;
             }
             if (reserveAll(job, chosen)) {
-                chosen.forEach(machine -> holderByZone.put(machine.zone, job));
-                renewedMicros.put(job, state.nowMicros());
+                chosen.forEach(machine -> reservingJobByZone.put(machine.zone, job));
+                lastRenewalMicros.put(job, state.nowMicros());
                 state.log(
                         LogEntry.info(LogEvent.RESERVATIONS_MADE)
                                 .with("job", job.jobId())
-                                .with("tasks", wanted));
+                                .with("tasks", taskCount));
                 return true;
             }
         }
         return false;
     }
 
-    /** Reserves for one task on each of the machines, or, if that fails for one, on none. */
+    /** Reserves for one task on each of the machines, or on none if that fails for one of them. */
     private boolean reserveAll(Job job, List<Machine> machines) {
         List<Reservation> made = new ArrayList<>();
         for (Machine machine : machines) {
@@ -236,26 +244,26 @@
     }
 
     /**
-     * The sets of zones in which the job may reserve: one zone each where all must be together,
-     * else all free ones.
+     * The sets of zones to try in turn: each free zone alone, then, unless all tasks must be in one
+     * zone, all free zones together.
      */
-    private static List<Set<String>> zoneChoices(Job job, Set<String> open) {
+    private static List<Set<String>> zoneSetsToTry(Job job, Set<String> freeZones) {
         List<Set<String>> choices = new ArrayList<>();
-        for (String zone : open) {
+        for (String zone : freeZones) {
             choices.add(Set.of(zone));
         }
-        if (!job.description.sameZone() && open.size() > 1) {
-            choices.add(open);
+        if (!job.description.sameZone() && freeZones.size() > 1) {
+            choices.add(freeZones);
         }
         return choices;
     }
 
     /**
-     * A machine for each of the wanted number of tasks, those first on which the most is free; null
-     * if there are too few.
+     * Chooses a machine for each task, preferring those with the most free CPU; null if not all
+     * tasks fit.
      */
     private List<Machine> chooseMachines(
-            Job job, int wanted, Set<String> zones, List<Machine> accepting) {
+            Job job, int taskCount, Set<String> zones, List<Machine> accepting) {
         List<Machine> candidates = machinesByFreeCpu(job, zones, accepting);
         int maxPerZone = PlacementConstraints.maxTasksPerZone(job.description);
         Map<String, Integer> chosenByZone = new LinkedHashMap<>();
@@ -263,7 +271,7 @@
         for (Machine machine : candidates) {
             int fitting = machine.capacity().count(job.taskResources);
             while (fitting > 0
-                    && chosen.size() < wanted
+                    && chosen.size() < taskCount
                     && job.attemptsInZone(machine.zone) + chosenByZone.getOrDefault(machine.zone, 0)
                             < maxPerZone) {
                 chosen.add(machine);
@@ -271,7 +279,7 @@
                 fitting--;
             }
         }
-        return chosen.size() == wanted ? chosen : null;
+        return chosen.size() == taskCount ? chosen : null;
     }
 
     private List<Machine> machinesByFreeCpu(Job job, Set<String> zones, List<Machine> accepting) {
@@ -292,15 +300,15 @@
     }
 
     /**
-     * Renews what a job has reserved, at intervals: reservations that are not renewed expire, and
-     * others may then use what they held.
+     * Renews the reservations of the job at intervals. Reservations that are not renewed expire,
+     * and their resources become available to other jobs.
      */
     private void renewIfDue(Job job) {
-        if (state.nowMicros() - renewedMicros.getOrDefault(job, state.nowMicros())
+        if (state.nowMicros() - lastRenewalMicros.getOrDefault(job, state.nowMicros())
                 < state.settings().operator().reservationRenewMicros()) {
             return;
         }
-        renewedMicros.put(job, state.nowMicros());
+        lastRenewalMicros.put(job, state.nowMicros());
         for (Reservation reservation : reservations.reservationsOf(job)) {
             reservations.renew(reservation);
         }
--- a/src/main/java/org/woadloom/core/reservation/Reservation.java
+++ b/src/main/java/org/woadloom/core/reservation/Reservation.java
@@ -4,36 +4,36 @@
 import org.woadloom.core.machines.Machine;
 import org.woadloom.core.placement.Resources;
 
-/** Resources on one machine that only its owner's tasks may draw. */
+/** Resources on one machine that are held for the tasks of one job, its owner. */
 public final class Reservation {
-    /** The phases of a reservation, as in the paper that docs/design.md names. */
+    /** The phases of a reservation, as in the proposal that docs/design.md refers to. */
     public enum Phase {
-        /** Just made. */
+        /** Just created. */
         PENDING,
-        /** Holds resources of which a part is still in use. */
+        /** Waits until all of its resources are free; a part is still in use by other tasks. */
         WAITING,
-        /** The owner's tasks may draw it. */
+        /** All of its resources are free: tasks of the owner can be placed on them. */
         AVAILABLE,
-        /** Drawn. */
+        /** Used by tasks of the owner. */
         SUCCEEDED,
-        /** Released or expired before it was drawn. */
+        /** Released or expired before it was used up. */
         FAILED
     }
 
     public final long id;
 
-    /** The template: what is held. */
+    /** The resources reserved in total. */
     public final Resources resources;
 
-    /** The job whose tasks may draw it. */
+    /** The job whose tasks may use the reservation. */
     public final Job owner;
 
     public final Machine machine;
 
-    /** Ends with the first owner that draws it, whatever is left. */
+    /** Whether the first task that uses the reservation ends it, even if resources are left. */
     public final boolean allocateOnce;
 
-    /** Made without regard to what was free on the machine. */
+    /** Whether it may be made before its resources are free on the machine. */
     public final boolean preAllocation;
 
     private Phase phase = Phase.PENDING;
@@ -42,14 +42,14 @@
 
     Reservation(
             long id,
-            Resources template,
+            Resources resources,
             Job owner,
             Machine machine,
             boolean allocateOnce,
             boolean preAllocation,
             long expiresMicros) {
         this.id = id;
-        this.resources = template;
+        this.resources = resources;
         this.owner = owner;
         this.machine = machine;
         this.allocateOnce = allocateOnce;
@@ -65,12 +65,12 @@
         phase = next;
     }
 
-    /** True while the resources are held. */
+    /** True while resources are held. */
     public boolean isLive() {
         return phase == Phase.WAITING || phase == Phase.AVAILABLE;
     }
 
-    /** What is still to be drawn. */
+    /** The resources that no task of the owner has taken yet. */
     public Resources remaining() {
         return isLive() ? resources.minus(allocated) : Resources.NONE;
     }
@@ -79,7 +79,7 @@
         return allocated;
     }
 
-    /** What a task of this size would draw here before it takes from the machine. */
+    /** The part of a task's request that this reservation can cover. */
     public Resources allocatableTo(Resources task) {
         return remaining().min(task);
     }
@@ -92,7 +92,7 @@
         return expiresMicros;
     }
 
-    void renew(long until) {
-        expiresMicros = until;
+    void renew(long newExpiresMicros) {
+        expiresMicros = newExpiresMicros;
     }
 }
--- a/src/main/java/org/woadloom/core/reservation/Reservations.java
+++ b/src/main/java/org/woadloom/core/reservation/Reservations.java
@@ -13,21 +13,22 @@
 import org.woadloom.core.reservation.Reservation.Phase;
 
 /**
- * All reservations of this term. They are the leader's working state: a new leader reserves anew.
- * What is held counts against the owner team's limit until it is drawn or released.
+ * All reservations of this term. They exist only in the leader's memory; a new leader makes its
+ * own. Reserved resources count against the limit of the owner's team until they are allocated to a
+ * task or released.
  */
 public final class Reservations {
-    /** What GPUs and memory weigh against processors where two reservations are compared. */
+    /** Weights of GPUs and memory against CPUs where two reservations are compared. */
     private static final long CPUS_PER_GPU = 16;
 
     private static final long GB_PER_CPU = 16;
 
     private final SchedulerState state;
-    private final Map<Long, Reservation> live = new LinkedHashMap<>();
+    private final Map<Long, Reservation> liveById = new LinkedHashMap<>();
 
     /**
-     * The live ones by machine, in the order in which they were made: hundreds of machines are
-     * asked for theirs in a pass.
+     * The live reservations by machine, in the order in which they were made. Indexed because one
+     * pass looks up those of hundreds of machines.
      */
     private final Map<Machine, List<Reservation>> byMachine = new HashMap<>();
 
@@ -39,52 +40,54 @@
     }
 
     /**
-     * Reserves resources for a job's tasks.
+     * Reserves resources on a machine for a job's tasks.
      *
-     * @param template how much
-     * @param allocateOnce whether the first task that draws it ends it, whatever is left
-     * @param preAllocation skip the check for what is free: the reservation waits until there is
-     *     enough
-     * @return null if the machine has not got the resources, or the team's limit does not allow it
+     * @param resources the amount to reserve
+     * @param allocateOnce whether the first task that uses the reservation ends it, even if
+     *     resources are left
+     * @param preAllocation whether to reserve resources that are still in use; the reservation then
+     *     waits until they are free
+     * @return null if the machine lacks the resources, the team's limit does not allow them, or the
+     *     job has a reusable reservation on the machine and asks for another
      */
     public Reservation reserve(
             Job owner,
             Machine machine,
-            Resources template,
+            Resources resources,
             boolean allocateOnce,
             boolean preAllocation) {
-        if (owner.team.allowedTasks(template, owner) < 1
-                || !machine.capacity().contains(template)) {
+        if (owner.team.allowedTasks(resources, owner) < 1
+                || !machine.capacity().contains(resources)) {
             return null;
         }
-        if (!preAllocation && !unreserved(machine, null).contains(template)) {
+        if (!preAllocation && !unreserved(machine, null).contains(resources)) {
             return null;
         }
-        if (!allocateOnce && reusable(owner, machine) != null) {
-            // One reusable reservation of an owner on a machine is enough: a second one would only
-            // split the resources.
+        if (!allocateOnce && findReusable(owner, machine) != null) {
+            // A second reusable reservation of the same owner on the machine would only split the
+            // resources.
             return null;
         }
         Reservation reservation =
                 new Reservation(
                         ++lastId,
-                        template,
+                        resources,
                         owner,
                         machine,
                         allocateOnce,
                         preAllocation,
                         state.nowMicros() + state.settings().operator().reservationTtlMicros());
-        live.put(reservation.id, reservation);
+        liveById.put(reservation.id, reservation);
         byMachine.computeIfAbsent(machine, m -> new ArrayList<>(2)).add(reservation);
         byOwner.computeIfAbsent(owner, j -> new ArrayList<>(2)).add(reservation);
-        owner.team.addUsage(template);
+        owner.team.addUsage(resources);
         reservation.setPhase(Phase.WAITING);
         updatePhase(reservation);
         return reservation;
     }
 
-    private Reservation reusable(Job owner, Machine machine) {
-        for (Reservation reservation : on(machine)) {
+    private Reservation findReusable(Job owner, Machine machine) {
+        for (Reservation reservation : onMachine(machine)) {
             if (reservation.owner == owner && !reservation.allocateOnce) {
                 return reservation;
             }
@@ -93,39 +96,44 @@
     }
 
     /**
-     * A waiting reservation becomes available once what is free covers it and those made before it.
+     * Makes a waiting reservation available once the free resources cover it and all earlier
+     * reservations on the machine.
      */
     private void updatePhase(Reservation reservation) {
         if (reservation.phase() != Phase.WAITING) {
             return;
         }
-        Resources before = Resources.NONE;
-        for (Reservation other : on(reservation.machine)) {
+        Resources reservedEarlier = Resources.NONE;
+        for (Reservation other : onMachine(reservation.machine)) {
             if (other == reservation) {
                 break;
             }
-            before = before.plus(other.remaining());
+            reservedEarlier = reservedEarlier.plus(other.remaining());
         }
-        if (reservation.machine.balance().minus(before).contains(reservation.remaining())) {
+        if (reservation
+                .machine
+                .balance()
+                .minus(reservedEarlier)
+                .contains(reservation.remaining())) {
             reservation.setPhase(Phase.AVAILABLE);
         }
     }
 
     /**
-     * Brings phases up to date. What expired, or lies on a machine that is not to stay, is
-     * released.
+     * Updates the phases of all reservations. Releases those that have expired, those on machines
+     * that are going away or are down, and those that their jobs no longer need.
      *
-     * @return what was released so, though its job still needs it
+     * @return the released reservations that their jobs still need
      */
     public List<Reservation> updatePhases() {
         List<Reservation> failed = new ArrayList<>();
-        Map<Job, Integer> held = new LinkedHashMap<>();
-        for (Reservation reservation : new ArrayList<>(live.values())) {
+        Map<Job, Integer> countByOwner = new LinkedHashMap<>();
+        for (Reservation reservation : new ArrayList<>(liveById.values())) {
             Machine machine = reservation.machine;
-            // A job placed elsewhere meanwhile needs no more reservations than it has pending
-            // tasks.
+            // A job whose tasks were placed elsewhere in the meantime needs no more reservations
+            // than it has pending tasks.
             if (reservation.owner.isOver()
-                    || held.merge(reservation.owner, 1, Integer::sum)
+                    || countByOwner.merge(reservation.owner, 1, Integer::sum)
                             > reservation.owner.pendingTasks()) {
                 release(reservation);
             } else if (state.nowMicros() >= reservation.expiresMicros()
@@ -142,14 +150,14 @@
         return failed;
     }
 
-    /** Gives the resources back; the reservation can't be drawn any more. */
+    /** Ends the reservation and frees its resources. */
     public void release(Reservation reservation) {
         end(reservation, Phase.FAILED);
         state.requestPlacement();
     }
 
     private void end(Reservation reservation, Phase phase) {
-        if (live.remove(reservation.id) != null) {
+        if (liveById.remove(reservation.id) != null) {
             removeFrom(byMachine, reservation.machine, reservation);
             removeFrom(byOwner, reservation.owner, reservation);
             reservation.owner.team.subtractUsage(reservation.remaining());
@@ -166,28 +174,34 @@
         }
     }
 
-    private List<Reservation> on(Machine machine) {
+    private List<Reservation> onMachine(Machine machine) {
         return byMachine.getOrDefault(machine, List.of());
     }
 
-    /** Puts the expiry off. */
+    /** Extends the reservation by a full time to live from now. */
     public void renew(Reservation reservation) {
         reservation.renew(state.nowMicros() + state.settings().operator().reservationTtlMicros());
     }
 
-    /** What is free on the machine without what is reserved for others than this job. */
+    /**
+     * The resources on the machine that are neither in use nor reserved for jobs other than the
+     * given one.
+     */
     public Resources unreserved(Machine machine, Job job) {
         return unreservedBalance(machine, job).withoutNegatives();
     }
 
-    /** The same, negative where reservations wait for resources that are still in use. */
+    /**
+     * The same as {@link #unreserved}, but negative where reservations wait for resources that are
+     * still in use.
+     */
     public Resources unreservedBalance(Machine machine, Job job) {
         Resources free = machine.balance();
-        List<Reservation> here = byMachine.get(machine);
-        if (here == null) {
+        List<Reservation> onThisMachine = byMachine.get(machine);
+        if (onThisMachine == null) {
             return free;
         }
-        for (Reservation reservation : here) {
+        for (Reservation reservation : onThisMachine) {
             if (reservation.owner != job) {
                 free = free.minus(reservation.remaining());
             }
@@ -196,35 +210,38 @@
     }
 
     /**
-     * The reservation from which a task of the job draws first on this machine: the one from which
-     * it gets most, and among reusable ones the earliest.
+     * The available reservation that a task of the job would use on this machine: the one that
+     * covers most of the task, or the earliest if all of them are reusable. Null if there is none.
      */
     public Reservation bestMatch(Job job, Machine machine) {
-        List<Reservation> here = byMachine.get(machine);
-        if (here == null) {
+        List<Reservation> onThisMachine = byMachine.get(machine);
+        if (onThisMachine == null) {
             return null;
         }
         Reservation best = null;
-        for (Reservation reservation : here) {
+        for (Reservation reservation : onThisMachine) {
             if (reservation.owner != job || reservation.phase() != Phase.AVAILABLE) {
                 continue;
             }
             if (best == null
                     || ((best.allocateOnce || reservation.allocateOnce)
-                            && drawnValue(reservation, job) > drawnValue(best, job))) {
+                            && allocatableValue(reservation, job) > allocatableValue(best, job))) {
                 best = reservation;
             }
         }
         return best;
     }
 
-    private static long drawnValue(Reservation reservation, Job job) {
-        Resources drawable = reservation.allocatableTo(job.taskResources);
-        return drawable.cpu() + drawable.gpu() * CPUS_PER_GPU + drawable.memory() / GB_PER_CPU;
+    private static long allocatableValue(Reservation reservation, Job job) {
+        Resources allocatable = reservation.allocatableTo(job.taskResources);
+        return allocatable.cpu()
+                + allocatable.gpu() * CPUS_PER_GPU
+                + allocatable.memory() / GB_PER_CPU;
     }
 
     /**
-     * What the job's team gets back from its limit when a task of the job draws the reservation.
+     * The reserved resources that no longer count against the team's limit once a task of the job
+     * is placed on the machine.
      */
     public Resources quotaCredit(Job job, Machine machine) {
         Reservation reservation = bestMatch(job, machine);
@@ -236,19 +253,23 @@
                 : reservation.allocatableTo(job.taskResources);
     }
 
-    /** To be called before the attempt is added: what it takes moves from the reservation to it. */
+    /**
+     * Moves resources from the best matching reservation, if there is one, to the attempt. To be
+     * called before the attempt is added to its job, which counts its resources against the team's
+     * limit.
+     */
     public void allocateTo(TaskAttempt attempt) {
         Reservation reservation = bestMatch(attempt.job, attempt.machine);
         if (reservation == null) {
             return;
         }
-        Resources drawn = reservation.allocatableTo(attempt.job.taskResources);
+        Resources allocated = reservation.allocatableTo(attempt.job.taskResources);
         if (reservation.allocateOnce) {
             end(reservation, Phase.SUCCEEDED);
-            reservation.allocate(drawn);
+            reservation.allocate(allocated);
         } else {
-            reservation.owner.team.subtractUsage(drawn);
-            reservation.allocate(drawn);
+            reservation.owner.team.subtractUsage(allocated);
+            reservation.allocate(allocated);
             if (reservation.remaining().equals(Resources.NONE)) {
                 end(reservation, Phase.SUCCEEDED);
             }
@@ -262,8 +283,8 @@
     }
 
     /**
-     * For how many tasks of the job no scale-out is needed. A gang's waiting reservations do not
-     * count: what they wait for may run long.
+     * The number of tasks that need no scale-out because they have a reservation. Waiting
+     * reservations of a gang do not count, because the tasks that they wait for may run for long.
      */
     public int tasksNotNeedingScaleOut(Job job) {
         int count = 0;
@@ -275,14 +296,14 @@
         return count;
     }
 
-    /** How many reservations the job has, whether they wait or not. */
+    /** How many live reservations the job has, including waiting ones. */
     public int countFor(Job job) {
         return byOwner.getOrDefault(job, List.of()).size();
     }
 
     /**
-     * True if anything is reserved for a job of the team other than this one, which counts against
-     * the limit.
+     * True if another job of the same team holds reservations, which count against the team's
+     * limit.
      */
     public boolean hasOtherOwnerInTeam(Job job) {
         for (Job owner : byOwner.keySet()) {
@@ -293,9 +314,9 @@
         return false;
     }
 
-    /** How many are live. */
+    /** How many live reservations there are. */
     public int count() {
-        return live.size();
+        return liveById.size();
     }
 
     public boolean hasReservations(Machine machine) {
--- a/src/main/java/org/woadloom/core/reservation/package-info.java
+++ b/src/main/java/org/woadloom/core/reservation/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Resources held on machines for gangs and large tasks until they can start.
+ * Reservations of machine resources for gangs and large tasks until these can start.
  *
- * <p>Reservations are the leader's working state and are not stored. Depends on jobs, machines and
- * placement constraints; starts with {@link org.woadloom.core.reservation.Reservations}.
+ * <p>Reservations exist only in the leader's memory and are not stored. The package depends on
+ * jobs, machines and placement constraints. Start reading at {@link
+ * org.woadloom.core.reservation.Reservations}.
  */
 package org.woadloom.core.reservation;
--- a/src/main/java/org/woadloom/core/slo/LargestJobsReport.java
+++ b/src/main/java/org/woadloom/core/slo/LargestJobsReport.java
@@ -12,33 +12,33 @@
 import org.woadloom.core.jobs.Job;
 
 /**
- * Reports how the largest tenth of each class's jobs is served, as an average hides a scheduler
- * that serves only small ones.
+ * Reports how the largest tenth of the jobs of each class is served. Averages over all jobs would
+ * hide a scheduler that serves only small ones.
  */
 final class LargestJobsReport {
     private static final double LARGEST_SHARE = 0.1;
 
     /**
-     * About 12,000 jobs are open at 4,000 machines, and all may be of one class; the report is of
-     * the latest.
+     * A cluster of 4,000 machines has about 12,000 open jobs, and all may be of one class. Beyond
+     * this number the oldest jobs are dropped from the report.
      */
     private static final int MAX_JOBS_PER_CLASS = 12_000;
 
-    /** A job that waited no longer than this started in time. */
+    /** A job that waited no longer than this counts as started in time. */
     private static final long START_OBJECTIVE_MICROS = 240_000_000;
 
-    private final Map<String, Map<String, Entry>> byClass = new TreeMap<>();
+    private final Map<String, Map<String, TrackedJob>> byClass = new TreeMap<>();
 
-    private static final class Entry {
-        final long size;
-        final long sinceMicros;
+    private static final class TrackedJob {
+        final long totalCpu;
+        final long queuedSinceMicros;
         long startedMicros = Job.NEVER_MICROS;
         boolean done;
         boolean cancelled;
 
-        Entry(Job job) {
-            size = job.taskResources.cpu() * job.description.taskCount();
-            sinceMicros = job.queuedSinceMicros();
+        TrackedJob(Job job) {
+            totalCpu = job.taskResources.cpu() * job.description.taskCount();
+            queuedSinceMicros = job.queuedSinceMicros();
         }
 
         boolean hasStarted() {
@@ -46,57 +46,57 @@
         }
 
         long waitedMicros() {
-            return startedMicros - sinceMicros;
+            return startedMicros - queuedSinceMicros;
         }
     }
 
     void onJobAdded(Job job) {
-        Map<String, Entry> jobs =
+        Map<String, TrackedJob> jobs =
                 byClass.computeIfAbsent(job.description.jobClass(), name -> new LinkedHashMap<>());
-        jobs.put(job.jobId(), new Entry(job));
+        jobs.put(job.jobId(), new TrackedJob(job));
         if (jobs.size() > MAX_JOBS_PER_CLASS) {
             jobs.remove(jobs.keySet().iterator().next());
         }
     }
 
-    private Entry entry(Job job) {
+    private TrackedJob trackedJob(Job job) {
         return byClass.getOrDefault(job.description.jobClass(), Map.of()).get(job.jobId());
     }
 
-    void observe(Job job) {
-        Entry entry = entry(job);
-        if (entry != null) {
-            entry.startedMicros = job.firstPlacedMicros();
-            entry.cancelled = job.isCancelled();
-            entry.done = job.isComplete();
+    void update(Job job) {
+        TrackedJob tracked = trackedJob(job);
+        if (tracked != null) {
+            tracked.startedMicros = job.firstPlacedMicros();
+            tracked.cancelled = job.isCancelled();
+            tracked.done = job.isComplete();
         }
     }
 
-    /** A line for each class, of jobs that nobody cancelled. */
-    List<LogEntry> lines() {
-        List<LogEntry> lines = new ArrayList<>();
+    /** A log entry for each class; cancelled jobs are left out. */
+    List<LogEntry> logEntries() {
+        List<LogEntry> entries = new ArrayList<>();
         byClass.forEach(
                 (name, jobs) -> {
-                    List<Entry> largest = largest(jobs.values());
+                    List<TrackedJob> largest = largest(jobs.values());
                     if (!largest.isEmpty()) {
-                        lines.add(line(name, largest));
+                        entries.add(logEntry(name, largest));
                     }
                 });
-        return lines;
+        return entries;
     }
 
-    private static LogEntry line(String jobClass, List<Entry> largest) {
+    private static LogEntry logEntry(String jobClass, List<TrackedJob> largest) {
         int startedInTime = 0;
         int done = 0;
         long slowestStartMicros = 0;
-        for (Entry entry : largest) {
-            if (entry.hasStarted()) {
-                slowestStartMicros = Math.max(slowestStartMicros, entry.waitedMicros());
-                if (entry.waitedMicros() <= START_OBJECTIVE_MICROS) {
+        for (TrackedJob tracked : largest) {
+            if (tracked.hasStarted()) {
+                slowestStartMicros = Math.max(slowestStartMicros, tracked.waitedMicros());
+                if (tracked.waitedMicros() <= START_OBJECTIVE_MICROS) {
                     startedInTime++;
                 }
             }
-            if (entry.done) {
+            if (tracked.done) {
                 done++;
             }
         }
@@ -108,10 +108,10 @@
                 .with("done", done);
     }
 
-    private static List<Entry> largest(Collection<Entry> jobs) {
-        List<Entry> kept = new ArrayList<>(jobs);
-        kept.removeIf(entry -> entry.cancelled);
-        kept.sort(Comparator.comparingLong((Entry entry) -> -entry.size));
-        return kept.subList(0, (int) Math.ceil(kept.size() * LARGEST_SHARE));
+    private static List<TrackedJob> largest(Collection<TrackedJob> trackedJobs) {
+        List<TrackedJob> candidates = new ArrayList<>(trackedJobs);
+        candidates.removeIf(tracked -> tracked.cancelled);
+        candidates.sort(Comparator.comparingLong((TrackedJob tracked) -> -tracked.totalCpu));
+        return candidates.subList(0, (int) Math.ceil(candidates.size() * LARGEST_SHARE));
     }
 }
--- a/src/main/java/org/woadloom/core/slo/ServiceLevelReport.java
+++ b/src/main/java/org/woadloom/core/slo/ServiceLevelReport.java
@@ -13,23 +13,23 @@
 import org.woadloom.core.jobs.Job;
 
 /**
- * Reports, by team and class, how many jobs this term has known, how many of them had all tasks
- * running, how many are over, and how long the one that waits longest has waited. Nothing is
- * decided by it.
+ * Reports, for each team and job class, how many jobs this term has had, how many of them have had
+ * all tasks running, how many have ended, and the longest time that a job has been waiting. No
+ * scheduling decision depends on it.
  */
 public final class ServiceLevelReport {
-    private static final long PERIOD_MICROS = 60_000_000;
+    private static final long REPORT_INTERVAL_MICROS = 60_000_000;
 
     private final SchedulerState state;
-    private final Map<String, Count> counts = new TreeMap<>();
+    private final Map<String, JobCounts> counts = new TreeMap<>();
 
-    /** Open jobs of which all tasks were seen running or done at once. */
+    /** Open jobs of which all tasks have been running or done at the same time. */
     private final Set<Job> fullyStarted = new HashSet<>();
 
     private final LargestJobsReport largestJobs = new LargestJobsReport();
-    private long nextMicros;
+    private long nextReportMicros;
 
-    private static final class Count {
+    private static final class JobCounts {
         final String team;
         final String jobClass;
         int accepted;
@@ -38,7 +38,7 @@
         int cancelled;
         long longestWaitMicros;
 
-        Count(String team, String jobClass) {
+        JobCounts(String team, String jobClass) {
             this.team = team;
             this.jobClass = jobClass;
         }
@@ -49,7 +49,7 @@
         }
     }
 
-    /** One team's jobs of one class; those {@code cancelled} are among those that are over. */
+    /** The counts for one team's jobs of one class; {@code ended} includes {@code cancelled}. */
     public record Row(
             String team,
             String jobClass,
@@ -59,36 +59,39 @@
             int cancelled,
             long longestWaitMicros) {}
 
-    /** A report on the jobs of this state's term. */
+    /** Creates a report on the jobs of the state's term. */
     public ServiceLevelReport(SchedulerState state) {
         this.state = state;
-        nextMicros = state.nowMicros() + PERIOD_MICROS;
+        nextReportMicros = state.nowMicros() + REPORT_INTERVAL_MICROS;
     }
 
-    private Count count(Job job) {
+    private JobCounts countsFor(Job job) {
         return counts.computeIfAbsent(
                 job.description.team() + '\0' + job.description.jobClass(),
-                key -> new Count(job.description.team(), job.description.jobClass()));
+                key -> new JobCounts(job.description.team(), job.description.jobClass()));
     }
 
-    /** The job has come into this term. */
+    /** Counts a job that was added to the state. */
     public void onJobAdded(Job job) {
-        count(job).accepted++;
+        countsFor(job).accepted++;
         largestJobs.onJobAdded(job);
     }
 
-    /** Notes whether all tasks of the job run or are done; to be called before they are stopped. */
+    /**
+     * Records whether all tasks of the job are running or done. To be called also before its tasks
+     * are stopped.
+     */
     public void recordIfFullyStarted(Job job) {
         if (!job.isOver()
                 && job.runningTasks() + job.completedCount() == job.description.taskCount()
                 && fullyStarted.add(job)) {
-            count(job).fullyStarted++;
+            countsFor(job).fullyStarted++;
         }
     }
 
-    /** The job is over and nothing of it is left. */
+    /** Counts a job that is over and has no attempts left. */
     public void onJobEnded(Job job) {
-        Count count = count(job);
+        JobCounts count = countsFor(job);
         count.ended++;
         if (job.isCancelled()) {
             count.cancelled++;
@@ -96,15 +99,15 @@
         if (!fullyStarted.remove(job) && job.isComplete()) {
             count.fullyStarted++;
         }
-        largestJobs.observe(job);
+        largestJobs.update(job);
     }
 
-    /** Once a minute, logs a line and publishes a row for each team and class. */
+    /** Once a minute, logs and publishes the counts for each team and class. */
     public void reportIfDue() {
-        if (state.nowMicros() < nextMicros) {
+        if (state.nowMicros() < nextReportMicros) {
             return;
         }
-        nextMicros = state.nowMicros() + PERIOD_MICROS;
+        nextReportMicros = state.nowMicros() + REPORT_INTERVAL_MICROS;
         updateCounts();
         publish();
     }
@@ -113,9 +116,9 @@
         counts.values().forEach(count -> count.longestWaitMicros = 0);
         for (Job job : state.jobs().values()) {
             recordIfFullyStarted(job);
-            largestJobs.observe(job);
+            largestJobs.update(job);
             if (!job.isBlocked() && !job.isOver() && !fullyStarted.contains(job)) {
-                Count count = count(job);
+                JobCounts count = countsFor(job);
                 count.longestWaitMicros =
                         Math.max(
                                 count.longestWaitMicros,
@@ -126,7 +129,7 @@
 
     private void publish() {
         List<Row> rows = new ArrayList<>();
-        for (Count count : counts.values()) {
+        for (JobCounts count : counts.values()) {
             Row row = count.row();
             rows.add(row);
             state.log(
@@ -140,7 +143,7 @@
                             .with("cancelled", row.cancelled)
                             .withSeconds("longest_wait_s", row.longestWaitMicros));
         }
-        largestJobs.lines().forEach(state::log);
+        largestJobs.logEntries().forEach(state::log);
         state.emit(new SchedulerAction.PublishServiceLevels(rows));
     }
 }
--- a/src/main/java/org/woadloom/core/slo/package-info.java
+++ b/src/main/java/org/woadloom/core/slo/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the scheduler reports of how jobs are served; nothing is decided by it. {@link
- * org.woadloom.core.slo.ServiceLevelReport} is the entry type. May depend on the jobs.
+ * Reports on how jobs are served; no scheduling decision depends on them. The entry point is {@link
+ * org.woadloom.core.slo.ServiceLevelReport}. May depend on jobs.
  */
 package org.woadloom.core.slo;
--- a/src/test/java/org/woadloom/core/BoundedStepTest.java
+++ b/src/test/java/org/woadloom/core/BoundedStepTest.java
@@ -10,14 +10,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.woadloom.store.JobRecord;
 
-/** What one step does is bounded, however many machines come up at once. */
+/** The work of one step is bounded even if all machines of a large cluster come up at once. */
 class BoundedStepTest {
     private static final int MACHINES = 4_000;
 
-    /** A tenth of the 4 s that the lease of the leader key lasts: three renewals may be late. */
+    /** A tenth of the 4 s lease on the leader key, so that three late renewals do not lose it. */
     private static final double STEP_SECONDS = 0.4;
 
-    /** Of one processor, as a node has it. */
+    /** The share of one processor that a node gets. */
     private static final double PROCESSOR_SHARE = 0.4;
 
     private static final double SECONDS_PER_MACHINE = 0.5e-6;
@@ -36,7 +36,7 @@
         return hosts;
     }
 
-    private static LeaderFixture afterAFullStop(int jobs) {
+    private static LeaderFixture afterFullRestart(int jobs) {
         List<JobRecord> records = new ArrayList<>();
         for (int i = 0; i < jobs; i++) {
             records.add(
@@ -51,25 +51,28 @@
         return leader;
     }
 
-    /** Guards against leaders that replaced each other at 4,000 machines after a full stop. */
+    /**
+     * Guards against leaders that lost their lease one after the other, in steps that took too
+     * long, when a cluster of 4,000 machines was restarted as a whole.
+     */
     @ParameterizedTest
     @ValueSource(ints = {4_000, 12_000})
-    void noStepSearchesForLongerThanTheLeadersLeaseAllows(int jobs) {
-        LeaderFixture leader = afterAFullStop(jobs);
+    void placementStepStaysWithinMachineBudgetAfterFullRestart(int jobs) {
+        LeaderFixture leader = afterFullRestart(jobs);
         assertTrue(
                 leader.maxMachinesExaminedInStep() <= MAX_MACHINES,
-                leader.maxMachinesExaminedInStep() + " machines in a step");
+                leader.maxMachinesExaminedInStep() + " machines examined in one step");
     }
 
     @Test
-    void aSearchThatIsCutShortPlacesAllThatFits() {
-        LeaderFixture leader = afterAFullStop(4_000);
+    void searchSpreadOverStepsPlacesAllJobsThatFit() {
+        LeaderFixture leader = afterFullRestart(4_000);
         assertEquals(4_000, placedJobs(leader).size());
     }
 
     @Test
-    void aSearchThatIsCutShortServesTheOldestFirst() {
-        LeaderFixture leader = afterAFullStop(4_000);
+    void searchSpreadOverStepsPlacesOldestJobsFirst() {
+        LeaderFixture leader = afterFullRestart(4_000);
         List<String> placed = placedJobs(leader);
         assertEquals(placed.stream().sorted().toList(), placed);
     }
--- a/src/test/java/org/woadloom/core/FaultyJobsTest.java
+++ b/src/test/java/org/woadloom/core/FaultyJobsTest.java
@@ -15,36 +15,48 @@
 import org.woadloom.protocol.TaskCommand;
 import org.woadloom.protocol.TaskStatus;
 
-/**
- * Jobs that fail on every machine, and machines on which every job fails: each is to be told from
- * the other.
- */
+/** Jobs that fail on every machine must be distinguished from machines on which every job fails. */
 class FaultyJobsTest {
     private static final int MACHINES = 6;
 
     private final LeaderFixture leader = new LeaderFixture();
-    private final Map<String, Map<String, TaskStatus>> on = new LinkedHashMap<>();
-    private final Map<String, Integer> launches = new LinkedHashMap<>();
-    private int read;
+    private final Map<String, Map<String, TaskStatus>> statusesByHost = new LinkedHashMap<>();
+    private final Map<String, Integer> startsByJobAndHost = new LinkedHashMap<>();
+    private final Map<String, Long> tokenByHost = new LinkedHashMap<>();
+    private int handledActions;
     private long sequence = 10;
 
-    /** Every worker answers at once; tasks of these jobs, and all on these machines, fail. */
-    private void pass(long micros, Set<String> mistaken, Set<String> faulty) {
+    /**
+     * Lets time pass. Every agent answers immediately; tasks of the failing jobs, and all tasks on
+     * the failing hosts, exit with an error.
+     */
+    private void run(long micros, Set<String> failingJobs, Set<String> failingHosts) {
         for (long until = leader.nowMicros + micros; leader.nowMicros < until; ) {
             for (int i = 0; i < MACHINES; i++) {
                 String host = "host-00000" + i;
                 leader.sendHeartbeat(
-                        heartbeat(host, 1, ++sequence, epochs.getOrDefault(host, 0L), tasks(host)));
+                        heartbeat(
+                                host,
+                                1,
+                                ++sequence,
+                                tokenByHost.getOrDefault(host, 0L),
+                                tasks(host)));
             }
             leader.advance(500_000);
-            List<SchedulerAction> news =
-                    new ArrayList<>(leader.actions.subList(read, leader.actions.size()));
-            read = leader.actions.size();
-            for (SchedulerAction action : news) {
+            List<SchedulerAction> newActions =
+                    new ArrayList<>(leader.actions.subList(handledActions, leader.actions.size()));
+            handledActions = leader.actions.size();
+            for (SchedulerAction action : newActions) {
                 if (action instanceof SchedulerAction.SendDirectCommand sent) {
-                    epochs.put(sent.host(), sent.fencingToken());
+                    tokenByHost.put(sent.host(), sent.fencingToken());
                     sent.commands()
-                            .forEach(command -> execute(sent.host(), command, mistaken, faulty));
+                            .forEach(
+                                    command ->
+                                            execute(
+                                                    sent.host(),
+                                                    command,
+                                                    failingJobs,
+                                                    failingHosts));
                     leader.step(
                             new SchedulerEvent.DirectCommandCompleted(
                                     sent.commandId(),
@@ -61,20 +73,19 @@
         }
     }
 
-    private final Map<String, Long> epochs = new LinkedHashMap<>();
-
     private TaskStatus[] tasks(String host) {
-        return on.getOrDefault(host, Map.of()).values().toArray(TaskStatus[]::new);
+        return statusesByHost.getOrDefault(host, Map.of()).values().toArray(TaskStatus[]::new);
     }
 
     private void execute(
-            String host, TaskCommand command, Set<String> mistaken, Set<String> faulty) {
+            String host, TaskCommand command, Set<String> failingJobs, Set<String> failingHosts) {
         String key = command.task() + " " + command.attempt();
         if (command.action() == TaskCommand.Action.START) {
             String jobId = command.task().jobId();
-            launches.merge(jobId + " " + host, 1, Integer::sum);
-            boolean fails = mistaken.contains(jobId) || faulty.contains(host);
-            on.computeIfAbsent(host, h -> new LinkedHashMap<>())
+            startsByJobAndHost.merge(jobId + " " + host, 1, Integer::sum);
+            boolean fails = failingJobs.contains(jobId) || failingHosts.contains(host);
+            statusesByHost
+                    .computeIfAbsent(host, h -> new LinkedHashMap<>())
                     .put(
                             key,
                             new TaskStatus(
@@ -87,62 +98,62 @@
     }
 
     /**
-     * Two of them used to have every machine quarantined on which both had tried: for longer than
-     * any job may wait.
+     * Guards against a quarantine of every machine on which two such jobs have failed, for longer
+     * than any job may wait.
      */
     @Test
-    void jobsThatFailEverywhereTakeNoMachineFromTheOthers() {
-        Set<String> mistaken = Set.of("j-000001", "j-000002");
-        pass(2 * SECOND, mistaken, Set.of());
+    void jobsFailingOnEveryMachineCauseNoQuarantine() {
+        Set<String> failingJobs = Set.of("j-000001", "j-000002");
+        run(2 * SECOND, failingJobs, Set.of());
         for (String jobId : List.of("j-000001", "j-000002")) {
             leader.submit(jobId, 2 * MACHINES);
-            pass(8 * SECOND, mistaken, Set.of());
+            run(8 * SECOND, failingJobs, Set.of());
         }
         long machines =
-                launches.keySet().stream().filter(key -> key.startsWith("j-000001")).count();
+                startsByJobAndHost.keySet().stream()
+                        .filter(key -> key.startsWith("j-000001"))
+                        .count();
         assertTrue(
                 machines >= 3
-                        && launches.keySet().stream()
+                        && startsByJobAndHost.keySet().stream()
                                         .filter(key -> key.startsWith("j-000002"))
                                         .count()
                                 >= 3,
-                "they were tried on " + launches.keySet());
+                "started jobs and hosts: " + startsByJobAndHost.keySet());
         leader.submit("j-000003", 2 * MACHINES);
-        pass(5 * SECOND, mistaken, Set.of());
+        run(5 * SECOND, failingJobs, Set.of());
         assertEquals(
                 MACHINES,
-                launches.keySet().stream().filter(key -> key.startsWith("j-000003")).count(),
+                startsByJobAndHost.keySet().stream()
+                        .filter(key -> key.startsWith("j-000003"))
+                        .count(),
                 "quarantined: "
                         + leader.actionsOfType(SchedulerAction.Log.class).stream()
-                                .filter(
-                                        note ->
-                                                note.entry().event()
-                                                        == LogEvent.MACHINE_QUARANTINED)
+                                .filter(log -> log.entry().event() == LogEvent.MACHINE_QUARANTINED)
                                 .toList());
     }
 
-    /** Jobs large enough to meet both are not taken for mistaken ones. */
+    /** Jobs that run on both machines, and fail only there, are not taken for faulty jobs. */
     @Test
-    void twoMachinesOnWhichTheSameJobsFailAreQuarantined() {
-        Set<String> faulty = Set.of("host-000002", "host-000003");
-        pass(2 * SECOND, Set.of(), faulty);
+    void twoMachinesFailingTheSameJobsAreQuarantined() {
+        Set<String> failingHosts = Set.of("host-000002", "host-000003");
+        run(2 * SECOND, Set.of(), failingHosts);
         for (String jobId : List.of("j-000001", "j-000002")) {
             leader.submit(jobId, 2 * MACHINES);
-            pass(5 * SECOND, Set.of(), faulty);
+            run(5 * SECOND, Set.of(), failingHosts);
         }
-        faulty.forEach(
+        failingHosts.forEach(
                 host -> assertTrue(leader.logged(LogEvent.MACHINE_QUARANTINED, "machine=" + host)));
     }
 
-    /** Jobs that fail on it alone point at it. */
     @Test
-    void aMachineOnWhichJobsFailIsQuarantined() {
-        Set<String> faulty = Set.of("host-000002");
-        pass(2 * SECOND, Set.of(), faulty);
+    void onlyTheMachineFailingAllJobsIsQuarantined() {
+        Set<String> failingHosts = Set.of("host-000002");
+        run(2 * SECOND, Set.of(), failingHosts);
         for (int i = 10; i < 10 + 2 * MACHINES; i++) {
             leader.submit("j-0000" + i, 1);
         }
-        pass(5 * SECOND, Set.of(), faulty);
+        run(5 * SECOND, Set.of(), failingHosts);
         assertTrue(leader.logged(LogEvent.MACHINE_QUARANTINED, "machine=host-000002"));
         assertFalse(leader.logged(LogEvent.MACHINE_QUARANTINED, "machine=host-000001"));
     }
--- a/src/test/java/org/woadloom/core/LeaderFixture.java
+++ b/src/test/java/org/woadloom/core/LeaderFixture.java
@@ -16,8 +16,8 @@
 import org.woadloom.store.RecordFormat;
 
 /**
- * A whole core that leads, with a lease of 10 s and reports every 1.5 s; the store takes every
- * write at once.
+ * A complete scheduler that is the leader, with agent leases of 10 s and heartbeats every 1.5 s.
+ * Every write to the store succeeds immediately.
  */
 public final class LeaderFixture {
     public static final long TERM = 5;
@@ -25,25 +25,25 @@
     private static final MachineType TYPE =
             new MachineType("m16", 16, 0, 32, 50, 1, 1, 0.3, 30 * SECOND, List.of("a", "b"));
 
-    private final Scheduler core;
+    private final Scheduler scheduler;
     public long nowMicros = 100 * SECOND;
     public final List<SchedulerAction> actions = new ArrayList<>();
-    private long stamps = 100;
-    private long replies;
+    private long lastRevision = 100;
+    private long lastRequestId;
     private long maxMachinesExaminedInStep;
 
-    /** Leads with these machines recorded. */
+    /** Starts a term with records of these machines. */
     public LeaderFixture(String... hosts) {
         this(200, List.of(), hosts);
     }
 
     /**
-     * The same, with what earlier leaders have recorded of jobs.
+     * Starts a term with records of these jobs and machines.
      *
-     * @param limit the CPUs that the team may use at most
+     * @param limit the CPU limit of the team
      */
     public LeaderFixture(double limit, List<JobRecord> jobs, String... hosts) {
-        core =
+        scheduler =
                 new Scheduler(
                         new SchedulerSettings(
                                 "node",
@@ -56,12 +56,12 @@
                                 3 * SECOND,
                                 OperatorSettings.defaults()));
         List<SchedulerEvent.StoredJob> stored = new ArrayList<>();
-        jobs.forEach(job -> stored.add(new SchedulerEvent.StoredJob(job, ++stamps)));
+        jobs.forEach(job -> stored.add(new SchedulerEvent.StoredJob(job, ++lastRevision)));
         List<SchedulerEvent.StoredMachine> machines = new ArrayList<>();
         for (String host : hosts) {
             machines.add(
                     new SchedulerEvent.StoredMachine(
-                            new MachineRecord(host, "m16", "a", false, false), ++stamps));
+                            new MachineRecord(host, "m16", "a", false, false), ++lastRevision));
         }
         step(
                 new SchedulerEvent.StoreLimitsChanged(
@@ -70,38 +70,38 @@
                 new SchedulerEvent.LeadershipAcquired(TERM, stored, machines, nowMicros));
     }
 
-    public void step(SchedulerEvent... commands) {
-        List<SchedulerEvent> next = List.of(commands);
+    public void step(SchedulerEvent... events) {
+        List<SchedulerEvent> next = List.of(events);
         while (next != null) {
-            long examined = core.machinesExamined();
-            List<SchedulerAction> done = core.step(nowMicros, nowMicros, next);
+            long examined = scheduler.machinesExamined();
+            List<SchedulerAction> emitted = scheduler.step(nowMicros, nowMicros, next);
             maxMachinesExaminedInStep =
-                    Math.max(maxMachinesExaminedInStep, core.machinesExamined() - examined);
-            actions.addAll(done);
-            List<SchedulerEvent> written = new ArrayList<>();
-            for (SchedulerAction action : done) {
-                if (action instanceof SchedulerAction.WriteJob put) {
-                    written.add(
+                    Math.max(maxMachinesExaminedInStep, scheduler.machinesExamined() - examined);
+            actions.addAll(emitted);
+            List<SchedulerEvent> completions = new ArrayList<>();
+            for (SchedulerAction action : emitted) {
+                if (action instanceof SchedulerAction.WriteJob write) {
+                    completions.add(
                             new SchedulerEvent.JobWriteCompleted(
-                                    put.record().description().jobId(),
-                                    put.record().version(),
+                                    write.record().description().jobId(),
+                                    write.record().version(),
                                     SchedulerEvent.WriteOutcome.WRITTEN,
-                                    ++stamps));
-                } else if (action instanceof SchedulerAction.WriteMachine put) {
-                    written.add(
+                                    ++lastRevision));
+                } else if (action instanceof SchedulerAction.WriteMachine write) {
+                    completions.add(
                             new SchedulerEvent.MachineWriteCompleted(
-                                    put.record().host(),
-                                    put.record().decommissioning(),
+                                    write.record().host(),
+                                    write.record().decommissioning(),
                                     false,
                                     SchedulerEvent.WriteOutcome.WRITTEN,
-                                    ++stamps));
+                                    ++lastRevision));
                 }
             }
-            next = written.isEmpty() ? null : written;
+            next = completions.isEmpty() ? null : completions;
         }
     }
 
-    /** Time passes, step by step, while nothing is heard. */
+    /** Advances time in steps of 100 ms without any event but ticks. */
     public void advance(long micros) {
         for (long until = nowMicros + micros; nowMicros < until; ) {
             nowMicros += 100_000;
@@ -109,21 +109,21 @@
         }
     }
 
-    public void submit(String jobId, int shards) {
+    public void submit(String jobId, int taskCount) {
         step(
                 new SchedulerEvent.JobStored(
-                        JobRecord.accepted(job(jobId, shards), nowMicros), ++stamps));
+                        JobRecord.accepted(job(jobId, taskCount), nowMicros), ++lastRevision));
     }
 
-    /** Tasks of 8 CPUs each. */
-    public static JobDescription job(String jobId, int shards) {
+    /** A batch job with tasks of 8 CPUs each. */
+    public static JobDescription job(String jobId, int taskCount) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("uid", jobId);
         map.put("jobclass", "work");
         map.put("crew", "team");
         map.put("shape", "batch");
         map.put("rank", "high");
-        map.put("shards", (long) shards);
+        map.put("shards", (long) taskCount);
         map.put("vcpus", 8.0);
         map.put("ramGb", 1.0);
         map.put("bundle", "img");
@@ -149,9 +149,9 @@
                 List.of(tasks));
     }
 
-    /** The answer to a report that arrives now; null where it is turned away. */
+    /** Delivers a heartbeat and returns its answer; null if it is not answered. */
     public SchedulerAction.AnswerHeartbeat sendHeartbeat(Heartbeat heartbeat) {
-        long id = ++replies;
+        long id = ++lastRequestId;
         step(new SchedulerEvent.HeartbeatReceived(id, heartbeat));
         return actionsOfType(SchedulerAction.AnswerHeartbeat.class).stream()
                 .filter(answer -> answer.requestId() == id)
@@ -169,35 +169,38 @@
     }
 
     /**
-     * True if an entry of the event was logged with these values, each given as it stands in the
-     * line.
+     * True if an entry of the event was logged with these fields, each given as it is written in
+     * the line.
      */
-    public boolean logged(LogEvent event, String... values) {
+    public boolean logged(LogEvent event, String... fields) {
         return actionsOfType(SchedulerAction.Log.class).stream()
                 .map(SchedulerAction.Log::entry)
                 .filter(entry -> entry.event() == event)
                 .anyMatch(
                         entry ->
-                                List.of(values).stream()
+                                List.of(fields).stream()
                                         .allMatch(
-                                                value ->
-                                                        (entry + " ").contains(" " + value + " ")));
+                                                field ->
+                                                        (entry + " ").contains(" " + field + " ")));
     }
 
-    /** The worker answers the last direct command. */
-    public void answerLastDirectCommand(Heartbeat body) {
+    /** Delivers the agent's answer to the last direct command. */
+    public void answerLastDirectCommand(Heartbeat answer) {
         SchedulerAction.SendDirectCommand sent =
                 lastAction(SchedulerAction.SendDirectCommand.class);
-        step(new SchedulerEvent.DirectCommandCompleted(sent.commandId(), sent.host(), 200, body));
+        step(new SchedulerEvent.DirectCommandCompleted(sent.commandId(), sent.host(), 200, answer));
     }
 
-    /** The worker answers the last direct command if that only tells it of its token. */
+    /**
+     * Delivers the agent's answer to the last direct command to it, if that has no task commands
+     * and only announces a fencing token.
+     */
     public void acknowledgeToken(String host, long incarnation, long sequence) {
-        List<SchedulerAction.SendDirectCommand> there =
+        List<SchedulerAction.SendDirectCommand> sentToHost =
                 actionsOfType(SchedulerAction.SendDirectCommand.class).stream()
                         .filter(sent -> sent.host().equals(host))
                         .toList();
-        SchedulerAction.SendDirectCommand sent = there.get(there.size() - 1);
+        SchedulerAction.SendDirectCommand sent = sentToHost.get(sentToHost.size() - 1);
         if (sent.commands().isEmpty()) {
             step(
                     new SchedulerEvent.DirectCommandCompleted(
@@ -208,12 +211,16 @@
         }
     }
 
-    /** All agents report at once, in one batch, and then answer their tokens in another. */
+    /**
+     * Delivers the first heartbeats of all agents in one step and their token answers in another.
+     */
     public void bringUpAll(String... hosts) {
         int before = actions.size();
         List<SchedulerEvent> events = new ArrayList<>();
         for (String host : hosts) {
-            events.add(new SchedulerEvent.HeartbeatReceived(++replies, heartbeat(host, 1, 1, 0)));
+            events.add(
+                    new SchedulerEvent.HeartbeatReceived(
+                            ++lastRequestId, heartbeat(host, 1, 1, 0)));
         }
         step(events.toArray(new SchedulerEvent[0]));
         events.clear();
@@ -230,21 +237,21 @@
         step(events.toArray(new SchedulerEvent[0]));
     }
 
-    /** The most machines that one step so far has examined for placements. */
+    /** The largest number of machines that a single step has examined so far. */
     public long maxMachinesExaminedInStep() {
         return maxMachinesExaminedInStep;
     }
 
-    /** Nobody answers any of them. */
+    /** Reports all direct commands as unanswered. */
     public void failDirectCommands() {
         for (SchedulerAction.SendDirectCommand sent :
                 actionsOfType(SchedulerAction.SendDirectCommand.class)) {
-            // The core passes over those whose outcome it knows.
+            // The scheduler ignores those whose outcome it already knows.
             step(new SchedulerEvent.DirectCommandCompleted(sent.commandId(), sent.host(), 0, null));
         }
     }
 
-    /** Time passes, and no direct command is answered. */
+    /** Advances time while no direct command is answered. */
     public void advanceWithoutAnswers(long micros) {
         for (long until = nowMicros + micros; nowMicros < until; ) {
             advance(Math.min(SECOND, until - nowMicros));
@@ -253,8 +260,8 @@
     }
 
     /**
-     * A worker that reports, and answers the greeting that follows; returns the token that it has
-     * then.
+     * Delivers an agent's first heartbeat and its answer to the direct command that announces its
+     * fencing token; returns the token.
      */
     public long bringUp(String host, long sequence) {
         sendHeartbeat(heartbeat(host, 1, sequence, 0));
--- a/src/test/java/org/woadloom/core/SchedulerFixture.java
+++ b/src/test/java/org/woadloom/core/SchedulerFixture.java
@@ -20,8 +20,8 @@
 import org.woadloom.store.RecordFormat;
 
 /**
- * A small world for tests of the core's parts: machines of 16 CPUs and 32 GB, one team limited to
- * 24 CPUs.
+ * The state of a small cluster for tests of single components: machines of 16 CPUs and 32 GB, and
+ * one team that is guaranteed 16 CPUs and limited, by default, to 24.
  */
 public final class SchedulerFixture {
     private static final MachineType TYPE =
@@ -34,7 +34,7 @@
     }
 
     /**
-     * @param limit the CPUs that the team may use at most
+     * @param limit the CPU limit of the team
      */
     public SchedulerFixture(double limit) {
         state =
@@ -67,7 +67,7 @@
         return machine;
     }
 
-    /** The machine's worker reports with no tasks; its token is only new to it. */
+    /** Delivers a heartbeat without tasks from the machine's agent, with the given token. */
     public MessageAge receiveHeartbeat(Machine machine, long sequence, long fencingToken) {
         Heartbeat heartbeat =
                 new Heartbeat(
@@ -88,21 +88,28 @@
         return age;
     }
 
-    public Job job(String jobId, double cpus, double memoryGb, int shards) {
-        return job(jobId, cpus, memoryGb, shards, false, false);
+    public Job job(String jobId, double cpus, double memoryGb, int taskCount) {
+        return job(jobId, cpus, memoryGb, taskCount, false, false);
     }
 
     public Job job(
             String jobId,
             double cpus,
             double memoryGb,
-            int shards,
+            int taskCount,
             boolean service,
-            boolean apart) {
-        return job(jobId, cpus, memoryGb, shards, service, apart, new LinkedHashMap<>());
+            boolean spreadAcrossZones) {
+        return job(
+                jobId,
+                cpus,
+                memoryGb,
+                taskCount,
+                service,
+                spreadAcrossZones,
+                new LinkedHashMap<>());
     }
 
-    /** One task of one CPU with an estimate of its run time and a deadline, submitted now. */
+    /** A job of one task of one CPU, submitted now, with an estimated run time and a deadline. */
     public Job jobWithDeadline(String jobId, double runtimeS, double dueS) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("runtimeS", runtimeS);
@@ -110,28 +117,28 @@
         return job(jobId, 1, 1, 1, false, false, map);
     }
 
-    /** Tasks of one CPU each, of a class of their own. */
-    public Job jobOfClass(String jobId, String jobClass, int shards, boolean service) {
+    /** A job of the given class with tasks of one CPU each. */
+    public Job jobOfClass(String jobId, String jobClass, int taskCount, boolean service) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("jobclass", jobClass);
-        return job(jobId, 1, 1, shards, service, false, map);
+        return job(jobId, 1, 1, taskCount, service, false, map);
     }
 
     private Job job(
             String jobId,
             double cpus,
             double memoryGb,
-            int shards,
+            int taskCount,
             boolean service,
-            boolean apart,
+            boolean spreadAcrossZones,
             Map<String, Object> map) {
         map.put("uid", jobId);
         map.putIfAbsent("jobclass", "work");
         map.put("crew", "team");
         map.put("shape", service ? "service" : "batch");
-        map.put("apart", apart);
+        map.put("apart", spreadAcrossZones);
         map.put("rank", "high");
-        map.put("shards", (long) shards);
+        map.put("shards", (long) taskCount);
         map.put("vcpus", cpus);
         map.put("ramGb", memoryGb);
         map.put("bundle", "img");
@@ -165,27 +172,26 @@
     }
 
     /**
-     * True if an entry of the event was logged with these values since the effects were last taken.
+     * True if an entry of the event was logged with these fields since the actions were last taken;
+     * takes them.
      */
-    public boolean logged(LogEvent event, String... values) {
+    public boolean logged(LogEvent event, String... fields) {
         return actions().stream()
                 .filter(SchedulerAction.Log.class::isInstance)
                 .map(action -> ((SchedulerAction.Log) action).entry())
                 .filter(entry -> entry.event() == event)
                 .anyMatch(
                         entry ->
-                                List.of(values).stream()
+                                List.of(fields).stream()
                                         .allMatch(
-                                                value ->
-                                                        (entry + " ").contains(" " + value + " ")));
+                                                field ->
+                                                        (entry + " ").contains(" " + field + " ")));
     }
 
-    /** Lets time pass. */
     public void advance(long micros) {
         state.setTime(state.nowMicros() + micros, state.wallMicros());
     }
 
-    /** What the store takes, and the form of records that must fit. */
     public void setStoreLimits(int valueBytes, RecordFormat format) {
         state.setStoreLimits(
                 new SchedulerEvent.StoreLimitsChanged(valueBytes, format, 0, false, false));
--- a/src/test/java/org/woadloom/core/SearchPauseTest.java
+++ b/src/test/java/org/woadloom/core/SearchPauseTest.java
@@ -11,50 +11,52 @@
 import org.junit.jupiter.api.Test;
 import org.woadloom.store.JobRecord;
 
-/** With very many open jobs heartbeats are answered at once, and placing waits for its turn. */
+/** With very many open jobs placement is delayed, while heartbeats are answered immediately. */
 class SearchPauseTest {
-    private static final String FIRST = "host-000001";
+    private static final String FIRST_HOST = "host-000001";
     private static final String SECOND_HOST = "host-000002";
 
-    private static LeaderFixture withJobs(int count) {
+    private static LeaderFixture leaderWithJobs(int count) {
         List<JobRecord> jobs = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             jobs.add(JobRecord.accepted(LeaderFixture.job(String.format("j-%06d", i), 1), 0));
         }
-        return new LeaderFixture(200, jobs, FIRST, SECOND_HOST);
+        return new LeaderFixture(200, jobs, FIRST_HOST, SECOND_HOST);
     }
 
-    private static long placed(LeaderFixture leader) {
+    private static long placementCount(LeaderFixture leader) {
         return leader.actionsOfType(SchedulerAction.Log.class).stream()
-                .filter(note -> note.entry().event() == LogEvent.TASKS_PLACED)
+                .filter(log -> log.entry().event() == LogEvent.TASKS_PLACED)
                 .count();
     }
 
-    /** A search has just found room on the first machine when the second comes up. */
-    private static LeaderFixture justSearched(int jobs) {
-        LeaderFixture leader = withJobs(jobs);
-        leader.bringUp(FIRST, 1);
-        for (int i = 0; placed(leader) == 0 && i < 20; i++) {
+    /** A leader whose last search filled the first machine, while the second is not up yet. */
+    private static LeaderFixture afterFirstPlacement(int jobs) {
+        LeaderFixture leader = leaderWithJobs(jobs);
+        leader.bringUp(FIRST_HOST, 1);
+        for (int i = 0; placementCount(leader) == 0 && i < 20; i++) {
             leader.advance(SECOND / 10);
         }
-        assertEquals(2, placed(leader));
+        assertEquals(2, placementCount(leader));
         return leader;
     }
 
     @Test
-    void withFewJobsNothingWaits() {
-        LeaderFixture leader = justSearched(1_000);
+    void placementIsImmediateWithFewJobs() {
+        LeaderFixture leader = afterFirstPlacement(1_000);
         leader.bringUp(SECOND_HOST, 1);
-        assertEquals(4, placed(leader));
+        assertEquals(4, placementCount(leader));
     }
 
     @Test
-    void withVeryManyJobsPlacingWaitsAndHeartbeatsDoNot() {
-        LeaderFixture leader = justSearched(12_000);
+    void placementIsDelayedButHeartbeatsAreAnsweredWithManyJobs() {
+        LeaderFixture leader = afterFirstPlacement(12_000);
         leader.bringUp(SECOND_HOST, 1);
-        assertNotNull(leader.sendHeartbeat(heartbeat(FIRST, 1, 3, 0)));
-        assertEquals(2, placed(leader));
+        assertNotNull(leader.sendHeartbeat(heartbeat(FIRST_HOST, 1, 3, 0)));
+        assertEquals(2, placementCount(leader));
         leader.advance(SECOND / 5);
-        assertTrue(placed(leader) == 4, placed(leader) + " are placed after the pause");
+        assertTrue(
+                placementCount(leader) == 4,
+                placementCount(leader) + " placements after the delay");
     }
 }
