--- a/src/test/java/org/woadloom/core/StepCostBenchmark.java
+++ b/src/test/java/org/woadloom/core/StepCostBenchmark.java
@@ -23,13 +23,15 @@
 import org.woadloom.store.RecordFormat;
 
 /**
- * Measures what the core costs by the size of the fleet: machines that report every four seconds,
- * three open jobs for each of them, most of which wait. Prints processor time and allocation for a
- * step and a heartbeat, and where the time goes; then the same for the first seconds of a new
- * leader to whom all agents report that their leases have expired. Run by hand, never by the tests:
- * {@code java -cp target/classes:target/test-classes:LIBRARIES org.woadloom.core.StepCostBenchmark
- * SIZE...}, where a size is a number of machines, or MACHINESxTASKS for one open job a machine with
- * about so many small tasks.
+ * Measures the cost of the scheduler for a given cluster size: machines that send a heartbeat every
+ * 4 s and three open jobs per machine, most of them pending. Prints processor time and allocation
+ * per step and per heartbeat and a sampled profile, then step times and a profile for the first
+ * seconds of a new leader whose agents have all lost their leases.
+ *
+ * <p>Run manually, not as part of the tests: {@code java -cp
+ * target/classes:target/test-classes:LIBRARIES org.woadloom.core.StepCostBenchmark SIZE...}. A size
+ * is a number of machines, or MACHINESxTASKS for one open job per machine with about TASKS small
+ * tasks.
  */
 final class StepCostBenchmark {
     private static final long SECOND = 1_000_000;
@@ -39,7 +41,10 @@
     private static final int MEASURED_S = 5;
     private static final int TAKEOVER_S = 8;
     private static final int JOBS_PER_MACHINE = 3;
+
+    /** In place of a number of tasks: jobs have 1 to 4 tasks of 4 CPUs. */
     private static final int SMALL_JOBS = 0;
+
     private static final int CLASSES = 6;
     private static final int TEAMS = 5;
     private static final long TERM = 5;
@@ -47,46 +52,52 @@
             new MachineType("m16", 16, 0, 32, 50, 1, 1, 0.3, 30 * SECOND, List.of("a", "b", "c"));
 
     private final Random random = new Random(1);
-    private final int size;
+    private final int machineCount;
 
-    /** Tasks of a large job, or {@link #SMALL_JOBS}. */
-    private final int tasksOfLargeJob;
+    /** The mean number of one-CPU tasks of a job, or {@link #SMALL_JOBS}. */
+    private final int meanTasksOfLargeJob;
 
     private final SchedulerSettings settings;
-    private Scheduler core;
+    private Scheduler scheduler;
     private long term = TERM;
     private final Map<String, JobRecord> records = new LinkedHashMap<>();
-    private final Map<String, Worker> agents = new LinkedHashMap<>();
-    private final ArrayDeque<SchedulerEvent> outcomes = new ArrayDeque<>();
-    private long now = 100 * SECOND;
-    private long stamps = 100;
-    private long replies;
+    private final Map<String, SimulatedAgent> agents = new LinkedHashMap<>();
+    private final ArrayDeque<SchedulerEvent> pendingEvents = new ArrayDeque<>();
+    private long nowMicros = 100 * SECOND;
+    private long lastRevision = 100;
+    private long lastRequestId;
     private int submitted;
     private int finished;
-    private long launches;
-    private final Map<Long, String> asked = new LinkedHashMap<>();
+    private long startedTasks;
+    private final Map<Long, String> hostByRequestId = new LinkedHashMap<>();
 
-    private static final class Worker {
+    private static final class SimulatedAgent {
         final String host;
         final String zone;
         final Map<TaskId, TaskStatus> tasks = new LinkedHashMap<>();
-        final Map<TaskId, Long> ends = new LinkedHashMap<>();
+        final Map<TaskId, Long> endMicrosByTask = new LinkedHashMap<>();
         long token;
         long sequence;
         long incarnation = 1;
 
-        Worker(String host, String zone) {
+        SimulatedAgent(String host, String zone) {
             this.host = host;
             this.zone = zone;
         }
     }
 
-    private StepCostBenchmark(int size, int tasksOfLargeJob) {
-        this.size = size;
-        this.tasksOfLargeJob = tasksOfLargeJob;
+    private StepCostBenchmark(int machineCount, int meanTasksOfLargeJob) {
+        this.machineCount = machineCount;
+        this.meanTasksOfLargeJob = meanTasksOfLargeJob;
         List<Team> teams = new ArrayList<>();
         for (int i = 0; i < TEAMS; i++) {
-            teams.add(new Team("team-" + i, size * 16.0 / 2 / TEAMS, size * 16.0, 0, 0));
+            teams.add(
+                    new Team(
+                            "team-" + i,
+                            machineCount * 16.0 / 2 / TEAMS,
+                            machineCount * 16.0,
+                            0,
+                            0));
         }
         settings =
                 new SchedulerSettings(
@@ -99,7 +110,7 @@
                         30 * SECOND,
                         3 * SECOND,
                         OperatorSettings.defaults());
-        core = new Scheduler(settings);
+        scheduler = new Scheduler(settings);
     }
 
     public static void main(String[] args) throws MalformedMessageException, InterruptedException {
@@ -109,20 +120,21 @@
         for (String size : args) {
             String[] parts = size.split("x", 2);
             int tasks = parts.length == 1 ? SMALL_JOBS : Integer.parseInt(parts[1]);
-            new StepCostBenchmark(Integer.parseInt(parts[0]), tasks).play();
+            new StepCostBenchmark(Integer.parseInt(parts[0]), tasks).measure();
         }
     }
 
-    private void play() throws MalformedMessageException, InterruptedException {
+    private void measure() throws MalformedMessageException, InterruptedException {
         List<SchedulerEvent.StoredMachine> machines = new ArrayList<>();
-        for (int i = 0; i < size; i++) {
-            Worker agent =
-                    new Worker(String.format("host-%06d", i), String.valueOf((char) ('a' + i % 3)));
+        for (int i = 0; i < machineCount; i++) {
+            SimulatedAgent agent =
+                    new SimulatedAgent(
+                            String.format("host-%06d", i), String.valueOf((char) ('a' + i % 3)));
             agents.put(agent.host, agent);
             machines.add(
                     new SchedulerEvent.StoredMachine(
                             new MachineRecord(agent.host, "m16", agent.zone, false, false),
-                            ++stamps));
+                            ++lastRevision));
         }
         step(
                 new ArrayList<>(
@@ -131,56 +143,56 @@
                                         8192, RecordFormat.COMPACT, 1_000, false, false),
                                 new SchedulerEvent.MachineTypesRead(List.of(TYPE)),
                                 new SchedulerEvent.LeadershipAcquired(
-                                        TERM, List.of(), machines, now))));
-        run(WARM_UP_S, null);
-        List<Long> times = new ArrayList<>();
-        long launchesBefore = launches;
+                                        TERM, List.of(), machines, nowMicros))));
+        runSteps(WARM_UP_S, null);
+        List<Long> stepNanos = new ArrayList<>();
+        long startedTasksBefore = startedTasks;
         Sampler sampler = new Sampler(Thread.currentThread());
         sampler.start();
-        long allocated = allocated();
-        long heartbeats = replies;
-        run(MEASURED_S, times);
-        allocated = allocated() - allocated;
-        heartbeats = replies - heartbeats;
-        sampler.done = true;
+        long allocated = allocatedBytes();
+        long heartbeats = lastRequestId;
+        runSteps(MEASURED_S, stepNanos);
+        allocated = allocatedBytes() - allocated;
+        heartbeats = lastRequestId - heartbeats;
+        sampler.stopped = true;
         sampler.join();
-        long total = times.stream().mapToLong(Long::longValue).sum();
-        times.sort(null);
+        long total = stepNanos.stream().mapToLong(Long::longValue).sum();
+        stepNanos.sort(null);
         System.out.printf(
                 "| %d, %d | %.0f us, %.0f us, %.0f | %.1f us | %.1f ms |  (%.0f heartbeats and %.0f"
                         + " launches a second)%n",
-                size,
-                core.openJobCount(),
-                total / 1e3 / times.size(),
-                times.get(times.size() * 99 / 100) / 1e3,
-                allocated / 1024.0 / times.size(),
+                machineCount,
+                scheduler.openJobCount(),
+                total / 1e3 / stepNanos.size(),
+                stepNanos.get(stepNanos.size() * 99 / 100) / 1e3,
+                allocated / 1024.0 / stepNanos.size(),
                 total / 1e3 / heartbeats,
                 total / 1e6 / MEASURED_S,
                 heartbeats / (double) MEASURED_S,
-                (launches - launchesBefore) / (double) MEASURED_S);
+                (startedTasks - startedTasksBefore) / (double) MEASURED_S);
         sampler.print();
-        takeOver();
+        measureTakeover();
     }
 
-    /** A new leader after a full stop that was longer than the agents' leases. */
-    private void takeOver() throws MalformedMessageException, InterruptedException {
+    /** Measures a new leader after an outage that was longer than the agents' leases. */
+    private void measureTakeover() throws MalformedMessageException, InterruptedException {
         term++;
-        core = new Scheduler(settings);
-        outcomes.clear();
+        scheduler = new Scheduler(settings);
+        pendingEvents.clear();
         List<SchedulerEvent.StoredMachine> machines = new ArrayList<>();
-        for (Worker agent : agents.values()) {
+        for (SimulatedAgent agent : agents.values()) {
             agent.tasks.clear();
-            agent.ends.clear();
+            agent.endMicrosByTask.clear();
             agent.incarnation++;
             machines.add(
                     new SchedulerEvent.StoredMachine(
                             new MachineRecord(agent.host, "m16", agent.zone, false, false),
-                            ++stamps));
+                            ++lastRevision));
         }
         List<SchedulerEvent.StoredJob> jobs = new ArrayList<>();
         records.values()
-                .forEach(record -> jobs.add(new SchedulerEvent.StoredJob(record, ++stamps)));
-        now += SECOND;
+                .forEach(record -> jobs.add(new SchedulerEvent.StoredJob(record, ++lastRevision)));
+        nowMicros += SECOND;
         Sampler sampler = new Sampler(Thread.currentThread());
         sampler.start();
         long load =
@@ -191,17 +203,17 @@
                                                 8192, RecordFormat.COMPACT, 1_000, false, false),
                                         new SchedulerEvent.MachineTypesRead(List.of(TYPE)),
                                         new SchedulerEvent.LeadershipAcquired(
-                                                term, jobs, machines, now))));
-        List<Long> times = new ArrayList<>();
-        run(TAKEOVER_S, times);
-        sampler.done = true;
+                                                term, jobs, machines, nowMicros))));
+        List<Long> stepNanos = new ArrayList<>();
+        runSteps(TAKEOVER_S, stepNanos);
+        sampler.stopped = true;
         sampler.join();
-        long total = times.stream().mapToLong(Long::longValue).sum();
-        times.sort(null);
+        long total = stepNanos.stream().mapToLong(Long::longValue).sum();
+        stepNanos.sort(null);
         System.out.printf(
                 "| new leader: load %.0f ms; %d s of the fleet take %.1f s, largest step %.0f ms"
                         + " |%n",
-                load / 1e6, TAKEOVER_S, total / 1e9, times.get(times.size() - 1) / 1e6);
+                load / 1e6, TAKEOVER_S, total / 1e9, stepNanos.get(stepNanos.size() - 1) / 1e6);
         sampler.print();
     }
 
@@ -209,80 +221,82 @@
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
 
-    private static long allocated() {
+    private static long allocatedBytes() {
         return ((com.sun.management.ThreadMXBean) ManagementFactory.getThreadMXBean())
                 .getThreadAllocatedBytes(Thread.currentThread().getId());
     }
 
-    private void run(int seconds, List<Long> times) throws MalformedMessageException {
-        List<Worker> order = new ArrayList<>(agents.values());
+    private void runSteps(int seconds, List<Long> stepNanos) throws MalformedMessageException {
+        List<SimulatedAgent> order = new ArrayList<>(agents.values());
         int next = 0;
-        double due = 0;
+        double heartbeatsDue = 0;
         for (int i = 0; i < seconds * SECOND / STEP_MICROS; i++) {
-            now += STEP_MICROS;
-            List<SchedulerEvent> commands = new ArrayList<>();
-            for (int left = outcomes.size(); left > 0; left--) {
-                commands.add(outcomes.pollFirst());
+            nowMicros += STEP_MICROS;
+            List<SchedulerEvent> events = new ArrayList<>();
+            for (int left = pendingEvents.size(); left > 0; left--) {
+                events.add(pendingEvents.pollFirst());
             }
-            for (due += size * (double) STEP_MICROS / HEARTBEAT_MICROS; due >= 1; due--) {
-                commands.add(heartbeat(order.get(next++ % size)));
+            for (heartbeatsDue += machineCount * (double) STEP_MICROS / HEARTBEAT_MICROS;
+                    heartbeatsDue >= 1;
+                    heartbeatsDue--) {
+                events.add(heartbeatEvent(order.get(next++ % machineCount)));
             }
-            while (submitted - finished < openJobs() && commands.size() < 200) {
-                commands.add(submission());
+            while (submitted - finished < openJobs() && events.size() < 200) {
+                events.add(jobSubmission());
             }
             if (i % 10 == 0) {
-                commands.add(new SchedulerEvent.Tick());
+                events.add(new SchedulerEvent.Tick());
             }
-            long took = step(commands);
-            if (times != null) {
-                times.add(took);
+            long took = step(events);
+            if (stepNanos != null) {
+                stepNanos.add(took);
             }
         }
     }
 
     private boolean hasLargeJobs() {
-        return tasksOfLargeJob != SMALL_JOBS;
+        return meanTasksOfLargeJob != SMALL_JOBS;
     }
 
     private int openJobs() {
-        return hasLargeJobs() ? size : size * JOBS_PER_MACHINE;
+        return hasLargeJobs() ? machineCount : machineCount * JOBS_PER_MACHINE;
     }
 
-    private long tasks() {
+    private long randomTaskCount() {
         return hasLargeJobs()
-                ? tasksOfLargeJob / 2 + random.nextInt(tasksOfLargeJob)
+                ? meanTasksOfLargeJob / 2 + random.nextInt(meanTasksOfLargeJob)
                 : 1 + random.nextInt(4);
     }
 
-    private SchedulerEvent submission() throws MalformedMessageException {
+    private SchedulerEvent jobSubmission() throws MalformedMessageException {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("uid", String.format("j-%06d", submitted++));
         map.put("jobclass", "class-" + random.nextInt(CLASSES));
         map.put("crew", "team-" + random.nextInt(TEAMS));
         map.put("shape", "batch");
         map.put("rank", random.nextInt(4) == 0 ? "high" : "standard");
-        map.put("shards", tasks());
+        map.put("shards", randomTaskCount());
         map.put("vcpus", hasLargeJobs() ? 1.0 : 4.0);
         map.put("ramGb", hasLargeJobs() ? 1.0 : 4.0);
         map.put("bundle", "img-" + random.nextInt(40));
         map.put("runtimeS", 60.0);
-        JobRecord record = JobRecord.accepted(JobDescription.parse(map), now);
+        JobRecord record = JobRecord.accepted(JobDescription.parse(map), nowMicros);
         records.put(record.description().jobId(), record);
-        return new SchedulerEvent.JobStored(record, ++stamps);
+        return new SchedulerEvent.JobStored(record, ++lastRevision);
     }
 
-    private SchedulerEvent.HeartbeatReceived heartbeat(Worker agent) {
-        long id = ++replies;
-        asked.put(id, agent.host);
-        return new SchedulerEvent.HeartbeatReceived(id, report(agent));
+    private SchedulerEvent.HeartbeatReceived heartbeatEvent(SimulatedAgent agent) {
+        long id = ++lastRequestId;
+        hostByRequestId.put(id, agent.host);
+        return new SchedulerEvent.HeartbeatReceived(id, nextHeartbeat(agent));
     }
 
-    private Heartbeat report(Worker agent) {
-        agent.ends
+    private Heartbeat nextHeartbeat(SimulatedAgent agent) {
+        agent.endMicrosByTask
                 .entrySet()
                 .removeIf(
                         end -> {
-                            if (end.getValue() > now) {
+                            if (end.getValue() > nowMicros) {
                                 return false;
                             }
                             agent.tasks.computeIfPresent(
@@ -309,11 +323,11 @@
                 List.copyOf(agent.tasks.values()));
     }
 
-    private void carryOut(Worker agent, long fencingToken, List<TaskCommand> commands) {
+    private void execute(SimulatedAgent agent, long fencingToken, List<TaskCommand> commands) {
         agent.token = Math.max(agent.token, fencingToken);
         for (TaskCommand command : commands) {
             if (command.action() == TaskCommand.Action.START) {
-                launches++;
+                startedTasks++;
                 agent.tasks.put(
                         command.task(),
                         new TaskStatus(
@@ -322,9 +336,9 @@
                                 TaskStatus.State.RUNNING,
                                 null,
                                 false));
-                agent.ends.put(command.task(), now + random.nextInt(80) * SECOND);
+                agent.endMicrosByTask.put(command.task(), nowMicros + random.nextInt(80) * SECOND);
             } else if (command.action() == TaskCommand.Action.STOP) {
-                agent.ends.remove(command.task());
+                agent.endMicrosByTask.remove(command.task());
                 agent.tasks.computeIfPresent(
                         command.task(),
                         (id, task) ->
@@ -340,50 +354,50 @@
         }
     }
 
-    /** Carries out what the core wants, and returns how many nanoseconds it took to say it. */
-    private long step(List<SchedulerEvent> commands) {
+    /** Runs one step, executes its actions, and returns the processor time of the step alone. */
+    private long step(List<SchedulerEvent> events) {
         long begin = processorNanos();
-        List<SchedulerAction> actions = core.step(now, now, commands);
+        List<SchedulerAction> actions = scheduler.step(nowMicros, nowMicros, events);
         long took = processorNanos() - begin;
         for (SchedulerAction action : actions) {
             if (action instanceof SchedulerAction.AnswerHeartbeat answer) {
-                carryOut(
-                        agents.get(asked.remove(answer.requestId())),
+                execute(
+                        agents.get(hostByRequestId.remove(answer.requestId())),
                         answer.fencingToken(),
                         answer.commands());
             } else if (action instanceof SchedulerAction.SendDirectCommand send) {
-                Worker agent = agents.get(send.host());
-                carryOut(agent, send.fencingToken(), send.commands());
-                outcomes.add(
+                SimulatedAgent agent = agents.get(send.host());
+                execute(agent, send.fencingToken(), send.commands());
+                pendingEvents.add(
                         new SchedulerEvent.DirectCommandCompleted(
-                                send.commandId(), send.host(), 200, report(agent)));
+                                send.commandId(), send.host(), 200, nextHeartbeat(agent)));
             } else if (action instanceof SchedulerAction.WriteJob put) {
                 records.put(put.record().description().jobId(), put.record());
-                outcomes.add(
+                pendingEvents.add(
                         new SchedulerEvent.JobWriteCompleted(
                                 put.record().description().jobId(),
                                 put.record().version(),
                                 SchedulerEvent.WriteOutcome.WRITTEN,
-                                ++stamps));
+                                ++lastRevision));
             } else if (action instanceof SchedulerAction.WriteFinalState finish) {
                 finished++;
                 records.remove(finish.record().jobId());
-                outcomes.add(
+                pendingEvents.add(
                         new SchedulerEvent.JobWriteCompleted(
                                 finish.record().jobId(),
                                 finish.version(),
                                 SchedulerEvent.WriteOutcome.WRITTEN,
-                                ++stamps));
+                                ++lastRevision));
             } else if (action instanceof SchedulerAction.WriteMachine put) {
-                outcomes.add(
+                pendingEvents.add(
                         new SchedulerEvent.MachineWriteCompleted(
                                 put.record().host(),
                                 put.record().decommissioning(),
                                 false,
                                 SchedulerEvent.WriteOutcome.WRITTEN,
-                                ++stamps));
+                                ++lastRevision));
             } else if (action instanceof SchedulerAction.RentMachines rent) {
-                outcomes.add(
+                pendingEvents.add(
                         new SchedulerEvent.ScaleOutCompleted(
                                 rent.requestName(),
                                 SchedulerEvent.ScaleOutOutcome.NO_CAPACITY,
@@ -393,13 +407,13 @@
         return took;
     }
 
-    /** Looks every millisecond where the measured thread is. */
+    /** Samples the stack of the measured thread every millisecond. */
     private static final class Sampler extends Thread {
         private final Thread measured;
-        private final Map<String, Integer> parts = new TreeMap<>();
-        private final Map<String, Integer> places = new TreeMap<>();
+        private final Map<String, Integer> samplesByComponent = new TreeMap<>();
+        private final Map<String, Integer> samplesByMethod = new TreeMap<>();
         private int samples;
-        volatile boolean done;
+        volatile boolean stopped;
 
         Sampler(Thread measured) {
             this.measured = measured;
@@ -408,10 +422,10 @@
 
         @Override
         public void run() {
-            while (!done) {
+            while (!stopped) {
                 StackTraceElement[] stack = measured.getStackTrace();
-                String inner = null;
-                String before = null;
+                String innermost = null;
+                String caller = null;
                 for (StackTraceElement frame : stack) {
                     if (!frame.getClassName().startsWith("org.woadloom.")) {
                         continue;
@@ -421,17 +435,17 @@
                                             .substring(frame.getClassName().lastIndexOf('.') + 1)
                                     + "."
                                     + frame.getMethodName();
-                    inner = inner == null ? name : inner;
+                    innermost = innermost == null ? name : innermost;
                     if (name.equals("LeaderTerm.runPass") || name.equals("Scheduler.step")) {
                         samples++;
-                        parts.merge(
-                                name + " > " + (before == null ? "itself" : before),
+                        samplesByComponent.merge(
+                                name + " > " + (caller == null ? "itself" : caller),
                                 1,
                                 Integer::sum);
-                        places.merge(inner, 1, Integer::sum);
+                        samplesByMethod.merge(innermost, 1, Integer::sum);
                         break;
                     }
-                    before = name;
+                    caller = name;
                 }
                 try {
                     Thread.sleep(1);
@@ -442,15 +456,15 @@
         }
 
         void print() {
-            print(parts, 10);
-            print(places, 12);
+            print(samplesByComponent, 10);
+            print(samplesByMethod, 12);
         }
 
-        private void print(Map<String, Integer> counts, int most) {
+        private void print(Map<String, Integer> counts, int maxEntries) {
             Iterator<Map.Entry<String, Integer>> sorted =
                     counts.entrySet().stream()
                             .sorted(Map.Entry.<String, Integer>comparingByValue().reversed())
-                            .limit(most)
+                            .limit(maxEntries)
                             .iterator();
             while (sorted.hasNext()) {
                 Map.Entry<String, Integer> entry = sorted.next();
--- a/src/test/java/org/woadloom/core/UnreachableAgentsTest.java
+++ b/src/test/java/org/woadloom/core/UnreachableAgentsTest.java
@@ -11,8 +11,8 @@
 import org.woadloom.protocol.TaskStatus;
 
 /**
- * A worker that can't open connections to any node, while commands reach it and are answered; its
- * lease is 10 s.
+ * An agent that can't open connections to any node, so its heartbeats don't arrive, but that
+ * receives direct commands and answers them. Its lease is 10 s.
  */
 class UnreachableAgentsTest {
     private static final String HOST = "host-000001";
@@ -20,37 +20,40 @@
     private final LeaderFixture leader = new LeaderFixture(HOST);
     private long token;
     private TaskStatus task;
-    private long answered;
+    private long lastAnswerMicros;
     private long sequence = 10;
-    private int seen;
+    private int handledCommands;
 
-    /** It has a task, and its last report is answered now. */
-    private void isClosedIn() {
+    /** Starts a task on the agent and answers its last heartbeat; no more heartbeats follow. */
+    private void startTaskAndCutOffAgent() {
         token = leader.bringUp(HOST, 1);
         leader.submit("j-000001", 1);
         leader.advance(100_000);
-        TaskCommand launch =
+        TaskCommand start =
                 leader.lastAction(SchedulerAction.SendDirectCommand.class).commands().get(0);
-        task =
-                new TaskStatus(
-                        launch.task(), launch.attempt(), TaskStatus.State.RUNNING, null, false);
+        task = new TaskStatus(start.task(), start.attempt(), TaskStatus.State.RUNNING, null, false);
         leader.answerLastDirectCommand(heartbeat(HOST, 1, ++sequence, token, task));
         leader.sendHeartbeat(heartbeat(HOST, 1, ++sequence, token, task));
-        answered = leader.nowMicros;
-        seen = leader.actionsOfType(SchedulerAction.SendDirectCommand.class).size();
+        lastAnswerMicros = leader.nowMicros;
+        handledCommands = leader.actionsOfType(SchedulerAction.SendDirectCommand.class).size();
     }
 
-    /** Returns how many tasks it was sent until then. */
-    private int until(long micros) {
-        int launches = 0;
-        while (leader.nowMicros < answered + micros) {
+    /**
+     * Advances to the given time after the last answered heartbeat; the agent answers all direct
+     * commands. Returns how many tasks the agent was told to start.
+     */
+    private int advanceUntil(long microsAfterLastAnswer) {
+        int startCommands = 0;
+        while (leader.nowMicros < lastAnswerMicros + microsAfterLastAnswer) {
             leader.advance(100_000);
             for (;
-                    seen < leader.actionsOfType(SchedulerAction.SendDirectCommand.class).size();
-                    seen++) {
+                    handledCommands
+                            < leader.actionsOfType(SchedulerAction.SendDirectCommand.class).size();
+                    handledCommands++) {
                 SchedulerAction.SendDirectCommand sent =
-                        leader.actionsOfType(SchedulerAction.SendDirectCommand.class).get(seen);
-                launches +=
+                        leader.actionsOfType(SchedulerAction.SendDirectCommand.class)
+                                .get(handledCommands);
+                startCommands +=
                         (int)
                                 sent.commands().stream()
                                         .filter(
@@ -66,19 +69,22 @@
                                 heartbeat(HOST, 1, ++sequence, sent.fencingToken(), task)));
             }
         }
-        return launches;
+        return startCommands;
     }
 
-    /** What it were sent now would be killed as its lease ends, however well it answers. */
+    /**
+     * Answers to direct commands don't renew the lease, so the agent would kill any task that it is
+     * given now when its lease expires.
+     */
     @Test
-    void itGetsNoNewWorkAndWhatItHasIsLostWhenItsLeaseIsOver() {
-        isClosedIn();
-        until(4 * SECOND);
+    void agentGetsNoNewTasksAndItsTaskIsLostWhenItsLeaseExpires() {
+        startTaskAndCutOffAgent();
+        advanceUntil(4 * SECOND);
         leader.submit("j-000002", 1);
-        assertEquals(0, until(10 * SECOND));
-        assertTrue(seen > 2, "it was asked how it is");
-        assertFalse(leader.logged(LogEvent.TASK_LOST), "its lease may not be over");
-        assertEquals(0, until(10_400_000));
+        assertEquals(0, advanceUntil(10 * SECOND));
+        assertTrue(handledCommands > 2, "direct commands probe the agent");
+        assertFalse(leader.logged(LogEvent.TASK_LOST), "the lease may not have expired yet");
+        assertEquals(0, advanceUntil(10_400_000));
         assertTrue(
                 leader.logged(
                         LogEvent.TASK_LOST,
@@ -86,14 +92,13 @@
                         "attempt=" + task.attempt(),
                         "machine=" + HOST,
                         "reason=\"lease expired\""));
-        assertEquals(0, until(30 * SECOND));
+        assertEquals(0, advanceUntil(30 * SECOND));
     }
 
-    /** Its answers tell of the end of its task. */
     @Test
-    void theEndOfItsTaskIsLearntFromItsAnswers() {
-        isClosedIn();
-        until(2 * SECOND);
+    void taskEndIsLearnedFromDirectCommandAnswers() {
+        startTaskAndCutOffAgent();
+        advanceUntil(2 * SECOND);
         task =
                 new TaskStatus(
                         task.task(),
@@ -101,7 +106,7 @@
                         TaskStatus.State.EXITED,
                         TaskStatus.ExitReason.DONE,
                         false);
-        until(6 * SECOND);
+        advanceUntil(6 * SECOND);
         assertEquals(1, leader.actionsOfType(SchedulerAction.WriteFinalState.class).size());
     }
 }
--- a/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
+++ b/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
@@ -35,9 +35,9 @@
         }
     }
 
-    /** Two thirds of the limit are divided: 8 CPUs for each of two classes. */
+    /** Two thirds of the limit are divided evenly: 8 CPUs for each of the two classes. */
     @Test
-    void aClassThatWaitsIsLeftItsShareOfATeamAtItsLimit() {
+    void shareIsKeptForWaitingClassOfTeamAtItsLimit() {
         Job service = fixture.jobOfClass("j-1", "web", 40, true);
         Job array = fixture.jobOfClass("j-2", "work", 40, false);
         shares.update();
@@ -45,7 +45,7 @@
         assertEquals(16, array.allowedTasks());
         place(service, 0, 16);
         shares.update();
-        assertEquals(0, service.allowedTasks(), "the rest is the other class's");
+        assertEquals(0, service.allowedTasks(), "the rest is kept for the other class");
         assertEquals(8, array.allowedTasks());
         place(array, 0, 8);
         shares.update();
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void noMoreIsKeptThanWaits() {
+    void keptShareIsAtMostThePendingDemand() {
         Job service = fixture.jobOfClass("j-1", "web", 40, true);
         fixture.jobOfClass("j-2", "work", 3, false);
         shares.update();
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aShareIsOneTaskAtLeast() {
+    void keptShareIsAtLeastOneTask() {
         Job service = fixture.jobOfClass("j-1", "web", 40, true);
         Job array = fixture.job("j-2", 12, 1, 3);
         shares.update();
@@ -69,9 +69,8 @@
         assertEquals(1, array.allowedTasks());
     }
 
-    /** What fits into the limit is served by the order alone. */
     @Test
-    void aTeamWithinItsLimitIsNotConcerned() {
+    void nothingIsKeptIfTeamDemandFitsItsLimit() {
         Job service = fixture.jobOfClass("j-1", "web", 4, true);
         Job array = fixture.jobOfClass("j-2", "work", 20, false);
         shares.update();
@@ -80,9 +79,9 @@
         assertTrue(fixture.actions().isEmpty());
     }
 
-    /** Nothing is stopped for a share: it is had as the other class's tasks end. */
+    /** No task is preempted for a share: a class gets it as tasks of the other class end. */
     @Test
-    void aShareIsHadAsRoomComesFree() {
+    void freedQuotaGoesToClassBelowItsShare() {
         Job service = fixture.jobOfClass("j-1", "web", 30, true);
         place(service, 0, 24);
         Job array = fixture.jobOfClass("j-2", "work", 40, false);
@@ -96,11 +95,11 @@
     }
 
     /**
-     * A class whose jobs find no machine, though the limit allows them, keeps nobody waiting for
-     * long.
+     * Guards against a class that blocks quota for the others although there is no machine for its
+     * jobs, which the limit would allow.
      */
     @Test
-    void aShareThatFindsNoMachineGoesToOthers() {
+    void shareUnusedForTooLongGoesToOtherClasses() {
         Job service = fixture.jobOfClass("j-1", "web", 40, true);
         Job array = fixture.job("j-2", 8, 1, 3);
         place(service, 0, 16);
@@ -116,24 +115,24 @@
         assertEquals(
                 0,
                 service.allowedTasks(),
-                "what comes free is kept again until it is enough for the other class");
+                "freed quota is kept again until it suffices for a task of the other class");
         assertEquals(0, array.allowedTasks());
     }
 
     @Test
-    void theLogTellsOfATeamThatAsksForMoreThanItsLimitOnceAMinute() {
+    void demandAboveLimitIsLoggedOnceAMinute() {
         fixture.jobOfClass("j-1", "web", 40, true);
         fixture.jobOfClass("j-2", "work", 40, false);
         shares.update();
         shares.update();
-        var told = fixture.actions();
+        var actions = fixture.actions();
         assertEquals(
                 List.of(
                         "event=quota_exceeded team=team asked_cpus=80 asked_gpus=0 class=web"
                                 + " used_cpus=0 waiting_cpus=40",
                         "event=quota_exceeded team=team asked_cpus=80 asked_gpus=0 class=work"
                                 + " used_cpus=0 waiting_cpus=40"),
-                told.stream()
+                actions.stream()
                         .map(action -> ((SchedulerAction.Log) action).entry().toString())
                         .toList());
         fixture.advance(61_000_000);
--- a/src/test/java/org/woadloom/core/quota/GuaranteedQuotaTest.java
+++ b/src/test/java/org/woadloom/core/quota/GuaranteedQuotaTest.java
@@ -10,7 +10,7 @@
 class GuaranteedQuotaTest {
     /** The fixture's team is guaranteed 16 CPUs. */
     @Test
-    void aJobIsWithinTheGuaranteeTogetherWithTheEarlierOnes() {
+    void jobIsWithinGuaranteeIfItFitsWithEarlierUnfinishedJobs() {
         SchedulerFixture fixture = new SchedulerFixture();
         GuaranteedQuota guarantees = new GuaranteedQuota(fixture.state);
         Job first = fixture.job("j-1", 4, 1, 2);
@@ -20,11 +20,10 @@
         assertTrue(first.isWithinGuarantee());
         assertTrue(second.isWithinGuarantee());
         assertFalse(
-                third.isWithinGuarantee(), "16 CPUs are taken by the earlier jobs, placed or not");
+                third.isWithinGuarantee(), "the earlier jobs take 16 CPUs, whether placed or not");
         first.markCompleted(0);
         fixture.advance(1_000_000);
         guarantees.update();
-        assertTrue(
-                third.isWithinGuarantee(), "what is done takes nothing of the guarantee any more");
+        assertTrue(third.isWithinGuarantee(), "a completed task takes nothing of the guarantee");
     }
 }
--- a/src/test/java/org/woadloom/core/quota/LostTaskHoldsTest.java
+++ b/src/test/java/org/woadloom/core/quota/LostTaskHoldsTest.java
@@ -39,15 +39,15 @@
         }
     }
 
-    private void review() {
+    private void expireHolds() {
         large.team.expireLostTaskHolds(fixture.state.nowMicros(), reservations::countFor);
     }
 
-    /** Guards against a lost task of a started job that waited 109 s behind newer, smaller ones. */
+    /** Guards against a lost task that waited 109 s because newer, smaller tasks took its quota. */
     @Test
-    void aLostTaskIsNotPassedOverBySmallerOnes() {
+    void quotaOfLostTaskIsNotGivenToSmallerTasks() {
         losses.onLost(attempt, "lease expired");
-        review();
+        expireHolds();
         assertEquals(0, small.allowedTasks());
         assertEquals(1, large.allowedTasks());
         fixture.place(reservations, large, 0, other);
@@ -56,25 +56,28 @@
     }
 
     @Test
-    void whatIsKeptForOthersDoesNotDelayALostTask() {
+    void quotaTurnOfOtherJobDoesNotDelayLostTask() {
         Job waiting = fixture.job("j-turn", 8, 1, 1);
         losses.onLost(attempt, "lease expired");
         large.team.setTurn(waiting, waiting.taskResources);
-        review();
+        expireHolds();
         assertEquals(0, waiting.allowedTasks());
         assertEquals(1, large.allowedTasks());
     }
 
     @Test
-    void aLostTaskThatFindsNoMachineLeavesTheLimitToOthers() {
+    void holdExpiresIfLostTaskIsNotPlaced() {
         losses.onLost(attempt, "lease expired");
         fixture.advance(MAX_HOLD_MICROS + 1);
-        review();
+        expireHolds();
         assertEquals(8, small.allowedTasks());
     }
 
-    /** The first of two tasks ends; the other fills the limit with what the first one used. */
-    private static boolean isNextJobServedAfter(TaskStatus.ExitReason reason) {
+    /**
+     * The team's limit allows two tasks, and both of j-1 run. The first exits for the given reason;
+     * returns whether the task of j-2 is then placed.
+     */
+    private static boolean isNextJobPlacedAfterExit(TaskStatus.ExitReason reason) {
         LeaderFixture leader = new LeaderFixture(16, List.of(), HOST);
         leader.bringUp(HOST, 1);
         leader.submit("j-1", 2);
@@ -97,27 +100,27 @@
         return new TaskStatus(command.task(), command.attempt(), state, reason, false);
     }
 
-    /** Otherwise a job that fails again and again would keep the limit from its team. */
+    /** Otherwise a job that fails repeatedly would keep quota from the rest of its team. */
     @Test
-    void whatAFailedTaskUsedIsFreeForOthers() {
-        assertTrue(isNextJobServedAfter(TaskStatus.ExitReason.ERROR));
-        assertFalse(isNextJobServedAfter(TaskStatus.ExitReason.STOPPED));
+    void quotaOfFailedTaskIsNotHeld() {
+        assertTrue(isNextJobPlacedAfterExit(TaskStatus.ExitReason.ERROR));
+        assertFalse(isNextJobPlacedAfterExit(TaskStatus.ExitReason.STOPPED));
     }
 
     @Test
-    void aReservationForALostTaskCountsOnce() {
+    void lostTaskWithReservationCountsOnce() {
         losses.onLost(attempt, "lease expired");
         small.remove(small.attempt(0));
         reservations.reserve(large, machine, large.taskResources, true, true);
-        review();
+        expireHolds();
         assertEquals(1, small.allowedTasks());
     }
 
     @Test
-    void aTaskThatCompletedElsewhereHoldsNothing() {
+    void completedTaskHoldsNoQuotaWhenItsAttemptIsLost() {
         large.markCompleted(0);
         losses.onLost(attempt, "lease expired");
-        review();
+        expireHolds();
         assertEquals(8, small.allowedTasks());
     }
 }
--- a/src/test/java/org/woadloom/core/reservation/GangReservationPlannerTest.java
+++ b/src/test/java/org/woadloom/core/reservation/GangReservationPlannerTest.java
@@ -8,7 +8,6 @@
 import org.woadloom.core.jobs.Job;
 import org.woadloom.core.placement.PlacementConstraints;
 
-/** A task of a whole machine reserves it while it is in use. */
 class GangReservationPlannerTest {
     private static final long SECOND = 1_000_000;
 
@@ -18,9 +17,12 @@
             new GangReservationPlanner(
                     fixture.state, new PlacementConstraints(fixture.state), reservations);
 
-    /** Guards against reservations that expire while a search of a large fleet goes on. */
+    /**
+     * Guards against reservations that expire while a placement search of a large cluster spans
+     * many steps: only {@code maintain} is called until the search is complete.
+     */
     @Test
-    void aReservationIsRenewedThoughNoSearchIsOver() {
+    void reservationIsRenewedWhilePlacementSearchIsIncomplete() {
         fixture.machine("host-1", "a");
         Job large = fixture.job("j-large", 16, 1, 1);
         planner.reserve(List.of(large));
--- a/src/test/java/org/woadloom/core/reservation/ReservationsTest.java
+++ b/src/test/java/org/woadloom/core/reservation/ReservationsTest.java
@@ -11,7 +11,7 @@
 import org.woadloom.core.placement.Resources;
 import org.woadloom.core.reservation.Reservation.Phase;
 
-/** The proposal's cases, on machines of 16 CPUs and 32 GB. */
+/** The cases of the reservation proposal, on machines of 16 CPUs and 32 GB. */
 class ReservationsTest {
     private final SchedulerFixture fixture = new SchedulerFixture();
     private final Reservations reservations = new Reservations(fixture.state);
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void reservedRoomIsItsOwnersAlone() {
+    void reservedResourcesAreAvailableOnlyToOwner() {
         Job owner = fixture.job("j-1", 4, 4, 1);
         Job other = fixture.job("j-2", 4, 4, 1);
         assertEquals(
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void allocateOnceEndsWithItsFirstOwnerWhateverIsLeft() {
+    void allocateOnceReservationEndsWithFirstTaskEvenIfResourcesAreLeft() {
         Job owner = fixture.job("j-1", 2, 2, 2);
         Reservation reservation = reservations.reserve(owner, machine, amount(4, 4), true, false);
         fixture.place(reservations, owner, 0, machine);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void anOwnerThatNeedsMoreTakesTheRestFromTheMachine() {
+    void taskLargerThanReservationTakesTheRestFromTheMachine() {
         Job owner = fixture.job("j-1", 6, 1, 1);
         Reservation reservation = reservations.reserve(owner, machine, amount(4, 0), true, false);
         fixture.place(reservations, owner, 0, machine);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void reusableRoomIsDrawnByOneOwnerAfterAnother() {
+    void reusableReservationServesTasksUntilUsedUp() {
         Job owner = fixture.job("j-1", 4, 0, 2);
         Reservation reservation = reservations.reserve(owner, machine, amount(8, 0), false, false);
         fixture.place(reservations, owner, 0, machine);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aSecondOwnerDrawsWhatIsLeftAndThenTheMachine() {
+    void secondTaskTakesReservationRemainderThenMachineResources() {
         Job owner = fixture.job("j-1", 4, 0, 2);
         Reservation reservation = reservations.reserve(owner, machine, amount(6, 0), false, false);
         fixture.place(reservations, owner, 0, machine);
@@ -75,14 +75,14 @@
     }
 
     @Test
-    void oneReusableReservationAnOwnerAndMachine() {
+    void secondReusableReservationOfOwnerOnMachineIsRefused() {
         Job owner = fixture.job("j-1", 2, 0, 4);
         assertNotNull(reservations.reserve(owner, machine, amount(4, 0), false, false));
         assertNull(reservations.reserve(owner, machine, amount(4, 0), false, false));
     }
 
     @Test
-    void theReservationFromWhichMostIsDrawnIsChosen() {
+    void bestMatchIsReservationThatCoversMost() {
         Job owner = fixture.job("j-1", 4, 0, 2);
         reservations.reserve(owner, machine, amount(1, 0), true, false);
         Reservation larger = reservations.reserve(owner, machine, amount(3, 0), true, false);
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void preAllocationWaitsForRoomAndIsThenAvailable() {
+    void preAllocatedReservationBecomesAvailableWhenResourcesAreFreed() {
         Job running = fixture.job("j-1", 16, 0, 1);
         var attempt = fixture.place(reservations, running, 0, machine);
         Job owner = fixture.job("j-2", 8, 0, 1);
@@ -104,21 +104,21 @@
     }
 
     @Test
-    void timeToLiveEndsAReservationUnlessItIsRenewed() {
+    void reservationExpiresUnlessRenewed() {
         Job owner = fixture.job("j-1", 4, 0, 2);
-        Reservation kept = reservations.reserve(owner, machine, amount(4, 0), true, false);
-        Reservation lost = reservations.reserve(owner, machine, amount(4, 0), true, false);
+        Reservation renewed = reservations.reserve(owner, machine, amount(4, 0), true, false);
+        Reservation expired = reservations.reserve(owner, machine, amount(4, 0), true, false);
         fixture.advance(40_000_000);
-        reservations.renew(kept);
+        reservations.renew(renewed);
         fixture.advance(30_000_000);
-        assertEquals(java.util.List.of(lost), reservations.updatePhases());
-        assertEquals(Phase.FAILED, lost.phase());
-        assertEquals(Phase.AVAILABLE, kept.phase());
+        assertEquals(java.util.List.of(expired), reservations.updatePhases());
+        assertEquals(Phase.FAILED, expired.phase());
+        assertEquals(Phase.AVAILABLE, renewed.phase());
         assertEquals(amount(4, 0), owner.team.used());
     }
 
     @Test
-    void aMachineThatGoesFailsItsReservations() {
+    void reservationFailsWhenMachineIsDecommissioned() {
         Job owner = fixture.job("j-1", 4, 0, 1);
         Reservation reservation = reservations.reserve(owner, machine, amount(4, 0), true, false);
         machine.decommission();
@@ -127,7 +127,7 @@
     }
 
     @Test
-    void reservedRoomCountsToTheTeamsLimit() {
+    void reservedResourcesCountAgainstTeamLimit() {
         Job owner = fixture.job("j-1", 16, 0, 2);
         assertNotNull(reservations.reserve(owner, machine, amount(16, 0), true, true));
         Machine second = fixture.machine("host-2", "a");
--- a/src/test/java/org/woadloom/core/slo/LargestJobsReportTest.java
+++ b/src/test/java/org/woadloom/core/slo/LargestJobsReportTest.java
@@ -9,28 +9,28 @@
     private static final int OPEN_JOBS = 12_000;
 
     private final SchedulerFixture fixture = new SchedulerFixture();
-    private final LargestJobsReport largest = new LargestJobsReport();
+    private final LargestJobsReport report = new LargestJobsReport();
 
-    private void come(int jobs) {
+    private void addJobs(int jobs) {
         for (int i = 0; i < jobs; i++) {
-            largest.onJobAdded(fixture.job("j-" + i, 1, 1, 1));
+            report.onJobAdded(fixture.job("j-" + i, 1, 1, 1));
         }
     }
 
     @Test
-    void allOpenJobsOfALargeFleetAreReported() {
-        come(OPEN_JOBS);
+    void reportCoversAllOpenJobsOfALargeCluster() {
+        addJobs(OPEN_JOBS);
         assertTrue(
-                largest.lines().get(0).toString().contains(" class=work jobs=1200 "),
-                largest.lines().get(0).toString());
+                report.logEntries().get(0).toString().contains(" class=work jobs=1200 "),
+                report.logEntries().get(0).toString());
     }
 
-    /** The report is of the latest: it counts what it is of. */
+    /** The report covers the latest 12,000 jobs, and its counts are of these. */
     @Test
-    void beyondThatTheLatestAreReported() {
-        come(OPEN_JOBS + 500);
+    void reportDropsOldestJobsBeyondItsCapacity() {
+        addJobs(OPEN_JOBS + 500);
         assertTrue(
-                largest.lines().get(0).toString().contains(" class=work jobs=1200 "),
-                largest.lines().get(0).toString());
+                report.logEntries().get(0).toString().contains(" class=work jobs=1200 "),
+                report.logEntries().get(0).toString());
     }
 }
