--- a/src/main/java/org/woadloom/core/LogEvent.java
+++ b/src/main/java/org/woadloom/core/LogEvent.java
@@ -57,7 +57,7 @@
     DIRECT_COMMAND_UNANSWERED,
     /** The lease of a machine's agent has certainly expired: the agent has killed its tasks. */
     LEASE_EXPIRED,
-    /** A machine's agent has reported for the first time. */
+    /** A machine's agent has sent its first heartbeat. */
     MACHINE_UP,
     /** The cloud's machine list contains a machine that this leader did not know. */
     MACHINE_DISCOVERED,
@@ -71,7 +71,7 @@
     MACHINE_UNREACHABLE,
     /** The agent of an unreachable machine has acknowledged a fencing token again. */
     MACHINE_REACHABLE,
-    /** A machine is to be deleted, for the reason given. */
+    /** A machine is to be deleted, for the logged reason. */
     MACHINE_DECOMMISSIONED,
     /** The cloud was asked to delete machines. */
     MACHINES_DELETING,
--- a/src/test/java/org/woadloom/core/BoundedStepTest.java
+++ b/src/test/java/org/woadloom/core/BoundedStepTest.java
@@ -15,15 +15,16 @@
     private static final int MACHINES = 4_000;
 
     /** A tenth of the 4 s lease on the leader key, so that three late renewals do not lose it. */
-    private static final double STEP_SECONDS = 0.4;
+    private static final double MAX_STEP_SECONDS = 0.4;
 
     /** The share of one processor that a node gets. */
     private static final double PROCESSOR_SHARE = 0.4;
 
+    /** The processor time that examining one machine is taken to need. */
     private static final double SECONDS_PER_MACHINE = 0.5e-6;
 
-    private static final long MAX_MACHINES =
-            (long) (STEP_SECONDS * PROCESSOR_SHARE / SECONDS_PER_MACHINE);
+    private static final long MAX_MACHINES_PER_STEP =
+            (long) (MAX_STEP_SECONDS * PROCESSOR_SHARE / SECONDS_PER_MACHINE);
 
     private static final int STEPS = 200;
     private static final long STEP_INTERVAL_MICROS = 10_000;
@@ -60,7 +61,7 @@
     void placementStepStaysWithinMachineBudgetAfterFullRestart(int jobs) {
         LeaderFixture leader = afterFullRestart(jobs);
         assertTrue(
-                leader.maxMachinesExaminedInStep() <= MAX_MACHINES,
+                leader.maxMachinesExaminedInStep() <= MAX_MACHINES_PER_STEP,
                 leader.maxMachinesExaminedInStep() + " machines examined in one step");
     }
 
--- a/src/test/java/org/woadloom/core/LeaderFixture.java
+++ b/src/test/java/org/woadloom/core/LeaderFixture.java
@@ -70,6 +70,7 @@
                 new SchedulerEvent.LeadershipAcquired(TERM, stored, machines, nowMicros));
     }
 
+    /** Runs a step with these events, then further steps with the outcomes of its store writes. */
     public void step(SchedulerEvent... events) {
         List<SchedulerEvent> next = List.of(events);
         while (next != null) {
