--- a/src/main/java/org/woadloom/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/woadloom/core/autoscaling/Autoscaler.java
@@ -84,7 +84,7 @@
         // A new leader first waits for the agents' heartbeats: their machines may be all it needs.
         if (state.nowMicros() - state.termStartMicros()
                 > 2 * state.settings().heartbeatIntervalMicros()) {
-            requests.request(scaleOut.plan(placer.queue()));
+            requests.request(scaleOut.plan(placer.placementQueue()));
         }
         scaleIn.review();
     }
--- a/src/main/java/org/woadloom/core/autoscaling/MachineLossDetector.java
+++ b/src/main/java/org/woadloom/core/autoscaling/MachineLossDetector.java
@@ -75,13 +75,13 @@
             return !isUnreachableBeyondLease(machine, 0);
         }
         return machine.liveness.isSuspect(state.nowMicros())
-                && machine.liveness.isReporting(state.nowMicros())
+                && machine.liveness.isSendingHeartbeats(state.nowMicros())
                 && !isUnreachableBeyondLease(machine, 0);
     }
 
     /** Its agent would have found this leader by now. */
     private boolean wasUpUnderEarlierLeader(Machine machine) {
-        return (machine.isReportedRecorded()
+        return (machine.isHeartbeatRecorded()
                         && sinceAliveMicros(machine)
                                 > state.delegationTimeouts().leaseExpiryMicros())
                 || listing.isMissing(machine);
@@ -108,7 +108,7 @@
         long limitMicros = 3 * state.settings().heartbeatIntervalMicros();
         boolean answersCommandsOnly =
                 machine.liveness.lastAliveMicros() - machine.liveness.lastHeartbeatMicros()
-                        > state.livenessTimeouts().freshMicros();
+                        > state.livenessTimeouts().maxFreshAgeMicros();
         if (answersCommandsOnly) {
             // It is probed again half a lease after the last probe.
             long probeMicros =
@@ -182,7 +182,7 @@
             return false;
         }
         long timeoutMicros = BOOT_TIMES * machine.type().bootMicros() + BOOT_MARGIN_MICROS;
-        if (machine.isLifecycleKnown() && !machine.isReportedRecorded()) {
+        if (machine.isRentalTimeRecorded() && !machine.isHeartbeatRecorded()) {
             // No leader has heard from it since it was rented; this one has waited for a heartbeat
             // that may be under way.
             return state.nowMicros() - machine.rentedMicros() > timeoutMicros
@@ -201,10 +201,11 @@
         // with their tasks.
         long leaseOverMicros =
                 state.delegationTimeouts().leaseExpiryMicros()
-                        + state.delegations().extraSilenceMicros(machine.zone, state.nowMicros());
+                        + state.delegations()
+                                .extraSilenceAllowanceMicros(machine.zone, state.nowMicros());
         long silentMicros = sinceAliveMicros(machine);
         boolean wasUp =
-                machine.isKnownAlive() || (machine.isEmpty() && machine.isReportedRecorded());
+                machine.isKnownAlive() || (machine.isEmpty() && machine.isHeartbeatRecorded());
         if (!wasUp) {
             return !machine.isEmpty()
                     && silentMicros > leaseOverMicros + LOST_WITH_RECOVERED_TASKS_MICROS;
--- a/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
+++ b/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
@@ -53,7 +53,7 @@
     private ZoneCounts count() {
         ZoneCounts counts = new ZoneCounts();
         for (Machine machine : state.machines().values()) {
-            boolean wasUp = machine.isKnownAlive() || machine.isReportedRecorded();
+            boolean wasUp = machine.isKnownAlive() || machine.isHeartbeatRecorded();
             if (!wasUp || machine.isDeleted() || machine.isDecommissioning()) {
                 continue;
             }
@@ -121,7 +121,7 @@
      */
     long silentForMicros(Machine machine) {
         return state.nowMicros()
-                - Math.max(machine.liveness.possiblyAliveMicros(), state.termStartMicros());
+                - Math.max(machine.liveness.lastPossiblyAliveMicros(), state.termStartMicros());
     }
 
     boolean isPartitioned(String zone) {
--- a/src/main/java/org/woadloom/core/machines/MachineRegistry.java
+++ b/src/main/java/org/woadloom/core/machines/MachineRegistry.java
@@ -140,7 +140,7 @@
     private long cancellationsAppliedMicros(String zone) {
         long appliedMicros = state.cancellationsReadUpToMicros();
         for (Job job : state.jobs().values()) {
-            if (job.isCancelled() && job.attemptsInZone(zone) > 0) {
+            if (job.isCancelled() && job.attemptCountInZone(zone) > 0) {
                 appliedMicros = Math.min(appliedMicros, job.cancelledSinceMicros());
             }
         }
@@ -177,7 +177,7 @@
      * Forgets deleted machines once the list, which lags, can no longer show them, and names that
      * no agent has answered for.
      */
-    public void forget() {
+    public void forgetDeletedMachines() {
         long keepMicros =
                 FORGET_LIST_LAGS * state.settings().machineListLagMicros() + FORGET_MARGIN_MICROS;
         state.forgetMachinesIf(machine -> isForgettable(machine, keepMicros));
@@ -189,7 +189,7 @@
         }
         return machine.isDeleted()
                 && !machine.isRecorded()
-                && !machine.isWriting()
+                && !machine.isRecordRequestInFlight()
                 && state.nowMicros() - machine.liveness.lastAliveMicros() > keepMicros;
     }
 }
--- a/src/main/java/org/woadloom/core/rollout/RolloutPolicy.java
+++ b/src/main/java/org/woadloom/core/rollout/RolloutPolicy.java
@@ -5,7 +5,7 @@
 import java.util.TreeSet;
 import org.woadloom.store.NodeAnnouncement;
 import org.woadloom.store.RolloutRecord;
-import org.woadloom.store.RolloutRecord.Standing;
+import org.woadloom.store.RolloutRecord.FeatureState;
 import org.woadloom.store.RolloutRecord.Step;
 import org.woadloom.store.RolloutRequest.Verb;
 
@@ -60,25 +60,25 @@
     }
 
     /** What is to be done: a new standing, or null and what it waits for. */
-    public record Decision(Standing next, String reason) {
+    public record Decision(FeatureState next, String reason) {
         static Decision waiting(String why) {
             return new Decision(null, why);
         }
     }
 
     public static Decision decide(Feature feature, Situation situation, long wallMicros) {
-        Standing current = situation.record.of(feature.key());
-        if (!current.on()
+        FeatureState current = situation.record.stateOf(feature.key());
+        if (!current.isOn()
                 && feature.agreedVersion() > 0
                 && situation.agreed >= feature.agreedVersion()) {
             return to(Step.ON, false, false, wallMicros, "an earlier version agreed on it");
         }
         boolean held =
                 situation.requested != Verb.GO
-                        && (current.held()
+                        && (current.isHeld()
                                 || (situation.troubled
                                         && current.step() == Step.ON
-                                        && feature.revocable()
+                                        && feature.canBeRolledBack()
                                         && feature.soaks()));
         if (situation.requested == Verb.BACK || held) {
             return rollBack(feature, situation, current, held, wallMicros);
@@ -101,13 +101,13 @@
     private static Decision switchOn(
             Feature feature,
             Situation situation,
-            Standing current,
+            FeatureState current,
             Set<String> lacking,
             long wallMicros) {
         if (!lacking.isEmpty()) {
             // While it is being taken back records of it may be there, and whoever can't read them
             // must stay out.
-            return current.back()
+            return current.isRollingBack()
                     ? Decision.waiting("not read by " + lacking)
                     : to(Step.OFF, false, false, wallMicros, lacking + " no longer reads it");
         }
@@ -115,8 +115,8 @@
         if (!unable.isEmpty()) {
             return Decision.waiting("not for " + unable + " to act upon, by settings or version");
         }
-        for (String needed : feature.needs()) {
-            if (!situation.record.of(needed).on()) {
+        for (String needed : feature.prerequisites()) {
+            if (!situation.record.stateOf(needed).isOn()) {
                 return Decision.waiting(needed + " is not on");
             }
         }
@@ -144,28 +144,32 @@
     }
 
     private static Decision rollBack(
-            Feature feature, Situation situation, Standing current, boolean held, long wallMicros) {
+            Feature feature,
+            Situation situation,
+            FeatureState current,
+            boolean held,
+            long wallMicros) {
         String reason = held ? "nodes keep ending" : "an operator asked";
         return switch (current.step()) {
             case OFF -> Decision.waiting(reason + ": off");
             case SETTLED -> Decision.waiting("settled, can't be taken back");
             case ON -> {
-                if (!feature.revocable()) {
+                if (!feature.canBeRolledBack()) {
                     yield Decision.waiting("on, can't be taken back");
                 }
                 for (Feature other : Feature.values()) {
-                    if (other.needs().contains(feature.key())
-                            && situation.record.of(other.key()).required()) {
+                    if (other.prerequisites().contains(feature.key())
+                            && situation.record.stateOf(other.key()).isRequired()) {
                         yield Decision.waiting("needed by " + other.key());
                     }
                 }
                 yield to(Step.UNDERSTOOD, true, held, wallMicros, reason);
             }
             case UNDERSTOOD -> {
-                if (current.back() && situation.recordsLeft > 0) {
+                if (current.isRollingBack() && situation.recordsLeft > 0) {
                     yield Decision.waiting("records to be rewritten");
                 }
-                if (current.back() && !situation.confirmed) {
+                if (current.isRollingBack() && !situation.confirmed) {
                     yield Decision.waiting("the store to be counted");
                 }
                 yield to(Step.OFF, false, held, wallMicros, reason);
@@ -175,6 +179,6 @@
 
     private static Decision to(
             Step step, boolean back, boolean held, long wallMicros, String reason) {
-        return new Decision(new Standing(step, back, held, wallMicros, reason), reason);
+        return new Decision(new FeatureState(step, back, held, wallMicros, reason), reason);
     }
 }
--- a/src/main/java/org/woadloom/node/NodeGauges.java
+++ b/src/main/java/org/woadloom/node/NodeGauges.java
@@ -34,15 +34,15 @@
         metrics.gauge("woadloom.invariants.violated", metrics, ignored -> Invariants.violations());
         metrics.gauge("woadloom.alone", node, n -> n.isIsolated() ? 1 : 0);
         metrics.gauge("woadloom.leader", election, e -> e.isLeader() ? 1 : 0);
-        metrics.gauge("woadloom.term", election, Election::knownTerm);
+        metrics.gauge("woadloom.term", election, Election::leaderTerm);
     }
 
     static void registerStore(NodeMetrics metrics, StoreClient store) {
-        metrics.gauge("woadloom.state.troubles", store, StoreClient::failures);
-        metrics.gauge("woadloom.state.shed", store, StoreClient::shed);
+        metrics.gauge("woadloom.state.troubles", store, StoreClient::failureCount);
+        metrics.gauge("woadloom.state.shed", store, StoreClient::shedCount);
         for (RateShare share : RateShare.values()) {
             String name = share.name().toLowerCase(Locale.ROOT);
-            metrics.gauge("woadloom.state.queued", "share", name, store, s -> s.queued(share));
+            metrics.gauge("woadloom.state.queued", "share", name, store, s -> s.queuedCount(share));
             metrics.gauge(
                     "woadloom.state.queue_age_s",
                     "share",
@@ -86,7 +86,7 @@
             HeartbeatRouter heartbeats,
             PeerTracker peers,
             AgentConnectionBalancer connectionBalancer) {
-        metrics.gauge("woadloom.reports.queue_full", queue, EventQueue::refused);
+        metrics.gauge("woadloom.reports.queue_full", queue, EventQueue::refusedHeartbeats);
         metrics.gauge("woadloom.reports.parked_full", heartbeats, HeartbeatRouter::refused);
         metrics.gauge("woadloom.peers.queue_full", peers, PeerTracker::refused);
         metrics.gauge("woadloom.workers.here", connectionBalancer, AgentConnectionBalancer::size);
--- a/src/main/java/org/woadloom/node/RecordWrites.java
+++ b/src/main/java/org/woadloom/node/RecordWrites.java
@@ -38,13 +38,14 @@
     void writeJob(SchedulerAction.WriteJob action) {
         String jobId = action.record().description().jobId();
         Map<String, Object> value = action.record().toMap(rollout.format());
-        RecordWriter.Outcome callback = onJobWritten(jobId, action.record().version());
-        if (Cbor.jsonSize(value) > limits.currentValueBytes()) {
+        RecordWriter.WriteCallback callback = onJobWritten(jobId, action.record().writeSequence());
+        if (Cbor.jsonSize(value) > limits.maxAcceptedValueBytes()) {
             callback.onWritten(SchedulerEvent.WriteOutcome.TOO_LARGE, 0);
         } else {
             writer.add(
                     action.urgent(),
-                    RecordWriter.put(StoreKeys.job(jobId), value, action.revision(), callback));
+                    RecordWriter.conditionalPut(
+                            StoreKeys.job(jobId), value, action.revision(), callback));
         }
     }
 
@@ -58,7 +59,7 @@
                         List.of(new Condition(StoreKeys.job(jobId), action.revision())),
                         List.of(
                                 Change.put(StoreKeys.finalState(jobId), value),
-                                Change.drop(StoreKeys.job(jobId))),
+                                Change.delete(StoreKeys.job(jobId))),
                         onJobWritten(jobId, action.version())));
     }
 
@@ -66,7 +67,7 @@
         String host = action.record().host();
         writer.add(
                 true,
-                RecordWriter.put(
+                RecordWriter.conditionalPut(
                         StoreKeys.machine(host),
                         action.record().toMap(),
                         action.revision(),
@@ -79,11 +80,11 @@
                 false,
                 new RecordWriter.Write(
                         List.of(new Condition(key, action.revision())),
-                        List.of(Change.drop(key)),
+                        List.of(Change.delete(key)),
                         onMachineWritten(action.host(), true, true)));
     }
 
-    private RecordWriter.Outcome onJobWritten(String jobId, long version) {
+    private RecordWriter.WriteCallback onJobWritten(String jobId, long version) {
         return (outcome, revision) -> {
             if (!term.isActive()) {
                 return;
@@ -96,7 +97,7 @@
         };
     }
 
-    private RecordWriter.Outcome onMachineWritten(
+    private RecordWriter.WriteCallback onMachineWritten(
             String host, boolean decommissioning, boolean deleted) {
         return (outcome, revision) -> {
             if (term.isActive()) {
--- a/src/main/java/org/woadloom/node/RolloutParticipant.java
+++ b/src/main/java/org/woadloom/node/RolloutParticipant.java
@@ -39,7 +39,7 @@
  * says that has read it there, never by its own settings. What moves a rollout on is the leader's
  * scheduler ({@code core.rollout}). Belongs to the event loop.
  */
-final class RolloutParticipant implements Election.Fence {
+final class RolloutParticipant implements Election.Eligibility {
     private static final Logger LOG = LoggerFactory.getLogger(RolloutParticipant.class);
 
     /** For so long a node without an announcement counts as running after its last message. */
@@ -47,7 +47,7 @@
 
     private final EventLoop loop;
     private final Runnable onChanged;
-    private final ClusterMembership membership = new ClusterMembership(Feature.known());
+    private final ClusterMembership membership = new ClusterMembership(Feature.allKeys());
     private final NodeAnnouncer announcer;
     private final RolloutWatcher watcher;
     private final AgreedVersion agreedVersion;
@@ -85,7 +85,7 @@
         this.onChanged = onChanged;
         EnumSet<Feature> usableFeatures = EnumSet.allOf(Feature.class);
         if (!operator.care()) {
-            usableFeatures.remove(Feature.ZONE_CARE);
+            usableFeatures.remove(Feature.LEASE_DELEGATION);
         }
         Set<String> members = new TreeSet<>();
         members.add(settings.label());
@@ -139,7 +139,7 @@
 
     /** True if the feature may be in use at some node, as far as is known here. */
     boolean mayBeOn(Feature feature) {
-        return !isKnown() || isOn(feature) || record.of(feature.key()).required();
+        return !isKnown() || isOn(feature) || record.stateOf(feature.key()).isRequired();
     }
 
     /** The number of the record that was last read. */
@@ -154,7 +154,7 @@
 
     /** True once this process has announced itself and read what is required. */
     boolean isKnown() {
-        return membership.isKnown();
+        return membership.isRecordRead();
     }
 
     /** Why this process must not serve, or null. */
@@ -163,7 +163,7 @@
     }
 
     @Override
-    public boolean isOpen() {
+    public boolean isEligible() {
         return membership.mayServe();
     }
 
@@ -173,7 +173,7 @@
     }
 
     @Override
-    public void onConflict() {
+    public void refresh() {
         watcher.refresh();
     }
 
@@ -187,7 +187,7 @@
     /** A node that sends messages of delegation knows that it may. */
     void onDelegationMessage() {
         enable(Feature.COMPACT_RECORDS);
-        enable(Feature.ZONE_CARE);
+        enable(Feature.LEASE_DELEGATION);
     }
 
     /**
@@ -205,7 +205,7 @@
                 number,
                 List.copyOf(Feature.keys(enabled)),
                 List.copyOf(required),
-                List.copyOf(Feature.known()));
+                List.copyOf(Feature.allKeys()));
     }
 
     /**
@@ -219,14 +219,14 @@
             return;
         }
         unannouncedPeers.remove(from);
-        if (view.number() <= number) {
+        if (view.recordNumber() <= number) {
             return;
         }
-        setRequired(view.number(), new TreeSet<>(view.requires()));
+        setRequired(view.recordNumber(), new TreeSet<>(view.requiredFeatures()));
         for (Feature feature : Feature.values()) {
-            if (view.on().contains(feature.key())) {
+            if (view.enabledFeatures().contains(feature.key())) {
                 enable(feature);
-            } else if (feature.revocable() && enabled.remove(feature)) {
+            } else if (feature.canBeRolledBack() && enabled.remove(feature)) {
                 onChanged.run();
             }
         }
@@ -248,11 +248,11 @@
         if (record.number() < number) {
             return;
         }
-        setRequired(record.number(), record.requires());
+        setRequired(record.number(), record.requiredFeatures());
         for (Feature feature : Feature.values()) {
-            if (record.of(feature.key()).on()) {
+            if (record.stateOf(feature.key()).isOn()) {
                 enable(feature);
-            } else if (feature.revocable() && enabled.remove(feature)) {
+            } else if (feature.canBeRolledBack() && enabled.remove(feature)) {
                 LOG.info("event=feature_off feature={}", feature.key());
                 onChanged.run();
             }
@@ -267,8 +267,8 @@
     private void onRecordUnreadable(Entry stored, MalformedMessageException error) {
         try {
             setRequired(
-                    RolloutRecord.numberOf(stored.value()),
-                    RolloutRecord.requiredBy(stored.value()));
+                    RolloutRecord.parseNumber(stored.value()),
+                    RolloutRecord.parseRequiredFeatures(stored.value()));
             if (membership.missingFeatures().isEmpty()) {
                 membership.onRecordUnreadable(unreadable(error));
             }
@@ -285,7 +285,7 @@
     private void setRequired(long ofNumber, Set<String> features) {
         number = ofNumber;
         required = features;
-        membership.setRequired(features);
+        membership.setRequiredFeatures(features);
         updateClosed();
     }
 
@@ -329,7 +329,7 @@
             try {
                 addEntry(entry, announcements, requests);
             } catch (MalformedMessageException e) {
-                UnreadableRecords.log(entry.path(), e);
+                UnreadableRecords.log(entry.key(), e);
             }
         }
         return new SchedulerEvent.RolloutStateRead(
@@ -348,15 +348,15 @@
             Map<String, SchedulerEvent.StoredAnnouncement> announcements,
             Map<String, RolloutRequest> requests)
             throws MalformedMessageException {
-        String key = entry.path();
-        if (key.startsWith(StoreKeys.ROLLOUT_NODES)) {
+        String key = entry.key();
+        if (key.startsWith(StoreKeys.ROLLOUT_NODE_PREFIX)) {
             announcements.put(
-                    key.substring(StoreKeys.ROLLOUT_NODES.length()),
+                    key.substring(StoreKeys.ROLLOUT_NODE_PREFIX.length()),
                     new SchedulerEvent.StoredAnnouncement(
                             NodeAnnouncement.parse(entry.value()), entry.revision()));
-        } else if (key.startsWith(StoreKeys.ROLLOUT_ASKED)) {
+        } else if (key.startsWith(StoreKeys.ROLLOUT_REQUEST_PREFIX)) {
             requests.put(
-                    key.substring(StoreKeys.ROLLOUT_ASKED.length()),
+                    key.substring(StoreKeys.ROLLOUT_REQUEST_PREFIX.length()),
                     RolloutRequest.parse(entry.value()));
         }
     }
--- a/src/test/java/org/woadloom/core/StepCostBenchmark.java
+++ b/src/test/java/org/woadloom/core/StepCostBenchmark.java
@@ -376,7 +376,7 @@
                 pendingEvents.add(
                         new SchedulerEvent.JobWriteCompleted(
                                 put.record().description().jobId(),
-                                put.record().version(),
+                                put.record().writeSequence(),
                                 SchedulerEvent.WriteOutcome.WRITTEN,
                                 ++lastRevision));
             } else if (action instanceof SchedulerAction.WriteFinalState finish) {
--- a/src/test/java/org/woadloom/peer/PeerFramesGoldenTest.java
+++ b/src/test/java/org/woadloom/peer/PeerFramesGoldenTest.java
@@ -37,7 +37,7 @@
                         7, "", new PeerMessage.RolloutView(0, List.of(), List.of(), List.of())));
         all.put("11 ping of version 3", new PeerMessage.Ping(7, "node-1", null));
         all.put("13 hint", new PeerMessage.JobChangeNotification(new byte[] {1, 2, 3}, 41));
-        all.put("14 report", new PeerMessage.ForwardHeartbeat(42, new byte[] {4, 5}));
+        all.put("14 report", new PeerMessage.ForwardedHeartbeat(42, new byte[] {4, 5}));
         all.put("15 answer", new PeerMessage.ForwardedAnswer(42, 421, new byte[] {6}));
         all.put(
                 "16 standing",
@@ -50,7 +50,13 @@
                 "18 vouch",
                 new PeerMessage.CancellationReport(
                         new WatermarkReport(
-                                1, 2, 3, 4, WatermarkReport.NONE, 6, List.of("j-1", "j-2"))));
+                                1,
+                                2,
+                                3,
+                                4,
+                                WatermarkReport.NO_LEADER_CLOCK,
+                                6,
+                                List.of("j-1", "j-2"))));
         all.put(
                 "19 vouch taken",
                 new PeerMessage.CancellationReportAck(new WatermarkAck(1, 2, 3, 4)));
