--- a/src/main/java/org/woadloom/agent/AgentClient.java
+++ b/src/main/java/org/woadloom/agent/AgentClient.java
@@ -53,7 +53,7 @@
 
     /** Is called once with the result of a command. */
     public interface Callback {
-        void result(DirectCommandCompleted result);
+        void onCompleted(DirectCommandCompleted result);
     }
 
     /**
@@ -94,7 +94,7 @@
                 TIMEOUT_MICROS,
                 (status, body) -> {
                     onCompleted(send.address(), wasSilent, status);
-                    command.callback.result(resultOf(send, status, body));
+                    command.callback.onCompleted(resultOf(send, status, body));
                 });
     }
 
@@ -138,12 +138,12 @@
         Map<String, Object> map = new LinkedHashMap<>();
         map.put(FENCING_TOKEN_FIELD, send.fencingToken());
         map.put(INCARNATION_FIELD, send.incarnation());
-        map.put(COMMANDS_FIELD, orders(send.commands()));
+        map.put(COMMANDS_FIELD, encodeCommands(send.commands()));
         return Cbor.encode(map);
     }
 
     /** The commands as the protocol has them, in a body of their own or in a heartbeat's answer. */
-    public static List<Object> orders(List<TaskCommand> commands) {
+    public static List<Object> encodeCommands(List<TaskCommand> commands) {
         List<Object> list = new ArrayList<>(commands.size());
         for (TaskCommand command : commands) {
             list.add(command.toMap());
--- a/src/main/java/org/woadloom/agent/AgentConnectionBalancer.java
+++ b/src/main/java/org/woadloom/agent/AgentConnectionBalancer.java
@@ -46,7 +46,7 @@
     }
 
     /** How many agents are connected to this node. */
-    public int size() {
+    public int connectedAgents() {
         return connected.size();
     }
 
--- a/src/main/java/org/woadloom/cloud/CloudClient.java
+++ b/src/main/java/org/woadloom/cloud/CloudClient.java
@@ -71,26 +71,26 @@
     }
 
     /** Receives the machine types. */
-    public interface TypesCallback {
+    public interface MachineTypesCallback {
         /** Null where the cloud did not give them. */
-        void types(List<MachineType> types);
+        void onMachineTypes(List<MachineType> types);
     }
 
     /** Receives the list of machines. */
-    public interface ListCallback {
+    public interface MachineListCallback {
         /** Null where the cloud did not give all of it. */
-        void machines(List<ListedMachine> machines);
+        void onMachines(List<ListedMachine> machines);
     }
 
     /** Receives the outcome of a rental. */
     public interface RentCallback {
-        void rented(ScaleOutOutcome outcome, List<String> hosts);
+        void onRented(ScaleOutOutcome outcome, List<String> hosts);
     }
 
     /** Receives the outcome of a deletion. */
     public interface DeleteCallback {
         /** False where it may or may not have been carried out. */
-        void deleted(boolean done);
+        void onDeleted(boolean done);
     }
 
     public CloudClient(EventLoop loop, HttpTransport transport, ServiceSettings settings) {
@@ -104,7 +104,7 @@
     }
 
     /** Reads the machine types that the cloud offers. */
-    public void types(TypesCallback callback) {
+    public void listMachineTypes(MachineTypesCallback callback) {
         request(
                 CallKind.READ,
                 "GET",
@@ -112,22 +112,22 @@
                 null,
                 (status, body) -> {
                     try {
-                        callback.types(
+                        callback.onMachineTypes(
                                 status == STATUS_OK
                                         ? MachineType.parseAll(Cbor.decodeMap(body))
                                         : null);
                     } catch (MalformedMessageException e) {
-                        callback.types(null);
+                        callback.onMachineTypes(null);
                     }
                 });
     }
 
     /** Reads the whole list of machines, page by page. */
-    public void list(ListCallback callback) {
+    public void listMachines(MachineListCallback callback) {
         page("", new ArrayList<>(), callback);
     }
 
-    private void page(String since, List<ListedMachine> found, ListCallback callback) {
+    private void page(String since, List<ListedMachine> found, MachineListCallback callback) {
         String path =
                 MACHINES_PATH
                         + "?"
@@ -141,7 +141,7 @@
                 null,
                 (status, body) -> {
                     if (status != STATUS_OK) {
-                        callback.machines(null);
+                        callback.onMachines(null);
                         return;
                     }
                     boolean more;
@@ -152,19 +152,19 @@
                         }
                         more = answer.flagOr(Field.MORE, false) && !found.isEmpty();
                     } catch (MalformedMessageException e) {
-                        callback.machines(null);
+                        callback.onMachines(null);
                         return;
                     }
                     if (more) {
                         page(found.get(found.size() - 1).host(), found, callback);
                     } else {
-                        callback.machines(found);
+                        callback.onMachines(found);
                     }
                 });
     }
 
     /** Rents machines; repeated under the same name, the request gives the same machines. */
-    public void rent(SchedulerAction.RentMachines rent, RentCallback callback) {
+    public void rentMachines(SchedulerAction.RentMachines rent, RentCallback callback) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put(Field.REQUEST_NAME, rent.requestName());
         map.put(Field.MACHINE_TYPE, rent.machineType());
@@ -179,20 +179,20 @@
                 (status, body) -> {
                     try {
                         if (status == STATUS_OK) {
-                            callback.rented(
+                            callback.onRented(
                                     ScaleOutOutcome.RENTED,
-                                    new Fields(Cbor.decodeMap(body)).texts(Field.HOSTS));
+                                    new Fields(Cbor.decodeMap(body)).textList(Field.HOSTS));
                         } else if (status == STATUS_SERVICE_UNAVAILABLE
                                 && NO_CAPACITY_ERROR.equals(error(body))) {
-                            callback.rented(ScaleOutOutcome.NO_CAPACITY, List.of());
+                            callback.onRented(ScaleOutOutcome.NO_CAPACITY, List.of());
                         } else {
                             boolean refused = status > 0 || status == HttpTransport.NOT_SENT;
-                            callback.rented(
+                            callback.onRented(
                                     refused ? ScaleOutOutcome.REFUSED : ScaleOutOutcome.UNKNOWN,
                                     List.of());
                         }
                     } catch (MalformedMessageException e) {
-                        callback.rented(ScaleOutOutcome.UNKNOWN, List.of());
+                        callback.onRented(ScaleOutOutcome.UNKNOWN, List.of());
                     }
                 });
     }
@@ -202,7 +202,7 @@
     }
 
     /** Returns machines. */
-    public void delete(List<String> hosts, DeleteCallback callback) {
+    public void deleteMachines(List<String> hosts, DeleteCallback callback) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put(Field.HOSTS, new ArrayList<Object>(hosts));
         request(
@@ -210,7 +210,7 @@
                 "POST",
                 DELETE_PATH,
                 Cbor.encode(map),
-                (status, body) -> callback.deleted(status == STATUS_OK));
+                (status, body) -> callback.onDeleted(status == STATUS_OK));
     }
 
     private void request(
--- a/src/main/java/org/woadloom/core/jobs/Job.java
+++ b/src/main/java/org/woadloom/core/jobs/Job.java
@@ -112,7 +112,7 @@
      */
     public int descriptionSize() {
         if (descriptionSize == 0) {
-            descriptionSize = Cbor.jsonSize(description.withoutDependencies().toMap());
+            descriptionSize = Cbor.maxJsonSize(description.withoutDependencies().toMap());
         }
         return descriptionSize;
     }
--- a/src/main/java/org/woadloom/core/machines/MachineRegistry.java
+++ b/src/main/java/org/woadloom/core/machines/MachineRegistry.java
@@ -87,7 +87,7 @@
             }
             // A new leader learns here for how long its machines have been paid for.
             machine.onListedAsRented(state.nowMicros() - listed.rentedForMicros());
-            if (listed.failed() && !machine.isDecommissioning()) {
+            if (listed.hasFailed() && !machine.isDecommissioning()) {
                 // A failed machine stays listed until it is deleted, and the deletion's answer is
                 // the proof we need.
                 machine.fail();
--- a/src/main/java/org/woadloom/http/AdmissionControl.java
+++ b/src/main/java/org/woadloom/http/AdmissionControl.java
@@ -47,7 +47,7 @@
 
     private final EventLoop loop;
     private final ServiceSettings settings;
-    private final JobApi.Types types;
+    private final JobApi.MachineTypeSource types;
 
     /** When the latest refresh that was answered started. */
     private long freshSinceMicros = NEVER_MICROS;
@@ -57,7 +57,7 @@
     /** What waits for the refresh in flight; empty while there is none. */
     private List<Runnable> waiting = List.of();
 
-    AdmissionControl(EventLoop loop, ServiceSettings settings, JobApi.Types types) {
+    AdmissionControl(EventLoop loop, ServiceSettings settings, JobApi.MachineTypeSource types) {
         this.loop = loop;
         this.settings = settings;
         this.types = types;
@@ -73,7 +73,7 @@
             result.accept(Optional.of(Refusal.neverRunnable(rejection)));
             return;
         }
-        if (types.current().isEmpty()) {
+        if (types.currentTypes().isEmpty()) {
             result.accept(Optional.of(Refusal.unavailable("the machine types are not known yet")));
             return;
         }
@@ -87,7 +87,7 @@
 
     /** The refusal is temporary where the types that speak against the job are not fresh. */
     private Optional<Refusal> checkMachineTypes(JobDescription job) {
-        String rejection = rejectionByMachineTypes(job, types.current());
+        String rejection = rejectionByMachineTypes(job, types.currentTypes());
         if (rejection == null) {
             return Optional.empty();
         }
--- a/src/main/java/org/woadloom/http/ApiServer.java
+++ b/src/main/java/org/woadloom/http/ApiServer.java
@@ -154,9 +154,9 @@
         }
         exchange.setStatusCode(response.status());
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, response.contentType());
-        if (response.retryAfterS() > 0) {
+        if (response.retryAfterSeconds() > 0) {
             exchange.getResponseHeaders()
-                    .put(Headers.RETRY_AFTER, Integer.toString(response.retryAfterS()));
+                    .put(Headers.RETRY_AFTER, Integer.toString(response.retryAfterSeconds()));
         }
         exchange.getResponseSender().send(ByteBuffer.wrap(response.body()));
     }
--- a/src/main/java/org/woadloom/http/CancellationHandler.java
+++ b/src/main/java/org/woadloom/http/CancellationHandler.java
@@ -31,21 +31,21 @@
 
     private final EventLoop loop;
     private final StoreClient store;
-    private final JobApi.Storage storage;
+    private final JobApi.RecordPolicy storage;
     private final JobReader reader;
     private final StatusConfirmer confirmer;
     private final UserWrites writes;
-    private final JobApi.Hint notifier;
+    private final JobApi.JobChangeListener notifier;
     private final SharedAnswers<String, JobAnswer> cancellations = new SharedAnswers<>();
 
     CancellationHandler(
             EventLoop loop,
             StoreClient store,
-            JobApi.Storage storage,
+            JobApi.RecordPolicy storage,
             JobReader reader,
             StatusConfirmer confirmer,
             UserWrites writes,
-            JobApi.Hint notifier) {
+            JobApi.JobChangeListener notifier) {
         this.loop = loop;
         this.store = store;
         this.storage = storage;
@@ -124,7 +124,7 @@
             RecordFormat format =
                     lookup.format() == RecordFormat.COMPACT
                             ? RecordFormat.COMPACT
-                            : storage.format();
+                            : storage.writeFormat();
             writes.write(
                     new UserWrites.Request(
                             RequestPriority.CANCELLATION,
@@ -143,11 +143,11 @@
         private void onWritten(
                 JobRecord cancelled, Result result, long storeRevision, JobLookup found) {
             if (result == Result.OK) {
-                notifier.changed(cancelled, storeRevision);
+                notifier.onJobChanged(cancelled, storeRevision);
                 answerOver(JobStatus.CANCELLED);
             } else if (found != null) {
                 if (found.record() != null && found.record().cancelled()) {
-                    notifier.changed(found.record(), found.revision());
+                    notifier.onJobChanged(found.record(), found.revision());
                 }
                 attemptsLeft--;
                 attempt(found);
@@ -173,7 +173,7 @@
                     List.of(
                             Change.put(
                                     StoreKeys.finalState(jobId),
-                                    finalState.toMap(storage.format())),
+                                    finalState.toMap(storage.writeFormat())),
                             Change.delete(StoreKeys.job(jobId))),
                     (result, storeRevision, failed) -> {
                         if (result == Result.OK) {
--- a/src/main/java/org/woadloom/http/ConnectionLimiter.java
+++ b/src/main/java/org/woadloom/http/ConnectionLimiter.java
@@ -66,22 +66,22 @@
     }
 
     /** How many connections are open whose last request was an agent's. */
-    public int agents() {
+    public int agentConnections() {
         return agents;
     }
 
     /** How many other connections are open. */
-    public int users() {
+    public int userConnections() {
         return users;
     }
 
     /** Idle connections of users that were closed, since the process began. */
-    public long closed() {
+    public long closedIdleConnections() {
         return closed;
     }
 
     /** Requests that were refused for want of sockets, since the process began. */
-    public long refused() {
+    public long refusedRequests() {
         return refused;
     }
 
@@ -89,7 +89,7 @@
      * Connections of agents that were closed with their answer for want of sockets, since the
      * process began.
      */
-    public long closedWorkers() {
+    public long closedAgentConnections() {
         return closedAgents;
     }
 
--- a/src/main/java/org/woadloom/http/DependencyValidator.java
+++ b/src/main/java/org/woadloom/http/DependencyValidator.java
@@ -28,9 +28,9 @@
     }
 
     private final JobReader reader;
-    private final JobApi.Storage storage;
+    private final JobApi.RecordPolicy storage;
 
-    DependencyValidator(JobReader reader, JobApi.Storage storage) {
+    DependencyValidator(JobReader reader, JobApi.RecordPolicy storage) {
         this.reader = reader;
         this.storage = storage;
     }
@@ -47,7 +47,7 @@
                 return;
             }
         }
-        if (storage.format() != RecordFormat.COMPACT) {
+        if (storage.writeFormat() != RecordFormat.COMPACT) {
             result.accept(Optional.of(NOT_SUPPORTED_YET));
             return;
         }
--- a/src/main/java/org/woadloom/http/JobApi.java
+++ b/src/main/java/org/woadloom/http/JobApi.java
@@ -29,32 +29,32 @@
     static final long ANSWER_TIMEOUT_MICROS = 4_300_000;
 
     /** Is notified of the jobs that this node made durable. */
-    public interface Hint {
-        void changed(JobRecord record, long revision);
+    public interface JobChangeListener {
+        void onJobChanged(JobRecord record, long revision);
     }
 
     /**
      * Whether a user may be told of a cancellation that is in the store, as soon as that is known.
      */
-    public interface Confirmation {
+    public interface CancellationConfirmation {
         /** The answer is false where that was not known in time: the user has to retry. */
         void confirm(String jobId, long patienceMicros, Consumer<Boolean> answer);
     }
 
     /** Where the machine types come from. */
-    public interface Types {
+    public interface MachineTypeSource {
         /** As they were last read, empty while they are unknown. */
-        List<MachineType> current();
+        List<MachineType> currentTypes();
 
         /** Reads them from the cloud; false if that does not answer. */
         void refresh(Consumer<Boolean> answered);
     }
 
     /** How and how large records may be now. */
-    public interface Storage {
-        RecordFormat format();
+    public interface RecordPolicy {
+        RecordFormat writeFormat();
 
-        int valueBytes();
+        int maxValueBytes();
 
         void onFormatSeen(RecordFormat format);
     }
@@ -68,10 +68,10 @@
             EventLoop loop,
             StoreClient store,
             ServiceSettings settings,
-            Storage storage,
-            Types types,
-            Hint notifier,
-            Confirmation confirmation) {
+            RecordPolicy storage,
+            MachineTypeSource types,
+            JobChangeListener notifier,
+            CancellationConfirmation confirmation) {
         this.loop = loop;
         int nodes = settings.peers().size() + 1;
         JobReader reader = new JobReader(store, storage::onFormatSeen);
--- a/src/main/java/org/woadloom/http/Response.java
+++ b/src/main/java/org/woadloom/http/Response.java
@@ -8,9 +8,9 @@
 /**
  * An answer to an HTTP request.
  *
- * @param retryAfterS the {@code Retry-After} header in seconds; 0 for none
+ * @param retryAfterSeconds the {@code Retry-After} header in seconds; 0 for none
  */
-public record Response(int status, byte[] body, String contentType, int retryAfterS) {
+public record Response(int status, byte[] body, String contentType, int retryAfterSeconds) {
     private static final String CBOR = "application/cbor";
     private static final String JSON = "application/json";
     private static final String PLAIN_TEXT = "text/plain";
--- a/src/main/java/org/woadloom/http/Router.java
+++ b/src/main/java/org/woadloom/http/Router.java
@@ -13,7 +13,7 @@
     private static final String METRICS = "/metrics";
 
     /** Answers the heartbeats of agents. */
-    public interface ReportApi {
+    public interface HeartbeatHandler {
         void onHeartbeat(byte[] body, Consumer<Response> answer);
     }
 
@@ -34,10 +34,10 @@
 
     private final Gate gate;
     private final JobApi jobs;
-    private final ReportApi heartbeats;
+    private final HeartbeatHandler heartbeats;
     private final NodeMetrics metrics;
 
-    public Router(Gate gate, JobApi jobs, ReportApi heartbeats, NodeMetrics metrics) {
+    public Router(Gate gate, JobApi jobs, HeartbeatHandler heartbeats, NodeMetrics metrics) {
         this.gate = gate;
         this.jobs = jobs;
         this.heartbeats = heartbeats;
--- a/src/main/java/org/woadloom/http/StatusConfirmer.java
+++ b/src/main/java/org/woadloom/http/StatusConfirmer.java
@@ -15,9 +15,9 @@
  */
 final class StatusConfirmer {
     private final CoalescingJobReader reader;
-    private final JobApi.Confirmation confirmation;
+    private final JobApi.CancellationConfirmation confirmation;
 
-    StatusConfirmer(CoalescingJobReader reader, JobApi.Confirmation confirmation) {
+    StatusConfirmer(CoalescingJobReader reader, JobApi.CancellationConfirmation confirmation) {
         this.reader = reader;
         this.confirmation = confirmation;
     }
--- a/src/main/java/org/woadloom/http/SubmissionHandler.java
+++ b/src/main/java/org/woadloom/http/SubmissionHandler.java
@@ -36,23 +36,23 @@
             Refusal.invalid("the job's description is too long");
 
     private final EventLoop loop;
-    private final JobApi.Storage storage;
+    private final JobApi.RecordPolicy storage;
     private final JobReader reader;
     private final AdmissionControl admission;
     private final DependencyValidator dependencies;
     private final StatusConfirmer confirmer;
     private final UserWrites writes;
-    private final JobApi.Hint notifier;
+    private final JobApi.JobChangeListener notifier;
     private final SharedAnswers<JobDescription, JobAnswer> submissions = new SharedAnswers<>();
 
     SubmissionHandler(
             EventLoop loop,
-            JobApi.Storage storage,
+            JobApi.RecordPolicy storage,
             JobReader reader,
             AdmissionControl admission,
             StatusConfirmer confirmer,
             UserWrites writes,
-            JobApi.Hint notifier) {
+            JobApi.JobChangeListener notifier) {
         this.loop = loop;
         this.storage = storage;
         this.reader = reader;
@@ -74,7 +74,7 @@
         }
         JobDescription job;
         try {
-            job = JobDescription.submitted(fields);
+            job = JobDescription.parseSubmission(fields);
         } catch (MalformedMessageException e) {
             Refusal refusal = Refusal.invalid(e.getMessage());
             if (fields.get(JobDescription.Field.JOB_ID) instanceof String jobId
@@ -178,10 +178,10 @@
             return;
         }
         JobRecord record = JobRecord.accepted(job, loop.wallMicros());
-        RecordFormat format = storage.format();
+        RecordFormat format = storage.writeFormat();
         Map<String, Object> value = record.toMap(format);
         int reservedBytes = format == RecordFormat.COMPACT ? PROGRESS_BYTES : 0;
-        if (Cbor.jsonSize(value) + reservedBytes > storage.valueBytes()) {
+        if (Cbor.maxJsonSize(value) + reservedBytes > storage.maxValueBytes()) {
             refuseUnlessAccepted(jobId, DESCRIPTION_TOO_LONG, deadlineMicros, answer);
             return;
         }
@@ -211,7 +211,7 @@
         boolean foundOwnWrite = found != null && record.equals(found.record());
         if (result == Result.OK || foundOwnWrite) {
             reader.onAccepted(job.jobId(), job.isService());
-            notifier.changed(record, foundOwnWrite ? found.revision() : storeRevision);
+            notifier.onJobChanged(record, foundOwnWrite ? found.revision() : storeRevision);
             answer.accept(new JobAnswer.Created(job.jobId()));
         } else if (found != null) {
             answerAccepted(found, deadlineMicros, answer);
--- a/src/main/java/org/woadloom/leader/RecordWriter.java
+++ b/src/main/java/org/woadloom/leader/RecordWriter.java
@@ -32,7 +32,7 @@
         int size() {
             int size = 0;
             for (Change change : changes) {
-                size += CHANGE_OVERHEAD_BYTES + Cbor.jsonSize(change.value());
+                size += CHANGE_OVERHEAD_BYTES + Cbor.maxJsonSize(change.value());
             }
             return size;
         }
@@ -162,7 +162,7 @@
         }
         int largest = 0;
         for (Change change : changes) {
-            largest = Math.max(largest, Cbor.jsonSize(change.value()));
+            largest = Math.max(largest, Cbor.maxJsonSize(change.value()));
         }
         limits.onValueRefused(largest);
         batch.get(0).callback.onWritten(WriteOutcome.TOO_LARGE, NO_REVISION);
--- a/src/main/java/org/woadloom/node/ActionExecutor.java
+++ b/src/main/java/org/woadloom/node/ActionExecutor.java
@@ -98,7 +98,7 @@
     }
 
     private void rentMachines(SchedulerAction.RentMachines rent) {
-        targets.cloud.rent(
+        targets.cloud.rentMachines(
                 rent,
                 (outcome, hosts) ->
                         add(
@@ -107,7 +107,7 @@
     }
 
     private void deleteMachines(SchedulerAction.DeleteMachines delete) {
-        targets.cloud.delete(
+        targets.cloud.deleteMachines(
                 delete.hosts(),
                 done -> add(new SchedulerEvent.MachineDeletionCompleted(delete.hosts(), done)));
     }
--- a/src/main/java/org/woadloom/node/CancellationConfirmer.java
+++ b/src/main/java/org/woadloom/node/CancellationConfirmer.java
@@ -24,7 +24,7 @@
  * of this node. In return a leader goes on without the store as long as all nodes send watermark
  * reports of what they have confirmed. Belongs to the event loop.
  */
-final class CancellationConfirmer implements JobApi.Confirmation {
+final class CancellationConfirmer implements JobApi.CancellationConfirmation {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationConfirmer.class);
     private static final long RELEASE_INTERVAL_MICROS = 50_000;
 
--- a/src/main/java/org/woadloom/node/CloudPoller.java
+++ b/src/main/java/org/woadloom/node/CloudPoller.java
@@ -30,7 +30,7 @@
     }
 
     private void pollTypes(LeadershipTerm term) {
-        cloud.types(
+        cloud.listMachineTypes(
                 types -> {
                     if (!term.isActive()) {
                         return;
@@ -45,7 +45,7 @@
     }
 
     private void pollMachines(LeadershipTerm term) {
-        cloud.list(
+        cloud.listMachines(
                 machines -> {
                     if (!term.isActive()) {
                         return;
--- a/src/main/java/org/woadloom/node/HeartbeatResponses.java
+++ b/src/main/java/org/woadloom/node/HeartbeatResponses.java
@@ -23,7 +23,7 @@
 
     /** The scheduler's decision: the lease is renewed under its token. */
     static Response decided(SchedulerAction.AnswerHeartbeat answer) {
-        return renewed(answer.fencingToken(), AgentClient.orders(answer.commands()));
+        return renewed(answer.fencingToken(), AgentClient.encodeCommands(answer.commands()));
     }
 
     /** The lease is renewed under the agent's own token, and nothing is to be done. */
--- a/src/main/java/org/woadloom/node/MachineTypeCatalog.java
+++ b/src/main/java/org/woadloom/node/MachineTypeCatalog.java
@@ -21,7 +21,7 @@
  * The machine types that the cloud offers. They are read when the node starts: from the cloud or,
  * while that does not answer, as another node stored them.
  */
-final class MachineTypeCatalog implements JobApi.Types {
+final class MachineTypeCatalog implements JobApi.MachineTypeSource {
     private static final long RETRY_MICROS = 1_000_000;
 
     /** The stored field that holds the list of types. */
@@ -41,13 +41,13 @@
     }
 
     @Override
-    public List<MachineType> current() {
+    public List<MachineType> currentTypes() {
         return types;
     }
 
     @Override
     public void refresh(Consumer<Boolean> onAnswered) {
-        cloud.types(
+        cloud.listMachineTypes(
                 found -> {
                     boolean answered = isAnswer(found);
                     if (answered) {
@@ -59,7 +59,7 @@
 
     /** Reads the types, and repeats that until the cloud has answered. */
     void start() {
-        cloud.types(
+        cloud.listMachineTypes(
                 found -> {
                     if (isAnswer(found)) {
                         update(found);
--- a/src/main/java/org/woadloom/node/Node.java
+++ b/src/main/java/org/woadloom/node/Node.java
@@ -380,14 +380,14 @@
     }
 
     /** The form and size in which the users' jobs are stored. */
-    private final class RecordStorage implements JobApi.Storage {
+    private final class RecordStorage implements JobApi.RecordPolicy {
         @Override
-        public RecordFormat format() {
+        public RecordFormat writeFormat() {
             return rollout.format();
         }
 
         @Override
-        public int valueBytes() {
+        public int maxValueBytes() {
             return rollout.format() == RecordFormat.COMPACT
                     ? limits.maxValueBytes()
                     : limits.maxAcceptedValueBytes();
--- a/src/main/java/org/woadloom/node/NodeGauges.java
+++ b/src/main/java/org/woadloom/node/NodeGauges.java
@@ -89,6 +89,9 @@
         metrics.gauge("woadloom.reports.queue_full", queue, EventQueue::refusedHeartbeats);
         metrics.gauge("woadloom.reports.parked_full", heartbeats, HeartbeatRouter::refused);
         metrics.gauge("woadloom.peers.queue_full", peers, PeerTracker::refused);
-        metrics.gauge("woadloom.workers.here", connectionBalancer, AgentConnectionBalancer::size);
+        metrics.gauge(
+                "woadloom.workers.here",
+                connectionBalancer,
+                AgentConnectionBalancer::connectedAgents);
     }
 }
--- a/src/main/java/org/woadloom/node/RecordWrites.java
+++ b/src/main/java/org/woadloom/node/RecordWrites.java
@@ -39,7 +39,7 @@
         String jobId = action.record().description().jobId();
         Map<String, Object> value = action.record().toMap(rollout.format());
         RecordWriter.WriteCallback callback = onJobWritten(jobId, action.record().writeSequence());
-        if (Cbor.jsonSize(value) > limits.maxAcceptedValueBytes()) {
+        if (Cbor.maxJsonSize(value) > limits.maxAcceptedValueBytes()) {
             callback.onWritten(SchedulerEvent.WriteOutcome.TOO_LARGE, 0);
         } else {
             writer.add(
--- a/src/main/java/org/woadloom/node/RelayCodec.java
+++ b/src/main/java/org/woadloom/node/RelayCodec.java
@@ -81,7 +81,7 @@
 
     /** The size of the compressed items in a batch that was encoded while compressing. */
     static int compressedHeartbeatsSize(Map<String, Object> value) {
-        return Cbor.jsonSize(value.get(COMPRESSED_PREFIX + HEARTBEATS));
+        return Cbor.maxJsonSize(value.get(COMPRESSED_PREFIX + HEARTBEATS));
     }
 
     Map<String, Object> encodeAnswers(long id, List<RelayedAnswer> answers) {
@@ -93,7 +93,7 @@
 
     /** The size of the answers before compression. */
     static int plainAnswersSize(List<RelayedAnswer> answers) {
-        return Cbor.jsonSize(answerItems(answers));
+        return Cbor.maxJsonSize(answerItems(answers));
     }
 
     private static List<Object> answerItems(List<RelayedAnswer> answers) {
--- a/src/main/java/org/woadloom/node/Server.java
+++ b/src/main/java/org/woadloom/node/Server.java
@@ -80,14 +80,14 @@
                     LOG.info(
                             "event=sockets workers={} users={} max={} outbound={} outbound_idle={}"
                                     + " peers={} idle_users_closed={} requests_refused={}",
-                            connections.agents(),
-                            connections.users(),
+                            connections.agentConnections(),
+                            connections.userConnections(),
                             plan.inbound(),
                             transport.openConnectionCount(),
                             transport.idleConnectionCount(),
                             peers.openConnectionCount(),
-                            connections.closed(),
-                            connections.refused());
+                            connections.closedIdleConnections(),
+                            connections.refusedRequests());
                     logSockets(loop, plan, connections, transport, peers);
                 });
     }
@@ -98,8 +98,8 @@
             ConnectionLimiter connections,
             UndertowTransport transport,
             XnioPeerTransport peers) {
-        metrics.gauge("woadloom.sockets.workers", connections, ConnectionLimiter::agents);
-        metrics.gauge("woadloom.sockets.users", connections, ConnectionLimiter::users);
+        metrics.gauge("woadloom.sockets.workers", connections, ConnectionLimiter::agentConnections);
+        metrics.gauge("woadloom.sockets.users", connections, ConnectionLimiter::userConnections);
         metrics.gauge("woadloom.sockets.inbound.most", plan, SocketBudget::inbound);
         metrics.gauge(
                 "woadloom.sockets.outbound", transport, UndertowTransport::openConnectionCount);
@@ -109,9 +109,12 @@
                 UndertowTransport::idleConnectionCount);
         metrics.gauge("woadloom.sockets.peers", peers, XnioPeerTransport::openConnectionCount);
         metrics.gauge("woadloom.peers.dropped", peers, XnioPeerTransport::droppedMessageCount);
-        metrics.gauge("woadloom.sockets.closed", connections, ConnectionLimiter::closed);
         metrics.gauge(
-                "woadloom.sockets.closed_workers", connections, ConnectionLimiter::closedWorkers);
-        metrics.gauge("woadloom.sockets.refused", connections, ConnectionLimiter::refused);
+                "woadloom.sockets.closed", connections, ConnectionLimiter::closedIdleConnections);
+        metrics.gauge(
+                "woadloom.sockets.closed_workers",
+                connections,
+                ConnectionLimiter::closedAgentConnections);
+        metrics.gauge("woadloom.sockets.refused", connections, ConnectionLimiter::refusedRequests);
     }
 }
--- a/src/main/java/org/woadloom/node/StoreRelay.java
+++ b/src/main/java/org/woadloom/node/StoreRelay.java
@@ -105,7 +105,7 @@
                 new Relayed(
                         new RelayedHeartbeat(newId(), content),
                         host,
-                        Cbor.jsonSize(content) + HEARTBEAT_OVERHEAD_BYTES,
+                        Cbor.maxJsonSize(content) + HEARTBEAT_OVERHEAD_BYTES,
                         origin);
         if (estimatedBytes(relayed) + RelayCodec.BATCH_OVERHEAD_BYTES
                 > limits.maxAcceptedValueBytes()) {
@@ -182,7 +182,7 @@
                         batch.stream().map(Relayed::heartbeat).toList());
         if (codec.isCompressing()) {
             updateCompressionRatio(batch, value);
-            if (Cbor.jsonSize(value) > limits.maxAcceptedValueBytes()) {
+            if (Cbor.maxJsonSize(value) > limits.maxAcceptedValueBytes()) {
                 // With the ratio that is known now, the next batches are small enough.
                 resend(batch);
                 return;
@@ -238,7 +238,7 @@
                 List.of(Change.put(StoreKeys.relaySlot(label, slot), value)),
                 (result, storeRevision, failed) -> {
                     if (result == Result.BAD) {
-                        limits.onValueRefused(Cbor.jsonSize(value));
+                        limits.onValueRefused(Cbor.maxJsonSize(value));
                         resend(batch);
                     }
                     if (result != Result.OK) {
--- a/src/main/java/org/woadloom/node/StoreRelayLeader.java
+++ b/src/main/java/org/woadloom/node/StoreRelayLeader.java
@@ -176,7 +176,7 @@
                 List.of(Change.put(path, value)),
                 (result, storeRevision, failed) -> {
                     if (result == Result.BAD) {
-                        limits.onValueRefused(Cbor.jsonSize(value));
+                        limits.onValueRefused(Cbor.maxJsonSize(value));
                     }
                     if (result != Result.OK) {
                         LOG.debug(
@@ -188,7 +188,7 @@
     }
 
     private boolean isTooLong(Map<String, Object> value, List<RelayedAnswer> answers) {
-        return Cbor.jsonSize(value) > limits.maxAcceptedValueBytes()
+        return Cbor.maxJsonSize(value) > limits.maxAcceptedValueBytes()
                 || RelayCodec.plainAnswersSize(answers) > RelayCodec.MAX_PLAIN_BYTES;
     }
 }
--- a/src/main/java/org/woadloom/protocol/Cbor.java
+++ b/src/main/java/org/woadloom/protocol/Cbor.java
@@ -211,21 +211,21 @@
      * An upper estimate of the value's size as JSON, the form in which the protocol counts its
      * limits.
      */
-    public static int jsonSize(Object value) {
+    public static int maxJsonSize(Object value) {
         if (value == null) {
             return 4;
         }
         if (value instanceof Map<?, ?> map) {
             int size = 2;
             for (Map.Entry<?, ?> entry : map.entrySet()) {
-                size += textSize((String) entry.getKey()) + 2 + jsonSize(entry.getValue());
+                size += textSize((String) entry.getKey()) + 2 + maxJsonSize(entry.getValue());
             }
             return size;
         }
         if (value instanceof List<?> list) {
             int size = 2;
             for (Object item : list) {
-                size += 1 + jsonSize(item);
+                size += 1 + maxJsonSize(item);
             }
             return size;
         }
--- a/src/main/java/org/woadloom/protocol/FieldReader.java
+++ b/src/main/java/org/woadloom/protocol/FieldReader.java
@@ -115,7 +115,7 @@
     }
 
     double amount() throws IOException, MalformedMessageException {
-        return Fields.amount(name, scalar());
+        return Fields.nonNegativeNumber(name, scalar());
     }
 
     private Object scalar() throws IOException, MalformedMessageException {
--- a/src/main/java/org/woadloom/protocol/Fields.java
+++ b/src/main/java/org/woadloom/protocol/Fields.java
@@ -72,7 +72,7 @@
         return has(name) ? integer(name) : otherwise;
     }
 
-    public long count(String name) throws MalformedMessageException {
+    public long nonNegativeInteger(String name) throws MalformedMessageException {
         return notNegative(name, integer(name));
     }
 
@@ -103,11 +103,11 @@
     }
 
     /** A finite number that is not negative. */
-    public double amount(String name) throws MalformedMessageException {
-        return amount(name, map.get(name));
+    public double nonNegativeNumber(String name) throws MalformedMessageException {
+        return nonNegativeNumber(name, map.get(name));
     }
 
-    static double amount(String name, Object value) throws MalformedMessageException {
+    static double nonNegativeNumber(String name, Object value) throws MalformedMessageException {
         double number = number(name, value);
         if (number < 0) {
             throw new MalformedMessageException(name + ": must not be negative");
@@ -115,8 +115,9 @@
         return number;
     }
 
-    public double amountOr(String name, double otherwise) throws MalformedMessageException {
-        return has(name) ? amount(name) : otherwise;
+    public double nonNegativeNumberOr(String name, double otherwise)
+            throws MalformedMessageException {
+        return has(name) ? nonNegativeNumber(name) : otherwise;
     }
 
     public List<?> list(String name) throws MalformedMessageException {
@@ -126,7 +127,7 @@
         throw new MalformedMessageException(name + ": expected a list");
     }
 
-    public List<String> texts(String name) throws MalformedMessageException {
+    public List<String> textList(String name) throws MalformedMessageException {
         List<String> result = new ArrayList<>();
         for (Object item : list(name)) {
             if (!(item instanceof String text)) {
--- a/src/main/java/org/woadloom/protocol/JobDescription.java
+++ b/src/main/java/org/woadloom/protocol/JobDescription.java
@@ -107,7 +107,7 @@
     }
 
     /** Parses a submission: only what may be null may be missing. */
-    public static JobDescription submitted(Map<String, Object> map)
+    public static JobDescription parseSubmission(Map<String, Object> map)
             throws MalformedMessageException {
         for (String field : OPTIONAL_IN_RECORDS) {
             if (map.get(field) == null) {
@@ -130,11 +130,11 @@
         }
         List<String> machineTypes =
                 fields.has(Field.MACHINE_TYPES)
-                        ? List.copyOf(fields.texts(Field.MACHINE_TYPES))
+                        ? List.copyOf(fields.textList(Field.MACHINE_TYPES))
                         : null;
-        double cpus = fields.amount(Field.CPUS);
-        double gpus = fields.amountOr(Field.GPUS, 0);
-        double memoryGb = fields.amount(Field.MEMORY_GB);
+        double cpus = fields.nonNegativeNumber(Field.CPUS);
+        double gpus = fields.nonNegativeNumberOr(Field.GPUS, 0);
+        double memoryGb = fields.nonNegativeNumber(Field.MEMORY_GB);
         if (cpus == 0 && gpus == 0 && memoryGb == 0) {
             throw new MalformedMessageException(
                     Field.CPUS + ": a task must take something of its machine");
@@ -150,17 +150,17 @@
                 gpus,
                 memoryGb,
                 name(fields, Field.IMAGE),
-                fields.amountOr(Field.IMAGE_GB, 0),
+                fields.nonNegativeNumberOr(Field.IMAGE_GB, 0),
                 machineTypes,
                 fields.textOr(Field.ZONE, null),
                 fields.flagOr(Field.SAME_ZONE, false),
                 fields.flagOr(Field.SPREAD_ACROSS_ZONES, false),
                 fields.flagOr(Field.SPOT_ALLOWED, false),
-                fields.amountOr(Field.ESTIMATED_RUNTIME_SECONDS, 0),
-                fields.amountOr(Field.CHECKPOINT_INTERVAL_SECONDS, 0),
-                fields.amountOr(Field.CHECKPOINT_COST_SECONDS, 0),
+                fields.nonNegativeNumberOr(Field.ESTIMATED_RUNTIME_SECONDS, 0),
+                fields.nonNegativeNumberOr(Field.CHECKPOINT_INTERVAL_SECONDS, 0),
+                fields.nonNegativeNumberOr(Field.CHECKPOINT_COST_SECONDS, 0),
                 fields.has(Field.DEADLINE_SECONDS)
-                        ? Double.valueOf(fields.amount(Field.DEADLINE_SECONDS))
+                        ? Double.valueOf(fields.nonNegativeNumber(Field.DEADLINE_SECONDS))
                         : null,
                 dependencies(fields));
     }
@@ -171,7 +171,7 @@
      */
     private static List<String> dependencies(Fields fields) throws MalformedMessageException {
         return fields.has(Field.DEPENDENCIES)
-                ? List.copyOf(new LinkedHashSet<>(fields.texts(Field.DEPENDENCIES)))
+                ? List.copyOf(new LinkedHashSet<>(fields.textList(Field.DEPENDENCIES)))
                 : List.of();
     }
 
--- a/src/main/java/org/woadloom/protocol/ListedMachine.java
+++ b/src/main/java/org/woadloom/protocol/ListedMachine.java
@@ -39,10 +39,10 @@
                 fields.text(Field.ZONE),
                 fields.flagOr(Field.SPOT, false),
                 fields.text(Field.STATUS),
-                (long) (fields.amountOr(Field.RENTED_SECONDS, 0) * MICROS_PER_SECOND));
+                (long) (fields.nonNegativeNumberOr(Field.RENTED_SECONDS, 0) * MICROS_PER_SECOND));
     }
 
-    public boolean failed() {
+    public boolean hasFailed() {
         return status.equals(FAILED);
     }
 }
--- a/src/main/java/org/woadloom/protocol/MachineType.java
+++ b/src/main/java/org/woadloom/protocol/MachineType.java
@@ -46,17 +46,18 @@
         Fields fields = Fields.of(value, Field.LIST);
         return new MachineType(
                 fields.text(Field.NAME),
-                fields.amount(Field.CPUS),
-                fields.amountOr(Field.GPUS, 0),
-                fields.amount(Field.MEMORY_GB),
-                fields.amountOr(Field.IMAGE_CACHE_GB, 0),
-                fields.amountOr(Field.IMAGE_GB_PER_SECOND, DEFAULT_IMAGE_GB_PER_SECOND),
-                fields.amount(Field.ON_DEMAND_PRICE),
-                fields.amountOr(Field.SPOT_PRICE, fields.amount(Field.ON_DEMAND_PRICE)),
+                fields.nonNegativeNumber(Field.CPUS),
+                fields.nonNegativeNumberOr(Field.GPUS, 0),
+                fields.nonNegativeNumber(Field.MEMORY_GB),
+                fields.nonNegativeNumberOr(Field.IMAGE_CACHE_GB, 0),
+                fields.nonNegativeNumberOr(Field.IMAGE_GB_PER_SECOND, DEFAULT_IMAGE_GB_PER_SECOND),
+                fields.nonNegativeNumber(Field.ON_DEMAND_PRICE),
+                fields.nonNegativeNumberOr(
+                        Field.SPOT_PRICE, fields.nonNegativeNumber(Field.ON_DEMAND_PRICE)),
                 (long)
-                        (fields.amountOr(Field.BOOT_SECONDS, DEFAULT_BOOT_SECONDS)
+                        (fields.nonNegativeNumberOr(Field.BOOT_SECONDS, DEFAULT_BOOT_SECONDS)
                                 * MICROS_PER_SECOND),
-                List.copyOf(fields.texts(Field.ZONES)));
+                List.copyOf(fields.textList(Field.ZONES)));
     }
 
     public static List<MachineType> parseAll(Map<String, Object> map)
--- a/src/main/java/org/woadloom/store/NodeAnnouncement.java
+++ b/src/main/java/org/woadloom/store/NodeAnnouncement.java
@@ -59,9 +59,9 @@
         Fields fields = new Fields(map);
         return new NodeAnnouncement(
                 fields.integer(PROCESS_ID),
-                Set.copyOf(fields.texts(SUPPORTED_FEATURES)),
-                Set.copyOf(fields.texts(USABLE_FEATURES)),
-                Set.copyOf(fields.texts(MEMBERS)),
+                Set.copyOf(fields.textList(SUPPORTED_FEATURES)),
+                Set.copyOf(fields.textList(USABLE_FEATURES)),
+                Set.copyOf(fields.textList(MEMBERS)),
                 (int) fields.integerOr(CONSECUTIVE_STARTS, 1),
                 fields.integerOr(SINCE, 0));
     }
--- a/src/main/java/org/woadloom/store/RolloutRecord.java
+++ b/src/main/java/org/woadloom/store/RolloutRecord.java
@@ -140,7 +140,7 @@
      */
     public static Set<String> parseRequiredFeatures(Map<String, Object> map)
             throws MalformedMessageException {
-        return new TreeSet<>(new Fields(map).texts(REQUIRES));
+        return new TreeSet<>(new Fields(map).textList(REQUIRES));
     }
 
     /** Decodes only the number of a stored record. Works for records of every release. */
--- a/src/main/java/org/woadloom/store/StoreProtocol.java
+++ b/src/main/java/org/woadloom/store/StoreProtocol.java
@@ -188,7 +188,7 @@
     }
 
     static List<String> decodeFailedKeys(byte[] body) throws MalformedMessageException {
-        return new Fields(Cbor.decodeMap(body)).texts(FAILED_KEYS);
+        return new Fields(Cbor.decodeMap(body)).textList(FAILED_KEYS);
     }
 
     static long decodeLease(byte[] body) throws MalformedMessageException {
--- a/src/test/java/org/woadloom/agent/AgentConnectionBalancerTest.java
+++ b/src/test/java/org/woadloom/agent/AgentConnectionBalancerTest.java
@@ -28,7 +28,7 @@
         assertNull(report("host-3", false, 0), "its lease may be about to end");
         assertNotNull(report("host-3", true, REPORT));
         assertNull(report("host-1", true, REPORT), "it has room again");
-        assertEquals(2, attendance.size());
+        assertEquals(2, attendance.connectedAgents());
     }
 
     /** A worker that can't reach the other node would spend its lease on the way to and fro. */
@@ -60,6 +60,6 @@
         for (int i = 0; i < 5; i++) {
             assertNull(attendance.redirectTarget("more-" + i, true, List.of(), 0));
         }
-        assertEquals(7, attendance.size());
+        assertEquals(7, attendance.connectedAgents());
     }
 }
--- a/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
+++ b/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
@@ -147,7 +147,7 @@
         for (int wave = 0; wave < 400; wave++) {
             placer.place();
             most = Math.max(most, job.attempts().size());
-            largest = Math.max(largest, Cbor.jsonSize(job.toRecord(1, wave).toMap(format)));
+            largest = Math.max(largest, Cbor.maxJsonSize(job.toRecord(1, wave).toMap(format)));
             for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
                 if (random.nextInt(3) == 0) {
                     if (random.nextInt(8) > 0) {
@@ -156,7 +156,7 @@
                     job.removeAttempt(attempt);
                 }
             }
-            largest = Math.max(largest, Cbor.jsonSize(job.toRecord(1, wave).toMap(format)));
+            largest = Math.max(largest, Cbor.maxJsonSize(job.toRecord(1, wave).toMap(format)));
         }
         assertTrue(largest <= valueBytes, "a record of " + largest + " bytes");
         assertTrue(most > 150, "only " + most + " at once");
--- a/src/test/java/org/woadloom/http/ApiServerTest.java
+++ b/src/test/java/org/woadloom/http/ApiServerTest.java
@@ -159,7 +159,7 @@
         for (int i = 0; i < COMFORTABLE; i++) {
             assertEquals(new Answer(200, true), connectAndReport());
         }
-        assertEquals(0, connections.closedWorkers());
+        assertEquals(0, connections.closedAgentConnections());
     }
 
     /**
@@ -187,11 +187,11 @@
                 answered++;
             }
         }
-        assertEquals(0, connections.refused());
+        assertEquals(0, connections.refusedRequests());
         assertTrue(open.size() <= COMFORTABLE + 1, open.size() + " connections are kept");
         assertTrue(
-                connections.closedWorkers() >= 3 * (WORKERS - COMFORTABLE - 1),
-                connections.closedWorkers() + " closed");
+                connections.closedAgentConnections() >= 3 * (WORKERS - COMFORTABLE - 1),
+                connections.closedAgentConnections() + " closed");
     }
 
     /** Workers that get commands keep their connections for longer, but not until none is left. */
@@ -205,6 +205,6 @@
         assertEquals((COMFORTABLE + INBOUND) / 2, kept);
         orders = NOTHING;
         assertEquals(new Answer(200, false), heartbeat(open.get(0)));
-        assertEquals(0, connections.refused());
+        assertEquals(0, connections.refusedRequests());
     }
 }
--- a/src/test/java/org/woadloom/protocol/CborTest.java
+++ b/src/test/java/org/woadloom/protocol/CborTest.java
@@ -45,7 +45,7 @@
     void jsonSizeIsNeverTooSmall() {
         assertEquals(
                 "{\"a\":[1,2.5,null]}".length()
-                        <= Cbor.jsonSize(Map.of("a", Arrays.asList(1L, 2.5, null))),
+                        <= Cbor.maxJsonSize(Map.of("a", Arrays.asList(1L, 2.5, null))),
                 true);
     }
 }
--- a/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
+++ b/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
@@ -230,15 +230,15 @@
         };
     }
 
-    private static JobApi.Storage storage() {
-        return new JobApi.Storage() {
+    private static JobApi.RecordPolicy storage() {
+        return new JobApi.RecordPolicy() {
             @Override
-            public RecordFormat format() {
+            public RecordFormat writeFormat() {
                 return RecordFormat.COMPACT;
             }
 
             @Override
-            public int valueBytes() {
+            public int maxValueBytes() {
                 return 8192;
             }
 
@@ -247,10 +247,10 @@
         };
     }
 
-    private static JobApi.Types types() {
-        return new JobApi.Types() {
+    private static JobApi.MachineTypeSource types() {
+        return new JobApi.MachineTypeSource() {
             @Override
-            public List<MachineType> current() {
+            public List<MachineType> currentTypes() {
                 return List.of(TYPE);
             }
 
--- a/src/test/java/org/woadloom/sim/StatusRecoveryTest.java
+++ b/src/test/java/org/woadloom/sim/StatusRecoveryTest.java
@@ -109,23 +109,23 @@
                 sim.loop(),
                 client,
                 settings,
-                new JobApi.Storage() {
+                new JobApi.RecordPolicy() {
                     @Override
-                    public RecordFormat format() {
+                    public RecordFormat writeFormat() {
                         return RecordFormat.COMPACT;
                     }
 
                     @Override
-                    public int valueBytes() {
+                    public int maxValueBytes() {
                         return LIMITS.valueBytes();
                     }
 
                     @Override
                     public void onFormatSeen(RecordFormat format) {}
                 },
-                new JobApi.Types() {
+                new JobApi.MachineTypeSource() {
                     @Override
-                    public List<MachineType> current() {
+                    public List<MachineType> currentTypes() {
                         return List.of();
                     }
 
--- a/src/test/java/org/woadloom/sim/UserWritesTest.java
+++ b/src/test/java/org/woadloom/sim/UserWritesTest.java
@@ -69,23 +69,23 @@
                     sim.loop(),
                     SimulatedStore.client(sim.loop(), this::request, LIMITS, 3),
                     SETTINGS,
-                    new JobApi.Storage() {
+                    new JobApi.RecordPolicy() {
                         @Override
-                        public RecordFormat format() {
+                        public RecordFormat writeFormat() {
                             return RecordFormat.COMPACT;
                         }
 
                         @Override
-                        public int valueBytes() {
+                        public int maxValueBytes() {
                             return 8192;
                         }
 
                         @Override
                         public void onFormatSeen(RecordFormat format) {}
                     },
-                    new JobApi.Types() {
+                    new JobApi.MachineTypeSource() {
                         @Override
-                        public List<MachineType> current() {
+                        public List<MachineType> currentTypes() {
                             return types;
                         }
 
--- a/src/test/java/org/woadloom/store/Version1FormatTest.java
+++ b/src/test/java/org/woadloom/store/Version1FormatTest.java
@@ -95,12 +95,12 @@
                 Map<String, Object> cancelled =
                         record.withCancellation().toMap(RecordFormat.COMPACT);
                 assertTrue(
-                        Cbor.jsonSize(cancelled) <= 2048,
-                        "cancelled in " + Cbor.jsonSize(cancelled) + " bytes");
+                        Cbor.maxJsonSize(cancelled) <= 2048,
+                        "cancelled in " + Cbor.maxJsonSize(cancelled) + " bytes");
             }
         }
         assertTrue(jobs > 10);
-        assertTrue(Cbor.jsonSize(Cbor.decodeMap(samples().get("job large"))) > 2048);
+        assertTrue(Cbor.maxJsonSize(Cbor.decodeMap(samples().get("job large"))) > 2048);
     }
 
     @Test
