--- a/src/main/java/org/woadloom/core/cancellation/WatermarkReport.java
+++ b/src/main/java/org/woadloom/core/cancellation/WatermarkReport.java
@@ -13,7 +13,7 @@
  * @param sentMicros when the report was sent
  * @param completeSinceMicros from when on the report is complete
  * @param echoedLeaderClockMicros the latest time of that leader's clock that the node has seen,
- *     {@link #NONE} for none
+ *     {@link #NO_LEADER_CLOCK} for none
  * @param promiseMicros for how long the promise holds
  * @param jobIds the jobs that the store holds as cancelled
  */
