--- a/src/main/java/org/woadloom/core/cancellation/CancellationWatermark.java
+++ b/src/main/java/org/woadloom/core/cancellation/CancellationWatermark.java
@@ -6,9 +6,11 @@
 import org.woadloom.core.delegation.DelegationTimeouts;
 
 /**
- * The leader's low watermark of cancellations: the leader carries out every one that was confirmed
- * to any user before that moment, by its own clock. A complete read of the store advances it, and
- * so do the nodes by their reports, of which the lowest counts. Nothing is concluded from silence.
+ * The leader's low watermark of cancellations: the leader has applied every cancellation that any
+ * node confirmed to a user before this time, on the leader's clock.
+ *
+ * <p>A complete read of the store advances the watermark, and so do the nodes' reports, of which
+ * the lowest counts. A node that sends no reports holds it back.
  */
 public final class CancellationWatermark {
     private static final long NEVER_MICROS = Long.MIN_VALUE / 4;
@@ -20,45 +22,54 @@
         long processId;
 
         /**
-         * Every cancellation that this process confirmed up to this moment of its clock is carried
-         * out.
+         * The leader has applied every cancellation that this process confirmed up to this time, on
+         * the node's clock.
          */
         long coveredMicros = NEVER_MICROS;
 
         /**
-         * Every cancellation that any process of the node confirmed up to this moment of the
-         * leader's clock is carried out.
+         * The leader has applied every cancellation that any process of the node confirmed up to
+         * this time, on the leader's clock.
          */
         long watermarkMicros = NEVER_MICROS;
     }
 
     /**
-     * @param nodes the labels of all nodes, this one's among them
+     * @param nodes the labels of all nodes, including this one
      */
     public CancellationWatermark(long term, Iterable<String> nodes) {
         this.term = term;
         nodes.forEach(label -> nodeWatermarks.put(label, new NodeWatermark()));
     }
 
-    /** Why a report can't have been sent by a node, or null if it can. */
+    /** Returns why a report is invalid, or null if it is valid. */
     public static String validationError(WatermarkReport report, long nowMicros) {
         return report.completeSinceMicros() > report.sentMicros()
-                ? "it begins after it was said"
+                ? "completeSinceMicros "
+                        + report.completeSinceMicros()
+                        + " is after sentMicros "
+                        + report.sentMicros()
                 : report.promiseMicros() < 0
                                 || report.promiseMicros()
                                         > ConfirmedCancellations.STORE_OUTAGE_PROMISE_MICROS
-                        ? "a promise of " + report.promiseMicros() + " microseconds"
+                        ? "promiseMicros "
+                                + report.promiseMicros()
+                                + " is not between 0 and "
+                                + ConfirmedCancellations.STORE_OUTAGE_PROMISE_MICROS
                         : report.echoedLeaderClockMicros() > nowMicros
-                                ? "a time that is yet to come"
+                                ? "echoedLeaderClockMicros "
+                                        + report.echoedLeaderClockMicros()
+                                        + " is after the leader's time "
+                                        + nowMicros
                                 : null;
     }
 
     /**
-     * Takes in a node's report; the jobs that it names must have been given to the scheduler.
+     * Handles a node's report. If it is acknowledged, the caller must pass the jobs that it names
+     * to the scheduler before it sends the acknowledgement.
      *
-     * @param readUpToMicros every cancellation that was made before this moment was read from the
-     *     store
-     * @return the answer, or null where the report is not taken
+     * @param readUpToMicros every cancellation stored before this time was read from the store
+     * @return the acknowledgement, or null if the report is ignored
      */
     public WatermarkAck onReport(
             String node, WatermarkReport report, long readUpToMicros, long nowMicros) {
@@ -68,8 +79,9 @@
                 || validationError(report, nowMicros) != null) {
             return null;
         }
-        // By this clock the report is complete since this moment at the latest, as it was sent
-        // before it was received.
+        // The node measured this span on its own clock. The report was sent before it arrived, so
+        // counting back from now gives the latest possible time, on this clock, since when it is
+        // complete.
         long completeSinceMicros =
                 nowMicros
                         - DelegationTimeouts.minElapsedMicros(
@@ -99,7 +111,7 @@
         return new WatermarkAck(term, report.processId(), report.sentMicros(), nowMicros);
     }
 
-    /** Every cancellation that was confirmed to anybody before this moment is carried out. */
+    /** Returns the watermark: every cancellation confirmed before this time is applied. */
     public long watermarkMicros(long readUpToMicros) {
         long lowest = Long.MAX_VALUE;
         for (NodeWatermark nodeWatermark : nodeWatermarks.values()) {
@@ -108,10 +120,7 @@
         return Math.max(readUpToMicros, lowest);
     }
 
-    /**
-     * The nodes with the lowest watermark, as an operator wants to know which of them hold the
-     * leader back.
-     */
+    /** Returns the nodes that hold the watermark back, for the operator. */
     public List<String> slowestNodes(long readUpToMicros) {
         long lowest = watermarkMicros(readUpToMicros);
         return nodeWatermarks.entrySet().stream()
--- a/src/main/java/org/woadloom/core/cancellation/ConfirmedCancellations.java
+++ b/src/main/java/org/woadloom/core/cancellation/ConfirmedCancellations.java
@@ -7,65 +7,74 @@
 import java.util.Map;
 
 /**
- * The cancellations that a node has confirmed to users or is about to, and its promises to leaders:
- * it confirms none that a leader lacks while that leader relies on the promise. It reads no clock
- * and sends nothing; its owner does.
+ * Tracks the cancellations that a node has confirmed to users or is about to confirm, and the
+ * node's promises to leaders.
+ *
+ * <p>A promise lets a leader assume, until it ends, that this node confirms no cancellation that
+ * the leader has not acknowledged. A cancellation is confirmed once the current leader has
+ * acknowledged it, or once no promise is outstanding. This class reads no clock and does no I/O;
+ * the caller does both.
  */
 public final class ConfirmedCancellations {
-    /** The promise of a node that the store serves: shorter than a user waits for an ack. */
+    /**
+     * Duration of a promise while the store responds to this node. Shorter than users wait for a
+     * confirmation.
+     */
     public static final long PROMISE_MICROS = 3_000_000;
 
     /**
-     * The promise of a node that the store does not serve, which learns of no cancellation until it
-     * does again. It bridges the time from the end of a process to the first report of the next, so
-     * that a lasting outage of the store is no reason to stop work.
+     * Duration of a promise while the store does not respond to this node, which cannot learn of
+     * new cancellations then. Long enough to cover the time from the end of a process to the first
+     * report of its successor, so that a long store outage does not make the leader stop work.
      */
     public static final long STORE_OUTAGE_PROMISE_MICROS = 15_000_000;
 
-    /** A store that has not answered for so long counts as not serving. */
+    /** A store that has not responded for this long counts as unavailable. */
     private static final long STORE_SILENT_MICROS = 1_000_000;
 
     /**
-     * While the leader has not acknowledged for so long what a user waits for, it gets no new
-     * promise.
+     * If the leader leaves a cancellation that a user waits for unacknowledged for this long, it
+     * gets no new promise.
      */
     private static final long OVERDUE_MICROS = 700_000;
 
     /**
-     * Only what the leader has not acknowledged is sent, and it answers within a second: these are
-     * more cancellations than the store takes in that time. Beyond the bound the report says from
-     * when on it is complete.
+     * Maximum number of tracked cancellations: more than the store accepts within the second in
+     * which the leader acknowledges a report. Beyond it, the oldest is dropped and reports are
+     * marked as complete only since then.
      */
     private static final int MAX_ENTRIES = 2_000;
 
     private static final long NEVER_MICROS = Long.MIN_VALUE / 4;
 
-    /** Before every term, also that of a node that knows of none. */
+    /** Lower than every term, including 0, which stands for no known term. */
     private static final long NO_TERM = -1;
 
     private final long processId;
 
-    /** By job, the earliest first; no two have the same time, nor that of a report. */
+    /**
+     * By job id, oldest first. No two entries have the same time, and none has that of a report.
+     */
     private final LinkedHashMap<String, Entry> entries = new LinkedHashMap<>();
 
     private long latestMicros;
 
-    /** Every cancellation that this process confirmed after this moment is among the entries. */
+    /** Every cancellation that this process confirmed after this time is among the entries. */
     private long completeSinceMicros;
 
     private long term;
     private String leader;
     private long echoedLeaderClockMicros = WatermarkReport.NO_LEADER_CLOCK;
 
-    /** The leader of the term has acknowledged all entries up to this moment. */
+    /** The leader of the current term has acknowledged all entries up to this time. */
     private long acknowledgedMicros = NEVER_MICROS;
 
-    /** Until when this term's leader may rely on a promise. */
+    /** End of the latest promise to the leader of the current term. */
     private long promisedUntilMicros = NEVER_MICROS;
 
     /**
-     * Promises that earlier leaders may still rely on, by node; those to this node itself are never
-     * among them.
+     * Promises on which leaders of earlier terms may still rely, by node. The constructor adds one
+     * for each peer, and a new term adds the one made to the leader before it.
      */
     private final Map<String, OutstandingPromise> outstandingPromises = new HashMap<>();
 
@@ -79,23 +88,26 @@
     }
 
     /**
-     * A promise to an earlier leader.
+     * A promise to the leader of an earlier term.
      *
-     * @param term the latest term that it may be of, as far as this process knows
-     * @param fromPredecessor whether the process before this one may have given one too, in a term
-     *     that is not known here
+     * @param term the latest term for which this process may have made it
+     * @param fromPredecessor whether the previous process of this node may have made one too, in a
+     *     term unknown to this process
      * @param untilMicros when the promise ends
      */
     private record OutstandingPromise(long term, boolean fromPredecessor, long untilMicros) {
-        /** Whether a node that knows of this term no longer relies on the promise. */
+        /**
+         * True if a node that has reported this term, and whether it leads in it, no longer relies
+         * on the promise.
+         */
         boolean endsAt(long peerTerm, boolean leads) {
             return peerTerm > term && !(fromPredecessor && leads);
         }
     }
 
     /**
-     * @param peers the other nodes, each of which may have led when the process before this one
-     *     ended
+     * @param peers the other nodes; any of them may hold a promise from this node's previous
+     *     process
      */
     public ConfirmedCancellations(long processId, List<String> peers, long nowMicros) {
         this.processId = processId;
@@ -109,12 +121,15 @@
         completeSinceMicros = nowMicros;
     }
 
-    /** Promises are not in use yet, so the process before this one has given none. */
+    /**
+     * Drops the assumed promises of the previous process. Called while the cluster's feature level
+     * rules out that it made any.
+     */
     public void forgetPredecessorPromises() {
         outstandingPromises.values().removeIf(OutstandingPromise::fromPredecessor);
     }
 
-    /** The store holds the job as cancelled, and a user waits to be told so. */
+    /** Adds a cancellation that is in the store and that a user waits to have confirmed. */
     public void add(String jobId, long nowMicros) {
         if (entries.containsKey(jobId)) {
             return;
@@ -131,7 +146,10 @@
         return latestMicros;
     }
 
-    /** Whether a user may be told of an added cancellation now; if so it counts as confirmed. */
+    /**
+     * Returns true if an added cancellation may be confirmed to users now, and then counts it as
+     * confirmed.
+     */
     public boolean tryConfirm(String jobId, long nowMicros) {
         Entry entry = entries.get(jobId);
         if (entry == null) {
@@ -145,8 +163,8 @@
     }
 
     /**
-     * Whether any earlier leader may rely on a promise, except for the given node, which leads now
-     * and has acknowledged the entry in question.
+     * True if a leader of an earlier term may still rely on a promise. The given node is left out:
+     * it leads now and has acknowledged the cancellation in question.
      */
     private boolean isPromiseOutstanding(long nowMicros, String exceptNode) {
         return outstandingPromises.entrySet().stream()
@@ -157,7 +175,7 @@
     }
 
     /**
-     * A peer has reported which term it knows of and whether it leads in that; one that no longer
+     * Handles a peer's report of its latest term and whether it leads in it. A node that no longer
      * leads relies on no promise.
      */
     public void onPeerTerm(String peer, long peerTerm, boolean leads) {
@@ -169,8 +187,8 @@
     }
 
     /**
-     * This node itself has led and no longer does: it relies on no promise, and no peer would ever
-     * report that.
+     * Handles the loss of this node's own leadership: it relies on its promise to itself no longer,
+     * and no peer reports that.
      */
     public void onLeadershipLost(String self) {
         if (self.equals(leader)) {
@@ -179,9 +197,9 @@
     }
 
     /**
-     * The report to send to the leader of a term, or null if that term is over.
+     * Returns the report to send to the leader of a term, or null if that term is over.
      *
-     * @param storeSilentMicros for how long the store has not served this node
+     * @param storeSilentMicros how long the store has not responded to this node
      */
     public WatermarkReport nextReport(
             String ofLeader, long ofTerm, long storeSilentMicros, long nowMicros) {
@@ -214,8 +232,8 @@
     }
 
     /**
-     * Whether a user has waited too long for the leader. The user may have given up; by the next
-     * request the promise has to have ended.
+     * True if a user has waited too long for the leader's acknowledgement. The user may have given
+     * up; the promise must have ended by the time of the retry.
      */
     private boolean hasOverdueEntry(long nowMicros) {
         return entries.values().stream()
@@ -227,8 +245,8 @@
     }
 
     /**
-     * What a new leader has read of the store may be older than any confirmation, so it is sent all
-     * entries.
+     * Starts a new term. The new leader may have read the store before a cancellation was stored,
+     * so all entries are sent to it.
      */
     private void startTerm(String newLeader, long newTerm, long nowMicros) {
         if (promisedUntilMicros >= nowMicros) {
@@ -249,7 +267,10 @@
         echoedLeaderClockMicros = WatermarkReport.NO_LEADER_CLOCK;
     }
 
-    /** Takes in the leader's answer to a report; one to another process is ignored. */
+    /**
+     * Handles the leader's acknowledgement of a report; one meant for another process or term is
+     * ignored.
+     */
     public void onAck(WatermarkAck ack) {
         if (ack.term() == term && ack.processId() == processId) {
             acknowledgedMicros = Math.max(acknowledgedMicros, ack.reportSentMicros());
--- a/src/main/java/org/woadloom/core/cancellation/package-info.java
+++ b/src/main/java/org/woadloom/core/cancellation/package-info.java
@@ -1,7 +1,8 @@
 /**
- * How users are told of no cancellation that a leader might not carry out: each node reports what
- * it has confirmed ({@link org.woadloom.core.cancellation.ConfirmedCancellations}), and the leader
- * keeps a low watermark ({@link org.woadloom.core.cancellation.CancellationWatermark}). Depends on
- * the bounds of clocks in {@code core.delegation} alone.
+ * Ensures that no cancellation is confirmed to a user unless the leader is going to apply it. Each
+ * node reports what it has confirmed ({@link
+ * org.woadloom.core.cancellation.ConfirmedCancellations}), and the leader keeps a low watermark
+ * ({@link org.woadloom.core.cancellation.CancellationWatermark}). Depends only on the clock drift
+ * bounds in {@code core.delegation}.
  */
 package org.woadloom.core.cancellation;
--- a/src/main/java/org/woadloom/core/delegation/DelegationLedger.java
+++ b/src/main/java/org/woadloom/core/delegation/DelegationLedger.java
@@ -4,9 +4,10 @@
 import java.util.Map;
 
 /**
- * The leader's record of its delegations: until when each node may have renewed leases by itself.
- * An agent that has acknowledged this term is renewed under delegations of this term alone, so
- * those of earlier leaders need not be known.
+ * The leader's record of its delegations: until when each node may have renewed leases on its own.
+ *
+ * <p>Delegations of earlier leaders need not be tracked: once an agent has acknowledged this term,
+ * its lease is renewed only under delegations of this term.
  */
 public final class DelegationLedger {
     private static final long NEVER_MICROS = Long.MIN_VALUE / 4;
@@ -16,7 +17,7 @@
     private final String self;
     private final Map<String, Delegate> delegates = new LinkedHashMap<>();
 
-    /** Whether every node runs a version that can renew leases. */
+    /** True if every node runs a version that supports delegation. */
     private boolean enabled;
 
     private static final class Delegate {
@@ -24,13 +25,13 @@
         long processId;
         boolean known;
 
-        /** When the last delegation was sent; the node may hold it long after. */
+        /** When the last delegation was sent; it may reach the node much later. */
         long grantedMicros = NEVER_MICROS;
 
-        /** The node renews no lease before this moment. */
+        /** Until this time, the node renews no lease. */
         long noRenewalUntilMicros = NEVER_MICROS;
 
-        /** The node renewed a lease for the last time at this moment or before. */
+        /** Upper bound for the time of the node's latest renewal. */
         long lastRenewalMicros = NEVER_MICROS;
 
         Delegate(String zone) {
@@ -39,7 +40,7 @@
     }
 
     /**
-     * @param nodes all nodes with their zones
+     * @param nodes the zone of each node, by label
      */
     public DelegationLedger(
             DelegationTimeouts timeouts, long term, String self, Map<String, String> nodes) {
@@ -54,17 +55,17 @@
                 });
     }
 
-    /** Every node runs a version that can renew leases. */
+    /** Enables delegation, because every node runs a version that supports it. */
     public void enable() {
         enabled = true;
     }
 
     /**
-     * Takes in a node's status, and answers it by a new delegation.
+     * Handles a node's status and returns a new delegation in response.
      *
-     * @param cancellationsAppliedMicros up to when every cancellation is carried out in its zone,
-     *     {@link Long#MIN_VALUE} where that is not known
-     * @return the delegation, or null for a node that the settings do not name
+     * @param cancellationsAppliedMicros every cancellation made up to this time is carried out in
+     *     the node's zone; {@link Long#MIN_VALUE} if unknown
+     * @return the delegation, or null for a node that is not in the settings
      */
     public LeaseDelegation onPeerStatus(
             String node, PeerStatus status, long cancellationsAppliedMicros, long nowMicros) {
@@ -86,8 +87,8 @@
 
     private void update(Delegate delegate, PeerStatus status, long nowMicros) {
         if (delegate.known && delegate.processId != status.processId()) {
-            // The process before this one may have renewed leases until it ended, which was before
-            // this one started.
+            // The previous process may have renewed leases until it ended, which was before this
+            // one started.
             long startedMicros =
                     nowMicros - DelegationTimeouts.minElapsedMicros(status.uptimeMicros());
             if (startedMicros > delegate.noRenewalUntilMicros) {
@@ -124,7 +125,9 @@
                         + DelegationTimeouts.maxElapsedMicros(timeouts.validityMicros());
     }
 
-    /** No lease of the zone was renewed by any other node after this moment. */
+    /**
+     * Upper bound for the time of the latest renewal of any of the zone's leases by another node.
+     */
     public long latestPossibleRenewalMicros(String zone, long nowMicros) {
         long last = NEVER_MICROS;
         for (Delegate delegate : delegates.values()) {
@@ -139,7 +142,7 @@
     }
 
     /**
-     * For how much longer than usual a zone may be silent before its machines are given up, as a
+     * How much longer than usual a zone may be silent before its machines count as lost, because a
      * node may be renewing their leases.
      */
     public long extraSilenceAllowanceMicros(String zone, long nowMicros) {
--- a/src/main/java/org/woadloom/core/delegation/LeaseDelegate.java
+++ b/src/main/java/org/woadloom/core/delegation/LeaseDelegate.java
@@ -1,10 +1,11 @@
 package org.woadloom.core.delegation;
 
 /**
- * Decides when a node that is cut off may renew the leases of its zone's agents by itself: while it
- * holds a delegation of the leader that it has lost, and only after it has received nothing from
- * the leader or the store for a while, so that its promises to the leader hold. A process that was
- * restarted holds no delegation.
+ * Decides when a partitioned node may renew the leases of its zone's agents on its own.
+ *
+ * <p>It may do so while it holds a valid delegation of the leader that it can no longer reach, and
+ * only after it has received nothing from the leader or the store for a while, as it announces in
+ * its status. A delegation does not survive a restart of the process.
  */
 public final class LeaseDelegate {
     private static final long NEVER_MICROS = Long.MIN_VALUE / 4;
@@ -30,7 +31,7 @@
         this.lastStoreAnswerMicros = nowMicros;
     }
 
-    /** Takes in a delegation; one of an earlier term is void. */
+    /** Handles a delegation; one of an earlier term is ignored. */
     public void onDelegation(LeaseDelegation delegation) {
         if (delegation.term() < term) {
             return;
@@ -41,7 +42,8 @@
         }
         term = delegation.term();
         leaderClockMicros = Math.max(leaderClockMicros, delegation.leaderClockMicros());
-        // By the time when the status was sent, as the answer may have been held up on its way.
+        // Counted from when the status was sent, because the response may have been delayed in
+        // transit.
         lastLeaderContactMicros = Math.max(lastLeaderContactMicros, delegation.statusSentMicros());
         if (delegation.cancellationLagMicros() < LeaseDelegation.UNKNOWN_LAG) {
             validUntilMicros =
@@ -53,23 +55,21 @@
         }
     }
 
-    /** The store has answered this node. */
     public void onStoreAnswered(long nowMicros) {
         lastStoreAnswerMicros = nowMicros;
         isStoreFailing = false;
     }
 
-    /** A request to the store has failed. */
     public void onStoreFailed() {
         isStoreFailing = true;
     }
 
-    /** Whether this node has received nothing from leader and store for long enough. */
+    /** True if this node has received nothing from the leader and the store for long enough. */
     private boolean isPartitioned(long nowMicros) {
         return isStoreFailing && nowMicros > renewFromMicros();
     }
 
-    /** Whether this node is cut off and holds a valid delegation. */
+    /** True if this node is partitioned and holds a valid delegation. */
     public boolean mayRenew(long nowMicros) {
         return timeouts.allowsDelegation()
                 && isPartitioned(nowMicros)
@@ -81,7 +81,10 @@
                 + timeouts.partitionSilenceMicros();
     }
 
-    /** Whether to renew an agent's lease now; a renewal is noted for the next status. */
+    /**
+     * Returns true if an agent's lease is to be renewed now, and then records the renewal for the
+     * next status.
+     */
     public boolean tryRenew(String agentZone, long agentTerm, long nowMicros) {
         if (!mayRenew(nowMicros) || !agentZone.equals(zone) || agentTerm > term || agentTerm == 0) {
             return false;
@@ -90,7 +93,7 @@
         return true;
     }
 
-    /** The status to send to the leader. */
+    /** Returns the status to send to the leader. */
     public PeerStatus status(long nowMicros) {
         return new PeerStatus(
                 processId,
--- a/src/main/java/org/woadloom/core/delegation/package-info.java
+++ b/src/main/java/org/woadloom/core/delegation/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The renewal of leases on behalf of a leader that a zone can't reach: the leader grants ({@link
- * org.woadloom.core.delegation.DelegationLedger}), a node holds ({@link
- * org.woadloom.core.delegation.LeaseDelegate}). Depends on nothing else.
+ * Lease renewal on behalf of a leader that a zone cannot reach. The leader grants delegations
+ * ({@link org.woadloom.core.delegation.DelegationLedger}), and a node holds one ({@link
+ * org.woadloom.core.delegation.LeaseDelegate}). Has no dependencies on other packages.
  */
 package org.woadloom.core.delegation;
--- a/src/main/java/org/woadloom/core/jobs/AttemptTable.java
+++ b/src/main/java/org/woadloom/core/jobs/AttemptTable.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.agrona.collections.Int2ObjectHashMap;
 
-/** The present attempts of one job, by task and counted by zone. A task has at most one. */
+/** The current attempts of one job, indexed by task and counted by zone. A task has at most one. */
 final class AttemptTable {
     private final Int2ObjectHashMap<TaskAttempt> byTask = new Int2ObjectHashMap<>();
     private final Map<String, Integer> countByZone = new LinkedHashMap<>();
@@ -19,7 +19,7 @@
         return byTask.values();
     }
 
-    /** The attempt of a task, or null. */
+    /** Returns the current attempt of a task, or null if it has none. */
     TaskAttempt of(int index) {
         return byTask.get(index);
     }
@@ -29,7 +29,7 @@
         countByZone.merge(attempt.machine.zone, 1, Integer::sum);
     }
 
-    /** Removes an attempt; false if it is not, or no longer, the one of its task. */
+    /** Removes an attempt; returns false if it is not the current attempt of its task. */
     boolean remove(TaskAttempt attempt) {
         if (byTask.get(attempt.taskIndex) != attempt) {
             return false;
@@ -44,7 +44,7 @@
         return countByZone.getOrDefault(zone, 0);
     }
 
-    /** How many attempts there are in each zone that has any; a view. */
+    /** Number of attempts in each zone that has any; an unmodifiable view. */
     Map<String, Integer> countByZone() {
         return Collections.unmodifiableMap(countByZone);
     }
--- a/src/main/java/org/woadloom/core/jobs/DemandEstimator.java
+++ b/src/main/java/org/woadloom/core/jobs/DemandEstimator.java
@@ -3,19 +3,22 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** How much the latest jobs asked for: what comes next is likely no larger than most of them. */
+/** Estimates from the sizes of recent jobs how much CPU the next ones will request. */
 public final class DemandEstimator {
     private static final int KEPT_JOBS = 20;
     private static final int KEPT_JOBS_PER_CLASS = 60;
 
-    /** How long no job has come when it counts as quiet. */
+    /** After this long without a new job, no further jobs are expected. */
     private static final long QUIET_MICROS = 120_000_000;
 
     private final RecentJobSizes batch = new RecentJobSizes(KEPT_JOBS);
     private final Map<String, RecentJobSizes> byClass = new HashMap<>();
     private long lastArrivalMicros = Long.MIN_VALUE / 2;
 
-    /** Notes a job that may start. Replicas are too long-lived to keep machines free for. */
+    /**
+     * Records a job that is ready to run. Services count only towards their class: they run too
+     * long to keep machines free for the next one.
+     */
     void add(Job job, long nowMicros) {
         lastArrivalMicros = nowMicros;
         if (!job.description.isService()) {
@@ -27,19 +30,22 @@
     }
 
     /**
-     * What nine in ten of the latest jobs did not exceed, replicas apart; 0 as long as there was
-     * none.
+     * The 90th percentile of the CPU requested by recent batch jobs, each with all its tasks; 0
+     * before the first job.
      */
     public long largeJobCpu() {
         return batch.large();
     }
 
-    /** True if nothing has come for so long that no machine need be kept for what may come next. */
+    /** True if no job has arrived for so long that no machine needs to be kept for the next one. */
     public boolean isQuiet(long nowMicros) {
         return nowMicros - lastArrivalMicros > QUIET_MICROS;
     }
 
-    /** True for one of the largest of its class: no more than one in ten was larger lately. */
+    /**
+     * True for a job that is at least as large as the 90th percentile of the recent jobs of its
+     * class.
+     */
     public boolean isLargeInClass(Job job) {
         RecentJobSizes sizes = byClass.get(job.description.jobClass());
         return sizes != null && RecentJobSizes.sizeOf(job) >= sizes.large();
--- a/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
+++ b/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
@@ -16,39 +16,43 @@
 import org.woadloom.protocol.Priority;
 
 /**
- * Jobs that wait for their dependencies.
+ * Tracks the jobs that wait for their dependencies.
  *
- * <p>A job is unblocked once each of its dependencies is <em>durably</em> done: a final state in
- * the store, or a record that says that all tasks are completed and was acknowledged. That this
- * leader does not have a job proves nothing, so the store is asked. If a dependency is cancelled,
- * so is the job, and whatever depends on it.
+ * <p>A job is unblocked once each of its dependencies is <em>durably</em> done: either the store
+ * holds its final state, or a write of its record with all tasks completed was acknowledged. A
+ * dependency that this leader does not know may have ended or may not have been read yet, so the
+ * store is asked. If a dependency is cancelled, all jobs that depend on it, directly or indirectly,
+ * are cancelled too.
  */
 public final class DependencyGraph {
-    /** How many lookups in the store may be open at a time. */
+    /** Maximum number of concurrent lookups in the store. */
     private static final int MAX_LOOKUPS = 12;
 
     private static final long LOOKUP_RETRY_MICROS = 500_000;
 
     private final SchedulerState state;
 
-    /** By dependency, the jobs that wait for it, in the order in which they came. */
+    /** The jobs that wait for each dependency, in order of arrival. */
     private final Map<String, Set<Job>> dependents = new LinkedHashMap<>();
 
-    /** For each blocked job, its dependencies that are not known to be done. */
+    /** The dependencies of each blocked job that are not known to be done. */
     private final Map<Job, Set<String>> unfinishedDependencies = new LinkedHashMap<>();
 
-    /** By the time of day, when the last dependency of a blocked job was done as far as known. */
+    /**
+     * Wall-clock time at which the latest dependency of a blocked job that is known to be done
+     * ended.
+     */
     private final Map<Job, Long> lastDoneWallMicros = new HashMap<>();
 
-    /** Dependencies that the store is to be asked about, and when. */
+    /** Dependencies to look up in the store, with the earliest time of the lookup. */
     private final Map<String, Long> lookUpAtMicros = new LinkedHashMap<>();
 
-    /** Dependencies that the store was asked about. */
+    /** Dependencies with a lookup in flight. */
     private final Set<String> resolving = new LinkedHashSet<>();
 
     /**
-     * Cancelled jobs whose dependents are to be cancelled as well: a queue, so that no chain is too
-     * long for the stack.
+     * Cancelled jobs whose dependents have yet to be cancelled. A queue instead of recursion,
+     * because a chain of thousands of jobs would overflow the stack.
      */
     private final ArrayDeque<String> cancelledDependencies = new ArrayDeque<>();
 
@@ -58,12 +62,12 @@
         this.state = state;
     }
 
-    /** How many jobs wait for dependencies. */
+    /** Number of jobs that wait for dependencies. */
     public int blockedCount() {
         return unfinishedDependencies.size();
     }
 
-    /** A job has come; its dependencies may be known already, and others may depend on it. */
+    /** Registers a job: looks up its dependencies, and notifies jobs that already wait for it. */
     void onJobAdded(Job job) {
         if (dependents.containsKey(job.jobId())) {
             if (job.isCancelled()) {
@@ -95,7 +99,7 @@
         }
     }
 
-    /** A job is done, and the store says so. */
+    /** Marks a job as durably done and unblocks the jobs that waited only for it. */
     void onDone(String jobId, long wallMicros) {
         lookUpAtMicros.remove(jobId);
         Set<Job> jobs = dependents.remove(jobId);
@@ -123,7 +127,7 @@
         state.log(LogEntry.info(LogEvent.JOB_UNBLOCKED).with("job", job.jobId()));
     }
 
-    /** A job is cancelled, and the store says so: whatever depends on it will never run. */
+    /** Marks a job as durably cancelled; its dependents are cancelled in the next pass. */
     void onCancelled(String jobId) {
         lookUpAtMicros.remove(jobId);
         if (dependents.containsKey(jobId)) {
@@ -131,7 +135,10 @@
         }
     }
 
-    /** A job is over, or its record is gone for a reason that only the store knows. */
+    /**
+     * Handles a job that leaves the registry. If its outcome is unknown, the store is asked on
+     * behalf of its dependents.
+     */
     void onJobRemoved(Job job, boolean outcomeKnown) {
         forget(job);
         if (!dependents.containsKey(job.jobId())) {
@@ -146,7 +153,7 @@
         }
     }
 
-    /** The job itself waits for nothing more, as it is over. */
+    /** Stops tracking the dependencies of a job that has ended. */
     private void forget(Job job) {
         Set<String> before = unfinishedDependencies.remove(job);
         lastDoneWallMicros.remove(job);
@@ -164,7 +171,7 @@
         }
     }
 
-    /** The store's answer about a dependency; without a clear one it is asked again. */
+    /** Handles the result of a lookup; an inconclusive one is repeated later. */
     public void onResolved(SchedulerEvent.DependencyResolved event) {
         String jobId = event.jobId();
         resolving.remove(jobId);
@@ -188,8 +195,8 @@
     }
 
     /**
-     * Cancels what depends on cancelled jobs, asks the store for what is not known, and has jobs
-     * inherit from their dependents; called once a pass.
+     * Cancels the dependents of cancelled jobs, looks up unknown dependencies, and propagates
+     * priorities and deadlines; called once per scheduling pass.
      */
     public void processChanges() {
         cancelDependents();
@@ -226,7 +233,7 @@
         }
         for (String jobId : dueLookups()) {
             lookUpAtMicros.remove(jobId);
-            // If its record has come meanwhile, the job itself will report its end.
+            // A job whose record has arrived since is followed in the registry instead.
             if (!state.jobs().containsKey(jobId) && resolving.add(jobId)) {
                 state.emit(new SchedulerAction.ResolveDependency(jobId));
             }
@@ -245,8 +252,9 @@
     }
 
     /**
-     * Each job gets the highest priority of all that depend on it, and the earliest deadline that
-     * leaves each of them its estimated time. Goes from dependents to dependencies.
+     * Passes priorities and deadlines on from dependents to dependencies: a job inherits the
+     * highest priority of its dependents, and the earliest deadline that leaves each of them its
+     * estimated runtime.
      */
     private void propagatePriorities() {
         Map<String, Priority> priorities = new HashMap<>();
--- a/src/main/java/org/woadloom/core/jobs/Job.java
+++ b/src/main/java/org/woadloom/core/jobs/Job.java
@@ -19,24 +19,25 @@
 import org.woadloom.store.JobRecord;
 
 /**
- * A job that is not over, or that may still have tasks on machines.
+ * A job that has not ended, or that may still have tasks on machines.
  *
- * <p>{@link TaskSet} has what is completed and pending, {@link AttemptTable} what is on machines,
- * {@link PersistenceState} how the stored record stands against both. All times in microseconds are
- * of the leader's own clock, those named "wall" of the time of day.
+ * <p>{@link TaskSet} tracks completed and pending tasks, {@link AttemptTable} the attempts on
+ * machines, and {@link PersistenceState} how far the stored record reflects both. Times in
+ * microseconds are on the leader's monotonic clock; those with "wall" in their name are wall-clock
+ * time.
  */
 public final class Job {
-    /** A time that has not come. */
+    /** Placeholder for the time of an event that has not happened. */
     public static final long NEVER_MICROS = Long.MIN_VALUE;
 
-    /** What {@link #nextPending} returns when no task is pending. */
+    /** Returned by {@link #nextPending} when no task is pending. */
     public static final int NO_TASK = -1;
 
     private static final double MICROS_PER_SECOND = 1e6;
 
     public final JobDescription description;
 
-    /** What one task takes. */
+    /** Resources requested by each task. */
     public final Resources taskResources;
 
     public final TeamQuota teamQuota;
@@ -44,7 +45,10 @@
     public final long submittedMicros;
     public final PersistenceState persistence;
 
-    /** Names of the machines on which tasks of the job ended with an error. */
+    /**
+     * Names of the machines on which tasks of the job ended with an error; its tasks are not placed
+     * there again.
+     */
     public final Set<String> failedOnHosts = new LinkedHashSet<>();
 
     private final TaskSet tasks;
@@ -52,14 +56,17 @@
     private final PreemptionBackoff preemptionBackoff = new PreemptionBackoff();
     private long queuedSinceMicros;
 
-    /** When its last dependency was done by the time of day; 0 while it waits or if it has none. */
+    /**
+     * Wall-clock time at which the last dependency was done; 0 while the job is blocked or if it
+     * has none.
+     */
     private long readyWallMicros;
 
     private boolean isBlocked;
     private Priority priority;
     private long deadlineMicros;
 
-    /** In bytes, 0 until it is asked for. */
+    /** In bytes; computed on first use, 0 before. */
     private int descriptionSize;
 
     private boolean cancelled;
@@ -72,11 +79,11 @@
     private long placeNotBeforeMicros;
 
     /**
-     * A job as its record has it, without the attempts that the record names.
+     * Creates a job from its stored record, without the attempts that the record names.
      *
-     * @param revision the record's revision
-     * @param submittedMicros when it was submitted, by the leader's clock
-     * @param markForPersistence is given the job when its record must be written
+     * @param revision the record's revision in the store
+     * @param submittedMicros the submission time on the leader's monotonic clock
+     * @param markForPersistence called with the job when its record must be written
      */
     public Job(
             JobRecord record,
@@ -107,8 +114,8 @@
     }
 
     /**
-     * How many bytes the description takes in the compact format, about: it is in every record of
-     * the job.
+     * Approximate size of the description in the compact format, in bytes. Every record of the job
+     * contains the description.
      */
     public int descriptionSize() {
         if (descriptionSize == 0) {
@@ -117,14 +124,17 @@
         return descriptionSize;
     }
 
-    // Dependencies, and what jobs that depend on this one ask of it.
+    // Dependencies, and what the job inherits from its dependents.
 
-    /** True while a dependency is not known to be done: the job holds and asks for no resources. */
+    /**
+     * True while a dependency is not known to be done. A blocked job neither holds nor requests
+     * resources.
+     */
     public boolean isBlocked() {
         return isBlocked;
     }
 
-    /** Every dependency is done, durably, the last of them at the given times. */
+    /** Unblocks the job. The times are when the last of its dependencies was durably done. */
     void unblock(long nowMicros, long wallMicros) {
         isBlocked = false;
         queuedSinceMicros = Math.max(submittedMicros, nowMicros);
@@ -132,34 +142,36 @@
     }
 
     /**
-     * From when on the job's times count, its deadline apart: its submission, or when its last
-     * dependency was done.
+     * The start of the job's waiting time: its submission, or when its last dependency was done.
+     * Deadlines count from the submission instead.
      */
     public long queuedSinceMicros() {
         return queuedSinceMicros;
     }
 
-    /** Its own priority, or a higher one of a job that depends on it. */
+    /**
+     * The job's own priority, or the highest one of the jobs that depend on it if that is higher.
+     */
     public Priority priority() {
         return priority;
     }
 
     /**
-     * By when it must be done for itself or for the jobs that depend on it; {@link Long#MAX_VALUE}
-     * for no deadline.
+     * The earliest deadline set by the job itself or by the jobs that depend on it; {@link
+     * Long#MAX_VALUE} if there is none.
      */
     public long deadlineMicros() {
         return deadlineMicros;
     }
 
-    /** The deadline of its own description; {@link Long#MAX_VALUE} for none. */
+    /** The deadline set by the job's own description; {@link Long#MAX_VALUE} for none. */
     long ownDeadlineMicros() {
         return description.deadlineSeconds() == null
                 ? Long.MAX_VALUE
                 : submittedMicros + (long) (description.deadlineSeconds() * MICROS_PER_SECOND);
     }
 
-    /** Takes over the highest priority and the earliest deadline of the jobs that depend on it. */
+    /** Sets the highest priority and the earliest deadline of the jobs that depend on this one. */
     void inheritFromDependents(Priority highestPriority, long earliestDeadlineMicros) {
         Priority before = priority;
         priority =
@@ -173,9 +185,9 @@
         }
     }
 
-    // Its end.
+    // Termination.
 
-    /** True when every task is completed, which never is the case for a service. */
+    /** True when every task is completed; never true for a service. */
     public boolean isComplete() {
         return !description.isService() && tasks.areAllCompleted();
     }
@@ -184,23 +196,25 @@
         return cancelled;
     }
 
-    /** The job was cancelled at this moment or later; {@link #NEVER_MICROS} if not known. */
+    /**
+     * The earliest time at which the job may have been cancelled; {@link #NEVER_MICROS} if unknown.
+     */
     public long cancelledSinceMicros() {
         return cancelledSinceMicros;
     }
 
-    /** The job is cancelled, and when is not known. */
+    /** Marks the job as cancelled at an unknown time. */
     void markCancelled() {
         cancelled = true;
     }
 
-    /** The job was cancelled at the given time or later. */
+    /** Marks the job as cancelled at the given time or later. */
     void markCancelledSince(long micros) {
         cancelled = true;
         cancelledSinceMicros = micros;
     }
 
-    /** True once the final state is in the store and the scheduler no longer has the job. */
+    /** True once the final state is in the store and the job has left the registry. */
     public boolean isRemoved() {
         return finished;
     }
@@ -209,7 +223,10 @@
         finished = true;
     }
 
-    /** True when nothing is left to run: only tasks that must stop may still be somewhere. */
+    /**
+     * True when no further task is to run: the job is completed, cancelled or removed. Tasks that
+     * have yet to stop may still be on machines.
+     */
     public boolean isTerminal() {
         return finished || cancelled || isComplete();
     }
@@ -225,23 +242,30 @@
     }
 
     /**
-     * The completed tasks, to be read only. The record in the store may lack the latest of them.
+     * The completed tasks, which callers must not modify. The record in the store may lack the most
+     * recent ones.
      */
     public BitSet completedTasks() {
         return tasks.completed();
     }
 
-    /** A task has completed; false if that was known. */
+    /** Marks a task as completed; returns false if it already was. */
     public boolean markCompleted(int index) {
         return tasks.complete(index);
     }
 
-    /** How many tasks could be placed now as far as the job itself is concerned. */
+    /**
+     * Number of tasks that have no attempt and are not completed; 0 while the job is blocked and
+     * once it has ended.
+     */
     public int pendingTaskCount() {
         return isTerminal() || isBlocked ? 0 : tasks.pendingCount();
     }
 
-    /** The first task from the given index on that has no attempt, or {@link #NO_TASK}. */
+    /**
+     * Returns the first task at or after the given index that is neither completed nor has an
+     * attempt, or {@link #NO_TASK}.
+     */
     public int nextPending(int from) {
         return tasks.nextPending(from);
     }
@@ -256,7 +280,7 @@
         return running;
     }
 
-    /** True if any task is completed, or is or may be on a machine. */
+    /** True if any task is completed or may be on a machine. */
     public boolean hasStarted() {
         return tasks.completedCount() > 0 || !attempts.isEmpty();
     }
@@ -267,7 +291,7 @@
         return attempts.all();
     }
 
-    /** The present attempt of a task, or null. */
+    /** Returns the current attempt of a task, or null if it has none. */
     public TaskAttempt attempt(int index) {
         return attempts.of(index);
     }
@@ -276,25 +300,25 @@
         return attempts.countInZone(zone);
     }
 
-    /** The zones in which tasks of the job are or may be. */
+    /** The zones of the machines that have, or may have, tasks of the job. */
     public Collection<String> occupiedZones() {
         return attempts.countByZone().keySet();
     }
 
-    /** How many tasks are or may be in each zone. */
+    /** Number of attempts in each zone that has any. */
     public Map<String, Integer> attemptCountByZone() {
         return attempts.countByZone();
     }
 
-    /** Adds an attempt here, to its machine and to the team's use. */
+    /** Adds an attempt, and charges its resources to its machine and to the team's quota. */
     public void addAttempt(TaskAttempt attempt) {
         if (isBlocked) {
             throw new IllegalStateException(
-                    "job " + jobId() + " can't be placed before its dependencies are done");
+                    "job " + jobId() + " is blocked by a dependency and cannot have attempts");
         }
         if (firstPlacedMicros == NEVER_MICROS) {
-            // When an earlier leader placed it is not known; the job is not counted as having
-            // waited until now.
+            // The record does not say when an earlier leader placed the task; without this, the job
+            // would count as having waited until now.
             firstPlacedMicros =
                     attempt.stage() == TaskAttempt.Stage.RECOVERED
                             ? queuedSinceMicros
@@ -307,7 +331,10 @@
         teamQuota.onTaskPlaced(this);
     }
 
-    /** Removes an attempt wherever {@link #addAttempt} put it; its task is pending again. */
+    /**
+     * Reverts {@link #addAttempt}: releases the attempt's resources and makes its task pending
+     * again.
+     */
     public void removeAttempt(TaskAttempt attempt) {
         if (!attempts.remove(attempt)) {
             return;
@@ -317,7 +344,7 @@
         teamQuota.subtract(taskResources);
     }
 
-    /** Attempts that the durable record names may be started. */
+    /** Allows the attempts that the durable record names to be started. */
     public void releaseDurableAttempts() {
         for (TaskAttempt attempt : attempts.all()) {
             if (attempt.stage() == TaskAttempt.Stage.PLANNED
@@ -329,17 +356,20 @@
 
     // Quota.
 
-    /** How many more of its tasks the team's limit allows. */
+    /** Number of additional tasks of this job that the team's limit allows. */
     public int allowedTasks() {
         return allowedTasks(Resources.NONE);
     }
 
-    /** The same, where the first tasks give back what was reserved for them. */
+    /**
+     * Like {@link #allowedTasks()}, where the first tasks use the given resources, which are
+     * already reserved for them.
+     */
     public int allowedTasks(Resources credit) {
         return teamQuota.allowedTasks(taskResources, this, credit);
     }
 
-    /** True if the job fits into its team's guarantee together with the team's earlier jobs. */
+    /** True if the job, together with the team's earlier jobs, fits into the team's guarantee. */
     public boolean isWithinGuarantee() {
         return withinGuarantee;
     }
@@ -348,33 +378,33 @@
         withinGuarantee = fits;
     }
 
-    // When it is placed.
+    // Placement.
 
     /**
-     * When a task of the job was first placed, as far as this leader knows; {@link #NEVER_MICROS}
-     * for never.
+     * When this leader first placed a task of the job or found one in its record; {@link
+     * #NEVER_MICROS} if it has not.
      */
     public long firstPlacedMicros() {
         return firstPlacedMicros;
     }
 
     /**
-     * When a task of the job was last placed, or found in its record by this leader; {@link
-     * #NEVER_MICROS} for never.
+     * When this leader last placed a task of the job or found one in its record; {@link
+     * #NEVER_MICROS} if it has not.
      */
     public long lastPlacedMicros() {
         return lastPlacedMicros;
     }
 
     /**
-     * Since when nothing of the job was placed: since its last task, or, where it has none that is
-     * completed or on a machine, since it was queued.
+     * The start of the current wait for a placement: when the last task was placed, or, if no task
+     * is completed or on a machine, when the job was queued.
      */
     public long waitingSinceMicros() {
         return hasStarted() ? Math.max(queuedSinceMicros, lastPlacedMicros) : queuedSinceMicros;
     }
 
-    /** No task of the job is placed before this time. */
+    /** The earliest time at which tasks of the job may be placed; a retry delay. */
     public long placeNotBeforeMicros() {
         return placeNotBeforeMicros;
     }
@@ -383,29 +413,28 @@
         placeNotBeforeMicros = micros;
     }
 
-    /** How many of its tasks ended with an error. */
+    /** Number of task attempts that ended with an error. */
     public int taskFailureCount() {
         return failures;
     }
 
-    /** A task of the job ended with an error. */
     public void countTaskFailure() {
         failures++;
     }
 
-    /** A task of the job is stopped for another job. */
+    /** Records that a task of the job is stopped in favour of another job. */
     public void onPreempted(long nowMicros) {
         preemptionBackoff.onPreempted(nowMicros);
     }
 
-    /** True for a while after tasks were preempted, longer each time. */
+    /** True while the job waits after a preemption; each further preemption lengthens the wait. */
     public boolean isBackingOff(long nowMicros) {
         return preemptionBackoff.isActive(nowMicros);
     }
 
-    // Its record.
+    // Stored record.
 
-    /** The record as it should be written now, by the leader of the given term. */
+    /** Returns the record to write now, as the leader of the given term. */
     public JobRecord toRecord(long term, long version) {
         return new JobRecord(
                 isBlocked ? description : description.withoutDependencies(),
@@ -419,7 +448,10 @@
                 version);
     }
 
-    /** The attempts, those of the same machine and number as one, in the order of the tasks. */
+    /**
+     * The attempts in the order of their tasks, those with the same machine and attempt number
+     * grouped into one entry.
+     */
     private List<JobRecord.RecordedAttempt> recordedAttempts() {
         List<TaskAttempt> ordered = new ArrayList<>(attempts.all());
         ordered.sort(Comparator.comparingInt(attempt -> attempt.taskIndex));
--- a/src/main/java/org/woadloom/core/jobs/JobPersister.java
+++ b/src/main/java/org/woadloom/core/jobs/JobPersister.java
@@ -12,32 +12,42 @@
 import org.woadloom.store.FinalRecord;
 
 /**
- * Keeps the jobs' durable records up with what the scheduler knows, within the write budget; one
- * write of a job is in flight at a time.
+ * Writes the jobs' records to the store as their state changes, within the write budget. A job has
+ * at most one write in flight.
  */
 public final class JobPersister {
-    /** How long after a write the next one leaves that only tells of phases. */
+    /** Minimum interval between writes of a job that only record task progress. */
     private static final long PHASE_INTERVAL_MICROS = 1_000_000;
 
-    /** The same where tasks have ended, which users see. */
+    /** Minimum interval between writes of a job that record the end of tasks, which users see. */
     private static final long OUTCOME_INTERVAL_MICROS = 250_000;
 
     private static final long RETRY_MICROS = 150_000;
 
-    /** A record that is too large gets shorter only as tasks end. */
+    /**
+     * Longer than the usual retry interval: a record that exceeds the store's value limit shrinks
+     * only as tasks end.
+     */
     private static final long TOO_LARGE_RETRY_MICROS = 1_000_000;
 
-    /** How much sooner than by its turn a write leaves that start commands wait for. */
+    /**
+     * In the order of writes, an immediate one counts as waiting this much longer, because start
+     * commands wait for it.
+     */
     private static final long IMMEDIATE_ADVANTAGE_MICROS = 2_000_000;
 
-    /** What a write takes from the budget: a final state replaces the record, two changes. */
+    /**
+     * Cost of a write against the write budget, in changes to the store. Replacing the record by
+     * the final state takes two.
+     */
     private static final int CHANGES_OF_FINAL_STATE = 2;
 
     private static final int CHANGES_OF_RECORD = 1;
 
     /**
-     * Ends and cancellations first, then what was written longest ago, with an advantage for what
-     * start commands wait for: so no completion starves.
+     * Jobs that have ended first, then the least recently written, with an advantage for writes
+     * that start commands wait for. Least recently written goes first so that the record of no
+     * completed task is delayed for ever.
      */
     private static final Comparator<Job> WRITE_ORDER =
             Comparator.comparing((Job job) -> !job.isTerminal())
@@ -58,7 +68,7 @@
                 : persistence.lastWriteMicros();
     }
 
-    /** Emits the reads and writes that are due; what the budget does not allow waits. */
+    /** Emits the reads and writes that are due. Writes beyond the budget wait for a later call. */
     public void emitDueRequests() {
         List<Job> due = new ArrayList<>();
         List<Job> replaced = new ArrayList<>();
@@ -89,8 +99,8 @@
     }
 
     /**
-     * Phases and outcomes are collected for a while; whatever the budget does not allow yet is
-     * written later, as one.
+     * Task progress and ends of tasks are batched: changes within the interval, or while the budget
+     * is exhausted, go out in one write.
      */
     private boolean isDue(Job job) {
         long sinceLastWrite = state.nowMicros() - job.persistence.lastWriteMicros();
@@ -186,9 +196,10 @@
     }
 
     /**
-     * The record as it is can't be stored. What was planned for it and never sent is taken back;
-     * what else it should say waits until tasks have ended and it is shorter: the stored one names
-     * at least as much as there is.
+     * Handles a record that exceeds the store's value limit. Attempts that the stored record does
+     * not name yet were never sent and are removed. The rest of the update is retried until enough
+     * tasks have ended for it to fit; meanwhile the stored record names at least the attempts that
+     * exist.
      */
     private void onRecordTooLarge(Job job) {
         long retryAtMicros = state.nowMicros() + TOO_LARGE_RETRY_MICROS;
@@ -208,7 +219,7 @@
                         .with("waiting_tasks", planned));
     }
 
-    /** A read that got no answer is sent again. */
+    /** Schedules another read after one that got no response. */
     public void onReadFailed(String jobId) {
         Job job = state.jobs().get(jobId);
         if (job != null && job.persistence.isReadNeeded()) {
--- a/src/main/java/org/woadloom/core/jobs/JobRegistry.java
+++ b/src/main/java/org/woadloom/core/jobs/JobRegistry.java
@@ -11,9 +11,12 @@
 import org.woadloom.protocol.JobDescription;
 import org.woadloom.store.JobRecord;
 
-/** The jobs that the scheduler has: accepted, cancelled, read back and removed. */
+/**
+ * Owns the set of jobs that the scheduler knows: adds them from stored records, cancels them, and
+ * removes them when they have ended.
+ */
 public final class JobRegistry {
-    /** Seconds: the task is of no use any more, so it need not save a checkpoint. */
+    /** In seconds. Tasks of a job that has ended need no time to save a checkpoint. */
     private static final double NO_GRACE_PERIOD = 0;
 
     private final SchedulerState state;
@@ -22,7 +25,10 @@
         this.state = state;
     }
 
-    /** Takes over a job from an earlier leader's record: the attempts it names may be running. */
+    /**
+     * Loads a job from a record that an earlier leader wrote. The attempts that the record names
+     * may still be running.
+     */
     public void load(SchedulerEvent.StoredJob stored) {
         JobRecord record = stored.record();
         Job job = create(record, stored.revision());
@@ -32,8 +38,8 @@
         for (JobRecord.RecordedAttempt placed : record.attempts()) {
             Machine machine = state.machines().get(placed.host());
             if (machine == null) {
-                // A machine's record is dropped only after its deletion was answered, so nothing is
-                // left there.
+                // A machine's record is deleted only after the cloud has confirmed the deletion of
+                // the machine, so none of the tasks can still run there.
                 job.persistence.requestWrite(PersistenceState.WriteUrgency.TASK_ENDED);
                 continue;
             }
@@ -54,11 +60,12 @@
         }
     }
 
-    /** A record that came from another node, from the watch or from a read. */
+    /** Handles a job record received from the store's watch or from a read. */
     public void onRecordChanged(JobRecord record, long revision) {
         Job job = state.jobs().get(record.description().jobId());
         if (job == null) {
-            // One of this term, or with attempts, is a late copy of a job that is over.
+            // A record of this term, or one with attempts, is an outdated copy of a job that has
+            // been removed.
             if (record.term() < state.term() && record.attempts().isEmpty()) {
                 accept(record, revision);
             }
@@ -85,7 +92,7 @@
             return;
         }
         if (record.term() == state.term() && record.version() > persistence.durableVersion()) {
-            // One of this term's own writes: it is durable, whatever became of the answer.
+            // This term wrote that version, so it is durable even if the write got no response.
             persistence.onVersionRead(record.version());
             job.releaseDurableAttempts();
             onWriteAcknowledged(job);
@@ -95,14 +102,15 @@
             cancel(job);
         }
         if (answersRead) {
-            // The record may lack what the lost write held; the next write carries everything.
+            // If the write with the unknown outcome was not executed, the record lacks its changes;
+            // the next write contains them all.
             persistence.onRecordRead();
         }
     }
 
     /**
-     * A record that can't be read is damaged: what this leader knows of the job is written in its
-     * place.
+     * Handles a job record that cannot be parsed: it is overwritten with what this leader knows of
+     * the job.
      */
     public void onDamagedRecord(SchedulerEvent.JobRecordDamaged event) {
         Job job = state.jobs().get(event.jobId());
@@ -122,8 +130,9 @@
     }
 
     /**
-     * Users may be told that these are cancelled. Their records, on whose revisions all writes
-     * depend, are read when they can be.
+     * Cancels jobs whose cancellation a node has stored and may confirm to users. The changed
+     * records are read once the store responds, because every write is conditional on the record's
+     * revision.
      */
     public void onCancellationsConfirmed(List<String> jobIds) {
         for (String jobId : jobIds) {
@@ -135,9 +144,10 @@
     }
 
     /**
-     * The record no longer exists: most likely by a final write of this leader without an answer,
-     * or it was damaged and a cancellation's final state took its place. What depends on the job
-     * must not start on a guess, and attempts count until they are proven gone.
+     * Handles a job whose record no longer exists. Most likely a write of the final state by this
+     * leader was executed without a response; or the record was damaged and a cancellation replaced
+     * it by the final state. Dependents must not start on a guess, and the attempts count as
+     * running until they are proven gone.
      */
     public void onRecordNotFound(String jobId) {
         Job job = state.jobs().get(jobId);
@@ -160,11 +170,11 @@
     }
 
     /**
-     * The job's final state is in the store. A late notification can bring back a job that is over;
-     * what was planned for it then was never started, as its record can't be written, and must not
-     * go on counting.
+     * Removes a job whose final state is in the store. An outdated notification can have added a
+     * job that had already ended; attempts planned for it since were never started, because its
+     * record cannot be written, and must not count against quotas any longer.
      *
-     * @param outcomeKnown false if only the store knows whether it was done or cancelled
+     * @param outcomeKnown false if only the store knows whether the job was done or cancelled
      */
     public void remove(Job job, boolean outcomeKnown) {
         for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
@@ -213,7 +223,7 @@
         return job;
     }
 
-    /** A write was acknowledged: what depends on a job that is done may be unblocked. */
+    /** Unblocks the dependents of a job once the record with all its tasks completed is durable. */
     void onWriteAcknowledged(Job job) {
         if (job.persistence.isCompletionDurable()) {
             state.dependencies().onDone(job.jobId(), state.wallMicros());
@@ -232,7 +242,10 @@
         state.requestPlacement();
     }
 
-    /** Stops all attempts of a job that is over; what was never sent is removed at once. */
+    /**
+     * Stops all attempts of a job that has ended; those whose start was never sent are removed at
+     * once.
+     */
     public void stopAllAttempts(Job job) {
         for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
             if (attempt.wasNeverSent()) {
--- a/src/main/java/org/woadloom/core/jobs/PersistenceState.java
+++ b/src/main/java/org/woadloom/core/jobs/PersistenceState.java
@@ -1,44 +1,43 @@
 package org.woadloom.core.jobs;
 
 /**
- * How a job's durable record stands against what the scheduler knows.
+ * Tracks how far a job's stored record reflects what the scheduler knows.
  *
- * <p>Every write has a version, counted per job and term. One write is in flight at a time; the
- * request that is open, or needed before the next write, is the {@link Exchange}:
+ * <p>Each write has a version, counted per job and term. At most one request is in flight per job;
+ * its state is the {@link Exchange}:
  *
  * <pre>
  * IDLE ----- startWrite --------------------------&gt; WRITING
  * WRITING -- onWriteConfirmed, onWriteRefused -----&gt; IDLE
- * WRITING -- requireRead (outcome not clear) -----&gt; READ_NEEDED
+ * WRITING -- requireRead (outcome unknown) -------&gt; READ_NEEDED
  * READ_NEEDED -- startRead -----------------------&gt; READING
  * READING -- onReadFailed ------------------------&gt; READ_NEEDED
  * READING -- onRecordRead ------------------------&gt; IDLE
- * READING -- onReplaced --------------------------&gt; REPLACED, for good
+ * READING -- onReplaced --------------------------&gt; REPLACED (terminal)
  * </pre>
  */
 public final class PersistenceState {
-    /** Why the record must be written: the more urgent the change, the later in this order. */
+    /** How urgently the record must be written, from least to most urgent. */
     public enum WriteUrgency {
         NONE,
-        /** Tasks have moved on without an end, such as from pulling to running. */
+        /** A task has changed state without ending, such as from pulling its image to running. */
         TASK_PROGRESS,
-        /** Tasks have ended or are gone. */
+        /** A task has ended or was lost. */
         TASK_ENDED,
-        /** Users or start commands wait for the write. */
+        /** A user or a start command waits for the write. */
         IMMEDIATE
     }
 
     private enum Exchange {
         IDLE,
         WRITING,
-        /** A write has met a conflict or its answer was lost: nothing is known of the record. */
+        /** A write failed with a conflict or got no response, so the stored record must be read. */
         READ_NEEDED,
         READING,
-        /** A final state that is not this leader's has taken the record's place. */
+        /** Another writer's final state has replaced the record. */
         REPLACED
     }
 
-    /** In place of a version. */
     private static final long NO_VERSION = 0;
 
     private final Runnable onWriteNeeded;
@@ -46,10 +45,10 @@
     private long revision;
     private long durableVersion;
 
-    /** The first version in which all tasks are completed. */
+    /** The first version that has all tasks completed. */
     private long completionVersion = NO_VERSION;
 
-    /** The version of the last write until its outcome is clear. */
+    /** The version of the last write while its outcome is unknown. */
     private long versionInFlight = NO_VERSION;
 
     private long nextVersion = 1;
@@ -57,22 +56,22 @@
     private boolean readAsComplete;
     private boolean finalStateInFlight;
 
-    /** Half of the range, so that differences to it do not overflow. */
+    /** Half of the range, so that subtracting it cannot overflow. */
     private long lastWriteMicros = Long.MIN_VALUE / 2;
 
     private long retryAtMicros;
 
     /**
-     * @param onWriteNeeded called when there is a more urgent reason to write than before
+     * @param onWriteNeeded called when the urgency of the pending write rises
      */
     PersistenceState(long revision, Runnable onWriteNeeded) {
         this.revision = revision;
         this.onWriteNeeded = onWriteNeeded;
     }
 
-    // What is to be done.
+    // Pending work.
 
-    /** Asks for a write; one that is already asked for keeps the more urgent reason. */
+    /** Requests a write. If one is pending already, the more urgent of the two applies. */
     public void requestWrite(WriteUrgency reason) {
         if (reason.compareTo(pendingReason) > 0) {
             pendingReason = reason;
@@ -84,63 +83,68 @@
         return pendingReason;
     }
 
-    /** True while there is anything to write or to read. */
+    /** True while a write or a read is pending. */
     boolean needsExchange() {
         return pendingReason != WriteUrgency.NONE || isReadNeeded();
     }
 
     /**
-     * True while no write may leave before the record was read, whether that read is open or not.
+     * True while the record must be read before the next write, including while that read is in
+     * flight.
      */
     boolean isReadNeeded() {
         return exchange == Exchange.READ_NEEDED || exchange == Exchange.READING;
     }
 
-    /** True while a read that is needed is open. */
     boolean isReading() {
         return exchange == Exchange.READING;
     }
 
-    /** True if a write may leave now. */
     boolean isIdle() {
         return exchange == Exchange.IDLE;
     }
 
     /**
-     * True once another's final state has taken the record's place: nothing is written any more.
+     * True once another writer's final state has replaced the record; nothing is written after
+     * that.
      */
     boolean isReplaced() {
         return exchange == Exchange.REPLACED;
     }
 
-    /** No request leaves before this time. */
+    /** The earliest time of the next request. */
     long retryAtMicros() {
         return retryAtMicros;
     }
 
-    /** When the last write left, long ago if there was none. */
+    /** When the last write was sent; far in the past if there was none. */
     long lastWriteMicros() {
         return lastWriteMicros;
     }
 
     // Versions and revisions.
 
-    /** The version that the next write will have; a change made now is durable with it. */
+    /** The version of the next write. A change made now is durable once this version is. */
     public long nextVersion() {
         return nextVersion;
     }
 
-    /** Versions up to this one are durable. */
+    /** The highest version known to be in the store. */
     public long durableVersion() {
         return durableVersion;
     }
 
-    /** The record names this version of the current term, whatever became of the write's answer. */
+    /**
+     * Records that the store holds this version of the current term, whether or not the write got a
+     * response.
+     */
     void onVersionRead(long version) {
         durableVersion = version;
     }
 
-    /** The record's revision as far as known: the condition of the next write. */
+    /**
+     * The latest known revision of the record in the store; the next write is conditional on it.
+     */
     long revision() {
         return revision;
     }
@@ -149,13 +153,13 @@
         revision = readRevision;
     }
 
-    /** True once the store says that all tasks are completed. */
+    /** True once the stored record has all tasks completed. */
     boolean isCompletionDurable() {
         return readAsComplete
                 || (completionVersion != NO_VERSION && durableVersion >= completionVersion);
     }
 
-    /** The record as it was read says that all tasks are completed. */
+    /** Records that all tasks are completed in the record that was read. */
     void onReadAsComplete() {
         readAsComplete = true;
     }
@@ -163,10 +167,10 @@
     // Writes.
 
     /**
-     * A write leaves.
+     * Starts a write.
      *
-     * @param allCompleted whether it says that all tasks are completed
-     * @return its version
+     * @param allCompleted whether the written record has all tasks completed
+     * @return the version of the write
      */
     long startWrite(long nowMicros, boolean allCompleted) {
         exchange = Exchange.WRITING;
@@ -179,18 +183,18 @@
         return versionInFlight;
     }
 
-    /** The same for the job's final state. */
+    /** Starts the write of the job's final state. */
     long startFinalWrite(long nowMicros, boolean allCompleted) {
         finalStateInFlight = true;
         return startWrite(nowMicros, allCompleted);
     }
 
-    /** True for the version of the last write as long as its outcome is not clear. */
+    /** True if this version is in flight, or its outcome is unknown. */
     boolean isInFlight(long version) {
         return versionInFlight == version;
     }
 
-    /** The same where that write is of the final state. */
+    /** True if the write in flight is of the final state and has this version. */
     boolean isFinalStateInFlight(long version) {
         return finalStateInFlight && versionInFlight == version;
     }
@@ -205,7 +209,8 @@
     }
 
     /**
-     * The write was not executed; what it held is still to be written, not before the given time.
+     * Handles a write that was not executed. Its changes stay pending, and the retry waits until
+     * the given time.
      */
     void onWriteRefused(long retryAtMicros) {
         versionInFlight = NO_VERSION;
@@ -219,26 +224,29 @@
 
     // Reads.
 
-    /** Nothing may be concluded from the last write: the record is read before the next one. */
+    /** The outcome of the last write is unknown; requires a read before the next write. */
     void requireRead() {
         if (!isReplaced()) {
             exchange = Exchange.READ_NEEDED;
         }
     }
 
-    /** A read leaves; if it gets no answer another may leave at the given time. */
+    /** Starts a read. If it gets no response, another one may start at the given time. */
     void startRead(long retryAtMicros) {
         exchange = Exchange.READING;
         this.retryAtMicros = retryAtMicros;
     }
 
-    /** The read got no answer; another may leave at the given time. */
+    /** Handles a read without a response; another one may start at the given time. */
     void onReadFailed(long retryAtMicros) {
         exchange = Exchange.READ_NEEDED;
         this.retryAtMicros = retryAtMicros;
     }
 
-    /** The record was read: everything is written again, on the revision that was read. */
+    /**
+     * Handles a completed read: the whole state is written again, conditional on the revision that
+     * was read.
+     */
     void onRecordRead() {
         versionInFlight = NO_VERSION;
         finalStateInFlight = false;
@@ -246,7 +254,7 @@
         requestWrite(WriteUrgency.IMMEDIATE);
     }
 
-    /** The read found no record: a final state that is not this leader's has taken its place. */
+    /** Handles a read that found no record: another writer's final state has replaced it. */
     void onReplaced() {
         exchange = Exchange.REPLACED;
         pendingReason = WriteUrgency.NONE;
--- a/src/main/java/org/woadloom/core/jobs/PreemptionBackoff.java
+++ b/src/main/java/org/woadloom/core/jobs/PreemptionBackoff.java
@@ -1,27 +1,30 @@
 package org.woadloom.core.jobs;
 
 /**
- * How long a job whose tasks were preempted waits before it is placed again.
+ * Computes how long a job whose tasks were preempted waits before it is placed again.
  *
- * <p>Started again at once in whatever gap there is, its tasks would be preempted again for the
- * next job of a higher priority, dozens of times. The wait doubles with each preemption up to
- * {@link #MAX_DOUBLINGS} and starts anew after a time without any.
+ * <p>Without the delay, its tasks would start at once on whatever is free and be preempted dozens
+ * of times for the next jobs of higher priority. The delay doubles with each preemption, up to
+ * {@link #MAX_DOUBLINGS} times, and is reset after a time without preemption.
  */
 final class PreemptionBackoff {
-    /** Half of the wait after the first preemption. */
+    /** Half of the delay after the first preemption. */
     private static final long BASE_MICROS = 1_500_000;
 
     private static final int MAX_DOUBLINGS = 3;
 
-    /** After so long without a preemption the next one counts as the first. */
+    /** A preemption after at least this long without one counts as the first. */
     private static final long MEMORY_MICROS = 30_000_000;
 
     private int recentPreemptions;
 
-    /** Half of the range, so that differences to it do not overflow. */
+    /** Half of the range, so that subtracting it cannot overflow. */
     private long lastPreemptionMicros = Long.MIN_VALUE / 2;
 
-    /** Tasks of the job are preempted; those of one pass count as one preemption. */
+    /**
+     * Records that tasks of the job were preempted; all of one scheduling pass count as one
+     * preemption.
+     */
     void onPreempted(long nowMicros) {
         if (nowMicros == lastPreemptionMicros) {
             return;
@@ -31,7 +34,10 @@
         lastPreemptionMicros = nowMicros;
     }
 
-    /** Ends the wait: at another priority earlier preemptions say nothing. */
+    /**
+     * Ends the delay. Called when the job's priority changes: preemptions at another priority do
+     * not predict the next one.
+     */
     void reset() {
         recentPreemptions = 0;
     }
--- a/src/main/java/org/woadloom/core/jobs/RecentJobSizes.java
+++ b/src/main/java/org/woadloom/core/jobs/RecentJobSizes.java
@@ -4,9 +4,8 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** How many processors the latest jobs asked for in all their tasks together, job by job. */
+/** A sliding window of the total CPU requested by each of the most recent jobs. */
 final class RecentJobSizes {
-    /** The quantile from which on a job is large. */
     private static final double LARGE_QUANTILE = 0.9;
 
     private final int kept;
@@ -31,7 +30,7 @@
         large = sorted.get((int) Math.ceil(sorted.size() * LARGE_QUANTILE) - 1);
     }
 
-    /** What nine in ten of them did not exceed; 0 as long as there was none. */
+    /** The 90th percentile of the window; 0 while it is empty. */
     long large() {
         return large;
     }
--- a/src/main/java/org/woadloom/core/jobs/TaskAttempt.java
+++ b/src/main/java/org/woadloom/core/jobs/TaskAttempt.java
@@ -5,10 +5,11 @@
 import org.woadloom.protocol.TaskStatus;
 
 /**
- * One attempt to run a task on a machine. It counts against machine and quota from the moment it is
- * planned until there is proof that it is not on the machine and never will be.
+ * One attempt to run a task on a machine. It counts against the machine's resources and the team's
+ * quota from when it is planned until there is proof that the agent does not have it and can no
+ * longer start it.
  *
- * <p>Its {@link Stage} changes only in the methods of this class:
+ * <p>Only the methods of this class change its {@link Stage}:
  *
  * <table>
  * <caption>Transitions</caption>
@@ -19,52 +20,60 @@
  * <tr><td>{@link #markReady}</td><td>PLANNED</td><td>READY</td>
  *     <td>the record that names it is durable</td></tr>
  * <tr><td>{@link #onStartSent}</td><td>READY</td><td>SENT</td>
- *     <td>a direct command leaves</td></tr>
+ *     <td>the start is sent as a direct command</td></tr>
  * <tr><td>{@link #onStartSentInResponse}</td><td>READY</td><td>SENT_IN_RESPONSE</td>
- *     <td>a heartbeat is answered</td></tr>
+ *     <td>the start is sent in the response to a heartbeat</td></tr>
  * <tr><td>{@link #markReady}</td><td>SENT, SENT_IN_RESPONSE</td><td>READY</td>
- *     <td>the command is proven not to have been executed</td></tr>
+ *     <td>the start command provably was not executed</td></tr>
  * <tr><td>{@link #onStartUnanswered}</td><td>SENT</td><td>UNANSWERED</td>
- *     <td>no answer came to the direct command</td></tr>
+ *     <td>the direct command got no response</td></tr>
  * <tr><td>{@link #onConfirmed}</td><td>any but PLANNED</td><td>CONFIRMED</td>
- *     <td>the agent answers or lists it</td></tr>
+ *     <td>the agent acknowledges or lists it</td></tr>
  * </table>
  *
- * <p>That a task is to stop is independent of the stage.
+ * <p>Whether the task is to stop is independent of the stage.
  */
 public final class TaskAttempt {
-    /** How far the start has come. */
+    /** Progress of the start command. */
     public enum Stage {
-        /** Decided; the record that names it is not yet known to be durable. */
+        /** Placed; the record that names it is not known to be durable. */
         PLANNED,
-        /** Durable and not sent. */
+        /** Named by a durable record; the start command has not been sent. */
         READY,
-        /** Sent directly to the agent, with no answer yet. */
+        /** Sent as a direct command, which awaits its response. */
         SENT,
-        /** Sent directly to the agent without an answer: it may be executed minutes late. */
+        /**
+         * Sent as a direct command that got no response; the agent may still execute it minutes
+         * later.
+         */
         UNANSWERED,
-        /** Sent in the answer to a heartbeat; that agent's next heartbeat settles it. */
+        /**
+         * Sent in the response to a heartbeat; the agent's next heartbeat shows whether it was
+         * executed.
+         */
         SENT_IN_RESPONSE,
         /** The agent is known to have it. */
         CONFIRMED,
-        /** Loaded from a record that an earlier leader wrote: anything may be true of it. */
+        /**
+         * Loaded from a record that an earlier leader wrote; it may never have been sent, be
+         * running, or have ended.
+         */
         RECOVERED
     }
 
-    /** In place of a time: it has not happened. */
+    /** Placeholder for the time of an event that has not happened. */
     private static final long NOT_YET_MICROS = -1;
 
     public final Job job;
 
-    /** The task's index in its job. */
     public final int taskIndex;
 
     public final Machine machine;
 
-    /** The attempt's number, which no other attempt of the task has. */
+    /** Unique among the attempts of the task, also across leaders. */
     public final long attemptNumber;
 
-    /** The version of the job's record that first names this attempt. */
+    /** The first version of the job's record that names this attempt. */
     public final long recordVersion;
 
     public final long placedMicros;
@@ -98,36 +107,39 @@
         return stage;
     }
 
-    /** True while no start command of this attempt can ever have left. */
+    /** True if no start command for this attempt can have been sent. */
     public boolean wasNeverSent() {
         return stage == Stage.PLANNED || stage == Stage.READY;
     }
 
-    /** The attempt was read from a record that an earlier leader wrote. */
+    /** Marks the attempt as loaded from a record that an earlier leader wrote. */
     public void onRecovered() {
         stage = Stage.RECOVERED;
     }
 
-    /** The start command may be sent, or sent again. */
+    /** Allows the start command to be sent, or sent again. */
     public void markReady() {
         stage = Stage.READY;
         machine.markPendingCommands();
     }
 
-    /** The start command leaves, directly, under the given token. */
+    /** Records that the start was sent as a direct command with the given fencing token. */
     public void onStartSent(long token) {
         stage = Stage.SENT;
         startToken = token;
     }
 
-    /** The start command leaves in the answer to the heartbeat of the given sequence. */
+    /**
+     * Records that the start was sent in the response to the heartbeat with the given sequence
+     * number.
+     */
     public void onStartSentInResponse(long sequence, long token) {
         stage = Stage.SENT_IN_RESPONSE;
         startHeartbeatSequence = sequence;
         startToken = token;
     }
 
-    /** No answer came to the direct command that started it. */
+    /** Records that the direct command with the start got no response. */
     public void onStartUnanswered() {
         stage = Stage.UNANSWERED;
     }
@@ -137,17 +149,17 @@
         stage = Stage.CONFIRMED;
     }
 
-    /** The fencing token under which the last start command was sent. */
+    /** The fencing token of the last start command. */
     public long startToken() {
         return startToken;
     }
 
-    /** The sequence of the heartbeat in whose answer the start command was last sent. */
+    /** The sequence number of the heartbeat whose response last carried the start command. */
     public long startHeartbeatSequence() {
         return startHeartbeatSequence;
     }
 
-    /** The state that the agent last reported, null before the first. */
+    /** The state last reported by the agent, or null before the first report. */
     public TaskStatus.State reportedState() {
         return reportedState;
     }
@@ -156,7 +168,7 @@
         reportedState = state;
     }
 
-    /** The number of the last message of the agent that listed it. */
+    /** The number of the agent's latest message that listed this attempt. */
     public long lastListingMessage() {
         return lastListingMessage;
     }
@@ -165,7 +177,7 @@
         lastListingMessage = messageNumber;
     }
 
-    /** When it was first seen running, negative before that. */
+    /** When the agent first reported it as running; negative before that. */
     public long runningSinceMicros() {
         return runningSinceMicros;
     }
@@ -174,12 +186,12 @@
         runningSinceMicros = nowMicros;
     }
 
-    /** True for a task that is to stop; its start command is never sent again. */
+    /** True once the task is to stop. Its start command is not sent again then. */
     public boolean isStopping() {
         return isStopping;
     }
 
-    /** The task is to stop within the given time, in which it may save a checkpoint. */
+    /** Requests that the task stops, with the given time to save a checkpoint. */
     public void requestStop(double gracePeriod) {
         gracePeriodSeconds = gracePeriod;
         if (!isStopping) {
@@ -192,7 +204,7 @@
         return gracePeriodSeconds;
     }
 
-    /** When the stop command was last sent, negative while it has to be sent. */
+    /** When the stop command was last sent; negative while it has yet to be sent. */
     public long stopSentMicros() {
         return stopSentMicros;
     }
@@ -201,7 +213,7 @@
         stopSentMicros = nowMicros;
     }
 
-    /** A stop command that was sent may not have arrived: it has to be sent again. */
+    /** Requests that the stop command is sent again, because it may not have arrived. */
     public void resendStop() {
         stopSentMicros = NOT_YET_MICROS;
     }
--- a/src/main/java/org/woadloom/core/jobs/TaskSet.java
+++ b/src/main/java/org/woadloom/core/jobs/TaskSet.java
@@ -3,11 +3,11 @@
 import java.util.BitSet;
 
 /**
- * Which tasks of a job are completed and which are taken, by index.
+ * Tracks by index which tasks of a job are completed and which are assigned.
  *
- * <p>A task is taken while an attempt of it exists and for good once it is completed; every other
- * task is pending. The counts are kept beside the bits, as they are asked for every job in every
- * pass.
+ * <p>A task is assigned while an attempt of it exists, and for good once it is completed; every
+ * other task is pending. The counts are stored, not computed, because each pass reads them for
+ * every job.
  */
 final class TaskSet {
     private final int size;
@@ -17,8 +17,8 @@
     private int takenCount;
 
     /**
-     * @param size how many tasks the job has
-     * @param completed the tasks that are completed already; copied
+     * @param size number of tasks of the job
+     * @param completed the tasks that are already completed; copied
      */
     TaskSet(int size, BitSet completed) {
         this.size = size;
@@ -40,23 +40,23 @@
         return completedCount == size;
     }
 
-    /** The completed tasks themselves, to be read only. */
+    /** The completed tasks; not a copy, callers must not modify it. */
     BitSet completed() {
         return completed;
     }
 
-    /** How many tasks are neither taken nor completed. */
+    /** Number of tasks that are neither assigned nor completed. */
     int pendingCount() {
         return size - takenCount;
     }
 
-    /** The first pending task from the given index on, or {@link Job#NO_TASK}. */
+    /** Returns the first pending task at or after the given index, or {@link Job#NO_TASK}. */
     int nextPending(int from) {
         int next = taken.nextClearBit(from);
         return next < size ? next : Job.NO_TASK;
     }
 
-    /** Takes a task for an attempt. */
+    /** Marks a task as assigned to an attempt. */
     void take(int index) {
         if (!taken.get(index)) {
             taken.set(index);
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Makes a task pending again, unless it is completed. */
+    /** Makes a task pending again unless it is completed. */
     void release(int index) {
         if (!completed.get(index) && taken.get(index)) {
             taken.clear(index);
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Marks a task as completed; false if it was so already. */
+    /** Marks a task as completed; returns false if it already was. */
     boolean complete(int index) {
         if (completed.get(index)) {
             return false;
--- a/src/main/java/org/woadloom/core/jobs/package-info.java
+++ b/src/main/java/org/woadloom/core/jobs/package-info.java
@@ -1,8 +1,9 @@
 /**
- * The jobs that are not over: their tasks, attempts, dependencies and stored records.
+ * Jobs that have not ended: their tasks, attempts, dependencies and stored records.
  *
- * <p>JobRegistry owns which jobs there are, JobPersister when their records are read and written,
- * DependencyGraph which of them wait for others. Depends on the scheduler's state, machines, quota
- * and the stored forms; starts with {@link org.woadloom.core.jobs.JobRegistry}.
+ * <p>JobRegistry owns the set of jobs, JobPersister schedules reads and writes of their records,
+ * and DependencyGraph tracks which jobs wait for others. The package depends on the scheduler's
+ * state, machines, quota and the stored records. Start reading with {@link
+ * org.woadloom.core.jobs.JobRegistry}.
  */
 package org.woadloom.core.jobs;
--- a/src/main/java/org/woadloom/core/liveness/AgentLiveness.java
+++ b/src/main/java/org/woadloom/core/liveness/AgentLiveness.java
@@ -3,17 +3,22 @@
 import org.woadloom.protocol.Heartbeat;
 
 /**
- * What is known of one agent's messages and of its receiving ours: which of its messages is the
- * newest, when it was certainly alive, and whether it has acknowledged the present token. Copies of
- * its heartbeats may come minutes late, and heartbeats may come from an agent that nothing reaches;
- * only the token that a message carries, and the command that it answers, tell when it was made.
+ * Tracks the liveness of one agent: which of its messages is the newest, when it was certainly
+ * alive, and whether it has acknowledged the current fencing token.
+ *
+ * <p>Duplicates of its heartbeats may arrive minutes late, and an agent may send heartbeats while
+ * nothing reaches it. When a message was created follows only from the token that it carries and
+ * from the command to which it responds.
  */
 public final class AgentLiveness {
-    /** A fencing token is the term, followed by so many bits that count within the term. */
+    /**
+     * A fencing token consists of the term and, in this many low bits, a counter within the term.
+     */
     public static final int FENCE_BITS = 24;
 
     /**
-     * A time that has not come or is not known; so far from the range's end that differences fit.
+     * Placeholder for a time that is unknown or has not come; far enough from the end of the range
+     * that subtracting it does not overflow.
      */
     public static final long NEVER = Long.MIN_VALUE / 4;
 
@@ -23,29 +28,29 @@
     private long sequence;
     private long minIncarnation;
     private long acknowledgedToken;
-    // The newest heartbeat, as opposed to answers to commands, and when it first arrived.
+    // The newest heartbeat, not counting responses to commands, and when it first arrived.
     private long heartbeatIncarnation;
     private long heartbeatSequence;
     private long heartbeatArrivedMicros = NEVER;
 
-    /** Since when heartbeats have come without a gap that would make it unreachable. */
+    /**
+     * Start of the current series of heartbeats without a gap longer than the unreachable timeout.
+     */
     private long reportingSinceMicros = NEVER;
 
     private long lastAliveMicros = NEVER;
     private long lastHeartbeatMicros = NEVER;
     private long fence;
 
-    /** When the present token first went out, {@link #NEVER} before. */
+    /** When the current token was first sent, or {@link #NEVER}. */
     private long tokenIssuedMicros = NEVER;
 
-    /**
-     * Since when a token is issued that the agent has not acknowledged, {@link #NEVER} for none.
-     */
+    /** Since when a sent token has been unacknowledged, or {@link #NEVER}. */
     private long unacknowledgedSinceMicros = NEVER;
 
     /**
-     * @param fence the first of the term's fences for this agent; none of its messages carries a
-     *     token of this term from before this one
+     * @param fence the agent's first fence in the term; none of its messages carries a token of
+     *     this term with a lower one
      */
     public AgentLiveness(long term, long fence, LivenessTimeouts timeouts) {
         this.term = term;
@@ -57,29 +62,30 @@
         return incarnation;
     }
 
-    /** Messages of incarnations before this one are obsolete: their lease is known to be over. */
+    /** Messages of earlier incarnations are obsolete, because their lease has expired. */
     public long minIncarnation() {
         return minIncarnation;
     }
 
     /**
-     * The lease of the agent's incarnation is known to be over, though the agent has not said so.
+     * Marks the current incarnation's lease as expired, before the agent itself reports a new
+     * incarnation.
      */
     public void expireIncarnation() {
         minIncarnation = incarnation + 1;
     }
 
-    /** The token that commands to this agent carry now. */
+    /** The fencing token that commands to this agent carry now. */
     public long fencingToken() {
         return (term << FENCE_BITS) | fence;
     }
 
-    /** The part of the token that counts within the term. */
+    /** The token's counter within the term. */
     public long fence() {
         return fence;
     }
 
-    /** Returns the present token, which goes out with a command or an answer now. */
+    /** Returns the current token, and records that it is sent now. */
     public long issueToken(long nowMicros) {
         tokenIssuedMicros = tokenIssuedMicros == NEVER ? nowMicros : tokenIssuedMicros;
         if (unacknowledgedSinceMicros == NEVER && !hasAcknowledgedToken()) {
@@ -88,13 +94,16 @@
         return fencingToken();
     }
 
-    /** Voids every command that was sent under the present token and has not arrived. */
+    /**
+     * Switches to a new token. The agent will refuse commands sent under earlier tokens once it has
+     * seen this one.
+     */
     public void incrementFence() {
         fence++;
         tokenIssuedMicros = NEVER;
     }
 
-    /** Asks the agent to acknowledge a new token, unless one is unacknowledged already. */
+    /** Requires an acknowledgement of a new token, unless one is outstanding already. */
     public void requireAcknowledgement() {
         if (hasAcknowledgedToken()) {
             incrementFence();
@@ -102,8 +111,8 @@
     }
 
     /**
-     * The same, where the agent has most likely been unreachable for a while: it gets no new tasks
-     * until it has acknowledged.
+     * Like {@link #requireAcknowledgement}, for an agent that most likely was unreachable for a
+     * while: it counts as suspect at once, and gets no new tasks until it has acknowledged.
      */
     public void markSuspect(long nowMicros) {
         requireAcknowledgement();
@@ -114,35 +123,34 @@
     }
 
     /**
-     * A message carries a token of this term that is higher than ours: it was issued to a machine
-     * of this name that was forgotten since. Such tokens must not be issued again.
+     * Handles a message whose token is of this term and higher than the current one. The token was
+     * issued to a machine of the same name that has been removed since; such tokens must not be
+     * issued again.
      */
     public void advanceFencePast(long fencingToken) {
         fence = (fencingToken & ((1L << FENCE_BITS) - 1)) + 1;
         tokenIssuedMicros = NEVER;
     }
 
-    /** True if the agent has acknowledged the present token. */
+    /** True if the agent has acknowledged the current token. */
     public boolean hasAcknowledgedToken() {
         return acknowledgedToken == fencingToken();
     }
 
     /**
-     * True once the agent has acknowledged a token of this term: it accepts no command of an
-     * earlier leader any more.
+     * True once the agent has acknowledged a token of this term, and so accepts no commands of
+     * earlier leaders.
      */
     public boolean hasAcknowledgedTerm() {
         return acknowledgedToken >> FENCE_BITS == term;
     }
 
-    /**
-     * The last moment at which the agent was certainly alive; {@link #NEVER} while none is known.
-     */
+    /** The latest time at which the agent was certainly alive, or {@link #NEVER}. */
     public long lastAliveMicros() {
         return lastAliveMicros;
     }
 
-    /** The last moment at which the agent is known to have sent a heartbeat. */
+    /** The latest time at which the agent is known to have sent a heartbeat, or {@link #NEVER}. */
     public long lastHeartbeatMicros() {
         return lastHeartbeatMicros;
     }
@@ -152,10 +160,10 @@
     }
 
     /**
-     * Decides what may follow from a message of this agent; nothing else does.
+     * Classifies a message of this agent by its age; no other code decides this.
      *
-     * @param commandSentMicros when the command was sent that the message answers, {@link #NEVER}
-     *     for a heartbeat
+     * @param commandSentMicros when the command was sent to which the message responds, {@link
+     *     #NEVER} for a heartbeat
      */
     public MessageAge classify(Heartbeat heartbeat, long commandSentMicros, long nowMicros) {
         if (heartbeat.incarnation() < minIncarnation
@@ -169,8 +177,8 @@
     }
 
     /**
-     * The earliest moment at which a message that is newer than all before it can have been made:
-     * after those, and after the token that it carries was issued.
+     * Returns the earliest time at which a message that is newer than all before it can have been
+     * created: after those messages, and after the token that it carries was issued.
      */
     private long sentNotBefore(Heartbeat heartbeat, long commandSentMicros) {
         long sentMicros = Math.max(commandSentMicros, lastAliveMicros);
@@ -180,10 +188,10 @@
     }
 
     /**
-     * Takes in a message that is no duplicate.
+     * Updates the state from a message that is not a duplicate.
      *
-     * @param commandSentMicros when the command was sent that it answers, {@link #NEVER} for a
-     *     heartbeat
+     * @param commandSentMicros when the command was sent to which the message responds, {@link
+     *     #NEVER} for a heartbeat
      */
     public void accept(
             Heartbeat heartbeat, MessageAge age, long commandSentMicros, long nowMicros) {
@@ -197,7 +205,7 @@
             lastHeartbeatMicros = Math.max(lastHeartbeatMicros, aliveAtMicros);
         } else if (age == MessageAge.FRESH
                 && nowMicros - heartbeatArrivedMicros <= timeouts.maxFreshAgeMicros()) {
-            // The heartbeat that arrived a moment ago was sent by an agent that is alive.
+            // The agent is alive now, so it was when it sent the recent heartbeat.
             lastHeartbeatMicros = Math.max(lastHeartbeatMicros, heartbeatArrivedMicros);
         }
         if (heartbeat.fencingToken() > acknowledgedToken) {
@@ -210,22 +218,23 @@
     }
 
     /**
-     * The last moment at which the agent may have been alive: at the latest when its last heartbeat
-     * arrived, which may have been in transit for long.
+     * The latest time at which the agent may have been alive: the arrival of its last heartbeat,
+     * which may have been in transit for long, counts too.
      */
     public long lastPossiblyAliveMicros() {
         return Math.max(lastAliveMicros, heartbeatArrivedMicros);
     }
 
-    /** The deletion of the machine was confirmed at this moment. */
+    /** Records that the cloud confirmed the deletion of the machine. */
     public void onMachineDeleted(long nowMicros) {
         lastAliveMicros = nowMicros;
     }
 
     /**
-     * Whether an answer that is given now may renew the agent's lease. An agent has one heartbeat
-     * in flight at a time and gives it up after a timeout: no agent waits for the answer to an
-     * earlier one, whoever still delivers it.
+     * Records the arrival of a heartbeat. Returns true if the agent may still be waiting for the
+     * response, which then renews its lease. An agent has one heartbeat in flight at a time and
+     * gives it up after a timeout, so no agent waits for the response to an earlier heartbeat,
+     * whichever node delivers it.
      */
     public boolean recordHeartbeatArrival(Heartbeat heartbeat, long nowMicros) {
         if (heartbeat.isNewerThan(heartbeatIncarnation, heartbeatSequence)) {
@@ -243,15 +252,16 @@
                 && nowMicros - heartbeatArrivedMicros <= timeouts.responseTimeoutMicros();
     }
 
-    /** True while a token is unacknowledged for too long: the agent gets no new tasks. */
+    /**
+     * True while a token has been unacknowledged for too long; the agent gets no new tasks then.
+     */
     public boolean isSuspect(long nowMicros) {
         return unacknowledgedSinceMicros != NEVER
                 && nowMicros - unacknowledgedSinceMicros > timeouts.maxFreshAgeMicros();
     }
 
     /**
-     * True for an agent that goes on sending heartbeats, though nothing that we send has reached it
-     * for a while.
+     * True if the agent keeps sending heartbeats, but nothing sent to it has arrived for a while.
      */
     public boolean isUnreachable(long nowMicros) {
         return unacknowledgedSinceMicros != NEVER
@@ -261,14 +271,14 @@
                 && isSendingHeartbeats(nowMicros);
     }
 
-    /** True while its heartbeats come, fresh or not. */
+    /** True while heartbeats of the agent arrive, fresh or delayed. */
     public boolean isSendingHeartbeats(long nowMicros) {
         return nowMicros - heartbeatArrivedMicros <= timeouts.unreachableMicros();
     }
 
     /**
-     * For how long it has sent heartbeats without acknowledging the token; 0 for an agent that is
-     * reachable.
+     * How long the agent has sent heartbeats without acknowledging the current token; 0 if none is
+     * outstanding.
      */
     public long unacknowledgedForMicros(long nowMicros) {
         return unacknowledgedSinceMicros == NEVER
--- a/src/main/java/org/woadloom/core/liveness/MessageAge.java
+++ b/src/main/java/org/woadloom/core/liveness/MessageAge.java
@@ -1,18 +1,18 @@
 package org.woadloom.core.liveness;
 
-/** What is known of the time at which an agent's message was made. */
+/** Classification of an agent's message by when it may have been created. */
 public enum MessageAge {
     /**
-     * A newer message was received before, or the incarnation's lease is known to be over: nothing
-     * follows from the message.
+     * A newer message has arrived before, or the incarnation's lease has expired. The message is to
+     * be ignored.
      */
     DUPLICATE,
     /**
-     * Newer than anything received, but it may have been in transit for long. What it says of
-     * tasks, in the order of sequence numbers, holds for ever; that the agent lives and is
-     * reachable now does not follow from it.
+     * Newer than any message received before, but possibly long in transit. What it says of tasks
+     * is valid, in the order of sequence numbers; it does not show that the agent is alive or
+     * reachable now.
      */
     POSSIBLY_DELAYED,
-    /** Made just now. */
+    /** Created just now. */
     FRESH
 }
--- a/src/main/java/org/woadloom/core/liveness/package-info.java
+++ b/src/main/java/org/woadloom/core/liveness/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Failure detection: what is known from an agent's messages, which may be copies or minutes late.
+ * Failure detection for agents, whose messages may be duplicated or minutes late.
  *
- * <p>The entry type is {@link org.woadloom.core.liveness.AgentLiveness}, one for each machine. The
- * package depends on {@code protocol} alone, and reads no clock: each call is given the time.
+ * <p>The main type is {@link org.woadloom.core.liveness.AgentLiveness}, one instance per machine.
+ * The package depends only on {@code protocol}, and reads no clock: callers pass the time.
  */
 package org.woadloom.core.liveness;
--- a/src/main/java/org/woadloom/core/placement/CandidateMachines.java
+++ b/src/main/java/org/woadloom/core/placement/CandidateMachines.java
@@ -12,42 +12,59 @@
 import org.woadloom.protocol.JobDescription;
 
 /**
- * The machines for one job's tasks, best first.
+ * Ranks the machines that the tasks of one job fit on, best first.
  *
- * <p>All are scored once; after that only what comes to the top of the queue is scored again. That
- * is as good as scoring all each time, since placing a task makes no machine but its own better.
+ * <p>Each machine is scored once; after that, only the head of the queue is scored again. The
+ * result is the same as with scoring all machines for each task, because placing a task improves
+ * the score of no machine but its own.
  *
- * <p>A score is a sum of the weights below; what decides first has the larger weight.
+ * <p>A score is the sum of the weights below. The larger the weight, the higher its precedence.
  */
 final class CandidateMachines {
-    /** More than all else together: a job's reservation is drawn before any other machine. */
+    /**
+     * Exceeds the sum of all other weights: a job uses its own reservations before any other
+     * machine.
+     */
     private static final double RESERVED_WEIGHT = 100_000;
 
-    /** For each task of a job that must stay in one zone which fits into the machine's zone. */
+    /**
+     * Per pending task that fits into the machine's zone, for a job whose tasks must all be in one
+     * zone.
+     */
     private static final double ZONE_FIT_WEIGHT = 1000;
 
-    /** Against a machine for each replica of the service there: they are lost together. */
+    /**
+     * Penalty per replica of the service that is on the machine already, as they would fail
+     * together.
+     */
     private static final double REPLICA_WEIGHT = 1000;
 
-    /** Against ordinary machines of a scarce zone, for work that could go elsewhere. */
+    /** Penalty for on-demand machines in a scarce zone, for jobs that could use another zone. */
     private static final double SCARCE_ZONE_WEIGHT = 300;
 
-    /** The same for replicas that must spread: only the odd one is to go to another zone. */
+    /**
+     * The same penalty for jobs that must spread over zones. Larger than one {@link #SPREAD_WEIGHT}
+     * and smaller than two, so that it only moves the odd task to another zone.
+     */
     private static final double SCARCE_ZONE_SPREAD_WEIGHT = 15;
 
-    /** For an image that is there: to pull one may make a start miss its objective. */
+    /** For a machine that has the image: a pull may make the start miss its objective. */
     private static final double IMAGE_WEIGHT = 100;
 
     /**
-     * For the cheapest machine, less than the image: expensive machines become idle first, and
-     * ordinary ones keep resources for work that may not use spot machines.
+     * For the cheapest machine, in proportion for others. Expensive machines then become idle
+     * first, and on-demand machines keep resources for jobs that may not use spot machines. Below
+     * the weight of the image.
      */
     private static final double PRICE_WEIGHT = 50;
 
-    /** For a full machine, in proportion to its use: idle machines can be scaled in. */
+    /**
+     * For a full machine, in proportion to its utilization: packing leaves machines idle that can
+     * be scaled in.
+     */
     private static final double UTILIZATION_WEIGHT = 20;
 
-    /** Against a zone for each task there of a job that spreads. */
+    /** Penalty per task in the machine's zone, for a job that spreads over zones. */
     private static final double SPREAD_WEIGHT = 10;
 
     private final Job job;
@@ -56,7 +73,7 @@
     private final Reservations reservations;
     private final PriorityQueue<Candidate> queue = new PriorityQueue<>();
 
-    /** Replicas of the job by machine; empty for other jobs. */
+    /** Number of replicas of the job on each machine; empty unless the job is a service. */
     private final Map<Machine, Integer> replicas = new HashMap<>();
 
     private final Map<String, Integer> fitsByZone = new HashMap<>();
@@ -127,7 +144,7 @@
         }
     }
 
-    /** The best machine that one more task fits into, or null. */
+    /** Returns the best machine that one more task fits on, or null. */
     Machine next() {
         while (!queue.isEmpty()) {
             Candidate first = queue.poll();
@@ -146,7 +163,7 @@
         return null;
     }
 
-    /** The machine that {@link #next} returned last has got a task, and may take another. */
+    /** Scores the machine that {@link #next} returned last again, after a task was placed on it. */
     void onPlaced() {
         if (job.description.isService()) {
             replicas.merge(taken.machine, 1, Integer::sum);
@@ -157,14 +174,14 @@
         }
     }
 
-    /** True while the next task decides the zone of all others. */
+    /** True if the next task determines the zone of all others. */
     private boolean isFirstOfZone() {
         return job.description.sameZone() && job.attempts().isEmpty();
     }
 
     private boolean fits(Machine machine) {
-        // The cheapest check first: reservations only take from what is not in use, and most
-        // machines fail already at that.
+        // The cheapest check is first: reservations only reduce the free resources, so most
+        // machines fail here already.
         return machine.balance().contains(job.taskResources)
                 && reservations.unreserved(machine, job).contains(job.taskResources)
                 && job.allowedTasks(reservations.credit(job, machine)) >= 1
@@ -172,7 +189,10 @@
                 && !job.failedOnHosts.contains(machine.host);
     }
 
-    /** The order of the sums is part of the result, as these are floating-point numbers. */
+    /**
+     * The order of the additions is part of the result, because floating-point addition is not
+     * associative.
+     */
     private double score(Machine machine) {
         JobDescription description = job.description;
         double score = 0;
--- a/src/main/java/org/woadloom/core/placement/IncrementalSearch.java
+++ b/src/main/java/org/woadloom/core/placement/IncrementalSearch.java
@@ -5,8 +5,8 @@
 import org.woadloom.core.jobs.Job;
 
 /**
- * A search on behalf of many jobs that is spread over steps: each step examines a bounded number of
- * machines, and the next one goes on with the jobs that were not visited.
+ * A search over many jobs that is split into steps. Each step examines a bounded number of
+ * machines, and the next step continues with the jobs not visited yet.
  */
 public final class IncrementalSearch {
     private final int maxMachinesPerStep;
@@ -15,45 +15,45 @@
     private long examinedBeforeStep;
 
     /**
-     * @param maxMachinesPerStep how many machines one step examines at most, each counted anew for
-     *     each job
+     * @param maxMachinesPerStep maximum number of machines that one step examines; a machine counts
+     *     once for each job
      */
     public IncrementalSearch(int maxMachinesPerStep) {
         this.maxMachinesPerStep = maxMachinesPerStep;
     }
 
-    /** A step begins. */
+    /** Starts a step with a new budget. */
     public void beginStep() {
         examinedBeforeStep = machinesExamined;
     }
 
-    /** True if this search was made for the job already. */
     public boolean isVisited(Job job) {
         return visited.contains(job);
     }
 
-    /** True if this step may examine so many more machines, or has not examined any yet. */
+    /**
+     * True if this step may examine this many more machines. The first search of a step is always
+     * allowed, or a job that needs more than a step's budget would block all others.
+     */
     public boolean mayExamine(long machines) {
         long examinedInStep = machinesExamined - examinedBeforeStep;
         return examinedInStep == 0 || examinedInStep + machines <= maxMachinesPerStep;
     }
 
-    /** The search for the job is made now. */
     public void markVisited(Job job) {
         visited.add(job);
     }
 
-    /** So many machines are examined. */
     public void addExamined(int machines) {
         machinesExamined += machines;
     }
 
-    /** The search was made for every job: what follows is another one. */
+    /** Ends the search, after it has visited every job; the next one starts with no job visited. */
     public void reset() {
         visited.clear();
     }
 
-    /** How many machines were examined since this was made. */
+    /** Total number of machines examined so far, over all steps. */
     public long machinesExamined() {
         return machinesExamined;
     }
--- a/src/main/java/org/woadloom/core/placement/PendingReason.java
+++ b/src/main/java/org/woadloom/core/placement/PendingReason.java
@@ -2,30 +2,30 @@
 
 import java.util.Locale;
 
-/** Why the next task of a job is not placed at this moment. */
+/** Why the next task of a job is not placed now. */
 public enum PendingReason {
-    /** Tasks of the job were preempted a moment ago. */
+    /** Tasks of the job were preempted recently. */
     BACKING_OFF,
-    /** A task of the job failed or was refused a moment ago. */
+    /** A task of the job failed, or an agent refused it, recently. */
     RETRY_DELAY,
-    /** The team uses too much of its limit. */
+    /** The rest of the team's limit is smaller than the task. */
     TEAM_LIMIT,
-    /** What is left of the limit is held for lost tasks of other jobs of the team. */
+    /** The rest of the team's limit is held for lost tasks of its other jobs. */
     HELD_FOR_LOST_TASKS,
-    /** What is left of the limit is kept for the job that has its turn. */
+    /** The rest of the team's limit is kept for the job whose turn it is. */
     KEPT_FOR_TURN,
-    /** What is left of the limit is kept for other classes of the team. */
+    /** The rest of the team's limit is kept for its other job classes. */
     KEPT_FOR_CLASSES,
-    /** No machine that the job may use accepts tasks. */
+    /** No machine that the job may use accepts tasks now. */
     NO_MACHINE,
-    /** The machines that the job may use are in use or reserved. */
+    /** All machines that the job may use and that accept tasks lack free, unreserved resources. */
     NO_FREE_MACHINE,
-    /** There is a place, but not for all tasks that have to start together. */
+    /** A single task fits, but not all tasks of the gang at once. */
     INCOMPLETE_GANG,
-    /** Nothing of this: the next search is to place it. */
+    /** None of the above: the next search is expected to place the task. */
     NONE;
 
-    /** The name as it stands in the log. */
+    /** The value in log lines. */
     public String text() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/src/main/java/org/woadloom/core/placement/PlacementConstraints.java
+++ b/src/main/java/org/woadloom/core/placement/PlacementConstraints.java
@@ -6,7 +6,9 @@
 import org.woadloom.protocol.JobDescription;
 import org.woadloom.protocol.MachineType;
 
-/** Where a job's tasks are allowed at all, and which machines take new tasks now. */
+/**
+ * Decides which machines and zones a job's tasks may use, and which machines accept new tasks now.
+ */
 public final class PlacementConstraints {
     private final SchedulerState state;
 
@@ -15,8 +17,8 @@
     }
 
     /**
-     * True if a machine of this type, zone and kind may run the job's tasks, whatever its other
-     * tasks do.
+     * True if the job may use a machine of this type, in this zone and of this kind, whatever other
+     * tasks it has.
      */
     public boolean allows(JobDescription job, MachineType type, String zone, boolean spot) {
         return type != null
@@ -26,13 +28,19 @@
                 && (!spot || job.spotAllowed());
     }
 
-    /** The same for a machine, with the zone rules. */
+    /**
+     * Like {@link #allows(JobDescription, MachineType, String, boolean)}, also given where the
+     * job's other tasks are.
+     */
     public boolean allows(Job job, Machine machine) {
         return allows(job.description, machine.type(), machine.zone, machine.spot)
                 && allowsZone(job, machine.zone);
     }
 
-    /** Zone rules, given every task of the job that is or may be somewhere. */
+    /**
+     * Applies the rules on spreading over zones and on a single zone to the zones of the job's
+     * current attempts.
+     */
     public boolean allowsZone(Job job, String zone) {
         if (job.description.sameZone()
                 && !job.occupiedZones().isEmpty()
@@ -43,12 +51,14 @@
                 || job.attemptCountInZone(zone) < maxTasksPerZone(job.description);
     }
 
-    /** How many tasks of a job may be in one zone: half of them, rounded up, if they spread. */
+    /**
+     * Maximum number of the job's tasks in one zone: half of them, rounded up, if they must spread.
+     */
     public static int maxTasksPerZone(JobDescription job) {
         return job.spreadAcrossZones() ? (job.taskCount() + 1) / 2 : Integer.MAX_VALUE;
     }
 
-    /** True if the machine's agent is reachable and new tasks may go there. */
+    /** True if the machine accepts new tasks and its agent is reachable. */
     public boolean acceptsTasks(Machine machine) {
         return machine.type() != null
                 && machine.isRecorded()
@@ -63,8 +73,8 @@
     }
 
     /**
-     * True for a machine whose heartbeats are overdue, though its agent may still answer commands:
-     * its lease is running out.
+     * True if the machine's heartbeats are overdue, so that its lease is about to expire. Its agent
+     * may still respond to direct commands.
      */
     public boolean isHeartbeatOverdue(Machine machine) {
         return state.nowMicros() - machine.liveness.lastHeartbeatMicros()
--- a/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
+++ b/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
@@ -19,17 +19,25 @@
 import org.woadloom.protocol.Priority;
 
 /**
- * Stops tasks in favour of others: work of a lower priority, and, for work within its team's
- * guarantee, whatever another team runs beyond its own.
+ * Stops running tasks to free resources for waiting jobs: tasks of a lower priority, and, for jobs
+ * within their team's guarantee, tasks that another team runs beyond its own guarantee.
  */
 public final class PreemptionPlanner {
-    /** At most one replica is moved to another zone in this time: each move interrupts it. */
+    /**
+     * Minimum interval between moves of replicas to another zone, because each move interrupts the
+     * replica.
+     */
     private static final long MOVE_INTERVAL_MICROS = 5_000_000;
 
-    /** How often a replica to move is searched for: the search is over all machines. */
+    /**
+     * Minimum interval between searches for a replica to move, because each examines all machines.
+     */
     private static final long MOVE_SEARCH_INTERVAL_MICROS = 1_000_000;
 
-    /** Lowest priority first, then borrowers, then what can checkpoint, then what ran least. */
+    /**
+     * Lowest priority first, then tasks beyond their team's guarantee, then tasks that can
+     * checkpoint, then the most recently placed.
+     */
     private static final Comparator<TaskAttempt> VICTIM_ORDER =
             Comparator.comparing((TaskAttempt attempt) -> attempt.job.priority())
                     .thenComparing(attempt -> attempt.job.isWithinGuarantee())
@@ -54,7 +62,10 @@
         this.gangPlanner = gangPlanner;
     }
 
-    /** A search that found too little on all machines in this pass, and speaks for others. */
+    /**
+     * A search that could not free enough on any machine in this pass. Jobs that it covers need no
+     * search of their own.
+     */
     private record FailedSearch(
             ResourceRequest request, Priority priority, TeamQuota guaranteedTeam) {
         boolean covers(Job job, boolean fromBorrowers) {
@@ -64,7 +75,7 @@
         }
     }
 
-    /** Frees resources for the waiting jobs, in their order. */
+    /** Frees resources for waiting jobs, in the order of the queue. */
     public void preemptFor(List<Job> queue) {
         List<FailedSearch> failedSearches = new ArrayList<>();
         for (Job job : queue) {
@@ -72,7 +83,8 @@
                 preemptOnReservedMachines(job);
                 continue;
             }
-            // What is reserved for the job, or being freed for it, is on its way.
+            // Tasks with a reservation, including those whose resources are still being freed, need
+            // nothing more.
             int wanted =
                     Math.min(
                             job.pendingTaskCount() - reservations.countFor(job),
@@ -109,7 +121,10 @@
         return false;
     }
 
-    /** Frees resources where that can be done; returns for how many tasks there are still none. */
+    /**
+     * Frees resources on any machine that the job may use; returns the number of tasks that still
+     * lack a machine.
+     */
     private int freeResources(Job job, int wanted, boolean fromBorrowers) {
         int missing = wanted;
         for (Machine machine : state.machines().values()) {
@@ -130,9 +145,9 @@
     }
 
     /**
-     * Replicas that must spread may find the only zone that is left to them full of replicas that
-     * could as well be elsewhere. One of those moves, at most one in a while, and only if a machine
-     * elsewhere has the resources and its image.
+     * Moves a replica of another service to another zone, to make room for a job that must spread
+     * over zones and can use only this one. At most one replica is moved per interval, and only if
+     * a machine in another zone has the resources and its image.
      */
     private void moveReplica(Job job) {
         if (state.nowMicros() < nextReplicaMoveMicros) {
@@ -181,7 +196,7 @@
         return false;
     }
 
-    /** A job that reserves has its machines: what may be stopped there is stopped. */
+    /** Stops tasks for a gang or a large task, on the machines that the job has reserved. */
     private void preemptOnReservedMachines(Job job) {
         Set<Machine> machines = new LinkedHashSet<>();
         for (Reservation reservation : reservations.of(job)) {
@@ -201,11 +216,11 @@
         }
     }
 
-    /** Stops what must go on one machine; returns how many of the job's tasks will fit. */
+    /** Stops tasks on one machine; returns how many of the job's tasks will fit there. */
     private int freeResources(Job job, Machine machine, int wanted) {
         Resources expected =
                 stopFor(job, machine, reservations.balance(machine, null), job.taskResources);
-        // What is freed is reserved, so that no other job takes it.
+        // The freed resources are reserved, so that no other job is placed on them.
         int made = 0;
         while (made < wanted
                 && expected.contains(job.taskResources)
@@ -217,8 +232,8 @@
     }
 
     /**
-     * Stops tasks until what is free suffices, or none if it never would; returns what will be
-     * free.
+     * Stops tasks until the free resources suffice, or none if stopping all eligible tasks would
+     * not; returns the resources that will be free.
      */
     private Resources stopFor(Job job, Machine machine, Resources free, Resources needed) {
         Resources expected = free;
@@ -268,8 +283,9 @@
     }
 
     /**
-     * True for a lower priority, or a borrower of the same one. A guarantee could stop borrowers of
-     * a higher priority as well; those would then stop the job in turn, and so on.
+     * True for a task of lower priority, or of the same priority and beyond its team's guarantee. A
+     * guarantee does not entitle a job to stop tasks of a higher priority: they would preempt the
+     * job in turn, in a loop.
      */
     private boolean mayStop(Job job, TaskAttempt attempt) {
         Job other = attempt.job;
--- a/src/main/java/org/woadloom/core/placement/QueueOrder.java
+++ b/src/main/java/org/woadloom/core/placement/QueueOrder.java
@@ -10,70 +10,74 @@
 import org.woadloom.settings.Objective;
 
 /**
- * The order in which waiting jobs are served: by priority, then work within its team's guarantee,
- * then what is overdue, then what can still be in time, then age. Under overload age alone would
- * make every job late. Jobs that are small for the fleet go a little before their age: to its time
- * in the queue each is added the time that the whole fleet would need for it.
+ * Orders the waiting jobs: by priority, then jobs within their team's guarantee, then overdue jobs,
+ * then jobs that can still meet their target time, then age.
+ *
+ * <p>Ordering by age alone would make every job late under overload. Small jobs are moved ahead
+ * slightly: the time that the whole fleet would need to run the job is added to its arrival time.
  */
 public final class QueueOrder {
     /**
-     * A late job is served by its age again after so many times the longest time it had: nobody
-     * waits for ever.
+     * A late job is ordered by its age again once it has waited this multiple of its longest target
+     * time, so that no job starves.
      */
     private static final int MAX_LATENESS_FACTOR = 6;
 
-    /** How often the fleet is counted. */
+    /** Interval at which the size of the fleet is computed. */
     private static final long FLEET_COUNT_INTERVAL_MICROS = 500_000;
 
     /**
-     * A job that has missed a time is served this part of the next one before it would miss that,
-     * too.
+     * A job that has missed a target becomes due again when its expected completion is within this
+     * fraction of the next target.
      */
     private static final double LEAD_SHARE = 0.2;
 
-    /** Without an objective for deadlines a job is to be done by its own. */
+    /** Without a deadline objective, the target is the deadline itself. */
     private static final List<Double> DEADLINE_ITSELF = List.of(1.0);
 
     /**
-     * Every job is to start within four minutes: from this age on one that has not goes before the
-     * others of its kind.
+     * Every job is to start within four minutes: beyond this age, a job that has not started goes
+     * before the others of its priority and guarantee.
      */
     private static final long START_OVERDUE_MICROS = 150_000_000;
 
-    /** From this age on the largest jobs of a class go before the others until they are done. */
+    /** Beyond this age, the largest jobs of a class go before the others until they are done. */
     private static final long LARGE_OVERDUE_MICROS = 180_000_000;
 
     private final SchedulerState state;
 
-    /** The processors of all machines that are up, in units of {@link Resources}. */
+    /** CPUs of all machines that are up, in units of {@link Resources}; at least 1. */
     private long fleetCpu;
 
     private long nextFleetCountMicros = Long.MIN_VALUE;
 
-    /** By class, the times within which the users want its jobs done, the shortest first. */
+    /** The target completion times of each job class, in microseconds, shortest first. */
     private final Map<String, List<Double>> targets = new HashMap<>();
 
     /**
-     * By class, the multiples of the time until their deadlines within which they want its jobs
-     * done.
+     * The target completion times of each job class with deadlines, as multiples of the time until
+     * the deadline, shortest first.
      */
     private final Map<String, List<Double>> multiples = new HashMap<>();
 
-    /** How a job stands to those times, in the order in which jobs are served. */
+    /** How a job stands against its target times, in the order in which jobs are served. */
     private enum Punctuality {
-        /** It can make the first of them, or is just in time for the next, or nobody can say. */
+        /**
+         * Can still meet its first target, is close to missing its next one, has no target, or is
+         * so late that it is ordered by age again.
+         */
         DUE,
-        /** It has missed one and has time yet for the next. */
+        /** Has missed a target and has time left before the next one. */
         LATER,
-        /** It has missed all. */
+        /** Has missed all targets. */
         LATE
     }
 
     private record Entry(Job job, boolean overdue, Punctuality punctuality, double turnMicros) {}
 
     /**
-     * All waiting jobs are sorted several times a pass: without the boxing of a chain of
-     * comparators.
+     * Written out instead of as a chain of comparators to avoid boxing: all waiting jobs are sorted
+     * several times per pass.
      */
     private static int compare(Entry one, Entry other) {
         int order = other.job.priority().compareTo(one.job.priority());
@@ -108,7 +112,7 @@
         multiples.values().forEach(times -> times.sort(null));
     }
 
-    /** The jobs in the order in which they are to be served now. */
+    /** Returns the jobs in the order in which they are served now. */
     public List<Job> sorted(List<Job> jobs) {
         if (jobs.isEmpty()) {
             return jobs;
@@ -137,7 +141,9 @@
         return sorted;
     }
 
-    /** How large the fleet is changes slowly, and this is asked in every pass. */
+    /**
+     * Computed at intervals, because the size of the fleet changes slowly and each pass needs it.
+     */
     private void countFleet() {
         if (state.nowMicros() < nextFleetCountMicros) {
             return;
@@ -154,8 +160,8 @@
     }
 
     /**
-     * A job that has not started, and one of the largest that is not done, can't be left behind for
-     * what comes after it.
+     * True for a job that has waited too long to start, and for one of the largest of its class
+     * that is not done after a long time: later jobs no longer go before it.
      */
     private boolean isOverdue(Job job) {
         long age = state.nowMicros() - job.queuedSinceMicros();
@@ -164,8 +170,9 @@
     }
 
     /**
-     * By its owner's estimate. A job that has missed a time makes way for those that can make it,
-     * as long as it can.
+     * Compares the completion time expected from the owner's estimate with the targets. A job that
+     * has missed a target yields to jobs that can still meet theirs, until its next target is
+     * close.
      */
     private Punctuality punctuality(Job job) {
         if (job.description.isService()) {
--- a/src/main/java/org/woadloom/core/placement/RecordSizeEstimate.java
+++ b/src/main/java/org/woadloom/core/placement/RecordSizeEstimate.java
@@ -9,19 +9,23 @@
 import org.woadloom.store.TaskProgressCodec;
 
 /**
- * An upper bound of what a job's one record may grow to, in bytes, so that a job too large for it
- * runs in waves: what is placed at once must fit the store's values, however its tasks end.
+ * Computes an upper bound, in bytes, for the size that a job's record may grow to. A job whose
+ * record would exceed the store's value limit runs in waves: the tasks placed at a time fit
+ * whichever way they end.
  */
 public abstract sealed class RecordSizeEstimate {
-    /** Bytes of an ordinary description in the compact format. */
+    /** Size in bytes of a typical description in the compact format. */
     private static final int TYPICAL_DESCRIPTION = 420;
 
-    /** How large the store's values may be. */
+    /** Maximum size of a value in the store, in bytes. */
     private final int limit;
 
     private final Set<Machine> machines = new HashSet<>();
 
-    /** What a record names together: the tasks of one machine under one attempt number. */
+    /**
+     * Attempts that a record stores as one entry: those on one machine with the same attempt
+     * number.
+     */
     private record Group(Machine machine, long attempt) {}
 
     private RecordSizeEstimate(int limit) {
@@ -32,15 +36,21 @@
         return format == RecordFormat.COMPACT ? new Compact(job, limit) : new Plain(job, limit);
     }
 
-    /** How many tasks of a job a value of this size holds when each is on a machine of its own. */
+    /**
+     * Returns how many tasks of a typical job a value of this size holds if each is on a machine of
+     * its own.
+     */
     public static int maxTasksOnDistinctMachines(int valueBytes) {
         Compact size = new Compact(valueBytes, TYPICAL_DESCRIPTION);
         return size.maxMoreTasks(0, valueBytes);
     }
 
     /**
-     * How large the record may become with so many more tasks, the last of that number, on so many
-     * more machines.
+     * Upper bound for the size of the record after more tasks are placed.
+     *
+     * @param tasks number of tasks placed in addition
+     * @param lastIndex the highest index among them
+     * @param machines number of additional machines
      */
     abstract int sizeWith(int tasks, int lastIndex, int machines);
 
@@ -58,7 +68,10 @@
         return sizeWith(1, index, 1) <= limit;
     }
 
-    /** How many more tasks from the given one on fit, wherever they go; no more than wanted. */
+    /**
+     * Returns how many more tasks fit, starting at the given one and whichever machines they use;
+     * at most {@code wanted}.
+     */
     int maxMoreTasks(int index, int wanted) {
         int fitting = 0;
         int tooMany = wanted + 1;
@@ -73,21 +86,26 @@
         return fitting;
     }
 
-    /** One more task is placed there, under this pass's attempt. */
+    /** Accounts for one more task that is placed on the machine in this pass. */
     void add(int index, Machine machine) {
         onPlaced(index, machines.add(machine));
     }
 
-    /** Of {@link org.woadloom.store.JobRecord}s with {@link TaskProgressCodec} as text. */
+    /**
+     * For records in the compact format, with the {@link TaskProgressCodec} output encoded as text.
+     */
     private static final class Compact extends RecordSizeEstimate {
-        /** What is around the description and the progress. */
+        /** Everything but the description and the task progress. */
         private static final int FIXED = 260;
 
-        /** The difference of two machines' numbers, and which attempt. */
+        /** The delta of the machine numbers and the index of the attempt. */
         private static final int PER_GROUP = 3;
 
         private static final int PER_GROUP_OF_MANY = 4;
+
+        /** With more attempts, some indexes exceed the seven bits that one byte holds. */
         private static final int FEW_ATTEMPTS = 127;
+
         private static final int PER_ATTEMPT = 4;
 
         private final int description;
@@ -133,16 +151,16 @@
         }
     }
 
-    /** Of version 1's records, while a node may run it. */
+    /** For the plain format, which is written while any node may run version 1. */
     private static final class Plain extends RecordSizeEstimate {
         private static final int FIXED = 900;
 
-        /** A machine's name, an attempt and what is around them. */
+        /** A machine name, an attempt number and their delimiters. */
         private static final int PER_GROUP = 56;
 
         /**
-         * A task's number twice, as a range by itself; done or placed, every task may come to stand
-         * alone.
+         * A task's index as both ends of a range. Any task, completed or placed, may become a range
+         * of its own.
          */
         private static final int PER_TASK = 14;
 
--- a/src/main/java/org/woadloom/core/placement/ResourceRequest.java
+++ b/src/main/java/org/woadloom/core/placement/ResourceRequest.java
@@ -4,8 +4,8 @@
 import org.woadloom.core.jobs.Job;
 
 /**
- * What a search for machines looks for. Once no machine satisfies a request, none satisfies one
- * that needs at least as much and may go to no other machines, until resources are freed.
+ * What a search for a machine requires. If no machine satisfies a request, none satisfies one that
+ * needs at least as much and has no more choice of machines, until resources are freed.
  */
 record ResourceRequest(Resources resources, List<String> machineTypes, String zone, boolean spot) {
     static ResourceRequest of(Job job) {
@@ -16,7 +16,9 @@
                 job.description.spotAllowed());
     }
 
-    /** True if the job's tasks find no machine where this request found none. */
+    /**
+     * True if the failure of this request implies that the job's tasks fit on no machine either.
+     */
     boolean covers(Job job) {
         return job.taskResources.contains(resources)
                 && (spot || !job.description.spotAllowed())
@@ -25,8 +27,8 @@
     }
 
     /**
-     * True for jobs whose failed search speaks for others: nothing but the request kept their tasks
-     * from the machines.
+     * True if nothing but the request limits where the job's tasks may go, so that a failed search
+     * for it applies to other jobs.
      */
     static boolean isRepresentative(Job job) {
         return !job.description.spreadAcrossZones()
--- a/src/main/java/org/woadloom/core/placement/Resources.java
+++ b/src/main/java/org/woadloom/core/placement/Resources.java
@@ -4,19 +4,19 @@
 import org.woadloom.protocol.MachineType;
 
 /**
- * An amount of processors, GPUs and memory in GB, each in whole thousandths so that sums do not
- * drift. Amounts may be negative where more is promised than there is.
+ * An amount of CPUs, GPUs and memory in GB, each as an integer number of thousandths so that sums
+ * have no rounding drift. Amounts are negative where more is allocated than exists.
  */
 public record Resources(long cpu, long gpu, long memory) {
-    /** How many units make a processor, a GPU or a GB. */
+    /** Units per CPU, GPU or GB. */
     public static final long SCALE = 1000;
 
-    /** What settings may be off by as binary fractions, in units. */
+    /** Tolerance in units for settings that binary floating point cannot represent exactly. */
     private static final double ROUNDING_ERROR = 1e-6;
 
     public static final Resources NONE = new Resources(0, 0, 0);
 
-    /** What one task takes, rounded up. */
+    /** Resources of one task of the job, rounded up. */
     public static Resources of(JobDescription job) {
         return new Resources(
                 toUnitsRoundedUp(job.cpus()),
@@ -24,7 +24,7 @@
                 toUnitsRoundedUp(job.memoryGb()));
     }
 
-    /** What a machine has, rounded down. */
+    /** Capacity of a machine of this type, rounded down. */
     public static Resources of(MachineType type) {
         return new Resources(
                 toUnitsRoundedDown(type.cpus()),
@@ -36,7 +36,6 @@
         return (long) Math.ceil(amount * SCALE - ROUNDING_ERROR);
     }
 
-    /** An amount in units, rounded down. */
     public static long toUnitsRoundedDown(double amount) {
         return (long) (amount * SCALE + ROUNDING_ERROR);
     }
@@ -53,12 +52,12 @@
         return new Resources(cpu * factor, gpu * factor, memory * factor);
     }
 
-    /** True if there is at least as much of each as in the other. */
+    /** True if each amount is at least that of the other. */
     public boolean contains(Resources other) {
         return other.cpu <= cpu && other.gpu <= gpu && other.memory <= memory;
     }
 
-    /** How many times the other fits; the other must not be nothing. */
+    /** Returns how many times the given resources fit into these; they must not all be zero. */
     public int countFitting(Resources other) {
         long count = Integer.MAX_VALUE;
         if (other.cpu > 0) {
@@ -73,14 +72,14 @@
         return (int) Math.max(0, count);
     }
 
-    /** The part without anything negative. */
+    /** Returns these resources with negative amounts replaced by 0. */
     public Resources clampToNonNegative() {
         return (cpu | gpu | memory) >= 0
                 ? this
                 : new Resources(Math.max(0, cpu), Math.max(0, gpu), Math.max(0, memory));
     }
 
-    /** Of each the smaller amount. */
+    /** Returns the smaller of the two amounts for each resource. */
     public Resources min(Resources other) {
         return new Resources(
                 Math.min(cpu, other.cpu), Math.min(gpu, other.gpu), Math.min(memory, other.memory));
--- a/src/main/java/org/woadloom/core/placement/TaskPlacer.java
+++ b/src/main/java/org/woadloom/core/placement/TaskPlacer.java
@@ -15,14 +15,14 @@
 import org.woadloom.core.reservation.Reservations;
 
 /**
- * Decides which task runs on which machine, in the order of {@link QueueOrder}.
+ * Assigns pending tasks to machines, in the order of {@link QueueOrder}.
  *
- * <p>A search for all waiting jobs of a large fleet is spread over several steps, as the leader has
- * to renew its lease and answer heartbeats in between: it stops before the job that would be too
- * much for one step, and goes on there.
+ * <p>In a large fleet, a search for all waiting jobs is split into steps, because the leader must
+ * renew its lease and respond to heartbeats in between. A step ends before the job that would
+ * exceed its budget, and the next one resumes there.
  */
 public final class TaskPlacer {
-    /** It takes a small part of the leader key's lease, also on a slow processor. */
+    /** Even on a slow CPU, such a step takes a small fraction of the lease on the leader key. */
     private static final int MAX_MACHINES_PER_STEP = 200_000;
 
     private final SchedulerState state;
@@ -32,7 +32,7 @@
 
     private final IncrementalSearch search = new IncrementalSearch(MAX_MACHINES_PER_STEP);
 
-    /** What found no machine in the present search. */
+    /** Requests for which the current search found no machine. */
     private final List<ResourceRequest> unsatisfied = new ArrayList<>();
 
     public TaskPlacer(
@@ -43,7 +43,10 @@
         this.order = new QueueOrder(state);
     }
 
-    /** Jobs with pending tasks that may be placed now, in the order in which they are served. */
+    /**
+     * Returns the jobs with pending tasks that may be placed now, in the order in which they are
+     * served.
+     */
     public List<Job> placementQueue() {
         List<Job> jobs = new ArrayList<>();
         for (Job job : state.jobs().values()) {
@@ -54,15 +57,18 @@
         return order.sorted(jobs);
     }
 
-    /** How many machines the searches of this term have examined, counted anew for each job. */
+    /**
+     * Number of machines that the searches of this term have examined; a machine counts once for
+     * each job.
+     */
     public long machinesExamined() {
         return search.machinesExamined();
     }
 
     /**
-     * Places the pending tasks that fit, each job in its turn, as far as one step may search.
+     * Places the pending tasks that fit, in queue order, as far as the budget of one step allows.
      *
-     * @return whether every job had its turn; if not, the next call goes on
+     * @return true if every job had its turn; otherwise the next call continues
      */
     public boolean place() {
         long attempt = state.newAttempt();
@@ -91,14 +97,14 @@
         return true;
     }
 
-    /** How many machines a search for the job examines at most. */
+    /** Maximum number of machines that a search for the job examines. */
     private int searchCost(Job job, List<Machine> openMachines) {
         return openMachines.size() + (job.description.isGang() ? state.machines().size() : 0);
     }
 
     /**
-     * True if a job without a reservation to draw from need not be tried: it backs off, its team's
-     * limit is reached, or one that asked for no more found no machine.
+     * True if a job without a reservation needs no search: it is backing off, its team's limit is
+     * reached, or a request for no more than it needs found no machine.
      */
     private boolean isPassedOver(Job job) {
         if (!job.description.isService() && job.isBackingOff(state.nowMicros())) {
@@ -108,7 +114,10 @@
                 || unsatisfied.stream().anyMatch(request -> request.covers(job));
     }
 
-    /** Machines that take tasks and have anything left; in one pass they only get fuller. */
+    /**
+     * Machines that accept tasks and have free resources. The list stays valid for a pass, in which
+     * they only fill up.
+     */
     private List<Machine> openMachines() {
         List<Machine> openMachines = new ArrayList<>();
         for (Machine machine : state.machines().values()) {
@@ -121,7 +130,7 @@
         return openMachines;
     }
 
-    /** Places tasks of a job; true if the machines have no resources for another one. */
+    /** Places tasks of a job; returns true if the machines lack the resources for another one. */
     private boolean placeJob(Job job, long attempt, List<Machine> openMachines) {
         RecordSizeEstimate size = RecordSizeEstimate.of(job, state.valueBytes(), state.format());
         if (!size.fitsOneMore(job.nextPending(0))
@@ -175,7 +184,7 @@
                         .with("tasks_by_zone", job.attemptCountByZone()));
     }
 
-    /** A gang starts only when all of its tasks that are left fit at once. */
+    /** True if all remaining tasks of a gang fit at once; it starts only then. */
     private boolean gangFits(Job job, int maxTasks) {
         int wanted = job.pendingTaskCount();
         if (wanted > maxTasks) {
--- a/src/main/java/org/woadloom/core/placement/WaitingJobsReport.java
+++ b/src/main/java/org/woadloom/core/placement/WaitingJobsReport.java
@@ -12,8 +12,8 @@
 import org.woadloom.core.reservation.Reservations;
 
 /**
- * Logs at intervals why the jobs that have waited longest wait, and which job of their team got
- * what came free last. Nothing is decided by it.
+ * Periodically logs the jobs that have waited longest, why each waits, and which job of its team
+ * was placed last. Informational only.
  */
 public final class WaitingJobsReport {
     private static final long INTERVAL_MICROS = 30_000_000;
@@ -25,7 +25,6 @@
     private final Reservations reservations;
     private long nextMicros;
 
-    /** A report on the jobs of this state's term. */
     public WaitingJobsReport(
             SchedulerState state, PlacementConstraints constraints, Reservations reservations) {
         this.state = state;
@@ -34,7 +33,7 @@
         nextMicros = state.nowMicros() + INTERVAL_MICROS;
     }
 
-    /** To be called after a complete search for placements; reports where that is due. */
+    /** Logs the report if it is due; called after each complete search for placements. */
     public void logIfDue() {
         if (state.nowMicros() < nextMicros) {
             return;
--- a/src/main/java/org/woadloom/core/placement/package-info.java
+++ b/src/main/java/org/woadloom/core/placement/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Which task runs on which machine, in which order jobs are served, and what is preempted.
+ * Placement of tasks on machines, the order in which jobs are served, and preemption.
  *
- * <p>Owns no durable state: a decision becomes an attempt of a job. Depends on jobs, machines,
- * quota and reservations; starts with {@link org.woadloom.core.placement.TaskPlacer}.
+ * <p>Has no durable state: a placement becomes an attempt of a job. Depends on jobs, machines,
+ * quota and reservations. Start reading with {@link org.woadloom.core.placement.TaskPlacer}.
  */
 package org.woadloom.core.placement;
--- a/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
@@ -16,10 +16,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One node that confirms and leaders of up to three terms that all believe to lead, the first of
- * them twice, in random orders of ends, losses, delays, refusals and clocks that drift. After each
- * step neither leader's watermark may have passed a moment at which a user was told of a
- * cancellation that it lacks.
+ * Simulates a node that confirms cancellations, and leaders of up to three terms that may all
+ * believe to lead, with random restarts, message loss, delays, step-downs and clock drift. The node
+ * of the first term may lead again in the third.
+ *
+ * <p>Guards against a watermark that passes the confirmation of a cancellation that the leader
+ * lacks: checked for each leader after each step.
  */
 class CancellationWatermarkTest {
     private static final long S = 1_000_000;
@@ -55,7 +57,8 @@
         }
 
         long micros() {
-            // Of itself it vouches for everything: the node is the one that counts.
+            // The leader's own reports never hold the watermark back, so only the other node's
+            // reports count.
             watermark.onReport(
                     label,
                     new WatermarkReport(
@@ -146,8 +149,8 @@
     }
 
     /**
-     * Returns how many were told while a leader went on without the state service, and how long the
-     * watermark moved by vouches alone.
+     * Runs a random scenario of 200 s. Returns the number of checks in which reports had advanced a
+     * watermark beyond what its leader had read of the store.
      */
     private int day(long seed) {
         random = new Random(seed);
@@ -246,13 +249,13 @@
                                 assertTrue(
                                         watermark <= leader.clock(at),
                                         jobId
-                                                + " was told at "
+                                                + " was confirmed at "
                                                 + at
-                                                + ", watermark of term "
+                                                + ", but the watermark of term "
                                                 + leader.term
                                                 + " "
                                                 + (watermark - leader.clock(at))
-                                                + " later, seed "
+                                                + " microseconds later, seed "
                                                 + seed);
                             }
                         });
@@ -269,12 +272,17 @@
             byVouches += day(seed);
             told += toldAt.size();
         }
-        assertTrue(told > 3_000, told + " told");
-        assertTrue(ledTwice > 20, ledTwice + " days on which one node led twice");
-        assertTrue(byVouches > 20_000, byVouches + " steps on which vouches counted");
+        assertTrue(told > 3_000, "only " + told + " confirmations");
+        assertTrue(ledTwice > 20, "only " + ledTwice + " scenarios with a re-elected leader");
+        assertTrue(
+                byVouches > 20_000,
+                "only " + byVouches + " checks with a watermark ahead of the store");
     }
 
-    /** In an outage in which the node is reached the watermark keeps up, however long it lasts. */
+    /**
+     * While the store is unavailable, the watermark keeps up with the clock as long as the node's
+     * reports arrive, however long the outage lasts.
+     */
     @Test
     void itKeepsUpWithANodeThatIsReached() {
         CancellationWatermark watermark = new CancellationWatermark(3, List.of("node"));
@@ -283,13 +291,15 @@
             WatermarkAck ack =
                     watermark.onReport("node", silent.nextReport("leader", 3, at, at), S, at);
             silent.onAck(ack);
-            assertTrue(at < 3 * S || watermark.watermarkMicros(S) >= at, "behind at " + at);
+            assertTrue(
+                    at < 3 * S || watermark.watermarkMicros(S) >= at,
+                    "the watermark is behind at " + at);
         }
-        // A process that is back within the promise is believed, one that stayed away longer is
-        // not.
+        // Reports of a process that restarts within the promise continue those of its predecessor.
+        // After a longer gap they do not.
         long ended = 999 * S;
         long kept = watermarkAfter(watermark, ended + 9 * S);
-        assertTrue(kept >= ended + 30 * S, "at " + kept);
+        assertTrue(kept >= ended + 30 * S, "the watermark is at " + kept);
         assertEquals(kept, watermarkAfter(watermark, ended + 80 * S));
         assertEquals(List.of("node"), watermark.slowestNodes(S));
     }
@@ -304,8 +314,8 @@
     }
 
     /**
-     * A leader that is reached and answers nothing must not keep users from being told for ever:
-     * polls that are given up and come again find each time that the promise was renewed in
+     * A leader that receives reports but never acknowledges them must not delay confirmations for
+     * long. Users give up and retry; each retry must not find a promise that was renewed in
      * between.
      */
     @Test
@@ -320,7 +330,7 @@
             boolean asks = at / S % 5 == 0;
             toldAt = asks && told.tryConfirm("j-000001", at) ? at : 0;
         }
-        assertTrue(toldAt > 0 && toldAt < 12 * S, "told at " + toldAt);
+        assertTrue(toldAt > 0 && toldAt < 12 * S, "confirmed at " + toldAt);
     }
 
     private static ConfirmedCancellations promised(String leader, long stateSilentMicros) {
@@ -332,8 +342,8 @@
     }
 
     /**
-     * What a node has promised to itself it would hear of from nobody, and its users waited for up
-     * to 15 s.
+     * No peer tells a node that it no longer leads itself, so without onLeadershipLost its own
+     * promise to itself delayed confirmations by up to 15 s.
      */
     @Test
     void nobodyWaitsForAPromiseToANodeThatLeadsNoMore() {
@@ -349,8 +359,8 @@
     }
 
     /**
-     * A node that leads again and has taken in what is asked about lacks nothing, whatever it was
-     * promised before.
+     * A node that leads again and has acknowledged the cancellation lacks nothing, so an older
+     * promise to it no longer matters.
      */
     @Test
     void nobodyWaitsForAPromiseToANodeThatLeadsAgain() {
@@ -359,14 +369,16 @@
         WatermarkReport report = told.nextReport("other", 5, 0, 4 * S);
         assertFalse(told.tryConfirm("j-000001", 4 * S + 1));
         told.onAck(new WatermarkAck(5, 1, report.sentMicros(), 4 * S));
-        assertFalse(told.tryConfirm("j-000001", 4 * S + 1), "the one between may lead still");
+        assertFalse(
+                told.tryConfirm("j-000001", 4 * S + 1),
+                "the leader of term 4 may still rely on its promise");
         told.onPeerTerm("between", 5, false);
         assertTrue(told.tryConfirm("j-000001", 4 * S + 1));
     }
 
     /**
-     * What the process before may have promised a node counts on, also where this one has promised
-     * it something shorter.
+     * A promise that the previous process may have made to a node still counts after this process
+     * has made the same node a shorter one.
      */
     @Test
     void aShorterPromiseEndsNoneOfTheProcessBefore() {
@@ -381,8 +393,8 @@
     }
 
     /**
-     * More than are kept, at any rate: those that were dropped are asked for again, and nobody
-     * vouches for what is not known.
+     * Beyond 2,000 unacknowledged cancellations the oldest are dropped: they are not confirmed
+     * until they are added again, and reports do not claim to cover them.
      */
     @Test
     void whatIsDroppedIsNeitherToldNorVouchedFor() {
@@ -398,7 +410,7 @@
         told.onAck(new WatermarkAck(3, 1, report.sentMicros(), 3 * S));
         assertFalse(told.tryConfirm("j-499", 3 * S + 1));
         assertTrue(told.tryConfirm("j-500", 3 * S + 1));
-        // A watermark that has seen nothing since does not follow such a vouch.
+        // A watermark does not advance by a report that leaves a gap after the previous one.
         CancellationWatermark watermark = new CancellationWatermark(3, List.of("node"));
         watermark.onReport("node", first, S, S);
         watermark.onReport("node", report, S, 3 * S);
--- a/src/test/java/org/woadloom/core/delegation/DelegationLedgerTest.java
+++ b/src/test/java/org/woadloom/core/delegation/DelegationLedgerTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The leader's clock and the node's are a thousand seconds apart here. */
+/** The leader's and the node's clocks differ by 1000 s. */
 class DelegationLedgerTest {
     private static final long S = 1_000_000;
     private static final long APART = 1000 * S;
@@ -16,7 +16,10 @@
             new DelegationLedger(rules, 7, "leader", Map.of("leader", "a", "node", "b"));
     private final LeaseDelegate node = new LeaseDelegate(rules, "b", 1, APART);
 
-    /** The node tells how it stands and gets a warrant at once; all was settled a second before. */
+    /**
+     * The node sends its status and receives a delegation at once; all cancellations up to a second
+     * before are carried out.
+     */
     private void exchange(LeaseDelegate caretaker, long at) {
         caretaker.onDelegation(book.onPeerStatus("node", caretaker.status(at + APART), at - S, at));
     }
@@ -47,13 +50,13 @@
                 ends = at;
                 assertTrue(
                         book.latestPossibleRenewalMicros("b", at) >= at,
-                        "the leader does not reckon with care at " + at);
+                        "the ledger does not account for the renewal at " + at);
             }
         }
-        assertTrue(begins > 17 * S, "began at " + begins);
+        assertTrue(begins > 17 * S, "the first renewal was at " + begins);
         assertTrue(
                 ends > 37 * S && ends + rules.leaseExpiryMicros() < 9 * S + 52 * S,
-                "ended at " + ends);
+                "the last renewal was at " + ends);
         assertTrue(
                 book.latestPossibleRenewalMicros("b", 100 * S) >= ends
                         && book.latestPossibleRenewalMicros("b", 100 * S) < 41 * S);
@@ -72,7 +75,7 @@
         assertFalse(anew.tryRenew("b", 7, now));
     }
 
-    /** An answer that was held up says nothing of the present. */
+    /** A response that was delayed in transit does not show that the leader is reachable now. */
     @Test
     void aLateWarrantCountsFromWhenItWasAskedFor() {
         inTouch(10 * S);
@@ -92,12 +95,13 @@
         exchange(anew, 32 * S);
         exchange(anew, 33 * S);
         long last = book.latestPossibleRenewalMicros("b", 33 * S);
-        assertTrue(last >= 30 * S && last < 31 * S, "last care at " + last);
+        assertTrue(
+                last >= 30 * S && last < 31 * S, "the upper bound for the last renewal is " + last);
     }
 
     /**
-     * A process that ends and is back within the promise can't have cared: proofs are as quick as
-     * ever.
+     * A process that restarts within the announced silence cannot have renewed leases, so machine
+     * losses are detected as fast as usual.
      */
     @Test
     void aNodeThatIsBackSoonHoldsUpNoProof() {
--- a/src/test/java/org/woadloom/core/jobs/DependencyGraphTest.java
+++ b/src/test/java/org/woadloom/core/jobs/DependencyGraphTest.java
@@ -88,7 +88,11 @@
         return jobIds;
     }
 
-    /** That a leader knows nothing of a job proves nothing of it. */
+    /**
+     * A dependency that is not in the leader's registry may have ended or may not have been read
+     * yet: a job must not start until the store reports each of its dependencies as done.
+     * Inconclusive lookups are repeated.
+     */
     @Test
     void aJobWaitsUntilTheStoreSaysThatAllBeforeItAreDone() throws MalformedMessageException {
         assertEquals(List.of("j-1", "j-2"), asked(lead(record("j-3", "j-1", "j-2"))));
@@ -113,14 +117,14 @@
     }
 
     /**
-     * A record that is gone after a write without an answer says neither done nor cancelled: the
-     * store is asked.
+     * After a write without a response, a missing record does not show whether the job was
+     * completed or cancelled, so a dependent looks it up in the store.
      */
     @Test
     void aJobBeforeItWhoseRecordIsGoneIsLookedUp() throws MalformedMessageException {
         JobRecord done = record("j-1");
         done.done().set(0);
-        // Its final state is written at once, and no answer comes.
+        // The final state is written at once; the write gets no response.
         lead(done);
         step(
                 new SchedulerEvent.JobWriteCompleted(
@@ -133,7 +137,10 @@
         assertEquals(0, core.blockedJobs());
     }
 
-    /** A chain of thousands needs no stack, and its writes stay within the rate. */
+    /**
+     * Guards against a stack overflow on a chain of thousands of dependent jobs, and against
+     * exceeding the store's write rate when all of them are cancelled.
+     */
     @Test
     void aLongChainIsCancelledWithinTheRate() throws MalformedMessageException {
         int length = 3_000;
@@ -148,7 +155,9 @@
         int steps = 0;
         while (all.size() < length && steps++ < 10_000) {
             Set<String> written = cancelled(actions);
-            assertTrue(written.size() <= 2 * WRITES_PER_SECOND, written.size() + " at once");
+            assertTrue(
+                    written.size() <= 2 * WRITES_PER_SECOND,
+                    written.size() + " final states written in one step");
             all.addAll(written);
             List<SchedulerEvent> outcomes = new ArrayList<>();
             written.forEach(
@@ -163,6 +172,6 @@
         double seconds = steps * 0.1;
         assertTrue(
                 2 * length / seconds <= WRITES_PER_SECOND * 1.05 + 2,
-                "at " + 2 * length / seconds + " a second");
+                2 * length / seconds + " writes per second");
     }
 }
--- a/src/test/java/org/woadloom/core/jobs/FailoverTest.java
+++ b/src/test/java/org/woadloom/core/jobs/FailoverTest.java
@@ -31,18 +31,15 @@
 import org.woadloom.store.JobRecord;
 
 /**
- * A new leader counts what the records name against the team's limit until there is proof that it
- * is gone.
+ * Tasks that the records of an earlier leader name count against the team's limit under a new
+ * leader until they are proven gone.
  */
 class FailoverTest {
     private static final String LOST = "host-000001";
     private static final String UP = "host-000002";
     private static final long EARLIER = TERM - 1;
 
-    /**
-     * A task of 8 CPUs that an earlier leader placed on the machine out of touch, of a job that may
-     * be cancelled.
-     */
+    /** A job with a task of 8 CPUs that an earlier leader placed on the silent machine. */
     private static JobRecord placed(String jobId, boolean cancelled) {
         BitSet first = new BitSet();
         first.set(0);
@@ -68,7 +65,8 @@
     }
 
     /**
-     * A team limited to two tasks has one on a machine that can't be asked, and asks for two more.
+     * A team limited to two tasks has one on a machine that does not respond, and requests two
+     * more.
      */
     private static LeaderFixture atItsLimit(boolean cancelled) {
         LeaderFixture leader =
@@ -115,7 +113,7 @@
         return started;
     }
 
-    /** What a message of the machine that could not be asked says of the task that may be there. */
+    /** A message from the machine that was silent, and whether it proves that the task is gone. */
     private enum Word {
         OLD_AND_WITHOUT_IT(false, message(LOST, 1, 10, EARLIER << AgentLiveness.FENCE_BITS)),
         OLD_AND_LISTS_IT(
@@ -149,7 +147,10 @@
     @EnumSource
     void aTaskOfACancelledJobCountsUntilItIsProvenGone(Word word) {
         LeaderFixture leader = atItsLimit(true);
-        assertEquals(Set.of("j-000002/0"), started(leader), "one task's resources are in doubt");
+        assertEquals(
+                Set.of("j-000002/0"),
+                started(leader),
+                "the recovered task holds half of the limit");
         leader.report(word.message);
         leader.pass(SECOND);
         assertEquals(
@@ -157,7 +158,10 @@
                 started(leader));
     }
 
-    /** It may be minutes old: its agent may be gone, and its incarnation is not known. */
+    /**
+     * A heartbeat of an earlier term may be minutes old. The agent may be gone, and whether its
+     * incarnation is current is unknown.
+     */
     @Test
     void nothingStartsWhereOnlyAnOldReportCameFrom() {
         LeaderFixture leader = new LeaderFixture(200, List.of(placed("j-000001", false)), LOST);
@@ -168,12 +172,13 @@
         assertFalse(
                 leader.logged(LogEvent.LEASE_EXPIRED, "machine=" + LOST)
                         || leader.logged(LogEvent.TASK_LOST),
-                "nobody knows whether it heard that answer");
+                "the agent may have received the response, which renewed its lease");
     }
 
     /**
-     * The deletion's answer is the proof where the agent is never heard of again, and the team has
-     * its quota back in time.
+     * If an agent never sends a message again, the confirmed deletion of its machine proves that
+     * its tasks are gone. The deletion must be requested within 90 s, so that the team's quota is
+     * not held for longer.
      */
     @Test
     void aTeamGetsBackWhatIsOnAMachineThatIsNeverHeardOfAgain() {
@@ -199,9 +204,10 @@
     }
 
     /**
-     * An old heartbeat of incarnation 1 came first, and the agent answers a command for that
-     * session in its second: refused, but it has seen the token. What the earlier leader started in
-     * the second session is in that very answer.
+     * A delayed heartbeat of incarnation 1 arrives first, and the leader sends a command for that
+     * incarnation. The agent, already in incarnation 2, refuses it with status 409, but has seen
+     * the token and lists what the earlier leader started in incarnation 2. The recovered task is
+     * in that message, so it is not lost.
      */
     @Test
     void whatTheFirstMessageOfALaterSessionListsIsThere() {
@@ -224,12 +230,12 @@
         leader.isUp(UP, 1);
         leader.pass(SECOND);
         assertFalse(leader.logged(LogEvent.TASK_LOST));
-        assertEquals(Set.of(), started(leader), "it runs where it was");
+        assertEquals(Set.of(), started(leader), "the task still runs on its first machine");
     }
 
     /**
-     * A damaged record was replaced by the final state of a cancellation: what the leader knows of
-     * the job's tasks still counts.
+     * A cancellation replaced a damaged record by the final state. Attempts of the job that the
+     * leader knows of still count against the quota until they are gone.
      */
     @Test
     void tasksOfAJobWhoseRecordIsGoneCountUntilTheyAre() {
@@ -245,7 +251,10 @@
         job.persistence.requireRead();
         job.persistence.startRead(fixture.state.nowMicros());
         table.onRecordNotFound("j-1");
-        assertEquals(1, next.allowedTasks(), "what was never sent is gone, the other is there");
+        assertEquals(
+                1,
+                next.allowedTasks(),
+                "the unsent attempt is removed, the confirmed one still counts");
         assertTrue(running.isStopping());
         new JobPersister(fixture.state, table).emitDueRequests();
         assertTrue(
@@ -255,7 +264,7 @@
                                         action instanceof SchedulerAction.WriteJob
                                                 || action
                                                         instanceof SchedulerAction.WriteFinalState),
-                "there is no record to write");
+                "no record is left to update");
         new TaskLossHandler(fixture.state).remove(running);
         new JobPersister(fixture.state, table).emitDueRequests();
         assertEquals(2, next.allowedTasks());
--- a/src/test/java/org/woadloom/core/liveness/DelayedHeartbeatsTest.java
+++ b/src/test/java/org/woadloom/core/liveness/DelayedHeartbeatsTest.java
@@ -21,8 +21,8 @@
 import org.woadloom.protocol.TaskStatus;
 
 /**
- * Copies of reports that come when their worker has said more since, or is gone, and workers that
- * hear nothing.
+ * Heartbeats that arrive late, when their agent has sent newer ones or is gone, and agents that
+ * send heartbeats while nothing reaches them.
  */
 class DelayedHeartbeatsTest {
     private static final String HOST = "host-000001";
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Deleted long ago and forgotten, or gone before this leader began: a name in a report is no
-     * machine.
+     * A late heartbeat may name a machine that was deleted and removed from the registry, or that
+     * was gone before this term began. It alone must not add the machine.
      */
     @Test
     void aCopyAdoptsNoMachine() {
@@ -65,7 +65,7 @@
         assertEquals(List.of(), leader.all(SchedulerAction.DeleteMachines.class));
     }
 
-    /** A machine that nobody expected and that answers is taken over, as it costs money. */
+    /** An unknown machine that responds to a command exists and costs money, so it is added. */
     @Test
     void aMachineThatAnswersIsTakenOver() {
         leader.isUp("host-000009", 10);
@@ -74,8 +74,8 @@
     }
 
     /**
-     * The worker reported under this term's token and ended; the original was lost, and the copy
-     * comes.
+     * The agent sent a heartbeat with a token of this term and fell silent. The original of its
+     * next heartbeat is lost, and a copy arrives late.
      */
     @ParameterizedTest
     @ValueSource(longs = {4, 20})
@@ -89,16 +89,16 @@
         leader.report(message(HOST, 1, 4, token));
         assertFalse(
                 leader.logged(LogEvent.MACHINE_UNREACHABLE),
-                "it was silent, and said nothing that it should have heard");
+                "a silent agent must not be reported as unreachable");
         leader.submit("j-000001", 2);
         leader.pass(1 * SECOND);
         assertEquals(0, launches());
-        // It lives after all, in its next session where its lease has ended meanwhile.
+        // The agent turns out to be alive, in a new incarnation if its lease has expired meanwhile.
         long incarnation = lateS > 10 ? 2 : 1;
         leader.report(message(HOST, incarnation, 5, token));
         SchedulerAction.SendDirectCommand asked =
                 leader.last(SchedulerAction.SendDirectCommand.class);
-        assertTrue(asked.fencingToken() > token, "it is asked under a new token");
+        assertTrue(asked.fencingToken() > token, "the probe must carry a new token");
         leader.answered(message(HOST, incarnation, 6, asked.fencingToken()));
         leader.greeted(HOST, incarnation, 7);
         leader.report(message(HOST, incarnation, 8, asked.fencingToken()));
@@ -106,7 +106,10 @@
         assertEquals(2, launches());
     }
 
-    /** A minute late its machine is given up already, and stays so. */
+    /**
+     * A heartbeat that is a minute late arrives after the machine was given up: the deletion must
+     * not be repeated or revoked.
+     */
     @Test
     void aCopyKeepsNoMachineThatIsGivenUp() {
         long token = leader.isUp(HOST, 1);
@@ -123,8 +126,8 @@
     }
 
     /**
-     * The first answer of a new leader renews the lease, so what must go is halted in it; nothing
-     * starts by it.
+     * The first response of a new leader renews the agent's lease, so it must stop tasks that are
+     * not to run; it starts none.
      */
     @Test
     void theFirstAnswerHaltsWhatMustGo() {
@@ -134,7 +137,10 @@
         assertEquals(List.of(TaskCommand.stop(stranger.task(), 3, 0)), first.commands());
     }
 
-    /** Answers to copies reach nobody, so they can't have renewed a lease. */
+    /**
+     * Responses to duplicates reach no agent, so they cannot have renewed a lease and must not
+     * postpone its expiry.
+     */
     @Test
     void copiesHoldUpNoProofThatALeaseIsOver() {
         long token = leader.isUp(HOST, 1);
@@ -156,10 +162,10 @@
         }
         assertTrue(
                 leader.logged(LogEvent.LEASE_EXPIRED, "machine=" + HOST),
-                "its tasks can start elsewhere");
+                "the lease must expire so that the tasks can start elsewhere");
     }
 
-    /** Tasks that came after the copied report are not missing because it does not list them. */
+    /** An outdated heartbeat does not list tasks that were started after it; they are not lost. */
     @Test
     void anOlderReportProvesNothingGone() {
         long token = leader.isUp(HOST, 1);
@@ -179,7 +185,10 @@
         assertFalse(leader.logged(LogEvent.TASK_LOST));
     }
 
-    /** It is neither a later leader's word, nor may its numbers come back. */
+    /**
+     * A higher token of the same term was issued to a removed machine of that name. It must not
+     * make the leader step down, and its fence must not be reused.
+     */
     @Test
     void aCopyWithAHigherTokenOfThisTermDeposesNobody() {
         leader.report(message("host-000009", 1, 10, TERM << AgentLiveness.FENCE_BITS | 7));
@@ -194,8 +203,8 @@
     }
 
     /**
-     * Its session ended though each report was answered: launches in those answers would reach
-     * nobody.
+     * The agent's incarnation ended although each heartbeat got a response, so start commands in
+     * those responses would not reach it.
      */
     @Test
     void aDeafWorkerGetsNoWorkUntilItShowsThatItHears() {
@@ -211,7 +220,7 @@
         assertEquals(0, launches());
         assertTrue(leader.logged(LogEvent.MACHINE_UNREACHABLE, "machine=" + HOST, "zone=a"));
         long now = leader.report(message(HOST, 2, 7, token)).fencingToken();
-        // That token was out for long, so it is asked once more.
+        // That token had been outstanding for long, so another acknowledgement is required.
         leader.report(message(HOST, 2, 9, leader.report(message(HOST, 2, 8, now)).fencingToken()));
         leader.greeted(HOST, 2, 10);
         leader.pass(500_000);
@@ -227,7 +236,9 @@
         assertEquals(1, launches());
     }
 
-    /** What was meant for a worker that does not hear goes to one that does. */
+    /**
+     * Tasks placed on an unreachable agent whose start was not sent are placed on a reachable one.
+     */
     @Test
     void whatWasNeverSentToADeafWorkerGoesElsewhere() {
         long token = leader.isUp(HOST, 1);
@@ -248,7 +259,7 @@
         assertEquals(
                 "j-000002/0",
                 sent.commands().get(0).task().toString(),
-                "the first may be on the deaf one yet");
+                "j-000001 may still be on the unreachable agent");
         assertEquals(1, sent.commands().size());
     }
 }
--- a/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
+++ b/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
@@ -20,9 +20,12 @@
 import org.woadloom.protocol.Cbor;
 import org.woadloom.store.RecordFormat;
 
-/** The shortcuts of the search against the plain walk that they stand for. */
+/** Checks the optimizations of the placement search against straightforward implementations. */
 class PlacementSearchTest {
-    /** One look at all machines for many tasks chooses as a look for each task would. */
+    /**
+     * Scoring all machines once for many tasks selects the same machines as scoring them anew for
+     * each task.
+     */
     @Test
     void oneSearchForManyTasksChoosesAsOneForEach() {
         int placed = 0;
@@ -68,7 +71,7 @@
                 placed++;
             }
         }
-        assertTrue(placed > 500, placed + " placed");
+        assertTrue(placed > 500, "only " + placed + " tasks placed");
     }
 
     private static List<Machine> machines(
@@ -91,8 +94,8 @@
     }
 
     /**
-     * What is kept by machine agrees with a walk over all reservations, through making, drawing and
-     * releasing.
+     * The reservations indexed by machine match a scan of all reservations, after each reservation
+     * that is made or released.
      */
     @Test
     void reservationsByMachineAgreeWithAWalkOverAll() {
@@ -126,7 +129,8 @@
     }
 
     /**
-     * A job far too large for one value runs in waves, and its record fits however its tasks end.
+     * A job whose complete record would exceed the store's value limit runs in waves, and its
+     * record fits the limit whichever way its tasks end.
      */
     @ParameterizedTest
     @CsvSource({"PLAIN,8192", "COMPACT,2048", "COMPACT,1500"})
@@ -158,10 +162,10 @@
             }
             largest = Math.max(largest, Cbor.jsonSize(job.toRecord(1, wave).toMap(format)));
         }
-        assertTrue(largest <= valueBytes, "a record of " + largest + " bytes");
-        assertTrue(most > 150, "only " + most + " at once");
+        assertTrue(largest <= valueBytes, "the largest record has " + largest + " bytes");
+        assertTrue(most > 150, "at most " + most + " attempts at a time");
         assertTrue(
                 job.completedTasks().cardinality() > 10_000,
-                job.completedTasks().cardinality() + " done");
+                "only " + job.completedTasks().cardinality() + " tasks completed");
     }
 }
--- a/src/test/java/org/woadloom/core/placement/SteppedSearchTest.java
+++ b/src/test/java/org/woadloom/core/placement/SteppedSearchTest.java
@@ -23,7 +23,9 @@
         assertEquals(6, search.machinesExamined());
     }
 
-    /** Without it a job that needs more than a step allows would stop every search. */
+    /**
+     * Otherwise a job that needs more machines than a step's budget would block the search forever.
+     */
     @Test
     void theFirstVisitOfAStepIsAlwaysAllowed() {
         search.beginStep();
--- a/src/test/java/org/woadloom/core/placement/WaitingJobsReportTest.java
+++ b/src/test/java/org/woadloom/core/placement/WaitingJobsReportTest.java
@@ -12,7 +12,7 @@
 import org.woadloom.core.machines.TaskLossHandler;
 import org.woadloom.core.reservation.Reservations;
 
-/** Why a job of a team that is limited to 24 CPUs waits. */
+/** The reasons reported for a waiting job of a team that is limited to 24 CPUs. */
 class WaitingJobsReportTest {
     private final SchedulerFixture fixture = new SchedulerFixture();
     private final Reservations reservations = new Reservations(fixture.state);
