--- a/src/main/java/org/woadloom/core/cancellation/ConfirmedCancellations.java
+++ b/src/main/java/org/woadloom/core/cancellation/ConfirmedCancellations.java
@@ -30,13 +30,13 @@
     public static final long STORE_OUTAGE_PROMISE_MICROS = 15_000_000;
 
     /** A store that has not responded for this long counts as unavailable. */
-    private static final long STORE_SILENT_MICROS = 1_000_000;
+    private static final long STORE_UNAVAILABLE_MICROS = 1_000_000;
 
     /**
      * If the leader leaves a cancellation that a user waits for unacknowledged for this long, it
      * gets no new promise.
      */
-    private static final long OVERDUE_MICROS = 700_000;
+    private static final long ACK_OVERDUE_MICROS = 700_000;
 
     /**
      * Maximum number of tracked cancellations: more than the store accepts within the second in
@@ -57,7 +57,7 @@
      */
     private final LinkedHashMap<String, Entry> entries = new LinkedHashMap<>();
 
-    private long latestMicros;
+    private long latestTimestampMicros;
 
     /** Every cancellation that this process confirmed after this time is among the entries. */
     private long completeSinceMicros;
@@ -74,16 +74,17 @@
 
     /**
      * Promises on which leaders of earlier terms may still rely, by node. The constructor adds one
-     * for each peer, and a new term adds the one made to the leader before it.
+     * for each peer, and a new term adds the one made to the leader before it. None is ever to this
+     * node itself, because {@link #onLeadershipLost} ends that.
      */
     private final Map<String, OutstandingPromise> outstandingPromises = new HashMap<>();
 
     private static final class Entry {
-        final long micros;
+        final long addedMicros;
         boolean confirmed;
 
-        Entry(long micros) {
-            this.micros = micros;
+        Entry(long addedMicros) {
+            this.addedMicros = addedMicros;
         }
     }
 
@@ -100,7 +101,7 @@
          * True if a node that has reported this term, and whether it leads in it, no longer relies
          * on the promise.
          */
-        boolean endsAt(long peerTerm, boolean leads) {
+        boolean isReleasedBy(long peerTerm, boolean leads) {
             return peerTerm > term && !(fromPredecessor && leads);
         }
     }
@@ -117,7 +118,7 @@
                                 peer,
                                 new OutstandingPromise(
                                         NO_TERM, true, nowMicros + STORE_OUTAGE_PROMISE_MICROS)));
-        latestMicros = nowMicros;
+        latestTimestampMicros = nowMicros;
         completeSinceMicros = nowMicros;
     }
 
@@ -134,16 +135,16 @@
         if (entries.containsKey(jobId)) {
             return;
         }
-        entries.put(jobId, new Entry(next(nowMicros)));
+        entries.put(jobId, new Entry(nextTimestamp(nowMicros)));
         if (entries.size() > MAX_ENTRIES) {
             String first = entries.keySet().iterator().next();
-            completeSinceMicros = entries.remove(first).micros;
+            completeSinceMicros = entries.remove(first).addedMicros;
         }
     }
 
-    private long next(long nowMicros) {
-        latestMicros = Math.max(latestMicros + 1, nowMicros);
-        return latestMicros;
+    private long nextTimestamp(long nowMicros) {
+        latestTimestampMicros = Math.max(latestTimestampMicros + 1, nowMicros);
+        return latestTimestampMicros;
     }
 
     /**
@@ -156,7 +157,7 @@
             return false;
         }
         entry.confirmed |=
-                entry.micros <= acknowledgedMicros
+                entry.addedMicros <= acknowledgedMicros
                         ? !isPromiseOutstanding(nowMicros, leader)
                         : nowMicros > promisedUntilMicros && !isPromiseOutstanding(nowMicros, null);
         return entry.confirmed;
@@ -180,7 +181,7 @@
      */
     public void onPeerTerm(String peer, long peerTerm, boolean leads) {
         outstandingPromises.computeIfPresent(
-                peer, (node, promise) -> promise.endsAt(peerTerm, leads) ? null : promise);
+                peer, (node, promise) -> promise.isReleasedBy(peerTerm, leads) ? null : promise);
         if (peer.equals(leader) && peerTerm > term) {
             promisedUntilMicros = NEVER_MICROS;
         }
@@ -202,33 +203,39 @@
      * @param storeSilentMicros how long the store has not responded to this node
      */
     public WatermarkReport nextReport(
-            String ofLeader, long ofTerm, long storeSilentMicros, long nowMicros) {
-        if (ofTerm < term) {
+            String leaderNode, long leaderTerm, long storeSilentMicros, long nowMicros) {
+        if (leaderTerm < term) {
             return null;
         }
-        if (ofTerm > term) {
-            startTerm(ofLeader, ofTerm, nowMicros);
+        if (leaderTerm > term) {
+            startTerm(leaderNode, leaderTerm, nowMicros);
         }
-        long since = Math.max(acknowledgedMicros, completeSinceMicros);
+        long sinceMicros = Math.max(acknowledgedMicros, completeSinceMicros);
         List<String> jobs = new ArrayList<>();
         entries.forEach(
                 (jobId, entry) -> {
-                    if (entry.micros > since) {
+                    if (entry.addedMicros > sinceMicros) {
                         jobs.add(jobId);
                     }
                 });
-        long sentMicros = next(nowMicros);
-        long promise =
+        long sentMicros = nextTimestamp(nowMicros);
+        long promiseMicros =
                 hasOverdueEntry(nowMicros)
                         ? 0
-                        : storeSilentMicros > STORE_SILENT_MICROS
+                        : storeSilentMicros > STORE_UNAVAILABLE_MICROS
                                 ? STORE_OUTAGE_PROMISE_MICROS
                                 : PROMISE_MICROS;
-        if (promise > 0) {
-            promisedUntilMicros = Math.max(promisedUntilMicros, sentMicros + promise);
+        if (promiseMicros > 0) {
+            promisedUntilMicros = Math.max(promisedUntilMicros, sentMicros + promiseMicros);
         }
         return new WatermarkReport(
-                term, processId, sentMicros, since, echoedLeaderClockMicros, promise, jobs);
+                term,
+                processId,
+                sentMicros,
+                sinceMicros,
+                echoedLeaderClockMicros,
+                promiseMicros,
+                jobs);
     }
 
     /**
@@ -240,8 +247,8 @@
                 .anyMatch(
                         entry ->
                                 !entry.confirmed
-                                        && entry.micros > acknowledgedMicros
-                                        && nowMicros - entry.micros > OVERDUE_MICROS);
+                                        && entry.addedMicros > acknowledgedMicros
+                                        && nowMicros - entry.addedMicros > ACK_OVERDUE_MICROS);
     }
 
     /**
@@ -250,15 +257,15 @@
      */
     private void startTerm(String newLeader, long newTerm, long nowMicros) {
         if (promisedUntilMicros >= nowMicros) {
-            OutstandingPromise before = outstandingPromises.get(leader);
+            OutstandingPromise existing = outstandingPromises.get(leader);
             outstandingPromises.put(
                     leader,
-                    before == null
+                    existing == null
                             ? new OutstandingPromise(term, false, promisedUntilMicros)
                             : new OutstandingPromise(
                                     term,
-                                    before.fromPredecessor,
-                                    Math.max(before.untilMicros, promisedUntilMicros)));
+                                    existing.fromPredecessor,
+                                    Math.max(existing.untilMicros, promisedUntilMicros)));
         }
         leader = newLeader;
         term = newTerm;
--- a/src/main/java/org/woadloom/core/delegation/DelegationLedger.java
+++ b/src/main/java/org/woadloom/core/delegation/DelegationLedger.java
@@ -23,10 +23,10 @@
     private static final class Delegate {
         final String zone;
         long processId;
-        boolean known;
+        boolean hasReported;
 
         /** When the last delegation was sent; it may reach the node much later. */
-        long grantedMicros = NEVER_MICROS;
+        long lastDelegationMicros = NEVER_MICROS;
 
         /** Until this time, the node renews no lease. */
         long noRenewalUntilMicros = NEVER_MICROS;
@@ -72,7 +72,7 @@
         Delegate delegate = delegates.get(node);
         if (delegate != null) {
             update(delegate, status, nowMicros);
-            delegate.grantedMicros = nowMicros;
+            delegate.lastDelegationMicros = nowMicros;
         } else if (!node.equals(self)) {
             return null;
         }
@@ -86,7 +86,7 @@
     }
 
     private void update(Delegate delegate, PeerStatus status, long nowMicros) {
-        if (delegate.known && delegate.processId != status.processId()) {
+        if (delegate.hasReported && delegate.processId != status.processId()) {
             // The previous process may have renewed leases until it ended, which was before this
             // one started.
             long startedMicros =
@@ -98,7 +98,7 @@
                                 Math.min(startedMicros, validUntilMicros(delegate)));
             }
         }
-        delegate.known = true;
+        delegate.hasReported = true;
         delegate.processId = status.processId();
         if (status.term() == term) {
             delegate.noRenewalUntilMicros =
@@ -119,9 +119,9 @@
     }
 
     private long validUntilMicros(Delegate delegate) {
-        return delegate.grantedMicros == NEVER_MICROS
+        return delegate.lastDelegationMicros == NEVER_MICROS
                 ? NEVER_MICROS
-                : delegate.grantedMicros
+                : delegate.lastDelegationMicros
                         + DelegationTimeouts.maxElapsedMicros(timeouts.validityMicros());
     }
 
--- a/src/main/java/org/woadloom/core/delegation/DelegationTimeouts.java
+++ b/src/main/java/org/woadloom/core/delegation/DelegationTimeouts.java
@@ -23,11 +23,11 @@
      * stop.
      */
     public static DelegationTimeouts of(long leaseMicros, long cancelMicros) {
-        long leaseOver = maxElapsedMicros(leaseMicros);
+        long leaseExpiryMicros = maxElapsedMicros(leaseMicros);
         return new DelegationTimeouts(
-                cancelMicros - leaseOver - (maxElapsedMicros(cancelMicros) - cancelMicros),
+                cancelMicros - leaseExpiryMicros - (maxElapsedMicros(cancelMicros) - cancelMicros),
                 leaseMicros / 3,
-                leaseOver);
+                leaseExpiryMicros);
     }
 
     /**
--- a/src/main/java/org/woadloom/core/jobs/AttemptTable.java
+++ b/src/main/java/org/woadloom/core/jobs/AttemptTable.java
@@ -20,7 +20,7 @@
     }
 
     /** Returns the current attempt of a task, or null if it has none. */
-    TaskAttempt of(int index) {
+    TaskAttempt get(int index) {
         return byTask.get(index);
     }
 
--- a/src/main/java/org/woadloom/core/jobs/DemandEstimator.java
+++ b/src/main/java/org/woadloom/core/jobs/DemandEstimator.java
@@ -5,14 +5,14 @@
 
 /** Estimates from the sizes of recent jobs how much CPU the next ones will request. */
 public final class DemandEstimator {
-    private static final int KEPT_JOBS = 20;
-    private static final int KEPT_JOBS_PER_CLASS = 60;
+    private static final int BATCH_WINDOW_JOBS = 20;
+    private static final int CLASS_WINDOW_JOBS = 60;
 
     /** After this long without a new job, no further jobs are expected. */
     private static final long QUIET_MICROS = 120_000_000;
 
-    private final RecentJobSizes batch = new RecentJobSizes(KEPT_JOBS);
-    private final Map<String, RecentJobSizes> byClass = new HashMap<>();
+    private final RecentJobSizes batchSizes = new RecentJobSizes(BATCH_WINDOW_JOBS);
+    private final Map<String, RecentJobSizes> sizesByClass = new HashMap<>();
     private long lastArrivalMicros = Long.MIN_VALUE / 2;
 
     /**
@@ -22,10 +22,11 @@
     void add(Job job, long nowMicros) {
         lastArrivalMicros = nowMicros;
         if (!job.description.isService()) {
-            batch.add(job);
+            batchSizes.add(job);
         }
-        byClass.computeIfAbsent(
-                        job.description.jobClass(), name -> new RecentJobSizes(KEPT_JOBS_PER_CLASS))
+        sizesByClass
+                .computeIfAbsent(
+                        job.description.jobClass(), name -> new RecentJobSizes(CLASS_WINDOW_JOBS))
                 .add(job);
     }
 
@@ -34,7 +35,7 @@
      * before the first job.
      */
     public long largeJobCpu() {
-        return batch.large();
+        return batchSizes.largeSize();
     }
 
     /** True if no job has arrived for so long that no machine needs to be kept for the next one. */
@@ -47,7 +48,7 @@
      * class.
      */
     public boolean isLargeInClass(Job job) {
-        RecentJobSizes sizes = byClass.get(job.description.jobClass());
-        return sizes != null && RecentJobSizes.sizeOf(job) >= sizes.large();
+        RecentJobSizes sizes = sizesByClass.get(job.description.jobClass());
+        return sizes != null && RecentJobSizes.sizeOf(job) >= sizes.largeSize();
     }
 }
--- a/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
+++ b/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
@@ -45,10 +45,10 @@
     private final Map<Job, Long> lastDoneWallMicros = new HashMap<>();
 
     /** Dependencies to look up in the store, with the earliest time of the lookup. */
-    private final Map<String, Long> lookUpAtMicros = new LinkedHashMap<>();
+    private final Map<String, Long> lookupDueMicros = new LinkedHashMap<>();
 
     /** Dependencies with a lookup in flight. */
-    private final Set<String> resolving = new LinkedHashSet<>();
+    private final Set<String> lookupsInFlight = new LinkedHashSet<>();
 
     /**
      * Cancelled jobs whose dependents have yet to be cancelled. A queue instead of recursion,
@@ -56,7 +56,7 @@
      */
     private final ArrayDeque<String> cancelledDependencies = new ArrayDeque<>();
 
-    private boolean changed;
+    private boolean prioritiesOutdated;
 
     public DependencyGraph(SchedulerState state) {
         this.state = state;
@@ -75,12 +75,12 @@
             } else if (job.persistence.isCompletionDurable()) {
                 onDone(job.jobId(), state.wallMicros());
             }
-            changed = true;
+            prioritiesOutdated = true;
         }
         if (!job.isBlocked() || job.isTerminal()) {
             return;
         }
-        changed = true;
+        prioritiesOutdated = true;
         unfinishedDependencies.put(job, new LinkedHashSet<>(job.description.dependencies()));
         state.log(
                 LogEntry.info(LogEvent.JOB_BLOCKED)
@@ -88,12 +88,12 @@
                         .with("dependencies", String.join(",", job.description.dependencies())));
         for (String dependency : job.description.dependencies()) {
             dependents.computeIfAbsent(dependency, jobId -> new LinkedHashSet<>()).add(job);
-            Job other = state.jobs().get(dependency);
-            if (other == null) {
-                lookUpAtMicros.putIfAbsent(dependency, state.nowMicros());
-            } else if (other.isCancelled()) {
+            Job dependencyJob = state.jobs().get(dependency);
+            if (dependencyJob == null) {
+                lookupDueMicros.putIfAbsent(dependency, state.nowMicros());
+            } else if (dependencyJob.isCancelled()) {
                 cancelledDependencies.add(dependency);
-            } else if (other.persistence.isCompletionDurable()) {
+            } else if (dependencyJob.persistence.isCompletionDurable()) {
                 onDone(dependency, state.wallMicros());
             }
         }
@@ -101,17 +101,17 @@
 
     /** Marks a job as durably done and unblocks the jobs that waited only for it. */
     void onDone(String jobId, long wallMicros) {
-        lookUpAtMicros.remove(jobId);
+        lookupDueMicros.remove(jobId);
         Set<Job> jobs = dependents.remove(jobId);
         if (jobs == null) {
             return;
         }
-        changed = true;
+        prioritiesOutdated = true;
         for (Job job : jobs) {
             lastDoneWallMicros.merge(job, wallMicros, Math::max);
-            Set<String> left = unfinishedDependencies.get(job);
-            left.remove(jobId);
-            if (left.isEmpty()) {
+            Set<String> remaining = unfinishedDependencies.get(job);
+            remaining.remove(jobId);
+            if (remaining.isEmpty()) {
                 unblock(job);
             }
         }
@@ -119,8 +119,8 @@
 
     private void unblock(Job job) {
         unfinishedDependencies.remove(job);
-        long at = Math.min(state.wallMicros(), lastDoneWallMicros.remove(job));
-        job.unblock(state.nowMicros() - (state.wallMicros() - at), at);
+        long readyWallMicros = Math.min(state.wallMicros(), lastDoneWallMicros.remove(job));
+        job.unblock(state.nowMicros() - (state.wallMicros() - readyWallMicros), readyWallMicros);
         state.countJobArrival();
         state.demand().add(job, state.nowMicros());
         state.requestPlacement();
@@ -129,7 +129,7 @@
 
     /** Marks a job as durably cancelled; its dependents are cancelled in the next pass. */
     void onCancelled(String jobId) {
-        lookUpAtMicros.remove(jobId);
+        lookupDueMicros.remove(jobId);
         if (dependents.containsKey(jobId)) {
             cancelledDependencies.add(jobId);
         }
@@ -140,12 +140,12 @@
      * behalf of its dependents.
      */
     void onJobRemoved(Job job, boolean outcomeKnown) {
-        forget(job);
+        stopTracking(job);
         if (!dependents.containsKey(job.jobId())) {
             return;
         }
         if (!outcomeKnown) {
-            lookUpAtMicros.put(job.jobId(), state.nowMicros());
+            lookupDueMicros.put(job.jobId(), state.nowMicros());
         } else if (job.isCancelled()) {
             onCancelled(job.jobId());
         } else {
@@ -154,19 +154,19 @@
     }
 
     /** Stops tracking the dependencies of a job that has ended. */
-    private void forget(Job job) {
-        Set<String> before = unfinishedDependencies.remove(job);
+    private void stopTracking(Job job) {
+        Set<String> dependencies = unfinishedDependencies.remove(job);
         lastDoneWallMicros.remove(job);
-        if (before == null) {
+        if (dependencies == null) {
             return;
         }
-        changed = true;
-        for (String jobId : before) {
+        prioritiesOutdated = true;
+        for (String jobId : dependencies) {
             Set<Job> jobs = dependents.get(jobId);
             jobs.remove(job);
             if (jobs.isEmpty()) {
                 dependents.remove(jobId);
-                lookUpAtMicros.remove(jobId);
+                lookupDueMicros.remove(jobId);
             }
         }
     }
@@ -174,7 +174,7 @@
     /** Handles the result of a lookup; an inconclusive one is repeated later. */
     public void onResolved(SchedulerEvent.DependencyResolved event) {
         String jobId = event.jobId();
-        resolving.remove(jobId);
+        lookupsInFlight.remove(jobId);
         if (!dependents.containsKey(jobId)) {
             return;
         }
@@ -188,7 +188,7 @@
             case CANCELLED -> onCancelled(jobId);
             case OPEN, NOT_FOUND, UNREADABLE -> {
                 if (!state.jobs().containsKey(jobId)) {
-                    lookUpAtMicros.put(jobId, state.nowMicros() + LOOKUP_RETRY_MICROS);
+                    lookupDueMicros.put(jobId, state.nowMicros() + LOOKUP_RETRY_MICROS);
                 }
             }
         }
@@ -200,9 +200,9 @@
      */
     public void processChanges() {
         cancelDependents();
-        resolveUnknown();
-        if (changed) {
-            changed = false;
+        startLookups();
+        if (prioritiesOutdated) {
+            prioritiesOutdated = false;
             propagatePriorities();
         }
     }
@@ -219,7 +219,7 @@
                                     .with("job", job.jobId())
                                     .with("dependency", jobId));
                 }
-                forget(job);
+                stopTracking(job);
                 if (dependents.containsKey(job.jobId())) {
                     cancelledDependencies.add(job.jobId());
                 }
@@ -227,14 +227,14 @@
         }
     }
 
-    private void resolveUnknown() {
-        if (lookUpAtMicros.isEmpty() || resolving.size() >= MAX_LOOKUPS) {
+    private void startLookups() {
+        if (lookupDueMicros.isEmpty() || lookupsInFlight.size() >= MAX_LOOKUPS) {
             return;
         }
         for (String jobId : dueLookups()) {
-            lookUpAtMicros.remove(jobId);
+            lookupDueMicros.remove(jobId);
             // A job whose record has arrived since is followed in the registry instead.
-            if (!state.jobs().containsKey(jobId) && resolving.add(jobId)) {
+            if (!state.jobs().containsKey(jobId) && lookupsInFlight.add(jobId)) {
                 state.emit(new SchedulerAction.ResolveDependency(jobId));
             }
         }
@@ -242,9 +242,9 @@
 
     private List<String> dueLookups() {
         List<String> due = new ArrayList<>();
-        for (Map.Entry<String, Long> entry : lookUpAtMicros.entrySet()) {
+        for (Map.Entry<String, Long> entry : lookupDueMicros.entrySet()) {
             if (entry.getValue() <= state.nowMicros()
-                    && resolving.size() + due.size() < MAX_LOOKUPS) {
+                    && lookupsInFlight.size() + due.size() < MAX_LOOKUPS) {
                 due.add(entry.getKey());
             }
         }
@@ -259,9 +259,9 @@
     private void propagatePriorities() {
         Map<String, Priority> priorities = new HashMap<>();
         Map<String, Long> deadlines = new HashMap<>();
-        ArrayDeque<Job> open = new ArrayDeque<>(unfinishedDependencies.keySet());
-        while (!open.isEmpty()) {
-            Job job = open.poll();
+        ArrayDeque<Job> queue = new ArrayDeque<>(unfinishedDependencies.keySet());
+        while (!queue.isEmpty()) {
+            Job job = queue.poll();
             Priority inherited = priorities.get(job.jobId());
             Priority priority =
                     inherited != null && inherited.compareTo(job.description.priority()) > 0
@@ -276,18 +276,19 @@
                             ? deadline
                             : deadline - (long) (job.description.estimatedRuntimeSeconds() * 1e6);
             for (String dependency : unfinishedDependencies.get(job)) {
-                boolean higher =
+                boolean raisesPriority =
                         priorities.get(dependency) == null
                                 || priorities.get(dependency).compareTo(priority) < 0;
-                boolean sooner = deadlines.getOrDefault(dependency, Long.MAX_VALUE) > latestStart;
-                if (!higher && !sooner) {
+                boolean advancesDeadline =
+                        deadlines.getOrDefault(dependency, Long.MAX_VALUE) > latestStart;
+                if (!raisesPriority && !advancesDeadline) {
                     continue;
                 }
                 priorities.merge(dependency, priority, (a, b) -> a.compareTo(b) >= 0 ? a : b);
                 deadlines.merge(dependency, latestStart, Math::min);
-                Job other = state.jobs().get(dependency);
-                if (other != null && unfinishedDependencies.containsKey(other)) {
-                    open.add(other);
+                Job dependencyJob = state.jobs().get(dependency);
+                if (dependencyJob != null && unfinishedDependencies.containsKey(dependencyJob)) {
+                    queue.add(dependencyJob);
                 }
             }
         }
--- a/src/main/java/org/woadloom/core/jobs/Job.java
+++ b/src/main/java/org/woadloom/core/jobs/Job.java
@@ -67,7 +67,7 @@
     private long deadlineMicros;
 
     /** In bytes; computed on first use, 0 before. */
-    private int descriptionSize;
+    private int descriptionBytes;
 
     private boolean cancelled;
     private long cancelledSinceMicros = NEVER_MICROS;
@@ -117,11 +117,11 @@
      * Approximate size of the description in the compact format, in bytes. Every record of the job
      * contains the description.
      */
-    public int descriptionSize() {
-        if (descriptionSize == 0) {
-            descriptionSize = Cbor.jsonSize(description.withoutDependencies().toMap());
+    public int descriptionBytes() {
+        if (descriptionBytes == 0) {
+            descriptionBytes = Cbor.jsonSize(description.withoutDependencies().toMap());
         }
-        return descriptionSize;
+        return descriptionBytes;
     }
 
     // Dependencies, and what the job inherits from its dependents.
@@ -251,7 +251,7 @@
 
     /** Marks a task as completed; returns false if it already was. */
     public boolean markCompleted(int index) {
-        return tasks.complete(index);
+        return tasks.markCompleted(index);
     }
 
     /**
@@ -293,7 +293,7 @@
 
     /** Returns the current attempt of a task, or null if it has none. */
     public TaskAttempt attempt(int index) {
-        return attempts.of(index);
+        return attempts.get(index);
     }
 
     public int attemptCountInZone(String zone) {
@@ -326,7 +326,7 @@
         }
         lastPlacedMicros = attempt.placedMicros;
         attempts.add(attempt);
-        tasks.take(attempt.taskIndex);
+        tasks.assign(attempt.taskIndex);
         attempt.machine.add(attempt);
         teamQuota.onTaskPlaced(this);
     }
--- a/src/main/java/org/woadloom/core/jobs/JobPersister.java
+++ b/src/main/java/org/woadloom/core/jobs/JobPersister.java
@@ -17,10 +17,10 @@
  */
 public final class JobPersister {
     /** Minimum interval between writes of a job that only record task progress. */
-    private static final long PHASE_INTERVAL_MICROS = 1_000_000;
+    private static final long TASK_PROGRESS_INTERVAL_MICROS = 1_000_000;
 
     /** Minimum interval between writes of a job that record the end of tasks, which users see. */
-    private static final long OUTCOME_INTERVAL_MICROS = 250_000;
+    private static final long TASK_ENDED_INTERVAL_MICROS = 250_000;
 
     private static final long RETRY_MICROS = 150_000;
 
@@ -40,9 +40,9 @@
      * Cost of a write against the write budget, in changes to the store. Replacing the record by
      * the final state takes two.
      */
-    private static final int CHANGES_OF_FINAL_STATE = 2;
+    private static final int FINAL_STATE_COST = 2;
 
-    private static final int CHANGES_OF_RECORD = 1;
+    private static final int RECORD_COST = 1;
 
     /**
      * Jobs that have ended first, then the least recently written, with an advantage for writes
@@ -51,7 +51,7 @@
      */
     private static final Comparator<Job> WRITE_ORDER =
             Comparator.comparing((Job job) -> !job.isTerminal())
-                    .thenComparingLong(JobPersister::turnMicros);
+                    .thenComparingLong(JobPersister::writeOrderMicros);
 
     private final SchedulerState state;
     private final JobRegistry jobs;
@@ -61,9 +61,9 @@
         this.jobs = jobs;
     }
 
-    private static long turnMicros(Job job) {
+    private static long writeOrderMicros(Job job) {
         PersistenceState persistence = job.persistence;
-        return persistence.pendingReason() == WriteUrgency.IMMEDIATE
+        return persistence.pendingUrgency() == WriteUrgency.IMMEDIATE
                 ? persistence.lastWriteMicros() - IMMEDIATE_ADVANTAGE_MICROS
                 : persistence.lastWriteMicros();
     }
@@ -72,7 +72,7 @@
     public void emitDueRequests() {
         List<Job> due = new ArrayList<>();
         List<Job> replaced = new ArrayList<>();
-        state.unmarkJobsIf(job -> job.isRemoved() || !job.persistence.needsExchange());
+        state.unmarkJobsIf(job -> job.isRemoved() || !job.persistence.hasPendingRequest());
         for (Job job : state.jobsToPersist()) {
             PersistenceState persistence = job.persistence;
             if (persistence.isReplaced()) {
@@ -81,7 +81,7 @@
                 }
             } else if (state.nowMicros() >= persistence.retryAtMicros()) {
                 if (persistence.isReadNeeded()) {
-                    readUnlessOpen(job);
+                    startReadUnlessInFlight(job);
                 } else if (persistence.isIdle() && isDue(job)) {
                     due.add(job);
                 }
@@ -104,10 +104,10 @@
      */
     private boolean isDue(Job job) {
         long sinceLastWrite = state.nowMicros() - job.persistence.lastWriteMicros();
-        return switch (job.persistence.pendingReason()) {
+        return switch (job.persistence.pendingUrgency()) {
             case NONE -> false;
-            case TASK_PROGRESS -> sinceLastWrite >= PHASE_INTERVAL_MICROS;
-            case TASK_ENDED -> sinceLastWrite >= OUTCOME_INTERVAL_MICROS;
+            case TASK_PROGRESS -> sinceLastWrite >= TASK_PROGRESS_INTERVAL_MICROS;
+            case TASK_ENDED -> sinceLastWrite >= TASK_ENDED_INTERVAL_MICROS;
             case IMMEDIATE -> true;
         };
     }
@@ -118,7 +118,7 @@
                 : state.writeBudget().allowsJob();
     }
 
-    private void readUnlessOpen(Job job) {
+    private void startReadUnlessInFlight(Job job) {
         if (!job.persistence.isReading()) {
             job.persistence.startRead(state.nowMicros() + RETRY_MICROS);
             state.emit(new SchedulerAction.ReadJob(job.jobId()));
@@ -134,7 +134,7 @@
     }
 
     private void writeFinalState(Job job) {
-        state.writeBudget().takeJob(CHANGES_OF_FINAL_STATE);
+        state.writeBudget().takeJob(FINAL_STATE_COST);
         long version = job.persistence.startFinalWrite(state.nowMicros(), job.isComplete());
         FinalRecord record =
                 new FinalRecord(
@@ -148,8 +148,8 @@
     }
 
     private void writeRecord(Job job) {
-        state.writeBudget().takeJob(CHANGES_OF_RECORD);
-        boolean urgent = job.persistence.pendingReason() == WriteUrgency.IMMEDIATE;
+        state.writeBudget().takeJob(RECORD_COST);
+        boolean urgent = job.persistence.pendingUrgency() == WriteUrgency.IMMEDIATE;
         long version = job.persistence.startWrite(state.nowMicros(), job.isComplete());
         state.emit(
                 new SchedulerAction.WriteJob(
@@ -204,11 +204,11 @@
     private void onRecordTooLarge(Job job) {
         long retryAtMicros = state.nowMicros() + TOO_LARGE_RETRY_MICROS;
         job.persistence.onWriteRefused(retryAtMicros);
-        int planned = 0;
+        int removedAttempts = 0;
         for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
             if (attempt.stage() == TaskAttempt.Stage.PLANNED) {
                 job.removeAttempt(attempt);
-                planned++;
+                removedAttempts++;
             }
         }
         job.placeNotBefore(Math.max(job.placeNotBeforeMicros(), retryAtMicros));
@@ -216,7 +216,7 @@
         state.log(
                 LogEntry.info(LogEvent.JOB_RECORD_TOO_LARGE)
                         .with("job", job.jobId())
-                        .with("waiting_tasks", planned));
+                        .with("waiting_tasks", removedAttempts));
     }
 
     /** Schedules another read after one that got no response. */
--- a/src/main/java/org/woadloom/core/jobs/JobRegistry.java
+++ b/src/main/java/org/woadloom/core/jobs/JobRegistry.java
@@ -35,19 +35,20 @@
         if (job == null) {
             return;
         }
-        for (JobRecord.RecordedAttempt placed : record.attempts()) {
-            Machine machine = state.machines().get(placed.host());
+        for (JobRecord.RecordedAttempt recordedAttempt : record.attempts()) {
+            Machine machine = state.machines().get(recordedAttempt.host());
             if (machine == null) {
                 // A machine's record is deleted only after the cloud has confirmed the deletion of
                 // the machine, so none of the tasks can still run there.
                 job.persistence.requestWrite(PersistenceState.WriteUrgency.TASK_ENDED);
                 continue;
             }
-            for (int i = placed.tasks().nextSetBit(0);
+            for (int i = recordedAttempt.tasks().nextSetBit(0);
                     i >= 0;
-                    i = placed.tasks().nextSetBit(i + 1)) {
+                    i = recordedAttempt.tasks().nextSetBit(i + 1)) {
                 TaskAttempt attempt =
-                        new TaskAttempt(job, i, machine, placed.attempt(), 0, state.nowMicros());
+                        new TaskAttempt(
+                                job, i, machine, recordedAttempt.attempt(), 0, state.nowMicros());
                 attempt.onRecovered();
                 job.addAttempt(attempt);
                 if (job.isTerminal() || job.isCompleted(i)) {
@@ -87,7 +88,7 @@
 
     private void updateFrom(JobRecord record, long revision, Job job) {
         PersistenceState persistence = job.persistence;
-        boolean answersRead = persistence.isReading();
+        boolean isReadResult = persistence.isReading();
         if (revision < persistence.revision()) {
             return;
         }
@@ -101,7 +102,7 @@
         if (record.cancelled() && !job.isCancelled()) {
             cancel(job);
         }
-        if (answersRead) {
+        if (isReadResult) {
             // If the write with the unknown outcome was not executed, the record lacks its changes;
             // the next write contains them all.
             persistence.onRecordRead();
@@ -207,9 +208,14 @@
                             .with("team", record.description().team()));
             return null;
         }
-        long age = Math.max(0, state.wallMicros() - record.submittedWallMicros());
+        long ageMicros = Math.max(0, state.wallMicros() - record.submittedWallMicros());
         Job job =
-                new Job(record, revision, team, state.nowMicros() - age, state::markForPersistence);
+                new Job(
+                        record,
+                        revision,
+                        team,
+                        state.nowMicros() - ageMicros,
+                        state::markForPersistence);
         state.addJob(job);
         state.serviceLevels().onJobAdded(job);
         state.countJobArrival();
--- a/src/main/java/org/woadloom/core/jobs/PersistenceState.java
+++ b/src/main/java/org/woadloom/core/jobs/PersistenceState.java
@@ -4,7 +4,7 @@
  * Tracks how far a job's stored record reflects what the scheduler knows.
  *
  * <p>Each write has a version, counted per job and term. At most one request is in flight per job;
- * its state is the {@link Exchange}:
+ * its state is the {@link RequestState}:
  *
  * <pre>
  * IDLE ----- startWrite --------------------------&gt; WRITING
@@ -28,7 +28,7 @@
         IMMEDIATE
     }
 
-    private enum Exchange {
+    private enum RequestState {
         IDLE,
         WRITING,
         /** A write failed with a conflict or got no response, so the stored record must be read. */
@@ -41,7 +41,7 @@
     private static final long NO_VERSION = 0;
 
     private final Runnable onWriteNeeded;
-    private Exchange exchange = Exchange.IDLE;
+    private RequestState requestState = RequestState.IDLE;
     private long revision;
     private long durableVersion;
 
@@ -52,7 +52,7 @@
     private long versionInFlight = NO_VERSION;
 
     private long nextVersion = 1;
-    private WriteUrgency pendingReason = WriteUrgency.NONE;
+    private WriteUrgency pendingUrgency = WriteUrgency.NONE;
     private boolean readAsComplete;
     private boolean finalStateInFlight;
 
@@ -72,20 +72,20 @@
     // Pending work.
 
     /** Requests a write. If one is pending already, the more urgent of the two applies. */
-    public void requestWrite(WriteUrgency reason) {
-        if (reason.compareTo(pendingReason) > 0) {
-            pendingReason = reason;
+    public void requestWrite(WriteUrgency urgency) {
+        if (urgency.compareTo(pendingUrgency) > 0) {
+            pendingUrgency = urgency;
             onWriteNeeded.run();
         }
     }
 
-    WriteUrgency pendingReason() {
-        return pendingReason;
+    WriteUrgency pendingUrgency() {
+        return pendingUrgency;
     }
 
     /** True while a write or a read is pending. */
-    boolean needsExchange() {
-        return pendingReason != WriteUrgency.NONE || isReadNeeded();
+    boolean hasPendingRequest() {
+        return pendingUrgency != WriteUrgency.NONE || isReadNeeded();
     }
 
     /**
@@ -93,15 +93,15 @@
      * flight.
      */
     boolean isReadNeeded() {
-        return exchange == Exchange.READ_NEEDED || exchange == Exchange.READING;
+        return requestState == RequestState.READ_NEEDED || requestState == RequestState.READING;
     }
 
     boolean isReading() {
-        return exchange == Exchange.READING;
+        return requestState == RequestState.READING;
     }
 
     boolean isIdle() {
-        return exchange == Exchange.IDLE;
+        return requestState == RequestState.IDLE;
     }
 
     /**
@@ -109,7 +109,7 @@
      * that.
      */
     boolean isReplaced() {
-        return exchange == Exchange.REPLACED;
+        return requestState == RequestState.REPLACED;
     }
 
     /** The earliest time of the next request. */
@@ -173,12 +173,12 @@
      * @return the version of the write
      */
     long startWrite(long nowMicros, boolean allCompleted) {
-        exchange = Exchange.WRITING;
+        requestState = RequestState.WRITING;
         versionInFlight = nextVersion++;
         if (allCompleted && completionVersion == NO_VERSION) {
             completionVersion = versionInFlight;
         }
-        pendingReason = WriteUrgency.NONE;
+        pendingUrgency = WriteUrgency.NONE;
         lastWriteMicros = nowMicros;
         return versionInFlight;
     }
@@ -215,8 +215,8 @@
     void onWriteRefused(long retryAtMicros) {
         versionInFlight = NO_VERSION;
         finalStateInFlight = false;
-        if (exchange == Exchange.WRITING) {
-            exchange = Exchange.IDLE;
+        if (requestState == RequestState.WRITING) {
+            requestState = RequestState.IDLE;
         }
         requestWrite(WriteUrgency.IMMEDIATE);
         this.retryAtMicros = retryAtMicros;
@@ -227,19 +227,19 @@
     /** The outcome of the last write is unknown; requires a read before the next write. */
     void requireRead() {
         if (!isReplaced()) {
-            exchange = Exchange.READ_NEEDED;
+            requestState = RequestState.READ_NEEDED;
         }
     }
 
     /** Starts a read. If it gets no response, another one may start at the given time. */
     void startRead(long retryAtMicros) {
-        exchange = Exchange.READING;
+        requestState = RequestState.READING;
         this.retryAtMicros = retryAtMicros;
     }
 
     /** Handles a read without a response; another one may start at the given time. */
     void onReadFailed(long retryAtMicros) {
-        exchange = Exchange.READ_NEEDED;
+        requestState = RequestState.READ_NEEDED;
         this.retryAtMicros = retryAtMicros;
     }
 
@@ -256,13 +256,13 @@
 
     /** Handles a read that found no record: another writer's final state has replaced it. */
     void onReplaced() {
-        exchange = Exchange.REPLACED;
-        pendingReason = WriteUrgency.NONE;
+        requestState = RequestState.REPLACED;
+        pendingUrgency = WriteUrgency.NONE;
     }
 
     private void becomeIdle() {
         if (!isReplaced()) {
-            exchange = Exchange.IDLE;
+            requestState = RequestState.IDLE;
         }
     }
 }
--- a/src/main/java/org/woadloom/core/jobs/PreemptionBackoff.java
+++ b/src/main/java/org/woadloom/core/jobs/PreemptionBackoff.java
@@ -14,7 +14,7 @@
     private static final int MAX_DOUBLINGS = 3;
 
     /** A preemption after at least this long without one counts as the first. */
-    private static final long MEMORY_MICROS = 30_000_000;
+    private static final long RESET_AFTER_MICROS = 30_000_000;
 
     private int recentPreemptions;
 
@@ -29,8 +29,8 @@
         if (nowMicros == lastPreemptionMicros) {
             return;
         }
-        boolean isForgotten = nowMicros - lastPreemptionMicros > MEMORY_MICROS;
-        recentPreemptions = isForgotten ? 1 : Math.min(recentPreemptions + 1, MAX_DOUBLINGS);
+        boolean isReset = nowMicros - lastPreemptionMicros > RESET_AFTER_MICROS;
+        recentPreemptions = isReset ? 1 : Math.min(recentPreemptions + 1, MAX_DOUBLINGS);
         lastPreemptionMicros = nowMicros;
     }
 
--- a/src/main/java/org/woadloom/core/jobs/RecentJobSizes.java
+++ b/src/main/java/org/woadloom/core/jobs/RecentJobSizes.java
@@ -8,12 +8,12 @@
 final class RecentJobSizes {
     private static final double LARGE_QUANTILE = 0.9;
 
-    private final int kept;
-    private final ArrayDeque<Long> cpus = new ArrayDeque<>();
-    private long large;
+    private final int capacity;
+    private final ArrayDeque<Long> sizes = new ArrayDeque<>();
+    private long largeSize;
 
-    RecentJobSizes(int kept) {
-        this.kept = kept;
+    RecentJobSizes(int capacity) {
+        this.capacity = capacity;
     }
 
     static long sizeOf(Job job) {
@@ -21,17 +21,17 @@
     }
 
     void add(Job job) {
-        cpus.addLast(sizeOf(job));
-        if (cpus.size() > kept) {
-            cpus.removeFirst();
+        sizes.addLast(sizeOf(job));
+        if (sizes.size() > capacity) {
+            sizes.removeFirst();
         }
-        List<Long> sorted = new ArrayList<>(cpus);
+        List<Long> sorted = new ArrayList<>(sizes);
         sorted.sort(null);
-        large = sorted.get((int) Math.ceil(sorted.size() * LARGE_QUANTILE) - 1);
+        largeSize = sorted.get((int) Math.ceil(sorted.size() * LARGE_QUANTILE) - 1);
     }
 
     /** The 90th percentile of the window; 0 while it is empty. */
-    long large() {
-        return large;
+    long largeSize() {
+        return largeSize;
     }
 }
--- a/src/main/java/org/woadloom/core/jobs/TaskSet.java
+++ b/src/main/java/org/woadloom/core/jobs/TaskSet.java
@@ -12,9 +12,9 @@
 final class TaskSet {
     private final int size;
     private final BitSet completed;
-    private final BitSet taken;
+    private final BitSet assigned;
     private int completedCount;
-    private int takenCount;
+    private int assignedCount;
 
     /**
      * @param size number of tasks of the job
@@ -23,9 +23,9 @@
     TaskSet(int size, BitSet completed) {
         this.size = size;
         this.completed = (BitSet) completed.clone();
-        this.taken = (BitSet) completed.clone();
+        this.assigned = (BitSet) completed.clone();
         this.completedCount = completed.cardinality();
-        this.takenCount = completedCount;
+        this.assignedCount = completedCount;
     }
 
     int completedCount() {
@@ -47,39 +47,39 @@
 
     /** Number of tasks that are neither assigned nor completed. */
     int pendingCount() {
-        return size - takenCount;
+        return size - assignedCount;
     }
 
     /** Returns the first pending task at or after the given index, or {@link Job#NO_TASK}. */
     int nextPending(int from) {
-        int next = taken.nextClearBit(from);
+        int next = assigned.nextClearBit(from);
         return next < size ? next : Job.NO_TASK;
     }
 
     /** Marks a task as assigned to an attempt. */
-    void take(int index) {
-        if (!taken.get(index)) {
-            taken.set(index);
-            takenCount++;
+    void assign(int index) {
+        if (!assigned.get(index)) {
+            assigned.set(index);
+            assignedCount++;
         }
     }
 
     /** Makes a task pending again unless it is completed. */
     void release(int index) {
-        if (!completed.get(index) && taken.get(index)) {
-            taken.clear(index);
-            takenCount--;
+        if (!completed.get(index) && assigned.get(index)) {
+            assigned.clear(index);
+            assignedCount--;
         }
     }
 
     /** Marks a task as completed; returns false if it already was. */
-    boolean complete(int index) {
+    boolean markCompleted(int index) {
         if (completed.get(index)) {
             return false;
         }
         completed.set(index);
         completedCount++;
-        take(index);
+        assign(index);
         return true;
     }
 }
--- a/src/main/java/org/woadloom/core/liveness/AgentLiveness.java
+++ b/src/main/java/org/woadloom/core/liveness/AgentLiveness.java
@@ -36,7 +36,7 @@
     /**
      * Start of the current series of heartbeats without a gap longer than the unreachable timeout.
      */
-    private long reportingSinceMicros = NEVER;
+    private long heartbeatSeriesSinceMicros = NEVER;
 
     private long lastAliveMicros = NEVER;
     private long lastHeartbeatMicros = NEVER;
@@ -170,7 +170,7 @@
                 || !heartbeat.isNewerThan(incarnation, sequence)) {
             return MessageAge.DUPLICATE;
         }
-        return nowMicros - sentNotBefore(heartbeat, commandSentMicros)
+        return nowMicros - earliestCreationMicros(heartbeat, commandSentMicros)
                         <= timeouts.maxFreshAgeMicros()
                 ? MessageAge.FRESH
                 : MessageAge.POSSIBLY_DELAYED;
@@ -180,7 +180,7 @@
      * Returns the earliest time at which a message that is newer than all before it can have been
      * created: after those messages, and after the token that it carries was issued.
      */
-    private long sentNotBefore(Heartbeat heartbeat, long commandSentMicros) {
+    private long earliestCreationMicros(Heartbeat heartbeat, long commandSentMicros) {
         long sentMicros = Math.max(commandSentMicros, lastAliveMicros);
         return heartbeat.fencingToken() == fencingToken()
                 ? Math.max(sentMicros, tokenIssuedMicros)
@@ -196,7 +196,9 @@
     public void accept(
             Heartbeat heartbeat, MessageAge age, long commandSentMicros, long nowMicros) {
         long aliveAtMicros =
-                age == MessageAge.FRESH ? nowMicros : sentNotBefore(heartbeat, commandSentMicros);
+                age == MessageAge.FRESH
+                        ? nowMicros
+                        : earliestCreationMicros(heartbeat, commandSentMicros);
         incarnation = heartbeat.incarnation();
         minIncarnation = heartbeat.incarnation();
         sequence = heartbeat.sequence();
@@ -240,10 +242,10 @@
         if (heartbeat.isNewerThan(heartbeatIncarnation, heartbeatSequence)) {
             heartbeatIncarnation = heartbeat.incarnation();
             heartbeatSequence = heartbeat.sequence();
-            reportingSinceMicros =
+            heartbeatSeriesSinceMicros =
                     nowMicros - heartbeatArrivedMicros > timeouts.unreachableMicros()
                             ? nowMicros
-                            : reportingSinceMicros;
+                            : heartbeatSeriesSinceMicros;
             heartbeatArrivedMicros = nowMicros;
             return true;
         }
@@ -266,7 +268,7 @@
     public boolean isUnreachable(long nowMicros) {
         return unacknowledgedSinceMicros != NEVER
                 && heartbeatArrivedMicros
-                                - Math.max(unacknowledgedSinceMicros, reportingSinceMicros)
+                                - Math.max(unacknowledgedSinceMicros, heartbeatSeriesSinceMicros)
                         > timeouts.unreachableMicros()
                 && isSendingHeartbeats(nowMicros);
     }
@@ -283,6 +285,6 @@
     public long unacknowledgedForMicros(long nowMicros) {
         return unacknowledgedSinceMicros == NEVER
                 ? 0
-                : nowMicros - Math.max(unacknowledgedSinceMicros, reportingSinceMicros);
+                : nowMicros - Math.max(unacknowledgedSinceMicros, heartbeatSeriesSinceMicros);
     }
 }
--- a/src/main/java/org/woadloom/core/liveness/LivenessTimeouts.java
+++ b/src/main/java/org/woadloom/core/liveness/LivenessTimeouts.java
@@ -13,20 +13,23 @@
 public record LivenessTimeouts(
         long maxFreshAgeMicros, long unreachableMicros, long responseTimeoutMicros) {
     /** An agent gives up a heartbeat after this long without a response. */
-    private static final long AGENT_ANSWER_TIMEOUT_MICROS = 4_000_000;
+    private static final long AGENT_RESPONSE_TIMEOUT_MICROS = 4_000_000;
 
     /** Upper bound for the time in which an agent switches to the next node after giving up one. */
-    private static final long NEXT_NODE_MICROS = 1_000_000;
+    private static final long NODE_SWITCH_MICROS = 1_000_000;
 
     private static final long MARGIN_MICROS = 500_000;
 
     /** Derives the timeouts from the heartbeat interval and the duration of the agents' leases. */
     public static LivenessTimeouts of(long heartbeatMicros, long leaseMicros) {
         long twoNodesMicros =
-                heartbeatMicros + AGENT_ANSWER_TIMEOUT_MICROS + NEXT_NODE_MICROS + MARGIN_MICROS;
+                heartbeatMicros
+                        + AGENT_RESPONSE_TIMEOUT_MICROS
+                        + NODE_SWITCH_MICROS
+                        + MARGIN_MICROS;
         return new LivenessTimeouts(
                 2 * heartbeatMicros + MARGIN_MICROS,
                 Math.max(leaseMicros / 2, twoNodesMicros),
-                AGENT_ANSWER_TIMEOUT_MICROS + MARGIN_MICROS);
+                AGENT_RESPONSE_TIMEOUT_MICROS + MARGIN_MICROS);
     }
 }
--- a/src/main/java/org/woadloom/core/placement/CandidateMachines.java
+++ b/src/main/java/org/woadloom/core/placement/CandidateMachines.java
@@ -76,24 +76,24 @@
     /** Number of replicas of the job on each machine; empty unless the job is a service. */
     private final Map<Machine, Integer> replicas = new HashMap<>();
 
-    private final Map<String, Integer> fitsByZone = new HashMap<>();
+    private final Map<String, Integer> fittingTasksByZone = new HashMap<>();
     private double highestPrice = Double.MIN_NORMAL;
-    private Candidate taken;
+    private Candidate lastReturned;
 
     private static final class Candidate implements Comparable<Candidate> {
         final Machine machine;
-        final int order;
+        final int position;
         double score;
 
-        Candidate(Machine machine, int order) {
+        Candidate(Machine machine, int position) {
             this.machine = machine;
-            this.order = order;
+            this.position = position;
         }
 
         @Override
         public int compareTo(Candidate other) {
             int byScore = Double.compare(other.score, score);
-            return byScore != 0 ? byScore : Integer.compare(order, other.order);
+            return byScore != 0 ? byScore : Integer.compare(position, other.position);
         }
     }
 
@@ -112,7 +112,7 @@
                 replicas.merge(attempt.machine, 1, Integer::sum);
             }
         }
-        if (isFirstOfZone()) {
+        if (determinesZone()) {
             countFitsByZone(openMachines);
         }
         for (Machine machine : openMachines) {
@@ -124,7 +124,7 @@
     private void countFitsByZone(List<Machine> openMachines) {
         for (Machine machine : openMachines) {
             if (constraints.allows(job, machine)) {
-                fitsByZone.merge(
+                fittingTasksByZone.merge(
                         machine.zone,
                         reservations.unreserved(machine, job).countFitting(job.taskResources),
                         Integer::sum);
@@ -133,11 +133,11 @@
     }
 
     private void enqueueFitting(List<Machine> openMachines) {
-        int order = 0;
+        int position = 0;
         for (Machine machine : openMachines) {
-            order++;
+            position++;
             if (fits(machine)) {
-                Candidate candidate = new Candidate(machine, order);
+                Candidate candidate = new Candidate(machine, position);
                 candidate.score = score(machine);
                 queue.add(candidate);
             }
@@ -147,18 +147,18 @@
     /** Returns the best machine that one more task fits on, or null. */
     Machine next() {
         while (!queue.isEmpty()) {
-            Candidate first = queue.poll();
-            if (!fits(first.machine)) {
+            Candidate candidate = queue.poll();
+            if (!fits(candidate.machine)) {
                 continue;
             }
-            double score = score(first.machine);
-            if (score < first.score) {
-                first.score = score;
-                queue.add(first);
+            double score = score(candidate.machine);
+            if (score < candidate.score) {
+                candidate.score = score;
+                queue.add(candidate);
                 continue;
             }
-            taken = first;
-            return first.machine;
+            lastReturned = candidate;
+            return candidate.machine;
         }
         return null;
     }
@@ -166,16 +166,16 @@
     /** Scores the machine that {@link #next} returned last again, after a task was placed on it. */
     void onPlaced() {
         if (job.description.isService()) {
-            replicas.merge(taken.machine, 1, Integer::sum);
+            replicas.merge(lastReturned.machine, 1, Integer::sum);
         }
-        if (fits(taken.machine)) {
-            taken.score = score(taken.machine);
-            queue.add(taken);
+        if (fits(lastReturned.machine)) {
+            lastReturned.score = score(lastReturned.machine);
+            queue.add(lastReturned);
         }
     }
 
     /** True if the next task determines the zone of all others. */
-    private boolean isFirstOfZone() {
+    private boolean determinesZone() {
         return job.description.sameZone() && job.attempts().isEmpty();
     }
 
@@ -207,9 +207,9 @@
         } else {
             score += PRICE_WEIGHT * (1 - machine.pricePerCpu() / highestPrice);
         }
-        if (isFirstOfZone()) {
-            int zoneFits = fitsByZone.getOrDefault(machine.zone, 0);
-            score += ZONE_FIT_WEIGHT * Math.min(job.pendingTaskCount(), zoneFits);
+        if (determinesZone()) {
+            int fittingTasks = fittingTasksByZone.getOrDefault(machine.zone, 0);
+            score += ZONE_FIT_WEIGHT * Math.min(job.pendingTaskCount(), fittingTasks);
         }
         if (description.spreadAcrossZones()) {
             score -= SPREAD_WEIGHT * job.attemptCountInZone(machine.zone);
--- a/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
+++ b/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
@@ -95,7 +95,7 @@
             boolean fromBorrowers =
                     job.isWithinGuarantee()
                             && job.teamQuota.staysWithinGuarantee(job.taskResources)
-                            && othersBorrow(job.teamQuota);
+                            && doesAnyOtherTeamBorrow(job.teamQuota);
             if (failedSearches.stream().noneMatch(known -> known.covers(job, fromBorrowers))) {
                 wanted = freeResources(job, wanted, fromBorrowers);
                 if (wanted > 0 && ResourceRequest.isRepresentative(job)) {
@@ -112,7 +112,7 @@
         }
     }
 
-    private boolean othersBorrow(TeamQuota team) {
+    private boolean doesAnyOtherTeamBorrow(TeamQuota team) {
         for (TeamQuota other : state.teams().values()) {
             if (other != team && other.exceedsGuarantee()) {
                 return true;
@@ -138,7 +138,7 @@
                     && constraints.acceptsTasks(machine)
                     && constraints.allows(job, machine)
                     && !job.failedOnHosts.contains(machine.host)) {
-                missing -= freeResources(job, machine, missing);
+                missing -= freeResourcesOn(job, machine, missing);
             }
         }
         return missing;
@@ -175,7 +175,7 @@
                                     .with("zone", machine.zone)
                                     .with("for_job", job.jobId()));
                     nextReplicaMoveMicros = state.nowMicros() + MOVE_INTERVAL_MICROS;
-                    stop(attempt);
+                    preempt(attempt);
                     return;
                 }
             }
@@ -212,36 +212,36 @@
                                 ? wanted.plus(reservation.remaining())
                                 : wanted;
             }
-            stopFor(job, machine, reservations.balance(machine, job), wanted);
+            preemptOn(job, machine, reservations.balance(machine, job), wanted);
         }
     }
 
     /** Stops tasks on one machine; returns how many of the job's tasks will fit there. */
-    private int freeResources(Job job, Machine machine, int wanted) {
+    private int freeResourcesOn(Job job, Machine machine, int wanted) {
         Resources expected =
-                stopFor(job, machine, reservations.balance(machine, null), job.taskResources);
+                preemptOn(job, machine, reservations.balance(machine, null), job.taskResources);
         // The freed resources are reserved, so that no other job is placed on them.
-        int made = 0;
-        while (made < wanted
+        int reserved = 0;
+        while (reserved < wanted
                 && expected.contains(job.taskResources)
                 && reservations.reserve(job, machine, job.taskResources, true, true) != null) {
             expected = expected.minus(job.taskResources);
-            made++;
+            reserved++;
         }
-        return made;
+        return reserved;
     }
 
     /**
      * Stops tasks until the free resources suffice, or none if stopping all eligible tasks would
      * not; returns the resources that will be free.
      */
-    private Resources stopFor(Job job, Machine machine, Resources free, Resources needed) {
+    private Resources preemptOn(Job job, Machine machine, Resources free, Resources needed) {
         Resources expected = free;
         List<TaskAttempt> victims = new ArrayList<>();
         for (TaskAttempt attempt : machine.attempts()) {
             if (attempt.isStopping()) {
                 expected = expected.plus(attempt.job.taskResources);
-            } else if (mayStop(job, attempt)) {
+            } else if (mayPreempt(job, attempt)) {
                 victims.add(attempt);
             }
         }
@@ -263,12 +263,12 @@
                             .with("task", victim.taskId())
                             .with("machine", machine.host)
                             .with("for_job", job.jobId()));
-            stop(victim);
+            preempt(victim);
         }
         return expected;
     }
 
-    private void stop(TaskAttempt victim) {
+    private void preempt(TaskAttempt victim) {
         victim.job.onPreempted(state.nowMicros());
         if (victim.wasNeverSent()) {
             victim.job.removeAttempt(victim);
@@ -287,11 +287,11 @@
      * guarantee does not entitle a job to stop tasks of a higher priority: they would preempt the
      * job in turn, in a loop.
      */
-    private boolean mayStop(Job job, TaskAttempt attempt) {
+    private boolean mayPreempt(Job job, TaskAttempt attempt) {
         Job other = attempt.job;
-        int order = other.priority().compareTo(job.priority());
-        if (order != 0) {
-            return order < 0;
+        int priorityOrder = other.priority().compareTo(job.priority());
+        if (priorityOrder != 0) {
+            return priorityOrder < 0;
         }
         return other.teamQuota != job.teamQuota
                 && !other.isWithinGuarantee()
--- a/src/main/java/org/woadloom/core/placement/QueueOrder.java
+++ b/src/main/java/org/woadloom/core/placement/QueueOrder.java
@@ -24,16 +24,16 @@
     private static final int MAX_LATENESS_FACTOR = 6;
 
     /** Interval at which the size of the fleet is computed. */
-    private static final long FLEET_COUNT_INTERVAL_MICROS = 500_000;
+    private static final long FLEET_SIZE_INTERVAL_MICROS = 500_000;
 
     /**
      * A job that has missed a target becomes due again when its expected completion is within this
      * fraction of the next target.
      */
-    private static final double LEAD_SHARE = 0.2;
+    private static final double DUE_AGAIN_FRACTION = 0.2;
 
     /** Without a deadline objective, the target is the deadline itself. */
-    private static final List<Double> DEADLINE_ITSELF = List.of(1.0);
+    private static final List<Double> DEFAULT_DEADLINE_MULTIPLES = List.of(1.0);
 
     /**
      * Every job is to start within four minutes: beyond this age, a job that has not started goes
@@ -49,16 +49,16 @@
     /** CPUs of all machines that are up, in units of {@link Resources}; at least 1. */
     private long fleetCpu;
 
-    private long nextFleetCountMicros = Long.MIN_VALUE;
+    private long nextFleetSizeUpdateMicros = Long.MIN_VALUE;
 
     /** The target completion times of each job class, in microseconds, shortest first. */
-    private final Map<String, List<Double>> targets = new HashMap<>();
+    private final Map<String, List<Double>> targetsMicros = new HashMap<>();
 
     /**
      * The target completion times of each job class with deadlines, as multiples of the time until
      * the deadline, shortest first.
      */
-    private final Map<String, List<Double>> multiples = new HashMap<>();
+    private final Map<String, List<Double>> deadlineMultiples = new HashMap<>();
 
     /** How a job stands against its target times, in the order in which jobs are served. */
     private enum Punctuality {
@@ -73,43 +73,44 @@
         LATE
     }
 
-    private record Entry(Job job, boolean overdue, Punctuality punctuality, double turnMicros) {}
+    private record Entry(Job job, boolean overdue, Punctuality punctuality, double orderMicros) {}
 
     /**
      * Written out instead of as a chain of comparators to avoid boxing: all waiting jobs are sorted
      * several times per pass.
      */
-    private static int compare(Entry one, Entry other) {
-        int order = other.job.priority().compareTo(one.job.priority());
+    private static int compare(Entry first, Entry second) {
+        int order = second.job.priority().compareTo(first.job.priority());
         if (order == 0) {
-            order = Boolean.compare(other.job.isWithinGuarantee(), one.job.isWithinGuarantee());
+            order = Boolean.compare(second.job.isWithinGuarantee(), first.job.isWithinGuarantee());
         }
         if (order == 0) {
-            order = Boolean.compare(other.overdue, one.overdue);
+            order = Boolean.compare(second.overdue, first.overdue);
         }
         if (order == 0) {
-            order = one.punctuality.compareTo(other.punctuality);
+            order = first.punctuality.compareTo(second.punctuality);
         }
         if (order == 0) {
-            order = Double.compare(one.turnMicros, other.turnMicros);
+            order = Double.compare(first.orderMicros, second.orderMicros);
         }
-        return order == 0 ? one.job.jobId().compareTo(other.job.jobId()) : order;
+        return order == 0 ? first.job.jobId().compareTo(second.job.jobId()) : order;
     }
 
     public QueueOrder(SchedulerState state) {
         this.state = state;
         for (Objective objective : state.settings().objectives()) {
             if (objective.kind().equals("finished") && objective.withinSeconds() > 0) {
-                targets.computeIfAbsent(objective.jobClass(), c -> new ArrayList<>())
+                targetsMicros
+                        .computeIfAbsent(objective.jobClass(), c -> new ArrayList<>())
                         .add(objective.withinSeconds() * 1e6);
             } else if (objective.kind().equals("deadline") && objective.times() > 0) {
-                multiples
+                deadlineMultiples
                         .computeIfAbsent(objective.jobClass(), c -> new ArrayList<>())
                         .add(objective.times());
             }
         }
-        targets.values().forEach(times -> times.sort(null));
-        multiples.values().forEach(times -> times.sort(null));
+        targetsMicros.values().forEach(times -> times.sort(null));
+        deadlineMultiples.values().forEach(times -> times.sort(null));
     }
 
     /** Returns the jobs in the order in which they are served now. */
@@ -117,10 +118,10 @@
         if (jobs.isEmpty()) {
             return jobs;
         }
-        countFleet();
+        updateFleetSize();
         List<Entry> entries = new ArrayList<>(jobs.size());
         for (Job job : jobs) {
-            double alone =
+            double fleetTimeMicros =
                     (double) job.taskResources.cpu()
                             * job.pendingTaskCount()
                             / fleetCpu
@@ -131,7 +132,9 @@
                             job,
                             overdue,
                             overdue ? Punctuality.DUE : punctuality(job),
-                            overdue ? job.queuedSinceMicros() : job.queuedSinceMicros() + alone));
+                            overdue
+                                    ? job.queuedSinceMicros()
+                                    : job.queuedSinceMicros() + fleetTimeMicros));
         }
         entries.sort(QueueOrder::compare);
         List<Job> sorted = new ArrayList<>(entries.size());
@@ -144,11 +147,11 @@
     /**
      * Computed at intervals, because the size of the fleet changes slowly and each pass needs it.
      */
-    private void countFleet() {
-        if (state.nowMicros() < nextFleetCountMicros) {
+    private void updateFleetSize() {
+        if (state.nowMicros() < nextFleetSizeUpdateMicros) {
             return;
         }
-        nextFleetCountMicros = state.nowMicros() + FLEET_COUNT_INTERVAL_MICROS;
+        nextFleetSizeUpdateMicros = state.nowMicros() + FLEET_SIZE_INTERVAL_MICROS;
         fleetCpu = 1;
         for (Machine machine : state.machines().values()) {
             fleetCpu += machine.isUp() ? machine.capacity().cpu() : 0;
@@ -179,24 +182,29 @@
             return Punctuality.DUE;
         }
         boolean hasDeadline = job.deadlineMicros() != Long.MAX_VALUE;
-        double from = hasDeadline ? job.submittedMicros : job.queuedSinceMicros();
-        double ends = state.nowMicros() - from + runtimeMicros(job);
-        List<Double> times =
+        double startMicros = hasDeadline ? job.submittedMicros : job.queuedSinceMicros();
+        double expectedCompletionMicros = state.nowMicros() - startMicros + runtimeMicros(job);
+        List<Double> targetTimes =
                 hasDeadline
-                        ? multiples.getOrDefault(job.description.jobClass(), DEADLINE_ITSELF)
-                        : targets.getOrDefault(job.description.jobClass(), List.of());
-        double unit = hasDeadline ? job.deadlineMicros() - from : 1;
-        for (double time : times) {
-            if (ends <= time * unit) {
-                return time == times.get(0) || ends > time * unit * (1 - LEAD_SHARE)
+                        ? deadlineMultiples.getOrDefault(
+                                job.description.jobClass(), DEFAULT_DEADLINE_MULTIPLES)
+                        : targetsMicros.getOrDefault(job.description.jobClass(), List.of());
+        double unitMicros = hasDeadline ? job.deadlineMicros() - startMicros : 1;
+        for (double targetTime : targetTimes) {
+            if (expectedCompletionMicros <= targetTime * unitMicros) {
+                return targetTime == targetTimes.get(0)
+                                || expectedCompletionMicros
+                                        > targetTime * unitMicros * (1 - DUE_AGAIN_FRACTION)
                         ? Punctuality.DUE
                         : Punctuality.LATER;
             }
         }
         boolean isLate =
-                !times.isEmpty()
-                        && state.nowMicros() - from
-                                <= MAX_LATENESS_FACTOR * times.get(times.size() - 1) * unit;
+                !targetTimes.isEmpty()
+                        && state.nowMicros() - startMicros
+                                <= MAX_LATENESS_FACTOR
+                                        * targetTimes.get(targetTimes.size() - 1)
+                                        * unitMicros;
         return isLate ? Punctuality.LATE : Punctuality.DUE;
     }
 }
--- a/src/main/java/org/woadloom/core/placement/RecordSizeEstimate.java
+++ b/src/main/java/org/woadloom/core/placement/RecordSizeEstimate.java
@@ -15,10 +15,10 @@
  */
 public abstract sealed class RecordSizeEstimate {
     /** Size in bytes of a typical description in the compact format. */
-    private static final int TYPICAL_DESCRIPTION = 420;
+    private static final int TYPICAL_DESCRIPTION_BYTES = 420;
 
     /** Maximum size of a value in the store, in bytes. */
-    private final int limit;
+    private final int limitBytes;
 
     private final Set<Machine> machines = new HashSet<>();
 
@@ -29,7 +29,7 @@
     private record Group(Machine machine, long attempt) {}
 
     private RecordSizeEstimate(int limit) {
-        this.limit = limit;
+        this.limitBytes = limit;
     }
 
     static RecordSizeEstimate of(Job job, int limit, RecordFormat format) {
@@ -41,7 +41,7 @@
      * its own.
      */
     public static int maxTasksOnDistinctMachines(int valueBytes) {
-        Compact size = new Compact(valueBytes, TYPICAL_DESCRIPTION);
+        Compact size = new Compact(valueBytes, TYPICAL_DESCRIPTION_BYTES);
         return size.maxMoreTasks(0, valueBytes);
     }
 
@@ -56,7 +56,7 @@
 
     abstract void onPlaced(int index, boolean newMachine);
 
-    private static int groups(Job job) {
+    private static int groupCount(Job job) {
         Set<Group> groups = new HashSet<>();
         for (TaskAttempt attempt : job.attempts()) {
             groups.add(new Group(attempt.machine, attempt.attemptNumber));
@@ -65,7 +65,7 @@
     }
 
     boolean fitsOneMore(int index) {
-        return sizeWith(1, index, 1) <= limit;
+        return sizeWith(1, index, 1) <= limitBytes;
     }
 
     /**
@@ -77,7 +77,7 @@
         int tooMany = wanted + 1;
         while (tooMany - fitting > 1) {
             int middle = (fitting + tooMany) / 2;
-            if (sizeWith(middle, index + middle - 1, middle) <= limit) {
+            if (sizeWith(middle, index + middle - 1, middle) <= limitBytes) {
                 fitting = middle;
             } else {
                 tooMany = middle;
@@ -96,98 +96,101 @@
      */
     private static final class Compact extends RecordSizeEstimate {
         /** Everything but the description and the task progress. */
-        private static final int FIXED = 260;
+        private static final int FIXED_BYTES = 260;
 
         /** The delta of the machine numbers and the index of the attempt. */
-        private static final int PER_GROUP = 3;
+        private static final int BYTES_PER_GROUP = 3;
 
-        private static final int PER_GROUP_OF_MANY = 4;
+        private static final int BYTES_PER_GROUP_OF_MANY_ATTEMPTS = 4;
 
         /** With more attempts, some indexes exceed the seven bits that one byte holds. */
-        private static final int FEW_ATTEMPTS = 127;
+        private static final int MAX_ONE_BYTE_ATTEMPTS = 127;
 
-        private static final int PER_ATTEMPT = 4;
+        private static final int BYTES_PER_ATTEMPT = 4;
 
-        private final int description;
-        private int front;
-        private int end;
-        private int groups;
-        private int attempts;
+        private final int descriptionBytes;
+        private int firstIndex;
+        private int endIndex;
+        private int groupCount;
+        private int attemptCount;
 
-        Compact(int limit, int description) {
+        Compact(int limit, int descriptionBytes) {
             super(limit);
-            this.description = description;
+            this.descriptionBytes = descriptionBytes;
         }
 
         Compact(Job job, int limit) {
-            this(limit, job.descriptionSize());
-            front = job.completedTasks().nextClearBit(0);
-            end = job.completedTasks().length();
-            Set<Long> distinct = new HashSet<>();
+            this(limit, job.descriptionBytes());
+            firstIndex = job.completedTasks().nextClearBit(0);
+            endIndex = job.completedTasks().length();
+            Set<Long> attemptNumbers = new HashSet<>();
             for (TaskAttempt attempt : job.attempts()) {
-                front = Math.min(front, attempt.taskIndex);
-                end = Math.max(end, attempt.taskIndex + 1);
-                distinct.add(attempt.attemptNumber);
+                firstIndex = Math.min(firstIndex, attempt.taskIndex);
+                endIndex = Math.max(endIndex, attempt.taskIndex + 1);
+                attemptNumbers.add(attempt.attemptNumber);
             }
-            attempts = distinct.size() + 1;
-            groups = groups(job);
+            attemptCount = attemptNumbers.size() + 1;
+            groupCount = groupCount(job);
         }
 
         @Override
         int sizeWith(int tasks, int lastIndex, int machines) {
-            int all = groups + machines;
-            int window = Math.max(end, lastIndex + 1) - front;
+            int totalGroups = groupCount + machines;
+            int window = Math.max(endIndex, lastIndex + 1) - firstIndex;
             int bytes =
-                    all * (attempts > FEW_ATTEMPTS ? PER_GROUP_OF_MANY : PER_GROUP)
-                            + attempts * PER_ATTEMPT
-                            + (window * TaskProgressCodec.bits(all) + 7) / 8;
-            return FIXED + description + (bytes * 4 + 2) / 3;
+                    totalGroups
+                                    * (attemptCount > MAX_ONE_BYTE_ATTEMPTS
+                                            ? BYTES_PER_GROUP_OF_MANY_ATTEMPTS
+                                            : BYTES_PER_GROUP)
+                            + attemptCount * BYTES_PER_ATTEMPT
+                            + (window * TaskProgressCodec.bits(totalGroups) + 7) / 8;
+            return FIXED_BYTES + descriptionBytes + (bytes * 4 + 2) / 3;
         }
 
         @Override
         void onPlaced(int index, boolean newMachine) {
-            end = Math.max(end, index + 1);
-            groups += newMachine ? 1 : 0;
+            endIndex = Math.max(endIndex, index + 1);
+            groupCount += newMachine ? 1 : 0;
         }
     }
 
     /** For the plain format, which is written while any node may run version 1. */
     private static final class Plain extends RecordSizeEstimate {
-        private static final int FIXED = 900;
+        private static final int FIXED_BYTES = 900;
 
         /** A machine name, an attempt number and their delimiters. */
-        private static final int PER_GROUP = 56;
+        private static final int BYTES_PER_GROUP = 56;
 
         /**
          * A task's index as both ends of a range. Any task, completed or placed, may become a range
          * of its own.
          */
-        private static final int PER_TASK = 14;
+        private static final int BYTES_PER_TASK = 14;
 
-        private int size;
+        private int sizeBytes;
 
         Plain(Job job, int limit) {
             super(limit);
-            int doneRanges = 0;
+            int completedRanges = 0;
             for (int i = job.completedTasks().nextSetBit(0);
                     i >= 0;
                     i = job.completedTasks().nextSetBit(job.completedTasks().nextClearBit(i))) {
-                doneRanges++;
+                completedRanges++;
             }
-            size =
-                    FIXED
-                            + PER_GROUP * groups(job)
-                            + PER_TASK * (job.attempts().size() + doneRanges);
+            sizeBytes =
+                    FIXED_BYTES
+                            + BYTES_PER_GROUP * groupCount(job)
+                            + BYTES_PER_TASK * (job.attempts().size() + completedRanges);
         }
 
         @Override
         int sizeWith(int tasks, int lastIndex, int machines) {
-            return size + PER_GROUP * machines + PER_TASK * tasks;
+            return sizeBytes + BYTES_PER_GROUP * machines + BYTES_PER_TASK * tasks;
         }
 
         @Override
         void onPlaced(int index, boolean newMachine) {
-            size += PER_TASK + (newMachine ? PER_GROUP : 0);
+            sizeBytes += BYTES_PER_TASK + (newMachine ? BYTES_PER_GROUP : 0);
         }
     }
 }
--- a/src/main/java/org/woadloom/core/placement/Resources.java
+++ b/src/main/java/org/woadloom/core/placement/Resources.java
@@ -12,7 +12,7 @@
     public static final long SCALE = 1000;
 
     /** Tolerance in units for settings that binary floating point cannot represent exactly. */
-    private static final double ROUNDING_ERROR = 1e-6;
+    private static final double ROUNDING_TOLERANCE = 1e-6;
 
     public static final Resources NONE = new Resources(0, 0, 0);
 
@@ -33,11 +33,11 @@
     }
 
     private static long toUnitsRoundedUp(double amount) {
-        return (long) Math.ceil(amount * SCALE - ROUNDING_ERROR);
+        return (long) Math.ceil(amount * SCALE - ROUNDING_TOLERANCE);
     }
 
     public static long toUnitsRoundedDown(double amount) {
-        return (long) (amount * SCALE + ROUNDING_ERROR);
+        return (long) (amount * SCALE + ROUNDING_TOLERANCE);
     }
 
     public Resources plus(Resources other) {
--- a/src/main/java/org/woadloom/core/placement/TaskPlacer.java
+++ b/src/main/java/org/woadloom/core/placement/TaskPlacer.java
@@ -33,7 +33,7 @@
     private final IncrementalSearch search = new IncrementalSearch(MAX_MACHINES_PER_STEP);
 
     /** Requests for which the current search found no machine. */
-    private final List<ResourceRequest> unsatisfied = new ArrayList<>();
+    private final List<ResourceRequest> unsatisfiedRequests = new ArrayList<>();
 
     public TaskPlacer(
             SchedulerState state, PlacementConstraints constraints, Reservations reservations) {
@@ -71,12 +71,12 @@
      * @return true if every job had its turn; otherwise the next call continues
      */
     public boolean place() {
-        long attempt = state.newAttempt();
+        long attemptNumber = state.newAttempt();
         search.beginStep();
         List<Machine> openMachines = null;
         for (Job job : placementQueue()) {
             boolean hasReservation = reservations.countFor(job) > 0;
-            if (search.isVisited(job) || (!hasReservation && isPassedOver(job))) {
+            if (search.isVisited(job) || (!hasReservation && canSkip(job))) {
                 continue;
             }
             if (openMachines == null) {
@@ -86,14 +86,14 @@
                 return false;
             }
             search.markVisited(job);
-            if (placeJob(job, attempt, openMachines)
+            if (placeJob(job, attemptNumber, openMachines)
                     && !hasReservation
                     && ResourceRequest.isRepresentative(job)) {
-                unsatisfied.add(ResourceRequest.of(job));
+                unsatisfiedRequests.add(ResourceRequest.of(job));
             }
         }
         search.reset();
-        unsatisfied.clear();
+        unsatisfiedRequests.clear();
         return true;
     }
 
@@ -106,12 +106,12 @@
      * True if a job without a reservation needs no search: it is backing off, its team's limit is
      * reached, or a request for no more than it needs found no machine.
      */
-    private boolean isPassedOver(Job job) {
+    private boolean canSkip(Job job) {
         if (!job.description.isService() && job.isBackingOff(state.nowMicros())) {
             return true;
         }
         return job.allowedTasks() < 1
-                || unsatisfied.stream().anyMatch(request -> request.covers(job));
+                || unsatisfiedRequests.stream().anyMatch(request -> request.covers(job));
     }
 
     /**
@@ -131,7 +131,7 @@
     }
 
     /** Places tasks of a job; returns true if the machines lack the resources for another one. */
-    private boolean placeJob(Job job, long attempt, List<Machine> openMachines) {
+    private boolean placeJob(Job job, long attemptNumber, List<Machine> openMachines) {
         RecordSizeEstimate size = RecordSizeEstimate.of(job, state.valueBytes(), state.format());
         if (!size.fitsOneMore(job.nextPending(0))
                 || (job.description.isGang()
@@ -145,13 +145,13 @@
                 new CandidateMachines(
                         job, openMachines, state.scarceZones(), constraints, reservations);
         int placed = 0;
-        boolean full = false;
+        boolean lacksMachine = false;
         for (int index = job.nextPending(0);
                 index != Job.NO_TASK && size.fitsOneMore(index);
                 index = job.nextPending(index + 1)) {
             Machine machine = candidates.next();
             if (machine == null) {
-                full = job.allowedTasks() >= 1;
+                lacksMachine = job.allowedTasks() >= 1;
                 break;
             }
             TaskAttempt taskAttempt =
@@ -159,7 +159,7 @@
                             job,
                             index,
                             machine,
-                            attempt,
+                            attemptNumber,
                             job.persistence.nextVersion(),
                             state.nowMicros());
             reservations.draw(taskAttempt);
@@ -172,7 +172,7 @@
         if (placed > 0) {
             logPlaced(job, placed);
         }
-        return full;
+        return lacksMachine;
     }
 
     private void logPlaced(Job job, int placed) {
--- a/src/main/java/org/woadloom/core/placement/WaitingJobsReport.java
+++ b/src/main/java/org/woadloom/core/placement/WaitingJobsReport.java
@@ -23,22 +23,22 @@
     private final SchedulerState state;
     private final PlacementConstraints constraints;
     private final Reservations reservations;
-    private long nextMicros;
+    private long nextReportMicros;
 
     public WaitingJobsReport(
             SchedulerState state, PlacementConstraints constraints, Reservations reservations) {
         this.state = state;
         this.constraints = constraints;
         this.reservations = reservations;
-        nextMicros = state.nowMicros() + INTERVAL_MICROS;
+        nextReportMicros = state.nowMicros() + INTERVAL_MICROS;
     }
 
     /** Logs the report if it is due; called after each complete search for placements. */
     public void logIfDue() {
-        if (state.nowMicros() < nextMicros) {
+        if (state.nowMicros() < nextReportMicros) {
             return;
         }
-        nextMicros = state.nowMicros() + INTERVAL_MICROS;
+        nextReportMicros = state.nowMicros() + INTERVAL_MICROS;
         for (Job job : longestWaiting()) {
             log(job);
         }
@@ -78,17 +78,17 @@
         if (job.placeNotBeforeMicros() > state.nowMicros()) {
             return PendingReason.RETRY_DELAY;
         }
-        Optional<PendingReason> atLimit = job.teamQuota.whyNotAllowed(job);
-        return atLimit.orElseGet(() -> reasonOnMachines(job));
+        Optional<PendingReason> quotaReason = job.teamQuota.whyNotAllowed(job);
+        return quotaReason.orElseGet(() -> machineReason(job));
     }
 
-    private PendingReason reasonOnMachines(Job job) {
-        boolean anyAccepts = false;
+    private PendingReason machineReason(Job job) {
+        boolean anyAcceptsTasks = false;
         for (Machine machine : state.machines().values()) {
             if (constraints.acceptsTasks(machine)
                     && constraints.allows(job, machine)
                     && !job.failedOnHosts.contains(machine.host)) {
-                anyAccepts = true;
+                anyAcceptsTasks = true;
                 if (reservations.unreserved(machine, job).contains(job.taskResources)) {
                     return job.description.isGang()
                             ? PendingReason.INCOMPLETE_GANG
@@ -96,6 +96,6 @@
                 }
             }
         }
-        return anyAccepts ? PendingReason.NO_FREE_MACHINE : PendingReason.NO_MACHINE;
+        return anyAcceptsTasks ? PendingReason.NO_FREE_MACHINE : PendingReason.NO_MACHINE;
     }
 }
--- a/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
@@ -24,23 +24,23 @@
  * lacks: checked for each leader after each step.
  */
 class CancellationWatermarkTest {
-    private static final long S = 1_000_000;
+    private static final long SECOND = 1_000_000;
 
     private final class Leader {
         final long term;
         final String label;
-        final double rate;
+        final double clockRate;
         final CancellationWatermark watermark;
-        final Set<String> knows = new HashSet<>();
-        long seenMicros;
+        final Set<String> knownJobIds = new HashSet<>();
+        long readUpToMicros;
         boolean steppedDown;
 
         Leader(long term, String label) {
             this.term = term;
             this.label = label;
-            rate = 1 + (random.nextDouble() - 0.5) / 1000;
+            clockRate = 1 + (random.nextDouble() - 0.5) / 1000;
             watermark = new CancellationWatermark(term, List.of(label, "node"));
-            seesAll();
+            readStore();
         }
 
         long clock() {
@@ -48,15 +48,15 @@
         }
 
         long clock(long at) {
-            return term * 500 * S + (long) (at * rate);
+            return term * 500 * SECOND + (long) (at * clockRate);
         }
 
-        void seesAll() {
-            seenMicros = clock();
-            knows.addAll(made);
+        void readStore() {
+            readUpToMicros = clock();
+            knownJobIds.addAll(storedJobIds);
         }
 
-        long micros() {
+        long watermarkMicros() {
             // The leader's own reports never hold the watermark back, so only the other node's
             // reports count.
             watermark.onReport(
@@ -65,13 +65,13 @@
                             term,
                             1,
                             clock(),
-                            term * 500 * S,
+                            term * 500 * SECOND,
                             clock(),
                             ConfirmedCancellations.STORE_OUTAGE_PROMISE_MICROS,
                             List.of()),
                     clock(),
                     clock());
-            return watermark.watermarkMicros(seenMicros);
+            return watermark.watermarkMicros(readUpToMicros);
         }
     }
 
@@ -85,49 +85,50 @@
 
     private Random random;
     private long now;
-    private final Set<String> made = new HashSet<>();
-    private final Map<String, Long> toldAt = new LinkedHashMap<>();
-    private final TreeMap<Long, List<Message>> under = new TreeMap<>();
+    private final Set<String> storedJobIds = new HashSet<>();
+    private final Map<String, Long> confirmedAt = new LinkedHashMap<>();
+    private final TreeMap<Long, List<Message>> inFlight = new TreeMap<>();
     private ConfirmedCancellations node;
-    private int life;
+    private int processId;
     private long nodeOffset;
     private double nodeRate = 1;
-    private long silentSince = -1;
-    private int leaderOfNode;
-    private int ledTwice;
-    private long lost;
-    private boolean chaos = true;
+    private long storeSilentSince = -1;
+    private int leaderIndexOfNode;
+    private int reelections;
+    private long lossTenths;
+    private boolean faultsEnabled = true;
 
     private long nodeClock() {
         return nodeOffset + (long) (now * nodeRate);
     }
 
     private void send(Runnable deliver) {
-        if (random.nextInt(10) < lost) {
+        if (random.nextInt(10) < lossTenths) {
             return;
         }
         long delay = random.nextInt(20) == 0 ? random.nextInt(20_000_000) : random.nextInt(30_000);
-        under.computeIfAbsent(now + delay, t -> new ArrayList<>()).add(new Message(deliver));
+        inFlight.computeIfAbsent(now + delay, t -> new ArrayList<>()).add(new Message(deliver));
     }
 
-    private void start(List<Leader> leaders) {
-        life++;
+    private void startProcess(List<Leader> leaders) {
+        processId++;
         nodeOffset = random.nextInt(1_000_000_000);
         nodeRate = 1 + (random.nextDouble() - 0.5) / 1000;
         node =
                 new ConfirmedCancellations(
-                        life, leaders.stream().map(l -> l.label).toList(), nodeClock());
-        leaderOfNode = random.nextInt(leaders.size());
+                        processId, leaders.stream().map(l -> l.label).toList(), nodeClock());
+        leaderIndexOfNode = random.nextInt(leaders.size());
     }
 
-    private void vouch(List<Leader> leaders) {
-        Leader leader = leaders.get(leaderOfNode);
-        long silent = silentSince < 0 ? 0 : now - silentSince;
-        WatermarkReport report = node.nextReport(leader.label, leader.term, silent, nodeClock());
+    private void sendReport(List<Leader> leaders) {
+        Leader leader = leaders.get(leaderIndexOfNode);
+        long silentMicros = storeSilentSince < 0 ? 0 : now - storeSilentSince;
+        WatermarkReport report =
+                node.nextReport(leader.label, leader.term, silentMicros, nodeClock());
         if (report == null) {
             return;
         }
-        ConfirmedCancellations speaker = node;
+        ConfirmedCancellations sender = node;
         send(
                 () -> {
                     if (leader.steppedDown) {
@@ -135,12 +136,12 @@
                     }
                     WatermarkAck ack =
                             leader.watermark.onReport(
-                                    "node", report, leader.seenMicros, leader.clock());
+                                    "node", report, leader.readUpToMicros, leader.clock());
                     if (ack != null) {
-                        leader.knows.addAll(report.jobIds());
+                        leader.knownJobIds.addAll(report.jobIds());
                         send(
                                 () -> {
-                                    if (speaker == node) {
+                                    if (sender == node) {
                                         node.onAck(ack);
                                     }
                                 });
@@ -152,59 +153,59 @@
      * Runs a random scenario of 200 s. Returns the number of checks in which reports had advanced a
      * watermark beyond what its leader had read of the store.
      */
-    private int day(long seed) {
+    private int runScenario(long seed) {
         random = new Random(seed);
         now = 0;
-        made.clear();
-        toldAt.clear();
-        under.clear();
+        storedJobIds.clear();
+        confirmedAt.clear();
+        inFlight.clear();
         List<Leader> leaders = new ArrayList<>(List.of(new Leader(1, "leader-1")));
-        start(leaders);
-        int byVouches = 0;
-        while (now < 200 * S) {
+        startProcess(leaders);
+        int checksAheadOfStore = 0;
+        while (now < 200 * SECOND) {
             now += 50_000;
-            while (!under.isEmpty() && under.firstKey() <= now) {
-                under.pollFirstEntry().getValue().forEach(message -> message.deliver.run());
+            while (!inFlight.isEmpty() && inFlight.firstKey() <= now) {
+                inFlight.pollFirstEntry().getValue().forEach(message -> message.deliver.run());
             }
-            if (chaos && random.nextInt(100) == 0) {
-                lost = random.nextInt(3) == 0 ? 10 : random.nextInt(5);
+            if (faultsEnabled && random.nextInt(100) == 0) {
+                lossTenths = random.nextInt(3) == 0 ? 10 : random.nextInt(5);
             }
             if (random.nextInt(200) == 0) {
-                silentSince = silentSince < 0 ? now : -1;
+                storeSilentSince = storeSilentSince < 0 ? now : -1;
             }
             if (leaders.size() == 1
-                    && silentSince < 0
-                    && now > 60 * S
+                    && storeSilentSince < 0
+                    && now > 60 * SECOND
                     && random.nextInt(400) == 0) {
                 leaders.add(new Leader(2, "leader-2"));
             }
             if (leaders.size() == 2
                     && leaders.get(0).steppedDown
-                    && silentSince < 0
+                    && storeSilentSince < 0
                     && random.nextInt(400) == 0) {
                 leaders.add(new Leader(3, "leader-1"));
-                ledTwice++;
+                reelections++;
             }
             for (Leader leader : leaders) {
                 if (!leader.steppedDown
                         && random.nextInt(60) == 0
                         && random.nextInt(3) == 0
-                        && silentSince < 0) {
-                    leader.seesAll();
+                        && storeSilentSince < 0) {
+                    leader.readStore();
                 }
-                ConfirmedCancellations hearing = node;
+                ConfirmedCancellations receiver = node;
                 boolean leads = !leader.steppedDown;
                 long knownTerm = leads ? leader.term : leaders.size();
-                boolean speaks =
+                boolean isLatestTermOfNode =
                         leaders.stream()
                                 .noneMatch(
                                         other ->
                                                 other.label.equals(leader.label)
                                                         && other.term > leader.term);
-                if (speaks && random.nextInt(14) == 0) {
+                if (isLatestTermOfNode && random.nextInt(14) == 0) {
                     send(
                             () -> {
-                                if (hearing == node) {
+                                if (receiver == node) {
                                     node.onPeerTerm(leader.label, knownTerm, leads);
                                 }
                             });
@@ -213,39 +214,39 @@
             if (leaders.size() > 1 && random.nextInt(600) == 0) {
                 leaders.get(random.nextInt(leaders.size() - 1)).steppedDown = true;
             }
-            if (chaos && random.nextInt(500) == 0) {
+            if (faultsEnabled && random.nextInt(500) == 0) {
                 now += 50_000 + random.nextInt(8_000_000);
-                start(leaders);
+                startProcess(leaders);
             }
-            if (leaderOfNode < leaders.size() - 1 && random.nextInt(100) == 0) {
-                leaderOfNode++;
+            if (leaderIndexOfNode < leaders.size() - 1 && random.nextInt(100) == 0) {
+                leaderIndexOfNode++;
             }
             if (random.nextInt(14) == 0) {
-                vouch(leaders);
+                sendReport(leaders);
             }
-            if (silentSince < 0 && random.nextInt(10) == 0) {
+            if (storeSilentSince < 0 && random.nextInt(10) == 0) {
                 String jobId =
                         "j-"
-                                + (random.nextInt(3) == 0 && !made.isEmpty()
-                                        ? random.nextInt(made.size())
-                                        : made.size());
-                made.add(jobId);
+                                + (random.nextInt(3) == 0 && !storedJobIds.isEmpty()
+                                        ? random.nextInt(storedJobIds.size())
+                                        : storedJobIds.size());
+                storedJobIds.add(jobId);
                 node.add(jobId, nodeClock());
             }
-            for (String jobId : made) {
-                if (!toldAt.containsKey(jobId) && node.tryConfirm(jobId, nodeClock())) {
-                    toldAt.put(jobId, now);
+            for (String jobId : storedJobIds) {
+                if (!confirmedAt.containsKey(jobId) && node.tryConfirm(jobId, nodeClock())) {
+                    confirmedAt.put(jobId, now);
                 }
             }
             for (Leader leader : leaders) {
                 if (leader.steppedDown) {
                     continue;
                 }
-                long watermark = leader.micros();
-                byVouches += watermark > leader.seenMicros ? 1 : 0;
-                toldAt.forEach(
+                long watermark = leader.watermarkMicros();
+                checksAheadOfStore += watermark > leader.readUpToMicros ? 1 : 0;
+                confirmedAt.forEach(
                         (jobId, at) -> {
-                            if (!leader.knows.contains(jobId)) {
+                            if (!leader.knownJobIds.contains(jobId)) {
                                 assertTrue(
                                         watermark <= leader.clock(at),
                                         jobId
@@ -261,22 +262,22 @@
                         });
             }
         }
-        return byVouches;
+        return checksAheadOfStore;
     }
 
     @Test
-    void noWatermarkPassesWhatItsLeaderLacks() {
-        int told = 0;
-        int byVouches = 0;
+    void watermarkNeverPassesACancellationThatItsLeaderLacks() {
+        int confirmations = 0;
+        int checksAheadOfStore = 0;
         for (long seed = 1; seed <= 60; seed++) {
-            byVouches += day(seed);
-            told += toldAt.size();
+            checksAheadOfStore += runScenario(seed);
+            confirmations += confirmedAt.size();
         }
-        assertTrue(told > 3_000, "only " + told + " confirmations");
-        assertTrue(ledTwice > 20, "only " + ledTwice + " scenarios with a re-elected leader");
+        assertTrue(confirmations > 3_000, "only " + confirmations + " confirmations");
+        assertTrue(reelections > 20, "only " + reelections + " scenarios with a re-elected leader");
         assertTrue(
-                byVouches > 20_000,
-                "only " + byVouches + " checks with a watermark ahead of the store");
+                checksAheadOfStore > 20_000,
+                "only " + checksAheadOfStore + " checks with a watermark ahead of the store");
     }
 
     /**
@@ -284,33 +285,35 @@
      * reports arrive, however long the outage lasts.
      */
     @Test
-    void itKeepsUpWithANodeThatIsReached() {
+    void watermarkKeepsUpWithReportsDuringAStoreOutage() {
         CancellationWatermark watermark = new CancellationWatermark(3, List.of("node"));
-        ConfirmedCancellations silent = new ConfirmedCancellations(1, List.of("leader"), 0);
-        for (long at = S; at < 1_000 * S; at += S) {
+        ConfirmedCancellations cancellations = new ConfirmedCancellations(1, List.of("leader"), 0);
+        for (long at = SECOND; at < 1_000 * SECOND; at += SECOND) {
             WatermarkAck ack =
-                    watermark.onReport("node", silent.nextReport("leader", 3, at, at), S, at);
-            silent.onAck(ack);
+                    watermark.onReport(
+                            "node", cancellations.nextReport("leader", 3, at, at), SECOND, at);
+            cancellations.onAck(ack);
             assertTrue(
-                    at < 3 * S || watermark.watermarkMicros(S) >= at,
+                    at < 3 * SECOND || watermark.watermarkMicros(SECOND) >= at,
                     "the watermark is behind at " + at);
         }
         // Reports of a process that restarts within the promise continue those of its predecessor.
         // After a longer gap they do not.
-        long ended = 999 * S;
-        long kept = watermarkAfter(watermark, ended + 9 * S);
-        assertTrue(kept >= ended + 30 * S, "the watermark is at " + kept);
-        assertEquals(kept, watermarkAfter(watermark, ended + 80 * S));
-        assertEquals(List.of("node"), watermark.slowestNodes(S));
+        long ended = 999 * SECOND;
+        long afterRestart = watermarkAfter(watermark, ended + 9 * SECOND);
+        assertTrue(afterRestart >= ended + 30 * SECOND, "the watermark is at " + afterRestart);
+        assertEquals(afterRestart, watermarkAfter(watermark, ended + 80 * SECOND));
+        assertEquals(List.of("node"), watermark.slowestNodes(SECOND));
     }
 
     private static long watermarkAfter(CancellationWatermark watermark, long started) {
         ConfirmedCancellations next =
                 new ConfirmedCancellations(started, List.of("leader"), started);
-        for (long at = started + S; at < started + 40 * S; at += S) {
-            next.onAck(watermark.onReport("node", next.nextReport("leader", 3, at, at), S, at));
+        for (long at = started + SECOND; at < started + 40 * SECOND; at += SECOND) {
+            next.onAck(
+                    watermark.onReport("node", next.nextReport("leader", 3, at, at), SECOND, at));
         }
-        return watermark.watermarkMicros(S);
+        return watermark.watermarkMicros(SECOND);
     }
 
     /**
@@ -319,26 +322,28 @@
      * between.
      */
     @Test
-    void aLeaderThatDoesNotAnswerHoldsNobodyUpForLong() {
-        ConfirmedCancellations told = new ConfirmedCancellations(1, List.of(), 0);
-        told.add("j-000001", S);
-        long toldAt = 0;
-        for (long at = S; at < 60 * S && toldAt == 0; at += S / 10) {
-            if (at % (7 * S / 10) == 0) {
-                told.nextReport("leader", 3, 0, at);
+    void unresponsiveLeaderDelaysConfirmationsOnlyBriefly() {
+        ConfirmedCancellations cancellations = new ConfirmedCancellations(1, List.of(), 0);
+        cancellations.add("j-000001", SECOND);
+        long confirmedAtMicros = 0;
+        for (long at = SECOND; at < 60 * SECOND && confirmedAtMicros == 0; at += SECOND / 10) {
+            if (at % (7 * SECOND / 10) == 0) {
+                cancellations.nextReport("leader", 3, 0, at);
             }
-            boolean asks = at / S % 5 == 0;
-            toldAt = asks && told.tryConfirm("j-000001", at) ? at : 0;
+            boolean isPolling = at / SECOND % 5 == 0;
+            confirmedAtMicros = isPolling && cancellations.tryConfirm("j-000001", at) ? at : 0;
         }
-        assertTrue(toldAt > 0 && toldAt < 12 * S, "confirmed at " + toldAt);
+        assertTrue(
+                confirmedAtMicros > 0 && confirmedAtMicros < 12 * SECOND,
+                "confirmed at " + confirmedAtMicros);
     }
 
-    private static ConfirmedCancellations promised(String leader, long stateSilentMicros) {
-        ConfirmedCancellations told = new ConfirmedCancellations(1, List.of(), 0);
-        told.nextReport(leader, 3, stateSilentMicros, S);
-        told.add("j-000001", 2 * S);
-        assertFalse(told.tryConfirm("j-000001", 2 * S));
-        return told;
+    private static ConfirmedCancellations withPromiseTo(String leader, long stateSilentMicros) {
+        ConfirmedCancellations cancellations = new ConfirmedCancellations(1, List.of(), 0);
+        cancellations.nextReport(leader, 3, stateSilentMicros, SECOND);
+        cancellations.add("j-000001", 2 * SECOND);
+        assertFalse(cancellations.tryConfirm("j-000001", 2 * SECOND));
+        return cancellations;
     }
 
     /**
@@ -346,16 +351,16 @@
      * promise to itself delayed confirmations by up to 15 s.
      */
     @Test
-    void nobodyWaitsForAPromiseToANodeThatLeadsNoMore() {
-        ConfirmedCancellations itself = promised("self", 20 * S);
-        itself.onLeadershipLost("self");
-        assertTrue(itself.tryConfirm("j-000001", 2 * S));
-        ConfirmedCancellations other = promised("other", 20 * S);
-        other.onLeadershipLost("self");
-        other.onPeerTerm("other", 3, true);
-        assertFalse(other.tryConfirm("j-000001", 2 * S));
-        other.onPeerTerm("other", 4, false);
-        assertTrue(other.tryConfirm("j-000001", 2 * S));
+    void promiseToAFormerLeaderDoesNotDelayConfirmations() {
+        ConfirmedCancellations promisedToSelf = withPromiseTo("self", 20 * SECOND);
+        promisedToSelf.onLeadershipLost("self");
+        assertTrue(promisedToSelf.tryConfirm("j-000001", 2 * SECOND));
+        ConfirmedCancellations promisedToOther = withPromiseTo("other", 20 * SECOND);
+        promisedToOther.onLeadershipLost("self");
+        promisedToOther.onPeerTerm("other", 3, true);
+        assertFalse(promisedToOther.tryConfirm("j-000001", 2 * SECOND));
+        promisedToOther.onPeerTerm("other", 4, false);
+        assertTrue(promisedToOther.tryConfirm("j-000001", 2 * SECOND));
     }
 
     /**
@@ -363,17 +368,17 @@
      * promise to it no longer matters.
      */
     @Test
-    void nobodyWaitsForAPromiseToANodeThatLeadsAgain() {
-        ConfirmedCancellations told = promised("other", 20 * S);
-        told.nextReport("between", 4, 0, 5 * S / 2);
-        WatermarkReport report = told.nextReport("other", 5, 0, 4 * S);
-        assertFalse(told.tryConfirm("j-000001", 4 * S + 1));
-        told.onAck(new WatermarkAck(5, 1, report.sentMicros(), 4 * S));
+    void olderPromiseToAReelectedLeaderDoesNotDelayConfirmations() {
+        ConfirmedCancellations cancellations = withPromiseTo("other", 20 * SECOND);
+        cancellations.nextReport("between", 4, 0, 5 * SECOND / 2);
+        WatermarkReport report = cancellations.nextReport("other", 5, 0, 4 * SECOND);
+        assertFalse(cancellations.tryConfirm("j-000001", 4 * SECOND + 1));
+        cancellations.onAck(new WatermarkAck(5, 1, report.sentMicros(), 4 * SECOND));
         assertFalse(
-                told.tryConfirm("j-000001", 4 * S + 1),
+                cancellations.tryConfirm("j-000001", 4 * SECOND + 1),
                 "the leader of term 4 may still rely on its promise");
-        told.onPeerTerm("between", 5, false);
-        assertTrue(told.tryConfirm("j-000001", 4 * S + 1));
+        cancellations.onPeerTerm("between", 5, false);
+        assertTrue(cancellations.tryConfirm("j-000001", 4 * SECOND + 1));
     }
 
     /**
@@ -381,15 +386,15 @@
      * has made the same node a shorter one.
      */
     @Test
-    void aShorterPromiseEndsNoneOfTheProcessBefore() {
-        ConfirmedCancellations told = new ConfirmedCancellations(1, List.of("other"), 0);
-        told.nextReport("other", 3, 0, S);
-        told.add("j-000001", 2 * S);
-        WatermarkReport report = told.nextReport("between", 4, 0, 2 * S);
-        told.onAck(new WatermarkAck(4, 1, report.sentMicros(), 2 * S));
-        told.onPeerTerm("other", 4, true);
-        assertFalse(told.tryConfirm("j-000001", 14 * S));
-        assertTrue(told.tryConfirm("j-000001", 15 * S + 1));
+    void shorterPromiseDoesNotReplaceThatOfThePreviousProcess() {
+        ConfirmedCancellations cancellations = new ConfirmedCancellations(1, List.of("other"), 0);
+        cancellations.nextReport("other", 3, 0, SECOND);
+        cancellations.add("j-000001", 2 * SECOND);
+        WatermarkReport report = cancellations.nextReport("between", 4, 0, 2 * SECOND);
+        cancellations.onAck(new WatermarkAck(4, 1, report.sentMicros(), 2 * SECOND));
+        cancellations.onPeerTerm("other", 4, true);
+        assertFalse(cancellations.tryConfirm("j-000001", 14 * SECOND));
+        assertTrue(cancellations.tryConfirm("j-000001", 15 * SECOND + 1));
     }
 
     /**
@@ -397,52 +402,61 @@
      * until they are added again, and reports do not claim to cover them.
      */
     @Test
-    void whatIsDroppedIsNeitherToldNorVouchedFor() {
-        ConfirmedCancellations told = new ConfirmedCancellations(1, List.of(), 0);
-        WatermarkReport first = told.nextReport("leader", 3, 0, S);
-        told.onAck(new WatermarkAck(3, 1, first.sentMicros(), S));
+    void droppedCancellationsAreNeitherConfirmedNorCoveredByAReport() {
+        ConfirmedCancellations cancellations = new ConfirmedCancellations(1, List.of(), 0);
+        WatermarkReport first = cancellations.nextReport("leader", 3, 0, SECOND);
+        cancellations.onAck(new WatermarkAck(3, 1, first.sentMicros(), SECOND));
         for (int i = 0; i < 2_500; i++) {
-            told.add("j-" + i, 2 * S + i);
+            cancellations.add("j-" + i, 2 * SECOND + i);
         }
-        WatermarkReport report = told.nextReport("leader", 3, 0, 3 * S);
+        WatermarkReport report = cancellations.nextReport("leader", 3, 0, 3 * SECOND);
         assertEquals(2_000, report.jobIds().size());
-        assertEquals(2 * S + 499, report.completeSinceMicros());
-        told.onAck(new WatermarkAck(3, 1, report.sentMicros(), 3 * S));
-        assertFalse(told.tryConfirm("j-499", 3 * S + 1));
-        assertTrue(told.tryConfirm("j-500", 3 * S + 1));
+        assertEquals(2 * SECOND + 499, report.completeSinceMicros());
+        cancellations.onAck(new WatermarkAck(3, 1, report.sentMicros(), 3 * SECOND));
+        assertFalse(cancellations.tryConfirm("j-499", 3 * SECOND + 1));
+        assertTrue(cancellations.tryConfirm("j-500", 3 * SECOND + 1));
         // A watermark does not advance by a report that leaves a gap after the previous one.
         CancellationWatermark watermark = new CancellationWatermark(3, List.of("node"));
-        watermark.onReport("node", first, S, S);
-        watermark.onReport("node", report, S, 3 * S);
-        assertEquals(S, watermark.watermarkMicros(S));
+        watermark.onReport("node", first, SECOND, SECOND);
+        watermark.onReport("node", report, SECOND, 3 * SECOND);
+        assertEquals(SECOND, watermark.watermarkMicros(SECOND));
     }
 
     @Test
-    void whatCannotBeIsLeftAlone() {
+    void invalidReportsAreIgnored() {
         CancellationWatermark watermark = new CancellationWatermark(3, List.of("node"));
-        long before = watermark.watermarkMicros(S);
-        List<WatermarkReport> flawed =
+        long before = watermark.watermarkMicros(SECOND);
+        List<WatermarkReport> invalidReports =
                 List.of(
                         new WatermarkReport(
                                 3, 1, 5, 6, WatermarkReport.NO_LEADER_CLOCK, 0, List.of()),
                         new WatermarkReport(
                                 3, 1, 5, 5, WatermarkReport.NO_LEADER_CLOCK, -1, List.of()),
                         new WatermarkReport(
-                                3, 1, 5, 5, WatermarkReport.NO_LEADER_CLOCK, 60 * S, List.of()),
-                        new WatermarkReport(3, 1, 5, 5, 11 * S, 0, List.of()));
-        for (WatermarkReport report : flawed) {
-            assertFalse(CancellationWatermark.validationError(report, 10 * S) == null);
-            assertNull(watermark.onReport("node", report, 10 * S, 10 * S));
+                                3,
+                                1,
+                                5,
+                                5,
+                                WatermarkReport.NO_LEADER_CLOCK,
+                                60 * SECOND,
+                                List.of()),
+                        new WatermarkReport(3, 1, 5, 5, 11 * SECOND, 0, List.of()));
+        for (WatermarkReport report : invalidReports) {
+            assertFalse(CancellationWatermark.validationError(report, 10 * SECOND) == null);
+            assertNull(watermark.onReport("node", report, 10 * SECOND, 10 * SECOND));
         }
         assertNull(
                 watermark.onReport(
                         "nobody",
-                        new WatermarkReport(3, 1, 5, 5, S, 0, List.of()),
-                        10 * S,
-                        10 * S));
+                        new WatermarkReport(3, 1, 5, 5, SECOND, 0, List.of()),
+                        10 * SECOND,
+                        10 * SECOND));
         assertNull(
                 watermark.onReport(
-                        "node", new WatermarkReport(2, 1, 5, 5, S, 0, List.of()), 10 * S, 10 * S));
-        assertEquals(before, watermark.watermarkMicros(S));
+                        "node",
+                        new WatermarkReport(2, 1, 5, 5, SECOND, 0, List.of()),
+                        10 * SECOND,
+                        10 * SECOND));
+        assertEquals(before, watermark.watermarkMicros(SECOND));
     }
 }
--- a/src/test/java/org/woadloom/core/delegation/DelegationLedgerTest.java
+++ b/src/test/java/org/woadloom/core/delegation/DelegationLedgerTest.java
@@ -9,94 +9,97 @@
 
 /** The leader's and the node's clocks differ by 1000 s. */
 class DelegationLedgerTest {
-    private static final long S = 1_000_000;
-    private static final long APART = 1000 * S;
-    private final DelegationTimeouts rules = DelegationTimeouts.of(22 * S, 52 * S);
-    private final DelegationLedger book =
-            new DelegationLedger(rules, 7, "leader", Map.of("leader", "a", "node", "b"));
-    private final LeaseDelegate node = new LeaseDelegate(rules, "b", 1, APART);
+    private static final long SECOND = 1_000_000;
+    private static final long CLOCK_OFFSET = 1000 * SECOND;
+    private final DelegationTimeouts timeouts = DelegationTimeouts.of(22 * SECOND, 52 * SECOND);
+    private final DelegationLedger ledger =
+            new DelegationLedger(timeouts, 7, "leader", Map.of("leader", "a", "node", "b"));
+    private final LeaseDelegate node = new LeaseDelegate(timeouts, "b", 1, CLOCK_OFFSET);
 
     /**
      * The node sends its status and receives a delegation at once; all cancellations up to a second
      * before are carried out.
      */
-    private void exchange(LeaseDelegate caretaker, long at) {
-        caretaker.onDelegation(book.onPeerStatus("node", caretaker.status(at + APART), at - S, at));
+    private void exchange(LeaseDelegate delegate, long at) {
+        delegate.onDelegation(
+                ledger.onPeerStatus("node", delegate.status(at + CLOCK_OFFSET), at - SECOND, at));
     }
 
-    private void inTouch(long until) {
-        for (long at = 0; at <= until; at += S) {
-            node.onStoreAnswered(at + APART);
+    private void exchangeUntil(long until) {
+        for (long at = 0; at <= until; at += SECOND) {
+            node.onStoreAnswered(at + CLOCK_OFFSET);
             exchange(node, at);
         }
     }
 
     @Test
-    void aNodeThatIsInTouchHoldsUpNoProof() {
-        inTouch(10 * S);
-        assertTrue(book.latestPossibleRenewalMicros("b", 10 * S) < 0);
-        assertEquals(0, book.extraSilenceAllowanceMicros("b", 10 * S));
+    void connectedNodeCausesNoExtraSilenceAllowance() {
+        exchangeUntil(10 * SECOND);
+        assertTrue(ledger.latestPossibleRenewalMicros("b", 10 * SECOND) < 0);
+        assertEquals(0, ledger.extraSilenceAllowanceMicros("b", 10 * SECOND));
     }
 
     @Test
-    void careBeginsAfterThePromiseAndEndsWithTheWarrant() {
-        inTouch(10 * S);
+    void renewsFromTheEndOfTheAnnouncedSilenceUntilTheDelegationExpires() {
+        exchangeUntil(10 * SECOND);
         node.onStoreFailed();
-        long begins = -1;
-        long ends = -1;
-        for (long at = 10 * S; at < 60 * S; at += S / 10) {
-            if (node.tryRenew("b", 7, at + APART)) {
-                begins = begins < 0 ? at : begins;
-                ends = at;
+        long firstRenewal = -1;
+        long lastRenewal = -1;
+        for (long at = 10 * SECOND; at < 60 * SECOND; at += SECOND / 10) {
+            if (node.tryRenew("b", 7, at + CLOCK_OFFSET)) {
+                firstRenewal = firstRenewal < 0 ? at : firstRenewal;
+                lastRenewal = at;
                 assertTrue(
-                        book.latestPossibleRenewalMicros("b", at) >= at,
+                        ledger.latestPossibleRenewalMicros("b", at) >= at,
                         "the ledger does not account for the renewal at " + at);
             }
         }
-        assertTrue(begins > 17 * S, "the first renewal was at " + begins);
+        assertTrue(firstRenewal > 17 * SECOND, "the first renewal was at " + firstRenewal);
         assertTrue(
-                ends > 37 * S && ends + rules.leaseExpiryMicros() < 9 * S + 52 * S,
-                "the last renewal was at " + ends);
+                lastRenewal > 37 * SECOND
+                        && lastRenewal + timeouts.leaseExpiryMicros() < 9 * SECOND + 52 * SECOND,
+                "the last renewal was at " + lastRenewal);
         assertTrue(
-                book.latestPossibleRenewalMicros("b", 100 * S) >= ends
-                        && book.latestPossibleRenewalMicros("b", 100 * S) < 41 * S);
+                ledger.latestPossibleRenewalMicros("b", 100 * SECOND) >= lastRenewal
+                        && ledger.latestPossibleRenewalMicros("b", 100 * SECOND) < 41 * SECOND);
     }
 
     @Test
-    void noCareForOthersZonesLaterTermsOrWithoutAWarrant() {
-        inTouch(10 * S);
+    void doesNotRenewForOtherZonesLaterTermsOrWithoutADelegation() {
+        exchangeUntil(10 * SECOND);
         node.onStoreFailed();
-        long now = 25 * S + APART;
+        long now = 25 * SECOND + CLOCK_OFFSET;
         assertTrue(node.tryRenew("b", 6, now));
         assertFalse(node.tryRenew("a", 7, now));
         assertFalse(node.tryRenew("b", 8, now));
-        LeaseDelegate anew = new LeaseDelegate(rules, "b", 2, 12 * S + APART);
-        anew.onStoreFailed();
-        assertFalse(anew.tryRenew("b", 7, now));
+        LeaseDelegate restarted = new LeaseDelegate(timeouts, "b", 2, 12 * SECOND + CLOCK_OFFSET);
+        restarted.onStoreFailed();
+        assertFalse(restarted.tryRenew("b", 7, now));
     }
 
     /** A response that was delayed in transit does not show that the leader is reachable now. */
     @Test
-    void aLateWarrantCountsFromWhenItWasAskedFor() {
-        inTouch(10 * S);
-        PeerStatus said = node.status(10 * S + APART);
+    void delayedDelegationCountsFromWhenItsStatusWasSent() {
+        exchangeUntil(10 * SECOND);
+        PeerStatus earlierStatus = node.status(10 * SECOND + CLOCK_OFFSET);
         node.onStoreFailed();
-        assertTrue(node.tryRenew("b", 7, 30 * S + APART));
-        node.onDelegation(book.onPeerStatus("node", said, 10 * S, 10 * S));
-        assertFalse(node.tryRenew("b", 7, 45 * S + APART));
+        assertTrue(node.tryRenew("b", 7, 30 * SECOND + CLOCK_OFFSET));
+        node.onDelegation(ledger.onPeerStatus("node", earlierStatus, 10 * SECOND, 10 * SECOND));
+        assertFalse(node.tryRenew("b", 7, 45 * SECOND + CLOCK_OFFSET));
     }
 
     @Test
-    void aNewProcessTellsUntilWhenTheOldOneMayHaveCared() {
-        inTouch(10 * S);
+    void restartBoundsTheRenewalsOfThePreviousProcess() {
+        exchangeUntil(10 * SECOND);
         node.onStoreFailed();
-        assertTrue(node.tryRenew("b", 7, 29 * S + APART));
-        LeaseDelegate anew = new LeaseDelegate(rules, "b", 2, 30 * S + APART);
-        exchange(anew, 32 * S);
-        exchange(anew, 33 * S);
-        long last = book.latestPossibleRenewalMicros("b", 33 * S);
+        assertTrue(node.tryRenew("b", 7, 29 * SECOND + CLOCK_OFFSET));
+        LeaseDelegate restarted = new LeaseDelegate(timeouts, "b", 2, 30 * SECOND + CLOCK_OFFSET);
+        exchange(restarted, 32 * SECOND);
+        exchange(restarted, 33 * SECOND);
+        long last = ledger.latestPossibleRenewalMicros("b", 33 * SECOND);
         assertTrue(
-                last >= 30 * S && last < 31 * S, "the upper bound for the last renewal is " + last);
+                last >= 30 * SECOND && last < 31 * SECOND,
+                "the upper bound for the last renewal is " + last);
     }
 
     /**
@@ -104,11 +107,11 @@
      * losses are detected as fast as usual.
      */
     @Test
-    void aNodeThatIsBackSoonHoldsUpNoProof() {
-        inTouch(10 * S);
-        LeaseDelegate anew = new LeaseDelegate(rules, "b", 2, 15 * S + APART);
-        exchange(anew, 16 * S);
-        exchange(anew, 17 * S);
-        assertTrue(book.latestPossibleRenewalMicros("b", 17 * S) < 0);
+    void quickRestartDoesNotCountAsARenewal() {
+        exchangeUntil(10 * SECOND);
+        LeaseDelegate restarted = new LeaseDelegate(timeouts, "b", 2, 15 * SECOND + CLOCK_OFFSET);
+        exchange(restarted, 16 * SECOND);
+        exchange(restarted, 17 * SECOND);
+        assertTrue(ledger.latestPossibleRenewalMicros("b", 17 * SECOND) < 0);
     }
 }
--- a/src/test/java/org/woadloom/core/jobs/DependencyGraphTest.java
+++ b/src/test/java/org/woadloom/core/jobs/DependencyGraphTest.java
@@ -24,7 +24,7 @@
 class DependencyGraphTest {
     private static final double WRITES_PER_SECOND = 40;
 
-    private final Scheduler core =
+    private final Scheduler scheduler =
             new Scheduler(
                     new SchedulerSettings(
                             "node",
@@ -38,7 +38,7 @@
                             OperatorSettings.defaults()));
     private long now = 1_000_000;
 
-    private static JobRecord record(String jobId, String... awaits)
+    private static JobRecord record(String jobId, String... dependencies)
             throws MalformedMessageException {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("uid", jobId);
@@ -50,16 +50,16 @@
         map.put("vcpus", 1.0);
         map.put("ramGb", 1.0);
         map.put("bundle", "img");
-        map.put("awaits", List.of(awaits));
+        map.put("awaits", List.of(dependencies));
         return JobRecord.accepted(JobDescription.parse(map), 0);
     }
 
-    private List<SchedulerAction> step(SchedulerEvent... commands) {
+    private List<SchedulerAction> step(SchedulerEvent... events) {
         now += 100_000;
-        return core.step(now, now, List.of(commands));
+        return scheduler.step(now, now, List.of(events));
     }
 
-    private List<SchedulerAction> lead(JobRecord... records) {
+    private List<SchedulerAction> acquireLeadership(JobRecord... records) {
         List<SchedulerEvent.StoredJob> jobs = new ArrayList<>();
         for (JobRecord record : records) {
             jobs.add(new SchedulerEvent.StoredJob(record, 5));
@@ -70,14 +70,14 @@
                 new SchedulerEvent.LeadershipAcquired(3, jobs, List.of(), 0));
     }
 
-    private static List<String> asked(List<SchedulerAction> actions) {
+    private static List<String> lookedUpJobIds(List<SchedulerAction> actions) {
         return actions.stream()
                 .filter(SchedulerAction.ResolveDependency.class::isInstance)
                 .map(e -> ((SchedulerAction.ResolveDependency) e).jobId())
                 .toList();
     }
 
-    private static Set<String> cancelled(List<SchedulerAction> actions) {
+    private static Set<String> cancelledJobIds(List<SchedulerAction> actions) {
         Set<String> jobIds = new HashSet<>();
         for (SchedulerAction action : actions) {
             if (action instanceof SchedulerAction.WriteFinalState finish
@@ -94,26 +94,29 @@
      * Inconclusive lookups are repeated.
      */
     @Test
-    void aJobWaitsUntilTheStoreSaysThatAllBeforeItAreDone() throws MalformedMessageException {
-        assertEquals(List.of("j-1", "j-2"), asked(lead(record("j-3", "j-1", "j-2"))));
+    void unblocksAJobOnlyOnceTheStoreReportsAllItsDependenciesDone()
+            throws MalformedMessageException {
+        assertEquals(
+                List.of("j-1", "j-2"),
+                lookedUpJobIds(acquireLeadership(record("j-3", "j-1", "j-2"))));
         step(
                 new SchedulerEvent.DependencyResolved(
                         "j-1", SchedulerEvent.DependencyState.DONE, 1_000_000));
-        assertEquals(1, core.blockedJobs());
+        assertEquals(1, scheduler.blockedJobs());
         step(
                 new SchedulerEvent.DependencyResolved(
                         "j-2", SchedulerEvent.DependencyState.UNREADABLE, 0));
         List<String> retry = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
-            retry.addAll(asked(step()));
+            retry.addAll(lookedUpJobIds(step()));
         }
         assertEquals(List.of("j-2"), retry);
         step(
                 new SchedulerEvent.DependencyResolved(
                         "j-2", SchedulerEvent.DependencyState.NOT_FOUND, 0));
-        assertEquals(1, core.blockedJobs());
+        assertEquals(1, scheduler.blockedJobs());
         step(new SchedulerEvent.DependencyResolved("j-2", SchedulerEvent.DependencyState.DONE, 0));
-        assertEquals(0, core.blockedJobs());
+        assertEquals(0, scheduler.blockedJobs());
     }
 
     /**
@@ -121,20 +124,21 @@
      * completed or cancelled, so a dependent looks it up in the store.
      */
     @Test
-    void aJobBeforeItWhoseRecordIsGoneIsLookedUp() throws MalformedMessageException {
+    void looksUpADependencyWhoseRecordIsMissing() throws MalformedMessageException {
         JobRecord done = record("j-1");
         done.done().set(0);
         // The final state is written at once; the write gets no response.
-        lead(done);
+        acquireLeadership(done);
         step(
                 new SchedulerEvent.JobWriteCompleted(
                         "j-1", 1, SchedulerEvent.WriteOutcome.UNKNOWN, 0));
         step(new SchedulerEvent.JobRecordNotFound("j-1"));
         assertEquals(
-                List.of("j-1"), asked(step(new SchedulerEvent.JobStored(record("j-2", "j-1"), 9))));
-        assertEquals(1, core.blockedJobs());
+                List.of("j-1"),
+                lookedUpJobIds(step(new SchedulerEvent.JobStored(record("j-2", "j-1"), 9))));
+        assertEquals(1, scheduler.blockedJobs());
         step(new SchedulerEvent.DependencyResolved("j-1", SchedulerEvent.DependencyState.DONE, 0));
-        assertEquals(0, core.blockedJobs());
+        assertEquals(0, scheduler.blockedJobs());
     }
 
     /**
@@ -142,19 +146,19 @@
      * exceeding the store's write rate when all of them are cancelled.
      */
     @Test
-    void aLongChainIsCancelledWithinTheRate() throws MalformedMessageException {
+    void cancelsALongDependencyChainWithinTheWriteRate() throws MalformedMessageException {
         int length = 3_000;
         JobRecord[] chain = new JobRecord[length];
         for (int i = 0; i < length; i++) {
             chain[i] = i == 0 ? record("j-0") : record("j-" + i, "j-" + (i - 1));
         }
-        lead(chain);
+        acquireLeadership(chain);
         List<SchedulerAction> actions =
                 step(new SchedulerEvent.JobStored(record("j-0").withCancellation(), 9));
         Set<String> all = new HashSet<>();
         int steps = 0;
         while (all.size() < length && steps++ < 10_000) {
-            Set<String> written = cancelled(actions);
+            Set<String> written = cancelledJobIds(actions);
             assertTrue(
                     written.size() <= 2 * WRITES_PER_SECOND,
                     written.size() + " final states written in one step");
@@ -168,7 +172,7 @@
             actions = step(outcomes.toArray(new SchedulerEvent[0]));
         }
         assertEquals(length, all.size());
-        assertEquals(0, core.jobs());
+        assertEquals(0, scheduler.jobs());
         double seconds = steps * 0.1;
         assertTrue(
                 2 * length / seconds <= WRITES_PER_SECOND * 1.05 + 2,
--- a/src/test/java/org/woadloom/core/jobs/FailoverTest.java
+++ b/src/test/java/org/woadloom/core/jobs/FailoverTest.java
@@ -35,12 +35,12 @@
  * leader until they are proven gone.
  */
 class FailoverTest {
-    private static final String LOST = "host-000001";
-    private static final String UP = "host-000002";
-    private static final long EARLIER = TERM - 1;
+    private static final String SILENT_HOST = "host-000001";
+    private static final String REACHABLE_HOST = "host-000002";
+    private static final long EARLIER_TERM = TERM - 1;
 
     /** A job with a task of 8 CPUs that an earlier leader placed on the silent machine. */
-    private static JobRecord placed(String jobId, boolean cancelled) {
+    private static JobRecord recordWithAttempt(String jobId, boolean cancelled) {
         BitSet first = new BitSet();
         first.set(0);
         return new JobRecord(
@@ -49,41 +49,48 @@
                 0,
                 cancelled,
                 new BitSet(),
-                List.of(new JobRecord.RecordedAttempt(LOST, attempt(jobId), first)),
+                List.of(new JobRecord.RecordedAttempt(SILENT_HOST, attemptNumber(jobId), first)),
                 1,
-                EARLIER,
+                EARLIER_TERM,
                 3);
     }
 
-    private static long attempt(String jobId) {
-        return (EARLIER << 32) + Integer.parseInt(jobId.substring(2));
+    private static long attemptNumber(String jobId) {
+        return (EARLIER_TERM << 32) + Integer.parseInt(jobId.substring(2));
     }
 
-    private static TaskStatus task(
+    private static TaskStatus taskStatus(
             String jobId, TaskStatus.State state, TaskStatus.ExitReason cause) {
-        return new TaskStatus(new TaskId(jobId, 0), attempt(jobId), state, cause, false);
+        return new TaskStatus(new TaskId(jobId, 0), attemptNumber(jobId), state, cause, false);
     }
 
     /**
      * A team limited to two tasks has one on a machine that does not respond, and requests two
      * more.
      */
-    private static LeaderFixture atItsLimit(boolean cancelled) {
+    private static LeaderFixture leaderWithTeamAtLimit(boolean cancelled) {
         LeaderFixture leader =
-                new LeaderFixture(16, List.of(placed("j-000001", cancelled)), LOST, UP);
+                new LeaderFixture(
+                        16,
+                        List.of(recordWithAttempt("j-000001", cancelled)),
+                        SILENT_HOST,
+                        REACHABLE_HOST);
         leader.submit("j-000002", 2);
-        long token = leader.isUp(UP, 1);
-        leader.report(message(UP, 1, 3, token));
+        long token = leader.isUp(REACHABLE_HOST, 1);
+        leader.report(message(REACHABLE_HOST, 1, 3, token));
         leader.pass(SECOND);
         List<TaskCommand> started =
                 leader.all(SchedulerAction.SendDirectCommand.class).stream()
-                        .filter(sent -> sent.host().equals(UP) && !sent.commands().isEmpty())
+                        .filter(
+                                sent ->
+                                        sent.host().equals(REACHABLE_HOST)
+                                                && !sent.commands().isEmpty())
                         .findFirst()
                         .orElseThrow()
                         .commands();
         leader.answered(
                 message(
-                        UP,
+                        REACHABLE_HOST,
                         1,
                         4,
                         token,
@@ -100,7 +107,7 @@
         return leader;
     }
 
-    private static Set<String> started(LeaderFixture leader) {
+    private static Set<String> startedTasks(LeaderFixture leader) {
         Set<String> started = new TreeSet<>();
         List<TaskCommand> commands = new ArrayList<>();
         leader.all(SchedulerAction.SendDirectCommand.class)
@@ -114,48 +121,53 @@
     }
 
     /** A message from the machine that was silent, and whether it proves that the task is gone. */
-    private enum Word {
-        OLD_AND_WITHOUT_IT(false, message(LOST, 1, 10, EARLIER << AgentLiveness.FENCE_BITS)),
-        OLD_AND_LISTS_IT(
+    private enum MessageCase {
+        EARLIER_TERM_WITHOUT_TASK(
+                false, message(SILENT_HOST, 1, 10, EARLIER_TERM << AgentLiveness.FENCE_BITS)),
+        EARLIER_TERM_LISTS_TASK(
                 false,
                 message(
-                        LOST,
+                        SILENT_HOST,
                         1,
                         10,
-                        EARLIER << AgentLiveness.FENCE_BITS,
-                        task("j-000001", TaskStatus.State.RUNNING, null))),
-        OLD_AND_ENDED_IT(
+                        EARLIER_TERM << AgentLiveness.FENCE_BITS,
+                        taskStatus("j-000001", TaskStatus.State.RUNNING, null))),
+        EARLIER_TERM_TASK_EXITED(
                 true,
                 message(
-                        LOST,
+                        SILENT_HOST,
                         1,
                         10,
-                        EARLIER << AgentLiveness.FENCE_BITS,
-                        task("j-000001", TaskStatus.State.EXITED, TaskStatus.ExitReason.STOPPED))),
-        OF_THIS_TERM_WITHOUT_IT(true, message(LOST, 1, 10, TERM << AgentLiveness.FENCE_BITS));
+                        EARLIER_TERM << AgentLiveness.FENCE_BITS,
+                        taskStatus(
+                                "j-000001",
+                                TaskStatus.State.EXITED,
+                                TaskStatus.ExitReason.STOPPED))),
+        CURRENT_TERM_WITHOUT_TASK(
+                true, message(SILENT_HOST, 1, 10, TERM << AgentLiveness.FENCE_BITS));
 
-        private final boolean proof;
+        private final boolean provesGone;
         private final Heartbeat message;
 
-        Word(boolean proof, Heartbeat message) {
-            this.proof = proof;
+        MessageCase(boolean provesGone, Heartbeat message) {
+            this.provesGone = provesGone;
             this.message = message;
         }
     }
 
     @ParameterizedTest
     @EnumSource
-    void aTaskOfACancelledJobCountsUntilItIsProvenGone(Word word) {
-        LeaderFixture leader = atItsLimit(true);
+    void recoveredTaskOfACancelledJobCountsAgainstTheLimitUntilProvenGone(MessageCase messageCase) {
+        LeaderFixture leader = leaderWithTeamAtLimit(true);
         assertEquals(
                 Set.of("j-000002/0"),
-                started(leader),
+                startedTasks(leader),
                 "the recovered task holds half of the limit");
-        leader.report(word.message);
+        leader.report(messageCase.message);
         leader.pass(SECOND);
         assertEquals(
-                word.proof ? Set.of("j-000002/0", "j-000002/1") : Set.of("j-000002/0"),
-                started(leader));
+                messageCase.provesGone ? Set.of("j-000002/0", "j-000002/1") : Set.of("j-000002/0"),
+                startedTasks(leader));
     }
 
     /**
@@ -163,14 +175,15 @@
      * incarnation is current is unknown.
      */
     @Test
-    void nothingStartsWhereOnlyAnOldReportCameFrom() {
-        LeaderFixture leader = new LeaderFixture(200, List.of(placed("j-000001", false)), LOST);
-        leader.report(message(LOST, 1, 50, EARLIER << AgentLiveness.FENCE_BITS));
+    void startsNoTaskOnAMachineThatSentOnlyAnOldHeartbeat() {
+        LeaderFixture leader =
+                new LeaderFixture(200, List.of(recordWithAttempt("j-000001", false)), SILENT_HOST);
+        leader.report(message(SILENT_HOST, 1, 50, EARLIER_TERM << AgentLiveness.FENCE_BITS));
         leader.submit("j-000002", 1);
         leader.passUnanswered(20 * SECOND);
-        assertEquals(Set.of(), started(leader));
+        assertEquals(Set.of(), startedTasks(leader));
         assertFalse(
-                leader.logged(LogEvent.LEASE_EXPIRED, "machine=" + LOST)
+                leader.logged(LogEvent.LEASE_EXPIRED, "machine=" + SILENT_HOST)
                         || leader.logged(LogEvent.TASK_LOST),
                 "the agent may have received the response, which renewed its lease");
     }
@@ -181,26 +194,30 @@
      * not held for longer.
      */
     @Test
-    void aTeamGetsBackWhatIsOnAMachineThatIsNeverHeardOfAgain() {
-        LeaderFixture leader = atItsLimit(true);
-        long began = leader.now;
+    void declaresTasksOfASilentMachineLostOnceItsDeletionIsConfirmed() {
+        LeaderFixture leader = leaderWithTeamAtLimit(true);
+        long startMicros = leader.now;
         for (long sequence = 10;
                 leader.all(SchedulerAction.DeleteMachines.class).isEmpty()
-                        && leader.now - began < 90 * SECOND;
+                        && leader.now - startMicros < 90 * SECOND;
                 sequence++) {
             leader.passUnanswered(SECOND);
             leader.report(
                     message(
-                            UP,
+                            REACHABLE_HOST,
                             1,
                             sequence,
                             leader.last(SchedulerAction.AnswerHeartbeat.class).fencingToken()));
         }
-        assertEquals(List.of(LOST), leader.last(SchedulerAction.DeleteMachines.class).hosts());
-        assertEquals(Set.of("j-000002/0"), started(leader));
-        leader.step(new SchedulerEvent.MachineDeletionCompleted(List.of(LOST), true));
+        assertEquals(
+                List.of(SILENT_HOST), leader.last(SchedulerAction.DeleteMachines.class).hosts());
+        assertEquals(Set.of("j-000002/0"), startedTasks(leader));
+        leader.step(new SchedulerEvent.MachineDeletionCompleted(List.of(SILENT_HOST), true));
         assertTrue(
-                leader.logged(LogEvent.TASK_LOST, "machine=" + LOST, "reason=\"machine deleted\""));
+                leader.logged(
+                        LogEvent.TASK_LOST,
+                        "machine=" + SILENT_HOST,
+                        "reason=\"machine deleted\""));
     }
 
     /**
@@ -210,27 +227,32 @@
      * in that message, so it is not lost.
      */
     @Test
-    void whatTheFirstMessageOfALaterSessionListsIsThere() {
-        LeaderFixture leader = new LeaderFixture(200, List.of(placed("j-000001", false)), LOST, UP);
-        leader.report(message(LOST, 1, 50, EARLIER << AgentLiveness.FENCE_BITS));
+    void keepsARecoveredTaskThatTheFirstMessageOfANewIncarnationLists() {
+        LeaderFixture leader =
+                new LeaderFixture(
+                        200,
+                        List.of(recordWithAttempt("j-000001", false)),
+                        SILENT_HOST,
+                        REACHABLE_HOST);
+        leader.report(message(SILENT_HOST, 1, 50, EARLIER_TERM << AgentLiveness.FENCE_BITS));
         SchedulerAction.SendDirectCommand greeting =
                 leader.last(SchedulerAction.SendDirectCommand.class);
         assertEquals(1, greeting.incarnation());
         leader.step(
                 new SchedulerEvent.DirectCommandCompleted(
                         greeting.commandId(),
-                        LOST,
+                        SILENT_HOST,
                         409,
                         message(
-                                LOST,
+                                SILENT_HOST,
                                 2,
                                 80,
                                 greeting.fencingToken(),
-                                task("j-000001", TaskStatus.State.RUNNING, null))));
-        leader.isUp(UP, 1);
+                                taskStatus("j-000001", TaskStatus.State.RUNNING, null))));
+        leader.isUp(REACHABLE_HOST, 1);
         leader.pass(SECOND);
         assertFalse(leader.logged(LogEvent.TASK_LOST));
-        assertEquals(Set.of(), started(leader), "the task still runs on its first machine");
+        assertEquals(Set.of(), startedTasks(leader), "the task still runs on its first machine");
     }
 
     /**
@@ -238,9 +260,9 @@
      * leader knows of still count against the quota until they are gone.
      */
     @Test
-    void tasksOfAJobWhoseRecordIsGoneCountUntilTheyAre() {
+    void tasksOfAJobWithoutARecordCountAgainstTheLimitUntilGone() {
         SchedulerFixture fixture = new SchedulerFixture(16);
-        JobRegistry table = new JobRegistry(fixture.state);
+        JobRegistry registry = new JobRegistry(fixture.state);
         Reservations reservations = new Reservations(fixture.state);
         Machine machine = fixture.machine("host-1", "a");
         Job job = fixture.job("j-1", 8, 1, 2);
@@ -250,13 +272,13 @@
         Job next = fixture.job("j-2", 8, 1, 2);
         job.persistence.requireRead();
         job.persistence.startRead(fixture.state.nowMicros());
-        table.onRecordNotFound("j-1");
+        registry.onRecordNotFound("j-1");
         assertEquals(
                 1,
                 next.allowedTasks(),
                 "the unsent attempt is removed, the confirmed one still counts");
         assertTrue(running.isStopping());
-        new JobPersister(fixture.state, table).emitDueRequests();
+        new JobPersister(fixture.state, registry).emitDueRequests();
         assertTrue(
                 fixture.actions().stream()
                         .noneMatch(
@@ -266,7 +288,7 @@
                                                         instanceof SchedulerAction.WriteFinalState),
                 "no record is left to update");
         new TaskLossHandler(fixture.state).remove(running);
-        new JobPersister(fixture.state, table).emitDueRequests();
+        new JobPersister(fixture.state, registry).emitDueRequests();
         assertEquals(2, next.allowedTasks());
         assertFalse(fixture.state.jobs().containsKey("j-1"));
     }
--- a/src/test/java/org/woadloom/core/liveness/DelayedHeartbeatsTest.java
+++ b/src/test/java/org/woadloom/core/liveness/DelayedHeartbeatsTest.java
@@ -35,7 +35,7 @@
                 launch.task(), launch.attempt(), TaskStatus.State.RUNNING, null, false);
     }
 
-    private int launches() {
+    private int startCommandCount() {
         return (int)
                         leader.all(SchedulerAction.SendDirectCommand.class).stream()
                                 .flatMap(sent -> sent.commands().stream())
@@ -53,21 +53,21 @@
      * was gone before this term began. It alone must not add the machine.
      */
     @Test
-    void aCopyAdoptsNoMachine() {
-        String gone = "host-000009";
-        leader.report(message(gone, 1, 10, 0));
+    void lateHeartbeatOfAnUnknownMachineDoesNotAddIt() {
+        String unknownHost = "host-000009";
+        leader.report(message(unknownHost, 1, 10, 0));
         leader.unanswered();
         leader.pass(20 * SECOND);
         assertEquals(List.of(), leader.all(SchedulerAction.WriteMachine.class));
         leader.submit("j-000001", 2);
         leader.pass(2 * SECOND);
-        assertEquals(0, launches());
+        assertEquals(0, startCommandCount());
         assertEquals(List.of(), leader.all(SchedulerAction.DeleteMachines.class));
     }
 
     /** An unknown machine that responds to a command exists and costs money, so it is added. */
     @Test
-    void aMachineThatAnswersIsTakenOver() {
+    void unknownMachineThatRespondsIsAdded() {
         leader.isUp("host-000009", 10);
         assertEquals(
                 "host-000009", leader.last(SchedulerAction.WriteMachine.class).record().host());
@@ -79,7 +79,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {4, 20})
-    void aCopyOfAWorkerThatIsGoneGetsNoWork(long lateS) {
+    void silentAgentGetsNoTasksOnALateHeartbeat(long lateS) {
         long token = leader.isUp(HOST, 1);
         leader.report(message(HOST, 1, 3, token));
         leader.passUnanswered(lateS * SECOND);
@@ -92,18 +92,18 @@
                 "a silent agent must not be reported as unreachable");
         leader.submit("j-000001", 2);
         leader.pass(1 * SECOND);
-        assertEquals(0, launches());
+        assertEquals(0, startCommandCount());
         // The agent turns out to be alive, in a new incarnation if its lease has expired meanwhile.
         long incarnation = lateS > 10 ? 2 : 1;
         leader.report(message(HOST, incarnation, 5, token));
-        SchedulerAction.SendDirectCommand asked =
+        SchedulerAction.SendDirectCommand probe =
                 leader.last(SchedulerAction.SendDirectCommand.class);
-        assertTrue(asked.fencingToken() > token, "the probe must carry a new token");
-        leader.answered(message(HOST, incarnation, 6, asked.fencingToken()));
+        assertTrue(probe.fencingToken() > token, "the probe must carry a new token");
+        leader.answered(message(HOST, incarnation, 6, probe.fencingToken()));
         leader.greeted(HOST, incarnation, 7);
-        leader.report(message(HOST, incarnation, 8, asked.fencingToken()));
+        leader.report(message(HOST, incarnation, 8, probe.fencingToken()));
         leader.pass(SECOND);
-        assertEquals(2, launches());
+        assertEquals(2, startCommandCount());
     }
 
     /**
@@ -111,7 +111,7 @@
      * not be repeated or revoked.
      */
     @Test
-    void aCopyKeepsNoMachineThatIsGivenUp() {
+    void lateHeartbeatDoesNotRevokeADeletion() {
         long token = leader.isUp(HOST, 1);
         leader.report(message(HOST, 1, 3, token));
         leader.passUnanswered(60 * SECOND);
@@ -121,7 +121,7 @@
         leader.report(message(HOST, 1, 5, token));
         leader.submit("j-000001", 2);
         leader.pass(2 * SECOND);
-        assertEquals(0, launches());
+        assertEquals(0, startCommandCount());
         assertEquals(1, leader.all(SchedulerAction.DeleteMachines.class).size());
     }
 
@@ -130,11 +130,11 @@
      * not to run; it starts none.
      */
     @Test
-    void theFirstAnswerHaltsWhatMustGo() {
-        TaskStatus stranger =
+    void firstResponseOfANewLeaderStopsAnUnknownTask() {
+        TaskStatus unknownTask =
                 new TaskStatus(new TaskId("j-000077", 0), 3, TaskStatus.State.RUNNING, null, false);
-        SchedulerAction.AnswerHeartbeat first = leader.report(message(HOST, 1, 10, 0, stranger));
-        assertEquals(List.of(TaskCommand.stop(stranger.task(), 3, 0)), first.commands());
+        SchedulerAction.AnswerHeartbeat first = leader.report(message(HOST, 1, 10, 0, unknownTask));
+        assertEquals(List.of(TaskCommand.stop(unknownTask.task(), 3, 0)), first.commands());
     }
 
     /**
@@ -142,7 +142,7 @@
      * postpone its expiry.
      */
     @Test
-    void copiesHoldUpNoProofThatALeaseIsOver() {
+    void duplicateHeartbeatsDoNotPostponeLeaseExpiry() {
         long token = leader.isUp(HOST, 1);
         leader.submit("j-000001", 1);
         leader.pass(100_000);
@@ -167,7 +167,7 @@
 
     /** An outdated heartbeat does not list tasks that were started after it; they are not lost. */
     @Test
-    void anOlderReportProvesNothingGone() {
+    void outdatedHeartbeatDoesNotMakeAnUnlistedTaskLost() {
         long token = leader.isUp(HOST, 1);
         leader.submit("j-000001", 1);
         leader.pass(100_000);
@@ -181,7 +181,7 @@
         SchedulerAction.AnswerHeartbeat answer = leader.report(message(HOST, 1, 4, token));
         assertEquals(List.of(), answer.commands());
         leader.pass(SECOND);
-        assertEquals(1, launches());
+        assertEquals(1, startCommandCount());
         assertFalse(leader.logged(LogEvent.TASK_LOST));
     }
 
@@ -190,7 +190,7 @@
      * make the leader step down, and its fence must not be reused.
      */
     @Test
-    void aCopyWithAHigherTokenOfThisTermDeposesNobody() {
+    void higherTokenOfTheSameTermDoesNotCauseAStepDown() {
         leader.report(message("host-000009", 1, 10, TERM << AgentLiveness.FENCE_BITS | 7));
         assertEquals(List.of(), leader.all(SchedulerAction.StepDown.class));
         assertTrue(
@@ -207,7 +207,7 @@
      * those responses would not reach it.
      */
     @Test
-    void aDeafWorkerGetsNoWorkUntilItShowsThatItHears() {
+    void unreachableAgentGetsNoTasksUntilItAcknowledgesTokens() {
         long token = leader.isUp(HOST, 1);
         leader.report(message(HOST, 1, 3, token));
         for (int sequence = 4; sequence < 7; sequence++) {
@@ -217,11 +217,12 @@
         }
         leader.submit("j-000001", 1);
         leader.pass(500_000);
-        assertEquals(0, launches());
+        assertEquals(0, startCommandCount());
         assertTrue(leader.logged(LogEvent.MACHINE_UNREACHABLE, "machine=" + HOST, "zone=a"));
-        long now = leader.report(message(HOST, 2, 7, token)).fencingToken();
+        long newToken = leader.report(message(HOST, 2, 7, token)).fencingToken();
         // That token had been outstanding for long, so another acknowledgement is required.
-        leader.report(message(HOST, 2, 9, leader.report(message(HOST, 2, 8, now)).fencingToken()));
+        leader.report(
+                message(HOST, 2, 9, leader.report(message(HOST, 2, 8, newToken)).fencingToken()));
         leader.greeted(HOST, 2, 10);
         leader.pass(500_000);
         leader.greeted(HOST, 2, 11);
@@ -233,14 +234,14 @@
                         12,
                         leader.last(SchedulerAction.AnswerHeartbeat.class).fencingToken()));
         assertTrue(leader.logged(LogEvent.MACHINE_REACHABLE, "machine=" + HOST));
-        assertEquals(1, launches());
+        assertEquals(1, startCommandCount());
     }
 
     /**
      * Tasks placed on an unreachable agent whose start was not sent are placed on a reachable one.
      */
     @Test
-    void whatWasNeverSentToADeafWorkerGoesElsewhere() {
+    void unsentTaskOfAnUnreachableAgentIsPlacedElsewhere() {
         long token = leader.isUp(HOST, 1);
         leader.submit("j-000001", 1);
         leader.pass(100_000);
--- a/src/test/java/org/woadloom/core/placement/SteppedSearchTest.java
+++ b/src/test/java/org/woadloom/core/placement/IncrementalSearchTest.java
@@ -8,12 +8,12 @@
 import org.woadloom.core.SchedulerFixture;
 import org.woadloom.core.jobs.Job;
 
-class SteppedSearchTest {
+class IncrementalSearchTest {
     private final Job job = new SchedulerFixture().job("j-1", 1, 1, 1);
     private final IncrementalSearch search = new IncrementalSearch(10);
 
     @Test
-    void aStepExaminesNoMoreThanItMay() {
+    void stepAllowsNoMoreMachinesThanItsBudget() {
         search.beginStep();
         search.addExamined(6);
         assertTrue(search.mayExamine(4));
@@ -27,7 +27,7 @@
      * Otherwise a job that needs more machines than a step's budget would block the search forever.
      */
     @Test
-    void theFirstVisitOfAStepIsAlwaysAllowed() {
+    void firstSearchOfAStepMayExceedTheBudget() {
         search.beginStep();
         assertTrue(search.mayExamine(11));
         search.addExamined(11);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aJobIsVisitedOnceInASearch() {
+    void jobStaysVisitedUntilTheSearchIsReset() {
         search.markVisited(job);
         search.beginStep();
         assertTrue(search.isVisited(job));
--- a/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
+++ b/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
@@ -27,13 +27,13 @@
      * each task.
      */
     @Test
-    void oneSearchForManyTasksChoosesAsOneForEach() {
+    void oneSearchForManyTasksSelectsTheSameMachinesAsOneSearchPerTask() {
         int placed = 0;
         for (long seed = 1; seed <= 60; seed++) {
             Random random = new Random(seed);
             SchedulerFixture fixture = new SchedulerFixture(400);
             Reservations reservations = new Reservations(fixture.state);
-            PlacementConstraints eligibility = new PlacementConstraints(fixture.state);
+            PlacementConstraints constraints = new PlacementConstraints(fixture.state);
             List<Machine> machines = machines(fixture, reservations, random, 30);
             Job job =
                     fixture.job(
@@ -51,15 +51,15 @@
                         true,
                         random.nextBoolean());
             }
-            Set<String> scarce = random.nextBoolean() ? Set.of("a") : Set.of();
-            CandidateMachines once =
-                    new CandidateMachines(job, machines, scarce, eligibility, reservations);
+            Set<String> scarceZones = random.nextBoolean() ? Set.of("a") : Set.of();
+            CandidateMachines candidates =
+                    new CandidateMachines(job, machines, scarceZones, constraints, reservations);
             for (int index = job.nextPending(0); index >= 0; index = job.nextPending(index + 1)) {
-                Machine plain =
-                        new CandidateMachines(job, machines, scarce, eligibility, reservations)
+                Machine expected =
+                        new CandidateMachines(job, machines, scarceZones, constraints, reservations)
                                 .next();
-                Machine chosen = once.next();
-                assertSame(plain, chosen, "seed " + seed + ", task " + index);
+                Machine chosen = candidates.next();
+                assertSame(expected, chosen, "seed " + seed + ", task " + index);
                 if (chosen == null) {
                     break;
                 }
@@ -67,7 +67,7 @@
                         new TaskAttempt(job, index, chosen, 1, 1, fixture.state.nowMicros());
                 reservations.draw(attempt);
                 job.addAttempt(attempt);
-                once.onPlaced();
+                candidates.onPlaced();
                 placed++;
             }
         }
@@ -98,7 +98,7 @@
      * that is made or released.
      */
     @Test
-    void reservationsByMachineAgreeWithAWalkOverAll() {
+    void reservationsIndexedByMachineMatchAScanOfAllReservations() {
         Random random = new Random(5);
         SchedulerFixture fixture = new SchedulerFixture(4_000);
         Reservations reservations = new Reservations(fixture.state);
@@ -113,17 +113,17 @@
             } else if (!owned.isEmpty()) {
                 reservations.release(owned.get(random.nextInt(owned.size())));
             }
-            Resources plain = machine.capacity().minus(machine.used());
+            Resources expected = machine.capacity().minus(machine.used());
             int total = 0;
             for (Job any : jobs) {
                 total += reservations.of(any).size();
                 for (Reservation reservation : reservations.of(any)) {
                     if (reservation.machine == machine && any != job) {
-                        plain = plain.minus(reservation.remaining());
+                        expected = expected.minus(reservation.remaining());
                     }
                 }
             }
-            assertEquals(plain, reservations.balance(machine, job));
+            assertEquals(expected, reservations.balance(machine, job));
             assertEquals(total, reservations.size());
         }
     }
@@ -134,7 +134,7 @@
      */
     @ParameterizedTest
     @CsvSource({"PLAIN,8192", "COMPACT,2048", "COMPACT,1500"})
-    void theRecordOfAHugeJobAlwaysFits(RecordFormat format, int valueBytes) {
+    void recordOfAHugeJobNeverExceedsTheValueLimit(RecordFormat format, int valueBytes) {
         Random random = new Random(8);
         SchedulerFixture fixture = new SchedulerFixture(100_000);
         fixture.setRecordLimits(valueBytes, format);
@@ -146,12 +146,14 @@
         TaskPlacer placer =
                 new TaskPlacer(
                         fixture.state, new PlacementConstraints(fixture.state), reservations);
-        int largest = 0;
-        int most = 0;
+        int largestRecordBytes = 0;
+        int mostAttempts = 0;
         for (int wave = 0; wave < 400; wave++) {
             placer.place();
-            most = Math.max(most, job.attempts().size());
-            largest = Math.max(largest, Cbor.jsonSize(job.toRecord(1, wave).toMap(format)));
+            mostAttempts = Math.max(mostAttempts, job.attempts().size());
+            largestRecordBytes =
+                    Math.max(
+                            largestRecordBytes, Cbor.jsonSize(job.toRecord(1, wave).toMap(format)));
             for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
                 if (random.nextInt(3) == 0) {
                     if (random.nextInt(8) > 0) {
@@ -160,10 +162,14 @@
                     job.removeAttempt(attempt);
                 }
             }
-            largest = Math.max(largest, Cbor.jsonSize(job.toRecord(1, wave).toMap(format)));
+            largestRecordBytes =
+                    Math.max(
+                            largestRecordBytes, Cbor.jsonSize(job.toRecord(1, wave).toMap(format)));
         }
-        assertTrue(largest <= valueBytes, "the largest record has " + largest + " bytes");
-        assertTrue(most > 150, "at most " + most + " attempts at a time");
+        assertTrue(
+                largestRecordBytes <= valueBytes,
+                "the largest record has " + largestRecordBytes + " bytes");
+        assertTrue(mostAttempts > 150, "at most " + mostAttempts + " attempts at a time");
         assertTrue(
                 job.completedTasks().cardinality() > 10_000,
                 "only " + job.completedTasks().cardinality() + " tasks completed");
--- a/src/test/java/org/woadloom/core/placement/QueueOrderTest.java
+++ b/src/test/java/org/woadloom/core/placement/QueueOrderTest.java
@@ -12,27 +12,27 @@
     private final QueueOrder order = new QueueOrder(fixture.state);
 
     @Test
-    void whatCanStillBeInTimeGoesBeforeWhatIsLate() {
+    void jobThatCanMeetItsDeadlineGoesBeforeALateJob() {
         Job late = fixture.due("j-1", 10, 30);
         fixture.advance(25_000_000);
-        Job fresh = fixture.due("j-2", 10, 30);
-        assertEquals(List.of(fresh, late), order.sorted(List.of(late, fresh)));
+        Job onTime = fixture.due("j-2", 10, 30);
+        assertEquals(List.of(onTime, late), order.sorted(List.of(late, onTime)));
     }
 
     @Test
-    void aLateJobDoesNotWaitForEver() {
+    void veryLateJobIsOrderedByAgeAgain() {
         Job late = fixture.due("j-1", 10, 30);
         fixture.advance(200_000_000);
-        Job fresh = fixture.due("j-2", 10, 30);
-        assertEquals(List.of(late, fresh), order.sorted(List.of(fresh, late)));
+        Job onTime = fixture.due("j-2", 10, 30);
+        assertEquals(List.of(late, onTime), order.sorted(List.of(onTime, late)));
     }
 
     @Test
-    void theGuaranteeComesBeforeLateness() {
+    void lateJobWithinTheGuaranteeGoesBeforeAnOnTimeJobBeyondIt() {
         Job late = fixture.due("j-1", 10, 30);
         late.setWithinGuarantee(true);
         fixture.advance(25_000_000);
-        Job fresh = fixture.due("j-2", 10, 30);
-        assertEquals(List.of(late, fresh), order.sorted(List.of(fresh, late)));
+        Job onTime = fixture.due("j-2", 10, 30);
+        assertEquals(List.of(late, onTime), order.sorted(List.of(onTime, late)));
     }
 }
--- a/src/test/java/org/woadloom/core/placement/WaitingJobsReportTest.java
+++ b/src/test/java/org/woadloom/core/placement/WaitingJobsReportTest.java
@@ -21,7 +21,7 @@
                     fixture.state, new PlacementConstraints(fixture.state), reservations);
 
     @Test
-    void theMachinesAreTheReason() {
+    void reasonIsMissingOrFullMachinesWhenTheQuotaAllowsTheTask() {
         Job job = fixture.job("j-1", 12, 1, 1);
         assertEquals(PendingReason.NO_MACHINE, report.reason(job));
         Machine machine = fixture.machine("host-1", "a");
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void theLimitIsTheReason() {
+    void reasonIsTheTeamLimitOrItsHoldForLostTasks() {
         Machine first = fixture.machine("host-1", "a");
         Machine second = fixture.machine("host-2", "a");
         Job large = fixture.job("j-large", 8, 1, 3);
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void thoseThatHaveWaitedLongestAreLogged() {
+    void logsLongWaitingJobsOncePerInterval() {
         Machine machine = fixture.machine("host-1", "a");
         Job full = fixture.job("j-full", 12, 1, 2);
         fixture.place(reservations, full, 0, machine);
