--- a/src/main/java/org/woadloom/cli/CheckCommand.java
+++ b/src/main/java/org/woadloom/cli/CheckCommand.java
@@ -59,14 +59,14 @@
                     + " other nodes, %d for refusals, %d for the process%n",
                 service.resources().fdLimit(),
                 plan.inbound(),
-                plan.agents(),
-                plan.direct(),
-                plan.idle(),
-                plan.state(),
+                plan.maxAgents(),
+                plan.directCommands(),
+                plan.idleConnections(),
+                plan.store(),
                 plan.cloud(),
                 plan.peers(),
-                plan.refusals(),
-                plan.process());
+                plan.refusedConnections(),
+                plan.processOverhead());
         System.out.printf(
                 "at most %d tasks of a job are placed at once where each has a machine of its own"
                         + " (value_kb)%n",
@@ -74,7 +74,7 @@
         FleetSizeEstimate fleet = FleetSizeEstimate.of(service);
         System.out.printf(
                 "carries about %d machines: %d by fd_limit, %d by cpu_share and report_s%n",
-                fleet.agents(), fleet.bySockets(), fleet.byProcessor());
+                fleet.maxAgents(), fleet.maxAgentsBySockets(), fleet.maxAgentsByCpu());
         ServiceSettings.Store state = service.store();
         if (state.next() != null) {
             System.out.printf(
--- a/src/main/java/org/woadloom/core/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/org/woadloom/core/autoscaling/ScaleOutPlanner.java
@@ -127,7 +127,7 @@
         Resources planned = plannedByTeam.getOrDefault(job.teamQuota, Resources.NONE);
         int tasks =
                 Math.min(
-                        job.pendingTaskCount() - reservations.expectedTasks(job),
+                        job.pendingTaskCount() - reservations.tasksNotNeedingScaleOut(job),
                         job.allowedTasks(Resources.NONE.minus(planned)));
         if (tasks > 0) {
             plannedByTeam.put(job.teamQuota, planned.plus(job.taskResources.times(tasks)));
--- a/src/main/java/org/woadloom/core/jobs/Job.java
+++ b/src/main/java/org/woadloom/core/jobs/Job.java
@@ -96,7 +96,7 @@
         this.teamQuota = team;
         this.submittedWallMicros = record.submittedWallMicros();
         this.submittedMicros = submittedMicros;
-        this.tasks = new TaskSet(description.taskCount(), record.done());
+        this.tasks = new TaskSet(description.taskCount(), record.completedTasks());
         this.cancelled = record.cancelled();
         this.persistence = new PersistenceState(revision, () -> markForPersistence.accept(this));
         this.readyWallMicros = record.readyWallMicros();
@@ -341,7 +341,7 @@
         }
         tasks.release(attempt.taskIndex);
         attempt.machine.remove(attempt);
-        teamQuota.subtract(taskResources);
+        teamQuota.subtractUsage(taskResources);
     }
 
     /** Allows the attempts that the durable record names to be started. */
--- a/src/main/java/org/woadloom/core/machines/DirectCommands.java
+++ b/src/main/java/org/woadloom/core/machines/DirectCommands.java
@@ -121,7 +121,7 @@
         }
         starts.removeIf(attempt -> attempt.job.attempt(attempt.taskIndex) != attempt);
         if (result.heartbeat() != null
-                && heartbeats.hasSeenLaterTerm(machine, result.heartbeat())) {
+                && heartbeats.stepDownIfLaterTerm(machine, result.heartbeat())) {
             return;
         }
         if (result.status() == STATUS_OK && result.heartbeat() != null) {
@@ -171,7 +171,7 @@
         machine.commands.pauseUntil(
                 state.nowMicros()
                         + (machine.liveness.isUnreachable(state.nowMicros())
-                                ? state.settings().leaseMicros() / 2
+                                ? state.settings().leaseDurationMicros() / 2
                                 : PAUSE_MICROS));
         for (TaskAttempt attempt : starts) {
             if (attempt.stage() == Stage.SENT) {
--- a/src/main/java/org/woadloom/core/placement/CandidateMachines.java
+++ b/src/main/java/org/woadloom/core/placement/CandidateMachines.java
@@ -184,7 +184,7 @@
         // machines fail here already.
         return machine.balance().contains(job.taskResources)
                 && reservations.unreserved(machine, job).contains(job.taskResources)
-                && job.allowedTasks(reservations.credit(job, machine)) >= 1
+                && job.allowedTasks(reservations.quotaCredit(job, machine)) >= 1
                 && constraints.allows(job, machine)
                 && !job.failedOnHosts.contains(machine.host);
     }
@@ -196,7 +196,7 @@
     private double score(Machine machine) {
         JobDescription description = job.description;
         double score = 0;
-        if (reservations.match(job, machine) != null) {
+        if (reservations.bestMatch(job, machine) != null) {
             score += RESERVED_WEIGHT;
         }
         if (machine.images.contains(description.image())) {
