--- a/src/main/java/org/woadloom/core/jobs/TaskAttempt.java
+++ b/src/main/java/org/woadloom/core/jobs/TaskAttempt.java
@@ -52,7 +52,7 @@
          * executed.
          */
         SENT_IN_RESPONSE,
-        /** The agent is known to have it. */
+        /** The agent has acknowledged or listed it. */
         CONFIRMED,
         /**
          * Loaded from a record that an earlier leader wrote; it may never have been sent, be
@@ -144,7 +144,7 @@
         stage = Stage.UNANSWERED;
     }
 
-    /** The agent is known to have it. */
+    /** Records that the agent has acknowledged or listed it. */
     public void onConfirmed() {
         stage = Stage.CONFIRMED;
     }
--- a/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
@@ -254,7 +254,7 @@
                                                 + at
                                                 + ", but the watermark of term "
                                                 + leader.term
-                                                + " "
+                                                + " is "
                                                 + (watermark - leader.clock(at))
                                                 + " microseconds later, seed "
                                                 + seed);
