--- a/src/main/java/org/woadloom/core/cancellation/CancellationWatermark.java
+++ b/src/main/java/org/woadloom/core/cancellation/CancellationWatermark.java
@@ -113,21 +113,21 @@
 
     /** Returns the watermark: every cancellation confirmed before this time is applied. */
     public long watermarkMicros(long readUpToMicros) {
-        long lowest = Long.MAX_VALUE;
+        long lowestMicros = Long.MAX_VALUE;
         for (NodeWatermark nodeWatermark : nodeWatermarks.values()) {
-            lowest = Math.min(lowest, nodeWatermark.watermarkMicros);
+            lowestMicros = Math.min(lowestMicros, nodeWatermark.watermarkMicros);
         }
-        return Math.max(readUpToMicros, lowest);
+        return Math.max(readUpToMicros, lowestMicros);
     }
 
     /** Returns the nodes that hold the watermark back, for the operator. */
     public List<String> slowestNodes(long readUpToMicros) {
-        long lowest = watermarkMicros(readUpToMicros);
+        long lowestMicros = watermarkMicros(readUpToMicros);
         return nodeWatermarks.entrySet().stream()
                 .filter(
                         entry ->
                                 Math.max(readUpToMicros, entry.getValue().watermarkMicros)
-                                        <= lowest)
+                                        <= lowestMicros)
                 .map(Map.Entry::getKey)
                 .toList();
     }
--- a/src/main/java/org/woadloom/core/cancellation/ConfirmedCancellations.java
+++ b/src/main/java/org/woadloom/core/cancellation/ConfirmedCancellations.java
@@ -137,8 +137,8 @@
         }
         entries.put(jobId, new Entry(nextTimestamp(nowMicros)));
         if (entries.size() > MAX_ENTRIES) {
-            String first = entries.keySet().iterator().next();
-            completeSinceMicros = entries.remove(first).addedMicros;
+            String oldestJobId = entries.keySet().iterator().next();
+            completeSinceMicros = entries.remove(oldestJobId).addedMicros;
         }
     }
 
--- a/src/main/java/org/woadloom/core/delegation/DelegationLedger.java
+++ b/src/main/java/org/woadloom/core/delegation/DelegationLedger.java
@@ -129,16 +129,17 @@
      * Upper bound for the time of the latest renewal of any of the zone's leases by another node.
      */
     public long latestPossibleRenewalMicros(String zone, long nowMicros) {
-        long last = NEVER_MICROS;
+        long latestMicros = NEVER_MICROS;
         for (Delegate delegate : delegates.values()) {
             if (delegate.zone.equals(zone)) {
-                last = Math.max(last, delegate.lastRenewalMicros);
+                latestMicros = Math.max(latestMicros, delegate.lastRenewalMicros);
                 if (nowMicros > delegate.noRenewalUntilMicros) {
-                    last = Math.max(last, Math.min(nowMicros, validUntilMicros(delegate)));
+                    latestMicros =
+                            Math.max(latestMicros, Math.min(nowMicros, validUntilMicros(delegate)));
                 }
             }
         }
-        return last;
+        return latestMicros;
     }
 
     /**
--- a/src/main/java/org/woadloom/core/jobs/JobPersister.java
+++ b/src/main/java/org/woadloom/core/jobs/JobPersister.java
@@ -45,9 +45,8 @@
     private static final int RECORD_COST = 1;
 
     /**
-     * Jobs that have ended first, then the least recently written, with an advantage for writes
-     * that start commands wait for. Least recently written goes first so that the record of no
-     * completed task is delayed for ever.
+     * Jobs that have ended first, then the least recently written, so that no job's updates are
+     * delayed indefinitely. Writes that start commands wait for have an advantage.
      */
     private static final Comparator<Job> WRITE_ORDER =
             Comparator.comparing((Job job) -> !job.isTerminal())
@@ -70,28 +69,28 @@
 
     /** Emits the reads and writes that are due. Writes beyond the budget wait for a later call. */
     public void emitDueRequests() {
-        List<Job> due = new ArrayList<>();
-        List<Job> replaced = new ArrayList<>();
+        List<Job> dueJobs = new ArrayList<>();
+        List<Job> replacedJobs = new ArrayList<>();
         state.removeJobsToPersistIf(job -> job.isRemoved() || !job.persistence.hasPendingRequest());
         for (Job job : state.jobsToPersist()) {
             PersistenceState persistence = job.persistence;
             if (persistence.isReplaced()) {
                 if (job.attempts().isEmpty()) {
-                    replaced.add(job);
+                    replacedJobs.add(job);
                 }
             } else if (state.nowMicros() >= persistence.retryAtMicros()) {
                 if (persistence.isReadNeeded()) {
                     startReadUnlessInFlight(job);
                 } else if (persistence.isIdle() && isDue(job)) {
-                    due.add(job);
+                    dueJobs.add(job);
                 }
             }
         }
-        replaced.forEach(job -> jobs.remove(job, false));
-        if (due.size() > 1) {
-            due.sort(WRITE_ORDER);
+        replacedJobs.forEach(job -> jobs.remove(job, false));
+        if (dueJobs.size() > 1) {
+            dueJobs.sort(WRITE_ORDER);
         }
-        for (Job job : due) {
+        for (Job job : dueJobs) {
             if (isWithinBudget(job)) {
                 write(job);
             }
--- a/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
+++ b/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
@@ -96,7 +96,7 @@
                     job.isWithinGuarantee()
                             && job.teamQuota.staysWithinGuarantee(job.taskResources)
                             && doesAnyOtherTeamBorrow(job.teamQuota);
-            if (failedSearches.stream().noneMatch(known -> known.covers(job, fromBorrowers))) {
+            if (failedSearches.stream().noneMatch(failed -> failed.covers(job, fromBorrowers))) {
                 wanted = freeResources(job, wanted, fromBorrowers);
                 if (wanted > 0 && ResourceRequest.isRepresentative(job)) {
                     failedSearches.add(
@@ -159,7 +159,7 @@
                 continue;
             }
             for (TaskAttempt attempt : machine.attempts()) {
-                Resources expected =
+                Resources expectedFree =
                         reservations
                                 .unreservedBalance(machine, null)
                                 .plus(attempt.job.taskResources);
@@ -167,7 +167,7 @@
                         && attempt.job.description.isService()
                         && !attempt.isStopping()
                         && attempt.stage() == TaskAttempt.Stage.CONFIRMED
-                        && expected.contains(job.taskResources)
+                        && expectedFree.contains(job.taskResources)
                         && fitsInOtherZone(attempt)
                         && reservations.reserve(job, machine, job.taskResources, true, true)
                                 != null) {
@@ -220,7 +220,7 @@
 
     /** Stops tasks on one machine; returns how many of the job's tasks will fit there. */
     private int freeResourcesOn(Job job, Machine machine, int wanted) {
-        Resources expected =
+        Resources expectedFree =
                 preemptOn(
                         job,
                         machine,
@@ -229,9 +229,9 @@
         // The freed resources are reserved, so that no other job is placed on them.
         int reserved = 0;
         while (reserved < wanted
-                && expected.contains(job.taskResources)
+                && expectedFree.contains(job.taskResources)
                 && reservations.reserve(job, machine, job.taskResources, true, true) != null) {
-            expected = expected.minus(job.taskResources);
+            expectedFree = expectedFree.minus(job.taskResources);
             reserved++;
         }
         return reserved;
@@ -242,28 +242,28 @@
      * not; returns the resources that will be free.
      */
     private Resources preemptOn(Job job, Machine machine, Resources free, Resources needed) {
-        Resources expected = free;
+        Resources expectedFree = free;
         List<TaskAttempt> victims = new ArrayList<>();
         for (TaskAttempt attempt : machine.attempts()) {
             if (attempt.isStopping()) {
-                expected = expected.plus(attempt.job.taskResources);
+                expectedFree = expectedFree.plus(attempt.job.taskResources);
             } else if (mayPreempt(job, attempt)) {
                 victims.add(attempt);
             }
         }
         victims.sort(VICTIM_ORDER);
-        List<TaskAttempt> chosen = new ArrayList<>();
+        List<TaskAttempt> selected = new ArrayList<>();
         for (TaskAttempt victim : victims) {
-            if (expected.contains(needed)) {
+            if (expectedFree.contains(needed)) {
                 break;
             }
-            chosen.add(victim);
-            expected = expected.plus(victim.job.taskResources);
+            selected.add(victim);
+            expectedFree = expectedFree.plus(victim.job.taskResources);
         }
-        if (!expected.contains(needed)) {
+        if (!expectedFree.contains(needed)) {
             return Resources.NONE;
         }
-        for (TaskAttempt victim : chosen) {
+        for (TaskAttempt victim : selected) {
             state.log(
                     LogEntry.info(LogEvent.TASK_PREEMPTED)
                             .with("task", victim.taskId())
@@ -271,7 +271,7 @@
                             .with("for_job", job.jobId()));
             preempt(victim);
         }
-        return expected;
+        return expectedFree;
     }
 
     private void preempt(TaskAttempt victim) {
--- a/src/main/java/org/woadloom/core/placement/QueueOrder.java
+++ b/src/main/java/org/woadloom/core/placement/QueueOrder.java
@@ -167,9 +167,10 @@
      * that is not done after a long time: later jobs no longer go before it.
      */
     private boolean isOverdue(Job job) {
-        long age = state.nowMicros() - job.queuedSinceMicros();
-        return (!job.hasStarted() && age > START_OVERDUE_MICROS)
-                || (age > LARGE_OVERDUE_MICROS && state.demandEstimator().isLargeInClass(job));
+        long ageMicros = state.nowMicros() - job.queuedSinceMicros();
+        return (!job.hasStarted() && ageMicros > START_OVERDUE_MICROS)
+                || (ageMicros > LARGE_OVERDUE_MICROS
+                        && state.demandEstimator().isLargeInClass(job));
     }
 
     /**
--- a/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
@@ -299,19 +299,20 @@
         }
         // Reports of a process that restarts within the promise continue those of its predecessor.
         // After a longer gap they do not.
-        long ended = 999 * SECOND;
-        long afterRestart = watermarkAfter(watermark, ended + 9 * SECOND);
-        assertTrue(afterRestart >= ended + 30 * SECOND, "the watermark is at " + afterRestart);
-        assertEquals(afterRestart, watermarkAfter(watermark, ended + 80 * SECOND));
+        long endMicros = 999 * SECOND;
+        long afterRestart = watermarkAfter(watermark, endMicros + 9 * SECOND);
+        assertTrue(afterRestart >= endMicros + 30 * SECOND, "the watermark is at " + afterRestart);
+        assertEquals(afterRestart, watermarkAfter(watermark, endMicros + 80 * SECOND));
         assertEquals(List.of("node"), watermark.slowestNodes(SECOND));
     }
 
-    private static long watermarkAfter(CancellationWatermark watermark, long started) {
-        ConfirmedCancellations next =
-                new ConfirmedCancellations(started, List.of("leader"), started);
-        for (long at = started + SECOND; at < started + 40 * SECOND; at += SECOND) {
-            next.onAck(
-                    watermark.onReport("node", next.nextReport("leader", 3, at, at), SECOND, at));
+    private static long watermarkAfter(CancellationWatermark watermark, long startMicros) {
+        ConfirmedCancellations successor =
+                new ConfirmedCancellations(startMicros, List.of("leader"), startMicros);
+        for (long at = startMicros + SECOND; at < startMicros + 40 * SECOND; at += SECOND) {
+            successor.onAck(
+                    watermark.onReport(
+                            "node", successor.nextReport("leader", 3, at, at), SECOND, at));
         }
         return watermark.watermarkMicros(SECOND);
     }
@@ -404,8 +405,8 @@
     @Test
     void droppedCancellationsAreNeitherConfirmedNorCoveredByAReport() {
         ConfirmedCancellations cancellations = new ConfirmedCancellations(1, List.of(), 0);
-        WatermarkReport first = cancellations.nextReport("leader", 3, 0, SECOND);
-        cancellations.onAck(new WatermarkAck(3, 1, first.sentMicros(), SECOND));
+        WatermarkReport firstReport = cancellations.nextReport("leader", 3, 0, SECOND);
+        cancellations.onAck(new WatermarkAck(3, 1, firstReport.sentMicros(), SECOND));
         for (int i = 0; i < 2_500; i++) {
             cancellations.add("j-" + i, 2 * SECOND + i);
         }
@@ -417,7 +418,7 @@
         assertTrue(cancellations.tryConfirm("j-500", 3 * SECOND + 1));
         // A watermark does not advance by a report that leaves a gap after the previous one.
         CancellationWatermark watermark = new CancellationWatermark(3, List.of("node"));
-        watermark.onReport("node", first, SECOND, SECOND);
+        watermark.onReport("node", firstReport, SECOND, SECOND);
         watermark.onReport("node", report, SECOND, 3 * SECOND);
         assertEquals(SECOND, watermark.watermarkMicros(SECOND));
     }
--- a/src/test/java/org/woadloom/core/delegation/DelegationLedgerTest.java
+++ b/src/test/java/org/woadloom/core/delegation/DelegationLedgerTest.java
@@ -96,10 +96,10 @@
         LeaseDelegate restarted = new LeaseDelegate(timeouts, "b", 2, 30 * SECOND + CLOCK_OFFSET);
         exchange(restarted, 32 * SECOND);
         exchange(restarted, 33 * SECOND);
-        long last = ledger.latestPossibleRenewalMicros("b", 33 * SECOND);
+        long latestRenewal = ledger.latestPossibleRenewalMicros("b", 33 * SECOND);
         assertTrue(
-                last >= 30 * SECOND && last < 31 * SECOND,
-                "the upper bound for the last renewal is " + last);
+                latestRenewal >= 30 * SECOND && latestRenewal < 31 * SECOND,
+                "the upper bound for the last renewal is " + latestRenewal);
     }
 
     /**
--- a/src/test/java/org/woadloom/core/liveness/DelayedHeartbeatsTest.java
+++ b/src/test/java/org/woadloom/core/liveness/DelayedHeartbeatsTest.java
@@ -135,9 +135,9 @@
     void firstResponseOfANewLeaderStopsAnUnknownTask() {
         TaskStatus unknownTask =
                 new TaskStatus(new TaskId("j-000077", 0), 3, TaskStatus.State.RUNNING, null, false);
-        SchedulerAction.AnswerHeartbeat first =
+        SchedulerAction.AnswerHeartbeat response =
                 leader.sendHeartbeat(heartbeat(HOST, 1, 10, 0, unknownTask));
-        assertEquals(List.of(TaskCommand.stop(unknownTask.task(), 3, 0)), first.commands());
+        assertEquals(List.of(TaskCommand.stop(unknownTask.task(), 3, 0)), response.commands());
     }
 
     /**
@@ -149,7 +149,7 @@
         long token = leader.bringUp(HOST, 1);
         leader.submit("j-000001", 1);
         leader.advance(100_000);
-        Heartbeat last =
+        Heartbeat lastHeartbeat =
                 heartbeat(
                         HOST,
                         1,
@@ -157,10 +157,10 @@
                         token,
                         running(leader.lastAction(SchedulerAction.SendDirectCommand.class)));
         leader.answerLastDirectCommand(heartbeat(HOST, 1, 3, token));
-        leader.sendHeartbeat(last);
+        leader.sendHeartbeat(lastHeartbeat);
         for (int i = 0; i < 16; i++) {
             leader.advance(SECOND);
-            leader.sendHeartbeat(last);
+            leader.sendHeartbeat(lastHeartbeat);
             leader.sendHeartbeat(heartbeat(HOST, 1, 2, token));
         }
         assertTrue(
--- a/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
+++ b/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
@@ -82,11 +82,12 @@
             if (random.nextInt(3) == 0) {
                 machine.images.touch("img", 1, 50);
             }
-            Job other = fixture.job("j-other" + i, 1 + random.nextInt(5), 1 + random.nextInt(5), 2);
-            fixture.place(reservations, other, 0, machine);
+            Job otherJob =
+                    fixture.job("j-other" + i, 1 + random.nextInt(5), 1 + random.nextInt(5), 2);
+            fixture.place(reservations, otherJob, 0, machine);
             if (random.nextInt(4) == 0) {
                 reservations.reserve(
-                        other, machine, other.taskResources, random.nextBoolean(), true);
+                        otherJob, machine, otherJob.taskResources, random.nextBoolean(), true);
             }
             machines.add(machine);
         }
