--- a/src/main/java/org/woadloom/reads/RecentJobs.java
+++ b/src/main/java/org/woadloom/reads/RecentJobs.java
@@ -17,17 +17,18 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * The jobs that were asked for lately, as of the last round of {@link CoalescingJobReader}, and the
- * reads by key of those that are not kept. Rounds bring changes in; after a gap in them everything
- * has to be cleared and refilled.
+ * Cache of recently queried jobs, current as of the latest round of {@link CoalescingJobReader},
+ * and the reads by key of jobs that are not cached. Rounds apply changes to it. After a gap between
+ * rounds it has to be cleared and refilled.
  */
 final class RecentJobs {
     /**
-     * Jobs: the 12,000 open ones of 4,000 machines, which are all polled at every node, and more.
+     * Number of cached jobs: the 12,000 open jobs of 4,000 machines, all of which are polled at
+     * every node, plus a margin.
      */
     private static final int MAX_CACHED = 16_000;
 
-    /** A job as of the last round: parsed already, or as the store gave it. */
+    /** A job as of the latest round. It is decoded on first use. */
     private static final class CachedJob {
         private Map<String, Object> unparsed;
         private long revision;
@@ -39,22 +40,25 @@
         }
     }
 
-    /** A job that is being read by key, for the first query or several. */
+    /** A read by key that is in flight, on behalf of one or more queries. */
     private static final class PendingRead {
-        private final List<Consumer<QueryResult>> waiting = new ArrayList<>();
+        private final List<Consumer<QueryResult>> callbacks = new ArrayList<>();
 
-        /** The latest change that rounds have read since it started: the read may be older. */
+        /**
+         * The latest change that rounds have read since the read started; the result of the read
+         * may be older.
+         */
         private Event latestChange;
     }
 
     private final JobReader reader;
-    private final Cache<String, CachedJob> cached = newCache();
+    private final Cache<String, CachedJob> cachedJobs = newCache();
 
     /**
-     * Jobs whose record was removed: it never comes back, so only their final state is left to be
-     * read.
+     * Jobs whose record was removed, with the revision of the removal. A removed record never comes
+     * back, so only the final state remains to be read.
      */
-    private final Cache<String, Long> ended = newCache();
+    private final Cache<String, Long> endedJobs = newCache();
 
     private Map<String, PendingRead> pendingReads = new HashMap<>();
     private final RecentJobsRefill refill;
@@ -68,14 +72,17 @@
         return Caffeine.newBuilder().maximumSize(MAX_CACHED).executor(Runnable::run).build();
     }
 
-    /** Changes were missed: nothing that is kept, or being read, says how things stand now. */
+    /**
+     * Discards cached jobs and reads in flight, because changes were missed and none of them is
+     * known to be current.
+     */
     void clear() {
-        cached.invalidateAll();
+        cachedJobs.invalidateAll();
         pendingReads = new HashMap<>();
         refill.stop();
     }
 
-    /** Reads all open jobs; rounds have to bring in what changes from now on. */
+    /** Reads all open jobs. Rounds must supply the changes from now on. */
     void refill() {
         refill.start();
     }
@@ -87,11 +94,11 @@
         }
         Map<String, Object> value = isOutdated ? latestChange.value() : entry.value();
         long revision = isOutdated ? latestChange.revision() : entry.revision();
-        CachedJob known = cached.getIfPresent(jobId);
+        CachedJob known = cachedJobs.getIfPresent(jobId);
         if (known == null || known.revision < revision) {
             JobLookup lookup = reader.parse(jobId, value, revision);
             if (lookup != null) {
-                cached.put(jobId, new CachedJob(revision, JobView.of(lookup)));
+                cachedJobs.put(jobId, new CachedJob(revision, JobView.of(lookup)));
             }
         }
     }
@@ -99,28 +106,28 @@
     /**
      * Applies a change that a round has read.
      *
-     * @param queried the jobs for whose queries the round was: to them its changes are as good as a
+     * @param queriedJobs jobs whose queries the round answers; for them the change is as good as a
      *     read by key
      */
-    void onChange(Event change, Set<String> queried) {
+    void onChange(Event change, Set<String> queriedJobs) {
         String jobId = change.key().substring(StoreKeys.JOB_PREFIX.length());
-        boolean removed = change.value() == null;
+        boolean isRemoved = change.value() == null;
         refill.onChange(jobId, change);
-        if (removed) {
-            ended.put(jobId, change.revision());
+        if (isRemoved) {
+            endedJobs.put(jobId, change.revision());
         }
-        CachedJob job = cached.getIfPresent(jobId);
+        CachedJob job = cachedJobs.getIfPresent(jobId);
         if (job == null
-                && !removed
-                && queried.contains(jobId)
+                && !isRemoved
+                && queriedJobs.contains(jobId)
                 && !pendingReads.containsKey(jobId)) {
             job = new CachedJob(0, null);
-            cached.put(jobId, job);
+            cachedJobs.put(jobId, job);
         }
         if (job != null && change.revision() > job.revision) {
-            if (removed) {
-                // Its final state has to be read.
-                cached.invalidate(jobId);
+            if (isRemoved) {
+                // The final state has to be read by key.
+                cachedJobs.invalidate(jobId);
             } else {
                 job.unparsed = change.value();
                 job.revision = change.revision();
@@ -135,45 +142,47 @@
     }
 
     /**
-     * Answers from what is kept, from a page that is awaited, or from a read by key.
+     * Answers a query from the cache, from a refill page that is still to be read, or from a read
+     * by key.
      *
-     * @param priority of a read by key
-     * @param deadlineMicros when a read that has not been sent yet is of no use any more
+     * @param priority priority of the read by key
+     * @param deadlineMicros time after which a read that has not been sent is no longer useful
      */
     void read(
             RequestPriority priority,
             String jobId,
             long deadlineMicros,
-            Consumer<QueryResult> answer) {
-        // Its final state may have been read for another request since the query came.
-        JobLookup finalState = reader.knownFinalState(jobId);
+            Consumer<QueryResult> callback) {
+        // Another request may have read the final state since the query arrived.
+        JobLookup finalState = reader.cachedFinalState(jobId);
         JobView view = finalState != null ? JobView.of(finalState) : cachedView(jobId);
         if (view != null) {
-            answer.accept(new QueryResult.Answered(view));
+            callback.accept(new QueryResult.Answered(view));
             return;
         }
         PendingRead read = pendingReads.get(jobId);
         if (read != null) {
-            // One that is in flight is as good: the rounds read what has changed since it started.
-            read.waiting.add(answer);
+            // A read in flight is current enough, because rounds supply the changes made since it
+            // started.
+            read.callbacks.add(callback);
             return;
         }
-        if (refill.isAwaited(jobId)) {
-            refill.await(
+        if (refill.isPagePending(jobId)) {
+            refill.awaitPage(
                     jobId,
                     deadlineMicros,
-                    () -> read(priority, jobId, deadlineMicros, answer),
-                    () -> answer.accept(new QueryResult.Refused(QueryRefusal.REFILL_PENDING)));
+                    () -> read(priority, jobId, deadlineMicros, callback),
+                    () -> callback.accept(new QueryResult.Refused(QueryRefusal.REFILL_PENDING)));
             return;
         }
         read = new PendingRead();
         pendingReads.put(jobId, read);
-        read.waiting.add(answer);
+        read.callbacks.add(callback);
         readByKey(priority, jobId, read, deadlineMicros);
     }
 
     private JobView cachedView(String jobId) {
-        CachedJob job = cached.getIfPresent(jobId);
+        CachedJob job = cachedJobs.getIfPresent(jobId);
         if (job == null) {
             return null;
         }
@@ -190,7 +199,7 @@
         reader.lookUp(
                 priority,
                 jobId,
-                ended.getIfPresent(jobId) != null,
+                endedJobs.getIfPresent(jobId) != null,
                 deadlineMicros,
                 lookup -> onReadByKey(priority, jobId, read, deadlineMicros, lookup));
     }
@@ -220,17 +229,17 @@
     }
 
     private void completeRead(String jobId, PendingRead read, JobLookup lookup) {
-        boolean current = pendingReads.remove(jobId, read);
+        boolean isCurrent = pendingReads.remove(jobId, read);
         if (lookup == null) {
             QueryResult refused = new QueryResult.Refused(QueryRefusal.READ_UNANSWERED);
-            read.waiting.forEach(answer -> answer.accept(refused));
+            read.callbacks.forEach(answer -> answer.accept(refused));
             return;
         }
         JobView view = JobView.of(lookup);
-        if (current && lookup.record() != null) {
-            cached.put(jobId, new CachedJob(lookup.revision(), view));
+        if (isCurrent && lookup.record() != null) {
+            cachedJobs.put(jobId, new CachedJob(lookup.revision(), view));
         }
         QueryResult answered = new QueryResult.Answered(view);
-        read.waiting.forEach(answer -> answer.accept(answered));
+        read.callbacks.forEach(answer -> answer.accept(answered));
     }
 }
--- a/src/main/java/org/woadloom/reads/RecentJobsRefill.java
+++ b/src/main/java/org/woadloom/reads/RecentJobsRefill.java
@@ -18,32 +18,31 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * Reads the records of all open jobs page by page, in the order of their keys, after the changes
- * since the last read were missed. Queries for jobs whose page has not been read yet wait for it,
- * each until its user has left: hundreds of jobs come with one request, and read one by one they
- * would take minutes.
+ * Reads the records of all open jobs page by page, in key order, after changes were missed. Queries
+ * for jobs whose page has not been read yet wait for it until their deadline: one request returns
+ * hundreds of jobs, while reading them individually would take minutes.
  */
 final class RecentJobsRefill {
     private static final Logger LOG = LoggerFactory.getLogger(RecentJobsRefill.class);
     private static final long RETRY_MICROS = 200_000;
     private static final long EXPIRY_CHECK_MICROS = 100_000;
 
-    /** Receives the records that were read. */
-    interface Target {
+    /** Receives the records that are read. */
+    interface RecordListener {
         /**
-         * A job's record was read.
+         * Called for each record that was read.
          *
-         * @param latestChange the latest change of the job that was seen since the page was asked
-         *     for, or null: the record may be older
+         * @param latestChange the latest change of the job seen since the page was requested, or
+         *     null; the record may be older than the change
          */
         void onRecord(String jobId, Entry entry, Event latestChange);
     }
 
     /**
-     * A query that waits for its job's page.
+     * A query that waits for the page containing its job.
      *
-     * @param onRead is run when the page has been read
-     * @param onExpired is run if that has not happened by the deadline
+     * @param onRead run when the page has been read
+     * @param onExpired run if the page has not been read by the deadline
      */
     private record WaitingQuery(long deadlineMicros, Runnable onRead, Runnable onExpired) {}
 
@@ -53,10 +52,10 @@
         private int pages;
         private int jobs;
 
-        /** The last key that was read, null before the first page. */
+        /** Last key that was read, null before the first page. */
         private String lastKey;
 
-        /** The latest change of each job since the page in flight was asked for. */
+        /** Latest change of each job since the page in flight was requested. */
         private final Map<String, Event> changes = new HashMap<>();
 
         Pass(long startMicros) {
@@ -66,51 +65,57 @@
 
     private final EventLoop loop;
     private final StoreClient store;
-    private final Target target;
-    private final TreeMap<String, List<WaitingQuery>> waiting = new TreeMap<>();
-    private boolean expiryScheduled;
+    private final RecordListener recordListener;
+    private final TreeMap<String, List<WaitingQuery>> waitingQueries = new TreeMap<>();
+    private boolean isExpiryScheduled;
 
-    /** Null while none is under way. */
+    /** The current pass, or null. */
     private Pass pass;
 
-    RecentJobsRefill(EventLoop loop, StoreClient store, Target target) {
+    RecentJobsRefill(EventLoop loop, StoreClient store, RecordListener recordListener) {
         this.loop = loop;
         this.store = store;
-        this.target = target;
+        this.recordListener = recordListener;
     }
 
-    /** Starts from the first page; whoever waits goes on waiting. */
+    /** Starts a pass at the first page. Queries that are already waiting keep waiting. */
     void start() {
         pass = new Pass(loop.nowMicros());
         readPage(pass);
     }
 
-    /** Drops what is under way, as changes were missed; whoever waits does so for the next pass. */
+    /**
+     * Aborts the current pass because changes were missed. Waiting queries wait for the next pass.
+     */
     void stop() {
         pass = null;
     }
 
-    /** Whether the job's page is still to be read. */
-    boolean isAwaited(String jobId) {
+    /** Returns true if the page containing the job has not been read yet. */
+    boolean isPagePending(String jobId) {
         return pass != null
                 && (pass.lastKey == null || StoreKeys.job(jobId).compareTo(pass.lastKey) > 0);
     }
 
-    /** Runs one of the two when the job's page has been read, or at the deadline. */
-    void await(String jobId, long deadlineMicros, Runnable onRead, Runnable onExpired) {
-        waiting.computeIfAbsent(StoreKeys.job(jobId), key -> new ArrayList<>())
+    /**
+     * Runs {@code onRead} when the page containing the job has been read, or {@code onExpired} at
+     * the deadline.
+     */
+    void awaitPage(String jobId, long deadlineMicros, Runnable onRead, Runnable onExpired) {
+        waitingQueries
+                .computeIfAbsent(StoreKeys.job(jobId), key -> new ArrayList<>())
                 .add(new WaitingQuery(deadlineMicros, onRead, onExpired));
         scheduleExpiry();
     }
 
-    /** Notes a change that a round has read. */
+    /** Records a change that a round has read. */
     void onChange(String jobId, Event change) {
         if (pass != null) {
-            pass.changes.merge(jobId, change, RecentJobsRefill::later);
+            pass.changes.merge(jobId, change, RecentJobsRefill::laterOf);
         }
     }
 
-    private static Event later(Event one, Event other) {
+    private static Event laterOf(Event one, Event other) {
         return one.revision() >= other.revision() ? one : other;
     }
 
@@ -133,7 +138,7 @@
             return;
         }
         if (!Invariants.holds(
-                advances(current, entries), Invariant.LIST_PAGES_ADVANCE, current.lastKey)) {
+                isAfterLastKey(current, entries), Invariant.LIST_PAGES_ADVANCE, current.lastKey)) {
             loop.schedule(RETRY_MICROS, () -> retry(current));
             return;
         }
@@ -141,20 +146,20 @@
         current.jobs += entries.size();
         for (Entry entry : entries) {
             String jobId = entry.key().substring(StoreKeys.JOB_PREFIX.length());
-            target.onRecord(jobId, entry, current.changes.get(jobId));
+            recordListener.onRecord(jobId, entry, current.changes.get(jobId));
             current.lastKey = entry.key();
         }
         if (hasMore && !entries.isEmpty()) {
             readPage(current);
-            release(waiting.headMap(current.lastKey, true));
+            release(waitingQueries.headMap(current.lastKey, true));
         } else {
             pass = null;
-            logEnd(current);
-            release(waiting);
+            logCompleted(current);
+            release(waitingQueries);
         }
     }
 
-    private static boolean advances(Pass current, List<Entry> entries) {
+    private static boolean isAfterLastKey(Pass current, List<Entry> entries) {
         return entries.isEmpty()
                 || current.lastKey == null
                 || entries.get(0).key().compareTo(current.lastKey) > 0;
@@ -166,13 +171,13 @@
         }
     }
 
-    private void logEnd(Pass ended) {
+    private void logCompleted(Pass completed) {
         LOG.info(
                 "event=status_cache_refilled jobs={} pages={} took_ms={} waiting_jobs={}",
-                ended.jobs,
-                ended.pages,
-                (loop.nowMicros() - ended.startMicros) / 1_000,
-                waiting.size());
+                completed.jobs,
+                completed.pages,
+                (loop.nowMicros() - completed.startMicros) / 1_000,
+                waitingQueries.size());
     }
 
     private static void release(Map<String, List<WaitingQuery>> released) {
@@ -182,12 +187,12 @@
     }
 
     private void scheduleExpiry() {
-        if (!expiryScheduled && !waiting.isEmpty()) {
-            expiryScheduled = true;
+        if (!isExpiryScheduled && !waitingQueries.isEmpty()) {
+            isExpiryScheduled = true;
             loop.schedule(
                     EXPIRY_CHECK_MICROS,
                     () -> {
-                        expiryScheduled = false;
+                        isExpiryScheduled = false;
                         expire();
                         scheduleExpiry();
                     });
@@ -197,10 +202,10 @@
     private void expire() {
         long now = loop.nowMicros();
         List<WaitingQuery> expired = new ArrayList<>();
-        for (List<WaitingQuery> queries : waiting.values()) {
+        for (List<WaitingQuery> queries : waitingQueries.values()) {
             queries.removeIf(query -> now >= query.deadlineMicros && expired.add(query));
         }
-        waiting.values().removeIf(List::isEmpty);
+        waitingQueries.values().removeIf(List::isEmpty);
         expired.forEach(query -> query.onExpired.run());
     }
 }
--- a/src/main/java/org/woadloom/store/TaskRanges.java
+++ b/src/main/java/org/woadloom/store/TaskRanges.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import org.woadloom.protocol.MalformedMessageException;
 
-/** Task numbers as a flat list of the first and last of each range, as version 1 stores them. */
+/**
+ * Encodes task indexes as a flat list of the first and last index of each range, the format of
+ * version 1.
+ */
 final class TaskRanges {
     private TaskRanges() {}
 
@@ -20,15 +23,16 @@
         return list;
     }
 
-    static BitSet decode(List<?> list, int size) throws MalformedMessageException {
+    static BitSet decode(List<?> list, int taskCount) throws MalformedMessageException {
         BitSet set = new BitSet();
         for (int i = 0; i + 1 < list.size(); i += 2) {
             if (!(list.get(i) instanceof Long first)
                     || !(list.get(i + 1) instanceof Long last)
                     || first < 0
                     || last < first
-                    || last >= size) {
-                throw new MalformedMessageException("ranges: expected pairs of task numbers");
+                    || last >= taskCount) {
+                throw new MalformedMessageException(
+                        "task ranges: expected pairs of a first and last index below " + taskCount);
             }
             set.set(first.intValue(), last.intValue() + 1);
         }
