--- a/src/main/java/org/woadloom/core/jobs/JobPersister.java
+++ b/src/main/java/org/woadloom/core/jobs/JobPersister.java
@@ -8,40 +8,49 @@
 import org.woadloom.core.SchedulerAction;
 import org.woadloom.core.SchedulerEvent;
 import org.woadloom.core.SchedulerState;
-import org.woadloom.core.jobs.PersistenceState.WriteReason;
+import org.woadloom.core.jobs.PersistenceState.WriteUrgency;
 import org.woadloom.store.FinalRecord;
 
 /**
- * Keeps the jobs' durable records up with what the scheduler knows, within the write budget; one
- * write of a job is in flight at a time.
+ * Writes the jobs' records to the store as their state changes, within the write budget. A job has
+ * at most one write in flight.
  */
 public final class JobPersister {
-    /** How long after a write the next one leaves that only tells of phases. */
-    private static final long PHASE_INTERVAL_MICROS = 1_000_000;
+    /** Minimum interval between writes of a job that only record task progress. */
+    private static final long TASK_PROGRESS_INTERVAL_MICROS = 1_000_000;
 
-    /** The same where tasks have ended, which users see. */
-    private static final long OUTCOME_INTERVAL_MICROS = 250_000;
+    /** Minimum interval between writes of a job that record the end of tasks, which users see. */
+    private static final long TASK_ENDED_INTERVAL_MICROS = 250_000;
 
     private static final long RETRY_MICROS = 150_000;
 
-    /** A record that is too large gets shorter only as tasks end. */
+    /**
+     * Longer than the usual retry interval: a record that exceeds the store's value limit shrinks
+     * only as tasks end.
+     */
     private static final long TOO_LARGE_RETRY_MICROS = 1_000_000;
 
-    /** How much sooner than by its turn a write leaves that start commands wait for. */
+    /**
+     * In the order of writes, an immediate one counts as waiting this much longer, because start
+     * commands wait for it.
+     */
     private static final long IMMEDIATE_ADVANTAGE_MICROS = 2_000_000;
 
-    /** What a write takes from the budget: a final state replaces the record, two changes. */
-    private static final int CHANGES_OF_FINAL_STATE = 2;
+    /**
+     * Cost of a write against the write budget, in changes to the store. Replacing the record by
+     * the final state takes two.
+     */
+    private static final int FINAL_STATE_COST = 2;
 
-    private static final int CHANGES_OF_RECORD = 1;
+    private static final int RECORD_COST = 1;
 
     /**
-     * Ends and cancellations first, then what was written longest ago, with an advantage for what
-     * start commands wait for: so no completion starves.
+     * Jobs that have ended first, then the least recently written, so that no job's updates are
+     * delayed indefinitely. Writes that start commands wait for have an advantage.
      */
     private static final Comparator<Job> WRITE_ORDER =
-            Comparator.comparing((Job job) -> !job.isOver())
-                    .thenComparingLong(JobPersister::turnMicros);
+            Comparator.comparing((Job job) -> !job.isTerminal())
+                    .thenComparingLong(JobPersister::writeOrderMicros);
 
     private final SchedulerState state;
     private final JobRegistry jobs;
@@ -51,37 +60,37 @@
         this.jobs = jobs;
     }
 
-    private static long turnMicros(Job job) {
+    private static long writeOrderMicros(Job job) {
         PersistenceState persistence = job.persistence;
-        return persistence.pendingReason() == WriteReason.IMMEDIATE
+        return persistence.pendingUrgency() == WriteUrgency.IMMEDIATE
                 ? persistence.lastWriteMicros() - IMMEDIATE_ADVANTAGE_MICROS
                 : persistence.lastWriteMicros();
     }
 
-    /** Emits the reads and writes that are due; what the budget does not allow waits. */
-    public void emitWrites() {
-        List<Job> due = new ArrayList<>();
-        List<Job> replaced = new ArrayList<>();
-        state.unmarkJobsIf(job -> job.isFinished() || !job.persistence.needsExchange());
+    /** Emits the reads and writes that are due. Writes beyond the budget wait for a later call. */
+    public void emitDueRequests() {
+        List<Job> dueJobs = new ArrayList<>();
+        List<Job> replacedJobs = new ArrayList<>();
+        state.removeJobsToPersistIf(job -> job.isRemoved() || !job.persistence.hasPendingRequest());
         for (Job job : state.jobsToPersist()) {
             PersistenceState persistence = job.persistence;
             if (persistence.isReplaced()) {
                 if (job.attempts().isEmpty()) {
-                    replaced.add(job);
+                    replacedJobs.add(job);
                 }
             } else if (state.nowMicros() >= persistence.retryAtMicros()) {
                 if (persistence.isReadNeeded()) {
-                    readUnlessOpen(job);
+                    startReadUnlessInFlight(job);
                 } else if (persistence.isIdle() && isDue(job)) {
-                    due.add(job);
+                    dueJobs.add(job);
                 }
             }
         }
-        replaced.forEach(job -> jobs.onFinished(job, false));
-        if (due.size() > 1) {
-            due.sort(WRITE_ORDER);
+        replacedJobs.forEach(job -> jobs.remove(job, false));
+        if (dueJobs.size() > 1) {
+            dueJobs.sort(WRITE_ORDER);
         }
-        for (Job job : due) {
+        for (Job job : dueJobs) {
             if (isWithinBudget(job)) {
                 write(job);
             }
@@ -89,26 +98,26 @@
     }
 
     /**
-     * Phases and outcomes are collected for a while; whatever the budget does not allow yet is
-     * written later, as one.
+     * Task progress and ends of tasks are batched: changes within the interval, or while the budget
+     * is exhausted, go out in one write.
      */
     private boolean isDue(Job job) {
         long sinceLastWrite = state.nowMicros() - job.persistence.lastWriteMicros();
-        return switch (job.persistence.pendingReason()) {
+        return switch (job.persistence.pendingUrgency()) {
             case NONE -> false;
-            case PHASE -> sinceLastWrite >= PHASE_INTERVAL_MICROS;
-            case OUTCOME -> sinceLastWrite >= OUTCOME_INTERVAL_MICROS;
+            case TASK_PROGRESS -> sinceLastWrite >= TASK_PROGRESS_INTERVAL_MICROS;
+            case TASK_ENDED -> sinceLastWrite >= TASK_ENDED_INTERVAL_MICROS;
             case IMMEDIATE -> true;
         };
     }
 
     private boolean isWithinBudget(Job job) {
-        return job.isOver()
-                ? state.writeBudget().allowsFinalState()
-                : state.writeBudget().allowsJob();
+        return job.isTerminal()
+                ? state.writeBudget().allowsFinalStateWrite()
+                : state.writeBudget().allowsJobWrite();
     }
 
-    private void readUnlessOpen(Job job) {
+    private void startReadUnlessInFlight(Job job) {
         if (!job.persistence.isReading()) {
             job.persistence.startRead(state.nowMicros() + RETRY_MICROS);
             state.emit(new SchedulerAction.ReadJob(job.jobId()));
@@ -116,7 +125,7 @@
     }
 
     private void write(Job job) {
-        if (job.isOver() && job.attempts().isEmpty()) {
+        if (job.isTerminal() && job.attempts().isEmpty()) {
             writeFinalState(job);
         } else {
             writeRecord(job);
@@ -124,13 +133,13 @@
     }
 
     private void writeFinalState(Job job) {
-        state.writeBudget().takeJob(CHANGES_OF_FINAL_STATE);
+        state.writeBudget().consumeJobTokens(FINAL_STATE_COST);
         long version = job.persistence.startFinalWrite(state.nowMicros(), job.isComplete());
         FinalRecord record =
                 new FinalRecord(
                         job.jobId(),
                         job.isCancelled(),
-                        job.completedCount(),
+                        job.completedTaskCount(),
                         state.wallMicros(),
                         job.description.isService());
         state.emit(
@@ -138,8 +147,8 @@
     }
 
     private void writeRecord(Job job) {
-        state.writeBudget().takeJob(CHANGES_OF_RECORD);
-        boolean urgent = job.persistence.pendingReason() == WriteReason.IMMEDIATE;
+        state.writeBudget().consumeJobTokens(RECORD_COST);
+        boolean urgent = job.persistence.pendingUrgency() == WriteUrgency.IMMEDIATE;
         long version = job.persistence.startWrite(state.nowMicros(), job.isComplete());
         state.emit(
                 new SchedulerAction.WriteJob(
@@ -181,23 +190,24 @@
         if (isFinalState) {
             LogEvent event = job.isCancelled() ? LogEvent.JOB_CANCELLED : LogEvent.JOB_DONE;
             state.log(LogEntry.info(event).with("job", job.jobId()));
-            jobs.onFinished(job, true);
+            jobs.remove(job, true);
         }
     }
 
     /**
-     * The record as it is can't be stored. What was planned for it and never sent is taken back;
-     * what else it should say waits until tasks have ended and it is shorter: the stored one names
-     * at least as much as there is.
+     * Handles a record that exceeds the store's value limit. Attempts that the stored record does
+     * not name yet were never sent and are removed. The rest of the update is retried until enough
+     * tasks have ended for it to fit; meanwhile the stored record names at least the attempts that
+     * exist.
      */
     private void onRecordTooLarge(Job job) {
         long retryAtMicros = state.nowMicros() + TOO_LARGE_RETRY_MICROS;
         job.persistence.onWriteRefused(retryAtMicros);
-        int planned = 0;
+        int removedAttempts = 0;
         for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
             if (attempt.stage() == TaskAttempt.Stage.PLANNED) {
-                job.remove(attempt);
-                planned++;
+                job.removeAttempt(attempt);
+                removedAttempts++;
             }
         }
         job.placeNotBefore(Math.max(job.placeNotBeforeMicros(), retryAtMicros));
@@ -205,10 +215,10 @@
         state.log(
                 LogEntry.info(LogEvent.JOB_RECORD_TOO_LARGE)
                         .with("job", job.jobId())
-                        .with("waiting_tasks", planned));
+                        .with("waiting_tasks", removedAttempts));
     }
 
-    /** A read that got no answer is sent again. */
+    /** Schedules another read after one that got no response. */
     public void onReadFailed(String jobId) {
         Job job = state.jobs().get(jobId);
         if (job != null && job.persistence.isReadNeeded()) {
--- a/src/main/java/org/woadloom/core/machines/MachineRegistry.java
+++ b/src/main/java/org/woadloom/core/machines/MachineRegistry.java
@@ -87,7 +87,7 @@
             }
             // A new leader learns here for how long its machines have been paid for.
             machine.onListedAsRented(state.nowMicros() - listed.rentedForMicros());
-            if (listed.failed() && !machine.isDecommissioning()) {
+            if (listed.hasFailed() && !machine.isDecommissioning()) {
                 // A failed machine stays listed until it is deleted, and the deletion's answer is
                 // the proof we need.
                 machine.fail();
@@ -121,7 +121,7 @@
     /** A node announces its status, and gets a lease delegation for the zone that it is in. */
     public void onPeerStatus(SchedulerEvent.PeerStatusReceived event) {
         state.advanceCancellationsReadUpTo(event.cancellationsReadUpToMicros());
-        String zone = state.settings().nodes().get(event.node());
+        String zone = state.settings().zoneByNode().get(event.node());
         LeaseDelegation delegation =
                 zone == null
                         ? null
@@ -140,7 +140,7 @@
     private long cancellationsAppliedMicros(String zone) {
         long appliedMicros = state.cancellationsReadUpToMicros();
         for (Job job : state.jobs().values()) {
-            if (job.isCancelled() && job.attemptsInZone(zone) > 0) {
+            if (job.isCancelled() && job.attemptCountInZone(zone) > 0) {
                 appliedMicros = Math.min(appliedMicros, job.cancelledSinceMicros());
             }
         }
@@ -177,9 +177,9 @@
      * Forgets deleted machines once the list, which lags, can no longer show them, and names that
      * no agent has answered for.
      */
-    public void forget() {
+    public void forgetDeletedMachines() {
         long keepMicros =
-                FORGET_LIST_LAGS * state.settings().listLagMicros() + FORGET_MARGIN_MICROS;
+                FORGET_LIST_LAGS * state.settings().machineListLagMicros() + FORGET_MARGIN_MICROS;
         state.forgetMachinesIf(machine -> isForgettable(machine, keepMicros));
     }
 
@@ -189,7 +189,7 @@
         }
         return machine.isDeleted()
                 && !machine.isRecorded()
-                && !machine.isWriting()
+                && !machine.isRecordRequestInFlight()
                 && state.nowMicros() - machine.liveness.lastAliveMicros() > keepMicros;
     }
 }
--- a/src/main/java/org/woadloom/core/placement/TaskPlacer.java
+++ b/src/main/java/org/woadloom/core/placement/TaskPlacer.java
@@ -15,14 +15,14 @@
 import org.woadloom.core.reservation.Reservations;
 
 /**
- * Decides which task runs on which machine, in the order of {@link QueueOrder}.
+ * Assigns pending tasks to machines, in the order of {@link QueueOrder}.
  *
- * <p>A search for all waiting jobs of a large fleet is spread over several steps, as the leader has
- * to renew its lease and answer heartbeats in between: it stops before the job that would be too
- * much for one step, and goes on there.
+ * <p>In a large fleet, a search for all waiting jobs is split into steps, because the leader must
+ * renew its lease and respond to heartbeats in between. A step ends before the job that would
+ * exceed its budget, and the next one resumes there.
  */
 public final class TaskPlacer {
-    /** It takes a small part of the leader key's lease, also on a slow processor. */
+    /** Even on a slow CPU, such a step takes a small fraction of the lease on the leader key. */
     private static final int MAX_MACHINES_PER_STEP = 200_000;
 
     private final SchedulerState state;
@@ -30,10 +30,10 @@
     private final Reservations reservations;
     private final QueueOrder order;
 
-    private final SteppedSearch search = new SteppedSearch(MAX_MACHINES_PER_STEP);
+    private final IncrementalSearch search = new IncrementalSearch(MAX_MACHINES_PER_STEP);
 
-    /** What found no machine in the present search. */
-    private final List<ResourceRequest> unsatisfied = new ArrayList<>();
+    /** Requests for which the current search found no machine. */
+    private final List<ResourceRequest> unsatisfiedRequests = new ArrayList<>();
 
     public TaskPlacer(
             SchedulerState state, PlacementConstraints constraints, Reservations reservations) {
@@ -43,72 +43,81 @@
         this.order = new QueueOrder(state);
     }
 
-    /** Jobs with pending tasks that may be placed now, in the order in which they are served. */
-    public List<Job> queue() {
+    /**
+     * Returns the jobs with pending tasks that may be placed now, in the order in which they are
+     * served.
+     */
+    public List<Job> placementQueue() {
         List<Job> jobs = new ArrayList<>();
         for (Job job : state.jobs().values()) {
-            if (job.pendingTasks() > 0 && job.placeNotBeforeMicros() <= state.nowMicros()) {
+            if (job.pendingTaskCount() > 0 && job.placeNotBeforeMicros() <= state.nowMicros()) {
                 jobs.add(job);
             }
         }
         return order.sorted(jobs);
     }
 
-    /** How many machines the searches of this term have examined, counted anew for each job. */
+    /**
+     * Number of machines that the searches of this term have examined; a machine counts once for
+     * each job.
+     */
     public long machinesExamined() {
         return search.machinesExamined();
     }
 
     /**
-     * Places the pending tasks that fit, each job in its turn, as far as one step may search.
+     * Places the pending tasks that fit, in queue order, as far as the budget of one step allows.
      *
-     * @return whether every job had its turn; if not, the next call goes on
+     * @return true if every job had its turn; otherwise the next call continues
      */
     public boolean place() {
-        long attempt = state.newAttempt();
+        long attemptNumber = state.newAttemptNumber();
         search.beginStep();
         List<Machine> openMachines = null;
-        for (Job job : queue()) {
+        for (Job job : placementQueue()) {
             boolean hasReservation = reservations.countFor(job) > 0;
-            if (search.isVisited(job) || (!hasReservation && isPassedOver(job))) {
+            if (search.isVisited(job) || (!hasReservation && canSkip(job))) {
                 continue;
             }
             if (openMachines == null) {
                 openMachines = openMachines();
             }
-            if (!search.allows(searchCost(job, openMachines))) {
+            if (!search.mayExamine(searchCost(job, openMachines))) {
                 return false;
             }
-            search.visit(job);
-            if (placeJob(job, attempt, openMachines)
+            search.markVisited(job);
+            if (placeJob(job, attemptNumber, openMachines)
                     && !hasReservation
                     && ResourceRequest.isRepresentative(job)) {
-                unsatisfied.add(ResourceRequest.of(job));
+                unsatisfiedRequests.add(ResourceRequest.of(job));
             }
         }
-        search.end();
-        unsatisfied.clear();
+        search.reset();
+        unsatisfiedRequests.clear();
         return true;
     }
 
-    /** How many machines a search for the job examines at most. */
+    /** Maximum number of machines that a search for the job examines. */
     private int searchCost(Job job, List<Machine> openMachines) {
         return openMachines.size() + (job.description.isGang() ? state.machines().size() : 0);
     }
 
     /**
-     * True if a job without a reservation to draw from need not be tried: it backs off, its team's
-     * limit is reached, or one that asked for no more found no machine.
+     * True if a job without a reservation needs no search: it is backing off, its team's limit is
+     * reached, or a request for no more than it needs found no machine.
      */
-    private boolean isPassedOver(Job job) {
+    private boolean canSkip(Job job) {
         if (!job.description.isService() && job.isBackingOff(state.nowMicros())) {
             return true;
         }
         return job.allowedTasks() < 1
-                || unsatisfied.stream().anyMatch(request -> request.covers(job));
+                || unsatisfiedRequests.stream().anyMatch(request -> request.covers(job));
     }
 
-    /** Machines that take tasks and have anything left; in one pass they only get fuller. */
+    /**
+     * Machines that accept tasks and have free resources. The list stays valid for a pass, in which
+     * they only fill up.
+     */
     private List<Machine> openMachines() {
         List<Machine> openMachines = new ArrayList<>();
         for (Machine machine : state.machines().values()) {
@@ -121,27 +130,29 @@
         return openMachines;
     }
 
-    /** Places tasks of a job; true if the machines have no resources for another one. */
-    private boolean placeJob(Job job, long attempt, List<Machine> openMachines) {
-        RecordSizeEstimate size = RecordSizeEstimate.of(job, state.valueBytes(), state.format());
+    /** Places tasks of a job; returns true if the machines lack the resources for another one. */
+    private boolean placeJob(Job job, long attemptNumber, List<Machine> openMachines) {
+        RecordSizeEstimate size =
+                RecordSizeEstimate.of(job, state.maxValueBytes(), state.recordFormat());
         if (!size.fitsOneMore(job.nextPending(0))
                 || (job.description.isGang()
                         && !gangFits(
-                                job, size.maxMoreTasks(job.nextPending(0), job.pendingTasks())))) {
+                                job,
+                                size.maxMoreTasks(job.nextPending(0), job.pendingTaskCount())))) {
             return false;
         }
-        search.count(openMachines.size());
+        search.addExamined(openMachines.size());
         CandidateMachines candidates =
                 new CandidateMachines(
                         job, openMachines, state.scarceZones(), constraints, reservations);
         int placed = 0;
-        boolean full = false;
+        boolean lacksMachine = false;
         for (int index = job.nextPending(0);
                 index != Job.NO_TASK && size.fitsOneMore(index);
                 index = job.nextPending(index + 1)) {
             Machine machine = candidates.next();
             if (machine == null) {
-                full = job.allowedTasks() >= 1;
+                lacksMachine = job.allowedTasks() >= 1;
                 break;
             }
             TaskAttempt taskAttempt =
@@ -149,20 +160,20 @@
                             job,
                             index,
                             machine,
-                            attempt,
+                            attemptNumber,
                             job.persistence.nextVersion(),
                             state.nowMicros());
-            reservations.draw(taskAttempt);
-            job.add(taskAttempt);
+            reservations.allocateTo(taskAttempt);
+            job.addAttempt(taskAttempt);
             size.add(index, machine);
-            job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
+            job.persistence.requestWrite(PersistenceState.WriteUrgency.IMMEDIATE);
             candidates.onPlaced();
             placed++;
         }
         if (placed > 0) {
             logPlaced(job, placed);
         }
-        return full;
+        return lacksMachine;
     }
 
     private void logPlaced(Job job, int placed) {
@@ -170,19 +181,19 @@
                 LogEntry.debug(LogEvent.TASKS_PLACED)
                         .with("job", job.jobId())
                         .with("tasks", placed)
-                        .with("pending", job.pendingTasks())
-                        .with("tasks_by_zone", job.tasksByZone()));
+                        .with("pending", job.pendingTaskCount())
+                        .with("tasks_by_zone", job.attemptCountByZone()));
     }
 
-    /** A gang starts only when all of its tasks that are left fit at once. */
+    /** True if all remaining tasks of a gang fit at once; it starts only then. */
     private boolean gangFits(Job job, int maxTasks) {
-        int wanted = job.pendingTasks();
+        int wanted = job.pendingTaskCount();
         if (wanted > maxTasks) {
             return false;
         }
         Map<String, Integer> fitsByZone = gangFitsByZone(job);
         Resources credit = Resources.NONE;
-        for (Reservation reservation : reservations.of(job)) {
+        for (Reservation reservation : reservations.reservationsOf(job)) {
             credit = credit.plus(reservation.remaining());
         }
         if (job.allowedTasks(credit) < wanted) {
@@ -192,7 +203,8 @@
         int largest = 0;
         int sum = 0;
         for (Map.Entry<String, Integer> entry : fitsByZone.entrySet()) {
-            int fits = Math.min(entry.getValue(), maxPerZone - job.attemptsInZone(entry.getKey()));
+            int fits =
+                    Math.min(entry.getValue(), maxPerZone - job.attemptCountInZone(entry.getKey()));
             largest = Math.max(largest, fits);
             sum += fits;
         }
@@ -200,15 +212,15 @@
     }
 
     private Map<String, Integer> gangFitsByZone(Job job) {
-        search.count(state.machines().size());
+        search.addExamined(state.machines().size());
         Map<String, Integer> fitsByZone = new LinkedHashMap<>();
         for (Machine machine : state.machines().values()) {
             if (constraints.acceptsTasks(machine)
                     && constraints.allows(job, machine)
-                    && !job.failedOn.contains(machine.host)) {
+                    && !job.failedOnHosts.contains(machine.host)) {
                 fitsByZone.merge(
                         machine.zone,
-                        reservations.unreserved(machine, job).count(job.taskResources),
+                        reservations.unreserved(machine, job).countFitting(job.taskResources),
                         Integer::sum);
             }
         }
--- a/src/main/java/org/woadloom/http/CancellationHandler.java
+++ b/src/main/java/org/woadloom/http/CancellationHandler.java
@@ -31,21 +31,21 @@
 
     private final EventLoop loop;
     private final StoreClient store;
-    private final JobApi.Storage storage;
+    private final JobApi.RecordPolicy storage;
     private final JobReader reader;
     private final StatusConfirmer confirmer;
     private final UserWrites writes;
-    private final JobApi.Hint notifier;
+    private final JobApi.JobChangeListener notifier;
     private final SharedAnswers<String, JobAnswer> cancellations = new SharedAnswers<>();
 
     CancellationHandler(
             EventLoop loop,
             StoreClient store,
-            JobApi.Storage storage,
+            JobApi.RecordPolicy storage,
             JobReader reader,
             StatusConfirmer confirmer,
             UserWrites writes,
-            JobApi.Hint notifier) {
+            JobApi.JobChangeListener notifier) {
         this.loop = loop;
         this.store = store;
         this.storage = storage;
@@ -102,7 +102,7 @@
                 answer.accept(NOT_CANCELLED);
             } else if (lookup.status() == null) {
                 answer.accept(Refusal.unknownJob());
-            } else if (lookup.damaged() != null) {
+            } else if (lookup.unreadableStatus() != null) {
                 replaceDamagedRecord(lookup);
             } else if (isOver(lookup)) {
                 answerOver(lookup.status().status());
@@ -124,7 +124,7 @@
             RecordFormat format =
                     lookup.format() == RecordFormat.COMPACT
                             ? RecordFormat.COMPACT
-                            : storage.format();
+                            : storage.writeFormat();
             writes.write(
                     new UserWrites.Request(
                             RequestPriority.CANCELLATION,
@@ -143,11 +143,11 @@
         private void onWritten(
                 JobRecord cancelled, Result result, long storeRevision, JobLookup found) {
             if (result == Result.OK) {
-                notifier.changed(cancelled, storeRevision);
+                notifier.onJobChanged(cancelled, storeRevision);
                 answerOver(JobStatus.CANCELLED);
             } else if (found != null) {
                 if (found.record() != null && found.record().cancelled()) {
-                    notifier.changed(found.record(), found.revision());
+                    notifier.onJobChanged(found.record(), found.revision());
                 }
                 attemptsLeft--;
                 attempt(found);
@@ -161,7 +161,7 @@
 
         /** Nothing of a record that can't be read can be kept: the final state takes its place. */
         private void replaceDamagedRecord(JobLookup lookup) {
-            if (lookup.damaged().isCancelled()) {
+            if (lookup.unreadableStatus().isCancelled()) {
                 answerOver(JobStatus.CANCELLED);
                 return;
             }
@@ -173,8 +173,8 @@
                     List.of(
                             Change.put(
                                     StoreKeys.finalState(jobId),
-                                    finalState.toMap(storage.format())),
-                            Change.drop(StoreKeys.job(jobId))),
+                                    finalState.toMap(storage.writeFormat())),
+                            Change.delete(StoreKeys.job(jobId))),
                     (result, storeRevision, failed) -> {
                         if (result == Result.OK) {
                             answerOver(JobStatus.CANCELLED);
--- a/src/main/java/org/woadloom/metrics/NodeMetrics.java
+++ b/src/main/java/org/woadloom/metrics/NodeMetrics.java
@@ -17,82 +17,88 @@
 import org.woadloom.core.SchedulerAction;
 import org.woadloom.core.slo.ServiceLevelReport;
 
-/** The meters of one node. Belongs to the event loop. */
+/** The metrics of one node. Must only be used on the event loop. */
 public final class NodeMetrics {
-    /** A step of the scheduler that takes longer holds up everything else. */
+    /** A scheduler step longer than this delays all other work of the node noticeably. */
     private static final long LATE_STEP_MICROS = 250_000;
 
     private static final int SERVICE_UNAVAILABLE = 503;
 
-    /** What requests of agents are called; that one is refused is no sign of overload. */
+    /** Name of agents' requests in the metrics. A refusal of one is not a sign of overload. */
     private static final String HEARTBEAT = "report";
 
     private static final double MICROS_PER_SECOND = 1e6;
 
-    private long refusedOrLate;
+    private long refusedOrLateCount;
     private final MeterRegistry registry = new SimpleMeterRegistry();
     private final Timer steps = registry.timer("woadloom.core.step");
 
-    /** By request and status: to have the registry find a counter costs more than to count. */
+    /**
+     * Counters by request and status, because looking up a counter in the registry costs more than
+     * incrementing it.
+     */
     private final Map<String, Map<Integer, Counter>> httpAnswers = new HashMap<>();
 
-    private final Counter answers = registry.counter("woadloom.reports.answered");
+    private final Counter heartbeatAnswers = registry.counter("woadloom.reports.answered");
     private final Counter directCommands = registry.counter("woadloom.direct.sent");
-    private final Counter writes = registry.counter("woadloom.records.written");
+    private final Counter recordWrites = registry.counter("woadloom.records.written");
     private final Counter rentals = registry.counter("woadloom.cloud.rentals");
-    private final Map<String, AtomicDouble> served = new HashMap<>();
+    private final Map<String, AtomicDouble> serviceLevelGauges = new HashMap<>();
     private final Counter deletions = registry.counter("woadloom.cloud.deletions");
 
     /**
-     * Counts the answer to a request of a user or an agent.
+     * Counts the response to a request of a user or an agent.
      *
-     * @param what the kind of request, as the meters name it
+     * @param request kind of request, as named in the metrics
      */
-    public void answered(String what, int status) {
-        if (status == SERVICE_UNAVAILABLE && !what.equals(HEARTBEAT)) {
-            refusedOrLate++;
+    public void recordResponse(String request, int status) {
+        if (status == SERVICE_UNAVAILABLE && !request.equals(HEARTBEAT)) {
+            refusedOrLateCount++;
         }
         httpAnswers
-                .computeIfAbsent(what, w -> new HashMap<>())
+                .computeIfAbsent(request, key -> new HashMap<>())
                 .computeIfAbsent(
                         status,
-                        s ->
+                        key ->
                                 registry.counter(
                                         "woadloom.http.answers",
                                         "what",
-                                        what,
+                                        request,
                                         "status",
-                                        Integer.toString(s)))
+                                        Integer.toString(key)))
                 .increment();
     }
 
-    /** Users' requests that were refused and steps that were late, since the process started. */
-    public long refusedOrLate() {
-        return refusedOrLate;
+    /**
+     * Returns how many requests of users were refused and how many scheduler steps were late, since
+     * the process started.
+     */
+    public long refusedOrLateCount() {
+        return refusedOrLateCount;
     }
 
-    /** Counts a step of the scheduler by the time that it took. */
-    public void onStepTaken(long micros) {
+    /** Records the duration of a scheduler step. */
+    public void recordStep(long micros) {
         if (micros > LATE_STEP_MICROS) {
-            refusedOrLate++;
+            refusedOrLateCount++;
         }
         steps.record(micros, TimeUnit.MICROSECONDS);
     }
 
-    /** The time that all steps of the scheduler have taken, since the process started. */
+    /** Returns the total duration of all scheduler steps since the process started. */
     public double stepSeconds() {
         return steps.totalTime(TimeUnit.SECONDS);
     }
 
-    /** Counts an action that the scheduler has decided on. */
-    public void onAction(SchedulerAction action) {
+    /** Counts an action decided by the scheduler. */
+    public void recordAction(SchedulerAction action) {
         if (action instanceof SchedulerAction.AnswerHeartbeat) {
-            answers.increment();
+            heartbeatAnswers.increment();
         } else if (action instanceof SchedulerAction.SendDirectCommand) {
             directCommands.increment();
         } else if (action instanceof SchedulerAction.WriteJob
                 || action instanceof SchedulerAction.WriteFinalState) {
-            writes.increment();
+            recordWrites.increment();
         } else if (action instanceof SchedulerAction.RentMachines) {
             rentals.increment();
         } else if (action instanceof SchedulerAction.DeleteMachines) {
@@ -103,36 +109,37 @@
     }
 
     /**
-     * The latest row of each team and class stands until the next; a node that leads no more keeps
-     * its last.
+     * Sets the gauges of a team and job class. They keep their values until the next report; a node
+     * that is no longer the leader keeps its last values.
      */
     private void setServiceLevels(ServiceLevelReport.Row row) {
         Tags tags = Tags.of("team", row.team(), "class", row.jobClass());
-        setServedGauge("accepted", tags, row.accepted());
-        setServedGauge("started", tags, row.fullyStarted());
-        setServedGauge("over", tags, row.ended());
-        setServedGauge("wait_s", tags, row.longestWaitMicros() / MICROS_PER_SECOND);
+        setServiceLevelGauge("accepted", tags, row.accepted());
+        setServiceLevelGauge("started", tags, row.fullyStarted());
+        setServiceLevelGauge("over", tags, row.ended());
+        setServiceLevelGauge("wait_s", tags, row.longestWaitMicros() / MICROS_PER_SECOND);
     }
 
-    private void setServedGauge(String what, Tags tags, double value) {
-        served.computeIfAbsent(
-                        what + tags,
-                        key -> registry.gauge("woadloom.served." + what, tags, new AtomicDouble()))
+    private void setServiceLevelGauge(String name, Tags tags, double value) {
+        serviceLevelGauges
+                .computeIfAbsent(
+                        name + tags,
+                        key -> registry.gauge("woadloom.served." + name, tags, new AtomicDouble()))
                 .set(value);
     }
 
-    /** Registers a value that is read whenever the meters are. */
-    public <T> void gauge(String name, T of, ToDoubleFunction<T> value) {
-        registry.gauge(name, of, value);
+    /** Registers a gauge, which is evaluated whenever the metrics are read. */
+    public <T> void gauge(String name, T source, ToDoubleFunction<T> value) {
+        registry.gauge(name, source, value);
     }
 
-    /** The same for one of several values of that name, told apart by a tag. */
+    /** Registers one of several gauges with the same name, distinguished by a tag. */
     public <T> void gauge(
-            String name, String tag, String tagValue, T of, ToDoubleFunction<T> value) {
-        registry.gauge(name, Tags.of(tag, tagValue), of, value);
+            String name, String tag, String tagValue, T source, ToDoubleFunction<T> value) {
+        registry.gauge(name, Tags.of(tag, tagValue), source, value);
     }
 
-    /** All meters, by name and tags. */
+    /** Returns all metric values by name and tags. */
     public Map<String, Object> toMap() {
         Map<String, Object> map = new LinkedHashMap<>();
         for (Meter meter : registry.getMeters()) {
--- a/src/main/java/org/woadloom/node/Node.java
+++ b/src/main/java/org/woadloom/node/Node.java
@@ -87,7 +87,8 @@
         limits = new StoreLimits(settings.store());
         SocketBudget sockets = SocketBudget.of(settings);
         AgentConnectionBalancer connectionBalancer =
-                new AgentConnectionBalancer(sockets.agents(), settings.agents().heartbeatMicros());
+                new AgentConnectionBalancer(
+                        sockets.maxAgents(), settings.agents().heartbeatMicros());
         delegatedRenewer = new DelegatedLeaseRenewer(loop, settings, random);
         isolation = new IsolationDetector(loop);
         store = new StoreClient(loop, transport, settings, limits, random, this::onStoreAnswer);
@@ -104,7 +105,8 @@
                         HeartbeatRouter.MAX_WAITING_HEARTBEATS,
                         this::execute,
                         observer);
-        leaderActions = newLeaderActions(loop, cloud, new AgentClient(transport, sockets.direct()));
+        leaderActions =
+                newLeaderActions(loop, cloud, new AgentClient(transport, sockets.directCommands()));
         StoreRelay storeRelay = new StoreRelay(loop, store, settings, limits, rollout, random);
         election =
                 new Election(
@@ -211,11 +213,11 @@
     }
 
     private void onRolloutChanged() {
-        if (rollout.isOn(Feature.ZONE_CARE) && operator.care()) {
+        if (rollout.isOn(Feature.LEASE_DELEGATION) && operator.care()) {
             delegatedRenewer.enable();
         }
-        confirmations.setEnabled(rollout.isOn(Feature.CANCELLATION_VOUCHES));
-        if (!rollout.mayBeOn(Feature.CANCELLATION_VOUCHES)) {
+        confirmations.setEnabled(rollout.isOn(Feature.CANCELLATION_REPORTS));
+        if (!rollout.mayBeOn(Feature.CANCELLATION_REPORTS)) {
             confirmations.onNeverEnabled();
         }
         if (rollout.closedReason() != null) {
@@ -272,7 +274,7 @@
         }
 
         @Override
-        public void onDeposed(String reason) {
+        public void onLeadershipLost(String reason) {
             store.setLeader(false);
             confirmations.endTerm();
             relayLeader.stop();
@@ -340,7 +342,7 @@
 
         @Override
         public long term() {
-            return election.knownTerm();
+            return election.leaderTerm();
         }
 
         @Override
@@ -378,17 +380,17 @@
     }
 
     /** The form and size in which the users' jobs are stored. */
-    private final class RecordStorage implements JobApi.Storage {
+    private final class RecordStorage implements JobApi.RecordPolicy {
         @Override
-        public RecordFormat format() {
+        public RecordFormat writeFormat() {
             return rollout.format();
         }
 
         @Override
-        public int valueBytes() {
+        public int maxValueBytes() {
             return rollout.format() == RecordFormat.COMPACT
-                    ? limits.valueBytes()
-                    : limits.currentValueBytes();
+                    ? limits.maxValueBytes()
+                    : limits.maxAcceptedValueBytes();
         }
 
         @Override
--- a/src/main/java/org/woadloom/reads/JobReader.java
+++ b/src/main/java/org/woadloom/reads/JobReader.java
@@ -16,83 +16,90 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * Reads one job by its keys. Only what never changes is cached: final states, and that a job was
+ * Reads single jobs by key. Caches only facts that never change: final states, and that a job was
  * accepted.
  */
 public final class JobReader {
     private static final Logger LOG = LoggerFactory.getLogger(JobReader.class);
 
     /**
-     * Jobs: the 12,000 open ones of 4,000 machines, and those that ended lately. What is evicted is
-     * read again when it is asked for.
+     * Number of cached jobs: enough for the 12,000 open jobs of 4,000 machines and recently ended
+     * jobs. Evicted entries are read again on demand.
      */
     private static final int MAX_CACHED = 20_000;
 
     private final StoreClient store;
-    private final Consumer<RecordFormat> formatSeen;
+    private final Consumer<RecordFormat> formatListener;
     private final Cache<String, FinalRecord> finalStates =
             Caffeine.newBuilder().maximumSize(MAX_CACHED).executor(Runnable::run).build();
 
-    /** The jobs that are known to be accepted, and whether each is a service. */
+    /** Jobs that are known to be accepted, and whether each of them is a service. */
     private final Cache<String, Boolean> acceptedJobs =
             Caffeine.newBuilder().maximumSize(MAX_CACHED).executor(Runnable::run).build();
 
     /**
-     * @param formatSeen is notified of the format of each record that is read
+     * @param formatListener receives the format of every record that is read
      */
-    public JobReader(StoreClient store, Consumer<RecordFormat> formatSeen) {
+    public JobReader(StoreClient store, Consumer<RecordFormat> formatListener) {
         this.store = store;
-        this.formatSeen = formatSeen;
+        this.formatListener = formatListener;
     }
 
-    /** Notes that a job was accepted by this node. */
-    public void onAccepted(String jobId, boolean service) {
-        acceptedJobs.put(jobId, service);
+    /** Records that this node has accepted a job. */
+    public void onAccepted(String jobId, boolean isService) {
+        acceptedJobs.put(jobId, isService);
     }
 
-    /** Whether an accepted job is a service; null for a job that is not known to be accepted. */
+    /**
+     * Returns whether an accepted job is a service, or null for a job that is not known to be
+     * accepted.
+     */
     public Boolean isAcceptedService(String jobId) {
         return acceptedJobs.getIfPresent(jobId);
     }
 
-    /** The job's final state if it was ever read here, or null. */
-    public JobLookup knownFinalState(String jobId) {
-        FinalRecord known = finalStates.getIfPresent(jobId);
-        return known == null ? null : JobLookup.ofFinalState(known);
+    /** Returns the job's final state if this node has read it before, or null. */
+    public JobLookup cachedFinalState(String jobId) {
+        FinalRecord cached = finalStates.getIfPresent(jobId);
+        return cached == null ? null : JobLookup.ofFinalState(cached);
     }
 
     /**
-     * Reads a job from the store, unless its final state is known; null if the store does not say.
+     * Reads a job from the store, unless its final state is cached. The result is null if the store
+     * did not provide an answer.
      */
     public void lookUp(String jobId, Consumer<JobLookup> consumer) {
         lookUp(jobId, StoreClient.NO_DEADLINE, consumer);
     }
 
-    /** The same; a request that has not been sent by the deadline is given up. */
+    /**
+     * Reads a job like {@link #lookUp(String, Consumer)}. A request that has not been sent by the
+     * deadline is dropped.
+     */
     public void lookUp(String jobId, long deadlineMicros, Consumer<JobLookup> consumer) {
         lookUp(RequestPriority.NORMAL, jobId, deadlineMicros, consumer);
     }
 
     /**
-     * The same with a priority among the other requests of this node to the store.
+     * Reads a job with the given request priority and deadline.
      *
-     * @param over whether the job is known to be over: then its final state is read first
+     * @param hasEnded true if the job is known to have ended; its final state is then read first
      */
     void lookUp(
             RequestPriority priority,
             String jobId,
-            boolean over,
+            boolean hasEnded,
             long deadlineMicros,
             Consumer<JobLookup> consumer) {
-        if (over && knownFinalState(jobId) == null) {
+        if (hasEnded && cachedFinalState(jobId) == null) {
             lookUpFinalState(
                     priority,
                     jobId,
                     deadlineMicros,
                     lookup -> {
                         @SuppressWarnings("ReferenceEquality") // The one constant that says so.
-                        boolean unknown = lookup == JobLookup.UNKNOWN;
-                        if (unknown) {
+                        boolean isUnknown = lookup == JobLookup.UNKNOWN;
+                        if (isUnknown) {
                             lookUp(priority, jobId, deadlineMicros, consumer);
                         } else {
                             consumer.accept(lookup);
@@ -103,7 +110,7 @@
         }
     }
 
-    /** The same, with a priority among the other requests of this node to the store. */
+    /** Reads a job like {@link #lookUp(String, Consumer)}, with the given request priority. */
     public void lookUp(RequestPriority priority, String jobId, Consumer<JobLookup> consumer) {
         lookUp(priority, jobId, StoreClient.NO_DEADLINE, consumer);
     }
@@ -113,9 +120,9 @@
             String jobId,
             long deadlineMicros,
             Consumer<JobLookup> consumer) {
-        JobLookup known = knownFinalState(jobId);
-        if (known != null) {
-            consumer.accept(known);
+        JobLookup cached = cachedFinalState(jobId);
+        if (cached != null) {
+            consumer.accept(cached);
             return;
         }
         store.get(
@@ -135,8 +142,8 @@
     }
 
     /**
-     * Reads a job's record alone; null if the store does not say or there is none, which does not
-     * say that there is no job.
+     * Reads only a job's record. The result is null if the store did not provide an answer or there
+     * is no record, so null does not mean that the job does not exist.
      */
     public void lookUpRecord(RequestPriority priority, String jobId, Consumer<JobLookup> consumer) {
         store.get(
@@ -150,8 +157,8 @@
     }
 
     /**
-     * A job moves from its record to its final state in one transaction, so this order of reading
-     * can't miss it.
+     * Reads a job's final state. A job moves from its record to its final state in one transaction,
+     * so reading the record first and the final state second cannot miss it.
      */
     private void lookUpFinalState(
             RequestPriority priority,
@@ -172,23 +179,23 @@
                 });
     }
 
-    /** Null for one that can't be read. */
+    /** Decodes a final state; returns null if it cannot be decoded. */
     private JobLookup parseFinalState(String jobId, Map<String, Object> value) {
         try {
             FinalRecord finalState = FinalRecord.parse(jobId, value);
             finalStates.put(jobId, finalState);
-            acceptedJobs.put(jobId, finalState.service());
+            acceptedJobs.put(jobId, finalState.isService());
             return JobLookup.ofFinalState(finalState);
         } catch (MalformedMessageException e) {
             return null;
         }
     }
 
-    /** Parses a job's record; null for one of a later version. */
+    /** Decodes a job's record. Returns null for a record in a format of a later release. */
     JobLookup parse(String jobId, Map<String, Object> value, long revision) {
         try {
             RecordFormat format = JobRecord.formatOf(value);
-            formatSeen.accept(format);
+            formatListener.accept(format);
             JobRecord record = JobRecord.parse(value);
             acceptedJobs.put(jobId, record.description().isService());
             return JobLookup.of(record, format, revision);
--- a/src/test/java/org/woadloom/core/LeaderFixture.java
+++ b/src/test/java/org/woadloom/core/LeaderFixture.java
@@ -16,8 +16,8 @@
 import org.woadloom.store.RecordFormat;
 
 /**
- * A whole core that leads, with a lease of 10 s and reports every 1.5 s; the store takes every
- * write at once.
+ * A complete scheduler that is the leader, with agent leases of 10 s and heartbeats every 1.5 s.
+ * Every write to the store succeeds immediately.
  */
 public final class LeaderFixture {
     public static final long TERM = 5;
@@ -25,25 +25,25 @@
     private static final MachineType TYPE =
             new MachineType("m16", 16, 0, 32, 50, 1, 1, 0.3, 30 * SECOND, List.of("a", "b"));
 
-    private final Scheduler core;
-    public long now = 100 * SECOND;
+    private final Scheduler scheduler;
+    public long nowMicros = 100 * SECOND;
     public final List<SchedulerAction> actions = new ArrayList<>();
-    private long stamps = 100;
-    private long replies;
-    private long mostMachinesInAStep;
+    private long lastRevision = 100;
+    private long lastRequestId;
+    private long maxMachinesExaminedInStep;
 
-    /** Leads with these machines recorded. */
+    /** Starts a term with records of these machines. */
     public LeaderFixture(String... hosts) {
         this(200, List.of(), hosts);
     }
 
     /**
-     * The same, with what earlier leaders have recorded of jobs.
+     * Starts a term with records of these jobs and machines.
      *
-     * @param limit the CPUs that the team may use at most
+     * @param limit the CPU limit of the team
      */
     public LeaderFixture(double limit, List<JobRecord> jobs, String... hosts) {
-        core =
+        scheduler =
                 new Scheduler(
                         new SchedulerSettings(
                                 "node",
@@ -56,71 +56,75 @@
                                 3 * SECOND,
                                 OperatorSettings.defaults()));
         List<SchedulerEvent.StoredJob> stored = new ArrayList<>();
-        jobs.forEach(job -> stored.add(new SchedulerEvent.StoredJob(job, ++stamps)));
+        jobs.forEach(job -> stored.add(new SchedulerEvent.StoredJob(job, ++lastRevision)));
         List<SchedulerEvent.StoredMachine> machines = new ArrayList<>();
         for (String host : hosts) {
             machines.add(
                     new SchedulerEvent.StoredMachine(
-                            new MachineRecord(host, "m16", "a", false, false), ++stamps));
+                            new MachineRecord(host, "m16", "a", false, false), ++lastRevision));
         }
         step(
                 new SchedulerEvent.StoreLimitsChanged(
                         8192, RecordFormat.COMPACT, 100, false, false),
                 new SchedulerEvent.MachineTypesRead(List.of(TYPE)),
-                new SchedulerEvent.LeadershipAcquired(TERM, stored, machines, now));
+                new SchedulerEvent.LeadershipAcquired(TERM, stored, machines, nowMicros));
     }
 
-    public void step(SchedulerEvent... commands) {
-        List<SchedulerEvent> next = List.of(commands);
+    /** Runs a step with these events, then further steps with the outcomes of its store writes. */
+    public void step(SchedulerEvent... events) {
+        List<SchedulerEvent> next = List.of(events);
         while (next != null) {
-            long examined = core.machinesExamined();
-            List<SchedulerAction> done = core.step(now, now, next);
-            mostMachinesInAStep = Math.max(mostMachinesInAStep, core.machinesExamined() - examined);
-            actions.addAll(done);
-            List<SchedulerEvent> written = new ArrayList<>();
-            for (SchedulerAction action : done) {
-                if (action instanceof SchedulerAction.WriteJob put) {
-                    written.add(
+            long examined = scheduler.machinesExamined();
+            List<SchedulerAction> emitted = scheduler.step(nowMicros, nowMicros, next);
+            maxMachinesExaminedInStep =
+                    Math.max(maxMachinesExaminedInStep, scheduler.machinesExamined() - examined);
+            actions.addAll(emitted);
+            List<SchedulerEvent> completions = new ArrayList<>();
+            for (SchedulerAction action : emitted) {
+                if (action instanceof SchedulerAction.WriteJob write) {
+                    completions.add(
                             new SchedulerEvent.JobWriteCompleted(
-                                    put.record().description().jobId(),
-                                    put.record().version(),
+                                    write.record().description().jobId(),
+                                    write.record().writeSequence(),
                                     SchedulerEvent.WriteOutcome.WRITTEN,
-                                    ++stamps));
-                } else if (action instanceof SchedulerAction.WriteMachine put) {
-                    written.add(
+                                    ++lastRevision));
+                } else if (action instanceof SchedulerAction.WriteMachine write) {
+                    completions.add(
                             new SchedulerEvent.MachineWriteCompleted(
-                                    put.record().host(),
-                                    put.record().decommissioning(),
+                                    write.record().host(),
+                                    write.record().decommissioning(),
                                     false,
                                     SchedulerEvent.WriteOutcome.WRITTEN,
-                                    ++stamps));
+                                    ++lastRevision));
                 }
             }
-            next = written.isEmpty() ? null : written;
+            next = completions.isEmpty() ? null : completions;
         }
     }
 
-    /** Time passes, step by step, while nothing is heard. */
-    public void pass(long micros) {
-        for (long until = now + micros; now < until; ) {
-            now += 100_000;
+    /** Advances time in steps of 100 ms without any event but ticks. */
+    public void advance(long micros) {
+        for (long until = nowMicros + micros; nowMicros < until; ) {
+            nowMicros += 100_000;
             step(new SchedulerEvent.Tick());
         }
     }
 
-    public void submit(String jobId, int shards) {
-        step(new SchedulerEvent.JobStored(JobRecord.accepted(job(jobId, shards), now), ++stamps));
+    public void submit(String jobId, int taskCount) {
+        step(
+                new SchedulerEvent.JobStored(
+                        JobRecord.accepted(job(jobId, taskCount), nowMicros), ++lastRevision));
     }
 
-    /** Tasks of 8 CPUs each. */
-    public static JobDescription job(String jobId, int shards) {
+    /** A batch job with tasks of 8 CPUs each. */
+    public static JobDescription job(String jobId, int taskCount) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("uid", jobId);
         map.put("jobclass", "work");
         map.put("crew", "team");
         map.put("shape", "batch");
         map.put("rank", "high");
-        map.put("shards", (long) shards);
+        map.put("shards", (long) taskCount);
         map.put("vcpus", 8.0);
         map.put("ramGb", 1.0);
         map.put("bundle", "img");
@@ -131,7 +135,7 @@
         }
     }
 
-    public static Heartbeat message(
+    public static Heartbeat heartbeat(
             String host, long incarnation, long sequence, long fencingToken, TaskStatus... tasks) {
         return new Heartbeat(
                 host,
@@ -146,70 +150,78 @@
                 List.of(tasks));
     }
 
-    /** The answer to a report that arrives now; null where it is turned away. */
-    public SchedulerAction.AnswerHeartbeat report(Heartbeat heartbeat) {
-        long id = ++replies;
+    /** Delivers a heartbeat and returns its answer; null if it is not answered. */
+    public SchedulerAction.AnswerHeartbeat sendHeartbeat(Heartbeat heartbeat) {
+        long id = ++lastRequestId;
         step(new SchedulerEvent.HeartbeatReceived(id, heartbeat));
-        return all(SchedulerAction.AnswerHeartbeat.class).stream()
+        return actionsOfType(SchedulerAction.AnswerHeartbeat.class).stream()
                 .filter(answer -> answer.requestId() == id)
                 .findFirst()
                 .orElse(null);
     }
 
-    public <E extends SchedulerAction> List<E> all(Class<E> kind) {
+    public <E extends SchedulerAction> List<E> actionsOfType(Class<E> kind) {
         return actions.stream().filter(kind::isInstance).map(kind::cast).toList();
     }
 
-    public <E extends SchedulerAction> E last(Class<E> kind) {
-        List<E> all = all(kind);
+    public <E extends SchedulerAction> E lastAction(Class<E> kind) {
+        List<E> all = actionsOfType(kind);
         return all.get(all.size() - 1);
     }
 
     /**
-     * True if an entry of the event was logged with these values, each given as it stands in the
-     * line.
+     * True if an entry of the event was logged with these fields, each given as it is written in
+     * the line.
      */
-    public boolean logged(LogEvent event, String... values) {
-        return all(SchedulerAction.Log.class).stream()
+    public boolean logged(LogEvent event, String... fields) {
+        return actionsOfType(SchedulerAction.Log.class).stream()
                 .map(SchedulerAction.Log::entry)
                 .filter(entry -> entry.event() == event)
                 .anyMatch(
                         entry ->
-                                List.of(values).stream()
+                                List.of(fields).stream()
                                         .allMatch(
-                                                value ->
-                                                        (entry + " ").contains(" " + value + " ")));
+                                                field ->
+                                                        (entry + " ").contains(" " + field + " ")));
     }
 
-    /** The worker answers the last direct command. */
-    public void answered(Heartbeat body) {
-        SchedulerAction.SendDirectCommand sent = last(SchedulerAction.SendDirectCommand.class);
-        step(new SchedulerEvent.DirectCommandCompleted(sent.commandId(), sent.host(), 200, body));
+    /** Delivers the agent's answer to the last direct command. */
+    public void answerLastDirectCommand(Heartbeat answer) {
+        SchedulerAction.SendDirectCommand sent =
+                lastAction(SchedulerAction.SendDirectCommand.class);
+        step(new SchedulerEvent.DirectCommandCompleted(sent.commandId(), sent.host(), 200, answer));
     }
 
-    /** The worker answers the last direct command if that only tells it of its token. */
-    public void greeted(String host, long incarnation, long sequence) {
-        List<SchedulerAction.SendDirectCommand> there =
-                all(SchedulerAction.SendDirectCommand.class).stream()
+    /**
+     * Delivers the agent's answer to the last direct command to it, if that has no task commands
+     * and only announces a fencing token.
+     */
+    public void acknowledgeToken(String host, long incarnation, long sequence) {
+        List<SchedulerAction.SendDirectCommand> sentToHost =
+                actionsOfType(SchedulerAction.SendDirectCommand.class).stream()
                         .filter(sent -> sent.host().equals(host))
                         .toList();
-        SchedulerAction.SendDirectCommand sent = there.get(there.size() - 1);
+        SchedulerAction.SendDirectCommand sent = sentToHost.get(sentToHost.size() - 1);
         if (sent.commands().isEmpty()) {
             step(
                     new SchedulerEvent.DirectCommandCompleted(
                             sent.commandId(),
                             host,
                             200,
-                            message(host, incarnation, sequence, sent.fencingToken())));
+                            heartbeat(host, incarnation, sequence, sent.fencingToken())));
         }
     }
 
-    /** All agents report at once, in one batch, and then answer their tokens in another. */
-    public void allAreUp(String... hosts) {
+    /**
+     * Delivers the first heartbeats of all agents in one step and their token answers in another.
+     */
+    public void bringUpAll(String... hosts) {
         int before = actions.size();
         List<SchedulerEvent> events = new ArrayList<>();
         for (String host : hosts) {
-            events.add(new SchedulerEvent.HeartbeatReceived(++replies, message(host, 1, 1, 0)));
+            events.add(
+                    new SchedulerEvent.HeartbeatReceived(
+                            ++lastRequestId, heartbeat(host, 1, 1, 0)));
         }
         step(events.toArray(new SchedulerEvent[0]));
         events.clear();
@@ -220,42 +232,42 @@
                                 sent.commandId(),
                                 sent.host(),
                                 200,
-                                message(sent.host(), 1, 2, sent.fencingToken())));
+                                heartbeat(sent.host(), 1, 2, sent.fencingToken())));
             }
         }
         step(events.toArray(new SchedulerEvent[0]));
     }
 
-    /** The most machines that one step so far has examined for placements. */
-    public long mostMachinesInAStep() {
-        return mostMachinesInAStep;
+    /** The largest number of machines that a single step has examined so far. */
+    public long maxMachinesExaminedInStep() {
+        return maxMachinesExaminedInStep;
     }
 
-    /** Nobody answers any of them. */
-    public void unanswered() {
+    /** Reports all direct commands as unanswered. */
+    public void failDirectCommands() {
         for (SchedulerAction.SendDirectCommand sent :
-                all(SchedulerAction.SendDirectCommand.class)) {
-            // The core passes over those whose outcome it knows.
+                actionsOfType(SchedulerAction.SendDirectCommand.class)) {
+            // The scheduler ignores those whose outcome it already knows.
             step(new SchedulerEvent.DirectCommandCompleted(sent.commandId(), sent.host(), 0, null));
         }
     }
 
-    /** Time passes, and no direct command is answered. */
-    public void passUnanswered(long micros) {
-        for (long until = now + micros; now < until; ) {
-            pass(Math.min(SECOND, until - now));
-            unanswered();
+    /** Advances time while no direct command is answered. */
+    public void advanceWithoutAnswers(long micros) {
+        for (long until = nowMicros + micros; nowMicros < until; ) {
+            advance(Math.min(SECOND, until - nowMicros));
+            failDirectCommands();
         }
     }
 
     /**
-     * A worker that reports, and answers the greeting that follows; returns the token that it has
-     * then.
+     * Delivers an agent's first heartbeat and its answer to the direct command that announces its
+     * fencing token; returns the token.
      */
-    public long isUp(String host, long sequence) {
-        report(message(host, 1, sequence, 0));
-        long token = last(SchedulerAction.SendDirectCommand.class).fencingToken();
-        answered(message(host, 1, sequence + 1, token));
+    public long bringUp(String host, long sequence) {
+        sendHeartbeat(heartbeat(host, 1, sequence, 0));
+        long token = lastAction(SchedulerAction.SendDirectCommand.class).fencingToken();
+        answerLastDirectCommand(heartbeat(host, 1, sequence + 1, token));
         return token;
     }
 }
--- a/src/test/java/org/woadloom/core/placement/SteppedSearchTest.java
+++ b/src/test/java/org/woadloom/core/placement/IncrementalSearchTest.java
@@ -8,36 +8,38 @@
 import org.woadloom.core.SchedulerFixture;
 import org.woadloom.core.jobs.Job;
 
-class SteppedSearchTest {
+class IncrementalSearchTest {
     private final Job job = new SchedulerFixture().job("j-1", 1, 1, 1);
-    private final SteppedSearch search = new SteppedSearch(10);
+    private final IncrementalSearch search = new IncrementalSearch(10);
 
     @Test
-    void aStepExaminesNoMoreThanItMay() {
+    void stepAllowsNoMoreMachinesThanItsBudget() {
         search.beginStep();
-        search.count(6);
-        assertTrue(search.allows(4));
-        assertFalse(search.allows(5));
+        search.addExamined(6);
+        assertTrue(search.mayExamine(4));
+        assertFalse(search.mayExamine(5));
         search.beginStep();
-        assertTrue(search.allows(5));
+        assertTrue(search.mayExamine(5));
         assertEquals(6, search.machinesExamined());
     }
 
-    /** Without it a job that needs more than a step allows would stop every search. */
+    /**
+     * Otherwise a job that needs more machines than a step's budget would block the search forever.
+     */
     @Test
-    void theFirstVisitOfAStepIsAlwaysAllowed() {
+    void firstSearchOfAStepMayExceedTheBudget() {
         search.beginStep();
-        assertTrue(search.allows(11));
-        search.count(11);
-        assertFalse(search.allows(1));
+        assertTrue(search.mayExamine(11));
+        search.addExamined(11);
+        assertFalse(search.mayExamine(1));
     }
 
     @Test
-    void aJobIsVisitedOnceInASearch() {
-        search.visit(job);
+    void jobStaysVisitedUntilTheSearchIsReset() {
+        search.markVisited(job);
         search.beginStep();
         assertTrue(search.isVisited(job));
-        search.end();
+        search.reset();
         assertFalse(search.isVisited(job));
     }
 }
--- a/src/test/java/org/woadloom/core/placement/WaitingJobsReportTest.java
+++ b/src/test/java/org/woadloom/core/placement/WaitingJobsReportTest.java
@@ -12,7 +12,7 @@
 import org.woadloom.core.machines.TaskLossHandler;
 import org.woadloom.core.reservation.Reservations;
 
-/** Why a job of a team that is limited to 24 CPUs waits. */
+/** The reasons reported for a waiting job of a team that is limited to 24 CPUs. */
 class WaitingJobsReportTest {
     private final SchedulerFixture fixture = new SchedulerFixture();
     private final Reservations reservations = new Reservations(fixture.state);
@@ -21,7 +21,7 @@
                     fixture.state, new PlacementConstraints(fixture.state), reservations);
 
     @Test
-    void theMachinesAreTheReason() {
+    void reasonIsMissingOrFullMachinesWhenTheQuotaAllowsTheTask() {
         Job job = fixture.job("j-1", 12, 1, 1);
         assertEquals(PendingReason.NO_MACHINE, report.reason(job));
         Machine machine = fixture.machine("host-1", "a");
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void theLimitIsTheReason() {
+    void reasonIsTheTeamLimitOrItsHoldForLostTasks() {
         Machine first = fixture.machine("host-1", "a");
         Machine second = fixture.machine("host-2", "a");
         Job large = fixture.job("j-large", 8, 1, 3);
@@ -45,16 +45,16 @@
     }
 
     @Test
-    void thoseThatHaveWaitedLongestAreLogged() {
+    void logsLongWaitingJobsOncePerInterval() {
         Machine machine = fixture.machine("host-1", "a");
         Job full = fixture.job("j-full", 12, 1, 2);
         fixture.place(reservations, full, 0, machine);
         fixture.place(reservations, full, 1, machine);
         fixture.job("j-waiting", 2, 1, 3);
-        report.review();
+        report.logIfDue();
         assertFalse(fixture.logged(LogEvent.TASKS_PENDING));
         fixture.advance(40_000_000);
-        report.review();
+        report.logIfDue();
         assertTrue(
                 fixture.logged(
                         LogEvent.TASKS_PENDING,
@@ -63,7 +63,7 @@
                         "waited_s=40",
                         "last_placed_job=j-full"));
         fixture.advance(10_000_000);
-        report.review();
+        report.logIfDue();
         assertFalse(fixture.logged(LogEvent.TASKS_PENDING));
     }
 }
--- a/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
+++ b/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
@@ -35,17 +35,17 @@
         }
     }
 
-    /** Two thirds of the limit are divided: 8 CPUs for each of two classes. */
+    /** Two thirds of the limit are divided evenly: 8 CPUs for each of the two classes. */
     @Test
-    void aClassThatWaitsIsLeftItsShareOfATeamAtItsLimit() {
-        Job service = fixture.ofClass("j-1", "web", 40, true);
-        Job array = fixture.ofClass("j-2", "work", 40, false);
+    void shareIsKeptForWaitingClassOfTeamAtItsLimit() {
+        Job service = fixture.jobOfClass("j-1", "web", 40, true);
+        Job array = fixture.jobOfClass("j-2", "work", 40, false);
         shares.update();
         assertEquals(16, service.allowedTasks());
         assertEquals(16, array.allowedTasks());
         place(service, 0, 16);
         shares.update();
-        assertEquals(0, service.allowedTasks(), "the rest is the other class's");
+        assertEquals(0, service.allowedTasks(), "the rest is kept for the other class");
         assertEquals(8, array.allowedTasks());
         place(array, 0, 8);
         shares.update();
@@ -53,55 +53,54 @@
     }
 
     @Test
-    void noMoreIsKeptThanWaits() {
-        Job service = fixture.ofClass("j-1", "web", 40, true);
-        fixture.ofClass("j-2", "work", 3, false);
+    void keptShareIsAtMostThePendingDemand() {
+        Job service = fixture.jobOfClass("j-1", "web", 40, true);
+        fixture.jobOfClass("j-2", "work", 3, false);
         shares.update();
         assertEquals(21, service.allowedTasks());
     }
 
     @Test
-    void aShareIsOneTaskAtLeast() {
-        Job service = fixture.ofClass("j-1", "web", 40, true);
+    void keptShareIsAtLeastOneTask() {
+        Job service = fixture.jobOfClass("j-1", "web", 40, true);
         Job array = fixture.job("j-2", 12, 1, 3);
         shares.update();
         assertEquals(12, service.allowedTasks());
         assertEquals(1, array.allowedTasks());
     }
 
-    /** What fits into the limit is served by the order alone. */
     @Test
-    void aTeamWithinItsLimitIsNotConcerned() {
-        Job service = fixture.ofClass("j-1", "web", 4, true);
-        Job array = fixture.ofClass("j-2", "work", 20, false);
+    void nothingIsKeptIfTeamDemandFitsItsLimit() {
+        Job service = fixture.jobOfClass("j-1", "web", 4, true);
+        Job array = fixture.jobOfClass("j-2", "work", 20, false);
         shares.update();
         assertEquals(24, service.allowedTasks());
         assertEquals(24, array.allowedTasks());
         assertTrue(fixture.actions().isEmpty());
     }
 
-    /** Nothing is stopped for a share: it is had as the other class's tasks end. */
+    /** No task is preempted for a share: a class gets it as tasks of the other class end. */
     @Test
-    void aShareIsHadAsRoomComesFree() {
-        Job service = fixture.ofClass("j-1", "web", 30, true);
+    void freedQuotaGoesToClassBelowItsShare() {
+        Job service = fixture.jobOfClass("j-1", "web", 30, true);
         place(service, 0, 24);
-        Job array = fixture.ofClass("j-2", "work", 40, false);
+        Job array = fixture.jobOfClass("j-2", "work", 40, false);
         shares.update();
         assertEquals(0, array.allowedTasks());
-        service.remove(service.attempt(0));
-        service.remove(service.attempt(1));
+        service.removeAttempt(service.attempt(0));
+        service.removeAttempt(service.attempt(1));
         shares.update();
         assertEquals(0, service.allowedTasks());
         assertEquals(2, array.allowedTasks());
     }
 
     /**
-     * A class whose jobs find no machine, though the limit allows them, keeps nobody waiting for
-     * long.
+     * Guards against a class that blocks quota for the others although there is no machine for its
+     * jobs, which the limit would allow.
      */
     @Test
-    void aShareThatFindsNoMachineGoesToOthers() {
-        Job service = fixture.ofClass("j-1", "web", 40, true);
+    void shareUnusedForTooLongGoesToOtherClasses() {
+        Job service = fixture.jobOfClass("j-1", "web", 40, true);
         Job array = fixture.job("j-2", 8, 1, 3);
         place(service, 0, 16);
         shares.update();
@@ -111,29 +110,29 @@
         assertEquals(8, service.allowedTasks());
         place(service, 16, 24);
         shares.update();
-        service.remove(service.attempt(0));
+        service.removeAttempt(service.attempt(0));
         shares.update();
         assertEquals(
                 0,
                 service.allowedTasks(),
-                "what comes free is kept again until it is enough for the other class");
+                "freed quota is kept again until it suffices for a task of the other class");
         assertEquals(0, array.allowedTasks());
     }
 
     @Test
-    void theLogTellsOfATeamThatAsksForMoreThanItsLimitOnceAMinute() {
-        fixture.ofClass("j-1", "web", 40, true);
-        fixture.ofClass("j-2", "work", 40, false);
+    void demandAboveLimitIsLoggedOnceAMinute() {
+        fixture.jobOfClass("j-1", "web", 40, true);
+        fixture.jobOfClass("j-2", "work", 40, false);
         shares.update();
         shares.update();
-        var told = fixture.actions();
+        var actions = fixture.actions();
         assertEquals(
                 List.of(
                         "event=quota_exceeded team=team asked_cpus=80 asked_gpus=0 class=web"
                                 + " used_cpus=0 waiting_cpus=40",
                         "event=quota_exceeded team=team asked_cpus=80 asked_gpus=0 class=work"
                                 + " used_cpus=0 waiting_cpus=40"),
-                told.stream()
+                actions.stream()
                         .map(action -> ((SchedulerAction.Log) action).entry().toString())
                         .toList());
         fixture.advance(61_000_000);
--- a/src/test/java/org/woadloom/peer/PeerFramesGoldenTest.java
+++ b/src/test/java/org/woadloom/peer/PeerFramesGoldenTest.java
@@ -16,12 +16,13 @@
 import org.woadloom.golden.GoldenFile;
 
 /**
- * Every kind of frame between nodes, byte by byte, and read back from the bytes that were recorded.
+ * Compares the encoding of every type of peer message with recorded bytes, and checks that the
+ * recorded bytes round-trip.
  */
 class PeerFramesGoldenTest {
     private static final String FILE = "peer-frames.txt";
 
-    private static Map<String, PeerMessage> frames() {
+    private static Map<String, PeerMessage> messagesByName() {
         Map<String, PeerMessage> all = new LinkedHashMap<>();
         all.put("10 hello", new PeerMessage.Hello("node-1"));
         all.put(
@@ -37,7 +38,7 @@
                         7, "", new PeerMessage.RolloutView(0, List.of(), List.of(), List.of())));
         all.put("11 ping of version 3", new PeerMessage.Ping(7, "node-1", null));
         all.put("13 hint", new PeerMessage.JobChangeNotification(new byte[] {1, 2, 3}, 41));
-        all.put("14 report", new PeerMessage.ForwardHeartbeat(42, new byte[] {4, 5}));
+        all.put("14 report", new PeerMessage.ForwardedHeartbeat(42, new byte[] {4, 5}));
         all.put("15 answer", new PeerMessage.ForwardedAnswer(42, 421, new byte[] {6}));
         all.put(
                 "16 standing",
@@ -50,7 +51,13 @@
                 "18 vouch",
                 new PeerMessage.CancellationReport(
                         new WatermarkReport(
-                                1, 2, 3, 4, WatermarkReport.NONE, 6, List.of("j-1", "j-2"))));
+                                1,
+                                2,
+                                3,
+                                4,
+                                WatermarkReport.NO_LEADER_CLOCK,
+                                6,
+                                List.of("j-1", "j-2"))));
         all.put(
                 "19 vouch taken",
                 new PeerMessage.CancellationReportAck(new WatermarkAck(1, 2, 3, 4)));
@@ -58,23 +65,24 @@
     }
 
     @Test
-    void framesAreWrittenAndReadAsRecorded() throws IOException, PeerFormatException {
+    void framesMatchGoldenBytesAndRoundTrip() throws IOException, PeerFormatException {
         PeerCodec codec = new PeerCodec();
         GoldenFile golden = new GoldenFile();
-        frames().forEach((name, message) -> golden.addBytes(name, codec.encode(message)));
+        messagesByName().forEach((name, message) -> golden.addBytes(name, codec.encode(message)));
         golden.check(FILE);
-        for (String name : frames().keySet()) {
+        for (String name : messagesByName().keySet()) {
             byte[] recorded = GoldenFile.readBytes(FILE, name);
             PeerMessage read =
                     codec.decode(Arrays.copyOfRange(recorded, Integer.BYTES, recorded.length));
-            assertEquals(frames().get(name).getClass(), read.getClass(), name);
+            assertEquals(messagesByName().get(name).getClass(), read.getClass(), name);
             assertArrayEquals(recorded, codec.encode(read), name);
         }
     }
 
     @Test
-    void everyKindOfFrameIsRecorded() {
-        long kinds = frames().values().stream().map(PeerMessage::getClass).distinct().count();
-        assertEquals(PeerMessage.class.getPermittedSubclasses().length, kinds);
+    void goldenFileCoversEveryMessageType() {
+        long messageTypes =
+                messagesByName().values().stream().map(PeerMessage::getClass).distinct().count();
+        assertEquals(PeerMessage.class.getPermittedSubclasses().length, messageTypes);
     }
 }
