--- a/src/main/java/org/woadloom/leader/Election.java
+++ b/src/main/java/org/woadloom/leader/Election.java
@@ -17,83 +17,95 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * Elects the leader. The leader key depends on a store lease that the leader renews, but that is
- * only for liveness: safety comes from the term, which every leader takes anew, and from the key's
- * revision, on which all its writes are conditional. For that reason a node may take over at any
- * time without asking whether the former leader has really ended.
+ * Elects the leader. The leader key is attached to a store lease that the leader renews, which only
+ * ensures liveness. Safety comes from the term, which is new for every leader, and from the key's
+ * revision, on which all of a leader's writes are conditional. A node may therefore take over at
+ * any time without checking whether the former leader has really stopped.
  *
  * <table>
  * <caption>Roles of a node, and what changes them</caption>
  * <tr><th>from</th><th>to</th><th>when</th></tr>
- * <tr><td>follower</td><td>candidate</td><td>the leader key is vacant, or its holder was seen to
- *     have ended ({@link #takeOverFrom}), and the fence is open</td></tr>
+ * <tr><td>follower</td><td>candidate</td><td>the leader key is vacant, or its holder has most
+ *     likely stopped ({@link #takeOverFrom}), and this process is eligible</td></tr>
  * <tr><td>candidate</td><td>leader</td><td>the transaction that takes key and term succeeded</td></tr>
  * <tr><td>candidate</td><td>follower</td><td>a step of the campaign failed; the key is read again
  *     after a pause</td></tr>
- * <tr><td>follower, candidate</td><td>leader</td><td>the key shows the term that was requested, so
- *     the transaction succeeded though its answer is late or lost</td></tr>
- * <tr><td>leader</td><td>follower</td><td>the key was deleted or has a later term, a peer knows a
- *     later term, the lease has expired, or {@link #stepDown}</td></tr>
+ * <tr><td>follower, candidate</td><td>leader</td><td>the key has the requested term, so the
+ *     transaction succeeded although its answer is late or lost</td></tr>
+ * <tr><td>leader</td><td>follower</td><td>the key was deleted or has a later term, a peer knows
+ *     of a later term, the lease has expired, or {@link #stepDown} was called</td></tr>
  * </table>
  */
 public final class Election {
     private static final Logger LOG = LoggerFactory.getLogger(Election.class);
 
     /**
-     * The lifetime of the leader's store lease: how long a leader that has ended goes unnoticed.
+     * The lifetime of the leader's store lease: how long it may take until a leader that has
+     * stopped is detected.
      */
     private static final long LEASE_MICROS = 4_000_000;
 
-    /** Between renewals; three may be lost before the lease expires. */
+    /** Three renewals may be lost before the lease expires. */
     private static final long RENEWAL_INTERVAL_MICROS = 1_000_000;
 
-    /** How long one watch of the leader key waits for a change. */
-    private static final long WATCH_MICROS = 10_000_000;
+    /** The timeout of one watch request for the leader key. */
+    private static final long WATCH_TIMEOUT_MICROS = 10_000_000;
 
-    /** The pause before a retry, with up to as much again at random so that nodes don't collide. */
+    /**
+     * The minimum pause before a retry; up to the same time is added at random, so that nodes don't
+     * collide.
+     */
     private static final long RETRY_MICROS = 250_000;
 
-    /** How often a vacant key is tried while the fence is closed. */
-    private static final long FENCED_RETRY_MICROS = 20_000;
+    /**
+     * The pause between checks whether this process has become eligible while the key is vacant.
+     */
+    private static final long INELIGIBLE_RETRY_MICROS = 20_000;
 
-    /** Up to how long a follower waits, at random, before it takes a key that became vacant. */
+    /** The maximum random delay before a follower campaigns for a key that has become vacant. */
     private static final int CAMPAIGN_JITTER_MICROS = 30_000;
 
-    /** How long a process that gives up the former leadership of its node leaves others to lead. */
+    /**
+     * How long a process that gave up its predecessor's leadership lets other nodes campaign first.
+     */
     private static final long YIELD_MICROS = 250_000;
 
     private static final String TERM = "term";
 
-    /** The revision that a key has in a condition where it must not exist. */
+    /** The revision in a condition that the key must not exist. */
     private static final long ABSENT = 0;
 
     private static final long NO_TERM = 0;
 
-    /** Whether this process may lead, by the features that the stored state requires. */
+    /** Whether this process may lead, depending on the features that the stored state requires. */
     public interface Eligibility {
-        /** True once the required features were read and this process supports them. */
+        /** True once the required features have been read and this process supports them. */
         boolean isEligible();
 
-        /** Holds as long as the required features are those that were read. */
+        /**
+         * A condition that holds as long as the required features have not changed since they were
+         * read.
+         */
         Condition condition();
 
-        /** The condition has failed: the required features must be read again. */
+        /** Reads the required features again, as the condition has failed. */
         void refresh();
     }
 
-    /** Is told when this node gains or loses the leadership. */
+    /** Receives changes of the leadership. */
     public interface Listener {
         /**
-         * This node leads from now on.
+         * This node has become the leader.
          *
-         * @param leaderRevision the leader key's revision, on which its writes are conditional
+         * @param leaderRevision the leader key's revision, on which the leader's writes are
+         *     conditional
          */
         void onElected(long term, long leaderRevision);
 
-        /** This node leads no more. */
+        /** This node is no longer the leader. */
         void onLeadershipLost(String reason);
 
-        /** Another leader than before is known, this node perhaps. */
+        /** A different leader, possibly this node, has become known. */
         void onLeaderChanged();
     }
 
@@ -113,12 +125,12 @@
     private long term;
     private long storeLease;
 
-    /** The leader key as far as known, null where it does not exist. */
-    private LeaderRecord leaderKey;
+    /** The last known value of the leader key, or null if the key does not exist. */
+    private LeaderRecord leaderRecord;
 
     private long leaderRevision;
 
-    /** Counts the scheduled campaigns: only the last one that was scheduled is run. */
+    /** Counts the scheduled campaigns; only the one scheduled last is run. */
     private int campaignNumber;
 
     /** The term that this process requested and whose outcome is unknown, or {@link #NO_TERM}. */
@@ -127,11 +139,11 @@
     /** This process does not campaign before this time. */
     private long campaignNotBeforeMicros = Long.MIN_VALUE / 2;
 
-    /** The highest term known: a peer may still report the leader of an earlier one. */
+    /** The highest known term. A peer may still report the leader of an earlier one. */
     private long highestTerm;
 
     /**
-     * @param label the name of this node
+     * @param label the label of this node
      */
     public Election(
             EventLoop loop,
@@ -148,33 +160,34 @@
         this.listener = listener;
     }
 
-    /** Reads and watches the leader key from now on, and campaigns where it is vacant. */
+    /** Starts to watch the leader key, and to campaign whenever it is vacant. */
     public void start() {
         readLeaderKey();
     }
 
-    /** True while this node leads as far as it knows. */
+    /** True while, as far as this node knows, it is the leader. */
     public boolean isLeader() {
         return role == Role.LEADER;
     }
 
-    /** The label of the leader as far as known, or null. */
+    /** The label of the last known leader, or null if there is none. */
     public String leader() {
         if (isLeader()) {
             return label;
         }
-        return leaderKey == null ? null : leaderKey.label();
+        return leaderRecord == null ? null : leaderRecord.label();
     }
 
-    /** The term of the leader as far as known, 0 for none. */
+    /** The term of the last known leader, or 0 if there is none. */
     public long leaderTerm() {
-        return leaderKey == null ? NO_TERM : leaderKey.term();
+        return leaderRecord == null ? NO_TERM : leaderRecord.term();
     }
 
     /**
-     * A peer knows of a leader in a later term. That may be all this node learns while the store
-     * refuses it alone; to lead on would keep agents from the new leader. The known revision of the
-     * key stays as it was, so a campaign on it can only fail.
+     * Called when a peer reports the leader that it knows. If the store is unreachable only for
+     * this node, this may be the only way to learn of a later term; if this node continued to lead,
+     * it would keep agents from the new leader. The known revision of the key is not changed, so a
+     * campaign based on it can only fail.
      */
     public void onPeerLeader(String leader, long leaderTerm) {
         if (leaderTerm <= highestTerm || leader.equals(label)) {
@@ -182,7 +195,7 @@
         }
         highestTerm = leaderTerm;
         LOG.info("event=leader_reported_by_peer leader={} term={}", leader, leaderTerm);
-        leaderKey = new LeaderRecord(leader, leaderTerm);
+        leaderRecord = new LeaderRecord(leader, leaderTerm);
         stepDown(leader + " leads in term " + leaderTerm);
         loop.execute(listener::onLeaderChanged);
     }
@@ -204,11 +217,11 @@
                 });
     }
 
-    private void watch(long since) {
+    private void watch(long sinceRevision) {
         store.watch(
                 StoreKeys.LEADER,
-                since,
-                WATCH_MICROS,
+                sinceRevision,
+                WATCH_TIMEOUT_MICROS,
                 (result, events, storeRevision) -> {
                     if (result != Result.OK) {
                         loop.schedule(RETRY_MICROS, this::readLeaderKey);
@@ -219,7 +232,7 @@
                             onLeaderKey(event.value(), event.revision());
                         }
                     }
-                    watch(Math.max(since, storeRevision));
+                    watch(Math.max(sinceRevision, storeRevision));
                 });
     }
 
@@ -228,17 +241,20 @@
             return;
         }
         leaderRevision = revision;
-        LeaderRecord former = leaderKey;
-        leaderKey = parse(value);
+        LeaderRecord former = leaderRecord;
+        leaderRecord = parse(value);
         highestTerm = Math.max(highestTerm, leaderTerm());
         if (role != Role.LEADER && isRequestedKey()) {
-            // The transaction was executed and its answer is late or lost: others would wait for
-            // the lease to expire.
+            // The transaction was executed, but its answer is late or lost. If this node did not
+            // lead now, the others would wait for the lease to expire.
             onElected(requestedTerm, revision);
             return;
         }
-        if (leaderKey != null && !leaderKey.equals(former)) {
-            LOG.info("event=leader_changed leader={} term={}", leaderKey.label(), leaderKey.term());
+        if (leaderRecord != null && !leaderRecord.equals(former)) {
+            LOG.info(
+                    "event=leader_changed leader={} term={}",
+                    leaderRecord.label(),
+                    leaderRecord.term());
             loop.execute(listener::onLeaderChanged);
         }
         if (role == Role.LEADER) {
@@ -259,33 +275,33 @@
 
     private boolean isRequestedKey() {
         return requestedTerm == highestTerm
-                && new LeaderRecord(label, requestedTerm).equals(leaderKey);
+                && new LeaderRecord(label, requestedTerm).equals(leaderRecord);
     }
 
     private void stepDownIfReplaced() {
-        if (leaderKey == null) {
-            stepDown("the leader key is gone");
-        } else if (leaderKey.term() > term) {
-            stepDown(leaderKey.label() + " leads");
+        if (leaderRecord == null) {
+            stepDown("the leader key was deleted");
+        } else if (leaderRecord.term() > term) {
+            stepDown(leaderRecord.label() + " leads in term " + leaderRecord.term());
         }
     }
 
     private void campaignIfVacant(LeaderRecord former, long revision) {
-        boolean isOwnKey = leaderKey != null && leaderKey.label().equals(label);
+        boolean isOwnKey = leaderRecord != null && leaderRecord.label().equals(label);
         if (isOwnKey && term == NO_TERM) {
             yieldLeadership(revision);
         } else if (isVacant()) {
-            // The key names this node from before it stepped down, or does not exist.
-            boolean hasNeverExisted = leaderKey == null && former == null;
+            // The key does not exist, or still names this node, which has stepped down.
+            boolean hasNeverExisted = leaderRecord == null && former == null;
             scheduleCampaign(hasNeverExisted ? 0 : random.nextInt(CAMPAIGN_JITTER_MICROS));
         }
     }
 
     /**
-     * Deletes the key of this node's former process. A process that keeps ending would take over
-     * each time, and read all records, while the others wait for its lease to expire: leading is
-     * better left to a node that stays. The others see at once that nobody leads, and this process
-     * takes over only if none of them does.
+     * Deletes the key of this node's previous process. If this node kept restarting, it would take
+     * over each time and read all records, while the others would wait for its lease to expire, so
+     * a node that keeps running should lead. The deletion shows the others at once that there is no
+     * leader, and this process campaigns only if none of them does.
      */
     private void yieldLeadership(long revision) {
         store.txn(
@@ -307,27 +323,27 @@
         loop.schedule(
                 Math.max(Math.max(1, delayMicros), campaignNotBeforeMicros - loop.nowMicros()),
                 () -> {
-                    // An interrupted watch gives the former leader's end and the new leader in one
-                    // answer.
+                    // An interrupted watch reports the end of the former leader and the new leader
+                    // in one answer.
                     if (campaignNumber == expected && role == Role.FOLLOWER && isVacant()) {
                         if (eligibility.isEligible()) {
                             startCampaign();
                         } else {
-                            scheduleCampaign(FENCED_RETRY_MICROS);
+                            scheduleCampaign(INELIGIBLE_RETRY_MICROS);
                         }
                     }
                 });
     }
 
     private boolean isVacant() {
-        return leaderKey == null || leaderKey.label().equals(label);
+        return leaderRecord == null || leaderRecord.label().equals(label);
     }
 
-    /** Takes over although the leader key exists, as its holder was seen to have ended. */
+    /** Takes over although the leader key exists, because its holder has most likely stopped. */
     public void takeOverFrom(String formerLeader) {
         if (role == Role.FOLLOWER
-                && leaderKey != null
-                && leaderKey.label().equals(formerLeader)
+                && leaderRecord != null
+                && leaderRecord.label().equals(formerLeader)
                 && eligibility.isEligible()) {
             LOG.info("event=failover_started former_leader={}", formerLeader);
             startCampaign();
@@ -337,8 +353,8 @@
     private void startCampaign() {
         role = Role.CANDIDATE;
         requestedTerm = NO_TERM;
-        // The key as it is now: a campaign against one leader must not depose the next.
-        long revisionToReplace = leaderKey == null ? ABSENT : leaderRevision;
+        // Fixed at the start, so that a campaign to replace one leader can't replace its successor.
+        long revisionToReplace = leaderRecord == null ? ABSENT : leaderRevision;
         store.storeLease(
                 LEASE_MICROS,
                 (result, lease) -> {
@@ -383,7 +399,7 @@
         requestedTerm = newTerm;
         Map<String, Object> termValue = new LinkedHashMap<>();
         termValue.put(TERM, newTerm);
-        // Whoever takes a term has read the required features, and none was added since.
+        // Ensures that a leader has read the required features and that none was added since.
         List<Condition> conditions =
                 List.of(
                         new Condition(StoreKeys.LEADER, revisionToReplace),
@@ -406,9 +422,9 @@
             long newTerm, Result result, long storeRevision, List<String> conflicts) {
         if (requestedTerm != newTerm) {
             if (result == Result.CONFLICT && role == Role.LEADER && term == newTerm) {
-                // The key that was seen is of this node's former process, and so is the lease that
-                // it depends on.
-                stepDown("the term was taken by an earlier process");
+                // The key that made this node lead was written by its previous process and is
+                // attached to that process's store lease.
+                stepDown("the term was taken by the previous process of this node");
             }
             return;
         }
@@ -419,8 +435,8 @@
         if (conflicts.contains(eligibility.condition().path())) {
             eligibility.refresh();
         }
-        // Without an answer it may have been executed; otherwise a later campaign takes a higher
-        // term.
+        // A transaction without an answer may have been executed. Otherwise a later campaign
+        // requests a higher term.
         requestedTerm = result == Result.UNKNOWN ? newTerm : NO_TERM;
         onCampaignFailed();
     }
@@ -454,10 +470,10 @@
         requestedTerm = NO_TERM;
         term = newTerm;
         highestTerm = Math.max(highestTerm, newTerm);
-        leaderKey = new LeaderRecord(label, newTerm);
+        leaderRecord = new LeaderRecord(label, newTerm);
         leaderRevision = revision;
         LOG.info("event=leader_elected term={}", newTerm);
-        // The lease may be some seconds old.
+        // Renewed at once, as the lease may be some seconds old.
         scheduleRenewal(newTerm, 1);
         listener.onElected(newTerm, revision);
         loop.execute(listener::onLeaderChanged);
@@ -476,22 +492,24 @@
                                 if (result == Result.NOT_FOUND
                                         && role == Role.LEADER
                                         && term == renewedTerm) {
-                                    stepDown("the grant has ended");
+                                    stepDown("the store lease of the leader key has expired");
                                 }
                             });
                     scheduleRenewal(renewedTerm, RENEWAL_INTERVAL_MICROS);
                 });
     }
 
-    /** Gives up the leadership, if this node has it, for the reason given to log and listener. */
+    /**
+     * Gives up the leadership if this node has it. The reason is logged and passed to the listener.
+     */
     public void stepDown(String reason) {
         if (role != Role.LEADER) {
             return;
         }
         LOG.info("event=leadership_lost term={} reason=\"{}\"", term, reason);
         role = Role.FOLLOWER;
-        if (leaderKey != null && leaderKey.term() == term) {
-            leaderKey = null;
+        if (leaderRecord != null && leaderRecord.term() == term) {
+            leaderRecord = null;
         }
         listener.onLeadershipLost(reason);
         onCampaignFailed();
--- a/src/main/java/org/woadloom/leader/LeaderRecord.java
+++ b/src/main/java/org/woadloom/leader/LeaderRecord.java
@@ -5,7 +5,7 @@
 import org.woadloom.protocol.Fields;
 import org.woadloom.protocol.MalformedMessageException;
 
-/** The value of the leader key: the name of the node that leads, and its term. */
+/** The value of the leader key: the label of the leader and its term. */
 public record LeaderRecord(String label, long term) {
     private static final String LABEL = "label";
     private static final String TERM = "term";
--- a/src/main/java/org/woadloom/leader/RecordWriter.java
+++ b/src/main/java/org/woadloom/leader/RecordWriter.java
@@ -13,22 +13,25 @@
 import org.woadloom.store.StoreLimits;
 
 /**
- * Writes a leader's records. Every transaction is conditional on the leader key's revision, so that
- * whatever arrives after another node has taken over can only fail, and on the revision of each
- * record that it changes.
+ * Writes the leader's records. Every transaction is conditional on the leader key's revision, so
+ * that transactions that reach the store after another node took over are rejected, and on the
+ * revision of each record that it changes.
  */
 public final class RecordWriter {
-    /** Of one transaction, as far as it is not one record alone. */
+    /** The maximum size of a transaction with more than one write. */
     private static final int MAX_TRANSACTION_BYTES = 56 * 1024;
 
-    /** Counted for each change beside its value: key, revision and their names. */
+    /**
+     * The estimated size of a change apart from its value: the key, the revision and their field
+     * names.
+     */
     private static final int CHANGE_OVERHEAD_BYTES = 260;
 
     private static final long NO_REVISION = 0;
 
-    /** One record's write: conditions and changes that belong together. */
+    /** Conditions and changes that belong together, usually those of one record. */
     public record Write(List<Condition> conditions, List<Change> changes, WriteCallback callback) {
-        /** About how many bytes of a transaction it takes. */
+        /** The estimated size in a transaction, in bytes. */
         int size() {
             int size = 0;
             for (Change change : changes) {
@@ -43,12 +46,11 @@
     }
 
     /** Receives the outcome of a write. */
-    /** Is told what became of one write. */
     public interface WriteCallback {
         /**
-         * The write was answered, or never will be.
+         * Called once the write was answered or no answer is expected any more.
          *
-         * @param revision of the written records, 0 unless they were written
+         * @param revision the revision of the written records, or 0 if they were not written
          */
         void onWritten(WriteOutcome outcome, long revision);
     }
@@ -56,20 +58,20 @@
     private final StoreClient store;
     private final StoreLimits limits;
     private final long leaderRevision;
-    private final Runnable onDeposed;
+    private final Runnable onLeadershipLost;
     private final List<Write> urgent = new ArrayList<>();
     private final List<Write> normal = new ArrayList<>();
 
     /**
-     * @param leaderRevision the leader key's revision since this node leads
-     * @param onDeposed run when a write shows that another node has taken over
+     * @param leaderRevision the leader key's revision in this leader's term
+     * @param onLeadershipLost run when a write shows that another node has become the leader
      */
     public RecordWriter(
-            StoreClient store, StoreLimits limits, long leaderRevision, Runnable onDeposed) {
+            StoreClient store, StoreLimits limits, long leaderRevision, Runnable onLeadershipLost) {
         this.store = store;
         this.limits = limits;
         this.leaderRevision = leaderRevision;
-        this.onDeposed = onDeposed;
+        this.onLeadershipLost = onLeadershipLost;
     }
 
     /** Adds a write, which is sent by the next {@link #flush}. */
@@ -77,7 +79,7 @@
         (isUrgent ? urgent : normal).add(write);
     }
 
-    /** Sends what was added, in as few transactions as the limits allow. */
+    /** Sends the added writes in as few transactions as the limits allow. */
     public void flush() {
         send(RequestPriority.URGENT, urgent);
         send(RequestPriority.NORMAL, normal);
@@ -137,9 +139,9 @@
     }
 
     /**
-     * The key of a record that nobody else can have written like this, or null: a job's, which has
-     * the term and the version of this write. Another leader's record of a machine may well be
-     * equal.
+     * The key whose stored value proves that these changes were executed, or null. Only a job
+     * record is a proof, as it contains the term and the version of this write; another leader
+     * might write an equal machine record.
      */
     private static String proofKey(List<Change> changes) {
         for (Change change : changes) {
@@ -151,8 +153,9 @@
     }
 
     /**
-     * A value or the number of changes is above a limit that has fallen. Each record is tried by
-     * itself, so that what is too large holds up nothing else; nothing was executed.
+     * Handles a transaction that the store refused as too large: a limit on values or on the number
+     * of changes has been lowered. Nothing was executed. Each write is sent in its own transaction,
+     * so that only those that are too large fail.
      */
     private void onRefused(RequestPriority priority, List<Write> batch, List<Change> changes) {
         if (batch.size() > 1) {
@@ -170,7 +173,7 @@
 
     private void onConflict(RequestPriority priority, List<Write> batch, List<String> failed) {
         if (failed.contains(StoreKeys.LEADER)) {
-            onDeposed.run();
+            onLeadershipLost.run();
             return;
         }
         List<Write> retry = new ArrayList<>();
@@ -182,7 +185,7 @@
                 retry.add(write);
             }
         }
-        // One record's conflict must not hold up the others of the transaction.
+        // A conflict of one write must not hold up the other writes of the transaction.
         if (retry.size() < batch.size()) {
             send(priority, retry);
         } else {
@@ -190,7 +193,7 @@
         }
     }
 
-    /** A put of one key on condition of its revision. */
+    /** A write of one key that is conditional on the key's revision. */
     public static Write conditionalPut(
             String key, Map<String, Object> value, long revision, WriteCallback callback) {
         return new Write(
--- a/src/test/java/org/woadloom/sim/ElectionTest.java
+++ b/src/test/java/org/woadloom/sim/ElectionTest.java
@@ -19,30 +19,32 @@
 import org.woadloom.store.StoreClient.Condition;
 
 /**
- * One process campaigns, and what it asks of the store is carried out while the answer gets lost,
- * or too late.
+ * Runs a single candidate against a store that executes its requests but whose answers are lost or
+ * late.
  */
 class ElectionTest {
     private static final ServiceSettings.Store LIMITS =
             new ServiceSettings.Store(1_000, 400, 8192, 12, null);
-    private static final long S = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
-    private final SimulatedEventLoop sim = new SimulatedEventLoop();
-    private final SimulatedStore state = new SimulatedStore(sim, LIMITS);
+    private final SimulatedEventLoop eventLoop = new SimulatedEventLoop();
+    private final SimulatedStore store = new SimulatedStore(eventLoop, LIMITS);
     private final List<Long> terms = new ArrayList<>();
-    private final List<String> ends = new ArrayList<>();
+    private final List<String> lossReasons = new ArrayList<>();
 
-    /** How many answers to transactions, and how many to watches, get lost. */
-    private int lostTxns;
+    private int txnAnswersToLose;
 
-    private int lostWatches;
-    private int lost;
+    private int watchAnswersToLose;
+    private int lostAnswers;
 
-    /** A transaction of the process before is carried out just before the first of this one. */
-    private boolean earlierProcess;
+    /**
+     * Whether the previous process's transaction is executed just before the first one of this
+     * process.
+     */
+    private boolean predecessorTakesTerm;
 
     private Election start() {
-        Election.Eligibility fence =
+        Election.Eligibility eligibility =
                 new Election.Eligibility() {
                     @Override
                     public boolean isEligible() {
@@ -59,48 +61,51 @@
                 };
         Election election =
                 new Election(
-                        sim.loop(),
+                        eventLoop.loop(),
                         SimulatedStore.client(
-                                sim.loop(),
+                                eventLoop.loop(),
                                 (address, method, path, body, timeout, callback) ->
-                                        sim.after(
+                                        eventLoop.after(
                                                 2_000,
                                                 () -> {
-                                                    boolean[] open = {true};
-                                                    sim.after(
+                                                    boolean[] unanswered = {true};
+                                                    eventLoop.after(
                                                             timeout,
                                                             () -> {
-                                                                if (open[0]) {
-                                                                    open[0] = false;
+                                                                if (unanswered[0]) {
+                                                                    unanswered[0] = false;
                                                                     callback.answered(
                                                                             HttpTransport
                                                                                     .NO_RESPONSE,
                                                                             new byte[0]);
                                                                 }
                                                             });
-                                                    Map<String, Object> asked = decode(body);
-                                                    boolean loses =
-                                                            path.equals("/txn") && lostTxns > 0
+                                                    Map<String, Object> request = decode(body);
+                                                    boolean losesAnswer =
+                                                            path.equals("/txn")
+                                                                            && txnAnswersToLose > 0
                                                                     || path.startsWith("/follow")
-                                                                            && lostWatches > 0;
+                                                                            && watchAnswersToLose
+                                                                                    > 0;
                                                     if (path.equals("/txn")) {
-                                                        lostTxns--;
-                                                        takeAsTheProcessBefore(asked);
+                                                        txnAnswersToLose--;
+                                                        takeTermAsPredecessor(request);
                                                     } else if (path.startsWith("/follow")) {
-                                                        lostWatches--;
+                                                        watchAnswersToLose--;
                                                     }
-                                                    lost += loses ? 1 : 0;
-                                                    state.handle(
+                                                    lostAnswers += losesAnswer ? 1 : 0;
+                                                    store.handle(
                                                             method,
                                                             path,
-                                                            asked,
+                                                            request,
                                                             (status, answer) ->
-                                                                    sim.after(
+                                                                    eventLoop.after(
                                                                             2_000,
                                                                             () -> {
-                                                                                if (open[0]
-                                                                                        && !loses) {
-                                                                                    open[0] = false;
+                                                                                if (unanswered[0]
+                                                                                        && !losesAnswer) {
+                                                                                    unanswered[0] =
+                                                                                            false;
                                                                                     callback
                                                                                             .answered(
                                                                                                     status,
@@ -114,20 +119,20 @@
                                 1),
                         "node",
                         new Random(1),
-                        fence,
+                        eligibility,
                         new Election.Listener() {
                             @Override
                             public void onElected(long term, long leaderRevision) {
                                 assertEquals(
                                         leaderRevision,
-                                        stampOfKey(),
-                                        "the stamp that all writes hang on");
+                                        leaderKeyRevision(),
+                                        "the revision on which all writes are conditional");
                                 terms.add(term);
                             }
 
                             @Override
                             public void onLeadershipLost(String reason) {
-                                ends.add(reason);
+                                lossReasons.add(reason);
                             }
 
                             @Override
@@ -137,32 +142,32 @@
         return election;
     }
 
-    private void takeAsTheProcessBefore(Map<String, Object> asked) {
-        if (earlierProcess) {
-            earlierProcess = false;
-            state.handle(
+    private void takeTermAsPredecessor(Map<String, Object> request) {
+        if (predecessorTakesTerm) {
+            predecessorTakesTerm = false;
+            store.handle(
                     "POST",
                     "/grants",
                     Map.of("lifeMs", 4_000L),
                     (status, storeLease) -> {
                         List<Object> changes = new ArrayList<>();
-                        for (Object item : (List<?>) asked.get("then")) {
+                        for (Object item : (List<?>) request.get("then")) {
                             Map<Object, Object> change = new LinkedHashMap<>((Map<?, ?>) item);
                             change.computeIfPresent("hold", (key, held) -> storeLease.get("hold"));
                             changes.add(change);
                         }
-                        state.handle(
+                        store.handle(
                                 "POST",
                                 "/txn",
-                                Map.of("if", asked.get("if"), "then", changes),
+                                Map.of("if", request.get("if"), "then", changes),
                                 (done, answer) -> {});
                     });
         }
     }
 
-    private long stampOfKey() {
+    private long leaderKeyRevision() {
         long[] revision = {0};
-        state.handle(
+        store.handle(
                 "GET",
                 "/keys/leader",
                 Map.of(),
@@ -179,37 +184,39 @@
     }
 
     /**
-     * Only the answer to its election is lost: its watch tells it, or else its next look. It used
-     * to give the term up, after 2.5 s in which the others took it to lead, and to drop the key.
+     * Guards against a leader that does not know that it leads: the answer to the transaction that
+     * took the term is lost. The node must learn that it leads from its watch or, if that answer is
+     * lost as well, from its next read. It used to give up the term after 2.5 s, during which the
+     * other nodes took it for the leader, and to delete the key.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 1})
-    void aTermWhoseAnswerWasLostIsLed(int watches) {
-        lostTxns = 1;
-        lostWatches = watches;
+    void campaignLeadsWhenTransactionAnswerIsLost(int lostWatchAnswers) {
+        txnAnswersToLose = 1;
+        watchAnswersToLose = lostWatchAnswers;
         Election election = start();
-        long until = watches == 0 ? S / 10 : 3 * S;
-        sim.run(until);
-        assertEquals(1 + watches, lost);
-        assertTrue(election.isLeader(), "leads nobody after " + until);
-        sim.run(30 * S);
+        long untilMicros = lostWatchAnswers == 0 ? SECOND_MICROS / 10 : 3 * SECOND_MICROS;
+        eventLoop.run(untilMicros);
+        assertEquals(1 + lostWatchAnswers, lostAnswers);
+        assertTrue(election.isLeader(), "not the leader after " + untilMicros);
+        eventLoop.run(30 * SECOND_MICROS);
         assertEquals(List.of(1L), terms);
-        assertEquals(List.of(), ends);
+        assertEquals(List.of(), lossReasons);
         assertTrue(election.isLeader());
     }
 
     /**
-     * The key that it sees is of the process before it, in the same term: it hangs on a grant that
-     * nobody renews.
+     * Guards against leading by a key that expires: the key was written by the node's previous
+     * process in the same term, and is attached to a store lease that nobody renews.
      */
     @Test
-    void aTermThatTheProcessBeforeTookIsGivenUp() {
-        earlierProcess = true;
+    void leaderTakesNewTermWhenKeyIsOfPreviousProcess() {
+        predecessorTakesTerm = true;
         Election election = start();
-        sim.run(S);
+        eventLoop.run(SECOND_MICROS);
         assertTrue(election.isLeader());
         assertEquals(2, terms.get(terms.size() - 1));
-        sim.run(30 * S);
+        eventLoop.run(30 * SECOND_MICROS);
         assertTrue(election.isLeader());
         assertEquals(2, terms.get(terms.size() - 1));
     }
