--- a/src/main/java/org/woadloom/node/ActionExecutor.java
+++ b/src/main/java/org/woadloom/node/ActionExecutor.java
@@ -13,18 +13,18 @@
 import org.woadloom.leader.RecordWriter;
 
 /**
- * Carries out the scheduler's actions in one term. Outcomes come back as events as long as the term
- * lasts.
+ * Carries out the scheduler's actions during one term. The outcomes of actions are added to the
+ * event queue as long as the term lasts.
  */
 final class ActionExecutor {
     private static final Logger LOG = LoggerFactory.getLogger(ActionExecutor.class);
 
-    /** The parts of a leader that carry out actions; they outlast the term. */
-    record Targets(
+    /** The components that carry out actions. They are shared by all terms of this node. */
+    record Handlers(
             PendingAnswers pendingAnswers,
             AgentClient agents,
             CloudClient cloud,
-            RecordReads recordReads,
+            ReadActions readActions,
             RolloutActions rolloutActions,
             BiConsumer<String, LeaseDelegation> sendDelegation,
             Consumer<String> stepDown) {}
@@ -32,55 +32,55 @@
     private final LeadershipTerm term;
     private final EventQueue queue;
     private final RecordWriter writer;
-    private final RecordWrites recordWrites;
-    private final Targets targets;
+    private final WriteActions writeActions;
+    private final Handlers handlers;
 
     ActionExecutor(
             LeadershipTerm term,
             EventQueue queue,
             RecordWriter writer,
-            RecordWrites recordWrites,
-            Targets targets) {
+            WriteActions writeActions,
+            Handlers handlers) {
         this.term = term;
         this.queue = queue;
         this.writer = writer;
-        this.recordWrites = recordWrites;
-        this.targets = targets;
+        this.writeActions = writeActions;
+        this.handlers = handlers;
     }
 
     void execute(SchedulerAction action) {
         if (action instanceof SchedulerAction.AnswerHeartbeat answer) {
-            targets.pendingAnswers.answer(answer);
+            handlers.pendingAnswers.answer(answer);
         } else if (action instanceof SchedulerAction.RejectHeartbeat rejection) {
-            targets.pendingAnswers.reject(rejection.requestId());
+            handlers.pendingAnswers.reject(rejection.requestId());
         } else if (action instanceof SchedulerAction.SendDirectCommand command) {
-            targets.agents.send(command, this::add);
+            handlers.agents.send(command, this::addIfActive);
         } else if (action instanceof SchedulerAction.WriteJob write) {
-            recordWrites.writeJob(write);
+            writeActions.writeJob(write);
         } else if (action instanceof SchedulerAction.WriteFinalState write) {
-            recordWrites.writeFinalState(write);
+            writeActions.writeFinalState(write);
         } else if (action instanceof SchedulerAction.ReadJob read) {
-            targets.recordReads.readJob(term, read.jobId());
+            handlers.readActions.readJob(term, read.jobId());
         } else if (action instanceof SchedulerAction.ResolveDependency dependency) {
-            targets.recordReads.resolveDependency(term, dependency.jobId());
+            handlers.readActions.resolveDependency(term, dependency.jobId());
         } else if (action instanceof SchedulerAction.WriteMachine write) {
-            recordWrites.writeMachine(write);
+            writeActions.writeMachine(write);
         } else if (action instanceof SchedulerAction.DeleteMachineRecord delete) {
-            recordWrites.deleteMachine(delete);
+            writeActions.deleteMachine(delete);
         } else if (action instanceof SchedulerAction.ReadMachine read) {
-            targets.recordReads.readMachine(term, read.host());
+            handlers.readActions.readMachine(term, read.host());
         } else if (action instanceof SchedulerAction.RentMachines rent) {
             rentMachines(rent);
         } else if (action instanceof SchedulerAction.DeleteMachines delete) {
             deleteMachines(delete);
         } else if (action instanceof SchedulerAction.WriteRollout write) {
-            targets.rolloutActions.write(write, writer, this::add);
+            handlers.rolloutActions.write(write, writer, this::addIfActive);
         } else if (action instanceof SchedulerAction.CountRecords count) {
-            targets.rolloutActions.countRecords(count, this::add);
+            handlers.rolloutActions.countRecords(count, this::addIfActive);
         } else if (action instanceof SchedulerAction.DelegateLeases delegate) {
-            targets.sendDelegation.accept(delegate.node(), delegate.delegation());
+            handlers.sendDelegation.accept(delegate.node(), delegate.delegation());
         } else if (action instanceof SchedulerAction.StepDown stepDown) {
-            targets.stepDown.accept(stepDown.reason());
+            handlers.stepDown.accept(stepDown.reason());
         } else if (action instanceof SchedulerAction.Log log) {
             log(log.entry());
         }
@@ -91,25 +91,27 @@
         writer.flush();
     }
 
-    private void add(SchedulerEvent event) {
+    private void addIfActive(SchedulerEvent event) {
         if (term.isActive()) {
             queue.add(event);
         }
     }
 
     private void rentMachines(SchedulerAction.RentMachines rent) {
-        targets.cloud.rent(
+        handlers.cloud.rent(
                 rent,
                 (outcome, hosts) ->
-                        add(
+                        addIfActive(
                                 new SchedulerEvent.ScaleOutCompleted(
                                         rent.requestName(), outcome, hosts)));
     }
 
     private void deleteMachines(SchedulerAction.DeleteMachines delete) {
-        targets.cloud.delete(
+        handlers.cloud.delete(
                 delete.hosts(),
-                done -> add(new SchedulerEvent.MachineDeletionCompleted(delete.hosts(), done)));
+                done ->
+                        addIfActive(
+                                new SchedulerEvent.MachineDeletionCompleted(delete.hosts(), done)));
     }
 
     private static void log(LogEntry entry) {
--- a/src/main/java/org/woadloom/node/AgreedVersion.java
+++ b/src/main/java/org/woadloom/node/AgreedVersion.java
@@ -12,27 +12,30 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * The version that the nodes have agreed on, as releases 2 and 3 store it. They switch compact
- * records and delegation on by it, so this release follows it as well.
+ * The version that all nodes agreed on, as releases 2 and 3 store it. Those releases switch compact
+ * records and lease delegation on by it, so this release follows it as well.
  */
 final class AgreedVersion {
-    /** The version that releases 2 and 3 take this one for. */
-    static final long ANNOUNCED = 3;
+    /** The version that this release announces to releases 2 and 3. */
+    static final long ANNOUNCED_VERSION = 3;
 
-    /** The field of the stored values that holds a version. */
-    static final String FIELD = "version";
+    /**
+     * The field that holds the version, in the agreed version and in a node's announcement of it.
+     */
+    static final String VERSION_FIELD = "version";
 
-    private static final long FIRST = 1;
+    private static final long INITIAL_VERSION = 1;
     private static final long POLL_MICROS = 1_000_000;
 
     private final EventLoop loop;
     private final StoreClient store;
     private final Consumer<Feature> onFeatureOn;
-    private long version = FIRST;
+    private long version = INITIAL_VERSION;
     private long revision;
 
     /**
-     * @param onFeatureOn takes each feature that is on by the version, perhaps several times
+     * @param onFeatureOn called for each feature that the version switches on; may be called
+     *     repeatedly for the same feature
      */
     AgreedVersion(EventLoop loop, StoreClient store, Consumer<Feature> onFeatureOn) {
         this.loop = loop;
@@ -40,29 +43,29 @@
         this.onFeatureOn = onFeatureOn;
     }
 
-    /** The highest version that was read. */
+    /** The highest version that was read so far. */
     long version() {
         return version;
     }
 
-    /** The revision of the stored version, 0 while none was read. */
+    /** The store revision of the agreed version, 0 until it was read. */
     long revision() {
         return revision;
     }
 
-    /** Reads the version now and then, for good. */
+    /** Reads the version every second until the process ends. */
     void poll() {
         read(RequestPriority.NORMAL, known -> {});
         loop.schedule(POLL_MICROS, this::poll);
     }
 
     /**
-     * Reads the version unless it can't rise any more.
+     * Reads the version, unless the highest version that this release knows was read already.
      *
-     * @param done is told whether the store has answered
+     * @param done receives whether the store has answered
      */
     void read(RequestPriority priority, Consumer<Boolean> done) {
-        if (version >= ANNOUNCED) {
+        if (version >= ANNOUNCED_VERSION) {
             done.accept(true);
             return;
         }
@@ -80,7 +83,7 @@
 
     private void update(Entry entry) {
         try {
-            version = Math.max(version, new Fields(entry.value()).integer(FIELD));
+            version = Math.max(version, new Fields(entry.value()).integer(VERSION_FIELD));
             revision = entry.revision();
         } catch (MalformedMessageException e) {
             UnreadableRecords.log(entry.path(), e);
--- a/src/main/java/org/woadloom/node/CancellationConfirmer.java
+++ b/src/main/java/org/woadloom/node/CancellationConfirmer.java
@@ -20,32 +20,34 @@
 import org.woadloom.settings.ServiceSettings;
 
 /**
- * Confirms cancellations to users once the leader has them, or once no leader relies on a promise
- * of this node. In return a leader goes on without the store as long as all nodes send watermark
- * reports of what they have confirmed. Belongs to the event loop.
+ * Confirms cancellations to users once the leader knows of them, or once no leader relies on a
+ * promise of this node any longer. A promise says that this node confirms no cancellation that the
+ * leader lacks; nodes send it with their watermark reports of confirmed cancellations. In return a
+ * leader continues without the store as long as all nodes send these reports. Confined to the event
+ * loop.
  */
 final class CancellationConfirmer implements JobApi.Confirmation {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationConfirmer.class);
-    private static final long RELEASE_INTERVAL_MICROS = 50_000;
+    private static final long ANSWER_CHECK_INTERVAL_MICROS = 50_000;
 
     /**
-     * While a user waits a report is sent to the leader so often: it may have been loading, or the
-     * one before got lost.
+     * How often a report is sent while a user waits: the leader may have been loading its state, or
+     * the previous report may have been lost.
      */
     private static final long REPORT_RETRY_MICROS = 200_000;
 
     private static final long LOG_INTERVAL_MICROS = 10_000_000;
 
     /**
-     * A leader that the store serves may be this far behind by its watch alone, so none suspends
-     * lease renewal sooner: not even where a cancelled task may stay for little longer than a
-     * lease, which then asks for more than any leader can do.
+     * The minimum lag at which a leader suspends lease renewal: the watch alone may delay a leader
+     * that the store serves by this much. The minimum also holds where the settings let a cancelled
+     * task run for little longer than a lease, which is more than any leader can guarantee.
      */
     private static final long MIN_TOLERATED_LAG_MICROS = 5_000_000;
 
-    /** Sends reports to the leader, and knows whether it can be reached. */
-    interface Carrier {
-        /** The leader where messages reach it, this node perhaps; null otherwise. */
+    /** Sends reports and acknowledgements to peers, and knows whether the leader can be reached. */
+    interface PeerChannel {
+        /** The label of the leader, possibly this node, or null if messages can't reach it. */
         String reachableLeader();
 
         long term();
@@ -54,13 +56,13 @@
 
         void sendAck(String node, WatermarkAck ack);
 
-        /** For how long the store has not served this node. */
+        /** How long the store has not answered this node; 0 while its requests succeed. */
         long storeSilentMicros();
     }
 
-    /** What a leader knows by itself. */
-    interface View {
-        /** True once it has read the records. */
+    /** The state of this node while it leads. */
+    interface LeaderState {
+        /** True once the stored records are loaded. */
         boolean isReady();
 
         long cancellationsReadUpToMicros();
@@ -72,28 +74,34 @@
     private final String self;
     private final List<String> nodes = new ArrayList<>();
     private final long maxLagMicros;
-    private final Carrier carrier;
-    private final View view;
+    private final PeerChannel peerChannel;
+    private final LeaderState leaderState;
     private final ConfirmedCancellations confirmed;
 
-    /** The users who wait, in order of arrival, and the job of each. */
-    private final Map<Waiting, String> waiting = new LinkedHashMap<>();
+    /**
+     * The users who wait for a confirmation, in order of arrival, and the job that each cancelled.
+     */
+    private final Map<PendingConfirmation, String> pending = new LinkedHashMap<>();
 
     private CancellationWatermark watermark;
     private boolean reportsEnabled;
-    private boolean releaseScheduled;
+    private boolean answerCheckScheduled;
     private boolean reportScheduled;
     private long lastReportMicros = Long.MIN_VALUE / 2;
-    private long malformed;
-    private long suspensionLoggedMicros = Long.MIN_VALUE / 2;
+    private long malformedReports;
+    private long lastSuspensionLogMicros = Long.MIN_VALUE / 2;
 
-    private record Waiting(long untilMicros, Consumer<Boolean> answer) {}
+    private record PendingConfirmation(long deadlineMicros, Consumer<Boolean> answer) {}
 
     CancellationConfirmer(
-            EventLoop loop, ServiceSettings settings, Random random, Carrier carrier, View view) {
+            EventLoop loop,
+            ServiceSettings settings,
+            Random random,
+            PeerChannel peerChannel,
+            LeaderState leaderState) {
         this.loop = loop;
-        this.carrier = carrier;
-        this.view = view;
+        this.peerChannel = peerChannel;
+        this.leaderState = leaderState;
         self = settings.label();
         List<String> peers = settings.peers().stream().map(Peer::label).toList();
         nodes.add(self);
@@ -108,69 +116,68 @@
         confirmed = new ConfirmedCancellations(random.nextLong(), peers, loop.nowMicros());
     }
 
-    /**
-     * The feature of watermark reports has been switched on or off; promises that were given hold
-     * all the same.
-     */
-    void setEnabled(boolean agreed) {
-        reportsEnabled = agreed;
+    /** Switches watermark reports on or off. Promises that were given before remain valid. */
+    void setEnabled(boolean enabled) {
+        reportsEnabled = enabled;
     }
 
-    /** The feature is known to have been off: the process before this one made no promises. */
+    /**
+     * The feature is known to have been off so far, so the previous process of this node made no
+     * promises.
+     */
     void onNeverEnabled() {
         confirmed.forgetPredecessorPromises();
     }
 
-    // Towards users.
+    // Confirmations to users.
 
     @Override
-    public void confirm(String jobId, long patienceMicros, Consumer<Boolean> answer) {
+    public void confirm(String jobId, long timeoutMicros, Consumer<Boolean> answer) {
         long now = loop.nowMicros();
         confirmed.add(jobId, now);
         if (confirmed.tryConfirm(jobId, now)) {
             answer.accept(true);
             return;
         }
-        waiting.put(new Waiting(now + patienceMicros, answer), jobId);
+        pending.put(new PendingConfirmation(now + timeoutMicros, answer), jobId);
         scheduleReport();
-        scheduleRelease();
+        scheduleAnswerCheck();
     }
 
-    private void scheduleRelease() {
-        if (!releaseScheduled && !waiting.isEmpty()) {
-            releaseScheduled = true;
+    private void scheduleAnswerCheck() {
+        if (!answerCheckScheduled && !pending.isEmpty()) {
+            answerCheckScheduled = true;
             loop.schedule(
-                    RELEASE_INTERVAL_MICROS,
+                    ANSWER_CHECK_INTERVAL_MICROS,
                     () -> {
-                        releaseScheduled = false;
-                        release();
-                        if (!waiting.isEmpty()
+                        answerCheckScheduled = false;
+                        answerUsers();
+                        if (!pending.isEmpty()
                                 && loop.nowMicros() - lastReportMicros >= REPORT_RETRY_MICROS) {
                             sendReport();
                         }
-                        scheduleRelease();
+                        scheduleAnswerCheck();
                     });
         }
     }
 
-    private void release() {
+    private void answerUsers() {
         long now = loop.nowMicros();
-        for (Map.Entry<Waiting, String> entry : List.copyOf(waiting.entrySet())) {
-            Waiting user = entry.getKey();
+        for (Map.Entry<PendingConfirmation, String> entry : List.copyOf(pending.entrySet())) {
+            PendingConfirmation user = entry.getKey();
             boolean confirmable = confirmed.tryConfirm(entry.getValue(), now);
-            if (confirmable || now >= user.untilMicros) {
-                waiting.remove(user);
+            if (confirmable || now >= user.deadlineMicros) {
+                pending.remove(user);
                 user.answer.accept(confirmable);
             }
         }
     }
 
-    /** How many users wait for the confirmation of a cancellation. */
-    int waiting() {
-        return waiting.size();
+    int waitingUsers() {
+        return pending.size();
     }
 
-    // Towards the leader.
+    // Reports to the leader.
 
     private void scheduleReport() {
         if (!reportScheduled) {
@@ -183,36 +190,40 @@
         }
     }
 
-    /** Sends a report of what was confirmed, with a promise for a while; called all the time. */
+    /**
+     * Sends the leader a report of the confirmed cancellations, with a promise for a limited time.
+     * Called periodically.
+     */
     void sendReport() {
-        String leader = carrier.reachableLeader();
-        if (!reportsEnabled || leader == null || (leader.equals(self) && !view.isReady())) {
+        String leader = peerChannel.reachableLeader();
+        if (!reportsEnabled || leader == null || (leader.equals(self) && !leaderState.isReady())) {
             return;
         }
         long now = loop.nowMicros();
         lastReportMicros = now;
         WatermarkReport report =
-                confirmed.nextReport(leader, carrier.term(), carrier.storeSilentMicros(), now);
+                confirmed.nextReport(
+                        leader, peerChannel.term(), peerChannel.storeSilentMicros(), now);
         if (report == null) {
             return;
         }
         if (leader.equals(self)) {
             onReport(self, report);
         } else {
-            carrier.sendReport(leader, report);
+            peerChannel.sendReport(leader, report);
         }
     }
 
     void onAck(WatermarkAck ack) {
         confirmed.onAck(ack);
-        release();
+        answerUsers();
     }
 
     void onPeerTerm(String peer, long term, boolean leads) {
         confirmed.onPeerTerm(peer, term, leads);
     }
 
-    // While this node leads.
+    // Reports from all nodes, while this node leads.
 
     void startTerm(long term) {
         watermark = new CancellationWatermark(term, nodes);
@@ -225,67 +236,69 @@
 
     void onReport(String node, WatermarkReport report) {
         long now = loop.nowMicros();
-        String flaw =
+        String error =
                 report.jobIds().stream().allMatch(JobDescription::isJobId)
                         ? CancellationWatermark.validationError(report, now)
-                        : "a name that is no job's";
-        if (flaw != null) {
-            malformed++;
-            LOG.warn("event=cancellation_report_invalid node={} error=\"{}\"", node, flaw);
+                        : "jobIds: expected only job ids";
+        if (error != null) {
+            malformedReports++;
+            LOG.warn("event=cancellation_report_invalid node={} error=\"{}\"", node, error);
             return;
         }
-        if (watermark == null || !view.isReady()) {
+        if (watermark == null || !leaderState.isReady()) {
             return;
         }
         WatermarkAck ack =
-                watermark.onReport(node, report, view.cancellationsReadUpToMicros(), now);
+                watermark.onReport(node, report, leaderState.cancellationsReadUpToMicros(), now);
         if (ack == null) {
             return;
         }
-        // Before any heartbeat that comes after this: the next answer to an agent stops these jobs.
+        // The scheduler must get these before any later heartbeat, so that the next answer to an
+        // agent stops the jobs.
         if (!report.jobIds().isEmpty()) {
-            view.onCancelled(report.jobIds());
+            leaderState.onCancelled(report.jobIds());
         }
         if (node.equals(self)) {
             onAck(ack);
         } else {
-            carrier.sendAck(node, ack);
+            peerChannel.sendAck(node, ack);
         }
     }
 
-    long malformed() {
-        return malformed;
+    long malformedReports() {
+        return malformedReports;
     }
 
     /**
-     * How long ago the moment is up to which this leader knows every cancellation that was
-     * confirmed; 0 while this node does not lead.
+     * The age of the cancellation watermark: this leader knows every cancellation that was
+     * confirmed before it. 0 while this node does not lead.
      */
     long lagMicros() {
-        return watermark == null || !view.isReady()
+        return watermark == null || !leaderState.isReady()
                 ? 0
                 : Math.max(
                         0,
                         loop.nowMicros()
-                                - watermark.watermarkMicros(view.cancellationsReadUpToMicros()));
+                                - watermark.watermarkMicros(
+                                        leaderState.cancellationsReadUpToMicros()));
     }
 
     /**
-     * Whether this leader must stop to renew leases, so that they expire in time: a user may have
-     * been told of a cancellation that the leader lacks.
+     * Whether this leader must stop renewing leases, so that they expire in time: a user may have
+     * been told of a cancellation that this leader lacks.
      */
-    boolean mustSuspendLeases() {
-        long behind = lagMicros();
-        if (behind <= maxLagMicros) {
+    boolean mustSuspendLeaseRenewal() {
+        long lag = lagMicros();
+        if (lag <= maxLagMicros) {
             return false;
         }
         long now = loop.nowMicros();
-        if (now - suspensionLoggedMicros > LOG_INTERVAL_MICROS) {
-            suspensionLoggedMicros = now;
+        if (now - lastSuspensionLogMicros > LOG_INTERVAL_MICROS) {
+            lastSuspensionLogMicros = now;
             LOG.warn(
                     "event=lease_renewal_suspended cancellations_behind_s={} missing_reports={}",
-                    behind / 1_000_000,
-                    watermark.laggards(view.cancellationsReadUpToMicros()));
+                    lag / 1_000_000,
+                    watermark.laggards(leaderState.cancellationsReadUpToMicros()));
         }
         return true;
     }
--- a/src/main/java/org/woadloom/node/CdsTrainingRun.java
+++ b/src/main/java/org/woadloom/node/CdsTrainingRun.java
@@ -13,11 +13,12 @@
 import org.woadloom.settings.ServiceSettingsFile;
 
 /**
- * Starts a node on loopback ports whose store and cloud are the node itself, asks it a few things
- * and returns. It is run only by the build, to find out which classes a start loads.
+ * Starts a node on loopback ports that is its own store and cloud, sends it a few requests and
+ * returns. Run only by the build, which records the classes that it loads for the class-data
+ * sharing (CDS) archive.
  */
 public final class CdsTrainingRun {
-    /** For so long the node runs, so that its timers load their classes as well. */
+    /** How long the node runs, so that its timers load their classes as well. */
     private static final long RUN_MILLIS = 1_500;
 
     private CdsTrainingRun() {}
@@ -25,14 +26,14 @@
     public static void run(Path file) throws Exception {
         ServiceSettings settings = onFreePorts(ServiceSettingsFile.read(file));
         Server.start(settings, OperatorSettings.defaults());
-        ask(settings, "GET", "/healthz", null);
-        ask(settings, "POST", "/v1/jobs", Cbor.encode(Map.of("uid", "j-1")));
-        ask(settings, "GET", "/v1/jobs/j-1", null);
-        ask(settings, "POST", "/v1/report", Cbor.encode(Map.of("host", "host-1")));
+        request(settings, "GET", "/healthz", null);
+        request(settings, "POST", "/v1/jobs", Cbor.encode(Map.of("uid", "j-1")));
+        request(settings, "GET", "/v1/jobs/j-1", null);
+        request(settings, "POST", "/v1/report", Cbor.encode(Map.of("host", "host-1")));
         Thread.sleep(RUN_MILLIS);
     }
 
-    /** Two builds may run on one machine at the same time. */
+    /** Picks free ports, because two builds may run on one machine at the same time. */
     private static ServiceSettings onFreePorts(ServiceSettings s) throws IOException {
         try (ServerSocket service = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 ServerSocket peer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -55,7 +56,7 @@
         }
     }
 
-    private static void ask(ServiceSettings settings, String method, String path, byte[] body)
+    private static void request(ServiceSettings settings, String method, String path, byte[] body)
             throws IOException {
         HttpURLConnection connection =
                 (HttpURLConnection)
--- a/src/main/java/org/woadloom/node/CloudPoller.java
+++ b/src/main/java/org/woadloom/node/CloudPoller.java
@@ -4,12 +4,15 @@
 import org.woadloom.core.SchedulerEvent;
 import org.woadloom.settings.ServiceSettings;
 
-/** Asks the cloud for machine types and rented machines while this node leads. */
+/** Polls the cloud for machine types and rented machines while this node leads. */
 final class CloudPoller {
     private static final long TYPES_INTERVAL_MICROS = 60_000_000;
     private static final long TYPES_RETRY_MICROS = 3_000_000;
 
-    /** The list is asked for no more often than this, however little it lags. */
+    /**
+     * The shortest interval between two lists. Otherwise the interval is half of the time by which
+     * the list may lag.
+     */
     private static final long MIN_LIST_INTERVAL_MICROS = 2_000_000;
 
     private final CloudClient cloud;
--- a/src/main/java/org/woadloom/node/CompressedList.java
+++ b/src/main/java/org/woadloom/node/CompressedList.java
@@ -14,21 +14,21 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * Lists as deflated CBOR in Base64: heartbeats repeat themselves, and a value in the store may be
- * small.
+ * Encodes lists as deflated CBOR in Base64. Heartbeats are repetitive and compress well, and the
+ * values of a store may be small.
  */
 final class CompressedList {
     private static final String ITEMS = "items";
 
     /**
-     * The largest list that is read, before compression: far more than any value holds, so that
-     * none fills the memory.
+     * The largest list that is read, in bytes before compression: far more than any stored value
+     * holds, but bounded so that no corrupt value can fill the memory.
      */
-    static final int MAX_BYTES = 512 * 1024;
+    static final int MAX_UNCOMPRESSED_BYTES = 512 * 1024;
 
     private CompressedList() {}
 
-    static String pack(List<Object> items) {
+    static String compress(List<Object> items) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (DeflaterOutputStream deflater = new DeflaterOutputStream(out)) {
             deflater.write(Cbor.encode(Map.of(ITEMS, items)));
@@ -38,14 +38,14 @@
         return Base64.getEncoder().withoutPadding().encodeToString(out.toByteArray());
     }
 
-    static List<?> unpack(String text) throws MalformedMessageException {
+    static List<?> decompress(String text) throws MalformedMessageException {
         try (InflaterInputStream in =
                 new InflaterInputStream(
                         new ByteArrayInputStream(Base64.getDecoder().decode(text)))) {
-            byte[] bytes = ByteStreams.limit(in, MAX_BYTES).readAllBytes();
+            byte[] bytes = ByteStreams.limit(in, MAX_UNCOMPRESSED_BYTES).readAllBytes();
             return new Fields(Cbor.decodeMap(bytes)).list(ITEMS);
         } catch (IOException | IllegalArgumentException e) {
-            throw new MalformedMessageException("letter: not a packed list");
+            throw new MalformedMessageException("expected a list as Base64 of deflated CBOR");
         }
     }
 }
--- a/src/main/java/org/woadloom/node/DeferredHeartbeats.java
+++ b/src/main/java/org/woadloom/node/DeferredHeartbeats.java
@@ -8,17 +8,17 @@
 import org.woadloom.net.EventLoop;
 
 /**
- * Heartbeats that arrived while there was no leader. They are routed once there is one; an agent
- * whose heartbeat waits in vain is sent to another node in time.
+ * Holds heartbeats that arrived while there was no leader, and routes them once there is one. If
+ * none is found in time, the agent is told to try another node.
  */
 final class DeferredHeartbeats {
     /** Less than the four seconds for which an agent waits for an answer. */
-    static final long WAIT_MICROS = 3_000_000;
+    static final long MAX_WAIT_MICROS = 3_000_000;
 
     private final EventLoop loop;
     private final int maxWaiting;
     private final Consumer<PendingHeartbeat> route;
-    private long refused;
+    private long refusedHeartbeats;
     private final Set<Entry> waiting = new LinkedHashSet<>();
 
     /** Compared by identity: two heartbeats may have the same content. */
@@ -36,15 +36,17 @@
         this.route = route;
     }
 
-    /** Keeps a heartbeat, or sends its agent elsewhere at once where too many wait. */
+    /**
+     * Holds a heartbeat, or tells its agent to try another node at once if too many are waiting.
+     */
     void defer(PendingHeartbeat heartbeat) {
-        long remainingMicros = heartbeat.untilMicros() - loop.nowMicros();
+        long remainingMicros = heartbeat.deadlineMicros() - loop.nowMicros();
         boolean isFull = waiting.size() >= maxWaiting;
         if (isFull) {
-            refused++;
+            refusedHeartbeats++;
         }
         if (remainingMicros <= 0 || isFull) {
-            sendElsewhere(heartbeat);
+            answerWrongNode(heartbeat);
             return;
         }
         Entry entry = new Entry(heartbeat);
@@ -53,21 +55,21 @@
                 remainingMicros,
                 () -> {
                     if (waiting.remove(entry)) {
-                        sendElsewhere(heartbeat);
+                        answerWrongNode(heartbeat);
                     }
                 });
     }
 
-    private static void sendElsewhere(PendingHeartbeat heartbeat) {
+    private static void answerWrongNode(PendingHeartbeat heartbeat) {
         heartbeat.answer().accept(HeartbeatResponses.wrongNode());
     }
 
-    /** Heartbeats that were sent back because too many waited, since the process started. */
-    long refused() {
-        return refused;
+    /** Heartbeats that were sent back because too many were waiting, since the process started. */
+    long refusedHeartbeats() {
+        return refusedHeartbeats;
     }
 
-    /** Routes all that wait. */
+    /** Routes all waiting heartbeats. */
     void releaseAll() {
         List<Entry> released = new ArrayList<>(waiting);
         waiting.clear();
--- a/src/main/java/org/woadloom/node/DelegatedLeaseRenewer.java
+++ b/src/main/java/org/woadloom/node/DelegatedLeaseRenewer.java
@@ -17,24 +17,24 @@
 import org.woadloom.settings.ServiceSettings;
 
 /**
- * Renews the leases of agents in the leader's place while this node is cut off together with them.
- * Belongs to the event loop.
+ * Renews the leases of agents on behalf of the leader while this node is partitioned from the
+ * leader together with them. Confined to the event loop.
  */
 final class DelegatedLeaseRenewer {
     private static final Logger LOG = LoggerFactory.getLogger(DelegatedLeaseRenewer.class);
 
-    /** A peer's status counts as its present one for so long: some three pings. */
+    /** How long a peer's status counts as current: about three pings. */
     private static final long STATUS_VALID_MICROS = 2_500_000;
 
     private final EventLoop loop;
     private final DelegationTimeouts timeouts;
     private final LeaseDelegate delegate;
 
-    /** The other nodes' latest status, by their labels. */
+    /** The latest status of each peer, by its label. */
     private final Map<String, ReceivedStatus> peerStatuses = new HashMap<>();
 
-    /** The tokens that agents had when this node started to renew their leases. */
-    private final Map<String, Long> tokens = new HashMap<>();
+    /** Each agent's fencing token when this node started to renew its lease, by host. */
+    private final Map<String, Long> initialTokens = new HashMap<>();
 
     private boolean enabled;
     private long lastLoggedMicros = Long.MIN_VALUE / 2;
@@ -50,7 +50,7 @@
                 new LeaseDelegate(timeouts, settings.zone(), random.nextLong(), loop.nowMicros());
     }
 
-    /** Every node runs a version that knows of delegation, and the operators want it. */
+    /** Called once every node supports delegation and the operator settings enable it. */
     void enable() {
         enabled = true;
     }
@@ -83,27 +83,31 @@
         delegate.onDelegation(delegation);
     }
 
-    /** True while this node has lost the leader and the store, and its delegation lasts. */
+    /**
+     * True while this node has contact with neither the leader nor the store, and its delegation is
+     * valid.
+     */
     boolean mayRenew() {
         return enabled && delegate.mayRenew(loop.nowMicros());
     }
 
     /**
-     * The answer to a heartbeat that finds no leader: the agent's own token and no commands; null
-     * where this node may not renew the lease.
+     * Answers a heartbeat that can't be sent to a leader: renews the lease under the agent's own
+     * token, without commands. Returns null if this node may not renew the lease.
      */
-    Response answer(byte[] body) {
+    Response tryRenew(byte[] body) {
         long now = loop.nowMicros();
         if (!mayRenew()) {
-            tokens.clear();
+            initialTokens.clear();
             return null;
         }
         try {
             Heartbeat heartbeat = Heartbeat.read(body);
             long fencingToken = heartbeat.fencingToken();
-            Long before = tokens.putIfAbsent(heartbeat.host(), fencingToken);
-            if (before != null && fencingToken > before) {
-                // The leader reaches this agent, so it is this node alone that is cut off.
+            Long initialToken = initialTokens.putIfAbsent(heartbeat.host(), fencingToken);
+            if (initialToken != null && fencingToken > initialToken) {
+                // The higher token shows that the leader reaches this agent, so only this node is
+                // partitioned.
                 return null;
             }
             if (!delegate.tryRenew(
@@ -120,8 +124,8 @@
         }
     }
 
-    /** True if a peer has reported just now that the store serves it. */
-    boolean arePeersServed() {
+    /** True if a peer reported within the last pings that the store answers it. */
+    boolean isAnyPeerServedByStore() {
         long now = loop.nowMicros();
         return peerStatuses.values().stream()
                 .anyMatch(
--- a/src/main/java/org/woadloom/node/EventQueue.java
+++ b/src/main/java/org/woadloom/node/EventQueue.java
@@ -13,10 +13,10 @@
 import org.woadloom.net.EventLoop;
 
 /**
- * The queue in front of the scheduler: whatever has gathered by the time the scheduler gets its
- * turn is one batch. The scheduler then pauses for a multiple of what the batch took, so that under
- * load the batches grow and sockets are still served. Events may be added from any thread; batches
- * are taken on the event loop.
+ * The queue of the scheduler's events. All events that have accumulated by the time the scheduler
+ * runs form one batch. The scheduler then pauses for a multiple of the time that the batch took, so
+ * that under load the batches grow and sockets are still served. Events may be added from any
+ * thread; batches are processed on the event loop.
  */
 public final class EventQueue {
     private static final long MIN_PAUSE_MICROS = 8_000;
@@ -34,22 +34,23 @@
     private final ManyToOneConcurrentLinkedQueue<SchedulerEvent> queue =
             new ManyToOneConcurrentLinkedQueue<>();
     private final AtomicInteger queuedHeartbeats = new AtomicInteger();
-    private final AtomicLong refused = new AtomicLong();
+    private final AtomicLong refusedHeartbeats = new AtomicLong();
     private final AtomicBoolean drainScheduled = new AtomicBoolean();
 
-    /** The next batch is not taken before this time; at first long before any time of the loop. */
-    private volatile long notBeforeMicros = Long.MIN_VALUE / 2;
+    /** The earliest time of the next batch; initially earlier than any time of the loop. */
+    private volatile long nextBatchMicros = Long.MIN_VALUE / 2;
 
     /** Carries out the scheduler's actions. */
     public interface ActionHandler {
-        /** Called on the event loop after each batch, also without any action. */
+        /** Called on the event loop after each batch, even if it led to no actions. */
         void onActions(List<SchedulerAction> actions);
     }
 
     /**
      * Creates a queue without an observer.
      *
-     * @param maxHeartbeats how many heartbeats may wait; their agents repeat them by themselves
+     * @param maxHeartbeats how many heartbeats may be queued; an agent whose heartbeat is refused
+     *     sends another
      */
     public EventQueue(
             EventLoop loop,
@@ -60,7 +61,7 @@
         this(loop, scheduler, metrics, maxHeartbeats, actionHandler, StepObserver.NONE);
     }
 
-    /** The same, with an observer of each step. */
+    /** Creates a queue with an observer of each step. */
     EventQueue(
             EventLoop loop,
             Scheduler scheduler,
@@ -77,36 +78,38 @@
     }
 
     /**
-     * Adds an event that must not get lost: the outcome of something that was asked for. What is
-     * under way bounds their number.
+     * Adds an event that must not be lost, such as the outcome of a request. The number of such
+     * events is bounded by the number of requests in flight.
      */
     public void add(SchedulerEvent event) {
         queue.add(event);
-        wake();
+        scheduleDrain();
     }
 
     /**
-     * Adds a heartbeat, which its agent repeats; returns false if too many wait, and it is dropped
-     * then.
+     * Adds a heartbeat unless too many are queued. A heartbeat may be dropped because its agent
+     * sends another.
+     *
+     * @return false if the heartbeat was dropped
      */
     public boolean offer(SchedulerEvent.HeartbeatReceived heartbeat) {
         if (queuedHeartbeats.incrementAndGet() > maxHeartbeats) {
             queuedHeartbeats.decrementAndGet();
-            refused.incrementAndGet();
+            refusedHeartbeats.incrementAndGet();
             return false;
         }
         add(heartbeat);
         return true;
     }
 
-    /** Heartbeats that were refused because too many waited, since the process started. */
+    /** Heartbeats that were dropped because too many were queued, since the process started. */
     long refusedHeartbeats() {
-        return refused.get();
+        return refusedHeartbeats.get();
     }
 
-    private void wake() {
+    private void scheduleDrain() {
         if (drainScheduled.compareAndSet(false, true)) {
-            long waitMicros = notBeforeMicros - loop.nowMicros();
+            long waitMicros = nextBatchMicros - loop.nowMicros();
             if (waitMicros > 0) {
                 loop.schedule(waitMicros, this::drain);
             } else {
@@ -124,10 +127,10 @@
         actions.forEach(metrics::onAction);
         actionHandler.onActions(actions);
         long endMicros = loop.nowMicros();
-        notBeforeMicros = endMicros + pauseMicros(endMicros - startMicros);
+        nextBatchMicros = endMicros + pauseMicros(endMicros - startMicros);
         drainScheduled.set(false);
         if (!queue.isEmpty()) {
-            wake();
+            scheduleDrain();
         }
     }
 
--- a/src/main/java/org/woadloom/node/FleetSizeEstimate.java
+++ b/src/main/java/org/woadloom/node/FleetSizeEstimate.java
@@ -4,25 +4,32 @@
 import org.woadloom.settings.ServiceSettings;
 
 /**
- * Roughly how many machines a set of settings can carry: the leader decides every heartbeat, and
- * the nodes share the connections.
+ * Estimates how many machines a cluster with the given settings can manage. It is limited by the
+ * leader's processor, as the leader decides every heartbeat, and by the connections, which the
+ * nodes share.
  *
- * @param maxAgentsBySockets how many agents can be connected beside users while one node is missing
- * @param maxAgentsByCpu for how many agents heartbeats can be decided in time
+ * @param maxAgentsBySockets how many agents can be connected, in addition to users, while one node
+ *     is down
+ * @param maxAgentsByCpu for how many agents the leader can decide heartbeats in time
  */
 public record FleetSizeEstimate(int maxAgentsBySockets, int maxAgentsByCpu) {
     /**
-     * What a heartbeat costs the leader with all that follows from it; see "How cost grows" in
-     * docs/assessment.md.
+     * The leader's processor time for one heartbeat and all work that follows from it; see "How
+     * cost grows" in docs/assessment.md.
      */
-    private static final double HEARTBEAT_SECONDS = 0.0005;
+    private static final double CPU_SECONDS_PER_HEARTBEAT = 0.0005;
 
-    /** What is kept for takeovers, bursts and failures of many machines at a time. */
-    private static final double SPARE_PART = 0.5;
+    /**
+     * The share of the processor that is reserved for takeovers, bursts and failures of many
+     * machines at a time.
+     */
+    private static final double RESERVED_CPU_SHARE = 0.5;
 
     public static FleetSizeEstimate of(ServiceSettings settings) {
         double heartbeatsPerSecond =
-                settings.resources().cpuShare() * (1 - SPARE_PART) / HEARTBEAT_SECONDS;
+                settings.resources().cpuShare()
+                        * (1 - RESERVED_CPU_SHARE)
+                        / CPU_SECONDS_PER_HEARTBEAT;
         return new FleetSizeEstimate(
                 SocketBudget.of(settings).agents() * Math.max(1, settings.peers().size()),
                 (int) (heartbeatsPerSecond * settings.agents().heartbeatMicros() / 1e6));
--- a/src/main/java/org/woadloom/node/ForwardedHeartbeats.java
+++ b/src/main/java/org/woadloom/node/ForwardedHeartbeats.java
@@ -8,7 +8,7 @@
 import org.woadloom.peer.PeerMessage;
 import org.woadloom.peer.PeerTransport;
 
-/** Heartbeats that this node has forwarded to the leader and that wait for its answer. */
+/** Forwards heartbeats to the leader and keeps track of those that it has not answered yet. */
 final class ForwardedHeartbeats {
     /** Less than the four seconds for which an agent waits for an answer. */
     private static final long ANSWER_TIMEOUT_MICROS = 3_500_000;
@@ -17,18 +17,18 @@
     private final PeerTransport transport;
     private final Map<Long, Consumer<Response>> answersById = new HashMap<>();
     private long lastId;
-    private long refused;
+    private long refusedHeartbeats;
 
     ForwardedHeartbeats(EventLoop loop, PeerTransport transport) {
         this.loop = loop;
         this.transport = transport;
     }
 
-    /** Has the leader decide a heartbeat; the answer is 503 if none comes in time. */
+    /** Has the leader decide a heartbeat; answers 503 if the leader does not answer in time. */
     void forward(String leader, byte[] heartbeat, Consumer<Response> answer) {
         if (!transport.accepts(leader)) {
-            refused++;
-            answer.accept(Response.unavailable("too much waits for the leader"));
+            refusedHeartbeats++;
+            answer.accept(Response.unavailable("the send queue to the leader is full"));
             return;
         }
         long id = ++lastId;
@@ -39,7 +39,8 @@
                 () -> {
                     Consumer<Response> unanswered = answersById.remove(id);
                     if (unanswered != null) {
-                        unanswered.accept(Response.unavailable("the leader does not answer"));
+                        unanswered.accept(
+                                Response.unavailable("the leader did not answer in time"));
                     }
                 });
     }
@@ -51,8 +52,11 @@
         }
     }
 
-    /** Heartbeats that were refused because too much waited for the leader. */
-    long refused() {
-        return refused;
+    /**
+     * Heartbeats that were refused because the send queue to the leader was full, since the process
+     * started.
+     */
+    long refusedHeartbeats() {
+        return refusedHeartbeats;
     }
 }
--- a/src/main/java/org/woadloom/node/HeartbeatResponses.java
+++ b/src/main/java/org/woadloom/node/HeartbeatResponses.java
@@ -7,11 +7,11 @@
 import org.woadloom.core.SchedulerAction;
 import org.woadloom.http.Response;
 
-/** The answers to an agent's heartbeat, as they go over HTTP. */
+/** Builds the HTTP responses to an agent's heartbeat. */
 final class HeartbeatResponses {
     private static final int OK = 200;
 
-    /** The agent has to turn to another node. */
+    /** Tells the agent to send its heartbeat to another node. */
     private static final int MISDIRECTED_REQUEST = 421;
 
     private static final int SERVICE_UNAVAILABLE = 503;
@@ -21,12 +21,12 @@
 
     private HeartbeatResponses() {}
 
-    /** The scheduler's decision: the lease is renewed under its token. */
+    /** Renews the lease under the token that the scheduler decided, with its commands. */
     static Response decided(SchedulerAction.AnswerHeartbeat answer) {
         return renewed(answer.fencingToken(), AgentClient.orders(answer.commands()));
     }
 
-    /** The lease is renewed under the agent's own token, and nothing is to be done. */
+    /** Renews the lease under the agent's own token, without commands. */
     static Response renewed(long fencingToken) {
         return renewed(fencingToken, List.of());
     }
@@ -38,17 +38,19 @@
         return Response.of(OK, body);
     }
 
-    /** This node can't have the heartbeat decided; the agent tries the others. */
+    /** This node can't get a decision on the heartbeat; the agent tries other nodes. */
     static Response wrongNode() {
         return Response.of(MISDIRECTED_REQUEST, Map.of());
     }
 
-    /** The agent is to send its heartbeats to this node. */
+    /** Tells the agent to send its heartbeats to the target node. */
     static Response redirect(String target) {
         return Response.of(MISDIRECTED_REQUEST, Map.of(REDIRECT_TARGET, target));
     }
 
-    /** True for a response that does not renew the lease, as nobody who may was reached. */
+    /**
+     * True for a response that does not renew the lease because no node that may do so was reached.
+     */
     static boolean isUndecided(Response response) {
         return response.status() == MISDIRECTED_REQUEST || response.status() == SERVICE_UNAVAILABLE;
     }
--- a/src/main/java/org/woadloom/node/HeartbeatRouter.java
+++ b/src/main/java/org/woadloom/node/HeartbeatRouter.java
@@ -12,21 +12,22 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * Finds for each heartbeat who decides it. The leader does; another node redirects the agent to the
- * leader, forwards the heartbeat over the peer link, relays it through the store, or keeps it while
- * there is no leader. Belongs to the event loop.
+ * Routes each heartbeat to the leader, which decides it. A node that does not lead redirects the
+ * agent to the leader, forwards the heartbeat over the peer connection, relays it through the
+ * store, or holds it while there is no leader. Confined to the event loop.
  */
 final class HeartbeatRouter {
     /**
-     * After a full stop every agent sends its heartbeat within one interval while there is no
-     * leader yet: half more than the largest fleet of about 4,000 machines, as some repeat theirs.
-     * A heartbeat takes about a kilobyte.
+     * The maximum number of heartbeats that wait for a leader. After a shutdown of the whole
+     * cluster every agent sends its heartbeat within one interval, before there is a leader. The
+     * bound is half more than the largest fleet of about 4,000 machines, because some agents send
+     * theirs again. A heartbeat takes about a kilobyte.
      */
     static final int MAX_WAITING_HEARTBEATS = 6_000;
 
     /**
-     * A new leader reads hundreds of records with cold code; an agent waits four seconds for its
-     * answer.
+     * How long a heartbeat waits while a new leader loads its state: hundreds of records, with code
+     * that the JIT has not compiled yet. An agent waits four seconds for its answer.
      */
     private static final long LOADING_TIMEOUT_MICROS = 2_500_000;
 
@@ -39,16 +40,16 @@
     private final PeerTracker peers;
     private final StoreRelay storeRelay;
     private final DelegatedLeaseRenewer delegatedRenewer;
-    private final CancellationConfirmer confirmations;
-    private final LeaderActions leaderActions;
+    private final CancellationConfirmer cancellationConfirmer;
+    private final SchedulerDriver schedulerDriver;
     private final AgentConnectionBalancer connectionBalancer;
     private final BooleanSupplier isIsolated;
     private final DeferredHeartbeats deferred;
-    private final AgentVisits visits = new AgentVisits();
+    private final RedirectPolicy redirectPolicy = new RedirectPolicy();
 
     /**
-     * @param label of this node
-     * @param isIsolated whether the store is lost to this node alone
+     * @param label the label of this node
+     * @param isIsolated whether only this node has lost the store
      */
     HeartbeatRouter(
             EventLoop loop,
@@ -57,8 +58,8 @@
             PeerTracker peers,
             StoreRelay storeRelay,
             DelegatedLeaseRenewer delegatedRenewer,
-            CancellationConfirmer confirmations,
-            LeaderActions leaderActions,
+            CancellationConfirmer cancellationConfirmer,
+            SchedulerDriver schedulerDriver,
             AgentConnectionBalancer connectionBalancer,
             BooleanSupplier isIsolated) {
         this.loop = loop;
@@ -67,44 +68,50 @@
         this.peers = peers;
         this.storeRelay = storeRelay;
         this.delegatedRenewer = delegatedRenewer;
-        this.confirmations = confirmations;
-        this.leaderActions = leaderActions;
+        this.cancellationConfirmer = cancellationConfirmer;
+        this.schedulerDriver = schedulerDriver;
         this.connectionBalancer = connectionBalancer;
         this.isIsolated = isIsolated;
         deferred = new DeferredHeartbeats(loop, MAX_WAITING_HEARTBEATS, this::route);
     }
 
-    /** Heartbeats that were sent back because too many waited for a leader. */
-    long refused() {
-        return deferred.refused();
+    /**
+     * Heartbeats that were sent back because too many waited for a leader, since the process
+     * started.
+     */
+    long refusedHeartbeats() {
+        return deferred.refusedHeartbeats();
     }
 
-    /** Takes a heartbeat from an agent that is connected to this node. */
+    /** Handles a heartbeat of an agent that is connected to this node. */
     void onHeartbeat(byte[] body, Consumer<Response> answer) {
-        Consumer<Response> withDelegation = response -> answer.accept(renewed(body, response));
-        long untilMicros = loop.nowMicros() + DeferredHeartbeats.WAIT_MICROS;
-        route(new PendingHeartbeat(body, withDelegation, untilMicros));
+        Consumer<Response> withDelegation =
+                response -> answer.accept(orDelegatedRenewal(body, response));
+        long deadlineMicros = loop.nowMicros() + DeferredHeartbeats.MAX_WAIT_MICROS;
+        route(new PendingHeartbeat(body, withDelegation, deadlineMicros));
     }
 
     /**
-     * Whatever a heartbeat waited for in vain, leader and store may both be out of reach by now,
-     * and this node may renew the lease itself.
+     * Replaces an undecided response by a delegated renewal if this node may renew the lease: the
+     * leader and the store may have become unreachable while the heartbeat was waiting.
      */
-    private Response renewed(byte[] body, Response response) {
+    private Response orDelegatedRenewal(byte[] body, Response response) {
         if (!HeartbeatResponses.isUndecided(response)) {
             return response;
         }
-        Response delegated = delegatedRenewer.answer(body);
+        Response delegated = delegatedRenewer.tryRenew(body);
         return delegated == null ? response : delegated;
     }
 
-    /** Takes a heartbeat that another node forwarded or relayed to this one as the leader. */
+    /** Handles a heartbeat that another node forwarded or relayed to this node as the leader. */
     void onForwardedHeartbeat(byte[] body, Consumer<Response> answer) {
-        long untilMicros = loop.nowMicros() + LOADING_TIMEOUT_MICROS;
-        decide(new PendingHeartbeat(body, answer, untilMicros), false);
+        long deadlineMicros = loop.nowMicros() + LOADING_TIMEOUT_MICROS;
+        decide(new PendingHeartbeat(body, answer, deadlineMicros), false);
     }
 
-    /** Routes all heartbeats that wait anew: there is somewhere to go now. */
+    /**
+     * Routes all waiting heartbeats again, because a leader is known or this node may renew leases.
+     */
     void rerouteWaiting() {
         deferred.releaseAll();
         storeRelay.withdrawAll().forEach(this::route);
@@ -112,29 +119,31 @@
 
     private void route(PendingHeartbeat heartbeat) {
         if (election.isLeader()) {
-            long untilMicros = loop.nowMicros() + LOADING_TIMEOUT_MICROS;
-            decide(new PendingHeartbeat(heartbeat.body(), heartbeat.answer(), untilMicros), true);
+            long deadlineMicros = loop.nowMicros() + LOADING_TIMEOUT_MICROS;
+            decide(
+                    new PendingHeartbeat(heartbeat.body(), heartbeat.answer(), deadlineMicros),
+                    true);
             return;
         }
-        Response delegated = delegatedRenewer.answer(heartbeat.body());
+        Response delegated = delegatedRenewer.tryRenew(heartbeat.body());
         if (delegated != null) {
             heartbeat.answer().accept(delegated);
             return;
         }
-        Heartbeat content = readOrRefuse(heartbeat);
+        Heartbeat content = parseOrReject(heartbeat);
         if (content == null) {
             return;
         }
         String leader = election.leader();
-        if (leader == null || leader.equals(label) || peers.isGone(leader)) {
+        if (leader == null || leader.equals(label) || peers.hasLikelyStopped(leader)) {
             awaitLeader(heartbeat);
         } else {
             sendToLeader(leader, content.host(), heartbeat);
         }
     }
 
-    /** Null if the heartbeat can't be read; its agent has been told so then. */
-    private static Heartbeat readOrRefuse(PendingHeartbeat heartbeat) {
+    /** Parses a heartbeat. If it is malformed, answers its agent with 400 and returns null. */
+    private static Heartbeat parseOrReject(PendingHeartbeat heartbeat) {
         try {
             return Heartbeat.read(heartbeat.body());
         } catch (MalformedMessageException e) {
@@ -144,12 +153,12 @@
     }
 
     /**
-     * While there is no leader the heartbeat waits here: sent on, its agent would spend its lease
-     * on nodes that have ended or are cut off.
+     * Holds the heartbeat while there is no leader. If its agent were sent elsewhere, it would use
+     * up its lease on nodes that have stopped or are partitioned.
      */
     private void awaitLeader(PendingHeartbeat heartbeat) {
         if (isIsolated.getAsBoolean() && peers.reachablePeers().isEmpty()) {
-            // No news of a leader will come here; the others have some, or will have.
+            // This node can't learn of a leader; the other nodes can.
             heartbeat.answer().accept(HeartbeatResponses.wrongNode());
         } else {
             deferred.defer(heartbeat);
@@ -159,14 +168,14 @@
     private void sendToLeader(String leader, String host, PendingHeartbeat heartbeat) {
         long now = loop.nowMicros();
         boolean isLeaderReachable = peers.isReachable(leader);
-        AgentVisits.Kind visit = visits.kind(host, now);
-        if (!isLeaderReachable && (visit.isReturn() || !peers.isRefusing(leader))) {
-            // Silence means a partition, which the agent would only find out by waiting for most
-            // of its lease.
+        RedirectPolicy.Contact contact = redirectPolicy.classify(host, now);
+        if (!isLeaderReachable && (contact.hasReturned() || !peers.isRefusingConnections(leader))) {
+            // A leader that is silent rather than refusing connections is partitioned from this
+            // node. The agent would find that out only by waiting for most of its lease.
             storeRelay.relay(host, heartbeat);
             return;
         }
-        if (visits.mayForward(host, visit, isLeaderReachable, now)) {
+        if (redirectPolicy.shouldForward(host, contact, isLeaderReachable, now)) {
             peers.forward(leader, heartbeat.body(), heartbeat.answer());
         } else {
             heartbeat.answer().accept(HeartbeatResponses.redirect(leader));
@@ -178,10 +187,10 @@
      */
     private void decide(PendingHeartbeat heartbeat, boolean direct) {
         boolean isLeader = election.isLeader();
-        boolean isReady = leaderActions.isReady();
-        if (isLeader && !isReady && loop.nowMicros() < heartbeat.untilMicros()) {
-            // The records are being read; sent away now, the agent would be a second or more
-            // without its leader.
+        boolean isReady = schedulerDriver.isReady();
+        if (isLeader && !isReady && loop.nowMicros() < heartbeat.deadlineMicros()) {
+            // The leader is still loading its state. An agent that is sent away now would be
+            // without its leader for a second or more.
             loop.schedule(LOADING_POLL_MICROS, () -> decide(heartbeat, direct));
             return;
         }
@@ -189,13 +198,16 @@
             heartbeat.answer().accept(HeartbeatResponses.wrongNode());
             return;
         }
-        if (confirmations.mustSuspendLeases()) {
+        if (cancellationConfirmer.mustSuspendLeaseRenewal()) {
             heartbeat
                     .answer()
-                    .accept(Response.unavailable("cut off from the state service for too long"));
+                    .accept(
+                            Response.unavailable(
+                                    "the leader has been cut off from the state service for too"
+                                            + " long"));
             return;
         }
-        Heartbeat content = readOrRefuse(heartbeat);
+        Heartbeat content = parseOrReject(heartbeat);
         if (content == null) {
             return;
         }
@@ -204,7 +216,7 @@
             heartbeat.answer().accept(HeartbeatResponses.redirect(redirectTarget));
             return;
         }
-        leaderActions.onHeartbeat(content, callback(heartbeat.answer()));
+        schedulerDriver.onHeartbeat(content, callback(heartbeat.answer()));
     }
 
     private static PendingAnswers.Callback callback(Consumer<Response> answer) {
@@ -216,12 +228,12 @@
 
             @Override
             public void onRejected() {
-                answer.accept(Response.unavailable("not taken here"));
+                answer.accept(Response.unavailable("the leader could not accept the heartbeat"));
             }
         };
     }
 
-    /** The node to which an agent is to move from this one, or null if it may stay. */
+    /** The node that an agent should connect to instead of this one, or null if it may stay. */
     private String redirectTarget(Heartbeat heartbeat, boolean direct) {
         if (!direct) {
             connectionBalancer.onForwarded(heartbeat.host());
--- a/src/main/java/org/woadloom/node/IsolationDetector.java
+++ b/src/main/java/org/woadloom/node/IsolationDetector.java
@@ -3,16 +3,16 @@
 import org.woadloom.net.EventLoop;
 
 /**
- * Detects that the store is lost to this node alone while users reach it: it can't answer them, and
- * another node can. In an outage of the store no node can, and in a partitioned zone there are no
- * users. Belongs to the event loop.
+ * Detects that only this node has lost the store while users still reach it: it can't answer them,
+ * but another node can. This differs from an outage of the store, during which no node can answer,
+ * and from a partitioned zone, where there are no users. Confined to the event loop.
  */
 final class IsolationDetector {
-    /** A store that has failed for longer than this is not only slow. */
+    /** If requests to the store fail for longer than this, the store is lost rather than slow. */
     private static final long STORE_LOST_MICROS = 3_000_000;
 
-    /** For so long a request from outside shows that users reach this node. */
-    private static final long OUTSIDE_MICROS = 3_000_000;
+    /** How long a request from outside shows that users reach this node. */
+    private static final long OUTSIDE_REQUEST_VALID_MICROS = 3_000_000;
 
     private final EventLoop loop;
     private boolean storeFailing;
@@ -30,25 +30,26 @@
         storeFailing = !served;
     }
 
-    /** A user, or the load balancer's probe, has reached this node. */
+    /** A user or the load balancer's health check has reached this node. */
     void onOutsideRequest() {
         lastOutsideRequestMicros = loop.nowMicros();
     }
 
-    /** True from the first failure until the store serves this node once more. */
+    /** True from the first failed request until the store answers this node again. */
     boolean isStoreFailing() {
         return storeFailing;
     }
 
     /**
-     * @param peersServed a peer has reported that the store serves it
-     * @param peersReached any peer can be reached
+     * @param isAnyPeerServed whether a peer has reported that the store answers it
+     * @param isAnyPeerReachable whether any peer can be reached
      */
-    boolean isIsolated(boolean peersServed, boolean peersReached) {
+    boolean isIsolated(boolean isAnyPeerServed, boolean isAnyPeerReachable) {
         long now = loop.nowMicros();
         return storeFailing
                 && now - failingSinceMicros > STORE_LOST_MICROS
-                && (peersServed
-                        || (!peersReached && now - lastOutsideRequestMicros < OUTSIDE_MICROS));
+                && (isAnyPeerServed
+                        || (!isAnyPeerReachable
+                                && now - lastOutsideRequestMicros < OUTSIDE_REQUEST_VALID_MICROS));
     }
 }
--- a/src/main/java/org/woadloom/node/JobRecordReader.java
+++ b/src/main/java/org/woadloom/node/JobRecordReader.java
@@ -6,9 +6,13 @@
 import org.woadloom.store.JobRecord;
 import org.woadloom.store.StoreKeys;
 
-/** Turns stored jobs into the scheduler's events, and notes the format in which they are stored. */
+/**
+ * Parses stored jobs into scheduler events, and reports the record format of each to the rollout.
+ */
 final class JobRecordReader {
-    /** The stored field that tells of a cancellation even where the rest can't be read. */
+    /**
+     * The stored field that shows a cancellation even if the rest of the record can't be parsed.
+     */
     private static final String CANCELLED = "cancelled";
 
     private final RolloutParticipant rollout;
@@ -23,8 +27,8 @@
     }
 
     /**
-     * What the scheduler is told of a stored job: the record, or that it can't be read. A record
-     * that a later version wrote is left as it is; a damaged one is replaced.
+     * The scheduler event for a stored job: its record, or that it can't be parsed. The scheduler
+     * leaves a record alone that a later version wrote, and replaces a damaged one.
      */
     SchedulerEvent toEvent(String path, Map<String, Object> value, long revision) {
         try {
--- a/src/main/java/org/woadloom/node/JobWatcher.java
+++ b/src/main/java/org/woadloom/node/JobWatcher.java
@@ -7,11 +7,11 @@
 import org.woadloom.store.StoreClient.Result;
 import org.woadloom.store.StoreKeys;
 
-/** Follows the stored jobs while this node leads, for what other nodes write there. */
+/** Watches the stored jobs while this node leads, for changes that other nodes make. */
 final class JobWatcher {
     private static final long RETRY_MICROS = 300_000;
 
-    /** Short, as a lost answer hides cancellations until the watch is opened anew. */
+    /** Short, because a lost answer hides cancellations until the next watch request. */
     private static final long WATCH_TIMEOUT_MICROS = 4_000_000;
 
     private final EventLoop loop;
@@ -27,17 +27,17 @@
         this.jobRecords = jobRecords;
     }
 
-    /** Every cancellation that was made before this moment has been read. */
+    /** Every cancellation that was stored before this time has been read. */
     long cancellationsReadUpToMicros() {
         return cancellationsReadUpToMicros;
     }
 
-    /** All jobs have been listed by a request that was sent at this time. */
+    /** Called when all jobs have been listed by a request that was sent at this time. */
     void onJobsListed(long requestedMicros) {
         cancellationsReadUpToMicros = requestedMicros;
     }
 
-    /** Reports all changes after the revision until the term ends. */
+    /** Adds an event for each change after the revision until the term ends. */
     void watch(LeadershipTerm term, long sinceRevision) {
         long requestedMicros = loop.nowMicros();
         store.watch(
@@ -61,13 +61,13 @@
     }
 
     private void onChange(LeadershipTerm term, StoreClient.Event event) {
-        // What this leader wrote itself, and what it deleted, it knows already.
+        // The leader already knows its own writes and deletions.
         if (event.value() != null && !JobRecord.isWrittenInTerm(term.number(), event.value())) {
             queue.add(jobRecords.toEvent(event.path(), event.value(), event.revision()));
         }
     }
 
-    /** The store no longer has the revision to continue from: everything is read anew. */
+    /** Lists all jobs again, as the store no longer has the revision to continue the watch from. */
     private void listAndWatch(LeadershipTerm term) {
         store.list(
                 RequestPriority.NORMAL,
--- a/src/main/java/org/woadloom/node/LeadershipTerm.java
+++ b/src/main/java/org/woadloom/node/LeadershipTerm.java
@@ -3,8 +3,8 @@
 import org.woadloom.net.EventLoop;
 
 /**
- * One term in which this node leads. Whatever was started in a term and answers after its end is
- * ignored: callbacks pass through {@link #runIfActive}. Belongs to the event loop.
+ * One term in which this node leads. Callbacks pass through {@link #runIfActive}, so that answers
+ * to requests of a term are ignored once it has ended. Confined to the event loop.
  */
 final class LeadershipTerm {
     private final EventLoop loop;
@@ -13,7 +13,8 @@
     private boolean active = true;
 
     /**
-     * @param leaderRevision the revision of the leader key; every write of this term depends on it
+     * @param leaderRevision the revision of the leader key, on which every write of this term is
+     *     conditional
      */
     LeadershipTerm(EventLoop loop, long number, long leaderRevision) {
         this.loop = loop;
--- a/src/main/java/org/woadloom/node/LoopMonitor.java
+++ b/src/main/java/org/woadloom/node/LoopMonitor.java
@@ -6,8 +6,8 @@
 import org.woadloom.net.EventLoop;
 
 /**
- * Notices when the event loop stands still: a timer that runs late shows for how long nothing else
- * ran in time either, the renewal of the leader's lease among it.
+ * Detects stalls of the event loop. A timer that fires late shows for how long nothing else ran in
+ * time either, including the renewal of the leader's lease.
  */
 final class LoopMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(LoopMonitor.class);
@@ -18,15 +18,15 @@
     private final EventLoop loop;
     private final NodeMetrics metrics;
     private long dueMicros;
-    private long longestLateMicros;
+    private long maxLateMicros;
 
-    /** The time that steps of the scheduler had taken at the last check. */
-    private double stepSeconds;
+    /** The total duration of the scheduler's steps at the last check. */
+    private double stepSecondsAtLastCheck;
 
     LoopMonitor(EventLoop loop, NodeMetrics metrics) {
         this.loop = loop;
         this.metrics = metrics;
-        metrics.gauge("woadloom.loop.late_s", this, m -> m.longestLateMicros / MICROS_PER_SECOND);
+        metrics.gauge("woadloom.loop.late_s", this, m -> m.maxLateMicros / MICROS_PER_SECOND);
     }
 
     void start() {
@@ -36,15 +36,15 @@
 
     private void check() {
         long lateMicros = loop.nowMicros() - dueMicros;
-        double steps = metrics.stepSeconds();
-        longestLateMicros = Math.max(longestLateMicros, lateMicros);
+        double currentStepSeconds = metrics.stepSeconds();
+        maxLateMicros = Math.max(maxLateMicros, lateMicros);
         if (lateMicros > LATE_MICROS) {
             LOG.warn(
                     "event=loop_late late_ms={} scheduler_ms={}",
                     lateMicros / 1_000,
-                    Math.round((steps - stepSeconds) * 1_000));
+                    Math.round((currentStepSeconds - stepSecondsAtLastCheck) * 1_000));
         }
-        stepSeconds = steps;
+        stepSecondsAtLastCheck = currentStepSeconds;
         start();
     }
 }
--- a/src/main/java/org/woadloom/node/MachineTypeCatalog.java
+++ b/src/main/java/org/woadloom/node/MachineTypeCatalog.java
@@ -19,7 +19,7 @@
 
 /**
  * The machine types that the cloud offers. They are read when the node starts: from the cloud or,
- * while that does not answer, as another node stored them.
+ * while the cloud does not answer, from the copy that another node stored.
  */
 final class MachineTypeCatalog implements JobApi.Types {
     private static final long RETRY_MICROS = 1_000_000;
@@ -57,7 +57,7 @@
                 });
     }
 
-    /** Reads the types, and repeats that until the cloud has answered. */
+    /** Reads the types, with retries until the cloud has answered. */
     void start() {
         cloud.types(
                 found -> {
--- a/src/main/java/org/woadloom/node/Node.java
+++ b/src/main/java/org/woadloom/node/Node.java
@@ -34,8 +34,8 @@
 import org.woadloom.store.StoreLimits;
 
 /**
- * One controller node, apart from its sockets: puts the parts together and passes on what one part
- * has for another. Everything in it runs on one event loop.
+ * One controller node without its sockets: creates the components and connects them to each other.
+ * Everything in it runs on one event loop.
  */
 public final class Node {
     private static final Logger LOG = LoggerFactory.getLogger(Node.class);
@@ -49,17 +49,17 @@
     private final StoreClient store;
     private final RolloutParticipant rollout;
     private final EventQueue queue;
-    private final LeaderActions leaderActions;
+    private final SchedulerDriver schedulerDriver;
     private final Election election;
     private final PeerTracker peers;
-    private final CancellationConfirmer confirmations;
-    private final HeartbeatRouter heartbeats;
+    private final CancellationConfirmer cancellationConfirmer;
+    private final HeartbeatRouter heartbeatRouter;
     private final StoreRelayLeader relayLeader;
     private final StoreProbe storeProbe;
     private final MachineTypeCatalog machineTypes;
     private final Router router;
 
-    /** Puts a node together; {@link #start} sets it to work. */
+    /** Creates a node; {@link #start} starts it. */
     public Node(
             EventLoop loop,
             HttpTransport transport,
@@ -71,8 +71,8 @@
     }
 
     /**
-     * The same, with an observer of each step of the scheduler. The parts draw from the random
-     * numbers in the order in which they are made here.
+     * Creates a node with an observer of each scheduler step. The order in which the components are
+     * created matters: they draw from the same random number generator.
      */
     public Node(
             EventLoop loop,
@@ -104,7 +104,8 @@
                         HeartbeatRouter.MAX_WAITING_HEARTBEATS,
                         this::execute,
                         observer);
-        leaderActions = newLeaderActions(loop, cloud, new AgentClient(transport, sockets.direct()));
+        schedulerDriver =
+                newSchedulerDriver(loop, cloud, new AgentClient(transport, sockets.direct()));
         StoreRelay storeRelay = new StoreRelay(loop, store, settings, limits, rollout, random);
         election =
                 new Election(
@@ -117,26 +118,32 @@
                         election,
                         rollout,
                         new PeerInbox());
-        confirmations =
+        cancellationConfirmer =
                 new CancellationConfirmer(
-                        loop, settings, random, new ConfirmerCarrier(), new ConfirmerView());
-        heartbeats = newHeartbeatRouter(loop, storeRelay, connectionBalancer);
+                        loop,
+                        settings,
+                        random,
+                        new ConfirmerPeerChannel(),
+                        new ConfirmerLeaderState());
+        heartbeatRouter = newHeartbeatRouter(loop, storeRelay, connectionBalancer);
         relayLeader =
                 new StoreRelayLeader(
-                        loop, store, limits, rollout, heartbeats::onForwardedHeartbeat);
-        storeProbe = new StoreProbe(loop, store, peers, isolation, delegatedRenewer, heartbeats);
+                        loop, store, limits, rollout, heartbeatRouter::onForwardedHeartbeat);
+        storeProbe =
+                new StoreProbe(loop, store, peers, isolation, delegatedRenewer, heartbeatRouter);
         machineTypes = new MachineTypeCatalog(loop, cloud, store, queue);
         JobApi jobs = newJobApi(loop);
-        router = new Router(new RequestGate(), jobs, heartbeats::onHeartbeat, metrics);
+        router = new Router(new RequestGate(), jobs, heartbeatRouter::onHeartbeat, metrics);
         NodeGauges.registerUsersAndElection(metrics, jobs, this, election);
         NodeGauges.registerStore(metrics, store);
         NodeGauges.registerScheduler(metrics, scheduler, rollout);
-        NodeGauges.registerCancellations(metrics, confirmations);
-        NodeGauges.registerQueues(metrics, queue, heartbeats, peers, connectionBalancer);
+        NodeGauges.registerCancellations(metrics, cancellationConfirmer);
+        NodeGauges.registerQueues(metrics, queue, heartbeatRouter, peers, connectionBalancer);
     }
 
-    private LeaderActions newLeaderActions(EventLoop loop, CloudClient cloud, AgentClient agents) {
-        return new LeaderActions(
+    private SchedulerDriver newSchedulerDriver(
+            EventLoop loop, CloudClient cloud, AgentClient agents) {
+        return new SchedulerDriver(
                 loop,
                 store,
                 cloud,
@@ -160,8 +167,8 @@
                 peers,
                 storeRelay,
                 delegatedRenewer,
-                confirmations,
-                leaderActions,
+                cancellationConfirmer,
+                schedulerDriver,
                 connectionBalancer,
                 this::isIsolated);
     }
@@ -174,19 +181,19 @@
                 new RecordStorage(),
                 machineTypes,
                 this::onJobChanged,
-                confirmations);
+                cancellationConfirmer);
     }
 
     NodeMetrics metrics() {
         return metrics;
     }
 
-    /** Takes the requests of users, agents and the load balancer. */
+    /** Handles the requests of users, agents and the load balancer. */
     public Router router() {
         return router;
     }
 
-    /** Sets the node to work; called once, on the loop. */
+    /** Starts the node; called once, on the event loop. */
     public void start() {
         LOG.info("event=node_started node={} zone={}", settings.label(), settings.zone());
         election.start();
@@ -197,12 +204,11 @@
     }
 
     /**
-     * True where the store is lost to this node alone, as far as it can tell, and users come to it
-     * in vain.
+     * True if, as far as this node can tell, only it has lost the store while users still reach it.
      */
     boolean isIsolated() {
         return isolation.isIsolated(
-                delegatedRenewer.arePeersServed(), !peers.reachablePeers().isEmpty());
+                delegatedRenewer.isAnyPeerServedByStore(), !peers.reachablePeers().isEmpty());
     }
 
     private void onStoreAnswer(boolean served) {
@@ -214,18 +220,18 @@
         if (rollout.isOn(Feature.ZONE_CARE) && operator.care()) {
             delegatedRenewer.enable();
         }
-        confirmations.setEnabled(rollout.isOn(Feature.CANCELLATION_VOUCHES));
+        cancellationConfirmer.setEnabled(rollout.isOn(Feature.CANCELLATION_VOUCHES));
         if (!rollout.mayBeOn(Feature.CANCELLATION_VOUCHES)) {
-            confirmations.onNeverEnabled();
+            cancellationConfirmer.onNeverEnabled();
         }
         if (rollout.closedReason() != null) {
             election.stepDown(rollout.closedReason());
         }
-        leaderActions.onRolloutChanged();
+        schedulerDriver.onRolloutChanged();
     }
 
     private void execute(List<SchedulerAction> actions) {
-        leaderActions.execute(actions);
+        schedulerDriver.execute(actions);
     }
 
     private void stepDown(String reason) {
@@ -241,55 +247,55 @@
     }
 
     /**
-     * A job that this node made durable: the leader is notified, and would find it by its watch as
-     * well.
+     * Called when this node has stored a job. The leader is notified, although its watch would also
+     * report the job.
      */
     private void onJobChanged(JobRecord record, long revision) {
         String leader = election.leader();
         if (election.isLeader()) {
-            leaderActions.onJobChanged(record, revision);
+            schedulerDriver.onJobChanged(record, revision);
         } else if (leader != null) {
             peers.notifyJobChanged(leader, record, revision);
         }
     }
 
-    /** Starts and stops what depends on whether this node leads. */
+    /** Starts and stops the components that run only while this node leads. */
     private final class ElectionListener implements Election.Listener {
         @Override
         public void onElected(long term, long leaderRevision) {
             store.setLeader(true);
-            confirmations.startTerm(term);
-            leaderActions.start(term, leaderRevision);
+            cancellationConfirmer.startTerm(term);
+            schedulerDriver.start(term, leaderRevision);
             relayLeader.start(term);
         }
 
         @Override
         public void onLeaderChanged() {
             peers.announceTerm();
-            // Heartbeats that waited for a leader, or for one that has ended meanwhile, have
-            // somewhere to go now.
-            heartbeats.rerouteWaiting();
+            // Heartbeats that waited for a leader, or were sent to one that has stopped, can be
+            // routed now.
+            heartbeatRouter.rerouteWaiting();
         }
 
         @Override
         public void onLeadershipLost(String reason) {
             store.setLeader(false);
-            confirmations.endTerm();
+            cancellationConfirmer.endTerm();
             relayLeader.stop();
-            leaderActions.stop();
+            schedulerDriver.stop();
         }
     }
 
-    /** Passes what peers send to the parts that it concerns. */
+    /** Dispatches messages from peers to the components that handle them. */
     private final class PeerInbox implements PeerTracker.Inbox {
         @Override
         public void onJobChanged(JobRecord record, long revision) {
-            leaderActions.onJobChanged(record, revision);
+            schedulerDriver.onJobChanged(record, revision);
         }
 
         @Override
         public void onForwardedHeartbeat(byte[] heartbeat, Consumer<Response> answer) {
-            heartbeats.onForwardedHeartbeat(heartbeat, answer);
+            heartbeatRouter.onForwardedHeartbeat(heartbeat, answer);
         }
 
         @Override
@@ -301,7 +307,7 @@
         public void onPeerStatus(String peer, PeerStatus status) {
             if (delegatedRenewer.isEnabled()) {
                 delegatedRenewer.onPeerStatus(peer, status);
-                leaderActions.onPeerStatus(peer, status);
+                schedulerDriver.onPeerStatus(peer, status);
             }
         }
 
@@ -312,27 +318,27 @@
 
         @Override
         public void sendCancellationReport() {
-            confirmations.sendReport();
+            cancellationConfirmer.sendReport();
         }
 
         @Override
         public void onCancellationReport(String peer, WatermarkReport report) {
-            confirmations.onReport(peer, report);
+            cancellationConfirmer.onReport(peer, report);
         }
 
         @Override
         public void onCancellationReportAck(WatermarkAck ack) {
-            confirmations.onAck(ack);
+            cancellationConfirmer.onAck(ack);
         }
 
         @Override
         public void onPeerTerm(String peer, long term, boolean leads) {
-            confirmations.onPeerTerm(peer, term, leads);
+            cancellationConfirmer.onPeerTerm(peer, term, leads);
         }
     }
 
-    /** What the confirmer of cancellations needs to know of the leader and to send to it. */
-    private final class ConfirmerCarrier implements CancellationConfirmer.Carrier {
+    /** Connects the cancellation confirmer to the leader and the peers. */
+    private final class ConfirmerPeerChannel implements CancellationConfirmer.PeerChannel {
         @Override
         public String reachableLeader() {
             return peers.reachableLeader();
@@ -359,25 +365,25 @@
         }
     }
 
-    /** What the confirmer of cancellations needs of this node while it leads. */
-    private final class ConfirmerView implements CancellationConfirmer.View {
+    /** Connects the cancellation confirmer to this node's scheduler while this node leads. */
+    private final class ConfirmerLeaderState implements CancellationConfirmer.LeaderState {
         @Override
         public boolean isReady() {
-            return leaderActions.isReady();
+            return schedulerDriver.isReady();
         }
 
         @Override
         public long cancellationsReadUpToMicros() {
-            return leaderActions.cancellationsReadUpToMicros();
+            return schedulerDriver.cancellationsReadUpToMicros();
         }
 
         @Override
         public void onCancelled(List<String> jobIds) {
-            leaderActions.onCancellationsConfirmed(jobIds);
+            schedulerDriver.onCancellationsConfirmed(jobIds);
         }
     }
 
-    /** The form and size in which the users' jobs are stored. */
+    /** The format and the maximum size of stored job records. */
     private final class RecordStorage implements JobApi.Storage {
         @Override
         public RecordFormat format() {
@@ -397,7 +403,7 @@
         }
     }
 
-    /** Whether requests are served, and what the load balancer is told. */
+    /** Decides whether requests are served, and answers the load balancer's health check. */
     private final class RequestGate implements Router.Gate {
         @Override
         public String closedReason() {
@@ -416,7 +422,9 @@
 
         @Override
         public String notReadyReason() {
-            return rollout.isKnown() ? null : "not yet known what the other nodes use";
+            return rollout.knowsRequiredFeatures()
+                    ? null
+                    : "this node has not yet read which features the cluster requires";
         }
     }
 }
--- a/src/main/java/org/woadloom/node/NodeAnnouncer.java
+++ b/src/main/java/org/woadloom/node/NodeAnnouncer.java
@@ -18,22 +18,22 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * Announces in the store what this process can read, on a store lease that it renews: the
- * announcement lasts as long as the process does, and a little longer.
+ * Announces in the store which features this process supports. The announcement is attached to a
+ * store lease that the process renews, so it disappears soon after the process ends.
  */
 final class NodeAnnouncer {
     private static final long RETRY_MICROS = 300_000;
 
     /**
-     * An announcement outlasts a restart, so that the next process knows that it is one, and little
-     * more.
+     * Long enough for an announcement to outlast a restart, so that the next process knows that it
+     * is one, and not much longer.
      */
     private static final long LEASE_MICROS = 15_000_000;
 
-    private static final long RENEWAL_MICROS = 4_000_000;
+    private static final long RENEWAL_INTERVAL_MICROS = 4_000_000;
 
     /**
-     * A process that starts within this time of the one before counts as another start in a row.
+     * A process that starts within this time of the previous start counts as a consecutive start.
      */
     private static final long CONSECUTIVE_START_MICROS = 60_000_000;
 
@@ -48,7 +48,7 @@
     private boolean announced;
 
     /**
-     * @param members the labels of all nodes in the settings of this one
+     * @param members the labels of all nodes in this node's settings, including its own
      * @param onAnnounced called each time the announcement has been stored
      */
     NodeAnnouncer(
@@ -70,12 +70,12 @@
         this.onAnnounced = onAnnounced;
     }
 
-    /** True while the announcement of this process stands in the store, as far as known. */
+    /** True while, as far as known, the announcement of this process is in the store. */
     boolean isAnnounced() {
         return announced;
     }
 
-    /** Announces this process, and repeats that until it succeeds. */
+    /** Announces this process, with retries until that succeeds. */
     void announce() {
         store.storeLease(
                 LEASE_MICROS,
@@ -93,8 +93,8 @@
     }
 
     /**
-     * The announcement of the process before this one tells whether processes of this node end soon
-     * after one another.
+     * Reads the announcement of the previous process, which shows whether processes of this node
+     * end soon after they start.
      */
     private void readPredecessor(long storeLease) {
         store.get(
@@ -118,14 +118,15 @@
                         members,
                         consecutiveStarts(predecessor),
                         loop.wallMicros());
-        // Without the condition a write without an answer, carried out after the next one, would
-        // leave the key on a store lease that nobody renews.
+        // Without this condition, an unanswered write that is executed after a later one would
+        // leave the key attached to a store lease that nobody renews.
         Condition unchanged =
                 new Condition(key(), predecessor == null ? 0 : predecessor.revision());
         Change version =
                 Change.put(
                         StoreKeys.NODE_VERSIONS + label,
-                        ImmutableMap.of(AgreedVersion.FIELD, AgreedVersion.ANNOUNCED));
+                        ImmutableMap.of(
+                                AgreedVersion.VERSION_FIELD, AgreedVersion.ANNOUNCED_VERSION));
         store.txn(
                 RequestPriority.CONTROL,
                 List.of(unchanged),
@@ -164,7 +165,7 @@
     }
 
     private void scheduleRenewal(long storeLease) {
-        loop.schedule(RENEWAL_MICROS, () -> renew(storeLease));
+        loop.schedule(RENEWAL_INTERVAL_MICROS, () -> renew(storeLease));
     }
 
     private void renew(long storeLease) {
@@ -175,8 +176,8 @@
                         scheduleRenewal(storeLease);
                         return;
                     }
-                    // The announcement is lost; it is made anew before anything is concluded from
-                    // what is read.
+                    // The announcement has expired. It must be stored again before conclusions may
+                    // be drawn from what is read.
                     announced = false;
                     membership.onAnnouncementLost();
                     announce();
--- a/src/main/java/org/woadloom/node/NodeGauges.java
+++ b/src/main/java/org/woadloom/node/NodeGauges.java
@@ -11,7 +11,7 @@
 import org.woadloom.store.RateShare;
 import org.woadloom.store.StoreClient;
 
-/** Registers what is measured of a node's parts whenever its metrics are read. */
+/** Registers the gauges of a node's components. */
 final class NodeGauges {
     private static final double MICROS_PER_SECOND = 1e6;
 
@@ -59,7 +59,7 @@
         metrics.gauge("woadloom.machines.deaf", scheduler, Scheduler::unreachableMachines);
         metrics.gauge("woadloom.core.machines_examined", scheduler, Scheduler::machinesExamined);
         metrics.gauge("woadloom.jobs.waiting", scheduler, Scheduler::blockedJobs);
-        metrics.gauge("woadloom.rollout.number", rollout, RolloutParticipant::number);
+        metrics.gauge("woadloom.rollout.number", rollout, RolloutParticipant::recordNumber);
         metrics.gauge("woadloom.rollout.on", rollout, RolloutParticipant::enabledCount);
         metrics.gauge("woadloom.rollout.rewrite", scheduler, Scheduler::recordsToMigrate);
         metrics.gauge("woadloom.rollout.unreadable", scheduler, Scheduler::unreadableRecords);
@@ -67,28 +67,34 @@
         metrics.gauge("woadloom.reservations", scheduler, Scheduler::reservations);
     }
 
-    static void registerCancellations(NodeMetrics metrics, CancellationConfirmer confirmations) {
+    static void registerCancellations(
+            NodeMetrics metrics, CancellationConfirmer cancellationConfirmer) {
         metrics.gauge(
                 "woadloom.cancellations.behind_s",
-                confirmations,
+                cancellationConfirmer,
                 c -> c.lagMicros() / MICROS_PER_SECOND);
         metrics.gauge(
-                "woadloom.cancellations.waiting", confirmations, CancellationConfirmer::waiting);
+                "woadloom.cancellations.waiting",
+                cancellationConfirmer,
+                CancellationConfirmer::waitingUsers);
         metrics.gauge(
                 "woadloom.cancellations.malformed",
-                confirmations,
-                CancellationConfirmer::malformed);
+                cancellationConfirmer,
+                CancellationConfirmer::malformedReports);
     }
 
     static void registerQueues(
             NodeMetrics metrics,
             EventQueue queue,
-            HeartbeatRouter heartbeats,
+            HeartbeatRouter heartbeatRouter,
             PeerTracker peers,
             AgentConnectionBalancer connectionBalancer) {
         metrics.gauge("woadloom.reports.queue_full", queue, EventQueue::refusedHeartbeats);
-        metrics.gauge("woadloom.reports.parked_full", heartbeats, HeartbeatRouter::refused);
-        metrics.gauge("woadloom.peers.queue_full", peers, PeerTracker::refused);
+        metrics.gauge(
+                "woadloom.reports.parked_full",
+                heartbeatRouter,
+                HeartbeatRouter::refusedHeartbeats);
+        metrics.gauge("woadloom.peers.queue_full", peers, PeerTracker::refusedHeartbeats);
         metrics.gauge("woadloom.workers.here", connectionBalancer, AgentConnectionBalancer::size);
     }
 }
--- a/src/main/java/org/woadloom/node/PeerLink.java
+++ b/src/main/java/org/woadloom/node/PeerLink.java
@@ -1,11 +1,14 @@
 package org.woadloom.node;
 
-/** What is known of the direct connection to one peer. */
+/** The state of the direct connection to one peer. */
 final class PeerLink {
-    /** A peer that was silent for longer counts as unreachable: some three pings. */
+    /** How long after its last message a peer counts as reachable: about three pings. */
     private static final long REACHABLE_MICROS = 2_500_000;
 
-    /** Long before any time of the loop, yet far enough from the smallest value to subtract it. */
+    /**
+     * Earlier than any time of the loop, yet far enough from the minimum for subtractions not to
+     * overflow.
+     */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
     private boolean connected;
@@ -50,7 +53,7 @@
         return connectedInTerm == term;
     }
 
-    /** How often the peer's host has refused a connection since the last that was made. */
+    /** How many connections the peer's host has refused since the last successful one. */
     int refusals() {
         return refusals;
     }
--- a/src/main/java/org/woadloom/node/PeerTracker.java
+++ b/src/main/java/org/woadloom/node/PeerTracker.java
@@ -20,37 +20,39 @@
 import org.woadloom.store.JobRecord;
 
 /**
- * Exchanges messages with the other nodes, and knows which of them can be reached. Belongs to the
+ * Exchanges messages with the other nodes, and tracks which of them can be reached. Confined to the
  * event loop.
  */
 final class PeerTracker implements PeerTransport.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(PeerTracker.class);
     private static final long PING_MICROS = 700_000;
 
-    /** A leader that refuses connections so often in a row has most likely ended. */
-    private static final int REFUSALS_OF_ENDED_LEADER = 2;
+    /** A leader that refuses this many connections in a row has most likely stopped. */
+    private static final int REFUSALS_OF_STOPPED_LEADER = 2;
 
-    /** What arrives for this node. */
+    /** Handles the messages for this node, and supplies the status that it sends. */
     interface Inbox {
         void onJobChanged(JobRecord record, long revision);
 
         void onForwardedHeartbeat(byte[] heartbeat, Consumer<Response> answer);
 
-        /** This node's status for the leader; null where it sends none. */
+        /** This node's status for the leader, or null if it sends none. */
         PeerStatus status();
 
         void onPeerStatus(String peer, PeerStatus status);
 
         void onDelegation(LeaseDelegation delegation);
 
-        /** It is time to send a watermark report of confirmed cancellations. */
+        /**
+         * Called with every ping: sends the leader a watermark report of confirmed cancellations.
+         */
         void sendCancellationReport();
 
         void onCancellationReport(String peer, WatermarkReport report);
 
         void onCancellationReportAck(WatermarkAck ack);
 
-        /** A peer knows of this term, and leads in it or does not. */
+        /** Called when a peer reports which term it knows of and whether it leads in that term. */
         void onPeerTerm(String peer, long term, boolean leads);
     }
 
@@ -64,7 +66,7 @@
     private final Map<String, PeerLink> links = new HashMap<>();
 
     /**
-     * @param labels of the other nodes
+     * @param labels the labels of the other nodes
      */
     PeerTracker(
             EventLoop loop,
@@ -108,7 +110,8 @@
         PeerMessage message = new PeerMessage.StatusReport(status);
         if (election.isLeader()) {
             inbox.onPeerStatus(leader, status);
-            // A node that was started while the store is down learns from it what is agreed on.
+            // A node that started while the store is down learns from this message that delegation
+            // is on.
             labels.forEach(label -> transport.send(label, message));
         } else {
             transport.send(leader, message);
@@ -116,8 +119,8 @@
     }
 
     /**
-     * Tells all peers which term this node knows of, at once where that has changed: users may wait
-     * for just that.
+     * Tells all peers which term this node knows of. Called at once when that changes, because the
+     * confirmations that users wait for may depend on it.
      */
     void announceTerm() {
         PeerMessage message = termMessage();
@@ -134,17 +137,17 @@
         return links.computeIfAbsent(label, l -> new PeerLink());
     }
 
-    /** True if the peer was heard from lately and the direct connection to it stands. */
+    /** True if the direct connection to the peer is open and the peer was heard from recently. */
     boolean isReachable(String label) {
         return link(label).isReachable(loop.nowMicros());
     }
 
-    /** The peers that can be reached, in the order of the settings. */
+    /** The labels of the reachable peers, in the order of the settings. */
     List<String> reachablePeers() {
         return labels.stream().filter(this::isReachable).toList();
     }
 
-    /** The leader where messages reach it, this node perhaps; null otherwise. */
+    /** The label of the leader, possibly this node, or null if messages can't reach it. */
     String reachableLeader() {
         String leader = election.leader();
         boolean isReachable = leader != null && (election.isLeader() || isReachable(leader));
@@ -152,11 +155,11 @@
     }
 
     /**
-     * True if the peer takes no connections, and has most likely ended. Where others refuse as well
-     * and none can be reached, it is more likely the network between the nodes that is closed.
+     * True if the peer refuses connections and has most likely stopped. If other peers refuse as
+     * well and none can be reached, the network between the nodes is more likely to be blocked.
      */
-    boolean isGone(String label) {
-        if (!isRefusing(label) || link(label).isConnected()) {
+    boolean hasLikelyStopped(String label) {
+        if (!isRefusingConnections(label) || link(label).isConnected()) {
             return false;
         }
         boolean othersRefuse = false;
@@ -165,17 +168,17 @@
                 if (isReachable(other)) {
                     return true;
                 }
-                othersRefuse |= isRefusing(other);
+                othersRefuse |= isRefusingConnections(other);
             }
         }
         return !othersRefuse;
     }
 
     /**
-     * True if the peer's host says that it takes no connections: the way to it is open, for agents
-     * at least.
+     * True if the peer's host refuses connections. That shows that the host can be reached, at
+     * least by agents.
      */
-    boolean isRefusing(String label) {
+    boolean isRefusingConnections(String label) {
         return link(label).refusals() > 0;
     }
 
@@ -196,17 +199,17 @@
         transport.send(label, new PeerMessage.CancellationReportAck(ack));
     }
 
-    /** Has the leader decide a heartbeat; the answer is 503 if none comes while the agent waits. */
+    /** Has the leader decide a heartbeat; answers 503 if the leader does not answer in time. */
     void forward(String leader, byte[] heartbeat, Consumer<Response> answer) {
         forwarded.forward(leader, heartbeat, answer);
     }
 
     /**
-     * Heartbeats that were not forwarded because the queue to the leader was full, since the
-     * process started.
+     * Heartbeats that were refused because the send queue to the leader was full, since the process
+     * started.
      */
-    long refused() {
-        return forwarded.refused();
+    long refusedHeartbeats() {
+        return forwarded.refusedHeartbeats();
     }
 
     @Override
@@ -269,7 +272,7 @@
         if (label.equals(election.leader())) {
             link.onConnectedToLeader(election.leaderTerm());
         }
-        // A process that has just started waits for a message from each peer.
+        // A process that has just started waits for a term message of each peer.
         transport.send(label, termMessage());
     }
 
@@ -281,13 +284,14 @@
             return;
         }
         link.onConnectionRefused();
-        // A leader that this node could reach in its term, and that refuses now, has most likely
-        // ended. If it refuses this node alone, it will lead again in a term in which this node
-        // never reached it, and then its store lease decides: leadership does not swing.
-        if (link.refusals() >= REFUSALS_OF_ENDED_LEADER
+        // A leader that this node reached in the current term, and that refuses connections now,
+        // has most likely stopped. If it only refuses this node, it will lead again in a term in
+        // which this node never reached it. From then on only its store lease decides, so the
+        // leadership does not flap.
+        if (link.refusals() >= REFUSALS_OF_STOPPED_LEADER
                 && label.equals(election.leader())
                 && link.wasConnectedInTerm(election.leaderTerm())
-                && isGone(label)) {
+                && hasLikelyStopped(label)) {
             election.takeOverFrom(label);
         }
     }
--- a/src/main/java/org/woadloom/node/PendingAnswers.java
+++ b/src/main/java/org/woadloom/node/PendingAnswers.java
@@ -8,13 +8,13 @@
 import org.woadloom.core.SchedulerEvent;
 import org.woadloom.protocol.Heartbeat;
 
-/** Heartbeats that the scheduler has yet to answer, by the number of their request. */
+/** Heartbeats that the scheduler has not answered yet, by request id. */
 final class PendingAnswers {
-    /** Takes the scheduler's answer to one heartbeat; exactly one method is called, once. */
+    /** Receives the scheduler's answer to one heartbeat; exactly one method is called, once. */
     interface Callback {
         void onAnswer(SchedulerAction.AnswerHeartbeat answer);
 
-        /** The scheduler does not take the heartbeat: the agent has to send it to another node. */
+        /** The heartbeat was not accepted; its agent has to send it to another node. */
         void onRejected();
     }
 
@@ -26,7 +26,7 @@
         this.queue = queue;
     }
 
-    /** Has the scheduler decide a heartbeat, or rejects it at once where too many wait. */
+    /** Passes a heartbeat to the scheduler, or rejects it at once if too many are queued. */
     void submit(Heartbeat heartbeat, Callback callback) {
         long requestId = ++lastRequestId;
         callbacks.put(requestId, callback);
@@ -49,7 +49,7 @@
         }
     }
 
-    /** The agents turn to another node at once instead of waiting for an answer. */
+    /** Rejects all heartbeats, so that the agents try another node at once instead of waiting. */
     void rejectAll() {
         List<Callback> unanswered = new ArrayList<>(callbacks.values());
         callbacks.clear();
--- a/src/main/java/org/woadloom/node/PendingHeartbeat.java
+++ b/src/main/java/org/woadloom/node/PendingHeartbeat.java
@@ -6,8 +6,8 @@
 /**
  * A heartbeat whose agent waits for an answer.
  *
- * @param body the heartbeat as the agent sent it
- * @param answer takes the answer, once
- * @param untilMicros the time on the loop's clock until which the answer is of use
+ * @param body the encoded heartbeat as sent by the agent
+ * @param answer receives the answer, once
+ * @param deadlineMicros the loop time after which an answer is useless
  */
-record PendingHeartbeat(byte[] body, Consumer<Response> answer, long untilMicros) {}
+record PendingHeartbeat(byte[] body, Consumer<Response> answer, long deadlineMicros) {}
--- a/src/main/java/org/woadloom/node/ReadActions.java
+++ b/src/main/java/org/woadloom/node/ReadActions.java
@@ -12,15 +12,18 @@
 import org.woadloom.store.StoreClient.Result;
 import org.woadloom.store.StoreKeys;
 
-/** Reads single records for a leader's scheduler; each answer is one of its events. */
-final class RecordReads {
-    private static final Logger LOG = LoggerFactory.getLogger(RecordReads.class);
+/**
+ * Carries out the scheduler's reads of single records; the result of each is added to the event
+ * queue.
+ */
+final class ReadActions {
+    private static final Logger LOG = LoggerFactory.getLogger(ReadActions.class);
 
     private final StoreClient store;
     private final JobRecordReader jobRecords;
     private final EventQueue queue;
 
-    RecordReads(StoreClient store, JobRecordReader jobRecords, EventQueue queue) {
+    ReadActions(StoreClient store, JobRecordReader jobRecords, EventQueue queue) {
         this.store = store;
         this.jobRecords = jobRecords;
         this.queue = queue;
@@ -45,8 +48,8 @@
     }
 
     /**
-     * Finds out how a job stands on which another depends. Its record is read first, as a job moves
-     * from there to its final state in one transaction.
+     * Determines the state of a job on which another job depends. The job record is read before the
+     * final state, because a job moves from the one to the other in a single transaction.
      */
     void resolveDependency(LeadershipTerm term, String jobId) {
         store.get(
--- a/src/main/java/org/woadloom/node/RedirectPolicy.java
+++ b/src/main/java/org/woadloom/node/RedirectPolicy.java
@@ -4,69 +4,78 @@
 import com.github.benmanes.caffeine.cache.Caffeine;
 
 /**
- * Agents that came to this node instead of the leader's lately. An agent's first heartbeat here is
- * forwarded, which renews its lease, as it may be here because it can't reach the leader. The next
- * is redirected; an agent that returns indeed can't reach the leader, or the leader has too many
- * connections: its heartbeats are forwarded for a while.
+ * Decides whether a node that does not lead forwards an agent's heartbeat to the leader or
+ * redirects the agent there. The first heartbeat is forwarded, which renews the agent's lease,
+ * because the agent may have come here because it can't reach the leader. The next one is
+ * redirected. An agent that comes back after that can't reach the leader, or the leader has too
+ * many connections, so its heartbeats are forwarded for a while.
  */
-final class AgentVisits {
-    /** Twice the largest fleet, so that no machine that still sends heartbeats drops out. */
-    private static final int MAX_VISITS = 10_000;
+final class RedirectPolicy {
+    /** Twice the largest fleet, so that no machine that still sends heartbeats is evicted. */
+    private static final int MAX_AGENTS = 10_000;
 
-    /** An agent that comes within this time of its first visit has returned. */
+    /**
+     * A heartbeat within this time of the agent's last decision counts as repeated or returned, a
+     * later one as a first heartbeat.
+     */
     private static final long RETURN_WINDOW_MICROS = 12_000_000;
 
-    /** For so long an agent that returned is served here before it is redirected anew. */
+    /**
+     * How long the heartbeats of an agent that returned are forwarded before it is redirected
+     * again.
+     */
     private static final long FORWARDING_MICROS = 60_000_000;
 
     private static final long NOT_FORWARDED = 0;
 
-    /** What a heartbeat here means, by the agent's earlier ones. */
-    enum Kind {
+    /** How a heartbeat relates to the agent's earlier heartbeats to this node. */
+    enum Contact {
         FIRST,
-        /** The agent was here a moment ago, and has not been redirected yet. */
+        /** The agent sent a heartbeat recently and has not been redirected since. */
         REPEATED,
-        /** The agent was redirected and has come back. */
+        /** The agent was redirected and came back. */
         RETURNED,
-        /** The agent returned earlier, and is served here for a while. */
-        STAYING;
+        /** The agent returned earlier, and its heartbeats are forwarded for a while. */
+        FORWARDING;
 
-        boolean isReturn() {
-            return this == RETURNED || this == STAYING;
+        boolean hasReturned() {
+            return this == RETURNED || this == FORWARDING;
         }
     }
 
-    /** An agent's visit: when it started, and what was decided. */
-    private record Visit(long sinceMicros, boolean redirected, long forwardedUntilMicros) {}
+    /** When an agent's last decision was made, and what it was. */
+    private record Decision(long madeMicros, boolean redirected, long forwardUntilMicros) {}
 
-    private final Cache<String, Visit> visits =
-            Caffeine.newBuilder().maximumSize(MAX_VISITS).executor(Runnable::run).build();
+    private final Cache<String, Decision> decisions =
+            Caffeine.newBuilder().maximumSize(MAX_AGENTS).executor(Runnable::run).build();
 
-    Kind kind(String host, long nowMicros) {
-        Visit visit = visits.getIfPresent(host);
-        if (visit == null) {
-            return Kind.FIRST;
+    Contact classify(String host, long nowMicros) {
+        Decision decision = decisions.getIfPresent(host);
+        if (decision == null) {
+            return Contact.FIRST;
         }
-        if (nowMicros < visit.forwardedUntilMicros) {
-            return Kind.STAYING;
+        if (nowMicros < decision.forwardUntilMicros) {
+            return Contact.FORWARDING;
         }
-        if (nowMicros - visit.sinceMicros >= RETURN_WINDOW_MICROS) {
-            return Kind.FIRST;
+        if (nowMicros - decision.madeMicros >= RETURN_WINDOW_MICROS) {
+            return Contact.FIRST;
         }
-        return visit.redirected ? Kind.RETURNED : Kind.REPEATED;
+        return decision.redirected ? Contact.RETURNED : Contact.REPEATED;
     }
 
-    /** Notes a heartbeat, and tells whether it is forwarded; its agent is redirected otherwise. */
-    boolean mayForward(String host, Kind kind, boolean isLeaderReachable, long nowMicros) {
-        if (kind == Kind.STAYING) {
+    /**
+     * Records a heartbeat. Returns true to forward it, false to redirect its agent to the leader.
+     */
+    boolean shouldForward(String host, Contact contact, boolean isLeaderReachable, long nowMicros) {
+        if (contact == Contact.FORWARDING) {
             return true;
         }
-        if (kind == Kind.RETURNED) {
-            visits.put(host, new Visit(nowMicros, true, nowMicros + FORWARDING_MICROS));
+        if (contact == Contact.RETURNED) {
+            decisions.put(host, new Decision(nowMicros, true, nowMicros + FORWARDING_MICROS));
             return true;
         }
-        boolean forwards = kind == Kind.FIRST && isLeaderReachable;
-        visits.put(host, new Visit(nowMicros, !forwards, NOT_FORWARDED));
-        return forwards;
+        boolean forward = contact == Contact.FIRST && isLeaderReachable;
+        decisions.put(host, new Decision(nowMicros, !forward, NOT_FORWARDED));
+        return forward;
     }
 }
--- a/src/main/java/org/woadloom/node/RelayCodec.java
+++ b/src/main/java/org/woadloom/node/RelayCodec.java
@@ -11,14 +11,16 @@
 import org.woadloom.store.RecordFormat;
 
 /**
- * The stored form of the batches in which heartbeats and their answers pass through the store. The
- * items are compressed once every node can read that.
+ * Encodes and decodes the batches in which heartbeats and their answers pass through the store. The
+ * items are compressed once every node can decompress them.
  */
 final class RelayCodec {
-    /** A batch is read up to this length before compression: what is longer goes in the next. */
-    static final int MAX_PLAIN_BYTES = CompressedList.MAX_BYTES / 2;
+    /**
+     * The maximum size of a batch before compression; further heartbeats go into the next batch.
+     */
+    static final int MAX_PLAIN_BYTES = CompressedList.MAX_UNCOMPRESSED_BYTES / 2;
 
-    /** What is stored around the items of a batch. */
+    /** The estimated size of a stored batch without its items. */
     static final int BATCH_OVERHEAD_BYTES = 200;
 
     private static final String ID = "id";
@@ -30,9 +32,9 @@
     private static final int ANSWER_PARTS = 4;
 
     /**
-     * One heartbeat on its way.
+     * A heartbeat that is relayed through the store.
      *
-     * @param id chosen at random by the sending node
+     * @param id a random number that the sending node chooses
      * @param content the decoded body
      */
     record RelayedHeartbeat(long id, Object content) {
@@ -45,14 +47,14 @@
     record RelayedAnswer(long heartbeatId, String host, int status, Object content) {}
 
     /**
-     * A batch of heartbeats as read. Its items are decoded one by one, so that a malformed one does
-     * not take with it those before it.
+     * A decoded batch of heartbeats. Its items are decoded one by one, so that a malformed item
+     * does not affect those before it.
      *
-     * @param sentWallMicros the sender's wall clock when it was written
+     * @param sentWallMicros the sender's wall clock time when the batch was written
      */
     record HeartbeatBatch(long id, long sentWallMicros, List<?> items) {}
 
-    /** A batch of answers as read; it has the id of the batch of heartbeats that it replaced. */
+    /** A decoded batch of answers; its id is that of the batch of heartbeats that it replaced. */
     record AnswerBatch(long id, List<?> items) {}
 
     private final RolloutParticipant rollout;
@@ -61,7 +63,7 @@
         this.rollout = rollout;
     }
 
-    /** True once every node can read compressed batches. */
+    /** True once every node can decompress batches. */
     boolean isCompressing() {
         return rollout.format() == RecordFormat.COMPACT;
     }
@@ -79,7 +81,7 @@
         return value;
     }
 
-    /** The size of the compressed items in a batch that was encoded while compressing. */
+    /** The size of the compressed items in an encoded batch; the batch must be compressed. */
     static int compressedHeartbeatsSize(Map<String, Object> value) {
         return Cbor.jsonSize(value.get(COMPRESSED_PREFIX + HEARTBEATS));
     }
@@ -109,7 +111,7 @@
         return items;
     }
 
-    /** Reads a batch of heartbeats; null where the value holds something else. */
+    /** Decodes a batch of heartbeats; null if the value holds something else. */
     static HeartbeatBatch decodeHeartbeats(Map<String, Object> value)
             throws MalformedMessageException {
         List<?> items = items(value, HEARTBEATS);
@@ -124,12 +126,12 @@
         if (!(item instanceof List<?> parts)
                 || parts.size() != HEARTBEAT_PARTS
                 || !(parts.get(0) instanceof Long id)) {
-            throw new MalformedMessageException("reports: expected id and report");
+            throw new MalformedMessageException("reports: expected items of id and heartbeat");
         }
         return new RelayedHeartbeat(id, parts.get(1));
     }
 
-    /** Reads a batch of answers; null where the value holds something else. */
+    /** Decodes a batch of answers; null if the value holds something else. */
     static AnswerBatch decodeAnswers(Map<String, Object> value) throws MalformedMessageException {
         List<?> items = items(value, ANSWERS);
         return items == null ? null : new AnswerBatch(new Fields(value).integer(ID), items);
@@ -141,14 +143,15 @@
                 || !(parts.get(0) instanceof Long heartbeatId)
                 || !(parts.get(1) instanceof String host)
                 || !(parts.get(2) instanceof Long status)) {
-            throw new MalformedMessageException("answers: expected id, machine, status and body");
+            throw new MalformedMessageException(
+                    "answers: expected items of id, host, status and body");
         }
         return new RelayedAnswer(heartbeatId, host, status.intValue(), parts.get(3));
     }
 
     private void putItems(Map<String, Object> value, String key, List<Object> items) {
         if (isCompressing()) {
-            value.put(COMPRESSED_PREFIX + key, CompressedList.pack(items));
+            value.put(COMPRESSED_PREFIX + key, CompressedList.compress(items));
         } else {
             value.put(key, items);
         }
@@ -158,7 +161,7 @@
             throws MalformedMessageException {
         Fields fields = new Fields(value);
         if (fields.has(COMPRESSED_PREFIX + key)) {
-            return CompressedList.unpack(fields.text(COMPRESSED_PREFIX + key));
+            return CompressedList.decompress(fields.text(COMPRESSED_PREFIX + key));
         }
         return fields.has(key) ? fields.list(key) : null;
     }
--- a/src/main/java/org/woadloom/node/RelaySlots.java
+++ b/src/main/java/org/woadloom/node/RelaySlots.java
@@ -1,15 +1,18 @@
 package org.woadloom.node;
 
-/** The keys below which this node relays batches of heartbeats, and what is under way in each. */
+/** The slots, each with its own store key, through which this node relays batches of heartbeats. */
 final class RelaySlots {
     /**
-     * Batches under way at a time. With more heartbeats the batches get larger rather than more, up
-     * to the value limit, and each slot is used anew as soon as it is answered. Must not grow
-     * before every version in use ignores slots that it does not know.
+     * The maximum number of batches in flight. With more heartbeats the batches get larger, up to
+     * the value limit, rather than more numerous, and each slot is reused as soon as its batch is
+     * answered. Must not grow before every version in use ignores slots that it does not know.
      */
     static final int COUNT = 8;
 
-    /** Ids are drawn at random from 2^63 numbers: that one is 0 does not happen in practice. */
+    /**
+     * Marks a slot without a batch. Ids are random numbers below 2^63, so an id of 0 does not occur
+     * in practice.
+     */
     private static final long FREE = 0;
 
     private final long[] batchIds = new long[COUNT];
@@ -22,7 +25,10 @@
         batchIds[slot] = batchId;
     }
 
-    /** Frees the slot if the batch is still the one in it; ignores slots of other versions. */
+    /**
+     * Frees the slot if it still holds the batch. A slot number that only other versions use is
+     * ignored.
+     */
     void free(int slot, long batchId) {
         if (slot >= 0 && slot < COUNT && batchIds[slot] == batchId) {
             batchIds[slot] = FREE;
--- a/src/main/java/org/woadloom/node/RolloutActions.java
+++ b/src/main/java/org/woadloom/node/RolloutActions.java
@@ -16,14 +16,14 @@
 import org.woadloom.store.StoreClient.Result;
 import org.woadloom.store.StoreKeys;
 
-/** Carries out what a leader's core wants done of a rollout. */
+/** Carries out the actions by which a leader's scheduler advances a rollout. */
 final class RolloutActions {
     private final StoreClient store;
     private final RolloutParticipant rollout;
 
-    /** Takes an outcome, if the term still lasts. */
-    interface Outcome {
-        void add(SchedulerEvent command);
+    /** Receives the outcome of an action; ignores it if the term has ended. */
+    interface EventSink {
+        void add(SchedulerEvent event);
     }
 
     RolloutActions(StoreClient store, RolloutParticipant rollout) {
@@ -31,14 +31,16 @@
         this.rollout = rollout;
     }
 
-    void write(SchedulerAction.WriteRollout put, RecordWriter writer, Outcome outcome) {
+    void write(SchedulerAction.WriteRollout action, RecordWriter writer, EventSink sink) {
         List<Condition> conditions = new ArrayList<>();
-        put.conditions().forEach((path, revision) -> conditions.add(new Condition(path, revision)));
+        action.conditions()
+                .forEach((path, revision) -> conditions.add(new Condition(path, revision)));
         List<Change> changes = new ArrayList<>();
-        changes.add(Change.put(StoreKeys.ROLLOUT_STATE, put.record().toMap()));
-        if (put.agreedVersion() > 0) {
+        changes.add(Change.put(StoreKeys.ROLLOUT_STATE, action.record().toMap()));
+        if (action.agreedVersion() > 0) {
             changes.add(
-                    Change.put(StoreKeys.AGREED, ImmutableMap.of("version", put.agreedVersion())));
+                    Change.put(
+                            StoreKeys.AGREED, ImmutableMap.of("version", action.agreedVersion())));
         }
         writer.add(
                 true,
@@ -46,24 +48,25 @@
                         conditions,
                         changes,
                         (written, revision) -> {
-                            // Written or not, what stands there now is what counts.
+                            // Whether or not the write succeeded, the stored state is read again,
+                            // as only that counts.
                             rollout.refresh();
-                            outcome.add(
+                            sink.add(
                                     new SchedulerEvent.RolloutWriteCompleted(
-                                            put.record().number(), written, revision));
+                                            action.record().number(), written, revision));
                         }));
     }
 
     /**
-     * Reads all records that the feature writes, after everything else, and judges each by its
-     * form.
+     * Reads all records that the feature affects, in the background, and classifies each by its
+     * format.
      */
-    void countRecords(SchedulerAction.CountRecords count, Outcome outcome) {
+    void countRecords(SchedulerAction.CountRecords count, EventSink sink) {
         store.list(
                 RequestPriority.BACKGROUND,
                 count.feature().prefix(),
                 (result, entries, storeRevision) -> {
-                    List<String> old = new ArrayList<>();
+                    List<String> outdated = new ArrayList<>();
                     List<String> unreadable = new ArrayList<>();
                     for (StoreClient.Entry entry : entries) {
                         try {
@@ -75,19 +78,19 @@
                                         entry.value());
                             }
                             if (count.feature().fresh(entry.value()) == count.rollingBack()) {
-                                old.add(entry.path());
+                                outdated.add(entry.path());
                             }
                         } catch (MalformedMessageException e) {
                             UnreadableRecords.log(entry.path(), e);
                             unreadable.add(entry.path());
                         }
                     }
-                    outcome.add(
+                    sink.add(
                             new SchedulerEvent.RecordsCounted(
                                     count.feature(),
                                     count.rollingBack(),
                                     result == Result.OK,
-                                    old,
+                                    outdated,
                                     unreadable));
                 });
     }
--- a/src/main/java/org/woadloom/node/RolloutParticipant.java
+++ b/src/main/java/org/woadloom/node/RolloutParticipant.java
@@ -34,15 +34,15 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * This node's part of a rollout: it announces itself, then reads which features are required and
- * which are on, and follows that. It uses a feature only by what the store says, or what a node
- * says that has read it there, never by its own settings. What moves a rollout on is the leader's
- * scheduler ({@code core.rollout}). Belongs to the event loop.
+ * Takes part in rollouts for this node: announces the node, then reads and watches which features
+ * are required and which are on. A node uses a feature only if the store says so, or another node
+ * that has read it there, never because of its own settings. The leader's scheduler advances the
+ * rollout ({@code core.rollout}). Confined to the event loop.
  */
 final class RolloutParticipant implements Election.Eligibility {
     private static final Logger LOG = LoggerFactory.getLogger(RolloutParticipant.class);
 
-    /** For so long a node without an announcement counts as running after its last message. */
+    /** How long after its last message a node without an announcement counts as running. */
     private static final long UNANNOUNCED_PEER_MICROS = 10_000_000;
 
     private final EventLoop loop;
@@ -55,24 +55,25 @@
     private long stateRevision;
 
     /**
-     * The features that are on, by the record, by the agreed version of earlier releases or by a
-     * peer's message.
+     * The features that are on according to the rollout record, the agreed version of earlier
+     * releases or a peer's message.
      */
     private final EnumSet<Feature> enabled = EnumSet.noneOf(Feature.class);
 
-    /** The number of the latest record that was read here or that a peer has read. */
-    private long number;
+    /** The number of the latest rollout record that this node or a peer has read. */
+    private long latestNumber;
 
-    /** The features that the record of that number requires. */
+    /** The features that the record with that number requires. */
     private Set<String> required = Set.of();
 
-    /** When peers of earlier releases, which announce nothing, last sent a message. */
+    /** When each peer of an earlier release, which makes no announcement, last sent a message. */
     private final Map<String, Long> unannouncedPeers = new HashMap<>();
 
     private String closedReason;
 
     /**
-     * @param onChanged called when a feature has been switched, or whether this process may serve
+     * @param onChanged called when a feature is switched on or off, or when it changes whether this
+     *     process may serve
      */
     RolloutParticipant(
             EventLoop loop,
@@ -121,12 +122,12 @@
         }
 
         @Override
-        public void onEntries() {
-            evaluate();
+        public void onEntriesChanged() {
+            applyStoredRecord();
         }
     }
 
-    /** The format in which records are written now. */
+    /** The format in which records are written. */
     RecordFormat format() {
         return enabled.contains(Feature.COMPACT_RECORDS)
                 ? RecordFormat.COMPACT
@@ -137,27 +138,27 @@
         return enabled.contains(feature);
     }
 
-    /** True if the feature may be in use at some node, as far as is known here. */
+    /** True if the feature may be on at any node, as far as this node knows. */
     boolean mayBeOn(Feature feature) {
-        return !isKnown() || isOn(feature) || record.of(feature.key()).required();
+        return !knowsRequiredFeatures() || isOn(feature) || record.of(feature.key()).required();
     }
 
-    /** The number of the record that was last read. */
-    long number() {
+    /** The number of the rollout record that this node last read. */
+    long recordNumber() {
         return record.number();
     }
 
-    /** How many features are on or settled. */
+    /** How many features are on. */
     int enabledCount() {
         return enabled.size();
     }
 
-    /** True once this process has announced itself and read what is required. */
-    boolean isKnown() {
+    /** True once this process has announced itself and then read the required features. */
+    boolean knowsRequiredFeatures() {
         return membership.isKnown();
     }
 
-    /** Why this process must not serve, or null. */
+    /** Why this process must not serve, or null if it may. */
     String closedReason() {
         return closedReason;
     }
@@ -177,14 +178,14 @@
         watcher.refresh();
     }
 
-    /** A record in the compact format was written by a node that knew that it may be. */
+    /** A node writes compact records only if it knows that the feature is on. */
     void onFormatSeen(RecordFormat format) {
         if (format == RecordFormat.COMPACT) {
             enable(Feature.COMPACT_RECORDS);
         }
     }
 
-    /** A node that sends messages of delegation knows that it may. */
+    /** A node sends delegation messages only if it knows that both features are on. */
     void onDelegationMessage() {
         enable(Feature.COMPACT_RECORDS);
         enable(Feature.ZONE_CARE);
@@ -193,25 +194,25 @@
     /**
      * Reads the version that earlier releases agreed on.
      *
-     * @param done is told whether the store has answered
+     * @param done receives whether the store has answered
      */
     void readAgreedVersion(RequestPriority priority, Consumer<Boolean> done) {
         agreedVersion.read(priority, done);
     }
 
-    /** What this node tells the others of the rollout. */
+    /** This node's view of the rollout, which it sends to its peers. */
     PeerMessage.RolloutView view() {
         return new PeerMessage.RolloutView(
-                number,
+                latestNumber,
                 List.copyOf(Feature.keys(enabled)),
                 List.copyOf(required),
                 List.copyOf(Feature.known()));
     }
 
     /**
-     * Takes what a peer tells of the rollout.
+     * Updates this node's view of the rollout by that of a peer.
      *
-     * @param view null from an earlier release
+     * @param view null if the peer runs an earlier release
      */
     void onPeerView(String from, PeerMessage.RolloutView view) {
         if (view == null) {
@@ -219,7 +220,7 @@
             return;
         }
         unannouncedPeers.remove(from);
-        if (view.number() <= number) {
+        if (view.number() <= latestNumber) {
             return;
         }
         setRequired(view.number(), new TreeSet<>(view.requires()));
@@ -232,7 +233,7 @@
         }
     }
 
-    private void evaluate() {
+    private void applyStoredRecord() {
         Entry stored = watcher.entry(StoreKeys.ROLLOUT_STATE);
         if (stored != null && stored.revision() < stateRevision) {
             return;
@@ -245,7 +246,7 @@
             return;
         }
         membership.onRecordReadable();
-        if (record.number() < number) {
+        if (record.number() < latestNumber) {
             return;
         }
         setRequired(record.number(), record.requires());
@@ -261,8 +262,8 @@
     }
 
     /**
-     * The record has the form of a later release. The features that it requires can be read in
-     * every form; without them nothing can be done.
+     * Handles a rollout record in the format of a later release. The required features can be
+     * parsed in every format; if even these can't be, this process must not serve.
      */
     private void onRecordUnreadable(Entry stored, MalformedMessageException error) {
         try {
@@ -270,30 +271,30 @@
                     RolloutRecord.numberOf(stored.value()),
                     RolloutRecord.requiredBy(stored.value()));
             if (membership.missingFeatures().isEmpty()) {
-                membership.onRecordUnreadable(unreadable(error));
+                membership.onRecordUnreadable(unreadableReason(error));
             }
         } catch (MalformedMessageException e) {
-            membership.onRecordUnreadable(unreadable(e));
+            membership.onRecordUnreadable(unreadableReason(e));
         }
-        updateClosed();
+        updateClosedReason();
     }
 
-    private static String unreadable(MalformedMessageException error) {
-        return "the record of the rollout (" + error.getMessage() + ")";
+    private static String unreadableReason(MalformedMessageException error) {
+        return "the format of the rollout record (" + error.getMessage() + ")";
     }
 
-    private void setRequired(long ofNumber, Set<String> features) {
-        number = ofNumber;
+    private void setRequired(long newNumber, Set<String> features) {
+        latestNumber = newNumber;
         required = features;
         membership.setRequired(features);
-        updateClosed();
+        updateClosedReason();
     }
 
-    private void updateClosed() {
+    private void updateClosedReason() {
         String reason =
                 membership.missingFeatures().isEmpty()
                         ? null
-                        : "this version does not know what the others use: "
+                        : "this version does not support what the cluster requires: "
                                 + membership.missingFeatures();
         if (Objects.equals(reason, closedReason)) {
             return;
@@ -315,11 +316,13 @@
     }
 
     /**
-     * What the leader's scheduler decides a rollout by, or null as long as that is not known.
+     * The stored state by which the leader's scheduler advances the rollout, or null while this
+     * process may not serve.
      *
-     * @param refused answers refused and steps late at this node since its process started
+     * @param refusedOrLate the refused answers and late scheduler steps of this node since its
+     *     process started
      */
-    SchedulerEvent.RolloutStateRead rolloutState(long refused) {
+    SchedulerEvent.RolloutStateRead rolloutState(long refusedOrLate) {
         if (!membership.mayServe()) {
             return null;
         }
@@ -340,7 +343,7 @@
                 recentUnannouncedPeers(),
                 agreedVersion.version(),
                 agreedVersion.revision(),
-                refused);
+                refusedOrLate);
     }
 
     private static void addEntry(
--- a/src/main/java/org/woadloom/node/RolloutWatcher.java
+++ b/src/main/java/org/woadloom/node/RolloutWatcher.java
@@ -14,21 +14,21 @@
 import org.woadloom.store.StoreClient.Result;
 import org.woadloom.store.StoreKeys;
 
-/** Keeps a copy of what is stored of the rollout: its state, announcements and requests. */
+/** Keeps a copy of the stored rollout entries: the state, announcements and requests. */
 final class RolloutWatcher {
     private static final long RETRY_MICROS = 300_000;
     private static final long WATCH_TIMEOUT_MICROS = 10_000_000;
 
-    /** Is told of the copy's changes. */
+    /** Receives changes of the copy. */
     interface Listener {
-        /** Whether this process's announcement stands in the store. */
+        /** Whether the announcement of this process is in the store. */
         boolean isAnnounced();
 
-        /** All entries have been read, by a request that was sent after the announcement. */
+        /** All entries have been read by a request that was sent after the announcement. */
         void onReadSinceAnnouncement();
 
         /** The entries may have changed. */
-        void onEntries();
+        void onEntriesChanged();
     }
 
     private final EventLoop loop;
@@ -43,19 +43,19 @@
         this.listener = listener;
     }
 
-    /** What is stored under the key as last read, or null. */
+    /** The last known entry of the key, or null. */
     Entry entry(String key) {
         return entries.get(key);
     }
 
-    /** All entries, by their keys. */
+    /** All entries, sorted by key. */
     List<Entry> sortedEntries() {
         List<Entry> sorted = new ArrayList<>(entries.values());
         sorted.sort(Comparator.comparing(Entry::path));
         return sorted;
     }
 
-    /** Reads everything, and follows the changes from there on unless that is done already. */
+    /** Reads all entries, then watches them for changes unless a watch is already running. */
     void start() {
         read(
                 RequestPriority.CONTROL,
@@ -69,7 +69,7 @@
                 });
     }
 
-    /** Reads everything anew, once. */
+    /** Reads all entries again. */
     void refresh() {
         read(RequestPriority.CONTROL, revision -> {});
     }
@@ -87,7 +87,7 @@
                     }
                     events.forEach(this::apply);
                     if (!events.isEmpty()) {
-                        listener.onEntries();
+                        listener.onEntriesChanged();
                     }
                     watch(Math.max(sinceRevision, storeRevision));
                 });
@@ -102,11 +102,11 @@
     }
 
     /**
-     * @param done takes the store's revision as of which everything was read, or empty on failure
+     * @param done receives the store's revision as of the read, or empty if the read failed
      */
     private void read(RequestPriority priority, Consumer<OptionalLong> done) {
-        // Only a list counts: what a watch that was opened before the announcement still brings is
-        // not enough.
+        // Only a list counts: a watch that was started before the announcement may report older
+        // changes.
         boolean wasAnnounced = listener.isAnnounced();
         store.list(
                 priority,
@@ -121,7 +121,7 @@
                     }
                     entries.clear();
                     found.forEach(entry -> entries.put(entry.path(), entry));
-                    listener.onEntries();
+                    listener.onEntriesChanged();
                     done.accept(OptionalLong.of(storeRevision));
                 });
     }
--- a/src/main/java/org/woadloom/node/SchedulerDriver.java
+++ b/src/main/java/org/woadloom/node/SchedulerDriver.java
@@ -19,10 +19,10 @@
 import org.woadloom.store.StoreLimits;
 
 /**
- * What a node does while it leads: it loads the stored state, keeps the scheduler supplied with
- * events and has its actions carried out. Belongs to the event loop.
+ * Runs the scheduler while this node leads: loads the stored state, feeds the scheduler with events
+ * and has its actions carried out. Confined to the event loop.
  */
-final class LeaderActions {
+final class SchedulerDriver {
     private static final long TICK_MICROS = 100_000;
 
     private final EventLoop loop;
@@ -35,15 +35,15 @@
     private final StateLoader stateLoader;
     private final JobWatcher jobWatcher;
     private final CloudPoller cloudPoller;
-    private final ActionExecutor.Targets targets;
+    private final ActionExecutor.Handlers handlers;
 
-    /** The present term, or null while this node does not lead. */
+    /** The current term, or null while this node does not lead. */
     private LeadershipTerm term;
 
-    /** Null until the stored state of the present term is loaded. */
+    /** Null until the stored state of the current term is loaded. */
     private ActionExecutor executor;
 
-    LeaderActions(
+    SchedulerDriver(
             EventLoop loop,
             StoreClient store,
             CloudClient cloud,
@@ -69,26 +69,26 @@
         stateLoader = new StateLoader(loop, store, rollout, jobRecords);
         jobWatcher = new JobWatcher(loop, store, queue, jobRecords);
         cloudPoller = new CloudPoller(cloud, queue, settings);
-        targets =
-                new ActionExecutor.Targets(
+        handlers =
+                new ActionExecutor.Handlers(
                         pendingAnswers,
                         agents,
                         cloud,
-                        new RecordReads(store, jobRecords, queue),
+                        new ReadActions(store, jobRecords, queue),
                         new RolloutActions(store, rollout),
                         sendDelegation,
                         stepDown);
     }
 
-    /** True once the stored state is loaded: only then may a heartbeat be decided. */
+    /** True once the stored state is loaded; heartbeats may be decided only then. */
     boolean isReady() {
         return executor != null;
     }
 
     /**
-     * Starts to lead.
+     * Starts a term.
      *
-     * @param leaderRevision the revision of the leader key, on which every write depends
+     * @param leaderRevision the revision of the leader key, on which every write is conditional
      */
     void start(long termNumber, long leaderRevision) {
         endTerm();
@@ -97,7 +97,7 @@
         stateLoader.load(started, state -> onStateLoaded(started, state));
     }
 
-    /** Stops to lead: nothing of this term is carried out any more. */
+    /** Ends the term: no further action of it is carried out. */
     void stop() {
         endTerm();
         pendingAnswers.rejectAll();
@@ -112,28 +112,31 @@
         executor = null;
     }
 
-    private void onStateLoaded(LeadershipTerm ofTerm, StateLoader.StoredState state) {
-        Runnable onDeposed =
-                () -> ofTerm.runIfActive(() -> targets.stepDown().accept("another node took over"));
-        RecordWriter writer = new RecordWriter(store, limits, ofTerm.leaderRevision(), onDeposed);
-        RecordWrites recordWrites =
-                new RecordWrites(ofTerm, writer, rollout, limits, statusFeed, queue);
-        executor = new ActionExecutor(ofTerm, queue, writer, recordWrites, targets);
+    private void onStateLoaded(LeadershipTerm loadedTerm, StateLoader.StoredState state) {
+        Runnable onLeadershipLost =
+                () ->
+                        loadedTerm.runIfActive(
+                                () -> handlers.stepDown().accept("another node has become leader"));
+        RecordWriter writer =
+                new RecordWriter(store, limits, loadedTerm.leaderRevision(), onLeadershipLost);
+        WriteActions writeActions =
+                new WriteActions(loadedTerm, writer, rollout, limits, statusFeed, queue);
+        executor = new ActionExecutor(loadedTerm, queue, writer, writeActions, handlers);
         statusFeed.sendStoreLimits();
         jobWatcher.onJobsListed(state.jobsRequestedMicros());
         queue.add(
                 new SchedulerEvent.LeadershipAcquired(
-                        ofTerm.number(),
+                        loadedTerm.number(),
                         state.jobs(),
                         state.machines(),
                         state.jobsRequestedMicros()));
-        jobWatcher.watch(ofTerm, state.storeRevision());
-        scheduleTick(ofTerm);
-        cloudPoller.start(ofTerm);
+        jobWatcher.watch(loadedTerm, state.storeRevision());
+        scheduleTick(loadedTerm);
+        cloudPoller.start(loadedTerm);
     }
 
-    private void scheduleTick(LeadershipTerm ofTerm) {
-        ofTerm.schedule(
+    private void scheduleTick(LeadershipTerm tickedTerm) {
+        tickedTerm.schedule(
                 TICK_MICROS,
                 () -> {
                     statusFeed.sendStoreLimitsIfRateChanged();
@@ -141,11 +144,11 @@
                     if (isReady()) {
                         statusFeed.sendRolloutStateIfDue();
                     }
-                    scheduleTick(ofTerm);
+                    scheduleTick(tickedTerm);
                 });
     }
 
-    /** Carries out what the scheduler decided, until this node stops to lead. */
+    /** Carries out the scheduler's actions, stopping when the term ends. */
     void execute(List<SchedulerAction> actions) {
         for (SchedulerAction action : actions) {
             if (executor == null) {
@@ -163,21 +166,21 @@
         pendingAnswers.submit(heartbeat, callback);
     }
 
-    /** A node has made a job durable, which the watch would show as well, but later. */
+    /** Called when a node has stored a job. The watch reports the job as well, but later. */
     void onJobChanged(JobRecord record, long revision) {
         if (isReady()) {
             queue.add(new SchedulerEvent.JobStored(record, revision));
         }
     }
 
-    /** The features that are on have changed, or whether this process may serve. */
+    /** Called when the set of enabled features has changed, or whether this process may serve. */
     void onRolloutChanged() {
         if (isReady()) {
             statusFeed.onRolloutChanged();
         }
     }
 
-    /** A node, this one perhaps, reports its status. */
+    /** Called when a node, possibly this one, reports its status. */
     void onPeerStatus(String node, PeerStatus status) {
         if (isReady()) {
             queue.add(
@@ -186,12 +189,12 @@
         }
     }
 
-    /** Users may be told that these jobs are cancelled. */
+    /** Called when users may be told that these jobs are cancelled. */
     void onCancellationsConfirmed(List<String> jobIds) {
         queue.add(new SchedulerEvent.CancellationsConfirmed(jobIds));
     }
 
-    /** Every cancellation that was made before this moment has been read. */
+    /** Every cancellation that was stored before this time has been read. */
     long cancellationsReadUpToMicros() {
         return jobWatcher.cancellationsReadUpToMicros();
     }
--- a/src/main/java/org/woadloom/node/SchedulerStatusFeed.java
+++ b/src/main/java/org/woadloom/node/SchedulerStatusFeed.java
@@ -8,14 +8,17 @@
 import org.woadloom.store.StoreClient;
 import org.woadloom.store.StoreLimits;
 
-/** Tells a leader's scheduler about the store's limits and the state of the rollout. */
+/** Adds events with the store's limits and the state of the rollout for a leader's scheduler. */
 final class SchedulerStatusFeed {
-    /** A change of the write rate by more than this part is sent on. */
-    private static final double NOTABLE_RATE_CHANGE = 0.05;
+    /** The relative change of the write rate above which the scheduler is informed. */
+    private static final double MIN_RATE_CHANGE = 0.05;
 
     private static final long ROLLOUT_INTERVAL_MICROS = 1_000_000;
 
-    /** Long before any time of the loop, yet far enough from the smallest value to subtract it. */
+    /**
+     * Earlier than any time of the loop, yet far enough from the minimum for subtractions not to
+     * overflow.
+     */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
     private final EventLoop loop;
@@ -62,12 +65,12 @@
 
     void sendStoreLimitsIfRateChanged() {
         double change = Math.abs(store.writesPerSecond() - sentWritesPerSecond);
-        if (change > sentWritesPerSecond * NOTABLE_RATE_CHANGE) {
+        if (change > sentWritesPerSecond * MIN_RATE_CHANGE) {
             sendStoreLimits();
         }
     }
 
-    /** Sends the state of the rollout, unless that was done less than a second ago. */
+    /** Sends the state of the rollout, unless it was sent less than a second ago. */
     void sendRolloutStateIfDue() {
         long now = loop.nowMicros();
         if (now - rolloutSentMicros < ROLLOUT_INTERVAL_MICROS) {
@@ -80,7 +83,7 @@
         }
     }
 
-    /** What was sent of the rollout is out of date. */
+    /** Called when the rollout state that was sent last is outdated. */
     void onRolloutChanged() {
         sendStoreLimits();
         rolloutSentMicros = NEVER_MICROS;
--- a/src/main/java/org/woadloom/node/Server.java
+++ b/src/main/java/org/woadloom/node/Server.java
@@ -22,7 +22,7 @@
 import org.xnio.XnioIoThread;
 import org.xnio.XnioWorker;
 
-/** A node with its sockets: one XNIO worker with one I/O thread carries everything. */
+/** A node with its sockets, all served by one XNIO worker with a single I/O thread. */
 public final class Server {
     private static final Logger LOG = LoggerFactory.getLogger(Server.class);
     private static final int BUFFER_BYTES = 8 * 1024;
@@ -45,31 +45,32 @@
         XnioIoThread thread = worker.getIoThread();
         ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, 256, 4);
         XnioEventLoop loop = new XnioEventLoop(thread);
-        SocketBudget plan = SocketBudget.of(settings);
-        UndertowTransport transport = new UndertowTransport(loop, thread, buffers, plan.idle());
-        // Not by clocks alone: one that stood still, or was set back, would make a process take
-        // itself for the one before.
+        SocketBudget socketBudget = SocketBudget.of(settings);
+        UndertowTransport transport =
+                new UndertowTransport(loop, thread, buffers, socketBudget.idle());
+        // Not seeded by the clock alone: if the clock stood still or was set back, a process could
+        // get the same process id as its predecessor and take itself for that process.
         Random random = new Random(new SecureRandom().nextLong());
         XnioPeerTransport peers = new XnioPeerTransport(loop, worker, settings);
         Node node = new Node(loop, transport, peers, settings, operator, random);
-        ConnectionLimiter connections = new ConnectionLimiter(loop, plan);
+        ConnectionLimiter connections = new ConnectionLimiter(loop, socketBudget);
         LoopMonitor loopMonitor = new LoopMonitor(loop, node.metrics());
-        registerGauges(node.metrics(), plan, connections, transport, peers);
-        new ApiServer(settings, worker, buffers, plan, connections, node.router()).start();
+        registerGauges(node.metrics(), socketBudget, connections, transport, peers);
+        new ApiServer(settings, worker, buffers, socketBudget, connections, node.router()).start();
         peers.bind();
         loop.execute(
                 () -> {
                     connections.start();
                     node.start();
                     loopMonitor.start();
-                    logSockets(loop, plan, connections, transport, peers);
+                    logSockets(loop, socketBudget, connections, transport, peers);
                 });
         return node;
     }
 
     private static void logSockets(
             XnioEventLoop loop,
-            SocketBudget plan,
+            SocketBudget socketBudget,
             ConnectionLimiter connections,
             UndertowTransport transport,
             XnioPeerTransport peers) {
@@ -81,25 +82,25 @@
                                     + " peers={} idle_users_closed={} requests_refused={}",
                             connections.agents(),
                             connections.users(),
-                            plan.inbound(),
+                            socketBudget.inbound(),
                             transport.open(),
                             transport.idle(),
                             peers.open(),
                             connections.closed(),
                             connections.refused());
-                    logSockets(loop, plan, connections, transport, peers);
+                    logSockets(loop, socketBudget, connections, transport, peers);
                 });
     }
 
     private static void registerGauges(
             NodeMetrics metrics,
-            SocketBudget plan,
+            SocketBudget socketBudget,
             ConnectionLimiter connections,
             UndertowTransport transport,
             XnioPeerTransport peers) {
         metrics.gauge("woadloom.sockets.workers", connections, ConnectionLimiter::agents);
         metrics.gauge("woadloom.sockets.users", connections, ConnectionLimiter::users);
-        metrics.gauge("woadloom.sockets.inbound.most", plan, SocketBudget::inbound);
+        metrics.gauge("woadloom.sockets.inbound.most", socketBudget, SocketBudget::inbound);
         metrics.gauge("woadloom.sockets.outbound", transport, UndertowTransport::open);
         metrics.gauge("woadloom.sockets.outbound.idle", transport, UndertowTransport::idle);
         metrics.gauge("woadloom.sockets.peers", peers, XnioPeerTransport::open);
--- a/src/main/java/org/woadloom/node/StateLoader.java
+++ b/src/main/java/org/woadloom/node/StateLoader.java
@@ -13,18 +13,19 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * Reads all machine and job records for a new leader, after the version that the nodes agreed on:
- * the record format must be known before the first write. Each step is repeated until it succeeds
- * or the term ends; records that can't be read are logged and left out.
+ * Loads the machine and job records for a new leader. The agreed version is read first, because the
+ * record format must be known before the first write. Each step is retried until it succeeds or the
+ * term ends. Records that can't be parsed are logged and skipped.
  */
 final class StateLoader {
     private static final long RETRY_MICROS = 300_000;
 
     /**
-     * The stored state as it was read.
+     * The stored state.
      *
-     * @param storeRevision the store's revision as of which the jobs were read
-     * @param jobsRequestedMicros when the jobs were asked for; the list shows all earlier changes
+     * @param storeRevision the store's revision when the jobs were read
+     * @param jobsRequestedMicros when the request for the jobs was sent; the list includes all
+     *     earlier changes
      */
     record StoredState(
             List<SchedulerEvent.StoredMachine> machines,
--- a/src/main/java/org/woadloom/node/StepObserver.java
+++ b/src/main/java/org/woadloom/node/StepObserver.java
@@ -5,17 +5,17 @@
 import org.woadloom.core.SchedulerEvent;
 
 /**
- * Is shown each step of a node's scheduler, on the node's loop; tests compare by it what two
- * versions of the code decide.
+ * Observes each step of a node's scheduler, on the node's event loop. Tests use it to compare the
+ * decisions of two versions of the code.
  */
 public interface StepObserver {
     /** Ignores all steps. */
     StepObserver NONE = (nowMicros, commands, actions) -> {};
 
     /**
-     * One step is over, and its actions are about to be executed.
+     * Called after a step and before its actions are carried out.
      *
-     * @param nowMicros the time that the scheduler was given, by the node's loop
+     * @param nowMicros the time that was passed to the scheduler, by the node's loop
      */
     void onStep(long nowMicros, List<SchedulerEvent> events, List<SchedulerAction> actions);
 }
--- a/src/main/java/org/woadloom/node/StoreProbe.java
+++ b/src/main/java/org/woadloom/node/StoreProbe.java
@@ -6,8 +6,9 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * Finds out whether the store answers while the leader is out of reach, as nobody else may ask it.
- * Heartbeats that wait for either are routed anew as soon as this node may renew leases itself.
+ * Checks whether the store answers while the leader can't be reached, because there may be no other
+ * requests that show it. Also routes waiting heartbeats again once this node may renew leases
+ * itself.
  */
 final class StoreProbe {
     private static final long INTERVAL_MICROS = 700_000;
@@ -17,8 +18,8 @@
     private final PeerTracker peers;
     private final IsolationDetector isolation;
     private final DelegatedLeaseRenewer delegatedRenewer;
-    private final HeartbeatRouter heartbeats;
-    private boolean underWay;
+    private final HeartbeatRouter heartbeatRouter;
+    private boolean probePending;
 
     StoreProbe(
             EventLoop loop,
@@ -26,13 +27,13 @@
             PeerTracker peers,
             IsolationDetector isolation,
             DelegatedLeaseRenewer delegatedRenewer,
-            HeartbeatRouter heartbeats) {
+            HeartbeatRouter heartbeatRouter) {
         this.loop = loop;
         this.store = store;
         this.peers = peers;
         this.isolation = isolation;
         this.delegatedRenewer = delegatedRenewer;
-        this.heartbeats = heartbeats;
+        this.heartbeatRouter = heartbeatRouter;
     }
 
     void start() {
@@ -43,17 +44,17 @@
         }
         probe();
         if (!isLeaderReachable && delegatedRenewer.mayRenew()) {
-            heartbeats.rerouteWaiting();
+            heartbeatRouter.rerouteWaiting();
         }
     }
 
     private void probe() {
-        if (!underWay) {
-            underWay = true;
+        if (!probePending) {
+            probePending = true;
             store.get(
                     RequestPriority.CONTROL,
                     StoreKeys.LEADER,
-                    (result, entry, storeRevision) -> underWay = false);
+                    (result, entry, storeRevision) -> probePending = false);
         }
     }
 }
--- a/src/main/java/org/woadloom/node/StoreRelay.java
+++ b/src/main/java/org/woadloom/node/StoreRelay.java
@@ -24,11 +24,11 @@
 import org.woadloom.store.StoreLimits;
 
 /**
- * Relays heartbeats through the store to a leader that this node can't reach: otherwise every lease
- * in a zone that is cut off from the leader would expire. Heartbeats go in batches, each in one of
- * a few slots; the leader ({@link StoreRelayLeader}) writes the answers in the place of the batch,
- * so that each costs two changes and nothing is left to delete. The answers need no conditions, as
- * an agent refuses an old fencing token.
+ * Relays heartbeats through the store to a leader that this node can't reach. Without that, every
+ * lease in a zone that is partitioned from the leader would expire. Heartbeats are sent in batches,
+ * each in one of a few slots. The leader ({@link StoreRelayLeader}) overwrites the batch with the
+ * answers, so that a batch costs two changes and leaves nothing to delete. The answers need no
+ * conditions, as an agent rejects an old fencing token.
  */
 final class StoreRelay {
     private static final Logger LOG = LoggerFactory.getLogger(StoreRelay.class);
@@ -37,13 +37,13 @@
     private static final long WATCH_TIMEOUT_MICROS = 10_000_000;
     private static final long RETRY_MICROS = 300_000;
 
-    /** What is stored around one heartbeat of a batch. */
+    /** The estimated size of a stored heartbeat apart from its content. */
     private static final int HEARTBEAT_OVERHEAD_BYTES = 40;
 
     private static final double INITIAL_COMPRESSION_RATIO = 0.25;
     private static final double MIN_COMPRESSION_RATIO = 0.05;
 
-    /** The next batch may compress a little worse than the last. */
+    /** Allows for the next batch to compress slightly worse than the last. */
     private static final double COMPRESSION_MARGIN = 1.1;
 
     private final EventLoop loop;
@@ -54,23 +54,25 @@
     private final Random random;
     private final RelaySlots slots = new RelaySlots();
 
-    /** The size of compressed heartbeats as a part of that of plain ones, by the last batch. */
+    /**
+     * The size of the last batch's heartbeats after compression, relative to their size before it.
+     */
     private double compressionRatio = INITIAL_COMPRESSION_RATIO;
 
-    private final ArrayDeque<Relayed> outgoing = new ArrayDeque<>();
+    private final ArrayDeque<PendingRelay> outgoing = new ArrayDeque<>();
 
-    /** Heartbeats that wait for an answer, sent or not, by machine. */
-    private final Map<String, Relayed> waiting = new HashMap<>();
+    /** The heartbeats that wait for an answer, whether sent or not, by host. */
+    private final Map<String, PendingRelay> waiting = new HashMap<>();
 
     private boolean flushScheduled;
     private boolean watching;
 
     /**
-     * A heartbeat on its way.
+     * A heartbeat that waits for an answer.
      *
-     * @param plainBytes its size in a batch that is not compressed
+     * @param plainBytes its size in an uncompressed batch
      */
-    private record Relayed(
+    private record PendingRelay(
             RelayedHeartbeat heartbeat, String host, int plainBytes, PendingHeartbeat origin) {
         void answer(Response response) {
             origin.answer().accept(response);
@@ -92,7 +94,7 @@
         this.random = random;
     }
 
-    /** Sends an agent's heartbeat; the answer is 503 if none comes while the agent waits. */
+    /** Relays an agent's heartbeat; answers 503 if the leader does not answer in time. */
     void relay(String host, PendingHeartbeat origin) {
         Map<String, Object> content;
         try {
@@ -101,55 +103,62 @@
             origin.answer().accept(Response.error(400, e.getMessage()));
             return;
         }
-        Relayed relayed =
-                new Relayed(
+        PendingRelay pending =
+                new PendingRelay(
                         new RelayedHeartbeat(newId(), content),
                         host,
                         Cbor.jsonSize(content) + HEARTBEAT_OVERHEAD_BYTES,
                         origin);
-        if (estimatedBytes(relayed) + RelayCodec.BATCH_OVERHEAD_BYTES
+        if (estimatedBytes(pending) + RelayCodec.BATCH_OVERHEAD_BYTES
                 > limits.currentValueBytes()) {
-            refuseTooLong(relayed);
+            refuseTooLarge(pending);
             return;
         }
-        Relayed superseded = waiting.put(host, relayed);
+        PendingRelay superseded = waiting.put(host, pending);
         if (superseded != null) {
             outgoing.remove(superseded);
-            superseded.answer(Response.unavailable("a newer report was sent"));
+            superseded.answer(
+                    Response.unavailable("superseded by a newer heartbeat of the same machine"));
         }
-        loop.schedule(ANSWER_TIMEOUT_MICROS, () -> onTimeout(relayed));
+        loop.schedule(ANSWER_TIMEOUT_MICROS, () -> onTimeout(pending));
         watchAnswers();
-        outgoing.addLast(relayed);
+        outgoing.addLast(pending);
         scheduleFlush();
     }
 
-    /** Gives back what waits for an answer: it was meant for a leader that leads no more. */
+    /**
+     * Removes and returns all heartbeats that wait for an answer, so that they can be routed again.
+     */
     List<PendingHeartbeat> withdrawAll() {
         List<PendingHeartbeat> withdrawn = new ArrayList<>();
-        waiting.values().forEach(relayed -> withdrawn.add(relayed.origin));
+        waiting.values().forEach(pending -> withdrawn.add(pending.origin));
         waiting.clear();
         outgoing.clear();
         return withdrawn;
     }
 
     /**
-     * At random, so that a restarted node takes no answer to its predecessor for its own, whatever
-     * its clock says: the answer may hold a start command that was acknowledged since, and must not
-     * reach the agent once more.
+     * Draws a random id, so that a restarted node never mistakes an answer to its predecessor for
+     * one to itself, whatever its clock says. Such an answer may contain a start command that the
+     * agent has acknowledged since and must not receive again.
      */
     private long newId() {
         return random.nextLong() >>> 1;
     }
 
-    private void onTimeout(Relayed relayed) {
-        if (waiting.remove(relayed.host, relayed)) {
-            outgoing.remove(relayed);
-            relayed.answer(Response.unavailable("the leader does not answer"));
+    private void onTimeout(PendingRelay pending) {
+        if (waiting.remove(pending.host, pending)) {
+            outgoing.remove(pending);
+            pending.answer(Response.unavailable("the leader did not answer in time"));
         }
     }
 
-    private static void refuseTooLong(Relayed relayed) {
-        relayed.answer(Response.unavailable("the report is too long for the state service"));
+    private void refuseTooLarge(PendingRelay pending) {
+        pending.answer(
+                Response.unavailable(
+                        "the heartbeat does not fit into a value of the state service (at most "
+                                + limits.currentValueBytes()
+                                + " bytes)"));
     }
 
     private void scheduleFlush() {
@@ -159,7 +168,10 @@
         }
     }
 
-    /** Fills the free slots; what finds none waits for the next, and the batches get larger. */
+    /**
+     * Sends a batch in each free slot. The other heartbeats wait for a slot, and the batches get
+     * larger.
+     */
     private void flush() {
         flushScheduled = false;
         for (int slot = 0; slot < RelaySlots.COUNT && !outgoing.isEmpty(); slot++) {
@@ -174,16 +186,16 @@
 
     private void send(int slot) {
         long batchId = newId();
-        List<Relayed> batch = takeBatch();
+        List<PendingRelay> batch = takeBatch();
         Map<String, Object> value =
                 codec.encodeHeartbeats(
                         batchId,
                         loop.wallMicros(),
-                        batch.stream().map(Relayed::heartbeat).toList());
+                        batch.stream().map(PendingRelay::heartbeat).toList());
         if (codec.isCompressing()) {
             updateCompressionRatio(batch, value);
             if (Cbor.jsonSize(value) > limits.currentValueBytes()) {
-                // With the ratio that is known now, the next batches are small enough.
+                // The updated ratio makes the next batches small enough.
                 resend(batch);
                 return;
             }
@@ -193,15 +205,15 @@
         loop.schedule(ANSWER_TIMEOUT_MICROS, () -> slots.free(slot, batchId));
     }
 
-    private List<Relayed> takeBatch() {
-        // Answers with start commands may be longer than the heartbeats, and must fit in the same
-        // place.
+    private List<PendingRelay> takeBatch() {
+        // Answers with start commands may be larger than the heartbeats, and must fit into the same
+        // value.
         int maxBytes = limits.currentValueBytes() / (codec.isCompressing() ? 1 : 2);
-        List<Relayed> batch = new ArrayList<>();
+        List<PendingRelay> batch = new ArrayList<>();
         int bytes = RelayCodec.BATCH_OVERHEAD_BYTES;
         int plainBytes = 0;
         while (!outgoing.isEmpty()) {
-            Relayed next = outgoing.peekFirst();
+            PendingRelay next = outgoing.peekFirst();
             boolean fits =
                     bytes + estimatedBytes(next) <= maxBytes
                             && plainBytes + next.plainBytes <= RelayCodec.MAX_PLAIN_BYTES;
@@ -216,22 +228,23 @@
         return batch;
     }
 
-    private int estimatedBytes(Relayed relayed) {
+    private int estimatedBytes(PendingRelay pending) {
         return codec.isCompressing()
-                ? (int) (relayed.plainBytes * compressionRatio) + 1
-                : relayed.plainBytes;
+                ? (int) (pending.plainBytes * compressionRatio) + 1
+                : pending.plainBytes;
     }
 
-    private void updateCompressionRatio(List<Relayed> batch, Map<String, Object> value) {
+    private void updateCompressionRatio(List<PendingRelay> batch, Map<String, Object> value) {
         int plainBytes = 0;
-        for (Relayed relayed : batch) {
-            plainBytes += relayed.plainBytes;
+        for (PendingRelay pending : batch) {
+            plainBytes += pending.plainBytes;
         }
         double ratio = COMPRESSION_MARGIN * RelayCodec.compressedHeartbeatsSize(value) / plainBytes;
         compressionRatio = Math.max(MIN_COMPRESSION_RATIO, ratio);
     }
 
-    private void write(int slot, long batchId, List<Relayed> batch, Map<String, Object> value) {
+    private void write(
+            int slot, long batchId, List<PendingRelay> batch, Map<String, Object> value) {
         store.txn(
                 RequestPriority.URGENT,
                 List.of(),
@@ -252,22 +265,22 @@
     }
 
     /**
-     * Sends what did not fit in smaller batches; a single heartbeat that does not fit can't be
-     * relayed.
+     * Queues the heartbeats of a batch that was too large, to be sent in smaller batches. A single
+     * heartbeat that is too large can't be relayed.
      */
-    private void resend(List<Relayed> batch) {
+    private void resend(List<PendingRelay> batch) {
         for (int i = batch.size() - 1; i >= 0; i--) {
-            Relayed relayed = batch.get(i);
+            PendingRelay pending = batch.get(i);
             @SuppressWarnings("ReferenceEquality") // A newer heartbeat may have the same content.
-            boolean superseded = waiting.get(relayed.host) != relayed;
+            boolean superseded = waiting.get(pending.host) != pending;
             if (superseded) {
                 continue;
             }
             if (batch.size() > 1) {
-                outgoing.addFirst(relayed);
+                outgoing.addFirst(pending);
             } else {
-                waiting.remove(relayed.host);
-                refuseTooLong(relayed);
+                waiting.remove(pending.host);
+                refuseTooLarge(pending);
             }
         }
         scheduleFlush();
@@ -278,8 +291,8 @@
             return;
         }
         watching = true;
-        // The list gives the revision to watch from; answers to earlier batches that it shows are
-        // ignored by their ids.
+        // The list returns the revision to watch from. Answers to earlier batches in it are ignored
+        // because of their ids.
         store.list(
                 RequestPriority.URGENT,
                 StoreKeys.mailOf(label),
@@ -336,11 +349,11 @@
     }
 
     private void onAnswer(RelayedAnswer answer) {
-        Relayed relayed = waiting.get(answer.host());
-        if (relayed != null && relayed.heartbeat.id() == answer.heartbeatId()) {
+        PendingRelay pending = waiting.get(answer.host());
+        if (pending != null && pending.heartbeat.id() == answer.heartbeatId()) {
             waiting.remove(answer.host());
-            Consumer<Response> origin = relayed.origin.answer();
-            origin.accept(Response.cbor(answer.status(), Cbor.encode(answer.content())));
+            Consumer<Response> callback = pending.origin.answer();
+            callback.accept(Response.cbor(answer.status(), Cbor.encode(answer.content())));
         }
     }
 }
--- a/src/main/java/org/woadloom/node/StoreRelayLeader.java
+++ b/src/main/java/org/woadloom/node/StoreRelayLeader.java
@@ -19,21 +19,23 @@
 import org.woadloom.store.StoreKeys;
 import org.woadloom.store.StoreLimits;
 
-/** The leader's side of {@link StoreRelay}: has relayed heartbeats decided and answers them. */
+/**
+ * The leader's side of {@link StoreRelay}: has relayed heartbeats decided, and writes the answers.
+ */
 final class StoreRelayLeader {
     private static final Logger LOG = LoggerFactory.getLogger(StoreRelayLeader.class);
     private static final long WATCH_TIMEOUT_MICROS = 10_000_000;
     private static final long RETRY_MICROS = 300_000;
 
     /**
-     * The age from which nobody waits for the answers of a batch. It is measured between two nodes'
-     * wall clocks, which differ a little.
+     * Batches older than this are ignored, as nobody waits for their answers any more. The age is
+     * the difference of two nodes' wall clocks, which differ slightly.
      */
     private static final long STALE_MICROS = 10_000_000;
 
     private static final long NO_TERM = 0;
 
-    /** Decides a heartbeat; only the leader has one. */
+    /** Decides a heartbeat. Called only while this node leads. */
     interface Decider {
         void decide(byte[] heartbeat, Consumer<Response> answer);
     }
@@ -58,7 +60,7 @@
         this.decider = decider;
     }
 
-    /** Answers batches as long as this term lasts. */
+    /** Answers batches until the term ends. */
     void start(long term) {
         leadingTerm = term;
         listAndWatch(term);
@@ -130,7 +132,7 @@
         return Math.abs(loop.wallMicros() - batch.sentWallMicros()) > STALE_MICROS;
     }
 
-    /** Collects the answers to one batch and writes them once all are there. */
+    /** Collects the answers to one batch, and writes them once all have arrived. */
     private final class BatchReply {
         private final String path;
         private final long batchId;
@@ -160,11 +162,11 @@
         }
     }
 
-    /** Writes what fits; agents whose answers don't fit send another heartbeat. */
+    /** Writes as many answers as fit into a value; the other agents send another heartbeat. */
     private void write(String path, long batchId, List<RelayedAnswer> allAnswers) {
         List<RelayedAnswer> answers = allAnswers;
         Map<String, Object> encoded = codec.encodeAnswers(batchId, answers);
-        while (!answers.isEmpty() && isTooLong(encoded, answers)) {
+        while (!answers.isEmpty() && isTooLarge(encoded, answers)) {
             answers = answers.subList(0, answers.size() * 3 / 4);
             encoded = codec.encodeAnswers(batchId, answers);
         }
@@ -187,7 +189,7 @@
                 });
     }
 
-    private boolean isTooLong(Map<String, Object> value, List<RelayedAnswer> answers) {
+    private boolean isTooLarge(Map<String, Object> value, List<RelayedAnswer> answers) {
         return Cbor.jsonSize(value) > limits.currentValueBytes()
                 || RelayCodec.plainAnswersSize(answers) > RelayCodec.MAX_PLAIN_BYTES;
     }
--- a/src/main/java/org/woadloom/node/UnreadableRecords.java
+++ b/src/main/java/org/woadloom/node/UnreadableRecords.java
@@ -3,7 +3,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Logs stored values that can't be read, in the same form wherever they are found. */
+/** Logs stored values that can't be parsed, always in the same form. */
 final class UnreadableRecords {
     private static final Logger LOG = LoggerFactory.getLogger(UnreadableRecords.class);
 
--- a/src/main/java/org/woadloom/node/WriteActions.java
+++ b/src/main/java/org/woadloom/node/WriteActions.java
@@ -11,8 +11,8 @@
 import org.woadloom.store.StoreKeys;
 import org.woadloom.store.StoreLimits;
 
-/** Writes the records of jobs and machines for a leader's scheduler in one term. */
-final class RecordWrites {
+/** Carries out the scheduler's writes of job and machine records during one term. */
+final class WriteActions {
     private final LeadershipTerm term;
     private final RecordWriter writer;
     private final RolloutParticipant rollout;
@@ -20,7 +20,7 @@
     private final SchedulerStatusFeed statusFeed;
     private final EventQueue queue;
 
-    RecordWrites(
+    WriteActions(
             LeadershipTerm term,
             RecordWriter writer,
             RolloutParticipant rollout,
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Replaces the record of a job by its final state in one transaction. */
+    /** Replaces a job record by the job's final state in one transaction. */
     void writeFinalState(SchedulerAction.WriteFinalState action) {
         String jobId = action.record().jobId();
         Map<String, Object> value = action.record().toMap(rollout.format());
--- a/src/test/java/org/woadloom/node/CompressedListGoldenTest.java
+++ b/src/test/java/org/woadloom/node/CompressedListGoldenTest.java
@@ -13,34 +13,36 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * A packed list that was recorded is read, and what is packed now is read as the same; how well it
- * is packed may change.
+ * Checks that a recorded list is still decompressed to the same items, and that a list that is
+ * compressed now is read back. The compressed bytes may change.
  */
 class CompressedListGoldenTest {
     private static final String FILE = "packed-letter.txt";
 
-    private static List<Object> reports() {
-        Map<String, Object> report = new LinkedHashMap<>();
-        report.put("host", "host-000231");
-        report.put("tick", 17L);
-        report.put("shards", List.of());
-        return List.of(List.of(42L, report), List.of(43L, report));
+    private static List<Object> heartbeats() {
+        Map<String, Object> heartbeat = new LinkedHashMap<>();
+        heartbeat.put("host", "host-000231");
+        heartbeat.put("tick", 17L);
+        heartbeat.put("shards", List.of());
+        return List.of(List.of(42L, heartbeat), List.of(43L, heartbeat));
     }
 
     @Test
-    void packedReportsAreReadAsRecorded() throws MalformedMessageException, IOException {
+    void decompressReadsRecordedList() throws MalformedMessageException, IOException {
         if (Boolean.getBoolean("goldenRecord")) {
             GoldenFile golden = new GoldenFile();
             golden.addBytes(
-                    "reports", CompressedList.pack(reports()).getBytes(StandardCharsets.US_ASCII));
+                    "reports",
+                    CompressedList.compress(heartbeats()).getBytes(StandardCharsets.US_ASCII));
             golden.check(FILE);
         }
         String recorded =
                 new String(GoldenFile.readBytes(FILE, "reports"), StandardCharsets.US_ASCII);
         assertEquals(
-                CanonicalJson.of(reports()), CanonicalJson.of(CompressedList.unpack(recorded)));
+                CanonicalJson.of(heartbeats()),
+                CanonicalJson.of(CompressedList.decompress(recorded)));
         assertEquals(
-                CanonicalJson.of(reports()),
-                CanonicalJson.of(CompressedList.unpack(CompressedList.pack(reports()))));
+                CanonicalJson.of(heartbeats()),
+                CanonicalJson.of(CompressedList.decompress(CompressedList.compress(heartbeats()))));
     }
 }
--- a/src/test/java/org/woadloom/node/CompressedListTest.java
+++ b/src/test/java/org/woadloom/node/CompressedListTest.java
@@ -17,11 +17,14 @@
     private static final int MACHINES = 12;
     private static final int TASKS = 12;
 
-    /** With one report to a letter of 2 KiB, the leases of a zone that was cut off ended. */
+    /**
+     * Guards against a relay that carries too little: with one heartbeat per value of 2 KiB, the
+     * leases of a partitioned zone expired.
+     */
     @Test
-    void aSmallValueHoldsTheReportsOfManyMachines() throws MalformedMessageException {
+    void compressFitsTwelveHeartbeatsIntoTwoKibibytes() throws MalformedMessageException {
         Random random = new Random(6);
-        List<Object> reports = new ArrayList<>();
+        List<Object> heartbeats = new ArrayList<>();
         for (int host = 0; host < MACHINES; host++) {
             List<Object> tasks = new ArrayList<>();
             for (int i = 0; i < TASKS; i++) {
@@ -33,52 +36,55 @@
                 task.put("status", "running");
                 tasks.add(task);
             }
-            Map<String, Object> report = new LinkedHashMap<>();
-            report.put("host", String.format("host-%06d", random.nextInt(500)));
-            report.put("tick", (long) random.nextInt(400));
-            report.put("shards", tasks);
-            reports.add(Arrays.asList(random.nextLong(1L << 54), report));
+            Map<String, Object> heartbeat = new LinkedHashMap<>();
+            heartbeat.put("host", String.format("host-%06d", random.nextInt(500)));
+            heartbeat.put("tick", (long) random.nextInt(400));
+            heartbeat.put("shards", tasks);
+            heartbeats.add(Arrays.asList(random.nextLong(1L << 54), heartbeat));
         }
-        String packed = CompressedList.pack(reports);
+        String compressed = CompressedList.compress(heartbeats);
         assertTrue(
-                packed.length() < 2_048,
-                MACHINES + " reports in " + packed.length() + " characters");
-        assertEquals(reports, CompressedList.unpack(packed));
+                compressed.length() < 2_048,
+                MACHINES + " heartbeats in " + compressed.length() + " characters");
+        assertEquals(heartbeats, CompressedList.decompress(compressed));
     }
 
-    /** The bound on what is unpacked is above the reports of a whole zone of idle workers. */
+    /** The size limit of decompression is above the heartbeats of a whole zone of idle agents. */
     @Test
-    void theReportsOfFourThousandIdleWorkersAreReadBack() throws MalformedMessageException {
-        List<Object> reports = new ArrayList<>();
+    void decompressReadsHeartbeatsOfFourThousandIdleAgents() throws MalformedMessageException {
+        List<Object> heartbeats = new ArrayList<>();
         for (int host = 0; host < 4_000; host++) {
-            Map<String, Object> report = new LinkedHashMap<>();
-            report.put("host", String.format("host-%06d", host));
-            report.put("tick", 17L);
-            report.put("shards", List.of());
-            reports.add(Arrays.asList((long) host, report));
+            Map<String, Object> heartbeat = new LinkedHashMap<>();
+            heartbeat.put("host", String.format("host-%06d", host));
+            heartbeat.put("tick", 17L);
+            heartbeat.put("shards", List.of());
+            heartbeats.add(Arrays.asList((long) host, heartbeat));
         }
-        assertEquals(reports, CompressedList.unpack(CompressedList.pack(reports)));
+        assertEquals(heartbeats, CompressedList.decompress(CompressedList.compress(heartbeats)));
     }
 
     @Test
-    void brokenLettersAreRefused() {
-        String packed = CompressedList.pack(List.of("a", "b"));
+    void decompressRejectsTruncatedAndInvalidText() {
+        String compressed = CompressedList.compress(List.of("a", "b"));
         assertThrows(
                 MalformedMessageException.class,
-                () -> CompressedList.unpack(packed.substring(0, packed.length() / 2)));
-        assertThrows(MalformedMessageException.class, () -> CompressedList.unpack("no letter"));
+                () -> CompressedList.decompress(compressed.substring(0, compressed.length() / 2)));
+        assertThrows(MalformedMessageException.class, () -> CompressedList.decompress("no letter"));
     }
 
-    /** A letter that would fill the memory is cut off, and then can't be read. */
+    /**
+     * Decompression stops at the size limit, so that a value can't fill the memory; the truncated
+     * list is then rejected.
+     */
     @Test
-    void aLetterThatGrowsWithoutBoundIsRefused() {
+    void decompressRejectsListAboveSizeLimit() {
         String zeros = "0".repeat(60_000);
         List<Object> many = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             many.add(zeros);
         }
-        String packed = CompressedList.pack(many);
-        assertTrue(packed.length() < 16_384);
-        assertThrows(MalformedMessageException.class, () -> CompressedList.unpack(packed));
+        String compressed = CompressedList.compress(many);
+        assertTrue(compressed.length() < 16_384);
+        assertThrows(MalformedMessageException.class, () -> CompressedList.decompress(compressed));
     }
 }
--- a/src/test/java/org/woadloom/node/EventQueueTest.java
+++ b/src/test/java/org/woadloom/node/EventQueueTest.java
@@ -27,9 +27,9 @@
 class EventQueueTest {
     private static final int JOBS = 3_000;
 
-    private final ArrayDeque<Runnable> soon = new ArrayDeque<>();
+    private final ArrayDeque<Runnable> pendingTasks = new ArrayDeque<>();
     private final List<SchedulerAction> actions = new ArrayList<>();
-    private final Scheduler core =
+    private final Scheduler scheduler =
             new Scheduler(
                     new SchedulerSettings(
                             "node",
@@ -42,10 +42,11 @@
                             3_000_000,
                             OperatorSettings.defaults()));
     private final EventQueue queue =
-            new EventQueue(new StillLoop(), core, new NodeMetrics(), 10, actions::addAll);
+            new EventQueue(
+                    new ManualEventLoop(), scheduler, new NodeMetrics(), 10, actions::addAll);
 
-    /** Time stands still, and what is put off comes next. */
-    private final class StillLoop implements EventLoop {
+    /** Its time stands still; tasks and timers are queued, and the test runs them in order. */
+    private final class ManualEventLoop implements EventLoop {
         @Override
         public long nowMicros() {
             return 1_000_000;
@@ -58,18 +59,18 @@
 
         @Override
         public void execute(Runnable task) {
-            soon.add(task);
+            pendingTasks.add(task);
         }
 
         @Override
         public Timer schedule(long delayMicros, Runnable task) {
-            soon.add(task);
+            pendingTasks.add(task);
             return () -> {};
         }
     }
 
     @Test
-    void reportsAreShedWhenFullAndOutcomesNever() throws MalformedMessageException {
+    void fullQueueDropsHeartbeatsAndKeepsOtherEvents() throws MalformedMessageException {
         List<SchedulerEvent.StoredJob> jobs = new ArrayList<>();
         for (int i = 0; i < JOBS; i++) {
             jobs.add(new SchedulerEvent.StoredJob(record(i), 1));
@@ -78,17 +79,17 @@
                 new SchedulerEvent.StoreLimitsChanged(
                         8192, RecordFormat.PLAIN, 10_000, false, false));
         queue.add(new SchedulerEvent.LeadershipAcquired(1, jobs, List.of(), 0));
-        int taken = 0;
+        int accepted = 0;
         for (int i = 0; i < 25; i++) {
-            taken += queue.offer(report(i, 1)) ? 1 : 0;
+            accepted += queue.offer(heartbeat(i, 1)) ? 1 : 0;
         }
-        assertEquals(10, taken);
+        assertEquals(10, accepted);
         for (int i = 0; i < JOBS; i++) {
             queue.add(new SchedulerEvent.JobStored(record(i).withCancellation(), 2));
         }
-        assertFalse(queue.offer(report(99, 1)));
-        while (!soon.isEmpty()) {
-            soon.poll().run();
+        assertFalse(queue.offer(heartbeat(99, 1)));
+        while (!pendingTasks.isEmpty()) {
+            pendingTasks.poll().run();
         }
         assertEquals(
                 10,
@@ -96,18 +97,18 @@
         assertEquals(
                 JOBS,
                 actions.stream().filter(SchedulerAction.WriteFinalState.class::isInstance).count());
-        assertTrue(queue.offer(report(1, 2)), "there is room again");
+        assertTrue(queue.offer(heartbeat(1, 2)), "a drained queue accepts heartbeats again");
     }
 
     @Test
-    void whatIsShedIsCounted() {
+    void offerCountsDroppedHeartbeats() {
         for (int i = 0; i < 25; i++) {
-            queue.offer(report(i, 1));
+            queue.offer(heartbeat(i, 1));
         }
         assertEquals(15, queue.refusedHeartbeats());
     }
 
-    private static SchedulerEvent.HeartbeatReceived report(int host, long sequence) {
+    private static SchedulerEvent.HeartbeatReceived heartbeat(int host, long sequence) {
         return new SchedulerEvent.HeartbeatReceived(
                 host,
                 new Heartbeat(
--- a/src/test/java/org/woadloom/node/PeerTrackerTest.java
+++ b/src/test/java/org/woadloom/node/PeerTrackerTest.java
@@ -11,8 +11,8 @@
 
 class PeerTrackerTest {
     private final List<PeerMessage> sent = new ArrayList<>();
-    private boolean full;
-    private final PeerTracker links =
+    private boolean isSendQueueFull;
+    private final PeerTracker peerTracker =
             new PeerTracker(
                     new StoppedEventLoop(),
                     new PeerTransport() {
@@ -26,7 +26,7 @@
 
                         @Override
                         public boolean accepts(String label) {
-                            return !full;
+                            return !isSendQueueFull;
                         }
                     },
                     List.of("leader"),
@@ -34,17 +34,17 @@
                     null,
                     null);
 
-    /** Its worker is told at once, rather than when it has given up. */
+    /** The agent gets an answer at once instead of waiting for its timeout. */
     @Test
-    void aReportThatCannotBeCarriedIsRefusedAtOnceAndCounted() {
+    void forwardAnswers503AndCountsWhenSendQueueIsFull() {
         List<Response> answers = new ArrayList<>();
-        links.forward("leader", new byte[0], answers::add);
+        peerTracker.forward("leader", new byte[0], answers::add);
         assertEquals(1, sent.size());
         assertEquals(List.of(), answers);
-        full = true;
-        links.forward("leader", new byte[0], answers::add);
+        isSendQueueFull = true;
+        peerTracker.forward("leader", new byte[0], answers::add);
         assertEquals(1, sent.size());
         assertEquals(503, answers.get(0).status());
-        assertEquals(1, links.refused());
+        assertEquals(1, peerTracker.refusedHeartbeats());
     }
 }
--- a/src/test/java/org/woadloom/node/StoppedEventLoop.java
+++ b/src/test/java/org/woadloom/node/StoppedEventLoop.java
@@ -2,7 +2,7 @@
 
 import org.woadloom.net.EventLoop;
 
-/** A loop whose time stands still: nothing that is scheduled ever runs. */
+/** An event loop whose time stands still and which never runs a task. */
 final class StoppedEventLoop implements EventLoop {
     @Override
     public long nowMicros() {
