--- a/src/main/java/org/woadloom/core/LeaderTerm.java
+++ b/src/main/java/org/woadloom/core/LeaderTerm.java
@@ -142,7 +142,7 @@
     }
 
     int reservationCount() {
-        return reservations.size();
+        return reservations.count();
     }
 
     long machinesExamined() {
@@ -168,16 +168,16 @@
         }
         if (state.nowMicros() >= nextForgetMicros) {
             nextForgetMicros = state.nowMicros() + FORGET_INTERVAL_MICROS;
-            machines.forget();
-            heartbeats.forget();
+            machines.forgetDeletedMachines();
+            heartbeats.dropForgottenMachines();
         }
-        state.dependencies().review();
+        state.dependencies().processChanges();
         if (isPlacementDue()) {
             schedulePlacement();
             placeTasks();
         }
         autoscaler.review(isSearchComplete);
-        state.serviceLevels().review();
+        state.serviceLevels().reportIfDue();
         rollout.review();
         emitActions();
     }
@@ -190,7 +190,7 @@
 
     private boolean isPlacementDue() {
         return !isSearchComplete
-                || ((state.isPlacementNeeded() || state.nowMicros() >= nextPlacementMicros)
+                || ((state.isPlacementRequested() || state.nowMicros() >= nextPlacementMicros)
                         && state.nowMicros() >= placementNotBeforeMicros);
     }
 
@@ -204,7 +204,7 @@
 
     private void placeTasks() {
         for (TeamQuota team : state.teams().values()) {
-            team.reviewLostTasks(state.nowMicros(), reservations::countFor);
+            team.expireLostTaskHolds(state.nowMicros(), reservations::countFor);
         }
         guaranteedQuota.update();
         classFairShare.update();
@@ -213,16 +213,16 @@
         isSearchComplete = placer.place();
         gangPlanner.maintain(failedReservations);
         if (isSearchComplete) {
-            List<Job> queue = placer.queue();
+            List<Job> queue = placer.placementQueue();
             gangPlanner.reserve(queue);
             preemption.preemptFor(queue);
-            waitingJobs.review();
+            waitingJobs.logIfDue();
         }
     }
 
     private void emitActions() {
         state.writeBudget().refill(state.nowMicros());
-        jobPersister.emitWrites();
+        jobPersister.emitDueRequests();
         machines.emitWrites();
         directCommands.emitCommands();
     }
@@ -244,7 +244,7 @@
 
     @Override
     public void onJobStored(SchedulerEvent.JobStored event) {
-        jobs.onRecord(event.record(), event.revision());
+        jobs.onRecordChanged(event.record(), event.revision());
     }
 
     @Override
@@ -310,7 +310,7 @@
 
     @Override
     public void onRolloutStateRead(SchedulerEvent.RolloutStateRead event) {
-        rollout.latest(event);
+        rollout.onStateRead(event);
     }
 
     @Override
--- a/src/main/java/org/woadloom/core/autoscaling/MachineListing.java
+++ b/src/main/java/org/woadloom/core/autoscaling/MachineListing.java
@@ -36,11 +36,11 @@
      * left out: it may only be new to a list that lags further behind.
      */
     boolean isMissing(Machine machine) {
-        if (!machine.isKnownAlive() && !machine.isReportedRecorded()) {
+        if (!machine.isKnownAlive() && !machine.isHeartbeatRecorded()) {
             return false;
         }
-        long existsSinceMicros = Math.max(machine.rentedMicros(), state.startedMicros());
+        long existsSinceMicros = Math.max(machine.rentedMicros(), state.termStartMicros());
         return lastListMicros - lastListedMicros.getOrDefault(machine.host, existsSinceMicros)
-                > 2 * state.settings().listLagMicros() + MARGIN_MICROS;
+                > 2 * state.settings().machineListLagMicros() + MARGIN_MICROS;
     }
 }
--- a/src/main/java/org/woadloom/core/machines/AgentProber.java
+++ b/src/main/java/org/woadloom/core/machines/AgentProber.java
@@ -107,12 +107,12 @@
      */
     private boolean isSilent(Machine machine) {
         boolean known =
-                machine.isKnownAlive() || machine.isReportedRecorded() || !machine.isEmpty();
-        long since = Math.max(machine.liveness.lastHeartbeatMicros(), state.startedMicros());
+                machine.isKnownAlive() || machine.isHeartbeatRecorded() || !machine.isEmpty();
+        long since = Math.max(machine.liveness.lastHeartbeatMicros(), state.termStartMicros());
         return known
                 && !machine.isDecommissioning()
                 && !machine.address().isEmpty()
-                && state.nowMicros() - since > state.livenessTimeouts().freshMicros();
+                && state.nowMicros() - since > state.livenessTimeouts().maxFreshAgeMicros();
     }
 
     private void probe(List<Machine> silent) {
@@ -125,7 +125,7 @@
         for (Machine machine : silent) {
             if (probed.size() >= maxProbes
                     || state.nowMicros() - machine.commands.lastProbeMicros()
-                            < state.settings().leaseMicros() / 2) {
+                            < state.settings().leaseDurationMicros() / 2) {
                 return;
             }
             if (!machine.commands.isCommandInFlight()
--- a/src/main/java/org/woadloom/core/quota/TeamQuota.java
+++ b/src/main/java/org/woadloom/core/quota/TeamQuota.java
@@ -46,11 +46,13 @@
 
     private static Resources bounds(double cpus, double gpus) {
         return new Resources(
-                Resources.roundDown(cpus), Resources.roundDown(gpus), UNBOUNDED_MEMORY);
+                Resources.toUnitsRoundedDown(cpus),
+                Resources.toUnitsRoundedDown(gpus),
+                UNBOUNDED_MEMORY);
     }
 
     /** A reservation of the team has come. */
-    public void add(Resources amount) {
+    public void addUsage(Resources amount) {
         used = used.plus(amount);
     }
 
@@ -76,12 +78,12 @@
      *
      * @param reservedTasks for how many tasks of a job there are reservations, which count as used
      */
-    public void reviewLostTasks(long nowMicros, ToIntFunction<Job> reservedTasks) {
+    public void expireLostTaskHolds(long nowMicros, ToIntFunction<Job> reservedTasks) {
         lostTasks.review(nowMicros, reservedTasks);
     }
 
     /** An attempt or a reservation of the team has ended. */
-    public void subtract(Resources amount) {
+    public void subtractUsage(Resources amount) {
         used = used.minus(amount);
     }
 
@@ -103,16 +105,16 @@
     /** The same, where the first tasks give back what was reserved for them. */
     public int allowedTasks(Resources task, Job job, Resources credit) {
         Resources free = limit.minus(used).plus(credit).minus(lostTasks.heldForOthers(job));
-        int freeTasks = free.withoutNegatives().count(task);
+        int freeTasks = free.clampToNonNegative().countFitting(task);
         if (turnHolder == job) {
             return freeTasks;
         }
         int lost = Math.min(lostTasks.tasksOf(job), freeTasks);
-        return Math.max(lost, notKeptForOthers(free, job).withoutNegatives().count(task));
+        return Math.max(lost, notKeptForOthers(free, job).clampToNonNegative().countFitting(task));
     }
 
     /** Why the limit allows the job no task now; empty if it allows one. */
-    public Optional<PendingReason> whyNotAllowed(Job job) {
+    public Optional<PendingReason> quotaPendingReason(Job job) {
         Resources task = job.taskResources;
         if (allowedTasks(task, job) > 0) {
             return Optional.empty();
--- a/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
+++ b/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
@@ -16,7 +16,7 @@
 import org.woadloom.core.rollout.RolloutPolicy.Situation;
 import org.woadloom.store.NodeAnnouncement;
 import org.woadloom.store.RolloutRecord;
-import org.woadloom.store.RolloutRecord.Standing;
+import org.woadloom.store.RolloutRecord.FeatureState;
 import org.woadloom.store.RolloutRecord.Step;
 import org.woadloom.store.RolloutRequest;
 import org.woadloom.store.RolloutRequest.Verb;
@@ -63,7 +63,7 @@
 
     /** How far the counting of a feature's records has come, in its current standing. */
     private static final class Count {
-        Standing standing = Standing.OFF;
+        FeatureState standing = FeatureState.OFF;
         long sinceMicros;
         boolean asked;
         boolean confirmed;
@@ -81,7 +81,7 @@
     }
 
     /** Takes in the state of the rollout, unless it is older than what is known. */
-    public void latest(SchedulerEvent.RolloutStateRead now) {
+    public void onStateRead(SchedulerEvent.RolloutStateRead now) {
         if (latest != null && now.record().number() < latest.record().number()) {
             return;
         }
@@ -89,7 +89,7 @@
         Map<String, Object> lives = new LinkedHashMap<>();
         now.announcements()
                 .forEach((label, stored) -> lives.put(label, stored.announcement().processId()));
-        lives.put("wordless", now.unannounced());
+        lives.put("wordless", now.unannouncedNodes());
         if (!lives.equals(circumstances)) {
             circumstances = lives;
             calmSinceMicros = state.nowMicros();
@@ -117,10 +117,10 @@
             return;
         }
         reviewedMicros = state.nowMicros();
-        if (latest.refusals() - refusedBefore > MAX_CALM_REFUSALS) {
+        if (latest.overloadSignals() - refusedBefore > MAX_CALM_REFUSALS) {
             calmSinceMicros = state.nowMicros();
         }
-        refusedBefore = latest.refusals();
+        refusedBefore = latest.overloadSignals();
         for (Feature feature : Feature.values()) {
             count(feature);
         }
@@ -136,31 +136,31 @@
      */
     private void count(Feature feature) {
         Count count = counts.get(feature);
-        Standing standing = latest.record().of(feature.key());
+        FeatureState standing = latest.record().stateOf(feature.key());
         if (!standing.equals(count.standing)) {
             count.standing = standing;
             count.sinceMicros = state.nowMicros();
-            count.confirmed = feature.prefix() == null;
+            count.confirmed = feature.recordPrefix() == null;
             count.asked = false;
             count.againMicros = 0;
             migration.forget(feature);
         }
-        boolean moving = standing.step() == Step.ON || standing.back();
+        boolean moving = standing.step() == Step.ON || standing.isRollingBack();
         if (moving
                 && !count.confirmed
                 && !count.asked
                 && migration.remaining(feature) == 0
                 && state.nowMicros() >= count.againMicros
-                && migration.isQuiet(feature, standing.on())) {
+                && migration.isQuiet(feature, standing.isOn())) {
             count.asked = true;
-            state.emit(new SchedulerAction.CountRecords(feature, standing.back()));
+            state.emit(new SchedulerAction.CountRecords(feature, standing.isRollingBack()));
         }
     }
 
     /** Takes in which records are to be rewritten. */
     public void onRecordsCounted(SchedulerEvent.RecordsCounted result) {
         Count count = counts.get(result.feature());
-        if (!count.asked || count.standing.back() != result.rollingBack()) {
+        if (!count.asked || count.standing.isRollingBack() != result.rollingBack()) {
             return;
         }
         count.asked = false;
@@ -189,14 +189,14 @@
 
     private Set<String> members() {
         Set<Set<String>> named = new HashSet<>();
-        named.add(new TreeSet<>(state.settings().nodes().keySet()));
+        named.add(new TreeSet<>(state.settings().zoneByNode().keySet()));
         latest.announcements()
                 .values()
                 .forEach(stored -> named.add(stored.announcement().members()));
         Set<String> members = new TreeSet<>();
         named.forEach(members::addAll);
         members.addAll(latest.announcements().keySet());
-        members.addAll(latest.unannounced());
+        members.addAll(latest.unannouncedNodes());
         if (named.size() > 1 && !members.equals(contradiction)) {
             contradiction = members;
             state.log(LogEntry.info(LogEvent.ROLLOUT_MEMBERS_DIFFER).with("members", named));
@@ -228,19 +228,20 @@
         latest.announcements()
                 .forEach(
                         (label, stored) ->
-                                conditions.put(StoreKeys.ROLLOUT_NODES + label, stored.revision()));
-        long agreed = latest.agreed();
+                                conditions.put(
+                                        StoreKeys.ROLLOUT_NODE_PREFIX + label, stored.revision()));
+        long agreed = latest.agreedVersion();
         for (Feature feature : Feature.values()) {
-            if (next.of(feature.key()).on()) {
+            if (next.stateOf(feature.key()).isOn()) {
                 agreed = Math.max(agreed, feature.agreedVersion());
             }
         }
-        if (agreed > latest.agreed()) {
-            conditions.put(StoreKeys.AGREED, latest.agreedStamp());
+        if (agreed > latest.agreedVersion()) {
+            conditions.put(StoreKeys.AGREED_VERSION, latest.agreedVersionRevision());
         }
         state.emit(
                 new SchedulerAction.WriteRollout(
-                        next, conditions, agreed > latest.agreed() ? agreed : 0));
+                        next, conditions, agreed > latest.agreedVersion() ? agreed : 0));
     }
 
     /** Takes the feature as far as it may go now, several steps where nothing lies between them. */
@@ -257,11 +258,11 @@
                                 announcement ->
                                         announcement.consecutiveStarts() >= KEEPS_ENDING
                                                 && state.wallMicros()
-                                                                - announcement.sinceWallMicros()
+                                                                - announcement.startedWallMicros()
                                                         < KEEPS_ENDING_MICROS);
         while (true) {
             Count count = counts.get(feature);
-            boolean same = next.of(feature.key()).equals(count.standing);
+            boolean same = next.stateOf(feature.key()).equals(count.standing);
             boolean soaked =
                     same
                             && state.nowMicros() - Math.max(count.sinceMicros, calmSinceMicros)
@@ -273,8 +274,8 @@
                                     next,
                                     members,
                                     announcements,
-                                    latest.unannounced(),
-                                    latest.agreed(),
+                                    latest.unannouncedNodes(),
+                                    latest.agreedVersion(),
                                     request.verb(),
                                     soaked,
                                     troubled,
@@ -287,30 +288,37 @@
                     state.log(
                             LogEntry.info(LogEvent.ROLLOUT_WAITING)
                                     .with("feature", feature.key())
-                                    .with("step", next.of(feature.key()).step().text())
+                                    .with("step", next.stateOf(feature.key()).step().text())
                                     .with("reason", verdict.reason()));
                 }
                 return next;
             }
             String by =
-                    state.settings().label()
+                    state.settings().nodeName()
                             + " in term "
                             + state.term()
                             + (request.verb() == Verb.AUTO
                                     ? ""
-                                    : ", " + request.verb().text() + " asked by " + request.by());
-            Standing to = verdict.next();
+                                    : ", "
+                                            + request.verb().text()
+                                            + " asked by "
+                                            + request.operator());
+            FeatureState to = verdict.next();
             next =
-                    next.with(
+                    next.withState(
                             feature.key(),
-                            new Standing(
-                                    to.step(), to.back(), to.held(), to.sinceWallMicros(), by));
+                            new FeatureState(
+                                    to.step(),
+                                    to.isRollingBack(),
+                                    to.isHeld(),
+                                    to.sinceWallMicros(),
+                                    by));
             steps.put(
                     feature.key() + " " + to.step(),
                     LogEntry.info(LogEvent.ROLLOUT_STEP)
                             .with("feature", feature.key())
                             .with("step", to.step().text())
-                            .with("rolling_back", to.back())
+                            .with("rolling_back", to.isRollingBack())
                             .with("allowed_by", by)
                             .with("reason", verdict.reason()));
         }
@@ -318,7 +326,7 @@
 
     /** Logs the steps that are written; after any other outcome the state is read again. */
     public void onWriteCompleted(SchedulerEvent.RolloutWriteCompleted result) {
-        if (writing == null || result.number() != writing.number()) {
+        if (writing == null || result.recordNumber() != writing.number()) {
             return;
         }
         if (result.outcome() == SchedulerEvent.WriteOutcome.WRITTEN) {
--- a/src/main/java/org/woadloom/core/rollout/RecordMigration.java
+++ b/src/main/java/org/woadloom/core/rollout/RecordMigration.java
@@ -59,7 +59,7 @@
      * later.
      */
     boolean isQuiet(Feature feature, boolean on) {
-        if (feature != Feature.MACHINE_LIFE) {
+        if (feature != Feature.MACHINE_LIFECYCLE) {
             return true;
         }
         return state.recordsMachineLifecycle() == on
@@ -75,10 +75,10 @@
         // Under a load that takes all writes it still gets done, in an hour or so instead of
         // minutes.
         double rate =
-                state.writeBudget().hasSpare()
+                state.writeBudget().hasSpareCapacity()
                         ? Math.max(
                                 MIN_REWRITES_PER_SECOND,
-                                state.writeBudget().perSecond()
+                                state.writeBudget().writesPerSecond()
                                         * state.settings().operator().rewriteShare())
                         : MIN_REWRITES_PER_SECOND;
         allowance =
@@ -103,37 +103,39 @@
             Map.Entry<String, Long> one = all.next();
             String key = one.getKey();
             Job job =
-                    key.startsWith(StoreKeys.JOBS)
-                            ? state.jobs().get(key.substring(StoreKeys.JOBS.length()))
+                    key.startsWith(StoreKeys.JOB_PREFIX)
+                            ? state.jobs().get(key.substring(StoreKeys.JOB_PREFIX.length()))
                             : null;
             Machine machine =
-                    key.startsWith(StoreKeys.MACHINES)
-                            ? state.machines().get(key.substring(StoreKeys.MACHINES.length()))
+                    key.startsWith(StoreKeys.MACHINE_PREFIX)
+                            ? state.machines().get(key.substring(StoreKeys.MACHINE_PREFIX.length()))
                             : null;
             if ((job == null && machine == null)
                     || (job != null && job.persistence.durableVersion() >= one.getValue())
-                    || (machine != null && !machine.isRewriteNeeded() && !machine.isWriting())) {
+                    || (machine != null
+                            && !machine.isRewriteNeeded()
+                            && !machine.isRecordRequestInFlight())) {
                 all.remove();
             }
         }
     }
 
     private boolean startRewrite(Feature feature, String key) {
-        if (key.startsWith(StoreKeys.JOBS)) {
-            Job job = state.jobs().get(key.substring(StoreKeys.JOBS.length()));
+        if (key.startsWith(StoreKeys.JOB_PREFIX)) {
+            Job job = state.jobs().get(key.substring(StoreKeys.JOB_PREFIX.length()));
             if (job == null) {
                 return false;
             }
             inFlight.get(feature).put(key, job.persistence.nextVersion());
-            job.persistence.requestWrite(PersistenceState.WriteReason.PHASE);
+            job.persistence.requestWrite(PersistenceState.WriteUrgency.TASK_PROGRESS);
             return true;
         }
-        Machine machine = state.machines().get(key.substring(StoreKeys.MACHINES.length()));
+        Machine machine = state.machines().get(key.substring(StoreKeys.MACHINE_PREFIX.length()));
         if (machine == null || machine.isDeleted() || !machine.isRecorded()) {
             return false;
         }
         inFlight.get(feature).put(key, 0L);
-        machine.rewriteNeeded();
+        machine.requestRewrite();
         return true;
     }
 
@@ -148,12 +150,12 @@
             }
             if (machine.isKnownAlive()
                     && machine.isRecorded()
-                    && !machine.isReportedRecorded()
+                    && !machine.isHeartbeatRecorded()
                     && !machine.isRewriteNeeded()
-                    && !machine.isWriting()
+                    && !machine.isRecordRequestInFlight()
                     && !machine.isDecommissioning()
                     && !machine.isDeleted()) {
-                machine.rewriteNeeded();
+                machine.requestRewrite();
                 allowance--;
             }
         }
--- a/src/main/java/org/woadloom/node/AgreedVersion.java
+++ b/src/main/java/org/woadloom/node/AgreedVersion.java
@@ -71,7 +71,7 @@
         }
         store.get(
                 priority,
-                StoreKeys.AGREED,
+                StoreKeys.AGREED_VERSION,
                 (result, entry, storeRevision) -> {
                     if (result == Result.OK) {
                         update(entry);
@@ -86,7 +86,7 @@
             version = Math.max(version, new Fields(entry.value()).integer(VERSION_FIELD));
             revision = entry.revision();
         } catch (MalformedMessageException e) {
-            UnreadableRecords.log(entry.path(), e);
+            UnreadableRecords.log(entry.key(), e);
         }
     }
 
--- a/src/main/java/org/woadloom/node/FleetSizeEstimate.java
+++ b/src/main/java/org/woadloom/node/FleetSizeEstimate.java
@@ -31,7 +31,7 @@
                         * (1 - RESERVED_CPU_SHARE)
                         / CPU_SECONDS_PER_HEARTBEAT;
         return new FleetSizeEstimate(
-                SocketBudget.of(settings).agents() * Math.max(1, settings.peers().size()),
+                SocketBudget.of(settings).maxAgents() * Math.max(1, settings.peers().size()),
                 (int) (heartbeatsPerSecond * settings.agents().heartbeatMicros() / 1e6));
     }
 
--- a/src/main/java/org/woadloom/node/WriteActions.java
+++ b/src/main/java/org/woadloom/node/WriteActions.java
@@ -38,8 +38,8 @@
     void writeJob(SchedulerAction.WriteJob action) {
         String jobId = action.record().description().jobId();
         Map<String, Object> value = action.record().toMap(rollout.format());
-        RecordWriter.WriteCallback callback = onJobWritten(jobId, action.record().version());
-        if (Cbor.jsonSize(value) > limits.currentValueBytes()) {
+        RecordWriter.WriteCallback callback = onJobWritten(jobId, action.record().writeSequence());
+        if (Cbor.jsonSize(value) > limits.maxAcceptedValueBytes()) {
             callback.onWritten(SchedulerEvent.WriteOutcome.TOO_LARGE, 0);
         } else {
             writer.add(
@@ -59,7 +59,7 @@
                         List.of(new Condition(StoreKeys.job(jobId), action.revision())),
                         List.of(
                                 Change.put(StoreKeys.finalState(jobId), value),
-                                Change.drop(StoreKeys.job(jobId))),
+                                Change.delete(StoreKeys.job(jobId))),
                         onJobWritten(jobId, action.version())));
     }
 
@@ -80,7 +80,7 @@
                 false,
                 new RecordWriter.Write(
                         List.of(new Condition(key, action.revision())),
-                        List.of(Change.drop(key)),
+                        List.of(Change.delete(key)),
                         onMachineWritten(action.host(), true, true)));
     }
 
