--- a/src/main/java/org/woadloom/node/ForwardedHeartbeats.java
+++ b/src/main/java/org/woadloom/node/ForwardedHeartbeats.java
@@ -1,23 +1,62 @@
 package org.woadloom.node;
 
-import java.util.HashMap; import java.util.Map; import java.util.function.Consumer; import org.woadloom.http.Response; import org.woadloom.net.EventLoop; import org.woadloom.peer.PeerMessage; import org.woadloom.peer.PeerTransport;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.Consumer;
+import org.woadloom.http.Response;
+import org.woadloom.net.EventLoop;
+import org.woadloom.peer.PeerMessage;
+import org.woadloom.peer.PeerTransport;
 
 /** Forwards heartbeats to the leader and keeps track of those that it has not answered yet. */
-final class ForwardedHeartbeats{
-/** Less than the four seconds for which an agent waits for an answer. */
-private static final long ANSWER_TIMEOUT_MICROS= 3_500_000;
+final class ForwardedHeartbeats {
+    /** Less than the four seconds for which an agent waits for an answer. */
+    private static final long ANSWER_TIMEOUT_MICROS = 3_500_000;
 
-private final EventLoop loop; private final PeerTransport transport; private final Map< Long, Consumer< Response>> answersById= new HashMap<>(); private long lastId; private long refusedHeartbeats;
+    private final EventLoop loop;
+    private final PeerTransport transport;
+    private final Map<Long, Consumer<Response>> answersById = new HashMap<>();
+    private long lastId;
+    private long refusedHeartbeats;
 
-ForwardedHeartbeats(EventLoop loop, PeerTransport transport){ this.loop= loop; this.transport= transport; }
+    ForwardedHeartbeats(EventLoop loop, PeerTransport transport) {
+        this.loop = loop;
+        this.transport = transport;
+    }
 
-/** Has the leader decide a heartbeat; answers 503 if the leader does not answer in time. */
-void forward(String leader, byte[] heartbeat, Consumer< Response> answer){ if(!transport.acceptsMessages(leader)){ refusedHeartbeats++; answer.accept(Response.unavailable("the send queue to the leader is full")); return; } long id=++ lastId; answersById.put(id, answer); transport.send(leader, new PeerMessage.ForwardedHeartbeat(id, heartbeat)); loop.schedule(ANSWER_TIMEOUT_MICROS,()->{ Consumer< Response> unanswered= answersById.remove(id); if(unanswered!= null){ unanswered.accept(Response.unavailable("the leader did not answer in time")); } } ); }
+    /** Has the leader decide a heartbeat; answers 503 if the leader does not answer in time. */
+    void forward(String leader, byte[] heartbeat, Consumer<Response> answer) {
+        if (!transport.acceptsMessages(leader)) {
+            refusedHeartbeats++;
+            answer.accept(Response.unavailable("the send queue to the leader is full"));
+            return;
+        }
+        long id = ++lastId;
+        answersById.put(id, answer);
+        transport.send(leader, new PeerMessage.ForwardedHeartbeat(id, heartbeat));
+        loop.schedule(
+                ANSWER_TIMEOUT_MICROS,
+                () -> {
+                    Consumer<Response> unanswered = answersById.remove(id);
+                    if (unanswered != null) {
+                        unanswered.accept(
+                                Response.unavailable("the leader did not answer in time"));
+                    }
+                });
+    }
 
-void onAnswer(PeerMessage.ForwardedAnswer message){ Consumer< Response> answer= answersById.remove(message.id()); if(answer!= null){ answer.accept(Response.cbor(message.status(), message.answer())); } }
+    void onAnswer(PeerMessage.ForwardedAnswer message) {
+        Consumer<Response> answer = answersById.remove(message.id());
+        if (answer != null) {
+            answer.accept(Response.cbor(message.status(), message.answer()));
+        }
+    }
 
-/**
+    /**
      * Heartbeats that were refused because the send queue to the leader was full, since the process
      * started.
      */
-long refusedHeartbeats(){ return refusedHeartbeats; } }
+    long refusedHeartbeats() {
+        return refusedHeartbeats;
+    }
+}
--- a/src/main/java/org/woadloom/node/JobRecordReader.java
+++ b/src/main/java/org/woadloom/node/JobRecordReader.java
@@ -30,13 +30,13 @@
      * The scheduler event for a stored job: its record, or that it can't be parsed. The scheduler
      * leaves a record alone that a later version wrote, and replaces a damaged one.
      */
-    SchedulerEvent toEvent(String path, Map<String, Object> value, long revision) {
+    SchedulerEvent toEvent(String key, Map<String, Object> value, long revision) {
         try {
             return new SchedulerEvent.JobStored(parse(value), revision);
         } catch (MalformedMessageException e) {
-            UnreadableRecords.log(path, e);
+            UnreadableRecords.log(key, e);
         }
-        String jobId = path.substring(StoreKeys.JOB_PREFIX.length());
+        String jobId = key.substring(StoreKeys.JOB_PREFIX.length());
         if (JobRecord.isOfLaterVersion(value)) {
             return new SchedulerEvent.JobReadFailed(jobId);
         }
--- a/src/main/java/org/woadloom/node/PeerTracker.java
+++ b/src/main/java/org/woadloom/node/PeerTracker.java
@@ -229,7 +229,7 @@
         } else if (message instanceof PeerMessage.CancellationReportAck acknowledged) {
             inbox.onCancellationReportAck(acknowledged.ack());
         } else if (message instanceof PeerMessage.ForwardedHeartbeat forward) {
-            onForwardHeartbeat(from, forward);
+            onForwardedHeartbeat(from, forward);
         } else if (message instanceof PeerMessage.ForwardedAnswer answer) {
             forwarded.onAnswer(answer);
         }
@@ -255,7 +255,7 @@
         }
     }
 
-    private void onForwardHeartbeat(String from, PeerMessage.ForwardedHeartbeat forward) {
+    private void onForwardedHeartbeat(String from, PeerMessage.ForwardedHeartbeat forward) {
         inbox.onForwardedHeartbeat(
                 forward.heartbeat(),
                 response ->
