--- a/src/test/java/org/woadloom/peer/PeerFramesGoldenTest.java
+++ b/src/test/java/org/woadloom/peer/PeerFramesGoldenTest.java
@@ -16,12 +16,13 @@
 import org.woadloom.golden.GoldenFile;
 
 /**
- * Every kind of frame between nodes, byte by byte, and read back from the bytes that were recorded.
+ * Compares the encoding of every type of peer message with recorded bytes, and checks that the
+ * recorded bytes round-trip.
  */
 class PeerFramesGoldenTest {
     private static final String FILE = "peer-frames.txt";
 
-    private static Map<String, PeerMessage> frames() {
+    private static Map<String, PeerMessage> messagesByName() {
         Map<String, PeerMessage> all = new LinkedHashMap<>();
         all.put("10 hello", new PeerMessage.Hello("node-1"));
         all.put(
@@ -64,23 +65,24 @@
     }
 
     @Test
-    void framesAreWrittenAndReadAsRecorded() throws IOException, PeerFormatException {
+    void framesMatchGoldenBytesAndRoundTrip() throws IOException, PeerFormatException {
         PeerCodec codec = new PeerCodec();
         GoldenFile golden = new GoldenFile();
-        frames().forEach((name, message) -> golden.addBytes(name, codec.encode(message)));
+        messagesByName().forEach((name, message) -> golden.addBytes(name, codec.encode(message)));
         golden.check(FILE);
-        for (String name : frames().keySet()) {
+        for (String name : messagesByName().keySet()) {
             byte[] recorded = GoldenFile.readBytes(FILE, name);
             PeerMessage read =
                     codec.decode(Arrays.copyOfRange(recorded, Integer.BYTES, recorded.length));
-            assertEquals(frames().get(name).getClass(), read.getClass(), name);
+            assertEquals(messagesByName().get(name).getClass(), read.getClass(), name);
             assertArrayEquals(recorded, codec.encode(read), name);
         }
     }
 
     @Test
-    void everyKindOfFrameIsRecorded() {
-        long kinds = frames().values().stream().map(PeerMessage::getClass).distinct().count();
-        assertEquals(PeerMessage.class.getPermittedSubclasses().length, kinds);
+    void goldenFileCoversEveryMessageType() {
+        long messageTypes =
+                messagesByName().values().stream().map(PeerMessage::getClass).distinct().count();
+        assertEquals(PeerMessage.class.getPermittedSubclasses().length, messageTypes);
     }
 }
