--- a/src/main/java/org/woadloom/node/CancellationConfirmer.java
+++ b/src/main/java/org/woadloom/node/CancellationConfirmer.java
@@ -26,7 +26,7 @@
  * leader continues without the store as long as all nodes send these reports. Confined to the event
  * loop.
  */
-final class CancellationConfirmer implements JobApi.Confirmation {
+final class CancellationConfirmer implements JobApi.CancellationConfirmation {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationConfirmer.class);
     private static final long ANSWER_CHECK_INTERVAL_MICROS = 50_000;
 
--- a/src/main/java/org/woadloom/node/HeartbeatResponses.java
+++ b/src/main/java/org/woadloom/node/HeartbeatResponses.java
@@ -23,7 +23,7 @@
 
     /** Renews the lease under the token that the scheduler decided, with its commands. */
     static Response decided(SchedulerAction.AnswerHeartbeat answer) {
-        return renewed(answer.fencingToken(), AgentClient.orders(answer.commands()));
+        return renewed(answer.fencingToken(), AgentClient.encodeCommands(answer.commands()));
     }
 
     /** Renews the lease under the agent's own token, without commands. */
--- a/src/test/java/org/woadloom/core/liveness/DelayedHeartbeatsTest.java
+++ b/src/test/java/org/woadloom/core/liveness/DelayedHeartbeatsTest.java
@@ -21,8 +21,8 @@
 import org.woadloom.protocol.TaskStatus;
 
 /**
- * Copies of reports that come when their worker has said more since, or is gone, and workers that
- * hear nothing.
+ * Heartbeats that arrive late, when their agent has sent newer ones or is gone, and agents that
+ * send heartbeats while nothing reaches them.
  */
 class DelayedHeartbeatsTest {
     private static final String HOST = "host-000001";
@@ -35,7 +35,7 @@
                 launch.task(), launch.attempt(), TaskStatus.State.RUNNING, null, false);
     }
 
-    private int launches() {
+    private int startCommandCount() {
         return (int)
                         leader.actionsOfType(SchedulerAction.SendDirectCommand.class).stream()
                                 .flatMap(sent -> sent.commands().stream())
@@ -49,25 +49,25 @@
     }
 
     /**
-     * Deleted long ago and forgotten, or gone before this leader began: a name in a report is no
-     * machine.
+     * A late heartbeat may name a machine that was deleted and removed from the registry, or that
+     * was gone before this term began. It alone must not add the machine.
      */
     @Test
-    void aCopyAdoptsNoMachine() {
-        String gone = "host-000009";
-        leader.sendHeartbeat(heartbeat(gone, 1, 10, 0));
+    void lateHeartbeatOfAnUnknownMachineDoesNotAddIt() {
+        String unknownHost = "host-000009";
+        leader.sendHeartbeat(heartbeat(unknownHost, 1, 10, 0));
         leader.failDirectCommands();
         leader.advance(20 * SECOND);
         assertEquals(List.of(), leader.actionsOfType(SchedulerAction.WriteMachine.class));
         leader.submit("j-000001", 2);
         leader.advance(2 * SECOND);
-        assertEquals(0, launches());
+        assertEquals(0, startCommandCount());
         assertEquals(List.of(), leader.actionsOfType(SchedulerAction.DeleteMachines.class));
     }
 
-    /** A machine that nobody expected and that answers is taken over, as it costs money. */
+    /** An unknown machine that responds to a command exists and costs money, so it is added. */
     @Test
-    void aMachineThatAnswersIsTakenOver() {
+    void unknownMachineThatRespondsIsAdded() {
         leader.bringUp("host-000009", 10);
         assertEquals(
                 "host-000009",
@@ -75,12 +75,12 @@
     }
 
     /**
-     * The worker reported under this term's token and ended; the original was lost, and the copy
-     * comes.
+     * The agent sent a heartbeat with a token of this term and fell silent. The original of its
+     * next heartbeat is lost, and a copy arrives late.
      */
     @ParameterizedTest
     @ValueSource(longs = {4, 20})
-    void aCopyOfAWorkerThatIsGoneGetsNoWork(long lateS) {
+    void silentAgentGetsNoTasksOnALateHeartbeat(long lateS) {
         long token = leader.bringUp(HOST, 1);
         leader.sendHeartbeat(heartbeat(HOST, 1, 3, token));
         leader.advanceWithoutAnswers(lateS * SECOND);
@@ -90,26 +90,29 @@
         leader.sendHeartbeat(heartbeat(HOST, 1, 4, token));
         assertFalse(
                 leader.logged(LogEvent.MACHINE_UNREACHABLE),
-                "it was silent, and said nothing that it should have heard");
+                "a silent agent must not be reported as unreachable");
         leader.submit("j-000001", 2);
         leader.advance(1 * SECOND);
-        assertEquals(0, launches());
-        // It lives after all, in its next session where its lease has ended meanwhile.
+        assertEquals(0, startCommandCount());
+        // The agent turns out to be alive, in a new incarnation if its lease has expired meanwhile.
         long incarnation = lateS > 10 ? 2 : 1;
         leader.sendHeartbeat(heartbeat(HOST, incarnation, 5, token));
-        SchedulerAction.SendDirectCommand asked =
+        SchedulerAction.SendDirectCommand probe =
                 leader.lastAction(SchedulerAction.SendDirectCommand.class);
-        assertTrue(asked.fencingToken() > token, "it is asked under a new token");
-        leader.answerLastDirectCommand(heartbeat(HOST, incarnation, 6, asked.fencingToken()));
+        assertTrue(probe.fencingToken() > token, "the probe must carry a new token");
+        leader.answerLastDirectCommand(heartbeat(HOST, incarnation, 6, probe.fencingToken()));
         leader.acknowledgeToken(HOST, incarnation, 7);
-        leader.sendHeartbeat(heartbeat(HOST, incarnation, 8, asked.fencingToken()));
+        leader.sendHeartbeat(heartbeat(HOST, incarnation, 8, probe.fencingToken()));
         leader.advance(SECOND);
-        assertEquals(2, launches());
+        assertEquals(2, startCommandCount());
     }
 
-    /** A minute late its machine is given up already, and stays so. */
+    /**
+     * A heartbeat that is a minute late arrives after the machine was given up: the deletion must
+     * not be repeated or revoked.
+     */
     @Test
-    void aCopyKeepsNoMachineThatIsGivenUp() {
+    void lateHeartbeatDoesNotRevokeADeletion() {
         long token = leader.bringUp(HOST, 1);
         leader.sendHeartbeat(heartbeat(HOST, 1, 3, token));
         leader.advanceWithoutAnswers(60 * SECOND);
@@ -120,30 +123,33 @@
         leader.sendHeartbeat(heartbeat(HOST, 1, 5, token));
         leader.submit("j-000001", 2);
         leader.advance(2 * SECOND);
-        assertEquals(0, launches());
+        assertEquals(0, startCommandCount());
         assertEquals(1, leader.actionsOfType(SchedulerAction.DeleteMachines.class).size());
     }
 
     /**
-     * The first answer of a new leader renews the lease, so what must go is halted in it; nothing
-     * starts by it.
+     * The first response of a new leader renews the agent's lease, so it must stop tasks that are
+     * not to run; it starts none.
      */
     @Test
-    void theFirstAnswerHaltsWhatMustGo() {
-        TaskStatus stranger =
+    void firstResponseOfANewLeaderStopsAnUnknownTask() {
+        TaskStatus unknownTask =
                 new TaskStatus(new TaskId("j-000077", 0), 3, TaskStatus.State.RUNNING, null, false);
-        SchedulerAction.AnswerHeartbeat first =
-                leader.sendHeartbeat(heartbeat(HOST, 1, 10, 0, stranger));
-        assertEquals(List.of(TaskCommand.stop(stranger.task(), 3, 0)), first.commands());
+        SchedulerAction.AnswerHeartbeat response =
+                leader.sendHeartbeat(heartbeat(HOST, 1, 10, 0, unknownTask));
+        assertEquals(List.of(TaskCommand.stop(unknownTask.task(), 3, 0)), response.commands());
     }
 
-    /** Answers to copies reach nobody, so they can't have renewed a lease. */
+    /**
+     * Responses to duplicates reach no agent, so they cannot have renewed a lease and must not
+     * postpone its expiry.
+     */
     @Test
-    void copiesHoldUpNoProofThatALeaseIsOver() {
+    void duplicateHeartbeatsDoNotPostponeLeaseExpiry() {
         long token = leader.bringUp(HOST, 1);
         leader.submit("j-000001", 1);
         leader.advance(100_000);
-        Heartbeat last =
+        Heartbeat lastHeartbeat =
                 heartbeat(
                         HOST,
                         1,
@@ -151,20 +157,20 @@
                         token,
                         running(leader.lastAction(SchedulerAction.SendDirectCommand.class)));
         leader.answerLastDirectCommand(heartbeat(HOST, 1, 3, token));
-        leader.sendHeartbeat(last);
+        leader.sendHeartbeat(lastHeartbeat);
         for (int i = 0; i < 16; i++) {
             leader.advance(SECOND);
-            leader.sendHeartbeat(last);
+            leader.sendHeartbeat(lastHeartbeat);
             leader.sendHeartbeat(heartbeat(HOST, 1, 2, token));
         }
         assertTrue(
                 leader.logged(LogEvent.LEASE_EXPIRED, "machine=" + HOST),
-                "its tasks can start elsewhere");
+                "the lease must expire so that the tasks can start elsewhere");
     }
 
-    /** Tasks that came after the copied report are not missing because it does not list them. */
+    /** An outdated heartbeat does not list tasks that were started after it; they are not lost. */
     @Test
-    void anOlderReportProvesNothingGone() {
+    void outdatedHeartbeatDoesNotMakeAnUnlistedTaskLost() {
         long token = leader.bringUp(HOST, 1);
         leader.submit("j-000001", 1);
         leader.advance(100_000);
@@ -178,13 +184,16 @@
         SchedulerAction.AnswerHeartbeat answer = leader.sendHeartbeat(heartbeat(HOST, 1, 4, token));
         assertEquals(List.of(), answer.commands());
         leader.advance(SECOND);
-        assertEquals(1, launches());
+        assertEquals(1, startCommandCount());
         assertFalse(leader.logged(LogEvent.TASK_LOST));
     }
 
-    /** It is neither a later leader's word, nor may its numbers come back. */
+    /**
+     * A higher token of the same term was issued to a removed machine of that name. It must not
+     * make the leader step down, and its fence must not be reused.
+     */
     @Test
-    void aCopyWithAHigherTokenOfThisTermDeposesNobody() {
+    void higherTokenOfTheSameTermDoesNotCauseAStepDown() {
         leader.sendHeartbeat(heartbeat("host-000009", 1, 10, TERM << AgentLiveness.FENCE_BITS | 7));
         assertEquals(List.of(), leader.actionsOfType(SchedulerAction.StepDown.class));
         assertTrue(
@@ -197,11 +206,11 @@
     }
 
     /**
-     * Its session ended though each report was answered: launches in those answers would reach
-     * nobody.
+     * The agent's incarnation ended although each heartbeat got a response, so start commands in
+     * those responses would not reach it.
      */
     @Test
-    void aDeafWorkerGetsNoWorkUntilItShowsThatItHears() {
+    void unreachableAgentGetsNoTasksUntilItAcknowledgesTokens() {
         long token = leader.bringUp(HOST, 1);
         leader.sendHeartbeat(heartbeat(HOST, 1, 3, token));
         for (int sequence = 4; sequence < 7; sequence++) {
@@ -211,16 +220,16 @@
         }
         leader.submit("j-000001", 1);
         leader.advance(500_000);
-        assertEquals(0, launches());
+        assertEquals(0, startCommandCount());
         assertTrue(leader.logged(LogEvent.MACHINE_UNREACHABLE, "machine=" + HOST, "zone=a"));
-        long now = leader.sendHeartbeat(heartbeat(HOST, 2, 7, token)).fencingToken();
-        // That token was out for long, so it is asked once more.
+        long newToken = leader.sendHeartbeat(heartbeat(HOST, 2, 7, token)).fencingToken();
+        // That token had been outstanding for long, so another acknowledgement is required.
         leader.sendHeartbeat(
                 heartbeat(
                         HOST,
                         2,
                         9,
-                        leader.sendHeartbeat(heartbeat(HOST, 2, 8, now)).fencingToken()));
+                        leader.sendHeartbeat(heartbeat(HOST, 2, 8, newToken)).fencingToken()));
         leader.acknowledgeToken(HOST, 2, 10);
         leader.advance(500_000);
         leader.acknowledgeToken(HOST, 2, 11);
@@ -232,12 +241,14 @@
                         12,
                         leader.lastAction(SchedulerAction.AnswerHeartbeat.class).fencingToken()));
         assertTrue(leader.logged(LogEvent.MACHINE_REACHABLE, "machine=" + HOST));
-        assertEquals(1, launches());
+        assertEquals(1, startCommandCount());
     }
 
-    /** What was meant for a worker that does not hear goes to one that does. */
+    /**
+     * Tasks placed on an unreachable agent whose start was not sent are placed on a reachable one.
+     */
     @Test
-    void whatWasNeverSentToADeafWorkerGoesElsewhere() {
+    void unsentTaskOfAnUnreachableAgentIsPlacedElsewhere() {
         long token = leader.bringUp(HOST, 1);
         leader.submit("j-000001", 1);
         leader.advance(100_000);
@@ -256,7 +267,7 @@
         assertEquals(
                 "j-000002/0",
                 sent.commands().get(0).task().toString(),
-                "the first may be on the deaf one yet");
+                "j-000001 may still be on the unreachable agent");
         assertEquals(1, sent.commands().size());
     }
 }
