--- a/src/main/java/org/woadloom/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/woadloom/core/autoscaling/Autoscaler.java
@@ -9,7 +9,7 @@
 import org.woadloom.core.reservation.Reservations;
 import org.woadloom.protocol.ListedMachine;
 
-/** Rents machines for jobs that find no capacity, and decommissions those that are idle or lost. */
+/** Rents machines for jobs that lack capacity, and decommissions machines that are idle or lost. */
 public final class Autoscaler {
     private static final long REVIEW_INTERVAL_MICROS = 500_000;
 
@@ -22,7 +22,7 @@
     private final ScaleOutPlanner scaleOut;
     private final ScaleInPlanner scaleIn;
 
-    /** Half the range, so that the first review is due without an overflow. */
+    /** Half the range of a long, so that the first review is due without an overflow. */
     private long lastReviewMicros = Long.MIN_VALUE / 2;
 
     private long lastLossReviewMicros = Long.MIN_VALUE / 2;
@@ -47,11 +47,12 @@
     }
 
     /**
-     * To be called in every scheduling pass; the fleet is reviewed at intervals.
+     * Sends requests that are due, and reviews the fleet at intervals. Must be called in every
+     * scheduling pass.
      *
-     * @param isSearchComplete whether every waiting job was tried on the machines that there are;
-     *     as long as not, nobody knows what is missing and what is idle, and only lost machines are
-     *     decommissioned
+     * @param isSearchComplete whether placement on the existing machines was tried for every
+     *     waiting job; until then it is not known which machines are missing or idle, so only lost
+     *     machines are decommissioned
      */
     public void review(boolean isSearchComplete) {
         requests.sendDue();
@@ -81,19 +82,19 @@
         lastReviewMicros = state.nowMicros();
         refusedKinds.updateScarceZones();
         partitionedZones.review();
-        // A new leader first waits for the agents' heartbeats: their machines may be all it needs.
+        // A new leader first waits for heartbeats, as the existing machines may be sufficient.
         if (state.nowMicros() - state.startedMicros() > 2 * state.settings().heartbeatMicros()) {
             requests.request(scaleOut.plan(placer.queue()));
         }
         scaleIn.review();
     }
 
-    /** Takes in the cloud's list of machines. */
+    /** Handles the cloud's list of machines. */
     public void onMachinesListed(List<ListedMachine> machines) {
         listing.onMachinesListed(machines);
     }
 
-    /** Takes in the cloud's answer to a request for machines. */
+    /** Handles the cloud's answer to a request for machines. */
     public void onScaleOutCompleted(SchedulerEvent.ScaleOutCompleted result) {
         requests.onCompleted(result);
     }
--- a/src/main/java/org/woadloom/core/autoscaling/DecommissionReason.java
+++ b/src/main/java/org/woadloom/core/autoscaling/DecommissionReason.java
@@ -1,11 +1,11 @@
 package org.woadloom.core.autoscaling;
 
-/** Why a machine is decommissioned, as the log gives it. */
+/** Why a machine is decommissioned. */
 enum DecommissionReason {
     MISSING_FROM_LIST("silent and no longer listed", true),
     SILENT_WITH_TASKS("silent with tasks on it", true),
     UNREACHABLE("unreachable", true),
-    FAILED_OR_LOST("never came up, lost, or taken by the cloud", false),
+    FAILED_OR_LOST("failed to boot, lost, or reclaimed by the cloud", false),
     IDLE("idle", false);
 
     private final String logText;
@@ -21,7 +21,10 @@
         return logText;
     }
 
-    /** True if the machine is deleted without being emptied, though its lease may still run. */
+    /**
+     * True if the machine is deleted without being drained, although its agent's lease may still be
+     * valid.
+     */
     boolean abandons() {
         return abandons;
     }
--- a/src/main/java/org/woadloom/core/autoscaling/MachineListing.java
+++ b/src/main/java/org/woadloom/core/autoscaling/MachineListing.java
@@ -7,14 +7,14 @@
 import org.woadloom.core.machines.Machine;
 import org.woadloom.protocol.ListedMachine;
 
-/** When each machine was last in the cloud's list of machines, and when the last list came. */
+/** When each machine was last in the cloud's list of machines, and when the last list arrived. */
 final class MachineListing {
     private static final long MARGIN_MICROS = 1_000_000;
 
     private final SchedulerState state;
     private final Map<String, Long> lastListedMicros = new HashMap<>();
 
-    /** Half the range, so that differences do not overflow while no list has come. */
+    /** Half the range of a long, so that differences do not overflow before the first list. */
     private long lastListMicros = Long.MIN_VALUE / 2;
 
     MachineListing(SchedulerState state) {
@@ -30,10 +30,11 @@
     }
 
     /**
-     * True where the last list lacks a machine that it would show if the machine existed. A list is
-     * up to two lags old, and a machine that was listed once is listed until it is deleted. This is
-     * no proof that the machine's tasks are gone; its deletion is. A machine that was never up is
-     * left out: it may only be new to a list that lags further behind.
+     * True if the last list lacks a machine that it would contain if the machine existed. A list is
+     * up to twice the list lag old, and a machine that was listed once stays listed until it is
+     * deleted. This does not prove that the machine's tasks are gone; only its deletion does. A
+     * machine that was never up is never missing: it may be too new for a list that lags even
+     * further behind.
      */
     boolean isMissing(Machine machine) {
         if (!machine.isKnownAlive() && !machine.isHeartbeatRecorded()) {
--- a/src/main/java/org/woadloom/core/autoscaling/MachineLossDetector.java
+++ b/src/main/java/org/woadloom/core/autoscaling/MachineLossDetector.java
@@ -5,32 +5,36 @@
 import org.woadloom.core.machines.Machine;
 
 /**
- * Judges machines that are out of touch: which of them are worth waiting for, and which are to be
- * deleted, as the deletion proves that their tasks are gone. It proves nothing itself.
+ * Decides which machines without contact are worth waiting for, and which are to be decommissioned.
+ * Its decisions do not prove that a machine's tasks are gone; only the deletion of the machine
+ * does.
  */
 final class MachineLossDetector {
     private static final long SILENCE_MARGIN_MICROS = 1_000_000;
 
-    /** For how long an unreachable machine is kept beyond the end of its lease. */
-    private static final long UNREACHABLE_MICROS = 10_000_000;
+    /** How long an unreachable machine is kept after its lease has expired. */
+    private static final long UNREACHABLE_GRACE_MICROS = 10_000_000;
 
-    /** The same where many machines of its zone are unreachable at once. */
-    private static final long MANY_UNREACHABLE_MICROS = 60_000_000;
+    /** The same if many machines of its zone are unreachable at once. */
+    private static final long MANY_UNREACHABLE_GRACE_MICROS = 60_000_000;
 
-    /** For how long beyond the lease's end a silent machine that was up is kept. */
-    private static final long LOST_MICROS = 20_000_000;
+    /** How long a silent machine that was up is kept after its lease has expired. */
+    private static final long LOST_GRACE_MICROS = 20_000_000;
 
-    /** The same for a machine with recorded tasks that this leader has not heard from. */
-    private static final long LOST_WITH_RECOVERED_TASKS_MICROS = 2_000_000;
+    /** The same for a machine with recovered tasks that has not reported to this leader. */
+    private static final long RECOVERED_TASKS_GRACE_MICROS = 2_000_000;
 
     /**
-     * For how much longer silent machines of a partitioned zone are kept: to replace them costs the
-     * minimum charge, a boot and the images.
+     * How much longer silent machines of a partitioned zone are kept, because replacing them costs
+     * the minimum charge, a boot and the download of images.
      */
-    private static final long PARTITIONED_MICROS = 50_000_000;
+    private static final long PARTITION_EXTRA_GRACE_MICROS = 50_000_000;
 
-    /** A machine has failed to boot after so many times its type's boot time, and the margin. */
-    private static final int BOOT_TIMES = 4;
+    /**
+     * A machine has failed to boot after this many times its type's boot time, plus {@link
+     * #BOOT_MARGIN_MICROS}.
+     */
+    private static final int BOOT_TIMEOUT_FACTOR = 4;
 
     private static final long BOOT_MARGIN_MICROS = 30_000_000;
 
@@ -45,7 +49,10 @@
         this.partitionedZones = partitionedZones;
     }
 
-    /** Why the machine is to be decommissioned although it is not idle, or null if it is not. */
+    /**
+     * Returns why the machine is to be decommissioned although it is not idle, or null if it is to
+     * be kept.
+     */
     DecommissionReason findReason(Machine machine) {
         if (isSilentAndMissing(machine)) {
             return DecommissionReason.MISSING_FROM_LIST;
@@ -64,11 +71,11 @@
     }
 
     /**
-     * True for a machine that boots, whose agent has not yet acknowledged this leader, or that will
-     * most likely be reachable again.
+     * True for a machine that is booting, whose agent has not yet acknowledged this leader, or that
+     * will probably become reachable again.
      */
     boolean isExpectedToAcceptTasks(Machine machine) {
-        if (!machine.isKnownAlive() && wasUpUnderEarlierLeader(machine)) {
+        if (!machine.isKnownAlive() && isProbablyGone(machine)) {
             return false;
         }
         if (!machine.isKnownAlive() || !machine.isRecorded() || !machine.hasAcknowledgedTerm()) {
@@ -79,8 +86,11 @@
                 && !isUnreachableBeyondLease(machine, 0);
     }
 
-    /** Its agent would have found this leader by now. */
-    private boolean wasUpUnderEarlierLeader(Machine machine) {
+    /**
+     * True for a machine that was up under an earlier leader, if its agent would have found this
+     * leader by now or the cloud no longer lists the machine.
+     */
+    private boolean isProbablyGone(Machine machine) {
         return (machine.isHeartbeatRecorded()
                         && sinceAliveMicros(machine)
                                 > state.delegationTimeouts().leaseExpiryMicros())
@@ -94,8 +104,8 @@
     }
 
     /**
-     * True for a silent machine with tasks, which are most likely lost. Deleting the machine proves
-     * that they are gone long before its lease would, and they can start elsewhere.
+     * True for a silent machine with tasks, which are probably lost. Deleting the machine proves
+     * that they are gone long before its lease expires, so that they can start elsewhere earlier.
      */
     private boolean isSilentWithTasks(Machine machine) {
         return machine.isUp()
@@ -110,7 +120,7 @@
                 machine.liveness.lastAliveMicros() - machine.liveness.lastHeartbeatMicros()
                         > state.livenessTimeouts().freshMicros();
         if (answersCommandsOnly) {
-            // It is probed again half a lease after the last probe.
+            // The next probe follows half a lease after the last one.
             long probeMicros =
                     state.settings().leaseMicros() / 2 + ScaleOutRequests.ANSWER_TIMEOUT_MICROS;
             limitMicros = Math.max(limitMicros, probeMicros);
@@ -127,7 +137,10 @@
         return false;
     }
 
-    /** Where over a third of a zone is silent at once, the fault is not the machines'. */
+    /**
+     * True if more than a third of a zone's machines are silent at once, which is not the fault of
+     * the single machine.
+     */
     private boolean areManySilent(String zone) {
         int up = 0;
         int silent = 0;
@@ -144,14 +157,14 @@
     }
 
     private boolean isUnreachableForTooLong(Machine machine) {
-        return isUnreachableBeyondLease(machine, UNREACHABLE_MICROS)
-                && (isUnreachableBeyondLease(machine, MANY_UNREACHABLE_MICROS)
+        return isUnreachableBeyondLease(machine, UNREACHABLE_GRACE_MICROS)
+                && (isUnreachableBeyondLease(machine, MANY_UNREACHABLE_GRACE_MICROS)
                         || !areManyUnreachable(machine.zone));
     }
 
     /**
-     * True for an unreachable machine whose lease has been over for the given time: nothing of what
-     * was on it is left.
+     * True for an unreachable machine whose lease expired more than the given time ago, so that
+     * none of its tasks is left.
      */
     private boolean isUnreachableBeyondLease(Machine machine, long beyondMicros) {
         return machine.liveness.isUnreachable(state.nowMicros())
@@ -160,7 +173,8 @@
     }
 
     /**
-     * Where over a third of a zone is unreachable, the fault is not the machines', and may pass.
+     * True if more than a third of a zone's machines are unreachable at once. That is not the fault
+     * of the single machine, and may be temporary.
      */
     private boolean areManyUnreachable(String zone) {
         int alive = 0;
@@ -180,10 +194,10 @@
         if (machine.isKnownAlive() || machine.type() == null || !machine.isEmpty()) {
             return false;
         }
-        long timeoutMicros = BOOT_TIMES * machine.type().bootMicros() + BOOT_MARGIN_MICROS;
+        long timeoutMicros = BOOT_TIMEOUT_FACTOR * machine.type().bootMicros() + BOOT_MARGIN_MICROS;
         if (machine.isRentalTimeRecorded() && !machine.isHeartbeatRecorded()) {
-            // No leader has heard from it since it was rented; this one has waited for a heartbeat
-            // that may be under way.
+            // No leader has received a heartbeat since the machine was rented, and this leader has
+            // waited for one that may be in transit.
             return state.nowMicros() - machine.rentedMicros() > timeoutMicros
                     && sinceAliveMicros(machine) > 3 * state.settings().heartbeatMicros();
         }
@@ -192,8 +206,8 @@
     }
 
     /**
-     * True for a machine whose agent has been silent for longer than a lease and so has stopped its
-     * tasks.
+     * True for a machine whose agent has been silent for longer than a lease plus a grace period,
+     * and so has stopped its tasks.
      */
     private boolean isLost(Machine machine) {
         // In a partitioned zone a node may renew leases by delegation, and the machines come back
@@ -206,14 +220,17 @@
                 machine.isKnownAlive() || (machine.isEmpty() && machine.isHeartbeatRecorded());
         if (!wasUp) {
             return !machine.isEmpty()
-                    && silentMicros > leaseOverMicros + LOST_WITH_RECOVERED_TASKS_MICROS;
+                    && silentMicros > leaseOverMicros + RECOVERED_TASKS_GRACE_MICROS;
         }
         long partitionedMicros =
-                partitionedZones.isPartitioned(machine.zone) ? PARTITIONED_MICROS : 0;
-        return silentMicros > leaseOverMicros + LOST_MICROS + partitionedMicros;
+                partitionedZones.isPartitioned(machine.zone) ? PARTITION_EXTRA_GRACE_MICROS : 0;
+        return silentMicros > leaseOverMicros + LOST_GRACE_MICROS + partitionedMicros;
     }
 
-    /** How long ago the machine was certainly alive, no longer than this leader leads. */
+    /**
+     * Time since the machine was last proven alive, or since the start of this term if that is
+     * later.
+     */
     private long sinceAliveMicros(Machine machine) {
         return state.nowMicros()
                 - Math.max(machine.liveness.lastAliveMicros(), state.startedMicros());
--- a/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
+++ b/src/main/java/org/woadloom/core/autoscaling/PartitionedZones.java
@@ -10,16 +10,16 @@
 import org.woadloom.core.machines.Machine;
 
 /**
- * Zones most of whose machines are silent: most likely the network to them is partitioned. What is
- * rented there now would cost money and count as booting without ever reporting, and the machines
- * that are there come back with their images when the partition heals. A zone counts as partitioned
- * until a third of its machines report, or for a while where no machine is left to report.
+ * Zones in which most machines are silent, probably because of a network partition. A machine
+ * rented there would cost money and count as booting without ever reporting, while the existing
+ * machines come back with their images when the partition heals. A zone counts as partitioned until
+ * a third of its machines report, or for a limited time if no machine is left to report.
  */
 final class PartitionedZones {
-    /** With fewer machines a zone's silence may be theirs. */
+    /** With fewer machines, their silence may have causes of their own. */
     private static final int MIN_MACHINES = 3;
 
-    /** For how long a zone without machines counts as partitioned. */
+    /** How long a partitioned zone without machines still counts as partitioned. */
     private static final long MAX_MICROS_WITHOUT_MACHINES = 90_000_000;
 
     private static final long MARGIN_MICROS = 1_000_000;
@@ -28,16 +28,18 @@
     private final MachineListing listing;
     private final Map<String, Long> partitionedSinceMicros = new HashMap<>();
 
-    /** The machines of each zone as this review finds them. */
+    /** What one review finds in each zone. */
     private static final class ZoneCounts {
         private final Map<String, Integer> machines = new HashMap<>();
         private final Map<String, Integer> silent = new HashMap<>();
+
+        /** Zones that are not partitioned, or no longer. */
         private final Set<String> connected = new HashSet<>();
     }
 
     /**
-     * @param listing tells of machines that the cloud no longer has: their silence says nothing of
-     *     the zone
+     * @param listing identifies machines that the cloud no longer has; their silence says nothing
+     *     about the zone
      */
     PartitionedZones(SchedulerState state, MachineListing listing) {
         this.state = state;
@@ -46,7 +48,7 @@
 
     void review() {
         ZoneCounts counts = count();
-        counts.machines.forEach((zone, machines) -> judge(zone, machines, counts));
+        counts.machines.forEach((zone, machines) -> updateZone(zone, machines, counts));
         removeReconnected(counts);
     }
 
@@ -65,12 +67,13 @@
             counts.machines.merge(machine.zone, 1, Integer::sum);
             counts.silent.merge(machine.zone, silent ? 1 : 0, Integer::sum);
         }
-        // A zone whose machines are all gone from the list is connected; one with others is judged.
+        // A zone is connected if all of its machines are missing from the list. Otherwise the
+        // machines that are not missing decide.
         counts.connected.removeAll(counts.machines.keySet());
         return counts;
     }
 
-    private void judge(String zone, int machines, ZoneCounts counts) {
+    private void updateZone(String zone, int machines, ZoneCounts counts) {
         int silent = counts.silent.get(zone);
         if (machines >= MIN_MACHINES && silent * 3 > machines * 2) {
             if (partitionedSinceMicros.putIfAbsent(zone, state.nowMicros()) == null) {
@@ -116,8 +119,9 @@
     }
 
     /**
-     * For how long nothing has come from the machine. An unreachable agent's heartbeats are rare
-     * and may be old, but its tasks run on until its lease is over, so those count as well.
+     * How long no message has arrived from the machine. Heartbeats that may have been delayed count
+     * too: those of an unreachable agent are rare and may be old, but its tasks run until its lease
+     * expires.
      */
     long silentForMicros(Machine machine) {
         return state.nowMicros()
--- a/src/main/java/org/woadloom/core/autoscaling/RefusedKinds.java
+++ b/src/main/java/org/woadloom/core/autoscaling/RefusedKinds.java
@@ -7,12 +7,12 @@
 import org.woadloom.core.SchedulerState;
 import org.woadloom.protocol.MachineType;
 
-/** The kinds of machine that the cloud had too few of, and when it last said so. */
+/** The kinds of machine that the cloud could not provide, with the time of the last refusal. */
 final class RefusedKinds {
-    /** For how long a kind is not requested after it was refused. */
+    /** How long a kind is not requested after a refusal. */
     private static final long RETRY_MICROS = 15_000_000;
 
-    /** For how long after a refusal a kind counts as scarce. */
+    /** How long a kind counts as scarce after a refusal. */
     private static final long SCARCE_MICROS = 60_000_000;
 
     private final SchedulerState state;
@@ -26,7 +26,7 @@
         lastRefusedMicros.put(kind, state.nowMicros());
     }
 
-    /** True for a kind that is not worth a request yet. */
+    /** True for a kind that was refused too recently to be requested again. */
     boolean isRefused(MachineKind kind) {
         return wasRefusedWithin(RETRY_MICROS, kind);
     }
@@ -37,23 +37,23 @@
     }
 
     /**
-     * Recomputes the scheduler's scarce zones: those where every type was refused on demand lately.
-     * The machines that are there are kept for work that can run nowhere else.
+     * Recomputes the scheduler's scarce zones, in which every on-demand machine type was refused
+     * recently. Machines in these zones are kept for jobs that can run nowhere else.
      */
     void updateScarceZones() {
         Set<String> scarce = new HashSet<>();
-        Set<String> open = new HashSet<>();
+        Set<String> available = new HashSet<>();
         for (MachineType type : state.machineTypes().values()) {
             for (String zone : type.zones()) {
                 if (wasRefusedWithin(SCARCE_MICROS, new MachineKind(type, zone, false))) {
                     scarce.add(zone);
                 } else {
-                    open.add(zone);
+                    available.add(zone);
                 }
             }
         }
-        scarce.removeAll(open);
-        // Where every zone is scarce, work has nowhere else to go.
-        state.setScarceZones(open.isEmpty() ? Set.of() : scarce);
+        scarce.removeAll(available);
+        // If every zone is scarce, jobs have no other zone to go to.
+        state.setScarceZones(available.isEmpty() ? Set.of() : scarce);
     }
 }
--- a/src/main/java/org/woadloom/core/autoscaling/ScaleInPlanner.java
+++ b/src/main/java/org/woadloom/core/autoscaling/ScaleInPlanner.java
@@ -12,9 +12,12 @@
 import org.woadloom.core.placement.TaskPlacer;
 import org.woadloom.core.reservation.Reservations;
 
-/** Decommissions machines that are lost, and idle ones beyond the headroom that is kept free. */
+/** Decommissions lost machines, and idle machines beyond the headroom that is kept free. */
 final class ScaleInPlanner {
-    /** The cloud charges a machine for about this long at least, so it may as well stay. */
+    /**
+     * The cloud charges each machine for at least about this long, so deleting it earlier saves
+     * nothing.
+     */
     private static final long MIN_CHARGE_MICROS = 55_000_000;
 
     private final SchedulerState state;
@@ -45,15 +48,15 @@
                 used = used.plus(machine.used());
             }
         }
-        // Both are taken before machines are decommissioned below.
+        // The headroom and the free resources are computed before any machine is decommissioned.
         long headroomCpu = headroomCpu(used);
         removeIdle(removeLost(), free, headroomCpu);
     }
 
     /**
-     * How many CPUs are kept free. A small fleet must hold a job that is large for it, a large one
-     * the fluctuations of many. Where nothing arrives and nothing is queued none are kept: a queued
-     * gang needs its machines all at once.
+     * Returns how many CPUs are kept free. A small fleet must have room for one large job, a large
+     * fleet for the fluctuations of many jobs. None are kept while no jobs arrive and none are
+     * queued; with a queue they are, because a queued gang needs all of its machines at once.
      */
     private long headroomCpu(Resources used) {
         boolean quiet =
@@ -89,7 +92,9 @@
         return idle;
     }
 
-    /** Decommissions idle machines, the dearest first, as long as the headroom stays free. */
+    /**
+     * Decommissions idle machines, the most expensive first, as long as the headroom stays free.
+     */
     private void removeIdle(List<Machine> idle, Resources free, long headroomCpu) {
         idle.sort(Comparator.comparingDouble((Machine machine) -> -machine.pricePerCpu()));
         Resources left = free;
@@ -106,8 +111,8 @@
     }
 
     /**
-     * How long a machine may be idle. To rent it again costs the time it boots, so it is kept idle
-     * for no longer than that, and for less where much more is free than the headroom.
+     * Returns how long a machine may be idle. Renting it again costs its boot time, so it is kept
+     * idle for no longer than that, and for a shorter time if far more than the headroom is free.
      */
     private long maxIdleMicros(Machine machine, long freeCpu, long headroomCpu) {
         long maxMicros =
--- a/src/main/java/org/woadloom/core/autoscaling/ScaleOutPlanner.java
+++ b/src/main/java/org/woadloom/core/autoscaling/ScaleOutPlanner.java
@@ -15,9 +15,9 @@
 import org.woadloom.protocol.MachineType;
 
 /**
- * Computes which machines the queued jobs lack, beyond those that boot, are requested, or will most
- * likely accept tasks again. For each job it fills the expected capacity first and then adds the
- * cheapest machines, at the price per task that they would hold.
+ * Computes which machines the queued jobs need in addition to those that are booting, are
+ * requested, or will probably accept tasks again. For each job it first assigns the expected
+ * capacity, and then adds the machines with the lowest price per task.
  */
 final class ScaleOutPlanner {
     private final SchedulerState state;
@@ -27,7 +27,7 @@
     private final PartitionedZones partitionedZones;
     private final MachineLossDetector losses;
 
-    /** Capacity that is expected, with what is still unused of it in this review. */
+    /** Capacity that is expected, and the part of it that this review has not assigned yet. */
     private static final class ExpectedCapacity {
         private final MachineKind kind;
         private Resources free;
@@ -38,7 +38,7 @@
         }
     }
 
-    /** How many tasks of one job this review has given to each zone. */
+    /** How many tasks of one job this review has assigned to each zone. */
     private static final class ZoneSpread {
         private final Job job;
         private final Map<String, Integer> tasksByZone = new HashMap<>();
@@ -51,7 +51,7 @@
             tasksByZone.merge(zone, tasks, Integer::sum);
         }
 
-        /** How many more tasks the job's anti-affinity lets go to the zone. */
+        /** Returns how many more tasks the job's anti-affinity allows in the zone. */
         int tasksLeftIn(String zone) {
             if (!job.description.spreadAcrossZones()) {
                 return Integer.MAX_VALUE;
@@ -77,7 +77,9 @@
         this.losses = losses;
     }
 
-    /** How many machines of each kind are missing, in the order in which the jobs need them. */
+    /**
+     * Returns how many machines of each kind are missing, in the order in which the jobs need them.
+     */
     Map<MachineKind, Integer> plan(List<Job> queue) {
         List<ExpectedCapacity> expected = expectedCapacity();
         Map<MachineKind, Integer> missing = new LinkedHashMap<>();
@@ -86,7 +88,7 @@
             int tasks = tasksToPlan(job, plannedByTeam);
             if (tasks > 0) {
                 ZoneSpread spread = new ZoneSpread(job);
-                int left = fillExpected(job, tasks, expected, spread);
+                int left = assignExpected(job, tasks, expected, spread);
                 addMachines(job, left, expected, spread, missing);
             }
         }
@@ -120,8 +122,8 @@
     }
 
     /**
-     * How many tasks of the job machines are sought for. They count against the team's limit, or
-     * each of its jobs would ask for all that is left of it.
+     * Returns how many tasks of the job to plan machines for. They are counted against the team's
+     * limit, because otherwise each of its jobs would plan for all that is left of the limit.
      */
     private int tasksToPlan(Job job, Map<TeamQuota, Resources> plannedByTeam) {
         Resources planned = plannedByTeam.getOrDefault(job.team, Resources.NONE);
@@ -135,8 +137,8 @@
         return tasks;
     }
 
-    /** Uses expected capacity for the job; returns how many tasks find none. */
-    private int fillExpected(
+    /** Assigns expected capacity to the job's tasks, and returns how many tasks get none. */
+    private int assignExpected(
             Job job, int tasks, List<ExpectedCapacity> expected, ZoneSpread spread) {
         int left = tasks;
         for (ExpectedCapacity capacity : expected) {
@@ -169,7 +171,7 @@
         }
     }
 
-    /** Gives the capacity to as many of the tasks as fit; returns how many. */
+    /** Assigns the capacity to as many of the tasks as fit, and returns how many. */
     private static int assign(Job job, int tasks, ExpectedCapacity capacity, ZoneSpread spread) {
         String zone = capacity.kind.zone();
         int fitting = Math.min(tasks, capacity.free.count(job.taskResources));
@@ -184,7 +186,7 @@
                 && constraints.allowsZone(job, kind.zone());
     }
 
-    /** The available kind with the lowest price a task for this many tasks, or null. */
+    /** Returns the available kind with the lowest price per task for this many tasks, or null. */
     private MachineKind cheapest(Job job, int tasks, ZoneSpread spread) {
         MachineKind best = null;
         double bestPrice = 0;
--- a/src/main/java/org/woadloom/core/autoscaling/ScaleOutRequest.java
+++ b/src/main/java/org/woadloom/core/autoscaling/ScaleOutRequest.java
@@ -2,7 +2,7 @@
 
 import org.woadloom.core.SchedulerAction;
 
-/** A request for machines of one kind that the cloud has not answered for good. */
+/** A request for machines of one kind that the cloud has not finally answered. */
 final class ScaleOutRequest {
     private final String name;
     private final MachineKind kind;
@@ -18,7 +18,7 @@
         this.createdMicros = createdMicros;
     }
 
-    /** The idempotency key: the cloud answers a repeated request by the same name alike. */
+    /** The idempotency key: the cloud gives the same answer to a repeated request of this name. */
     String name() {
         return name;
     }
@@ -27,7 +27,7 @@
         return kind;
     }
 
-    /** How many machines are requested; the cloud may give fewer. */
+    /** How many machines are requested; the cloud may rent out fewer. */
     int count() {
         return count;
     }
@@ -47,7 +47,7 @@
                 name, kind.type().name(), kind.zone(), kind.spot(), count);
     }
 
-    /** The outcome of the last sending is unknown. */
+    /** Schedules the request to be sent again, because the outcome of the last try is unknown. */
     void retryAt(long micros) {
         inFlight = false;
         retryAtMicros = micros;
--- a/src/main/java/org/woadloom/core/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/org/woadloom/core/autoscaling/ScaleOutRequests.java
@@ -11,18 +11,23 @@
 import org.woadloom.core.machines.MachineRegistry;
 import org.woadloom.store.MachineRecord;
 
-/** Sends requests for machines to the cloud, at most one a kind, and takes in the answers. */
+/**
+ * Sends requests for machines to the cloud, at most one at a time per kind, and handles the
+ * answers.
+ */
 final class ScaleOutRequests {
-    /** The cloud's bound for one request. */
+    /** The cloud's limit for one request. */
     private static final int MAX_MACHINES_PER_REQUEST = 50;
 
-    /** With more of them the cloud's limit of calls would be the bound, whatever the fleet. */
+    /**
+     * More concurrent requests would exceed the cloud's rate limit, whatever the size of the fleet.
+     */
     private static final int MAX_CONCURRENT_REQUESTS = 4;
 
-    /** After an unclear answer the same request is sent again this much later. */
+    /** How long after an unclear answer the same request is sent again. */
     private static final long RETRY_MICROS = 1_500_000;
 
-    /** A request is answered within such a time unless the cloud is down. */
+    /** The cloud answers a request within this time unless it is down. */
     static final long ANSWER_TIMEOUT_MICROS = 3_000_000;
 
     private final SchedulerState state;
@@ -40,7 +45,7 @@
         return requests.values();
     }
 
-    /** Sends the requests again whose last answer was unclear. */
+    /** Sends again the requests whose last answer was unclear. */
     void sendDue() {
         for (ScaleOutRequest request : requests.values()) {
             if (request.isDue(state.nowMicros())) {
@@ -49,14 +54,16 @@
         }
     }
 
-    /** Requests so many machines of each kind, as far as the limits of requests allow. */
+    /**
+     * Requests the given number of machines of each kind, as far as the limits for requests allow.
+     */
     void request(Map<MachineKind, Integer> countByKind) {
         for (Map.Entry<MachineKind, Integer> entry : countByKind.entrySet()) {
             if (requests.size() >= MAX_CONCURRENT_REQUESTS) {
                 return;
             }
-            // The answer to a pending request tells whether there are more machines of its kind; to
-            // ask before that would waste one of few calls.
+            // The answer to a pending request shows whether more machines of its kind are
+            // available; requesting more before that would waste one of the few calls.
             if (find(entry.getKey()) == null) {
                 request(entry.getKey(), entry.getValue());
             }
@@ -81,7 +88,7 @@
         state.emit(request.send());
     }
 
-    /** True for a kind that the cloud refused lately, or does not answer for. */
+    /** True for a kind that the cloud refused recently, or does not answer a request for. */
     boolean isUnavailable(MachineKind kind) {
         if (refusedKinds.isRefused(kind)) {
             return true;
@@ -116,7 +123,8 @@
                 state.log(
                         LogEntry.info(LogEvent.SCALE_OUT_REFUSED).with("request", request.name()));
             }
-                // The cloud may have granted the request, and then answers the repeated one alike.
+                // The cloud may have granted the request; it gives the repeated one the same
+                // answer.
             case REFUSED, UNKNOWN -> request.retryAt(state.nowMicros() + RETRY_MICROS);
         }
     }
--- a/src/main/java/org/woadloom/core/machines/AgentProber.java
+++ b/src/main/java/org/woadloom/core/machines/AgentProber.java
@@ -12,19 +12,28 @@
 import org.woadloom.core.liveness.AgentLiveness;
 
 /**
- * Reviews agents that are out of touch. One that is unreachable (its heartbeats come, and nothing
- * reaches it) or suspect gets no more starts: what was meant for it goes elsewhere. One that is
- * silent is probed by a direct command, a few at a time: an answer tells that it is alive. An agent
- * that reports to a partitioned earlier leader learns the present token that way, and its next
- * heartbeat makes that leader step down.
+ * Checks agents that may have lost contact with this leader.
+ *
+ * <p>An agent is suspect if it does not acknowledge the current fencing token in time, and
+ * unreachable if its heartbeats keep arriving without an acknowledgement. Tasks planned for such an
+ * agent but never sent to it are placed elsewhere.
+ *
+ * <p>An agent is silent if its heartbeats are overdue. A limited number of silent agents at a time
+ * is probed with a direct command; an answer proves that the agent is alive. The probe carries the
+ * current token, so an agent that still reports to a partitioned former leader learns of the new
+ * term, and its next heartbeat makes the former leader step down.
  */
 public final class AgentProber {
     /**
-     * Agents that are probed at a time in a small fleet; in a large one it is one for each so many
-     * machines, within the sockets for direct commands.
+     * The limit of concurrent probes, unless the fleet is large enough for {@link
+     * #MACHINES_PER_PROBE} to allow more.
      */
-    private static final int MIN_PROBES = 16;
+    private static final int MIN_PROBE_LIMIT = 16;
 
+    /**
+     * A large fleet may have one concurrent probe per this many machines, which stays within the
+     * sockets available for direct commands.
+     */
     private static final int MACHINES_PER_PROBE = 64;
 
     private final SchedulerState state;
@@ -37,7 +46,7 @@
         this.taskLosses = taskLosses;
     }
 
-    /** To be called at intervals: walks over all machines. */
+    /** Checks all machines. Must be called periodically. */
     public void review() {
         probed.removeIf(machine -> isProbeOver(machine));
         List<Machine> silent = new ArrayList<>();
@@ -62,19 +71,19 @@
                 || (!machine.commands.isCommandInFlight() && !machine.commands.isTokenRequested());
     }
 
-    /** How many machines have agents that report but are reached by nothing. */
+    /** Number of machines whose agent sends heartbeats but receives nothing from this leader. */
     public int unreachableCount() {
         return unreachableHosts.size();
     }
 
     /**
-     * What was never sent can go elsewhere: the agent may be reachable again at any time, but is
-     * not waited for.
+     * Releases attempts that were never sent, so that their tasks are placed elsewhere without
+     * waiting for the agent to become reachable again.
      */
     private void withdrawUnsentTasks(Machine machine) {
         for (TaskAttempt attempt : machine.snapshot()) {
             if (attempt.wasNeverSent()) {
-                taskLosses.onLost(attempt, "the worker does not hear");
+                taskLosses.onLost(attempt, "agent does not acknowledge commands");
             }
         }
     }
@@ -102,21 +111,22 @@
     }
 
     /**
-     * True if no heartbeat comes from an agent that was up, by its messages to this leader or by
-     * what earlier leaders have recorded.
+     * True if heartbeats are overdue from an agent that was alive before, according to its messages
+     * to this leader or to records of earlier leaders.
      */
     private boolean isSilent(Machine machine) {
-        boolean known =
+        boolean wasAlive =
                 machine.isKnownAlive() || machine.isHeartbeatRecorded() || !machine.isEmpty();
-        long since = Math.max(machine.liveness.lastHeartbeatMicros(), state.startedMicros());
-        return known
+        long silentSinceMicros =
+                Math.max(machine.liveness.lastHeartbeatMicros(), state.startedMicros());
+        return wasAlive
                 && !machine.isDecommissioning()
                 && !machine.address().isEmpty()
-                && state.nowMicros() - since > state.livenessTimeouts().freshMicros();
+                && state.nowMicros() - silentSinceMicros > state.livenessTimeouts().freshMicros();
     }
 
     private void probe(List<Machine> silent) {
-        int maxProbes = Math.max(MIN_PROBES, state.machines().size() / MACHINES_PER_PROBE);
+        int maxProbes = Math.max(MIN_PROBE_LIMIT, state.machines().size() / MACHINES_PER_PROBE);
         if (silent.isEmpty() || probed.size() >= maxProbes) {
             return;
         }
--- a/src/main/java/org/woadloom/core/machines/AttemptReconciler.java
+++ b/src/main/java/org/woadloom/core/machines/AttemptReconciler.java
@@ -8,14 +8,14 @@
 import org.woadloom.protocol.Heartbeat;
 import org.woadloom.protocol.TaskStatus;
 
-/** Reconciles the attempts of a machine with the tasks that a message of its agent lists. */
+/** Reconciles the attempts of a machine with the tasks listed in a message from its agent. */
 final class AttemptReconciler {
     private final SchedulerState state;
     private final TaskLossHandler taskLosses;
     private final TaskExitHandler exits;
 
-    /** Numbers the messages, to tell which attempts the present one has listed. */
-    private long messagesApplied;
+    /** Number of the message applied last. It marks the attempts that this message lists. */
+    private long lastMessageNumber;
 
     AttemptReconciler(SchedulerState state, TaskLossHandler taskLosses, TaskExitHandler exits) {
         this.state = state;
@@ -24,16 +24,16 @@
     }
 
     /**
-     * Takes in a message that is no duplicate: first exits without an attempt, then attempts that
-     * are not listed, then those that are.
+     * Applies a message that is not a duplicate: first exits that match no attempt, then attempts
+     * that the message does not list, then those that it lists.
      *
-     * @param ownHeartbeat false for the body of a direct command's answer
+     * @param isHeartbeat false for the body of an answer to a direct command
      */
-    void reconcile(Machine machine, Heartbeat heartbeat, boolean ownHeartbeat) {
+    void reconcile(Machine machine, Heartbeat heartbeat, boolean isHeartbeat) {
         List<TaskStatus> tasks = heartbeat.tasks();
         TaskAttempt[] listed = new TaskAttempt[tasks.size()];
-        long messageNumber = ++messagesApplied;
-        int found = 0;
+        long messageNumber = ++lastMessageNumber;
+        int listedCount = 0;
         for (int i = 0; i < listed.length; i++) {
             TaskStatus task = tasks.get(i);
             TaskAttempt attempt = findAttempt(state, machine, task);
@@ -44,13 +44,13 @@
                 }
             } else if (attempt.listedInMessage() != messageNumber) {
                 attempt.onListed(messageNumber);
-                found++;
+                listedCount++;
             }
         }
-        if (found < machine.attempts().size()) {
+        if (listedCount < machine.attempts().size()) {
             for (TaskAttempt attempt : machine.snapshot()) {
                 if (attempt.listedInMessage() != messageNumber) {
-                    onNotListed(attempt, heartbeat, ownHeartbeat);
+                    onNotListed(attempt, heartbeat, isHeartbeat);
                 }
             }
         }
@@ -61,7 +61,9 @@
         }
     }
 
-    /** The attempt that the agent lists, or null if the machine has no such attempt any more. */
+    /**
+     * Returns the attempt that a listed task refers to, or null if the machine no longer has it.
+     */
     static TaskAttempt findAttempt(SchedulerState state, Machine machine, TaskStatus task) {
         Job job = state.jobs().get(task.task().jobId());
         TaskAttempt attempt = job == null ? null : job.attempt(task.task().index());
@@ -88,8 +90,8 @@
         attempt.onReported(task.state());
     }
 
-    private void onNotListed(TaskAttempt attempt, Heartbeat heartbeat, boolean ownHeartbeat) {
-        LossProof proof = LossProof.of(attempt, heartbeat, ownHeartbeat, state.term());
+    private void onNotListed(TaskAttempt attempt, Heartbeat heartbeat, boolean isHeartbeat) {
+        LossProof proof = LossProof.of(attempt, heartbeat, isHeartbeat, state.term());
         if (proof.provesLoss()) {
             taskLosses.onLost(attempt, proof.lossReason());
         } else if (proof == LossProof.START_NOT_EXECUTED) {
@@ -98,8 +100,8 @@
             } else {
                 attempt.markReady();
             }
-            // One lost answer is nothing; if the next ones are lost as well, the agent is
-            // unreachable.
+            // A single lost answer is harmless. If the next ones are lost too, the token stays
+            // unacknowledged and the agent counts as unreachable.
             attempt.machine.liveness.requireAcknowledgement();
         }
     }
--- a/src/main/java/org/woadloom/core/machines/CommandChannel.java
+++ b/src/main/java/org/woadloom/core/machines/CommandChannel.java
@@ -2,9 +2,9 @@
 
 import org.woadloom.core.liveness.AgentLiveness;
 
-/** The direct commands to one agent: there is one request at a time. */
+/** State of the direct commands to one agent. At most one request is in flight at a time. */
 final class CommandChannel {
-    /** No command has this number. */
+    /** Stands for no command; ids start at 1. */
     private static final long NONE = 0;
 
     private long inFlight = NONE;
@@ -16,7 +16,7 @@
         inFlight = commandId;
     }
 
-    /** Returns true if it is the command in flight that was completed. */
+    /** Returns true if the completed command was the one in flight. */
     boolean onCompleted(long commandId) {
         if (inFlight != commandId) {
             return false;
@@ -29,7 +29,7 @@
         return inFlight != NONE;
     }
 
-    /** Nothing is sent directly before this time. */
+    /** No direct command is sent before this time. */
     void pauseUntil(long micros) {
         retryAtMicros = micros;
     }
@@ -38,7 +38,7 @@
         return nowMicros < retryAtMicros;
     }
 
-    /** The present token is to be sent, with or without commands. */
+    /** Requests that the current fencing token be sent, even if there are no commands. */
     void requestToken() {
         tokenRequested = true;
     }
@@ -47,7 +47,7 @@
         return tokenRequested;
     }
 
-    /** Returns whether the token was requested, and clears that. */
+    /** Returns whether the token was requested, and clears the request. */
     boolean takeTokenRequest() {
         boolean requested = tokenRequested;
         tokenRequested = false;
@@ -58,7 +58,7 @@
         lastProbeMicros = nowMicros;
     }
 
-    /** When it was last probed because it was silent. */
+    /** When the agent was last probed for being silent. */
     long lastProbeMicros() {
         return lastProbeMicros;
     }
--- a/src/main/java/org/woadloom/core/machines/DirectCommands.java
+++ b/src/main/java/org/woadloom/core/machines/DirectCommands.java
@@ -13,7 +13,7 @@
 import org.woadloom.core.jobs.TaskAttempt.Stage;
 import org.woadloom.protocol.TaskCommand;
 
-/** Sends commands directly to agents, one request at a time to each. */
+/** Sends commands directly to agents, at most one request at a time to each. */
 public final class DirectCommands {
     private static final int MAX_COMMANDS = HeartbeatCommands.MAX_COMMANDS;
     private static final int STATUS_OK = 200;
@@ -21,19 +21,19 @@
     /** The agent refused the command's token or incarnation and executed nothing. */
     private static final int STATUS_CONFLICT = 409;
 
-    /** The request did not leave this node. */
+    /** The request was never sent by this node. */
     private static final int NOT_SENT = -1;
 
     private static final long CONFLICT_PAUSE_MICROS = 100_000;
-    private static final long PAUSE_MICROS = 2_000_000;
+    private static final long FAILURE_PAUSE_MICROS = 2_000_000;
 
     private final SchedulerState state;
     private final HeartbeatHandler heartbeats;
     private final TaskLossHandler taskLosses;
-    private final Map<Long, Sent> sent = new HashMap<>();
+    private final Map<Long, InFlightCommand> inFlight = new HashMap<>();
 
-    /** The attempts that a request starts, and when it was sent. */
-    private record Sent(List<TaskAttempt> starts, long sentMicros) {}
+    /** A request in flight: the attempts that it starts, and when it was sent. */
+    private record InFlightCommand(List<TaskAttempt> starts, long sentMicros) {}
 
     public DirectCommands(
             SchedulerState state, HeartbeatHandler heartbeats, TaskLossHandler taskLosses) {
@@ -42,7 +42,7 @@
         this.taskLosses = taskLosses;
     }
 
-    /** Emits a request to each agent for which there are commands, and none in flight. */
+    /** Emits a request to each agent that has pending commands and no request in flight. */
     public void emitCommands() {
         for (Machine machine : List.copyOf(state.machinesWithPendingCommands())) {
             if (machine.isDeleted()) {
@@ -72,7 +72,7 @@
         for (TaskAttempt attempt : starts) {
             attempt.onStartSent(machine.liveness.fencingToken());
         }
-        sent.put(id, new Sent(starts, state.nowMicros()));
+        inFlight.put(id, new InFlightCommand(starts, state.nowMicros()));
         state.emit(
                 new SchedulerAction.SendDirectCommand(
                         id,
@@ -83,7 +83,9 @@
                         commands));
     }
 
-    /** Collects the commands that are due; returns false if there are more than one request has. */
+    /**
+     * Collects the commands that are due. Returns false if they do not all fit into one request.
+     */
     private boolean collect(Machine machine, List<TaskCommand> commands, List<TaskAttempt> starts) {
         for (TaskAttempt attempt : machine.attempts()) {
             if (commands.size() >= MAX_COMMANDS) {
@@ -96,7 +98,7 @@
                     && !attempt.wasNeverSent()
                     && attempt.stopSentMicros() < 0) {
                 attempt.onStopSent(state.nowMicros());
-                // Stops come first, so that the resources they free are there for the starts.
+                // Stops come first, so that the resources they free are available to the starts.
                 commands.add(
                         0,
                         TaskCommand.stop(
@@ -106,9 +108,9 @@
         return true;
     }
 
-    /** Takes in an agent's answer, or that there is none. */
+    /** Handles the answer to a direct command, or the lack of one. */
     public void onCompleted(SchedulerEvent.DirectCommandCompleted result) {
-        Sent command = sent.remove(result.commandId());
+        InFlightCommand command = inFlight.remove(result.commandId());
         Machine machine = state.machines().get(result.host());
         if (machine == null || command == null) {
             return;
@@ -134,19 +136,21 @@
         }
     }
 
-    /** Nothing was executed: the starts can be sent again as they are. */
+    /** The agent executed nothing, so the starts can be sent again unchanged. */
     private void onNotExecuted(
-            Machine machine, Sent command, SchedulerEvent.DirectCommandCompleted result) {
+            Machine machine,
+            InFlightCommand command,
+            SchedulerEvent.DirectCommandCompleted result) {
         command.starts.forEach(this::returnToReady);
         if (result.heartbeat() != null) {
             heartbeats.apply(machine, result.heartbeat(), command.sentMicros);
             if (!machine.liveness.hasAcknowledgedToken()) {
-                // It was sent to another incarnation; the present one is known now.
+                // The command addressed another incarnation. The current one is known now.
                 machine.requestToken();
             }
         }
         long pauseMicros =
-                result.status() == STATUS_CONFLICT ? CONFLICT_PAUSE_MICROS : PAUSE_MICROS;
+                result.status() == STATUS_CONFLICT ? CONFLICT_PAUSE_MICROS : FAILURE_PAUSE_MICROS;
         machine.commands.pauseUntil(state.nowMicros() + pauseMicros);
     }
 
@@ -162,15 +166,15 @@
     }
 
     /**
-     * The starts may be executed minutes late; a higher token makes the agent refuse them from then
-     * on.
+     * The starts may still be executed minutes later. A higher fencing token is issued, and the
+     * agent refuses them once it has seen it.
      */
     private void onNoAnswer(Machine machine, List<TaskAttempt> starts) {
         machine.commands.pauseUntil(
                 state.nowMicros()
                         + (machine.liveness.isUnreachable(state.nowMicros())
                                 ? state.settings().leaseMicros() / 2
-                                : PAUSE_MICROS));
+                                : FAILURE_PAUSE_MICROS));
         for (TaskAttempt attempt : starts) {
             if (attempt.stage() == Stage.SENT) {
                 attempt.onStartUnanswered();
--- a/src/main/java/org/woadloom/core/machines/ExitAcknowledgements.java
+++ b/src/main/java/org/woadloom/core/machines/ExitAcknowledgements.java
@@ -9,11 +9,14 @@
 import org.woadloom.protocol.TaskStatus;
 
 /**
- * Exits that agents list until they are acknowledged. An exit is acknowledged once the job's record
- * that contains its outcome is durable, as the agent then forgets it.
+ * Task exits that agents report until they are acknowledged. An agent forgets an acknowledged exit,
+ * so an exit is acknowledged only once the job record with its outcome is durable.
  */
 final class ExitAcknowledgements {
-    /** The first durable version of the job's record under which an exit may be acknowledged. */
+    /**
+     * By host and exit, the version of the job's record that must be durable before the exit is
+     * acknowledged.
+     */
     private final Map<String, Map<Exit, Long>> versionByExit = new HashMap<>();
 
     private record Exit(TaskId task, long attempt) {
@@ -27,7 +30,7 @@
         return known != null && known.containsKey(Exit.of(task));
     }
 
-    /** The exit is to be acknowledged once the given version of its job's record is durable. */
+    /** Adds an exit that is acknowledged once the given version of its job's record is durable. */
     void add(Machine machine, TaskStatus task, long version) {
         versionByExit
                 .computeIfAbsent(machine.host, host -> new HashMap<>())
@@ -35,8 +38,10 @@
     }
 
     /**
-     * @param job the exited task's job, or null if it is no longer here: then its final state is in
-     *     the store
+     * Returns true if the exit can be acknowledged now.
+     *
+     * @param job the exited task's job, or null if the scheduler has dropped it because its final
+     *     state is stored
      */
     boolean isDue(Machine machine, TaskStatus task, Job job) {
         if (job == null) {
@@ -47,7 +52,10 @@
         return version != null && version <= job.persistence.durableVersion();
     }
 
-    /** Drops the machine's exits that the agent lists no longer: it has the acknowledgement. */
+    /**
+     * Drops the exits that the agent no longer lists, because it has received their
+     * acknowledgement.
+     */
     void retainListed(Machine machine, Heartbeat heartbeat) {
         Map<Exit, Long> known = versionByExit.get(machine.host);
         if (known == null || known.isEmpty()) {
@@ -66,7 +74,7 @@
         versionByExit.put(machine.host, listed);
     }
 
-    /** Drops what is kept for other machines than these. */
+    /** Drops the exits of all machines but these. */
     void retainMachines(Collection<String> hosts) {
         versionByExit.keySet().retainAll(hosts);
     }
--- a/src/main/java/org/woadloom/core/machines/HeartbeatCommands.java
+++ b/src/main/java/org/woadloom/core/machines/HeartbeatCommands.java
@@ -10,9 +10,9 @@
 import org.woadloom.protocol.TaskCommand;
 import org.woadloom.protocol.TaskStatus;
 
-/** Chooses the commands that go to an agent in the answer to its heartbeat. */
+/** Selects the commands that are sent to an agent in the answer to its heartbeat. */
 final class HeartbeatCommands {
-    /** The most commands of attempts in one message to an agent. */
+    /** No start or stop of an attempt is added to a message that has this many commands. */
     static final int MAX_COMMANDS = 400;
 
     private final SchedulerState state;
@@ -23,7 +23,9 @@
         this.acknowledgements = acknowledgements;
     }
 
-    /** The commands that answer a heartbeat that has been taken in. */
+    /**
+     * Returns the commands that answer a heartbeat. The heartbeat must have been applied before.
+     */
     List<TaskCommand> commandsFor(Machine machine, Heartbeat heartbeat) {
         List<TaskCommand> commands = new ArrayList<>();
         for (TaskStatus task : heartbeat.tasks()) {
@@ -46,8 +48,8 @@
     }
 
     /**
-     * Stops are sent at once, as an answer without them would renew the lease of a task that must
-     * end in time. Starts are sent this way only while direct commands fail.
+     * Every answer repeats the stops that are due, because an answer without them would renew the
+     * lease of a task that has to end. Starts are sent this way only while direct commands fail.
      */
     private void addAttemptCommands(
             Machine machine, Heartbeat heartbeat, List<TaskCommand> commands) {
--- a/src/main/java/org/woadloom/core/machines/HeartbeatHandler.java
+++ b/src/main/java/org/woadloom/core/machines/HeartbeatHandler.java
@@ -14,7 +14,7 @@
 import org.woadloom.protocol.TaskCommand;
 import org.woadloom.store.MachineRecord;
 
-/** Takes in the messages of agents, and answers their heartbeats. */
+/** Applies the messages of agents to the scheduler's state, and answers heartbeats. */
 public final class HeartbeatHandler {
     private final SchedulerState state;
     private final MachineRegistry machines;
@@ -33,7 +33,7 @@
         commands = new HeartbeatCommands(state, acknowledgements);
     }
 
-    /** Takes in a heartbeat that waits for an answer, and answers or rejects it. */
+    /** Applies a heartbeat and answers it, or rejects it. */
     public void onHeartbeat(SchedulerEvent.HeartbeatReceived event) {
         Heartbeat heartbeat = event.heartbeat();
         Machine machine = findOrCreateMachine(heartbeat);
@@ -41,8 +41,8 @@
             return;
         }
         if (!machine.liveness.awaitsAnswerTo(heartbeat, state.nowMicros())) {
-            // No agent waits for this answer; if one did, it would renew a lease that counts as
-            // running out.
+            // The agent has given up waiting for this answer. If it still got it, the answer would
+            // renew a lease that this leader expects to expire.
             state.emit(new SchedulerAction.RejectHeartbeat(event.requestId()));
             return;
         }
@@ -72,8 +72,9 @@
     }
 
     /**
-     * True if the agent has seen a token of a later leader; this one then steps down. A higher
-     * token of this term was issued to a machine of that name that has been forgotten since.
+     * Makes this leader step down, and returns true, if the agent has seen a fencing token of a
+     * later term. A higher token of the current term was issued to a machine of the same name that
+     * has been forgotten since; such tokens are not issued again.
      */
     public boolean stepDownIfLaterTerm(Machine machine, Heartbeat heartbeat) {
         if (heartbeat.fencingToken() <= machine.liveness.fencingToken()) {
@@ -85,18 +86,20 @@
         }
         state.emit(
                 new SchedulerAction.StepDown(
-                        "worker "
+                        "agent on "
                                 + heartbeat.host()
-                                + " has seen token "
-                                + heartbeat.fencingToken()));
+                                + " has seen fencing token "
+                                + heartbeat.fencingToken()
+                                + " of a later term"));
         return true;
     }
 
     /**
-     * Takes in a heartbeat, or the body of a direct command's answer, which has the same form.
+     * Applies a heartbeat, or the body of an answer to a direct command, which has the same form.
      *
-     * @param commandSentMicros when the direct command was sent, {@link AgentLiveness#NEVER} for a
-     *     heartbeat, which alone shows that the agent has dealt with the answer to the one before
+     * @param commandSentMicros when the answered direct command was sent, or {@link
+     *     AgentLiveness#NEVER} for a heartbeat; only a heartbeat proves that the agent has
+     *     processed the answer to its previous one
      */
     public MessageAge apply(Machine machine, Heartbeat heartbeat, long commandSentMicros) {
         MessageAge age =
@@ -119,7 +122,7 @@
         return age;
     }
 
-    /** Returns true if the agent was restarted since the last message. */
+    /** Returns true if this is the first message of a new incarnation of the agent. */
     private boolean updateLiveness(
             Machine machine, Heartbeat heartbeat, MessageAge age, long commandSentMicros) {
         AgentLiveness liveness = machine.liveness;
@@ -165,21 +168,22 @@
     }
 
     private void onNewIncarnation(Machine machine) {
-        // The new incarnation's lease runs from its start, which may be later than our last answer:
-        // one that is first seen in the body of a direct command has not been answered at all.
+        // The new incarnation's lease runs from its start, which may be later than our last answer.
+        // An incarnation that first shows up in the answer to a direct command has not had a
+        // heartbeat answered.
         machine.onLeaseRenewed();
         for (TaskAttempt attempt : machine.snapshot()) {
-            // An earlier leader may have started a recovered one in this incarnation, or may still:
-            // what the message lists decides about it.
+            // An earlier leader may have started a recovered attempt in this incarnation, or may
+            // still do so. Whether the message lists it decides.
             if (!attempt.wasNeverSent() && attempt.stage() != Stage.RECOVERED) {
-                taskLosses.onLost(attempt, "the worker's lease ended");
+                taskLosses.onLost(attempt, "agent has a new incarnation");
             }
         }
-        // The last one may have ended because nothing reaches the agent any more.
+        // The previous incarnation may have ended because nothing reaches the agent any more.
         machine.liveness.suspect(state.nowMicros());
     }
 
-    /** Drops what is kept for machines that are no longer known. */
+    /** Drops the state of machines that the scheduler has forgotten. */
     public void dropForgottenMachines() {
         acknowledgements.retainMachines(state.machines().keySet());
     }
--- a/src/main/java/org/woadloom/core/machines/ImageCache.java
+++ b/src/main/java/org/woadloom/core/machines/ImageCache.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * What a machine's image cache should hold: the most recently used images. An estimate, by which
- * machines are preferred; nothing relies on it.
+ * Estimates what a machine's image cache holds: the most recently used images. The estimate is only
+ * used to prefer some machines over others, so it may be wrong.
  */
 public final class ImageCache {
     private final LinkedHashMap<String, Double> images = new LinkedHashMap<>(16, 0.75f, true);
 
     /**
-     * The image was used: it is in the cache, and the least recently used others have made place.
+     * Records a use of the image, and evicts the least recently used other images until all fit.
      */
     public void touch(String image, double gb, double cacheGb) {
         images.put(image, gb);
--- a/src/main/java/org/woadloom/core/machines/LeaseExpiry.java
+++ b/src/main/java/org/woadloom/core/machines/LeaseExpiry.java
@@ -7,9 +7,9 @@
 import org.woadloom.core.SchedulerState;
 
 /**
- * Ends the sessions of agents whose lease has certainly expired. An agent whose lease was renewed
- * neither by this leader nor by a node that renews on its behalf has killed its tasks by then, so
- * they may be started elsewhere.
+ * Ends the sessions of agents whose lease has certainly expired. By then the agent has killed its
+ * tasks, because neither this leader nor a node with delegated renewal has renewed the lease in
+ * time. The tasks may be started elsewhere.
  */
 public final class LeaseExpiry {
     private final SchedulerState state;
@@ -37,7 +37,7 @@
         return state.nowMicros() - renewedMicros > state.delegationTimeouts().leaseExpiryMicros();
     }
 
-    /** The last renewal by a delegate is a matter of the zone, and worked out once for each. */
+    /** Renewal is delegated by zone, so the last delegated renewal is computed once per zone. */
     private long lastDelegatedRenewalMicros(String zone, Map<String, Long> byZone) {
         return byZone.computeIfAbsent(
                 zone, name -> state.delegations().lastRenewalMicros(name, state.nowMicros()));
--- a/src/main/java/org/woadloom/core/machines/LossProof.java
+++ b/src/main/java/org/woadloom/core/machines/LossProof.java
@@ -5,21 +5,22 @@
 import org.woadloom.protocol.Heartbeat;
 
 /**
- * What follows for an attempt from a message of its machine's agent that does not list it. This is
- * the only place that decides from a missing entry that an attempt is gone.
+ * What a message from a machine's agent proves about an attempt that it does not list. No other
+ * code concludes from a missing entry that an attempt is gone.
  */
 enum LossProof {
-    /** The agent had the task and has it no longer. */
+    /** The agent had the task and no longer has it. */
     NO_LONGER_LISTED("no longer reported"),
-    /** The start was not executed, and the agent will refuse it when it arrives late. */
-    START_NEVER_ARRIVED("the launch never arrived"),
+    /** The start was not executed, and the agent refuses it if it still arrives. */
+    START_NEVER_ARRIVED("start command never arrived"),
     /**
-     * A task that an earlier leader may have started; no command of that leader is accepted now.
+     * An earlier leader may have sent a start, but the agent has not executed it and no longer
+     * accepts commands of that leader.
      */
-    NOT_RECOVERED("not found by the new leader"),
+    NOT_RECOVERED("not reported to the new leader"),
     /** The answer that carried the start was not executed, so the start may be sent again. */
     START_NOT_EXECUTED(null),
-    /** The attempt may still be there, or may still be started. */
+    /** The attempt may still exist, or may still be started. */
     NONE(null);
 
     private final String lossReason;
@@ -33,35 +34,33 @@
         return lossReason != null;
     }
 
-    /** The reason for the log, of a proof of loss. */
+    /** The reason to log for a proof of loss; null for other constants. */
     String lossReason() {
         return lossReason;
     }
 
     /**
-     * @param heartbeat a message without the attempt, which is no duplicate
-     * @param ownHeartbeat the message is a heartbeat that the agent sent of its own, and no answer
-     *     to a direct command
+     * @param heartbeat a message that is not a duplicate and does not list the attempt
+     * @param isHeartbeat true for a heartbeat, false for the answer to a direct command
      */
-    static LossProof of(TaskAttempt attempt, Heartbeat heartbeat, boolean ownHeartbeat, long term) {
+    static LossProof of(TaskAttempt attempt, Heartbeat heartbeat, boolean isHeartbeat, long term) {
         return switch (attempt.stage()) {
             case CONFIRMED -> NO_LONGER_LISTED;
-                // The agent refuses the token under which the start was sent from here on.
+                // From now on the agent refuses the token under which the start was sent.
             case UNANSWERED ->
                     heartbeat.fencingToken() > attempt.startToken() ? START_NEVER_ARRIVED : NONE;
-                // An agent has one heartbeat in flight: this one was made after the answer was
-                // executed
-                // or dropped.
+                // An agent has one heartbeat in flight at a time, so it executed or dropped the
+                // answer with the start before it sent this one.
             case SENT_IN_ANSWER ->
-                    ownHeartbeat && heartbeat.sequence() > attempt.answeredSequence()
+                    isHeartbeat && heartbeat.sequence() > attempt.answeredSequence()
                             ? START_NOT_EXECUTED
                             : NONE;
             case RECOVERED ->
                     heartbeat.fencingToken() >> AgentLiveness.FENCE_BITS == term
                             ? NOT_RECOVERED
                             : NONE;
-                // PLANNED and READY were never sent; SENT is settled by the answer to the direct
-                // command.
+                // PLANNED and READY were never sent. The answer to the direct command, or its
+                // absence, decides about SENT.
             default -> NONE;
         };
     }
--- a/src/main/java/org/woadloom/core/machines/Machine.java
+++ b/src/main/java/org/woadloom/core/machines/Machine.java
@@ -13,9 +13,9 @@
 import org.woadloom.protocol.Priority;
 import org.woadloom.store.MachineRecord;
 
-/** A machine as the leader knows it, with the agent on it. */
+/** The leader's view of a machine and of the agent on it. */
 public final class Machine {
-    /** For a time that has not come or is not known. */
+    /** Stands for a time that is not known. */
     private static final long UNKNOWN_MICROS = -1;
 
     public final String host;
@@ -23,20 +23,20 @@
     public final String zone;
     public final boolean spot;
 
-    /** When this leader first met the machine's name. */
+    /** When this leader first saw the machine's host name. */
     public final long firstSeenMicros;
 
-    /** What is known of the agent's messages, and whether it receives ours. */
+    /** When the agent was last alive, and whether our messages reach it. */
     public final AgentLiveness liveness;
 
-    /** The images that its cache should hold. */
+    /** The estimated content of its image cache. */
     public final ImageCache images = new ImageCache();
 
     final MachineRecordState recordState;
     final MachineLifecycle lifecycle;
     final CommandChannel commands = new CommandChannel();
 
-    /** Jobs whose tasks failed here lately, and when the last one of each did. */
+    /** The jobs whose tasks failed here recently, with the time of the latest failure of each. */
     final Map<String, Long> failedJobs = new LinkedHashMap<>();
 
     private final SchedulerState state;
@@ -52,7 +52,10 @@
     private long quarantinedUntilMicros;
     private long placementPausedUntilMicros;
 
-    /** A machine of which the record is stored, or that was rented, listed, or named. */
+    /**
+     * A machine whose record is stored, or that was rented, listed by the cloud, or named in a
+     * heartbeat.
+     */
     public Machine(MachineRecord record, SchedulerState state) {
         this.host = record.host();
         this.machineType = record.machineType();
@@ -68,7 +71,10 @@
         this.idleSinceMicros = state.nowMicros();
     }
 
-    /** By another node's time of day, which may be ahead of ours. */
+    /**
+     * How long ago the machine was rented. The recorded time is from another node's wall clock,
+     * which may be ahead of ours, so a negative difference counts as 0.
+     */
     private static long rentedForMicros(MachineRecord record, SchedulerState state) {
         return record.lifecycle() == null
                 ? 0
@@ -77,7 +83,7 @@
 
     // Existence and record
 
-    /** The machine exists, or did: it is recorded, and deleted if need be. */
+    /** Notes that the machine exists or has existed, so that its record is written. */
     public void confirmExistence() {
         if (!confirmed) {
             confirmed = true;
@@ -86,19 +92,21 @@
     }
 
     /**
-     * True if it was rented, listed or recorded, or its agent was certainly there: it is more than
-     * a name in a heartbeat.
+     * True if the machine was rented, listed by the cloud or recorded, or its agent was proven
+     * alive. Otherwise it is only a host name in a heartbeat that may be an old duplicate.
      */
     public boolean isConfirmed() {
         return confirmed;
     }
 
-    /** There may be something to write of the machine, or it may have to be deleted. */
+    /**
+     * Queues the machine for a check whether its record has to be written or the machine deleted.
+     */
     void markForPersistence() {
         state.markForPersistence(this);
     }
 
-    /** The record of the present state, in the form that is in force now. */
+    /** Returns the record of the current state, in the format in which records are now written. */
     public MachineRecord toRecord() {
         MachineRecord.Lifecycle recordedLifecycle =
                 state.recordsMachineLifecycle()
@@ -110,7 +118,7 @@
                 host, machineType, zone, spot, isDecommissioning(), recordedLifecycle);
     }
 
-    /** Its record stands in the store as it should. */
+    /** Notes that the stored record is up to date, at the given revision. */
     public void onRecorded(long newRevision) {
         recordState.onRecorded(newRevision);
     }
@@ -119,45 +127,53 @@
         return recordState.isRecorded();
     }
 
-    /** True while a write, read or deletion of the record is under way. */
+    /** True while a write, read or deletion of the record is in flight. */
     public boolean isRecordRequestInFlight() {
         return recordState.isRequestInFlight();
     }
 
-    /** True while a write that began at the given moment or before may still change the record. */
+    /**
+     * True while a write that started at or before the given time may still change the stored
+     * record.
+     */
     public boolean mayRecordChange(long sinceMicros) {
         return recordState.mayChange(sinceMicros);
     }
 
-    /** Has the record written in the form that is in force now. */
+    /**
+     * Requests that the record be written again, in the format in which records are now written.
+     */
     public void requestRewrite() {
         recordState.requestRewrite();
         markForPersistence();
     }
 
-    /** True if the record is to be written once more, as its form has changed. */
+    /** True if a rewrite was requested and its write has not started yet. */
     public boolean isRewriteNeeded() {
         return recordState.isRewriteNeeded();
     }
 
-    /** True if the stored record says that an agent on the machine has reported. */
+    /** True if the stored record says that the machine's agent has sent a heartbeat. */
     public boolean isHeartbeatRecorded() {
-        return recordState.isReportedRecorded();
+        return recordState.isHeartbeatRecorded();
     }
 
-    /** True if the record, and not only this leader, knows since when the machine is rented. */
+    /**
+     * True if the rental time was read from the record. Otherwise it is when this leader first saw
+     * the machine, until the cloud tells it.
+     */
     public boolean isRentalTimeRecorded() {
         return rentalTimeRecorded;
     }
 
     // Lifecycle
 
-    /** The cloud has just rented it. */
+    /** The cloud has just rented the machine to us. */
     public void onRented(long nowMicros) {
         rentedMicros = nowMicros;
     }
 
-    /** The cloud lists it as rented since this time, or later. */
+    /** Moves the rental time back to the one that the cloud lists, if that is earlier. */
     void onListedAsRented(long sinceMicros) {
         rentedMicros = Math.min(rentedMicros, sinceMicros);
     }
@@ -166,25 +182,31 @@
         return rentedMicros;
     }
 
-    /** The machine is to be deleted, once it is empty. */
+    /** Marks the machine for deletion once it is empty. */
     public void decommission() {
         lifecycle.decommission();
         markForPersistence();
     }
 
-    /** Gives it up while its lease may still run: it is deleted without being emptied first. */
+    /**
+     * Marks the machine for deletion without draining it first, although the agent's lease may
+     * still be valid.
+     */
     public void abandon() {
         lifecycle.abandon();
         markForPersistence();
     }
 
-    /** The cloud lists it as failed. */
+    /**
+     * Marks the machine for deletion without draining it first, because the cloud lists it as
+     * failed.
+     */
     void fail() {
         lifecycle.fail();
         markForPersistence();
     }
 
-    /** True from the moment at which it is decommissioned, also when it is deleted. */
+    /** True once the machine is marked for deletion, and still true after it is deleted. */
     public boolean isDecommissioning() {
         return lifecycle.isDecommissioning();
     }
@@ -194,7 +216,7 @@
         return lifecycle.isDeleted();
     }
 
-    /** When the cloud takes a spot machine away, or -1. */
+    /** When the cloud will reclaim a spot machine, or -1 if it has given no notice. */
     public long spotTerminationMicros() {
         return spotTerminationMicros;
     }
@@ -214,12 +236,18 @@
         address = newAddress;
     }
 
-    /** When a heartbeat of the agent was last answered, which renewed its lease, or -1. */
+    /**
+     * When the agent's lease was last renewed by an answer of this leader, or may have started with
+     * a new incarnation; -1 if never.
+     */
     public long lastLeaseRenewalMicros() {
         return lastLeaseRenewalMicros;
     }
 
-    /** The agent's lease may run from now, as its heartbeat is answered or it was restarted. */
+    /**
+     * The agent's lease may run from now on: a heartbeat is answered, or the agent has acknowledged
+     * this term or has a new incarnation.
+     */
     void onLeaseRenewed() {
         lastLeaseRenewalMicros = state.nowMicros();
     }
@@ -231,32 +259,41 @@
         return liveness.hasAcknowledgedTerm();
     }
 
+    /** True once the agent was proven alive in this term. A silent agent stays known alive. */
     public boolean isKnownAlive() {
         return liveness.isKnownAlive();
     }
 
-    /** True for an agent that was in touch lately and whose lease is not known to be over. */
+    /**
+     * True if the agent has acknowledged a token of this term and its lease is not known to have
+     * expired.
+     */
     public boolean isUp() {
         return hasAcknowledgedTerm() && liveness.incarnation() >= liveness.minIncarnation();
     }
 
-    /** There may be something to send to the agent. */
+    /** Queues the machine for a check whether commands have to be sent to its agent. */
     public void markPendingCommands() {
         state.markPendingCommands(this);
     }
 
-    /** Has the present token sent to the agent, with or without commands. */
+    /**
+     * Requests that the current fencing token be sent to the agent, even if there are no commands.
+     */
     public void requestToken() {
         commands.requestToken();
         markPendingCommands();
     }
 
-    /** False after a direct command went unanswered; starts go in heartbeats' answers then. */
+    /**
+     * False for a while after a direct command failed. Meanwhile starts are sent in the answers to
+     * heartbeats.
+     */
     public boolean acceptsDirectCommands(long nowMicros) {
         return !commands.isPaused(nowMicros);
     }
 
-    /** Until when it gets no tasks because tasks of several jobs failed on it. */
+    /** The machine gets no tasks before this time, because tasks of several jobs failed on it. */
     public long quarantinedUntilMicros() {
         return quarantinedUntilMicros;
     }
@@ -265,7 +302,7 @@
         quarantinedUntilMicros = micros;
     }
 
-    /** Until when it gets no tasks because it refused one. */
+    /** The machine gets no tasks before this time, because its agent refused one. */
     public long placementPausedUntilMicros() {
         return placementPausedUntilMicros;
     }
@@ -276,18 +313,21 @@
 
     // Attempts and resources
 
-    /** Its type with capacity and prices, or null while the cloud has not told of that type. */
+    /**
+     * The machine's type with capacity and prices, or null while the cloud has not listed that
+     * type.
+     */
     public MachineType type() {
         return type;
     }
 
-    /** Sets the type and with it the capacity; null if the cloud has not told of that type. */
+    /** Sets the type and with it the capacity; null if the cloud has not listed that type. */
     public void setType(MachineType newType) {
         type = newType;
         resources.setCapacity(newType == null ? Resources.NONE : Resources.of(newType));
     }
 
-    /** The price of a CPU by the prices last seen; 0 while they are unknown. */
+    /** The price per CPU at the latest known prices; 0 while they are unknown. */
     public double pricePerCpu() {
         if (type == null || type.cpus() <= 0) {
             return 0;
@@ -307,7 +347,7 @@
         return resources.attempts();
     }
 
-    /** A copy of the attempts, for loops that remove. */
+    /** Returns a copy of the attempts, for loops that remove attempts. */
     public List<TaskAttempt> snapshot() {
         return resources.snapshot();
     }
@@ -324,7 +364,10 @@
         return resources.used();
     }
 
-    /** The capacity minus what is in use; negative where recorded attempts use more. */
+    /**
+     * The capacity minus the used resources; negative if recovered attempts use more than the
+     * capacity.
+     */
     public Resources balance() {
         return resources.balance();
     }
@@ -333,28 +376,28 @@
         return resources.balance().withoutNegatives();
     }
 
-    /** To be called when a task that is here is told to stop. */
+    /** Must be called when a task on this machine is told to stop. */
     public void onStopping(TaskAttempt attempt) {
         markPendingCommands();
         resources.onStopping(attempt);
     }
 
-    /** To be called when the priority of a task's job has changed. */
+    /** Must be called when the priority of the job of a task on this machine has changed. */
     public void onPriorityChanged(TaskAttempt attempt, Priority previous) {
         resources.onPriorityChanged(attempt, previous);
     }
 
-    /** True if resources will come free here without anything more being stopped. */
+    /** True if resources will become free here without stopping more tasks. */
     public boolean hasStoppingTasks() {
         return resources.hasStoppingTasks();
     }
 
-    /** True if a task of a lower priority is here that is not stopping. */
+    /** True if a task of lower priority is on the machine and not stopping. */
     public boolean hasTasksBelow(Priority priority) {
         return resources.hasTasksBelow(priority);
     }
 
-    /** A task of the job has run here, so its image is in the cache. */
+    /** Notes that a task of the job has run here, so that its image is in the cache. */
     void onImageUsed(Job job) {
         images.touch(
                 job.description.image(),
@@ -362,12 +405,12 @@
                 type == null ? 0 : type.imageCacheGb());
     }
 
-    /** Since when nothing is on it, while nothing is. */
+    /** Since when the machine has been empty; only meaningful while it is. */
     public long idleSinceMicros() {
         return idleSinceMicros;
     }
 
-    /** The idle time counts from now. */
+    /** Lets the idle time start now. */
     void restartIdleTime() {
         idleSinceMicros = state.nowMicros();
     }
--- a/src/main/java/org/woadloom/core/machines/MachineDeleter.java
+++ b/src/main/java/org/woadloom/core/machines/MachineDeleter.java
@@ -8,17 +8,23 @@
 import org.woadloom.core.SchedulerEvent;
 import org.woadloom.core.SchedulerState;
 
-/** Has decommissioned machines deleted by the cloud, once that is recorded and they are empty. */
+/**
+ * Requests deletions of decommissioned machines from the cloud, once their decommissioning is
+ * recorded and they are empty or lost.
+ */
 final class MachineDeleter {
     private static final long RETRY_MICROS = 2_000_000;
 
-    /** The cloud's bound for one deletion. */
+    /** The cloud's limit for one deletion request. */
     private static final int MAX_MACHINES_PER_DELETION = 100;
 
-    /** The cloud takes few calls, so what is to be deleted meanwhile goes with the next one. */
+    /** The cloud allows few calls, so machines that become deletable meanwhile are batched. */
     private static final int MAX_CONCURRENT_DELETIONS = 1;
 
-    /** The deletion of a machine with tasks is the proof that they are gone, so it may overtake. */
+    /**
+     * Abandoned machines may use one more request than others: their deletion is the proof that
+     * their tasks are gone, so it does not wait for other deletions.
+     */
     private static final int MAX_CONCURRENT_DELETIONS_OF_ABANDONED = 2;
 
     private final SchedulerState state;
@@ -30,7 +36,10 @@
         this.taskLosses = taskLosses;
     }
 
-    /** To be called after the records' writes are emitted: they go before. */
+    /**
+     * Emits one deletion request if any is due. Must be called after the writes of records are
+     * emitted, as those come first.
+     */
     void emitDeletion() {
         List<String> hosts = new ArrayList<>();
         for (Machine machine : state.machinesToPersist()) {
@@ -58,7 +67,9 @@
                         : MAX_CONCURRENT_DELETIONS);
     }
 
-    /** True if the decommissioning is recorded, and nothing of the record is under way or due. */
+    /**
+     * True if the decommissioning is recorded, and no request for the record is in flight or due.
+     */
     private boolean isDue(Machine machine) {
         MachineRecordState record = machine.recordState;
         return record.isRequestDue(state.nowMicros())
@@ -69,7 +80,10 @@
                 && !machine.lifecycle.isDeleting();
     }
 
-    /** A machine that still answers is emptied first; one that is lost is deleted to get proof. */
+    /**
+     * A machine that is in contact is drained first. A lost one is deleted with its tasks, as the
+     * deletion proves that they are gone.
+     */
     private boolean isDeletable(Machine machine) {
         return machine.isEmpty()
                 || machine.lifecycle.isDeletedWithTasks()
--- a/src/main/java/org/woadloom/core/machines/MachineDrainer.java
+++ b/src/main/java/org/woadloom/core/machines/MachineDrainer.java
@@ -4,9 +4,9 @@
 import org.woadloom.core.jobs.TaskAttempt;
 
 /**
- * Stops the tasks of machines that are about to go. A machine that is decommissioned loses all of
- * its tasks; one that the cloud takes away loses those that can write a checkpoint first, while the
- * others use what time is left.
+ * Stops tasks on machines that are about to be removed. On a decommissioned machine all tasks are
+ * stopped. On a spot machine that the cloud is about to reclaim, only tasks that can write a
+ * checkpoint are stopped; the others run for the remaining time.
  */
 public final class MachineDrainer {
     private final SchedulerState state;
@@ -17,7 +17,10 @@
         this.taskLosses = taskLosses;
     }
 
-    /** Stops what has to leave the machines that are about to go. */
+    /**
+     * Drains all machines that are decommissioned or about to be reclaimed. Must be called
+     * periodically.
+     */
     public void drainMachines() {
         for (Machine machine : state.machines().values()) {
             if (machine.spotTerminationMicros() >= 0 || machine.isDecommissioning()) {
@@ -30,13 +33,13 @@
         for (TaskAttempt attempt : machine.snapshot()) {
             if (attempt.wasNeverSent()) {
                 taskLosses.remove(attempt);
-            } else if (!attempt.isStopping() && mustLeave(attempt)) {
+            } else if (!attempt.isStopping() && mustStop(attempt)) {
                 attempt.stop(attempt.job.description.checkpointCostSeconds());
             }
         }
     }
 
-    private static boolean mustLeave(TaskAttempt attempt) {
+    private static boolean mustStop(TaskAttempt attempt) {
         return attempt.machine.isDecommissioning()
                 || attempt.job.description.checkpointIntervalSeconds() > 0;
     }
--- a/src/main/java/org/woadloom/core/machines/MachineLifecycle.java
+++ b/src/main/java/org/woadloom/core/machines/MachineLifecycle.java
@@ -1,20 +1,20 @@
 package org.woadloom.core.machines;
 
 /**
- * A machine's way from being in use to being deleted. All transitions stand here:
+ * The phases of a machine from use to deletion, with all transitions:
  *
  * <pre>
  * IN_USE -> DECOMMISSIONING -> DELETING -> DELETED
  *                 ^------------'  the deletion failed
  * </pre>
  *
- * <p>The answer to a deletion that an earlier leadership of this node requested may come at any
- * phase; a machine that is deleted stays so.
+ * <p>The answer to a deletion that this node requested in an earlier term may arrive in any phase.
+ * A deleted machine stays deleted.
  */
 final class MachineLifecycle {
     private enum Phase {
         IN_USE,
-        /** It gets no more tasks, and is deleted when it may be. */
+        /** It gets no more tasks, and is deleted as soon as that is allowed. */
         DECOMMISSIONING,
         /** The cloud was asked to delete it. */
         DELETING,
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Decommissions a machine that is not waited for: its lease may still run. */
+    /** Decommissions a machine without waiting for its agent's lease to expire. */
     void abandon() {
         decommission();
         abandoned = true;
@@ -62,7 +62,7 @@
         phase = Phase.DELETED;
     }
 
-    /** True from the moment at which it is decommissioned, also when it is deleted. */
+    /** True once the machine is decommissioned, and still true after it is deleted. */
     boolean isDecommissioning() {
         return phase != Phase.IN_USE;
     }
@@ -79,7 +79,7 @@
         return abandoned;
     }
 
-    /** True if it is deleted without being emptied first. */
+    /** True if the machine is deleted without being drained first. */
     boolean isDeletedWithTasks() {
         return abandoned || failed;
     }
--- a/src/main/java/org/woadloom/core/machines/MachinePersister.java
+++ b/src/main/java/org/woadloom/core/machines/MachinePersister.java
@@ -5,7 +5,7 @@
 import org.woadloom.core.SchedulerState;
 import org.woadloom.store.MachineRecord;
 
-/** Keeps the stored records of machines equal to what the leader knows of them. */
+/** Keeps the stored machine records up to date with the leader's state. */
 final class MachinePersister {
     private static final long RETRY_MICROS = 300_000;
 
@@ -15,10 +15,10 @@
         this.state = state;
     }
 
-    /** Emits what the write budget allows, first the records of machines that are up. */
+    /** Emits the requests for records that are due, as far as the write budget allows. */
     void emitWrites() {
         state.unmarkMachinesIf(MachinePersister::isPersisted);
-        // A machine that is up can take tasks as soon as its record is there; the others have time.
+        // Machines that are up come first: they can take tasks as soon as their record is stored.
         for (Machine machine : state.machinesToPersist()) {
             MachineRecordState record = machine.recordState;
             if (machine.isKnownAlive()
@@ -37,7 +37,7 @@
         }
     }
 
-    /** True if there is nothing more to write of the machine, and it is not to be deleted. */
+    /** True if nothing is left to write for the machine, and it is not to be deleted. */
     private static boolean isPersisted(Machine machine) {
         MachineRecordState record = machine.recordState;
         if (machine.isDeleted()) {
@@ -49,7 +49,7 @@
                 && !record.isRewriteNeeded();
     }
 
-    /** True for a machine that is not deleted and whose record is not as it should be. */
+    /** True if the stored record of a machine that is not deleted is out of date. */
     static boolean needsWrite(Machine machine) {
         MachineRecordState record = machine.recordState;
         return !record.isRecorded()
--- a/src/main/java/org/woadloom/core/machines/MachineRecordState.java
+++ b/src/main/java/org/woadloom/core/machines/MachineRecordState.java
@@ -4,12 +4,12 @@
 import org.woadloom.store.MachineRecord;
 
 /**
- * What the store has of a machine, and the request to the store that is under way. There is one
- * request at a time. After a write whose outcome is unknown the record is read, and then written
- * once more on the revision just read: that voids the earlier write if it is still under way.
+ * What the store holds about a machine, and the request to the store that is in flight, at most one
+ * at a time. After a write with unknown outcome the record is read and then written again, on
+ * condition of the revision just read. This makes the earlier write fail if it is still in flight.
  */
 final class MachineRecordState {
-    /** Half the range, so that differences do not overflow. */
+    /** Half the range of a long, so that time differences do not overflow. */
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private long revision;
@@ -19,16 +19,16 @@
     private long retryAtMicros;
     private boolean rewriteNeeded;
     private boolean decommissioningRecorded;
-    private boolean reportedRecorded;
-    private boolean reportedInWrite;
+    private boolean heartbeatRecorded;
+    private boolean heartbeatInWrite;
     private long writeStartedMicros = NEVER;
 
     MachineRecordState(MachineRecord record) {
         decommissioningRecorded = record.decommissioning();
-        reportedRecorded = record.lifecycle() != null && record.lifecycle().hasReported();
+        heartbeatRecorded = record.lifecycle() != null && record.lifecycle().hasReported();
     }
 
-    /** The record stands in the store as it should. */
+    /** The stored record is up to date, at the given revision. */
     void onRecorded(long newRevision) {
         recorded = true;
         revision = newRevision;
@@ -41,11 +41,11 @@
     void onWriteStarted(MachineRecord record, long nowMicros) {
         requestInFlight = true;
         writeStartedMicros = nowMicros;
-        reportedInWrite = record.lifecycle() != null && record.lifecycle().hasReported();
+        heartbeatInWrite = record.lifecycle() != null && record.lifecycle().hasReported();
         rewriteNeeded = false;
     }
 
-    /** The record is read, or deleted. */
+    /** A read or deletion of the record starts. */
     void onRequestStarted() {
         requestInFlight = true;
     }
@@ -55,24 +55,24 @@
         recorded = !result.deleted();
         revision = result.deleted() ? 0 : result.revision();
         decommissioningRecorded = result.decommissioning();
-        reportedRecorded = !result.deleted() && reportedInWrite;
+        heartbeatRecorded = !result.deleted() && heartbeatInWrite;
     }
 
-    /** The outcome of a write is unknown, or it met another revision. */
+    /** The outcome of a write is unknown, or the record had another revision. */
     void onWriteUnclear() {
         requestInFlight = false;
         readNeeded = true;
     }
 
-    /** The last request had no effect and is due again at the given time. */
+    /** The request in flight had no effect, and is due again at the given time. */
     void onRequestFailed(long retryMicros) {
         requestInFlight = false;
         retryAtMicros = retryMicros;
     }
 
     /**
-     * The record was read. It counts as not recorded, so that it is written again; that of a
-     * deleted machine is only to be deleted.
+     * The record was read after an unclear write. It counts as not recorded, so that it is written
+     * again; the record of a deleted machine only has to be deleted.
      */
     void onRead(SchedulerEvent.MachineRecordRead result, boolean machineDeleted) {
         MachineRecord record = result.record();
@@ -83,7 +83,7 @@
         decommissioningRecorded = record != null && record.decommissioning();
     }
 
-    /** Nothing is requested before this time. */
+    /** No request is sent before this time. */
     void retryAt(long micros) {
         retryAtMicros = micros;
     }
@@ -92,7 +92,7 @@
         return nowMicros >= retryAtMicros && !requestInFlight;
     }
 
-    /** True while a write that began at the given moment or before may still change the record. */
+    /** True while a write that started at or before the given time may still change the record. */
     boolean mayChange(long sinceMicros) {
         return (requestInFlight || readNeeded) && writeStartedMicros <= sinceMicros;
     }
@@ -121,8 +121,8 @@
         return decommissioningRecorded;
     }
 
-    /** True if the stored record says that an agent on the machine has reported. */
-    boolean isReportedRecorded() {
-        return reportedRecorded;
+    /** True if the stored record says that the machine's agent has sent a heartbeat. */
+    boolean isHeartbeatRecorded() {
+        return heartbeatRecorded;
     }
 }
--- a/src/main/java/org/woadloom/core/machines/MachineRegistry.java
+++ b/src/main/java/org/woadloom/core/machines/MachineRegistry.java
@@ -13,11 +13,15 @@
 import org.woadloom.store.MachineRecord;
 
 /**
- * The machines that the leader knows, as they are loaded, rented, listed or named by a heartbeat.
- * Their records are kept by {@link MachinePersister}, their deletion is in {@link MachineDeleter}.
+ * Adds machines that are loaded, rented, listed by the cloud or named in a heartbeat to the
+ * scheduler's state, and forgets them after their deletion. {@link MachinePersister} keeps their
+ * records, and {@link MachineDeleter} has them deleted.
  */
 public final class MachineRegistry {
-    /** A deleted machine is kept for so many lags of the cloud's list, and the margin. */
+    /**
+     * A deleted machine is remembered for this many times the lag of the cloud's list, plus {@link
+     * #FORGET_MARGIN_MICROS}.
+     */
     private static final int FORGET_LIST_LAGS = 4;
 
     private static final long FORGET_MARGIN_MICROS = 60_000_000;
@@ -32,14 +36,14 @@
         this.deleter = new MachineDeleter(state, taskLosses);
     }
 
-    /** Takes over a machine from the store, when this node starts to lead. */
+    /** Adds a machine from the store when this node becomes the leader. */
     public void load(SchedulerEvent.StoredMachine stored) {
         Machine machine = create(stored.record());
         machine.confirmExistence();
         machine.onRecorded(stored.revision());
     }
 
-    /** A machine that was rented or listed; machines that nobody expected are taken over. */
+    /** Returns the machine that was rented or listed by the cloud, and adds it if it is unknown. */
     public Machine adopt(MachineRecord record) {
         Machine machine = findOrCreate(record);
         machine.confirmExistence();
@@ -47,9 +51,9 @@
     }
 
     /**
-     * The machine that a heartbeat names. One that is not known may have been deleted long ago, as
-     * copies of heartbeats come late: until its agent has answered, it is no more than a name, with
-     * no record, and gets no tasks.
+     * Returns the machine that a heartbeat names, and adds it if it is unknown. An unknown one may
+     * have been deleted long ago, as duplicates of heartbeats can arrive late. Until its agent is
+     * proven alive it is unconfirmed: it has no record and gets no tasks.
      */
     public Machine findOrCreate(MachineRecord record) {
         Machine machine = state.machines().get(record.host());
@@ -63,7 +67,7 @@
         return machine;
     }
 
-    /** Takes in the types that the cloud rents out, with their prices. */
+    /** Updates the machine types that the cloud rents out, with their prices. */
     public void onMachineTypes(List<MachineType> types) {
         for (MachineType type : types) {
             state.addMachineType(type);
@@ -78,18 +82,21 @@
         machine.setType(state.machineTypes().get(machine.machineType));
     }
 
-    /** Takes in the cloud's list: machines that nobody expected, failures, and rental times. */
+    /**
+     * Applies the cloud's list: adds unknown machines, and updates failures, rental times and
+     * addresses.
+     */
     public void onMachinesListed(List<ListedMachine> machines) {
         for (ListedMachine listed : machines) {
             Machine machine = state.machines().get(listed.host());
             if (machine == null || !machine.isConfirmed()) {
                 machine = discover(listed);
             }
-            // A new leader learns here for how long its machines have been paid for.
+            // This is how a new leader learns for how long its machines have been charged.
             machine.onListedAsRented(state.nowMicros() - listed.rentedForMicros());
             if (listed.failed() && !machine.isDecommissioning()) {
-                // A failed machine stays listed until it is deleted, and the deletion's answer is
-                // the proof we need.
+                // A failed machine stays listed until it is deleted, and only the answer to the
+                // deletion proves that its tasks are gone.
                 machine.fail();
                 state.log(
                         LogEntry.info(LogEvent.MACHINE_FAILED)
@@ -118,7 +125,7 @@
         return machine;
     }
 
-    /** A node announces its status, and gets a lease delegation for the zone that it is in. */
+    /** Handles the status of another node, which may get a lease delegation for its zone. */
     public void onPeerStatus(SchedulerEvent.PeerStatusReceived event) {
         state.advanceCancellationsReadUpTo(event.cancellationsReadUpToMicros());
         String zone = state.settings().nodes().get(event.node());
@@ -136,7 +143,7 @@
         }
     }
 
-    /** Up to this moment every cancellation has been applied in the zone. */
+    /** Returns the time up to which all cancellations have been applied in the zone. */
     private long cancellationsAppliedMicros(String zone) {
         long appliedMicros = state.cancellationsReadUpToMicros();
         for (Job job : state.jobs().values()) {
@@ -147,35 +154,35 @@
         return appliedMicros;
     }
 
-    /** Emits writes of records, and then a deletion of machines. */
+    /** Emits the writes of records that are due, and then a deletion of machines. */
     public void emitWrites() {
         persister.emitWrites();
         deleter.emitDeletion();
     }
 
-    /** Takes in the outcome of a record's write or deletion. */
+    /** Handles the outcome of a write or deletion of a record. */
     public void onWriteCompleted(SchedulerEvent.MachineWriteCompleted result) {
         persister.onWriteCompleted(result);
     }
 
-    /** Takes in a record that was read after an unclear write. */
+    /** Handles a record that was read after a write with unknown outcome. */
     public void onRecordRead(SchedulerEvent.MachineRecordRead result) {
         persister.onRecordRead(result);
     }
 
-    /** The record could not be read; it is read again. */
+    /** Handles a failed read of a record; it is read again later. */
     public void onReadFailed(String host) {
         persister.onReadFailed(host);
     }
 
-    /** Takes in the cloud's answer to a deletion of machines. */
+    /** Handles the cloud's answer to a deletion of machines. */
     public void onDeletionCompleted(SchedulerEvent.MachineDeletionCompleted result) {
         deleter.onDeletionCompleted(result);
     }
 
     /**
-     * Forgets deleted machines once the list, which lags, can no longer show them, and names that
-     * no agent has answered for.
+     * Forgets deleted machines once the cloud's lagging list can no longer contain them, and
+     * unconfirmed machines after the same time.
      */
     public void forgetDeletedMachines() {
         long keepMicros =
--- a/src/main/java/org/woadloom/core/machines/ResourceAccount.java
+++ b/src/main/java/org/woadloom/core/machines/ResourceAccount.java
@@ -11,18 +11,18 @@
 import org.woadloom.protocol.TaskId;
 
 /**
- * The attempts on a machine and the resources that they use. The resources in use are always the
- * sum over the attempts, and each attempt is counted either as stopping or as running at its job's
+ * The attempts on a machine and the resources that they use. The used resources are always the sum
+ * over all attempts. Each attempt is counted either as stopping or as running at its job's
  * priority.
  */
-// Counts by priority stand in an array, as they change with every task.
+// Counts by priority are kept in an array, because they change with every task.
 @SuppressWarnings("EnumOrdinal")
 final class ResourceAccount {
     private final Map<TaskId, TaskAttempt> attempts = new LinkedHashMap<>();
     private Resources capacity = Resources.NONE;
     private Resources used = Resources.NONE;
 
-    /** The capacity minus what is in use; null after a change, until it is asked for. */
+    /** Cache of {@link #balance()}; null after a change. */
     private Resources balance;
 
     private final int[] runningByPriority = new int[Priority.values().length];
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Removes the attempt; no effect if it is not here. */
+    /** Removes the attempt; has no effect if it is not on the machine. */
     void remove(TaskAttempt attempt) {
         if (attempts.remove(attempt.task(), attempt)) {
             used = used.minus(attempt.job.taskResources);
@@ -59,9 +59,9 @@
         }
     }
 
-    void onPriorityChanged(TaskAttempt attempt, Priority before) {
+    void onPriorityChanged(TaskAttempt attempt, Priority previous) {
         if (contains(attempt) && !attempt.isStopping()) {
-            runningByPriority[before.ordinal()]--;
+            runningByPriority[previous.ordinal()]--;
             runningByPriority[attempt.job.priority().ordinal()]++;
         }
     }
@@ -95,7 +95,10 @@
         return used;
     }
 
-    /** The capacity minus what is in use; negative where recorded attempts use more. */
+    /**
+     * The capacity minus the used resources; negative if recovered attempts use more than the
+     * capacity.
+     */
     Resources balance() {
         if (balance == null) {
             balance = capacity.minus(used);
@@ -107,7 +110,7 @@
         return stopping > 0;
     }
 
-    /** True if a task of a lower priority is here that is not stopping. */
+    /** True if a task of lower priority is on the machine and not stopping. */
     boolean hasTasksBelow(Priority priority) {
         for (int lower = 0; lower < priority.ordinal(); lower++) {
             if (runningByPriority[lower] > 0) {
--- a/src/main/java/org/woadloom/core/machines/TaskExitHandler.java
+++ b/src/main/java/org/woadloom/core/machines/TaskExitHandler.java
@@ -8,22 +8,27 @@
 import org.woadloom.core.jobs.TaskAttempt;
 import org.woadloom.protocol.TaskStatus;
 
-/** Takes in the exits of tasks: their outcome, and whose fault a failure is. */
+/**
+ * Handles the exits of tasks: records the outcome, and decides whether the job or the machine is at
+ * fault for failures.
+ */
 final class TaskExitHandler {
     private static final long RETRY_MICROS = 1_000_000;
     private static final long MAX_BACKOFF_MICROS = 60_000_000;
 
-    /** Doublings of the backoff; with more it is beyond its maximum. */
+    /**
+     * Limits the doublings of the backoff; with this many it exceeds {@link #MAX_BACKOFF_MICROS}.
+     */
     private static final int MAX_BACKOFF_DOUBLINGS = 6;
 
-    /** For how long a failure counts against its machine. */
+    /** How long a failure counts against its machine. */
     private static final long FAILURE_WINDOW_MICROS = 60_000_000;
 
-    /** So many different jobs must have failed on a machine for it to be at fault. */
+    /** A machine counts as faulty once tasks of this many different jobs have failed on it. */
     private static final int MIN_FAILED_JOBS_OF_FAULTY_MACHINE = 2;
 
-    /** On so many machines a job without fault may have failed. */
-    private static final int MAX_FAULTY_MACHINES = 2;
+    /** A job whose tasks failed on more machines than this counts as faulty itself. */
+    private static final int MAX_FAILED_MACHINES_OF_HEALTHY_JOB = 2;
 
     private final SchedulerState state;
     private final TaskLossHandler taskLosses;
@@ -74,7 +79,7 @@
             case UNKNOWN_TASK -> job.placeNotBefore(state.nowMicros() + RETRY_MICROS);
             case INSUFFICIENT_RESOURCES, ALREADY_RUNNING -> onRefused(attempt, task);
             default -> {
-                // The task was stopped; it is placed again as any other.
+                // The task was stopped; it is placed again like any other.
             }
         }
     }
@@ -100,8 +105,8 @@
     }
 
     /**
-     * Failures of several jobs point at the machine; those of a job that fails on many machines
-     * point at the job alone.
+     * Quarantines the machine if several jobs failed on it. Jobs that fail on many machines are not
+     * counted, because they are at fault themselves.
      */
     private void quarantineIfFaulty(Machine machine) {
         machine.failedJobs
@@ -122,12 +127,12 @@
     }
 
     private static boolean isFaulty(Job job) {
-        return job != null && job.failedOn.size() > MAX_FAULTY_MACHINES;
+        return job != null && job.failedOn.size() > MAX_FAILED_MACHINES_OF_HEALTHY_JOB;
     }
 
     /**
-     * An exit that no attempt accounts for: an earlier leader's, or of an attempt that was taken
-     * for lost. Work that is done counts all the same.
+     * Handles an exit without a matching attempt: the attempt was started by an earlier leader, or
+     * was considered lost. A completed task still counts as completed.
      */
     void onExitWithoutAttempt(Machine machine, TaskStatus task) {
         Job job = state.jobs().get(task.task().jobId());
@@ -142,7 +147,7 @@
                             : PersistenceState.WriteReason.OUTCOME);
             acknowledgements.add(machine, task, job.persistence.nextVersion());
         } else {
-            // There is nothing to write, so any version will do.
+            // There is nothing to write, so the exit can be acknowledged at once.
             acknowledgements.add(machine, task, 0);
         }
     }
--- a/src/main/java/org/woadloom/core/machines/TaskLossHandler.java
+++ b/src/main/java/org/woadloom/core/machines/TaskLossHandler.java
@@ -7,7 +7,7 @@
 import org.woadloom.core.jobs.PersistenceState;
 import org.woadloom.core.jobs.TaskAttempt;
 
-/** Removes attempts that are proven to be gone. */
+/** Removes attempts that will not run any more, and updates quota, records and idle times. */
 public final class TaskLossHandler {
     private final SchedulerState state;
 
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Removes an attempt that did not fail, without a log entry. Unless its task is completed, what
-     * it used of its team's limit is held for its job.
+     * Removes an attempt that did not fail, without a log entry. Unless its task is completed, its
+     * share of the team's limit is held for its job.
      */
     public void remove(TaskAttempt attempt) {
         removeFailed(attempt);
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Removes an attempt whose task failed: what it used of its team's limit is free at once. */
+    /** Removes an attempt whose task failed. Its share of the team's limit becomes free at once. */
     void removeFailed(TaskAttempt attempt) {
         attempt.job.remove(attempt);
         requestOutcomeWrite(attempt.job);
@@ -48,7 +48,7 @@
         state.requestPlacement();
     }
 
-    /** Of a job that is over only the end of its last attempt is still to be recorded. */
+    /** Once a job is over, only the end of its last attempt still has to be recorded. */
     private static void requestOutcomeWrite(Job job) {
         if (!job.isOver()) {
             job.persistence.requestWrite(PersistenceState.WriteReason.OUTCOME);
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Removes all attempts: none is left on the machine, and none will be started there. */
+    /** Removes all attempts of a machine on which none is running or can still be started. */
     public void removeAll(Machine machine, String reason) {
         for (TaskAttempt attempt : machine.snapshot()) {
             onLost(attempt, reason);
@@ -65,7 +65,8 @@
     }
 
     /**
-     * The agent's lease is over; what was never sent can still be started by its next incarnation.
+     * Removes the attempts that were sent to an agent whose lease has expired. Attempts that were
+     * never sent are kept, as the agent's next incarnation can start them.
      */
     public void onSessionEnded(Machine machine, String reason) {
         for (TaskAttempt attempt : machine.snapshot()) {
--- a/src/main/java/org/woadloom/core/rollout/ClusterMembership.java
+++ b/src/main/java/org/woadloom/core/rollout/ClusterMembership.java
@@ -4,64 +4,73 @@
 import java.util.TreeSet;
 
 /**
- * Whether this process may serve, by which features the store's records require and which ones this
- * program reads. It takes no user's request and no term before it has announced itself and then
- * read the record of the rollout, in that order: a leader that switches a feature on meanwhile
- * either sees the announcement, or its change is seen here.
+ * Decides whether this process may serve, from the features that the stored rollout record requires
+ * and those that this release can read. The process must not accept user requests or lead a term
+ * before it has announced itself and then read the rollout record. This order ensures that a leader
+ * that enables a feature meanwhile either sees the announcement, or its change is seen here.
  */
 public final class ClusterMembership {
     private final Set<String> supported;
     private boolean isRecordRead;
     private Set<String> missingFeatures = Set.of();
 
-    /** Why the record can't be read, or null. */
+    /** Why the rollout record can't be read, or null if it can. */
     private String unreadableReason;
 
     /**
-     * @param supported the keys of the features that this program reads
+     * @param supported the keys of the features that this release can read
      */
     public ClusterMembership(Set<String> supported) {
         this.supported = supported;
     }
 
-    /** The record was read after this process announced itself. */
+    /** The rollout record was read after this process announced itself. */
     public void onRecordRead() {
         isRecordRead = true;
     }
 
-    /** The record that stands in the store now has a form that is known here. */
+    /** The stored rollout record has a format that this release knows. */
     public void onRecordReadable() {
         unreadableReason = null;
     }
 
-    /** The announcement expired: others may have moved on without this process. */
+    /**
+     * The announcement expired, so other nodes may have enabled features without regard to this
+     * process.
+     */
     public void onAnnouncementLost() {
         isRecordRead = false;
     }
 
-    /** The features that the record requires, as it was read or as a peer reports it. */
+    /**
+     * Sets the features that the rollout record requires, as read from the store or reported by a
+     * peer.
+     */
     public void setRequiredFeatures(Set<String> names) {
         Set<String> missing = new TreeSet<>(names);
         missing.removeAll(supported);
         missingFeatures = missing;
     }
 
-    /** The record is of a form that this program does not know. */
+    /** The stored rollout record has a format that this release does not know. */
     public void onRecordUnreadable(String reason) {
         unreadableReason = reason;
     }
 
-    /** Whether the record was read since this process announced itself. */
+    /** True if the rollout record was read since this process announced itself. */
     public boolean isRecordRead() {
         return isRecordRead;
     }
 
-    /** What is required and not supported here; while there is any, this process must not serve. */
+    /**
+     * The features that are required and not supported here, or the reason why the record can't be
+     * read. The process must not serve unless this is empty.
+     */
     public Set<String> missingFeatures() {
         return unreadableReason == null ? missingFeatures : Set.of(unreadableReason);
     }
 
-    /** Whether this process may take users' requests and terms. */
+    /** True if this process may accept user requests and lead a term. */
     public boolean mayServe() {
         return isRecordRead && missingFeatures().isEmpty();
     }
--- a/src/main/java/org/woadloom/core/rollout/Feature.java
+++ b/src/main/java/org/woadloom/core/rollout/Feature.java
@@ -11,14 +11,14 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * What can be switched while versions change. A feature that is added here is off in every
- * deployment until each member says that it reads and can do it; one is removed only after it has
- * settled everywhere.
+ * Features that are switched on at run time, so that releases can be upgraded node by node. A new
+ * feature is off in every deployment until each node announces that it can read and use it. A
+ * feature may be removed only after it has settled in every deployment.
  */
 // Set.of is immutable, and the predicates keep no state.
 @SuppressWarnings("ImmutableEnumChecker")
 public enum Feature {
-    /** Records of jobs as differences, packed letters, and jobs that wait for others. */
+    /** Job records in the compact format, packed job notifications, and jobs with dependencies. */
     COMPACT_RECORDS(
             "compact-records",
             "job/ with format 2, final/ with at and service, mail/ with packed-",
@@ -29,7 +29,7 @@
             Set.of(),
             StoreKeys.JOBS,
             value -> JobRecord.formatOf(value) == RecordFormat.COMPACT),
-    /** Leases are renewed in a zone that is cut off. */
+    /** Nodes renew agents' leases by delegation while their zone is partitioned from the leader. */
     LEASE_DELEGATION(
             "zone-care",
             "peer frames 16 and 17",
@@ -40,10 +40,10 @@
             Set.of("compact-records"),
             null,
             value -> true),
-    /** Records of machines say when they were rented and whether they ever came up. */
+    /** Machine records contain the rental time and whether the agent ever sent a heartbeat. */
     MACHINE_LIFECYCLE(
             "machine-life",
-            "machine/ with at and up; earlier versions pass over both",
+            "machine/ with at and up; earlier versions ignore both",
             "version 1",
             0,
             true,
@@ -51,7 +51,10 @@
             Set.of(),
             StoreKeys.MACHINES,
             MachineRecord::hasLifecycle),
-    /** Nodes vouch to the leader for the cancellations that they confirm. */
+    /**
+     * Nodes report the cancellations that they have confirmed to users to the leader, which can
+     * then go on without the store.
+     */
     CANCELLATION_REPORTS(
             "cancellation-vouches",
             "peer frames 18 and 19",
@@ -68,20 +71,26 @@
     private final String earliestReader;
     private final long agreedVersion;
     private final boolean canBeRolledBack;
-    private final boolean soaks;
+    private final boolean requiresSoak;
     private final Set<String> prerequisites;
     private final String recordPrefix;
     private final Predicate<Map<String, Object>> featureFormat;
 
     /**
-     * @param earliestReader the earliest version that reads what it writes without harm
-     * @param agreedVersion the number under which versions 2 and 3 agree on it, 0 for none; they
-     *     never take that back
-     * @param canBeRolledBack whether it can be taken back while it is on and not settled
-     * @param soaks whether it waits for a time without trouble, and is taken back by itself in
-     *     trouble; one that keeps a rule without writing records does neither
-     * @param recordPrefix where its records are, or null if it has none
-     * @param featureFormat whether a stored record is of its form
+     * @param key the name of the feature in the store, in messages, in the log and on the command
+     *     line
+     * @param writtenFormat what the feature writes, as shown to operators
+     * @param earliestReader the earliest release that can safely read what the feature writes
+     * @param agreedVersion the agreed version from which releases 2 and 3 use the feature, 0 for
+     *     none; they never lower it
+     * @param canBeRolledBack whether the feature can be rolled back while it is on and not settled
+     * @param requiresSoak whether the feature is switched on only after a soak time without
+     *     problems, and is rolled back automatically while on if a node is in a crash loop; not
+     *     needed for features that write no records
+     * @param prerequisites the keys of the features that must be on before
+     * @param recordPrefix the store key prefix of the records that it writes, or null if it writes
+     *     none
+     * @param featureFormat tells whether a stored record is in the feature's format
      */
     Feature(
             String key,
@@ -89,7 +98,7 @@
             String earliestReader,
             long agreedVersion,
             boolean canBeRolledBack,
-            boolean soaks,
+            boolean requiresSoak,
             Set<String> prerequisites,
             String recordPrefix,
             Predicate<Map<String, Object>> featureFormat) {
@@ -98,7 +107,7 @@
         this.earliestReader = earliestReader;
         this.agreedVersion = agreedVersion;
         this.canBeRolledBack = canBeRolledBack;
-        this.soaks = soaks;
+        this.requiresSoak = requiresSoak;
         this.prerequisites = prerequisites;
         this.recordPrefix = recordPrefix;
         this.featureFormat = featureFormat;
@@ -136,17 +145,18 @@
         return featureFormat.test(record);
     }
 
-    boolean soaks() {
-        return soaks;
+    boolean requiresSoak() {
+        return requiresSoak;
     }
 
+    /** The keys of the given features. */
     public static Set<String> keys(Set<Feature> features) {
         Set<String> keys = new TreeSet<>();
         features.forEach(feature -> keys.add(feature.key));
         return keys;
     }
 
-    /** The names of all features that this program knows. */
+    /** The keys of all features that this release knows. */
     public static Set<String> allKeys() {
         return keys(EnumSet.allOf(Feature.class));
     }
--- a/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
+++ b/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
@@ -13,7 +13,7 @@
 import org.woadloom.core.SchedulerEvent;
 import org.woadloom.core.SchedulerState;
 import org.woadloom.core.rollout.RolloutPolicy.Decision;
-import org.woadloom.core.rollout.RolloutPolicy.Situation;
+import org.woadloom.core.rollout.RolloutPolicy.Inputs;
 import org.woadloom.store.NodeAnnouncement;
 import org.woadloom.store.RolloutRecord;
 import org.woadloom.store.RolloutRecord.Standing;
@@ -23,160 +23,171 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * The leader's part of a rollout: watches which processes are alive, moves features step by step,
- * and has records rewritten and counted.
+ * The leader's part of the rollout of features: watches which processes are alive, moves features
+ * step by step, and has stored records counted and rewritten.
  */
 public final class FeatureRollout {
-    private static final long REVIEW_MICROS = 1_000_000;
-    private static final long RECOUNT_MICROS = 10_000_000;
+    private static final long REVIEW_INTERVAL_MICROS = 1_000_000;
+    private static final long RECOUNT_INTERVAL_MICROS = 10_000_000;
 
     /**
-     * So many processes of a node in a row, each within a minute of the one before, mean that it
-     * keeps ending.
+     * A node is in a crash loop after this many consecutive starts, each within a minute of the one
+     * before.
      */
-    private static final int KEEPS_ENDING = 3;
+    private static final int CRASH_LOOP_STARTS = 3;
 
-    private static final long KEEPS_ENDING_MICROS = 60_000_000;
+    private static final long CRASH_LOOP_WINDOW_MICROS = 60_000_000;
 
-    /** More refusals, or late steps, than this in a second are no time to change anything. */
-    private static final long MAX_CALM_REFUSALS = 10;
+    /**
+     * With more refused requests and late steps than this between two reviews, the cluster does not
+     * count as stable.
+     */
+    private static final long MAX_REFUSALS_WHILE_STABLE = 10;
 
     private final SchedulerState state;
     private final RecordMigration migration;
-    private SchedulerEvent.RolloutStateRead latest;
-    private RolloutRecord writing;
+    private SchedulerEvent.RolloutStateRead latestState;
+    private RolloutRecord pendingRecord;
 
-    /** After a write that failed, nothing is written before this, as the state is read first. */
+    /**
+     * After a failed write nothing is written before this time, so that the state is read first.
+     */
     private long retryAtMicros = Long.MIN_VALUE / 2;
 
-    private long reviewedMicros = Long.MIN_VALUE / 2;
+    private long lastReviewMicros = Long.MIN_VALUE / 2;
 
-    /** Which processes are alive; soaking starts over when that changes. */
-    private Object circumstances;
+    /**
+     * The process id by node, and the nodes without an announcement. The soak time starts over when
+     * this changes.
+     */
+    private Object liveProcesses;
 
-    private long calmSinceMicros;
-    private long refusedBefore;
-    private final Map<Feature, Count> counts = new EnumMap<>(Feature.class);
+    private long stableSinceMicros;
+    private long lastRefusals;
+    private final Map<Feature, RecordCount> counts = new EnumMap<>(Feature.class);
     private final Map<Feature, String> loggedReasons = new EnumMap<>(Feature.class);
-    private final Map<String, LogEntry> steps = new LinkedHashMap<>();
-    private Set<String> contradiction = Set.of();
+    private final Map<String, LogEntry> pendingStepEntries = new LinkedHashMap<>();
+    private Set<String> loggedMembers = Set.of();
 
-    /** How far the counting of a feature's records has come, in its current standing. */
-    private static final class Count {
+    /** Progress of counting a feature's records, in the feature's current standing. */
+    private static final class RecordCount {
         Standing standing = Standing.OFF;
         long sinceMicros;
-        boolean asked;
-        boolean confirmed;
-        long againMicros;
+        boolean inFlight;
+        boolean verified;
+        long notBeforeMicros;
         int unreadable;
     }
 
-    /** A rollout that waits for its state to be read. */
+    /** Creates a rollout that does nothing until its state is read. */
     public FeatureRollout(SchedulerState state) {
         this.state = state;
         migration = new RecordMigration(state);
         for (Feature feature : Feature.values()) {
-            counts.put(feature, new Count());
+            counts.put(feature, new RecordCount());
         }
     }
 
-    /** Takes in the state of the rollout, unless it is older than what is known. */
-    public void onStateRead(SchedulerEvent.RolloutStateRead now) {
-        if (latest != null && now.record().number() < latest.record().number()) {
+    /** Applies the state of the rollout, unless it is older than the known one. */
+    public void onStateRead(SchedulerEvent.RolloutStateRead newState) {
+        if (latestState != null && newState.record().number() < latestState.record().number()) {
             return;
         }
-        latest = now;
-        Map<String, Object> lives = new LinkedHashMap<>();
-        now.announcements()
-                .forEach((label, stored) -> lives.put(label, stored.announcement().processId()));
-        lives.put("wordless", now.unannounced());
-        if (!lives.equals(circumstances)) {
-            circumstances = lives;
-            calmSinceMicros = state.nowMicros();
+        latestState = newState;
+        Map<String, Object> processes = new LinkedHashMap<>();
+        newState.announcements()
+                .forEach((node, stored) -> processes.put(node, stored.announcement().processId()));
+        processes.put("unannounced", newState.unannounced());
+        if (!processes.equals(liveProcesses)) {
+            liveProcesses = processes;
+            stableSinceMicros = state.nowMicros();
         }
-        reviewedMicros = Long.MIN_VALUE / 2;
+        lastReviewMicros = Long.MIN_VALUE / 2;
     }
 
-    /** Records that are not yet of the form in force, as last counted. */
+    /** Number of records that still have to be rewritten, according to the last count. */
     public int recordsToMigrate() {
-        int left = 0;
+        int total = 0;
         for (Feature feature : Feature.values()) {
-            left += migration.remaining(feature);
+            total += migration.remaining(feature);
         }
-        return left;
+        return total;
     }
 
-    /** Records that could not be read when they were last counted. */
+    /** Number of records that could not be read at the last count. */
     public int unreadableRecords() {
         return counts.values().stream().mapToInt(count -> count.unreadable).sum();
     }
 
-    /** Once a second, counts and rewrites records and takes the features as far as they may go. */
+    /**
+     * Once a second, has records counted and rewritten, and moves features to their next steps.
+     * Must be called in every scheduling pass.
+     */
     public void review() {
-        if (latest == null || state.nowMicros() - reviewedMicros < REVIEW_MICROS) {
+        if (latestState == null || state.nowMicros() - lastReviewMicros < REVIEW_INTERVAL_MICROS) {
             return;
         }
-        reviewedMicros = state.nowMicros();
-        if (latest.refusals() - refusedBefore > MAX_CALM_REFUSALS) {
-            calmSinceMicros = state.nowMicros();
+        lastReviewMicros = state.nowMicros();
+        if (latestState.refusals() - lastRefusals > MAX_REFUSALS_WHILE_STABLE) {
+            stableSinceMicros = state.nowMicros();
         }
-        refusedBefore = latest.refusals();
+        lastRefusals = latestState.refusals();
         for (Feature feature : Feature.values()) {
-            count(feature);
+            updateCount(feature);
         }
         migration.migrate();
-        if (writing == null && state.nowMicros() >= retryAtMicros) {
-            decide();
+        if (pendingRecord == null && state.nowMicros() >= retryAtMicros) {
+            proposeSteps();
         }
     }
 
     /**
-     * Has the feature's records counted while they are being moved, again once all that were found
-     * are rewritten.
+     * Requests a count of the feature's records while they are being migrated, and another one
+     * after all outdated records that were found are rewritten.
      */
-    private void count(Feature feature) {
-        Count count = counts.get(feature);
-        Standing standing = latest.record().of(feature.key());
+    private void updateCount(Feature feature) {
+        RecordCount count = counts.get(feature);
+        Standing standing = latestState.record().of(feature.key());
         if (!standing.equals(count.standing)) {
             count.standing = standing;
             count.sinceMicros = state.nowMicros();
-            count.confirmed = feature.recordPrefix() == null;
-            count.asked = false;
-            count.againMicros = 0;
-            migration.forget(feature);
+            count.verified = feature.recordPrefix() == null;
+            count.inFlight = false;
+            count.notBeforeMicros = 0;
+            migration.clear(feature);
         }
-        boolean moving = standing.step() == Step.ON || standing.back();
-        if (moving
-                && !count.confirmed
-                && !count.asked
+        boolean migrating = standing.step() == Step.ON || standing.back();
+        if (migrating
+                && !count.verified
+                && !count.inFlight
                 && migration.remaining(feature) == 0
-                && state.nowMicros() >= count.againMicros
-                && migration.isQuiet(feature, standing.on())) {
-            count.asked = true;
+                && state.nowMicros() >= count.notBeforeMicros
+                && migration.hasNoOtherFormatWriteInFlight(feature, standing.on())) {
+            count.inFlight = true;
             state.emit(new SchedulerAction.CountRecords(feature, standing.back()));
         }
     }
 
-    /** Takes in which records are to be rewritten. */
+    /** Handles a count of a feature's records, and queues the outdated ones for rewriting. */
     public void onRecordsCounted(SchedulerEvent.RecordsCounted result) {
-        Count count = counts.get(result.feature());
-        if (!count.asked || count.standing.back() != result.rollingBack()) {
+        RecordCount count = counts.get(result.feature());
+        if (!count.inFlight || count.standing.back() != result.rollingBack()) {
             return;
         }
-        count.asked = false;
-        count.againMicros = state.nowMicros() + RECOUNT_MICROS;
+        count.inFlight = false;
+        count.notBeforeMicros = state.nowMicros() + RECOUNT_INTERVAL_MICROS;
         if (!result.succeeded()) {
             return;
         }
         count.unreadable = result.unreadable().size();
-        count.confirmed = result.outdated().isEmpty() && result.unreadable().isEmpty();
+        count.verified = result.outdated().isEmpty() && result.unreadable().isEmpty();
         if (!result.outdated().isEmpty()) {
             state.log(
                     LogEntry.info(LogEvent.ROLLOUT_RECORDS_OUTDATED)
                             .with("feature", result.feature().key())
                             .with("records", result.outdated().size()));
             migration.setOutdated(result.feature(), result.outdated());
-            count.againMicros = 0;
+            count.notBeforeMicros = 0;
         }
         if (!result.unreadable().isEmpty()) {
             state.log(
@@ -184,152 +195,169 @@
                             .with("feature", result.feature().key())
                             .with("records", String.join(",", result.unreadable())));
         }
-        reviewedMicros = Long.MIN_VALUE / 2;
+        lastReviewMicros = Long.MIN_VALUE / 2;
     }
 
-    private Set<String> members() {
-        Set<Set<String>> named = new HashSet<>();
-        named.add(new TreeSet<>(state.settings().nodes().keySet()));
-        latest.announcements()
+    /**
+     * Returns all nodes that the settings of any node name, or that have announced themselves or
+     * sent messages. Logs if the settings differ.
+     */
+    private Set<String> allMembers() {
+        Set<Set<String>> memberLists = new HashSet<>();
+        memberLists.add(new TreeSet<>(state.settings().nodes().keySet()));
+        latestState
+                .announcements()
                 .values()
-                .forEach(stored -> named.add(stored.announcement().members()));
+                .forEach(stored -> memberLists.add(stored.announcement().members()));
         Set<String> members = new TreeSet<>();
-        named.forEach(members::addAll);
-        members.addAll(latest.announcements().keySet());
-        members.addAll(latest.unannounced());
-        if (named.size() > 1 && !members.equals(contradiction)) {
-            contradiction = members;
-            state.log(LogEntry.info(LogEvent.ROLLOUT_MEMBERS_DIFFER).with("members", named));
+        memberLists.forEach(members::addAll);
+        members.addAll(latestState.announcements().keySet());
+        members.addAll(latestState.unannounced());
+        if (memberLists.size() > 1 && !members.equals(loggedMembers)) {
+            loggedMembers = members;
+            state.log(LogEntry.info(LogEvent.ROLLOUT_MEMBERS_DIFFER).with("members", memberLists));
         }
         return members;
     }
 
-    private void decide() {
-        Set<String> members = members();
+    /** Lets features advance as far as possible, and emits one write of the changed record. */
+    private void proposeSteps() {
+        Set<String> members = allMembers();
         Map<String, NodeAnnouncement> announcements = new LinkedHashMap<>();
-        latest.announcements()
-                .forEach((label, stored) -> announcements.put(label, stored.announcement()));
-        RolloutRecord next = latest.record();
-        steps.clear();
+        latestState
+                .announcements()
+                .forEach((node, stored) -> announcements.put(node, stored.announcement()));
+        RolloutRecord next = latestState.record();
+        pendingStepEntries.clear();
         for (Feature feature : Feature.values()) {
-            next = decide(feature, next, members, announcements);
+            next = advance(feature, next, members, announcements);
         }
-        @SuppressWarnings(
-                "ReferenceEquality") // The same record comes back where nothing is to be done.
-        boolean unchanged = next == latest.record();
+        @SuppressWarnings("ReferenceEquality") // The same record is returned if no feature moves.
+        boolean unchanged = next == latestState.record();
         if (unchanged) {
             return;
         }
-        writing = next;
+        pendingRecord = next;
         Map<String, Long> conditions = new LinkedHashMap<>();
-        conditions.put(StoreKeys.ROLLOUT_STATE, latest.revision());
-        // What was decided by these announcements is void if one has changed, as when a process was
-        // replaced by one of an earlier version.
-        latest.announcements()
+        conditions.put(StoreKeys.ROLLOUT_STATE, latestState.revision());
+        // The write fails if an announcement has changed, for example because a process was
+        // replaced by one of an earlier release.
+        latestState
+                .announcements()
                 .forEach(
-                        (label, stored) ->
-                                conditions.put(StoreKeys.ROLLOUT_NODES + label, stored.revision()));
-        long agreed = latest.agreed();
+                        (node, stored) ->
+                                conditions.put(StoreKeys.ROLLOUT_NODES + node, stored.revision()));
+        long agreedVersion = latestState.agreed();
         for (Feature feature : Feature.values()) {
             if (next.of(feature.key()).on()) {
-                agreed = Math.max(agreed, feature.agreedVersion());
+                agreedVersion = Math.max(agreedVersion, feature.agreedVersion());
             }
         }
-        if (agreed > latest.agreed()) {
-            conditions.put(StoreKeys.AGREED, latest.agreedStamp());
+        if (agreedVersion > latestState.agreed()) {
+            conditions.put(StoreKeys.AGREED, latestState.agreedStamp());
         }
         state.emit(
                 new SchedulerAction.WriteRollout(
-                        next, conditions, agreed > latest.agreed() ? agreed : 0));
+                        next,
+                        conditions,
+                        agreedVersion > latestState.agreed() ? agreedVersion : 0));
     }
 
-    /** Takes the feature as far as it may go now, several steps where nothing lies between them. */
-    private RolloutRecord decide(
+    /**
+     * Moves the feature as far as possible now, which may be several steps. Returns the given
+     * record if it does not move.
+     */
+    private RolloutRecord advance(
             Feature feature,
             RolloutRecord record,
             Set<String> members,
             Map<String, NodeAnnouncement> announcements) {
         RolloutRecord next = record;
-        RolloutRequest request = latest.requests().getOrDefault(feature.key(), RolloutRequest.AUTO);
-        boolean troubled =
+        RolloutRequest request =
+                latestState.requests().getOrDefault(feature.key(), RolloutRequest.AUTO);
+        boolean crashLooping =
                 announcements.values().stream()
                         .anyMatch(
                                 announcement ->
-                                        announcement.consecutiveStarts() >= KEEPS_ENDING
+                                        announcement.consecutiveStarts() >= CRASH_LOOP_STARTS
                                                 && state.wallMicros()
                                                                 - announcement.sinceWallMicros()
-                                                        < KEEPS_ENDING_MICROS);
+                                                        < CRASH_LOOP_WINDOW_MICROS);
         while (true) {
-            Count count = counts.get(feature);
-            boolean same = next.of(feature.key()).equals(count.standing);
+            RecordCount count = counts.get(feature);
+            boolean unchanged = next.of(feature.key()).equals(count.standing);
             boolean soaked =
-                    same
-                            && state.nowMicros() - Math.max(count.sinceMicros, calmSinceMicros)
+                    unchanged
+                            && state.nowMicros() - Math.max(count.sinceMicros, stableSinceMicros)
                                     >= state.settings().operator().soakMicros();
-            Decision verdict =
+            Decision decision =
                     RolloutPolicy.decide(
                             feature,
-                            new Situation(
+                            new Inputs(
                                     next,
                                     members,
                                     announcements,
-                                    latest.unannounced(),
-                                    latest.agreed(),
+                                    latestState.unannounced(),
+                                    latestState.agreed(),
                                     request.verb(),
                                     soaked,
-                                    troubled,
+                                    crashLooping,
                                     migration.remaining(feature),
-                                    same && count.confirmed),
+                                    unchanged && count.verified),
                             state.wallMicros());
-            if (verdict.next() == null) {
+            if (decision.next() == null) {
                 if (!Objects.equals(
-                        loggedReasons.put(feature, verdict.reason()), verdict.reason())) {
+                        loggedReasons.put(feature, decision.reason()), decision.reason())) {
                     state.log(
                             LogEntry.info(LogEvent.ROLLOUT_WAITING)
                                     .with("feature", feature.key())
                                     .with("step", next.of(feature.key()).step().text())
-                                    .with("reason", verdict.reason()));
+                                    .with("reason", decision.reason()));
                 }
                 return next;
             }
-            String by =
+            String changedBy =
                     state.settings().label()
                             + " in term "
                             + state.term()
                             + (request.verb() == Verb.AUTO
                                     ? ""
                                     : ", " + request.verb().text() + " asked by " + request.by());
-            Standing to = verdict.next();
+            Standing target = decision.next();
             next =
                     next.with(
                             feature.key(),
                             new Standing(
-                                    to.step(), to.back(), to.held(), to.sinceWallMicros(), by));
-            steps.put(
-                    feature.key() + " " + to.step(),
+                                    target.step(),
+                                    target.back(),
+                                    target.held(),
+                                    target.sinceWallMicros(),
+                                    changedBy));
+            pendingStepEntries.put(
+                    feature.key() + " " + target.step(),
                     LogEntry.info(LogEvent.ROLLOUT_STEP)
                             .with("feature", feature.key())
-                            .with("step", to.step().text())
-                            .with("rolling_back", to.back())
-                            .with("allowed_by", by)
-                            .with("reason", verdict.reason()));
+                            .with("step", target.step().text())
+                            .with("rolling_back", target.back())
+                            .with("allowed_by", changedBy)
+                            .with("reason", decision.reason()));
         }
     }
 
-    /** Logs the steps that are written; after any other outcome the state is read again. */
+    /** Logs the steps that were written. After any other outcome the state has to be read again. */
     public void onWriteCompleted(SchedulerEvent.RolloutWriteCompleted result) {
-        if (writing == null || result.number() != writing.number()) {
+        if (pendingRecord == null || result.number() != pendingRecord.number()) {
             return;
         }
         if (result.outcome() == SchedulerEvent.WriteOutcome.WRITTEN) {
-            steps.values().forEach(state::log);
-            latest = latest.withRecord(writing, result.revision());
+            pendingStepEntries.values().forEach(state::log);
+            latestState = latestState.withRecord(pendingRecord, result.revision());
         }
-        writing = null;
-        reviewedMicros = Long.MIN_VALUE / 2;
+        pendingRecord = null;
+        lastReviewMicros = Long.MIN_VALUE / 2;
         if (result.outcome() != SchedulerEvent.WriteOutcome.WRITTEN) {
-            retryAtMicros = state.nowMicros() + REVIEW_MICROS;
-            latest = null;
+            retryAtMicros = state.nowMicros() + REVIEW_INTERVAL_MICROS;
+            latestState = null;
         }
     }
 }
--- a/src/main/java/org/woadloom/core/rollout/RecordMigration.java
+++ b/src/main/java/org/woadloom/core/rollout/RecordMigration.java
@@ -13,52 +13,55 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * Rewrites records in the form that is in force, a small part of the write rate at a time. What has
- * to be rewritten is counted in the store, so nothing of it needs to be kept: a new leader counts
- * again.
+ * Rewrites stored records in the current format, within a small share of the write rate. The
+ * records to rewrite are found by counting in the store, so a new leader counts again and no
+ * progress has to be stored.
  */
 final class RecordMigration {
     private static final double MIN_REWRITES_PER_SECOND = 0.2;
 
     private final SchedulerState state;
-    private final Map<Feature, ArrayDeque<String>> waiting = new EnumMap<>(Feature.class);
+    private final Map<Feature, ArrayDeque<String>> outdatedKeys = new EnumMap<>(Feature.class);
 
-    /** Jobs that are being rewritten, with the first version that has the new form. */
+    /**
+     * The keys of records that are being rewritten. For a job, with the first version of its record
+     * that has the new format.
+     */
     private final Map<Feature, Map<String, Long>> inFlight = new EnumMap<>(Feature.class);
 
-    private double allowance;
+    private double rewriteAllowance;
     private long lastRunMicros;
 
     RecordMigration(SchedulerState state) {
         this.state = state;
         lastRunMicros = state.nowMicros();
         for (Feature feature : Feature.values()) {
-            waiting.put(feature, new ArrayDeque<>());
+            outdatedKeys.put(feature, new ArrayDeque<>());
             inFlight.put(feature, new HashMap<>());
         }
     }
 
-    /** The store was counted, and the records under these keys are to be rewritten. */
+    /** Replaces the keys of the records to be rewritten with those that a count has found. */
     void setOutdated(Feature feature, List<String> keys) {
-        waiting.get(feature).clear();
-        waiting.get(feature).addAll(keys);
+        outdatedKeys.get(feature).clear();
+        outdatedKeys.get(feature).addAll(keys);
         inFlight.get(feature).clear();
     }
 
-    void forget(Feature feature) {
+    void clear(Feature feature) {
         setOutdated(feature, List.of());
     }
 
     int remaining(Feature feature) {
-        return waiting.get(feature).size() + inFlight.get(feature).size();
+        return outdatedKeys.get(feature).size() + inFlight.get(feature).size();
     }
 
     /**
-     * True once no write of the other form is under way any more. One without an answer is read and
-     * written over, which voids it; counted before that, the store would hold a record of that form
-     * later.
+     * True if no write in the other format is in flight any more, so that the records can be
+     * counted. A write without an answer may still be executed until the record has been read and
+     * written again, and could then add a record in the other format after the count.
      */
-    boolean isQuiet(Feature feature, boolean on) {
+    boolean hasNoOtherFormatWriteInFlight(Feature feature, boolean on) {
         if (feature != Feature.MACHINE_LIFECYCLE) {
             return true;
         }
@@ -70,10 +73,10 @@
                                                 state.recordsMachineLifecycleSinceMicros()));
     }
 
-    /** Has as many records rewritten as the time since the last call allows. */
+    /** Starts as many rewrites as the rate allows since the last call. */
     void migrate() {
-        // Under a load that takes all writes it still gets done, in an hour or so instead of
-        // minutes.
+        // If the load uses up all writes, the migration still makes progress: it then takes about
+        // an hour instead of minutes.
         double rate =
                 state.writeBudget().hasSpare()
                         ? Math.max(
@@ -81,27 +84,28 @@
                                 state.writeBudget().perSecond()
                                         * state.settings().operator().rewriteShare())
                         : MIN_REWRITES_PER_SECOND;
-        allowance =
+        rewriteAllowance =
                 Math.min(
                         Math.max(1, rate),
-                        allowance + rate * (state.nowMicros() - lastRunMicros) / 1e6);
+                        rewriteAllowance + rate * (state.nowMicros() - lastRunMicros) / 1e6);
         lastRunMicros = state.nowMicros();
         for (Feature feature : Feature.values()) {
             removeFinished(feature);
-            ArrayDeque<String> keys = waiting.get(feature);
-            while (allowance >= 1 && !keys.isEmpty()) {
-                allowance -= startRewrite(feature, keys.poll()) ? 1 : 0;
+            ArrayDeque<String> keys = outdatedKeys.get(feature);
+            while (rewriteAllowance >= 1 && !keys.isEmpty()) {
+                rewriteAllowance -= startRewrite(feature, keys.poll()) ? 1 : 0;
             }
         }
-        rewriteReportedMachines();
+        recordFirstHeartbeats();
     }
 
-    /** Drops the records that are rewritten, or whose job or machine is no longer there. */
+    /** Drops records that have been rewritten, or whose job or machine no longer exists. */
     private void removeFinished(Feature feature) {
-        for (Iterator<Map.Entry<String, Long>> all = inFlight.get(feature).entrySet().iterator();
-                all.hasNext(); ) {
-            Map.Entry<String, Long> one = all.next();
-            String key = one.getKey();
+        for (Iterator<Map.Entry<String, Long>> iterator =
+                        inFlight.get(feature).entrySet().iterator();
+                iterator.hasNext(); ) {
+            Map.Entry<String, Long> entry = iterator.next();
+            String key = entry.getKey();
             Job job =
                     key.startsWith(StoreKeys.JOBS)
                             ? state.jobs().get(key.substring(StoreKeys.JOBS.length()))
@@ -111,15 +115,16 @@
                             ? state.machines().get(key.substring(StoreKeys.MACHINES.length()))
                             : null;
             if ((job == null && machine == null)
-                    || (job != null && job.persistence.durableVersion() >= one.getValue())
+                    || (job != null && job.persistence.durableVersion() >= entry.getValue())
                     || (machine != null
                             && !machine.isRewriteNeeded()
                             && !machine.isRecordRequestInFlight())) {
-                all.remove();
+                iterator.remove();
             }
         }
     }
 
+    /** Returns false if the record no longer has to be rewritten. */
     private boolean startRewrite(Feature feature, String key) {
         if (key.startsWith(StoreKeys.JOBS)) {
             Job job = state.jobs().get(key.substring(StoreKeys.JOBS.length()));
@@ -139,13 +144,16 @@
         return true;
     }
 
-    /** Whether a machine ever came up is what a new leader wants to know of one that is silent. */
-    private void rewriteReportedMachines() {
+    /**
+     * Rewrites the records of machines that have reported since their record was written. A new
+     * leader judges silent machines by whether they ever reported.
+     */
+    private void recordFirstHeartbeats() {
         if (!state.recordsMachineLifecycle()) {
             return;
         }
         for (Machine machine : state.machines().values()) {
-            if (allowance < 1) {
+            if (rewriteAllowance < 1) {
                 return;
             }
             if (machine.isKnownAlive()
@@ -156,7 +164,7 @@
                     && !machine.isDecommissioning()
                     && !machine.isDeleted()) {
                 machine.requestRewrite();
-                allowance--;
+                rewriteAllowance--;
             }
         }
     }
--- a/src/main/java/org/woadloom/core/rollout/RolloutPolicy.java
+++ b/src/main/java/org/woadloom/core/rollout/RolloutPolicy.java
@@ -10,48 +10,53 @@
 import org.woadloom.store.RolloutRequest.Verb;
 
 /**
- * Decides the next step of a feature from what is known: no clock, no state of its own. A step that
- * is taken by it is written on condition that neither the record nor any member's announcement has
- * changed since.
+ * Decides the next step of a feature. It is a pure function of its inputs, without a clock or
+ * state. A step is written on condition that neither the rollout record nor any node's announcement
+ * has changed since the decision.
  */
 public final class RolloutPolicy {
     private RolloutPolicy() {}
 
     /**
-     * What a decision rests on.
+     * What a decision is based on.
      *
-     * @param members all nodes that any live node's settings name, and all that sent something
-     *     lately
-     * @param announcements what live processes announce, by node
-     * @param unannounced nodes that sent something lately and announce nothing: they run a version
-     *     that knows no announcements
-     * @param agreed the version that nodes of versions 2 and 3 have agreed on
-     * @param requested what an operator asks for
-     * @param soaked enough time has passed without trouble
-     * @param troubled a node's process keeps ending
-     * @param recordsLeft how many records are not yet of the form that they are moved to
-     * @param confirmed the store was counted, and no such record was found
+     * @param members all nodes that any live node's settings name, and all that sent a message
+     *     recently
+     * @param announcements the announcements of live processes, by node
+     * @param unannounced nodes that sent a message recently without an announcement, because they
+     *     run a release that does not know announcements
+     * @param agreedVersion the version that nodes of releases 2 and 3 have agreed on
+     * @param requested what an operator has requested
+     * @param soaked whether enough time has passed without problems
+     * @param crashLooping whether a node is in a crash loop
+     * @param recordsToRewrite how many records are not yet known to be in the target format
+     * @param rewriteVerified whether a count of the stored records has found none that has to be
+     *     rewritten
      */
-    public record Situation(
+    public record Inputs(
             RolloutRecord record,
             Set<String> members,
             Map<String, NodeAnnouncement> announcements,
             Set<String> unannounced,
-            long agreed,
+            long agreedVersion,
             Verb requested,
             boolean soaked,
-            boolean troubled,
-            int recordsLeft,
-            boolean confirmed) {
+            boolean crashLooping,
+            int recordsToRewrite,
+            boolean rewriteVerified) {
 
-        Set<String> membersWithout(String feature, boolean acting) {
+        /**
+         * Returns the members that can't read the feature or, if {@code mustBeUsable}, can't use
+         * it.
+         */
+        Set<String> membersWithout(String feature, boolean mustBeUsable) {
             Set<String> lacking = new TreeSet<>();
             for (String member : members) {
                 NodeAnnouncement announcement = announcements.get(member);
                 if (announcement == null
                         || unannounced.contains(member)
                         || !announcement.supportedFeatures().contains(feature)
-                        || (acting && !announcement.usableFeatures().contains(feature))) {
+                        || (mustBeUsable && !announcement.usableFeatures().contains(feature))) {
                     lacking.add(member);
                 }
             }
@@ -59,121 +64,149 @@
         }
     }
 
-    /** What is to be done: a new standing, or null and what it waits for. */
+    /**
+     * A decision.
+     *
+     * @param next the feature's new standing, or null if it stays as it is
+     * @param reason why it moves, or what it waits for
+     */
     public record Decision(Standing next, String reason) {
-        static Decision waiting(String why) {
-            return new Decision(null, why);
+        static Decision waiting(String reason) {
+            return new Decision(null, reason);
         }
     }
 
-    public static Decision decide(Feature feature, Situation situation, long wallMicros) {
-        Standing current = situation.record.of(feature.key());
+    /** Decides whether the feature moves to another step, and to which. */
+    public static Decision decide(Feature feature, Inputs inputs, long wallMicros) {
+        Standing current = inputs.record.of(feature.key());
         if (!current.on()
                 && feature.agreedVersion() > 0
-                && situation.agreed >= feature.agreedVersion()) {
-            return to(Step.ON, false, false, wallMicros, "an earlier version agreed on it");
+                && inputs.agreedVersion >= feature.agreedVersion()) {
+            return moveTo(
+                    Step.ON,
+                    false,
+                    false,
+                    wallMicros,
+                    "nodes of an earlier release have agreed on it");
         }
         boolean held =
-                situation.requested != Verb.GO
+                inputs.requested != Verb.GO
                         && (current.held()
-                                || (situation.troubled
+                                || (inputs.crashLooping
                                         && current.step() == Step.ON
                                         && feature.canBeRolledBack()
-                                        && feature.soaks()));
-        if (situation.requested == Verb.BACK || held) {
-            return rollBack(feature, situation, current, held, wallMicros);
+                                        && feature.requiresSoak()));
+        if (inputs.requested == Verb.BACK || held) {
+            return rollBack(feature, inputs, current, held, wallMicros);
         }
-        if (situation.requested == Verb.HOLD) {
+        if (inputs.requested == Verb.HOLD) {
             return Decision.waiting("held by an operator");
         }
-        Set<String> lacking = situation.membersWithout(feature.key(), false);
+        Set<String> lacking = inputs.membersWithout(feature.key(), false);
         return switch (current.step()) {
             case OFF ->
                     lacking.isEmpty()
-                            ? to(Step.UNDERSTOOD, false, false, wallMicros, "every node reads it")
-                            : Decision.waiting("not read by " + lacking);
-            case UNDERSTOOD -> switchOn(feature, situation, current, lacking, wallMicros);
-            case ON -> settle(situation, lacking, wallMicros);
+                            ? moveTo(
+                                    Step.UNDERSTOOD,
+                                    false,
+                                    false,
+                                    wallMicros,
+                                    "every node can read it")
+                            : Decision.waiting("can't be read by " + lacking);
+            case UNDERSTOOD -> switchOn(feature, inputs, current, lacking, wallMicros);
+            case ON -> settle(inputs, lacking, wallMicros);
             case SETTLED -> Decision.waiting("settled");
         };
     }
 
     private static Decision switchOn(
             Feature feature,
-            Situation situation,
+            Inputs inputs,
             Standing current,
             Set<String> lacking,
             long wallMicros) {
         if (!lacking.isEmpty()) {
-            // While it is being taken back records of it may be there, and whoever can't read them
-            // must stay out.
+            // While the feature is being rolled back there may be records in its format, so nodes
+            // that can't read them must not serve.
             return current.back()
-                    ? Decision.waiting("not read by " + lacking)
-                    : to(Step.OFF, false, false, wallMicros, lacking + " no longer reads it");
+                    ? Decision.waiting("can't be read by " + lacking)
+                    : moveTo(
+                            Step.OFF,
+                            false,
+                            false,
+                            wallMicros,
+                            "can no longer be read by " + lacking);
         }
-        Set<String> unable = situation.membersWithout(feature.key(), true);
+        Set<String> unable = inputs.membersWithout(feature.key(), true);
         if (!unable.isEmpty()) {
-            return Decision.waiting("not for " + unable + " to act upon, by settings or version");
+            return Decision.waiting(
+                    "can't be used by " + unable + ", because of settings or release");
         }
         for (String needed : feature.prerequisites()) {
-            if (!situation.record.of(needed).on()) {
-                return Decision.waiting(needed + " is not on");
+            if (!inputs.record.of(needed).on()) {
+                return Decision.waiting("requires " + needed + ", which is not on");
             }
         }
-        if (situation.troubled && feature.soaks() && situation.requested != Verb.GO) {
-            return Decision.waiting("nodes keep ending");
+        if (inputs.crashLooping && feature.requiresSoak() && inputs.requested != Verb.GO) {
+            return Decision.waiting("a node is in a crash loop");
         }
-        return situation.soaked || situation.requested == Verb.GO || !feature.soaks()
-                ? to(Step.ON, false, false, wallMicros, "every node reads and can do it")
-                : Decision.waiting("time to pass");
+        return inputs.soaked || inputs.requested == Verb.GO || !feature.requiresSoak()
+                ? moveTo(Step.ON, false, false, wallMicros, "every node can read and use it")
+                : Decision.waiting("soak time");
     }
 
-    private static Decision settle(Situation situation, Set<String> lacking, long wallMicros) {
+    private static Decision settle(Inputs inputs, Set<String> lacking, long wallMicros) {
         if (!lacking.isEmpty()) {
-            return Decision.waiting("not read by " + lacking);
+            return Decision.waiting("can't be read by " + lacking);
         }
-        if (situation.recordsLeft > 0) {
-            return Decision.waiting("records to be rewritten");
+        if (inputs.recordsToRewrite > 0) {
+            return Decision.waiting("records have to be rewritten");
         }
-        if (!situation.soaked && situation.requested != Verb.GO) {
-            return Decision.waiting("time to pass");
+        if (!inputs.soaked && inputs.requested != Verb.GO) {
+            return Decision.waiting("soak time");
         }
-        return situation.confirmed
-                ? to(Step.SETTLED, false, false, wallMicros, "no record of the old form is left")
-                : Decision.waiting("the store to be counted");
+        return inputs.rewriteVerified
+                ? moveTo(
+                        Step.SETTLED,
+                        false,
+                        false,
+                        wallMicros,
+                        "no record in the old format is left")
+                : Decision.waiting("records have to be counted");
     }
 
     private static Decision rollBack(
-            Feature feature, Situation situation, Standing current, boolean held, long wallMicros) {
-        String reason = held ? "nodes keep ending" : "an operator asked";
+            Feature feature, Inputs inputs, Standing current, boolean held, long wallMicros) {
+        String reason =
+                held ? "held, because a node was in a crash loop" : "requested by an operator";
         return switch (current.step()) {
-            case OFF -> Decision.waiting(reason + ": off");
-            case SETTLED -> Decision.waiting("settled, can't be taken back");
+            case OFF -> Decision.waiting(reason + "; already off");
+            case SETTLED -> Decision.waiting("settled, can't be rolled back");
             case ON -> {
                 if (!feature.canBeRolledBack()) {
-                    yield Decision.waiting("on, can't be taken back");
+                    yield Decision.waiting("on, can't be rolled back");
                 }
                 for (Feature other : Feature.values()) {
                     if (other.prerequisites().contains(feature.key())
-                            && situation.record.of(other.key()).required()) {
-                        yield Decision.waiting("needed by " + other.key());
+                            && inputs.record.of(other.key()).required()) {
+                        yield Decision.waiting("required by " + other.key());
                     }
                 }
-                yield to(Step.UNDERSTOOD, true, held, wallMicros, reason);
+                yield moveTo(Step.UNDERSTOOD, true, held, wallMicros, reason);
             }
             case UNDERSTOOD -> {
-                if (current.back() && situation.recordsLeft > 0) {
-                    yield Decision.waiting("records to be rewritten");
+                if (current.back() && inputs.recordsToRewrite > 0) {
+                    yield Decision.waiting("records have to be rewritten");
                 }
-                if (current.back() && !situation.confirmed) {
-                    yield Decision.waiting("the store to be counted");
+                if (current.back() && !inputs.rewriteVerified) {
+                    yield Decision.waiting("records have to be counted");
                 }
-                yield to(Step.OFF, false, held, wallMicros, reason);
+                yield moveTo(Step.OFF, false, held, wallMicros, reason);
             }
         };
     }
 
-    private static Decision to(
+    private static Decision moveTo(
             Step step, boolean back, boolean held, long wallMicros, String reason) {
         return new Decision(new Standing(step, back, held, wallMicros, reason), reason);
     }
--- a/src/main/java/org/woadloom/invariant/Invariants.java
+++ b/src/main/java/org/woadloom/invariant/Invariants.java
@@ -5,8 +5,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What must always hold. A violation throws where {@link #THROW_PROPERTY} is set, as in tests; in
- * service it is logged and counted, and the caller refuses what it was about to do.
+ * Runtime checks of conditions that must always hold. A violation throws if {@link #THROW_PROPERTY}
+ * is set, as in tests. In production it is logged and counted, and the caller must refuse the
+ * operation that it was about to perform.
  */
 public final class Invariants {
     /** The system property that makes violations throw. */
@@ -15,22 +16,25 @@
     private static final Logger LOG = LoggerFactory.getLogger(Invariants.class);
     private static final AtomicLong VIOLATIONS = new AtomicLong();
 
-    /** Of a violation that repeats, one line in so many is logged after the first ones. */
-    private static final long LOGGED_EVERY = 1_000;
+    /** After the first {@link #ALWAYS_LOGGED} violations, only one in this many is logged. */
+    private static final long LOG_INTERVAL = 1_000;
 
     private static final long ALWAYS_LOGGED = 20;
 
     /** The invariants that are asserted, by their names in the log. */
     public enum Invariant {
-        /** An answer rests on a read that started after the question came. */
+        /** An answer is based on a read that started after the request arrived. */
         ANSWER_READ_AFTER_QUESTION,
-        /** A job that this node knew as accepted when it was asked is not called unknown. */
+        /**
+         * A job that this node knew as accepted when the request arrived is not reported as
+         * unknown.
+         */
         ACCEPTED_JOB_KNOWN,
-        /** Each page of a list begins after the end of the one before. */
+        /** Each page of a list begins after the end of the previous page. */
         LIST_PAGES_ADVANCE
     }
 
-    /** A violation in tests. */
+    /** Thrown on a violation if {@link #THROW_PROPERTY} is set. */
     public static final class InvariantViolatedException extends IllegalStateException {
         private static final long serialVersionUID = 1;
 
@@ -42,10 +46,10 @@
     private Invariants() {}
 
     /**
-     * Reports whether the condition holds. Where it does not, the caller must not go on as if it
-     * did.
+     * Returns the condition, and reports a violation if it is false. The caller must then not
+     * continue as if the condition held.
      *
-     * @param subject what it is about, a job id or a key
+     * @param subject the job id or key that the check is about
      */
     public static boolean holds(boolean condition, Invariant invariant, String subject) {
         if (!condition) {
@@ -57,9 +61,10 @@
     private static void onViolation(Invariant invariant, String subject) {
         long count = VIOLATIONS.incrementAndGet();
         if (Boolean.getBoolean(THROW_PROPERTY)) {
-            throw new InvariantViolatedException(invariant + ": " + subject);
+            throw new InvariantViolatedException(
+                    "invariant " + invariant + " violated for " + subject);
         }
-        if (count <= ALWAYS_LOGGED || count % LOGGED_EVERY == 0) {
+        if (count <= ALWAYS_LOGGED || count % LOG_INTERVAL == 0) {
             LOG.error(
                     "event=invariant_violated invariant={} subject={} count={}",
                     invariant,
@@ -68,7 +73,7 @@
         }
     }
 
-    /** How many violations there were since the process started. */
+    /** Number of violations since the process started. */
     public static long violations() {
         return VIOLATIONS.get();
     }
--- a/src/main/java/org/woadloom/invariant/package-info.java
+++ b/src/main/java/org/woadloom/invariant/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Assertions on what must always hold, that stay on in service: {@link
- * org.woadloom.invariant.Invariants} decides what a violation does.
+ * Checks of conditions that must always hold, which stay enabled in production. {@link
+ * org.woadloom.invariant.Invariants} defines the checks and what a violation does.
  *
  * <p>Depends on no other package.
  */
--- a/src/test/java/org/woadloom/core/autoscaling/AutoscalerDuringSearchTest.java
+++ b/src/test/java/org/woadloom/core/autoscaling/AutoscalerDuringSearchTest.java
@@ -14,7 +14,7 @@
 import org.woadloom.core.placement.TaskPlacer;
 import org.woadloom.core.reservation.Reservations;
 
-/** A search for placements goes on over many steps while one of six machines falls silent. */
+/** Reviews while a search for placements takes many steps, and one of six machines is silent. */
 class AutoscalerDuringSearchTest {
     private static final long SECOND = 1_000_000;
     private static final int OTHERS = 5;
@@ -30,9 +30,9 @@
                     new MachineRegistry(fixture.state, new TaskLossHandler(fixture.state)),
                     reservations);
 
-    /** Guards against hung machines that keep their tasks for as long as a search goes on. */
+    /** Guards against hung machines that keep their tasks until a long search ends. */
     @Test
-    void aLostMachineIsDecommissionedAndNothingIsRentedOrReturned() {
+    void incompleteSearchDecommissionsLostMachineButRentsAndReturnsNothing() {
         Machine silent = fixture.machine("host-silent", "a");
         fixture.place(reservations, fixture.job("j-1", 8, 1, 9), 0, silent);
         List<Machine> others = new ArrayList<>();
--- a/src/test/java/org/woadloom/core/autoscaling/AutoscalerTest.java
+++ b/src/test/java/org/woadloom/core/autoscaling/AutoscalerTest.java
@@ -17,8 +17,8 @@
 import org.woadloom.store.MachineRecord;
 
 /**
- * A cloud that takes few calls a second: each has to count. Two tasks of 8 CPUs fill a machine; the
- * team's limit is 200.
+ * The autoscaler with a cloud that allows few calls per second. Two tasks of 8 CPUs fill a machine;
+ * the team's limit is 200 CPUs.
  */
 class AutoscalerTest {
     private final LeaderFixture leader = new LeaderFixture();
@@ -28,11 +28,11 @@
     }
 
     /**
-     * Each job alone is within what the limit leaves; together they asked for 150 machines, of
-     * which 12 could be used.
+     * Guards against planning each job of a team against the whole limit. Each job alone is within
+     * the limit; together the jobs once requested 150 machines, of which 12 could be used.
      */
     @Test
-    void theJobsOfATeamTogetherRentNoMoreThanItsLimitAllows() {
+    void rentsNoMoreForAllJobsOfATeamThanItsLimitAllows() {
         for (int i = 0; i < 12; i++) {
             leader.submit("j-" + i, 25);
         }
@@ -44,11 +44,11 @@
     }
 
     /**
-     * What is asked for while the answer is under way would be asked for in vain where there are no
-     * more.
+     * Guards against a wasted call: a second request for a kind fails if the pending one already
+     * gets all that is left of the kind.
      */
     @Test
-    void aKindIsNotAskedForAgainBeforeItsAnswer() {
+    void requestsAKindAgainOnlyAfterTheCloudHasAnswered() {
         leader.submit("j-1", 10);
         leader.pass(5 * SECOND);
         assertEquals(1, rentals().size());
@@ -66,12 +66,13 @@
         SchedulerAction.RentMachines second = rentals().get(1);
         assertTrue(
                 !second.zone().equals(first.zone()) || second.spot() != first.spot(),
-                "it gave less than was asked for, so there are no more of that kind");
+                "the cloud rented out fewer machines than requested, so no more of that kind are"
+                        + " left");
     }
 
-    /** A cloud that does not answer for one kind may answer for another. */
+    /** A cloud that does not answer a request for one kind may answer one for another kind. */
     @Test
-    void anotherKindIsAskedForWhereNoAnswerComes() {
+    void requestsAnotherKindWhenTheCloudDoesNotAnswer() {
         leader.submit("j-1", 10);
         leader.pass(4 * SECOND);
         leader.submit("j-2", 10);
@@ -83,11 +84,11 @@
     }
 
     /**
-     * Machines are given up at different times, and go in one call as long as the one before has no
-     * answer.
+     * Machines are decommissioned at different times. While a deletion is unanswered, the others
+     * wait and then go into one call.
      */
     @Test
-    void deletionsGatherWhileOneIsUnderWay() {
+    void batchesDeletionsWhileOneIsInFlight() {
         for (int i = 0; i < 6; i++) {
             leader.isUp("host-00000" + i, 1);
             leader.pass(SECOND);
@@ -101,9 +102,12 @@
         assertEquals(5, leader.last(SchedulerAction.DeleteMachines.class).hosts().size());
     }
 
-    /** What is rented in a zone that is cut off boots for nothing, and would count as coming. */
+    /**
+     * Guards against renting in a partitioned zone: the machines would boot in vain and count as
+     * expected capacity.
+     */
     @Test
-    void nothingIsRentedInAZoneThatHasGoneSilent() {
+    void rentsNothingInASilentZone() {
         for (int i = 0; i < 4; i++) {
             leader.isUp("host-00000" + i, 1);
         }
@@ -116,7 +120,7 @@
         assertEquals(
                 List.of(),
                 leader.all(SchedulerAction.DeleteMachines.class),
-                "they come back with their images");
+                "silent machines are kept, as they come back with their images");
         for (String host : List.of("host-000001", "host-000002")) {
             leader.report(message(host, 2, 10, 0));
             leader.pass(100_000);
@@ -127,11 +131,11 @@
     }
 
     /**
-     * It was up under an earlier leader and is gone: for four boot times it used to count as room
-     * that comes.
+     * Guards against a machine that was up under an earlier leader and is gone: it once counted as
+     * expected capacity for four boot times.
      */
     @Test
-    void whatWasUpAndDoesNotFindTheNewLeaderIsNotWaitedFor() {
+    void replacesMachineThatWasUpAndDoesNotReportToTheNewLeader() {
         leader.step(
                 new SchedulerEvent.LeadershipAcquired(
                         LeaderFixture.TERM + 1,
@@ -150,7 +154,7 @@
                         leader.now));
         leader.submit("j-1", 2);
         leader.pass(10 * SECOND);
-        assertEquals(0, rentals().size(), "it may come yet");
+        assertEquals(0, rentals().size(), "the machine may still report");
         leader.pass(2 * SECOND);
         assertEquals(1, rentals().size());
         leader.pass(25 * SECOND);
@@ -159,11 +163,11 @@
     }
 
     /**
-     * A zone of which a new leader hears nothing may be cut off: nothing is rented there, and what
-     * is there may come back.
+     * A zone from which a new leader gets no heartbeats may be partitioned: nothing is rented
+     * there, and its machines are kept because they may come back.
      */
     @Test
-    void aNewLeaderRentsNothingInAZoneOfWhichItHearsNothing() {
+    void newLeaderRentsNothingInAZoneWithoutHeartbeats() {
         List<SchedulerEvent.StoredMachine> stored = new ArrayList<>();
         for (int i = 1; i <= 4; i++) {
             stored.add(
@@ -190,11 +194,11 @@
     }
 
     /**
-     * The list lags, and may be older than the one before: machines that are missing in it are as
-     * they were.
+     * The cloud's list lags, and may be older than the previous one, so a machine that it lacks may
+     * still be running.
      */
     @Test
-    void whatTheListLacksIsNotTakenForGone() {
+    void keepsReportingMachineAndItsTasksWhenTheListLacksIt() {
         long token = leader.isUp("host-000001", 1);
         leader.submit("j-1", 2);
         leader.pass(100_000);
@@ -243,20 +247,20 @@
                         && leader.all(SchedulerAction.DeleteMachines.class).isEmpty());
     }
 
-    private static ListedMachine item(String host) {
+    private static ListedMachine listed(String host) {
         return new ListedMachine(host, host + ":9000", "m16", "a", false, "running", 100 * SECOND);
     }
 
     /**
-     * The cloud took three of a zone's four machines without notice: no rental there had to wait 80
-     * s for that.
+     * Guards against counting a zone as partitioned for too long: after the cloud took three of a
+     * zone's four machines without notice, no machine was rented there for 80 s.
      */
     @Test
-    void whatIsSilentAndNoLongerListedIsGivenUpAndDarkensNoZone() {
+    void deletesSilentUnlistedMachinesAndRentsInTheirZoneAgain() {
         List<ListedMachine> all = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             leader.isUp("host-00000" + i, 1);
-            all.add(item("host-00000" + i));
+            all.add(listed("host-00000" + i));
         }
         long token = leader.last(SchedulerAction.SendDirectCommand.class).fencingToken();
         for (int s = 0; s < 14; s++) {
@@ -279,19 +283,22 @@
         assertTrue(rentals().stream().anyMatch(rent -> rent.zone().equals("a")), "" + rentals());
     }
 
-    /** Lists are two lags old and may go back; one that answers is there whatever they show. */
+    /**
+     * Lists are up to two lags old and may be older than the previous one. A machine that reports
+     * exists, whatever they contain.
+     */
     @Test
-    void nothingIsGivenUpForBeingUnlistedTooSoonOrWhileItReports() {
+    void keepsMachinesThatReportOrAreOnlyBrieflyUnlisted() {
         long token = leader.isUp("host-000001", 1);
         leader.isUp("host-000002", 1);
         leader.step(
                 new SchedulerEvent.MachinesListed(
-                        List.of(item("host-000001"), item("host-000002"))));
+                        List.of(listed("host-000001"), listed("host-000002"))));
         for (int s = 0; s < 30; s++) {
             leader.report(message("host-000001", 1, 10 + s, token));
             leader.step(
                     new SchedulerEvent.MachinesListed(
-                            s < 6 ? List.of() : List.of(item("host-000002"))));
+                            s < 6 ? List.of() : List.of(listed("host-000002"))));
             leader.passUnanswered(SECOND);
         }
         assertTrue(
@@ -299,9 +306,9 @@
                         LogEvent.MACHINE_DECOMMISSIONED, "reason=\"silent and no longer listed\""));
     }
 
-    /** A machine that boots may be new to the list for longer than lists are said to lag. */
+    /** A booting machine may be missing from the list for longer than the configured list lag. */
     @Test
-    void aMachineThatBootsIsNotGivenUpForBeingUnlisted() {
+    void keepsBootingMachineThatTheListLacks() {
         leader.submit("j-1", 2);
         leader.pass(5 * SECOND);
         leader.step(
--- a/src/test/java/org/woadloom/core/machines/AgentProberTest.java
+++ b/src/test/java/org/woadloom/core/machines/AgentProberTest.java
@@ -8,8 +8,8 @@
 class AgentProberTest {
     private final SchedulerFixture fixture = new SchedulerFixture();
 
-    /** How many of so many silent machines are spoken to at once. */
-    private long probed(int machines) {
+    /** Returns how many of the given number of silent machines one review probes. */
+    private long countProbed(int machines) {
         for (int i = 0; i < machines; i++) {
             fixture.machine(String.format("host-%06d", i), "a").setAddress("a:1");
         }
@@ -21,12 +21,12 @@
     }
 
     @Test
-    void aSmallFleetIsProbedAFewAtATime() {
-        assertEquals(16, probed(1_000));
+    void probesAtMostSixteenMachinesAtATimeInASmallFleet() {
+        assertEquals(16, countProbed(1_000));
     }
 
     @Test
-    void aLargeFleetIsProbedInProportion() {
-        assertEquals(62, probed(4_000));
+    void probesOnePerSixtyFourMachinesAtATimeInALargeFleet() {
+        assertEquals(62, countProbed(4_000));
     }
 }
--- a/src/test/java/org/woadloom/core/machines/MachineLifecycleTest.java
+++ b/src/test/java/org/woadloom/core/machines/MachineLifecycleTest.java
@@ -9,7 +9,7 @@
     private final MachineLifecycle lifecycle = new MachineLifecycle(false);
 
     @Test
-    void decommissioningEndsInDeletion() {
+    void decommissionedMachineIsDeletedOnceTheCloudConfirms() {
         assertFalse(lifecycle.isDecommissioning());
         lifecycle.decommission();
         assertTrue(lifecycle.isDecommissioning());
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void aFailedDeletionIsDueAgain() {
+    void failedDeletionReturnsToDecommissioning() {
         lifecycle.decommission();
         lifecycle.startDeletion();
         lifecycle.onDeletionFailed();
@@ -31,9 +31,12 @@
         assertFalse(lifecycle.isDeleted());
     }
 
-    /** An answer to an earlier leadership's deletion may come after this one's. */
+    /**
+     * The answer to a deletion requested in an earlier term may arrive after the answer to the
+     * current one.
+     */
     @Test
-    void aDeletedMachineStaysDeleted() {
+    void deletedMachineIgnoresDeletionFailureAndDecommissioning() {
         lifecycle.onDeleted();
         lifecycle.onDeletionFailed();
         lifecycle.decommission();
@@ -41,7 +44,7 @@
     }
 
     @Test
-    void aFailureOfAnEarlierDeletionDecommissionsNothing() {
+    void deletionFailureDoesNotDecommissionAMachineInUse() {
         lifecycle.onDeletionFailed();
         assertFalse(lifecycle.isDecommissioning());
     }
