--- a/src/test/java/org/woadloom/core/rollout/RolloutExplorer.java
+++ b/src/test/java/org/woadloom/core/rollout/RolloutExplorer.java
@@ -13,7 +13,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import org.woadloom.core.rollout.RolloutPolicy.Decision;
-import org.woadloom.core.rollout.RolloutPolicy.Situation;
+import org.woadloom.core.rollout.RolloutPolicy.Inputs;
 import org.woadloom.store.NodeAnnouncement;
 import org.woadloom.store.RolloutRecord;
 import org.woadloom.store.RolloutRecord.Standing;
@@ -21,78 +21,96 @@
 import org.woadloom.store.RolloutRequest.Verb;
 
 /**
- * Visits every state of three nodes, a store and one write that may be late, breadth first, so that
- * the first trace to a broken state is a shortest one. Nodes are interchangeable. What is decided
- * is decided by {@link RolloutPolicy} and {@link ClusterMembership} themselves; what is modelled is
- * who lives, what the store holds, and what is under way to it.
+ * A model checker for rollouts. It visits every state of three nodes, a store and one write that
+ * may be delayed, breadth first, so that the first trace to a violation is a shortest one. Nodes
+ * are interchangeable. All decisions are made by the real {@link RolloutPolicy} and {@link
+ * ClusterMembership}; the model covers which nodes run, what the store holds, and which writes are
+ * in flight.
  */
 final class RolloutExplorer {
-    /** How the model is broken on purpose. */
+    /** A fault that is put into the model on purpose. */
     enum Fault {
         NONE,
-        OLD_WORDS,
-        READS_FIRST,
-        LEAVES_RECORDS,
-        LATE_RECORD
+        /** A step is written although an announcement has changed since it was decided. */
+        STALE_ANNOUNCEMENTS,
+        /** A process reads the required features before it announces itself. */
+        READS_BEFORE_ANNOUNCING,
+        /** Records that still have to be rewritten are ignored. */
+        IGNORES_REMAINING_RECORDS,
+        /** Records are counted while a write may still be in flight. */
+        COUNTS_DURING_WRITE
     }
 
     private static final Feature FEATURE = Feature.MACHINE_LIFECYCLE;
     private static final int NODES = 3;
 
+    /** Enough steps to settle the feature or to roll it back, without faults. */
+    private static final int MAX_STEPS_WITHOUT_FAULTS = 8;
+
+    /** How far a node's process is. */
     private enum Phase {
-        GONE,
+        STOPPED,
         STARTED,
-        SPOKEN,
+        ANNOUNCED,
         SERVING,
+        /** It must not serve, as it does not know a required feature. */
         FENCED
     }
 
-    private enum Word {
+    /** A node's stored announcement: none, or that of an old or a new release. */
+    private enum Announced {
         NONE,
         OLD,
         NEW
     }
 
     /**
-     * One node: what it runs, how far its process is, and the word that stands for it, perhaps a
-     * former process's.
+     * One node.
+     *
+     * @param newRelease whether it runs the release that knows the feature
+     * @param announced its stored announcement, which may be that of a former process
      */
-    private record Member(boolean fresh, Phase phase, Word word, boolean leads) {
+    private record Node(boolean newRelease, Phase phase, Announced announced, boolean leads) {
         private int code() {
-            return ((phase.ordinal() * 3 + word.ordinal()) * 2 + (fresh ? 1 : 0)) * 2
+            return ((phase.ordinal() * 3 + announced.ordinal()) * 2 + (newRelease ? 1 : 0)) * 2
                     + (leads ? 1 : 0);
         }
     }
 
     /**
-     * @param intent the step that is being written, or null; it fails where a later leader or
-     *     record came first, and, unless the fault says so, where a word has changed
-     * @param late a record of the new form is under way to the store
+     * @param oldRecords whether the store has records in the old format
+     * @param newRecords whether the store has records in the feature's format
+     * @param pendingStep the step that is being written, or null
+     * @param superseded whether another leader took over since the pending step was decided, so
+     *     that its write fails
+     * @param announcementsChanged whether an announcement has changed since the pending step was
+     *     decided, so that its write fails, except with {@link Fault#STALE_ANNOUNCEMENTS}
+     * @param writeInFlight whether a record in the feature's format may still reach the store
      */
     private record State(
-            List<Member> members,
+            List<Node> nodes,
             Standing standing,
             boolean oldRecords,
             boolean newRecords,
-            Standing intent,
-            boolean overtaken,
-            boolean wordsChanged,
-            boolean late,
-            boolean up,
-            Verb asked) {
+            Standing pendingStep,
+            boolean superseded,
+            boolean announcementsChanged,
+            boolean writeInFlight,
+            boolean storeUp,
+            Verb request) {
 
         HashCode hash() {
             Hasher hasher = Hashing.murmur3_128().newHasher();
-            members.forEach(member -> hasher.putInt(member.code()));
+            nodes.forEach(node -> hasher.putInt(node.code()));
             return hasher.putInt(code(standing))
-                    .putInt(intent == null ? -1 : code(intent))
+                    .putInt(pendingStep == null ? -1 : code(pendingStep))
                     .putBoolean(oldRecords)
                     .putBoolean(newRecords)
-                    .putBoolean(overtaken)
-                    .putBoolean(wordsChanged)
-                    .putBoolean(late)
-                    .putBoolean(up)
-                    .putInt(asked.ordinal())
+                    .putBoolean(superseded)
+                    .putBoolean(announcementsChanged)
+                    .putBoolean(writeInFlight)
+                    .putBoolean(storeUp)
+                    .putInt(request.ordinal())
                     .hash();
         }
 
@@ -100,61 +118,70 @@
             return standing.step().ordinal() * 2 + (standing.back() ? 1 : 0);
         }
 
-        State with(int index, Member member) {
-            List<Member> changed = new ArrayList<>(members);
-            changed.set(index, member);
+        State withNode(int index, Node node) {
+            List<Node> changed = new ArrayList<>(nodes);
+            changed.set(index, node);
             changed.sort((a, b) -> Integer.compare(a.code(), b.code()));
             return new State(
                     changed,
                     standing,
                     oldRecords,
                     newRecords,
-                    intent,
-                    overtaken,
-                    wordsChanged,
-                    late,
-                    up,
-                    asked);
+                    pendingStep,
+                    superseded,
+                    announcementsChanged,
+                    writeInFlight,
+                    storeUp,
+                    request);
         }
 
-        State words() {
+        State withAnnouncementsChanged() {
             return new State(
-                    members,
+                    nodes,
                     standing,
                     oldRecords,
                     newRecords,
-                    intent,
-                    overtaken,
-                    intent != null,
-                    late,
-                    up,
-                    asked);
+                    pendingStep,
+                    superseded,
+                    pendingStep != null,
+                    writeInFlight,
+                    storeUp,
+                    request);
         }
 
-        State records(boolean old, boolean fresh, boolean underWay) {
+        State withRecords(boolean anyOld, boolean anyNew, boolean inFlight) {
             return new State(
-                    members,
+                    nodes,
                     standing,
-                    old,
-                    fresh,
-                    intent,
-                    overtaken,
-                    wordsChanged,
-                    underWay,
-                    up,
-                    asked);
+                    anyOld,
+                    anyNew,
+                    pendingStep,
+                    superseded,
+                    announcementsChanged,
+                    inFlight,
+                    storeUp,
+                    request);
         }
 
-        State intent(Standing to, Standing now) {
+        State withSteps(Standing pending, Standing current) {
             return new State(
-                    members, now, oldRecords, newRecords, to, false, false, late, up, asked);
+                    nodes,
+                    current,
+                    oldRecords,
+                    newRecords,
+                    pending,
+                    false,
+                    false,
+                    writeInFlight,
+                    storeUp,
+                    request);
         }
 
-        State led(int index) {
-            List<Member> changed = new ArrayList<>();
-            for (int i = 0; i < members.size(); i++) {
-                Member m = members.get(i);
-                changed.add(new Member(m.fresh, m.phase, m.word, i == index));
+        State withLeader(int index) {
+            List<Node> changed = new ArrayList<>();
+            for (int i = 0; i < nodes.size(); i++) {
+                Node node = nodes.get(i);
+                changed.add(new Node(node.newRelease, node.phase, node.announced, i == index));
             }
             changed.sort((a, b) -> Integer.compare(a.code(), b.code()));
             return new State(
@@ -162,77 +189,79 @@
                     standing,
                     oldRecords,
                     newRecords,
-                    intent,
-                    intent != null,
-                    wordsChanged,
+                    pendingStep,
+                    pendingStep != null,
+                    announcementsChanged,
                     false,
-                    up,
-                    asked);
+                    storeUp,
+                    request);
         }
 
-        State store(boolean serves) {
+        State withStoreUp(boolean up) {
             return new State(
-                    members,
+                    nodes,
                     standing,
                     oldRecords,
                     newRecords,
-                    intent,
-                    overtaken,
-                    wordsChanged,
-                    late,
-                    serves,
-                    asked);
+                    pendingStep,
+                    superseded,
+                    announcementsChanged,
+                    writeInFlight,
+                    up,
+                    request);
         }
 
-        State asked(Verb verb) {
+        State withRequest(Verb verb) {
             return new State(
-                    members,
+                    nodes,
                     standing,
                     oldRecords,
                     newRecords,
-                    intent,
-                    overtaken,
-                    wordsChanged,
-                    late,
-                    up,
+                    pendingStep,
+                    superseded,
+                    announcementsChanged,
+                    writeInFlight,
+                    storeUp,
                     verb);
         }
     }
 
-    private record Came(HashCode from, String action) {}
+    /** How a state was first reached: from which state, and by which action. */
+    private record Origin(HashCode from, String action) {}
 
-    private record Next(String action, State state) {}
+    private record Transition(String action, State state) {}
 
     private final Fault fault;
-    private final Map<HashCode, Came> visited = new HashMap<>();
-    private final Set<Step> reached = new TreeSet<>();
+    private final Map<HashCode, Origin> visited = new HashMap<>();
+    private final Set<Step> reachedSteps = new TreeSet<>();
     private List<String> trace = List.of();
-    private long millis;
+    private long elapsedMillis;
 
     RolloutExplorer(Fault fault) {
         this.fault = fault;
     }
 
-    int states() {
+    int visitedStates() {
         return visited.size();
     }
 
-    long millis() {
-        return millis;
+    long elapsedMillis() {
+        return elapsedMillis;
     }
 
-    Set<Step> reached() {
-        return reached;
+    Set<Step> reachedSteps() {
+        return reachedSteps;
     }
 
+    /** The actions that led to the violation that was found. */
     List<String> trace() {
         return trace;
     }
 
-    /** What was found to be broken, or null. */
+    /** Explores all states to the given depth; returns the first violation, or null. */
     String explore(int depth) {
-        long began = System.nanoTime();
-        Member node = new Member(true, Phase.SERVING, Word.NEW, false);
+        long startNanos = System.nanoTime();
+        Node node = new Node(true, Phase.SERVING, Announced.NEW, false);
         State first =
                 new State(
                                 List.of(node, node, node),
@@ -245,68 +274,70 @@
                                 false,
                                 true,
                                 Verb.AUTO)
-                        .led(0);
-        visited.put(first.hash(), new Came(null, "three new nodes serve"));
+                        .withLeader(0);
+        visited.put(first.hash(), new Origin(null, "three new nodes serve"));
         ArrayDeque<State> queue = new ArrayDeque<>(List.of(first));
         for (int level = 0; level < depth && !queue.isEmpty(); level++) {
             for (int left = queue.size(); left > 0; left--) {
                 State state = queue.poll();
-                for (Next next : next(state)) {
-                    HashCode hash = next.state.hash();
-                    if (visited.putIfAbsent(hash, new Came(state.hash(), next.action)) != null) {
+                for (Transition transition : transitions(state)) {
+                    HashCode hash = transition.state.hash();
+                    Origin origin = new Origin(state.hash(), transition.action);
+                    if (visited.putIfAbsent(hash, origin) != null) {
                         continue;
                     }
-                    reached.add(next.state.standing.step());
-                    String broken = broken(state, next.state);
-                    if (broken != null) {
-                        trace(hash);
-                        return broken;
+                    reachedSteps.add(transition.state.standing.step());
+                    String violation = findViolation(state, transition.state);
+                    if (violation != null) {
+                        setTrace(hash);
+                        return violation;
                     }
-                    queue.add(next.state);
+                    queue.add(transition.state);
                 }
             }
         }
-        millis = (System.nanoTime() - began) / 1_000_000;
+        elapsedMillis = (System.nanoTime() - startNanos) / 1_000_000;
         return null;
     }
 
-    private void trace(HashCode last) {
+    private void setTrace(HashCode last) {
         List<String> actions = new ArrayList<>();
-        for (Came came = visited.get(last);
-                came != null;
-                came = came.from == null ? null : visited.get(came.from)) {
-            actions.add(came.action);
+        for (Origin origin = visited.get(last);
+                origin != null;
+                origin = origin.from == null ? null : visited.get(origin.from)) {
+            actions.add(origin.action);
         }
         Collections.reverse(actions);
         trace = actions;
     }
 
-    private String broken(State before, State state) {
-        for (Member member : state.members) {
-            if (member.phase == Phase.SERVING
-                    && !member.fresh
+    private String findViolation(State before, State state) {
+        for (Node node : state.nodes) {
+            if (node.phase == Phase.SERVING
+                    && !node.newRelease
                     && (state.newRecords || state.standing.on())) {
                 return "a node serves that can't read what is written";
             }
         }
         if (before.standing.step() == Step.SETTLED && state.standing.step() != Step.SETTLED) {
-            return "a settled feature was taken back";
+            return "a settled feature was rolled back";
         }
-        for (Verb wish : List.of(Verb.AUTO, Verb.BACK)) {
-            Step end = undisturbed(state, wish).standing.step();
-            if (end != Step.SETTLED && (wish == Verb.AUTO || end != Step.OFF)) {
-                return "without faults, and asked for " + wish + ", it stays " + end;
+        for (Verb request : List.of(Verb.AUTO, Verb.BACK)) {
+            Step end = afterRecovery(state, request).standing.step();
+            if (end != Step.SETTLED && (request == Verb.AUTO || end != Step.OFF)) {
+                return "without further faults, and with request " + request + ", it stays " + end;
             }
         }
         return null;
     }
 
     /**
-     * All nodes are replaced by new ones, the store serves, one leads, and nothing more goes wrong.
+     * The state that is reached if all nodes are replaced by new ones, the store is up, one node
+     * leads, and no more faults occur.
      */
-    private State undisturbed(State state, Verb wish) {
-        Member node = new Member(true, Phase.SERVING, Word.NEW, false);
-        State s =
+    private State afterRecovery(State state, Verb request) {
+        Node node = new Node(true, Phase.SERVING, Announced.NEW, false);
+        State recovered =
                 new State(
                                 List.of(node, node, node),
                                 state.standing,
@@ -317,186 +348,244 @@
                                 false,
                                 false,
                                 true,
-                                wish)
-                        .led(0);
-        for (int i = 0; i < 8; i++) {
-            Standing next = decide(s);
-            s = next != null ? s.intent(null, next) : rewritten(s);
+                                request)
+                        .withLeader(0);
+        for (int i = 0; i < MAX_STEPS_WITHOUT_FAULTS; i++) {
+            Standing next = decide(recovered);
+            recovered = next != null ? recovered.withSteps(null, next) : rewriteRecords(recovered);
         }
-        return s;
+        return recovered;
     }
 
-    private static State rewritten(State s) {
-        boolean fresh = s.standing.on();
-        return fresh || s.standing.back() ? s.records(!fresh, fresh, false) : s;
+    private static State rewriteRecords(State state) {
+        boolean on = state.standing.on();
+        return on || state.standing.back() ? state.withRecords(!on, on, false) : state;
     }
 
-    private Standing decide(State s) {
-        boolean back = s.standing.back();
-        boolean left = back ? s.newRecords : s.oldRecords;
-        boolean sure =
-                fault == Fault.LEAVES_RECORDS
-                        || !left && !(back && s.late && fault != Fault.LATE_RECORD);
-        Map<String, NodeAnnouncement> words = new TreeMap<>();
+    /** Returns the feature's next standing by {@link RolloutPolicy}, or null if it stays. */
+    private Standing decide(State state) {
+        boolean back = state.standing.back();
+        boolean anyOutdated = back ? state.newRecords : state.oldRecords;
+        boolean rewriteVerified =
+                fault == Fault.IGNORES_REMAINING_RECORDS
+                        || !anyOutdated
+                                && !(back
+                                        && state.writeInFlight
+                                        && fault != Fault.COUNTS_DURING_WRITE);
+        Map<String, NodeAnnouncement> announcements = new TreeMap<>();
         Set<String> labels = new TreeSet<>();
         for (int i = 0; i < NODES; i++) {
             String label = "node-" + i;
             labels.add(label);
-            Word word = s.members.get(i).word;
-            if (word != Word.NONE) {
-                Set<String> reads = word == Word.NEW ? Feature.allKeys() : Set.of();
-                words.put(label, new NodeAnnouncement(i, reads, reads, labels, 1, 0));
+            Announced announced = state.nodes.get(i).announced;
+            if (announced != Announced.NONE) {
+                Set<String> features = announced == Announced.NEW ? Feature.allKeys() : Set.of();
+                announcements.put(label, new NodeAnnouncement(i, features, features, labels, 1, 0));
             }
         }
-        Decision verdict =
+        Decision decision =
                 RolloutPolicy.decide(
                         FEATURE,
-                        new Situation(
-                                record(s),
+                        new Inputs(
+                                record(state),
                                 Set.of("node-0", "node-1", "node-2"),
-                                words,
+                                announcements,
                                 Set.of(),
                                 0,
-                                s.asked,
+                                state.request,
                                 true,
                                 false,
-                                left && fault != Fault.LEAVES_RECORDS ? 1 : 0,
-                                sure),
+                                anyOutdated && fault != Fault.IGNORES_REMAINING_RECORDS ? 1 : 0,
+                                rewriteVerified),
                         0);
-        return verdict.next() == null
+        return decision.next() == null
                 ? null
-                : new Standing(verdict.next().step(), verdict.next().back(), false, 0, "");
+                : new Standing(decision.next().step(), decision.next().back(), false, 0, "");
     }
 
-    private static RolloutRecord record(State s) {
-        return new RolloutRecord(1, Map.of(FEATURE.key(), s.standing));
+    private static RolloutRecord record(State state) {
+        return new RolloutRecord(1, Map.of(FEATURE.key(), state.standing));
     }
 
-    private List<Next> next(State s) {
-        List<Next> all = new ArrayList<>();
-        all.add(new Next(s.up ? "the store fails" : "the store is back", s.store(!s.up)));
+    private List<Transition> transitions(State state) {
+        List<Transition> all = new ArrayList<>();
+        all.add(
+                new Transition(
+                        state.storeUp ? "the store fails" : "the store is back",
+                        state.withStoreUp(!state.storeUp)));
         all.add(
-                new Next(
+                new Transition(
                         "an operator changes the request",
-                        s.asked(s.asked == Verb.AUTO ? Verb.BACK : Verb.AUTO)));
+                        state.withRequest(state.request == Verb.AUTO ? Verb.BACK : Verb.AUTO)));
         for (int i = 0; i < NODES; i++) {
-            // Nodes are sorted: of equal ones the first speaks for all.
-            if (i == 0 || !s.members.get(i).equals(s.members.get(i - 1))) {
-                member(s, i, all);
+            // Nodes are sorted, so of equal nodes only the first one has to be considered.
+            if (i == 0 || !state.nodes.get(i).equals(state.nodes.get(i - 1))) {
+                addNodeTransitions(state, i, all);
             }
         }
-        if (s.up && s.intent != null) {
-            boolean holds = !s.overtaken && (!s.wordsChanged || fault == Fault.OLD_WORDS);
+        if (state.storeUp && state.pendingStep != null) {
+            boolean succeeds =
+                    !state.superseded
+                            && (!state.announcementsChanged || fault == Fault.STALE_ANNOUNCEMENTS);
             all.add(
-                    new Next(
+                    new Transition(
                             "the step "
-                                    + s.intent.step()
-                                    + (s.intent.back() ? " (back)" : "")
-                                    + (holds ? " is written" : " fails"),
-                            s.intent(null, holds ? s.intent : s.standing)));
+                                    + state.pendingStep.step()
+                                    + (state.pendingStep.back() ? " (back)" : "")
+                                    + (succeeds ? " is written" : " fails"),
+                            state.withSteps(null, succeeds ? state.pendingStep : state.standing)));
         }
-        if (s.up && s.late) {
-            all.add(new Next("a record arrives late", s.records(s.oldRecords, true, false)));
+        if (state.storeUp && state.writeInFlight) {
+            all.add(
+                    new Transition(
+                            "a delayed record arrives",
+                            state.withRecords(state.oldRecords, true, false)));
         }
         return all;
     }
 
-    private void member(State s, int i, List<Next> all) {
-        Member m = s.members.get(i);
-        String who = (m.fresh ? "a new node" : "an old node") + (m.leads ? " that leads" : "");
-        switch (m.phase) {
-            case GONE -> {
-                for (boolean fresh : new boolean[] {true, false}) {
+    private void addNodeTransitions(State state, int index, List<Transition> all) {
+        Node node = state.nodes.get(index);
+        String name =
+                (node.newRelease ? "a new node" : "an old node")
+                        + (node.leads ? " that leads" : "");
+        switch (node.phase) {
+            case STOPPED -> {
+                for (boolean newRelease : new boolean[] {true, false}) {
                     all.add(
-                            new Next(
-                                    "one starts, " + (fresh ? "new" : "old"),
-                                    s.with(i, new Member(fresh, Phase.STARTED, m.word, false))));
+                            new Transition(
+                                    "one starts, " + (newRelease ? "new" : "old"),
+                                    state.withNode(
+                                            index,
+                                            new Node(
+                                                    newRelease,
+                                                    Phase.STARTED,
+                                                    node.announced,
+                                                    false))));
                 }
             }
             case STARTED -> {
-                if (s.up && fault != Fault.READS_FIRST) {
-                    all.add(new Next(who + " gives its word", spoken(s, i, Phase.SPOKEN)));
-                } else if (s.up && serves(s, m)) {
+                if (state.storeUp && fault != Fault.READS_BEFORE_ANNOUNCING) {
+                    all.add(
+                            new Transition(
+                                    name + " announces itself",
+                                    announce(state, index, Phase.ANNOUNCED)));
+                } else if (state.storeUp && mayServe(state, node)) {
                     all.add(
-                            new Next(
-                                    who + " reads before it speaks",
-                                    s.with(i, new Member(m.fresh, Phase.SPOKEN, m.word, false))));
+                            new Transition(
+                                    name + " reads before it announces itself",
+                                    state.withNode(
+                                            index,
+                                            new Node(
+                                                    node.newRelease,
+                                                    Phase.ANNOUNCED,
+                                                    node.announced,
+                                                    false))));
                 }
             }
-            case SPOKEN, FENCED -> {
-                if (s.up && fault == Fault.READS_FIRST) {
-                    all.add(new Next(who + " gives its word", spoken(s, i, Phase.SERVING)));
-                } else if (s.up) {
+            case ANNOUNCED, FENCED -> {
+                if (state.storeUp && fault == Fault.READS_BEFORE_ANNOUNCING) {
+                    all.add(
+                            new Transition(
+                                    name + " announces itself",
+                                    announce(state, index, Phase.SERVING)));
+                } else if (state.storeUp) {
                     all.add(
-                            new Next(
-                                    who + " reads what is required",
-                                    s.with(
-                                            i,
-                                            new Member(
-                                                    m.fresh,
-                                                    serves(s, m) ? Phase.SERVING : Phase.FENCED,
-                                                    m.word,
+                            new Transition(
+                                    name + " reads what is required",
+                                    state.withNode(
+                                            index,
+                                            new Node(
+                                                    node.newRelease,
+                                                    mayServe(state, node)
+                                                            ? Phase.SERVING
+                                                            : Phase.FENCED,
+                                                    node.announced,
                                                     false))));
                 }
             }
-            case SERVING -> serving(s, i, m, who, all);
+            case SERVING -> addServingTransitions(state, index, name, all);
         }
-        if (m.phase != Phase.GONE) {
+        if (node.phase != Phase.STOPPED) {
             all.add(
-                    new Next(
-                            who + " ends",
-                            s.with(i, new Member(m.fresh, Phase.GONE, m.word, false))));
+                    new Transition(
+                            name + " stops",
+                            state.withNode(
+                                    index,
+                                    new Node(
+                                            node.newRelease,
+                                            Phase.STOPPED,
+                                            node.announced,
+                                            false))));
         }
-        if (s.up && m.word != Word.NONE && (m.phase == Phase.GONE || m.phase == Phase.STARTED)) {
+        if (state.storeUp
+                && node.announced != Announced.NONE
+                && (node.phase == Phase.STOPPED || node.phase == Phase.STARTED)) {
             all.add(
-                    new Next(
-                            "a word ends",
-                            s.with(i, new Member(m.fresh, m.phase, Word.NONE, m.leads)).words()));
+                    new Transition(
+                            "an announcement expires",
+                            state.withNode(
+                                            index,
+                                            new Node(
+                                                    node.newRelease,
+                                                    node.phase,
+                                                    Announced.NONE,
+                                                    node.leads))
+                                    .withAnnouncementsChanged()));
         }
     }
 
-    private void serving(State s, int i, Member m, String who, List<Next> all) {
-        if (s.up && !m.leads) {
-            all.add(new Next(who + " takes over", s.led(i)));
+    private void addServingTransitions(State state, int index, String name, List<Transition> all) {
+        Node node = state.nodes.get(index);
+        if (state.storeUp && !node.leads) {
+            all.add(new Transition(name + " takes over", state.withLeader(index)));
         }
-        if (!m.leads || !m.fresh) {
+        if (!node.leads || !node.newRelease) {
             return;
         }
-        Standing decided = s.intent == null ? decide(s) : null;
+        Standing decided = state.pendingStep == null ? decide(state) : null;
         if (decided != null) {
             all.add(
-                    new Next(
+                    new Transition(
                             "the leader decides "
                                     + decided.step()
                                     + (decided.back() ? " (back)" : ""),
-                            s.intent(decided, s.standing)));
+                            state.withSteps(decided, state.standing)));
         }
-        if (s.up && s.standing.on()) {
-            all.add(new Next("the leader writes", s.records(s.oldRecords, true, s.late)));
+        if (state.storeUp && state.standing.on()) {
             all.add(
-                    new Next(
+                    new Transition(
+                            "the leader writes",
+                            state.withRecords(state.oldRecords, true, state.writeInFlight)));
+            all.add(
+                    new Transition(
                             "the leader writes, with no answer",
-                            s.records(s.oldRecords, s.newRecords, true)));
-        } else if (s.up && !s.standing.back()) {
+                            state.withRecords(state.oldRecords, state.newRecords, true)));
+        } else if (state.storeUp && !state.standing.back()) {
             all.add(
-                    new Next(
-                            "the leader writes the old form",
-                            s.records(true, s.newRecords, s.late)));
+                    new Transition(
+                            "the leader writes the old format",
+                            state.withRecords(true, state.newRecords, state.writeInFlight)));
         }
-        if (s.up) {
-            all.add(new Next("the leader rewrites what is left", rewritten(s)));
+        if (state.storeUp) {
+            all.add(
+                    new Transition(
+                            "the leader rewrites the remaining records", rewriteRecords(state)));
         }
     }
 
-    private static State spoken(State s, int i, Phase phase) {
-        Member m = s.members.get(i);
-        return s.with(i, new Member(m.fresh, phase, m.fresh ? Word.NEW : Word.OLD, false)).words();
+    private static State announce(State state, int index, Phase phase) {
+        boolean newRelease = state.nodes.get(index).newRelease;
+        Announced announced = newRelease ? Announced.NEW : Announced.OLD;
+        return state.withNode(index, new Node(newRelease, phase, announced, false))
+                .withAnnouncementsChanged();
     }
 
-    private static boolean serves(State s, Member m) {
-        ClusterMembership belonging = new ClusterMembership(m.fresh ? Feature.allKeys() : Set.of());
-        belonging.setRequiredFeatures(record(s).requires());
-        belonging.onRecordRead();
-        return belonging.mayServe();
+    private static boolean mayServe(State state, Node node) {
+        ClusterMembership membership =
+                new ClusterMembership(node.newRelease ? Feature.allKeys() : Set.of());
+        membership.setRequiredFeatures(record(state).requires());
+        membership.onRecordRead();
+        return membership.mayServe();
     }
 }
--- a/src/test/java/org/woadloom/core/rollout/RolloutExplorerTest.java
+++ b/src/test/java/org/woadloom/core/rollout/RolloutExplorerTest.java
@@ -7,61 +7,64 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Every state of three nodes to a stated depth, over the rules that the service runs. */
+/**
+ * Explores every state of three nodes up to a given depth with the production rollout rules. The
+ * other tests break the model on purpose, to show that the explorer finds the resulting fault.
+ */
 class RolloutExplorerTest {
     private static final int DEPTH = 15;
 
     @Test
-    void noStateBreaksTheRulesAndEachCanGoOn() {
+    void noReachableStateViolatesARuleOrBlocksTheRollout() {
         RolloutExplorer explorer = new RolloutExplorer(RolloutExplorer.Fault.NONE);
         assertNull(explorer.explore(DEPTH), () -> String.join("\n", explorer.trace()));
         System.out.println(
                 "rollout explorer: "
-                        + explorer.states()
+                        + explorer.visitedStates()
                         + " states to depth "
                         + DEPTH
                         + " in "
-                        + explorer.millis()
+                        + explorer.elapsedMillis()
                         + " ms, "
-                        + explorer.reached());
-        assertTrue(explorer.states() > 50_000, explorer.states() + " states");
-        assertEquals("[OFF, UNDERSTOOD, ON, SETTLED]", explorer.reached().toString());
+                        + explorer.reachedSteps());
+        assertTrue(explorer.visitedStates() > 50_000, explorer.visitedStates() + " states");
+        assertEquals("[OFF, UNDERSTOOD, ON, SETTLED]", explorer.reachedSteps().toString());
     }
 
-    /** A leader that does not mind whether a word has changed since it read it. */
+    /** A leader that writes a step although an announcement has changed since it read it. */
     @Test
-    void aStepThatIsTakenOnOldWordsIsFound() {
-        found(RolloutExplorer.Fault.OLD_WORDS, "can't read");
+    void findsStepTakenOnStaleAnnouncements() {
+        assertFound(RolloutExplorer.Fault.STALE_ANNOUNCEMENTS, "can't read");
     }
 
-    /** A process that reads what is required before it gives its word. */
+    /** A process that reads the required features before it announces itself. */
     @Test
-    void aProcessThatReadsBeforeItSpeaksIsFound() {
-        found(RolloutExplorer.Fault.READS_FIRST, "can't read");
+    void findsProcessThatReadsRequirementsBeforeAnnouncing() {
+        assertFound(RolloutExplorer.Fault.READS_BEFORE_ANNOUNCING, "can't read");
     }
 
-    /** A feature that is called off while records of it are left. */
+    /** A feature that is switched off while records in its format are left. */
     @Test
-    void aStepBackThatLeavesRecordsBehindIsFound() {
-        found(RolloutExplorer.Fault.LEAVES_RECORDS, "can't read");
+    void findsRollbackThatLeavesRecordsBehind() {
+        assertFound(RolloutExplorer.Fault.IGNORES_REMAINING_RECORDS, "can't read");
     }
 
-    /** A store that is counted while a write of the former form may still arrive. */
+    /** A count of the store while a write in the feature's format may still arrive. */
     @Test
-    void aRecordThatArrivesAfterTheCountIsFound() {
-        found(RolloutExplorer.Fault.LATE_RECORD, "can't read");
+    void findsRecordThatArrivesAfterTheCount() {
+        assertFound(RolloutExplorer.Fault.COUNTS_DURING_WRITE, "can't read");
     }
 
-    private static void found(RolloutExplorer.Fault fault, String what) {
+    private static void assertFound(RolloutExplorer.Fault fault, String expected) {
         RolloutExplorer explorer = new RolloutExplorer(fault);
-        String broken = explorer.explore(DEPTH);
-        assertNotNull(broken, fault + " is not found");
-        assertTrue(broken.contains(what), broken);
+        String violation = explorer.explore(DEPTH);
+        assertNotNull(violation, fault + " is not found");
+        assertTrue(violation.contains(expected), violation);
         System.out.println(
                 "rollout explorer: "
                         + fault
                         + " found: "
-                        + broken
+                        + violation
                         + "\n  "
                         + String.join("\n  ", explorer.trace()));
     }
--- a/src/test/java/org/woadloom/invariant/InvariantsTest.java
+++ b/src/test/java/org/woadloom/invariant/InvariantsTest.java
@@ -11,7 +11,7 @@
 
 class InvariantsTest {
     @Test
-    void aViolationThrowsInTests() {
+    void violationThrowsWhenTheThrowPropertyIsSet() {
         assertTrue(Invariants.holds(true, Invariant.ACCEPTED_JOB_KNOWN, "j-1"));
         assertThrows(
                 InvariantViolatedException.class,
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void aViolationInServiceIsCountedAndReported() {
+    void violationIsCountedAndReturnsFalseWhenTheThrowPropertyIsNotSet() {
         long before = Invariants.violations();
         System.clearProperty(Invariants.THROW_PROPERTY);
         try {
