--- a/src/main/java/org/woadloom/core/autoscaling/Autoscaler.java
+++ b/src/main/java/org/woadloom/core/autoscaling/Autoscaler.java
@@ -83,8 +83,9 @@
         refusedKinds.updateScarceZones();
         partitionedZones.review();
         // A new leader first waits for heartbeats, as the existing machines may be sufficient.
-        if (state.nowMicros() - state.startedMicros() > 2 * state.settings().heartbeatMicros()) {
-            requests.request(scaleOut.plan(placer.queue()));
+        if (state.nowMicros() - state.termStartMicros()
+                > 2 * state.settings().heartbeatIntervalMicros()) {
+            requests.request(scaleOut.plan(placer.placementQueue()));
         }
         scaleIn.review();
     }
--- a/src/main/java/org/woadloom/core/autoscaling/MachineListing.java
+++ b/src/main/java/org/woadloom/core/autoscaling/MachineListing.java
@@ -40,8 +40,8 @@
         if (!machine.isKnownAlive() && !machine.isHeartbeatRecorded()) {
             return false;
         }
-        long existsSinceMicros = Math.max(machine.rentedMicros(), state.startedMicros());
+        long existsSinceMicros = Math.max(machine.rentedMicros(), state.termStartMicros());
         return lastListMicros - lastListedMicros.getOrDefault(machine.host, existsSinceMicros)
-                > 2 * state.settings().listLagMicros() + MARGIN_MICROS;
+                > 2 * state.settings().machineListLagMicros() + MARGIN_MICROS;
     }
 }
--- a/src/main/java/org/woadloom/core/autoscaling/MachineLossDetector.java
+++ b/src/main/java/org/woadloom/core/autoscaling/MachineLossDetector.java
@@ -82,7 +82,7 @@
             return !isUnreachableBeyondLease(machine, 0);
         }
         return machine.liveness.isSuspect(state.nowMicros())
-                && machine.liveness.isReporting(state.nowMicros())
+                && machine.liveness.isSendingHeartbeats(state.nowMicros())
                 && !isUnreachableBeyondLease(machine, 0);
     }
 
@@ -100,7 +100,7 @@
     private boolean isSilentAndMissing(Machine machine) {
         return listing.isMissing(machine)
                 && partitionedZones.silentForMicros(machine)
-                        > 3 * state.settings().heartbeatMicros() + SILENCE_MARGIN_MICROS;
+                        > 3 * state.settings().heartbeatIntervalMicros() + SILENCE_MARGIN_MICROS;
     }
 
     /**
@@ -115,14 +115,15 @@
     }
 
     private long silenceLimitMicros(Machine machine) {
-        long limitMicros = 3 * state.settings().heartbeatMicros();
+        long limitMicros = 3 * state.settings().heartbeatIntervalMicros();
         boolean answersCommandsOnly =
                 machine.liveness.lastAliveMicros() - machine.liveness.lastHeartbeatMicros()
-                        > state.livenessTimeouts().freshMicros();
+                        > state.livenessTimeouts().maxFreshAgeMicros();
         if (answersCommandsOnly) {
             // The next probe follows half a lease after the last one.
             long probeMicros =
-                    state.settings().leaseMicros() / 2 + ScaleOutRequests.ANSWER_TIMEOUT_MICROS;
+                    state.settings().leaseDurationMicros() / 2
+                            + ScaleOutRequests.ANSWER_TIMEOUT_MICROS;
             limitMicros = Math.max(limitMicros, probeMicros);
         }
         return limitMicros + SILENCE_MARGIN_MICROS;
@@ -148,7 +149,7 @@
             if (machine.zone.equals(zone) && machine.isUp() && !machine.isDeleted()) {
                 up++;
                 if (partitionedZones.silentForMicros(machine)
-                        > 2 * state.settings().heartbeatMicros()) {
+                        > 2 * state.settings().heartbeatIntervalMicros()) {
                     silent++;
                 }
             }
@@ -199,9 +200,9 @@
             // No leader has received a heartbeat since the machine was rented, and this leader has
             // waited for one that may be in transit.
             return state.nowMicros() - machine.rentedMicros() > timeoutMicros
-                    && sinceAliveMicros(machine) > 3 * state.settings().heartbeatMicros();
+                    && sinceAliveMicros(machine) > 3 * state.settings().heartbeatIntervalMicros();
         }
-        long bootingSinceMicros = Math.max(machine.rentedMicros(), state.startedMicros());
+        long bootingSinceMicros = Math.max(machine.rentedMicros(), state.termStartMicros());
         return state.nowMicros() - bootingSinceMicros > timeoutMicros;
     }
 
@@ -214,7 +215,8 @@
         // with their tasks.
         long leaseOverMicros =
                 state.delegationTimeouts().leaseExpiryMicros()
-                        + state.delegations().extraSilenceMicros(machine.zone, state.nowMicros());
+                        + state.delegations()
+                                .extraSilenceAllowanceMicros(machine.zone, state.nowMicros());
         long silentMicros = sinceAliveMicros(machine);
         boolean wasUp =
                 machine.isKnownAlive() || (machine.isEmpty() && machine.isHeartbeatRecorded());
@@ -233,6 +235,6 @@
      */
     private long sinceAliveMicros(Machine machine) {
         return state.nowMicros()
-                - Math.max(machine.liveness.lastAliveMicros(), state.startedMicros());
+                - Math.max(machine.liveness.lastAliveMicros(), state.termStartMicros());
     }
 }
--- a/src/main/java/org/woadloom/core/jobs/TaskSet.java
+++ b/src/main/java/org/woadloom/core/jobs/TaskSet.java
@@ -3,29 +3,29 @@
 import java.util.BitSet;
 
 /**
- * Which tasks of a job are completed and which are taken, by index.
+ * Tracks by index which tasks of a job are completed and which are assigned.
  *
- * <p>A task is taken while an attempt of it exists and for good once it is completed; every other
- * task is pending. The counts are kept beside the bits, as they are asked for every job in every
- * pass.
+ * <p>A task is assigned while an attempt of it exists, and for good once it is completed; every
+ * other task is pending. The counts are stored, not computed, because each pass reads them for
+ * every job.
  */
 final class TaskSet {
     private final int size;
     private final BitSet completed;
-    private final BitSet taken;
+    private final BitSet assigned;
     private int completedCount;
-    private int takenCount;
+    private int assignedCount;
 
     /**
-     * @param size how many tasks the job has
-     * @param completed the tasks that are completed already; copied
+     * @param size number of tasks of the job
+     * @param completed the tasks that are already completed; copied
      */
     TaskSet(int size, BitSet completed) {
         this.size = size;
         this.completed = (BitSet) completed.clone();
-        this.taken = (BitSet) completed.clone();
+        this.assigned = (BitSet) completed.clone();
         this.completedCount = completed.cardinality();
-        this.takenCount = completedCount;
+        this.assignedCount = completedCount;
     }
 
     int completedCount() {
@@ -40,46 +40,46 @@
         return completedCount == size;
     }
 
-    /** The completed tasks themselves, to be read only. */
+    /** The completed tasks; not a copy, callers must not modify it. */
     BitSet completed() {
         return completed;
     }
 
-    /** How many tasks are neither taken nor completed. */
+    /** Number of tasks that are neither assigned nor completed. */
     int pendingCount() {
-        return size - takenCount;
+        return size - assignedCount;
     }
 
-    /** The first pending task from the given index on, or {@link Job#NO_TASK}. */
+    /** Returns the first pending task at or after the given index, or {@link Job#NO_TASK}. */
     int nextPending(int from) {
-        int next = taken.nextClearBit(from);
+        int next = assigned.nextClearBit(from);
         return next < size ? next : Job.NO_TASK;
     }
 
-    /** Takes a task for an attempt. */
-    void take(int index) {
-        if (!taken.get(index)) {
-            taken.set(index);
-            takenCount++;
+    /** Marks a task as assigned to an attempt. */
+    void assign(int index) {
+        if (!assigned.get(index)) {
+            assigned.set(index);
+            assignedCount++;
         }
     }
 
-    /** Makes a task pending again, unless it is completed. */
+    /** Makes a task pending again unless it is completed. */
     void release(int index) {
-        if (!completed.get(index) && taken.get(index)) {
-            taken.clear(index);
-            takenCount--;
+        if (!completed.get(index) && assigned.get(index)) {
+            assigned.clear(index);
+            assignedCount--;
         }
     }
 
-    /** Marks a task as completed; false if it was so already. */
-    boolean complete(int index) {
+    /** Marks a task as completed; returns false if it already was. */
+    boolean markCompleted(int index) {
         if (completed.get(index)) {
             return false;
         }
         completed.set(index);
         completedCount++;
-        take(index);
+        assign(index);
         return true;
     }
 }
--- a/src/main/java/org/woadloom/core/machines/AgentProber.java
+++ b/src/main/java/org/woadloom/core/machines/AgentProber.java
@@ -118,11 +118,12 @@
         boolean wasAlive =
                 machine.isKnownAlive() || machine.isHeartbeatRecorded() || !machine.isEmpty();
         long silentSinceMicros =
-                Math.max(machine.liveness.lastHeartbeatMicros(), state.startedMicros());
+                Math.max(machine.liveness.lastHeartbeatMicros(), state.termStartMicros());
         return wasAlive
                 && !machine.isDecommissioning()
                 && !machine.address().isEmpty()
-                && state.nowMicros() - silentSinceMicros > state.livenessTimeouts().freshMicros();
+                && state.nowMicros() - silentSinceMicros
+                        > state.livenessTimeouts().maxFreshAgeMicros();
     }
 
     private void probe(List<Machine> silent) {
@@ -135,7 +136,7 @@
         for (Machine machine : silent) {
             if (probed.size() >= maxProbes
                     || state.nowMicros() - machine.commands.lastProbeMicros()
-                            < state.settings().leaseMicros() / 2) {
+                            < state.settings().leaseDurationMicros() / 2) {
                 return;
             }
             if (!machine.commands.isCommandInFlight()
--- a/src/main/java/org/woadloom/core/machines/DirectCommands.java
+++ b/src/main/java/org/woadloom/core/machines/DirectCommands.java
@@ -92,7 +92,7 @@
                 return false;
             }
             if (attempt.stage() == Stage.READY && !attempt.isStopping()) {
-                commands.add(TaskCommand.start(attempt.task(), attempt.attempt));
+                commands.add(TaskCommand.start(attempt.taskId(), attempt.attemptNumber));
                 starts.add(attempt);
             } else if (attempt.isStopping()
                     && !attempt.wasNeverSent()
@@ -102,7 +102,9 @@
                 commands.add(
                         0,
                         TaskCommand.stop(
-                                attempt.task(), attempt.attempt, attempt.gracePeriodSeconds()));
+                                attempt.taskId(),
+                                attempt.attemptNumber,
+                                attempt.gracePeriodSeconds()));
             }
         }
         return true;
@@ -119,7 +121,7 @@
         if (machine.commands.onCompleted(result.commandId())) {
             machine.markPendingCommands();
         }
-        starts.removeIf(attempt -> attempt.job.attempt(attempt.index) != attempt);
+        starts.removeIf(attempt -> attempt.job.attempt(attempt.taskIndex) != attempt);
         if (result.heartbeat() != null
                 && heartbeats.stepDownIfLaterTerm(machine, result.heartbeat())) {
             return;
@@ -173,7 +175,7 @@
         machine.commands.pauseUntil(
                 state.nowMicros()
                         + (machine.liveness.isUnreachable(state.nowMicros())
-                                ? state.settings().leaseMicros() / 2
+                                ? state.settings().leaseDurationMicros() / 2
                                 : FAILURE_PAUSE_MICROS));
         for (TaskAttempt attempt : starts) {
             if (attempt.stage() == Stage.SENT) {
@@ -181,7 +183,7 @@
             }
         }
         if (!starts.isEmpty()) {
-            machine.liveness.raiseFence();
+            machine.liveness.incrementFence();
             machine.requestToken();
             state.log(
                     LogEntry.info(LogEvent.DIRECT_COMMAND_UNANSWERED)
@@ -189,7 +191,7 @@
                             .with("starts", starts.size()));
         }
         for (TaskAttempt attempt : machine.attempts()) {
-            attempt.requireStopAgain();
+            attempt.resendStop();
         }
     }
 }
--- a/src/main/java/org/woadloom/core/machines/HeartbeatHandler.java
+++ b/src/main/java/org/woadloom/core/machines/HeartbeatHandler.java
@@ -40,7 +40,7 @@
         if (stepDownIfLaterTerm(machine, heartbeat)) {
             return;
         }
-        if (!machine.liveness.awaitsAnswerTo(heartbeat, state.nowMicros())) {
+        if (!machine.liveness.recordHeartbeatArrival(heartbeat, state.nowMicros())) {
             // The agent has given up waiting for this answer. If it still got it, the answer would
             // renew a lease that this leader expects to expire.
             state.emit(new SchedulerAction.RejectHeartbeat(event.requestId()));
@@ -180,7 +180,7 @@
             }
         }
         // The previous incarnation may have ended because nothing reaches the agent any more.
-        machine.liveness.suspect(state.nowMicros());
+        machine.liveness.markSuspect(state.nowMicros());
     }
 
     /** Drops the state of machines that the scheduler has forgotten. */
--- a/src/main/java/org/woadloom/core/machines/LossProof.java
+++ b/src/main/java/org/woadloom/core/machines/LossProof.java
@@ -51,8 +51,8 @@
                     heartbeat.fencingToken() > attempt.startToken() ? START_NEVER_ARRIVED : NONE;
                 // An agent has one heartbeat in flight at a time, so it executed or dropped the
                 // answer with the start before it sent this one.
-            case SENT_IN_ANSWER ->
-                    isHeartbeat && heartbeat.sequence() > attempt.answeredSequence()
+            case SENT_IN_RESPONSE ->
+                    isHeartbeat && heartbeat.sequence() > attempt.startHeartbeatSequence()
                             ? START_NOT_EXECUTED
                             : NONE;
             case RECOVERED ->
--- a/src/main/java/org/woadloom/core/machines/Machine.java
+++ b/src/main/java/org/woadloom/core/machines/Machine.java
@@ -373,7 +373,7 @@
     }
 
     public Resources free() {
-        return resources.balance().withoutNegatives();
+        return resources.balance().clampToNonNegative();
     }
 
     /** Must be called when a task on this machine is told to stop. */
--- a/src/main/java/org/woadloom/core/machines/MachineRegistry.java
+++ b/src/main/java/org/woadloom/core/machines/MachineRegistry.java
@@ -94,7 +94,7 @@
             }
             // This is how a new leader learns for how long its machines have been charged.
             machine.onListedAsRented(state.nowMicros() - listed.rentedForMicros());
-            if (listed.failed() && !machine.isDecommissioning()) {
+            if (listed.hasFailed() && !machine.isDecommissioning()) {
                 // A failed machine stays listed until it is deleted, and only the answer to the
                 // deletion proves that its tasks are gone.
                 machine.fail();
@@ -128,7 +128,7 @@
     /** Handles the status of another node, which may get a lease delegation for its zone. */
     public void onPeerStatus(SchedulerEvent.PeerStatusReceived event) {
         state.advanceCancellationsReadUpTo(event.cancellationsReadUpToMicros());
-        String zone = state.settings().nodes().get(event.node());
+        String zone = state.settings().zoneByNode().get(event.node());
         LeaseDelegation delegation =
                 zone == null
                         ? null
@@ -147,7 +147,7 @@
     private long cancellationsAppliedMicros(String zone) {
         long appliedMicros = state.cancellationsReadUpToMicros();
         for (Job job : state.jobs().values()) {
-            if (job.isCancelled() && job.attemptsInZone(zone) > 0) {
+            if (job.isCancelled() && job.attemptCountInZone(zone) > 0) {
                 appliedMicros = Math.min(appliedMicros, job.cancelledSinceMicros());
             }
         }
@@ -186,7 +186,7 @@
      */
     public void forgetDeletedMachines() {
         long keepMicros =
-                FORGET_LIST_LAGS * state.settings().listLagMicros() + FORGET_MARGIN_MICROS;
+                FORGET_LIST_LAGS * state.settings().machineListLagMicros() + FORGET_MARGIN_MICROS;
         state.forgetMachinesIf(machine -> isForgettable(machine, keepMicros));
     }
 
--- a/src/main/java/org/woadloom/core/machines/TaskExitHandler.java
+++ b/src/main/java/org/woadloom/core/machines/TaskExitHandler.java
@@ -48,8 +48,8 @@
         Machine machine = attempt.machine;
         state.log(
                 LogEntry.debug(LogEvent.TASK_EXITED)
-                        .with("task", attempt.task())
-                        .with("attempt", attempt.attempt)
+                        .with("task", attempt.taskId())
+                        .with("attempt", attempt.attemptNumber)
                         .with("machine", machine.host)
                         .with("reason", task.exitReason()));
         applyExitReason(attempt, task);
@@ -62,7 +62,7 @@
             taskLosses.remove(attempt);
         }
         if (job.isComplete()) {
-            job.persistence.requestWrite(PersistenceState.WriteReason.IMMEDIATE);
+            job.persistence.requestWrite(PersistenceState.WriteUrgency.IMMEDIATE);
         }
         acknowledgements.add(machine, task, job.persistence.nextVersion());
     }
@@ -72,7 +72,7 @@
         switch (task.exitReason()) {
             case DONE -> {
                 if (!job.description.isService()) {
-                    job.markCompleted(attempt.index);
+                    job.markCompleted(attempt.taskIndex);
                 }
             }
             case ERROR -> onTaskFailed(job, attempt.machine);
@@ -87,19 +87,20 @@
     private void onRefused(TaskAttempt attempt, TaskStatus task) {
         state.log(
                 LogEntry.info(LogEvent.TASK_REFUSED)
-                        .with("task", attempt.task())
+                        .with("task", attempt.taskId())
                         .with("machine", attempt.machine.host)
                         .with("reason", task.exitReason()));
         attempt.machine.pausePlacementUntil(state.nowMicros() + RETRY_MICROS);
     }
 
     private void onTaskFailed(Job job, Machine machine) {
-        job.countFailure();
-        job.failedOn.add(machine.host);
+        job.countTaskFailure();
+        job.failedOnHosts.add(machine.host);
         machine.failedJobs.put(job.jobId(), state.nowMicros());
         quarantineIfFaulty(machine);
-        if (job.failedOn.size() > 1) {
-            long backoffMicros = RETRY_MICROS << Math.min(MAX_BACKOFF_DOUBLINGS, job.failures());
+        if (job.failedOnHosts.size() > 1) {
+            long backoffMicros =
+                    RETRY_MICROS << Math.min(MAX_BACKOFF_DOUBLINGS, job.taskFailureCount());
             job.placeNotBefore(state.nowMicros() + Math.min(MAX_BACKOFF_MICROS, backoffMicros));
         }
     }
@@ -127,7 +128,7 @@
     }
 
     private static boolean isFaulty(Job job) {
-        return job != null && job.failedOn.size() > MAX_FAILED_MACHINES_OF_HEALTHY_JOB;
+        return job != null && job.failedOnHosts.size() > MAX_FAILED_MACHINES_OF_HEALTHY_JOB;
     }
 
     /**
@@ -143,8 +144,8 @@
             stopOtherAttempt(job, task.task().index());
             job.persistence.requestWrite(
                     job.isComplete()
-                            ? PersistenceState.WriteReason.IMMEDIATE
-                            : PersistenceState.WriteReason.OUTCOME);
+                            ? PersistenceState.WriteUrgency.IMMEDIATE
+                            : PersistenceState.WriteUrgency.TASK_ENDED);
             acknowledgements.add(machine, task, job.persistence.nextVersion());
         } else {
             // There is nothing to write, so the exit can be acknowledged at once.
@@ -166,7 +167,7 @@
         if (other != null && other.wasNeverSent()) {
             taskLosses.remove(other);
         } else if (other != null) {
-            other.stop(0);
+            other.requestStop(0);
         }
     }
 }
--- a/src/main/java/org/woadloom/core/placement/WaitingJobsReport.java
+++ b/src/main/java/org/woadloom/core/placement/WaitingJobsReport.java
@@ -12,8 +12,8 @@
 import org.woadloom.core.reservation.Reservations;
 
 /**
- * Logs at intervals why the jobs that have waited longest wait, and which job of their team got
- * what came free last. Nothing is decided by it.
+ * Periodically logs the jobs that have waited longest, why each waits, and which job of its team
+ * was placed last. Informational only.
  */
 public final class WaitingJobsReport {
     private static final long INTERVAL_MICROS = 30_000_000;
@@ -23,23 +23,22 @@
     private final SchedulerState state;
     private final PlacementConstraints constraints;
     private final Reservations reservations;
-    private long nextMicros;
+    private long nextReportMicros;
 
-    /** A report on the jobs of this state's term. */
     public WaitingJobsReport(
             SchedulerState state, PlacementConstraints constraints, Reservations reservations) {
         this.state = state;
         this.constraints = constraints;
         this.reservations = reservations;
-        nextMicros = state.nowMicros() + INTERVAL_MICROS;
+        nextReportMicros = state.nowMicros() + INTERVAL_MICROS;
     }
 
-    /** To be called after a complete search for placements; reports where that is due. */
-    public void review() {
-        if (state.nowMicros() < nextMicros) {
+    /** Logs the report if it is due; called after each complete search for placements. */
+    public void logIfDue() {
+        if (state.nowMicros() < nextReportMicros) {
             return;
         }
-        nextMicros = state.nowMicros() + INTERVAL_MICROS;
+        nextReportMicros = state.nowMicros() + INTERVAL_MICROS;
         for (Job job : longestWaiting()) {
             log(job);
         }
@@ -48,7 +47,7 @@
     private List<Job> longestWaiting() {
         List<Job> waiting = new ArrayList<>();
         for (Job job : state.jobs().values()) {
-            if (job.pendingTasks() > 0
+            if (job.pendingTaskCount() > 0
                     && state.nowMicros() - job.waitingSinceMicros() > MIN_WAIT_MICROS) {
                 waiting.add(job);
             }
@@ -61,17 +60,17 @@
         state.log(
                 LogEntry.info(LogEvent.TASKS_PENDING)
                         .with("job", job.jobId())
-                        .with("team", job.team.team.name())
+                        .with("team", job.teamQuota.team.name())
                         .with("class", job.description.jobClass())
-                        .with("pending", job.pendingTasks())
+                        .with("pending", job.pendingTaskCount())
                         .with("task_cpus", job.description.cpus())
                         .with("reason", reason(job).text())
                         .withSeconds("waited_s", state.nowMicros() - job.waitingSinceMicros())
-                        .with("team_used_cpus", job.team.used().cpu() / Resources.UNITS)
-                        .with("last_placed_job", job.team.lastPlacedJobId()));
+                        .with("team_used_cpus", job.teamQuota.used().cpu() / Resources.SCALE)
+                        .with("last_placed_job", job.teamQuota.lastPlacedJobId()));
     }
 
-    /** Why the job's next task is not placed now. */
+    /** Returns why the job's next task is not placed now. */
     PendingReason reason(Job job) {
         if (!job.description.isService() && job.isBackingOff(state.nowMicros())) {
             return PendingReason.BACKING_OFF;
@@ -79,17 +78,17 @@
         if (job.placeNotBeforeMicros() > state.nowMicros()) {
             return PendingReason.RETRY_DELAY;
         }
-        Optional<PendingReason> atLimit = job.team.whyNotAllowed(job);
-        return atLimit.orElseGet(() -> reasonOnMachines(job));
+        Optional<PendingReason> quotaReason = job.teamQuota.quotaPendingReason(job);
+        return quotaReason.orElseGet(() -> machineReason(job));
     }
 
-    private PendingReason reasonOnMachines(Job job) {
-        boolean anyAccepts = false;
+    private PendingReason machineReason(Job job) {
+        boolean anyAcceptsTasks = false;
         for (Machine machine : state.machines().values()) {
             if (constraints.acceptsTasks(machine)
                     && constraints.allows(job, machine)
-                    && !job.failedOn.contains(machine.host)) {
-                anyAccepts = true;
+                    && !job.failedOnHosts.contains(machine.host)) {
+                anyAcceptsTasks = true;
                 if (reservations.unreserved(machine, job).contains(job.taskResources)) {
                     return job.description.isGang()
                             ? PendingReason.INCOMPLETE_GANG
@@ -97,6 +96,6 @@
                 }
             }
         }
-        return anyAccepts ? PendingReason.NO_FREE_MACHINE : PendingReason.NO_MACHINE;
+        return anyAcceptsTasks ? PendingReason.NO_FREE_MACHINE : PendingReason.NO_MACHINE;
     }
 }
--- a/src/main/java/org/woadloom/core/rollout/Feature.java
+++ b/src/main/java/org/woadloom/core/rollout/Feature.java
@@ -27,7 +27,7 @@
             false,
             false,
             Set.of(),
-            StoreKeys.JOBS,
+            StoreKeys.JOB_PREFIX,
             value -> JobRecord.formatOf(value) == RecordFormat.COMPACT),
     /** Nodes renew agents' leases by delegation while their zone is partitioned from the leader. */
     LEASE_DELEGATION(
@@ -49,7 +49,7 @@
             true,
             true,
             Set.of(),
-            StoreKeys.MACHINES,
+            StoreKeys.MACHINE_PREFIX,
             MachineRecord::hasLifecycle),
     /**
      * Nodes report the cancellations that they have confirmed to users to the leader, which can
--- a/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
+++ b/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
@@ -16,7 +16,7 @@
 import org.woadloom.core.rollout.RolloutPolicy.Inputs;
 import org.woadloom.store.NodeAnnouncement;
 import org.woadloom.store.RolloutRecord;
-import org.woadloom.store.RolloutRecord.Standing;
+import org.woadloom.store.RolloutRecord.FeatureState;
 import org.woadloom.store.RolloutRecord.Step;
 import org.woadloom.store.RolloutRequest;
 import org.woadloom.store.RolloutRequest.Verb;
@@ -71,7 +71,7 @@
 
     /** Progress of counting a feature's records, in the feature's current standing. */
     private static final class RecordCount {
-        Standing standing = Standing.OFF;
+        FeatureState standing = FeatureState.OFF;
         long sinceMicros;
         boolean inFlight;
         boolean verified;
@@ -97,7 +97,7 @@
         Map<String, Object> processes = new LinkedHashMap<>();
         newState.announcements()
                 .forEach((node, stored) -> processes.put(node, stored.announcement().processId()));
-        processes.put("unannounced", newState.unannounced());
+        processes.put("unannounced", newState.unannouncedNodes());
         if (!processes.equals(liveProcesses)) {
             liveProcesses = processes;
             stableSinceMicros = state.nowMicros();
@@ -128,10 +128,10 @@
             return;
         }
         lastReviewMicros = state.nowMicros();
-        if (latestState.refusals() - lastRefusals > MAX_REFUSALS_WHILE_STABLE) {
+        if (latestState.overloadSignals() - lastRefusals > MAX_REFUSALS_WHILE_STABLE) {
             stableSinceMicros = state.nowMicros();
         }
-        lastRefusals = latestState.refusals();
+        lastRefusals = latestState.overloadSignals();
         for (Feature feature : Feature.values()) {
             updateCount(feature);
         }
@@ -147,7 +147,7 @@
      */
     private void updateCount(Feature feature) {
         RecordCount count = counts.get(feature);
-        Standing standing = latestState.record().of(feature.key());
+        FeatureState standing = latestState.record().stateOf(feature.key());
         if (!standing.equals(count.standing)) {
             count.standing = standing;
             count.sinceMicros = state.nowMicros();
@@ -156,22 +156,22 @@
             count.notBeforeMicros = 0;
             migration.clear(feature);
         }
-        boolean migrating = standing.step() == Step.ON || standing.back();
+        boolean migrating = standing.step() == Step.ON || standing.isRollingBack();
         if (migrating
                 && !count.verified
                 && !count.inFlight
                 && migration.remaining(feature) == 0
                 && state.nowMicros() >= count.notBeforeMicros
-                && migration.hasNoOtherFormatWriteInFlight(feature, standing.on())) {
+                && migration.hasNoOtherFormatWriteInFlight(feature, standing.isOn())) {
             count.inFlight = true;
-            state.emit(new SchedulerAction.CountRecords(feature, standing.back()));
+            state.emit(new SchedulerAction.CountRecords(feature, standing.isRollingBack()));
         }
     }
 
     /** Handles a count of a feature's records, and queues the outdated ones for rewriting. */
     public void onRecordsCounted(SchedulerEvent.RecordsCounted result) {
         RecordCount count = counts.get(result.feature());
-        if (!count.inFlight || count.standing.back() != result.rollingBack()) {
+        if (!count.inFlight || count.standing.isRollingBack() != result.rollingBack()) {
             return;
         }
         count.inFlight = false;
@@ -204,7 +204,7 @@
      */
     private Set<String> allMembers() {
         Set<Set<String>> memberLists = new HashSet<>();
-        memberLists.add(new TreeSet<>(state.settings().nodes().keySet()));
+        memberLists.add(new TreeSet<>(state.settings().zoneByNode().keySet()));
         latestState
                 .announcements()
                 .values()
@@ -212,7 +212,7 @@
         Set<String> members = new TreeSet<>();
         memberLists.forEach(members::addAll);
         members.addAll(latestState.announcements().keySet());
-        members.addAll(latestState.unannounced());
+        members.addAll(latestState.unannouncedNodes());
         if (memberLists.size() > 1 && !members.equals(loggedMembers)) {
             loggedMembers = members;
             state.log(LogEntry.info(LogEvent.ROLLOUT_MEMBERS_DIFFER).with("members", memberLists));
@@ -246,21 +246,22 @@
                 .announcements()
                 .forEach(
                         (node, stored) ->
-                                conditions.put(StoreKeys.ROLLOUT_NODES + node, stored.revision()));
-        long agreedVersion = latestState.agreed();
+                                conditions.put(
+                                        StoreKeys.ROLLOUT_NODE_PREFIX + node, stored.revision()));
+        long agreedVersion = latestState.agreedVersion();
         for (Feature feature : Feature.values()) {
-            if (next.of(feature.key()).on()) {
+            if (next.stateOf(feature.key()).isOn()) {
                 agreedVersion = Math.max(agreedVersion, feature.agreedVersion());
             }
         }
-        if (agreedVersion > latestState.agreed()) {
-            conditions.put(StoreKeys.AGREED, latestState.agreedStamp());
+        if (agreedVersion > latestState.agreedVersion()) {
+            conditions.put(StoreKeys.AGREED_VERSION, latestState.agreedVersionRevision());
         }
         state.emit(
                 new SchedulerAction.WriteRollout(
                         next,
                         conditions,
-                        agreedVersion > latestState.agreed() ? agreedVersion : 0));
+                        agreedVersion > latestState.agreedVersion() ? agreedVersion : 0));
     }
 
     /**
@@ -281,11 +282,11 @@
                                 announcement ->
                                         announcement.consecutiveStarts() >= CRASH_LOOP_STARTS
                                                 && state.wallMicros()
-                                                                - announcement.sinceWallMicros()
+                                                                - announcement.startedWallMicros()
                                                         < CRASH_LOOP_WINDOW_MICROS);
         while (true) {
             RecordCount count = counts.get(feature);
-            boolean unchanged = next.of(feature.key()).equals(count.standing);
+            boolean unchanged = next.stateOf(feature.key()).equals(count.standing);
             boolean soaked =
                     unchanged
                             && state.nowMicros() - Math.max(count.sinceMicros, stableSinceMicros)
@@ -297,8 +298,8 @@
                                     next,
                                     members,
                                     announcements,
-                                    latestState.unannounced(),
-                                    latestState.agreed(),
+                                    latestState.unannouncedNodes(),
+                                    latestState.agreedVersion(),
                                     request.verb(),
                                     soaked,
                                     crashLooping,
@@ -311,26 +312,29 @@
                     state.log(
                             LogEntry.info(LogEvent.ROLLOUT_WAITING)
                                     .with("feature", feature.key())
-                                    .with("step", next.of(feature.key()).step().text())
+                                    .with("step", next.stateOf(feature.key()).step().text())
                                     .with("reason", decision.reason()));
                 }
                 return next;
             }
             String changedBy =
-                    state.settings().label()
+                    state.settings().nodeName()
                             + " in term "
                             + state.term()
                             + (request.verb() == Verb.AUTO
                                     ? ""
-                                    : ", " + request.verb().text() + " asked by " + request.by());
-            Standing target = decision.next();
+                                    : ", "
+                                            + request.verb().text()
+                                            + " asked by "
+                                            + request.operator());
+            FeatureState target = decision.next();
             next =
-                    next.with(
+                    next.withState(
                             feature.key(),
-                            new Standing(
+                            new FeatureState(
                                     target.step(),
-                                    target.back(),
-                                    target.held(),
+                                    target.isRollingBack(),
+                                    target.isHeld(),
                                     target.sinceWallMicros(),
                                     changedBy));
             pendingStepEntries.put(
@@ -338,7 +342,7 @@
                     LogEntry.info(LogEvent.ROLLOUT_STEP)
                             .with("feature", feature.key())
                             .with("step", target.step().text())
-                            .with("rolling_back", target.back())
+                            .with("rolling_back", target.isRollingBack())
                             .with("allowed_by", changedBy)
                             .with("reason", decision.reason()));
         }
@@ -346,7 +350,7 @@
 
     /** Logs the steps that were written. After any other outcome the state has to be read again. */
     public void onWriteCompleted(SchedulerEvent.RolloutWriteCompleted result) {
-        if (pendingRecord == null || result.number() != pendingRecord.number()) {
+        if (pendingRecord == null || result.recordNumber() != pendingRecord.number()) {
             return;
         }
         if (result.outcome() == SchedulerEvent.WriteOutcome.WRITTEN) {
--- a/src/main/java/org/woadloom/core/rollout/RecordMigration.java
+++ b/src/main/java/org/woadloom/core/rollout/RecordMigration.java
@@ -78,10 +78,10 @@
         // If the load uses up all writes, the migration still makes progress: it then takes about
         // an hour instead of minutes.
         double rate =
-                state.writeBudget().hasSpare()
+                state.writeBudget().hasSpareCapacity()
                         ? Math.max(
                                 MIN_REWRITES_PER_SECOND,
-                                state.writeBudget().perSecond()
+                                state.writeBudget().writesPerSecond()
                                         * state.settings().operator().rewriteShare())
                         : MIN_REWRITES_PER_SECOND;
         rewriteAllowance =
@@ -107,12 +107,12 @@
             Map.Entry<String, Long> entry = iterator.next();
             String key = entry.getKey();
             Job job =
-                    key.startsWith(StoreKeys.JOBS)
-                            ? state.jobs().get(key.substring(StoreKeys.JOBS.length()))
+                    key.startsWith(StoreKeys.JOB_PREFIX)
+                            ? state.jobs().get(key.substring(StoreKeys.JOB_PREFIX.length()))
                             : null;
             Machine machine =
-                    key.startsWith(StoreKeys.MACHINES)
-                            ? state.machines().get(key.substring(StoreKeys.MACHINES.length()))
+                    key.startsWith(StoreKeys.MACHINE_PREFIX)
+                            ? state.machines().get(key.substring(StoreKeys.MACHINE_PREFIX.length()))
                             : null;
             if ((job == null && machine == null)
                     || (job != null && job.persistence.durableVersion() >= entry.getValue())
@@ -126,16 +126,16 @@
 
     /** Returns false if the record no longer has to be rewritten. */
     private boolean startRewrite(Feature feature, String key) {
-        if (key.startsWith(StoreKeys.JOBS)) {
-            Job job = state.jobs().get(key.substring(StoreKeys.JOBS.length()));
+        if (key.startsWith(StoreKeys.JOB_PREFIX)) {
+            Job job = state.jobs().get(key.substring(StoreKeys.JOB_PREFIX.length()));
             if (job == null) {
                 return false;
             }
             inFlight.get(feature).put(key, job.persistence.nextVersion());
-            job.persistence.requestWrite(PersistenceState.WriteReason.PHASE);
+            job.persistence.requestWrite(PersistenceState.WriteUrgency.TASK_PROGRESS);
             return true;
         }
-        Machine machine = state.machines().get(key.substring(StoreKeys.MACHINES.length()));
+        Machine machine = state.machines().get(key.substring(StoreKeys.MACHINE_PREFIX.length()));
         if (machine == null || machine.isDeleted() || !machine.isRecorded()) {
             return false;
         }
--- a/src/main/java/org/woadloom/core/rollout/RolloutPolicy.java
+++ b/src/main/java/org/woadloom/core/rollout/RolloutPolicy.java
@@ -5,7 +5,7 @@
 import java.util.TreeSet;
 import org.woadloom.store.NodeAnnouncement;
 import org.woadloom.store.RolloutRecord;
-import org.woadloom.store.RolloutRecord.Standing;
+import org.woadloom.store.RolloutRecord.FeatureState;
 import org.woadloom.store.RolloutRecord.Step;
 import org.woadloom.store.RolloutRequest.Verb;
 
@@ -70,7 +70,7 @@
      * @param next the feature's new standing, or null if it stays as it is
      * @param reason why it moves, or what it waits for
      */
-    public record Decision(Standing next, String reason) {
+    public record Decision(FeatureState next, String reason) {
         static Decision waiting(String reason) {
             return new Decision(null, reason);
         }
@@ -78,8 +78,8 @@
 
     /** Decides whether the feature moves to another step, and to which. */
     public static Decision decide(Feature feature, Inputs inputs, long wallMicros) {
-        Standing current = inputs.record.of(feature.key());
-        if (!current.on()
+        FeatureState current = inputs.record.stateOf(feature.key());
+        if (!current.isOn()
                 && feature.agreedVersion() > 0
                 && inputs.agreedVersion >= feature.agreedVersion()) {
             return moveTo(
@@ -91,7 +91,7 @@
         }
         boolean held =
                 inputs.requested != Verb.GO
-                        && (current.held()
+                        && (current.isHeld()
                                 || (inputs.crashLooping
                                         && current.step() == Step.ON
                                         && feature.canBeRolledBack()
@@ -122,13 +122,13 @@
     private static Decision switchOn(
             Feature feature,
             Inputs inputs,
-            Standing current,
+            FeatureState current,
             Set<String> lacking,
             long wallMicros) {
         if (!lacking.isEmpty()) {
             // While the feature is being rolled back there may be records in its format, so nodes
             // that can't read them must not serve.
-            return current.back()
+            return current.isRollingBack()
                     ? Decision.waiting("can't be read by " + lacking)
                     : moveTo(
                             Step.OFF,
@@ -143,7 +143,7 @@
                     "can't be used by " + unable + ", because of settings or release");
         }
         for (String needed : feature.prerequisites()) {
-            if (!inputs.record.of(needed).on()) {
+            if (!inputs.record.stateOf(needed).isOn()) {
                 return Decision.waiting("requires " + needed + ", which is not on");
             }
         }
@@ -176,7 +176,7 @@
     }
 
     private static Decision rollBack(
-            Feature feature, Inputs inputs, Standing current, boolean held, long wallMicros) {
+            Feature feature, Inputs inputs, FeatureState current, boolean held, long wallMicros) {
         String reason =
                 held ? "held, because a node was in a crash loop" : "requested by an operator";
         return switch (current.step()) {
@@ -188,17 +188,17 @@
                 }
                 for (Feature other : Feature.values()) {
                     if (other.prerequisites().contains(feature.key())
-                            && inputs.record.of(other.key()).required()) {
+                            && inputs.record.stateOf(other.key()).isRequired()) {
                         yield Decision.waiting("required by " + other.key());
                     }
                 }
                 yield moveTo(Step.UNDERSTOOD, true, held, wallMicros, reason);
             }
             case UNDERSTOOD -> {
-                if (current.back() && inputs.recordsToRewrite > 0) {
+                if (current.isRollingBack() && inputs.recordsToRewrite > 0) {
                     yield Decision.waiting("records have to be rewritten");
                 }
-                if (current.back() && !inputs.rewriteVerified) {
+                if (current.isRollingBack() && !inputs.rewriteVerified) {
                     yield Decision.waiting("records have to be counted");
                 }
                 yield moveTo(Step.OFF, false, held, wallMicros, reason);
@@ -208,6 +208,6 @@
 
     private static Decision moveTo(
             Step step, boolean back, boolean held, long wallMicros, String reason) {
-        return new Decision(new Standing(step, back, held, wallMicros, reason), reason);
+        return new Decision(new FeatureState(step, back, held, wallMicros, reason), reason);
     }
 }
--- a/src/main/java/org/woadloom/http/ConnectionLimiter.java
+++ b/src/main/java/org/woadloom/http/ConnectionLimiter.java
@@ -66,22 +66,22 @@
     }
 
     /** How many connections are open whose last request was an agent's. */
-    public int agents() {
+    public int agentConnections() {
         return agents;
     }
 
     /** How many other connections are open. */
-    public int users() {
+    public int userConnections() {
         return users;
     }
 
     /** Idle connections of users that were closed, since the process began. */
-    public long closed() {
+    public long closedIdleConnections() {
         return closed;
     }
 
     /** Requests that were refused for want of sockets, since the process began. */
-    public long refused() {
+    public long refusedRequests() {
         return refused;
     }
 
@@ -89,7 +89,7 @@
      * Connections of agents that were closed with their answer for want of sockets, since the
      * process began.
      */
-    public long closedWorkers() {
+    public long closedAgentConnections() {
         return closedAgents;
     }
 
@@ -118,7 +118,7 @@
             count(ofAgent, 1);
         }
         idleUsers.remove(tracked);
-        if (total() > budget.comfortable()) {
+        if (total() > budget.inboundHighWatermark()) {
             closeLongestIdle();
         }
         boolean accepted = total() <= budget.inbound();
@@ -136,13 +136,13 @@
      */
     boolean shouldCloseAfter(HttpServerExchange exchange, BooleanSupplier needsNothing) {
         TrackedConnection tracked = exchange.getConnection().getAttachment(TRACKED);
-        if (tracked == null || total() <= budget.comfortable()) {
+        if (tracked == null || total() <= budget.inboundHighWatermark()) {
             return false;
         }
         if (!tracked.ofAgent) {
             return true;
         }
-        boolean closes = budget.closesWorker(total(), needsNothing.getAsBoolean());
+        boolean closes = budget.closesAgentConnection(total(), needsNothing.getAsBoolean());
         if (closes) {
             closedAgents++;
         }
@@ -174,7 +174,7 @@
 
     private void closeLongestIdle() {
         long idleBeforeMicros = loop.nowMicros() - MIN_IDLE_MICROS;
-        while (total() > budget.comfortable() && !idleUsers.isEmpty()) {
+        while (total() > budget.inboundHighWatermark() && !idleUsers.isEmpty()) {
             TrackedConnection longestIdle = idleUsers.iterator().next();
             if (longestIdle.idleSinceMicros > idleBeforeMicros) {
                 return;
--- a/src/main/java/org/woadloom/leader/RecordWriter.java
+++ b/src/main/java/org/woadloom/leader/RecordWriter.java
@@ -27,24 +27,24 @@
     private static final long NO_REVISION = 0;
 
     /** One record's write: conditions and changes that belong together. */
-    public record Write(List<Condition> conditions, List<Change> changes, Outcome callback) {
+    public record Write(List<Condition> conditions, List<Change> changes, WriteCallback callback) {
         /** About how many bytes of a transaction it takes. */
         int size() {
             int size = 0;
             for (Change change : changes) {
-                size += CHANGE_OVERHEAD_BYTES + Cbor.jsonSize(change.value());
+                size += CHANGE_OVERHEAD_BYTES + Cbor.maxJsonSize(change.value());
             }
             return size;
         }
 
         boolean hasCondition(List<String> failedKeys) {
-            return conditions.stream().anyMatch(condition -> failedKeys.contains(condition.path()));
+            return conditions.stream().anyMatch(condition -> failedKeys.contains(condition.key()));
         }
     }
 
     /** Receives the outcome of a write. */
     /** Is told what became of one write. */
-    public interface Outcome {
+    public interface WriteCallback {
         /**
          * The write was answered, or never will be.
          *
@@ -90,7 +90,7 @@
         for (Write write : writes) {
             int size = write.size();
             if (!batch.isEmpty()
-                    && (ops + write.changes.size() > limits.txnOps()
+                    && (ops + write.changes.size() > limits.maxTransactionChanges()
                             || bytes + size > MAX_TRANSACTION_BYTES)) {
                 writeBatch(priority, batch);
                 batch = new ArrayList<>();
@@ -143,8 +143,8 @@
      */
     private static String proofKey(List<Change> changes) {
         for (Change change : changes) {
-            if (change.path().startsWith(StoreKeys.JOBS) && change.value() != null) {
-                return change.path();
+            if (change.key().startsWith(StoreKeys.JOB_PREFIX) && change.value() != null) {
+                return change.key();
             }
         }
         return null;
@@ -162,7 +162,7 @@
         }
         int largest = 0;
         for (Change change : changes) {
-            largest = Math.max(largest, Cbor.jsonSize(change.value()));
+            largest = Math.max(largest, Cbor.maxJsonSize(change.value()));
         }
         limits.onValueRefused(largest);
         batch.get(0).callback.onWritten(WriteOutcome.TOO_LARGE, NO_REVISION);
@@ -191,8 +191,8 @@
     }
 
     /** A put of one key on condition of its revision. */
-    public static Write put(
-            String key, Map<String, Object> value, long revision, Outcome callback) {
+    public static Write conditionalPut(
+            String key, Map<String, Object> value, long revision, WriteCallback callback) {
         return new Write(
                 List.of(new Condition(key, revision)), List.of(Change.put(key, value)), callback);
     }
--- a/src/main/java/org/woadloom/node/CancellationConfirmer.java
+++ b/src/main/java/org/woadloom/node/CancellationConfirmer.java
@@ -24,7 +24,7 @@
  * of this node. In return a leader goes on without the store as long as all nodes send watermark
  * reports of what they have confirmed. Belongs to the event loop.
  */
-final class CancellationConfirmer implements JobApi.Confirmation {
+final class CancellationConfirmer implements JobApi.CancellationConfirmation {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationConfirmer.class);
     private static final long RELEASE_INTERVAL_MICROS = 50_000;
 
@@ -104,7 +104,7 @@
                         DelegationTimeouts.of(
                                         settings.agents().leaseMicros(),
                                         settings.agents().cancelMicros())
-                                .delegationMicros());
+                                .validityMicros());
         confirmed = new ConfirmedCancellations(random.nextLong(), peers, loop.nowMicros());
     }
 
@@ -285,7 +285,7 @@
             LOG.warn(
                     "event=lease_renewal_suspended cancellations_behind_s={} missing_reports={}",
                     behind / 1_000_000,
-                    watermark.laggards(view.cancellationsReadUpToMicros()));
+                    watermark.slowestNodes(view.cancellationsReadUpToMicros()));
         }
         return true;
     }
--- a/src/main/java/org/woadloom/node/MachineTypeCatalog.java
+++ b/src/main/java/org/woadloom/node/MachineTypeCatalog.java
@@ -21,7 +21,7 @@
  * The machine types that the cloud offers. They are read when the node starts: from the cloud or,
  * while that does not answer, as another node stored them.
  */
-final class MachineTypeCatalog implements JobApi.Types {
+final class MachineTypeCatalog implements JobApi.MachineTypeSource {
     private static final long RETRY_MICROS = 1_000_000;
 
     /** The stored field that holds the list of types. */
@@ -41,13 +41,13 @@
     }
 
     @Override
-    public List<MachineType> current() {
+    public List<MachineType> currentTypes() {
         return types;
     }
 
     @Override
     public void refresh(Consumer<Boolean> onAnswered) {
-        cloud.types(
+        cloud.listMachineTypes(
                 found -> {
                     boolean answered = isAnswer(found);
                     if (answered) {
@@ -59,7 +59,7 @@
 
     /** Reads the types, and repeats that until the cloud has answered. */
     void start() {
-        cloud.types(
+        cloud.listMachineTypes(
                 found -> {
                     if (isAnswer(found)) {
                         update(found);
@@ -82,7 +82,7 @@
     private void readStored() {
         store.get(
                 RequestPriority.NORMAL,
-                StoreKeys.TYPES,
+                StoreKeys.MACHINE_TYPES,
                 (result, entry, storeRevision) -> {
                     if (result == Result.OK && types.isEmpty()) {
                         updateFromStored(entry);
@@ -95,7 +95,7 @@
         try {
             update(MachineType.parseAll(entry.value()));
         } catch (MalformedMessageException e) {
-            UnreadableRecords.log(StoreKeys.TYPES, e);
+            UnreadableRecords.log(StoreKeys.MACHINE_TYPES, e);
         }
     }
 
@@ -107,7 +107,7 @@
         store.txn(
                 RequestPriority.BACKGROUND,
                 List.of(),
-                List.of(Change.put(StoreKeys.TYPES, ImmutableMap.of(STORED_TYPES, items))),
+                List.of(Change.put(StoreKeys.MACHINE_TYPES, ImmutableMap.of(STORED_TYPES, items))),
                 (result, storeRevision, failed) -> {});
     }
 }
--- a/src/main/java/org/woadloom/node/NodeGauges.java
+++ b/src/main/java/org/woadloom/node/NodeGauges.java
@@ -34,15 +34,15 @@
         metrics.gauge("woadloom.invariants.violated", metrics, ignored -> Invariants.violations());
         metrics.gauge("woadloom.alone", node, n -> n.isIsolated() ? 1 : 0);
         metrics.gauge("woadloom.leader", election, e -> e.isLeader() ? 1 : 0);
-        metrics.gauge("woadloom.term", election, Election::knownTerm);
+        metrics.gauge("woadloom.term", election, Election::leaderTerm);
     }
 
     static void registerStore(NodeMetrics metrics, StoreClient store) {
-        metrics.gauge("woadloom.state.troubles", store, StoreClient::failures);
-        metrics.gauge("woadloom.state.shed", store, StoreClient::shed);
+        metrics.gauge("woadloom.state.troubles", store, StoreClient::failureCount);
+        metrics.gauge("woadloom.state.shed", store, StoreClient::shedCount);
         for (RateShare share : RateShare.values()) {
             String name = share.name().toLowerCase(Locale.ROOT);
-            metrics.gauge("woadloom.state.queued", "share", name, store, s -> s.queued(share));
+            metrics.gauge("woadloom.state.queued", "share", name, store, s -> s.queuedCount(share));
             metrics.gauge(
                     "woadloom.state.queue_age_s",
                     "share",
@@ -54,17 +54,17 @@
 
     static void registerScheduler(
             NodeMetrics metrics, Scheduler scheduler, RolloutParticipant rollout) {
-        metrics.gauge("woadloom.jobs", scheduler, Scheduler::jobs);
-        metrics.gauge("woadloom.machines", scheduler, Scheduler::machines);
-        metrics.gauge("woadloom.machines.deaf", scheduler, Scheduler::unreachableMachines);
+        metrics.gauge("woadloom.jobs", scheduler, Scheduler::openJobCount);
+        metrics.gauge("woadloom.machines", scheduler, Scheduler::machineCount);
+        metrics.gauge("woadloom.machines.deaf", scheduler, Scheduler::unreachableMachineCount);
         metrics.gauge("woadloom.core.machines_examined", scheduler, Scheduler::machinesExamined);
-        metrics.gauge("woadloom.jobs.waiting", scheduler, Scheduler::blockedJobs);
+        metrics.gauge("woadloom.jobs.waiting", scheduler, Scheduler::blockedJobCount);
         metrics.gauge("woadloom.rollout.number", rollout, RolloutParticipant::number);
         metrics.gauge("woadloom.rollout.on", rollout, RolloutParticipant::enabledCount);
-        metrics.gauge("woadloom.rollout.rewrite", scheduler, Scheduler::recordsToMigrate);
-        metrics.gauge("woadloom.rollout.unreadable", scheduler, Scheduler::unreadableRecords);
+        metrics.gauge("woadloom.rollout.rewrite", scheduler, Scheduler::recordsToMigrateCount);
+        metrics.gauge("woadloom.rollout.unreadable", scheduler, Scheduler::unreadableRecordCount);
         metrics.gauge("woadloom.rollout.closed", rollout, r -> r.closedReason() == null ? 0 : 1);
-        metrics.gauge("woadloom.reservations", scheduler, Scheduler::reservations);
+        metrics.gauge("woadloom.reservations", scheduler, Scheduler::reservationCount);
     }
 
     static void registerCancellations(NodeMetrics metrics, CancellationConfirmer confirmations) {
@@ -86,9 +86,12 @@
             HeartbeatRouter heartbeats,
             PeerTracker peers,
             AgentConnectionBalancer connectionBalancer) {
-        metrics.gauge("woadloom.reports.queue_full", queue, EventQueue::refused);
+        metrics.gauge("woadloom.reports.queue_full", queue, EventQueue::refusedHeartbeats);
         metrics.gauge("woadloom.reports.parked_full", heartbeats, HeartbeatRouter::refused);
         metrics.gauge("woadloom.peers.queue_full", peers, PeerTracker::refused);
-        metrics.gauge("woadloom.workers.here", connectionBalancer, AgentConnectionBalancer::size);
+        metrics.gauge(
+                "woadloom.workers.here",
+                connectionBalancer,
+                AgentConnectionBalancer::connectedAgents);
     }
 }
--- a/src/main/java/org/woadloom/node/Server.java
+++ b/src/main/java/org/woadloom/node/Server.java
@@ -46,7 +46,8 @@
         ByteBufferPool buffers = new DefaultByteBufferPool(true, BUFFER_BYTES, 256, 4);
         XnioEventLoop loop = new XnioEventLoop(thread);
         SocketBudget plan = SocketBudget.of(settings);
-        UndertowTransport transport = new UndertowTransport(loop, thread, buffers, plan.idle());
+        UndertowTransport transport =
+                new UndertowTransport(loop, thread, buffers, plan.idleConnections());
         // Not by clocks alone: one that stood still, or was set back, would make a process take
         // itself for the one before.
         Random random = new Random(new SecureRandom().nextLong());
@@ -79,14 +80,14 @@
                     LOG.info(
                             "event=sockets workers={} users={} max={} outbound={} outbound_idle={}"
                                     + " peers={} idle_users_closed={} requests_refused={}",
-                            connections.agents(),
-                            connections.users(),
+                            connections.agentConnections(),
+                            connections.userConnections(),
                             plan.inbound(),
-                            transport.open(),
-                            transport.idle(),
-                            peers.open(),
-                            connections.closed(),
-                            connections.refused());
+                            transport.openConnectionCount(),
+                            transport.idleConnectionCount(),
+                            peers.openConnectionCount(),
+                            connections.closedIdleConnections(),
+                            connections.refusedRequests());
                     logSockets(loop, plan, connections, transport, peers);
                 });
     }
@@ -97,16 +98,23 @@
             ConnectionLimiter connections,
             UndertowTransport transport,
             XnioPeerTransport peers) {
-        metrics.gauge("woadloom.sockets.workers", connections, ConnectionLimiter::agents);
-        metrics.gauge("woadloom.sockets.users", connections, ConnectionLimiter::users);
+        metrics.gauge("woadloom.sockets.workers", connections, ConnectionLimiter::agentConnections);
+        metrics.gauge("woadloom.sockets.users", connections, ConnectionLimiter::userConnections);
         metrics.gauge("woadloom.sockets.inbound.most", plan, SocketBudget::inbound);
-        metrics.gauge("woadloom.sockets.outbound", transport, UndertowTransport::open);
-        metrics.gauge("woadloom.sockets.outbound.idle", transport, UndertowTransport::idle);
-        metrics.gauge("woadloom.sockets.peers", peers, XnioPeerTransport::open);
-        metrics.gauge("woadloom.peers.dropped", peers, XnioPeerTransport::refused);
-        metrics.gauge("woadloom.sockets.closed", connections, ConnectionLimiter::closed);
         metrics.gauge(
-                "woadloom.sockets.closed_workers", connections, ConnectionLimiter::closedWorkers);
-        metrics.gauge("woadloom.sockets.refused", connections, ConnectionLimiter::refused);
+                "woadloom.sockets.outbound", transport, UndertowTransport::openConnectionCount);
+        metrics.gauge(
+                "woadloom.sockets.outbound.idle",
+                transport,
+                UndertowTransport::idleConnectionCount);
+        metrics.gauge("woadloom.sockets.peers", peers, XnioPeerTransport::openConnectionCount);
+        metrics.gauge("woadloom.peers.dropped", peers, XnioPeerTransport::droppedMessageCount);
+        metrics.gauge(
+                "woadloom.sockets.closed", connections, ConnectionLimiter::closedIdleConnections);
+        metrics.gauge(
+                "woadloom.sockets.closed_workers",
+                connections,
+                ConnectionLimiter::closedAgentConnections);
+        metrics.gauge("woadloom.sockets.refused", connections, ConnectionLimiter::refusedRequests);
     }
 }
--- a/src/main/java/org/woadloom/peer/PeerCodec.java
+++ b/src/main/java/org/woadloom/peer/PeerCodec.java
@@ -15,29 +15,32 @@
 import org.woadloom.core.delegation.PeerStatus;
 
 /**
- * Messages between nodes as Kryo writes them; only the registered classes can be read. Used by one
- * thread.
+ * Encodes and decodes messages between nodes with Kryo. Only registered classes can be decoded. Not
+ * thread-safe.
  */
 public final class PeerCodec {
-    /** The longest frame behind its length; a longer one ends the connection. */
+    /** Maximum frame size without the length prefix; a longer frame closes the connection. */
     static final int MAX_FRAME_BYTES = 256 * 1024;
 
-    /** One heartbeat or record: a body has 64 KiB at most, whatever the fleet. */
-    private static final int MAX_FIELD_BYTES = 128 * 1024;
+    /**
+     * Maximum size of one heartbeat or record. The body of a request has 64 KiB at most, regardless
+     * of the fleet size.
+     */
+    private static final int MAX_BYTE_ARRAY_LENGTH = 128 * 1024;
 
-    /** Far more features than any version knows. */
+    /** Maximum number of features in a list, far more than any release has. */
     private static final int MAX_FEATURES = 100;
 
     /**
-     * Twice what {@code ConfirmedCancellations} sends at most; with the longest ids a frame still
-     * holds that.
+     * Maximum number of job ids in a report: twice what {@code ConfirmedCancellations} sends. With
+     * the longest ids such a report still fits into a frame.
      */
-    private static final int MAX_JOBS = 4_000;
+    private static final int MAX_JOB_IDS = 4_000;
 
-    /** The smallest size of the buffer into which a message is written. */
+    /** Initial size of the buffer for encoding a message. */
     private static final int BUFFER_BYTES = 256;
 
-    // The numbers by which frames name their class. They never change, and none is used anew.
+    // Class ids in frames. They never change, and ids of removed messages are never reused.
     private static final int HELLO_ID = 10;
     private static final int PING_ID = 11;
     private static final int JOB_CHANGE_ID = 13;
@@ -50,7 +53,7 @@
 
     private final Kryo kryo = new Kryo();
 
-    /** Creates a codec that knows all messages of {@link PeerMessage}. */
+    /** Creates a codec for all messages of {@link PeerMessage}. */
     public PeerCodec() {
         kryo.setRegistrationRequired(true);
         kryo.setReferences(false);
@@ -62,7 +65,7 @@
                 PeerCodec::writeJobChange,
                 PeerCodec::readJobChange);
         register(
-                PeerMessage.ForwardHeartbeat.class,
+                PeerMessage.ForwardedHeartbeat.class,
                 FORWARD_HEARTBEAT_ID,
                 PeerCodec::writeForwardHeartbeat,
                 PeerCodec::readForwardHeartbeat);
@@ -106,17 +109,17 @@
         out.writeString(message.leader());
         PeerMessage.RolloutView view = message.rollout();
         if (view != null) {
-            out.writeLong(view.number());
-            writeTexts(out, view.on());
-            writeTexts(out, view.requires());
-            writeTexts(out, view.reads());
+            out.writeLong(view.recordNumber());
+            writeStrings(out, view.enabledFeatures());
+            writeStrings(out, view.requiredFeatures());
+            writeStrings(out, view.supportedFeatures());
         }
     }
 
     private static PeerMessage.Ping readPing(Input in) {
         long term = in.readLong();
         String leader = in.readString();
-        // Releases up to 3 send nothing more.
+        // Releases up to 3 do not send the rollout view.
         boolean isAtEnd = in.position() == in.limit();
         return new PeerMessage.Ping(term, leader, isAtEnd ? null : readRolloutView(in));
     }
@@ -124,9 +127,9 @@
     private static PeerMessage.RolloutView readRolloutView(Input in) {
         return new PeerMessage.RolloutView(
                 in.readLong(),
-                readTexts(in, MAX_FEATURES),
-                readTexts(in, MAX_FEATURES),
-                readTexts(in, MAX_FEATURES));
+                readStrings(in, MAX_FEATURES),
+                readStrings(in, MAX_FEATURES),
+                readStrings(in, MAX_FEATURES));
     }
 
     private static void writeJobChange(Output out, PeerMessage.JobChangeNotification message) {
@@ -139,13 +142,13 @@
         return new PeerMessage.JobChangeNotification(readBytes(in), revision);
     }
 
-    private static void writeForwardHeartbeat(Output out, PeerMessage.ForwardHeartbeat message) {
+    private static void writeForwardHeartbeat(Output out, PeerMessage.ForwardedHeartbeat message) {
         out.writeLong(message.id());
         writeBytes(out, message.heartbeat());
     }
 
-    private static PeerMessage.ForwardHeartbeat readForwardHeartbeat(Input in) {
-        return new PeerMessage.ForwardHeartbeat(in.readLong(), readBytes(in));
+    private static PeerMessage.ForwardedHeartbeat readForwardHeartbeat(Input in) {
+        return new PeerMessage.ForwardedHeartbeat(in.readLong(), readBytes(in));
     }
 
     private static void writeForwardedAnswer(Output out, PeerMessage.ForwardedAnswer message) {
@@ -208,10 +211,10 @@
                 report.term(),
                 report.processId(),
                 report.sentMicros(),
-                report.sinceMicros(),
+                report.completeSinceMicros(),
                 report.echoedLeaderClockMicros(),
                 report.promiseMicros());
-        writeTexts(out, report.jobIds());
+        writeStrings(out, report.jobIds());
     }
 
     private static PeerMessage.CancellationReport readCancellationReport(Input in) {
@@ -223,7 +226,7 @@
                         in.readLong(),
                         in.readLong(),
                         in.readLong(),
-                        readTexts(in, MAX_JOBS)));
+                        readStrings(in, MAX_JOB_IDS)));
     }
 
     private static void writeCancellationReportAck(
@@ -262,21 +265,22 @@
         }
     }
 
-    private static void writeTexts(Output out, List<String> texts) {
-        out.writeInt(texts.size());
-        texts.forEach(out::writeString);
+    private static void writeStrings(Output out, List<String> strings) {
+        out.writeInt(strings.size());
+        strings.forEach(out::writeString);
     }
 
-    private static List<String> readTexts(Input in, int maxCount) {
+    private static List<String> readStrings(Input in, int maxCount) {
         int count = in.readInt();
         if (count < 0 || count > maxCount) {
-            throw new KryoException("a list of " + count + " texts");
+            throw new KryoException(
+                    "string list of length " + count + ", expected 0 to " + maxCount);
         }
-        List<String> texts = new ArrayList<>();
+        List<String> strings = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            texts.add(in.readString());
+            strings.add(in.readString());
         }
-        return texts;
+        return strings;
     }
 
     private static void writeBytes(Output out, byte[] bytes) {
@@ -286,13 +290,14 @@
 
     private static byte[] readBytes(Input in) {
         int length = in.readInt();
-        if (length < 0 || length > MAX_FIELD_BYTES) {
-            throw new KryoException("a field of " + length + " bytes");
+        if (length < 0 || length > MAX_BYTE_ARRAY_LENGTH) {
+            throw new KryoException(
+                    "byte array of length " + length + ", expected 0 to " + MAX_BYTE_ARRAY_LENGTH);
         }
         return in.readBytes(length);
     }
 
-    /** The frame of a message: its length, then what Kryo writes. */
+    /** Encodes a message as a frame: its length, then the Kryo encoding. */
     public byte[] encode(PeerMessage message) {
         Output out = new Output(BUFFER_BYTES, MAX_FRAME_BYTES);
         out.writeInt(0);
@@ -304,7 +309,7 @@
         return out.toBytes();
     }
 
-    /** Reads the message in a frame, without the frame's length. */
+    /** Decodes the message in a frame without its length prefix. */
     public PeerMessage decode(byte[] frame) throws PeerFormatException {
         try {
             Object message = kryo.readClassAndObject(new Input(frame));
@@ -312,8 +317,8 @@
                 return known;
             }
         } catch (KryoException | IllegalArgumentException | IndexOutOfBoundsException e) {
-            throw new PeerFormatException("not a message of a peer: " + e.getMessage());
+            throw new PeerFormatException("cannot decode peer message: " + e.getMessage());
         }
-        throw new PeerFormatException("not a message of a peer");
+        throw new PeerFormatException("frame of " + frame.length + " bytes is not a peer message");
     }
 }
--- a/src/main/java/org/woadloom/store/InFlightRequests.java
+++ b/src/main/java/org/woadloom/store/InFlightRequests.java
@@ -2,47 +2,45 @@
 
 import java.util.ArrayDeque;
 
-/**
- * The requests that have been sent and have no answer yet, in the order in which they were sent.
- */
+/** Requests that were sent and are not answered yet, in sending order. */
 final class InFlightRequests {
-    private final ArrayDeque<Sent> requests = new ArrayDeque<>();
+    private final ArrayDeque<SentRequest> requests = new ArrayDeque<>();
     private long lastSentNumber;
 
-    /** The number of the last one sent of those that were answered. */
+    /** Highest number among the answered requests. Requests are numbered in sending order. */
     private long lastAnsweredNumber;
 
-    /** One request on its way. */
-    static final class Sent {
+    /** A request that was sent. */
+    static final class SentRequest {
         private final long number;
         private final long sentMicros;
         private boolean isAnswered;
 
-        private Sent(long number, long sentMicros) {
+        private SentRequest(long number, long sentMicros) {
             this.number = number;
             this.sentMicros = sentMicros;
         }
 
-        /** True once it was answered or its time-out has passed. */
+        /** Returns true once the request was answered or has timed out. */
         boolean isAnswered() {
             return isAnswered;
         }
     }
 
-    /** Adds a request that is sent now. */
-    Sent add(long nowMicros) {
+    /** Registers a request that is sent now. */
+    SentRequest add(long nowMicros) {
         lastSentNumber++;
-        Sent request = new Sent(lastSentNumber, nowMicros);
+        SentRequest request = new SentRequest(lastSentNumber, nowMicros);
         requests.addLast(request);
         return request;
     }
 
     /**
-     * Removes a request whose answer or time-out came.
+     * Removes a request that was answered or has timed out.
      *
-     * @param hasAnswer false for a time-out or a broken connection
+     * @param hasAnswer false for a timeout or a broken connection
      */
-    void onAnswered(Sent request, boolean hasAnswer) {
+    void onAnswered(SentRequest request, boolean hasAnswer) {
         request.isAnswered = true;
         requests.remove(request);
         if (hasAnswer) {
@@ -50,28 +48,31 @@
         }
     }
 
-    /** True if a request that was sent later has been answered. */
-    boolean isOvertaken(Sent request) {
+    /** Returns true if a request that was sent later has already been answered. */
+    boolean isOvertaken(SentRequest request) {
         return request.number < lastAnsweredNumber;
     }
 
-    /** How many have no answer yet, the overtaken ones among them. */
+    /** Returns the number of unanswered requests, including overtaken ones. */
     int size() {
         return requests.size();
     }
 
-    /** How many may still be answered: those that were not overtaken long ago. */
-    int awaitedCount(long nowMicros) {
+    /**
+     * Returns the number of requests whose answer is still expected, that is, without those that
+     * were overtaken and are older than {@link StoreRequestPolicy#OVERTAKEN_MICROS}.
+     */
+    int expectedAnswerCount(long nowMicros) {
         int count = 0;
-        for (Sent request : requests) {
-            if (!isGivenUp(request, nowMicros)) {
+        for (SentRequest request : requests) {
+            if (!isNoLongerExpected(request, nowMicros)) {
                 count++;
             }
         }
         return count;
     }
 
-    private boolean isGivenUp(Sent request, long nowMicros) {
+    private boolean isNoLongerExpected(SentRequest request, long nowMicros) {
         return isOvertaken(request)
                 && nowMicros - request.sentMicros > StoreRequestPolicy.OVERTAKEN_MICROS;
     }
--- a/src/main/java/org/woadloom/store/RequestScheduler.java
+++ b/src/main/java/org/woadloom/store/RequestScheduler.java
@@ -5,38 +5,39 @@
 import java.util.stream.Stream;
 
 /**
- * Decides which request to the store is sent next, under a node's part of the store's two rates: of
- * requests, and of changes.
+ * Chooses the next request to send to the store, within this node's part of the store's two rate
+ * limits: requests per second and changes per second.
  *
- * <p>Control requests (elections, renewals of the leader's key, proofs of leadership) go first.
- * They are few, and may run into a reserve of each rate that nobody else touches; the others make
- * up for it later. Behind a backlog of users the leader's key would expire, and nobody could be
- * elected before the backlog was gone.
+ * <p>Control requests (elections, renewals of the leader's key, leadership checks) are sent first.
+ * They are few and may overdraw each rate by a reserve that no other request may use; the other
+ * requests then wait until the overdraft is repaid. Without this, a backlog of user requests would
+ * let the leader's key expire and block the election of a new leader until the backlog had drained.
  *
- * <p>Everybody else gets the shares of {@link RateShare}. A change that waits for its rate holds
- * back other changes, so that a large one is not overtaken for ever, but no reads.
+ * <p>All other requests get the weighted shares of {@link RateShare}. A change that waits for its
+ * rate also holds back later changes, so that small changes cannot starve a large one. It does not
+ * hold back reads.
  */
 final class RequestScheduler<T> {
-    /** Stands for a wait without end, as there is nothing to be sent. */
-    static final long NOTHING_WAITS = Long.MAX_VALUE;
+    /** Wait time returned when no queued request waits for a rate. */
+    static final long NO_WAITING_REQUEST = Long.MAX_VALUE;
 
     private static final double MICROS_PER_SECOND = 1e6;
 
-    /** The reserve of control requests, in seconds of the whole rate. */
+    /** Reserve of control requests, as seconds' worth of the whole rate. */
     private static final double CONTROL_RESERVE_SECONDS = 0.1;
 
-    /** An election writes two keys, and a node's announcement two. */
+    /** Minimum reserve: an election writes two keys, and so does a node announcement. */
     private static final int MIN_CONTROL_RESERVE = 4;
 
     /**
-     * By how many seconds of the whole rate users may run ahead of their share: a wait that a user
-     * hardly notices.
+     * How far user requests may run ahead of their share, as seconds' worth of the whole rate. A
+     * user hardly notices a delay of this length.
      */
     private static final double USER_BURST_SECONDS = 0.5;
 
     private static final int MIN_USER_BURST = 4;
 
-    /** Requests in each queue, in case a fault makes them without end. */
+    /** Maximum length of each queue; bounds memory if a bug produces requests without limit. */
     private static final int MAX_QUEUED = 8_000;
 
     private final TokenBucket requests = new TokenBucket(1);
@@ -47,18 +48,18 @@
     private final WeightedQueues<T> waitingReads = new WeightedQueues<>();
     private final WeightedQueues<T> waitingChanges = new WeightedQueues<>();
 
-    /** Whether the last request that was taken from a share was a change. */
+    /** Whether the last request taken from a share was a change. */
     private boolean lastWasChange;
 
     private record Queued<T>(T request, int changeCount) {}
 
     /**
-     * Either a request to be sent now, or null and how long to wait, {@link #NOTHING_WAITS} where
-     * no request waits for a rate.
+     * Next step: a request to send now, or null together with the time to wait, which is {@link
+     * #NO_WAITING_REQUEST} if no request waits for a rate.
      */
-    record Turn<T>(T request, long waitMicros) {}
+    record Decision<T>(T request, long waitMicros) {}
 
-    /** Sets this node's part of the store's rates. */
+    /** Sets this node's part of the store's rate limits. */
     void setRates(long now, double requestsPerSecond, double changesPerSecond) {
         this.requestsPerSecond = requestsPerSecond;
         this.changesPerSecond = changesPerSecond;
@@ -67,9 +68,9 @@
     }
 
     /**
-     * Queues a request; false if too many wait already.
+     * Queues a request. Returns false if the queue is full.
      *
-     * @param changeCount how many changes it makes, 0 for a read
+     * @param changeCount number of changes in the request, 0 for a read
      */
     boolean add(StoreClient.RequestPriority priority, T request, int changeCount) {
         if (priority == StoreClient.RequestPriority.CONTROL) {
@@ -88,36 +89,37 @@
     }
 
     /**
-     * Removes a request, not a control one, that is not to be sent any more; false if it was taken
-     * already.
+     * Removes a queued request that must no longer be sent. Returns false if it has already been
+     * taken. Control requests cannot be removed.
      */
     boolean remove(StoreClient.RequestPriority priority, T request, int changeCount) {
         return queuesFor(changeCount).remove(priority.share(), request, priority.isPreferred());
     }
 
     /**
-     * For how long a request, not a control one, that comes now would wait, going by the rates and
-     * the queue before it.
+     * Estimates how long a request submitted now would wait, from the current rates and the queue
+     * in front of it. Not for control requests.
      */
     long estimatedWaitMicros(long now, StoreClient.RequestPriority priority, int changeCount) {
         boolean isChange = changeCount > 0;
         WeightedQueues<T> queues = queuesFor(changeCount);
         double perSecond =
-                (isChange ? changesPerSecond : requestsPerSecond) * queues.partOf(priority.share());
-        double costBefore = queues.costBefore(priority.share(), priority.isPreferred());
+                (isChange ? changesPerSecond : requestsPerSecond)
+                        * queues.rateFraction(priority.share());
+        double costAhead = queues.costAhead(priority.share(), priority.isPreferred());
         long ownWait =
                 isChange ? changes.waitMicros(now, changeCount) : requests.waitMicros(now, 1);
-        return ownWait + (long) (costBefore / perSecond * MICROS_PER_SECOND);
+        return ownWait + (long) (costAhead / perSecond * MICROS_PER_SECOND);
     }
 
-    /** How many requests of the share wait. */
-    int queued(RateShare share) {
+    /** Returns the number of queued requests of the share. */
+    int queuedCount(RateShare share) {
         return waitingReads.size(share) + waitingChanges.size(share);
     }
 
-    /** The request of each of the share's queues that has waited for longest. */
-    Stream<T> firstOf(RateShare share) {
-        return Stream.concat(waitingReads.firstOf(share), waitingChanges.firstOf(share));
+    /** Returns the oldest request of each queue of the share. */
+    Stream<T> oldestOf(RateShare share) {
+        return Stream.concat(waitingReads.oldestOf(share), waitingChanges.oldestOf(share));
     }
 
     boolean hasControlRequests() {
@@ -125,65 +127,73 @@
     }
 
     /**
-     * Takes the request that is to be sent now, if there is one.
+     * Takes the request to send now, if there is one.
      *
-     * @param onlyControl no place is left for any other request
-     * @param heldMicros how long normal and background requests are held back; not positive where
+     * @param controlOnly true if only control requests may be sent because all other slots are in
+     *     use
+     * @param heldMicros how much longer normal and background requests are held back; 0 or less if
      *     they are not
      */
-    Turn<T> next(long now, boolean onlyControl, long heldMicros) {
-        long wait = NOTHING_WAITS;
+    Decision<T> next(long now, boolean controlOnly, long heldMicros) {
+        long wait = NO_WAITING_REQUEST;
         if (!control.isEmpty()) {
             wait = controlWait(now, control.peekFirst());
             if (wait <= 0) {
                 Queued<T> first = control.pollFirst();
-                return taken(now, first.request(), first.changeCount());
+                return take(now, first.request(), first.changeCount());
             }
         }
-        if (onlyControl) {
-            return new Turn<>(null, wait);
+        if (controlOnly) {
+            return new Decision<>(null, wait);
         }
         return nextOfShares(now, heldMicros, wait);
     }
 
-    private Turn<T> nextOfShares(long now, long heldMicros, long controlWait) {
+    private Decision<T> nextOfShares(long now, long heldMicros, long controlWait) {
         boolean isHolding = heldMicros > 0;
         long requestWait = requests.waitMicros(now, 1);
         Predicate<RateShare> allowed = share -> !isHolding || !share.isHeldAfterRefusal();
-        RateShare change = waitingChanges.next(allowed, userBurst(changesPerSecond));
-        RateShare read = waitingReads.next(allowed, userBurst(requestsPerSecond));
-        long changeWait = change == null ? NOTHING_WAITS : changeWait(now, change, requestWait);
-        long readWait = read == null ? NOTHING_WAITS : requestWait;
-        if (changeWait <= 0 && (readWait > 0 || isChangeFirst(change, read))) {
+        RateShare change = waitingChanges.nextShare(allowed, userBurst(changesPerSecond));
+        RateShare read = waitingReads.nextShare(allowed, userBurst(requestsPerSecond));
+        long changeWait =
+                change == null ? NO_WAITING_REQUEST : changeWait(now, change, requestWait);
+        long readWait = read == null ? NO_WAITING_REQUEST : requestWait;
+        if (changeWait <= 0 && (readWait > 0 || isChangeNext(change, read))) {
             lastWasChange = true;
             int changeCount = waitingChanges.costOfFirst(change);
-            return taken(now, waitingChanges.take(change), changeCount);
+            return take(now, waitingChanges.take(change), changeCount);
         }
         if (readWait <= 0) {
             lastWasChange = false;
-            return taken(now, waitingReads.take(read), 0);
+            return take(now, waitingReads.take(read), 0);
         }
-        long heldWait = isHolding && holdsAny() ? Math.max(heldMicros, requestWait) : NOTHING_WAITS;
+        long heldWait =
+                isHolding && hasHeldRequests()
+                        ? Math.max(heldMicros, requestWait)
+                        : NO_WAITING_REQUEST;
         long wait = Math.min(Math.min(changeWait, readWait), Math.min(heldWait, controlWait));
-        return new Turn<>(null, wait);
+        return new Decision<>(null, wait);
     }
 
     private long changeWait(long now, RateShare share, long requestWait) {
         return Math.max(requestWait, changes.waitMicros(now, waitingChanges.costOfFirst(share)));
     }
 
-    /** Users first; otherwise in turns, so that neither uses up the rate of requests. */
-    private boolean isChangeFirst(RateShare change, RateShare read) {
+    /**
+     * User requests go first. Otherwise changes and reads alternate, so that neither uses up the
+     * request rate.
+     */
+    private boolean isChangeNext(RateShare change, RateShare read) {
         boolean isUserChange = change == RateShare.USERS;
         boolean isUserRead = read == RateShare.USERS;
         return isUserChange != isUserRead ? isUserChange : !lastWasChange;
     }
 
-    private boolean holdsAny() {
-        return holdsAny(RateShare.NORMAL) || holdsAny(RateShare.BACKGROUND);
+    private boolean hasHeldRequests() {
+        return hasHeldRequests(RateShare.NORMAL) || hasHeldRequests(RateShare.BACKGROUND);
     }
 
-    private boolean holdsAny(RateShare share) {
+    private boolean hasHeldRequests(RateShare share) {
         return !waitingReads.isEmpty(share) || !waitingChanges.isEmpty(share);
     }
 
@@ -205,9 +215,9 @@
         return Math.max(MIN_CONTROL_RESERVE, perSecond * CONTROL_RESERVE_SECONDS);
     }
 
-    private Turn<T> taken(long now, T request, int changeCount) {
+    private Decision<T> take(long now, T request, int changeCount) {
         requests.take(now, 1);
         changes.take(now, changeCount);
-        return new Turn<>(request, 0);
+        return new Decision<>(request, 0);
     }
 }
--- a/src/test/java/org/woadloom/core/jobs/FailoverTest.java
+++ b/src/test/java/org/woadloom/core/jobs/FailoverTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.woadloom.core.LeaderFixture.SECOND;
 import static org.woadloom.core.LeaderFixture.TERM;
-import static org.woadloom.core.LeaderFixture.message;
+import static org.woadloom.core.LeaderFixture.heartbeat;
 
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -31,19 +31,16 @@
 import org.woadloom.store.JobRecord;
 
 /**
- * A new leader counts what the records name against the team's limit until there is proof that it
- * is gone.
+ * Tasks that the records of an earlier leader name count against the team's limit under a new
+ * leader until they are proven gone.
  */
 class FailoverTest {
-    private static final String LOST = "host-000001";
-    private static final String UP = "host-000002";
-    private static final long EARLIER = TERM - 1;
+    private static final String SILENT_HOST = "host-000001";
+    private static final String REACHABLE_HOST = "host-000002";
+    private static final long EARLIER_TERM = TERM - 1;
 
-    /**
-     * A task of 8 CPUs that an earlier leader placed on the machine out of touch, of a job that may
-     * be cancelled.
-     */
-    private static JobRecord placed(String jobId, boolean cancelled) {
+    /** A job with a task of 8 CPUs that an earlier leader placed on the silent machine. */
+    private static JobRecord recordWithAttempt(String jobId, boolean cancelled) {
         BitSet first = new BitSet();
         first.set(0);
         return new JobRecord(
@@ -52,40 +49,48 @@
                 0,
                 cancelled,
                 new BitSet(),
-                List.of(new JobRecord.RecordedAttempt(LOST, attempt(jobId), first)),
+                List.of(new JobRecord.RecordedAttempt(SILENT_HOST, attemptNumber(jobId), first)),
                 1,
-                EARLIER,
+                EARLIER_TERM,
                 3);
     }
 
-    private static long attempt(String jobId) {
-        return (EARLIER << 32) + Integer.parseInt(jobId.substring(2));
+    private static long attemptNumber(String jobId) {
+        return (EARLIER_TERM << 32) + Integer.parseInt(jobId.substring(2));
     }
 
-    private static TaskStatus task(
+    private static TaskStatus taskStatus(
             String jobId, TaskStatus.State state, TaskStatus.ExitReason cause) {
-        return new TaskStatus(new TaskId(jobId, 0), attempt(jobId), state, cause, false);
+        return new TaskStatus(new TaskId(jobId, 0), attemptNumber(jobId), state, cause, false);
     }
 
     /**
-     * A team limited to two tasks has one on a machine that can't be asked, and asks for two more.
+     * A team limited to two tasks has one on a machine that does not respond, and requests two
+     * more.
      */
-    private static LeaderFixture atItsLimit(boolean cancelled) {
+    private static LeaderFixture leaderWithTeamAtLimit(boolean cancelled) {
         LeaderFixture leader =
-                new LeaderFixture(16, List.of(placed("j-000001", cancelled)), LOST, UP);
+                new LeaderFixture(
+                        16,
+                        List.of(recordWithAttempt("j-000001", cancelled)),
+                        SILENT_HOST,
+                        REACHABLE_HOST);
         leader.submit("j-000002", 2);
-        long token = leader.isUp(UP, 1);
-        leader.report(message(UP, 1, 3, token));
-        leader.pass(SECOND);
+        long token = leader.bringUp(REACHABLE_HOST, 1);
+        leader.sendHeartbeat(heartbeat(REACHABLE_HOST, 1, 3, token));
+        leader.advance(SECOND);
         List<TaskCommand> started =
-                leader.all(SchedulerAction.SendDirectCommand.class).stream()
-                        .filter(sent -> sent.host().equals(UP) && !sent.commands().isEmpty())
+                leader.actionsOfType(SchedulerAction.SendDirectCommand.class).stream()
+                        .filter(
+                                sent ->
+                                        sent.host().equals(REACHABLE_HOST)
+                                                && !sent.commands().isEmpty())
                         .findFirst()
                         .orElseThrow()
                         .commands();
-        leader.answered(
-                message(
-                        UP,
+        leader.answerLastDirectCommand(
+                heartbeat(
+                        REACHABLE_HOST,
                         1,
                         4,
                         token,
@@ -102,12 +107,12 @@
         return leader;
     }
 
-    private static Set<String> started(LeaderFixture leader) {
+    private static Set<String> startedTasks(LeaderFixture leader) {
         Set<String> started = new TreeSet<>();
         List<TaskCommand> commands = new ArrayList<>();
-        leader.all(SchedulerAction.SendDirectCommand.class)
+        leader.actionsOfType(SchedulerAction.SendDirectCommand.class)
                 .forEach(sent -> commands.addAll(sent.commands()));
-        leader.all(SchedulerAction.AnswerHeartbeat.class)
+        leader.actionsOfType(SchedulerAction.AnswerHeartbeat.class)
                 .forEach(answer -> commands.addAll(answer.commands()));
         commands.stream()
                 .filter(command -> command.action() == TaskCommand.Action.START)
@@ -115,126 +120,153 @@
         return started;
     }
 
-    /** What a message of the machine that could not be asked says of the task that may be there. */
-    private enum Word {
-        OLD_AND_WITHOUT_IT(false, message(LOST, 1, 10, EARLIER << AgentLiveness.FENCE_BITS)),
-        OLD_AND_LISTS_IT(
+    /** A message from the machine that was silent, and whether it proves that the task is gone. */
+    private enum MessageCase {
+        EARLIER_TERM_WITHOUT_TASK(
+                false, heartbeat(SILENT_HOST, 1, 10, EARLIER_TERM << AgentLiveness.FENCE_BITS)),
+        EARLIER_TERM_LISTS_TASK(
                 false,
-                message(
-                        LOST,
+                heartbeat(
+                        SILENT_HOST,
                         1,
                         10,
-                        EARLIER << AgentLiveness.FENCE_BITS,
-                        task("j-000001", TaskStatus.State.RUNNING, null))),
-        OLD_AND_ENDED_IT(
+                        EARLIER_TERM << AgentLiveness.FENCE_BITS,
+                        taskStatus("j-000001", TaskStatus.State.RUNNING, null))),
+        EARLIER_TERM_TASK_EXITED(
                 true,
-                message(
-                        LOST,
+                heartbeat(
+                        SILENT_HOST,
                         1,
                         10,
-                        EARLIER << AgentLiveness.FENCE_BITS,
-                        task("j-000001", TaskStatus.State.EXITED, TaskStatus.ExitReason.STOPPED))),
-        OF_THIS_TERM_WITHOUT_IT(true, message(LOST, 1, 10, TERM << AgentLiveness.FENCE_BITS));
+                        EARLIER_TERM << AgentLiveness.FENCE_BITS,
+                        taskStatus(
+                                "j-000001",
+                                TaskStatus.State.EXITED,
+                                TaskStatus.ExitReason.STOPPED))),
+        CURRENT_TERM_WITHOUT_TASK(
+                true, heartbeat(SILENT_HOST, 1, 10, TERM << AgentLiveness.FENCE_BITS));
 
-        private final boolean proof;
+        private final boolean provesGone;
         private final Heartbeat message;
 
-        Word(boolean proof, Heartbeat message) {
-            this.proof = proof;
+        MessageCase(boolean provesGone, Heartbeat message) {
+            this.provesGone = provesGone;
             this.message = message;
         }
     }
 
     @ParameterizedTest
     @EnumSource
-    void aTaskOfACancelledJobCountsUntilItIsProvenGone(Word word) {
-        LeaderFixture leader = atItsLimit(true);
-        assertEquals(Set.of("j-000002/0"), started(leader), "one task's resources are in doubt");
-        leader.report(word.message);
-        leader.pass(SECOND);
+    void recoveredTaskOfACancelledJobCountsAgainstTheLimitUntilProvenGone(MessageCase messageCase) {
+        LeaderFixture leader = leaderWithTeamAtLimit(true);
+        assertEquals(
+                Set.of("j-000002/0"),
+                startedTasks(leader),
+                "the recovered task holds half of the limit");
+        leader.sendHeartbeat(messageCase.message);
+        leader.advance(SECOND);
         assertEquals(
-                word.proof ? Set.of("j-000002/0", "j-000002/1") : Set.of("j-000002/0"),
-                started(leader));
+                messageCase.provesGone ? Set.of("j-000002/0", "j-000002/1") : Set.of("j-000002/0"),
+                startedTasks(leader));
     }
 
-    /** It may be minutes old: its agent may be gone, and its incarnation is not known. */
+    /**
+     * A heartbeat of an earlier term may be minutes old. The agent may be gone, and whether its
+     * incarnation is current is unknown.
+     */
     @Test
-    void nothingStartsWhereOnlyAnOldReportCameFrom() {
-        LeaderFixture leader = new LeaderFixture(200, List.of(placed("j-000001", false)), LOST);
-        leader.report(message(LOST, 1, 50, EARLIER << AgentLiveness.FENCE_BITS));
+    void startsNoTaskOnAMachineThatSentOnlyAnOldHeartbeat() {
+        LeaderFixture leader =
+                new LeaderFixture(200, List.of(recordWithAttempt("j-000001", false)), SILENT_HOST);
+        leader.sendHeartbeat(
+                heartbeat(SILENT_HOST, 1, 50, EARLIER_TERM << AgentLiveness.FENCE_BITS));
         leader.submit("j-000002", 1);
-        leader.passUnanswered(20 * SECOND);
-        assertEquals(Set.of(), started(leader));
+        leader.advanceWithoutAnswers(20 * SECOND);
+        assertEquals(Set.of(), startedTasks(leader));
         assertFalse(
-                leader.logged(LogEvent.LEASE_EXPIRED, "machine=" + LOST)
+                leader.logged(LogEvent.LEASE_EXPIRED, "machine=" + SILENT_HOST)
                         || leader.logged(LogEvent.TASK_LOST),
-                "nobody knows whether it heard that answer");
+                "the agent may have received the response, which renewed its lease");
     }
 
     /**
-     * The deletion's answer is the proof where the agent is never heard of again, and the team has
-     * its quota back in time.
+     * If an agent never sends a message again, the confirmed deletion of its machine proves that
+     * its tasks are gone. The deletion must be requested within 90 s, so that the team's quota is
+     * not held for longer.
      */
     @Test
-    void aTeamGetsBackWhatIsOnAMachineThatIsNeverHeardOfAgain() {
-        LeaderFixture leader = atItsLimit(true);
-        long began = leader.now;
+    void declaresTasksOfASilentMachineLostOnceItsDeletionIsConfirmed() {
+        LeaderFixture leader = leaderWithTeamAtLimit(true);
+        long startMicros = leader.nowMicros;
         for (long sequence = 10;
-                leader.all(SchedulerAction.DeleteMachines.class).isEmpty()
-                        && leader.now - began < 90 * SECOND;
+                leader.actionsOfType(SchedulerAction.DeleteMachines.class).isEmpty()
+                        && leader.nowMicros - startMicros < 90 * SECOND;
                 sequence++) {
-            leader.passUnanswered(SECOND);
-            leader.report(
-                    message(
-                            UP,
+            leader.advanceWithoutAnswers(SECOND);
+            leader.sendHeartbeat(
+                    heartbeat(
+                            REACHABLE_HOST,
                             1,
                             sequence,
-                            leader.last(SchedulerAction.AnswerHeartbeat.class).fencingToken()));
+                            leader.lastAction(SchedulerAction.AnswerHeartbeat.class)
+                                    .fencingToken()));
         }
-        assertEquals(List.of(LOST), leader.last(SchedulerAction.DeleteMachines.class).hosts());
-        assertEquals(Set.of("j-000002/0"), started(leader));
-        leader.step(new SchedulerEvent.MachineDeletionCompleted(List.of(LOST), true));
+        assertEquals(
+                List.of(SILENT_HOST),
+                leader.lastAction(SchedulerAction.DeleteMachines.class).hosts());
+        assertEquals(Set.of("j-000002/0"), startedTasks(leader));
+        leader.step(new SchedulerEvent.MachineDeletionCompleted(List.of(SILENT_HOST), true));
         assertTrue(
-                leader.logged(LogEvent.TASK_LOST, "machine=" + LOST, "reason=\"machine deleted\""));
+                leader.logged(
+                        LogEvent.TASK_LOST,
+                        "machine=" + SILENT_HOST,
+                        "reason=\"machine deleted\""));
     }
 
     /**
-     * An old heartbeat of incarnation 1 came first, and the agent answers a command for that
-     * session in its second: refused, but it has seen the token. What the earlier leader started in
-     * the second session is in that very answer.
+     * A delayed heartbeat of incarnation 1 arrives first, and the leader sends a command for that
+     * incarnation. The agent, already in incarnation 2, refuses it with status 409, but has seen
+     * the token and lists what the earlier leader started in incarnation 2. The recovered task is
+     * in that message, so it is not lost.
      */
     @Test
-    void whatTheFirstMessageOfALaterSessionListsIsThere() {
-        LeaderFixture leader = new LeaderFixture(200, List.of(placed("j-000001", false)), LOST, UP);
-        leader.report(message(LOST, 1, 50, EARLIER << AgentLiveness.FENCE_BITS));
+    void keepsARecoveredTaskThatTheFirstMessageOfANewIncarnationLists() {
+        LeaderFixture leader =
+                new LeaderFixture(
+                        200,
+                        List.of(recordWithAttempt("j-000001", false)),
+                        SILENT_HOST,
+                        REACHABLE_HOST);
+        leader.sendHeartbeat(
+                heartbeat(SILENT_HOST, 1, 50, EARLIER_TERM << AgentLiveness.FENCE_BITS));
         SchedulerAction.SendDirectCommand greeting =
-                leader.last(SchedulerAction.SendDirectCommand.class);
+                leader.lastAction(SchedulerAction.SendDirectCommand.class);
         assertEquals(1, greeting.incarnation());
         leader.step(
                 new SchedulerEvent.DirectCommandCompleted(
                         greeting.commandId(),
-                        LOST,
+                        SILENT_HOST,
                         409,
-                        message(
-                                LOST,
+                        heartbeat(
+                                SILENT_HOST,
                                 2,
                                 80,
                                 greeting.fencingToken(),
-                                task("j-000001", TaskStatus.State.RUNNING, null))));
-        leader.isUp(UP, 1);
-        leader.pass(SECOND);
+                                taskStatus("j-000001", TaskStatus.State.RUNNING, null))));
+        leader.bringUp(REACHABLE_HOST, 1);
+        leader.advance(SECOND);
         assertFalse(leader.logged(LogEvent.TASK_LOST));
-        assertEquals(Set.of(), started(leader), "it runs where it was");
+        assertEquals(Set.of(), startedTasks(leader), "the task still runs on its first machine");
     }
 
     /**
-     * A damaged record was replaced by the final state of a cancellation: what the leader knows of
-     * the job's tasks still counts.
+     * A cancellation replaced a damaged record by the final state. Attempts of the job that the
+     * leader knows of still count against the quota until they are gone.
      */
     @Test
-    void tasksOfAJobWhoseRecordIsGoneCountUntilTheyAre() {
+    void tasksOfAJobWithoutARecordCountAgainstTheLimitUntilGone() {
         SchedulerFixture fixture = new SchedulerFixture(16);
-        JobRegistry table = new JobRegistry(fixture.state);
+        JobRegistry registry = new JobRegistry(fixture.state);
         Reservations reservations = new Reservations(fixture.state);
         Machine machine = fixture.machine("host-1", "a");
         Job job = fixture.job("j-1", 8, 1, 2);
@@ -244,10 +276,13 @@
         Job next = fixture.job("j-2", 8, 1, 2);
         job.persistence.requireRead();
         job.persistence.startRead(fixture.state.nowMicros());
-        table.onRecordNotFound("j-1");
-        assertEquals(1, next.allowedTasks(), "what was never sent is gone, the other is there");
+        registry.onRecordNotFound("j-1");
+        assertEquals(
+                1,
+                next.allowedTasks(),
+                "the unsent attempt is removed, the confirmed one still counts");
         assertTrue(running.isStopping());
-        new JobPersister(fixture.state, table).emitWrites();
+        new JobPersister(fixture.state, registry).emitDueRequests();
         assertTrue(
                 fixture.actions().stream()
                         .noneMatch(
@@ -255,9 +290,9 @@
                                         action instanceof SchedulerAction.WriteJob
                                                 || action
                                                         instanceof SchedulerAction.WriteFinalState),
-                "there is no record to write");
+                "no record is left to update");
         new TaskLossHandler(fixture.state).remove(running);
-        new JobPersister(fixture.state, table).emitWrites();
+        new JobPersister(fixture.state, registry).emitDueRequests();
         assertEquals(2, next.allowedTasks());
         assertFalse(fixture.state.jobs().containsKey("j-1"));
     }
--- a/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
+++ b/src/test/java/org/woadloom/core/placement/PlacementSearchTest.java
@@ -20,17 +20,20 @@
 import org.woadloom.protocol.Cbor;
 import org.woadloom.store.RecordFormat;
 
-/** The shortcuts of the search against the plain walk that they stand for. */
+/** Checks the optimizations of the placement search against straightforward implementations. */
 class PlacementSearchTest {
-    /** One look at all machines for many tasks chooses as a look for each task would. */
+    /**
+     * Scoring all machines once for many tasks selects the same machines as scoring them anew for
+     * each task.
+     */
     @Test
-    void oneSearchForManyTasksChoosesAsOneForEach() {
+    void oneSearchForManyTasksSelectsTheSameMachinesAsOneSearchPerTask() {
         int placed = 0;
         for (long seed = 1; seed <= 60; seed++) {
             Random random = new Random(seed);
             SchedulerFixture fixture = new SchedulerFixture(400);
             Reservations reservations = new Reservations(fixture.state);
-            PlacementConstraints eligibility = new PlacementConstraints(fixture.state);
+            PlacementConstraints constraints = new PlacementConstraints(fixture.state);
             List<Machine> machines = machines(fixture, reservations, random, 30);
             Job job =
                     fixture.job(
@@ -48,27 +51,27 @@
                         true,
                         random.nextBoolean());
             }
-            Set<String> scarce = random.nextBoolean() ? Set.of("a") : Set.of();
-            CandidateMachines once =
-                    new CandidateMachines(job, machines, scarce, eligibility, reservations);
+            Set<String> scarceZones = random.nextBoolean() ? Set.of("a") : Set.of();
+            CandidateMachines candidates =
+                    new CandidateMachines(job, machines, scarceZones, constraints, reservations);
             for (int index = job.nextPending(0); index >= 0; index = job.nextPending(index + 1)) {
-                Machine plain =
-                        new CandidateMachines(job, machines, scarce, eligibility, reservations)
+                Machine expected =
+                        new CandidateMachines(job, machines, scarceZones, constraints, reservations)
                                 .next();
-                Machine chosen = once.next();
-                assertSame(plain, chosen, "seed " + seed + ", task " + index);
+                Machine chosen = candidates.next();
+                assertSame(expected, chosen, "seed " + seed + ", task " + index);
                 if (chosen == null) {
                     break;
                 }
                 TaskAttempt attempt =
                         new TaskAttempt(job, index, chosen, 1, 1, fixture.state.nowMicros());
-                reservations.draw(attempt);
-                job.add(attempt);
-                once.onPlaced();
+                reservations.allocateTo(attempt);
+                job.addAttempt(attempt);
+                candidates.onPlaced();
                 placed++;
             }
         }
-        assertTrue(placed > 500, placed + " placed");
+        assertTrue(placed > 500, "only " + placed + " tasks placed");
     }
 
     private static List<Machine> machines(
@@ -79,11 +82,12 @@
             if (random.nextInt(3) == 0) {
                 machine.images.touch("img", 1, 50);
             }
-            Job other = fixture.job("j-other" + i, 1 + random.nextInt(5), 1 + random.nextInt(5), 2);
-            fixture.place(reservations, other, 0, machine);
+            Job otherJob =
+                    fixture.job("j-other" + i, 1 + random.nextInt(5), 1 + random.nextInt(5), 2);
+            fixture.place(reservations, otherJob, 0, machine);
             if (random.nextInt(4) == 0) {
                 reservations.reserve(
-                        other, machine, other.taskResources, random.nextBoolean(), true);
+                        otherJob, machine, otherJob.taskResources, random.nextBoolean(), true);
             }
             machines.add(machine);
         }
@@ -91,11 +95,11 @@
     }
 
     /**
-     * What is kept by machine agrees with a walk over all reservations, through making, drawing and
-     * releasing.
+     * The reservations indexed by machine match a scan of all reservations, after each reservation
+     * that is made or released.
      */
     @Test
-    void reservationsByMachineAgreeWithAWalkOverAll() {
+    void reservationsIndexedByMachineMatchAScanOfAllReservations() {
         Random random = new Random(5);
         SchedulerFixture fixture = new SchedulerFixture(4_000);
         Reservations reservations = new Reservations(fixture.state);
@@ -104,36 +108,37 @@
         for (int step = 0; step < 2_000; step++) {
             Job job = jobs.get(random.nextInt(jobs.size()));
             Machine machine = machines.get(random.nextInt(machines.size()));
-            List<Reservation> owned = reservations.of(job);
+            List<Reservation> owned = reservations.reservationsOf(job);
             if (random.nextInt(3) > 0) {
                 reservations.reserve(job, machine, job.taskResources, true, random.nextBoolean());
             } else if (!owned.isEmpty()) {
                 reservations.release(owned.get(random.nextInt(owned.size())));
             }
-            Resources plain = machine.capacity().minus(machine.used());
+            Resources expected = machine.capacity().minus(machine.used());
             int total = 0;
             for (Job any : jobs) {
-                total += reservations.of(any).size();
-                for (Reservation reservation : reservations.of(any)) {
+                total += reservations.reservationsOf(any).size();
+                for (Reservation reservation : reservations.reservationsOf(any)) {
                     if (reservation.machine == machine && any != job) {
-                        plain = plain.minus(reservation.remaining());
+                        expected = expected.minus(reservation.remaining());
                     }
                 }
             }
-            assertEquals(plain, reservations.balance(machine, job));
-            assertEquals(total, reservations.size());
+            assertEquals(expected, reservations.unreservedBalance(machine, job));
+            assertEquals(total, reservations.count());
         }
     }
 
     /**
-     * A job far too large for one value runs in waves, and its record fits however its tasks end.
+     * A job whose complete record would exceed the store's value limit runs in waves, and its
+     * record fits the limit whichever way its tasks end.
      */
     @ParameterizedTest
     @CsvSource({"PLAIN,8192", "COMPACT,2048", "COMPACT,1500"})
-    void theRecordOfAHugeJobAlwaysFits(RecordFormat format, int valueBytes) {
+    void recordOfAHugeJobNeverExceedsTheValueLimit(RecordFormat format, int valueBytes) {
         Random random = new Random(8);
         SchedulerFixture fixture = new SchedulerFixture(100_000);
-        fixture.setRecordLimits(valueBytes, format);
+        fixture.setStoreLimits(valueBytes, format);
         Reservations reservations = new Reservations(fixture.state);
         for (int i = 0; i < 200; i++) {
             fixture.machine("host-" + (100_000 + i), i % 2 == 0 ? "a" : "b");
@@ -142,26 +147,34 @@
         TaskPlacer placer =
                 new TaskPlacer(
                         fixture.state, new PlacementConstraints(fixture.state), reservations);
-        int largest = 0;
-        int most = 0;
+        int largestRecordBytes = 0;
+        int mostAttempts = 0;
         for (int wave = 0; wave < 400; wave++) {
             placer.place();
-            most = Math.max(most, job.attempts().size());
-            largest = Math.max(largest, Cbor.jsonSize(job.toRecord(1, wave).toMap(format)));
+            mostAttempts = Math.max(mostAttempts, job.attempts().size());
+            largestRecordBytes =
+                    Math.max(
+                            largestRecordBytes,
+                            Cbor.maxJsonSize(job.toRecord(1, wave).toMap(format)));
             for (TaskAttempt attempt : new ArrayList<>(job.attempts())) {
                 if (random.nextInt(3) == 0) {
                     if (random.nextInt(8) > 0) {
-                        job.markCompleted(attempt.index);
+                        job.markCompleted(attempt.taskIndex);
                     }
-                    job.remove(attempt);
+                    job.removeAttempt(attempt);
                 }
             }
-            largest = Math.max(largest, Cbor.jsonSize(job.toRecord(1, wave).toMap(format)));
+            largestRecordBytes =
+                    Math.max(
+                            largestRecordBytes,
+                            Cbor.maxJsonSize(job.toRecord(1, wave).toMap(format)));
         }
-        assertTrue(largest <= valueBytes, "a record of " + largest + " bytes");
-        assertTrue(most > 150, "only " + most + " at once");
+        assertTrue(
+                largestRecordBytes <= valueBytes,
+                "the largest record has " + largestRecordBytes + " bytes");
+        assertTrue(mostAttempts > 150, "at most " + mostAttempts + " attempts at a time");
         assertTrue(
                 job.completedTasks().cardinality() > 10_000,
-                job.completedTasks().cardinality() + " done");
+                "only " + job.completedTasks().cardinality() + " tasks completed");
     }
 }
--- a/src/test/java/org/woadloom/core/quota/LostTaskHoldsTest.java
+++ b/src/test/java/org/woadloom/core/quota/LostTaskHoldsTest.java
@@ -39,15 +39,15 @@
         }
     }
 
-    private void review() {
-        large.team.reviewLostTasks(fixture.state.nowMicros(), reservations::countFor);
+    private void expireHolds() {
+        large.teamQuota.expireLostTaskHolds(fixture.state.nowMicros(), reservations::countFor);
     }
 
-    /** Guards against a lost task of a started job that waited 109 s behind newer, smaller ones. */
+    /** Guards against a lost task that waited 109 s because newer, smaller tasks took its quota. */
     @Test
-    void aLostTaskIsNotPassedOverBySmallerOnes() {
+    void quotaOfLostTaskIsNotGivenToSmallerTasks() {
         losses.onLost(attempt, "lease expired");
-        review();
+        expireHolds();
         assertEquals(0, small.allowedTasks());
         assertEquals(1, large.allowedTasks());
         fixture.place(reservations, large, 0, other);
@@ -56,38 +56,42 @@
     }
 
     @Test
-    void whatIsKeptForOthersDoesNotDelayALostTask() {
+    void quotaTurnOfOtherJobDoesNotDelayLostTask() {
         Job waiting = fixture.job("j-turn", 8, 1, 1);
         losses.onLost(attempt, "lease expired");
-        large.team.setTurn(waiting, waiting.taskResources);
-        review();
+        large.teamQuota.setTurn(waiting, waiting.taskResources);
+        expireHolds();
         assertEquals(0, waiting.allowedTasks());
         assertEquals(1, large.allowedTasks());
     }
 
     @Test
-    void aLostTaskThatFindsNoMachineLeavesTheLimitToOthers() {
+    void holdExpiresIfLostTaskIsNotPlaced() {
         losses.onLost(attempt, "lease expired");
         fixture.advance(MAX_HOLD_MICROS + 1);
-        review();
+        expireHolds();
         assertEquals(8, small.allowedTasks());
     }
 
-    /** The first of two tasks ends; the other fills the limit with what the first one used. */
-    private static boolean isNextJobServedAfter(TaskStatus.ExitReason reason) {
+    /**
+     * The team's limit allows two tasks, and both of j-1 run. The first exits for the given reason;
+     * returns whether the task of j-2 is then placed.
+     */
+    private static boolean isNextJobPlacedAfterExit(TaskStatus.ExitReason reason) {
         LeaderFixture leader = new LeaderFixture(16, List.of(), HOST);
-        leader.isUp(HOST, 1);
+        leader.bringUp(HOST, 1);
         leader.submit("j-1", 2);
         leader.submit("j-2", 1);
         SchedulerAction.SendDirectCommand sent =
-                leader.last(SchedulerAction.SendDirectCommand.class);
+                leader.lastAction(SchedulerAction.SendDirectCommand.class);
         TaskStatus[] tasks =
                 sent.commands().stream()
                         .map(command -> status(command, TaskStatus.State.RUNNING, null))
                         .toArray(TaskStatus[]::new);
-        leader.answered(LeaderFixture.message(HOST, 1, 3, sent.fencingToken(), tasks));
+        leader.answerLastDirectCommand(
+                LeaderFixture.heartbeat(HOST, 1, 3, sent.fencingToken(), tasks));
         tasks[0] = status(sent.commands().get(0), TaskStatus.State.EXITED, reason);
-        leader.report(LeaderFixture.message(HOST, 1, 4, sent.fencingToken(), tasks));
+        leader.sendHeartbeat(LeaderFixture.heartbeat(HOST, 1, 4, sent.fencingToken(), tasks));
         return leader.logged(LogEvent.TASKS_PLACED, "job=j-2");
     }
 
@@ -96,27 +100,27 @@
         return new TaskStatus(command.task(), command.attempt(), state, reason, false);
     }
 
-    /** Otherwise a job that fails again and again would keep the limit from its team. */
+    /** Otherwise a job that fails repeatedly would keep quota from the rest of its team. */
     @Test
-    void whatAFailedTaskUsedIsFreeForOthers() {
-        assertTrue(isNextJobServedAfter(TaskStatus.ExitReason.ERROR));
-        assertFalse(isNextJobServedAfter(TaskStatus.ExitReason.STOPPED));
+    void quotaOfFailedTaskIsNotHeld() {
+        assertTrue(isNextJobPlacedAfterExit(TaskStatus.ExitReason.ERROR));
+        assertFalse(isNextJobPlacedAfterExit(TaskStatus.ExitReason.STOPPED));
     }
 
     @Test
-    void aReservationForALostTaskCountsOnce() {
+    void lostTaskWithReservationCountsOnce() {
         losses.onLost(attempt, "lease expired");
-        small.remove(small.attempt(0));
+        small.removeAttempt(small.attempt(0));
         reservations.reserve(large, machine, large.taskResources, true, true);
-        review();
+        expireHolds();
         assertEquals(1, small.allowedTasks());
     }
 
     @Test
-    void aTaskThatCompletedElsewhereHoldsNothing() {
+    void completedTaskHoldsNoQuotaWhenItsAttemptIsLost() {
         large.markCompleted(0);
         losses.onLost(attempt, "lease expired");
-        review();
+        expireHolds();
         assertEquals(8, small.allowedTasks());
     }
 }
--- a/src/test/java/org/woadloom/core/rollout/RolloutExplorer.java
+++ b/src/test/java/org/woadloom/core/rollout/RolloutExplorer.java
@@ -16,7 +16,7 @@
 import org.woadloom.core.rollout.RolloutPolicy.Inputs;
 import org.woadloom.store.NodeAnnouncement;
 import org.woadloom.store.RolloutRecord;
-import org.woadloom.store.RolloutRecord.Standing;
+import org.woadloom.store.RolloutRecord.FeatureState;
 import org.woadloom.store.RolloutRecord.Step;
 import org.woadloom.store.RolloutRequest.Verb;
 
@@ -89,10 +89,10 @@
      */
     private record State(
             List<Node> nodes,
-            Standing standing,
+            FeatureState standing,
             boolean oldRecords,
             boolean newRecords,
-            Standing pendingStep,
+            FeatureState pendingStep,
             boolean superseded,
             boolean announcementsChanged,
             boolean writeInFlight,
@@ -114,8 +114,8 @@
                     .hash();
         }
 
-        private static int code(Standing standing) {
-            return standing.step().ordinal() * 2 + (standing.back() ? 1 : 0);
+        private static int code(FeatureState standing) {
+            return standing.step().ordinal() * 2 + (standing.isRollingBack() ? 1 : 0);
         }
 
         State withNode(int index, Node node) {
@@ -163,7 +163,7 @@
                     request);
         }
 
-        State withSteps(Standing pending, Standing current) {
+        State withSteps(FeatureState pending, FeatureState current) {
             return new State(
                     nodes,
                     current,
@@ -265,7 +265,7 @@
         State first =
                 new State(
                                 List.of(node, node, node),
-                                Standing.OFF,
+                                FeatureState.OFF,
                                 true,
                                 false,
                                 null,
@@ -315,7 +315,7 @@
         for (Node node : state.nodes) {
             if (node.phase == Phase.SERVING
                     && !node.newRelease
-                    && (state.newRecords || state.standing.on())) {
+                    && (state.newRecords || state.standing.isOn())) {
                 return "a node serves that can't read what is written";
             }
         }
@@ -351,20 +351,20 @@
                                 request)
                         .withLeader(0);
         for (int i = 0; i < MAX_STEPS_WITHOUT_FAULTS; i++) {
-            Standing next = decide(recovered);
+            FeatureState next = decide(recovered);
             recovered = next != null ? recovered.withSteps(null, next) : rewriteRecords(recovered);
         }
         return recovered;
     }
 
     private static State rewriteRecords(State state) {
-        boolean on = state.standing.on();
-        return on || state.standing.back() ? state.withRecords(!on, on, false) : state;
+        boolean on = state.standing.isOn();
+        return on || state.standing.isRollingBack() ? state.withRecords(!on, on, false) : state;
     }
 
     /** Returns the feature's next standing by {@link RolloutPolicy}, or null if it stays. */
-    private Standing decide(State state) {
-        boolean back = state.standing.back();
+    private FeatureState decide(State state) {
+        boolean back = state.standing.isRollingBack();
         boolean anyOutdated = back ? state.newRecords : state.oldRecords;
         boolean rewriteVerified =
                 fault == Fault.IGNORES_REMAINING_RECORDS
@@ -400,7 +400,8 @@
                         0);
         return decision.next() == null
                 ? null
-                : new Standing(decision.next().step(), decision.next().back(), false, 0, "");
+                : new FeatureState(
+                        decision.next().step(), decision.next().isRollingBack(), false, 0, "");
     }
 
     private static RolloutRecord record(State state) {
@@ -431,7 +432,7 @@
                     new Transition(
                             "the step "
                                     + state.pendingStep.step()
-                                    + (state.pendingStep.back() ? " (back)" : "")
+                                    + (state.pendingStep.isRollingBack() ? " (back)" : "")
                                     + (succeeds ? " is written" : " fails"),
                             state.withSteps(null, succeeds ? state.pendingStep : state.standing)));
         }
@@ -543,16 +544,16 @@
         if (!node.leads || !node.newRelease) {
             return;
         }
-        Standing decided = state.pendingStep == null ? decide(state) : null;
+        FeatureState decided = state.pendingStep == null ? decide(state) : null;
         if (decided != null) {
             all.add(
                     new Transition(
                             "the leader decides "
                                     + decided.step()
-                                    + (decided.back() ? " (back)" : ""),
+                                    + (decided.isRollingBack() ? " (back)" : ""),
                             state.withSteps(decided, state.standing)));
         }
-        if (state.storeUp && state.standing.on()) {
+        if (state.storeUp && state.standing.isOn()) {
             all.add(
                     new Transition(
                             "the leader writes",
@@ -561,7 +562,7 @@
                     new Transition(
                             "the leader writes, with no answer",
                             state.withRecords(state.oldRecords, state.newRecords, true)));
-        } else if (state.storeUp && !state.standing.back()) {
+        } else if (state.storeUp && !state.standing.isRollingBack()) {
             all.add(
                     new Transition(
                             "the leader writes the old format",
@@ -584,7 +585,7 @@
     private static boolean mayServe(State state, Node node) {
         ClusterMembership membership =
                 new ClusterMembership(node.newRelease ? Feature.allKeys() : Set.of());
-        membership.setRequiredFeatures(record(state).requires());
+        membership.setRequiredFeatures(record(state).requiredFeatures());
         membership.onRecordRead();
         return membership.mayServe();
     }
--- a/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
+++ b/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
@@ -164,7 +164,7 @@
                 answered[0] = true;
                 whileAlive(
                         () ->
-                                callback.answered(
+                                callback.onResponse(
                                         status, status > 0 ? Cbor.encode(map) : new byte[0]));
             }
         }
@@ -178,7 +178,7 @@
                 }
 
                 @Override
-                public void onDeposed(String reason) {
+                public void onLeadershipLost(String reason) {
                     deposed++;
                     client.setLeader(false);
                 }
@@ -213,10 +213,10 @@
                 LIMITS);
     }
 
-    private static Election.Fence fence() {
-        return new Election.Fence() {
+    private static Election.Eligibility fence() {
+        return new Election.Eligibility() {
             @Override
-            public boolean isOpen() {
+            public boolean isEligible() {
                 return true;
             }
 
@@ -226,19 +226,19 @@
             }
 
             @Override
-            public void onConflict() {}
+            public void refresh() {}
         };
     }
 
-    private static JobApi.Storage storage() {
-        return new JobApi.Storage() {
+    private static JobApi.RecordPolicy storage() {
+        return new JobApi.RecordPolicy() {
             @Override
-            public RecordFormat format() {
+            public RecordFormat writeFormat() {
                 return RecordFormat.COMPACT;
             }
 
             @Override
-            public int valueBytes() {
+            public int maxValueBytes() {
                 return 8192;
             }
 
@@ -247,10 +247,10 @@
         };
     }
 
-    private static JobApi.Types types() {
-        return new JobApi.Types() {
+    private static JobApi.MachineTypeSource types() {
+        return new JobApi.MachineTypeSource() {
             @Override
-            public List<MachineType> current() {
+            public List<MachineType> currentTypes() {
                 return List.of(TYPE);
             }
 
--- a/src/test/java/org/woadloom/store/StoredFormsGoldenTest.java
+++ b/src/test/java/org/woadloom/store/StoredRecordsGoldenTest.java
@@ -17,17 +17,18 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * Every stored record with every field, byte by byte, and read back from the bytes that were
- * recorded.
+ * Compares the encoding of every stored record, with all fields set, with recorded bytes, and
+ * checks that the recorded bytes round-trip.
  */
-class StoredFormsGoldenTest {
+class StoredRecordsGoldenTest {
     private static final String FILE = "stored-records.txt";
 
-    private interface Reader {
-        Map<String, Object> readAndWrite(Map<String, Object> map) throws MalformedMessageException;
+    private interface RoundTrip {
+        Map<String, Object> decodeAndEncode(Map<String, Object> map)
+                throws MalformedMessageException;
     }
 
-    private static Map<String, Object> description(List<String> awaits) {
+    private static Map<String, Object> description(List<String> dependencies) {
         Map<String, Object> job = new LinkedHashMap<>();
         job.put("uid", "j-000412");
         job.put("jobclass", "nightly");
@@ -49,34 +50,36 @@
         job.put("snapshotEveryS", 30.0);
         job.put("snapshotCostS", 2.0);
         job.put("dueS", 600.0);
-        job.put("awaits", awaits);
+        job.put("awaits", dependencies);
         return job;
     }
 
-    private static JobRecord job(List<String> awaits, long readyWallMicros)
+    private static JobRecord job(List<String> dependencies, long readyWallMicros)
             throws MalformedMessageException {
         BitSet done = new BitSet();
         done.set(0, 7);
         done.set(9);
-        BitSet one = new BitSet();
-        one.set(8);
-        BitSet more = new BitSet();
-        more.set(10, 20);
+        BitSet firstAttemptTasks = new BitSet();
+        firstAttemptTasks.set(8);
+        BitSet secondAttemptTasks = new BitSet();
+        secondAttemptTasks.set(10, 20);
         return new JobRecord(
-                JobDescription.parse(description(awaits)),
+                JobDescription.parse(description(dependencies)),
                 1_700_000_000_000_001L,
                 readyWallMicros,
                 false,
                 done,
                 List.of(
-                        new JobRecord.RecordedAttempt("host-000007", (5L << 32) + 3, one),
-                        new JobRecord.RecordedAttempt("host-000231", (5L << 32) + 4, more)),
+                        new JobRecord.RecordedAttempt(
+                                "host-000007", (5L << 32) + 3, firstAttemptTasks),
+                        new JobRecord.RecordedAttempt(
+                                "host-000231", (5L << 32) + 4, secondAttemptTasks)),
                 11,
                 5,
                 12);
     }
 
-    private static Map<String, Map<String, Object>> jobs() throws MalformedMessageException {
+    private static Map<String, Map<String, Object>> jobRecords() throws MalformedMessageException {
         Map<String, Map<String, Object>> all = new LinkedHashMap<>();
         all.put("job plain", job(List.of(), 0).toMap(RecordFormat.PLAIN));
         all.put(
@@ -93,7 +96,7 @@
         return all;
     }
 
-    private static Map<String, Map<String, Object>> others() {
+    private static Map<String, Map<String, Object>> otherRecords() {
         Map<String, Map<String, Object>> all = new LinkedHashMap<>();
         FinalRecord done = new FinalRecord("j-1", false, 40, 1_700_000_000_000_002L, true);
         all.put("final plain", done.toMap(RecordFormat.PLAIN));
@@ -123,15 +126,15 @@
                                 false,
                                 new MachineRecord.Lifecycle(1_700_000_000_000_003L, false))
                         .toMap());
-        Map<String, RolloutRecord.Standing> features = new LinkedHashMap<>();
+        Map<String, RolloutRecord.FeatureState> features = new LinkedHashMap<>();
         for (RolloutRecord.Step step : RolloutRecord.Step.values()) {
             features.put(
                     "feature-" + step.text(),
-                    new RolloutRecord.Standing(step, false, false, 17, "node-1"));
+                    new RolloutRecord.FeatureState(step, false, false, 17, "node-1"));
         }
         features.put(
                 "feature-back",
-                new RolloutRecord.Standing(
+                new RolloutRecord.FeatureState(
                         RolloutRecord.Step.UNDERSTOOD, true, true, 18, "operator"));
         all.put("rollout state", new RolloutRecord(9, features).toMap());
         for (RolloutRequest.Verb verb : RolloutRequest.Verb.values()) {
@@ -169,7 +172,7 @@
         return all;
     }
 
-    private static Reader reader(String name) {
+    private static RoundTrip roundTripOf(String name) {
         if (name.startsWith("job")) {
             return map -> JobRecord.parse(map).toMap(JobRecord.formatOf(map));
         } else if (name.startsWith("final")) {
@@ -195,9 +198,9 @@
     }
 
     @Test
-    void recordsAreWrittenAndReadAsRecorded() throws MalformedMessageException, IOException {
-        Map<String, Map<String, Object>> all = jobs();
-        all.putAll(others());
+    void storedRecordsMatchGoldenBytesAndRoundTrip() throws MalformedMessageException, IOException {
+        Map<String, Map<String, Object>> all = jobRecords();
+        all.putAll(otherRecords());
         GoldenFile golden = new GoldenFile();
         all.forEach((name, map) -> golden.addBytes(name, Cbor.encode(map)));
         golden.check(FILE);
@@ -205,37 +208,37 @@
             byte[] recorded = GoldenFile.readBytes(FILE, name);
             assertArrayEquals(
                     recorded,
-                    Cbor.encode(reader(name).readAndWrite(Cbor.decodeMap(recorded))),
+                    Cbor.encode(roundTripOf(name).decodeAndEncode(Cbor.decodeMap(recorded))),
                     name);
         }
         JobRecord read = JobRecord.parse(Cbor.decodeMap(GoldenFile.readBytes(FILE, "job compact")));
         assertEquals(job(List.of(), 0).attempts(), read.attempts());
-        assertEquals(job(List.of(), 0).done(), read.done());
+        assertEquals(job(List.of(), 0).completedTasks(), read.completedTasks());
     }
 
     @Test
-    void keysAreAsRecorded() {
+    void storeKeysMatchGoldenFile() {
         GoldenFile golden = new GoldenFile();
         golden.addText("leader", StoreKeys.LEADER);
         golden.addText("term", StoreKeys.TERM);
-        golden.addText("types", StoreKeys.TYPES);
-        golden.addText("nothing", StoreKeys.NOTHING);
-        golden.addText("jobs", StoreKeys.JOBS);
+        golden.addText("types", StoreKeys.MACHINE_TYPES);
+        golden.addText("nothing", StoreKeys.NEVER_WRITTEN);
+        golden.addText("jobs", StoreKeys.JOB_PREFIX);
         golden.addText("job", StoreKeys.job("j-1"));
-        golden.addText("finals", StoreKeys.FINALS);
+        golden.addText("finals", StoreKeys.FINAL_STATE_PREFIX);
         golden.addText("final", StoreKeys.finalState("j-1"));
-        golden.addText("machines", StoreKeys.MACHINES);
+        golden.addText("machines", StoreKeys.MACHINE_PREFIX);
         golden.addText("machine", StoreKeys.machine("host-1"));
-        golden.addText("mail", StoreKeys.MAIL);
-        golden.addText("mail of a node", StoreKeys.mailOf("node-1"));
-        golden.addText("one letter", StoreKeys.mail("node-1", 3));
-        golden.addText("versions", StoreKeys.VERSIONS);
-        golden.addText("agreed version", StoreKeys.AGREED);
-        golden.addText("version of nodes", StoreKeys.NODE_VERSIONS);
-        golden.addText("rollout", StoreKeys.ROLLOUT);
+        golden.addText("mail", StoreKeys.RELAY_PREFIX);
+        golden.addText("mail of a node", StoreKeys.relayPrefix("node-1"));
+        golden.addText("one letter", StoreKeys.relaySlot("node-1", 3));
+        golden.addText("versions", StoreKeys.VERSION_PREFIX);
+        golden.addText("agreed version", StoreKeys.AGREED_VERSION);
+        golden.addText("version of nodes", StoreKeys.NODE_VERSION_PREFIX);
+        golden.addText("rollout", StoreKeys.ROLLOUT_PREFIX);
         golden.addText("rollout state", StoreKeys.ROLLOUT_STATE);
-        golden.addText("rollout nodes", StoreKeys.ROLLOUT_NODES);
-        golden.addText("rollout asked", StoreKeys.ROLLOUT_ASKED);
+        golden.addText("rollout nodes", StoreKeys.ROLLOUT_NODE_PREFIX);
+        golden.addText("rollout asked", StoreKeys.ROLLOUT_REQUEST_PREFIX);
         golden.check("keys.txt");
     }
 }
