--- a/src/test/java/org/woadloom/sim/AdmissionInvariant.java
+++ b/src/test/java/org/woadloom/sim/AdmissionInvariant.java
@@ -10,7 +10,7 @@
 
     @Override
     void onAnswer(UserAnswer answer) {
-        if (answer.isSuccess() && observed.isUnfit(answer.jobId())) {
+        if (answer.isSuccess() && observed.isInvalidJob(answer.jobId())) {
             throw new InvariantViolation(
                     ProtocolRule.ACCEPTED_UNFIT,
                     answer.request() + " " + answer.jobId() + " " + answer.status());
--- a/src/test/java/org/woadloom/sim/BadInputTest.java
+++ b/src/test/java/org/woadloom/sim/BadInputTest.java
@@ -388,8 +388,8 @@
         assertEquals(404, connection.ask("GET", "/v1/jobs/j-000412", new byte[0]));
         assertTrue(cases.size() > 250, cases.size() + " cases");
         assertTrue(pressed.get() > 0, "no report pressed");
-        assertFalse(node.state.holdsAny("job/"), "a job was stored");
-        assertFalse(node.state.holdsAny("machine/host-"), "a machine was stored");
+        assertFalse(node.store.holdsAny("job/"), "a job was stored");
+        assertFalse(node.store.holdsAny("machine/host-"), "a machine was stored");
     }
 
     /**
@@ -424,12 +424,12 @@
     void aLeaderRefusesWhatIsMalformed() throws Exception {
         node.start();
         refuseAll();
-        assertEquals("rehearsal", node.state.value("leader").get("label"));
+        assertEquals("rehearsal", node.store.value("leader").get("label"));
     }
 
     @Test
     void aNodeThatDoesNotLeadRefusesWhatIsMalformed() throws Exception {
-        node.state.handle(
+        node.store.handle(
                 "POST",
                 "/txn",
                 Map.of(
@@ -445,6 +445,6 @@
                 (status, answer) -> assertEquals(200, status));
         node.start();
         refuseAll();
-        assertEquals("other", node.state.value("leader").get("label"));
+        assertEquals("other", node.store.value("leader").get("label"));
     }
 }
--- a/src/test/java/org/woadloom/sim/BehaviourDigest.java
+++ b/src/test/java/org/woadloom/sim/BehaviourDigest.java
@@ -13,8 +13,8 @@
  * the step before. A mark of six bits for each step tells later where two days part.
  */
 final class BehaviourDigest {
-    private static final int KEPT_HEX_DIGITS = 32;
-    private static final String DIGITS =
+    private static final int HASH_HEX_DIGITS = 32;
+    private static final String MARK_ALPHABET =
             "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
     private final MessageDigest sha = sha256();
@@ -23,7 +23,7 @@
     private final StringBuilder marks = new StringBuilder();
     private byte[] hash = new byte[0];
     private int steps;
-    private String last = "";
+    private String lastStep = "";
     private String difference;
 
     /**
@@ -47,9 +47,9 @@
     void add(String step) {
         sha.update(hash);
         hash = sha.digest(step.getBytes(StandardCharsets.UTF_8));
-        marks.append(DIGITS.charAt(hash[0] & 63));
+        marks.append(MARK_ALPHABET.charAt(hash[0] & 63));
         steps++;
-        write(step);
+        dumpStep(step);
         if (difference == null
                 && expectedMarks != null
                 && !expectedMarks.startsWith(markOf(steps), steps - 1)) {
@@ -58,17 +58,17 @@
                             + steps
                             + " or, by one chance in 64, one shortly before it, is the first that"
                             + " differs; it is now, with the one before:\n"
-                            + last
+                            + lastStep
                             + step;
         }
-        last = step;
+        lastStep = step;
     }
 
     private String markOf(int step) {
         return marks.substring(step - 1, step);
     }
 
-    private void write(String step) {
+    private void dumpStep(String step) {
         if (dump != null) {
             try {
                 dump.write(step);
@@ -90,12 +90,12 @@
                         + " steps, and "
                         + expectedMarks.length()
                         + " were expected; the last is now:\n"
-                        + last;
+                        + lastStep;
     }
 
     /** The hash over all steps so far. */
     String hash() {
-        return HexFormat.of().formatHex(hash).substring(0, KEPT_HEX_DIGITS);
+        return HexFormat.of().formatHex(hash).substring(0, HASH_HEX_DIGITS);
     }
 
     /** One character for each step. */
--- a/src/test/java/org/woadloom/sim/BehaviourDigestTest.java
+++ b/src/test/java/org/woadloom/sim/BehaviourDigestTest.java
@@ -132,7 +132,7 @@
     private static BehaviourDigest play(RandomDay day, BehaviourDigest digest) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
-                        day.seed(), day.upgrade() ? Scenario.UPGRADE : Scenario.PLAIN);
+                        day.seed(), day.upgrade() ? Scenario.UPGRADE : Scenario.DEFAULT);
         cluster.stepObserver =
                 (node, now, commands, actions) ->
                         digest.add(StepRenderer.render(node, now, commands, actions));
--- a/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
@@ -53,7 +53,7 @@
         void one() {
             List<String> jobs = new ArrayList<>(cluster.observed.runningJobs());
             jobs.addAll(cluster.observed.acceptedJobs());
-            jobs.removeIf(jobId -> asked.contains(jobId) || cluster.observed.isOver(jobId));
+            jobs.removeIf(jobId -> asked.contains(jobId) || cluster.observed.hasFinalStatus(jobId));
             if (!jobs.isEmpty()) {
                 asked.add(jobs.get(0));
                 open++;
@@ -107,7 +107,7 @@
     private static ClusterSimulation day(long seed, Flaw flaw) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
-                        seed, new Scenario(Scenario.LONG, Scenario.LONG, Version.NOW, flaw, 0));
+                        seed, new Scenario(Scenario.LONG_TIMES, Scenario.LONG_TIMES, Version.CURRENT, flaw, 0));
         cluster.trouble = 0;
         cluster.servicesStay = true;
         cluster.users.submitUntil(AT + 30 * S, 6);
@@ -203,7 +203,7 @@
     @ParameterizedTest
     @EnumSource
     void jobsAreCancelledWhileWorkChangesHands(Change change) {
-        for (long seed : Seeds.usually(SEEDS)) {
+        for (long seed : Seeds.firstOrConfigured(SEEDS)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
             long term = cluster.term();
             Cancellers users = cancelling(cluster, 35 * S);
@@ -239,7 +239,7 @@
             Else what, long seed, Scenario.Times told, Flaw flaw) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
-                        seed, new Scenario(Scenario.LONG, told, Version.NOW, flaw, 0));
+                        seed, new Scenario(Scenario.LONG_TIMES, told, Version.CURRENT, flaw, 0));
         cluster.trouble = 0;
         cluster.servicesStay = true;
         cluster.users.submitUntil(AT, 6);
@@ -289,8 +289,8 @@
     @EnumSource
     void jobsAreCancelledAtTheVeryMomentOfTheRefusal(Else what) {
         int confirmed = 0;
-        for (long seed : Seeds.usually(SEEDS + 1)) {
-            confirmed += atTheMomentOfTheRefusal(what, seed, Scenario.LONG, Flaw.NONE);
+        for (long seed : Seeds.firstOrConfigured(SEEDS + 1)) {
+            confirmed += atTheMomentOfTheRefusal(what, seed, Scenario.LONG_TIMES, Flaw.NONE);
         }
         // With the peers cut from before only a leader that nobody promised anything could be
         // passed by.
@@ -306,7 +306,7 @@
     @Test
     void theStateServiceIsSlowThenRefusesTheLeaderThenEverybody() {
         int confirmed = 0;
-        for (long seed : Seeds.usually(SEEDS + 1)) {
+        for (long seed : Seeds.firstOrConfigured(SEEDS + 1)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
             cluster.lookClosely(25 * S);
             cluster.slowState(900_000, 12 * S);
@@ -361,7 +361,7 @@
     void manyAreCalledOffAndMachinesHang(Leader leader) {
         int confirmed = 0;
         int called = 0;
-        for (long seed : Seeds.usually(SEEDS)) {
+        for (long seed : Seeds.firstOrConfigured(SEEDS)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
             for (int i = 0; i < 2; i++) {
                 called += cluster.cancelNow(6, 5 * S + i * 9 * S);
@@ -387,7 +387,7 @@
      */
     @Test
     void answersAreLostWhileLeadersChange() {
-        for (long seed : Seeds.usually(SEEDS)) {
+        for (long seed : Seeds.firstOrConfigured(SEEDS)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
             long term = cluster.term();
             cluster.loseAnswers(40, 35 * S);
--- a/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
@@ -36,7 +36,7 @@
     private static ClusterSimulation day(long seed, Flaw flaw) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
-                        seed, new Scenario(Scenario.LONG, Scenario.LONG, Version.NOW, flaw, 0));
+                        seed, new Scenario(Scenario.LONG_TIMES, Scenario.LONG_TIMES, Version.CURRENT, flaw, 0));
         cluster.trouble = 0;
         cluster.servicesStay = true;
         cluster.users.submitUntil(AT);
@@ -178,7 +178,7 @@
             ClusterSimulation cluster =
                     new ClusterSimulation(
                             seed,
-                            new Scenario(Scenario.LONG, Scenario.LONG, Version.NOW, Flaw.NONE, 0));
+                            new Scenario(Scenario.LONG_TIMES, Scenario.LONG_TIMES, Version.CURRENT, Flaw.NONE, 0));
             cluster.trouble = 0;
             cluster.servicesStay = true;
             cluster.users.submitUntil(AT);
@@ -188,7 +188,7 @@
             cluster.run(AT);
             refusedThenDown(cluster, 300_000);
             cluster.run(AT + REFUSED);
-            polled += cluster.observed.waitingForCancelled();
+            polled += cluster.observed.openJobsWithCancelledDependency();
             cluster.run(QUIET);
         }
         assertTrue(polled > 3, "only " + polled + " jobs waited for a cancelled one");
@@ -232,7 +232,7 @@
                         InvariantViolation.class,
                         () -> {
                             for (long seed : Seeds.first(6)) {
-                                confirmedBehindItsBack(Lost.HINTS, seed, Flaw.VOUCHES_FOR_ANYTHING);
+                                confirmedBehindItsBack(Lost.HINTS, seed, Flaw.CONFIRMS_UNNAMED_CANCELLATIONS);
                             }
                         });
         assertTrue(caught.getMessage().contains("ran_cancelled"), caught.getMessage());
--- a/src/test/java/org/woadloom/sim/CancelledTasksInvariant.java
+++ b/src/test/java/org/woadloom/sim/CancelledTasksInvariant.java
@@ -33,8 +33,8 @@
     }
 
     private void check(TaskId task) {
-        Long toldMicros = observed.toldCancelledMicros(task.jobId());
-        if (toldMicros != null && loop.now() - toldMicros > cancelMicros) {
+        Long reportedMicros = observed.cancellationReportedMicros(task.jobId());
+        if (reportedMicros != null && loop.now() - reportedMicros > cancelMicros) {
             throw new InvariantViolation(
                     ProtocolRule.RAN_CANCELLED,
                     task + " is on a machine too long after the cancellation");
--- a/src/test/java/org/woadloom/sim/ClusterSimulation.java
+++ b/src/test/java/org/woadloom/sim/ClusterSimulation.java
@@ -196,7 +196,7 @@
                                             this, mine, address, method, path, body, timeout,
                                             callback),
                             peers,
-                            settingsOf(index, scenario, scenario.told(), namesOneMore[index]),
+                            settingsOf(index, scenario, scenario.configuredTimes(), namesOneMore[index]),
                             OperatorSettings.defaults(),
                             new Random(random.nextLong()),
                             (now, commands, actions) ->
@@ -346,15 +346,15 @@
             }
             if ((message instanceof PeerMessage.CancellationReport
                             || message instanceof PeerMessage.CancellationReportAck)
-                    && (member.version != Version.NOW || other.version != Version.NOW)) {
+                    && (member.version != Version.CURRENT || other.version != Version.CURRENT)) {
                 // An earlier version can't read it.
                 return;
             }
             PeerMessage sent =
-                    scenario.flaw() == Scenario.Flaw.PROMISES_TOO_MUCH
+                    scenario.flaw() == Scenario.Flaw.BREAKS_NO_RENEWAL_PROMISE
                             ? withPromise(message)
                             : message;
-            if (scenario.flaw() == Scenario.Flaw.VOUCHES_FOR_ANYTHING
+            if (scenario.flaw() == Scenario.Flaw.CONFIRMS_UNNAMED_CANCELLATIONS
                     && message instanceof PeerMessage.CancellationReport vouched) {
                 WatermarkReport v = vouched.report();
                 sent =
@@ -369,14 +369,14 @@
                                         List.of()));
             }
             if (message instanceof PeerMessage.Ping ping
-                    && (member.version != Version.NOW || other.version != Version.NOW)) {
+                    && (member.version != Version.CURRENT || other.version != Version.CURRENT)) {
                 sent = new PeerMessage.Ping(ping.term(), ping.leader(), null);
             }
-            if (other.version == Version.PRODUCTION
+            if (other.version == Version.VERSION_1
                     && message instanceof PeerMessage.JobChangeNotification hint) {
                 sent =
                         new PeerMessage.JobChangeNotification(
-                                Cbor.encode(ProductionFilter.record(decode(hint.record()))),
+                                Cbor.encode(ProductionFilter.readRecord(decode(hint.record()))),
                                 hint.revision());
             }
             byte[] frame = codec.encode(sent);
@@ -405,7 +405,7 @@
         random = new Random(seed);
         more = new Random(~seed);
         this.scenario = scenario;
-        settings = settingsOf(0, scenario, scenario.real(), false);
+        settings = settingsOf(0, scenario, scenario.actualTimes(), false);
         observed = new ObservedState(loop, settings);
         userTroubles = new UserFaults(this, more);
         users = new SimulatedUsers(this, random, userTroubles);
@@ -415,7 +415,7 @@
         keptReports = new DelayedHeartbeats(this, more);
         state = new SimulatedStore(loop, settings.store());
         cloud = new SimulatedCloud(this, more);
-        if (scenario.flaw() == Scenario.Flaw.AGREED_TOO_EARLY) {
+        if (scenario.flaw() == Scenario.Flaw.ASSUMES_UPGRADE_COMPLETE) {
             state.handle(
                     "POST",
                     "/txn",
@@ -433,7 +433,7 @@
         }
         for (int i = 0; i < NODES; i++) {
             members[i] = new Member(i);
-            members[i].version = scenario.from();
+            members[i].version = scenario.initialVersion();
         }
         for (Member member : members) {
             loop.after(random.nextInt(500_000), member::start);
@@ -463,7 +463,7 @@
                     boolean any = false;
                     for (Member member : members) {
                         all &= state.value("version/node/" + label(member.index)) != null;
-                        any |= member.alive && member.version == Version.AGREEING;
+                        any |= member.alive && member.version == Version.VERSION_3;
                     }
                     if (all && any && !state.down && state.value("version/agreed") == null) {
                         state.handle(
@@ -498,13 +498,13 @@
     }
 
     private static List<Team> teams(Scenario scenario) {
-        if (scenario.tight()) {
+        if (scenario.teamsAtQuota()) {
             return List.of(new Team("red", 12, 20, 0, 0), new Team("blue", 8, 12, 0, 0));
         }
         List<Team> teams =
                 new ArrayList<>(
                         List.of(new Team("red", 40, 60, 0, 0), new Team("blue", 24, 30, 0, 0)));
-        for (int i = 0; i < scenario.crowd(); i++) {
+        for (int i = 0; i < scenario.extraTeams(); i++) {
             teams.add(new Team("crowd-" + i, 8, i == 0 ? 60 : 20, 0, 0));
         }
         return teams;
@@ -601,7 +601,7 @@
                     () -> fromNodeHeld(member, mine, address, method, path, map, respond));
         } else if (address.equals("state") && refused(member)) {
             respond.answer(503, Map.of("error", "trouble"));
-        } else if (address.equals("state") && member.version != Version.NOW) {
+        } else if (address.equals("state") && member.version != Version.CURRENT) {
             toStateAsOld(member, mine, method, path, map, respond);
         } else if (address.equals("state")) {
             if (path.equals("/txn") && random.nextInt(100) < lateWrites) {
@@ -615,7 +615,7 @@
                                     unlessRefused(
                                             member,
                                             status,
-                                            scenario.flaw() == Scenario.Flaw.ONE_JOB_REFUSED
+                                            scenario.flaw() == Scenario.Flaw.ONE_JOB_NEVER_READ
                                                     ? withoutOneJob(answer)
                                                     : answer,
                                             respond)
@@ -624,9 +624,9 @@
                     method,
                     path,
                     map,
-                    scenario.flaw() == Scenario.Flaw.FORGETS_AWAITS
+                    scenario.flaw() == Scenario.Flaw.IGNORES_DEPENDENCIES
                             ? (status, answer) ->
-                                    watch.answer(status, ProductionFilter.withoutAwaits(answer))
+                                    watch.answer(status, ProductionFilter.withoutDependencies(answer))
                             : watch);
         } else if (address.equals("cloud")) {
             loop.after(150_000, () -> cloud.handle(method, path, map, respond));
@@ -669,19 +669,19 @@
             return false;
         }
         switch (scenario.flaw()) {
-            case ONE_JOB_REFUSED -> {
+            case ONE_JOB_NEVER_READ -> {
                 if (job && path.endsWith("7")) {
                     respond.answer(503, Map.of("error", "trouble"));
                     return true;
                 }
             }
-            case UNSEEN_RECORDS -> {
+            case MISSES_JOB_RECORDS -> {
                 if (job && random.nextInt(20) == 0) {
                     respond.answer(404, Map.of("generation", 0L));
                     return true;
                 }
             }
-            case OLD_CHANGES -> {
+            case STALE_WATCH_EVENTS -> {
                 if (path.startsWith("/follow?")
                         && path.endsWith("blockMs=0")
                         && random.nextBoolean()) {
@@ -690,7 +690,7 @@
                     return true;
                 }
             }
-            case NO_CONDITIONS -> {
+            case UNCONDITIONAL_WRITES -> {
                 if (path.equals("/txn")) {
                     body.put("if", List.of());
                 }
@@ -739,7 +739,7 @@
                     1_000_000,
                     () -> fromNodeHeld(member, mine, address, method, path, body, respond));
         } else if (address.equals("state") && !path.startsWith("/follow")) {
-            if (member.version != Version.NOW) {
+            if (member.version != Version.CURRENT) {
                 toStateAsOld(member, mine, method, path, body, respond);
             } else {
                 state.handle(method, path, body, respond);
@@ -778,8 +778,8 @@
             String path,
             Map<String, Object> body,
             SimulatedStore.Answer respond) {
-        boolean production = member.version == Version.PRODUCTION;
-        EarlierVersions.toState(
+        boolean production = member.version == Version.VERSION_1;
+        EarlierVersions.forwardToStore(
                 state,
                 production,
                 method,
@@ -789,7 +789,7 @@
                         respond.answer(
                                 status,
                                 status == 200 && production && member.lives(mine)
-                                        ? ProductionFilter.read(answer)
+                                        ? ProductionFilter.readAnswer(answer)
                                         : answer));
     }
 
@@ -874,18 +874,18 @@
             return;
         }
         int life = member.life;
-        if (agent != null && agent.deaf() && scenario.flaw() == Scenario.Flaw.DEAF_SEEM_TO_HEAR) {
+        if (agent != null && agent.deaf() && scenario.flaw() == Scenario.Flaw.UNREACHED_AGENTS_REPORT_SENT_TOKENS) {
             body.put("epoch", Math.max((Long) body.get("epoch"), agent.tokenSent));
         }
         boolean fillsIn =
-                scenario.flaw() == Scenario.Flaw.FILLS_IN_WHAT_IS_MISSING
+                scenario.flaw() == Scenario.Flaw.DEFAULTS_MISSING_FIELDS
                         && path.equals("/v1/jobs");
         byte[] bytes = body == null ? new byte[0] : Cbor.encode(fillsIn ? filledIn(body) : body);
         if (agent != null && random.nextInt(100) < copies) {
             copy(body);
         }
         if (agent != null) {
-            keptReports.sent(body);
+            keptReports.onHeartbeatSent(body);
         }
         carry(
                 timeout,
@@ -931,7 +931,7 @@
 
     byte[] copyOf(Map<String, Object> report) {
         Map<String, Object> retry = new LinkedHashMap<>(report);
-        if (scenario.flaw() == Scenario.Flaw.COPIES_LOOK_NEW) {
+        if (scenario.flaw() == Scenario.Flaw.DELAYED_HEARTBEATS_LOOK_NEW) {
             retry.put("tick", (Long) report.get("tick") + 1_000);
         }
         return Cbor.encode(retry);
@@ -1002,7 +1002,7 @@
                         loop.after(
                                 500_000 + random.nextInt(4_000_000),
                                 () -> {
-                                    member.version = Version.NOW;
+                                    member.version = Version.CURRENT;
                                     if (!member.alive) {
                                         member.start();
                                     }
@@ -1122,7 +1122,7 @@
 
     /** Of so many of a hundred reports a copy comes to every node once the term has changed. */
     void keepForNextLeader(int ofHundred, long forMicros) {
-        keptReports.keep(ofHundred, loop.now() + forMicros);
+        keptReports.capture(ofHundred, loop.now() + forMicros);
     }
 
     /**
@@ -1466,7 +1466,7 @@
     List<String> unfinishedJobs() {
         List<String> result = new ArrayList<>();
         for (String jobId : observed.acceptedJobs()) {
-            if (!observed.isOver(jobId) && !observed.job(jobId).isService()) {
+            if (!observed.hasFinalStatus(jobId) && !observed.job(jobId).isService()) {
                 result.add(jobId);
             }
         }
--- a/src/test/java/org/woadloom/sim/CompletionInvariant.java
+++ b/src/test/java/org/woadloom/sim/CompletionInvariant.java
@@ -10,7 +10,7 @@
 
     @Override
     void onJobStatus(UserAnswer answer) {
-        if (answer.isDone() && !observed.isAllDone(answer.jobId())) {
+        if (answer.isDone() && !observed.areAllTasksDone(answer.jobId())) {
             throw new InvariantViolation(ProtocolRule.NOT_DONE, answer.jobId());
         }
     }
--- a/src/test/java/org/woadloom/sim/DamagedRecordTest.java
+++ b/src/test/java/org/woadloom/sim/DamagedRecordTest.java
@@ -28,7 +28,7 @@
                         .filter(
                                 job ->
                                         cluster.stored("job/" + job) != null
-                                                && !cluster.observed.isOver(job)
+                                                && !cluster.observed.hasFinalStatus(job)
                                                 && !cluster.observed.job(job).isService())
                         .reduce((a, b) -> b)
                         .orElseThrow();
@@ -41,7 +41,7 @@
     }
 
     private static ClusterSimulation day() {
-        ClusterSimulation cluster = new ClusterSimulation(5, Scenario.PLAIN);
+        ClusterSimulation cluster = new ClusterSimulation(5, Scenario.DEFAULT);
         cluster.trouble = 0;
         cluster.users.submitUntil(AT + 10_000_000);
         cluster.run(AT);
--- a/src/test/java/org/woadloom/sim/DependencyOrderInvariant.java
+++ b/src/test/java/org/woadloom/sim/DependencyOrderInvariant.java
@@ -14,7 +14,7 @@
     @Override
     void beforeTaskStart(TaskId task, JobDescription job, SimulatedAgent agent) {
         for (String dependency : job.dependencies()) {
-            if (!observed.isAllDone(dependency)) {
+            if (!observed.areAllTasksDone(dependency)) {
                 throw new InvariantViolation(
                         ProtocolRule.TOO_EARLY, task + " starts before " + dependency + " is done");
             }
--- a/src/test/java/org/woadloom/sim/EarlierVersions.java
+++ b/src/test/java/org/woadloom/sim/EarlierVersions.java
@@ -10,65 +10,65 @@
  * lead without asking what is required.
  */
 final class EarlierVersions {
-    private static final String ROLLOUT = "rollout/";
-    private static final String VERSIONS = "version/";
+    private static final String ROLLOUT_PREFIX = "rollout/";
+    private static final String VERSION_PREFIX = "version/";
 
     private EarlierVersions() {}
 
-    static void toState(
-            SimulatedStore state,
-            boolean production,
+    static void forwardToStore(
+            SimulatedStore store,
+            boolean isVersion1,
             String method,
             String path,
             Map<String, Object> body,
             SimulatedStore.Answer respond) {
-        if (path.startsWith("/keys/" + ROLLOUT)
-                || production && path.startsWith("/keys/" + VERSIONS)) {
-            respond.answer(state.down ? 503 : 404, Map.of("generation", 0L));
-        } else if (path.contains("prefix=" + ROLLOUT)) {
-            state.handle(
-                    method, path.replace("prefix=" + ROLLOUT, "prefix=unknown/"), body, respond);
+        if (path.startsWith("/keys/" + ROLLOUT_PREFIX)
+                || isVersion1 && path.startsWith("/keys/" + VERSION_PREFIX)) {
+            respond.answer(store.down ? 503 : 404, Map.of("generation", 0L));
+        } else if (path.contains("prefix=" + ROLLOUT_PREFIX)) {
+            store.handle(
+                    method, path.replace("prefix=" + ROLLOUT_PREFIX, "prefix=unknown/"), body, respond);
         } else if (path.equals("/txn")) {
-            txn(state, production, body, respond);
+            forwardTransaction(store, isVersion1, body, respond);
         } else {
-            state.handle(method, path, body, respond);
+            store.handle(method, path, body, respond);
         }
     }
 
-    private static void txn(
-            SimulatedStore state,
-            boolean production,
+    private static void forwardTransaction(
+            SimulatedStore store,
+            boolean isVersion1,
             Map<String, Object> body,
             SimulatedStore.Answer respond) {
         List<Map<?, ?>> changes = ProductionFilter.changes(body);
-        if (changes.stream().anyMatch(change -> (ROLLOUT + "state").equals(change.get("put")))) {
-            respond.answer(409, Map.of("failed", List.of(ROLLOUT + "state"), "generation", 0L));
+        if (changes.stream().anyMatch(change -> (ROLLOUT_PREFIX + "state").equals(change.get("put")))) {
+            respond.answer(409, Map.of("failed", List.of(ROLLOUT_PREFIX + "state"), "generation", 0L));
             return;
         }
-        Map<String, Object> known = new LinkedHashMap<>();
-        known.put(
+        Map<String, Object> forwarded = new LinkedHashMap<>();
+        forwarded.put(
                 "if",
                 ((List<?>) body.get("if"))
                         .stream()
                                 .filter(
                                         condition ->
-                                                !(ROLLOUT + "state")
+                                                !(ROLLOUT_PREFIX + "state")
                                                         .equals(
                                                                 ((Map<?, ?>) condition)
                                                                         .get("path")))
                                 .toList());
-        known.put(
+        forwarded.put(
                 "then",
                 changes.stream()
                         .filter(
                                 change ->
                                         !(change.get("put") instanceof String key
-                                                && (key.startsWith(ROLLOUT)
-                                                        || production && key.startsWith(VERSIONS))))
+                                                && (key.startsWith(ROLLOUT_PREFIX)
+                                                        || isVersion1 && key.startsWith(VERSION_PREFIX))))
                         .toList());
-        if (production) {
-            ProductionFilter.checkWritten("/txn", known);
+        if (isVersion1) {
+            ProductionFilter.checkReadableByVersion1("/txn", forwarded);
         }
-        state.handle("POST", "/txn", known, respond);
+        store.handle("POST", "/txn", forwarded, respond);
     }
 }
--- a/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
@@ -53,7 +53,7 @@
         ENDS_FAR_APART {
             @Override
             IntSupplier begin(ClusterSimulation cluster) {
-                int partly = cluster.observed.partlyDone();
+                int partly = cluster.observed.partlyDoneJobs();
                 cluster.endLeader(300_000);
                 cluster.loop.after(9_000_000, () -> cluster.restart(0));
                 return () -> partly;
@@ -123,7 +123,7 @@
             IntSupplier begin(ClusterSimulation cluster) {
                 cluster.deafen("a", 2, 28_000_000);
                 cluster.hangAll("b", 9_000_000);
-                int outOfTouch = cluster.observed.tasksIn("b");
+                int outOfTouch = cluster.observed.runningTasksInZone("b");
                 cluster.loop.after(1_000_000, () -> cluster.endLeader(2_000_000));
                 return () -> outOfTouch;
             }
@@ -216,7 +216,7 @@
                 for (int node = 0; node < ClusterSimulation.NODES; node++) {
                     cluster.end(
                             node,
-                            Scenario.SHORT.leaseMicros()
+                            Scenario.SHORT_TIMES.leaseMicros()
                                     + 2_000_000
                                     + cluster.random.nextInt(6_000_000));
                 }
@@ -250,8 +250,8 @@
                         () ->
                                 waiting[0] =
                                         Math.min(
-                                                cluster.observed.waitingAtOrAbove(Priority.HIGH),
-                                                cluster.observed.waitingBelow(Priority.HIGH)));
+                                                cluster.observed.waitingJobsAtOrAbove(Priority.HIGH),
+                                                cluster.observed.waitingJobsBelow(Priority.HIGH)));
                 return () -> waiting[0];
             }
         };
@@ -271,7 +271,7 @@
     }
 
     private static void day(long seed, Set<Meeting> meetings) {
-        day(seed, Scenario.PLAIN, meetings);
+        day(seed, Scenario.DEFAULT, meetings);
     }
 
     private static void day(long seed, Scenario day, Set<Meeting> meetings) {
@@ -314,7 +314,7 @@
     @ParameterizedTest
     @EnumSource
     void rulesHoldInEachMeeting(Meeting meeting) {
-        for (long seed : Seeds.usually(SEEDS)) {
+        for (long seed : Seeds.firstOrConfigured(SEEDS)) {
             day(seed, Set.of(meeting));
         }
     }
@@ -331,7 +331,7 @@
         "FOUR_A_SECOND, LATE_WRITES"
     })
     void rulesHoldInTwoAtOnce(Meeting one, Meeting other) {
-        for (long seed : Seeds.usually(SEEDS)) {
+        for (long seed : Seeds.firstOrConfigured(SEEDS)) {
             day(seed, Set.of(one, other));
         }
     }
@@ -357,7 +357,7 @@
                         InvariantViolation.class,
                         () -> {
                             for (long seed : Seeds.first(6)) {
-                                play(seed, Scenario.PLAIN.with(flaw), Set.of(meeting));
+                                play(seed, Scenario.DEFAULT.with(flaw), Set.of(meeting));
                             }
                         });
         assertTrue(caught.getMessage().startsWith(rule), caught.getMessage());
@@ -377,7 +377,7 @@
     void aWordThatIsCarriedOutLateReplacesNoNewerOne() {
         int late = 0;
         for (long seed : Seeds.first(12)) {
-            ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
+            ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.DEFAULT);
             cluster.writeLate(45, 25_000_000);
             cluster.run(90_000_000);
             late += cluster.lateWritesMade[0] + cluster.lateWritesMade[1];
--- a/src/test/java/org/woadloom/sim/FinalStatusInvariant.java
+++ b/src/test/java/org/woadloom/sim/FinalStatusInvariant.java
@@ -17,7 +17,7 @@
         String before = observed.finalStatus(jobId);
         boolean changed = before != null && !before.equals(answer.jobStatus());
         // A status that is not final may be older than the final one, if the request is.
-        if (changed && (answer.isFinal() || observed.finalMicros(jobId) < answer.sentMicros())) {
+        if (changed && (answer.isFinal() || observed.finalStatusReportedMicros(jobId) < answer.sentMicros())) {
             throw new InvariantViolation(
                     ProtocolRule.WENT_BACK,
                     jobId + " was " + before + " and is " + answer.jobStatus());
--- a/src/test/java/org/woadloom/sim/JobLogLinesTest.java
+++ b/src/test/java/org/woadloom/sim/JobLogLinesTest.java
@@ -27,7 +27,7 @@
 
     @Test
     void linesOfJobsAreFound() {
-        ClusterSimulation cluster = new ClusterSimulation(1, Scenario.PLAIN);
+        ClusterSimulation cluster = new ClusterSimulation(1, Scenario.DEFAULT);
         List<String> lines = new ArrayList<>();
         cluster.stepObserver =
                 (node, now, commands, actions) ->
--- a/src/test/java/org/woadloom/sim/LoopbackNode.java
+++ b/src/test/java/org/woadloom/sim/LoopbackNode.java
@@ -22,18 +22,18 @@
  * HTTP.
  */
 final class LoopbackNode {
-    final SimulatedStore state =
+    final SimulatedStore store =
             new SimulatedStore(
                     new SimulatedEventLoop(),
                     new ServiceSettings.Store(1_000, 1_000, 16_384, 16, null));
-    private Undertow outside;
+    private Undertow dependencies;
     String address;
 
     /** Where the stand-in of the state service listens. */
-    String stateAddress;
+    String storeAddress;
 
     void stop() {
-        outside.stop();
+        dependencies.stop();
     }
 
     private static int freePort() throws Exception {
@@ -44,7 +44,7 @@
 
     void start() throws Exception {
         int port = freePort();
-        outside =
+        dependencies =
                 Undertow.builder()
                         .setIoThreads(1)
                         .setWorkerThreads(1)
@@ -53,13 +53,13 @@
                                 exchange ->
                                         exchange.getRequestReceiver()
                                                 .receiveFullBytes(
-                                                        (done, body) ->
-                                                                done.dispatch(
+                                                        (received, body) ->
+                                                                received.dispatch(
                                                                         SameThreadExecutor.INSTANCE,
-                                                                        () -> answer(done, body))))
+                                                                        () -> handleDependencyRequest(received, body))))
                         .build();
-        outside.start();
-        stateAddress = "127.0.0.1:" + port;
+        dependencies.start();
+        storeAddress = "127.0.0.1:" + port;
         address = "127.0.0.1:" + freePort();
         String text =
                 Files.readString(Path.of("src/build/rehearsal.toml"))
@@ -71,7 +71,7 @@
         Server.start(ServiceSettingsFile.parse("test", text), OperatorSettings.defaults());
     }
 
-    private void answer(HttpServerExchange exchange, byte[] body) {
+    private void handleDependencyRequest(HttpServerExchange exchange, byte[] body) {
         String query = exchange.getQueryString();
         String path = exchange.getRequestPath() + (query.isEmpty() ? "" : "?" + query);
         if (path.equals("/machine_types")) {
@@ -86,7 +86,7 @@
             reply(exchange, 503, Map.of("error", "trouble"));
         } else {
             try {
-                state.handle(
+                store.handle(
                         exchange.getRequestMethod().toString(),
                         path,
                         body.length == 0 ? Map.of() : Cbor.decodeMap(body),
--- a/src/test/java/org/woadloom/sim/LoopbackTest.java
+++ b/src/test/java/org/woadloom/sim/LoopbackTest.java
@@ -89,7 +89,7 @@
         assertEquals(
                 200,
                 ask(
-                                node.stateAddress,
+                                node.storeAddress,
                                 "POST",
                                 "/txn",
                                 Cbor.encode(
--- a/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
@@ -53,7 +53,7 @@
         ClusterSimulation cluster =
                 new ClusterSimulation(
                         seed,
-                        new Scenario(Scenario.LONG, told, Version.NOW, Scenario.Flaw.NONE, 0));
+                        new Scenario(Scenario.LONG_TIMES, told, Version.CURRENT, Scenario.Flaw.NONE, 0));
         cluster.trouble = 0;
         cluster.users.submitUntil(AT + 60_000_000);
         cluster.observed.faultFreeFromMicros = AT + 150_000_000;
@@ -96,7 +96,7 @@
                         task ->
                                 !running.contains(task)
                                         && !cluster.observed.isDone(task)
-                                        && !cluster.observed.isOver(task.jobId()))
+                                        && !cluster.observed.hasFinalStatus(task.jobId()))
                 .toList();
     }
 
@@ -120,8 +120,8 @@
             OutOfTouch kind, int oneIn, int leaderEnds) {
         int befallen = 0;
         int moved = 0;
-        for (long seed : Seeds.usually(2)) {
-            ClusterSimulation cluster = day(seed, Scenario.LONG);
+        for (long seed : Seeds.firstOrConfigured(2)) {
+            ClusterSimulation cluster = day(seed, Scenario.LONG_TIMES);
             List<SimulatedAgent> troubled =
                     befall(
                             cluster,
@@ -161,8 +161,8 @@
     @ParameterizedTest
     @EnumSource
     void withinALeaseNothingIsKilled(OutOfTouch kind) {
-        for (long seed : Seeds.usually(2)) {
-            ClusterSimulation cluster = day(seed, Scenario.LONG);
+        for (long seed : Seeds.firstOrConfigured(2)) {
+            ClusterSimulation cluster = day(seed, Scenario.LONG_TIMES);
             int killed = cluster.observed.killedByLease;
             List<SimulatedAgent> troubled = befall(cluster, List.of(kind), 3, 8_000_000);
             assertTrue(!troubled.isEmpty());
@@ -178,8 +178,8 @@
     @ParameterizedTest
     @ValueSource(ints = {10, 3})
     void machinesThatAreClosedInForLessThanALeaseAreKept(int oneIn) {
-        for (long seed : Seeds.usually(3)) {
-            ClusterSimulation cluster = day(seed, Scenario.LONG);
+        for (long seed : Seeds.firstOrConfigured(3)) {
+            ClusterSimulation cluster = day(seed, Scenario.LONG_TIMES);
             int killed = cluster.observed.killedByLease;
             List<SimulatedAgent> troubled =
                     befall(cluster, List.of(OutOfTouch.CLOSED_IN), oneIn, 15_000_000);
@@ -217,8 +217,8 @@
      */
     @Test
     void afterAllControllersWereAwayWorkBeginsAnewAtOnce() {
-        for (long seed : Seeds.usually(3)) {
-            ClusterSimulation cluster = day(seed, Scenario.LONG);
+        for (long seed : Seeds.firstOrConfigured(3)) {
+            ClusterSimulation cluster = day(seed, Scenario.LONG_TIMES);
             int killed = cluster.observed.killedByLease;
             Set<TaskId> tasks = tasksOn(cluster.agents());
             for (int node = 0; node < ClusterSimulation.NODES; node++) {
@@ -228,9 +228,9 @@
             assertTrue(
                     cluster.observed.killedByLease > killed && !tasks.isEmpty(),
                     "no lease ended, seed " + seed);
-            int starts = cluster.observed.starts;
+            int starts = cluster.observed.taskStarts;
             long begins = cluster.loop.now();
-            while (cluster.observed.starts == starts && cluster.loop.now() < begins + 60_000_000) {
+            while (cluster.observed.taskStarts == starts && cluster.loop.now() < begins + 60_000_000) {
                 cluster.run(cluster.loop.now() + 100_000);
             }
             assertTrue(
@@ -253,8 +253,8 @@
     @Test
     void rentalsAndDeletionsThatAreCarriedOutLate() {
         Map<String, Integer> count = new LinkedHashMap<>();
-        for (long seed : Seeds.usually(4)) {
-            ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
+        for (long seed : Seeds.firstOrConfigured(4)) {
+            ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.DEFAULT);
             cluster.users.submitUntil(150_000_000);
             cluster.observed.faultFreeFromMicros = 230_000_000;
             cluster.loop.after(3_000_000, () -> cluster.cloudLate(60, 150_000_000));
@@ -294,8 +294,8 @@
     @Test
     void machinesThatAreUpAtOnceWhileWritesLagAndTheLeaderEnds() {
         Map<String, Integer> count = new LinkedHashMap<>();
-        for (long seed : Seeds.usually(3)) {
-            ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
+        for (long seed : Seeds.firstOrConfigured(3)) {
+            ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.DEFAULT);
             cluster.users.submitUntil(170_000_000);
             cluster.observed.faultFreeFromMicros = 240_000_000;
             cluster.run(10_000_000);
--- a/src/test/java/org/woadloom/sim/ObservedState.java
+++ b/src/test/java/org/woadloom/sim/ObservedState.java
@@ -25,23 +25,23 @@
     private final ServiceSettings settings;
     private final Map<String, JobDescription> submitted = new LinkedHashMap<>();
     private final Map<String, Long> acceptedMicros = new LinkedHashMap<>();
-    private final Map<String, Long> toldCancelledMicros = new HashMap<>();
+    private final Map<String, Long> cancellationReportedMicros = new HashMap<>();
     private final Set<String> cancelRequested = new HashSet<>();
     private final Map<String, String> finalStatus = new HashMap<>();
-    private final Map<String, Long> finalMicros = new HashMap<>();
+    private final Map<String, Long> finalStatusReportedMicros = new HashMap<>();
     private final Map<TaskId, SimulatedAgent> machineOfTask = new LinkedHashMap<>();
     private final Set<TaskId> doneTasks = new HashSet<>();
     private final Set<String> startedJobs = new HashSet<>();
-    private final Set<String> unfitJobs = new HashSet<>();
+    private final Set<String> invalidJobs = new HashSet<>();
 
     /** No fault is active from this moment on; the far future while that is not known. */
     long faultFreeFromMicros = Long.MAX_VALUE / 2;
 
     /** Starts of tasks after a user was told that their job is cancelled. */
-    int startsAfterCancellation;
+    int taskStartsAfterCancellation;
 
     /** Starts of tasks. */
-    int starts;
+    int taskStarts;
 
     /** Running tasks that were killed because their agent's lease expired. */
     int killedByLease;
@@ -50,7 +50,7 @@
     int cancelledWhileRunning;
 
     /** Dependencies that were met when a task of the dependent job started. */
-    int releases;
+    int satisfiedDependencies;
 
     ObservedState(SimulatedEventLoop loop, ServiceSettings settings) {
         this.loop = loop;
@@ -64,8 +64,8 @@
     }
 
     /** The job can't run, or lacks a field: it must not be accepted. */
-    void recordUnfit(String jobId) {
-        unfitJobs.add(jobId);
+    void recordInvalidJob(String jobId) {
+        invalidJobs.add(jobId);
     }
 
     void recordCancelRequest(String jobId) {
@@ -73,10 +73,10 @@
     }
 
     void recordTaskStart(TaskId task, SimulatedAgent agent) {
-        starts++;
-        releases += job(task.jobId()).dependencies().size();
+        taskStarts++;
+        satisfiedDependencies += job(task.jobId()).dependencies().size();
         startedJobs.add(task.jobId());
-        startsAfterCancellation += toldCancelledMicros.containsKey(task.jobId()) ? 1 : 0;
+        taskStartsAfterCancellation += cancellationReportedMicros.containsKey(task.jobId()) ? 1 : 0;
         machineOfTask.put(task, agent);
     }
 
@@ -86,7 +86,7 @@
 
     /** Whether the task was the last one of its job that was not done. */
     boolean recordTaskDone(TaskId task) {
-        return doneTasks.add(task) && isAllDone(task.jobId());
+        return doneTasks.add(task) && areAllTasksDone(task.jobId());
     }
 
     /** An answer with the job's status tells that it is accepted, whatever the request was. */
@@ -97,9 +97,9 @@
     void recordFinalStatus(UserAnswer answer) {
         String jobId = answer.jobId();
         finalStatus.put(jobId, answer.jobStatus());
-        finalMicros.putIfAbsent(jobId, loop.now());
+        finalStatusReportedMicros.putIfAbsent(jobId, loop.now());
         if (answer.isCancelled()
-                && toldCancelledMicros.putIfAbsent(jobId, loop.now()) == null
+                && cancellationReportedMicros.putIfAbsent(jobId, loop.now()) == null
                 && runningJobs().contains(jobId)) {
             cancelledWhileRunning++;
         }
@@ -116,8 +116,8 @@
         return submitted.containsKey(jobId);
     }
 
-    boolean isUnfit(String jobId) {
-        return unfitJobs.contains(jobId);
+    boolean isInvalidJob(String jobId) {
+        return invalidJobs.contains(jobId);
     }
 
     boolean isAccepted(String jobId) {
@@ -135,7 +135,7 @@
     }
 
     /** A user was told that the job is done or cancelled. */
-    boolean isOver(String jobId) {
+    boolean hasFinalStatus(String jobId) {
         return finalStatus.containsKey(jobId);
     }
 
@@ -144,9 +144,9 @@
         return finalStatus.get(jobId);
     }
 
-    /** When users were told the final status first; only for a job that {@link #isOver}. */
-    long finalMicros(String jobId) {
-        return finalMicros.get(jobId);
+    /** When users were told the final status first; only for a job that {@link #hasFinalStatus}. */
+    long finalStatusReportedMicros(String jobId) {
+        return finalStatusReportedMicros.get(jobId);
     }
 
     boolean isCancelRequested(String jobId) {
@@ -154,12 +154,12 @@
     }
 
     boolean hasCancelledJobs() {
-        return !toldCancelledMicros.isEmpty();
+        return !cancellationReportedMicros.isEmpty();
     }
 
     /** When a user was told first that the job is cancelled; null if none was. */
-    Long toldCancelledMicros(String jobId) {
-        return toldCancelledMicros.get(jobId);
+    Long cancellationReportedMicros(String jobId) {
+        return cancellationReportedMicros.get(jobId);
     }
 
     /**
@@ -167,27 +167,27 @@
      * and this one was accepted; null if that has not happened.
      */
     Long dependencyCancelledMicros(String jobId) {
-        Long first = null;
+        Long firstMicros = null;
         for (String dependency : job(jobId).dependencies()) {
-            Long told = toldCancelledMicros.get(dependency);
-            if (told == null) {
-                told = dependencyCancelledMicros(dependency);
+            Long reportedMicros = cancellationReportedMicros.get(dependency);
+            if (reportedMicros == null) {
+                reportedMicros = dependencyCancelledMicros(dependency);
             }
-            if (told == null) {
+            if (reportedMicros == null) {
                 continue;
             }
             // A job that names a cancelled one has its time from its own acceptance.
-            long from = Math.max(told, acceptedMicros.getOrDefault(jobId, Long.MAX_VALUE / 2));
-            first = first == null ? from : Math.min(first, from);
+            long fromMicros = Math.max(reportedMicros, acceptedMicros.getOrDefault(jobId, Long.MAX_VALUE / 2));
+            firstMicros = firstMicros == null ? fromMicros : Math.min(firstMicros, fromMicros);
         }
-        return first;
+        return firstMicros;
     }
 
     /** How many jobs are not over though a job that they depend on is cancelled. */
-    int waitingForCancelled() {
+    int openJobsWithCancelledDependency() {
         int count = 0;
         for (String jobId : acceptedMicros.keySet()) {
-            count += !isOver(jobId) && dependencyCancelledMicros(jobId) != null ? 1 : 0;
+            count += !hasFinalStatus(jobId) && dependencyCancelledMicros(jobId) != null ? 1 : 0;
         }
         return count;
     }
@@ -205,7 +205,7 @@
     }
 
     /** How many jobs that are no services have tasks that are done and tasks on machines. */
-    int partlyDone() {
+    int partlyDoneJobs() {
         Set<String> jobsWithDoneTasks = new HashSet<>();
         doneTasks.forEach(task -> jobsWithDoneTasks.add(task.jobId()));
         int count = 0;
@@ -216,21 +216,21 @@
     }
 
     /** How many jobs of this priority or a higher one have waiting tasks. */
-    int waitingAtOrAbove(Priority priority) {
-        return waiting(priority, false);
+    int waitingJobsAtOrAbove(Priority priority) {
+        return countWaitingJobs(priority, false);
     }
 
     /** How many jobs of a lower priority have waiting tasks. */
-    int waitingBelow(Priority priority) {
-        return waiting(priority, true);
+    int waitingJobsBelow(Priority priority) {
+        return countWaitingJobs(priority, true);
     }
 
-    private int waiting(Priority priority, boolean below) {
+    private int countWaitingJobs(Priority priority, boolean below) {
         int count = 0;
         for (String jobId : acceptedMicros.keySet()) {
             JobDescription job = job(jobId);
             boolean isBelow = job.priority().compareTo(priority) < 0;
-            count += !isOver(jobId) && isBelow == below && hasWaitingTask(job) ? 1 : 0;
+            count += !hasFinalStatus(jobId) && isBelow == below && hasWaitingTask(job) ? 1 : 0;
         }
         return count;
     }
@@ -274,7 +274,7 @@
         return doneTasks.contains(task);
     }
 
-    boolean isAllDone(String jobId) {
+    boolean areAllTasksDone(String jobId) {
         for (int i = 0; i < job(jobId).taskCount(); i++) {
             if (!doneTasks.contains(new TaskId(jobId, i))) {
                 return false;
@@ -294,7 +294,7 @@
         return false;
     }
 
-    int tasksIn(String zone) {
+    int runningTasksInZone(String zone) {
         int count = 0;
         for (SimulatedAgent agent : machineOfTask.values()) {
             count += agent.zone.equals(zone) ? 1 : 0;
@@ -323,7 +323,7 @@
         for (String jobId : acceptedMicros.keySet()) {
             JobDescription job = job(jobId);
             if (job.team().equals(team.name())
-                    && !isOver(jobId)
+                    && !hasFinalStatus(jobId)
                     && job.cpus() > freeCpus
                     && hasWaitingTask(job)) {
                 return true;
--- a/src/test/java/org/woadloom/sim/OrphanedDependentInvariant.java
+++ b/src/test/java/org/woadloom/sim/OrphanedDependentInvariant.java
@@ -20,8 +20,8 @@
         if (!answer.jobStatus().equals("queued") && !answer.jobStatus().equals("running")) {
             return;
         }
-        Long toldMicros = observed.dependencyCancelledMicros(answer.jobId());
-        if (toldMicros != null && toldMicros + cancelMicros < answer.sentMicros()) {
+        Long reportedMicros = observed.dependencyCancelledMicros(answer.jobId());
+        if (reportedMicros != null && reportedMicros + cancelMicros < answer.sentMicros()) {
             throw new InvariantViolation(
                     ProtocolRule.ORPHANED, answer.jobId() + " is " + answer.jobStatus());
         }
--- a/src/test/java/org/woadloom/sim/PartitionedZoneTest.java
+++ b/src/test/java/org/woadloom/sim/PartitionedZoneTest.java
@@ -32,7 +32,7 @@
                 new ClusterSimulation(
                         seed,
                         new Scenario(
-                                Scenario.LONG, Scenario.LONG, Version.NOW, Scenario.Flaw.NONE, 0));
+                                Scenario.LONG_TIMES, Scenario.LONG_TIMES, Version.CURRENT, Scenario.Flaw.NONE, 0));
         cluster.trouble = 0;
         cluster.users.submitUntil(QUIET);
         return cluster;
@@ -57,7 +57,7 @@
         for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = cut(seed, zone, BRIDGED);
             cluster.run(CUT_AT - 1);
-            kept += cluster.observed.tasksIn(zone);
+            kept += cluster.observed.runningTasksInZone(zone);
             assertEquals(0, killedMeanwhile(cluster), "tasks killed, seed " + seed);
             cluster.run(QUIET);
         }
--- a/src/test/java/org/woadloom/sim/PrintReplayCommandTest.java
+++ b/src/test/java/org/woadloom/sim/PrintReplayCommandTest.java
@@ -21,7 +21,7 @@
             assertArrayEquals(new long[] {1, 2, 3}, Seeds.first(3));
             System.setProperty(Seeds.SEED_PROPERTY, "7");
             assertArrayEquals(new long[] {7}, Seeds.first(3));
-            assertArrayEquals(new long[] {7}, Seeds.usually(3));
+            assertArrayEquals(new long[] {7}, Seeds.firstOrConfigured(3));
         } finally {
             if (before == null) {
                 System.clearProperty(Seeds.SEED_PROPERTY);
--- a/src/test/java/org/woadloom/sim/ProductionFilter.java
+++ b/src/test/java/org/woadloom/sim/ProductionFilter.java
@@ -14,7 +14,7 @@
  * versions. That it never meets a record which it can't read is checked here.
  */
 final class ProductionFilter {
-    private static final String JOBS = "job/";
+    private static final String JOB_PREFIX = "job/";
 
     private ProductionFilter() {}
 
@@ -26,18 +26,18 @@
         return changes;
     }
 
-    static void checkWritten(String path, Map<String, Object> body) {
+    static void checkReadableByVersion1(String path, Map<String, Object> body) {
         if (path.equals("/txn")) {
             for (Map<?, ?> change : changes(body)) {
-                if (change.get("put") instanceof String key && key.startsWith(JOBS)) {
-                    record(change.get("value"));
+                if (change.get("put") instanceof String key && key.startsWith(JOB_PREFIX)) {
+                    readRecord(change.get("value"));
                 }
             }
         }
     }
 
     @SuppressWarnings("unchecked")
-    static Map<String, Object> record(Object value) {
+    static Map<String, Object> readRecord(Object value) {
         try {
             return Version1JobRecord.read((Map<String, Object>) value);
         } catch (MalformedMessageException e) {
@@ -47,36 +47,36 @@
     }
 
     /** An answer of the state service without what any job in it waits for. */
-    static Map<String, Object> withoutAwaits(Map<String, Object> answer) {
-        return jobs(
+    static Map<String, Object> withoutDependencies(Map<String, Object> answer) {
+        return mapJobRecords(
                 answer,
                 value -> {
                     Map<String, Object> record = new LinkedHashMap<>();
                     ((Map<?, ?>) value).forEach((key, field) -> record.put((String) key, field));
                     if (record.get("job") instanceof Map<?, ?> job) {
-                        Map<String, Object> known = new LinkedHashMap<>();
-                        job.forEach((key, field) -> known.put((String) key, field));
-                        known.remove("awaits");
-                        record.put("job", known);
+                        Map<String, Object> remaining = new LinkedHashMap<>();
+                        job.forEach((key, field) -> remaining.put((String) key, field));
+                        remaining.remove("awaits");
+                        record.put("job", remaining);
                     }
                     return record;
                 });
     }
 
     /** An answer of the state service, as version 1 understands it. */
-    static Map<String, Object> read(Map<String, Object> answer) {
-        return jobs(answer, ProductionFilter::record);
+    static Map<String, Object> readAnswer(Map<String, Object> answer) {
+        return mapJobRecords(answer, ProductionFilter::readRecord);
     }
 
-    private static Map<String, Object> jobs(
-            Map<String, Object> answer, UnaryOperator<Object> read) {
-        Map<String, Object> seen = new LinkedHashMap<>(answer);
-        if (answer.get("path") instanceof String path && path.startsWith(JOBS)) {
-            seen.put("value", read.apply(answer.get("value")));
+    private static Map<String, Object> mapJobRecords(
+            Map<String, Object> answer, UnaryOperator<Object> mapper) {
+        Map<String, Object> mapped = new LinkedHashMap<>(answer);
+        if (answer.get("path") instanceof String path && path.startsWith(JOB_PREFIX)) {
+            mapped.put("value", mapper.apply(answer.get("value")));
         }
         for (String list : List.of("items", "events")) {
             if (answer.get(list) instanceof List<?> items) {
-                List<Object> known = new ArrayList<>();
+                List<Object> mappedItems = new ArrayList<>();
                 for (Object item : items) {
                     Map<String, Object> entry = new LinkedHashMap<>();
                     ((Map<?, ?>) item).forEach((key, value) -> entry.put((String) key, value));
@@ -85,14 +85,14 @@
                                     (entry.containsKey("path")
                                             ? entry.get("path")
                                             : entry.get("put"));
-                    if (path != null && path.startsWith(JOBS) && entry.get("value") != null) {
-                        entry.put("value", read.apply(entry.get("value")));
+                    if (path != null && path.startsWith(JOB_PREFIX) && entry.get("value") != null) {
+                        entry.put("value", mapper.apply(entry.get("value")));
                     }
-                    known.add(entry);
+                    mappedItems.add(entry);
                 }
-                seen.put(list, known);
+                mapped.put(list, mappedItems);
             }
         }
-        return seen;
+        return mapped;
     }
 }
--- a/src/test/java/org/woadloom/sim/ProgressInvariant.java
+++ b/src/test/java/org/woadloom/sim/ProgressInvariant.java
@@ -23,14 +23,14 @@
      * After two heartbeats and a write the leader has learned of a task's end, and the record names
      * the next one.
      */
-    private static final long MAX_RELEASE_MICROS = 4_000_000;
+    private static final long MAX_RELEASE_DELAY_MICROS = 4_000_000;
 
     private record ReleasedCpus(long micros, String team, double cpus) {}
 
     private final SimulatedEventLoop loop;
     private final ObservedState observed;
     private final ServiceSettings settings;
-    private final ArrayDeque<ReleasedCpus> released = new ArrayDeque<>();
+    private final ArrayDeque<ReleasedCpus> recentlyReleased = new ArrayDeque<>();
 
     /** Since when each job has been waiting though it could start. */
     private final Map<String, Long> waitingSinceMicros = new HashMap<>();
@@ -43,7 +43,7 @@
 
     @Override
     void onTaskEnd(JobDescription job) {
-        released.add(new ReleasedCpus(loop.now(), job.team(), job.cpus()));
+        recentlyReleased.add(new ReleasedCpus(loop.now(), job.team(), job.cpus()));
     }
 
     @Override
@@ -70,29 +70,29 @@
 
     private boolean isRunnable(String jobId) {
         JobDescription job = observed.job(jobId);
-        return !observed.isOver(jobId)
+        return !observed.hasFinalStatus(jobId)
                 && !observed.isCancelRequested(jobId)
                 && observed.dependencyCancelledMicros(jobId) == null
                 && !job.isGang()
                 && !job.sameZone()
                 && !job.spreadAcrossZones()
-                && job.dependencies().stream().allMatch(observed::isAllDone)
+                && job.dependencies().stream().allMatch(observed::areAllTasksDone)
                 && observed.hasWaitingTask(job);
     }
 
     private boolean hasCapacity(JobDescription job, Collection<SimulatedAgent> agents) {
         double limit = settings.team(job.team()).cpusMax();
-        return heldOrJustReleased(job.team(), agents) + job.cpus() <= limit
+        return cpusHeldOrRecentlyReleased(job.team(), agents) + job.cpus() <= limit
                 && agents.stream().anyMatch(agent -> agent.takes(job));
     }
 
-    private double heldOrJustReleased(String team, Collection<SimulatedAgent> agents) {
-        released.removeIf(end -> loop.now() - end.micros > MAX_RELEASE_MICROS);
+    private double cpusHeldOrRecentlyReleased(String team, Collection<SimulatedAgent> agents) {
+        recentlyReleased.removeIf(end -> loop.now() - end.micros > MAX_RELEASE_DELAY_MICROS);
         double cpus = 0;
         for (SimulatedAgent agent : agents) {
             cpus += agent.held(team);
         }
-        for (ReleasedCpus end : released) {
+        for (ReleasedCpus end : recentlyReleased) {
             cpus += end.team.equals(team) ? end.cpus : 0;
         }
         return cpus;
--- a/src/test/java/org/woadloom/sim/QuickRestartTest.java
+++ b/src/test/java/org/woadloom/sim/QuickRestartTest.java
@@ -19,7 +19,7 @@
     private static final long QUIET = 300_000_000;
 
     private static ClusterSimulation day(long seed) {
-        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
+        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.DEFAULT);
         cluster.trouble = 0;
         cluster.users.submitUntil(AT + MINUTE);
         cluster.run(AT);
--- a/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
@@ -120,11 +120,11 @@
                         cluster,
                         cluster.loop.now() + 35_000_000,
                         () -> cluster.leaderChanges() > term,
-                        () -> starts[0] = cluster.observed.starts + 3);
+                        () -> starts[0] = cluster.observed.taskStarts + 3);
                 untilSo(
                         cluster,
                         cluster.loop.now() + 40_000_000,
-                        () -> cluster.observed.starts >= starts[0],
+                        () -> cluster.observed.taskStarts >= starts[0],
                         () ->
                                 held.forEach(
                                         report -> {
@@ -313,8 +313,8 @@
     @EnumSource
     void rulesHoldInEachMeeting(Meeting meeting) {
         int seen = 0;
-        for (long seed : Seeds.usually(SEEDS)) {
-            seen += day(seed, Scenario.TIGHT, Set.of(meeting)).seen;
+        for (long seed : Seeds.firstOrConfigured(SEEDS)) {
+            seen += day(seed, Scenario.TEAMS_AT_QUOTA, Set.of(meeting)).waitsObserved;
         }
         assertTrue(seen > 0, "no job ever waited for a moment");
     }
@@ -326,7 +326,7 @@
         "BOUND_TO_ONE_ZONE, CANCELLED_BEFORE_IT_COULD_ASK"
     })
     void rulesHoldInTwoAtOnce(Meeting one, Meeting other) {
-        day(Seeds.usualCount(SEEDS), Scenario.TIGHT, Set.of(one, other));
+        day(Seeds.countOrConfigured(SEEDS), Scenario.TEAMS_AT_QUOTA, Set.of(one, other));
     }
 
     /** Everything else at random besides. */
@@ -335,8 +335,8 @@
         int most = 0;
         int copies = 0;
         int waited = 0;
-        for (long seed : Seeds.usually(SEEDS)) {
-            ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.TIGHT);
+        for (long seed : Seeds.firstOrConfigured(SEEDS)) {
+            ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.TEAMS_AT_QUOTA);
             cluster.users.submitUntil(TROUBLED - EVERY);
             cluster.randomFaults.startUntil(TROUBLED);
             cluster.keepForNextLeader(10, TROUBLED);
@@ -351,7 +351,7 @@
             finish(cluster);
             assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
             copies += cluster.keptCopies;
-            waited += waiting.seen;
+            waited += waiting.waitsObserved;
         }
         assertTrue(
                 copies > 0 && waited > 0,
@@ -361,9 +361,9 @@
 
     private static Scenario told(long leaseMicros) {
         return new Scenario(
-                Scenario.SHORT,
-                new Scenario.Times(leaseMicros, Scenario.SHORT.cancelMicros()),
-                Version.NOW,
+                Scenario.SHORT_TIMES,
+                new Scenario.Times(leaseMicros, Scenario.SHORT_TIMES.cancelMicros()),
+                Version.CURRENT,
                 Scenario.Flaw.NONE,
                 0,
                 2,
@@ -387,23 +387,23 @@
     @ParameterizedTest
     @EnumSource(names = {"CANCELLED_OUT_OF_REACH", "CANCELLED_BEFORE_IT_COULD_ASK"})
     void aServiceThatTrustsTooShortALeaseIsCaught(Meeting meeting) {
-        caught(told(Scenario.SHORT.leaseMicros() / 2), meeting);
+        caught(told(Scenario.SHORT_TIMES.leaseMicros() / 2), meeting);
     }
 
     @Test
     void oldReportsThatLookNewAreCaught() {
         caught(
-                Scenario.TIGHT.with(Scenario.Flaw.COPIES_LOOK_NEW),
+                Scenario.TEAMS_AT_QUOTA.with(Scenario.Flaw.DELAYED_HEARTBEATS_LOOK_NEW),
                 Meeting.OLD_REPORTS_FOR_THE_NEXT_LEADER);
         caught(
-                Scenario.TIGHT.with(Scenario.Flaw.COPIES_LOOK_NEW),
+                Scenario.TEAMS_AT_QUOTA.with(Scenario.Flaw.DELAYED_HEARTBEATS_LOOK_NEW),
                 Meeting.HELD_BACK_UNTIL_IT_HAS_ACTED);
     }
 
     /** Nobody leads any more, and its machines are there. */
     @Test
     void jobsThatAreLeftWaitingAreCaught() {
-        ClusterSimulation cluster = new ClusterSimulation(1, Scenario.PLAIN);
+        ClusterSimulation cluster = new ClusterSimulation(1, Scenario.DEFAULT);
         cluster.users.submitUntil(AT);
         WaitingJobs waiting = new WaitingJobs(cluster, AT);
         cluster.run(AT);
@@ -411,6 +411,6 @@
             cluster.end(node, 1_000_000_000);
         }
         assertThrows(InvariantViolation.class, () -> cluster.run(AT + 120_000_000));
-        assertTrue(waiting.longestMicros >= 90_000_000);
+        assertTrue(waiting.longestWaitMicros >= 90_000_000);
     }
 }
--- a/src/test/java/org/woadloom/sim/RandomFaults.java
+++ b/src/test/java/org/woadloom/sim/RandomFaults.java
@@ -175,12 +175,12 @@
                     if (cluster.loop.now() < until) {
                         cluster.replace(
                                 random.nextInt(ClusterSimulation.NODES),
-                                random.nextBoolean() ? Version.AGREEING : Version.NOW,
+                                random.nextBoolean() ? Version.VERSION_3 : Version.CURRENT,
                                 500_000 + random.nextInt(4_000_000));
                         changeVersionsUntil(until);
                     } else {
                         for (int i = 0; i < ClusterSimulation.NODES; i++) {
-                            cluster.replace(i, Version.NOW, (1 + 5L * i) * 1_000_000);
+                            cluster.replace(i, Version.CURRENT, (1 + 5L * i) * 1_000_000);
                         }
                     }
                 });
--- a/src/test/java/org/woadloom/sim/RandomScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/RandomScenariosTest.java
@@ -25,17 +25,17 @@
      * A few by default, so that every build tries the same days; {@code -Dseeds=500} tries more.
      */
     static LongStream seeds() {
-        return LongStream.of(Seeds.usually(12));
+        return LongStream.of(Seeds.firstOrConfigured(12));
     }
 
     @ParameterizedTest
     @MethodSource("seeds")
     void rulesHoldAndEveryAcceptedJobIsFinished(long seed) {
-        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
+        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.DEFAULT);
         cluster.users.submitUntil(TROUBLED);
         cluster.randomFaults.startUntil(TROUBLED);
         cluster.run(TROUBLED + QUIET);
-        assertTrue(cluster.observed.starts > 50, "only " + cluster.observed.starts + " starts");
+        assertTrue(cluster.observed.taskStarts > 50, "only " + cluster.observed.taskStarts + " starts");
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
@@ -48,8 +48,8 @@
         cluster.upgradeNodes(TROUBLED);
         // Chains end later than single jobs.
         cluster.run(TROUBLED + 2 * QUIET);
-        assertTrue(cluster.observed.starts > 50, "only " + cluster.observed.starts + " starts");
-        assertTrue(cluster.observed.releases > 0, "no job waited for another");
+        assertTrue(cluster.observed.taskStarts > 50, "only " + cluster.observed.taskStarts + " starts");
+        assertTrue(cluster.observed.satisfiedDependencies > 0, "no job waited for another");
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
@@ -57,7 +57,7 @@
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
     void rulesHoldWhileVersion3IsReplaced(long seed) {
         ClusterSimulation cluster =
-                new ClusterSimulation(seed, Scenario.PLAIN.from(Version.AGREEING));
+                new ClusterSimulation(seed, Scenario.DEFAULT.from(Version.VERSION_3));
         cluster.users.submitUntil(TROUBLED);
         cluster.randomFaults.startUntil(TROUBLED);
         cluster.upgradeNodes(TROUBLED);
@@ -69,7 +69,7 @@
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
     void rulesHoldWhileVersionsChangeBothWays(long seed) {
-        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
+        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.DEFAULT);
         cluster.users.submitUntil(TROUBLED);
         cluster.randomFaults.startUntil(TROUBLED);
         cluster.randomFaults.changeVersionsUntil(TROUBLED);
@@ -96,7 +96,7 @@
         InvariantViolation caught =
                 assertThrows(
                         InvariantViolation.class,
-                        () -> upgrade(Scenario.UPGRADE.with(Scenario.Flaw.AGREED_TOO_EARLY)));
+                        () -> upgrade(Scenario.UPGRADE.with(Scenario.Flaw.ASSUMES_UPGRADE_COMPLETE)));
         assertTrue(caught.getMessage().contains("unreadable"), caught.getMessage());
     }
 
@@ -105,7 +105,7 @@
         InvariantViolation caught =
                 assertThrows(
                         InvariantViolation.class,
-                        () -> upgrade(Scenario.UPGRADE.with(Scenario.Flaw.FORGETS_AWAITS)));
+                        () -> upgrade(Scenario.UPGRADE.with(Scenario.Flaw.IGNORES_DEPENDENCIES)));
         assertTrue(caught.getMessage().contains("too_early"), caught.getMessage());
     }
 
@@ -118,7 +118,7 @@
 
     @Test
     void aServiceThatTrustsTooShortALeaseIsCaught() {
-        troubledUntilCaught(told(Scenario.SHORT.leaseMicros() / 8, Scenario.SHORT.cancelMicros()));
+        troubledUntilCaught(told(Scenario.SHORT_TIMES.leaseMicros() / 8, Scenario.SHORT_TIMES.cancelMicros()));
     }
 
     @Test
@@ -131,15 +131,15 @@
                                     new ClusterSimulation(
                                             1,
                                             told(
-                                                    Scenario.SHORT.leaseMicros(),
-                                                    3 * Scenario.SHORT.cancelMicros()));
+                                                    Scenario.SHORT_TIMES.leaseMicros(),
+                                                    3 * Scenario.SHORT_TIMES.cancelMicros()));
                             // Replicas that run in the zone when it is cut off are what the node
                             // there cares for.
                             cluster.servicesStay = true;
                             cluster.users.submitUntil(TROUBLED);
                             cluster.run(60_000_000);
                             assertTrue(
-                                    cluster.observed.tasksIn("b") > 3,
+                                    cluster.observed.runningTasksInZone("b") > 3,
                                     "hardly anything runs in the zone");
                             cluster.island("b", 70_000_000);
                             cluster.loop.after(200_000, cluster.users::cancelAll);
@@ -151,7 +151,7 @@
     @Test
     void aNodeThatCaresAgainstItsPromiseIsCaught() {
         InvariantViolation caught =
-                troubledUntilCaught(Scenario.PLAIN.with(Scenario.Flaw.PROMISES_TOO_MUCH));
+                troubledUntilCaught(Scenario.DEFAULT.with(Scenario.Flaw.BREAKS_NO_RENEWAL_PROMISE));
         assertTrue(
                 caught.getMessage().contains("ran_twice") || caught.getMessage().contains("quota"),
                 caught.getMessage());
@@ -160,7 +160,7 @@
     @Test
     void copiesThatAreTakenForNewsAreCaught() {
         InvariantViolation caught =
-                troubledUntilCaught(Scenario.PLAIN.with(Scenario.Flaw.COPIES_LOOK_NEW));
+                troubledUntilCaught(Scenario.DEFAULT.with(Scenario.Flaw.DELAYED_HEARTBEATS_LOOK_NEW));
         assertTrue(
                 caught.getMessage().contains("ran_twice") || caught.getMessage().contains("quota"),
                 caught.getMessage());
@@ -168,13 +168,13 @@
 
     @Test
     void aJobOfWhichNobodyIsToldIsCaught() {
-        InvariantViolation caught = calmUntilCaught(Scenario.Flaw.ONE_JOB_REFUSED);
+        InvariantViolation caught = calmUntilCaught(Scenario.Flaw.ONE_JOB_NEVER_READ);
         assertTrue(caught.getMessage().contains("forgotten"), caught.getMessage());
     }
 
     @Test
     void aJobThatIsLeftWaitingIsCaught() {
-        InvariantViolation caught = calmUntilCaught(Scenario.Flaw.ONE_JOB_NOT_TAKEN);
+        InvariantViolation caught = calmUntilCaught(Scenario.Flaw.ONE_JOB_NEVER_STARTED);
         assertTrue(caught.getMessage().contains("left_waiting"), caught.getMessage());
     }
 
@@ -182,7 +182,7 @@
         return assertThrows(
                 InvariantViolation.class,
                 () -> {
-                    ClusterSimulation cluster = new ClusterSimulation(1, Scenario.PLAIN.with(flaw));
+                    ClusterSimulation cluster = new ClusterSimulation(1, Scenario.DEFAULT.with(flaw));
                     cluster.users.submitUntil(TROUBLED);
                     cluster.observed.faultFreeFromMicros = TROUBLED;
                     cluster.run(TROUBLED + QUIET);
@@ -191,9 +191,9 @@
 
     private static Scenario told(long leaseMicros, long cancelMicros) {
         return new Scenario(
-                Scenario.SHORT,
+                Scenario.SHORT_TIMES,
                 new Scenario.Times(leaseMicros, cancelMicros),
-                Version.NOW,
+                Version.CURRENT,
                 Scenario.Flaw.NONE,
                 0);
     }
--- a/src/test/java/org/woadloom/sim/RolloutTest.java
+++ b/src/test/java/org/woadloom/sim/RolloutTest.java
@@ -31,7 +31,7 @@
     private static final long BUSY = 240 * SECOND;
 
     private static ClusterSimulation busy(long seed, Version from) {
-        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN.from(from));
+        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.DEFAULT.from(from));
         cluster.users.submitUntil(BUSY);
         return cluster;
     }
@@ -66,7 +66,7 @@
 
     @Test
     void aFeatureIsHeldHurriedTakenBackAndRolledOutAgain() {
-        ClusterSimulation cluster = busy(5, Version.NOW);
+        ClusterSimulation cluster = busy(5, Version.CURRENT);
         ask(cluster, Verb.HOLD);
         cluster.run(20 * SECOND);
         assertEquals(Step.OFF, step(cluster), "held");
@@ -98,7 +98,7 @@
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstSix")
     void stepsBackAndForthSurviveTroubles(long seed) {
-        ClusterSimulation cluster = busy(seed, Version.NOW);
+        ClusterSimulation cluster = busy(seed, Version.CURRENT);
         cluster.clockOff[(int) (seed % ClusterSimulation.NODES)] =
                 seed % 2 == 0 ? 400 * SECOND : -400 * SECOND;
         cluster.randomFaults.startUntil(BUSY);
@@ -125,10 +125,10 @@
     @EnumSource(Step.class)
     void aNodeThatComesBackOldIsWaitedFor(Step at) {
         for (int who = 0; who < 2; who++) {
-            ClusterSimulation cluster = busy(11 + who, Version.NOW);
+            ClusterSimulation cluster = busy(11 + who, Version.CURRENT);
             runTo(cluster, at);
             int index = at == Step.OFF ? who : (cluster.leader() + who) % ClusterSimulation.NODES;
-            cluster.replace(index, Version.AGREEING, 1 * SECOND);
+            cluster.replace(index, Version.VERSION_3, 1 * SECOND);
             long back = cluster.loop.now();
             Step before = step(cluster);
             cluster.run(back + 40 * SECOND);
@@ -137,7 +137,7 @@
             } else {
                 assertEquals(before, step(cluster), "at " + at);
             }
-            cluster.replace(index, Version.NOW, 1 * SECOND);
+            cluster.replace(index, Version.CURRENT, 1 * SECOND);
             runTo(cluster, Step.SETTLED);
         }
     }
@@ -148,9 +148,9 @@
      */
     private static List<Version> half(long seed) {
         return switch ((int) seed) {
-            case 1 -> List.of(Version.NOW, Version.AGREEING, Version.PRODUCTION);
-            case 2 -> List.of(Version.PRODUCTION, Version.NOW, Version.PRODUCTION);
-            default -> List.of(Version.PRODUCTION, Version.PRODUCTION, Version.NOW);
+            case 1 -> List.of(Version.CURRENT, Version.VERSION_3, Version.VERSION_1);
+            case 2 -> List.of(Version.VERSION_1, Version.CURRENT, Version.VERSION_1);
+            default -> List.of(Version.VERSION_1, Version.VERSION_1, Version.CURRENT);
         };
     }
 
@@ -158,9 +158,9 @@
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void allEndHalfWayAndHalfComeBackOld(long seed) {
-        ClusterSimulation cluster = busy(seed, Version.PRODUCTION);
+        ClusterSimulation cluster = busy(seed, Version.VERSION_1);
         cluster.run(20 * SECOND);
-        cluster.replace(0, Version.NOW, 2 * SECOND);
+        cluster.replace(0, Version.CURRENT, 2 * SECOND);
         cluster.run(30 * SECOND);
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
             cluster.replace(i, half(seed).get(i), (2 + i) * SECOND);
@@ -169,7 +169,7 @@
         cluster.run(70 * SECOND);
         assertNull(cluster.stored("version/agreed"), "agreed with an old node");
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
-            cluster.replace(i, Version.NOW, (1 + 3 * i) * SECOND);
+            cluster.replace(i, Version.CURRENT, (1 + 3 * i) * SECOND);
         }
         cluster.run(90 * SECOND);
         assertTrue(standing(cluster, Feature.COMPACT_RECORDS).isOn());
@@ -180,9 +180,9 @@
     @ParameterizedTest
     @EnumSource(
             value = Version.class,
-            names = {"AGREEING", "NOW"})
+            names = {"VERSION_3", "CURRENT"})
     void aZoneThatIsCutOffIsWaitedFor(Version there) {
-        ClusterSimulation cluster = busy(7, Version.NOW);
+        ClusterSimulation cluster = busy(7, Version.CURRENT);
         ask(cluster, Verb.HOLD);
         cluster.run(10 * SECOND);
         cluster.replace(1, there, SECOND / 2);
@@ -192,14 +192,14 @@
         ask(cluster, Verb.GO);
         cluster.run(74 * SECOND);
         assertEquals(Step.OFF, step(cluster), "switched on without the zone's node");
-        cluster.replace(1, Version.NOW, SECOND);
+        cluster.replace(1, Version.CURRENT, SECOND);
         runTo(cluster, Step.SETTLED);
     }
 
     /** A damaged record among the others is neither lost nor passed over. */
     @Test
     void aRecordThatCantBeReadIsKeptAndKeepsTheFeatureFromSettling() {
-        ClusterSimulation cluster = busy(8, Version.NOW);
+        ClusterSimulation cluster = busy(8, Version.CURRENT);
         cluster.put("machine/host-damaged", Map.of("hosttype", 7L));
         cluster.run(90 * SECOND);
         assertEquals(Step.ON, step(cluster));
@@ -211,7 +211,7 @@
     /** What a later version requires, in a record that this one can't read otherwise. */
     @Test
     void whoDoesNotKnowWhatIsRequiredServesNobody() {
-        ClusterSimulation cluster = busy(3, Version.NOW);
+        ClusterSimulation cluster = busy(3, Version.CURRENT);
         runTo(cluster, Step.SETTLED);
         Map<String, Object> now = cluster.stored("rollout/state");
         cluster.put(
@@ -232,7 +232,7 @@
             assertEquals(200, cluster.status(i, "GET", "/metrics", null));
         }
         String term = String.valueOf(cluster.stored("term"));
-        cluster.replace(1, Version.NOW, 1 * SECOND);
+        cluster.replace(1, Version.CURRENT, 1 * SECOND);
         cluster.run(cluster.loop.now() + 30 * SECOND);
         assertEquals(term, String.valueOf(cluster.stored("term")), "a node campaigned");
         Map<String, Object> retry = new LinkedHashMap<>(now);
@@ -253,7 +253,7 @@
      */
     @Test
     void settingsThatContradictEachOtherSwitchNothing() {
-        ClusterSimulation cluster = new ClusterSimulation(4, Scenario.PLAIN);
+        ClusterSimulation cluster = new ClusterSimulation(4, Scenario.DEFAULT);
         cluster.namesOneMore[2] = true;
         cluster.users.submitUntil(BUSY);
         cluster.run(60 * SECOND);
@@ -261,7 +261,7 @@
             assertEquals(Step.OFF, standing(cluster, feature).step(), feature.key());
         }
         cluster.namesOneMore[2] = false;
-        cluster.replace(2, Version.NOW, 1 * SECOND);
+        cluster.replace(2, Version.CURRENT, 1 * SECOND);
         runTo(cluster, Step.SETTLED);
     }
 }
--- a/src/test/java/org/woadloom/sim/Seeds.java
+++ b/src/test/java/org/woadloom/sim/Seeds.java
@@ -23,12 +23,12 @@
     }
 
     /** The seeds 1 to so many, or as many as {@code -Dseeds} asks for. */
-    static long[] usually(long count) {
-        return first(usualCount(count));
+    static long[] firstOrConfigured(long count) {
+        return first(countOrConfigured(count));
     }
 
     /** This number, or the one that {@code -Dseeds} asks for. */
-    static long usualCount(long count) {
+    static long countOrConfigured(long count) {
         return Long.getLong(COUNT_PROPERTY, count);
     }
 
--- a/src/test/java/org/woadloom/sim/ServiceLevelTest.java
+++ b/src/test/java/org/woadloom/sim/ServiceLevelTest.java
@@ -29,7 +29,7 @@
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
     void noTeamAndNoClassFallsUnderAHalf(long seed) {
-        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.CROWD);
+        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.MANY_TEAMS);
         cluster.users.submitUntil(TROUBLED, 4);
         cluster.randomFaults.startMachineFaultsUntil(TROUBLED);
         // The flood asks for more than there is: a part of its own jobs still waits then.
@@ -37,7 +37,7 @@
         Map<String, int[]> served = new TreeMap<>();
         for (String jobId : cluster.observed.acceptedJobs()) {
             var job = cluster.observed.job(jobId);
-            boolean counts = cluster.observed.wasStarted(jobId) || cluster.observed.isOver(jobId);
+            boolean counts = cluster.observed.wasStarted(jobId) || cluster.observed.hasFinalStatus(jobId);
             for (String group : new String[] {"team " + job.team(), "class " + job.jobClass()}) {
                 int[] count = served.computeIfAbsent(group, g -> new int[2]);
                 count[0]++;
@@ -71,9 +71,9 @@
                 new ClusterSimulation(
                         seed,
                         new Scenario(
-                                Scenario.SHORT,
-                                Scenario.SHORT,
-                                Version.NOW,
+                                Scenario.SHORT_TIMES,
+                                Scenario.SHORT_TIMES,
+                                Version.CURRENT,
                                 Scenario.Flaw.NONE,
                                 crowd));
         cluster.servicesStay = true;
@@ -92,7 +92,7 @@
         for (String jobId : cluster.observed.acceptedJobs()) {
             var job = cluster.observed.job(jobId);
             over +=
-                    job.team().equals(team) && !job.isService() && cluster.observed.isOver(jobId)
+                    job.team().equals(team) && !job.isService() && cluster.observed.hasFinalStatus(jobId)
                             ? 1
                             : 0;
         }
--- a/src/test/java/org/woadloom/sim/SimulatedUsers.java
+++ b/src/test/java/org/woadloom/sim/SimulatedUsers.java
@@ -72,12 +72,12 @@
                 (long)
                         (service
                                 ? 1 + random.nextInt(3)
-                                : kind == 4 && cluster.scenario.upgrade()
+                                : kind == 4 && cluster.scenario.isUpgrade()
                                         ? 20 + random.nextInt(100)
                                         : 1 + random.nextInt(gang ? 4 : 9)));
         map.put(
                 "vcpus",
-                service || kind == 4 && cluster.scenario.upgrade()
+                service || kind == 4 && cluster.scenario.isUpgrade()
                         ? 1.0
                         : (double) (1 << random.nextInt(awaits.isEmpty() ? 4 : 2)));
         map.put("cards", 0.0);
@@ -108,7 +108,7 @@
 
     /** Among a crowd of teams one asks for as much as all others together. */
     private String team() {
-        if (cluster.scenario.crowd() == 0) {
+        if (cluster.scenario.extraTeams() == 0) {
             return random.nextBoolean() ? "red" : "blue";
         }
         return random.nextBoolean()
@@ -214,7 +214,7 @@
                 (status, body) -> {
                     onAnswer(UserRequest.POLL, jobId, sent, status, body);
                     cluster.loop.after(
-                            cluster.observed.isOver(jobId) && status == 200
+                            cluster.observed.hasFinalStatus(jobId) && status == 200
                                     ? 40_000_000
                                     : 3_000_000,
                             () -> poll(jobId));
--- a/src/test/java/org/woadloom/sim/StepRenderer.java
+++ b/src/test/java/org/woadloom/sim/StepRenderer.java
@@ -40,16 +40,16 @@
     static String render(
             int node,
             long nowMicros,
-            List<SchedulerEvent> commands,
+            List<SchedulerEvent> events,
             List<SchedulerAction> actions) {
         StringBuilder out = new StringBuilder();
         line(out, "step ", list(node, nowMicros));
-        for (SchedulerEvent command : commands) {
-            line(out, "  in  ", command(command));
+        for (SchedulerEvent event : events) {
+            line(out, "  in  ", event(event));
         }
         for (SchedulerAction action : actions) {
             if (!(action instanceof SchedulerAction.Log)) {
-                line(out, "  out ", effect(action));
+                line(out, "  out ", action(action));
             }
         }
         return out.toString();
@@ -61,30 +61,30 @@
         out.append('\n');
     }
 
-    private static List<Object> command(SchedulerEvent command) {
-        if (command instanceof SchedulerEvent.LeadershipAcquired c) {
+    private static List<Object> event(SchedulerEvent event) {
+        if (event instanceof SchedulerEvent.LeadershipAcquired c) {
             return list(
                     "lead",
                     c.term(),
                     each(c.jobs(), StepRenderer::storedJob),
                     each(c.machines(), StepRenderer::storedMachine),
                     c.cancellationsReadUpToMicros());
-        } else if (command instanceof SchedulerEvent.LeadershipLost) {
+        } else if (event instanceof SchedulerEvent.LeadershipLost) {
             return list("step-down");
-        } else if (command instanceof SchedulerEvent.JobStored c) {
+        } else if (event instanceof SchedulerEvent.JobStored c) {
             return list("job-record", job(c.record()), c.revision());
-        } else if (command instanceof SchedulerEvent.JobRecordDamaged c) {
+        } else if (event instanceof SchedulerEvent.JobRecordDamaged c) {
             return list(
                     "job-record-partly-unreadable", c.jobId(), c.revision(), c.knownCancelled());
-        } else if (command instanceof SchedulerEvent.CancellationsConfirmed c) {
+        } else if (event instanceof SchedulerEvent.CancellationsConfirmed c) {
             return list("cancellations-told", c.jobIds());
-        } else if (command instanceof SchedulerEvent.JobRecordNotFound c) {
+        } else if (event instanceof SchedulerEvent.JobRecordNotFound c) {
             return list("job-record-missing", c.jobId());
-        } else if (command instanceof SchedulerEvent.JobReadFailed c) {
+        } else if (event instanceof SchedulerEvent.JobReadFailed c) {
             return list("job-record-unreadable", c.jobId());
-        } else if (command instanceof SchedulerEvent.DependencyResolved c) {
-            return list("job-found", c.jobId(), standing(c.state()), c.endedWallMicros());
-        } else if (command instanceof SchedulerEvent.StoreLimitsChanged c) {
+        } else if (event instanceof SchedulerEvent.DependencyResolved c) {
+            return list("job-found", c.jobId(), dependencyState(c.state()), c.endedWallMicros());
+        } else if (event instanceof SchedulerEvent.StoreLimitsChanged c) {
             return list(
                     "storage",
                     c.maxValueBytes(),
@@ -92,32 +92,32 @@
                     c.writesPerSecond(),
                     c.delegationEnabled(),
                     c.recordsMachineLifecycle());
-        } else if (command instanceof SchedulerEvent.PeerStatusReceived c) {
+        } else if (event instanceof SchedulerEvent.PeerStatusReceived c) {
             return list(
                     "node-standing",
                     c.node(),
-                    nodeStanding(c.status()),
+                    peerStatus(c.status()),
                     c.cancellationsReadUpToMicros());
-        } else if (command instanceof SchedulerEvent.MachineRecordRead c) {
+        } else if (event instanceof SchedulerEvent.MachineRecordRead c) {
             return list(
                     "machine-record",
                     c.host(),
                     c.record() == null ? null : machine(c.record()),
                     c.revision());
-        } else if (command instanceof SchedulerEvent.MachineReadFailed c) {
+        } else if (event instanceof SchedulerEvent.MachineReadFailed c) {
             return list("machine-record-unreadable", c.host());
-        } else if (command instanceof SchedulerEvent.HeartbeatReceived c) {
-            return list("report", c.requestId(), report(c.heartbeat()));
-        } else if (command instanceof SchedulerEvent.DirectCommandCompleted c) {
+        } else if (event instanceof SchedulerEvent.HeartbeatReceived c) {
+            return list("report", c.requestId(), heartbeat(c.heartbeat()));
+        } else if (event instanceof SchedulerEvent.DirectCommandCompleted c) {
             return list(
                     "direct-result",
                     c.commandId(),
                     c.host(),
                     c.status(),
-                    c.heartbeat() == null ? null : report(c.heartbeat()));
-        } else if (command instanceof SchedulerEvent.JobWriteCompleted c) {
+                    c.heartbeat() == null ? null : heartbeat(c.heartbeat()));
+        } else if (event instanceof SchedulerEvent.JobWriteCompleted c) {
             return list("job-written", c.jobId(), c.version(), outcome(c.outcome()), c.revision());
-        } else if (command instanceof SchedulerEvent.MachineWriteCompleted c) {
+        } else if (event instanceof SchedulerEvent.MachineWriteCompleted c) {
             return list(
                     "machine-written",
                     c.host(),
@@ -125,28 +125,28 @@
                     c.deleted(),
                     outcome(c.outcome()),
                     c.revision());
-        } else if (command instanceof SchedulerEvent.MachineTypesRead c) {
+        } else if (event instanceof SchedulerEvent.MachineTypesRead c) {
             return list("machine-types", each(c.types(), MachineType::toMap));
-        } else if (command instanceof SchedulerEvent.MachinesListed c) {
-            return list("machines-listed", each(c.machines(), StepRenderer::listed));
-        } else if (command instanceof SchedulerEvent.ScaleOutCompleted c) {
+        } else if (event instanceof SchedulerEvent.MachinesListed c) {
+            return list("machines-listed", each(c.machines(), StepRenderer::listedMachine));
+        } else if (event instanceof SchedulerEvent.ScaleOutCompleted c) {
             return list("rented", c.requestName(), outcome(c.outcome()), c.hosts());
-        } else if (command instanceof SchedulerEvent.MachineDeletionCompleted c) {
+        } else if (event instanceof SchedulerEvent.MachineDeletionCompleted c) {
             return list("deleted", c.hosts(), c.succeeded());
-        } else if (command instanceof SchedulerEvent.RolloutStateRead c) {
+        } else if (event instanceof SchedulerEvent.RolloutStateRead c) {
             return list(
                     "rollout",
                     c.record().toMap(),
                     c.revision(),
-                    sorted(c.announcements(), StepRenderer::spoken),
+                    sorted(c.announcements(), StepRenderer::announcement),
                     sorted(c.requests(), request -> request.toMap()),
                     List.copyOf(new TreeSet<>(c.unannouncedNodes())),
                     c.agreedVersion(),
                     c.agreedVersionRevision(),
                     c.overloadSignals());
-        } else if (command instanceof SchedulerEvent.RolloutWriteCompleted c) {
+        } else if (event instanceof SchedulerEvent.RolloutWriteCompleted c) {
             return list("rollout-written", c.recordNumber(), outcome(c.outcome()), c.revision());
-        } else if (command instanceof SchedulerEvent.RecordsCounted c) {
+        } else if (event instanceof SchedulerEvent.RecordsCounted c) {
             return list(
                     "records-counted",
                     c.feature().key(),
@@ -154,13 +154,13 @@
                     c.succeeded(),
                     c.outdated(),
                     c.unreadable());
-        } else if (command instanceof SchedulerEvent.Tick) {
+        } else if (event instanceof SchedulerEvent.Tick) {
             return list("time");
         }
-        throw new IllegalArgumentException("a command that has no text yet: " + command);
+        throw new IllegalArgumentException("a command that has no text yet: " + event);
     }
 
-    private static List<Object> effect(SchedulerAction action) {
+    private static List<Object> action(SchedulerAction action) {
         if (action instanceof SchedulerAction.AnswerHeartbeat e) {
             return list(
                     "answer",
@@ -197,7 +197,7 @@
         } else if (action instanceof SchedulerAction.DeleteMachines e) {
             return list("delete", e.hosts());
         } else if (action instanceof SchedulerAction.DelegateLeases e) {
-            return list("give-warrant", e.node(), warrant(e.delegation()));
+            return list("give-warrant", e.node(), leaseDelegation(e.delegation()));
         } else if (action instanceof SchedulerAction.StepDown) {
             // Its reason is for the log.
             return list("abdicate");
@@ -266,41 +266,41 @@
         return list(record.host(), record.toMap());
     }
 
-    private static List<Object> spoken(SchedulerEvent.StoredAnnouncement spoken) {
-        NodeAnnouncement announcement = spoken.announcement();
-        return list(announcement.toMap(), spoken.revision());
+    private static List<Object> announcement(SchedulerEvent.StoredAnnouncement stored) {
+        NodeAnnouncement announcement = stored.announcement();
+        return list(announcement.toMap(), stored.revision());
     }
 
-    private static List<Object> nodeStanding(PeerStatus s) {
+    private static List<Object> peerStatus(PeerStatus status) {
         return list(
-                s.processId(),
-                s.uptimeMicros(),
-                s.sentMicros(),
-                s.term(),
-                s.echoedLeaderClockMicros(),
-                s.noRenewalForMicros(),
-                s.sinceLastRenewalMicros(),
-                s.storeSilentMicros());
+                status.processId(),
+                status.uptimeMicros(),
+                status.sentMicros(),
+                status.term(),
+                status.echoedLeaderClockMicros(),
+                status.noRenewalForMicros(),
+                status.sinceLastRenewalMicros(),
+                status.storeSilentMicros());
     }
 
-    private static List<Object> warrant(LeaseDelegation w) {
+    private static List<Object> leaseDelegation(LeaseDelegation delegation) {
         return list(
-                w.term(), w.statusSentMicros(), w.leaderClockMicros(), w.cancellationLagMicros());
+                delegation.term(), delegation.statusSentMicros(), delegation.leaderClockMicros(), delegation.cancellationLagMicros());
     }
 
-    private static List<Object> listed(ListedMachine m) {
+    private static List<Object> listedMachine(ListedMachine machine) {
         return list(
-                m.host(),
-                m.address(),
-                m.machineType(),
-                m.zone(),
-                m.spot(),
-                m.status(),
-                m.rentedForMicros());
+                machine.host(),
+                machine.address(),
+                machine.machineType(),
+                machine.zone(),
+                machine.spot(),
+                machine.status(),
+                machine.rentedForMicros());
     }
 
     /** As on the wire, but for the span in the warning. */
-    private static Map<String, Object> report(Heartbeat heartbeat) {
+    private static Map<String, Object> heartbeat(Heartbeat heartbeat) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("host", heartbeat.host());
         map.put("addr", heartbeat.address());
@@ -321,7 +321,7 @@
                 status.task().index(),
                 status.attempt(),
                 state(status.state()),
-                status.exitReason() == null ? null : cause(status.exitReason()),
+                status.exitReason() == null ? null : exitReason(status.exitReason()),
                 status.checkpointed());
     }
 
@@ -335,8 +335,8 @@
         };
     }
 
-    private static String cause(TaskStatus.ExitReason cause) {
-        return switch (cause) {
+    private static String exitReason(TaskStatus.ExitReason reason) {
+        return switch (reason) {
             case DONE -> "done";
             case STOPPED -> "halted";
             case ERROR -> "error";
@@ -348,8 +348,8 @@
         };
     }
 
-    private static String standing(SchedulerEvent.DependencyState standing) {
-        return switch (standing) {
+    private static String dependencyState(SchedulerEvent.DependencyState state) {
+        return switch (state) {
             case OPEN -> "open";
             case DONE -> "done";
             case CANCELLED -> "cancelled";
--- a/src/test/java/org/woadloom/sim/StoredValuesGoldenTest.java
+++ b/src/test/java/org/woadloom/sim/StoredValuesGoldenTest.java
@@ -29,7 +29,7 @@
      */
     @Test
     void relayedMessagesMatchGoldenShapes() throws MalformedMessageException, IOException {
-        collectRelayedMessages(new ClusterSimulation(1, Scenario.PLAIN), "packed");
+        collectRelayedMessages(new ClusterSimulation(1, Scenario.DEFAULT), "packed");
         collectRelayedMessages(new ClusterSimulation(1, Scenario.UPGRADE), "plain");
         check("letters.txt");
     }
--- a/src/test/java/org/woadloom/sim/ThreeZonesTest.java
+++ b/src/test/java/org/woadloom/sim/ThreeZonesTest.java
@@ -19,7 +19,7 @@
     private static final long QUIET = 600_000_000;
 
     private static ClusterSimulation day(long seed) {
-        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN.inThreeZones());
+        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.DEFAULT.inThreeZones());
         cluster.trouble = 0;
         cluster.copies = 3;
         cluster.users.submitUntil(AT + 90_000_000);
--- a/src/test/java/org/woadloom/sim/UserFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/UserFaultCombinationsTest.java
@@ -85,8 +85,8 @@
     @ParameterizedTest
     @EnumSource
     void rulesHoldInEachMeeting(Meeting meeting) {
-        for (long seed : Seeds.usually(SEEDS)) {
-            ClusterSimulation cluster = day(seed, Scenario.PLAIN, meeting);
+        for (long seed : Seeds.firstOrConfigured(SEEDS)) {
+            ClusterSimulation cluster = day(seed, Scenario.DEFAULT, meeting);
             assertTrue(
                     meeting.came(cluster) >= 5,
                     meeting + " occurred " + meeting.came(cluster) + " times, seed " + seed);
@@ -95,9 +95,9 @@
     }
 
     private static String broken(Scenario.Flaw flaw, Meeting meeting) {
-        for (long seed : Seeds.usually(SEEDS)) {
+        for (long seed : Seeds.firstOrConfigured(SEEDS)) {
             try {
-                day(seed, Scenario.PLAIN.with(flaw), meeting);
+                day(seed, Scenario.DEFAULT.with(flaw), meeting);
             } catch (InvariantViolation e) {
                 return e.getMessage();
             }
@@ -107,13 +107,13 @@
 
     @Test
     void nodesThatFillInWhatIsMissingAreCaught() {
-        String caught = broken(Scenario.Flaw.FILLS_IN_WHAT_IS_MISSING, Meeting.ODD_REQUESTS);
+        String caught = broken(Scenario.Flaw.DEFAULTS_MISSING_FIELDS, Meeting.ODD_REQUESTS);
         assertTrue(caught.startsWith("accepted_unfit"), caught);
     }
 
     @Test
     void nodesThatTellWhatIsOverAreCaught() {
-        String caught = broken(Scenario.Flaw.OLD_CHANGES, Meeting.END_OF_THE_LAST_TASK);
+        String caught = broken(Scenario.Flaw.STALE_WATCH_EVENTS, Meeting.END_OF_THE_LAST_TASK);
         assertTrue(caught.startsWith("went_back"), caught);
     }
 }
--- a/src/test/java/org/woadloom/sim/UserFaults.java
+++ b/src/test/java/org/woadloom/sim/UserFaults.java
@@ -60,7 +60,7 @@
     void told(String jobId, int status) {
         if (cluster.loop.now() >= lookUntil
                 || status != 200 && status != 201
-                || !lookedAt.add(jobId + cluster.observed.isOver(jobId))) {
+                || !lookedAt.add(jobId + cluster.observed.hasFinalStatus(jobId))) {
             return;
         }
         cluster.closeLooks++;
@@ -117,7 +117,7 @@
 
     private void oddRequest(int kind) {
         List<String> such = new ArrayList<>(cluster.observed.acceptedJobs());
-        such.removeIf(jobId -> cluster.observed.isOver(jobId) != (kind == 2));
+        such.removeIf(jobId -> cluster.observed.hasFinalStatus(jobId) != (kind == 2));
         if (kind < 3 && such.isEmpty()) {
             return;
         }
@@ -144,7 +144,7 @@
             unfit(job, random.nextInt(6));
         }
         if (kind >= 3) {
-            cluster.observed.recordUnfit(jobId);
+            cluster.observed.recordInvalidJob(jobId);
             cluster.loop.after(
                     2_000_000, () -> ask(random.nextInt(ClusterSimulation.NODES), jobId));
         }
--- a/src/test/java/org/woadloom/sim/WaitingJobs.java
+++ b/src/test/java/org/woadloom/sim/WaitingJobs.java
@@ -10,39 +10,39 @@
  * its limit.
  */
 final class WaitingJobs {
-    private static final long EVERY_MICROS = 1_000_000;
-    private static final long LONGEST_MICROS = 90_000_000;
+    private static final long CHECK_INTERVAL_MICROS = 1_000_000;
+    private static final long MAX_WAIT_MICROS = 90_000_000;
 
     private final ClusterSimulation cluster;
-    private final long fromMicros;
-    private final Map<String, Long> sinceMicros = new HashMap<>();
+    private final long faultFreeFromMicros;
+    private final Map<String, Long> waitingSinceMicros = new HashMap<>();
 
     /** How often a job was found waiting so. */
-    int seen;
+    int waitsObserved;
 
     /** The longest that any has waited so, without a break. */
-    long longestMicros;
+    long longestWaitMicros;
 
     /**
-     * @param fromMicros when the last trouble is over
+     * @param faultFreeFromMicros when the last trouble is over
      */
-    WaitingJobs(ClusterSimulation cluster, long fromMicros) {
+    WaitingJobs(ClusterSimulation cluster, long faultFreeFromMicros) {
         this.cluster = cluster;
-        this.fromMicros = fromMicros;
-        look();
+        this.faultFreeFromMicros = faultFreeFromMicros;
+        check();
     }
 
-    private void look() {
+    private void check() {
         for (String jobId : cluster.observed.acceptedJobs()) {
-            if (cluster.observed.isOver(jobId) || !couldRun(cluster.observed.job(jobId))) {
-                sinceMicros.remove(jobId);
+            if (cluster.observed.hasFinalStatus(jobId) || !isRunnable(cluster.observed.job(jobId))) {
+                waitingSinceMicros.remove(jobId);
                 continue;
             }
             long now = cluster.loop.now();
-            long waited = now - Math.max(fromMicros, sinceMicros.computeIfAbsent(jobId, u -> now));
-            seen++;
-            longestMicros = Math.max(longestMicros, waited);
-            if (waited > LONGEST_MICROS) {
+            long waited = now - Math.max(faultFreeFromMicros, waitingSinceMicros.computeIfAbsent(jobId, key -> now));
+            waitsObserved++;
+            longestWaitMicros = Math.max(longestWaitMicros, waited);
+            if (waited > MAX_WAIT_MICROS) {
                 throw new InvariantViolation(
                         ProtocolRule.LEFT_WAITING,
                         jobId
@@ -53,10 +53,10 @@
                                 + " s while a machine has room");
             }
         }
-        cluster.loop.after(EVERY_MICROS, this::look);
+        cluster.loop.after(CHECK_INTERVAL_MICROS, this::check);
     }
 
-    private boolean couldRun(JobDescription job) {
+    private boolean isRunnable(JobDescription job) {
         int waiting = 0;
         Map<String, Integer> placed = new HashMap<>();
         for (int i = 0; i < job.taskCount(); i++) {
@@ -67,14 +67,14 @@
                 placed.merge(machine.zone, 1, Integer::sum);
             }
         }
-        int together = job.isGang() ? waiting : 1;
-        double needed = together * job.cpus();
+        int tasksPlacedTogether = job.isGang() ? waiting : 1;
+        double needed = tasksPlacedTogether * job.cpus();
         if (waiting == 0
                 || cluster.observed.cpusUsedBy(job.team()) + needed
                         > cluster.settings.team(job.team()).cpusMax() + 1e-6) {
             return false;
         }
-        Map<String, Integer> room = new HashMap<>();
+        Map<String, Integer> freeSlots = new HashMap<>();
         for (SimulatedAgent machine : cluster.agents()) {
             String zone = machine.zone;
             boolean fits =
@@ -87,12 +87,12 @@
                             && (!job.spreadAcrossZones()
                                     || placed.getOrDefault(zone, 0) < (job.taskCount() + 1) / 2);
             if (fits) {
-                room.merge(
+                freeSlots.merge(
                         job.sameZone() ? zone : "",
                         (int) (machine.free() / job.cpus() + 1e-9),
                         Integer::sum);
             }
         }
-        return room.values().stream().anyMatch(count -> count >= together);
+        return freeSlots.values().stream().anyMatch(count -> count >= tasksPlacedTogether);
     }
 }
