--- a/src/test/java/org/woadloom/sim/AdmissionInvariant.java
+++ b/src/test/java/org/woadloom/sim/AdmissionInvariant.java
@@ -1,6 +1,9 @@
 package org.woadloom.sim;
 
-/** {@link ProtocolRule#ACCEPTED_UNFIT}: a job that can never run, or lacks a field, is refused. */
+/**
+ * {@link ProtocolRule#ACCEPTED_UNFIT}: a job that can never run or lacks a required field must be
+ * rejected.
+ */
 final class AdmissionInvariant extends Invariant {
     private final ObservedState observed;
 
@@ -13,7 +16,12 @@
         if (answer.isSuccess() && observed.isInvalidJob(answer.jobId())) {
             throw new InvariantViolation(
                     ProtocolRule.ACCEPTED_UNFIT,
-                    answer.request() + " " + answer.jobId() + " " + answer.status());
+                    answer.request()
+                            + " of invalid job "
+                            + answer.jobId()
+                            + " returned "
+                            + answer.status()
+                            + ", expected a rejection");
         }
     }
 }
--- a/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
@@ -107,7 +107,13 @@
     private static ClusterSimulation day(long seed, Flaw flaw) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
-                        seed, new Scenario(Scenario.LONG_TIMES, Scenario.LONG_TIMES, Version.CURRENT, flaw, 0));
+                        seed,
+                        new Scenario(
+                                Scenario.LONG_TIMES,
+                                Scenario.LONG_TIMES,
+                                Version.CURRENT,
+                                flaw,
+                                0));
         cluster.trouble = 0;
         cluster.servicesStay = true;
         cluster.users.submitUntil(AT + 30 * S, 6);
@@ -416,7 +422,7 @@
      * times the time that there is.
      */
     @ParameterizedTest
-    @CsvSource({"VOUCHES_FOR_ANYTHING, HINTS_LOST, 50", "NONE, PEERS_CUT, 150"})
+    @CsvSource({"CONFIRMS_UNNAMED_CANCELLATIONS, HINTS_LOST, 50", "NONE, PEERS_CUT, 150"})
     void brokenVariantsAreCaught(Flaw flaw, Else what, long cancelSeconds) {
         InvariantViolation caught =
                 assertThrows(
--- a/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
@@ -36,7 +36,13 @@
     private static ClusterSimulation day(long seed, Flaw flaw) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
-                        seed, new Scenario(Scenario.LONG_TIMES, Scenario.LONG_TIMES, Version.CURRENT, flaw, 0));
+                        seed,
+                        new Scenario(
+                                Scenario.LONG_TIMES,
+                                Scenario.LONG_TIMES,
+                                Version.CURRENT,
+                                flaw,
+                                0));
         cluster.trouble = 0;
         cluster.servicesStay = true;
         cluster.users.submitUntil(AT);
@@ -178,7 +184,12 @@
             ClusterSimulation cluster =
                     new ClusterSimulation(
                             seed,
-                            new Scenario(Scenario.LONG_TIMES, Scenario.LONG_TIMES, Version.CURRENT, Flaw.NONE, 0));
+                            new Scenario(
+                                    Scenario.LONG_TIMES,
+                                    Scenario.LONG_TIMES,
+                                    Version.CURRENT,
+                                    Flaw.NONE,
+                                    0));
             cluster.trouble = 0;
             cluster.servicesStay = true;
             cluster.users.submitUntil(AT);
@@ -232,7 +243,8 @@
                         InvariantViolation.class,
                         () -> {
                             for (long seed : Seeds.first(6)) {
-                                confirmedBehindItsBack(Lost.HINTS, seed, Flaw.CONFIRMS_UNNAMED_CANCELLATIONS);
+                                confirmedBehindItsBack(
+                                        Lost.HINTS, seed, Flaw.CONFIRMS_UNNAMED_CANCELLATIONS);
                             }
                         });
         assertTrue(caught.getMessage().contains("ran_cancelled"), caught.getMessage());
--- a/src/test/java/org/woadloom/sim/CancelledTasksInvariant.java
+++ b/src/test/java/org/woadloom/sim/CancelledTasksInvariant.java
@@ -5,8 +5,8 @@
 import org.woadloom.settings.ServiceSettings;
 
 /**
- * {@link ProtocolRule#RAN_CANCELLED}: the tasks of a cancelled job are off their machines within
- * the agreed time after the first user was told, and none starts after that.
+ * {@link ProtocolRule#RAN_CANCELLED}: no task of a cancelled job runs, and none starts, once the
+ * cancellation time limit has passed since a user was first told that the job is cancelled.
  */
 final class CancelledTasksInvariant extends Invariant {
     private final SimulatedEventLoop loop;
@@ -37,7 +37,12 @@
         if (reportedMicros != null && loop.now() - reportedMicros > cancelMicros) {
             throw new InvariantViolation(
                     ProtocolRule.RAN_CANCELLED,
-                    task + " is on a machine too long after the cancellation");
+                    task
+                            + " is on a machine "
+                            + (loop.now() - reportedMicros)
+                            + " us after its cancellation was reported, allowed are "
+                            + cancelMicros
+                            + " us");
         }
     }
 }
--- a/src/test/java/org/woadloom/sim/ClusterSimulation.java
+++ b/src/test/java/org/woadloom/sim/ClusterSimulation.java
@@ -196,7 +196,11 @@
                                             this, mine, address, method, path, body, timeout,
                                             callback),
                             peers,
-                            settingsOf(index, scenario, scenario.configuredTimes(), namesOneMore[index]),
+                            settingsOf(
+                                    index,
+                                    scenario,
+                                    scenario.configuredTimes(),
+                                    namesOneMore[index]),
                             OperatorSettings.defaults(),
                             new Random(random.nextLong()),
                             (now, commands, actions) ->
@@ -626,7 +630,8 @@
                     map,
                     scenario.flaw() == Scenario.Flaw.IGNORES_DEPENDENCIES
                             ? (status, answer) ->
-                                    watch.answer(status, ProductionFilter.withoutDependencies(answer))
+                                    watch.answer(
+                                            status, ProductionFilter.withoutDependencies(answer))
                             : watch);
         } else if (address.equals("cloud")) {
             loop.after(150_000, () -> cloud.handle(method, path, map, respond));
@@ -874,12 +879,13 @@
             return;
         }
         int life = member.life;
-        if (agent != null && agent.deaf() && scenario.flaw() == Scenario.Flaw.UNREACHED_AGENTS_REPORT_SENT_TOKENS) {
+        if (agent != null
+                && agent.deaf()
+                && scenario.flaw() == Scenario.Flaw.UNREACHED_AGENTS_REPORT_SENT_TOKENS) {
             body.put("epoch", Math.max((Long) body.get("epoch"), agent.tokenSent));
         }
         boolean fillsIn =
-                scenario.flaw() == Scenario.Flaw.DEFAULTS_MISSING_FIELDS
-                        && path.equals("/v1/jobs");
+                scenario.flaw() == Scenario.Flaw.DEFAULTS_MISSING_FIELDS && path.equals("/v1/jobs");
         byte[] bytes = body == null ? new byte[0] : Cbor.encode(fillsIn ? filledIn(body) : body);
         if (agent != null && random.nextInt(100) < copies) {
             copy(body);
--- a/src/test/java/org/woadloom/sim/DependencyOrderInvariant.java
+++ b/src/test/java/org/woadloom/sim/DependencyOrderInvariant.java
@@ -3,7 +3,7 @@
 import org.woadloom.protocol.JobDescription;
 import org.woadloom.protocol.TaskId;
 
-/** {@link ProtocolRule#TOO_EARLY}: a job starts once all jobs that it depends on are done. */
+/** {@link ProtocolRule#TOO_EARLY}: a job starts only after all of its dependencies are done. */
 final class DependencyOrderInvariant extends Invariant {
     private final ObservedState observed;
 
@@ -16,7 +16,8 @@
         for (String dependency : job.dependencies()) {
             if (!observed.areAllTasksDone(dependency)) {
                 throw new InvariantViolation(
-                        ProtocolRule.TOO_EARLY, task + " starts before " + dependency + " is done");
+                        ProtocolRule.TOO_EARLY,
+                        task + " starts before its dependency " + dependency + " is done");
             }
         }
     }
--- a/src/test/java/org/woadloom/sim/DurableAcceptanceInvariant.java
+++ b/src/test/java/org/woadloom/sim/DurableAcceptanceInvariant.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /**
- * {@link ProtocolRule#FORGOTTEN}: once a user was told that a job is accepted, no later request is
- * answered as if it were not, and while no fault is active polls for it get answers.
+ * {@link ProtocolRule#FORGOTTEN}: after a user was told that a job is accepted, no later request
+ * may be answered as if the job were unknown, and polls for it succeed while no fault is active.
  */
 final class DurableAcceptanceInvariant extends Invariant {
-    /** Stricter than the protocol's 90 s. */
+    /** Stricter than the limit in the protocol, which is 90 s. */
     private static final long MAX_UNANSWERED_MICROS = 75_000_000;
 
     private final SimulatedEventLoop loop;
@@ -36,7 +36,11 @@
         if (unknown && observed.acceptedMicros(answer.jobId()) < answer.sentMicros()) {
             throw new InvariantViolation(
                     ProtocolRule.FORGOTTEN,
-                    answer.request() + " " + answer.jobId() + " " + answer.status());
+                    answer.request()
+                            + " of accepted job "
+                            + answer.jobId()
+                            + " returned "
+                            + answer.status());
         }
     }
 
@@ -52,7 +56,12 @@
         if (unansweredMicros > MAX_UNANSWERED_MICROS) {
             throw new InvariantViolation(
                     ProtocolRule.FORGOTTEN,
-                    jobId + " gets no answer for " + unansweredMicros / 1_000_000 + " s");
+                    jobId
+                            + " got no answer to a poll for "
+                            + unansweredMicros / 1_000_000
+                            + " s, allowed are "
+                            + MAX_UNANSWERED_MICROS / 1_000_000
+                            + " s");
         }
     }
 }
--- a/src/test/java/org/woadloom/sim/EarlierVersions.java
+++ b/src/test/java/org/woadloom/sim/EarlierVersions.java
@@ -27,7 +27,10 @@
             respond.answer(store.down ? 503 : 404, Map.of("generation", 0L));
         } else if (path.contains("prefix=" + ROLLOUT_PREFIX)) {
             store.handle(
-                    method, path.replace("prefix=" + ROLLOUT_PREFIX, "prefix=unknown/"), body, respond);
+                    method,
+                    path.replace("prefix=" + ROLLOUT_PREFIX, "prefix=unknown/"),
+                    body,
+                    respond);
         } else if (path.equals("/txn")) {
             forwardTransaction(store, isVersion1, body, respond);
         } else {
@@ -41,8 +44,10 @@
             Map<String, Object> body,
             SimulatedStore.Answer respond) {
         List<Map<?, ?>> changes = ProductionFilter.changes(body);
-        if (changes.stream().anyMatch(change -> (ROLLOUT_PREFIX + "state").equals(change.get("put")))) {
-            respond.answer(409, Map.of("failed", List.of(ROLLOUT_PREFIX + "state"), "generation", 0L));
+        if (changes.stream()
+                .anyMatch(change -> (ROLLOUT_PREFIX + "state").equals(change.get("put")))) {
+            respond.answer(
+                    409, Map.of("failed", List.of(ROLLOUT_PREFIX + "state"), "generation", 0L));
             return;
         }
         Map<String, Object> forwarded = new LinkedHashMap<>();
@@ -64,7 +69,8 @@
                                 change ->
                                         !(change.get("put") instanceof String key
                                                 && (key.startsWith(ROLLOUT_PREFIX)
-                                                        || isVersion1 && key.startsWith(VERSION_PREFIX))))
+                                                        || isVersion1
+                                                                && key.startsWith(VERSION_PREFIX))))
                         .toList());
         if (isVersion1) {
             ProductionFilter.checkReadableByVersion1("/txn", forwarded);
--- a/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
@@ -250,7 +250,8 @@
                         () ->
                                 waiting[0] =
                                         Math.min(
-                                                cluster.observed.waitingJobsAtOrAbove(Priority.HIGH),
+                                                cluster.observed.waitingJobsAtOrAbove(
+                                                        Priority.HIGH),
                                                 cluster.observed.waitingJobsBelow(Priority.HIGH)));
                 return () -> waiting[0];
             }
@@ -344,10 +345,10 @@
      */
     @ParameterizedTest
     @CsvSource({
-        "OLD_CHANGES, CLOSE_LOOKS, went_back",
-        "UNSEEN_RECORDS, CLOSE_LOOKS, forgotten",
-        "NO_CONDITIONS, LATE_WRITES, ''",
-        "NO_CONDITIONS, TEN_LEADERS, ''"
+        "STALE_WATCH_EVENTS, CLOSE_LOOKS, went_back",
+        "MISSES_JOB_RECORDS, CLOSE_LOOKS, forgotten",
+        "UNCONDITIONAL_WRITES, LATE_WRITES, ''",
+        "UNCONDITIONAL_WRITES, TEN_LEADERS, ''"
     })
     void aBrokenServiceIsCaught(Scenario.Flaw flaw, Meeting meeting, String rule) {
         // What the service itself would refuse is to be caught from outside as well.
--- a/src/test/java/org/woadloom/sim/FinalStatusInvariant.java
+++ b/src/test/java/org/woadloom/sim/FinalStatusInvariant.java
@@ -1,8 +1,8 @@
 package org.woadloom.sim;
 
 /**
- * {@link ProtocolRule#WENT_BACK}: a final status never changes, and a job is called cancelled only
- * if a user cancelled it or a job that it depends on.
+ * {@link ProtocolRule#WENT_BACK}: a final status never changes, and a job is reported as cancelled
+ * only if a user cancelled it or a job that it depends on.
  */
 final class FinalStatusInvariant extends Invariant {
     private final ObservedState observed;
@@ -16,19 +16,22 @@
         String jobId = answer.jobId();
         String before = observed.finalStatus(jobId);
         boolean changed = before != null && !before.equals(answer.jobStatus());
-        // A status that is not final may be older than the final one, if the request is.
-        if (changed && (answer.isFinal() || observed.finalStatusReportedMicros(jobId) < answer.sentMicros())) {
+        // A non-final status is allowed if the request was sent before the final one was reported.
+        if (changed
+                && (answer.isFinal()
+                        || observed.finalStatusReportedMicros(jobId) < answer.sentMicros())) {
             throw new InvariantViolation(
                     ProtocolRule.WENT_BACK,
-                    jobId + " was " + before + " and is " + answer.jobStatus());
+                    jobId + " changed from final status " + before + " to " + answer.jobStatus());
         }
         if (answer.isCancelled() && !mayBeCancelled(jobId)) {
             throw new InvariantViolation(
-                    ProtocolRule.WENT_BACK, jobId + " is called cancelled by itself");
+                    ProtocolRule.WENT_BACK,
+                    jobId + " is reported as cancelled, but no user cancelled it or a dependency");
         }
     }
 
-    /** A user asked for it, or for that of a job that it depends on and that is not done. */
+    /** A user cancelled the job, or one of its direct or indirect dependencies that is not done. */
     private boolean mayBeCancelled(String jobId) {
         if (observed.isCancelRequested(jobId)) {
             return true;
--- a/src/test/java/org/woadloom/sim/Invariant.java
+++ b/src/test/java/org/woadloom/sim/Invariant.java
@@ -5,30 +5,30 @@
 import org.woadloom.protocol.TaskId;
 
 /**
- * One rule of the protocol. A subclass overrides what it has to see, and throws an {@link
- * InvariantViolation} where its rule is broken. {@link InvariantChecker} calls all of them in a
- * fixed order. An invariant must not draw random numbers or schedule anything: the simulation runs
- * alike with it and without it.
+ * Checks one rule of the protocol during a simulation. Subclasses override the callbacks they need
+ * and throw an {@link InvariantViolation} if the rule is broken. {@link InvariantChecker} calls all
+ * invariants in a fixed order. An invariant must not draw random numbers or schedule tasks, so that
+ * it does not influence the simulation.
  */
 abstract class Invariant {
-    /** A task is about to run on a machine; {@link ObservedState} does not have it there yet. */
+    /** Called before the start of a task is recorded in {@link ObservedState}. */
     void beforeTaskStart(TaskId task, JobDescription job, SimulatedAgent agent) {}
 
-    /** A task runs on a machine, and {@link ObservedState} has it there. */
+    /** Called after the start of a task was recorded in {@link ObservedState}. */
     void afterTaskStart(TaskId task, JobDescription job) {}
 
-    /** A task is no longer on its machine, for whatever reason. */
+    /** Called when a task of the job leaves its machine, for any reason. */
     void onTaskEnd(JobDescription job) {}
 
-    /** Any answer to a user, before {@link ObservedState} learns from it. */
+    /** Called for every answer to a user, before {@link ObservedState} is updated from it. */
     void onAnswer(UserAnswer answer) {}
 
-    /** An answer with a job's status; the job counts as accepted already. */
+    /** Called for an answer with a job's status, after the job was recorded as accepted. */
     void onJobStatus(UserAnswer answer) {}
 
-    /** One step of the event loop is over. Called very often. */
+    /** Called after every step of the event loop, so it must be cheap. */
     void afterStep() {}
 
-    /** Called every two simulated seconds with all machines. */
+    /** Called every two simulated seconds with the agents of all machines. */
     void checkProgress(Collection<SimulatedAgent> agents) {}
 }
--- a/src/test/java/org/woadloom/sim/InvariantChecker.java
+++ b/src/test/java/org/woadloom/sim/InvariantChecker.java
@@ -9,8 +9,8 @@
 import org.woadloom.settings.ServiceSettings;
 
 /**
- * Takes what happens in a simulation, has every {@link Invariant} judge it, and keeps {@link
- * ObservedState}. Where several rules are broken at once, the first in the list is reported.
+ * Passes the events of a simulation to every {@link Invariant} and updates {@link ObservedState}.
+ * If one event breaks several rules, the first invariant in the list reports its violation.
  */
 final class InvariantChecker {
     private final ObservedState observed;
@@ -18,7 +18,7 @@
     private final List<Invariant> invariants;
 
     /**
-     * @param onLastTaskDone is given each job whose last task has just been completed
+     * @param onLastTaskDone called with the ID of a job when its last task completes
      */
     InvariantChecker(
             SimulatedEventLoop loop,
@@ -43,7 +43,7 @@
                         new ProgressInvariant(loop, observed, settings));
     }
 
-    /** A task has its image and runs on a machine. */
+    /** Called when a task has its image and starts to run. */
     void onTaskStarted(TaskId task, SimulatedAgent agent) {
         JobDescription job = observed.job(task.jobId());
         invariants.forEach(invariant -> invariant.beforeTaskStart(task, job, agent));
@@ -51,7 +51,7 @@
         invariants.forEach(invariant -> invariant.afterTaskStart(task, job));
     }
 
-    /** A task is no longer on its machine: completed, stopped, killed or lost. */
+    /** Called when a task leaves its machine: completed, stopped, killed or lost. */
     void onTaskEnded(TaskId task, SimulatedAgent agent, boolean completed) {
         JobDescription job = observed.job(task.jobId());
         invariants.forEach(invariant -> invariant.onTaskEnd(job));
@@ -62,7 +62,7 @@
     }
 
     /**
-     * A user gets an answer.
+     * Called when a user receives an answer.
      *
      * @param sentMicros when the request was sent
      */
@@ -85,14 +85,14 @@
         }
     }
 
-    /** Checks what must hold at all times. */
+    /** Called after every step of the event loop. */
     void afterStep() {
         for (Invariant invariant : invariants) {
             invariant.afterStep();
         }
     }
 
-    /** Checks that nothing waits without a reason; called every two simulated seconds. */
+    /** Called every two simulated seconds. */
     void checkProgress(Collection<SimulatedAgent> agents) {
         invariants.forEach(invariant -> invariant.checkProgress(agents));
     }
--- a/src/test/java/org/woadloom/sim/InvariantViolation.java
+++ b/src/test/java/org/woadloom/sim/InvariantViolation.java
@@ -1,6 +1,6 @@
 package org.woadloom.sim;
 
-/** Thrown where the simulation breaks one of the protocol's rules; ends the run. */
+/** Thrown when a rule of the protocol is broken; it ends the simulation. */
 final class InvariantViolation extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/src/test/java/org/woadloom/sim/KnownJobsInvariant.java
+++ b/src/test/java/org/woadloom/sim/KnownJobsInvariant.java
@@ -1,6 +1,6 @@
 package org.woadloom.sim;
 
-/** {@link ProtocolRule#INVENTED}: only jobs that somebody submitted are known. */
+/** {@link ProtocolRule#INVENTED}: a node knows only jobs that a user submitted. */
 final class KnownJobsInvariant extends Invariant {
     private final ObservedState observed;
 
@@ -11,7 +11,9 @@
     @Override
     void onAnswer(UserAnswer answer) {
         if (answer.status() == 200 && !observed.isSubmitted(answer.jobId())) {
-            throw new InvariantViolation(ProtocolRule.INVENTED, answer.jobId());
+            throw new InvariantViolation(
+                    ProtocolRule.INVENTED,
+                    answer.jobId() + " was never submitted, but a request for it returned 200");
         }
     }
 }
--- a/src/test/java/org/woadloom/sim/LoopbackNode.java
+++ b/src/test/java/org/woadloom/sim/LoopbackNode.java
@@ -56,7 +56,10 @@
                                                         (received, body) ->
                                                                 received.dispatch(
                                                                         SameThreadExecutor.INSTANCE,
-                                                                        () -> handleDependencyRequest(received, body))))
+                                                                        () ->
+                                                                                handleDependencyRequest(
+                                                                                        received,
+                                                                                        body))))
                         .build();
         dependencies.start();
         storeAddress = "127.0.0.1:" + port;
--- a/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
@@ -53,7 +53,8 @@
         ClusterSimulation cluster =
                 new ClusterSimulation(
                         seed,
-                        new Scenario(Scenario.LONG_TIMES, told, Version.CURRENT, Scenario.Flaw.NONE, 0));
+                        new Scenario(
+                                Scenario.LONG_TIMES, told, Version.CURRENT, Scenario.Flaw.NONE, 0));
         cluster.trouble = 0;
         cluster.users.submitUntil(AT + 60_000_000);
         cluster.observed.faultFreeFromMicros = AT + 150_000_000;
@@ -230,7 +231,8 @@
                     "no lease ended, seed " + seed);
             int starts = cluster.observed.taskStarts;
             long begins = cluster.loop.now();
-            while (cluster.observed.taskStarts == starts && cluster.loop.now() < begins + 60_000_000) {
+            while (cluster.observed.taskStarts == starts
+                    && cluster.loop.now() < begins + 60_000_000) {
                 cluster.run(cluster.loop.now() + 100_000);
             }
             assertTrue(
--- a/src/test/java/org/woadloom/sim/ObservedState.java
+++ b/src/test/java/org/woadloom/sim/ObservedState.java
@@ -16,9 +16,9 @@
 import org.woadloom.settings.Team;
 
 /**
- * What really happens in a simulation, seen from outside of the nodes: what users submitted and
- * were told, and which tasks are on which machines. The {@linkplain Invariant invariants} compare
- * the nodes' behaviour with it; {@link InvariantChecker} keeps it up to date.
+ * The ground truth of a simulation, independent of the nodes' own state: what users submitted and
+ * were told, and which tasks run on which machines. The {@linkplain Invariant invariants} compare
+ * the behaviour of the nodes with it; {@link InvariantChecker} keeps it up to date.
  */
 final class ObservedState {
     private final SimulatedEventLoop loop;
@@ -34,22 +34,21 @@
     private final Set<String> startedJobs = new HashSet<>();
     private final Set<String> invalidJobs = new HashSet<>();
 
-    /** No fault is active from this moment on; the far future while that is not known. */
+    /** Time from which no fault is active; far in the future while it is not known. */
     long faultFreeFromMicros = Long.MAX_VALUE / 2;
 
-    /** Starts of tasks after a user was told that their job is cancelled. */
+    /** Task starts after a user was told that the job is cancelled. */
     int taskStartsAfterCancellation;
 
-    /** Starts of tasks. */
     int taskStarts;
 
-    /** Running tasks that were killed because their agent's lease expired. */
+    /** Number of running tasks that were killed because the lease of their agent expired. */
     int killedByLease;
 
-    /** Jobs that ran when a user was told first that they are cancelled. */
+    /** Number of jobs with running tasks when a user was first told that they are cancelled. */
     int cancelledWhileRunning;
 
-    /** Dependencies that were met when a task of the dependent job started. */
+    /** Number of dependencies of the started tasks' jobs, summed over all task starts. */
     int satisfiedDependencies;
 
     ObservedState(SimulatedEventLoop loop, ServiceSettings settings) {
@@ -57,13 +56,13 @@
         this.settings = settings;
     }
 
-    // What happens.
+    // Updates.
 
     void recordSubmission(JobDescription job) {
         submitted.put(job.jobId(), job);
     }
 
-    /** The job can't run, or lacks a field: it must not be accepted. */
+    /** Records a job that can never run or lacks a required field, so it must not be accepted. */
     void recordInvalidJob(String jobId) {
         invalidJobs.add(jobId);
     }
@@ -84,12 +83,12 @@
         machineOfTask.remove(task, agent);
     }
 
-    /** Whether the task was the last one of its job that was not done. */
+    /** Returns true if all other tasks of the job were already done. */
     boolean recordTaskDone(TaskId task) {
         return doneTasks.add(task) && areAllTasksDone(task.jobId());
     }
 
-    /** An answer with the job's status tells that it is accepted, whatever the request was. */
+    /** Records the first answer that shows that the job is accepted, whatever the request was. */
     void recordAccepted(String jobId) {
         acceptedMicros.putIfAbsent(jobId, loop.now());
     }
@@ -124,27 +123,27 @@
         return acceptedMicros.containsKey(jobId);
     }
 
-    /** When a user was told first that the job is accepted; the far future if none was. */
+    /** When a user was first told that the job is accepted; far in the future if none was. */
     long acceptedMicros(String jobId) {
         return acceptedMicros.getOrDefault(jobId, Long.MAX_VALUE);
     }
 
-    /** Accepted jobs, in the order of their acceptance. */
+    /** IDs of the accepted jobs, in order of acceptance. */
     Set<String> acceptedJobs() {
         return acceptedMicros.keySet();
     }
 
-    /** A user was told that the job is done or cancelled. */
+    /** Whether a user was told that the job is done or cancelled. */
     boolean hasFinalStatus(String jobId) {
         return finalStatus.containsKey(jobId);
     }
 
-    /** The final status that users were told, or null. */
+    /** The final status that users were told, or null if none. */
     String finalStatus(String jobId) {
         return finalStatus.get(jobId);
     }
 
-    /** When users were told the final status first; only for a job that {@link #hasFinalStatus}. */
+    /** When a user was first told the final status; requires {@link #hasFinalStatus}. */
     long finalStatusReportedMicros(String jobId) {
         return finalStatusReportedMicros.get(jobId);
     }
@@ -157,14 +156,14 @@
         return !cancellationReportedMicros.isEmpty();
     }
 
-    /** When a user was told first that the job is cancelled; null if none was. */
+    /** When a user was first told that the job is cancelled, or null. */
     Long cancellationReportedMicros(String jobId) {
         return cancellationReportedMicros.get(jobId);
     }
 
     /**
-     * When a user was told first that a job is cancelled that this one depends on, directly or not,
-     * and this one was accepted; null if that has not happened.
+     * When a user was first told that a direct or indirect dependency of the job is cancelled, but
+     * not before the job itself was accepted; null if no such cancellation was reported.
      */
     Long dependencyCancelledMicros(String jobId) {
         Long firstMicros = null;
@@ -176,14 +175,16 @@
             if (reportedMicros == null) {
                 continue;
             }
-            // A job that names a cancelled one has its time from its own acceptance.
-            long fromMicros = Math.max(reportedMicros, acceptedMicros.getOrDefault(jobId, Long.MAX_VALUE / 2));
+            // The time limit starts at acceptance if the dependency was cancelled before.
+            long fromMicros =
+                    Math.max(
+                            reportedMicros, acceptedMicros.getOrDefault(jobId, Long.MAX_VALUE / 2));
             firstMicros = firstMicros == null ? fromMicros : Math.min(firstMicros, fromMicros);
         }
         return firstMicros;
     }
 
-    /** How many jobs are not over though a job that they depend on is cancelled. */
+    /** Number of jobs without a final status that have a cancelled dependency. */
     int openJobsWithCancelledDependency() {
         int count = 0;
         for (String jobId : acceptedMicros.keySet()) {
@@ -192,19 +193,19 @@
         return count;
     }
 
-    /** A task of the job was started on some machine. */
+    /** Whether any task of the job has ever started. */
     boolean wasStarted(String jobId) {
         return startedJobs.contains(jobId);
     }
 
-    /** The jobs that have tasks on machines. */
+    /** IDs of the jobs that have tasks on machines. */
     Set<String> runningJobs() {
         Set<String> jobs = new LinkedHashSet<>();
         machineOfTask.keySet().forEach(task -> jobs.add(task.jobId()));
         return jobs;
     }
 
-    /** How many jobs that are no services have tasks that are done and tasks on machines. */
+    /** Number of non-service jobs with both completed and running tasks. */
     int partlyDoneJobs() {
         Set<String> jobsWithDoneTasks = new HashSet<>();
         doneTasks.forEach(task -> jobsWithDoneTasks.add(task.jobId()));
@@ -215,12 +216,12 @@
         return count;
     }
 
-    /** How many jobs of this priority or a higher one have waiting tasks. */
+    /** Number of jobs of this or a higher priority with waiting tasks. */
     int waitingJobsAtOrAbove(Priority priority) {
         return countWaitingJobs(priority, false);
     }
 
-    /** How many jobs of a lower priority have waiting tasks. */
+    /** Number of jobs of a lower priority with waiting tasks. */
     int waitingJobsBelow(Priority priority) {
         return countWaitingJobs(priority, true);
     }
@@ -237,7 +238,7 @@
 
     // Tasks and machines.
 
-    /** The machine that has the task, or null. */
+    /** The agent of the machine that runs the task, or null. */
     SimulatedAgent machineOf(TaskId task) {
         return machineOfTask.get(task);
     }
@@ -246,7 +247,7 @@
         return machineOfTask.keySet();
     }
 
-    /** The machines that have tasks of these jobs. */
+    /** The agents of the machines that run tasks of these jobs. */
     Set<SimulatedAgent> machinesOf(Collection<String> jobs) {
         Set<SimulatedAgent> machines = new LinkedHashSet<>();
         machineOfTask.forEach(
@@ -258,7 +259,7 @@
         return machines;
     }
 
-    /** For each other task of the same job that is on a machine, that machine. */
+    /** One agent for each other running task of the same job; an agent may occur repeatedly. */
     List<SimulatedAgent> machinesOfOtherTasks(TaskId task) {
         List<SimulatedAgent> machines = new ArrayList<>();
         machineOfTask.forEach(
@@ -283,7 +284,7 @@
         return true;
     }
 
-    /** The job has a task that is neither done nor on a machine. */
+    /** Whether a task of the job is neither done nor on a machine. */
     boolean hasWaitingTask(JobDescription job) {
         for (int i = 0; i < job.taskCount(); i++) {
             TaskId task = new TaskId(job.jobId(), i);
@@ -313,7 +314,7 @@
         return cpus;
     }
 
-    /** How many teams have a task that waits and does not fit below their limit. */
+    /** Number of teams with a waiting task that would exceed the team's quota. */
     int teamsAtLimit() {
         return (int) settings.teams().stream().filter(this::isAtLimit).count();
     }
--- a/src/test/java/org/woadloom/sim/OrphanedDependentInvariant.java
+++ b/src/test/java/org/woadloom/sim/OrphanedDependentInvariant.java
@@ -3,8 +3,8 @@
 import org.woadloom.settings.ServiceSettings;
 
 /**
- * {@link ProtocolRule#ORPHANED}: a job that depends on a cancelled one is cancelled too, within the
- * time that a cancellation may take.
+ * {@link ProtocolRule#ORPHANED}: a job with a cancelled dependency is cancelled too, within the
+ * cancellation time limit.
  */
 final class OrphanedDependentInvariant extends Invariant {
     private final ObservedState observed;
@@ -23,7 +23,14 @@
         Long reportedMicros = observed.dependencyCancelledMicros(answer.jobId());
         if (reportedMicros != null && reportedMicros + cancelMicros < answer.sentMicros()) {
             throw new InvariantViolation(
-                    ProtocolRule.ORPHANED, answer.jobId() + " is " + answer.jobStatus());
+                    ProtocolRule.ORPHANED,
+                    answer.jobId()
+                            + " is "
+                            + answer.jobStatus()
+                            + ", expected cancelled: one of its dependencies was cancelled more"
+                            + " than "
+                            + cancelMicros
+                            + " us before the request");
         }
     }
 }
--- a/src/test/java/org/woadloom/sim/PartitionedZoneTest.java
+++ b/src/test/java/org/woadloom/sim/PartitionedZoneTest.java
@@ -32,7 +32,11 @@
                 new ClusterSimulation(
                         seed,
                         new Scenario(
-                                Scenario.LONG_TIMES, Scenario.LONG_TIMES, Version.CURRENT, Scenario.Flaw.NONE, 0));
+                                Scenario.LONG_TIMES,
+                                Scenario.LONG_TIMES,
+                                Version.CURRENT,
+                                Scenario.Flaw.NONE,
+                                0));
         cluster.trouble = 0;
         cluster.users.submitUntil(QUIET);
         return cluster;
--- a/src/test/java/org/woadloom/sim/ProgressInvariant.java
+++ b/src/test/java/org/woadloom/sim/ProgressInvariant.java
@@ -8,20 +8,20 @@
 import org.woadloom.settings.ServiceSettings;
 
 /**
- * {@link ProtocolRule#LEFT_WAITING}: while no fault is active, no task waits for long for a machine
- * that is there and has capacity, below its team's limit.
+ * {@link ProtocolRule#LEFT_WAITING}: while no fault is active, no task waits for long if a machine
+ * has capacity for it and its team is below its quota.
  *
- * <p>A task that fetches its image counts for the limit here, and so does one that ended a moment
- * ago, of which the leader may not know yet: a team whose short tasks follow each other is at its
- * limit. Gangs and jobs with rules about zones are left out, as they need more than capacity for
- * one task.
+ * <p>Tasks that fetch their image count towards the quota here, and so do tasks that ended a moment
+ * ago, because the leader may not know yet that they ended. Otherwise a team that runs many short
+ * tasks in a row would seem to be below its quota. Gangs and jobs with zone constraints are not
+ * checked: they need more than capacity for one task.
  */
 final class ProgressInvariant extends Invariant {
     private static final long MAX_WAIT_MICROS = 90_000_000;
 
     /**
-     * After two heartbeats and a write the leader has learned of a task's end, and the record names
-     * the next one.
+     * Time for two heartbeats and a store write, after which the leader knows that a task ended and
+     * the job record has the next task.
      */
     private static final long MAX_RELEASE_DELAY_MICROS = 4_000_000;
 
@@ -32,7 +32,7 @@
     private final ServiceSettings settings;
     private final ArrayDeque<ReleasedCpus> recentlyReleased = new ArrayDeque<>();
 
-    /** Since when each job has been waiting though it could start. */
+    /** For each job that waits although it could run: since when. */
     private final Map<String, Long> waitingSinceMicros = new HashMap<>();
 
     ProgressInvariant(SimulatedEventLoop loop, ObservedState observed, ServiceSettings settings) {
@@ -61,8 +61,10 @@
                 throw new InvariantViolation(
                         ProtocolRule.LEFT_WAITING,
                         jobId
-                                + " has tasks that wait while there is capacity, since "
+                                + " has had waiting tasks despite free capacity since second "
                                 + sinceMicros / 1_000_000
+                                + ", allowed are "
+                                + MAX_WAIT_MICROS / 1_000_000
                                 + " s");
             }
         }
--- a/src/test/java/org/woadloom/sim/QuotaInvariant.java
+++ b/src/test/java/org/woadloom/sim/QuotaInvariant.java
@@ -6,7 +6,7 @@
 
 /** {@link ProtocolRule#QUOTA}: a team's running tasks stay within the team's limit. */
 final class QuotaInvariant extends Invariant {
-    /** For the rounding of sums. */
+    /** Allows for rounding errors in the sum. */
     private static final double TOLERANCE_CPUS = 1e-6;
 
     private final ObservedState observed;
@@ -21,7 +21,13 @@
     void afterTaskStart(TaskId task, JobDescription job) {
         double cpus = observed.cpusUsedBy(job.team());
         if (cpus > settings.team(job.team()).cpusMax() + TOLERANCE_CPUS) {
-            throw new InvariantViolation(ProtocolRule.QUOTA, job.team() + " uses " + cpus);
+            throw new InvariantViolation(
+                    ProtocolRule.QUOTA,
+                    job.team()
+                            + " uses "
+                            + cpus
+                            + " CPUs, its quota is "
+                            + settings.team(job.team()).cpusMax());
         }
     }
 }
--- a/src/test/java/org/woadloom/sim/RandomScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/RandomScenariosTest.java
@@ -35,7 +35,9 @@
         cluster.users.submitUntil(TROUBLED);
         cluster.randomFaults.startUntil(TROUBLED);
         cluster.run(TROUBLED + QUIET);
-        assertTrue(cluster.observed.taskStarts > 50, "only " + cluster.observed.taskStarts + " starts");
+        assertTrue(
+                cluster.observed.taskStarts > 50,
+                "only " + cluster.observed.taskStarts + " starts");
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
@@ -48,7 +50,9 @@
         cluster.upgradeNodes(TROUBLED);
         // Chains end later than single jobs.
         cluster.run(TROUBLED + 2 * QUIET);
-        assertTrue(cluster.observed.taskStarts > 50, "only " + cluster.observed.taskStarts + " starts");
+        assertTrue(
+                cluster.observed.taskStarts > 50,
+                "only " + cluster.observed.taskStarts + " starts");
         assertTrue(cluster.observed.satisfiedDependencies > 0, "no job waited for another");
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
@@ -96,7 +100,10 @@
         InvariantViolation caught =
                 assertThrows(
                         InvariantViolation.class,
-                        () -> upgrade(Scenario.UPGRADE.with(Scenario.Flaw.ASSUMES_UPGRADE_COMPLETE)));
+                        () ->
+                                upgrade(
+                                        Scenario.UPGRADE.with(
+                                                Scenario.Flaw.ASSUMES_UPGRADE_COMPLETE)));
         assertTrue(caught.getMessage().contains("unreadable"), caught.getMessage());
     }
 
@@ -118,7 +125,8 @@
 
     @Test
     void aServiceThatTrustsTooShortALeaseIsCaught() {
-        troubledUntilCaught(told(Scenario.SHORT_TIMES.leaseMicros() / 8, Scenario.SHORT_TIMES.cancelMicros()));
+        troubledUntilCaught(
+                told(Scenario.SHORT_TIMES.leaseMicros() / 8, Scenario.SHORT_TIMES.cancelMicros()));
     }
 
     @Test
@@ -160,7 +168,8 @@
     @Test
     void copiesThatAreTakenForNewsAreCaught() {
         InvariantViolation caught =
-                troubledUntilCaught(Scenario.DEFAULT.with(Scenario.Flaw.DELAYED_HEARTBEATS_LOOK_NEW));
+                troubledUntilCaught(
+                        Scenario.DEFAULT.with(Scenario.Flaw.DELAYED_HEARTBEATS_LOOK_NEW));
         assertTrue(
                 caught.getMessage().contains("ran_twice") || caught.getMessage().contains("quota"),
                 caught.getMessage());
@@ -182,7 +191,8 @@
         return assertThrows(
                 InvariantViolation.class,
                 () -> {
-                    ClusterSimulation cluster = new ClusterSimulation(1, Scenario.DEFAULT.with(flaw));
+                    ClusterSimulation cluster =
+                            new ClusterSimulation(1, Scenario.DEFAULT.with(flaw));
                     cluster.users.submitUntil(TROUBLED);
                     cluster.observed.faultFreeFromMicros = TROUBLED;
                     cluster.run(TROUBLED + QUIET);
--- a/src/test/java/org/woadloom/sim/Scenario.java
+++ b/src/test/java/org/woadloom/sim/Scenario.java
@@ -5,25 +5,35 @@
 /**
  * What kind of day is played.
  *
- * @param configuredTimes what the nodes are told of the real times; a shorter lease, or more time for
- *     cancelled tasks, breaks the service on purpose
- * @param initialVersion what the nodes run at first; where it is an earlier version they are replaced one by
- *     one, after that the state service's limits fall and users submit pipelines
+ * @param configuredTimes what the nodes are told of the real times; a shorter lease, or more time
+ *     for cancelled tasks, breaks the service on purpose
+ * @param initialVersion what the nodes run at first; where it is an earlier version they are
+ *     replaced one by one, after that the state service's limits fall and users submit pipelines
  * @param extraTeams how many more teams there are, of which the first floods the service
  * @param zoneCount two, of which one has two nodes, or three with a node in each
  * @param teamsAtQuota whether the teams' limits are so low that all teams are at them throughout
  */
 record Scenario(
-        Times actualTimes, Times configuredTimes, Version initialVersion, Flaw flaw, int extraTeams, int zoneCount, boolean teamsAtQuota) {
+        Times actualTimes,
+        Times configuredTimes,
+        Version initialVersion,
+        Flaw flaw,
+        int extraTeams,
+        int zoneCount,
+        boolean teamsAtQuota) {
     static final Times SHORT_TIMES = new Times(10_000_000, 30_000_000);
 
     /** A worker that finds two nodes out of reach has some of its lease left. */
     static final Times LONG_TIMES = new Times(20_000_000, 50_000_000);
 
-    static final Scenario DEFAULT = new Scenario(SHORT_TIMES, SHORT_TIMES, Version.CURRENT, Flaw.NONE, 0);
-    static final Scenario UPGRADE = new Scenario(SHORT_TIMES, SHORT_TIMES, Version.VERSION_1, Flaw.NONE, 0);
-    static final Scenario MANY_TEAMS = new Scenario(SHORT_TIMES, SHORT_TIMES, Version.CURRENT, Flaw.NONE, 14);
-    static final Scenario TEAMS_AT_QUOTA = new Scenario(SHORT_TIMES, SHORT_TIMES, Version.CURRENT, Flaw.NONE, 0, 2, true);
+    static final Scenario DEFAULT =
+            new Scenario(SHORT_TIMES, SHORT_TIMES, Version.CURRENT, Flaw.NONE, 0);
+    static final Scenario UPGRADE =
+            new Scenario(SHORT_TIMES, SHORT_TIMES, Version.VERSION_1, Flaw.NONE, 0);
+    static final Scenario MANY_TEAMS =
+            new Scenario(SHORT_TIMES, SHORT_TIMES, Version.CURRENT, Flaw.NONE, 14);
+    static final Scenario TEAMS_AT_QUOTA =
+            new Scenario(SHORT_TIMES, SHORT_TIMES, Version.CURRENT, Flaw.NONE, 0, 2, true);
 
     Scenario(Times real, Times told, Version from, Flaw flaw, int crowd) {
         this(real, told, from, flaw, crowd, 2, false);
@@ -78,14 +88,23 @@
 
     /** The same with nodes that begin as another version. */
     Scenario from(Version version) {
-        return new Scenario(actualTimes, configuredTimes, version, flaw, extraTeams, zoneCount, teamsAtQuota);
+        return new Scenario(
+                actualTimes, configuredTimes, version, flaw, extraTeams, zoneCount, teamsAtQuota);
     }
 
     Scenario with(Flaw newFlaw) {
-        return new Scenario(actualTimes, configuredTimes, initialVersion, newFlaw, extraTeams, zoneCount, teamsAtQuota);
+        return new Scenario(
+                actualTimes,
+                configuredTimes,
+                initialVersion,
+                newFlaw,
+                extraTeams,
+                zoneCount,
+                teamsAtQuota);
     }
 
     Scenario inThreeZones() {
-        return new Scenario(actualTimes, configuredTimes, initialVersion, flaw, extraTeams, 3, teamsAtQuota);
+        return new Scenario(
+                actualTimes, configuredTimes, initialVersion, flaw, extraTeams, 3, teamsAtQuota);
     }
 }
--- a/src/test/java/org/woadloom/sim/ServiceLevelTest.java
+++ b/src/test/java/org/woadloom/sim/ServiceLevelTest.java
@@ -37,7 +37,8 @@
         Map<String, int[]> served = new TreeMap<>();
         for (String jobId : cluster.observed.acceptedJobs()) {
             var job = cluster.observed.job(jobId);
-            boolean counts = cluster.observed.wasStarted(jobId) || cluster.observed.hasFinalStatus(jobId);
+            boolean counts =
+                    cluster.observed.wasStarted(jobId) || cluster.observed.hasFinalStatus(jobId);
             for (String group : new String[] {"team " + job.team(), "class " + job.jobClass()}) {
                 int[] count = served.computeIfAbsent(group, g -> new int[2]);
                 count[0]++;
@@ -92,7 +93,9 @@
         for (String jobId : cluster.observed.acceptedJobs()) {
             var job = cluster.observed.job(jobId);
             over +=
-                    job.team().equals(team) && !job.isService() && cluster.observed.hasFinalStatus(jobId)
+                    job.team().equals(team)
+                                    && !job.isService()
+                                    && cluster.observed.hasFinalStatus(jobId)
                             ? 1
                             : 0;
         }
--- a/src/test/java/org/woadloom/sim/SimulatedAgent.java
+++ b/src/test/java/org/woadloom/sim/SimulatedAgent.java
@@ -324,7 +324,8 @@
 
     private void launch(TaskId id, long attempt, Task present) {
         if (present != null && present.attempt == attempt
-                || cluster.isBroken(Scenario.Flaw.ONE_JOB_NEVER_STARTED) && id.jobId().endsWith("7")) {
+                || cluster.isBroken(Scenario.Flaw.ONE_JOB_NEVER_STARTED)
+                        && id.jobId().endsWith("7")) {
             return;
         }
         JobDescription job = cluster.observed.job(id.jobId());
--- a/src/test/java/org/woadloom/sim/SingleExecutionInvariant.java
+++ b/src/test/java/org/woadloom/sim/SingleExecutionInvariant.java
@@ -3,7 +3,7 @@
 import org.woadloom.protocol.JobDescription;
 import org.woadloom.protocol.TaskId;
 
-/** {@link ProtocolRule#RAN_TWICE}: a task is on one machine at most. */
+/** {@link ProtocolRule#RAN_TWICE}: a task runs on at most one machine at a time. */
 final class SingleExecutionInvariant extends Invariant {
     private final ObservedState observed;
 
@@ -17,7 +17,7 @@
         if (other != null && other != agent) {
             throw new InvariantViolation(
                     ProtocolRule.RAN_TWICE,
-                    task + " starts on " + agent.host + " while on " + other.host);
+                    task + " starts on " + agent.host + " while it runs on " + other.host);
         }
     }
 }
--- a/src/test/java/org/woadloom/sim/StepRenderer.java
+++ b/src/test/java/org/woadloom/sim/StepRenderer.java
@@ -38,10 +38,7 @@
      * One line for the step, one for each command and one for each effect but notes for the log.
      */
     static String render(
-            int node,
-            long nowMicros,
-            List<SchedulerEvent> events,
-            List<SchedulerAction> actions) {
+            int node, long nowMicros, List<SchedulerEvent> events, List<SchedulerAction> actions) {
         StringBuilder out = new StringBuilder();
         line(out, "step ", list(node, nowMicros));
         for (SchedulerEvent event : events) {
@@ -285,7 +282,10 @@
 
     private static List<Object> leaseDelegation(LeaseDelegation delegation) {
         return list(
-                delegation.term(), delegation.statusSentMicros(), delegation.leaderClockMicros(), delegation.cancellationLagMicros());
+                delegation.term(),
+                delegation.statusSentMicros(),
+                delegation.leaderClockMicros(),
+                delegation.cancellationLagMicros());
     }
 
     private static List<Object> listedMachine(ListedMachine machine) {
--- a/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
@@ -26,7 +26,11 @@
                 new ClusterSimulation(
                         seed,
                         new Scenario(
-                                Scenario.LONG_TIMES, Scenario.LONG_TIMES, Version.CURRENT, Scenario.Flaw.NONE, 0));
+                                Scenario.LONG_TIMES,
+                                Scenario.LONG_TIMES,
+                                Version.CURRENT,
+                                Scenario.Flaw.NONE,
+                                0));
         cluster.trouble = 0;
         cluster.copies = 5;
         cluster.users.submitUntil(AT + 60_000_000);
@@ -90,7 +94,8 @@
                                                         Scenario.LONG_TIMES,
                                                         Scenario.LONG_TIMES,
                                                         Version.CURRENT,
-                                                        Scenario.Flaw.UNREACHED_AGENTS_REPORT_SENT_TOKENS,
+                                                        Scenario.Flaw
+                                                                .UNREACHED_AGENTS_REPORT_SENT_TOKENS,
                                                         0));
                                 cluster.users.submitUntil(QUIET, 4);
                                 for (long at = AT; at < QUIET; at += 20_000_000) {
--- a/src/test/java/org/woadloom/sim/WaitingJobs.java
+++ b/src/test/java/org/woadloom/sim/WaitingJobs.java
@@ -34,12 +34,17 @@
 
     private void check() {
         for (String jobId : cluster.observed.acceptedJobs()) {
-            if (cluster.observed.hasFinalStatus(jobId) || !isRunnable(cluster.observed.job(jobId))) {
+            if (cluster.observed.hasFinalStatus(jobId)
+                    || !isRunnable(cluster.observed.job(jobId))) {
                 waitingSinceMicros.remove(jobId);
                 continue;
             }
             long now = cluster.loop.now();
-            long waited = now - Math.max(faultFreeFromMicros, waitingSinceMicros.computeIfAbsent(jobId, key -> now));
+            long waited =
+                    now
+                            - Math.max(
+                                    faultFreeFromMicros,
+                                    waitingSinceMicros.computeIfAbsent(jobId, key -> now));
             waitsObserved++;
             longestWaitMicros = Math.max(longestWaitMicros, waited);
             if (waited > MAX_WAIT_MICROS) {
