--- a/src/test/java/org/woadloom/sim/BehaviourDigest.java
+++ b/src/test/java/org/woadloom/sim/BehaviourDigest.java
@@ -9,8 +9,9 @@
 import java.util.HexFormat;
 
 /**
- * A hash over the steps of a simulated day: that of each step goes over its text and the hash of
- * the step before. A mark of six bits for each step tells later where two days part.
+ * A chained hash over the steps of a simulation: each step is hashed together with the hash of the
+ * previous one. Six bits of each hash are kept as a mark, which locates the first step at which two
+ * simulations differ.
  */
 final class BehaviourDigest {
     private static final int HASH_HEX_DIGITS = 32;
@@ -27,8 +28,8 @@
     private String difference;
 
     /**
-     * @param expectedMarks the marks of the day that this one is compared with, or null for none
-     * @param dump gets the text of all steps; or null
+     * @param expectedMarks marks of the simulation to compare with, or null
+     * @param dump receives the text of all steps, or null
      */
     BehaviourDigest(String expectedMarks, Writer dump) {
         this.expectedMarks = expectedMarks;
@@ -43,7 +44,7 @@
         }
     }
 
-    /** Takes the text of the next step. */
+    /** Adds the text of the next step. */
     void add(String step) {
         sha.update(hash);
         hash = sha.digest(step.getBytes(StandardCharsets.UTF_8));
@@ -56,8 +57,8 @@
             difference =
                     "step "
                             + steps
-                            + " or, by one chance in 64, one shortly before it, is the first that"
-                            + " differs; it is now, with the one before:\n"
+                            + " is the first with an unexpected mark (with a probability of 1/64 an"
+                            + " earlier step already differed); previous and current step are:\n"
                             + lastStep
                             + step;
         }
@@ -79,17 +80,17 @@
     }
 
     /**
-     * The first step that differs from those expected, with its text; or what is known of where
-     * that is.
+     * Describes the first step that differs from the expected ones. If all marks are equal, only
+     * the numbers of steps and the last step are known.
      */
     String difference() {
         return difference != null
                 ? difference
-                : "there are "
-                        + steps
-                        + " steps, and "
+                : "expected "
                         + expectedMarks.length()
-                        + " were expected; the last is now:\n"
+                        + " steps, but there are "
+                        + steps
+                        + "; the last is:\n"
                         + lastStep;
     }
 
@@ -98,7 +99,7 @@
         return HexFormat.of().formatHex(hash).substring(0, HASH_HEX_DIGITS);
     }
 
-    /** One character for each step. */
+    /** The marks of all steps so far, one character each. */
     String marks() {
         return marks.toString();
     }
--- a/src/test/java/org/woadloom/sim/DelayedHeartbeats.java
+++ b/src/test/java/org/woadloom/sim/DelayedHeartbeats.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Random;
 
-/** Copies of reports that are kept until another leader has begun, and then come to every node. */
+/** Holds copies of heartbeats until the leader has changed, then delivers them to every node. */
 final class DelayedHeartbeats {
     private static final long CHECK_INTERVAL_MICROS = 50_000;
 
--- a/src/test/java/org/woadloom/sim/EarlierVersions.java
+++ b/src/test/java/org/woadloom/sim/EarlierVersions.java
@@ -5,9 +5,10 @@
 import java.util.Map;
 
 /**
- * Makes a node a stand-in for a version that knows of no rollout: what it writes and reads of one
- * is kept from the store, and for version 1 what it says and learns of versions as well. It may
- * lead without asking what is required.
+ * Makes a node behave like a version without rollouts: filters its requests to the store so that it
+ * neither reads nor writes rollout records, nor version records if it simulates version 1. The
+ * condition on the rollout state is removed too, so the node can become leader whatever version the
+ * rollout requires.
  */
 final class EarlierVersions {
     private static final String ROLLOUT_PREFIX = "rollout/";
--- a/src/test/java/org/woadloom/sim/LoopbackNode.java
+++ b/src/test/java/org/woadloom/sim/LoopbackNode.java
@@ -18,8 +18,8 @@
 import org.woadloom.settings.ServiceSettingsFile;
 
 /**
- * One node over real sockets on the loopback address, with the stand-in of the state service behind
- * HTTP.
+ * Runs one node over real sockets on the loopback address. One HTTP server simulates the store and
+ * the cloud.
  */
 final class LoopbackNode {
     final SimulatedStore store =
@@ -29,7 +29,7 @@
     private Undertow dependencies;
     String address;
 
-    /** Where the stand-in of the state service listens. */
+    /** Address of the HTTP server that simulates the store and the cloud. */
     String storeAddress;
 
     void stop() {
@@ -105,7 +105,7 @@
         exchange.getResponseSender().send(ByteBuffer.wrap(Cbor.encode(map)));
     }
 
-    /** A job of three small tasks that the node takes, with every field that has to be there. */
+    /** A valid job of three small tasks, with all required fields. */
     static Map<String, Object> job(String jobId, String team) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("uid", jobId);
--- a/src/test/java/org/woadloom/sim/NodeSettings.java
+++ b/src/test/java/org/woadloom/sim/NodeSettings.java
@@ -7,7 +7,7 @@
 import org.woadloom.settings.ServiceSettings;
 import org.woadloom.settings.Team;
 
-/** Settings of nodes of which tests use some parts only, so that most values do not matter. */
+/** Settings for tests that use only some of them; the others have arbitrary values. */
 final class NodeSettings {
     private NodeSettings() {}
 
@@ -34,7 +34,7 @@
                 new ServiceSettings.Resources(1, 1, 1));
     }
 
-    /** The other nodes of so many, named {@code node-0} and so on. */
+    /** The peers of a node in a cluster of {@code nodes} nodes named {@code node-0} and so on. */
     static List<Peer> peersOf(int index, int nodes, IntFunction<String> address) {
         List<Peer> peers = new ArrayList<>();
         for (int other = 0; other < nodes; other++) {
--- a/src/test/java/org/woadloom/sim/PrintReplayCommand.java
+++ b/src/test/java/org/woadloom/sim/PrintReplayCommand.java
@@ -6,14 +6,14 @@
 import org.junit.jupiter.api.extension.ExtensionContext;
 
 /**
- * Prints the command that replays a failed scenario test: with the seed of the last {@link
- * ClusterSimulation} that the test made, which is the one that failed.
+ * Prints the command that reproduces a failed scenario test. The seed is that of the last {@link
+ * ClusterSimulation} that the test created, which is the one that failed.
  */
 final class PrintReplayCommand implements BeforeTestExecutionCallback, AfterTestExecutionCallback {
     private static final ThreadLocal<OptionalLong> LAST_SEED =
             ThreadLocal.withInitial(OptionalLong::empty);
 
-    /** A simulation begins with this seed. */
+    /** Called when a simulation with this seed is created. */
     static void onSimulation(long seed) {
         LAST_SEED.set(OptionalLong.of(seed));
     }
--- a/src/test/java/org/woadloom/sim/ProductionFilter.java
+++ b/src/test/java/org/woadloom/sim/ProductionFilter.java
@@ -9,9 +9,9 @@
 import org.woadloom.store.Version1JobRecord;
 
 /**
- * Makes a node a stand-in for version 1: what it reads of jobs is what that version's reader leaves
- * of it, what it writes must be readable by it, and it neither says nor learns anything of
- * versions. That it never meets a record which it can't read is checked here.
+ * Makes a node behave like version 1: job records that it reads are reduced to the fields that
+ * version 1 parses, and job records that it writes must be readable by version 1. A record that
+ * version 1 can't parse is reported as {@link ProtocolRule#UNREADABLE}.
  */
 final class ProductionFilter {
     private static final String JOB_PREFIX = "job/";
@@ -42,11 +42,12 @@
             return Version1JobRecord.read((Map<String, Object>) value);
         } catch (MalformedMessageException e) {
             throw new InvariantViolation(
-                    ProtocolRule.UNREADABLE, "version 1 meets " + value + ": " + e.getMessage());
+                    ProtocolRule.UNREADABLE,
+                    "version 1 can't read job record " + value + ": " + e.getMessage());
         }
     }
 
-    /** An answer of the state service without what any job in it waits for. */
+    /** Returns the store's answer without the dependencies of the jobs in it. */
     static Map<String, Object> withoutDependencies(Map<String, Object> answer) {
         return mapJobRecords(
                 answer,
@@ -63,7 +64,7 @@
                 });
     }
 
-    /** An answer of the state service, as version 1 understands it. */
+    /** Returns the store's answer with only the fields of jobs that version 1 parses. */
     static Map<String, Object> readAnswer(Map<String, Object> answer) {
         return mapJobRecords(answer, ProductionFilter::readRecord);
     }
--- a/src/test/java/org/woadloom/sim/Scenario.java
+++ b/src/test/java/org/woadloom/sim/Scenario.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What kind of day is played.
+ * Configuration of a simulated cluster.
  *
- * @param configuredTimes what the nodes are told of the real times; a shorter lease, or more time
- *     for cancelled tasks, breaks the service on purpose
- * @param initialVersion what the nodes run at first; where it is an earlier version they are
- *     replaced one by one, after that the state service's limits fall and users submit pipelines
- * @param extraTeams how many more teams there are, of which the first floods the service
- * @param zoneCount two, of which one has two nodes, or three with a node in each
- * @param teamsAtQuota whether the teams' limits are so low that all teams are at them throughout
+ * @param configuredTimes the times in the settings of the nodes; a lease shorter than the actual
+ *     one or more time for cancelled tasks breaks the service on purpose
+ * @param initialVersion the version that the nodes run at first; if it is an earlier one, the nodes
+ *     are upgraded one by one, then the store lowers its limits and users submit pipelines
+ * @param extraTeams number of additional teams; the first of them submits about half of all jobs
+ * @param zoneCount 2 (one zone has two nodes) or 3 (one node in each)
+ * @param teamsAtQuota whether quotas are so low that all teams use them up throughout the run
  */
 record Scenario(
         Times actualTimes,
@@ -23,7 +23,7 @@
         boolean teamsAtQuota) {
     static final Times SHORT_TIMES = new Times(10_000_000, 30_000_000);
 
-    /** A worker that finds two nodes out of reach has some of its lease left. */
+    /** Long enough that an agent that fails to reach two nodes still has time left on its lease. */
     static final Times LONG_TIMES = new Times(20_000_000, 50_000_000);
 
     static final Scenario DEFAULT =
@@ -39,38 +39,35 @@
         this(real, told, from, flaw, crowd, 2, false);
     }
 
-    /** A worker's lease, and how long a cancelled task may stay. */
+    /** The lease of an agent, and the time within which a cancelled task must stop. */
     record Times(long leaseMicros, long cancelMicros) {}
 
-    /** How the service is broken on purpose. */
+    /** A deliberate fault of the service, used to prove that the invariants detect it. */
     enum Flaw {
         NONE,
-        /** The new version believes that every node runs it. */
+        /** The new version assumes from the start that every node runs it. */
         ASSUMES_UPGRADE_COMPLETE,
-        /** Nodes read no job's {@code awaits}. */
+        /** Nodes ignore the {@code awaits} field of jobs. */
         IGNORES_DEPENDENCIES,
-        /** Nodes promise not to take care of workers, and do. */
+        /** Nodes promise not to renew the leases of agents, but renew them. */
         BREAKS_NO_RENEWAL_PROMISE,
-        /** Copies of reports look newer than what was heard since. */
+        /** Duplicated heartbeats have a higher sequence number than later originals. */
         DELAYED_HEARTBEATS_LOOK_NEW,
-        /** Reports of workers that hear nothing say that they have heard. */
+        /** Agents that receive no answers report the fencing token that was sent to them. */
         UNREACHED_AGENTS_REPORT_SENT_TOKENS,
-        /** Nodes vouch for cancellations without naming any. */
+        /** Nodes confirm that they reported all cancellations, but leave out the job IDs. */
         CONFIRMS_UNNAMED_CANCELLATIONS,
-        /** No node ever gets an answer for one job. */
+        /** Nodes never receive the record of jobs whose ID ends with 7. */
         ONE_JOB_NEVER_READ,
-        /** Nodes give a submission's missing fields the usual values. */
+        /** Nodes set missing fields of a submitted job to defaults. */
         DEFAULTS_MISSING_FIELDS,
-        /** Nodes find no record of a job now and then, as if it had not been accepted yet. */
+        /** Reads of a job record sometimes return 404, as if the job had not been accepted. */
         MISSES_JOB_RECORDS,
-        /**
-         * Nodes that read what has changed are told now and then what was so when they read it
-         * last.
-         */
+        /** Non-blocking reads of the change feed sometimes return no events. */
         STALE_WATCH_EVENTS,
-        /** No machine ever takes a task of one job. */
+        /** Agents never start tasks of jobs whose ID ends with 7. */
         ONE_JOB_NEVER_STARTED,
-        /** Nodes change what is stored whatever is there. */
+        /** Nodes write to the store without conditions on revisions. */
         UNCONDITIONAL_WRITES
     }
 
@@ -86,7 +83,7 @@
         return initialVersion != Version.CURRENT;
     }
 
-    /** The same with nodes that begin as another version. */
+    /** A copy in which the nodes start with another version. */
     Scenario from(Version version) {
         return new Scenario(
                 actualTimes, configuredTimes, version, flaw, extraTeams, zoneCount, teamsAtQuota);
--- a/src/test/java/org/woadloom/sim/Seeds.java
+++ b/src/test/java/org/woadloom/sim/Seeds.java
@@ -4,30 +4,30 @@
 import org.woadloom.knownred.KnownRedSeeds;
 
 /**
- * Which seeds a scenario test plays. {@code -Dseed=N} plays one seed alone, and {@code -Dseeds=N}
- * plays the seeds 1 to N where a test allows more than its usual ones.
+ * Seeds that a scenario test runs with. {@code -Dseed=N} runs only seed N. {@code -Dseeds=N} runs
+ * the seeds 1 to N in tests whose number of seeds is configurable.
  */
 final class Seeds {
-    /** The system property that names the only seed to play. */
+    /** System property with the only seed to run. */
     static final String SEED_PROPERTY = "seed";
 
     private static final String COUNT_PROPERTY = "seeds";
 
     private Seeds() {}
 
-    /** The seeds 1 to so many. */
+    /** Seeds from 1 to {@code count}. */
     static long[] first(long count) {
         Long only = Long.getLong(SEED_PROPERTY);
         return KnownRedSeeds.select(
                 only != null ? new long[] {only} : LongStream.rangeClosed(1, count).toArray());
     }
 
-    /** The seeds 1 to so many, or as many as {@code -Dseeds} asks for. */
+    /** Seeds from 1 to {@code count}, or to the number set by {@code -Dseeds}. */
     static long[] firstOrConfigured(long count) {
         return first(countOrConfigured(count));
     }
 
-    /** This number, or the one that {@code -Dseeds} asks for. */
+    /** The number set by {@code -Dseeds}, or else {@code count}. */
     static long countOrConfigured(long count) {
         return Long.getLong(COUNT_PROPERTY, count);
     }
--- a/src/test/java/org/woadloom/sim/SingleAnswer.java
+++ b/src/test/java/org/woadloom/sim/SingleAnswer.java
@@ -4,7 +4,7 @@
 import org.woadloom.net.HttpTransport;
 import org.woadloom.protocol.Cbor;
 
-/** The answer to one request: whatever comes after the first, such as a time-out, is dropped. */
+/** Passes on the first answer to a request and drops later ones, such as a timeout. */
 final class SingleAnswer {
     private final HttpTransport.Callback callback;
     private boolean isAnswered;
@@ -13,7 +13,7 @@
         this.callback = callback;
     }
 
-    /** Answers, unless that has been done; a status without a response has no body. */
+    /** Passes on the answer if it is the first; a status of 0 or less has no body. */
     void answer(int status, Map<String, Object> body) {
         if (!isAnswered) {
             isAnswered = true;
--- a/src/test/java/org/woadloom/sim/StepRenderer.java
+++ b/src/test/java/org/woadloom/sim/StepRenderer.java
@@ -26,16 +26,16 @@
 import org.woadloom.store.RecordFormat;
 
 /**
- * The commands and effects of a step as text, by what they mean: each has a literal tag and its
- * values in a fixed order, records have the form in which they are stored. No name of a class,
- * method, field or constant gets into the text, so renaming changes nothing of it. A kind that is
- * unknown here is an error.
+ * Renders the events and actions of a scheduler step as text for {@link BehaviourDigest}. Each has
+ * a literal tag followed by its values in a fixed order; records have their stored form. The text
+ * contains no names of classes, methods, fields or constants, so that renaming them does not change
+ * it. An unknown event or action is an error.
  */
 final class StepRenderer {
     private StepRenderer() {}
 
     /**
-     * One line for the step, one for each command and one for each effect but notes for the log.
+     * Returns one line for the step, one for each event and one for each action except log entries.
      */
     static String render(
             int node, long nowMicros, List<SchedulerEvent> events, List<SchedulerAction> actions) {
@@ -154,7 +154,7 @@
         } else if (event instanceof SchedulerEvent.Tick) {
             return list("time");
         }
-        throw new IllegalArgumentException("a command that has no text yet: " + event);
+        throw new IllegalArgumentException("no text defined for event: " + event);
     }
 
     private static List<Object> action(SchedulerAction action) {
@@ -196,7 +196,7 @@
         } else if (action instanceof SchedulerAction.DelegateLeases e) {
             return list("give-warrant", e.node(), leaseDelegation(e.delegation()));
         } else if (action instanceof SchedulerAction.StepDown) {
-            // Its reason is for the log.
+            // The reason is omitted because it is only logged.
             return list("abdicate");
         } else if (action instanceof SchedulerAction.WriteRollout e) {
             return list(
@@ -221,10 +221,10 @@
                                             r.cancelled(),
                                             r.longestWaitMicros())));
         }
-        throw new IllegalArgumentException("an effect that has no text yet: " + action);
+        throw new IllegalArgumentException("no text defined for action: " + action);
     }
 
-    /** The values of a command, an effect or a part of one; null is allowed. */
+    /** Like {@link List#of} but allows null. */
     private static List<Object> list(Object... values) {
         return Arrays.asList(values);
     }
@@ -250,7 +250,7 @@
         return list(machine(stored.record()), stored.revision());
     }
 
-    /** The compact form holds all records, also those of jobs that wait. */
+    /** Uses the compact format because it can represent every record, also of waiting jobs. */
     private static Map<String, Object> job(JobRecord record) {
         return record.toMap(RecordFormat.COMPACT);
     }
@@ -299,7 +299,7 @@
                 machine.rentedForMicros());
     }
 
-    /** As on the wire, but for the span in the warning. */
+    /** As on the wire, except that the spot notice is in microseconds. */
     private static Map<String, Object> heartbeat(Heartbeat heartbeat) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("host", heartbeat.host());
--- a/src/test/java/org/woadloom/sim/UserRequest.java
+++ b/src/test/java/org/woadloom/sim/UserRequest.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** What a user asked of a node. */
+/** Kind of a user's request to a node. */
 enum UserRequest {
     SUBMIT,
     POLL,
--- a/src/test/java/org/woadloom/sim/Version.java
+++ b/src/test/java/org/woadloom/sim/Version.java
@@ -1,10 +1,10 @@
 package org.woadloom.sim;
 
-/** What a simulated node runs. */
+/** Software version of a simulated node. */
 enum Version {
-    /** Version 1, which says nothing of itself. */
+    /** Does not announce its version. */
     VERSION_1,
-    /** Version 3, which agrees by one number and knows of no rollout. */
+    /** Agrees on a single version number with the other nodes and does not support rollouts. */
     VERSION_3,
     CURRENT
 }
--- a/src/test/java/org/woadloom/sim/WaitingJobs.java
+++ b/src/test/java/org/woadloom/sim/WaitingJobs.java
@@ -6,8 +6,8 @@
 import org.woadloom.protocol.TaskId;
 
 /**
- * No job is left waiting while a machine that fits has room for a task of it and its team is below
- * its limit.
+ * Checks every second that no job waits for too long while suitable machines have capacity for it
+ * and its team is below its quota.
  */
 final class WaitingJobs {
     private static final long CHECK_INTERVAL_MICROS = 1_000_000;
@@ -17,14 +17,14 @@
     private final long faultFreeFromMicros;
     private final Map<String, Long> waitingSinceMicros = new HashMap<>();
 
-    /** How often a job was found waiting so. */
+    /** Number of checks, summed over jobs, that found a job waiting although it could run. */
     int waitsObserved;
 
-    /** The longest that any has waited so, without a break. */
+    /** The longest uninterrupted time that a job waited although it could run. */
     long longestWaitMicros;
 
     /**
-     * @param faultFreeFromMicros when the last trouble is over
+     * @param faultFreeFromMicros time from which no fault is active; earlier waits do not count
      */
     WaitingJobs(ClusterSimulation cluster, long faultFreeFromMicros) {
         this.cluster = cluster;
@@ -55,7 +55,9 @@
                                 + cluster.observed.job(jobId).team()
                                 + " has waited for "
                                 + waited / 1_000_000
-                                + " s while a machine has room");
+                                + " s while machines have capacity, allowed are "
+                                + MAX_WAIT_MICROS / 1_000_000
+                                + " s");
             }
         }
         cluster.loop.after(CHECK_INTERVAL_MICROS, this::check);
