--- a/src/test/java/org/woadloom/sim/BadInputTest.java
+++ b/src/test/java/org/woadloom/sim/BadInputTest.java
@@ -388,8 +388,8 @@
         assertEquals(404, connection.ask("GET", "/v1/jobs/j-000412", new byte[0]));
         assertTrue(cases.size() > 250, cases.size() + " cases");
         assertTrue(pressed.get() > 0, "no report pressed");
-        assertFalse(node.store.holdsAny("job/"), "a job was stored");
-        assertFalse(node.store.holdsAny("machine/host-"), "a machine was stored");
+        assertFalse(node.store.hasKeyWithPrefix("job/"), "a job was stored");
+        assertFalse(node.store.hasKeyWithPrefix("machine/host-"), "a machine was stored");
     }
 
     /**
--- a/src/test/java/org/woadloom/sim/ClusterSimulation.java
+++ b/src/test/java/org/woadloom/sim/ClusterSimulation.java
@@ -414,7 +414,7 @@
         userTroubles = new UserFaults(this, more);
         users = new SimulatedUsers(this, random, userTroubles);
         randomFaults = new RandomFaults(this, random);
-        invariants = new InvariantChecker(loop, settings, observed, userTroubles::lastTaskEnded);
+        invariants = new InvariantChecker(loop, settings, observed, userTroubles::onLastTaskDone);
         stateTroubles = new StoreFaults(this, more);
         keptReports = new DelayedHeartbeats(this, more);
         state = new SimulatedStore(loop, settings.store());
@@ -569,7 +569,7 @@
                 reply -> {
                     Map<String, Object> map = decode(body);
                     if (address.equals("state")) {
-                        stateTroubles.meet(
+                        stateTroubles.forward(
                                 member.index,
                                 path,
                                 reply,
@@ -816,26 +816,28 @@
             return;
         }
         for (SimulatedAgent agent : cloud.machines.values()) {
-            if (agent.addr.equals(address) && !agent.dead) {
+            if (agent.address.equals(address) && !agent.failed) {
                 if (apart(agent.zone, zoneOf(member.index)) || member.index == cutFromWorkers) {
                     // Held back, and executed when the zones can reach each other again.
                     loop.after(1_000_000, () -> toWorker(member, address, body, respond, true));
                     return;
                 }
-                if (agent.deaf()) {
+                if (agent.isInboundBlocked()) {
                     loop.after(500_000, () -> toWorker(member, address, body, respond, true));
                     return;
                 }
-                if (agent.hung()) {
+                if (agent.isHung()) {
                     // The command is executed when the machine goes on.
-                    loop.at(agent.hungUntil, () -> toWorker(member, address, body, respond, true));
+                    loop.at(
+                            agent.hungUntilMicros,
+                            () -> toWorker(member, address, body, respond, true));
                     return;
                 }
                 heldCommands += held ? 1 : 0;
-                Object[] answer = agent.direct(body);
+                Object[] answer = agent.handleDirectCommand(body);
                 @SuppressWarnings("unchecked")
                 Map<String, Object> report = (Map<String, Object>) answer[1];
-                if (!agent.mute()) {
+                if (!agent.isOutboundBlocked()) {
                     respond.answer((Integer) answer[0], report);
                 }
                 return;
@@ -874,15 +876,15 @@
             loop.after(timeout, () -> callback.answer(HttpTransport.NO_RESPONSE, Map.of()));
             return;
         }
-        if (agent != null && (agent.mute() || agent.closedIn())) {
+        if (agent != null && (agent.isOutboundBlocked() || agent.areConnectsBlocked())) {
             loop.after(timeout, () -> callback.answer(HttpTransport.NO_RESPONSE, Map.of()));
             return;
         }
         int life = member.life;
         if (agent != null
-                && agent.deaf()
+                && agent.isInboundBlocked()
                 && scenario.flaw() == Scenario.Flaw.UNREACHED_AGENTS_REPORT_SENT_TOKENS) {
-            body.put("epoch", Math.max((Long) body.get("epoch"), agent.tokenSent));
+            body.put("epoch", Math.max((Long) body.get("epoch"), agent.highestTokenSent));
         }
         boolean fillsIn =
                 scenario.flaw() == Scenario.Flaw.DEFAULTS_MISSING_FIELDS && path.equals("/v1/jobs");
@@ -912,11 +914,13 @@
                                                         if (agent != null
                                                                 && answer.get("epoch")
                                                                         instanceof Long token) {
-                                                            agent.tokenSent =
+                                                            agent.highestTokenSent =
                                                                     Math.max(
-                                                                            agent.tokenSent, token);
+                                                                            agent.highestTokenSent,
+                                                                            token);
                                                         }
-                                                        if (agent == null || !agent.deaf()) {
+                                                        if (agent == null
+                                                                || !agent.isInboundBlocked()) {
                                                             respond.answer(
                                                                     response.status(), answer);
                                                         }
@@ -1017,7 +1021,7 @@
             at += 1_000_000 + random.nextInt(random.nextInt(4) == 0 ? 40_000_000 : 10_000_000);
         }
         loop.after(at + 5_000_000, () -> users.submitPipelinesUntil(until));
-        loop.after(at + random.nextInt(40_000_000), state::nextLimits);
+        loop.after(at + random.nextInt(40_000_000), state::applyNextLimits);
     }
 
     // Faults.
@@ -1091,12 +1095,12 @@
      * about it several times.
      */
     void lookClosely(long forMicros) {
-        userTroubles.lookClosely(loop.now() + forMicros);
+        userTroubles.pollChangesUntil(loop.now() + forMicros);
     }
 
     /** Users repeat what is known, and ask for what can't be. */
     void oddRequests(long forMicros) {
-        userTroubles.oddRequests(loop.now() + forMicros);
+        userTroubles.sendUnusualRequestsUntil(loop.now() + forMicros);
     }
 
     /**
@@ -1104,16 +1108,16 @@
      * returns how many.
      */
     int cancelNow(int count, long hangMicros) {
-        return userTroubles.cancelNow(count, hangMicros);
+        return userTroubles.cancelRunningJobs(count, hangMicros);
     }
 
     /** So many of a hundred jobs are called off as their last task ends. */
     void cancelAtEnd(int ofHundred, long forMicros) {
-        userTroubles.cancelAtEnd(ofHundred, loop.now() + forMicros);
+        userTroubles.cancelAtEndUntil(ofHundred, loop.now() + forMicros);
     }
 
     void oneTaskJobs(int perSecond, long forMicros, int ofHundredCancelled) {
-        userTroubles.oneTaskJobs(perSecond, loop.now() + forMicros, ofHundredCancelled);
+        userTroubles.submitOneTaskJobsUntil(perSecond, loop.now() + forMicros, ofHundredCancelled);
     }
 
     /** So many of a hundred transactions are carried out at once and get no answer. */
@@ -1123,7 +1127,7 @@
 
     /** Every request to the state service takes up to so much longer. */
     void slowState(long extraMicros, long forMicros) {
-        stateTroubles.slow(extraMicros, loop.now() + forMicros);
+        stateTroubles.addDelay(extraMicros, loop.now() + forMicros);
     }
 
     /** Of so many of a hundred reports a copy comes to every node once the term has changed. */
@@ -1139,14 +1143,14 @@
         int count = 0;
         for (SimulatedAgent agent : cloud.machines.values()) {
             if (agent.zone.equals(zone) && count++ % oneIn == 0) {
-                agent.muteUntil = loop.now() + forMicros;
+                agent.outboundBlockedUntilMicros = loop.now() + forMicros;
             }
         }
     }
 
     /** Machines are up 0.3 to 2 s after they were asked for, also before that is answered. */
     void quickMachines(long forMicros) {
-        cloud.quickUntil = loop.now() + forMicros;
+        cloud.fastBootUntilMicros = loop.now() + forMicros;
     }
 
     /** Whatever is sent takes up to so much longer. */
@@ -1157,7 +1161,7 @@
 
     /** All machines but so many die, and the cloud has no more. */
     void littleRoom(int machines, long forMicros) {
-        cloud.machines.values().stream().skip(machines).forEach(SimulatedAgent::die);
+        cloud.machines.values().stream().skip(machines).forEach(SimulatedAgent::fail);
         cloud.capacity = machines;
         loop.after(forMicros, () -> cloud.capacity = SimulatedCloud.CAPACITY);
     }
@@ -1207,8 +1211,8 @@
 
     void stateOutage(long forMicros) {
         if (!state.down) {
-            state.outage(true);
-            loop.after(forMicros, () -> state.outage(false));
+            state.setOutage(true);
+            loop.after(forMicros, () -> state.setOutage(false));
         }
     }
 
@@ -1306,7 +1310,7 @@
         int count = 0;
         for (SimulatedAgent agent : cloud.machines.values()) {
             if (agent.zone.equals(zone) && count++ % oneIn == 0) {
-                agent.deafUntil = loop.now() + forMicros;
+                agent.inboundBlockedUntilMicros = loop.now() + forMicros;
             }
         }
     }
@@ -1314,7 +1318,7 @@
     void hangAll(String zone, long forMicros) {
         for (SimulatedAgent agent : cloud.machines.values()) {
             if (agent.zone.equals(zone)) {
-                agent.hungUntil = loop.now() + forMicros;
+                agent.hungUntilMicros = loop.now() + forMicros;
             }
         }
     }
@@ -1439,18 +1443,18 @@
      * perhaps after their leader.
      */
     void cloudLate(int ofHundred, long forMicros) {
-        cloud.lateOfHundred = ofHundred;
-        loop.after(forMicros, () -> cloud.lateOfHundred = 0);
+        cloud.latePercent = ofHundred;
+        loop.after(forMicros, () -> cloud.latePercent = 0);
     }
 
     /** Machines that were rented when the leader that had asked for them led no more. */
     List<String> unexpectedMachines() {
-        return cloud.unexpected;
+        return cloud.rentedForFormerLeaders;
     }
 
     /** Machines that were deleted when the leader that had asked for it led no more. */
     int deletedForOthers() {
-        return cloud.deletedForOthers;
+        return cloud.deletedForFormerLeaders;
     }
 
     /** Does this to a machine that is drawn at random, if there is any. */
--- a/src/test/java/org/woadloom/sim/CoalescingJobReaderTest.java
+++ b/src/test/java/org/woadloom/sim/CoalescingJobReaderTest.java
@@ -305,8 +305,8 @@
                         }
                     });
         }
-        sim.after(60_000_000, () -> store.outage(true));
-        sim.after(66_000_000, () -> store.outage(false));
+        sim.after(60_000_000, () -> store.setOutage(true));
+        sim.after(66_000_000, () -> store.setOutage(false));
         run(125_000_000);
         boolean hasMissedChanges = compactedPercent > 0;
         slowOrLostPercent = 0;
@@ -364,7 +364,7 @@
     void queriesDuringAnOutageGetNoStaleAnswer() {
         put(jobId(1), false);
         assertEquals("queued", query(0, jobId(1)).status());
-        store.outage(true);
+        store.setOutage(true);
         assertNull(query(0, jobId(1)));
         int[] refusedCount = {0};
         for (int i = 0; i < 20; i++) {
@@ -372,7 +372,7 @@
             run(500_000);
         }
         assertEquals(20, refusedCount[0], "queries refused within 500 ms during the outage");
-        store.outage(false);
+        store.setOutage(false);
         put(jobId(1), true);
         assertEquals("cancelled", query(0, jobId(1)).status());
         assertNull(query(1, jobId(2)), "a job that was never accepted has no status");
--- a/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
@@ -31,11 +31,11 @@
 
     enum OutOfTouch {
         /** It opens no connection; commands reach it and their answers arrive. */
-        CLOSED_IN((agent, until) -> agent.closedInUntil = until),
+        CLOSED_IN((agent, until) -> agent.connectsBlockedUntilMicros = until),
         /** Commands reach it, and nothing that it says arrives. */
-        MUTE((agent, until) -> agent.muteUntil = until),
-        DEAF((agent, until) -> agent.deafUntil = until),
-        HANGS((agent, until) -> agent.hungUntil = until);
+        MUTE((agent, until) -> agent.outboundBlockedUntilMicros = until),
+        DEAF((agent, until) -> agent.inboundBlockedUntilMicros = until),
+        HANGS((agent, until) -> agent.hungUntilMicros = until);
 
         private final BiConsumer<SimulatedAgent, Long> how;
 
@@ -70,7 +70,7 @@
             ClusterSimulation cluster, List<OutOfTouch> kinds, int oneIn, long forMicros) {
         List<SimulatedAgent> troubled = new ArrayList<>();
         List<SimulatedAgent> busy =
-                cluster.agents().stream().filter(agent -> !agent.running().isEmpty()).toList();
+                cluster.agents().stream().filter(agent -> !agent.runningTasks().isEmpty()).toList();
         for (int i = 0; i < busy.size(); i += oneIn) {
             kinds.get(troubled.size() % kinds.size())
                     .befall(busy.get(i), cluster.loop.now() + forMicros);
@@ -81,7 +81,7 @@
 
     private static Set<TaskId> tasksOn(List<SimulatedAgent> agents) {
         Set<TaskId> tasks = new LinkedHashSet<>();
-        agents.forEach(agent -> tasks.addAll(agent.running()));
+        agents.forEach(agent -> tasks.addAll(agent.runningTasks()));
         return tasks;
     }
 
@@ -140,7 +140,7 @@
             assertEquals(leaderEnds == 1, cluster.term() > term);
             assertEquals(
                     0,
-                    others.stream().mapToInt(agent -> agent.killedByLease).sum(),
+                    others.stream().mapToInt(agent -> agent.tasksKilledByLease).sum(),
                     "killed on machines without trouble, seed " + seed);
             assertEquals(
                     List.of(),
@@ -188,7 +188,7 @@
             assertEquals(killed, cluster.observed.killedByLease);
             assertEquals(
                     0,
-                    troubled.stream().filter(agent -> agent.dead).count(),
+                    troubled.stream().filter(agent -> agent.failed).count(),
                     "given up, seed " + seed);
         }
     }
@@ -266,11 +266,11 @@
                         at - 12_000_000,
                         () ->
                                 cluster.agents().stream()
-                                        .filter(agent -> !agent.running().isEmpty())
+                                        .filter(agent -> !agent.runningTasks().isEmpty())
                                         .limit(2)
                                         .forEach(
                                                 agent ->
-                                                        agent.hungUntil =
+                                                        agent.hungUntilMicros =
                                                                 cluster.loop.now() + 25_000_000));
                 cluster.loop.after(at, () -> cluster.endLeader(500_000));
             }
@@ -278,7 +278,7 @@
             assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
             Set<String> left = new HashSet<>();
             cluster.agents().stream()
-                    .filter(agent -> !agent.dead && agent.started == 0)
+                    .filter(agent -> !agent.failed && agent.tasksStarted == 0)
                     .forEach(agent -> left.add(agent.host));
             left.retainAll(cluster.unexpectedMachines());
             assertEquals(Set.of(), left, "neither used nor returned, seed " + seed);
@@ -313,7 +313,10 @@
                         at,
                         () ->
                                 cluster.agents().stream()
-                                        .filter(agent -> !met.contains(agent) && agent.started > 0)
+                                        .filter(
+                                                agent ->
+                                                        !met.contains(agent)
+                                                                && agent.tasksStarted > 0)
                                         .forEach(
                                                 agent -> {
                                                     // The first that is seen at work ends its
@@ -325,7 +328,7 @@
                                                     }
                                                     if (young[0] % 2 == 0) {
                                                         young[1]++;
-                                                        agent.die();
+                                                        agent.fail();
                                                     }
                                                 }));
             }
--- a/src/test/java/org/woadloom/sim/ProgressInvariant.java
+++ b/src/test/java/org/woadloom/sim/ProgressInvariant.java
@@ -85,14 +85,14 @@
     private boolean hasCapacity(JobDescription job, Collection<SimulatedAgent> agents) {
         double limit = settings.team(job.team()).cpusMax();
         return cpusHeldOrRecentlyReleased(job.team(), agents) + job.cpus() <= limit
-                && agents.stream().anyMatch(agent -> agent.takes(job));
+                && agents.stream().anyMatch(agent -> agent.canStartTask(job));
     }
 
     private double cpusHeldOrRecentlyReleased(String team, Collection<SimulatedAgent> agents) {
         recentlyReleased.removeIf(end -> loop.now() - end.micros > MAX_RELEASE_DELAY_MICROS);
         double cpus = 0;
         for (SimulatedAgent agent : agents) {
-            cpus += agent.held(team);
+            cpus += agent.cpusHeldBy(team);
         }
         for (ReleasedCpus end : recentlyReleased) {
             cpus += end.team.equals(team) ? end.cpus : 0;
--- a/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
@@ -51,7 +51,7 @@
                             outOfReach[0] +=
                                     cancelWhere(cluster, 2, machine -> machine.zone.equals("b"));
                             cluster.cancelNow(3, 9_000_000);
-                            outOfReach[0] += cancelWhere(cluster, 3, SimulatedAgent::hung);
+                            outOfReach[0] += cancelWhere(cluster, 3, SimulatedAgent::isHung);
                         });
                 cluster.loop.after(
                         1_500_000 + cluster.random.nextInt(2_000_000),
@@ -82,7 +82,9 @@
                                         cancelWhere(
                                                 cluster,
                                                 3,
-                                                machine -> machine.hung() || machine.deaf());
+                                                machine ->
+                                                        machine.isHung()
+                                                                || machine.isInboundBlocked());
                             }
                         });
                 return () -> cancelled[0];
@@ -157,7 +159,7 @@
                             lost[0] += tasksBound(cluster);
                             cluster.agents().stream()
                                     .filter(machine -> machine.zone.equals("b"))
-                                    .forEach(SimulatedAgent::die);
+                                    .forEach(SimulatedAgent::fail);
                             cluster.loop.after(
                                     cluster.random.nextInt(2_000_000),
                                     () -> cluster.endLeader(500_000));
@@ -175,7 +177,8 @@
     private static Map<String, Object> reportOf(SimulatedAgent machine) {
         @SuppressWarnings("unchecked")
         Map<String, Object> report =
-                (Map<String, Object>) machine.direct(Map.of("epoch", -1L, "tenure", 0L))[1];
+                (Map<String, Object>)
+                        machine.handleDirectCommand(Map.of("epoch", -1L, "tenure", 0L))[1];
         return report;
     }
 
--- a/src/test/java/org/woadloom/sim/RandomFaults.java
+++ b/src/test/java/org/woadloom/sim/RandomFaults.java
@@ -24,13 +24,13 @@
                 2_000_000 + random.nextInt(9_000_000),
                 () -> {
                     if (cluster.loop.now() < until) {
-                        fault();
+                        injectFault();
                         startUntil(until);
                     }
                 });
     }
 
-    private void fault() {
+    private void injectFault() {
         switch (random.nextInt(36)) {
             case 25 -> cluster.lookClosely(5_000_000 + random.nextInt(25_000_000));
             case 26 -> cluster.oddRequests(5_000_000 + random.nextInt(25_000_000));
@@ -69,7 +69,7 @@
             case 16, 17 ->
                     cluster.anyWorker(
                             agent ->
-                                    agent.deafUntil =
+                                    agent.inboundBlockedUntilMicros =
                                             cluster.loop.now() + random.nextInt(40_000_000));
             case 18 ->
                     cluster.deafen(
@@ -79,7 +79,7 @@
             case 19 ->
                     cluster.anyWorker(
                             agent ->
-                                    agent.muteUntil =
+                                    agent.outboundBlockedUntilMicros =
                                             cluster.loop.now() + random.nextInt(40_000_000));
             case 20 ->
                     cluster.isolate(
@@ -104,9 +104,9 @@
             case 5, 6 ->
                     cluster.anyWorker(
                             agent ->
-                                    agent.hungUntil =
+                                    agent.hungUntilMicros =
                                             cluster.loop.now() + random.nextInt(25_000_000));
-            case 7 -> cluster.anyWorker(SimulatedAgent::die);
+            case 7 -> cluster.anyWorker(SimulatedAgent::fail);
             case 9 -> {
                 cluster.refusePeers(5_000_000 + random.nextInt(20_000_000));
             }
@@ -151,11 +151,11 @@
                     if (cluster.loop.now() < until) {
                         switch (random.nextInt(6)) {
                             case 0 -> cluster.restart(random.nextInt(ClusterSimulation.NODES));
-                            case 1, 2 -> cluster.anyWorker(SimulatedAgent::die);
+                            case 1, 2 -> cluster.anyWorker(SimulatedAgent::fail);
                             default ->
                                     cluster.anyWorker(
                                             agent ->
-                                                    agent.hungUntil =
+                                                    agent.hungUntilMicros =
                                                             cluster.loop.now()
                                                                     + random.nextInt(25_000_000));
                         }
--- a/src/test/java/org/woadloom/sim/RandomScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/RandomScenariosTest.java
@@ -61,7 +61,7 @@
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
     void rulesHoldWhileVersion3IsReplaced(long seed) {
         ClusterSimulation cluster =
-                new ClusterSimulation(seed, Scenario.DEFAULT.from(Version.VERSION_3));
+                new ClusterSimulation(seed, Scenario.DEFAULT.startingWith(Version.VERSION_3));
         cluster.users.submitUntil(TROUBLED);
         cluster.randomFaults.startUntil(TROUBLED);
         cluster.upgradeNodes(TROUBLED);
--- a/src/test/java/org/woadloom/sim/RolloutTest.java
+++ b/src/test/java/org/woadloom/sim/RolloutTest.java
@@ -31,7 +31,8 @@
     private static final long BUSY = 240 * SECOND;
 
     private static ClusterSimulation busy(long seed, Version from) {
-        ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.DEFAULT.from(from));
+        ClusterSimulation cluster =
+                new ClusterSimulation(seed, Scenario.DEFAULT.startingWith(from));
         cluster.users.submitUntil(BUSY);
         return cluster;
     }
--- a/src/test/java/org/woadloom/sim/Scenario.java
+++ b/src/test/java/org/woadloom/sim/Scenario.java
@@ -84,7 +84,7 @@
     }
 
     /** A copy in which the nodes start with another version. */
-    Scenario from(Version version) {
+    Scenario startingWith(Version version) {
         return new Scenario(
                 actualTimes, configuredTimes, version, flaw, extraTeams, zoneCount, teamsAtQuota);
     }
--- a/src/test/java/org/woadloom/sim/SimulatedAgent.java
+++ b/src/test/java/org/woadloom/sim/SimulatedAgent.java
@@ -12,7 +12,7 @@
 
 /** A worker, written from the protocol: leases, tokens, reports and commands. */
 final class SimulatedAgent {
-    private static final long FETCH_MICROS = 800_000;
+    private static final long IMAGE_FETCH_MICROS = 800_000;
 
     private static final class Task {
         final TaskId id;
@@ -27,7 +27,7 @@
     }
 
     final String host;
-    final String addr;
+    final String address;
     final String machineType;
     final String zone;
     final boolean spot;
@@ -37,34 +37,34 @@
     private long incarnation = 1;
     private long sequence;
     private long fencingToken;
-    private long leaseFrom;
+    private long leaseStart;
     private int node;
-    private long reportSent = -1;
+    private long reportSentMicros = -1;
     private long reportId;
-    private boolean changed;
-    boolean dead;
-    long hungUntil;
+    private boolean hasChanges;
+    boolean failed;
+    long hungUntilMicros;
 
     /** Its reports arrive until then, and neither answers nor commands reach it. */
-    long deafUntil;
+    long inboundBlockedUntilMicros;
 
     /** Commands reach it until then, and nothing that it says arrives. */
-    long muteUntil;
+    long outboundBlockedUntilMicros;
 
     /**
      * It can't open connections to any node until then; commands reach it, and their answers
      * arrive.
      */
-    long closedInUntil;
+    long connectsBlockedUntilMicros;
 
     /** Its running tasks that were killed because its lease ended. */
-    int killedByLease;
+    int tasksKilledByLease;
 
     /** Tasks that began here. */
-    int started;
+    int tasksStarted;
 
     /** The highest token that it was sent, whether it arrived or not. */
-    long tokenSent;
+    long highestTokenSent;
 
     SimulatedAgent(
             ClusterSimulation cluster,
@@ -75,71 +75,71 @@
             double cpus) {
         this.cluster = cluster;
         this.host = host;
-        this.addr = host + ":9000";
+        this.address = host + ":9000";
         this.machineType = machineType;
         this.zone = zone;
         this.spot = spot;
         this.cpus = cpus;
-        this.leaseFrom = cluster.loop.now();
+        this.leaseStart = cluster.loop.now();
         this.node = cluster.random.nextInt(ClusterSimulation.NODES);
-        beat();
-        watchLease();
+        scheduleHeartbeats();
+        scheduleLeaseChecks();
     }
 
     /**
      * The lease ends on time, also on a machine that hangs: it has no tasks any more when it goes
      * on.
      */
-    private void watchLease() {
+    private void scheduleLeaseChecks() {
         cluster.loop.at(
-                leaseFrom + cluster.settings.agents().leaseMicros() + 1,
+                leaseStart + cluster.settings.agents().leaseMicros() + 1,
                 () -> {
-                    if (!dead) {
+                    if (!failed) {
                         checkLease();
-                        watchLease();
+                        scheduleLeaseChecks();
                     }
                 });
     }
 
-    private void beat() {
+    private void scheduleHeartbeats() {
         long period = cluster.settings.agents().heartbeatMicros();
         cluster.loop.after(
                 period / 4 + cluster.random.nextInt((int) (period / 8)),
                 () -> {
-                    if (dead) {
+                    if (failed) {
                         return;
                     }
-                    if (!hung()) {
+                    if (!isHung()) {
                         checkLease();
-                        if (reportSent < 0
-                                && (changed || cluster.loop.now() - lastReport >= period)) {
-                            report();
+                        if (reportSentMicros < 0
+                                && (hasChanges || cluster.loop.now() - lastReport >= period)) {
+                            sendHeartbeat();
                         }
                     }
-                    beat();
+                    scheduleHeartbeats();
                 });
     }
 
     private long lastReport = Long.MIN_VALUE / 2;
 
-    boolean hung() {
-        return cluster.loop.now() < hungUntil;
+    boolean isHung() {
+        return cluster.loop.now() < hungUntilMicros;
     }
 
-    boolean deaf() {
-        return cluster.loop.now() < deafUntil;
+    boolean isInboundBlocked() {
+        return cluster.loop.now() < inboundBlockedUntilMicros;
     }
 
-    boolean mute() {
-        return cluster.loop.now() < muteUntil;
+    boolean isOutboundBlocked() {
+        return cluster.loop.now() < outboundBlockedUntilMicros;
     }
 
-    boolean closedIn() {
-        return cluster.loop.now() < closedInUntil;
+    boolean areConnectsBlocked() {
+        return cluster.loop.now() < connectsBlockedUntilMicros;
     }
 
     /** The tasks that run here. */
-    Set<TaskId> running() {
+    Set<TaskId> runningTasks() {
         Set<TaskId> running = new LinkedHashSet<>();
         tasks.values().stream()
                 .filter(task -> task.status.equals("running"))
@@ -148,23 +148,23 @@
     }
 
     private void checkLease() {
-        if (cluster.loop.now() - leaseFrom > cluster.settings.agents().leaseMicros()) {
+        if (cluster.loop.now() - leaseStart > cluster.settings.agents().leaseMicros()) {
             for (Task task : tasks.values()) {
                 cluster.observed.killedByLease += task.status.equals("running") ? 1 : 0;
-                killedByLease += task.status.equals("running") ? 1 : 0;
+                tasksKilledByLease += task.status.equals("running") ? 1 : 0;
                 cluster.invariants.onTaskEnded(task.id, this, false);
             }
             tasks.clear();
             incarnation++;
-            leaseFrom = cluster.loop.now();
-            changed = true;
+            leaseStart = cluster.loop.now();
+            hasChanges = true;
         }
     }
 
-    private Map<String, Object> body() {
+    private Map<String, Object> heartbeat() {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("host", host);
-        map.put("addr", addr);
+        map.put("addr", address);
         map.put("hosttype", machineType);
         map.put("yard", zone);
         map.put("reclaimable", spot);
@@ -187,11 +187,11 @@
         return map;
     }
 
-    private void report() {
-        changed = false;
+    private void sendHeartbeat() {
+        hasChanges = false;
         long sent = cluster.loop.now();
         lastReport = sent;
-        reportSent = sent;
+        reportSentMicros = sent;
         long id = ++reportId;
         long ofTenure = incarnation;
         cluster.toNode(
@@ -199,54 +199,54 @@
                 node,
                 "POST",
                 "/v1/report",
-                body(),
+                heartbeat(),
                 4_000_000,
                 (status, answer) -> {
-                    if (dead || id != reportId || reportSent < 0) {
+                    if (failed || id != reportId || reportSentMicros < 0) {
                         return;
                     }
-                    reportSent = -1;
-                    if (hung()) {
+                    reportSentMicros = -1;
+                    if (isHung()) {
                         return;
                     }
                     if (status == 200) {
                         long token = (Long) answer.get("epoch");
                         checkLease();
                         if (token >= fencingToken && incarnation == ofTenure) {
-                            changed |= token > fencingToken;
+                            hasChanges |= token > fencingToken;
                             fencingToken = token;
-                            leaseFrom = Math.max(leaseFrom, sent);
+                            leaseStart = Math.max(leaseStart, sent);
                             execute((List<?>) answer.get("orders"));
                         }
                     } else if (status == 421
                             && answer.get("overseer") instanceof String leader
                             && ClusterSimulation.nodeIndex(leader) != node) {
                         node = ClusterSimulation.nodeIndex(leader);
-                        changed = true;
+                        hasChanges = true;
                     } else {
                         // It tries the next node a second later, and none before.
-                        reportSent = sent;
+                        reportSentMicros = sent;
                         cluster.loop.after(
                                 1_000_000,
                                 () -> {
-                                    reportSent = -1;
+                                    reportSentMicros = -1;
                                     node = (node + 1) % ClusterSimulation.NODES;
-                                    changed = true;
+                                    hasChanges = true;
                                 });
                     }
                 });
     }
 
     /** Whether one more task of the job may be put here, and has room. */
-    boolean takes(JobDescription job) {
+    boolean canStartTask(JobDescription job) {
         double used = 0;
         for (Task task : tasks.values()) {
             used += task.status.equals("exited") ? 0 : cluster.observed.job(task.id.jobId()).cpus();
         }
-        return !dead
-                && !hung()
-                && !deaf()
-                && !mute()
+        return !failed
+                && !isHung()
+                && !isInboundBlocked()
+                && !isOutboundBlocked()
                 && used + job.cpus() <= cpus + 1e-6
                 && fits(job);
     }
@@ -258,32 +258,32 @@
     }
 
     /** A direct command as it arrives, perhaps late. */
-    Object[] direct(Map<String, Object> body) {
+    Object[] handleDirectCommand(Map<String, Object> body) {
         checkLease();
         long token = (Long) body.get("epoch");
         if (token < fencingToken || (Long) body.get("tenure") != incarnation) {
             // The protocol says the highest token it has seen: every other worker has seen that of
             // a refused command, too.
             fencingToken = host.hashCode() % 2 == 0 ? Math.max(fencingToken, token) : fencingToken;
-            return new Object[] {409, body()};
+            return new Object[] {409, heartbeat()};
         }
         fencingToken = token;
         execute((List<?>) body.get("orders"));
-        return new Object[] {200, body()};
+        return new Object[] {200, heartbeat()};
     }
 
     private void execute(List<?> commands) {
         for (Object item : commands) {
-            Map<?, ?> order = (Map<?, ?>) item;
+            Map<?, ?> command = (Map<?, ?>) item;
             TaskId id;
             try {
-                id = TaskId.parse((String) order.get("shard"));
+                id = TaskId.parse((String) command.get("shard"));
             } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
             }
-            long attempt = (Long) order.get("try");
+            long attempt = (Long) command.get("try");
             Task task = tasks.get(id);
-            switch ((String) order.get("verb")) {
+            switch ((String) command.get("verb")) {
                 case "launch" -> launch(id, attempt, task);
                 case "halt" -> {
                     if (task != null && task.attempt == attempt && !task.status.equals("exited")) {
@@ -297,12 +297,12 @@
                 }
                 default -> throw new IllegalStateException();
             }
-            changed = true;
+            hasChanges = true;
         }
     }
 
     /** How many processors no task of its holds. */
-    double free() {
+    double freeCpus() {
         double free = cpus;
         for (Task task : tasks.values()) {
             free -= task.status.equals("exited") ? 0 : cluster.observed.job(task.id.jobId()).cpus();
@@ -313,7 +313,7 @@
     /**
      * How many processors tasks of the team hold here, those that wait for their image among them.
      */
-    double held(String team) {
+    double cpusHeldBy(String team) {
         double held = 0;
         for (Task task : tasks.values()) {
             JobDescription job = cluster.observed.job(task.id.jobId());
@@ -353,15 +353,15 @@
             task.cause = "no_room";
             return;
         }
-        cluster.loop.after(FETCH_MICROS, () -> run(task, job));
+        cluster.loop.after(IMAGE_FETCH_MICROS, () -> run(task, job));
     }
 
     private void run(Task task, JobDescription job) {
-        if (dead || tasks.get(task.id) != task || !task.status.equals("fetching")) {
+        if (failed || tasks.get(task.id) != task || !task.status.equals("fetching")) {
             return;
         }
-        if (hung()) {
-            cluster.loop.at(hungUntil, () -> run(task, job));
+        if (isHung()) {
+            cluster.loop.at(hungUntilMicros, () -> run(task, job));
             return;
         }
         checkLease();
@@ -373,20 +373,20 @@
             return;
         }
         cluster.invariants.onTaskStarted(task.id, this);
-        started++;
+        tasksStarted++;
         task.status = "running";
-        changed = true;
+        hasChanges = true;
         if (!job.isService()) {
             cluster.loop.after((long) (job.estimatedRuntimeSeconds() * 1e6), () -> complete(task));
         }
     }
 
     private void complete(Task task) {
-        if (dead || tasks.get(task.id) != task || !task.status.equals("running")) {
+        if (failed || tasks.get(task.id) != task || !task.status.equals("running")) {
             return;
         }
-        if (hung()) {
-            cluster.loop.at(hungUntil, () -> complete(task));
+        if (isHung()) {
+            cluster.loop.at(hungUntilMicros, () -> complete(task));
             return;
         }
         checkLease();
@@ -398,13 +398,13 @@
     private void exit(Task task, String cause) {
         task.status = "exited";
         task.cause = cause;
-        changed = true;
+        hasChanges = true;
         cluster.invariants.onTaskEnded(task.id, this, cause.equals("done"));
     }
 
     /** The machine is gone, and everything on it. */
-    void die() {
-        dead = true;
+    void fail() {
+        failed = true;
         for (Task task : tasks.values()) {
             cluster.invariants.onTaskEnded(task.id, this, false);
         }
--- a/src/test/java/org/woadloom/sim/SimulatedCloud.java
+++ b/src/test/java/org/woadloom/sim/SimulatedCloud.java
@@ -11,29 +11,29 @@
     static final int CAPACITY = 14;
 
     private final ClusterSimulation cluster;
-    private final Random more;
+    private final Random faultRandom;
     final Map<String, SimulatedAgent> machines = new LinkedHashMap<>();
     private final Map<String, String[]> booting = new LinkedHashMap<>();
-    private final Map<String, List<Object>> claims = new LinkedHashMap<>();
-    private List<Object> shown = new ArrayList<>();
-    private int names;
+    private final Map<String, List<Object>> hostsByRequestName = new LinkedHashMap<>();
+    private List<Object> listedMachines = new ArrayList<>();
+    private int rentedCount;
     int capacity = CAPACITY;
     boolean down;
 
     /** How many of a hundred rentals and deletions are carried out late, and get no answer. */
-    int lateOfHundred;
+    int latePercent;
 
-    final List<String> unexpected = new ArrayList<>();
-    int deletedForOthers;
+    final List<String> rentedForFormerLeaders = new ArrayList<>();
+    int deletedForFormerLeaders;
 
     /**
      * Until then machines are up within two seconds, some of them before their rental is answered.
      */
-    long quickUntil;
+    long fastBootUntilMicros;
 
     SimulatedCloud(ClusterSimulation cluster, Random more) {
         this.cluster = cluster;
-        this.more = more;
+        this.faultRandom = more;
         refresh();
     }
 
@@ -47,9 +47,10 @@
                     item(
                             agent.host,
                             new String[] {agent.machineType, agent.zone, "" + agent.spot},
-                            agent.dead ? "failed" : "running"));
+                            agent.failed ? "failed" : "running"));
         }
-        cluster.loop.after(1_000_000 + cluster.random.nextInt(3_000_000), () -> shown = now);
+        cluster.loop.after(
+                1_000_000 + cluster.random.nextInt(3_000_000), () -> listedMachines = now);
         cluster.loop.after(1_000_000, this::refresh);
     }
 
@@ -67,18 +68,19 @@
 
     void handle(
             String method, String path, Map<String, Object> body, SimulatedStore.Answer answer) {
-        if (method.equals("POST") && lateOfHundred > 0 && more.nextInt(100) < lateOfHundred) {
+        if (method.equals("POST") && latePercent > 0 && faultRandom.nextInt(100) < latePercent) {
             long term = cluster.term();
             cluster.loop.after(
-                    2_000_000 + more.nextInt(18_000_000), () -> carryOutLate(path, body, term));
+                    2_000_000 + faultRandom.nextInt(18_000_000),
+                    () -> executeLate(path, body, term));
         } else {
-            carryOut(method, path, body, answer);
+            execute(method, path, body, answer);
         }
     }
 
-    private void carryOutLate(String path, Map<String, Object> body, long term) {
+    private void executeLate(String path, Map<String, Object> body, long term) {
         int before = machines.size();
-        carryOut(
+        execute(
                 "POST",
                 path,
                 body,
@@ -88,13 +90,13 @@
                             && hosts.get("hosts") instanceof List<?> rented) {
                         rented.stream()
                                 .filter(booting::containsKey)
-                                .forEach(host -> unexpected.add((String) host));
+                                .forEach(host -> rentedForFormerLeaders.add((String) host));
                     }
                 });
-        deletedForOthers += cluster.term() != term ? before - machines.size() : 0;
+        deletedForFormerLeaders += cluster.term() != term ? before - machines.size() : 0;
     }
 
-    private void carryOut(
+    private void execute(
             String method, String path, Map<String, Object> body, SimulatedStore.Answer answer) {
         if (down) {
             answer.answer(503, Map.of("error", "trouble"));
@@ -109,19 +111,19 @@
                 booting.remove(host);
                 SimulatedAgent agent = machines.remove(host);
                 if (agent != null) {
-                    agent.die();
+                    agent.fail();
                 }
             }
             answer.answer(200, Map.of());
         } else if (method.equals("GET")) {
-            answer.answer(200, Map.of("hosts", shown, "more", false));
+            answer.answer(200, Map.of("hosts", listedMachines, "more", false));
         } else {
             rent(body, answer);
         }
     }
 
     int rented() {
-        return names;
+        return rentedCount;
     }
 
     private Map<String, Object> type(String name, double cpus, double rate) {
@@ -141,16 +143,16 @@
 
     private void rent(Map<String, Object> body, SimulatedStore.Answer answer) {
         String claim = (String) body.get("claim");
-        if (claims.containsKey(claim)) {
-            answer.answer(200, Map.of("hosts", claims.get(claim)));
+        if (hostsByRequestName.containsKey(claim)) {
+            answer.answer(200, Map.of("hosts", hostsByRequestName.get(claim)));
             return;
         }
         List<Object> hosts = new ArrayList<>();
-        boolean quick = cluster.loop.now() < quickUntil;
+        boolean quick = cluster.loop.now() < fastBootUntilMicros;
         for (long i = 0;
                 i < (Long) body.get("count") && machines.size() + booting.size() < capacity;
                 i++) {
-            String host = String.format("host-%06d", names++);
+            String host = String.format("host-%06d", rentedCount++);
             hosts.add(host);
             booting.put(
                     host,
@@ -162,7 +164,7 @@
             if (cluster.random.nextInt(12) > 0) {
                 long usual = 2_000_000 + cluster.random.nextInt(12_000_000);
                 cluster.loop.after(
-                        quick ? 300_000 + more.nextInt(1_700_000) : usual, () -> boot(host));
+                        quick ? 300_000 + faultRandom.nextInt(1_700_000) : usual, () -> boot(host));
                 cluster.quickBoots += quick ? 1 : 0;
             }
         }
@@ -170,10 +172,11 @@
             answer.answer(503, Map.of("error", "no capacity"));
             return;
         }
-        claims.put(claim, hosts);
+        hostsByRequestName.put(claim, hosts);
         if (quick) {
             cluster.loop.after(
-                    more.nextInt(2_500_000), () -> answer.answer(200, Map.of("hosts", hosts)));
+                    faultRandom.nextInt(2_500_000),
+                    () -> answer.answer(200, Map.of("hosts", hosts)));
             return;
         }
         answer.answer(200, Map.of("hosts", hosts));
--- a/src/test/java/org/woadloom/sim/SimulatedStore.java
+++ b/src/test/java/org/woadloom/sim/SimulatedStore.java
@@ -17,9 +17,9 @@
 /** The state service, written from the protocol. */
 public final class SimulatedStore {
     /** Entries of a page by default: few, so that readers meet the second one. */
-    private static final int SMALL_PAGE = 7;
+    private static final int SMALL_PAGE_ENTRIES = 7;
 
-    private static final int FULL_PAGE = 1_000;
+    private static final int MAX_PAGE_ENTRIES = 1_000;
 
     private record Entry(Object value, long revision, long storeLease) {}
 
@@ -27,15 +27,15 @@
 
     private final SimulatedEventLoop loop;
     private ServiceSettings.Store limits;
-    private double writes;
-    private long refilled;
+    private double recentWrites;
+    private long writesUpdatedMicros;
     private final TreeMap<String, Entry> entries = new TreeMap<>();
     private final List<Change> changes = new ArrayList<>();
-    private final Map<Long, long[]> grants = new LinkedHashMap<>();
+    private final Map<Long, long[]> leases = new LinkedHashMap<>();
     private final List<Runnable> watchers = new ArrayList<>();
     private long generation;
-    private long grantIds;
-    private int pageEntries = SMALL_PAGE;
+    private long lastLeaseId;
+    private int pageEntries = SMALL_PAGE_ENTRIES;
     boolean down;
 
     public SimulatedStore(SimulatedEventLoop loop, ServiceSettings.Store limits) {
@@ -45,7 +45,7 @@
 
     /** Gives as many entries on a page as the protocol allows. */
     public SimulatedStore withFullPages() {
-        pageEntries = FULL_PAGE;
+        pageEntries = MAX_PAGE_ENTRIES;
         return this;
     }
 
@@ -63,24 +63,24 @@
                 loop, transport, settings, new StoreLimits(limits), new Random(seed), served -> {});
     }
 
-    public void outage(boolean begins) {
+    public void setOutage(boolean begins) {
         down = begins;
         if (!begins) {
             // After an outage every lease has its full time again.
-            for (Map.Entry<Long, long[]> storeLease : new ArrayList<>(grants.entrySet())) {
+            for (Map.Entry<Long, long[]> storeLease : new ArrayList<>(leases.entrySet())) {
                 storeLease.getValue()[1] = loop.now() + storeLease.getValue()[0];
                 expireLater(storeLease.getKey());
             }
-            wake();
+            notifyWatchers();
         }
     }
 
     /** From now on the announced limits hold. */
-    void nextLimits() {
+    void applyNextLimits() {
         limits = limits.next();
     }
 
-    private boolean tooLarge(List<?> changes) {
+    private boolean exceedsSizeLimits(List<?> changes) {
         for (Object item : changes) {
             if (Cbor.toJson(((Map<?, ?>) item).get("value")).length() > limits.valueBytes()) {
                 return true;
@@ -89,29 +89,33 @@
         return changes.size() > limits.txnOps();
     }
 
-    private boolean tooFast(int changes) {
-        writes = Math.max(0, writes - (loop.now() - refilled) / 1e6 * limits.writeRps());
-        refilled = loop.now();
-        if (writes + changes > limits.writeRps()) {
+    private boolean exceedsWriteRate(int changes) {
+        recentWrites =
+                Math.max(
+                        0,
+                        recentWrites
+                                - (loop.now() - writesUpdatedMicros) / 1e6 * limits.writeRps());
+        writesUpdatedMicros = loop.now();
+        if (recentWrites + changes > limits.writeRps()) {
             return true;
         }
-        writes += changes;
+        recentWrites += changes;
         return false;
     }
 
-    boolean holdsAny(String prefix) {
+    boolean hasKeyWithPrefix(String prefix) {
         return entries.ceilingKey(prefix) != null && entries.ceilingKey(prefix).startsWith(prefix);
     }
 
     /** How many values there are below the prefix, and how many of them are such. */
-    int[] count(String prefix, Predicate<Map<?, ?>> such) {
+    int[] count(String prefix, Predicate<Map<?, ?>> predicate) {
         int[] found = {0, 0};
         entries.subMap(prefix, prefix + Character.MAX_VALUE)
                 .values()
                 .forEach(
                         entry -> {
                             found[0]++;
-                            found[1] += such.test((Map<?, ?>) entry.value) ? 1 : 0;
+                            found[1] += predicate.test((Map<?, ?>) entry.value) ? 1 : 0;
                         });
         return found;
     }
@@ -135,13 +139,13 @@
         } else if (path.equals("/txn")) {
             txn(body, answer);
         } else if (path.equals("/grants")) {
-            long id = ++grantIds;
+            long id = ++lastLeaseId;
             long life = (Long) body.get("lifeMs") * 1000;
-            grants.put(id, new long[] {life, loop.now() + life});
+            leases.put(id, new long[] {life, loop.now() + life});
             expireLater(id);
             answer.answer(200, Map.of("hold", id));
         } else if (path.endsWith("/renew")) {
-            long[] storeLease = grants.get(Long.parseLong(path.split("/")[2]));
+            long[] storeLease = leases.get(Long.parseLong(path.split("/")[2]));
             if (storeLease == null) {
                 answer.answer(404, Map.of());
             } else {
@@ -156,13 +160,13 @@
 
     private void expireLater(long id) {
         loop.at(
-                grants.get(id)[1],
+                leases.get(id)[1],
                 () -> {
-                    long[] storeLease = grants.get(id);
+                    long[] storeLease = leases.get(id);
                     if (storeLease == null || down || loop.now() < storeLease[1]) {
                         return;
                     }
-                    grants.remove(id);
+                    leases.remove(id);
                     List<String> gone = new ArrayList<>();
                     entries.forEach(
                             (path, entry) -> {
@@ -172,13 +176,13 @@
                             });
                     if (!gone.isEmpty()) {
                         generation++;
-                        gone.forEach(this::drop);
-                        wake();
+                        gone.forEach(this::delete);
+                        notifyWatchers();
                     }
                 });
     }
 
-    private void drop(String path) {
+    private void delete(String path) {
         if (entries.remove(path) != null) {
             changes.add(new Change(path, null, generation));
         }
@@ -231,11 +235,11 @@
     }
 
     private void txn(Map<String, Object> body, Answer answer) {
-        if (tooFast(((List<?>) body.get("then")).size())) {
+        if (exceedsWriteRate(((List<?>) body.get("then")).size())) {
             answer.answer(429, Map.of("error", "too many changes"));
             return;
         }
-        if (tooLarge((List<?>) body.get("then"))
+        if (exceedsSizeLimits((List<?>) body.get("then"))
                 || ((List<?>) body.get("if")).size() > 4 * limits.txnOps()) {
             answer.answer(400, Map.of("error", "too large"));
             return;
@@ -250,7 +254,7 @@
         }
         for (Object item : (List<?>) body.get("then")) {
             if (((Map<?, ?>) item).get("hold") instanceof Long storeLease
-                    && !grants.containsKey(storeLease)) {
+                    && !leases.containsKey(storeLease)) {
                 answer.answer(400, Map.of("error", "no such lease"));
                 return;
             }
@@ -271,14 +275,14 @@
                                 change.get("hold") instanceof Long storeLease ? storeLease : 0));
                 changes.add(new Change(path, change.get("value"), generation));
             } else {
-                drop((String) change.get("drop"));
+                delete((String) change.get("drop"));
             }
         }
         answer.answer(200, Map.of("generation", generation));
-        wake();
+        notifyWatchers();
     }
 
-    private void wake() {
+    private void notifyWatchers() {
         List<Runnable> waiting = new ArrayList<>(watchers);
         watchers.clear();
         waiting.forEach(Runnable::run);
--- a/src/test/java/org/woadloom/sim/SimulatedUsers.java
+++ b/src/test/java/org/woadloom/sim/SimulatedUsers.java
@@ -58,7 +58,8 @@
     }
 
     /** Submits a job; the last argument hears when it is accepted. */
-    private void newJob(String jobId, int kind, List<String> awaits, Consumer<String> onAccepted) {
+    private void newJob(
+            String jobId, int kind, List<String> dependencies, Consumer<String> onAccepted) {
         Map<String, Object> map = new LinkedHashMap<>();
         boolean service = kind < 3;
         boolean gang = kind == 3;
@@ -79,7 +80,7 @@
                 "vcpus",
                 service || kind == 4 && cluster.scenario.isUpgrade()
                         ? 1.0
-                        : (double) (1 << random.nextInt(awaits.isEmpty() ? 4 : 2)));
+                        : (double) (1 << random.nextInt(dependencies.isEmpty() ? 4 : 2)));
         map.put("cards", 0.0);
         map.put("ramGb", 2.0);
         map.put("bundle", "img-" + random.nextInt(4));
@@ -92,8 +93,8 @@
         map.put("runtimeS", service ? 0.0 : 2.0 + random.nextInt(15));
         map.put("snapshotEveryS", 0.0);
         map.put("snapshotCostS", 0.0);
-        if (!awaits.isEmpty()) {
-            map.put("awaits", awaits);
+        if (!dependencies.isEmpty()) {
+            map.put("awaits", dependencies);
         }
         try {
             cluster.observed.recordSubmission(JobDescription.parse(map));
@@ -145,7 +146,7 @@
                 3_000_000 + random.nextInt(14_000_000),
                 () -> {
                     if (cluster.loop.now() < until) {
-                        pipeline();
+                        submitPipeline();
                         submitPipelinesUntil(until);
                     }
                 });
@@ -156,25 +157,25 @@
      * that were there before, some have their last job only much later, and any job may be
      * cancelled at any time.
      */
-    private void pipeline() {
+    private void submitPipeline() {
         List<String> before = new ArrayList<>();
         List<String> earlier = new ArrayList<>(cluster.observed.acceptedJobs());
         earlier.removeIf(jobId -> cluster.observed.job(jobId).isService());
         if (random.nextInt(3) == 0 && !earlier.isEmpty()) {
             before.add(earlier.get(random.nextInt(earlier.size())));
         }
-        stage(before, 1 + random.nextInt(5));
+        submitStage(before, 1 + random.nextInt(5));
     }
 
-    private void stage(List<String> before, int left) {
-        if (left == 0) {
+    private void submitStage(List<String> dependencies, int remainingStages) {
+        if (remainingStages == 0) {
             return;
         }
         int width = 1 + random.nextInt(2);
         List<String> accepted = new ArrayList<>();
         for (int i = 0; i < width; i++) {
             String jobId = newJobId();
-            List<String> awaits = new ArrayList<>(before);
+            List<String> awaits = new ArrayList<>(dependencies);
             if (awaits.size() > 1 && random.nextBoolean()) {
                 awaits.remove(random.nextInt(awaits.size()));
             }
@@ -187,13 +188,13 @@
                         if (accepted.size() == width) {
                             List<String> next = new ArrayList<>(accepted);
                             if (random.nextInt(3) == 0) {
-                                next.addAll(before);
+                                next.addAll(dependencies);
                             }
                             long late =
-                                    left == 2 && random.nextInt(4) == 0
+                                    remainingStages == 2 && random.nextInt(4) == 0
                                             ? random.nextInt(60_000_000)
                                             : 1;
-                            cluster.loop.after(late, () -> stage(next, left - 1));
+                            cluster.loop.after(late, () -> submitStage(next, remainingStages - 1));
                         }
                     });
             if (random.nextInt(10) == 0) {
@@ -225,7 +226,7 @@
     void onAnswer(
             UserRequest request, String jobId, long sent, int status, Map<String, Object> body) {
         cluster.invariants.onAnswer(request, jobId, sent, status, body);
-        faults.told(jobId, status);
+        faults.onAnswer(jobId, status);
     }
 
     void cancel(String jobId) {
--- a/src/test/java/org/woadloom/sim/StatusRecoveryTest.java
+++ b/src/test/java/org/woadloom/sim/StatusRecoveryTest.java
@@ -263,9 +263,9 @@
     void jobsUnansweredAfterAStoreOutage() {
         warmUp();
         pollUnderCalm();
-        store.outage(true);
+        store.setOutage(true);
         sim.run(sim.now() + OUTAGE);
-        store.outage(false);
+        store.setOutage(false);
         assertAllAnsweredAgain();
     }
 
--- a/src/test/java/org/woadloom/sim/StoreFaults.java
+++ b/src/test/java/org/woadloom/sim/StoreFaults.java
@@ -5,16 +5,16 @@
 /** What befalls requests to the state service: answers that get lost, and slowness. */
 final class StoreFaults {
     /** For so long nodes wait for an answer. */
-    private static final long PATIENCE_MICROS = 2_000_000;
+    private static final long STORE_TIMEOUT_MICROS = 2_000_000;
 
     private final ClusterSimulation cluster;
     private final Random random;
-    private int lostOfHundred;
+    private int lossPercent;
     private long loseUntil;
-    private long extraMicros;
+    private long maxDelayMicros;
     private long slowUntil;
-    private int lostBy = -1;
-    private long lostAt;
+    private int lastLossNode = -1;
+    private long lastLossMicros;
 
     StoreFaults(ClusterSimulation cluster, Random random) {
         this.cluster = cluster;
@@ -25,34 +25,36 @@
         void made(SimulatedStore.Answer respond);
     }
 
-    void loseAnswers(int ofHundred, long until) {
-        lostOfHundred = ofHundred;
+    void loseAnswers(int percent, long until) {
+        lossPercent = percent;
         loseUntil = until;
     }
 
-    void slow(long extra, long until) {
-        extraMicros = extra;
+    void addDelay(long extra, long until) {
+        maxDelayMicros = extra;
         slowUntil = until;
     }
 
     /** A request that has come there, perhaps later, and whose answer may be lost, or late. */
-    void meet(int node, String path, SimulatedStore.Answer reply, Request request) {
+    void forward(int node, String path, SimulatedStore.Answer reply, Request request) {
         long now = cluster.loop.now();
         boolean reads = path.startsWith("/keys/job/") || path.startsWith("/follow?prefix=job/");
-        if (reads && lostBy >= 0 && node != lostBy && now - lostAt < PATIENCE_MICROS) {
+        if (reads
+                && lastLossNode >= 0
+                && node != lastLossNode
+                && now - lastLossMicros < STORE_TIMEOUT_MICROS) {
             cluster.lostAnswersReadElsewhere++;
-            lostBy = -1;
+            lastLossNode = -1;
         }
-        boolean lost =
-                path.equals("/txn") && now < loseUntil && random.nextInt(100) < lostOfHundred;
+        boolean lost = path.equals("/txn") && now < loseUntil && random.nextInt(100) < lossPercent;
         SimulatedStore.Answer answer =
                 !lost
                         ? reply
                         : (status, body) -> {
                             if (status == 200) {
                                 cluster.lostAnswersMade++;
-                                lostBy = node;
-                                lostAt = cluster.loop.now();
+                                lastLossNode = node;
+                                lastLossMicros = cluster.loop.now();
                             } else {
                                 reply.answer(status, body);
                             }
@@ -61,7 +63,7 @@
             request.made(answer);
             return;
         }
-        long extra = random.nextLong(extraMicros + 1);
+        long extra = random.nextLong(maxDelayMicros + 1);
         long there = random.nextLong(extra + 1);
         cluster.loop.after(
                 there,
--- a/src/test/java/org/woadloom/sim/ThreeZonesTest.java
+++ b/src/test/java/org/woadloom/sim/ThreeZonesTest.java
@@ -94,7 +94,7 @@
                     }
                     List<SimulatedAgent> agents = cluster.agents();
                     for (int i = 0; i < agents.size(); i += 3) {
-                        agents.get(i).die();
+                        agents.get(i).fail();
                     }
                 });
         untilAllIsDone(cluster);
--- a/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
@@ -54,11 +54,11 @@
             int killed = cluster.observed.killedByLease;
             cluster.deafen("a", 1, 8_000_000);
             List<SimulatedAgent> deaf =
-                    cluster.agents().stream().filter(SimulatedAgent::deaf).toList();
+                    cluster.agents().stream().filter(SimulatedAgent::isInboundBlocked).toList();
             cluster.run(AT + 16_000_000);
             assertEquals(killed, cluster.observed.killedByLease);
             wereDeaf += deaf.size();
-            returned += (int) deaf.stream().filter(agent -> agent.dead).count();
+            returned += (int) deaf.stream().filter(agent -> agent.failed).count();
             untilAllIsDone(cluster);
         }
         // Idle ones may have been returned meanwhile: on one day alone that may be most of a few.
@@ -116,10 +116,11 @@
     void machinesThatStayDeafAreReplaced(long seed) {
         ClusterSimulation cluster = day(seed);
         cluster.deafen("b", 3, 2 * QUIET);
-        List<SimulatedAgent> deaf = cluster.agents().stream().filter(SimulatedAgent::deaf).toList();
+        List<SimulatedAgent> deaf =
+                cluster.agents().stream().filter(SimulatedAgent::isInboundBlocked).toList();
         assertTrue(!deaf.isEmpty());
         cluster.run(AT + 180_000_000);
-        assertTrue(deaf.stream().allMatch(agent -> agent.dead));
+        assertTrue(deaf.stream().allMatch(agent -> agent.failed));
         untilAllIsDone(cluster);
     }
 
@@ -129,7 +130,9 @@
         ClusterSimulation cluster = day(seed);
         cluster.agents().stream()
                 .filter(agent -> agent.zone.equals("a"))
-                .forEach(agent -> agent.muteUntil = cluster.loop.now() + 60_000_000);
+                .forEach(
+                        agent ->
+                                agent.outboundBlockedUntilMicros = cluster.loop.now() + 60_000_000);
         untilAllIsDone(cluster);
     }
 
--- a/src/test/java/org/woadloom/sim/UserFaults.java
+++ b/src/test/java/org/woadloom/sim/UserFaults.java
@@ -16,11 +16,11 @@
  * jobs off at bad moments.
  */
 final class UserFaults {
-    private static final int LOOKS = 3;
-    private static final int MOST_HUNG = 8;
+    private static final int POLLS_PER_NODE = 3;
+    private static final int MAX_HUNG_MACHINES = 8;
 
     /** A job must have these; the others may be null, and so may be missing. */
-    static final List<String> REQUIRED =
+    static final List<String> REQUIRED_FIELDS =
             List.of(
                     "jobclass",
                     "crew",
@@ -41,44 +41,44 @@
 
     private final ClusterSimulation cluster;
     private final Random random;
-    private final Set<String> lookedAt = new HashSet<>();
-    private long lookUntil;
-    private int odd;
-    private int endsOfHundred;
-    private long endsUntil;
+    private final Set<String> polledStates = new HashSet<>();
+    private long pollChangesUntilMicros;
+    private int unusualRequests;
+    private int cancelAtEndPercent;
+    private long cancelAtEndUntilMicros;
 
     UserFaults(ClusterSimulation cluster, Random random) {
         this.cluster = cluster;
         this.random = random;
     }
 
-    void lookClosely(long until) {
-        lookUntil = until;
+    void pollChangesUntil(long until) {
+        pollChangesUntilMicros = until;
     }
 
     /** A user was told something of a job; what is new is looked at closely by all who care. */
-    void told(String jobId, int status) {
-        if (cluster.loop.now() >= lookUntil
+    void onAnswer(String jobId, int status) {
+        if (cluster.loop.now() >= pollChangesUntilMicros
                 || status != 200 && status != 201
-                || !lookedAt.add(jobId + cluster.observed.hasFinalStatus(jobId))) {
+                || !polledStates.add(jobId + cluster.observed.hasFinalStatus(jobId))) {
             return;
         }
         cluster.closeLooks++;
         for (int node = 0; node < ClusterSimulation.NODES; node++) {
             int index = node;
-            for (int look = 0; look < LOOKS; look++) {
-                cluster.loop.after(1 + random.nextInt(30_000), () -> ask(index, jobId));
+            for (int look = 0; look < POLLS_PER_NODE; look++) {
+                cluster.loop.after(1 + random.nextInt(30_000), () -> poll(index, jobId));
             }
         }
         cluster.loop.after(
                 1 + random.nextInt(10_000),
-                () -> repeat(jobId, cluster.observed.job(jobId).toMap()));
+                () -> submit(jobId, cluster.observed.job(jobId).toMap()));
         if (random.nextInt(5) == 0) {
             cluster.loop.after(1 + random.nextInt(20_000), () -> cluster.users.cancel(jobId));
         }
     }
 
-    private void ask(int node, String jobId) {
+    private void poll(int node, String jobId) {
         long sent = cluster.loop.now();
         cluster.toNode(
                 "users",
@@ -91,7 +91,7 @@
                         cluster.users.onAnswer(UserRequest.POLL, jobId, sent, status, body));
     }
 
-    private void repeat(String jobId, Map<String, Object> job) {
+    private void submit(String jobId, Map<String, Object> job) {
         long sent = cluster.loop.now();
         cluster.toNode(
                 "users",
@@ -104,18 +104,18 @@
                         cluster.users.onAnswer(UserRequest.SUBMIT, jobId, sent, status, body));
     }
 
-    void oddRequests(long until) {
+    void sendUnusualRequestsUntil(long until) {
         cluster.loop.after(
                 100_000 + random.nextInt(500_000),
                 () -> {
                     if (cluster.loop.now() < until) {
-                        oddRequest(odd++ % 5);
-                        oddRequests(until);
+                        sendUnusualRequest(unusualRequests++ % 5);
+                        sendUnusualRequestsUntil(until);
                     }
                 });
     }
 
-    private void oddRequest(int kind) {
+    private void sendUnusualRequest(int kind) {
         List<String> such = new ArrayList<>(cluster.observed.acceptedJobs());
         such.removeIf(jobId -> cluster.observed.hasFinalStatus(jobId) != (kind == 2));
         if (kind < 3 && such.isEmpty()) {
@@ -123,7 +123,8 @@
         }
         cluster.oddRequestsMade++;
         String jobId = kind < 3 ? such.get(random.nextInt(such.size())) : cluster.users.newJobId();
-        Map<String, Object> job = kind < 3 ? cluster.observed.job(jobId).toMap() : plain(jobId);
+        Map<String, Object> job =
+                kind < 3 ? cluster.observed.job(jobId).toMap() : oneTaskJob(jobId);
         if (kind == 2) {
             long sent = cluster.loop.now();
             cluster.toNode(
@@ -138,21 +139,21 @@
             return;
         }
         if (kind == 1 || kind == 4) {
-            job.remove(REQUIRED.get(random.nextInt(REQUIRED.size())));
+            job.remove(REQUIRED_FIELDS.get(random.nextInt(REQUIRED_FIELDS.size())));
         }
         if (kind == 3) {
-            unfit(job, random.nextInt(6));
+            makeInvalid(job, random.nextInt(6));
         }
         if (kind >= 3) {
             cluster.observed.recordInvalidJob(jobId);
             cluster.loop.after(
-                    2_000_000, () -> ask(random.nextInt(ClusterSimulation.NODES), jobId));
+                    2_000_000, () -> poll(random.nextInt(ClusterSimulation.NODES), jobId));
         }
-        repeat(jobId, job);
+        submit(jobId, job);
     }
 
-    private static void unfit(Map<String, Object> job, int how) {
-        switch (how) {
+    private static void makeInvalid(Map<String, Object> job, int defect) {
+        switch (defect) {
             case 0 -> job.put("ramGb", 100_000.0);
             case 1 -> job.put("cards", 1.0);
             case 2 -> job.put("hosttypes", List.of("no-such-type"));
@@ -165,14 +166,14 @@
         }
     }
 
-    int cancelNow(int count, long hangMicros) {
+    int cancelRunningJobs(int count, long hangMicros) {
         List<String> running = new ArrayList<>(cluster.observed.runningJobs());
         Collections.shuffle(running, random);
         List<String> chosen = running.subList(0, Math.min(count, running.size()));
         if (hangMicros > 0) {
             cluster.observed.machinesOf(chosen).stream()
-                    .limit(MOST_HUNG)
-                    .forEach(agent -> agent.hungUntil = cluster.loop.now() + hangMicros);
+                    .limit(MAX_HUNG_MACHINES)
+                    .forEach(agent -> agent.hungUntilMicros = cluster.loop.now() + hangMicros);
         }
         chosen.forEach(
                 jobId ->
@@ -181,14 +182,15 @@
         return chosen.size();
     }
 
-    void cancelAtEnd(int ofHundred, long until) {
-        endsOfHundred = ofHundred;
-        endsUntil = until;
+    void cancelAtEndUntil(int percent, long until) {
+        cancelAtEndPercent = percent;
+        cancelAtEndUntilMicros = until;
     }
 
     /** At that very moment, or while its end is being written down. */
-    void lastTaskEnded(String jobId) {
-        if (cluster.loop.now() < endsUntil && random.nextInt(100) < endsOfHundred) {
+    void onLastTaskDone(String jobId) {
+        if (cluster.loop.now() < cancelAtEndUntilMicros
+                && random.nextInt(100) < cancelAtEndPercent) {
             cluster.cancelledAtEnd++;
             cluster.loop.after(
                     random.nextBoolean() ? 1 : random.nextInt(800_000),
@@ -196,13 +198,13 @@
         }
     }
 
-    void oneTaskJobs(int perSecond, long until, int ofHundredCancelled) {
+    void submitOneTaskJobsUntil(int perSecond, long until, int cancelPercent) {
         cluster.loop.after(
                 1_000_000 / perSecond,
                 () -> {
                     if (cluster.loop.now() < until) {
                         String jobId = cluster.users.newJobId();
-                        Map<String, Object> job = plain(jobId);
+                        Map<String, Object> job = oneTaskJob(jobId);
                         try {
                             cluster.observed.recordSubmission(JobDescription.parse(job));
                         } catch (MalformedMessageException e) {
@@ -211,18 +213,18 @@
                         cluster.oneTaskJobsMade++;
                         cluster.users.submit(
                                 jobId, job, cluster.loop.now() + 60_000_000, accepted -> {});
-                        if (random.nextInt(100) < ofHundredCancelled) {
+                        if (random.nextInt(100) < cancelPercent) {
                             cluster.oneTaskJobsCancelled++;
                             cluster.loop.after(
                                     random.nextInt(6_000_000), () -> cluster.users.cancel(jobId));
                         }
-                        oneTaskJobs(perSecond, until, ofHundredCancelled);
+                        submitOneTaskJobsUntil(perSecond, until, cancelPercent);
                     }
                 });
     }
 
     /** A job with every field, of one small task. */
-    private Map<String, Object> plain(String jobId) {
+    private Map<String, Object> oneTaskJob(String jobId) {
         Map<String, Object> job = new LinkedHashMap<>();
         job.put("uid", jobId);
         job.put("jobclass", "work");
--- a/src/test/java/org/woadloom/sim/WaitingJobs.java
+++ b/src/test/java/org/woadloom/sim/WaitingJobs.java
@@ -85,7 +85,7 @@
         for (SimulatedAgent machine : cluster.agents()) {
             String zone = machine.zone;
             boolean fits =
-                    !machine.dead
+                    !machine.failed
                             && (job.zone() == null || job.zone().equals(zone))
                             && (job.machineTypes() == null
                                     || job.machineTypes().contains(machine.machineType))
@@ -96,7 +96,7 @@
             if (fits) {
                 freeSlots.merge(
                         job.sameZone() ? zone : "",
-                        (int) (machine.free() / job.cpus() + 1e-9),
+                        (int) (machine.freeCpus() / job.cpus() + 1e-9),
                         Integer::sum);
             }
         }
--- a/src/test/java/org/woadloom/soak/SoakStore.java
+++ b/src/test/java/org/woadloom/soak/SoakStore.java
@@ -47,7 +47,7 @@
     }
 
     void setOutage(boolean out) {
-        store.outage(out);
+        store.setOutage(out);
     }
 
     void setLosesAnswers(boolean loses) {
