--- a/src/test/java/org/woadloom/sim/RandomFaults.java
+++ b/src/test/java/org/woadloom/sim/RandomFaults.java
@@ -4,8 +4,8 @@
 import java.util.Random;
 
 /**
- * Draws faults of a simulated cluster at random, and their times. The order of the draws is part of
- * what a seed stands for: a change of it changes every random run.
+ * Injects random faults into a simulated cluster at random times. A seed only reproduces a run if
+ * the order of the random draws stays the same.
  */
 final class RandomFaults {
     private final ClusterSimulation cluster;
@@ -16,7 +16,7 @@
         this.random = random;
     }
 
-    /** Any fault, every two to eleven seconds until the given time. */
+    /** Injects a random fault every 2 to 11 s until the given time. */
     void startUntil(long until) {
         cluster.copies = Math.max(cluster.copies, 3);
         cluster.observed.faultFreeFromMicros = until + 60_000_000;
@@ -143,7 +143,7 @@
         cluster.users.pollUnknownJob();
     }
 
-    /** Machines hang or die at random until the given time, and now and then a controller ends. */
+    /** Lets machines hang or fail, or restarts a node, every 1 to 6 s until the given time. */
     void startMachineFaultsUntil(long until) {
         cluster.loop.after(
                 1_000_000 + random.nextInt(5_000_000),
@@ -165,8 +165,8 @@
     }
 
     /**
-     * Replaces a node by version 3 or by this one now and then until the given time, and then all
-     * by this one.
+     * Replaces a random node by version 3 or the current version every 5 to 20 s until the given
+     * time, then all nodes by the current version.
      */
     void changeVersionsUntil(long until) {
         cluster.loop.after(
--- a/src/test/java/org/woadloom/sim/SimulatedAgent.java
+++ b/src/test/java/org/woadloom/sim/SimulatedAgent.java
@@ -10,7 +10,10 @@
 import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.protocol.TaskId;
 
-/** A worker, written from the protocol: leases, tokens, reports and commands. */
+/**
+ * An agent on a machine, implemented from the protocol and independently of the production code:
+ * leases, fencing tokens, heartbeats and commands.
+ */
 final class SimulatedAgent {
     private static final long IMAGE_FETCH_MICROS = 800_000;
 
@@ -45,25 +48,24 @@
     boolean failed;
     long hungUntilMicros;
 
-    /** Its reports arrive until then, and neither answers nor commands reach it. */
+    /** Until then its heartbeats reach the nodes, but neither answers nor commands reach it. */
     long inboundBlockedUntilMicros;
 
-    /** Commands reach it until then, and nothing that it says arrives. */
+    /** Until then commands reach it, but neither its heartbeats nor its answers arrive. */
     long outboundBlockedUntilMicros;
 
     /**
-     * It can't open connections to any node until then; commands reach it, and their answers
-     * arrive.
+     * Until then it can't open connections to nodes. Commands still reach it, and its answers to
+     * them arrive.
      */
     long connectsBlockedUntilMicros;
 
-    /** Its running tasks that were killed because its lease ended. */
+    /** Number of its running tasks that were killed because its lease expired. */
     int tasksKilledByLease;
 
-    /** Tasks that began here. */
     int tasksStarted;
 
-    /** The highest token that it was sent, whether it arrived or not. */
+    /** The highest fencing token that was sent to this agent, whether or not it arrived. */
     long highestTokenSent;
 
     SimulatedAgent(
@@ -87,8 +89,8 @@
     }
 
     /**
-     * The lease ends on time, also on a machine that hangs: it has no tasks any more when it goes
-     * on.
+     * Checks the lease at its expiry, even while the machine hangs, so that no task of an expired
+     * lease is left when the machine resumes.
      */
     private void scheduleLeaseChecks() {
         cluster.loop.at(
@@ -138,7 +140,7 @@
         return cluster.loop.now() < connectsBlockedUntilMicros;
     }
 
-    /** The tasks that run here. */
+    /** IDs of the tasks in status running. */
     Set<TaskId> runningTasks() {
         Set<TaskId> running = new LinkedHashSet<>();
         tasks.values().stream()
@@ -224,7 +226,7 @@
                         node = ClusterSimulation.nodeIndex(leader);
                         hasChanges = true;
                     } else {
-                        // It tries the next node a second later, and none before.
+                        // Waits for a second, then tries the next node.
                         reportSentMicros = sent;
                         cluster.loop.after(
                                 1_000_000,
@@ -237,7 +239,10 @@
                 });
     }
 
-    /** Whether one more task of the job may be put here, and has room. */
+    /**
+     * Whether the machine is reachable, satisfies the job's constraints and has capacity for a
+     * task.
+     */
     boolean canStartTask(JobDescription job) {
         double used = 0;
         for (Task task : tasks.values()) {
@@ -257,13 +262,14 @@
                 && (!spot || job.spotAllowed());
     }
 
-    /** A direct command as it arrives, perhaps late. */
+    /** Handles a direct command, which may be late. Returns the HTTP status and a heartbeat. */
     Object[] handleDirectCommand(Map<String, Object> body) {
         checkLease();
         long token = (Long) body.get("epoch");
         if (token < fencingToken || (Long) body.get("tenure") != incarnation) {
-            // The protocol says the highest token it has seen: every other worker has seen that of
-            // a refused command, too.
+            // A heartbeat carries the highest token that the agent has seen. The protocol leaves
+            // open
+            // whether tokens of rejected commands count; for half of the agents they do.
             fencingToken = host.hashCode() % 2 == 0 ? Math.max(fencingToken, token) : fencingToken;
             return new Object[] {409, heartbeat()};
         }
@@ -301,7 +307,7 @@
         }
     }
 
-    /** How many processors no task of its holds. */
+    /** CPUs that are not held by a task. */
     double freeCpus() {
         double free = cpus;
         for (Task task : tasks.values()) {
@@ -310,9 +316,7 @@
         return free;
     }
 
-    /**
-     * How many processors tasks of the team hold here, those that wait for their image among them.
-     */
+    /** CPUs held by tasks of the team on this machine, including tasks that fetch their image. */
     double cpusHeldBy(String team) {
         double held = 0;
         for (Task task : tasks.values()) {
@@ -330,15 +334,25 @@
         }
         JobDescription job = cluster.observed.job(id.jobId());
         if (job == null) {
-            throw new InvariantViolation(ProtocolRule.ACCEPTED_UNFIT, id + " is started");
+            throw new InvariantViolation(
+                    ProtocolRule.ACCEPTED_UNFIT,
+                    id + " is launched on " + host + ", but its job was never validly submitted");
         }
         Task task = new Task(id, attempt);
         if (present != null && !present.status.equals("exited")) {
-            // The refused attempt can't be listed beside the other one in this stand-in; the leader
-            // must not get here.
+            // This agent can't report a rejected attempt next to a running one, so the leader must
+            // not launch a second attempt.
             throw new InvariantViolation(
                     ProtocolRule.RAN_TWICE,
-                    id + " is sent to " + host + " where another attempt is");
+                    id
+                            + " attempt "
+                            + attempt
+                            + " is launched on "
+                            + host
+                            + ", where attempt "
+                            + present.attempt
+                            + " is "
+                            + present.status);
         }
         tasks.put(id, task);
         double used = 0;
@@ -402,7 +416,7 @@
         cluster.invariants.onTaskEnded(task.id, this, cause.equals("done"));
     }
 
-    /** The machine is gone, and everything on it. */
+    /** Ends the machine and all of its tasks. */
     void fail() {
         failed = true;
         for (Task task : tasks.values()) {
--- a/src/test/java/org/woadloom/sim/SimulatedCloud.java
+++ b/src/test/java/org/woadloom/sim/SimulatedCloud.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Random;
 
-/** The cloud, written from the protocol; its list lags. */
+/** The cloud API, implemented from the protocol. Its list of machines lags by a few seconds. */
 final class SimulatedCloud {
     static final int CAPACITY = 14;
 
@@ -20,14 +20,14 @@
     int capacity = CAPACITY;
     boolean down;
 
-    /** How many of a hundred rentals and deletions are carried out late, and get no answer. */
+    /** Percentage of rentals and deletions that are executed 2 to 20 s late and get no answer. */
     int latePercent;
 
     final List<String> rentedForFormerLeaders = new ArrayList<>();
     int deletedForFormerLeaders;
 
     /**
-     * Until then machines are up within two seconds, some of them before their rental is answered.
+     * Until then machines boot within two seconds, some of them before their rental is answered.
      */
     long fastBootUntilMicros;
 
--- a/src/test/java/org/woadloom/sim/SimulatedEventLoop.java
+++ b/src/test/java/org/woadloom/sim/SimulatedEventLoop.java
@@ -4,7 +4,8 @@
 import org.woadloom.net.EventLoop;
 
 /**
- * Virtual time: tasks run in the order of their times, and of their making where those are equal.
+ * An event loop in virtual time. Tasks run in order of their time; tasks with the same time run in
+ * the order in which they were scheduled.
  */
 public final class SimulatedEventLoop {
     private record Task(long at, long order, Runnable run, boolean[] cancelled) {}
@@ -32,7 +33,7 @@
         return at(now + delay, run);
     }
 
-    /** Runs the next task; false if there is none before the given time. */
+    /** Runs the next task; returns false if none is due up to and including {@code until}. */
     boolean step(long until) {
         Task next = tasks.peek();
         if (next == null || next.at > until) {
@@ -53,7 +54,7 @@
         }
     }
 
-    /** The loop of a node that never ends, with a clock that is right. */
+    /** Returns the loop of a node that never stops and whose wall clock equals the virtual time. */
     EventLoop loop() {
         return new EventLoop() {
             @Override
--- a/src/test/java/org/woadloom/sim/SimulatedStore.java
+++ b/src/test/java/org/woadloom/sim/SimulatedStore.java
@@ -14,9 +14,9 @@
 import org.woadloom.store.StoreClient;
 import org.woadloom.store.StoreLimits;
 
-/** The state service, written from the protocol. */
+/** The store, implemented in memory from the protocol. */
 public final class SimulatedStore {
-    /** Entries of a page by default: few, so that readers meet the second one. */
+    /** Default page size: small, so that listings need several pages. */
     private static final int SMALL_PAGE_ENTRIES = 7;
 
     private static final int MAX_PAGE_ENTRIES = 1_000;
@@ -43,7 +43,7 @@
         this.limits = limits;
     }
 
-    /** Gives as many entries on a page as the protocol allows. */
+    /** Returns pages with as many entries as the protocol allows. */
     public SimulatedStore withFullPages() {
         pageEntries = MAX_PAGE_ENTRIES;
         return this;
@@ -54,7 +54,7 @@
         void answer(int status, Map<String, Object> body);
     }
 
-    /** The client of one node that leads or follows alone. */
+    /** Creates a store client for a node without peers. */
     static StoreClient client(
             EventLoop loop, HttpTransport transport, ServiceSettings.Store limits, long seed) {
         ServiceSettings settings =
@@ -66,7 +66,7 @@
     public void setOutage(boolean begins) {
         down = begins;
         if (!begins) {
-            // After an outage every lease has its full time again.
+            // After an outage every lease has its full duration again.
             for (Map.Entry<Long, long[]> storeLease : new ArrayList<>(leases.entrySet())) {
                 storeLease.getValue()[1] = loop.now() + storeLease.getValue()[0];
                 expireLater(storeLease.getKey());
@@ -75,7 +75,7 @@
         }
     }
 
-    /** From now on the announced limits hold. */
+    /** Applies the limits that were announced as the next ones. */
     void applyNextLimits() {
         limits = limits.next();
     }
@@ -107,7 +107,7 @@
         return entries.ceilingKey(prefix) != null && entries.ceilingKey(prefix).startsWith(prefix);
     }
 
-    /** How many values there are below the prefix, and how many of them are such. */
+    /** Counts the values below the prefix: all of them, and those that match the predicate. */
     int[] count(String prefix, Predicate<Map<?, ?>> predicate) {
         int[] found = {0, 0};
         entries.subMap(prefix, prefix + Character.MAX_VALUE)
--- a/src/test/java/org/woadloom/sim/SimulatedUsers.java
+++ b/src/test/java/org/woadloom/sim/SimulatedUsers.java
@@ -10,15 +10,14 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * The users of a simulated cluster: they submit jobs and pipelines, poll what was accepted, and
- * cancel some of it, each request at a node chosen at random. {@link UserFaults} has what they do
- * beyond that.
+ * The users of a simulated cluster: they submit jobs and pipelines, poll accepted jobs and cancel
+ * some of them. Each request goes to a random node. {@link UserFaults} has unusual user behaviour.
  */
 final class SimulatedUsers {
-    /** For so long a user repeats a submission that gets no answer. */
+    /** How long a user retries a submission that is not accepted. */
     private static final long SUBMIT_TIMEOUT_MICROS = 60_000_000;
 
-    /** For so long a user repeats a cancellation of a job that nobody knows. */
+    /** How long a user retries the cancellation of a job that the nodes do not know. */
     private static final long UNKNOWN_JOB_MICROS = 70_000_000;
 
     private final ClusterSimulation cluster;
@@ -37,7 +36,7 @@
         submitUntil(until, 1);
     }
 
-    /** Submits so many times as many jobs as usual until the given time. */
+    /** Submits jobs at {@code times} the usual rate until the given time. */
     void submitUntil(long until, int times) {
         cluster.loop.after(
                 (300_000 + random.nextInt(2_500_000)) / times,
@@ -57,7 +56,7 @@
         newJob(newJobId(), random.nextInt(10), List.of(), accepted -> {});
     }
 
-    /** Submits a job; the last argument hears when it is accepted. */
+    /** Submits a job; {@code onAccepted} is called with its ID when it is accepted. */
     private void newJob(
             String jobId, int kind, List<String> dependencies, Consumer<String> onAccepted) {
         Map<String, Object> map = new LinkedHashMap<>();
@@ -107,7 +106,7 @@
         }
     }
 
-    /** Among a crowd of teams one asks for as much as all others together. */
+    /** Returns a random team; with additional teams, half of the jobs go to the first of them. */
     private String team() {
         if (cluster.scenario.extraTeams() == 0) {
             return random.nextBoolean() ? "red" : "blue";
@@ -153,9 +152,9 @@
     }
 
     /**
-     * A chain with branches, each job submitted once those before it are accepted. Some name jobs
-     * that were there before, some have their last job only much later, and any job may be
-     * cancelled at any time.
+     * Submits a pipeline of 1 to 5 stages with up to two jobs each. A stage is submitted once the
+     * previous one is accepted. Some pipelines depend on an earlier job, some submit their last
+     * stage up to 60 s later, and any job may be cancelled at any time.
      */
     private void submitPipeline() {
         List<String> before = new ArrayList<>();
@@ -222,7 +221,7 @@
                 });
     }
 
-    /** A user gets an answer. */
+    /** Called when a user receives an answer. */
     void onAnswer(
             UserRequest request, String jobId, long sent, int status, Map<String, Object> body) {
         cluster.invariants.onAnswer(request, jobId, sent, status, body);
@@ -234,8 +233,8 @@
     }
 
     /**
-     * A job that is not known yet may be accepted still, and would run for ever if nobody asked
-     * again.
+     * Retries after a 404 until {@code unknownUntil}: a submission in flight may still be accepted,
+     * and the job would never be cancelled.
      */
     private void cancel(String jobId, long unknownUntil) {
         cluster.observed.recordCancelRequest(jobId);
@@ -255,7 +254,7 @@
                 });
     }
 
-    /** Polls a job that nobody submitted. */
+    /** Polls a job that no user submitted. */
     void pollUnknownJob() {
         cluster.toNode(
                 "users",
@@ -268,7 +267,7 @@
                         cluster.invariants.onAnswer(UserRequest.POLL, "j-999999", 0, status, body));
     }
 
-    /** Every user asks to cancel, on whatever node can be reached. */
+    /** Cancels all accepted jobs. */
     void cancelAll() {
         cluster.observed.acceptedJobs().forEach(this::cancel);
     }
--- a/src/test/java/org/woadloom/sim/StoreFaults.java
+++ b/src/test/java/org/woadloom/sim/StoreFaults.java
@@ -2,9 +2,9 @@
 
 import java.util.Random;
 
-/** What befalls requests to the state service: answers that get lost, and slowness. */
+/** Faults of requests to the store: lost answers to transactions, and delays. */
 final class StoreFaults {
-    /** For so long nodes wait for an answer. */
+    /** How long nodes wait for an answer. */
     private static final long STORE_TIMEOUT_MICROS = 2_000_000;
 
     private final ClusterSimulation cluster;
@@ -35,7 +35,9 @@
         slowUntil = until;
     }
 
-    /** A request that has come there, perhaps later, and whose answer may be lost, or late. */
+    /**
+     * Passes a request on to the store. It may be delayed, and its answer may be delayed or lost.
+     */
     void forward(int node, String path, SimulatedStore.Answer reply, Request request) {
         long now = cluster.loop.now();
         boolean reads = path.startsWith("/keys/job/") || path.startsWith("/follow?prefix=job/");
--- a/src/test/java/org/woadloom/sim/UserFaults.java
+++ b/src/test/java/org/woadloom/sim/UserFaults.java
@@ -12,14 +12,14 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * What users do beyond what they do every day: they look closely, ask for what can't be, and call
- * jobs off at bad moments.
+ * Unusual behaviour of users: bursts of polls after each change, invalid and repeated requests, and
+ * cancellations at unfavourable moments.
  */
 final class UserFaults {
     private static final int POLLS_PER_NODE = 3;
     private static final int MAX_HUNG_MACHINES = 8;
 
-    /** A job must have these; the others may be null, and so may be missing. */
+    /** Required fields of a job. The others may be null or missing. */
     static final List<String> REQUIRED_FIELDS =
             List.of(
                     "jobclass",
@@ -56,7 +56,10 @@
         pollChangesUntilMicros = until;
     }
 
-    /** A user was told something of a job; what is new is looked at closely by all who care. */
+    /**
+     * Called when a user receives an answer. If it is the first that shows the job as accepted, or
+     * as done or cancelled, users poll the job at every node and submit it again; some cancel it.
+     */
     void onAnswer(String jobId, int status) {
         if (cluster.loop.now() >= pollChangesUntilMicros
                 || status != 200 && status != 201
@@ -115,6 +118,11 @@
                 });
     }
 
+    /**
+     * Sends a request of one of five kinds: 0 submits an open job again, 1 does so without a required
+     * field, 2 cancels a job that is done or cancelled, 3 submits a new job that can never run, 4
+     * submits a new job without a required field.
+     */
     private void sendUnusualRequest(int kind) {
         List<String> such = new ArrayList<>(cluster.observed.acceptedJobs());
         such.removeIf(jobId -> cluster.observed.hasFinalStatus(jobId) != (kind == 2));
@@ -187,7 +195,9 @@
         cancelAtEndUntilMicros = until;
     }
 
-    /** At that very moment, or while its end is being written down. */
+    /**
+     * Cancels some jobs just as their last task ends or up to 0.8 s later, while that is stored.
+     */
     void onLastTaskDone(String jobId) {
         if (cluster.loop.now() < cancelAtEndUntilMicros
                 && random.nextInt(100) < cancelAtEndPercent) {
@@ -223,7 +233,7 @@
                 });
     }
 
-    /** A job with every field, of one small task. */
+    /** A valid job of one small task, with all fields. */
     private Map<String, Object> oneTaskJob(String jobId) {
         Map<String, Object> job = new LinkedHashMap<>();
         job.put("uid", jobId);
