--- a/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
@@ -65,7 +65,7 @@
         private void ask(String jobId, long since) {
             long sent = cluster.loop.now();
             int node = cluster.random.nextInt(ClusterSimulation.NODES);
-            cluster.toNode(
+            cluster.sendToNode(
                     "users",
                     node,
                     "POST",
@@ -114,8 +114,8 @@
                                 Version.CURRENT,
                                 flaw,
                                 0));
-        cluster.trouble = 0;
-        cluster.servicesStay = true;
+        cluster.networkFaultPerMille = 0;
+        cluster.noRandomCancellations = true;
         cluster.users.submitUntil(AT + 30 * S, 6);
         cluster.run(AT);
         return cluster;
@@ -134,20 +134,20 @@
             void begin(ClusterSimulation cluster) {
                 for (int node = 0; node < ClusterSimulation.NODES; node++) {
                     int ending = node;
-                    cluster.loop.after(node * 5 * S, () -> cluster.end(ending, 300_000));
+                    cluster.loop.after(node * 5 * S, () -> cluster.restartAfter(ending, 300_000));
                 }
             }
         },
         LEADER_ENDS(1, 4000) {
             @Override
             void begin(ClusterSimulation cluster) {
-                cluster.endLeader(8 * S);
+                cluster.restartLeader(8 * S);
             }
         },
         LEADER_RETURNS_AT_ONCE(1, 600) {
             @Override
             void begin(ClusterSimulation cluster) {
-                cluster.endLeader(200_000);
+                cluster.restartLeader(200_000);
             }
         },
         LEADER_FREEZES(1, 6500) {
@@ -159,13 +159,13 @@
         CUT_ENDS(1, 6500) {
             @Override
             void begin(ClusterSimulation cluster) {
-                cluster.isolate(cluster.leader(), 9 * S);
+                cluster.isolateNode(cluster.leader(), 9 * S);
             }
         },
         REFUSED_UNTIL_DEPOSED(1, 4500) {
             @Override
             void begin(ClusterSimulation cluster) {
-                cluster.refuseState(cluster.leader(), 9 * S);
+                cluster.refuseNodeAtStore(cluster.leader(), 9 * S);
             }
         },
         TEN_CHANGES(10, 1500) {
@@ -174,7 +174,7 @@
                 for (int i = 0; i < 10; i++) {
                     cluster.loop.after(
                             i * 3 * S,
-                            () -> cluster.endLeader(100_000 + cluster.random.nextInt(900_000)));
+                            () -> cluster.restartLeader(100_000 + cluster.random.nextInt(900_000)));
                 }
             }
         },
@@ -182,7 +182,7 @@
             @Override
             void begin(ClusterSimulation cluster) {
                 for (int node = 0; node < ClusterSimulation.NODES; node++) {
-                    cluster.end(node, node == 0 ? 300_000 : 25 * S);
+                    cluster.restartAfter(node, node == 0 ? 300_000 : 25 * S);
                 }
             }
         };
@@ -246,8 +246,8 @@
         ClusterSimulation cluster =
                 new ClusterSimulation(
                         seed, new Scenario(Scenario.LONG_TIMES, told, Version.CURRENT, flaw, 0));
-        cluster.trouble = 0;
-        cluster.servicesStay = true;
+        cluster.networkFaultPerMille = 0;
+        cluster.noRandomCancellations = true;
         cluster.users.submitUntil(AT, 6);
         cluster.run(AT);
         Cancellers users = new Cancellers(cluster);
@@ -255,35 +255,35 @@
         for (long at = 0; at < 400_000; at += 20_000) {
             cluster.loop.after(at, users::one);
         }
-        cluster.hintsLost = what != Else.NOTHING;
+        cluster.changeNotificationsLost = what != Else.NOTHING;
         if (what == Else.PEERS_CUT_BEFORE) {
             cluster.refusePeers(90 * S);
         }
         cluster.loop.after(
                 200_000,
                 () -> {
-                    cluster.refuseState(leader, 90 * S);
+                    cluster.refuseNodeAtStore(leader, 90 * S);
                     switch (what) {
                         case PEERS_CUT -> cluster.refusePeers(90 * S);
                         case ANOTHER_REFUSED ->
-                                cluster.refuseStateToo(
+                                cluster.refuseSecondNodeAtStore(
                                         (leader + 1) % ClusterSimulation.NODES, 90 * S);
                         case ANOTHER_ALONE ->
-                                cluster.isolate((leader + 1) % ClusterSimulation.NODES, 20 * S);
+                                cluster.isolateNode((leader + 1) % ClusterSimulation.NODES, 20 * S);
                         case CONFIRMING_NODES_END ->
                                 cluster.loop.after(
                                         350_000,
                                         () -> {
-                                            cluster.end(
+                                            cluster.restartAfter(
                                                     (leader + 1) % ClusterSimulation.NODES,
                                                     300_000);
-                                            cluster.end(
+                                            cluster.restartAfter(
                                                     (leader + 2) % ClusterSimulation.NODES, 20 * S);
                                         });
                         default -> {}
                     }
                 });
-        cluster.loop.after(1_200_000, () -> cluster.stateOutage(64 * S));
+        cluster.loop.after(1_200_000, () -> cluster.storeOutage(64 * S));
         cluster.run(AT + 1_200_000);
         int confirmed = cluster.observed.cancelledWhileRunning;
         cluster.run(AT + 90 * S);
@@ -314,16 +314,16 @@
         int confirmed = 0;
         for (long seed : Seeds.firstOrConfigured(SEEDS + 1)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
-            cluster.lookClosely(25 * S);
-            cluster.slowState(900_000, 12 * S);
+            cluster.pollAfterChanges(25 * S);
+            cluster.slowStore(900_000, 12 * S);
             Cancellers users = cancelling(cluster, 20 * S);
-            cluster.loop.after(8 * S, () -> cluster.gap(4 * S, 60 * S));
+            cluster.loop.after(8 * S, () -> cluster.refuseLeaderThenStoreOutage(4 * S, 60 * S));
             cluster.run(AT + 12 * S);
             confirmed += cluster.observed.cancelledWhileRunning;
             cluster.run(AT + 100 * S);
             assertTrue(
-                    cluster.closeLooks > 10,
-                    "only " + cluster.closeLooks + " close looks, seed " + seed);
+                    cluster.pollBursts > 10,
+                    "only " + cluster.pollBursts + " close looks, seed " + seed);
             assertEquals(0, users.open, users + ", seed " + seed);
         }
         assertTrue(confirmed > 3, "only " + confirmed + " confirmed before the outage");
@@ -337,7 +337,7 @@
         ENDED {
             @Override
             void meet(ClusterSimulation cluster) {
-                cluster.endLeader(3 * S);
+                cluster.restartLeader(3 * S);
             }
         },
         FROZEN {
@@ -349,13 +349,13 @@
         ISOLATED {
             @Override
             void meet(ClusterSimulation cluster) {
-                cluster.isolate(cluster.leader(), 40 * S);
+                cluster.isolateNode(cluster.leader(), 40 * S);
             }
         },
         REFUSED {
             @Override
             void meet(ClusterSimulation cluster) {
-                cluster.refuseState(cluster.leader(), 40 * S);
+                cluster.refuseNodeAtStore(cluster.leader(), 40 * S);
             }
         };
 
@@ -370,7 +370,7 @@
         for (long seed : Seeds.firstOrConfigured(SEEDS)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
             for (int i = 0; i < 2; i++) {
-                called += cluster.cancelNow(6, 5 * S + i * 9 * S);
+                called += cluster.cancelRunningJobs(6, 5 * S + i * 9 * S);
                 cluster.loop.after(
                         i * 60_000,
                         () -> {
@@ -399,12 +399,12 @@
             cluster.loseAnswers(40, 35 * S);
             Cancellers users = cancelling(cluster, 30 * S);
             for (int i = 0; i < 6; i++) {
-                cluster.loop.after(i * 5 * S, () -> cluster.endLeader(300_000));
+                cluster.loop.after(i * 5 * S, () -> cluster.restartLeader(300_000));
             }
             cluster.run(AT + 90 * S);
             assertTrue(
-                    cluster.lostAnswersMade > 30,
-                    "only " + cluster.lostAnswersMade + " lost, seed " + seed);
+                    cluster.storeAnswersLost > 30,
+                    "only " + cluster.storeAnswersLost + " lost, seed " + seed);
             // As many terms as leaders ended: none was given up for an answer that was lost.
             assertEquals(6, cluster.term() - term, "terms, seed " + seed);
             assertEquals(0, users.open, users + ", seed " + seed);
--- a/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
@@ -43,8 +43,8 @@
                                 Version.CURRENT,
                                 flaw,
                                 0));
-        cluster.trouble = 0;
-        cluster.servicesStay = true;
+        cluster.networkFaultPerMille = 0;
+        cluster.noRandomCancellations = true;
         cluster.users.submitUntil(AT);
         cluster.run(AT);
         return cluster;
@@ -53,8 +53,8 @@
     private static void lose(ClusterSimulation cluster, Lost lost) {
         switch (lost) {
             case NOTHING -> {}
-            case HINTS -> cluster.hintsLost = true;
-            case DIRECTS -> cluster.directsLost = true;
+            case HINTS -> cluster.changeNotificationsLost = true;
+            case DIRECTS -> cluster.directCommandsLost = true;
             case PEERS_UNTIL_THE_OUTAGE -> cluster.refusePeers(REFUSED);
             case PEERS_UNTIL_IN_THE_OUTAGE -> cluster.refusePeers(REFUSED + 6_000_000);
             case PEERS_THROUGHOUT -> cluster.refusePeers(REFUSED + DOWN);
@@ -63,9 +63,9 @@
 
     /** The refusal begins, users cancel everything, and the outage comes. */
     private static void refusedThenDown(ClusterSimulation cluster, long cancelAfterMicros) {
-        cluster.refuseState(cluster.leader(), 14_000_000);
+        cluster.refuseNodeAtStore(cluster.leader(), 14_000_000);
         cluster.loop.after(cancelAfterMicros, cluster.users::cancelAll);
-        cluster.loop.after(REFUSED, () -> cluster.stateOutage(DOWN));
+        cluster.loop.after(REFUSED, () -> cluster.storeOutage(DOWN));
     }
 
     private static int confirmedBehindItsBack(Lost lost, long seed, Flaw flaw) {
@@ -100,15 +100,15 @@
         int kept = 0;
         for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
-            cluster.hintsLost = true;
-            cluster.refuseState(cluster.leader(), 14_000_000);
+            cluster.changeNotificationsLost = true;
+            cluster.refuseNodeAtStore(cluster.leader(), 14_000_000);
             cluster.loop.after(
                     300_000,
                     () ->
                             cluster.observed.runningJobs().stream()
                                     .limit(6)
                                     .forEach(cluster.users::cancel));
-            cluster.loop.after(REFUSED, () -> cluster.stateOutage(DOWN));
+            cluster.loop.after(REFUSED, () -> cluster.storeOutage(DOWN));
             cluster.run(AT + REFUSED);
             confirmed += cluster.observed.cancelledWhileRunning;
             kept += cluster.observed.runningJobs().size();
@@ -127,12 +127,12 @@
         int confirmed = 0;
         for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
-            cluster.hintsLost = true;
+            cluster.changeNotificationsLost = true;
             int leader = cluster.leader();
-            cluster.stateOutage(20_000_000);
-            cluster.loop.after(18_000_000, () -> cluster.refuseState(leader, 90_000_000));
+            cluster.storeOutage(20_000_000);
+            cluster.loop.after(18_000_000, () -> cluster.refuseNodeAtStore(leader, 90_000_000));
             cluster.loop.after(20_200_000, cluster.users::cancelAll);
-            cluster.loop.after(23_000_000, () -> cluster.stateOutage(DOWN));
+            cluster.loop.after(23_000_000, () -> cluster.storeOutage(DOWN));
             cluster.run(AT + 23_000_000);
             confirmed += cluster.observed.cancelledWhileRunning;
             cluster.run(QUIET);
@@ -159,14 +159,15 @@
     void theConfirmingNodeEnds(long endsMillis, long awayMillis) {
         for (long seed : Seeds.first(2)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
-            cluster.hintsLost = true;
+            cluster.changeNotificationsLost = true;
             int leader = cluster.leader();
             refusedThenDown(cluster, 300_000);
             for (int node = 0; node < ClusterSimulation.NODES; node++) {
                 if (node != leader) {
                     int ending = node;
                     cluster.loop.after(
-                            endsMillis * 1000, () -> cluster.end(ending, awayMillis * 1000));
+                            endsMillis * 1000,
+                            () -> cluster.restartAfter(ending, awayMillis * 1000));
                 }
             }
             cluster.run(QUIET);
@@ -190,8 +191,8 @@
                                     Version.CURRENT,
                                     Flaw.NONE,
                                     0));
-            cluster.trouble = 0;
-            cluster.servicesStay = true;
+            cluster.networkFaultPerMille = 0;
+            cluster.noRandomCancellations = true;
             cluster.users.submitUntil(AT);
             for (int chain = 0; chain < 3; chain++) {
                 cluster.users.submitPipelinesUntil(AT);
@@ -210,9 +211,10 @@
     void aSecondGapFollows() {
         for (long seed : Seeds.first(3)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
-            cluster.gap(2_000_000, DOWN);
+            cluster.refuseLeaderThenStoreOutage(2_000_000, DOWN);
             cluster.users.submitUntil(AT + 150_000_000);
-            cluster.loop.after(87_000_000, () -> cluster.gap(1_500_000, DOWN));
+            cluster.loop.after(
+                    87_000_000, () -> cluster.refuseLeaderThenStoreOutage(1_500_000, DOWN));
             cluster.run(AT + 300_000_000);
         }
     }
@@ -226,9 +228,9 @@
         for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
             cluster.refusePeers(40_000_000);
-            cluster.refuseState(cluster.leader(), 100_000_000);
+            cluster.refuseNodeAtStore(cluster.leader(), 100_000_000);
             cluster.loop.after(6_000_000, cluster.users::cancelAll);
-            cluster.loop.after(8_000_000, () -> cluster.stateOutage(DOWN));
+            cluster.loop.after(8_000_000, () -> cluster.storeOutage(DOWN));
             cluster.run(QUIET);
         }
     }
--- a/src/test/java/org/woadloom/sim/ClusterSimulation.java
+++ b/src/test/java/org/woadloom/sim/ClusterSimulation.java
@@ -38,15 +38,15 @@
      * Of the troubles that are off unless asked for: a run without them draws the same from {@link
      * #random} as ever.
      */
-    private final Random more;
+    private final Random faultRandom;
 
-    private final UserFaults userTroubles;
-    private final StoreFaults stateTroubles;
-    private final DelayedHeartbeats keptReports;
+    private final UserFaults userFaults;
+    private final StoreFaults storeFaults;
+    private final DelayedHeartbeats delayedHeartbeats;
     final ServiceSettings settings;
     final ObservedState observed;
     final InvariantChecker invariants;
-    private final SimulatedStore state;
+    private final SimulatedStore store;
     private final SimulatedCloud cloud;
     private final Member[] members = new Member[NODES];
     final Scenario scenario;
@@ -57,101 +57,101 @@
      * Two zones that can't reach each other, or none; the state service and the cloud belong to
      * neither.
      */
-    private List<String> cut = List.of();
+    private List<String> partitionedZones = List.of();
 
     /**
      * The zone that is cut off from everything else, the state service, the cloud and the users
      * among it; or null.
      */
-    private String island;
+    private String isolatedZone;
 
     /** While set, no node takes connections from another. */
-    private boolean peersRefused;
+    private boolean peerConnectionsRefused;
 
     /** The node that the state service refuses, or -1. */
-    private int refusedByState = -1;
+    private int nodeRefusedByStore = -1;
 
     /** A second one. */
-    private int alsoRefused = -1;
+    private int secondNodeRefusedByStore = -1;
 
     /** Nobody is told by a peer which jobs it has just changed. */
-    boolean hintsLost;
+    boolean changeNotificationsLost;
 
     /**
      * How many of a hundred transactions get no answer and are carried out 2 to 12 s later, after
      * newer ones.
      */
-    int lateWrites;
+    int lateWritePercent;
 
     /** How many of those changed something, and how many were void by then. */
-    final int[] lateWritesMade = {0, 0};
+    final int[] lateWriteOutcomes = {0, 0};
 
     /** Copies of reports that came again. */
-    int oldCopies;
+    int duplicateHeartbeatsDelivered;
 
     /** Commands that were executed when the machine went on, or could be reached again. */
-    int heldCommands;
+    int delayedCommandsExecuted;
 
     /** What nodes send straight to workers gets lost. */
-    boolean directsLost;
+    boolean directCommandsLost;
 
     /** Services run for ever, and nobody cancels anything. */
-    boolean servicesStay;
+    boolean noRandomCancellations;
 
     /** The node that no worker can reach and that reaches none, or -1. */
-    private int cutFromWorkers = -1;
+    private int nodeCutFromAgents = -1;
 
     /**
      * The node that has lost the state service and the other nodes, but neither its workers nor
      * users, or -1.
      */
-    private int isolated = -1;
+    private int isolatedNode = -1;
 
     /** How many of a hundred reports come again, up to a minute later, at any node. */
-    int copies;
+    int duplicateHeartbeatPercent;
 
     /** How many of a thousand requests are held back, or lose their answer. */
-    int trouble = 4;
+    int networkFaultPerMille = 4;
 
     /** By how much a node's time of day is off. */
-    final long[] clockOff = new long[NODES];
+    final long[] clockOffsetMicros = new long[NODES];
 
     /** Nodes whose settings name one more than there is. */
-    final boolean[] namesOneMore = new boolean[NODES];
+    final boolean[] hasExtraPeer = new boolean[NODES];
 
     /** Nodes that told the leader that they took care of workers. */
-    final boolean[] tookCare = new boolean[NODES];
+    final boolean[] renewedLeases = new boolean[NODES];
 
     /** Answers after which users looked closely. */
-    int closeLooks;
+    int pollBursts;
 
-    int oddRequestsMade;
-    int cancelledAtEnd;
-    int oneTaskJobsMade;
+    int unusualRequestsSent;
+    int jobsCancelledAtEnd;
+    int oneTaskJobsSubmitted;
     int oneTaskJobsCancelled;
 
     /** Transactions that were carried out and whose answer was lost. */
-    int lostAnswersMade;
+    int storeAnswersLost;
 
     /** Those after which another node read jobs before the one that wrote had given up. */
-    int lostAnswersReadElsewhere;
+    int lostAnswersFollowedByPeerRead;
 
     /** Copies that came to a node after the term had changed. */
-    int keptCopies;
+    int delayedHeartbeatsDelivered;
 
     /** Machines that were up within two seconds. */
-    int quickBoots;
+    int fastBoots;
 
     int leadersEndedInOutages;
 
     /** The service is broken at its store from this moment on. */
-    long brokenFrom;
+    long flawActiveFromMicros;
 
     /** Is shown each step of each node. */
     NodeStepObserver stepObserver = (node, now, commands, actions) -> {};
 
     private long slowLinksMicros;
-    private long slowLinksUntil;
+    private long slowLinksUntilMicros;
 
     /** Is shown each step of the nodes' cores. */
     interface NodeStepObserver {
@@ -170,7 +170,7 @@
         /** What the process is a stand-in for. */
         Version version;
 
-        int life;
+        int generation;
 
         /** The process stands still until then: whatever comes to it waits. */
         long frozenUntil;
@@ -183,7 +183,7 @@
         }
 
         void start() {
-            int mine = ++life;
+            int mine = ++generation;
             alive = true;
             frozenUntil = 0;
             NodeLoop nodeLoop = new NodeLoop(this, mine);
@@ -192,7 +192,7 @@
                     new Node(
                             nodeLoop,
                             (address, method, path, body, timeout, callback) ->
-                                    fromNode(
+                                    sendFromNode(
                                             this, mine, address, method, path, body, timeout,
                                             callback),
                             peers,
@@ -200,7 +200,7 @@
                                     index,
                                     scenario,
                                     scenario.configuredTimes(),
-                                    namesOneMore[index]),
+                                    hasExtraPeer[index]),
                             OperatorSettings.defaults(),
                             new Random(random.nextLong()),
                             (now, commands, actions) ->
@@ -210,11 +210,11 @@
 
         void kill() {
             alive = false;
-            life++;
+            generation++;
         }
 
         boolean lives(int mine) {
-            return alive && life == mine;
+            return alive && generation == mine;
         }
 
         /** Does it once the process goes on, if that is there still. */
@@ -246,7 +246,7 @@
             return 1_700_000_000_000_000L
                     + loop.now()
                     + member.index * 50_000L
-                    + clockOff[member.index];
+                    + clockOffsetMicros[member.index];
         }
 
         @Override
@@ -301,21 +301,21 @@
                 if (other == null || other == member) {
                     continue;
                 }
-                if (apart(zoneOf(other.index), zoneOf(member.index))) {
+                if (areZonesSeparated(zoneOf(other.index), zoneOf(member.index))) {
                     if (connected[other.index]) {
                         connected[other.index] = false;
                         listener.onConnectionLost(label(other.index), false);
                     }
                     continue;
                 }
-                if (isolated == member.index || isolated == other.index) {
+                if (isolatedNode == member.index || isolatedNode == other.index) {
                     if (connected[other.index]) {
                         connected[other.index] = false;
                         listener.onConnectionLost(label(other.index), false);
                     }
                     continue;
                 }
-                if (peersRefused) {
+                if (peerConnectionsRefused) {
                     boolean was = connected[other.index];
                     connected[other.index] = false;
                     listener.onConnectionLost(label(other.index), !was);
@@ -339,13 +339,13 @@
             if (other == null
                     || !other.alive
                     || !connected[other.index]
-                    || random.nextInt(1000) < trouble) {
+                    || random.nextInt(1000) < networkFaultPerMille) {
                 return;
             }
             if (message instanceof PeerMessage.StatusReport stands) {
-                tookCare[member.index] |= stands.status().sinceLastRenewalMicros() >= 0;
+                renewedLeases[member.index] |= stands.status().sinceLastRenewalMicros() >= 0;
             }
-            if (message instanceof PeerMessage.JobChangeNotification && hintsLost) {
+            if (message instanceof PeerMessage.JobChangeNotification && changeNotificationsLost) {
                 return;
             }
             if ((message instanceof PeerMessage.CancellationReport
@@ -356,7 +356,7 @@
             }
             PeerMessage sent =
                     scenario.flaw() == Scenario.Flaw.BREAKS_NO_RENEWAL_PROMISE
-                            ? withPromise(message)
+                            ? withNoRenewalPromise(message)
                             : message;
             if (scenario.flaw() == Scenario.Flaw.CONFIRMS_UNNAMED_CANCELLATIONS
                     && message instanceof PeerMessage.CancellationReport vouched) {
@@ -385,9 +385,11 @@
             }
             byte[] frame = codec.encode(sent);
             byte[] content = java.util.Arrays.copyOfRange(frame, 4, frame.length);
-            int life = other.life;
+            int life = other.generation;
             loop.after(
-                    random.nextInt(1000) < trouble ? random.nextInt(40_000_000) : delay(),
+                    random.nextInt(1000) < networkFaultPerMille
+                            ? random.nextInt(40_000_000)
+                            : delay(),
                     () ->
                             other.whenAwake(
                                     life,
@@ -407,20 +409,20 @@
     ClusterSimulation(long seed, Scenario scenario) {
         PrintReplayCommand.onSimulation(seed);
         random = new Random(seed);
-        more = new Random(~seed);
+        faultRandom = new Random(~seed);
         this.scenario = scenario;
         settings = settingsOf(0, scenario, scenario.actualTimes(), false);
         observed = new ObservedState(loop, settings);
-        userTroubles = new UserFaults(this, more);
-        users = new SimulatedUsers(this, random, userTroubles);
+        userFaults = new UserFaults(this, faultRandom);
+        users = new SimulatedUsers(this, random, userFaults);
         randomFaults = new RandomFaults(this, random);
-        invariants = new InvariantChecker(loop, settings, observed, userTroubles::onLastTaskDone);
-        stateTroubles = new StoreFaults(this, more);
-        keptReports = new DelayedHeartbeats(this, more);
-        state = new SimulatedStore(loop, settings.store());
-        cloud = new SimulatedCloud(this, more);
+        invariants = new InvariantChecker(loop, settings, observed, userFaults::onLastTaskDone);
+        storeFaults = new StoreFaults(this, faultRandom);
+        delayedHeartbeats = new DelayedHeartbeats(this, faultRandom);
+        store = new SimulatedStore(loop, settings.store());
+        cloud = new SimulatedCloud(this, faultRandom);
         if (scenario.flaw() == Scenario.Flaw.ASSUMES_UPGRADE_COMPLETE) {
-            state.handle(
+            store.handle(
                     "POST",
                     "/txn",
                     Map.of(
@@ -443,15 +445,15 @@
             loop.after(random.nextInt(500_000), member::start);
         }
         agreeAsVersion3();
-        lookForWaiting();
+        scheduleProgressChecks();
     }
 
-    private void lookForWaiting() {
+    private void scheduleProgressChecks() {
         loop.after(
                 2_000_000,
                 () -> {
                     invariants.checkProgress(cloud.machines.values());
-                    lookForWaiting();
+                    scheduleProgressChecks();
                 });
     }
 
@@ -466,11 +468,11 @@
                     boolean all = true;
                     boolean any = false;
                     for (Member member : members) {
-                        all &= state.value("version/node/" + label(member.index)) != null;
+                        all &= store.value("version/node/" + label(member.index)) != null;
                         any |= member.alive && member.version == Version.VERSION_3;
                     }
-                    if (all && any && !state.down && state.value("version/agreed") == null) {
-                        state.handle(
+                    if (all && any && !store.down && store.value("version/agreed") == null) {
+                        store.handle(
                                 "POST",
                                 "/txn",
                                 Map.of(
@@ -544,11 +546,12 @@
     }
 
     private long delay() {
-        long slow = loop.now() < slowLinksUntil ? more.nextLong(slowLinksMicros + 1) : 0;
+        long slow =
+                loop.now() < slowLinksUntilMicros ? faultRandom.nextLong(slowLinksMicros + 1) : 0;
         return 200 + random.nextInt(random.nextInt(20) == 0 ? 80_000 : 4_000) + slow;
     }
 
-    private void fromNode(
+    private void sendFromNode(
             Member member,
             int mine,
             String address,
@@ -557,7 +560,7 @@
             byte[] body,
             long timeout,
             HttpTransport.Callback callback) {
-        carry(
+        transmit(
                 timeout,
                 (status, answer) ->
                         member.whenAwake(
@@ -569,20 +572,21 @@
                 reply -> {
                     Map<String, Object> map = decode(body);
                     if (address.equals("state")) {
-                        stateTroubles.forward(
+                        storeFaults.forward(
                                 member.index,
                                 path,
                                 reply,
                                 respond ->
-                                        arrived(member, mine, address, method, path, map, respond));
+                                        deliverFromNode(
+                                                member, mine, address, method, path, map, respond));
                     } else {
-                        arrived(member, mine, address, method, path, map, reply);
+                        deliverFromNode(member, mine, address, method, path, map, reply);
                     }
                 });
     }
 
     /** What a node sent has come to where it is to be answered. */
-    private void arrived(
+    private void deliverFromNode(
             Member member,
             int mine,
             String address,
@@ -590,33 +594,32 @@
             String path,
             Map<String, Object> map,
             SimulatedStore.Answer respond) {
-        if (address.equals("state") && broken(path, map, respond)) {
+        if (address.equals("state") && applyStoreFlaw(path, map, respond)) {
             return;
         }
-        if (zoneOf(member.index).equals(island)) {
+        if (zoneOf(member.index).equals(isolatedZone)) {
             // Held back, and executed when the zone is back.
             loop.after(
                     1_000_000,
-                    () -> fromNodeHeld(member, mine, address, method, path, map, respond));
-        } else if (address.equals("state") && member.index == isolated) {
+                    () -> deliverDelayed(member, mine, address, method, path, map, respond));
+        } else if (address.equals("state") && member.index == isolatedNode) {
             // What was sent is executed when the way is open again.
             loop.after(
                     1_000_000,
-                    () -> fromNodeHeld(member, mine, address, method, path, map, respond));
-        } else if (address.equals("state") && refused(member)) {
+                    () -> deliverDelayed(member, mine, address, method, path, map, respond));
+        } else if (address.equals("state") && isRefusedByStore(member)) {
             respond.answer(503, Map.of("error", "trouble"));
         } else if (address.equals("state") && member.version != Version.CURRENT) {
-            toStateAsOld(member, mine, method, path, map, respond);
+            sendToStoreAsEarlierVersion(member, mine, method, path, map, respond);
         } else if (address.equals("state")) {
-            if (path.equals("/txn") && random.nextInt(100) < lateWrites) {
-                loop.after(
-                        2_000_000 + random.nextInt(10_000_000), () -> carriedOutLate(member, map));
+            if (path.equals("/txn") && random.nextInt(100) < lateWritePercent) {
+                loop.after(2_000_000 + random.nextInt(10_000_000), () -> executeLate(member, map));
                 return;
             }
             SimulatedStore.Answer watch =
                     path.startsWith("/follow")
                             ? (status, answer) ->
-                                    unlessRefused(
+                                    answerUnlessRefused(
                                             member,
                                             status,
                                             scenario.flaw() == Scenario.Flaw.ONE_JOB_NEVER_READ
@@ -624,7 +627,7 @@
                                                     : answer,
                                             respond)
                             : respond;
-            state.handle(
+            store.handle(
                     method,
                     path,
                     map,
@@ -636,7 +639,7 @@
         } else if (address.equals("cloud")) {
             loop.after(150_000, () -> cloud.handle(method, path, map, respond));
         } else {
-            toWorker(member, address, map, respond);
+            sendToAgent(member, address, map, respond);
         }
     }
 
@@ -668,9 +671,10 @@
     }
 
     /** Where the service is broken on purpose at its store: true if that is what answers. */
-    private boolean broken(String path, Map<String, Object> body, SimulatedStore.Answer respond) {
+    private boolean applyStoreFlaw(
+            String path, Map<String, Object> body, SimulatedStore.Answer respond) {
         boolean job = path.startsWith("/keys/job/j-");
-        if (loop.now() < brokenFrom) {
+        if (loop.now() < flawActiveFromMicros) {
             return false;
         }
         switch (scenario.flaw()) {
@@ -705,23 +709,23 @@
         return false;
     }
 
-    private void carriedOutLate(Member member, Map<String, Object> txn) {
-        if (state.down || refused(member)) {
-            loop.after(500_000, () -> carriedOutLate(member, txn));
+    private void executeLate(Member member, Map<String, Object> txn) {
+        if (store.down || isRefusedByStore(member)) {
+            loop.after(500_000, () -> executeLate(member, txn));
         } else {
-            state.handle(
+            store.handle(
                     "POST",
                     "/txn",
                     txn,
-                    (status, answer) -> lateWritesMade[status == 200 ? 0 : 1]++);
+                    (status, answer) -> lateWriteOutcomes[status == 200 ? 0 : 1]++);
         }
     }
 
     /** A watch that is open waits while the state service refuses its node, as in an outage. */
-    private void unlessRefused(
+    private void answerUnlessRefused(
             Member member, int status, Map<String, Object> answer, SimulatedStore.Answer respond) {
-        if (refused(member)) {
-            loop.after(100_000, () -> unlessRefused(member, status, answer, respond));
+        if (isRefusedByStore(member)) {
+            loop.after(100_000, () -> answerUnlessRefused(member, status, answer, respond));
         } else {
             respond.answer(status, answer);
         }
@@ -731,7 +735,7 @@
      * What a node sent out of a zone that is cut off arrives late; only the state service still
      * does what it asks.
      */
-    private void fromNodeHeld(
+    private void deliverDelayed(
             Member member,
             int mine,
             String address,
@@ -739,27 +743,27 @@
             String path,
             Map<String, Object> body,
             SimulatedStore.Answer respond) {
-        if (zoneOf(member.index).equals(island) || member.index == isolated) {
+        if (zoneOf(member.index).equals(isolatedZone) || member.index == isolatedNode) {
             loop.after(
                     1_000_000,
-                    () -> fromNodeHeld(member, mine, address, method, path, body, respond));
+                    () -> deliverDelayed(member, mine, address, method, path, body, respond));
         } else if (address.equals("state") && !path.startsWith("/follow")) {
             if (member.version != Version.CURRENT) {
-                toStateAsOld(member, mine, method, path, body, respond);
+                sendToStoreAsEarlierVersion(member, mine, method, path, body, respond);
             } else {
-                state.handle(method, path, body, respond);
+                store.handle(method, path, body, respond);
             }
         }
     }
 
-    private boolean apart(String zone, String other) {
+    private boolean areZonesSeparated(String zone, String other) {
         return !zone.equals(other)
-                && (zone.equals(island)
-                        || other.equals(island)
-                        || cut.contains(zone) && cut.contains(other));
+                && (zone.equals(isolatedZone)
+                        || other.equals(isolatedZone)
+                        || partitionedZones.contains(zone) && partitionedZones.contains(other));
     }
 
-    private static PeerMessage withPromise(PeerMessage message) {
+    private static PeerMessage withNoRenewalPromise(PeerMessage message) {
         if (!(message instanceof PeerMessage.StatusReport stands)) {
             return message;
         }
@@ -776,7 +780,7 @@
                         s.storeSilentMicros()));
     }
 
-    private void toStateAsOld(
+    private void sendToStoreAsEarlierVersion(
             Member member,
             int mine,
             String method,
@@ -785,7 +789,7 @@
             SimulatedStore.Answer respond) {
         boolean production = member.version == Version.VERSION_1;
         EarlierVersions.forwardToStore(
-                state,
+                store,
                 production,
                 method,
                 path,
@@ -798,42 +802,43 @@
                                         : answer));
     }
 
-    private void toWorker(
+    private void sendToAgent(
             Member member,
             String address,
             Map<String, Object> body,
             SimulatedStore.Answer respond) {
-        toWorker(member, address, body, respond, false);
+        sendToAgent(member, address, body, respond, false);
     }
 
-    private void toWorker(
+    private void sendToAgent(
             Member member,
             String address,
             Map<String, Object> body,
             SimulatedStore.Answer respond,
             boolean held) {
-        if (directsLost) {
+        if (directCommandsLost) {
             return;
         }
         for (SimulatedAgent agent : cloud.machines.values()) {
             if (agent.address.equals(address) && !agent.failed) {
-                if (apart(agent.zone, zoneOf(member.index)) || member.index == cutFromWorkers) {
+                if (areZonesSeparated(agent.zone, zoneOf(member.index))
+                        || member.index == nodeCutFromAgents) {
                     // Held back, and executed when the zones can reach each other again.
-                    loop.after(1_000_000, () -> toWorker(member, address, body, respond, true));
+                    loop.after(1_000_000, () -> sendToAgent(member, address, body, respond, true));
                     return;
                 }
                 if (agent.isInboundBlocked()) {
-                    loop.after(500_000, () -> toWorker(member, address, body, respond, true));
+                    loop.after(500_000, () -> sendToAgent(member, address, body, respond, true));
                     return;
                 }
                 if (agent.isHung()) {
                     // The command is executed when the machine goes on.
                     loop.at(
                             agent.hungUntilMicros,
-                            () -> toWorker(member, address, body, respond, true));
+                            () -> sendToAgent(member, address, body, respond, true));
                     return;
                 }
-                heldCommands += held ? 1 : 0;
+                delayedCommandsExecuted += held ? 1 : 0;
                 Object[] answer = agent.handleDirectCommand(body);
                 @SuppressWarnings("unchecked")
                 Map<String, Object> report = (Map<String, Object>) answer[1];
@@ -845,7 +850,7 @@
         }
     }
 
-    private static Map<String, Object> filledIn(Map<String, Object> job) {
+    private static Map<String, Object> withDefaults(Map<String, Object> job) {
         try {
             return JobDescription.parse(job).toMap();
         } catch (MalformedMessageException e) {
@@ -854,7 +859,7 @@
     }
 
     /** A worker's or a user's request to a node. */
-    void toNode(
+    void sendToNode(
             String from,
             int index,
             String method,
@@ -868,11 +873,12 @@
             return;
         }
         SimulatedAgent agent = cloud.machines.get(from);
-        if (agent != null && (apart(agent.zone, zoneOf(index)) || index == cutFromWorkers)) {
+        if (agent != null
+                && (areZonesSeparated(agent.zone, zoneOf(index)) || index == nodeCutFromAgents)) {
             loop.after(timeout, () -> callback.answer(HttpTransport.NO_RESPONSE, Map.of()));
             return;
         }
-        if (agent == null && zoneOf(index).equals(island)) {
+        if (agent == null && zoneOf(index).equals(isolatedZone)) {
             loop.after(timeout, () -> callback.answer(HttpTransport.NO_RESPONSE, Map.of()));
             return;
         }
@@ -880,7 +886,7 @@
             loop.after(timeout, () -> callback.answer(HttpTransport.NO_RESPONSE, Map.of()));
             return;
         }
-        int life = member.life;
+        int life = member.generation;
         if (agent != null
                 && agent.isInboundBlocked()
                 && scenario.flaw() == Scenario.Flaw.UNREACHED_AGENTS_REPORT_SENT_TOKENS) {
@@ -888,14 +894,15 @@
         }
         boolean fillsIn =
                 scenario.flaw() == Scenario.Flaw.DEFAULTS_MISSING_FIELDS && path.equals("/v1/jobs");
-        byte[] bytes = body == null ? new byte[0] : Cbor.encode(fillsIn ? filledIn(body) : body);
-        if (agent != null && random.nextInt(100) < copies) {
-            copy(body);
+        byte[] bytes =
+                body == null ? new byte[0] : Cbor.encode(fillsIn ? withDefaults(body) : body);
+        if (agent != null && random.nextInt(100) < duplicateHeartbeatPercent) {
+            duplicateLater(body);
         }
         if (agent != null) {
-            keptReports.onHeartbeatSent(body);
+            delayedHeartbeats.onHeartbeatSent(body);
         }
-        carry(
+        transmit(
                 timeout,
                 callback,
                 respond -> {
@@ -932,14 +939,16 @@
      * The same report arrives again, when its worker may be gone, and whoever answers it answers
      * nobody.
      */
-    private void copy(Map<String, Object> report) {
-        byte[] bytes = copyOf(report);
+    private void duplicateLater(Map<String, Object> report) {
+        byte[] bytes = encodeDuplicate(report);
         loop.after(
                 500_000 + random.nextInt(random.nextBoolean() ? 5_000_000 : 60_000_000),
-                () -> oldCopies += arrivesAgain(random.nextInt(NODES), bytes) ? 1 : 0);
+                () ->
+                        duplicateHeartbeatsDelivered +=
+                                deliverDuplicate(random.nextInt(NODES), bytes) ? 1 : 0);
     }
 
-    byte[] copyOf(Map<String, Object> report) {
+    byte[] encodeDuplicate(Map<String, Object> report) {
         Map<String, Object> retry = new LinkedHashMap<>(report);
         if (scenario.flaw() == Scenario.Flaw.DELAYED_HEARTBEATS_LOOK_NEW) {
             retry.put("tick", (Long) report.get("tick") + 1_000);
@@ -948,9 +957,9 @@
     }
 
     /** False if it comes to a node that is not there, or out of reach. */
-    boolean arrivesAgain(int index, byte[] report) {
+    boolean deliverDuplicate(int index, byte[] report) {
         Member member = members[index];
-        if (!member.alive || zoneOf(index).equals(island)) {
+        if (!member.alive || zoneOf(index).equals(isolatedZone)) {
             return false;
         }
         member.node.router().handle("POST", "/v1/report", report, response -> {});
@@ -962,7 +971,7 @@
     }
 
     /** One request: delayed, sometimes held back for long, sometimes without its answer. */
-    private void carry(long timeout, SimulatedStore.Answer callback, Delivery delivery) {
+    private void transmit(long timeout, SimulatedStore.Answer callback, Delivery delivery) {
         boolean[] answered = {false};
         loop.after(
                 timeout,
@@ -973,8 +982,8 @@
                     }
                 });
         int luck = random.nextInt(1000);
-        long there = luck < trouble ? 2_000_000 + random.nextInt(40_000_000) : delay();
-        boolean answerLost = luck >= trouble && luck < 2 * trouble;
+        long there = luck < networkFaultPerMille ? 2_000_000 + random.nextInt(40_000_000) : delay();
+        boolean answerLost = luck >= networkFaultPerMille && luck < 2 * networkFaultPerMille;
         loop.after(
                 there,
                 () ->
@@ -1021,7 +1030,7 @@
             at += 1_000_000 + random.nextInt(random.nextInt(4) == 0 ? 40_000_000 : 10_000_000);
         }
         loop.after(at + 5_000_000, () -> users.submitPipelinesUntil(until));
-        loop.after(at + random.nextInt(40_000_000), state::applyNextLimits);
+        loop.after(at + random.nextInt(40_000_000), store::applyNextLimits);
     }
 
     // Faults.
@@ -1031,11 +1040,11 @@
         Member member = members[index];
         member.kill();
         member.version = version;
-        int mine = member.life;
+        int mine = member.generation;
         loop.after(
                 afterMicros,
                 () -> {
-                    if (!member.alive && member.life == mine) {
+                    if (!member.alive && member.generation == mine) {
                         member.start();
                     }
                 });
@@ -1094,52 +1103,52 @@
      * Right after each answer that a job was accepted, ended or cancelled, users ask all nodes
      * about it several times.
      */
-    void lookClosely(long forMicros) {
-        userTroubles.pollChangesUntil(loop.now() + forMicros);
+    void pollAfterChanges(long forMicros) {
+        userFaults.pollChangesUntil(loop.now() + forMicros);
     }
 
     /** Users repeat what is known, and ask for what can't be. */
-    void oddRequests(long forMicros) {
-        userTroubles.sendUnusualRequestsUntil(loop.now() + forMicros);
+    void sendUnusualRequests(long forMicros) {
+        userFaults.sendUnusualRequestsUntil(loop.now() + forMicros);
     }
 
     /**
      * So many running jobs are called off within 0.2 s, and up to eight of their machines hang;
      * returns how many.
      */
-    int cancelNow(int count, long hangMicros) {
-        return userTroubles.cancelRunningJobs(count, hangMicros);
+    int cancelRunningJobs(int count, long hangMicros) {
+        return userFaults.cancelRunningJobs(count, hangMicros);
     }
 
     /** So many of a hundred jobs are called off as their last task ends. */
     void cancelAtEnd(int ofHundred, long forMicros) {
-        userTroubles.cancelAtEndUntil(ofHundred, loop.now() + forMicros);
+        userFaults.cancelAtEndUntil(ofHundred, loop.now() + forMicros);
     }
 
     void oneTaskJobs(int perSecond, long forMicros, int ofHundredCancelled) {
-        userTroubles.submitOneTaskJobsUntil(perSecond, loop.now() + forMicros, ofHundredCancelled);
+        userFaults.submitOneTaskJobsUntil(perSecond, loop.now() + forMicros, ofHundredCancelled);
     }
 
     /** So many of a hundred transactions are carried out at once and get no answer. */
     void loseAnswers(int ofHundred, long forMicros) {
-        stateTroubles.loseAnswers(ofHundred, loop.now() + forMicros);
+        storeFaults.loseAnswers(ofHundred, loop.now() + forMicros);
     }
 
     /** Every request to the state service takes up to so much longer. */
-    void slowState(long extraMicros, long forMicros) {
-        stateTroubles.addDelay(extraMicros, loop.now() + forMicros);
+    void slowStore(long extraMicros, long forMicros) {
+        storeFaults.addDelay(extraMicros, loop.now() + forMicros);
     }
 
     /** Of so many of a hundred reports a copy comes to every node once the term has changed. */
-    void keepForNextLeader(int ofHundred, long forMicros) {
-        keptReports.capture(ofHundred, loop.now() + forMicros);
+    void delayHeartbeatsUntilNextLeader(int ofHundred, long forMicros) {
+        delayedHeartbeats.capture(ofHundred, loop.now() + forMicros);
     }
 
     /**
      * Nothing that one in so many of a zone's machines say arrives for a while; commands reach
      * them.
      */
-    void mute(String zone, int oneIn, long forMicros) {
+    void blockOutbound(String zone, int oneIn, long forMicros) {
         int count = 0;
         for (SimulatedAgent agent : cloud.machines.values()) {
             if (agent.zone.equals(zone) && count++ % oneIn == 0) {
@@ -1149,18 +1158,18 @@
     }
 
     /** Machines are up 0.3 to 2 s after they were asked for, also before that is answered. */
-    void quickMachines(long forMicros) {
+    void bootMachinesFast(long forMicros) {
         cloud.fastBootUntilMicros = loop.now() + forMicros;
     }
 
     /** Whatever is sent takes up to so much longer. */
     void slowLinks(long extraMicros, long forMicros) {
         slowLinksMicros = extraMicros;
-        slowLinksUntil = loop.now() + forMicros;
+        slowLinksUntilMicros = loop.now() + forMicros;
     }
 
     /** All machines but so many die, and the cloud has no more. */
-    void littleRoom(int machines, long forMicros) {
+    void reduceCapacity(int machines, long forMicros) {
         cloud.machines.values().stream().skip(machines).forEach(SimulatedAgent::fail);
         cloud.capacity = machines;
         loop.after(forMicros, () -> cloud.capacity = SimulatedCloud.CAPACITY);
@@ -1168,17 +1177,17 @@
 
     /** How many terms were taken. */
     int leaderChanges() {
-        return state.value("term") == null ? 0 : (int) term();
+        return store.value("term") == null ? 0 : (int) term();
     }
 
     /** Writes a key of the state service, as an operator or another program might. */
     void put(String path, Map<String, Object> value) {
-        if (state.down) {
+        if (store.down) {
             // As whoever asked would, again.
             loop.after(1_000_000, () -> put(path, value));
             return;
         }
-        state.handle(
+        store.handle(
                 "POST",
                 "/txn",
                 Map.of(
@@ -1193,47 +1202,47 @@
     }
 
     Map<String, Object> stored(String path) {
-        return state.value(path);
+        return store.value(path);
     }
 
     /** How many records of machines there are, and how many of them tell of their lives. */
     int[] machineRecords() {
-        return state.count("machine/", value -> value.containsKey("at"));
+        return store.count("machine/", value -> value.containsKey("at"));
     }
 
     /** Cuts a zone off from everything for a while, unless one is. */
-    void island(String zone, long forMicros) {
-        if (island == null) {
-            island = zone;
-            loop.after(forMicros, () -> island = null);
+    void isolateZone(String zone, long forMicros) {
+        if (isolatedZone == null) {
+            isolatedZone = zone;
+            loop.after(forMicros, () -> isolatedZone = null);
         }
     }
 
-    void stateOutage(long forMicros) {
-        if (!state.down) {
-            state.setOutage(true);
-            loop.after(forMicros, () -> state.setOutage(false));
+    void storeOutage(long forMicros) {
+        if (!store.down) {
+            store.setOutage(true);
+            loop.after(forMicros, () -> store.setOutage(false));
         }
     }
 
-    private boolean refused(Member member) {
-        return member.index == refusedByState || member.index == alsoRefused;
+    private boolean isRefusedByStore(Member member) {
+        return member.index == nodeRefusedByStore || member.index == secondNodeRefusedByStore;
     }
 
     /** The state service refuses this node beside the one that it refuses already. */
-    void refuseStateToo(int index, long forMicros) {
-        alsoRefused = index;
-        loop.after(forMicros, () -> alsoRefused = -1);
+    void refuseSecondNodeAtStore(int index, long forMicros) {
+        secondNodeRefusedByStore = index;
+        loop.after(forMicros, () -> secondNodeRefusedByStore = -1);
     }
 
     /** The state service refuses this node alone. */
-    void refuseState(int index, long forMicros) {
-        refusedByState = index;
+    void refuseNodeAtStore(int index, long forMicros) {
+        nodeRefusedByStore = index;
         loop.after(
                 forMicros,
                 () -> {
-                    if (refusedByState == index) {
-                        refusedByState = -1;
+                    if (nodeRefusedByStore == index) {
+                        nodeRefusedByStore = -1;
                     }
                 });
     }
@@ -1242,12 +1251,12 @@
      * The state service refuses the leader alone, users cancel what runs, and then it is down for
      * all.
      */
-    void gap(long refusedMicros, long downMicros) {
-        if (state.value("leader") == null) {
+    void refuseLeaderThenStoreOutage(long refusedMicros, long downMicros) {
+        if (store.value("leader") == null) {
             return;
         }
-        refuseState(leader(), refusedMicros + 1_000_000);
-        hintsLost = random.nextBoolean();
+        refuseNodeAtStore(leader(), refusedMicros + 1_000_000);
+        changeNotificationsLost = random.nextBoolean();
         loop.after(
                 refusedMicros / 4,
                 () ->
@@ -1257,15 +1266,15 @@
         loop.after(
                 refusedMicros,
                 () -> {
-                    hintsLost = false;
-                    stateOutage(downMicros);
+                    changeNotificationsLost = false;
+                    storeOutage(downMicros);
                 });
     }
 
     /** For a while so many of a hundred transactions are carried out late. */
-    void writeLate(int ofHundred, long forMicros) {
-        lateWrites = ofHundred;
-        loop.after(forMicros, () -> lateWrites = 0);
+    void delayWrites(int ofHundred, long forMicros) {
+        lateWritePercent = ofHundred;
+        loop.after(forMicros, () -> lateWritePercent = 0);
     }
 
     /** The cloud answers nothing but errors for a while. */
@@ -1276,14 +1285,14 @@
 
     /** No agent reaches this node for a while, and it reaches none. */
     void cutFromAgents(int index, long forMicros) {
-        cutFromWorkers = index;
-        loop.after(forMicros, () -> cutFromWorkers = -1);
+        nodeCutFromAgents = index;
+        loop.after(forMicros, () -> nodeCutFromAgents = -1);
     }
 
     /** For a while no node takes connections from another. */
     void refusePeers(long forMicros) {
-        peersRefused = true;
-        loop.after(forMicros, () -> peersRefused = false);
+        peerConnectionsRefused = true;
+        loop.after(forMicros, () -> peerConnectionsRefused = false);
     }
 
     /** The node's process stands still for a while, and then goes on with what it believed. */
@@ -1292,21 +1301,21 @@
     }
 
     /** The node loses the state service and the other nodes; workers and users still reach it. */
-    void isolate(int index, long forMicros) {
-        if (isolated < 0) {
-            isolated = index;
-            loop.after(forMicros, () -> isolated = -1);
+    void isolateNode(int index, long forMicros) {
+        if (isolatedNode < 0) {
+            isolatedNode = index;
+            loop.after(forMicros, () -> isolatedNode = -1);
         }
     }
 
     boolean isIsolated(int index) {
-        return isolated == index;
+        return isolatedNode == index;
     }
 
     /**
      * Nothing reaches one in so many of a zone's machines for a while, and their reports arrive.
      */
-    void deafen(String zone, int oneIn, long forMicros) {
+    void blockInbound(String zone, int oneIn, long forMicros) {
         int count = 0;
         for (SimulatedAgent agent : cloud.machines.values()) {
             if (agent.zone.equals(zone) && count++ % oneIn == 0) {
@@ -1325,7 +1334,7 @@
 
     /** The index of the node that leads by the state service's word. */
     int leader() {
-        return nodeIndex((String) state.value("leader").get("label"));
+        return nodeIndex((String) store.value("leader").get("label"));
     }
 
     String zoneOf(int index) {
@@ -1334,8 +1343,8 @@
 
     /** Two zones can't reach each other for a while. */
     void partition(String one, String other, long forMicros) {
-        cut = List.of(one, other);
-        loop.after(forMicros, () -> cut = List.of());
+        partitionedZones = List.of(one, other);
+        loop.after(forMicros, () -> partitionedZones = List.of());
     }
 
     void restart(int index) {
@@ -1348,9 +1357,9 @@
      */
     private void restart(Member member) {
         if (random.nextInt(4) == 0) {
-            clockOff[member.index] = random.nextInt(2_000_000) - 1_000_000;
+            clockOffsetMicros[member.index] = random.nextInt(2_000_000) - 1_000_000;
         }
-        end(
+        restartAfter(
                 member.index,
                 random.nextBoolean()
                         ? 50_000 + random.nextInt(450_000)
@@ -1358,10 +1367,11 @@
     }
 
     /** A node's process ends again and again, a few tenths of a second after each beginning. */
-    void keepsEnding(int index, long lifeMicros, long untilMicros) {
+    void restartRepeatedly(int index, long lifeMicros, long untilMicros) {
         if (loop.now() < untilMicros) {
-            end(index, 50_000);
-            loop.after(50_000 + lifeMicros, () -> keepsEnding(index, lifeMicros, untilMicros));
+            restartAfter(index, 50_000);
+            loop.after(
+                    50_000 + lifeMicros, () -> restartRepeatedly(index, lifeMicros, untilMicros));
         }
     }
 
@@ -1379,59 +1389,60 @@
      * A node's process begins again 50 ms after its end, whenever a node is about to take a term,
      * until the given time.
      */
-    void endInElections(long untilMicros) {
+    void restartDuringElections(long untilMicros) {
         long term = term();
-        boolean vacant = state.value("leader") == null;
+        boolean vacant = store.value("leader") == null;
         if (vacant) {
-            end(random.nextInt(NODES), 50_000);
+            restartAfter(random.nextInt(NODES), 50_000);
         }
         if (loop.now() < untilMicros) {
             loop.after(
-                    vacant || term() != term ? 30_000 : 10_000, () -> endInElections(untilMicros));
+                    vacant || term() != term ? 30_000 : 10_000,
+                    () -> restartDuringElections(untilMicros));
         }
     }
 
     /** The highest term that was ever taken. */
     long term() {
-        return (Long) state.value("term").get("term");
+        return (Long) store.value("term").get("term");
     }
 
     /** Every few seconds the leader's process ends, and another begins at once. */
-    void endLeaders(long forMicros) {
+    void restartLeadersRepeatedly(long forMicros) {
         long until = loop.now() + forMicros;
         loop.after(
-                2_000_000 + more.nextInt(3_000_000),
+                2_000_000 + faultRandom.nextInt(3_000_000),
                 () -> {
                     if (loop.now() < until) {
                         leadersEndedInOutages +=
-                                state.down
-                                                && state.value("leader") != null
+                                store.down
+                                                && store.value("leader") != null
                                                 && members[leader()].alive
                                         ? 1
                                         : 0;
-                        endLeader(50_000 + more.nextInt(400_000));
-                        endLeaders(until - loop.now());
+                        restartLeader(50_000 + faultRandom.nextInt(400_000));
+                        restartLeadersRepeatedly(until - loop.now());
                     }
                 });
     }
 
     /** The same of the node that leads, if there is one. */
-    void endLeader(long forMicros) {
-        if (state.value("leader") != null) {
-            end(leader(), forMicros);
+    void restartLeader(long forMicros) {
+        if (store.value("leader") != null) {
+            restartAfter(leader(), forMicros);
         }
     }
 
     /** A node's process ends, and another begins after the given time. */
-    void end(int index, long forMicros) {
+    void restartAfter(int index, long forMicros) {
         Member member = members[index];
         if (member.alive) {
             member.kill();
-            int mine = member.life;
+            int mine = member.generation;
             loop.after(
                     forMicros,
                     () -> {
-                        if (!member.alive && member.life == mine) {
+                        if (!member.alive && member.generation == mine) {
                             member.start();
                         }
                     });
@@ -1442,23 +1453,23 @@
      * So many of a hundred rentals and deletions get no answer and are carried out seconds later,
      * perhaps after their leader.
      */
-    void cloudLate(int ofHundred, long forMicros) {
+    void delayCloudRequests(int ofHundred, long forMicros) {
         cloud.latePercent = ofHundred;
         loop.after(forMicros, () -> cloud.latePercent = 0);
     }
 
     /** Machines that were rented when the leader that had asked for them led no more. */
-    List<String> unexpectedMachines() {
+    List<String> machinesRentedForFormerLeaders() {
         return cloud.rentedForFormerLeaders;
     }
 
     /** Machines that were deleted when the leader that had asked for it led no more. */
-    int deletedForOthers() {
+    int machinesDeletedForFormerLeaders() {
         return cloud.deletedForFormerLeaders;
     }
 
     /** Does this to a machine that is drawn at random, if there is any. */
-    void anyWorker(java.util.function.Consumer<SimulatedAgent> what) {
+    void withRandomAgent(java.util.function.Consumer<SimulatedAgent> what) {
         List<SimulatedAgent> agents = new ArrayList<>(cloud.machines.values());
         if (!agents.isEmpty()) {
             what.accept(agents.get(random.nextInt(agents.size())));
--- a/src/test/java/org/woadloom/sim/DamagedRecordTest.java
+++ b/src/test/java/org/woadloom/sim/DamagedRecordTest.java
@@ -42,7 +42,7 @@
 
     private static ClusterSimulation day() {
         ClusterSimulation cluster = new ClusterSimulation(5, Scenario.DEFAULT);
-        cluster.trouble = 0;
+        cluster.networkFaultPerMille = 0;
         cluster.users.submitUntil(AT + 10_000_000);
         cluster.run(AT);
         return cluster;
@@ -74,7 +74,7 @@
     void aJobThatNoLeaderKnowsStaysKnownAndCanBeCancelled() {
         ClusterSimulation cluster = day();
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
-            cluster.end(i, 2_000_000);
+            cluster.restartAfter(i, 2_000_000);
         }
         String jobId = damage(cluster, false);
         cluster.run(AT + 20_000_000);
@@ -92,7 +92,7 @@
     void whatWasCancelledStaysCancelledAsLongAsThatFieldCanBeRead() {
         ClusterSimulation cluster = day();
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
-            cluster.end(i, 2_000_000);
+            cluster.restartAfter(i, 2_000_000);
         }
         String jobId = damage(cluster, true);
         cluster.observed.recordCancelRequest(jobId);
--- a/src/test/java/org/woadloom/sim/DelayedHeartbeats.java
+++ b/src/test/java/org/woadloom/sim/DelayedHeartbeats.java
@@ -29,7 +29,9 @@
 
     void onHeartbeatSent(Map<String, Object> heartbeat) {
         if (cluster.loop.now() < captureUntilMicros && random.nextInt(100) < percent) {
-            delayed.add(new DelayedHeartbeat(cluster.copyOf(heartbeat), cluster.leaderChanges()));
+            delayed.add(
+                    new DelayedHeartbeat(
+                            cluster.encodeDuplicate(heartbeat), cluster.leaderChanges()));
             if (delayed.size() == 1) {
                 deliverAfterLeaderChange();
             }
@@ -44,8 +46,8 @@
                 cluster.loop.after(
                         1 + random.nextInt(300_000),
                         () ->
-                                cluster.keptCopies +=
-                                        cluster.arrivesAgain(index, copy.heartbeat) ? 1 : 0);
+                                cluster.delayedHeartbeatsDelivered +=
+                                        cluster.deliverDuplicate(index, copy.heartbeat) ? 1 : 0);
             }
         }
         delayed.removeIf(copy -> copy.term < term);
--- a/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
@@ -44,9 +44,9 @@
         OLD_REPORTS {
             @Override
             IntSupplier begin(ClusterSimulation cluster) {
-                cluster.copies = 40;
+                cluster.duplicateHeartbeatPercent = 40;
                 cluster.loop.after(12_000_000, () -> cluster.hangAll("a", 14_000_000));
-                return () -> cluster.oldCopies;
+                return () -> cluster.duplicateHeartbeatsDelivered;
             }
         },
         /** The leader ends while jobs are done in part. */
@@ -54,7 +54,7 @@
             @Override
             IntSupplier begin(ClusterSimulation cluster) {
                 int partly = cluster.observed.partlyDoneJobs();
-                cluster.endLeader(300_000);
+                cluster.restartLeader(300_000);
                 cluster.loop.after(9_000_000, () -> cluster.restart(0));
                 return () -> partly;
             }
@@ -66,8 +66,8 @@
         LATE_WRITES {
             @Override
             IntSupplier begin(ClusterSimulation cluster) {
-                cluster.writeLate(30, 25_000_000);
-                return () -> Math.min(cluster.lateWritesMade[0], cluster.lateWritesMade[1]);
+                cluster.delayWrites(30, 25_000_000);
+                return () -> Math.min(cluster.lateWriteOutcomes[0], cluster.lateWriteOutcomes[1]);
             }
         },
         /** All end, one returns at once, and leadership goes back and forth. */
@@ -76,15 +76,16 @@
             IntSupplier begin(ClusterSimulation cluster) {
                 long before = cluster.term();
                 for (int node = 0; node < ClusterSimulation.NODES; node++) {
-                    cluster.end(node, node == 0 ? 50_000 : 1_500_000L * node);
+                    cluster.restartAfter(node, node == 0 ? 50_000 : 1_500_000L * node);
                 }
                 for (long later = 6_000_000; later < 16_000_000; later += 2_500_000) {
                     cluster.loop.after(
                             later,
-                            () -> cluster.endLeader(50_000 + cluster.random.nextInt(400_000)));
+                            () -> cluster.restartLeader(50_000 + cluster.random.nextInt(400_000)));
                 }
                 cluster.loop.after(
-                        6_000_000, () -> cluster.endInElections(cluster.loop.now() + 10_000_000));
+                        6_000_000,
+                        () -> cluster.restartDuringElections(cluster.loop.now() + 10_000_000));
                 return () -> (int) (cluster.term() - before) - 2;
             }
         },
@@ -93,7 +94,7 @@
             @Override
             IntSupplier begin(ClusterSimulation cluster) {
                 int before = cluster.observed.cancelledWhileRunning;
-                cluster.gap(2_500_000, 35_000_000);
+                cluster.refuseLeaderThenStoreOutage(2_500_000, 35_000_000);
                 return () -> cluster.observed.cancelledWhileRunning - before;
             }
         },
@@ -112,7 +113,7 @@
                                 cluster.observed.runningJobs().stream()
                                         .limit(2)
                                         .forEach(cluster.users::cancel));
-                return () -> cluster.heldCommands;
+                return () -> cluster.delayedCommandsExecuted;
             }
         },
         /**
@@ -121,10 +122,10 @@
         LEADER_ENDS_OUT_OF_TOUCH {
             @Override
             IntSupplier begin(ClusterSimulation cluster) {
-                cluster.deafen("a", 2, 28_000_000);
+                cluster.blockInbound("a", 2, 28_000_000);
                 cluster.hangAll("b", 9_000_000);
                 int outOfTouch = cluster.observed.runningTasksInZone("b");
-                cluster.loop.after(1_000_000, () -> cluster.endLeader(2_000_000));
+                cluster.loop.after(1_000_000, () -> cluster.restartLeader(2_000_000));
                 return () -> outOfTouch;
             }
         },
@@ -136,7 +137,7 @@
             @Override
             IntSupplier begin(ClusterSimulation cluster) {
                 int before = cluster.observed.cancelledWhileRunning;
-                cluster.isolate(cluster.leader(), 35_000_000);
+                cluster.isolateNode(cluster.leader(), 35_000_000);
                 cluster.loop.after(
                         7_000_000,
                         () ->
@@ -153,17 +154,17 @@
         CLOSE_LOOKS {
             @Override
             IntSupplier begin(ClusterSimulation cluster) {
-                cluster.lookClosely(30_000_000);
-                cluster.loop.after(8_000_000, () -> cluster.endLeader(200_000));
+                cluster.pollAfterChanges(30_000_000);
+                cluster.loop.after(8_000_000, () -> cluster.restartLeader(200_000));
                 cluster.loop.after(
                         14_000_000,
                         () ->
-                                cluster.refuseState(
+                                cluster.refuseNodeAtStore(
                                         cluster.random.nextInt(ClusterSimulation.NODES),
                                         6_000_000));
-                cluster.loop.after(16_000_000, () -> cluster.cancelNow(4, 0));
-                cluster.loop.after(22_000_000, () -> cluster.endLeader(2_000_000));
-                return within(cluster, () -> cluster.closeLooks);
+                cluster.loop.after(16_000_000, () -> cluster.cancelRunningJobs(4, 0));
+                cluster.loop.after(22_000_000, () -> cluster.restartLeader(2_000_000));
+                return within(cluster, () -> cluster.pollBursts);
             }
         },
         /**
@@ -174,8 +175,8 @@
             @Override
             IntSupplier begin(ClusterSimulation cluster) {
                 cluster.loseAnswers(30, 25_000_000);
-                cluster.loop.after(10_000_000, () -> cluster.cancelNow(3, 0));
-                return within(cluster, () -> cluster.lostAnswersReadElsewhere);
+                cluster.loop.after(10_000_000, () -> cluster.cancelRunningJobs(3, 0));
+                return within(cluster, () -> cluster.lostAnswersFollowedByPeerRead);
             }
         },
         /**
@@ -192,7 +193,7 @@
         TEN_LEADERS {
             @Override
             IntSupplier begin(ClusterSimulation cluster) {
-                cluster.endLeaders(40_000_000);
+                cluster.restartLeadersRepeatedly(40_000_000);
                 IntSupplier changes = within(cluster, cluster::leaderChanges);
                 return () -> changes.getAsInt() - 3;
             }
@@ -201,9 +202,9 @@
         TEN_LEADERS_IN_AN_OUTAGE {
             @Override
             IntSupplier begin(ClusterSimulation cluster) {
-                cluster.endLeaders(40_000_000);
-                cluster.loop.after(5_000_000, () -> cluster.stateOutage(8_000_000));
-                cluster.loop.after(14_000_000, () -> cluster.stateOutage(3_000_000));
+                cluster.restartLeadersRepeatedly(40_000_000);
+                cluster.loop.after(5_000_000, () -> cluster.storeOutage(8_000_000));
+                cluster.loop.after(14_000_000, () -> cluster.storeOutage(3_000_000));
                 IntSupplier changes = within(cluster, cluster::leaderChanges);
                 IntSupplier ends = within(cluster, () -> cluster.leadersEndedInOutages);
                 return () -> ends.getAsInt() > 0 ? changes.getAsInt() - 3 : -10;
@@ -214,7 +215,7 @@
             @Override
             IntSupplier begin(ClusterSimulation cluster) {
                 for (int node = 0; node < ClusterSimulation.NODES; node++) {
-                    cluster.end(
+                    cluster.restartAfter(
                             node,
                             Scenario.SHORT_TIMES.leaseMicros()
                                     + 2_000_000
@@ -227,10 +228,10 @@
         SLOW_STATE {
             @Override
             IntSupplier begin(ClusterSimulation cluster) {
-                cluster.slowState(1_500_000, 30_000_000);
-                cluster.lookClosely(30_000_000);
+                cluster.slowStore(1_500_000, 30_000_000);
+                cluster.pollAfterChanges(30_000_000);
                 for (long later = 3_000_000; later < 30_000_000; later += 9_000_000) {
-                    cluster.loop.after(later, () -> cluster.cancelNow(3, 0));
+                    cluster.loop.after(later, () -> cluster.cancelRunningJobs(3, 0));
                 }
                 return within(cluster, () -> cluster.observed.cancelledWhileRunning);
             }
@@ -242,7 +243,7 @@
             @Override
             IntSupplier begin(ClusterSimulation cluster) {
                 cluster.slowLinks(400_000, 35_000_000);
-                cluster.littleRoom(2, 35_000_000);
+                cluster.reduceCapacity(2, 35_000_000);
                 cluster.oneTaskJobs(2, 30_000_000, 10);
                 int[] waiting = {0};
                 cluster.loop.after(
@@ -287,7 +288,7 @@
         ClusterSimulation cluster = new ClusterSimulation(seed, day);
         cluster.users.submitUntil(TROUBLED);
         cluster.observed.faultFreeFromMicros = TROUBLED + 60_000_000;
-        cluster.brokenFrom = AT;
+        cluster.flawActiveFromMicros = AT;
         Map<Meeting, List<IntSupplier>> begun = new EnumMap<>(Meeting.class);
         meetings.forEach(meeting -> begun.put(meeting, new ArrayList<>()));
         for (int i = 0; i < TIMES; i++) {
@@ -379,9 +380,9 @@
         int late = 0;
         for (long seed : Seeds.first(12)) {
             ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.DEFAULT);
-            cluster.writeLate(45, 25_000_000);
+            cluster.delayWrites(45, 25_000_000);
             cluster.run(90_000_000);
-            late += cluster.lateWritesMade[0] + cluster.lateWritesMade[1];
+            late += cluster.lateWriteOutcomes[0] + cluster.lateWriteOutcomes[1];
             for (int node = 0; node < ClusterSimulation.NODES; node++) {
                 assertNotNull(
                         cluster.stored(
--- a/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
@@ -55,7 +55,7 @@
                         seed,
                         new Scenario(
                                 Scenario.LONG_TIMES, told, Version.CURRENT, Scenario.Flaw.NONE, 0));
-        cluster.trouble = 0;
+        cluster.networkFaultPerMille = 0;
         cluster.users.submitUntil(AT + 60_000_000);
         cluster.observed.faultFreeFromMicros = AT + 150_000_000;
         cluster.run(AT);
@@ -134,7 +134,7 @@
                     cluster.agents().stream().filter(agent -> !troubled.contains(agent)).toList();
             long term = cluster.term();
             if (leaderEnds == 1) {
-                cluster.loop.after(3_000_000, () -> cluster.endLeader(12_000_000));
+                cluster.loop.after(3_000_000, () -> cluster.restartLeader(12_000_000));
             }
             cluster.run(AT + 59_000_000);
             assertEquals(leaderEnds == 1, cluster.term() > term);
@@ -223,7 +223,7 @@
             int killed = cluster.observed.killedByLease;
             Set<TaskId> tasks = tasksOn(cluster.agents());
             for (int node = 0; node < ClusterSimulation.NODES; node++) {
-                cluster.end(node, 32_000_000 + 300_000 * node);
+                cluster.restartAfter(node, 32_000_000 + 300_000 * node);
             }
             cluster.run(AT + 32_000_000);
             assertTrue(
@@ -259,7 +259,7 @@
             ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.DEFAULT);
             cluster.users.submitUntil(150_000_000);
             cluster.observed.faultFreeFromMicros = 230_000_000;
-            cluster.loop.after(3_000_000, () -> cluster.cloudLate(60, 150_000_000));
+            cluster.loop.after(3_000_000, () -> cluster.delayCloudRequests(60, 150_000_000));
             for (long at = 25_000_000; at < 160_000_000; at += 14_000_000) {
                 // It is given up, and the leader that asks for its deletion ends.
                 cluster.loop.after(
@@ -272,7 +272,7 @@
                                                 agent ->
                                                         agent.hungUntilMicros =
                                                                 cluster.loop.now() + 25_000_000));
-                cluster.loop.after(at, () -> cluster.endLeader(500_000));
+                cluster.loop.after(at, () -> cluster.restartLeader(500_000));
             }
             cluster.run(480_000_000);
             assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
@@ -280,10 +280,12 @@
             cluster.agents().stream()
                     .filter(agent -> !agent.failed && agent.tasksStarted == 0)
                     .forEach(agent -> left.add(agent.host));
-            left.retainAll(cluster.unexpectedMachines());
+            left.retainAll(cluster.machinesRentedForFormerLeaders());
             assertEquals(Set.of(), left, "neither used nor returned, seed " + seed);
-            count.merge("unexpected", cluster.unexpectedMachines().size(), Integer::sum);
-            count.merge("deleted for others", cluster.deletedForOthers(), Integer::sum);
+            count.merge(
+                    "unexpected", cluster.machinesRentedForFormerLeaders().size(), Integer::sum);
+            count.merge(
+                    "deleted for others", cluster.machinesDeletedForFormerLeaders(), Integer::sum);
         }
         assertTrue(
                 count.get("unexpected") >= 5 && count.get("deleted for others") >= 3, "" + count);
@@ -302,10 +304,10 @@
             cluster.observed.faultFreeFromMicros = 240_000_000;
             cluster.run(10_000_000);
             long term = cluster.term();
-            cluster.quickMachines(150_000_000);
-            cluster.writeLate(20, 150_000_000);
+            cluster.bootMachinesFast(150_000_000);
+            cluster.delayWrites(20, 150_000_000);
             cluster.loseAnswers(15, 150_000_000);
-            cluster.slowState(1_200_000, 150_000_000);
+            cluster.slowStore(1_200_000, 150_000_000);
             Set<SimulatedAgent> met = new HashSet<>(cluster.agents());
             int[] young = {0, 0};
             for (long at = 500_000; at < 150_000_000; at += 500_000) {
@@ -324,7 +326,7 @@
                                                     met.add(agent);
                                                     young[0]++;
                                                     if (young[0] % 3 == 1) {
-                                                        cluster.endLeader(300_000);
+                                                        cluster.restartLeader(300_000);
                                                     }
                                                     if (young[0] % 2 == 0) {
                                                         young[1]++;
@@ -334,15 +336,15 @@
             }
             cluster.run(480_000_000);
             assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
-            count.merge("quick", cluster.quickBoots, Integer::sum);
+            count.merge("quick", cluster.fastBoots, Integer::sum);
             count.merge("at work", young[0], Integer::sum);
             count.merge("ended", young[1], Integer::sum);
             count.merge("terms", (int) (cluster.term() - term), Integer::sum);
             count.merge(
                     "late writes",
-                    cluster.lateWritesMade[0] + cluster.lateWritesMade[1],
+                    cluster.lateWriteOutcomes[0] + cluster.lateWriteOutcomes[1],
                     Integer::sum);
-            count.merge("lost answers", cluster.lostAnswersMade, Integer::sum);
+            count.merge("lost answers", cluster.storeAnswersLost, Integer::sum);
         }
         assertTrue(count.values().stream().allMatch(times -> times >= 10), "" + count);
     }
--- a/src/test/java/org/woadloom/sim/PartitionedZoneTest.java
+++ b/src/test/java/org/woadloom/sim/PartitionedZoneTest.java
@@ -22,7 +22,7 @@
     /** Zone "a" has two of the three nodes, zone "b" one. */
     private static ClusterSimulation cut(long seed, String zone, long forMicros) {
         ClusterSimulation cluster = day(seed);
-        cluster.loop.after(CUT_AT, () -> cluster.island(zone, forMicros));
+        cluster.loop.after(CUT_AT, () -> cluster.isolateZone(zone, forMicros));
         return cluster;
     }
 
@@ -37,7 +37,7 @@
                                 Version.CURRENT,
                                 Scenario.Flaw.NONE,
                                 0));
-        cluster.trouble = 0;
+        cluster.networkFaultPerMille = 0;
         cluster.users.submitUntil(QUIET);
         return cluster;
     }
@@ -73,7 +73,7 @@
         for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = day(seed);
             cluster.loop.after(
-                    CUT_AT, () -> cluster.island(cluster.zoneOf(cluster.leader()), BRIDGED));
+                    CUT_AT, () -> cluster.isolateZone(cluster.zoneOf(cluster.leader()), BRIDGED));
             assertEquals(0, killedMeanwhile(cluster), "tasks killed, seed " + seed);
             cluster.run(QUIET);
         }
@@ -105,7 +105,7 @@
                 long pause = retry % 2 == 0 ? 120_000 : 900_000;
                 cluster.loop.after(
                         CUT_AT + retry * 24_000_000L + pause,
-                        () -> cluster.island("b", 23_000_000));
+                        () -> cluster.isolateZone("b", 23_000_000));
             }
             cluster.loop.after(CUT_AT + 1_000_000, cluster.users::cancelAll);
             cluster.run(QUIET);
@@ -116,10 +116,12 @@
     void aNodeThatOnlyTheStateServiceRefusesTakesNoCare() {
         for (long seed : Seeds.first(3)) {
             ClusterSimulation cluster = day(seed);
-            cluster.loop.after(CUT_AT, () -> cluster.refuseState(1, 40_000_000));
+            cluster.loop.after(CUT_AT, () -> cluster.refuseNodeAtStore(1, 40_000_000));
             cluster.run(QUIET);
             assertFalse(
-                    cluster.tookCare[0] || cluster.tookCare[1] || cluster.tookCare[2],
+                    cluster.renewedLeases[0]
+                            || cluster.renewedLeases[1]
+                            || cluster.renewedLeases[2],
                     "seed " + seed);
         }
     }
@@ -136,7 +138,7 @@
             cluster.loop.after(CUT_AT + 2_000_000, () -> cluster.restart(1));
             cluster.loop.after(CUT_AT + 20_000_000, cluster.users::cancelAll);
             cluster.run(QUIET);
-            assertFalse(cluster.tookCare[1], "seed " + seed);
+            assertFalse(cluster.renewedLeases[1], "seed " + seed);
             killed += cluster.observed.killedByLease;
         }
         assertTrue(killed > 0, "no lease ended");
@@ -182,7 +184,7 @@
         for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = cut(seed, "a", BRIDGED);
             int ending = seed % 2 == 0 ? 0 : 2;
-            cluster.loop.after(CUT_AT + 7_000_000, () -> cluster.end(ending, BRIDGED));
+            cluster.loop.after(CUT_AT + 7_000_000, () -> cluster.restartAfter(ending, BRIDGED));
             assertEquals(0, killedMeanwhile(cluster), "tasks killed, seed " + seed);
             cluster.run(QUIET);
         }
@@ -197,7 +199,7 @@
     void aLongOutageOfTheStateServiceEndsNoLease() {
         for (long seed : Seeds.first(3)) {
             ClusterSimulation cluster = day(seed);
-            cluster.loop.after(CUT_AT, () -> cluster.stateOutage(60_000_000));
+            cluster.loop.after(CUT_AT, () -> cluster.storeOutage(60_000_000));
             cluster.loop.after(
                     CUT_AT + 10_000_000,
                     () -> cluster.restart((cluster.leader() + 1) % ClusterSimulation.NODES));
--- a/src/test/java/org/woadloom/sim/QuickRestartTest.java
+++ b/src/test/java/org/woadloom/sim/QuickRestartTest.java
@@ -20,7 +20,7 @@
 
     private static ClusterSimulation day(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.DEFAULT);
-        cluster.trouble = 0;
+        cluster.networkFaultPerMille = 0;
         cluster.users.submitUntil(AT + MINUTE);
         cluster.run(AT);
         return cluster;
@@ -36,7 +36,7 @@
         ClusterSimulation cluster = day(seed);
         int ending = cluster.leader();
         long before = cluster.term();
-        cluster.keepsEnding(ending, 300_000, AT + MINUTE);
+        cluster.restartRepeatedly(ending, 300_000, AT + MINUTE);
         cluster.run(AT + 2_000_000);
         int next = cluster.leader();
         assertNotEquals(ending, next);
@@ -56,7 +56,7 @@
         int leader = cluster.leader();
         long before = cluster.term();
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
-            cluster.end(i, i == leader ? 50_000 : 20_000_000);
+            cluster.restartAfter(i, i == leader ? 50_000 : 20_000_000);
         }
         cluster.run(AT + 1_500_000);
         assertEquals(leader, cluster.leader());
--- a/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
@@ -44,19 +44,19 @@
                         cluster.observed.teamsAtLimit() == cluster.settings.teams().size();
                 int term = cluster.leaderChanges();
                 int[] outOfReach = {0};
-                cluster.island("b", 24_000_000);
+                cluster.isolateZone("b", 24_000_000);
                 cluster.loop.after(
                         1_000_000,
                         () -> {
                             outOfReach[0] +=
                                     cancelWhere(cluster, 2, machine -> machine.zone.equals("b"));
-                            cluster.cancelNow(3, 9_000_000);
+                            cluster.cancelRunningJobs(3, 9_000_000);
                             outOfReach[0] += cancelWhere(cluster, 3, SimulatedAgent::isHung);
                         });
                 cluster.loop.after(
                         1_500_000 + cluster.random.nextInt(2_000_000),
-                        () -> cluster.endLeader(2_000_000));
-                cluster.loop.after(12_000_000, () -> cluster.endLeader(300_000));
+                        () -> cluster.restartLeader(2_000_000));
+                cluster.loop.after(12_000_000, () -> cluster.restartLeader(300_000));
                 return () -> allAtLimit && cluster.leaderChanges() > term ? outOfReach[0] : 0;
             }
         },
@@ -69,9 +69,9 @@
             IntSupplier begin(ClusterSimulation cluster) {
                 int term = cluster.leaderChanges();
                 int[] cancelled = {0};
-                cluster.deafen("a", 2, 26_000_000);
+                cluster.blockInbound("a", 2, 26_000_000);
                 cluster.hangAll("b", 9_500_000);
-                cluster.loop.after(500_000, () -> cluster.endLeader(3_000_000));
+                cluster.loop.after(500_000, () -> cluster.restartLeader(3_000_000));
                 untilSo(
                         cluster,
                         cluster.loop.now() + 9_000_000,
@@ -94,12 +94,12 @@
         OLD_REPORTS_FOR_THE_NEXT_LEADER {
             @Override
             IntSupplier begin(ClusterSimulation cluster) {
-                int before = cluster.keptCopies;
-                cluster.keepForNextLeader(25, 22_000_000);
+                int before = cluster.delayedHeartbeatsDelivered;
+                cluster.delayHeartbeatsUntilNextLeader(25, 22_000_000);
                 cluster.loop.after(4_000_000, () -> cluster.hangAll("a", 11_500_000));
-                cluster.loop.after(18_000_000, () -> cluster.endLeader(300_000));
-                cluster.loop.after(24_000_000, () -> cluster.endLeader(3_000_000));
-                return () -> cluster.keptCopies - before;
+                cluster.loop.after(18_000_000, () -> cluster.restartLeader(300_000));
+                cluster.loop.after(24_000_000, () -> cluster.restartLeader(3_000_000));
+                return () -> cluster.delayedHeartbeatsDelivered - before;
             }
         },
         /**
@@ -115,9 +115,10 @@
                 List<byte[]> held = new ArrayList<>();
                 // What a refused command is answered with is a report; it never comes to whoever
                 // asked.
-                cluster.agents().forEach(machine -> held.add(cluster.copyOf(reportOf(machine))));
+                cluster.agents()
+                        .forEach(machine -> held.add(cluster.encodeDuplicate(reportOf(machine))));
                 cluster.loop.after(300_000, () -> cluster.hangAll("b", 11_000_000));
-                cluster.loop.after(1_000_000, () -> cluster.endLeader(2_000_000));
+                cluster.loop.after(1_000_000, () -> cluster.restartLeader(2_000_000));
                 untilSo(
                         cluster,
                         cluster.loop.now() + 35_000_000,
@@ -134,7 +135,9 @@
                                                     node < ClusterSimulation.NODES;
                                                     node++) {
                                                 arrived[0] +=
-                                                        cluster.arrivesAgain(node, report) ? 1 : 0;
+                                                        cluster.deliverDuplicate(node, report)
+                                                                ? 1
+                                                                : 0;
                                             }
                                         }));
                 return () -> arrived[0];
@@ -162,7 +165,7 @@
                                     .forEach(SimulatedAgent::fail);
                             cluster.loop.after(
                                     cluster.random.nextInt(2_000_000),
-                                    () -> cluster.endLeader(500_000));
+                                    () -> cluster.restartLeader(500_000));
                         });
                 return () -> lost[0];
             }
@@ -342,18 +345,19 @@
             ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.TEAMS_AT_QUOTA);
             cluster.users.submitUntil(TROUBLED - EVERY);
             cluster.randomFaults.startUntil(TROUBLED);
-            cluster.keepForNextLeader(10, TROUBLED);
+            cluster.delayHeartbeatsUntilNextLeader(10, TROUBLED);
             cluster.cancelAtEnd(10, TROUBLED);
             cluster.loseAnswers(5, TROUBLED);
             WaitingJobs waiting = new WaitingJobs(cluster, TROUBLED + 60_000_000);
             for (long at = 30_000_000; at < TROUBLED; at += 15_000_000) {
-                cluster.loop.at(at, () -> cluster.cancelNow(3, cluster.random.nextInt(9_000_000)));
+                cluster.loop.at(
+                        at, () -> cluster.cancelRunningJobs(3, cluster.random.nextInt(9_000_000)));
                 cluster.run(at);
                 most = Math.max(most, cluster.observed.teamsAtLimit());
             }
             finish(cluster);
             assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
-            copies += cluster.keptCopies;
+            copies += cluster.delayedHeartbeatsDelivered;
             waited += waiting.waitsObserved;
         }
         assertTrue(
@@ -411,7 +415,7 @@
         WaitingJobs waiting = new WaitingJobs(cluster, AT);
         cluster.run(AT);
         for (int node = 0; node < ClusterSimulation.NODES; node++) {
-            cluster.end(node, 1_000_000_000);
+            cluster.restartAfter(node, 1_000_000_000);
         }
         assertThrows(InvariantViolation.class, () -> cluster.run(AT + 120_000_000));
         assertTrue(waiting.longestWaitMicros >= 90_000_000);
--- a/src/test/java/org/woadloom/sim/RandomFaults.java
+++ b/src/test/java/org/woadloom/sim/RandomFaults.java
@@ -18,7 +18,7 @@
 
     /** Injects a random fault every 2 to 11 s until the given time. */
     void startUntil(long until) {
-        cluster.copies = Math.max(cluster.copies, 3);
+        cluster.duplicateHeartbeatPercent = Math.max(cluster.duplicateHeartbeatPercent, 3);
         cluster.observed.faultFreeFromMicros = until + 60_000_000;
         cluster.loop.after(
                 2_000_000 + random.nextInt(9_000_000),
@@ -32,62 +32,63 @@
 
     private void injectFault() {
         switch (random.nextInt(36)) {
-            case 25 -> cluster.lookClosely(5_000_000 + random.nextInt(25_000_000));
-            case 26 -> cluster.oddRequests(5_000_000 + random.nextInt(25_000_000));
+            case 25 -> cluster.pollAfterChanges(5_000_000 + random.nextInt(25_000_000));
+            case 26 -> cluster.sendUnusualRequests(5_000_000 + random.nextInt(25_000_000));
             case 27 -> cluster.loseAnswers(5 + random.nextInt(40), random.nextInt(40_000_000));
             case 28 -> {
-                cluster.keepForNextLeader(
+                cluster.delayHeartbeatsUntilNextLeader(
                         5 + random.nextInt(30), 1_000_000 + random.nextInt(20_000_000));
                 cluster.loop.after(
                         random.nextInt(25_000_000),
-                        () -> cluster.endLeader(50_000 + random.nextInt(3_000_000)));
+                        () -> cluster.restartLeader(50_000 + random.nextInt(3_000_000)));
             }
             case 29 ->
-                    cluster.cancelNow(
+                    cluster.cancelRunningJobs(
                             1 + random.nextInt(8),
                             random.nextBoolean() ? 0 : random.nextInt(25_000_000));
             case 30 -> cluster.cancelAtEnd(20 + random.nextInt(60), random.nextInt(40_000_000));
             case 31 ->
-                    cluster.mute(
+                    cluster.blockOutbound(
                             cluster.zoneOf(random.nextInt(ClusterSimulation.NODES)),
                             1 + random.nextInt(3),
                             random.nextInt(40_000_000));
-            case 32 -> cluster.quickMachines(random.nextInt(40_000_000));
-            case 33 -> cluster.slowState(random.nextInt(1_500_000), random.nextInt(30_000_000));
+            case 32 -> cluster.bootMachinesFast(random.nextInt(40_000_000));
+            case 33 -> cluster.slowStore(random.nextInt(1_500_000), random.nextInt(30_000_000));
             case 34 -> cluster.oneTaskJobs(1 + random.nextInt(4), random.nextInt(20_000_000), 25);
             case 35 -> {
                 int away = 1 + random.nextInt(15);
                 for (int node = 0; node < ClusterSimulation.NODES; node++) {
-                    cluster.end(node, away * 1_000_000L + random.nextInt(1_000_000));
+                    cluster.restartAfter(node, away * 1_000_000L + random.nextInt(1_000_000));
                 }
             }
-            case 24 -> cluster.writeLate(5 + random.nextInt(40), random.nextInt(40_000_000));
+            case 24 -> cluster.delayWrites(5 + random.nextInt(40), random.nextInt(40_000_000));
             case 22, 23 ->
-                    cluster.gap(
+                    cluster.refuseLeaderThenStoreOutage(
                             1_000_000 + random.nextInt(4_000_000),
                             10_000_000 + random.nextInt(60_000_000));
             case 16, 17 ->
-                    cluster.anyWorker(
+                    cluster.withRandomAgent(
                             agent ->
                                     agent.inboundBlockedUntilMicros =
                                             cluster.loop.now() + random.nextInt(40_000_000));
             case 18 ->
-                    cluster.deafen(
+                    cluster.blockInbound(
                             cluster.zoneOf(random.nextInt(ClusterSimulation.NODES)),
                             1 + random.nextInt(3),
                             random.nextInt(25_000_000));
             case 19 ->
-                    cluster.anyWorker(
+                    cluster.withRandomAgent(
                             agent ->
                                     agent.outboundBlockedUntilMicros =
                                             cluster.loop.now() + random.nextInt(40_000_000));
             case 20 ->
-                    cluster.isolate(
+                    cluster.isolateNode(
                             random.nextInt(ClusterSimulation.NODES),
                             5_000_000 + random.nextInt(40_000_000));
             case 21 -> {
-                cluster.copies = 30;
-                cluster.loop.after(random.nextInt(60_000_000), () -> cluster.copies = 3);
+                cluster.duplicateHeartbeatPercent = 30;
+                cluster.loop.after(
+                        random.nextInt(60_000_000), () -> cluster.duplicateHeartbeatPercent = 3);
             }
             case 0, 1 -> cluster.restart(random.nextInt(ClusterSimulation.NODES));
             case 2 -> {
@@ -96,22 +97,22 @@
                 }
             }
             case 3 -> {
-                cluster.stateOutage(2_000_000 + random.nextInt(18_000_000));
+                cluster.storeOutage(2_000_000 + random.nextInt(18_000_000));
             }
             case 4 -> {
                 cluster.cloudOutage(random.nextInt(20_000_000));
             }
             case 5, 6 ->
-                    cluster.anyWorker(
+                    cluster.withRandomAgent(
                             agent ->
                                     agent.hungUntilMicros =
                                             cluster.loop.now() + random.nextInt(25_000_000));
-            case 7 -> cluster.anyWorker(SimulatedAgent::fail);
+            case 7 -> cluster.withRandomAgent(SimulatedAgent::fail);
             case 9 -> {
                 cluster.refusePeers(5_000_000 + random.nextInt(20_000_000));
             }
             case 10 ->
-                    cluster.refuseState(
+                    cluster.refuseNodeAtStore(
                             random.nextInt(ClusterSimulation.NODES),
                             5_000_000 + random.nextInt(25_000_000));
             case 11 -> {
@@ -120,12 +121,12 @@
                         5_000_000 + random.nextInt(25_000_000));
             }
             case 15 ->
-                    cluster.keepsEnding(
+                    cluster.restartRepeatedly(
                             random.nextInt(ClusterSimulation.NODES),
                             100_000 + random.nextInt(1_500_000),
                             cluster.loop.now() + random.nextInt(30_000_000));
             case 13, 14 ->
-                    cluster.island(
+                    cluster.isolateZone(
                             cluster.zoneOf(random.nextInt(ClusterSimulation.NODES)),
                             5_000_000 + random.nextInt(40_000_000));
             case 8 -> {
@@ -136,8 +137,9 @@
                         5_000_000 + random.nextInt(25_000_000));
             }
             default -> {
-                cluster.trouble = 60;
-                cluster.loop.after(random.nextInt(15_000_000), () -> cluster.trouble = 4);
+                cluster.networkFaultPerMille = 60;
+                cluster.loop.after(
+                        random.nextInt(15_000_000), () -> cluster.networkFaultPerMille = 4);
             }
         }
         cluster.users.pollUnknownJob();
@@ -151,9 +153,9 @@
                     if (cluster.loop.now() < until) {
                         switch (random.nextInt(6)) {
                             case 0 -> cluster.restart(random.nextInt(ClusterSimulation.NODES));
-                            case 1, 2 -> cluster.anyWorker(SimulatedAgent::fail);
+                            case 1, 2 -> cluster.withRandomAgent(SimulatedAgent::fail);
                             default ->
-                                    cluster.anyWorker(
+                                    cluster.withRandomAgent(
                                             agent ->
                                                     agent.hungUntilMicros =
                                                             cluster.loop.now()
--- a/src/test/java/org/woadloom/sim/RandomScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/RandomScenariosTest.java
@@ -143,13 +143,13 @@
                                                     3 * Scenario.SHORT_TIMES.cancelMicros()));
                             // Replicas that run in the zone when it is cut off are what the node
                             // there cares for.
-                            cluster.servicesStay = true;
+                            cluster.noRandomCancellations = true;
                             cluster.users.submitUntil(TROUBLED);
                             cluster.run(60_000_000);
                             assertTrue(
                                     cluster.observed.runningTasksInZone("b") > 3,
                                     "hardly anything runs in the zone");
-                            cluster.island("b", 70_000_000);
+                            cluster.isolateZone("b", 70_000_000);
                             cluster.loop.after(200_000, cluster.users::cancelAll);
                             cluster.run(TROUBLED);
                         });
--- a/src/test/java/org/woadloom/sim/RolloutTest.java
+++ b/src/test/java/org/woadloom/sim/RolloutTest.java
@@ -100,7 +100,7 @@
     @MethodSource("org.woadloom.sim.Seeds#firstSix")
     void stepsBackAndForthSurviveTroubles(long seed) {
         ClusterSimulation cluster = busy(seed, Version.CURRENT);
-        cluster.clockOff[(int) (seed % ClusterSimulation.NODES)] =
+        cluster.clockOffsetMicros[(int) (seed % ClusterSimulation.NODES)] =
                 seed % 2 == 0 ? 400 * SECOND : -400 * SECOND;
         cluster.randomFaults.startUntil(BUSY);
         long[] asks = {15, 40, 65, 110, 150};
@@ -166,7 +166,7 @@
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
             cluster.replace(i, half(seed).get(i), (2 + i) * SECOND);
         }
-        cluster.stateOutage(8 * SECOND);
+        cluster.storeOutage(8 * SECOND);
         cluster.run(70 * SECOND);
         assertNull(cluster.stored("version/agreed"), "agreed with an old node");
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
@@ -188,7 +188,7 @@
         cluster.run(10 * SECOND);
         cluster.replace(1, there, SECOND / 2);
         cluster.run(15 * SECOND);
-        cluster.island("b", 60 * SECOND);
+        cluster.isolateZone("b", 60 * SECOND);
         cluster.run(45 * SECOND);
         ask(cluster, Verb.GO);
         cluster.run(74 * SECOND);
@@ -255,13 +255,13 @@
     @Test
     void settingsThatContradictEachOtherSwitchNothing() {
         ClusterSimulation cluster = new ClusterSimulation(4, Scenario.DEFAULT);
-        cluster.namesOneMore[2] = true;
+        cluster.hasExtraPeer[2] = true;
         cluster.users.submitUntil(BUSY);
         cluster.run(60 * SECOND);
         for (Feature feature : Feature.values()) {
             assertEquals(Step.OFF, standing(cluster, feature).step(), feature.key());
         }
-        cluster.namesOneMore[2] = false;
+        cluster.hasExtraPeer[2] = false;
         cluster.replace(2, Version.CURRENT, 1 * SECOND);
         runTo(cluster, Step.SETTLED);
     }
--- a/src/test/java/org/woadloom/sim/ServiceLevelTest.java
+++ b/src/test/java/org/woadloom/sim/ServiceLevelTest.java
@@ -77,7 +77,7 @@
                                 Version.CURRENT,
                                 Scenario.Flaw.NONE,
                                 crowd));
-        cluster.servicesStay = true;
+        cluster.noRandomCancellations = true;
         cluster.users.submitUntil(TROUBLED, 3);
         cluster.randomFaults.startMachineFaultsUntil(TROUBLED);
         cluster.run(TROUBLED);
--- a/src/test/java/org/woadloom/sim/SimulatedAgent.java
+++ b/src/test/java/org/woadloom/sim/SimulatedAgent.java
@@ -196,7 +196,7 @@
         reportSentMicros = sent;
         long id = ++reportId;
         long ofTenure = incarnation;
-        cluster.toNode(
+        cluster.sendToNode(
                 host,
                 node,
                 "POST",
--- a/src/test/java/org/woadloom/sim/SimulatedCloud.java
+++ b/src/test/java/org/woadloom/sim/SimulatedCloud.java
@@ -165,7 +165,7 @@
                 long usual = 2_000_000 + cluster.random.nextInt(12_000_000);
                 cluster.loop.after(
                         quick ? 300_000 + faultRandom.nextInt(1_700_000) : usual, () -> boot(host));
-                cluster.quickBoots += quick ? 1 : 0;
+                cluster.fastBoots += quick ? 1 : 0;
             }
         }
         if (hosts.isEmpty()) {
--- a/src/test/java/org/woadloom/sim/SimulatedUsers.java
+++ b/src/test/java/org/woadloom/sim/SimulatedUsers.java
@@ -101,7 +101,7 @@
             throw new IllegalStateException(e);
         }
         submit(jobId, map, cluster.loop.now() + SUBMIT_TIMEOUT_MICROS, onAccepted);
-        if (!cluster.servicesStay && (service || random.nextInt(12) == 0)) {
+        if (!cluster.noRandomCancellations && (service || random.nextInt(12) == 0)) {
             cluster.loop.after(5_000_000 + random.nextInt(60_000_000), () -> cancel(jobId));
         }
     }
@@ -121,7 +121,7 @@
 
     void submit(String jobId, Map<String, Object> job, long until, Consumer<String> onAccepted) {
         long sent = cluster.loop.now();
-        cluster.toNode(
+        cluster.sendToNode(
                 "users",
                 random.nextInt(ClusterSimulation.NODES),
                 "POST",
@@ -204,7 +204,7 @@
 
     private void poll(String jobId) {
         long sent = cluster.loop.now();
-        cluster.toNode(
+        cluster.sendToNode(
                 "users",
                 random.nextInt(ClusterSimulation.NODES),
                 "GET",
@@ -239,7 +239,7 @@
     private void cancel(String jobId, long unknownUntil) {
         cluster.observed.recordCancelRequest(jobId);
         long sent = cluster.loop.now();
-        cluster.toNode(
+        cluster.sendToNode(
                 "users",
                 random.nextInt(ClusterSimulation.NODES),
                 "POST",
@@ -256,7 +256,7 @@
 
     /** Polls a job that no user submitted. */
     void pollUnknownJob() {
-        cluster.toNode(
+        cluster.sendToNode(
                 "users",
                 random.nextInt(ClusterSimulation.NODES),
                 "GET",
--- a/src/test/java/org/woadloom/sim/StoreFaults.java
+++ b/src/test/java/org/woadloom/sim/StoreFaults.java
@@ -45,7 +45,7 @@
                 && lastLossNode >= 0
                 && node != lastLossNode
                 && now - lastLossMicros < STORE_TIMEOUT_MICROS) {
-            cluster.lostAnswersReadElsewhere++;
+            cluster.lostAnswersFollowedByPeerRead++;
             lastLossNode = -1;
         }
         boolean lost = path.equals("/txn") && now < loseUntil && random.nextInt(100) < lossPercent;
@@ -54,7 +54,7 @@
                         ? reply
                         : (status, body) -> {
                             if (status == 200) {
-                                cluster.lostAnswersMade++;
+                                cluster.storeAnswersLost++;
                                 lastLossNode = node;
                                 lastLossMicros = cluster.loop.now();
                             } else {
--- a/src/test/java/org/woadloom/sim/ThreeZonesTest.java
+++ b/src/test/java/org/woadloom/sim/ThreeZonesTest.java
@@ -20,8 +20,8 @@
 
     private static ClusterSimulation day(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.DEFAULT.inThreeZones());
-        cluster.trouble = 0;
-        cluster.copies = 3;
+        cluster.networkFaultPerMille = 0;
+        cluster.duplicateHeartbeatPercent = 3;
         cluster.users.submitUntil(AT + 90_000_000);
         cluster.observed.faultFreeFromMicros = AT + 180_000_000;
         cluster.run(AT);
@@ -46,10 +46,10 @@
     void aZoneIsCutWithItsOnlyNodeWhileTheOthersEnd(long seed, boolean leader) {
         ClusterSimulation cluster = day(seed);
         int inside = with(cluster, leader);
-        cluster.island(cluster.zoneOf(inside), 60_000_000);
+        cluster.isolateZone(cluster.zoneOf(inside), 60_000_000);
         for (int i = 1; i <= 4; i++) {
             int ending = (inside + 1 + i % 2) % ClusterSimulation.NODES;
-            cluster.loop.after(i * 12_000_000L, () -> cluster.end(ending, 300_000));
+            cluster.loop.after(i * 12_000_000L, () -> cluster.restartAfter(ending, 300_000));
         }
         untilAllIsDone(cluster);
     }
@@ -66,7 +66,7 @@
                 cluster.zoneOf((leader + 1) % ClusterSimulation.NODES),
                 35_000_000);
         if (seed % 2 == 0) {
-            cluster.loop.after(10_000_000, () -> cluster.end(leader, 300_000));
+            cluster.loop.after(10_000_000, () -> cluster.restartAfter(leader, 300_000));
         }
         long before = cluster.term();
         cluster.run(AT + 50_000_000);
@@ -85,12 +85,12 @@
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void allControllersEndInAnOutageAsMachinesAreTaken(long seed) {
         ClusterSimulation cluster = day(seed);
-        cluster.stateOutage(12_000_000);
+        cluster.storeOutage(12_000_000);
         cluster.loop.after(
                 3_000_000,
                 () -> {
                     for (int i = 0; i < ClusterSimulation.NODES; i++) {
-                        cluster.end(i, 50_000 + 900_000L * i);
+                        cluster.restartAfter(i, 50_000 + 900_000L * i);
                     }
                     List<SimulatedAgent> agents = cluster.agents();
                     for (int i = 0; i < agents.size(); i += 3) {
@@ -106,7 +106,7 @@
     void servicesThatComeWhileAZoneIsCutStartInTheOthers(long seed) {
         ClusterSimulation cluster = day(seed);
         String dark = cluster.zoneOf(with(cluster, false));
-        cluster.island(dark, 45_000_000);
+        cluster.isolateZone(dark, 45_000_000);
         cluster.users.submitUntil(cluster.loop.now() + 20_000_000, 3);
         int before = cluster.rented();
         cluster.run(AT + 40_000_000);
@@ -126,7 +126,7 @@
     void aNodeIsAloneInAZoneThatCantReachAnother(long seed) {
         ClusterSimulation cluster = day(seed);
         int alone = with(cluster, seed % 2 == 0);
-        cluster.isolate(alone, 40_000_000);
+        cluster.isolateNode(alone, 40_000_000);
         cluster.partition(
                 cluster.zoneOf(alone),
                 cluster.zoneOf((alone + 1) % ClusterSimulation.NODES),
--- a/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
@@ -31,8 +31,8 @@
                                 Version.CURRENT,
                                 Scenario.Flaw.NONE,
                                 0));
-        cluster.trouble = 0;
-        cluster.copies = 5;
+        cluster.networkFaultPerMille = 0;
+        cluster.duplicateHeartbeatPercent = 5;
         cluster.users.submitUntil(AT + 60_000_000);
         cluster.observed.faultFreeFromMicros = AT + 150_000_000;
         cluster.run(AT);
@@ -52,7 +52,7 @@
         for (long seed : Seeds.first(6)) {
             ClusterSimulation cluster = day(seed);
             int killed = cluster.observed.killedByLease;
-            cluster.deafen("a", 1, 8_000_000);
+            cluster.blockInbound("a", 1, 8_000_000);
             List<SimulatedAgent> deaf =
                     cluster.agents().stream().filter(SimulatedAgent::isInboundBlocked).toList();
             cluster.run(AT + 16_000_000);
@@ -69,7 +69,7 @@
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
     void workOnMachinesThatAreDeafForThreeLeasesIsDoneElsewhere(long seed) {
         ClusterSimulation cluster = day(seed);
-        cluster.deafen("a", 2, 60_000_000);
+        cluster.blockInbound("a", 2, 60_000_000);
         if (seed % 2 == 0) {
             cluster.loop.after(5_000_000, () -> cluster.restart(cluster.leader()));
         }
@@ -100,7 +100,7 @@
                                 cluster.users.submitUntil(QUIET, 4);
                                 for (long at = AT; at < QUIET; at += 20_000_000) {
                                     cluster.loop.after(
-                                            at, () -> cluster.deafen("a", 1, 12_000_000));
+                                            at, () -> cluster.blockInbound("a", 1, 12_000_000));
                                 }
                                 cluster.run(QUIET);
                             }
@@ -115,7 +115,7 @@
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void machinesThatStayDeafAreReplaced(long seed) {
         ClusterSimulation cluster = day(seed);
-        cluster.deafen("b", 3, 2 * QUIET);
+        cluster.blockInbound("b", 3, 2 * QUIET);
         List<SimulatedAgent> deaf =
                 cluster.agents().stream().filter(SimulatedAgent::isInboundBlocked).toList();
         assertTrue(!deaf.isEmpty());
@@ -146,7 +146,7 @@
         ClusterSimulation cluster = day(seed);
         int alone = cluster.leader();
         int killed = cluster.observed.killedByLease;
-        cluster.isolate(alone, 60_000_000);
+        cluster.isolateNode(alone, 60_000_000);
         cluster.run(AT + 15_000_000);
         assertNotEquals(alone, cluster.leader());
         assertEquals(503, cluster.status(alone, "GET", "/healthz", null));
@@ -169,7 +169,7 @@
         int leader = cluster.leader();
         int alone = (leader + 1) % ClusterSimulation.NODES;
         int killed = cluster.observed.killedByLease;
-        cluster.isolate(alone, 60_000_000);
+        cluster.isolateNode(alone, 60_000_000);
         cluster.run(AT + 20_000_000);
         assertEquals(503, cluster.status(alone, "GET", "/healthz", null));
         cluster.run(AT + 60_000_000);
@@ -182,7 +182,7 @@
     @Test
     void inAnOutageForAllNodesStayHealthy() {
         ClusterSimulation cluster = day(1);
-        cluster.stateOutage(20_000_000);
+        cluster.storeOutage(20_000_000);
         cluster.run(AT + 12_000_000);
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
             assertEquals(200, cluster.status(i, "GET", "/healthz", null));
@@ -195,8 +195,8 @@
     void nodesThatEndInTheMiddleOfElectionsEndUpWithOneLeader(long seed) {
         ClusterSimulation cluster = day(seed);
         long before = cluster.term();
-        cluster.end(cluster.leader(), 50_000);
-        cluster.endInElections(AT + 8_000_000);
+        cluster.restartAfter(cluster.leader(), 50_000);
+        cluster.restartDuringElections(AT + 8_000_000);
         cluster.run(AT + 20_000_000);
         assertTrue(cluster.term() > before);
         assertNotEquals(-1, cluster.leader());
--- a/src/test/java/org/woadloom/sim/UserFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/UserFaultCombinationsTest.java
@@ -27,12 +27,12 @@
             @Override
             void begin(ClusterSimulation cluster) {
                 cluster.cancelAtEnd(50, FOR);
-                cluster.lookClosely(FOR);
+                cluster.pollAfterChanges(FOR);
             }
 
             @Override
             int came(ClusterSimulation cluster) {
-                return Math.min(cluster.cancelledAtEnd, cluster.closeLooks);
+                return Math.min(cluster.jobsCancelledAtEnd, cluster.pollBursts);
             }
         },
         /**
@@ -42,12 +42,12 @@
         ODD_REQUESTS {
             @Override
             void begin(ClusterSimulation cluster) {
-                cluster.oddRequests(FOR);
+                cluster.sendUnusualRequests(FOR);
             }
 
             @Override
             int came(ClusterSimulation cluster) {
-                return cluster.oddRequestsMade;
+                return cluster.unusualRequestsSent;
             }
         },
         /**
@@ -58,12 +58,12 @@
             @Override
             void begin(ClusterSimulation cluster) {
                 cluster.loseAnswers(30, FOR);
-                cluster.lookClosely(FOR);
+                cluster.pollAfterChanges(FOR);
             }
 
             @Override
             int came(ClusterSimulation cluster) {
-                return Math.min(cluster.lostAnswersMade, cluster.closeLooks);
+                return Math.min(cluster.storeAnswersLost, cluster.pollBursts);
             }
         };
 
--- a/src/test/java/org/woadloom/sim/UserFaults.java
+++ b/src/test/java/org/woadloom/sim/UserFaults.java
@@ -66,7 +66,7 @@
                 || !polledStates.add(jobId + cluster.observed.hasFinalStatus(jobId))) {
             return;
         }
-        cluster.closeLooks++;
+        cluster.pollBursts++;
         for (int node = 0; node < ClusterSimulation.NODES; node++) {
             int index = node;
             for (int look = 0; look < POLLS_PER_NODE; look++) {
@@ -83,7 +83,7 @@
 
     private void poll(int node, String jobId) {
         long sent = cluster.loop.now();
-        cluster.toNode(
+        cluster.sendToNode(
                 "users",
                 node,
                 "GET",
@@ -96,7 +96,7 @@
 
     private void submit(String jobId, Map<String, Object> job) {
         long sent = cluster.loop.now();
-        cluster.toNode(
+        cluster.sendToNode(
                 "users",
                 random.nextInt(ClusterSimulation.NODES),
                 "POST",
@@ -119,9 +119,9 @@
     }
 
     /**
-     * Sends a request of one of five kinds: 0 submits an open job again, 1 does so without a required
-     * field, 2 cancels a job that is done or cancelled, 3 submits a new job that can never run, 4
-     * submits a new job without a required field.
+     * Sends a request of one of five kinds: 0 submits an open job again, 1 does so without a
+     * required field, 2 cancels a job that is done or cancelled, 3 submits a new job that can never
+     * run, 4 submits a new job without a required field.
      */
     private void sendUnusualRequest(int kind) {
         List<String> such = new ArrayList<>(cluster.observed.acceptedJobs());
@@ -129,13 +129,13 @@
         if (kind < 3 && such.isEmpty()) {
             return;
         }
-        cluster.oddRequestsMade++;
+        cluster.unusualRequestsSent++;
         String jobId = kind < 3 ? such.get(random.nextInt(such.size())) : cluster.users.newJobId();
         Map<String, Object> job =
                 kind < 3 ? cluster.observed.job(jobId).toMap() : oneTaskJob(jobId);
         if (kind == 2) {
             long sent = cluster.loop.now();
-            cluster.toNode(
+            cluster.sendToNode(
                     "users",
                     random.nextInt(ClusterSimulation.NODES),
                     "POST",
@@ -201,7 +201,7 @@
     void onLastTaskDone(String jobId) {
         if (cluster.loop.now() < cancelAtEndUntilMicros
                 && random.nextInt(100) < cancelAtEndPercent) {
-            cluster.cancelledAtEnd++;
+            cluster.jobsCancelledAtEnd++;
             cluster.loop.after(
                     random.nextBoolean() ? 1 : random.nextInt(800_000),
                     () -> cluster.users.cancel(jobId));
@@ -220,7 +220,7 @@
                         } catch (MalformedMessageException e) {
                             throw new IllegalStateException(e);
                         }
-                        cluster.oneTaskJobsMade++;
+                        cluster.oneTaskJobsSubmitted++;
                         cluster.users.submit(
                                 jobId, job, cluster.loop.now() + 60_000_000, accepted -> {});
                         if (random.nextInt(100) < cancelPercent) {
