--- a/src/test/java/org/woadloom/sim/ClusterSimulation.java
+++ b/src/test/java/org/woadloom/sim/ClusterSimulation.java
@@ -25,8 +25,8 @@
 import org.woadloom.settings.Team;
 
 /**
- * A whole deployment in virtual time: three nodes of the real program between stand-ins, on a
- * network with faults.
+ * A whole deployment in virtual time: three production nodes with a simulated store, cloud, agents
+ * and users, connected by a network with faults.
  */
 final class ClusterSimulation {
     static final int NODES = 3;
@@ -35,8 +35,8 @@
     final Random random;
 
     /**
-     * Of the troubles that are off unless asked for: a run without them draws the same from {@link
-     * #random} as ever.
+     * Random numbers of the faults that are off by default. They do not come from {@link #random},
+     * so that adding such a fault does not change runs without it.
      */
     private final Random faultRandom;
 
@@ -53,76 +53,70 @@
     final SimulatedUsers users;
     final RandomFaults randomFaults;
 
-    /**
-     * Two zones that can't reach each other, or none; the state service and the cloud belong to
-     * neither.
-     */
+    /** Two zones that can't reach each other, or none. Both can reach the store and the cloud. */
     private List<String> partitionedZones = List.of();
 
     /**
-     * The zone that is cut off from everything else, the state service, the cloud and the users
-     * among it; or null.
+     * The zone that is cut off from everything else, including the store, the cloud and the users;
+     * or null.
      */
     private String isolatedZone;
 
-    /** While set, no node takes connections from another. */
+    /** While set, nodes refuse connections from their peers. */
     private boolean peerConnectionsRefused;
 
-    /** The node that the state service refuses, or -1. */
+    /** The node whose requests the store rejects, or -1. */
     private int nodeRefusedByStore = -1;
 
-    /** A second one. */
+    /** A second node whose requests the store rejects, or -1. */
     private int secondNodeRefusedByStore = -1;
 
-    /** Nobody is told by a peer which jobs it has just changed. */
+    /** While set, notifications between peers about changed jobs get lost. */
     boolean changeNotificationsLost;
 
     /**
-     * How many of a hundred transactions get no answer and are carried out 2 to 12 s later, after
-     * newer ones.
+     * Percentage of transactions that get no answer and are executed 2 to 12 s later, after newer
+     * ones.
      */
     int lateWritePercent;
 
-    /** How many of those changed something, and how many were void by then. */
+    /** Late transactions: [0] those that succeeded, [1] those that failed. */
     final int[] lateWriteOutcomes = {0, 0};
 
-    /** Copies of reports that came again. */
+    /** Number of duplicated heartbeats that reached a node. */
     int duplicateHeartbeatsDelivered;
 
-    /** Commands that were executed when the machine went on, or could be reached again. */
+    /** Direct commands executed late, when the agent resumed or was reachable again. */
     int delayedCommandsExecuted;
 
-    /** What nodes send straight to workers gets lost. */
+    /** While set, direct commands from nodes to agents get lost. */
     boolean directCommandsLost;
 
-    /** Services run for ever, and nobody cancels anything. */
+    /** While set, newly submitted jobs are not cancelled at random. */
     boolean noRandomCancellations;
 
-    /** The node that no worker can reach and that reaches none, or -1. */
+    /** The node that is cut off from all agents, or -1. */
     private int nodeCutFromAgents = -1;
 
-    /**
-     * The node that has lost the state service and the other nodes, but neither its workers nor
-     * users, or -1.
-     */
+    /** The node that can reach agents and users, but neither the store nor its peers, or -1. */
     private int isolatedNode = -1;
 
-    /** How many of a hundred reports come again, up to a minute later, at any node. */
+    /** Percentage of heartbeats that arrive again, up to a minute later, at a random node. */
     int duplicateHeartbeatPercent;
 
-    /** How many of a thousand requests are held back, or lose their answer. */
+    /** Per mille of requests that are delayed by 2 to 42 s, and of those that lose their answer. */
     int networkFaultPerMille = 4;
 
-    /** By how much a node's time of day is off. */
+    /** Offset of each node's wall clock. */
     final long[] clockOffsetMicros = new long[NODES];
 
-    /** Nodes whose settings name one more than there is. */
+    /** Nodes whose settings name a peer that does not exist. */
     final boolean[] hasExtraPeer = new boolean[NODES];
 
-    /** Nodes that told the leader that they took care of workers. */
+    /** Nodes that reported to a peer that they renewed leases of agents. */
     final boolean[] renewedLeases = new boolean[NODES];
 
-    /** Answers after which users looked closely. */
+    /** Number of answers that were followed by a burst of polls. */
     int pollBursts;
 
     int unusualRequestsSent;
@@ -130,30 +124,30 @@
     int oneTaskJobsSubmitted;
     int oneTaskJobsCancelled;
 
-    /** Transactions that were carried out and whose answer was lost. */
+    /** Number of transactions that succeeded but whose answer was lost. */
     int storeAnswersLost;
 
-    /** Those after which another node read jobs before the one that wrote had given up. */
+    /** Of these, those after which another node read jobs before the writer timed out. */
     int lostAnswersFollowedByPeerRead;
 
-    /** Copies that came to a node after the term had changed. */
+    /** Copies of heartbeats that reached a node after the leader had changed. */
     int delayedHeartbeatsDelivered;
 
-    /** Machines that were up within two seconds. */
+    /** Number of machines that booted within two seconds. */
     int fastBoots;
 
     int leadersEndedInOutages;
 
-    /** The service is broken at its store from this moment on. */
+    /** Flaws at the store take effect from this time on. */
     long flawActiveFromMicros;
 
-    /** Is shown each step of each node. */
+    /** Called after each scheduler step of each node. */
     NodeStepObserver stepObserver = (node, now, commands, actions) -> {};
 
     private long slowLinksMicros;
     private long slowLinksUntilMicros;
 
-    /** Is shown each step of the nodes' cores. */
+    /** Observes the scheduler steps of the nodes. */
     interface NodeStepObserver {
         void onStep(
                 int node,
@@ -162,17 +156,17 @@
                 List<SchedulerAction> actions);
     }
 
-    /** One node and the life of its process. */
+    /** A node and the state of its process. */
     private final class Member {
         final int index;
         boolean alive;
 
-        /** What the process is a stand-in for. */
+        /** The software version that the process simulates. */
         Version version;
 
         int generation;
 
-        /** The process stands still until then: whatever comes to it waits. */
+        /** The process is paused until then; tasks and messages for it wait. */
         long frozenUntil;
 
         Node node;
@@ -217,7 +211,7 @@
             return alive && generation == mine;
         }
 
-        /** Does it once the process goes on, if that is there still. */
+        /** Runs the task when the process is not paused, unless the process has ended by then. */
         void whenAwake(int mine, Runnable task) {
             if (lives(mine) && loop.now() < frozenUntil) {
                 loop.at(frozenUntil, () -> whenAwake(mine, task));
@@ -458,8 +452,8 @@
     }
 
     /**
-     * Any node of version 3 writes the agreement once all nodes have said, at any time, that they
-     * run it.
+     * Writes the agreed version as a node of version 3 does: once every node has announced its
+     * version, whenever that was.
      */
     private void agreeAsVersion3() {
         loop.after(
@@ -585,7 +579,7 @@
                 });
     }
 
-    /** What a node sent has come to where it is to be answered. */
+    /** Handles a request of a node when it reaches the store, the cloud or an agent. */
     private void deliverFromNode(
             Member member,
             int mine,
@@ -598,12 +592,12 @@
             return;
         }
         if (zoneOf(member.index).equals(isolatedZone)) {
-            // Held back, and executed when the zone is back.
+            // Delayed until the zone is reachable again.
             loop.after(
                     1_000_000,
                     () -> deliverDelayed(member, mine, address, method, path, map, respond));
         } else if (address.equals("state") && member.index == isolatedNode) {
-            // What was sent is executed when the way is open again.
+            // Delayed until the node can reach the store again.
             loop.after(
                     1_000_000,
                     () -> deliverDelayed(member, mine, address, method, path, map, respond));
@@ -670,7 +664,7 @@
         return without;
     }
 
-    /** Where the service is broken on purpose at its store: true if that is what answers. */
+    /** Applies a flaw at the store; returns true if it has answered the request. */
     private boolean applyStoreFlaw(
             String path, Map<String, Object> body, SimulatedStore.Answer respond) {
         boolean job = path.startsWith("/keys/job/j-");
@@ -721,7 +715,7 @@
         }
     }
 
-    /** A watch that is open waits while the state service refuses its node, as in an outage. */
+    /** Holds the answer to an open watch back while the store rejects the node, as in an outage. */
     private void answerUnlessRefused(
             Member member, int status, Map<String, Object> answer, SimulatedStore.Answer respond) {
         if (isRefusedByStore(member)) {
@@ -732,8 +726,8 @@
     }
 
     /**
-     * What a node sent out of a zone that is cut off arrives late; only the state service still
-     * does what it asks.
+     * Delivers a request when its node is no longer isolated. Only requests to the store are still
+     * executed; others are dropped.
      */
     private void deliverDelayed(
             Member member,
@@ -823,7 +817,7 @@
             if (agent.address.equals(address) && !agent.failed) {
                 if (areZonesSeparated(agent.zone, zoneOf(member.index))
                         || member.index == nodeCutFromAgents) {
-                    // Held back, and executed when the zones can reach each other again.
+                    // Delayed until the zones can reach each other again.
                     loop.after(1_000_000, () -> sendToAgent(member, address, body, respond, true));
                     return;
                 }
@@ -832,7 +826,7 @@
                     return;
                 }
                 if (agent.isHung()) {
-                    // The command is executed when the machine goes on.
+                    // Executed when the machine resumes.
                     loop.at(
                             agent.hungUntilMicros,
                             () -> sendToAgent(member, address, body, respond, true));
@@ -858,7 +852,7 @@
         }
     }
 
-    /** A worker's or a user's request to a node. */
+    /** Sends a request of an agent or a user to a node. */
     void sendToNode(
             String from,
             int index,
@@ -936,8 +930,7 @@
     }
 
     /**
-     * The same report arrives again, when its worker may be gone, and whoever answers it answers
-     * nobody.
+     * Delivers a copy of the heartbeat later, when its agent may be gone. The answer is dropped.
      */
     private void duplicateLater(Map<String, Object> report) {
         byte[] bytes = encodeDuplicate(report);
@@ -956,7 +949,7 @@
         return Cbor.encode(retry);
     }
 
-    /** False if it comes to a node that is not there, or out of reach. */
+    /** Returns false if the node is down or unreachable. */
     boolean deliverDuplicate(int index, byte[] report) {
         Member member = members[index];
         if (!member.alive || zoneOf(index).equals(isolatedZone)) {
@@ -970,7 +963,9 @@
         void deliver(SimulatedStore.Answer respond);
     }
 
-    /** One request: delayed, sometimes held back for long, sometimes without its answer. */
+    /**
+     * Transmits a request: with a short delay, sometimes a long one, sometimes losing the answer.
+     */
     private void transmit(long timeout, SimulatedStore.Answer callback, Delivery delivery) {
         boolean[] answered = {false};
         loop.after(
@@ -1008,8 +1003,8 @@
     }
 
     /**
-     * Replaces the nodes by the new version, one by one; then the limits fall, and users know of
-     * pipelines.
+     * Upgrades the nodes to the current version one by one; then the store lowers its limits and
+     * users submit pipelines.
      */
     void upgradeNodes(long until) {
         long at = 15_000_000 + random.nextInt(20_000_000);
@@ -1035,7 +1030,7 @@
 
     // Faults.
 
-    /** A node's process ends, and one of the given version begins after the given time. */
+    /** Kills a node's process and starts one of the given version after the given time. */
     void replace(int index, Version version, long afterMicros) {
         Member member = members[index];
         member.kill();
@@ -1051,7 +1046,8 @@
     }
 
     /**
-     * What a node answers; the answer's {@code code} is its status. Empty as long as there is none.
+     * Sends a request to a node without the network. The returned map is empty until the node
+     * answers, then has the body and the HTTP status as {@code code}.
      */
     Map<String, Object> ask(int index, String method, String path, Map<String, Object> body) {
         Map<String, Object> answer = new LinkedHashMap<>();
@@ -1081,7 +1077,7 @@
         return answer;
     }
 
-    /** What a node answers, at once; 0 if it is not there. */
+    /** The HTTP status that a node returns at once; 0 if it does not or is down. */
     int status(int index, String method, String path, Map<String, Object> body) {
         int[] answered = {0};
         if (members[index].alive) {
@@ -1097,30 +1093,30 @@
         return answered[0];
     }
 
-    // Troubles that are off unless asked for.
+    // Faults that are off by default.
 
     /**
-     * Right after each answer that a job was accepted, ended or cancelled, users ask all nodes
-     * about it several times.
+     * Users poll a job several times at every node right after the first answer that it is
+     * accepted, done or cancelled.
      */
     void pollAfterChanges(long forMicros) {
         userFaults.pollChangesUntil(loop.now() + forMicros);
     }
 
-    /** Users repeat what is known, and ask for what can't be. */
+    /** Users repeat requests for known jobs and submit invalid jobs. */
     void sendUnusualRequests(long forMicros) {
         userFaults.sendUnusualRequestsUntil(loop.now() + forMicros);
     }
 
     /**
-     * So many running jobs are called off within 0.2 s, and up to eight of their machines hang;
-     * returns how many.
+     * Cancels up to {@code count} running jobs within 0.2 s and lets up to eight of their machines
+     * hang; returns the number of jobs.
      */
     int cancelRunningJobs(int count, long hangMicros) {
         return userFaults.cancelRunningJobs(count, hangMicros);
     }
 
-    /** So many of a hundred jobs are called off as their last task ends. */
+    /** Cancels this percentage of jobs when their last task ends. */
     void cancelAtEnd(int ofHundred, long forMicros) {
         userFaults.cancelAtEndUntil(ofHundred, loop.now() + forMicros);
     }
@@ -1129,23 +1125,25 @@
         userFaults.submitOneTaskJobsUntil(perSecond, loop.now() + forMicros, ofHundredCancelled);
     }
 
-    /** So many of a hundred transactions are carried out at once and get no answer. */
+    /** This percentage of transactions is executed, but the answer is lost. */
     void loseAnswers(int ofHundred, long forMicros) {
         storeFaults.loseAnswers(ofHundred, loop.now() + forMicros);
     }
 
-    /** Every request to the state service takes up to so much longer. */
+    /** Delays each request to the store by up to {@code extraMicros}. */
     void slowStore(long extraMicros, long forMicros) {
         storeFaults.addDelay(extraMicros, loop.now() + forMicros);
     }
 
-    /** Of so many of a hundred reports a copy comes to every node once the term has changed. */
+    /**
+     * Copies this percentage of heartbeats and delivers them to all nodes after a leader change.
+     */
     void delayHeartbeatsUntilNextLeader(int ofHundred, long forMicros) {
         delayedHeartbeats.capture(ofHundred, loop.now() + forMicros);
     }
 
     /**
-     * Nothing that one in so many of a zone's machines say arrives for a while; commands reach
+     * Loses everything that one in {@code oneIn} agents of the zone sends; commands still reach
      * them.
      */
     void blockOutbound(String zone, int oneIn, long forMicros) {
@@ -1157,33 +1155,33 @@
         }
     }
 
-    /** Machines are up 0.3 to 2 s after they were asked for, also before that is answered. */
+    /** Machines boot 0.3 to 2 s after the request, possibly before it is answered. */
     void bootMachinesFast(long forMicros) {
         cloud.fastBootUntilMicros = loop.now() + forMicros;
     }
 
-    /** Whatever is sent takes up to so much longer. */
+    /** Delays every message by up to {@code extraMicros}. */
     void slowLinks(long extraMicros, long forMicros) {
         slowLinksMicros = extraMicros;
         slowLinksUntilMicros = loop.now() + forMicros;
     }
 
-    /** All machines but so many die, and the cloud has no more. */
+    /** Fails all but this number of machines and limits the capacity of the cloud to it. */
     void reduceCapacity(int machines, long forMicros) {
         cloud.machines.values().stream().skip(machines).forEach(SimulatedAgent::fail);
         cloud.capacity = machines;
         loop.after(forMicros, () -> cloud.capacity = SimulatedCloud.CAPACITY);
     }
 
-    /** How many terms were taken. */
+    /** Number of terms so far. */
     int leaderChanges() {
         return store.value("term") == null ? 0 : (int) term();
     }
 
-    /** Writes a key of the state service, as an operator or another program might. */
+    /** Writes a key to the store, as an operator might; null deletes it. */
     void put(String path, Map<String, Object> value) {
         if (store.down) {
-            // As whoever asked would, again.
+            // Retries until the outage ends.
             loop.after(1_000_000, () -> put(path, value));
             return;
         }
@@ -1205,12 +1203,12 @@
         return store.value(path);
     }
 
-    /** How many records of machines there are, and how many of them tell of their lives. */
+    /** Number of machine records, and of those that contain lifecycle data. */
     int[] machineRecords() {
         return store.count("machine/", value -> value.containsKey("at"));
     }
 
-    /** Cuts a zone off from everything for a while, unless one is. */
+    /** Cuts a zone off from everything, unless one already is. */
     void isolateZone(String zone, long forMicros) {
         if (isolatedZone == null) {
             isolatedZone = zone;
@@ -1229,13 +1227,13 @@
         return member.index == nodeRefusedByStore || member.index == secondNodeRefusedByStore;
     }
 
-    /** The state service refuses this node beside the one that it refuses already. */
+    /** Lets the store reject this node too, in addition to {@link #refuseNodeAtStore}. */
     void refuseSecondNodeAtStore(int index, long forMicros) {
         secondNodeRefusedByStore = index;
         loop.after(forMicros, () -> secondNodeRefusedByStore = -1);
     }
 
-    /** The state service refuses this node alone. */
+    /** Lets the store reject the requests of this node only. */
     void refuseNodeAtStore(int index, long forMicros) {
         nodeRefusedByStore = index;
         loop.after(
@@ -1248,8 +1246,8 @@
     }
 
     /**
-     * The state service refuses the leader alone, users cancel what runs, and then it is down for
-     * all.
+     * The store rejects only the leader, users cancel about a third of the running jobs, then the
+     * store is down for all nodes.
      */
     void refuseLeaderThenStoreOutage(long refusedMicros, long downMicros) {
         if (store.value("leader") == null) {
@@ -1271,36 +1269,36 @@
                 });
     }
 
-    /** For a while so many of a hundred transactions are carried out late. */
+    /** Executes this percentage of transactions late, without an answer. */
     void delayWrites(int ofHundred, long forMicros) {
         lateWritePercent = ofHundred;
         loop.after(forMicros, () -> lateWritePercent = 0);
     }
 
-    /** The cloud answers nothing but errors for a while. */
+    /** The cloud answers all requests with errors. */
     void cloudOutage(long forMicros) {
         cloud.down = true;
         loop.after(forMicros, () -> cloud.down = false);
     }
 
-    /** No agent reaches this node for a while, and it reaches none. */
+    /** Cuts this node off from all agents, in both directions. */
     void cutFromAgents(int index, long forMicros) {
         nodeCutFromAgents = index;
         loop.after(forMicros, () -> nodeCutFromAgents = -1);
     }
 
-    /** For a while no node takes connections from another. */
+    /** Nodes refuse connections from their peers. */
     void refusePeers(long forMicros) {
         peerConnectionsRefused = true;
         loop.after(forMicros, () -> peerConnectionsRefused = false);
     }
 
-    /** The node's process stands still for a while, and then goes on with what it believed. */
+    /** Pauses the node's process; it resumes with its old state. */
     void freeze(int index, long forMicros) {
         members[index].frozenUntil = loop.now() + forMicros;
     }
 
-    /** The node loses the state service and the other nodes; workers and users still reach it. */
+    /** Cuts the node off from the store and its peers; agents and users still reach it. */
     void isolateNode(int index, long forMicros) {
         if (isolatedNode < 0) {
             isolatedNode = index;
@@ -1313,7 +1311,7 @@
     }
 
     /**
-     * Nothing reaches one in so many of a zone's machines for a while, and their reports arrive.
+     * Loses everything sent to one in {@code oneIn} agents of the zone; their heartbeats arrive.
      */
     void blockInbound(String zone, int oneIn, long forMicros) {
         int count = 0;
@@ -1332,7 +1330,7 @@
         }
     }
 
-    /** The index of the node that leads by the state service's word. */
+    /** The index of the leader according to the store. */
     int leader() {
         return nodeIndex((String) store.value("leader").get("label"));
     }
@@ -1341,7 +1339,7 @@
         return scenario.zoneOf(index);
     }
 
-    /** Two zones can't reach each other for a while. */
+    /** Cuts the connections between two zones. */
     void partition(String one, String other, long forMicros) {
         partitionedZones = List.of(one, other);
         loop.after(forMicros, () -> partitionedZones = List.of());
@@ -1351,10 +1349,7 @@
         restart(members[index]);
     }
 
-    /**
-     * A new process is there within a fraction of a second, or after seconds; its clock may have
-     * been set meanwhile.
-     */
+    /** Restarts a node after 0.05 to 5.5 s. Its wall clock may have been changed meanwhile. */
     private void restart(Member member) {
         if (random.nextInt(4) == 0) {
             clockOffsetMicros[member.index] = random.nextInt(2_000_000) - 1_000_000;
@@ -1366,7 +1361,7 @@
                         : 500_000 + random.nextInt(5_000_000));
     }
 
-    /** A node's process ends again and again, a few tenths of a second after each beginning. */
+    /** Restarts a node repeatedly, each time {@code lifeMicros} after its start. */
     void restartRepeatedly(int index, long lifeMicros, long untilMicros) {
         if (loop.now() < untilMicros) {
             restartAfter(index, 50_000);
@@ -1375,19 +1370,18 @@
         }
     }
 
-    /** The machines that are up, in the order in which they came. */
+    /** Agents of the machines that the cloud has not deleted, in the order in which they booted. */
     List<SimulatedAgent> agents() {
         return List.copyOf(cloud.machines.values());
     }
 
-    /** How many machines were ever rented. */
+    /** Number of machines rented so far. */
     int rented() {
         return cloud.rented();
     }
 
     /**
-     * A node's process begins again 50 ms after its end, whenever a node is about to take a term,
-     * until the given time.
+     * Restarts a random node, which takes 50 ms, whenever there is no leader, until the given time.
      */
     void restartDuringElections(long untilMicros) {
         long term = term();
@@ -1402,12 +1396,12 @@
         }
     }
 
-    /** The highest term that was ever taken. */
+    /** The current term according to the store. */
     long term() {
         return (Long) store.value("term").get("term");
     }
 
-    /** Every few seconds the leader's process ends, and another begins at once. */
+    /** Kills the leader every 2 to 5 s; its new process starts within 0.45 s. */
     void restartLeadersRepeatedly(long forMicros) {
         long until = loop.now() + forMicros;
         loop.after(
@@ -1426,14 +1420,14 @@
                 });
     }
 
-    /** The same of the node that leads, if there is one. */
+    /** Restarts the leader, if there is one. */
     void restartLeader(long forMicros) {
         if (store.value("leader") != null) {
             restartAfter(leader(), forMicros);
         }
     }
 
-    /** A node's process ends, and another begins after the given time. */
+    /** Kills a node's process and starts a new one after the given time. */
     void restartAfter(int index, long forMicros) {
         Member member = members[index];
         if (member.alive) {
@@ -1450,25 +1444,25 @@
     }
 
     /**
-     * So many of a hundred rentals and deletions get no answer and are carried out seconds later,
-     * perhaps after their leader.
+     * This percentage of rentals and deletions gets no answer and is executed seconds later,
+     * possibly when the requesting leader no longer leads.
      */
     void delayCloudRequests(int ofHundred, long forMicros) {
         cloud.latePercent = ofHundred;
         loop.after(forMicros, () -> cloud.latePercent = 0);
     }
 
-    /** Machines that were rented when the leader that had asked for them led no more. */
+    /** Machines whose rental was executed when the requesting leader no longer led. */
     List<String> machinesRentedForFormerLeaders() {
         return cloud.rentedForFormerLeaders;
     }
 
-    /** Machines that were deleted when the leader that had asked for it led no more. */
+    /** Number of machines deleted when the requesting leader no longer led. */
     int machinesDeletedForFormerLeaders() {
         return cloud.deletedForFormerLeaders;
     }
 
-    /** Does this to a machine that is drawn at random, if there is any. */
+    /** Applies the action to a random agent, if there is any. */
     void withRandomAgent(java.util.function.Consumer<SimulatedAgent> what) {
         List<SimulatedAgent> agents = new ArrayList<>(cloud.machines.values());
         if (!agents.isEmpty()) {
@@ -1476,14 +1470,14 @@
         }
     }
 
-    /** Runs to the given time, checking the rules after every step. */
+    /** Runs until the given time and checks the invariants after every step. */
     void run(long until) {
         while (loop.step(until)) {
             invariants.afterStep();
         }
     }
 
-    /** Accepted jobs that are neither done nor cancelled and should be by now. */
+    /** Accepted jobs other than services that were not reported as done or cancelled. */
     List<String> unfinishedJobs() {
         List<String> result = new ArrayList<>();
         for (String jobId : observed.acceptedJobs()) {
