--- a/src/main/java/org/woadloom/agent/AgentClient.java
+++ b/src/main/java/org/woadloom/agent/AgentClient.java
@@ -24,7 +24,7 @@
     private static final long TIMEOUT_MICROS = 2_000_000;
 
     /** Twice the largest cluster, in machines. */
-    private static final int MAX_SILENT_ADDRESSES = 10_000;
+    private static final int MAX_UNRESPONSIVE_ADDRESSES = 10_000;
 
     private static final int STATUS_OK = 200;
 
@@ -39,15 +39,15 @@
     private final HttpTransport transport;
     private final int maxInFlight;
     private final ArrayDeque<QueuedCommand> queue = new ArrayDeque<>();
-    private final ArrayDeque<QueuedCommand> queueToSilent = new ArrayDeque<>();
+    private final ArrayDeque<QueuedCommand> unresponsiveQueue = new ArrayDeque<>();
     private int inFlight;
-    private int silentInFlight;
+    private int unresponsiveInFlight;
 
     /**
      * Addresses that did not answer the last command, the longest silent first; those of machines
      * that were removed drop out in time.
      */
-    private final Set<String> silentAddresses = new LinkedHashSet<>();
+    private final Set<String> unresponsiveAddresses = new LinkedHashSet<>();
 
     private record QueuedCommand(SendDirectCommand send, Callback callback) {}
 
@@ -66,8 +66,8 @@
 
     /** Sends a command, as soon as there is a connection for it. */
     public void send(SendDirectCommand send, Callback callback) {
-        boolean silent = silentAddresses.contains(send.address());
-        (silent ? queueToSilent : queue).addLast(new QueuedCommand(send, callback));
+        boolean unresponsive = unresponsiveAddresses.contains(send.address());
+        (unresponsive ? unresponsiveQueue : queue).addLast(new QueuedCommand(send, callback));
         sendQueued();
     }
 
@@ -76,15 +76,15 @@
             request(queue.pollFirst(), false);
         }
         while (inFlight < maxInFlight
-                && silentInFlight < Math.max(1, maxInFlight / 2)
-                && !queueToSilent.isEmpty()) {
-            request(queueToSilent.pollFirst(), true);
+                && unresponsiveInFlight < Math.max(1, maxInFlight / 2)
+                && !unresponsiveQueue.isEmpty()) {
+            request(unresponsiveQueue.pollFirst(), true);
         }
     }
 
-    private void request(QueuedCommand command, boolean wasSilent) {
+    private void request(QueuedCommand command, boolean wasUnresponsive) {
         inFlight++;
-        silentInFlight += wasSilent ? 1 : 0;
+        unresponsiveInFlight += wasUnresponsive ? 1 : 0;
         SendDirectCommand send = command.send;
         transport.request(
                 send.address(),
@@ -93,18 +93,19 @@
                 encode(send),
                 TIMEOUT_MICROS,
                 (status, body) -> {
-                    onCompleted(send.address(), wasSilent, status);
+                    onCompleted(send.address(), wasUnresponsive, status);
                     command.callback.onCompleted(resultOf(send, status, body));
                 });
     }
 
-    private void onCompleted(String address, boolean wasSilent, int status) {
+    private void onCompleted(String address, boolean wasUnresponsive, int status) {
         inFlight--;
-        silentInFlight -= wasSilent ? 1 : 0;
+        unresponsiveInFlight -= wasUnresponsive ? 1 : 0;
         if (status != HttpTransport.NO_RESPONSE) {
-            silentAddresses.remove(address);
-        } else if (silentAddresses.add(address) && silentAddresses.size() > MAX_SILENT_ADDRESSES) {
-            silentAddresses.remove(silentAddresses.iterator().next());
+            unresponsiveAddresses.remove(address);
+        } else if (unresponsiveAddresses.add(address)
+                && unresponsiveAddresses.size() > MAX_UNRESPONSIVE_ADDRESSES) {
+            unresponsiveAddresses.remove(unresponsiveAddresses.iterator().next());
         }
         sendQueued();
     }
--- a/src/main/java/org/woadloom/agent/AgentConnectionBalancer.java
+++ b/src/main/java/org/woadloom/agent/AgentConnectionBalancer.java
@@ -22,7 +22,7 @@
     private static final long REDIRECTION_TIMEOUT_MICROS = 20_000_000;
 
     /** For how long an agent that came back is not redirected again. */
-    private static final long STAY_MICROS = 60_000_000;
+    private static final long NO_REDIRECT_MICROS = 60_000_000;
 
     private final int maxAgents;
     private final long disconnectMicros;
@@ -34,7 +34,7 @@
     private final Map<String, Long> redirected = new LinkedHashMap<>();
 
     /** When each agent came back that could not reach another node. */
-    private final Map<String, Long> unableToMove = new LinkedHashMap<>();
+    private final Map<String, Long> returned = new LinkedHashMap<>();
 
     /**
      * @param maxAgents how many agents this node serves while others can serve the rest
@@ -54,29 +54,31 @@
      * Counts an agent that sent a heartbeat to this node, which leads, and picks the node that it
      * is to connect to instead; null if it may stay.
      *
-     * @param renewed whether its lease was renewed in this term, so that it has time to reconnect
-     * @param others the nodes that can be reached
+     * @param leaseRenewed whether its lease was renewed in this term, so that it has time to
+     *     reconnect
+     * @param otherNodes the nodes that can be reached
      */
-    public String redirectTarget(String host, boolean renewed, List<String> others, long now) {
-        removeOlderThan(connected, now - disconnectMicros);
-        removeOlderThan(redirected, now - REDIRECTION_TIMEOUT_MICROS);
-        removeOlderThan(unableToMove, now - STAY_MICROS);
-        connected.put(host, now);
+    public String redirectTarget(
+            String host, boolean leaseRenewed, List<String> otherNodes, long nowMicros) {
+        removeOlderThan(connected, nowMicros - disconnectMicros);
+        removeOlderThan(redirected, nowMicros - REDIRECTION_TIMEOUT_MICROS);
+        removeOlderThan(returned, nowMicros - NO_REDIRECT_MICROS);
+        connected.put(host, nowMicros);
         if (redirected.remove(host) != null) {
-            unableToMove.put(host, now);
+            returned.put(host, nowMicros);
         }
         if (connected.size() <= maxAgents
-                || !renewed
-                || others.isEmpty()
-                || unableToMove.containsKey(host)) {
+                || !leaseRenewed
+                || otherNodes.isEmpty()
+                || returned.containsKey(host)) {
             return null;
         }
         connected.remove(host);
-        redirected.put(host, now);
-        return others.get(
+        redirected.put(host, nowMicros);
+        return otherNodes.get(
                 Hashing.consistentHash(
                         Hashing.murmur3_128().hashString(host, StandardCharsets.UTF_8),
-                        others.size()));
+                        otherNodes.size()));
     }
 
     /** Notes that an agent's heartbeat came by way of another node. */
--- a/src/main/java/org/woadloom/cloud/CloudClient.java
+++ b/src/main/java/org/woadloom/cloud/CloudClient.java
@@ -47,7 +47,7 @@
         static final String SPOT = "reclaimable";
         static final String COUNT = "count";
         static final String HOSTS = "hosts";
-        static final String MORE = "more";
+        static final String HAS_MORE = "more";
         static final String ERROR = "error";
 
         private Field() {}
@@ -57,14 +57,15 @@
     private final HttpTransport transport;
     private final String address;
     private final TokenBucket budget;
-    private final EnumMap<CallKind, ArrayDeque<Runnable>> waiting = new EnumMap<>(CallKind.class);
+    private final EnumMap<CallPriority, ArrayDeque<Runnable>> queues =
+            new EnumMap<>(CallPriority.class);
     private boolean wakeScheduled;
 
     /**
      * The kinds of calls, the most urgent first: deletions are proofs and end what is paid for, and
      * lists can wait for long.
      */
-    private enum CallKind {
+    private enum CallPriority {
         DELETE,
         RENT,
         READ
@@ -90,15 +91,15 @@
     /** Receives the outcome of a deletion. */
     public interface DeleteCallback {
         /** False where it may or may not have been carried out. */
-        void onDeleted(boolean done);
+        void onDeleted(boolean confirmed);
     }
 
     public CloudClient(EventLoop loop, HttpTransport transport, ServiceSettings settings) {
         this.loop = loop;
         this.transport = transport;
         this.address = settings.cloudAddress();
-        for (CallKind kind : CallKind.values()) {
-            waiting.put(kind, new ArrayDeque<>());
+        for (CallPriority priority : CallPriority.values()) {
+            queues.put(priority, new ArrayDeque<>());
         }
         this.budget = new TokenBucket(settings.cloud().rps() * RATE_SHARE);
     }
@@ -106,7 +107,7 @@
     /** Reads the machine types that the cloud offers. */
     public void listMachineTypes(MachineTypesCallback callback) {
         request(
-                CallKind.READ,
+                CallPriority.READ,
                 "GET",
                 TYPES_PATH,
                 null,
@@ -124,18 +125,19 @@
 
     /** Reads the whole list of machines, page by page. */
     public void listMachines(MachineListCallback callback) {
-        page("", new ArrayList<>(), callback);
+        requestPage("", new ArrayList<>(), callback);
     }
 
-    private void page(String since, List<ListedMachine> found, MachineListCallback callback) {
+    private void requestPage(
+            String afterHost, List<ListedMachine> found, MachineListCallback callback) {
         String path =
                 MACHINES_PATH
                         + "?"
-                        + (since.isEmpty() ? "" : "since=" + since + "&")
+                        + (afterHost.isEmpty() ? "" : "since=" + afterHost + "&")
                         + "most="
                         + PAGE_SIZE;
         request(
-                CallKind.READ,
+                CallPriority.READ,
                 "GET",
                 path,
                 null,
@@ -144,19 +146,19 @@
                         callback.onMachines(null);
                         return;
                     }
-                    boolean more;
+                    boolean hasMore;
                     try {
                         Fields answer = new Fields(Cbor.decodeMap(body));
                         for (Object item : answer.list(Field.HOSTS)) {
                             found.add(ListedMachine.parse(item));
                         }
-                        more = answer.flagOr(Field.MORE, false) && !found.isEmpty();
+                        hasMore = answer.flagOr(Field.HAS_MORE, false) && !found.isEmpty();
                     } catch (MalformedMessageException e) {
                         callback.onMachines(null);
                         return;
                     }
-                    if (more) {
-                        page(found.get(found.size() - 1).host(), found, callback);
+                    if (hasMore) {
+                        requestPage(found.get(found.size() - 1).host(), found, callback);
                     } else {
                         callback.onMachines(found);
                     }
@@ -172,7 +174,7 @@
         map.put(Field.SPOT, rent.spot());
         map.put(Field.COUNT, (long) rent.count());
         request(
-                CallKind.RENT,
+                CallPriority.RENT,
                 "POST",
                 MACHINES_PATH,
                 Cbor.encode(map),
@@ -183,7 +185,7 @@
                                     ScaleOutOutcome.RENTED,
                                     new Fields(Cbor.decodeMap(body)).textList(Field.HOSTS));
                         } else if (status == STATUS_SERVICE_UNAVAILABLE
-                                && NO_CAPACITY_ERROR.equals(error(body))) {
+                                && NO_CAPACITY_ERROR.equals(errorText(body))) {
                             callback.onRented(ScaleOutOutcome.NO_CAPACITY, List.of());
                         } else {
                             boolean refused = status > 0 || status == HttpTransport.NOT_SENT;
@@ -197,7 +199,7 @@
                 });
     }
 
-    private static String error(byte[] body) throws MalformedMessageException {
+    private static String errorText(byte[] body) throws MalformedMessageException {
         return new Fields(Cbor.decodeMap(body)).textOr(Field.ERROR, "");
     }
 
@@ -206,7 +208,7 @@
         Map<String, Object> map = new LinkedHashMap<>();
         map.put(Field.HOSTS, new ArrayList<Object>(hosts));
         request(
-                CallKind.DELETE,
+                CallPriority.DELETE,
                 "POST",
                 DELETE_PATH,
                 Cbor.encode(map),
@@ -214,12 +216,12 @@
     }
 
     private void request(
-            CallKind kind,
+            CallPriority priority,
             String method,
             String path,
             byte[] body,
             HttpTransport.Callback callback) {
-        waiting.get(kind)
+        queues.get(priority)
                 .addLast(
                         () ->
                                 transport.request(
@@ -228,10 +230,7 @@
     }
 
     private ArrayDeque<Runnable> mostUrgentQueue() {
-        return waiting.values().stream()
-                .filter(candidate -> !candidate.isEmpty())
-                .findFirst()
-                .orElse(null);
+        return queues.values().stream().filter(queue -> !queue.isEmpty()).findFirst().orElse(null);
     }
 
     private void sendQueued() {
--- a/src/main/java/org/woadloom/http/AdmissionControl.java
+++ b/src/main/java/org/woadloom/http/AdmissionControl.java
@@ -38,16 +38,16 @@
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
     /** Allows for the rounding of sums of resources. */
-    private static final double ROUNDING = 1e-9;
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
-    private static final int ZONES_TO_SPREAD = 2;
+    private static final int MIN_ZONES_TO_SPREAD = 2;
 
-    private static final Refusal TYPES_NOT_FRESH =
+    private static final Refusal MACHINE_TYPES_STALE =
             Refusal.unavailable("the cloud does not tell its machine types now");
 
     private final EventLoop loop;
     private final ServiceSettings settings;
-    private final JobApi.MachineTypeSource types;
+    private final JobApi.MachineTypeSource machineTypes;
 
     /** When the latest refresh that was answered started. */
     private long freshSinceMicros = NEVER_MICROS;
@@ -55,12 +55,12 @@
     private long lastRefreshMicros = NEVER_MICROS;
 
     /** What waits for the refresh in flight; empty while there is none. */
-    private List<Runnable> waiting = List.of();
+    private List<Runnable> refreshWaiters = List.of();
 
     AdmissionControl(EventLoop loop, ServiceSettings settings, JobApi.MachineTypeSource types) {
         this.loop = loop;
         this.settings = settings;
-        this.types = types;
+        this.machineTypes = types;
     }
 
     /**
@@ -68,18 +68,18 @@
      * can't be decided now.
      */
     void check(JobDescription job, Consumer<Optional<Refusal>> result) {
-        String rejection = rejectionByTerms(job, settings.team(job.team()), settings.zones());
+        String rejection = rejectionBySettings(job, settings.team(job.team()), settings.zones());
         if (rejection != null) {
             result.accept(Optional.of(Refusal.neverRunnable(rejection)));
             return;
         }
-        if (types.currentTypes().isEmpty()) {
+        if (machineTypes.currentTypes().isEmpty()) {
             result.accept(Optional.of(Refusal.unavailable("the machine types are not known yet")));
             return;
         }
         Optional<Refusal> refusal = checkMachineTypes(job);
         if (refusal.isPresent() && refusal.get().isTemporary()) {
-            refreshTypes(() -> result.accept(checkMachineTypes(job)));
+            refreshMachineTypes(() -> result.accept(checkMachineTypes(job)));
         } else {
             result.accept(refusal);
         }
@@ -87,11 +87,11 @@
 
     /** The refusal is temporary where the types that speak against the job are not fresh. */
     private Optional<Refusal> checkMachineTypes(JobDescription job) {
-        String rejection = rejectionByMachineTypes(job, types.currentTypes());
+        String rejection = rejectionByMachineTypes(job, machineTypes.currentTypes());
         if (rejection == null) {
             return Optional.empty();
         }
-        return Optional.of(isFresh() ? Refusal.neverRunnable(rejection) : TYPES_NOT_FRESH);
+        return Optional.of(isFresh() ? Refusal.neverRunnable(rejection) : MACHINE_TYPES_STALE);
     }
 
     private boolean isFresh() {
@@ -102,44 +102,44 @@
      * Has the types read and then runs what is given, at the latest after the timeout; at once if
      * they were asked for just now. Whoever comes while a refresh is in flight shares it.
      */
-    private void refreshTypes(Runnable afterwards) {
-        if (!waiting.isEmpty()) {
-            waiting.add(afterwards);
+    private void refreshMachineTypes(Runnable onRefreshed) {
+        if (!refreshWaiters.isEmpty()) {
+            refreshWaiters.add(onRefreshed);
             return;
         }
         long startMicros = loop.nowMicros();
         if (startMicros - lastRefreshMicros < REFRESH_INTERVAL_MICROS) {
-            afterwards.run();
+            onRefreshed.run();
             return;
         }
         lastRefreshMicros = startMicros;
-        List<Runnable> waitingForThis = new ArrayList<>(List.of(afterwards));
-        waiting = waitingForThis;
-        types.refresh(
+        List<Runnable> waiters = new ArrayList<>(List.of(onRefreshed));
+        refreshWaiters = waiters;
+        machineTypes.refresh(
                 answered -> {
                     if (answered) {
                         freshSinceMicros = Math.max(freshSinceMicros, startMicros);
                     }
-                    resume(waitingForThis);
+                    resume(waiters);
                 });
-        loop.schedule(REFRESH_TIMEOUT_MICROS, () -> resume(waitingForThis));
+        loop.schedule(REFRESH_TIMEOUT_MICROS, () -> resume(waiters));
     }
 
-    private void resume(List<Runnable> waitingForRefresh) {
-        if (waiting == waitingForRefresh) {
-            waiting = List.of();
-            waitingForRefresh.forEach(Runnable::run);
+    private void resume(List<Runnable> waiters) {
+        if (refreshWaiters == waiters) {
+            refreshWaiters = List.of();
+            waiters.forEach(Runnable::run);
         }
     }
 
     /** Why the job can't run whatever machines there are; null if it may. */
-    static String rejectionByTerms(JobDescription job, Team team, List<String> zones) {
+    static String rejectionBySettings(JobDescription job, Team team, List<String> zones) {
         if (team == null) {
             return JobDescription.Field.TEAM + ": unknown team";
         }
         int simultaneousTasks = needsAllTasks(job) ? job.taskCount() : 1;
-        if (job.cpus() * simultaneousTasks > team.cpusMax() + ROUNDING
-                || job.gpus() * simultaneousTasks > team.gpusMax() + ROUNDING) {
+        if (job.cpus() * simultaneousTasks > team.cpusMax() + ROUNDING_TOLERANCE
+                || job.gpus() * simultaneousTasks > team.gpusMax() + ROUNDING_TOLERANCE) {
             return "the job needs more than the team's limit";
         }
         if (job.zone() != null && !zones.contains(job.zone())) {
@@ -148,7 +148,7 @@
         if (job.machineTypes() != null && job.machineTypes().isEmpty()) {
             return JobDescription.Field.MACHINE_TYPES + ": none is allowed";
         }
-        if (mustSpread(job) && (job.sameZone() || job.zone() != null)) {
+        if (needsTwoZones(job) && (job.sameZone() || job.zone() != null)) {
             return JobDescription.Field.SPREAD_ACROSS_ZONES
                     + ": half of the tasks at most may be in one zone, and all must be";
         }
@@ -170,7 +170,7 @@
         if (zones.isEmpty()) {
             return "a task fits no allowed machine type that is offered where it may run";
         }
-        return mustSpread(job) && zones.size() < ZONES_TO_SPREAD
+        return needsTwoZones(job) && zones.size() < MIN_ZONES_TO_SPREAD
                 ? JobDescription.Field.SPREAD_ACROSS_ZONES
                         + ": only one zone offers what the tasks need"
                 : null;
@@ -185,7 +185,7 @@
      * Whether the job needs two zones: its tasks must all run at once, and at most half of them in
      * one zone. The tasks of an array can take turns in one zone.
      */
-    private static boolean mustSpread(JobDescription job) {
+    private static boolean needsTwoZones(JobDescription job) {
         return needsAllTasks(job) && job.spreadAcrossZones() && job.taskCount() > 1;
     }
 }
--- a/src/main/java/org/woadloom/http/ApiServer.java
+++ b/src/main/java/org/woadloom/http/ApiServer.java
@@ -78,9 +78,9 @@
 
     /** An agent that is silent for longer has lost its lease and connects anew. */
     private static int idleTimeoutMillis(ServiceSettings settings) {
-        long longestUsefulMicros =
+        long maxSilenceMicros =
                 settings.agents().leaseMicros() + settings.agents().heartbeatMicros();
-        return (int) Math.max(MIN_IDLE_TIMEOUT_MILLIS, longestUsefulMicros / 1000);
+        return (int) Math.max(MIN_IDLE_TIMEOUT_MILLIS, maxSilenceMicros / 1000);
     }
 
     /** Starts to accept connections. */
@@ -91,7 +91,7 @@
     private void receive(HttpServerExchange exchange) {
         boolean accepted =
                 connections.onRequest(
-                        exchange, exchange.getRequestPath().equals(Router.HEARTBEATS));
+                        exchange, exchange.getRequestPath().equals(Router.HEARTBEAT_PATH));
         exchange.addExchangeCompleteListener(
                 (answered, next) -> {
                     connections.onAnswered(answered);
@@ -133,7 +133,7 @@
      * commands, or a redirection to another node. Then the agent has no use for this connection
      * until its next heartbeat.
      */
-    private static boolean needsNothing(Response response) {
+    private static boolean leavesAgentIdle(Response response) {
         if (response.status() != HttpStatus.OK) {
             return response.status() == HttpStatus.MISDIRECTED_REQUEST;
         }
@@ -149,7 +149,7 @@
         if (exchange.isComplete() || exchange.isResponseStarted()) {
             return;
         }
-        if (connections.shouldCloseAfter(exchange, () -> needsNothing(response))) {
+        if (connections.shouldCloseAfter(exchange, () -> leavesAgentIdle(response))) {
             exchange.setPersistent(false);
         }
         exchange.setStatusCode(response.status());
--- a/src/main/java/org/woadloom/http/CancellationHandler.java
+++ b/src/main/java/org/woadloom/http/CancellationHandler.java
@@ -31,28 +31,28 @@
 
     private final EventLoop loop;
     private final StoreClient store;
-    private final JobApi.RecordPolicy storage;
+    private final JobApi.RecordPolicy recordPolicy;
     private final JobReader reader;
     private final StatusConfirmer confirmer;
     private final UserWrites writes;
-    private final JobApi.JobChangeListener notifier;
-    private final SharedAnswers<String, JobAnswer> cancellations = new SharedAnswers<>();
+    private final JobApi.JobChangeListener changeListener;
+    private final RequestCoalescer<String, JobAnswer> cancellations = new RequestCoalescer<>();
 
     CancellationHandler(
             EventLoop loop,
             StoreClient store,
-            JobApi.RecordPolicy storage,
+            JobApi.RecordPolicy recordPolicy,
             JobReader reader,
             StatusConfirmer confirmer,
             UserWrites writes,
-            JobApi.JobChangeListener notifier) {
+            JobApi.JobChangeListener changeListener) {
         this.loop = loop;
         this.store = store;
-        this.storage = storage;
+        this.recordPolicy = recordPolicy;
         this.reader = reader;
         this.confirmer = confirmer;
         this.writes = writes;
-        this.notifier = notifier;
+        this.changeListener = changeListener;
     }
 
     void cancel(String jobId, Consumer<JobAnswer> answer) {
@@ -61,17 +61,17 @@
             return;
         }
         long deadlineMicros = loop.nowMicros() + JobApi.ANSWER_TIMEOUT_MICROS;
-        cancellations.share(
+        cancellations.coalesce(
                 jobId,
                 loop.nowMicros(),
                 deadlineMicros,
                 answer,
-                shared -> answerJoined(jobId, shared, deadlineMicros, answer),
+                shared -> answerCoalesced(jobId, shared, deadlineMicros, answer),
                 result -> new Cancellation(jobId, deadlineMicros, result).start());
     }
 
     /** That a job is over stays true; that it is unknown may not be true any more. */
-    private void answerJoined(
+    private void answerCoalesced(
             String jobId, JobAnswer shared, long deadlineMicros, Consumer<JobAnswer> answer) {
         if (shared instanceof Refusal refusal && !refusal.isTemporary()) {
             new Cancellation(jobId, deadlineMicros, answer).start();
@@ -104,8 +104,8 @@
                 answer.accept(Refusal.unknownJob());
             } else if (lookup.unreadableStatus() != null) {
                 replaceDamagedRecord(lookup);
-            } else if (isOver(lookup)) {
-                answerOver(lookup.status().status());
+            } else if (hasEnded(lookup)) {
+                answerEnded(lookup.status().status());
             } else if (attemptsLeft == 0) {
                 answer.accept(NOT_CANCELLED);
             } else {
@@ -113,7 +113,7 @@
             }
         }
 
-        private static boolean isOver(JobLookup lookup) {
+        private static boolean hasEnded(JobLookup lookup) {
             return lookup.finalState() != null
                     || lookup.record().cancelled()
                     || lookup.record().isComplete();
@@ -124,9 +124,9 @@
             RecordFormat format =
                     lookup.format() == RecordFormat.COMPACT
                             ? RecordFormat.COMPACT
-                            : storage.writeFormat();
+                            : recordPolicy.writeFormat();
             writes.write(
-                    new UserWrites.Request(
+                    new UserWrites.JobWrite(
                             RequestPriority.CANCELLATION,
                             deadlineMicros,
                             jobId,
@@ -143,11 +143,11 @@
         private void onWritten(
                 JobRecord cancelled, Result result, long storeRevision, JobLookup found) {
             if (result == Result.OK) {
-                notifier.onJobChanged(cancelled, storeRevision);
-                answerOver(JobStatus.CANCELLED);
+                changeListener.onJobChanged(cancelled, storeRevision);
+                answerEnded(JobStatus.CANCELLED);
             } else if (found != null) {
                 if (found.record() != null && found.record().cancelled()) {
-                    notifier.onJobChanged(found.record(), found.revision());
+                    changeListener.onJobChanged(found.record(), found.revision());
                 }
                 attemptsLeft--;
                 attempt(found);
@@ -162,7 +162,7 @@
         /** Nothing of a record that can't be read can be kept: the final state takes its place. */
         private void replaceDamagedRecord(JobLookup lookup) {
             if (lookup.unreadableStatus().isCancelled()) {
-                answerOver(JobStatus.CANCELLED);
+                answerEnded(JobStatus.CANCELLED);
                 return;
             }
             FinalRecord finalState = new FinalRecord(jobId, true, 0, loop.wallMicros(), false);
@@ -173,26 +173,26 @@
                     List.of(
                             Change.put(
                                     StoreKeys.finalState(jobId),
-                                    finalState.toMap(storage.writeFormat())),
+                                    finalState.toMap(recordPolicy.writeFormat())),
                             Change.delete(StoreKeys.job(jobId))),
                     (result, storeRevision, failed) -> {
                         if (result == Result.OK) {
-                            answerOver(JobStatus.CANCELLED);
+                            answerEnded(JobStatus.CANCELLED);
                         } else {
                             answer.accept(NOT_CANCELLED);
                         }
                     });
         }
 
-        private void answerOver(String status) {
-            JobStatus over = JobStatus.withoutCounts(jobId, status);
+        private void answerEnded(String status) {
+            JobStatus ended = JobStatus.withoutCounts(jobId, status);
             confirmer.confirm(
-                    new JobView(over, List.of()),
+                    new JobView(ended, List.of()),
                     deadlineMicros - loop.nowMicros(),
-                    refusal -> answer.accept(orFound(refusal, over)));
+                    refusal -> answer.accept(refusalOrFound(refusal, ended)));
         }
 
-        private static JobAnswer orFound(Optional<QueryRefusal> refusal, JobStatus status) {
+        private static JobAnswer refusalOrFound(Optional<QueryRefusal> refusal, JobStatus status) {
             return refusal.isPresent() ? Refusal.of(refusal.get()) : new JobAnswer.Found(status);
         }
     }
--- a/src/main/java/org/woadloom/http/ConnectionLimiter.java
+++ b/src/main/java/org/woadloom/http/ConnectionLimiter.java
@@ -34,15 +34,15 @@
     /** Users' connections without a request, the longest idle first. */
     private final LinkedHashSet<TrackedConnection> idleUsers = new LinkedHashSet<>();
 
-    private int agents;
-    private int users;
-    private long closed;
-    private long refused;
-    private long closedAgents;
+    private int agentConnections;
+    private int userConnections;
+    private long closedIdleConnections;
+    private long refusedRequests;
+    private long closedAgentConnections;
 
     private static final class TrackedConnection {
         final ServerConnection connection;
-        boolean ofAgent;
+        boolean isAgent;
         long idleSinceMicros;
 
         TrackedConnection(ServerConnection connection) {
@@ -67,22 +67,22 @@
 
     /** How many connections are open whose last request was an agent's. */
     public int agentConnections() {
-        return agents;
+        return agentConnections;
     }
 
     /** How many other connections are open. */
     public int userConnections() {
-        return users;
+        return userConnections;
     }
 
     /** Idle connections of users that were closed, since the process began. */
     public long closedIdleConnections() {
-        return closed;
+        return closedIdleConnections;
     }
 
     /** Requests that were refused for want of sockets, since the process began. */
     public long refusedRequests() {
-        return refused;
+        return refusedRequests;
     }
 
     /**
@@ -90,11 +90,11 @@
      * process began.
      */
     public long closedAgentConnections() {
-        return closedAgents;
+        return closedAgentConnections;
     }
 
-    private int total() {
-        return agents + users;
+    private int openConnections() {
+        return agentConnections + userConnections;
     }
 
     /**
@@ -103,27 +103,27 @@
      * @return false if the budget has no socket for it: the request is to be refused, and the
      *     connection closed
      */
-    boolean onRequest(HttpServerExchange exchange, boolean ofAgent) {
+    boolean onRequest(HttpServerExchange exchange, boolean isAgent) {
         TrackedConnection tracked = exchange.getConnection().getAttachment(TRACKED);
         if (tracked == null) {
             tracked = new TrackedConnection(exchange.getConnection());
-            tracked.ofAgent = ofAgent;
+            tracked.isAgent = isAgent;
             tracked.connection.putAttachment(TRACKED, tracked);
             TrackedConnection opened = tracked;
             tracked.connection.addCloseListener(closed -> onClosed(opened));
-            count(ofAgent, 1);
-        } else if (tracked.ofAgent != ofAgent) {
-            count(tracked.ofAgent, -1);
-            tracked.ofAgent = ofAgent;
-            count(ofAgent, 1);
+            adjustCount(isAgent, 1);
+        } else if (tracked.isAgent != isAgent) {
+            adjustCount(tracked.isAgent, -1);
+            tracked.isAgent = isAgent;
+            adjustCount(isAgent, 1);
         }
         idleUsers.remove(tracked);
-        if (total() > budget.inboundHighWatermark()) {
+        if (openConnections() > budget.inboundHighWatermark()) {
             closeLongestIdle();
         }
-        boolean accepted = total() <= budget.inbound();
+        boolean accepted = openConnections() <= budget.inbound();
         if (!accepted) {
-            refused++;
+            refusedRequests++;
         }
         return accepted;
     }
@@ -131,20 +131,21 @@
     /**
      * Whether the connection of a request that is about to be answered is to be closed after that.
      *
-     * @param needsNothing whether the answer gives its agent nothing to do; asked only for an
+     * @param leavesAgentIdle whether the answer gives its agent nothing to do; asked only for an
      *     agent's request while sockets are short
      */
-    boolean shouldCloseAfter(HttpServerExchange exchange, BooleanSupplier needsNothing) {
+    boolean shouldCloseAfter(HttpServerExchange exchange, BooleanSupplier leavesAgentIdle) {
         TrackedConnection tracked = exchange.getConnection().getAttachment(TRACKED);
-        if (tracked == null || total() <= budget.inboundHighWatermark()) {
+        if (tracked == null || openConnections() <= budget.inboundHighWatermark()) {
             return false;
         }
-        if (!tracked.ofAgent) {
+        if (!tracked.isAgent) {
             return true;
         }
-        boolean closes = budget.closesAgentConnection(total(), needsNothing.getAsBoolean());
+        boolean closes =
+                budget.closesAgentConnection(openConnections(), leavesAgentIdle.getAsBoolean());
         if (closes) {
-            closedAgents++;
+            closedAgentConnections++;
         }
         return closes;
     }
@@ -152,29 +153,29 @@
     /** The request was answered. */
     void onAnswered(HttpServerExchange exchange) {
         TrackedConnection tracked = exchange.getConnection().getAttachment(TRACKED);
-        if (tracked != null && !tracked.ofAgent && tracked.connection.isOpen()) {
+        if (tracked != null && !tracked.isAgent && tracked.connection.isOpen()) {
             tracked.idleSinceMicros = loop.nowMicros();
             idleUsers.remove(tracked);
             idleUsers.add(tracked);
         }
     }
 
-    private void count(boolean ofAgent, int change) {
-        if (ofAgent) {
-            agents += change;
+    private void adjustCount(boolean isAgent, int change) {
+        if (isAgent) {
+            agentConnections += change;
         } else {
-            users += change;
+            userConnections += change;
         }
     }
 
     private void onClosed(TrackedConnection tracked) {
         idleUsers.remove(tracked);
-        count(tracked.ofAgent, -1);
+        adjustCount(tracked.isAgent, -1);
     }
 
     private void closeLongestIdle() {
         long idleBeforeMicros = loop.nowMicros() - MIN_IDLE_MICROS;
-        while (total() > budget.inboundHighWatermark() && !idleUsers.isEmpty()) {
+        while (openConnections() > budget.inboundHighWatermark() && !idleUsers.isEmpty()) {
             TrackedConnection longestIdle = idleUsers.iterator().next();
             if (longestIdle.idleSinceMicros > idleBeforeMicros) {
                 return;
@@ -194,7 +195,7 @@
 
     private void close(TrackedConnection tracked) {
         idleUsers.remove(tracked);
-        closed++;
+        closedIdleConnections++;
         IoUtils.safeClose(tracked.connection);
     }
 }
--- a/src/main/java/org/woadloom/http/DependencyValidator.java
+++ b/src/main/java/org/woadloom/http/DependencyValidator.java
@@ -28,11 +28,11 @@
     }
 
     private final JobReader reader;
-    private final JobApi.RecordPolicy storage;
+    private final JobApi.RecordPolicy recordPolicy;
 
-    DependencyValidator(JobReader reader, JobApi.RecordPolicy storage) {
+    DependencyValidator(JobReader reader, JobApi.RecordPolicy recordPolicy) {
         this.reader = reader;
-        this.storage = storage;
+        this.recordPolicy = recordPolicy;
     }
 
     /** Reports empty if the job may wait for all of its dependencies, or else why it may not. */
@@ -47,13 +47,13 @@
                 return;
             }
         }
-        if (storage.writeFormat() != RecordFormat.COMPACT) {
+        if (recordPolicy.writeFormat() != RecordFormat.COMPACT) {
             result.accept(Optional.of(NOT_SUPPORTED_YET));
             return;
         }
-        Verdict verdict = new Verdict(job.dependencies().size(), result);
+        CombinedResult combined = new CombinedResult(job.dependencies().size(), result);
         for (String jobId : job.dependencies()) {
-            lookUp(jobId, deadlineMicros, dependency -> verdict.add(jobId, dependency));
+            lookUp(jobId, deadlineMicros, dependency -> combined.add(jobId, dependency));
         }
     }
 
@@ -85,12 +85,12 @@
      * Combines what was found for each dependency. That the store did not answer outweighs that one
      * is invalid, as a refusal for good must be certain; of several invalid ones the first counts.
      */
-    private static final class Verdict {
+    private static final class CombinedResult {
         private final Consumer<Optional<Refusal>> result;
         private int remaining;
         private Optional<Refusal> refusal = Optional.empty();
 
-        Verdict(int dependencies, Consumer<Optional<Refusal>> result) {
+        CombinedResult(int dependencies, Consumer<Optional<Refusal>> result) {
             this.result = result;
             remaining = dependencies;
         }
--- a/src/main/java/org/woadloom/http/JobApi.java
+++ b/src/main/java/org/woadloom/http/JobApi.java
@@ -38,7 +38,7 @@
      */
     public interface CancellationConfirmation {
         /** The answer is false where that was not known in time: the user has to retry. */
-        void confirm(String jobId, long patienceMicros, Consumer<Boolean> answer);
+        void confirm(String jobId, long timeoutMicros, Consumer<Boolean> answer);
     }
 
     /** Where the machine types come from. */
@@ -68,39 +68,40 @@
             EventLoop loop,
             StoreClient store,
             ServiceSettings settings,
-            RecordPolicy storage,
-            MachineTypeSource types,
-            JobChangeListener notifier,
+            RecordPolicy recordPolicy,
+            MachineTypeSource machineTypes,
+            JobChangeListener changeListener,
             CancellationConfirmation confirmation) {
         this.loop = loop;
         int nodes = settings.peers().size() + 1;
-        JobReader reader = new JobReader(store, storage::onFormatSeen);
+        JobReader reader = new JobReader(store, recordPolicy::onFormatSeen);
         CoalescingJobReader sharedReader =
                 new CoalescingJobReader(loop, store, reader, settings.store(), nodes);
         StatusConfirmer confirmer = new StatusConfirmer(sharedReader, confirmation);
         UserWrites writes = new UserWrites(loop, store, settings.store().rps(), nodes);
-        AdmissionControl admission = new AdmissionControl(loop, settings, types);
+        AdmissionControl admission = new AdmissionControl(loop, settings, machineTypes);
         submissions =
                 new SubmissionHandler(
-                        loop, storage, reader, admission, confirmer, writes, notifier);
+                        loop, recordPolicy, reader, admission, confirmer, writes, changeListener);
         statuses = new StatusHandler(loop, store, reader, sharedReader, confirmer);
         cancellations =
-                new CancellationHandler(loop, store, storage, reader, confirmer, writes, notifier);
+                new CancellationHandler(
+                        loop, store, recordPolicy, reader, confirmer, writes, changeListener);
     }
 
     /** Submits the job that the body describes. */
     public void submit(byte[] body, Consumer<Response> answer) {
-        submissions.submit(body, asHttp(logSlow("submit", answer)));
+        submissions.submit(body, toHttp(logSlow("submit", answer)));
     }
 
     /** Answers with the job's status. */
     public void status(String jobId, Consumer<Response> answer) {
-        statuses.status(jobId, asHttp(answer));
+        statuses.status(jobId, toHttp(answer));
     }
 
     /** Cancels the job; one that is over already is answered with its status. */
     public void cancel(String jobId, Consumer<Response> answer) {
-        cancellations.cancel(jobId, asHttp(logSlow("cancel", answer)));
+        cancellations.cancel(jobId, toHttp(logSlow("cancel", answer)));
     }
 
     /** The longest time for which a job was polled for in vain while others were answered. */
@@ -113,7 +114,7 @@
         return statuses.refusals(reason);
     }
 
-    private static Consumer<JobAnswer> asHttp(Consumer<Response> answer) {
+    private static Consumer<JobAnswer> toHttp(Consumer<Response> answer) {
         return outcome -> answer.accept(outcome.toResponse());
     }
 
--- a/src/main/java/org/woadloom/http/SharedAnswers.java
+++ b/src/main/java/org/woadloom/http/RequestCoalescer.java
@@ -14,7 +14,7 @@
  * @param <K> what makes requests equal
  * @param <A> the answer
  */
-final class SharedAnswers<K, A> {
+final class RequestCoalescer<K, A> {
     private final Map<K, InFlight<A>> inFlight = new HashMap<>();
 
     private record InFlight<A>(long deadlineMicros, List<Consumer<A>> waiting) {}
@@ -27,7 +27,7 @@
      * @param first gets the answer to the request that this call starts
      * @param joined gets the answer to a request that was started before
      */
-    void share(
+    void coalesce(
             K key,
             long nowMicros,
             long deadlineMicros,
--- a/src/main/java/org/woadloom/http/Response.java
+++ b/src/main/java/org/woadloom/http/Response.java
@@ -32,11 +32,11 @@
     }
 
     public static Response json(Map<String, Object> body) {
-        return plain(Cbor.toJson(body), JSON);
+        return ok(Cbor.toJson(body), JSON);
     }
 
     public static Response text(String text) {
-        return plain(text, PLAIN_TEXT);
+        return ok(text, PLAIN_TEXT);
     }
 
     /** The service can't answer now; the sender is told when to retry. */
@@ -48,7 +48,7 @@
                 RETRY_AFTER_SECONDS);
     }
 
-    private static Response plain(String text, String contentType) {
+    private static Response ok(String text, String contentType) {
         return new Response(
                 HttpStatus.OK, text.getBytes(StandardCharsets.UTF_8), contentType, NO_RETRY_AFTER);
     }
--- a/src/main/java/org/woadloom/http/Router.java
+++ b/src/main/java/org/woadloom/http/Router.java
@@ -5,12 +5,12 @@
 
 /** Routes requests by method and path, apart from how they are carried. */
 public final class Router {
-    static final String HEARTBEATS = "/v1/report";
-    private static final String JOBS = "/v1/jobs";
-    private static final String JOB_PREFIX = JOBS + "/";
+    static final String HEARTBEAT_PATH = "/v1/report";
+    private static final String JOBS_PATH = "/v1/jobs";
+    private static final String JOB_PATH_PREFIX = JOBS_PATH + "/";
     private static final String CANCEL_SUFFIX = "/cancel";
-    private static final String HEALTH = "/healthz";
-    private static final String METRICS = "/metrics";
+    private static final String HEALTH_PATH = "/healthz";
+    private static final String METRICS_PATH = "/metrics";
 
     /** Answers the heartbeats of agents. */
     public interface HeartbeatHandler {
@@ -47,37 +47,38 @@
     public void handle(String method, String path, byte[] body, Consumer<Response> answer) {
         boolean post = method.equals("POST");
         boolean get = method.equals("GET");
-        if (!path.equals(HEARTBEATS)) {
+        if (!path.equals(HEARTBEAT_PATH)) {
             gate.onOutsideRequest();
         }
-        String closed = gate.closedReason();
-        if (closed != null && !path.equals(METRICS)) {
-            answer.accept(Response.unavailable(closed));
-        } else if (gate.notReadyReason() != null && path.startsWith(JOBS)) {
+        String closedReason = gate.closedReason();
+        if (closedReason != null && !path.equals(METRICS_PATH)) {
+            answer.accept(Response.unavailable(closedReason));
+        } else if (gate.notReadyReason() != null && path.startsWith(JOBS_PATH)) {
             answer.accept(Response.unavailable(gate.notReadyReason()));
-        } else if (post && path.equals(HEARTBEATS)) {
-            heartbeats.onHeartbeat(body, counted("report", answer));
-        } else if (get && path.equals(HEALTH)) {
+        } else if (post && path.equals(HEARTBEAT_PATH)) {
+            heartbeats.onHeartbeat(body, withMetrics("report", answer));
+        } else if (get && path.equals(HEALTH_PATH)) {
             answer.accept(
                     gate.isHealthy()
                             ? Response.text("ok\n")
                             : Response.unavailable("alone without the state service"));
-        } else if (post && path.equals(JOBS)) {
-            jobs.submit(body, counted("submit", answer));
-        } else if (get && path.startsWith(JOB_PREFIX)) {
-            jobs.status(path.substring(JOB_PREFIX.length()), counted("show", answer));
-        } else if (post && path.startsWith(JOB_PREFIX) && path.endsWith(CANCEL_SUFFIX)) {
+        } else if (post && path.equals(JOBS_PATH)) {
+            jobs.submit(body, withMetrics("submit", answer));
+        } else if (get && path.startsWith(JOB_PATH_PREFIX)) {
+            jobs.status(path.substring(JOB_PATH_PREFIX.length()), withMetrics("show", answer));
+        } else if (post && path.startsWith(JOB_PATH_PREFIX) && path.endsWith(CANCEL_SUFFIX)) {
             jobs.cancel(
-                    path.substring(JOB_PREFIX.length(), path.length() - CANCEL_SUFFIX.length()),
-                    counted("cancel", answer));
-        } else if (get && path.equals(METRICS)) {
+                    path.substring(
+                            JOB_PATH_PREFIX.length(), path.length() - CANCEL_SUFFIX.length()),
+                    withMetrics("cancel", answer));
+        } else if (get && path.equals(METRICS_PATH)) {
             answer.accept(Response.json(metrics.toMap()));
         } else {
             answer.accept(Response.error(HttpStatus.NOT_FOUND, "no such path"));
         }
     }
 
-    private Consumer<Response> counted(String request, Consumer<Response> answer) {
+    private Consumer<Response> withMetrics(String request, Consumer<Response> answer) {
         return response -> {
             metrics.recordResponse(request, response.status());
             answer.accept(response);
--- a/src/main/java/org/woadloom/http/StatusConfirmer.java
+++ b/src/main/java/org/woadloom/http/StatusConfirmer.java
@@ -59,7 +59,7 @@
             result.accept(true);
             return;
         }
-        Conjunction noneCancelled = new Conjunction(jobIds.size(), result);
+        AllTrue noneCancelled = new AllTrue(jobIds.size(), result);
         for (String jobId : jobIds) {
             reader.read(
                     jobId,
@@ -74,12 +74,12 @@
     }
 
     /** Reports whether all of several answers are true, once the last one is in. */
-    private static final class Conjunction {
+    private static final class AllTrue {
         private final Consumer<Boolean> result;
         private int remaining;
         private boolean allTrue = true;
 
-        Conjunction(int answers, Consumer<Boolean> result) {
+        AllTrue(int answers, Consumer<Boolean> result) {
             this.result = result;
             remaining = answers;
         }
--- a/src/main/java/org/woadloom/http/SubmissionHandler.java
+++ b/src/main/java/org/woadloom/http/SubmissionHandler.java
@@ -30,37 +30,38 @@
      * Space in bytes that a compact record needs beside its description, so that some tasks at a
      * time can be placed.
      */
-    private static final int PROGRESS_BYTES = 400;
+    private static final int RESERVED_PROGRESS_BYTES = 400;
 
     private static final Refusal DESCRIPTION_TOO_LONG =
             Refusal.invalid("the job's description is too long");
 
     private final EventLoop loop;
-    private final JobApi.RecordPolicy storage;
+    private final JobApi.RecordPolicy recordPolicy;
     private final JobReader reader;
     private final AdmissionControl admission;
     private final DependencyValidator dependencies;
     private final StatusConfirmer confirmer;
     private final UserWrites writes;
-    private final JobApi.JobChangeListener notifier;
-    private final SharedAnswers<JobDescription, JobAnswer> submissions = new SharedAnswers<>();
+    private final JobApi.JobChangeListener changeListener;
+    private final RequestCoalescer<JobDescription, JobAnswer> submissions =
+            new RequestCoalescer<>();
 
     SubmissionHandler(
             EventLoop loop,
-            JobApi.RecordPolicy storage,
+            JobApi.RecordPolicy recordPolicy,
             JobReader reader,
             AdmissionControl admission,
             StatusConfirmer confirmer,
             UserWrites writes,
-            JobApi.JobChangeListener notifier) {
+            JobApi.JobChangeListener changeListener) {
         this.loop = loop;
-        this.storage = storage;
+        this.recordPolicy = recordPolicy;
         this.reader = reader;
         this.admission = admission;
         this.confirmer = confirmer;
         this.writes = writes;
-        this.notifier = notifier;
-        dependencies = new DependencyValidator(reader, storage);
+        this.changeListener = changeListener;
+        dependencies = new DependencyValidator(reader, recordPolicy);
     }
 
     void submit(byte[] body, Consumer<JobAnswer> answer) {
@@ -109,7 +110,7 @@
                     if (refusal.isPresent()) {
                         refuseUnlessAccepted(job.jobId(), refusal.get(), deadlineMicros, answer);
                     } else {
-                        create(job, deadlineMicros, answer);
+                        coalesceWrite(job, deadlineMicros, answer);
                     }
                 });
     }
@@ -134,23 +135,24 @@
         confirmer.confirm(
                 JobView.of(lookup),
                 deadlineMicros - loop.nowMicros(),
-                refusal -> answer.accept(orFound(refusal, lookup)));
+                refusal -> answer.accept(refusalOrFound(refusal, lookup)));
     }
 
-    private static JobAnswer orFound(Optional<QueryRefusal> refusal, JobLookup lookup) {
+    private static JobAnswer refusalOrFound(Optional<QueryRefusal> refusal, JobLookup lookup) {
         return refusal.isPresent()
                 ? Refusal.of(refusal.get())
                 : new JobAnswer.Found(lookup.status());
     }
 
     /** Users who retry while the first write is queued or under way share it. */
-    private void create(JobDescription job, long deadlineMicros, Consumer<JobAnswer> answer) {
-        submissions.share(
+    private void coalesceWrite(
+            JobDescription job, long deadlineMicros, Consumer<JobAnswer> answer) {
+        submissions.coalesce(
                 job,
                 loop.nowMicros(),
                 deadlineMicros,
                 answer,
-                shared -> answerJoined(job.jobId(), shared, deadlineMicros, answer),
+                shared -> answerCoalesced(job.jobId(), shared, deadlineMicros, answer),
                 result -> write(job, deadlineMicros, result));
     }
 
@@ -158,7 +160,7 @@
      * What was told of another's submission may be out of date: the job may be cancelled since. It
      * is read again.
      */
-    private void answerJoined(
+    private void answerCoalesced(
             String jobId, JobAnswer shared, long deadlineMicros, Consumer<JobAnswer> answer) {
         if (!(shared instanceof Refusal refusal)) {
             refuseUnlessAccepted(jobId, Refusal.jobChanged(), deadlineMicros, answer);
@@ -178,15 +180,15 @@
             return;
         }
         JobRecord record = JobRecord.accepted(job, loop.wallMicros());
-        RecordFormat format = storage.writeFormat();
+        RecordFormat format = recordPolicy.writeFormat();
         Map<String, Object> value = record.toMap(format);
-        int reservedBytes = format == RecordFormat.COMPACT ? PROGRESS_BYTES : 0;
-        if (Cbor.maxJsonSize(value) + reservedBytes > storage.maxValueBytes()) {
+        int reservedBytes = format == RecordFormat.COMPACT ? RESERVED_PROGRESS_BYTES : 0;
+        if (Cbor.maxJsonSize(value) + reservedBytes > recordPolicy.maxValueBytes()) {
             refuseUnlessAccepted(jobId, DESCRIPTION_TOO_LONG, deadlineMicros, answer);
             return;
         }
         writes.write(
-                new UserWrites.Request(
+                new UserWrites.JobWrite(
                         RequestPriority.USER,
                         deadlineMicros,
                         jobId,
@@ -211,7 +213,7 @@
         boolean foundOwnWrite = found != null && record.equals(found.record());
         if (result == Result.OK || foundOwnWrite) {
             reader.onAccepted(job.jobId(), job.isService());
-            notifier.onJobChanged(record, foundOwnWrite ? found.revision() : storeRevision);
+            changeListener.onJobChanged(record, foundOwnWrite ? found.revision() : storeRevision);
             answer.accept(new JobAnswer.Created(job.jobId()));
         } else if (found != null) {
             answerAccepted(found, deadlineMicros, answer);
--- a/src/main/java/org/woadloom/http/UserWrites.java
+++ b/src/main/java/org/woadloom/http/UserWrites.java
@@ -36,7 +36,7 @@
      * @param deadlineMicros until when its user waits. Shortly before it the request is not sent
      *     any more, and then nothing is known of it
      */
-    record Request(
+    record JobWrite(
             RequestPriority priority,
             long deadlineMicros,
             String jobId,
@@ -74,7 +74,7 @@
      *     needless
      */
     void write(
-            Request request, ReadBack readBack, Predicate<JobLookup> isDecisive, Outcome outcome) {
+            JobWrite request, ReadBack readBack, Predicate<JobLookup> isDecisive, Outcome outcome) {
         PendingWrite write = new PendingWrite(request.jobId, readBack, isDecisive, outcome);
         loop.schedule(FIRST_READ_BACK_MICROS, write::startReadBack);
         loop.schedule(SECOND_READ_BACK_MICROS, write::startReadBack);
--- a/src/main/java/org/woadloom/protocol/FieldReader.java
+++ b/src/main/java/org/woadloom/protocol/FieldReader.java
@@ -34,12 +34,12 @@
     }
 
     /** Makes a message, or a part of one, of the fields of a map. */
-    interface Reading<T> {
+    interface MapReader<T> {
         T read(FieldReader fields) throws IOException, MalformedMessageException;
     }
 
     /** Reads a body that is one map, and nothing else. */
-    static <T> T body(byte[] body, Reading<T> reading) throws MalformedMessageException {
+    static <T> T parseBody(byte[] body, MapReader<T> reader) throws MalformedMessageException {
         try (JsonParser parser = Cbor.parser(body)) {
             JsonToken first = parser.nextToken();
             if (first == null) {
@@ -48,7 +48,7 @@
             if (first != JsonToken.START_OBJECT) {
                 throw new MalformedMessageException("body: expected a map");
             }
-            T result = reading.read(new FieldReader(parser));
+            T result = reader.read(new FieldReader(parser));
             if (parser.nextToken() != null) {
                 throw new MalformedMessageException("body: more than one value");
             }
@@ -110,11 +110,11 @@
         return Fields.integer(name, scalar());
     }
 
-    long count() throws IOException, MalformedMessageException {
-        return Fields.notNegative(name, integer());
+    long nonNegativeInteger() throws IOException, MalformedMessageException {
+        return Fields.requireNonNegative(name, integer());
     }
 
-    double amount() throws IOException, MalformedMessageException {
+    double nonNegativeNumber() throws IOException, MalformedMessageException {
         return Fields.nonNegativeNumber(name, scalar());
     }
 
@@ -123,7 +123,7 @@
     }
 
     /** Reads a list of maps, with one call for each. */
-    void maps(Reading<?> each) throws IOException, MalformedMessageException {
+    void forEachMap(MapReader<?> reader) throws IOException, MalformedMessageException {
         String listName = name;
         if (value != JsonToken.START_ARRAY) {
             throw new MalformedMessageException(listName + ": expected a list");
@@ -136,14 +136,14 @@
                 throw new MalformedMessageException(listName + ": expected a map");
             }
             item.nameCount = 0;
-            each.read(item);
+            reader.read(item);
         }
     }
 
     /** The value of a field that must be there. */
-    static <T> T required(String name, T value, String what) throws MalformedMessageException {
+    static <T> T required(String name, T value, String expected) throws MalformedMessageException {
         if (value == null) {
-            throw new MalformedMessageException(name + ": expected " + what);
+            throw new MalformedMessageException(name + ": expected " + expected);
         }
         return value;
     }
--- a/src/main/java/org/woadloom/protocol/Fields.java
+++ b/src/main/java/org/woadloom/protocol/Fields.java
@@ -14,9 +14,9 @@
 
     /** The value as a map of fields, or an error naming {@code what}. */
     @SuppressWarnings("unchecked")
-    public static Fields of(Object value, String what) throws MalformedMessageException {
+    public static Fields of(Object value, String fieldName) throws MalformedMessageException {
         if (!(value instanceof Map<?, ?>)) {
-            throw new MalformedMessageException(what + ": expected a map");
+            throw new MalformedMessageException(fieldName + ": expected a map");
         }
         return new Fields((Map<String, Object>) value);
     }
@@ -36,8 +36,8 @@
         throw new MalformedMessageException(name + ": expected text");
     }
 
-    public String textOr(String name, String otherwise) throws MalformedMessageException {
-        return has(name) ? text(name) : otherwise;
+    public String textOr(String name, String defaultValue) throws MalformedMessageException {
+        return has(name) ? text(name) : defaultValue;
     }
 
     public boolean flag(String name) throws MalformedMessageException {
@@ -47,8 +47,8 @@
         throw new MalformedMessageException(name + ": expected true or false");
     }
 
-    public boolean flagOr(String name, boolean otherwise) throws MalformedMessageException {
-        return has(name) ? flag(name) : otherwise;
+    public boolean flagOr(String name, boolean defaultValue) throws MalformedMessageException {
+        return has(name) ? flag(name) : defaultValue;
     }
 
     public long integer(String name) throws MalformedMessageException {
@@ -68,15 +68,15 @@
         throw new MalformedMessageException(name + ": expected an integer");
     }
 
-    public long integerOr(String name, long otherwise) throws MalformedMessageException {
-        return has(name) ? integer(name) : otherwise;
+    public long integerOr(String name, long defaultValue) throws MalformedMessageException {
+        return has(name) ? integer(name) : defaultValue;
     }
 
     public long nonNegativeInteger(String name) throws MalformedMessageException {
-        return notNegative(name, integer(name));
+        return requireNonNegative(name, integer(name));
     }
 
-    static long notNegative(String name, long value) throws MalformedMessageException {
+    static long requireNonNegative(String name, long value) throws MalformedMessageException {
         if (value < 0) {
             throw new MalformedMessageException(name + ": must not be negative");
         }
@@ -115,9 +115,9 @@
         return number;
     }
 
-    public double nonNegativeNumberOr(String name, double otherwise)
+    public double nonNegativeNumberOr(String name, double defaultValue)
             throws MalformedMessageException {
-        return has(name) ? nonNegativeNumber(name) : otherwise;
+        return has(name) ? nonNegativeNumber(name) : defaultValue;
     }
 
     public List<?> list(String name) throws MalformedMessageException {
--- a/src/main/java/org/woadloom/protocol/Heartbeat.java
+++ b/src/main/java/org/woadloom/protocol/Heartbeat.java
@@ -48,7 +48,7 @@
     }
 
     public static Heartbeat read(byte[] body) throws MalformedMessageException {
-        return FieldReader.body(body, Heartbeat::read);
+        return FieldReader.parseBody(body, Heartbeat::read);
     }
 
     private static Heartbeat read(FieldReader fields)
@@ -70,15 +70,15 @@
                 case Field.MACHINE_TYPE -> machineType = fields.text();
                 case Field.ZONE -> zone = fields.text();
                 case Field.SPOT -> spot = fields.flag();
-                case Field.INCARNATION -> incarnation = fields.count();
-                case Field.SEQUENCE -> sequence = fields.count();
-                case Field.FENCING_TOKEN -> fencingToken = fields.count();
+                case Field.INCARNATION -> incarnation = fields.nonNegativeInteger();
+                case Field.SEQUENCE -> sequence = fields.nonNegativeInteger();
+                case Field.FENCING_TOKEN -> fencingToken = fields.nonNegativeInteger();
                 case Field.SPOT_NOTICE_SECONDS ->
-                        spotNoticeMicros = (long) (fields.amount() * MICROS_PER_SECOND);
+                        spotNoticeMicros = (long) (fields.nonNegativeNumber() * MICROS_PER_SECOND);
                 case Field.TASKS -> {
-                    List<TaskStatus> read = new ArrayList<>();
-                    fields.maps(item -> read.add(TaskStatus.read(item)));
-                    tasks = read;
+                    List<TaskStatus> parsed = new ArrayList<>();
+                    fields.forEachMap(item -> parsed.add(TaskStatus.read(item)));
+                    tasks = parsed;
                 }
                 default -> fields.skip();
             }
--- a/src/main/java/org/woadloom/protocol/JobDescription.java
+++ b/src/main/java/org/woadloom/protocol/JobDescription.java
@@ -141,15 +141,15 @@
         }
         return new JobDescription(
                 jobId,
-                name(fields, Field.JOB_CLASS),
-                name(fields, Field.TEAM),
+                boundedName(fields, Field.JOB_CLASS),
+                boundedName(fields, Field.TEAM),
                 JobKind.parse(fields.text(Field.KIND)),
                 Priority.parse(fields.text(Field.PRIORITY)),
                 (int) taskCount,
                 cpus,
                 gpus,
                 memoryGb,
-                name(fields, Field.IMAGE),
+                boundedName(fields, Field.IMAGE),
                 fields.nonNegativeNumberOr(Field.IMAGE_GB, 0),
                 machineTypes,
                 fields.textOr(Field.ZONE, null),
@@ -203,7 +203,8 @@
                         List.of());
     }
 
-    private static String name(Fields fields, String field) throws MalformedMessageException {
+    private static String boundedName(Fields fields, String field)
+            throws MalformedMessageException {
         String text = fields.text(field);
         if (text.isEmpty() || text.length() > MAX_NAME_LENGTH) {
             throw new MalformedMessageException(
--- a/src/main/java/org/woadloom/protocol/ListedMachine.java
+++ b/src/main/java/org/woadloom/protocol/ListedMachine.java
@@ -24,7 +24,7 @@
         static final String ZONE = "yard";
         static final String SPOT = "reclaimable";
         static final String STATUS = "status";
-        static final String RENTED_SECONDS = "heldS";
+        static final String RENTED_FOR_SECONDS = "heldS";
         static final String LIST = "hosts";
 
         private Field() {}
@@ -39,7 +39,9 @@
                 fields.text(Field.ZONE),
                 fields.flagOr(Field.SPOT, false),
                 fields.text(Field.STATUS),
-                (long) (fields.nonNegativeNumberOr(Field.RENTED_SECONDS, 0) * MICROS_PER_SECOND));
+                (long)
+                        (fields.nonNegativeNumberOr(Field.RENTED_FOR_SECONDS, 0)
+                                * MICROS_PER_SECOND));
     }
 
     public boolean hasFailed() {
--- a/src/main/java/org/woadloom/protocol/MachineType.java
+++ b/src/main/java/org/woadloom/protocol/MachineType.java
@@ -23,7 +23,7 @@
     private static final double MICROS_PER_SECOND = 1e6;
 
     /** Allows for the rounding of sums of resources. */
-    private static final double ROUNDING = 1e-9;
+    private static final double ROUNDING_TOLERANCE = 1e-9;
 
     /** The names of the fields in the cloud's list, and of the list itself. */
     static final class Field {
@@ -86,8 +86,8 @@
 
     /** Whether one task of the job fits on an empty machine of this type. */
     public boolean fits(JobDescription job) {
-        return job.cpus() <= cpus + ROUNDING
-                && job.gpus() <= gpus + ROUNDING
-                && job.memoryGb() <= memoryGb + ROUNDING;
+        return job.cpus() <= cpus + ROUNDING_TOLERANCE
+                && job.gpus() <= gpus + ROUNDING_TOLERANCE
+                && job.memoryGb() <= memoryGb + ROUNDING_TOLERANCE;
     }
 }
--- a/src/test/java/org/woadloom/http/AdmissionControlTest.java
+++ b/src/test/java/org/woadloom/http/AdmissionControlTest.java
@@ -74,7 +74,7 @@
     }
 
     private static boolean runs(JobDescription job) {
-        return AdmissionControl.rejectionByTerms(job, TEAM, ZONES) == null
+        return AdmissionControl.rejectionBySettings(job, TEAM, ZONES) == null
                 && AdmissionControl.rejectionByMachineTypes(job, TYPES) == null;
     }
 
@@ -130,10 +130,10 @@
     @Test
     void anUnknownTeamHasNoLimit() throws Exception {
         assertNotNull(
-                AdmissionControl.rejectionByTerms(
+                AdmissionControl.rejectionBySettings(
                         job("batch", 1, 1, 0, null, null, null), null, ZONES));
         assertNull(
-                AdmissionControl.rejectionByTerms(
+                AdmissionControl.rejectionBySettings(
                         job("batch", 1, 1, 0, null, null, null), TEAM, ZONES));
     }
 }
