--- a/src/main/java/org/woadloom/agent/AgentClient.java
+++ b/src/main/java/org/woadloom/agent/AgentClient.java
@@ -16,9 +16,10 @@
 import org.woadloom.protocol.TaskCommand;
 
 /**
- * Sends direct commands to agents. Commands to agents that did not answer the last one take half of
- * the connections at most, and go after the others: where many machines hang at once, each of them
- * holds a connection until the timeout. Nothing is retried here; the scheduler decides that.
+ * Sends commands directly to agents, outside the answers to their heartbeats. Commands to agents
+ * that did not answer the previous one are sent after all others and use at most half of the
+ * connections: when many machines hang at once, each holds its connection until the timeout. Failed
+ * commands are not retried here; that is up to the scheduler.
  */
 public final class AgentClient {
     private static final long TIMEOUT_MICROS = 2_000_000;
@@ -28,7 +29,7 @@
 
     private static final int STATUS_OK = 200;
 
-    /** The agent refuses a command, and answers with its own state. */
+    /** The agent refused the command; the body is its current heartbeat. */
     private static final int STATUS_CONFLICT = 409;
 
     private static final String COMMANDS_PATH = "/do";
@@ -44,27 +45,27 @@
     private int unresponsiveInFlight;
 
     /**
-     * Addresses that did not answer the last command, the longest silent first; those of machines
-     * that were removed drop out in time.
+     * The addresses that did not answer the last command, the longest unresponsive first. The size
+     * limit evicts those of machines that no longer exist.
      */
     private final Set<String> unresponsiveAddresses = new LinkedHashSet<>();
 
     private record QueuedCommand(SendDirectCommand send, Callback callback) {}
 
-    /** Is called once with the result of a command. */
+    /** Is called exactly once with the result of a command. */
     public interface Callback {
         void onCompleted(DirectCommandCompleted result);
     }
 
     /**
-     * @param maxInFlight how many commands may be in flight, each on a connection of its own
+     * @param maxInFlight the maximum number of commands in flight, each of which needs a connection
      */
     public AgentClient(HttpTransport transport, int maxInFlight) {
         this.transport = transport;
         this.maxInFlight = maxInFlight;
     }
 
-    /** Sends a command, as soon as there is a connection for it. */
+    /** Sends a command as soon as a connection is available. */
     public void send(SendDirectCommand send, Callback callback) {
         boolean unresponsive = unresponsiveAddresses.contains(send.address());
         (unresponsive ? unresponsiveQueue : queue).addLast(new QueuedCommand(send, callback));
@@ -111,8 +112,8 @@
     }
 
     /**
-     * An address may have passed to another machine: without a heartbeat of the right one nothing
-     * is known of the command.
+     * The address may meanwhile belong to another machine, so an answer counts only if it is a
+     * heartbeat of the machine that the command was for.
      */
     private static DirectCommandCompleted resultOf(
             SendDirectCommand send, int status, byte[] body) {
@@ -125,7 +126,7 @@
                 return result(send, status, heartbeat);
             }
         } catch (MalformedMessageException e) {
-            // As if the answer had not come.
+            // Handled like a missing response.
         }
         return result(send, HttpTransport.NO_RESPONSE, null);
     }
@@ -143,7 +144,9 @@
         return Cbor.encode(map);
     }
 
-    /** The commands as the protocol has them, in a body of their own or in a heartbeat's answer. */
+    /**
+     * Encodes commands in the form that both a direct command and the answer to a heartbeat use.
+     */
     public static List<Object> encodeCommands(List<TaskCommand> commands) {
         List<Object> list = new ArrayList<>(commands.size());
         for (TaskCommand command : commands) {
--- a/src/main/java/org/woadloom/agent/AgentConnectionBalancer.java
+++ b/src/main/java/org/woadloom/agent/AgentConnectionBalancer.java
@@ -8,36 +8,38 @@
 import java.util.Map;
 
 /**
- * Decides which agents send their heartbeats to this node itself. A leader with more agents than it
- * can serve redirects some to another node, which forwards their heartbeats to it: only the
- * connection moves, the leader decides as before. Only agents whose lease it has just renewed are
- * redirected. One that comes back without a heartbeat by way of the other node can't reach that
- * node, and stays for a while.
+ * Decides which agents stay connected to this node while it is the leader. A leader with more
+ * agents than it can serve redirects some of them to other nodes, which forward their heartbeats:
+ * only the connection moves, the leader still handles the heartbeats. Only agents whose lease has
+ * just been renewed are redirected. An agent that returns without having sent a heartbeat through
+ * the other node could not reach it, and is not redirected again for a while.
  */
 public final class AgentConnectionBalancer {
-    /** An agent that missed so many heartbeats does not count as connected any more. */
+    /** An agent that missed this many heartbeats no longer counts as connected. */
     private static final int MAX_MISSED_HEARTBEATS = 3;
 
-    /** Within this time an agent that was redirected has reached the other node, or is back. */
+    /** Within this time a redirected agent has either reached the other node or returned. */
     private static final long REDIRECTION_TIMEOUT_MICROS = 20_000_000;
 
-    /** For how long an agent that came back is not redirected again. */
+    /** How long an agent that returned is not redirected again. */
     private static final long NO_REDIRECT_MICROS = 60_000_000;
 
     private final int maxAgents;
     private final long disconnectMicros;
 
-    /** When each connected agent last sent a heartbeat, the longest silent first. */
+    /** The time of each connected agent's last heartbeat, the oldest first. */
     private final Map<String, Long> connected = new LinkedHashMap<>(16, 0.75f, true);
 
-    /** When each agent was redirected that has sent no heartbeat since, in that order. */
+    /**
+     * When each redirected agent that has sent no heartbeat since was redirected, the oldest first.
+     */
     private final Map<String, Long> redirected = new LinkedHashMap<>();
 
-    /** When each agent came back that could not reach another node. */
+    /** When each agent that could not reach its other node returned, the oldest first. */
     private final Map<String, Long> returned = new LinkedHashMap<>();
 
     /**
-     * @param maxAgents how many agents this node serves while others can serve the rest
+     * @param maxAgents the number of agents above which this node redirects agents to other nodes
      * @param heartbeatMicros the interval between an agent's heartbeats
      */
     public AgentConnectionBalancer(int maxAgents, long heartbeatMicros) {
@@ -45,18 +47,18 @@
         this.disconnectMicros = MAX_MISSED_HEARTBEATS * heartbeatMicros;
     }
 
-    /** How many agents are connected to this node. */
+    /** The number of agents connected to this node. */
     public int connectedAgents() {
         return connected.size();
     }
 
     /**
-     * Counts an agent that sent a heartbeat to this node, which leads, and picks the node that it
-     * is to connect to instead; null if it may stay.
+     * Records a heartbeat that an agent sent directly to this node, the leader, and returns the
+     * node that the agent must connect to instead, or null if it may stay.
      *
-     * @param leaseRenewed whether its lease was renewed in this term, so that it has time to
-     *     reconnect
-     * @param otherNodes the nodes that can be reached
+     * @param leaseRenewed whether the agent's lease was renewed in this term, so that it has time
+     *     to reconnect
+     * @param otherNodes the other nodes that this node can reach
      */
     public String redirectTarget(
             String host, boolean leaseRenewed, List<String> otherNodes, long nowMicros) {
@@ -81,7 +83,7 @@
                         otherNodes.size()));
     }
 
-    /** Notes that an agent's heartbeat came by way of another node. */
+    /** Records that another node forwarded a heartbeat of this agent. */
     public void onForwarded(String host) {
         connected.remove(host);
         redirected.remove(host);
--- a/src/main/java/org/woadloom/agent/package-info.java
+++ b/src/main/java/org/woadloom/agent/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The way to the agents: {@link org.woadloom.agent.AgentClient} sends them direct commands, and
- * {@link org.woadloom.agent.AgentConnectionBalancer} decides which node an agent should connect to.
+ * Communication with the agents: {@link org.woadloom.agent.AgentClient} sends commands directly to
+ * them, and {@link org.woadloom.agent.AgentConnectionBalancer} decides which node an agent should
+ * connect to.
  */
 package org.woadloom.agent;
--- a/src/main/java/org/woadloom/cloud/CloudClient.java
+++ b/src/main/java/org/woadloom/cloud/CloudClient.java
@@ -19,16 +19,16 @@
 import org.woadloom.store.TokenBucket;
 
 /**
- * The client of the cloud, within the rate that the settings allow. Calls wait for the rate in the
- * order of their kind. Nothing is retried here.
+ * Client of the cloud API that offers machines. Calls are rate limited by the settings and queued
+ * by priority. Failed calls are not retried here.
  */
 public final class CloudClient {
     private static final long TIMEOUT_MICROS = 8_000_000;
 
-    /** The share of the rate that the settings allow which is used. */
+    /** The share of the configured rate limit that is used. */
     private static final double RATE_SHARE = 0.8;
 
-    /** How many machines a call lists, the cloud's bound: nine calls list 4,000. */
+    /** Machines per page, the maximum of the cloud API: 4,000 machines take nine calls. */
     private static final int PAGE_SIZE = 500;
 
     private static final int STATUS_OK = 200;
@@ -39,7 +39,7 @@
     private static final String MACHINES_PATH = "/machines";
     private static final String DELETE_PATH = "/machines/delete";
 
-    /** The names of the fields in requests and answers. */
+    /** Field names in requests and responses. */
     private static final class Field {
         static final String REQUEST_NAME = "claim";
         static final String MACHINE_TYPE = "hosttype";
@@ -62,8 +62,8 @@
     private boolean wakeScheduled;
 
     /**
-     * The kinds of calls, the most urgent first: deletions are proofs and end what is paid for, and
-     * lists can wait for long.
+     * The priorities of calls, the most urgent first. A deletion proves that a machine is gone and
+     * ends its cost; reads can wait longest.
      */
     private enum CallPriority {
         DELETE,
@@ -73,13 +73,13 @@
 
     /** Receives the machine types. */
     public interface MachineTypesCallback {
-        /** Null where the cloud did not give them. */
+        /** Called with null if the call failed. */
         void onMachineTypes(List<MachineType> types);
     }
 
     /** Receives the list of machines. */
     public interface MachineListCallback {
-        /** Null where the cloud did not give all of it. */
+        /** Called with null if any page failed. */
         void onMachines(List<ListedMachine> machines);
     }
 
@@ -90,7 +90,7 @@
 
     /** Receives the outcome of a deletion. */
     public interface DeleteCallback {
-        /** False where it may or may not have been carried out. */
+        /** Called with false if the machines may or may not have been deleted. */
         void onDeleted(boolean confirmed);
     }
 
@@ -104,7 +104,7 @@
         this.budget = new TokenBucket(settings.cloud().rps() * RATE_SHARE);
     }
 
-    /** Reads the machine types that the cloud offers. */
+    /** Lists the machine types that the cloud offers. */
     public void listMachineTypes(MachineTypesCallback callback) {
         request(
                 CallPriority.READ,
@@ -123,7 +123,7 @@
                 });
     }
 
-    /** Reads the whole list of machines, page by page. */
+    /** Lists all machines, page by page. */
     public void listMachines(MachineListCallback callback) {
         requestPage("", new ArrayList<>(), callback);
     }
@@ -165,7 +165,10 @@
                 });
     }
 
-    /** Rents machines; repeated under the same name, the request gives the same machines. */
+    /**
+     * Rents machines. The request is idempotent: repeated with the same name it returns the same
+     * machines.
+     */
     public void rentMachines(SchedulerAction.RentMachines rent, RentCallback callback) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put(Field.REQUEST_NAME, rent.requestName());
@@ -203,7 +206,7 @@
         return new Fields(Cbor.decodeMap(body)).textOr(Field.ERROR, "");
     }
 
-    /** Returns machines. */
+    /** Deletes machines, which ends their rental. */
     public void deleteMachines(List<String> hosts, DeleteCallback callback) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put(Field.HOSTS, new ArrayList<Object>(hosts));
--- a/src/main/java/org/woadloom/cloud/package-info.java
+++ b/src/main/java/org/woadloom/cloud/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The client of the cloud that offers machines; {@link org.woadloom.cloud.CloudClient} is the entry
- * type. It keeps to the rate that the settings allow.
+ * The rate-limited client of the cloud API that machines are rented from; {@link
+ * org.woadloom.cloud.CloudClient} is the entry point.
  */
 package org.woadloom.cloud;
--- a/src/main/java/org/woadloom/http/AdmissionControl.java
+++ b/src/main/java/org/woadloom/http/AdmissionControl.java
@@ -7,34 +7,36 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.woadloom.net.EventLoop;
+import org.woadloom.protocol.ErrorText;
 import org.woadloom.protocol.JobDescription;
 import org.woadloom.protocol.MachineType;
 import org.woadloom.settings.ServiceSettings;
 import org.woadloom.settings.Team;
 
 /**
- * Decides whether a job can run at all. A job that is refused is not submitted again, so a job is
- * called never runnable only where that is certain: that there is no capacity now is no reason, and
- * what only the machine types speak against is refused only once the cloud has listed them anew, as
- * a type may have been added since this node last read them. Until then the refusal is temporary.
+ * Checks whether a submitted job can ever run. Clients don't resubmit a job that was rejected as
+ * never runnable, so that answer must be certain: lack of capacity is no reason for it, and a job
+ * that fits none of the known machine types is rejected for good only against a fresh list, because
+ * the cloud may have added a type since this node last read them. Until then the refusal is
+ * temporary.
  */
 final class AdmissionControl {
     /**
-     * How long a list of machine types counts as fresh. The types change with the settings of the
-     * cloud; a user who submits what fits none costs at most one call in this time.
+     * How long a list of machine types counts as fresh. The types change only with the cloud's
+     * configuration. Jobs that fit no type cause at most one call to the cloud in this time.
      */
     private static final long FRESH_MICROS = 10_000_000;
 
     /**
-     * While the cloud does not answer it is asked once in this time, however many jobs wait for it:
-     * the leader needs its calls.
+     * The minimum interval between refreshes while the cloud does not answer, however many jobs
+     * wait for one: the leader needs the budget of cloud calls.
      */
     private static final long REFRESH_INTERVAL_MICROS = 1_000_000;
 
-    /** Users wait 5 s for an answer. */
+    /** Users wait 5 s for the answer to a submission. */
     private static final long REFRESH_TIMEOUT_MICROS = 2_000_000;
 
-    /** Earlier than any moment of the loop's clock, without overflow in differences. */
+    /** Before any time of the event loop's clock; differences to it don't overflow. */
     private static final long NEVER_MICROS = Long.MIN_VALUE / 2;
 
     /** Allows for the rounding of sums of resources. */
@@ -43,18 +45,20 @@
     private static final int MIN_ZONES_TO_SPREAD = 2;
 
     private static final Refusal MACHINE_TYPES_STALE =
-            Refusal.unavailable("the cloud does not tell its machine types now");
+            Refusal.unavailable("the list of machine types could not be refreshed from the cloud");
 
     private final EventLoop loop;
     private final ServiceSettings settings;
     private final JobApi.MachineTypeSource machineTypes;
 
-    /** When the latest refresh that was answered started. */
+    /**
+     * The start of the latest successful refresh: the list shows the types of that time or later.
+     */
     private long freshSinceMicros = NEVER_MICROS;
 
     private long lastRefreshMicros = NEVER_MICROS;
 
-    /** What waits for the refresh in flight; empty while there is none. */
+    /** Callbacks that wait for the refresh in flight; empty while there is none. */
     private List<Runnable> refreshWaiters = List.of();
 
     AdmissionControl(EventLoop loop, ServiceSettings settings, JobApi.MachineTypeSource types) {
@@ -64,8 +68,8 @@
     }
 
     /**
-     * Reports empty for a job that can run as far as is known, or else why it can't, or why that
-     * can't be decided now.
+     * Calls back with empty if the job can run as far as is known, else with the reason why it
+     * can't, or why that can't be decided now.
      */
     void check(JobDescription job, Consumer<Optional<Refusal>> result) {
         String rejection = rejectionBySettings(job, settings.team(job.team()), settings.zones());
@@ -85,7 +89,7 @@
         }
     }
 
-    /** The refusal is temporary where the types that speak against the job are not fresh. */
+    /** A refusal is temporary if the list of machine types is not fresh. */
     private Optional<Refusal> checkMachineTypes(JobDescription job) {
         String rejection = rejectionByMachineTypes(job, machineTypes.currentTypes());
         if (rejection == null) {
@@ -99,8 +103,9 @@
     }
 
     /**
-     * Has the types read and then runs what is given, at the latest after the timeout; at once if
-     * they were asked for just now. Whoever comes while a refresh is in flight shares it.
+     * Refreshes the machine types, then runs the callback, after the timeout at the latest. Callers
+     * share a refresh in flight; the callback runs at once if the last refresh started less than
+     * {@link #REFRESH_INTERVAL_MICROS} ago.
      */
     private void refreshMachineTypes(Runnable onRefreshed) {
         if (!refreshWaiters.isEmpty()) {
@@ -132,30 +137,35 @@
         }
     }
 
-    /** Why the job can't run whatever machines there are; null if it may. */
+    /** Returns why the job can never run with these settings on any machine, or null if it can. */
     static String rejectionBySettings(JobDescription job, Team team, List<String> zones) {
         if (team == null) {
-            return JobDescription.Field.TEAM + ": unknown team";
+            return JobDescription.Field.TEAM + ": unknown team " + ErrorText.quoted(job.team());
         }
         int simultaneousTasks = needsAllTasks(job) ? job.taskCount() : 1;
         if (job.cpus() * simultaneousTasks > team.cpusMax() + ROUNDING_TOLERANCE
                 || job.gpus() * simultaneousTasks > team.gpusMax() + ROUNDING_TOLERANCE) {
-            return "the job needs more than the team's limit";
+            return "the tasks that must run at once need more CPUs or GPUs than the limit of team "
+                    + ErrorText.quoted(job.team())
+                    + " allows";
         }
         if (job.zone() != null && !zones.contains(job.zone())) {
-            return JobDescription.Field.ZONE + ": unknown zone";
+            return JobDescription.Field.ZONE + ": unknown zone " + ErrorText.quoted(job.zone());
         }
         if (job.machineTypes() != null && job.machineTypes().isEmpty()) {
-            return JobDescription.Field.MACHINE_TYPES + ": none is allowed";
+            return JobDescription.Field.MACHINE_TYPES
+                    + ": expected null or at least one machine type";
         }
         if (needsTwoZones(job) && (job.sameZone() || job.zone() != null)) {
             return JobDescription.Field.SPREAD_ACROSS_ZONES
-                    + ": half of the tasks at most may be in one zone, and all must be";
+                    + ": allows at most half of the tasks in one zone, but "
+                    + (job.sameZone() ? JobDescription.Field.SAME_ZONE : JobDescription.Field.ZONE)
+                    + " requires all of them in one";
         }
         return null;
     }
 
-    /** Why the job can't run on such machines; null if it may. */
+    /** Returns why the job can never run on machines of these types, or null if it can. */
     static String rejectionByMachineTypes(JobDescription job, List<MachineType> types) {
         Set<String> zones = new HashSet<>();
         for (MachineType type : types) {
@@ -168,22 +178,23 @@
             zones.retainAll(Set.of(job.zone()));
         }
         if (zones.isEmpty()) {
-            return "a task fits no allowed machine type that is offered where it may run";
+            return "no machine type that the job allows is large enough for a task and offered in"
+                    + " an allowed zone";
         }
         return needsTwoZones(job) && zones.size() < MIN_ZONES_TO_SPREAD
                 ? JobDescription.Field.SPREAD_ACROSS_ZONES
-                        + ": only one zone offers what the tasks need"
+                        + ": only one zone offers a suitable machine type, expected at least two"
                 : null;
     }
 
-    /** Whether all tasks have to run at once: an array may run a few at a time. */
+    /** Whether all tasks must run at the same time. The tasks of an array need not. */
     private static boolean needsAllTasks(JobDescription job) {
         return job.isService() || job.isGang();
     }
 
     /**
-     * Whether the job needs two zones: its tasks must all run at once, and at most half of them in
-     * one zone. The tasks of an array can take turns in one zone.
+     * Whether the job needs machines in two zones: all of its tasks run at once, at most half of
+     * them in the same zone. An array can run its tasks one after another in one zone.
      */
     private static boolean needsTwoZones(JobDescription job) {
         return needsAllTasks(job) && job.spreadAcrossZones() && job.taskCount() > 1;
--- a/src/main/java/org/woadloom/http/ApiServer.java
+++ b/src/main/java/org/woadloom/http/ApiServer.java
@@ -23,26 +23,27 @@
     private static final int MAX_BODY_BYTES = 64 * 1024;
 
     /**
-     * The largest body that is read, in bytes: up to here the sender is told that it is too large.
+     * The largest body that is read, in bytes: a body between the two limits is answered with an
+     * error that names the limit, and a larger one is not read to its end.
      */
     private static final int MAX_READ_BYTES = MAX_BODY_BYTES * 4;
 
     private static final int MIN_IDLE_TIMEOUT_MILLIS = 20_000;
 
     /**
-     * After a stop about 4,000 agents connect within one heartbeat interval; the operating system
-     * may cap it.
+     * After an outage about 4,000 agents connect within one heartbeat interval. The operating
+     * system may use a smaller backlog.
      */
     private static final int BACKLOG = 4_096;
 
     private static final String COMMANDS_FIELD = "orders";
 
     private static final Response UNREADABLE_BODY =
-            Response.error(HttpStatus.BAD_REQUEST, "the body could not be read");
+            Response.error(HttpStatus.BAD_REQUEST, "the request body could not be read");
     private static final Response BODY_TOO_LARGE =
-            Response.error(HttpStatus.BAD_REQUEST, "the body is larger than 64 KiB");
+            Response.error(HttpStatus.BAD_REQUEST, "the request body is larger than 64 KiB");
     private static final Response TOO_MANY_CONNECTIONS =
-            Response.unavailable("too many connections");
+            Response.unavailable("too many connections to this node");
 
     private final Undertow undertow;
     private final ConnectionLimiter connections;
@@ -76,14 +77,16 @@
                         .build();
     }
 
-    /** An agent that is silent for longer has lost its lease and connects anew. */
+    /**
+     * An agent that sends nothing for longer than this has lost its lease and reconnects anyway.
+     */
     private static int idleTimeoutMillis(ServiceSettings settings) {
         long maxSilenceMicros =
                 settings.agents().leaseMicros() + settings.agents().heartbeatMicros();
         return (int) Math.max(MIN_IDLE_TIMEOUT_MILLIS, maxSilenceMicros / 1000);
     }
 
-    /** Starts to accept connections. */
+    /** Starts accepting connections. */
     public void start() {
         undertow.start();
     }
@@ -129,9 +132,8 @@
     }
 
     /**
-     * Whether the answer to a heartbeat gives its agent nothing to do: a renewed lease without
-     * commands, or a redirection to another node. Then the agent has no use for this connection
-     * until its next heartbeat.
+     * Whether the agent needs this connection again only for its next heartbeat: the answer renews
+     * its lease and carries no commands, or redirects it to another node.
      */
     private static boolean leavesAgentIdle(Response response) {
         if (response.status() != HttpStatus.OK) {
--- a/src/main/java/org/woadloom/http/CancellationHandler.java
+++ b/src/main/java/org/woadloom/http/CancellationHandler.java
@@ -21,13 +21,13 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * Cancels jobs by a compare-and-swap on their records. The leader writes the same records, so a
- * conflict is followed by another read and another attempt.
+ * Cancels jobs by a compare-and-swap on their records. The leader writes the same records, so after
+ * a conflict the record is read again and the write is retried.
  */
 final class CancellationHandler {
     private static final int MAX_ATTEMPTS = 6;
     private static final Refusal NOT_CANCELLED =
-            Refusal.unavailable("the job could not be cancelled now");
+            Refusal.unavailable("the job could not be cancelled in time");
 
     private final EventLoop loop;
     private final StoreClient store;
@@ -70,7 +70,10 @@
                 result -> new Cancellation(jobId, deadlineMicros, result).start());
     }
 
-    /** That a job is over stays true; that it is unknown may not be true any more. */
+    /**
+     * The answer that a job has ended stays valid. The answer that it is unknown may be outdated,
+     * since the job may have been submitted after the shared read.
+     */
     private void answerCoalesced(
             String jobId, JobAnswer shared, long deadlineMicros, Consumer<JobAnswer> answer) {
         if (shared instanceof Refusal refusal && !refusal.isTemporary()) {
@@ -80,7 +83,7 @@
         }
     }
 
-    /** The cancellation of one job, until its user is answered. */
+    /** One cancellation request, until it is answered. */
     private final class Cancellation {
         private final String jobId;
         private final long deadlineMicros;
@@ -133,8 +136,8 @@
                             List.of(new Condition(StoreKeys.job(jobId), lookup.revision())),
                             Change.put(StoreKeys.job(jobId), cancelled.toMap(format))),
                     reader::lookUp,
-                    // Once the record has another revision, the write was carried out or never
-                    // will be.
+                    // Another revision means that the write was applied or that its condition can
+                    // no longer hold.
                     found -> found.status() != null && found.revision() != lookup.revision(),
                     (result, storeRevision, found) ->
                             onWritten(cancelled, result, storeRevision, found));
@@ -159,7 +162,10 @@
             }
         }
 
-        /** Nothing of a record that can't be read can be kept: the final state takes its place. */
+        /**
+         * Replaces a record that can't be decoded by a final state, as nothing of it can be carried
+         * over.
+         */
         private void replaceDamagedRecord(JobLookup lookup) {
             if (lookup.unreadableStatus().isCancelled()) {
                 answerEnded(JobStatus.CANCELLED);
--- a/src/main/java/org/woadloom/http/ConnectionLimiter.java
+++ b/src/main/java/org/woadloom/http/ConnectionLimiter.java
@@ -10,18 +10,19 @@
 import org.xnio.IoUtils;
 
 /**
- * Keeps the connections of agents and users within the socket budget. Users poll every few seconds
- * and then go away, often without closing, while the leader needs a socket for every agent: users'
- * connections that have been idle for longer than anybody polls are closed, and where sockets are
- * short those that have been idle for longest, and those of agents with the answers to their
- * heartbeats. A request on a connection beyond the budget is refused at once and its connection
- * closed, so that nobody is left waiting in the backlog.
+ * Keeps the inbound connections of agents and users within the socket budget. Users poll every few
+ * seconds and often leave without closing their connection, while the leader needs a socket for
+ * every agent. So users' connections that have been idle for several polling intervals are closed.
+ * When sockets run short, the longest idle users' connections are closed too, and agents'
+ * connections are closed after the answer to a heartbeat. A request on a connection beyond the
+ * budget is refused at once and its connection closed, so that no client is left waiting in the
+ * backlog.
  */
 public final class ConnectionLimiter {
-    /** Three polls of a user who is still interested. */
+    /** Three polling intervals of a user. */
     private static final long MAX_IDLE_MICROS = 15_000_000;
 
-    /** A connection that is idle for less has most likely a request on its way. */
+    /** A connection that has been idle for less probably has a request on its way. */
     private static final long MIN_IDLE_MICROS = 1_000_000;
 
     private static final long SWEEP_INTERVAL_MICROS = 500_000;
@@ -31,7 +32,7 @@
     private final EventLoop loop;
     private final SocketBudget budget;
 
-    /** Users' connections without a request, the longest idle first. */
+    /** Users' connections without a request in progress, the longest idle first. */
     private final LinkedHashSet<TrackedConnection> idleUsers = new LinkedHashSet<>();
 
     private int agentConnections;
@@ -55,7 +56,7 @@
         this.budget = budget;
     }
 
-    /** Starts to close idle connections at regular intervals. */
+    /** Starts closing idle connections periodically. */
     public void start() {
         loop.schedule(
                 SWEEP_INTERVAL_MICROS,
@@ -65,29 +66,34 @@
                 });
     }
 
-    /** How many connections are open whose last request was an agent's. */
+    /** The number of open connections whose last request was a heartbeat. */
     public int agentConnections() {
         return agentConnections;
     }
 
-    /** How many other connections are open. */
+    /** The number of all other open connections. */
     public int userConnections() {
         return userConnections;
     }
 
-    /** Idle connections of users that were closed, since the process began. */
+    /**
+     * The number of users' connections closed because they were idle, since the process started.
+     */
     public long closedIdleConnections() {
         return closedIdleConnections;
     }
 
-    /** Requests that were refused for want of sockets, since the process began. */
+    /**
+     * The number of requests refused because the socket budget was used up, since the process
+     * started.
+     */
     public long refusedRequests() {
         return refusedRequests;
     }
 
     /**
-     * Connections of agents that were closed with their answer for want of sockets, since the
-     * process began.
+     * The number of agents' connections closed after an answer because sockets were short, since
+     * the process started.
      */
     public long closedAgentConnections() {
         return closedAgentConnections;
@@ -98,10 +104,10 @@
     }
 
     /**
-     * Counts the connection of a request that has arrived.
+     * Tracks the connection of a request that has arrived.
      *
-     * @return false if the budget has no socket for it: the request is to be refused, and the
-     *     connection closed
+     * @return false if the connection exceeds the budget: the caller must refuse the request and
+     *     close the connection
      */
     boolean onRequest(HttpServerExchange exchange, boolean isAgent) {
         TrackedConnection tracked = exchange.getConnection().getAttachment(TRACKED);
@@ -129,10 +135,10 @@
     }
 
     /**
-     * Whether the connection of a request that is about to be answered is to be closed after that.
+     * Returns whether the connection must be closed once the request is answered.
      *
-     * @param leavesAgentIdle whether the answer gives its agent nothing to do; asked only for an
-     *     agent's request while sockets are short
+     * @param leavesAgentIdle whether the agent needs the connection again only for its next
+     *     heartbeat; called only for heartbeats while sockets are short
      */
     boolean shouldCloseAfter(HttpServerExchange exchange, BooleanSupplier leavesAgentIdle) {
         TrackedConnection tracked = exchange.getConnection().getAttachment(TRACKED);
@@ -150,7 +156,6 @@
         return closes;
     }
 
-    /** The request was answered. */
     void onAnswered(HttpServerExchange exchange) {
         TrackedConnection tracked = exchange.getConnection().getAttachment(TRACKED);
         if (tracked != null && !tracked.isAgent && tracked.connection.isOpen()) {
--- a/src/main/java/org/woadloom/http/DependencyValidator.java
+++ b/src/main/java/org/woadloom/http/DependencyValidator.java
@@ -2,23 +2,25 @@
 
 import java.util.Optional;
 import java.util.function.Consumer;
+import org.woadloom.protocol.ErrorText;
 import org.woadloom.protocol.JobDescription;
 import org.woadloom.reads.JobLookup;
 import org.woadloom.reads.JobReader;
 import org.woadloom.store.RecordFormat;
 
 /**
- * Decides whether a job may wait for the jobs that it names. Each of them must be accepted in the
- * store, as users submit a job right after the answer for those before it, and must be one that
- * ends. Until every node is known to read the compact format no job may wait: a node of version 1
- * would start it at once.
+ * Checks the dependencies of a submitted job. Each must be accepted in the store already, because
+ * users submit a job only after the answers for its dependencies, and must not be a service, which
+ * never ends. Dependencies are refused until every node is known to read the compact record format:
+ * a node of version 1 ignores them and would start the job at once.
  */
 final class DependencyValidator {
     private static final Refusal NOT_SUPPORTED_YET =
             Refusal.unavailable(
-                    JobDescription.Field.DEPENDENCIES + ": not before all nodes run this version");
+                    JobDescription.Field.DEPENDENCIES
+                            + ": accepted only once all nodes run this version");
 
-    /** What the store says of a job that another is to wait for. */
+    /** The result of the check of one dependency. */
     private enum Dependency {
         VALID,
         SERVICE,
@@ -35,7 +37,7 @@
         this.recordPolicy = recordPolicy;
     }
 
-    /** Reports empty if the job may wait for all of its dependencies, or else why it may not. */
+    /** Calls back with empty if all dependencies are valid, else with the refusal. */
     void check(JobDescription job, long deadlineMicros, Consumer<Optional<Refusal>> result) {
         if (job.dependencies().isEmpty()) {
             result.accept(Optional.empty());
@@ -43,7 +45,13 @@
         }
         for (String jobId : job.dependencies()) {
             if (!JobDescription.isJobId(jobId) || jobId.equals(job.jobId())) {
-                result.accept(Optional.of(invalid(jobId, "can't be waited for")));
+                result.accept(
+                        Optional.of(
+                                invalid(
+                                        jobId,
+                                        jobId.equals(job.jobId())
+                                                ? "is the job itself"
+                                                : "is not a job id")));
                 return;
             }
         }
@@ -78,12 +86,13 @@
 
     private static Refusal invalid(String jobId, String problem) {
         return Refusal.neverRunnable(
-                JobDescription.Field.DEPENDENCIES + ": " + jobId + " " + problem);
+                JobDescription.Field.DEPENDENCIES + ": " + ErrorText.quoted(jobId) + " " + problem);
     }
 
     /**
-     * Combines what was found for each dependency. That the store did not answer outweighs that one
-     * is invalid, as a refusal for good must be certain; of several invalid ones the first counts.
+     * Combines the results of all dependencies. An unanswered read takes precedence over an invalid
+     * dependency, because a permanent refusal must be certain. Of several invalid dependencies the
+     * refusal names the first one found.
      */
     private static final class CombinedResult {
         private final Consumer<Optional<Refusal>> result;
@@ -98,8 +107,8 @@
         void add(String jobId, Dependency dependency) {
             switch (dependency) {
                 case UNDETERMINED -> refusal = Optional.of(Refusal.storeUnavailable());
-                case NEVER_ACCEPTED -> addInvalid(jobId, "was never accepted");
-                case SERVICE -> addInvalid(jobId, "is a service");
+                case NEVER_ACCEPTED -> addInvalid(jobId, "is not an accepted job");
+                case SERVICE -> addInvalid(jobId, "is a service, which never ends");
                 case VALID -> {}
             }
             remaining--;
--- a/src/main/java/org/woadloom/http/JobAnswer.java
+++ b/src/main/java/org/woadloom/http/JobAnswer.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 import org.woadloom.protocol.JobStatus;
 
-/** What a user is told in reply to a request about a job. Mapped to HTTP here and nowhere else. */
+/** The answer to a user's request about a job. Only this type maps answers to HTTP. */
 sealed interface JobAnswer permits JobAnswer.Created, JobAnswer.Found, Refusal {
     Response toResponse();
 
-    /** The submitted job was accepted by this request. */
+    /** This request created the job. */
     record Created(String jobId) implements JobAnswer {
         @Override
         public Response toResponse() {
@@ -18,9 +18,10 @@
     }
 
     /**
-     * The job exists and has this status.
+     * The job exists.
      *
-     * @param dependencies the jobs that it still waits for, where they are to be shown
+     * @param dependencies the jobs that it still waits for; empty where the answer does not list
+     *     them
      */
     record Found(JobStatus status, List<String> dependencies) implements JobAnswer {
         Found(JobStatus status) {
--- a/src/main/java/org/woadloom/http/JobApi.java
+++ b/src/main/java/org/woadloom/http/JobApi.java
@@ -15,42 +15,46 @@
 import org.woadloom.store.StoreClient;
 
 /**
- * The users' interface on every node: submissions, polls and cancellations, each in a handler of
- * its own. Whatever a user is told of a job is in the store before; only final states, which never
- * change, are answered from memory.
+ * The user-facing API of every node: submissions, status polls and cancellations, each with its own
+ * handler. Users are told only what is already in the store. Only final states, which never change,
+ * are answered from memory.
  */
 public final class JobApi {
     private static final Logger LOG = LoggerFactory.getLogger(JobApi.class);
 
-    /** An answer that took longer is logged. */
+    /** Answers that take longer are logged. */
     private static final long SLOW_ANSWER_MICROS = 500_000;
 
     /** Users wait 5 s for the answer to a submission or a cancellation. */
     static final long ANSWER_TIMEOUT_MICROS = 4_300_000;
 
-    /** Is notified of the jobs that this node made durable. */
+    /** Is notified of job records that this node has written to the store. */
     public interface JobChangeListener {
         void onJobChanged(JobRecord record, long revision);
     }
 
     /**
-     * Whether a user may be told of a cancellation that is in the store, as soon as that is known.
+     * Confirms cancellations. A cancellation that is in the store is reported to users only once it
+     * is confirmed.
      */
     public interface CancellationConfirmation {
-        /** The answer is false where that was not known in time: the user has to retry. */
+        /**
+         * Answers true as soon as the cancellation is confirmed, or false after the timeout: the
+         * user has to retry.
+         */
         void confirm(String jobId, long timeoutMicros, Consumer<Boolean> answer);
     }
 
-    /** Where the machine types come from. */
+    /** Provides the machine types that the cloud offers. */
     public interface MachineTypeSource {
-        /** As they were last read, empty while they are unknown. */
+        /** Returns the types as last read; empty while they are unknown. */
         List<MachineType> currentTypes();
 
-        /** Reads them from the cloud; false if that does not answer. */
+        /** Reads the types from the cloud; calls back with false if the cloud does not answer. */
         void refresh(Consumer<Boolean> answered);
     }
 
-    /** How and how large records may be now. */
+    /** The format and the size limit that apply to job records at the moment. */
     public interface RecordPolicy {
         RecordFormat writeFormat();
 
@@ -89,7 +93,7 @@
                         loop, store, recordPolicy, reader, confirmer, writes, changeListener);
     }
 
-    /** Submits the job that the body describes. */
+    /** Submits the job described by the body. */
     public void submit(byte[] body, Consumer<Response> answer) {
         submissions.submit(body, toHttp(logSlow("submit", answer)));
     }
@@ -99,17 +103,20 @@
         statuses.status(jobId, toHttp(answer));
     }
 
-    /** Cancels the job; one that is over already is answered with its status. */
+    /** Cancels the job. If it has already ended, the answer gives its status. */
     public void cancel(String jobId, Consumer<Response> answer) {
         cancellations.cancel(jobId, toHttp(logSlow("cancel", answer)));
     }
 
-    /** The longest time for which a job was polled for in vain while others were answered. */
+    /**
+     * The longest time for which polls for one job have been refused while those for others were
+     * answered.
+     */
     public long longestUnansweredMicros() {
         return statuses.longestUnansweredMicros();
     }
 
-    /** How many polls got no answer for the reason, since the process started. */
+    /** The number of polls refused for this reason since the process started. */
     public long refusedQueries(QueryRefusal reason) {
         return statuses.refusals(reason);
     }
--- a/src/main/java/org/woadloom/http/Refusal.java
+++ b/src/main/java/org/woadloom/http/Refusal.java
@@ -2,16 +2,16 @@
 
 import org.woadloom.reads.QueryRefusal;
 
-/** Why a request about a job is not carried out. */
+/** A refused request about a job, with the reason for the user. */
 record Refusal(Reason reason, String text) implements JobAnswer {
-    /** What the user can do about it, each with its HTTP status. */
+    /** The kind of refusal, which tells the client whether a retry can help. */
     enum Reason {
-        /** The request itself is wrong. */
+        /** The request is malformed. */
         INVALID(HttpStatus.BAD_REQUEST),
         UNKNOWN_JOB(HttpStatus.NOT_FOUND),
-        /** No cluster of this kind can ever run the job: it should not be submitted again. */
+        /** The job can never run here: the client should not submit it again. */
         NEVER_RUNNABLE(HttpStatus.UNPROCESSABLE_CONTENT),
-        /** It can't be decided or done now: the user should retry. */
+        /** The request can't be decided or carried out now: the client should retry. */
         UNAVAILABLE(HttpStatus.SERVICE_UNAVAILABLE);
 
         private final int status;
@@ -23,7 +23,8 @@
 
     private static final Refusal STORE_UNAVAILABLE = of(QueryRefusal.STORE_UNAVAILABLE);
     private static final Refusal UNKNOWN_JOB = new Refusal(Reason.UNKNOWN_JOB, "no such job");
-    private static final Refusal JOB_CHANGED = unavailable("the job changed meanwhile");
+    private static final Refusal JOB_CHANGED =
+            unavailable("the job was changed by another request at the same time");
 
     static Refusal invalid(String text) {
         return new Refusal(Reason.INVALID, text);
@@ -37,7 +38,6 @@
         return new Refusal(Reason.UNAVAILABLE, text);
     }
 
-    /** A question about a job that gets no answer now. */
     static Refusal of(QueryRefusal reason) {
         return unavailable(reason.message());
     }
--- a/src/main/java/org/woadloom/http/RequestCoalescer.java
+++ b/src/main/java/org/woadloom/http/RequestCoalescer.java
@@ -7,11 +7,12 @@
 import java.util.function.Consumer;
 
 /**
- * Coalesces equal requests (single flight): those that come while the first is under way cost the
- * store no second write. What the first one's answer rests on may be older than they are, so each
- * decides by itself what the answer means to it.
+ * Coalesces equal requests (single flight): requests that arrive while an equal one is in flight
+ * share its answer and cost the store no second write. The shared answer may rest on data read
+ * before a joining request arrived, so each joining caller decides for itself whether the answer is
+ * still valid.
  *
- * @param <K> what makes requests equal
+ * @param <K> the key; requests with equal keys are coalesced
  * @param <A> the answer
  */
 final class RequestCoalescer<K, A> {
@@ -20,12 +21,12 @@
     private record InFlight<A>(long deadlineMicros, List<Consumer<A>> waiting) {}
 
     /**
-     * Starts the request, unless one with this key is in flight; either way exactly one of {@code
-     * first} and {@code joined} gets the answer, once.
+     * Starts the request unless one with this key is in flight. Exactly one of {@code first} and
+     * {@code joined} is called with the answer, once.
      *
-     * @param deadlineMicros when the request should have been answered: nobody joins it after that
-     * @param first gets the answer to the request that this call starts
-     * @param joined gets the answer to a request that was started before
+     * @param deadlineMicros when the request should be answered; later requests don't join it
+     * @param first receives the answer if this call starts the request
+     * @param joined receives the answer if this call joins an earlier request
      */
     void coalesce(
             K key,
@@ -43,7 +44,8 @@
         inFlight.put(key, started);
         request.accept(
                 answer -> {
-                    @SuppressWarnings("ReferenceEquality") // A later request may be equal.
+                    // Compares identity, as a later request may be equal.
+                    @SuppressWarnings("ReferenceEquality")
                     boolean current = inFlight.get(key) == started;
                     if (current) {
                         inFlight.remove(key);
--- a/src/main/java/org/woadloom/http/Response.java
+++ b/src/main/java/org/woadloom/http/Response.java
@@ -6,7 +6,7 @@
 import org.woadloom.protocol.Cbor;
 
 /**
- * An answer to an HTTP request.
+ * A response to an HTTP request.
  *
  * @param retryAfterSeconds the {@code Retry-After} header in seconds; 0 for none
  */
@@ -22,7 +22,7 @@
         return cbor(status, Cbor.encode(body));
     }
 
-    /** A body that is CBOR already. */
+    /** Creates a response from a body that is already encoded as CBOR. */
     public static Response cbor(int status, byte[] body) {
         return new Response(status, body, CBOR, NO_RETRY_AFTER);
     }
@@ -39,7 +39,7 @@
         return ok(text, PLAIN_TEXT);
     }
 
-    /** The service can't answer now; the sender is told when to retry. */
+    /** Creates a 503 response with a {@code Retry-After} header. */
     public static Response unavailable(String reason) {
         return new Response(
                 HttpStatus.SERVICE_UNAVAILABLE,
--- a/src/main/java/org/woadloom/http/Router.java
+++ b/src/main/java/org/woadloom/http/Router.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 import org.woadloom.metrics.NodeMetrics;
 
-/** Routes requests by method and path, apart from how they are carried. */
+/** Routes requests by method and path, independently of the HTTP server. */
 public final class Router {
     static final String HEARTBEAT_PATH = "/v1/report";
     private static final String JOBS_PATH = "/v1/jobs";
@@ -12,23 +12,29 @@
     private static final String HEALTH_PATH = "/healthz";
     private static final String METRICS_PATH = "/metrics";
 
-    /** Answers the heartbeats of agents. */
+    /** Answers agents' heartbeats. */
     public interface HeartbeatHandler {
         void onHeartbeat(byte[] body, Consumer<Response> answer);
     }
 
-    /** Whether the node accepts requests. */
+    /** Tells whether the node serves requests. */
     public interface Gate {
-        /** Why this process accepts no request at all, or null. */
+        /**
+         * Returns why this process refuses all requests except for metrics, or null if it accepts
+         * them.
+         */
         String closedReason();
 
-        /** Why users' requests can't be answered yet, or null. */
+        /** Returns why users' requests can't be answered yet, or null if they can. */
         String notReadyReason();
 
-        /** A request that is neither an agent's nor another node's has reached this node. */
+        /**
+         * Called for every request that is not a heartbeat, such as a user's or a load balancer's
+         * probe.
+         */
         void onOutsideRequest();
 
-        /** False while others can serve users and this node can't. */
+        /** Returns false while this node can't serve users but another node can. */
         boolean isHealthy();
     }
 
@@ -61,7 +67,7 @@
             answer.accept(
                     gate.isHealthy()
                             ? Response.text("ok\n")
-                            : Response.unavailable("alone without the state service"));
+                            : Response.unavailable("this node is cut off from the state service"));
         } else if (post && path.equals(JOBS_PATH)) {
             jobs.submit(body, withMetrics("submit", answer));
         } else if (get && path.startsWith(JOB_PATH_PREFIX)) {
--- a/src/main/java/org/woadloom/http/StatusConfirmer.java
+++ b/src/main/java/org/woadloom/http/StatusConfirmer.java
@@ -8,10 +8,10 @@
 import org.woadloom.reads.QueryRefusal;
 
 /**
- * Decides whether a status that was read may be told to a user yet. A cancellation is told only
- * once it is confirmed. A job that waits for others is not shown as queued once one of them is
- * cancelled: its own cancellation is the leader's to write, and there may have been no leader, or
- * one that was cut off from the store.
+ * Decides whether a status that was read may be reported to a user yet. A cancellation is reported
+ * only once it is confirmed. A job is not reported as queued once one of its dependencies is
+ * cancelled: the leader has to cancel the job too, and may not have written that yet if there was
+ * no leader or it was cut off from the store.
  */
 final class StatusConfirmer {
     private final CoalescingJobReader reader;
@@ -23,9 +23,9 @@
     }
 
     /**
-     * Reports empty if the status may be told, or else why it may not be.
+     * Calls back with empty if the status may be reported, else with the reason why not.
      *
-     * @param timeoutMicros for how long the user still waits
+     * @param timeoutMicros how long the user still waits
      */
     void confirm(JobView job, long timeoutMicros, Consumer<Optional<QueryRefusal>> result) {
         if (job.status().isCancelled()) {
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Whether the store says of each of these jobs, and of their dependencies in turn, that it is
-     * not cancelled.
+     * Calls back with true if, according to the store, none of these jobs and of their transitive
+     * dependencies is cancelled; with false also if a job can't be read.
      */
     private void checkNoneCancelled(List<String> jobIds, Consumer<Boolean> result) {
         if (jobIds.isEmpty()) {
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Reports whether all of several answers are true, once the last one is in. */
+    /** Combines several asynchronous answers by AND; calls back once the last one has arrived. */
     private static final class AllTrue {
         private final Consumer<Boolean> result;
         private int remaining;
--- a/src/main/java/org/woadloom/http/StatusHandler.java
+++ b/src/main/java/org/woadloom/http/StatusHandler.java
@@ -14,9 +14,9 @@
 import org.woadloom.store.StoreClient;
 import org.woadloom.store.StoreClient.RequestPriority;
 
-/** Answers users who poll for a job's status. */
+/** Answers users' polls for the status of a job. */
 final class StatusHandler {
-    /** Users who poll wait 2 s for an answer. */
+    /** Users wait 2 s for the answer to a poll. */
     private static final long CONFIRMATION_TIMEOUT_MICROS = 1_600_000;
 
     private final StoreClient store;
@@ -87,12 +87,15 @@
         answer.accept(Refusal.of(reason));
     }
 
-    /** How many polls were refused for the reason. */
+    /** The number of polls refused for this reason since the process started. */
     long refusals(QueryRefusal reason) {
         return unanswered.refusalCount(reason);
     }
 
-    /** The longest time for which a job was polled for in vain while others were answered. */
+    /**
+     * The longest time for which polls for one job have been refused while those for others were
+     * answered.
+     */
     long longestUnansweredMicros() {
         return unanswered.longestUnansweredMicros();
     }
--- a/src/main/java/org/woadloom/http/SubmissionHandler.java
+++ b/src/main/java/org/woadloom/http/SubmissionHandler.java
@@ -21,19 +21,19 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * Accepts submitted jobs. A submission is an idempotent request: a job that was accepted stays
- * accepted, whatever a repeated request looks like, so every refusal is given only after the store
- * says that the job is unknown.
+ * Accepts submitted jobs. Submissions are idempotent: a job that was accepted stays accepted, even
+ * if a repeated request is invalid, so a submission is refused only after a read of the store has
+ * shown that the job is unknown.
  */
 final class SubmissionHandler {
     /**
-     * Space in bytes that a compact record needs beside its description, so that some tasks at a
-     * time can be placed.
+     * The space in bytes that a compact record must have left beside the job's description, so that
+     * at least some tasks at a time can be placed.
      */
     private static final int RESERVED_PROGRESS_BYTES = 400;
 
     private static final Refusal DESCRIPTION_TOO_LONG =
-            Refusal.invalid("the job's description is too long");
+            Refusal.invalid("the job description exceeds the size limit of the store");
 
     private final EventLoop loop;
     private final JobApi.RecordPolicy recordPolicy;
@@ -144,7 +144,7 @@
                 : new JobAnswer.Found(lookup.status());
     }
 
-    /** Users who retry while the first write is queued or under way share it. */
+    /** Joins the write of an equal submission that is queued or in flight, as a user's retry is. */
     private void coalesceWrite(
             JobDescription job, long deadlineMicros, Consumer<JobAnswer> answer) {
         submissions.coalesce(
@@ -157,8 +157,8 @@
     }
 
     /**
-     * What was told of another's submission may be out of date: the job may be cancelled since. It
-     * is read again.
+     * The job may have been cancelled since the shared write, so a shared success or permanent
+     * refusal is checked against the store again.
      */
     private void answerCoalesced(
             String jobId, JobAnswer shared, long deadlineMicros, Consumer<JobAnswer> answer) {
@@ -174,8 +174,7 @@
     private void write(JobDescription job, long deadlineMicros, Consumer<JobAnswer> answer) {
         String jobId = job.jobId();
         if (reader.isAcceptedService(jobId) != null) {
-            // A transaction that can only fail would count as a change all the same, and those are
-            // scarce.
+            // A transaction that is certain to fail would still use up the limited write rate.
             refuseUnlessAccepted(jobId, Refusal.jobChanged(), deadlineMicros, answer);
             return;
         }
--- a/src/main/java/org/woadloom/http/UserWrites.java
+++ b/src/main/java/org/woadloom/http/UserWrites.java
@@ -13,28 +13,29 @@
 import org.woadloom.store.TokenBucket;
 
 /**
- * Writes that a user waits for. Where the store's answer is late the job is read back, and its user
- * is answered if that shows that the write was carried out, or that it never can be. That the write
- * can't be seen proves nothing: it may still be carried out.
+ * Writes job records for users who wait for the result. If the store's answer is late, the job is
+ * read back, and the user is answered if the read shows that the write was applied or can no longer
+ * be applied. A read that does not show the write is inconclusive, as the write may still be
+ * applied later.
  */
 final class UserWrites {
-    /** Most answers take less than 10 ms, and now and then a few hundred. */
+    /** Most answers of the store take less than 10 ms, a few take some hundred. */
     private static final long FIRST_READ_BACK_MICROS = 400_000;
 
     private static final long SECOND_READ_BACK_MICROS = 1_200_000;
     private static final int MAX_READ_BACKS = 2;
 
-    /** A request that was sent is answered within this time, but for rare cases. */
+    /** The store answers nearly every request that was sent within this time. */
     private static final long STORE_ANSWER_MICROS = 800_000;
 
-    /** The share of the service's store requests that the read-backs of all nodes may take. */
+    /** The share of the cluster's store request rate that the read-backs of all nodes may use. */
     private static final double READ_BACK_SHARE = 0.1;
 
     /**
-     * One write of a job's record.
+     * A write of one job's record.
      *
-     * @param deadlineMicros until when its user waits. Shortly before it the request is not sent
-     *     any more, and then nothing is known of it
+     * @param deadlineMicros until when the user waits. From {@link #STORE_ANSWER_MICROS} before it
+     *     the request is no longer sent, as its answer would come too late
      */
     record JobWrite(
             RequestPriority priority,
@@ -43,18 +44,20 @@
             List<Condition> conditions,
             Change change) {}
 
-    /** How the job is read back. */
+    /** Reads the job back from the store. */
     interface ReadBack {
         void read(RequestPriority priority, String jobId, Consumer<JobLookup> consumer);
     }
 
-    /** Is called once with what became of a write: its own answer, or what was read back. */
+    /** Is called exactly once with the outcome of a write. */
     interface Outcome {
         /**
-         * Takes the outcome.
+         * Called when the outcome of the write is known or its deadline has passed.
          *
-         * @param found what was read back, which decides; null where the write was answered, or
-         *     nothing is known
+         * @param result the store's answer; {@link Result#UNKNOWN} if it is unknown or {@code
+         *     found} decides
+         * @param found the job as read back, if that decided the outcome; null if the store
+         *     answered or the outcome is unknown
          */
         void onCompleted(Result result, long storeRevision, JobLookup found);
     }
@@ -70,8 +73,7 @@
     }
 
     /**
-     * @param isDecisive whether what was read back, which is not null, makes the write's own answer
-     *     needless
+     * @param isDecisive whether the job as read back, never null, decides the outcome of the write
      */
     void write(
             JobWrite request, ReadBack readBack, Predicate<JobLookup> isDecisive, Outcome outcome) {
@@ -97,7 +99,7 @@
         private boolean readingBack;
         private int readBacks;
 
-        /** The store client gave up on the write, and can't say whether it was carried out. */
+        /** The store client gave up on the write without knowing whether it was applied. */
         private boolean resultUnknown;
 
         PendingWrite(
--- a/src/main/java/org/woadloom/protocol/Cbor.java
+++ b/src/main/java/org/woadloom/protocol/Cbor.java
@@ -15,21 +15,21 @@
 import java.util.Map;
 
 /**
- * The body format of every interface: CBOR restricted to maps with text keys, lists, text, numbers,
- * booleans and null. Values are plain Java objects: Map, List, String, Long, Double, Boolean and
- * null.
+ * Encodes and decodes message bodies, the same format on every interface: CBOR restricted to maps
+ * with text keys, lists, text, numbers, booleans and null. Values are plain Java objects: Map,
+ * List, String, Long, Double, Boolean and null.
  */
 public final class Cbor {
     private static final CBORFactory FACTORY = new CBORFactory();
 
-    /** How deep maps and lists may be nested. */
+    /** The maximum nesting depth of maps and lists. */
     private static final int MAX_DEPTH = 32;
 
     private static final int INITIAL_BYTES = 256;
 
     private Cbor() {}
 
-    /** Encodes a value, most often a map. */
+    /** Encodes one value. */
     public static byte[] encode(Object value) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_BYTES);
         try (JsonGenerator generator = FACTORY.createGenerator(out)) {
@@ -40,7 +40,7 @@
         return out.toByteArray();
     }
 
-    /** Decodes a body that must be one map. */
+    /** Decodes a body that must contain exactly one map. */
     public static Map<String, Object> decodeMap(byte[] body) throws MalformedMessageException {
         return requireMap(decode(body));
     }
@@ -54,17 +54,17 @@
         return result;
     }
 
-    /** Decodes a body that must be one value. */
+    /** Decodes a body that must contain exactly one value. */
     public static Object decode(byte[] body) throws MalformedMessageException {
         return decode(FACTORY, body, "CBOR");
     }
 
-    /** The same values written as JSON, for people; no interface carries it. */
+    /** Decodes a JSON object, as people write it; no interface uses JSON bodies. */
     public static Map<String, Object> decodeJsonMap(byte[] text) throws MalformedMessageException {
         return requireMap(decode(new JsonFactory(), text, "JSON"));
     }
 
-    /** Writes a value as JSON, for people. */
+    /** Encodes a value as JSON, for display. */
     public static String toJson(Object value) {
         StringWriter out = new StringWriter();
         try (JsonGenerator generator = new JsonFactory().createGenerator(out)) {
@@ -99,13 +99,14 @@
     /**
      * Reads one value.
      *
-     * @param token the first token of the value, which the parser has just given
-     * @param depth how many maps and lists it is in
+     * @param token the first token of the value, the parser's current one
+     * @param depth the number of maps and lists around the value
      */
     static Object read(JsonParser parser, JsonToken token, int depth)
             throws IOException, MalformedMessageException {
         if (depth > MAX_DEPTH) {
-            throw new MalformedMessageException("body: nested too deeply");
+            throw new MalformedMessageException(
+                    "body: nested deeper than " + MAX_DEPTH + " levels");
         }
         switch (token) {
             case START_OBJECT:
@@ -116,7 +117,7 @@
                 return parser.getText();
             case VALUE_NUMBER_INT:
                 if (parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
-                    throw new MalformedMessageException("body: integer out of range");
+                    throw new MalformedMessageException("body: integer does not fit in 64 bits");
                 }
                 return parser.getLongValue();
             case VALUE_NUMBER_FLOAT:
@@ -128,7 +129,8 @@
             case VALUE_NULL:
                 return null;
             default:
-                throw new MalformedMessageException("body: unsupported value");
+                throw new MalformedMessageException(
+                        "body: expected a map, a list, text, a number, a boolean or null");
         }
     }
 
@@ -157,21 +159,25 @@
     }
 
     static MalformedMessageException duplicateField(String name) {
-        return new MalformedMessageException("body: " + name + " stands twice in a map");
+        return new MalformedMessageException(
+                "body: " + ErrorText.quoted(name) + " occurs twice in a map");
     }
 
-    /** The parser gives no name either at the end of a map or for a key that is not text. */
+    /**
+     * The parser returns no field name both at the end of a map and for a key that is not text;
+     * only the first is valid.
+     */
     static void requireEndOfMap(JsonParser parser) throws MalformedMessageException {
         if (parser.currentToken() != JsonToken.END_OBJECT) {
             throw new MalformedMessageException("body: a map key is not text");
         }
     }
 
-    /** The next token of a value that is not complete yet. */
+    /** Returns the next token of an incomplete value, or fails at the end of the body. */
     static JsonToken next(JsonParser parser) throws IOException, MalformedMessageException {
         JsonToken token = parser.nextToken();
         if (token == null) {
-            throw new MalformedMessageException("body: cut short");
+            throw new MalformedMessageException("body: truncated");
         }
         return token;
     }
@@ -203,13 +209,13 @@
         } else if (value instanceof Long number) {
             generator.writeNumber(number);
         } else {
-            throw new IllegalArgumentException("not a wire value: " + value.getClass());
+            throw new IllegalArgumentException("type can't be encoded: " + value.getClass());
         }
     }
 
     /**
-     * An upper estimate of the value's size as JSON, the form in which the protocol counts its
-     * limits.
+     * Returns an upper bound of the value's size as JSON, the form in which the store's size limits
+     * are defined.
      */
     public static int maxJsonSize(Object value) {
         if (value == null) {
--- a/src/main/java/org/woadloom/protocol/FieldReader.java
+++ b/src/main/java/org/woadloom/protocol/FieldReader.java
@@ -6,12 +6,12 @@
 import java.util.Arrays;
 
 /**
- * Reads the fields of one map in a streaming way, for messages that arrive by the hundred a second:
- * no object is made for a field that is not used. It refuses what {@link Cbor#decode} and {@link
- * Fields} refuse, and treats null as missing like them.
+ * Streaming reader of the fields of a map, for messages that arrive hundreds of times a second: it
+ * builds no intermediate map. It rejects the same input as {@link Cbor#decode} and {@link Fields},
+ * and like them treats null as missing.
  */
 final class FieldReader {
-    /** How deep a value of a field is nested, for {@link Cbor#read}. */
+    /** The nesting depth of a field's value, passed to {@link Cbor#read}. */
     private static final int VALUE_DEPTH = 2;
 
     private static final int INITIAL_NAMES = 16;
@@ -33,12 +33,12 @@
         this.parser = parser;
     }
 
-    /** Makes a message, or a part of one, of the fields of a map. */
+    /** Builds a message, or a part of one, from the fields of a map. */
     interface MapReader<T> {
         T read(FieldReader fields) throws IOException, MalformedMessageException;
     }
 
-    /** Reads a body that is one map, and nothing else. */
+    /** Reads a body that must contain exactly one map. */
     static <T> T parseBody(byte[] body, MapReader<T> reader) throws MalformedMessageException {
         try (JsonParser parser = Cbor.parser(body)) {
             JsonToken first = parser.nextToken();
@@ -58,7 +58,9 @@
         }
     }
 
-    /** Advances to the next field with a value; returns its name, or null at the end of the map. */
+    /**
+     * Advances to the next field that is not null. Returns its name, or null at the end of the map.
+     */
     String next() throws IOException, MalformedMessageException {
         while ((name = parser.nextFieldName()) != null) {
             checkNotDuplicate();
@@ -72,8 +74,8 @@
     }
 
     /**
-     * A linear search is cheapest: a map has few fields, and their names are mostly the same
-     * objects.
+     * Uses a linear search, which is cheapest here: a map has few fields, and equal names are
+     * mostly the same object.
      */
     private void checkNotDuplicate() throws MalformedMessageException {
         for (int i = 0; i < nameCount; i++) {
@@ -87,7 +89,7 @@
         names[nameCount++] = name;
     }
 
-    /** Skips the value of an unknown field, which must be well-formed all the same. */
+    /** Skips the value of an unknown field, which must still be well-formed. */
     void skip() throws IOException, MalformedMessageException {
         Cbor.read(parser, value, VALUE_DEPTH);
     }
@@ -122,7 +124,7 @@
         return Cbor.read(parser, value, VALUE_DEPTH);
     }
 
-    /** Reads a list of maps, with one call for each. */
+    /** Reads a list of maps, calling the reader once for each map. */
     void forEachMap(MapReader<?> reader) throws IOException, MalformedMessageException {
         String listName = name;
         if (value != JsonToken.START_ARRAY) {
@@ -140,7 +142,7 @@
         }
     }
 
-    /** The value of a field that must be there. */
+    /** Returns the value of a mandatory field, or fails if it is missing. */
     static <T> T required(String name, T value, String expected) throws MalformedMessageException {
         if (value == null) {
             throw new MalformedMessageException(name + ": expected " + expected);
--- a/src/main/java/org/woadloom/protocol/Fields.java
+++ b/src/main/java/org/woadloom/protocol/Fields.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Checked access to the fields of a decoded map. A field that is null counts as missing. */
+/** Type-checked access to the fields of a decoded map. A field that is null counts as missing. */
 public final class Fields {
     private final Map<String, Object> map;
 
@@ -12,7 +12,11 @@
         this.map = map;
     }
 
-    /** The value as a map of fields, or an error naming {@code what}. */
+    /**
+     * Casts a value that must be a map.
+     *
+     * @param fieldName names the value in the error message
+     */
     @SuppressWarnings("unchecked")
     public static Fields of(Object value, String fieldName) throws MalformedMessageException {
         if (!(value instanceof Map<?, ?>)) {
@@ -59,7 +63,7 @@
         if (value instanceof Long number) {
             return number;
         }
-        // A whole number may have been written as a float by a client that knows only one kind.
+        // Clients that have only one number type may encode integers as floats.
         if (value instanceof Double number
                 && number == Math.rint(number)
                 && Math.abs(number) < 1e15) {
@@ -78,7 +82,7 @@
 
     static long requireNonNegative(String name, long value) throws MalformedMessageException {
         if (value < 0) {
-            throw new MalformedMessageException(name + ": must not be negative");
+            throw new MalformedMessageException(name + ": must not be negative, was " + value);
         }
         return value;
     }
@@ -97,12 +101,11 @@
             throw new MalformedMessageException(name + ": expected a number");
         }
         if (!Double.isFinite(number)) {
-            throw new MalformedMessageException(name + ": must be finite");
+            throw new MalformedMessageException(name + ": must be finite, was " + number);
         }
         return number;
     }
 
-    /** A finite number that is not negative. */
     public double nonNegativeNumber(String name) throws MalformedMessageException {
         return nonNegativeNumber(name, map.get(name));
     }
@@ -110,7 +113,7 @@
     static double nonNegativeNumber(String name, Object value) throws MalformedMessageException {
         double number = number(name, value);
         if (number < 0) {
-            throw new MalformedMessageException(name + ": must not be negative");
+            throw new MalformedMessageException(name + ": must not be negative, was " + number);
         }
         return number;
     }
@@ -131,7 +134,7 @@
         List<String> result = new ArrayList<>();
         for (Object item : list(name)) {
             if (!(item instanceof String text)) {
-                throw new MalformedMessageException(name + ": expected a list of texts");
+                throw new MalformedMessageException(name + ": expected a list of text values");
             }
             result.add(text);
         }
--- a/src/main/java/org/woadloom/protocol/Heartbeat.java
+++ b/src/main/java/org/woadloom/protocol/Heartbeat.java
@@ -5,13 +5,13 @@
 import java.util.List;
 
 /**
- * An agent's heartbeat with the status of its machine and of all its tasks.
+ * An agent's heartbeat: the state of its machine and of all of the machine's tasks.
  *
- * @param incarnation grows with each start of the agent's process
- * @param sequence grows with each heartbeat of one incarnation
- * @param fencingToken the newest token that the agent has seen
- * @param spotNoticeMicros how long after the heartbeat the cloud takes the machine back; {@link
- *     #NO_SPOT_NOTICE} unless it has given notice
+ * @param incarnation increases with each start of the agent process
+ * @param sequence increases with each heartbeat of an incarnation
+ * @param fencingToken the highest fencing token that the agent has seen
+ * @param spotNoticeMicros the time from this heartbeat until the cloud reclaims the spot machine;
+ *     {@link #NO_SPOT_NOTICE} if no reclaim was announced
  */
 public record Heartbeat(
         String host,
@@ -25,13 +25,13 @@
         long spotNoticeMicros,
         List<TaskStatus> tasks) {
 
-    /** In place of {@link #spotNoticeMicros} while the cloud has not given notice. */
+    /** The value of {@link #spotNoticeMicros} while the cloud has not announced a reclaim. */
     public static final long NO_SPOT_NOTICE = -1;
 
     private static final int MAX_HOST_LENGTH = 100;
     private static final double MICROS_PER_SECOND = 1e6;
 
-    /** The names of the fields in a heartbeat's body. */
+    /** Field names in the body of a heartbeat. */
     static final class Field {
         static final String HOST = "host";
         static final String ADDRESS = "addr";
@@ -84,7 +84,11 @@
             }
         }
         if (host == null || !isHostName(host)) {
-            throw new MalformedMessageException(Field.HOST + ": expected a machine's name");
+            throw new MalformedMessageException(
+                    Field.HOST
+                            + ": expected 1 to "
+                            + MAX_HOST_LENGTH
+                            + " characters without space and slash");
         }
         return new Heartbeat(
                 host,
@@ -99,7 +103,7 @@
                 FieldReader.required(Field.TASKS, tasks, "a list"));
     }
 
-    /** A host's name becomes part of a key in the store and of log lines. */
+    /** Host names become part of store keys and log lines, so they must not contain separators. */
     private static boolean isHostName(String text) {
         return !text.isEmpty()
                 && text.length() <= MAX_HOST_LENGTH
@@ -107,7 +111,7 @@
                 && text.indexOf('/') < 0;
     }
 
-    /** Whether this heartbeat was made after the one with the given incarnation and sequence. */
+    /** Whether this heartbeat is newer than the one with the given incarnation and sequence. */
     public boolean isNewerThan(long otherIncarnation, long otherSequence) {
         return incarnation != otherIncarnation
                 ? incarnation > otherIncarnation
--- a/src/main/java/org/woadloom/protocol/JobDescription.java
+++ b/src/main/java/org/woadloom/protocol/JobDescription.java
@@ -6,14 +6,14 @@
 import java.util.Map;
 
 /**
- * A job as its user submits it. Amounts and durations keep the protocol's units here and become
- * microseconds in the core.
+ * A job as submitted by its user. Durations are in seconds as in the protocol; the core converts
+ * them to microseconds.
  *
- * @param machineTypes the types that its tasks may run on; null for any
- * @param zone where all of its tasks must run; null for anywhere
- * @param deadlineSeconds when it should be over, counted from its submission; null for no deadline
- * @param dependencies the jobs that must be done before this one starts; empty for a job that waits
- *     for no other. Version 1 did not write this field
+ * @param machineTypes the machine types that the tasks may run on; null for any
+ * @param zone the zone that all tasks must run in; null for any
+ * @param deadlineSeconds the deadline, counted from the submission; null for none
+ * @param dependencies the jobs that must be done before this one starts; may be empty. Version 1
+ *     did not write this field
  */
 public record JobDescription(
         String jobId,
@@ -38,7 +38,7 @@
         Double deadlineSeconds,
         List<String> dependencies) {
 
-    /** The names of the fields in a submission and in a stored record. */
+    /** Field names in a submission and in a stored record. */
     public static final class Field {
         public static final String JOB_ID = "uid";
         public static final String JOB_CLASS = "jobclass";
@@ -71,7 +71,10 @@
     private static final int MIN_JOB_ID_LENGTH = 3;
     private static final int MAX_JOB_ID_LENGTH = 66;
 
-    /** What a submission must have, and stored records leave out where it has its default. */
+    /**
+     * Fields that are mandatory in a submission; stored records omit them when they have the
+     * default value.
+     */
     private static final List<String> OPTIONAL_IN_RECORDS =
             List.of(
                     Field.GPUS,
@@ -83,7 +86,7 @@
                     Field.CHECKPOINT_INTERVAL_SECONDS,
                     Field.CHECKPOINT_COST_SECONDS);
 
-    /** True for text that has the form of a job id and can be part of a key and of a path. */
+    /** Whether the text is a well-formed job id, which is safe in store keys and URL paths. */
     public static boolean isJobId(String text) {
         if (!text.startsWith(JOB_ID_PREFIX)
                 || text.length() < MIN_JOB_ID_LENGTH
@@ -106,27 +109,31 @@
                 || c == '_';
     }
 
-    /** Parses a submission: only what may be null may be missing. */
+    /** Parses a submission, in which only nullable fields may be missing. */
     public static JobDescription parseSubmission(Map<String, Object> map)
             throws MalformedMessageException {
         for (String field : OPTIONAL_IN_RECORDS) {
             if (map.get(field) == null) {
-                throw new MalformedMessageException(field + ": is missing");
+                throw new MalformedMessageException(field + ": missing or null, expected a value");
             }
         }
         return parse(map);
     }
 
-    /** Parses the description in a stored record, of this version or an earlier one. */
+    /** Parses the description in a stored record, written by this version or an earlier one. */
     public static JobDescription parse(Map<String, Object> map) throws MalformedMessageException {
         Fields fields = new Fields(map);
         String jobId = fields.text(Field.JOB_ID);
         if (!isJobId(jobId)) {
-            throw new MalformedMessageException(Field.JOB_ID + ": expected an id such as j-000412");
+            throw new MalformedMessageException(
+                    Field.JOB_ID
+                            + ": expected an id such as j-000412, was "
+                            + ErrorText.quoted(jobId));
         }
         long taskCount = fields.integer(Field.TASK_COUNT);
         if (taskCount < 1 || taskCount > MAX_TASKS) {
-            throw new MalformedMessageException(Field.TASK_COUNT + ": expected 1 to " + MAX_TASKS);
+            throw new MalformedMessageException(
+                    Field.TASK_COUNT + ": expected 1 to " + MAX_TASKS + ", was " + taskCount);
         }
         List<String> machineTypes =
                 fields.has(Field.MACHINE_TYPES)
@@ -137,7 +144,7 @@
         double memoryGb = fields.nonNegativeNumber(Field.MEMORY_GB);
         if (cpus == 0 && gpus == 0 && memoryGb == 0) {
             throw new MalformedMessageException(
-                    Field.CPUS + ": a task must take something of its machine");
+                    Field.CPUS + ": a task must request CPUs, GPUs or memory");
         }
         return new JobDescription(
                 jobId,
@@ -165,17 +172,14 @@
                 dependencies(fields));
     }
 
-    /**
-     * The jobs that have to be done before this one starts; each is named once here, however often
-     * its user did.
-     */
+    /** Duplicates in the submission are dropped. */
     private static List<String> dependencies(Fields fields) throws MalformedMessageException {
         return fields.has(Field.DEPENDENCIES)
                 ? List.copyOf(new LinkedHashSet<>(fields.textList(Field.DEPENDENCIES)))
                 : List.of();
     }
 
-    /** The same job once its dependencies are done. */
+    /** Returns this job as it is once its dependencies are done. */
     public JobDescription withoutDependencies() {
         return dependencies.isEmpty()
                 ? this
@@ -208,7 +212,11 @@
         String text = fields.text(field);
         if (text.isEmpty() || text.length() > MAX_NAME_LENGTH) {
             throw new MalformedMessageException(
-                    field + ": expected 1 to " + MAX_NAME_LENGTH + " characters");
+                    field
+                            + ": expected 1 to "
+                            + MAX_NAME_LENGTH
+                            + " characters, was "
+                            + text.length());
         }
         return text;
     }
--- a/src/main/java/org/woadloom/protocol/JobKind.java
+++ b/src/main/java/org/woadloom/protocol/JobKind.java
@@ -1,14 +1,12 @@
 package org.woadloom.protocol;
 
-/** How a job's tasks belong together. */
+/** How the tasks of a job relate to one another. */
 public enum JobKind {
     /** Independent tasks that each run to completion. */
     ARRAY("batch"),
-    /**
-     * A gang: tasks that run to completion together, and wait for one another before they start.
-     */
+    /** Tasks that wait for one another before they start, and run to completion together. */
     GANG("group"),
-    /** Replicas that run until the job is cancelled. */
+    /** Replicas that each run until the job is cancelled. */
     SERVICE("service");
 
     private final String wireName;
@@ -28,6 +26,8 @@
             }
         }
         throw new MalformedMessageException(
-                JobDescription.Field.KIND + ": expected batch, group or service");
+                JobDescription.Field.KIND
+                        + ": expected batch, group or service, was "
+                        + ErrorText.quoted(text));
     }
 }
--- a/src/main/java/org/woadloom/protocol/JobStatus.java
+++ b/src/main/java/org/woadloom/protocol/JobStatus.java
@@ -4,33 +4,33 @@
 import java.util.Map;
 
 /**
- * What a user is told of a job.
+ * The status of a job as reported to users.
  *
- * @param status one of the protocol's words, {@link #QUEUED} for one
- * @param done how many tasks are done, or {@link #NO_COUNT}
- * @param running how many tasks run; means nothing where {@code done} is not counted
+ * @param status a status word of the protocol, such as {@link #QUEUED}
+ * @param done the number of tasks that are done, or {@link #NO_COUNT}
+ * @param running the number of running tasks; undefined if {@code done} is {@link #NO_COUNT}
  */
 public record JobStatus(String jobId, String status, int done, int running) {
     public static final String QUEUED = "queued";
     public static final String CANCELLED = "cancelled";
 
-    /** In place of a count of tasks that the answer does not carry. */
+    /** The value of a count that the answer does not contain. */
     public static final int NO_COUNT = -1;
 
-    /** The names of the fields in the answers to users. */
+    /** Field names in answers to users. */
     public static final class Field {
         public static final String JOB_ID = "uid";
         public static final String STATUS = "status";
         public static final String DONE = "done";
         public static final String RUNNING = "running";
 
-        /** The jobs that this one waits for: in the answers to polls alone. */
+        /** The jobs that this one waits for; only in answers to polls. */
         public static final String DEPENDENCIES = "awaits";
 
         private Field() {}
     }
 
-    /** A status of which the counts are not known, or of no interest. */
+    /** Creates a status without task counts. */
     public static JobStatus withoutCounts(String jobId, String status) {
         return new JobStatus(jobId, status, NO_COUNT, 0);
     }
--- a/src/main/java/org/woadloom/protocol/ListedMachine.java
+++ b/src/main/java/org/woadloom/protocol/ListedMachine.java
@@ -1,9 +1,10 @@
 package org.woadloom.protocol;
 
 /**
- * One machine as the cloud's list shows it. The list lags, so absence from it says nothing.
+ * A machine in the cloud's list of machines. The list lags behind, so a machine that is missing in
+ * it may still exist.
  *
- * @param rentedForMicros for how long the cloud has charged for it
+ * @param rentedForMicros how long the machine has been rented, as charged by the cloud
  */
 public record ListedMachine(
         String host,
@@ -16,7 +17,7 @@
     private static final String FAILED = "failed";
     private static final double MICROS_PER_SECOND = 1e6;
 
-    /** The names of the fields in the cloud's list, and of the list itself. */
+    /** Field names in the cloud's list, and of the list itself. */
     static final class Field {
         static final String HOST = "uid";
         static final String ADDRESS = "addr";
--- a/src/main/java/org/woadloom/protocol/MachineType.java
+++ b/src/main/java/org/woadloom/protocol/MachineType.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A kind of machine that the cloud offers. Prices are per hour. */
+/** A machine type that the cloud offers. Prices are per hour. */
 public record MachineType(
         String name,
         double cpus,
@@ -25,7 +25,7 @@
     /** Allows for the rounding of sums of resources. */
     private static final double ROUNDING_TOLERANCE = 1e-9;
 
-    /** The names of the fields in the cloud's list, and of the list itself. */
+    /** Field names in the cloud's list, and of the list itself. */
     static final class Field {
         static final String NAME = "name";
         static final String CPUS = "vcpus";
--- a/src/main/java/org/woadloom/protocol/Priority.java
+++ b/src/main/java/org/woadloom/protocol/Priority.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Priority of a job, lowest first so that {@link #compareTo} orders by importance. */
+/** The priority of a job, lowest first so that {@link #compareTo} orders by importance. */
 public enum Priority {
     LOW,
     STANDARD,
@@ -20,6 +20,8 @@
             }
         }
         throw new MalformedMessageException(
-                JobDescription.Field.PRIORITY + ": expected critical, high, standard or low");
+                JobDescription.Field.PRIORITY
+                        + ": expected critical, high, standard or low, was "
+                        + ErrorText.quoted(text));
     }
 }
--- a/src/main/java/org/woadloom/protocol/TaskCommand.java
+++ b/src/main/java/org/woadloom/protocol/TaskCommand.java
@@ -4,14 +4,14 @@
 import java.util.Map;
 
 /**
- * A command to an agent. Every command names the attempt, so a late one can only touch what it was
- * meant for.
+ * A command to an agent. It names the attempt, so a delayed command can't affect a later attempt of
+ * the task.
  *
- * @param gracePeriodSeconds how long a task that is stopped may take to save its progress; 0 for
- *     other commands
+ * @param gracePeriodSeconds how long a stopped task may take to save its progress; 0 for other
+ *     commands
  */
 public record TaskCommand(Action action, TaskId task, long attempt, double gracePeriodSeconds) {
-    /** The names of the fields of a command. */
+    /** Field names of a command. */
     static final class Field {
         static final String ACTION = "verb";
         static final String TASK = "shard";
@@ -21,7 +21,7 @@
         private Field() {}
     }
 
-    /** What the agent is to do with the task. */
+    /** What the agent must do with the task. */
     public enum Action {
         START("launch"),
         STOP("halt"),
--- a/src/main/java/org/woadloom/protocol/TaskId.java
+++ b/src/main/java/org/woadloom/protocol/TaskId.java
@@ -1,6 +1,6 @@
 package org.woadloom.protocol;
 
-/** One task of a job, written {@code j-000412/3}. */
+/** Identifies a task of a job; its text form is, for example, {@code j-000412/3}. */
 public record TaskId(String jobId, int index) {
     public static TaskId parse(String text) throws MalformedMessageException {
         int slash = text.indexOf('/');
@@ -11,11 +11,13 @@
                     return new TaskId(text.substring(0, slash), index);
                 }
             } catch (NumberFormatException e) {
-                // Falls through to the one error below.
+                // Reported below, like all other malformed ids.
             }
         }
         throw new MalformedMessageException(
-                TaskStatus.Field.TASK + ": expected an id such as j-000412/3");
+                TaskStatus.Field.TASK
+                        + ": expected an id such as j-000412/3, was "
+                        + ErrorText.quoted(text));
     }
 
     @Override
--- a/src/main/java/org/woadloom/protocol/TaskStatus.java
+++ b/src/main/java/org/woadloom/protocol/TaskStatus.java
@@ -3,14 +3,14 @@
 import java.io.IOException;
 
 /**
- * What an agent reports of one task.
+ * The status of one task in a heartbeat.
  *
- * @param exitReason null unless the task has exited
- * @param checkpointed whether its progress was saved before it exited
+ * @param exitReason why the task exited; null unless it has
+ * @param checkpointed whether the task's progress was saved before it exited
  */
 public record TaskStatus(
         TaskId task, long attempt, State state, ExitReason exitReason, boolean checkpointed) {
-    /** The names of the fields of one task in a heartbeat's body. */
+    /** Field names of one task in the body of a heartbeat. */
     static final class Field {
         static final String TASK = "shard";
         static final String ATTEMPT = "try";
@@ -21,17 +21,17 @@
         private Field() {}
     }
 
-    /** What the task is doing. */
+    /** The state of the task on its machine. */
     public enum State {
         FETCHING,
-        /** Waits for the other tasks of its gang. */
+        /** Waiting for the other tasks of its gang. */
         GATHERING,
         RUNNING,
         CHECKPOINTING,
         EXITED
     }
 
-    /** Why the task is over, or never ran. */
+    /** Why the task exited or never ran. */
     public enum ExitReason {
         DONE,
         STOPPED,
@@ -39,9 +39,9 @@
         INSUFFICIENT_RESOURCES,
         ALREADY_RUNNING,
         UNKNOWN_TASK,
-        /** A task of a gang whose peers went away. */
+        /** Other tasks of the gang were lost. */
         GANG_LOST,
-        /** A task of a gang that was never complete. */
+        /** The gang never became complete. */
         GANG_INCOMPLETE
     }
 
@@ -77,7 +77,7 @@
             case "running" -> State.RUNNING;
             case "flushing" -> State.CHECKPOINTING;
             case "exited" -> State.EXITED;
-                // A state this version does not know still occupies the machine.
+                // A task in a state that this version does not know still occupies the machine.
             default -> State.RUNNING;
         };
     }
@@ -95,7 +95,7 @@
         };
     }
 
-    /** Whether the agent refused the start command: nothing of this attempt ever ran. */
+    /** Whether the agent refused the start command, so that this attempt never ran. */
     public boolean wasRefused() {
         return exitReason == ExitReason.INSUFFICIENT_RESOURCES
                 || exitReason == ExitReason.ALREADY_RUNNING
--- a/src/main/java/org/woadloom/protocol/package-info.java
+++ b/src/main/java/org/woadloom/protocol/package-info.java
@@ -1,10 +1,9 @@
 /**
- * The messages of all interfaces: users', agents' and the cloud's. Each message is a record with
- * typed members; the names that its fields have on the wire are the constants of its nested {@code
- * Field} class and stand nowhere else. {@link org.woadloom.protocol.Cbor} is the body format,
- * {@link org.woadloom.protocol.MalformedMessageException} what a body that breaks the protocol
- * gives.
+ * The messages exchanged with users, agents and the cloud. Each message is a record; its field
+ * names on the wire are constants of its nested {@code Field} class. {@link
+ * org.woadloom.protocol.Cbor} implements the body format, and {@link
+ * org.woadloom.protocol.MalformedMessageException} reports bodies that violate the protocol.
  *
- * <p>Depends on no other package of the program.
+ * <p>Depends on no other package of this project.
  */
 package org.woadloom.protocol;
