--- a/src/test/java/org/woadloom/agent/AgentClientTest.java
+++ b/src/test/java/org/woadloom/agent/AgentClientTest.java
@@ -11,78 +11,79 @@
 import org.woadloom.core.SchedulerAction;
 import org.woadloom.net.HttpTransport;
 
-/**
- * Direct commands while many workers do not answer: 10 may be under way, and each holds its
- * connection for 2 s.
- */
+/** Direct commands while many agents do not answer, with at most 10 commands in flight. */
 class AgentClientTest {
-    private static final int SLOTS = 10;
+    private static final int MAX_IN_FLIGHT = 10;
 
-    /** Commands under way by address. */
-    private final Map<String, HttpTransport.Callback> underWay = new LinkedHashMap<>();
+    /** The callbacks of the commands in flight, by address. */
+    private final Map<String, HttpTransport.Callback> inFlight = new LinkedHashMap<>();
 
-    private final List<Integer> outcomes = new ArrayList<>();
-    private long sends;
+    private final List<Integer> statuses = new ArrayList<>();
+    private long commandsSent;
     private final AgentClient client =
             new AgentClient(
                     (address, method, path, body, timeout, callback) ->
-                            underWay.put(address, callback),
-                    SLOTS);
+                            inFlight.put(address, callback),
+                    MAX_IN_FLIGHT);
 
     private void send(String address) {
         client.send(
-                new SchedulerAction.SendDirectCommand(++sends, address, address, 1, 1, List.of()),
-                result -> outcomes.add(result.status()));
+                new SchedulerAction.SendDirectCommand(
+                        ++commandsSent, address, address, 1, 1, List.of()),
+                result -> statuses.add(result.status()));
     }
 
-    private void none(String address) {
-        underWay.remove(address).onResponse(HttpTransport.NO_RESPONSE, new byte[0]);
+    private void timeOut(String address) {
+        inFlight.remove(address).onResponse(HttpTransport.NO_RESPONSE, new byte[0]);
     }
 
-    private void hangAll(int machines) {
+    private void sendAndTimeOut(int machines) {
         for (int i = 0; i < machines; i++) {
             send("hung-" + i);
         }
-        while (!underWay.isEmpty()) {
-            none(underWay.keySet().iterator().next());
+        while (!inFlight.isEmpty()) {
+            timeOut(inFlight.keySet().iterator().next());
         }
     }
 
     /**
-     * They used to take every connection again and again, and commands to the others waited for
-     * them.
+     * Guards against commands to hung agents taking all connections, each for the timeout of 2 s,
+     * while commands to healthy agents wait.
      */
     @Test
-    void workersThatDoNotAnswerHoldUpNoOther() {
-        hangAll(40);
+    void commandsToUnresponsiveAgentsDoNotDelayOthers() {
+        sendAndTimeOut(40);
         for (int i = 0; i < 40; i++) {
             send("hung-" + i);
         }
-        assertEquals(SLOTS / 2, underWay.size());
-        for (int i = 0; i < SLOTS / 2; i++) {
+        assertEquals(MAX_IN_FLIGHT / 2, inFlight.size());
+        for (int i = 0; i < MAX_IN_FLIGHT / 2; i++) {
             send("healthy-" + i);
-            assertTrue(underWay.containsKey("healthy-" + i));
+            assertTrue(inFlight.containsKey("healthy-" + i));
         }
         send("healthy-9");
-        none("hung-0");
+        timeOut("hung-0");
         assertTrue(
-                underWay.containsKey("healthy-9"),
-                "it goes before those that wait for silent ones");
-        assertEquals(SLOTS, underWay.size());
+                inFlight.containsKey("healthy-9"),
+                "must be sent before queued commands to unresponsive agents");
+        assertEquals(MAX_IN_FLIGHT, inFlight.size());
     }
 
-    /** All get their turn, and one that answers again goes first as any other. */
+    /**
+     * All commands to unresponsive agents are sent in the end, and an agent that answers again
+     * loses its low priority.
+     */
     @Test
-    void everyCommandIsSentAndHasItsOutcome() {
-        hangAll(40);
-        hangAll(40);
-        assertEquals(80, outcomes.size());
+    void everyCommandCompletesAndAnAnswerEndsTheLowPriority() {
+        sendAndTimeOut(40);
+        sendAndTimeOut(40);
+        assertEquals(80, statuses.size());
         for (int i = 0; i < 40; i++) {
             send("hung-" + i);
         }
-        underWay.remove("hung-0").onResponse(503, new byte[0]);
+        inFlight.remove("hung-0").onResponse(503, new byte[0]);
         send("hung-0");
-        assertTrue(underWay.containsKey("hung-0"));
-        assertEquals(SLOTS / 2 + 1, underWay.size());
+        assertTrue(inFlight.containsKey("hung-0"));
+        assertEquals(MAX_IN_FLIGHT / 2 + 1, inFlight.size());
     }
 }
--- a/src/test/java/org/woadloom/agent/AgentConnectionBalancerTest.java
+++ b/src/test/java/org/woadloom/agent/AgentConnectionBalancerTest.java
@@ -9,57 +9,67 @@
 import org.junit.jupiter.api.Test;
 
 class AgentConnectionBalancerTest {
-    private static final List<String> OTHERS = List.of("node-1", "node-2");
-    private static final long REPORT = 4_000_000;
-    private final AgentConnectionBalancer attendance = new AgentConnectionBalancer(2, REPORT);
+    private static final List<String> OTHER_NODES = List.of("node-1", "node-2");
+    private static final long HEARTBEAT_MICROS = 4_000_000;
+    private final AgentConnectionBalancer balancer =
+            new AgentConnectionBalancer(2, HEARTBEAT_MICROS);
 
     @BeforeEach
-    void full() {
-        assertNull(report("host-1", true, 0));
-        assertNull(report("host-2", true, 0));
+    void connectMaxAgents() {
+        assertNull(heartbeat("host-1", true, 0));
+        assertNull(heartbeat("host-2", true, 0));
     }
 
-    private String report(String host, boolean renewed, long now) {
-        return attendance.redirectTarget(host, renewed, OTHERS, now);
+    private String heartbeat(String host, boolean renewed, long now) {
+        return balancer.redirectTarget(host, renewed, OTHER_NODES, now);
     }
 
     @Test
-    void whatIsTooMuchGoesElsewhereOnceItsLeaseIsRenewed() {
-        assertNull(report("host-3", false, 0), "its lease may be about to end");
-        assertNotNull(report("host-3", true, REPORT));
-        assertNull(report("host-1", true, REPORT), "it has room again");
-        assertEquals(2, attendance.connectedAgents());
+    void redirectsAgentAboveTheLimitOnceItsLeaseIsRenewed() {
+        assertNull(
+                heartbeat("host-3", false, 0),
+                "the lease was not renewed in this term, so it may expire during a reconnect");
+        assertNotNull(heartbeat("host-3", true, HEARTBEAT_MICROS));
+        assertNull(
+                heartbeat("host-1", true, HEARTBEAT_MICROS),
+                "the number of agents is within the limit again");
+        assertEquals(2, balancer.connectedAgents());
     }
 
-    /** A worker that can't reach the other node would spend its lease on the way to and fro. */
+    /**
+     * Guards against an agent that can't reach the other node being redirected again and again
+     * until its lease expires.
+     */
     @Test
-    void aWorkerThatComesBackUnheardStays() {
-        assertNotNull(report("host-3", true, 0));
-        assertNull(report("host-3", true, REPORT));
-        assertNull(report("host-3", true, 2 * REPORT));
-        report("host-1", true, 60_000_000);
-        report("host-2", true, 60_000_000);
-        assertNotNull(report("host-3", true, 70_000_000), "it may be able to by now");
+    void keepsReturningAgentThatCouldNotReachTheOtherNode() {
+        assertNotNull(heartbeat("host-3", true, 0));
+        assertNull(heartbeat("host-3", true, HEARTBEAT_MICROS));
+        assertNull(heartbeat("host-3", true, 2 * HEARTBEAT_MICROS));
+        heartbeat("host-1", true, 60_000_000);
+        heartbeat("host-2", true, 60_000_000);
+        assertNotNull(
+                heartbeat("host-3", true, 70_000_000),
+                "the agent may be redirected again after a while");
     }
 
     @Test
-    void aWorkerThatTheOtherNodeSendsBackIsSentThereAgain() {
-        String where = report("host-3", true, 0);
-        attendance.onForwarded("host-3");
-        assertEquals(where, report("host-3", true, REPORT));
+    void redirectsAgentToTheSameNodeAfterAForwardedHeartbeat() {
+        String target = heartbeat("host-3", true, 0);
+        balancer.onForwarded("host-3");
+        assertEquals(target, heartbeat("host-3", true, HEARTBEAT_MICROS));
     }
 
     @Test
-    void whoeverIsSilentMakesRoom() {
-        assertNull(report("host-3", true, 4 * REPORT));
-        assertNull(report("host-4", true, 4 * REPORT));
+    void silentAgentsNoLongerCountAsConnected() {
+        assertNull(heartbeat("host-3", true, 4 * HEARTBEAT_MICROS));
+        assertNull(heartbeat("host-4", true, 4 * HEARTBEAT_MICROS));
     }
 
     @Test
-    void withoutAnotherNodeAllStay() {
+    void keepsAllAgentsWithoutAnotherNode() {
         for (int i = 0; i < 5; i++) {
-            assertNull(attendance.redirectTarget("more-" + i, true, List.of(), 0));
+            assertNull(balancer.redirectTarget("more-" + i, true, List.of(), 0));
         }
-        assertEquals(7, attendance.connectedAgents());
+        assertEquals(7, balancer.connectedAgents());
     }
 }
--- a/src/test/java/org/woadloom/agent/AgentFormsGoldenTest.java
+++ b/src/test/java/org/woadloom/agent/AgentMessagesGoldenTest.java
@@ -16,12 +16,15 @@
 import org.woadloom.protocol.TaskId;
 import org.woadloom.protocol.TaskStatus;
 
-/** What workers are sent, byte by byte, and how each field and word of their reports is read. */
-class AgentFormsGoldenTest {
+/**
+ * Compares the bytes of commands to agents, and the decoded value of each heartbeat field and
+ * status word, with golden files.
+ */
+class AgentMessagesGoldenTest {
     private static final TaskId TASK = new TaskId("j-000412", 3);
     private static final List<String> STATES =
             List.of("fetching", "gathering", "running", "flushing", "exited", "novel");
-    private static final List<String> CAUSES =
+    private static final List<String> EXIT_REASONS =
             List.of(
                     "done",
                     "halted",
@@ -34,7 +37,7 @@
                     "novel");
 
     @Test
-    void commandsAreSentAsRecorded() {
+    void encodesCommandsAsInTheGoldenFile() {
         GoldenFile golden = new GoldenFile();
         AgentClient client =
                 new AgentClient(
@@ -67,10 +70,10 @@
         return task;
     }
 
-    private static byte[] report() {
+    private static byte[] heartbeatBody() {
         List<Object> tasks = new ArrayList<>();
         STATES.forEach(state -> tasks.add(task(tasks.size(), state, null)));
-        CAUSES.forEach(cause -> tasks.add(task(tasks.size(), "exited", cause)));
+        EXIT_REASONS.forEach(cause -> tasks.add(task(tasks.size(), "exited", cause)));
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("host", "host-000231");
         map.put("addr", "10.0.0.1:9");
@@ -86,47 +89,47 @@
     }
 
     @Test
-    void reportsAreReadAsRecorded() throws MalformedMessageException {
-        Heartbeat r = Heartbeat.read(report());
+    void decodesHeartbeatAsInTheGoldenFile() throws MalformedMessageException {
+        Heartbeat heartbeat = Heartbeat.read(heartbeatBody());
         GoldenFile golden = new GoldenFile();
-        golden.addBytes("bytes", report());
+        golden.addBytes("bytes", heartbeatBody());
         golden.addText(
                 "report",
-                r.host()
+                heartbeat.host()
                         + " "
-                        + r.address()
+                        + heartbeat.address()
                         + " "
-                        + r.machineType()
+                        + heartbeat.machineType()
                         + " "
-                        + r.zone()
+                        + heartbeat.zone()
                         + " "
-                        + r.spot()
+                        + heartbeat.spot()
                         + " "
-                        + r.incarnation()
+                        + heartbeat.incarnation()
                         + " "
-                        + r.sequence()
+                        + heartbeat.sequence()
                         + " "
-                        + r.fencingToken()
+                        + heartbeat.fencingToken()
                         + " "
-                        + r.spotNoticeMicros());
-        for (TaskStatus t : r.tasks()) {
+                        + heartbeat.spotNoticeMicros());
+        for (TaskStatus task : heartbeat.tasks()) {
             golden.addText(
-                    "task " + t.task().index(),
-                    t.task().jobId()
+                    "task " + task.task().index(),
+                    task.task().jobId()
                             + " "
-                            + t.attempt()
+                            + task.attempt()
                             + " "
-                            + word(t.state())
+                            + wireName(task.state())
                             + " "
-                            + word(t.exitReason())
+                            + wireName(task.exitReason())
                             + " "
-                            + t.checkpointed());
+                            + task.checkpointed());
         }
-        assertEquals(STATES.size() + CAUSES.size(), r.tasks().size());
+        assertEquals(STATES.size() + EXIT_REASONS.size(), heartbeat.tasks().size());
         golden.check("worker-reports.txt");
     }
 
-    private static String word(TaskStatus.State state) {
+    private static String wireName(TaskStatus.State state) {
         return switch (state) {
             case FETCHING -> "fetching";
             case GATHERING -> "gathering";
@@ -136,7 +139,7 @@
         };
     }
 
-    private static String word(TaskStatus.ExitReason cause) {
+    private static String wireName(TaskStatus.ExitReason cause) {
         if (cause == null) {
             return "-";
         }
--- a/src/test/java/org/woadloom/http/AdmissionControlTest.java
+++ b/src/test/java/org/woadloom/http/AdmissionControlTest.java
@@ -14,7 +14,10 @@
 import org.woadloom.protocol.MachineType;
 import org.woadloom.settings.Team;
 
-/** Only what certainly never runs is refused: a job that could wait for its turn must not be. */
+/**
+ * Checks that admission rejects a job only if it can never run, and not because it must wait for
+ * capacity or quota.
+ */
 class AdmissionControlTest {
     private static final Team TEAM = new Team("team", 4, 8, 2, 4);
     private static final List<String> ZONES = List.of("a", "b");
@@ -29,13 +32,13 @@
     }
 
     private static JobDescription job(
-            String shape,
-            long shards,
+            String kind,
+            long taskCount,
             double cpus,
             double gpus,
             String machineTypes,
             String zone,
-            String zones)
+            String zoneRules)
             throws Exception {
         Map<String, Object> map =
                 new LinkedHashMap<>(
@@ -47,11 +50,11 @@
                                 "crew",
                                 "team",
                                 "shape",
-                                shape,
+                                kind,
                                 "rank",
                                 "high",
                                 "shards",
-                                shards,
+                                taskCount,
                                 "vcpus",
                                 cpus,
                                 "cards",
@@ -68,19 +71,19 @@
                                 ? List.of()
                                 : List.of(machineTypes.split("\\+")));
         map.put("yard", zone);
-        map.put("samePlace", zones != null && zones.contains("same"));
-        map.put("apart", zones != null && zones.contains("apart"));
+        map.put("samePlace", zoneRules != null && zoneRules.contains("same"));
+        map.put("apart", zoneRules != null && zoneRules.contains("apart"));
         return JobDescription.parse(map);
     }
 
-    private static boolean runs(JobDescription job) {
+    private static boolean canRun(JobDescription job) {
         return AdmissionControl.rejectionBySettings(job, TEAM, ZONES) == null
                 && AdmissionControl.rejectionByMachineTypes(job, TYPES) == null;
     }
 
     @ParameterizedTest
     @CsvSource({
-        // A type's zones count with the job's, and one of several types is enough.
+        // A zone must be allowed by the job and offered by a type; one suitable type is enough.
         "batch, 1, 1, 0, large, , , true",
         "batch, 1, 1, 0, large, a, , false",
         "batch, 1, 1, 0, large, b, , true",
@@ -93,8 +96,8 @@
         "batch, 1, 1, 0, none, , , false",
         "batch, 1, 1, 0, gone, , , false",
         "batch, 1, 1, 0, , nowhere, , false",
-        // Half of the tasks, rounded up, may be in one zone: one of one may, one of two may not be
-        // all.
+        // With spreading, half of the tasks, rounded up, may be in one zone: a single task fits in
+        // one zone, two tasks don't.
         "group, 1, 1, 0, , a, apart, true",
         "group, 2, 1, 0, , a, apart, false",
         "service, 3, 1, 0, , a, apart, false",
@@ -104,31 +107,32 @@
         "service, 1, 1, 0, , , same+apart, true",
         "group, 2, 1, 0, large, , apart, false",
         "group, 2, 1, 0, large, , same, true",
-        // Tasks of an array take turns in the one zone: at most half of them at a time.
+        // An array may run its tasks in a single zone, at most half of them at a time.
         "batch, 2, 1, 0, , a, apart, true",
         "batch, 5, 1, 0, , , same+apart, true",
         "batch, 2, 1, 1, , , apart, true",
-        // An array may use its team's limit task by task, the others need it all at once.
+        // The team limit applies to one task of an array, and to all tasks of other jobs at once.
         "batch, 50, 1, 0, , , , true",
         "group, 9, 1, 0, , , , false",
         "service, 8, 1, 0, , , , true",
         "batch, 1, 9, 0, , , , false"
     })
-    void refusesWhatNeverRuns(
-            String shape,
-            long shards,
+    void rejectsOnlyJobsThatCanNeverRun(
+            String kind,
+            long taskCount,
             double cpus,
             double gpus,
             String machineTypes,
             String zone,
-            String zones,
-            boolean runs)
+            String zoneRules,
+            boolean expected)
             throws Exception {
-        assertEquals(runs, runs(job(shape, shards, cpus, gpus, machineTypes, zone, zones)));
+        assertEquals(
+                expected, canRun(job(kind, taskCount, cpus, gpus, machineTypes, zone, zoneRules)));
     }
 
     @Test
-    void anUnknownTeamHasNoLimit() throws Exception {
+    void rejectsJobOfUnknownTeam() throws Exception {
         assertNotNull(
                 AdmissionControl.rejectionBySettings(
                         job("batch", 1, 1, 0, null, null, null), null, ZONES));
--- a/src/test/java/org/woadloom/http/ApiServerTest.java
+++ b/src/test/java/org/woadloom/http/ApiServerTest.java
@@ -25,24 +25,24 @@
 import org.xnio.Xnio;
 import org.xnio.XnioWorker;
 
-/** Workers' heartbeats over real sockets, with fewer sockets than workers. */
+/** Agents' heartbeats over real sockets, with a socket budget smaller than the number of agents. */
 class ApiServerTest {
     private static final int INBOUND = 40;
-    private static final int COMFORTABLE = 34;
-    private static final int WORKERS = 60;
-    private static final List<Object> NOTHING = List.of();
-    private static final List<Object> SOMETHING = List.of(Map.of("verb", "launch"));
-
-    private final SocketBudget plan = new SocketBudget(0, 0, 0, 0, 0, 0, 2, INBOUND);
-    private final List<Socket> open = new ArrayList<>();
-    private volatile List<Object> orders = NOTHING;
-    private XnioWorker worker;
+    private static final int HIGH_WATERMARK = 34;
+    private static final int AGENTS = 60;
+    private static final List<Object> NO_COMMANDS = List.of();
+    private static final List<Object> ONE_COMMAND = List.of(Map.of("verb", "launch"));
+
+    private final SocketBudget budget = new SocketBudget(0, 0, 0, 0, 0, 0, 2, INBOUND);
+    private final List<Socket> keptConnections = new ArrayList<>();
+    private volatile List<Object> commands = NO_COMMANDS;
+    private XnioWorker xnioWorker;
     private ConnectionLimiter connections;
     private int port;
 
     @BeforeEach
     void start() throws IOException {
-        worker =
+        xnioWorker =
                 Xnio.getInstance()
                         .createWorker(
                                 OptionMap.builder()
@@ -69,20 +69,20 @@
                         null,
                         null,
                         null);
-        connections = new ConnectionLimiter(new XnioEventLoop(worker.getIoThread()), plan);
+        connections = new ConnectionLimiter(new XnioEventLoop(xnioWorker.getIoThread()), budget);
         Router router =
                 new Router(
                         new OpenGate(),
                         null,
                         (body, answer) ->
                                 answer.accept(
-                                        Response.of(200, Map.of("epoch", 1L, "orders", orders))),
+                                        Response.of(200, Map.of("epoch", 1L, "orders", commands))),
                         new NodeMetrics());
         new ApiServer(
                         settings,
-                        worker,
+                        xnioWorker,
                         new DefaultByteBufferPool(true, 4096, 16, 4),
-                        plan,
+                        budget,
                         connections,
                         router)
                 .start();
@@ -90,10 +90,10 @@
 
     @AfterEach
     void stop() throws IOException {
-        for (Socket socket : open) {
+        for (Socket socket : keptConnections) {
             socket.close();
         }
-        worker.shutdownNow();
+        xnioWorker.shutdownNow();
     }
 
     private static final class OpenGate implements Router.Gate {
@@ -116,8 +116,8 @@
         }
     }
 
-    /** What the node answers to a heartbeat, and whether it keeps the connection. */
-    private record Answer(int status, boolean kept) {}
+    /** The node's answer to a heartbeat, and whether it keeps the connection open. */
+    private record Answer(int status, boolean keptAlive) {}
 
     private Answer heartbeat(Socket socket) throws IOException {
         socket.setSoTimeout(5_000);
@@ -135,19 +135,21 @@
             head.append((char) next);
         }
         String text = head.toString().toLowerCase();
-        int at = text.indexOf("content-length:") + "content-length:".length();
-        in.readNBytes(Integer.parseInt(text.substring(at, text.indexOf("\r\n", at)).trim()));
+        int lengthStart = text.indexOf("content-length:") + "content-length:".length();
+        in.readNBytes(
+                Integer.parseInt(
+                        text.substring(lengthStart, text.indexOf("\r\n", lengthStart)).trim()));
         return new Answer(
                 Integer.parseInt(text.split(" ")[1]), !text.contains("connection: close"));
     }
 
-    private Answer connectAndReport() throws IOException {
+    private Answer sendHeartbeatOnNewConnection() throws IOException {
         Socket socket = new Socket("127.0.0.1", port);
         Answer answer = heartbeat(socket);
-        if (answer.kept) {
-            open.add(socket);
+        if (answer.keptAlive) {
+            keptConnections.add(socket);
         } else {
-            // Its end is seen here once the node has counted it as gone, or is about to.
+            // Waits until the node has closed the connection, so that it no longer counts.
             assertEquals(-1, socket.getInputStream().read());
             socket.close();
         }
@@ -155,56 +157,61 @@
     }
 
     @Test
-    void belowTheComfortableLevelConnectionsAreKept() throws IOException {
-        for (int i = 0; i < COMFORTABLE; i++) {
-            assertEquals(new Answer(200, true), connectAndReport());
+    void keepsConnectionsAliveBelowHighWatermark() throws IOException {
+        for (int i = 0; i < HIGH_WATERMARK; i++) {
+            assertEquals(new Answer(200, true), sendHeartbeatOnNewConnection());
         }
         assertEquals(0, connections.closedAgentConnections());
     }
 
     /**
-     * Sockets for two thirds of the workers: all are answered in every interval, and nobody is
-     * refused.
+     * With sockets for two thirds of the agents, every agent is answered in every heartbeat
+     * interval and no request is refused.
      */
     @Test
-    void moreWorkersThanSocketsAreAllAnswered() throws IOException {
+    void answersAllAgentsWhenTheyOutnumberSockets() throws IOException {
         for (int round = 0; round < 3; round++) {
-            List<Socket> kept = new ArrayList<>(open);
-            open.clear();
+            List<Socket> reused = new ArrayList<>(keptConnections);
+            keptConnections.clear();
             int answered = 0;
-            for (Socket socket : kept) {
+            for (Socket socket : reused) {
                 Answer answer = heartbeat(socket);
                 assertEquals(200, answer.status);
                 answered++;
-                if (answer.kept) {
-                    open.add(socket);
+                if (answer.keptAlive) {
+                    keptConnections.add(socket);
                 } else {
                     socket.close();
                 }
             }
-            while (answered < WORKERS) {
-                assertEquals(200, connectAndReport().status);
+            while (answered < AGENTS) {
+                assertEquals(200, sendHeartbeatOnNewConnection().status);
                 answered++;
             }
         }
         assertEquals(0, connections.refusedRequests());
-        assertTrue(open.size() <= COMFORTABLE + 1, open.size() + " connections are kept");
         assertTrue(
-                connections.closedAgentConnections() >= 3 * (WORKERS - COMFORTABLE - 1),
-                connections.closedAgentConnections() + " closed");
+                keptConnections.size() <= HIGH_WATERMARK + 1,
+                keptConnections.size() + " connections kept alive");
+        assertTrue(
+                connections.closedAgentConnections() >= 3 * (AGENTS - HIGH_WATERMARK - 1),
+                connections.closedAgentConnections() + " connections closed");
     }
 
-    /** Workers that get commands keep their connections for longer, but not until none is left. */
+    /**
+     * Agents that receive commands keep their connections beyond the high watermark, but only up to
+     * half of the sockets above it.
+     */
     @Test
-    void workersThatNeedNothingGoFirst() throws IOException {
-        orders = SOMETHING;
-        int kept = 0;
-        while (connectAndReport().kept) {
-            kept++;
+    void closesConnectionsOfAgentsWithoutCommandsFirst() throws IOException {
+        commands = ONE_COMMAND;
+        int keptAlive = 0;
+        while (sendHeartbeatOnNewConnection().keptAlive) {
+            keptAlive++;
         }
-        assertEquals((COMFORTABLE + INBOUND) / 2, kept);
-        orders = NOTHING;
-        assertEquals(new Answer(200, false), heartbeat(open.get(0)));
+        assertEquals((HIGH_WATERMARK + INBOUND) / 2, keptAlive);
+        commands = NO_COMMANDS;
+        assertEquals(new Answer(200, false), heartbeat(keptConnections.get(0)));
         assertEquals(0, connections.refusedRequests());
     }
 }
--- a/src/test/java/org/woadloom/protocol/CborTest.java
+++ b/src/test/java/org/woadloom/protocol/CborTest.java
@@ -12,7 +12,7 @@
 
 class CborTest {
     @Test
-    void valuesSurviveEncodingAndDecoding() throws MalformedMessageException {
+    void decodingAnEncodedMapReturnsAnEqualMap() throws MalformedMessageException {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("text", "ärger");
         map.put("list", Arrays.asList(1L, -5_000_000_000L, 2.5, true, null, List.of()));
@@ -21,12 +21,13 @@
     }
 
     @Test
-    void brokenBodiesAreRefusedAndNeverThrowAnythingElse() {
-        byte[] good = Cbor.encode(Map.of("list", List.of(1L, "two", 3.0), "map", Map.of("k", "v")));
+    void decodingACorruptedBodyThrowsOnlyMalformedMessageException() {
+        byte[] validBody =
+                Cbor.encode(Map.of("list", List.of(1L, "two", 3.0), "map", Map.of("k", "v")));
         Random random = new Random(7);
         int refused = 0;
         for (int round = 0; round < 20_000; round++) {
-            byte[] body = Arrays.copyOf(good, random.nextInt(good.length + 1));
+            byte[] body = Arrays.copyOf(validBody, random.nextInt(validBody.length + 1));
             for (int i = 0; i < body.length && i < 3; i++) {
                 body[random.nextInt(body.length)] = (byte) random.nextInt(256);
             }
@@ -42,7 +43,7 @@
     }
 
     @Test
-    void jsonSizeIsNeverTooSmall() {
+    void maxJsonSizeIsAtLeastTheEncodedSize() {
         assertEquals(
                 "{\"a\":[1,2.5,null]}".length()
                         <= Cbor.maxJsonSize(Map.of("a", Arrays.asList(1L, 2.5, null))),
