--- a/src/main/java/org/woadloom/core/placement/QueueOrder.java
+++ b/src/main/java/org/woadloom/core/placement/QueueOrder.java
@@ -10,113 +10,118 @@
 import org.woadloom.settings.Objective;
 
 /**
- * The order in which waiting jobs are served: by priority, then work within its team's guarantee,
- * then what is overdue, then what can still be in time, then age. Under overload age alone would
- * make every job late. Jobs that are small for the fleet go a little before their age: to its time
- * in the queue each is added the time that the whole fleet would need for it.
+ * Orders the waiting jobs: by priority, then jobs within their team's guarantee, then overdue jobs,
+ * then jobs that can still meet their target time, then age.
+ *
+ * <p>Ordering by age alone would make every job late under overload. Small jobs are moved ahead
+ * slightly: the time that the whole fleet would need to run the job is added to its arrival time.
  */
 public final class QueueOrder {
     /**
-     * A late job is served by its age again after so many times the longest time it had: nobody
-     * waits for ever.
+     * A late job is ordered by its age again once it has waited this multiple of its longest target
+     * time, so that no job starves.
      */
     private static final int MAX_LATENESS_FACTOR = 6;
 
-    /** How often the fleet is counted. */
-    private static final long FLEET_COUNT_INTERVAL_MICROS = 500_000;
+    /** Interval at which the size of the fleet is computed. */
+    private static final long FLEET_SIZE_INTERVAL_MICROS = 500_000;
 
     /**
-     * A job that has missed a time is served this part of the next one before it would miss that,
-     * too.
+     * A job that has missed a target becomes due again when its expected completion is within this
+     * fraction of the next target.
      */
-    private static final double LEAD_SHARE = 0.2;
+    private static final double DUE_AGAIN_FRACTION = 0.2;
 
-    /** Without an objective for deadlines a job is to be done by its own. */
-    private static final List<Double> DEADLINE_ITSELF = List.of(1.0);
+    /** Without a deadline objective, the target is the deadline itself. */
+    private static final List<Double> DEFAULT_DEADLINE_MULTIPLES = List.of(1.0);
 
     /**
-     * Every job is to start within four minutes: from this age on one that has not goes before the
-     * others of its kind.
+     * Every job is to start within four minutes: beyond this age, a job that has not started goes
+     * before the others of its priority and guarantee.
      */
     private static final long START_OVERDUE_MICROS = 150_000_000;
 
-    /** From this age on the largest jobs of a class go before the others until they are done. */
+    /** Beyond this age, the largest jobs of a class go before the others until they are done. */
     private static final long LARGE_OVERDUE_MICROS = 180_000_000;
 
     private final SchedulerState state;
 
-    /** The processors of all machines that are up, in units of {@link Resources}. */
+    /** CPUs of all machines that are up, in units of {@link Resources}; at least 1. */
     private long fleetCpu;
 
-    private long nextFleetCountMicros = Long.MIN_VALUE;
+    private long nextFleetSizeUpdateMicros = Long.MIN_VALUE;
 
-    /** By class, the times within which the users want its jobs done, the shortest first. */
-    private final Map<String, List<Double>> targets = new HashMap<>();
+    /** The target completion times of each job class, in microseconds, shortest first. */
+    private final Map<String, List<Double>> targetsMicros = new HashMap<>();
 
     /**
-     * By class, the multiples of the time until their deadlines within which they want its jobs
-     * done.
+     * The target completion times of each job class with deadlines, as multiples of the time until
+     * the deadline, shortest first.
      */
-    private final Map<String, List<Double>> multiples = new HashMap<>();
+    private final Map<String, List<Double>> deadlineMultiples = new HashMap<>();
 
-    /** How a job stands to those times, in the order in which jobs are served. */
+    /** How a job stands against its target times, in the order in which jobs are served. */
     private enum Punctuality {
-        /** It can make the first of them, or is just in time for the next, or nobody can say. */
+        /**
+         * Can still meet its first target, is close to missing its next one, has no target, or is
+         * so late that it is ordered by age again.
+         */
         DUE,
-        /** It has missed one and has time yet for the next. */
+        /** Has missed a target and has time left before the next one. */
         LATER,
-        /** It has missed all. */
+        /** Has missed all targets. */
         LATE
     }
 
-    private record Entry(Job job, boolean overdue, Punctuality punctuality, double turnMicros) {}
+    private record Entry(Job job, boolean overdue, Punctuality punctuality, double orderMicros) {}
 
     /**
-     * All waiting jobs are sorted several times a pass: without the boxing of a chain of
-     * comparators.
+     * Written out instead of as a chain of comparators to avoid boxing: all waiting jobs are sorted
+     * several times per pass.
      */
-    private static int compare(Entry one, Entry other) {
-        int order = other.job.priority().compareTo(one.job.priority());
+    private static int compare(Entry first, Entry second) {
+        int order = second.job.priority().compareTo(first.job.priority());
         if (order == 0) {
-            order = Boolean.compare(other.job.isWithinGuarantee(), one.job.isWithinGuarantee());
+            order = Boolean.compare(second.job.isWithinGuarantee(), first.job.isWithinGuarantee());
         }
         if (order == 0) {
-            order = Boolean.compare(other.overdue, one.overdue);
+            order = Boolean.compare(second.overdue, first.overdue);
         }
         if (order == 0) {
-            order = one.punctuality.compareTo(other.punctuality);
+            order = first.punctuality.compareTo(second.punctuality);
         }
         if (order == 0) {
-            order = Double.compare(one.turnMicros, other.turnMicros);
+            order = Double.compare(first.orderMicros, second.orderMicros);
         }
-        return order == 0 ? one.job.jobId().compareTo(other.job.jobId()) : order;
+        return order == 0 ? first.job.jobId().compareTo(second.job.jobId()) : order;
     }
 
     public QueueOrder(SchedulerState state) {
         this.state = state;
         for (Objective objective : state.settings().objectives()) {
             if (objective.kind().equals("finished") && objective.withinSeconds() > 0) {
-                targets.computeIfAbsent(objective.jobClass(), c -> new ArrayList<>())
+                targetsMicros
+                        .computeIfAbsent(objective.jobClass(), c -> new ArrayList<>())
                         .add(objective.withinSeconds() * 1e6);
             } else if (objective.kind().equals("deadline") && objective.times() > 0) {
-                multiples
+                deadlineMultiples
                         .computeIfAbsent(objective.jobClass(), c -> new ArrayList<>())
                         .add(objective.times());
             }
         }
-        targets.values().forEach(times -> times.sort(null));
-        multiples.values().forEach(times -> times.sort(null));
+        targetsMicros.values().forEach(times -> times.sort(null));
+        deadlineMultiples.values().forEach(times -> times.sort(null));
     }
 
-    /** The jobs in the order in which they are to be served now. */
+    /** Returns the jobs in the order in which they are served now. */
     public List<Job> sorted(List<Job> jobs) {
         if (jobs.isEmpty()) {
             return jobs;
         }
-        countFleet();
+        updateFleetSize();
         List<Entry> entries = new ArrayList<>(jobs.size());
         for (Job job : jobs) {
-            double alone =
+            double fleetTimeMicros =
                     (double) job.taskResources.cpu()
                             * job.pendingTaskCount()
                             / fleetCpu
@@ -127,7 +132,9 @@
                             job,
                             overdue,
                             overdue ? Punctuality.DUE : punctuality(job),
-                            overdue ? job.queuedSinceMicros() : job.queuedSinceMicros() + alone));
+                            overdue
+                                    ? job.queuedSinceMicros()
+                                    : job.queuedSinceMicros() + fleetTimeMicros));
         }
         entries.sort(QueueOrder::compare);
         List<Job> sorted = new ArrayList<>(entries.size());
@@ -137,12 +144,14 @@
         return sorted;
     }
 
-    /** How large the fleet is changes slowly, and this is asked in every pass. */
-    private void countFleet() {
-        if (state.nowMicros() < nextFleetCountMicros) {
+    /**
+     * Computed at intervals, because the size of the fleet changes slowly and each pass needs it.
+     */
+    private void updateFleetSize() {
+        if (state.nowMicros() < nextFleetSizeUpdateMicros) {
             return;
         }
-        nextFleetCountMicros = state.nowMicros() + FLEET_COUNT_INTERVAL_MICROS;
+        nextFleetSizeUpdateMicros = state.nowMicros() + FLEET_SIZE_INTERVAL_MICROS;
         fleetCpu = 1;
         for (Machine machine : state.machines().values()) {
             fleetCpu += machine.isUp() ? machine.capacity().cpu() : 0;
@@ -154,42 +163,49 @@
     }
 
     /**
-     * A job that has not started, and one of the largest that is not done, can't be left behind for
-     * what comes after it.
+     * True for a job that has waited too long to start, and for one of the largest of its class
+     * that is not done after a long time: later jobs no longer go before it.
      */
     private boolean isOverdue(Job job) {
-        long age = state.nowMicros() - job.queuedSinceMicros();
-        return (!job.hasStarted() && age > START_OVERDUE_MICROS)
-                || (age > LARGE_OVERDUE_MICROS && state.demandEstimator().isLargeInClass(job));
+        long ageMicros = state.nowMicros() - job.queuedSinceMicros();
+        return (!job.hasStarted() && ageMicros > START_OVERDUE_MICROS)
+                || (ageMicros > LARGE_OVERDUE_MICROS
+                        && state.demandEstimator().isLargeInClass(job));
     }
 
     /**
-     * By its owner's estimate. A job that has missed a time makes way for those that can make it,
-     * as long as it can.
+     * Compares the completion time expected from the owner's estimate with the targets. A job that
+     * has missed a target yields to jobs that can still meet theirs, until its next target is
+     * close.
      */
     private Punctuality punctuality(Job job) {
         if (job.description.isService()) {
             return Punctuality.DUE;
         }
         boolean hasDeadline = job.deadlineMicros() != Long.MAX_VALUE;
-        double from = hasDeadline ? job.submittedMicros : job.queuedSinceMicros();
-        double ends = state.nowMicros() - from + runtimeMicros(job);
-        List<Double> times =
+        double startMicros = hasDeadline ? job.submittedMicros : job.queuedSinceMicros();
+        double expectedCompletionMicros = state.nowMicros() - startMicros + runtimeMicros(job);
+        List<Double> targetTimes =
                 hasDeadline
-                        ? multiples.getOrDefault(job.description.jobClass(), DEADLINE_ITSELF)
-                        : targets.getOrDefault(job.description.jobClass(), List.of());
-        double unit = hasDeadline ? job.deadlineMicros() - from : 1;
-        for (double time : times) {
-            if (ends <= time * unit) {
-                return time == times.get(0) || ends > time * unit * (1 - LEAD_SHARE)
+                        ? deadlineMultiples.getOrDefault(
+                                job.description.jobClass(), DEFAULT_DEADLINE_MULTIPLES)
+                        : targetsMicros.getOrDefault(job.description.jobClass(), List.of());
+        double unitMicros = hasDeadline ? job.deadlineMicros() - startMicros : 1;
+        for (double targetTime : targetTimes) {
+            if (expectedCompletionMicros <= targetTime * unitMicros) {
+                return targetTime == targetTimes.get(0)
+                                || expectedCompletionMicros
+                                        > targetTime * unitMicros * (1 - DUE_AGAIN_FRACTION)
                         ? Punctuality.DUE
                         : Punctuality.LATER;
             }
         }
         boolean isLate =
-                !times.isEmpty()
-                        && state.nowMicros() - from
-                                <= MAX_LATENESS_FACTOR * times.get(times.size() - 1) * unit;
+                !targetTimes.isEmpty()
+                        && state.nowMicros() - startMicros
+                                <= MAX_LATENESS_FACTOR
+                                        * targetTimes.get(targetTimes.size() - 1)
+                                        * unitMicros;
         return isLate ? Punctuality.LATE : Punctuality.DUE;
     }
 }
--- a/src/main/java/org/woadloom/core/placement/RecordSizeEstimate.java
+++ b/src/main/java/org/woadloom/core/placement/RecordSizeEstimate.java
@@ -9,44 +9,54 @@
 import org.woadloom.store.TaskProgressCodec;
 
 /**
- * An upper bound of what a job's one record may grow to, in bytes, so that a job too large for it
- * runs in waves: what is placed at once must fit the store's values, however its tasks end.
+ * Computes an upper bound, in bytes, for the size that a job's record may grow to. A job whose
+ * record would exceed the store's value limit runs in waves: the tasks placed at a time fit
+ * whichever way they end.
  */
 public abstract sealed class RecordSizeEstimate {
-    /** Bytes of an ordinary description in the compact format. */
-    private static final int TYPICAL_DESCRIPTION = 420;
+    /** Size in bytes of a typical description in the compact format. */
+    private static final int TYPICAL_DESCRIPTION_BYTES = 420;
 
-    /** How large the store's values may be. */
-    private final int limit;
+    /** Maximum size of a value in the store, in bytes. */
+    private final int limitBytes;
 
     private final Set<Machine> machines = new HashSet<>();
 
-    /** What a record names together: the tasks of one machine under one attempt number. */
+    /**
+     * Attempts that a record stores as one entry: those on one machine with the same attempt
+     * number.
+     */
     private record Group(Machine machine, long attempt) {}
 
     private RecordSizeEstimate(int limit) {
-        this.limit = limit;
+        this.limitBytes = limit;
     }
 
     static RecordSizeEstimate of(Job job, int limit, RecordFormat format) {
         return format == RecordFormat.COMPACT ? new Compact(job, limit) : new Plain(job, limit);
     }
 
-    /** How many tasks of a job a value of this size holds when each is on a machine of its own. */
+    /**
+     * Returns how many tasks of a typical job a value of this size holds if each is on a machine of
+     * its own.
+     */
     public static int maxTasksOnDistinctMachines(int valueBytes) {
-        Compact size = new Compact(valueBytes, TYPICAL_DESCRIPTION);
+        Compact size = new Compact(valueBytes, TYPICAL_DESCRIPTION_BYTES);
         return size.maxMoreTasks(0, valueBytes);
     }
 
     /**
-     * How large the record may become with so many more tasks, the last of that number, on so many
-     * more machines.
+     * Upper bound for the size of the record after more tasks are placed.
+     *
+     * @param tasks number of tasks placed in addition
+     * @param lastIndex the highest index among them
+     * @param machines number of additional machines
      */
     abstract int sizeWith(int tasks, int lastIndex, int machines);
 
     abstract void onPlaced(int index, boolean newMachine);
 
-    private static int groups(Job job) {
+    private static int groupCount(Job job) {
         Set<Group> groups = new HashSet<>();
         for (TaskAttempt attempt : job.attempts()) {
             groups.add(new Group(attempt.machine, attempt.attemptNumber));
@@ -55,16 +65,19 @@
     }
 
     boolean fitsOneMore(int index) {
-        return sizeWith(1, index, 1) <= limit;
+        return sizeWith(1, index, 1) <= limitBytes;
     }
 
-    /** How many more tasks from the given one on fit, wherever they go; no more than wanted. */
+    /**
+     * Returns how many more tasks fit, starting at the given one and whichever machines they use;
+     * at most {@code wanted}.
+     */
     int maxMoreTasks(int index, int wanted) {
         int fitting = 0;
         int tooMany = wanted + 1;
         while (tooMany - fitting > 1) {
             int middle = (fitting + tooMany) / 2;
-            if (sizeWith(middle, index + middle - 1, middle) <= limit) {
+            if (sizeWith(middle, index + middle - 1, middle) <= limitBytes) {
                 fitting = middle;
             } else {
                 tooMany = middle;
@@ -73,103 +86,111 @@
         return fitting;
     }
 
-    /** One more task is placed there, under this pass's attempt. */
+    /** Accounts for one more task that is placed on the machine in this pass. */
     void add(int index, Machine machine) {
         onPlaced(index, machines.add(machine));
     }
 
-    /** Of {@link org.woadloom.store.JobRecord}s with {@link TaskProgressCodec} as text. */
+    /**
+     * For records in the compact format, with the {@link TaskProgressCodec} output encoded as text.
+     */
     private static final class Compact extends RecordSizeEstimate {
-        /** What is around the description and the progress. */
-        private static final int FIXED = 260;
+        /** Everything but the description and the task progress. */
+        private static final int FIXED_BYTES = 260;
+
+        /** The delta of the machine numbers and the index of the attempt. */
+        private static final int BYTES_PER_GROUP = 3;
+
+        private static final int BYTES_PER_GROUP_OF_MANY_ATTEMPTS = 4;
 
-        /** The difference of two machines' numbers, and which attempt. */
-        private static final int PER_GROUP = 3;
+        /** With more attempts, some indexes exceed the seven bits that one byte holds. */
+        private static final int MAX_ONE_BYTE_ATTEMPTS = 127;
 
-        private static final int PER_GROUP_OF_MANY = 4;
-        private static final int FEW_ATTEMPTS = 127;
-        private static final int PER_ATTEMPT = 4;
+        private static final int BYTES_PER_ATTEMPT = 4;
 
-        private final int description;
-        private int front;
-        private int end;
-        private int groups;
-        private int attempts;
+        private final int descriptionBytes;
+        private int firstIndex;
+        private int endIndex;
+        private int groupCount;
+        private int attemptCount;
 
-        Compact(int limit, int description) {
+        Compact(int limit, int descriptionBytes) {
             super(limit);
-            this.description = description;
+            this.descriptionBytes = descriptionBytes;
         }
 
         Compact(Job job, int limit) {
-            this(limit, job.descriptionSize());
-            front = job.completedTasks().nextClearBit(0);
-            end = job.completedTasks().length();
-            Set<Long> distinct = new HashSet<>();
+            this(limit, job.descriptionBytes());
+            firstIndex = job.completedTasks().nextClearBit(0);
+            endIndex = job.completedTasks().length();
+            Set<Long> attemptNumbers = new HashSet<>();
             for (TaskAttempt attempt : job.attempts()) {
-                front = Math.min(front, attempt.taskIndex);
-                end = Math.max(end, attempt.taskIndex + 1);
-                distinct.add(attempt.attemptNumber);
+                firstIndex = Math.min(firstIndex, attempt.taskIndex);
+                endIndex = Math.max(endIndex, attempt.taskIndex + 1);
+                attemptNumbers.add(attempt.attemptNumber);
             }
-            attempts = distinct.size() + 1;
-            groups = groups(job);
+            attemptCount = attemptNumbers.size() + 1;
+            groupCount = groupCount(job);
         }
 
         @Override
         int sizeWith(int tasks, int lastIndex, int machines) {
-            int all = groups + machines;
-            int window = Math.max(end, lastIndex + 1) - front;
+            int totalGroups = groupCount + machines;
+            int window = Math.max(endIndex, lastIndex + 1) - firstIndex;
             int bytes =
-                    all * (attempts > FEW_ATTEMPTS ? PER_GROUP_OF_MANY : PER_GROUP)
-                            + attempts * PER_ATTEMPT
-                            + (window * TaskProgressCodec.bitsPerTask(all) + 7) / 8;
-            return FIXED + description + (bytes * 4 + 2) / 3;
+                    totalGroups
+                                    * (attemptCount > MAX_ONE_BYTE_ATTEMPTS
+                                            ? BYTES_PER_GROUP_OF_MANY_ATTEMPTS
+                                            : BYTES_PER_GROUP)
+                            + attemptCount * BYTES_PER_ATTEMPT
+                            + (window * TaskProgressCodec.bitsPerTask(totalGroups) + 7) / 8;
+            return FIXED_BYTES + descriptionBytes + (bytes * 4 + 2) / 3;
         }
 
         @Override
         void onPlaced(int index, boolean newMachine) {
-            end = Math.max(end, index + 1);
-            groups += newMachine ? 1 : 0;
+            endIndex = Math.max(endIndex, index + 1);
+            groupCount += newMachine ? 1 : 0;
         }
     }
 
-    /** Of version 1's records, while a node may run it. */
+    /** For the plain format, which is written while any node may run version 1. */
     private static final class Plain extends RecordSizeEstimate {
-        private static final int FIXED = 900;
+        private static final int FIXED_BYTES = 900;
 
-        /** A machine's name, an attempt and what is around them. */
-        private static final int PER_GROUP = 56;
+        /** A machine name, an attempt number and their delimiters. */
+        private static final int BYTES_PER_GROUP = 56;
 
         /**
-         * A task's number twice, as a range by itself; done or placed, every task may come to stand
-         * alone.
+         * A task's index as both ends of a range. Any task, completed or placed, may become a range
+         * of its own.
          */
-        private static final int PER_TASK = 14;
+        private static final int BYTES_PER_TASK = 14;
 
-        private int size;
+        private int sizeBytes;
 
         Plain(Job job, int limit) {
             super(limit);
-            int doneRanges = 0;
+            int completedRanges = 0;
             for (int i = job.completedTasks().nextSetBit(0);
                     i >= 0;
                     i = job.completedTasks().nextSetBit(job.completedTasks().nextClearBit(i))) {
-                doneRanges++;
+                completedRanges++;
             }
-            size =
-                    FIXED
-                            + PER_GROUP * groups(job)
-                            + PER_TASK * (job.attempts().size() + doneRanges);
+            sizeBytes =
+                    FIXED_BYTES
+                            + BYTES_PER_GROUP * groupCount(job)
+                            + BYTES_PER_TASK * (job.attempts().size() + completedRanges);
         }
 
         @Override
         int sizeWith(int tasks, int lastIndex, int machines) {
-            return size + PER_GROUP * machines + PER_TASK * tasks;
+            return sizeBytes + BYTES_PER_GROUP * machines + BYTES_PER_TASK * tasks;
         }
 
         @Override
         void onPlaced(int index, boolean newMachine) {
-            size += PER_TASK + (newMachine ? PER_GROUP : 0);
+            sizeBytes += BYTES_PER_TASK + (newMachine ? BYTES_PER_GROUP : 0);
         }
     }
 }
