--- a/src/test/java/org/woadloom/architecture/ArchitectureTest.java
+++ b/src/test/java/org/woadloom/architecture/ArchitectureTest.java
@@ -15,18 +15,18 @@
 class ArchitectureTest {
     private static final String ROOT = "org.woadloom";
 
-    private static JavaClasses program;
+    private static JavaClasses productionClasses;
 
     @BeforeAll
     static void readClasses() {
-        program =
+        productionClasses =
                 new ClassFileImporter()
                         .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
                         .importPackages(ROOT);
     }
 
     @Test
-    void packagesUseOnlyWhatIsBelowThem() {
+    void layersDependOnlyOnLowerLayers() {
         layeredArchitecture()
                 .consideringOnlyDependenciesInLayers()
                 .layer("programs")
@@ -62,16 +62,16 @@
                 .mayOnlyBeAccessedByLayers("programs", "composition", "services", "decisions")
                 .whereLayer("transport")
                 .mayOnlyBeAccessedByLayers("programs", "composition", "services", "storage")
-                .check(program);
+                .check(productionClasses);
     }
 
     @Test
-    void packagesDoNotDependOnEachOtherInCircles() {
-        slices().matching(ROOT + ".(*)..").should().beFreeOfCycles().check(program);
+    void packagesHaveNoCyclicDependencies() {
+        slices().matching(ROOT + ".(*)..").should().beFreeOfCycles().check(productionClasses);
     }
 
     @Test
-    void theSchedulerReadsNoClockAndDoesNoInputOrOutput() {
+    void coreUsesNoClockRandomnessOrIo() {
         noClasses()
                 .that()
                 .resideInAPackage(ROOT + ".core..")
@@ -93,18 +93,18 @@
                 .callMethod(System.class, "nanoTime")
                 .orShould()
                 .callMethod(System.class, "currentTimeMillis")
-                .check(program);
+                .check(productionClasses);
     }
 
     @Test
-    void theSchedulerUsesTheStoresRecordsAndNotItsClient() {
+    void coreDoesNotUseTheStoreClient() {
         noClasses()
                 .that()
                 .resideInAPackage(ROOT + ".core..")
                 .should()
                 .dependOnClassesThat()
                 .haveSimpleNameStartingWith("StoreClient")
-                .check(program);
+                .check(productionClasses);
     }
 
     /**
@@ -112,7 +112,7 @@
      * levels, and knows nothing of what is built on it.
      */
     @Test
-    void theModelOfJobsAndMachinesKnowsNothingOfWhatIsBuiltOnIt() {
+    void jobAndMachineModelDoesNotDependOnFeaturesBuiltOnIt() {
         classes()
                 .that()
                 .resideInAnyPackage(
@@ -127,6 +127,6 @@
                         ROOT + ".core.autoscaling..",
                         ROOT + ".core.rollout..",
                         ROOT + ".core.cancellation..")
-                .check(program);
+                .check(productionClasses);
     }
 }
--- a/src/test/java/org/woadloom/docs/PagesTest.java
+++ b/src/test/java/org/woadloom/docs/PagesTest.java
@@ -53,13 +53,13 @@
     private static final Pattern SOURCE_PATH = Pattern.compile("src/[\\w./-]+");
 
     @Test
-    void relativeLinksLeadToFilesAndHeadingsThatExist() throws IOException {
+    void relativeLinksPointToExistingFilesAndHeadings() throws IOException {
         List<String> broken = new ArrayList<>();
         for (Path page : pages()) {
             Matcher link = LINK.matcher(Files.readString(page));
             while (link.find()) {
                 if (!EXTERNAL_LINK.matcher(link.group(1)).matches()
-                        && !leadsSomewhere(page, link.group(1))) {
+                        && !linkTargetExists(page, link.group(1))) {
                     broken.add(page + ": " + link.group(1));
                 }
             }
@@ -68,28 +68,28 @@
     }
 
     @Test
-    void everyLogEventIsExplainedInTheOperationsPage() throws IOException {
+    void operationsPageExplainsEveryLogEvent() throws IOException {
         Set<String> unexplained = loggedEvents();
         unexplained.removeAll(explainedEvents());
         assertEquals(Set.of(), unexplained);
     }
 
     @Test
-    void theOperationsPageExplainsNoEventThatNobodyLogs() throws IOException {
+    void operationsPageExplainsOnlyLoggedEvents() throws IOException {
         Set<String> unknown = explainedEvents();
         unknown.removeAll(loggedEvents());
         assertEquals(Set.of(), unknown);
     }
 
     @Test
-    void typesPackagesAndPathsThatThePagesNameExist() throws IOException {
+    void namedTypesPackagesAndPathsExist() throws IOException {
         Set<String> sources = sourceFiles();
         List<String> missing = new ArrayList<>();
         for (Path page : PAGES_WITH_CODE_NAMES) {
             List<String> names = codeSpans(page);
             assertFalse(names.isEmpty(), page + " names nothing");
             for (String name : names) {
-                if (!exists(name, sources)) {
+                if (!existsIfCodeName(name, sources)) {
                     missing.add(page + ": " + name);
                 }
             }
@@ -111,7 +111,7 @@
         }
     }
 
-    private static boolean leadsSomewhere(Path page, String link) throws IOException {
+    private static boolean linkTargetExists(Path page, String link) throws IOException {
         int hash = link.indexOf('#');
         String file = hash < 0 ? link : link.substring(0, hash);
         Path target = file.isEmpty() ? page : page.resolveSibling(file);
@@ -152,9 +152,9 @@
     private static Set<String> explainedEvents() throws IOException {
         String page = Files.readString(OPERATIONS);
         int start = page.indexOf("\n## Logs\n");
-        String logs = page.substring(start, page.indexOf("\n## ", start + 1));
+        String logsSection = page.substring(start, page.indexOf("\n## ", start + 1));
         Set<String> events = new TreeSet<>();
-        Matcher row = EVENT_ROW.matcher(logs);
+        Matcher row = EVENT_ROW.matcher(logsSection);
         while (row.find()) {
             Matcher name = CODE_SPAN.matcher(row.group(1));
             while (name.find()) {
@@ -185,7 +185,7 @@
     }
 
     /** False only for what reads as a type, a package of the scheduler or a source path. */
-    private static boolean exists(String name, Set<String> sources) throws IOException {
+    private static boolean existsIfCodeName(String name, Set<String> sources) throws IOException {
         if (SOURCE_PATH.matcher(name).matches()) {
             return Files.exists(Path.of(name));
         }
--- a/src/test/java/org/woadloom/golden/GoldenFile.java
+++ b/src/test/java/org/woadloom/golden/GoldenFile.java
@@ -20,7 +20,7 @@
 public final class GoldenFile {
     private static final Path DIRECTORY = Path.of("src/test/resources/golden");
 
-    private final Map<String, String> forms = new LinkedHashMap<>();
+    private final Map<String, String> entries = new LinkedHashMap<>();
 
     /** Adds a form that is fixed byte by byte. */
     public void addBytes(String name, byte[] bytes) {
@@ -34,8 +34,8 @@
 
     /** Adds a text of one line, or of several. */
     public void addText(String name, String text) {
-        String before = forms.put(name, text.replace("\n", "\\n"));
-        if (before != null) {
+        String previous = entries.put(name, text.replace("\n", "\\n"));
+        if (previous != null) {
             throw new IllegalArgumentException(name + " stands twice");
         }
     }
@@ -43,14 +43,15 @@
     /** Fails where a form is not as in the file, is missing there, or is only there. */
     public void check(String file) {
         Path path = DIRECTORY.resolve(file);
-        StringBuilder text = new StringBuilder();
-        forms.forEach((name, form) -> text.append(name).append(" = ").append(form).append('\n'));
+        StringBuilder content = new StringBuilder();
+        entries.forEach(
+                (name, text) -> content.append(name).append(" = ").append(text).append('\n'));
         try {
             if (Boolean.getBoolean("goldenRecord")) {
                 Files.createDirectories(DIRECTORY);
-                Files.writeString(path, text);
+                Files.writeString(path, content);
             } else {
-                assertEquals(Files.readString(path), text.toString(), "forms of " + file);
+                assertEquals(Files.readString(path), content.toString(), "forms of " + file);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/src/test/java/org/woadloom/golden/ValueShape.java
+++ b/src/test/java/org/woadloom/golden/ValueShape.java
@@ -16,7 +16,7 @@
     public static Object of(Object value) {
         if (value instanceof Map<?, ?> map) {
             Map<String, Object> shape = new LinkedHashMap<>();
-            map.forEach((key, item) -> shape.put((String) key, of(item)));
+            map.forEach((key, element) -> shape.put((String) key, of(element)));
             return shape;
         } else if (value instanceof List<?> list) {
             return list.isEmpty() ? List.of() : List.of(of(list.get(0)));
--- a/src/test/java/org/woadloom/knownred/KnownRedCase.java
+++ b/src/test/java/org/woadloom/knownred/KnownRedCase.java
@@ -7,14 +7,14 @@
 
 /** One test case for which KNOWN-RED.txt has entries: all but what they list is run as ever. */
 final class KnownRedCase {
-    static final String PASSED_OVER = "known to be red, passed over: ";
-    static final String PASSES = "known to be red, but passes now, take it off: ";
+    static final String FAILURE_IGNORED = "known to be red, passed over: ";
+    static final String UNEXPECTED_PASS = "known to be red, but passes now, take it off: ";
 
     private final List<KnownRedEntry> entries;
     private final Consumer<String> report;
 
     /** The body of a test. */
-    interface Body {
+    interface TestBody {
         void run() throws Throwable;
     }
 
@@ -29,42 +29,42 @@
     /**
      * Runs the case without the seeds that are listed, and then each of those alone.
      *
-     * @param usual the case as JUnit would run it; it may be run once only
-     * @param again the same, any number of times
+     * @param invocation the case as JUnit would run it; it may be run once only
+     * @param rerun the same, any number of times
      * @throws Throwable what the case fails with where it is not listed
      */
-    void run(Body usual, Body again) throws Throwable {
-        Set<Long> seeds =
+    void run(TestBody invocation, TestBody rerun) throws Throwable {
+        Set<Long> listedSeeds =
                 entries.stream()
                         .flatMap(entry -> entry.seed().stream().boxed())
                         .collect(Collectors.toSet());
         boolean isWholeCaseListed = entries.stream().anyMatch(entry -> entry.seed().isEmpty());
         try {
-            KnownRedSeeds.leaveOut(seeds);
-            usual.run();
+            KnownRedSeeds.exclude(listedSeeds);
+            invocation.run();
         } catch (Throwable failure) {
             if (!isWholeCaseListed) {
                 throw failure;
             }
-            entries.forEach(entry -> report.accept(PASSED_OVER + entry.line()));
+            entries.forEach(entry -> report.accept(FAILURE_IGNORED + entry.line()));
             return;
         } finally {
-            KnownRedSeeds.playAll();
+            KnownRedSeeds.runAll();
         }
-        entries.forEach(entry -> checkAlone(entry, again));
+        entries.forEach(entry -> checkEntry(entry, rerun));
     }
 
-    private void checkAlone(KnownRedEntry entry, Body again) {
+    private void checkEntry(KnownRedEntry entry, TestBody rerun) {
         try {
             if (entry.seed().isPresent()) {
-                KnownRedSeeds.playOnly(entry.seed().getAsLong());
-                again.run();
+                KnownRedSeeds.runOnly(entry.seed().getAsLong());
+                rerun.run();
             }
-            report.accept(PASSES + entry.line());
+            report.accept(UNEXPECTED_PASS + entry.line());
         } catch (Throwable failure) {
-            report.accept(PASSED_OVER + entry.line());
+            report.accept(FAILURE_IGNORED + entry.line());
         } finally {
-            KnownRedSeeds.playAll();
+            KnownRedSeeds.runAll();
         }
     }
 }
--- a/src/test/java/org/woadloom/knownred/KnownRedEntry.java
+++ b/src/test/java/org/woadloom/knownred/KnownRedEntry.java
@@ -43,7 +43,7 @@
         return text.length() == 0 ? NONE : text.toString();
     }
 
-    boolean names(String otherClass, String otherMethod, String otherArguments) {
+    boolean matches(String otherClass, String otherMethod, String otherArguments) {
         return testClass.equals(otherClass)
                 && method.equals(otherMethod)
                 && arguments.equals(otherArguments);
--- a/src/test/java/org/woadloom/knownred/KnownRedExtension.java
+++ b/src/test/java/org/woadloom/knownred/KnownRedExtension.java
@@ -23,15 +23,17 @@
     /** What CI compares with the list: an entry that it lacks names no test case. */
     private static final Path LOG = Path.of("target/known-red.log");
 
-    private final List<KnownRedEntry> entries = entries();
+    private final List<KnownRedEntry> entries = readEntries();
 
-    private static List<KnownRedEntry> entries() {
-        String list = System.getProperty(LIST_PROPERTY, "");
-        if (list.isEmpty()) {
+    private static List<KnownRedEntry> readEntries() {
+        String listPath = System.getProperty(LIST_PROPERTY, "");
+        if (listPath.isEmpty()) {
             return List.of();
         }
         try {
-            return Files.readAllLines(Path.of(list)).stream().map(KnownRedEntry::parse).toList();
+            return Files.readAllLines(Path.of(listPath)).stream()
+                    .map(KnownRedEntry::parse)
+                    .toList();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -62,17 +64,18 @@
         String arguments = KnownRedEntry.format(context.getArguments());
         List<KnownRedEntry> listed =
                 entries.stream()
-                        .filter(entry -> entry.names(testClass, method, arguments))
+                        .filter(entry -> entry.matches(testClass, method, arguments))
                         .toList();
         if (listed.isEmpty()) {
             invocation.proceed();
             return;
         }
         new KnownRedCase(listed, KnownRedExtension::log)
-                .run(invocation::proceed, () -> invokeAgain(context));
+                .run(invocation::proceed, () -> invokeDirectly(context));
     }
 
-    private static void invokeAgain(ReflectiveInvocationContext<Method> context) throws Throwable {
+    private static void invokeDirectly(ReflectiveInvocationContext<Method> context)
+            throws Throwable {
         Method method = context.getExecutable();
         method.setAccessible(true);
         try {
--- a/src/test/java/org/woadloom/knownred/KnownRedSeeds.java
+++ b/src/test/java/org/woadloom/knownred/KnownRedSeeds.java
@@ -5,7 +5,7 @@
 
 /** Which seeds the running test case is to play, as far as KNOWN-RED.txt lists some of them. */
 public final class KnownRedSeeds {
-    private static final ThreadLocal<Set<Long>> LEFT_OUT = ThreadLocal.withInitial(Set::of);
+    private static final ThreadLocal<Set<Long>> EXCLUDED = ThreadLocal.withInitial(Set::of);
     private static final ThreadLocal<Long> ONLY = new ThreadLocal<>();
 
     private KnownRedSeeds() {}
@@ -15,19 +15,19 @@
         if (ONLY.get() != null) {
             return new long[] {ONLY.get()};
         }
-        return LongStream.of(seeds).filter(seed -> !LEFT_OUT.get().contains(seed)).toArray();
+        return LongStream.of(seeds).filter(seed -> !EXCLUDED.get().contains(seed)).toArray();
     }
 
-    static void leaveOut(Set<Long> seeds) {
-        LEFT_OUT.set(seeds);
+    static void exclude(Set<Long> seeds) {
+        EXCLUDED.set(seeds);
     }
 
-    static void playOnly(long seed) {
+    static void runOnly(long seed) {
         ONLY.set(seed);
     }
 
-    static void playAll() {
-        LEFT_OUT.remove();
+    static void runAll() {
+        EXCLUDED.remove();
         ONLY.remove();
     }
 }
--- a/src/test/java/org/woadloom/knownred/KnownRedTest.java
+++ b/src/test/java/org/woadloom/knownred/KnownRedTest.java
@@ -20,32 +20,32 @@
     private static final String CASE_LINE = "ATest#a | - | - | mvn test | waits | 57";
 
     private final List<String> reported = new ArrayList<>();
-    private final List<Long> played = new ArrayList<>();
+    private final List<Long> executedSeeds = new ArrayList<>();
 
     /** Plays the seeds 1 to 3 and fails with some of them. */
-    private void play(Set<Long> red) {
+    private void runSeeds(Set<Long> failingSeeds) {
         for (long seed : KnownRedSeeds.select(new long[] {1, 2, 3})) {
-            played.add(seed);
-            if (red.contains(seed)) {
+            executedSeeds.add(seed);
+            if (failingSeeds.contains(seed)) {
                 throw new AssertionError("seed " + seed);
             }
         }
     }
 
-    private void run(String line, Set<Long> red) throws Throwable {
+    private void run(String line, Set<Long> failingSeeds) throws Throwable {
         new KnownRedCase(List.of(KnownRedEntry.parse(line)), reported::add)
-                .run(() -> play(red), () -> play(red));
+                .run(() -> runSeeds(failingSeeds), () -> runSeeds(failingSeeds));
     }
 
     @Test
-    void aListedSeedIsPassedOverAndTheOthersAreRun() throws Throwable {
+    void listedSeedFailureIsIgnoredAndOtherSeedsRun() throws Throwable {
         run(SEED_LINE, Set.of(1L));
-        assertEquals(List.of(2L, 3L, 1L), played);
-        assertEquals(List.of(KnownRedCase.PASSED_OVER + SEED_LINE), reported);
+        assertEquals(List.of(2L, 3L, 1L), executedSeeds);
+        assertEquals(List.of(KnownRedCase.FAILURE_IGNORED + SEED_LINE), reported);
     }
 
     @Test
-    void aSeedThatIsNotListedFails() {
+    void unlistedSeedFailureFailsTheCase() {
         AssertionError failure =
                 assertThrows(AssertionError.class, () -> run(SEED_LINE, Set.of(1L, 3L)));
         assertEquals("seed 3", failure.getMessage());
@@ -53,19 +53,19 @@
     }
 
     @Test
-    void aListedCaseThatPassesIsReported() throws Throwable {
+    void listedSeedThatPassesIsReported() throws Throwable {
         run(SEED_LINE, Set.of());
-        assertEquals(List.of(KnownRedCase.PASSES + SEED_LINE), reported);
+        assertEquals(List.of(KnownRedCase.UNEXPECTED_PASS + SEED_LINE), reported);
     }
 
     @Test
-    void aListedCaseWithoutASeedIsPassedOverAsAWhole() throws Throwable {
+    void entryWithoutSeedIgnoresAnyFailureOfTheCase() throws Throwable {
         run(CASE_LINE, Set.of(2L));
-        assertEquals(List.of(1L, 2L), played);
-        assertEquals(List.of(KnownRedCase.PASSED_OVER + CASE_LINE), reported);
+        assertEquals(List.of(1L, 2L), executedSeeds);
+        assertEquals(List.of(KnownRedCase.FAILURE_IGNORED + CASE_LINE), reported);
         reported.clear();
         run(CASE_LINE, Set.of());
-        assertEquals(List.of(KnownRedCase.PASSES + CASE_LINE), reported);
+        assertEquals(List.of(KnownRedCase.UNEXPECTED_PASS + CASE_LINE), reported);
     }
 
     private static int checkList(Path folder, String list, String log) throws Exception {
@@ -79,25 +79,25 @@
     }
 
     @Test
-    void anEntryThatNamesNoTestCaseFailsCi(@TempDir Path folder) throws Exception {
-        String log = KnownRedCase.PASSED_OVER + SEED_LINE + "\n";
+    void entryWithoutMatchingTestCaseFailsCi(@TempDir Path folder) throws Exception {
+        String log = KnownRedCase.FAILURE_IGNORED + SEED_LINE + "\n";
         assertEquals(0, checkList(folder, SEED_LINE + "\n", log));
         assertEquals(1, checkList(folder, SEED_LINE + "\n" + CASE_LINE + "\n", log));
         assertEquals(1, checkList(folder, CASE_LINE, ""));
     }
 
     @Test
-    void anEntryNamesOneCase() {
+    void entryMatchesExactlyOneCase() {
         KnownRedEntry entry = KnownRedEntry.parse(SEED_LINE);
-        assertTrue(entry.names("ATest", "a", KnownRedEntry.format(Arrays.asList("HANGS", 3, 0))));
+        assertTrue(entry.matches("ATest", "a", KnownRedEntry.format(Arrays.asList("HANGS", 3, 0))));
         assertEquals("null, 2", KnownRedEntry.format(Arrays.asList(null, 2)));
         assertEquals(KnownRedEntry.NONE, KnownRedEntry.format(List.of()));
-        assertTrue(!entry.names("ATest", "a", "HANGS, 10, 1"));
-        assertTrue(!entry.names("ATest", "another", "HANGS, 3, 0"));
+        assertTrue(!entry.matches("ATest", "a", "HANGS, 10, 1"));
+        assertTrue(!entry.matches("ATest", "another", "HANGS, 3, 0"));
     }
 
     @Test
-    void aLineOfAnotherFormIsRefused() {
+    void malformedLineIsRejected() {
         for (String line :
                 List.of(
                         "",
--- a/src/test/java/org/woadloom/soak/FaultSchedule.java
+++ b/src/test/java/org/woadloom/soak/FaultSchedule.java
@@ -19,38 +19,41 @@
      * @param node the node that it hits, if it hits one
      * @param variant tells its forms apart
      */
-    record Fault(FaultKind kind, long atMicros, long durationMicros, int node, int variant) {
-        long endMicros() {
-            return atMicros + durationMicros;
+    record Fault(
+            FaultKind kind, long startOffsetMicros, long durationMicros, int node, int variant) {
+        long endOffsetMicros() {
+            return startOffsetMicros + durationMicros;
         }
     }
 
     private FaultSchedule() {}
 
     /** The same seed, kinds and times give the same faults. */
-    static List<Fault> of(
+    static List<Fault> generate(
             long seed, Set<FaultKind> kinds, int nodes, long fromMicros, long untilMicros) {
         Random random = new Random(seed);
         List<FaultKind> choices = List.copyOf(kinds).stream().sorted().toList();
         List<Fault> faults = new ArrayList<>();
-        long at = fromMicros + MIN_GAP_MICROS + random.nextInt(GAP_SPREAD_MICROS);
-        while (at < untilMicros) {
-            long now = at;
+        long nextMicros = fromMicros + MIN_GAP_MICROS + random.nextInt(GAP_SPREAD_MICROS);
+        while (nextMicros < untilMicros) {
+            long startMicros = nextMicros;
             Fault fault =
                     new Fault(
                             choices.get(random.nextInt(choices.size())),
-                            at,
+                            nextMicros,
                             Math.min(
                                     MIN_DURATION_MICROS + random.nextInt(DURATION_SPREAD_MICROS),
-                                    untilMicros - at),
+                                    untilMicros - nextMicros),
                             random.nextInt(nodes),
                             random.nextInt(MAX_OVERLAPPING));
-            List<Fault> open = faults.stream().filter(other -> other.endMicros() > now).toList();
-            boolean sameKindOpen = open.stream().anyMatch(other -> other.kind() == fault.kind());
-            if (open.size() < MAX_OVERLAPPING && !sameKindOpen) {
+            List<Fault> active =
+                    faults.stream().filter(other -> other.endOffsetMicros() > startMicros).toList();
+            boolean sameKindActive =
+                    active.stream().anyMatch(other -> other.kind() == fault.kind());
+            if (active.size() < MAX_OVERLAPPING && !sameKindActive) {
                 faults.add(fault);
             }
-            at += MIN_GAP_MICROS + random.nextInt(GAP_SPREAD_MICROS);
+            nextMicros += MIN_GAP_MICROS + random.nextInt(GAP_SPREAD_MICROS);
         }
         return faults;
     }
--- a/src/test/java/org/woadloom/soak/FreePorts.java
+++ b/src/test/java/org/woadloom/soak/FreePorts.java
@@ -9,20 +9,21 @@
  * process that is to be started again must not be taken in the meantime.
  */
 final class FreePorts {
-    private static final int FIRST = 10_000;
-    private static final int COUNT = 20_000;
+    private static final int FIRST_PORT = 10_000;
+    private static final int PORT_COUNT = 20_000;
 
     /** So far apart do two drivers begin, if their process ids follow each other. */
     private static final int PORTS_PER_PROCESS = 97;
 
-    private static int next = (int) (ProcessHandle.current().pid() * PORTS_PER_PROCESS % COUNT);
+    private static int nextOffset =
+            (int) (ProcessHandle.current().pid() * PORTS_PER_PROCESS % PORT_COUNT);
 
     private FreePorts() {}
 
-    static synchronized int take() throws IOException {
-        for (int i = 0; i < COUNT; i++) {
-            int port = FIRST + next;
-            next = (next + 1) % COUNT;
+    static synchronized int allocate() throws IOException {
+        for (int i = 0; i < PORT_COUNT; i++) {
+            int port = FIRST_PORT + nextOffset;
+            nextOffset = (nextOffset + 1) % PORT_COUNT;
             if (isFree(port)) {
                 return port;
             }
--- a/src/test/java/org/woadloom/soak/LinkProxy.java
+++ b/src/test/java/org/woadloom/soak/LinkProxy.java
@@ -22,13 +22,13 @@
     enum Mode {
         OPEN,
         /** Nothing passes; it is delivered when the link is open again. */
-        HANGS,
+        BLOCKED,
         /** Requests pass, answers do not until the link is open again. */
-        ANSWERS_HANG,
+        RESPONSES_BLOCKED,
         /** Connections are closed at once. */
-        REFUSES,
+        REFUSING,
         /** Everything passes late. */
-        SLOW
+        DELAYED
     }
 
     private final ServerSocket server;
@@ -40,7 +40,7 @@
     LinkProxy(int targetPort) throws IOException {
         this.targetPort = targetPort;
         server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
-        start(this::acceptAll);
+        startThread(this::acceptAll);
     }
 
     int port() {
@@ -67,7 +67,7 @@
         reset();
     }
 
-    private static void start(Runnable task) {
+    private static void startThread(Runnable task) {
         Thread thread = new Thread(task, "soak-link");
         thread.setDaemon(true);
         thread.start();
@@ -77,10 +77,10 @@
         while (!server.isClosed()) {
             try {
                 Socket client = server.accept();
-                if (currentMode() == Mode.REFUSES) {
+                if (currentMode() == Mode.REFUSING) {
                     abort(client);
                 } else {
-                    start(() -> connect(client));
+                    startThread(() -> connectToTarget(client));
                 }
             } catch (IOException e) {
                 return;
@@ -92,7 +92,7 @@
         return mode;
     }
 
-    private void connect(Socket client) {
+    private void connectToTarget(Socket client) {
         Socket target = new Socket();
         sockets.add(client);
         sockets.add(target);
@@ -102,8 +102,8 @@
             target.connect(
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), targetPort),
                     CONNECT_TIMEOUT_MILLIS);
-            start(() -> pump(target, client, true));
-            pump(client, target, false);
+            startThread(() -> forward(target, client, true));
+            forward(client, target, false);
         } catch (IOException e) {
             abort(client);
             sockets.remove(client);
@@ -111,14 +111,14 @@
         }
     }
 
-    private void pump(Socket from, Socket to, boolean answers) {
+    private void forward(Socket from, Socket to, boolean isResponse) {
         byte[] buffer = new byte[BUFFER_BYTES];
         try {
             InputStream in = from.getInputStream();
             OutputStream out = to.getOutputStream();
             int length = in.read(buffer);
             while (length >= 0) {
-                awaitPassage(answers);
+                awaitForwarding(isResponse);
                 out.write(buffer, 0, length);
                 length = in.read(buffer);
             }
@@ -134,11 +134,12 @@
         }
     }
 
-    private synchronized void awaitPassage(boolean answers) throws InterruptedException {
-        if (mode == Mode.SLOW) {
+    private synchronized void awaitForwarding(boolean isResponse) throws InterruptedException {
+        if (mode == Mode.DELAYED) {
             wait(DELAY_MILLIS);
         }
-        while (!closed && (mode == Mode.HANGS || (answers && mode == Mode.ANSWERS_HANG))) {
+        while (!closed
+                && (mode == Mode.BLOCKED || (isResponse && mode == Mode.RESPONSES_BLOCKED))) {
             wait();
         }
     }
--- a/src/test/java/org/woadloom/soak/NodeProcess.java
+++ b/src/test/java/org/woadloom/soak/NodeProcess.java
@@ -14,7 +14,7 @@
     private final List<String> command = new ArrayList<>();
     private final Path log;
     private Process process;
-    private int unexpectedEnds;
+    private int unexpectedExits;
 
     NodeProcess(List<String> program, Path settings, Path log) {
         command.addAll(program);
@@ -42,7 +42,7 @@
             return;
         }
         if (!process.isAlive()) {
-            unexpectedEnds++;
+            unexpectedExits++;
         }
         process.destroyForcibly();
         process.waitFor(KILL_TIMEOUT_SECONDS, TimeUnit.SECONDS);
@@ -50,26 +50,26 @@
     }
 
     void pause() throws IOException, InterruptedException {
-        signal("-STOP");
+        sendSignal("-STOP");
     }
 
     void resume() throws IOException, InterruptedException {
-        signal("-CONT");
+        sendSignal("-CONT");
     }
 
-    private void signal(String name) throws IOException, InterruptedException {
+    private void sendSignal(String name) throws IOException, InterruptedException {
         if (process != null && process.isAlive()) {
             new ProcessBuilder("kill", name, Long.toString(process.pid())).start().waitFor();
         }
     }
 
     /** How often the process was found to have ended by itself. */
-    int unexpectedEnds() {
-        return unexpectedEnds + (process != null && !process.isAlive() ? 1 : 0);
+    int unexpectedExits() {
+        return unexpectedExits + (process != null && !process.isAlive() ? 1 : 0);
     }
 
     /** How many lines of its log contain the text. */
-    long logLines(String text) throws IOException {
+    long countLogLines(String text) throws IOException {
         if (!Files.exists(log)) {
             return 0;
         }
--- a/src/test/java/org/woadloom/soak/RuleChecker.java
+++ b/src/test/java/org/woadloom/soak/RuleChecker.java
@@ -5,16 +5,16 @@
 /** One rule of the protocol, checked by what can be seen from outside of the controllers. */
 abstract class RuleChecker {
     /** Receives what breaks a rule. */
-    interface Violations {
+    interface ViolationLog {
         void add(String rule, String text);
     }
 
     private final String rule;
-    private final Violations violations;
+    private final ViolationLog violations;
     protected final Map<String, SoakJob> jobs;
     private long checks;
 
-    RuleChecker(String rule, Map<String, SoakJob> jobs, Violations violations) {
+    RuleChecker(String rule, Map<String, SoakJob> jobs, ViolationLog violations) {
         this.rule = rule;
         this.jobs = jobs;
         this.violations = violations;
@@ -37,13 +37,13 @@
     }
 
     /** A user got an answer; the job's own facts are as they were before it. */
-    void onAnswer(UserAnswer answer) {}
+    void onResponse(UserResponse response) {}
 
     /** A task has its image and begins on a machine. */
     void onTaskStarted(TaskStart start) {}
 
     /** A task is not on its machine any more. */
-    void onTaskGone(String machine, String taskId) {}
+    void onTaskStopped(String machine, String taskId) {}
 
     /** Time has passed. */
     void onTick(long nowMicros) {}
--- a/src/test/java/org/woadloom/soak/RuleCheckers.java
+++ b/src/test/java/org/woadloom/soak/RuleCheckers.java
@@ -15,7 +15,7 @@
             Map<String, SoakJob> jobs,
             Map<String, Double> limits,
             long cancelMicros,
-            RuleChecker.Violations violations) {
+            RuleChecker.ViolationLog violations) {
         this.jobs = jobs;
         unanswered = new UnansweredChecker(jobs, violations);
         checkers.add(new KnownJobChecker(jobs, violations));
@@ -33,20 +33,21 @@
         return checkers;
     }
 
-    void onAnswer(UserAnswer answer) {
-        checkers.forEach(checker -> checker.onAnswer(answer));
-        SoakJob job = jobs.get(answer.jobId());
-        if (job == null || !answer.isSuccess()) {
+    void onResponse(UserResponse response) {
+        checkers.forEach(checker -> checker.onResponse(response));
+        SoakJob job = jobs.get(response.jobId());
+        if (job == null || !response.isSuccess()) {
             return;
         }
-        job.lastAnsweredMicros = answer.answeredMicros();
+        job.lastResponseMicros = response.receivedMicros();
         if (!job.isAccepted()) {
-            job.acceptedMicros = answer.answeredMicros();
+            job.acceptedMicros = response.receivedMicros();
         }
-        boolean over = "done".equals(answer.jobStatus()) || "cancelled".equals(answer.jobStatus());
-        if (over && !job.isOver()) {
-            job.toldStatus = answer.jobStatus();
-            job.toldOverMicros = answer.answeredMicros();
+        boolean isFinal =
+                "done".equals(response.jobStatus()) || "cancelled".equals(response.jobStatus());
+        if (isFinal && !job.hasFinalStatus()) {
+            job.finalStatus = response.jobStatus();
+            job.finalStatusMicros = response.receivedMicros();
         }
     }
 
@@ -54,82 +55,82 @@
         checkers.forEach(checker -> checker.onTaskStarted(start));
     }
 
-    void onTaskGone(String machine, String taskId) {
-        checkers.forEach(checker -> checker.onTaskGone(machine, taskId));
+    void onTaskStopped(String machine, String taskId) {
+        checkers.forEach(checker -> checker.onTaskStopped(machine, taskId));
     }
 
     void onTick(long nowMicros) {
         checkers.forEach(checker -> checker.onTick(nowMicros));
     }
 
-    void onFaultsOver(long nowMicros) {
-        unanswered.onFaultsOver(nowMicros);
+    void onFaultsEnded(long nowMicros) {
+        unanswered.onFaultsEnded(nowMicros);
     }
 
     /** {@code forgotten}: an accepted job is unknown or refused. */
     static final class KnownJobChecker extends RuleChecker {
-        KnownJobChecker(Map<String, SoakJob> jobs, Violations violations) {
+        KnownJobChecker(Map<String, SoakJob> jobs, ViolationLog violations) {
             super("forgotten", jobs, violations);
         }
 
         @Override
-        void onAnswer(UserAnswer answer) {
-            SoakJob job = jobs.get(answer.jobId());
-            if (job != null && job.acceptedMicros <= answer.askedMicros()) {
-                boolean unknown = answer.status() == UserAnswer.NOT_FOUND;
+        void onResponse(UserResponse response) {
+            SoakJob job = jobs.get(response.jobId());
+            if (job != null && job.acceptedMicros <= response.sentMicros()) {
+                boolean unknown = response.status() == UserResponse.NOT_FOUND;
                 boolean refused =
-                        answer.status() == UserAnswer.BAD_REQUEST
-                                || answer.status() == UserAnswer.NEVER_RUNNABLE;
-                check(!unknown && !refused, answer.toString());
+                        response.status() == UserResponse.BAD_REQUEST
+                                || response.status() == UserResponse.UNPROCESSABLE;
+                check(!unknown && !refused, response.toString());
             }
         }
     }
 
     /** {@code invented}: a job that nobody submitted is known. */
     static final class InventedJobChecker extends RuleChecker {
-        InventedJobChecker(Map<String, SoakJob> jobs, Violations violations) {
+        InventedJobChecker(Map<String, SoakJob> jobs, ViolationLog violations) {
             super("invented", jobs, violations);
         }
 
         @Override
-        void onAnswer(UserAnswer answer) {
-            if (!jobs.containsKey(answer.jobId())) {
-                check(!answer.isSuccess(), answer.toString());
+        void onResponse(UserResponse response) {
+            if (!jobs.containsKey(response.jobId())) {
+                check(!response.isSuccess(), response.toString());
             }
         }
     }
 
     /** {@code unanswered}: 75 s after all faults an accepted job has had no answer. */
     static final class UnansweredChecker extends RuleChecker {
-        static final long MAX_MICROS = 75_000_000;
-        private long faultsOverMicros = SoakJob.NEVER;
-        private boolean checked;
+        static final long RESPONSE_DEADLINE_MICROS = 75_000_000;
+        private long faultsEndedMicros = SoakJob.NEVER;
+        private boolean complete;
 
-        UnansweredChecker(Map<String, SoakJob> jobs, Violations violations) {
+        UnansweredChecker(Map<String, SoakJob> jobs, ViolationLog violations) {
             super("unanswered", jobs, violations);
         }
 
-        void onFaultsOver(long nowMicros) {
-            faultsOverMicros = nowMicros;
+        void onFaultsEnded(long nowMicros) {
+            faultsEndedMicros = nowMicros;
         }
 
         boolean isAnsweredSinceFaults(SoakJob job) {
-            return job.lastAnsweredMicros > faultsOverMicros;
+            return job.lastResponseMicros > faultsEndedMicros;
         }
 
         private boolean isDue(SoakJob job) {
-            return job.acceptedMicros < faultsOverMicros;
+            return job.acceptedMicros < faultsEndedMicros;
         }
 
         @Override
         void onTick(long nowMicros) {
-            if (checked || faultsOverMicros == SoakJob.NEVER) {
+            if (complete || faultsEndedMicros == SoakJob.NEVER) {
                 return;
             }
             List<SoakJob> due = jobs.values().stream().filter(this::isDue).toList();
             boolean allAnswered = due.stream().allMatch(this::isAnsweredSinceFaults);
-            if (allAnswered || nowMicros - faultsOverMicros >= MAX_MICROS) {
-                checked = true;
+            if (allAnswered || nowMicros - faultsEndedMicros >= RESPONSE_DEADLINE_MICROS) {
+                complete = true;
                 due.forEach(
                         job ->
                                 check(
@@ -138,47 +139,47 @@
             }
         }
 
-        boolean isChecked() {
-            return checked;
+        boolean isComplete() {
+            return complete;
         }
     }
 
     /** {@code went_back}: a status is older than what was told before the question came. */
     static final class FinalStatusChecker extends RuleChecker {
-        FinalStatusChecker(Map<String, SoakJob> jobs, Violations violations) {
+        FinalStatusChecker(Map<String, SoakJob> jobs, ViolationLog violations) {
             super("went_back", jobs, violations);
         }
 
         @Override
-        void onAnswer(UserAnswer answer) {
-            SoakJob job = jobs.get(answer.jobId());
-            if (job == null || !answer.isSuccess() || answer.jobStatus() == null) {
+        void onResponse(UserResponse response) {
+            SoakJob job = jobs.get(response.jobId());
+            if (job == null || !response.isSuccess() || response.jobStatus() == null) {
                 return;
             }
-            if (job.toldOverMicros <= answer.askedMicros()) {
-                check(job.toldStatus.equals(answer.jobStatus()), "was over: " + answer);
+            if (job.finalStatusMicros <= response.sentMicros()) {
+                check(job.finalStatus.equals(response.jobStatus()), "was over: " + response);
             }
-            if (answer.jobStatus().equals("cancelled")) {
+            if (response.jobStatus().equals("cancelled")) {
                 check(
-                        job.cancelAskedMicros <= answer.answeredMicros(),
-                        "nobody cancelled it: " + answer);
+                        job.cancelRequestedMicros <= response.receivedMicros(),
+                        "nobody cancelled it: " + response);
             }
         }
     }
 
     /** {@code not_done}: a job is called done before all of its tasks are. */
     static final class CompletionChecker extends RuleChecker {
-        CompletionChecker(Map<String, SoakJob> jobs, Violations violations) {
+        CompletionChecker(Map<String, SoakJob> jobs, ViolationLog violations) {
             super("not_done", jobs, violations);
         }
 
         @Override
-        void onAnswer(UserAnswer answer) {
-            SoakJob job = jobs.get(answer.jobId());
-            if (job != null && answer.isSuccess() && "done".equals(answer.jobStatus())) {
+        void onResponse(UserResponse response) {
+            SoakJob job = jobs.get(response.jobId());
+            if (job != null && response.isSuccess() && "done".equals(response.jobStatus())) {
                 check(
                         job.isComplete(),
-                        job.completedTasks.cardinality() + " of " + job.tasks + ": " + answer);
+                        job.completedTasks.cardinality() + " of " + job.tasks + ": " + response);
             }
         }
     }
@@ -187,18 +188,20 @@
     static final class SingleExecutionChecker extends RuleChecker {
         private final Map<String, String> machineOfTask = new HashMap<>();
 
-        SingleExecutionChecker(Map<String, SoakJob> jobs, Violations violations) {
+        SingleExecutionChecker(Map<String, SoakJob> jobs, ViolationLog violations) {
             super("ran_twice", jobs, violations);
         }
 
         @Override
         void onTaskStarted(TaskStart start) {
-            String other = machineOfTask.put(start.taskId(), start.machine().name());
-            check(other == null, start.taskId() + " on " + start.machine() + " and " + other);
+            String otherMachine = machineOfTask.put(start.taskId(), start.machine().name());
+            check(
+                    otherMachine == null,
+                    start.taskId() + " on " + start.machine() + " and " + otherMachine);
         }
 
         @Override
-        void onTaskGone(String machine, String taskId) {
+        void onTaskStopped(String machine, String taskId) {
             machineOfTask.remove(taskId, machine);
         }
     }
@@ -208,24 +211,25 @@
         private final long cancelMicros;
         private final Map<String, TaskStart> running = new HashMap<>();
 
-        CancelledTaskChecker(Map<String, SoakJob> jobs, long cancelMicros, Violations violations) {
+        CancelledTaskChecker(
+                Map<String, SoakJob> jobs, long cancelMicros, ViolationLog violations) {
             super("ran_cancelled", jobs, violations);
             this.cancelMicros = cancelMicros;
         }
 
         private boolean isOverdue(SoakJob job, long nowMicros) {
-            return "cancelled".equals(job.toldStatus)
-                    && nowMicros - job.toldOverMicros > cancelMicros;
+            return "cancelled".equals(job.finalStatus)
+                    && nowMicros - job.finalStatusMicros > cancelMicros;
         }
 
         @Override
         void onTaskStarted(TaskStart start) {
             running.put(start.taskId(), start);
-            check(!isOverdue(start.job(), start.micros()), start.toString());
+            check(!isOverdue(start.job(), start.startedMicros()), start.toString());
         }
 
         @Override
-        void onTaskGone(String machine, String taskId) {
+        void onTaskStopped(String machine, String taskId) {
             TaskStart start = running.get(taskId);
             if (start != null && start.machine().name().equals(machine)) {
                 running.remove(taskId);
@@ -241,11 +245,12 @@
 
     /** {@code quota}: a team's tasks use more than its limit. */
     static final class QuotaChecker extends RuleChecker {
-        private static final double ROUNDING = 1e-6;
+        private static final double ROUNDING_TOLERANCE = 1e-6;
         private final Map<String, Double> limits;
         private final Map<String, TaskStart> running = new HashMap<>();
 
-        QuotaChecker(Map<String, SoakJob> jobs, Map<String, Double> limits, Violations violations) {
+        QuotaChecker(
+                Map<String, SoakJob> jobs, Map<String, Double> limits, ViolationLog violations) {
             super("quota", jobs, violations);
             this.limits = limits;
         }
@@ -259,18 +264,18 @@
                             .filter(other -> other.job().team.equals(team))
                             .mapToDouble(other -> other.job().cpus)
                             .sum();
-            check(used <= limits.get(team) + ROUNDING, team + " uses " + used);
+            check(used <= limits.get(team) + ROUNDING_TOLERANCE, team + " uses " + used);
         }
 
         @Override
-        void onTaskGone(String machine, String taskId) {
+        void onTaskStopped(String machine, String taskId) {
             running.remove(machine + " " + taskId);
         }
     }
 
     /** {@code wrong_place}: a task starts where its job does not allow it. */
     static final class PlacementChecker extends RuleChecker {
-        PlacementChecker(Map<String, SoakJob> jobs, Violations violations) {
+        PlacementChecker(Map<String, SoakJob> jobs, ViolationLog violations) {
             super("wrong_place", jobs, violations);
         }
 
@@ -284,7 +289,7 @@
     }
 
     /** Whether every job that was accepted before the end of the faults was answered or judged. */
-    boolean isUnansweredRuleChecked() {
-        return unanswered.isChecked();
+    boolean isUnansweredCheckComplete() {
+        return unanswered.isComplete();
     }
 }
--- a/src/test/java/org/woadloom/soak/RuleCheckersTest.java
+++ b/src/test/java/org/woadloom/soak/RuleCheckersTest.java
@@ -8,20 +8,21 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.woadloom.soak.TaskStart.MachineFacts;
-import org.woadloom.soak.UserAnswer.Request;
+import org.woadloom.soak.TaskStart.MachineInfo;
+import org.woadloom.soak.UserResponse.Request;
 
 /** Forged histories, one for each rule, that its checker has to object to. */
 class RuleCheckersTest {
     private static final long SECOND = 1_000_000;
-    private static final long CANCEL = 30 * SECOND;
-    private static final MachineFacts IN_A = new MachineFacts("host-1", "a", false);
-    private static final MachineFacts SPOT_IN_B = new MachineFacts("host-2", "b", true);
+    private static final long CANCEL_MICROS = 30 * SECOND;
+    private static final MachineInfo MACHINE_IN_A = new MachineInfo("host-1", "a", false);
+    private static final MachineInfo SPOT_MACHINE_IN_B = new MachineInfo("host-2", "b", true);
 
     private final Map<String, SoakJob> jobs = new LinkedHashMap<>();
     private final List<String> violated = new ArrayList<>();
     private final RuleCheckers checkers =
-            new RuleCheckers(jobs, Map.of("red", 4.0), CANCEL, (rule, text) -> violated.add(rule));
+            new RuleCheckers(
+                    jobs, Map.of("red", 4.0), CANCEL_MICROS, (rule, text) -> violated.add(rule));
 
     private SoakJob job(int tasks, double cpus, String zone, boolean spotAllowed) {
         String jobId = "j-" + (jobs.size() + 1);
@@ -32,20 +33,27 @@
 
     private SoakJob acceptedJob() {
         SoakJob job = job(2, 1, null, true);
-        tell(job, Request.SUBMIT, 201, "queued", 0, SECOND);
+        respond(job, Request.SUBMIT, 201, "queued", 0, SECOND);
         return job;
     }
 
-    private void tell(
-            SoakJob job, Request request, int status, String text, long asked, long answered) {
-        checkers.onAnswer(new UserAnswer(request, job.jobId, status, text, asked, answered));
+    private void respond(
+            SoakJob job,
+            Request request,
+            int status,
+            String jobStatus,
+            long sentMicros,
+            long receivedMicros) {
+        checkers.onResponse(
+                new UserResponse(
+                        request, job.jobId, status, jobStatus, sentMicros, receivedMicros));
     }
 
-    private void poll(SoakJob job, int status, String text, long second) {
-        tell(job, Request.POLL, status, text, second * SECOND, second * SECOND + 1);
+    private void poll(SoakJob job, int status, String jobStatus, long second) {
+        respond(job, Request.POLL, status, jobStatus, second * SECOND, second * SECOND + 1);
     }
 
-    private void start(SoakJob job, int number, MachineFacts machine, long second) {
+    private void start(SoakJob job, int number, MachineInfo machine, long second) {
         checkers.onTaskStarted(
                 new TaskStart(job.jobId + "/" + number, job, machine, second * SECOND));
     }
@@ -61,38 +69,38 @@
     }
 
     @Test
-    void anHonestHistoryIsGood() {
+    void correctHistoryHasNoViolations() {
         SoakJob job = acceptedJob();
         poll(job, 503, null, 2);
-        start(job, 0, IN_A, 3);
-        start(job, 1, SPOT_IN_B, 3);
-        checkers.onTaskGone("host-1", job.jobId + "/0");
-        checkers.onTaskGone("host-2", job.jobId + "/1");
+        start(job, 0, MACHINE_IN_A, 3);
+        start(job, 1, SPOT_MACHINE_IN_B, 3);
+        checkers.onTaskStopped("host-1", job.jobId + "/0");
+        checkers.onTaskStopped("host-2", job.jobId + "/1");
         job.completedTasks.set(0, 2);
         poll(job, 200, "done", 5);
-        checkers.onFaultsOver(6 * SECOND);
+        checkers.onFaultsEnded(6 * SECOND);
         poll(job, 200, "done", 7);
         checkers.onTick(8 * SECOND);
         assertEquals(List.of(), violated);
-        assertTrue(checkers.isUnansweredRuleChecked());
+        assertTrue(checkers.isUnansweredCheckComplete());
     }
 
     @Test
-    void aForgottenJobIsFound() {
+    void unknownAcceptedJobViolatesForgotten() {
         poll(acceptedJob(), 404, null, 2);
         assertViolated("forgotten");
     }
 
     @Test
-    void anInventedJobIsFound() {
-        checkers.onAnswer(new UserAnswer(Request.POLL, "j-9", 200, "queued", 0, 1));
+    void knownUnsubmittedJobViolatesInvented() {
+        checkers.onResponse(new UserResponse(Request.POLL, "j-9", 200, "queued", 0, 1));
         assertViolated("invented");
     }
 
     @Test
-    void anUnansweredJobIsFound() {
+    void jobWithoutResponseFor75SecondsViolatesUnanswered() {
         acceptedJob();
-        checkers.onFaultsOver(10 * SECOND);
+        checkers.onFaultsEnded(10 * SECOND);
         checkers.onTick(84 * SECOND);
         assertEquals(List.of(), violated, "before 75 s");
         checkers.onTick(85 * SECOND);
@@ -100,7 +108,7 @@
     }
 
     @Test
-    void aStatusThatWentBackIsFound() {
+    void statusChangeAfterDoneViolatesWentBack() {
         SoakJob job = acceptedJob();
         job.completedTasks.set(0, 2);
         poll(job, 200, "done", 2);
@@ -109,13 +117,13 @@
     }
 
     @Test
-    void aCancellationThatNobodyAskedForIsFound() {
+    void unrequestedCancellationViolatesWentBack() {
         poll(acceptedJob(), 200, "cancelled", 2);
         assertViolated("went_back");
     }
 
     @Test
-    void aJobCalledDoneTooEarlyIsFound() {
+    void doneBeforeAllTasksCompleteViolatesNotDone() {
         SoakJob job = acceptedJob();
         job.completedTasks.set(0);
         poll(job, 200, "done", 2);
@@ -123,42 +131,42 @@
     }
 
     @Test
-    void aTaskThatRunsTwiceIsFound() {
+    void taskOnTwoMachinesViolatesRanTwice() {
         SoakJob job = acceptedJob();
-        start(job, 0, IN_A, 2);
-        start(job, 0, SPOT_IN_B, 3);
+        start(job, 0, MACHINE_IN_A, 2);
+        start(job, 0, SPOT_MACHINE_IN_B, 3);
         assertViolated("ran_twice");
     }
 
     @Test
-    void aCancelledTaskThatGoesOnIsFound() {
+    void taskRunningAfterCancelDeadlineViolatesRanCancelled() {
         SoakJob job = acceptedJob();
-        start(job, 0, IN_A, 2);
-        job.cancelAskedMicros = 3 * SECOND;
-        tell(job, Request.CANCEL, 200, "cancelled", 3 * SECOND, 4 * SECOND);
-        checkers.onTick(4 * SECOND + CANCEL);
+        start(job, 0, MACHINE_IN_A, 2);
+        job.cancelRequestedMicros = 3 * SECOND;
+        respond(job, Request.CANCEL, 200, "cancelled", 3 * SECOND, 4 * SECOND);
+        checkers.onTick(4 * SECOND + CANCEL_MICROS);
         assertEquals(List.of(), violated, "within the time of a cancellation");
-        checkers.onTick(4 * SECOND + CANCEL + 1);
+        checkers.onTick(4 * SECOND + CANCEL_MICROS + 1);
         assertViolated("ran_cancelled");
     }
 
     @Test
-    void aTeamAboveItsLimitIsFound() {
+    void teamAboveItsLimitViolatesQuota() {
         SoakJob job = job(2, 3, null, true);
-        start(job, 0, IN_A, 2);
-        start(job, 1, SPOT_IN_B, 2);
+        start(job, 0, MACHINE_IN_A, 2);
+        start(job, 1, SPOT_MACHINE_IN_B, 2);
         assertViolated("quota");
     }
 
     @Test
-    void aTaskInTheWrongZoneIsFound() {
-        start(job(1, 1, "b", true), 0, IN_A, 2);
+    void taskInWrongZoneViolatesWrongPlace() {
+        start(job(1, 1, "b", true), 0, MACHINE_IN_A, 2);
         assertViolated("wrong_place");
     }
 
     @Test
-    void aTaskOnASpotMachineThatItsJobDoesNotAllowIsFound() {
-        start(job(1, 1, null, false), 0, SPOT_IN_B, 2);
+    void taskOnDisallowedSpotMachineViolatesWrongPlace() {
+        start(job(1, 1, null, false), 0, SPOT_MACHINE_IN_B, 2);
         assertViolated("wrong_place");
     }
 }
--- a/src/test/java/org/woadloom/soak/SoakAgent.java
+++ b/src/test/java/org/woadloom/soak/SoakAgent.java
@@ -18,17 +18,17 @@
  */
 final class SoakAgent {
     static final double CPUS = 8;
-    private static final long ANSWER_TIMEOUT_MICROS = 4_000_000;
+    private static final long RESPONSE_TIMEOUT_MICROS = 4_000_000;
     private static final long RETRY_MICROS = 1_000_000;
     private static final long MIN_REPORT_INTERVAL_MICROS = 500_000;
-    private static final long LEASE_CHECK_MICROS = 100_000;
+    private static final long LEASE_CHECK_INTERVAL_MICROS = 100_000;
     private static final int MIN_FETCH_MICROS = 100_000;
     private static final int FETCH_SPREAD_MICROS = 900_000;
     private static final int CONFLICT = 409;
     private static final int REDIRECT = 421;
 
     /** What an agent needs of its surroundings. */
-    interface Surroundings {
+    interface Environment {
         SoakJob job(String jobId);
 
         List<String> nodeLabels();
@@ -38,9 +38,9 @@
 
         void onTaskStarted(TaskStart start);
 
-        void onTaskGone(String machine, String taskId);
+        void onTaskStopped(String machine, String taskId);
 
-        void onToken(long fencingToken, int node);
+        void onFencingToken(long fencingToken, int node);
     }
 
     private static final class Task {
@@ -49,7 +49,7 @@
         final double cpus;
         String status = "fetching";
         String cause;
-        boolean onMachine;
+        boolean started;
 
         Task(String taskId, long attempt, double cpus) {
             this.taskId = taskId;
@@ -60,52 +60,52 @@
 
     private final EventLoop loop;
     private final HttpTransport transport;
-    private final Surroundings surroundings;
+    private final Environment environment;
     private final Random random;
-    private final TaskStart.MachineFacts machine;
+    private final TaskStart.MachineInfo machine;
     private final String address;
-    private final long reportMicros;
+    private final long reportIntervalMicros;
     private final long leaseMicros;
     private final Map<String, Task> tasks = new LinkedHashMap<>();
-    private final List<Runnable> heldWhileHanging = new ArrayList<>();
+    private final List<Runnable> deferredWhileHung = new ArrayList<>();
     private int node;
     private long incarnation = 1;
     private long sequence;
     private long fencingToken;
-    private long renewedMicros;
+    private long leaseRenewedMicros;
     private long lastSentMicros;
-    private boolean reporting;
+    private boolean reportInFlight;
 
     /** Something changed while a report was on its way. */
-    private boolean reportsAgain;
+    private boolean changedSinceReport;
 
-    private boolean changeScheduled;
-    private boolean hangs;
-    private boolean mute;
-    private boolean gone;
+    private boolean changeReportScheduled;
+    private boolean hung;
+    private boolean muted;
+    private boolean terminated;
 
     SoakAgent(
             EventLoop loop,
             HttpTransport transport,
-            Surroundings surroundings,
+            Environment environment,
             Random random,
-            TaskStart.MachineFacts machine,
+            TaskStart.MachineInfo machine,
             String address,
-            long reportMicros,
+            long reportIntervalMicros,
             long leaseMicros) {
         this.loop = loop;
         this.transport = transport;
-        this.surroundings = surroundings;
+        this.environment = environment;
         this.random = random;
         this.machine = machine;
         this.address = address;
-        this.reportMicros = reportMicros;
+        this.reportIntervalMicros = reportIntervalMicros;
         this.leaseMicros = leaseMicros;
-        node = random.nextInt(surroundings.nodeLabels().size());
-        renewedMicros = loop.nowMicros();
+        node = random.nextInt(environment.nodeLabels().size());
+        leaseRenewedMicros = loop.nowMicros();
     }
 
-    TaskStart.MachineFacts machine() {
+    TaskStart.MachineInfo machine() {
         return machine;
     }
 
@@ -116,177 +116,180 @@
     void start() {
         scheduleReport();
         report();
-        watchLease();
+        checkLeasePeriodically();
     }
 
     void hang(long micros) {
-        hangs = true;
-        loop.schedule(micros, this::goOn);
+        hung = true;
+        loop.schedule(micros, this::resume);
     }
 
-    private void goOn() {
-        hangs = false;
+    private void resume() {
+        hung = false;
         expireLease();
-        List<Runnable> held = List.copyOf(heldWhileHanging);
-        heldWhileHanging.clear();
-        held.forEach(Runnable::run);
-        reportChange();
+        List<Runnable> deferred = List.copyOf(deferredWhileHung);
+        deferredWhileHung.clear();
+        deferred.forEach(Runnable::run);
+        scheduleChangeReport();
     }
 
     void mute(long micros) {
-        mute = true;
-        loop.schedule(micros, () -> mute = false);
+        muted = true;
+        loop.schedule(micros, () -> muted = false);
     }
 
-    void die() {
-        gone = true;
-        endAllTasks();
+    void terminate() {
+        terminated = true;
+        stopAllTasks();
     }
 
-    private void endAllTasks() {
-        List<Task> ended = List.copyOf(tasks.values());
+    private void stopAllTasks() {
+        List<Task> stopped = List.copyOf(tasks.values());
         tasks.clear();
-        ended.forEach(this::leaveMachine);
+        stopped.forEach(this::onStopped);
     }
 
-    private void leaveMachine(Task task) {
-        if (task.onMachine) {
-            task.onMachine = false;
-            surroundings.onTaskGone(machine.name(), task.taskId);
+    private void onStopped(Task task) {
+        if (task.started) {
+            task.started = false;
+            environment.onTaskStopped(machine.name(), task.taskId);
         }
     }
 
-    private void watchLease() {
-        if (!gone) {
+    private void checkLeasePeriodically() {
+        if (!terminated) {
             expireLease();
-            loop.schedule(LEASE_CHECK_MICROS, this::watchLease);
+            loop.schedule(LEASE_CHECK_INTERVAL_MICROS, this::checkLeasePeriodically);
         }
     }
 
     private void expireLease() {
-        if (loop.nowMicros() - renewedMicros > leaseMicros) {
-            endAllTasks();
+        if (loop.nowMicros() - leaseRenewedMicros > leaseMicros) {
+            stopAllTasks();
             incarnation++;
-            renewedMicros = loop.nowMicros();
-            reportChange();
+            leaseRenewedMicros = loop.nowMicros();
+            scheduleChangeReport();
         }
     }
 
     private void scheduleReport() {
-        long delay = (long) (reportMicros * (0.75 + random.nextDouble() / 2));
+        long delay = (long) (reportIntervalMicros * (0.75 + random.nextDouble() / 2));
         loop.schedule(
                 delay,
                 () -> {
-                    if (!gone) {
+                    if (!terminated) {
                         scheduleReport();
                         report();
                     }
                 });
     }
 
-    private void reportChange() {
-        if (!changeScheduled) {
-            changeScheduled = true;
+    private void scheduleChangeReport() {
+        if (!changeReportScheduled) {
+            changeReportScheduled = true;
             long earliest = lastSentMicros + MIN_REPORT_INTERVAL_MICROS - loop.nowMicros();
             loop.schedule(
                     Math.max(1_000, earliest),
                     () -> {
-                        changeScheduled = false;
+                        changeReportScheduled = false;
                         report();
                     });
         }
     }
 
     private void report() {
-        if (gone || hangs) {
+        if (terminated || hung) {
             return;
         }
-        if (reporting) {
-            reportsAgain = true;
+        if (reportInFlight) {
+            changedSinceReport = true;
             return;
         }
-        reporting = true;
-        reportsAgain = false;
+        reportInFlight = true;
+        changedSinceReport = false;
         long sentMicros = loop.nowMicros();
         long sentIncarnation = incarnation;
         lastSentMicros = sentMicros;
-        if (mute) {
-            loop.schedule(RETRY_MICROS, () -> onAnswer(sentIncarnation, sentMicros, 0, null));
+        if (muted) {
+            loop.schedule(
+                    RETRY_MICROS, () -> onReportResponse(sentIncarnation, sentMicros, 0, null));
             return;
         }
         transport.request(
-                surroundings.address(node),
+                environment.address(node),
                 "POST",
                 "/v1/report",
                 Cbor.encode(status()),
-                ANSWER_TIMEOUT_MICROS,
-                (status, body) -> onAnswer(sentIncarnation, sentMicros, status, body));
+                RESPONSE_TIMEOUT_MICROS,
+                (status, body) -> onReportResponse(sentIncarnation, sentMicros, status, body));
     }
 
-    private void onAnswer(long sentIncarnation, long sentMicros, int status, byte[] body) {
-        reporting = false;
-        if (gone || hangs) {
+    private void onReportResponse(long sentIncarnation, long sentMicros, int status, byte[] body) {
+        reportInFlight = false;
+        if (terminated || hung) {
             return;
         }
-        if (reportsAgain) {
-            reportChange();
+        if (changedSinceReport) {
+            scheduleChangeReport();
         }
-        Map<String, Object> answer = decode(body);
-        if (status == UserAnswer.OK) {
-            accept(sentIncarnation, sentMicros, answer);
-        } else if (status == REDIRECT && answer.get("overseer") instanceof String leader) {
-            int named = surroundings.nodeLabels().indexOf(leader);
-            boolean other = named >= 0 && named != node;
-            node = other ? named : next();
-            loop.schedule(other ? MIN_REPORT_INTERVAL_MICROS / 2 : RETRY_MICROS, this::report);
+        Map<String, Object> response = decode(body);
+        if (status == UserResponse.OK) {
+            onReportAccepted(sentIncarnation, sentMicros, response);
+        } else if (status == REDIRECT && response.get("overseer") instanceof String leader) {
+            int leaderNode = environment.nodeLabels().indexOf(leader);
+            boolean isOtherNode = leaderNode >= 0 && leaderNode != node;
+            node = isOtherNode ? leaderNode : nextNode();
+            loop.schedule(
+                    isOtherNode ? MIN_REPORT_INTERVAL_MICROS / 2 : RETRY_MICROS, this::report);
         } else {
-            node = next();
+            node = nextNode();
             loop.schedule(RETRY_MICROS, this::report);
         }
     }
 
-    private int next() {
-        return (node + 1) % surroundings.nodeLabels().size();
+    private int nextNode() {
+        return (node + 1) % environment.nodeLabels().size();
     }
 
-    private void accept(long sentIncarnation, long sentMicros, Map<String, Object> answer) {
-        long token = answer.get("epoch") instanceof Long number ? number : -1;
+    private void onReportAccepted(
+            long sentIncarnation, long sentMicros, Map<String, Object> response) {
+        long token = response.get("epoch") instanceof Long number ? number : -1;
         if (sentIncarnation != incarnation || token < fencingToken) {
             return;
         }
-        raiseToken(token);
-        renewedMicros = Math.max(renewedMicros, sentMicros);
-        execute((List<?>) answer.get("orders"));
+        raiseFencingToken(token);
+        leaseRenewedMicros = Math.max(leaseRenewedMicros, sentMicros);
+        execute((List<?>) response.get("orders"));
     }
 
-    private void raiseToken(long token) {
+    private void raiseFencingToken(long token) {
         if (token > fencingToken) {
             fencingToken = token;
-            surroundings.onToken(token, node);
+            environment.onFencingToken(token, node);
         }
     }
 
     /** Answers a direct command, later if the machine hangs. */
-    void direct(Map<String, Object> command, DirectAnswer answer) {
-        if (hangs) {
-            heldWhileHanging.add(() -> direct(command, answer));
+    void onDirectCommand(Map<String, Object> command, ResponseCallback callback) {
+        if (hung) {
+            deferredWhileHung.add(() -> onDirectCommand(command, callback));
             return;
         }
         if (!(command.get("epoch") instanceof Long token)
-                || !(command.get("tenure") instanceof Long expected)) {
-            answer.answer(UserAnswer.BAD_REQUEST, Map.of());
-        } else if (gone || token < fencingToken || expected != incarnation) {
-            answer.answer(CONFLICT, status());
+                || !(command.get("tenure") instanceof Long expectedIncarnation)) {
+            callback.respond(UserResponse.BAD_REQUEST, Map.of());
+        } else if (terminated || token < fencingToken || expectedIncarnation != incarnation) {
+            callback.respond(CONFLICT, status());
         } else {
-            raiseToken(token);
+            raiseFencingToken(token);
             execute((List<?>) command.get("orders"));
-            answer.answer(UserAnswer.OK, status());
+            callback.respond(UserResponse.OK, status());
         }
     }
 
     /** Receives the answer to a direct command. */
-    interface DirectAnswer {
-        void answer(int status, Map<String, Object> body);
+    interface ResponseCallback {
+        void respond(int status, Map<String, Object> body);
     }
 
     Map<String, Object> status() {
@@ -300,9 +303,9 @@
         map.put("tick", ++sequence);
         map.put("epoch", fencingToken);
         map.put("warningS", null);
-        List<Object> listed = new ArrayList<>();
-        tasks.values().forEach(task -> listed.add(statusOf(task)));
-        map.put("shards", listed);
+        List<Object> taskStatuses = new ArrayList<>();
+        tasks.values().forEach(task -> taskStatuses.add(statusOf(task)));
+        map.put("shards", taskStatuses);
         return map;
     }
 
@@ -329,7 +332,7 @@
             }
         }
         if (!commands.isEmpty()) {
-            reportChange();
+            scheduleChangeReport();
         }
     }
 
@@ -339,22 +342,22 @@
             return;
         }
         int slash = taskId.indexOf('/');
-        SoakJob job = surroundings.job(taskId.substring(0, slash));
+        SoakJob job = environment.job(taskId.substring(0, slash));
         Task task = new Task(taskId, attempt, job == null ? 0 : job.cpus);
-        boolean busy = liveTasks().anyMatch(other -> other.taskId.equals(taskId));
-        double used = liveTasks().mapToDouble(other -> other.cpus).sum();
+        boolean alreadyLive = liveTasks().anyMatch(other -> other.taskId.equals(taskId));
+        double usedCpus = liveTasks().mapToDouble(other -> other.cpus).sum();
         tasks.put(key, task);
         if (job == null) {
-            exit(task, "unknown");
-        } else if (busy) {
-            exit(task, "busy");
-        } else if (used + job.cpus > CPUS) {
-            exit(task, "no_room");
+            exitTask(task, "unknown");
+        } else if (alreadyLive) {
+            exitTask(task, "busy");
+        } else if (usedCpus + job.cpus > CPUS) {
+            exitTask(task, "no_room");
         } else {
             int fetchMicros = MIN_FETCH_MICROS + random.nextInt(FETCH_SPREAD_MICROS);
             loop.schedule(
                     fetchMicros,
-                    () -> run(key, task, job, Integer.parseInt(taskId.substring(slash + 1))));
+                    () -> startTask(key, task, job, Integer.parseInt(taskId.substring(slash + 1))));
         }
     }
 
@@ -363,35 +366,35 @@
     }
 
     @SuppressWarnings("ReferenceEquality") // Another attempt may have taken its place.
-    private void run(String key, Task task, SoakJob job, int number) {
+    private void startTask(String key, Task task, SoakJob job, int taskIndex) {
         if (tasks.get(key) != task || task.cause != null) {
             return;
         }
         task.status = "running";
-        task.onMachine = true;
-        surroundings.onTaskStarted(new TaskStart(task.taskId, job, machine, loop.nowMicros()));
-        reportChange();
+        task.started = true;
+        environment.onTaskStarted(new TaskStart(task.taskId, job, machine, loop.nowMicros()));
+        scheduleChangeReport();
         if (!job.service) {
-            long left = job.completedTasks.get(number) ? 1 : job.runMicros;
-            loop.schedule(left, () -> complete(key, task, job, number));
+            long remainingMicros = job.completedTasks.get(taskIndex) ? 1 : job.taskDurationMicros;
+            loop.schedule(remainingMicros, () -> completeTask(key, task, job, taskIndex));
         }
     }
 
     @SuppressWarnings("ReferenceEquality") // Another attempt may have taken its place.
-    private void complete(String key, Task task, SoakJob job, int number) {
-        if (hangs) {
-            heldWhileHanging.add(() -> complete(key, task, job, number));
+    private void completeTask(String key, Task task, SoakJob job, int taskIndex) {
+        if (hung) {
+            deferredWhileHung.add(() -> completeTask(key, task, job, taskIndex));
         } else if (tasks.get(key) == task && task.cause == null) {
-            job.completedTasks.set(number);
-            exit(task, "done");
-            reportChange();
+            job.completedTasks.set(taskIndex);
+            exitTask(task, "done");
+            scheduleChangeReport();
         }
     }
 
     private void halt(String taskId, long attempt) {
         Task task = tasks.get(taskId + " " + attempt);
         if (task != null && task.cause == null) {
-            exit(task, "halted");
+            exitTask(task, "halted");
         }
     }
 
@@ -402,10 +405,10 @@
         }
     }
 
-    private void exit(Task task, String cause) {
+    private void exitTask(Task task, String cause) {
         task.status = "exited";
         task.cause = cause;
-        leaveMachine(task);
+        onStopped(task);
     }
 
     private static Map<String, Object> decode(byte[] body) {
--- a/src/test/java/org/woadloom/soak/SoakCloud.java
+++ b/src/test/java/org/woadloom/soak/SoakCloud.java
@@ -21,20 +21,20 @@
     private static final int LIST_LAG_SPREAD_MICROS = 3_000_000;
 
     /** Makes the agent of a machine that is up. */
-    interface Boot {
-        SoakAgent boot(TaskStart.MachineFacts machine);
+    interface AgentFactory {
+        SoakAgent create(TaskStart.MachineInfo machine);
 
         /** Where the machine's agent takes direct commands. */
         String address(String machine);
     }
 
     /** A machine; its agent is null while it boots. */
-    private static final class Rented {
-        final TaskStart.MachineFacts facts;
+    private static final class RentedMachine {
+        final TaskStart.MachineInfo facts;
         SoakAgent agent;
         boolean failed;
 
-        Rented(TaskStart.MachineFacts facts) {
+        RentedMachine(TaskStart.MachineInfo facts) {
             this.facts = facts;
         }
     }
@@ -42,27 +42,27 @@
     private final EventLoop loop;
     private final Random random;
     private final int capacity;
-    private final Boot boot;
-    private final Map<String, Rented> machines = new LinkedHashMap<>();
-    private final Map<String, List<Object>> claims = new LinkedHashMap<>();
-    private List<Object> listed = List.of();
-    private int created;
-    private double tokens;
-    private long tokensMicros;
-
-    SoakCloud(EventLoop loop, Random random, int capacity, Boot boot) {
+    private final AgentFactory agentFactory;
+    private final Map<String, RentedMachine> machines = new LinkedHashMap<>();
+    private final Map<String, List<Object>> machinesByClaim = new LinkedHashMap<>();
+    private List<Object> listedMachines = List.of();
+    private int createdCount;
+    private double requestTokens;
+    private long requestTokensMicros;
+
+    SoakCloud(EventLoop loop, Random random, int capacity, AgentFactory agentFactory) {
         this.loop = loop;
         this.random = random;
         this.capacity = capacity;
-        this.boot = boot;
+        this.agentFactory = agentFactory;
     }
 
-    void start() {
+    void publishListPeriodically() {
         List<Object> snapshot = new ArrayList<>();
-        machines.forEach((name, machine) -> snapshot.add(item(machine)));
-        int lag = MIN_LIST_LAG_MICROS + random.nextInt(LIST_LAG_SPREAD_MICROS);
-        loop.schedule(lag, () -> listed = snapshot);
-        loop.schedule(SNAPSHOT_INTERVAL_MICROS, this::start);
+        machines.forEach((name, machine) -> snapshot.add(describe(machine)));
+        int lagMicros = MIN_LIST_LAG_MICROS + random.nextInt(LIST_LAG_SPREAD_MICROS);
+        loop.schedule(lagMicros, () -> listedMachines = snapshot);
+        loop.schedule(SNAPSHOT_INTERVAL_MICROS, this::publishListPeriodically);
     }
 
     /** The agents of the machines that are up. */
@@ -73,15 +73,15 @@
                 .toList();
     }
 
-    void fail(SoakAgent agent) {
+    void failMachine(SoakAgent agent) {
         machines.get(agent.machine().name()).failed = true;
-        agent.die();
+        agent.terminate();
     }
 
-    private Map<String, Object> item(Rented machine) {
+    private Map<String, Object> describe(RentedMachine machine) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("uid", machine.facts.name());
-        map.put("addr", boot.address(machine.facts.name()));
+        map.put("addr", agentFactory.address(machine.facts.name()));
         map.put("hosttype", "m8");
         map.put("yard", machine.facts.zone());
         map.put("reclaimable", machine.facts.spot());
@@ -93,7 +93,7 @@
 
     void handle(
             String method, String path, Map<String, Object> body, SimulatedStore.Answer answer) {
-        if (!takeToken()) {
+        if (!takeRequestToken()) {
             answer.answer(TOO_MANY_REQUESTS, Map.of("error", "too many requests"));
         } else if (path.equals("/machine_types")) {
             answer.answer(OK, Map.of("hosttypes", List.of(machineType())));
@@ -107,15 +107,15 @@
         }
     }
 
-    private boolean takeToken() {
+    private boolean takeRequestToken() {
         long now = loop.nowMicros();
-        double refilled = (now - tokensMicros) * REQUESTS_PER_SECOND / 1e6;
-        tokens = Math.min(2 * REQUESTS_PER_SECOND, tokens + refilled);
-        tokensMicros = now;
-        if (tokens < 1) {
+        double refilled = (now - requestTokensMicros) * REQUESTS_PER_SECOND / 1e6;
+        requestTokens = Math.min(2 * REQUESTS_PER_SECOND, requestTokens + refilled);
+        requestTokensMicros = now;
+        if (requestTokens < 1) {
             return false;
         }
-        tokens--;
+        requestTokens--;
         return true;
     }
 
@@ -135,20 +135,20 @@
     }
 
     private Map<String, Object> page(String path) {
-        String since = parameter(path, "since");
-        int most = Integer.parseInt(parameter(path, "most"));
-        List<Object> after =
-                listed.stream()
+        String lastName = queryParameter(path, "since");
+        int pageSize = Integer.parseInt(queryParameter(path, "most"));
+        List<Object> remaining =
+                listedMachines.stream()
                         .filter(
                                 item ->
-                                        ((String) ((Map<?, ?>) item).get("uid")).compareTo(since)
+                                        ((String) ((Map<?, ?>) item).get("uid")).compareTo(lastName)
                                                 > 0)
                         .toList();
-        boolean more = after.size() > most;
-        return Map.of("hosts", more ? after.subList(0, most) : after, "more", more);
+        boolean more = remaining.size() > pageSize;
+        return Map.of("hosts", more ? remaining.subList(0, pageSize) : remaining, "more", more);
     }
 
-    private static String parameter(String path, String name) {
+    private static String queryParameter(String path, String name) {
         for (String part : path.substring(path.indexOf('?') + 1).split("&")) {
             if (part.startsWith(name + "=")) {
                 return part.substring(name.length() + 1);
@@ -158,34 +158,34 @@
     }
 
     private void delete(Object host) {
-        Rented machine = machines.remove(host);
+        RentedMachine machine = machines.remove(host);
         if (machine != null && machine.agent != null) {
-            machine.agent.die();
+            machine.agent.terminate();
         }
     }
 
     private void rent(Map<String, Object> body, SimulatedStore.Answer answer) {
         String claim = (String) body.get("claim");
-        List<Object> hosts = claims.get(claim);
-        if (hosts == null) {
-            hosts = new ArrayList<>();
+        List<Object> names = machinesByClaim.get(claim);
+        if (names == null) {
+            names = new ArrayList<>();
             for (long i = 0; i < (Long) body.get("count") && machines.size() < capacity; i++) {
-                hosts.add(create(body));
+                names.add(createMachine(body));
             }
-            if (hosts.isEmpty()) {
+            if (names.isEmpty()) {
                 answer.answer(UNAVAILABLE, Map.of("error", "no capacity"));
                 return;
             }
-            claims.put(claim, hosts);
+            machinesByClaim.put(claim, names);
         }
-        answer.answer(OK, Map.of("hosts", hosts));
+        answer.answer(OK, Map.of("hosts", names));
     }
 
-    private String create(Map<String, Object> body) {
-        String name = String.format("host-%06d", ++created);
-        Rented machine =
-                new Rented(
-                        new TaskStart.MachineFacts(
+    private String createMachine(Map<String, Object> body) {
+        String name = String.format("host-%06d", ++createdCount);
+        RentedMachine machine =
+                new RentedMachine(
+                        new TaskStart.MachineInfo(
                                 name,
                                 (String) body.get("yard"),
                                 (Boolean) body.get("reclaimable")));
@@ -196,9 +196,9 @@
     }
 
     @SuppressWarnings("ReferenceEquality") // Names are not used again.
-    private void bootUnlessDeleted(Rented machine) {
+    private void bootUnlessDeleted(RentedMachine machine) {
         if (machines.get(machine.facts.name()) == machine) {
-            machine.agent = boot.boot(machine.facts);
+            machine.agent = agentFactory.create(machine.facts);
             machine.agent.start();
         }
     }
--- a/src/test/java/org/woadloom/soak/SoakCommand.java
+++ b/src/test/java/org/woadloom/soak/SoakCommand.java
@@ -24,20 +24,20 @@
             out.println("soak: " + e.getMessage());
             return USAGE;
         }
-        boolean good = true;
+        boolean allPassed = true;
         for (long seed : options.seeds()) {
-            good &= play(out, options, seed);
+            allPassed &= runSeed(out, options, seed);
         }
-        return good ? 0 : FAILED;
+        return allPassed ? 0 : FAILED;
     }
 
     /** Prints the report and, for a run that failed, how to repeat it and where the logs are. */
-    static boolean play(PrintStream out, SoakOptions options, long seed)
+    static boolean runSeed(PrintStream out, SoakOptions options, long seed)
             throws IOException, InterruptedException {
         try (SoakRun run = new SoakRun(options, seed)) {
-            SoakReport report = run.play();
+            SoakReport report = run.execute();
             out.println(report);
-            if (report.isGood()) {
+            if (report.passed()) {
                 return true;
             }
             report.violations().forEach(violation -> out.println("  " + violation));
--- a/src/test/java/org/woadloom/soak/SoakJob.java
+++ b/src/test/java/org/woadloom/soak/SoakJob.java
@@ -16,18 +16,18 @@
     final double cpus;
     final String zone;
     final boolean spotAllowed;
-    final long runMicros;
+    final long taskDurationMicros;
     final BitSet completedTasks = new BitSet();
     long acceptedMicros = NEVER;
-    long cancelAskedMicros = NEVER;
+    long cancelRequestedMicros = NEVER;
 
     /** When users were first told that it is over, and how. */
-    long toldOverMicros = NEVER;
+    long finalStatusMicros = NEVER;
 
-    String toldStatus;
+    String finalStatus;
 
     /** The question that was answered last, by when it was answered. */
-    long lastAnsweredMicros = -1;
+    long lastResponseMicros = -1;
 
     SoakJob(
             String jobId,
@@ -37,7 +37,7 @@
             double cpus,
             String zone,
             boolean spotAllowed,
-            long runMicros) {
+            long taskDurationMicros) {
         this.jobId = jobId;
         this.team = team;
         this.service = service;
@@ -45,15 +45,15 @@
         this.cpus = cpus;
         this.zone = zone;
         this.spotAllowed = spotAllowed;
-        this.runMicros = runMicros;
+        this.taskDurationMicros = taskDurationMicros;
     }
 
     boolean isAccepted() {
         return acceptedMicros != NEVER;
     }
 
-    boolean isOver() {
-        return toldStatus != null;
+    boolean hasFinalStatus() {
+        return finalStatus != null;
     }
 
     boolean isComplete() {
@@ -78,7 +78,7 @@
         map.put("samePlace", false);
         map.put("apart", false);
         map.put("reclaimable", spotAllowed);
-        map.put("runtimeS", service ? 0.0 : runMicros / 1e6);
+        map.put("runtimeS", service ? 0.0 : taskDurationMicros / 1e6);
         map.put("snapshotEveryS", 0.0);
         map.put("snapshotCostS", 0.0);
         map.put("dueS", null);
--- a/src/test/java/org/woadloom/soak/SoakNodes.java
+++ b/src/test/java/org/woadloom/soak/SoakNodes.java
@@ -22,7 +22,7 @@
     static final int STORE_CHANGES_PER_SECOND = 100;
 
     private final List<NodeProcess> processes = new ArrayList<>();
-    private final List<Integer> ports = new ArrayList<>();
+    private final List<Integer> servicePorts = new ArrayList<>();
     private final List<LinkProxy> storeLinks = new ArrayList<>();
     private final List<LinkProxy> cloudLinks = new ArrayList<>();
 
@@ -33,8 +33,8 @@
             throws IOException {
         List<Integer> peerPorts = new ArrayList<>();
         for (int node = 0; node < COUNT; node++) {
-            ports.add(FreePorts.take());
-            peerPorts.add(FreePorts.take());
+            servicePorts.add(FreePorts.allocate());
+            peerPorts.add(FreePorts.allocate());
         }
         for (int node = 0; node < COUNT; node++) {
             storeLinks.add(new LinkProxy(storePorts.get(node)));
@@ -59,13 +59,13 @@
         return node % 2 == 0 ? "a" : "b";
     }
 
-    private static String local(int port) {
+    private static String loopbackAddress(int port) {
         return "127.0.0.1:" + port;
     }
 
     /** Where users and agents reach a node. */
     String address(int node) {
-        return local(ports.get(node));
+        return loopbackAddress(servicePorts.get(node));
     }
 
     NodeProcess process(int node) {
@@ -123,7 +123,7 @@
             if (peer != node) {
                 peers.append("[[peers]]\nlabel = \"" + label(peer) + "\"\narea = \"" + zone(peer));
                 peers.append("\"\naddress = \"");
-                peers.append(local(peerLinks.get(node).get(peer).port()) + "\"\n");
+                peers.append(loopbackAddress(peerLinks.get(node).get(peer).port()) + "\"\n");
             }
         }
         return String.join(
@@ -131,17 +131,17 @@
                 "label = \"" + label(node) + "\"",
                 "area = \"" + zone(node) + "\"",
                 "bind = \"" + address(node) + "\"",
-                "peer_bind = \"" + local(peerPort) + "\"",
+                "peer_bind = \"" + loopbackAddress(peerPort) + "\"",
                 peers.toString(),
                 "[outside]",
-                "cloud = \"" + local(cloudLinks.get(node).port()) + "\"",
-                "state = \"" + local(storeLinks.get(node).port()) + "\"",
+                "cloud = \"" + loopbackAddress(cloudLinks.get(node).port()) + "\"",
+                "state = \"" + loopbackAddress(storeLinks.get(node).port()) + "\"",
                 "[deployment]",
                 "count = " + COUNT,
                 "zones = [\"a\", \"b\"]",
                 "clock_off_ms = 100.0",
-                team("red", RED_LIMIT),
-                team("blue", BLUE_LIMIT),
+                teamSettings("red", RED_LIMIT),
+                teamSettings("blue", BLUE_LIMIT),
                 "[deployment.workers]",
                 "report_s = " + REPORT_SECONDS,
                 "lease_s = " + LEASE_SECONDS,
@@ -161,7 +161,7 @@
                 "");
     }
 
-    private static String team(String name, double limit) {
+    private static String teamSettings(String name, double limit) {
         return String.join(
                 "\n",
                 "[[deployment.teams]]",
--- a/src/test/java/org/woadloom/soak/SoakOptions.java
+++ b/src/test/java/org/woadloom/soak/SoakOptions.java
@@ -51,10 +51,10 @@
             }
             String value = arguments[i + 1];
             switch (arguments[i]) {
-                case "--seeds" -> seeds = seeds(value);
-                case "--agents" -> agents = number(value, MAX_AGENTS);
-                case "--fault-seconds" -> faultSeconds = number(value, MAX_FAULT_SECONDS);
-                case "--faults" -> faults = faults(value);
+                case "--seeds" -> seeds = parseSeeds(value);
+                case "--agents" -> agents = parseNumber(value, MAX_AGENTS);
+                case "--fault-seconds" -> faultSeconds = parseNumber(value, MAX_FAULT_SECONDS);
+                case "--faults" -> faults = parseFaults(value);
                 default -> throw new UsageException("unknown option " + arguments[i]);
             }
         }
@@ -64,10 +64,10 @@
         return new SoakOptions(seeds, agents, faultSeconds, faults, packagedProgram(root));
     }
 
-    private static List<Long> seeds(String text) throws UsageException {
+    private static List<Long> parseSeeds(String text) throws UsageException {
         String[] bounds = text.split("-", -1);
-        int first = number(bounds[0], Integer.MAX_VALUE);
-        int last = bounds.length == 1 ? first : number(bounds[1], Integer.MAX_VALUE);
+        int first = parseNumber(bounds[0], Integer.MAX_VALUE);
+        int last = bounds.length == 1 ? first : parseNumber(bounds[1], Integer.MAX_VALUE);
         if (bounds.length > 2 || last < first) {
             throw new UsageException("no seeds in " + text);
         }
@@ -78,7 +78,7 @@
         return seeds;
     }
 
-    private static int number(String text, int max) throws UsageException {
+    private static int parseNumber(String text, int max) throws UsageException {
         try {
             int number = Integer.parseInt(text);
             if (number >= 1 && number <= max) {
@@ -90,7 +90,7 @@
         throw new UsageException("not a number from 1 to " + max + ": " + text);
     }
 
-    private static Set<FaultKind> faults(String text) throws UsageException {
+    private static Set<FaultKind> parseFaults(String text) throws UsageException {
         Set<FaultKind> faults = EnumSet.noneOf(FaultKind.class);
         for (String name : text.split(",", -1)) {
             try {
--- a/src/test/java/org/woadloom/soak/SoakReport.java
+++ b/src/test/java/org/woadloom/soak/SoakReport.java
@@ -9,11 +9,11 @@
     private final long seed;
     private final int agents;
     private final Map<FaultKind, Integer> faults = new TreeMap<>();
-    private final Map<String, Long> checks = new TreeMap<>();
+    private final Map<String, Long> checkCounts = new TreeMap<>();
     private final List<String> violations;
     private final int acceptedJobs;
     private final double recoverySeconds;
-    private final double minutes;
+    private final double durationMinutes;
 
     SoakReport(
             long seed,
@@ -23,15 +23,15 @@
             List<String> violations,
             int acceptedJobs,
             double recoverySeconds,
-            double minutes) {
+            double durationMinutes) {
         this.seed = seed;
         this.agents = agents;
         faults.forEach(fault -> this.faults.merge(fault.kind(), 1, Integer::sum));
-        checkers.forEach(checker -> checks.merge(checker.rule(), checker.checks(), Long::sum));
+        checkers.forEach(checker -> checkCounts.merge(checker.rule(), checker.checks(), Long::sum));
         this.violations = violations;
         this.acceptedJobs = acceptedJobs;
         this.recoverySeconds = recoverySeconds;
-        this.minutes = minutes;
+        this.durationMinutes = durationMinutes;
     }
 
     List<String> violations() {
@@ -40,13 +40,13 @@
 
     /** The rules that were held against nothing. */
     List<String> uncheckedRules() {
-        return checks.entrySet().stream()
+        return checkCounts.entrySet().stream()
                 .filter(entry -> entry.getValue() == 0)
                 .map(Map.Entry::getKey)
                 .toList();
     }
 
-    boolean isGood() {
+    boolean passed() {
         return violations.isEmpty() && uncheckedRules().isEmpty();
     }
 
@@ -60,9 +60,9 @@
                 faults.values().stream().mapToInt(count -> count).sum(),
                 faults,
                 acceptedJobs,
-                checks,
+                checkCounts,
                 recoverySeconds,
                 violations.size(),
-                minutes);
+                durationMinutes);
     }
 }
--- a/src/test/java/org/woadloom/soak/SoakRun.java
+++ b/src/test/java/org/woadloom/soak/SoakRun.java
@@ -40,9 +40,9 @@
     private static final int MICROS_PER_SECOND = 1_000_000;
     private static final long WARM_UP_MICROS = 8L * MICROS_PER_SECOND;
     private static final long START_TIMEOUT_MICROS = 60L * MICROS_PER_SECOND;
-    private static final long MIN_QUIET_MICROS = 8L * MICROS_PER_SECOND;
-    private static final long MAX_QUIET_MICROS =
-            RuleCheckers.UnansweredChecker.MAX_MICROS + 5L * MICROS_PER_SECOND;
+    private static final long MIN_RECOVERY_MICROS = 8L * MICROS_PER_SECOND;
+    private static final long MAX_RECOVERY_MICROS =
+            RuleCheckers.UnansweredChecker.RESPONSE_DEADLINE_MICROS + 5L * MICROS_PER_SECOND;
     private static final int TICK_MICROS = 200_000;
     private static final long POLL_MILLIS = 100;
     private static final int USER_CONNECTIONS = 400;
@@ -60,13 +60,13 @@
     private final long seed;
     private final Path directory;
     private final XnioWorker worker;
-    private final XnioIoThread thread;
-    private final DriverLoop loop;
+    private final XnioIoThread ioThread;
+    private final StoppableEventLoop loop;
     private final ByteBufferPool buffers = new DefaultByteBufferPool(true, 8192, 256, 4);
     private final Map<String, SoakJob> jobs = new LinkedHashMap<>();
     private final Map<String, SoakAgent> agentsByAddress = new LinkedHashMap<>();
     private final List<String> violations = new ArrayList<>();
-    private final List<String> labels = new ArrayList<>();
+    private final List<String> nodeLabels = new ArrayList<>();
     private final RuleCheckers checkers;
     private final SoakStore store;
     private final SoakCloud cloud;
@@ -77,9 +77,9 @@
     private final int agentPort;
     private final Undertow server;
     private final List<FaultSchedule.Fault> faults;
-    private long highestToken;
+    private long highestFencingToken;
     private int leader;
-    private long faultsOverMicros;
+    private long faultsEndedMicros;
     private long allAnsweredMicros;
 
     SoakRun(SoakOptions options, long seed) throws IOException {
@@ -93,14 +93,14 @@
                                         .set(Options.WORKER_IO_THREADS, 1)
                                         .set(Options.WORKER_TASK_CORE_THREADS, 1)
                                         .getMap());
-        thread = worker.getIoThread();
-        loop = new DriverLoop(new XnioEventLoop(thread));
+        ioThread = worker.getIoThread();
+        loop = new StoppableEventLoop(new XnioEventLoop(ioThread));
         for (int node = 0; node < SoakNodes.COUNT; node++) {
-            storePorts.add(FreePorts.take());
-            labels.add(SoakNodes.label(node));
+            storePorts.add(FreePorts.allocate());
+            nodeLabels.add(SoakNodes.label(node));
         }
-        cloudPort = FreePorts.take();
-        agentPort = FreePorts.take();
+        cloudPort = FreePorts.allocate();
+        agentPort = FreePorts.allocate();
         server = startServer();
         nodes = new SoakNodes(options.program(), directory, storePorts, cloudPort);
         checkers =
@@ -110,18 +110,18 @@
                         (long) (SoakNodes.CANCEL_SECONDS * MICROS_PER_SECOND),
                         this::onViolation);
         store = new SoakStore(loop, new Random(seed + 1), STORE_LIMITS);
-        cloud = new SoakCloud(loop, new Random(seed + 2), options.agents(), booter());
+        cloud = new SoakCloud(loop, new Random(seed + 2), options.agents(), agentFactory());
         users =
                 new SoakUsers(
                         loop,
-                        new UndertowTransport(loop, thread, buffers, USER_CONNECTIONS),
+                        new UndertowTransport(loop, ioThread, buffers, USER_CONNECTIONS),
                         new Random(seed + 3),
                         jobs,
                         nodes::address,
                         SoakNodes.COUNT,
-                        checkers::onAnswer);
+                        checkers::onResponse);
         faults =
-                FaultSchedule.of(
+                FaultSchedule.generate(
                         seed,
                         options.faults(),
                         SoakNodes.COUNT,
@@ -140,22 +140,22 @@
         }
     }
 
-    SoakReport play() throws IOException, InterruptedException {
+    SoakReport execute() throws IOException, InterruptedException {
         long startMicros = loop.nowMicros();
         for (NodeProcess process : nodes.processes()) {
             process.start();
         }
         loop.execute(
                 () -> {
-                    store.start();
-                    cloud.start();
+                    store.advanceClockPeriodically();
+                    cloud.publishListPeriodically();
                     users.start();
                     tick();
                 });
-        awaitFirstJob(startMicros);
-        long playMicros = loop.nowMicros();
-        playFaults(playMicros);
-        awaitAnswers();
+        awaitFirstAcceptedJob(startMicros);
+        long faultsStartMicros = loop.nowMicros();
+        injectFaults(faultsStartMicros);
+        awaitRecovery();
         checkProcesses();
         return onLoop(
                 () ->
@@ -166,7 +166,7 @@
                                 checkers.all(),
                                 List.copyOf(violations),
                                 (int) jobs.values().stream().filter(SoakJob::isAccepted).count(),
-                                (allAnsweredMicros - faultsOverMicros) / 1e6,
+                                (allAnsweredMicros - faultsEndedMicros) / 1e6,
                                 (loop.nowMicros() - startMicros) / 60e6));
     }
 
@@ -175,7 +175,7 @@
         loop.schedule(TICK_MICROS, this::tick);
     }
 
-    private void awaitFirstJob(long startMicros) throws InterruptedException {
+    private void awaitFirstAcceptedJob(long startMicros) throws InterruptedException {
         while (!onLoop(() -> jobs.values().stream().anyMatch(SoakJob::isAccepted))) {
             if (loop.nowMicros() - startMicros > START_TIMEOUT_MICROS) {
                 throw new IllegalStateException("no job was accepted; logs are in " + directory);
@@ -184,45 +184,46 @@
         }
     }
 
-    private void playFaults(long startMicros) throws IOException, InterruptedException {
-        List<FaultSchedule.Fault> open = new ArrayList<>();
+    private void injectFaults(long startMicros) throws IOException, InterruptedException {
+        List<FaultSchedule.Fault> active = new ArrayList<>();
         for (FaultSchedule.Fault fault : faults) {
-            endFaultsBefore(open, startMicros, fault.atMicros());
-            sleepUntil(startMicros + fault.atMicros());
-            begin(fault);
-            open.add(fault);
+            endFaultsBefore(active, startMicros, fault.startOffsetMicros());
+            sleepUntil(startMicros + fault.startOffsetMicros());
+            beginFault(fault);
+            active.add(fault);
         }
-        endFaultsBefore(open, startMicros, Long.MAX_VALUE);
-        faultsOverMicros = loop.nowMicros();
+        endFaultsBefore(active, startMicros, Long.MAX_VALUE);
+        faultsEndedMicros = loop.nowMicros();
         loop.execute(
                 () -> {
                     users.stopSubmitting();
-                    checkers.onFaultsOver(faultsOverMicros);
+                    checkers.onFaultsEnded(faultsEndedMicros);
                 });
     }
 
-    private void endFaultsBefore(List<FaultSchedule.Fault> open, long startMicros, long micros)
+    private void endFaultsBefore(
+            List<FaultSchedule.Fault> active, long startMicros, long offsetMicros)
             throws IOException, InterruptedException {
         List<FaultSchedule.Fault> due =
-                open.stream()
-                        .filter(fault -> fault.endMicros() <= micros)
-                        .sorted((a, b) -> Long.compare(a.endMicros(), b.endMicros()))
+                active.stream()
+                        .filter(fault -> fault.endOffsetMicros() <= offsetMicros)
+                        .sorted((a, b) -> Long.compare(a.endOffsetMicros(), b.endOffsetMicros()))
                         .toList();
         for (FaultSchedule.Fault fault : due) {
-            sleepUntil(startMicros + fault.endMicros());
-            end(fault);
-            open.remove(fault);
+            sleepUntil(startMicros + fault.endOffsetMicros());
+            endFault(fault);
+            active.remove(fault);
         }
     }
 
     private void sleepUntil(long micros) throws InterruptedException {
-        long leftMicros = micros - loop.nowMicros();
-        if (leftMicros > 0) {
-            TimeUnit.MICROSECONDS.sleep(leftMicros);
+        long remainingMicros = micros - loop.nowMicros();
+        if (remainingMicros > 0) {
+            TimeUnit.MICROSECONDS.sleep(remainingMicros);
         }
     }
 
-    private void begin(FaultSchedule.Fault fault) throws IOException, InterruptedException {
+    private void beginFault(FaultSchedule.Fault fault) throws IOException, InterruptedException {
         switch (fault.kind()) {
             case KILL_NODE -> nodes.process(fault.node()).kill();
             case KILL_ALL -> killAll();
@@ -230,37 +231,37 @@
             case PAUSE_NODE -> nodes.process(fault.node()).pause();
             case CUT_PEERS -> setModes(nodes.peerLinks(fault.node()), cutMode(fault));
             case CUT_STORE -> nodes.storeLink(fault.node()).setMode(cutMode(fault));
-            case CUT_CLOUD -> nodes.cloudLink(fault.node()).setMode(LinkProxy.Mode.HANGS);
+            case CUT_CLOUD -> nodes.cloudLink(fault.node()).setMode(LinkProxy.Mode.BLOCKED);
             case RESET_LINKS -> nodes.allLinks().forEach(LinkProxy::reset);
             case DELAY_LINKS -> {
-                nodes.storeLink(fault.node()).setMode(LinkProxy.Mode.SLOW);
-                setModes(nodes.peerLinks(fault.node()), LinkProxy.Mode.SLOW);
+                nodes.storeLink(fault.node()).setMode(LinkProxy.Mode.DELAYED);
+                setModes(nodes.peerLinks(fault.node()), LinkProxy.Mode.DELAYED);
             }
             case STORE_OUT -> loop.execute(() -> store.setOutage(true));
-            case STORE_REFUSES_NODE -> loop.execute(() -> store.refuse(fault.node()));
-            case STORE_LOSES_ANSWERS -> loop.execute(() -> store.setLosesAnswers(true));
-            case AGENTS_HANG -> loop.execute(() -> hitAgents(fault));
-            case AGENTS_MUTE -> loop.execute(() -> hitAgents(fault));
-            case AGENTS_DIE -> loop.execute(() -> hitAgents(fault));
+            case STORE_REFUSES_NODE -> loop.execute(() -> store.refuseNode(fault.node()));
+            case STORE_LOSES_ANSWERS -> loop.execute(() -> store.setDropsResponses(true));
+            case AGENTS_HANG -> loop.execute(() -> applyToAgents(fault));
+            case AGENTS_MUTE -> loop.execute(() -> applyToAgents(fault));
+            case AGENTS_DIE -> loop.execute(() -> applyToAgents(fault));
         }
     }
 
     private static LinkProxy.Mode cutMode(FaultSchedule.Fault fault) {
         return switch (fault.variant()) {
-            case 0 -> LinkProxy.Mode.HANGS;
-            case 1 -> LinkProxy.Mode.REFUSES;
-            default -> LinkProxy.Mode.ANSWERS_HANG;
+            case 0 -> LinkProxy.Mode.BLOCKED;
+            case 1 -> LinkProxy.Mode.REFUSING;
+            default -> LinkProxy.Mode.RESPONSES_BLOCKED;
         };
     }
 
     private static void setModes(List<LinkProxy> links, LinkProxy.Mode mode) {
         links.forEach(link -> link.setMode(mode));
-        if (mode == LinkProxy.Mode.REFUSES) {
+        if (mode == LinkProxy.Mode.REFUSING) {
             links.forEach(LinkProxy::reset);
         }
     }
 
-    private void end(FaultSchedule.Fault fault) throws IOException, InterruptedException {
+    private void endFault(FaultSchedule.Fault fault) throws IOException, InterruptedException {
         switch (fault.kind()) {
             case KILL_NODE -> restart(fault.node());
             case KILL_ALL -> {
@@ -276,8 +277,8 @@
             case CUT_STORE -> nodes.storeLink(fault.node()).setMode(LinkProxy.Mode.OPEN);
             case CUT_CLOUD -> nodes.cloudLink(fault.node()).setMode(LinkProxy.Mode.OPEN);
             case STORE_OUT -> loop.execute(() -> store.setOutage(false));
-            case STORE_REFUSES_NODE -> loop.execute(store::refuseNobody);
-            case STORE_LOSES_ANSWERS -> loop.execute(() -> store.setLosesAnswers(false));
+            case STORE_REFUSES_NODE -> loop.execute(store::acceptAllNodes);
+            case STORE_LOSES_ANSWERS -> loop.execute(() -> store.setDropsResponses(false));
             case LEADERS_IN_SERIES, RESET_LINKS, AGENTS_HANG, AGENTS_MUTE, AGENTS_DIE -> {}
         }
     }
@@ -307,27 +308,27 @@
         }
     }
 
-    private void hitAgents(FaultSchedule.Fault fault) {
-        Random random = new Random(seed + fault.atMicros());
+    private void applyToAgents(FaultSchedule.Fault fault) {
+        Random random = new Random(seed + fault.startOffsetMicros());
         for (SoakAgent agent : List.copyOf(cloud.agents())) {
             if (random.nextInt(4) == 0) {
                 switch (fault.kind()) {
                     case AGENTS_HANG -> agent.hang(fault.durationMicros());
                     case AGENTS_MUTE -> agent.mute(fault.durationMicros());
-                    default -> cloud.fail(agent);
+                    default -> cloud.failMachine(agent);
                 }
             }
         }
     }
 
-    private void awaitAnswers() throws InterruptedException {
+    private void awaitRecovery() throws InterruptedException {
         boolean checked = false;
-        while (!checked || loop.nowMicros() - faultsOverMicros < MIN_QUIET_MICROS) {
-            if (!checked && onLoop(checkers::isUnansweredRuleChecked)) {
+        while (!checked || loop.nowMicros() - faultsEndedMicros < MIN_RECOVERY_MICROS) {
+            if (!checked && onLoop(checkers::isUnansweredCheckComplete)) {
                 checked = true;
                 allAnsweredMicros = loop.nowMicros();
             }
-            if (loop.nowMicros() - faultsOverMicros > MAX_QUIET_MICROS) {
+            if (loop.nowMicros() - faultsEndedMicros > MAX_RECOVERY_MICROS) {
                 throw new IllegalStateException("the rule of 75 s was never judged");
             }
             Thread.sleep(POLL_MILLIS);
@@ -338,12 +339,14 @@
         for (int node = 0; node < SoakNodes.COUNT; node++) {
             NodeProcess process = nodes.process(node);
             String label = SoakNodes.label(node);
-            report(process.unexpectedEnds(), "process_ended", label);
-            report(process.logLines("event=invariant_violated"), "invariant_violated", label);
+            addViolationIfAny(process.unexpectedExits(), "process_ended", label);
+            addViolationIfAny(
+                    process.countLogLines("event=invariant_violated"), "invariant_violated", label);
         }
     }
 
-    private void report(long count, String rule, String node) throws InterruptedException {
+    private void addViolationIfAny(long count, String rule, String node)
+            throws InterruptedException {
         if (count > 0) {
             onLoop(() -> violations.add(rule + ": " + count + " at " + node));
         }
@@ -359,15 +362,15 @@
         }
     }
 
-    private SoakCloud.Boot booter() {
-        return new SoakCloud.Boot() {
+    private SoakCloud.AgentFactory agentFactory() {
+        return new SoakCloud.AgentFactory() {
             @Override
-            public SoakAgent boot(TaskStart.MachineFacts machine) {
+            public SoakAgent create(TaskStart.MachineInfo machine) {
                 SoakAgent agent =
                         new SoakAgent(
                                 loop,
-                                new UndertowTransport(loop, thread, buffers, 1),
-                                surroundings(),
+                                new UndertowTransport(loop, ioThread, buffers, 1),
+                                agentEnvironment(),
                                 new Random(seed + machine.name().hashCode()),
                                 machine,
                                 address(machine.name()),
@@ -390,8 +393,8 @@
         };
     }
 
-    private SoakAgent.Surroundings surroundings() {
-        return new SoakAgent.Surroundings() {
+    private SoakAgent.Environment agentEnvironment() {
+        return new SoakAgent.Environment() {
             @Override
             public SoakJob job(String jobId) {
                 return jobs.get(jobId);
@@ -399,7 +402,7 @@
 
             @Override
             public List<String> nodeLabels() {
-                return labels;
+                return nodeLabels;
             }
 
             @Override
@@ -413,14 +416,14 @@
             }
 
             @Override
-            public void onTaskGone(String machine, String taskId) {
-                checkers.onTaskGone(machine, taskId);
+            public void onTaskStopped(String machine, String taskId) {
+                checkers.onTaskStopped(machine, taskId);
             }
 
             @Override
-            public void onToken(long fencingToken, int node) {
-                if (fencingToken > highestToken) {
-                    highestToken = fencingToken;
+            public void onFencingToken(long fencingToken, int node) {
+                if (fencingToken > highestFencingToken) {
+                    highestFencingToken = fencingToken;
                     leader = node;
                 }
             }
@@ -441,14 +444,17 @@
                                                         (done, body) ->
                                                                 done.dispatch(
                                                                         SameThreadExecutor.INSTANCE,
-                                                                        () -> serve(done, body))));
+                                                                        () ->
+                                                                                handleRequest(
+                                                                                        done,
+                                                                                        body))));
         storePorts.forEach(port -> builder.addHttpListener(port, "127.0.0.1"));
         Undertow built = builder.build();
         built.start();
         return built;
     }
 
-    private void serve(HttpServerExchange exchange, byte[] bytes) {
+    private void handleRequest(HttpServerExchange exchange, byte[] bytes) {
         String query = exchange.getQueryString();
         String path = exchange.getRequestPath() + (query.isEmpty() ? "" : "?" + query);
         String method = exchange.getRequestMethod().toString();
@@ -456,14 +462,14 @@
         try {
             body = bytes.length == 0 ? Map.of() : Cbor.decodeMap(bytes);
         } catch (MalformedMessageException e) {
-            reply(exchange, UserAnswer.BAD_REQUEST, Map.of());
+            reply(exchange, UserResponse.BAD_REQUEST, Map.of());
             return;
         }
         InetSocketAddress destination = exchange.getDestinationAddress();
         int port = destination.getPort();
         if (port == agentPort) {
             String address = destination.getAddress().getHostAddress() + ":" + port;
-            serveAgent(exchange, agentsByAddress.get(address), path, body);
+            handleAgentRequest(exchange, agentsByAddress.get(address), path, body);
         } else if (port == cloudPort) {
             cloud.handle(method, path, body, (status, map) -> reply(exchange, status, map));
         } else {
@@ -472,14 +478,14 @@
         }
     }
 
-    private static void serveAgent(
+    private static void handleAgentRequest(
             HttpServerExchange exchange, SoakAgent agent, String path, Map<String, Object> body) {
         if (agent == null) {
-            reply(exchange, UserAnswer.NOT_FOUND, Map.of());
+            reply(exchange, UserResponse.NOT_FOUND, Map.of());
         } else if (path.equals("/show")) {
-            reply(exchange, UserAnswer.OK, agent.status());
+            reply(exchange, UserResponse.OK, agent.status());
         } else {
-            agent.direct(body, (status, map) -> reply(exchange, status, map));
+            agent.onDirectCommand(body, (status, map) -> reply(exchange, status, map));
         }
     }
 
--- a/src/test/java/org/woadloom/soak/SoakStore.java
+++ b/src/test/java/org/woadloom/soak/SoakStore.java
@@ -16,11 +16,11 @@
     private static final int TOO_MANY_REQUESTS = 429;
     private static final int MIN_LATENCY_MICROS = 1_000;
     private static final int LATENCY_SPREAD_MICROS = 5_000;
-    private static final int LATE_MIN_MICROS = 2_000_000;
-    private static final int LATE_SPREAD_MICROS = 8_000_000;
-    private static final int LOST_OF_HUNDRED = 30;
+    private static final int MIN_DROPPED_DELAY_MICROS = 2_000_000;
+    private static final int DROPPED_DELAY_SPREAD_MICROS = 8_000_000;
+    private static final int DROPPED_PERCENT = 30;
     private static final long CLOCK_INTERVAL_MICROS = 1_000;
-    private static final int NOBODY = -1;
+    private static final int NO_NODE = -1;
 
     private final EventLoop loop;
     private final Random random;
@@ -30,8 +30,8 @@
     private final long startMicros;
     private double requestTokens;
     private long requestTokensMicros;
-    private boolean losesAnswers;
-    private int refusedNode = NOBODY;
+    private boolean dropsResponses;
+    private int refusedNode = NO_NODE;
 
     SoakStore(EventLoop loop, Random random, ServiceSettings.Store limits) {
         this.loop = loop;
@@ -41,25 +41,25 @@
         startMicros = loop.nowMicros();
     }
 
-    void start() {
+    void advanceClockPeriodically() {
         clock.run(loop.nowMicros() - startMicros);
-        loop.schedule(CLOCK_INTERVAL_MICROS, this::start);
+        loop.schedule(CLOCK_INTERVAL_MICROS, this::advanceClockPeriodically);
     }
 
     void setOutage(boolean out) {
         store.outage(out);
     }
 
-    void setLosesAnswers(boolean loses) {
-        losesAnswers = loses;
+    void setDropsResponses(boolean drops) {
+        dropsResponses = drops;
     }
 
-    void refuse(int node) {
+    void refuseNode(int node) {
         refusedNode = node;
     }
 
-    void refuseNobody() {
-        refusedNode = NOBODY;
+    void acceptAllNodes() {
+        refusedNode = NO_NODE;
     }
 
     void handle(
@@ -69,10 +69,10 @@
             Map<String, Object> body,
             SimulatedStore.Answer answer) {
         int latency = MIN_LATENCY_MICROS + random.nextInt(LATENCY_SPREAD_MICROS);
-        loop.schedule(latency, () -> serve(node, method, path, body, answer));
+        loop.schedule(latency, () -> handleAfterLatency(node, method, path, body, answer));
     }
 
-    private void serve(
+    private void handleAfterLatency(
             int node,
             String method,
             String path,
@@ -83,17 +83,19 @@
             answer.answer(UNAVAILABLE, Map.of("error", "trouble"));
         } else if (!takeRequestToken()) {
             answer.answer(TOO_MANY_REQUESTS, Map.of("error", "too many requests"));
-        } else if (losesAnswers && path.equals("/txn") && random.nextInt(100) < LOST_OF_HUNDRED) {
-            loseAnswer(method, path, body);
+        } else if (dropsResponses && path.equals("/txn") && random.nextInt(100) < DROPPED_PERCENT) {
+            dropResponse(method, path, body);
         } else {
             store.handle(method, path, body, answer);
         }
     }
 
     /** Half of them are carried out at once, the others late. */
-    private void loseAnswer(String method, String path, Map<String, Object> body) {
+    private void dropResponse(String method, String path, Map<String, Object> body) {
         long delay =
-                random.nextBoolean() ? 1 : LATE_MIN_MICROS + random.nextInt(LATE_SPREAD_MICROS);
+                random.nextBoolean()
+                        ? 1
+                        : MIN_DROPPED_DELAY_MICROS + random.nextInt(DROPPED_DELAY_SPREAD_MICROS);
         loop.schedule(delay, () -> store.handle(method, path, body, (status, map) -> {}));
     }
 
--- a/src/test/java/org/woadloom/soak/SoakTest.java
+++ b/src/test/java/org/woadloom/soak/SoakTest.java
@@ -48,16 +48,16 @@
                         EnumSet.allOf(FaultKind.class),
                         program());
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
-        boolean good =
-                SoakCommand.play(
+        boolean passed =
+                SoakCommand.runSeed(
                         new PrintStream(printed, true, StandardCharsets.UTF_8), options, SEED);
         String report = printed.toString(StandardCharsets.UTF_8);
         System.out.println(report);
-        assertTrue(good, report);
+        assertTrue(passed, report);
     }
 
     @Test
-    void aSeedAlwaysGivesTheSameFaults() {
+    void faultScheduleDependsOnlyOnSeed() {
         List<FaultSchedule.Fault> faults = schedule(7);
         assertEquals(faults, schedule(7));
         assertTrue(faults.size() > 20, faults.size() + " faults");
@@ -65,12 +65,12 @@
     }
 
     private static List<FaultSchedule.Fault> schedule(long seed) {
-        return FaultSchedule.of(
+        return FaultSchedule.generate(
                 seed, EnumSet.allOf(FaultKind.class), SoakNodes.COUNT, 0, 120_000_000);
     }
 
     @Test
-    void aMissingPackageIsTold(@TempDir Path empty) {
+    void missingPackageIsReported(@TempDir Path empty) {
         SoakOptions.UsageException missing =
                 assertThrows(
                         SoakOptions.UsageException.class,
@@ -88,7 +88,7 @@
         "--seeds 1 --faults flood, soak: unknown fault flood",
         "--seed 1, soak: unknown option --seed"
     })
-    void wrongArgumentsAreToldInOneLine(String arguments, String expected) throws Exception {
+    void invalidArgumentsAreReportedInOneLine(String arguments, String expected) throws Exception {
         ByteArrayOutputStream printed = new ByteArrayOutputStream();
         String[] split = arguments.isEmpty() ? new String[0] : arguments.split(" ");
         int code = SoakCommand.run(new PrintStream(printed, true, StandardCharsets.UTF_8), split);
--- a/src/test/java/org/woadloom/soak/SoakUsers.java
+++ b/src/test/java/org/woadloom/soak/SoakUsers.java
@@ -9,7 +9,7 @@
 import org.woadloom.net.HttpTransport;
 import org.woadloom.protocol.Cbor;
 import org.woadloom.protocol.MalformedMessageException;
-import org.woadloom.soak.UserAnswer.Request;
+import org.woadloom.soak.UserResponse.Request;
 
 /** Users who submit, repeat, poll and cancel at all nodes, all the time. */
 final class SoakUsers {
@@ -18,14 +18,14 @@
     private static final long POLL_INTERVAL_MICROS = 2_500_000;
     private static final int RETRY_MICROS = 1_000_000;
     private static final int SUBMIT_SPREAD_MICROS = 600_000;
-    private static final int UNKNOWN_INTERVAL_MICROS = 1_000_000;
-    private static final int CANCELLED_OF_HUNDRED = 20;
-    private static final int SERVICES_OF_HUNDRED = 8;
-    private static final int BOUND_TO_ZONE_OF_HUNDRED = 20;
+    private static final int UNKNOWN_JOB_POLL_INTERVAL_MICROS = 1_000_000;
+    private static final int CANCELLED_PERCENT = 20;
+    private static final int SERVICE_PERCENT = 8;
+    private static final int ZONE_BOUND_PERCENT = 20;
     private static final int MAX_TASKS = 6;
     private static final int MAX_CPUS = 3;
-    private static final int MIN_RUN_MICROS = 500_000;
-    private static final int RUN_SPREAD_MICROS = 6_000_000;
+    private static final int MIN_TASK_DURATION_MICROS = 500_000;
+    private static final int TASK_DURATION_SPREAD_MICROS = 6_000_000;
     private static final int CANCEL_SPREAD_MICROS = 8_000_000;
     private static final List<String> TEAMS = List.of("red", "blue");
     private static final List<String> ZONES = List.of("a", "b");
@@ -36,9 +36,9 @@
     private final Map<String, SoakJob> jobs;
     private final IntFunction<String> addressOfNode;
     private final int nodes;
-    private final Consumer<UserAnswer> answers;
-    private boolean submits = true;
-    private int submitted;
+    private final Consumer<UserResponse> responseListener;
+    private boolean submitting = true;
+    private int submittedCount;
 
     SoakUsers(
             EventLoop loop,
@@ -47,62 +47,62 @@
             Map<String, SoakJob> jobs,
             IntFunction<String> addressOfNode,
             int nodes,
-            Consumer<UserAnswer> answers) {
+            Consumer<UserResponse> responseListener) {
         this.loop = loop;
         this.transport = transport;
         this.random = random;
         this.jobs = jobs;
         this.addressOfNode = addressOfNode;
         this.nodes = nodes;
-        this.answers = answers;
+        this.responseListener = responseListener;
     }
 
     void start() {
         submitNext();
-        askForUnknown();
+        pollUnknownJobs();
     }
 
     void stopSubmitting() {
-        submits = false;
+        submitting = false;
     }
 
     private void submitNext() {
-        if (!submits) {
+        if (!submitting) {
             return;
         }
-        SoakJob job = newJob();
+        SoakJob job = randomJob();
         jobs.put(job.jobId, job);
         submit(job, Cbor.encode(job.description()));
         loop.schedule(1 + random.nextInt(SUBMIT_SPREAD_MICROS), this::submitNext);
     }
 
-    private SoakJob newJob() {
-        boolean service = random.nextInt(100) < SERVICES_OF_HUNDRED;
-        boolean bound = random.nextInt(100) < BOUND_TO_ZONE_OF_HUNDRED;
+    private SoakJob randomJob() {
+        boolean service = random.nextInt(100) < SERVICE_PERCENT;
+        boolean zoneBound = random.nextInt(100) < ZONE_BOUND_PERCENT;
         return new SoakJob(
-                String.format("j-%06d", ++submitted),
+                String.format("j-%06d", ++submittedCount),
                 TEAMS.get(random.nextInt(TEAMS.size())),
                 service,
                 1 + random.nextInt(service ? 2 : MAX_TASKS),
                 service ? 0.5 : 1 + random.nextInt(MAX_CPUS),
-                bound ? ZONES.get(random.nextInt(ZONES.size())) : null,
+                zoneBound ? ZONES.get(random.nextInt(ZONES.size())) : null,
                 random.nextBoolean(),
-                MIN_RUN_MICROS + random.nextInt(RUN_SPREAD_MICROS));
+                MIN_TASK_DURATION_MICROS + random.nextInt(TASK_DURATION_SPREAD_MICROS));
     }
 
     private void submit(SoakJob job, byte[] body) {
-        ask(
+        send(
                 Request.SUBMIT,
                 "POST",
                 "/v1/jobs",
                 job.jobId,
                 body,
                 WRITE_TIMEOUT_MICROS,
-                answer -> {
-                    if (answer.isSuccess()) {
+                response -> {
+                    if (response.isSuccess()) {
                         onAccepted(job, body);
-                    } else if (answer.status() != UserAnswer.BAD_REQUEST
-                            && answer.status() != UserAnswer.NEVER_RUNNABLE) {
+                    } else if (response.status() != UserResponse.BAD_REQUEST
+                            && response.status() != UserResponse.UNPROCESSABLE) {
                         loop.schedule(
                                 RETRY_MICROS + random.nextInt(RETRY_MICROS),
                                 () -> submit(job, body));
@@ -115,7 +115,7 @@
         if (random.nextInt(4) == 0) {
             repeatSubmission(job, body);
         }
-        if (random.nextInt(100) < CANCELLED_OF_HUNDRED || job.service) {
+        if (random.nextInt(100) < CANCELLED_PERCENT || job.service) {
             loop.schedule(1 + random.nextInt(CANCEL_SPREAD_MICROS), () -> cancel(job));
         }
     }
@@ -124,27 +124,27 @@
         loop.schedule(
                 1 + random.nextInt(RETRY_MICROS),
                 () ->
-                        ask(
+                        send(
                                 Request.SUBMIT,
                                 "POST",
                                 "/v1/jobs",
                                 job.jobId,
                                 body,
                                 WRITE_TIMEOUT_MICROS,
-                                answer -> {}));
+                                response -> {}));
     }
 
     private void cancel(SoakJob job) {
-        job.cancelAskedMicros = Math.min(job.cancelAskedMicros, loop.nowMicros());
-        ask(
+        job.cancelRequestedMicros = Math.min(job.cancelRequestedMicros, loop.nowMicros());
+        send(
                 Request.CANCEL,
                 "POST",
                 "/v1/jobs/" + job.jobId + "/cancel",
                 job.jobId,
                 new byte[0],
                 WRITE_TIMEOUT_MICROS,
-                answer -> {
-                    if (!answer.isSuccess() && answer.status() != UserAnswer.NOT_FOUND) {
+                response -> {
+                    if (!response.isSuccess() && response.status() != UserResponse.NOT_FOUND) {
                         loop.schedule(
                                 RETRY_MICROS + random.nextInt(RETRY_MICROS), () -> cancel(job));
                     }
@@ -153,63 +153,63 @@
 
     /** Users may ask at any later time, so they go on when the job is over. */
     private void poll(SoakJob job) {
-        long asked = loop.nowMicros();
-        ask(
+        long sentMicros = loop.nowMicros();
+        send(
                 Request.POLL,
                 "GET",
                 "/v1/jobs/" + job.jobId,
                 job.jobId,
                 null,
                 POLL_TIMEOUT_MICROS,
-                answer ->
+                response ->
                         loop.schedule(
-                                Math.max(1, asked + POLL_INTERVAL_MICROS - loop.nowMicros()),
+                                Math.max(1, sentMicros + POLL_INTERVAL_MICROS - loop.nowMicros()),
                                 () -> poll(job)));
     }
 
-    private void askForUnknown() {
+    private void pollUnknownJobs() {
         String jobId = String.format("j-9%05d", random.nextInt(100_000));
-        ask(
+        send(
                 Request.POLL,
                 "GET",
                 "/v1/jobs/" + jobId,
                 jobId,
                 null,
                 POLL_TIMEOUT_MICROS,
-                answer -> {});
-        loop.schedule(UNKNOWN_INTERVAL_MICROS, this::askForUnknown);
+                response -> {});
+        loop.schedule(UNKNOWN_JOB_POLL_INTERVAL_MICROS, this::pollUnknownJobs);
     }
 
-    private void ask(
+    private void send(
             Request request,
             String method,
             String path,
             String jobId,
             byte[] body,
             long timeoutMicros,
-            Consumer<UserAnswer> then) {
-        long asked = loop.nowMicros();
+            Consumer<UserResponse> callback) {
+        long sentMicros = loop.nowMicros();
         transport.request(
                 addressOfNode.apply(random.nextInt(nodes)),
                 method,
                 path,
                 body,
                 timeoutMicros,
-                (status, answered) -> {
-                    UserAnswer answer =
-                            new UserAnswer(
+                (status, responseBody) -> {
+                    UserResponse response =
+                            new UserResponse(
                                     request,
                                     jobId,
                                     status,
-                                    statusIn(answered),
-                                    asked,
+                                    jobStatusIn(responseBody),
+                                    sentMicros,
                                     loop.nowMicros());
-                    answers.accept(answer);
-                    then.accept(answer);
+                    responseListener.accept(response);
+                    callback.accept(response);
                 });
     }
 
-    private static String statusIn(byte[] body) {
+    private static String jobStatusIn(byte[] body) {
         try {
             Object status =
                     body == null || body.length == 0 ? null : Cbor.decodeMap(body).get("status");
--- a/src/test/java/org/woadloom/soak/DriverLoop.java
+++ b/src/test/java/org/woadloom/soak/StoppableEventLoop.java
@@ -3,13 +3,13 @@
 import org.woadloom.net.EventLoop;
 
 /** The event loop of one run; once it is stopped, nothing more of that run is done. */
-final class DriverLoop implements EventLoop {
+final class StoppableEventLoop implements EventLoop {
     private static final Timer NO_TIMER = () -> {};
 
     private final EventLoop loop;
     private volatile boolean stopped;
 
-    DriverLoop(EventLoop loop) {
+    StoppableEventLoop(EventLoop loop) {
         this.loop = loop;
     }
 
--- a/src/test/java/org/woadloom/soak/TaskStart.java
+++ b/src/test/java/org/woadloom/soak/TaskStart.java
@@ -1,7 +1,7 @@
 package org.woadloom.soak;
 
 /** A task that begins on a machine. */
-record TaskStart(String taskId, SoakJob job, MachineFacts machine, long micros) {
+record TaskStart(String taskId, SoakJob job, MachineInfo machine, long startedMicros) {
     /** What a machine is. */
-    record MachineFacts(String name, String zone, boolean spot) {}
+    record MachineInfo(String name, String zone, boolean spot) {}
 }
--- a/src/test/java/org/woadloom/soak/UserAnswer.java
+++ b/src/test/java/org/woadloom/soak/UserResponse.java
@@ -5,18 +5,18 @@
  *
  * @param jobStatus null where the answer names none
  */
-record UserAnswer(
+record UserResponse(
         Request request,
         String jobId,
         int status,
         String jobStatus,
-        long askedMicros,
-        long answeredMicros) {
+        long sentMicros,
+        long receivedMicros) {
     static final int OK = 200;
     static final int CREATED = 201;
     static final int BAD_REQUEST = 400;
     static final int NOT_FOUND = 404;
-    static final int NEVER_RUNNABLE = 422;
+    static final int UNPROCESSABLE = 422;
 
     /** The kinds of requests. */
     enum Request {
