--- a/src/test/java/org/woadloom/architecture/ArchitectureTest.java
+++ b/src/test/java/org/woadloom/architecture/ArchitectureTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** The layers and the rules that docs/architecture.md states. */
+/** Checks the layers and dependency rules of docs/architecture.md. */
 class ArchitectureTest {
     private static final String ROOT = "org.woadloom";
 
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Jobs, machines, quota, reservations and placement are one model. It reports to the service
-     * levels, and knows nothing of what is built on it.
+     * Jobs, machines, quota, reservations and placement form one model. It may report to the
+     * service level tracking, but must not depend on the features built on it.
      */
     @Test
     void jobAndMachineModelDoesNotDependOnFeaturesBuiltOnIt() {
--- a/src/test/java/org/woadloom/docs/PagesTest.java
+++ b/src/test/java/org/woadloom/docs/PagesTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.woadloom.core.LogEvent;
 
-/** What the pages name exists, and what on-call people see in the log is explained in a page. */
+/** Checks links, code names and the list of log events in the documentation pages. */
 class PagesTest {
     private static final Path DOCS = Path.of("docs");
     private static final Path OPERATIONS = DOCS.resolve("operations.md");
@@ -28,7 +28,7 @@
     private static final List<Path> ROOT_PAGES =
             List.of(Path.of("README.md"), Path.of("CONTRIBUTING.md"), Path.of("DEVELOPERS.md"));
 
-    /** Pages whose names of types are those of the code as it is now. */
+    /** Pages in which every type, package and source path must exist in the code. */
     private static final List<Path> PAGES_WITH_CODE_NAMES =
             List.of(
                     DOCS.resolve("architecture.md"),
@@ -41,10 +41,10 @@
     private static final Pattern CODE_SPAN = Pattern.compile("`([^`\\n]+)`");
     private static final Pattern EVENT_LITERAL = Pattern.compile("\"event=([a-z_]+)");
 
-    /** The first cell of a row of the tables of log events: one name or several, in backticks. */
+    /** The first cell of a row in the tables of log events: one or more names in backticks. */
     private static final Pattern EVENT_ROW = Pattern.compile("(?m)^\\| (`[a-z_`, ]+`)[^|`]*\\|");
 
-    /** A package, a type in it, and perhaps nested types or members. */
+    /** A package and a type, optionally followed by nested types or members. */
     private static final Pattern QUALIFIED_TYPE =
             Pattern.compile("((?:[a-z][a-z0-9]*\\.)+[A-Z]\\w*)((?:\\.\\w+)*)(?:\\(.*)?");
 
@@ -87,7 +87,7 @@
         List<String> missing = new ArrayList<>();
         for (Path page : PAGES_WITH_CODE_NAMES) {
             List<String> names = codeSpans(page);
-            assertFalse(names.isEmpty(), page + " names nothing");
+            assertFalse(names.isEmpty(), page + " has no code spans");
             for (String name : names) {
                 if (!existsIfCodeName(name, sources)) {
                     missing.add(page + ": " + name);
@@ -121,7 +121,7 @@
         return hash < 0 || anchors(target).contains(link.substring(hash + 1));
     }
 
-    /** The anchors that GitHub gives the headings of a page. */
+    /** The anchors that GitHub generates for the headings of a page. */
     private static Set<String> anchors(Path page) throws IOException {
         Set<String> anchors = new TreeSet<>();
         Matcher heading = HEADING.matcher(Files.readString(page));
@@ -173,7 +173,7 @@
         return spans;
     }
 
-    /** All Java sources, as {@code /core/Scheduler.java}. */
+    /** All Java sources as paths such as {@code /core/Scheduler.java}. */
     private static Set<String> sourceFiles() throws IOException {
         Set<String> sources = new TreeSet<>();
         for (Path root : List.of(MAIN_SOURCES, TEST_SOURCES)) {
@@ -184,7 +184,7 @@
         return sources;
     }
 
-    /** False only for what reads as a type, a package of the scheduler or a source path. */
+    /** Whether a type, core package or source path exists; true for any other text. */
     private static boolean existsIfCodeName(String name, Set<String> sources) throws IOException {
         if (SOURCE_PATH.matcher(name).matches()) {
             return Files.exists(Path.of(name));
--- a/src/test/java/org/woadloom/golden/CanonicalJson.java
+++ b/src/test/java/org/woadloom/golden/CanonicalJson.java
@@ -5,20 +5,20 @@
 import java.util.TreeMap;
 
 /**
- * Wire values as JSON text of which there is only one for each value: keys sorted, no spaces, whole
- * numbers without a fraction whatever their Java type. Independent of the code that it checks.
+ * Writes wire values as canonical JSON: sorted keys, no white space, integers without a fraction
+ * whatever their Java type. Shares no code with the serializers that it is used to check.
  */
 public final class CanonicalJson {
     private CanonicalJson() {}
 
-    /** The text of a map with text keys, a list, text, a number, a boolean or null. */
+    /** Returns the JSON of a map with string keys, a list, string, number, boolean or null. */
     public static String of(Object value) {
         StringBuilder out = new StringBuilder();
         write(out, value);
         return out.toString();
     }
 
-    /** Appends the text of the value. */
+    /** Appends the JSON of the value. */
     public static void write(StringBuilder out, Object value) {
         if (value == null
                 || value instanceof Boolean
@@ -33,7 +33,9 @@
         } else if (value instanceof Map<?, ?> map) {
             writeMap(out, map);
         } else {
-            throw new IllegalArgumentException("no wire value: " + value.getClass());
+            throw new IllegalArgumentException(
+                    "expected a map, list, string, number, boolean or null, got "
+                            + value.getClass());
         }
     }
 
--- a/src/test/java/org/woadloom/golden/GoldenFile.java
+++ b/src/test/java/org/woadloom/golden/GoldenFile.java
@@ -13,34 +13,34 @@
 import java.util.Map;
 
 /**
- * Forms that must not change, as lines of a name and a text in a file under {@code
- * src/test/resources/golden}. The files were made by the code as it was before its classes and
- * fields were renamed; {@code -DgoldenRecord=true} writes them anew.
+ * Compares serialized data with a file under {@code src/test/resources/golden}, one {@code NAME =
+ * TEXT} per line, to detect changes of wire and storage formats. The files were written by the code
+ * before its classes and fields were renamed; {@code -DgoldenRecord=true} overwrites them.
  */
 public final class GoldenFile {
     private static final Path DIRECTORY = Path.of("src/test/resources/golden");
 
     private final Map<String, String> entries = new LinkedHashMap<>();
 
-    /** Adds a form that is fixed byte by byte. */
+    /** Adds an entry that must not change in any byte. */
     public void addBytes(String name, byte[] bytes) {
         addText(name, HexFormat.of().formatHex(bytes));
     }
 
-    /** Adds a value of which the order of keys says nothing. */
+    /** Adds a value in which the order of keys is irrelevant. */
     public void addValue(String name, Object value) {
         addText(name, CanonicalJson.of(value));
     }
 
-    /** Adds a text of one line, or of several. */
+    /** Adds a text of one or more lines. */
     public void addText(String name, String text) {
         String previous = entries.put(name, text.replace("\n", "\\n"));
         if (previous != null) {
-            throw new IllegalArgumentException(name + " stands twice");
+            throw new IllegalArgumentException("duplicate entry " + name);
         }
     }
 
-    /** Fails where a form is not as in the file, is missing there, or is only there. */
+    /** Fails if an entry differs from the file or exists only on one side. */
     public void check(String file) {
         Path path = DIRECTORY.resolve(file);
         StringBuilder content = new StringBuilder();
@@ -51,14 +51,14 @@
                 Files.createDirectories(DIRECTORY);
                 Files.writeString(path, content);
             } else {
-                assertEquals(Files.readString(path), content.toString(), "forms of " + file);
+                assertEquals(Files.readString(path), content.toString(), "content of " + file);
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
-    /** The bytes that a file holds under a name: what was written by the code that made it. */
+    /** Returns the recorded bytes of an entry of the file. */
     public static byte[] readBytes(String file, String name) throws IOException {
         List<String> lines = Files.readAllLines(DIRECTORY.resolve(file), StandardCharsets.UTF_8);
         for (String line : lines) {
@@ -66,6 +66,6 @@
                 return HexFormat.of().parseHex(line.substring(name.length() + 3));
             }
         }
-        throw new IllegalArgumentException(file + " has no " + name);
+        throw new IllegalArgumentException(file + " has no entry " + name);
     }
 }
--- a/src/test/java/org/woadloom/golden/ValueShape.java
+++ b/src/test/java/org/woadloom/golden/ValueShape.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 
 /**
- * A wire value with the names of its leaves' kinds in place of the leaves, for forms that hold
- * times and random numbers.
+ * Replaces the scalars of a wire value by their type names, for golden files of values that hold
+ * times or random numbers.
  */
 public final class ValueShape {
     private ValueShape() {}
 
-    /** The shape; that of a list is the shape of its first item. */
+    /** Returns the shape of a value; a list is represented by the shape of its first item. */
     public static Object of(Object value) {
         if (value instanceof Map<?, ?> map) {
             Map<String, Object> shape = new LinkedHashMap<>();
@@ -32,10 +32,12 @@
         if (value == null) {
             return "null";
         }
-        throw new IllegalArgumentException("no wire value: " + value);
+        throw new IllegalArgumentException(
+                "expected a map, list, string, boolean, Double, Long or null, got "
+                        + value.getClass());
     }
 
-    /** The shapes of all items of a list whose items differ in kind. */
+    /** Returns the shapes of all items, for a list whose items have different shapes. */
     public static List<Object> ofEach(List<?> list) {
         List<Object> shapes = new ArrayList<>();
         list.forEach(item -> shapes.add(of(item)));
--- a/src/test/java/org/woadloom/knownred/KnownRedCase.java
+++ b/src/test/java/org/woadloom/knownred/KnownRedCase.java
@@ -5,10 +5,10 @@
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 
-/** One test case for which KNOWN-RED.txt has entries: all but what they list is run as ever. */
+/** Runs one test case that has entries in KNOWN-RED.txt, and ignores the listed failures only. */
 final class KnownRedCase {
-    static final String FAILURE_IGNORED = "known to be red, passed over: ";
-    static final String UNEXPECTED_PASS = "known to be red, but passes now, take it off: ";
+    static final String FAILURE_IGNORED = "known failure, ignored: ";
+    static final String UNEXPECTED_PASS = "listed in KNOWN-RED.txt but passes, remove the entry: ";
 
     private final List<KnownRedEntry> entries;
     private final Consumer<String> report;
@@ -19,7 +19,7 @@
     }
 
     /**
-     * @param report is told of each entry whether it is still red
+     * @param report receives one line for each entry: whether it still fails or passes now
      */
     KnownRedCase(List<KnownRedEntry> entries, Consumer<String> report) {
         this.entries = entries;
@@ -27,11 +27,11 @@
     }
 
     /**
-     * Runs the case without the seeds that are listed, and then each of those alone.
+     * Runs the case without the listed seeds, then once with each listed seed alone.
      *
-     * @param invocation the case as JUnit would run it; it may be run once only
-     * @param rerun the same, any number of times
-     * @throws Throwable what the case fails with where it is not listed
+     * @param invocation the invocation of the case by JUnit; can be run only once
+     * @param rerun invokes the case directly; can be run any number of times
+     * @throws Throwable a failure that is not listed
      */
     void run(TestBody invocation, TestBody rerun) throws Throwable {
         Set<Long> listedSeeds =
--- a/src/test/java/org/woadloom/knownred/KnownRedEntry.java
+++ b/src/test/java/org/woadloom/knownred/KnownRedEntry.java
@@ -5,11 +5,12 @@
 
 /**
  * A line of KNOWN-RED.txt: {@code Class#method | arguments | seed | command | what was seen |
- * issue}, with {@code -} for no arguments and for no seed of {@code Seeds}.
+ * issue}, with {@code -} for no arguments and for no seed.
  *
- * @param line the line as it stands in the file
- * @param arguments of the case of a parameterized test, {@value #NONE} for any other test
- * @param seed the only one that fails, or empty where the whole case does
+ * @param line the unchanged line of the file
+ * @param arguments the arguments of the case of a parameterized test, {@value #NONE} for any other
+ *     test
+ * @param seed the seed that fails; empty if failures of the whole case are ignored
  */
 record KnownRedEntry(
         String line, String testClass, String method, String arguments, OptionalLong seed) {
@@ -20,12 +21,15 @@
         String[] fields = line.split(" \\| ", -1);
         if (fields.length != FIELDS || Arrays.stream(fields).anyMatch(String::isBlank)) {
             throw new IllegalArgumentException(
-                    "not 'Class#method | arguments | seed | command | what was seen | issue': "
+                    "expected 'Class#method | arguments | seed | command | what was seen | issue',"
+                            + " got: "
                             + line);
         }
         String[] test = fields[0].split("#", -1);
         if (test.length != 2 || !fields[2].matches("-|[0-9]+")) {
-            throw new IllegalArgumentException("no 'Class#method' or no seed: " + line);
+            throw new IllegalArgumentException(
+                    "expected 'Class#method' as first field and a seed or '-' as third, got: "
+                            + line);
         }
         OptionalLong seed =
                 fields[2].equals(NONE)
@@ -34,7 +38,7 @@
         return new KnownRedEntry(line, test[0], test[1], fields[1], seed);
     }
 
-    /** How the arguments of a case are written in the file. */
+    /** Formats the arguments of a case as in the file. */
     static String format(Iterable<?> arguments) {
         StringBuilder text = new StringBuilder();
         for (Object argument : arguments) {
--- a/src/test/java/org/woadloom/knownred/KnownRedExtension.java
+++ b/src/test/java/org/woadloom/knownred/KnownRedExtension.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.api.extension.ReflectiveInvocationContext;
 
 /**
- * Runs the test cases that KNOWN-RED.txt lists without their known failures, and writes to a log
- * which of them still fail. Off unless {@code -DknownRed=LIST} names the list, so that a listed
- * case fails for whoever runs it alone.
+ * Ignores the failures of test cases that are listed in KNOWN-RED.txt, and writes to a log which of
+ * them still fail. Enabled only by {@code -DknownRed=LIST}, the path of the list, so that a listed
+ * case still fails when it is run by hand.
  */
 public final class KnownRedExtension implements InvocationInterceptor {
     private static final String LIST_PROPERTY = "knownRed";
 
-    /** What CI compares with the list: an entry that it lacks names no test case. */
+    /** CI compares this log with the list: an entry missing in the log matches no test case. */
     private static final Path LOG = Path.of("target/known-red.log");
 
     private final List<KnownRedEntry> entries = readEntries();
--- a/src/test/java/org/woadloom/knownred/KnownRedSeeds.java
+++ b/src/test/java/org/woadloom/knownred/KnownRedSeeds.java
@@ -3,14 +3,14 @@
 import java.util.Set;
 import java.util.stream.LongStream;
 
-/** Which seeds the running test case is to play, as far as KNOWN-RED.txt lists some of them. */
+/** Restricts the seeds that the current test case runs, according to KNOWN-RED.txt. */
 public final class KnownRedSeeds {
     private static final ThreadLocal<Set<Long>> EXCLUDED = ThreadLocal.withInitial(Set::of);
     private static final ThreadLocal<Long> ONLY = new ThreadLocal<>();
 
     private KnownRedSeeds() {}
 
-    /** The seeds that the test case is to play now, of those that it would play. */
+    /** Returns those of the seeds that the test case is to run now. */
     public static long[] select(long[] seeds) {
         if (ONLY.get() != null) {
             return new long[] {ONLY.get()};
--- a/src/test/java/org/woadloom/knownred/KnownRedTest.java
+++ b/src/test/java/org/woadloom/knownred/KnownRedTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Only what KNOWN-RED.txt lists is passed over. */
+/** Checks that only failures listed in KNOWN-RED.txt are ignored. */
 class KnownRedTest {
     private static final String SEED_LINE = "ATest#a | HANGS, 3, 0 | 1 | mvn test | waits | 57";
     private static final String CASE_LINE = "ATest#a | - | - | mvn test | waits | 57";
@@ -22,7 +22,7 @@
     private final List<String> reported = new ArrayList<>();
     private final List<Long> executedSeeds = new ArrayList<>();
 
-    /** Plays the seeds 1 to 3 and fails with some of them. */
+    /** Runs the seeds 1 to 3 and fails at the first of the failing seeds. */
     private void runSeeds(Set<Long> failingSeeds) {
         for (long seed : KnownRedSeeds.select(new long[] {1, 2, 3})) {
             executedSeeds.add(seed);
--- a/src/test/java/org/woadloom/knownred/package-info.java
+++ b/src/test/java/org/woadloom/knownred/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Passes over the test cases that KNOWN-RED.txt lists, and over nothing else. Starts with {@link
- * org.woadloom.knownred.KnownRedExtension}.
+ * Lets CI ignore the known test failures listed in KNOWN-RED.txt, and no others. The entry point is
+ * {@link org.woadloom.knownred.KnownRedExtension}.
  */
 package org.woadloom.knownred;
--- a/src/test/java/org/woadloom/soak/FaultKind.java
+++ b/src/test/java/org/woadloom/soak/FaultKind.java
@@ -1,35 +1,35 @@
 package org.woadloom.soak;
 
-/** What goes wrong, one at a time or several together. */
+/** The faults that a soak run can inject; faults of different kinds may overlap. */
 enum FaultKind {
-    /** A controller is killed and started again after a fraction of a second or seconds. */
+    /** Kills one controller process and restarts it when the fault ends. */
     KILL_NODE,
-    /** All controllers are killed and started again. */
+    /** Kills all controller processes and restarts them when the fault ends. */
     KILL_ALL,
-    /** The node that leads is killed several times in a row, whichever it is then. */
+    /** Kills the current leader two to four times in a row, restarting each one after 0.3 s. */
     LEADERS_IN_SERIES,
-    /** A controller stands still and goes on. */
+    /** Suspends one controller process with SIGSTOP and resumes it with SIGCONT. */
     PAUSE_NODE,
-    /** A node's links to the other nodes hang, are refused, or hang one way. */
+    /** The links between one node and its peers block, refuse connections, or block responses. */
     CUT_PEERS,
-    /** A node's link to the store hangs, is refused, or hangs one way. */
+    /** One node's link to the store blocks, refuses connections, or blocks responses. */
     CUT_STORE,
-    /** A node's link to the cloud hangs. */
+    /** One node's link to the cloud blocks. */
     CUT_CLOUD,
-    /** All connections between nodes, store and cloud are reset. */
+    /** Resets all connections between nodes, store and cloud. */
     RESET_LINKS,
-    /** What passes a node's links is late. */
+    /** Delays all traffic between one node and its peers, and between that node and the store. */
     DELAY_LINKS,
-    /** The store refuses everybody. */
+    /** The store is unavailable to all nodes. */
     STORE_OUT,
-    /** The store refuses one node. */
+    /** The store answers 503 to all requests of one node except watch requests. */
     STORE_REFUSES_NODE,
-    /** Transactions get no answer; some are carried out seconds late. */
+    /** 30 % of transactions get no response; half of those are applied seconds late. */
     STORE_LOSES_ANSWERS,
-    /** Some machines stand still and go on. */
+    /** About a quarter of the machines hang, then resume. */
     AGENTS_HANG,
-    /** Some agents reach no controller, while direct commands reach them. */
+    /** About a quarter of the agents reach no controller, but still receive direct commands. */
     AGENTS_MUTE,
-    /** Some machines end with all that is on them. */
+    /** About a quarter of the machines fail, with all their tasks. */
     AGENTS_DIE
 }
--- a/src/test/java/org/woadloom/soak/FaultSchedule.java
+++ b/src/test/java/org/woadloom/soak/FaultSchedule.java
@@ -5,7 +5,7 @@
 import java.util.Random;
 import java.util.Set;
 
-/** The faults of one seed, in the order of their beginnings; two or three may overlap. */
+/** Generates the random faults of one seed, ordered by start; up to three may overlap. */
 final class FaultSchedule {
     private static final int MIN_GAP_MICROS = 300_000;
     private static final int GAP_SPREAD_MICROS = 2_500_000;
@@ -16,8 +16,9 @@
     /**
      * One fault.
      *
-     * @param node the node that it hits, if it hits one
-     * @param variant tells its forms apart
+     * @param startOffsetMicros when it starts, counted from the first accepted job
+     * @param node the node affected; unused by kinds that affect no single node
+     * @param variant 0 to 2, selects the form of a kind that has several
      */
     record Fault(
             FaultKind kind, long startOffsetMicros, long durationMicros, int node, int variant) {
@@ -28,7 +29,7 @@
 
     private FaultSchedule() {}
 
-    /** The same seed, kinds and times give the same faults. */
+    /** Returns the same faults for the same arguments. */
     static List<Fault> generate(
             long seed, Set<FaultKind> kinds, int nodes, long fromMicros, long untilMicros) {
         Random random = new Random(seed);
--- a/src/test/java/org/woadloom/soak/FreePorts.java
+++ b/src/test/java/org/woadloom/soak/FreePorts.java
@@ -5,14 +5,14 @@
 import java.net.ServerSocket;
 
 /**
- * Ports for listeners, below those that the system gives to outgoing connections: a port of a
- * process that is to be started again must not be taken in the meantime.
+ * Allocates listener ports below the ephemeral port range, so that no outgoing connection takes the
+ * port of a killed process before it is restarted.
  */
 final class FreePorts {
     private static final int FIRST_PORT = 10_000;
     private static final int PORT_COUNT = 20_000;
 
-    /** So far apart do two drivers begin, if their process ids follow each other. */
+    /** Distance between the first ports tried by two drivers with consecutive process ids. */
     private static final int PORTS_PER_PROCESS = 97;
 
     private static int nextOffset =
@@ -28,7 +28,8 @@
                 return port;
             }
         }
-        throw new IOException("no free port");
+        throw new IOException(
+                "no free port from " + FIRST_PORT + " to " + (FIRST_PORT + PORT_COUNT - 1));
     }
 
     private static boolean isFree(int port) {
--- a/src/test/java/org/woadloom/soak/LinkProxy.java
+++ b/src/test/java/org/woadloom/soak/LinkProxy.java
@@ -11,23 +11,23 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Passes the connections of one link on to their target, and brings the link's faults about. */
+/** A TCP proxy for one network link; forwards connections to a local port and injects faults. */
 final class LinkProxy implements Closeable {
     private static final int BUFFER_BYTES = 16_384;
     private static final int BACKLOG = 256;
     private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
     private static final int DELAY_MILLIS = 150;
 
-    /** The state of a link. */
+    /** How the proxy treats traffic. */
     enum Mode {
         OPEN,
-        /** Nothing passes; it is delivered when the link is open again. */
+        /** Forwards nothing; buffered data is delivered when the mode changes. */
         BLOCKED,
-        /** Requests pass, answers do not until the link is open again. */
+        /** Forwards requests, but holds responses back until the mode changes. */
         RESPONSES_BLOCKED,
-        /** Connections are closed at once. */
+        /** Aborts new connections at once. */
         REFUSING,
-        /** Everything passes late. */
+        /** Forwards each chunk with a delay. */
         DELAYED
     }
 
@@ -52,7 +52,7 @@
         notifyAll();
     }
 
-    /** Ends all connections, as a packet filter does that forgets them. */
+    /** Aborts all connections with a TCP reset, like a firewall that lost its connection state. */
     void reset() {
         sockets.forEach(LinkProxy::abort);
     }
@@ -148,12 +148,12 @@
         try {
             socket.setSoLinger(true, 0);
         } catch (IOException e) {
-            // It is closed already.
+            // Already closed.
         }
         try {
             socket.close();
         } catch (IOException e) {
-            // It is closed already.
+            // Already closed.
         }
     }
 }
--- a/src/test/java/org/woadloom/soak/NodeProcess.java
+++ b/src/test/java/org/woadloom/soak/NodeProcess.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** The process of one controller node: started, killed, paused and continued by its id. */
+/** The operating system process of one controller node. */
 final class NodeProcess {
     private static final long KILL_TIMEOUT_SECONDS = 10;
 
@@ -31,12 +31,12 @@
         process = builder.start();
     }
 
-    /** Whether it was started and not killed since. */
+    /** Whether the process was started and has not been killed since, even if it has exited. */
     boolean isStarted() {
         return process != null;
     }
 
-    /** Ends the process without a signal that it could handle. */
+    /** Kills the process with SIGKILL, which it cannot handle. */
     void kill() throws InterruptedException {
         if (process == null) {
             return;
@@ -63,12 +63,12 @@
         }
     }
 
-    /** How often the process was found to have ended by itself. */
+    /** How many times the process exited without being killed. */
     int unexpectedExits() {
         return unexpectedExits + (process != null && !process.isAlive() ? 1 : 0);
     }
 
-    /** How many lines of its log contain the text. */
+    /** Counts the lines of its log that contain the text. */
     long countLogLines(String text) throws IOException {
         if (!Files.exists(log)) {
             return 0;
--- a/src/test/java/org/woadloom/soak/RuleChecker.java
+++ b/src/test/java/org/woadloom/soak/RuleChecker.java
@@ -2,9 +2,9 @@
 
 import java.util.Map;
 
-/** One rule of the protocol, checked by what can be seen from outside of the controllers. */
+/** Checks one rule of the protocol, from what can be observed outside of the controllers. */
 abstract class RuleChecker {
-    /** Receives what breaks a rule. */
+    /** Records rule violations. */
     interface ViolationLog {
         void add(String rule, String text);
     }
@@ -24,7 +24,7 @@
         return rule;
     }
 
-    /** How often the rule was held against something. */
+    /** How many times the rule was evaluated. */
     final long checks() {
         return checks;
     }
@@ -36,15 +36,17 @@
         }
     }
 
-    /** A user got an answer; the job's own facts are as they were before it. */
+    /**
+     * Called for each response to a user, before the response is recorded in its {@link SoakJob}.
+     */
     void onResponse(UserResponse response) {}
 
-    /** A task has its image and begins on a machine. */
+    /** Called when a machine has fetched the image of a task and starts it. */
     void onTaskStarted(TaskStart start) {}
 
-    /** A task is not on its machine any more. */
+    /** Called when a task no longer runs on the machine. */
     void onTaskStopped(String machine, String taskId) {}
 
-    /** Time has passed. */
+    /** Called periodically. */
     void onTick(long nowMicros) {}
 }
--- a/src/test/java/org/woadloom/soak/RuleCheckers.java
+++ b/src/test/java/org/woadloom/soak/RuleCheckers.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The rules, a class each, and the facts about jobs that they share. */
+/** All rule checkers, and the updates of the observed job state that they share. */
 final class RuleCheckers {
     private final Map<String, SoakJob> jobs;
     private final List<RuleChecker> checkers = new ArrayList<>();
@@ -67,7 +67,7 @@
         unanswered.onFaultsEnded(nowMicros);
     }
 
-    /** {@code forgotten}: an accepted job is unknown or refused. */
+    /** Rule {@code forgotten}: an accepted job must not be reported as unknown or invalid. */
     static final class KnownJobChecker extends RuleChecker {
         KnownJobChecker(Map<String, SoakJob> jobs, ViolationLog violations) {
             super("forgotten", jobs, violations);
@@ -86,7 +86,7 @@
         }
     }
 
-    /** {@code invented}: a job that nobody submitted is known. */
+    /** Rule {@code invented}: a job that was never submitted must not be found. */
     static final class InventedJobChecker extends RuleChecker {
         InventedJobChecker(Map<String, SoakJob> jobs, ViolationLog violations) {
             super("invented", jobs, violations);
@@ -100,7 +100,10 @@
         }
     }
 
-    /** {@code unanswered}: 75 s after all faults an accepted job has had no answer. */
+    /**
+     * Rule {@code unanswered}: within 75 s after the last fault, every job accepted before must
+     * have had a successful response.
+     */
     static final class UnansweredChecker extends RuleChecker {
         static final long RESPONSE_DEADLINE_MICROS = 75_000_000;
         private long faultsEndedMicros = SoakJob.NEVER;
@@ -135,7 +138,9 @@
                         job ->
                                 check(
                                         isAnsweredSinceFaults(job),
-                                        job.jobId + " has had no answer for 75 s"));
+                                        job.jobId
+                                                + " has had no successful response within 75 s of"
+                                                + " the last fault"));
             }
         }
 
@@ -144,7 +149,10 @@
         }
     }
 
-    /** {@code went_back}: a status is older than what was told before the question came. */
+    /**
+     * Rule {@code went_back}: a final status must not change in responses to requests sent after it
+     * was first received, and a job must not become cancelled without a cancel request.
+     */
     static final class FinalStatusChecker extends RuleChecker {
         FinalStatusChecker(Map<String, SoakJob> jobs, ViolationLog violations) {
             super("went_back", jobs, violations);
@@ -157,17 +165,19 @@
                 return;
             }
             if (job.finalStatusMicros <= response.sentMicros()) {
-                check(job.finalStatus.equals(response.jobStatus()), "was over: " + response);
+                check(
+                        job.finalStatus.equals(response.jobStatus()),
+                        "final status was " + job.finalStatus + " before: " + response);
             }
             if (response.jobStatus().equals("cancelled")) {
                 check(
                         job.cancelRequestedMicros <= response.receivedMicros(),
-                        "nobody cancelled it: " + response);
+                        "cancelled without a cancel request: " + response);
             }
         }
     }
 
-    /** {@code not_done}: a job is called done before all of its tasks are. */
+    /** Rule {@code not_done}: a job must not be reported done before all its tasks completed. */
     static final class CompletionChecker extends RuleChecker {
         CompletionChecker(Map<String, SoakJob> jobs, ViolationLog violations) {
             super("not_done", jobs, violations);
@@ -179,12 +189,16 @@
             if (job != null && response.isSuccess() && "done".equals(response.jobStatus())) {
                 check(
                         job.isComplete(),
-                        job.completedTasks.cardinality() + " of " + job.tasks + ": " + response);
+                        job.completedTasks.cardinality()
+                                + " of "
+                                + job.tasks
+                                + " tasks completed: "
+                                + response);
             }
         }
     }
 
-    /** {@code ran_twice}: a task starts on one machine while it is on another. */
+    /** Rule {@code ran_twice}: a task must not run on two machines at the same time. */
     static final class SingleExecutionChecker extends RuleChecker {
         private final Map<String, String> machineOfTask = new HashMap<>();
 
@@ -197,7 +211,11 @@
             String otherMachine = machineOfTask.put(start.taskId(), start.machine().name());
             check(
                     otherMachine == null,
-                    start.taskId() + " on " + start.machine() + " and " + otherMachine);
+                    start.taskId()
+                            + " started on "
+                            + start.machine()
+                            + ", still runs on "
+                            + otherMachine);
         }
 
         @Override
@@ -206,7 +224,10 @@
         }
     }
 
-    /** {@code ran_cancelled}: a task is on a machine too long after its cancellation was told. */
+    /**
+     * Rule {@code ran_cancelled}: no task of a job may run later than the cancellation deadline
+     * after the job was reported cancelled.
+     */
     static final class CancelledTaskChecker extends RuleChecker {
         private final long cancelMicros;
         private final Map<String, TaskStart> running = new HashMap<>();
@@ -243,7 +264,7 @@
         }
     }
 
-    /** {@code quota}: a team's tasks use more than its limit. */
+    /** Rule {@code quota}: the tasks of a team must not use more CPUs than the team's limit. */
     static final class QuotaChecker extends RuleChecker {
         private static final double ROUNDING_TOLERANCE = 1e-6;
         private final Map<String, Double> limits;
@@ -264,7 +285,9 @@
                             .filter(other -> other.job().team.equals(team))
                             .mapToDouble(other -> other.job().cpus)
                             .sum();
-            check(used <= limits.get(team) + ROUNDING_TOLERANCE, team + " uses " + used);
+            check(
+                    used <= limits.get(team) + ROUNDING_TOLERANCE,
+                    team + " uses " + used + " CPUs of " + limits.get(team));
         }
 
         @Override
@@ -273,7 +296,10 @@
         }
     }
 
-    /** {@code wrong_place}: a task starts where its job does not allow it. */
+    /**
+     * Rule {@code wrong_place}: a task must run in its job's zone, and on a spot machine only if
+     * allowed.
+     */
     static final class PlacementChecker extends RuleChecker {
         PlacementChecker(Map<String, SoakJob> jobs, ViolationLog violations) {
             super("wrong_place", jobs, violations);
@@ -288,7 +314,10 @@
         }
     }
 
-    /** Whether every job that was accepted before the end of the faults was answered or judged. */
+    /**
+     * Whether the rule {@code unanswered} was evaluated for all jobs accepted before the faults
+     * ended.
+     */
     boolean isUnansweredCheckComplete() {
         return unanswered.isComplete();
     }
--- a/src/test/java/org/woadloom/soak/RuleCheckersTest.java
+++ b/src/test/java/org/woadloom/soak/RuleCheckersTest.java
@@ -11,7 +11,7 @@
 import org.woadloom.soak.TaskStart.MachineInfo;
 import org.woadloom.soak.UserResponse.Request;
 
-/** Forged histories, one for each rule, that its checker has to object to. */
+/** Feeds each rule checker a history of events that violates its rule. */
 class RuleCheckersTest {
     private static final long SECOND = 1_000_000;
     private static final long CANCEL_MICROS = 30 * SECOND;
@@ -65,7 +65,7 @@
                         .filter(checker -> checker.rule().equals(rule))
                         .mapToLong(RuleChecker::checks)
                         .sum();
-        assertTrue(checks > 0, "not counted as checked");
+        assertTrue(checks > 0, "rule " + rule + " counts no checks");
     }
 
     @Test
@@ -102,7 +102,7 @@
         acceptedJob();
         checkers.onFaultsEnded(10 * SECOND);
         checkers.onTick(84 * SECOND);
-        assertEquals(List.of(), violated, "before 75 s");
+        assertEquals(List.of(), violated, "before the deadline of 75 s");
         checkers.onTick(85 * SECOND);
         assertViolated("unanswered");
     }
@@ -145,7 +145,7 @@
         job.cancelRequestedMicros = 3 * SECOND;
         respond(job, Request.CANCEL, 200, "cancelled", 3 * SECOND, 4 * SECOND);
         checkers.onTick(4 * SECOND + CANCEL_MICROS);
-        assertEquals(List.of(), violated, "within the time of a cancellation");
+        assertEquals(List.of(), violated, "before the cancellation deadline");
         checkers.onTick(4 * SECOND + CANCEL_MICROS + 1);
         assertViolated("ran_cancelled");
     }
--- a/src/test/java/org/woadloom/soak/SoakAgent.java
+++ b/src/test/java/org/woadloom/soak/SoakAgent.java
@@ -12,9 +12,9 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * A machine with its agent, after the protocol: heartbeats to one node at a time, a lease whose end
- * ends all tasks and the incarnation, fencing tokens, attempts, and direct commands that may wait
- * while the machine hangs.
+ * A simulated machine with its agent. It sends heartbeats to one node at a time, stops all tasks
+ * and starts a new incarnation when its lease expires, rejects stale fencing tokens, and tracks
+ * task attempts. While it hangs, direct commands are deferred.
  */
 final class SoakAgent {
     static final double CPUS = 8;
@@ -27,13 +27,13 @@
     private static final int CONFLICT = 409;
     private static final int REDIRECT = 421;
 
-    /** What an agent needs of its surroundings. */
+    /** Gives an agent access to the cluster and receives its task events. */
     interface Environment {
         SoakJob job(String jobId);
 
         List<String> nodeLabels();
 
-        /** Where agents reach a node. */
+        /** The host and port at which agents reach a node. */
         String address(int node);
 
         void onTaskStarted(TaskStart start);
@@ -76,8 +76,8 @@
     private long lastSentMicros;
     private boolean reportInFlight;
 
-    /** Something changed while a report was on its way. */
-    private boolean changedSinceReport;
+    /** A report was requested while one was in flight. */
+    private boolean reportPending;
 
     private boolean changeReportScheduled;
     private boolean hung;
@@ -146,10 +146,10 @@
     private void stopAllTasks() {
         List<Task> stopped = List.copyOf(tasks.values());
         tasks.clear();
-        stopped.forEach(this::onStopped);
+        stopped.forEach(this::notifyStopped);
     }
 
-    private void onStopped(Task task) {
+    private void notifyStopped(Task task) {
         if (task.started) {
             task.started = false;
             environment.onTaskStopped(machine.name(), task.taskId);
@@ -202,11 +202,11 @@
             return;
         }
         if (reportInFlight) {
-            changedSinceReport = true;
+            reportPending = true;
             return;
         }
         reportInFlight = true;
-        changedSinceReport = false;
+        reportPending = false;
         long sentMicros = loop.nowMicros();
         long sentIncarnation = incarnation;
         lastSentMicros = sentMicros;
@@ -229,7 +229,7 @@
         if (terminated || hung) {
             return;
         }
-        if (changedSinceReport) {
+        if (reportPending) {
             scheduleChangeReport();
         }
         Map<String, Object> response = decode(body);
@@ -269,7 +269,7 @@
         }
     }
 
-    /** Answers a direct command, later if the machine hangs. */
+    /** Handles a direct command; if the machine hangs, when it resumes. */
     void onDirectCommand(Map<String, Object> command, ResponseCallback callback) {
         if (hung) {
             deferredWhileHung.add(() -> onDirectCommand(command, callback));
@@ -287,7 +287,7 @@
         }
     }
 
-    /** Receives the answer to a direct command. */
+    /** Receives the response to a direct command. */
     interface ResponseCallback {
         void respond(int status, Map<String, Object> body);
     }
@@ -365,7 +365,7 @@
         return tasks.values().stream().filter(task -> task.cause == null);
     }
 
-    @SuppressWarnings("ReferenceEquality") // Another attempt may have taken its place.
+    @SuppressWarnings("ReferenceEquality") // The key may refer to a newer task object.
     private void startTask(String key, Task task, SoakJob job, int taskIndex) {
         if (tasks.get(key) != task || task.cause != null) {
             return;
@@ -380,7 +380,7 @@
         }
     }
 
-    @SuppressWarnings("ReferenceEquality") // Another attempt may have taken its place.
+    @SuppressWarnings("ReferenceEquality") // The key may refer to a newer task object.
     private void completeTask(String key, Task task, SoakJob job, int taskIndex) {
         if (hung) {
             deferredWhileHung.add(() -> completeTask(key, task, job, taskIndex));
@@ -408,7 +408,7 @@
     private void exitTask(Task task, String cause) {
         task.status = "exited";
         task.cause = cause;
-        onStopped(task);
+        notifyStopped(task);
     }
 
     private static Map<String, Object> decode(byte[] body) {
--- a/src/test/java/org/woadloom/soak/SoakCloud.java
+++ b/src/test/java/org/woadloom/soak/SoakCloud.java
@@ -8,7 +8,10 @@
 import org.woadloom.net.EventLoop;
 import org.woadloom.sim.SimulatedStore;
 
-/** The cloud after the protocol: claims that repeat, boots that take a while, a list that lags. */
+/**
+ * A simulated cloud: idempotent rent requests, boot times, a rate limit and a machine list that
+ * lags behind.
+ */
 final class SoakCloud {
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
@@ -20,22 +23,22 @@
     private static final int MIN_LIST_LAG_MICROS = 1_000_000;
     private static final int LIST_LAG_SPREAD_MICROS = 3_000_000;
 
-    /** Makes the agent of a machine that is up. */
+    /** Creates the agent of a machine that has booted. */
     interface AgentFactory {
         SoakAgent create(TaskStart.MachineInfo machine);
 
-        /** Where the machine's agent takes direct commands. */
+        /** The host and port at which the machine's agent accepts direct commands. */
         String address(String machine);
     }
 
-    /** A machine; its agent is null while it boots. */
+    /** A rented machine; its agent is null while it boots. */
     private static final class RentedMachine {
-        final TaskStart.MachineInfo facts;
+        final TaskStart.MachineInfo info;
         SoakAgent agent;
         boolean failed;
 
-        RentedMachine(TaskStart.MachineInfo facts) {
-            this.facts = facts;
+        RentedMachine(TaskStart.MachineInfo info) {
+            this.info = info;
         }
     }
 
@@ -80,11 +83,11 @@
 
     private Map<String, Object> describe(RentedMachine machine) {
         Map<String, Object> map = new LinkedHashMap<>();
-        map.put("uid", machine.facts.name());
-        map.put("addr", agentFactory.address(machine.facts.name()));
+        map.put("uid", machine.info.name());
+        map.put("addr", agentFactory.address(machine.info.name()));
         map.put("hosttype", "m8");
-        map.put("yard", machine.facts.zone());
-        map.put("reclaimable", machine.facts.spot());
+        map.put("yard", machine.info.zone());
+        map.put("reclaimable", machine.info.spot());
         boolean up = machine.agent != null;
         map.put("status", machine.failed ? "failed" : up ? "running" : "booting");
         map.put("heldS", 5.0);
@@ -195,10 +198,10 @@
         return name;
     }
 
-    @SuppressWarnings("ReferenceEquality") // Names are not used again.
+    @SuppressWarnings("ReferenceEquality") // Names are not reused.
     private void bootUnlessDeleted(RentedMachine machine) {
-        if (machines.get(machine.facts.name()) == machine) {
-            machine.agent = agentFactory.create(machine.facts);
+        if (machines.get(machine.info.name()) == machine) {
+            machine.agent = agentFactory.create(machine.info);
             machine.agent.start();
         }
     }
--- a/src/test/java/org/woadloom/soak/SoakCommand.java
+++ b/src/test/java/org/woadloom/soak/SoakCommand.java
@@ -4,14 +4,14 @@
 import java.io.PrintStream;
 import java.nio.file.Path;
 
-/** Plays seeds by hand; docs/testing.md has its options. */
+/** The command that runs soak seeds; its options are described in docs/testing.md. */
 public final class SoakCommand {
     private static final int FAILED = 1;
     private static final int USAGE = 2;
 
     private SoakCommand() {}
 
-    /** Ends with 0 if every seed was good, 1 if one was not, 2 for a mistake in the arguments. */
+    /** Exits with 0 if all seeds passed, 1 if one failed, 2 for invalid arguments. */
     public static void main(String[] arguments) throws IOException, InterruptedException {
         System.exit(run(System.out, arguments));
     }
@@ -31,7 +31,9 @@
         return allPassed ? 0 : FAILED;
     }
 
-    /** Prints the report and, for a run that failed, how to repeat it and where the logs are. */
+    /**
+     * Runs a seed and prints its report; if it failed, also how to reproduce it and its log folder.
+     */
     static boolean runSeed(PrintStream out, SoakOptions options, long seed)
             throws IOException, InterruptedException {
         try (SoakRun run = new SoakRun(options, seed)) {
@@ -43,7 +45,7 @@
             report.violations().forEach(violation -> out.println("  " + violation));
             report.uncheckedRules().forEach(rule -> out.println("  never checked: " + rule));
             out.printf(
-                    "  again with: --seeds %d --agents %d --fault-seconds %d; logs in %s%n",
+                    "  reproduce with: --seeds %d --agents %d --fault-seconds %d; logs in %s%n",
                     seed, options.agents(), options.faultSeconds(), run.directory());
             return false;
         }
--- a/src/test/java/org/woadloom/soak/SoakJob.java
+++ b/src/test/java/org/woadloom/soak/SoakJob.java
@@ -4,9 +4,9 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A job that a user submits, with what is known of it from outside. */
+/** A job that a user submits, with its state as observed outside of the controllers. */
 final class SoakJob {
-    /** Earlier or later than any moment of a run. */
+    /** The time of an event that has not happened; later than any time of a run. */
     static final long NEVER = Long.MAX_VALUE;
 
     final String jobId;
@@ -21,12 +21,13 @@
     long acceptedMicros = NEVER;
     long cancelRequestedMicros = NEVER;
 
-    /** When users were first told that it is over, and how. */
+    /** When a response first gave the status done or cancelled. */
     long finalStatusMicros = NEVER;
 
+    /** The first final status that a response gave; null before. */
     String finalStatus;
 
-    /** The question that was answered last, by when it was answered. */
+    /** When the last successful response was received. */
     long lastResponseMicros = -1;
 
     SoakJob(
--- a/src/test/java/org/woadloom/soak/SoakNodes.java
+++ b/src/test/java/org/woadloom/soak/SoakNodes.java
@@ -8,9 +8,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/**
- * The controllers: their processes, settings, and the links between them, the store and the cloud.
- */
+/** The controller nodes: processes, settings files, and proxied links to peers, store and cloud. */
 final class SoakNodes implements Closeable {
     static final int COUNT = 3;
     static final double LEASE_SECONDS = 10;
@@ -26,7 +24,7 @@
     private final List<LinkProxy> storeLinks = new ArrayList<>();
     private final List<LinkProxy> cloudLinks = new ArrayList<>();
 
-    /** By the node that connects, then by the node that it connects to; null for itself. */
+    /** Indexed by the connecting node, then by the target node; null where both are the same. */
     private final List<List<LinkProxy>> peerLinks = new ArrayList<>();
 
     SoakNodes(List<String> program, Path directory, List<Integer> storePorts, int cloudPort)
@@ -63,7 +61,7 @@
         return "127.0.0.1:" + port;
     }
 
-    /** Where users and agents reach a node. */
+    /** The host and port at which users and agents reach a node. */
     String address(int node) {
         return loopbackAddress(servicePorts.get(node));
     }
@@ -84,7 +82,7 @@
         return cloudLinks.get(node);
     }
 
-    /** The links between a node and its peers, both ways. */
+    /** The links between a node and its peers, in both directions. */
     List<LinkProxy> peerLinks(int node) {
         List<LinkProxy> links = new ArrayList<>();
         for (int peer = 0; peer < COUNT; peer++) {
--- a/src/test/java/org/woadloom/soak/SoakOptions.java
+++ b/src/test/java/org/woadloom/soak/SoakOptions.java
@@ -10,10 +10,10 @@
 import java.util.Set;
 
 /**
- * What is played.
+ * Options of a soak run.
  *
- * @param faultSeconds for how long faults begin and end
- * @param program the command that starts a controller, without its settings
+ * @param faultSeconds the length of the phase in which faults are injected
+ * @param program the command that starts a controller; the settings file is appended to it
  */
 record SoakOptions(
         List<Long> seeds,
@@ -28,7 +28,7 @@
     private static final String DEPLOY_FILE = "deploy/service.toml";
     private static final String PACKAGE = "target/woadloom.jar";
 
-    /** A mistake in the command line, told in one line. */
+    /** Invalid command-line arguments; the message is one line. */
     static final class UsageException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -38,7 +38,7 @@
     }
 
     /**
-     * @param root the repository, with the package built
+     * @param root the root of the repository, in which the package was built
      */
     static SoakOptions parse(Path root, String... arguments) throws UsageException {
         List<Long> seeds = List.of();
@@ -52,24 +52,27 @@
             String value = arguments[i + 1];
             switch (arguments[i]) {
                 case "--seeds" -> seeds = parseSeeds(value);
-                case "--agents" -> agents = parseNumber(value, MAX_AGENTS);
-                case "--fault-seconds" -> faultSeconds = parseNumber(value, MAX_FAULT_SECONDS);
+                case "--agents" -> agents = parseNumber("--agents", value, MAX_AGENTS);
+                case "--fault-seconds" ->
+                        faultSeconds = parseNumber("--fault-seconds", value, MAX_FAULT_SECONDS);
                 case "--faults" -> faults = parseFaults(value);
                 default -> throw new UsageException("unknown option " + arguments[i]);
             }
         }
         if (seeds.isEmpty()) {
-            throw new UsageException("no seeds: give --seeds FIRST-LAST");
+            throw new UsageException("missing option --seeds FIRST-LAST");
         }
         return new SoakOptions(seeds, agents, faultSeconds, faults, packagedProgram(root));
     }
 
     private static List<Long> parseSeeds(String text) throws UsageException {
         String[] bounds = text.split("-", -1);
-        int first = parseNumber(bounds[0], Integer.MAX_VALUE);
-        int last = bounds.length == 1 ? first : parseNumber(bounds[1], Integer.MAX_VALUE);
+        int first = parseNumber("--seeds", bounds[0], Integer.MAX_VALUE);
+        int last =
+                bounds.length == 1 ? first : parseNumber("--seeds", bounds[1], Integer.MAX_VALUE);
         if (bounds.length > 2 || last < first) {
-            throw new UsageException("no seeds in " + text);
+            throw new UsageException(
+                    "--seeds: expected FIRST-LAST with FIRST <= LAST but got " + text);
         }
         List<Long> seeds = new ArrayList<>();
         for (long seed = first; seed <= last; seed++) {
@@ -78,16 +81,17 @@
         return seeds;
     }
 
-    private static int parseNumber(String text, int max) throws UsageException {
+    private static int parseNumber(String option, String text, int max) throws UsageException {
         try {
             int number = Integer.parseInt(text);
             if (number >= 1 && number <= max) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Told below.
+            // Reported below.
         }
-        throw new UsageException("not a number from 1 to " + max + ": " + text);
+        throw new UsageException(
+                option + ": expected a number from 1 to " + max + " but got " + text);
     }
 
     private static Set<FaultKind> parseFaults(String text) throws UsageException {
@@ -96,13 +100,13 @@
             try {
                 faults.add(FaultKind.valueOf(name.toUpperCase(Locale.ROOT)));
             } catch (IllegalArgumentException e) {
-                throw new UsageException("unknown fault " + name);
+                throw new UsageException("--faults: unknown fault " + name);
             }
         }
         return faults;
     }
 
-    /** The program as it is deployed. */
+    /** The start command of the deployed service. */
     private static List<String> packagedProgram(Path root) throws UsageException {
         if (!Files.exists(root.resolve(PACKAGE))) {
             throw new UsageException("no package at " + PACKAGE + ": build it first");
@@ -115,8 +119,8 @@
                 }
             }
         } catch (IOException e) {
-            throw new UsageException("can't read " + DEPLOY_FILE + ": " + e.getMessage());
+            throw new UsageException("cannot read " + DEPLOY_FILE + ": " + e.getMessage());
         }
-        throw new UsageException(DEPLOY_FILE + " has no run command");
+        throw new UsageException(DEPLOY_FILE + " has no line that starts with 'run = '");
     }
 }
--- a/src/test/java/org/woadloom/soak/SoakReport.java
+++ b/src/test/java/org/woadloom/soak/SoakReport.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What a run of one seed came to. */
+/** The result of one seed. */
 final class SoakReport {
     private final long seed;
     private final int agents;
@@ -38,7 +38,7 @@
         return violations;
     }
 
-    /** The rules that were held against nothing. */
+    /** Rules that were never evaluated; a run that has some fails. */
     List<String> uncheckedRules() {
         return checkCounts.entrySet().stream()
                 .filter(entry -> entry.getValue() == 0)
--- a/src/test/java/org/woadloom/soak/SoakRun.java
+++ b/src/test/java/org/woadloom/soak/SoakRun.java
@@ -32,9 +32,9 @@
 import org.xnio.XnioWorker;
 
 /**
- * Plays one seed: starts the controllers and all that surrounds them, brings the faults about, ends
- * them, and waits until every accepted job was answered. Everything simulated belongs to one event
- * loop; the calling thread starts and ends processes and faults.
+ * Runs one seed: starts the controllers and the simulated store, cloud, agents and users, injects
+ * the scheduled faults, and waits until the rule {@code unanswered} was evaluated. All simulated
+ * parts run on one event loop; the calling thread controls processes and faults.
  */
 final class SoakRun implements AutoCloseable {
     private static final int MICROS_PER_SECOND = 1_000_000;
@@ -129,7 +129,7 @@
                         WARM_UP_MICROS + (long) options.faultSeconds() * MICROS_PER_SECOND);
     }
 
-    /** Where settings and logs of the controllers are. */
+    /** The folder with the settings and logs of the controllers. */
     Path directory() {
         return directory;
     }
@@ -178,7 +178,8 @@
     private void awaitFirstAcceptedJob(long startMicros) throws InterruptedException {
         while (!onLoop(() -> jobs.values().stream().anyMatch(SoakJob::isAccepted))) {
             if (loop.nowMicros() - startMicros > START_TIMEOUT_MICROS) {
-                throw new IllegalStateException("no job was accepted; logs are in " + directory);
+                throw new IllegalStateException(
+                        "no job was accepted within 60 s; logs are in " + directory);
             }
             Thread.sleep(POLL_MILLIS);
         }
@@ -295,7 +296,7 @@
         }
     }
 
-    /** Ends whoever leads, several times, each back at once. */
+    /** Kills the current leader several times and restarts it after 0.3 s each time. */
     private void killLeaders(int times) throws IOException, InterruptedException {
         for (int i = 0; i < times; i++) {
             int node = onLoop(() -> leader);
@@ -329,7 +330,10 @@
                 allAnsweredMicros = loop.nowMicros();
             }
             if (loop.nowMicros() - faultsEndedMicros > MAX_RECOVERY_MICROS) {
-                throw new IllegalStateException("the rule of 75 s was never judged");
+                throw new IllegalStateException(
+                        "rule unanswered was not evaluated within "
+                                + MAX_RECOVERY_MICROS / MICROS_PER_SECOND
+                                + " s of the last fault");
             }
             Thread.sleep(POLL_MILLIS);
         }
@@ -358,7 +362,8 @@
         try {
             return result.get(START_TIMEOUT_MICROS, TimeUnit.MICROSECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            throw new IllegalStateException("the driver's loop stands still", e);
+            throw new IllegalStateException(
+                    "a task on the event loop did not complete within 60 s", e);
         }
     }
 
--- a/src/test/java/org/woadloom/soak/SoakStore.java
+++ b/src/test/java/org/woadloom/soak/SoakStore.java
@@ -8,8 +8,8 @@
 import org.woadloom.sim.SimulatedStore;
 
 /**
- * The store as nodes meet it: the simulated one on the real clock, behind a latency, a limit of
- * requests, and faults. Each node has a way of its own to it.
+ * The simulated store on the real clock, with latency, a request rate limit and injected faults.
+ * Requests carry the index of the node that sent them, so that faults can affect a single node.
  */
 final class SoakStore {
     private static final int UNAVAILABLE = 503;
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Half of them are carried out at once, the others late. */
+    /** Sends no response; half of the requests are applied at once, the others 2 to 10 s late. */
     private void dropResponse(String method, String path, Map<String, Object> body) {
         long delay =
                 random.nextBoolean()
--- a/src/test/java/org/woadloom/soak/SoakTest.java
+++ b/src/test/java/org/woadloom/soak/SoakTest.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A short soak of three real processes, and what is told of wrong arguments. */
+/** Runs a short soak of three real processes, and checks the options of the soak command. */
 class SoakTest {
     private static final long SEED = 1;
     private static final int AGENTS = 12;
     private static final int FAULT_SECONDS = 25;
 
-    /** The classes under test: the package is not built when tests run. */
+    /** The command that starts the compiled classes, as the package is not built when tests run. */
     private static List<String> program() {
         String classPath =
                 System.getProperty(
@@ -61,7 +61,7 @@
         List<FaultSchedule.Fault> faults = schedule(7);
         assertEquals(faults, schedule(7));
         assertTrue(faults.size() > 20, faults.size() + " faults");
-        assertTrue(!faults.equals(schedule(8)), "another seed, the same faults");
+        assertTrue(!faults.equals(schedule(8)), "seeds 7 and 8 give the same faults");
     }
 
     private static List<FaultSchedule.Fault> schedule(long seed) {
@@ -80,12 +80,12 @@
 
     @ParameterizedTest
     @CsvSource({
-        "'', soak: no seeds: give --seeds FIRST-LAST",
+        "'', soak: missing option --seeds FIRST-LAST",
         "--seeds, soak: --seeds needs a value",
-        "--seeds 5-3, soak: no seeds in 5-3",
-        "--seeds x, soak: not a number from 1 to 2147483647: x",
-        "--seeds 1 --agents 0, soak: not a number from 1 to 500: 0",
-        "--seeds 1 --faults flood, soak: unknown fault flood",
+        "--seeds 5-3, soak: --seeds: expected FIRST-LAST with FIRST <= LAST but got 5-3",
+        "--seeds x, soak: --seeds: expected a number from 1 to 2147483647 but got x",
+        "--seeds 1 --agents 0, soak: --agents: expected a number from 1 to 500 but got 0",
+        "--seeds 1 --faults flood, soak: --faults: unknown fault flood",
         "--seed 1, soak: unknown option --seed"
     })
     void invalidArgumentsAreReportedInOneLine(String arguments, String expected) throws Exception {
--- a/src/test/java/org/woadloom/soak/SoakUsers.java
+++ b/src/test/java/org/woadloom/soak/SoakUsers.java
@@ -11,7 +11,7 @@
 import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.soak.UserResponse.Request;
 
-/** Users who submit, repeat, poll and cancel at all nodes, all the time. */
+/** Simulated users that submit, resubmit, poll and cancel jobs at random nodes. */
 final class SoakUsers {
     private static final long WRITE_TIMEOUT_MICROS = 5_000_000;
     private static final long POLL_TIMEOUT_MICROS = 2_000_000;
@@ -151,7 +151,7 @@
                 });
     }
 
-    /** Users may ask at any later time, so they go on when the job is over. */
+    /** Polls until the end of the run, as a finished job must keep its final status. */
     private void poll(SoakJob job) {
         long sentMicros = loop.nowMicros();
         send(
--- a/src/test/java/org/woadloom/soak/StoppableEventLoop.java
+++ b/src/test/java/org/woadloom/soak/StoppableEventLoop.java
@@ -2,7 +2,7 @@
 
 import org.woadloom.net.EventLoop;
 
-/** The event loop of one run; once it is stopped, nothing more of that run is done. */
+/** Delegates to an event loop until stopped; tasks and timers that are due later are dropped. */
 final class StoppableEventLoop implements EventLoop {
     private static final Timer NO_TIMER = () -> {};
 
--- a/src/test/java/org/woadloom/soak/TaskStart.java
+++ b/src/test/java/org/woadloom/soak/TaskStart.java
@@ -1,7 +1,7 @@
 package org.woadloom.soak;
 
-/** A task that begins on a machine. */
+/** The start of a task on a machine. */
 record TaskStart(String taskId, SoakJob job, MachineInfo machine, long startedMicros) {
-    /** What a machine is. */
+    /** The name and properties of a machine. */
     record MachineInfo(String name, String zone, boolean spot) {}
 }
--- a/src/test/java/org/woadloom/soak/UserResponse.java
+++ b/src/test/java/org/woadloom/soak/UserResponse.java
@@ -1,9 +1,10 @@
 package org.woadloom.soak;
 
 /**
- * What a user was told.
+ * A response to a user request.
  *
- * @param jobStatus null where the answer names none
+ * @param status the HTTP status, {@code HttpTransport.NO_RESPONSE} or {@code NOT_SENT}
+ * @param jobStatus the job status in the body; null if the body has none
  */
 record UserResponse(
         Request request,
@@ -18,7 +19,7 @@
     static final int NOT_FOUND = 404;
     static final int UNPROCESSABLE = 422;
 
-    /** The kinds of requests. */
+    /** The kind of a user request. */
     enum Request {
         SUBMIT,
         POLL,
