--- a/src/test/java/org/woadloom/soak/NodeProcess.java
+++ b/src/test/java/org/woadloom/soak/NodeProcess.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** The process of one controller node: started, killed, paused and continued by its id. */
+/** The operating system process of one controller node. */
 final class NodeProcess {
     private static final long KILL_TIMEOUT_SECONDS = 10;
 
     private final List<String> command = new ArrayList<>();
     private final Path log;
     private Process process;
-    private int unexpectedEnds;
+    private int unexpectedExits;
 
     NodeProcess(List<String> program, Path settings, Path log) {
         command.addAll(program);
@@ -31,18 +31,18 @@
         process = builder.start();
     }
 
-    /** Whether it was started and not killed since. */
+    /** Whether the process was started and has not been killed since, even if it has exited. */
     boolean isStarted() {
         return process != null;
     }
 
-    /** Ends the process without a signal that it could handle. */
+    /** Kills the process with SIGKILL, which it cannot handle. */
     void kill() throws InterruptedException {
         if (process == null) {
             return;
         }
         if (!process.isAlive()) {
-            unexpectedEnds++;
+            unexpectedExits++;
         }
         process.destroyForcibly();
         process.waitFor(KILL_TIMEOUT_SECONDS, TimeUnit.SECONDS);
@@ -50,26 +50,26 @@
     }
 
     void pause() throws IOException, InterruptedException {
-        signal("-STOP");
+        sendSignal("-STOP");
     }
 
     void resume() throws IOException, InterruptedException {
-        signal("-CONT");
+        sendSignal("-CONT");
     }
 
-    private void signal(String name) throws IOException, InterruptedException {
+    private void sendSignal(String name) throws IOException, InterruptedException {
         if (process != null && process.isAlive()) {
             new ProcessBuilder("kill", name, Long.toString(process.pid())).start().waitFor();
         }
     }
 
-    /** How often the process was found to have ended by itself. */
-    int unexpectedEnds() {
-        return unexpectedEnds + (process != null && !process.isAlive() ? 1 : 0);
+    /** How many times the process exited without being killed. */
+    int unexpectedExits() {
+        return unexpectedExits + (process != null && !process.isAlive() ? 1 : 0);
     }
 
-    /** How many lines of its log contain the text. */
-    long logLines(String text) throws IOException {
+    /** Counts the lines of its log that contain the text. */
+    long countLogLines(String text) throws IOException {
         if (!Files.exists(log)) {
             return 0;
         }
--- a/src/test/java/org/woadloom/soak/UserAnswer.java
+++ b/src/test/java/org/woadloom/soak/UserResponse.java
@@ -1,24 +1,25 @@
 package org.woadloom.soak;
 
 /**
- * What a user was told.
+ * A response to a user request.
  *
- * @param jobStatus null where the answer names none
+ * @param status the HTTP status, {@code HttpTransport.NO_RESPONSE} or {@code NOT_SENT}
+ * @param jobStatus the job status in the body; null if the body has none
  */
-record UserAnswer(
+record UserResponse(
         Request request,
         String jobId,
         int status,
         String jobStatus,
-        long askedMicros,
-        long answeredMicros) {
+        long sentMicros,
+        long receivedMicros) {
     static final int OK = 200;
     static final int CREATED = 201;
     static final int BAD_REQUEST = 400;
     static final int NOT_FOUND = 404;
-    static final int NEVER_RUNNABLE = 422;
+    static final int UNPROCESSABLE = 422;
 
-    /** The kinds of requests. */
+    /** The kind of a user request. */
     enum Request {
         SUBMIT,
         POLL,
