--- a/src/main/java/org/woadloom/cloud/CloudClient.java
+++ b/src/main/java/org/woadloom/cloud/CloudClient.java
@@ -19,16 +19,16 @@
 import org.woadloom.store.TokenBucket;
 
 /**
- * The client of the cloud, within the rate that the settings allow. Calls wait for the rate in the
- * order of their kind. Nothing is retried here.
+ * Client of the cloud API that offers machines. Calls are rate limited by the settings and queued
+ * by priority. Failed calls are not retried here.
  */
 public final class CloudClient {
     private static final long TIMEOUT_MICROS = 8_000_000;
 
-    /** The share of the rate that the settings allow which is used. */
+    /** The share of the configured rate limit that is used. */
     private static final double RATE_SHARE = 0.8;
 
-    /** How many machines a call lists, the cloud's bound: nine calls list 4,000. */
+    /** Machines per page, the maximum of the cloud API: 4,000 machines take nine calls. */
     private static final int PAGE_SIZE = 500;
 
     private static final int STATUS_OK = 200;
@@ -39,7 +39,7 @@
     private static final String MACHINES_PATH = "/machines";
     private static final String DELETE_PATH = "/machines/delete";
 
-    /** The names of the fields in requests and answers. */
+    /** Field names in requests and responses. */
     private static final class Field {
         static final String REQUEST_NAME = "claim";
         static final String MACHINE_TYPE = "hosttype";
@@ -47,7 +47,7 @@
         static final String SPOT = "reclaimable";
         static final String COUNT = "count";
         static final String HOSTS = "hosts";
-        static final String MORE = "more";
+        static final String HAS_MORE = "more";
         static final String ERROR = "error";
 
         private Field() {}
@@ -57,14 +57,15 @@
     private final HttpTransport transport;
     private final String address;
     private final TokenBucket budget;
-    private final EnumMap<CallKind, ArrayDeque<Runnable>> waiting = new EnumMap<>(CallKind.class);
+    private final EnumMap<CallPriority, ArrayDeque<Runnable>> queues =
+            new EnumMap<>(CallPriority.class);
     private boolean wakeScheduled;
 
     /**
-     * The kinds of calls, the most urgent first: deletions are proofs and end what is paid for, and
-     * lists can wait for long.
+     * The priorities of calls, the most urgent first. A deletion proves that a machine is gone and
+     * ends its cost; reads can wait longest.
      */
-    private enum CallKind {
+    private enum CallPriority {
         DELETE,
         RENT,
         READ
@@ -72,13 +73,13 @@
 
     /** Receives the machine types. */
     public interface MachineTypesCallback {
-        /** Null where the cloud did not give them. */
+        /** Called with null if the call failed. */
         void onMachineTypes(List<MachineType> types);
     }
 
     /** Receives the list of machines. */
     public interface MachineListCallback {
-        /** Null where the cloud did not give all of it. */
+        /** Called with null if any page failed. */
         void onMachines(List<ListedMachine> machines);
     }
 
@@ -89,24 +90,24 @@
 
     /** Receives the outcome of a deletion. */
     public interface DeleteCallback {
-        /** False where it may or may not have been carried out. */
-        void onDeleted(boolean done);
+        /** Called with false if the machines may or may not have been deleted. */
+        void onDeleted(boolean confirmed);
     }
 
     public CloudClient(EventLoop loop, HttpTransport transport, ServiceSettings settings) {
         this.loop = loop;
         this.transport = transport;
         this.address = settings.cloudAddress();
-        for (CallKind kind : CallKind.values()) {
-            waiting.put(kind, new ArrayDeque<>());
+        for (CallPriority priority : CallPriority.values()) {
+            queues.put(priority, new ArrayDeque<>());
         }
         this.budget = new TokenBucket(settings.cloud().rps() * RATE_SHARE);
     }
 
-    /** Reads the machine types that the cloud offers. */
+    /** Lists the machine types that the cloud offers. */
     public void listMachineTypes(MachineTypesCallback callback) {
         request(
-                CallKind.READ,
+                CallPriority.READ,
                 "GET",
                 TYPES_PATH,
                 null,
@@ -122,20 +123,21 @@
                 });
     }
 
-    /** Reads the whole list of machines, page by page. */
+    /** Lists all machines, page by page. */
     public void listMachines(MachineListCallback callback) {
-        page("", new ArrayList<>(), callback);
+        requestPage("", new ArrayList<>(), callback);
     }
 
-    private void page(String since, List<ListedMachine> found, MachineListCallback callback) {
+    private void requestPage(
+            String afterHost, List<ListedMachine> found, MachineListCallback callback) {
         String path =
                 MACHINES_PATH
                         + "?"
-                        + (since.isEmpty() ? "" : "since=" + since + "&")
+                        + (afterHost.isEmpty() ? "" : "since=" + afterHost + "&")
                         + "most="
                         + PAGE_SIZE;
         request(
-                CallKind.READ,
+                CallPriority.READ,
                 "GET",
                 path,
                 null,
@@ -144,26 +146,29 @@
                         callback.onMachines(null);
                         return;
                     }
-                    boolean more;
+                    boolean hasMore;
                     try {
                         Fields answer = new Fields(Cbor.decodeMap(body));
                         for (Object item : answer.list(Field.HOSTS)) {
                             found.add(ListedMachine.parse(item));
                         }
-                        more = answer.flagOr(Field.MORE, false) && !found.isEmpty();
+                        hasMore = answer.flagOr(Field.HAS_MORE, false) && !found.isEmpty();
                     } catch (MalformedMessageException e) {
                         callback.onMachines(null);
                         return;
                     }
-                    if (more) {
-                        page(found.get(found.size() - 1).host(), found, callback);
+                    if (hasMore) {
+                        requestPage(found.get(found.size() - 1).host(), found, callback);
                     } else {
                         callback.onMachines(found);
                     }
                 });
     }
 
-    /** Rents machines; repeated under the same name, the request gives the same machines. */
+    /**
+     * Rents machines. The request is idempotent: repeated with the same name it returns the same
+     * machines.
+     */
     public void rentMachines(SchedulerAction.RentMachines rent, RentCallback callback) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put(Field.REQUEST_NAME, rent.requestName());
@@ -172,7 +177,7 @@
         map.put(Field.SPOT, rent.spot());
         map.put(Field.COUNT, (long) rent.count());
         request(
-                CallKind.RENT,
+                CallPriority.RENT,
                 "POST",
                 MACHINES_PATH,
                 Cbor.encode(map),
@@ -183,7 +188,7 @@
                                     ScaleOutOutcome.RENTED,
                                     new Fields(Cbor.decodeMap(body)).textList(Field.HOSTS));
                         } else if (status == STATUS_SERVICE_UNAVAILABLE
-                                && NO_CAPACITY_ERROR.equals(error(body))) {
+                                && NO_CAPACITY_ERROR.equals(errorText(body))) {
                             callback.onRented(ScaleOutOutcome.NO_CAPACITY, List.of());
                         } else {
                             boolean refused = status > 0 || status == HttpTransport.NOT_SENT;
@@ -197,16 +202,16 @@
                 });
     }
 
-    private static String error(byte[] body) throws MalformedMessageException {
+    private static String errorText(byte[] body) throws MalformedMessageException {
         return new Fields(Cbor.decodeMap(body)).textOr(Field.ERROR, "");
     }
 
-    /** Returns machines. */
+    /** Deletes machines, which ends their rental. */
     public void deleteMachines(List<String> hosts, DeleteCallback callback) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put(Field.HOSTS, new ArrayList<Object>(hosts));
         request(
-                CallKind.DELETE,
+                CallPriority.DELETE,
                 "POST",
                 DELETE_PATH,
                 Cbor.encode(map),
@@ -214,12 +219,12 @@
     }
 
     private void request(
-            CallKind kind,
+            CallPriority priority,
             String method,
             String path,
             byte[] body,
             HttpTransport.Callback callback) {
-        waiting.get(kind)
+        queues.get(priority)
                 .addLast(
                         () ->
                                 transport.request(
@@ -228,10 +233,7 @@
     }
 
     private ArrayDeque<Runnable> mostUrgentQueue() {
-        return waiting.values().stream()
-                .filter(candidate -> !candidate.isEmpty())
-                .findFirst()
-                .orElse(null);
+        return queues.values().stream().filter(queue -> !queue.isEmpty()).findFirst().orElse(null);
     }
 
     private void sendQueued() {
--- a/src/main/java/org/woadloom/http/CancellationHandler.java
+++ b/src/main/java/org/woadloom/http/CancellationHandler.java
@@ -21,38 +21,38 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * Cancels jobs by a compare-and-swap on their records. The leader writes the same records, so a
- * conflict is followed by another read and another attempt.
+ * Cancels jobs by a compare-and-swap on their records. The leader writes the same records, so after
+ * a conflict the record is read again and the write is retried.
  */
 final class CancellationHandler {
     private static final int MAX_ATTEMPTS = 6;
     private static final Refusal NOT_CANCELLED =
-            Refusal.unavailable("the job could not be cancelled now");
+            Refusal.unavailable("the job could not be cancelled in time");
 
     private final EventLoop loop;
     private final StoreClient store;
-    private final JobApi.RecordPolicy storage;
+    private final JobApi.RecordPolicy recordPolicy;
     private final JobReader reader;
     private final StatusConfirmer confirmer;
     private final UserWrites writes;
-    private final JobApi.JobChangeListener notifier;
-    private final SharedAnswers<String, JobAnswer> cancellations = new SharedAnswers<>();
+    private final JobApi.JobChangeListener changeListener;
+    private final RequestCoalescer<String, JobAnswer> cancellations = new RequestCoalescer<>();
 
     CancellationHandler(
             EventLoop loop,
             StoreClient store,
-            JobApi.RecordPolicy storage,
+            JobApi.RecordPolicy recordPolicy,
             JobReader reader,
             StatusConfirmer confirmer,
             UserWrites writes,
-            JobApi.JobChangeListener notifier) {
+            JobApi.JobChangeListener changeListener) {
         this.loop = loop;
         this.store = store;
-        this.storage = storage;
+        this.recordPolicy = recordPolicy;
         this.reader = reader;
         this.confirmer = confirmer;
         this.writes = writes;
-        this.notifier = notifier;
+        this.changeListener = changeListener;
     }
 
     void cancel(String jobId, Consumer<JobAnswer> answer) {
@@ -61,17 +61,20 @@
             return;
         }
         long deadlineMicros = loop.nowMicros() + JobApi.ANSWER_TIMEOUT_MICROS;
-        cancellations.share(
+        cancellations.coalesce(
                 jobId,
                 loop.nowMicros(),
                 deadlineMicros,
                 answer,
-                shared -> answerJoined(jobId, shared, deadlineMicros, answer),
+                shared -> answerCoalesced(jobId, shared, deadlineMicros, answer),
                 result -> new Cancellation(jobId, deadlineMicros, result).start());
     }
 
-    /** That a job is over stays true; that it is unknown may not be true any more. */
-    private void answerJoined(
+    /**
+     * The answer that a job has ended stays valid. The answer that it is unknown may be outdated,
+     * since the job may have been submitted after the shared read.
+     */
+    private void answerCoalesced(
             String jobId, JobAnswer shared, long deadlineMicros, Consumer<JobAnswer> answer) {
         if (shared instanceof Refusal refusal && !refusal.isTemporary()) {
             new Cancellation(jobId, deadlineMicros, answer).start();
@@ -80,7 +83,7 @@
         }
     }
 
-    /** The cancellation of one job, until its user is answered. */
+    /** One cancellation request, until it is answered. */
     private final class Cancellation {
         private final String jobId;
         private final long deadlineMicros;
@@ -104,8 +107,8 @@
                 answer.accept(Refusal.unknownJob());
             } else if (lookup.unreadableStatus() != null) {
                 replaceDamagedRecord(lookup);
-            } else if (isOver(lookup)) {
-                answerOver(lookup.status().status());
+            } else if (hasEnded(lookup)) {
+                answerEnded(lookup.status().status());
             } else if (attemptsLeft == 0) {
                 answer.accept(NOT_CANCELLED);
             } else {
@@ -113,7 +116,7 @@
             }
         }
 
-        private static boolean isOver(JobLookup lookup) {
+        private static boolean hasEnded(JobLookup lookup) {
             return lookup.finalState() != null
                     || lookup.record().cancelled()
                     || lookup.record().isComplete();
@@ -124,17 +127,17 @@
             RecordFormat format =
                     lookup.format() == RecordFormat.COMPACT
                             ? RecordFormat.COMPACT
-                            : storage.writeFormat();
+                            : recordPolicy.writeFormat();
             writes.write(
-                    new UserWrites.Request(
+                    new UserWrites.JobWrite(
                             RequestPriority.CANCELLATION,
                             deadlineMicros,
                             jobId,
                             List.of(new Condition(StoreKeys.job(jobId), lookup.revision())),
                             Change.put(StoreKeys.job(jobId), cancelled.toMap(format))),
                     reader::lookUp,
-                    // Once the record has another revision, the write was carried out or never
-                    // will be.
+                    // Another revision means that the write was applied or that its condition can
+                    // no longer hold.
                     found -> found.status() != null && found.revision() != lookup.revision(),
                     (result, storeRevision, found) ->
                             onWritten(cancelled, result, storeRevision, found));
@@ -143,11 +146,11 @@
         private void onWritten(
                 JobRecord cancelled, Result result, long storeRevision, JobLookup found) {
             if (result == Result.OK) {
-                notifier.onJobChanged(cancelled, storeRevision);
-                answerOver(JobStatus.CANCELLED);
+                changeListener.onJobChanged(cancelled, storeRevision);
+                answerEnded(JobStatus.CANCELLED);
             } else if (found != null) {
                 if (found.record() != null && found.record().cancelled()) {
-                    notifier.onJobChanged(found.record(), found.revision());
+                    changeListener.onJobChanged(found.record(), found.revision());
                 }
                 attemptsLeft--;
                 attempt(found);
@@ -159,10 +162,13 @@
             }
         }
 
-        /** Nothing of a record that can't be read can be kept: the final state takes its place. */
+        /**
+         * Replaces a record that can't be decoded by a final state, as nothing of it can be carried
+         * over.
+         */
         private void replaceDamagedRecord(JobLookup lookup) {
             if (lookup.unreadableStatus().isCancelled()) {
-                answerOver(JobStatus.CANCELLED);
+                answerEnded(JobStatus.CANCELLED);
                 return;
             }
             FinalRecord finalState = new FinalRecord(jobId, true, 0, loop.wallMicros(), false);
@@ -173,26 +179,26 @@
                     List.of(
                             Change.put(
                                     StoreKeys.finalState(jobId),
-                                    finalState.toMap(storage.writeFormat())),
+                                    finalState.toMap(recordPolicy.writeFormat())),
                             Change.delete(StoreKeys.job(jobId))),
                     (result, storeRevision, failed) -> {
                         if (result == Result.OK) {
-                            answerOver(JobStatus.CANCELLED);
+                            answerEnded(JobStatus.CANCELLED);
                         } else {
                             answer.accept(NOT_CANCELLED);
                         }
                     });
         }
 
-        private void answerOver(String status) {
-            JobStatus over = JobStatus.withoutCounts(jobId, status);
+        private void answerEnded(String status) {
+            JobStatus ended = JobStatus.withoutCounts(jobId, status);
             confirmer.confirm(
-                    new JobView(over, List.of()),
+                    new JobView(ended, List.of()),
                     deadlineMicros - loop.nowMicros(),
-                    refusal -> answer.accept(orFound(refusal, over)));
+                    refusal -> answer.accept(refusalOrFound(refusal, ended)));
         }
 
-        private static JobAnswer orFound(Optional<QueryRefusal> refusal, JobStatus status) {
+        private static JobAnswer refusalOrFound(Optional<QueryRefusal> refusal, JobStatus status) {
             return refusal.isPresent() ? Refusal.of(refusal.get()) : new JobAnswer.Found(status);
         }
     }
--- a/src/main/java/org/woadloom/protocol/FieldReader.java
+++ b/src/main/java/org/woadloom/protocol/FieldReader.java
@@ -6,12 +6,12 @@
 import java.util.Arrays;
 
 /**
- * Reads the fields of one map in a streaming way, for messages that arrive by the hundred a second:
- * no object is made for a field that is not used. It refuses what {@link Cbor#decode} and {@link
- * Fields} refuse, and treats null as missing like them.
+ * Streaming reader of the fields of a map, for messages that arrive hundreds of times a second: it
+ * builds no intermediate map. It rejects the same input as {@link Cbor#decode} and {@link Fields},
+ * and like them treats null as missing.
  */
 final class FieldReader {
-    /** How deep a value of a field is nested, for {@link Cbor#read}. */
+    /** The nesting depth of a field's value, passed to {@link Cbor#read}. */
     private static final int VALUE_DEPTH = 2;
 
     private static final int INITIAL_NAMES = 16;
@@ -33,13 +33,13 @@
         this.parser = parser;
     }
 
-    /** Makes a message, or a part of one, of the fields of a map. */
-    interface Reading<T> {
+    /** Builds a message, or a part of one, from the fields of a map. */
+    interface MapReader<T> {
         T read(FieldReader fields) throws IOException, MalformedMessageException;
     }
 
-    /** Reads a body that is one map, and nothing else. */
-    static <T> T body(byte[] body, Reading<T> reading) throws MalformedMessageException {
+    /** Reads a body that must contain exactly one map. */
+    static <T> T parseBody(byte[] body, MapReader<T> reader) throws MalformedMessageException {
         try (JsonParser parser = Cbor.parser(body)) {
             JsonToken first = parser.nextToken();
             if (first == null) {
@@ -48,7 +48,7 @@
             if (first != JsonToken.START_OBJECT) {
                 throw new MalformedMessageException("body: expected a map");
             }
-            T result = reading.read(new FieldReader(parser));
+            T result = reader.read(new FieldReader(parser));
             if (parser.nextToken() != null) {
                 throw new MalformedMessageException("body: more than one value");
             }
@@ -58,7 +58,9 @@
         }
     }
 
-    /** Advances to the next field with a value; returns its name, or null at the end of the map. */
+    /**
+     * Advances to the next field that is not null. Returns its name, or null at the end of the map.
+     */
     String next() throws IOException, MalformedMessageException {
         while ((name = parser.nextFieldName()) != null) {
             checkNotDuplicate();
@@ -72,8 +74,8 @@
     }
 
     /**
-     * A linear search is cheapest: a map has few fields, and their names are mostly the same
-     * objects.
+     * Uses a linear search, which is cheapest here: a map has few fields, and equal names are
+     * mostly the same object.
      */
     private void checkNotDuplicate() throws MalformedMessageException {
         for (int i = 0; i < nameCount; i++) {
@@ -87,7 +89,7 @@
         names[nameCount++] = name;
     }
 
-    /** Skips the value of an unknown field, which must be well-formed all the same. */
+    /** Skips the value of an unknown field, which must still be well-formed. */
     void skip() throws IOException, MalformedMessageException {
         Cbor.read(parser, value, VALUE_DEPTH);
     }
@@ -110,11 +112,11 @@
         return Fields.integer(name, scalar());
     }
 
-    long count() throws IOException, MalformedMessageException {
-        return Fields.notNegative(name, integer());
+    long nonNegativeInteger() throws IOException, MalformedMessageException {
+        return Fields.requireNonNegative(name, integer());
     }
 
-    double amount() throws IOException, MalformedMessageException {
+    double nonNegativeNumber() throws IOException, MalformedMessageException {
         return Fields.nonNegativeNumber(name, scalar());
     }
 
@@ -122,8 +124,8 @@
         return Cbor.read(parser, value, VALUE_DEPTH);
     }
 
-    /** Reads a list of maps, with one call for each. */
-    void maps(Reading<?> each) throws IOException, MalformedMessageException {
+    /** Reads a list of maps, calling the reader once for each map. */
+    void forEachMap(MapReader<?> reader) throws IOException, MalformedMessageException {
         String listName = name;
         if (value != JsonToken.START_ARRAY) {
             throw new MalformedMessageException(listName + ": expected a list");
@@ -136,14 +138,14 @@
                 throw new MalformedMessageException(listName + ": expected a map");
             }
             item.nameCount = 0;
-            each.read(item);
+            reader.read(item);
         }
     }
 
-    /** The value of a field that must be there. */
-    static <T> T required(String name, T value, String what) throws MalformedMessageException {
+    /** Returns the value of a mandatory field, or fails if it is missing. */
+    static <T> T required(String name, T value, String expected) throws MalformedMessageException {
         if (value == null) {
-            throw new MalformedMessageException(name + ": expected " + what);
+            throw new MalformedMessageException(name + ": expected " + expected);
         }
         return value;
     }
