--- a/src/test/java/org/woadloom/sim/BehaviourDigest.java
+++ b/src/test/java/org/woadloom/sim/BehaviourDigest.java
@@ -57,8 +57,8 @@
             difference =
                     "step "
                             + steps
-                            + " is the first with an unexpected mark (with a probability of 1/64 an"
-                            + " earlier step already differed); previous and current step are:\n"
+                            + " or, with a probability of 1/64, an earlier one is the first that"
+                            + " differs; the previous and the current step are:\n"
                             + lastStep
                             + step;
         }
--- a/src/test/java/org/woadloom/sim/FleetLoadGenerator.java
+++ b/src/test/java/org/woadloom/sim/FleetLoadGenerator.java
@@ -39,32 +39,33 @@
  */
 final class FleetLoadGenerator {
     private static final int NODES = 3;
-    private static final double REPORT_S = 4;
-    private static final long POLL_MICROS = 5_000_000;
-    private static final double TASK_S = 30;
-    private static final int ARRAY_TASKS = 90;
-    private static final int REPLICAS = 6;
+    private static final double HEARTBEAT_SECONDS = 4;
+    private static final long POLL_INTERVAL_MICROS = 5_000_000;
+    private static final double TASK_SECONDS = 30;
+    private static final int BATCH_TASKS = 90;
+    private static final int SERVICE_REPLICAS = 6;
 
     private final int machines;
     private final long measureMicros;
-    private final List<String> extra;
+    private final List<String> nodeJvmOptions;
     private final Random random = new Random(1);
-    private final SimulatedEventLoop clock = new SimulatedEventLoop();
-    private final SimulatedStore state =
-            new SimulatedStore(clock, new ServiceSettings.Store(10_000, 10_000, 16_384, 16, null));
-    private final Map<String, Worker> agents = new LinkedHashMap<>();
-    private final Map<String, List<Object>> claims = new LinkedHashMap<>();
-    private final List<String> nodes = new ArrayList<>();
+    private final SimulatedEventLoop storeLoop = new SimulatedEventLoop();
+    private final SimulatedStore store =
+            new SimulatedStore(
+                    storeLoop, new ServiceSettings.Store(10_000, 10_000, 16_384, 16, null));
+    private final Map<String, Agent> agents = new LinkedHashMap<>();
+    private final Map<String, List<Object>> hostsByRequestName = new LinkedHashMap<>();
+    private final List<String> nodeAddresses = new ArrayList<>();
     private final List<Process> processes = new ArrayList<>();
-    private final int port = freePort();
+    private final int simulatorPort = freePort();
     private final XnioIoThread thread;
     private final XnioEventLoop loop;
     private final ByteBufferPool buffers = new DefaultByteBufferPool(true, 8192, 256, 4);
-    private final UndertowTransport users;
+    private final UndertowTransport userTransport;
     private final double[] kernelSeconds = new double[NODES];
-    private final long[] reports = new long[NODES];
+    private final long[] heartbeatsByNode = new long[NODES];
     private long launches;
-    private long firstLaunch = -1;
+    private long firstLaunchMicros = -1;
     private long listedBytes;
     private long polls;
     private long jobs;
@@ -72,7 +73,7 @@
     private FleetLoadGenerator(int machines, int seconds, List<String> extra) throws IOException {
         this.machines = machines;
         this.measureMicros = seconds * 1_000_000L;
-        this.extra = extra;
+        this.nodeJvmOptions = extra;
         XnioWorker agent =
                 Xnio.getInstance()
                         .createWorker(
@@ -82,11 +83,11 @@
                                         .getMap());
         thread = agent.getIoThread();
         loop = new XnioEventLoop(thread);
-        users = new UndertowTransport(loop, thread, buffers, 500);
+        userTransport = new UndertowTransport(loop, thread, buffers, 500);
         Undertow.builder()
                 .setWorker(agent)
                 .setByteBufferPool(buffers)
-                .addHttpListener(port, "0.0.0.0")
+                .addHttpListener(simulatorPort, "0.0.0.0")
                 .setHandler(
                         exchange ->
                                 exchange.getRequestReceiver()
@@ -94,7 +95,7 @@
                                                 (done, body) ->
                                                         done.dispatch(
                                                                 SameThreadExecutor.INSTANCE,
-                                                                () -> serve(done, body))))
+                                                                () -> handleRequest(done, body))))
                 .build()
                 .start();
     }
@@ -110,7 +111,7 @@
                         Integer.parseInt(args[1]),
                         List.of(args).subList(2, args.length));
         try {
-            load.play();
+            load.run();
         } finally {
             load.processes.forEach(Process::destroy);
         }
@@ -125,10 +126,10 @@
         }
     }
 
-    private void play() throws Exception {
+    private void run() throws Exception {
         int[] peers = new int[NODES];
         for (int i = 0; i < NODES; i++) {
-            nodes.add("127.0.0.1:" + freePort());
+            nodeAddresses.add("127.0.0.1:" + freePort());
             peers[i] = freePort();
         }
         Path directory = Files.createTempDirectory("fleet");
@@ -145,7 +146,7 @@
                                     "-XX:TieredStopAtLevel=1",
                                     "-Xss256k"));
             String node = label(i);
-            extra.forEach(option -> command.add(option.replace("NODE", node)));
+            nodeJvmOptions.forEach(option -> command.add(option.replace("NODE", node)));
             command.addAll(
                     List.of("-jar", "target/woadloom.jar", "serve", "--config", file.toString()));
             ProcessBuilder builder =
@@ -156,27 +157,27 @@
             processes.add(builder.start());
         }
         System.out.println("logs in " + directory);
-        loop.execute(this::sequence);
+        loop.execute(this::advanceStoreLoop);
         Thread.sleep(4_000);
         loop.execute(
                 () -> {
                     // Half the machines are for replicas, half for arrays; four processors each.
-                    for (int i = 0; i < machines * 2 / REPLICAS; i++) {
-                        submit("service", REPLICAS, 0);
+                    for (int i = 0; i < machines * 2 / SERVICE_REPLICAS; i++) {
+                        submit("service", SERVICE_REPLICAS, 0);
                     }
-                    arrays();
+                    submitBatchJobs();
                 });
         Thread.sleep(60_000);
         measure();
-        takeOver();
+        measureFailover();
     }
 
     private void measure() throws Exception {
-        double[] before = processorSeconds();
+        double[] before = cpuSeconds();
         double[] kernelBefore = kernelSeconds.clone();
         long[] counts = counts();
         Thread.sleep(measureMicros / 1000);
-        double[] after = processorSeconds();
+        double[] after = cpuSeconds();
         long[] now = counts();
         double seconds = measureMicros / 1e6;
         System.out.printf(
@@ -201,42 +202,42 @@
         }
     }
 
-    private void takeOver() throws Exception {
+    private void measureFailover() throws Exception {
         int leader = 0;
         for (int i = 1; i < NODES; i++) {
-            leader = reports[i] > reports[leader] ? i : leader;
+            leader = heartbeatsByNode[i] > heartbeatsByNode[leader] ? i : leader;
         }
         CountDownLatch done = new CountDownLatch(1);
         Process ending = processes.get(leader);
         loop.execute(
                 () -> {
                     long term = 0;
-                    for (Worker agent : agents.values()) {
+                    for (Agent agent : agents.values()) {
                         term = Math.max(term, agent.fencingToken >> AgentLiveness.FENCE_BITS);
                     }
                     ending.destroyForcibly();
                     listedBytes = 0;
-                    firstLaunch = -1;
-                    watchTakeOver(loop.nowMicros(), term, done);
+                    firstLaunchMicros = -1;
+                    awaitFailover(loop.nowMicros(), term, done);
                 });
         done.await(60, TimeUnit.SECONDS);
     }
 
-    private void watchTakeOver(long from, long term, CountDownLatch done) {
+    private void awaitFailover(long from, long term, CountDownLatch done) {
         long reached =
                 agents.values().stream()
                         .filter(w -> w.fencingToken >> AgentLiveness.FENCE_BITS > term)
                         .count();
-        if (reached >= agents.size() * 0.95 && firstLaunch >= 0) {
+        if (reached >= agents.size() * 0.95 && firstLaunchMicros >= 0) {
             System.out.printf(
                     "takeover: first launch after %.1f s, 95 %% of the workers reached after %.1f"
                             + " s, %d KB of records read%n",
-                    (firstLaunch - from) / 1e6,
+                    (firstLaunchMicros - from) / 1e6,
                     (loop.nowMicros() - from) / 1e6,
                     listedBytes / 1024);
             done.countDown();
         } else {
-            loop.schedule(50_000, () -> watchTakeOver(from, term, done));
+            loop.schedule(50_000, () -> awaitFailover(from, term, done));
         }
     }
 
@@ -248,8 +249,8 @@
                     counts[1] = launches;
                     counts[2] = polls;
                     for (int i = 0; i < NODES; i++) {
-                        counts[0] += reports[i];
-                        counts[3 + i] = reports[i];
+                        counts[0] += heartbeatsByNode[i];
+                        counts[3 + i] = heartbeatsByNode[i];
                     }
                     done.countDown();
                 });
@@ -257,7 +258,7 @@
         return counts;
     }
 
-    private double[] processorSeconds() throws IOException {
+    private double[] cpuSeconds() throws IOException {
         double[] seconds = new double[NODES];
         for (int i = 0; i < NODES; i++) {
             String[] fields =
@@ -291,7 +292,7 @@
                                 + "\"\narea = \""
                                 + zone(i)
                                 + "\"\nbind = \""
-                                + nodes.get(i)
+                                + nodeAddresses.get(i)
                                 + "\"\npeer_bind = \"127.0.0.1:"
                                 + peers[i]
                                 + "\"\n");
@@ -308,14 +309,14 @@
         }
         return text
                 + "[outside]\ncloud = \"127.0.0.1:"
-                + port
+                + simulatorPort
                 + "\"\nstate = \"127.0.0.1:"
-                + port
+                + simulatorPort
                 + "\"\n"
                 + "[deployment]\ncount = 3\nzones = [\"a\", \"b\"]\nclock_off_ms = 100.0\n"
                 + "[[deployment.teams]]\nname = \"team\"\ncpus = 100000.0\ncpus_max = 100000.0\n"
                 + "[deployment.workers]\nreport_s = "
-                + REPORT_S
+                + HEARTBEAT_SECONDS
                 + "\n"
                 + "lease_s = 22.0\n"
                 + "cancel_s = 52.0\n"
@@ -338,23 +339,24 @@
     }
 
     /** The stand-ins' clock follows the real one. */
-    private void sequence() {
-        long now = loop.nowMicros() - start;
-        while (clock.step(now)) {
+    private void advanceStoreLoop() {
+        long now = loop.nowMicros() - startMicros;
+        while (storeLoop.step(now)) {
             continue;
         }
-        loop.schedule(2_000, this::sequence);
+        loop.schedule(2_000, this::advanceStoreLoop);
     }
 
-    private final long start = System.nanoTime() / 1000;
+    private final long startMicros = System.nanoTime() / 1000;
 
     // Users.
 
-    private void arrays() {
+    private void submitBatchJobs() {
         double tasksAtATime = machines * 2.0;
-        submit("batch", ARRAY_TASKS, TASK_S);
-        double mean = ARRAY_TASKS * TASK_S / tasksAtATime;
-        loop.schedule((long) (-Math.log(1 - random.nextDouble()) * mean * 1e6), this::arrays);
+        submit("batch", BATCH_TASKS, TASK_SECONDS);
+        double mean = BATCH_TASKS * TASK_SECONDS / tasksAtATime;
+        loop.schedule(
+                (long) (-Math.log(1 - random.nextDouble()) * mean * 1e6), this::submitBatchJobs);
     }
 
     private void submit(String shape, int shards, double runtimeS) {
@@ -381,15 +383,16 @@
     }
 
     private void submit(String jobId, byte[] job) {
-        users.request(
-                nodes.get(random.nextInt(NODES)),
+        userTransport.request(
+                nodeAddresses.get(random.nextInt(NODES)),
                 "POST",
                 "/v1/jobs",
                 job,
                 5_000_000,
                 (status, body) -> {
                     if (status == 201 || status == 200) {
-                        loop.schedule(random.nextInt((int) POLL_MICROS), () -> poll(jobId));
+                        loop.schedule(
+                                random.nextInt((int) POLL_INTERVAL_MICROS), () -> poll(jobId));
                     } else {
                         loop.schedule(1_000_000, () -> submit(jobId, job));
                     }
@@ -397,8 +400,8 @@
     }
 
     private void poll(String jobId) {
-        users.request(
-                nodes.get(random.nextInt(NODES)),
+        userTransport.request(
+                nodeAddresses.get(random.nextInt(NODES)),
                 "GET",
                 "/v1/jobs/" + jobId,
                 null,
@@ -406,7 +409,7 @@
                 (status, body) -> {
                     polls++;
                     if (!"done".equals(decode(body).get("status"))) {
-                        loop.schedule(POLL_MICROS, () -> poll(jobId));
+                        loop.schedule(POLL_INTERVAL_MICROS, () -> poll(jobId));
                     }
                 });
     }
@@ -421,12 +424,12 @@
 
     // State service, cloud and workers, told apart by path and address.
 
-    private void serve(HttpServerExchange exchange, byte[] body) {
+    private void handleRequest(HttpServerExchange exchange, byte[] body) {
         String query = exchange.getQueryString();
         String path = exchange.getRequestPath() + (query.isEmpty() ? "" : "?" + query);
         Map<String, Object> map = decode(body);
         if (path.equals("/do")) {
-            Worker agent =
+            Agent agent =
                     agents.get(
                             "host-"
                                     + exchange.getDestinationAddress()
@@ -435,11 +438,14 @@
             reply(
                     exchange,
                     agent == null ? 400 : 200,
-                    agent == null ? Map.of() : agent.direct(map));
+                    agent == null ? Map.of() : agent.handleDirectCommand(map));
         } else if (path.startsWith("/machine")) {
-            reply(exchange, 200, cloud(exchange.getRequestMethod().toString(), path, map));
+            reply(
+                    exchange,
+                    200,
+                    handleCloudRequest(exchange.getRequestMethod().toString(), path, map));
         } else {
-            state.handle(
+            store.handle(
                     exchange.getRequestMethod().toString(),
                     path,
                     map,
@@ -457,7 +463,8 @@
         exchange.getResponseSender().send(ByteBuffer.wrap(Cbor.encode(map)));
     }
 
-    private Map<String, Object> cloud(String method, String path, Map<String, Object> body) {
+    private Map<String, Object> handleCloudRequest(
+            String method, String path, Map<String, Object> body) {
         if (path.equals("/machine_types")) {
             Map<String, Object> type =
                     new LinkedHashMap<>(
@@ -487,15 +494,16 @@
         if (method.equals("POST") && path.equals("/machines")) {
             return Map.of(
                     "hosts",
-                    claims.computeIfAbsent((String) body.get("claim"), claim -> rent(body)));
+                    hostsByRequestName.computeIfAbsent(
+                            (String) body.get("claim"), claim -> rent(body)));
         }
         if (path.equals("/machines/delete")) {
             ((List<?>) body.get("hosts"))
                     .forEach(
                             host -> {
-                                Worker agent = agents.remove(host);
+                                Agent agent = agents.remove(host);
                                 if (agent != null) {
-                                    agent.gone = true;
+                                    agent.deleted = true;
                                 }
                             });
             return Map.of();
@@ -509,7 +517,7 @@
                                                 "uid",
                                                 w.host,
                                                 "addr",
-                                                w.addr,
+                                                w.address,
                                                 "hosttype",
                                                 "m4",
                                                 "yard",
@@ -526,23 +534,23 @@
     private List<Object> rent(Map<String, Object> body) {
         List<Object> hosts = new ArrayList<>();
         for (long i = 0; i < (Long) body.get("count"); i++) {
-            Worker agent =
-                    new Worker(
-                            agents.size() + claims.size() * 64,
+            Agent agent =
+                    new Agent(
+                            agents.size() + hostsByRequestName.size() * 64,
                             (String) body.get("yard"),
                             (Boolean) body.get("reclaimable"));
             if (agents.putIfAbsent(agent.host, agent) == null) {
                 hosts.add(agent.host);
-                loop.schedule(1_000_000 + random.nextInt(2_000_000), agent::report);
+                loop.schedule(1_000_000 + random.nextInt(2_000_000), agent::sendPeriodicHeartbeat);
             }
         }
         return hosts;
     }
 
     /** A machine of four processors: reports, runs what it is told to and says when it is done. */
-    private final class Worker {
+    private final class Agent {
         final String host;
-        final String addr;
+        final String address;
         final String zone;
         final boolean spot;
         final UndertowTransport transport = new UndertowTransport(loop, thread, buffers, 1);
@@ -550,12 +558,12 @@
         int node = random.nextInt(NODES);
         long sequence;
         long fencingToken;
-        boolean gone;
-        boolean reporting;
-        long lastMicros;
-        boolean soon;
+        boolean deleted;
+        boolean heartbeatInFlight;
+        long lastHeartbeatMicros;
+        boolean earlyHeartbeatScheduled;
 
-        Worker(int number, String zone, boolean spot) {
+        Agent(int number, String zone, boolean spot) {
             String ip =
                     "127."
                             + (1 + number / 62_500)
@@ -564,77 +572,79 @@
                             + "."
                             + (1 + number % 250);
             this.host = "host-" + ip;
-            this.addr = ip + ":" + port;
+            this.address = ip + ":" + simulatorPort;
             this.zone = zone;
             this.spot = spot;
         }
 
-        void beat() {
-            loop.schedule((long) (REPORT_S * 1e6 * (0.75 + random.nextDouble() / 2)), this::report);
+        void scheduleHeartbeat() {
+            loop.schedule(
+                    (long) (HEARTBEAT_SECONDS * 1e6 * (0.75 + random.nextDouble() / 2)),
+                    this::sendPeriodicHeartbeat);
         }
 
-        void changed() {
-            if (!soon) {
-                soon = true;
+        void scheduleEarlyHeartbeat() {
+            if (!earlyHeartbeatScheduled) {
+                earlyHeartbeatScheduled = true;
                 loop.schedule(
-                        Math.max(1_000, lastMicros + 500_000 - loop.nowMicros()),
+                        Math.max(1_000, lastHeartbeatMicros + 500_000 - loop.nowMicros()),
                         () -> {
-                            soon = false;
-                            send(false);
+                            earlyHeartbeatScheduled = false;
+                            sendHeartbeat(false);
                         });
             }
         }
 
-        void report() {
-            send(true);
+        void sendPeriodicHeartbeat() {
+            sendHeartbeat(true);
         }
 
-        private void send(boolean periodic) {
-            if (gone) {
+        private void sendHeartbeat(boolean periodic) {
+            if (deleted) {
                 return;
             }
             if (periodic) {
-                beat();
+                scheduleHeartbeat();
             }
-            if (reporting) {
+            if (heartbeatInFlight) {
                 return;
             }
-            reporting = true;
-            lastMicros = loop.nowMicros();
+            heartbeatInFlight = true;
+            lastHeartbeatMicros = loop.nowMicros();
             int at = node;
             transport.request(
-                    nodes.get(at),
+                    nodeAddresses.get(at),
                     "POST",
                     "/v1/report",
-                    Cbor.encode(body()),
+                    Cbor.encode(heartbeat()),
                     4_000_000,
                     (status, answer) -> {
-                        reporting = false;
-                        reports[at]++;
+                        heartbeatInFlight = false;
+                        heartbeatsByNode[at]++;
                         Map<String, Object> map = decode(answer);
                         if (status == 200) {
                             fencingToken = Math.max(fencingToken, (Long) map.get("epoch"));
                             execute((List<?>) map.get("orders"));
                         } else if (status == 421 && map.get("overseer") instanceof String leader) {
                             node = Integer.parseInt(leader.substring(5));
-                            changed();
+                            scheduleEarlyHeartbeat();
                         } else {
                             node = (node + 1) % NODES;
-                            loop.schedule(1_000_000, this::changed);
+                            loop.schedule(1_000_000, this::scheduleEarlyHeartbeat);
                         }
                     });
         }
 
-        Map<String, Object> direct(Map<String, Object> body) {
+        Map<String, Object> handleDirectCommand(Map<String, Object> body) {
             fencingToken = Math.max(fencingToken, (Long) body.get("epoch"));
             execute((List<?>) body.get("orders"));
-            return body();
+            return heartbeat();
         }
 
-        private Map<String, Object> body() {
+        private Map<String, Object> heartbeat() {
             Map<String, Object> map = new LinkedHashMap<>();
             map.put("host", host);
-            map.put("addr", addr);
+            map.put("addr", address);
             map.put("hosttype", "m4");
             map.put("yard", zone);
             map.put("reclaimable", spot);
@@ -655,7 +665,7 @@
                     case "halt" -> exit(shard, "halted");
                     default -> tasks.remove(shard);
                 }
-                changed();
+                scheduleEarlyHeartbeat();
             }
         }
 
@@ -664,7 +674,7 @@
                 return;
             }
             launches++;
-            firstLaunch = firstLaunch < 0 ? loop.nowMicros() : firstLaunch;
+            firstLaunchMicros = firstLaunchMicros < 0 ? loop.nowMicros() : firstLaunchMicros;
             Map<String, Object> task = new LinkedHashMap<>();
             task.put("shard", shard);
             task.put("try", attempt);
@@ -674,16 +684,16 @@
                     500_000,
                     () -> {
                         task.put("status", "running");
-                        changed();
+                        scheduleEarlyHeartbeat();
                     });
             // The first jobs are the services, which run on.
-            if (Integer.parseInt(shard.substring(2, 8)) >= machines * 2 / REPLICAS) {
+            if (Integer.parseInt(shard.substring(2, 8)) >= machines * 2 / SERVICE_REPLICAS) {
                 loop.schedule(
-                        (long) (TASK_S * 1e6),
+                        (long) (TASK_SECONDS * 1e6),
                         () -> {
                             if (tasks.get(shard) == task) {
                                 exit(shard, "done");
-                                changed();
+                                scheduleEarlyHeartbeat();
                             }
                         });
             }
