--- a/src/test/java/org/woadloom/sim/FleetLoadGenerator.java
+++ b/src/test/java/org/woadloom/sim/FleetLoadGenerator.java
@@ -31,11 +31,10 @@
 import org.xnio.XnioWorker;
 
 /**
- * Measures what a fleet costs real node processes, on loopback: three of them as they are deployed,
- * between stand-ins, with workers that report, users that submit and poll. Prints the processor
- * time and memory of each node over the measured span. Then the leader's process is killed, and it
- * prints how long the others take to launch again and to reach the workers. It is run by hand (see
- * docs/operations.md), never by the tests.
+ * Load generator for three real node processes on loopback, with a simulated store, cloud, agents
+ * and users. Prints the CPU time and memory of each node over the measured time. Then it kills the
+ * leader and prints how long the other nodes take to launch tasks and to reach the agents. It is
+ * run by hand (see docs/operations.md), never by the tests.
  */
 final class FleetLoadGenerator {
     private static final int NODES = 3;
@@ -101,8 +100,8 @@
     }
 
     /**
-     * Arguments: machines, measured seconds, then options of the Java virtual machine for the
-     * nodes, NODE in them being its label.
+     * Arguments: number of machines, seconds to measure, then JVM options for the nodes, in which
+     * NODE is replaced by the label of the node.
      */
     public static void main(String[] args) throws Exception {
         FleetLoadGenerator load =
@@ -161,7 +160,8 @@
         Thread.sleep(4_000);
         loop.execute(
                 () -> {
-                    // Half the machines are for replicas, half for arrays; four processors each.
+                    // Each machine has 4 CPUs: half of all CPUs are for services, half for batch
+                    // jobs.
                     for (int i = 0; i < machines * 2 / SERVICE_REPLICAS; i++) {
                         submit("service", SERVICE_REPLICAS, 0);
                     }
@@ -338,7 +338,7 @@
         return i % 2 == 0 ? "a" : "b";
     }
 
-    /** The stand-ins' clock follows the real one. */
+    /** Keeps the virtual time of the store in step with real time. */
     private void advanceStoreLoop() {
         long now = loop.nowMicros() - startMicros;
         while (storeLoop.step(now)) {
@@ -422,7 +422,7 @@
         }
     }
 
-    // State service, cloud and workers, told apart by path and address.
+    // Store, cloud and agents, distinguished by path and address.
 
     private void handleRequest(HttpServerExchange exchange, byte[] body) {
         String query = exchange.getQueryString();
@@ -547,7 +547,7 @@
         return hosts;
     }
 
-    /** A machine of four processors: reports, runs what it is told to and says when it is done. */
+    /** The agent of a machine with 4 CPUs: sends heartbeats and runs tasks as commanded. */
     private final class Agent {
         final String host;
         final String address;
@@ -686,7 +686,7 @@
                         task.put("status", "running");
                         scheduleEarlyHeartbeat();
                     });
-            // The first jobs are the services, which run on.
+            // Jobs with lower numbers are services, which do not end.
             if (Integer.parseInt(shard.substring(2, 8)) >= machines * 2 / SERVICE_REPLICAS) {
                 loop.schedule(
                         (long) (TASK_SECONDS * 1e6),
