--- a/src/test/java/org/woadloom/sim/BadInputTest.java
+++ b/src/test/java/org/woadloom/sim/BadInputTest.java
@@ -397,7 +397,7 @@
      * be missing.
      */
     @Test
-    void aKnownJobIsNeverRefused() throws Exception {
+    void resubmittedJobWithInvalidFieldsStaysAccepted() throws Exception {
         node.start();
         Connection connection = new Connection(node.address);
         int accepted = 503;
@@ -421,14 +421,14 @@
     }
 
     @Test
-    void aLeaderRefusesWhatIsMalformed() throws Exception {
+    void leaderRejectsMalformedRequests() throws Exception {
         node.start();
         refuseAll();
         assertEquals("rehearsal", node.state.value("leader").get("label"));
     }
 
     @Test
-    void aNodeThatDoesNotLeadRefusesWhatIsMalformed() throws Exception {
+    void followerRejectsMalformedRequests() throws Exception {
         node.state.handle(
                 "POST",
                 "/txn",
--- a/src/test/java/org/woadloom/sim/BehaviourDigestTest.java
+++ b/src/test/java/org/woadloom/sim/BehaviourDigestTest.java
@@ -98,7 +98,7 @@
 
     @ParameterizedTest
     @MethodSource("days")
-    void everyStepDecidesAsRecorded(RandomDay day) throws IOException {
+    void schedulerStepsMatchRecordedDigest(RandomDay day) throws IOException {
         Expected before = EXPECTED_DAYS.get(day.key());
         BehaviourDigest digest = play(day, before == null ? null : before.marks());
         PLAYED.put(day.key(), digest);
@@ -148,7 +148,7 @@
 
     /** The digest must be able to differ: by one step. */
     @Test
-    void changedStepsAreFound() {
+    void digestLocatesChangedStep() {
         String marks = digestOf(null, 100, -1).marks();
         BehaviourDigest same = digestOf(marks, 100, -1);
         assertEquals(digestOf(null, 100, -1).hash(), same.hash());
--- a/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
@@ -202,7 +202,7 @@
      */
     @ParameterizedTest
     @EnumSource
-    void jobsAreCancelledWhileWorkChangesHands(Change change) {
+    void cancellationsAreConfirmedInTimeDuringLeaderChange(Change change) {
         for (long seed : Seeds.usually(SEEDS)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
             long term = cluster.term();
@@ -287,7 +287,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void jobsAreCancelledAtTheVeryMomentOfTheRefusal(Else what) {
+    void cancellationsAreConfirmedWhenStoreStartsRejectingLeader(Else what) {
         int confirmed = 0;
         for (long seed : Seeds.usually(SEEDS + 1)) {
             confirmed += atTheMomentOfTheRefusal(what, seed, Scenario.LONG, Flaw.NONE);
@@ -304,7 +304,7 @@
      * and ask all the time.
      */
     @Test
-    void theStateServiceIsSlowThenRefusesTheLeaderThenEverybody() {
+    void cancellationsAreConfirmedWhenSlowStoreRejectsLeaderThenFails() {
         int confirmed = 0;
         for (long seed : Seeds.usually(SEEDS + 1)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
@@ -358,7 +358,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void manyAreCalledOffAndMachinesHang(Leader leader) {
+    void cancelledTasksStopInTimeWhenMachinesHangAndLeaderFails(Leader leader) {
         int confirmed = 0;
         int called = 0;
         for (long seed : Seeds.usually(SEEDS)) {
@@ -386,7 +386,7 @@
      * words and records are found.
      */
     @Test
-    void answersAreLostWhileLeadersChange() {
+    void lostTransactionAnswersCauseNoExtraTerms() {
         for (long seed : Seeds.usually(SEEDS)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
             long term = cluster.term();
@@ -417,7 +417,7 @@
      */
     @ParameterizedTest
     @CsvSource({"VOUCHES_FOR_ANYTHING, HINTS_LOST, 50", "NONE, PEERS_CUT, 150"})
-    void brokenVariantsAreCaught(Flaw flaw, Else what, long cancelSeconds) {
+    void checkerDetectsCancelledTaskThatKeepsRunning(Flaw flaw, Else what, long cancelSeconds) {
         InvariantViolation caught =
                 assertThrows(
                         InvariantViolation.class,
--- a/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
@@ -74,7 +74,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void tasksAreGoneInTimeWhateverElseIsLost(Lost lost) {
+    void cancelledTasksStopInTimeWhateverElseIsLost(Lost lost) {
         int confirmed = 0;
         for (long seed : Seeds.first(3)) {
             confirmed += confirmedBehindItsBack(lost, seed, Flaw.NONE);
@@ -89,7 +89,7 @@
      * is lost.
      */
     @Test
-    void whatRunsOnIsNotTouchedWhereTheNodesReachEachOther() {
+    void otherTasksKeepRunningWhileNodesReachEachOther() {
         int confirmed = 0;
         int kept = 0;
         for (long seed : Seeds.first(4)) {
@@ -117,7 +117,7 @@
 
     /** An outage that ends for all but the leader, cancellations, and a second outage. */
     @Test
-    void anOutageThatEndsForAllButTheLeader() {
+    void cancelledTasksStopInTimeWhenOutageEndsForAllButLeader() {
         int confirmed = 0;
         for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
@@ -150,7 +150,7 @@
         "9000, 300",
         "9000, 20000"
     })
-    void theConfirmingNodeEnds(long endsMillis, long awayMillis) {
+    void cancelledTasksStopInTimeWhenConfirmingNodesRestart(long endsMillis, long awayMillis) {
         for (long seed : Seeds.first(2)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
             cluster.hintsLost = true;
@@ -172,7 +172,7 @@
      * is over, which is later than their users may be told that they wait ({@code orphaned}).
      */
     @Test
-    void jobsThatWaitForACancelledOneAreNotCalledQueuedForLonger() {
+    void dependentsOfCancelledJobAreNotReportedQueuedDuringOutage() {
         int polled = 0;
         for (long seed : Seeds.first(6)) {
             ClusterSimulation cluster =
@@ -196,7 +196,7 @@
 
     /** Twice in a row, and the leader has changed meanwhile or not. */
     @Test
-    void aSecondGapFollows() {
+    void cancelledTasksStopInTimeAcrossTwoStoreOutages() {
         for (long seed : Seeds.first(3)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
             cluster.gap(2_000_000, DOWN);
@@ -211,7 +211,7 @@
      * it still reaches.
      */
     @Test
-    void aNewLeaderIsElectedWithinTheGap() {
+    void cancelledTasksStopInTimeWhenLeaderChangesBeforeOutage() {
         for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = day(seed, Flaw.NONE);
             cluster.refusePeers(40_000_000);
@@ -226,7 +226,7 @@
      * The checker must be able to fail: nodes that name nothing leave the leader without knowledge.
      */
     @Test
-    void nodesThatVouchForAnythingAreCaught() {
+    void checkerDetectsNodesThatReportNoCancellations() {
         InvariantViolation caught =
                 assertThrows(
                         InvariantViolation.class,
--- a/src/test/java/org/woadloom/sim/DamagedRecordTest.java
+++ b/src/test/java/org/woadloom/sim/DamagedRecordTest.java
@@ -58,7 +58,7 @@
 
     /** The leader writes what it knows in its place, and the job is done as if nothing had been. */
     @Test
-    void aLeaderThatKnowsTheJobWritesItsRecordAnew() {
+    void leaderRewritesDamagedRecordOfKnownJob() {
         ClusterSimulation cluster = day();
         String jobId = damage(cluster, false);
         cluster.run(AT + 8_000_000);
@@ -71,7 +71,7 @@
 
     /** No leader knows it any more: its users hear of it, and can be rid of it. */
     @Test
-    void aJobThatNoLeaderKnowsStaysKnownAndCanBeCancelled() {
+    void damagedJobUnknownToLeaderIsReportedQueuedAndCanBeCancelled() {
         ClusterSimulation cluster = day();
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
             cluster.end(i, 2_000_000);
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void whatWasCancelledStaysCancelledAsLongAsThatFieldCanBeRead() {
+    void damagedRecordWithReadableCancelledFieldStaysCancelled() {
         ClusterSimulation cluster = day();
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
             cluster.end(i, 2_000_000);
@@ -105,7 +105,7 @@
      * Asked about in vain for ten seconds while the store serves others, a job's users go first.
      */
     @Test
-    void whoIsRefusedAgainAndAgainGoesFirst() {
+    void jobRefusedForTenSecondsGetsPriority() {
         SimulatedEventLoop sim = new SimulatedEventLoop();
         EventLoop loop = sim.loop();
         UnansweredQueries unanswered = new UnansweredQueries(loop);
--- a/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
@@ -313,7 +313,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void rulesHoldInEachMeeting(Meeting meeting) {
+    void invariantsHoldUnderEachFault(Meeting meeting) {
         for (long seed : Seeds.usually(SEEDS)) {
             day(seed, Set.of(meeting));
         }
@@ -330,7 +330,7 @@
         "CLOSE_LOOKS, HAND_OVER_AND_BACK",
         "FOUR_A_SECOND, LATE_WRITES"
     })
-    void rulesHoldInTwoAtOnce(Meeting one, Meeting other) {
+    void invariantsHoldUnderTwoFaultsAtOnce(Meeting one, Meeting other) {
         for (long seed : Seeds.usually(SEEDS)) {
             day(seed, Set.of(one, other));
         }
@@ -349,7 +349,7 @@
         "NO_CONDITIONS, LATE_WRITES, ''",
         "NO_CONDITIONS, TEN_LEADERS, ''"
     })
-    void aBrokenServiceIsCaught(Scenario.Flaw flaw, Meeting meeting, String rule) {
+    void checkerDetectsInjectedFlaw(Scenario.Flaw flaw, Meeting meeting, String rule) {
         // What the service itself would refuse is to be caught from outside as well.
         System.clearProperty(Invariants.THROW_PROPERTY);
         InvariantViolation caught =
@@ -374,7 +374,7 @@
      * which holds every rollout up for as long as it runs.
      */
     @Test
-    void aWordThatIsCarriedOutLateReplacesNoNewerOne() {
+    void delayedAnnouncementWriteDoesNotReplaceNewerOne() {
         int late = 0;
         for (long seed : Seeds.first(12)) {
             ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
--- a/src/test/java/org/woadloom/sim/HttpFormsGoldenTest.java
+++ b/src/test/java/org/woadloom/sim/HttpFormsGoldenTest.java
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void answersAndMetricsAreAsRecorded() throws Exception {
+    void responsesAndMetricNamesMatchGoldenFiles() throws Exception {
         node.start();
         byte[] job = job("j-1", "shards", 1L);
         askUntil(404, "GET", "/v1/jobs/j-9", null);
--- a/src/test/java/org/woadloom/sim/JobLogLinesTest.java
+++ b/src/test/java/org/woadloom/sim/JobLogLinesTest.java
@@ -26,7 +26,7 @@
     private static final long DAY_MICROS = 120_000_000;
 
     @Test
-    void linesOfJobsAreFound() {
+    void jobLogLinesMatchLogReaderPatterns() {
         ClusterSimulation cluster = new ClusterSimulation(1, Scenario.PLAIN);
         List<String> lines = new ArrayList<>();
         cluster.stepObserver =
--- a/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
+++ b/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
@@ -351,7 +351,7 @@
 
     /** The leader keeps its key while users ask for more than the store takes. */
     @Test
-    void leadershipIsKept() {
+    void leaderKeepsLeadershipWhenSubmissionsExceedStoreRate() {
         start();
         users(62 * SECOND, SUBMISSIONS_PER_SECOND);
         assertEquals(0, longestGap(62 * SECOND));
@@ -363,7 +363,7 @@
      * gone.
      */
     @Test
-    void aLeaderThatEndsIsReplacedInTheUsualTime() {
+    void endedLeaderIsReplacedPromptlyUnderLoad() {
         start();
         users(62 * SECOND, SUBMISSIONS_PER_SECOND);
         sim.run(30 * SECOND);
@@ -374,7 +374,7 @@
 
     /** Work that ends has to be recorded, also while users' changes queue. */
     @Test
-    void theLeadersRecordsHaveTheirShare() {
+    void leaderWritesAreNotStarvedBySubmissions() {
         start();
         users(62 * SECOND, SUBMISSIONS_PER_SECOND);
         leaderWrites(61 * SECOND, 10);
@@ -391,7 +391,7 @@
      * Yes or no: nobody is kept waiting for longer than users wait, and the store's rate is used.
      */
     @Test
-    void everySubmissionIsAnsweredInTime() {
+    void everySubmissionIsAnsweredBeforeUserTimeout() {
         start();
         users(62 * SECOND, SUBMISSIONS_PER_SECOND);
         sim.run(62 * SECOND);
--- a/src/test/java/org/woadloom/sim/LoopbackTest.java
+++ b/src/test/java/org/woadloom/sim/LoopbackTest.java
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void jobsAwaitOthersOnceEveryNodeRunsThisVersion() throws Exception {
+    void dependenciesAreAcceptedOnceEveryNodeSupportsThem() throws Exception {
         start();
         int accepted = 503;
         for (int i = 0; accepted == 503 && i < 5_000; i++) {
@@ -136,7 +136,7 @@
     }
 
     @Test
-    void aNodeAnswersItsUsers() throws Exception {
+    void jobApiAnswersSubmitStatusAndCancel() throws Exception {
         start();
         assertEquals(200, ask("GET", "/healthz", null).statusCode());
         HttpResponse<byte[]> accepted = ask("POST", "/v1/jobs", job("team"));
--- a/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
@@ -116,7 +116,7 @@
         "HANGS, 10, 1",
         ", 2, 1"
     })
-    void theOthersKeepTheirLeasesAndTheWorkGoesElsewhere(
+    void workMovesOffUnreachableMachinesAndOtherLeasesAreKept(
             OutOfTouch kind, int oneIn, int leaderEnds) {
         int befallen = 0;
         int moved = 0;
@@ -160,7 +160,7 @@
     /** Shorter than a lease: nothing is killed anywhere. */
     @ParameterizedTest
     @EnumSource
-    void withinALeaseNothingIsKilled(OutOfTouch kind) {
+    void faultShorterThanLeaseKillsNoTask(OutOfTouch kind) {
         for (long seed : Seeds.usually(2)) {
             ClusterSimulation cluster = day(seed, Scenario.LONG);
             int killed = cluster.observed.killedByLease;
@@ -177,7 +177,7 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {10, 3})
-    void machinesThatAreClosedInForLessThanALeaseAreKept(int oneIn) {
+    void machinesWithoutOutboundForLessThanLeaseAreKept(int oneIn) {
         for (long seed : Seeds.usually(3)) {
             ClusterSimulation cluster = day(seed, Scenario.LONG);
             int killed = cluster.observed.killedByLease;
@@ -194,7 +194,7 @@
 
     /** The checker must be able to fail: a lease that is believed to be over too soon. */
     @Test
-    void leasesBelievedTooShortAreCaught() {
+    void checkerDetectsLeaseAssumedTooShort() {
         InvariantViolation caught =
                 assertThrows(
                         InvariantViolation.class,
@@ -216,7 +216,7 @@
      * within seconds.
      */
     @Test
-    void afterAllControllersWereAwayWorkBeginsAnewAtOnce() {
+    void workRestartsWithinSecondsAfterAllControllersWereDown() {
         for (long seed : Seeds.usually(3)) {
             ClusterSimulation cluster = day(seed, Scenario.LONG);
             int killed = cluster.observed.killedByLease;
@@ -251,7 +251,7 @@
      * Rentals and deletions are carried out seconds late, some of them for a leader that is gone.
      */
     @Test
-    void rentalsAndDeletionsThatAreCarriedOutLate() {
+    void delayedRentalsAndDeletionsLeaveNoUnusedMachines() {
         Map<String, Integer> count = new LinkedHashMap<>();
         for (long seed : Seeds.usually(4)) {
             ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
@@ -292,7 +292,7 @@
      * some of the machines.
      */
     @Test
-    void machinesThatAreUpAtOnceWhileWritesLagAndTheLeaderEnds() {
+    void jobsFinishWhenMachinesBootFastWhileWritesLagAndLeadersEnd() {
         Map<String, Integer> count = new LinkedHashMap<>();
         for (long seed : Seeds.usually(3)) {
             ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
--- a/src/test/java/org/woadloom/sim/ManyJobsReadsTest.java
+++ b/src/test/java/org/woadloom/sim/ManyJobsReadsTest.java
@@ -84,7 +84,7 @@
      * a node has.
      */
     @Test
-    void allOpenJobsAreRemembered() throws MalformedMessageException {
+    void repeatedPollsOfOpenJobsReadNoJobByKey() throws MalformedMessageException {
         for (int number = 0; number < JOBS; number++) {
             store(number);
         }
--- a/src/test/java/org/woadloom/sim/PartitionedZoneTest.java
+++ b/src/test/java/org/woadloom/sim/PartitionedZoneTest.java
@@ -52,7 +52,7 @@
     /** The lease is 20 s: without care every task of the zone would be killed. */
     @ParameterizedTest
     @ValueSource(strings = {"a", "b"})
-    void workGoesOnInAZoneThatIsCutOffForLongerThanALease(String zone) {
+    void tasksSurviveZonePartitionLongerThanLease(String zone) {
         int kept = 0;
         for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = cut(seed, zone, BRIDGED);
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aLeaderThatIsCutOffCaresForItsOwnWorkersAndAnotherLeadsMeanwhile() {
+    void partitionedLeaderRenewsLeasesInItsZoneWhileAnotherNodeLeads() {
         for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = day(seed);
             cluster.loop.after(
@@ -81,7 +81,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {55_000_000, 75_000_000})
-    void careEndsInTimeWhereTheCutDoesNot(long forMicros) {
+    void delegatedRenewalStopsBeforeCancellationDeadline(long forMicros) {
         int killed = 0;
         for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = cut(seed, "b", forMicros);
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void aCutThatOpensAndClosesStartsNoCareAnew() {
+    void flappingPartitionDoesNotRestartDelegatedRenewal() {
         for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = cut(seed, "b", 24_000_000);
             for (int retry = 1; retry < 5; retry++) {
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void aNodeThatOnlyTheStateServiceRefusesTakesNoCare() {
+    void nodeRejectedOnlyByStoreRenewsNoLeases() {
         for (long seed : Seeds.first(3)) {
             ClusterSimulation cluster = day(seed);
             cluster.loop.after(CUT_AT, () -> cluster.refuseState(1, 40_000_000));
@@ -125,7 +125,7 @@
      * care.
      */
     @Test
-    void aNodeThatIsStartedAnewTakesNoCare() {
+    void nodeRestartedDuringPartitionRenewsNoLeases() {
         int killed = 0;
         for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = cut(seed, "b", 30_000_000);
@@ -143,7 +143,7 @@
      * began.
      */
     @Test
-    void theCareOfAProcessThatEndedIsReckonedWith() {
+    void leaderAccountsForRenewalsByEndedProcess() {
         hangUnderARenewedLease(23_000_000, 23_000_000, 22_500_000);
     }
 
@@ -152,7 +152,7 @@
      * renewed.
      */
     @Test
-    void hungMachinesGoOnUnderARenewedLease() {
+    void invariantsHoldWhenMachinesHangUnderDelegatedLease() {
         hangUnderARenewedLease(BRIDGED, 24_000_000, -1);
     }
 
@@ -174,7 +174,7 @@
 
     /** One of the zone's two nodes ends in the middle of the cut; its workers move to the other. */
     @Test
-    void workersMoveBetweenTheNodesOfTheZone() {
+    void agentsMoveToOtherNodeOfPartitionedZone() {
         for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = cut(seed, "a", BRIDGED);
             int ending = seed % 2 == 0 ? 0 : 2;
@@ -190,7 +190,7 @@
      * that from the leader, all leases ended.
      */
     @Test
-    void aLongOutageOfTheStateServiceEndsNoLease() {
+    void longStoreOutageExpiresNoLease() {
         for (long seed : Seeds.first(3)) {
             ClusterSimulation cluster = day(seed);
             cluster.loop.after(CUT_AT, () -> cluster.stateOutage(60_000_000));
--- a/src/test/java/org/woadloom/sim/PrintReplayCommandTest.java
+++ b/src/test/java/org/woadloom/sim/PrintReplayCommandTest.java
@@ -14,7 +14,7 @@
     }
 
     @Test
-    void seedPropertyPlaysThatSeedAlone() {
+    void seedPropertyRestrictsRunsToThatSeed() {
         String before = System.getProperty(Seeds.SEED_PROPERTY);
         try {
             System.clearProperty(Seeds.SEED_PROPERTY);
--- a/src/test/java/org/woadloom/sim/QuickRestartTest.java
+++ b/src/test/java/org/woadloom/sim/QuickRestartTest.java
@@ -32,7 +32,7 @@
      */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
-    void aLeaderThatKeepsEndingLeavesLeadingToANodeThatStays(long seed) {
+    void crashLoopingLeaderYieldsToStableNode(long seed) {
         ClusterSimulation cluster = day(seed);
         int ending = cluster.leader();
         long before = cluster.term();
@@ -51,7 +51,7 @@
     /** Where nobody else is there the former leader's next process leads. */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
-    void aProcessThatIsAloneLeadsAgain(long seed) {
+    void restartedLeaderLeadsAgainWhenNoOtherNodeRuns(long seed) {
         ClusterSimulation cluster = day(seed);
         int leader = cluster.leader();
         long before = cluster.term();
--- a/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
@@ -311,7 +311,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void rulesHoldInEachMeeting(Meeting meeting) {
+    void invariantsHoldUnderEachFault(Meeting meeting) {
         int seen = 0;
         for (long seed : Seeds.usually(SEEDS)) {
             seen += day(seed, Scenario.TIGHT, Set.of(meeting)).seen;
@@ -325,13 +325,13 @@
         "CANCELLED_BEFORE_IT_COULD_ASK, HELD_BACK_UNTIL_IT_HAS_ACTED",
         "BOUND_TO_ONE_ZONE, CANCELLED_BEFORE_IT_COULD_ASK"
     })
-    void rulesHoldInTwoAtOnce(Meeting one, Meeting other) {
+    void invariantsHoldUnderTwoFaultsAtOnce(Meeting one, Meeting other) {
         day(Seeds.usualCount(SEEDS), Scenario.TIGHT, Set.of(one, other));
     }
 
     /** Everything else at random besides. */
     @Test
-    void rulesHoldOnRandomDaysAtLimits() {
+    void invariantsHoldUnderRandomFaultsAtQuotaLimits() {
         int most = 0;
         int copies = 0;
         int waited = 0;
@@ -386,12 +386,12 @@
 
     @ParameterizedTest
     @EnumSource(names = {"CANCELLED_OUT_OF_REACH", "CANCELLED_BEFORE_IT_COULD_ASK"})
-    void aServiceThatTrustsTooShortALeaseIsCaught(Meeting meeting) {
+    void checkerDetectsLeaseAssumedTooShort(Meeting meeting) {
         caught(told(Scenario.SHORT.leaseMicros() / 2), meeting);
     }
 
     @Test
-    void oldReportsThatLookNewAreCaught() {
+    void checkerDetectsStaleReportsTakenAsNew() {
         caught(
                 Scenario.TIGHT.with(Scenario.Flaw.COPIES_LOOK_NEW),
                 Meeting.OLD_REPORTS_FOR_THE_NEXT_LEADER);
@@ -402,7 +402,7 @@
 
     /** Nobody leads any more, and its machines are there. */
     @Test
-    void jobsThatAreLeftWaitingAreCaught() {
+    void checkerDetectsStarvedJobs() {
         ClusterSimulation cluster = new ClusterSimulation(1, Scenario.PLAIN);
         cluster.users.submitUntil(AT);
         WaitingJobs waiting = new WaitingJobs(cluster, AT);
--- a/src/test/java/org/woadloom/sim/RandomScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/RandomScenariosTest.java
@@ -30,7 +30,7 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void rulesHoldAndEveryAcceptedJobIsFinished(long seed) {
+    void invariantsHoldAndJobsFinishUnderRandomFaults(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
         cluster.users.submitUntil(TROUBLED);
         cluster.randomFaults.startUntil(TROUBLED);
@@ -41,7 +41,7 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void rulesHoldWhileTheVersionInProductionIsReplaced(long seed) {
+    void invariantsHoldDuringUpgradeFromProductionVersion(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.UPGRADE);
         cluster.users.submitUntil(TROUBLED);
         cluster.randomFaults.startUntil(TROUBLED);
@@ -55,7 +55,7 @@
 
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
-    void rulesHoldWhileVersion3IsReplaced(long seed) {
+    void invariantsHoldDuringUpgradeFromVersion3(long seed) {
         ClusterSimulation cluster =
                 new ClusterSimulation(seed, Scenario.PLAIN.from(Version.AGREEING));
         cluster.users.submitUntil(TROUBLED);
@@ -68,7 +68,7 @@
     /** Any node is replaced by either version at any time; in the end all run this one. */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
-    void rulesHoldWhileVersionsChangeBothWays(long seed) {
+    void invariantsHoldDuringRandomUpgradesAndDowngrades(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
         cluster.users.submitUntil(TROUBLED);
         cluster.randomFaults.startUntil(TROUBLED);
@@ -92,7 +92,7 @@
 
     /** The checker must be able to fail. */
     @Test
-    void aFormatThatIsWrittenTooEarlyIsCaught() {
+    void checkerDetectsRecordFormatWrittenTooEarly() {
         InvariantViolation caught =
                 assertThrows(
                         InvariantViolation.class,
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void aServiceThatForgetsWhatJobsAwaitIsCaught() {
+    void checkerDetectsForgottenDependencies() {
         InvariantViolation caught =
                 assertThrows(
                         InvariantViolation.class,
@@ -117,12 +117,12 @@
     }
 
     @Test
-    void aServiceThatTrustsTooShortALeaseIsCaught() {
+    void checkerDetectsLeaseAssumedTooShort() {
         troubledUntilCaught(told(Scenario.SHORT.leaseMicros() / 8, Scenario.SHORT.cancelMicros()));
     }
 
     @Test
-    void aNodeThatCaresForTooLongIsCaught() {
+    void checkerDetectsDelegatedRenewalForTooLong() {
         InvariantViolation caught =
                 assertThrows(
                         InvariantViolation.class,
@@ -149,7 +149,7 @@
     }
 
     @Test
-    void aNodeThatCaresAgainstItsPromiseIsCaught() {
+    void checkerDetectsDelegatedRenewalAgainstPromise() {
         InvariantViolation caught =
                 troubledUntilCaught(Scenario.PLAIN.with(Scenario.Flaw.PROMISES_TOO_MUCH));
         assertTrue(
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void copiesThatAreTakenForNewsAreCaught() {
+    void checkerDetectsDuplicateReportsTakenAsNew() {
         InvariantViolation caught =
                 troubledUntilCaught(Scenario.PLAIN.with(Scenario.Flaw.COPIES_LOOK_NEW));
         assertTrue(
@@ -167,13 +167,13 @@
     }
 
     @Test
-    void aJobOfWhichNobodyIsToldIsCaught() {
+    void checkerDetectsForgottenJob() {
         InvariantViolation caught = calmUntilCaught(Scenario.Flaw.ONE_JOB_REFUSED);
         assertTrue(caught.getMessage().contains("forgotten"), caught.getMessage());
     }
 
     @Test
-    void aJobThatIsLeftWaitingIsCaught() {
+    void checkerDetectsStarvedJob() {
         InvariantViolation caught = calmUntilCaught(Scenario.Flaw.ONE_JOB_NOT_TAKEN);
         assertTrue(caught.getMessage().contains("left_waiting"), caught.getMessage());
     }
--- a/src/test/java/org/woadloom/sim/RolloutTest.java
+++ b/src/test/java/org/woadloom/sim/RolloutTest.java
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aFeatureIsHeldHurriedTakenBackAndRolledOutAgain() {
+    void featureFollowsHoldGoBackAndAutoRequests() {
         ClusterSimulation cluster = busy(5, Version.NOW);
         ask(cluster, Verb.HOLD);
         cluster.run(20 * SECOND);
@@ -97,7 +97,7 @@
      */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstSix")
-    void stepsBackAndForthSurviveTroubles(long seed) {
+    void rolloutSettlesWhenSteppedBackAndForthUnderFaults(long seed) {
         ClusterSimulation cluster = busy(seed, Version.NOW);
         cluster.clockOff[(int) (seed % ClusterSimulation.NODES)] =
                 seed % 2 == 0 ? 400 * SECOND : -400 * SECOND;
@@ -123,7 +123,7 @@
      */
     @ParameterizedTest
     @EnumSource(Step.class)
-    void aNodeThatComesBackOldIsWaitedFor(Step at) {
+    void rolloutWaitsForDowngradedNode(Step at) {
         for (int who = 0; who < 2; who++) {
             ClusterSimulation cluster = busy(11 + who, Version.NOW);
             runTo(cluster, at);
@@ -157,7 +157,7 @@
     /** Everything goes down half-way, half of it comes back old, and the store is away as well. */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
-    void allEndHalfWayAndHalfComeBackOld(long seed) {
+    void rolloutSettlesAfterFullRestartIntoMixedVersions(long seed) {
         ClusterSimulation cluster = busy(seed, Version.PRODUCTION);
         cluster.run(20 * SECOND);
         cluster.replace(0, Version.NOW, 2 * SECOND);
@@ -181,7 +181,7 @@
     @EnumSource(
             value = Version.class,
             names = {"AGREEING", "NOW"})
-    void aZoneThatIsCutOffIsWaitedFor(Version there) {
+    void rolloutWaitsForNodeOfPartitionedZone(Version there) {
         ClusterSimulation cluster = busy(7, Version.NOW);
         ask(cluster, Verb.HOLD);
         cluster.run(10 * SECOND);
@@ -198,7 +198,7 @@
 
     /** A damaged record among the others is neither lost nor passed over. */
     @Test
-    void aRecordThatCantBeReadIsKeptAndKeepsTheFeatureFromSettling() {
+    void unreadableRecordIsKeptAndBlocksSettling() {
         ClusterSimulation cluster = busy(8, Version.NOW);
         cluster.put("machine/host-damaged", Map.of("hosttype", 7L));
         cluster.run(90 * SECOND);
@@ -210,7 +210,7 @@
 
     /** What a later version requires, in a record that this one can't read otherwise. */
     @Test
-    void whoDoesNotKnowWhatIsRequiredServesNobody() {
+    void nodesLackingRequiredFeatureStopServing() {
         ClusterSimulation cluster = busy(3, Version.NOW);
         runTo(cluster, Step.SETTLED);
         Map<String, Object> now = cluster.stored("rollout/state");
@@ -252,7 +252,7 @@
      * more.
      */
     @Test
-    void settingsThatContradictEachOtherSwitchNothing() {
+    void inconsistentPeerSettingsKeepFeaturesOff() {
         ClusterSimulation cluster = new ClusterSimulation(4, Scenario.PLAIN);
         cluster.namesOneMore[2] = true;
         cluster.users.submitUntil(BUSY);
--- a/src/test/java/org/woadloom/sim/ServiceLevelTest.java
+++ b/src/test/java/org/woadloom/sim/ServiceLevelTest.java
@@ -28,7 +28,7 @@
 
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
-    void noTeamAndNoClassFallsUnderAHalf(long seed) {
+    void everyTeamAndClassGetsHalfOfItsJobsStartedDuringFlood(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.CROWD);
         cluster.users.submitUntil(TROUBLED, 4);
         cluster.randomFaults.startMachineFaultsUntil(TROUBLED);
@@ -66,7 +66,7 @@
      */
     @ParameterizedTest
     @CsvSource({"0,1", "14,2"})
-    void aTeamAtItsLimitServesItsArraysBesideServicesThatStay(int crowd, long seed) {
+    void teamAtLimitFinishesArraysBesideLongRunningServices(int crowd, long seed) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
                         seed,
@@ -104,7 +104,7 @@
      * not waited until now.
      */
     @Test
-    void theLeaderTellsWhatBecameOfTheLargest() {
+    void leaderLogsServiceLevelOfLargestJobs() {
         SchedulerFixture fixture = new SchedulerFixture();
         for (int i = 0; i < 20; i++) {
             fixture.state.serviceLevels().onJobAdded(fixture.job("j-" + i, 1, 1, i < 18 ? 2 : 9));
@@ -136,7 +136,7 @@
 
     /** What the leader tells is counted once a minute, and only what it has seen. */
     @Test
-    void theLeaderTellsWhoWaits() {
+    void leaderPublishesServiceLevelsOncePerMinute() {
         SchedulerFixture fixture = new SchedulerFixture();
         Job waits = fixture.job("j-000001", 1, 1, 1);
         fixture.state.serviceLevels().onJobAdded(waits);
--- a/src/test/java/org/woadloom/sim/StatusRecoveryTest.java
+++ b/src/test/java/org/woadloom/sim/StatusRecoveryTest.java
@@ -260,7 +260,7 @@
     }
 
     @Test
-    void jobsUnansweredAfterAStoreOutage() {
+    void allPollsAreAnsweredAfterStoreOutage() {
         warmUp();
         pollUnderCalm();
         store.outage(true);
@@ -270,7 +270,7 @@
     }
 
     @Test
-    void jobsUnansweredBehindReadsWhoseUsersHaveGone() {
+    void allPollsAreAnsweredAfterStoreReadsTimedOut() {
         warmUp();
         pollUnderCalm();
         silent = true;
@@ -280,7 +280,7 @@
     }
 
     @Test
-    void jobsUnansweredAfterAllNodesRestarted() {
+    void allPollsAreAnsweredAfterAllNodesRestart() {
         warmUp();
         pollUnderCalm();
         startNodes();
@@ -288,7 +288,7 @@
     }
 
     @Test
-    void wrongRequestsUnansweredDuringOverload() {
+    void invalidRequestsAreAnsweredDuringOverload() {
         startPolling();
         silent = true;
         sim.run(sim.now() + SILENCE);
--- a/src/test/java/org/woadloom/sim/ThreeZonesTest.java
+++ b/src/test/java/org/woadloom/sim/ThreeZonesTest.java
@@ -43,7 +43,7 @@
      */
     @ParameterizedTest
     @CsvSource({"1,true", "2,false", "3,true", "4,false"})
-    void aZoneIsCutWithItsOnlyNodeWhileTheOthersEnd(long seed, boolean leader) {
+    void jobsFinishWhenZoneIsPartitionedWhileOtherNodesRestart(long seed, boolean leader) {
         ClusterSimulation cluster = day(seed);
         int inside = with(cluster, leader);
         cluster.island(cluster.zoneOf(inside), 60_000_000);
@@ -57,7 +57,7 @@
     /** Both reach the third zone: leadership settles, and nobody's work is lost. */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
-    void twoZonesCantReachEachOtherWithTheLeaderAtEitherEnd(long seed) {
+    void leadershipSettlesWhenLeaderZoneCannotReachAnotherZone(long seed) {
         ClusterSimulation cluster = day(seed);
         int killed = cluster.observed.killedByLease;
         int leader = cluster.leader();
@@ -83,7 +83,7 @@
      */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
-    void allControllersEndInAnOutageAsMachinesAreTaken(long seed) {
+    void jobsFinishAfterControllersEndInOutageAndMachinesAreLost(long seed) {
         ClusterSimulation cluster = day(seed);
         cluster.stateOutage(12_000_000);
         cluster.loop.after(
@@ -103,7 +103,7 @@
     /** Services must spread, one zone is dark, and what comes has only two left. */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
-    void servicesThatComeWhileAZoneIsCutStartInTheOthers(long seed) {
+    void servicesSubmittedDuringZonePartitionStartInOtherZones(long seed) {
         ClusterSimulation cluster = day(seed);
         String dark = cluster.zoneOf(with(cluster, false));
         cluster.island(dark, 45_000_000);
@@ -123,7 +123,7 @@
      */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
-    void aNodeIsAloneInAZoneThatCantReachAnother(long seed) {
+    void cancelledTasksStopInTimeInZoneOfIsolatedNode(long seed) {
         ClusterSimulation cluster = day(seed);
         int alone = with(cluster, seed % 2 == 0);
         cluster.isolate(alone, 40_000_000);
--- a/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
@@ -42,7 +42,7 @@
 
     /** Shorter than a lease: nothing is lost, and nothing is rented or returned for it. */
     @Test
-    void aZoneThatIsDeafForEightSecondsLosesNothing() {
+    void zoneDeafForLessThanLeaseLosesNoTask() {
         int wereDeaf = 0;
         int returned = 0;
         for (long seed : Seeds.first(6)) {
@@ -63,7 +63,7 @@
 
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
-    void workOnMachinesThatAreDeafForThreeLeasesIsDoneElsewhere(long seed) {
+    void workOnDeafMachinesIsDoneElsewhere(long seed) {
         ClusterSimulation cluster = day(seed);
         cluster.deafen("a", 2, 60_000_000);
         if (seed % 2 == 0) {
@@ -77,7 +77,7 @@
      * hears again.
      */
     @Test
-    void deafWorkersThatSeemToHearAreCaught() {
+    void checkerDetectsDeafAgentsThatAppearReachable() {
         InvariantViolation caught =
                 assertThrows(
                         InvariantViolation.class,
@@ -108,7 +108,7 @@
     /** A machine that stays deaf costs money for nothing, and is replaced. */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
-    void machinesThatStayDeafAreReplaced(long seed) {
+    void permanentlyDeafMachinesAreReplaced(long seed) {
         ClusterSimulation cluster = day(seed);
         cluster.deafen("b", 3, 2 * QUIET);
         List<SimulatedAgent> deaf = cluster.agents().stream().filter(SimulatedAgent::deaf).toList();
@@ -120,7 +120,7 @@
 
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
-    void workOnMachinesOfWhichNothingIsHeardIsDoneElsewhere(long seed) {
+    void workOnMuteMachinesIsDoneElsewhere(long seed) {
         ClusterSimulation cluster = day(seed);
         cluster.agents().stream()
                 .filter(agent -> agent.zone.equals("a"))
@@ -134,7 +134,7 @@
      */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstSix")
-    void aLeaderWithItsWorkersAloneLosesThemToTheOthers(long seed) {
+    void isolatedLeaderLosesLeadershipAndAgents(long seed) {
         ClusterSimulation cluster = day(seed);
         int alone = cluster.leader();
         int killed = cluster.observed.killedByLease;
@@ -156,7 +156,7 @@
      */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
-    void aFollowerWithItsWorkersAloneLosesThemToTheLeader(long seed) {
+    void isolatedFollowerLosesAgentsToLeader(long seed) {
         ClusterSimulation cluster = day(seed);
         int leader = cluster.leader();
         int alone = (leader + 1) % ClusterSimulation.NODES;
@@ -172,7 +172,7 @@
 
     /** In an outage for all, nobody is better off elsewhere. */
     @Test
-    void inAnOutageForAllNodesStayHealthy() {
+    void nodesStayHealthyDuringFullStoreOutage() {
         ClusterSimulation cluster = day(1);
         cluster.stateOutage(20_000_000);
         cluster.run(AT + 12_000_000);
@@ -184,7 +184,7 @@
     /** Candidates, voters and former leaders end in the middle of it, and are back 50 ms later. */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
-    void nodesThatEndInTheMiddleOfElectionsEndUpWithOneLeader(long seed) {
+    void leaderIsElectedWhenNodesRestartDuringElections(long seed) {
         ClusterSimulation cluster = day(seed);
         long before = cluster.term();
         cluster.end(cluster.leader(), 50_000);
--- a/src/test/java/org/woadloom/sim/UserFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/UserFaultCombinationsTest.java
@@ -84,7 +84,7 @@
 
     @ParameterizedTest
     @EnumSource
-    void rulesHoldInEachMeeting(Meeting meeting) {
+    void invariantsHoldUnderEachFault(Meeting meeting) {
         for (long seed : Seeds.usually(SEEDS)) {
             ClusterSimulation cluster = day(seed, Scenario.PLAIN, meeting);
             assertTrue(
@@ -106,13 +106,13 @@
     }
 
     @Test
-    void nodesThatFillInWhatIsMissingAreCaught() {
+    void checkerDetectsDefaultsForMissingFields() {
         String caught = broken(Scenario.Flaw.FILLS_IN_WHAT_IS_MISSING, Meeting.ODD_REQUESTS);
         assertTrue(caught.startsWith("accepted_unfit"), caught);
     }
 
     @Test
-    void nodesThatTellWhatIsOverAreCaught() {
+    void checkerDetectsStaleStatuses() {
         String caught = broken(Scenario.Flaw.OLD_CHANGES, Meeting.END_OF_THE_LAST_TASK);
         assertTrue(caught.startsWith("went_back"), caught);
     }
--- a/src/test/java/org/woadloom/sim/UserWritesTest.java
+++ b/src/test/java/org/woadloom/sim/UserWritesTest.java
@@ -204,7 +204,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {0, 700_000})
-    void whatWasCarriedOutIsToldWithoutItsAnswer(long later) {
+    void committedWriteIsConfirmedWithoutStoreAnswer(long later) {
         unanswered = 30;
         carriedOutAfter = later;
         List<Asked> submitted = submissions(300);
@@ -230,7 +230,7 @@
      * most look for it.
      */
     @Test
-    void whatIsNotThereProvesNothing() {
+    void absentWriteIsAnswered503AfterAtMostTwoReads() {
         unanswered = 100;
         carriedOutAfter = -1;
         List<Asked> submitted = submissions(40);
@@ -242,7 +242,7 @@
 
     /** A leader's change made the cancellation void: it is tried again as soon as that is read. */
     @Test
-    void aCancellationThatIsVoidIsTriedAgain() {
+    void cancellationWithFailedConditionIsRetried() {
         Asked submitted = submit(job(1));
         sim.run(sim.now() + 100_000);
         assertEquals(201, submitted.response.status());
@@ -275,7 +275,7 @@
      * the cloud it can't be said.
      */
     @Test
-    void whatFitsATypeThatWasAddedIsAccepted() {
+    void jobFittingNewMachineTypeIsAccepted() {
         Map<String, Object> job = job(1);
         job.put("hosttypes", List.of("added"));
         offered = null;
@@ -301,7 +301,7 @@
      * Who tries again while the first write is under way costs no second one: changes are scarce.
      */
     @Test
-    void triesOfOneJobShareOneWrite() {
+    void concurrentRequestsForOneJobShareOneWrite() {
         List<Asked> submitted = List.of(submit(job(1)), submit(job(1)), submit(job(1)));
         sim.run(sim.now() + 1_000_000);
         assertEquals(
@@ -327,7 +327,7 @@
      * then hears of it.
      */
     @Test
-    void whoJoinsAWriteIsToldNothingOlder() throws MalformedMessageException {
+    void requestJoiningWriteSeesLaterCancellation() throws MalformedMessageException {
         Asked first = submit(job(1));
         sim.run(sim.now() + 3_500);
         Map<String, Object> record = new LinkedHashMap<>(store.value("job/" + first.jobId));
@@ -354,7 +354,7 @@
      * does.
      */
     @Test
-    void everybodyIsAnsweredInTime() {
+    void requestsAreAnsweredInTimeWhenStoreNeverAnswers() {
         unanswered = 100;
         carriedOutAfter = -1;
         Asked first = submit(job(1));
