--- a/src/test/java/org/woadloom/sim/BadInputTest.java
+++ b/src/test/java/org/woadloom/sim/BadInputTest.java
@@ -26,20 +26,22 @@
  */
 class BadInputTest {
     /** Less than a report may wait for a leader: whatever is held back fails. */
-    private static final int AT_ONCE_MILLIS = 2_500;
+    private static final int RESPONSE_TIMEOUT_MILLIS = 2_500;
 
-    private static final Object[] NO_TEXT = {null, 7L, 1.5, true, List.of("x"), Map.of()};
-    private static final Object[] NO_AMOUNT = {
+    private static final Object[] INVALID_STRINGS = {null, 7L, 1.5, true, List.of("x"), Map.of()};
+    private static final Object[] INVALID_AMOUNTS = {
         "1", true, -1.0, -1L, Double.NaN, Double.POSITIVE_INFINITY, List.of(), Map.of()
     };
-    private static final Object[] NO_COUNT = {null, "1", 1.5, -1L, Double.NaN, List.of(), true};
-    private static final Object[] NO_FLAG = {"true", 1L, 0.0, List.of()};
+    private static final Object[] INVALID_INTEGERS = {
+        null, "1", 1.5, -1L, Double.NaN, List.of(), true
+    };
+    private static final Object[] INVALID_BOOLEANS = {"true", 1L, 0.0, List.of()};
 
     /**
      * Fields that a submission must have, and that are not null; hosttypes, yard, dueS and awaits
      * may be missing.
      */
-    private static final List<String> NEEDED =
+    private static final List<String> REQUIRED_FIELDS =
             List.of(
                     "uid",
                     "jobclass",
@@ -60,12 +62,12 @@
                     "snapshotCostS");
 
     private final LoopbackNode node = new LoopbackNode();
-    private final AtomicBoolean pressing = new AtomicBoolean(true);
-    private final AtomicInteger pressed = new AtomicInteger();
-    private final List<Thread> press = new ArrayList<>();
+    private final AtomicBoolean reporting = new AtomicBoolean(true);
+    private final AtomicInteger reportsFinished = new AtomicInteger();
+    private final List<Thread> reporters = new ArrayList<>();
 
     /** One request with the answer that is expected. */
-    private record Case(String what, String path, byte[] body, int status) {}
+    private record RequestCase(String description, String path, byte[] body, int expectedStatus) {}
 
     /** A connection that is kept, whatever was answered on it. */
     private static final class Connection {
@@ -75,12 +77,12 @@
         Connection(String address) throws IOException {
             String[] parts = address.split(":");
             socket = new Socket(parts[0], Integer.parseInt(parts[1]));
-            socket.setSoTimeout(AT_ONCE_MILLIS);
+            socket.setSoTimeout(RESPONSE_TIMEOUT_MILLIS);
             socket.setTcpNoDelay(true);
             in = new DataInputStream(socket.getInputStream());
         }
 
-        int ask(String method, String path, byte[] body) throws IOException {
+        int send(String method, String path, byte[] body) throws IOException {
             byte[] head =
                     (method
                                     + " "
@@ -92,9 +94,9 @@
             byte[] request = Arrays.copyOf(head, head.length + body.length);
             System.arraycopy(body, 0, request, head.length, body.length);
             socket.getOutputStream().write(request);
-            int status = Integer.parseInt(line().split(" ")[1]);
+            int status = Integer.parseInt(readLine().split(" ")[1]);
             int length = 0;
-            for (String line = line(); !line.isEmpty(); line = line()) {
+            for (String line = readLine(); !line.isEmpty(); line = readLine()) {
                 length =
                         line.toLowerCase().startsWith("content-length:")
                                 ? Integer.parseInt(line.substring(15).trim())
@@ -105,15 +107,15 @@
         }
 
         @SuppressWarnings("deprecation")
-        private String line() throws IOException {
+        private String readLine() throws IOException {
             return in.readLine();
         }
     }
 
     @AfterEach
     void stop() throws InterruptedException {
-        pressing.set(false);
-        for (Thread thread : press) {
+        reporting.set(false);
+        for (Thread thread : reporters) {
             thread.join();
         }
         node.stop();
@@ -123,7 +125,7 @@
         return LoopbackNode.job("j-000412", "team");
     }
 
-    private static Map<String, Object> without(String field) {
+    private static Map<String, Object> jobWithout(String field) {
         Map<String, Object> map = job();
         map.remove(field);
         return map;
@@ -149,72 +151,79 @@
         return map;
     }
 
-    private static void fields(
-            List<Case> cases,
+    private static void addFieldCases(
+            List<RequestCase> cases,
             String path,
-            Map<String, Object> good,
+            Map<String, Object> validMessage,
             int status,
             String field,
             Object... values) {
         for (Object value : values) {
-            Map<String, Object> bad = new LinkedHashMap<>(good);
-            bad.put(field, value);
-            cases.add(new Case(field + " = " + value, path, Cbor.encode(bad), status));
+            Map<String, Object> changed = new LinkedHashMap<>(validMessage);
+            changed.put(field, value);
+            cases.add(new RequestCase(field + " = " + value, path, Cbor.encode(changed), status));
         }
     }
 
     /** Bodies that are no well-formed message, whatever the route. */
-    private static void bodies(List<Case> cases, String path, Map<String, Object> good) {
-        byte[] whole = Cbor.encode(good);
-        for (int length = 0; length < whole.length; length += 1 + length / 16) {
+    private static void addMalformedBodyCases(
+            List<RequestCase> cases, String path, Map<String, Object> validMessage) {
+        byte[] encoded = Cbor.encode(validMessage);
+        for (int length = 0; length < encoded.length; length += 1 + length / 16) {
             cases.add(
-                    new Case("cut short after " + length, path, Arrays.copyOf(whole, length), 400));
+                    new RequestCase(
+                            "cut short after " + length,
+                            path,
+                            Arrays.copyOf(encoded, length),
+                            400));
         }
-        cases.add(new Case("two values", path, Arrays.copyOf(whole, whole.length + 1), 400));
-        cases.add(new Case("a list", path, Cbor.encode(List.of(good)), 400));
-        cases.add(new Case("text", path, Cbor.encode("x"), 400));
+        cases.add(
+                new RequestCase(
+                        "two values", path, Arrays.copyOf(encoded, encoded.length + 1), 400));
+        cases.add(new RequestCase("a list", path, Cbor.encode(List.of(validMessage)), 400));
+        cases.add(new RequestCase("text", path, Cbor.encode("x"), 400));
         Object deep = "x";
         for (int i = 0; i < 900; i++) {
             deep = List.of(deep);
         }
-        Map<String, Object> nested = new LinkedHashMap<>(good);
+        Map<String, Object> nested = new LinkedHashMap<>(validMessage);
         nested.put("unknown", deep);
-        cases.add(new Case("nested deep", path, Cbor.encode(nested), 400));
-        Map<String, Object> large = new LinkedHashMap<>(good);
-        int most = 64 * 1024;
-        int filling = most;
+        cases.add(new RequestCase("nested deep", path, Cbor.encode(nested), 400));
+        Map<String, Object> large = new LinkedHashMap<>(validMessage);
+        int maxBytes = 64 * 1024;
+        int paddingLength = maxBytes;
         do {
-            large.put("unknown", "x".repeat(filling--));
-        } while (Cbor.encode(large).length > most + 1);
-        assertEquals(most + 1, Cbor.encode(large).length);
-        cases.add(new Case("64 KiB and a byte", path, Cbor.encode(large), 400));
+            large.put("unknown", "x".repeat(paddingLength--));
+        } while (Cbor.encode(large).length > maxBytes + 1);
+        assertEquals(maxBytes + 1, Cbor.encode(large).length);
+        cases.add(new RequestCase("64 KiB and a byte", path, Cbor.encode(large), 400));
         cases.add(
-                new Case(
+                new RequestCase(
                         "a key twice",
                         path,
-                        twice(whole, "yard", good.containsKey("yard") ? 1 : 2),
+                        appendFieldTimes(encoded, "yard", validMessage.containsKey("yard") ? 1 : 2),
                         400));
-        cases.add(new Case("a byte string", path, bytes(whole), 400));
+        cases.add(new RequestCase("a byte string", path, appendByteStringField(encoded), 400));
     }
 
     /**
      * The map with one more field, so often; the encoding of a map is its length and then its
      * fields.
      */
-    private static byte[] twice(byte[] map, String key, int times) {
+    private static byte[] appendFieldTimes(byte[] map, String key, int times) {
         byte[] one = Cbor.encode(Map.of(key, "a"));
         byte[] more = map;
         for (int i = 0; i < times; i++) {
-            more = added(more, Arrays.copyOfRange(one, 1, one.length));
+            more = appendField(more, Arrays.copyOfRange(one, 1, one.length));
         }
         return more;
     }
 
-    private static byte[] bytes(byte[] map) {
-        return added(map, new byte[] {0x61, 'b', 0x42, 1, 2});
+    private static byte[] appendByteStringField(byte[] map) {
+        return appendField(map, new byte[] {0x61, 'b', 0x42, 1, 2});
     }
 
-    private static byte[] added(byte[] map, byte[] field) {
+    private static byte[] appendField(byte[] map, byte[] field) {
         assertEquals(0xa0, map[0] & 0xe0, "a short map");
         byte[] more = Arrays.copyOf(map, map.length + field.length);
         more[0]++;
@@ -222,19 +231,20 @@
         return more;
     }
 
-    private static List<Case> cases() {
-        List<Case> cases = new ArrayList<>();
+    private static List<RequestCase> rejectedRequests() {
+        List<RequestCase> cases = new ArrayList<>();
         String jobs = "/v1/jobs";
-        bodies(cases, jobs, job());
+        addMalformedBodyCases(cases, jobs, job());
         for (String field : List.of("uid", "jobclass", "crew", "shape", "rank", "bundle")) {
-            fields(cases, jobs, job(), 400, field, NO_TEXT);
-            fields(cases, jobs, job(), 400, field, "", "x".repeat(200));
+            addFieldCases(cases, jobs, job(), 400, field, INVALID_STRINGS);
+            addFieldCases(cases, jobs, job(), 400, field, "", "x".repeat(200));
         }
-        fields(cases, jobs, job(), 400, "uid", "412", "j-", "j-1/2", "j-1 2", "j-\u00e9");
-        fields(cases, jobs, job(), 400, "shape", "Batch");
-        fields(cases, jobs, job(), 400, "rank", "highest");
-        fields(cases, jobs, job(), 400, "shards", NO_COUNT);
-        fields(cases, jobs, job(), 400, "shards", 0L, 100_001L, Long.MAX_VALUE, Long.MIN_VALUE);
+        addFieldCases(cases, jobs, job(), 400, "uid", "412", "j-", "j-1/2", "j-1 2", "j-\u00e9");
+        addFieldCases(cases, jobs, job(), 400, "shape", "Batch");
+        addFieldCases(cases, jobs, job(), 400, "rank", "highest");
+        addFieldCases(cases, jobs, job(), 400, "shards", INVALID_INTEGERS);
+        addFieldCases(
+                cases, jobs, job(), 400, "shards", 0L, 100_001L, Long.MAX_VALUE, Long.MIN_VALUE);
         for (String field :
                 List.of(
                         "vcpus",
@@ -245,39 +255,40 @@
                         "snapshotEveryS",
                         "snapshotCostS",
                         "dueS")) {
-            fields(cases, jobs, job(), 400, field, NO_AMOUNT);
+            addFieldCases(cases, jobs, job(), 400, field, INVALID_AMOUNTS);
         }
-        for (String field : NEEDED) {
-            fields(cases, jobs, job(), 400, field, (Object) null);
-            cases.add(new Case("no " + field, jobs, Cbor.encode(without(field)), 400));
+        for (String field : REQUIRED_FIELDS) {
+            addFieldCases(cases, jobs, job(), 400, field, (Object) null);
+            cases.add(new RequestCase("no " + field, jobs, Cbor.encode(jobWithout(field)), 400));
         }
         for (String field : List.of("samePlace", "apart", "reclaimable")) {
-            fields(cases, jobs, job(), 400, field, NO_FLAG);
+            addFieldCases(cases, jobs, job(), 400, field, INVALID_BOOLEANS);
         }
-        fields(cases, jobs, job(), 400, "hosttypes", "m", 1L, List.of(1L), Map.of());
-        fields(cases, jobs, job(), 400, "yard", 1L, true, List.of("a"));
-        fields(cases, jobs, job(), 400, "awaits", "j-1", List.of(1L));
-        fields(cases, jobs, job(), 422, "crew", "nobody");
-        fields(cases, jobs, job(), 422, "yard", "nowhere");
+        addFieldCases(cases, jobs, job(), 400, "hosttypes", "m", 1L, List.of(1L), Map.of());
+        addFieldCases(cases, jobs, job(), 400, "yard", 1L, true, List.of("a"));
+        addFieldCases(cases, jobs, job(), 400, "awaits", "j-1", List.of(1L));
+        addFieldCases(cases, jobs, job(), 422, "crew", "nobody");
+        addFieldCases(cases, jobs, job(), 422, "yard", "nowhere");
         // The one machine type is offered in a alone.
-        fields(cases, jobs, job(), 422, "yard", "b");
-        fields(cases, jobs, job(), 422, "hosttypes", List.of(), List.of("none"));
-        fields(cases, jobs, job(), 422, "vcpus", 2.0, 1e300);
-        fields(cases, jobs, job(), 422, "ramGb", 9.0);
-        fields(cases, jobs, job(), 422, "awaits", List.of("j-000412"), List.of("no id"));
+        addFieldCases(cases, jobs, job(), 422, "yard", "b");
+        addFieldCases(cases, jobs, job(), 422, "hosttypes", List.of(), List.of("none"));
+        addFieldCases(cases, jobs, job(), 422, "vcpus", 2.0, 1e300);
+        addFieldCases(cases, jobs, job(), 422, "ramGb", 9.0);
+        addFieldCases(cases, jobs, job(), 422, "awaits", List.of("j-000412"), List.of("no id"));
 
         String reports = "/v1/report";
-        bodies(cases, reports, report(List.of(task())));
+        addMalformedBodyCases(cases, reports, report(List.of(task())));
         for (String field : List.of("host", "addr", "hosttype", "yard")) {
-            fields(cases, reports, report(List.of()), 400, field, NO_TEXT);
+            addFieldCases(cases, reports, report(List.of()), 400, field, INVALID_STRINGS);
         }
-        fields(cases, reports, report(List.of()), 400, "host", "", "a b", "a/b", "x".repeat(101));
+        addFieldCases(
+                cases, reports, report(List.of()), 400, "host", "", "a b", "a/b", "x".repeat(101));
         for (String field : List.of("tenure", "tick", "epoch")) {
-            fields(cases, reports, report(List.of()), 400, field, NO_COUNT);
+            addFieldCases(cases, reports, report(List.of()), 400, field, INVALID_INTEGERS);
         }
-        fields(cases, reports, report(List.of()), 400, "reclaimable", NO_FLAG);
-        fields(cases, reports, report(List.of()), 400, "warningS", NO_AMOUNT);
-        fields(
+        addFieldCases(cases, reports, report(List.of()), 400, "reclaimable", INVALID_BOOLEANS);
+        addFieldCases(cases, reports, report(List.of()), 400, "warningS", INVALID_AMOUNTS);
+        addFieldCases(
                 cases,
                 reports,
                 report(List.of()),
@@ -289,9 +300,9 @@
                 Map.of(),
                 List.of(1L),
                 List.of(List.of()));
-        List<Case> tasks = new ArrayList<>();
-        fields(tasks, reports, task(), 400, "shard", NO_TEXT);
-        fields(
+        List<RequestCase> tasks = new ArrayList<>();
+        addFieldCases(tasks, reports, task(), 400, "shard", INVALID_STRINGS);
+        addFieldCases(
                 tasks,
                 reports,
                 task(),
@@ -304,25 +315,26 @@
                 "j-1/-1",
                 "j-1/99999999999",
                 "/1");
-        fields(tasks, reports, task(), 400, "try", null, "1", 1.5, Double.NaN, List.of());
-        fields(tasks, reports, task(), 400, "status", NO_TEXT);
-        fields(tasks, reports, task(), 400, "cause", 7L, true, List.of());
-        fields(tasks, reports, task(), 400, "saved", NO_FLAG);
-        for (Case bad : tasks) {
+        addFieldCases(tasks, reports, task(), 400, "try", null, "1", 1.5, Double.NaN, List.of());
+        addFieldCases(tasks, reports, task(), 400, "status", INVALID_STRINGS);
+        addFieldCases(tasks, reports, task(), 400, "cause", 7L, true, List.of());
+        addFieldCases(tasks, reports, task(), 400, "saved", INVALID_BOOLEANS);
+        for (RequestCase bad : tasks) {
             cases.add(
-                    new Case(
-                            "task " + bad.what,
+                    new RequestCase(
+                            "task " + bad.description,
                             reports,
                             Cbor.encode(report(List.of(decode(bad.body)))),
                             400));
         }
 
         for (String id : List.of("412", "j-", "j-1%2F2", "j-1%202", "x".repeat(80), "..")) {
-            cases.add(new Case("cancel " + id, jobs + "/" + id + "/cancel", new byte[0], 404));
+            cases.add(
+                    new RequestCase("cancel " + id, jobs + "/" + id + "/cancel", new byte[0], 404));
         }
         for (String path :
                 List.of("/", "/v1", "/v1/job", "/v1/reports", "/v1/jobs/", "/healthz/x")) {
-            cases.add(new Case("path " + path, path, new byte[0], 404));
+            cases.add(new RequestCase("path " + path, path, new byte[0], 404));
         }
         return cases;
     }
@@ -336,7 +348,7 @@
     }
 
     /** Workers of other machines that report all the time. */
-    private void press() {
+    private void startReporters() {
         for (int i = 0; i < 3; i++) {
             String host = "press-" + i;
             Thread thread =
@@ -345,49 +357,49 @@
                                 try {
                                     Connection connection = new Connection(node.address);
                                     long sequence = 0;
-                                    while (pressing.get()) {
+                                    while (reporting.get()) {
                                         Map<String, Object> report = report(List.of());
                                         report.put("host", host);
                                         report.put("tick", ++sequence);
-                                        connection.ask("POST", "/v1/report", Cbor.encode(report));
-                                        pressed.incrementAndGet();
+                                        connection.send("POST", "/v1/report", Cbor.encode(report));
+                                        reportsFinished.incrementAndGet();
                                     }
                                 } catch (IOException e) {
                                     // A node without a leader lets a report wait for longer than
                                     // this connection does.
-                                    pressed.incrementAndGet();
+                                    reportsFinished.incrementAndGet();
                                 }
                             });
-            press.add(thread);
+            reporters.add(thread);
             thread.start();
         }
     }
 
-    private void refuseAll() throws IOException {
+    private void assertAllRejected() throws IOException {
         Connection connection = new Connection(node.address);
         // Until the machine types are known a job that fits none is told to come back.
-        Map<String, Object> unfit = job();
-        unfit.put("ramGb", 9.0);
+        Map<String, Object> unfitJob = job();
+        unfitJob.put("ramGb", 9.0);
         for (int i = 0;
-                i < 5_000 && connection.ask("POST", "/v1/jobs", Cbor.encode(unfit)) == 503;
+                i < 5_000 && connection.send("POST", "/v1/jobs", Cbor.encode(unfitJob)) == 503;
                 i++) {
             continue;
         }
-        press();
-        List<Case> cases = cases();
-        for (Case bad : cases) {
+        startReporters();
+        List<RequestCase> cases = rejectedRequests();
+        for (RequestCase bad : cases) {
             assertEquals(
-                    bad.status,
-                    connection.ask("POST", bad.path, bad.body),
-                    bad.path + ": " + bad.what);
+                    bad.expectedStatus,
+                    connection.send("POST", bad.path, bad.body),
+                    bad.path + ": " + bad.description);
             assertEquals(
                     200,
-                    connection.ask("GET", "/healthz", new byte[0]),
-                    "after " + bad.path + ": " + bad.what);
+                    connection.send("GET", "/healthz", new byte[0]),
+                    "after " + bad.path + ": " + bad.description);
         }
-        assertEquals(404, connection.ask("GET", "/v1/jobs/j-000412", new byte[0]));
+        assertEquals(404, connection.send("GET", "/v1/jobs/j-000412", new byte[0]));
         assertTrue(cases.size() > 250, cases.size() + " cases");
-        assertTrue(pressed.get() > 0, "no report pressed");
+        assertTrue(reportsFinished.get() > 0, "no report pressed");
         assertFalse(node.state.holdsAny("job/"), "a job was stored");
         assertFalse(node.state.holdsAny("machine/host-"), "a machine was stored");
     }
@@ -402,28 +414,33 @@
         Connection connection = new Connection(node.address);
         int accepted = 503;
         for (int i = 0; i < 5_000 && accepted == 503; i++) {
-            accepted = connection.ask("POST", "/v1/jobs", Cbor.encode(job()));
+            accepted = connection.send("POST", "/v1/jobs", Cbor.encode(job()));
         }
         assertEquals(201, accepted);
-        List<Case> repeats = new ArrayList<>();
-        for (String field : NEEDED.subList(1, NEEDED.size())) {
-            fields(repeats, "/v1/jobs", job(), 200, field, null, Map.of());
-            repeats.add(new Case("no " + field, "/v1/jobs", Cbor.encode(without(field)), 200));
+        List<RequestCase> repeats = new ArrayList<>();
+        for (String field : REQUIRED_FIELDS.subList(1, REQUIRED_FIELDS.size())) {
+            addFieldCases(repeats, "/v1/jobs", job(), 200, field, null, Map.of());
+            repeats.add(
+                    new RequestCase(
+                            "no " + field, "/v1/jobs", Cbor.encode(jobWithout(field)), 200));
         }
-        fields(repeats, "/v1/jobs", job(), 200, "hosttypes", null, 1L, List.of(), List.of("none"));
-        fields(repeats, "/v1/jobs", job(), 200, "yard", null, 1L, "b", "nowhere");
-        fields(repeats, "/v1/jobs", job(), 200, "dueS", null, -1.0);
-        fields(repeats, "/v1/jobs", job(), 200, "vcpus", 2.0);
-        for (Case repeat : repeats) {
+        addFieldCases(
+                repeats, "/v1/jobs", job(), 200, "hosttypes", null, 1L, List.of(), List.of("none"));
+        addFieldCases(repeats, "/v1/jobs", job(), 200, "yard", null, 1L, "b", "nowhere");
+        addFieldCases(repeats, "/v1/jobs", job(), 200, "dueS", null, -1.0);
+        addFieldCases(repeats, "/v1/jobs", job(), 200, "vcpus", 2.0);
+        for (RequestCase repeat : repeats) {
             assertEquals(
-                    repeat.status, connection.ask("POST", repeat.path, repeat.body), repeat.what);
+                    repeat.expectedStatus,
+                    connection.send("POST", repeat.path, repeat.body),
+                    repeat.description);
         }
     }
 
     @Test
     void leaderRejectsMalformedRequests() throws Exception {
         node.start();
-        refuseAll();
+        assertAllRejected();
         assertEquals("rehearsal", node.state.value("leader").get("label"));
     }
 
@@ -444,7 +461,7 @@
                                         Map.of("label", "other", "term", 5L)))),
                 (status, answer) -> assertEquals(200, status));
         node.start();
-        refuseAll();
+        assertAllRejected();
         assertEquals("other", node.state.value("leader").get("label"));
     }
 }
--- a/src/test/java/org/woadloom/sim/BehaviourDigestTest.java
+++ b/src/test/java/org/woadloom/sim/BehaviourDigestTest.java
@@ -32,15 +32,15 @@
  * -DdigestOrder=reversed} plays the days in reverse order.
  */
 class BehaviourDigestTest {
-    private static final Path EXPECTED = Path.of("src/test/resources/behaviour-digest.txt");
-    private static final boolean RECORDS = Boolean.getBoolean("digestRecord");
-    private static final String DUMP = System.getProperty("digestDump");
-    private static final int DAYS_OF_A_KIND = 12;
-    private static final long TROUBLED_MICROS = 150_000_000;
-    private static final long QUIET_MICROS = 30_000_000;
+    private static final Path DIGEST_FILE = Path.of("src/test/resources/behaviour-digest.txt");
+    private static final boolean RECORDING = Boolean.getBoolean("digestRecord");
+    private static final String DUMP_DIRECTORY = System.getProperty("digestDump");
+    private static final int SEEDS_PER_KIND = 12;
+    private static final long FAULTS_END_MICROS = 150_000_000;
+    private static final long FAULT_FREE_MICROS = 30_000_000;
 
-    private static final Map<String, Expected> EXPECTED_DAYS = new TreeMap<>();
-    private static final Map<String, BehaviourDigest> PLAYED = new TreeMap<>();
+    private static final Map<String, Expected> EXPECTED_RUNS = new TreeMap<>();
+    private static final Map<String, BehaviourDigest> ACTUAL_RUNS = new TreeMap<>();
 
     /** The hash of a day, and the marks that tell where a change begins. */
     private record Expected(String hash, String marks) {}
@@ -48,7 +48,7 @@
     /**
      * A random day: of this version throughout, or of one that replaces the version in production.
      */
-    record RandomDay(String kind, int seed) {
+    record RandomRun(String kind, int seed) {
         boolean upgrade() {
             return kind.equals("upgrade");
         }
@@ -63,52 +63,52 @@
         }
     }
 
-    static List<RandomDay> days() {
-        List<RandomDay> days = new ArrayList<>();
-        for (int seed = 1; seed <= DAYS_OF_A_KIND; seed++) {
-            days.add(new RandomDay("plain", seed));
-            days.add(new RandomDay("upgrade", seed));
+    static List<RandomRun> randomRuns() {
+        List<RandomRun> runs = new ArrayList<>();
+        for (int seed = 1; seed <= SEEDS_PER_KIND; seed++) {
+            runs.add(new RandomRun("plain", seed));
+            runs.add(new RandomRun("upgrade", seed));
         }
         if ("reversed".equals(System.getProperty("digestOrder"))) {
-            Collections.reverse(days);
+            Collections.reverse(runs);
         }
-        return days;
+        return runs;
     }
 
     @BeforeAll
     static void readExpected() throws IOException {
-        if (RECORDS) {
+        if (RECORDING) {
             return;
         }
-        for (String line : Files.readAllLines(EXPECTED, StandardCharsets.US_ASCII)) {
+        for (String line : Files.readAllLines(DIGEST_FILE, StandardCharsets.US_ASCII)) {
             String[] parts = line.split(" ");
-            EXPECTED_DAYS.put(parts[0] + " " + parts[1], new Expected(parts[2], parts[3]));
+            EXPECTED_RUNS.put(parts[0] + " " + parts[1], new Expected(parts[2], parts[3]));
         }
     }
 
     @AfterAll
     static void writeExpected() throws IOException {
-        if (RECORDS) {
+        if (RECORDING) {
             List<String> lines = new ArrayList<>();
-            PLAYED.forEach(
+            ACTUAL_RUNS.forEach(
                     (day, digest) -> lines.add(day + " " + digest.hash() + " " + digest.marks()));
-            Files.write(EXPECTED, lines, StandardCharsets.US_ASCII);
+            Files.write(DIGEST_FILE, lines, StandardCharsets.US_ASCII);
         }
     }
 
     @ParameterizedTest
-    @MethodSource("days")
-    void schedulerStepsMatchRecordedDigest(RandomDay day) throws IOException {
-        Expected before = EXPECTED_DAYS.get(day.key());
-        BehaviourDigest digest = play(day, before == null ? null : before.marks());
-        PLAYED.put(day.key(), digest);
-        if (RECORDS) {
+    @MethodSource("randomRuns")
+    void schedulerStepsMatchRecordedDigest(RandomRun randomRun) throws IOException {
+        Expected before = EXPECTED_RUNS.get(randomRun.key());
+        BehaviourDigest digest = run(randomRun, before == null ? null : before.marks());
+        ACTUAL_RUNS.put(randomRun.key(), digest);
+        if (RECORDING) {
             return;
         }
         assertNotNull(before, "no hash is recorded");
         if (!before.hash().equals(digest.hash())) {
             fail(
-                    day
+                    randomRun
                             + ": "
                             + digest.difference()
                             + "\n"
@@ -117,32 +117,32 @@
         }
     }
 
-    private static BehaviourDigest play(RandomDay day, String marks) throws IOException {
-        if (DUMP == null) {
-            return play(day, new BehaviourDigest(marks, null));
+    private static BehaviourDigest run(RandomRun randomRun, String marks) throws IOException {
+        if (DUMP_DIRECTORY == null) {
+            return run(randomRun, new BehaviourDigest(marks, null));
         }
         Path file =
-                Files.createDirectories(Path.of(DUMP))
-                        .resolve(day.kind() + "-" + day.seed() + ".txt");
+                Files.createDirectories(Path.of(DUMP_DIRECTORY))
+                        .resolve(randomRun.kind() + "-" + randomRun.seed() + ".txt");
         try (Writer dump = Files.newBufferedWriter(file)) {
-            return play(day, new BehaviourDigest(marks, dump));
+            return run(randomRun, new BehaviourDigest(marks, dump));
         }
     }
 
-    private static BehaviourDigest play(RandomDay day, BehaviourDigest digest) {
+    private static BehaviourDigest run(RandomRun randomRun, BehaviourDigest digest) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
-                        day.seed(), day.upgrade() ? Scenario.UPGRADE : Scenario.PLAIN);
+                        randomRun.seed(), randomRun.upgrade() ? Scenario.UPGRADE : Scenario.PLAIN);
         cluster.stepObserver =
                 (node, now, commands, actions) ->
                         digest.add(StepRenderer.render(node, now, commands, actions));
-        cluster.users.submitUntil(TROUBLED_MICROS);
-        cluster.randomFaults.startUntil(TROUBLED_MICROS);
-        if (day.upgrade()) {
-            cluster.upgradeNodes(TROUBLED_MICROS);
+        cluster.users.submitUntil(FAULTS_END_MICROS);
+        cluster.randomFaults.startUntil(FAULTS_END_MICROS);
+        if (randomRun.upgrade()) {
+            cluster.upgradeNodes(FAULTS_END_MICROS);
         }
-        // Without the rules, which RandomDaysTest checks on these days.
-        cluster.loop.run(TROUBLED_MICROS + QUIET_MICROS);
+        // Without the rules, which RandomScenariosTest checks.
+        cluster.loop.run(FAULTS_END_MICROS + FAULT_FREE_MICROS);
         return digest;
     }
 
--- a/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
@@ -26,43 +26,43 @@
  */
 @ExtendWith(PrintReplayCommand.class)
 class CancellationFaultCombinationsTest {
-    private static final long S = 1_000_000;
-    private static final long AT = 30 * S;
+    private static final long SECOND = 1_000_000;
+    private static final long FAULTS_START = 30 * SECOND;
     private static final int SEEDS = 1;
 
     /** Users who cancel, each on any node, and ask again until they are told. */
-    private static final class Cancellers {
+    private static final class CancellingUsers {
         final ClusterSimulation cluster;
-        final Set<String> asked = new HashSet<>();
-        final List<Long> waits = new ArrayList<>();
-        final Map<String, Integer> why = new TreeMap<>();
-        int open;
+        final Set<String> requestedJobs = new HashSet<>();
+        final List<Long> waitMicros = new ArrayList<>();
+        final Map<String, Integer> rejections = new TreeMap<>();
+        int unconfirmed;
 
-        Cancellers(ClusterSimulation cluster) {
+        CancellingUsers(ClusterSimulation cluster) {
             this.cluster = cluster;
         }
 
-        void until(long end) {
+        void cancelUntil(long end) {
             if (cluster.loop.now() < end) {
-                one();
-                cluster.loop.after(S / 4, () -> until(end));
+                cancelOne();
+                cluster.loop.after(SECOND / 4, () -> cancelUntil(end));
             }
         }
 
         /** Cancels a job that runs, or else one that waits. */
-        void one() {
+        void cancelOne() {
             List<String> jobs = new ArrayList<>(cluster.observed.runningJobs());
             jobs.addAll(cluster.observed.acceptedJobs());
-            jobs.removeIf(jobId -> asked.contains(jobId) || cluster.observed.isOver(jobId));
+            jobs.removeIf(jobId -> requestedJobs.contains(jobId) || cluster.observed.isOver(jobId));
             if (!jobs.isEmpty()) {
-                asked.add(jobs.get(0));
-                open++;
+                requestedJobs.add(jobs.get(0));
+                unconfirmed++;
                 cluster.observed.recordCancelRequest(jobs.get(0));
-                ask(jobs.get(0), cluster.loop.now());
+                sendCancel(jobs.get(0), cluster.loop.now());
             }
         }
 
-        private void ask(String jobId, long since) {
+        private void sendCancel(String jobId, long since) {
             long sent = cluster.loop.now();
             int node = cluster.random.nextInt(ClusterSimulation.NODES);
             cluster.toNode(
@@ -71,129 +71,130 @@
                     "POST",
                     "/v1/jobs/" + jobId + "/cancel",
                     Map.of(),
-                    5 * S,
+                    5 * SECOND,
                     (status, body) -> {
                         cluster.users.onAnswer(UserRequest.CANCEL, jobId, sent, status, body);
                         if (status == 200) {
-                            open--;
-                            waits.add(cluster.loop.now() - since);
+                            unconfirmed--;
+                            waitMicros.add(cluster.loop.now() - since);
                         } else {
-                            why.merge(status + " " + body.get("error"), 1, Integer::sum);
+                            rejections.merge(status + " " + body.get("error"), 1, Integer::sum);
                             // A node that has ended, can't be reached or reaches nobody is no node
                             // that keeps anybody waiting.
                             boolean served = status > 0 && !cluster.isIsolated(node);
                             cluster.loop.after(
-                                    200_000, () -> ask(jobId, served ? since : cluster.loop.now()));
+                                    200_000,
+                                    () -> sendCancel(jobId, served ? since : cluster.loop.now()));
                         }
                     });
         }
 
-        long longest() {
-            return waits.stream().mapToLong(wait -> wait).max().orElse(0);
+        long longestWaitMicros() {
+            return waitMicros.stream().mapToLong(wait -> wait).max().orElse(0);
         }
 
         @Override
         public String toString() {
-            return waits.size()
+            return waitMicros.size()
                     + " told, "
-                    + open
+                    + unconfirmed
                     + " not, the last after "
-                    + longest()
+                    + longestWaitMicros()
                     + "; refused for "
-                    + why;
+                    + rejections;
         }
     }
 
-    private static ClusterSimulation day(long seed, Flaw flaw) {
+    private static ClusterSimulation startCluster(long seed, Flaw flaw) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
                         seed, new Scenario(Scenario.LONG, Scenario.LONG, Version.NOW, flaw, 0));
         cluster.trouble = 0;
         cluster.servicesStay = true;
-        cluster.users.submitUntil(AT + 30 * S, 6);
-        cluster.run(AT);
+        cluster.users.submitUntil(FAULTS_START + 30 * SECOND, 6);
+        cluster.run(FAULTS_START);
         return cluster;
     }
 
-    private static Cancellers cancelling(ClusterSimulation cluster, long forMicros) {
-        Cancellers users = new Cancellers(cluster);
-        users.until(cluster.loop.now() + forMicros);
+    private static CancellingUsers startCancelling(ClusterSimulation cluster, long forMicros) {
+        CancellingUsers users = new CancellingUsers(cluster);
+        users.cancelUntil(cluster.loop.now() + forMicros);
         return users;
     }
 
     /** How the work changes hands. */
-    enum Change {
+    enum LeaderChange {
         ROLLING_RESTART(1, 700) {
             @Override
-            void begin(ClusterSimulation cluster) {
+            void inject(ClusterSimulation cluster) {
                 for (int node = 0; node < ClusterSimulation.NODES; node++) {
                     int ending = node;
-                    cluster.loop.after(node * 5 * S, () -> cluster.end(ending, 300_000));
+                    cluster.loop.after(node * 5 * SECOND, () -> cluster.end(ending, 300_000));
                 }
             }
         },
         LEADER_ENDS(1, 4000) {
             @Override
-            void begin(ClusterSimulation cluster) {
-                cluster.endLeader(8 * S);
+            void inject(ClusterSimulation cluster) {
+                cluster.endLeader(8 * SECOND);
             }
         },
-        LEADER_RETURNS_AT_ONCE(1, 600) {
+        LEADER_RESTARTS_AT_ONCE(1, 600) {
             @Override
-            void begin(ClusterSimulation cluster) {
+            void inject(ClusterSimulation cluster) {
                 cluster.endLeader(200_000);
             }
         },
         LEADER_FREEZES(1, 6500) {
             @Override
-            void begin(ClusterSimulation cluster) {
-                cluster.freeze(cluster.leader(), 9 * S);
+            void inject(ClusterSimulation cluster) {
+                cluster.freeze(cluster.leader(), 9 * SECOND);
             }
         },
-        CUT_ENDS(1, 6500) {
+        LEADER_ISOLATED(1, 6500) {
             @Override
-            void begin(ClusterSimulation cluster) {
-                cluster.isolate(cluster.leader(), 9 * S);
+            void inject(ClusterSimulation cluster) {
+                cluster.isolate(cluster.leader(), 9 * SECOND);
             }
         },
-        REFUSED_UNTIL_DEPOSED(1, 4500) {
+        STORE_REJECTS_LEADER(1, 4500) {
             @Override
-            void begin(ClusterSimulation cluster) {
-                cluster.refuseState(cluster.leader(), 9 * S);
+            void inject(ClusterSimulation cluster) {
+                cluster.refuseState(cluster.leader(), 9 * SECOND);
             }
         },
         TEN_CHANGES(10, 1500) {
             @Override
-            void begin(ClusterSimulation cluster) {
+            void inject(ClusterSimulation cluster) {
                 for (int i = 0; i < 10; i++) {
                     cluster.loop.after(
-                            i * 3 * S,
+                            i * 3 * SECOND,
                             () -> cluster.endLeader(100_000 + cluster.random.nextInt(900_000)));
                 }
             }
         },
-        ALL_END_ONE_RETURNS(1, 17000) {
+        ALL_END_ONE_RESTARTS(1, 17000) {
             @Override
-            void begin(ClusterSimulation cluster) {
+            void inject(ClusterSimulation cluster) {
                 for (int node = 0; node < ClusterSimulation.NODES; node++) {
-                    cluster.end(node, node == 0 ? 300_000 : 25 * S);
+                    cluster.end(node, node == 0 ? 300_000 : 25 * SECOND);
                 }
             }
         };
 
-        final int terms;
-        final long longestWait;
+        final int minTerms;
+        final long maxWaitMicros;
 
         /**
-         * @param terms how many are taken at least, and within how many milliseconds everybody is
-         *     told
+         * @param minTerms how many are taken at least, and within how many milliseconds everybody
+         *     is told
          */
-        Change(int terms, long longestMillis) {
-            this.terms = terms;
-            longestWait = longestMillis * 1_000;
+        LeaderChange(int minTerms, long maxWaitMillis) {
+            this.minTerms = minTerms;
+            maxWaitMicros = maxWaitMillis * 1_000;
         }
 
-        abstract void begin(ClusterSimulation cluster);
+        abstract void inject(ClusterSimulation cluster);
     }
 
     /**
@@ -202,21 +203,21 @@
      */
     @ParameterizedTest
     @EnumSource
-    void cancellationsAreConfirmedInTimeDuringLeaderChange(Change change) {
+    void cancellationsAreConfirmedInTimeDuringLeaderChange(LeaderChange change) {
         for (long seed : Seeds.usually(SEEDS)) {
-            ClusterSimulation cluster = day(seed, Flaw.NONE);
+            ClusterSimulation cluster = startCluster(seed, Flaw.NONE);
             long term = cluster.term();
-            Cancellers users = cancelling(cluster, 35 * S);
-            cluster.loop.after(2 * S, () -> change.begin(cluster));
-            cluster.run(AT + 75 * S);
+            CancellingUsers users = startCancelling(cluster, 35 * SECOND);
+            cluster.loop.after(2 * SECOND, () -> change.inject(cluster));
+            cluster.run(FAULTS_START + 75 * SECOND);
             assertTrue(
-                    cluster.term() - term >= change.terms,
+                    cluster.term() - term >= change.minTerms,
                     "only " + (cluster.term() - term) + " changes, seed " + seed);
             assertTrue(
                     cluster.observed.cancelledWhileRunning > 15,
                     "only " + cluster.observed.cancelledWhileRunning + " ran, seed " + seed);
-            assertEquals(0, users.open, users + ", seed " + seed);
-            assertTrue(users.longest() < change.longestWait, users + ", seed " + seed);
+            assertEquals(0, users.unconfirmed, users + ", seed " + seed);
+            assertTrue(users.longestWaitMicros() < change.maxWaitMicros, users + ", seed " + seed);
         }
     }
 
@@ -224,47 +225,48 @@
      * What else is wrong as the state service refuses the leader alone, a second before it is down
      * for all.
      */
-    enum Else {
+    enum AdditionalFault {
         NOTHING,
         HINTS_LOST,
         PEERS_CUT,
         PEERS_CUT_BEFORE,
-        ANOTHER_REFUSED,
-        ANOTHER_ALONE,
-        CONFIRMING_NODES_END
+        OTHER_NODE_REJECTED,
+        OTHER_NODE_ISOLATED,
+        CONFIRMING_NODES_RESTART
     }
 
     /** Jobs are cancelled within 0.2 s around the moment at which the refusal begins. */
-    private static int atTheMomentOfTheRefusal(
-            Else what, long seed, Scenario.Times told, Flaw flaw) {
+    private static int cancelAsStoreRejectsLeader(
+            AdditionalFault fault, long seed, Scenario.Times configuredTimes, Flaw flaw) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
-                        seed, new Scenario(Scenario.LONG, told, Version.NOW, flaw, 0));
+                        seed, new Scenario(Scenario.LONG, configuredTimes, Version.NOW, flaw, 0));
         cluster.trouble = 0;
         cluster.servicesStay = true;
-        cluster.users.submitUntil(AT, 6);
-        cluster.run(AT);
-        Cancellers users = new Cancellers(cluster);
+        cluster.users.submitUntil(FAULTS_START, 6);
+        cluster.run(FAULTS_START);
+        CancellingUsers users = new CancellingUsers(cluster);
         int leader = cluster.leader();
         for (long at = 0; at < 400_000; at += 20_000) {
-            cluster.loop.after(at, users::one);
+            cluster.loop.after(at, users::cancelOne);
         }
-        cluster.hintsLost = what != Else.NOTHING;
-        if (what == Else.PEERS_CUT_BEFORE) {
-            cluster.refusePeers(90 * S);
+        cluster.hintsLost = fault != AdditionalFault.NOTHING;
+        if (fault == AdditionalFault.PEERS_CUT_BEFORE) {
+            cluster.refusePeers(90 * SECOND);
         }
         cluster.loop.after(
                 200_000,
                 () -> {
-                    cluster.refuseState(leader, 90 * S);
-                    switch (what) {
-                        case PEERS_CUT -> cluster.refusePeers(90 * S);
-                        case ANOTHER_REFUSED ->
+                    cluster.refuseState(leader, 90 * SECOND);
+                    switch (fault) {
+                        case PEERS_CUT -> cluster.refusePeers(90 * SECOND);
+                        case OTHER_NODE_REJECTED ->
                                 cluster.refuseStateToo(
-                                        (leader + 1) % ClusterSimulation.NODES, 90 * S);
-                        case ANOTHER_ALONE ->
-                                cluster.isolate((leader + 1) % ClusterSimulation.NODES, 20 * S);
-                        case CONFIRMING_NODES_END ->
+                                        (leader + 1) % ClusterSimulation.NODES, 90 * SECOND);
+                        case OTHER_NODE_ISOLATED ->
+                                cluster.isolate(
+                                        (leader + 1) % ClusterSimulation.NODES, 20 * SECOND);
+                        case CONFIRMING_NODES_RESTART ->
                                 cluster.loop.after(
                                         350_000,
                                         () -> {
@@ -272,30 +274,31 @@
                                                     (leader + 1) % ClusterSimulation.NODES,
                                                     300_000);
                                             cluster.end(
-                                                    (leader + 2) % ClusterSimulation.NODES, 20 * S);
+                                                    (leader + 2) % ClusterSimulation.NODES,
+                                                    20 * SECOND);
                                         });
                         default -> {}
                     }
                 });
-        cluster.loop.after(1_200_000, () -> cluster.stateOutage(64 * S));
-        cluster.run(AT + 1_200_000);
+        cluster.loop.after(1_200_000, () -> cluster.stateOutage(64 * SECOND));
+        cluster.run(FAULTS_START + 1_200_000);
         int confirmed = cluster.observed.cancelledWhileRunning;
-        cluster.run(AT + 90 * S);
-        assertEquals(0, users.open, users + ", seed " + seed);
+        cluster.run(FAULTS_START + 90 * SECOND);
+        assertEquals(0, users.unconfirmed, users + ", seed " + seed);
         return confirmed;
     }
 
     @ParameterizedTest
     @EnumSource
-    void cancellationsAreConfirmedWhenStoreStartsRejectingLeader(Else what) {
+    void cancellationsAreConfirmedWhenStoreStartsRejectingLeader(AdditionalFault fault) {
         int confirmed = 0;
         for (long seed : Seeds.usually(SEEDS + 1)) {
-            confirmed += atTheMomentOfTheRefusal(what, seed, Scenario.LONG, Flaw.NONE);
+            confirmed += cancelAsStoreRejectsLeader(fault, seed, Scenario.LONG, Flaw.NONE);
         }
         // With the peers cut from before only a leader that nobody promised anything could be
         // passed by.
         assertTrue(
-                confirmed > (what == Else.PEERS_CUT_BEFORE ? 2 : 8),
+                confirmed > (fault == AdditionalFault.PEERS_CUT_BEFORE ? 2 : 8),
                 "only " + confirmed + " confirmed in that second");
     }
 
@@ -307,18 +310,18 @@
     void cancellationsAreConfirmedWhenSlowStoreRejectsLeaderThenFails() {
         int confirmed = 0;
         for (long seed : Seeds.usually(SEEDS + 1)) {
-            ClusterSimulation cluster = day(seed, Flaw.NONE);
-            cluster.lookClosely(25 * S);
-            cluster.slowState(900_000, 12 * S);
-            Cancellers users = cancelling(cluster, 20 * S);
-            cluster.loop.after(8 * S, () -> cluster.gap(4 * S, 60 * S));
-            cluster.run(AT + 12 * S);
+            ClusterSimulation cluster = startCluster(seed, Flaw.NONE);
+            cluster.lookClosely(25 * SECOND);
+            cluster.slowState(900_000, 12 * SECOND);
+            CancellingUsers users = startCancelling(cluster, 20 * SECOND);
+            cluster.loop.after(8 * SECOND, () -> cluster.gap(4 * SECOND, 60 * SECOND));
+            cluster.run(FAULTS_START + 12 * SECOND);
             confirmed += cluster.observed.cancelledWhileRunning;
-            cluster.run(AT + 100 * S);
+            cluster.run(FAULTS_START + 100 * SECOND);
             assertTrue(
                     cluster.closeLooks > 10,
                     "only " + cluster.closeLooks + " close looks, seed " + seed);
-            assertEquals(0, users.open, users + ", seed " + seed);
+            assertEquals(0, users.unconfirmed, users + ", seed " + seed);
         }
         assertTrue(confirmed > 3, "only " + confirmed + " confirmed before the outage");
     }
@@ -327,57 +330,57 @@
      * What befalls the leader as many jobs are called off within a fifth of a second, some of whose
      * machines hang.
      */
-    enum Leader {
+    enum LeaderFault {
         ENDED {
             @Override
-            void meet(ClusterSimulation cluster) {
-                cluster.endLeader(3 * S);
+            void inject(ClusterSimulation cluster) {
+                cluster.endLeader(3 * SECOND);
             }
         },
         FROZEN {
             @Override
-            void meet(ClusterSimulation cluster) {
-                cluster.freeze(cluster.leader(), 12 * S);
+            void inject(ClusterSimulation cluster) {
+                cluster.freeze(cluster.leader(), 12 * SECOND);
             }
         },
         ISOLATED {
             @Override
-            void meet(ClusterSimulation cluster) {
-                cluster.isolate(cluster.leader(), 40 * S);
+            void inject(ClusterSimulation cluster) {
+                cluster.isolate(cluster.leader(), 40 * SECOND);
             }
         },
-        REFUSED {
+        REJECTED_BY_STORE {
             @Override
-            void meet(ClusterSimulation cluster) {
-                cluster.refuseState(cluster.leader(), 40 * S);
+            void inject(ClusterSimulation cluster) {
+                cluster.refuseState(cluster.leader(), 40 * SECOND);
             }
         };
 
-        abstract void meet(ClusterSimulation cluster);
+        abstract void inject(ClusterSimulation cluster);
     }
 
     @ParameterizedTest
     @EnumSource
-    void cancelledTasksStopInTimeWhenMachinesHangAndLeaderFails(Leader leader) {
+    void cancelledTasksStopInTimeWhenMachinesHangAndLeaderFails(LeaderFault fault) {
         int confirmed = 0;
-        int called = 0;
+        int cancelled = 0;
         for (long seed : Seeds.usually(SEEDS)) {
-            ClusterSimulation cluster = day(seed, Flaw.NONE);
+            ClusterSimulation cluster = startCluster(seed, Flaw.NONE);
             for (int i = 0; i < 2; i++) {
-                called += cluster.cancelNow(6, 5 * S + i * 9 * S);
+                cancelled += cluster.cancelNow(6, 5 * SECOND + i * 9 * SECOND);
                 cluster.loop.after(
                         i * 60_000,
                         () -> {
                             if (cluster.stored("leader") != null) {
-                                leader.meet(cluster);
+                                fault.inject(cluster);
                             }
                         });
-                cluster.run(cluster.loop.now() + 43 * S);
+                cluster.run(cluster.loop.now() + 43 * SECOND);
             }
             confirmed += cluster.observed.cancelledWhileRunning;
-            cluster.run(cluster.loop.now() + 20 * S);
+            cluster.run(cluster.loop.now() + 20 * SECOND);
         }
-        assertTrue(called > 8, "only " + called + " called off");
+        assertTrue(cancelled > 8, "only " + cancelled + " called off");
         assertTrue(confirmed > 8, "only " + confirmed + " ran when that was confirmed");
     }
 
@@ -388,20 +391,20 @@
     @Test
     void lostTransactionAnswersCauseNoExtraTerms() {
         for (long seed : Seeds.usually(SEEDS)) {
-            ClusterSimulation cluster = day(seed, Flaw.NONE);
+            ClusterSimulation cluster = startCluster(seed, Flaw.NONE);
             long term = cluster.term();
-            cluster.loseAnswers(40, 35 * S);
-            Cancellers users = cancelling(cluster, 30 * S);
+            cluster.loseAnswers(40, 35 * SECOND);
+            CancellingUsers users = startCancelling(cluster, 30 * SECOND);
             for (int i = 0; i < 6; i++) {
-                cluster.loop.after(i * 5 * S, () -> cluster.endLeader(300_000));
+                cluster.loop.after(i * 5 * SECOND, () -> cluster.endLeader(300_000));
             }
-            cluster.run(AT + 90 * S);
+            cluster.run(FAULTS_START + 90 * SECOND);
             assertTrue(
                     cluster.lostAnswersMade > 30,
                     "only " + cluster.lostAnswersMade + " lost, seed " + seed);
             // As many terms as leaders ended: none was given up for an answer that was lost.
             assertEquals(6, cluster.term() - term, "terms, seed " + seed);
-            assertEquals(0, users.open, users + ", seed " + seed);
+            assertEquals(0, users.unconfirmed, users + ", seed " + seed);
             for (int node = 0; node < ClusterSimulation.NODES; node++) {
                 assertNotNull(
                         cluster.stored(
@@ -417,16 +420,17 @@
      */
     @ParameterizedTest
     @CsvSource({"VOUCHES_FOR_ANYTHING, HINTS_LOST, 50", "NONE, PEERS_CUT, 150"})
-    void checkerDetectsCancelledTaskThatKeepsRunning(Flaw flaw, Else what, long cancelSeconds) {
+    void checkerDetectsCancelledTaskThatKeepsRunning(
+            Flaw flaw, AdditionalFault fault, long cancelSeconds) {
         InvariantViolation caught =
                 assertThrows(
                         InvariantViolation.class,
                         () -> {
                             for (long seed : Seeds.first(8)) {
-                                atTheMomentOfTheRefusal(
-                                        what,
+                                cancelAsStoreRejectsLeader(
+                                        fault,
                                         seed,
-                                        new Scenario.Times(20 * S, cancelSeconds * S),
+                                        new Scenario.Times(20 * SECOND, cancelSeconds * SECOND),
                                         flaw);
                             }
                         });
--- a/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
@@ -18,68 +18,71 @@
  */
 @ExtendWith(PrintReplayCommand.class)
 class CancellationWatermarkScenariosTest {
-    private static final long AT = 60_000_000;
-    private static final long REFUSED = 2_500_000;
-    private static final long DOWN = 64_000_000;
-    private static final long QUIET = 200_000_000;
+    private static final long FAULTS_START = 60_000_000;
+    private static final long REJECTION_MICROS = 2_500_000;
+    private static final long OUTAGE_MICROS = 64_000_000;
+    private static final long RUN_END = 200_000_000;
 
     /** What else is lost in the gap. */
-    enum Lost {
+    enum AdditionalLoss {
         NOTHING,
         HINTS,
         PEERS_UNTIL_THE_OUTAGE,
-        PEERS_UNTIL_IN_THE_OUTAGE,
+        PEERS_INTO_THE_OUTAGE,
         PEERS_THROUGHOUT,
-        DIRECTS
+        DIRECT_COMMANDS
     }
 
-    private static ClusterSimulation day(long seed, Flaw flaw) {
+    private static ClusterSimulation startCluster(long seed, Flaw flaw) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
                         seed, new Scenario(Scenario.LONG, Scenario.LONG, Version.NOW, flaw, 0));
         cluster.trouble = 0;
         cluster.servicesStay = true;
-        cluster.users.submitUntil(AT);
-        cluster.run(AT);
+        cluster.users.submitUntil(FAULTS_START);
+        cluster.run(FAULTS_START);
         return cluster;
     }
 
-    private static void lose(ClusterSimulation cluster, Lost lost) {
-        switch (lost) {
+    private static void inject(ClusterSimulation cluster, AdditionalLoss loss) {
+        switch (loss) {
             case NOTHING -> {}
             case HINTS -> cluster.hintsLost = true;
-            case DIRECTS -> cluster.directsLost = true;
-            case PEERS_UNTIL_THE_OUTAGE -> cluster.refusePeers(REFUSED);
-            case PEERS_UNTIL_IN_THE_OUTAGE -> cluster.refusePeers(REFUSED + 6_000_000);
-            case PEERS_THROUGHOUT -> cluster.refusePeers(REFUSED + DOWN);
+            case DIRECT_COMMANDS -> cluster.directsLost = true;
+            case PEERS_UNTIL_THE_OUTAGE -> cluster.refusePeers(REJECTION_MICROS);
+            case PEERS_INTO_THE_OUTAGE -> cluster.refusePeers(REJECTION_MICROS + 6_000_000);
+            case PEERS_THROUGHOUT -> cluster.refusePeers(REJECTION_MICROS + OUTAGE_MICROS);
         }
     }
 
     /** The refusal begins, users cancel everything, and the outage comes. */
-    private static void refusedThenDown(ClusterSimulation cluster, long cancelAfterMicros) {
+    private static void rejectLeaderThenFailStore(
+            ClusterSimulation cluster, long cancelAfterMicros) {
         cluster.refuseState(cluster.leader(), 14_000_000);
         cluster.loop.after(cancelAfterMicros, cluster.users::cancelAll);
-        cluster.loop.after(REFUSED, () -> cluster.stateOutage(DOWN));
+        cluster.loop.after(REJECTION_MICROS, () -> cluster.stateOutage(OUTAGE_MICROS));
     }
 
-    private static int confirmedBehindItsBack(Lost lost, long seed, Flaw flaw) {
-        ClusterSimulation cluster = day(seed, flaw);
-        lose(cluster, lost);
-        refusedThenDown(cluster, 300_000);
-        cluster.run(AT + REFUSED);
+    private static int countConfirmedBeforeOutage(AdditionalLoss loss, long seed, Flaw flaw) {
+        ClusterSimulation cluster = startCluster(seed, flaw);
+        inject(cluster, loss);
+        rejectLeaderThenFailStore(cluster, 300_000);
+        cluster.run(FAULTS_START + REJECTION_MICROS);
         int confirmed = cluster.observed.cancelledWhileRunning;
-        cluster.run(QUIET);
+        cluster.run(RUN_END);
         return confirmed;
     }
 
     @ParameterizedTest
     @EnumSource
-    void cancelledTasksStopInTimeWhateverElseIsLost(Lost lost) {
+    void cancelledTasksStopInTimeWhateverElseIsLost(AdditionalLoss loss) {
         int confirmed = 0;
         for (long seed : Seeds.first(3)) {
-            confirmed += confirmedBehindItsBack(lost, seed, Flaw.NONE);
+            confirmed += countConfirmedBeforeOutage(loss, seed, Flaw.NONE);
         }
-        if (lost == Lost.NOTHING || lost == Lost.HINTS || lost == Lost.DIRECTS) {
+        if (loss == AdditionalLoss.NOTHING
+                || loss == AdditionalLoss.HINTS
+                || loss == AdditionalLoss.DIRECT_COMMANDS) {
             assertTrue(confirmed > 3, "only " + confirmed + " confirmed in the gap");
         }
     }
@@ -93,7 +96,7 @@
         int confirmed = 0;
         int kept = 0;
         for (long seed : Seeds.first(4)) {
-            ClusterSimulation cluster = day(seed, Flaw.NONE);
+            ClusterSimulation cluster = startCluster(seed, Flaw.NONE);
             cluster.hintsLost = true;
             cluster.refuseState(cluster.leader(), 14_000_000);
             cluster.loop.after(
@@ -102,14 +105,14 @@
                             cluster.observed.runningJobs().stream()
                                     .limit(6)
                                     .forEach(cluster.users::cancel));
-            cluster.loop.after(REFUSED, () -> cluster.stateOutage(DOWN));
-            cluster.run(AT + REFUSED);
+            cluster.loop.after(REJECTION_MICROS, () -> cluster.stateOutage(OUTAGE_MICROS));
+            cluster.run(FAULTS_START + REJECTION_MICROS);
             confirmed += cluster.observed.cancelledWhileRunning;
             kept += cluster.observed.runningJobs().size();
             int before = cluster.observed.killedByLease;
-            cluster.run(AT + REFUSED + DOWN);
+            cluster.run(FAULTS_START + REJECTION_MICROS + OUTAGE_MICROS);
             assertEquals(before, cluster.observed.killedByLease, "tasks killed, seed " + seed);
-            cluster.run(QUIET);
+            cluster.run(RUN_END);
         }
         assertTrue(confirmed > 3, "only " + confirmed + " confirmed in the gap");
         assertTrue(kept > 12, "only " + kept + " jobs ran on");
@@ -120,16 +123,16 @@
     void cancelledTasksStopInTimeWhenOutageEndsForAllButLeader() {
         int confirmed = 0;
         for (long seed : Seeds.first(4)) {
-            ClusterSimulation cluster = day(seed, Flaw.NONE);
+            ClusterSimulation cluster = startCluster(seed, Flaw.NONE);
             cluster.hintsLost = true;
             int leader = cluster.leader();
             cluster.stateOutage(20_000_000);
             cluster.loop.after(18_000_000, () -> cluster.refuseState(leader, 90_000_000));
             cluster.loop.after(20_200_000, cluster.users::cancelAll);
-            cluster.loop.after(23_000_000, () -> cluster.stateOutage(DOWN));
-            cluster.run(AT + 23_000_000);
+            cluster.loop.after(23_000_000, () -> cluster.stateOutage(OUTAGE_MICROS));
+            cluster.run(FAULTS_START + 23_000_000);
             confirmed += cluster.observed.cancelledWhileRunning;
-            cluster.run(QUIET);
+            cluster.run(RUN_END);
         }
         assertTrue(confirmed > 3, "only " + confirmed + " confirmed in the gap");
     }
@@ -150,20 +153,20 @@
         "9000, 300",
         "9000, 20000"
     })
-    void cancelledTasksStopInTimeWhenConfirmingNodesRestart(long endsMillis, long awayMillis) {
+    void cancelledTasksStopInTimeWhenConfirmingNodesRestart(long endMillis, long downMillis) {
         for (long seed : Seeds.first(2)) {
-            ClusterSimulation cluster = day(seed, Flaw.NONE);
+            ClusterSimulation cluster = startCluster(seed, Flaw.NONE);
             cluster.hintsLost = true;
             int leader = cluster.leader();
-            refusedThenDown(cluster, 300_000);
+            rejectLeaderThenFailStore(cluster, 300_000);
             for (int node = 0; node < ClusterSimulation.NODES; node++) {
                 if (node != leader) {
                     int ending = node;
                     cluster.loop.after(
-                            endsMillis * 1000, () -> cluster.end(ending, awayMillis * 1000));
+                            endMillis * 1000, () -> cluster.end(ending, downMillis * 1000));
                 }
             }
-            cluster.run(QUIET);
+            cluster.run(RUN_END);
         }
     }
 
@@ -181,15 +184,15 @@
                             new Scenario(Scenario.LONG, Scenario.LONG, Version.NOW, Flaw.NONE, 0));
             cluster.trouble = 0;
             cluster.servicesStay = true;
-            cluster.users.submitUntil(AT);
+            cluster.users.submitUntil(FAULTS_START);
             for (int chain = 0; chain < 3; chain++) {
-                cluster.users.submitPipelinesUntil(AT);
+                cluster.users.submitPipelinesUntil(FAULTS_START);
             }
-            cluster.run(AT);
-            refusedThenDown(cluster, 300_000);
-            cluster.run(AT + REFUSED);
+            cluster.run(FAULTS_START);
+            rejectLeaderThenFailStore(cluster, 300_000);
+            cluster.run(FAULTS_START + REJECTION_MICROS);
             polled += cluster.observed.waitingForCancelled();
-            cluster.run(QUIET);
+            cluster.run(RUN_END);
         }
         assertTrue(polled > 3, "only " + polled + " jobs waited for a cancelled one");
     }
@@ -198,11 +201,11 @@
     @Test
     void cancelledTasksStopInTimeAcrossTwoStoreOutages() {
         for (long seed : Seeds.first(3)) {
-            ClusterSimulation cluster = day(seed, Flaw.NONE);
-            cluster.gap(2_000_000, DOWN);
-            cluster.users.submitUntil(AT + 150_000_000);
-            cluster.loop.after(87_000_000, () -> cluster.gap(1_500_000, DOWN));
-            cluster.run(AT + 300_000_000);
+            ClusterSimulation cluster = startCluster(seed, Flaw.NONE);
+            cluster.gap(2_000_000, OUTAGE_MICROS);
+            cluster.users.submitUntil(FAULTS_START + 150_000_000);
+            cluster.loop.after(87_000_000, () -> cluster.gap(1_500_000, OUTAGE_MICROS));
+            cluster.run(FAULTS_START + 300_000_000);
         }
     }
 
@@ -213,12 +216,12 @@
     @Test
     void cancelledTasksStopInTimeWhenLeaderChangesBeforeOutage() {
         for (long seed : Seeds.first(4)) {
-            ClusterSimulation cluster = day(seed, Flaw.NONE);
+            ClusterSimulation cluster = startCluster(seed, Flaw.NONE);
             cluster.refusePeers(40_000_000);
             cluster.refuseState(cluster.leader(), 100_000_000);
             cluster.loop.after(6_000_000, cluster.users::cancelAll);
-            cluster.loop.after(8_000_000, () -> cluster.stateOutage(DOWN));
-            cluster.run(QUIET);
+            cluster.loop.after(8_000_000, () -> cluster.stateOutage(OUTAGE_MICROS));
+            cluster.run(RUN_END);
         }
     }
 
@@ -232,7 +235,8 @@
                         InvariantViolation.class,
                         () -> {
                             for (long seed : Seeds.first(6)) {
-                                confirmedBehindItsBack(Lost.HINTS, seed, Flaw.VOUCHES_FOR_ANYTHING);
+                                countConfirmedBeforeOutage(
+                                        AdditionalLoss.HINTS, seed, Flaw.VOUCHES_FOR_ANYTHING);
                             }
                         });
         assertTrue(caught.getMessage().contains("ran_cancelled"), caught.getMessage());
--- a/src/test/java/org/woadloom/sim/DamagedRecordTest.java
+++ b/src/test/java/org/woadloom/sim/DamagedRecordTest.java
@@ -16,13 +16,13 @@
 /** A job whose record can't be read stays known, and one of which nobody is told is found. */
 @ExtendWith(PrintReplayCommand.class)
 class DamagedRecordTest {
-    private static final long AT = 60_000_000;
+    private static final long DAMAGE_MICROS = 60_000_000;
 
     /**
      * An open job, with everything of its record damaged but the field that says whether it is
      * cancelled.
      */
-    private static String damage(ClusterSimulation cluster, boolean cancelled) {
+    private static String damageOpenJob(ClusterSimulation cluster, boolean cancelled) {
         String jobId =
                 cluster.observed.acceptedJobs().stream()
                         .filter(
@@ -40,15 +40,16 @@
         return jobId;
     }
 
-    private static ClusterSimulation day() {
+    private static ClusterSimulation startCluster() {
         ClusterSimulation cluster = new ClusterSimulation(5, Scenario.PLAIN);
         cluster.trouble = 0;
-        cluster.users.submitUntil(AT + 10_000_000);
-        cluster.run(AT);
+        cluster.users.submitUntil(DAMAGE_MICROS + 10_000_000);
+        cluster.run(DAMAGE_MICROS);
         return cluster;
     }
 
-    private static Object told(ClusterSimulation cluster, int node, String method, String path) {
+    private static Object requestStatus(
+            ClusterSimulation cluster, int node, String method, String path) {
         Map<String, Object> answer =
                 cluster.ask(node, method, path, method.equals("POST") ? Map.of() : null);
         cluster.run(cluster.loop.now() + 2_000_000);
@@ -59,50 +60,52 @@
     /** The leader writes what it knows in its place, and the job is done as if nothing had been. */
     @Test
     void leaderRewritesDamagedRecordOfKnownJob() {
-        ClusterSimulation cluster = day();
-        String jobId = damage(cluster, false);
-        cluster.run(AT + 8_000_000);
+        ClusterSimulation cluster = startCluster();
+        String jobId = damageOpenJob(cluster, false);
+        cluster.run(DAMAGE_MICROS + 8_000_000);
         assertTrue(
                 cluster.stored("job/" + jobId) == null
                         || cluster.stored("job/" + jobId).get("job") instanceof Map);
-        cluster.run(AT + 400_000_000);
-        assertEquals("done", told(cluster, 0, "GET", "/v1/jobs/" + jobId));
+        cluster.run(DAMAGE_MICROS + 400_000_000);
+        assertEquals("done", requestStatus(cluster, 0, "GET", "/v1/jobs/" + jobId));
     }
 
     /** No leader knows it any more: its users hear of it, and can be rid of it. */
     @Test
     void damagedJobUnknownToLeaderIsReportedQueuedAndCanBeCancelled() {
-        ClusterSimulation cluster = day();
+        ClusterSimulation cluster = startCluster();
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
             cluster.end(i, 2_000_000);
         }
-        String jobId = damage(cluster, false);
-        cluster.run(AT + 20_000_000);
+        String jobId = damageOpenJob(cluster, false);
+        cluster.run(DAMAGE_MICROS + 20_000_000);
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
-            assertEquals("queued", told(cluster, i, "GET", "/v1/jobs/" + jobId));
+            assertEquals("queued", requestStatus(cluster, i, "GET", "/v1/jobs/" + jobId));
         }
         cluster.observed.recordCancelRequest(jobId);
-        assertEquals("cancelled", told(cluster, 1, "POST", "/v1/jobs/" + jobId + "/cancel"));
+        assertEquals(
+                "cancelled", requestStatus(cluster, 1, "POST", "/v1/jobs/" + jobId + "/cancel"));
         assertNull(cluster.stored("job/" + jobId));
-        assertEquals("cancelled", told(cluster, 2, "GET", "/v1/jobs/" + jobId));
-        cluster.run(AT + 200_000_000);
+        assertEquals("cancelled", requestStatus(cluster, 2, "GET", "/v1/jobs/" + jobId));
+        cluster.run(DAMAGE_MICROS + 200_000_000);
     }
 
     @Test
     void damagedRecordWithReadableCancelledFieldStaysCancelled() {
-        ClusterSimulation cluster = day();
+        ClusterSimulation cluster = startCluster();
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
             cluster.end(i, 2_000_000);
         }
-        String jobId = damage(cluster, true);
+        String jobId = damageOpenJob(cluster, true);
         cluster.observed.recordCancelRequest(jobId);
-        cluster.run(AT + 20_000_000);
-        assertEquals("cancelled", told(cluster, 0, "GET", "/v1/jobs/" + jobId));
-        assertEquals("cancelled", told(cluster, 2, "POST", "/v1/jobs/" + jobId + "/cancel"));
+        cluster.run(DAMAGE_MICROS + 20_000_000);
+        assertEquals("cancelled", requestStatus(cluster, 0, "GET", "/v1/jobs/" + jobId));
+        assertEquals(
+                "cancelled", requestStatus(cluster, 2, "POST", "/v1/jobs/" + jobId + "/cancel"));
     }
 
     /**
-     * Asked about in vain for ten seconds while the store serves others, a job's users go first.
+     * UserCall about in vain for ten seconds while the store serves others, a job's users go first.
      */
     @Test
     void jobRefusedForTenSecondsGetsPriority() {
--- a/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
@@ -27,32 +27,32 @@
  */
 @ExtendWith(PrintReplayCommand.class)
 class FaultCombinationsTest {
-    private static final long AT = 40_000_000;
-    private static final long EVERY = 45_000_000;
-    private static final int TIMES = 3;
+    private static final long FIRST_FAULT = 40_000_000;
+    private static final long FAULT_INTERVAL = 45_000_000;
+    private static final int FAULT_REPEATS = 3;
 
     /** {@code -Dseeds=30} tries more. */
     private static final long SEEDS = 3;
 
-    private static final long TROUBLED = AT + TIMES * EVERY;
+    private static final long FAULTS_END = FIRST_FAULT + FAULT_REPEATS * FAULT_INTERVAL;
 
-    enum Meeting {
+    enum Fault {
         /**
          * Copies of reports come from half a second to a minute late, also of sessions and attempts
          * that are over.
          */
-        OLD_REPORTS {
+        DELAYED_DUPLICATE_REPORTS {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.copies = 40;
                 cluster.loop.after(12_000_000, () -> cluster.hangAll("a", 14_000_000));
                 return () -> cluster.oldCopies;
             }
         },
         /** The leader ends while jobs are done in part. */
-        ENDS_FAR_APART {
+        LEADER_ENDS_WITH_PARTLY_DONE_JOBS {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 int partly = cluster.observed.partlyDone();
                 cluster.endLeader(300_000);
                 cluster.loop.after(9_000_000, () -> cluster.restart(0));
@@ -65,15 +65,15 @@
          */
         LATE_WRITES {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.writeLate(30, 25_000_000);
                 return () -> Math.min(cluster.lateWritesMade[0], cluster.lateWritesMade[1]);
             }
         },
         /** All end, one returns at once, and leadership goes back and forth. */
-        HAND_OVER_AND_BACK {
+        REPEATED_LEADER_CHANGES {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 long before = cluster.term();
                 for (int node = 0; node < ClusterSimulation.NODES; node++) {
                     cluster.end(node, node == 0 ? 50_000 : 1_500_000L * node);
@@ -89,9 +89,9 @@
             }
         },
         /** The state service refuses the leader alone, users cancel, and it is down for all. */
-        REFUSED_THEN_DOWN {
+        STORE_REJECTS_LEADER_THEN_FAILS {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 int before = cluster.observed.cancelledWhileRunning;
                 cluster.gap(2_500_000, 35_000_000);
                 return () -> cluster.observed.cancelledWhileRunning - before;
@@ -101,9 +101,9 @@
          * Commands and their answers are held up while machines hang, and are executed as they go
          * on.
          */
-        HELD_COMMANDS {
+        DELAYED_COMMANDS {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.hangAll("b", 6_000_000);
                 cluster.loop.after(8_000_000, () -> cluster.hangAll("a", 3_000_000));
                 cluster.loop.after(
@@ -118,9 +118,9 @@
         /**
          * The leader ends while machines hang or hear nothing, and the new one can't reach them.
          */
-        LEADER_ENDS_OUT_OF_TOUCH {
+        LEADER_ENDS_WITH_UNREACHABLE_MACHINES {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.deafen("a", 2, 28_000_000);
                 cluster.hangAll("b", 9_000_000);
                 int outOfTouch = cluster.observed.tasksIn("b");
@@ -132,9 +132,9 @@
          * The leader loses the state service and the other nodes, not its workers, and jobs are
          * cancelled through another.
          */
-        LONE_LEADER {
+        ISOLATED_LEADER {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 int before = cluster.observed.cancelledWhileRunning;
                 cluster.isolate(cluster.leader(), 35_000_000);
                 cluster.loop.after(
@@ -150,9 +150,9 @@
          * Users look at all nodes right after each answer, some cancel, leaders end, and the store
          * refuses one node.
          */
-        CLOSE_LOOKS {
+        READS_AT_ALL_NODES {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.lookClosely(30_000_000);
                 cluster.loop.after(8_000_000, () -> cluster.endLeader(200_000));
                 cluster.loop.after(
@@ -163,7 +163,7 @@
                                         6_000_000));
                 cluster.loop.after(16_000_000, () -> cluster.cancelNow(4, 0));
                 cluster.loop.after(22_000_000, () -> cluster.endLeader(2_000_000));
-                return within(cluster, () -> cluster.closeLooks);
+                return increaseUntilNextFault(cluster, () -> cluster.closeLooks);
             }
         },
         /**
@@ -172,47 +172,48 @@
          */
         LOST_ANSWERS {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.loseAnswers(30, 25_000_000);
                 cluster.loop.after(10_000_000, () -> cluster.cancelNow(3, 0));
-                return within(cluster, () -> cluster.lostAnswersReadElsewhere);
+                return increaseUntilNextFault(cluster, () -> cluster.lostAnswersReadElsewhere);
             }
         },
         /**
          * One-task jobs come four a second, for two minutes in all, and a quarter are cancelled.
          */
-        FOUR_A_SECOND {
+        FOUR_JOBS_PER_SECOND {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.oneTaskJobs(4, 40_000_000, 25);
-                return within(cluster, () -> cluster.oneTaskJobsCancelled);
+                return increaseUntilNextFault(cluster, () -> cluster.oneTaskJobsCancelled);
             }
         },
         /** Leaders change ten times in two minutes. */
-        TEN_LEADERS {
+        TEN_LEADER_CHANGES {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.endLeaders(40_000_000);
-                IntSupplier changes = within(cluster, cluster::leaderChanges);
+                IntSupplier changes = increaseUntilNextFault(cluster, cluster::leaderChanges);
                 return () -> changes.getAsInt() - 3;
             }
         },
         /** The same while the store is down again and again, where leaders end as well. */
-        TEN_LEADERS_IN_AN_OUTAGE {
+        TEN_LEADER_CHANGES_WITH_OUTAGES {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.endLeaders(40_000_000);
                 cluster.loop.after(5_000_000, () -> cluster.stateOutage(8_000_000));
                 cluster.loop.after(14_000_000, () -> cluster.stateOutage(3_000_000));
-                IntSupplier changes = within(cluster, cluster::leaderChanges);
-                IntSupplier ends = within(cluster, () -> cluster.leadersEndedInOutages);
+                IntSupplier changes = increaseUntilNextFault(cluster, cluster::leaderChanges);
+                IntSupplier ends =
+                        increaseUntilNextFault(cluster, () -> cluster.leadersEndedInOutages);
                 return () -> ends.getAsInt() > 0 ? changes.getAsInt() - 3 : -10;
             }
         },
         /** All controllers are away for longer than a lease. */
-        ALL_AWAY {
+        ALL_CONTROLLERS_DOWN {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 for (int node = 0; node < ClusterSimulation.NODES; node++) {
                     cluster.end(
                             node,
@@ -220,27 +221,28 @@
                                     + 2_000_000
                                     + cluster.random.nextInt(6_000_000));
                 }
-                return within(cluster, () -> cluster.observed.killedByLease);
+                return increaseUntilNextFault(cluster, () -> cluster.observed.killedByLease);
             }
         },
         /** The store is slow while users cancel and look closely. */
-        SLOW_STATE {
+        SLOW_STORE {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.slowState(1_500_000, 30_000_000);
                 cluster.lookClosely(30_000_000);
                 for (long later = 3_000_000; later < 30_000_000; later += 9_000_000) {
                     cluster.loop.after(later, () -> cluster.cancelNow(3, 0));
                 }
-                return within(cluster, () -> cluster.observed.cancelledWhileRunning);
+                return increaseUntilNextFault(
+                        cluster, () -> cluster.observed.cancelledWhileRunning);
             }
         },
         /**
          * Urgent work and other waits for machines that are not to be had, and all links are slow.
          */
-        MORE_THAN_ROOM {
+        SCARCE_MACHINES_AND_SLOW_LINKS {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.slowLinks(400_000, 35_000_000);
                 cluster.littleRoom(2, 35_000_000);
                 cluster.oneTaskJobs(2, 30_000_000, 10);
@@ -259,51 +261,53 @@
         /**
          * Brings it about; what is returned tells in the end how often that has come to something.
          */
-        abstract IntSupplier begin(ClusterSimulation cluster);
+        abstract IntSupplier inject(ClusterSimulation cluster);
 
         /** By how much it has grown until the next one begins. */
-        private static IntSupplier within(ClusterSimulation cluster, IntSupplier count) {
+        private static IntSupplier increaseUntilNextFault(
+                ClusterSimulation cluster, IntSupplier count) {
             int before = count.getAsInt();
-            int[] grown = {0};
-            cluster.loop.after(EVERY - 4_000_000, () -> grown[0] = count.getAsInt() - before);
-            return () -> grown[0];
+            int[] increase = {0};
+            cluster.loop.after(
+                    FAULT_INTERVAL - 4_000_000, () -> increase[0] = count.getAsInt() - before);
+            return () -> increase[0];
         }
     }
 
-    private static void day(long seed, Set<Meeting> meetings) {
-        day(seed, Scenario.PLAIN, meetings);
+    private static void runAndAssertOccurred(long seed, Set<Fault> faults) {
+        runAndAssertOccurred(seed, Scenario.PLAIN, faults);
     }
 
-    private static void day(long seed, Scenario day, Set<Meeting> meetings) {
-        play(seed, day, meetings)
+    private static void runAndAssertOccurred(long seed, Scenario scenario, Set<Fault> faults) {
+        run(seed, scenario, faults)
                 .forEach(
                         (meeting, times) ->
                                 assertTrue(times > 0, meeting + " did not occur, seed " + seed));
     }
 
     /** Plays a day whole and returns how often each meeting came to something. */
-    private static Map<Meeting, Integer> play(long seed, Scenario day, Set<Meeting> meetings) {
-        ClusterSimulation cluster = new ClusterSimulation(seed, day);
-        cluster.users.submitUntil(TROUBLED);
-        cluster.observed.faultFreeFromMicros = TROUBLED + 60_000_000;
-        cluster.brokenFrom = AT;
-        Map<Meeting, List<IntSupplier>> begun = new EnumMap<>(Meeting.class);
-        meetings.forEach(meeting -> begun.put(meeting, new ArrayList<>()));
-        for (int i = 0; i < TIMES; i++) {
-            meetings.forEach(
+    private static Map<Fault, Integer> run(long seed, Scenario scenario, Set<Fault> faults) {
+        ClusterSimulation cluster = new ClusterSimulation(seed, scenario);
+        cluster.users.submitUntil(FAULTS_END);
+        cluster.observed.faultFreeFromMicros = FAULTS_END + 60_000_000;
+        cluster.brokenFrom = FIRST_FAULT;
+        Map<Fault, List<IntSupplier>> injected = new EnumMap<>(Fault.class);
+        faults.forEach(meeting -> injected.put(meeting, new ArrayList<>()));
+        for (int i = 0; i < FAULT_REPEATS; i++) {
+            faults.forEach(
                     meeting ->
                             cluster.loop.after(
-                                    AT + cluster.random.nextInt(4_000_000),
+                                    FIRST_FAULT + cluster.random.nextInt(4_000_000),
                                     () -> {
                                         if (cluster.stored("leader") != null) {
-                                            begun.get(meeting).add(meeting.begin(cluster));
+                                            injected.get(meeting).add(meeting.inject(cluster));
                                         }
                                     }));
-            cluster.run(cluster.loop.now() + EVERY);
+            cluster.run(cluster.loop.now() + FAULT_INTERVAL);
         }
-        cluster.run(TROUBLED + 400_000_000);
-        Map<Meeting, Integer> occurred = new EnumMap<>(Meeting.class);
-        begun.forEach(
+        cluster.run(FAULTS_END + 400_000_000);
+        Map<Fault, Integer> occurred = new EnumMap<>(Fault.class);
+        injected.forEach(
                 (meeting, times) ->
                         occurred.put(
                                 meeting, times.stream().mapToInt(IntSupplier::getAsInt).sum()));
@@ -313,26 +317,26 @@
 
     @ParameterizedTest
     @EnumSource
-    void invariantsHoldUnderEachFault(Meeting meeting) {
+    void invariantsHoldUnderEachFault(Fault fault) {
         for (long seed : Seeds.usually(SEEDS)) {
-            day(seed, Set.of(meeting));
+            runAndAssertOccurred(seed, Set.of(fault));
         }
     }
 
     @ParameterizedTest
     @CsvSource({
-        "LATE_WRITES, HAND_OVER_AND_BACK",
-        "LATE_WRITES, LONE_LEADER",
-        "OLD_REPORTS, LEADER_ENDS_OUT_OF_TOUCH",
-        "REFUSED_THEN_DOWN, HELD_COMMANDS",
-        "ENDS_FAR_APART, LATE_WRITES",
-        "CLOSE_LOOKS, LOST_ANSWERS",
-        "CLOSE_LOOKS, HAND_OVER_AND_BACK",
-        "FOUR_A_SECOND, LATE_WRITES"
+        "LATE_WRITES, REPEATED_LEADER_CHANGES",
+        "LATE_WRITES, ISOLATED_LEADER",
+        "DELAYED_DUPLICATE_REPORTS, LEADER_ENDS_WITH_UNREACHABLE_MACHINES",
+        "STORE_REJECTS_LEADER_THEN_FAILS, DELAYED_COMMANDS",
+        "LEADER_ENDS_WITH_PARTLY_DONE_JOBS, LATE_WRITES",
+        "READS_AT_ALL_NODES, LOST_ANSWERS",
+        "READS_AT_ALL_NODES, REPEATED_LEADER_CHANGES",
+        "FOUR_JOBS_PER_SECOND, LATE_WRITES"
     })
-    void invariantsHoldUnderTwoFaultsAtOnce(Meeting one, Meeting other) {
+    void invariantsHoldUnderTwoFaultsAtOnce(Fault one, Fault other) {
         for (long seed : Seeds.usually(SEEDS)) {
-            day(seed, Set.of(one, other));
+            runAndAssertOccurred(seed, Set.of(one, other));
         }
     }
 
@@ -344,12 +348,12 @@
      */
     @ParameterizedTest
     @CsvSource({
-        "OLD_CHANGES, CLOSE_LOOKS, went_back",
-        "UNSEEN_RECORDS, CLOSE_LOOKS, forgotten",
+        "OLD_CHANGES, READS_AT_ALL_NODES, went_back",
+        "UNSEEN_RECORDS, READS_AT_ALL_NODES, forgotten",
         "NO_CONDITIONS, LATE_WRITES, ''",
-        "NO_CONDITIONS, TEN_LEADERS, ''"
+        "NO_CONDITIONS, TEN_LEADER_CHANGES, ''"
     })
-    void checkerDetectsInjectedFlaw(Scenario.Flaw flaw, Meeting meeting, String rule) {
+    void checkerDetectsInjectedFlaw(Scenario.Flaw flaw, Fault fault, String violatedRule) {
         // What the service itself would refuse is to be caught from outside as well.
         System.clearProperty(Invariants.THROW_PROPERTY);
         InvariantViolation caught =
@@ -357,10 +361,10 @@
                         InvariantViolation.class,
                         () -> {
                             for (long seed : Seeds.first(6)) {
-                                play(seed, Scenario.PLAIN.with(flaw), Set.of(meeting));
+                                run(seed, Scenario.PLAIN.with(flaw), Set.of(fault));
                             }
                         });
-        assertTrue(caught.getMessage().startsWith(rule), caught.getMessage());
+        assertTrue(caught.getMessage().startsWith(violatedRule), caught.getMessage());
     }
 
     @AfterEach
--- a/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
+++ b/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
@@ -36,7 +36,7 @@
     private static final int NODES = 3;
     private static final int SUBMISSIONS_PER_SECOND = 120;
     private static final long USER_TIMEOUT = 5 * SECOND;
-    private static final long GRANT = 4 * SECOND;
+    private static final long LEADER_LEASE = 4 * SECOND;
     private static final ServiceSettings.Store LIMITS =
             new ServiceSettings.Store(400, 60, 8192, 12, null);
     private static final MachineType TYPE =
@@ -45,7 +45,7 @@
     private final SimulatedEventLoop sim = new SimulatedEventLoop();
     private final SimulatedStore store = new SimulatedStore(sim, LIMITS);
     private final Random random = new Random(5);
-    private final List<Member> members = new ArrayList<>();
+    private final List<Node> nodes = new ArrayList<>();
     private final List<Submission> submissions = new ArrayList<>();
 
     /** One submission, without its retries. */
@@ -55,18 +55,18 @@
     }
 
     /** A node's process: its client of the store, its election and what users ask of it. */
-    private final class Member {
+    private final class Node {
         final int index;
         boolean alive = true;
         final StoreClient client;
         final Election election;
         final JobApi api;
-        int elected;
-        int deposed;
-        final List<Long> recordWaits = new ArrayList<>();
-        int recordsAsked;
+        int electionsWon;
+        int leadershipsLost;
+        final List<Long> writeWaits = new ArrayList<>();
+        int writesRequested;
 
-        Member(int index) {
+        Node(int index) {
             this.index = index;
             ServiceSettings settings = settings(index);
             EventLoop loop = loop();
@@ -84,7 +84,7 @@
                             client,
                             settings.label(),
                             new Random(index + 10),
-                            fence(),
+                            alwaysEligible(),
                             listener());
             api =
                     new JobApi(
@@ -117,12 +117,12 @@
 
                 @Override
                 public Timer schedule(long delayMicros, Runnable task) {
-                    return whole.schedule(delayMicros, () -> whileAlive(task));
+                    return whole.schedule(delayMicros, () -> runIfAlive(task));
                 }
             };
         }
 
-        private void whileAlive(Runnable task) {
+        private void runIfAlive(Runnable task) {
             if (alive) {
                 task.run();
             }
@@ -162,7 +162,7 @@
                 Map<String, Object> map) {
             if (!answered[0]) {
                 answered[0] = true;
-                whileAlive(
+                runIfAlive(
                         () ->
                                 callback.onResponse(
                                         status, status > 0 ? Cbor.encode(map) : new byte[0]));
@@ -173,13 +173,13 @@
             return new Election.Listener() {
                 @Override
                 public void onElected(long term, long leaderRevision) {
-                    elected++;
+                    electionsWon++;
                     client.setLeader(true);
                 }
 
                 @Override
                 public void onLeadershipLost(String reason) {
-                    deposed++;
+                    leadershipsLost++;
                     client.setLeader(false);
                 }
 
@@ -191,14 +191,14 @@
         /** The leader's own record of work that ends: what it waits for is noted. */
         void writeRecord() {
             long from = sim.now();
-            recordsAsked++;
+            writesRequested++;
             client.txn(
                     RequestPriority.URGENT,
                     List.of(),
-                    List.of(Change.put("record/" + recordsAsked % 50, Map.of("n", from))),
+                    List.of(Change.put("record/" + writesRequested % 50, Map.of("n", from))),
                     (result, storeRevision, failed) -> {
                         if (result == Result.OK) {
-                            recordWaits.add(sim.now() - from);
+                            writeWaits.add(sim.now() - from);
                         }
                     });
         }
@@ -213,7 +213,7 @@
                 LIMITS);
     }
 
-    private static Election.Eligibility fence() {
+    private static Election.Eligibility alwaysEligible() {
         return new Election.Eligibility() {
             @Override
             public boolean isEligible() {
@@ -271,15 +271,15 @@
 
     private void start() {
         for (int index = 0; index < NODES; index++) {
-            members.add(new Member(index));
+            nodes.add(new Node(index));
         }
-        members.forEach(member -> member.election.start());
+        nodes.forEach(member -> member.election.start());
         sim.run(2 * SECOND);
-        assertEquals(1, members.stream().filter(member -> member.election.isLeader()).count());
+        assertEquals(1, nodes.stream().filter(member -> member.election.isLeader()).count());
     }
 
-    private Member leader() {
-        return members.stream()
+    private Node leader() {
+        return nodes.stream()
                 .filter(member -> member.alive && member.election.isLeader())
                 .findFirst()
                 .orElse(null);
@@ -289,17 +289,17 @@
      * Submits at a steady rate until the given time, at any node whose process is there; the users
      * try again for a minute.
      */
-    private void users(long until, int perSecond) {
+    private void submitUntil(long until, int perSecond) {
         if (sim.now() < until) {
             Map<String, Object> job =
                     LoopbackNode.job(String.format("j-%06d", submissions.size()), "team");
             submit(job, sim.now() + 60 * SECOND);
-            sim.after(SECOND / perSecond, () -> users(until, perSecond));
+            sim.after(SECOND / perSecond, () -> submitUntil(until, perSecond));
         }
     }
 
     private void submit(Map<String, Object> job, long until) {
-        List<Member> alive = members.stream().filter(member -> member.alive).toList();
+        List<Node> alive = nodes.stream().filter(member -> member.alive).toList();
         Submission submission = new Submission();
         submissions.add(submission);
         long from = sim.now();
@@ -325,18 +325,18 @@
                         });
     }
 
-    private void leaderWrites(long until, int perSecond) {
+    private void writeAsLeaderUntil(long until, int perSecond) {
         if (sim.now() < until) {
-            Member leader = leader();
+            Node leader = leader();
             if (leader != null) {
                 leader.writeRecord();
             }
-            sim.after(SECOND / perSecond, () -> leaderWrites(until, perSecond));
+            sim.after(SECOND / perSecond, () -> writeAsLeaderUntil(until, perSecond));
         }
     }
 
     /** The longest time without the leader key, from now until the given time. */
-    private long longestGap(long until) {
+    private long longestTimeWithoutLeader(long until) {
         long since = sim.now();
         long longest = 0;
         while (sim.now() < until) {
@@ -353,9 +353,9 @@
     @Test
     void leaderKeepsLeadershipWhenSubmissionsExceedStoreRate() {
         start();
-        users(62 * SECOND, SUBMISSIONS_PER_SECOND);
-        assertEquals(0, longestGap(62 * SECOND));
-        assertEquals(1, members.stream().mapToInt(member -> member.elected).sum());
+        submitUntil(62 * SECOND, SUBMISSIONS_PER_SECOND);
+        assertEquals(0, longestTimeWithoutLeader(62 * SECOND));
+        assertEquals(1, nodes.stream().mapToInt(member -> member.electionsWon).sum());
     }
 
     /**
@@ -365,25 +365,28 @@
     @Test
     void endedLeaderIsReplacedPromptlyUnderLoad() {
         start();
-        users(62 * SECOND, SUBMISSIONS_PER_SECOND);
+        submitUntil(62 * SECOND, SUBMISSIONS_PER_SECOND);
         sim.run(30 * SECOND);
         leader().alive = false;
-        long gap = longestGap(62 * SECOND);
-        assertTrue(gap > 0 && gap <= GRANT + SECOND, "no leader for " + gap + " us");
+        long gap = longestTimeWithoutLeader(62 * SECOND);
+        assertTrue(gap > 0 && gap <= LEADER_LEASE + SECOND, "no leader for " + gap + " us");
     }
 
     /** Work that ends has to be recorded, also while users' changes queue. */
     @Test
     void leaderWritesAreNotStarvedBySubmissions() {
         start();
-        users(62 * SECOND, SUBMISSIONS_PER_SECOND);
-        leaderWrites(61 * SECOND, 10);
+        submitUntil(62 * SECOND, SUBMISSIONS_PER_SECOND);
+        writeAsLeaderUntil(61 * SECOND, 10);
         sim.run(62 * SECOND);
-        Member leader = leader();
+        Node leader = leader();
         assertTrue(
-                leader.recordWaits.size() >= leader.recordsAsked * 9 / 10,
-                leader.recordWaits.size() + " of " + leader.recordsAsked + " records were written");
-        long longest = leader.recordWaits.stream().mapToLong(Long::longValue).max().orElse(0);
+                leader.writeWaits.size() >= leader.writesRequested * 9 / 10,
+                leader.writeWaits.size()
+                        + " of "
+                        + leader.writesRequested
+                        + " records were written");
+        long longest = leader.writeWaits.stream().mapToLong(Long::longValue).max().orElse(0);
         assertTrue(longest <= SECOND, "a record waited for " + longest + " us");
     }
 
@@ -393,15 +396,15 @@
     @Test
     void everySubmissionIsAnsweredBeforeUserTimeout() {
         start();
-        users(62 * SECOND, SUBMISSIONS_PER_SECOND);
+        submitUntil(62 * SECOND, SUBMISSIONS_PER_SECOND);
         sim.run(62 * SECOND);
-        long begun = submissions.size();
+        long submitted = submissions.size();
         sim.run(68 * SECOND);
-        List<Submission> all = submissions.subList(0, (int) begun);
+        List<Submission> all = submissions.subList(0, (int) submitted);
         assertEquals(
                 0,
                 all.stream().filter(one -> one.tookMicros > USER_TIMEOUT).count(),
-                "late of " + begun);
+                "late of " + submitted);
         assertTrue(
                 all.stream()
                         .allMatch(
--- a/src/test/java/org/woadloom/sim/LoopbackTest.java
+++ b/src/test/java/org/woadloom/sim/LoopbackTest.java
@@ -34,11 +34,11 @@
         node.start();
     }
 
-    private HttpResponse<byte[]> ask(String method, String path, byte[] body) throws Exception {
-        return ask(node.address, method, path, body);
+    private HttpResponse<byte[]> send(String method, String path, byte[] body) throws Exception {
+        return send(node.address, method, path, body);
     }
 
-    private HttpResponse<byte[]> ask(String address, String method, String path, byte[] body)
+    private HttpResponse<byte[]> send(String address, String method, String path, byte[] body)
             throws Exception {
         return client.send(
                 HttpRequest.newBuilder(URI.create("http://" + address + path))
@@ -60,11 +60,11 @@
         map.put("shape", shape);
         map.put("shards", 1L);
         map.put("awaits", awaits);
-        return ask("POST", "/v1/jobs", Cbor.encode(map)).statusCode();
+        return send("POST", "/v1/jobs", Cbor.encode(map)).statusCode();
     }
 
     private String status(String jobId) throws Exception {
-        return (String) Cbor.decodeMap(ask("GET", "/v1/jobs/" + jobId, null).body()).get("status");
+        return (String) Cbor.decodeMap(send("GET", "/v1/jobs/" + jobId, null).body()).get("status");
     }
 
     @Test
@@ -88,7 +88,7 @@
                         0);
         assertEquals(
                 200,
-                ask(
+                send(
                                 node.stateAddress,
                                 "POST",
                                 "/txn",
@@ -111,17 +111,17 @@
         assertEquals(201, chained);
         assertEquals(
                 List.of("j-1"),
-                Cbor.decodeMap(ask("GET", "/v1/jobs/j-3", null).body()).get("awaits"));
+                Cbor.decodeMap(send("GET", "/v1/jobs/j-3", null).body()).get("awaits"));
         assertEquals(400, submit("j-4", "batch", "j-1"));
         assertEquals(400, submit("j-4", "batch", List.of(1L)));
         assertEquals(422, submit("j-4", "batch", List.of("j-9")), "never accepted");
         assertEquals(422, submit("j-4", "batch", List.of("j-1", "no id")));
         assertEquals(422, submit("j-4", "batch", List.of("j-4")), "itself");
         assertEquals(422, submit("j-4", "batch", List.of("j-2")), "a service");
-        assertEquals(404, ask("GET", "/v1/jobs/j-4", null).statusCode());
+        assertEquals(404, send("GET", "/v1/jobs/j-4", null).statusCode());
         assertEquals(200, submit("j-3", "batch", List.of("j-9")), "a known job stays accepted");
         assertEquals(201, submit("j-5", "batch", List.of("j-3")));
-        assertEquals(200, ask("POST", "/v1/jobs/j-1/cancel", new byte[0]).statusCode());
+        assertEquals(200, send("POST", "/v1/jobs/j-1/cancel", new byte[0]).statusCode());
         for (int i = 0; !status("j-5").equals("cancelled") && i < 2_000; i++) {
             assertEquals("queued", status("j-5"));
         }
@@ -138,30 +138,30 @@
     @Test
     void jobApiAnswersSubmitStatusAndCancel() throws Exception {
         start();
-        assertEquals(200, ask("GET", "/healthz", null).statusCode());
-        HttpResponse<byte[]> accepted = ask("POST", "/v1/jobs", job("team"));
+        assertEquals(200, send("GET", "/healthz", null).statusCode());
+        HttpResponse<byte[]> accepted = send("POST", "/v1/jobs", job("team"));
         // The machine types may take the node a moment; until then it says when to come back.
         for (int i = 0; accepted.statusCode() == 503 && i < 5_000; i++) {
             assertEquals("1", accepted.headers().firstValue("Retry-After").orElse(""));
-            accepted = ask("POST", "/v1/jobs", job("team"));
+            accepted = send("POST", "/v1/jobs", job("team"));
         }
         assertEquals(201, accepted.statusCode());
-        assertEquals(200, ask("POST", "/v1/jobs", job("team")).statusCode());
+        assertEquals(200, send("POST", "/v1/jobs", job("team")).statusCode());
         assertEquals(
                 200,
-                ask("POST", "/v1/jobs", job("nobody")).statusCode(),
+                send("POST", "/v1/jobs", job("nobody")).statusCode(),
                 "a known job stays accepted");
-        assertEquals(400, ask("POST", "/v1/jobs", new byte[] {1, 2, 3}).statusCode());
-        assertEquals(400, ask("POST", "/v1/jobs", new byte[70_000]).statusCode());
+        assertEquals(400, send("POST", "/v1/jobs", new byte[] {1, 2, 3}).statusCode());
+        assertEquals(400, send("POST", "/v1/jobs", new byte[70_000]).statusCode());
         assertEquals(
                 "queued",
-                Cbor.decodeMap(ask("GET", "/v1/jobs/j-000412", null).body()).get("status"));
-        assertEquals(404, ask("GET", "/v1/jobs/j-000413", null).statusCode());
-        HttpResponse<byte[]> cancelled = ask("POST", "/v1/jobs/j-000412/cancel", new byte[0]);
+                Cbor.decodeMap(send("GET", "/v1/jobs/j-000412", null).body()).get("status"));
+        assertEquals(404, send("GET", "/v1/jobs/j-000413", null).statusCode());
+        HttpResponse<byte[]> cancelled = send("POST", "/v1/jobs/j-000412/cancel", new byte[0]);
         assertEquals("cancelled", Cbor.decodeMap(cancelled.body()).get("status"));
         assertEquals(
                 "cancelled",
-                Cbor.decodeMap(ask("GET", "/v1/jobs/j-000412", null).body()).get("status"));
-        assertEquals(200, ask("GET", "/metrics", null).statusCode());
+                Cbor.decodeMap(send("GET", "/v1/jobs/j-000412", null).body()).get("status"));
+        assertEquals(200, send("GET", "/metrics", null).statusCode());
     }
 }
--- a/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
@@ -27,37 +27,42 @@
  */
 @ExtendWith(PrintReplayCommand.class)
 class MachineFaultCombinationsTest {
-    private static final long AT = 60_000_000;
+    private static final long FAULTS_START = 60_000_000;
 
-    enum OutOfTouch {
+    enum AgentFault {
         /** It opens no connection; commands reach it and their answers arrive. */
-        CLOSED_IN((agent, until) -> agent.closedInUntil = until),
+        NO_OUTBOUND((agent, until) -> agent.closedInUntil = until),
         /** Commands reach it, and nothing that it says arrives. */
         MUTE((agent, until) -> agent.muteUntil = until),
         DEAF((agent, until) -> agent.deafUntil = until),
         HANGS((agent, until) -> agent.hungUntil = until);
 
-        private final BiConsumer<SimulatedAgent, Long> how;
+        private final BiConsumer<SimulatedAgent, Long> effect;
 
-        OutOfTouch(BiConsumer<SimulatedAgent, Long> how) {
-            this.how = how;
+        AgentFault(BiConsumer<SimulatedAgent, Long> effect) {
+            this.effect = effect;
         }
 
-        void befall(SimulatedAgent agent, long until) {
-            how.accept(agent, until);
+        void inject(SimulatedAgent agent, long until) {
+            effect.accept(agent, until);
         }
     }
 
     /** No other trouble than the one that the test makes; leases are 20 s. */
-    private static ClusterSimulation day(long seed, Scenario.Times told) {
+    private static ClusterSimulation startCluster(long seed, Scenario.Times configuredTimes) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
                         seed,
-                        new Scenario(Scenario.LONG, told, Version.NOW, Scenario.Flaw.NONE, 0));
+                        new Scenario(
+                                Scenario.LONG,
+                                configuredTimes,
+                                Version.NOW,
+                                Scenario.Flaw.NONE,
+                                0));
         cluster.trouble = 0;
-        cluster.users.submitUntil(AT + 60_000_000);
-        cluster.observed.faultFreeFromMicros = AT + 150_000_000;
-        cluster.run(AT);
+        cluster.users.submitUntil(FAULTS_START + 60_000_000);
+        cluster.observed.faultFreeFromMicros = FAULTS_START + 150_000_000;
+        cluster.run(FAULTS_START);
         return cluster;
     }
 
@@ -65,17 +70,17 @@
      * One in so many of the machines at which tasks run; the others are those whose leases must not
      * end.
      */
-    private static List<SimulatedAgent> befall(
-            ClusterSimulation cluster, List<OutOfTouch> kinds, int oneIn, long forMicros) {
-        List<SimulatedAgent> troubled = new ArrayList<>();
+    private static List<SimulatedAgent> injectIntoBusyMachines(
+            ClusterSimulation cluster, List<AgentFault> faults, int oneIn, long forMicros) {
+        List<SimulatedAgent> faulty = new ArrayList<>();
         List<SimulatedAgent> busy =
                 cluster.agents().stream().filter(agent -> !agent.running().isEmpty()).toList();
         for (int i = 0; i < busy.size(); i += oneIn) {
-            kinds.get(troubled.size() % kinds.size())
-                    .befall(busy.get(i), cluster.loop.now() + forMicros);
-            troubled.add(busy.get(i));
+            faults.get(faulty.size() % faults.size())
+                    .inject(busy.get(i), cluster.loop.now() + forMicros);
+            faulty.add(busy.get(i));
         }
-        return troubled;
+        return faulty;
     }
 
     private static Set<TaskId> tasksOn(List<SimulatedAgent> agents) {
@@ -87,10 +92,13 @@
     /**
      * Those of the tasks that are neither done nor called off, and run on none of these machines.
      */
-    private static List<TaskId> left(
-            ClusterSimulation cluster, Set<TaskId> tasks, List<SimulatedAgent> notOn) {
+    private static List<TaskId> unfinishedElsewhere(
+            ClusterSimulation cluster, Set<TaskId> tasks, List<SimulatedAgent> excluded) {
         Set<TaskId> running =
-                tasksOn(cluster.agents().stream().filter(agent -> !notOn.contains(agent)).toList());
+                tasksOn(
+                        cluster.agents().stream()
+                                .filter(agent -> !excluded.contains(agent))
+                                .toList());
         return tasks.stream()
                 .filter(
                         task ->
@@ -107,8 +115,8 @@
      */
     @ParameterizedTest
     @CsvSource({
-        "CLOSED_IN, 10, 0",
-        "CLOSED_IN, 3, 1",
+        "NO_OUTBOUND, 10, 0",
+        "NO_OUTBOUND, 3, 1",
         "MUTE, 3, 1",
         "DEAF, 10, 1",
         "DEAF, 3, 0",
@@ -117,25 +125,25 @@
         ", 2, 1"
     })
     void workMovesOffUnreachableMachinesAndOtherLeasesAreKept(
-            OutOfTouch kind, int oneIn, int leaderEnds) {
-        int befallen = 0;
-        int moved = 0;
+            AgentFault fault, int oneIn, int leaderEnds) {
+        int faultyCount = 0;
+        int affectedTasks = 0;
         for (long seed : Seeds.usually(2)) {
-            ClusterSimulation cluster = day(seed, Scenario.LONG);
-            List<SimulatedAgent> troubled =
-                    befall(
+            ClusterSimulation cluster = startCluster(seed, Scenario.LONG);
+            List<SimulatedAgent> faulty =
+                    injectIntoBusyMachines(
                             cluster,
-                            kind == null ? List.of(OutOfTouch.values()) : List.of(kind),
+                            fault == null ? List.of(AgentFault.values()) : List.of(fault),
                             oneIn,
                             60_000_000);
-            Set<TaskId> tasks = tasksOn(troubled);
+            Set<TaskId> tasks = tasksOn(faulty);
             List<SimulatedAgent> others =
-                    cluster.agents().stream().filter(agent -> !troubled.contains(agent)).toList();
+                    cluster.agents().stream().filter(agent -> !faulty.contains(agent)).toList();
             long term = cluster.term();
             if (leaderEnds == 1) {
                 cluster.loop.after(3_000_000, () -> cluster.endLeader(12_000_000));
             }
-            cluster.run(AT + 59_000_000);
+            cluster.run(FAULTS_START + 59_000_000);
             assertEquals(leaderEnds == 1, cluster.term() > term);
             assertEquals(
                     0,
@@ -143,30 +151,31 @@
                     "killed on machines without trouble, seed " + seed);
             assertEquals(
                     List.of(),
-                    left(cluster, tasks, troubled),
+                    unfinishedElsewhere(cluster, tasks, faulty),
                     "neither done nor elsewhere after 59 s, seed " + seed);
-            befallen += troubled.size();
-            moved += tasks.size();
+            faultyCount += faulty.size();
+            affectedTasks += tasks.size();
             // One team's limit has room for three of its larger tasks at a time, and seed 2 brings
             // it many.
-            cluster.run(AT + 420_000_000);
+            cluster.run(FAULTS_START + 420_000_000);
             assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
         }
         assertTrue(
-                befallen >= 2 && moved > 0,
-                befallen + " machines and " + moved + " tasks were out of touch");
+                faultyCount >= 2 && affectedTasks > 0,
+                faultyCount + " machines and " + affectedTasks + " tasks were out of touch");
     }
 
     /** Shorter than a lease: nothing is killed anywhere. */
     @ParameterizedTest
     @EnumSource
-    void faultShorterThanLeaseKillsNoTask(OutOfTouch kind) {
+    void faultShorterThanLeaseKillsNoTask(AgentFault fault) {
         for (long seed : Seeds.usually(2)) {
-            ClusterSimulation cluster = day(seed, Scenario.LONG);
+            ClusterSimulation cluster = startCluster(seed, Scenario.LONG);
             int killed = cluster.observed.killedByLease;
-            List<SimulatedAgent> troubled = befall(cluster, List.of(kind), 3, 8_000_000);
-            assertTrue(!troubled.isEmpty());
-            cluster.run(AT + 30_000_000);
+            List<SimulatedAgent> faulty =
+                    injectIntoBusyMachines(cluster, List.of(fault), 3, 8_000_000);
+            assertTrue(!faulty.isEmpty());
+            cluster.run(FAULTS_START + 30_000_000);
             assertEquals(killed, cluster.observed.killedByLease);
         }
     }
@@ -179,15 +188,16 @@
     @ValueSource(ints = {10, 3})
     void machinesWithoutOutboundForLessThanLeaseAreKept(int oneIn) {
         for (long seed : Seeds.usually(3)) {
-            ClusterSimulation cluster = day(seed, Scenario.LONG);
+            ClusterSimulation cluster = startCluster(seed, Scenario.LONG);
             int killed = cluster.observed.killedByLease;
-            List<SimulatedAgent> troubled =
-                    befall(cluster, List.of(OutOfTouch.CLOSED_IN), oneIn, 15_000_000);
-            cluster.run(AT + 16_000_000);
+            List<SimulatedAgent> faulty =
+                    injectIntoBusyMachines(
+                            cluster, List.of(AgentFault.NO_OUTBOUND), oneIn, 15_000_000);
+            cluster.run(FAULTS_START + 16_000_000);
             assertEquals(killed, cluster.observed.killedByLease);
             assertEquals(
                     0,
-                    troubled.stream().filter(agent -> agent.dead).count(),
+                    faulty.stream().filter(agent -> agent.dead).count(),
                     "given up, seed " + seed);
         }
     }
@@ -201,9 +211,11 @@
                         () -> {
                             for (long seed : Seeds.first(20)) {
                                 ClusterSimulation cluster =
-                                        day(seed, new Scenario.Times(9_000_000, 50_000_000));
-                                befall(cluster, List.of(OutOfTouch.CLOSED_IN), 2, 60_000_000);
-                                cluster.run(AT + 60_000_000);
+                                        startCluster(
+                                                seed, new Scenario.Times(9_000_000, 50_000_000));
+                                injectIntoBusyMachines(
+                                        cluster, List.of(AgentFault.NO_OUTBOUND), 2, 60_000_000);
+                                cluster.run(FAULTS_START + 60_000_000);
                             }
                         });
         assertTrue(
@@ -218,31 +230,32 @@
     @Test
     void workRestartsWithinSecondsAfterAllControllersWereDown() {
         for (long seed : Seeds.usually(3)) {
-            ClusterSimulation cluster = day(seed, Scenario.LONG);
+            ClusterSimulation cluster = startCluster(seed, Scenario.LONG);
             int killed = cluster.observed.killedByLease;
             Set<TaskId> tasks = tasksOn(cluster.agents());
             for (int node = 0; node < ClusterSimulation.NODES; node++) {
                 cluster.end(node, 32_000_000 + 300_000 * node);
             }
-            cluster.run(AT + 32_000_000);
+            cluster.run(FAULTS_START + 32_000_000);
             assertTrue(
                     cluster.observed.killedByLease > killed && !tasks.isEmpty(),
                     "no lease ended, seed " + seed);
             int starts = cluster.observed.starts;
-            long begins = cluster.loop.now();
-            while (cluster.observed.starts == starts && cluster.loop.now() < begins + 60_000_000) {
+            long controllersBack = cluster.loop.now();
+            while (cluster.observed.starts == starts
+                    && cluster.loop.now() < controllersBack + 60_000_000) {
                 cluster.run(cluster.loop.now() + 100_000);
             }
             assertTrue(
-                    cluster.loop.now() - begins < 15_000_000,
+                    cluster.loop.now() - controllersBack < 15_000_000,
                     "first start after "
-                            + (cluster.loop.now() - begins) / 1_000_000
+                            + (cluster.loop.now() - controllersBack) / 1_000_000
                             + " s, seed "
                             + seed);
-            cluster.run(begins + 60_000_000);
+            cluster.run(controllersBack + 60_000_000);
             assertEquals(
                     List.of(),
-                    left(cluster, tasks, List.of()),
+                    unfinishedElsewhere(cluster, tasks, List.of()),
                     "neither done nor begun anew, seed " + seed);
         }
     }
@@ -274,12 +287,12 @@
             }
             cluster.run(480_000_000);
             assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
-            Set<String> left = new HashSet<>();
+            Set<String> unused = new HashSet<>();
             cluster.agents().stream()
                     .filter(agent -> !agent.dead && agent.started == 0)
-                    .forEach(agent -> left.add(agent.host));
-            left.retainAll(cluster.unexpectedMachines());
-            assertEquals(Set.of(), left, "neither used nor returned, seed " + seed);
+                    .forEach(agent -> unused.add(agent.host));
+            unused.retainAll(cluster.unexpectedMachines());
+            assertEquals(Set.of(), unused, "neither used nor returned, seed " + seed);
             count.merge("unexpected", cluster.unexpectedMachines().size(), Integer::sum);
             count.merge("deleted for others", cluster.deletedForOthers(), Integer::sum);
         }
@@ -304,25 +317,25 @@
             cluster.writeLate(20, 150_000_000);
             cluster.loseAnswers(15, 150_000_000);
             cluster.slowState(1_200_000, 150_000_000);
-            Set<SimulatedAgent> met = new HashSet<>(cluster.agents());
-            int[] young = {0, 0};
+            Set<SimulatedAgent> seen = new HashSet<>(cluster.agents());
+            int[] newlyBusyAndKilled = {0, 0};
             for (long at = 500_000; at < 150_000_000; at += 500_000) {
                 cluster.loop.after(
                         at,
                         () ->
                                 cluster.agents().stream()
-                                        .filter(agent -> !met.contains(agent) && agent.started > 0)
+                                        .filter(agent -> !seen.contains(agent) && agent.started > 0)
                                         .forEach(
                                                 agent -> {
                                                     // The first that is seen at work ends its
                                                     // leader, every second one ends itself as well.
-                                                    met.add(agent);
-                                                    young[0]++;
-                                                    if (young[0] % 3 == 1) {
+                                                    seen.add(agent);
+                                                    newlyBusyAndKilled[0]++;
+                                                    if (newlyBusyAndKilled[0] % 3 == 1) {
                                                         cluster.endLeader(300_000);
                                                     }
-                                                    if (young[0] % 2 == 0) {
-                                                        young[1]++;
+                                                    if (newlyBusyAndKilled[0] % 2 == 0) {
+                                                        newlyBusyAndKilled[1]++;
                                                         agent.die();
                                                     }
                                                 }));
@@ -330,8 +343,8 @@
             cluster.run(480_000_000);
             assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
             count.merge("quick", cluster.quickBoots, Integer::sum);
-            count.merge("at work", young[0], Integer::sum);
-            count.merge("ended", young[1], Integer::sum);
+            count.merge("at work", newlyBusyAndKilled[0], Integer::sum);
+            count.merge("ended", newlyBusyAndKilled[1], Integer::sum);
             count.merge("terms", (int) (cluster.term() - term), Integer::sum);
             count.merge(
                     "late writes",
--- a/src/test/java/org/woadloom/sim/ManyJobsReadsTest.java
+++ b/src/test/java/org/woadloom/sim/ManyJobsReadsTest.java
@@ -27,7 +27,7 @@
     private final SimulatedEventLoop sim = new SimulatedEventLoop();
     private final SimulatedStore store = new SimulatedStore(sim, LIMITS).withFullPages();
     private int readsByKey;
-    private int told;
+    private int answered;
 
     private void request(
             String address,
@@ -74,7 +74,7 @@
         for (int number = 0; number < JOBS; number++) {
             reads.read(
                     jobId(number),
-                    shown -> told += shown != null && shown.status() != null ? 1 : 0);
+                    shown -> answered += shown != null && shown.status() != null ? 1 : 0);
             sim.run(sim.now() + 5 * SECOND / JOBS);
         }
     }
@@ -94,11 +94,11 @@
                         sim.loop(), client, new JobReader(client, format -> {}), LIMITS, 1);
         pollAll(reads);
         sim.run(sim.now() + SECOND);
-        assertEquals(JOBS, told);
+        assertEquals(JOBS, answered);
         assertEquals(0, readsByKey, "reads by key for jobs that the pages have");
         pollAll(reads);
         sim.run(sim.now() + SECOND);
-        assertEquals(2 * JOBS, told);
+        assertEquals(2 * JOBS, answered);
         assertEquals(0, readsByKey, "reads by key for jobs that were polled before");
         reads.read(jobId(JOBS), shown -> {});
         sim.run(sim.now() + SECOND);
--- a/src/test/java/org/woadloom/sim/PartitionedZoneTest.java
+++ b/src/test/java/org/woadloom/sim/PartitionedZoneTest.java
@@ -12,29 +12,29 @@
 /** A zone is cut off from everything; the rules are checked after each step, as on random days. */
 @ExtendWith(PrintReplayCommand.class)
 class PartitionedZoneTest {
-    private static final long CUT_AT = 60_000_000;
+    private static final long PARTITION_START = 60_000_000;
 
     /** Longer than a lease, and within what care can bridge. */
-    private static final long BRIDGED = 27_000_000;
+    private static final long BRIDGEABLE_MICROS = 27_000_000;
 
-    private static final long QUIET = 240_000_000;
+    private static final long RUN_END = 240_000_000;
 
     /** Zone "a" has two of the three nodes, zone "b" one. */
-    private static ClusterSimulation cut(long seed, String zone, long forMicros) {
-        ClusterSimulation cluster = day(seed);
-        cluster.loop.after(CUT_AT, () -> cluster.island(zone, forMicros));
+    private static ClusterSimulation startWithPartition(long seed, String zone, long forMicros) {
+        ClusterSimulation cluster = startCluster(seed);
+        cluster.loop.after(PARTITION_START, () -> cluster.island(zone, forMicros));
         return cluster;
     }
 
     /** No other trouble than the one that the test makes. */
-    private static ClusterSimulation day(long seed) {
+    private static ClusterSimulation startCluster(long seed) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
                         seed,
                         new Scenario(
                                 Scenario.LONG, Scenario.LONG, Version.NOW, Scenario.Flaw.NONE, 0));
         cluster.trouble = 0;
-        cluster.users.submitUntil(QUIET);
+        cluster.users.submitUntil(RUN_END);
         return cluster;
     }
 
@@ -42,10 +42,10 @@
      * Lets the cut pass, and tells how many tasks leases killed from its beginning until a little
      * after its end.
      */
-    private static int killedMeanwhile(ClusterSimulation cluster) {
-        cluster.run(CUT_AT - 1);
+    private static int killedDuringPartition(ClusterSimulation cluster) {
+        cluster.run(PARTITION_START - 1);
         int before = cluster.observed.killedByLease;
-        cluster.run(CUT_AT + BRIDGED + 2_000_000);
+        cluster.run(PARTITION_START + BRIDGEABLE_MICROS + 2_000_000);
         return cluster.observed.killedByLease - before;
     }
 
@@ -55,11 +55,11 @@
     void tasksSurviveZonePartitionLongerThanLease(String zone) {
         int kept = 0;
         for (long seed : Seeds.first(4)) {
-            ClusterSimulation cluster = cut(seed, zone, BRIDGED);
-            cluster.run(CUT_AT - 1);
+            ClusterSimulation cluster = startWithPartition(seed, zone, BRIDGEABLE_MICROS);
+            cluster.run(PARTITION_START - 1);
             kept += cluster.observed.tasksIn(zone);
-            assertEquals(0, killedMeanwhile(cluster), "tasks killed, seed " + seed);
-            cluster.run(QUIET);
+            assertEquals(0, killedDuringPartition(cluster), "tasks killed, seed " + seed);
+            cluster.run(RUN_END);
         }
         assertTrue(kept > 10, "only " + kept + " tasks were there to be kept");
     }
@@ -67,11 +67,12 @@
     @Test
     void partitionedLeaderRenewsLeasesInItsZoneWhileAnotherNodeLeads() {
         for (long seed : Seeds.first(4)) {
-            ClusterSimulation cluster = day(seed);
+            ClusterSimulation cluster = startCluster(seed);
             cluster.loop.after(
-                    CUT_AT, () -> cluster.island(cluster.zoneOf(cluster.leader()), BRIDGED));
-            assertEquals(0, killedMeanwhile(cluster), "tasks killed, seed " + seed);
-            cluster.run(QUIET);
+                    PARTITION_START,
+                    () -> cluster.island(cluster.zoneOf(cluster.leader()), BRIDGEABLE_MICROS));
+            assertEquals(0, killedDuringPartition(cluster), "tasks killed, seed " + seed);
+            cluster.run(RUN_END);
         }
     }
 
@@ -84,9 +85,9 @@
     void delegatedRenewalStopsBeforeCancellationDeadline(long forMicros) {
         int killed = 0;
         for (long seed : Seeds.first(4)) {
-            ClusterSimulation cluster = cut(seed, "b", forMicros);
-            cluster.loop.after(CUT_AT + 200_000, cluster.users::cancelAll);
-            cluster.run(QUIET);
+            ClusterSimulation cluster = startWithPartition(seed, "b", forMicros);
+            cluster.loop.after(PARTITION_START + 200_000, cluster.users::cancelAll);
+            cluster.run(RUN_END);
             killed += cluster.observed.killedByLease;
         }
         assertTrue(killed > 0, "no lease ended");
@@ -95,25 +96,25 @@
     @Test
     void flappingPartitionDoesNotRestartDelegatedRenewal() {
         for (long seed : Seeds.first(4)) {
-            ClusterSimulation cluster = cut(seed, "b", 24_000_000);
+            ClusterSimulation cluster = startWithPartition(seed, "b", 24_000_000);
             for (int retry = 1; retry < 5; retry++) {
                 // Open for less than it takes to connect again, or for a little more.
                 long pause = retry % 2 == 0 ? 120_000 : 900_000;
                 cluster.loop.after(
-                        CUT_AT + retry * 24_000_000L + pause,
+                        PARTITION_START + retry * 24_000_000L + pause,
                         () -> cluster.island("b", 23_000_000));
             }
-            cluster.loop.after(CUT_AT + 1_000_000, cluster.users::cancelAll);
-            cluster.run(QUIET);
+            cluster.loop.after(PARTITION_START + 1_000_000, cluster.users::cancelAll);
+            cluster.run(RUN_END);
         }
     }
 
     @Test
     void nodeRejectedOnlyByStoreRenewsNoLeases() {
         for (long seed : Seeds.first(3)) {
-            ClusterSimulation cluster = day(seed);
-            cluster.loop.after(CUT_AT, () -> cluster.refuseState(1, 40_000_000));
-            cluster.run(QUIET);
+            ClusterSimulation cluster = startCluster(seed);
+            cluster.loop.after(PARTITION_START, () -> cluster.refuseState(1, 40_000_000));
+            cluster.run(RUN_END);
             assertFalse(
                     cluster.tookCare[0] || cluster.tookCare[1] || cluster.tookCare[2],
                     "seed " + seed);
@@ -128,10 +129,10 @@
     void nodeRestartedDuringPartitionRenewsNoLeases() {
         int killed = 0;
         for (long seed : Seeds.first(4)) {
-            ClusterSimulation cluster = cut(seed, "b", 30_000_000);
-            cluster.loop.after(CUT_AT + 2_000_000, () -> cluster.restart(1));
-            cluster.loop.after(CUT_AT + 20_000_000, cluster.users::cancelAll);
-            cluster.run(QUIET);
+            ClusterSimulation cluster = startWithPartition(seed, "b", 30_000_000);
+            cluster.loop.after(PARTITION_START + 2_000_000, () -> cluster.restart(1));
+            cluster.loop.after(PARTITION_START + 20_000_000, cluster.users::cancelAll);
+            cluster.run(RUN_END);
             assertFalse(cluster.tookCare[1], "seed " + seed);
             killed += cluster.observed.killedByLease;
         }
@@ -144,7 +145,7 @@
      */
     @Test
     void leaderAccountsForRenewalsByEndedProcess() {
-        hangUnderARenewedLease(23_000_000, 23_000_000, 22_500_000);
+        runWithHungMachines(23_000_000, 23_000_000, 22_500_000);
     }
 
     /**
@@ -153,22 +154,23 @@
      */
     @Test
     void invariantsHoldWhenMachinesHangUnderDelegatedLease() {
-        hangUnderARenewedLease(BRIDGED, 24_000_000, -1);
+        runWithHungMachines(BRIDGEABLE_MICROS, 24_000_000, -1);
     }
 
     /**
      * Both times count from the beginning of the cut; the zone's node is started anew unless its
      * time is negative.
      */
-    private static void hangUnderARenewedLease(
-            long cutMicros, long hangMicros, long restartMicros) {
+    private static void runWithHungMachines(
+            long partitionMicros, long hangMicros, long restartMicros) {
         for (long seed : Seeds.first(6)) {
-            ClusterSimulation cluster = cut(seed, "b", cutMicros);
+            ClusterSimulation cluster = startWithPartition(seed, "b", partitionMicros);
             if (restartMicros >= 0) {
-                cluster.loop.after(CUT_AT + restartMicros, () -> cluster.restart(1));
+                cluster.loop.after(PARTITION_START + restartMicros, () -> cluster.restart(1));
             }
-            cluster.loop.after(CUT_AT + hangMicros, () -> cluster.hangAll("b", 18_000_000));
-            cluster.run(QUIET);
+            cluster.loop.after(
+                    PARTITION_START + hangMicros, () -> cluster.hangAll("b", 18_000_000));
+            cluster.run(RUN_END);
         }
     }
 
@@ -176,11 +178,12 @@
     @Test
     void agentsMoveToOtherNodeOfPartitionedZone() {
         for (long seed : Seeds.first(4)) {
-            ClusterSimulation cluster = cut(seed, "a", BRIDGED);
+            ClusterSimulation cluster = startWithPartition(seed, "a", BRIDGEABLE_MICROS);
             int ending = seed % 2 == 0 ? 0 : 2;
-            cluster.loop.after(CUT_AT + 7_000_000, () -> cluster.end(ending, BRIDGED));
-            assertEquals(0, killedMeanwhile(cluster), "tasks killed, seed " + seed);
-            cluster.run(QUIET);
+            cluster.loop.after(
+                    PARTITION_START + 7_000_000, () -> cluster.end(ending, BRIDGEABLE_MICROS));
+            assertEquals(0, killedDuringPartition(cluster), "tasks killed, seed " + seed);
+            cluster.run(RUN_END);
         }
     }
 
@@ -192,16 +195,16 @@
     @Test
     void longStoreOutageExpiresNoLease() {
         for (long seed : Seeds.first(3)) {
-            ClusterSimulation cluster = day(seed);
-            cluster.loop.after(CUT_AT, () -> cluster.stateOutage(60_000_000));
+            ClusterSimulation cluster = startCluster(seed);
+            cluster.loop.after(PARTITION_START, () -> cluster.stateOutage(60_000_000));
             cluster.loop.after(
-                    CUT_AT + 10_000_000,
+                    PARTITION_START + 10_000_000,
                     () -> cluster.restart((cluster.leader() + 1) % ClusterSimulation.NODES));
-            cluster.run(CUT_AT - 1);
+            cluster.run(PARTITION_START - 1);
             int before = cluster.observed.killedByLease;
-            cluster.run(CUT_AT + 60_000_000);
+            cluster.run(PARTITION_START + 60_000_000);
             assertEquals(before, cluster.observed.killedByLease, "tasks killed, seed " + seed);
-            cluster.run(QUIET);
+            cluster.run(RUN_END);
         }
     }
 }
--- a/src/test/java/org/woadloom/sim/QuickRestartTest.java
+++ b/src/test/java/org/woadloom/sim/QuickRestartTest.java
@@ -14,15 +14,15 @@
  */
 @ExtendWith(PrintReplayCommand.class)
 class QuickRestartTest {
-    private static final long AT = 40_000_000;
+    private static final long FAULTS_START = 40_000_000;
     private static final long MINUTE = 60_000_000;
-    private static final long QUIET = 300_000_000;
+    private static final long FAULT_FREE_MICROS = 300_000_000;
 
-    private static ClusterSimulation day(long seed) {
+    private static ClusterSimulation startCluster(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
         cluster.trouble = 0;
-        cluster.users.submitUntil(AT + MINUTE);
-        cluster.run(AT);
+        cluster.users.submitUntil(FAULTS_START + MINUTE);
+        cluster.run(FAULTS_START);
         return cluster;
     }
 
@@ -33,18 +33,18 @@
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void crashLoopingLeaderYieldsToStableNode(long seed) {
-        ClusterSimulation cluster = day(seed);
+        ClusterSimulation cluster = startCluster(seed);
         int ending = cluster.leader();
         long before = cluster.term();
-        cluster.keepsEnding(ending, 300_000, AT + MINUTE);
-        cluster.run(AT + 2_000_000);
+        cluster.keepsEnding(ending, 300_000, FAULTS_START + MINUTE);
+        cluster.run(FAULTS_START + 2_000_000);
         int next = cluster.leader();
         assertNotEquals(ending, next);
-        cluster.run(AT + MINUTE);
+        cluster.run(FAULTS_START + MINUTE);
         assertEquals(next, cluster.leader());
         assertEquals(before + 1, cluster.term(), "terms taken while a node kept ending");
         assertEquals(0, cluster.observed.killedByLease, "tasks killed by leases");
-        cluster.run(AT + MINUTE + QUIET);
+        cluster.run(FAULTS_START + MINUTE + FAULT_FREE_MICROS);
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
@@ -52,16 +52,16 @@
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void restartedLeaderLeadsAgainWhenNoOtherNodeRuns(long seed) {
-        ClusterSimulation cluster = day(seed);
+        ClusterSimulation cluster = startCluster(seed);
         int leader = cluster.leader();
         long before = cluster.term();
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
             cluster.end(i, i == leader ? 50_000 : 20_000_000);
         }
-        cluster.run(AT + 1_500_000);
+        cluster.run(FAULTS_START + 1_500_000);
         assertEquals(leader, cluster.leader());
         assertEquals(before + 1, cluster.term());
-        cluster.run(AT + MINUTE);
+        cluster.run(FAULTS_START + MINUTE);
         assertEquals(0, cluster.observed.killedByLease, "tasks killed by leases");
     }
 }
--- a/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
@@ -26,20 +26,20 @@
  */
 @ExtendWith(PrintReplayCommand.class)
 class QuotaFaultCombinationsTest {
-    private static final long AT = 40_000_000;
-    private static final long EVERY = 45_000_000;
-    private static final int TIMES = 3;
-    private static final long TROUBLED = AT + TIMES * EVERY;
+    private static final long FIRST_FAULT = 40_000_000;
+    private static final long FAULT_INTERVAL = 45_000_000;
+    private static final int FAULT_REPEATS = 3;
+    private static final long FAULTS_END = FIRST_FAULT + FAULT_REPEATS * FAULT_INTERVAL;
     private static final int SEEDS = 2;
 
-    enum Meeting {
+    enum Fault {
         /**
          * All teams are at their limits, jobs are called off whose machines are cut off or hang,
          * and the leader changes twice.
          */
-        CANCELLED_OUT_OF_REACH {
+        CANCELLED_ON_UNREACHABLE_MACHINES {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 boolean allAtLimit =
                         cluster.observed.teamsAtLimit() == cluster.settings.teams().size();
                 int term = cluster.leaderChanges();
@@ -64,15 +64,15 @@
          * A team is at its limit as the leader changes, some of its machines can't be asked, and
          * jobs there are called off only then.
          */
-        CANCELLED_BEFORE_IT_COULD_ASK {
+        CANCELLED_BEFORE_NEW_LEADER_REACHES_MACHINES {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 int term = cluster.leaderChanges();
                 int[] cancelled = {0};
                 cluster.deafen("a", 2, 26_000_000);
                 cluster.hangAll("b", 9_500_000);
                 cluster.loop.after(500_000, () -> cluster.endLeader(3_000_000));
-                untilSo(
+                runOnceWhen(
                         cluster,
                         cluster.loop.now() + 9_000_000,
                         () -> cluster.leaderChanges() > term,
@@ -89,9 +89,9 @@
             }
         },
         /** Old reports, of earlier sessions too, come to every node just as a new leader begins. */
-        OLD_REPORTS_FOR_THE_NEXT_LEADER {
+        STALE_REPORTS_FOR_NEXT_LEADER {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 int before = cluster.keptCopies;
                 cluster.keepForNextLeader(25, 22_000_000);
                 cluster.loop.after(4_000_000, () -> cluster.hangAll("a", 11_500_000));
@@ -104,9 +104,9 @@
          * Reports are held back until a new leader has placed tasks, and then come to every node,
          * some in a later session.
          */
-        HELD_BACK_UNTIL_IT_HAS_ACTED {
+        REPORTS_DELAYED_UNTIL_NEXT_LEADER_ACTED {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 int term = cluster.leaderChanges();
                 int[] starts = {Integer.MAX_VALUE};
                 int[] arrived = {0};
@@ -116,12 +116,12 @@
                 cluster.agents().forEach(machine -> held.add(cluster.copyOf(reportOf(machine))));
                 cluster.loop.after(300_000, () -> cluster.hangAll("b", 11_000_000));
                 cluster.loop.after(1_000_000, () -> cluster.endLeader(2_000_000));
-                untilSo(
+                runOnceWhen(
                         cluster,
                         cluster.loop.now() + 35_000_000,
                         () -> cluster.leaderChanges() > term,
                         () -> starts[0] = cluster.observed.starts + 3);
-                untilSo(
+                runOnceWhen(
                         cluster,
                         cluster.loop.now() + 40_000_000,
                         () -> cluster.observed.starts >= starts[0],
@@ -142,19 +142,19 @@
          * Jobs that may run in one zone only, arrays too, lose machines there, once before the
          * leader ends.
          */
-        BOUND_TO_ONE_ZONE {
+        JOBS_BOUND_TO_ONE_ZONE {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 int[] lost = {0};
                 for (int tasks : new int[] {1, 6, 10}) {
-                    submitBound(cluster, tasks);
+                    submitJobInZoneB(cluster, tasks);
                 }
-                untilSo(
+                runOnceWhen(
                         cluster,
                         cluster.loop.now() + 30_000_000,
-                        () -> tasksBound(cluster) >= 4,
+                        () -> countPlacedTasksBoundToZone(cluster) >= 4,
                         () -> {
-                            lost[0] += tasksBound(cluster);
+                            lost[0] += countPlacedTasksBoundToZone(cluster);
                             cluster.agents().stream()
                                     .filter(machine -> machine.zone.equals("b"))
                                     .forEach(SimulatedAgent::die);
@@ -169,7 +169,7 @@
         /**
          * Brings it about; what is returned tells in the end how often that has come to something.
          */
-        abstract IntSupplier begin(ClusterSimulation cluster);
+        abstract IntSupplier inject(ClusterSimulation cluster);
     }
 
     private static Map<String, Object> reportOf(SimulatedAgent machine) {
@@ -181,33 +181,33 @@
 
     /** Calls off up to so many jobs that have a task on such a machine. */
     private static int cancelWhere(
-            ClusterSimulation cluster, int most, Predicate<SimulatedAgent> such) {
+            ClusterSimulation cluster, int limit, Predicate<SimulatedAgent> condition) {
         List<String> chosen =
                 cluster.observed.runningJobs().stream()
                         .filter(
                                 jobId ->
                                         cluster.observed.machinesOf(Set.of(jobId)).stream()
-                                                .anyMatch(such))
-                        .limit(most)
+                                                .anyMatch(condition))
+                        .limit(limit)
                         .toList();
         chosen.forEach(cluster.users::cancel);
         return chosen.size();
     }
 
     /** Does it once, as soon as it is so; not after the given time. */
-    private static void untilSo(
+    private static void runOnceWhen(
             ClusterSimulation cluster,
             long until,
-            java.util.function.BooleanSupplier so,
-            Runnable then) {
-        if (so.getAsBoolean()) {
-            then.run();
+            java.util.function.BooleanSupplier condition,
+            Runnable action) {
+        if (condition.getAsBoolean()) {
+            action.run();
         } else if (cluster.loop.now() < until) {
-            cluster.loop.after(100_000, () -> untilSo(cluster, until, so, then));
+            cluster.loop.after(100_000, () -> runOnceWhen(cluster, until, condition, action));
         }
     }
 
-    private static void submitBound(ClusterSimulation cluster, int tasks) {
+    private static void submitJobInZoneB(ClusterSimulation cluster, int tasks) {
         String jobId = cluster.users.newJobId();
         Map<String, Object> job =
                 new LinkedHashMap<>(
@@ -258,7 +258,7 @@
         cluster.users.submit(jobId, job, cluster.loop.now() + 60_000_000, accepted -> {});
     }
 
-    private static int tasksBound(ClusterSimulation cluster) {
+    private static int countPlacedTasksBoundToZone(ClusterSimulation cluster) {
         int tasks = 0;
         for (String jobId : cluster.observed.runningJobs()) {
             JobDescription job = cluster.observed.job(jobId);
@@ -269,27 +269,28 @@
         return tasks;
     }
 
-    private static WaitingJobs day(long seed, Scenario kind, Set<Meeting> meetings) {
-        ClusterSimulation cluster = new ClusterSimulation(seed, kind);
-        cluster.users.submitUntil(TROUBLED - EVERY);
-        cluster.observed.faultFreeFromMicros = TROUBLED + 60_000_000;
-        WaitingJobs waiting = new WaitingJobs(cluster, TROUBLED + 60_000_000);
-        Map<Meeting, List<IntSupplier>> begun = new LinkedHashMap<>();
-        meetings.forEach(meeting -> begun.put(meeting, new ArrayList<>()));
-        for (int i = 0; i < TIMES; i++) {
-            meetings.forEach(
+    private static WaitingJobs runAndAssertOccurred(
+            long seed, Scenario scenario, Set<Fault> faults) {
+        ClusterSimulation cluster = new ClusterSimulation(seed, scenario);
+        cluster.users.submitUntil(FAULTS_END - FAULT_INTERVAL);
+        cluster.observed.faultFreeFromMicros = FAULTS_END + 60_000_000;
+        WaitingJobs waiting = new WaitingJobs(cluster, FAULTS_END + 60_000_000);
+        Map<Fault, List<IntSupplier>> injected = new LinkedHashMap<>();
+        faults.forEach(meeting -> injected.put(meeting, new ArrayList<>()));
+        for (int i = 0; i < FAULT_REPEATS; i++) {
+            faults.forEach(
                     meeting ->
                             cluster.loop.after(
-                                    AT + cluster.random.nextInt(4_000_000),
+                                    FIRST_FAULT + cluster.random.nextInt(4_000_000),
                                     () -> {
                                         if (cluster.stored("leader") != null) {
-                                            begun.get(meeting).add(meeting.begin(cluster));
+                                            injected.get(meeting).add(meeting.inject(cluster));
                                         }
                                     }));
-            cluster.run(cluster.loop.now() + EVERY);
+            cluster.run(cluster.loop.now() + FAULT_INTERVAL);
         }
-        finish(cluster);
-        begun.forEach(
+        runUntilJobsFinish(cluster);
+        injected.forEach(
                 (meeting, times) ->
                         assertTrue(
                                 times.stream().mapToInt(IntSupplier::getAsInt).sum() > 0,
@@ -301,9 +302,9 @@
     /**
      * Where a team's limit has room for one task at a time, what its users asked for takes long.
      */
-    private static void finish(ClusterSimulation cluster) {
-        while (cluster.loop.now() < TROUBLED + 1_500_000_000
-                && (cluster.loop.now() < TROUBLED + 200_000_000
+    private static void runUntilJobsFinish(ClusterSimulation cluster) {
+        while (cluster.loop.now() < FAULTS_END + 1_500_000_000
+                && (cluster.loop.now() < FAULTS_END + 200_000_000
                         || !cluster.unfinishedJobs().isEmpty())) {
             cluster.run(cluster.loop.now() + 20_000_000);
         }
@@ -311,44 +312,44 @@
 
     @ParameterizedTest
     @EnumSource
-    void invariantsHoldUnderEachFault(Meeting meeting) {
+    void invariantsHoldUnderEachFault(Fault fault) {
         int seen = 0;
         for (long seed : Seeds.usually(SEEDS)) {
-            seen += day(seed, Scenario.TIGHT, Set.of(meeting)).seen;
+            seen += runAndAssertOccurred(seed, Scenario.TIGHT, Set.of(fault)).seen;
         }
         assertTrue(seen > 0, "no job ever waited for a moment");
     }
 
     @ParameterizedTest
     @CsvSource({
-        "CANCELLED_OUT_OF_REACH, OLD_REPORTS_FOR_THE_NEXT_LEADER",
-        "CANCELLED_BEFORE_IT_COULD_ASK, HELD_BACK_UNTIL_IT_HAS_ACTED",
-        "BOUND_TO_ONE_ZONE, CANCELLED_BEFORE_IT_COULD_ASK"
+        "CANCELLED_ON_UNREACHABLE_MACHINES, STALE_REPORTS_FOR_NEXT_LEADER",
+        "CANCELLED_BEFORE_NEW_LEADER_REACHES_MACHINES, REPORTS_DELAYED_UNTIL_NEXT_LEADER_ACTED",
+        "JOBS_BOUND_TO_ONE_ZONE, CANCELLED_BEFORE_NEW_LEADER_REACHES_MACHINES"
     })
-    void invariantsHoldUnderTwoFaultsAtOnce(Meeting one, Meeting other) {
-        day(Seeds.usualCount(SEEDS), Scenario.TIGHT, Set.of(one, other));
+    void invariantsHoldUnderTwoFaultsAtOnce(Fault one, Fault other) {
+        runAndAssertOccurred(Seeds.usualCount(SEEDS), Scenario.TIGHT, Set.of(one, other));
     }
 
     /** Everything else at random besides. */
     @Test
     void invariantsHoldUnderRandomFaultsAtQuotaLimits() {
-        int most = 0;
+        int mostTeamsAtLimit = 0;
         int copies = 0;
         int waited = 0;
         for (long seed : Seeds.usually(SEEDS)) {
             ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.TIGHT);
-            cluster.users.submitUntil(TROUBLED - EVERY);
-            cluster.randomFaults.startUntil(TROUBLED);
-            cluster.keepForNextLeader(10, TROUBLED);
-            cluster.cancelAtEnd(10, TROUBLED);
-            cluster.loseAnswers(5, TROUBLED);
-            WaitingJobs waiting = new WaitingJobs(cluster, TROUBLED + 60_000_000);
-            for (long at = 30_000_000; at < TROUBLED; at += 15_000_000) {
+            cluster.users.submitUntil(FAULTS_END - FAULT_INTERVAL);
+            cluster.randomFaults.startUntil(FAULTS_END);
+            cluster.keepForNextLeader(10, FAULTS_END);
+            cluster.cancelAtEnd(10, FAULTS_END);
+            cluster.loseAnswers(5, FAULTS_END);
+            WaitingJobs waiting = new WaitingJobs(cluster, FAULTS_END + 60_000_000);
+            for (long at = 30_000_000; at < FAULTS_END; at += 15_000_000) {
                 cluster.loop.at(at, () -> cluster.cancelNow(3, cluster.random.nextInt(9_000_000)));
                 cluster.run(at);
-                most = Math.max(most, cluster.observed.teamsAtLimit());
+                mostTeamsAtLimit = Math.max(mostTeamsAtLimit, cluster.observed.teamsAtLimit());
             }
-            finish(cluster);
+            runUntilJobsFinish(cluster);
             assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
             copies += cluster.keptCopies;
             waited += waiting.seen;
@@ -356,10 +357,10 @@
         assertTrue(
                 copies > 0 && waited > 0,
                 copies + " old reports, " + waited + " times a job could have run");
-        assertEquals(2, most, "both teams were at their limits");
+        assertEquals(2, mostTeamsAtLimit, "both teams were at their limits");
     }
 
-    private static Scenario told(long leaseMicros) {
+    private static Scenario scenarioWithConfiguredLease(long leaseMicros) {
         return new Scenario(
                 Scenario.SHORT,
                 new Scenario.Times(leaseMicros, Scenario.SHORT.cancelMicros()),
@@ -370,13 +371,13 @@
                 true);
     }
 
-    private static void caught(Scenario broken, Meeting meeting) {
+    private static void assertViolationDetected(Scenario broken, Fault fault) {
         InvariantViolation caught =
                 assertThrows(
                         InvariantViolation.class,
                         () -> {
                             for (long seed : Seeds.first(20)) {
-                                day(seed, broken, Set.of(meeting));
+                                runAndAssertOccurred(seed, broken, Set.of(fault));
                             }
                         });
         assertTrue(
@@ -385,32 +386,37 @@
     }
 
     @ParameterizedTest
-    @EnumSource(names = {"CANCELLED_OUT_OF_REACH", "CANCELLED_BEFORE_IT_COULD_ASK"})
-    void checkerDetectsLeaseAssumedTooShort(Meeting meeting) {
-        caught(told(Scenario.SHORT.leaseMicros() / 2), meeting);
+    @EnumSource(
+            names = {
+                "CANCELLED_ON_UNREACHABLE_MACHINES",
+                "CANCELLED_BEFORE_NEW_LEADER_REACHES_MACHINES"
+            })
+    void checkerDetectsLeaseAssumedTooShort(Fault fault) {
+        assertViolationDetected(
+                scenarioWithConfiguredLease(Scenario.SHORT.leaseMicros() / 2), fault);
     }
 
     @Test
     void checkerDetectsStaleReportsTakenAsNew() {
-        caught(
+        assertViolationDetected(
                 Scenario.TIGHT.with(Scenario.Flaw.COPIES_LOOK_NEW),
-                Meeting.OLD_REPORTS_FOR_THE_NEXT_LEADER);
-        caught(
+                Fault.STALE_REPORTS_FOR_NEXT_LEADER);
+        assertViolationDetected(
                 Scenario.TIGHT.with(Scenario.Flaw.COPIES_LOOK_NEW),
-                Meeting.HELD_BACK_UNTIL_IT_HAS_ACTED);
+                Fault.REPORTS_DELAYED_UNTIL_NEXT_LEADER_ACTED);
     }
 
     /** Nobody leads any more, and its machines are there. */
     @Test
     void checkerDetectsStarvedJobs() {
         ClusterSimulation cluster = new ClusterSimulation(1, Scenario.PLAIN);
-        cluster.users.submitUntil(AT);
-        WaitingJobs waiting = new WaitingJobs(cluster, AT);
-        cluster.run(AT);
+        cluster.users.submitUntil(FIRST_FAULT);
+        WaitingJobs waiting = new WaitingJobs(cluster, FIRST_FAULT);
+        cluster.run(FIRST_FAULT);
         for (int node = 0; node < ClusterSimulation.NODES; node++) {
             cluster.end(node, 1_000_000_000);
         }
-        assertThrows(InvariantViolation.class, () -> cluster.run(AT + 120_000_000));
+        assertThrows(InvariantViolation.class, () -> cluster.run(FIRST_FAULT + 120_000_000));
         assertTrue(waiting.longestMicros >= 90_000_000);
     }
 }
--- a/src/test/java/org/woadloom/sim/RandomScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/RandomScenariosTest.java
@@ -18,8 +18,8 @@
  */
 @ExtendWith(PrintReplayCommand.class)
 class RandomScenariosTest {
-    private static final long TROUBLED = 180_000_000;
-    private static final long QUIET = 600_000_000;
+    private static final long FAULTS_END = 180_000_000;
+    private static final long FAULT_FREE_MICROS = 600_000_000;
 
     /**
      * A few by default, so that every build tries the same days; {@code -Dseeds=500} tries more.
@@ -32,9 +32,9 @@
     @MethodSource("seeds")
     void invariantsHoldAndJobsFinishUnderRandomFaults(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
-        cluster.users.submitUntil(TROUBLED);
-        cluster.randomFaults.startUntil(TROUBLED);
-        cluster.run(TROUBLED + QUIET);
+        cluster.users.submitUntil(FAULTS_END);
+        cluster.randomFaults.startUntil(FAULTS_END);
+        cluster.run(FAULTS_END + FAULT_FREE_MICROS);
         assertTrue(cluster.observed.starts > 50, "only " + cluster.observed.starts + " starts");
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
@@ -43,11 +43,11 @@
     @MethodSource("seeds")
     void invariantsHoldDuringUpgradeFromProductionVersion(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.UPGRADE);
-        cluster.users.submitUntil(TROUBLED);
-        cluster.randomFaults.startUntil(TROUBLED);
-        cluster.upgradeNodes(TROUBLED);
+        cluster.users.submitUntil(FAULTS_END);
+        cluster.randomFaults.startUntil(FAULTS_END);
+        cluster.upgradeNodes(FAULTS_END);
         // Chains end later than single jobs.
-        cluster.run(TROUBLED + 2 * QUIET);
+        cluster.run(FAULTS_END + 2 * FAULT_FREE_MICROS);
         assertTrue(cluster.observed.starts > 50, "only " + cluster.observed.starts + " starts");
         assertTrue(cluster.observed.releases > 0, "no job waited for another");
         assertEquals(List.of(), cluster.unfinishedJobs());
@@ -58,10 +58,10 @@
     void invariantsHoldDuringUpgradeFromVersion3(long seed) {
         ClusterSimulation cluster =
                 new ClusterSimulation(seed, Scenario.PLAIN.from(Version.AGREEING));
-        cluster.users.submitUntil(TROUBLED);
-        cluster.randomFaults.startUntil(TROUBLED);
-        cluster.upgradeNodes(TROUBLED);
-        cluster.run(TROUBLED + 2 * QUIET);
+        cluster.users.submitUntil(FAULTS_END);
+        cluster.randomFaults.startUntil(FAULTS_END);
+        cluster.upgradeNodes(FAULTS_END);
+        cluster.run(FAULTS_END + 2 * FAULT_FREE_MICROS);
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
@@ -70,22 +70,22 @@
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
     void invariantsHoldDuringRandomUpgradesAndDowngrades(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN);
-        cluster.users.submitUntil(TROUBLED);
-        cluster.randomFaults.startUntil(TROUBLED);
-        cluster.randomFaults.changeVersionsUntil(TROUBLED);
-        cluster.run(TROUBLED + QUIET);
+        cluster.users.submitUntil(FAULTS_END);
+        cluster.randomFaults.startUntil(FAULTS_END);
+        cluster.randomFaults.changeVersionsUntil(FAULTS_END);
+        cluster.run(FAULTS_END + FAULT_FREE_MICROS);
         assertEquals(List.of(), cluster.unfinishedJobs());
-        if (machineLife(cluster).get("held") != null) {
+        if (machineLifecycleState(cluster).get("held") != null) {
             // Nodes kept ending while it was on: that is for an operator to judge.
             cluster.put(
                     "rollout/asked/machine-life",
                     new RolloutRequest(RolloutRequest.Verb.GO, "test", 0).toMap());
-            cluster.run(TROUBLED + QUIET + 120_000_000);
+            cluster.run(FAULTS_END + FAULT_FREE_MICROS + 120_000_000);
         }
-        assertEquals("settled", machineLife(cluster).get("step"));
+        assertEquals("settled", machineLifecycleState(cluster).get("step"));
     }
 
-    private static Map<?, ?> machineLife(ClusterSimulation cluster) {
+    private static Map<?, ?> machineLifecycleState(ClusterSimulation cluster) {
         return (Map<?, ?>)
                 ((Map<?, ?>) cluster.stored("rollout/state").get("features")).get("machine-life");
     }
@@ -109,16 +109,18 @@
         assertTrue(caught.getMessage().contains("too_early"), caught.getMessage());
     }
 
-    private static void upgrade(Scenario day) {
-        ClusterSimulation cluster = new ClusterSimulation(1, day);
-        cluster.users.submitUntil(TROUBLED);
-        cluster.upgradeNodes(TROUBLED);
-        cluster.run(TROUBLED);
+    private static void upgrade(Scenario scenario) {
+        ClusterSimulation cluster = new ClusterSimulation(1, scenario);
+        cluster.users.submitUntil(FAULTS_END);
+        cluster.upgradeNodes(FAULTS_END);
+        cluster.run(FAULTS_END);
     }
 
     @Test
     void checkerDetectsLeaseAssumedTooShort() {
-        troubledUntilCaught(told(Scenario.SHORT.leaseMicros() / 8, Scenario.SHORT.cancelMicros()));
+        runWithRandomFaultsUntilViolation(
+                scenarioWithConfiguredTimes(
+                        Scenario.SHORT.leaseMicros() / 8, Scenario.SHORT.cancelMicros()));
     }
 
     @Test
@@ -130,20 +132,20 @@
                             ClusterSimulation cluster =
                                     new ClusterSimulation(
                                             1,
-                                            told(
+                                            scenarioWithConfiguredTimes(
                                                     Scenario.SHORT.leaseMicros(),
                                                     3 * Scenario.SHORT.cancelMicros()));
                             // Replicas that run in the zone when it is cut off are what the node
                             // there cares for.
                             cluster.servicesStay = true;
-                            cluster.users.submitUntil(TROUBLED);
+                            cluster.users.submitUntil(FAULTS_END);
                             cluster.run(60_000_000);
                             assertTrue(
                                     cluster.observed.tasksIn("b") > 3,
                                     "hardly anything runs in the zone");
                             cluster.island("b", 70_000_000);
                             cluster.loop.after(200_000, cluster.users::cancelAll);
-                            cluster.run(TROUBLED);
+                            cluster.run(FAULTS_END);
                         });
         assertTrue(caught.getMessage().contains("ran_cancelled"), caught.getMessage());
     }
@@ -151,7 +153,8 @@
     @Test
     void checkerDetectsDelegatedRenewalAgainstPromise() {
         InvariantViolation caught =
-                troubledUntilCaught(Scenario.PLAIN.with(Scenario.Flaw.PROMISES_TOO_MUCH));
+                runWithRandomFaultsUntilViolation(
+                        Scenario.PLAIN.with(Scenario.Flaw.PROMISES_TOO_MUCH));
         assertTrue(
                 caught.getMessage().contains("ran_twice") || caught.getMessage().contains("quota"),
                 caught.getMessage());
@@ -160,7 +163,8 @@
     @Test
     void checkerDetectsDuplicateReportsTakenAsNew() {
         InvariantViolation caught =
-                troubledUntilCaught(Scenario.PLAIN.with(Scenario.Flaw.COPIES_LOOK_NEW));
+                runWithRandomFaultsUntilViolation(
+                        Scenario.PLAIN.with(Scenario.Flaw.COPIES_LOOK_NEW));
         assertTrue(
                 caught.getMessage().contains("ran_twice") || caught.getMessage().contains("quota"),
                 caught.getMessage());
@@ -168,28 +172,28 @@
 
     @Test
     void checkerDetectsForgottenJob() {
-        InvariantViolation caught = calmUntilCaught(Scenario.Flaw.ONE_JOB_REFUSED);
+        InvariantViolation caught = runWithoutFaultsUntilViolation(Scenario.Flaw.ONE_JOB_REFUSED);
         assertTrue(caught.getMessage().contains("forgotten"), caught.getMessage());
     }
 
     @Test
     void checkerDetectsStarvedJob() {
-        InvariantViolation caught = calmUntilCaught(Scenario.Flaw.ONE_JOB_NOT_TAKEN);
+        InvariantViolation caught = runWithoutFaultsUntilViolation(Scenario.Flaw.ONE_JOB_NOT_TAKEN);
         assertTrue(caught.getMessage().contains("left_waiting"), caught.getMessage());
     }
 
-    private static InvariantViolation calmUntilCaught(Scenario.Flaw flaw) {
+    private static InvariantViolation runWithoutFaultsUntilViolation(Scenario.Flaw flaw) {
         return assertThrows(
                 InvariantViolation.class,
                 () -> {
                     ClusterSimulation cluster = new ClusterSimulation(1, Scenario.PLAIN.with(flaw));
-                    cluster.users.submitUntil(TROUBLED);
-                    cluster.observed.faultFreeFromMicros = TROUBLED;
-                    cluster.run(TROUBLED + QUIET);
+                    cluster.users.submitUntil(FAULTS_END);
+                    cluster.observed.faultFreeFromMicros = FAULTS_END;
+                    cluster.run(FAULTS_END + FAULT_FREE_MICROS);
                 });
     }
 
-    private static Scenario told(long leaseMicros, long cancelMicros) {
+    private static Scenario scenarioWithConfiguredTimes(long leaseMicros, long cancelMicros) {
         return new Scenario(
                 Scenario.SHORT,
                 new Scenario.Times(leaseMicros, cancelMicros),
@@ -198,15 +202,15 @@
                 0);
     }
 
-    private static InvariantViolation troubledUntilCaught(Scenario day) {
+    private static InvariantViolation runWithRandomFaultsUntilViolation(Scenario scenario) {
         return assertThrows(
                 InvariantViolation.class,
                 () -> {
                     for (long seed : Seeds.first(40)) {
-                        ClusterSimulation cluster = new ClusterSimulation(seed, day);
-                        cluster.users.submitUntil(TROUBLED);
-                        cluster.randomFaults.startUntil(TROUBLED);
-                        cluster.run(TROUBLED);
+                        ClusterSimulation cluster = new ClusterSimulation(seed, scenario);
+                        cluster.users.submitUntil(FAULTS_END);
+                        cluster.randomFaults.startUntil(FAULTS_END);
+                        cluster.run(FAULTS_END);
                     }
                 });
     }
--- a/src/test/java/org/woadloom/sim/RolloutTest.java
+++ b/src/test/java/org/woadloom/sim/RolloutTest.java
@@ -28,15 +28,15 @@
 @ExtendWith(PrintReplayCommand.class)
 class RolloutTest {
     private static final long SECOND = 1_000_000;
-    private static final long BUSY = 240 * SECOND;
+    private static final long SUBMISSIONS_END = 240 * SECOND;
 
-    private static ClusterSimulation busy(long seed, Version from) {
+    private static ClusterSimulation startCluster(long seed, Version from) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN.from(from));
-        cluster.users.submitUntil(BUSY);
+        cluster.users.submitUntil(SUBMISSIONS_END);
         return cluster;
     }
 
-    private static FeatureState standing(ClusterSimulation cluster, Feature feature) {
+    private static FeatureState stateOf(ClusterSimulation cluster, Feature feature) {
         try {
             Map<String, Object> stored = cluster.stored("rollout/state");
             return stored == null
@@ -48,15 +48,15 @@
     }
 
     private static Step step(ClusterSimulation cluster) {
-        return standing(cluster, Feature.MACHINE_LIFECYCLE).step();
+        return stateOf(cluster, Feature.MACHINE_LIFECYCLE).step();
     }
 
-    private static void ask(ClusterSimulation cluster, Verb verb) {
+    private static void request(ClusterSimulation cluster, Verb verb) {
         cluster.put("rollout/asked/machine-life", new RolloutRequest(verb, "test", 0).toMap());
     }
 
     /** Runs until the feature is as far as the given step, or for two minutes. */
-    private static void runTo(ClusterSimulation cluster, Step step) {
+    private static void runUntilStep(ClusterSimulation cluster, Step step) {
         long until = cluster.loop.now() + 120 * SECOND;
         while (step(cluster).compareTo(step) < 0 && cluster.loop.now() < until) {
             cluster.run(cluster.loop.now() + SECOND / 10);
@@ -66,23 +66,23 @@
 
     @Test
     void featureFollowsHoldGoBackAndAutoRequests() {
-        ClusterSimulation cluster = busy(5, Version.NOW);
-        ask(cluster, Verb.HOLD);
+        ClusterSimulation cluster = startCluster(5, Version.NOW);
+        request(cluster, Verb.HOLD);
         cluster.run(20 * SECOND);
         assertEquals(Step.OFF, step(cluster), "held");
         assertEquals(0, cluster.machineRecords()[1]);
-        ask(cluster, Verb.GO);
+        request(cluster, Verb.GO);
         cluster.run(24 * SECOND);
-        assertTrue(standing(cluster, Feature.MACHINE_LIFECYCLE).isOn(), "hurried");
-        ask(cluster, Verb.BACK);
+        assertTrue(stateOf(cluster, Feature.MACHINE_LIFECYCLE).isOn(), "hurried");
+        request(cluster, Verb.BACK);
         if (step(cluster) != Step.SETTLED) {
             cluster.run(70 * SECOND);
             assertEquals(Step.OFF, step(cluster), "taken back");
             assertEquals(0, cluster.machineRecords()[1], "records of the feature are left");
         }
-        ask(cluster, Verb.AUTO);
-        runTo(cluster, Step.SETTLED);
-        ask(cluster, Verb.BACK);
+        request(cluster, Verb.AUTO);
+        runUntilStep(cluster, Step.SETTLED);
+        request(cluster, Verb.BACK);
         cluster.run(cluster.loop.now() + 30 * SECOND);
         assertEquals(Step.SETTLED, step(cluster), "settled stays settled");
         assertEquals(
@@ -98,17 +98,18 @@
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstSix")
     void rolloutSettlesWhenSteppedBackAndForthUnderFaults(long seed) {
-        ClusterSimulation cluster = busy(seed, Version.NOW);
+        ClusterSimulation cluster = startCluster(seed, Version.NOW);
         cluster.clockOff[(int) (seed % ClusterSimulation.NODES)] =
                 seed % 2 == 0 ? 400 * SECOND : -400 * SECOND;
-        cluster.randomFaults.startUntil(BUSY);
-        long[] asks = {15, 40, 65, 110, 150};
+        cluster.randomFaults.startUntil(SUBMISSIONS_END);
+        long[] requestSeconds = {15, 40, 65, 110, 150};
         Verb[] verbs = {Verb.GO, Verb.BACK, Verb.GO, Verb.BACK, Verb.GO};
-        for (int i = 0; i < asks.length; i++) {
+        for (int i = 0; i < requestSeconds.length; i++) {
             Verb verb = verbs[i];
-            cluster.loop.after(asks[i] * SECOND + seed * 700_000, () -> ask(cluster, verb));
+            cluster.loop.after(
+                    requestSeconds[i] * SECOND + seed * 700_000, () -> request(cluster, verb));
         }
-        cluster.run(BUSY + 600 * SECOND);
+        cluster.run(SUBMISSIONS_END + 600 * SECOND);
         assertEquals(Step.SETTLED, step(cluster));
         assertEquals(
                 cluster.machineRecords()[0],
@@ -124,21 +125,22 @@
     @ParameterizedTest
     @EnumSource(Step.class)
     void rolloutWaitsForDowngradedNode(Step at) {
-        for (int who = 0; who < 2; who++) {
-            ClusterSimulation cluster = busy(11 + who, Version.NOW);
-            runTo(cluster, at);
-            int index = at == Step.OFF ? who : (cluster.leader() + who) % ClusterSimulation.NODES;
+        for (int offset = 0; offset < 2; offset++) {
+            ClusterSimulation cluster = startCluster(11 + offset, Version.NOW);
+            runUntilStep(cluster, at);
+            int index =
+                    at == Step.OFF ? offset : (cluster.leader() + offset) % ClusterSimulation.NODES;
             cluster.replace(index, Version.AGREEING, 1 * SECOND);
-            long back = cluster.loop.now();
+            long downgradedAt = cluster.loop.now();
             Step before = step(cluster);
-            cluster.run(back + 40 * SECOND);
+            cluster.run(downgradedAt + 40 * SECOND);
             if (before.compareTo(Step.ON) < 0) {
                 assertEquals(Step.OFF, step(cluster), "switched on with an old node, at " + at);
             } else {
                 assertEquals(before, step(cluster), "at " + at);
             }
             cluster.replace(index, Version.NOW, 1 * SECOND);
-            runTo(cluster, Step.SETTLED);
+            runUntilStep(cluster, Step.SETTLED);
         }
     }
 
@@ -146,7 +148,7 @@
      * What comes back after everything went down half-way; with the first, three versions run side
      * by side.
      */
-    private static List<Version> half(long seed) {
+    private static List<Version> mixedVersions(long seed) {
         return switch ((int) seed) {
             case 1 -> List.of(Version.NOW, Version.AGREEING, Version.PRODUCTION);
             case 2 -> List.of(Version.PRODUCTION, Version.NOW, Version.PRODUCTION);
@@ -158,12 +160,12 @@
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void rolloutSettlesAfterFullRestartIntoMixedVersions(long seed) {
-        ClusterSimulation cluster = busy(seed, Version.PRODUCTION);
+        ClusterSimulation cluster = startCluster(seed, Version.PRODUCTION);
         cluster.run(20 * SECOND);
         cluster.replace(0, Version.NOW, 2 * SECOND);
         cluster.run(30 * SECOND);
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
-            cluster.replace(i, half(seed).get(i), (2 + i) * SECOND);
+            cluster.replace(i, mixedVersions(seed).get(i), (2 + i) * SECOND);
         }
         cluster.stateOutage(8 * SECOND);
         cluster.run(70 * SECOND);
@@ -172,8 +174,8 @@
             cluster.replace(i, Version.NOW, (1 + 3 * i) * SECOND);
         }
         cluster.run(90 * SECOND);
-        assertTrue(standing(cluster, Feature.COMPACT_RECORDS).isOn());
-        runTo(cluster, Step.SETTLED);
+        assertTrue(stateOf(cluster, Feature.COMPACT_RECORDS).isOn());
+        runUntilStep(cluster, Step.SETTLED);
     }
 
     /** Zone "b" is cut off in the middle with its only node, an old or a new one. */
@@ -181,39 +183,39 @@
     @EnumSource(
             value = Version.class,
             names = {"AGREEING", "NOW"})
-    void rolloutWaitsForNodeOfPartitionedZone(Version there) {
-        ClusterSimulation cluster = busy(7, Version.NOW);
-        ask(cluster, Verb.HOLD);
+    void rolloutWaitsForNodeOfPartitionedZone(Version version) {
+        ClusterSimulation cluster = startCluster(7, Version.NOW);
+        request(cluster, Verb.HOLD);
         cluster.run(10 * SECOND);
-        cluster.replace(1, there, SECOND / 2);
+        cluster.replace(1, version, SECOND / 2);
         cluster.run(15 * SECOND);
         cluster.island("b", 60 * SECOND);
         cluster.run(45 * SECOND);
-        ask(cluster, Verb.GO);
+        request(cluster, Verb.GO);
         cluster.run(74 * SECOND);
         assertEquals(Step.OFF, step(cluster), "switched on without the zone's node");
         cluster.replace(1, Version.NOW, SECOND);
-        runTo(cluster, Step.SETTLED);
+        runUntilStep(cluster, Step.SETTLED);
     }
 
     /** A damaged record among the others is neither lost nor passed over. */
     @Test
     void unreadableRecordIsKeptAndBlocksSettling() {
-        ClusterSimulation cluster = busy(8, Version.NOW);
+        ClusterSimulation cluster = startCluster(8, Version.NOW);
         cluster.put("machine/host-damaged", Map.of("hosttype", 7L));
         cluster.run(90 * SECOND);
         assertEquals(Step.ON, step(cluster));
         assertEquals(Map.of("hosttype", 7L), cluster.stored("machine/host-damaged"));
         cluster.put("machine/host-damaged", null);
-        runTo(cluster, Step.SETTLED);
+        runUntilStep(cluster, Step.SETTLED);
     }
 
     /** What a later version requires, in a record that this one can't read otherwise. */
     @Test
     void nodesLackingRequiredFeatureStopServing() {
-        ClusterSimulation cluster = busy(3, Version.NOW);
-        runTo(cluster, Step.SETTLED);
-        Map<String, Object> now = cluster.stored("rollout/state");
+        ClusterSimulation cluster = startCluster(3, Version.NOW);
+        runUntilStep(cluster, Step.SETTLED);
+        Map<String, Object> original = cluster.stored("rollout/state");
         cluster.put(
                 "rollout/state",
                 Map.of(
@@ -235,15 +237,15 @@
         cluster.replace(1, Version.NOW, 1 * SECOND);
         cluster.run(cluster.loop.now() + 30 * SECOND);
         assertEquals(term, String.valueOf(cluster.stored("term")), "a node campaigned");
-        Map<String, Object> retry = new LinkedHashMap<>(now);
-        retry.put("number", 1_001L);
-        cluster.put("rollout/state", retry);
+        Map<String, Object> restored = new LinkedHashMap<>(original);
+        restored.put("number", 1_001L);
+        cluster.put("rollout/state", restored);
         cluster.run(cluster.loop.now() + 10 * SECOND);
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
             assertEquals(200, cluster.status(i, "GET", "/healthz", null), "node " + i);
         }
         assertNotEquals(term, String.valueOf(cluster.stored("term")), "nobody leads again");
-        cluster.run(BUSY + 300 * SECOND);
+        cluster.run(SUBMISSIONS_END + 300 * SECOND);
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
@@ -255,13 +257,13 @@
     void inconsistentPeerSettingsKeepFeaturesOff() {
         ClusterSimulation cluster = new ClusterSimulation(4, Scenario.PLAIN);
         cluster.namesOneMore[2] = true;
-        cluster.users.submitUntil(BUSY);
+        cluster.users.submitUntil(SUBMISSIONS_END);
         cluster.run(60 * SECOND);
         for (Feature feature : Feature.values()) {
-            assertEquals(Step.OFF, standing(cluster, feature).step(), feature.key());
+            assertEquals(Step.OFF, stateOf(cluster, feature).step(), feature.key());
         }
         cluster.namesOneMore[2] = false;
         cluster.replace(2, Version.NOW, 1 * SECOND);
-        runTo(cluster, Step.SETTLED);
+        runUntilStep(cluster, Step.SETTLED);
     }
 }
--- a/src/test/java/org/woadloom/sim/ServiceLevelTest.java
+++ b/src/test/java/org/woadloom/sim/ServiceLevelTest.java
@@ -23,17 +23,17 @@
  */
 @ExtendWith(PrintReplayCommand.class)
 class ServiceLevelTest {
-    private static final long TROUBLED = 180_000_000;
-    private static final double LEAST = 0.5;
+    private static final long FAULTS_END = 180_000_000;
+    private static final double MIN_SERVED_SHARE = 0.5;
 
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
     void everyTeamAndClassGetsHalfOfItsJobsStartedDuringFlood(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.CROWD);
-        cluster.users.submitUntil(TROUBLED, 4);
-        cluster.randomFaults.startMachineFaultsUntil(TROUBLED);
+        cluster.users.submitUntil(FAULTS_END, 4);
+        cluster.randomFaults.startMachineFaultsUntil(FAULTS_END);
         // The flood asks for more than there is: a part of its own jobs still waits then.
-        cluster.run(TROUBLED + 120_000_000);
+        cluster.run(FAULTS_END + 120_000_000);
         Map<String, int[]> served = new TreeMap<>();
         for (String jobId : cluster.observed.acceptedJobs()) {
             var job = cluster.observed.job(jobId);
@@ -48,7 +48,7 @@
         served.forEach(
                 (group, count) ->
                         assertTrue(
-                                count[1] >= LEAST * count[0],
+                                count[1] >= MIN_SERVED_SHARE * count[0],
                                 group + ": " + count[1] + " of " + count[0] + ", seed " + seed));
         int flood = served.get("team crowd-0")[0];
         served.forEach(
@@ -77,16 +77,16 @@
                                 Scenario.Flaw.NONE,
                                 crowd));
         cluster.servicesStay = true;
-        cluster.users.submitUntil(TROUBLED, 3);
-        cluster.randomFaults.startMachineFaultsUntil(TROUBLED);
-        cluster.run(TROUBLED);
-        int before = arraysOver(cluster, crowd);
-        cluster.run(TROUBLED + 240_000_000);
-        int over = arraysOver(cluster, crowd) - before;
+        cluster.users.submitUntil(FAULTS_END, 3);
+        cluster.randomFaults.startMachineFaultsUntil(FAULTS_END);
+        cluster.run(FAULTS_END);
+        int before = finishedArraysOf(cluster, crowd);
+        cluster.run(FAULTS_END + 240_000_000);
+        int over = finishedArraysOf(cluster, crowd) - before;
         assertTrue(over >= 12, over + " arrays of the team were done in four minutes at its limit");
     }
 
-    private static int arraysOver(ClusterSimulation cluster, int crowd) {
+    private static int finishedArraysOf(ClusterSimulation cluster, int crowd) {
         String team = crowd == 0 ? "red" : "crowd-0";
         int over = 0;
         for (String jobId : cluster.observed.acceptedJobs()) {
--- a/src/test/java/org/woadloom/sim/StatusRecoveryTest.java
+++ b/src/test/java/org/woadloom/sim/StatusRecoveryTest.java
@@ -37,13 +37,13 @@
     private static final long MAX_UNANSWERED = 75 * SECOND;
 
     /** Longer than a node may miss changes at these limits: 25 s. */
-    private static final long OUTAGE = 30 * SECOND;
+    private static final long OUTAGE_MICROS = 30 * SECOND;
 
     /** Shorter than that, and longer than it takes until a job's queries get priority. */
-    private static final long SILENCE = 20 * SECOND;
+    private static final long SILENCE_MICROS = 20 * SECOND;
 
-    private static final int LOADED_PER_SECOND = 20;
-    private static final long CALM = 20 * SECOND;
+    private static final int WARM_UP_JOBS_PER_SECOND = 20;
+    private static final long FAULT_FREE_MICROS = 20 * SECOND;
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
@@ -60,7 +60,7 @@
     private final long[] lastAnswered = new long[JOBS];
     private double requestTokens = LIMITS.rps();
     private long requestTokensAt;
-    private boolean silent;
+    private boolean storeSilent;
     private int answers;
     private int refusals;
 
@@ -157,7 +157,7 @@
             HttpTransport.Callback callback) {
         SingleAnswer answer = new SingleAnswer(callback);
         sim.after(timeout, () -> answer.answer(HttpTransport.NO_RESPONSE, Map.of()));
-        if (silent) {
+        if (storeSilent) {
             return;
         }
         sim.after(
@@ -193,7 +193,7 @@
             for (int node = 0; node < NODES; node++) {
                 ask(node, job);
             }
-            sim.run(sim.now() + SECOND / LOADED_PER_SECOND);
+            sim.run(sim.now() + SECOND / WARM_UP_JOBS_PER_SECOND);
         }
     }
 
@@ -229,9 +229,9 @@
                 });
     }
 
-    private void pollUnderCalm() {
+    private void pollWithoutFaults() {
         startPolling();
-        sim.run(sim.now() + CALM);
+        sim.run(sim.now() + FAULT_FREE_MICROS);
         long since = sim.now() - 2 * POLL_INTERVAL;
         assertEquals(0, unansweredSince(since), "jobs unanswered before any trouble");
         assertTrue(answers > JOBS, answers + " answers");
@@ -262,9 +262,9 @@
     @Test
     void allPollsAreAnsweredAfterStoreOutage() {
         warmUp();
-        pollUnderCalm();
+        pollWithoutFaults();
         store.outage(true);
-        sim.run(sim.now() + OUTAGE);
+        sim.run(sim.now() + OUTAGE_MICROS);
         store.outage(false);
         assertAllAnsweredAgain();
     }
@@ -272,17 +272,17 @@
     @Test
     void allPollsAreAnsweredAfterStoreReadsTimedOut() {
         warmUp();
-        pollUnderCalm();
-        silent = true;
-        sim.run(sim.now() + SILENCE);
-        silent = false;
+        pollWithoutFaults();
+        storeSilent = true;
+        sim.run(sim.now() + SILENCE_MICROS);
+        storeSilent = false;
         assertAllAnsweredAgain();
     }
 
     @Test
     void allPollsAreAnsweredAfterAllNodesRestart() {
         warmUp();
-        pollUnderCalm();
+        pollWithoutFaults();
         startNodes();
         assertAllAnsweredAgain();
     }
@@ -290,15 +290,15 @@
     @Test
     void invalidRequestsAreAnsweredDuringOverload() {
         startPolling();
-        silent = true;
-        sim.run(sim.now() + SILENCE);
+        storeSilent = true;
+        sim.run(sim.now() + SILENCE_MICROS);
         JobApi node = nodes.get(0);
         List<Integer> statuses = new ArrayList<>();
         node.status("no job's id", response -> statuses.add(response.status()));
         node.cancel("no job's id", response -> statuses.add(response.status()));
         node.submit(new byte[] {1, 2, 3}, response -> statuses.add(response.status()));
         assertEquals(List.of(NOT_FOUND, NOT_FOUND, BAD_REQUEST), statuses, "answers at once");
-        silent = false;
+        storeSilent = false;
         sim.run(sim.now() + MAX_UNANSWERED);
         node.status(jobId(JOBS), response -> statuses.add(response.status()));
         sim.run(sim.now() + USER_TIMEOUT);
--- a/src/test/java/org/woadloom/sim/ThreeZonesTest.java
+++ b/src/test/java/org/woadloom/sim/ThreeZonesTest.java
@@ -15,25 +15,25 @@
  */
 @ExtendWith(PrintReplayCommand.class)
 class ThreeZonesTest {
-    private static final long AT = 60_000_000;
-    private static final long QUIET = 600_000_000;
+    private static final long FAULTS_START = 60_000_000;
+    private static final long RECOVERY_MICROS = 600_000_000;
 
-    private static ClusterSimulation day(long seed) {
+    private static ClusterSimulation startCluster(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.PLAIN.inThreeZones());
         cluster.trouble = 0;
         cluster.copies = 3;
-        cluster.users.submitUntil(AT + 90_000_000);
-        cluster.observed.faultFreeFromMicros = AT + 180_000_000;
-        cluster.run(AT);
+        cluster.users.submitUntil(FAULTS_START + 90_000_000);
+        cluster.observed.faultFreeFromMicros = FAULTS_START + 180_000_000;
+        cluster.run(FAULTS_START);
         return cluster;
     }
 
-    private static void untilAllIsDone(ClusterSimulation cluster) {
-        cluster.run(AT + QUIET);
+    private static void assertAllJobsFinish(ClusterSimulation cluster) {
+        cluster.run(FAULTS_START + RECOVERY_MICROS);
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
-    private static int with(ClusterSimulation cluster, boolean leader) {
+    private static int nodeIndex(ClusterSimulation cluster, boolean leader) {
         return leader ? cluster.leader() : (cluster.leader() + 1) % ClusterSimulation.NODES;
     }
 
@@ -44,21 +44,21 @@
     @ParameterizedTest
     @CsvSource({"1,true", "2,false", "3,true", "4,false"})
     void jobsFinishWhenZoneIsPartitionedWhileOtherNodesRestart(long seed, boolean leader) {
-        ClusterSimulation cluster = day(seed);
-        int inside = with(cluster, leader);
+        ClusterSimulation cluster = startCluster(seed);
+        int inside = nodeIndex(cluster, leader);
         cluster.island(cluster.zoneOf(inside), 60_000_000);
         for (int i = 1; i <= 4; i++) {
             int ending = (inside + 1 + i % 2) % ClusterSimulation.NODES;
             cluster.loop.after(i * 12_000_000L, () -> cluster.end(ending, 300_000));
         }
-        untilAllIsDone(cluster);
+        assertAllJobsFinish(cluster);
     }
 
     /** Both reach the third zone: leadership settles, and nobody's work is lost. */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
     void leadershipSettlesWhenLeaderZoneCannotReachAnotherZone(long seed) {
-        ClusterSimulation cluster = day(seed);
+        ClusterSimulation cluster = startCluster(seed);
         int killed = cluster.observed.killedByLease;
         int leader = cluster.leader();
         cluster.partition(
@@ -69,12 +69,12 @@
             cluster.loop.after(10_000_000, () -> cluster.end(leader, 300_000));
         }
         long before = cluster.term();
-        cluster.run(AT + 50_000_000);
+        cluster.run(FAULTS_START + 50_000_000);
         assertTrue(cluster.term() <= before + 1, "terms taken: " + (cluster.term() - before));
         assertTrue(
                 cluster.observed.killedByLease <= killed + 2,
                 "tasks killed: " + (cluster.observed.killedByLease - killed));
-        untilAllIsDone(cluster);
+        assertAllJobsFinish(cluster);
     }
 
     /**
@@ -84,7 +84,7 @@
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void jobsFinishAfterControllersEndInOutageAndMachinesAreLost(long seed) {
-        ClusterSimulation cluster = day(seed);
+        ClusterSimulation cluster = startCluster(seed);
         cluster.stateOutage(12_000_000);
         cluster.loop.after(
                 3_000_000,
@@ -97,23 +97,23 @@
                         agents.get(i).die();
                     }
                 });
-        untilAllIsDone(cluster);
+        assertAllJobsFinish(cluster);
     }
 
     /** Services must spread, one zone is dark, and what comes has only two left. */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void servicesSubmittedDuringZonePartitionStartInOtherZones(long seed) {
-        ClusterSimulation cluster = day(seed);
-        String dark = cluster.zoneOf(with(cluster, false));
-        cluster.island(dark, 45_000_000);
+        ClusterSimulation cluster = startCluster(seed);
+        String partitionedZone = cluster.zoneOf(nodeIndex(cluster, false));
+        cluster.island(partitionedZone, 45_000_000);
         cluster.users.submitUntil(cluster.loop.now() + 20_000_000, 3);
         int before = cluster.rented();
-        cluster.run(AT + 40_000_000);
+        cluster.run(FAULTS_START + 40_000_000);
         assertTrue(
                 cluster.rented() - before <= 28,
                 "rented meanwhile: " + (cluster.rented() - before));
-        untilAllIsDone(cluster);
+        assertAllJobsFinish(cluster);
     }
 
     /**
@@ -124,13 +124,13 @@
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void cancelledTasksStopInTimeInZoneOfIsolatedNode(long seed) {
-        ClusterSimulation cluster = day(seed);
-        int alone = with(cluster, seed % 2 == 0);
-        cluster.isolate(alone, 40_000_000);
+        ClusterSimulation cluster = startCluster(seed);
+        int isolated = nodeIndex(cluster, seed % 2 == 0);
+        cluster.isolate(isolated, 40_000_000);
         cluster.partition(
-                cluster.zoneOf(alone),
-                cluster.zoneOf((alone + 1) % ClusterSimulation.NODES),
+                cluster.zoneOf(isolated),
+                cluster.zoneOf((isolated + 1) % ClusterSimulation.NODES),
                 30_000_000);
-        untilAllIsDone(cluster);
+        assertAllJobsFinish(cluster);
     }
 }
--- a/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
@@ -17,11 +17,11 @@
  */
 @ExtendWith(PrintReplayCommand.class)
 class UnreachableAgentScenariosTest {
-    private static final long AT = 60_000_000;
-    private static final long QUIET = 600_000_000;
+    private static final long FAULTS_START = 60_000_000;
+    private static final long RECOVERY_MICROS = 600_000_000;
 
     /** The lease is 20 s; no other trouble than the one that the test makes. */
-    private static ClusterSimulation day(long seed) {
+    private static ClusterSimulation startCluster(long seed) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
                         seed,
@@ -29,14 +29,14 @@
                                 Scenario.LONG, Scenario.LONG, Version.NOW, Scenario.Flaw.NONE, 0));
         cluster.trouble = 0;
         cluster.copies = 5;
-        cluster.users.submitUntil(AT + 60_000_000);
-        cluster.observed.faultFreeFromMicros = AT + 150_000_000;
-        cluster.run(AT);
+        cluster.users.submitUntil(FAULTS_START + 60_000_000);
+        cluster.observed.faultFreeFromMicros = FAULTS_START + 150_000_000;
+        cluster.run(FAULTS_START);
         return cluster;
     }
 
-    private static void untilAllIsDone(ClusterSimulation cluster) {
-        cluster.run(AT + QUIET);
+    private static void assertAllJobsFinish(ClusterSimulation cluster) {
+        cluster.run(FAULTS_START + RECOVERY_MICROS);
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
@@ -46,16 +46,16 @@
         int wereDeaf = 0;
         int returned = 0;
         for (long seed : Seeds.first(6)) {
-            ClusterSimulation cluster = day(seed);
+            ClusterSimulation cluster = startCluster(seed);
             int killed = cluster.observed.killedByLease;
             cluster.deafen("a", 1, 8_000_000);
             List<SimulatedAgent> deaf =
                     cluster.agents().stream().filter(SimulatedAgent::deaf).toList();
-            cluster.run(AT + 16_000_000);
+            cluster.run(FAULTS_START + 16_000_000);
             assertEquals(killed, cluster.observed.killedByLease);
             wereDeaf += deaf.size();
             returned += (int) deaf.stream().filter(agent -> agent.dead).count();
-            untilAllIsDone(cluster);
+            assertAllJobsFinish(cluster);
         }
         // Idle ones may have been returned meanwhile: on one day alone that may be most of a few.
         assertTrue(returned * 2 <= wereDeaf, returned + " of " + wereDeaf + " were returned");
@@ -64,12 +64,12 @@
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
     void workOnDeafMachinesIsDoneElsewhere(long seed) {
-        ClusterSimulation cluster = day(seed);
+        ClusterSimulation cluster = startCluster(seed);
         cluster.deafen("a", 2, 60_000_000);
         if (seed % 2 == 0) {
             cluster.loop.after(5_000_000, () -> cluster.restart(cluster.leader()));
         }
-        untilAllIsDone(cluster);
+        assertAllJobsFinish(cluster);
     }
 
     /**
@@ -92,12 +92,14 @@
                                                         Version.NOW,
                                                         Scenario.Flaw.DEAF_SEEM_TO_HEAR,
                                                         0));
-                                cluster.users.submitUntil(QUIET, 4);
-                                for (long at = AT; at < QUIET; at += 20_000_000) {
+                                cluster.users.submitUntil(RECOVERY_MICROS, 4);
+                                for (long at = FAULTS_START;
+                                        at < RECOVERY_MICROS;
+                                        at += 20_000_000) {
                                     cluster.loop.after(
                                             at, () -> cluster.deafen("a", 1, 12_000_000));
                                 }
-                                cluster.run(QUIET);
+                                cluster.run(RECOVERY_MICROS);
                             }
                         });
         assertTrue(
@@ -109,23 +111,23 @@
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void permanentlyDeafMachinesAreReplaced(long seed) {
-        ClusterSimulation cluster = day(seed);
-        cluster.deafen("b", 3, 2 * QUIET);
+        ClusterSimulation cluster = startCluster(seed);
+        cluster.deafen("b", 3, 2 * RECOVERY_MICROS);
         List<SimulatedAgent> deaf = cluster.agents().stream().filter(SimulatedAgent::deaf).toList();
         assertTrue(!deaf.isEmpty());
-        cluster.run(AT + 180_000_000);
+        cluster.run(FAULTS_START + 180_000_000);
         assertTrue(deaf.stream().allMatch(agent -> agent.dead));
-        untilAllIsDone(cluster);
+        assertAllJobsFinish(cluster);
     }
 
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void workOnMuteMachinesIsDoneElsewhere(long seed) {
-        ClusterSimulation cluster = day(seed);
+        ClusterSimulation cluster = startCluster(seed);
         cluster.agents().stream()
                 .filter(agent -> agent.zone.equals("a"))
                 .forEach(agent -> agent.muteUntil = cluster.loop.now() + 60_000_000);
-        untilAllIsDone(cluster);
+        assertAllJobsFinish(cluster);
     }
 
     /**
@@ -135,19 +137,19 @@
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstSix")
     void isolatedLeaderLosesLeadershipAndAgents(long seed) {
-        ClusterSimulation cluster = day(seed);
-        int alone = cluster.leader();
+        ClusterSimulation cluster = startCluster(seed);
+        int isolated = cluster.leader();
         int killed = cluster.observed.killedByLease;
-        cluster.isolate(alone, 60_000_000);
-        cluster.run(AT + 15_000_000);
-        assertNotEquals(alone, cluster.leader());
-        assertEquals(503, cluster.status(alone, "GET", "/healthz", null));
+        cluster.isolate(isolated, 60_000_000);
+        cluster.run(FAULTS_START + 15_000_000);
+        assertNotEquals(isolated, cluster.leader());
+        assertEquals(503, cluster.status(isolated, "GET", "/healthz", null));
         assertEquals(200, cluster.status(cluster.leader(), "GET", "/healthz", null));
-        cluster.run(AT + 60_000_000);
+        cluster.run(FAULTS_START + 60_000_000);
         assertEquals(killed, cluster.observed.killedByLease, "tasks killed by leases");
-        cluster.run(AT + 75_000_000);
-        assertEquals(200, cluster.status(alone, "GET", "/healthz", null));
-        untilAllIsDone(cluster);
+        cluster.run(FAULTS_START + 75_000_000);
+        assertEquals(200, cluster.status(isolated, "GET", "/healthz", null));
+        assertAllJobsFinish(cluster);
     }
 
     /**
@@ -157,25 +159,25 @@
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void isolatedFollowerLosesAgentsToLeader(long seed) {
-        ClusterSimulation cluster = day(seed);
+        ClusterSimulation cluster = startCluster(seed);
         int leader = cluster.leader();
-        int alone = (leader + 1) % ClusterSimulation.NODES;
+        int isolated = (leader + 1) % ClusterSimulation.NODES;
         int killed = cluster.observed.killedByLease;
-        cluster.isolate(alone, 60_000_000);
-        cluster.run(AT + 20_000_000);
-        assertEquals(503, cluster.status(alone, "GET", "/healthz", null));
-        cluster.run(AT + 60_000_000);
+        cluster.isolate(isolated, 60_000_000);
+        cluster.run(FAULTS_START + 20_000_000);
+        assertEquals(503, cluster.status(isolated, "GET", "/healthz", null));
+        cluster.run(FAULTS_START + 60_000_000);
         assertEquals(leader, cluster.leader());
         assertEquals(killed, cluster.observed.killedByLease, "tasks killed by leases");
-        untilAllIsDone(cluster);
+        assertAllJobsFinish(cluster);
     }
 
     /** In an outage for all, nobody is better off elsewhere. */
     @Test
     void nodesStayHealthyDuringFullStoreOutage() {
-        ClusterSimulation cluster = day(1);
+        ClusterSimulation cluster = startCluster(1);
         cluster.stateOutage(20_000_000);
-        cluster.run(AT + 12_000_000);
+        cluster.run(FAULTS_START + 12_000_000);
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
             assertEquals(200, cluster.status(i, "GET", "/healthz", null));
         }
@@ -185,13 +187,13 @@
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
     void leaderIsElectedWhenNodesRestartDuringElections(long seed) {
-        ClusterSimulation cluster = day(seed);
+        ClusterSimulation cluster = startCluster(seed);
         long before = cluster.term();
         cluster.end(cluster.leader(), 50_000);
-        cluster.endInElections(AT + 8_000_000);
-        cluster.run(AT + 20_000_000);
+        cluster.endInElections(FAULTS_START + 8_000_000);
+        cluster.run(FAULTS_START + 20_000_000);
         assertTrue(cluster.term() > before);
         assertNotEquals(-1, cluster.leader());
-        untilAllIsDone(cluster);
+        assertAllJobsFinish(cluster);
     }
 }
