--- a/src/test/java/org/woadloom/sim/UserFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/UserFaultCombinationsTest.java
@@ -16,22 +16,22 @@
 @ExtendWith(PrintReplayCommand.class)
 class UserFaultCombinationsTest {
     private static final int SEEDS = 3;
-    private static final long AT = 20_000_000;
-    private static final long FOR = 120_000_000;
+    private static final long FAULTS_START = 20_000_000;
+    private static final long FAULT_MICROS = 120_000_000;
 
-    enum Meeting {
+    enum Fault {
         /**
          * A cancellation, questions and a repeated submission meet the end of a job's last task.
          */
-        END_OF_THE_LAST_TASK {
+        REQUESTS_AS_LAST_TASK_ENDS {
             @Override
-            void begin(ClusterSimulation cluster) {
-                cluster.cancelAtEnd(50, FOR);
-                cluster.lookClosely(FOR);
+            void inject(ClusterSimulation cluster) {
+                cluster.cancelAtEnd(50, FAULT_MICROS);
+                cluster.lookClosely(FAULT_MICROS);
             }
 
             @Override
-            int came(ClusterSimulation cluster) {
+            int occurrences(ClusterSimulation cluster) {
                 return Math.min(cluster.cancelledAtEnd, cluster.closeLooks);
             }
         },
@@ -39,14 +39,14 @@
          * Submissions of known jobs come again, also with a field missing, and jobs that can't run
          * or lack a field.
          */
-        ODD_REQUESTS {
+        REPEATED_AND_INVALID_REQUESTS {
             @Override
-            void begin(ClusterSimulation cluster) {
-                cluster.oddRequests(FOR);
+            void inject(ClusterSimulation cluster) {
+                cluster.oddRequests(FAULT_MICROS);
             }
 
             @Override
-            int came(ClusterSimulation cluster) {
+            int occurrences(ClusterSimulation cluster) {
                 return cluster.oddRequestsMade;
             }
         },
@@ -56,48 +56,48 @@
          */
         LOST_ANSWERS {
             @Override
-            void begin(ClusterSimulation cluster) {
-                cluster.loseAnswers(30, FOR);
-                cluster.lookClosely(FOR);
+            void inject(ClusterSimulation cluster) {
+                cluster.loseAnswers(30, FAULT_MICROS);
+                cluster.lookClosely(FAULT_MICROS);
             }
 
             @Override
-            int came(ClusterSimulation cluster) {
+            int occurrences(ClusterSimulation cluster) {
                 return Math.min(cluster.lostAnswersMade, cluster.closeLooks);
             }
         };
 
-        abstract void begin(ClusterSimulation cluster);
+        abstract void inject(ClusterSimulation cluster);
 
-        abstract int came(ClusterSimulation cluster);
+        abstract int occurrences(ClusterSimulation cluster);
     }
 
-    private static ClusterSimulation day(long seed, Scenario day, Meeting meeting) {
-        ClusterSimulation cluster = new ClusterSimulation(seed, day);
-        cluster.users.submitUntil(AT + FOR);
-        cluster.observed.faultFreeFromMicros = AT + FOR + 60_000_000;
-        cluster.loop.after(AT, () -> meeting.begin(cluster));
+    private static ClusterSimulation run(long seed, Scenario scenario, Fault fault) {
+        ClusterSimulation cluster = new ClusterSimulation(seed, scenario);
+        cluster.users.submitUntil(FAULTS_START + FAULT_MICROS);
+        cluster.observed.faultFreeFromMicros = FAULTS_START + FAULT_MICROS + 60_000_000;
+        cluster.loop.after(FAULTS_START, () -> fault.inject(cluster));
         // A team at its limit has work left for minutes: three tasks of its large jobs at a time.
-        cluster.run(AT + FOR + 500_000_000);
+        cluster.run(FAULTS_START + FAULT_MICROS + 500_000_000);
         return cluster;
     }
 
     @ParameterizedTest
     @EnumSource
-    void invariantsHoldUnderEachFault(Meeting meeting) {
+    void invariantsHoldUnderEachFault(Fault fault) {
         for (long seed : Seeds.usually(SEEDS)) {
-            ClusterSimulation cluster = day(seed, Scenario.PLAIN, meeting);
+            ClusterSimulation cluster = run(seed, Scenario.PLAIN, fault);
             assertTrue(
-                    meeting.came(cluster) >= 5,
-                    meeting + " occurred " + meeting.came(cluster) + " times, seed " + seed);
-            assertEquals(List.of(), cluster.unfinishedJobs(), meeting + ", seed " + seed);
+                    fault.occurrences(cluster) >= 5,
+                    fault + " occurred " + fault.occurrences(cluster) + " times, seed " + seed);
+            assertEquals(List.of(), cluster.unfinishedJobs(), fault + ", seed " + seed);
         }
     }
 
-    private static String broken(Scenario.Flaw flaw, Meeting meeting) {
+    private static String firstViolation(Scenario.Flaw flaw, Fault fault) {
         for (long seed : Seeds.usually(SEEDS)) {
             try {
-                day(seed, Scenario.PLAIN.with(flaw), meeting);
+                run(seed, Scenario.PLAIN.with(flaw), fault);
             } catch (InvariantViolation e) {
                 return e.getMessage();
             }
@@ -107,13 +107,16 @@
 
     @Test
     void checkerDetectsDefaultsForMissingFields() {
-        String caught = broken(Scenario.Flaw.FILLS_IN_WHAT_IS_MISSING, Meeting.ODD_REQUESTS);
+        String caught =
+                firstViolation(
+                        Scenario.Flaw.FILLS_IN_WHAT_IS_MISSING,
+                        Fault.REPEATED_AND_INVALID_REQUESTS);
         assertTrue(caught.startsWith("accepted_unfit"), caught);
     }
 
     @Test
     void checkerDetectsStaleStatuses() {
-        String caught = broken(Scenario.Flaw.OLD_CHANGES, Meeting.END_OF_THE_LAST_TASK);
+        String caught = firstViolation(Scenario.Flaw.OLD_CHANGES, Fault.REQUESTS_AS_LAST_TASK_ENDS);
         assertTrue(caught.startsWith("went_back"), caught);
     }
 }
--- a/src/test/java/org/woadloom/sim/UserWritesTest.java
+++ b/src/test/java/org/woadloom/sim/UserWritesTest.java
@@ -39,7 +39,7 @@
                     LIMITS);
     private static final MachineType TYPE =
             new MachineType("m", 4, 0, 8, 50, 1, 1, 0.3, 30_000_000, List.of("a"));
-    private static final MachineType ADDED =
+    private static final MachineType ADDED_TYPE =
             new MachineType("added", 8, 0, 32, 50, 1, 1, 0.3, 30_000_000, List.of("b"));
 
     private final SimulatedEventLoop sim = new SimulatedEventLoop();
@@ -51,19 +51,19 @@
      * How many of a hundred transactions have no answer; they are carried out so much later, or
      * never if below 0.
      */
-    private int unanswered;
+    private int unansweredPercent;
 
-    private long carriedOutAfter;
-    private int lost;
+    private long commitDelayMicros;
+    private int lostAnswers;
     private int reads;
     private int transactions;
     private final Map<String, Integer> hints = new LinkedHashMap<>();
     private List<MachineType> types = List.of(TYPE);
 
     /** What the cloud would say, null in an outage of it. */
-    private List<MachineType> offered = types;
+    private List<MachineType> offeredTypes = types;
 
-    private int typesRead;
+    private int typeRefreshes;
     private final JobApi api =
             new JobApi(
                     sim.loop(),
@@ -91,12 +91,12 @@
 
                         @Override
                         public void refresh(Consumer<Boolean> answered) {
-                            typesRead++;
+                            typeRefreshes++;
                             sim.after(
                                     5_000,
                                     () -> {
-                                        types = offered == null ? types : offered;
-                                        answered.accept(offered != null);
+                                        types = offeredTypes == null ? types : offeredTypes;
+                                        answered.accept(offeredTypes != null);
                                     });
                         }
                     },
@@ -108,17 +108,17 @@
                     (jobId, patience, answer) -> answer.accept(true));
 
     /** What one request came to. */
-    private static final class Asked {
+    private static final class UserCall {
         final String jobId;
         Response response;
         long tookMicros;
         int answers;
 
-        Asked(String jobId) {
+        UserCall(String jobId) {
             this.jobId = jobId;
         }
 
-        boolean toldWithin(long micros) {
+        boolean succeededWithin(long micros) {
             return response != null && response.status() / 100 == 2 && tookMicros <= micros;
         }
     }
@@ -132,13 +132,13 @@
             HttpTransport.Callback callback) {
         SingleAnswer answer = new SingleAnswer(callback);
         sim.after(timeout, () -> answer.answer(HttpTransport.NO_RESPONSE, Map.of()));
-        boolean none = path.equals("/txn") && random.nextInt(100) < unanswered;
-        lost += none ? 1 : 0;
+        boolean unansweredTxn = path.equals("/txn") && random.nextInt(100) < unansweredPercent;
+        lostAnswers += unansweredTxn ? 1 : 0;
         reads += method.equals("GET") ? 1 : 0;
         transactions += path.equals("/txn") ? 1 : 0;
-        if (!none || carriedOutAfter >= 0) {
+        if (!unansweredTxn || commitDelayMicros >= 0) {
             sim.after(
-                    none ? 3_000 + carriedOutAfter : 3_000,
+                    unansweredTxn ? 3_000 + commitDelayMicros : 3_000,
                     () ->
                             handle(
                                     method,
@@ -148,7 +148,7 @@
                                             sim.after(
                                                     2_000,
                                                     () -> {
-                                                        if (!none) {
+                                                        if (!unansweredTxn) {
                                                             answer.answer(status, map);
                                                         }
                                                     })));
@@ -163,39 +163,40 @@
         }
     }
 
-    private Asked ask(String jobId, Consumer<Consumer<Response>> request) {
-        Asked asked = new Asked(jobId);
+    private UserCall call(String jobId, Consumer<Consumer<Response>> request) {
+        UserCall call = new UserCall(jobId);
         long from = sim.now();
         request.accept(
                 response -> {
-                    asked.answers++;
-                    asked.response = response;
-                    asked.tookMicros = sim.now() - from;
+                    call.answers++;
+                    call.response = response;
+                    call.tookMicros = sim.now() - from;
                 });
-        return asked;
+        return call;
     }
 
-    private Asked submit(Map<String, Object> job) {
-        return ask((String) job.get("uid"), answer -> api.submit(Cbor.encode(job), answer));
+    private UserCall submit(Map<String, Object> job) {
+        return call((String) job.get("uid"), answer -> api.submit(Cbor.encode(job), answer));
     }
 
     private static Map<String, Object> job(int number) {
         return LoopbackNode.job(String.format("j-%06d", number), "team");
     }
 
-    private List<Asked> submissions(int count) {
-        List<Asked> asked = new ArrayList<>();
+    private List<UserCall> submitJobs(int count) {
+        List<UserCall> calls = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            asked.add(submit(job(i)));
+            calls.add(submit(job(i)));
             sim.run(sim.now() + 250_000);
         }
         sim.run(sim.now() + 8_000_000);
-        asked.forEach(one -> assertEquals(1, one.answers, one.jobId));
-        return asked;
+        calls.forEach(one -> assertEquals(1, one.answers, one.jobId));
+        return calls;
     }
 
-    private static double share(List<Asked> asked, long micros) {
-        return asked.stream().filter(one -> one.toldWithin(micros)).count() / (double) asked.size();
+    private static double shareSucceededWithin(List<UserCall> calls, long micros) {
+        return calls.stream().filter(one -> one.succeededWithin(micros)).count()
+                / (double) calls.size();
     }
 
     /**
@@ -204,20 +205,20 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {0, 700_000})
-    void committedWriteIsConfirmedWithoutStoreAnswer(long later) {
-        unanswered = 30;
-        carriedOutAfter = later;
-        List<Asked> submitted = submissions(300);
-        List<Asked> cancelled = new ArrayList<>();
-        for (Asked one : submitted) {
-            cancelled.add(ask(one.jobId, answer -> api.cancel(one.jobId, answer)));
+    void committedWriteIsConfirmedWithoutStoreAnswer(long commitDelay) {
+        unansweredPercent = 30;
+        commitDelayMicros = commitDelay;
+        List<UserCall> submitted = submitJobs(300);
+        List<UserCall> cancelled = new ArrayList<>();
+        for (UserCall one : submitted) {
+            cancelled.add(call(one.jobId, answer -> api.cancel(one.jobId, answer)));
             sim.run(sim.now() + 250_000);
         }
         sim.run(sim.now() + 8_000_000);
-        assertTrue(lost > 120, lost + " answers lost");
-        long within = later == 0 ? 1_000_000 : 2_000_000;
-        assertEquals(1, share(submitted, within));
-        assertEquals(1, share(cancelled, within));
+        assertTrue(lostAnswers > 120, lostAnswers + " answers lost");
+        long within = commitDelay == 0 ? 1_000_000 : 2_000_000;
+        assertEquals(1, shareSucceededWithin(submitted, within));
+        assertEquals(1, shareSucceededWithin(cancelled, within));
         assertEquals(2 * submitted.size(), hints.size(), "each change is told to the leader");
         assertEquals(
                 List.of(),
@@ -231,10 +232,10 @@
      */
     @Test
     void absentWriteIsAnswered503AfterAtMostTwoReads() {
-        unanswered = 100;
-        carriedOutAfter = -1;
-        List<Asked> submitted = submissions(40);
-        assertEquals(0, share(submitted, 10_000_000));
+        unansweredPercent = 100;
+        commitDelayMicros = -1;
+        List<UserCall> submitted = submitJobs(40);
+        assertEquals(0, shareSucceededWithin(submitted, 10_000_000));
         assertEquals(40, submitted.stream().filter(one -> one.response.status() == 503).count());
         assertEquals(Map.of(), hints);
         assertTrue(reads > 40 && reads <= 80, reads + " reads");
@@ -243,12 +244,12 @@
     /** A leader's change made the cancellation void: it is tried again as soon as that is read. */
     @Test
     void cancellationWithFailedConditionIsRetried() {
-        Asked submitted = submit(job(1));
+        UserCall submitted = submit(job(1));
         sim.run(sim.now() + 100_000);
         assertEquals(201, submitted.response.status());
-        unanswered = 100;
-        carriedOutAfter = 200_000;
-        Asked cancelled = ask(submitted.jobId, answer -> api.cancel(submitted.jobId, answer));
+        unansweredPercent = 100;
+        commitDelayMicros = 200_000;
+        UserCall cancelled = call(submitted.jobId, answer -> api.cancel(submitted.jobId, answer));
         sim.run(sim.now() + 100_000);
         Map<String, Object> record = new LinkedHashMap<>(store.value("job/" + submitted.jobId));
         record.put("running", 1L);
@@ -261,9 +262,9 @@
                         "then",
                         List.of(Map.of("put", "job/" + submitted.jobId, "value", record))),
                 (status, answer) -> assertEquals(200, status));
-        unanswered = 0;
+        unansweredPercent = 0;
         sim.run(sim.now() + 3_000_000);
-        assertTrue(cancelled.toldWithin(1_000_000), cancelled.tookMicros + " us");
+        assertTrue(cancelled.succeededWithin(1_000_000), cancelled.tookMicros + " us");
         assertTrue(
                 JobRecord.formatOf(store.value("job/" + submitted.jobId)) == RecordFormat.COMPACT
                         && Boolean.TRUE.equals(
@@ -278,23 +279,23 @@
     void jobFittingNewMachineTypeIsAccepted() {
         Map<String, Object> job = job(1);
         job.put("hosttypes", List.of("added"));
-        offered = null;
+        offeredTypes = null;
         for (int i = 0; i < 10; i++) {
-            Asked undecided = submit(job);
+            UserCall undecided = submit(job);
             sim.run(sim.now() + 90_000);
             assertEquals(503, undecided.response.status());
         }
-        assertEquals(1, typesRead, "the cloud is not asked for each of them");
+        assertEquals(1, typeRefreshes, "the cloud is not asked for each of them");
         sim.run(sim.now() + 200_000);
-        offered = List.of(TYPE, ADDED);
-        Asked accepted = submit(job);
-        Map<String, Object> never = job(2);
-        never.put("ramGb", 100.0);
-        Asked refused = submit(never);
+        offeredTypes = List.of(TYPE, ADDED_TYPE);
+        UserCall accepted = submit(job);
+        Map<String, Object> oversizedJob = job(2);
+        oversizedJob.put("ramGb", 100.0);
+        UserCall refused = submit(oversizedJob);
         sim.run(sim.now() + 100_000);
         assertEquals(201, accepted.response.status());
         assertEquals(422, refused.response.status());
-        assertEquals(2, typesRead, "one reading serves both");
+        assertEquals(2, typeRefreshes, "one reading serves both");
     }
 
     /**
@@ -302,17 +303,17 @@
      */
     @Test
     void concurrentRequestsForOneJobShareOneWrite() {
-        List<Asked> submitted = List.of(submit(job(1)), submit(job(1)), submit(job(1)));
+        List<UserCall> submitted = List.of(submit(job(1)), submit(job(1)), submit(job(1)));
         sim.run(sim.now() + 1_000_000);
         assertEquals(
                 List.of(201, 200, 200),
                 submitted.stream().map(one -> one.response.status()).toList());
         submitted.forEach(one -> assertEquals(1, one.answers));
         assertEquals(1, transactions);
-        List<Asked> cancelled = new ArrayList<>();
+        List<UserCall> cancelled = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             cancelled.add(
-                    ask(
+                    call(
                             submitted.get(0).jobId,
                             answer -> api.cancel(submitted.get(0).jobId, answer)));
         }
@@ -328,7 +329,7 @@
      */
     @Test
     void requestJoiningWriteSeesLaterCancellation() throws MalformedMessageException {
-        Asked first = submit(job(1));
+        UserCall first = submit(job(1));
         sim.run(sim.now() + 3_500);
         Map<String, Object> record = new LinkedHashMap<>(store.value("job/" + first.jobId));
         record.put("cancelled", true);
@@ -341,7 +342,7 @@
                         "then",
                         List.of(Map.of("put", "job/" + first.jobId, "value", record))),
                 (status, answer) -> assertEquals(200, status));
-        Asked joined = submit(job(1));
+        UserCall joined = submit(job(1));
         sim.run(sim.now() + 1_000_000);
         assertEquals(201, first.response.status());
         assertEquals(200, joined.response.status());
@@ -355,11 +356,11 @@
      */
     @Test
     void requestsAreAnsweredInTimeWhenStoreNeverAnswers() {
-        unanswered = 100;
-        carriedOutAfter = -1;
-        Asked first = submit(job(1));
+        unansweredPercent = 100;
+        commitDelayMicros = -1;
+        UserCall first = submit(job(1));
         sim.run(sim.now() + 3_000_000);
-        Asked joined = submit(job(1));
+        UserCall joined = submit(job(1));
         sim.run(sim.now() + 6_000_000);
         assertEquals(List.of(503, 503), List.of(first.response.status(), joined.response.status()));
         assertTrue(first.tookMicros < 5_000_000 && joined.tookMicros < 5_000_000);
