--- a/src/test/java/org/woadloom/sim/BadInputTest.java
+++ b/src/test/java/org/woadloom/sim/BadInputTest.java
@@ -20,12 +20,15 @@
 import org.woadloom.protocol.Cbor;
 
 /**
- * Malformed requests on every route and in every field, to a node that leads and to one that does
- * not, while reports press: each is refused at once, nothing of it is stored, and its connection
- * goes on.
+ * Sends malformed requests on every route and in every field, to a leader and to a follower, while
+ * agents keep sending reports. Each request must be rejected at once, must store nothing, and must
+ * leave its connection usable.
  */
 class BadInputTest {
-    /** Less than a report may wait for a leader: whatever is held back fails. */
+    /**
+     * Shorter than a report may wait for a leader, so that a request that is held back instead of
+     * rejected fails.
+     */
     private static final int RESPONSE_TIMEOUT_MILLIS = 2_500;
 
     private static final Object[] INVALID_STRINGS = {null, 7L, 1.5, true, List.of("x"), Map.of()};
@@ -38,8 +41,8 @@
     private static final Object[] INVALID_BOOLEANS = {"true", 1L, 0.0, List.of()};
 
     /**
-     * Fields that a submission must have, and that are not null; hosttypes, yard, dueS and awaits
-     * may be missing.
+     * Fields that must be present and not null in a submission; hosttypes, yard, dueS and awaits
+     * are optional.
      */
     private static final List<String> REQUIRED_FIELDS =
             List.of(
@@ -66,10 +69,12 @@
     private final AtomicInteger reportsFinished = new AtomicInteger();
     private final List<Thread> reporters = new ArrayList<>();
 
-    /** One request with the answer that is expected. */
+    /** A request body and the HTTP status that it must get. */
     private record RequestCase(String description, String path, byte[] body, int expectedStatus) {}
 
-    /** A connection that is kept, whatever was answered on it. */
+    /**
+     * A keep-alive connection that is reused for all requests, whatever the previous response was.
+     */
     private static final class Connection {
         private final Socket socket;
         private final DataInputStream in;
@@ -165,14 +170,14 @@
         }
     }
 
-    /** Bodies that are no well-formed message, whatever the route. */
+    /** Adds bodies that are not a well-formed message on any route. */
     private static void addMalformedBodyCases(
             List<RequestCase> cases, String path, Map<String, Object> validMessage) {
         byte[] encoded = Cbor.encode(validMessage);
         for (int length = 0; length < encoded.length; length += 1 + length / 16) {
             cases.add(
                     new RequestCase(
-                            "cut short after " + length,
+                            "truncated after " + length,
                             path,
                             Arrays.copyOf(encoded, length),
                             400));
@@ -188,7 +193,7 @@
         }
         Map<String, Object> nested = new LinkedHashMap<>(validMessage);
         nested.put("unknown", deep);
-        cases.add(new RequestCase("nested deep", path, Cbor.encode(nested), 400));
+        cases.add(new RequestCase("nested 900 levels deep", path, Cbor.encode(nested), 400));
         Map<String, Object> large = new LinkedHashMap<>(validMessage);
         int maxBytes = 64 * 1024;
         int paddingLength = maxBytes;
@@ -199,7 +204,7 @@
         cases.add(new RequestCase("64 KiB and a byte", path, Cbor.encode(large), 400));
         cases.add(
                 new RequestCase(
-                        "a key twice",
+                        "a duplicate key",
                         path,
                         appendFieldTimes(encoded, "yard", validMessage.containsKey("yard") ? 1 : 2),
                         400));
@@ -207,8 +212,8 @@
     }
 
     /**
-     * The map with one more field, so often; the encoding of a map is its length and then its
-     * fields.
+     * Appends the same field to an encoded map so many times. An encoded map is its length followed
+     * by its fields.
      */
     private static byte[] appendFieldTimes(byte[] map, String key, int times) {
         byte[] one = Cbor.encode(Map.of(key, "a"));
@@ -224,7 +229,7 @@
     }
 
     private static byte[] appendField(byte[] map, byte[] field) {
-        assertEquals(0xa0, map[0] & 0xe0, "a short map");
+        assertEquals(0xa0, map[0] & 0xe0, "not a CBOR map with a one-byte header");
         byte[] more = Arrays.copyOf(map, map.length + field.length);
         more[0]++;
         System.arraycopy(field, 0, more, map.length, field.length);
@@ -269,7 +274,7 @@
         addFieldCases(cases, jobs, job(), 400, "awaits", "j-1", List.of(1L));
         addFieldCases(cases, jobs, job(), 422, "crew", "nobody");
         addFieldCases(cases, jobs, job(), 422, "yard", "nowhere");
-        // The one machine type is offered in a alone.
+        // The only machine type is offered in zone a alone.
         addFieldCases(cases, jobs, job(), 422, "yard", "b");
         addFieldCases(cases, jobs, job(), 422, "hosttypes", List.of(), List.of("none"));
         addFieldCases(cases, jobs, job(), 422, "vcpus", 2.0, 1e300);
@@ -347,7 +352,7 @@
         }
     }
 
-    /** Workers of other machines that report all the time. */
+    /** Starts agents that send reports without pause. */
     private void startReporters() {
         for (int i = 0; i < 3; i++) {
             String host = "press-" + i;
@@ -365,8 +370,8 @@
                                         reportsFinished.incrementAndGet();
                                     }
                                 } catch (IOException e) {
-                                    // A node without a leader lets a report wait for longer than
-                                    // this connection does.
+                                    // Without a leader the node may hold a report for longer than
+                                    // the socket timeout of this connection.
                                     reportsFinished.incrementAndGet();
                                 }
                             });
@@ -377,7 +382,7 @@
 
     private void assertAllRejected() throws IOException {
         Connection connection = new Connection(node.address);
-        // Until the machine types are known a job that fits none is told to come back.
+        // Until the node knows the machine types it answers 503 to a job that fits none of them.
         Map<String, Object> unfitJob = job();
         unfitJob.put("ramGb", 9.0);
         for (int i = 0;
@@ -399,14 +404,14 @@
         }
         assertEquals(404, connection.send("GET", "/v1/jobs/j-000412", new byte[0]));
         assertTrue(cases.size() > 250, cases.size() + " cases");
-        assertTrue(reportsFinished.get() > 0, "no report pressed");
+        assertTrue(reportsFinished.get() > 0, "no report was sent");
         assertFalse(node.state.holdsAny("job/"), "a job was stored");
         assertFalse(node.state.holdsAny("machine/host-"), "a machine was stored");
     }
 
     /**
-     * What was accepted stays accepted, whatever its repeat lacks or asks for; what may be null may
-     * be missing.
+     * A repeated submission of an accepted job gets 200 whatever fields it lacks or changes; an
+     * optional field may be null or missing.
      */
     @Test
     void resubmittedJobWithInvalidFieldsStaysAccepted() throws Exception {
--- a/src/test/java/org/woadloom/sim/BehaviourDigestTest.java
+++ b/src/test/java/org/woadloom/sim/BehaviourDigestTest.java
@@ -23,13 +23,13 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * What the service decides stays the same while its code is renamed and rearranged: every command
- * and every effect of every step of three nodes on random days with all troubles, against hashes in
- * {@code behaviour-digest.txt}.
+ * Guards against unintended changes of behaviour in a refactoring: hashes every command and action
+ * of every step of three nodes in random simulations with all faults, and compares them with {@code
+ * behaviour-digest.txt}.
  *
- * <p>{@code -DdigestRecord=true} writes that file anew, {@code -DdigestDump=DIR} the text of each
- * day to a file, for a comparison of two versions of the code by {@code diff}, {@code
- * -DdigestOrder=reversed} plays the days in reverse order.
+ * <p>{@code -DdigestRecord=true} rewrites that file, {@code -DdigestDump=DIR} writes the text of
+ * each run to a file so that two versions of the code can be compared by {@code diff}, and {@code
+ * -DdigestOrder=reversed} runs the simulations in reverse order.
  */
 class BehaviourDigestTest {
     private static final Path DIGEST_FILE = Path.of("src/test/resources/behaviour-digest.txt");
@@ -42,11 +42,12 @@
     private static final Map<String, Expected> EXPECTED_RUNS = new TreeMap<>();
     private static final Map<String, BehaviourDigest> ACTUAL_RUNS = new TreeMap<>();
 
-    /** The hash of a day, and the marks that tell where a change begins. */
+    /** The hash of a run, and the intermediate marks that locate the first difference. */
     private record Expected(String hash, String marks) {}
 
     /**
-     * A random day: of this version throughout, or of one that replaces the version in production.
+     * A simulation with random faults: of this version throughout (plain), or with nodes that are
+     * upgraded from the version in production (upgrade).
      */
     record RandomRun(String kind, int seed) {
         boolean upgrade() {
@@ -112,8 +113,9 @@
                             + ": "
                             + digest.difference()
                             + "\n"
-                            + "For the whole day run this test with -DdigestDump=DIR, on this"
-                            + " version and on the one before, and compare the files.");
+                            + "For the text of the whole run repeat this test with"
+                            + " -DdigestDump=DIR, on this version and on the one before, and"
+                            + " compare the files.");
         }
     }
 
@@ -141,12 +143,12 @@
         if (randomRun.upgrade()) {
             cluster.upgradeNodes(FAULTS_END_MICROS);
         }
-        // Without the rules, which RandomScenariosTest checks.
+        // Runs without the invariant checks: RandomScenariosTest covers those.
         cluster.loop.run(FAULTS_END_MICROS + FAULT_FREE_MICROS);
         return digest;
     }
 
-    /** The digest must be able to differ: by one step. */
+    /** Checks that the digest detects a change of a single step. */
     @Test
     void digestLocatesChangedStep() {
         String marks = digestOf(null, 100, -1).marks();
--- a/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
@@ -20,9 +20,9 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * Users cancel four jobs a second while the work of the controllers changes hands. {@link
- * InvariantChecker} checks after each step that no cancelled task stays too long; what is counted
- * here is that the meeting came about, and how long users waited.
+ * Users cancel four jobs a second while leadership changes. {@link InvariantChecker} checks after
+ * each step that no cancelled task runs for too long; these tests check that the fault occurred and
+ * how long users waited for the confirmation.
  */
 @ExtendWith(PrintReplayCommand.class)
 class CancellationFaultCombinationsTest {
@@ -30,7 +30,7 @@
     private static final long FAULTS_START = 30 * SECOND;
     private static final int SEEDS = 1;
 
-    /** Users who cancel, each on any node, and ask again until they are told. */
+    /** Cancels jobs at random nodes and retries until each cancellation is confirmed. */
     private static final class CancellingUsers {
         final ClusterSimulation cluster;
         final Set<String> requestedJobs = new HashSet<>();
@@ -49,7 +49,7 @@
             }
         }
 
-        /** Cancels a job that runs, or else one that waits. */
+        /** Cancels a running job, or a queued one if none runs. */
         void cancelOne() {
             List<String> jobs = new ArrayList<>(cluster.observed.runningJobs());
             jobs.addAll(cluster.observed.acceptedJobs());
@@ -79,8 +79,8 @@
                             waitMicros.add(cluster.loop.now() - since);
                         } else {
                             rejections.merge(status + " " + body.get("error"), 1, Integer::sum);
-                            // A node that has ended, can't be reached or reaches nobody is no node
-                            // that keeps anybody waiting.
+                            // Time spent on a node that is down, unreachable or isolated does not
+                            // count as waiting.
                             boolean served = status > 0 && !cluster.isIsolated(node);
                             cluster.loop.after(
                                     200_000,
@@ -96,11 +96,11 @@
         @Override
         public String toString() {
             return waitMicros.size()
-                    + " told, "
+                    + " confirmed, "
                     + unconfirmed
-                    + " not, the last after "
+                    + " not, longest wait "
                     + longestWaitMicros()
-                    + "; refused for "
+                    + " us; rejected with "
                     + rejections;
         }
     }
@@ -122,7 +122,6 @@
         return users;
     }
 
-    /** How the work changes hands. */
     enum LeaderChange {
         ROLLING_RESTART(1, 700) {
             @Override
@@ -186,8 +185,8 @@
         final long maxWaitMicros;
 
         /**
-         * @param minTerms how many are taken at least, and within how many milliseconds everybody
-         *     is told
+         * @param minTerms how many new terms the change must cause at least
+         * @param maxWaitMillis within which time every cancellation must be confirmed
          */
         LeaderChange(int minTerms, long maxWaitMillis) {
             this.minTerms = minTerms;
@@ -198,8 +197,8 @@
     }
 
     /**
-     * Four a second throughout; each is told within the time that is stated with the change, and
-     * runs no longer than it may.
+     * Users cancel four jobs a second; each cancellation is confirmed within the bound of the
+     * change, and no cancelled task runs for too long.
      */
     @ParameterizedTest
     @EnumSource
@@ -212,18 +211,21 @@
             cluster.run(FAULTS_START + 75 * SECOND);
             assertTrue(
                     cluster.term() - term >= change.minTerms,
-                    "only " + (cluster.term() - term) + " changes, seed " + seed);
+                    "only " + (cluster.term() - term) + " new terms, seed " + seed);
             assertTrue(
                     cluster.observed.cancelledWhileRunning > 15,
-                    "only " + cluster.observed.cancelledWhileRunning + " ran, seed " + seed);
+                    "only "
+                            + cluster.observed.cancelledWhileRunning
+                            + " cancelled while running, seed "
+                            + seed);
             assertEquals(0, users.unconfirmed, users + ", seed " + seed);
             assertTrue(users.longestWaitMicros() < change.maxWaitMicros, users + ", seed " + seed);
         }
     }
 
     /**
-     * What else is wrong as the state service refuses the leader alone, a second before it is down
-     * for all.
+     * An additional fault while the store rejects the leader alone, one second before the store is
+     * down for all nodes.
      */
     enum AdditionalFault {
         NOTHING,
@@ -235,7 +237,10 @@
         CONFIRMING_NODES_RESTART
     }
 
-    /** Jobs are cancelled within 0.2 s around the moment at which the refusal begins. */
+    /**
+     * Cancels jobs from 0.2 s before to 0.2 s after the store starts to reject the leader; returns
+     * how many cancellations of running jobs were confirmed before the outage.
+     */
     private static int cancelAsStoreRejectsLeader(
             AdditionalFault fault, long seed, Scenario.Times configuredTimes, Flaw flaw) {
         ClusterSimulation cluster =
@@ -295,16 +300,16 @@
         for (long seed : Seeds.usually(SEEDS + 1)) {
             confirmed += cancelAsStoreRejectsLeader(fault, seed, Scenario.LONG, Flaw.NONE);
         }
-        // With the peers cut from before only a leader that nobody promised anything could be
-        // passed by.
+        // With the peer links down from the start, nodes can confirm a cancellation that the leader
+        // lacks only where the leader relies on no promise of theirs.
         assertTrue(
                 confirmed > (fault == AdditionalFault.PEERS_CUT_BEFORE ? 2 : 8),
-                "only " + confirmed + " confirmed in that second");
+                "only " + confirmed + " confirmed before the outage");
     }
 
     /**
-     * Slow answers first, then the refusal of the leader alone, then the outage, while users cancel
-     * and ask all the time.
+     * The store is slow, then rejects the leader alone, then is down for all nodes, while users
+     * cancel jobs and query them at all nodes.
      */
     @Test
     void cancellationsAreConfirmedWhenSlowStoreRejectsLeaderThenFails() {
@@ -320,15 +325,15 @@
             cluster.run(FAULTS_START + 100 * SECOND);
             assertTrue(
                     cluster.closeLooks > 10,
-                    "only " + cluster.closeLooks + " close looks, seed " + seed);
+                    "only " + cluster.closeLooks + " reads at all nodes, seed " + seed);
             assertEquals(0, users.unconfirmed, users + ", seed " + seed);
         }
         assertTrue(confirmed > 3, "only " + confirmed + " confirmed before the outage");
     }
 
     /**
-     * What befalls the leader as many jobs are called off within a fifth of a second, some of whose
-     * machines hang.
+     * The fault of the leader while many jobs are cancelled within 0.2 s and some of their machines
+     * hang.
      */
     enum LeaderFault {
         ENDED {
@@ -380,13 +385,13 @@
             confirmed += cluster.observed.cancelledWhileRunning;
             cluster.run(cluster.loop.now() + 20 * SECOND);
         }
-        assertTrue(cancelled > 8, "only " + cancelled + " called off");
-        assertTrue(confirmed > 8, "only " + confirmed + " ran when that was confirmed");
+        assertTrue(cancelled > 8, "only " + cancelled + " cancelled");
+        assertTrue(confirmed > 8, "only " + confirmed + " confirmed while running");
     }
 
     /**
-     * While only the answers to transactions get lost, the node that was elected leads, and its
-     * words and records are found.
+     * Transactions commit but their answers are lost. Each elected node must stay leader, and the
+     * announcements of all nodes must be found in the store.
      */
     @Test
     void lostTransactionAnswersCauseNoExtraTerms() {
@@ -401,22 +406,23 @@
             cluster.run(FAULTS_START + 90 * SECOND);
             assertTrue(
                     cluster.lostAnswersMade > 30,
-                    "only " + cluster.lostAnswersMade + " lost, seed " + seed);
-            // As many terms as leaders ended: none was given up for an answer that was lost.
+                    "only " + cluster.lostAnswersMade + " answers lost, seed " + seed);
+            // Exactly one term per leader that ended: no leader gave up its term because of a lost
+            // answer.
             assertEquals(6, cluster.term() - term, "terms, seed " + seed);
             assertEquals(0, users.unconfirmed, users + ", seed " + seed);
             for (int node = 0; node < ClusterSimulation.NODES; node++) {
                 assertNotNull(
                         cluster.stored(
                                 StoreKeys.ROLLOUT_NODE_PREFIX + ClusterSimulation.label(node)),
-                        "no word of node " + node + ", seed " + seed);
+                        "no announcement of node " + node + ", seed " + seed);
             }
         }
     }
 
     /**
-     * The checker must be able to fail: nodes that name nothing, and a platform that is told three
-     * times the time that there is.
+     * Checks that the checker detects nodes that report no cancellations to the leader, and a
+     * service that is configured with three times the permitted time for cancelled tasks.
      */
     @ParameterizedTest
     @CsvSource({"VOUCHES_FOR_ANYTHING, HINTS_LOST, 50", "NONE, PEERS_CUT, 150"})
--- a/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
@@ -12,9 +12,10 @@
 import org.woadloom.sim.Scenario.Flaw;
 
 /**
- * The state service refuses the leader alone, others confirm cancellations, and then it is down for
- * all for longer than a cancelled task may stay, while workers go on reporting to that leader.
- * {@link InvariantChecker} checks {@code ran_cancelled}.
+ * The store rejects the leader alone, other nodes confirm cancellations, and then the store is down
+ * for all nodes for longer than a cancelled task may run, while agents keep reporting to that
+ * leader. The leader must learn of the cancellations from watermark reports or stop renewing
+ * leases; {@link InvariantChecker} checks {@code ran_cancelled}.
  */
 @ExtendWith(PrintReplayCommand.class)
 class CancellationWatermarkScenariosTest {
@@ -23,7 +24,7 @@
     private static final long OUTAGE_MICROS = 64_000_000;
     private static final long RUN_END = 200_000_000;
 
-    /** What else is lost in the gap. */
+    /** What else is lost between the rejection of the leader and the outage. */
     enum AdditionalLoss {
         NOTHING,
         HINTS,
@@ -55,7 +56,7 @@
         }
     }
 
-    /** The refusal begins, users cancel everything, and the outage comes. */
+    /** The store starts to reject the leader, users cancel all jobs, and the outage follows. */
     private static void rejectLeaderThenFailStore(
             ClusterSimulation cluster, long cancelAfterMicros) {
         cluster.refuseState(cluster.leader(), 14_000_000);
@@ -83,13 +84,13 @@
         if (loss == AdditionalLoss.NOTHING
                 || loss == AdditionalLoss.HINTS
                 || loss == AdditionalLoss.DIRECT_COMMANDS) {
-            assertTrue(confirmed > 3, "only " + confirmed + " confirmed in the gap");
+            assertTrue(confirmed > 3, "only " + confirmed + " confirmed before the outage");
         }
     }
 
     /**
-     * The leader learns of every cancellation from the others: nothing is rested, and no other work
-     * is lost.
+     * The leader learns of every cancellation from the other nodes, so it keeps renewing leases and
+     * no other task is killed.
      */
     @Test
     void otherTasksKeepRunningWhileNodesReachEachOther() {
@@ -114,11 +115,14 @@
             assertEquals(before, cluster.observed.killedByLease, "tasks killed, seed " + seed);
             cluster.run(RUN_END);
         }
-        assertTrue(confirmed > 3, "only " + confirmed + " confirmed in the gap");
+        assertTrue(confirmed > 3, "only " + confirmed + " confirmed before the outage");
         assertTrue(kept > 12, "only " + kept + " jobs ran on");
     }
 
-    /** An outage that ends for all but the leader, cancellations, and a second outage. */
+    /**
+     * An outage ends for all nodes but the leader, users cancel all jobs, and a second outage
+     * follows.
+     */
     @Test
     void cancelledTasksStopInTimeWhenOutageEndsForAllButLeader() {
         int confirmed = 0;
@@ -134,12 +138,12 @@
             confirmed += cluster.observed.cancelledWhileRunning;
             cluster.run(RUN_END);
         }
-        assertTrue(confirmed > 3, "only " + confirmed + " confirmed in the gap");
+        assertTrue(confirmed > 3, "only " + confirmed + " confirmed before the outage");
     }
 
     /**
-     * The process that confirmed ends at any step after that, and comes back without memory, soon,
-     * late or after the outage.
+     * The nodes that confirmed the cancellations end at various points after that, and restart
+     * without their in-memory state soon, late or after the outage.
      */
     @ParameterizedTest
     @CsvSource({
@@ -171,8 +175,9 @@
     }
 
     /**
-     * The leader can't write that jobs after a cancelled one are cancelled with it until the outage
-     * is over, which is later than their users may be told that they wait ({@code orphaned}).
+     * Until the outage is over the leader can't record that the dependents of a cancelled job are
+     * cancelled too. That is later than their users may be told that these jobs are queued ({@code
+     * orphaned}).
      */
     @Test
     void dependentsOfCancelledJobAreNotReportedQueuedDuringOutage() {
@@ -197,7 +202,10 @@
         assertTrue(polled > 3, "only " + polled + " jobs waited for a cancelled one");
     }
 
-    /** Twice in a row, and the leader has changed meanwhile or not. */
+    /**
+     * The store rejects the leader and fails twice in a row; the leader may have changed in
+     * between.
+     */
     @Test
     void cancelledTasksStopInTimeAcrossTwoStoreOutages() {
         for (long seed : Seeds.first(3)) {
@@ -210,8 +218,8 @@
     }
 
     /**
-     * A new leader is elected within the gap, and the one before goes on being asked by those that
-     * it still reaches.
+     * A new leader is elected before the outage while the former leader still serves the agents
+     * that reach it.
      */
     @Test
     void cancelledTasksStopInTimeWhenLeaderChangesBeforeOutage() {
@@ -226,7 +234,8 @@
     }
 
     /**
-     * The checker must be able to fail: nodes that name nothing leave the leader without knowledge.
+     * Checks that the checker detects nodes that report no cancellations, so that the leader does
+     * not learn of any.
      */
     @Test
     void checkerDetectsNodesThatReportNoCancellations() {
--- a/src/test/java/org/woadloom/sim/DamagedRecordTest.java
+++ b/src/test/java/org/woadloom/sim/DamagedRecordTest.java
@@ -13,14 +13,17 @@
 import org.woadloom.reads.QueryRefusal;
 import org.woadloom.reads.UnansweredQueries;
 
-/** A job whose record can't be read stays known, and one of which nobody is told is found. */
+/**
+ * A job whose stored record can't be read stays known to its users. Also covers the priority of
+ * jobs whose queries are refused repeatedly.
+ */
 @ExtendWith(PrintReplayCommand.class)
 class DamagedRecordTest {
     private static final long DAMAGE_MICROS = 60_000_000;
 
     /**
-     * An open job, with everything of its record damaged but the field that says whether it is
-     * cancelled.
+     * Replaces the record of an open job by an unreadable one in which only the {@code cancelled}
+     * field may be intact; returns the job's id.
      */
     private static String damageOpenJob(ClusterSimulation cluster, boolean cancelled) {
         String jobId =
@@ -57,7 +60,7 @@
         return answer.get("status");
     }
 
-    /** The leader writes what it knows in its place, and the job is done as if nothing had been. */
+    /** The leader rewrites the record from memory, and the job runs to completion. */
     @Test
     void leaderRewritesDamagedRecordOfKnownJob() {
         ClusterSimulation cluster = startCluster();
@@ -70,7 +73,10 @@
         assertEquals("done", requestStatus(cluster, 0, "GET", "/v1/jobs/" + jobId));
     }
 
-    /** No leader knows it any more: its users hear of it, and can be rid of it. */
+    /**
+     * After a restart of all nodes no leader knows the job: it is reported as queued, and users can
+     * cancel it.
+     */
     @Test
     void damagedJobUnknownToLeaderIsReportedQueuedAndCanBeCancelled() {
         ClusterSimulation cluster = startCluster();
@@ -105,7 +111,8 @@
     }
 
     /**
-     * UserCall about in vain for ten seconds while the store serves others, a job's users go first.
+     * After ten seconds of refused queries while the store answers others, queries of a job get
+     * priority.
      */
     @Test
     void jobRefusedForTenSecondsGetsPriority() {
@@ -124,6 +131,7 @@
         assertEquals(0, unanswered.longestUnansweredMicros());
         unanswered.onRefused("j-2", QueryRefusal.READ_UNANSWERED, true);
         unanswered.onRefused("j-2", QueryRefusal.READ_UNANSWERED, false);
-        assertEquals(0, unanswered.longestUnansweredMicros(), "an outage for all picks out nobody");
+        assertEquals(
+                0, unanswered.longestUnansweredMicros(), "a store outage gives no job priority");
     }
 }
--- a/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
@@ -22,8 +22,8 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * Each meeting of troubles that operators have seen a rule broken in, by itself and two at a time,
- * several times in a day; that it did occur is counted. The rules are checked after each step.
+ * Injects each fault that operators have seen break an invariant, alone and in pairs, three times
+ * per run, and checks that it took effect. The invariants are checked after each step.
  */
 @ExtendWith(PrintReplayCommand.class)
 class FaultCombinationsTest {
@@ -31,15 +31,15 @@
     private static final long FAULT_INTERVAL = 45_000_000;
     private static final int FAULT_REPEATS = 3;
 
-    /** {@code -Dseeds=30} tries more. */
+    /** {@code -Dseeds=30} overrides this number. */
     private static final long SEEDS = 3;
 
     private static final long FAULTS_END = FIRST_FAULT + FAULT_REPEATS * FAULT_INTERVAL;
 
     enum Fault {
         /**
-         * Copies of reports come from half a second to a minute late, also of sessions and attempts
-         * that are over.
+         * Duplicates of reports arrive 0.5 s to 60 s late, also from sessions and attempts that are
+         * over.
          */
         DELAYED_DUPLICATE_REPORTS {
             @Override
@@ -49,7 +49,7 @@
                 return () -> cluster.oldCopies;
             }
         },
-        /** The leader ends while jobs are done in part. */
+        /** The leader ends while some tasks of a job are done and others are not. */
         LEADER_ENDS_WITH_PARTLY_DONE_JOBS {
             @Override
             IntSupplier inject(ClusterSimulation cluster) {
@@ -60,8 +60,8 @@
             }
         },
         /**
-         * Transactions without an answer are carried out after newer ones; some change something
-         * still, others are void.
+         * Transactions without an answer are committed after newer ones; some still take effect,
+         * others fail their conditions.
          */
         LATE_WRITES {
             @Override
@@ -70,7 +70,7 @@
                 return () -> Math.min(cluster.lateWritesMade[0], cluster.lateWritesMade[1]);
             }
         },
-        /** All end, one returns at once, and leadership goes back and forth. */
+        /** All nodes end, one restarts at once, and leadership changes repeatedly. */
         REPEATED_LEADER_CHANGES {
             @Override
             IntSupplier inject(ClusterSimulation cluster) {
@@ -88,7 +88,10 @@
                 return () -> (int) (cluster.term() - before) - 2;
             }
         },
-        /** The state service refuses the leader alone, users cancel, and it is down for all. */
+        /**
+         * The store rejects the leader alone, users cancel jobs, and then the store is down for all
+         * nodes.
+         */
         STORE_REJECTS_LEADER_THEN_FAILS {
             @Override
             IntSupplier inject(ClusterSimulation cluster) {
@@ -98,8 +101,8 @@
             }
         },
         /**
-         * Commands and their answers are held up while machines hang, and are executed as they go
-         * on.
+         * Commands and their answers are delayed while machines hang, and are executed when the
+         * machines resume.
          */
         DELAYED_COMMANDS {
             @Override
@@ -116,7 +119,8 @@
             }
         },
         /**
-         * The leader ends while machines hang or hear nothing, and the new one can't reach them.
+         * The leader ends while machines hang or receive nothing, so that the new leader can't
+         * reach them.
          */
         LEADER_ENDS_WITH_UNREACHABLE_MACHINES {
             @Override
@@ -129,8 +133,8 @@
             }
         },
         /**
-         * The leader loses the state service and the other nodes, not its workers, and jobs are
-         * cancelled through another.
+         * The leader loses the store and the other nodes but not its agents, and users cancel jobs
+         * at another node.
          */
         ISOLATED_LEADER {
             @Override
@@ -147,8 +151,8 @@
             }
         },
         /**
-         * Users look at all nodes right after each answer, some cancel, leaders end, and the store
-         * refuses one node.
+         * Users query all nodes right after each answer, some cancel, leaders end, and the store
+         * rejects one node.
          */
         READS_AT_ALL_NODES {
             @Override
@@ -167,8 +171,7 @@
             }
         },
         /**
-         * Transactions are carried out and their answers lost, while other nodes read what they
-         * wrote.
+         * Transactions commit but their answers are lost, while other nodes read what they wrote.
          */
         LOST_ANSWERS {
             @Override
@@ -179,7 +182,8 @@
             }
         },
         /**
-         * One-task jobs come four a second, for two minutes in all, and a quarter are cancelled.
+         * Users submit four one-task jobs per second, two minutes in total, and cancel a quarter of
+         * them.
          */
         FOUR_JOBS_PER_SECOND {
             @Override
@@ -188,7 +192,7 @@
                 return increaseUntilNextFault(cluster, () -> cluster.oneTaskJobsCancelled);
             }
         },
-        /** Leaders change ten times in two minutes. */
+        /** The leader changes ten times in two minutes. */
         TEN_LEADER_CHANGES {
             @Override
             IntSupplier inject(ClusterSimulation cluster) {
@@ -197,7 +201,7 @@
                 return () -> changes.getAsInt() - 3;
             }
         },
-        /** The same while the store is down again and again, where leaders end as well. */
+        /** The same while the store has repeated outages, during which leaders end too. */
         TEN_LEADER_CHANGES_WITH_OUTAGES {
             @Override
             IntSupplier inject(ClusterSimulation cluster) {
@@ -210,7 +214,7 @@
                 return () -> ends.getAsInt() > 0 ? changes.getAsInt() - 3 : -10;
             }
         },
-        /** All controllers are away for longer than a lease. */
+        /** All controllers are down for longer than a lease. */
         ALL_CONTROLLERS_DOWN {
             @Override
             IntSupplier inject(ClusterSimulation cluster) {
@@ -224,7 +228,7 @@
                 return increaseUntilNextFault(cluster, () -> cluster.observed.killedByLease);
             }
         },
-        /** The store is slow while users cancel and look closely. */
+        /** The store is slow while users cancel jobs and query all nodes. */
         SLOW_STORE {
             @Override
             IntSupplier inject(ClusterSimulation cluster) {
@@ -238,7 +242,7 @@
             }
         },
         /**
-         * Urgent work and other waits for machines that are not to be had, and all links are slow.
+         * Urgent and normal jobs wait for machines that are not available, and all links are slow.
          */
         SCARCE_MACHINES_AND_SLOW_LINKS {
             @Override
@@ -259,11 +263,12 @@
         };
 
         /**
-         * Brings it about; what is returned tells in the end how often that has come to something.
+         * Injects the fault; the result, read at the end of the run, tells how often it took
+         * effect.
          */
         abstract IntSupplier inject(ClusterSimulation cluster);
 
-        /** By how much it has grown until the next one begins. */
+        /** The increase of a counter from now until shortly before the next fault. */
         private static IntSupplier increaseUntilNextFault(
                 ClusterSimulation cluster, IntSupplier count) {
             int before = count.getAsInt();
@@ -285,7 +290,7 @@
                                 assertTrue(times > 0, meeting + " did not occur, seed " + seed));
     }
 
-    /** Plays a day whole and returns how often each meeting came to something. */
+    /** Runs a whole simulation and returns how often each fault took effect. */
     private static Map<Fault, Integer> run(long seed, Scenario scenario, Set<Fault> faults) {
         ClusterSimulation cluster = new ClusterSimulation(seed, scenario);
         cluster.users.submitUntil(FAULTS_END);
@@ -341,10 +346,9 @@
     }
 
     /**
-     * The checks must be able to fail: what a broken service does in such a meeting is caught by
-     * the rule that it breaks. How often the meeting came to something is not asked here: without
-     * conditions no late write is ever void, and the broken rule itself is the proof that it
-     * occurred.
+     * Checks that the invariant that a flaw violates under this fault is reported. How often the
+     * fault took effect is not checked: a store that ignores conditions never rejects a late write,
+     * and the violation itself proves that the fault occurred.
      */
     @ParameterizedTest
     @CsvSource({
@@ -354,7 +358,8 @@
         "NO_CONDITIONS, TEN_LEADER_CHANGES, ''"
     })
     void checkerDetectsInjectedFlaw(Scenario.Flaw flaw, Fault fault, String violatedRule) {
-        // What the service itself would refuse is to be caught from outside as well.
+        // Assertions inside the service must not throw first: the flaw has to be detected from
+        // outside.
         System.clearProperty(Invariants.THROW_PROPERTY);
         InvariantViolation caught =
                 assertThrows(
@@ -373,9 +378,9 @@
     }
 
     /**
-     * A node's word without an answer used to be put unconditionally: carried out after the next
-     * one it hung the key on a grant that nobody renewed, and the node was taken to have none,
-     * which holds every rollout up for as long as it runs.
+     * A node used to rewrite its announcement unconditionally after a write without an answer.
+     * Committed after a newer write, it tied the key to a lease that nobody renewed; the node then
+     * counted as not announced, which blocks every rollout while it runs.
      */
     @Test
     void delayedAnnouncementWriteDoesNotReplaceNewerOne() {
@@ -389,7 +394,7 @@
                 assertNotNull(
                         cluster.stored(
                                 StoreKeys.ROLLOUT_NODE_PREFIX + ClusterSimulation.label(node)),
-                        "no word of node " + node + ", seed " + seed);
+                        "no announcement of node " + node + ", seed " + seed);
             }
         }
         assertTrue(late > 60, "only " + late + " late writes");
--- a/src/test/java/org/woadloom/sim/HttpFormsGoldenTest.java
+++ b/src/test/java/org/woadloom/sim/HttpFormsGoldenTest.java
@@ -18,8 +18,8 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * The answers of one node to users, workers and operators, over real sockets, and the names of its
- * metrics.
+ * Compares the responses of one node to users, agents and operators over real sockets, and the
+ * names of its metrics, with golden files.
  */
 class HttpFormsGoldenTest {
     private static final int MAX_ATTEMPTS = 5_000;
@@ -46,7 +46,10 @@
                 HttpResponse.BodyHandlers.ofByteArray());
     }
 
-    /** Asks until the node answers with the status: a node that has just started takes a moment. */
+    /**
+     * Repeats the request until the node answers with the status: a node that has just started
+     * takes a moment.
+     */
     private HttpResponse<byte[]> askUntil(int status, String method, String path, byte[] body)
             throws Exception {
         HttpResponse<byte[]> answer = ask(method, path, body);
@@ -126,7 +129,7 @@
         checkMetrics(ask("GET", "/metrics", null));
     }
 
-    /** The names with the names of their tags; what tags say depends on what was asked. */
+    /** Checks metric names with their tag names; tag values depend on the requests. */
     private static void checkMetrics(HttpResponse<byte[]> answer) throws MalformedMessageException {
         TreeSet<String> names = new TreeSet<>();
         Cbor.decodeJsonMap(answer.body())
--- a/src/test/java/org/woadloom/sim/JobLogLinesTest.java
+++ b/src/test/java/org/woadloom/sim/JobLogLinesTest.java
@@ -10,8 +10,8 @@
 import org.woadloom.core.SchedulerAction;
 
 /**
- * Programs that read the log find the lines of accepted, done and cancelled jobs, as words or as
- * {@code key=value}.
+ * Guards the log lines of accepted, done and cancelled jobs that log-reading programs match, as
+ * text or as {@code key=value}.
  */
 @ExtendWith(PrintReplayCommand.class)
 class JobLogLinesTest {
--- a/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
+++ b/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
@@ -28,8 +28,8 @@
 import org.woadloom.store.StoreLimits;
 
 /**
- * Users submit more than the store's rate of changes for a minute: three nodes, each with its
- * election and its users.
+ * Users submit more than the store's write rate allows for a minute, to three nodes that each have
+ * an election and a job API. Election and leader writes must not queue behind user writes.
  */
 class LeadershipUnderLoadTest {
     private static final long SECOND = 1_000_000;
@@ -48,13 +48,13 @@
     private final List<Node> nodes = new ArrayList<>();
     private final List<Submission> submissions = new ArrayList<>();
 
-    /** One submission, without its retries. */
+    /** One attempt to submit a job; retries are counted separately. */
     private static final class Submission {
         int status;
         long tookMicros = Long.MAX_VALUE;
     }
 
-    /** A node's process: its client of the store, its election and what users ask of it. */
+    /** One node process: its store client, its election and its job API. */
     private final class Node {
         final int index;
         boolean alive = true;
@@ -188,7 +188,9 @@
             };
         }
 
-        /** The leader's own record of work that ends: what it waits for is noted. */
+        /**
+         * Writes a record as the leader does when tasks end, and notes how long the write waited.
+         */
         void writeRecord() {
             long from = sim.now();
             writesRequested++;
@@ -286,8 +288,8 @@
     }
 
     /**
-     * Submits at a steady rate until the given time, at any node whose process is there; the users
-     * try again for a minute.
+     * Submits at a steady rate until the given time, to random running nodes; users retry for a
+     * minute.
      */
     private void submitUntil(long until, int perSecond) {
         if (sim.now() < until) {
@@ -335,7 +337,7 @@
         }
     }
 
-    /** The longest time without the leader key, from now until the given time. */
+    /** Runs until the given time; returns the longest time without a leader. */
     private long longestTimeWithoutLeader(long until) {
         long since = sim.now();
         long longest = 0;
@@ -349,7 +351,6 @@
         return longest;
     }
 
-    /** The leader keeps its key while users ask for more than the store takes. */
     @Test
     void leaderKeepsLeadershipWhenSubmissionsExceedStoreRate() {
         start();
@@ -359,8 +360,8 @@
     }
 
     /**
-     * Elections waited behind all users' changes of their nodes: nobody led before the backlog was
-     * gone.
+     * Election writes used to queue behind the user writes of their node, so that nobody led until
+     * the backlog was gone.
      */
     @Test
     void endedLeaderIsReplacedPromptlyUnderLoad() {
@@ -372,7 +373,7 @@
         assertTrue(gap > 0 && gap <= LEADER_LEASE + SECOND, "no leader for " + gap + " us");
     }
 
-    /** Work that ends has to be recorded, also while users' changes queue. */
+    /** Records of ended tasks must be written while user writes queue. */
     @Test
     void leaderWritesAreNotStarvedBySubmissions() {
         start();
@@ -391,7 +392,8 @@
     }
 
     /**
-     * Yes or no: nobody is kept waiting for longer than users wait, and the store's rate is used.
+     * Every submission is accepted or refused before its user gives up, and the store's rate is
+     * used.
      */
     @Test
     void everySubmissionIsAnsweredBeforeUserTimeout() {
@@ -404,7 +406,7 @@
         assertEquals(
                 0,
                 all.stream().filter(one -> one.tookMicros > USER_TIMEOUT).count(),
-                "late of " + submitted);
+                "late answers of " + submitted);
         assertTrue(
                 all.stream()
                         .allMatch(
--- a/src/test/java/org/woadloom/sim/LoopbackTest.java
+++ b/src/test/java/org/woadloom/sim/LoopbackTest.java
@@ -15,10 +15,7 @@
 import org.woadloom.protocol.Cbor;
 import org.woadloom.store.NodeAnnouncement;
 
-/**
- * One node over real sockets on the loopback address, with the stand-in of the state service behind
- * HTTP.
- */
+/** One node over real sockets on the loopback address, with a simulated store behind HTTP. */
 class LoopbackTest {
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
@@ -76,7 +73,7 @@
         }
         assertEquals(201, accepted);
         assertEquals(201, submit("j-2", "service", null));
-        // The other node that the settings name has given no word.
+        // The other node in the settings has not announced itself yet.
         assertEquals(503, submit("j-3", "batch", List.of("j-1")));
         NodeAnnouncement announcement =
                 new NodeAnnouncement(
@@ -116,8 +113,8 @@
         assertEquals(400, submit("j-4", "batch", List.of(1L)));
         assertEquals(422, submit("j-4", "batch", List.of("j-9")), "never accepted");
         assertEquals(422, submit("j-4", "batch", List.of("j-1", "no id")));
-        assertEquals(422, submit("j-4", "batch", List.of("j-4")), "itself");
-        assertEquals(422, submit("j-4", "batch", List.of("j-2")), "a service");
+        assertEquals(422, submit("j-4", "batch", List.of("j-4")), "depends on itself");
+        assertEquals(422, submit("j-4", "batch", List.of("j-2")), "depends on a service");
         assertEquals(404, send("GET", "/v1/jobs/j-4", null).statusCode());
         assertEquals(200, submit("j-3", "batch", List.of("j-9")), "a known job stays accepted");
         assertEquals(201, submit("j-5", "batch", List.of("j-3")));
@@ -128,7 +125,9 @@
         assertEquals("cancelled", status("j-3"));
         assertEquals("cancelled", status("j-5"));
         assertEquals(
-                201, submit("j-6", "batch", List.of("j-5")), "naming a cancelled job is accepted");
+                201,
+                submit("j-6", "batch", List.of("j-5")),
+                "a dependency on a cancelled job is accepted");
         for (int i = 0; !status("j-6").equals("cancelled") && i < 2_000; i++) {
             assertEquals("queued", status("j-6"));
         }
@@ -140,7 +139,8 @@
         start();
         assertEquals(200, send("GET", "/healthz", null).statusCode());
         HttpResponse<byte[]> accepted = send("POST", "/v1/jobs", job("team"));
-        // The machine types may take the node a moment; until then it says when to come back.
+        // The node may take a moment to load the machine types; until then it answers 503 with
+        // Retry-After.
         for (int i = 0; accepted.statusCode() == 503 && i < 5_000; i++) {
             assertEquals("1", accepted.headers().firstValue("Retry-After").orElse(""));
             accepted = send("POST", "/v1/jobs", job("team"));
--- a/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
@@ -21,19 +21,20 @@
 import org.woadloom.protocol.TaskId;
 
 /**
- * Machines that come too fast, too late or without being expected, and machines that are out of
- * touch in one way or another while the leader ends. Each meeting is counted; the rules are checked
- * after each step.
+ * Machines that boot very fast, boot late or were not requested by the current leader, and machines
+ * that are unreachable in various ways while the leader ends. Each test checks that its fault
+ * occurred; the invariants are checked after each step.
  */
 @ExtendWith(PrintReplayCommand.class)
 class MachineFaultCombinationsTest {
     private static final long FAULTS_START = 60_000_000;
 
     enum AgentFault {
-        /** It opens no connection; commands reach it and their answers arrive. */
+        /** The agent can't open connections; commands reach it and their answers arrive. */
         NO_OUTBOUND((agent, until) -> agent.closedInUntil = until),
-        /** Commands reach it, and nothing that it says arrives. */
+        /** Commands reach the agent, but nothing that it sends arrives. */
         MUTE((agent, until) -> agent.muteUntil = until),
+        /** Nothing reaches the agent, but its reports arrive. */
         DEAF((agent, until) -> agent.deafUntil = until),
         HANGS((agent, until) -> agent.hungUntil = until);
 
@@ -48,7 +49,7 @@
         }
     }
 
-    /** No other trouble than the one that the test makes; leases are 20 s. */
+    /** Starts a cluster without other faults than those of the test; leases are 20 s. */
     private static ClusterSimulation startCluster(long seed, Scenario.Times configuredTimes) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
@@ -67,8 +68,8 @@
     }
 
     /**
-     * One in so many of the machines at which tasks run; the others are those whose leases must not
-     * end.
+     * Injects the faults into every n-th machine that runs tasks and returns these machines; the
+     * leases of all others must not expire.
      */
     private static List<SimulatedAgent> injectIntoBusyMachines(
             ClusterSimulation cluster, List<AgentFault> faults, int oneIn, long forMicros) {
@@ -90,7 +91,7 @@
     }
 
     /**
-     * Those of the tasks that are neither done nor called off, and run on none of these machines.
+     * The tasks that are neither done nor cancelled, and run on no machine but the excluded ones.
      */
     private static List<TaskId> unfinishedElsewhere(
             ClusterSimulation cluster, Set<TaskId> tasks, List<SimulatedAgent> excluded) {
@@ -109,9 +110,8 @@
     }
 
     /**
-     * Out of touch for three leases, a tenth or a third of them, also across the end of the leader:
-     * no lease of another machine ends, and the work is done elsewhere long before the trouble is
-     * over.
+     * Some machines are unreachable for three leases, also while the leader changes: no lease of
+     * another machine expires, and the work is done elsewhere before the fault is over.
      */
     @ParameterizedTest
     @CsvSource({
@@ -148,24 +148,23 @@
             assertEquals(
                     0,
                     others.stream().mapToInt(agent -> agent.killedByLease).sum(),
-                    "killed on machines without trouble, seed " + seed);
+                    "tasks killed on machines without a fault, seed " + seed);
             assertEquals(
                     List.of(),
                     unfinishedElsewhere(cluster, tasks, faulty),
-                    "neither done nor elsewhere after 59 s, seed " + seed);
+                    "tasks neither done nor running elsewhere after 59 s, seed " + seed);
             faultyCount += faulty.size();
             affectedTasks += tasks.size();
-            // One team's limit has room for three of its larger tasks at a time, and seed 2 brings
-            // it many.
+            // Long, because one team's limit has room for only three of its larger tasks at a time,
+            // and seed 2 submits many of them.
             cluster.run(FAULTS_START + 420_000_000);
             assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
         }
         assertTrue(
                 faultyCount >= 2 && affectedTasks > 0,
-                faultyCount + " machines and " + affectedTasks + " tasks were out of touch");
+                faultyCount + " machines and " + affectedTasks + " tasks were affected");
     }
 
-    /** Shorter than a lease: nothing is killed anywhere. */
     @ParameterizedTest
     @EnumSource
     void faultShorterThanLeaseKillsNoTask(AgentFault fault) {
@@ -181,8 +180,8 @@
     }
 
     /**
-     * What answers commands is there, and its tasks go on until its lease ends: no machine is given
-     * up before.
+     * A machine that answers commands is alive, and its tasks run until its lease expires: it is
+     * not given up before.
      */
     @ParameterizedTest
     @ValueSource(ints = {10, 3})
@@ -202,7 +201,9 @@
         }
     }
 
-    /** The checker must be able to fail: a lease that is believed to be over too soon. */
+    /**
+     * Checks that the checker detects a service that assumes leases to be shorter than they are.
+     */
     @Test
     void checkerDetectsLeaseAssumedTooShort() {
         InvariantViolation caught =
@@ -224,8 +225,8 @@
     }
 
     /**
-     * All leases end; the first leader takes what is recorded for lost on proof, and starts it anew
-     * within seconds.
+     * All leases expire; the first leader then has proof that the recorded tasks are lost, and
+     * restarts them within seconds.
      */
     @Test
     void workRestartsWithinSecondsAfterAllControllersWereDown() {
@@ -256,12 +257,13 @@
             assertEquals(
                     List.of(),
                     unfinishedElsewhere(cluster, tasks, List.of()),
-                    "neither done nor begun anew, seed " + seed);
+                    "tasks neither done nor restarted, seed " + seed);
         }
     }
 
     /**
-     * Rentals and deletions are carried out seconds late, some of them for a leader that is gone.
+     * Rentals and deletions take effect seconds late, some of them after the leader that requested
+     * them is gone.
      */
     @Test
     void delayedRentalsAndDeletionsLeaveNoUnusedMachines() {
@@ -272,7 +274,7 @@
             cluster.observed.faultFreeFromMicros = 230_000_000;
             cluster.loop.after(3_000_000, () -> cluster.cloudLate(60, 150_000_000));
             for (long at = 25_000_000; at < 160_000_000; at += 14_000_000) {
-                // It is given up, and the leader that asks for its deletion ends.
+                // The leader gives up the hung machines and ends when it requests their deletion.
                 cluster.loop.after(
                         at - 12_000_000,
                         () ->
@@ -301,8 +303,8 @@
     }
 
     /**
-     * Machines are up at once and get work while writes and their answers lag; the leader ends, and
-     * some of the machines.
+     * Machines boot at once and get work while writes and their answers are delayed; leaders and
+     * some of the machines end.
      */
     @Test
     void jobsFinishWhenMachinesBootFastWhileWritesLagAndLeadersEnd() {
@@ -327,8 +329,9 @@
                                         .filter(agent -> !seen.contains(agent) && agent.started > 0)
                                         .forEach(
                                                 agent -> {
-                                                    // The first that is seen at work ends its
-                                                    // leader, every second one ends itself as well.
+                                                    // Every third machine that has started its
+                                                    // first task ends the leader; every second one
+                                                    // ends itself.
                                                     seen.add(agent);
                                                     newlyBusyAndKilled[0]++;
                                                     if (newlyBusyAndKilled[0] % 3 == 1) {
--- a/src/test/java/org/woadloom/sim/ManyJobsReadsTest.java
+++ b/src/test/java/org/woadloom/sim/ManyJobsReadsTest.java
@@ -17,7 +17,7 @@
 import org.woadloom.store.RecordFormat;
 import org.woadloom.store.StoreClient;
 
-/** The open jobs of some 4,000 machines are polled again and again at one node. */
+/** The open jobs of about 4,000 machines are polled repeatedly at one node. */
 class ManyJobsReadsTest {
     private static final int JOBS = 12_000;
     private static final long SECOND = 1_000_000;
@@ -69,7 +69,7 @@
         sim.run(sim.now() + 100);
     }
 
-    /** Asks for each job within five seconds. */
+    /** Reads every job once, within five seconds. */
     private void pollAll(CoalescingJobReader reads) {
         for (int number = 0; number < JOBS; number++) {
             reads.read(
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Jobs that were forgotten between two polls were read by key each time, at more requests than
-     * a node has.
+     * Jobs that were evicted between two polls were read by key each time, which exceeded a node's
+     * share of store requests.
      */
     @Test
     void repeatedPollsOfOpenJobsReadNoJobByKey() throws MalformedMessageException {
@@ -95,13 +95,13 @@
         pollAll(reads);
         sim.run(sim.now() + SECOND);
         assertEquals(JOBS, answered);
-        assertEquals(0, readsByKey, "reads by key for jobs that the pages have");
+        assertEquals(0, readsByKey, "reads by key for jobs that the list pages contain");
         pollAll(reads);
         sim.run(sim.now() + SECOND);
         assertEquals(2 * JOBS, answered);
         assertEquals(0, readsByKey, "reads by key for jobs that were polled before");
         reads.read(jobId(JOBS), shown -> {});
         sim.run(sim.now() + SECOND);
-        assertEquals(1, readsByKey, "reads by key for a job that is not there");
+        assertEquals(1, readsByKey, "reads by key for a job that does not exist");
     }
 }
--- a/src/test/java/org/woadloom/sim/PartitionedZoneTest.java
+++ b/src/test/java/org/woadloom/sim/PartitionedZoneTest.java
@@ -9,24 +9,27 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A zone is cut off from everything; the rules are checked after each step, as on random days. */
+/**
+ * A zone is partitioned from everything else. Its nodes may then renew the leases of its agents
+ * without a leader (delegated renewal). The invariants are checked after each step.
+ */
 @ExtendWith(PrintReplayCommand.class)
 class PartitionedZoneTest {
     private static final long PARTITION_START = 60_000_000;
 
-    /** Longer than a lease, and within what care can bridge. */
+    /** Longer than a lease, and short enough for delegated renewal to bridge. */
     private static final long BRIDGEABLE_MICROS = 27_000_000;
 
     private static final long RUN_END = 240_000_000;
 
-    /** Zone "a" has two of the three nodes, zone "b" one. */
+    /** Partitions a zone at PARTITION_START. Zone "a" has two of the three nodes, zone "b" one. */
     private static ClusterSimulation startWithPartition(long seed, String zone, long forMicros) {
         ClusterSimulation cluster = startCluster(seed);
         cluster.loop.after(PARTITION_START, () -> cluster.island(zone, forMicros));
         return cluster;
     }
 
-    /** No other trouble than the one that the test makes. */
+    /** Starts a cluster without other faults than those of the test. */
     private static ClusterSimulation startCluster(long seed) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
@@ -39,8 +42,8 @@
     }
 
     /**
-     * Lets the cut pass, and tells how many tasks leases killed from its beginning until a little
-     * after its end.
+     * Runs through the partition; returns how many tasks were killed by expired leases from its
+     * start until 2 s after its end.
      */
     private static int killedDuringPartition(ClusterSimulation cluster) {
         cluster.run(PARTITION_START - 1);
@@ -49,7 +52,7 @@
         return cluster.observed.killedByLease - before;
     }
 
-    /** The lease is 20 s: without care every task of the zone would be killed. */
+    /** The lease is 20 s: without delegated renewal every task of the zone would be killed. */
     @ParameterizedTest
     @ValueSource(strings = {"a", "b"})
     void tasksSurviveZonePartitionLongerThanLease(String zone) {
@@ -61,7 +64,7 @@
             assertEquals(0, killedDuringPartition(cluster), "tasks killed, seed " + seed);
             cluster.run(RUN_END);
         }
-        assertTrue(kept > 10, "only " + kept + " tasks were there to be kept");
+        assertTrue(kept > 10, "only " + kept + " tasks ran in the zone");
     }
 
     @Test
@@ -77,8 +80,8 @@
     }
 
     /**
-     * All leases are over within the time in which a cancelled task must be gone, however long the
-     * cut.
+     * All leases expire within the time in which a cancelled task must stop, however long the
+     * partition lasts.
      */
     @ParameterizedTest
     @ValueSource(longs = {55_000_000, 75_000_000})
@@ -90,7 +93,7 @@
             cluster.run(RUN_END);
             killed += cluster.observed.killedByLease;
         }
-        assertTrue(killed > 0, "no lease ended");
+        assertTrue(killed > 0, "no lease expired");
     }
 
     @Test
@@ -98,7 +101,7 @@
         for (long seed : Seeds.first(4)) {
             ClusterSimulation cluster = startWithPartition(seed, "b", 24_000_000);
             for (int retry = 1; retry < 5; retry++) {
-                // Open for less than it takes to connect again, or for a little more.
+                // The partition heals for less than it takes to reconnect, or for a little more.
                 long pause = retry % 2 == 0 ? 120_000 : 900_000;
                 cluster.loop.after(
                         PARTITION_START + retry * 24_000_000L + pause,
@@ -122,8 +125,8 @@
     }
 
     /**
-     * The only node of the zone ends and comes back during the cut: it knows nothing, and takes no
-     * care.
+     * The only node of the zone restarts during the partition: it has lost its state and renews no
+     * leases.
      */
     @Test
     void nodeRestartedDuringPartitionRenewsNoLeases() {
@@ -136,12 +139,12 @@
             assertFalse(cluster.tookCare[1], "seed " + seed);
             killed += cluster.observed.killedByLease;
         }
-        assertTrue(killed > 0, "no lease ended");
+        assertTrue(killed > 0, "no lease expired");
     }
 
     /**
-     * A process that cared ends before it can say so: the leader reckons with it until the next one
-     * began.
+     * A process that renewed leases ends before it can tell the leader. The leader must allow for
+     * these renewals until the node's next process has started.
      */
     @Test
     void leaderAccountsForRenewalsByEndedProcess() {
@@ -149,8 +152,7 @@
     }
 
     /**
-     * Machines hang in the middle of the cut and go on within the lease that a caretaker has
-     * renewed.
+     * Machines hang during the partition and resume within a lease that was renewed by delegation.
      */
     @Test
     void invariantsHoldWhenMachinesHangUnderDelegatedLease() {
@@ -158,8 +160,8 @@
     }
 
     /**
-     * Both times count from the beginning of the cut; the zone's node is started anew unless its
-     * time is negative.
+     * Times are relative to the start of the partition; a negative restart time means no restart of
+     * the zone's node.
      */
     private static void runWithHungMachines(
             long partitionMicros, long hangMicros, long restartMicros) {
@@ -174,7 +176,7 @@
         }
     }
 
-    /** One of the zone's two nodes ends in the middle of the cut; its workers move to the other. */
+    /** One of the zone's two nodes ends during the partition; its agents move to the other. */
     @Test
     void agentsMoveToOtherNodeOfPartitionedZone() {
         for (long seed : Seeds.first(4)) {
@@ -188,9 +190,9 @@
     }
 
     /**
-     * While the state service is down for all, nobody can be told of a cancellation, and the leader
-     * goes on. A node that is started meanwhile can't read what is agreed on; before it learned
-     * that from the leader, all leases ended.
+     * While the store is down for all nodes, nobody can be told of a cancellation, and the leader
+     * keeps renewing leases. A node that restarts during the outage can't read the agreed features;
+     * all leases expired before it learned them from the leader.
      */
     @Test
     void longStoreOutageExpiresNoLease() {
--- a/src/test/java/org/woadloom/sim/QuickRestartTest.java
+++ b/src/test/java/org/woadloom/sim/QuickRestartTest.java
@@ -9,8 +9,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Processes that end are there again within a fraction of a second; the rules are checked after
- * each step.
+ * Node processes restart within a fraction of a second; the invariants are checked after each step.
  */
 @ExtendWith(PrintReplayCommand.class)
 class QuickRestartTest {
@@ -27,8 +26,8 @@
     }
 
     /**
-     * It would take its own leadership up again each time, on its former process's grant, and never
-     * get to leading.
+     * A leader that restarts at once would resume its leadership on its former process's lease each
+     * time, and never get to lead.
      */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
@@ -48,7 +47,6 @@
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
-    /** Where nobody else is there the former leader's next process leads. */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void restartedLeaderLeadsAgainWhenNoOtherNodeRuns(long seed) {
--- a/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
@@ -21,8 +21,8 @@
 import org.woadloom.protocol.TaskId;
 
 /**
- * Troubles that meet while teams are at their limits or jobs are bound to a zone; that each did
- * occur is counted.
+ * Faults while teams are at their quota limits or jobs are bound to a zone; each test checks that
+ * its fault took effect.
  */
 @ExtendWith(PrintReplayCommand.class)
 class QuotaFaultCombinationsTest {
@@ -34,7 +34,7 @@
 
     enum Fault {
         /**
-         * All teams are at their limits, jobs are called off whose machines are cut off or hang,
+         * All teams are at their limits, jobs are cancelled whose machines are partitioned or hang,
          * and the leader changes twice.
          */
         CANCELLED_ON_UNREACHABLE_MACHINES {
@@ -61,8 +61,8 @@
             }
         },
         /**
-         * A team is at its limit as the leader changes, some of its machines can't be asked, and
-         * jobs there are called off only then.
+         * A team is at its limit when the leader changes, some machines are unreachable for the new
+         * leader, and jobs on them are cancelled only then.
          */
         CANCELLED_BEFORE_NEW_LEADER_REACHES_MACHINES {
             @Override
@@ -88,7 +88,10 @@
                 return () -> cancelled[0];
             }
         },
-        /** Old reports, of earlier sessions too, come to every node just as a new leader begins. */
+        /**
+         * Stale reports, some of earlier sessions, reach every node just after a new leader has
+         * been elected.
+         */
         STALE_REPORTS_FOR_NEXT_LEADER {
             @Override
             IntSupplier inject(ClusterSimulation cluster) {
@@ -101,8 +104,8 @@
             }
         },
         /**
-         * Reports are held back until a new leader has placed tasks, and then come to every node,
-         * some in a later session.
+         * Reports are delayed until a new leader has placed tasks, and then reach every node, some
+         * in a later session.
          */
         REPORTS_DELAYED_UNTIL_NEXT_LEADER_ACTED {
             @Override
@@ -111,8 +114,8 @@
                 int[] starts = {Integer.MAX_VALUE};
                 int[] arrived = {0};
                 List<byte[]> held = new ArrayList<>();
-                // What a refused command is answered with is a report; it never comes to whoever
-                // asked.
+                // A rejected command is answered with a report; this one never reaches whoever sent
+                // the command.
                 cluster.agents().forEach(machine -> held.add(cluster.copyOf(reportOf(machine))));
                 cluster.loop.after(300_000, () -> cluster.hangAll("b", 11_000_000));
                 cluster.loop.after(1_000_000, () -> cluster.endLeader(2_000_000));
@@ -139,8 +142,8 @@
             }
         },
         /**
-         * Jobs that may run in one zone only, arrays too, lose machines there, once before the
-         * leader ends.
+         * Jobs that may run in one zone only, arrays among them, lose their machines there; the
+         * leader ends shortly after.
          */
         JOBS_BOUND_TO_ONE_ZONE {
             @Override
@@ -167,7 +170,8 @@
         };
 
         /**
-         * Brings it about; what is returned tells in the end how often that has come to something.
+         * Injects the fault; the result, read at the end of the run, tells how often it took
+         * effect.
          */
         abstract IntSupplier inject(ClusterSimulation cluster);
     }
@@ -179,7 +183,7 @@
         return report;
     }
 
-    /** Calls off up to so many jobs that have a task on such a machine. */
+    /** Cancels up to {@code limit} jobs that have a task on a machine that meets the condition. */
     private static int cancelWhere(
             ClusterSimulation cluster, int limit, Predicate<SimulatedAgent> condition) {
         List<String> chosen =
@@ -194,7 +198,7 @@
         return chosen.size();
     }
 
-    /** Does it once, as soon as it is so; not after the given time. */
+    /** Runs the action once, as soon as the condition holds, unless the given time has passed. */
     private static void runOnceWhen(
             ClusterSimulation cluster,
             long until,
@@ -300,7 +304,8 @@
     }
 
     /**
-     * Where a team's limit has room for one task at a time, what its users asked for takes long.
+     * Runs until all jobs are finished, or for 1,500 s: a team whose limit has room for one task at
+     * a time takes long.
      */
     private static void runUntilJobsFinish(ClusterSimulation cluster) {
         while (cluster.loop.now() < FAULTS_END + 1_500_000_000
@@ -317,7 +322,7 @@
         for (long seed : Seeds.usually(SEEDS)) {
             seen += runAndAssertOccurred(seed, Scenario.TIGHT, Set.of(fault)).seen;
         }
-        assertTrue(seen > 0, "no job ever waited for a moment");
+        assertTrue(seen > 0, "no job was ever seen waiting while it could run");
     }
 
     @ParameterizedTest
@@ -330,7 +335,6 @@
         runAndAssertOccurred(Seeds.usualCount(SEEDS), Scenario.TIGHT, Set.of(one, other));
     }
 
-    /** Everything else at random besides. */
     @Test
     void invariantsHoldUnderRandomFaultsAtQuotaLimits() {
         int mostTeamsAtLimit = 0;
@@ -356,8 +360,11 @@
         }
         assertTrue(
                 copies > 0 && waited > 0,
-                copies + " old reports, " + waited + " times a job could have run");
-        assertEquals(2, mostTeamsAtLimit, "both teams were at their limits");
+                copies
+                        + " stale reports, "
+                        + waited
+                        + " observations of a job waiting while it could run");
+        assertEquals(2, mostTeamsAtLimit, "most teams at their limits at the same time");
     }
 
     private static Scenario scenarioWithConfiguredLease(long leaseMicros) {
@@ -406,7 +413,7 @@
                 Fault.REPORTS_DELAYED_UNTIL_NEXT_LEADER_ACTED);
     }
 
-    /** Nobody leads any more, and its machines are there. */
+    /** All controllers are down while the machines run. */
     @Test
     void checkerDetectsStarvedJobs() {
         ClusterSimulation cluster = new ClusterSimulation(1, Scenario.PLAIN);
--- a/src/test/java/org/woadloom/sim/RandomScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/RandomScenariosTest.java
@@ -13,16 +13,15 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.woadloom.store.RolloutRequest;
 
-/**
- * Seeded random days with every trouble the stand-ins know; the rules are checked after each step.
- */
+/** Seeded simulations with all random faults; the invariants are checked after each step. */
 @ExtendWith(PrintReplayCommand.class)
 class RandomScenariosTest {
     private static final long FAULTS_END = 180_000_000;
     private static final long FAULT_FREE_MICROS = 600_000_000;
 
     /**
-     * A few by default, so that every build tries the same days; {@code -Dseeds=500} tries more.
+     * Twelve seeds by default, so that every build runs the same ones; {@code -Dseeds=500} runs
+     * more.
      */
     static LongStream seeds() {
         return LongStream.of(Seeds.usually(12));
@@ -46,10 +45,10 @@
         cluster.users.submitUntil(FAULTS_END);
         cluster.randomFaults.startUntil(FAULTS_END);
         cluster.upgradeNodes(FAULTS_END);
-        // Chains end later than single jobs.
+        // Pipelines of dependent jobs take longer than single jobs.
         cluster.run(FAULTS_END + 2 * FAULT_FREE_MICROS);
         assertTrue(cluster.observed.starts > 50, "only " + cluster.observed.starts + " starts");
-        assertTrue(cluster.observed.releases > 0, "no job waited for another");
+        assertTrue(cluster.observed.releases > 0, "no dependent job was released");
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
@@ -65,7 +64,7 @@
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
-    /** Any node is replaced by either version at any time; in the end all run this one. */
+    /** Nodes are replaced by either version at random times; in the end all run this one. */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
     void invariantsHoldDuringRandomUpgradesAndDowngrades(long seed) {
@@ -76,7 +75,8 @@
         cluster.run(FAULTS_END + FAULT_FREE_MICROS);
         assertEquals(List.of(), cluster.unfinishedJobs());
         if (machineLifecycleState(cluster).get("held") != null) {
-            // Nodes kept ending while it was on: that is for an operator to judge.
+            // Nodes crashed repeatedly after the feature was switched on, so the rollout is held
+            // until an operator resumes it.
             cluster.put(
                     "rollout/asked/machine-life",
                     new RolloutRequest(RolloutRequest.Verb.GO, "test", 0).toMap());
@@ -90,7 +90,6 @@
                 ((Map<?, ?>) cluster.stored("rollout/state").get("features")).get("machine-life");
     }
 
-    /** The checker must be able to fail. */
     @Test
     void checkerDetectsRecordFormatWrittenTooEarly() {
         InvariantViolation caught =
@@ -135,14 +134,14 @@
                                             scenarioWithConfiguredTimes(
                                                     Scenario.SHORT.leaseMicros(),
                                                     3 * Scenario.SHORT.cancelMicros()));
-                            // Replicas that run in the zone when it is cut off are what the node
-                            // there cares for.
+                            // The node of the zone renews leases only for replicas that run there
+                            // when the partition starts.
                             cluster.servicesStay = true;
                             cluster.users.submitUntil(FAULTS_END);
                             cluster.run(60_000_000);
                             assertTrue(
                                     cluster.observed.tasksIn("b") > 3,
-                                    "hardly anything runs in the zone");
+                                    "too few tasks run in the zone");
                             cluster.island("b", 70_000_000);
                             cluster.loop.after(200_000, cluster.users::cancelAll);
                             cluster.run(FAULTS_END);
--- a/src/test/java/org/woadloom/sim/RolloutTest.java
+++ b/src/test/java/org/woadloom/sim/RolloutTest.java
@@ -22,8 +22,8 @@
 import org.woadloom.store.RolloutRequest.Verb;
 
 /**
- * Features are rolled out while nodes, machines and the store fail; the rules are checked after
- * each step.
+ * Features are rolled out while nodes, machines and the store fail; the invariants are checked
+ * after each step.
  */
 @ExtendWith(PrintReplayCommand.class)
 class RolloutTest {
@@ -55,7 +55,7 @@
         cluster.put("rollout/asked/machine-life", new RolloutRequest(verb, "test", 0).toMap());
     }
 
-    /** Runs until the feature is as far as the given step, or for two minutes. */
+    /** Runs until the feature has reached the step; fails after two minutes. */
     private static void runUntilStep(ClusterSimulation cluster, Step step) {
         long until = cluster.loop.now() + 120 * SECOND;
         while (step(cluster).compareTo(step) < 0 && cluster.loop.now() < until) {
@@ -69,32 +69,31 @@
         ClusterSimulation cluster = startCluster(5, Version.NOW);
         request(cluster, Verb.HOLD);
         cluster.run(20 * SECOND);
-        assertEquals(Step.OFF, step(cluster), "held");
+        assertEquals(Step.OFF, step(cluster), "switched on in spite of a hold request");
         assertEquals(0, cluster.machineRecords()[1]);
         request(cluster, Verb.GO);
         cluster.run(24 * SECOND);
-        assertTrue(stateOf(cluster, Feature.MACHINE_LIFECYCLE).isOn(), "hurried");
+        assertTrue(
+                stateOf(cluster, Feature.MACHINE_LIFECYCLE).isOn(),
+                "not switched on by a go request");
         request(cluster, Verb.BACK);
         if (step(cluster) != Step.SETTLED) {
             cluster.run(70 * SECOND);
-            assertEquals(Step.OFF, step(cluster), "taken back");
+            assertEquals(Step.OFF, step(cluster), "not switched off by a back request");
             assertEquals(0, cluster.machineRecords()[1], "records of the feature are left");
         }
         request(cluster, Verb.AUTO);
         runUntilStep(cluster, Step.SETTLED);
         request(cluster, Verb.BACK);
         cluster.run(cluster.loop.now() + 30 * SECOND);
-        assertEquals(Step.SETTLED, step(cluster), "settled stays settled");
+        assertEquals(Step.SETTLED, step(cluster), "a settled feature was switched back");
         assertEquals(
                 cluster.machineRecords()[0],
                 cluster.machineRecords()[1],
                 "records of the old form are left");
     }
 
-    /**
-     * Every trouble there is, in the middle of a step forward and of a step back; one node's time
-     * of day is far off.
-     */
+    /** All random faults during steps forward and back; the clock of one node is 400 s off. */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstSix")
     void rolloutSettlesWhenSteppedBackAndForthUnderFaults(long seed) {
@@ -119,8 +118,8 @@
     }
 
     /**
-     * A node comes back as an earlier version at each step: nothing is switched on with it, and all
-     * goes on after it.
+     * A node is downgraded to an earlier version at each step: the feature does not advance with
+     * it, and the rollout continues after its upgrade.
      */
     @ParameterizedTest
     @EnumSource(Step.class)
@@ -145,8 +144,8 @@
     }
 
     /**
-     * What comes back after everything went down half-way; with the first, three versions run side
-     * by side.
+     * The versions with which the nodes restart in the middle of an upgrade; seed 1 mixes three
+     * versions.
      */
     private static List<Version> mixedVersions(long seed) {
         return switch ((int) seed) {
@@ -156,7 +155,10 @@
         };
     }
 
-    /** Everything goes down half-way, half of it comes back old, and the store is away as well. */
+    /**
+     * All nodes end in the middle of an upgrade, some restart with an old version, and the store is
+     * down as well.
+     */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void rolloutSettlesAfterFullRestartIntoMixedVersions(long seed) {
@@ -169,7 +171,7 @@
         }
         cluster.stateOutage(8 * SECOND);
         cluster.run(70 * SECOND);
-        assertNull(cluster.stored("version/agreed"), "agreed with an old node");
+        assertNull(cluster.stored("version/agreed"), "version agreed on with an old node");
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
             cluster.replace(i, Version.NOW, (1 + 3 * i) * SECOND);
         }
@@ -178,7 +180,10 @@
         runUntilStep(cluster, Step.SETTLED);
     }
 
-    /** Zone "b" is cut off in the middle with its only node, an old or a new one. */
+    /**
+     * Zone "b" is partitioned with its only node, an old or a new one, before the rollout may
+     * proceed.
+     */
     @ParameterizedTest
     @EnumSource(
             value = Version.class,
@@ -198,7 +203,7 @@
         runUntilStep(cluster, Step.SETTLED);
     }
 
-    /** A damaged record among the others is neither lost nor passed over. */
+    /** A damaged record is neither deleted nor skipped. */
     @Test
     void unreadableRecordIsKeptAndBlocksSettling() {
         ClusterSimulation cluster = startCluster(8, Version.NOW);
@@ -210,7 +215,10 @@
         runUntilStep(cluster, Step.SETTLED);
     }
 
-    /** What a later version requires, in a record that this one can't read otherwise. */
+    /**
+     * A later version requires a feature that this one does not know, in a rollout record that is
+     * otherwise unreadable for this version.
+     */
     @Test
     void nodesLackingRequiredFeatureStopServing() {
         ClusterSimulation cluster = startCluster(3, Version.NOW);
@@ -225,7 +233,7 @@
                         List.of("compact-records", "from-the-future"),
                         "features",
                         Map.of("from-the-future", Map.of("step", "sideways"))));
-        // A watch that was cut off is opened again after ten seconds.
+        // A broken watch is reopened after ten seconds.
         cluster.run(cluster.loop.now() + 12 * SECOND);
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
             assertEquals(503, cluster.status(i, "GET", "/healthz", null), "node " + i);
@@ -244,14 +252,15 @@
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
             assertEquals(200, cluster.status(i, "GET", "/healthz", null), "node " + i);
         }
-        assertNotEquals(term, String.valueOf(cluster.stored("term")), "nobody leads again");
+        assertNotEquals(
+                term, String.valueOf(cluster.stored("term")), "no leader was elected again");
         cluster.run(SUBMISSIONS_END + 300 * SECOND);
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
     /**
-     * One node's settings name a node that nobody else's do: it has to be there, or to be named no
-     * more.
+     * One node's settings name a peer that the settings of the others don't: features stay off
+     * until that peer exists or is no longer named.
      */
     @Test
     void inconsistentPeerSettingsKeepFeaturesOff() {
--- a/src/test/java/org/woadloom/sim/ServiceLevelTest.java
+++ b/src/test/java/org/woadloom/sim/ServiceLevelTest.java
@@ -18,8 +18,8 @@
 import org.woadloom.core.reservation.Reservations;
 
 /**
- * Sixteen teams of which one floods the service, while machines and controllers fail: nobody is
- * left out.
+ * Sixteen teams, one of which floods the service with jobs, while machines and controllers fail: no
+ * team and no job class starves.
  */
 @ExtendWith(PrintReplayCommand.class)
 class ServiceLevelTest {
@@ -32,7 +32,8 @@
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.CROWD);
         cluster.users.submitUntil(FAULTS_END, 4);
         cluster.randomFaults.startMachineFaultsUntil(FAULTS_END);
-        // The flood asks for more than there is: a part of its own jobs still waits then.
+        // The flooding team asks for more than there is, so that some of its own jobs still wait at
+        // the end.
         cluster.run(FAULTS_END + 120_000_000);
         Map<String, int[]> served = new TreeMap<>();
         for (String jobId : cluster.observed.acceptedJobs()) {
@@ -57,12 +58,12 @@
                                 !group.startsWith("team")
                                         || group.endsWith("crowd-0")
                                         || count[0] * 4 < flood,
-                                group + " is no smaller than the flood"));
+                                group + " has at least a quarter of the flooding team's jobs"));
     }
 
     /**
-     * A team floods with services that nobody cancels; its arrays get their share of its limit all
-     * the same.
+     * A team submits many services that nobody cancels; its arrays must still get a share of the
+     * team's limit.
      */
     @ParameterizedTest
     @CsvSource({"0,1", "14,2"})
@@ -83,7 +84,7 @@
         int before = finishedArraysOf(cluster, crowd);
         cluster.run(FAULTS_END + 240_000_000);
         int over = finishedArraysOf(cluster, crowd) - before;
-        assertTrue(over >= 12, over + " arrays of the team were done in four minutes at its limit");
+        assertTrue(over >= 12, over + " arrays finished in four minutes at the team's limit");
     }
 
     private static int finishedArraysOf(ClusterSimulation cluster, int crowd) {
@@ -100,8 +101,8 @@
     }
 
     /**
-     * The largest tenth of a class, and how long those waited; what an earlier leader placed has
-     * not waited until now.
+     * Covers the largest tenth of the jobs of a class. A task that an earlier leader placed must
+     * not count as having waited until now.
      */
     @Test
     void leaderLogsServiceLevelOfLargestJobs() {
@@ -134,7 +135,7 @@
                         "done=0"));
     }
 
-    /** What the leader tells is counted once a minute, and only what it has seen. */
+    /** The report comes once a minute and counts only what this leader has seen. */
     @Test
     void leaderPublishesServiceLevelsOncePerMinute() {
         SchedulerFixture fixture = new SchedulerFixture();
@@ -147,7 +148,7 @@
         fixture.state.serviceLevels().onJobEnded(ended);
         fixture.advance(30_000_000);
         fixture.state.serviceLevels().reportIfDue();
-        assertTrue(fixture.actions().isEmpty(), "told before its time");
+        assertTrue(fixture.actions().isEmpty(), "reported before a minute had passed");
         fixture.advance(45_000_000);
         fixture.state.serviceLevels().reportIfDue();
         SchedulerAction.PublishServiceLevels seen =
--- a/src/test/java/org/woadloom/sim/StatusRecoveryTest.java
+++ b/src/test/java/org/woadloom/sim/StatusRecoveryTest.java
@@ -23,8 +23,9 @@
 import org.woadloom.store.StoreLimits;
 
 /**
- * The open jobs of some 4,000 machines are polled at three nodes in turn, before and after the
- * nodes can't read the store or are all restarted.
+ * The open jobs of about 4,000 machines are polled at three nodes in turn while the nodes can't
+ * read the store or all restart. Guards against jobs whose polls stay unanswered after the fault is
+ * over.
  */
 class StatusRecoveryTest {
     private static final long SECOND = 1_000_000;
@@ -33,13 +34,18 @@
     private static final long POLL_INTERVAL = 5 * SECOND;
     private static final long USER_TIMEOUT = 2 * SECOND;
 
-    /** A job without an answer for longer, once all troubles are over, counts as forgotten. */
+    /**
+     * A job whose polls get no answer for longer than this after the end of all faults counts as
+     * forgotten.
+     */
     private static final long MAX_UNANSWERED = 75 * SECOND;
 
-    /** Longer than a node may miss changes at these limits: 25 s. */
+    /** Longer than the 25 s for which a node may miss changes at these limits. */
     private static final long OUTAGE_MICROS = 30 * SECOND;
 
-    /** Shorter than that, and longer than it takes until a job's queries get priority. */
+    /**
+     * Shorter than these 25 s, and longer than it takes until the queries of a job get priority.
+     */
     private static final long SILENCE_MICROS = 20 * SECOND;
 
     private static final int WARM_UP_JOBS_PER_SECOND = 20;
@@ -147,7 +153,7 @@
                 LIMITS);
     }
 
-    /** The store's network and its limit of requests, which all nodes share. */
+    /** Simulates the network to the store, and its request rate limit, which all nodes share. */
     private void request(
             String address,
             String method,
@@ -187,7 +193,7 @@
         return true;
     }
 
-    /** Has every node read all jobs, more slowly than any limit. */
+    /** Has every node read all jobs, more slowly than any rate limit. */
     private void warmUp() {
         for (int job = 0; job < JOBS; job++) {
             for (int node = 0; node < NODES; node++) {
@@ -213,7 +219,7 @@
                         });
     }
 
-    /** The user of each job asks every five seconds, at each node in turn. */
+    /** Polls each job every five seconds, at each node in turn. */
     private void startPolling() {
         for (int job = 0; job < JOBS; job++) {
             poll(job, random.nextInt(NODES), random.nextInt((int) POLL_INTERVAL));
@@ -233,7 +239,7 @@
         startPolling();
         sim.run(sim.now() + FAULT_FREE_MICROS);
         long since = sim.now() - 2 * POLL_INTERVAL;
-        assertEquals(0, unansweredSince(since), "jobs unanswered before any trouble");
+        assertEquals(0, unansweredSince(since), "jobs unanswered before any fault");
         assertTrue(answers > JOBS, answers + " answers");
     }
 
@@ -241,7 +247,10 @@
         return Arrays.stream(lastAnswered).filter(answered -> answered < since).count();
     }
 
-    /** Runs until every job is answered after the troubles' end, or the bound has passed. */
+    /**
+     * Runs until every job has been answered since now, the end of all faults; fails after {@link
+     * #MAX_UNANSWERED}.
+     */
     private void assertAllAnsweredAgain() {
         long end = sim.now();
         answers = 0;
@@ -254,7 +263,7 @@
                 unansweredSince(end),
                 () ->
                         String.format(
-                                "jobs unanswered %d s after the end of all troubles;"
+                                "jobs unanswered %d s after the end of all faults;"
                                         + " %d polls answered, %d not",
                                 (sim.now() - end) / SECOND, answers, refusals));
     }
@@ -297,11 +306,15 @@
         node.status("no job's id", response -> statuses.add(response.status()));
         node.cancel("no job's id", response -> statuses.add(response.status()));
         node.submit(new byte[] {1, 2, 3}, response -> statuses.add(response.status()));
-        assertEquals(List.of(NOT_FOUND, NOT_FOUND, BAD_REQUEST), statuses, "answers at once");
+        assertEquals(
+                List.of(NOT_FOUND, NOT_FOUND, BAD_REQUEST), statuses, "statuses answered at once");
         storeSilent = false;
         sim.run(sim.now() + MAX_UNANSWERED);
         node.status(jobId(JOBS), response -> statuses.add(response.status()));
         sim.run(sim.now() + USER_TIMEOUT);
-        assertEquals(NOT_FOUND, statuses.get(statuses.size() - 1), "a job that nobody submitted");
+        assertEquals(
+                NOT_FOUND,
+                statuses.get(statuses.size() - 1),
+                "status of a job that nobody submitted");
     }
 }
--- a/src/test/java/org/woadloom/sim/ThreeZonesTest.java
+++ b/src/test/java/org/woadloom/sim/ThreeZonesTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Three zones with a controller in each, which fail in pairs; the rules are checked after each
+ * Three zones with a controller in each, which fail in pairs; the invariants are checked after each
  * step.
  */
 @ExtendWith(PrintReplayCommand.class)
@@ -38,8 +38,8 @@
     }
 
     /**
-     * The cut is longer than leases may be renewed; meanwhile the other two nodes take over from
-     * each other.
+     * The partition is longer than leases may be renewed by delegation; meanwhile the other two
+     * nodes restart in turn.
      */
     @ParameterizedTest
     @CsvSource({"1,true", "2,false", "3,true", "4,false"})
@@ -54,7 +54,10 @@
         assertAllJobsFinish(cluster);
     }
 
-    /** Both reach the third zone: leadership settles, and nobody's work is lost. */
+    /**
+     * Both zones still reach the third one: at most one new term is taken, and hardly any task is
+     * killed.
+     */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
     void leadershipSettlesWhenLeaderZoneCannotReachAnotherZone(long seed) {
@@ -78,8 +81,7 @@
     }
 
     /**
-     * Every controller ends while the state service is down, and a third of a zone's machines are
-     * gone without notice.
+     * All controllers end while the store is down, and every third machine is lost without notice.
      */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
@@ -100,7 +102,10 @@
         assertAllJobsFinish(cluster);
     }
 
-    /** Services must spread, one zone is dark, and what comes has only two left. */
+    /**
+     * Services must spread across zones, but one zone is partitioned; the controllers must not rent
+     * machines without bound for them.
+     */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void servicesSubmittedDuringZonePartitionStartInOtherZones(long seed) {
@@ -111,15 +116,14 @@
         int before = cluster.rented();
         cluster.run(FAULTS_START + 40_000_000);
         assertTrue(
-                cluster.rented() - before <= 28,
-                "rented meanwhile: " + (cluster.rented() - before));
+                cluster.rented() - before <= 28, "machines rented: " + (cluster.rented() - before));
         assertAllJobsFinish(cluster);
     }
 
     /**
-     * A node is left with its zone's workers while its zone's way to another is cut as well. Its
-     * leases end in time for what was cancelled meanwhile; the new leader's first answer renewed
-     * them once more and halted nothing (ran_cancelled).
+     * A node is isolated with its zone's agents while its zone is also partitioned from another.
+     * Its leases must expire in time for tasks cancelled meanwhile; the new leader's first answer
+     * used to renew them once more and stopped nothing (ran_cancelled).
      */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
--- a/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
@@ -12,15 +12,15 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Workers that hear nothing, or of whom nothing is heard, and a controller that is left with its
- * workers alone.
+ * Agents that receive nothing (deaf) or from which nothing arrives (mute), and a controller that is
+ * isolated with only its agents.
  */
 @ExtendWith(PrintReplayCommand.class)
 class UnreachableAgentScenariosTest {
     private static final long FAULTS_START = 60_000_000;
     private static final long RECOVERY_MICROS = 600_000_000;
 
-    /** The lease is 20 s; no other trouble than the one that the test makes. */
+    /** Starts a cluster with 20 s leases and no other faults than those of the test. */
     private static ClusterSimulation startCluster(long seed) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
@@ -40,7 +40,10 @@
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
-    /** Shorter than a lease: nothing is lost, and nothing is rented or returned for it. */
+    /**
+     * The fault is shorter than a lease: no task is killed and no machine is rented or returned
+     * because of it.
+     */
     @Test
     void zoneDeafForLessThanLeaseLosesNoTask() {
         int wereDeaf = 0;
@@ -57,7 +60,8 @@
             returned += (int) deaf.stream().filter(agent -> agent.dead).count();
             assertAllJobsFinish(cluster);
         }
-        // Idle ones may have been returned meanwhile: on one day alone that may be most of a few.
+        // Idle machines may be returned meanwhile; in a single run that may be most of the few deaf
+        // ones.
         assertTrue(returned * 2 <= wereDeaf, returned + " of " + wereDeaf + " were returned");
     }
 
@@ -73,8 +77,8 @@
     }
 
     /**
-     * The checker must be able to fail: what is on its way to a deaf worker is executed once it
-     * hears again.
+     * Checks that the checker detects deaf agents whose reports claim that they receive: commands
+     * on the way to a deaf agent are executed once it receives again.
      */
     @Test
     void checkerDetectsDeafAgentsThatAppearReachable() {
@@ -107,7 +111,7 @@
                 caught.getMessage());
     }
 
-    /** A machine that stays deaf costs money for nothing, and is replaced. */
+    /** A machine that stays deaf costs money but does no work. */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
     void permanentlyDeafMachinesAreReplaced(long seed) {
@@ -131,8 +135,8 @@
     }
 
     /**
-     * It tells the load balancer at once, its workers go to the others within a lease, and it leads
-     * no more.
+     * The isolated leader fails its health check at once, its agents move to the other nodes within
+     * a lease, and it no longer leads.
      */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstSix")
@@ -153,7 +157,7 @@
     }
 
     /**
-     * Alone, a node that does not lead may care for its zone's workers, but not keep them from a
+     * An isolated follower may renew the leases of its zone's agents, but must not keep them from a
      * leader that reaches them.
      */
     @ParameterizedTest
@@ -172,7 +176,7 @@
         assertAllJobsFinish(cluster);
     }
 
-    /** In an outage for all, nobody is better off elsewhere. */
+    /** When the store is down for all nodes, a load balancer gains nothing by moving traffic. */
     @Test
     void nodesStayHealthyDuringFullStoreOutage() {
         ClusterSimulation cluster = startCluster(1);
@@ -183,7 +187,7 @@
         }
     }
 
-    /** Candidates, voters and former leaders end in the middle of it, and are back 50 ms later. */
+    /** Candidates, voters and former leaders end during elections and restart 50 ms later. */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
     void leaderIsElectedWhenNodesRestartDuringElections(long seed) {
--- a/src/test/java/org/woadloom/sim/UserFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/UserFaultCombinationsTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * What users ask meets what just happened to their jobs; that it did is counted, and the rules are
- * checked after each step.
+ * User requests that race with changes of their jobs; each test checks that the race occurred, and
+ * the invariants are checked after each step.
  */
 @ExtendWith(PrintReplayCommand.class)
 class UserFaultCombinationsTest {
@@ -21,7 +21,7 @@
 
     enum Fault {
         /**
-         * A cancellation, questions and a repeated submission meet the end of a job's last task.
+         * A cancellation, queries and a repeated submission race with the end of a job's last task.
          */
         REQUESTS_AS_LAST_TASK_ENDS {
             @Override
@@ -36,8 +36,8 @@
             }
         },
         /**
-         * Submissions of known jobs come again, also with a field missing, and jobs that can't run
-         * or lack a field.
+         * Users repeat submissions of known jobs, some with a field missing, and submit jobs that
+         * can't run or lack a field.
          */
         REPEATED_AND_INVALID_REQUESTS {
             @Override
@@ -51,8 +51,8 @@
             }
         },
         /**
-         * Transactions are carried out, their answers are lost, and other nodes are asked for what
-         * they wrote.
+         * Transactions commit but their answers are lost, and other nodes are asked for what they
+         * wrote.
          */
         LOST_ANSWERS {
             @Override
@@ -77,7 +77,7 @@
         cluster.users.submitUntil(FAULTS_START + FAULT_MICROS);
         cluster.observed.faultFreeFromMicros = FAULTS_START + FAULT_MICROS + 60_000_000;
         cluster.loop.after(FAULTS_START, () -> fault.inject(cluster));
-        // A team at its limit has work left for minutes: three tasks of its large jobs at a time.
+        // Long, because a team at its limit runs only three tasks of its large jobs at a time.
         cluster.run(FAULTS_START + FAULT_MICROS + 500_000_000);
         return cluster;
     }
@@ -102,7 +102,7 @@
                 return e.getMessage();
             }
         }
-        return "no rule was broken";
+        return "no invariant was violated";
     }
 
     @Test
--- a/src/test/java/org/woadloom/sim/UserWritesTest.java
+++ b/src/test/java/org/woadloom/sim/UserWritesTest.java
@@ -24,8 +24,8 @@
 import org.woadloom.store.RecordFormat;
 
 /**
- * What users hear of submissions and cancellations whose transactions have no answer, or a late
- * one; and of types added since.
+ * Responses to submissions and cancellations whose store transactions get no answer or a late one,
+ * and to jobs that need machine types that were added later.
  */
 class UserWritesTest {
     private static final ServiceSettings.Store LIMITS =
@@ -48,8 +48,8 @@
     private final Random random = new Random(11);
 
     /**
-     * How many of a hundred transactions have no answer; they are carried out so much later, or
-     * never if below 0.
+     * The percentage of transactions that get no answer. They commit after {@link
+     * #commitDelayMicros}, or never if that is negative.
      */
     private int unansweredPercent;
 
@@ -60,7 +60,7 @@
     private final Map<String, Integer> hints = new LinkedHashMap<>();
     private List<MachineType> types = List.of(TYPE);
 
-    /** What the cloud would say, null in an outage of it. */
+    /** The machine types that the cloud offers, or null while it is down. */
     private List<MachineType> offeredTypes = types;
 
     private int typeRefreshes;
@@ -107,7 +107,7 @@
                                     Integer::sum),
                     (jobId, patience, answer) -> answer.accept(true));
 
-    /** What one request came to. */
+    /** A user's request and its response. */
     private static final class UserCall {
         final String jobId;
         Response response;
@@ -200,8 +200,8 @@
     }
 
     /**
-     * Three tenths of the answers are lost, and with them the time until a time-out; now users hear
-     * of what was carried out.
+     * 30% of the answers are lost. Users used to wait for a time-out then; now each committed
+     * change is confirmed from a read of the record.
      */
     @ParameterizedTest
     @ValueSource(longs = {0, 700_000})
@@ -219,16 +219,16 @@
         long within = commitDelay == 0 ? 1_000_000 : 2_000_000;
         assertEquals(1, shareSucceededWithin(submitted, within));
         assertEquals(1, shareSucceededWithin(cancelled, within));
-        assertEquals(2 * submitted.size(), hints.size(), "each change is told to the leader");
+        assertEquals(2 * submitted.size(), hints.size(), "the leader is notified of each change");
         assertEquals(
                 List.of(),
                 hints.entrySet().stream().filter(hint -> hint.getValue() != 1).toList(),
-                "and once");
+                "the leader is notified of each change exactly once");
     }
 
     /**
-     * What is not there may be carried out still, or never: nobody hears of it, and two reads at
-     * most look for it.
+     * A record that is absent may still be written later, or never: the user gets 503, after at
+     * most two reads of the record.
      */
     @Test
     void absentWriteIsAnswered503AfterAtMostTwoReads() {
@@ -241,7 +241,10 @@
         assertTrue(reads > 40 && reads <= 80, reads + " reads");
     }
 
-    /** A leader's change made the cancellation void: it is tried again as soon as that is read. */
+    /**
+     * A write by the leader makes the condition of the cancellation fail: it is retried as soon as
+     * the new record has been read.
+     */
     @Test
     void cancellationWithFailedConditionIsRetried() {
         UserCall submitted = submit(job(1));
@@ -272,8 +275,8 @@
     }
 
     /**
-     * A type that was added after this node read the types is no reason to refuse a job; without
-     * the cloud it can't be said.
+     * A job is not rejected because it needs a machine type that was added after this node read the
+     * types; while the cloud is down the node answers 503.
      */
     @Test
     void jobFittingNewMachineTypeIsAccepted() {
@@ -285,7 +288,7 @@
             sim.run(sim.now() + 90_000);
             assertEquals(503, undecided.response.status());
         }
-        assertEquals(1, typeRefreshes, "the cloud is not asked for each of them");
+        assertEquals(1, typeRefreshes, "the cloud must not be asked for each submission");
         sim.run(sim.now() + 200_000);
         offeredTypes = List.of(TYPE, ADDED_TYPE);
         UserCall accepted = submit(job);
@@ -295,11 +298,12 @@
         sim.run(sim.now() + 100_000);
         assertEquals(201, accepted.response.status());
         assertEquals(422, refused.response.status());
-        assertEquals(2, typeRefreshes, "one reading serves both");
+        assertEquals(2, typeRefreshes, "one refresh serves both submissions");
     }
 
     /**
-     * Who tries again while the first write is under way costs no second one: changes are scarce.
+     * A retry while the first write is in flight must not cause a second write: the store's write
+     * rate is scarce.
      */
     @Test
     void concurrentRequestsForOneJobShareOneWrite() {
@@ -324,8 +328,8 @@
     }
 
     /**
-     * Between the write and its answer the job was cancelled, and its user told so: whoever asks
-     * then hears of it.
+     * The job is cancelled, and its user told so, between the write and its answer: a request that
+     * joined the write must report the cancellation.
      */
     @Test
     void requestJoiningWriteSeesLaterCancellation() throws MalformedMessageException {
@@ -351,8 +355,8 @@
     }
 
     /**
-     * A write that is sent, and whose answer never comes, is not waited for longer than its user
-     * does.
+     * A write without an answer, and requests that joined it, are answered before the user's
+     * timeout.
      */
     @Test
     void requestsAreAnsweredInTimeWhenStoreNeverAnswers() {
