--- a/src/test/java/org/woadloom/sim/BadInputTest.java
+++ b/src/test/java/org/woadloom/sim/BadInputTest.java
@@ -217,11 +217,11 @@
      */
     private static byte[] appendFieldTimes(byte[] map, String key, int times) {
         byte[] one = Cbor.encode(Map.of(key, "a"));
-        byte[] more = map;
+        byte[] extended = map;
         for (int i = 0; i < times; i++) {
-            more = appendField(more, Arrays.copyOfRange(one, 1, one.length));
+            extended = appendField(extended, Arrays.copyOfRange(one, 1, one.length));
         }
-        return more;
+        return extended;
     }
 
     private static byte[] appendByteStringField(byte[] map) {
@@ -230,10 +230,10 @@
 
     private static byte[] appendField(byte[] map, byte[] field) {
         assertEquals(0xa0, map[0] & 0xe0, "not a CBOR map with a one-byte header");
-        byte[] more = Arrays.copyOf(map, map.length + field.length);
-        more[0]++;
-        System.arraycopy(field, 0, more, map.length, field.length);
-        return more;
+        byte[] extended = Arrays.copyOf(map, map.length + field.length);
+        extended[0]++;
+        System.arraycopy(field, 0, extended, map.length, field.length);
+        return extended;
     }
 
     private static List<RequestCase> rejectedRequests() {
@@ -392,15 +392,15 @@
         }
         startReporters();
         List<RequestCase> cases = rejectedRequests();
-        for (RequestCase bad : cases) {
+        for (RequestCase rejected : cases) {
             assertEquals(
-                    bad.expectedStatus,
-                    connection.send("POST", bad.path, bad.body),
-                    bad.path + ": " + bad.description);
+                    rejected.expectedStatus,
+                    connection.send("POST", rejected.path, rejected.body),
+                    rejected.path + ": " + rejected.description);
             assertEquals(
                     200,
                     connection.send("GET", "/healthz", new byte[0]),
-                    "after " + bad.path + ": " + bad.description);
+                    "after " + rejected.path + ": " + rejected.description);
         }
         assertEquals(404, connection.send("GET", "/v1/jobs/j-000412", new byte[0]));
         assertTrue(cases.size() > 250, cases.size() + " cases");
--- a/src/test/java/org/woadloom/sim/BehaviourDigestTest.java
+++ b/src/test/java/org/woadloom/sim/BehaviourDigestTest.java
@@ -92,7 +92,7 @@
         if (RECORDING) {
             List<String> lines = new ArrayList<>();
             ACTUAL_RUNS.forEach(
-                    (day, digest) -> lines.add(day + " " + digest.hash() + " " + digest.marks()));
+                    (key, digest) -> lines.add(key + " " + digest.hash() + " " + digest.marks()));
             Files.write(DIGEST_FILE, lines, StandardCharsets.US_ASCII);
         }
     }
--- a/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
@@ -98,7 +98,7 @@
             return waitMicros.size()
                     + " confirmed, "
                     + unconfirmed
-                    + " not, longest wait "
+                    + " unconfirmed, longest wait "
                     + longestWaitMicros()
                     + " us; rejected with "
                     + rejections;
@@ -229,9 +229,10 @@
      */
     enum AdditionalFault {
         NOTHING,
-        HINTS_LOST,
-        PEERS_CUT,
-        PEERS_CUT_BEFORE,
+        /** Peers' notifications of changed jobs are lost, as with all faults below. */
+        NOTIFICATIONS_LOST,
+        PEER_LINKS_DOWN,
+        PEER_LINKS_DOWN_FROM_START,
         OTHER_NODE_REJECTED,
         OTHER_NODE_ISOLATED,
         CONFIRMING_NODES_RESTART
@@ -256,7 +257,7 @@
             cluster.loop.after(at, users::cancelOne);
         }
         cluster.hintsLost = fault != AdditionalFault.NOTHING;
-        if (fault == AdditionalFault.PEERS_CUT_BEFORE) {
+        if (fault == AdditionalFault.PEER_LINKS_DOWN_FROM_START) {
             cluster.refusePeers(90 * SECOND);
         }
         cluster.loop.after(
@@ -264,7 +265,7 @@
                 () -> {
                     cluster.refuseState(leader, 90 * SECOND);
                     switch (fault) {
-                        case PEERS_CUT -> cluster.refusePeers(90 * SECOND);
+                        case PEER_LINKS_DOWN -> cluster.refusePeers(90 * SECOND);
                         case OTHER_NODE_REJECTED ->
                                 cluster.refuseStateToo(
                                         (leader + 1) % ClusterSimulation.NODES, 90 * SECOND);
@@ -303,7 +304,7 @@
         // With the peer links down from the start, nodes can confirm a cancellation that the leader
         // lacks only where the leader relies on no promise of theirs.
         assertTrue(
-                confirmed > (fault == AdditionalFault.PEERS_CUT_BEFORE ? 2 : 8),
+                confirmed > (fault == AdditionalFault.PEER_LINKS_DOWN_FROM_START ? 2 : 8),
                 "only " + confirmed + " confirmed before the outage");
     }
 
@@ -425,7 +426,7 @@
      * service that is configured with three times the permitted time for cancelled tasks.
      */
     @ParameterizedTest
-    @CsvSource({"VOUCHES_FOR_ANYTHING, HINTS_LOST, 50", "NONE, PEERS_CUT, 150"})
+    @CsvSource({"VOUCHES_FOR_ANYTHING, NOTIFICATIONS_LOST, 50", "NONE, PEER_LINKS_DOWN, 150"})
     void checkerDetectsCancelledTaskThatKeepsRunning(
             Flaw flaw, AdditionalFault fault, long cancelSeconds) {
         InvariantViolation caught =
--- a/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
@@ -27,10 +27,12 @@
     /** What else is lost between the rejection of the leader and the outage. */
     enum AdditionalLoss {
         NOTHING,
-        HINTS,
-        PEERS_UNTIL_THE_OUTAGE,
-        PEERS_INTO_THE_OUTAGE,
-        PEERS_THROUGHOUT,
+        /** Peers' notifications of changed jobs. */
+        NOTIFICATIONS,
+        PEER_LINKS_UNTIL_OUTAGE,
+        PEER_LINKS_INTO_OUTAGE,
+        PEER_LINKS_THROUGHOUT,
+        /** Commands that nodes send straight to agents. */
         DIRECT_COMMANDS
     }
 
@@ -48,11 +50,11 @@
     private static void inject(ClusterSimulation cluster, AdditionalLoss loss) {
         switch (loss) {
             case NOTHING -> {}
-            case HINTS -> cluster.hintsLost = true;
+            case NOTIFICATIONS -> cluster.hintsLost = true;
             case DIRECT_COMMANDS -> cluster.directsLost = true;
-            case PEERS_UNTIL_THE_OUTAGE -> cluster.refusePeers(REJECTION_MICROS);
-            case PEERS_INTO_THE_OUTAGE -> cluster.refusePeers(REJECTION_MICROS + 6_000_000);
-            case PEERS_THROUGHOUT -> cluster.refusePeers(REJECTION_MICROS + OUTAGE_MICROS);
+            case PEER_LINKS_UNTIL_OUTAGE -> cluster.refusePeers(REJECTION_MICROS);
+            case PEER_LINKS_INTO_OUTAGE -> cluster.refusePeers(REJECTION_MICROS + 6_000_000);
+            case PEER_LINKS_THROUGHOUT -> cluster.refusePeers(REJECTION_MICROS + OUTAGE_MICROS);
         }
     }
 
@@ -82,7 +84,7 @@
             confirmed += countConfirmedBeforeOutage(loss, seed, Flaw.NONE);
         }
         if (loss == AdditionalLoss.NOTHING
-                || loss == AdditionalLoss.HINTS
+                || loss == AdditionalLoss.NOTIFICATIONS
                 || loss == AdditionalLoss.DIRECT_COMMANDS) {
             assertTrue(confirmed > 3, "only " + confirmed + " confirmed before the outage");
         }
@@ -245,7 +247,9 @@
                         () -> {
                             for (long seed : Seeds.first(6)) {
                                 countConfirmedBeforeOutage(
-                                        AdditionalLoss.HINTS, seed, Flaw.VOUCHES_FOR_ANYTHING);
+                                        AdditionalLoss.NOTIFICATIONS,
+                                        seed,
+                                        Flaw.VOUCHES_FOR_ANYTHING);
                             }
                         });
         assertTrue(caught.getMessage().contains("ran_cancelled"), caught.getMessage());
--- a/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
@@ -286,8 +286,8 @@
     private static void runAndAssertOccurred(long seed, Scenario scenario, Set<Fault> faults) {
         run(seed, scenario, faults)
                 .forEach(
-                        (meeting, times) ->
-                                assertTrue(times > 0, meeting + " did not occur, seed " + seed));
+                        (fault, count) ->
+                                assertTrue(count > 0, fault + " did not occur, seed " + seed));
     }
 
     /** Runs a whole simulation and returns how often each fault took effect. */
@@ -297,15 +297,15 @@
         cluster.observed.faultFreeFromMicros = FAULTS_END + 60_000_000;
         cluster.brokenFrom = FIRST_FAULT;
         Map<Fault, List<IntSupplier>> injected = new EnumMap<>(Fault.class);
-        faults.forEach(meeting -> injected.put(meeting, new ArrayList<>()));
+        faults.forEach(fault -> injected.put(fault, new ArrayList<>()));
         for (int i = 0; i < FAULT_REPEATS; i++) {
             faults.forEach(
-                    meeting ->
+                    fault ->
                             cluster.loop.after(
                                     FIRST_FAULT + cluster.random.nextInt(4_000_000),
                                     () -> {
                                         if (cluster.stored("leader") != null) {
-                                            injected.get(meeting).add(meeting.inject(cluster));
+                                            injected.get(fault).add(fault.inject(cluster));
                                         }
                                     }));
             cluster.run(cluster.loop.now() + FAULT_INTERVAL);
@@ -313,9 +313,9 @@
         cluster.run(FAULTS_END + 400_000_000);
         Map<Fault, Integer> occurred = new EnumMap<>(Fault.class);
         injected.forEach(
-                (meeting, times) ->
+                (fault, effects) ->
                         occurred.put(
-                                meeting, times.stream().mapToInt(IntSupplier::getAsInt).sum()));
+                                fault, effects.stream().mapToInt(IntSupplier::getAsInt).sum()));
         assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
         return occurred;
     }
--- a/src/test/java/org/woadloom/sim/JobLogLinesTest.java
+++ b/src/test/java/org/woadloom/sim/JobLogLinesTest.java
@@ -23,7 +23,7 @@
             Pattern.compile("job j-\\d+ done|event=job_done\\b.*?job=j-\\d+");
     private static final Pattern CANCELLED =
             Pattern.compile("job j-\\d+ cancelled|event=job_cancelled\\b.*?job=j-\\d+");
-    private static final long DAY_MICROS = 120_000_000;
+    private static final long RUN_MICROS = 120_000_000;
 
     @Test
     void jobLogLinesMatchLogReaderPatterns() {
@@ -33,14 +33,16 @@
                 (node, now, commands, actions) ->
                         actions.forEach(
                                 action -> {
-                                    if (action instanceof SchedulerAction.Log note) {
-                                        lines.add(note.entry().toString());
+                                    if (action instanceof SchedulerAction.Log log) {
+                                        lines.add(log.entry().toString());
                                     }
                                 });
-        cluster.users.submitUntil(DAY_MICROS);
-        cluster.loop.run(DAY_MICROS);
-        for (Pattern form : List.of(ACCEPTED, DONE, CANCELLED)) {
-            assertTrue(lines.stream().anyMatch(line -> form.matcher(line).find()), form.pattern());
+        cluster.users.submitUntil(RUN_MICROS);
+        cluster.loop.run(RUN_MICROS);
+        for (Pattern pattern : List.of(ACCEPTED, DONE, CANCELLED)) {
+            assertTrue(
+                    lines.stream().anyMatch(line -> pattern.matcher(line).find()),
+                    pattern.pattern());
         }
     }
 }
--- a/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
+++ b/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
@@ -98,16 +98,16 @@
         }
 
         private EventLoop loop() {
-            EventLoop whole = sim.loop();
+            EventLoop simulated = sim.loop();
             return new EventLoop() {
                 @Override
                 public long nowMicros() {
-                    return whole.nowMicros();
+                    return simulated.nowMicros();
                 }
 
                 @Override
                 public long wallMicros() {
-                    return whole.wallMicros();
+                    return simulated.wallMicros();
                 }
 
                 @Override
@@ -117,7 +117,7 @@
 
                 @Override
                 public Timer schedule(long delayMicros, Runnable task) {
-                    return whole.schedule(delayMicros, () -> runIfAlive(task));
+                    return simulated.schedule(delayMicros, () -> runIfAlive(task));
                 }
             };
         }
@@ -275,14 +275,14 @@
         for (int index = 0; index < NODES; index++) {
             nodes.add(new Node(index));
         }
-        nodes.forEach(member -> member.election.start());
+        nodes.forEach(node -> node.election.start());
         sim.run(2 * SECOND);
-        assertEquals(1, nodes.stream().filter(member -> member.election.isLeader()).count());
+        assertEquals(1, nodes.stream().filter(node -> node.election.isLeader()).count());
     }
 
     private Node leader() {
         return nodes.stream()
-                .filter(member -> member.alive && member.election.isLeader())
+                .filter(node -> node.alive && node.election.isLeader())
                 .findFirst()
                 .orElse(null);
     }
@@ -301,15 +301,15 @@
     }
 
     private void submit(Map<String, Object> job, long until) {
-        List<Node> alive = nodes.stream().filter(member -> member.alive).toList();
+        List<Node> alive = nodes.stream().filter(node -> node.alive).toList();
         Submission submission = new Submission();
         submissions.add(submission);
         long from = sim.now();
-        boolean[] over = {false};
+        boolean[] finished = {false};
         Consumer<Response> retry =
                 response -> {
-                    if (!over[0]) {
-                        over[0] = true;
+                    if (!finished[0]) {
+                        finished[0] = true;
                         if ((response == null || response.status() == 503) && sim.now() < until) {
                             sim.after(SECOND, () -> submit(job, until));
                         }
@@ -356,7 +356,7 @@
         start();
         submitUntil(62 * SECOND, SUBMISSIONS_PER_SECOND);
         assertEquals(0, longestTimeWithoutLeader(62 * SECOND));
-        assertEquals(1, nodes.stream().mapToInt(member -> member.electionsWon).sum());
+        assertEquals(1, nodes.stream().mapToInt(node -> node.electionsWon).sum());
     }
 
     /**
--- a/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
@@ -137,7 +137,7 @@
                             oneIn,
                             60_000_000);
             Set<TaskId> tasks = tasksOn(faulty);
-            List<SimulatedAgent> others =
+            List<SimulatedAgent> healthy =
                     cluster.agents().stream().filter(agent -> !faulty.contains(agent)).toList();
             long term = cluster.term();
             if (leaderEnds == 1) {
@@ -147,7 +147,7 @@
             assertEquals(leaderEnds == 1, cluster.term() > term);
             assertEquals(
                     0,
-                    others.stream().mapToInt(agent -> agent.killedByLease).sum(),
+                    healthy.stream().mapToInt(agent -> agent.killedByLease).sum(),
                     "tasks killed on machines without a fault, seed " + seed);
             assertEquals(
                     List.of(),
--- a/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
@@ -49,9 +49,9 @@
                         1_000_000,
                         () -> {
                             outOfReach[0] +=
-                                    cancelWhere(cluster, 2, machine -> machine.zone.equals("b"));
+                                    cancelJobsOn(cluster, 2, machine -> machine.zone.equals("b"));
                             cluster.cancelNow(3, 9_000_000);
-                            outOfReach[0] += cancelWhere(cluster, 3, SimulatedAgent::hung);
+                            outOfReach[0] += cancelJobsOn(cluster, 3, SimulatedAgent::hung);
                         });
                 cluster.loop.after(
                         1_500_000 + cluster.random.nextInt(2_000_000),
@@ -79,7 +79,7 @@
                         () -> {
                             if (cluster.observed.teamsAtLimit() > 0) {
                                 cancelled[0] +=
-                                        cancelWhere(
+                                        cancelJobsOn(
                                                 cluster,
                                                 3,
                                                 machine -> machine.hung() || machine.deaf());
@@ -184,7 +184,7 @@
     }
 
     /** Cancels up to {@code limit} jobs that have a task on a machine that meets the condition. */
-    private static int cancelWhere(
+    private static int cancelJobsOn(
             ClusterSimulation cluster, int limit, Predicate<SimulatedAgent> condition) {
         List<String> chosen =
                 cluster.observed.runningJobs().stream()
@@ -280,25 +280,25 @@
         cluster.observed.faultFreeFromMicros = FAULTS_END + 60_000_000;
         WaitingJobs waiting = new WaitingJobs(cluster, FAULTS_END + 60_000_000);
         Map<Fault, List<IntSupplier>> injected = new LinkedHashMap<>();
-        faults.forEach(meeting -> injected.put(meeting, new ArrayList<>()));
+        faults.forEach(fault -> injected.put(fault, new ArrayList<>()));
         for (int i = 0; i < FAULT_REPEATS; i++) {
             faults.forEach(
-                    meeting ->
+                    fault ->
                             cluster.loop.after(
                                     FIRST_FAULT + cluster.random.nextInt(4_000_000),
                                     () -> {
                                         if (cluster.stored("leader") != null) {
-                                            injected.get(meeting).add(meeting.inject(cluster));
+                                            injected.get(fault).add(fault.inject(cluster));
                                         }
                                     }));
             cluster.run(cluster.loop.now() + FAULT_INTERVAL);
         }
         runUntilJobsFinish(cluster);
         injected.forEach(
-                (meeting, times) ->
+                (fault, effects) ->
                         assertTrue(
-                                times.stream().mapToInt(IntSupplier::getAsInt).sum() > 0,
-                                meeting + " did not occur, seed " + seed));
+                                effects.stream().mapToInt(IntSupplier::getAsInt).sum() > 0,
+                                fault + " did not occur, seed " + seed));
         assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
         return waiting;
     }
--- a/src/test/java/org/woadloom/sim/UserWritesTest.java
+++ b/src/test/java/org/woadloom/sim/UserWritesTest.java
@@ -57,7 +57,7 @@
     private int lostAnswers;
     private int reads;
     private int transactions;
-    private final Map<String, Integer> hints = new LinkedHashMap<>();
+    private final Map<String, Integer> notifications = new LinkedHashMap<>();
     private List<MachineType> types = List.of(TYPE);
 
     /** The machine types that the cloud offers, or null while it is down. */
@@ -101,7 +101,7 @@
                         }
                     },
                     (record, revision) ->
-                            hints.merge(
+                            notifications.merge(
                                     record.description().jobId() + record.cancelled(),
                                     1,
                                     Integer::sum),
@@ -219,10 +219,13 @@
         long within = commitDelay == 0 ? 1_000_000 : 2_000_000;
         assertEquals(1, shareSucceededWithin(submitted, within));
         assertEquals(1, shareSucceededWithin(cancelled, within));
-        assertEquals(2 * submitted.size(), hints.size(), "the leader is notified of each change");
+        assertEquals(
+                2 * submitted.size(),
+                notifications.size(),
+                "the leader is notified of each change");
         assertEquals(
                 List.of(),
-                hints.entrySet().stream().filter(hint -> hint.getValue() != 1).toList(),
+                notifications.entrySet().stream().filter(hint -> hint.getValue() != 1).toList(),
                 "the leader is notified of each change exactly once");
     }
 
@@ -237,7 +240,7 @@
         List<UserCall> submitted = submitJobs(40);
         assertEquals(0, shareSucceededWithin(submitted, 10_000_000));
         assertEquals(40, submitted.stream().filter(one -> one.response.status() == 503).count());
-        assertEquals(Map.of(), hints);
+        assertEquals(Map.of(), notifications);
         assertTrue(reads > 40 && reads <= 80, reads + " reads");
     }
 
