--- a/src/main/java/org/woadloom/store/StoreProtocol.java
+++ b/src/main/java/org/woadloom/store/StoreProtocol.java
@@ -15,23 +15,23 @@
 import org.woadloom.store.StoreClient.Result;
 
 /**
- * The store's protocol over HTTP: paths, statuses, and the CBOR of requests and answers. The only
- * place that has its names.
+ * The store's HTTP protocol: paths, status codes, and the CBOR encoding of requests and answers.
+ * All names of the protocol are defined here.
  */
 final class StoreProtocol {
     static final int OK = 200;
     static final int NOT_FOUND = 404;
 
-    /** Conditions of a transaction failed; the answer names their keys. */
+    /** A condition of the transaction failed; the answer lists the keys. */
     static final int CONFLICT = 409;
 
-    /** Changes after the given revision are not kept any more. */
+    /** The changes after the given revision have been compacted. */
     static final int COMPACTED = 410;
 
-    /** Above a rate limit; not executed. */
+    /** A rate limit was exceeded; the request was not executed. */
     static final int TOO_MANY_REQUESTS = 429;
 
-    /** The store does not serve at present; not executed. */
+    /** The store is currently unavailable; the request was not executed. */
     static final int UNAVAILABLE = 503;
 
     static final String TRANSACTIONS_PATH = "/txn";
@@ -45,7 +45,7 @@
     private static final String STORE_REVISION = "generation";
     private static final String VALUE = "value";
     private static final String PUT = "put";
-    private static final String DROP = "drop";
+    private static final String DELETE = "drop";
     private static final String LEASE = "hold";
     private static final String LEASE_MILLIS = "lifeMs";
     private static final String CONDITIONS = "if";
@@ -57,10 +57,10 @@
 
     private StoreProtocol() {}
 
-    /** One page of a list, with the revision of the store at which it was read. */
+    /** One page of a list and the store revision at which it was read. */
     record Page(List<Entry> entries, long storeRevision, boolean hasMore) {}
 
-    /** What has changed under a prefix, up to the given revision of the store. */
+    /** Changes of keys with a prefix, complete up to the given store revision. */
     record Events(List<Event> events, long storeRevision) {}
 
     static String keyPath(String key) {
@@ -68,14 +68,17 @@
     }
 
     /**
-     * @param after the last key of the page before, null for the first page
+     * @param after last key of the previous page, null for the first page
      */
     static String pagePath(String prefix, String after) {
         String since = after == null ? "" : "&since=" + after;
         return "/keys?prefix=" + prefix + since + "&most=" + StoreRequestPolicy.PAGE_ENTRIES;
     }
 
-    /** Changes after a revision of the store, for which the answer waits up to the given time. */
+    /**
+     * Path of a read of the changes after a store revision. The store delays its answer by up to
+     * {@code blockMicros} while there are none.
+     */
     static String watchPath(String prefix, long sinceRevision, long blockMicros) {
         return "/follow?prefix="
                 + prefix
@@ -114,7 +117,7 @@
     private static Map<String, Object> changeToMap(Change change) {
         Map<String, Object> map = new LinkedHashMap<>();
         if (change.value() == null) {
-            map.put(DROP, change.key());
+            map.put(DELETE, change.key());
             return map;
         }
         map.put(PUT, change.key());
@@ -135,8 +138,8 @@
         return Cbor.encode(Map.of());
     }
 
-    /** What a status means that has no meaning of its own for the request. */
-    static Result failure(int status) {
+    /** Maps a status code that has no special meaning for the request at hand. */
+    static Result resultOf(int status) {
         return switch (status) {
             case NOT_FOUND -> Result.NOT_FOUND;
             case BAD_REQUEST -> Result.BAD;
@@ -145,25 +148,28 @@
         };
     }
 
-    /** True where the store could not be asked, or did not execute the request for its load. */
+    /**
+     * Returns true if the store could not be reached or did not execute the request because of
+     * overload or unavailability.
+     */
     static boolean isFailure(int status) {
-        return status == TOO_MANY_REQUESTS || status == UNAVAILABLE || !isAnswer(status);
+        return status == TOO_MANY_REQUESTS || status == UNAVAILABLE || !isHttpStatus(status);
     }
 
-    /** True for an HTTP status, false for the transport's constants. */
-    static boolean isAnswer(int status) {
+    /** Returns true for an HTTP status code, false for the constants of {@link HttpTransport}. */
+    static boolean isHttpStatus(int status) {
         return status > 0;
     }
 
     static Entry decodeEntry(byte[] body) throws MalformedMessageException {
-        return entry(Cbor.decodeMap(body));
+        return parseEntry(Cbor.decodeMap(body));
     }
 
     static Page decodePage(byte[] body) throws MalformedMessageException {
         Fields fields = new Fields(Cbor.decodeMap(body));
         List<Entry> entries = new ArrayList<>();
         for (Object item : fields.list(ENTRIES)) {
-            entries.add(entry(itemMap(item)));
+            entries.add(parseEntry(requireMap(ENTRIES, item)));
         }
         return new Page(entries, fields.integer(STORE_REVISION), fields.flagOr(HAS_MORE, false));
     }
@@ -172,7 +178,7 @@
         Fields fields = new Fields(Cbor.decodeMap(body));
         List<Event> events = new ArrayList<>();
         for (Object item : fields.list(EVENTS)) {
-            events.add(event(itemMap(item)));
+            events.add(parseEvent(requireMap(EVENTS, item)));
         }
         return new Events(events, fields.integer(STORE_REVISION));
     }
@@ -182,7 +188,7 @@
     }
 
     static List<String> decodeFailedKeys(byte[] body) throws MalformedMessageException {
-        return new Fields(Cbor.decodeMap(body)).texts(FAILED_KEYS);
+        return new Fields(Cbor.decodeMap(body)).textList(FAILED_KEYS);
     }
 
     static long decodeLease(byte[] body) throws MalformedMessageException {
@@ -190,26 +196,27 @@
     }
 
     @SuppressWarnings("unchecked") // Cbor decodes no keys but texts.
-    private static Map<String, Object> itemMap(Object item) throws MalformedMessageException {
+    private static Map<String, Object> requireMap(String field, Object item)
+            throws MalformedMessageException {
         if (item instanceof Map<?, ?>) {
             return (Map<String, Object>) item;
         }
-        throw new MalformedMessageException("items: expected maps");
+        throw new MalformedMessageException(field + ": expected a list of maps");
     }
 
     @SuppressWarnings("unchecked") // Cbor decodes no keys but texts.
-    private static Entry entry(Map<String, Object> map) throws MalformedMessageException {
+    private static Entry parseEntry(Map<String, Object> map) throws MalformedMessageException {
         Fields fields = new Fields(map);
         return new Entry(
                 fields.text(PATH), (Map<String, Object>) map.get(VALUE), fields.integer(REVISION));
     }
 
     @SuppressWarnings("unchecked") // Cbor decodes no keys but texts.
-    private static Event event(Map<String, Object> map) throws MalformedMessageException {
+    private static Event parseEvent(Map<String, Object> map) throws MalformedMessageException {
         Fields fields = new Fields(map);
         boolean isPut = fields.has(PUT);
         return new Event(
-                fields.text(isPut ? PUT : DROP),
+                fields.text(isPut ? PUT : DELETE),
                 isPut ? (Map<String, Object>) map.get(VALUE) : null,
                 fields.integer(REVISION));
     }
--- a/src/main/java/org/woadloom/store/StoreRequestQueue.java
+++ b/src/main/java/org/woadloom/store/StoreRequestQueue.java
@@ -7,12 +7,12 @@
 import org.woadloom.store.StoreClient.RequestPriority;
 
 /**
- * The requests of this node that wait for the store or its answer. {@link RequestScheduler} says
- * which is sent next, under rates that stay below the store's limits; after a 429 or 503, or no
- * answer, everything but the most urgent is held back for a moment, with jitter.
+ * Queue of this node's requests to the store. {@link RequestScheduler} chooses the next request
+ * under rates that stay below the store's limits. After a 429, a 503 or a missing answer, normal
+ * and background requests are held back briefly, with jitter.
  *
- * <p>Single answers get lost while the store goes on serving. A request that later ones have
- * overtaken holds up nobody, and says nothing about the store.
+ * <p>Single answers can get lost while the store keeps serving. A request that was overtaken by
+ * later ones therefore does not hold back other requests and does not count as a sign of an outage.
  */
 final class StoreRequestQueue {
     private static final long NEVER = Long.MAX_VALUE;
@@ -22,98 +22,102 @@
     private final HttpTransport transport;
     private final String address;
     private final StoreLimits limits;
-    private final int otherNodes;
+    private final int followerCount;
     private final Random random;
-    private final HealthListener health;
+    private final HealthListener healthListener;
     private final RequestScheduler<StoreRequest> scheduler = new RequestScheduler<>();
     private final InFlightRequests inFlight = new InFlightRequests();
     private boolean isLeader;
     private long heldUntilMicros;
 
-    /** When the next timer runs that sends what has waited for its rate. */
-    private long wakeMicros = NEVER;
+    /** Time of the earliest timer that sends requests waiting for a rate. */
+    private long nextWakeMicros = NEVER;
 
     private long failureCount;
     private long shedCount;
     private boolean isRefusing;
 
     /**
-     * @param otherNodes among how many nodes the followers' part of the store's limits is divided
+     * @param followerCount number of nodes among which the followers' part of the store's limits is
+     *     divided
      */
     StoreRequestQueue(
             EventLoop loop,
             HttpTransport transport,
             String address,
             StoreLimits limits,
-            int otherNodes,
+            int followerCount,
             Random random,
-            HealthListener health) {
+            HealthListener healthListener) {
         this.loop = loop;
         this.transport = transport;
         this.address = address;
         this.limits = limits;
-        this.otherNodes = otherNodes;
+        this.followerCount = followerCount;
         this.random = random;
-        this.health = health;
+        this.healthListener = healthListener;
     }
 
-    /** Sets this node's part of the store's limits. */
+    /** Sets this node's part of the store's rate limits. */
     void setLeader(boolean isLeader) {
         this.isLeader = isLeader;
         updateRates(loop.nowMicros());
     }
 
-    /** How many changes a second this node may make now. */
+    /** Returns the number of changes per second that this node may currently make. */
     double writesPerSecond() {
-        double part =
+        double fraction =
                 isLeader
-                        ? StoreRequestPolicy.LEADER_WRITE_PART
-                        : StoreRequestPolicy.FOLLOWERS_WRITE_PART / otherNodes;
-        return limits.writeRate(loop.nowMicros()) * part;
+                        ? StoreRequestPolicy.LEADER_WRITE_FRACTION
+                        : StoreRequestPolicy.FOLLOWERS_WRITE_FRACTION / followerCount;
+        return limits.writeRate(loop.nowMicros()) * fraction;
     }
 
     private void updateRates(long nowMicros) {
-        double part =
+        double fraction =
                 isLeader
-                        ? StoreRequestPolicy.LEADER_REQUEST_PART
-                        : StoreRequestPolicy.FOLLOWERS_REQUEST_PART / otherNodes;
-        scheduler.setRates(nowMicros, limits.requestRate(nowMicros) * part, writesPerSecond());
+                        ? StoreRequestPolicy.LEADER_REQUEST_FRACTION
+                        : StoreRequestPolicy.FOLLOWERS_REQUEST_FRACTION / followerCount;
+        scheduler.setRates(nowMicros, limits.requestRate(nowMicros) * fraction, writesPerSecond());
     }
 
-    /** Answers of the kind 429 or 503, or none at all. */
+    /** Returns how many requests were answered with 429 or 503 or not at all. */
     long failureCount() {
         return failureCount;
     }
 
-    /** Requests that were not sent as they would have come too late, or as too many waited. */
+    /**
+     * Returns how many requests were dropped because they would have missed their deadline or their
+     * queue was full.
+     */
     long shed() {
         return shedCount;
     }
 
     int queuedCount(RateShare share) {
-        return scheduler.queued(share);
+        return scheduler.queuedCount(share);
     }
 
     long longestQueuedMicros(RateShare share) {
         long now = loop.nowMicros();
         return scheduler
-                .firstOf(share)
+                .oldestOf(share)
                 .mapToLong(request -> now - request.queuedMicros())
                 .max()
                 .orElse(0);
     }
 
-    /** True if the last answer was that the store does not serve. */
+    /** Returns true if the latest answer was 503. */
     boolean isRefusing() {
         return isRefusing;
     }
 
     /**
-     * Queues a request, or sheds it: then its callback gets {@link HttpTransport#NOT_SENT}, not
-     * before this method has returned.
+     * Queues a request, or drops it. The callback of a dropped request gets {@link
+     * HttpTransport#NOT_SENT}, after this method has returned.
      *
-     * @param deadlineMicros it is not sent any more after this moment, and not queued if it can't
-     *     be sent by then
+     * @param deadlineMicros the request is not sent after this time, and is dropped immediately if
+     *     it cannot be sent by then
      */
     void submit(RequestPriority priority, long deadlineMicros, StoreRequest request) {
         long now = loop.nowMicros();
@@ -145,7 +149,7 @@
         loop.execute(() -> request.callback().onResponse(HttpTransport.NOT_SENT, EMPTY_BODY));
     }
 
-    /** Sends a request at once, whatever waits, and without a place among those in flight. */
+    /** Sends a request immediately, without queueing and without counting it as in flight. */
     void sendUnqueued(StoreRequest request) {
         request.send(
                 transport,
@@ -156,50 +160,54 @@
                 });
     }
 
-    /** Sends what rates and places in flight allow now, and sets a timer for the rest. */
+    /**
+     * Sends the queued requests that the rates and in-flight limits allow now, and sets a timer for
+     * the rest.
+     */
     private void sendAllowed() {
         long now = loop.nowMicros();
         boolean isFull = isFull(now, 0);
         while (!isFull
                 || (scheduler.hasControlRequests()
-                        && !isFull(now, StoreRequestPolicy.CONTROL_IN_FLIGHT))) {
+                        && !isFull(now, StoreRequestPolicy.EXTRA_CONTROL_IN_FLIGHT))) {
             updateRates(now);
-            RequestScheduler.Turn<StoreRequest> turn =
+            RequestScheduler.Decision<StoreRequest> decision =
                     scheduler.next(now, isFull, heldUntilMicros - now);
-            if (turn.request() == null) {
-                if (turn.waitMicros() < RequestScheduler.NOTHING_WAITS) {
-                    wakeAfter(turn.waitMicros());
+            if (decision.request() == null) {
+                if (decision.waitMicros() < RequestScheduler.NO_WAITING_REQUEST) {
+                    wakeAfter(decision.waitMicros());
                 }
                 return;
             }
-            send(turn.request());
+            send(decision.request());
             isFull = isFull(now, 0);
         }
     }
 
-    private boolean isFull(long nowMicros, int extraPlaces) {
-        return inFlight.size() >= StoreRequestPolicy.MAX_IN_FLIGHT + extraPlaces
-                || inFlight.awaitedCount(nowMicros) >= StoreRequestPolicy.MAX_AWAITED + extraPlaces;
+    private boolean isFull(long nowMicros, int extraSlots) {
+        return inFlight.size() >= StoreRequestPolicy.MAX_IN_FLIGHT + extraSlots
+                || inFlight.expectedAnswerCount(nowMicros)
+                        >= StoreRequestPolicy.MAX_EXPECTED_ANSWERS + extraSlots;
     }
 
     private void wakeAfter(long delayMicros) {
         long atMicros = loop.nowMicros() + delayMicros;
-        if (atMicros >= wakeMicros) {
+        if (atMicros >= nextWakeMicros) {
             return;
         }
-        wakeMicros = atMicros;
+        nextWakeMicros = atMicros;
         loop.schedule(
                 delayMicros,
                 () -> {
-                    if (wakeMicros == atMicros) {
-                        wakeMicros = NEVER;
+                    if (nextWakeMicros == atMicros) {
+                        nextWakeMicros = NEVER;
                     }
                     sendAllowed();
                 });
     }
 
     private void send(StoreRequest request) {
-        InFlightRequests.Sent sent = inFlight.add(loop.nowMicros());
+        InFlightRequests.SentRequest sent = inFlight.add(loop.nowMicros());
         if (request.onOverdue() != null) {
             loop.schedule(
                     StoreRequestPolicy.OVERDUE_MICROS,
@@ -213,10 +221,10 @@
     }
 
     private void onAnswer(
-            StoreRequest request, InFlightRequests.Sent sent, int status, byte[] body) {
-        boolean isLostAlone = status == HttpTransport.NO_RESPONSE && inFlight.isOvertaken(sent);
-        inFlight.onAnswered(sent, StoreProtocol.isAnswer(status));
-        if (isLostAlone) {
+            StoreRequest request, InFlightRequests.SentRequest sent, int status, byte[] body) {
+        boolean isSingleLoss = status == HttpTransport.NO_RESPONSE && inFlight.isOvertaken(sent);
+        inFlight.onAnswered(sent, StoreProtocol.isHttpStatus(status));
+        if (isSingleLoss) {
             failureCount++;
         } else {
             recordAnswer(status, request.changeCount());
@@ -225,15 +233,15 @@
         sendAllowed();
     }
 
-    /** Takes from an answer, or from its absence, what it says about the store. */
+    /** Updates the view of the store's health from an answer or a missing answer. */
     private void recordAnswer(int status, int changeCount) {
         boolean isFailure = StoreProtocol.isFailure(status);
         if (isFailure) {
             failureCount++;
         }
-        boolean isAnswer = StoreProtocol.isAnswer(status);
+        boolean isAnswer = StoreProtocol.isHttpStatus(status);
         boolean isUnavailable = status == StoreProtocol.UNAVAILABLE;
-        health.onAnswer(isAnswer && !isUnavailable);
+        healthListener.onAnswer(isAnswer && !isUnavailable);
         if (isAnswer) {
             isRefusing = isUnavailable;
         }
--- a/src/test/java/org/woadloom/sim/StoreClientTest.java
+++ b/src/test/java/org/woadloom/sim/StoreClientTest.java
@@ -21,8 +21,8 @@
 import org.woadloom.store.StoreClient.Result;
 
 /**
- * What waits for what on the way to the store: 30 changes a second here, and more reads than are
- * asked for.
+ * Tests which requests of {@link StoreClient} wait for others. The leader's rates here are 30
+ * changes per second and more requests than the tests make.
  */
 class StoreClientTest {
     private static final ServiceSettings.Store LIMITS =
@@ -45,11 +45,11 @@
         client.setLeader(true);
     }
 
-    private void change(RequestPriority priority, int changes) {
+    private void submitChanges(RequestPriority priority, int changeCount) {
         client.txn(
                 priority,
                 List.of(),
-                Collections.nCopies(changes, Change.put("key", Map.of())),
+                Collections.nCopies(changeCount, Change.put("key", Map.of())),
                 (result, storeRevision, failed) -> {});
     }
 
@@ -58,12 +58,13 @@
     }
 
     /**
-     * The leader's changes wait for their budget for minutes; users' polls would wait behind them.
+     * Guards against user polls queueing behind the leader's changes, which can wait minutes for
+     * their rate.
      */
     @Test
-    void readsPassByChangesThatWaitForTheirBudget() {
+    void readIsSentWhileChangesWaitForTheirRate() {
         for (int i = 0; i < 30; i++) {
-            change(RequestPriority.URGENT, 12);
+            submitChanges(RequestPriority.URGENT, 12);
         }
         run(200_000);
         sent.clear();
@@ -72,12 +73,15 @@
         assertEquals(List.of("/keys/polled"), sent);
     }
 
-    /** Whoever comes later may have to wait for less. */
+    /**
+     * Guards against a timer for an earlier request with a long wait delaying a later request with
+     * a short wait.
+     */
     @Test
-    void aShortWaitIsNotTakenForALongOne() {
+    void requestWithAShorterWaitIsNotDelayedByALongerTimer() {
         client.get(RequestPriority.URGENT, "refused", (result, entry, storeRevision) -> {});
-        change(RequestPriority.URGENT, 30);
-        change(RequestPriority.URGENT, 30);
+        submitChanges(RequestPriority.URGENT, 30);
+        submitChanges(RequestPriority.URGENT, 30);
         run(3_000);
         sent.clear();
         client.get(
@@ -89,11 +93,11 @@
     }
 
     /**
-     * What can't be sent in time is refused at once, and what waited too long is not sent: its user
-     * has given up.
+     * A request that cannot be sent before its deadline is refused immediately, and one that is
+     * still queued at its deadline is dropped, because its user has given up.
      */
     @Test
-    void whatComesTooLateIsNotSent() {
+    void requestsThatWouldMissTheirDeadlineAreRefusedUnsent() {
         List<Long> refused = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             client.txn(
@@ -109,37 +113,37 @@
                 refused.size() + " were refused at once");
         assertEquals(refused.size(), client.shedCount());
         run(10_000_000);
-        assertEquals(300, refused.size(), "each is answered");
+        assertEquals(300, refused.size(), "every request is answered");
         assertEquals(300 - client.shedCount(), sent.size());
         assertTrue(refused.stream().allMatch(at -> at <= 4_100_000));
     }
 
-    // Single answers that are lost.
+    // Lost answers.
 
     private final SimulatedStore store = new SimulatedStore(sim, LIMITS);
-    private final Random luck = new Random(7);
+    private final Random random = new Random(7);
 
-    /** What becomes of a transaction. */
-    private enum Fate {
+    /** What happens to a transaction. */
+    private enum Outcome {
         ANSWERED,
         ANSWER_LOST,
-        CARRIED_OUT_LATE
+        EXECUTED_LATE
     }
 
-    private StoreClient served(Supplier<Fate> fates) {
-        StoreClient served =
+    private StoreClient clientOfStore(Supplier<Outcome> outcomes) {
+        StoreClient storeClient =
                 SimulatedStore.client(
                         sim.loop(),
                         (address, method, path, body, timeout, callback) -> {
-                            boolean[] told = {false};
+                            boolean[] isAnswered = {false};
                             Map<String, Object> map = body == null ? Map.of() : decoded(body);
                             SimulatedStore.Answer answer =
                                     (status, content) ->
                                             sim.after(
                                                     3_000,
                                                     () -> {
-                                                        if (!told[0]) {
-                                                            told[0] = true;
+                                                        if (!isAnswered[0]) {
+                                                            isAnswered[0] = true;
                                                             callback.onResponse(
                                                                     status,
                                                                     status > 0
@@ -148,11 +152,11 @@
                                                         }
                                                     });
                             sim.after(timeout, () -> answer.answer(0, Map.of()));
-                            switch (path.equals("/txn") ? fates.get() : Fate.ANSWERED) {
+                            switch (path.equals("/txn") ? outcomes.get() : Outcome.ANSWERED) {
                                 case ANSWERED -> store.handle(method, path, map, answer);
                                 case ANSWER_LOST ->
                                         store.handle(method, path, map, (status, content) -> {});
-                                case CARRIED_OUT_LATE ->
+                                case EXECUTED_LATE ->
                                         sim.after(
                                                 4_000_000,
                                                 () ->
@@ -165,8 +169,8 @@
                         },
                         LIMITS,
                         1);
-        served.setLeader(true);
-        return served;
+        storeClient.setLeader(true);
+        return storeClient;
     }
 
     private static Map<String, Object> decoded(byte[] body) {
@@ -178,72 +182,82 @@
     }
 
     /**
-     * A lost answer used to hold one of twelve places for 2 s, and everything that is not urgent
-     * for a moment.
+     * Guards against lost answers blocking in-flight slots until their timeout (2 s, 12 slots) and
+     * causing non-urgent requests to be held back.
      */
     @Test
-    void singleAnswersThatAreLostHoldUpNothingElse() {
-        StoreClient served = served(() -> luck.nextInt(10) < 4 ? Fate.ANSWER_LOST : Fate.ANSWERED);
-        int[] read = {0};
-        int[] slow = {0};
+    void lostAnswersDoNotDelayOtherRequests() {
+        StoreClient storeClient =
+                clientOfStore(
+                        () -> random.nextInt(10) < 4 ? Outcome.ANSWER_LOST : Outcome.ANSWERED);
+        int[] readCount = {0};
+        int[] slowCount = {0};
         for (long at = 0; at < 20_000_000; at += 50_000) {
             String key = "key" + at;
             sim.after(
                     at,
                     () -> {
-                        served.txn(
+                        storeClient.txn(
                                 RequestPriority.URGENT,
                                 List.of(),
                                 List.of(Change.put(key, Map.of())),
                                 (result, storeRevision, failed) -> {});
-                        long asked = sim.now();
-                        served.get(
+                        long requestedAt = sim.now();
+                        storeClient.get(
                                 RequestPriority.NORMAL,
                                 key,
                                 (result, entry, storeRevision) -> {
-                                    read[0]++;
-                                    slow[0] += sim.now() - asked > 100_000 ? 1 : 0;
+                                    readCount[0]++;
+                                    slowCount[0] += sim.now() - requestedAt > 100_000 ? 1 : 0;
                                 });
                     });
         }
         run(20_000_000);
-        assertEquals(0, slow[0], "of " + read[0] + " reads so many were slow");
-        assertEquals(400, read[0]);
+        assertEquals(0, slowCount[0], "slow reads out of " + readCount[0]);
+        assertEquals(400, readCount[0]);
     }
 
     private Result write(
-            StoreClient served, String key, Map<String, Object> value, long[] toldAfter) {
-        Result[] told = {null};
-        long from = sim.now();
-        served.txn(
+            StoreClient storeClient, String key, Map<String, Object> value, long[] reportedAfter) {
+        Result[] reported = {null};
+        long start = sim.now();
+        storeClient.txn(
                 RequestPriority.URGENT,
                 List.of(new Condition(key, 0)),
                 List.of(Change.put(key, value)),
                 key,
                 (result, storeRevision, failed) -> {
-                    assertNull(told[0], "told twice");
-                    told[0] = result;
-                    toldAfter[0] = sim.now() - from;
+                    assertNull(reported[0], "result reported twice");
+                    reported[0] = result;
+                    reportedAfter[0] = sim.now() - start;
                 });
         run(6_000_000);
-        return told[0];
+        return reported[0];
     }
 
     /**
-     * Whether it was carried out is read after a fraction of a second; that it was not yet is no
-     * proof.
+     * The proof key is read after a fraction of a second. Its absence proves nothing, because the
+     * transaction may still be executed.
      */
     @Test
-    void aTransactionWhoseAnswerIsLostIsReadBack() {
-        long[] after = {0};
+    void transactionWithALostAnswerIsConfirmedByReadingItsProofKey() {
+        long[] reportedAfter = {0};
         assertEquals(
                 Result.OK,
-                write(served(() -> Fate.ANSWER_LOST), "job/1", Map.of("version", 3L), after));
-        assertTrue(after[0] < 500_000, "told after " + after[0]);
+                write(
+                        clientOfStore(() -> Outcome.ANSWER_LOST),
+                        "job/1",
+                        Map.of("version", 3L),
+                        reportedAfter));
+        assertTrue(reportedAfter[0] < 500_000, "reported after " + reportedAfter[0]);
         assertEquals(
                 Result.UNKNOWN,
-                write(served(() -> Fate.CARRIED_OUT_LATE), "job/2", Map.of("version", 3L), after));
-        // Somebody else's value is there: the transaction failed, and its answer was lost.
+                write(
+                        clientOfStore(() -> Outcome.EXECUTED_LATE),
+                        "job/2",
+                        Map.of("version", 3L),
+                        reportedAfter));
+        // Another writer's value is at the key: the transaction failed and its answer was lost.
         store.handle(
                 "POST",
                 "/txn",
@@ -255,6 +269,10 @@
                 (status, content) -> {});
         assertEquals(
                 Result.UNKNOWN,
-                write(served(() -> Fate.ANSWER_LOST), "job/3", Map.of("version", 3L), after));
+                write(
+                        clientOfStore(() -> Outcome.ANSWER_LOST),
+                        "job/3",
+                        Map.of("version", 3L),
+                        reportedAfter));
     }
 }
--- a/src/test/java/org/woadloom/store/RequestSchedulerTest.java
+++ b/src/test/java/org/woadloom/store/RequestSchedulerTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.woadloom.store.StoreClient.RequestPriority;
 
-/** Which request goes first, at 100 requests and 40 changes a second. */
+/** Tests the order of requests at rates of 100 requests and 40 changes per second. */
 class RequestSchedulerTest {
     private static final long SECOND = 1_000_000;
 
@@ -28,12 +28,12 @@
         }
     }
 
-    /** What is sent within so long. */
+    /** Returns the requests sent within the given time. */
     private List<RequestPriority> sentWithin(long micros) {
         List<RequestPriority> sent = new ArrayList<>();
         long until = now + micros;
         while (now < until) {
-            RequestScheduler.Turn<RequestPriority> turn = scheduler.next(now, false, 0);
+            RequestScheduler.Decision<RequestPriority> turn = scheduler.next(now, false, 0);
             if (turn.request() != null) {
                 sent.add(turn.request());
             } else {
@@ -50,28 +50,31 @@
     }
 
     @Test
-    void controlGoesFirstAlsoWhereTheRateIsUsedUp() {
+    void controlRequestsAreSentFirstWhenTheRateIsExhausted() {
         add(RequestPriority.USER, 4_000, 1);
         sentWithin(5 * SECOND);
         add(RequestPriority.CONTROL, 1, 2);
         add(RequestPriority.CONTROL, 1, 0);
-        RequestScheduler.Turn<RequestPriority> first = scheduler.next(now, true, SECOND);
-        RequestScheduler.Turn<RequestPriority> second = scheduler.next(now, true, SECOND);
+        RequestScheduler.Decision<RequestPriority> first = scheduler.next(now, true, SECOND);
+        RequestScheduler.Decision<RequestPriority> second = scheduler.next(now, true, SECOND);
         assertEquals(
                 List.of(RequestPriority.CONTROL, RequestPriority.CONTROL),
                 List.of(first.request(), second.request()));
     }
 
-    /** The reserve is bounded: a fault that asks without end stays below the store's rate. */
+    /**
+     * The reserve is bounded: even a bug that submits control requests without end must stay within
+     * the store's rate.
+     */
     @Test
-    void controlPaysForWhatItTakes() {
+    void controlRequestsStayWithinTheRateAndTheirReserve() {
         add(RequestPriority.CONTROL, 1_000, 1);
         int sent = sentWithin(5 * SECOND).size();
         assertTrue(sent >= 5 * 40 && sent <= 6 * 40 + 5, sent + " were sent");
     }
 
     @Test
-    void usersWaitForNothingElseWhileTheyAreFew() {
+    void fewUserRequestsAreSentBeforeABacklogOfUrgentOnes() {
         add(RequestPriority.URGENT, 500, 1);
         sentWithin(3 * SECOND);
         add(RequestPriority.USER, 10, 1);
@@ -80,7 +83,7 @@
     }
 
     @Test
-    void aBacklogOfUsersLeavesTheOthersTheirShares() {
+    void backloggedSharesDivideTheRateByWeight() {
         add(RequestPriority.USER, 4_000, 1);
         add(RequestPriority.URGENT, 4_000, 1);
         add(RequestPriority.NORMAL, 4_000, 1);
@@ -94,18 +97,18 @@
     }
 
     @Test
-    void whatOneShareLeavesIsTheOthers() {
+    void singleActiveShareGetsTheWholeRate() {
         add(RequestPriority.BACKGROUND, 4_000, 1);
         int sent = sentWithin(10 * SECOND).size();
         assertTrue(sent >= 10 * 40, sent + " were sent");
     }
 
     /**
-     * Reads pass by changes that wait for their rate, and a large change is not passed by others
-     * for ever.
+     * Reads must not wait behind changes that wait for their rate, and a large change must not be
+     * overtaken by small ones indefinitely.
      */
     @Test
-    void aLargeChangeComesToItsTurn() {
+    void largeChangeLetsReadsPassButIsNotStarvedBySmallChanges() {
         add(RequestPriority.URGENT, 10, 40);
         sentWithin(1_000);
         add(RequestPriority.NORMAL, 1, 0);
@@ -114,9 +117,9 @@
         assertTrue(counts(sentWithin(10 * SECOND)).get(RequestPriority.URGENT) >= 7);
     }
 
-    /** A cancellation frees what others wait for. */
+    /** Cancellations go first because they free resources that other users wait for. */
     @Test
-    void cancellationsGoBeforeSubmissions() {
+    void cancellationsAreSentBeforeOtherUserRequests() {
         add(RequestPriority.USER, 1_000, 1);
         sentWithin(SECOND);
         add(RequestPriority.CANCELLATION, 10, 1);
@@ -126,7 +129,7 @@
     }
 
     @Test
-    void theEstimateIsWhatIsWaitedFor() {
+    void estimatedWaitMatchesTheActualWait() {
         add(RequestPriority.URGENT, 4_000, 1);
         add(RequestPriority.USER, 100, 1);
         sentWithin(2 * SECOND);
@@ -143,15 +146,15 @@
     }
 
     @Test
-    void whatWasTakenOutIsNotSent() {
+    void removedRequestsAreNotSent() {
         add(RequestPriority.USER, 3, 1);
         assertTrue(scheduler.remove(RequestPriority.USER, RequestPriority.USER, 1));
         assertEquals(List.of(), sentWithin(SECOND));
     }
 
-    /** A full queue refuses more, and refuses nobody else. */
+    /** A full queue must refuse further requests of its share without affecting other shares. */
     @Test
-    void aFullQueueRefuses() {
+    void fullQueueRefusesOnlyItsOwnShare() {
         int added = 0;
         while (added < 100_000
                 && scheduler.add(RequestPriority.NORMAL, RequestPriority.NORMAL, 0)) {
