--- a/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
@@ -422,8 +422,8 @@
     }
 
     /**
-     * Checks that the checker detects nodes that report no cancellations to the leader, and a
-     * service that is configured with three times the permitted time for cancelled tasks.
+     * The checker must detect nodes that report no cancellations to the leader, and a service that
+     * is configured with three times the permitted time for cancelled tasks.
      */
     @ParameterizedTest
     @CsvSource({"VOUCHES_FOR_ANYTHING, NOTIFICATIONS_LOST, 50", "NONE, PEER_LINKS_DOWN, 150"})
--- a/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
@@ -236,8 +236,8 @@
     }
 
     /**
-     * Checks that the checker detects nodes that report no cancellations, so that the leader does
-     * not learn of any.
+     * The checker must detect nodes that report no cancellations, so that the leader does not learn
+     * of any.
      */
     @Test
     void checkerDetectsNodesThatReportNoCancellations() {
--- a/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
@@ -346,7 +346,7 @@
     }
 
     /**
-     * Checks that the invariant that a flaw violates under this fault is reported. How often the
+     * The checker must report the invariant that a flaw violates under this fault. How often the
      * fault took effect is not checked: a store that ignores conditions never rejects a late write,
      * and the violation itself proves that the fault occurred.
      */
--- a/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
+++ b/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
@@ -305,11 +305,11 @@
         Submission submission = new Submission();
         submissions.add(submission);
         long from = sim.now();
-        boolean[] finished = {false};
+        boolean[] attemptEnded = {false};
         Consumer<Response> retry =
                 response -> {
-                    if (!finished[0]) {
-                        finished[0] = true;
+                    if (!attemptEnded[0]) {
+                        attemptEnded[0] = true;
                         if ((response == null || response.status() == 503) && sim.now() < until) {
                             sim.after(SECOND, () -> submit(job, until));
                         }
--- a/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
@@ -111,7 +111,8 @@
 
     /**
      * Some machines are unreachable for three leases, also while the leader changes: no lease of
-     * another machine expires, and the work is done elsewhere before the fault is over.
+     * another machine expires, and the work is done elsewhere before the fault is over. Without a
+     * fault in the parameters the machines get all faults in turn.
      */
     @ParameterizedTest
     @CsvSource({
@@ -197,13 +198,11 @@
             assertEquals(
                     0,
                     faulty.stream().filter(agent -> agent.dead).count(),
-                    "given up, seed " + seed);
+                    "machines given up, seed " + seed);
         }
     }
 
-    /**
-     * Checks that the checker detects a service that assumes leases to be shorter than they are.
-     */
+    /** The checker must detect a service that assumes leases to be shorter than they are. */
     @Test
     void checkerDetectsLeaseAssumedTooShort() {
         InvariantViolation caught =
@@ -240,7 +239,7 @@
             cluster.run(FAULTS_START + 32_000_000);
             assertTrue(
                     cluster.observed.killedByLease > killed && !tasks.isEmpty(),
-                    "no lease ended, seed " + seed);
+                    "no lease expired, seed " + seed);
             int starts = cluster.observed.starts;
             long controllersBack = cluster.loop.now();
             while (cluster.observed.starts == starts
@@ -294,12 +293,17 @@
                     .filter(agent -> !agent.dead && agent.started == 0)
                     .forEach(agent -> unused.add(agent.host));
             unused.retainAll(cluster.unexpectedMachines());
-            assertEquals(Set.of(), unused, "neither used nor returned, seed " + seed);
-            count.merge("unexpected", cluster.unexpectedMachines().size(), Integer::sum);
-            count.merge("deleted for others", cluster.deletedForOthers(), Integer::sum);
+            assertEquals(Set.of(), unused, "machines neither used nor returned, seed " + seed);
+            count.merge(
+                    "rented for earlier leaders",
+                    cluster.unexpectedMachines().size(),
+                    Integer::sum);
+            count.merge("deleted for earlier leaders", cluster.deletedForOthers(), Integer::sum);
         }
         assertTrue(
-                count.get("unexpected") >= 5 && count.get("deleted for others") >= 3, "" + count);
+                count.get("rented for earlier leaders") >= 5
+                        && count.get("deleted for earlier leaders") >= 3,
+                "" + count);
     }
 
     /**
@@ -345,9 +349,9 @@
             }
             cluster.run(480_000_000);
             assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
-            count.merge("quick", cluster.quickBoots, Integer::sum);
-            count.merge("at work", newlyBusyAndKilled[0], Integer::sum);
-            count.merge("ended", newlyBusyAndKilled[1], Integer::sum);
+            count.merge("fast boots", cluster.quickBoots, Integer::sum);
+            count.merge("machines that started a task", newlyBusyAndKilled[0], Integer::sum);
+            count.merge("machines ended", newlyBusyAndKilled[1], Integer::sum);
             count.merge("terms", (int) (cluster.term() - term), Integer::sum);
             count.merge(
                     "late writes",
--- a/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
@@ -43,21 +43,21 @@
                 boolean allAtLimit =
                         cluster.observed.teamsAtLimit() == cluster.settings.teams().size();
                 int term = cluster.leaderChanges();
-                int[] outOfReach = {0};
+                int[] cancelled = {0};
                 cluster.island("b", 24_000_000);
                 cluster.loop.after(
                         1_000_000,
                         () -> {
-                            outOfReach[0] +=
+                            cancelled[0] +=
                                     cancelJobsOn(cluster, 2, machine -> machine.zone.equals("b"));
                             cluster.cancelNow(3, 9_000_000);
-                            outOfReach[0] += cancelJobsOn(cluster, 3, SimulatedAgent::hung);
+                            cancelled[0] += cancelJobsOn(cluster, 3, SimulatedAgent::hung);
                         });
                 cluster.loop.after(
                         1_500_000 + cluster.random.nextInt(2_000_000),
                         () -> cluster.endLeader(2_000_000));
                 cluster.loop.after(12_000_000, () -> cluster.endLeader(300_000));
-                return () -> allAtLimit && cluster.leaderChanges() > term ? outOfReach[0] : 0;
+                return () -> allAtLimit && cluster.leaderChanges() > term ? cancelled[0] : 0;
             }
         },
         /**
@@ -111,25 +111,26 @@
             @Override
             IntSupplier inject(ClusterSimulation cluster) {
                 int term = cluster.leaderChanges();
-                int[] starts = {Integer.MAX_VALUE};
+                int[] startsToWaitFor = {Integer.MAX_VALUE};
                 int[] arrived = {0};
-                List<byte[]> held = new ArrayList<>();
+                List<byte[]> delayedReports = new ArrayList<>();
                 // A rejected command is answered with a report; this one never reaches whoever sent
                 // the command.
-                cluster.agents().forEach(machine -> held.add(cluster.copyOf(reportOf(machine))));
+                cluster.agents()
+                        .forEach(machine -> delayedReports.add(cluster.copyOf(reportOf(machine))));
                 cluster.loop.after(300_000, () -> cluster.hangAll("b", 11_000_000));
                 cluster.loop.after(1_000_000, () -> cluster.endLeader(2_000_000));
                 runOnceWhen(
                         cluster,
                         cluster.loop.now() + 35_000_000,
                         () -> cluster.leaderChanges() > term,
-                        () -> starts[0] = cluster.observed.starts + 3);
+                        () -> startsToWaitFor[0] = cluster.observed.starts + 3);
                 runOnceWhen(
                         cluster,
                         cluster.loop.now() + 40_000_000,
-                        () -> cluster.observed.starts >= starts[0],
+                        () -> cluster.observed.starts >= startsToWaitFor[0],
                         () ->
-                                held.forEach(
+                                delayedReports.forEach(
                                         report -> {
                                             for (int node = 0;
                                                     node < ClusterSimulation.NODES;
@@ -148,7 +149,7 @@
         JOBS_BOUND_TO_ONE_ZONE {
             @Override
             IntSupplier inject(ClusterSimulation cluster) {
-                int[] lost = {0};
+                int[] lostTasks = {0};
                 for (int tasks : new int[] {1, 6, 10}) {
                     submitJobInZoneB(cluster, tasks);
                 }
@@ -157,7 +158,7 @@
                         cluster.loop.now() + 30_000_000,
                         () -> countPlacedTasksBoundToZone(cluster) >= 4,
                         () -> {
-                            lost[0] += countPlacedTasksBoundToZone(cluster);
+                            lostTasks[0] += countPlacedTasksBoundToZone(cluster);
                             cluster.agents().stream()
                                     .filter(machine -> machine.zone.equals("b"))
                                     .forEach(SimulatedAgent::die);
@@ -165,7 +166,7 @@
                                     cluster.random.nextInt(2_000_000),
                                     () -> cluster.endLeader(500_000));
                         });
-                return () -> lost[0];
+                return () -> lostTasks[0];
             }
         };
 
--- a/src/test/java/org/woadloom/sim/RolloutTest.java
+++ b/src/test/java/org/woadloom/sim/RolloutTest.java
@@ -123,20 +123,25 @@
      */
     @ParameterizedTest
     @EnumSource(Step.class)
-    void rolloutWaitsForDowngradedNode(Step at) {
+    void rolloutWaitsForDowngradedNode(Step stepAtDowngrade) {
         for (int offset = 0; offset < 2; offset++) {
             ClusterSimulation cluster = startCluster(11 + offset, Version.NOW);
-            runUntilStep(cluster, at);
+            runUntilStep(cluster, stepAtDowngrade);
             int index =
-                    at == Step.OFF ? offset : (cluster.leader() + offset) % ClusterSimulation.NODES;
+                    stepAtDowngrade == Step.OFF
+                            ? offset
+                            : (cluster.leader() + offset) % ClusterSimulation.NODES;
             cluster.replace(index, Version.AGREEING, 1 * SECOND);
             long downgradedAt = cluster.loop.now();
             Step before = step(cluster);
             cluster.run(downgradedAt + 40 * SECOND);
             if (before.compareTo(Step.ON) < 0) {
-                assertEquals(Step.OFF, step(cluster), "switched on with an old node, at " + at);
+                assertEquals(
+                        Step.OFF,
+                        step(cluster),
+                        "switched on with an old node, at " + stepAtDowngrade);
             } else {
-                assertEquals(before, step(cluster), "at " + at);
+                assertEquals(before, step(cluster), "at " + stepAtDowngrade);
             }
             cluster.replace(index, Version.NOW, 1 * SECOND);
             runUntilStep(cluster, Step.SETTLED);
--- a/src/test/java/org/woadloom/sim/ServiceLevelTest.java
+++ b/src/test/java/org/woadloom/sim/ServiceLevelTest.java
@@ -38,11 +38,11 @@
         Map<String, int[]> served = new TreeMap<>();
         for (String jobId : cluster.observed.acceptedJobs()) {
             var job = cluster.observed.job(jobId);
-            boolean counts = cluster.observed.wasStarted(jobId) || cluster.observed.isOver(jobId);
+            boolean isServed = cluster.observed.wasStarted(jobId) || cluster.observed.isOver(jobId);
             for (String group : new String[] {"team " + job.team(), "class " + job.jobClass()}) {
                 int[] count = served.computeIfAbsent(group, g -> new int[2]);
                 count[0]++;
-                count[1] += counts ? 1 : 0;
+                count[1] += isServed ? 1 : 0;
             }
         }
         assertEquals(18, served.size(), "teams and classes that had jobs");
@@ -83,21 +83,22 @@
         cluster.run(FAULTS_END);
         int before = finishedArraysOf(cluster, crowd);
         cluster.run(FAULTS_END + 240_000_000);
-        int over = finishedArraysOf(cluster, crowd) - before;
-        assertTrue(over >= 12, over + " arrays finished in four minutes at the team's limit");
+        int finished = finishedArraysOf(cluster, crowd) - before;
+        assertTrue(
+                finished >= 12, finished + " arrays finished in four minutes at the team's limit");
     }
 
     private static int finishedArraysOf(ClusterSimulation cluster, int crowd) {
         String team = crowd == 0 ? "red" : "crowd-0";
-        int over = 0;
+        int finished = 0;
         for (String jobId : cluster.observed.acceptedJobs()) {
             var job = cluster.observed.job(jobId);
-            over +=
+            finished +=
                     job.team().equals(team) && !job.isService() && cluster.observed.isOver(jobId)
                             ? 1
                             : 0;
         }
-        return over;
+        return finished;
     }
 
     /**
--- a/src/test/java/org/woadloom/sim/StatusRecoveryTest.java
+++ b/src/test/java/org/woadloom/sim/StatusRecoveryTest.java
@@ -252,20 +252,20 @@
      * #MAX_UNANSWERED}.
      */
     private void assertAllAnsweredAgain() {
-        long end = sim.now();
+        long faultsEnd = sim.now();
         answers = 0;
         refusals = 0;
-        while (unansweredSince(end) > 0 && sim.now() - end < MAX_UNANSWERED) {
+        while (unansweredSince(faultsEnd) > 0 && sim.now() - faultsEnd < MAX_UNANSWERED) {
             sim.run(sim.now() + SECOND);
         }
         assertEquals(
                 0,
-                unansweredSince(end),
+                unansweredSince(faultsEnd),
                 () ->
                         String.format(
                                 "jobs unanswered %d s after the end of all faults;"
                                         + " %d polls answered, %d not",
-                                (sim.now() - end) / SECOND, answers, refusals));
+                                (sim.now() - faultsEnd) / SECOND, answers, refusals));
     }
 
     @Test
--- a/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
@@ -77,8 +77,8 @@
     }
 
     /**
-     * Checks that the checker detects deaf agents whose reports claim that they receive: commands
-     * on the way to a deaf agent are executed once it receives again.
+     * The checker must detect deaf agents whose reports claim that they receive: commands on the
+     * way to a deaf agent are executed once it receives again.
      */
     @Test
     void checkerDetectsDeafAgentsThatAppearReachable() {
--- a/src/test/java/org/woadloom/sim/UserWritesTest.java
+++ b/src/test/java/org/woadloom/sim/UserWritesTest.java
@@ -225,7 +225,9 @@
                 "the leader is notified of each change");
         assertEquals(
                 List.of(),
-                notifications.entrySet().stream().filter(hint -> hint.getValue() != 1).toList(),
+                notifications.entrySet().stream()
+                        .filter(notification -> notification.getValue() != 1)
+                        .toList(),
                 "the leader is notified of each change exactly once");
     }
 
