--- a/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
+++ b/src/main/java/org/woadloom/core/jobs/DependencyGraph.java
@@ -16,54 +16,58 @@
 import org.woadloom.protocol.Priority;
 
 /**
- * Jobs that wait for their dependencies.
+ * Tracks the jobs that wait for their dependencies.
  *
- * <p>A job is unblocked once each of its dependencies is <em>durably</em> done: a final state in
- * the store, or a record that says that all tasks are completed and was acknowledged. That this
- * leader does not have a job proves nothing, so the store is asked. If a dependency is cancelled,
- * so is the job, and whatever depends on it.
+ * <p>A job is unblocked once each of its dependencies is <em>durably</em> done: either the store
+ * holds its final state, or a write of its record with all tasks completed was acknowledged. A
+ * dependency that this leader does not know may have ended or may not have been read yet, so the
+ * store is asked. If a dependency is cancelled, all jobs that depend on it, directly or indirectly,
+ * are cancelled too.
  */
 public final class DependencyGraph {
-    /** How many lookups in the store may be open at a time. */
+    /** Maximum number of concurrent lookups in the store. */
     private static final int MAX_LOOKUPS = 12;
 
     private static final long LOOKUP_RETRY_MICROS = 500_000;
 
     private final SchedulerState state;
 
-    /** By dependency, the jobs that wait for it, in the order in which they came. */
+    /** The jobs that wait for each dependency, in order of arrival. */
     private final Map<String, Set<Job>> dependents = new LinkedHashMap<>();
 
-    /** For each blocked job, its dependencies that are not known to be done. */
+    /** The dependencies of each blocked job that are not known to be done. */
     private final Map<Job, Set<String>> unfinishedDependencies = new LinkedHashMap<>();
 
-    /** By the time of day, when the last dependency of a blocked job was done as far as known. */
+    /**
+     * Wall-clock time at which the latest dependency of a blocked job that is known to be done
+     * ended.
+     */
     private final Map<Job, Long> lastDoneWallMicros = new HashMap<>();
 
-    /** Dependencies that the store is to be asked about, and when. */
-    private final Map<String, Long> lookUpAtMicros = new LinkedHashMap<>();
+    /** Dependencies to look up in the store, with the earliest time of the lookup. */
+    private final Map<String, Long> lookupDueMicros = new LinkedHashMap<>();
 
-    /** Dependencies that the store was asked about. */
-    private final Set<String> resolving = new LinkedHashSet<>();
+    /** Dependencies with a lookup in flight. */
+    private final Set<String> lookupsInFlight = new LinkedHashSet<>();
 
     /**
-     * Cancelled jobs whose dependents are to be cancelled as well: a queue, so that no chain is too
-     * long for the stack.
+     * Cancelled jobs whose dependents have yet to be cancelled. A queue instead of recursion,
+     * because a chain of thousands of jobs would overflow the stack.
      */
     private final ArrayDeque<String> cancelledDependencies = new ArrayDeque<>();
 
-    private boolean changed;
+    private boolean prioritiesOutdated;
 
     public DependencyGraph(SchedulerState state) {
         this.state = state;
     }
 
-    /** How many jobs wait for dependencies. */
+    /** Number of jobs that wait for dependencies. */
     public int blockedCount() {
         return unfinishedDependencies.size();
     }
 
-    /** A job has come; its dependencies may be known already, and others may depend on it. */
+    /** Registers a job: looks up its dependencies, and notifies jobs that already wait for it. */
     void onJobAdded(Job job) {
         if (dependents.containsKey(job.jobId())) {
             if (job.isCancelled()) {
@@ -71,12 +75,12 @@
             } else if (job.persistence.isCompletionDurable()) {
                 onDone(job.jobId(), state.wallMicros());
             }
-            changed = true;
+            prioritiesOutdated = true;
         }
         if (!job.isBlocked() || job.isTerminal()) {
             return;
         }
-        changed = true;
+        prioritiesOutdated = true;
         unfinishedDependencies.put(job, new LinkedHashSet<>(job.description.dependencies()));
         state.log(
                 LogEntry.info(LogEvent.JOB_BLOCKED)
@@ -84,30 +88,30 @@
                         .with("dependencies", String.join(",", job.description.dependencies())));
         for (String dependency : job.description.dependencies()) {
             dependents.computeIfAbsent(dependency, jobId -> new LinkedHashSet<>()).add(job);
-            Job other = state.jobs().get(dependency);
-            if (other == null) {
-                lookUpAtMicros.putIfAbsent(dependency, state.nowMicros());
-            } else if (other.isCancelled()) {
+            Job dependencyJob = state.jobs().get(dependency);
+            if (dependencyJob == null) {
+                lookupDueMicros.putIfAbsent(dependency, state.nowMicros());
+            } else if (dependencyJob.isCancelled()) {
                 cancelledDependencies.add(dependency);
-            } else if (other.persistence.isCompletionDurable()) {
+            } else if (dependencyJob.persistence.isCompletionDurable()) {
                 onDone(dependency, state.wallMicros());
             }
         }
     }
 
-    /** A job is done, and the store says so. */
+    /** Marks a job as durably done and unblocks the jobs that waited only for it. */
     void onDone(String jobId, long wallMicros) {
-        lookUpAtMicros.remove(jobId);
+        lookupDueMicros.remove(jobId);
         Set<Job> jobs = dependents.remove(jobId);
         if (jobs == null) {
             return;
         }
-        changed = true;
+        prioritiesOutdated = true;
         for (Job job : jobs) {
             lastDoneWallMicros.merge(job, wallMicros, Math::max);
-            Set<String> left = unfinishedDependencies.get(job);
-            left.remove(jobId);
-            if (left.isEmpty()) {
+            Set<String> remaining = unfinishedDependencies.get(job);
+            remaining.remove(jobId);
+            if (remaining.isEmpty()) {
                 unblock(job);
             }
         }
@@ -115,30 +119,33 @@
 
     private void unblock(Job job) {
         unfinishedDependencies.remove(job);
-        long at = Math.min(state.wallMicros(), lastDoneWallMicros.remove(job));
-        job.unblock(state.nowMicros() - (state.wallMicros() - at), at);
+        long readyWallMicros = Math.min(state.wallMicros(), lastDoneWallMicros.remove(job));
+        job.unblock(state.nowMicros() - (state.wallMicros() - readyWallMicros), readyWallMicros);
         state.countJobArrival();
         state.demandEstimator().add(job, state.nowMicros());
         state.requestPlacement();
         state.log(LogEntry.info(LogEvent.JOB_UNBLOCKED).with("job", job.jobId()));
     }
 
-    /** A job is cancelled, and the store says so: whatever depends on it will never run. */
+    /** Marks a job as durably cancelled; its dependents are cancelled in the next pass. */
     void onCancelled(String jobId) {
-        lookUpAtMicros.remove(jobId);
+        lookupDueMicros.remove(jobId);
         if (dependents.containsKey(jobId)) {
             cancelledDependencies.add(jobId);
         }
     }
 
-    /** A job is over, or its record is gone for a reason that only the store knows. */
+    /**
+     * Handles a job that leaves the registry. If its outcome is unknown, the store is asked on
+     * behalf of its dependents.
+     */
     void onJobRemoved(Job job, boolean outcomeKnown) {
-        forget(job);
+        stopTracking(job);
         if (!dependents.containsKey(job.jobId())) {
             return;
         }
         if (!outcomeKnown) {
-            lookUpAtMicros.put(job.jobId(), state.nowMicros());
+            lookupDueMicros.put(job.jobId(), state.nowMicros());
         } else if (job.isCancelled()) {
             onCancelled(job.jobId());
         } else {
@@ -146,28 +153,28 @@
         }
     }
 
-    /** The job itself waits for nothing more, as it is over. */
-    private void forget(Job job) {
-        Set<String> before = unfinishedDependencies.remove(job);
+    /** Stops tracking the dependencies of a job that has ended. */
+    private void stopTracking(Job job) {
+        Set<String> dependencies = unfinishedDependencies.remove(job);
         lastDoneWallMicros.remove(job);
-        if (before == null) {
+        if (dependencies == null) {
             return;
         }
-        changed = true;
-        for (String jobId : before) {
+        prioritiesOutdated = true;
+        for (String jobId : dependencies) {
             Set<Job> jobs = dependents.get(jobId);
             jobs.remove(job);
             if (jobs.isEmpty()) {
                 dependents.remove(jobId);
-                lookUpAtMicros.remove(jobId);
+                lookupDueMicros.remove(jobId);
             }
         }
     }
 
-    /** The store's answer about a dependency; without a clear one it is asked again. */
+    /** Handles the result of a lookup; an inconclusive one is repeated later. */
     public void onResolved(SchedulerEvent.DependencyResolved event) {
         String jobId = event.jobId();
-        resolving.remove(jobId);
+        lookupsInFlight.remove(jobId);
         if (!dependents.containsKey(jobId)) {
             return;
         }
@@ -181,21 +188,21 @@
             case CANCELLED -> onCancelled(jobId);
             case OPEN, NOT_FOUND, UNREADABLE -> {
                 if (!state.jobs().containsKey(jobId)) {
-                    lookUpAtMicros.put(jobId, state.nowMicros() + LOOKUP_RETRY_MICROS);
+                    lookupDueMicros.put(jobId, state.nowMicros() + LOOKUP_RETRY_MICROS);
                 }
             }
         }
     }
 
     /**
-     * Cancels what depends on cancelled jobs, asks the store for what is not known, and has jobs
-     * inherit from their dependents; called once a pass.
+     * Cancels the dependents of cancelled jobs, looks up unknown dependencies, and propagates
+     * priorities and deadlines; called once per scheduling pass.
      */
     public void processChanges() {
         cancelDependents();
-        resolveUnknown();
-        if (changed) {
-            changed = false;
+        startLookups();
+        if (prioritiesOutdated) {
+            prioritiesOutdated = false;
             propagatePriorities();
         }
     }
@@ -212,7 +219,7 @@
                                     .with("job", job.jobId())
                                     .with("dependency", jobId));
                 }
-                forget(job);
+                stopTracking(job);
                 if (dependents.containsKey(job.jobId())) {
                     cancelledDependencies.add(job.jobId());
                 }
@@ -220,14 +227,14 @@
         }
     }
 
-    private void resolveUnknown() {
-        if (lookUpAtMicros.isEmpty() || resolving.size() >= MAX_LOOKUPS) {
+    private void startLookups() {
+        if (lookupDueMicros.isEmpty() || lookupsInFlight.size() >= MAX_LOOKUPS) {
             return;
         }
         for (String jobId : dueLookups()) {
-            lookUpAtMicros.remove(jobId);
-            // If its record has come meanwhile, the job itself will report its end.
-            if (!state.jobs().containsKey(jobId) && resolving.add(jobId)) {
+            lookupDueMicros.remove(jobId);
+            // A job whose record has arrived since is followed in the registry instead.
+            if (!state.jobs().containsKey(jobId) && lookupsInFlight.add(jobId)) {
                 state.emit(new SchedulerAction.ResolveDependency(jobId));
             }
         }
@@ -235,9 +242,9 @@
 
     private List<String> dueLookups() {
         List<String> due = new ArrayList<>();
-        for (Map.Entry<String, Long> entry : lookUpAtMicros.entrySet()) {
+        for (Map.Entry<String, Long> entry : lookupDueMicros.entrySet()) {
             if (entry.getValue() <= state.nowMicros()
-                    && resolving.size() + due.size() < MAX_LOOKUPS) {
+                    && lookupsInFlight.size() + due.size() < MAX_LOOKUPS) {
                 due.add(entry.getKey());
             }
         }
@@ -245,15 +252,16 @@
     }
 
     /**
-     * Each job gets the highest priority of all that depend on it, and the earliest deadline that
-     * leaves each of them its estimated time. Goes from dependents to dependencies.
+     * Passes priorities and deadlines on from dependents to dependencies: a job inherits the
+     * highest priority of its dependents, and the earliest deadline that leaves each of them its
+     * estimated runtime.
      */
     private void propagatePriorities() {
         Map<String, Priority> priorities = new HashMap<>();
         Map<String, Long> deadlines = new HashMap<>();
-        ArrayDeque<Job> open = new ArrayDeque<>(unfinishedDependencies.keySet());
-        while (!open.isEmpty()) {
-            Job job = open.poll();
+        ArrayDeque<Job> queue = new ArrayDeque<>(unfinishedDependencies.keySet());
+        while (!queue.isEmpty()) {
+            Job job = queue.poll();
             Priority inherited = priorities.get(job.jobId());
             Priority priority =
                     inherited != null && inherited.compareTo(job.description.priority()) > 0
@@ -268,18 +276,19 @@
                             ? deadline
                             : deadline - (long) (job.description.estimatedRuntimeSeconds() * 1e6);
             for (String dependency : unfinishedDependencies.get(job)) {
-                boolean higher =
+                boolean raisesPriority =
                         priorities.get(dependency) == null
                                 || priorities.get(dependency).compareTo(priority) < 0;
-                boolean sooner = deadlines.getOrDefault(dependency, Long.MAX_VALUE) > latestStart;
-                if (!higher && !sooner) {
+                boolean advancesDeadline =
+                        deadlines.getOrDefault(dependency, Long.MAX_VALUE) > latestStart;
+                if (!raisesPriority && !advancesDeadline) {
                     continue;
                 }
                 priorities.merge(dependency, priority, (a, b) -> a.compareTo(b) >= 0 ? a : b);
                 deadlines.merge(dependency, latestStart, Math::min);
-                Job other = state.jobs().get(dependency);
-                if (other != null && unfinishedDependencies.containsKey(other)) {
-                    open.add(other);
+                Job dependencyJob = state.jobs().get(dependency);
+                if (dependencyJob != null && unfinishedDependencies.containsKey(dependencyJob)) {
+                    queue.add(dependencyJob);
                 }
             }
         }
--- a/src/main/java/org/woadloom/core/placement/TaskPlacer.java
+++ b/src/main/java/org/woadloom/core/placement/TaskPlacer.java
@@ -15,14 +15,14 @@
 import org.woadloom.core.reservation.Reservations;
 
 /**
- * Decides which task runs on which machine, in the order of {@link QueueOrder}.
+ * Assigns pending tasks to machines, in the order of {@link QueueOrder}.
  *
- * <p>A search for all waiting jobs of a large fleet is spread over several steps, as the leader has
- * to renew its lease and answer heartbeats in between: it stops before the job that would be too
- * much for one step, and goes on there.
+ * <p>In a large fleet, a search for all waiting jobs is split into steps, because the leader must
+ * renew its lease and respond to heartbeats in between. A step ends before the job that would
+ * exceed its budget, and the next one resumes there.
  */
 public final class TaskPlacer {
-    /** It takes a small part of the leader key's lease, also on a slow processor. */
+    /** Even on a slow CPU, such a step takes a small fraction of the lease on the leader key. */
     private static final int MAX_MACHINES_PER_STEP = 200_000;
 
     private final SchedulerState state;
@@ -32,8 +32,8 @@
 
     private final IncrementalSearch search = new IncrementalSearch(MAX_MACHINES_PER_STEP);
 
-    /** What found no machine in the present search. */
-    private final List<ResourceRequest> unsatisfied = new ArrayList<>();
+    /** Requests for which the current search found no machine. */
+    private final List<ResourceRequest> unsatisfiedRequests = new ArrayList<>();
 
     public TaskPlacer(
             SchedulerState state, PlacementConstraints constraints, Reservations reservations) {
@@ -43,7 +43,10 @@
         this.order = new QueueOrder(state);
     }
 
-    /** Jobs with pending tasks that may be placed now, in the order in which they are served. */
+    /**
+     * Returns the jobs with pending tasks that may be placed now, in the order in which they are
+     * served.
+     */
     public List<Job> placementQueue() {
         List<Job> jobs = new ArrayList<>();
         for (Job job : state.jobs().values()) {
@@ -54,23 +57,26 @@
         return order.sorted(jobs);
     }
 
-    /** How many machines the searches of this term have examined, counted anew for each job. */
+    /**
+     * Number of machines that the searches of this term have examined; a machine counts once for
+     * each job.
+     */
     public long machinesExamined() {
         return search.machinesExamined();
     }
 
     /**
-     * Places the pending tasks that fit, each job in its turn, as far as one step may search.
+     * Places the pending tasks that fit, in queue order, as far as the budget of one step allows.
      *
-     * @return whether every job had its turn; if not, the next call goes on
+     * @return true if every job had its turn; otherwise the next call continues
      */
     public boolean place() {
-        long attempt = state.newAttemptNumber();
+        long attemptNumber = state.newAttemptNumber();
         search.beginStep();
         List<Machine> openMachines = null;
         for (Job job : placementQueue()) {
             boolean hasReservation = reservations.countFor(job) > 0;
-            if (search.isVisited(job) || (!hasReservation && isPassedOver(job))) {
+            if (search.isVisited(job) || (!hasReservation && canSkip(job))) {
                 continue;
             }
             if (openMachines == null) {
@@ -80,35 +86,38 @@
                 return false;
             }
             search.markVisited(job);
-            if (placeJob(job, attempt, openMachines)
+            if (placeJob(job, attemptNumber, openMachines)
                     && !hasReservation
                     && ResourceRequest.isRepresentative(job)) {
-                unsatisfied.add(ResourceRequest.of(job));
+                unsatisfiedRequests.add(ResourceRequest.of(job));
             }
         }
         search.reset();
-        unsatisfied.clear();
+        unsatisfiedRequests.clear();
         return true;
     }
 
-    /** How many machines a search for the job examines at most. */
+    /** Maximum number of machines that a search for the job examines. */
     private int searchCost(Job job, List<Machine> openMachines) {
         return openMachines.size() + (job.description.isGang() ? state.machines().size() : 0);
     }
 
     /**
-     * True if a job without a reservation to draw from need not be tried: it backs off, its team's
-     * limit is reached, or one that asked for no more found no machine.
+     * True if a job without a reservation needs no search: it is backing off, its team's limit is
+     * reached, or a request for no more than it needs found no machine.
      */
-    private boolean isPassedOver(Job job) {
+    private boolean canSkip(Job job) {
         if (!job.description.isService() && job.isBackingOff(state.nowMicros())) {
             return true;
         }
         return job.allowedTasks() < 1
-                || unsatisfied.stream().anyMatch(request -> request.covers(job));
+                || unsatisfiedRequests.stream().anyMatch(request -> request.covers(job));
     }
 
-    /** Machines that take tasks and have anything left; in one pass they only get fuller. */
+    /**
+     * Machines that accept tasks and have free resources. The list stays valid for a pass, in which
+     * they only fill up.
+     */
     private List<Machine> openMachines() {
         List<Machine> openMachines = new ArrayList<>();
         for (Machine machine : state.machines().values()) {
@@ -121,8 +130,8 @@
         return openMachines;
     }
 
-    /** Places tasks of a job; true if the machines have no resources for another one. */
-    private boolean placeJob(Job job, long attempt, List<Machine> openMachines) {
+    /** Places tasks of a job; returns true if the machines lack the resources for another one. */
+    private boolean placeJob(Job job, long attemptNumber, List<Machine> openMachines) {
         RecordSizeEstimate size =
                 RecordSizeEstimate.of(job, state.maxValueBytes(), state.recordFormat());
         if (!size.fitsOneMore(job.nextPending(0))
@@ -137,13 +146,13 @@
                 new CandidateMachines(
                         job, openMachines, state.scarceZones(), constraints, reservations);
         int placed = 0;
-        boolean full = false;
+        boolean lacksMachine = false;
         for (int index = job.nextPending(0);
                 index != Job.NO_TASK && size.fitsOneMore(index);
                 index = job.nextPending(index + 1)) {
             Machine machine = candidates.next();
             if (machine == null) {
-                full = job.allowedTasks() >= 1;
+                lacksMachine = job.allowedTasks() >= 1;
                 break;
             }
             TaskAttempt taskAttempt =
@@ -151,7 +160,7 @@
                             job,
                             index,
                             machine,
-                            attempt,
+                            attemptNumber,
                             job.persistence.nextVersion(),
                             state.nowMicros());
             reservations.allocateTo(taskAttempt);
@@ -164,7 +173,7 @@
         if (placed > 0) {
             logPlaced(job, placed);
         }
-        return full;
+        return lacksMachine;
     }
 
     private void logPlaced(Job job, int placed) {
@@ -176,7 +185,7 @@
                         .with("tasks_by_zone", job.attemptCountByZone()));
     }
 
-    /** A gang starts only when all of its tasks that are left fit at once. */
+    /** True if all remaining tasks of a gang fit at once; it starts only then. */
     private boolean gangFits(Job job, int maxTasks) {
         int wanted = job.pendingTaskCount();
         if (wanted > maxTasks) {
