--- a/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
+++ b/src/test/java/org/woadloom/sim/LeadershipUnderLoadTest.java
@@ -28,15 +28,15 @@
 import org.woadloom.store.StoreLimits;
 
 /**
- * Users submit more than the store's rate of changes for a minute: three nodes, each with its
- * election and its users.
+ * Users submit more than the store's write rate allows for a minute, to three nodes that each have
+ * an election and a job API. Election and leader writes must not queue behind user writes.
  */
 class LeadershipUnderLoadTest {
     private static final long SECOND = 1_000_000;
     private static final int NODES = 3;
     private static final int SUBMISSIONS_PER_SECOND = 120;
     private static final long USER_TIMEOUT = 5 * SECOND;
-    private static final long GRANT = 4 * SECOND;
+    private static final long LEADER_LEASE = 4 * SECOND;
     private static final ServiceSettings.Store LIMITS =
             new ServiceSettings.Store(400, 60, 8192, 12, null);
     private static final MachineType TYPE =
@@ -45,28 +45,28 @@
     private final SimulatedEventLoop sim = new SimulatedEventLoop();
     private final SimulatedStore store = new SimulatedStore(sim, LIMITS);
     private final Random random = new Random(5);
-    private final List<Member> members = new ArrayList<>();
+    private final List<Node> nodes = new ArrayList<>();
     private final List<Submission> submissions = new ArrayList<>();
 
-    /** One submission, without its retries. */
+    /** One attempt to submit a job; retries are counted separately. */
     private static final class Submission {
         int status;
         long tookMicros = Long.MAX_VALUE;
     }
 
-    /** A node's process: its client of the store, its election and what users ask of it. */
-    private final class Member {
+    /** One node process: its store client, its election and its job API. */
+    private final class Node {
         final int index;
         boolean alive = true;
         final StoreClient client;
         final Election election;
         final JobApi api;
-        int elected;
-        int deposed;
-        final List<Long> recordWaits = new ArrayList<>();
-        int recordsAsked;
+        int electionsWon;
+        int leadershipsLost;
+        final List<Long> writeWaits = new ArrayList<>();
+        int writesRequested;
 
-        Member(int index) {
+        Node(int index) {
             this.index = index;
             ServiceSettings settings = settings(index);
             EventLoop loop = loop();
@@ -84,7 +84,7 @@
                             client,
                             settings.label(),
                             new Random(index + 10),
-                            fence(),
+                            alwaysEligible(),
                             listener());
             api =
                     new JobApi(
@@ -98,16 +98,16 @@
         }
 
         private EventLoop loop() {
-            EventLoop whole = sim.loop();
+            EventLoop simulated = sim.loop();
             return new EventLoop() {
                 @Override
                 public long nowMicros() {
-                    return whole.nowMicros();
+                    return simulated.nowMicros();
                 }
 
                 @Override
                 public long wallMicros() {
-                    return whole.wallMicros();
+                    return simulated.wallMicros();
                 }
 
                 @Override
@@ -117,12 +117,12 @@
 
                 @Override
                 public Timer schedule(long delayMicros, Runnable task) {
-                    return whole.schedule(delayMicros, () -> whileAlive(task));
+                    return simulated.schedule(delayMicros, () -> runIfAlive(task));
                 }
             };
         }
 
-        private void whileAlive(Runnable task) {
+        private void runIfAlive(Runnable task) {
             if (alive) {
                 task.run();
             }
@@ -162,7 +162,7 @@
                 Map<String, Object> map) {
             if (!answered[0]) {
                 answered[0] = true;
-                whileAlive(
+                runIfAlive(
                         () ->
                                 callback.onResponse(
                                         status, status > 0 ? Cbor.encode(map) : new byte[0]));
@@ -173,13 +173,13 @@
             return new Election.Listener() {
                 @Override
                 public void onElected(long term, long leaderRevision) {
-                    elected++;
+                    electionsWon++;
                     client.setLeader(true);
                 }
 
                 @Override
                 public void onLeadershipLost(String reason) {
-                    deposed++;
+                    leadershipsLost++;
                     client.setLeader(false);
                 }
 
@@ -188,17 +188,19 @@
             };
         }
 
-        /** The leader's own record of work that ends: what it waits for is noted. */
+        /**
+         * Writes a record as the leader does when tasks end, and notes how long the write waited.
+         */
         void writeRecord() {
             long from = sim.now();
-            recordsAsked++;
+            writesRequested++;
             client.txn(
                     RequestPriority.URGENT,
                     List.of(),
-                    List.of(Change.put("record/" + recordsAsked % 50, Map.of("n", from))),
+                    List.of(Change.put("record/" + writesRequested % 50, Map.of("n", from))),
                     (result, storeRevision, failed) -> {
                         if (result == Result.OK) {
-                            recordWaits.add(sim.now() - from);
+                            writeWaits.add(sim.now() - from);
                         }
                     });
         }
@@ -213,7 +215,7 @@
                 LIMITS);
     }
 
-    private static Election.Eligibility fence() {
+    private static Election.Eligibility alwaysEligible() {
         return new Election.Eligibility() {
             @Override
             public boolean isEligible() {
@@ -271,43 +273,43 @@
 
     private void start() {
         for (int index = 0; index < NODES; index++) {
-            members.add(new Member(index));
+            nodes.add(new Node(index));
         }
-        members.forEach(member -> member.election.start());
+        nodes.forEach(node -> node.election.start());
         sim.run(2 * SECOND);
-        assertEquals(1, members.stream().filter(member -> member.election.isLeader()).count());
+        assertEquals(1, nodes.stream().filter(node -> node.election.isLeader()).count());
     }
 
-    private Member leader() {
-        return members.stream()
-                .filter(member -> member.alive && member.election.isLeader())
+    private Node leader() {
+        return nodes.stream()
+                .filter(node -> node.alive && node.election.isLeader())
                 .findFirst()
                 .orElse(null);
     }
 
     /**
-     * Submits at a steady rate until the given time, at any node whose process is there; the users
-     * try again for a minute.
+     * Submits at a steady rate until the given time, to random running nodes; users retry for a
+     * minute.
      */
-    private void users(long until, int perSecond) {
+    private void submitUntil(long until, int perSecond) {
         if (sim.now() < until) {
             Map<String, Object> job =
                     LoopbackNode.job(String.format("j-%06d", submissions.size()), "team");
             submit(job, sim.now() + 60 * SECOND);
-            sim.after(SECOND / perSecond, () -> users(until, perSecond));
+            sim.after(SECOND / perSecond, () -> submitUntil(until, perSecond));
         }
     }
 
     private void submit(Map<String, Object> job, long until) {
-        List<Member> alive = members.stream().filter(member -> member.alive).toList();
+        List<Node> alive = nodes.stream().filter(node -> node.alive).toList();
         Submission submission = new Submission();
         submissions.add(submission);
         long from = sim.now();
-        boolean[] over = {false};
+        boolean[] attemptEnded = {false};
         Consumer<Response> retry =
                 response -> {
-                    if (!over[0]) {
-                        over[0] = true;
+                    if (!attemptEnded[0]) {
+                        attemptEnded[0] = true;
                         if ((response == null || response.status() == 503) && sim.now() < until) {
                             sim.after(SECOND, () -> submit(job, until));
                         }
@@ -325,18 +327,18 @@
                         });
     }
 
-    private void leaderWrites(long until, int perSecond) {
+    private void writeAsLeaderUntil(long until, int perSecond) {
         if (sim.now() < until) {
-            Member leader = leader();
+            Node leader = leader();
             if (leader != null) {
                 leader.writeRecord();
             }
-            sim.after(SECOND / perSecond, () -> leaderWrites(until, perSecond));
+            sim.after(SECOND / perSecond, () -> writeAsLeaderUntil(until, perSecond));
         }
     }
 
-    /** The longest time without the leader key, from now until the given time. */
-    private long longestGap(long until) {
+    /** Runs until the given time; returns the longest time without a leader. */
+    private long longestTimeWithoutLeader(long until) {
         long since = sim.now();
         long longest = 0;
         while (sim.now() < until) {
@@ -349,59 +351,62 @@
         return longest;
     }
 
-    /** The leader keeps its key while users ask for more than the store takes. */
     @Test
-    void leadershipIsKept() {
+    void leaderKeepsLeadershipWhenSubmissionsExceedStoreRate() {
         start();
-        users(62 * SECOND, SUBMISSIONS_PER_SECOND);
-        assertEquals(0, longestGap(62 * SECOND));
-        assertEquals(1, members.stream().mapToInt(member -> member.elected).sum());
+        submitUntil(62 * SECOND, SUBMISSIONS_PER_SECOND);
+        assertEquals(0, longestTimeWithoutLeader(62 * SECOND));
+        assertEquals(1, nodes.stream().mapToInt(node -> node.electionsWon).sum());
     }
 
     /**
-     * Elections waited behind all users' changes of their nodes: nobody led before the backlog was
-     * gone.
+     * Election writes used to queue behind the user writes of their node, so that nobody led until
+     * the backlog was gone.
      */
     @Test
-    void aLeaderThatEndsIsReplacedInTheUsualTime() {
+    void endedLeaderIsReplacedPromptlyUnderLoad() {
         start();
-        users(62 * SECOND, SUBMISSIONS_PER_SECOND);
+        submitUntil(62 * SECOND, SUBMISSIONS_PER_SECOND);
         sim.run(30 * SECOND);
         leader().alive = false;
-        long gap = longestGap(62 * SECOND);
-        assertTrue(gap > 0 && gap <= GRANT + SECOND, "no leader for " + gap + " us");
+        long gap = longestTimeWithoutLeader(62 * SECOND);
+        assertTrue(gap > 0 && gap <= LEADER_LEASE + SECOND, "no leader for " + gap + " us");
     }
 
-    /** Work that ends has to be recorded, also while users' changes queue. */
+    /** Records of ended tasks must be written while user writes queue. */
     @Test
-    void theLeadersRecordsHaveTheirShare() {
+    void leaderWritesAreNotStarvedBySubmissions() {
         start();
-        users(62 * SECOND, SUBMISSIONS_PER_SECOND);
-        leaderWrites(61 * SECOND, 10);
+        submitUntil(62 * SECOND, SUBMISSIONS_PER_SECOND);
+        writeAsLeaderUntil(61 * SECOND, 10);
         sim.run(62 * SECOND);
-        Member leader = leader();
+        Node leader = leader();
         assertTrue(
-                leader.recordWaits.size() >= leader.recordsAsked * 9 / 10,
-                leader.recordWaits.size() + " of " + leader.recordsAsked + " records were written");
-        long longest = leader.recordWaits.stream().mapToLong(Long::longValue).max().orElse(0);
+                leader.writeWaits.size() >= leader.writesRequested * 9 / 10,
+                leader.writeWaits.size()
+                        + " of "
+                        + leader.writesRequested
+                        + " records were written");
+        long longest = leader.writeWaits.stream().mapToLong(Long::longValue).max().orElse(0);
         assertTrue(longest <= SECOND, "a record waited for " + longest + " us");
     }
 
     /**
-     * Yes or no: nobody is kept waiting for longer than users wait, and the store's rate is used.
+     * Every submission is accepted or refused before its user gives up, and the store's rate is
+     * used.
      */
     @Test
-    void everySubmissionIsAnsweredInTime() {
+    void everySubmissionIsAnsweredBeforeUserTimeout() {
         start();
-        users(62 * SECOND, SUBMISSIONS_PER_SECOND);
+        submitUntil(62 * SECOND, SUBMISSIONS_PER_SECOND);
         sim.run(62 * SECOND);
-        long begun = submissions.size();
+        long submitted = submissions.size();
         sim.run(68 * SECOND);
-        List<Submission> all = submissions.subList(0, (int) begun);
+        List<Submission> all = submissions.subList(0, (int) submitted);
         assertEquals(
                 0,
                 all.stream().filter(one -> one.tookMicros > USER_TIMEOUT).count(),
-                "late of " + begun);
+                "late answers of " + submitted);
         assertTrue(
                 all.stream()
                         .allMatch(
--- a/src/test/java/org/woadloom/sim/ServiceLevelTest.java
+++ b/src/test/java/org/woadloom/sim/ServiceLevelTest.java
@@ -18,37 +18,38 @@
 import org.woadloom.core.reservation.Reservations;
 
 /**
- * Sixteen teams of which one floods the service, while machines and controllers fail: nobody is
- * left out.
+ * Sixteen teams, one of which floods the service with jobs, while machines and controllers fail: no
+ * team and no job class starves.
  */
 @ExtendWith(PrintReplayCommand.class)
 class ServiceLevelTest {
-    private static final long TROUBLED = 180_000_000;
-    private static final double LEAST = 0.5;
+    private static final long FAULTS_END = 180_000_000;
+    private static final double MIN_SERVED_SHARE = 0.5;
 
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
-    void noTeamAndNoClassFallsUnderAHalf(long seed) {
+    void everyTeamAndClassGetsHalfOfItsJobsStartedDuringFlood(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.CROWD);
-        cluster.users.submitUntil(TROUBLED, 4);
-        cluster.randomFaults.startMachineFaultsUntil(TROUBLED);
-        // The flood asks for more than there is: a part of its own jobs still waits then.
-        cluster.run(TROUBLED + 120_000_000);
+        cluster.users.submitUntil(FAULTS_END, 4);
+        cluster.randomFaults.startMachineFaultsUntil(FAULTS_END);
+        // The flooding team asks for more than there is, so that some of its own jobs still wait at
+        // the end.
+        cluster.run(FAULTS_END + 120_000_000);
         Map<String, int[]> served = new TreeMap<>();
         for (String jobId : cluster.observed.acceptedJobs()) {
             var job = cluster.observed.job(jobId);
-            boolean counts = cluster.observed.wasStarted(jobId) || cluster.observed.isOver(jobId);
+            boolean isServed = cluster.observed.wasStarted(jobId) || cluster.observed.isOver(jobId);
             for (String group : new String[] {"team " + job.team(), "class " + job.jobClass()}) {
                 int[] count = served.computeIfAbsent(group, g -> new int[2]);
                 count[0]++;
-                count[1] += counts ? 1 : 0;
+                count[1] += isServed ? 1 : 0;
             }
         }
         assertEquals(18, served.size(), "teams and classes that had jobs");
         served.forEach(
                 (group, count) ->
                         assertTrue(
-                                count[1] >= LEAST * count[0],
+                                count[1] >= MIN_SERVED_SHARE * count[0],
                                 group + ": " + count[1] + " of " + count[0] + ", seed " + seed));
         int flood = served.get("team crowd-0")[0];
         served.forEach(
@@ -57,16 +58,16 @@
                                 !group.startsWith("team")
                                         || group.endsWith("crowd-0")
                                         || count[0] * 4 < flood,
-                                group + " is no smaller than the flood"));
+                                group + " has at least a quarter of the flooding team's jobs"));
     }
 
     /**
-     * A team floods with services that nobody cancels; its arrays get their share of its limit all
-     * the same.
+     * A team submits many services that nobody cancels; its arrays must still get a share of the
+     * team's limit.
      */
     @ParameterizedTest
     @CsvSource({"0,1", "14,2"})
-    void aTeamAtItsLimitServesItsArraysBesideServicesThatStay(int crowd, long seed) {
+    void teamAtLimitFinishesArraysBesideLongRunningServices(int crowd, long seed) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
                         seed,
@@ -77,34 +78,35 @@
                                 Scenario.Flaw.NONE,
                                 crowd));
         cluster.servicesStay = true;
-        cluster.users.submitUntil(TROUBLED, 3);
-        cluster.randomFaults.startMachineFaultsUntil(TROUBLED);
-        cluster.run(TROUBLED);
-        int before = arraysOver(cluster, crowd);
-        cluster.run(TROUBLED + 240_000_000);
-        int over = arraysOver(cluster, crowd) - before;
-        assertTrue(over >= 12, over + " arrays of the team were done in four minutes at its limit");
+        cluster.users.submitUntil(FAULTS_END, 3);
+        cluster.randomFaults.startMachineFaultsUntil(FAULTS_END);
+        cluster.run(FAULTS_END);
+        int before = finishedArraysOf(cluster, crowd);
+        cluster.run(FAULTS_END + 240_000_000);
+        int finished = finishedArraysOf(cluster, crowd) - before;
+        assertTrue(
+                finished >= 12, finished + " arrays finished in four minutes at the team's limit");
     }
 
-    private static int arraysOver(ClusterSimulation cluster, int crowd) {
+    private static int finishedArraysOf(ClusterSimulation cluster, int crowd) {
         String team = crowd == 0 ? "red" : "crowd-0";
-        int over = 0;
+        int finished = 0;
         for (String jobId : cluster.observed.acceptedJobs()) {
             var job = cluster.observed.job(jobId);
-            over +=
+            finished +=
                     job.team().equals(team) && !job.isService() && cluster.observed.isOver(jobId)
                             ? 1
                             : 0;
         }
-        return over;
+        return finished;
     }
 
     /**
-     * The largest tenth of a class, and how long those waited; what an earlier leader placed has
-     * not waited until now.
+     * Covers the largest tenth of the jobs of a class. A task that an earlier leader placed must
+     * not count as having waited until now.
      */
     @Test
-    void theLeaderTellsWhatBecameOfTheLargest() {
+    void leaderLogsServiceLevelOfLargestJobs() {
         SchedulerFixture fixture = new SchedulerFixture();
         for (int i = 0; i < 20; i++) {
             fixture.state.serviceLevels().onJobAdded(fixture.job("j-" + i, 1, 1, i < 18 ? 2 : 9));
@@ -134,9 +136,9 @@
                         "done=0"));
     }
 
-    /** What the leader tells is counted once a minute, and only what it has seen. */
+    /** The report comes once a minute and counts only what this leader has seen. */
     @Test
-    void theLeaderTellsWhoWaits() {
+    void leaderPublishesServiceLevelsOncePerMinute() {
         SchedulerFixture fixture = new SchedulerFixture();
         Job waits = fixture.job("j-000001", 1, 1, 1);
         fixture.state.serviceLevels().onJobAdded(waits);
@@ -147,7 +149,7 @@
         fixture.state.serviceLevels().onJobEnded(ended);
         fixture.advance(30_000_000);
         fixture.state.serviceLevels().reportIfDue();
-        assertTrue(fixture.actions().isEmpty(), "told before its time");
+        assertTrue(fixture.actions().isEmpty(), "reported before a minute had passed");
         fixture.advance(45_000_000);
         fixture.state.serviceLevels().reportIfDue();
         SchedulerAction.PublishServiceLevels seen =
--- a/src/test/java/org/woadloom/sim/StatusRecoveryTest.java
+++ b/src/test/java/org/woadloom/sim/StatusRecoveryTest.java
@@ -23,8 +23,9 @@
 import org.woadloom.store.StoreLimits;
 
 /**
- * The open jobs of some 4,000 machines are polled at three nodes in turn, before and after the
- * nodes can't read the store or are all restarted.
+ * The open jobs of about 4,000 machines are polled at three nodes in turn while the nodes can't
+ * read the store or all restart. Guards against jobs whose polls stay unanswered after the fault is
+ * over.
  */
 class StatusRecoveryTest {
     private static final long SECOND = 1_000_000;
@@ -33,17 +34,22 @@
     private static final long POLL_INTERVAL = 5 * SECOND;
     private static final long USER_TIMEOUT = 2 * SECOND;
 
-    /** A job without an answer for longer, once all troubles are over, counts as forgotten. */
+    /**
+     * A job whose polls get no answer for longer than this after the end of all faults counts as
+     * forgotten.
+     */
     private static final long MAX_UNANSWERED = 75 * SECOND;
 
-    /** Longer than a node may miss changes at these limits: 25 s. */
-    private static final long OUTAGE = 30 * SECOND;
+    /** Longer than the 25 s for which a node may miss changes at these limits. */
+    private static final long OUTAGE_MICROS = 30 * SECOND;
 
-    /** Shorter than that, and longer than it takes until a job's queries get priority. */
-    private static final long SILENCE = 20 * SECOND;
+    /**
+     * Shorter than these 25 s, and longer than it takes until the queries of a job get priority.
+     */
+    private static final long SILENCE_MICROS = 20 * SECOND;
 
-    private static final int LOADED_PER_SECOND = 20;
-    private static final long CALM = 20 * SECOND;
+    private static final int WARM_UP_JOBS_PER_SECOND = 20;
+    private static final long FAULT_FREE_MICROS = 20 * SECOND;
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
     private static final int NOT_FOUND = 404;
@@ -60,7 +66,7 @@
     private final long[] lastAnswered = new long[JOBS];
     private double requestTokens = LIMITS.rps();
     private long requestTokensAt;
-    private boolean silent;
+    private boolean storeSilent;
     private int answers;
     private int refusals;
 
@@ -147,7 +153,7 @@
                 LIMITS);
     }
 
-    /** The store's network and its limit of requests, which all nodes share. */
+    /** Simulates the network to the store, and its request rate limit, which all nodes share. */
     private void request(
             String address,
             String method,
@@ -157,7 +163,7 @@
             HttpTransport.Callback callback) {
         SingleAnswer answer = new SingleAnswer(callback);
         sim.after(timeout, () -> answer.answer(HttpTransport.NO_RESPONSE, Map.of()));
-        if (silent) {
+        if (storeSilent) {
             return;
         }
         sim.after(
@@ -187,13 +193,13 @@
         return true;
     }
 
-    /** Has every node read all jobs, more slowly than any limit. */
+    /** Has every node read all jobs, more slowly than any rate limit. */
     private void warmUp() {
         for (int job = 0; job < JOBS; job++) {
             for (int node = 0; node < NODES; node++) {
                 ask(node, job);
             }
-            sim.run(sim.now() + SECOND / LOADED_PER_SECOND);
+            sim.run(sim.now() + SECOND / WARM_UP_JOBS_PER_SECOND);
         }
     }
 
@@ -213,7 +219,7 @@
                         });
     }
 
-    /** The user of each job asks every five seconds, at each node in turn. */
+    /** Polls each job every five seconds, at each node in turn. */
     private void startPolling() {
         for (int job = 0; job < JOBS; job++) {
             poll(job, random.nextInt(NODES), random.nextInt((int) POLL_INTERVAL));
@@ -229,11 +235,11 @@
                 });
     }
 
-    private void pollUnderCalm() {
+    private void pollWithoutFaults() {
         startPolling();
-        sim.run(sim.now() + CALM);
+        sim.run(sim.now() + FAULT_FREE_MICROS);
         long since = sim.now() - 2 * POLL_INTERVAL;
-        assertEquals(0, unansweredSince(since), "jobs unanswered before any trouble");
+        assertEquals(0, unansweredSince(since), "jobs unanswered before any fault");
         assertTrue(answers > JOBS, answers + " answers");
     }
 
@@ -241,67 +247,74 @@
         return Arrays.stream(lastAnswered).filter(answered -> answered < since).count();
     }
 
-    /** Runs until every job is answered after the troubles' end, or the bound has passed. */
+    /**
+     * Runs until every job has been answered since now, the end of all faults; fails after {@link
+     * #MAX_UNANSWERED}.
+     */
     private void assertAllAnsweredAgain() {
-        long end = sim.now();
+        long faultsEnd = sim.now();
         answers = 0;
         refusals = 0;
-        while (unansweredSince(end) > 0 && sim.now() - end < MAX_UNANSWERED) {
+        while (unansweredSince(faultsEnd) > 0 && sim.now() - faultsEnd < MAX_UNANSWERED) {
             sim.run(sim.now() + SECOND);
         }
         assertEquals(
                 0,
-                unansweredSince(end),
+                unansweredSince(faultsEnd),
                 () ->
                         String.format(
-                                "jobs unanswered %d s after the end of all troubles;"
+                                "jobs unanswered %d s after the end of all faults;"
                                         + " %d polls answered, %d not",
-                                (sim.now() - end) / SECOND, answers, refusals));
+                                (sim.now() - faultsEnd) / SECOND, answers, refusals));
     }
 
     @Test
-    void jobsUnansweredAfterAStoreOutage() {
+    void allPollsAreAnsweredAfterStoreOutage() {
         warmUp();
-        pollUnderCalm();
+        pollWithoutFaults();
         store.outage(true);
-        sim.run(sim.now() + OUTAGE);
+        sim.run(sim.now() + OUTAGE_MICROS);
         store.outage(false);
         assertAllAnsweredAgain();
     }
 
     @Test
-    void jobsUnansweredBehindReadsWhoseUsersHaveGone() {
+    void allPollsAreAnsweredAfterStoreReadsTimedOut() {
         warmUp();
-        pollUnderCalm();
-        silent = true;
-        sim.run(sim.now() + SILENCE);
-        silent = false;
+        pollWithoutFaults();
+        storeSilent = true;
+        sim.run(sim.now() + SILENCE_MICROS);
+        storeSilent = false;
         assertAllAnsweredAgain();
     }
 
     @Test
-    void jobsUnansweredAfterAllNodesRestarted() {
+    void allPollsAreAnsweredAfterAllNodesRestart() {
         warmUp();
-        pollUnderCalm();
+        pollWithoutFaults();
         startNodes();
         assertAllAnsweredAgain();
     }
 
     @Test
-    void wrongRequestsUnansweredDuringOverload() {
+    void invalidRequestsAreAnsweredDuringOverload() {
         startPolling();
-        silent = true;
-        sim.run(sim.now() + SILENCE);
+        storeSilent = true;
+        sim.run(sim.now() + SILENCE_MICROS);
         JobApi node = nodes.get(0);
         List<Integer> statuses = new ArrayList<>();
         node.status("no job's id", response -> statuses.add(response.status()));
         node.cancel("no job's id", response -> statuses.add(response.status()));
         node.submit(new byte[] {1, 2, 3}, response -> statuses.add(response.status()));
-        assertEquals(List.of(NOT_FOUND, NOT_FOUND, BAD_REQUEST), statuses, "answers at once");
-        silent = false;
+        assertEquals(
+                List.of(NOT_FOUND, NOT_FOUND, BAD_REQUEST), statuses, "statuses answered at once");
+        storeSilent = false;
         sim.run(sim.now() + MAX_UNANSWERED);
         node.status(jobId(JOBS), response -> statuses.add(response.status()));
         sim.run(sim.now() + USER_TIMEOUT);
-        assertEquals(NOT_FOUND, statuses.get(statuses.size() - 1), "a job that nobody submitted");
+        assertEquals(
+                NOT_FOUND,
+                statuses.get(statuses.size() - 1),
+                "status of a job that nobody submitted");
     }
 }
--- a/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
@@ -12,16 +12,16 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Workers that hear nothing, or of whom nothing is heard, and a controller that is left with its
- * workers alone.
+ * Agents that receive nothing (deaf) or from which nothing arrives (mute), and a controller that is
+ * isolated with only its agents.
  */
 @ExtendWith(PrintReplayCommand.class)
 class UnreachableAgentScenariosTest {
-    private static final long AT = 60_000_000;
-    private static final long QUIET = 600_000_000;
+    private static final long FAULTS_START = 60_000_000;
+    private static final long RECOVERY_MICROS = 600_000_000;
 
-    /** The lease is 20 s; no other trouble than the one that the test makes. */
-    private static ClusterSimulation day(long seed) {
+    /** Starts a cluster with 20 s leases and no other faults than those of the test. */
+    private static ClusterSimulation startCluster(long seed) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
                         seed,
@@ -29,55 +29,59 @@
                                 Scenario.LONG, Scenario.LONG, Version.NOW, Scenario.Flaw.NONE, 0));
         cluster.trouble = 0;
         cluster.copies = 5;
-        cluster.users.submitUntil(AT + 60_000_000);
-        cluster.observed.faultFreeFromMicros = AT + 150_000_000;
-        cluster.run(AT);
+        cluster.users.submitUntil(FAULTS_START + 60_000_000);
+        cluster.observed.faultFreeFromMicros = FAULTS_START + 150_000_000;
+        cluster.run(FAULTS_START);
         return cluster;
     }
 
-    private static void untilAllIsDone(ClusterSimulation cluster) {
-        cluster.run(AT + QUIET);
+    private static void assertAllJobsFinish(ClusterSimulation cluster) {
+        cluster.run(FAULTS_START + RECOVERY_MICROS);
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
-    /** Shorter than a lease: nothing is lost, and nothing is rented or returned for it. */
+    /**
+     * The fault is shorter than a lease: no task is killed and no machine is rented or returned
+     * because of it.
+     */
     @Test
-    void aZoneThatIsDeafForEightSecondsLosesNothing() {
+    void zoneDeafForLessThanLeaseLosesNoTask() {
         int wereDeaf = 0;
         int returned = 0;
         for (long seed : Seeds.first(6)) {
-            ClusterSimulation cluster = day(seed);
+            ClusterSimulation cluster = startCluster(seed);
             int killed = cluster.observed.killedByLease;
             cluster.deafen("a", 1, 8_000_000);
             List<SimulatedAgent> deaf =
                     cluster.agents().stream().filter(SimulatedAgent::deaf).toList();
-            cluster.run(AT + 16_000_000);
+            cluster.run(FAULTS_START + 16_000_000);
             assertEquals(killed, cluster.observed.killedByLease);
             wereDeaf += deaf.size();
             returned += (int) deaf.stream().filter(agent -> agent.dead).count();
-            untilAllIsDone(cluster);
+            assertAllJobsFinish(cluster);
         }
-        // Idle ones may have been returned meanwhile: on one day alone that may be most of a few.
+        // Idle machines may be returned meanwhile; in a single run that may be most of the few deaf
+        // ones.
         assertTrue(returned * 2 <= wereDeaf, returned + " of " + wereDeaf + " were returned");
     }
 
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
-    void workOnMachinesThatAreDeafForThreeLeasesIsDoneElsewhere(long seed) {
-        ClusterSimulation cluster = day(seed);
+    void workOnDeafMachinesIsDoneElsewhere(long seed) {
+        ClusterSimulation cluster = startCluster(seed);
         cluster.deafen("a", 2, 60_000_000);
         if (seed % 2 == 0) {
             cluster.loop.after(5_000_000, () -> cluster.restart(cluster.leader()));
         }
-        untilAllIsDone(cluster);
+        assertAllJobsFinish(cluster);
     }
 
     /**
-     * The checker must be able to fail: what is on its way to a deaf worker is executed once it
-     * hears again.
+     * The checker must detect deaf agents whose reports claim that they receive: commands on the
+     * way to a deaf agent are executed once it receives again.
      */
     @Test
-    void deafWorkersThatSeemToHearAreCaught() {
+    void checkerDetectsDeafAgentsThatAppearReachable() {
         InvariantViolation caught =
                 assertThrows(
                         InvariantViolation.class,
@@ -92,12 +96,14 @@
                                                         Version.NOW,
                                                         Scenario.Flaw.DEAF_SEEM_TO_HEAR,
                                                         0));
-                                cluster.users.submitUntil(QUIET, 4);
-                                for (long at = AT; at < QUIET; at += 20_000_000) {
+                                cluster.users.submitUntil(RECOVERY_MICROS, 4);
+                                for (long at = FAULTS_START;
+                                        at < RECOVERY_MICROS;
+                                        at += 20_000_000) {
                                     cluster.loop.after(
                                             at, () -> cluster.deafen("a", 1, 12_000_000));
                                 }
-                                cluster.run(QUIET);
+                                cluster.run(RECOVERY_MICROS);
                             }
                         });
         assertTrue(
@@ -105,93 +111,93 @@
                 caught.getMessage());
     }
 
-    /** A machine that stays deaf costs money for nothing, and is replaced. */
+    /** A machine that stays deaf costs money but does no work. */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
-    void machinesThatStayDeafAreReplaced(long seed) {
-        ClusterSimulation cluster = day(seed);
-        cluster.deafen("b", 3, 2 * QUIET);
+    void permanentlyDeafMachinesAreReplaced(long seed) {
+        ClusterSimulation cluster = startCluster(seed);
+        cluster.deafen("b", 3, 2 * RECOVERY_MICROS);
         List<SimulatedAgent> deaf = cluster.agents().stream().filter(SimulatedAgent::deaf).toList();
         assertTrue(!deaf.isEmpty());
-        cluster.run(AT + 180_000_000);
+        cluster.run(FAULTS_START + 180_000_000);
         assertTrue(deaf.stream().allMatch(agent -> agent.dead));
-        untilAllIsDone(cluster);
+        assertAllJobsFinish(cluster);
     }
 
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
-    void workOnMachinesOfWhichNothingIsHeardIsDoneElsewhere(long seed) {
-        ClusterSimulation cluster = day(seed);
+    void workOnMuteMachinesIsDoneElsewhere(long seed) {
+        ClusterSimulation cluster = startCluster(seed);
         cluster.agents().stream()
                 .filter(agent -> agent.zone.equals("a"))
                 .forEach(agent -> agent.muteUntil = cluster.loop.now() + 60_000_000);
-        untilAllIsDone(cluster);
+        assertAllJobsFinish(cluster);
     }
 
     /**
-     * It tells the load balancer at once, its workers go to the others within a lease, and it leads
-     * no more.
+     * The isolated leader fails its health check at once, its agents move to the other nodes within
+     * a lease, and it no longer leads.
      */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstSix")
-    void aLeaderWithItsWorkersAloneLosesThemToTheOthers(long seed) {
-        ClusterSimulation cluster = day(seed);
-        int alone = cluster.leader();
+    void isolatedLeaderLosesLeadershipAndAgents(long seed) {
+        ClusterSimulation cluster = startCluster(seed);
+        int isolated = cluster.leader();
         int killed = cluster.observed.killedByLease;
-        cluster.isolate(alone, 60_000_000);
-        cluster.run(AT + 15_000_000);
-        assertNotEquals(alone, cluster.leader());
-        assertEquals(503, cluster.status(alone, "GET", "/healthz", null));
+        cluster.isolate(isolated, 60_000_000);
+        cluster.run(FAULTS_START + 15_000_000);
+        assertNotEquals(isolated, cluster.leader());
+        assertEquals(503, cluster.status(isolated, "GET", "/healthz", null));
         assertEquals(200, cluster.status(cluster.leader(), "GET", "/healthz", null));
-        cluster.run(AT + 60_000_000);
+        cluster.run(FAULTS_START + 60_000_000);
         assertEquals(killed, cluster.observed.killedByLease, "tasks killed by leases");
-        cluster.run(AT + 75_000_000);
-        assertEquals(200, cluster.status(alone, "GET", "/healthz", null));
-        untilAllIsDone(cluster);
+        cluster.run(FAULTS_START + 75_000_000);
+        assertEquals(200, cluster.status(isolated, "GET", "/healthz", null));
+        assertAllJobsFinish(cluster);
     }
 
     /**
-     * Alone, a node that does not lead may care for its zone's workers, but not keep them from a
+     * An isolated follower may renew the leases of its zone's agents, but must not keep them from a
      * leader that reaches them.
      */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
-    void aFollowerWithItsWorkersAloneLosesThemToTheLeader(long seed) {
-        ClusterSimulation cluster = day(seed);
+    void isolatedFollowerLosesAgentsToLeader(long seed) {
+        ClusterSimulation cluster = startCluster(seed);
         int leader = cluster.leader();
-        int alone = (leader + 1) % ClusterSimulation.NODES;
+        int isolated = (leader + 1) % ClusterSimulation.NODES;
         int killed = cluster.observed.killedByLease;
-        cluster.isolate(alone, 60_000_000);
-        cluster.run(AT + 20_000_000);
-        assertEquals(503, cluster.status(alone, "GET", "/healthz", null));
-        cluster.run(AT + 60_000_000);
+        cluster.isolate(isolated, 60_000_000);
+        cluster.run(FAULTS_START + 20_000_000);
+        assertEquals(503, cluster.status(isolated, "GET", "/healthz", null));
+        cluster.run(FAULTS_START + 60_000_000);
         assertEquals(leader, cluster.leader());
         assertEquals(killed, cluster.observed.killedByLease, "tasks killed by leases");
-        untilAllIsDone(cluster);
+        assertAllJobsFinish(cluster);
     }
 
-    /** In an outage for all, nobody is better off elsewhere. */
+    /** When the store is down for all nodes, a load balancer gains nothing by moving traffic. */
     @Test
-    void inAnOutageForAllNodesStayHealthy() {
-        ClusterSimulation cluster = day(1);
+    void nodesStayHealthyDuringFullStoreOutage() {
+        ClusterSimulation cluster = startCluster(1);
         cluster.stateOutage(20_000_000);
-        cluster.run(AT + 12_000_000);
+        cluster.run(FAULTS_START + 12_000_000);
         for (int i = 0; i < ClusterSimulation.NODES; i++) {
             assertEquals(200, cluster.status(i, "GET", "/healthz", null));
         }
     }
 
-    /** Candidates, voters and former leaders end in the middle of it, and are back 50 ms later. */
+    /** Candidates, voters and former leaders end during elections and restart 50 ms later. */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
-    void nodesThatEndInTheMiddleOfElectionsEndUpWithOneLeader(long seed) {
-        ClusterSimulation cluster = day(seed);
+    void leaderIsElectedWhenNodesRestartDuringElections(long seed) {
+        ClusterSimulation cluster = startCluster(seed);
         long before = cluster.term();
         cluster.end(cluster.leader(), 50_000);
-        cluster.endInElections(AT + 8_000_000);
-        cluster.run(AT + 20_000_000);
+        cluster.endInElections(FAULTS_START + 8_000_000);
+        cluster.run(FAULTS_START + 20_000_000);
         assertTrue(cluster.term() > before);
         assertNotEquals(-1, cluster.leader());
-        untilAllIsDone(cluster);
+        assertAllJobsFinish(cluster);
     }
 }
--- a/src/test/java/org/woadloom/sim/UserWritesTest.java
+++ b/src/test/java/org/woadloom/sim/UserWritesTest.java
@@ -24,8 +24,8 @@
 import org.woadloom.store.RecordFormat;
 
 /**
- * What users hear of submissions and cancellations whose transactions have no answer, or a late
- * one; and of types added since.
+ * Responses to submissions and cancellations whose store transactions get no answer or a late one,
+ * and to jobs that need machine types that were added later.
  */
 class UserWritesTest {
     private static final ServiceSettings.Store LIMITS =
@@ -39,7 +39,7 @@
                     LIMITS);
     private static final MachineType TYPE =
             new MachineType("m", 4, 0, 8, 50, 1, 1, 0.3, 30_000_000, List.of("a"));
-    private static final MachineType ADDED =
+    private static final MachineType ADDED_TYPE =
             new MachineType("added", 8, 0, 32, 50, 1, 1, 0.3, 30_000_000, List.of("b"));
 
     private final SimulatedEventLoop sim = new SimulatedEventLoop();
@@ -48,22 +48,22 @@
     private final Random random = new Random(11);
 
     /**
-     * How many of a hundred transactions have no answer; they are carried out so much later, or
-     * never if below 0.
+     * The percentage of transactions that get no answer. They commit after {@link
+     * #commitDelayMicros}, or never if that is negative.
      */
-    private int unanswered;
+    private int unansweredPercent;
 
-    private long carriedOutAfter;
-    private int lost;
+    private long commitDelayMicros;
+    private int lostAnswers;
     private int reads;
     private int transactions;
-    private final Map<String, Integer> hints = new LinkedHashMap<>();
+    private final Map<String, Integer> notifications = new LinkedHashMap<>();
     private List<MachineType> types = List.of(TYPE);
 
-    /** What the cloud would say, null in an outage of it. */
-    private List<MachineType> offered = types;
+    /** The machine types that the cloud offers, or null while it is down. */
+    private List<MachineType> offeredTypes = types;
 
-    private int typesRead;
+    private int typeRefreshes;
     private final JobApi api =
             new JobApi(
                     sim.loop(),
@@ -91,34 +91,34 @@
 
                         @Override
                         public void refresh(Consumer<Boolean> answered) {
-                            typesRead++;
+                            typeRefreshes++;
                             sim.after(
                                     5_000,
                                     () -> {
-                                        types = offered == null ? types : offered;
-                                        answered.accept(offered != null);
+                                        types = offeredTypes == null ? types : offeredTypes;
+                                        answered.accept(offeredTypes != null);
                                     });
                         }
                     },
                     (record, revision) ->
-                            hints.merge(
+                            notifications.merge(
                                     record.description().jobId() + record.cancelled(),
                                     1,
                                     Integer::sum),
                     (jobId, patience, answer) -> answer.accept(true));
 
-    /** What one request came to. */
-    private static final class Asked {
+    /** A user's request and its response. */
+    private static final class UserCall {
         final String jobId;
         Response response;
         long tookMicros;
         int answers;
 
-        Asked(String jobId) {
+        UserCall(String jobId) {
             this.jobId = jobId;
         }
 
-        boolean toldWithin(long micros) {
+        boolean succeededWithin(long micros) {
             return response != null && response.status() / 100 == 2 && tookMicros <= micros;
         }
     }
@@ -132,13 +132,13 @@
             HttpTransport.Callback callback) {
         SingleAnswer answer = new SingleAnswer(callback);
         sim.after(timeout, () -> answer.answer(HttpTransport.NO_RESPONSE, Map.of()));
-        boolean none = path.equals("/txn") && random.nextInt(100) < unanswered;
-        lost += none ? 1 : 0;
+        boolean unansweredTxn = path.equals("/txn") && random.nextInt(100) < unansweredPercent;
+        lostAnswers += unansweredTxn ? 1 : 0;
         reads += method.equals("GET") ? 1 : 0;
         transactions += path.equals("/txn") ? 1 : 0;
-        if (!none || carriedOutAfter >= 0) {
+        if (!unansweredTxn || commitDelayMicros >= 0) {
             sim.after(
-                    none ? 3_000 + carriedOutAfter : 3_000,
+                    unansweredTxn ? 3_000 + commitDelayMicros : 3_000,
                     () ->
                             handle(
                                     method,
@@ -148,7 +148,7 @@
                                             sim.after(
                                                     2_000,
                                                     () -> {
-                                                        if (!none) {
+                                                        if (!unansweredTxn) {
                                                             answer.answer(status, map);
                                                         }
                                                     })));
@@ -163,92 +163,101 @@
         }
     }
 
-    private Asked ask(String jobId, Consumer<Consumer<Response>> request) {
-        Asked asked = new Asked(jobId);
+    private UserCall call(String jobId, Consumer<Consumer<Response>> request) {
+        UserCall call = new UserCall(jobId);
         long from = sim.now();
         request.accept(
                 response -> {
-                    asked.answers++;
-                    asked.response = response;
-                    asked.tookMicros = sim.now() - from;
+                    call.answers++;
+                    call.response = response;
+                    call.tookMicros = sim.now() - from;
                 });
-        return asked;
+        return call;
     }
 
-    private Asked submit(Map<String, Object> job) {
-        return ask((String) job.get("uid"), answer -> api.submit(Cbor.encode(job), answer));
+    private UserCall submit(Map<String, Object> job) {
+        return call((String) job.get("uid"), answer -> api.submit(Cbor.encode(job), answer));
     }
 
     private static Map<String, Object> job(int number) {
         return LoopbackNode.job(String.format("j-%06d", number), "team");
     }
 
-    private List<Asked> submissions(int count) {
-        List<Asked> asked = new ArrayList<>();
+    private List<UserCall> submitJobs(int count) {
+        List<UserCall> calls = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            asked.add(submit(job(i)));
+            calls.add(submit(job(i)));
             sim.run(sim.now() + 250_000);
         }
         sim.run(sim.now() + 8_000_000);
-        asked.forEach(one -> assertEquals(1, one.answers, one.jobId));
-        return asked;
+        calls.forEach(one -> assertEquals(1, one.answers, one.jobId));
+        return calls;
     }
 
-    private static double share(List<Asked> asked, long micros) {
-        return asked.stream().filter(one -> one.toldWithin(micros)).count() / (double) asked.size();
+    private static double shareSucceededWithin(List<UserCall> calls, long micros) {
+        return calls.stream().filter(one -> one.succeededWithin(micros)).count()
+                / (double) calls.size();
     }
 
     /**
-     * Three tenths of the answers are lost, and with them the time until a time-out; now users hear
-     * of what was carried out.
+     * 30% of the answers are lost. Users used to wait for a time-out then; now each committed
+     * change is confirmed from a read of the record.
      */
     @ParameterizedTest
     @ValueSource(longs = {0, 700_000})
-    void whatWasCarriedOutIsToldWithoutItsAnswer(long later) {
-        unanswered = 30;
-        carriedOutAfter = later;
-        List<Asked> submitted = submissions(300);
-        List<Asked> cancelled = new ArrayList<>();
-        for (Asked one : submitted) {
-            cancelled.add(ask(one.jobId, answer -> api.cancel(one.jobId, answer)));
+    void committedWriteIsConfirmedWithoutStoreAnswer(long commitDelay) {
+        unansweredPercent = 30;
+        commitDelayMicros = commitDelay;
+        List<UserCall> submitted = submitJobs(300);
+        List<UserCall> cancelled = new ArrayList<>();
+        for (UserCall one : submitted) {
+            cancelled.add(call(one.jobId, answer -> api.cancel(one.jobId, answer)));
             sim.run(sim.now() + 250_000);
         }
         sim.run(sim.now() + 8_000_000);
-        assertTrue(lost > 120, lost + " answers lost");
-        long within = later == 0 ? 1_000_000 : 2_000_000;
-        assertEquals(1, share(submitted, within));
-        assertEquals(1, share(cancelled, within));
-        assertEquals(2 * submitted.size(), hints.size(), "each change is told to the leader");
+        assertTrue(lostAnswers > 120, lostAnswers + " answers lost");
+        long within = commitDelay == 0 ? 1_000_000 : 2_000_000;
+        assertEquals(1, shareSucceededWithin(submitted, within));
+        assertEquals(1, shareSucceededWithin(cancelled, within));
+        assertEquals(
+                2 * submitted.size(),
+                notifications.size(),
+                "the leader is notified of each change");
         assertEquals(
                 List.of(),
-                hints.entrySet().stream().filter(hint -> hint.getValue() != 1).toList(),
-                "and once");
+                notifications.entrySet().stream()
+                        .filter(notification -> notification.getValue() != 1)
+                        .toList(),
+                "the leader is notified of each change exactly once");
     }
 
     /**
-     * What is not there may be carried out still, or never: nobody hears of it, and two reads at
-     * most look for it.
+     * A record that is absent may still be written later, or never: the user gets 503, after at
+     * most two reads of the record.
      */
     @Test
-    void whatIsNotThereProvesNothing() {
-        unanswered = 100;
-        carriedOutAfter = -1;
-        List<Asked> submitted = submissions(40);
-        assertEquals(0, share(submitted, 10_000_000));
+    void absentWriteIsAnswered503AfterAtMostTwoReads() {
+        unansweredPercent = 100;
+        commitDelayMicros = -1;
+        List<UserCall> submitted = submitJobs(40);
+        assertEquals(0, shareSucceededWithin(submitted, 10_000_000));
         assertEquals(40, submitted.stream().filter(one -> one.response.status() == 503).count());
-        assertEquals(Map.of(), hints);
+        assertEquals(Map.of(), notifications);
         assertTrue(reads > 40 && reads <= 80, reads + " reads");
     }
 
-    /** A leader's change made the cancellation void: it is tried again as soon as that is read. */
+    /**
+     * A write by the leader makes the condition of the cancellation fail: it is retried as soon as
+     * the new record has been read.
+     */
     @Test
-    void aCancellationThatIsVoidIsTriedAgain() {
-        Asked submitted = submit(job(1));
+    void cancellationWithFailedConditionIsRetried() {
+        UserCall submitted = submit(job(1));
         sim.run(sim.now() + 100_000);
         assertEquals(201, submitted.response.status());
-        unanswered = 100;
-        carriedOutAfter = 200_000;
-        Asked cancelled = ask(submitted.jobId, answer -> api.cancel(submitted.jobId, answer));
+        unansweredPercent = 100;
+        commitDelayMicros = 200_000;
+        UserCall cancelled = call(submitted.jobId, answer -> api.cancel(submitted.jobId, answer));
         sim.run(sim.now() + 100_000);
         Map<String, Object> record = new LinkedHashMap<>(store.value("job/" + submitted.jobId));
         record.put("running", 1L);
@@ -261,9 +270,9 @@
                         "then",
                         List.of(Map.of("put", "job/" + submitted.jobId, "value", record))),
                 (status, answer) -> assertEquals(200, status));
-        unanswered = 0;
+        unansweredPercent = 0;
         sim.run(sim.now() + 3_000_000);
-        assertTrue(cancelled.toldWithin(1_000_000), cancelled.tookMicros + " us");
+        assertTrue(cancelled.succeededWithin(1_000_000), cancelled.tookMicros + " us");
         assertTrue(
                 JobRecord.formatOf(store.value("job/" + submitted.jobId)) == RecordFormat.COMPACT
                         && Boolean.TRUE.equals(
@@ -271,48 +280,49 @@
     }
 
     /**
-     * A type that was added after this node read the types is no reason to refuse a job; without
-     * the cloud it can't be said.
+     * A job is not rejected because it needs a machine type that was added after this node read the
+     * types; while the cloud is down the node answers 503.
      */
     @Test
-    void whatFitsATypeThatWasAddedIsAccepted() {
+    void jobFittingNewMachineTypeIsAccepted() {
         Map<String, Object> job = job(1);
         job.put("hosttypes", List.of("added"));
-        offered = null;
+        offeredTypes = null;
         for (int i = 0; i < 10; i++) {
-            Asked undecided = submit(job);
+            UserCall undecided = submit(job);
             sim.run(sim.now() + 90_000);
             assertEquals(503, undecided.response.status());
         }
-        assertEquals(1, typesRead, "the cloud is not asked for each of them");
+        assertEquals(1, typeRefreshes, "the cloud must not be asked for each submission");
         sim.run(sim.now() + 200_000);
-        offered = List.of(TYPE, ADDED);
-        Asked accepted = submit(job);
-        Map<String, Object> never = job(2);
-        never.put("ramGb", 100.0);
-        Asked refused = submit(never);
+        offeredTypes = List.of(TYPE, ADDED_TYPE);
+        UserCall accepted = submit(job);
+        Map<String, Object> oversizedJob = job(2);
+        oversizedJob.put("ramGb", 100.0);
+        UserCall refused = submit(oversizedJob);
         sim.run(sim.now() + 100_000);
         assertEquals(201, accepted.response.status());
         assertEquals(422, refused.response.status());
-        assertEquals(2, typesRead, "one reading serves both");
+        assertEquals(2, typeRefreshes, "one refresh serves both submissions");
     }
 
     /**
-     * Who tries again while the first write is under way costs no second one: changes are scarce.
+     * A retry while the first write is in flight must not cause a second write: the store's write
+     * rate is scarce.
      */
     @Test
-    void triesOfOneJobShareOneWrite() {
-        List<Asked> submitted = List.of(submit(job(1)), submit(job(1)), submit(job(1)));
+    void concurrentRequestsForOneJobShareOneWrite() {
+        List<UserCall> submitted = List.of(submit(job(1)), submit(job(1)), submit(job(1)));
         sim.run(sim.now() + 1_000_000);
         assertEquals(
                 List.of(201, 200, 200),
                 submitted.stream().map(one -> one.response.status()).toList());
         submitted.forEach(one -> assertEquals(1, one.answers));
         assertEquals(1, transactions);
-        List<Asked> cancelled = new ArrayList<>();
+        List<UserCall> cancelled = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
             cancelled.add(
-                    ask(
+                    call(
                             submitted.get(0).jobId,
                             answer -> api.cancel(submitted.get(0).jobId, answer)));
         }
@@ -323,12 +333,12 @@
     }
 
     /**
-     * Between the write and its answer the job was cancelled, and its user told so: whoever asks
-     * then hears of it.
+     * The job is cancelled, and its user told so, between the write and its answer: a request that
+     * joined the write must report the cancellation.
      */
     @Test
-    void whoJoinsAWriteIsToldNothingOlder() throws MalformedMessageException {
-        Asked first = submit(job(1));
+    void requestJoiningWriteSeesLaterCancellation() throws MalformedMessageException {
+        UserCall first = submit(job(1));
         sim.run(sim.now() + 3_500);
         Map<String, Object> record = new LinkedHashMap<>(store.value("job/" + first.jobId));
         record.put("cancelled", true);
@@ -341,7 +351,7 @@
                         "then",
                         List.of(Map.of("put", "job/" + first.jobId, "value", record))),
                 (status, answer) -> assertEquals(200, status));
-        Asked joined = submit(job(1));
+        UserCall joined = submit(job(1));
         sim.run(sim.now() + 1_000_000);
         assertEquals(201, first.response.status());
         assertEquals(200, joined.response.status());
@@ -350,16 +360,16 @@
     }
 
     /**
-     * A write that is sent, and whose answer never comes, is not waited for longer than its user
-     * does.
+     * A write without an answer, and requests that joined it, are answered before the user's
+     * timeout.
      */
     @Test
-    void everybodyIsAnsweredInTime() {
-        unanswered = 100;
-        carriedOutAfter = -1;
-        Asked first = submit(job(1));
+    void requestsAreAnsweredInTimeWhenStoreNeverAnswers() {
+        unansweredPercent = 100;
+        commitDelayMicros = -1;
+        UserCall first = submit(job(1));
         sim.run(sim.now() + 3_000_000);
-        Asked joined = submit(job(1));
+        UserCall joined = submit(job(1));
         sim.run(sim.now() + 6_000_000);
         assertEquals(List.of(503, 503), List.of(first.response.status(), joined.response.status()));
         assertTrue(first.tookMicros < 5_000_000 && joined.tookMicros < 5_000_000);
