--- a/src/main/java/org/woadloom/core/placement/QueueOrder.java
+++ b/src/main/java/org/woadloom/core/placement/QueueOrder.java
@@ -103,10 +103,10 @@
                 targetsMicros
                         .computeIfAbsent(objective.jobClass(), c -> new ArrayList<>())
                         .add(objective.withinSeconds() * 1e6);
-            } else if (objective.kind().equals("deadline") && objective.times() > 0) {
+            } else if (objective.kind().equals("deadline") && objective.deadlineMultiple() > 0) {
                 deadlineMultiples
                         .computeIfAbsent(objective.jobClass(), c -> new ArrayList<>())
-                        .add(objective.times());
+                        .add(objective.deadlineMultiple());
             }
         }
         targetsMicros.values().forEach(times -> times.sort(null));
--- a/src/main/java/org/woadloom/core/reservation/GangReservationPlanner.java
+++ b/src/main/java/org/woadloom/core/reservation/GangReservationPlanner.java
@@ -66,7 +66,7 @@
     }
 
     private boolean isLargeTask(Job job) {
-        double share = state.settings().operator().bigTaskShare();
+        double share = state.settings().operator().largeTaskShare();
         boolean fitsAnyType = false;
         for (var type : state.machineTypes().values()) {
             if (type.fits(job.description)
--- a/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
+++ b/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
@@ -266,7 +266,7 @@
             boolean soaked =
                     same
                             && state.nowMicros() - Math.max(count.sinceMicros, calmSinceMicros)
-                                    >= state.settings().operator().soakMicros();
+                                    >= state.settings().operator().rolloutSoakMicros();
             Decision verdict =
                     RolloutPolicy.decide(
                             feature,
--- a/src/main/java/org/woadloom/core/rollout/RecordMigration.java
+++ b/src/main/java/org/woadloom/core/rollout/RecordMigration.java
@@ -79,7 +79,7 @@
                         ? Math.max(
                                 MIN_REWRITES_PER_SECOND,
                                 state.writeBudget().writesPerSecond()
-                                        * state.settings().operator().rewriteShare())
+                                        * state.settings().operator().migrationWriteShare())
                         : MIN_REWRITES_PER_SECOND;
         allowance =
                 Math.min(
--- a/src/main/java/org/woadloom/node/Node.java
+++ b/src/main/java/org/woadloom/node/Node.java
@@ -219,7 +219,7 @@
     }
 
     private void onRolloutChanged() {
-        if (rollout.isOn(Feature.LEASE_DELEGATION) && operator.care()) {
+        if (rollout.isOn(Feature.LEASE_DELEGATION) && operator.leaseDelegation()) {
             delegatedRenewer.enable();
         }
         cancellationConfirmer.setEnabled(rollout.isOn(Feature.CANCELLATION_REPORTS));
--- a/src/main/java/org/woadloom/node/RolloutParticipant.java
+++ b/src/main/java/org/woadloom/node/RolloutParticipant.java
@@ -85,7 +85,7 @@
         this.loop = loop;
         this.onChanged = onChanged;
         EnumSet<Feature> usableFeatures = EnumSet.allOf(Feature.class);
-        if (!operator.care()) {
+        if (!operator.leaseDelegation()) {
             usableFeatures.remove(Feature.LEASE_DELEGATION);
         }
         Set<String> members = new TreeSet<>();
--- a/src/main/java/org/woadloom/settings/OperatorSettings.java
+++ b/src/main/java/org/woadloom/settings/OperatorSettings.java
@@ -6,13 +6,13 @@
 public record OperatorSettings(
         long reservationTtlMicros,
         long reservationRenewMicros,
-        double bigTaskShare,
+        double largeTaskShare,
         double headroom,
         long idleReturnMicros,
         long quarantineMicros,
-        boolean care,
-        long soakMicros,
-        double rewriteShare) {
+        boolean leaseDelegation,
+        long rolloutSoakMicros,
+        double migrationWriteShare) {
 
     public static OperatorSettings defaults() {
         return new OperatorSettings(
@@ -29,12 +29,12 @@
                         + " %s%nrollout.rewrite_share = %s%n",
                 reservationTtlMicros / 1e6,
                 reservationRenewMicros / 1e6,
-                bigTaskShare,
+                largeTaskShare,
                 headroom,
                 idleReturnMicros / 1e6,
                 quarantineMicros / 1e6,
-                care,
-                soakMicros / 1e6,
-                rewriteShare);
+                leaseDelegation,
+                rolloutSoakMicros / 1e6,
+                migrationWriteShare);
     }
 }
--- a/src/main/java/org/woadloom/settings/OperatorSettingsFile.java
+++ b/src/main/java/org/woadloom/settings/OperatorSettingsFile.java
@@ -51,19 +51,19 @@
                                 file,
                                 flat,
                                 "reservation.big_task_share",
-                                defaults.bigTaskShare(),
+                                defaults.largeTaskShare(),
                                 0.01,
                                 1),
                         number(file, flat, "capacity.headroom", defaults.headroom(), 0, 10),
                         micros(file, flat, "capacity.idle_return_s", defaults.idleReturnMicros()),
                         micros(file, flat, "machines.quarantine_s", defaults.quarantineMicros()),
-                        flag(file, flat, "zones.care", defaults.care()),
-                        micros(file, flat, "rollout.soak_s", defaults.soakMicros()),
+                        flag(file, flat, "zones.care", defaults.leaseDelegation()),
+                        micros(file, flat, "rollout.soak_s", defaults.rolloutSoakMicros()),
                         number(
                                 file,
                                 flat,
                                 "rollout.rewrite_share",
-                                defaults.rewriteShare(),
+                                defaults.migrationWriteShare(),
                                 0.01,
                                 0.5));
         if (!flat.isEmpty()) {
--- a/src/main/java/org/woadloom/settings/ServiceSettingsFile.java
+++ b/src/main/java/org/woadloom/settings/ServiceSettingsFile.java
@@ -33,14 +33,14 @@
      * The limits in force, and those announced in {@code next}, where what is not named stays as it
      * is.
      */
-    private static ServiceSettings.Store storeLimits(Section state) throws SettingsException {
+    private static ServiceSettings.Store storeLimits(TomlTable state) throws SettingsException {
         double rps = state.number("rps", 1);
         double writeRps = state.number("write_rps", 1);
         double valueKb = state.number("value_kb", 1);
         double txnOps = state.number("txn_ops", 2);
         ServiceSettings.Store next = null;
         if (state.has("next")) {
-            Section later = state.table("next");
+            TomlTable later = state.table("next");
             next =
                     new ServiceSettings.Store(
                             later.numberOr("rps", 1, rps),
@@ -61,17 +61,17 @@
         }
     }
 
-    private static List<Peer> peers(Section root) throws SettingsException {
+    private static List<Peer> peers(TomlTable root) throws SettingsException {
         List<Peer> peers = new ArrayList<>();
-        for (Section peer : root.tables("peers")) {
+        for (TomlTable peer : root.tables("peers")) {
             peers.add(new Peer(peer.text("label"), peer.text("area"), peer.address("address")));
         }
         return List.copyOf(peers);
     }
 
-    private static List<Team> teams(Section deployment) throws SettingsException {
+    private static List<Team> teams(TomlTable deployment) throws SettingsException {
         List<Team> teams = new ArrayList<>();
-        for (Section team : deployment.tables("teams")) {
+        for (TomlTable team : deployment.tables("teams")) {
             teams.add(
                     new Team(
                             team.text("name"),
@@ -83,9 +83,9 @@
         return List.copyOf(teams);
     }
 
-    private static List<Objective> objectives(Section deployment) throws SettingsException {
+    private static List<Objective> objectives(TomlTable deployment) throws SettingsException {
         List<Objective> objectives = new ArrayList<>();
-        for (Section objective : deployment.tables("objectives")) {
+        for (TomlTable objective : deployment.tables("objectives")) {
             objectives.add(
                     new Objective(
                             objective.textOr("kind", ""),
@@ -103,16 +103,16 @@
      * @param file its name, for errors
      */
     public static ServiceSettings parse(String file, String text) throws SettingsException {
-        Section root = new Section(file, "", parseToml(file, text));
+        TomlTable root = new TomlTable(file, "", parseToml(file, text));
         List<Peer> peers = peers(root);
-        Section outside = root.table("outside");
-        Section deployment = root.table("deployment");
+        TomlTable outside = root.table("outside");
+        TomlTable deployment = root.table("deployment");
         List<Team> teams = teams(deployment);
         List<Objective> objectives = objectives(deployment);
-        Section agents = deployment.table("workers");
-        Section state = deployment.table("state");
-        Section cloud = deployment.table("cloud");
-        Section resources = deployment.table("resources");
+        TomlTable agents = deployment.table("workers");
+        TomlTable state = deployment.table("state");
+        TomlTable cloud = deployment.table("cloud");
+        TomlTable resources = deployment.table("resources");
         return new ServiceSettings(
                 root.text("label"),
                 root.text("area"),
--- a/src/main/java/org/woadloom/settings/Section.java
+++ b/src/main/java/org/woadloom/settings/TomlTable.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** Checked access to one table of a TOML file; every error names file and key. */
-final class Section {
+final class TomlTable {
     private static final int MAX_PORT = 65_535;
     private static final double MICROS_PER_SECOND = 1e6;
 
@@ -13,7 +13,7 @@
     private final String path;
     private final Config config;
 
-    Section(String file, String path, Config config) {
+    TomlTable(String file, String path, Config config) {
         this.file = file;
         this.path = path;
         this.config = config;
@@ -27,15 +27,15 @@
         return value(key) != null;
     }
 
-    Section table(String key) throws SettingsException {
+    TomlTable table(String key) throws SettingsException {
         if (value(key) instanceof Config table) {
-            return new Section(file, path + key + ".", table);
+            return new TomlTable(file, path + key + ".", table);
         }
         throw error(key, "a table");
     }
 
-    List<Section> tables(String key) throws SettingsException {
-        List<Section> result = new ArrayList<>();
+    List<TomlTable> tables(String key) throws SettingsException {
+        List<TomlTable> result = new ArrayList<>();
         Object value = value(key);
         if (value == null) {
             return result;
@@ -47,7 +47,7 @@
             if (!(list.get(i) instanceof Config table)) {
                 throw error(key, "a list of tables");
             }
-            result.add(new Section(file, path + key + "[" + i + "].", table));
+            result.add(new TomlTable(file, path + key + "[" + i + "].", table));
         }
         return result;
     }
--- a/src/test/java/org/woadloom/settings/SettingsGoldenTest.java
+++ b/src/test/java/org/woadloom/settings/SettingsGoldenTest.java
@@ -53,7 +53,7 @@
                             + " share "
                             + o.share()
                             + " times "
-                            + o.times());
+                            + o.deadlineMultiple());
         }
         golden.addText(
                 "deployment.workers",
--- a/src/test/java/org/woadloom/settings/SettingsTest.java
+++ b/src/test/java/org/woadloom/settings/SettingsTest.java
@@ -95,8 +95,10 @@
         assertEquals(30_000_000, set.reservationTtlMicros());
         assertEquals(7_500_000, set.reservationRenewMicros());
         assertEquals(1.0, set.headroom());
-        assertTrue(set.care());
-        assertFalse(OperatorSettingsFile.parse("o.hcl", "zones {\n care = false\n}\n").care());
+        assertTrue(set.leaseDelegation());
+        assertFalse(
+                OperatorSettingsFile.parse("o.hcl", "zones {\n care = false\n}\n")
+                        .leaseDelegation());
         SettingsException unknown =
                 assertThrows(
                         SettingsException.class,
