--- a/src/main/java/org/woadloom/cli/RehearseCommand.java
+++ b/src/main/java/org/woadloom/cli/CdsTrainingCommand.java
@@ -5,7 +5,7 @@
 import org.woadloom.node.CdsTrainingRun;
 
 /** Run by the build, so that the class-data archive holds the classes that serving needs. */
-final class RehearseCommand implements Subcommand {
+final class CdsTrainingCommand implements Subcommand {
     @Override
     public String name() {
         return "rehearse";
@@ -35,6 +35,6 @@
     @Override
     public int run(CommandLine line) throws Exception {
         CdsTrainingRun.run(java.nio.file.Path.of(line.getArgList().get(0)));
-        return DONE;
+        return SUCCESS;
     }
 }
--- a/src/main/java/org/woadloom/cli/CheckCommand.java
+++ b/src/main/java/org/woadloom/cli/CheckCommand.java
@@ -36,8 +36,8 @@
 
     @Override
     public int run(CommandLine line) throws SettingsException {
-        ServiceSettings service = SettingsOptions.service(line);
-        OperatorSettings operator = SettingsOptions.operator(line);
+        ServiceSettings service = SettingsOptions.readServiceSettings(line);
+        OperatorSettings operator = SettingsOptions.readOperatorSettings(line);
         System.out.printf(
                 "node %s in %s, listening on %s and, for %d peers, on %s%n",
                 service.label(),
@@ -51,22 +51,22 @@
                 String.join(", ", service.zones()),
                 service.storeAddress(),
                 service.cloudAddress());
-        SocketBudget plan = SocketBudget.of(service);
+        SocketBudget sockets = SocketBudget.of(service);
         System.out.printf(
                 "of %d sockets (fd_limit) %d are for workers and users, of which workers take %d"
                     + " before others are sent to another node;%n  %d for commands to workers, %d"
                     + " for idle connections, %d for the state service, %d for the cloud, %d for"
                     + " other nodes, %d for refusals, %d for the process%n",
                 service.resources().fdLimit(),
-                plan.inbound(),
-                plan.maxAgents(),
-                plan.directCommands(),
-                plan.idleConnections(),
-                plan.store(),
-                plan.cloud(),
-                plan.peers(),
-                plan.refusedConnections(),
-                plan.processOverhead());
+                sockets.inbound(),
+                sockets.maxAgents(),
+                sockets.directCommands(),
+                sockets.idleConnections(),
+                sockets.store(),
+                sockets.cloud(),
+                sockets.peers(),
+                sockets.refusedConnections(),
+                sockets.processOverhead());
         System.out.printf(
                 "at most %d tasks of a job are placed at once where each has a machine of its own"
                         + " (value_kb)%n",
@@ -75,26 +75,26 @@
         System.out.printf(
                 "carries about %d machines: %d by fd_limit, %d by cpu_share and report_s%n",
                 fleet.maxAgents(), fleet.maxAgentsBySockets(), fleet.maxAgentsByCpu());
-        ServiceSettings.Store state = service.store();
-        if (state.next() != null) {
+        ServiceSettings.Store limits = service.store();
+        if (limits.next() != null) {
             System.out.printf(
                     "the state service may fall from values of %d bytes, %d changes a transaction"
                             + " and %.0f a second to %d, %d and %.0f%n",
-                    state.valueBytes(),
-                    state.txnOps(),
-                    state.writeRps(),
-                    state.next().valueBytes(),
-                    state.next().txnOps(),
-                    state.next().writeRps());
+                    limits.valueBytes(),
+                    limits.txnOps(),
+                    limits.writeRps(),
+                    limits.next().valueBytes(),
+                    limits.next().txnOps(),
+                    limits.next().writeRps());
         }
-        DelegationTimeouts care =
+        DelegationTimeouts delegation =
                 DelegationTimeouts.of(
                         service.agents().leaseMicros(), service.agents().cancelMicros());
-        if (care.allowsDelegation()) {
+        if (delegation.allowsDelegation()) {
             System.out.printf(
                     "in a zone that is cut off work goes on for up to %.1f s, and leases end after"
                             + " that%n",
-                    care.validityMicros() / 1e6);
+                    delegation.validityMicros() / 1e6);
         } else {
             System.out.println(
                     "in a zone that is cut off leases end: cancel_s leaves no time to renew them"
@@ -103,6 +103,6 @@
         System.out.print(operator.describe());
         List<String> problems = SettingsValidator.problems(service);
         problems.forEach(problem -> System.err.println("can't work: " + problem));
-        return problems.isEmpty() ? DONE : BAD_USAGE;
+        return problems.isEmpty() ? SUCCESS : USAGE_ERROR;
     }
 }
--- a/src/main/java/org/woadloom/cli/JobCommand.java
+++ b/src/main/java/org/woadloom/cli/JobCommand.java
@@ -24,17 +24,18 @@
     private final String verb;
     private final String arguments;
     private final String description;
-    private final Request request;
+    private final RequestFactory requestFactory;
 
-    private interface Request {
-        HttpRequest.Builder make(String node, String argument) throws Exception;
+    private interface RequestFactory {
+        HttpRequest.Builder create(String node, String argument) throws Exception;
     }
 
-    private JobCommand(String verb, String arguments, String description, Request request) {
+    private JobCommand(
+            String verb, String arguments, String description, RequestFactory requestFactory) {
         this.verb = verb;
         this.arguments = arguments;
         this.description = description;
-        this.request = request;
+        this.requestFactory = requestFactory;
     }
 
     static Subcommand submit() {
@@ -62,7 +63,8 @@
                 "show",
                 "JOB",
                 "Shows the state of a job, such as j-000412.",
-                (node, jobId) -> HttpRequest.newBuilder(uri(node, "/v1/jobs/" + checked(jobId))));
+                (node, jobId) ->
+                        HttpRequest.newBuilder(uri(node, "/v1/jobs/" + requireJobId(jobId))));
     }
 
     static Subcommand cancel() {
@@ -70,7 +72,8 @@
                 "cancel",
                 "JOB",
                 "Cancels a job.",
-                (node, jobId) -> post(node, "/v1/jobs/" + checked(jobId) + "/cancel", new byte[0]));
+                (node, jobId) ->
+                        post(node, "/v1/jobs/" + requireJobId(jobId) + "/cancel", new byte[0]));
     }
 
     private static HttpRequest.Builder post(String node, String path, byte[] body)
@@ -87,7 +90,7 @@
         }
     }
 
-    private static String checked(String jobId) throws UsageException {
+    private static String requireJobId(String jobId) throws UsageException {
         if (!JobDescription.isJobId(jobId)) {
             throw new UsageException(jobId + ": expected an id such as j-000412");
         }
@@ -127,7 +130,7 @@
     @Override
     public int run(CommandLine line) throws Exception {
         String node = line.getOptionValue("node", DEFAULT_NODE);
-        HttpRequest.Builder builder = request.make(node, line.getArgList().get(0));
+        HttpRequest.Builder builder = requestFactory.create(node, line.getArgList().get(0));
         HttpResponse<byte[]> response;
         try {
             response =
@@ -143,7 +146,7 @@
         String text = Cbor.toJson(Cbor.decode(response.body()));
         if (response.statusCode() / 100 == 2) {
             System.out.println(text);
-            return DONE;
+            return SUCCESS;
         }
         System.err.println("woadloom: " + response.statusCode() + " " + text);
         return FAILED;
--- a/src/main/java/org/woadloom/cli/Logging.java
+++ b/src/main/java/org/woadloom/cli/Logging.java
@@ -5,7 +5,7 @@
     private Logging() {}
 
     static void configure(String level) {
-        String simple =
+        String simpleLoggerLevel =
                 level == null
                         ? "info"
                         : switch (level) {
@@ -17,6 +17,6 @@
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
         System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error");
-        System.setProperty("org.slf4j.simpleLogger.log.org.woadloom", simple);
+        System.setProperty("org.slf4j.simpleLogger.log.org.woadloom", simpleLoggerLevel);
     }
 }
--- a/src/main/java/org/woadloom/cli/Main.java
+++ b/src/main/java/org/woadloom/cli/Main.java
@@ -13,7 +13,7 @@
 
 /** The program's entry: what its command line offers. */
 public final class Main {
-    private static final int WIDTH = 100;
+    private static final int HELP_WIDTH = 100;
     private static final List<Subcommand> COMMANDS =
             List.of(
                     new ServeCommand(),
@@ -22,15 +22,15 @@
                     JobCommand.show(),
                     JobCommand.cancel(),
                     new RolloutCommand(),
-                    new RehearseCommand());
+                    new CdsTrainingCommand());
 
     private Main() {}
 
     public static void main(String[] args) {
         Logging.configure(System.getenv("LOG_LEVEL"));
-        int code = run(args);
-        if (code != Subcommand.SERVING) {
-            System.exit(code);
+        int exitCode = run(args);
+        if (exitCode != Subcommand.SERVING) {
+            System.exit(exitCode);
         }
     }
 
@@ -40,27 +40,27 @@
                 throw new UsageException("a command is missing");
             }
             if (args[0].equals("--help") || args[0].equals("-h")) {
-                help();
-                return Subcommand.DONE;
+                printHelp();
+                return Subcommand.SUCCESS;
             }
             if (args[0].equals("--version") || args[0].equals("-V")) {
                 System.out.println(Version.text());
-                return Subcommand.DONE;
+                return Subcommand.SUCCESS;
             }
-            return run(find(args), args);
+            return run(findCommand(args), args);
         } catch (UsageException | ParseException e) {
             System.err.println("woadloom: " + e.getMessage() + " (see woadloom --help)");
-            return Subcommand.BAD_USAGE;
+            return Subcommand.USAGE_ERROR;
         } catch (SettingsException e) {
             System.err.println("woadloom: " + e.getMessage());
-            return Subcommand.BAD_USAGE;
+            return Subcommand.USAGE_ERROR;
         } catch (Exception e) {
             System.err.println("woadloom: " + e.getMessage());
             return Subcommand.FAILED;
         }
     }
 
-    private static Subcommand find(String[] args) throws UsageException {
+    private static Subcommand findCommand(String[] args) throws UsageException {
         for (Subcommand command : COMMANDS) {
             String[] words = command.name().split(" ", -1);
             if (args.length >= words.length
@@ -75,24 +75,25 @@
     }
 
     private static int run(Subcommand command, String[] args) throws Exception {
-        int words = command.name().split(" ").length;
-        String[] rest = Arrays.copyOfRange(args, words, args.length);
-        if (Arrays.asList(rest).contains("--help") || Arrays.asList(rest).contains("-h")) {
-            help(command);
-            return Subcommand.DONE;
+        int wordCount = command.name().split(" ").length;
+        String[] commandArgs = Arrays.copyOfRange(args, wordCount, args.length);
+        if (Arrays.asList(commandArgs).contains("--help")
+                || Arrays.asList(commandArgs).contains("-h")) {
+            printHelp(command);
+            return Subcommand.SUCCESS;
         }
-        CommandLine line = new DefaultParser().parse(command.options(), rest);
-        int expected = command.arguments().isEmpty() ? 0 : 1;
-        if (line.getArgList().size() != expected) {
+        CommandLine line = new DefaultParser().parse(command.options(), commandArgs);
+        int expectedArgs = command.arguments().isEmpty() ? 0 : 1;
+        if (line.getArgList().size() != expectedArgs) {
             throw new UsageException(
-                    expected == 0
+                    expectedArgs == 0
                             ? line.getArgList().get(0) + ": unexpected argument"
                             : command.name() + ": expected one " + command.arguments());
         }
         return command.run(line);
     }
 
-    private static void help() {
+    private static void printHelp() {
         System.out.println("usage: woadloom COMMAND [OPTIONS]");
         System.out.println("A cluster scheduler that reserves room for the work that needs it.");
         System.out.println();
@@ -108,14 +109,14 @@
         System.out.println("Exit codes: 0 done, 1 the request failed, 2 bad usage or settings.");
     }
 
-    private static void help(Subcommand command) {
+    private static void printHelp(Subcommand command) {
         PrintWriter out = new PrintWriter(System.out, true, Charset.defaultCharset());
         Options options = command.options();
         options.addOption("h", "help", false, "print this and end");
         new HelpFormatter()
                 .printHelp(
                         out,
-                        WIDTH,
+                        HELP_WIDTH,
                         "woadloom " + command.name() + " [OPTIONS] " + command.arguments(),
                         command.description(),
                         options,
--- a/src/main/java/org/woadloom/cli/RolloutCommand.java
+++ b/src/main/java/org/woadloom/cli/RolloutCommand.java
@@ -73,26 +73,26 @@
 
     @Override
     public int run(CommandLine line) throws Exception {
-        String address = SettingsOptions.service(line).storeAddress();
+        String address = SettingsOptions.readServiceSettings(line).storeAddress();
         String action = line.getArgList().get(0);
         if (action.equals(SHOW)) {
             show(address);
-            return DONE;
+            return SUCCESS;
         }
         Verb verb = Verb.of(action);
         if (verb == null) {
             throw new UsageException(action + ": expected one of " + arguments());
         }
-        return ask(
+        return writeRequest(
                 address,
                 verb,
-                feature(line.getOptionValue("feature")),
+                findFeature(line.getOptionValue("feature")),
                 line.getOptionValue("by", System.getProperty("user.name")));
     }
 
-    private static Feature feature(String name) throws UsageException {
+    private static Feature findFeature(String key) throws UsageException {
         for (Feature feature : Feature.values()) {
-            if (feature.key().equals(name)) {
+            if (feature.key().equals(key)) {
                 return feature;
             }
         }
@@ -101,21 +101,22 @@
     }
 
     /** What can no longer be done is refused here; the leader refuses it as well. */
-    private static int ask(String address, Verb verb, Feature feature, String by)
+    private static int writeRequest(String address, Verb verb, Feature feature, String operator)
             throws IOException, InterruptedException, MalformedMessageException {
-        FeatureState standing = record(list(address)).stateOf(feature.key());
+        FeatureState current = rolloutRecord(readRolloutEntries(address)).stateOf(feature.key());
         if (verb == Verb.BACK
-                && (standing.step() == Step.SETTLED
-                        || (standing.isOn() && !feature.canBeRolledBack()))) {
+                && (current.step() == Step.SETTLED
+                        || (current.isOn() && !feature.canBeRolledBack()))) {
             System.err.println(
                     "woadloom: "
                             + feature.key()
                             + " is "
-                            + standing.step().text()
+                            + current.step().text()
                             + " and can't be taken back");
             return FAILED;
         }
-        RolloutRequest request = new RolloutRequest(verb, by, Instant.now().toEpochMilli() * 1000);
+        RolloutRequest request =
+                new RolloutRequest(verb, operator, Instant.now().toEpochMilli() * 1000);
         Map<String, Object> put =
                 Map.of(
                         "put",
@@ -134,33 +135,33 @@
                         + ": "
                         + verb.text()
                         + " asked; it is "
-                        + standing.step().text()
+                        + current.step().text()
                         + " now");
-        return DONE;
+        return SUCCESS;
     }
 
     private static void show(String address)
             throws IOException, InterruptedException, MalformedMessageException {
-        Map<String, Object> entries = list(address);
-        RolloutRecord record = record(entries);
+        Map<String, Object> entries = readRolloutEntries(address);
+        RolloutRecord record = rolloutRecord(entries);
         System.out.printf("%-16s %-10s %-20s %s%n", "feature", "step", "since (UTC)", "allowed by");
         for (Feature feature : Feature.values()) {
-            FeatureState standing = record.stateOf(feature.key());
+            FeatureState state = record.stateOf(feature.key());
             RolloutRequest request =
                     entries.get(StoreKeys.ROLLOUT_REQUEST_PREFIX + feature.key())
-                                    instanceof Map<?, ?> asked
-                            ? RolloutRequest.parse(map(asked))
+                                    instanceof Map<?, ?> stored
+                            ? RolloutRequest.parse(asMap(stored))
                             : RolloutRequest.AUTO;
             System.out.printf(
                     "%-16s %-10s %-20s %s%s%s%s%n",
                     feature.key(),
-                    standing.step().text(),
-                    standing.sinceWallMicros() == 0
+                    state.step().text(),
+                    state.sinceWallMicros() == 0
                             ? "-"
-                            : Instant.ofEpochSecond(standing.sinceWallMicros() / 1_000_000),
-                    standing.changedBy().isEmpty() ? "-" : standing.changedBy(),
-                    standing.isRollingBack() ? "; being taken back" : "",
-                    standing.isHeld() ? "; held, as nodes kept ending" : "",
+                            : Instant.ofEpochSecond(state.sinceWallMicros() / 1_000_000),
+                    state.changedBy().isEmpty() ? "-" : state.changedBy(),
+                    state.isRollingBack() ? "; being taken back" : "",
+                    state.isHeld() ? "; held, as nodes kept ending" : "",
                     request.verb() == Verb.AUTO
                             ? ""
                             : "; " + request.verb().text() + " asked by " + request.operator());
@@ -170,15 +171,16 @@
                     "%s writes %s; can be read by %s and later%n",
                     feature.key(), feature.writtenFormat(), feature.earliestReader());
         }
-        Set<String> unknown = record.requiredFeatures();
-        unknown.removeAll(Feature.allKeys());
-        if (!unknown.isEmpty()) {
+        Set<String> unknownFeatures = record.requiredFeatures();
+        unknownFeatures.removeAll(Feature.allKeys());
+        if (!unknownFeatures.isEmpty()) {
             System.out.println(
-                    "required and not known to this version: " + String.join(", ", unknown));
+                    "required and not known to this version: "
+                            + String.join(", ", unknownFeatures));
         }
         for (Map.Entry<String, Object> entry : entries.entrySet()) {
             if (entry.getKey().startsWith(StoreKeys.ROLLOUT_NODE_PREFIX)) {
-                NodeAnnouncement announcement = NodeAnnouncement.parse(map(entry.getValue()));
+                NodeAnnouncement announcement = NodeAnnouncement.parse(asMap(entry.getValue()));
                 System.out.printf(
                         "node %s: reads %s, can do %s, names %s, start %d in a row%n",
                         entry.getKey().substring(StoreKeys.ROLLOUT_NODE_PREFIX.length()),
@@ -190,20 +192,20 @@
         }
     }
 
-    private static RolloutRecord record(Map<String, Object> entries)
+    private static RolloutRecord rolloutRecord(Map<String, Object> entries)
             throws MalformedMessageException {
         Object stored = entries.get(StoreKeys.ROLLOUT_STATE);
-        return stored == null ? RolloutRecord.NONE : RolloutRecord.parse(map(stored));
+        return stored == null ? RolloutRecord.NONE : RolloutRecord.parse(asMap(stored));
     }
 
     @SuppressWarnings("unchecked")
-    private static Map<String, Object> map(Object value) throws MalformedMessageException {
+    private static Map<String, Object> asMap(Object value) throws MalformedMessageException {
         Fields.of(value, "value");
         return (Map<String, Object>) value;
     }
 
     /** Everything below the rollout's prefix: a few records and one for each node. */
-    private static Map<String, Object> list(String address)
+    private static Map<String, Object> readRolloutEntries(String address)
             throws IOException, InterruptedException, MalformedMessageException {
         byte[] body =
                 send(
--- a/src/main/java/org/woadloom/cli/ServeCommand.java
+++ b/src/main/java/org/woadloom/cli/ServeCommand.java
@@ -28,7 +28,9 @@
 
     @Override
     public int run(CommandLine line) throws Exception {
-        Server.start(SettingsOptions.service(line), SettingsOptions.operator(line));
+        Server.start(
+                SettingsOptions.readServiceSettings(line),
+                SettingsOptions.readOperatorSettings(line));
         return SERVING;
     }
 }
--- a/src/main/java/org/woadloom/cli/SettingsOptions.java
+++ b/src/main/java/org/woadloom/cli/SettingsOptions.java
@@ -33,14 +33,14 @@
                                 .build());
     }
 
-    static ServiceSettings service(CommandLine line) throws SettingsException {
+    static ServiceSettings readServiceSettings(CommandLine line) throws SettingsException {
         return ServiceSettingsFile.read(Path.of(line.getOptionValue("config")));
     }
 
-    static OperatorSettings operator(CommandLine line) throws SettingsException {
-        String file = line.getOptionValue("operator");
-        return file == null
+    static OperatorSettings readOperatorSettings(CommandLine line) throws SettingsException {
+        String path = line.getOptionValue("operator");
+        return path == null
                 ? OperatorSettings.defaults()
-                : OperatorSettingsFile.read(Path.of(file));
+                : OperatorSettingsFile.read(Path.of(path));
     }
 }
--- a/src/main/java/org/woadloom/cli/Subcommand.java
+++ b/src/main/java/org/woadloom/cli/Subcommand.java
@@ -8,9 +8,9 @@
     /** Given by a command whose threads go on running. */
     int SERVING = -1;
 
-    int DONE = 0;
+    int SUCCESS = 0;
     int FAILED = 1;
-    int BAD_USAGE = 2;
+    int USAGE_ERROR = 2;
 
     /** The words that select it, such as {@code job submit}. */
     String name();
--- a/src/main/java/org/woadloom/settings/OperatorSettingsFile.java
+++ b/src/main/java/org/woadloom/settings/OperatorSettingsFile.java
@@ -32,43 +32,50 @@
     }
 
     public static OperatorSettings parse(String file, String text) throws SettingsException {
-        Map<String, Object> flat = new LinkedHashMap<>();
+        Map<String, Object> unread = new LinkedHashMap<>();
         try {
-            flatten(file, "", new HCLParser().parse(text), flat);
+            flatten(file, "", new HCLParser().parse(text), unread);
         } catch (HCLParserException | IOException | RuntimeException e) {
             throw new SettingsException(file + ": not HCL: " + e.getMessage());
         }
         OperatorSettings defaults = OperatorSettings.defaults();
         OperatorSettings result =
                 new OperatorSettings(
-                        micros(file, flat, "reservation.ttl_s", defaults.reservationTtlMicros()),
-                        micros(
+                        secondsAsMicros(
+                                file, unread, "reservation.ttl_s", defaults.reservationTtlMicros()),
+                        secondsAsMicros(
                                 file,
-                                flat,
+                                unread,
                                 "reservation.renew_s",
                                 defaults.reservationRenewMicros()),
                         number(
                                 file,
-                                flat,
+                                unread,
                                 "reservation.big_task_share",
                                 defaults.largeTaskShare(),
                                 0.01,
                                 1),
-                        number(file, flat, "capacity.headroom", defaults.headroom(), 0, 10),
-                        micros(file, flat, "capacity.idle_return_s", defaults.idleReturnMicros()),
-                        micros(file, flat, "machines.quarantine_s", defaults.quarantineMicros()),
-                        flag(file, flat, "zones.care", defaults.leaseDelegation()),
-                        micros(file, flat, "rollout.soak_s", defaults.rolloutSoakMicros()),
+                        number(file, unread, "capacity.headroom", defaults.headroom(), 0, 10),
+                        secondsAsMicros(
+                                file,
+                                unread,
+                                "capacity.idle_return_s",
+                                defaults.idleReturnMicros()),
+                        secondsAsMicros(
+                                file, unread, "machines.quarantine_s", defaults.quarantineMicros()),
+                        flag(file, unread, "zones.care", defaults.leaseDelegation()),
+                        secondsAsMicros(
+                                file, unread, "rollout.soak_s", defaults.rolloutSoakMicros()),
                         number(
                                 file,
-                                flat,
+                                unread,
                                 "rollout.rewrite_share",
                                 defaults.migrationWriteShare(),
                                 0.01,
                                 0.5));
-        if (!flat.isEmpty()) {
+        if (!unread.isEmpty()) {
             throw new SettingsException(
-                    file + ": " + flat.keySet().iterator().next() + ": no such setting");
+                    file + ": " + unread.keySet().iterator().next() + ": no such setting");
         }
         if (result.reservationRenewMicros() >= result.reservationTtlMicros()) {
             throw new SettingsException(
@@ -78,7 +85,7 @@
     }
 
     private static void flatten(
-            String file, String prefix, Map<?, ?> map, Map<String, Object> settings) {
+            String file, String prefix, Map<?, ?> map, Map<String, Object> result) {
         for (Map.Entry<?, ?> entry : map.entrySet()) {
             String key = prefix + entry.getKey();
             Object value = entry.getValue();
@@ -86,27 +93,34 @@
                 value = list.get(0);
             }
             if (value instanceof Map<?, ?> block) {
-                flatten(file, key + ".", block, settings);
+                flatten(file, key + ".", block, result);
             } else {
-                settings.put(key, value);
+                result.put(key, value);
             }
         }
     }
 
-    private static long micros(String file, Map<String, Object> flat, String key, long defaultValue)
+    private static long secondsAsMicros(
+            String file, Map<String, Object> unread, String key, long defaultValue)
             throws SettingsException {
         return Math.round(
-                number(file, flat, key, defaultValue / MICROS_PER_SECOND, MIN_SECONDS, MAX_SECONDS)
+                number(
+                                file,
+                                unread,
+                                key,
+                                defaultValue / MICROS_PER_SECOND,
+                                MIN_SECONDS,
+                                MAX_SECONDS)
                         * MICROS_PER_SECOND);
     }
 
     private static boolean flag(
-            String file, Map<String, Object> flat, String key, boolean defaultValue)
+            String file, Map<String, Object> unread, String key, boolean defaultValue)
             throws SettingsException {
-        if (!flat.containsKey(key)) {
+        if (!unread.containsKey(key)) {
             return defaultValue;
         }
-        if (flat.remove(key) instanceof Boolean value) {
+        if (unread.remove(key) instanceof Boolean value) {
             return value;
         }
         throw new SettingsException(file + ": " + key + ": expected true or false");
@@ -114,22 +128,22 @@
 
     private static double number(
             String file,
-            Map<String, Object> flat,
+            Map<String, Object> unread,
             String key,
             double defaultValue,
-            double minimum,
-            double maximum)
+            double min,
+            double max)
             throws SettingsException {
-        if (!flat.containsKey(key)) {
+        if (!unread.containsKey(key)) {
             return defaultValue;
         }
-        Object value = flat.remove(key);
+        Object value = unread.remove(key);
         if (value instanceof Number number
-                && number.doubleValue() >= minimum
-                && number.doubleValue() <= maximum) {
+                && number.doubleValue() >= min
+                && number.doubleValue() <= max) {
             return number.doubleValue();
         }
         throw new SettingsException(
-                file + ": " + key + ": expected a number from " + minimum + " to " + maximum);
+                file + ": " + key + ": expected a number from " + min + " to " + max);
     }
 }
--- a/src/main/java/org/woadloom/settings/ServiceSettingsFile.java
+++ b/src/main/java/org/woadloom/settings/ServiceSettingsFile.java
@@ -33,20 +33,20 @@
      * The limits in force, and those announced in {@code next}, where what is not named stays as it
      * is.
      */
-    private static ServiceSettings.Store storeLimits(TomlTable state) throws SettingsException {
-        double rps = state.number("rps", 1);
-        double writeRps = state.number("write_rps", 1);
-        double valueKb = state.number("value_kb", 1);
-        double txnOps = state.number("txn_ops", 2);
+    private static ServiceSettings.Store storeLimits(TomlTable store) throws SettingsException {
+        double rps = store.number("rps", 1);
+        double writeRps = store.number("write_rps", 1);
+        double valueKb = store.number("value_kb", 1);
+        double txnOps = store.number("txn_ops", 2);
         ServiceSettings.Store next = null;
-        if (state.has("next")) {
-            TomlTable later = state.table("next");
+        if (store.has("next")) {
+            TomlTable nextTable = store.table("next");
             next =
                     new ServiceSettings.Store(
-                            later.numberOr("rps", 1, rps),
-                            later.numberOr("write_rps", 1, writeRps),
-                            (int) (later.numberOr("value_kb", 1, valueKb) * BYTES_PER_KB),
-                            (int) later.numberOr("txn_ops", 2, txnOps),
+                            nextTable.numberOr("rps", 1, rps),
+                            nextTable.numberOr("write_rps", 1, writeRps),
+                            (int) (nextTable.numberOr("value_kb", 1, valueKb) * BYTES_PER_KB),
+                            (int) nextTable.numberOr("txn_ops", 2, txnOps),
                             null);
         }
         return new ServiceSettings.Store(
@@ -105,12 +105,12 @@
     public static ServiceSettings parse(String file, String text) throws SettingsException {
         TomlTable root = new TomlTable(file, "", parseToml(file, text));
         List<Peer> peers = peers(root);
-        TomlTable outside = root.table("outside");
+        TomlTable endpoints = root.table("outside");
         TomlTable deployment = root.table("deployment");
         List<Team> teams = teams(deployment);
         List<Objective> objectives = objectives(deployment);
         TomlTable agents = deployment.table("workers");
-        TomlTable state = deployment.table("state");
+        TomlTable store = deployment.table("state");
         TomlTable cloud = deployment.table("cloud");
         TomlTable resources = deployment.table("resources");
         return new ServiceSettings(
@@ -119,17 +119,18 @@
                 root.address("bind"),
                 root.address("peer_bind"),
                 peers,
-                outside.address("cloud"),
-                outside.address("state"),
-                List.copyOf(deployment.texts("zones")),
+                endpoints.address("cloud"),
+                endpoints.address("state"),
+                List.copyOf(deployment.strings("zones")),
                 teams,
                 objectives,
                 new ServiceSettings.Agents(
-                        agents.micros("report_s", 0.01),
-                        agents.micros("lease_s", 0.1),
-                        agents.micros("cancel_s", 0.1)),
-                storeLimits(state),
-                new ServiceSettings.Cloud(cloud.number("rps", 0.01), cloud.micros("list_lag_s", 0)),
+                        agents.secondsAsMicros("report_s", 0.01),
+                        agents.secondsAsMicros("lease_s", 0.1),
+                        agents.secondsAsMicros("cancel_s", 0.1)),
+                storeLimits(store),
+                new ServiceSettings.Cloud(
+                        cloud.number("rps", 0.01), cloud.secondsAsMicros("list_lag_s", 0)),
                 new ServiceSettings.Resources(
                         resources.number("cpu_share", 0.001),
                         resources.number("ram_mb", 1),
--- a/src/main/java/org/woadloom/settings/SettingsValidator.java
+++ b/src/main/java/org/woadloom/settings/SettingsValidator.java
@@ -29,17 +29,17 @@
                                     + " %s), which is what ends tasks that can't be reached",
                             seconds(agents.cancelMicros()), seconds(agents.leaseMicros())));
         }
-        inZones(problems, settings, "area", settings.zone());
-        Set<String> labels = new HashSet<>(Set.of(settings.label()));
+        checkZone(problems, settings, "area", settings.zone());
+        Set<String> nodeNames = new HashSet<>(Set.of(settings.label()));
         for (Peer peer : settings.peers()) {
-            inZones(problems, settings, "area of peer " + peer.label(), peer.zone());
-            if (!labels.add(peer.label())) {
+            checkZone(problems, settings, "area of peer " + peer.label(), peer.zone());
+            if (!nodeNames.add(peer.label())) {
                 problems.add("peers: " + peer.label() + " is named twice, or is this node");
             }
         }
-        Set<String> teams = new HashSet<>();
+        Set<String> teamNames = new HashSet<>();
         for (Team team : settings.teams()) {
-            if (!teams.add(team.name())) {
+            if (!teamNames.add(team.name())) {
                 problems.add("deployment.teams: " + team.name() + " is named twice");
             }
             if (team.cpus() > team.cpusMax() || team.gpus() > team.gpusMax()) {
@@ -64,7 +64,7 @@
      * No machine is rented elsewhere, so a node there has no worker near it and nothing to care
      * for.
      */
-    private static void inZones(
+    private static void checkZone(
             List<String> problems, ServiceSettings settings, String field, String value) {
         if (!settings.zones().contains(value)) {
             problems.add(
--- a/src/main/java/org/woadloom/settings/TomlTable.java
+++ b/src/main/java/org/woadloom/settings/TomlTable.java
@@ -59,8 +59,8 @@
         throw error(key, "text");
     }
 
-    String textOr(String key, String otherwise) throws SettingsException {
-        return value(key) == null ? otherwise : text(key);
+    String textOr(String key, String defaultValue) throws SettingsException {
+        return value(key) == null ? defaultValue : text(key);
     }
 
     /** An address such as 10.0.0.1:8080. */
@@ -78,24 +78,24 @@
         throw error(key, "an address such as 10.0.0.1:8080");
     }
 
-    double number(String key, double minimum) throws SettingsException {
+    double number(String key, double min) throws SettingsException {
         if (value(key) instanceof Number number
-                && number.doubleValue() >= minimum
+                && number.doubleValue() >= min
                 && Double.isFinite(number.doubleValue())) {
             return number.doubleValue();
         }
-        throw error(key, "a number of at least " + minimum);
+        throw error(key, "a number of at least " + min);
     }
 
-    double numberOr(String key, double minimum, double otherwise) throws SettingsException {
-        return value(key) == null ? otherwise : number(key, minimum);
+    double numberOr(String key, double minimum, double defaultValue) throws SettingsException {
+        return value(key) == null ? defaultValue : number(key, minimum);
     }
 
-    long micros(String key, double minimumSeconds) throws SettingsException {
-        return Math.round(number(key, minimumSeconds) * MICROS_PER_SECOND);
+    long secondsAsMicros(String key, double minSeconds) throws SettingsException {
+        return Math.round(number(key, minSeconds) * MICROS_PER_SECOND);
     }
 
-    List<String> texts(String key) throws SettingsException {
+    List<String> strings(String key) throws SettingsException {
         List<String> result = new ArrayList<>();
         if (!(value(key) instanceof List<?> list)) {
             throw error(key, "a list of texts");
--- a/src/test/java/org/woadloom/settings/SettingsGoldenTest.java
+++ b/src/test/java/org/woadloom/settings/SettingsGoldenTest.java
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void serviceSettingsAreReadAsRecorded() throws IOException, SettingsException {
+    void serviceSettingsMatchGoldenFile() throws IOException, SettingsException {
         ServiceSettings s = ServiceSettingsFile.parse("settings.toml", read("settings.toml"));
         GoldenFile golden = new GoldenFile();
         golden.addText("label", s.label());
@@ -63,8 +63,8 @@
                         + s.agents().leaseMicros()
                         + " cancel "
                         + s.agents().cancelMicros());
-        golden.addText("deployment.state", limits(s.store()));
-        golden.addText("deployment.state.next", limits(s.store().next()));
+        golden.addText("deployment.state", storeLimits(s.store()));
+        golden.addText("deployment.state.next", storeLimits(s.store().next()));
         golden.addText(
                 "deployment.cloud",
                 "rps " + s.cloud().rps() + " list_lag " + s.cloud().listLagMicros());
@@ -79,19 +79,19 @@
         golden.check("settings.txt");
     }
 
-    private static String limits(ServiceSettings.Store state) {
+    private static String storeLimits(ServiceSettings.Store limits) {
         return "rps "
-                + state.rps()
+                + limits.rps()
                 + " write_rps "
-                + state.writeRps()
+                + limits.writeRps()
                 + " value_bytes "
-                + state.valueBytes()
+                + limits.valueBytes()
                 + " txn_ops "
-                + state.txnOps();
+                + limits.txnOps();
     }
 
     @Test
-    void operatorSettingsAreReadAndShownAsRecorded() throws IOException, SettingsException {
+    void operatorSettingsMatchGoldenFile() throws IOException, SettingsException {
         GoldenFile golden = new GoldenFile();
         golden.addText("defaults", OperatorSettings.defaults().describe());
         golden.addText(
--- a/src/test/java/org/woadloom/settings/SettingsTest.java
+++ b/src/test/java/org/woadloom/settings/SettingsTest.java
@@ -14,13 +14,14 @@
 import org.woadloom.node.FleetSizeEstimate;
 
 class SettingsTest {
-    private static String good() throws Exception {
+    private static String validSettings() throws Exception {
         return Files.readString(Path.of("src/build/rehearsal.toml"));
     }
 
     @Test
-    void platformSettingsAreReadAndUnknownFieldsIgnored() throws Exception {
-        ServiceSettings settings = ServiceSettingsFile.parse("f.toml", "novel = 1\n" + good());
+    void serviceSettingsIgnoreUnknownFields() throws Exception {
+        ServiceSettings settings =
+                ServiceSettingsFile.parse("f.toml", "novel = 1\n" + validSettings());
         assertEquals("rehearsal", settings.label());
         assertEquals(1_000_000, settings.agents().heartbeatMicros());
         assertEquals(8192, settings.store().valueBytes());
@@ -35,8 +36,9 @@
         "lease_s = 10.0,lease_s = -1.0,deployment.workers.lease_s: expected a number",
         "area = \"b\",area = true,peers[0].area: expected text"
     })
-    void errorsNameFileKeyAndExpectation(String was, String is, String expected) throws Exception {
-        String text = good().replace(was, is);
+    void invalidValueIsReportedWithFileKeyAndExpectedType(
+            String original, String replacement, String expected) throws Exception {
+        String text = validSettings().replace(original, replacement);
         SettingsException e =
                 assertThrows(
                         SettingsException.class, () -> ServiceSettingsFile.parse("f.toml", text));
@@ -51,28 +53,30 @@
                 + " (lease_s = 10.0)",
         "area = \"b\",area = \"moon\",area of peer other = moon: not one of deployment.zones"
     })
-    void settingsThatCantWorkTogetherAreNamed(String was, String is, String expected)
+    void validatorReportsConflictingSettings(String original, String replacement, String expected)
             throws Exception {
         assertEquals(
-                List.of(), SettingsValidator.problems(ServiceSettingsFile.parse("f.toml", good())));
-        assertTrue(good().contains(was));
+                List.of(),
+                SettingsValidator.problems(ServiceSettingsFile.parse("f.toml", validSettings())));
+        assertTrue(validSettings().contains(original));
         List<String> problems =
                 SettingsValidator.problems(
-                        ServiceSettingsFile.parse("f.toml", good().replace(was, is)));
+                        ServiceSettingsFile.parse(
+                                "f.toml", validSettings().replace(original, replacement)));
         assertEquals(1, problems.size(), problems.toString());
         assertTrue(problems.get(0).startsWith(expected), problems.toString());
     }
 
     @Test
-    void theFleetThatSettingsCarryIsBoundBySocketsOrProcessor() throws Exception {
-        ServiceSettings settings = ServiceSettingsFile.parse("f.toml", good());
+    void fleetSizeIsLimitedBySocketsOrCpu() throws Exception {
+        ServiceSettings small = ServiceSettingsFile.parse("f.toml", validSettings());
         assertEquals(
                 60,
-                FleetSizeEstimate.of(settings).maxAgents(),
+                FleetSizeEstimate.of(small).maxAgents(),
                 "200 sockets, half of them for workers and users");
         ServiceSettings large =
                 ServiceSettingsFile.parse(
-                        "f.toml", good().replace("fd_limit = 200", "fd_limit = 9000"));
+                        "f.toml", validSettings().replace("fd_limit = 200", "fd_limit = 9000"));
         assertEquals(
                 1_000,
                 FleetSizeEstimate.of(large).maxAgents(),
@@ -80,7 +84,7 @@
     }
 
     @Test
-    void operatorSettingsHaveDefaultsAndRefuseUnknownKeys() throws Exception {
+    void operatorSettingsHaveDefaultsAndRejectInvalidKeysAndValues() throws Exception {
         assertEquals(OperatorSettings.defaults(), OperatorSettingsFile.parse("o.hcl", ""));
         OperatorSettings set =
                 OperatorSettingsFile.parse(
