--- a/src/main/java/org/woadloom/cli/CdsTrainingCommand.java
+++ b/src/main/java/org/woadloom/cli/CdsTrainingCommand.java
@@ -1,10 +1,14 @@
 package org.woadloom.cli;
 
+import java.nio.file.Path;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
 import org.woadloom.node.CdsTrainingRun;
 
-/** Run by the build, so that the class-data archive holds the classes that serving needs. */
+/**
+ * Training run for the class-data sharing archive. Only the build runs it, to record the classes
+ * that {@code serve} loads.
+ */
 final class CdsTrainingCommand implements Subcommand {
     @Override
     public String name() {
@@ -18,8 +22,8 @@
 
     @Override
     public String description() {
-        return "Serves a little work on loopback ports and ends; the build records the classes that"
-                + " were loaded.";
+        return "Runs a node on loopback ports for a moment, so that the build can record the"
+                + " classes that it loads.";
     }
 
     @Override
@@ -34,7 +38,7 @@
 
     @Override
     public int run(CommandLine line) throws Exception {
-        CdsTrainingRun.run(java.nio.file.Path.of(line.getArgList().get(0)));
+        CdsTrainingRun.run(Path.of(line.getArgList().get(0)));
         return SUCCESS;
     }
 }
--- a/src/main/java/org/woadloom/cli/CheckCommand.java
+++ b/src/main/java/org/woadloom/cli/CheckCommand.java
@@ -12,7 +12,7 @@
 import org.woadloom.settings.SettingsException;
 import org.woadloom.settings.SettingsValidator;
 
-/** Reads settings and says what they mean. */
+/** Validates the settings files and prints the limits that follow from them. */
 final class CheckCommand implements Subcommand {
     @Override
     public String name() {
@@ -26,7 +26,7 @@
 
     @Override
     public String description() {
-        return "Checks settings without starting anything, and says what they mean.";
+        return "Validates the settings files and prints the limits that follow from them.";
     }
 
     @Override
@@ -39,12 +39,12 @@
         ServiceSettings service = SettingsOptions.readServiceSettings(line);
         OperatorSettings operator = SettingsOptions.readOperatorSettings(line);
         System.out.printf(
-                "node %s in %s, listening on %s and, for %d peers, on %s%n",
+                "node %s in zone %s, listening on %s, and on %s for its %d peers%n",
                 service.label(),
                 service.zone(),
                 service.bind(),
-                service.peers().size(),
-                service.peerBind());
+                service.peerBind(),
+                service.peers().size());
         System.out.printf(
                 "%d teams, zones %s, state service at %s, cloud at %s%n",
                 service.teams().size(),
@@ -53,10 +53,10 @@
                 service.cloudAddress());
         SocketBudget sockets = SocketBudget.of(service);
         System.out.printf(
-                "of %d sockets (fd_limit) %d are for workers and users, of which workers take %d"
-                    + " before others are sent to another node;%n  %d for commands to workers, %d"
-                    + " for idle connections, %d for the state service, %d for the cloud, %d for"
-                    + " other nodes, %d for refusals, %d for the process%n",
+                "%d sockets (fd_limit): %d for workers and users, of which workers take %d before"
+                    + " further ones are redirected to another node;%n  %d for commands to workers,"
+                    + " %d for idle connections, %d for the state service, %d for the cloud, %d for"
+                    + " other nodes, %d for refused connections, %d for the process%n",
                 service.resources().fdLimit(),
                 sockets.inbound(),
                 sockets.maxAgents(),
@@ -68,18 +68,18 @@
                 sockets.refusedConnections(),
                 sockets.processOverhead());
         System.out.printf(
-                "at most %d tasks of a job are placed at once where each has a machine of its own"
-                        + " (value_kb)%n",
+                "at most %d tasks of a job are placed at a time if each runs on a different machine"
+                        + " (limited by value_kb)%n",
                 RecordSizeEstimate.maxTasksOnDistinctMachines(service.store().minValueBytes()));
         FleetSizeEstimate fleet = FleetSizeEstimate.of(service);
         System.out.printf(
-                "carries about %d machines: %d by fd_limit, %d by cpu_share and report_s%n",
+                "supports about %d machines: fd_limit allows %d, cpu_share and report_s allow %d%n",
                 fleet.maxAgents(), fleet.maxAgentsBySockets(), fleet.maxAgentsByCpu());
         ServiceSettings.Store limits = service.store();
         if (limits.next() != null) {
             System.out.printf(
-                    "the state service may fall from values of %d bytes, %d changes a transaction"
-                            + " and %.0f a second to %d, %d and %.0f%n",
+                    "the limits of the state service may change from %d bytes per value, %d changes"
+                            + " per transaction and %.0f changes per second to %d, %d and %.0f%n",
                     limits.valueBytes(),
                     limits.txnOps(),
                     limits.writeRps(),
@@ -92,17 +92,17 @@
                         service.agents().leaseMicros(), service.agents().cancelMicros());
         if (delegation.allowsDelegation()) {
             System.out.printf(
-                    "in a zone that is cut off work goes on for up to %.1f s, and leases end after"
-                            + " that%n",
+                    "in a zone that is cut off, leases are renewed for up to %.1f s and expire"
+                            + " after that%n",
                     delegation.validityMicros() / 1e6);
         } else {
             System.out.println(
-                    "in a zone that is cut off leases end: cancel_s leaves no time to renew them"
-                            + " in");
+                    "in a zone that is cut off, leases expire: cancel_s is too short for renewing"
+                            + " them there");
         }
         System.out.print(operator.describe());
         List<String> problems = SettingsValidator.problems(service);
-        problems.forEach(problem -> System.err.println("can't work: " + problem));
+        problems.forEach(problem -> System.err.println("invalid settings: " + problem));
         return problems.isEmpty() ? SUCCESS : USAGE_ERROR;
     }
 }
--- a/src/main/java/org/woadloom/cli/JobCommand.java
+++ b/src/main/java/org/woadloom/cli/JobCommand.java
@@ -5,6 +5,7 @@
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
+import java.nio.file.AccessDeniedException;
 import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
@@ -16,7 +17,7 @@
 import org.woadloom.protocol.JobDescription;
 import org.woadloom.protocol.MalformedMessageException;
 
-/** What a user can do with a job from the command line. */
+/** Sends a request about a job to a controller node and prints the answer. */
 final class JobCommand implements Subcommand {
     private static final String DEFAULT_NODE = "127.0.0.1:8080";
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
@@ -42,7 +43,7 @@
         return new JobCommand(
                 "submit",
                 "FILE",
-                "Submits the job that a JSON file describes; repeating it is harmless.",
+                "Submits the job described in a JSON file; submitting it again changes nothing.",
                 (node, file) -> {
                     JobDescription job;
                     try {
@@ -53,6 +54,10 @@
                         throw new UsageException(file + ": no such file");
                     } catch (MalformedMessageException e) {
                         throw new UsageException(file + ": " + e.getMessage());
+                    } catch (AccessDeniedException e) {
+                        throw new IOException(file + ": cannot be read: permission denied", e);
+                    } catch (IOException e) {
+                        throw new IOException(file + ": cannot be read: " + Main.messageOf(e), e);
                     }
                     return post(node, "/v1/jobs", Cbor.encode(job.toMap()));
                 });
@@ -62,7 +67,7 @@
         return new JobCommand(
                 "show",
                 "JOB",
-                "Shows the state of a job, such as j-000412.",
+                "Shows the state of a job, given its id, such as j-000412.",
                 (node, jobId) ->
                         HttpRequest.newBuilder(uri(node, "/v1/jobs/" + requireJobId(jobId))));
     }
@@ -71,7 +76,7 @@
         return new JobCommand(
                 "cancel",
                 "JOB",
-                "Cancels a job.",
+                "Cancels a job, given its id.",
                 (node, jobId) ->
                         post(node, "/v1/jobs/" + requireJobId(jobId) + "/cancel", new byte[0]));
     }
@@ -86,13 +91,14 @@
         try {
             return URI.create("http://" + node + path);
         } catch (IllegalArgumentException e) {
-            throw new UsageException("--node: expected an address such as " + DEFAULT_NODE);
+            throw new UsageException(
+                    "--node " + node + ": expected an address such as " + DEFAULT_NODE);
         }
     }
 
     private static String requireJobId(String jobId) throws UsageException {
         if (!JobDescription.isJobId(jobId)) {
-            throw new UsageException(jobId + ": expected an id such as j-000412");
+            throw new UsageException(jobId + ": expected a job id such as j-000412");
         }
         return jobId;
     }
@@ -121,7 +127,8 @@
                                 .hasArg()
                                 .argName("HOST:PORT")
                                 .desc(
-                                        "a controller node or the load balancer (default "
+                                        "address of a controller node or of the load balancer"
+                                                + " (default: "
                                                 + DEFAULT_NODE
                                                 + ")")
                                 .build());
@@ -141,9 +148,21 @@
                                     builder.timeout(TIMEOUT).build(),
                                     HttpResponse.BodyHandlers.ofByteArray());
         } catch (IOException e) {
-            throw new IOException(node + " does not answer: " + e.getClass().getSimpleName());
+            throw new IOException("no answer from node " + node + ": " + Main.messageOf(e), e);
+        }
+        String text;
+        try {
+            text = Cbor.toJson(Cbor.decode(response.body()));
+        } catch (MalformedMessageException e) {
+            throw new IOException(
+                    "unreadable answer from node "
+                            + node
+                            + " (status "
+                            + response.statusCode()
+                            + "): "
+                            + e.getMessage(),
+                    e);
         }
-        String text = Cbor.toJson(Cbor.decode(response.body()));
         if (response.statusCode() / 100 == 2) {
             System.out.println(text);
             return SUCCESS;
--- a/src/main/java/org/woadloom/cli/Logging.java
+++ b/src/main/java/org/woadloom/cli/Logging.java
@@ -1,9 +1,10 @@
 package org.woadloom.cli;
 
-/** Sets up logging to standard error before the first logger is made. */
+/** Configures logging to standard error. Must run before the first logger is created. */
 final class Logging {
     private Logging() {}
 
+    /** Sets the log level: error, info or debug; any other value, and null, mean info. */
     static void configure(String level) {
         String simpleLoggerLevel =
                 level == null
--- a/src/main/java/org/woadloom/cli/Main.java
+++ b/src/main/java/org/woadloom/cli/Main.java
@@ -11,7 +11,7 @@
 import org.apache.commons.cli.ParseException;
 import org.woadloom.settings.SettingsException;
 
-/** The program's entry: what its command line offers. */
+/** Entry point of the program: selects and runs the command given on the command line. */
 public final class Main {
     private static final int HELP_WIDTH = 100;
     private static final List<Subcommand> COMMANDS =
@@ -37,7 +37,7 @@
     static int run(String[] args) {
         try {
             if (args.length == 0) {
-                throw new UsageException("a command is missing");
+                throw new UsageException("no command given");
             }
             if (args[0].equals("--help") || args[0].equals("-h")) {
                 printHelp();
@@ -55,11 +55,16 @@
             System.err.println("woadloom: " + e.getMessage());
             return Subcommand.USAGE_ERROR;
         } catch (Exception e) {
-            System.err.println("woadloom: " + e.getMessage());
+            System.err.println("woadloom: " + messageOf(e));
             return Subcommand.FAILED;
         }
     }
 
+    /** Returns the message, or the name of the exception's class if it has none. */
+    static String messageOf(Exception e) {
+        return e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage();
+    }
+
     private static Subcommand findCommand(String[] args) throws UsageException {
         for (Subcommand command : COMMANDS) {
             String[] words = command.name().split(" ", -1);
@@ -70,8 +75,8 @@
         }
         throw new UsageException(
                 args[0].startsWith("-")
-                        ? args[0] + ": a command is expected first"
-                        : args[0] + ": no such command");
+                        ? args[0] + ": expected a command before any option"
+                        : args[0] + ": unknown command");
     }
 
     private static int run(Subcommand command, String[] args) throws Exception {
@@ -88,14 +93,14 @@
             throw new UsageException(
                     expectedArgs == 0
                             ? line.getArgList().get(0) + ": unexpected argument"
-                            : command.name() + ": expected one " + command.arguments());
+                            : command.name() + ": expected one argument: " + command.arguments());
         }
         return command.run(line);
     }
 
     private static void printHelp() {
         System.out.println("usage: woadloom COMMAND [OPTIONS]");
-        System.out.println("A cluster scheduler that reserves room for the work that needs it.");
+        System.out.println("A cluster scheduler with reservations for gangs and large tasks.");
         System.out.println();
         for (Subcommand command : COMMANDS) {
             if (!command.hidden()) {
@@ -103,16 +108,16 @@
             }
         }
         System.out.println();
-        System.out.println("  COMMAND --help   the options of a command");
-        System.out.println("  --version        the version");
+        System.out.println("  COMMAND --help   print the options of a command");
+        System.out.println("  --version        print the version");
         System.out.println();
-        System.out.println("Exit codes: 0 done, 1 the request failed, 2 bad usage or settings.");
+        System.out.println("Exit codes: 0 success, 1 failed request, 2 invalid usage or settings.");
     }
 
     private static void printHelp(Subcommand command) {
         PrintWriter out = new PrintWriter(System.out, true, Charset.defaultCharset());
         Options options = command.options();
-        options.addOption("h", "help", false, "print this and end");
+        options.addOption("h", "help", false, "print this help and exit");
         new HelpFormatter()
                 .printHelp(
                         out,
--- a/src/main/java/org/woadloom/cli/RolloutCommand.java
+++ b/src/main/java/org/woadloom/cli/RolloutCommand.java
@@ -27,8 +27,8 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * Shows how far each feature is rolled out, or writes what an operator asks for one, straight in
- * the state service.
+ * Shows the rollout state of each feature, or stores an operator's request for one. Accesses the
+ * state service directly, without a controller node.
  */
 final class RolloutCommand implements Subcommand {
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
@@ -46,8 +46,8 @@
 
     @Override
     public String description() {
-        return "Shows the rollout of features, or asks the leader to go on by itself, to hold, to"
-                + " go on at once, or to take one back.";
+        return "Shows the rollout of features, or lets one advance (auto), pause (hold), skip"
+                + " waiting periods (go) or roll back (back).";
     }
 
     @Override
@@ -59,7 +59,7 @@
                                 .hasArg()
                                 .argName("NAME")
                                 .desc(
-                                        "the feature that is asked for: "
+                                        "the feature to which the request applies: "
                                                 + String.join(", ", Feature.allKeys()))
                                 .build())
                 .addOption(
@@ -67,7 +67,7 @@
                                 .longOpt("by")
                                 .hasArg()
                                 .argName("WHO")
-                                .desc("who asks, for the log (default: the user of this shell)")
+                                .desc("name of the operator to record (default: the current user)")
                                 .build());
     }
 
@@ -91,16 +91,22 @@
     }
 
     private static Feature findFeature(String key) throws UsageException {
+        String features = String.join(", ", Feature.allKeys());
         for (Feature feature : Feature.values()) {
             if (feature.key().equals(key)) {
                 return feature;
             }
         }
         throw new UsageException(
-                "--feature: expected one of " + String.join(", ", Feature.allKeys()));
+                key == null
+                        ? "--feature is missing: expected one of " + features
+                        : "--feature " + key + ": expected one of " + features);
     }
 
-    /** What can no longer be done is refused here; the leader refuses it as well. */
+    /**
+     * Stores the request for the leader. A rollback that is no longer possible is refused here, so
+     * that the operator sees it; the leader refuses it as well.
+     */
     private static int writeRequest(String address, Verb verb, Feature feature, String operator)
             throws IOException, InterruptedException, MalformedMessageException {
         FeatureState current = rolloutRecord(readRolloutEntries(address)).stateOf(feature.key());
@@ -112,7 +118,7 @@
                             + feature.key()
                             + " is "
                             + current.step().text()
-                            + " and can't be taken back");
+                            + " and can no longer be rolled back");
             return FAILED;
         }
         RolloutRequest request =
@@ -134,9 +140,8 @@
                 feature.key()
                         + ": "
                         + verb.text()
-                        + " asked; it is "
-                        + current.step().text()
-                        + " now");
+                        + " requested; the current step is "
+                        + current.step().text());
         return SUCCESS;
     }
 
@@ -160,29 +165,28 @@
                             ? "-"
                             : Instant.ofEpochSecond(state.sinceWallMicros() / 1_000_000),
                     state.changedBy().isEmpty() ? "-" : state.changedBy(),
-                    state.isRollingBack() ? "; being taken back" : "",
-                    state.isHeld() ? "; held, as nodes kept ending" : "",
+                    state.isRollingBack() ? "; rolling back" : "",
+                    state.isHeld() ? "; held because nodes kept crashing" : "",
                     request.verb() == Verb.AUTO
                             ? ""
-                            : "; " + request.verb().text() + " asked by " + request.operator());
+                            : "; " + request.verb().text() + " requested by " + request.operator());
         }
         for (Feature feature : Feature.values()) {
             System.out.printf(
-                    "%s writes %s; can be read by %s and later%n",
+                    "%s writes %s; readable by %s and later%n",
                     feature.key(), feature.writtenFormat(), feature.earliestReader());
         }
         Set<String> unknownFeatures = record.requiredFeatures();
         unknownFeatures.removeAll(Feature.allKeys());
         if (!unknownFeatures.isEmpty()) {
             System.out.println(
-                    "required and not known to this version: "
-                            + String.join(", ", unknownFeatures));
+                    "required but unknown to this version: " + String.join(", ", unknownFeatures));
         }
         for (Map.Entry<String, Object> entry : entries.entrySet()) {
             if (entry.getKey().startsWith(StoreKeys.ROLLOUT_NODE_PREFIX)) {
                 NodeAnnouncement announcement = NodeAnnouncement.parse(asMap(entry.getValue()));
                 System.out.printf(
-                        "node %s: reads %s, can do %s, names %s, start %d in a row%n",
+                        "node %s: reads %s, can use %s, members %s, consecutive starts %d%n",
                         entry.getKey().substring(StoreKeys.ROLLOUT_NODE_PREFIX.length()),
                         announcement.supportedFeatures(),
                         announcement.usableFeatures(),
@@ -204,7 +208,10 @@
         return (Map<String, Object>) value;
     }
 
-    /** Everything below the rollout's prefix: a few records and one for each node. */
+    /**
+     * Reads all keys below the rollout prefix: a few records, and one for each node, so that one
+     * page holds them all.
+     */
     private static Map<String, Object> readRolloutEntries(String address)
             throws IOException, InterruptedException, MalformedMessageException {
         byte[] body =
@@ -225,7 +232,10 @@
         return entries;
     }
 
-    /** A client is made only here: its classes would cost every start of a node a third more. */
+    /**
+     * Creates the HTTP client only when needed: loading its classes would make every start of a
+     * node a third slower.
+     */
     private static byte[] send(String address, HttpRequest.Builder request)
             throws IOException, InterruptedException {
         HttpResponse<byte[]> response;
@@ -239,14 +249,14 @@
                                     HttpResponse.BodyHandlers.ofByteArray());
         } catch (IOException e) {
             throw new IOException(
-                    "the state service at "
-                            + address
-                            + " does not answer: "
-                            + e.getClass().getSimpleName());
+                    "no answer from the state service at " + address + ": " + Main.messageOf(e), e);
         }
         if (response.statusCode() != 200) {
             throw new IOException(
-                    "the state service at " + address + " answered " + response.statusCode());
+                    "the state service at "
+                            + address
+                            + " answered with status "
+                            + response.statusCode());
         }
         return response.body();
     }
--- a/src/main/java/org/woadloom/cli/ServeCommand.java
+++ b/src/main/java/org/woadloom/cli/ServeCommand.java
@@ -4,7 +4,7 @@
 import org.apache.commons.cli.Options;
 import org.woadloom.node.Server;
 
-/** Runs a node. */
+/** Runs a controller node. */
 final class ServeCommand implements Subcommand {
     @Override
     public String name() {
@@ -18,7 +18,7 @@
 
     @Override
     public String description() {
-        return "Runs a controller node until it is killed.";
+        return "Runs a controller node until the process is killed.";
     }
 
     @Override
--- a/src/main/java/org/woadloom/cli/SettingsOptions.java
+++ b/src/main/java/org/woadloom/cli/SettingsOptions.java
@@ -10,7 +10,7 @@
 import org.woadloom.settings.ServiceSettingsFile;
 import org.woadloom.settings.SettingsException;
 
-/** The two files of settings, as options that commands share. */
+/** Command-line options for the two settings files, shared by several commands. */
 final class SettingsOptions {
     private SettingsOptions() {}
 
@@ -22,14 +22,16 @@
                                 .hasArg()
                                 .argName("FILE")
                                 .required()
-                                .desc("the platform's settings (TOML)")
+                                .desc("settings file of the platform (TOML)")
                                 .build())
                 .addOption(
                         Option.builder()
                                 .longOpt("operator")
                                 .hasArg()
                                 .argName("FILE")
-                                .desc("the operators' own settings (HCL)")
+                                .desc(
+                                        "settings file of the operators (HCL); without it, defaults"
+                                                + " apply")
                                 .build());
     }
 
--- a/src/main/java/org/woadloom/cli/Subcommand.java
+++ b/src/main/java/org/woadloom/cli/Subcommand.java
@@ -3,29 +3,30 @@
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
 
-/** One thing that the program can be asked to do. */
+/** A command of the command line, with its options and its exit codes. */
 interface Subcommand {
-    /** Given by a command whose threads go on running. */
+    /** Not an exit code: the process continues to run on other threads. */
     int SERVING = -1;
 
     int SUCCESS = 0;
     int FAILED = 1;
     int USAGE_ERROR = 2;
 
-    /** The words that select it, such as {@code job submit}. */
+    /** Returns the words that select this command, such as {@code job submit}. */
     String name();
 
-    /** What follows the options, for the usage line; empty if nothing does. */
+    /** Returns the argument after the options, for the usage line; empty if there is none. */
     String arguments();
 
     String description();
 
     Options options();
 
-    /** True for what only the build uses. */
+    /** Returns true if the command is left out of the help because only the build uses it. */
     default boolean hidden() {
         return false;
     }
 
+    /** Runs the command and returns an exit code or {@link #SERVING}. */
     int run(CommandLine line) throws Exception;
 }
--- a/src/main/java/org/woadloom/cli/UsageException.java
+++ b/src/main/java/org/woadloom/cli/UsageException.java
@@ -1,6 +1,6 @@
 package org.woadloom.cli;
 
-/** The command line asks for something that is not there. */
+/** An invalid command line. The message names the word and what was expected. */
 final class UsageException extends Exception {
     UsageException(String message) {
         super(message);
--- a/src/main/java/org/woadloom/cli/Version.java
+++ b/src/main/java/org/woadloom/cli/Version.java
@@ -1,6 +1,6 @@
 package org.woadloom.cli;
 
-/** The version that the build wrote into the jar's manifest. */
+/** The version of the program, which the build writes into the manifest of the jar. */
 final class Version {
     private Version() {}
 
--- a/src/main/java/org/woadloom/settings/Objective.java
+++ b/src/main/java/org/woadloom/settings/Objective.java
@@ -1,10 +1,12 @@
 package org.woadloom.settings;
 
 /**
- * One aim that the platform repeats from the users; fields that it does not use are zero or empty.
+ * A service level objective of the users, as the platform states it. Fields that do not apply to
+ * its kind are zero or empty.
  *
- * @param deadlineMultiple for an aim on deadlines, how many times the time until then a job may
- *     take
+ * @param withinSeconds target time until a job is finished
+ * @param deadlineMultiple target time from submission to completion, as a multiple of the time from
+ *     submission to the deadline
  */
 public record Objective(
         String kind,
--- a/src/main/java/org/woadloom/settings/OperatorSettings.java
+++ b/src/main/java/org/woadloom/settings/OperatorSettings.java
@@ -2,7 +2,21 @@
 
 import java.util.Locale;
 
-/** The operators' own settings, each with a default. Durations are microseconds. */
+/**
+ * Settings that the operators may change. Each has a default.
+ *
+ * @param reservationTtlMicros time after which a reservation expires unless it is renewed
+ * @param reservationRenewMicros interval at which reservations are renewed
+ * @param largeTaskShare jobs get reservations if a task needs at least this share of the CPUs,
+ *     memory or GPUs of every machine type that they may use
+ * @param headroom idle CPUs to keep for load fluctuations, as a share of the used CPUs
+ * @param idleReturnMicros maximum time for which a machine stays idle before it is returned
+ * @param quarantineMicros how long a machine on which tasks of several jobs failed gets no tasks
+ * @param leaseDelegation whether nodes renew the leases of agents in their zone during a partition
+ * @param rolloutSoakMicros how long a rollout must run without trouble before it advances
+ * @param migrationWriteShare share of the store's write rate that may be spent on rewriting records
+ *     in a new format
+ */
 public record OperatorSettings(
         long reservationTtlMicros,
         long reservationRenewMicros,
@@ -19,7 +33,7 @@
                 60_000_000, 20_000_000, 0.5, 0.25, 45_000_000, 120_000_000, true, 10_000_000, 0.1);
     }
 
-    /** The settings as lines of the file that would set them. */
+    /** Returns one line for each setting, with its key in the file and its value. */
     public String describe() {
         return String.format(
                 Locale.ROOT,
--- a/src/main/java/org/woadloom/settings/OperatorSettingsFile.java
+++ b/src/main/java/org/woadloom/settings/OperatorSettingsFile.java
@@ -10,15 +10,16 @@
 import java.util.Map;
 
 /**
- * Reads the operators' HCL file. An unknown key is an error: it is a setting that would silently
- * not apply.
+ * Reads the operators' HCL settings file. Unknown keys are errors, because a misspelled setting
+ * would otherwise be ignored silently.
  */
 public final class OperatorSettingsFile {
     private static final double MICROS_PER_SECOND = 1e6;
 
-    /** The bounds of every duration: a tenth of a second, and a day. */
+    /** Lower bound of every duration in the file. */
     private static final double MIN_SECONDS = 0.1;
 
+    /** Upper bound of every duration in the file: one day. */
     private static final double MAX_SECONDS = 86_400;
 
     private OperatorSettingsFile() {}
@@ -27,16 +28,17 @@
         try {
             return parse(path.toString(), Files.readString(path));
         } catch (IOException e) {
-            throw new SettingsException(path + ": cannot be read: " + e.getMessage());
+            throw SettingsException.unreadable(path, e);
         }
     }
 
     public static OperatorSettings parse(String file, String text) throws SettingsException {
+        // Reading a setting removes it, so that the unknown ones remain.
         Map<String, Object> unread = new LinkedHashMap<>();
         try {
-            flatten(file, "", new HCLParser().parse(text), unread);
+            flatten("", new HCLParser().parse(text), unread);
         } catch (HCLParserException | IOException | RuntimeException e) {
-            throw new SettingsException(file + ": not HCL: " + e.getMessage());
+            throw new SettingsException(file + ": invalid HCL: " + e.getMessage());
         }
         OperatorSettings defaults = OperatorSettings.defaults();
         OperatorSettings result =
@@ -84,8 +86,10 @@
         return result;
     }
 
-    private static void flatten(
-            String file, String prefix, Map<?, ?> map, Map<String, Object> result) {
+    /**
+     * Adds the settings of all blocks to the result under dotted keys, such as {@code zones.care}.
+     */
+    private static void flatten(String prefix, Map<?, ?> map, Map<String, Object> result) {
         for (Map.Entry<?, ?> entry : map.entrySet()) {
             String key = prefix + entry.getKey();
             Object value = entry.getValue();
@@ -93,13 +97,14 @@
                 value = list.get(0);
             }
             if (value instanceof Map<?, ?> block) {
-                flatten(file, key + ".", block, result);
+                flatten(key + ".", block, result);
             } else {
                 result.put(key, value);
             }
         }
     }
 
+    /** Returns a duration, which the file states in seconds, in microseconds. */
     private static long secondsAsMicros(
             String file, Map<String, Object> unread, String key, long defaultValue)
             throws SettingsException {
@@ -120,10 +125,11 @@
         if (!unread.containsKey(key)) {
             return defaultValue;
         }
-        if (unread.remove(key) instanceof Boolean value) {
-            return value;
+        Object value = unread.remove(key);
+        if (value instanceof Boolean flag) {
+            return flag;
         }
-        throw new SettingsException(file + ": " + key + ": expected true or false");
+        throw SettingsException.invalidValue(file, key, "true or false", value);
     }
 
     private static double number(
@@ -143,7 +149,7 @@
                 && number.doubleValue() <= max) {
             return number.doubleValue();
         }
-        throw new SettingsException(
-                file + ": " + key + ": expected a number from " + min + " to " + max);
+        throw SettingsException.invalidValue(
+                file, key, "a number from " + min + " to " + max, value);
     }
 }
--- a/src/main/java/org/woadloom/settings/Peer.java
+++ b/src/main/java/org/woadloom/settings/Peer.java
@@ -1,4 +1,4 @@
 package org.woadloom.settings;
 
-/** Another controller node: where it is and where it listens for its peers. */
+/** Another controller node: its name, its zone and the address on which it accepts peers. */
 public record Peer(String label, String zone, String address) {}
--- a/src/main/java/org/woadloom/settings/ServiceSettings.java
+++ b/src/main/java/org/woadloom/settings/ServiceSettings.java
@@ -2,7 +2,16 @@
 
 import java.util.List;
 
-/** The platform's settings file. Durations are microseconds. */
+/**
+ * The settings file that the platform provides to each controller node.
+ *
+ * @param label the name of this node
+ * @param zone the zone in which this node runs
+ * @param bind the address on which this node serves users and agents
+ * @param peerBind the address on which this node accepts connections of its peers
+ * @param peers the other controller nodes
+ * @param zones the zones in which machines can be rented
+ */
 public record ServiceSettings(
         String label,
         String zone,
@@ -19,36 +28,56 @@
         Cloud cloud,
         Resources resources) {
 
-    /** The agents' heartbeat interval and lease, and how soon a cancellation must take effect. */
+    /**
+     * Timing of the protocol between agents and the leader.
+     *
+     * @param heartbeatMicros the interval at which an agent sends heartbeats
+     * @param leaseMicros how long an agent may go without an answer before it kills its tasks
+     * @param cancelMicros how soon the tasks of a cancelled job must have stopped
+     */
     public record Agents(long heartbeatMicros, long leaseMicros, long cancelMicros) {}
 
     /**
-     * The limits that the store has now.
+     * The current limits of the store.
      *
-     * @param next the limits that it may have from some moment on, without notice; null for none
+     * @param rps requests per second
+     * @param writeRps changes per second
+     * @param valueBytes size of a value
+     * @param txnOps operations in a transaction
+     * @param next limits to which the store may switch at any time without notice; null if none are
+     *     announced
      */
     public record Store(double rps, double writeRps, int valueBytes, int txnOps, Store next) {
-        /**
-         * The smaller of the two limits on values: what keeps to it is accepted before and after
-         * the change.
-         */
+        /** The value size that the store accepts both before and after it switches its limits. */
         public int minValueBytes() {
             return next == null ? valueBytes : Math.min(valueBytes, next.valueBytes);
         }
 
-        /** The smaller of the two limits on the operations of a transaction. */
+        /**
+         * The number of operations that a transaction may have both before and after the switch.
+         */
         public int minTxnOps() {
             return next == null ? txnOps : Math.min(txnOps, next.txnOps);
         }
     }
 
-    /** The rate of calls that the cloud accepts, and by how much its list of machines may lag. */
+    /**
+     * Limits of the cloud API.
+     *
+     * @param rps requests per second
+     * @param listLagMicros by how much the list of machines may be out of date
+     */
     public record Cloud(double rps, long listLagMicros) {}
 
-    /** What the machine of a node gives its process. */
+    /**
+     * Resources available to the process of a node.
+     *
+     * @param cpuShare number of cores, possibly a fraction
+     * @param fdLimit maximum number of open file descriptors
+     */
     public record Resources(double cpuShare, double ramMb, int fdLimit) {}
 
-    /** The peer with this label, or null. */
+    /** Returns the peer with this label, or null if there is none. */
     public Peer peer(String peerLabel) {
         for (Peer peer : peers) {
             if (peer.label().equals(peerLabel)) {
@@ -58,7 +87,7 @@
         return null;
     }
 
-    /** The team with this name, or null. */
+    /** Returns the team with this name, or null if there is none. */
     public Team team(String name) {
         for (Team team : teams) {
             if (team.name().equals(name)) {
--- a/src/main/java/org/woadloom/settings/ServiceSettingsFile.java
+++ b/src/main/java/org/woadloom/settings/ServiceSettingsFile.java
@@ -10,28 +10,27 @@
 import java.util.List;
 
 /**
- * Reads the TOML file that the platform hands over. Unknown fields are ignored: the platform may
- * add some.
+ * Reads the TOML settings file that the platform provides. Unknown keys are ignored, because the
+ * platform may add some.
  */
 public final class ServiceSettingsFile {
     private static final int BYTES_PER_KB = 1024;
 
     private ServiceSettingsFile() {}
 
-    /** Reads and parses the file. */
     public static ServiceSettings read(Path path) throws SettingsException {
         String text;
         try {
             text = Files.readString(path);
         } catch (IOException | SecurityException e) {
-            throw new SettingsException(path + ": cannot be read: " + e.getMessage());
+            throw SettingsException.unreadable(path, e);
         }
         return parse(path.toString(), text);
     }
 
     /**
-     * The limits in force, and those announced in {@code next}, where what is not named stays as it
-     * is.
+     * Reads the limits in force and the announced ones in {@code next}. A limit that {@code next}
+     * omits stays unchanged.
      */
     private static ServiceSettings.Store storeLimits(TomlTable store) throws SettingsException {
         double rps = store.number("rps", 1);
@@ -57,7 +56,7 @@
         try {
             return new TomlParser().parse(text);
         } catch (ParsingException e) {
-            throw new SettingsException(file + ": not TOML: " + e.getMessage());
+            throw new SettingsException(file + ": invalid TOML: " + e.getMessage());
         }
     }
 
@@ -100,7 +99,7 @@
     /**
      * Parses the text of the file.
      *
-     * @param file its name, for errors
+     * @param file the name of the file, for error messages
      */
     public static ServiceSettings parse(String file, String text) throws SettingsException {
         TomlTable root = new TomlTable(file, "", parseToml(file, text));
--- a/src/main/java/org/woadloom/settings/SettingsValidator.java
+++ b/src/main/java/org/woadloom/settings/SettingsValidator.java
@@ -5,13 +5,11 @@
 import java.util.List;
 import java.util.Set;
 
-/**
- * Settings that can be read and can't work together. Each problem names the fields and their
- * values.
- */
+/** Finds settings that are valid on their own but contradict each other. */
 public final class SettingsValidator {
     private SettingsValidator() {}
 
+    /** Returns one message for each problem, naming the settings and their values. */
     public static List<String> problems(ServiceSettings settings) {
         List<String> problems = new ArrayList<>();
         ServiceSettings.Agents agents = settings.agents();
@@ -19,14 +17,15 @@
             problems.add(
                     String.format(
                             "deployment.workers.lease_s = %s: shorter than two reports (report_s ="
-                                    + " %s), so one lost answer ends it",
+                                    + " %s), so a single lost answer expires it",
                             seconds(agents.leaseMicros()), seconds(agents.heartbeatMicros())));
         }
         if (agents.cancelMicros() <= agents.leaseMicros()) {
             problems.add(
                     String.format(
                             "deployment.workers.cancel_s = %s: no longer than a lease (lease_s ="
-                                    + " %s), which is what ends tasks that can't be reached",
+                                + " %s), but tasks on unreachable machines run until their lease"
+                                + " expires",
                             seconds(agents.cancelMicros()), seconds(agents.leaseMicros())));
         }
         checkZone(problems, settings, "area", settings.zone());
@@ -34,19 +33,19 @@
         for (Peer peer : settings.peers()) {
             checkZone(problems, settings, "area of peer " + peer.label(), peer.zone());
             if (!nodeNames.add(peer.label())) {
-                problems.add("peers: " + peer.label() + " is named twice, or is this node");
+                problems.add("peers: " + peer.label() + " occurs twice or is this node");
             }
         }
         Set<String> teamNames = new HashSet<>();
         for (Team team : settings.teams()) {
             if (!teamNames.add(team.name())) {
-                problems.add("deployment.teams: " + team.name() + " is named twice");
+                problems.add("deployment.teams: " + team.name() + " occurs twice");
             }
             if (team.cpus() > team.cpusMax() || team.gpus() > team.gpusMax()) {
                 problems.add(
                         String.format(
-                                "deployment.teams: %s is guaranteed cpus = %s and gpus = %s, more"
-                                        + " than cpus_max = %s and gpus_max = %s allow",
+                                "deployment.teams: %s: the guarantee (cpus = %s, gpus = %s) exceeds"
+                                        + " the limit (cpus_max = %s, gpus_max = %s)",
                                 team.name(),
                                 team.cpus(),
                                 team.gpus(),
@@ -55,14 +54,15 @@
             }
         }
         if (settings.teams().isEmpty()) {
-            problems.add("deployment.teams: none, so no job can be accepted");
+            problems.add(
+                    "deployment.teams: expected at least one team, as each job belongs to one");
         }
         return problems;
     }
 
     /**
-     * No machine is rented elsewhere, so a node there has no worker near it and nothing to care
-     * for.
+     * Checks that the zone of a node is one in which machines are rented: elsewhere the node would
+     * have no agents in its zone whose leases it could renew during a partition.
      */
     private static void checkZone(
             List<String> problems, ServiceSettings settings, String field, String value) {
--- a/src/main/java/org/woadloom/settings/Team.java
+++ b/src/main/java/org/woadloom/settings/Team.java
@@ -1,4 +1,6 @@
 package org.woadloom.settings;
 
-/** A team's guarantee and its hard limit. */
+/**
+ * The quota of a team: the guaranteed resources ({@code cpus}, {@code gpus}) and the hard limits.
+ */
 public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {}
--- a/src/main/java/org/woadloom/settings/TomlTable.java
+++ b/src/main/java/org/woadloom/settings/TomlTable.java
@@ -4,7 +4,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Checked access to one table of a TOML file; every error names file and key. */
+/**
+ * Validated access to one table of a TOML file. Errors name the file, the full key, the expected
+ * type and the value.
+ */
 final class TomlTable {
     private static final int MAX_PORT = 65_535;
     private static final double MICROS_PER_SECOND = 1e6;
@@ -19,8 +22,8 @@
         this.config = config;
     }
 
-    SettingsException error(String key, String expected) {
-        return new SettingsException(file + ": " + path + key + ": expected " + expected);
+    private SettingsException error(String key, String expected) {
+        return SettingsException.invalidValue(file, path + key, expected, value(key));
     }
 
     boolean has(String key) {
@@ -34,6 +37,7 @@
         throw error(key, "a table");
     }
 
+    /** Returns the tables in the list under this key; none if the key is missing. */
     List<TomlTable> tables(String key) throws SettingsException {
         List<TomlTable> result = new ArrayList<>();
         Object value = value(key);
@@ -63,7 +67,7 @@
         return value(key) == null ? defaultValue : text(key);
     }
 
-    /** An address such as 10.0.0.1:8080. */
+    /** Returns an address with a port from 1 to 65535, such as 10.0.0.1:8080. */
     String address(String key) throws SettingsException {
         String text = text(key);
         int colon = text.lastIndexOf(':');
@@ -73,11 +77,12 @@
                 return text;
             }
         } catch (NumberFormatException e) {
-            // Falls through to the one error below.
+            // Reported below.
         }
         throw error(key, "an address such as 10.0.0.1:8080");
     }
 
+    /** Returns a finite number that is not below the given minimum. */
     double number(String key, double min) throws SettingsException {
         if (value(key) instanceof Number number
                 && number.doubleValue() >= min
@@ -87,10 +92,11 @@
         throw error(key, "a number of at least " + min);
     }
 
-    double numberOr(String key, double minimum, double defaultValue) throws SettingsException {
-        return value(key) == null ? defaultValue : number(key, minimum);
+    double numberOr(String key, double min, double defaultValue) throws SettingsException {
+        return value(key) == null ? defaultValue : number(key, min);
     }
 
+    /** Returns a duration, which the file states in seconds, in microseconds. */
     long secondsAsMicros(String key, double minSeconds) throws SettingsException {
         return Math.round(number(key, minSeconds) * MICROS_PER_SECOND);
     }
@@ -98,11 +104,11 @@
     List<String> strings(String key) throws SettingsException {
         List<String> result = new ArrayList<>();
         if (!(value(key) instanceof List<?> list)) {
-            throw error(key, "a list of texts");
+            throw error(key, "a list of strings");
         }
         for (Object item : list) {
             if (!(item instanceof String text)) {
-                throw error(key, "a list of texts");
+                throw error(key, "a list of strings");
             }
             result.add(text);
         }
--- a/src/main/java/org/woadloom/settings/package-info.java
+++ b/src/main/java/org/woadloom/settings/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The settings files: the platform's ({@link org.woadloom.settings.ServiceSettingsFile}, TOML) and
- * the operators' own ({@link org.woadloom.settings.OperatorSettingsFile}, HCL), read once when a
- * process starts, and checked against each other by {@link
- * org.woadloom.settings.SettingsValidator}. The keys of the files stand in the readers alone.
+ * Settings files: the platform's ({@link org.woadloom.settings.ServiceSettingsFile}, TOML) and the
+ * operators' ({@link org.woadloom.settings.OperatorSettingsFile}, HCL), read once when a process
+ * starts, and checked for contradictions by {@link org.woadloom.settings.SettingsValidator}. Only
+ * the readers know the keys of the files.
  *
- * <p>Depends on no other package of the program.
+ * <p>Depends on no other package of this project.
  */
 package org.woadloom.settings;
--- a/src/main/java/org/woadloom/store/RateShare.java
+++ b/src/main/java/org/woadloom/store/RateShare.java
@@ -1,9 +1,9 @@
 package org.woadloom.store;
 
 /**
- * RequestFactory classes that share a node's part of the store's rate limits. While several classes
- * have requests queued, the rate is divided by weight; what one class leaves unused goes to the
- * others. Control requests belong to no class: they are sent first and have a reserve of their own.
+ * Request classes that share a node's part of the store's rate limits. While several classes have
+ * requests queued, the rate is divided by weight; what one class leaves unused goes to the others.
+ * Control requests belong to no class: they are sent first and have a reserve of their own.
  */
 public enum RateShare {
     /**
--- a/src/test/java/org/woadloom/settings/SettingsGoldenTest.java
+++ b/src/test/java/org/woadloom/settings/SettingsGoldenTest.java
@@ -7,8 +7,8 @@
 import org.woadloom.golden.GoldenFile;
 
 /**
- * Every field of the settings files, each with a value of its own, and where it is found once the
- * file is read.
+ * Guards against a settings key that is read into the wrong field or not at all: every key of the
+ * golden files has a distinct value.
  */
 class SettingsGoldenTest {
     private static final Path DIRECTORY = Path.of("src/test/resources/golden");
--- a/src/test/java/org/woadloom/settings/SettingsTest.java
+++ b/src/test/java/org/woadloom/settings/SettingsTest.java
@@ -73,14 +73,14 @@
         assertEquals(
                 60,
                 FleetSizeEstimate.of(small).maxAgents(),
-                "200 sockets, half of them for workers and users");
+                "limited by 200 sockets, half of them for agents and users");
         ServiceSettings large =
                 ServiceSettingsFile.parse(
                         "f.toml", validSettings().replace("fd_limit = 200", "fd_limit = 9000"));
         assertEquals(
                 1_000,
                 FleetSizeEstimate.of(large).maxAgents(),
-                "one core, a report a second from each");
+                "limited by one core, with one heartbeat per second and agent");
     }
 
     @Test
