--- a/src/test/java/org/woadloom/soak/SoakJob.java
+++ b/src/test/java/org/woadloom/soak/SoakJob.java
@@ -4,9 +4,9 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A job that a user submits, with what is known of it from outside. */
+/** A job that a user submits, with its state as observed outside of the controllers. */
 final class SoakJob {
-    /** Earlier or later than any moment of a run. */
+    /** The time of an event that has not happened; later than any time of a run. */
     static final long NEVER = Long.MAX_VALUE;
 
     final String jobId;
@@ -16,18 +16,19 @@
     final double cpus;
     final String zone;
     final boolean spotAllowed;
-    final long runMicros;
+    final long taskDurationMicros;
     final BitSet completedTasks = new BitSet();
     long acceptedMicros = NEVER;
-    long cancelAskedMicros = NEVER;
+    long cancelRequestedMicros = NEVER;
 
-    /** When users were first told that it is over, and how. */
-    long toldOverMicros = NEVER;
+    /** When a response first gave the status done or cancelled. */
+    long finalStatusMicros = NEVER;
 
-    String toldStatus;
+    /** The first final status that a response gave; null before. */
+    String finalStatus;
 
-    /** The question that was answered last, by when it was answered. */
-    long lastAnsweredMicros = -1;
+    /** When the last successful response was received. */
+    long lastResponseMicros = -1;
 
     SoakJob(
             String jobId,
@@ -37,7 +38,7 @@
             double cpus,
             String zone,
             boolean spotAllowed,
-            long runMicros) {
+            long taskDurationMicros) {
         this.jobId = jobId;
         this.team = team;
         this.service = service;
@@ -45,15 +46,15 @@
         this.cpus = cpus;
         this.zone = zone;
         this.spotAllowed = spotAllowed;
-        this.runMicros = runMicros;
+        this.taskDurationMicros = taskDurationMicros;
     }
 
     boolean isAccepted() {
         return acceptedMicros != NEVER;
     }
 
-    boolean isOver() {
-        return toldStatus != null;
+    boolean hasFinalStatus() {
+        return finalStatus != null;
     }
 
     boolean isComplete() {
@@ -78,7 +79,7 @@
         map.put("samePlace", false);
         map.put("apart", false);
         map.put("reclaimable", spotAllowed);
-        map.put("runtimeS", service ? 0.0 : runMicros / 1e6);
+        map.put("runtimeS", service ? 0.0 : taskDurationMicros / 1e6);
         map.put("snapshotEveryS", 0.0);
         map.put("snapshotCostS", 0.0);
         map.put("dueS", null);
