--- a/src/main/java/org/woadloom/settings/ServiceSettingsFile.java
+++ b/src/main/java/org/woadloom/settings/ServiceSettingsFile.java
@@ -10,43 +10,42 @@
 import java.util.List;
 
 /**
- * Reads the TOML file that the platform hands over. Unknown fields are ignored: the platform may
- * add some.
+ * Reads the TOML settings file that the platform provides. Unknown keys are ignored, because the
+ * platform may add some.
  */
 public final class ServiceSettingsFile {
     private static final int BYTES_PER_KB = 1024;
 
     private ServiceSettingsFile() {}
 
-    /** Reads and parses the file. */
     public static ServiceSettings read(Path path) throws SettingsException {
         String text;
         try {
             text = Files.readString(path);
         } catch (IOException | SecurityException e) {
-            throw new SettingsException(path + ": cannot be read: " + e.getMessage());
+            throw SettingsException.unreadable(path, e);
         }
         return parse(path.toString(), text);
     }
 
     /**
-     * The limits in force, and those announced in {@code next}, where what is not named stays as it
-     * is.
+     * Reads the limits in force and the announced ones in {@code next}. A limit that {@code next}
+     * omits stays unchanged.
      */
-    private static ServiceSettings.Store storeLimits(Section state) throws SettingsException {
-        double rps = state.number("rps", 1);
-        double writeRps = state.number("write_rps", 1);
-        double valueKb = state.number("value_kb", 1);
-        double txnOps = state.number("txn_ops", 2);
+    private static ServiceSettings.Store storeLimits(TomlTable store) throws SettingsException {
+        double rps = store.number("rps", 1);
+        double writeRps = store.number("write_rps", 1);
+        double valueKb = store.number("value_kb", 1);
+        double txnOps = store.number("txn_ops", 2);
         ServiceSettings.Store next = null;
-        if (state.has("next")) {
-            Section later = state.table("next");
+        if (store.has("next")) {
+            TomlTable nextTable = store.table("next");
             next =
                     new ServiceSettings.Store(
-                            later.numberOr("rps", 1, rps),
-                            later.numberOr("write_rps", 1, writeRps),
-                            (int) (later.numberOr("value_kb", 1, valueKb) * BYTES_PER_KB),
-                            (int) later.numberOr("txn_ops", 2, txnOps),
+                            nextTable.numberOr("rps", 1, rps),
+                            nextTable.numberOr("write_rps", 1, writeRps),
+                            (int) (nextTable.numberOr("value_kb", 1, valueKb) * BYTES_PER_KB),
+                            (int) nextTable.numberOr("txn_ops", 2, txnOps),
                             null);
         }
         return new ServiceSettings.Store(
@@ -57,21 +56,21 @@
         try {
             return new TomlParser().parse(text);
         } catch (ParsingException e) {
-            throw new SettingsException(file + ": not TOML: " + e.getMessage());
+            throw new SettingsException(file + ": invalid TOML: " + e.getMessage());
         }
     }
 
-    private static List<Peer> peers(Section root) throws SettingsException {
+    private static List<Peer> peers(TomlTable root) throws SettingsException {
         List<Peer> peers = new ArrayList<>();
-        for (Section peer : root.tables("peers")) {
+        for (TomlTable peer : root.tables("peers")) {
             peers.add(new Peer(peer.text("label"), peer.text("area"), peer.address("address")));
         }
         return List.copyOf(peers);
     }
 
-    private static List<Team> teams(Section deployment) throws SettingsException {
+    private static List<Team> teams(TomlTable deployment) throws SettingsException {
         List<Team> teams = new ArrayList<>();
-        for (Section team : deployment.tables("teams")) {
+        for (TomlTable team : deployment.tables("teams")) {
             teams.add(
                     new Team(
                             team.text("name"),
@@ -83,9 +82,9 @@
         return List.copyOf(teams);
     }
 
-    private static List<Objective> objectives(Section deployment) throws SettingsException {
+    private static List<Objective> objectives(TomlTable deployment) throws SettingsException {
         List<Objective> objectives = new ArrayList<>();
-        for (Section objective : deployment.tables("objectives")) {
+        for (TomlTable objective : deployment.tables("objectives")) {
             objectives.add(
                     new Objective(
                             objective.textOr("kind", ""),
@@ -100,36 +99,37 @@
     /**
      * Parses the text of the file.
      *
-     * @param file its name, for errors
+     * @param file the name of the file, for error messages
      */
     public static ServiceSettings parse(String file, String text) throws SettingsException {
-        Section root = new Section(file, "", parseToml(file, text));
+        TomlTable root = new TomlTable(file, "", parseToml(file, text));
         List<Peer> peers = peers(root);
-        Section outside = root.table("outside");
-        Section deployment = root.table("deployment");
+        TomlTable endpoints = root.table("outside");
+        TomlTable deployment = root.table("deployment");
         List<Team> teams = teams(deployment);
         List<Objective> objectives = objectives(deployment);
-        Section agents = deployment.table("workers");
-        Section state = deployment.table("state");
-        Section cloud = deployment.table("cloud");
-        Section resources = deployment.table("resources");
+        TomlTable agents = deployment.table("workers");
+        TomlTable store = deployment.table("state");
+        TomlTable cloud = deployment.table("cloud");
+        TomlTable resources = deployment.table("resources");
         return new ServiceSettings(
                 root.text("label"),
                 root.text("area"),
                 root.address("bind"),
                 root.address("peer_bind"),
                 peers,
-                outside.address("cloud"),
-                outside.address("state"),
-                List.copyOf(deployment.texts("zones")),
+                endpoints.address("cloud"),
+                endpoints.address("state"),
+                List.copyOf(deployment.strings("zones")),
                 teams,
                 objectives,
                 new ServiceSettings.Agents(
-                        agents.micros("report_s", 0.01),
-                        agents.micros("lease_s", 0.1),
-                        agents.micros("cancel_s", 0.1)),
-                storeLimits(state),
-                new ServiceSettings.Cloud(cloud.number("rps", 0.01), cloud.micros("list_lag_s", 0)),
+                        agents.secondsAsMicros("report_s", 0.01),
+                        agents.secondsAsMicros("lease_s", 0.1),
+                        agents.secondsAsMicros("cancel_s", 0.1)),
+                storeLimits(store),
+                new ServiceSettings.Cloud(
+                        cloud.number("rps", 0.01), cloud.secondsAsMicros("list_lag_s", 0)),
                 new ServiceSettings.Resources(
                         resources.number("cpu_share", 0.001),
                         resources.number("ram_mb", 1),
--- a/src/main/java/org/woadloom/settings/Section.java
+++ b/src/main/java/org/woadloom/settings/TomlTable.java
@@ -4,8 +4,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Checked access to one table of a TOML file; every error names file and key. */
-final class Section {
+/**
+ * Validated access to one table of a TOML file. Errors name the file, the full key, the expected
+ * type and the value.
+ */
+final class TomlTable {
     private static final int MAX_PORT = 65_535;
     private static final double MICROS_PER_SECOND = 1e6;
 
@@ -13,29 +16,30 @@
     private final String path;
     private final Config config;
 
-    Section(String file, String path, Config config) {
+    TomlTable(String file, String path, Config config) {
         this.file = file;
         this.path = path;
         this.config = config;
     }
 
-    SettingsException error(String key, String expected) {
-        return new SettingsException(file + ": " + path + key + ": expected " + expected);
+    private SettingsException error(String key, String expected) {
+        return SettingsException.invalidValue(file, path + key, expected, value(key));
     }
 
     boolean has(String key) {
         return value(key) != null;
     }
 
-    Section table(String key) throws SettingsException {
+    TomlTable table(String key) throws SettingsException {
         if (value(key) instanceof Config table) {
-            return new Section(file, path + key + ".", table);
+            return new TomlTable(file, path + key + ".", table);
         }
         throw error(key, "a table");
     }
 
-    List<Section> tables(String key) throws SettingsException {
-        List<Section> result = new ArrayList<>();
+    /** Returns the tables in the list under this key; none if the key is missing. */
+    List<TomlTable> tables(String key) throws SettingsException {
+        List<TomlTable> result = new ArrayList<>();
         Object value = value(key);
         if (value == null) {
             return result;
@@ -47,7 +51,7 @@
             if (!(list.get(i) instanceof Config table)) {
                 throw error(key, "a list of tables");
             }
-            result.add(new Section(file, path + key + "[" + i + "].", table));
+            result.add(new TomlTable(file, path + key + "[" + i + "].", table));
         }
         return result;
     }
@@ -59,11 +63,11 @@
         throw error(key, "text");
     }
 
-    String textOr(String key, String otherwise) throws SettingsException {
-        return value(key) == null ? otherwise : text(key);
+    String textOr(String key, String defaultValue) throws SettingsException {
+        return value(key) == null ? defaultValue : text(key);
     }
 
-    /** An address such as 10.0.0.1:8080. */
+    /** Returns an address with a port from 1 to 65535, such as 10.0.0.1:8080. */
     String address(String key) throws SettingsException {
         String text = text(key);
         int colon = text.lastIndexOf(':');
@@ -73,36 +77,38 @@
                 return text;
             }
         } catch (NumberFormatException e) {
-            // Falls through to the one error below.
+            // Reported below.
         }
         throw error(key, "an address such as 10.0.0.1:8080");
     }
 
-    double number(String key, double minimum) throws SettingsException {
+    /** Returns a finite number that is not below the given minimum. */
+    double number(String key, double min) throws SettingsException {
         if (value(key) instanceof Number number
-                && number.doubleValue() >= minimum
+                && number.doubleValue() >= min
                 && Double.isFinite(number.doubleValue())) {
             return number.doubleValue();
         }
-        throw error(key, "a number of at least " + minimum);
+        throw error(key, "a number of at least " + min);
     }
 
-    double numberOr(String key, double minimum, double otherwise) throws SettingsException {
-        return value(key) == null ? otherwise : number(key, minimum);
+    double numberOr(String key, double min, double defaultValue) throws SettingsException {
+        return value(key) == null ? defaultValue : number(key, min);
     }
 
-    long micros(String key, double minimumSeconds) throws SettingsException {
-        return Math.round(number(key, minimumSeconds) * MICROS_PER_SECOND);
+    /** Returns a duration, which the file states in seconds, in microseconds. */
+    long secondsAsMicros(String key, double minSeconds) throws SettingsException {
+        return Math.round(number(key, minSeconds) * MICROS_PER_SECOND);
     }
 
-    List<String> texts(String key) throws SettingsException {
+    List<String> strings(String key) throws SettingsException {
         List<String> result = new ArrayList<>();
         if (!(value(key) instanceof List<?> list)) {
-            throw error(key, "a list of texts");
+            throw error(key, "a list of strings");
         }
         for (Object item : list) {
             if (!(item instanceof String text)) {
-                throw error(key, "a list of texts");
+                throw error(key, "a list of strings");
             }
             result.add(text);
         }
