--- a/src/main/java/org/woadloom/cli/Logging.java
+++ b/src/main/java/org/woadloom/cli/Logging.java
@@ -1,11 +1,12 @@
 package org.woadloom.cli;
 
-/** Sets up logging to standard error before the first logger is made. */
+/** Configures logging to standard error. Must run before the first logger is created. */
 final class Logging {
     private Logging() {}
 
+    /** Sets the log level: error, info or debug; any other value, and null, mean info. */
     static void configure(String level) {
-        String simple =
+        String simpleLoggerLevel =
                 level == null
                         ? "info"
                         : switch (level) {
@@ -17,6 +18,6 @@
         System.setProperty("org.slf4j.simpleLogger.showThreadName", "false");
         System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true");
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error");
-        System.setProperty("org.slf4j.simpleLogger.log.org.woadloom", simple);
+        System.setProperty("org.slf4j.simpleLogger.log.org.woadloom", simpleLoggerLevel);
     }
 }
--- a/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
+++ b/src/main/java/org/woadloom/core/rollout/FeatureRollout.java
@@ -290,7 +290,7 @@
             boolean soaked =
                     unchanged
                             && state.nowMicros() - Math.max(count.sinceMicros, stableSinceMicros)
-                                    >= state.settings().operator().soakMicros();
+                                    >= state.settings().operator().rolloutSoakMicros();
             Decision decision =
                     RolloutPolicy.decide(
                             feature,
--- a/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
@@ -22,37 +22,37 @@
 import org.woadloom.store.StoreKeys;
 
 /**
- * Each meeting of troubles that operators have seen a rule broken in, by itself and two at a time,
- * several times in a day; that it did occur is counted. The rules are checked after each step.
+ * Injects each fault that operators have seen break an invariant, alone and in pairs, three times
+ * per run, and checks that it took effect. The invariants are checked after each step.
  */
 @ExtendWith(PrintReplayCommand.class)
 class FaultCombinationsTest {
-    private static final long AT = 40_000_000;
-    private static final long EVERY = 45_000_000;
-    private static final int TIMES = 3;
+    private static final long FIRST_FAULT = 40_000_000;
+    private static final long FAULT_INTERVAL = 45_000_000;
+    private static final int FAULT_REPEATS = 3;
 
-    /** {@code -Dseeds=30} tries more. */
+    /** {@code -Dseeds=30} overrides this number. */
     private static final long SEEDS = 3;
 
-    private static final long TROUBLED = AT + TIMES * EVERY;
+    private static final long FAULTS_END = FIRST_FAULT + FAULT_REPEATS * FAULT_INTERVAL;
 
-    enum Meeting {
+    enum Fault {
         /**
-         * Copies of reports come from half a second to a minute late, also of sessions and attempts
-         * that are over.
+         * Duplicates of reports arrive 0.5 s to 60 s late, also from sessions and attempts that are
+         * over.
          */
-        OLD_REPORTS {
+        DELAYED_DUPLICATE_REPORTS {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.duplicateHeartbeatPercent = 40;
                 cluster.loop.after(12_000_000, () -> cluster.hangAll("a", 14_000_000));
                 return () -> cluster.duplicateHeartbeatsDelivered;
             }
         },
-        /** The leader ends while jobs are done in part. */
-        ENDS_FAR_APART {
+        /** The leader ends while some tasks of a job are done and others are not. */
+        LEADER_ENDS_WITH_PARTLY_DONE_JOBS {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 int partly = cluster.observed.partlyDoneJobs();
                 cluster.restartLeader(300_000);
                 cluster.loop.after(9_000_000, () -> cluster.restart(0));
@@ -60,20 +60,20 @@
             }
         },
         /**
-         * Transactions without an answer are carried out after newer ones; some change something
-         * still, others are void.
+         * Transactions without an answer are committed after newer ones; some still take effect,
+         * others fail their conditions.
          */
         LATE_WRITES {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.delayWrites(30, 25_000_000);
                 return () -> Math.min(cluster.lateWriteOutcomes[0], cluster.lateWriteOutcomes[1]);
             }
         },
-        /** All end, one returns at once, and leadership goes back and forth. */
-        HAND_OVER_AND_BACK {
+        /** All nodes end, one restarts at once, and leadership changes repeatedly. */
+        REPEATED_LEADER_CHANGES {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 long before = cluster.term();
                 for (int node = 0; node < ClusterSimulation.NODES; node++) {
                     cluster.restartAfter(node, node == 0 ? 50_000 : 1_500_000L * node);
@@ -84,27 +84,29 @@
                             () -> cluster.restartLeader(50_000 + cluster.random.nextInt(400_000)));
                 }
                 cluster.loop.after(
-                        6_000_000,
-                        () -> cluster.restartDuringElections(cluster.loop.now() + 10_000_000));
+                        6_000_000, () -> cluster.restartDuringElections(cluster.loop.now() + 10_000_000));
                 return () -> (int) (cluster.term() - before) - 2;
             }
         },
-        /** The state service refuses the leader alone, users cancel, and it is down for all. */
-        REFUSED_THEN_DOWN {
+        /**
+         * The store rejects the leader alone, users cancel jobs, and then the store is down for all
+         * nodes.
+         */
+        STORE_REJECTS_LEADER_THEN_FAILS {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 int before = cluster.observed.cancelledWhileRunning;
                 cluster.refuseLeaderThenStoreOutage(2_500_000, 35_000_000);
                 return () -> cluster.observed.cancelledWhileRunning - before;
             }
         },
         /**
-         * Commands and their answers are held up while machines hang, and are executed as they go
-         * on.
+         * Commands and their answers are delayed while machines hang, and are executed when the
+         * machines resume.
          */
-        HELD_COMMANDS {
+        DELAYED_COMMANDS {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.hangAll("b", 6_000_000);
                 cluster.loop.after(8_000_000, () -> cluster.hangAll("a", 3_000_000));
                 cluster.loop.after(
@@ -117,11 +119,12 @@
             }
         },
         /**
-         * The leader ends while machines hang or hear nothing, and the new one can't reach them.
+         * The leader ends while machines hang or receive nothing, so that the new leader can't
+         * reach them.
          */
-        LEADER_ENDS_OUT_OF_TOUCH {
+        LEADER_ENDS_WITH_UNREACHABLE_MACHINES {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.blockInbound("a", 2, 28_000_000);
                 cluster.hangAll("b", 9_000_000);
                 int outOfTouch = cluster.observed.runningTasksInZone("b");
@@ -130,12 +133,12 @@
             }
         },
         /**
-         * The leader loses the state service and the other nodes, not its workers, and jobs are
-         * cancelled through another.
+         * The leader loses the store and the other nodes but not its agents, and users cancel jobs
+         * at another node.
          */
-        LONE_LEADER {
+        ISOLATED_LEADER {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 int before = cluster.observed.cancelledWhileRunning;
                 cluster.isolateNode(cluster.leader(), 35_000_000);
                 cluster.loop.after(
@@ -148,12 +151,12 @@
             }
         },
         /**
-         * Users look at all nodes right after each answer, some cancel, leaders end, and the store
-         * refuses one node.
+         * Users query all nodes right after each answer, some cancel, leaders end, and the store
+         * rejects one node.
          */
-        CLOSE_LOOKS {
+        READS_AT_ALL_NODES {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.pollAfterChanges(30_000_000);
                 cluster.loop.after(8_000_000, () -> cluster.restartLeader(200_000));
                 cluster.loop.after(
@@ -164,56 +167,57 @@
                                         6_000_000));
                 cluster.loop.after(16_000_000, () -> cluster.cancelRunningJobs(4, 0));
                 cluster.loop.after(22_000_000, () -> cluster.restartLeader(2_000_000));
-                return within(cluster, () -> cluster.pollBursts);
+                return increaseUntilNextFault(cluster, () -> cluster.pollBursts);
             }
         },
         /**
-         * Transactions are carried out and their answers lost, while other nodes read what they
-         * wrote.
+         * Transactions commit but their answers are lost, while other nodes read what they wrote.
          */
         LOST_ANSWERS {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.loseAnswers(30, 25_000_000);
                 cluster.loop.after(10_000_000, () -> cluster.cancelRunningJobs(3, 0));
-                return within(cluster, () -> cluster.lostAnswersFollowedByPeerRead);
+                return increaseUntilNextFault(cluster, () -> cluster.lostAnswersFollowedByPeerRead);
             }
         },
         /**
-         * One-task jobs come four a second, for two minutes in all, and a quarter are cancelled.
+         * Users submit four one-task jobs per second, two minutes in total, and cancel a quarter of
+         * them.
          */
-        FOUR_A_SECOND {
+        FOUR_JOBS_PER_SECOND {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.oneTaskJobs(4, 40_000_000, 25);
-                return within(cluster, () -> cluster.oneTaskJobsCancelled);
+                return increaseUntilNextFault(cluster, () -> cluster.oneTaskJobsCancelled);
             }
         },
-        /** Leaders change ten times in two minutes. */
-        TEN_LEADERS {
+        /** The leader changes ten times in two minutes. */
+        TEN_LEADER_CHANGES {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.restartLeadersRepeatedly(40_000_000);
-                IntSupplier changes = within(cluster, cluster::leaderChanges);
+                IntSupplier changes = increaseUntilNextFault(cluster, cluster::leaderChanges);
                 return () -> changes.getAsInt() - 3;
             }
         },
-        /** The same while the store is down again and again, where leaders end as well. */
-        TEN_LEADERS_IN_AN_OUTAGE {
+        /** The same while the store has repeated outages, during which leaders end too. */
+        TEN_LEADER_CHANGES_WITH_OUTAGES {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.restartLeadersRepeatedly(40_000_000);
                 cluster.loop.after(5_000_000, () -> cluster.storeOutage(8_000_000));
                 cluster.loop.after(14_000_000, () -> cluster.storeOutage(3_000_000));
-                IntSupplier changes = within(cluster, cluster::leaderChanges);
-                IntSupplier ends = within(cluster, () -> cluster.leadersEndedInOutages);
+                IntSupplier changes = increaseUntilNextFault(cluster, cluster::leaderChanges);
+                IntSupplier ends =
+                        increaseUntilNextFault(cluster, () -> cluster.leadersEndedInOutages);
                 return () -> ends.getAsInt() > 0 ? changes.getAsInt() - 3 : -10;
             }
         },
-        /** All controllers are away for longer than a lease. */
-        ALL_AWAY {
+        /** All controllers are down for longer than a lease. */
+        ALL_CONTROLLERS_DOWN {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 for (int node = 0; node < ClusterSimulation.NODES; node++) {
                     cluster.restartAfter(
                             node,
@@ -221,27 +225,28 @@
                                     + 2_000_000
                                     + cluster.random.nextInt(6_000_000));
                 }
-                return within(cluster, () -> cluster.observed.killedByLease);
+                return increaseUntilNextFault(cluster, () -> cluster.observed.killedByLease);
             }
         },
-        /** The store is slow while users cancel and look closely. */
-        SLOW_STATE {
+        /** The store is slow while users cancel jobs and query all nodes. */
+        SLOW_STORE {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.slowStore(1_500_000, 30_000_000);
                 cluster.pollAfterChanges(30_000_000);
                 for (long later = 3_000_000; later < 30_000_000; later += 9_000_000) {
                     cluster.loop.after(later, () -> cluster.cancelRunningJobs(3, 0));
                 }
-                return within(cluster, () -> cluster.observed.cancelledWhileRunning);
+                return increaseUntilNextFault(
+                        cluster, () -> cluster.observed.cancelledWhileRunning);
             }
         },
         /**
-         * Urgent work and other waits for machines that are not to be had, and all links are slow.
+         * Urgent and normal jobs wait for machines that are not available, and all links are slow.
          */
-        MORE_THAN_ROOM {
+        SCARCE_MACHINES_AND_SLOW_LINKS {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 cluster.slowLinks(400_000, 35_000_000);
                 cluster.reduceCapacity(2, 35_000_000);
                 cluster.oneTaskJobs(2, 30_000_000, 10);
@@ -251,118 +256,120 @@
                         () ->
                                 waiting[0] =
                                         Math.min(
-                                                cluster.observed.waitingJobsAtOrAbove(
-                                                        Priority.HIGH),
+                                                cluster.observed.waitingJobsAtOrAbove(Priority.HIGH),
                                                 cluster.observed.waitingJobsBelow(Priority.HIGH)));
                 return () -> waiting[0];
             }
         };
 
         /**
-         * Brings it about; what is returned tells in the end how often that has come to something.
+         * Injects the fault; the result, read at the end of the run, tells how often it took
+         * effect.
          */
-        abstract IntSupplier begin(ClusterSimulation cluster);
+        abstract IntSupplier inject(ClusterSimulation cluster);
 
-        /** By how much it has grown until the next one begins. */
-        private static IntSupplier within(ClusterSimulation cluster, IntSupplier count) {
+        /** The increase of a counter from now until shortly before the next fault. */
+        private static IntSupplier increaseUntilNextFault(
+                ClusterSimulation cluster, IntSupplier count) {
             int before = count.getAsInt();
-            int[] grown = {0};
-            cluster.loop.after(EVERY - 4_000_000, () -> grown[0] = count.getAsInt() - before);
-            return () -> grown[0];
+            int[] increase = {0};
+            cluster.loop.after(
+                    FAULT_INTERVAL - 4_000_000, () -> increase[0] = count.getAsInt() - before);
+            return () -> increase[0];
         }
     }
 
-    private static void day(long seed, Set<Meeting> meetings) {
-        day(seed, Scenario.DEFAULT, meetings);
+    private static void runAndAssertOccurred(long seed, Set<Fault> faults) {
+        runAndAssertOccurred(seed, Scenario.DEFAULT, faults);
     }
 
-    private static void day(long seed, Scenario day, Set<Meeting> meetings) {
-        play(seed, day, meetings)
+    private static void runAndAssertOccurred(long seed, Scenario scenario, Set<Fault> faults) {
+        run(seed, scenario, faults)
                 .forEach(
-                        (meeting, times) ->
-                                assertTrue(times > 0, meeting + " did not occur, seed " + seed));
+                        (fault, count) ->
+                                assertTrue(count > 0, fault + " did not occur, seed " + seed));
     }
 
-    /** Plays a day whole and returns how often each meeting came to something. */
-    private static Map<Meeting, Integer> play(long seed, Scenario day, Set<Meeting> meetings) {
-        ClusterSimulation cluster = new ClusterSimulation(seed, day);
-        cluster.users.submitUntil(TROUBLED);
-        cluster.observed.faultFreeFromMicros = TROUBLED + 60_000_000;
-        cluster.flawActiveFromMicros = AT;
-        Map<Meeting, List<IntSupplier>> begun = new EnumMap<>(Meeting.class);
-        meetings.forEach(meeting -> begun.put(meeting, new ArrayList<>()));
-        for (int i = 0; i < TIMES; i++) {
-            meetings.forEach(
-                    meeting ->
+    /** Runs a whole simulation and returns how often each fault took effect. */
+    private static Map<Fault, Integer> run(long seed, Scenario scenario, Set<Fault> faults) {
+        ClusterSimulation cluster = new ClusterSimulation(seed, scenario);
+        cluster.users.submitUntil(FAULTS_END);
+        cluster.observed.faultFreeFromMicros = FAULTS_END + 60_000_000;
+        cluster.flawActiveFromMicros = FIRST_FAULT;
+        Map<Fault, List<IntSupplier>> injected = new EnumMap<>(Fault.class);
+        faults.forEach(fault -> injected.put(fault, new ArrayList<>()));
+        for (int i = 0; i < FAULT_REPEATS; i++) {
+            faults.forEach(
+                    fault ->
                             cluster.loop.after(
-                                    AT + cluster.random.nextInt(4_000_000),
+                                    FIRST_FAULT + cluster.random.nextInt(4_000_000),
                                     () -> {
                                         if (cluster.stored("leader") != null) {
-                                            begun.get(meeting).add(meeting.begin(cluster));
+                                            injected.get(fault).add(fault.inject(cluster));
                                         }
                                     }));
-            cluster.run(cluster.loop.now() + EVERY);
+            cluster.run(cluster.loop.now() + FAULT_INTERVAL);
         }
-        cluster.run(TROUBLED + 400_000_000);
-        Map<Meeting, Integer> occurred = new EnumMap<>(Meeting.class);
-        begun.forEach(
-                (meeting, times) ->
+        cluster.run(FAULTS_END + 400_000_000);
+        Map<Fault, Integer> occurred = new EnumMap<>(Fault.class);
+        injected.forEach(
+                (fault, effects) ->
                         occurred.put(
-                                meeting, times.stream().mapToInt(IntSupplier::getAsInt).sum()));
+                                fault, effects.stream().mapToInt(IntSupplier::getAsInt).sum()));
         assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
         return occurred;
     }
 
     @ParameterizedTest
     @EnumSource
-    void rulesHoldInEachMeeting(Meeting meeting) {
+    void invariantsHoldUnderEachFault(Fault fault) {
         for (long seed : Seeds.firstOrConfigured(SEEDS)) {
-            day(seed, Set.of(meeting));
+            runAndAssertOccurred(seed, Set.of(fault));
         }
     }
 
     @ParameterizedTest
     @CsvSource({
-        "LATE_WRITES, HAND_OVER_AND_BACK",
-        "LATE_WRITES, LONE_LEADER",
-        "OLD_REPORTS, LEADER_ENDS_OUT_OF_TOUCH",
-        "REFUSED_THEN_DOWN, HELD_COMMANDS",
-        "ENDS_FAR_APART, LATE_WRITES",
-        "CLOSE_LOOKS, LOST_ANSWERS",
-        "CLOSE_LOOKS, HAND_OVER_AND_BACK",
-        "FOUR_A_SECOND, LATE_WRITES"
+        "LATE_WRITES, REPEATED_LEADER_CHANGES",
+        "LATE_WRITES, ISOLATED_LEADER",
+        "DELAYED_DUPLICATE_REPORTS, LEADER_ENDS_WITH_UNREACHABLE_MACHINES",
+        "STORE_REJECTS_LEADER_THEN_FAILS, DELAYED_COMMANDS",
+        "LEADER_ENDS_WITH_PARTLY_DONE_JOBS, LATE_WRITES",
+        "READS_AT_ALL_NODES, LOST_ANSWERS",
+        "READS_AT_ALL_NODES, REPEATED_LEADER_CHANGES",
+        "FOUR_JOBS_PER_SECOND, LATE_WRITES"
     })
-    void rulesHoldInTwoAtOnce(Meeting one, Meeting other) {
+    void invariantsHoldUnderTwoFaultsAtOnce(Fault one, Fault other) {
         for (long seed : Seeds.firstOrConfigured(SEEDS)) {
-            day(seed, Set.of(one, other));
+            runAndAssertOccurred(seed, Set.of(one, other));
         }
     }
 
     /**
-     * The checks must be able to fail: what a broken service does in such a meeting is caught by
-     * the rule that it breaks. How often the meeting came to something is not asked here: without
-     * conditions no late write is ever void, and the broken rule itself is the proof that it
-     * occurred.
+     * The checker must report the invariant that a flaw violates under this fault. How often the
+     * fault took effect is not checked: a store that ignores conditions never rejects a late write,
+     * and the violation itself proves that the fault occurred.
      */
     @ParameterizedTest
     @CsvSource({
-        "STALE_WATCH_EVENTS, CLOSE_LOOKS, went_back",
-        "MISSES_JOB_RECORDS, CLOSE_LOOKS, forgotten",
+        "STALE_WATCH_EVENTS, READS_AT_ALL_NODES, went_back",
+        "MISSES_JOB_RECORDS, READS_AT_ALL_NODES, forgotten",
         "UNCONDITIONAL_WRITES, LATE_WRITES, ''",
-        "UNCONDITIONAL_WRITES, TEN_LEADERS, ''"
+        "UNCONDITIONAL_WRITES, TEN_LEADER_CHANGES, ''"
     })
-    void aBrokenServiceIsCaught(Scenario.Flaw flaw, Meeting meeting, String rule) {
-        // What the service itself would refuse is to be caught from outside as well.
+    void checkerDetectsInjectedFlaw(Scenario.Flaw flaw, Fault fault, String violatedRule) {
+        // Assertions inside the service must not throw first: the flaw has to be detected from
+        // outside.
         System.clearProperty(Invariants.THROW_PROPERTY);
         InvariantViolation caught =
                 assertThrows(
                         InvariantViolation.class,
                         () -> {
                             for (long seed : Seeds.first(6)) {
-                                play(seed, Scenario.DEFAULT.with(flaw), Set.of(meeting));
+                                run(seed, Scenario.DEFAULT.with(flaw), Set.of(fault));
                             }
                         });
-        assertTrue(caught.getMessage().startsWith(rule), caught.getMessage());
+        assertTrue(caught.getMessage().startsWith(violatedRule), caught.getMessage());
     }
 
     @AfterEach
@@ -371,12 +378,12 @@
     }
 
     /**
-     * A node's word without an answer used to be put unconditionally: carried out after the next
-     * one it hung the key on a grant that nobody renewed, and the node was taken to have none,
-     * which holds every rollout up for as long as it runs.
+     * A node used to rewrite its announcement unconditionally after a write without an answer.
+     * Committed after a newer write, it tied the key to a lease that nobody renewed; the node then
+     * counted as not announced, which blocks every rollout while it runs.
      */
     @Test
-    void aWordThatIsCarriedOutLateReplacesNoNewerOne() {
+    void delayedAnnouncementWriteDoesNotReplaceNewerOne() {
         int late = 0;
         for (long seed : Seeds.first(12)) {
             ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.DEFAULT);
@@ -387,7 +394,7 @@
                 assertNotNull(
                         cluster.stored(
                                 StoreKeys.ROLLOUT_NODE_PREFIX + ClusterSimulation.label(node)),
-                        "no word of node " + node + ", seed " + seed);
+                        "no announcement of node " + node + ", seed " + seed);
             }
         }
         assertTrue(late > 60, "only " + late + " late writes");
--- a/src/test/java/org/woadloom/sim/JobLogLinesTest.java
+++ b/src/test/java/org/woadloom/sim/JobLogLinesTest.java
@@ -10,8 +10,8 @@
 import org.woadloom.core.SchedulerAction;
 
 /**
- * Programs that read the log find the lines of accepted, done and cancelled jobs, as words or as
- * {@code key=value}.
+ * Guards the log lines of accepted, done and cancelled jobs that log-reading programs match, as
+ * text or as {@code key=value}.
  */
 @ExtendWith(PrintReplayCommand.class)
 class JobLogLinesTest {
@@ -23,24 +23,26 @@
             Pattern.compile("job j-\\d+ done|event=job_done\\b.*?job=j-\\d+");
     private static final Pattern CANCELLED =
             Pattern.compile("job j-\\d+ cancelled|event=job_cancelled\\b.*?job=j-\\d+");
-    private static final long DAY_MICROS = 120_000_000;
+    private static final long RUN_MICROS = 120_000_000;
 
     @Test
-    void linesOfJobsAreFound() {
+    void jobLogLinesMatchLogReaderPatterns() {
         ClusterSimulation cluster = new ClusterSimulation(1, Scenario.DEFAULT);
         List<String> lines = new ArrayList<>();
         cluster.stepObserver =
                 (node, now, commands, actions) ->
                         actions.forEach(
                                 action -> {
-                                    if (action instanceof SchedulerAction.Log note) {
-                                        lines.add(note.entry().toString());
+                                    if (action instanceof SchedulerAction.Log log) {
+                                        lines.add(log.entry().toString());
                                     }
                                 });
-        cluster.users.submitUntil(DAY_MICROS);
-        cluster.loop.run(DAY_MICROS);
-        for (Pattern form : List.of(ACCEPTED, DONE, CANCELLED)) {
-            assertTrue(lines.stream().anyMatch(line -> form.matcher(line).find()), form.pattern());
+        cluster.users.submitUntil(RUN_MICROS);
+        cluster.loop.run(RUN_MICROS);
+        for (Pattern pattern : List.of(ACCEPTED, DONE, CANCELLED)) {
+            assertTrue(
+                    lines.stream().anyMatch(line -> pattern.matcher(line).find()),
+                    pattern.pattern());
         }
     }
 }
--- a/src/test/java/org/woadloom/sim/LoopbackTest.java
+++ b/src/test/java/org/woadloom/sim/LoopbackTest.java
@@ -15,10 +15,7 @@
 import org.woadloom.protocol.Cbor;
 import org.woadloom.store.NodeAnnouncement;
 
-/**
- * One node over real sockets on the loopback address, with the stand-in of the state service behind
- * HTTP.
- */
+/** One node over real sockets on the loopback address, with a simulated store behind HTTP. */
 class LoopbackTest {
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
@@ -34,11 +31,11 @@
         node.start();
     }
 
-    private HttpResponse<byte[]> ask(String method, String path, byte[] body) throws Exception {
-        return ask(node.address, method, path, body);
+    private HttpResponse<byte[]> send(String method, String path, byte[] body) throws Exception {
+        return send(node.address, method, path, body);
     }
 
-    private HttpResponse<byte[]> ask(String address, String method, String path, byte[] body)
+    private HttpResponse<byte[]> send(String address, String method, String path, byte[] body)
             throws Exception {
         return client.send(
                 HttpRequest.newBuilder(URI.create("http://" + address + path))
@@ -60,15 +57,15 @@
         map.put("shape", shape);
         map.put("shards", 1L);
         map.put("awaits", awaits);
-        return ask("POST", "/v1/jobs", Cbor.encode(map)).statusCode();
+        return send("POST", "/v1/jobs", Cbor.encode(map)).statusCode();
     }
 
     private String status(String jobId) throws Exception {
-        return (String) Cbor.decodeMap(ask("GET", "/v1/jobs/" + jobId, null).body()).get("status");
+        return (String) Cbor.decodeMap(send("GET", "/v1/jobs/" + jobId, null).body()).get("status");
     }
 
     @Test
-    void jobsAwaitOthersOnceEveryNodeRunsThisVersion() throws Exception {
+    void dependenciesAreAcceptedOnceEveryNodeSupportsThem() throws Exception {
         start();
         int accepted = 503;
         for (int i = 0; accepted == 503 && i < 5_000; i++) {
@@ -76,7 +73,7 @@
         }
         assertEquals(201, accepted);
         assertEquals(201, submit("j-2", "service", null));
-        // The other node that the settings name has given no word.
+        // The other node in the settings has not announced itself yet.
         assertEquals(503, submit("j-3", "batch", List.of("j-1")));
         NodeAnnouncement announcement =
                 new NodeAnnouncement(
@@ -88,7 +85,7 @@
                         0);
         assertEquals(
                 200,
-                ask(
+                send(
                                 node.storeAddress,
                                 "POST",
                                 "/txn",
@@ -111,24 +108,26 @@
         assertEquals(201, chained);
         assertEquals(
                 List.of("j-1"),
-                Cbor.decodeMap(ask("GET", "/v1/jobs/j-3", null).body()).get("awaits"));
+                Cbor.decodeMap(send("GET", "/v1/jobs/j-3", null).body()).get("awaits"));
         assertEquals(400, submit("j-4", "batch", "j-1"));
         assertEquals(400, submit("j-4", "batch", List.of(1L)));
         assertEquals(422, submit("j-4", "batch", List.of("j-9")), "never accepted");
         assertEquals(422, submit("j-4", "batch", List.of("j-1", "no id")));
-        assertEquals(422, submit("j-4", "batch", List.of("j-4")), "itself");
-        assertEquals(422, submit("j-4", "batch", List.of("j-2")), "a service");
-        assertEquals(404, ask("GET", "/v1/jobs/j-4", null).statusCode());
+        assertEquals(422, submit("j-4", "batch", List.of("j-4")), "depends on itself");
+        assertEquals(422, submit("j-4", "batch", List.of("j-2")), "depends on a service");
+        assertEquals(404, send("GET", "/v1/jobs/j-4", null).statusCode());
         assertEquals(200, submit("j-3", "batch", List.of("j-9")), "a known job stays accepted");
         assertEquals(201, submit("j-5", "batch", List.of("j-3")));
-        assertEquals(200, ask("POST", "/v1/jobs/j-1/cancel", new byte[0]).statusCode());
+        assertEquals(200, send("POST", "/v1/jobs/j-1/cancel", new byte[0]).statusCode());
         for (int i = 0; !status("j-5").equals("cancelled") && i < 2_000; i++) {
             assertEquals("queued", status("j-5"));
         }
         assertEquals("cancelled", status("j-3"));
         assertEquals("cancelled", status("j-5"));
         assertEquals(
-                201, submit("j-6", "batch", List.of("j-5")), "naming a cancelled job is accepted");
+                201,
+                submit("j-6", "batch", List.of("j-5")),
+                "a dependency on a cancelled job is accepted");
         for (int i = 0; !status("j-6").equals("cancelled") && i < 2_000; i++) {
             assertEquals("queued", status("j-6"));
         }
@@ -136,32 +135,33 @@
     }
 
     @Test
-    void aNodeAnswersItsUsers() throws Exception {
+    void jobApiAnswersSubmitStatusAndCancel() throws Exception {
         start();
-        assertEquals(200, ask("GET", "/healthz", null).statusCode());
-        HttpResponse<byte[]> accepted = ask("POST", "/v1/jobs", job("team"));
-        // The machine types may take the node a moment; until then it says when to come back.
+        assertEquals(200, send("GET", "/healthz", null).statusCode());
+        HttpResponse<byte[]> accepted = send("POST", "/v1/jobs", job("team"));
+        // The node may take a moment to load the machine types; until then it answers 503 with
+        // Retry-After.
         for (int i = 0; accepted.statusCode() == 503 && i < 5_000; i++) {
             assertEquals("1", accepted.headers().firstValue("Retry-After").orElse(""));
-            accepted = ask("POST", "/v1/jobs", job("team"));
+            accepted = send("POST", "/v1/jobs", job("team"));
         }
         assertEquals(201, accepted.statusCode());
-        assertEquals(200, ask("POST", "/v1/jobs", job("team")).statusCode());
+        assertEquals(200, send("POST", "/v1/jobs", job("team")).statusCode());
         assertEquals(
                 200,
-                ask("POST", "/v1/jobs", job("nobody")).statusCode(),
+                send("POST", "/v1/jobs", job("nobody")).statusCode(),
                 "a known job stays accepted");
-        assertEquals(400, ask("POST", "/v1/jobs", new byte[] {1, 2, 3}).statusCode());
-        assertEquals(400, ask("POST", "/v1/jobs", new byte[70_000]).statusCode());
+        assertEquals(400, send("POST", "/v1/jobs", new byte[] {1, 2, 3}).statusCode());
+        assertEquals(400, send("POST", "/v1/jobs", new byte[70_000]).statusCode());
         assertEquals(
                 "queued",
-                Cbor.decodeMap(ask("GET", "/v1/jobs/j-000412", null).body()).get("status"));
-        assertEquals(404, ask("GET", "/v1/jobs/j-000413", null).statusCode());
-        HttpResponse<byte[]> cancelled = ask("POST", "/v1/jobs/j-000412/cancel", new byte[0]);
+                Cbor.decodeMap(send("GET", "/v1/jobs/j-000412", null).body()).get("status"));
+        assertEquals(404, send("GET", "/v1/jobs/j-000413", null).statusCode());
+        HttpResponse<byte[]> cancelled = send("POST", "/v1/jobs/j-000412/cancel", new byte[0]);
         assertEquals("cancelled", Cbor.decodeMap(cancelled.body()).get("status"));
         assertEquals(
                 "cancelled",
-                Cbor.decodeMap(ask("GET", "/v1/jobs/j-000412", null).body()).get("status"));
-        assertEquals(200, ask("GET", "/metrics", null).statusCode());
+                Cbor.decodeMap(send("GET", "/v1/jobs/j-000412", null).body()).get("status"));
+        assertEquals(200, send("GET", "/metrics", null).statusCode());
     }
 }
--- a/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/MachineFaultCombinationsTest.java
@@ -21,62 +21,67 @@
 import org.woadloom.protocol.TaskId;
 
 /**
- * Machines that come too fast, too late or without being expected, and machines that are out of
- * touch in one way or another while the leader ends. Each meeting is counted; the rules are checked
- * after each step.
+ * Machines that boot very fast, boot late or were not requested by the current leader, and machines
+ * that are unreachable in various ways while the leader ends. Each test checks that its fault
+ * occurred; the invariants are checked after each step.
  */
 @ExtendWith(PrintReplayCommand.class)
 class MachineFaultCombinationsTest {
-    private static final long AT = 60_000_000;
+    private static final long FAULTS_START = 60_000_000;
 
-    enum OutOfTouch {
-        /** It opens no connection; commands reach it and their answers arrive. */
-        CLOSED_IN((agent, until) -> agent.connectsBlockedUntilMicros = until),
-        /** Commands reach it, and nothing that it says arrives. */
+    enum AgentFault {
+        /** The agent can't open connections; commands reach it and their answers arrive. */
+        NO_OUTBOUND((agent, until) -> agent.connectsBlockedUntilMicros = until),
+        /** Commands reach the agent, but nothing that it sends arrives. */
         MUTE((agent, until) -> agent.outboundBlockedUntilMicros = until),
+        /** Nothing reaches the agent, but its reports arrive. */
         DEAF((agent, until) -> agent.inboundBlockedUntilMicros = until),
         HANGS((agent, until) -> agent.hungUntilMicros = until);
 
-        private final BiConsumer<SimulatedAgent, Long> how;
+        private final BiConsumer<SimulatedAgent, Long> effect;
 
-        OutOfTouch(BiConsumer<SimulatedAgent, Long> how) {
-            this.how = how;
+        AgentFault(BiConsumer<SimulatedAgent, Long> effect) {
+            this.effect = effect;
         }
 
-        void befall(SimulatedAgent agent, long until) {
-            how.accept(agent, until);
+        void inject(SimulatedAgent agent, long until) {
+            effect.accept(agent, until);
         }
     }
 
-    /** No other trouble than the one that the test makes; leases are 20 s. */
-    private static ClusterSimulation day(long seed, Scenario.Times told) {
+    /** Starts a cluster without other faults than those of the test; leases are 20 s. */
+    private static ClusterSimulation startCluster(long seed, Scenario.Times configuredTimes) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
                         seed,
                         new Scenario(
-                                Scenario.LONG_TIMES, told, Version.CURRENT, Scenario.Flaw.NONE, 0));
+                                Scenario.LONG_TIMES,
+                                configuredTimes,
+                                Version.CURRENT,
+                                Scenario.Flaw.NONE,
+                                0));
         cluster.networkFaultPerMille = 0;
-        cluster.users.submitUntil(AT + 60_000_000);
-        cluster.observed.faultFreeFromMicros = AT + 150_000_000;
-        cluster.run(AT);
+        cluster.users.submitUntil(FAULTS_START + 60_000_000);
+        cluster.observed.faultFreeFromMicros = FAULTS_START + 150_000_000;
+        cluster.run(FAULTS_START);
         return cluster;
     }
 
     /**
-     * One in so many of the machines at which tasks run; the others are those whose leases must not
-     * end.
+     * Injects the faults into every n-th machine that runs tasks and returns these machines; the
+     * leases of all others must not expire.
      */
-    private static List<SimulatedAgent> befall(
-            ClusterSimulation cluster, List<OutOfTouch> kinds, int oneIn, long forMicros) {
-        List<SimulatedAgent> troubled = new ArrayList<>();
+    private static List<SimulatedAgent> injectIntoBusyMachines(
+            ClusterSimulation cluster, List<AgentFault> faults, int oneIn, long forMicros) {
+        List<SimulatedAgent> faulty = new ArrayList<>();
         List<SimulatedAgent> busy =
                 cluster.agents().stream().filter(agent -> !agent.runningTasks().isEmpty()).toList();
         for (int i = 0; i < busy.size(); i += oneIn) {
-            kinds.get(troubled.size() % kinds.size())
-                    .befall(busy.get(i), cluster.loop.now() + forMicros);
-            troubled.add(busy.get(i));
+            faults.get(faulty.size() % faults.size())
+                    .inject(busy.get(i), cluster.loop.now() + forMicros);
+            faulty.add(busy.get(i));
         }
-        return troubled;
+        return faulty;
     }
 
     private static Set<TaskId> tasksOn(List<SimulatedAgent> agents) {
@@ -86,12 +91,15 @@
     }
 
     /**
-     * Those of the tasks that are neither done nor called off, and run on none of these machines.
+     * The tasks that are neither done nor cancelled, and run on no machine but the excluded ones.
      */
-    private static List<TaskId> left(
-            ClusterSimulation cluster, Set<TaskId> tasks, List<SimulatedAgent> notOn) {
+    private static List<TaskId> unfinishedElsewhere(
+            ClusterSimulation cluster, Set<TaskId> tasks, List<SimulatedAgent> excluded) {
         Set<TaskId> running =
-                tasksOn(cluster.agents().stream().filter(agent -> !notOn.contains(agent)).toList());
+                tasksOn(
+                        cluster.agents().stream()
+                                .filter(agent -> !excluded.contains(agent))
+                                .toList());
         return tasks.stream()
                 .filter(
                         task ->
@@ -102,14 +110,14 @@
     }
 
     /**
-     * Out of touch for three leases, a tenth or a third of them, also across the end of the leader:
-     * no lease of another machine ends, and the work is done elsewhere long before the trouble is
-     * over.
+     * Some machines are unreachable for three leases, also while the leader changes: no lease of
+     * another machine expires, and the work is done elsewhere before the fault is over. Without a
+     * fault in the parameters the machines get all faults in turn.
      */
     @ParameterizedTest
     @CsvSource({
-        "CLOSED_IN, 10, 0",
-        "CLOSED_IN, 3, 1",
+        "NO_OUTBOUND, 10, 0",
+        "NO_OUTBOUND, 3, 1",
         "MUTE, 3, 1",
         "DEAF, 10, 1",
         "DEAF, 3, 0",
@@ -117,94 +125,97 @@
         "HANGS, 10, 1",
         ", 2, 1"
     })
-    void theOthersKeepTheirLeasesAndTheWorkGoesElsewhere(
-            OutOfTouch kind, int oneIn, int leaderEnds) {
-        int befallen = 0;
-        int moved = 0;
+    void workMovesOffUnreachableMachinesAndOtherLeasesAreKept(
+            AgentFault fault, int oneIn, int leaderEnds) {
+        int faultyCount = 0;
+        int affectedTasks = 0;
         for (long seed : Seeds.firstOrConfigured(2)) {
-            ClusterSimulation cluster = day(seed, Scenario.LONG_TIMES);
-            List<SimulatedAgent> troubled =
-                    befall(
+            ClusterSimulation cluster = startCluster(seed, Scenario.LONG_TIMES);
+            List<SimulatedAgent> faulty =
+                    injectIntoBusyMachines(
                             cluster,
-                            kind == null ? List.of(OutOfTouch.values()) : List.of(kind),
+                            fault == null ? List.of(AgentFault.values()) : List.of(fault),
                             oneIn,
                             60_000_000);
-            Set<TaskId> tasks = tasksOn(troubled);
-            List<SimulatedAgent> others =
-                    cluster.agents().stream().filter(agent -> !troubled.contains(agent)).toList();
+            Set<TaskId> tasks = tasksOn(faulty);
+            List<SimulatedAgent> healthy =
+                    cluster.agents().stream().filter(agent -> !faulty.contains(agent)).toList();
             long term = cluster.term();
             if (leaderEnds == 1) {
                 cluster.loop.after(3_000_000, () -> cluster.restartLeader(12_000_000));
             }
-            cluster.run(AT + 59_000_000);
+            cluster.run(FAULTS_START + 59_000_000);
             assertEquals(leaderEnds == 1, cluster.term() > term);
             assertEquals(
                     0,
-                    others.stream().mapToInt(agent -> agent.tasksKilledByLease).sum(),
-                    "killed on machines without trouble, seed " + seed);
+                    healthy.stream().mapToInt(agent -> agent.tasksKilledByLease).sum(),
+                    "tasks killed on machines without a fault, seed " + seed);
             assertEquals(
                     List.of(),
-                    left(cluster, tasks, troubled),
-                    "neither done nor elsewhere after 59 s, seed " + seed);
-            befallen += troubled.size();
-            moved += tasks.size();
-            // One team's limit has room for three of its larger tasks at a time, and seed 2 brings
-            // it many.
-            cluster.run(AT + 420_000_000);
+                    unfinishedElsewhere(cluster, tasks, faulty),
+                    "tasks neither done nor running elsewhere after 59 s, seed " + seed);
+            faultyCount += faulty.size();
+            affectedTasks += tasks.size();
+            // Long, because one team's limit has room for only three of its larger tasks at a time,
+            // and seed 2 submits many of them.
+            cluster.run(FAULTS_START + 420_000_000);
             assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
         }
         assertTrue(
-                befallen >= 2 && moved > 0,
-                befallen + " machines and " + moved + " tasks were out of touch");
+                faultyCount >= 2 && affectedTasks > 0,
+                faultyCount + " machines and " + affectedTasks + " tasks were affected");
     }
 
-    /** Shorter than a lease: nothing is killed anywhere. */
     @ParameterizedTest
     @EnumSource
-    void withinALeaseNothingIsKilled(OutOfTouch kind) {
+    void faultShorterThanLeaseKillsNoTask(AgentFault fault) {
         for (long seed : Seeds.firstOrConfigured(2)) {
-            ClusterSimulation cluster = day(seed, Scenario.LONG_TIMES);
+            ClusterSimulation cluster = startCluster(seed, Scenario.LONG_TIMES);
             int killed = cluster.observed.killedByLease;
-            List<SimulatedAgent> troubled = befall(cluster, List.of(kind), 3, 8_000_000);
-            assertTrue(!troubled.isEmpty());
-            cluster.run(AT + 30_000_000);
+            List<SimulatedAgent> faulty =
+                    injectIntoBusyMachines(cluster, List.of(fault), 3, 8_000_000);
+            assertTrue(!faulty.isEmpty());
+            cluster.run(FAULTS_START + 30_000_000);
             assertEquals(killed, cluster.observed.killedByLease);
         }
     }
 
     /**
-     * What answers commands is there, and its tasks go on until its lease ends: no machine is given
-     * up before.
+     * A machine that answers commands is alive, and its tasks run until its lease expires: it is
+     * not given up before.
      */
     @ParameterizedTest
     @ValueSource(ints = {10, 3})
-    void machinesThatAreClosedInForLessThanALeaseAreKept(int oneIn) {
+    void machinesWithoutOutboundForLessThanLeaseAreKept(int oneIn) {
         for (long seed : Seeds.firstOrConfigured(3)) {
-            ClusterSimulation cluster = day(seed, Scenario.LONG_TIMES);
+            ClusterSimulation cluster = startCluster(seed, Scenario.LONG_TIMES);
             int killed = cluster.observed.killedByLease;
-            List<SimulatedAgent> troubled =
-                    befall(cluster, List.of(OutOfTouch.CLOSED_IN), oneIn, 15_000_000);
-            cluster.run(AT + 16_000_000);
+            List<SimulatedAgent> faulty =
+                    injectIntoBusyMachines(
+                            cluster, List.of(AgentFault.NO_OUTBOUND), oneIn, 15_000_000);
+            cluster.run(FAULTS_START + 16_000_000);
             assertEquals(killed, cluster.observed.killedByLease);
             assertEquals(
                     0,
-                    troubled.stream().filter(agent -> agent.failed).count(),
-                    "given up, seed " + seed);
+                    faulty.stream().filter(agent -> agent.failed).count(),
+                    "machines given up, seed " + seed);
         }
     }
 
-    /** The checker must be able to fail: a lease that is believed to be over too soon. */
+    /** The checker must detect a service that assumes leases to be shorter than they are. */
     @Test
-    void leasesBelievedTooShortAreCaught() {
+    void checkerDetectsLeaseAssumedTooShort() {
         InvariantViolation caught =
                 assertThrows(
                         InvariantViolation.class,
                         () -> {
                             for (long seed : Seeds.first(20)) {
                                 ClusterSimulation cluster =
-                                        day(seed, new Scenario.Times(9_000_000, 50_000_000));
-                                befall(cluster, List.of(OutOfTouch.CLOSED_IN), 2, 60_000_000);
-                                cluster.run(AT + 60_000_000);
+                                        startCluster(
+                                                seed, new Scenario.Times(9_000_000, 50_000_000));
+                                injectIntoBusyMachines(
+                                        cluster, List.of(AgentFault.NO_OUTBOUND), 2, 60_000_000);
+                                cluster.run(FAULTS_START + 60_000_000);
                             }
                         });
         assertTrue(
@@ -213,47 +224,48 @@
     }
 
     /**
-     * All leases end; the first leader takes what is recorded for lost on proof, and starts it anew
-     * within seconds.
+     * All leases expire; the first leader then has proof that the recorded tasks are lost, and
+     * restarts them within seconds.
      */
     @Test
-    void afterAllControllersWereAwayWorkBeginsAnewAtOnce() {
+    void workRestartsWithinSecondsAfterAllControllersWereDown() {
         for (long seed : Seeds.firstOrConfigured(3)) {
-            ClusterSimulation cluster = day(seed, Scenario.LONG_TIMES);
+            ClusterSimulation cluster = startCluster(seed, Scenario.LONG_TIMES);
             int killed = cluster.observed.killedByLease;
             Set<TaskId> tasks = tasksOn(cluster.agents());
             for (int node = 0; node < ClusterSimulation.NODES; node++) {
                 cluster.restartAfter(node, 32_000_000 + 300_000 * node);
             }
-            cluster.run(AT + 32_000_000);
+            cluster.run(FAULTS_START + 32_000_000);
             assertTrue(
                     cluster.observed.killedByLease > killed && !tasks.isEmpty(),
-                    "no lease ended, seed " + seed);
+                    "no lease expired, seed " + seed);
             int starts = cluster.observed.taskStarts;
-            long begins = cluster.loop.now();
+            long controllersBack = cluster.loop.now();
             while (cluster.observed.taskStarts == starts
-                    && cluster.loop.now() < begins + 60_000_000) {
+                    && cluster.loop.now() < controllersBack + 60_000_000) {
                 cluster.run(cluster.loop.now() + 100_000);
             }
             assertTrue(
-                    cluster.loop.now() - begins < 15_000_000,
+                    cluster.loop.now() - controllersBack < 15_000_000,
                     "first start after "
-                            + (cluster.loop.now() - begins) / 1_000_000
+                            + (cluster.loop.now() - controllersBack) / 1_000_000
                             + " s, seed "
                             + seed);
-            cluster.run(begins + 60_000_000);
+            cluster.run(controllersBack + 60_000_000);
             assertEquals(
                     List.of(),
-                    left(cluster, tasks, List.of()),
-                    "neither done nor begun anew, seed " + seed);
+                    unfinishedElsewhere(cluster, tasks, List.of()),
+                    "tasks neither done nor restarted, seed " + seed);
         }
     }
 
     /**
-     * Rentals and deletions are carried out seconds late, some of them for a leader that is gone.
+     * Rentals and deletions take effect seconds late, some of them after the leader that requested
+     * them is gone.
      */
     @Test
-    void rentalsAndDeletionsThatAreCarriedOutLate() {
+    void delayedRentalsAndDeletionsLeaveNoUnusedMachines() {
         Map<String, Integer> count = new LinkedHashMap<>();
         for (long seed : Seeds.firstOrConfigured(4)) {
             ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.DEFAULT);
@@ -261,7 +273,7 @@
             cluster.observed.faultFreeFromMicros = 230_000_000;
             cluster.loop.after(3_000_000, () -> cluster.delayCloudRequests(60, 150_000_000));
             for (long at = 25_000_000; at < 160_000_000; at += 14_000_000) {
-                // It is given up, and the leader that asks for its deletion ends.
+                // The leader gives up the hung machines and ends when it requests their deletion.
                 cluster.loop.after(
                         at - 12_000_000,
                         () ->
@@ -276,27 +288,33 @@
             }
             cluster.run(480_000_000);
             assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
-            Set<String> left = new HashSet<>();
+            Set<String> unused = new HashSet<>();
             cluster.agents().stream()
                     .filter(agent -> !agent.failed && agent.tasksStarted == 0)
-                    .forEach(agent -> left.add(agent.host));
-            left.retainAll(cluster.machinesRentedForFormerLeaders());
-            assertEquals(Set.of(), left, "neither used nor returned, seed " + seed);
+                    .forEach(agent -> unused.add(agent.host));
+            unused.retainAll(cluster.machinesRentedForFormerLeaders());
+            assertEquals(Set.of(), unused, "machines neither used nor returned, seed " + seed);
             count.merge(
-                    "unexpected", cluster.machinesRentedForFormerLeaders().size(), Integer::sum);
+                    "rented for earlier leaders",
+                    cluster.machinesRentedForFormerLeaders().size(),
+                    Integer::sum);
             count.merge(
-                    "deleted for others", cluster.machinesDeletedForFormerLeaders(), Integer::sum);
+                    "deleted for earlier leaders",
+                    cluster.machinesDeletedForFormerLeaders(),
+                    Integer::sum);
         }
         assertTrue(
-                count.get("unexpected") >= 5 && count.get("deleted for others") >= 3, "" + count);
+                count.get("rented for earlier leaders") >= 5
+                        && count.get("deleted for earlier leaders") >= 3,
+                "" + count);
     }
 
     /**
-     * Machines are up at once and get work while writes and their answers lag; the leader ends, and
-     * some of the machines.
+     * Machines boot at once and get work while writes and their answers are delayed; leaders and
+     * some of the machines end.
      */
     @Test
-    void machinesThatAreUpAtOnceWhileWritesLagAndTheLeaderEnds() {
+    void jobsFinishWhenMachinesBootFastWhileWritesLagAndLeadersEnd() {
         Map<String, Integer> count = new LinkedHashMap<>();
         for (long seed : Seeds.firstOrConfigured(3)) {
             ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.DEFAULT);
@@ -308,8 +326,8 @@
             cluster.delayWrites(20, 150_000_000);
             cluster.loseAnswers(15, 150_000_000);
             cluster.slowStore(1_200_000, 150_000_000);
-            Set<SimulatedAgent> met = new HashSet<>(cluster.agents());
-            int[] young = {0, 0};
+            Set<SimulatedAgent> seen = new HashSet<>(cluster.agents());
+            int[] newlyBusyAndKilled = {0, 0};
             for (long at = 500_000; at < 150_000_000; at += 500_000) {
                 cluster.loop.after(
                         at,
@@ -317,28 +335,29 @@
                                 cluster.agents().stream()
                                         .filter(
                                                 agent ->
-                                                        !met.contains(agent)
+                                                        !seen.contains(agent)
                                                                 && agent.tasksStarted > 0)
                                         .forEach(
                                                 agent -> {
-                                                    // The first that is seen at work ends its
-                                                    // leader, every second one ends itself as well.
-                                                    met.add(agent);
-                                                    young[0]++;
-                                                    if (young[0] % 3 == 1) {
+                                                    // Every third machine that has started its
+                                                    // first task ends the leader; every second one
+                                                    // ends itself.
+                                                    seen.add(agent);
+                                                    newlyBusyAndKilled[0]++;
+                                                    if (newlyBusyAndKilled[0] % 3 == 1) {
                                                         cluster.restartLeader(300_000);
                                                     }
-                                                    if (young[0] % 2 == 0) {
-                                                        young[1]++;
+                                                    if (newlyBusyAndKilled[0] % 2 == 0) {
+                                                        newlyBusyAndKilled[1]++;
                                                         agent.fail();
                                                     }
                                                 }));
             }
             cluster.run(480_000_000);
             assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
-            count.merge("quick", cluster.fastBoots, Integer::sum);
-            count.merge("at work", young[0], Integer::sum);
-            count.merge("ended", young[1], Integer::sum);
+            count.merge("fast boots", cluster.fastBoots, Integer::sum);
+            count.merge("machines that started a task", newlyBusyAndKilled[0], Integer::sum);
+            count.merge("machines ended", newlyBusyAndKilled[1], Integer::sum);
             count.merge("terms", (int) (cluster.term() - term), Integer::sum);
             count.merge(
                     "late writes",
--- a/src/test/java/org/woadloom/sim/RandomScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/RandomScenariosTest.java
@@ -13,16 +13,15 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.woadloom.store.RolloutRequest;
 
-/**
- * Seeded random days with every trouble the stand-ins know; the rules are checked after each step.
- */
+/** Seeded simulations with all random faults; the invariants are checked after each step. */
 @ExtendWith(PrintReplayCommand.class)
 class RandomScenariosTest {
-    private static final long TROUBLED = 180_000_000;
-    private static final long QUIET = 600_000_000;
+    private static final long FAULTS_END = 180_000_000;
+    private static final long FAULT_FREE_MICROS = 600_000_000;
 
     /**
-     * A few by default, so that every build tries the same days; {@code -Dseeds=500} tries more.
+     * Twelve seeds by default, so that every build runs the same ones; {@code -Dseeds=500} runs
+     * more.
      */
     static LongStream seeds() {
         return LongStream.of(Seeds.firstOrConfigured(12));
@@ -30,11 +29,11 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void rulesHoldAndEveryAcceptedJobIsFinished(long seed) {
+    void invariantsHoldAndJobsFinishUnderRandomFaults(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.DEFAULT);
-        cluster.users.submitUntil(TROUBLED);
-        cluster.randomFaults.startUntil(TROUBLED);
-        cluster.run(TROUBLED + QUIET);
+        cluster.users.submitUntil(FAULTS_END);
+        cluster.randomFaults.startUntil(FAULTS_END);
+        cluster.run(FAULTS_END + FAULT_FREE_MICROS);
         assertTrue(
                 cluster.observed.taskStarts > 50,
                 "only " + cluster.observed.taskStarts + " starts");
@@ -43,60 +42,60 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    void rulesHoldWhileTheVersionInProductionIsReplaced(long seed) {
+    void invariantsHoldDuringUpgradeFromProductionVersion(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.UPGRADE);
-        cluster.users.submitUntil(TROUBLED);
-        cluster.randomFaults.startUntil(TROUBLED);
-        cluster.upgradeNodes(TROUBLED);
-        // Chains end later than single jobs.
-        cluster.run(TROUBLED + 2 * QUIET);
+        cluster.users.submitUntil(FAULTS_END);
+        cluster.randomFaults.startUntil(FAULTS_END);
+        cluster.upgradeNodes(FAULTS_END);
+        // Pipelines of dependent jobs take longer than single jobs.
+        cluster.run(FAULTS_END + 2 * FAULT_FREE_MICROS);
         assertTrue(
                 cluster.observed.taskStarts > 50,
                 "only " + cluster.observed.taskStarts + " starts");
-        assertTrue(cluster.observed.satisfiedDependencies > 0, "no job waited for another");
+        assertTrue(cluster.observed.satisfiedDependencies > 0, "no dependent job was released");
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
-    void rulesHoldWhileVersion3IsReplaced(long seed) {
+    void invariantsHoldDuringUpgradeFromVersion3(long seed) {
         ClusterSimulation cluster =
                 new ClusterSimulation(seed, Scenario.DEFAULT.startingWith(Version.VERSION_3));
-        cluster.users.submitUntil(TROUBLED);
-        cluster.randomFaults.startUntil(TROUBLED);
-        cluster.upgradeNodes(TROUBLED);
-        cluster.run(TROUBLED + 2 * QUIET);
+        cluster.users.submitUntil(FAULTS_END);
+        cluster.randomFaults.startUntil(FAULTS_END);
+        cluster.upgradeNodes(FAULTS_END);
+        cluster.run(FAULTS_END + 2 * FAULT_FREE_MICROS);
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
-    /** Any node is replaced by either version at any time; in the end all run this one. */
+    /** Nodes are replaced by either version at random times; in the end all run this one. */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
-    void rulesHoldWhileVersionsChangeBothWays(long seed) {
+    void invariantsHoldDuringRandomUpgradesAndDowngrades(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.DEFAULT);
-        cluster.users.submitUntil(TROUBLED);
-        cluster.randomFaults.startUntil(TROUBLED);
-        cluster.randomFaults.changeVersionsUntil(TROUBLED);
-        cluster.run(TROUBLED + QUIET);
+        cluster.users.submitUntil(FAULTS_END);
+        cluster.randomFaults.startUntil(FAULTS_END);
+        cluster.randomFaults.changeVersionsUntil(FAULTS_END);
+        cluster.run(FAULTS_END + FAULT_FREE_MICROS);
         assertEquals(List.of(), cluster.unfinishedJobs());
-        if (machineLife(cluster).get("held") != null) {
-            // Nodes kept ending while it was on: that is for an operator to judge.
+        if (machineLifecycleState(cluster).get("held") != null) {
+            // Nodes crashed repeatedly after the feature was switched on, so the rollout is held
+            // until an operator resumes it.
             cluster.put(
                     "rollout/asked/machine-life",
                     new RolloutRequest(RolloutRequest.Verb.GO, "test", 0).toMap());
-            cluster.run(TROUBLED + QUIET + 120_000_000);
+            cluster.run(FAULTS_END + FAULT_FREE_MICROS + 120_000_000);
         }
-        assertEquals("settled", machineLife(cluster).get("step"));
+        assertEquals("settled", machineLifecycleState(cluster).get("step"));
     }
 
-    private static Map<?, ?> machineLife(ClusterSimulation cluster) {
+    private static Map<?, ?> machineLifecycleState(ClusterSimulation cluster) {
         return (Map<?, ?>)
                 ((Map<?, ?>) cluster.stored("rollout/state").get("features")).get("machine-life");
     }
 
-    /** The checker must be able to fail. */
     @Test
-    void aFormatThatIsWrittenTooEarlyIsCaught() {
+    void checkerDetectsRecordFormatWrittenTooEarly() {
         InvariantViolation caught =
                 assertThrows(
                         InvariantViolation.class,
@@ -108,7 +107,7 @@
     }
 
     @Test
-    void aServiceThatForgetsWhatJobsAwaitIsCaught() {
+    void checkerDetectsForgottenDependencies() {
         InvariantViolation caught =
                 assertThrows(
                         InvariantViolation.class,
@@ -116,21 +115,23 @@
         assertTrue(caught.getMessage().contains("too_early"), caught.getMessage());
     }
 
-    private static void upgrade(Scenario day) {
-        ClusterSimulation cluster = new ClusterSimulation(1, day);
-        cluster.users.submitUntil(TROUBLED);
-        cluster.upgradeNodes(TROUBLED);
-        cluster.run(TROUBLED);
+    private static void upgrade(Scenario scenario) {
+        ClusterSimulation cluster = new ClusterSimulation(1, scenario);
+        cluster.users.submitUntil(FAULTS_END);
+        cluster.upgradeNodes(FAULTS_END);
+        cluster.run(FAULTS_END);
     }
 
     @Test
-    void aServiceThatTrustsTooShortALeaseIsCaught() {
-        troubledUntilCaught(
-                told(Scenario.SHORT_TIMES.leaseMicros() / 8, Scenario.SHORT_TIMES.cancelMicros()));
+    void checkerDetectsLeaseAssumedTooShort() {
+        runWithRandomFaultsUntilViolation(
+                scenarioWithConfiguredTimes(
+                        Scenario.SHORT_TIMES.leaseMicros() / 8,
+                        Scenario.SHORT_TIMES.cancelMicros()));
     }
 
     @Test
-    void aNodeThatCaresForTooLongIsCaught() {
+    void checkerDetectsDelegatedRenewalForTooLong() {
         InvariantViolation caught =
                 assertThrows(
                         InvariantViolation.class,
@@ -138,37 +139,38 @@
                             ClusterSimulation cluster =
                                     new ClusterSimulation(
                                             1,
-                                            told(
+                                            scenarioWithConfiguredTimes(
                                                     Scenario.SHORT_TIMES.leaseMicros(),
                                                     3 * Scenario.SHORT_TIMES.cancelMicros()));
-                            // Replicas that run in the zone when it is cut off are what the node
-                            // there cares for.
+                            // The node of the zone renews leases only for replicas that run there
+                            // when the partition starts.
                             cluster.noRandomCancellations = true;
-                            cluster.users.submitUntil(TROUBLED);
+                            cluster.users.submitUntil(FAULTS_END);
                             cluster.run(60_000_000);
                             assertTrue(
                                     cluster.observed.runningTasksInZone("b") > 3,
-                                    "hardly anything runs in the zone");
+                                    "too few tasks run in the zone");
                             cluster.isolateZone("b", 70_000_000);
                             cluster.loop.after(200_000, cluster.users::cancelAll);
-                            cluster.run(TROUBLED);
+                            cluster.run(FAULTS_END);
                         });
         assertTrue(caught.getMessage().contains("ran_cancelled"), caught.getMessage());
     }
 
     @Test
-    void aNodeThatCaresAgainstItsPromiseIsCaught() {
+    void checkerDetectsDelegatedRenewalAgainstPromise() {
         InvariantViolation caught =
-                troubledUntilCaught(Scenario.DEFAULT.with(Scenario.Flaw.BREAKS_NO_RENEWAL_PROMISE));
+                runWithRandomFaultsUntilViolation(
+                        Scenario.DEFAULT.with(Scenario.Flaw.BREAKS_NO_RENEWAL_PROMISE));
         assertTrue(
                 caught.getMessage().contains("ran_twice") || caught.getMessage().contains("quota"),
                 caught.getMessage());
     }
 
     @Test
-    void copiesThatAreTakenForNewsAreCaught() {
+    void checkerDetectsDuplicateReportsTakenAsNew() {
         InvariantViolation caught =
-                troubledUntilCaught(
+                runWithRandomFaultsUntilViolation(
                         Scenario.DEFAULT.with(Scenario.Flaw.DELAYED_HEARTBEATS_LOOK_NEW));
         assertTrue(
                 caught.getMessage().contains("ran_twice") || caught.getMessage().contains("quota"),
@@ -176,30 +178,32 @@
     }
 
     @Test
-    void aJobOfWhichNobodyIsToldIsCaught() {
-        InvariantViolation caught = calmUntilCaught(Scenario.Flaw.ONE_JOB_NEVER_READ);
+    void checkerDetectsForgottenJob() {
+        InvariantViolation caught =
+                runWithoutFaultsUntilViolation(Scenario.Flaw.ONE_JOB_NEVER_READ);
         assertTrue(caught.getMessage().contains("forgotten"), caught.getMessage());
     }
 
     @Test
-    void aJobThatIsLeftWaitingIsCaught() {
-        InvariantViolation caught = calmUntilCaught(Scenario.Flaw.ONE_JOB_NEVER_STARTED);
+    void checkerDetectsStarvedJob() {
+        InvariantViolation caught =
+                runWithoutFaultsUntilViolation(Scenario.Flaw.ONE_JOB_NEVER_STARTED);
         assertTrue(caught.getMessage().contains("left_waiting"), caught.getMessage());
     }
 
-    private static InvariantViolation calmUntilCaught(Scenario.Flaw flaw) {
+    private static InvariantViolation runWithoutFaultsUntilViolation(Scenario.Flaw flaw) {
         return assertThrows(
                 InvariantViolation.class,
                 () -> {
                     ClusterSimulation cluster =
                             new ClusterSimulation(1, Scenario.DEFAULT.with(flaw));
-                    cluster.users.submitUntil(TROUBLED);
-                    cluster.observed.faultFreeFromMicros = TROUBLED;
-                    cluster.run(TROUBLED + QUIET);
+                    cluster.users.submitUntil(FAULTS_END);
+                    cluster.observed.faultFreeFromMicros = FAULTS_END;
+                    cluster.run(FAULTS_END + FAULT_FREE_MICROS);
                 });
     }
 
-    private static Scenario told(long leaseMicros, long cancelMicros) {
+    private static Scenario scenarioWithConfiguredTimes(long leaseMicros, long cancelMicros) {
         return new Scenario(
                 Scenario.SHORT_TIMES,
                 new Scenario.Times(leaseMicros, cancelMicros),
@@ -208,15 +212,15 @@
                 0);
     }
 
-    private static InvariantViolation troubledUntilCaught(Scenario day) {
+    private static InvariantViolation runWithRandomFaultsUntilViolation(Scenario scenario) {
         return assertThrows(
                 InvariantViolation.class,
                 () -> {
                     for (long seed : Seeds.first(40)) {
-                        ClusterSimulation cluster = new ClusterSimulation(seed, day);
-                        cluster.users.submitUntil(TROUBLED);
-                        cluster.randomFaults.startUntil(TROUBLED);
-                        cluster.run(TROUBLED);
+                        ClusterSimulation cluster = new ClusterSimulation(seed, scenario);
+                        cluster.users.submitUntil(FAULTS_END);
+                        cluster.randomFaults.startUntil(FAULTS_END);
+                        cluster.run(FAULTS_END);
                     }
                 });
     }
--- a/src/test/java/org/woadloom/sim/ThreeZonesTest.java
+++ b/src/test/java/org/woadloom/sim/ThreeZonesTest.java
@@ -10,55 +10,58 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Three zones with a controller in each, which fail in pairs; the rules are checked after each
+ * Three zones with a controller in each, which fail in pairs; the invariants are checked after each
  * step.
  */
 @ExtendWith(PrintReplayCommand.class)
 class ThreeZonesTest {
-    private static final long AT = 60_000_000;
-    private static final long QUIET = 600_000_000;
+    private static final long FAULTS_START = 60_000_000;
+    private static final long RECOVERY_MICROS = 600_000_000;
 
-    private static ClusterSimulation day(long seed) {
+    private static ClusterSimulation startCluster(long seed) {
         ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.DEFAULT.inThreeZones());
         cluster.networkFaultPerMille = 0;
         cluster.duplicateHeartbeatPercent = 3;
-        cluster.users.submitUntil(AT + 90_000_000);
-        cluster.observed.faultFreeFromMicros = AT + 180_000_000;
-        cluster.run(AT);
+        cluster.users.submitUntil(FAULTS_START + 90_000_000);
+        cluster.observed.faultFreeFromMicros = FAULTS_START + 180_000_000;
+        cluster.run(FAULTS_START);
         return cluster;
     }
 
-    private static void untilAllIsDone(ClusterSimulation cluster) {
-        cluster.run(AT + QUIET);
+    private static void assertAllJobsFinish(ClusterSimulation cluster) {
+        cluster.run(FAULTS_START + RECOVERY_MICROS);
         assertEquals(List.of(), cluster.unfinishedJobs());
     }
 
-    private static int with(ClusterSimulation cluster, boolean leader) {
+    private static int nodeIndex(ClusterSimulation cluster, boolean leader) {
         return leader ? cluster.leader() : (cluster.leader() + 1) % ClusterSimulation.NODES;
     }
 
     /**
-     * The cut is longer than leases may be renewed; meanwhile the other two nodes take over from
-     * each other.
+     * The partition is longer than leases may be renewed by delegation; meanwhile the other two
+     * nodes restart in turn.
      */
     @ParameterizedTest
     @CsvSource({"1,true", "2,false", "3,true", "4,false"})
-    void aZoneIsCutWithItsOnlyNodeWhileTheOthersEnd(long seed, boolean leader) {
-        ClusterSimulation cluster = day(seed);
-        int inside = with(cluster, leader);
+    void jobsFinishWhenZoneIsPartitionedWhileOtherNodesRestart(long seed, boolean leader) {
+        ClusterSimulation cluster = startCluster(seed);
+        int inside = nodeIndex(cluster, leader);
         cluster.isolateZone(cluster.zoneOf(inside), 60_000_000);
         for (int i = 1; i <= 4; i++) {
             int ending = (inside + 1 + i % 2) % ClusterSimulation.NODES;
             cluster.loop.after(i * 12_000_000L, () -> cluster.restartAfter(ending, 300_000));
         }
-        untilAllIsDone(cluster);
+        assertAllJobsFinish(cluster);
     }
 
-    /** Both reach the third zone: leadership settles, and nobody's work is lost. */
+    /**
+     * Both zones still reach the third one: at most one new term is taken, and hardly any task is
+     * killed.
+     */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
-    void twoZonesCantReachEachOtherWithTheLeaderAtEitherEnd(long seed) {
-        ClusterSimulation cluster = day(seed);
+    void leadershipSettlesWhenLeaderZoneCannotReachAnotherZone(long seed) {
+        ClusterSimulation cluster = startCluster(seed);
         int killed = cluster.observed.killedByLease;
         int leader = cluster.leader();
         cluster.partition(
@@ -69,22 +72,21 @@
             cluster.loop.after(10_000_000, () -> cluster.restartAfter(leader, 300_000));
         }
         long before = cluster.term();
-        cluster.run(AT + 50_000_000);
+        cluster.run(FAULTS_START + 50_000_000);
         assertTrue(cluster.term() <= before + 1, "terms taken: " + (cluster.term() - before));
         assertTrue(
                 cluster.observed.killedByLease <= killed + 2,
                 "tasks killed: " + (cluster.observed.killedByLease - killed));
-        untilAllIsDone(cluster);
+        assertAllJobsFinish(cluster);
     }
 
     /**
-     * Every controller ends while the state service is down, and a third of a zone's machines are
-     * gone without notice.
+     * All controllers end while the store is down, and every third machine is lost without notice.
      */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
-    void allControllersEndInAnOutageAsMachinesAreTaken(long seed) {
-        ClusterSimulation cluster = day(seed);
+    void jobsFinishAfterControllersEndInOutageAndMachinesAreLost(long seed) {
+        ClusterSimulation cluster = startCluster(seed);
         cluster.storeOutage(12_000_000);
         cluster.loop.after(
                 3_000_000,
@@ -97,40 +99,42 @@
                         agents.get(i).fail();
                     }
                 });
-        untilAllIsDone(cluster);
+        assertAllJobsFinish(cluster);
     }
 
-    /** Services must spread, one zone is dark, and what comes has only two left. */
+    /**
+     * Services must spread across zones, but one zone is partitioned; the controllers must not rent
+     * machines without bound for them.
+     */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
-    void servicesThatComeWhileAZoneIsCutStartInTheOthers(long seed) {
-        ClusterSimulation cluster = day(seed);
-        String dark = cluster.zoneOf(with(cluster, false));
-        cluster.isolateZone(dark, 45_000_000);
+    void servicesSubmittedDuringZonePartitionStartInOtherZones(long seed) {
+        ClusterSimulation cluster = startCluster(seed);
+        String partitionedZone = cluster.zoneOf(nodeIndex(cluster, false));
+        cluster.isolateZone(partitionedZone, 45_000_000);
         cluster.users.submitUntil(cluster.loop.now() + 20_000_000, 3);
         int before = cluster.rented();
-        cluster.run(AT + 40_000_000);
+        cluster.run(FAULTS_START + 40_000_000);
         assertTrue(
-                cluster.rented() - before <= 28,
-                "rented meanwhile: " + (cluster.rented() - before));
-        untilAllIsDone(cluster);
+                cluster.rented() - before <= 28, "machines rented: " + (cluster.rented() - before));
+        assertAllJobsFinish(cluster);
     }
 
     /**
-     * A node is left with its zone's workers while its zone's way to another is cut as well. Its
-     * leases end in time for what was cancelled meanwhile; the new leader's first answer renewed
-     * them once more and halted nothing (ran_cancelled).
+     * A node is isolated with its zone's agents while its zone is also partitioned from another.
+     * Its leases must expire in time for tasks cancelled meanwhile; the new leader's first answer
+     * used to renew them once more and stopped nothing (ran_cancelled).
      */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
-    void aNodeIsAloneInAZoneThatCantReachAnother(long seed) {
-        ClusterSimulation cluster = day(seed);
-        int alone = with(cluster, seed % 2 == 0);
-        cluster.isolateNode(alone, 40_000_000);
+    void cancelledTasksStopInTimeInZoneOfIsolatedNode(long seed) {
+        ClusterSimulation cluster = startCluster(seed);
+        int isolated = nodeIndex(cluster, seed % 2 == 0);
+        cluster.isolateNode(isolated, 40_000_000);
         cluster.partition(
-                cluster.zoneOf(alone),
-                cluster.zoneOf((alone + 1) % ClusterSimulation.NODES),
+                cluster.zoneOf(isolated),
+                cluster.zoneOf((isolated + 1) % ClusterSimulation.NODES),
                 30_000_000);
-        untilAllIsDone(cluster);
+        assertAllJobsFinish(cluster);
     }
 }
