--- a/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
@@ -53,7 +53,10 @@
         void cancelOne() {
             List<String> jobs = new ArrayList<>(cluster.observed.runningJobs());
             jobs.addAll(cluster.observed.acceptedJobs());
-            jobs.removeIf(jobId -> requestedJobs.contains(jobId) || cluster.observed.hasFinalStatus(jobId));
+            jobs.removeIf(
+                    jobId ->
+                            requestedJobs.contains(jobId)
+                                    || cluster.observed.hasFinalStatus(jobId));
             if (!jobs.isEmpty()) {
                 requestedJobs.add(jobs.get(0));
                 unconfirmed++;
@@ -108,7 +111,13 @@
     private static ClusterSimulation startCluster(long seed, Flaw flaw) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
-                        seed, new Scenario(Scenario.LONG_TIMES, Scenario.LONG_TIMES, Version.CURRENT, flaw, 0));
+                        seed,
+                        new Scenario(
+                                Scenario.LONG_TIMES,
+                                Scenario.LONG_TIMES,
+                                Version.CURRENT,
+                                flaw,
+                                0));
         cluster.networkFaultPerMille = 0;
         cluster.noRandomCancellations = true;
         cluster.users.submitUntil(FAULTS_START + 30 * SECOND, 6);
@@ -128,7 +137,8 @@
             void inject(ClusterSimulation cluster) {
                 for (int node = 0; node < ClusterSimulation.NODES; node++) {
                     int ending = node;
-                    cluster.loop.after(node * 5 * SECOND, () -> cluster.restartAfter(ending, 300_000));
+                    cluster.loop.after(
+                            node * 5 * SECOND, () -> cluster.restartAfter(ending, 300_000));
                 }
             }
         },
@@ -246,7 +256,9 @@
             AdditionalFault fault, long seed, Scenario.Times configuredTimes, Flaw flaw) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
-                        seed, new Scenario(Scenario.LONG_TIMES, configuredTimes, Version.CURRENT, flaw, 0));
+                        seed,
+                        new Scenario(
+                                Scenario.LONG_TIMES, configuredTimes, Version.CURRENT, flaw, 0));
         cluster.networkFaultPerMille = 0;
         cluster.noRandomCancellations = true;
         cluster.users.submitUntil(FAULTS_START, 6);
@@ -320,7 +332,8 @@
             cluster.pollAfterChanges(25 * SECOND);
             cluster.slowStore(900_000, 12 * SECOND);
             CancellingUsers users = startCancelling(cluster, 20 * SECOND);
-            cluster.loop.after(8 * SECOND, () -> cluster.refuseLeaderThenStoreOutage(4 * SECOND, 60 * SECOND));
+            cluster.loop.after(
+                    8 * SECOND, () -> cluster.refuseLeaderThenStoreOutage(4 * SECOND, 60 * SECOND));
             cluster.run(FAULTS_START + 12 * SECOND);
             confirmed += cluster.observed.cancelledWhileRunning;
             cluster.run(FAULTS_START + 100 * SECOND);
@@ -426,7 +439,10 @@
      * is configured with three times the permitted time for cancelled tasks.
      */
     @ParameterizedTest
-    @CsvSource({"CONFIRMS_UNNAMED_CANCELLATIONS, NOTIFICATIONS_LOST, 50", "NONE, PEER_LINKS_DOWN, 150"})
+    @CsvSource({
+        "CONFIRMS_UNNAMED_CANCELLATIONS, NOTIFICATIONS_LOST, 50",
+        "NONE, PEER_LINKS_DOWN, 150"
+    })
     void checkerDetectsCancelledTaskThatKeepsRunning(
             Flaw flaw, AdditionalFault fault, long cancelSeconds) {
         InvariantViolation caught =
--- a/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/FaultCombinationsTest.java
@@ -84,7 +84,8 @@
                             () -> cluster.restartLeader(50_000 + cluster.random.nextInt(400_000)));
                 }
                 cluster.loop.after(
-                        6_000_000, () -> cluster.restartDuringElections(cluster.loop.now() + 10_000_000));
+                        6_000_000,
+                        () -> cluster.restartDuringElections(cluster.loop.now() + 10_000_000));
                 return () -> (int) (cluster.term() - before) - 2;
             }
         },
@@ -256,7 +257,8 @@
                         () ->
                                 waiting[0] =
                                         Math.min(
-                                                cluster.observed.waitingJobsAtOrAbove(Priority.HIGH),
+                                                cluster.observed.waitingJobsAtOrAbove(
+                                                        Priority.HIGH),
                                                 cluster.observed.waitingJobsBelow(Priority.HIGH)));
                 return () -> waiting[0];
             }
