--- a/src/main/java/org/woadloom/core/jobs/TaskAttempt.java
+++ b/src/main/java/org/woadloom/core/jobs/TaskAttempt.java
@@ -9,6 +9,9 @@
  * quota from when it is planned until there is proof that the agent does not have it and can no
  * longer start it.
  *
+ * <p>The start command reaches the agent either as a direct command, that is, in a request from the
+ * leader to the agent, or in the response to one of the agent's heartbeats.
+ *
  * <p>Only the methods of this class change its {@link Stage}:
  *
  * <table>
@@ -36,27 +39,27 @@
 public final class TaskAttempt {
     /** Progress of the start command. */
     public enum Stage {
-        /** Placed; the record that names it is not known to be durable. */
+        /** The task is placed; the record that names the attempt is not known to be durable. */
         PLANNED,
-        /** Named by a durable record; the start command has not been sent. */
+        /** A durable record names the attempt; the start command has not been sent. */
         READY,
-        /** Sent as a direct command, which awaits its response. */
+        /** The start command was sent as a direct command; its response is awaited. */
         SENT,
         /**
-         * Sent as a direct command that got no response; the agent may still execute it minutes
-         * later.
+         * The start command was sent as a direct command and got no response; the agent may still
+         * execute the command minutes later.
          */
         UNANSWERED,
         /**
-         * Sent in the response to a heartbeat; the agent's next heartbeat shows whether it was
-         * executed.
+         * The start command was sent in the response to a heartbeat; the agent's next heartbeat
+         * shows whether the command was executed.
          */
         SENT_IN_RESPONSE,
-        /** The agent has acknowledged or listed it. */
+        /** The agent has acknowledged or listed the attempt. */
         CONFIRMED,
         /**
-         * Loaded from a record that an earlier leader wrote; it may never have been sent, be
-         * running, or have ended.
+         * The attempt was loaded from a record that an earlier leader wrote. Its start command may
+         * never have been sent, or the task may be running or have ended.
          */
         RECOVERED
     }
--- a/src/main/java/org/woadloom/core/liveness/AgentLiveness.java
+++ b/src/main/java/org/woadloom/core/liveness/AgentLiveness.java
@@ -207,7 +207,9 @@
             lastHeartbeatMicros = Math.max(lastHeartbeatMicros, aliveAtMicros);
         } else if (age == MessageAge.FRESH
                 && nowMicros - heartbeatArrivedMicros <= timeouts.maxFreshAgeMicros()) {
-            // The agent is alive now, so it was when it sent the recent heartbeat.
+            // A fresh response to a direct command proves that the agent is alive now, so the agent
+            // was also alive when its last heartbeat arrived. If that was recently, the heartbeat
+            // counts from its arrival, whatever its own age.
             lastHeartbeatMicros = Math.max(lastHeartbeatMicros, heartbeatArrivedMicros);
         }
         if (heartbeat.fencingToken() > acknowledgedToken) {
--- a/src/main/java/org/woadloom/core/machines/AttemptReconciler.java
+++ b/src/main/java/org/woadloom/core/machines/AttemptReconciler.java
@@ -14,7 +14,11 @@
     private final TaskLossHandler taskLosses;
     private final TaskExitHandler exits;
 
-    /** Number of the message applied last. It marks the attempts that this message lists. */
+    /**
+     * The number of the last message (a heartbeat or a response to a direct command) that was
+     * applied. Each attempt that a message lists is marked with the message's number, so an attempt
+     * with an older mark is not listed in the message.
+     */
     private long lastMessageNumber;
 
     AttemptReconciler(SchedulerState state, TaskLossHandler taskLosses, TaskExitHandler exits) {
--- a/src/main/java/org/woadloom/core/machines/MachineRegistry.java
+++ b/src/main/java/org/woadloom/core/machines/MachineRegistry.java
@@ -181,8 +181,9 @@
     }
 
     /**
-     * Forgets deleted machines once the cloud's lagging list can no longer contain them, and
-     * unconfirmed machines after the same time.
+     * Forgets deleted machines once the cloud's lagging list can no longer contain them. After the
+     * same time, forgets unconfirmed machines: those that only heartbeats have named and whose
+     * agents have not been proven alive.
      */
     public void forgetDeletedMachines() {
         long keepMicros =
--- a/src/main/java/org/woadloom/core/placement/CandidateMachines.java
+++ b/src/main/java/org/woadloom/core/placement/CandidateMachines.java
@@ -43,8 +43,9 @@
     private static final double SCARCE_ZONE_WEIGHT = 300;
 
     /**
-     * The same penalty for jobs that must spread over zones. Larger than one {@link #SPREAD_WEIGHT}
-     * and smaller than two, so that it only moves the odd task to another zone.
+     * Penalty for on-demand machines in a scarce zone, for jobs that must spread over zones. Larger
+     * than one {@link #SPREAD_WEIGHT} and smaller than two, so that the penalty alone gives a
+     * scarce zone only one or two of the job's tasks fewer than another zone.
      */
     private static final double SCARCE_ZONE_SPREAD_WEIGHT = 15;
 
--- a/src/main/java/org/woadloom/core/quota/TeamQuota.java
+++ b/src/main/java/org/woadloom/core/quota/TeamQuota.java
@@ -11,6 +11,9 @@
 /**
  * Tracks the resources that a team uses, including reserved ones, against its guarantee and its
  * limit. Neither bounds memory.
+ *
+ * <p>While it is a job's turn, freed quota that the job needs to start is kept from the other jobs
+ * of the team; {@link QuotaRotation} decides whose turn it is.
  */
 public final class TeamQuota {
     public final Team team;
@@ -25,10 +28,10 @@
     /** The part of the limit kept for each job class; see {@link ClassFairShare}. */
     private Map<String, Resources> keptForClasses = Map.of();
 
-    /** The job that has the team's turn, or null; see {@link QuotaRotation}. */
+    /** The job of the team whose turn it is, or null if it is no job's turn. */
     private Job turnHolder;
 
-    /** The part of the limit kept for the job that has the turn. */
+    /** The part of the team's limit that is kept for the job whose turn it is. */
     private Resources keptForTurn = Resources.NONE;
 
     /** Empty until this term has placed a task of the team, or found one in a record. */
@@ -91,7 +94,7 @@
         keptForClasses = resourcesByClass;
     }
 
-    /** Sets the job that has the turn, or null, and the resources that are kept for it. */
+    /** Sets the job whose turn it is, or null for none, and the resources kept for that job. */
     void setTurn(Job job, Resources kept) {
         turnHolder = job;
         keptForTurn = kept;
@@ -103,7 +106,8 @@
     }
 
     /**
-     * The same, if placing the tasks frees reserved resources of the team.
+     * How many more tasks with these resources the team's limit allows the job, if placing the
+     * tasks frees reserved resources of the team.
      *
      * @param credit the reserved resources that are freed
      */
@@ -148,7 +152,7 @@
         return left;
     }
 
-    /** True if this total is within the limit. */
+    /** True if the team would be within its limit if it used exactly the given resources. */
     boolean fitsLimit(Resources total) {
         return limit.contains(total);
     }
@@ -159,7 +163,7 @@
                 (long) (limit.cpu() * fraction), (long) (limit.gpu() * fraction), limit.memory());
     }
 
-    /** True if this total is within the guarantee. */
+    /** True if the team would be within its guarantee if it used exactly the given resources. */
     public boolean fitsGuarantee(Resources total) {
         return guarantee.contains(total);
     }
--- a/src/main/java/org/woadloom/core/rollout/ClusterMembership.java
+++ b/src/main/java/org/woadloom/core/rollout/ClusterMembership.java
@@ -63,8 +63,9 @@
     }
 
     /**
-     * The features that are required and not supported here, or the reason why the record can't be
-     * read. The process must not serve unless this is empty.
+     * The features that the rollout record requires and this release does not support; if the
+     * rollout record can't be read, the reason for that instead. The process must not serve unless
+     * this set is empty.
      */
     public Set<String> missingFeatures() {
         return unreadableReason == null ? missingFeatures : Set.of(unreadableReason);
--- a/src/main/java/org/woadloom/http/AdmissionControl.java
+++ b/src/main/java/org/woadloom/http/AdmissionControl.java
@@ -28,8 +28,8 @@
     private static final long FRESH_MICROS = 10_000_000;
 
     /**
-     * The minimum interval between refreshes while the cloud does not answer, however many jobs
-     * wait for one: the leader needs the budget of cloud calls.
+     * The minimum interval between refreshes of the machine types while the cloud does not answer,
+     * however many jobs wait for a refresh: the leader needs the budget of cloud calls.
      */
     private static final long REFRESH_INTERVAL_MICROS = 1_000_000;
 
--- a/src/main/java/org/woadloom/http/ApiServer.java
+++ b/src/main/java/org/woadloom/http/ApiServer.java
@@ -132,8 +132,8 @@
     }
 
     /**
-     * Whether the agent needs this connection again only for its next heartbeat: the answer renews
-     * its lease and carries no commands, or redirects it to another node.
+     * True if the agent will not use this connection before its next heartbeat: the response only
+     * renews the agent's lease, without commands, or sends the agent to another node.
      */
     private static boolean leavesAgentIdle(Response response) {
         if (response.status() != HttpStatus.OK) {
--- a/src/main/java/org/woadloom/leader/Election.java
+++ b/src/main/java/org/woadloom/leader/Election.java
@@ -184,10 +184,11 @@
     }
 
     /**
-     * Called when a peer reports the leader that it knows. If the store is unreachable only for
-     * this node, this may be the only way to learn of a later term; if this node continued to lead,
-     * it would keep agents from the new leader. The known revision of the key is not changed, so a
-     * campaign based on it can only fail.
+     * Called when a peer reports which leader the peer knows. If the store is unreachable only for
+     * this node, such a report may be the only way to learn of a later term. This node then steps
+     * down: if it continued to lead, it would keep agents from the new leader. The last known
+     * revision of the leader's key in the store is not changed, so a campaign based on that
+     * revision can only fail.
      */
     public void onPeerLeader(String leader, long leaderTerm) {
         if (leaderTerm <= highestTerm || leader.equals(label)) {
--- a/src/main/java/org/woadloom/node/HeartbeatResponses.java
+++ b/src/main/java/org/woadloom/node/HeartbeatResponses.java
@@ -21,7 +21,10 @@
 
     private HeartbeatResponses() {}
 
-    /** Renews the lease under the token that the scheduler decided, with its commands. */
+    /**
+     * Renews the agent's lease under the fencing token that the scheduler chose, and passes on the
+     * scheduler's commands.
+     */
     static Response decided(SchedulerAction.AnswerHeartbeat answer) {
         return renewed(answer.fencingToken(), AgentClient.encodeCommands(answer.commands()));
     }
--- a/src/main/java/org/woadloom/node/HeartbeatRouter.java
+++ b/src/main/java/org/woadloom/node/HeartbeatRouter.java
@@ -92,8 +92,10 @@
     }
 
     /**
-     * Replaces an undecided response by a delegated renewal if this node may renew the lease: the
-     * leader and the store may have become unreachable while the heartbeat was waiting.
+     * If the response does not renew the agent's lease because no node that may do so was reached,
+     * replaces it by a renewal from this node, provided that the {@link DelegatedLeaseRenewer} may
+     * renew the lease by now: the leader and the store may have become unreachable while the
+     * heartbeat was waiting.
      */
     private Response orDelegatedRenewal(byte[] body, Response response) {
         if (!HeartbeatResponses.isUndecided(response)) {
--- a/src/main/java/org/woadloom/node/RolloutParticipant.java
+++ b/src/main/java/org/woadloom/node/RolloutParticipant.java
@@ -63,7 +63,7 @@
     /** The number of the latest rollout record that this node or a peer has read. */
     private long latestNumber;
 
-    /** The features that the record with that number requires. */
+    /** The features that the rollout record numbered {@link #latestNumber} requires. */
     private Set<String> required = Set.of();
 
     /** When each peer of an earlier release, which makes no announcement, last sent a message. */
--- a/src/main/java/org/woadloom/node/RolloutWatcher.java
+++ b/src/main/java/org/woadloom/node/RolloutWatcher.java
@@ -105,8 +105,9 @@
      * @param done receives the store's revision as of the read, or empty if the read failed
      */
     private void read(RequestPriority priority, Consumer<OptionalLong> done) {
-        // Only a list counts: a watch that was started before the announcement may report older
-        // changes.
+        // Only a list request that was sent after this process announced itself counts as a read
+        // since the announcement. Events of a watch don't count: a watch that was started before
+        // the announcement may report older changes.
         boolean wasAnnounced = listener.isAnnounced();
         store.list(
                 priority,
--- a/src/main/java/org/woadloom/store/TaskProgressCodec.java
+++ b/src/main/java/org/woadloom/store/TaskProgressCodec.java
@@ -21,8 +21,9 @@
  *   <li>the format version;
  *   <li>the number of leading tasks that are done and not on a machine;
  *   <li>the distinct attempt numbers, ascending, delta-encoded;
- *   <li>the groups, one for each machine and attempt, sorted: the machine name as a stem and a
- *       delta-encoded numeric suffix, and the index of the attempt number if there are several;
+ *   <li>the groups, one for each machine and attempt, sorted: the machine name as a stem, which is
+ *       the part before the numeric suffix, and the delta-encoded suffix, and the index of the
+ *       attempt number if there are several;
  *   <li>a symbol of a few bits for each task up to the last one that is not pending: pending, done,
  *       or the index of its group;
  *   <li>the tasks that are done and still on a machine, delta-encoded.
@@ -143,7 +144,8 @@
         writeVarint(out, groups.size());
         MachineName previous = null;
         for (Group group : groups) {
-            // A delta of 0 introduces a new stem, so the delta within a stem is stored plus 1.
+            // Between two machine names that differ only in the number, the delta of the numbers is
+            // stored plus 1, because 0 announces a machine name with a new stem or digit count.
             if (group.machine.hasSameStem(previous)) {
                 writeVarint(out, group.machine.number - previous.number + 1);
             } else {
--- a/src/main/java/org/woadloom/store/UnansweredTransaction.java
+++ b/src/main/java/org/woadloom/store/UnansweredTransaction.java
@@ -57,7 +57,10 @@
         }
     }
 
-    /** Reads the proof key because the answer is late. */
+    /**
+     * Called when the answer to the transaction is late. Reads the proof key: finding the value
+     * that the transaction writes there proves that the transaction was executed.
+     */
     void checkProof() {
         if (isCompleted || proofChange == null) {
             return;
--- a/src/test/java/org/woadloom/agent/AgentConnectionBalancerTest.java
+++ b/src/test/java/org/woadloom/agent/AgentConnectionBalancerTest.java
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void redirectsAgentToTheSameNodeAfterAForwardedHeartbeat() {
+    void redirectsAgentToItsPreviousTargetAgainAfterAForwardedHeartbeat() {
         String target = heartbeat("host-3", true, 0);
         balancer.onForwarded("host-3");
         assertEquals(target, heartbeat("host-3", true, HEARTBEAT_MICROS));
--- a/src/test/java/org/woadloom/core/jobs/DependencyGraphTest.java
+++ b/src/test/java/org/woadloom/core/jobs/DependencyGraphTest.java
@@ -120,8 +120,9 @@
     }
 
     /**
-     * After a write without a response, a missing record does not show whether the job was
-     * completed or cancelled, so a dependent looks it up in the store.
+     * If the write of a job's final state got no response and the store no longer has the job's
+     * record, the leader can't tell whether the job was completed or cancelled. For a job that
+     * depends on the missing one, the leader therefore looks up the final state in the store.
      */
     @Test
     void looksUpADependencyWhoseRecordIsMissing() throws MalformedMessageException {
--- a/src/test/java/org/woadloom/core/machines/MachineLifecycleTest.java
+++ b/src/test/java/org/woadloom/core/machines/MachineLifecycleTest.java
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void onlyAbandonedAndFailedMachinesAreDeletedWithTasks() {
+    void onlyAbandonedOrFailedMachinesAreDeletedWithoutBeingDrained() {
         lifecycle.decommission();
         assertFalse(lifecycle.isDeletedWithTasks());
         MachineLifecycle abandoned = new MachineLifecycle(false);
--- a/src/test/java/org/woadloom/core/placement/IncrementalSearchTest.java
+++ b/src/test/java/org/woadloom/core/placement/IncrementalSearchTest.java
@@ -13,7 +13,7 @@
     private final IncrementalSearch search = new IncrementalSearch(10);
 
     @Test
-    void stepAllowsNoMoreMachinesThanItsBudget() {
+    void stepMayExamineNoMoreMachinesThanItsBudget() {
         search.beginStep();
         search.addExamined(6);
         assertTrue(search.mayExamine(4));
--- a/src/test/java/org/woadloom/core/placement/QueueOrderTest.java
+++ b/src/test/java/org/woadloom/core/placement/QueueOrderTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void veryLateJobIsOrderedByAgeAgain() {
+    void jobWaitingOverSixTimesItsLongestTargetGoesBeforeAYoungerJob() {
         Job late = fixture.jobWithDeadline("j-1", 10, 30);
         fixture.advance(200_000_000);
         Job onTime = fixture.jobWithDeadline("j-2", 10, 30);
--- a/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
+++ b/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
@@ -95,8 +95,8 @@
     }
 
     /**
-     * Guards against a class that blocks quota for the others although there is no machine for its
-     * jobs, which the limit would allow.
+     * Guards against a job class that keeps quota from the team's other classes although its own
+     * jobs can't use the quota: the limit allows them to start, but there is no machine for them.
      */
     @Test
     void shareUnusedForTooLongGoesToOtherClasses() {
--- a/src/test/java/org/woadloom/core/quota/QuotaRotationTest.java
+++ b/src/test/java/org/woadloom/core/quota/QuotaRotationTest.java
@@ -182,7 +182,7 @@
      * limit had not started after 4 minutes.
      */
     @Test
-    void nextTurnFollowsUsedTurnImmediately() {
+    void nextJobGetsItsTurnAsSoonAsAJobHasStartedInItsTurn() {
         fillLimitWithSmallJobs();
         Job first = fixture.job("j-1", 8, 1, 1);
         fixture.advance(1_000_000);
@@ -206,7 +206,7 @@
 
     /** While large jobs start in turn after turn, small jobs get freed quota once a minute. */
     @Test
-    void consecutiveUsedTurnsPauseOnceAMinute() {
+    void turnsPauseOnceAMinuteWhileAJobStartsInEveryTurn() {
         fillLimitWithSmallJobs();
         for (int i = 0; i < 200; i++) {
             fixture.job("j-" + i, 8, 1, 1);
--- a/src/test/java/org/woadloom/sim/BadInputTest.java
+++ b/src/test/java/org/woadloom/sim/BadInputTest.java
@@ -212,8 +212,8 @@
     }
 
     /**
-     * Appends the same field to an encoded map so many times. An encoded map is its length followed
-     * by its fields.
+     * Appends a field with the given key to an encoded map, the given number of times. An encoded
+     * map consists of the number of its fields, followed by the fields.
      */
     private static byte[] appendFieldTimes(byte[] map, String key, int times) {
         byte[] one = Cbor.encode(Map.of(key, "a"));
--- a/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationFaultCombinationsTest.java
@@ -313,7 +313,7 @@
      * cancel jobs and query them at all nodes.
      */
     @Test
-    void cancellationsAreConfirmedWhenSlowStoreRejectsLeaderThenFails() {
+    void cancellationsAreConfirmedWhenSlowStoreRejectsLeaderAndThenGoesDown() {
         int confirmed = 0;
         for (long seed : Seeds.usually(SEEDS + 1)) {
             ClusterSimulation cluster = startCluster(seed, Flaw.NONE);
--- a/src/test/java/org/woadloom/sim/CoalescingJobReaderTest.java
+++ b/src/test/java/org/woadloom/sim/CoalescingJobReaderTest.java
@@ -49,12 +49,10 @@
     /** Percentage of requests that are slow, and of requests whose answer is lost. */
     private int slowOrLostPercent;
 
-    /**
-     * Percentage of reads of changes that are answered with "compacted", and the number of reads
-     * that were.
-     */
+    /** Percentage of reads of changes that are answered with 410, "compacted". */
     private int compactedPercent;
 
+    /** The number of reads of changes that were answered with 410, "compacted". */
     private int compactedCount;
 
     CoalescingJobReaderTest() {
--- a/src/test/java/org/woadloom/sim/ProgressInvariant.java
+++ b/src/test/java/org/woadloom/sim/ProgressInvariant.java
@@ -8,12 +8,13 @@
 import org.woadloom.settings.ServiceSettings;
 
 /**
- * {@link ProtocolRule#LEFT_WAITING}: while no fault is active, no task waits for long for a machine
- * that is there and has capacity, below its team's limit.
+ * {@link ProtocolRule#LEFT_WAITING}: while no fault is active, no task waits longer than 90 s
+ * although a machine has capacity for the task and the limit of the task's team allows it.
  *
- * <p>A task that fetches its image counts for the limit here, and so does one that ended a moment
- * ago, of which the leader may not know yet: a team whose short tasks follow each other is at its
- * limit. Gangs and jobs with rules about zones are left out, as they need more than capacity for
+ * <p>This check compares a team's limit with the CPUs of all tasks that are on machines, also of
+ * those that still fetch their image, and of tasks that ended in the last 4 s, whose end the leader
+ * may not know yet. Otherwise a team whose short tasks follow each other would seem to be below its
+ * limit. Gangs and jobs with rules about zones are not checked, as they need more than capacity for
  * one task.
  */
 final class ProgressInvariant extends Invariant {
--- a/src/test/java/org/woadloom/sim/RolloutTest.java
+++ b/src/test/java/org/woadloom/sim/RolloutTest.java
@@ -96,7 +96,7 @@
     /** All random faults during steps forward and back; the clock of one node is 400 s off. */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstSix")
-    void rolloutSettlesWhenSteppedBackAndForthUnderFaults(long seed) {
+    void rolloutSettlesAfterRepeatedGoAndBackRequestsUnderRandomFaults(long seed) {
         ClusterSimulation cluster = startCluster(seed, Version.NOW);
         cluster.clockOff[(int) (seed % ClusterSimulation.NODES)] =
                 seed % 2 == 0 ? 400 * SECOND : -400 * SECOND;
--- a/src/test/java/org/woadloom/sim/StatusRecoveryTest.java
+++ b/src/test/java/org/woadloom/sim/StatusRecoveryTest.java
@@ -193,7 +193,7 @@
         return true;
     }
 
-    /** Has every node read all jobs, more slowly than any rate limit. */
+    /** Makes every node read all jobs, at a rate below every rate limit. */
     private void warmUp() {
         for (int job = 0; job < JOBS; job++) {
             for (int node = 0; node < NODES; node++) {
--- a/src/test/java/org/woadloom/sim/UserWritesTest.java
+++ b/src/test/java/org/woadloom/sim/UserWritesTest.java
@@ -337,7 +337,8 @@
      * joined the write must report the cancellation.
      */
     @Test
-    void requestJoiningWriteSeesLaterCancellation() throws MalformedMessageException {
+    void submissionJoiningPendingWriteReportsCancellationMadeMeanwhile()
+            throws MalformedMessageException {
         UserCall first = submit(job(1));
         sim.run(sim.now() + 3_500);
         Map<String, Object> record = new LinkedHashMap<>(store.value("job/" + first.jobId));
--- a/src/test/java/org/woadloom/soak/RuleCheckersTest.java
+++ b/src/test/java/org/woadloom/soak/RuleCheckersTest.java
@@ -86,19 +86,19 @@
     }
 
     @Test
-    void unknownAcceptedJobViolatesForgotten() {
+    void acceptedJobUnknownToControllerIsReportedAsForgotten() {
         poll(acceptedJob(), 404, null, 2);
         assertViolated("forgotten");
     }
 
     @Test
-    void knownUnsubmittedJobViolatesInvented() {
+    void jobReportedByControllerButNeverSubmittedIsReportedAsInvented() {
         checkers.onResponse(new UserResponse(Request.POLL, "j-9", 200, "queued", 0, 1));
         assertViolated("invented");
     }
 
     @Test
-    void jobWithoutResponseFor75SecondsViolatesUnanswered() {
+    void jobWithoutResponseFor75SecondsIsReportedAsUnanswered() {
         acceptedJob();
         checkers.onFaultsEnded(10 * SECOND);
         checkers.onTick(84 * SECOND);
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void statusChangeAfterDoneViolatesWentBack() {
+    void statusChangeAfterDoneIsReportedAsWentBack() {
         SoakJob job = acceptedJob();
         job.completedTasks.set(0, 2);
         poll(job, 200, "done", 2);
@@ -117,13 +117,13 @@
     }
 
     @Test
-    void unrequestedCancellationViolatesWentBack() {
+    void cancelledStatusWithoutCancelRequestIsReportedAsWentBack() {
         poll(acceptedJob(), 200, "cancelled", 2);
         assertViolated("went_back");
     }
 
     @Test
-    void doneBeforeAllTasksCompleteViolatesNotDone() {
+    void doneStatusBeforeAllTasksCompletedIsReportedAsNotDone() {
         SoakJob job = acceptedJob();
         job.completedTasks.set(0);
         poll(job, 200, "done", 2);
@@ -131,7 +131,7 @@
     }
 
     @Test
-    void taskOnTwoMachinesViolatesRanTwice() {
+    void taskStartedOnTwoMachinesIsReportedAsRanTwice() {
         SoakJob job = acceptedJob();
         start(job, 0, MACHINE_IN_A, 2);
         start(job, 0, SPOT_MACHINE_IN_B, 3);
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void taskRunningAfterCancelDeadlineViolatesRanCancelled() {
+    void taskRunningAfterCancelDeadlineIsReportedAsRanCancelled() {
         SoakJob job = acceptedJob();
         start(job, 0, MACHINE_IN_A, 2);
         job.cancelRequestedMicros = 3 * SECOND;
@@ -151,7 +151,7 @@
     }
 
     @Test
-    void teamAboveItsLimitViolatesQuota() {
+    void teamAboveItsLimitIsReportedAsQuotaViolation() {
         SoakJob job = job(2, 3, null, true);
         start(job, 0, MACHINE_IN_A, 2);
         start(job, 1, SPOT_MACHINE_IN_B, 2);
@@ -159,13 +159,13 @@
     }
 
     @Test
-    void taskInWrongZoneViolatesWrongPlace() {
+    void taskInWrongZoneIsReportedAsWrongPlace() {
         start(job(1, 1, "b", true), 0, MACHINE_IN_A, 2);
         assertViolated("wrong_place");
     }
 
     @Test
-    void taskOnDisallowedSpotMachineViolatesWrongPlace() {
+    void taskOnDisallowedSpotMachineIsReportedAsWrongPlace() {
         start(job(1, 1, null, false), 0, SPOT_MACHINE_IN_B, 2);
         assertViolated("wrong_place");
     }
--- a/src/test/java/org/woadloom/soak/SoakTest.java
+++ b/src/test/java/org/woadloom/soak/SoakTest.java
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void missingPackageIsReported(@TempDir Path empty) {
+    void soakOptionsAreRejectedWithBuildHintIfPackageIsNotBuilt(@TempDir Path empty) {
         SoakOptions.UsageException missing =
                 assertThrows(
                         SoakOptions.UsageException.class,
