--- a/src/test/java/org/woadloom/sim/ProgressInvariant.java
+++ b/src/test/java/org/woadloom/sim/ProgressInvariant.java
@@ -8,13 +8,14 @@
 import org.woadloom.settings.ServiceSettings;
 
 /**
- * {@link ProtocolRule#LEFT_WAITING}: while no fault is active, no task waits for long if a machine
- * has capacity for it and its team is below its quota.
+ * {@link ProtocolRule#LEFT_WAITING}: while no fault is active, no task waits longer than 90 s
+ * although a machine has capacity for the task and the limit of the task's team allows it.
  *
- * <p>Tasks that fetch their image count towards the quota here, and so do tasks that ended a moment
- * ago, because the leader may not know yet that they ended. Otherwise a team that runs many short
- * tasks in a row would seem to be below its quota. Gangs and jobs with zone constraints are not
- * checked: they need more than capacity for one task.
+ * <p>This check compares a team's limit with the CPUs of all tasks that are on machines, also of
+ * those that still fetch their image, and of tasks that ended in the last 4 s, whose end the leader
+ * may not know yet. Otherwise a team whose short tasks follow each other would seem to be below its
+ * limit. Gangs and jobs with rules about zones are not checked, as they need more than capacity for
+ * one task.
  */
 final class ProgressInvariant extends Invariant {
     private static final long MAX_WAIT_MICROS = 90_000_000;
