--- a/src/main/java/org/woadloom/core/SchedulerAction.java
+++ b/src/main/java/org/woadloom/core/SchedulerAction.java
@@ -129,8 +129,9 @@
             implements SchedulerAction {}
 
     /**
-     * Find the records in the store that are not in the feature's format or, if the feature is
-     * being rolled back, those that are; answered by {@link SchedulerEvent.RecordsCounted}.
+     * Find the stored records that must be rewritten for a feature: those not in the feature's
+     * format or, while the feature is being rolled back, those in the feature's format. {@link
+     * SchedulerEvent.RecordsCounted} returns the keys of these records.
      */
     record CountRecords(Feature feature, boolean rollingBack) implements SchedulerAction {}
 
--- a/src/main/java/org/woadloom/core/SchedulerEvent.java
+++ b/src/main/java/org/woadloom/core/SchedulerEvent.java
@@ -108,7 +108,7 @@
 
     /** What the store holds of a job that others depend on. */
     enum DependencyState {
-        /** The job's record: the job has not ended. */
+        /** The store holds the job's record, so the job has not ended. */
         OPEN,
         /** A final state: the job is done. */
         DONE,
--- a/src/main/java/org/woadloom/core/machines/LossProof.java
+++ b/src/main/java/org/woadloom/core/machines/LossProof.java
@@ -49,8 +49,9 @@
                 // From now on the agent refuses the token under which the start was sent.
             case UNANSWERED ->
                     heartbeat.fencingToken() > attempt.startToken() ? START_NEVER_ARRIVED : NONE;
-                // An agent has one heartbeat in flight at a time, so it executed or dropped the
-                // answer with the start before it sent this one.
+                // An agent has one heartbeat in flight at a time. Before the agent sent a later
+                // heartbeat than the one whose response carried the start, the agent had therefore
+                // executed or dropped that response.
             case SENT_IN_RESPONSE ->
                     isHeartbeat && heartbeat.sequence() > attempt.startHeartbeatSequence()
                             ? START_NOT_EXECUTED
--- a/src/main/java/org/woadloom/core/machines/MachineLifecycle.java
+++ b/src/main/java/org/woadloom/core/machines/MachineLifecycle.java
@@ -14,7 +14,11 @@
 final class MachineLifecycle {
     private enum Phase {
         IN_USE,
-        /** It gets no more tasks, and is deleted as soon as that is allowed. */
+        /**
+         * The machine gets no more tasks. {@link MachineDeleter} requests its deletion once the
+         * decommissioning is recorded in the store and the machine is empty, lost, failed or
+         * abandoned.
+         */
         DECOMMISSIONING,
         /** The cloud was asked to delete it. */
         DELETING,
--- a/src/main/java/org/woadloom/core/placement/CandidateMachines.java
+++ b/src/main/java/org/woadloom/core/placement/CandidateMachines.java
@@ -163,7 +163,10 @@
         return null;
     }
 
-    /** Scores the machine that {@link #next} returned last again, after a task was placed on it. */
+    /**
+     * Recomputes the score of the machine most recently returned by {@link #next}, after a task was
+     * placed on it, and makes the machine a candidate again if another task fits on it.
+     */
     void onPlaced() {
         if (job.description.isService()) {
             replicas.merge(lastReturned.machine, 1, Integer::sum);
--- a/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
+++ b/src/main/java/org/woadloom/core/placement/PreemptionPlanner.java
@@ -198,7 +198,10 @@
         return false;
     }
 
-    /** Stops tasks for a gang or a large task, on the machines that the job has reserved. */
+    /**
+     * Stops tasks on the machines on which a job has reserved resources that are still in use. The
+     * job is a gang, or each of its tasks takes a large part of any machine that it may use.
+     */
     private void preemptOnReservedMachines(Job job) {
         Set<Machine> machines = new LinkedHashSet<>();
         for (Reservation reservation : reservations.reservationsOf(job)) {
--- a/src/main/java/org/woadloom/core/placement/QueueOrder.java
+++ b/src/main/java/org/woadloom/core/placement/QueueOrder.java
@@ -41,7 +41,11 @@
      */
     private static final long START_OVERDUE_MICROS = 150_000_000;
 
-    /** Beyond this age, the largest jobs of a class go before the others until they are done. */
+    /**
+     * Beyond this age, a job that is at least as large as the 90th percentile of the recent jobs of
+     * its class goes before the others of its priority and guarantee until done, even after it has
+     * started.
+     */
     private static final long LARGE_OVERDUE_MICROS = 180_000_000;
 
     private final SchedulerState state;
--- a/src/main/java/org/woadloom/http/UserWrites.java
+++ b/src/main/java/org/woadloom/http/UserWrites.java
@@ -19,7 +19,10 @@
  * applied later.
  */
 final class UserWrites {
-    /** Most answers of the store take less than 10 ms, a few take some hundred. */
+    /**
+     * Time without an answer of the store after which the job is first read back. Most answers take
+     * less than 10 ms, a few take some hundred milliseconds.
+     */
     private static final long FIRST_READ_BACK_MICROS = 400_000;
 
     private static final long SECOND_READ_BACK_MICROS = 1_200_000;
--- a/src/main/java/org/woadloom/leader/Election.java
+++ b/src/main/java/org/woadloom/leader/Election.java
@@ -323,8 +323,9 @@
         loop.schedule(
                 Math.max(Math.max(1, delayMicros), campaignNotBeforeMicros - loop.nowMicros()),
                 () -> {
-                    // An interrupted watch reports the end of the former leader and the new leader
-                    // in one answer.
+                    // After an interruption, the watch may report in one answer that the former
+                    // leader's key was deleted and that a new leader's key was created. A campaign
+                    // scheduled for the deletion must then not start.
                     if (campaignNumber == expected && role == Role.FOLLOWER && isVacant()) {
                         if (eligibility.isEligible()) {
                             startCampaign();
--- a/src/main/java/org/woadloom/metrics/NodeMetrics.java
+++ b/src/main/java/org/woadloom/metrics/NodeMetrics.java
@@ -70,8 +70,8 @@
     }
 
     /**
-     * Returns how many requests of users were refused and how many scheduler steps were late, since
-     * the process started.
+     * Returns one sum since the process started: the number of requests other than heartbeats that
+     * were answered with status 503, plus the number of scheduler steps that were late.
      */
     public long refusedOrLateCount() {
         return refusedOrLateCount;
--- a/src/main/java/org/woadloom/node/IsolationDetector.java
+++ b/src/main/java/org/woadloom/node/IsolationDetector.java
@@ -3,9 +3,12 @@
 import org.woadloom.net.EventLoop;
 
 /**
- * Detects that only this node has lost the store while users still reach it: it can't answer them,
- * but another node can. This differs from an outage of the store, during which no node can answer,
- * and from a partitioned zone, where there are no users. Confined to the event loop.
+ * Detects that this node alone has lost the store, so that this node can't answer users but another
+ * node can. The node counts as isolated if its store requests have failed for more than 3 s and
+ * either a peer reports that the store answers the peer, or no peer can be reached although
+ * requests of users or health checks still arrive at this node. In an outage of the store, by
+ * contrast, peers can be reached but the store answers none of them; in a partitioned zone, no
+ * requests from outside the zone arrive. Confined to the event loop.
  */
 final class IsolationDetector {
     /** If requests to the store fail for longer than this, the store is lost rather than slow. */
--- a/src/main/java/org/woadloom/peer/PeerMessage.java
+++ b/src/main/java/org/woadloom/peer/PeerMessage.java
@@ -50,8 +50,8 @@
     record StatusReport(PeerStatus status) implements PeerMessage {}
 
     /**
-     * The cancellations that the sender has confirmed to users, sent to the leader. Sent only while
-     * the watermark reports feature is on.
+     * Tells the leader which cancellations the sender has confirmed to users. Sent only while
+     * {@link org.woadloom.core.rollout.Feature#CANCELLATION_REPORTS} is on.
      */
     record CancellationReport(WatermarkReport report) implements PeerMessage {}
 
--- a/src/main/java/org/woadloom/store/RolloutRequest.java
+++ b/src/main/java/org/woadloom/store/RolloutRequest.java
@@ -29,7 +29,11 @@
          * crashing.
          */
         GO,
-        /** The feature is rolled back, unless it is already settled. */
+        /**
+         * The feature is rolled back. The request has no effect on a settled feature, one whose old
+         * format no record has any more, nor on a feature that is on and does not support being
+         * rolled back.
+         */
         BACK;
 
         /** The stored form. */
--- a/src/main/java/org/woadloom/store/StoreRequestPolicy.java
+++ b/src/main/java/org/woadloom/store/StoreRequestPolicy.java
@@ -15,8 +15,10 @@
     static final long WATCH_GRACE_MICROS = 2_000_000;
 
     /**
-     * Time without an answer after which a transaction's proof key is read. Most answers take less
-     * than 10 ms, and occasionally a few hundred milliseconds.
+     * Time without an answer after which the proof key of a transaction is read: the transaction
+     * puts a value there that no other writer ever puts, so reading this value proves that the
+     * transaction was executed. Most answers take less than 10 ms, and occasionally a few hundred
+     * milliseconds.
      */
     static final long OVERDUE_MICROS = 400_000;
 
--- a/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
+++ b/src/test/java/org/woadloom/core/cancellation/CancellationWatermarkTest.java
@@ -21,7 +21,8 @@
  * of the first term may lead again in the third.
  *
  * <p>Guards against a watermark that passes the confirmation of a cancellation that the leader
- * lacks: checked for each leader after each step.
+ * lacks: checked for each leader after each step. A promise, which a node sends with a report, says
+ * that for a limited time the node confirms no cancellation that the leader has not acknowledged.
  */
 class CancellationWatermarkTest {
     private static final long SECOND = 1_000_000;
@@ -365,8 +366,9 @@
     }
 
     /**
-     * A node that leads again and has acknowledged the cancellation lacks nothing, so an older
-     * promise to it no longer matters.
+     * Once a node that leads again has acknowledged the cancellation, a promise that the node
+     * received in its earlier term no longer delays the confirmation. A promise to the leader of a
+     * term in between still does, until that leader is known to have learned of the later term.
      */
     @Test
     void olderPromiseToAReelectedLeaderDoesNotDelayConfirmations() {
--- a/src/test/java/org/woadloom/core/delegation/DelegationLedgerTest.java
+++ b/src/test/java/org/woadloom/core/delegation/DelegationLedgerTest.java
@@ -79,7 +79,7 @@
 
     /** A response that was delayed in transit does not show that the leader is reachable now. */
     @Test
-    void delayedDelegationCountsFromWhenItsStatusWasSent() {
+    void delegationValidityCountsFromWhenStatusWasSentIfResponseIsDelayed() {
         exchangeUntil(10 * SECOND);
         PeerStatus earlierStatus = node.status(10 * SECOND + CLOCK_OFFSET);
         node.onStoreFailed();
--- a/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
+++ b/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
@@ -35,7 +35,10 @@
         }
     }
 
-    /** Two thirds of the limit are divided evenly: 8 CPUs for each of the two classes. */
+    /**
+     * Two thirds of the team's limit of 24 CPUs are divided evenly, 8 CPUs for each of the two
+     * classes. The remaining 8 CPUs are assigned in queue order.
+     */
     @Test
     void shareIsKeptForWaitingClassOfTeamAtItsLimit() {
         Job service = fixture.jobOfClass("j-1", "web", 40, true);
--- a/src/test/java/org/woadloom/core/quota/QuotaRotationTest.java
+++ b/src/test/java/org/woadloom/core/quota/QuotaRotationTest.java
@@ -127,7 +127,7 @@
 
     /** Service replicas do not end, so keeping quota for the job would block others in vain. */
     @Test
-    void noTurnStartsIfServiceReplicasHoldTheLimit() {
+    void noTurnStartsIfServiceReplicasUseTheQuotaThatJobNeeds() {
         Job service = fixture.job("j-service", 1, 1, 20, true, false);
         for (int i = 0; i < 20; i++) {
             fixture.place(reservations, service, i, machines[i % 2]);
--- a/src/test/java/org/woadloom/core/reservation/ReservationsTest.java
+++ b/src/test/java/org/woadloom/core/reservation/ReservationsTest.java
@@ -11,7 +11,10 @@
 import org.woadloom.core.placement.Resources;
 import org.woadloom.core.reservation.Reservation.Phase;
 
-/** The cases of the reservation proposal, on machines of 16 CPUs and 32 GB. */
+/**
+ * The cases of Koordinator's resource reservation proposal (see docs/design.md), on machines of 16
+ * CPUs and 32 GB.
+ */
 class ReservationsTest {
     private final SchedulerFixture fixture = new SchedulerFixture();
     private final Reservations reservations = new Reservations(fixture.state);
@@ -34,7 +37,7 @@
     }
 
     @Test
-    void allocateOnceReservationEndsWithFirstTaskEvenIfResourcesAreLeft() {
+    void allocateOnceReservationEndsWhenFirstTaskIsPlacedEvenIfResourcesAreLeft() {
         Job owner = fixture.job("j-1", 2, 2, 2);
         Reservation reservation = reservations.reserve(owner, machine, amount(4, 4), true, false);
         fixture.place(reservations, owner, 0, machine);
--- a/src/test/java/org/woadloom/core/rollout/RolloutExplorerTest.java
+++ b/src/test/java/org/woadloom/core/rollout/RolloutExplorerTest.java
@@ -33,7 +33,7 @@
 
     /** A leader that writes a step although an announcement has changed since it read it. */
     @Test
-    void findsStepTakenOnStaleAnnouncements() {
+    void detectsStepTakenOnStaleAnnouncements() {
         assertFound(RolloutExplorer.Fault.STALE_ANNOUNCEMENTS, "can't read");
     }
 
@@ -51,7 +51,7 @@
 
     /** A count of the store while a write in the feature's format may still arrive. */
     @Test
-    void findsRecordThatArrivesAfterTheCount() {
+    void detectsCountOfRecordsDuringWrite() {
         assertFound(RolloutExplorer.Fault.COUNTS_DURING_WRITE, "can't read");
     }
 
--- a/src/test/java/org/woadloom/docs/PagesTest.java
+++ b/src/test/java/org/woadloom/docs/PagesTest.java
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void namedTypesPackagesAndPathsExist() throws IOException {
+    void typesPackagesAndPathsNamedInPagesExist() throws IOException {
         Set<String> sources = sourceFiles();
         List<String> missing = new ArrayList<>();
         for (Path page : PAGES_WITH_CODE_NAMES) {
--- a/src/test/java/org/woadloom/golden/ValueShape.java
+++ b/src/test/java/org/woadloom/golden/ValueShape.java
@@ -12,7 +12,10 @@
 public final class ValueShape {
     private ValueShape() {}
 
-    /** Returns the shape of a value; a list is represented by the shape of its first item. */
+    /**
+     * Returns the shape of a value: scalars are replaced by the names of their types, maps keep
+     * their keys, and a list is reduced to the shape of its first item.
+     */
     public static Object of(Object value) {
         if (value instanceof Map<?, ?> map) {
             Map<String, Object> shape = new LinkedHashMap<>();
--- a/src/test/java/org/woadloom/protocol/CborTest.java
+++ b/src/test/java/org/woadloom/protocol/CborTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void maxJsonSizeIsAtLeastTheEncodedSize() {
+    void maxJsonSizeIsAtLeastTheLengthAsJson() {
         assertEquals(
                 "{\"a\":[1,2.5,null]}".length()
                         <= Cbor.maxJsonSize(Map.of("a", Arrays.asList(1L, 2.5, null))),
--- a/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
@@ -101,7 +101,7 @@
      * no other task is killed.
      */
     @Test
-    void otherTasksKeepRunningWhileNodesReachEachOther() {
+    void noTaskIsKilledByLeaseInStoreOutageIfNodesReachEachOther() {
         int confirmed = 0;
         int kept = 0;
         for (long seed : Seeds.first(4)) {
--- a/src/test/java/org/woadloom/sim/CoalescingJobReaderTest.java
+++ b/src/test/java/org/woadloom/sim/CoalescingJobReaderTest.java
@@ -188,7 +188,7 @@
      * each ended one by two keys, which starved all other requests.
      */
     @Test
-    void changedJobsAreAnsweredFromSharedReads() {
+    void queriesOfChangedJobsShareStoreReads() {
         put(jobId(0), false);
         query(0, jobId(0));
         for (int job = 1; job <= 20; job++) {
--- a/src/test/java/org/woadloom/sim/StoredValuesGoldenTest.java
+++ b/src/test/java/org/woadloom/sim/StoredValuesGoldenTest.java
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void leaderTermVersionAndRolloutValuesMatchGoldenShapes() {
+    void valuesOtherThanRecordsMatchGoldenShapes() {
         ClusterSimulation cluster = new ClusterSimulation(1, Scenario.UPGRADE);
         cluster.users.submitUntil(DAY_MICROS);
         cluster.upgradeNodes(DAY_MICROS);
--- a/src/test/java/org/woadloom/sim/ThreeZonesTest.java
+++ b/src/test/java/org/woadloom/sim/ThreeZonesTest.java
@@ -38,8 +38,8 @@
     }
 
     /**
-     * The partition is longer than leases may be renewed by delegation; meanwhile the other two
-     * nodes restart in turn.
+     * One zone is partitioned for longer than its node may renew leases by delegation. Meanwhile
+     * the nodes of the other two zones restart alternately.
      */
     @ParameterizedTest
     @CsvSource({"1,true", "2,false", "3,true", "4,false"})
@@ -60,7 +60,7 @@
      */
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstFour")
-    void leadershipSettlesWhenLeaderZoneCannotReachAnotherZone(long seed) {
+    void atMostOneNewTermWhenLeaderZoneCannotReachAnotherZone(long seed) {
         ClusterSimulation cluster = startCluster(seed);
         int killed = cluster.observed.killedByLease;
         int leader = cluster.leader();
--- a/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/UnreachableAgentScenariosTest.java
@@ -132,7 +132,7 @@
 
     @ParameterizedTest
     @MethodSource("org.woadloom.sim.Seeds#firstThree")
-    void workOnMuteMachinesIsDoneElsewhere(long seed) {
+    void jobsFinishWhenAgentsOfOneZoneCannotSendMessages(long seed) {
         ClusterSimulation cluster = startCluster(seed);
         cluster.agents().stream()
                 .filter(agent -> agent.zone.equals("a"))
--- a/src/test/java/org/woadloom/sim/UserWritesTest.java
+++ b/src/test/java/org/woadloom/sim/UserWritesTest.java
@@ -333,8 +333,9 @@
     }
 
     /**
-     * The job is cancelled, and its user told so, between the write and its answer: a request that
-     * joined the write must report the cancellation.
+     * The job is cancelled after the store has executed the write and before the store's answer
+     * arrives. The user may already know of the cancellation, so a request that joined the write
+     * must report the cancellation too.
      */
     @Test
     void requestJoiningWriteSeesLaterCancellation() throws MalformedMessageException {
--- a/src/test/java/org/woadloom/store/RequestSchedulerTest.java
+++ b/src/test/java/org/woadloom/store/RequestSchedulerTest.java
@@ -67,7 +67,7 @@
      * the store's rate.
      */
     @Test
-    void controlRequestsStayWithinTheRateAndTheirReserve() {
+    void backloggedControlRequestsExceedRateByAtMostTheirReserve() {
         add(RequestPriority.CONTROL, 1_000, 1);
         int sent = sentWithin(5 * SECOND).size();
         assertTrue(sent >= 5 * 40 && sent <= 6 * 40 + 5, sent + " were sent");
