--- a/src/main/java/org/woadloom/agent/AgentClient.java
+++ b/src/main/java/org/woadloom/agent/AgentClient.java
@@ -16,19 +16,20 @@
 import org.woadloom.protocol.TaskCommand;
 
 /**
- * Sends direct commands to agents. Commands to agents that did not answer the last one take half of
- * the connections at most, and go after the others: where many machines hang at once, each of them
- * holds a connection until the timeout. Nothing is retried here; the scheduler decides that.
+ * Sends commands directly to agents, outside the answers to their heartbeats. Commands to agents
+ * that did not answer the previous one are sent after all others and use at most half of the
+ * connections: when many machines hang at once, each holds its connection until the timeout. Failed
+ * commands are not retried here; that is up to the scheduler.
  */
 public final class AgentClient {
     private static final long TIMEOUT_MICROS = 2_000_000;
 
     /** Twice the largest cluster, in machines. */
-    private static final int MAX_SILENT_ADDRESSES = 10_000;
+    private static final int MAX_UNRESPONSIVE_ADDRESSES = 10_000;
 
     private static final int STATUS_OK = 200;
 
-    /** The agent refuses a command, and answers with its own state. */
+    /** The agent refused the command; the body is its current heartbeat. */
     private static final int STATUS_CONFLICT = 409;
 
     private static final String COMMANDS_PATH = "/do";
@@ -39,35 +40,35 @@
     private final HttpTransport transport;
     private final int maxInFlight;
     private final ArrayDeque<QueuedCommand> queue = new ArrayDeque<>();
-    private final ArrayDeque<QueuedCommand> queueToSilent = new ArrayDeque<>();
+    private final ArrayDeque<QueuedCommand> unresponsiveQueue = new ArrayDeque<>();
     private int inFlight;
-    private int silentInFlight;
+    private int unresponsiveInFlight;
 
     /**
-     * Addresses that did not answer the last command, the longest silent first; those of machines
-     * that were removed drop out in time.
+     * The addresses that did not answer the last command, the longest unresponsive first. The size
+     * limit evicts those of machines that no longer exist.
      */
-    private final Set<String> silentAddresses = new LinkedHashSet<>();
+    private final Set<String> unresponsiveAddresses = new LinkedHashSet<>();
 
     private record QueuedCommand(SendDirectCommand send, Callback callback) {}
 
-    /** Is called once with the result of a command. */
+    /** Is called exactly once with the result of a command. */
     public interface Callback {
         void onCompleted(DirectCommandCompleted result);
     }
 
     /**
-     * @param maxInFlight how many commands may be in flight, each on a connection of its own
+     * @param maxInFlight the maximum number of commands in flight, each of which needs a connection
      */
     public AgentClient(HttpTransport transport, int maxInFlight) {
         this.transport = transport;
         this.maxInFlight = maxInFlight;
     }
 
-    /** Sends a command, as soon as there is a connection for it. */
+    /** Sends a command as soon as a connection is available. */
     public void send(SendDirectCommand send, Callback callback) {
-        boolean silent = silentAddresses.contains(send.address());
-        (silent ? queueToSilent : queue).addLast(new QueuedCommand(send, callback));
+        boolean unresponsive = unresponsiveAddresses.contains(send.address());
+        (unresponsive ? unresponsiveQueue : queue).addLast(new QueuedCommand(send, callback));
         sendQueued();
     }
 
@@ -76,15 +77,15 @@
             request(queue.pollFirst(), false);
         }
         while (inFlight < maxInFlight
-                && silentInFlight < Math.max(1, maxInFlight / 2)
-                && !queueToSilent.isEmpty()) {
-            request(queueToSilent.pollFirst(), true);
+                && unresponsiveInFlight < Math.max(1, maxInFlight / 2)
+                && !unresponsiveQueue.isEmpty()) {
+            request(unresponsiveQueue.pollFirst(), true);
         }
     }
 
-    private void request(QueuedCommand command, boolean wasSilent) {
+    private void request(QueuedCommand command, boolean wasUnresponsive) {
         inFlight++;
-        silentInFlight += wasSilent ? 1 : 0;
+        unresponsiveInFlight += wasUnresponsive ? 1 : 0;
         SendDirectCommand send = command.send;
         transport.request(
                 send.address(),
@@ -93,25 +94,26 @@
                 encode(send),
                 TIMEOUT_MICROS,
                 (status, body) -> {
-                    onCompleted(send.address(), wasSilent, status);
+                    onCompleted(send.address(), wasUnresponsive, status);
                     command.callback.onCompleted(resultOf(send, status, body));
                 });
     }
 
-    private void onCompleted(String address, boolean wasSilent, int status) {
+    private void onCompleted(String address, boolean wasUnresponsive, int status) {
         inFlight--;
-        silentInFlight -= wasSilent ? 1 : 0;
+        unresponsiveInFlight -= wasUnresponsive ? 1 : 0;
         if (status != HttpTransport.NO_RESPONSE) {
-            silentAddresses.remove(address);
-        } else if (silentAddresses.add(address) && silentAddresses.size() > MAX_SILENT_ADDRESSES) {
-            silentAddresses.remove(silentAddresses.iterator().next());
+            unresponsiveAddresses.remove(address);
+        } else if (unresponsiveAddresses.add(address)
+                && unresponsiveAddresses.size() > MAX_UNRESPONSIVE_ADDRESSES) {
+            unresponsiveAddresses.remove(unresponsiveAddresses.iterator().next());
         }
         sendQueued();
     }
 
     /**
-     * An address may have passed to another machine: without a heartbeat of the right one nothing
-     * is known of the command.
+     * The address may meanwhile belong to another machine, so an answer counts only if it is a
+     * heartbeat of the machine that the command was for.
      */
     private static DirectCommandCompleted resultOf(
             SendDirectCommand send, int status, byte[] body) {
@@ -124,7 +126,7 @@
                 return result(send, status, heartbeat);
             }
         } catch (MalformedMessageException e) {
-            // As if the answer had not come.
+            // Handled like a missing response.
         }
         return result(send, HttpTransport.NO_RESPONSE, null);
     }
@@ -142,7 +144,9 @@
         return Cbor.encode(map);
     }
 
-    /** The commands as the protocol has them, in a body of their own or in a heartbeat's answer. */
+    /**
+     * Encodes commands in the form that both a direct command and the answer to a heartbeat use.
+     */
     public static List<Object> encodeCommands(List<TaskCommand> commands) {
         List<Object> list = new ArrayList<>(commands.size());
         for (TaskCommand command : commands) {
--- a/src/main/java/org/woadloom/cli/JobCommand.java
+++ b/src/main/java/org/woadloom/cli/JobCommand.java
@@ -5,6 +5,7 @@
 import java.net.http.HttpClient;
 import java.net.http.HttpRequest;
 import java.net.http.HttpResponse;
+import java.nio.file.AccessDeniedException;
 import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
@@ -16,7 +17,7 @@
 import org.woadloom.protocol.JobDescription;
 import org.woadloom.protocol.MalformedMessageException;
 
-/** What a user can do with a job from the command line. */
+/** Sends a request about a job to a controller node and prints the answer. */
 final class JobCommand implements Subcommand {
     private static final String DEFAULT_NODE = "127.0.0.1:8080";
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
@@ -24,24 +25,25 @@
     private final String verb;
     private final String arguments;
     private final String description;
-    private final Request request;
+    private final RequestFactory requestFactory;
 
-    private interface Request {
-        HttpRequest.Builder make(String node, String argument) throws Exception;
+    private interface RequestFactory {
+        HttpRequest.Builder create(String node, String argument) throws Exception;
     }
 
-    private JobCommand(String verb, String arguments, String description, Request request) {
+    private JobCommand(
+            String verb, String arguments, String description, RequestFactory requestFactory) {
         this.verb = verb;
         this.arguments = arguments;
         this.description = description;
-        this.request = request;
+        this.requestFactory = requestFactory;
     }
 
     static Subcommand submit() {
         return new JobCommand(
                 "submit",
                 "FILE",
-                "Submits the job that a JSON file describes; repeating it is harmless.",
+                "Submits the job described in a JSON file; submitting it again changes nothing.",
                 (node, file) -> {
                     JobDescription job;
                     try {
@@ -52,6 +54,10 @@
                         throw new UsageException(file + ": no such file");
                     } catch (MalformedMessageException e) {
                         throw new UsageException(file + ": " + e.getMessage());
+                    } catch (AccessDeniedException e) {
+                        throw new IOException(file + ": cannot be read: permission denied", e);
+                    } catch (IOException e) {
+                        throw new IOException(file + ": cannot be read: " + Main.messageOf(e), e);
                     }
                     return post(node, "/v1/jobs", Cbor.encode(job.toMap()));
                 });
@@ -61,16 +67,18 @@
         return new JobCommand(
                 "show",
                 "JOB",
-                "Shows the state of a job, such as j-000412.",
-                (node, jobId) -> HttpRequest.newBuilder(uri(node, "/v1/jobs/" + checked(jobId))));
+                "Shows the state of a job, given its id, such as j-000412.",
+                (node, jobId) ->
+                        HttpRequest.newBuilder(uri(node, "/v1/jobs/" + requireJobId(jobId))));
     }
 
     static Subcommand cancel() {
         return new JobCommand(
                 "cancel",
                 "JOB",
-                "Cancels a job.",
-                (node, jobId) -> post(node, "/v1/jobs/" + checked(jobId) + "/cancel", new byte[0]));
+                "Cancels a job, given its id.",
+                (node, jobId) ->
+                        post(node, "/v1/jobs/" + requireJobId(jobId) + "/cancel", new byte[0]));
     }
 
     private static HttpRequest.Builder post(String node, String path, byte[] body)
@@ -83,13 +91,14 @@
         try {
             return URI.create("http://" + node + path);
         } catch (IllegalArgumentException e) {
-            throw new UsageException("--node: expected an address such as " + DEFAULT_NODE);
+            throw new UsageException(
+                    "--node " + node + ": expected an address such as " + DEFAULT_NODE);
         }
     }
 
-    private static String checked(String jobId) throws UsageException {
+    private static String requireJobId(String jobId) throws UsageException {
         if (!JobDescription.isJobId(jobId)) {
-            throw new UsageException(jobId + ": expected an id such as j-000412");
+            throw new UsageException(jobId + ": expected a job id such as j-000412");
         }
         return jobId;
     }
@@ -118,7 +127,8 @@
                                 .hasArg()
                                 .argName("HOST:PORT")
                                 .desc(
-                                        "a controller node or the load balancer (default "
+                                        "address of a controller node or of the load balancer"
+                                                + " (default: "
                                                 + DEFAULT_NODE
                                                 + ")")
                                 .build());
@@ -127,7 +137,7 @@
     @Override
     public int run(CommandLine line) throws Exception {
         String node = line.getOptionValue("node", DEFAULT_NODE);
-        HttpRequest.Builder builder = request.make(node, line.getArgList().get(0));
+        HttpRequest.Builder builder = requestFactory.create(node, line.getArgList().get(0));
         HttpResponse<byte[]> response;
         try {
             response =
@@ -138,12 +148,24 @@
                                     builder.timeout(TIMEOUT).build(),
                                     HttpResponse.BodyHandlers.ofByteArray());
         } catch (IOException e) {
-            throw new IOException(node + " does not answer: " + e.getClass().getSimpleName());
+            throw new IOException("no answer from node " + node + ": " + Main.messageOf(e), e);
+        }
+        String text;
+        try {
+            text = Cbor.toJson(Cbor.decode(response.body()));
+        } catch (MalformedMessageException e) {
+            throw new IOException(
+                    "unreadable answer from node "
+                            + node
+                            + " (status "
+                            + response.statusCode()
+                            + "): "
+                            + e.getMessage(),
+                    e);
         }
-        String text = Cbor.toJson(Cbor.decode(response.body()));
         if (response.statusCode() / 100 == 2) {
             System.out.println(text);
-            return DONE;
+            return SUCCESS;
         }
         System.err.println("woadloom: " + response.statusCode() + " " + text);
         return FAILED;
--- a/src/main/java/org/woadloom/core/placement/CandidateMachines.java
+++ b/src/main/java/org/woadloom/core/placement/CandidateMachines.java
@@ -43,8 +43,9 @@
     private static final double SCARCE_ZONE_WEIGHT = 300;
 
     /**
-     * The same penalty for jobs that must spread over zones. Larger than one {@link #SPREAD_WEIGHT}
-     * and smaller than two, so that it only moves the odd task to another zone.
+     * Penalty for on-demand machines in a scarce zone, for jobs that must spread over zones. Larger
+     * than one {@link #SPREAD_WEIGHT} and smaller than two, so that the penalty alone gives a
+     * scarce zone only one or two of the job's tasks fewer than another zone.
      */
     private static final double SCARCE_ZONE_SPREAD_WEIGHT = 15;
 
@@ -163,7 +164,10 @@
         return null;
     }
 
-    /** Scores the machine that {@link #next} returned last again, after a task was placed on it. */
+    /**
+     * Recomputes the score of the machine most recently returned by {@link #next}, after a task was
+     * placed on it, and makes the machine a candidate again if another task fits on it.
+     */
     void onPlaced() {
         if (job.description.isService()) {
             replicas.merge(lastReturned.machine, 1, Integer::sum);
--- a/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
+++ b/src/test/java/org/woadloom/core/quota/ClassFairShareTest.java
@@ -35,7 +35,10 @@
         }
     }
 
-    /** Two thirds of the limit are divided evenly: 8 CPUs for each of the two classes. */
+    /**
+     * Two thirds of the team's limit of 24 CPUs are divided evenly, 8 CPUs for each of the two
+     * classes. The remaining 8 CPUs are assigned in queue order.
+     */
     @Test
     void shareIsKeptForWaitingClassOfTeamAtItsLimit() {
         Job service = fixture.jobOfClass("j-1", "web", 40, true);
@@ -95,8 +98,8 @@
     }
 
     /**
-     * Guards against a class that blocks quota for the others although there is no machine for its
-     * jobs, which the limit would allow.
+     * Guards against a job class that keeps quota from the team's other classes although its own
+     * jobs can't use the quota: the limit allows them to start, but there is no machine for them.
      */
     @Test
     void shareUnusedForTooLongGoesToOtherClasses() {
--- a/src/test/java/org/woadloom/knownred/KnownRedCase.java
+++ b/src/test/java/org/woadloom/knownred/KnownRedCase.java
@@ -5,21 +5,21 @@
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
 
-/** One test case for which KNOWN-RED.txt has entries: all but what they list is run as ever. */
+/** Runs one test case that has entries in KNOWN-RED.txt, and ignores the listed failures only. */
 final class KnownRedCase {
-    static final String PASSED_OVER = "known to be red, passed over: ";
-    static final String PASSES = "known to be red, but passes now, take it off: ";
+    static final String FAILURE_IGNORED = "known failure, ignored: ";
+    static final String UNEXPECTED_PASS = "listed in KNOWN-RED.txt but passes, remove the entry: ";
 
     private final List<KnownRedEntry> entries;
     private final Consumer<String> report;
 
     /** The body of a test. */
-    interface Body {
+    interface TestBody {
         void run() throws Throwable;
     }
 
     /**
-     * @param report is told of each entry whether it is still red
+     * @param report receives one line for each entry: whether it still fails or passes now
      */
     KnownRedCase(List<KnownRedEntry> entries, Consumer<String> report) {
         this.entries = entries;
@@ -27,44 +27,44 @@
     }
 
     /**
-     * Runs the case without the seeds that are listed, and then each of those alone.
+     * Runs the case without the listed seeds, then once with each listed seed alone.
      *
-     * @param usual the case as JUnit would run it; it may be run once only
-     * @param again the same, any number of times
-     * @throws Throwable what the case fails with where it is not listed
+     * @param invocation the invocation of the case by JUnit; can be run only once
+     * @param rerun invokes the case directly; can be run any number of times
+     * @throws Throwable a failure that is not listed
      */
-    void run(Body usual, Body again) throws Throwable {
-        Set<Long> seeds =
+    void run(TestBody invocation, TestBody rerun) throws Throwable {
+        Set<Long> listedSeeds =
                 entries.stream()
                         .flatMap(entry -> entry.seed().stream().boxed())
                         .collect(Collectors.toSet());
         boolean isWholeCaseListed = entries.stream().anyMatch(entry -> entry.seed().isEmpty());
         try {
-            KnownRedSeeds.leaveOut(seeds);
-            usual.run();
+            KnownRedSeeds.exclude(listedSeeds);
+            invocation.run();
         } catch (Throwable failure) {
             if (!isWholeCaseListed) {
                 throw failure;
             }
-            entries.forEach(entry -> report.accept(PASSED_OVER + entry.line()));
+            entries.forEach(entry -> report.accept(FAILURE_IGNORED + entry.line()));
             return;
         } finally {
-            KnownRedSeeds.playAll();
+            KnownRedSeeds.runAll();
         }
-        entries.forEach(entry -> checkAlone(entry, again));
+        entries.forEach(entry -> checkEntry(entry, rerun));
     }
 
-    private void checkAlone(KnownRedEntry entry, Body again) {
+    private void checkEntry(KnownRedEntry entry, TestBody rerun) {
         try {
             if (entry.seed().isPresent()) {
-                KnownRedSeeds.playOnly(entry.seed().getAsLong());
-                again.run();
+                KnownRedSeeds.runOnly(entry.seed().getAsLong());
+                rerun.run();
             }
-            report.accept(PASSES + entry.line());
+            report.accept(UNEXPECTED_PASS + entry.line());
         } catch (Throwable failure) {
-            report.accept(PASSED_OVER + entry.line());
+            report.accept(FAILURE_IGNORED + entry.line());
         } finally {
-            KnownRedSeeds.playAll();
+            KnownRedSeeds.runAll();
         }
     }
 }
--- a/src/test/java/org/woadloom/sim/AdmissionInvariant.java
+++ b/src/test/java/org/woadloom/sim/AdmissionInvariant.java
@@ -1,6 +1,9 @@
 package org.woadloom.sim;
 
-/** {@link ProtocolRule#ACCEPTED_UNFIT}: a job that can never run, or lacks a field, is refused. */
+/**
+ * {@link ProtocolRule#ACCEPTED_UNFIT}: a job that can never run or lacks a required field must be
+ * rejected.
+ */
 final class AdmissionInvariant extends Invariant {
     private final ObservedState observed;
 
@@ -10,10 +13,15 @@
 
     @Override
     void onAnswer(UserAnswer answer) {
-        if (answer.isSuccess() && observed.isUnfit(answer.jobId())) {
+        if (answer.isSuccess() && observed.isInvalidJob(answer.jobId())) {
             throw new InvariantViolation(
                     ProtocolRule.ACCEPTED_UNFIT,
-                    answer.request() + " " + answer.jobId() + " " + answer.status());
+                    answer.request()
+                            + " of invalid job "
+                            + answer.jobId()
+                            + " returned "
+                            + answer.status()
+                            + ", expected a rejection");
         }
     }
 }
--- a/src/test/java/org/woadloom/sim/BehaviourDigest.java
+++ b/src/test/java/org/woadloom/sim/BehaviourDigest.java
@@ -9,12 +9,13 @@
 import java.util.HexFormat;
 
 /**
- * A hash over the steps of a simulated day: that of each step goes over its text and the hash of
- * the step before. A mark of six bits for each step tells later where two days part.
+ * A chained hash over the steps of a simulation: each step is hashed together with the hash of the
+ * previous one. Six bits of each hash are kept as a mark, which locates the first step at which two
+ * simulations differ.
  */
 final class BehaviourDigest {
-    private static final int KEPT_HEX_DIGITS = 32;
-    private static final String DIGITS =
+    private static final int HASH_HEX_DIGITS = 32;
+    private static final String MARK_ALPHABET =
             "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
     private final MessageDigest sha = sha256();
@@ -23,12 +24,12 @@
     private final StringBuilder marks = new StringBuilder();
     private byte[] hash = new byte[0];
     private int steps;
-    private String last = "";
+    private String lastStep = "";
     private String difference;
 
     /**
-     * @param expectedMarks the marks of the day that this one is compared with, or null for none
-     * @param dump gets the text of all steps; or null
+     * @param expectedMarks marks of the simulation to compare with, or null
+     * @param dump receives the text of all steps, or null
      */
     BehaviourDigest(String expectedMarks, Writer dump) {
         this.expectedMarks = expectedMarks;
@@ -43,32 +44,32 @@
         }
     }
 
-    /** Takes the text of the next step. */
+    /** Adds the text of the next step. */
     void add(String step) {
         sha.update(hash);
         hash = sha.digest(step.getBytes(StandardCharsets.UTF_8));
-        marks.append(DIGITS.charAt(hash[0] & 63));
+        marks.append(MARK_ALPHABET.charAt(hash[0] & 63));
         steps++;
-        write(step);
+        dumpStep(step);
         if (difference == null
                 && expectedMarks != null
                 && !expectedMarks.startsWith(markOf(steps), steps - 1)) {
             difference =
                     "step "
                             + steps
-                            + " or, by one chance in 64, one shortly before it, is the first that"
-                            + " differs; it is now, with the one before:\n"
-                            + last
+                            + " or, with a probability of 1/64, an earlier one is the first that"
+                            + " differs; the previous and the current step are:\n"
+                            + lastStep
                             + step;
         }
-        last = step;
+        lastStep = step;
     }
 
     private String markOf(int step) {
         return marks.substring(step - 1, step);
     }
 
-    private void write(String step) {
+    private void dumpStep(String step) {
         if (dump != null) {
             try {
                 dump.write(step);
@@ -79,26 +80,26 @@
     }
 
     /**
-     * The first step that differs from those expected, with its text; or what is known of where
-     * that is.
+     * Describes the first step that differs from the expected ones. If all marks are equal, only
+     * the numbers of steps and the last step are known.
      */
     String difference() {
         return difference != null
                 ? difference
-                : "there are "
-                        + steps
-                        + " steps, and "
+                : "expected "
                         + expectedMarks.length()
-                        + " were expected; the last is now:\n"
-                        + last;
+                        + " steps, but there are "
+                        + steps
+                        + "; the last is:\n"
+                        + lastStep;
     }
 
     /** The hash over all steps so far. */
     String hash() {
-        return HexFormat.of().formatHex(hash).substring(0, KEPT_HEX_DIGITS);
+        return HexFormat.of().formatHex(hash).substring(0, HASH_HEX_DIGITS);
     }
 
-    /** One character for each step. */
+    /** The marks of all steps so far, one character each. */
     String marks() {
         return marks.toString();
     }
--- a/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
+++ b/src/test/java/org/woadloom/sim/CancellationWatermarkScenariosTest.java
@@ -12,131 +12,146 @@
 import org.woadloom.sim.Scenario.Flaw;
 
 /**
- * The state service refuses the leader alone, others confirm cancellations, and then it is down for
- * all for longer than a cancelled task may stay, while workers go on reporting to that leader.
- * {@link InvariantChecker} checks {@code ran_cancelled}.
+ * The store rejects the leader alone, other nodes confirm cancellations, and then the store is down
+ * for all nodes for longer than a cancelled task may run, while agents keep reporting to that
+ * leader. The leader must learn of the cancellations from watermark reports or stop renewing
+ * leases; {@link InvariantChecker} checks {@code ran_cancelled}.
  */
 @ExtendWith(PrintReplayCommand.class)
 class CancellationWatermarkScenariosTest {
-    private static final long AT = 60_000_000;
-    private static final long REFUSED = 2_500_000;
-    private static final long DOWN = 64_000_000;
-    private static final long QUIET = 200_000_000;
+    private static final long FAULTS_START = 60_000_000;
+    private static final long REJECTION_MICROS = 2_500_000;
+    private static final long OUTAGE_MICROS = 64_000_000;
+    private static final long RUN_END = 200_000_000;
 
-    /** What else is lost in the gap. */
-    enum Lost {
+    /** What else is lost between the rejection of the leader and the outage. */
+    enum AdditionalLoss {
         NOTHING,
-        HINTS,
-        PEERS_UNTIL_THE_OUTAGE,
-        PEERS_UNTIL_IN_THE_OUTAGE,
-        PEERS_THROUGHOUT,
-        DIRECTS
+        /** Peers' notifications of changed jobs. */
+        NOTIFICATIONS,
+        PEER_LINKS_UNTIL_OUTAGE,
+        PEER_LINKS_INTO_OUTAGE,
+        PEER_LINKS_THROUGHOUT,
+        /** Commands that nodes send straight to agents. */
+        DIRECT_COMMANDS
     }
 
-    private static ClusterSimulation day(long seed, Flaw flaw) {
+    private static ClusterSimulation startCluster(long seed, Flaw flaw) {
         ClusterSimulation cluster =
                 new ClusterSimulation(
-                        seed, new Scenario(Scenario.LONG, Scenario.LONG, Version.NOW, flaw, 0));
-        cluster.trouble = 0;
-        cluster.servicesStay = true;
-        cluster.users.submitUntil(AT);
-        cluster.run(AT);
+                        seed,
+                        new Scenario(
+                                Scenario.LONG_TIMES,
+                                Scenario.LONG_TIMES,
+                                Version.CURRENT,
+                                flaw,
+                                0));
+        cluster.networkFaultPerMille = 0;
+        cluster.noRandomCancellations = true;
+        cluster.users.submitUntil(FAULTS_START);
+        cluster.run(FAULTS_START);
         return cluster;
     }
 
-    private static void lose(ClusterSimulation cluster, Lost lost) {
-        switch (lost) {
+    private static void inject(ClusterSimulation cluster, AdditionalLoss loss) {
+        switch (loss) {
             case NOTHING -> {}
-            case HINTS -> cluster.hintsLost = true;
-            case DIRECTS -> cluster.directsLost = true;
-            case PEERS_UNTIL_THE_OUTAGE -> cluster.refusePeers(REFUSED);
-            case PEERS_UNTIL_IN_THE_OUTAGE -> cluster.refusePeers(REFUSED + 6_000_000);
-            case PEERS_THROUGHOUT -> cluster.refusePeers(REFUSED + DOWN);
+            case NOTIFICATIONS -> cluster.changeNotificationsLost = true;
+            case DIRECT_COMMANDS -> cluster.directCommandsLost = true;
+            case PEER_LINKS_UNTIL_OUTAGE -> cluster.refusePeers(REJECTION_MICROS);
+            case PEER_LINKS_INTO_OUTAGE -> cluster.refusePeers(REJECTION_MICROS + 6_000_000);
+            case PEER_LINKS_THROUGHOUT -> cluster.refusePeers(REJECTION_MICROS + OUTAGE_MICROS);
         }
     }
 
-    /** The refusal begins, users cancel everything, and the outage comes. */
-    private static void refusedThenDown(ClusterSimulation cluster, long cancelAfterMicros) {
-        cluster.refuseState(cluster.leader(), 14_000_000);
+    /** The store starts to reject the leader, users cancel all jobs, and the outage follows. */
+    private static void rejectLeaderThenFailStore(
+            ClusterSimulation cluster, long cancelAfterMicros) {
+        cluster.refuseNodeAtStore(cluster.leader(), 14_000_000);
         cluster.loop.after(cancelAfterMicros, cluster.users::cancelAll);
-        cluster.loop.after(REFUSED, () -> cluster.stateOutage(DOWN));
+        cluster.loop.after(REJECTION_MICROS, () -> cluster.storeOutage(OUTAGE_MICROS));
     }
 
-    private static int confirmedBehindItsBack(Lost lost, long seed, Flaw flaw) {
-        ClusterSimulation cluster = day(seed, flaw);
-        lose(cluster, lost);
-        refusedThenDown(cluster, 300_000);
-        cluster.run(AT + REFUSED);
+    private static int countConfirmedBeforeOutage(AdditionalLoss loss, long seed, Flaw flaw) {
+        ClusterSimulation cluster = startCluster(seed, flaw);
+        inject(cluster, loss);
+        rejectLeaderThenFailStore(cluster, 300_000);
+        cluster.run(FAULTS_START + REJECTION_MICROS);
         int confirmed = cluster.observed.cancelledWhileRunning;
-        cluster.run(QUIET);
+        cluster.run(RUN_END);
         return confirmed;
     }
 
     @ParameterizedTest
     @EnumSource
-    void tasksAreGoneInTimeWhateverElseIsLost(Lost lost) {
+    void cancelledTasksStopInTimeWhateverElseIsLost(AdditionalLoss loss) {
         int confirmed = 0;
         for (long seed : Seeds.first(3)) {
-            confirmed += confirmedBehindItsBack(lost, seed, Flaw.NONE);
+            confirmed += countConfirmedBeforeOutage(loss, seed, Flaw.NONE);
         }
-        if (lost == Lost.NOTHING || lost == Lost.HINTS || lost == Lost.DIRECTS) {
-            assertTrue(confirmed > 3, "only " + confirmed + " confirmed in the gap");
+        if (loss == AdditionalLoss.NOTHING
+                || loss == AdditionalLoss.NOTIFICATIONS
+                || loss == AdditionalLoss.DIRECT_COMMANDS) {
+            assertTrue(confirmed > 3, "only " + confirmed + " confirmed before the outage");
         }
     }
 
     /**
-     * The leader learns of every cancellation from the others: nothing is rested, and no other work
-     * is lost.
+     * The leader learns of every cancellation from the other nodes, so it keeps renewing leases and
+     * no other task is killed.
      */
     @Test
-    void whatRunsOnIsNotTouchedWhereTheNodesReachEachOther() {
+    void noTaskIsKilledByLeaseInStoreOutageIfNodesReachEachOther() {
         int confirmed = 0;
         int kept = 0;
         for (long seed : Seeds.first(4)) {
-            ClusterSimulation cluster = day(seed, Flaw.NONE);
-            cluster.hintsLost = true;
-            cluster.refuseState(cluster.leader(), 14_000_000);
+            ClusterSimulation cluster = startCluster(seed, Flaw.NONE);
+            cluster.changeNotificationsLost = true;
+            cluster.refuseNodeAtStore(cluster.leader(), 14_000_000);
             cluster.loop.after(
                     300_000,
                     () ->
                             cluster.observed.runningJobs().stream()
                                     .limit(6)
                                     .forEach(cluster.users::cancel));
-            cluster.loop.after(REFUSED, () -> cluster.stateOutage(DOWN));
-            cluster.run(AT + REFUSED);
+            cluster.loop.after(REJECTION_MICROS, () -> cluster.storeOutage(OUTAGE_MICROS));
+            cluster.run(FAULTS_START + REJECTION_MICROS);
             confirmed += cluster.observed.cancelledWhileRunning;
             kept += cluster.observed.runningJobs().size();
             int before = cluster.observed.killedByLease;
-            cluster.run(AT + REFUSED + DOWN);
+            cluster.run(FAULTS_START + REJECTION_MICROS + OUTAGE_MICROS);
             assertEquals(before, cluster.observed.killedByLease, "tasks killed, seed " + seed);
-            cluster.run(QUIET);
+            cluster.run(RUN_END);
         }
-        assertTrue(confirmed > 3, "only " + confirmed + " confirmed in the gap");
+        assertTrue(confirmed > 3, "only " + confirmed + " confirmed before the outage");
         assertTrue(kept > 12, "only " + kept + " jobs ran on");
     }
 
-    /** An outage that ends for all but the leader, cancellations, and a second outage. */
+    /**
+     * An outage ends for all nodes but the leader, users cancel all jobs, and a second outage
+     * follows.
+     */
     @Test
-    void anOutageThatEndsForAllButTheLeader() {
+    void cancelledTasksStopInTimeWhenOutageEndsForAllButLeader() {
         int confirmed = 0;
         for (long seed : Seeds.first(4)) {
-            ClusterSimulation cluster = day(seed, Flaw.NONE);
-            cluster.hintsLost = true;
+            ClusterSimulation cluster = startCluster(seed, Flaw.NONE);
+            cluster.changeNotificationsLost = true;
             int leader = cluster.leader();
-            cluster.stateOutage(20_000_000);
-            cluster.loop.after(18_000_000, () -> cluster.refuseState(leader, 90_000_000));
+            cluster.storeOutage(20_000_000);
+            cluster.loop.after(18_000_000, () -> cluster.refuseNodeAtStore(leader, 90_000_000));
             cluster.loop.after(20_200_000, cluster.users::cancelAll);
-            cluster.loop.after(23_000_000, () -> cluster.stateOutage(DOWN));
-            cluster.run(AT + 23_000_000);
+            cluster.loop.after(23_000_000, () -> cluster.storeOutage(OUTAGE_MICROS));
+            cluster.run(FAULTS_START + 23_000_000);
             confirmed += cluster.observed.cancelledWhileRunning;
-            cluster.run(QUIET);
+            cluster.run(RUN_END);
         }
-        assertTrue(confirmed > 3, "only " + confirmed + " confirmed in the gap");
+        assertTrue(confirmed > 3, "only " + confirmed + " confirmed before the outage");
     }
 
     /**
-     * The process that confirmed ends at any step after that, and comes back without memory, soon,
-     * late or after the outage.
+     * The nodes that confirmed the cancellations end at various points after that, and restart
+     * without their in-memory state soon, late or after the outage.
      */
     @ParameterizedTest
     @CsvSource({
@@ -150,89 +165,105 @@
         "9000, 300",
         "9000, 20000"
     })
-    void theConfirmingNodeEnds(long endsMillis, long awayMillis) {
+    void cancelledTasksStopInTimeWhenConfirmingNodesRestart(long endMillis, long downMillis) {
         for (long seed : Seeds.first(2)) {
-            ClusterSimulation cluster = day(seed, Flaw.NONE);
-            cluster.hintsLost = true;
+            ClusterSimulation cluster = startCluster(seed, Flaw.NONE);
+            cluster.changeNotificationsLost = true;
             int leader = cluster.leader();
-            refusedThenDown(cluster, 300_000);
+            rejectLeaderThenFailStore(cluster, 300_000);
             for (int node = 0; node < ClusterSimulation.NODES; node++) {
                 if (node != leader) {
                     int ending = node;
                     cluster.loop.after(
-                            endsMillis * 1000, () -> cluster.end(ending, awayMillis * 1000));
+                            endMillis * 1000,
+                            () -> cluster.restartAfter(ending, downMillis * 1000));
                 }
             }
-            cluster.run(QUIET);
+            cluster.run(RUN_END);
         }
     }
 
     /**
-     * The leader can't write that jobs after a cancelled one are cancelled with it until the outage
-     * is over, which is later than their users may be told that they wait ({@code orphaned}).
+     * Until the outage is over the leader can't record that the dependents of a cancelled job are
+     * cancelled too. That is later than their users may be told that these jobs are queued ({@code
+     * orphaned}).
      */
     @Test
-    void jobsThatWaitForACancelledOneAreNotCalledQueuedForLonger() {
+    void dependentsOfCancelledJobAreNotReportedQueuedDuringOutage() {
         int polled = 0;
         for (long seed : Seeds.first(6)) {
             ClusterSimulation cluster =
                     new ClusterSimulation(
                             seed,
-                            new Scenario(Scenario.LONG, Scenario.LONG, Version.NOW, Flaw.NONE, 0));
-            cluster.trouble = 0;
-            cluster.servicesStay = true;
-            cluster.users.submitUntil(AT);
+                            new Scenario(
+                                    Scenario.LONG_TIMES,
+                                    Scenario.LONG_TIMES,
+                                    Version.CURRENT,
+                                    Flaw.NONE,
+                                    0));
+            cluster.networkFaultPerMille = 0;
+            cluster.noRandomCancellations = true;
+            cluster.users.submitUntil(FAULTS_START);
             for (int chain = 0; chain < 3; chain++) {
-                cluster.users.submitPipelinesUntil(AT);
+                cluster.users.submitPipelinesUntil(FAULTS_START);
             }
-            cluster.run(AT);
-            refusedThenDown(cluster, 300_000);
-            cluster.run(AT + REFUSED);
-            polled += cluster.observed.waitingForCancelled();
-            cluster.run(QUIET);
+            cluster.run(FAULTS_START);
+            rejectLeaderThenFailStore(cluster, 300_000);
+            cluster.run(FAULTS_START + REJECTION_MICROS);
+            polled += cluster.observed.openJobsWithCancelledDependency();
+            cluster.run(RUN_END);
         }
         assertTrue(polled > 3, "only " + polled + " jobs waited for a cancelled one");
     }
 
-    /** Twice in a row, and the leader has changed meanwhile or not. */
+    /**
+     * The store rejects the leader and fails twice in a row; the leader may have changed in
+     * between.
+     */
     @Test
-    void aSecondGapFollows() {
+    void cancelledTasksStopInTimeAcrossTwoStoreOutages() {
         for (long seed : Seeds.first(3)) {
-            ClusterSimulation cluster = day(seed, Flaw.NONE);
-            cluster.gap(2_000_000, DOWN);
-            cluster.users.submitUntil(AT + 150_000_000);
-            cluster.loop.after(87_000_000, () -> cluster.gap(1_500_000, DOWN));
-            cluster.run(AT + 300_000_000);
+            ClusterSimulation cluster = startCluster(seed, Flaw.NONE);
+            cluster.refuseLeaderThenStoreOutage(2_000_000, OUTAGE_MICROS);
+            cluster.users.submitUntil(FAULTS_START + 150_000_000);
+            cluster.loop.after(
+                    87_000_000,
+                    () -> cluster.refuseLeaderThenStoreOutage(1_500_000, OUTAGE_MICROS));
+            cluster.run(FAULTS_START + 300_000_000);
         }
     }
 
     /**
-     * A new leader is elected within the gap, and the one before goes on being asked by those that
-     * it still reaches.
+     * A new leader is elected before the outage while the former leader still serves the agents
+     * that reach it.
      */
     @Test
-    void aNewLeaderIsElectedWithinTheGap() {
+    void cancelledTasksStopInTimeWhenLeaderChangesBeforeOutage() {
         for (long seed : Seeds.first(4)) {
-            ClusterSimulation cluster = day(seed, Flaw.NONE);
+            ClusterSimulation cluster = startCluster(seed, Flaw.NONE);
             cluster.refusePeers(40_000_000);
-            cluster.refuseState(cluster.leader(), 100_000_000);
+            cluster.refuseNodeAtStore(cluster.leader(), 100_000_000);
             cluster.loop.after(6_000_000, cluster.users::cancelAll);
-            cluster.loop.after(8_000_000, () -> cluster.stateOutage(DOWN));
-            cluster.run(QUIET);
+            cluster.loop.after(8_000_000, () -> cluster.storeOutage(OUTAGE_MICROS));
+            cluster.run(RUN_END);
         }
     }
 
     /**
-     * The checker must be able to fail: nodes that name nothing leave the leader without knowledge.
+     * The checker must detect nodes that report no cancellations, so that the leader does not learn
+     * of any.
      */
     @Test
-    void nodesThatVouchForAnythingAreCaught() {
+    void checkerDetectsNodesThatReportNoCancellations() {
         InvariantViolation caught =
                 assertThrows(
                         InvariantViolation.class,
                         () -> {
                             for (long seed : Seeds.first(6)) {
-                                confirmedBehindItsBack(Lost.HINTS, seed, Flaw.VOUCHES_FOR_ANYTHING);
+                                countConfirmedBeforeOutage(
+                                        AdditionalLoss.NOTIFICATIONS,
+                                        seed,
+                                        Flaw.CONFIRMS_UNNAMED_CANCELLATIONS);
                             }
                         });
         assertTrue(caught.getMessage().contains("ran_cancelled"), caught.getMessage());
--- a/src/test/java/org/woadloom/sim/ClusterSimulation.java
+++ b/src/test/java/org/woadloom/sim/ClusterSimulation.java
@@ -25,8 +25,8 @@
 import org.woadloom.settings.Team;
 
 /**
- * A whole deployment in virtual time: three nodes of the real program between stand-ins, on a
- * network with faults.
+ * A whole deployment in virtual time: three production nodes with a simulated store, cloud, agents
+ * and users, connected by a network with faults.
  */
 final class ClusterSimulation {
     static final int NODES = 3;
@@ -35,125 +35,119 @@
     final Random random;
 
     /**
-     * Of the troubles that are off unless asked for: a run without them draws the same from {@link
-     * #random} as ever.
+     * Random numbers of the faults that are off by default. They do not come from {@link #random},
+     * so that adding such a fault does not change runs without it.
      */
-    private final Random more;
+    private final Random faultRandom;
 
-    private final UserFaults userTroubles;
-    private final StoreFaults stateTroubles;
-    private final DelayedHeartbeats keptReports;
+    private final UserFaults userFaults;
+    private final StoreFaults storeFaults;
+    private final DelayedHeartbeats delayedHeartbeats;
     final ServiceSettings settings;
     final ObservedState observed;
     final InvariantChecker invariants;
-    private final SimulatedStore state;
+    private final SimulatedStore store;
     private final SimulatedCloud cloud;
     private final Member[] members = new Member[NODES];
     final Scenario scenario;
     final SimulatedUsers users;
     final RandomFaults randomFaults;
 
-    /**
-     * Two zones that can't reach each other, or none; the state service and the cloud belong to
-     * neither.
-     */
-    private List<String> cut = List.of();
+    /** Two zones that can't reach each other, or none. Both can reach the store and the cloud. */
+    private List<String> partitionedZones = List.of();
 
     /**
-     * The zone that is cut off from everything else, the state service, the cloud and the users
-     * among it; or null.
+     * The zone that is cut off from everything else, including the store, the cloud and the users;
+     * or null.
      */
-    private String island;
+    private String isolatedZone;
 
-    /** While set, no node takes connections from another. */
-    private boolean peersRefused;
+    /** While set, nodes refuse connections from their peers. */
+    private boolean peerConnectionsRefused;
 
-    /** The node that the state service refuses, or -1. */
-    private int refusedByState = -1;
+    /** The node whose requests the store rejects, or -1. */
+    private int nodeRefusedByStore = -1;
 
-    /** A second one. */
-    private int alsoRefused = -1;
+    /** A second node whose requests the store rejects, or -1. */
+    private int secondNodeRefusedByStore = -1;
 
-    /** Nobody is told by a peer which jobs it has just changed. */
-    boolean hintsLost;
+    /** While set, notifications between peers about changed jobs get lost. */
+    boolean changeNotificationsLost;
 
     /**
-     * How many of a hundred transactions get no answer and are carried out 2 to 12 s later, after
-     * newer ones.
+     * Percentage of transactions that get no answer and are executed 2 to 12 s later, after newer
+     * ones.
      */
-    int lateWrites;
+    int lateWritePercent;
 
-    /** How many of those changed something, and how many were void by then. */
-    final int[] lateWritesMade = {0, 0};
+    /** Late transactions: [0] those that succeeded, [1] those that failed. */
+    final int[] lateWriteOutcomes = {0, 0};
 
-    /** Copies of reports that came again. */
-    int oldCopies;
+    /** Number of duplicated heartbeats that reached a node. */
+    int duplicateHeartbeatsDelivered;
 
-    /** Commands that were executed when the machine went on, or could be reached again. */
-    int heldCommands;
+    /** Direct commands executed late, when the agent resumed or was reachable again. */
+    int delayedCommandsExecuted;
 
-    /** What nodes send straight to workers gets lost. */
-    boolean directsLost;
+    /** While set, direct commands from nodes to agents get lost. */
+    boolean directCommandsLost;
 
-    /** Services run for ever, and nobody cancels anything. */
-    boolean servicesStay;
+    /** While set, newly submitted jobs are not cancelled at random. */
+    boolean noRandomCancellations;
 
-    /** The node that no worker can reach and that reaches none, or -1. */
-    private int cutFromWorkers = -1;
+    /** The node that is cut off from all agents, or -1. */
+    private int nodeCutFromAgents = -1;
 
-    /**
-     * The node that has lost the state service and the other nodes, but neither its workers nor
-     * users, or -1.
-     */
-    private int isolated = -1;
+    /** The node that can reach agents and users, but neither the store nor its peers, or -1. */
+    private int isolatedNode = -1;
 
-    /** How many of a hundred reports come again, up to a minute later, at any node. */
-    int copies;
+    /** Percentage of heartbeats that arrive again, up to a minute later, at a random node. */
+    int duplicateHeartbeatPercent;
 
-    /** How many of a thousand requests are held back, or lose their answer. */
-    int trouble = 4;
+    /** Per mille of requests that are delayed by 2 to 42 s, and of those that lose their answer. */
+    int networkFaultPerMille = 4;
 
-    /** By how much a node's time of day is off. */
-    final long[] clockOff = new long[NODES];
+    /** Offset of each node's wall clock. */
+    final long[] clockOffsetMicros = new long[NODES];
 
-    /** Nodes whose settings name one more than there is. */
-    final boolean[] namesOneMore = new boolean[NODES];
+    /** Nodes whose settings name a peer that does not exist. */
+    final boolean[] hasExtraPeer = new boolean[NODES];
 
-    /** Nodes that told the leader that they took care of workers. */
-    final boolean[] tookCare = new boolean[NODES];
+    /** Nodes that reported to a peer that they renewed leases of agents. */
+    final boolean[] renewedLeases = new boolean[NODES];
 
-    /** Answers after which users looked closely. */
-    int closeLooks;
+    /** Number of answers that were followed by a burst of polls. */
+    int pollBursts;
 
-    int oddRequestsMade;
-    int cancelledAtEnd;
-    int oneTaskJobsMade;
+    int unusualRequestsSent;
+    int jobsCancelledAtEnd;
+    int oneTaskJobsSubmitted;
     int oneTaskJobsCancelled;
 
-    /** Transactions that were carried out and whose answer was lost. */
-    int lostAnswersMade;
+    /** Number of transactions that succeeded but whose answer was lost. */
+    int storeAnswersLost;
 
-    /** Those after which another node read jobs before the one that wrote had given up. */
-    int lostAnswersReadElsewhere;
+    /** Of these, those after which another node read jobs before the writer timed out. */
+    int lostAnswersFollowedByPeerRead;
 
-    /** Copies that came to a node after the term had changed. */
-    int keptCopies;
+    /** Copies of heartbeats that reached a node after the leader had changed. */
+    int delayedHeartbeatsDelivered;
 
-    /** Machines that were up within two seconds. */
-    int quickBoots;
+    /** Number of machines that booted within two seconds. */
+    int fastBoots;
 
     int leadersEndedInOutages;
 
-    /** The service is broken at its store from this moment on. */
-    long brokenFrom;
+    /** Flaws at the store take effect from this time on. */
+    long flawActiveFromMicros;
 
-    /** Is shown each step of each node. */
+    /** Called after each scheduler step of each node. */
     NodeStepObserver stepObserver = (node, now, commands, actions) -> {};
 
     private long slowLinksMicros;
-    private long slowLinksUntil;
+    private long slowLinksUntilMicros;
 
-    /** Is shown each step of the nodes' cores. */
+    /** Observes the scheduler steps of the nodes. */
     interface NodeStepObserver {
         void onStep(
                 int node,
@@ -162,17 +156,17 @@
                 List<SchedulerAction> actions);
     }
 
-    /** One node and the life of its process. */
+    /** A node and the state of its process. */
     private final class Member {
         final int index;
         boolean alive;
 
-        /** What the process is a stand-in for. */
+        /** The software version that the process simulates. */
         Version version;
 
-        int life;
+        int generation;
 
-        /** The process stands still until then: whatever comes to it waits. */
+        /** The process is paused until then; tasks and messages for it wait. */
         long frozenUntil;
 
         Node node;
@@ -183,7 +177,7 @@
         }
 
         void start() {
-            int mine = ++life;
+            int mine = ++generation;
             alive = true;
             frozenUntil = 0;
             NodeLoop nodeLoop = new NodeLoop(this, mine);
@@ -192,11 +186,15 @@
                     new Node(
                             nodeLoop,
                             (address, method, path, body, timeout, callback) ->
-                                    fromNode(
+                                    sendFromNode(
                                             this, mine, address, method, path, body, timeout,
                                             callback),
                             peers,
-                            settingsOf(index, scenario, scenario.told(), namesOneMore[index]),
+                            settingsOf(
+                                    index,
+                                    scenario,
+                                    scenario.configuredTimes(),
+                                    hasExtraPeer[index]),
                             OperatorSettings.defaults(),
                             new Random(random.nextLong()),
                             (now, commands, actions) ->
@@ -206,14 +204,14 @@
 
         void kill() {
             alive = false;
-            life++;
+            generation++;
         }
 
         boolean lives(int mine) {
-            return alive && life == mine;
+            return alive && generation == mine;
         }
 
-        /** Does it once the process goes on, if that is there still. */
+        /** Runs the task when the process is not paused, unless the process has ended by then. */
         void whenAwake(int mine, Runnable task) {
             if (lives(mine) && loop.now() < frozenUntil) {
                 loop.at(frozenUntil, () -> whenAwake(mine, task));
@@ -242,7 +240,7 @@
             return 1_700_000_000_000_000L
                     + loop.now()
                     + member.index * 50_000L
-                    + clockOff[member.index];
+                    + clockOffsetMicros[member.index];
         }
 
         @Override
@@ -297,21 +295,21 @@
                 if (other == null || other == member) {
                     continue;
                 }
-                if (apart(zoneOf(other.index), zoneOf(member.index))) {
+                if (areZonesSeparated(zoneOf(other.index), zoneOf(member.index))) {
                     if (connected[other.index]) {
                         connected[other.index] = false;
                         listener.onConnectionLost(label(other.index), false);
                     }
                     continue;
                 }
-                if (isolated == member.index || isolated == other.index) {
+                if (isolatedNode == member.index || isolatedNode == other.index) {
                     if (connected[other.index]) {
                         connected[other.index] = false;
                         listener.onConnectionLost(label(other.index), false);
                     }
                     continue;
                 }
-                if (peersRefused) {
+                if (peerConnectionsRefused) {
                     boolean was = connected[other.index];
                     connected[other.index] = false;
                     listener.onConnectionLost(label(other.index), !was);
@@ -335,26 +333,26 @@
             if (other == null
                     || !other.alive
                     || !connected[other.index]
-                    || random.nextInt(1000) < trouble) {
+                    || random.nextInt(1000) < networkFaultPerMille) {
                 return;
             }
             if (message instanceof PeerMessage.StatusReport stands) {
-                tookCare[member.index] |= stands.status().sinceLastRenewalMicros() >= 0;
+                renewedLeases[member.index] |= stands.status().sinceLastRenewalMicros() >= 0;
             }
-            if (message instanceof PeerMessage.JobChangeNotification && hintsLost) {
+            if (message instanceof PeerMessage.JobChangeNotification && changeNotificationsLost) {
                 return;
             }
             if ((message instanceof PeerMessage.CancellationReport
                             || message instanceof PeerMessage.CancellationReportAck)
-                    && (member.version != Version.NOW || other.version != Version.NOW)) {
+                    && (member.version != Version.CURRENT || other.version != Version.CURRENT)) {
                 // An earlier version can't read it.
                 return;
             }
             PeerMessage sent =
-                    scenario.flaw() == Scenario.Flaw.PROMISES_TOO_MUCH
-                            ? withPromise(message)
+                    scenario.flaw() == Scenario.Flaw.BREAKS_NO_RENEWAL_PROMISE
+                            ? withNoRenewalPromise(message)
                             : message;
-            if (scenario.flaw() == Scenario.Flaw.VOUCHES_FOR_ANYTHING
+            if (scenario.flaw() == Scenario.Flaw.CONFIRMS_UNNAMED_CANCELLATIONS
                     && message instanceof PeerMessage.CancellationReport vouched) {
                 WatermarkReport v = vouched.report();
                 sent =
@@ -369,21 +367,23 @@
                                         List.of()));
             }
             if (message instanceof PeerMessage.Ping ping
-                    && (member.version != Version.NOW || other.version != Version.NOW)) {
+                    && (member.version != Version.CURRENT || other.version != Version.CURRENT)) {
                 sent = new PeerMessage.Ping(ping.term(), ping.leader(), null);
             }
-            if (other.version == Version.PRODUCTION
+            if (other.version == Version.VERSION_1
                     && message instanceof PeerMessage.JobChangeNotification hint) {
                 sent =
                         new PeerMessage.JobChangeNotification(
-                                Cbor.encode(ProductionFilter.record(decode(hint.record()))),
+                                Cbor.encode(ProductionFilter.readRecord(decode(hint.record()))),
                                 hint.revision());
             }
             byte[] frame = codec.encode(sent);
             byte[] content = java.util.Arrays.copyOfRange(frame, 4, frame.length);
-            int life = other.life;
+            int life = other.generation;
             loop.after(
-                    random.nextInt(1000) < trouble ? random.nextInt(40_000_000) : delay(),
+                    random.nextInt(1000) < networkFaultPerMille
+                            ? random.nextInt(40_000_000)
+                            : delay(),
                     () ->
                             other.whenAwake(
                                     life,
@@ -403,20 +403,20 @@
     ClusterSimulation(long seed, Scenario scenario) {
         PrintReplayCommand.onSimulation(seed);
         random = new Random(seed);
-        more = new Random(~seed);
+        faultRandom = new Random(~seed);
         this.scenario = scenario;
-        settings = settingsOf(0, scenario, scenario.real(), false);
+        settings = settingsOf(0, scenario, scenario.actualTimes(), false);
         observed = new ObservedState(loop, settings);
-        userTroubles = new UserFaults(this, more);
-        users = new SimulatedUsers(this, random, userTroubles);
+        userFaults = new UserFaults(this, faultRandom);
+        users = new SimulatedUsers(this, random, userFaults);
         randomFaults = new RandomFaults(this, random);
-        invariants = new InvariantChecker(loop, settings, observed, userTroubles::lastTaskEnded);
-        stateTroubles = new StoreFaults(this, more);
-        keptReports = new DelayedHeartbeats(this, more);
-        state = new SimulatedStore(loop, settings.store());
-        cloud = new SimulatedCloud(this, more);
-        if (scenario.flaw() == Scenario.Flaw.AGREED_TOO_EARLY) {
-            state.handle(
+        invariants = new InvariantChecker(loop, settings, observed, userFaults::onLastTaskDone);
+        storeFaults = new StoreFaults(this, faultRandom);
+        delayedHeartbeats = new DelayedHeartbeats(this, faultRandom);
+        store = new SimulatedStore(loop, settings.store());
+        cloud = new SimulatedCloud(this, faultRandom);
+        if (scenario.flaw() == Scenario.Flaw.ASSUMES_UPGRADE_COMPLETE) {
+            store.handle(
                     "POST",
                     "/txn",
                     Map.of(
@@ -433,27 +433,27 @@
         }
         for (int i = 0; i < NODES; i++) {
             members[i] = new Member(i);
-            members[i].version = scenario.from();
+            members[i].version = scenario.initialVersion();
         }
         for (Member member : members) {
             loop.after(random.nextInt(500_000), member::start);
         }
         agreeAsVersion3();
-        lookForWaiting();
+        scheduleProgressChecks();
     }
 
-    private void lookForWaiting() {
+    private void scheduleProgressChecks() {
         loop.after(
                 2_000_000,
                 () -> {
                     invariants.checkProgress(cloud.machines.values());
-                    lookForWaiting();
+                    scheduleProgressChecks();
                 });
     }
 
     /**
-     * Any node of version 3 writes the agreement once all nodes have said, at any time, that they
-     * run it.
+     * Writes the agreed version as a node of version 3 does: once every node has announced its
+     * version, whenever that was.
      */
     private void agreeAsVersion3() {
         loop.after(
@@ -462,11 +462,11 @@
                     boolean all = true;
                     boolean any = false;
                     for (Member member : members) {
-                        all &= state.value("version/node/" + label(member.index)) != null;
-                        any |= member.alive && member.version == Version.AGREEING;
+                        all &= store.value("version/node/" + label(member.index)) != null;
+                        any |= member.alive && member.version == Version.VERSION_3;
                     }
-                    if (all && any && !state.down && state.value("version/agreed") == null) {
-                        state.handle(
+                    if (all && any && !store.down && store.value("version/agreed") == null) {
+                        store.handle(
                                 "POST",
                                 "/txn",
                                 Map.of(
@@ -498,13 +498,13 @@
     }
 
     private static List<Team> teams(Scenario scenario) {
-        if (scenario.tight()) {
+        if (scenario.teamsAtQuota()) {
             return List.of(new Team("red", 12, 20, 0, 0), new Team("blue", 8, 12, 0, 0));
         }
         List<Team> teams =
                 new ArrayList<>(
                         List.of(new Team("red", 40, 60, 0, 0), new Team("blue", 24, 30, 0, 0)));
-        for (int i = 0; i < scenario.crowd(); i++) {
+        for (int i = 0; i < scenario.extraTeams(); i++) {
             teams.add(new Team("crowd-" + i, 8, i == 0 ? 60 : 20, 0, 0));
         }
         return teams;
@@ -540,11 +540,12 @@
     }
 
     private long delay() {
-        long slow = loop.now() < slowLinksUntil ? more.nextLong(slowLinksMicros + 1) : 0;
+        long slow =
+                loop.now() < slowLinksUntilMicros ? faultRandom.nextLong(slowLinksMicros + 1) : 0;
         return 200 + random.nextInt(random.nextInt(20) == 0 ? 80_000 : 4_000) + slow;
     }
 
-    private void fromNode(
+    private void sendFromNode(
             Member member,
             int mine,
             String address,
@@ -553,7 +554,7 @@
             byte[] body,
             long timeout,
             HttpTransport.Callback callback) {
-        carry(
+        transmit(
                 timeout,
                 (status, answer) ->
                         member.whenAwake(
@@ -565,20 +566,21 @@
                 reply -> {
                     Map<String, Object> map = decode(body);
                     if (address.equals("state")) {
-                        stateTroubles.meet(
+                        storeFaults.forward(
                                 member.index,
                                 path,
                                 reply,
                                 respond ->
-                                        arrived(member, mine, address, method, path, map, respond));
+                                        deliverFromNode(
+                                                member, mine, address, method, path, map, respond));
                     } else {
-                        arrived(member, mine, address, method, path, map, reply);
+                        deliverFromNode(member, mine, address, method, path, map, reply);
                     }
                 });
     }
 
-    /** What a node sent has come to where it is to be answered. */
-    private void arrived(
+    /** Handles a request of a node when it reaches the store, the cloud or an agent. */
+    private void deliverFromNode(
             Member member,
             int mine,
             String address,
@@ -586,52 +588,52 @@
             String path,
             Map<String, Object> map,
             SimulatedStore.Answer respond) {
-        if (address.equals("state") && broken(path, map, respond)) {
+        if (address.equals("state") && applyStoreFlaw(path, map, respond)) {
             return;
         }
-        if (zoneOf(member.index).equals(island)) {
-            // Held back, and executed when the zone is back.
+        if (zoneOf(member.index).equals(isolatedZone)) {
+            // Delayed until the zone is reachable again.
             loop.after(
                     1_000_000,
-                    () -> fromNodeHeld(member, mine, address, method, path, map, respond));
-        } else if (address.equals("state") && member.index == isolated) {
-            // What was sent is executed when the way is open again.
+                    () -> deliverDelayed(member, mine, address, method, path, map, respond));
+        } else if (address.equals("state") && member.index == isolatedNode) {
+            // Delayed until the node can reach the store again.
             loop.after(
                     1_000_000,
-                    () -> fromNodeHeld(member, mine, address, method, path, map, respond));
-        } else if (address.equals("state") && refused(member)) {
+                    () -> deliverDelayed(member, mine, address, method, path, map, respond));
+        } else if (address.equals("state") && isRefusedByStore(member)) {
             respond.answer(503, Map.of("error", "trouble"));
-        } else if (address.equals("state") && member.version != Version.NOW) {
-            toStateAsOld(member, mine, method, path, map, respond);
+        } else if (address.equals("state") && member.version != Version.CURRENT) {
+            sendToStoreAsEarlierVersion(member, mine, method, path, map, respond);
         } else if (address.equals("state")) {
-            if (path.equals("/txn") && random.nextInt(100) < lateWrites) {
-                loop.after(
-                        2_000_000 + random.nextInt(10_000_000), () -> carriedOutLate(member, map));
+            if (path.equals("/txn") && random.nextInt(100) < lateWritePercent) {
+                loop.after(2_000_000 + random.nextInt(10_000_000), () -> executeLate(member, map));
                 return;
             }
             SimulatedStore.Answer watch =
                     path.startsWith("/follow")
                             ? (status, answer) ->
-                                    unlessRefused(
+                                    answerUnlessRefused(
                                             member,
                                             status,
-                                            scenario.flaw() == Scenario.Flaw.ONE_JOB_REFUSED
+                                            scenario.flaw() == Scenario.Flaw.ONE_JOB_NEVER_READ
                                                     ? withoutOneJob(answer)
                                                     : answer,
                                             respond)
                             : respond;
-            state.handle(
+            store.handle(
                     method,
                     path,
                     map,
-                    scenario.flaw() == Scenario.Flaw.FORGETS_AWAITS
+                    scenario.flaw() == Scenario.Flaw.IGNORES_DEPENDENCIES
                             ? (status, answer) ->
-                                    watch.answer(status, ProductionFilter.withoutAwaits(answer))
+                                    watch.answer(
+                                            status, ProductionFilter.withoutDependencies(answer))
                             : watch);
         } else if (address.equals("cloud")) {
             loop.after(150_000, () -> cloud.handle(method, path, map, respond));
         } else {
-            toWorker(member, address, map, respond);
+            sendToAgent(member, address, map, respond);
         }
     }
 
@@ -662,26 +664,27 @@
         return without;
     }
 
-    /** Where the service is broken on purpose at its store: true if that is what answers. */
-    private boolean broken(String path, Map<String, Object> body, SimulatedStore.Answer respond) {
+    /** Applies a flaw at the store; returns true if it has answered the request. */
+    private boolean applyStoreFlaw(
+            String path, Map<String, Object> body, SimulatedStore.Answer respond) {
         boolean job = path.startsWith("/keys/job/j-");
-        if (loop.now() < brokenFrom) {
+        if (loop.now() < flawActiveFromMicros) {
             return false;
         }
         switch (scenario.flaw()) {
-            case ONE_JOB_REFUSED -> {
+            case ONE_JOB_NEVER_READ -> {
                 if (job && path.endsWith("7")) {
                     respond.answer(503, Map.of("error", "trouble"));
                     return true;
                 }
             }
-            case UNSEEN_RECORDS -> {
+            case MISSES_JOB_RECORDS -> {
                 if (job && random.nextInt(20) == 0) {
                     respond.answer(404, Map.of("generation", 0L));
                     return true;
                 }
             }
-            case OLD_CHANGES -> {
+            case STALE_WATCH_EVENTS -> {
                 if (path.startsWith("/follow?")
                         && path.endsWith("blockMs=0")
                         && random.nextBoolean()) {
@@ -690,7 +693,7 @@
                     return true;
                 }
             }
-            case NO_CONDITIONS -> {
+            case UNCONDITIONAL_WRITES -> {
                 if (path.equals("/txn")) {
                     body.put("if", List.of());
                 }
@@ -700,33 +703,33 @@
         return false;
     }
 
-    private void carriedOutLate(Member member, Map<String, Object> txn) {
-        if (state.down || refused(member)) {
-            loop.after(500_000, () -> carriedOutLate(member, txn));
+    private void executeLate(Member member, Map<String, Object> txn) {
+        if (store.down || isRefusedByStore(member)) {
+            loop.after(500_000, () -> executeLate(member, txn));
         } else {
-            state.handle(
+            store.handle(
                     "POST",
                     "/txn",
                     txn,
-                    (status, answer) -> lateWritesMade[status == 200 ? 0 : 1]++);
+                    (status, answer) -> lateWriteOutcomes[status == 200 ? 0 : 1]++);
         }
     }
 
-    /** A watch that is open waits while the state service refuses its node, as in an outage. */
-    private void unlessRefused(
+    /** Holds the answer to an open watch back while the store rejects the node, as in an outage. */
+    private void answerUnlessRefused(
             Member member, int status, Map<String, Object> answer, SimulatedStore.Answer respond) {
-        if (refused(member)) {
-            loop.after(100_000, () -> unlessRefused(member, status, answer, respond));
+        if (isRefusedByStore(member)) {
+            loop.after(100_000, () -> answerUnlessRefused(member, status, answer, respond));
         } else {
             respond.answer(status, answer);
         }
     }
 
     /**
-     * What a node sent out of a zone that is cut off arrives late; only the state service still
-     * does what it asks.
+     * Delivers a request when its node is no longer isolated. Only requests to the store are still
+     * executed; others are dropped.
      */
-    private void fromNodeHeld(
+    private void deliverDelayed(
             Member member,
             int mine,
             String address,
@@ -734,27 +737,27 @@
             String path,
             Map<String, Object> body,
             SimulatedStore.Answer respond) {
-        if (zoneOf(member.index).equals(island) || member.index == isolated) {
+        if (zoneOf(member.index).equals(isolatedZone) || member.index == isolatedNode) {
             loop.after(
                     1_000_000,
-                    () -> fromNodeHeld(member, mine, address, method, path, body, respond));
+                    () -> deliverDelayed(member, mine, address, method, path, body, respond));
         } else if (address.equals("state") && !path.startsWith("/follow")) {
-            if (member.version != Version.NOW) {
-                toStateAsOld(member, mine, method, path, body, respond);
+            if (member.version != Version.CURRENT) {
+                sendToStoreAsEarlierVersion(member, mine, method, path, body, respond);
             } else {
-                state.handle(method, path, body, respond);
+                store.handle(method, path, body, respond);
             }
         }
     }
 
-    private boolean apart(String zone, String other) {
+    private boolean areZonesSeparated(String zone, String other) {
         return !zone.equals(other)
-                && (zone.equals(island)
-                        || other.equals(island)
-                        || cut.contains(zone) && cut.contains(other));
+                && (zone.equals(isolatedZone)
+                        || other.equals(isolatedZone)
+                        || partitionedZones.contains(zone) && partitionedZones.contains(other));
     }
 
-    private static PeerMessage withPromise(PeerMessage message) {
+    private static PeerMessage withNoRenewalPromise(PeerMessage message) {
         if (!(message instanceof PeerMessage.StatusReport stands)) {
             return message;
         }
@@ -771,16 +774,16 @@
                         s.storeSilentMicros()));
     }
 
-    private void toStateAsOld(
+    private void sendToStoreAsEarlierVersion(
             Member member,
             int mine,
             String method,
             String path,
             Map<String, Object> body,
             SimulatedStore.Answer respond) {
-        boolean production = member.version == Version.PRODUCTION;
-        EarlierVersions.toState(
-                state,
+        boolean production = member.version == Version.VERSION_1;
+        EarlierVersions.forwardToStore(
+                store,
                 production,
                 method,
                 path,
@@ -789,48 +792,51 @@
                         respond.answer(
                                 status,
                                 status == 200 && production && member.lives(mine)
-                                        ? ProductionFilter.read(answer)
+                                        ? ProductionFilter.readAnswer(answer)
                                         : answer));
     }
 
-    private void toWorker(
+    private void sendToAgent(
             Member member,
             String address,
             Map<String, Object> body,
             SimulatedStore.Answer respond) {
-        toWorker(member, address, body, respond, false);
+        sendToAgent(member, address, body, respond, false);
     }
 
-    private void toWorker(
+    private void sendToAgent(
             Member member,
             String address,
             Map<String, Object> body,
             SimulatedStore.Answer respond,
             boolean held) {
-        if (directsLost) {
+        if (directCommandsLost) {
             return;
         }
         for (SimulatedAgent agent : cloud.machines.values()) {
-            if (agent.addr.equals(address) && !agent.dead) {
-                if (apart(agent.zone, zoneOf(member.index)) || member.index == cutFromWorkers) {
-                    // Held back, and executed when the zones can reach each other again.
-                    loop.after(1_000_000, () -> toWorker(member, address, body, respond, true));
+            if (agent.address.equals(address) && !agent.failed) {
+                if (areZonesSeparated(agent.zone, zoneOf(member.index))
+                        || member.index == nodeCutFromAgents) {
+                    // Delayed until the zones can reach each other again.
+                    loop.after(1_000_000, () -> sendToAgent(member, address, body, respond, true));
                     return;
                 }
-                if (agent.deaf()) {
-                    loop.after(500_000, () -> toWorker(member, address, body, respond, true));
+                if (agent.isInboundBlocked()) {
+                    loop.after(500_000, () -> sendToAgent(member, address, body, respond, true));
                     return;
                 }
-                if (agent.hung()) {
-                    // The command is executed when the machine goes on.
-                    loop.at(agent.hungUntil, () -> toWorker(member, address, body, respond, true));
+                if (agent.isHung()) {
+                    // Executed when the machine resumes.
+                    loop.at(
+                            agent.hungUntilMicros,
+                            () -> sendToAgent(member, address, body, respond, true));
                     return;
                 }
-                heldCommands += held ? 1 : 0;
-                Object[] answer = agent.direct(body);
+                delayedCommandsExecuted += held ? 1 : 0;
+                Object[] answer = agent.handleDirectCommand(body);
                 @SuppressWarnings("unchecked")
                 Map<String, Object> report = (Map<String, Object>) answer[1];
-                if (!agent.mute()) {
+                if (!agent.isOutboundBlocked()) {
                     respond.answer((Integer) answer[0], report);
                 }
                 return;
@@ -838,7 +844,7 @@
         }
     }
 
-    private static Map<String, Object> filledIn(Map<String, Object> job) {
+    private static Map<String, Object> withDefaults(Map<String, Object> job) {
         try {
             return JobDescription.parse(job).toMap();
         } catch (MalformedMessageException e) {
@@ -846,8 +852,8 @@
         }
     }
 
-    /** A worker's or a user's request to a node. */
-    void toNode(
+    /** Sends a request of an agent or a user to a node. */
+    void sendToNode(
             String from,
             int index,
             String method,
@@ -861,33 +867,36 @@
             return;
         }
         SimulatedAgent agent = cloud.machines.get(from);
-        if (agent != null && (apart(agent.zone, zoneOf(index)) || index == cutFromWorkers)) {
+        if (agent != null
+                && (areZonesSeparated(agent.zone, zoneOf(index)) || index == nodeCutFromAgents)) {
             loop.after(timeout, () -> callback.answer(HttpTransport.NO_RESPONSE, Map.of()));
             return;
         }
-        if (agent == null && zoneOf(index).equals(island)) {
+        if (agent == null && zoneOf(index).equals(isolatedZone)) {
             loop.after(timeout, () -> callback.answer(HttpTransport.NO_RESPONSE, Map.of()));
             return;
         }
-        if (agent != null && (agent.mute() || agent.closedIn())) {
+        if (agent != null && (agent.isOutboundBlocked() || agent.areConnectsBlocked())) {
             loop.after(timeout, () -> callback.answer(HttpTransport.NO_RESPONSE, Map.of()));
             return;
         }
-        int life = member.life;
-        if (agent != null && agent.deaf() && scenario.flaw() == Scenario.Flaw.DEAF_SEEM_TO_HEAR) {
-            body.put("epoch", Math.max((Long) body.get("epoch"), agent.tokenSent));
+        int life = member.generation;
+        if (agent != null
+                && agent.isInboundBlocked()
+                && scenario.flaw() == Scenario.Flaw.UNREACHED_AGENTS_REPORT_SENT_TOKENS) {
+            body.put("epoch", Math.max((Long) body.get("epoch"), agent.highestTokenSent));
         }
         boolean fillsIn =
-                scenario.flaw() == Scenario.Flaw.FILLS_IN_WHAT_IS_MISSING
-                        && path.equals("/v1/jobs");
-        byte[] bytes = body == null ? new byte[0] : Cbor.encode(fillsIn ? filledIn(body) : body);
-        if (agent != null && random.nextInt(100) < copies) {
-            copy(body);
+                scenario.flaw() == Scenario.Flaw.DEFAULTS_MISSING_FIELDS && path.equals("/v1/jobs");
+        byte[] bytes =
+                body == null ? new byte[0] : Cbor.encode(fillsIn ? withDefaults(body) : body);
+        if (agent != null && random.nextInt(100) < duplicateHeartbeatPercent) {
+            duplicateLater(body);
         }
         if (agent != null) {
-            keptReports.sent(body);
+            delayedHeartbeats.onHeartbeatSent(body);
         }
-        carry(
+        transmit(
                 timeout,
                 callback,
                 respond -> {
@@ -906,11 +915,13 @@
                                                         if (agent != null
                                                                 && answer.get("epoch")
                                                                         instanceof Long token) {
-                                                            agent.tokenSent =
+                                                            agent.highestTokenSent =
                                                                     Math.max(
-                                                                            agent.tokenSent, token);
+                                                                            agent.highestTokenSent,
+                                                                            token);
                                                         }
-                                                        if (agent == null || !agent.deaf()) {
+                                                        if (agent == null
+                                                                || !agent.isInboundBlocked()) {
                                                             respond.answer(
                                                                     response.status(), answer);
                                                         }
@@ -919,28 +930,29 @@
     }
 
     /**
-     * The same report arrives again, when its worker may be gone, and whoever answers it answers
-     * nobody.
+     * Delivers a copy of the heartbeat later, when its agent may be gone. The answer is dropped.
      */
-    private void copy(Map<String, Object> report) {
-        byte[] bytes = copyOf(report);
+    private void duplicateLater(Map<String, Object> report) {
+        byte[] bytes = encodeDuplicate(report);
         loop.after(
                 500_000 + random.nextInt(random.nextBoolean() ? 5_000_000 : 60_000_000),
-                () -> oldCopies += arrivesAgain(random.nextInt(NODES), bytes) ? 1 : 0);
+                () ->
+                        duplicateHeartbeatsDelivered +=
+                                deliverDuplicate(random.nextInt(NODES), bytes) ? 1 : 0);
     }
 
-    byte[] copyOf(Map<String, Object> report) {
+    byte[] encodeDuplicate(Map<String, Object> report) {
         Map<String, Object> retry = new LinkedHashMap<>(report);
-        if (scenario.flaw() == Scenario.Flaw.COPIES_LOOK_NEW) {
+        if (scenario.flaw() == Scenario.Flaw.DELAYED_HEARTBEATS_LOOK_NEW) {
             retry.put("tick", (Long) report.get("tick") + 1_000);
         }
         return Cbor.encode(retry);
     }
 
-    /** False if it comes to a node that is not there, or out of reach. */
-    boolean arrivesAgain(int index, byte[] report) {
+    /** Returns false if the node is down or unreachable. */
+    boolean deliverDuplicate(int index, byte[] report) {
         Member member = members[index];
-        if (!member.alive || zoneOf(index).equals(island)) {
+        if (!member.alive || zoneOf(index).equals(isolatedZone)) {
             return false;
         }
         member.node.router().handle("POST", "/v1/report", report, response -> {});
@@ -951,8 +963,10 @@
         void deliver(SimulatedStore.Answer respond);
     }
 
-    /** One request: delayed, sometimes held back for long, sometimes without its answer. */
-    private void carry(long timeout, SimulatedStore.Answer callback, Delivery delivery) {
+    /**
+     * Transmits a request: with a short delay, sometimes a long one, sometimes losing the answer.
+     */
+    private void transmit(long timeout, SimulatedStore.Answer callback, Delivery delivery) {
         boolean[] answered = {false};
         loop.after(
                 timeout,
@@ -963,8 +977,8 @@
                     }
                 });
         int luck = random.nextInt(1000);
-        long there = luck < trouble ? 2_000_000 + random.nextInt(40_000_000) : delay();
-        boolean answerLost = luck >= trouble && luck < 2 * trouble;
+        long there = luck < networkFaultPerMille ? 2_000_000 + random.nextInt(40_000_000) : delay();
+        boolean answerLost = luck >= networkFaultPerMille && luck < 2 * networkFaultPerMille;
         loop.after(
                 there,
                 () ->
@@ -989,8 +1003,8 @@
     }
 
     /**
-     * Replaces the nodes by the new version, one by one; then the limits fall, and users know of
-     * pipelines.
+     * Upgrades the nodes to the current version one by one; then the store lowers its limits and
+     * users submit pipelines.
      */
     void upgradeNodes(long until) {
         long at = 15_000_000 + random.nextInt(20_000_000);
@@ -1002,7 +1016,7 @@
                         loop.after(
                                 500_000 + random.nextInt(4_000_000),
                                 () -> {
-                                    member.version = Version.NOW;
+                                    member.version = Version.CURRENT;
                                     if (!member.alive) {
                                         member.start();
                                     }
@@ -1011,28 +1025,29 @@
             at += 1_000_000 + random.nextInt(random.nextInt(4) == 0 ? 40_000_000 : 10_000_000);
         }
         loop.after(at + 5_000_000, () -> users.submitPipelinesUntil(until));
-        loop.after(at + random.nextInt(40_000_000), state::nextLimits);
+        loop.after(at + random.nextInt(40_000_000), store::applyNextLimits);
     }
 
     // Faults.
 
-    /** A node's process ends, and one of the given version begins after the given time. */
+    /** Kills a node's process and starts one of the given version after the given time. */
     void replace(int index, Version version, long afterMicros) {
         Member member = members[index];
         member.kill();
         member.version = version;
-        int mine = member.life;
+        int mine = member.generation;
         loop.after(
                 afterMicros,
                 () -> {
-                    if (!member.alive && member.life == mine) {
+                    if (!member.alive && member.generation == mine) {
                         member.start();
                     }
                 });
     }
 
     /**
-     * What a node answers; the answer's {@code code} is its status. Empty as long as there is none.
+     * Sends a request to a node without the network. The returned map is empty until the node
+     * answers, then has the body and the HTTP status as {@code code}.
      */
     Map<String, Object> ask(int index, String method, String path, Map<String, Object> body) {
         Map<String, Object> answer = new LinkedHashMap<>();
@@ -1062,7 +1077,7 @@
         return answer;
     }
 
-    /** What a node answers, at once; 0 if it is not there. */
+    /** The HTTP status that a node returns at once; 0 if it does not or is down. */
     int status(int index, String method, String path, Map<String, Object> body) {
         int[] answered = {0};
         if (members[index].alive) {
@@ -1078,97 +1093,99 @@
         return answered[0];
     }
 
-    // Troubles that are off unless asked for.
+    // Faults that are off by default.
 
     /**
-     * Right after each answer that a job was accepted, ended or cancelled, users ask all nodes
-     * about it several times.
+     * Users poll a job several times at every node right after the first answer that it is
+     * accepted, done or cancelled.
      */
-    void lookClosely(long forMicros) {
-        userTroubles.lookClosely(loop.now() + forMicros);
+    void pollAfterChanges(long forMicros) {
+        userFaults.pollChangesUntil(loop.now() + forMicros);
     }
 
-    /** Users repeat what is known, and ask for what can't be. */
-    void oddRequests(long forMicros) {
-        userTroubles.oddRequests(loop.now() + forMicros);
+    /** Users repeat requests for known jobs and submit invalid jobs. */
+    void sendUnusualRequests(long forMicros) {
+        userFaults.sendUnusualRequestsUntil(loop.now() + forMicros);
     }
 
     /**
-     * So many running jobs are called off within 0.2 s, and up to eight of their machines hang;
-     * returns how many.
+     * Cancels up to {@code count} running jobs within 0.2 s and lets up to eight of their machines
+     * hang; returns the number of jobs.
      */
-    int cancelNow(int count, long hangMicros) {
-        return userTroubles.cancelNow(count, hangMicros);
+    int cancelRunningJobs(int count, long hangMicros) {
+        return userFaults.cancelRunningJobs(count, hangMicros);
     }
 
-    /** So many of a hundred jobs are called off as their last task ends. */
+    /** Cancels this percentage of jobs when their last task ends. */
     void cancelAtEnd(int ofHundred, long forMicros) {
-        userTroubles.cancelAtEnd(ofHundred, loop.now() + forMicros);
+        userFaults.cancelAtEndUntil(ofHundred, loop.now() + forMicros);
     }
 
     void oneTaskJobs(int perSecond, long forMicros, int ofHundredCancelled) {
-        userTroubles.oneTaskJobs(perSecond, loop.now() + forMicros, ofHundredCancelled);
+        userFaults.submitOneTaskJobsUntil(perSecond, loop.now() + forMicros, ofHundredCancelled);
     }
 
-    /** So many of a hundred transactions are carried out at once and get no answer. */
+    /** This percentage of transactions is executed, but the answer is lost. */
     void loseAnswers(int ofHundred, long forMicros) {
-        stateTroubles.loseAnswers(ofHundred, loop.now() + forMicros);
+        storeFaults.loseAnswers(ofHundred, loop.now() + forMicros);
     }
 
-    /** Every request to the state service takes up to so much longer. */
-    void slowState(long extraMicros, long forMicros) {
-        stateTroubles.slow(extraMicros, loop.now() + forMicros);
+    /** Delays each request to the store by up to {@code extraMicros}. */
+    void slowStore(long extraMicros, long forMicros) {
+        storeFaults.addDelay(extraMicros, loop.now() + forMicros);
     }
 
-    /** Of so many of a hundred reports a copy comes to every node once the term has changed. */
-    void keepForNextLeader(int ofHundred, long forMicros) {
-        keptReports.keep(ofHundred, loop.now() + forMicros);
+    /**
+     * Copies this percentage of heartbeats and delivers them to all nodes after a leader change.
+     */
+    void delayHeartbeatsUntilNextLeader(int ofHundred, long forMicros) {
+        delayedHeartbeats.capture(ofHundred, loop.now() + forMicros);
     }
 
     /**
-     * Nothing that one in so many of a zone's machines say arrives for a while; commands reach
+     * Loses everything that one in {@code oneIn} agents of the zone sends; commands still reach
      * them.
      */
-    void mute(String zone, int oneIn, long forMicros) {
+    void blockOutbound(String zone, int oneIn, long forMicros) {
         int count = 0;
         for (SimulatedAgent agent : cloud.machines.values()) {
             if (agent.zone.equals(zone) && count++ % oneIn == 0) {
-                agent.muteUntil = loop.now() + forMicros;
+                agent.outboundBlockedUntilMicros = loop.now() + forMicros;
             }
         }
     }
 
-    /** Machines are up 0.3 to 2 s after they were asked for, also before that is answered. */
-    void quickMachines(long forMicros) {
-        cloud.quickUntil = loop.now() + forMicros;
+    /** Machines boot 0.3 to 2 s after the request, possibly before it is answered. */
+    void bootMachinesFast(long forMicros) {
+        cloud.fastBootUntilMicros = loop.now() + forMicros;
     }
 
-    /** Whatever is sent takes up to so much longer. */
+    /** Delays every message by up to {@code extraMicros}. */
     void slowLinks(long extraMicros, long forMicros) {
         slowLinksMicros = extraMicros;
-        slowLinksUntil = loop.now() + forMicros;
+        slowLinksUntilMicros = loop.now() + forMicros;
     }
 
-    /** All machines but so many die, and the cloud has no more. */
-    void littleRoom(int machines, long forMicros) {
-        cloud.machines.values().stream().skip(machines).forEach(SimulatedAgent::die);
+    /** Fails all but this number of machines and limits the capacity of the cloud to it. */
+    void reduceCapacity(int machines, long forMicros) {
+        cloud.machines.values().stream().skip(machines).forEach(SimulatedAgent::fail);
         cloud.capacity = machines;
         loop.after(forMicros, () -> cloud.capacity = SimulatedCloud.CAPACITY);
     }
 
-    /** How many terms were taken. */
+    /** Number of terms so far. */
     int leaderChanges() {
-        return state.value("term") == null ? 0 : (int) term();
+        return store.value("term") == null ? 0 : (int) term();
     }
 
-    /** Writes a key of the state service, as an operator or another program might. */
+    /** Writes a key to the store, as an operator might; null deletes it. */
     void put(String path, Map<String, Object> value) {
-        if (state.down) {
-            // As whoever asked would, again.
+        if (store.down) {
+            // Retries until the outage ends.
             loop.after(1_000_000, () -> put(path, value));
             return;
         }
-        state.handle(
+        store.handle(
                 "POST",
                 "/txn",
                 Map.of(
@@ -1183,61 +1200,61 @@
     }
 
     Map<String, Object> stored(String path) {
-        return state.value(path);
+        return store.value(path);
     }
 
-    /** How many records of machines there are, and how many of them tell of their lives. */
+    /** Number of machine records, and of those that contain lifecycle data. */
     int[] machineRecords() {
-        return state.count("machine/", value -> value.containsKey("at"));
+        return store.count("machine/", value -> value.containsKey("at"));
     }
 
-    /** Cuts a zone off from everything for a while, unless one is. */
-    void island(String zone, long forMicros) {
-        if (island == null) {
-            island = zone;
-            loop.after(forMicros, () -> island = null);
+    /** Cuts a zone off from everything, unless one already is. */
+    void isolateZone(String zone, long forMicros) {
+        if (isolatedZone == null) {
+            isolatedZone = zone;
+            loop.after(forMicros, () -> isolatedZone = null);
         }
     }
 
-    void stateOutage(long forMicros) {
-        if (!state.down) {
-            state.outage(true);
-            loop.after(forMicros, () -> state.outage(false));
+    void storeOutage(long forMicros) {
+        if (!store.down) {
+            store.setOutage(true);
+            loop.after(forMicros, () -> store.setOutage(false));
         }
     }
 
-    private boolean refused(Member member) {
-        return member.index == refusedByState || member.index == alsoRefused;
+    private boolean isRefusedByStore(Member member) {
+        return member.index == nodeRefusedByStore || member.index == secondNodeRefusedByStore;
     }
 
-    /** The state service refuses this node beside the one that it refuses already. */
-    void refuseStateToo(int index, long forMicros) {
-        alsoRefused = index;
-        loop.after(forMicros, () -> alsoRefused = -1);
+    /** Lets the store reject this node too, in addition to {@link #refuseNodeAtStore}. */
+    void refuseSecondNodeAtStore(int index, long forMicros) {
+        secondNodeRefusedByStore = index;
+        loop.after(forMicros, () -> secondNodeRefusedByStore = -1);
     }
 
-    /** The state service refuses this node alone. */
-    void refuseState(int index, long forMicros) {
-        refusedByState = index;
+    /** Lets the store reject the requests of this node only. */
+    void refuseNodeAtStore(int index, long forMicros) {
+        nodeRefusedByStore = index;
         loop.after(
                 forMicros,
                 () -> {
-                    if (refusedByState == index) {
-                        refusedByState = -1;
+                    if (nodeRefusedByStore == index) {
+                        nodeRefusedByStore = -1;
                     }
                 });
     }
 
     /**
-     * The state service refuses the leader alone, users cancel what runs, and then it is down for
-     * all.
+     * The store rejects only the leader, users cancel about a third of the running jobs, then the
+     * store is down for all nodes.
      */
-    void gap(long refusedMicros, long downMicros) {
-        if (state.value("leader") == null) {
+    void refuseLeaderThenStoreOutage(long refusedMicros, long downMicros) {
+        if (store.value("leader") == null) {
             return;
         }
-        refuseState(leader(), refusedMicros + 1_000_000);
-        hintsLost = random.nextBoolean();
+        refuseNodeAtStore(leader(), refusedMicros + 1_000_000);
+        changeNotificationsLost = random.nextBoolean();
         loop.after(
                 refusedMicros / 4,
                 () ->
@@ -1247,60 +1264,60 @@
         loop.after(
                 refusedMicros,
                 () -> {
-                    hintsLost = false;
-                    stateOutage(downMicros);
+                    changeNotificationsLost = false;
+                    storeOutage(downMicros);
                 });
     }
 
-    /** For a while so many of a hundred transactions are carried out late. */
-    void writeLate(int ofHundred, long forMicros) {
-        lateWrites = ofHundred;
-        loop.after(forMicros, () -> lateWrites = 0);
+    /** Executes this percentage of transactions late, without an answer. */
+    void delayWrites(int ofHundred, long forMicros) {
+        lateWritePercent = ofHundred;
+        loop.after(forMicros, () -> lateWritePercent = 0);
     }
 
-    /** The cloud answers nothing but errors for a while. */
+    /** The cloud answers all requests with errors. */
     void cloudOutage(long forMicros) {
         cloud.down = true;
         loop.after(forMicros, () -> cloud.down = false);
     }
 
-    /** No agent reaches this node for a while, and it reaches none. */
+    /** Cuts this node off from all agents, in both directions. */
     void cutFromAgents(int index, long forMicros) {
-        cutFromWorkers = index;
-        loop.after(forMicros, () -> cutFromWorkers = -1);
+        nodeCutFromAgents = index;
+        loop.after(forMicros, () -> nodeCutFromAgents = -1);
     }
 
-    /** For a while no node takes connections from another. */
+    /** Nodes refuse connections from their peers. */
     void refusePeers(long forMicros) {
-        peersRefused = true;
-        loop.after(forMicros, () -> peersRefused = false);
+        peerConnectionsRefused = true;
+        loop.after(forMicros, () -> peerConnectionsRefused = false);
     }
 
-    /** The node's process stands still for a while, and then goes on with what it believed. */
+    /** Pauses the node's process; it resumes with its old state. */
     void freeze(int index, long forMicros) {
         members[index].frozenUntil = loop.now() + forMicros;
     }
 
-    /** The node loses the state service and the other nodes; workers and users still reach it. */
-    void isolate(int index, long forMicros) {
-        if (isolated < 0) {
-            isolated = index;
-            loop.after(forMicros, () -> isolated = -1);
+    /** Cuts the node off from the store and its peers; agents and users still reach it. */
+    void isolateNode(int index, long forMicros) {
+        if (isolatedNode < 0) {
+            isolatedNode = index;
+            loop.after(forMicros, () -> isolatedNode = -1);
         }
     }
 
     boolean isIsolated(int index) {
-        return isolated == index;
+        return isolatedNode == index;
     }
 
     /**
-     * Nothing reaches one in so many of a zone's machines for a while, and their reports arrive.
+     * Loses everything sent to one in {@code oneIn} agents of the zone; their heartbeats arrive.
      */
-    void deafen(String zone, int oneIn, long forMicros) {
+    void blockInbound(String zone, int oneIn, long forMicros) {
         int count = 0;
         for (SimulatedAgent agent : cloud.machines.values()) {
             if (agent.zone.equals(zone) && count++ % oneIn == 0) {
-                agent.deafUntil = loop.now() + forMicros;
+                agent.inboundBlockedUntilMicros = loop.now() + forMicros;
             }
         }
     }
@@ -1308,120 +1325,118 @@
     void hangAll(String zone, long forMicros) {
         for (SimulatedAgent agent : cloud.machines.values()) {
             if (agent.zone.equals(zone)) {
-                agent.hungUntil = loop.now() + forMicros;
+                agent.hungUntilMicros = loop.now() + forMicros;
             }
         }
     }
 
-    /** The index of the node that leads by the state service's word. */
+    /** The index of the leader according to the store. */
     int leader() {
-        return nodeIndex((String) state.value("leader").get("label"));
+        return nodeIndex((String) store.value("leader").get("label"));
     }
 
     String zoneOf(int index) {
         return scenario.zoneOf(index);
     }
 
-    /** Two zones can't reach each other for a while. */
+    /** Cuts the connections between two zones. */
     void partition(String one, String other, long forMicros) {
-        cut = List.of(one, other);
-        loop.after(forMicros, () -> cut = List.of());
+        partitionedZones = List.of(one, other);
+        loop.after(forMicros, () -> partitionedZones = List.of());
     }
 
     void restart(int index) {
         restart(members[index]);
     }
 
-    /**
-     * A new process is there within a fraction of a second, or after seconds; its clock may have
-     * been set meanwhile.
-     */
+    /** Restarts a node after 0.05 to 5.5 s. Its wall clock may have been changed meanwhile. */
     private void restart(Member member) {
         if (random.nextInt(4) == 0) {
-            clockOff[member.index] = random.nextInt(2_000_000) - 1_000_000;
+            clockOffsetMicros[member.index] = random.nextInt(2_000_000) - 1_000_000;
         }
-        end(
+        restartAfter(
                 member.index,
                 random.nextBoolean()
                         ? 50_000 + random.nextInt(450_000)
                         : 500_000 + random.nextInt(5_000_000));
     }
 
-    /** A node's process ends again and again, a few tenths of a second after each beginning. */
-    void keepsEnding(int index, long lifeMicros, long untilMicros) {
+    /** Restarts a node repeatedly, each time {@code lifeMicros} after its start. */
+    void restartRepeatedly(int index, long lifeMicros, long untilMicros) {
         if (loop.now() < untilMicros) {
-            end(index, 50_000);
-            loop.after(50_000 + lifeMicros, () -> keepsEnding(index, lifeMicros, untilMicros));
+            restartAfter(index, 50_000);
+            loop.after(
+                    50_000 + lifeMicros, () -> restartRepeatedly(index, lifeMicros, untilMicros));
         }
     }
 
-    /** The machines that are up, in the order in which they came. */
+    /** Agents of the machines that the cloud has not deleted, in the order in which they booted. */
     List<SimulatedAgent> agents() {
         return List.copyOf(cloud.machines.values());
     }
 
-    /** How many machines were ever rented. */
+    /** Number of machines rented so far. */
     int rented() {
         return cloud.rented();
     }
 
     /**
-     * A node's process begins again 50 ms after its end, whenever a node is about to take a term,
-     * until the given time.
+     * Restarts a random node, which takes 50 ms, whenever there is no leader, until the given time.
      */
-    void endInElections(long untilMicros) {
+    void restartDuringElections(long untilMicros) {
         long term = term();
-        boolean vacant = state.value("leader") == null;
+        boolean vacant = store.value("leader") == null;
         if (vacant) {
-            end(random.nextInt(NODES), 50_000);
+            restartAfter(random.nextInt(NODES), 50_000);
         }
         if (loop.now() < untilMicros) {
             loop.after(
-                    vacant || term() != term ? 30_000 : 10_000, () -> endInElections(untilMicros));
+                    vacant || term() != term ? 30_000 : 10_000,
+                    () -> restartDuringElections(untilMicros));
         }
     }
 
-    /** The highest term that was ever taken. */
+    /** The current term according to the store. */
     long term() {
-        return (Long) state.value("term").get("term");
+        return (Long) store.value("term").get("term");
     }
 
-    /** Every few seconds the leader's process ends, and another begins at once. */
-    void endLeaders(long forMicros) {
+    /** Kills the leader every 2 to 5 s; its new process starts within 0.45 s. */
+    void restartLeadersRepeatedly(long forMicros) {
         long until = loop.now() + forMicros;
         loop.after(
-                2_000_000 + more.nextInt(3_000_000),
+                2_000_000 + faultRandom.nextInt(3_000_000),
                 () -> {
                     if (loop.now() < until) {
                         leadersEndedInOutages +=
-                                state.down
-                                                && state.value("leader") != null
+                                store.down
+                                                && store.value("leader") != null
                                                 && members[leader()].alive
                                         ? 1
                                         : 0;
-                        endLeader(50_000 + more.nextInt(400_000));
-                        endLeaders(until - loop.now());
+                        restartLeader(50_000 + faultRandom.nextInt(400_000));
+                        restartLeadersRepeatedly(until - loop.now());
                     }
                 });
     }
 
-    /** The same of the node that leads, if there is one. */
-    void endLeader(long forMicros) {
-        if (state.value("leader") != null) {
-            end(leader(), forMicros);
+    /** Restarts the leader, if there is one. */
+    void restartLeader(long forMicros) {
+        if (store.value("leader") != null) {
+            restartAfter(leader(), forMicros);
         }
     }
 
-    /** A node's process ends, and another begins after the given time. */
-    void end(int index, long forMicros) {
+    /** Kills a node's process and starts a new one after the given time. */
+    void restartAfter(int index, long forMicros) {
         Member member = members[index];
         if (member.alive) {
             member.kill();
-            int mine = member.life;
+            int mine = member.generation;
             loop.after(
                     forMicros,
                     () -> {
-                        if (!member.alive && member.life == mine) {
+                        if (!member.alive && member.generation == mine) {
                             member.start();
                         }
                     });
@@ -1429,44 +1444,44 @@
     }
 
     /**
-     * So many of a hundred rentals and deletions get no answer and are carried out seconds later,
-     * perhaps after their leader.
+     * This percentage of rentals and deletions gets no answer and is executed seconds later,
+     * possibly when the requesting leader no longer leads.
      */
-    void cloudLate(int ofHundred, long forMicros) {
-        cloud.lateOfHundred = ofHundred;
-        loop.after(forMicros, () -> cloud.lateOfHundred = 0);
+    void delayCloudRequests(int ofHundred, long forMicros) {
+        cloud.latePercent = ofHundred;
+        loop.after(forMicros, () -> cloud.latePercent = 0);
     }
 
-    /** Machines that were rented when the leader that had asked for them led no more. */
-    List<String> unexpectedMachines() {
-        return cloud.unexpected;
+    /** Machines whose rental was executed when the requesting leader no longer led. */
+    List<String> machinesRentedForFormerLeaders() {
+        return cloud.rentedForFormerLeaders;
     }
 
-    /** Machines that were deleted when the leader that had asked for it led no more. */
-    int deletedForOthers() {
-        return cloud.deletedForOthers;
+    /** Number of machines deleted when the requesting leader no longer led. */
+    int machinesDeletedForFormerLeaders() {
+        return cloud.deletedForFormerLeaders;
     }
 
-    /** Does this to a machine that is drawn at random, if there is any. */
-    void anyWorker(java.util.function.Consumer<SimulatedAgent> what) {
+    /** Applies the action to a random agent, if there is any. */
+    void withRandomAgent(java.util.function.Consumer<SimulatedAgent> what) {
         List<SimulatedAgent> agents = new ArrayList<>(cloud.machines.values());
         if (!agents.isEmpty()) {
             what.accept(agents.get(random.nextInt(agents.size())));
         }
     }
 
-    /** Runs to the given time, checking the rules after every step. */
+    /** Runs until the given time and checks the invariants after every step. */
     void run(long until) {
         while (loop.step(until)) {
             invariants.afterStep();
         }
     }
 
-    /** Accepted jobs that are neither done nor cancelled and should be by now. */
+    /** Accepted jobs other than services that were not reported as done or cancelled. */
     List<String> unfinishedJobs() {
         List<String> result = new ArrayList<>();
         for (String jobId : observed.acceptedJobs()) {
-            if (!observed.isOver(jobId) && !observed.job(jobId).isService()) {
+            if (!observed.hasFinalStatus(jobId) && !observed.job(jobId).isService()) {
                 result.add(jobId);
             }
         }
--- a/src/test/java/org/woadloom/sim/LoopbackNode.java
+++ b/src/test/java/org/woadloom/sim/LoopbackNode.java
@@ -18,22 +18,22 @@
 import org.woadloom.settings.ServiceSettingsFile;
 
 /**
- * One node over real sockets on the loopback address, with the stand-in of the state service behind
- * HTTP.
+ * Runs one node over real sockets on the loopback address. One HTTP server simulates the store and
+ * the cloud.
  */
 final class LoopbackNode {
-    final SimulatedStore state =
+    final SimulatedStore store =
             new SimulatedStore(
                     new SimulatedEventLoop(),
                     new ServiceSettings.Store(1_000, 1_000, 16_384, 16, null));
-    private Undertow outside;
+    private Undertow dependencies;
     String address;
 
-    /** Where the stand-in of the state service listens. */
-    String stateAddress;
+    /** Address of the HTTP server that simulates the store and the cloud. */
+    String storeAddress;
 
     void stop() {
-        outside.stop();
+        dependencies.stop();
     }
 
     private static int freePort() throws Exception {
@@ -44,7 +44,7 @@
 
     void start() throws Exception {
         int port = freePort();
-        outside =
+        dependencies =
                 Undertow.builder()
                         .setIoThreads(1)
                         .setWorkerThreads(1)
@@ -53,13 +53,16 @@
                                 exchange ->
                                         exchange.getRequestReceiver()
                                                 .receiveFullBytes(
-                                                        (done, body) ->
-                                                                done.dispatch(
+                                                        (received, body) ->
+                                                                received.dispatch(
                                                                         SameThreadExecutor.INSTANCE,
-                                                                        () -> answer(done, body))))
+                                                                        () ->
+                                                                                handleDependencyRequest(
+                                                                                        received,
+                                                                                        body))))
                         .build();
-        outside.start();
-        stateAddress = "127.0.0.1:" + port;
+        dependencies.start();
+        storeAddress = "127.0.0.1:" + port;
         address = "127.0.0.1:" + freePort();
         String text =
                 Files.readString(Path.of("src/build/rehearsal.toml"))
@@ -71,7 +74,7 @@
         Server.start(ServiceSettingsFile.parse("test", text), OperatorSettings.defaults());
     }
 
-    private void answer(HttpServerExchange exchange, byte[] body) {
+    private void handleDependencyRequest(HttpServerExchange exchange, byte[] body) {
         String query = exchange.getQueryString();
         String path = exchange.getRequestPath() + (query.isEmpty() ? "" : "?" + query);
         if (path.equals("/machine_types")) {
@@ -86,7 +89,7 @@
             reply(exchange, 503, Map.of("error", "trouble"));
         } else {
             try {
-                state.handle(
+                store.handle(
                         exchange.getRequestMethod().toString(),
                         path,
                         body.length == 0 ? Map.of() : Cbor.decodeMap(body),
@@ -102,7 +105,7 @@
         exchange.getResponseSender().send(ByteBuffer.wrap(Cbor.encode(map)));
     }
 
-    /** A job of three small tasks that the node takes, with every field that has to be there. */
+    /** A valid job of three small tasks, with all required fields. */
     static Map<String, Object> job(String jobId, String team) {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("uid", jobId);
--- a/src/test/java/org/woadloom/sim/ManyJobsReadsTest.java
+++ b/src/test/java/org/woadloom/sim/ManyJobsReadsTest.java
@@ -17,7 +17,7 @@
 import org.woadloom.store.RecordFormat;
 import org.woadloom.store.StoreClient;
 
-/** The open jobs of some 4,000 machines are polled again and again at one node. */
+/** The open jobs of about 4,000 machines are polled repeatedly at one node. */
 class ManyJobsReadsTest {
     private static final int JOBS = 12_000;
     private static final long SECOND = 1_000_000;
@@ -27,7 +27,7 @@
     private final SimulatedEventLoop sim = new SimulatedEventLoop();
     private final SimulatedStore store = new SimulatedStore(sim, LIMITS).withFullPages();
     private int readsByKey;
-    private int told;
+    private int answered;
 
     private void request(
             String address,
@@ -69,22 +69,22 @@
         sim.run(sim.now() + 100);
     }
 
-    /** Asks for each job within five seconds. */
+    /** Reads every job once, within five seconds. */
     private void pollAll(CoalescingJobReader reads) {
         for (int number = 0; number < JOBS; number++) {
             reads.read(
                     jobId(number),
-                    shown -> told += shown != null && shown.status() != null ? 1 : 0);
+                    shown -> answered += shown != null && shown.status() != null ? 1 : 0);
             sim.run(sim.now() + 5 * SECOND / JOBS);
         }
     }
 
     /**
-     * Jobs that were forgotten between two polls were read by key each time, at more requests than
-     * a node has.
+     * Jobs that were evicted between two polls were read by key each time, which exceeded a node's
+     * share of store requests.
      */
     @Test
-    void allOpenJobsAreRemembered() throws MalformedMessageException {
+    void repeatedPollsOfOpenJobsReadNoJobByKey() throws MalformedMessageException {
         for (int number = 0; number < JOBS; number++) {
             store(number);
         }
@@ -94,14 +94,14 @@
                         sim.loop(), client, new JobReader(client, format -> {}), LIMITS, 1);
         pollAll(reads);
         sim.run(sim.now() + SECOND);
-        assertEquals(JOBS, told);
-        assertEquals(0, readsByKey, "reads by key for jobs that the pages have");
+        assertEquals(JOBS, answered);
+        assertEquals(0, readsByKey, "reads by key for jobs that the list pages contain");
         pollAll(reads);
         sim.run(sim.now() + SECOND);
-        assertEquals(2 * JOBS, told);
+        assertEquals(2 * JOBS, answered);
         assertEquals(0, readsByKey, "reads by key for jobs that were polled before");
         reads.read(jobId(JOBS), shown -> {});
         sim.run(sim.now() + SECOND);
-        assertEquals(1, readsByKey, "reads by key for a job that is not there");
+        assertEquals(1, readsByKey, "reads by key for a job that does not exist");
     }
 }
--- a/src/test/java/org/woadloom/sim/PrintReplayCommandTest.java
+++ b/src/test/java/org/woadloom/sim/PrintReplayCommandTest.java
@@ -14,14 +14,14 @@
     }
 
     @Test
-    void seedPropertyPlaysThatSeedAlone() {
+    void seedPropertyRestrictsRunsToThatSeed() {
         String before = System.getProperty(Seeds.SEED_PROPERTY);
         try {
             System.clearProperty(Seeds.SEED_PROPERTY);
             assertArrayEquals(new long[] {1, 2, 3}, Seeds.first(3));
             System.setProperty(Seeds.SEED_PROPERTY, "7");
             assertArrayEquals(new long[] {7}, Seeds.first(3));
-            assertArrayEquals(new long[] {7}, Seeds.usually(3));
+            assertArrayEquals(new long[] {7}, Seeds.firstOrConfigured(3));
         } finally {
             if (before == null) {
                 System.clearProperty(Seeds.SEED_PROPERTY);
--- a/src/test/java/org/woadloom/sim/ProgressInvariant.java
+++ b/src/test/java/org/woadloom/sim/ProgressInvariant.java
@@ -8,31 +8,32 @@
 import org.woadloom.settings.ServiceSettings;
 
 /**
- * {@link ProtocolRule#LEFT_WAITING}: while no fault is active, no task waits for long for a machine
- * that is there and has capacity, below its team's limit.
+ * {@link ProtocolRule#LEFT_WAITING}: while no fault is active, no task waits longer than 90 s
+ * although a machine has capacity for the task and the limit of the task's team allows it.
  *
- * <p>A task that fetches its image counts for the limit here, and so does one that ended a moment
- * ago, of which the leader may not know yet: a team whose short tasks follow each other is at its
- * limit. Gangs and jobs with rules about zones are left out, as they need more than capacity for
+ * <p>This check compares a team's limit with the CPUs of all tasks that are on machines, also of
+ * those that still fetch their image, and of tasks that ended in the last 4 s, whose end the leader
+ * may not know yet. Otherwise a team whose short tasks follow each other would seem to be below its
+ * limit. Gangs and jobs with rules about zones are not checked, as they need more than capacity for
  * one task.
  */
 final class ProgressInvariant extends Invariant {
     private static final long MAX_WAIT_MICROS = 90_000_000;
 
     /**
-     * After two heartbeats and a write the leader has learned of a task's end, and the record names
-     * the next one.
+     * Time for two heartbeats and a store write, after which the leader knows that a task ended and
+     * the job record has the next task.
      */
-    private static final long MAX_RELEASE_MICROS = 4_000_000;
+    private static final long MAX_RELEASE_DELAY_MICROS = 4_000_000;
 
     private record ReleasedCpus(long micros, String team, double cpus) {}
 
     private final SimulatedEventLoop loop;
     private final ObservedState observed;
     private final ServiceSettings settings;
-    private final ArrayDeque<ReleasedCpus> released = new ArrayDeque<>();
+    private final ArrayDeque<ReleasedCpus> recentlyReleased = new ArrayDeque<>();
 
-    /** Since when each job has been waiting though it could start. */
+    /** For each job that waits although it could run: since when. */
     private final Map<String, Long> waitingSinceMicros = new HashMap<>();
 
     ProgressInvariant(SimulatedEventLoop loop, ObservedState observed, ServiceSettings settings) {
@@ -43,7 +44,7 @@
 
     @Override
     void onTaskEnd(JobDescription job) {
-        released.add(new ReleasedCpus(loop.now(), job.team(), job.cpus()));
+        recentlyReleased.add(new ReleasedCpus(loop.now(), job.team(), job.cpus()));
     }
 
     @Override
@@ -61,8 +62,10 @@
                 throw new InvariantViolation(
                         ProtocolRule.LEFT_WAITING,
                         jobId
-                                + " has tasks that wait while there is capacity, since "
+                                + " has had waiting tasks despite free capacity since second "
                                 + sinceMicros / 1_000_000
+                                + ", allowed are "
+                                + MAX_WAIT_MICROS / 1_000_000
                                 + " s");
             }
         }
@@ -70,29 +73,29 @@
 
     private boolean isRunnable(String jobId) {
         JobDescription job = observed.job(jobId);
-        return !observed.isOver(jobId)
+        return !observed.hasFinalStatus(jobId)
                 && !observed.isCancelRequested(jobId)
                 && observed.dependencyCancelledMicros(jobId) == null
                 && !job.isGang()
                 && !job.sameZone()
                 && !job.spreadAcrossZones()
-                && job.dependencies().stream().allMatch(observed::isAllDone)
+                && job.dependencies().stream().allMatch(observed::areAllTasksDone)
                 && observed.hasWaitingTask(job);
     }
 
     private boolean hasCapacity(JobDescription job, Collection<SimulatedAgent> agents) {
         double limit = settings.team(job.team()).cpusMax();
-        return heldOrJustReleased(job.team(), agents) + job.cpus() <= limit
-                && agents.stream().anyMatch(agent -> agent.takes(job));
+        return cpusHeldOrRecentlyReleased(job.team(), agents) + job.cpus() <= limit
+                && agents.stream().anyMatch(agent -> agent.canStartTask(job));
     }
 
-    private double heldOrJustReleased(String team, Collection<SimulatedAgent> agents) {
-        released.removeIf(end -> loop.now() - end.micros > MAX_RELEASE_MICROS);
+    private double cpusHeldOrRecentlyReleased(String team, Collection<SimulatedAgent> agents) {
+        recentlyReleased.removeIf(end -> loop.now() - end.micros > MAX_RELEASE_DELAY_MICROS);
         double cpus = 0;
         for (SimulatedAgent agent : agents) {
-            cpus += agent.held(team);
+            cpus += agent.cpusHeldBy(team);
         }
-        for (ReleasedCpus end : released) {
+        for (ReleasedCpus end : recentlyReleased) {
             cpus += end.team.equals(team) ? end.cpus : 0;
         }
         return cpus;
--- a/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
+++ b/src/test/java/org/woadloom/sim/QuotaFaultCombinationsTest.java
@@ -21,193 +21,206 @@
 import org.woadloom.protocol.TaskId;
 
 /**
- * Troubles that meet while teams are at their limits or jobs are bound to a zone; that each did
- * occur is counted.
+ * Faults while teams are at their quota limits or jobs are bound to a zone; each test checks that
+ * its fault took effect.
  */
 @ExtendWith(PrintReplayCommand.class)
 class QuotaFaultCombinationsTest {
-    private static final long AT = 40_000_000;
-    private static final long EVERY = 45_000_000;
-    private static final int TIMES = 3;
-    private static final long TROUBLED = AT + TIMES * EVERY;
+    private static final long FIRST_FAULT = 40_000_000;
+    private static final long FAULT_INTERVAL = 45_000_000;
+    private static final int FAULT_REPEATS = 3;
+    private static final long FAULTS_END = FIRST_FAULT + FAULT_REPEATS * FAULT_INTERVAL;
     private static final int SEEDS = 2;
 
-    enum Meeting {
+    enum Fault {
         /**
-         * All teams are at their limits, jobs are called off whose machines are cut off or hang,
+         * All teams are at their limits, jobs are cancelled whose machines are partitioned or hang,
          * and the leader changes twice.
          */
-        CANCELLED_OUT_OF_REACH {
+        CANCELLED_ON_UNREACHABLE_MACHINES {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 boolean allAtLimit =
                         cluster.observed.teamsAtLimit() == cluster.settings.teams().size();
                 int term = cluster.leaderChanges();
-                int[] outOfReach = {0};
-                cluster.island("b", 24_000_000);
+                int[] cancelled = {0};
+                cluster.isolateZone("b", 24_000_000);
                 cluster.loop.after(
                         1_000_000,
                         () -> {
-                            outOfReach[0] +=
-                                    cancelWhere(cluster, 2, machine -> machine.zone.equals("b"));
-                            cluster.cancelNow(3, 9_000_000);
-                            outOfReach[0] += cancelWhere(cluster, 3, SimulatedAgent::hung);
+                            cancelled[0] +=
+                                    cancelJobsOn(cluster, 2, machine -> machine.zone.equals("b"));
+                            cluster.cancelRunningJobs(3, 9_000_000);
+                            cancelled[0] += cancelJobsOn(cluster, 3, SimulatedAgent::isHung);
                         });
                 cluster.loop.after(
                         1_500_000 + cluster.random.nextInt(2_000_000),
-                        () -> cluster.endLeader(2_000_000));
-                cluster.loop.after(12_000_000, () -> cluster.endLeader(300_000));
-                return () -> allAtLimit && cluster.leaderChanges() > term ? outOfReach[0] : 0;
+                        () -> cluster.restartLeader(2_000_000));
+                cluster.loop.after(12_000_000, () -> cluster.restartLeader(300_000));
+                return () -> allAtLimit && cluster.leaderChanges() > term ? cancelled[0] : 0;
             }
         },
         /**
-         * A team is at its limit as the leader changes, some of its machines can't be asked, and
-         * jobs there are called off only then.
+         * A team is at its limit when the leader changes, some machines are unreachable for the new
+         * leader, and jobs on them are cancelled only then.
          */
-        CANCELLED_BEFORE_IT_COULD_ASK {
+        CANCELLED_BEFORE_NEW_LEADER_REACHES_MACHINES {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 int term = cluster.leaderChanges();
                 int[] cancelled = {0};
-                cluster.deafen("a", 2, 26_000_000);
+                cluster.blockInbound("a", 2, 26_000_000);
                 cluster.hangAll("b", 9_500_000);
-                cluster.loop.after(500_000, () -> cluster.endLeader(3_000_000));
-                untilSo(
+                cluster.loop.after(500_000, () -> cluster.restartLeader(3_000_000));
+                runOnceWhen(
                         cluster,
                         cluster.loop.now() + 9_000_000,
                         () -> cluster.leaderChanges() > term,
                         () -> {
                             if (cluster.observed.teamsAtLimit() > 0) {
                                 cancelled[0] +=
-                                        cancelWhere(
+                                        cancelJobsOn(
                                                 cluster,
                                                 3,
-                                                machine -> machine.hung() || machine.deaf());
+                                                machine ->
+                                                        machine.isHung()
+                                                                || machine.isInboundBlocked());
                             }
                         });
                 return () -> cancelled[0];
             }
         },
-        /** Old reports, of earlier sessions too, come to every node just as a new leader begins. */
-        OLD_REPORTS_FOR_THE_NEXT_LEADER {
+        /**
+         * Stale reports, some of earlier sessions, reach every node just after a new leader has
+         * been elected.
+         */
+        STALE_REPORTS_FOR_NEXT_LEADER {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
-                int before = cluster.keptCopies;
-                cluster.keepForNextLeader(25, 22_000_000);
+            IntSupplier inject(ClusterSimulation cluster) {
+                int before = cluster.delayedHeartbeatsDelivered;
+                cluster.delayHeartbeatsUntilNextLeader(25, 22_000_000);
                 cluster.loop.after(4_000_000, () -> cluster.hangAll("a", 11_500_000));
-                cluster.loop.after(18_000_000, () -> cluster.endLeader(300_000));
-                cluster.loop.after(24_000_000, () -> cluster.endLeader(3_000_000));
-                return () -> cluster.keptCopies - before;
+                cluster.loop.after(18_000_000, () -> cluster.restartLeader(300_000));
+                cluster.loop.after(24_000_000, () -> cluster.restartLeader(3_000_000));
+                return () -> cluster.delayedHeartbeatsDelivered - before;
             }
         },
         /**
-         * Reports are held back until a new leader has placed tasks, and then come to every node,
-         * some in a later session.
+         * Reports are delayed until a new leader has placed tasks, and then reach every node, some
+         * in a later session.
          */
-        HELD_BACK_UNTIL_IT_HAS_ACTED {
+        REPORTS_DELAYED_UNTIL_NEXT_LEADER_ACTED {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
+            IntSupplier inject(ClusterSimulation cluster) {
                 int term = cluster.leaderChanges();
-                int[] starts = {Integer.MAX_VALUE};
+                int[] startsToWaitFor = {Integer.MAX_VALUE};
                 int[] arrived = {0};
-                List<byte[]> held = new ArrayList<>();
-                // What a refused command is answered with is a report; it never comes to whoever
-                // asked.
-                cluster.agents().forEach(machine -> held.add(cluster.copyOf(reportOf(machine))));
+                List<byte[]> delayedReports = new ArrayList<>();
+                // A rejected command is answered with a report; this one never reaches whoever sent
+                // the command.
+                cluster.agents()
+                        .forEach(
+                                machine ->
+                                        delayedReports.add(
+                                                cluster.encodeDuplicate(reportOf(machine))));
                 cluster.loop.after(300_000, () -> cluster.hangAll("b", 11_000_000));
-                cluster.loop.after(1_000_000, () -> cluster.endLeader(2_000_000));
-                untilSo(
+                cluster.loop.after(1_000_000, () -> cluster.restartLeader(2_000_000));
+                runOnceWhen(
                         cluster,
                         cluster.loop.now() + 35_000_000,
                         () -> cluster.leaderChanges() > term,
-                        () -> starts[0] = cluster.observed.starts + 3);
-                untilSo(
+                        () -> startsToWaitFor[0] = cluster.observed.taskStarts + 3);
+                runOnceWhen(
                         cluster,
                         cluster.loop.now() + 40_000_000,
-                        () -> cluster.observed.starts >= starts[0],
+                        () -> cluster.observed.taskStarts >= startsToWaitFor[0],
                         () ->
-                                held.forEach(
+                                delayedReports.forEach(
                                         report -> {
                                             for (int node = 0;
                                                     node < ClusterSimulation.NODES;
                                                     node++) {
                                                 arrived[0] +=
-                                                        cluster.arrivesAgain(node, report) ? 1 : 0;
+                                                        cluster.deliverDuplicate(node, report)
+                                                                ? 1
+                                                                : 0;
                                             }
                                         }));
                 return () -> arrived[0];
             }
         },
         /**
-         * Jobs that may run in one zone only, arrays too, lose machines there, once before the
-         * leader ends.
+         * Jobs that may run in one zone only, arrays among them, lose their machines there; the
+         * leader ends shortly after.
          */
-        BOUND_TO_ONE_ZONE {
+        JOBS_BOUND_TO_ONE_ZONE {
             @Override
-            IntSupplier begin(ClusterSimulation cluster) {
-                int[] lost = {0};
+            IntSupplier inject(ClusterSimulation cluster) {
+                int[] lostTasks = {0};
                 for (int tasks : new int[] {1, 6, 10}) {
-                    submitBound(cluster, tasks);
+                    submitJobInZoneB(cluster, tasks);
                 }
-                untilSo(
+                runOnceWhen(
                         cluster,
                         cluster.loop.now() + 30_000_000,
-                        () -> tasksBound(cluster) >= 4,
+                        () -> countPlacedTasksBoundToZone(cluster) >= 4,
                         () -> {
-                            lost[0] += tasksBound(cluster);
+                            lostTasks[0] += countPlacedTasksBoundToZone(cluster);
                             cluster.agents().stream()
                                     .filter(machine -> machine.zone.equals("b"))
-                                    .forEach(SimulatedAgent::die);
+                                    .forEach(SimulatedAgent::fail);
                             cluster.loop.after(
                                     cluster.random.nextInt(2_000_000),
-                                    () -> cluster.endLeader(500_000));
+                                    () -> cluster.restartLeader(500_000));
                         });
-                return () -> lost[0];
+                return () -> lostTasks[0];
             }
         };
 
         /**
-         * Brings it about; what is returned tells in the end how often that has come to something.
+         * Injects the fault; the result, read at the end of the run, tells how often it took
+         * effect.
          */
-        abstract IntSupplier begin(ClusterSimulation cluster);
+        abstract IntSupplier inject(ClusterSimulation cluster);
     }
 
     private static Map<String, Object> reportOf(SimulatedAgent machine) {
         @SuppressWarnings("unchecked")
         Map<String, Object> report =
-                (Map<String, Object>) machine.direct(Map.of("epoch", -1L, "tenure", 0L))[1];
+                (Map<String, Object>)
+                        machine.handleDirectCommand(Map.of("epoch", -1L, "tenure", 0L))[1];
         return report;
     }
 
-    /** Calls off up to so many jobs that have a task on such a machine. */
-    private static int cancelWhere(
-            ClusterSimulation cluster, int most, Predicate<SimulatedAgent> such) {
+    /** Cancels up to {@code limit} jobs that have a task on a machine that meets the condition. */
+    private static int cancelJobsOn(
+            ClusterSimulation cluster, int limit, Predicate<SimulatedAgent> condition) {
         List<String> chosen =
                 cluster.observed.runningJobs().stream()
                         .filter(
                                 jobId ->
                                         cluster.observed.machinesOf(Set.of(jobId)).stream()
-                                                .anyMatch(such))
-                        .limit(most)
+                                                .anyMatch(condition))
+                        .limit(limit)
                         .toList();
         chosen.forEach(cluster.users::cancel);
         return chosen.size();
     }
 
-    /** Does it once, as soon as it is so; not after the given time. */
-    private static void untilSo(
+    /** Runs the action once, as soon as the condition holds, unless the given time has passed. */
+    private static void runOnceWhen(
             ClusterSimulation cluster,
             long until,
-            java.util.function.BooleanSupplier so,
-            Runnable then) {
-        if (so.getAsBoolean()) {
-            then.run();
+            java.util.function.BooleanSupplier condition,
+            Runnable action) {
+        if (condition.getAsBoolean()) {
+            action.run();
         } else if (cluster.loop.now() < until) {
-            cluster.loop.after(100_000, () -> untilSo(cluster, until, so, then));
+            cluster.loop.after(100_000, () -> runOnceWhen(cluster, until, condition, action));
         }
     }
 
-    private static void submitBound(ClusterSimulation cluster, int tasks) {
+    private static void submitJobInZoneB(ClusterSimulation cluster, int tasks) {
         String jobId = cluster.users.newJobId();
         Map<String, Object> job =
                 new LinkedHashMap<>(
@@ -258,7 +271,7 @@
         cluster.users.submit(jobId, job, cluster.loop.now() + 60_000_000, accepted -> {});
     }
 
-    private static int tasksBound(ClusterSimulation cluster) {
+    private static int countPlacedTasksBoundToZone(ClusterSimulation cluster) {
         int tasks = 0;
         for (String jobId : cluster.observed.runningJobs()) {
             JobDescription job = cluster.observed.job(jobId);
@@ -269,41 +282,43 @@
         return tasks;
     }
 
-    private static WaitingJobs day(long seed, Scenario kind, Set<Meeting> meetings) {
-        ClusterSimulation cluster = new ClusterSimulation(seed, kind);
-        cluster.users.submitUntil(TROUBLED - EVERY);
-        cluster.observed.faultFreeFromMicros = TROUBLED + 60_000_000;
-        WaitingJobs waiting = new WaitingJobs(cluster, TROUBLED + 60_000_000);
-        Map<Meeting, List<IntSupplier>> begun = new LinkedHashMap<>();
-        meetings.forEach(meeting -> begun.put(meeting, new ArrayList<>()));
-        for (int i = 0; i < TIMES; i++) {
-            meetings.forEach(
-                    meeting ->
+    private static WaitingJobs runAndAssertOccurred(
+            long seed, Scenario scenario, Set<Fault> faults) {
+        ClusterSimulation cluster = new ClusterSimulation(seed, scenario);
+        cluster.users.submitUntil(FAULTS_END - FAULT_INTERVAL);
+        cluster.observed.faultFreeFromMicros = FAULTS_END + 60_000_000;
+        WaitingJobs waiting = new WaitingJobs(cluster, FAULTS_END + 60_000_000);
+        Map<Fault, List<IntSupplier>> injected = new LinkedHashMap<>();
+        faults.forEach(fault -> injected.put(fault, new ArrayList<>()));
+        for (int i = 0; i < FAULT_REPEATS; i++) {
+            faults.forEach(
+                    fault ->
                             cluster.loop.after(
-                                    AT + cluster.random.nextInt(4_000_000),
+                                    FIRST_FAULT + cluster.random.nextInt(4_000_000),
                                     () -> {
                                         if (cluster.stored("leader") != null) {
-                                            begun.get(meeting).add(meeting.begin(cluster));
+                                            injected.get(fault).add(fault.inject(cluster));
                                         }
                                     }));
-            cluster.run(cluster.loop.now() + EVERY);
+            cluster.run(cluster.loop.now() + FAULT_INTERVAL);
         }
-        finish(cluster);
-        begun.forEach(
-                (meeting, times) ->
+        runUntilJobsFinish(cluster);
+        injected.forEach(
+                (fault, effects) ->
                         assertTrue(
-                                times.stream().mapToInt(IntSupplier::getAsInt).sum() > 0,
-                                meeting + " did not occur, seed " + seed));
+                                effects.stream().mapToInt(IntSupplier::getAsInt).sum() > 0,
+                                fault + " did not occur, seed " + seed));
         assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
         return waiting;
     }
 
     /**
-     * Where a team's limit has room for one task at a time, what its users asked for takes long.
+     * Runs until all jobs are finished, or for 1,500 s: a team whose limit has room for one task at
+     * a time takes long.
      */
-    private static void finish(ClusterSimulation cluster) {
-        while (cluster.loop.now() < TROUBLED + 1_500_000_000
-                && (cluster.loop.now() < TROUBLED + 200_000_000
+    private static void runUntilJobsFinish(ClusterSimulation cluster) {
+        while (cluster.loop.now() < FAULTS_END + 1_500_000_000
+                && (cluster.loop.now() < FAULTS_END + 200_000_000
                         || !cluster.unfinishedJobs().isEmpty())) {
             cluster.run(cluster.loop.now() + 20_000_000);
         }
@@ -311,72 +326,78 @@
 
     @ParameterizedTest
     @EnumSource
-    void rulesHoldInEachMeeting(Meeting meeting) {
+    void invariantsHoldUnderEachFault(Fault fault) {
         int seen = 0;
-        for (long seed : Seeds.usually(SEEDS)) {
-            seen += day(seed, Scenario.TIGHT, Set.of(meeting)).seen;
+        for (long seed : Seeds.firstOrConfigured(SEEDS)) {
+            seen +=
+                    runAndAssertOccurred(seed, Scenario.TEAMS_AT_QUOTA, Set.of(fault))
+                            .waitsObserved;
         }
-        assertTrue(seen > 0, "no job ever waited for a moment");
+        assertTrue(seen > 0, "no job was ever seen waiting while it could run");
     }
 
     @ParameterizedTest
     @CsvSource({
-        "CANCELLED_OUT_OF_REACH, OLD_REPORTS_FOR_THE_NEXT_LEADER",
-        "CANCELLED_BEFORE_IT_COULD_ASK, HELD_BACK_UNTIL_IT_HAS_ACTED",
-        "BOUND_TO_ONE_ZONE, CANCELLED_BEFORE_IT_COULD_ASK"
+        "CANCELLED_ON_UNREACHABLE_MACHINES, STALE_REPORTS_FOR_NEXT_LEADER",
+        "CANCELLED_BEFORE_NEW_LEADER_REACHES_MACHINES, REPORTS_DELAYED_UNTIL_NEXT_LEADER_ACTED",
+        "JOBS_BOUND_TO_ONE_ZONE, CANCELLED_BEFORE_NEW_LEADER_REACHES_MACHINES"
     })
-    void rulesHoldInTwoAtOnce(Meeting one, Meeting other) {
-        day(Seeds.usualCount(SEEDS), Scenario.TIGHT, Set.of(one, other));
+    void invariantsHoldUnderTwoFaultsAtOnce(Fault one, Fault other) {
+        runAndAssertOccurred(
+                Seeds.countOrConfigured(SEEDS), Scenario.TEAMS_AT_QUOTA, Set.of(one, other));
     }
 
-    /** Everything else at random besides. */
     @Test
-    void rulesHoldOnRandomDaysAtLimits() {
-        int most = 0;
+    void invariantsHoldUnderRandomFaultsAtQuotaLimits() {
+        int mostTeamsAtLimit = 0;
         int copies = 0;
         int waited = 0;
-        for (long seed : Seeds.usually(SEEDS)) {
-            ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.TIGHT);
-            cluster.users.submitUntil(TROUBLED - EVERY);
-            cluster.randomFaults.startUntil(TROUBLED);
-            cluster.keepForNextLeader(10, TROUBLED);
-            cluster.cancelAtEnd(10, TROUBLED);
-            cluster.loseAnswers(5, TROUBLED);
-            WaitingJobs waiting = new WaitingJobs(cluster, TROUBLED + 60_000_000);
-            for (long at = 30_000_000; at < TROUBLED; at += 15_000_000) {
-                cluster.loop.at(at, () -> cluster.cancelNow(3, cluster.random.nextInt(9_000_000)));
+        for (long seed : Seeds.firstOrConfigured(SEEDS)) {
+            ClusterSimulation cluster = new ClusterSimulation(seed, Scenario.TEAMS_AT_QUOTA);
+            cluster.users.submitUntil(FAULTS_END - FAULT_INTERVAL);
+            cluster.randomFaults.startUntil(FAULTS_END);
+            cluster.delayHeartbeatsUntilNextLeader(10, FAULTS_END);
+            cluster.cancelAtEnd(10, FAULTS_END);
+            cluster.loseAnswers(5, FAULTS_END);
+            WaitingJobs waiting = new WaitingJobs(cluster, FAULTS_END + 60_000_000);
+            for (long at = 30_000_000; at < FAULTS_END; at += 15_000_000) {
+                cluster.loop.at(
+                        at, () -> cluster.cancelRunningJobs(3, cluster.random.nextInt(9_000_000)));
                 cluster.run(at);
-                most = Math.max(most, cluster.observed.teamsAtLimit());
+                mostTeamsAtLimit = Math.max(mostTeamsAtLimit, cluster.observed.teamsAtLimit());
             }
-            finish(cluster);
+            runUntilJobsFinish(cluster);
             assertEquals(List.of(), cluster.unfinishedJobs(), "seed " + seed);
-            copies += cluster.keptCopies;
-            waited += waiting.seen;
+            copies += cluster.delayedHeartbeatsDelivered;
+            waited += waiting.waitsObserved;
         }
         assertTrue(
                 copies > 0 && waited > 0,
-                copies + " old reports, " + waited + " times a job could have run");
-        assertEquals(2, most, "both teams were at their limits");
+                copies
+                        + " stale reports, "
+                        + waited
+                        + " observations of a job waiting while it could run");
+        assertEquals(2, mostTeamsAtLimit, "most teams at their limits at the same time");
     }
 
-    private static Scenario told(long leaseMicros) {
+    private static Scenario scenarioWithConfiguredLease(long leaseMicros) {
         return new Scenario(
-                Scenario.SHORT,
-                new Scenario.Times(leaseMicros, Scenario.SHORT.cancelMicros()),
-                Version.NOW,
+                Scenario.SHORT_TIMES,
+                new Scenario.Times(leaseMicros, Scenario.SHORT_TIMES.cancelMicros()),
+                Version.CURRENT,
                 Scenario.Flaw.NONE,
                 0,
                 2,
                 true);
     }
 
-    private static void caught(Scenario broken, Meeting meeting) {
+    private static void assertViolationDetected(Scenario broken, Fault fault) {
         InvariantViolation caught =
                 assertThrows(
                         InvariantViolation.class,
                         () -> {
                             for (long seed : Seeds.first(20)) {
-                                day(seed, broken, Set.of(meeting));
+                                runAndAssertOccurred(seed, broken, Set.of(fault));
                             }
                         });
         assertTrue(
@@ -385,32 +406,37 @@
     }
 
     @ParameterizedTest
-    @EnumSource(names = {"CANCELLED_OUT_OF_REACH", "CANCELLED_BEFORE_IT_COULD_ASK"})
-    void aServiceThatTrustsTooShortALeaseIsCaught(Meeting meeting) {
-        caught(told(Scenario.SHORT.leaseMicros() / 2), meeting);
+    @EnumSource(
+            names = {
+                "CANCELLED_ON_UNREACHABLE_MACHINES",
+                "CANCELLED_BEFORE_NEW_LEADER_REACHES_MACHINES"
+            })
+    void checkerDetectsLeaseAssumedTooShort(Fault fault) {
+        assertViolationDetected(
+                scenarioWithConfiguredLease(Scenario.SHORT_TIMES.leaseMicros() / 2), fault);
     }
 
     @Test
-    void oldReportsThatLookNewAreCaught() {
-        caught(
-                Scenario.TIGHT.with(Scenario.Flaw.COPIES_LOOK_NEW),
-                Meeting.OLD_REPORTS_FOR_THE_NEXT_LEADER);
-        caught(
-                Scenario.TIGHT.with(Scenario.Flaw.COPIES_LOOK_NEW),
-                Meeting.HELD_BACK_UNTIL_IT_HAS_ACTED);
+    void checkerDetectsStaleReportsTakenAsNew() {
+        assertViolationDetected(
+                Scenario.TEAMS_AT_QUOTA.with(Scenario.Flaw.DELAYED_HEARTBEATS_LOOK_NEW),
+                Fault.STALE_REPORTS_FOR_NEXT_LEADER);
+        assertViolationDetected(
+                Scenario.TEAMS_AT_QUOTA.with(Scenario.Flaw.DELAYED_HEARTBEATS_LOOK_NEW),
+                Fault.REPORTS_DELAYED_UNTIL_NEXT_LEADER_ACTED);
     }
 
-    /** Nobody leads any more, and its machines are there. */
+    /** All controllers are down while the machines run. */
     @Test
-    void jobsThatAreLeftWaitingAreCaught() {
-        ClusterSimulation cluster = new ClusterSimulation(1, Scenario.PLAIN);
-        cluster.users.submitUntil(AT);
-        WaitingJobs waiting = new WaitingJobs(cluster, AT);
-        cluster.run(AT);
+    void checkerDetectsStarvedJobs() {
+        ClusterSimulation cluster = new ClusterSimulation(1, Scenario.DEFAULT);
+        cluster.users.submitUntil(FIRST_FAULT);
+        WaitingJobs waiting = new WaitingJobs(cluster, FIRST_FAULT);
+        cluster.run(FIRST_FAULT);
         for (int node = 0; node < ClusterSimulation.NODES; node++) {
-            cluster.end(node, 1_000_000_000);
+            cluster.restartAfter(node, 1_000_000_000);
         }
-        assertThrows(InvariantViolation.class, () -> cluster.run(AT + 120_000_000));
-        assertTrue(waiting.longestMicros >= 90_000_000);
+        assertThrows(InvariantViolation.class, () -> cluster.run(FIRST_FAULT + 120_000_000));
+        assertTrue(waiting.longestWaitMicros >= 90_000_000);
     }
 }
--- a/src/test/java/org/woadloom/sim/SimulatedAgent.java
+++ b/src/test/java/org/woadloom/sim/SimulatedAgent.java
@@ -10,9 +10,12 @@
 import org.woadloom.protocol.MalformedMessageException;
 import org.woadloom.protocol.TaskId;
 
-/** A worker, written from the protocol: leases, tokens, reports and commands. */
+/**
+ * An agent on a machine, implemented from the protocol and independently of the production code:
+ * leases, fencing tokens, heartbeats and commands.
+ */
 final class SimulatedAgent {
-    private static final long FETCH_MICROS = 800_000;
+    private static final long IMAGE_FETCH_MICROS = 800_000;
 
     private static final class Task {
         final TaskId id;
@@ -27,7 +30,7 @@
     }
 
     final String host;
-    final String addr;
+    final String address;
     final String machineType;
     final String zone;
     final boolean spot;
@@ -37,34 +40,33 @@
     private long incarnation = 1;
     private long sequence;
     private long fencingToken;
-    private long leaseFrom;
+    private long leaseStart;
     private int node;
-    private long reportSent = -1;
+    private long reportSentMicros = -1;
     private long reportId;
-    private boolean changed;
-    boolean dead;
-    long hungUntil;
+    private boolean hasChanges;
+    boolean failed;
+    long hungUntilMicros;
 
-    /** Its reports arrive until then, and neither answers nor commands reach it. */
-    long deafUntil;
+    /** Until then its heartbeats reach the nodes, but neither answers nor commands reach it. */
+    long inboundBlockedUntilMicros;
 
-    /** Commands reach it until then, and nothing that it says arrives. */
-    long muteUntil;
+    /** Until then commands reach it, but neither its heartbeats nor its answers arrive. */
+    long outboundBlockedUntilMicros;
 
     /**
-     * It can't open connections to any node until then; commands reach it, and their answers
-     * arrive.
+     * Until then it can't open connections to nodes. Commands still reach it, and its answers to
+     * them arrive.
      */
-    long closedInUntil;
+    long connectsBlockedUntilMicros;
 
-    /** Its running tasks that were killed because its lease ended. */
-    int killedByLease;
+    /** Number of its running tasks that were killed because its lease expired. */
+    int tasksKilledByLease;
 
-    /** Tasks that began here. */
-    int started;
+    int tasksStarted;
 
-    /** The highest token that it was sent, whether it arrived or not. */
-    long tokenSent;
+    /** The highest fencing token that was sent to this agent, whether or not it arrived. */
+    long highestTokenSent;
 
     SimulatedAgent(
             ClusterSimulation cluster,
@@ -75,71 +77,71 @@
             double cpus) {
         this.cluster = cluster;
         this.host = host;
-        this.addr = host + ":9000";
+        this.address = host + ":9000";
         this.machineType = machineType;
         this.zone = zone;
         this.spot = spot;
         this.cpus = cpus;
-        this.leaseFrom = cluster.loop.now();
+        this.leaseStart = cluster.loop.now();
         this.node = cluster.random.nextInt(ClusterSimulation.NODES);
-        beat();
-        watchLease();
+        scheduleHeartbeats();
+        scheduleLeaseChecks();
     }
 
     /**
-     * The lease ends on time, also on a machine that hangs: it has no tasks any more when it goes
-     * on.
+     * Checks the lease at its expiry, even while the machine hangs, so that no task of an expired
+     * lease is left when the machine resumes.
      */
-    private void watchLease() {
+    private void scheduleLeaseChecks() {
         cluster.loop.at(
-                leaseFrom + cluster.settings.agents().leaseMicros() + 1,
+                leaseStart + cluster.settings.agents().leaseMicros() + 1,
                 () -> {
-                    if (!dead) {
+                    if (!failed) {
                         checkLease();
-                        watchLease();
+                        scheduleLeaseChecks();
                     }
                 });
     }
 
-    private void beat() {
+    private void scheduleHeartbeats() {
         long period = cluster.settings.agents().heartbeatMicros();
         cluster.loop.after(
                 period / 4 + cluster.random.nextInt((int) (period / 8)),
                 () -> {
-                    if (dead) {
+                    if (failed) {
                         return;
                     }
-                    if (!hung()) {
+                    if (!isHung()) {
                         checkLease();
-                        if (reportSent < 0
-                                && (changed || cluster.loop.now() - lastReport >= period)) {
-                            report();
+                        if (reportSentMicros < 0
+                                && (hasChanges || cluster.loop.now() - lastReport >= period)) {
+                            sendHeartbeat();
                         }
                     }
-                    beat();
+                    scheduleHeartbeats();
                 });
     }
 
     private long lastReport = Long.MIN_VALUE / 2;
 
-    boolean hung() {
-        return cluster.loop.now() < hungUntil;
+    boolean isHung() {
+        return cluster.loop.now() < hungUntilMicros;
     }
 
-    boolean deaf() {
-        return cluster.loop.now() < deafUntil;
+    boolean isInboundBlocked() {
+        return cluster.loop.now() < inboundBlockedUntilMicros;
     }
 
-    boolean mute() {
-        return cluster.loop.now() < muteUntil;
+    boolean isOutboundBlocked() {
+        return cluster.loop.now() < outboundBlockedUntilMicros;
     }
 
-    boolean closedIn() {
-        return cluster.loop.now() < closedInUntil;
+    boolean areConnectsBlocked() {
+        return cluster.loop.now() < connectsBlockedUntilMicros;
     }
 
-    /** The tasks that run here. */
-    Set<TaskId> running() {
+    /** IDs of the tasks in status running. */
+    Set<TaskId> runningTasks() {
         Set<TaskId> running = new LinkedHashSet<>();
         tasks.values().stream()
                 .filter(task -> task.status.equals("running"))
@@ -148,23 +150,23 @@
     }
 
     private void checkLease() {
-        if (cluster.loop.now() - leaseFrom > cluster.settings.agents().leaseMicros()) {
+        if (cluster.loop.now() - leaseStart > cluster.settings.agents().leaseMicros()) {
             for (Task task : tasks.values()) {
                 cluster.observed.killedByLease += task.status.equals("running") ? 1 : 0;
-                killedByLease += task.status.equals("running") ? 1 : 0;
+                tasksKilledByLease += task.status.equals("running") ? 1 : 0;
                 cluster.invariants.onTaskEnded(task.id, this, false);
             }
             tasks.clear();
             incarnation++;
-            leaseFrom = cluster.loop.now();
-            changed = true;
+            leaseStart = cluster.loop.now();
+            hasChanges = true;
         }
     }
 
-    private Map<String, Object> body() {
+    private Map<String, Object> heartbeat() {
         Map<String, Object> map = new LinkedHashMap<>();
         map.put("host", host);
-        map.put("addr", addr);
+        map.put("addr", address);
         map.put("hosttype", machineType);
         map.put("yard", zone);
         map.put("reclaimable", spot);
@@ -187,66 +189,69 @@
         return map;
     }
 
-    private void report() {
-        changed = false;
+    private void sendHeartbeat() {
+        hasChanges = false;
         long sent = cluster.loop.now();
         lastReport = sent;
-        reportSent = sent;
+        reportSentMicros = sent;
         long id = ++reportId;
         long ofTenure = incarnation;
-        cluster.toNode(
+        cluster.sendToNode(
                 host,
                 node,
                 "POST",
                 "/v1/report",
-                body(),
+                heartbeat(),
                 4_000_000,
                 (status, answer) -> {
-                    if (dead || id != reportId || reportSent < 0) {
+                    if (failed || id != reportId || reportSentMicros < 0) {
                         return;
                     }
-                    reportSent = -1;
-                    if (hung()) {
+                    reportSentMicros = -1;
+                    if (isHung()) {
                         return;
                     }
                     if (status == 200) {
                         long token = (Long) answer.get("epoch");
                         checkLease();
                         if (token >= fencingToken && incarnation == ofTenure) {
-                            changed |= token > fencingToken;
+                            hasChanges |= token > fencingToken;
                             fencingToken = token;
-                            leaseFrom = Math.max(leaseFrom, sent);
+                            leaseStart = Math.max(leaseStart, sent);
                             execute((List<?>) answer.get("orders"));
                         }
                     } else if (status == 421
                             && answer.get("overseer") instanceof String leader
                             && ClusterSimulation.nodeIndex(leader) != node) {
                         node = ClusterSimulation.nodeIndex(leader);
-                        changed = true;
+                        hasChanges = true;
                     } else {
-                        // It tries the next node a second later, and none before.
-                        reportSent = sent;
+                        // Waits for a second, then tries the next node.
+                        reportSentMicros = sent;
                         cluster.loop.after(
                                 1_000_000,
                                 () -> {
-                                    reportSent = -1;
+                                    reportSentMicros = -1;
                                     node = (node + 1) % ClusterSimulation.NODES;
-                                    changed = true;
+                                    hasChanges = true;
                                 });
                     }
                 });
     }
 
-    /** Whether one more task of the job may be put here, and has room. */
-    boolean takes(JobDescription job) {
+    /**
+     * Whether the machine is reachable, satisfies the job's constraints and has capacity for a
+     * task.
+     */
+    boolean canStartTask(JobDescription job) {
         double used = 0;
         for (Task task : tasks.values()) {
             used += task.status.equals("exited") ? 0 : cluster.observed.job(task.id.jobId()).cpus();
         }
-        return !dead
-                && !hung()
-                && !deaf()
-                && !mute()
+        return !failed
+                && !isHung()
+                && !isInboundBlocked()
+                && !isOutboundBlocked()
                 && used + job.cpus() <= cpus + 1e-6
                 && fits(job);
     }
@@ -257,33 +262,34 @@
                 && (!spot || job.spotAllowed());
     }
 
-    /** A direct command as it arrives, perhaps late. */
-    Object[] direct(Map<String, Object> body) {
+    /** Handles a direct command, which may be late. Returns the HTTP status and a heartbeat. */
+    Object[] handleDirectCommand(Map<String, Object> body) {
         checkLease();
         long token = (Long) body.get("epoch");
         if (token < fencingToken || (Long) body.get("tenure") != incarnation) {
-            // The protocol says the highest token it has seen: every other worker has seen that of
-            // a refused command, too.
+            // A heartbeat carries the highest token that the agent has seen. The protocol leaves
+            // open
+            // whether tokens of rejected commands count; for half of the agents they do.
             fencingToken = host.hashCode() % 2 == 0 ? Math.max(fencingToken, token) : fencingToken;
-            return new Object[] {409, body()};
+            return new Object[] {409, heartbeat()};
         }
         fencingToken = token;
         execute((List<?>) body.get("orders"));
-        return new Object[] {200, body()};
+        return new Object[] {200, heartbeat()};
     }
 
     private void execute(List<?> commands) {
         for (Object item : commands) {
-            Map<?, ?> order = (Map<?, ?>) item;
+            Map<?, ?> command = (Map<?, ?>) item;
             TaskId id;
             try {
-                id = TaskId.parse((String) order.get("shard"));
+                id = TaskId.parse((String) command.get("shard"));
             } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
             }
-            long attempt = (Long) order.get("try");
+            long attempt = (Long) command.get("try");
             Task task = tasks.get(id);
-            switch ((String) order.get("verb")) {
+            switch ((String) command.get("verb")) {
                 case "launch" -> launch(id, attempt, task);
                 case "halt" -> {
                     if (task != null && task.attempt == attempt && !task.status.equals("exited")) {
@@ -297,12 +303,12 @@
                 }
                 default -> throw new IllegalStateException();
             }
-            changed = true;
+            hasChanges = true;
         }
     }
 
-    /** How many processors no task of its holds. */
-    double free() {
+    /** CPUs that are not held by a task. */
+    double freeCpus() {
         double free = cpus;
         for (Task task : tasks.values()) {
             free -= task.status.equals("exited") ? 0 : cluster.observed.job(task.id.jobId()).cpus();
@@ -310,10 +316,8 @@
         return free;
     }
 
-    /**
-     * How many processors tasks of the team hold here, those that wait for their image among them.
-     */
-    double held(String team) {
+    /** CPUs held by tasks of the team on this machine, including tasks that fetch their image. */
+    double cpusHeldBy(String team) {
         double held = 0;
         for (Task task : tasks.values()) {
             JobDescription job = cluster.observed.job(task.id.jobId());
@@ -324,20 +328,31 @@
 
     private void launch(TaskId id, long attempt, Task present) {
         if (present != null && present.attempt == attempt
-                || cluster.isBroken(Scenario.Flaw.ONE_JOB_NOT_TAKEN) && id.jobId().endsWith("7")) {
+                || cluster.isBroken(Scenario.Flaw.ONE_JOB_NEVER_STARTED)
+                        && id.jobId().endsWith("7")) {
             return;
         }
         JobDescription job = cluster.observed.job(id.jobId());
         if (job == null) {
-            throw new InvariantViolation(ProtocolRule.ACCEPTED_UNFIT, id + " is started");
+            throw new InvariantViolation(
+                    ProtocolRule.ACCEPTED_UNFIT,
+                    id + " is launched on " + host + ", but its job was never validly submitted");
         }
         Task task = new Task(id, attempt);
         if (present != null && !present.status.equals("exited")) {
-            // The refused attempt can't be listed beside the other one in this stand-in; the leader
-            // must not get here.
+            // This agent can't report a rejected attempt next to a running one, so the leader must
+            // not launch a second attempt.
             throw new InvariantViolation(
                     ProtocolRule.RAN_TWICE,
-                    id + " is sent to " + host + " where another attempt is");
+                    id
+                            + " attempt "
+                            + attempt
+                            + " is launched on "
+                            + host
+                            + ", where attempt "
+                            + present.attempt
+                            + " is "
+                            + present.status);
         }
         tasks.put(id, task);
         double used = 0;
@@ -352,15 +367,15 @@
             task.cause = "no_room";
             return;
         }
-        cluster.loop.after(FETCH_MICROS, () -> run(task, job));
+        cluster.loop.after(IMAGE_FETCH_MICROS, () -> run(task, job));
     }
 
     private void run(Task task, JobDescription job) {
-        if (dead || tasks.get(task.id) != task || !task.status.equals("fetching")) {
+        if (failed || tasks.get(task.id) != task || !task.status.equals("fetching")) {
             return;
         }
-        if (hung()) {
-            cluster.loop.at(hungUntil, () -> run(task, job));
+        if (isHung()) {
+            cluster.loop.at(hungUntilMicros, () -> run(task, job));
             return;
         }
         checkLease();
@@ -372,20 +387,20 @@
             return;
         }
         cluster.invariants.onTaskStarted(task.id, this);
-        started++;
+        tasksStarted++;
         task.status = "running";
-        changed = true;
+        hasChanges = true;
         if (!job.isService()) {
             cluster.loop.after((long) (job.estimatedRuntimeSeconds() * 1e6), () -> complete(task));
         }
     }
 
     private void complete(Task task) {
-        if (dead || tasks.get(task.id) != task || !task.status.equals("running")) {
+        if (failed || tasks.get(task.id) != task || !task.status.equals("running")) {
             return;
         }
-        if (hung()) {
-            cluster.loop.at(hungUntil, () -> complete(task));
+        if (isHung()) {
+            cluster.loop.at(hungUntilMicros, () -> complete(task));
             return;
         }
         checkLease();
@@ -397,13 +412,13 @@
     private void exit(Task task, String cause) {
         task.status = "exited";
         task.cause = cause;
-        changed = true;
+        hasChanges = true;
         cluster.invariants.onTaskEnded(task.id, this, cause.equals("done"));
     }
 
-    /** The machine is gone, and everything on it. */
-    void die() {
-        dead = true;
+    /** Ends the machine and all of its tasks. */
+    void fail() {
+        failed = true;
         for (Task task : tasks.values()) {
             cluster.invariants.onTaskEnded(task.id, this, false);
         }
--- a/src/test/java/org/woadloom/sim/SimulatedUsers.java
+++ b/src/test/java/org/woadloom/sim/SimulatedUsers.java
@@ -10,15 +10,14 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * The users of a simulated cluster: they submit jobs and pipelines, poll what was accepted, and
- * cancel some of it, each request at a node chosen at random. {@link UserFaults} has what they do
- * beyond that.
+ * The users of a simulated cluster: they submit jobs and pipelines, poll accepted jobs and cancel
+ * some of them. Each request goes to a random node. {@link UserFaults} has unusual user behaviour.
  */
 final class SimulatedUsers {
-    /** For so long a user repeats a submission that gets no answer. */
+    /** How long a user retries a submission that is not accepted. */
     private static final long SUBMIT_TIMEOUT_MICROS = 60_000_000;
 
-    /** For so long a user repeats a cancellation of a job that nobody knows. */
+    /** How long a user retries the cancellation of a job that the nodes do not know. */
     private static final long UNKNOWN_JOB_MICROS = 70_000_000;
 
     private final ClusterSimulation cluster;
@@ -37,7 +36,7 @@
         submitUntil(until, 1);
     }
 
-    /** Submits so many times as many jobs as usual until the given time. */
+    /** Submits jobs at {@code times} the usual rate until the given time. */
     void submitUntil(long until, int times) {
         cluster.loop.after(
                 (300_000 + random.nextInt(2_500_000)) / times,
@@ -57,8 +56,9 @@
         newJob(newJobId(), random.nextInt(10), List.of(), accepted -> {});
     }
 
-    /** Submits a job; the last argument hears when it is accepted. */
-    private void newJob(String jobId, int kind, List<String> awaits, Consumer<String> onAccepted) {
+    /** Submits a job; {@code onAccepted} is called with its ID when it is accepted. */
+    private void newJob(
+            String jobId, int kind, List<String> dependencies, Consumer<String> onAccepted) {
         Map<String, Object> map = new LinkedHashMap<>();
         boolean service = kind < 3;
         boolean gang = kind == 3;
@@ -72,14 +72,14 @@
                 (long)
                         (service
                                 ? 1 + random.nextInt(3)
-                                : kind == 4 && cluster.scenario.upgrade()
+                                : kind == 4 && cluster.scenario.isUpgrade()
                                         ? 20 + random.nextInt(100)
                                         : 1 + random.nextInt(gang ? 4 : 9)));
         map.put(
                 "vcpus",
-                service || kind == 4 && cluster.scenario.upgrade()
+                service || kind == 4 && cluster.scenario.isUpgrade()
                         ? 1.0
-                        : (double) (1 << random.nextInt(awaits.isEmpty() ? 4 : 2)));
+                        : (double) (1 << random.nextInt(dependencies.isEmpty() ? 4 : 2)));
         map.put("cards", 0.0);
         map.put("ramGb", 2.0);
         map.put("bundle", "img-" + random.nextInt(4));
@@ -92,8 +92,8 @@
         map.put("runtimeS", service ? 0.0 : 2.0 + random.nextInt(15));
         map.put("snapshotEveryS", 0.0);
         map.put("snapshotCostS", 0.0);
-        if (!awaits.isEmpty()) {
-            map.put("awaits", awaits);
+        if (!dependencies.isEmpty()) {
+            map.put("awaits", dependencies);
         }
         try {
             cluster.observed.recordSubmission(JobDescription.parse(map));
@@ -101,14 +101,14 @@
             throw new IllegalStateException(e);
         }
         submit(jobId, map, cluster.loop.now() + SUBMIT_TIMEOUT_MICROS, onAccepted);
-        if (!cluster.servicesStay && (service || random.nextInt(12) == 0)) {
+        if (!cluster.noRandomCancellations && (service || random.nextInt(12) == 0)) {
             cluster.loop.after(5_000_000 + random.nextInt(60_000_000), () -> cancel(jobId));
         }
     }
 
-    /** Among a crowd of teams one asks for as much as all others together. */
+    /** Returns a random team; with additional teams, half of the jobs go to the first of them. */
     private String team() {
-        if (cluster.scenario.crowd() == 0) {
+        if (cluster.scenario.extraTeams() == 0) {
             return random.nextBoolean() ? "red" : "blue";
         }
         return random.nextBoolean()
@@ -121,7 +121,7 @@
 
     void submit(String jobId, Map<String, Object> job, long until, Consumer<String> onAccepted) {
         long sent = cluster.loop.now();
-        cluster.toNode(
+        cluster.sendToNode(
                 "users",
                 random.nextInt(ClusterSimulation.NODES),
                 "POST",
@@ -145,36 +145,36 @@
                 3_000_000 + random.nextInt(14_000_000),
                 () -> {
                     if (cluster.loop.now() < until) {
-                        pipeline();
+                        submitPipeline();
                         submitPipelinesUntil(until);
                     }
                 });
     }
 
     /**
-     * A chain with branches, each job submitted once those before it are accepted. Some name jobs
-     * that were there before, some have their last job only much later, and any job may be
-     * cancelled at any time.
+     * Submits a pipeline of 1 to 5 stages with up to two jobs each. A stage is submitted once the
+     * previous one is accepted. Some pipelines depend on an earlier job, some submit their last
+     * stage up to 60 s later, and any job may be cancelled at any time.
      */
-    private void pipeline() {
+    private void submitPipeline() {
         List<String> before = new ArrayList<>();
         List<String> earlier = new ArrayList<>(cluster.observed.acceptedJobs());
         earlier.removeIf(jobId -> cluster.observed.job(jobId).isService());
         if (random.nextInt(3) == 0 && !earlier.isEmpty()) {
             before.add(earlier.get(random.nextInt(earlier.size())));
         }
-        stage(before, 1 + random.nextInt(5));
+        submitStage(before, 1 + random.nextInt(5));
     }
 
-    private void stage(List<String> before, int left) {
-        if (left == 0) {
+    private void submitStage(List<String> dependencies, int remainingStages) {
+        if (remainingStages == 0) {
             return;
         }
         int width = 1 + random.nextInt(2);
         List<String> accepted = new ArrayList<>();
         for (int i = 0; i < width; i++) {
             String jobId = newJobId();
-            List<String> awaits = new ArrayList<>(before);
+            List<String> awaits = new ArrayList<>(dependencies);
             if (awaits.size() > 1 && random.nextBoolean()) {
                 awaits.remove(random.nextInt(awaits.size()));
             }
@@ -187,13 +187,13 @@
                         if (accepted.size() == width) {
                             List<String> next = new ArrayList<>(accepted);
                             if (random.nextInt(3) == 0) {
-                                next.addAll(before);
+                                next.addAll(dependencies);
                             }
                             long late =
-                                    left == 2 && random.nextInt(4) == 0
+                                    remainingStages == 2 && random.nextInt(4) == 0
                                             ? random.nextInt(60_000_000)
                                             : 1;
-                            cluster.loop.after(late, () -> stage(next, left - 1));
+                            cluster.loop.after(late, () -> submitStage(next, remainingStages - 1));
                         }
                     });
             if (random.nextInt(10) == 0) {
@@ -204,7 +204,7 @@
 
     private void poll(String jobId) {
         long sent = cluster.loop.now();
-        cluster.toNode(
+        cluster.sendToNode(
                 "users",
                 random.nextInt(ClusterSimulation.NODES),
                 "GET",
@@ -214,18 +214,18 @@
                 (status, body) -> {
                     onAnswer(UserRequest.POLL, jobId, sent, status, body);
                     cluster.loop.after(
-                            cluster.observed.isOver(jobId) && status == 200
+                            cluster.observed.hasFinalStatus(jobId) && status == 200
                                     ? 40_000_000
                                     : 3_000_000,
                             () -> poll(jobId));
                 });
     }
 
-    /** A user gets an answer. */
+    /** Called when a user receives an answer. */
     void onAnswer(
             UserRequest request, String jobId, long sent, int status, Map<String, Object> body) {
         cluster.invariants.onAnswer(request, jobId, sent, status, body);
-        faults.told(jobId, status);
+        faults.onAnswer(jobId, status);
     }
 
     void cancel(String jobId) {
@@ -233,13 +233,13 @@
     }
 
     /**
-     * A job that is not known yet may be accepted still, and would run for ever if nobody asked
-     * again.
+     * Retries after a 404 until {@code unknownUntil}: a submission in flight may still be accepted,
+     * and the job would never be cancelled.
      */
     private void cancel(String jobId, long unknownUntil) {
         cluster.observed.recordCancelRequest(jobId);
         long sent = cluster.loop.now();
-        cluster.toNode(
+        cluster.sendToNode(
                 "users",
                 random.nextInt(ClusterSimulation.NODES),
                 "POST",
@@ -254,9 +254,9 @@
                 });
     }
 
-    /** Polls a job that nobody submitted. */
+    /** Polls a job that no user submitted. */
     void pollUnknownJob() {
-        cluster.toNode(
+        cluster.sendToNode(
                 "users",
                 random.nextInt(ClusterSimulation.NODES),
                 "GET",
@@ -267,7 +267,7 @@
                         cluster.invariants.onAnswer(UserRequest.POLL, "j-999999", 0, status, body));
     }
 
-    /** Every user asks to cancel, on whatever node can be reached. */
+    /** Cancels all accepted jobs. */
     void cancelAll() {
         cluster.observed.acceptedJobs().forEach(this::cancel);
     }
--- a/src/test/java/org/woadloom/sim/UserFaults.java
+++ b/src/test/java/org/woadloom/sim/UserFaults.java
@@ -12,15 +12,15 @@
 import org.woadloom.protocol.MalformedMessageException;
 
 /**
- * What users do beyond what they do every day: they look closely, ask for what can't be, and call
- * jobs off at bad moments.
+ * Unusual behaviour of users: bursts of polls after each change, invalid and repeated requests, and
+ * cancellations at unfavourable moments.
  */
 final class UserFaults {
-    private static final int LOOKS = 3;
-    private static final int MOST_HUNG = 8;
+    private static final int POLLS_PER_NODE = 3;
+    private static final int MAX_HUNG_MACHINES = 8;
 
-    /** A job must have these; the others may be null, and so may be missing. */
-    static final List<String> REQUIRED =
+    /** Required fields of a job. The others may be null or missing. */
+    static final List<String> REQUIRED_FIELDS =
             List.of(
                     "jobclass",
                     "crew",
@@ -41,46 +41,49 @@
 
     private final ClusterSimulation cluster;
     private final Random random;
-    private final Set<String> lookedAt = new HashSet<>();
-    private long lookUntil;
-    private int odd;
-    private int endsOfHundred;
-    private long endsUntil;
+    private final Set<String> polledStates = new HashSet<>();
+    private long pollChangesUntilMicros;
+    private int unusualRequests;
+    private int cancelAtEndPercent;
+    private long cancelAtEndUntilMicros;
 
     UserFaults(ClusterSimulation cluster, Random random) {
         this.cluster = cluster;
         this.random = random;
     }
 
-    void lookClosely(long until) {
-        lookUntil = until;
+    void pollChangesUntil(long until) {
+        pollChangesUntilMicros = until;
     }
 
-    /** A user was told something of a job; what is new is looked at closely by all who care. */
-    void told(String jobId, int status) {
-        if (cluster.loop.now() >= lookUntil
+    /**
+     * Called when a user receives an answer. If it is the first that shows the job as accepted, or
+     * as done or cancelled, users poll the job at every node and submit it again; some cancel it.
+     */
+    void onAnswer(String jobId, int status) {
+        if (cluster.loop.now() >= pollChangesUntilMicros
                 || status != 200 && status != 201
-                || !lookedAt.add(jobId + cluster.observed.isOver(jobId))) {
+                || !polledStates.add(jobId + cluster.observed.hasFinalStatus(jobId))) {
             return;
         }
-        cluster.closeLooks++;
+        cluster.pollBursts++;
         for (int node = 0; node < ClusterSimulation.NODES; node++) {
             int index = node;
-            for (int look = 0; look < LOOKS; look++) {
-                cluster.loop.after(1 + random.nextInt(30_000), () -> ask(index, jobId));
+            for (int look = 0; look < POLLS_PER_NODE; look++) {
+                cluster.loop.after(1 + random.nextInt(30_000), () -> poll(index, jobId));
             }
         }
         cluster.loop.after(
                 1 + random.nextInt(10_000),
-                () -> repeat(jobId, cluster.observed.job(jobId).toMap()));
+                () -> submit(jobId, cluster.observed.job(jobId).toMap()));
         if (random.nextInt(5) == 0) {
             cluster.loop.after(1 + random.nextInt(20_000), () -> cluster.users.cancel(jobId));
         }
     }
 
-    private void ask(int node, String jobId) {
+    private void poll(int node, String jobId) {
         long sent = cluster.loop.now();
-        cluster.toNode(
+        cluster.sendToNode(
                 "users",
                 node,
                 "GET",
@@ -91,9 +94,9 @@
                         cluster.users.onAnswer(UserRequest.POLL, jobId, sent, status, body));
     }
 
-    private void repeat(String jobId, Map<String, Object> job) {
+    private void submit(String jobId, Map<String, Object> job) {
         long sent = cluster.loop.now();
-        cluster.toNode(
+        cluster.sendToNode(
                 "users",
                 random.nextInt(ClusterSimulation.NODES),
                 "POST",
@@ -104,29 +107,35 @@
                         cluster.users.onAnswer(UserRequest.SUBMIT, jobId, sent, status, body));
     }
 
-    void oddRequests(long until) {
+    void sendUnusualRequestsUntil(long until) {
         cluster.loop.after(
                 100_000 + random.nextInt(500_000),
                 () -> {
                     if (cluster.loop.now() < until) {
-                        oddRequest(odd++ % 5);
-                        oddRequests(until);
+                        sendUnusualRequest(unusualRequests++ % 5);
+                        sendUnusualRequestsUntil(until);
                     }
                 });
     }
 
-    private void oddRequest(int kind) {
+    /**
+     * Sends a request of one of five kinds: 0 submits an open job again, 1 does so without a
+     * required field, 2 cancels a job that is done or cancelled, 3 submits a new job that can never
+     * run, 4 submits a new job without a required field.
+     */
+    private void sendUnusualRequest(int kind) {
         List<String> such = new ArrayList<>(cluster.observed.acceptedJobs());
-        such.removeIf(jobId -> cluster.observed.isOver(jobId) != (kind == 2));
+        such.removeIf(jobId -> cluster.observed.hasFinalStatus(jobId) != (kind == 2));
         if (kind < 3 && such.isEmpty()) {
             return;
         }
-        cluster.oddRequestsMade++;
+        cluster.unusualRequestsSent++;
         String jobId = kind < 3 ? such.get(random.nextInt(such.size())) : cluster.users.newJobId();
-        Map<String, Object> job = kind < 3 ? cluster.observed.job(jobId).toMap() : plain(jobId);
+        Map<String, Object> job =
+                kind < 3 ? cluster.observed.job(jobId).toMap() : oneTaskJob(jobId);
         if (kind == 2) {
             long sent = cluster.loop.now();
-            cluster.toNode(
+            cluster.sendToNode(
                     "users",
                     random.nextInt(ClusterSimulation.NODES),
                     "POST",
@@ -138,21 +147,21 @@
             return;
         }
         if (kind == 1 || kind == 4) {
-            job.remove(REQUIRED.get(random.nextInt(REQUIRED.size())));
+            job.remove(REQUIRED_FIELDS.get(random.nextInt(REQUIRED_FIELDS.size())));
         }
         if (kind == 3) {
-            unfit(job, random.nextInt(6));
+            makeInvalid(job, random.nextInt(6));
         }
         if (kind >= 3) {
-            cluster.observed.recordUnfit(jobId);
+            cluster.observed.recordInvalidJob(jobId);
             cluster.loop.after(
-                    2_000_000, () -> ask(random.nextInt(ClusterSimulation.NODES), jobId));
+                    2_000_000, () -> poll(random.nextInt(ClusterSimulation.NODES), jobId));
         }
-        repeat(jobId, job);
+        submit(jobId, job);
     }
 
-    private static void unfit(Map<String, Object> job, int how) {
-        switch (how) {
+    private static void makeInvalid(Map<String, Object> job, int defect) {
+        switch (defect) {
             case 0 -> job.put("ramGb", 100_000.0);
             case 1 -> job.put("cards", 1.0);
             case 2 -> job.put("hosttypes", List.of("no-such-type"));
@@ -165,14 +174,14 @@
         }
     }
 
-    int cancelNow(int count, long hangMicros) {
+    int cancelRunningJobs(int count, long hangMicros) {
         List<String> running = new ArrayList<>(cluster.observed.runningJobs());
         Collections.shuffle(running, random);
         List<String> chosen = running.subList(0, Math.min(count, running.size()));
         if (hangMicros > 0) {
             cluster.observed.machinesOf(chosen).stream()
-                    .limit(MOST_HUNG)
-                    .forEach(agent -> agent.hungUntil = cluster.loop.now() + hangMicros);
+                    .limit(MAX_HUNG_MACHINES)
+                    .forEach(agent -> agent.hungUntilMicros = cluster.loop.now() + hangMicros);
         }
         chosen.forEach(
                 jobId ->
@@ -181,48 +190,51 @@
         return chosen.size();
     }
 
-    void cancelAtEnd(int ofHundred, long until) {
-        endsOfHundred = ofHundred;
-        endsUntil = until;
+    void cancelAtEndUntil(int percent, long until) {
+        cancelAtEndPercent = percent;
+        cancelAtEndUntilMicros = until;
     }
 
-    /** At that very moment, or while its end is being written down. */
-    void lastTaskEnded(String jobId) {
-        if (cluster.loop.now() < endsUntil && random.nextInt(100) < endsOfHundred) {
-            cluster.cancelledAtEnd++;
+    /**
+     * Cancels some jobs just as their last task ends or up to 0.8 s later, while that is stored.
+     */
+    void onLastTaskDone(String jobId) {
+        if (cluster.loop.now() < cancelAtEndUntilMicros
+                && random.nextInt(100) < cancelAtEndPercent) {
+            cluster.jobsCancelledAtEnd++;
             cluster.loop.after(
                     random.nextBoolean() ? 1 : random.nextInt(800_000),
                     () -> cluster.users.cancel(jobId));
         }
     }
 
-    void oneTaskJobs(int perSecond, long until, int ofHundredCancelled) {
+    void submitOneTaskJobsUntil(int perSecond, long until, int cancelPercent) {
         cluster.loop.after(
                 1_000_000 / perSecond,
                 () -> {
                     if (cluster.loop.now() < until) {
                         String jobId = cluster.users.newJobId();
-                        Map<String, Object> job = plain(jobId);
+                        Map<String, Object> job = oneTaskJob(jobId);
                         try {
                             cluster.observed.recordSubmission(JobDescription.parse(job));
                         } catch (MalformedMessageException e) {
                             throw new IllegalStateException(e);
                         }
-                        cluster.oneTaskJobsMade++;
+                        cluster.oneTaskJobsSubmitted++;
                         cluster.users.submit(
                                 jobId, job, cluster.loop.now() + 60_000_000, accepted -> {});
-                        if (random.nextInt(100) < ofHundredCancelled) {
+                        if (random.nextInt(100) < cancelPercent) {
                             cluster.oneTaskJobsCancelled++;
                             cluster.loop.after(
                                     random.nextInt(6_000_000), () -> cluster.users.cancel(jobId));
                         }
-                        oneTaskJobs(perSecond, until, ofHundredCancelled);
+                        submitOneTaskJobsUntil(perSecond, until, cancelPercent);
                     }
                 });
     }
 
-    /** A job with every field, of one small task. */
-    private Map<String, Object> plain(String jobId) {
+    /** A valid job of one small task, with all fields. */
+    private Map<String, Object> oneTaskJob(String jobId) {
         Map<String, Object> job = new LinkedHashMap<>();
         job.put("uid", jobId);
         job.put("jobclass", "work");
--- a/src/test/java/org/woadloom/soak/LinkProxy.java
+++ b/src/test/java/org/woadloom/soak/LinkProxy.java
@@ -11,24 +11,24 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** Passes the connections of one link on to their target, and brings the link's faults about. */
+/** A TCP proxy for one network link; forwards connections to a local port and injects faults. */
 final class LinkProxy implements Closeable {
     private static final int BUFFER_BYTES = 16_384;
     private static final int BACKLOG = 256;
     private static final int CONNECT_TIMEOUT_MILLIS = 2_000;
     private static final int DELAY_MILLIS = 150;
 
-    /** The state of a link. */
+    /** How the proxy treats traffic. */
     enum Mode {
         OPEN,
-        /** Nothing passes; it is delivered when the link is open again. */
-        HANGS,
-        /** Requests pass, answers do not until the link is open again. */
-        ANSWERS_HANG,
-        /** Connections are closed at once. */
-        REFUSES,
-        /** Everything passes late. */
-        SLOW
+        /** Forwards nothing; buffered data is delivered when the mode changes. */
+        BLOCKED,
+        /** Forwards requests, but holds responses back until the mode changes. */
+        RESPONSES_BLOCKED,
+        /** Aborts new connections at once. */
+        REFUSING,
+        /** Forwards each chunk with a delay. */
+        DELAYED
     }
 
     private final ServerSocket server;
@@ -40,7 +40,7 @@
     LinkProxy(int targetPort) throws IOException {
         this.targetPort = targetPort;
         server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
-        start(this::acceptAll);
+        startThread(this::acceptAll);
     }
 
     int port() {
@@ -52,7 +52,7 @@
         notifyAll();
     }
 
-    /** Ends all connections, as a packet filter does that forgets them. */
+    /** Aborts all connections with a TCP reset, like a firewall that lost its connection state. */
     void reset() {
         sockets.forEach(LinkProxy::abort);
     }
@@ -67,7 +67,7 @@
         reset();
     }
 
-    private static void start(Runnable task) {
+    private static void startThread(Runnable task) {
         Thread thread = new Thread(task, "soak-link");
         thread.setDaemon(true);
         thread.start();
@@ -77,10 +77,10 @@
         while (!server.isClosed()) {
             try {
                 Socket client = server.accept();
-                if (currentMode() == Mode.REFUSES) {
+                if (currentMode() == Mode.REFUSING) {
                     abort(client);
                 } else {
-                    start(() -> connect(client));
+                    startThread(() -> connectToTarget(client));
                 }
             } catch (IOException e) {
                 return;
@@ -92,7 +92,7 @@
         return mode;
     }
 
-    private void connect(Socket client) {
+    private void connectToTarget(Socket client) {
         Socket target = new Socket();
         sockets.add(client);
         sockets.add(target);
@@ -102,8 +102,8 @@
             target.connect(
                     new InetSocketAddress(InetAddress.getLoopbackAddress(), targetPort),
                     CONNECT_TIMEOUT_MILLIS);
-            start(() -> pump(target, client, true));
-            pump(client, target, false);
+            startThread(() -> forward(target, client, true));
+            forward(client, target, false);
         } catch (IOException e) {
             abort(client);
             sockets.remove(client);
@@ -111,14 +111,14 @@
         }
     }
 
-    private void pump(Socket from, Socket to, boolean answers) {
+    private void forward(Socket from, Socket to, boolean isResponse) {
         byte[] buffer = new byte[BUFFER_BYTES];
         try {
             InputStream in = from.getInputStream();
             OutputStream out = to.getOutputStream();
             int length = in.read(buffer);
             while (length >= 0) {
-                awaitPassage(answers);
+                awaitForwarding(isResponse);
                 out.write(buffer, 0, length);
                 length = in.read(buffer);
             }
@@ -134,11 +134,12 @@
         }
     }
 
-    private synchronized void awaitPassage(boolean answers) throws InterruptedException {
-        if (mode == Mode.SLOW) {
+    private synchronized void awaitForwarding(boolean isResponse) throws InterruptedException {
+        if (mode == Mode.DELAYED) {
             wait(DELAY_MILLIS);
         }
-        while (!closed && (mode == Mode.HANGS || (answers && mode == Mode.ANSWERS_HANG))) {
+        while (!closed
+                && (mode == Mode.BLOCKED || (isResponse && mode == Mode.RESPONSES_BLOCKED))) {
             wait();
         }
     }
@@ -147,12 +148,12 @@
         try {
             socket.setSoLinger(true, 0);
         } catch (IOException e) {
-            // It is closed already.
+            // Already closed.
         }
         try {
             socket.close();
         } catch (IOException e) {
-            // It is closed already.
+            // Already closed.
         }
     }
 }
