--- a/src/test/java/org/woadloom/soak/RuleCheckers.java
+++ b/src/test/java/org/woadloom/soak/RuleCheckers.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The rules, a class each, and the facts about jobs that they share. */
+/** All rule checkers, and the updates of the observed job state that they share. */
 final class RuleCheckers {
     private final Map<String, SoakJob> jobs;
     private final List<RuleChecker> checkers = new ArrayList<>();
@@ -15,7 +15,7 @@
             Map<String, SoakJob> jobs,
             Map<String, Double> limits,
             long cancelMicros,
-            RuleChecker.Violations violations) {
+            RuleChecker.ViolationLog violations) {
         this.jobs = jobs;
         unanswered = new UnansweredChecker(jobs, violations);
         checkers.add(new KnownJobChecker(jobs, violations));
@@ -33,20 +33,21 @@
         return checkers;
     }
 
-    void onAnswer(UserAnswer answer) {
-        checkers.forEach(checker -> checker.onAnswer(answer));
-        SoakJob job = jobs.get(answer.jobId());
-        if (job == null || !answer.isSuccess()) {
+    void onResponse(UserResponse response) {
+        checkers.forEach(checker -> checker.onResponse(response));
+        SoakJob job = jobs.get(response.jobId());
+        if (job == null || !response.isSuccess()) {
             return;
         }
-        job.lastAnsweredMicros = answer.answeredMicros();
+        job.lastResponseMicros = response.receivedMicros();
         if (!job.isAccepted()) {
-            job.acceptedMicros = answer.answeredMicros();
+            job.acceptedMicros = response.receivedMicros();
         }
-        boolean over = "done".equals(answer.jobStatus()) || "cancelled".equals(answer.jobStatus());
-        if (over && !job.isOver()) {
-            job.toldStatus = answer.jobStatus();
-            job.toldOverMicros = answer.answeredMicros();
+        boolean isFinal =
+                "done".equals(response.jobStatus()) || "cancelled".equals(response.jobStatus());
+        if (isFinal && !job.hasFinalStatus()) {
+            job.finalStatus = response.jobStatus();
+            job.finalStatusMicros = response.receivedMicros();
         }
     }
 
@@ -54,178 +55,202 @@
         checkers.forEach(checker -> checker.onTaskStarted(start));
     }
 
-    void onTaskGone(String machine, String taskId) {
-        checkers.forEach(checker -> checker.onTaskGone(machine, taskId));
+    void onTaskStopped(String machine, String taskId) {
+        checkers.forEach(checker -> checker.onTaskStopped(machine, taskId));
     }
 
     void onTick(long nowMicros) {
         checkers.forEach(checker -> checker.onTick(nowMicros));
     }
 
-    void onFaultsOver(long nowMicros) {
-        unanswered.onFaultsOver(nowMicros);
+    void onFaultsEnded(long nowMicros) {
+        unanswered.onFaultsEnded(nowMicros);
     }
 
-    /** {@code forgotten}: an accepted job is unknown or refused. */
+    /** Rule {@code forgotten}: an accepted job must not be reported as unknown or invalid. */
     static final class KnownJobChecker extends RuleChecker {
-        KnownJobChecker(Map<String, SoakJob> jobs, Violations violations) {
+        KnownJobChecker(Map<String, SoakJob> jobs, ViolationLog violations) {
             super("forgotten", jobs, violations);
         }
 
         @Override
-        void onAnswer(UserAnswer answer) {
-            SoakJob job = jobs.get(answer.jobId());
-            if (job != null && job.acceptedMicros <= answer.askedMicros()) {
-                boolean unknown = answer.status() == UserAnswer.NOT_FOUND;
+        void onResponse(UserResponse response) {
+            SoakJob job = jobs.get(response.jobId());
+            if (job != null && job.acceptedMicros <= response.sentMicros()) {
+                boolean unknown = response.status() == UserResponse.NOT_FOUND;
                 boolean refused =
-                        answer.status() == UserAnswer.BAD_REQUEST
-                                || answer.status() == UserAnswer.NEVER_RUNNABLE;
-                check(!unknown && !refused, answer.toString());
+                        response.status() == UserResponse.BAD_REQUEST
+                                || response.status() == UserResponse.UNPROCESSABLE;
+                check(!unknown && !refused, response.toString());
             }
         }
     }
 
-    /** {@code invented}: a job that nobody submitted is known. */
+    /** Rule {@code invented}: a job that was never submitted must not be found. */
     static final class InventedJobChecker extends RuleChecker {
-        InventedJobChecker(Map<String, SoakJob> jobs, Violations violations) {
+        InventedJobChecker(Map<String, SoakJob> jobs, ViolationLog violations) {
             super("invented", jobs, violations);
         }
 
         @Override
-        void onAnswer(UserAnswer answer) {
-            if (!jobs.containsKey(answer.jobId())) {
-                check(!answer.isSuccess(), answer.toString());
+        void onResponse(UserResponse response) {
+            if (!jobs.containsKey(response.jobId())) {
+                check(!response.isSuccess(), response.toString());
             }
         }
     }
 
-    /** {@code unanswered}: 75 s after all faults an accepted job has had no answer. */
+    /**
+     * Rule {@code unanswered}: within 75 s after the last fault, every job accepted before must
+     * have had a successful response.
+     */
     static final class UnansweredChecker extends RuleChecker {
-        static final long MAX_MICROS = 75_000_000;
-        private long faultsOverMicros = SoakJob.NEVER;
-        private boolean checked;
+        static final long RESPONSE_DEADLINE_MICROS = 75_000_000;
+        private long faultsEndedMicros = SoakJob.NEVER;
+        private boolean complete;
 
-        UnansweredChecker(Map<String, SoakJob> jobs, Violations violations) {
+        UnansweredChecker(Map<String, SoakJob> jobs, ViolationLog violations) {
             super("unanswered", jobs, violations);
         }
 
-        void onFaultsOver(long nowMicros) {
-            faultsOverMicros = nowMicros;
+        void onFaultsEnded(long nowMicros) {
+            faultsEndedMicros = nowMicros;
         }
 
         boolean isAnsweredSinceFaults(SoakJob job) {
-            return job.lastAnsweredMicros > faultsOverMicros;
+            return job.lastResponseMicros > faultsEndedMicros;
         }
 
         private boolean isDue(SoakJob job) {
-            return job.acceptedMicros < faultsOverMicros;
+            return job.acceptedMicros < faultsEndedMicros;
         }
 
         @Override
         void onTick(long nowMicros) {
-            if (checked || faultsOverMicros == SoakJob.NEVER) {
+            if (complete || faultsEndedMicros == SoakJob.NEVER) {
                 return;
             }
             List<SoakJob> due = jobs.values().stream().filter(this::isDue).toList();
             boolean allAnswered = due.stream().allMatch(this::isAnsweredSinceFaults);
-            if (allAnswered || nowMicros - faultsOverMicros >= MAX_MICROS) {
-                checked = true;
+            if (allAnswered || nowMicros - faultsEndedMicros >= RESPONSE_DEADLINE_MICROS) {
+                complete = true;
                 due.forEach(
                         job ->
                                 check(
                                         isAnsweredSinceFaults(job),
-                                        job.jobId + " has had no answer for 75 s"));
+                                        job.jobId
+                                                + " has had no successful response within 75 s of"
+                                                + " the last fault"));
             }
         }
 
-        boolean isChecked() {
-            return checked;
+        boolean isComplete() {
+            return complete;
         }
     }
 
-    /** {@code went_back}: a status is older than what was told before the question came. */
+    /**
+     * Rule {@code went_back}: a final status must not change in responses to requests sent after it
+     * was first received, and a job must not become cancelled without a cancel request.
+     */
     static final class FinalStatusChecker extends RuleChecker {
-        FinalStatusChecker(Map<String, SoakJob> jobs, Violations violations) {
+        FinalStatusChecker(Map<String, SoakJob> jobs, ViolationLog violations) {
             super("went_back", jobs, violations);
         }
 
         @Override
-        void onAnswer(UserAnswer answer) {
-            SoakJob job = jobs.get(answer.jobId());
-            if (job == null || !answer.isSuccess() || answer.jobStatus() == null) {
+        void onResponse(UserResponse response) {
+            SoakJob job = jobs.get(response.jobId());
+            if (job == null || !response.isSuccess() || response.jobStatus() == null) {
                 return;
             }
-            if (job.toldOverMicros <= answer.askedMicros()) {
-                check(job.toldStatus.equals(answer.jobStatus()), "was over: " + answer);
+            if (job.finalStatusMicros <= response.sentMicros()) {
+                check(
+                        job.finalStatus.equals(response.jobStatus()),
+                        "final status was " + job.finalStatus + " before: " + response);
             }
-            if (answer.jobStatus().equals("cancelled")) {
+            if (response.jobStatus().equals("cancelled")) {
                 check(
-                        job.cancelAskedMicros <= answer.answeredMicros(),
-                        "nobody cancelled it: " + answer);
+                        job.cancelRequestedMicros <= response.receivedMicros(),
+                        "cancelled without a cancel request: " + response);
             }
         }
     }
 
-    /** {@code not_done}: a job is called done before all of its tasks are. */
+    /** Rule {@code not_done}: a job must not be reported done before all its tasks completed. */
     static final class CompletionChecker extends RuleChecker {
-        CompletionChecker(Map<String, SoakJob> jobs, Violations violations) {
+        CompletionChecker(Map<String, SoakJob> jobs, ViolationLog violations) {
             super("not_done", jobs, violations);
         }
 
         @Override
-        void onAnswer(UserAnswer answer) {
-            SoakJob job = jobs.get(answer.jobId());
-            if (job != null && answer.isSuccess() && "done".equals(answer.jobStatus())) {
+        void onResponse(UserResponse response) {
+            SoakJob job = jobs.get(response.jobId());
+            if (job != null && response.isSuccess() && "done".equals(response.jobStatus())) {
                 check(
                         job.isComplete(),
-                        job.completedTasks.cardinality() + " of " + job.tasks + ": " + answer);
+                        job.completedTasks.cardinality()
+                                + " of "
+                                + job.tasks
+                                + " tasks completed: "
+                                + response);
             }
         }
     }
 
-    /** {@code ran_twice}: a task starts on one machine while it is on another. */
+    /** Rule {@code ran_twice}: a task must not run on two machines at the same time. */
     static final class SingleExecutionChecker extends RuleChecker {
         private final Map<String, String> machineOfTask = new HashMap<>();
 
-        SingleExecutionChecker(Map<String, SoakJob> jobs, Violations violations) {
+        SingleExecutionChecker(Map<String, SoakJob> jobs, ViolationLog violations) {
             super("ran_twice", jobs, violations);
         }
 
         @Override
         void onTaskStarted(TaskStart start) {
-            String other = machineOfTask.put(start.taskId(), start.machine().name());
-            check(other == null, start.taskId() + " on " + start.machine() + " and " + other);
+            String otherMachine = machineOfTask.put(start.taskId(), start.machine().name());
+            check(
+                    otherMachine == null,
+                    start.taskId()
+                            + " started on "
+                            + start.machine()
+                            + ", still runs on "
+                            + otherMachine);
         }
 
         @Override
-        void onTaskGone(String machine, String taskId) {
+        void onTaskStopped(String machine, String taskId) {
             machineOfTask.remove(taskId, machine);
         }
     }
 
-    /** {@code ran_cancelled}: a task is on a machine too long after its cancellation was told. */
+    /**
+     * Rule {@code ran_cancelled}: no task of a job may run later than the cancellation deadline
+     * after the job was reported cancelled.
+     */
     static final class CancelledTaskChecker extends RuleChecker {
         private final long cancelMicros;
         private final Map<String, TaskStart> running = new HashMap<>();
 
-        CancelledTaskChecker(Map<String, SoakJob> jobs, long cancelMicros, Violations violations) {
+        CancelledTaskChecker(
+                Map<String, SoakJob> jobs, long cancelMicros, ViolationLog violations) {
             super("ran_cancelled", jobs, violations);
             this.cancelMicros = cancelMicros;
         }
 
         private boolean isOverdue(SoakJob job, long nowMicros) {
-            return "cancelled".equals(job.toldStatus)
-                    && nowMicros - job.toldOverMicros > cancelMicros;
+            return "cancelled".equals(job.finalStatus)
+                    && nowMicros - job.finalStatusMicros > cancelMicros;
         }
 
         @Override
         void onTaskStarted(TaskStart start) {
             running.put(start.taskId(), start);
-            check(!isOverdue(start.job(), start.micros()), start.toString());
+            check(!isOverdue(start.job(), start.startedMicros()), start.toString());
         }
 
         @Override
-        void onTaskGone(String machine, String taskId) {
+        void onTaskStopped(String machine, String taskId) {
             TaskStart start = running.get(taskId);
             if (start != null && start.machine().name().equals(machine)) {
                 running.remove(taskId);
@@ -239,13 +264,14 @@
         }
     }
 
-    /** {@code quota}: a team's tasks use more than its limit. */
+    /** Rule {@code quota}: the tasks of a team must not use more CPUs than the team's limit. */
     static final class QuotaChecker extends RuleChecker {
-        private static final double ROUNDING = 1e-6;
+        private static final double ROUNDING_TOLERANCE = 1e-6;
         private final Map<String, Double> limits;
         private final Map<String, TaskStart> running = new HashMap<>();
 
-        QuotaChecker(Map<String, SoakJob> jobs, Map<String, Double> limits, Violations violations) {
+        QuotaChecker(
+                Map<String, SoakJob> jobs, Map<String, Double> limits, ViolationLog violations) {
             super("quota", jobs, violations);
             this.limits = limits;
         }
@@ -259,18 +285,23 @@
                             .filter(other -> other.job().team.equals(team))
                             .mapToDouble(other -> other.job().cpus)
                             .sum();
-            check(used <= limits.get(team) + ROUNDING, team + " uses " + used);
+            check(
+                    used <= limits.get(team) + ROUNDING_TOLERANCE,
+                    team + " uses " + used + " CPUs of " + limits.get(team));
         }
 
         @Override
-        void onTaskGone(String machine, String taskId) {
+        void onTaskStopped(String machine, String taskId) {
             running.remove(machine + " " + taskId);
         }
     }
 
-    /** {@code wrong_place}: a task starts where its job does not allow it. */
+    /**
+     * Rule {@code wrong_place}: a task must run in its job's zone, and on a spot machine only if
+     * allowed.
+     */
     static final class PlacementChecker extends RuleChecker {
-        PlacementChecker(Map<String, SoakJob> jobs, Violations violations) {
+        PlacementChecker(Map<String, SoakJob> jobs, ViolationLog violations) {
             super("wrong_place", jobs, violations);
         }
 
@@ -283,8 +314,11 @@
         }
     }
 
-    /** Whether every job that was accepted before the end of the faults was answered or judged. */
-    boolean isUnansweredRuleChecked() {
-        return unanswered.isChecked();
+    /**
+     * Whether the rule {@code unanswered} was evaluated for all jobs accepted before the faults
+     * ended.
+     */
+    boolean isUnansweredCheckComplete() {
+        return unanswered.isComplete();
     }
 }
